--- a/core/backoff/backoff.go
+++ b/core/backoff/backoff.go
@@ -30,9 +30,6 @@
 	return b
 }
 
-// Failing reports whether the last attempt failed.
-func (b Backoff) Failing() bool { return b.failures > 0 }
-
 // Wait draws the time until the next attempt: nothing without failures, else
 // uniformly between Base and the ceiling that doubles with each failure.
 func (b Backoff) Wait(rng *rand.Rand) time.Duration {
--- a/core/book/book.go
+++ b/core/book/book.go
@@ -163,16 +163,6 @@
 	return orders
 }
 
-// Open returns every order without an answer, by rising Seq.
-func (e *Engine) Open() []Order {
-	orders := make([]Order, 0, len(e.open))
-	for _, o := range e.open {
-		orders = append(orders, o.order)
-	}
-	sort.Slice(orders, func(i, j int) bool { return orders[i].Seq < orders[j].Seq })
-	return orders
-}
-
 // Book books an order's memory. It reports false, and books nothing, when the
 // order could overcommit the engine or would unload what is pinned or absent.
 func (e *Engine) Book(o Order) bool {
--- a/core/clock/clock.go
+++ b/core/clock/clock.go
@@ -20,12 +20,6 @@
 	Wall time.Time
 }
 
-// At returns the instant d after the Unix epoch on both clocks. Drivers with
-// their own clock, such as tests, start from it.
-func At(d time.Duration) Instant {
-	return Instant{Mono: d, Wall: time.Unix(0, 0).UTC().Add(d)}
-}
-
 // Add returns the instant d later on both clocks.
 func (t Instant) Add(d time.Duration) Instant {
 	return Instant{Mono: t.Mono + d, Wall: t.Wall.Add(d)}
--- a/core/instance/adapter_test.go
+++ b/core/instance/adapter_test.go
@@ -8,6 +8,7 @@
 
 	"github.com/birchdrift/birchdrift/core/attempt"
 	"github.com/birchdrift/birchdrift/core/clock"
+	"github.com/birchdrift/birchdrift/core/clock/clocktest"
 	"github.com/birchdrift/birchdrift/core/config"
 	"github.com/birchdrift/birchdrift/core/pool"
 )
@@ -55,7 +56,7 @@
 // six times each and were then refused.
 func TestAdapterWaitsForItsModel(t *testing.T) {
 	is := is.New(t)
-	now := clock.At(time.Hour)
+	now := clocktest.At(time.Hour)
 	m := adapterMachine(t, now)
 	m.pool.ObserveResidency(now, "e1", residency(1, pool.Loading))
 	is.Equal(sentTo(m.Step(now, Arrive{Call: Call{ID: 1, Service: "s", Replayable: true}})), "")
@@ -67,7 +68,7 @@
 // answers fastest, yet gets no more calls for it for a while.
 func TestWhatRefusesDrawsNoCalls(t *testing.T) {
 	is := is.New(t)
-	now := clock.At(time.Hour)
+	now := clocktest.At(time.Hour)
 	m := adapterMachine(t, now)
 	m.pool.ObserveResidency(now, "e1", residency(1, pool.Ready))
 	m.pool.ObserveResidency(now, "e2", residency(1, pool.Ready))
--- a/core/instance/announced_world_test.go
+++ b/core/instance/announced_world_test.go
@@ -13,6 +13,7 @@
 	"github.com/matryer/is"
 
 	"github.com/birchdrift/birchdrift/core/clock"
+	"github.com/birchdrift/birchdrift/core/clock/clocktest"
 	"github.com/birchdrift/birchdrift/core/config"
 	"github.com/birchdrift/birchdrift/core/orders"
 	"github.com/birchdrift/birchdrift/core/place"
@@ -239,7 +240,7 @@
 		n.held = append(n.held, func() { f.step(n, boot, ev) })
 		return
 	}
-	for _, a := range slices.Clone(n.m.Step(clock.At(time.Hour+f.now), ev)) {
+	for _, a := range slices.Clone(n.m.Step(clocktest.At(time.Hour+f.now), ev)) {
 		f.do(n, boot, a)
 	}
 }
@@ -263,7 +264,7 @@
 	case Enrol:
 		f.storeCall(n, func() (Event, bool) { return f.enrol(act), true }, func(err error) Event { return EnrolReply{Err: err} }, reply)
 	case KeepEnrolled:
-		sent := clock.At(time.Hour + f.now)
+		sent := clocktest.At(time.Hour + f.now)
 		f.storeCall(n, func() (Event, bool) {
 			l := f.store.leases[act.Lease]
 			if l == nil {
@@ -281,7 +282,7 @@
 			return Tick{}, false
 		}, func(error) Event { return Tick{} }, reply)
 	case WriteRegistry:
-		sent := clock.At(time.Hour + f.now)
+		sent := clocktest.At(time.Hour + f.now)
 		f.storeCall(n, func() (Event, bool) { return f.write(act, sent), true }, func(err error) Event { return WriteReply{Write: act.Write, Err: err} }, reply)
 	case EngineOrder:
 		f.sendOrder(n, act, reply)
@@ -374,7 +375,7 @@
 	f.store.leases[lease] = &fleetLease{expires: f.now + a.Term, term: a.Term}
 	i := a.Instance
 	f.change("instances/"+i.Name, &fleetValue{data: &i, lease: lease})
-	return EnrolReply{Sent: clock.At(time.Hour + f.now), Lease: lease}
+	return EnrolReply{Sent: clocktest.At(time.Hour + f.now), Lease: lease}
 }
 
 func (f *fleet) endLease(lease uint64) {
--- a/core/instance/bench_test.go
+++ b/core/instance/bench_test.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"github.com/birchdrift/birchdrift/core/clock"
+	"github.com/birchdrift/birchdrift/core/clock/clocktest"
 	"github.com/birchdrift/birchdrift/core/config"
 	"github.com/birchdrift/birchdrift/core/demand"
 	"github.com/birchdrift/birchdrift/core/plan"
@@ -45,7 +46,7 @@
 // loaded returns a machine at this size whose engines hold three models each.
 func (s benchSize) loaded(b *testing.B) (*Machine, clock.Instant) {
 	b.Helper()
-	now := clock.At(time.Hour)
+	now := clocktest.At(time.Hour)
 	m := New(Identity{Name: "entry-1", Zone: "z0", Address: "a", Boot: 1}, DefaultOptions(), 1)
 	snapshot, err := config.NewSnapshot(s.document())
 	if err != nil {
--- a/core/instance/exchange_test.go
+++ b/core/instance/exchange_test.go
@@ -10,6 +10,7 @@
 	"github.com/matryer/is"
 
 	"github.com/birchdrift/birchdrift/core/clock"
+	"github.com/birchdrift/birchdrift/core/clock/clocktest"
 	"github.com/birchdrift/birchdrift/core/pool"
 	"github.com/birchdrift/birchdrift/core/registry"
 	"github.com/birchdrift/birchdrift/core/share"
@@ -42,7 +43,7 @@
 // everything else (CONFIG broke on a day of a grown fleet).
 func TestDutiesGoToTheStrongest(t *testing.T) {
 	is := is.New(t)
-	now := clock.At(time.Hour)
+	now := clocktest.At(time.Hour)
 	opt := DefaultOptions()
 	opt.OneWatch = true
 	opt.Watchers = 2
@@ -70,7 +71,7 @@
 // whose orders may still be on their way waits for all of it.
 func TestQuietEngineIsOrderedSoonerAfterAStop(t *testing.T) {
 	is := is.New(t)
-	now := clock.At(time.Hour)
+	now := clocktest.At(time.Hour)
 	m := fleetMachine(now, "a")
 	whole := m.opt.TurnGap + turnMargin
 	cases := []struct {
@@ -94,7 +95,7 @@
 // of those that owns engines places what is missed on them.
 func TestWatchersStandInForASilentPlacer(t *testing.T) {
 	is := is.New(t)
-	now := clock.At(time.Hour)
+	now := clocktest.At(time.Hour)
 	var peers []string
 	for i := range 2 * meshMost {
 		peers = append(peers, fmt.Sprintf("p%02d", i))
@@ -126,7 +127,7 @@
 // its engines alone, renews it often; each renewal is paid for.
 func TestRenewalsFollowDuties(t *testing.T) {
 	is := is.New(t)
-	now := clock.At(time.Hour)
+	now := clocktest.At(time.Hour)
 	m := fleetMachine(now, "a")
 	is.Equal(m.keepEvery(), 2*m.opt.KeepEvery)
 	is.True(m.keepEvery() < m.opt.EnrolTerm/2)
@@ -154,7 +155,7 @@
 // day of a grown fleet: a route was refused 3.1 s after its acknowledgement).
 func TestSlowPeerDoesNotHoldUpARevision(t *testing.T) {
 	is := is.New(t)
-	now := clock.At(time.Hour)
+	now := clocktest.At(time.Hour)
 	m := fleetMachine(now, "a", "b")
 	ahead := func(name string) []Action {
 		return m.Step(now, ExchangeAsked{Token: 1, Message: share.Message{From: name, Zone: "z", Address: name, Boot: 1, Revision: 5, StoreAge: time.Millisecond}})
@@ -175,7 +176,7 @@
 // over narrow links none of them came to its end.
 func TestOnlyPullsBringConfigurations(t *testing.T) {
 	is := is.New(t)
-	now := clock.At(time.Hour)
+	now := clocktest.At(time.Hour)
 	m := fleetMachine(now, "a", "b", "c", "d")
 	wanted := 0
 	for _, name := range []string{"a", "b", "c", "d"} {
@@ -195,7 +196,7 @@
 // may have heard nothing, is sent everything.
 func TestPeersAreNotToldWhatTheyHeardThemselves(t *testing.T) {
 	is := is.New(t)
-	now := clock.At(time.Hour)
+	now := clocktest.At(time.Hour)
 	m := fleetMachine(now, "a", "b")
 	for i, name := range []string{"r1", "r2"} {
 		m.Step(now, ListReply{Version: uint64(11 + i), Entries: []share.Listed{{
@@ -228,7 +229,7 @@
 // be older than what is known, and a whole listing ends what it does not have.
 func TestOlderRecordsOfTheRegistryAreIgnored(t *testing.T) {
 	is := is.New(t)
-	now := clock.At(time.Hour)
+	now := clocktest.At(time.Hour)
 	m := fleetMachine(now, "a")
 	owned := func(owner string, revision uint64) registry.Record {
 		v := registry.Ownership{Engine: "e", Owner: owner}.Value()
--- a/core/instance/machine.go
+++ b/core/instance/machine.go
@@ -104,14 +104,12 @@
 
 // New returns the machine of an instance that knows nothing yet.
 func New(self Identity, opt Options, seed uint64) *Machine {
-	chooser := route.NewChooser(prefixMemory)
-	chooser.Pick = opt.Pick
 	return &Machine{
 		self:      self,
 		opt:       opt,
 		rng:       rand.New(rand.NewPCG(seed, self.Boot)),
 		pool:      pool.New(),
-		chooser:   chooser,
+		chooser:   route.NewChooser(prefixMemory),
 		members:   member.New(self.Name, self.Zone),
 		store:     share.NewStore(),
 		meter:     demand.NewMeter(),
@@ -209,12 +207,12 @@
 // retune takes over tunables that may change while the machine runs. What its
 // driver was built with stays.
 func (m *Machine) retune(e Retune) {
-	pick, plan, disable := m.opt.Pick, m.opt.Plan, m.opt.Disable
+	disable := m.opt.Disable
 	if e.Options.RetryWindow != m.opt.RetryWindow {
 		clear(m.retries)
 	}
 	m.opt = e.Options
-	m.opt.Pick, m.opt.Plan, m.opt.Disable = pick, plan, disable
+	m.opt.Disable = disable
 	m.self.Seeds = e.Seeds
 }
 
--- a/core/instance/options.go
+++ b/core/instance/options.go
@@ -1,11 +1,6 @@
 package instance
 
-import (
-	"time"
-
-	"github.com/birchdrift/birchdrift/core/plan"
-	"github.com/birchdrift/birchdrift/core/route"
-)
+import "time"
 
 // Options are the tunables of a machine. The zero value is not usable; start
 // from DefaultOptions.
@@ -69,10 +64,6 @@
 	LoadWait time.Duration
 	// OneWatch says that the platform's store is watched as one.
 	OneWatch bool
-	// Pick and Plan replace the routing choice and the residency plan; nil in
-	// the product. Baselines for measurements set them.
-	Pick func(estimates []route.Estimate) int
-	Plan func(in plan.Input) []plan.Step
 	// Disable switches mechanisms off, for tests that show what they prevent.
 	Disable Disabled
 }
--- a/core/instance/planner.go
+++ b/core/instance/planner.go
@@ -255,11 +255,7 @@
 	m.tellLeaders()
 	m.raiseFences()
 	m.resendUnsure()
-	steps := plan.Steps
-	if m.opt.Plan != nil {
-		steps = m.opt.Plan
-	}
-	for _, s := range steps(m.planInput()) {
+	for _, s := range plan.Steps(m.planInput()) {
 		m.order(s)
 	}
 	m.flushIntents()
--- a/core/instance/probe_test.go
+++ b/core/instance/probe_test.go
@@ -9,6 +9,7 @@
 	"github.com/matryer/is"
 
 	"github.com/birchdrift/birchdrift/core/clock"
+	"github.com/birchdrift/birchdrift/core/clock/clocktest"
 	"github.com/birchdrift/birchdrift/core/config"
 	"github.com/birchdrift/birchdrift/core/pool"
 	"github.com/birchdrift/birchdrift/core/share"
@@ -72,7 +73,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			now := clock.At(time.Hour)
+			now := clocktest.At(time.Hour)
 			m := probeMachine(t, now, 20*time.Millisecond, "e1", "e2")
 			actions := m.Step(now, probeCall(1))
 			is.Equal(asked(actions), []string{"e1", "e2"})
@@ -94,7 +95,7 @@
 // switched off, a call is sent at once.
 func TestNothingIsAskedWithoutAChoice(t *testing.T) {
 	is := is.New(t)
-	now := clock.At(time.Hour)
+	now := clocktest.At(time.Hour)
 	one := probeMachine(t, now, 20*time.Millisecond, "e1").Step(now, probeCall(1))
 	is.Equal(len(asked(one)), 0)
 	is.Equal(sentTo(one), "e1")
@@ -107,7 +108,7 @@
 // nothing is sent.
 func TestCallerThatLeavesWhileEnginesAreAsked(t *testing.T) {
 	is := is.New(t)
-	now := clock.At(time.Hour)
+	now := clocktest.At(time.Hour)
 	m := probeMachine(t, now, 20*time.Millisecond, "e1", "e2")
 	m.Step(now, probeCall(1))
 	m.Step(now, Gone{ID: 1})
--- a/core/instance/status.go
+++ b/core/instance/status.go
@@ -120,9 +120,6 @@
 	return true, ""
 }
 
-// Counts returns the calls in progress and, of those, the ones that wait.
-func (m *Machine) Counts() (calls, waiting int) { return len(m.calls), len(m.line) }
-
 // Status returns the machine's state for operators.
 func (m *Machine) Status(now clock.Instant) Status {
 	m.now = now
--- a/core/instance/world_test.go
+++ b/core/instance/world_test.go
@@ -10,6 +10,7 @@
 
 	"github.com/birchdrift/birchdrift/core/book"
 	"github.com/birchdrift/birchdrift/core/clock"
+	"github.com/birchdrift/birchdrift/core/clock/clocktest"
 	"github.com/birchdrift/birchdrift/core/code"
 	"github.com/birchdrift/birchdrift/core/config"
 	"github.com/birchdrift/birchdrift/core/pool"
@@ -206,7 +207,7 @@
 }
 
 func (n *node) clock(now time.Duration) clock.Instant {
-	at := clock.At(now)
+	at := clocktest.At(now)
 	at.Mono -= n.monoLag
 	return at
 }
--- a/core/lease/lease_test.go
+++ b/core/lease/lease_test.go
@@ -9,6 +9,7 @@
 	"pgregory.net/rapid"
 
 	"github.com/birchdrift/birchdrift/core/clock"
+	"github.com/birchdrift/birchdrift/core/clock/clocktest"
 )
 
 // The draws are the same on every run; -rapid.seed=0 draws others.
@@ -18,7 +19,7 @@
 // the wall clock went on.
 func TestSuspendedMachineDoesNotBelieve(t *testing.T) {
 	is := is.New(t)
-	sent := clock.At(time.Hour)
+	sent := clocktest.At(time.Hour)
 	l := New(10*time.Second).WithGrant(3, sent)
 	is.True(l.Valid(sent.Add(8 * time.Second)))
 	woken := sent
@@ -29,7 +30,7 @@
 // TestTimeCountsFromTheRequest: an answer that came late adds no time.
 func TestTimeCountsFromTheRequest(t *testing.T) {
 	is := is.New(t)
-	sent := clock.At(time.Hour)
+	sent := clocktest.At(time.Hour)
 	l := New(10*time.Second).WithGrant(3, sent)
 	is.True(!l.Valid(sent.Add(9 * time.Second)))
 }
@@ -46,7 +47,7 @@
 		views := []Lease{New(term), New(term)}
 		lag := make([]time.Duration, 2) // how far a monotonic clock is behind
 		at := func(i int) clock.Instant {
-			c := clock.At(now)
+			c := clocktest.At(now)
 			c.Mono -= lag[i]
 			return c
 		}
--- a/core/orders/orders.go
+++ b/core/orders/orders.go
@@ -255,9 +255,6 @@
 	return n
 }
 
-// SlotsFree returns the adapter slots that are free.
-func (e *Engine) SlotsFree() int { return e.limits.AdapterSlots - e.slots() }
-
 // Free returns the memory that nothing holds, in MB.
 func (e *Engine) Free() int64 {
 	free := e.limits.MemoryMB
--- a/core/orders/orders_test.go
+++ b/core/orders/orders_test.go
@@ -6,7 +6,7 @@
 
 	"github.com/matryer/is"
 
-	"github.com/birchdrift/birchdrift/core/clock"
+	"github.com/birchdrift/birchdrift/core/clock/clocktest"
 	"github.com/birchdrift/birchdrift/core/pool"
 )
 
@@ -17,7 +17,7 @@
 
 func sizes(model string) (int64, int64, bool) { return modelMB, adapterMB, model != "unknown" }
 
-var start = clock.At(time.Hour)
+var start = clocktest.At(time.Hour)
 
 // engine returns the ledger of an engine that holds the models, after so many
 // orders.
--- a/core/route/forward.go
+++ b/core/route/forward.go
@@ -134,9 +134,6 @@
 	c.Add(chain)
 }
 
-// Forget drops what an engine was believed to keep.
-func (f *Forwards) Forget(engine string) { delete(f.caches, engine) }
-
 // Choose returns the best of the candidates; ok is false when none may be sent
 // the call.
 func (f *Forwards) Choose(now clock.Instant, q ForwardQuery, candidates []*pool.Replica) (best ForwardEstimate, ok bool) {
--- a/core/route/route.go
+++ b/core/route/route.go
@@ -66,9 +66,6 @@
 // A Chooser remembers where prefixes were sent and makes choices.
 type Chooser struct {
 	memory *Memory
-	// Pick replaces the choice among the estimates of usable candidates, by
-	// index; nil in the product. Baselines for measurements set it.
-	Pick func(estimates []Estimate) int
 }
 
 // NewChooser returns a chooser that remembers up to size prefix blocks.
@@ -84,7 +81,6 @@
 	spare := c.mayEject(now, candidates)
 	preferred := prefer(q.Prefix, candidates)
 	cachedOn, cached := c.memory.Find(q.Prefix)
-	var all []Estimate // gathered for Pick only
 	for _, r := range candidates {
 		if !r.Usable() {
 			continue
@@ -96,17 +92,11 @@
 		}
 		e := estimate(now, q, r)
 		e.applyCache(q, r == preferred, cachedOn == r.Name, cached)
-		if c.Pick != nil {
-			all = append(all, e)
-		}
 		if !ok || better(q, e, best) {
 			best = e
 			ok = true
 		}
 	}
-	if c.Pick != nil && ok {
-		best = all[c.Pick(all)]
-	}
 	return best, ok
 }
 
--- a/internal/forward/wire.go
+++ b/internal/forward/wire.go
@@ -19,22 +19,21 @@
 // A Wire names the headers of forwarded calls. An empty name is a header that
 // the environment does not have.
 type Wire struct {
-	CallID       string // the caller's identity of the call, echoed in answers
-	Deadline     string // milliseconds that the caller will wait, or that are left
-	Model        string // MODEL or MODEL/ADAPTER
-	Tokens       string // PROMPT,MOST-OUT
-	Parts        string // ID:TOKENS by commas; IDs in hex
-	LengthHint   string // the caller's guess of the tokens out
-	LastEvent    string // number of the last event that the caller has
-	Signature    string // a replica's signature on its answer
-	Expect       string // identity of the replica that must answer
-	Incarnation  string // identity of the replica that did answer
-	NotRun       string // a replica's word that it did not run the call
-	Priority     string // 0 to 9, 0 first
-	RetryAfter   string // seconds, with fractions
-	Misdirected  int    // status of a replica that is not the expected one
-	StreamType   string // content type of a series of events
-	ErrorsAsText bool   // final answers of this system carry a plain body
+	CallID      string // the caller's identity of the call, echoed in answers
+	Deadline    string // milliseconds that the caller will wait, or that are left
+	Model       string // MODEL or MODEL/ADAPTER
+	Tokens      string // PROMPT,MOST-OUT
+	Parts       string // ID:TOKENS by commas; IDs in hex
+	LengthHint  string // the caller's guess of the tokens out
+	LastEvent   string // number of the last event that the caller has
+	Signature   string // a replica's signature on its answer
+	Expect      string // identity of the replica that must answer
+	Incarnation string // identity of the replica that did answer
+	NotRun      string // a replica's word that it did not run the call
+	Priority    string // 0 to 9, 0 first
+	RetryAfter  string // seconds, with fractions
+	Misdirected int    // status of a replica that is not the expected one
+	StreamType  string // content type of a series of events
 }
 
 // Own is the product's own wording.
--- a/standin/cmd/demo/main.go
+++ b/standin/cmd/demo/main.go
@@ -1,8 +1,8 @@
 // Command demo shows the whole path on one machine: a platform, engines, a
 // plain service and three entry instances in two availability zones, each a
-// process of its own. It applies a configuration in the shape of Scirè, sends
-// a plain call, a stream and one that must not be repeated, shows the state,
-// and stops everything that it started.
+// process of its own. It applies a configuration, sends a plain call, a stream
+// and a call that must not be repeated, shows the state, and stops everything
+// that it started.
 package main
 
 import (
@@ -12,6 +12,7 @@
 	"net/http"
 	"os"
 	"path/filepath"
+	"strconv"
 	"strings"
 	"time"
 
@@ -19,7 +20,6 @@
 	"github.com/birchdrift/birchdrift/internal/keyvalue"
 	"github.com/birchdrift/birchdrift/internal/upstream"
 	"github.com/birchdrift/birchdrift/standin/fleet"
-	"github.com/birchdrift/birchdrift/standin/shape"
 )
 
 func main() {
@@ -39,9 +39,6 @@
 	instances []*fleet.Instance
 }
 
-// engines is how many engines run; models enough for twice as many are configured.
-const engines = 6
-
 func run() error {
 	root, err := fleet.Root()
 	if err != nil {
@@ -73,30 +70,20 @@
 	return nil
 }
 
-// size is the shape of Scirè on six engines in two zones.
-func size() shape.Size {
-	s := shape.Scire
-	s.Zones = 2
-	s.Engines = engines
-	s.Fits = 4
-	s.Plain = 2
-	return s
-}
-
 func (d *demo) startStandins() error {
 	if err := d.standin("platform", "platform"); err != nil {
 		return err
 	}
 	d.platform = d.addresses["platform"]
 	for i := range engines {
-		name := shape.Engine(i)
-		err := d.standin(name, "engine", "--name", name, "--memory-mib", fmt.Sprint(size().EngineMiB()), "--weight-store", d.platform)
+		name := engineName(i)
+		err := d.standin(name, "engine", "--name", name, "--memory-mib", strconv.Itoa(engineMiB), "--weight-store", d.platform)
 		if err != nil {
 			return err
 		}
 	}
-	for i := range size().Plain {
-		name := fmt.Sprintf("stock-%d", i+1)
+	for i := range replicas {
+		name := replicaName(i)
 		if err := d.standin(name, "service", "--name", name); err != nil {
 			return err
 		}
@@ -107,7 +94,7 @@
 
 func (d *demo) startInstances() error {
 	var list []keyvalue.Instance
-	for i, zone := range []string{shape.Zone(0), shape.Zone(0), shape.Zone(1)} {
+	for i, zone := range []string{zoneName(0), zoneName(0), zoneName(1)} {
 		name := fmt.Sprintf("entry-%d", i+1)
 		in, err := fleet.StartInstance(d.bin, fleet.Spec{Name: name, Zone: zone, Platform: d.platform})
 		if err != nil {
@@ -139,7 +126,7 @@
 }
 
 func (d *demo) apply() error {
-	doc := size().Document(func(name string) string { return d.addresses[name] })
+	doc := document(d.addresses)
 	p := keyvalue.NewClient(d.platform, upstream.NewTransports())
 	revision, err := control.Apply(context.Background(), p, doc)
 	if err != nil {
@@ -157,7 +144,7 @@
 }
 
 func (d *demo) calls() error {
-	service := shape.Service(0)
+	service := serviceName(0)
 	plain := fmt.Sprintf(`{"model":%q,"max_tokens":8,"messages":[{"role":"user","content":"Which crates go to the parish?"}]}`, service)
 	if err := d.show("plain call", d.instances[0], "/v1/chat/completions", plain, nil); err != nil {
 		return err
--- a/standin/fleet/fleet.go
+++ b/standin/fleet/fleet.go
@@ -127,9 +127,6 @@
 // Signal sends a signal to this very process.
 func (p *Process) Signal(s syscall.Signal) error { return p.cmd.Process.Signal(s) }
 
-// PID returns the process's id.
-func (p *Process) PID() int { return p.cmd.Process.Pid }
-
 // Wait waits for the program's end and returns its exit status.
 func (p *Process) Wait() (int, error) {
 	select {
--- a/standin/platform/weights.go
+++ b/standin/platform/weights.go
@@ -22,9 +22,6 @@
 	return &weights{begin: rate.NewLimiter(rate.Limit(l.LoadsPerSecond), 1), atOnce: l.LoadsAtOnce}
 }
 
-// SetLoadRate changes how many loads may begin a second.
-func (p *Platform) SetLoadRate(perSecond float64) { p.weights.begin.SetLimit(rate.Limit(perSecond)) }
-
 // slice is how often the speed of a load is looked at anew.
 const slice = 20 * time.Millisecond
 
