--- /dev/null
+++ b/core/instance/configure_test.go
@@ -0,0 +1,51 @@
+package instance
+
+import (
+	"testing"
+	"time"
+
+	"github.com/matryer/is"
+
+	"github.com/birchdrift/birchdrift/core/clock/clocktest"
+	"github.com/birchdrift/birchdrift/core/config"
+	"github.com/birchdrift/birchdrift/core/orders"
+	"github.com/birchdrift/birchdrift/core/pool"
+	"github.com/birchdrift/birchdrift/core/registry"
+)
+
+// orderedModels returns the models that the actions order to be loaded.
+func orderedModels(actions []Action) []string {
+	var models []string
+	for _, a := range actions {
+		if o, ok := a.(EngineOrder); ok && o.Request.Load {
+			models = append(models, o.Request.Model)
+		}
+	}
+	return models
+}
+
+// TestOwnedEnginesFollowTheConfiguration: an engine that an instance owns is
+// ordered by the sizes of the configuration in force, not by those of the one
+// at which it was taken. A model added later could not be loaded there until
+// the engine changed its owner.
+func TestOwnedEnginesFollowTheConfiguration(t *testing.T) {
+	is := is.New(t)
+	now := clocktest.At(time.Hour)
+	m := probeMachine(t, now, 0, "e1")
+	m.registry.keptAt = now
+	m.registry.heardAt = now
+	m.ownEngine(registry.Ownership{Engine: "e1", Owner: "self", Boot: 1, Revision: 7}, now)
+	m.Step(now, EngineStateReply{Engine: "e1", State: orders.State{Models: []pool.AnnouncedModel{{Name: "m0"}}}})
+
+	added := orders.Request{Load: true, Model: "added"}
+	is.Equal(orderedModels(m.Step(now, OrderAsked{Token: 1, Engine: "e1", Request: added})), nil)
+
+	doc := fleetDocument()
+	doc.Revision++
+	engines := doc.Services[0].Announced.Engine
+	engines.Models = append(engines.Models, config.PooledModel{Name: "added", MemoryMB: 1, Load: time.Second, Adapters: 1, AdapterMB: 1})
+	snapshot, err := config.NewSnapshot(doc)
+	is.NoErr(err)
+	m.Step(now, ConfigReply{Snapshot: snapshot, Source: PlatformSource})
+	is.Equal(orderedModels(m.Step(now, OrderAsked{Token: 2, Engine: "e1", Request: added})), []string{"added"})
+}
--- a/core/instance/engines.go
+++ b/core/instance/engines.go
@@ -86,6 +86,21 @@
 	return svc.Name, orders.Limits{MemoryMB: p.MemoryMB, AdapterSlots: p.AdapterSlots}, sizesOf(p), true
 }
 
+// configureEngines takes over what a newer configuration says of the engines
+// that this instance owns. An engine whose pool is no longer configured keeps
+// its limits: it still holds what it was ordered to load.
+func (m *Machine) configureEngines() {
+	for name, e := range m.engines {
+		r := m.pool.Get(name)
+		if r == nil {
+			continue
+		}
+		if _, limits, sizes, ok := m.engineFacts(r); ok {
+			e.Configure(limits, sizes)
+		}
+	}
+}
+
 func sizesOf(p *config.EnginePool) orders.Sizes {
 	return func(model string) (modelMB, adapterMB int64, ok bool) {
 		m, ok := p.Model(model)
--- a/core/instance/watch.go
+++ b/core/instance/watch.go
@@ -59,6 +59,7 @@
 	m.cfg = s
 	m.encoded = encoded
 	m.pool.Apply(s)
+	m.configureEngines()
 	m.replayRecords()
 	m.homes = newHomeView(s, m.self.Zone)
 	m.planner.sync(m)
