--- a/Makefile
+++ b/Makefile
@@ -19,11 +19,16 @@
 	cd core && go test -race ./instance/... ./book/...
 	go test -race ./internal/...
 
-# staticcheck is pinned by the tool directive in go.mod.
+# staticcheck and deadcode are pinned by the tool directives in go.mod. deadcode
+# counts what only tests reach as dead in the product, but not in the stand-ins,
+# which are there for the tests.
 lint:
 	@test -z "$$(gofmt -l .)" || { gofmt -l .; exit 1; }
 	go build -o bin/staticcheck honnef.co/go/tools/cmd/staticcheck
+	go build -o bin/deadcode golang.org/x/tools/cmd/deadcode
 	@for m in $(MODULES); do (cd $$m && go vet ./... && $(CURDIR)/bin/staticcheck ./...) || exit 1; done
+	@dead=$$(bin/deadcode ./cmd/... && cd standin && $(CURDIR)/bin/deadcode -test ./...) || exit 1; \
+	  test -z "$$dead" || { echo "$$dead"; exit 1; }
 
 # Pages that are generated from the code: codes, events, settings, metrics.
 docs:
