--- a/internal/forward/wire.go
+++ b/internal/forward/wire.go
@@ -34,6 +34,9 @@
 	RetryAfter  string // seconds, with fractions
 	Misdirected int    // status of a replica that is not the expected one
 	StreamType  string // content type of a series of events
+	// Reserved are request headers that only this system may set. A replica
+	// acts on them, so a caller's are not passed on.
+	Reserved []string
 }
 
 // Own is the product's own wording.
@@ -137,8 +140,12 @@
 	LastEvent int           // number of the last event that was delivered, 0 if none
 }
 
-// Dress writes an attempt's headers over the caller's.
+// Dress writes an attempt's headers over the caller's, and drops those that a
+// caller may not set.
 func (w Wire) Dress(h http.Header, a Attempt) {
+	for _, name := range w.Reserved {
+		h.Del(name)
+	}
 	set(h, w.Expect, a.Expect)
 	if a.Left > 0 {
 		set(h, w.Deadline, strconv.FormatInt(max(1, a.Left.Milliseconds()), 10))
