--- a/core/instance/adapter_test.go
+++ b/core/instance/adapter_test.go
@@ -10,6 +10,8 @@
 	"github.com/birchdrift/birchdrift/core/clock"
 	"github.com/birchdrift/birchdrift/core/clock/clocktest"
 	"github.com/birchdrift/birchdrift/core/config"
+	"github.com/birchdrift/birchdrift/core/member"
+	"github.com/birchdrift/birchdrift/core/option"
 	"github.com/birchdrift/birchdrift/core/pool"
 )
 
@@ -32,7 +34,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	m := New(Identity{Name: "i", Zone: "z", Address: "i", Boot: 1}, DefaultOptions(), 1)
+	m := New(member.Identity{Name: "i", Zone: "z", Address: "i", Boot: 1}, option.Default(), 1)
 	m.Step(now, ConfigReply{Snapshot: s, Source: PlatformSource})
 	return m
 }
--- a/core/instance/announced.go
+++ b/core/instance/announced.go
@@ -1,6 +1,7 @@
 package instance
 
 import (
+	"github.com/birchdrift/birchdrift/core/logevent"
 	"github.com/birchdrift/birchdrift/core/pool"
 	"github.com/birchdrift/birchdrift/core/share"
 )
@@ -16,17 +17,17 @@
 // applyAnnounced takes over what the list says of such a replica.
 func (m *Machine) applyAnnounced(l share.Listed) {
 	if l.Gone {
-		m.note(NoteVanished, "upstream", l.Name, "version", l.Version)
+		m.out.Log(logevent.Vanished, "upstream", l.Name, "version", l.Version)
 		m.pool.Vanish(m.now, l.Name)
 		return
 	}
 	r := m.pool.Get(l.Name)
 	a := *l.Announced
 	if r == nil {
-		m.note(NoteAnnounced, "upstream", l.Name, "service", a.Service, "address", a.Address, "zone", a.Zone, "version", l.Version)
+		m.out.Log(logevent.Announced, "upstream", l.Name, "service", a.Service, "address", a.Address, "zone", a.Zone, "version", l.Version)
 	}
 	if a.Draining && (r == nil || !r.Leaving()) {
-		m.note(NoteLeaving, "upstream", l.Name, "source", "list", "version", l.Version, "remaining", a.Remaining.String())
+		m.out.Log(logevent.Leaving, "upstream", l.Name, "source", "list", "version", l.Version, "remaining", a.Remaining.String())
 	}
 	m.pool.Announce(m.now, l.Name, a)
 	if word, ok := m.store.Residency(l.Name); r == nil && ok {
@@ -58,6 +59,6 @@
 // vanishDue has replicas whose entries went a while ago count as leaving.
 func (m *Machine) vanishDue() {
 	for _, name := range m.pool.Expire(m.now, pool.VanishSpan) {
-		m.note(NoteLeaving, "upstream", name, "source", "its entry went")
+		m.out.Log(logevent.Leaving, "upstream", name, "source", "its entry went")
 	}
 }
--- a/core/instance/announced_world_test.go
+++ b/core/instance/announced_world_test.go
@@ -15,6 +15,8 @@
 	"github.com/birchdrift/birchdrift/core/clock"
 	"github.com/birchdrift/birchdrift/core/clock/clocktest"
 	"github.com/birchdrift/birchdrift/core/config"
+	"github.com/birchdrift/birchdrift/core/member"
+	"github.com/birchdrift/birchdrift/core/option"
 	"github.com/birchdrift/birchdrift/core/orders"
 	"github.com/birchdrift/birchdrift/core/place"
 	"github.com/birchdrift/birchdrift/core/pool"
@@ -30,7 +32,7 @@
 	now     time.Duration
 	queue   eventQueue
 	order   uint64
-	opt     Options
+	opt     option.Options
 	doc     config.Document
 	store   fleetStore
 	engines map[string]*fleetEngine
@@ -54,7 +56,7 @@
 // A fleetMember is one machine with what is wrong with it.
 type fleetMember struct {
 	m       *Machine
-	id      Identity
+	id      member.Identity
 	boot    uint64
 	dead    bool
 	frozen  bool
@@ -136,21 +138,21 @@
 }
 
 func newFleet(seed uint64, members int) *fleet {
-	return newFleetWith(seed, members, Disabled{}, false)
+	return newFleetWith(seed, members, option.Disabled{}, false)
 }
 
 // newFleetWith returns a fleet with mechanisms switched off; with empty, its
 // engines hold nothing at the start.
-func newFleetWith(seed uint64, members int, disable Disabled, empty bool) *fleet {
+func newFleetWith(seed uint64, members int, disable option.Disabled, empty bool) *fleet {
 	return newFleetOf(seed, members, fleetEngines, disable, empty)
 }
 
 // newFleetOf returns a fleet with so many engines.
-func newFleetOf(seed uint64, members, engines int, disable Disabled, empty bool) *fleet {
+func newFleetOf(seed uint64, members, engines int, disable option.Disabled, empty bool) *fleet {
 	f := &fleet{
 		engineCount: engines,
 		rng:         rand.New(rand.NewPCG(seed, 77)),
-		opt:         DefaultOptions(),
+		opt:         option.Default(),
 		firstAfter:  30 * time.Millisecond,
 		doc:         fleetDocument(),
 		store:       fleetStore{values: map[string]*fleetValue{}, leases: map[uint64]*fleetLease{}},
@@ -158,7 +160,7 @@
 		members:     map[string]*fleetMember{},
 	}
 	f.opt.Disable = disable
-	f.opt.OneWatch = true
+	f.opt.Environment = option.Platform
 	f.opt.MeshEvery = 250 * time.Millisecond
 	f.opt.WatchEvery = 200 * time.Millisecond
 	f.opt.WatchWait = 1500 * time.Millisecond
@@ -182,7 +184,7 @@
 	for i := range members {
 		name := fmt.Sprintf("i%d", i)
 		f.names = append(f.names, name)
-		f.members[name] = &fleetMember{id: Identity{Name: name, Zone: fmt.Sprintf("z%d", i%2), Address: name}}
+		f.members[name] = &fleetMember{id: member.Identity{Name: name, Zone: fmt.Sprintf("z%d", i%2), Address: name}}
 		f.start(name)
 	}
 	return f
@@ -855,7 +857,7 @@
 // get their models again, no faster than the weight store allows.
 func TestEmptyEnginesAreFilledAtTheStoresRate(t *testing.T) {
 	is := is.New(t)
-	f := newFleetWith(3, 5, Disabled{}, true)
+	f := newFleetWith(3, 5, option.Disabled{}, true)
 	f.expire()
 	f.run(5 * time.Second)
 	f.callers(40 * time.Millisecond)
@@ -870,7 +872,7 @@
 // claims again and again, and the engines stayed without an owner.
 func TestClaimsFitIntoOneWrite(t *testing.T) {
 	is := is.New(t)
-	f := newFleetOf(1, 1, 40, Disabled{}, false)
+	f := newFleetOf(1, 1, 40, option.Disabled{}, false)
 	f.expire()
 	f.run(20 * time.Second)
 	is.True(f.claims > 1)
@@ -879,7 +881,7 @@
 }
 
 // largeFleet has too many members for all to watch the platform, and callers.
-func largeFleet(seed uint64, disable Disabled) *fleet {
+func largeFleet(seed uint64, disable option.Disabled) *fleet {
 	f := newFleetOf(seed, 2*meshMost, 4*fleetEngines, disable, false)
 	f.expire()
 	f.run(6 * time.Second)
@@ -892,7 +894,7 @@
 // their orders, and the calls that the platform sees stay few.
 func TestFewMembersOfALargeFleetWatch(t *testing.T) {
 	is := is.New(t)
-	f := largeFleet(1, Disabled{})
+	f := largeFleet(1, option.Disabled{})
 	f.run(20 * time.Second)
 	owners, watching := 0, 0
 	for _, name := range f.names {
@@ -919,11 +921,11 @@
 func TestOwnersHearOfTheRegistry(t *testing.T) {
 	cases := []struct {
 		name    string
-		disable Disabled
+		disable option.Disabled
 		broken  bool
 	}{
-		{"owners that hear", Disabled{}, false},
-		{"owners that need not", Disabled{HearRegistry: true}, true},
+		{"owners that hear", option.Disabled{}, false},
+		{"owners that need not", option.Disabled{HearRegistry: true}, true},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -985,11 +987,11 @@
 func TestFleetStormsFindWhatIsSwitchedOff(t *testing.T) {
 	cases := []struct {
 		name    string
-		disable Disabled
+		disable option.Disabled
 		empty   bool
 	}{
-		{"waiting for the former owner's orders", Disabled{TurnWait: true}, false},
-		{"the rate of the weight store", Disabled{Rate: true}, true},
+		{"waiting for the former owner's orders", option.Disabled{TurnWait: true}, false},
+		{"the rate of the weight store", option.Disabled{Rate: true}, true},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/core/instance/ask.go
+++ b/core/instance/ask.go
@@ -73,7 +73,7 @@
 		m.askSettled(key, AskFailed, "its owner is not known")
 		return
 	}
-	m.do(AskOrder{Peer: p.Name, Address: p.Address, Engine: key.engine, Request: key.request})
+	m.out.Do(AskOrder{Peer: p.Name, Address: p.Address, Engine: key.engine, Request: key.request})
 }
 
 func (m *Machine) askOrderReply(r AskOrderReply) {
--- a/core/instance/attempts.go
+++ b/core/instance/attempts.go
@@ -5,6 +5,7 @@
 
 	"github.com/birchdrift/birchdrift/core/attempt"
 	"github.com/birchdrift/birchdrift/core/code"
+	"github.com/birchdrift/birchdrift/core/logevent"
 	"github.com/birchdrift/birchdrift/core/pool"
 	"github.com/birchdrift/birchdrift/core/route"
 )
@@ -24,7 +25,7 @@
 	}
 	e.Replica.Start(m.now, uint64(c.ID))
 	m.recent.add(m.now, c, e)
-	m.do(m.dispatchAction(c, e.Replica, false, 0))
+	m.out.Do(m.dispatchAction(c, e.Replica, false, 0))
 }
 
 func (m *Machine) dispatchAction(c *call, r *pool.Replica, resume bool, after time.Duration) Dispatch {
@@ -73,7 +74,7 @@
 		r.End(m.now, uint64(c.ID), c.started, false)
 	}
 	if f := c.forward; f != nil {
-		m.note(NoteCallServed, "call", c.Forward.Name, "replica", c.replica, "attempts", c.history.Attempts,
+		m.out.Log(logevent.CallServed, "call", c.Forward.Name, "replica", c.replica, "attempts", c.history.Attempts,
 			"waited_ms", wholeMillis(c.started.Since(c.arrived)), "first_ms", wholeMillis(f.firstAt.Since(c.started)),
 			"total_ms", wholeMillis(m.now.Since(c.arrived)))
 	}
@@ -139,7 +140,7 @@
 func (m *Machine) blame(c *call, e Broke) {
 	if e.Leaving {
 		m.pool.ObserveLeaving(c.replica)
-		m.note(NoteLeaving, "upstream", c.replica, "source", "answer")
+		m.out.Log(logevent.Leaving, "upstream", c.replica, "source", "answer")
 	}
 	r := m.pool.Get(c.replica)
 	if r == nil {
@@ -170,8 +171,8 @@
 	}
 	c.history = c.history.WithResume()
 	r.Start(m.now, uint64(c.ID))
-	m.note(NoteCallResumed, "call", uint64(c.ID), "replica", c.replica)
-	m.do(m.dispatchAction(c, r, true, resumePause*time.Duration(c.history.Resumes-1)))
+	m.out.Log(logevent.CallResumed, "call", uint64(c.ID), "replica", c.replica)
+	m.out.Do(m.dispatchAction(c, r, true, resumePause*time.Duration(c.history.Resumes-1)))
 }
 
 func (m *Machine) retry(c *call, e Broke) {
@@ -183,7 +184,7 @@
 			return
 		}
 	}
-	m.note(NoteCallRetried, "call", uint64(c.ID), "replica", c.replica, "detail", e.Detail)
+	m.out.Log(logevent.CallRetried, "call", uint64(c.ID), "replica", c.replica, "detail", e.Detail)
 	m.abandon(c, e)
 	c.failedOn = c.replica
 	c.replica = ""
@@ -210,7 +211,7 @@
 	if c.Plain || c.forward != nil {
 		return // closing the connection is all there is
 	}
-	m.do(Cancel{ID: c.ID, Attempt: c.history.Attempts, Replica: r.Name, Address: r.Address})
+	m.out.Do(Cancel{ID: c.ID, Attempt: c.history.Attempts, Replica: r.Name, Address: r.Address})
 }
 
 // maxRefusals bounds how often a call follows refusals from replica to replica.
@@ -244,7 +245,7 @@
 	}
 	c.phase = 0
 	delete(m.calls, c.ID)
-	m.note(NoteCallFailed, "call", c.label(), "service", c.Service, "code", int(r.Code), "run", string(r.Run), "detail", r.Detail)
-	m.do(Finish{ID: c.ID, Refusal: r})
+	m.out.Log(logevent.CallFailed, "call", c.label(), "service", c.Service, "code", int(r.Code), "run", string(r.Run), "detail", r.Detail)
+	m.out.Do(Finish{ID: c.ID, Refusal: r})
 	m.pool.Touch()
 }
--- a/core/instance/bench_test.go
+++ b/core/instance/bench_test.go
@@ -9,6 +9,8 @@
 	"github.com/birchdrift/birchdrift/core/clock/clocktest"
 	"github.com/birchdrift/birchdrift/core/config"
 	"github.com/birchdrift/birchdrift/core/demand"
+	"github.com/birchdrift/birchdrift/core/member"
+	"github.com/birchdrift/birchdrift/core/option"
 	"github.com/birchdrift/birchdrift/core/plan"
 	"github.com/birchdrift/birchdrift/core/pool"
 	"github.com/birchdrift/birchdrift/core/route"
@@ -47,7 +49,7 @@
 func (s benchSize) loaded(b *testing.B) (*Machine, clock.Instant) {
 	b.Helper()
 	now := clocktest.At(time.Hour)
-	m := New(Identity{Name: "entry-1", Zone: "z0", Address: "a", Boot: 1}, DefaultOptions(), 1)
+	m := New(member.Identity{Name: "entry-1", Zone: "z0", Address: "a", Boot: 1}, option.Default(), 1)
 	snapshot, err := config.NewSnapshot(s.document())
 	if err != nil {
 		b.Fatal(err)
--- a/core/instance/calls.go
+++ b/core/instance/calls.go
@@ -8,6 +8,7 @@
 	"github.com/birchdrift/birchdrift/core/clock"
 	"github.com/birchdrift/birchdrift/core/code"
 	"github.com/birchdrift/birchdrift/core/config"
+	"github.com/birchdrift/birchdrift/core/logevent"
 	"github.com/birchdrift/birchdrift/core/policy"
 	"github.com/birchdrift/birchdrift/core/pool"
 )
@@ -140,7 +141,7 @@
 		})
 		c.verdict = verdict
 		if failed > 0 {
-			m.note(NotePolicyFailed, "policy", c.service.Policy, "expressions", failed)
+			m.out.Log(logevent.PolicyFailed, "policy", c.service.Policy, "expressions", failed)
 		}
 	}
 	if c.item != "" {
@@ -184,8 +185,8 @@
 }
 
 func (m *Machine) refuseNew(c *call, r code.Refusal) {
-	m.note(NoteCallFailed, "call", c.label(), "service", c.Service, "code", int(r.Code), "run", string(r.Run))
-	m.do(Finish{ID: c.ID, Refusal: r})
+	m.out.Log(logevent.CallFailed, "call", c.label(), "service", c.Service, "code", int(r.Code), "run", string(r.Run))
+	m.out.Do(Finish{ID: c.ID, Refusal: r})
 }
 
 // allowance returns how long the call may still wait for its first token.
--- a/core/instance/claims.go
+++ b/core/instance/claims.go
@@ -25,7 +25,7 @@
 	}
 	c.phase = claiming
 	c.claims++
-	m.do(Claim{ID: c.ID, Key: c.claimKey, Life: m.opt.ClaimLife})
+	m.out.Do(Claim{ID: c.ID, Key: c.claimKey, Life: m.opt.ClaimLife})
 }
 
 func (m *Machine) claimReply(e ClaimReply) {
@@ -54,7 +54,7 @@
 		return
 	}
 	c.claims++
-	m.do(ReadClaim{ID: c.ID, Key: c.claimKey})
+	m.out.Do(ReadClaim{ID: c.ID, Key: c.claimKey})
 }
 
 // claimAgain repeats the claim. A first request that is still on its way can
@@ -77,6 +77,6 @@
 	if c.claimKey == "" || c.claims == 0 {
 		return
 	}
-	m.do(ReleaseClaim{ID: c.ID, Key: c.claimKey})
+	m.out.Do(ReleaseClaim{ID: c.ID, Key: c.claimKey})
 	c.claimKey = ""
 }
--- a/core/instance/duty.go
+++ b/core/instance/duty.go
@@ -4,11 +4,10 @@
 	"sort"
 	"time"
 
-	"github.com/cespare/xxhash/v2"
-
 	"github.com/birchdrift/birchdrift/core/clock"
 	"github.com/birchdrift/birchdrift/core/member"
-	"github.com/birchdrift/birchdrift/core/route"
+	"github.com/birchdrift/birchdrift/core/option"
+	"github.com/birchdrift/birchdrift/core/rendezvous"
 )
 
 // Who watches the platform. A few instances of each zone do, and the others hear
@@ -25,7 +24,7 @@
 	if m.members.HeardWithin(m.now, 5*m.opt.ExchangeEvery) == 0 {
 		return true // it may be alone
 	}
-	if !m.opt.OneWatch {
+	if m.opt.Environment == option.Own {
 		return m.members.OnDuty(m.now, watchDuty+m.self.Zone, m.opt.Watchers)
 	}
 	x := &m.exchanges
@@ -94,13 +93,13 @@
 		}
 	}
 	names := sortedKeys(processors)
-	key := xxhash.Sum64String(watchDuty + zone)
+	key := rendezvous.Key(watchDuty + zone)
 	sort.SliceStable(names, func(i, j int) bool {
 		a, b := names[i], names[j]
 		if processors[a] != processors[b] {
 			return processors[a] > processors[b]
 		}
-		return route.Score(key, a) > route.Score(key, b)
+		return rendezvous.Score(key, a) > rendezvous.Score(key, b)
 	})
 	return names
 }
--- a/core/instance/engines.go
+++ b/core/instance/engines.go
@@ -6,6 +6,7 @@
 
 	"github.com/birchdrift/birchdrift/core/clock"
 	"github.com/birchdrift/birchdrift/core/config"
+	"github.com/birchdrift/birchdrift/core/logevent"
 	"github.com/birchdrift/birchdrift/core/orders"
 	"github.com/birchdrift/birchdrift/core/pool"
 	"github.com/birchdrift/birchdrift/core/registry"
@@ -67,7 +68,7 @@
 		settled: o.Former == "",
 	}
 	m.engines[r.Name] = e
-	m.note(NoteEngineTaken, "engine", r.Name, "fence", o.Revision, "former", o.Former, "wait", from.Since(m.now).String())
+	m.out.Log(logevent.EngineTaken, "engine", r.Name, "fence", o.Revision, "former", o.Former, "wait", from.Since(m.now).String())
 	m.askState(e)
 }
 
@@ -115,7 +116,7 @@
 		return
 	}
 	delete(m.engines, name)
-	m.note(NoteEngineLost, "engine", name, "fence", e.Fence, "detail", why)
+	m.out.Log(logevent.EngineLost, "engine", name, "fence", e.Fence, "detail", why)
 	for _, q := range e.queue {
 		m.answerWaiters(e, q, AskRefused, why)
 	}
@@ -155,7 +156,7 @@
 	}
 	e.asking = true
 	e.askDue = m.now.Add(askEvery)
-	m.do(AskEngine{Engine: e.Name, Address: e.Address})
+	m.out.Do(AskEngine{Engine: e.Name, Address: e.Address})
 }
 
 func (m *Machine) engineStateReply(r EngineStateReply) {
@@ -167,7 +168,7 @@
 	if r.Err != nil {
 		return
 	}
-	m.note(NoteEngineState, "engine", e.Name, "sequence", r.State.Sequence, "busy", r.State.Busy)
+	m.out.Log(logevent.EngineState, "engine", e.Name, "sequence", r.State.Sequence, "busy", r.State.Busy)
 	m.observeEngine(e, r.State)
 }
 
@@ -280,11 +281,11 @@
 	if !m.orderable(e) {
 		return
 	}
-	m.note(NoteEngineOrder, "engine", e.Name, "load", r.Load, "item", r.Item(), "expect", e.Sequence(), "fence", e.Fence)
+	m.out.Log(logevent.EngineOrder, "engine", e.Name, "load", r.Load, "item", r.Item(), "expect", e.Sequence(), "fence", e.Fence)
 	expect := e.Sequence()
 	e.orderedAt = m.now
 	e.Send(r)
-	m.do(EngineOrder{Engine: e.Name, Address: e.Address, Request: r, Expect: expect, Fence: e.Fence})
+	m.out.Do(EngineOrder{Engine: e.Name, Address: e.Address, Request: r, Expect: expect, Fence: e.Fence})
 }
 
 func (m *Machine) engineOrderReply(r EngineOrderReply) {
@@ -292,7 +293,7 @@
 	if e == nil || e.Fence != r.Fence || !e.Flying() {
 		return
 	}
-	m.note(NoteEngineAnswer, "engine", e.Name, "answer", int(r.Answer), "sequence", e.Sequence(), "detail", r.Detail)
+	m.out.Log(logevent.EngineAnswer, "engine", e.Name, "answer", int(r.Answer), "sequence", e.Sequence(), "detail", r.Detail)
 	switch r.Answer {
 	case EngineTakes:
 		e.Taken(m.now, adapterTime)
@@ -366,10 +367,10 @@
 
 func (m *Machine) answerWaiter(e *ownedEngine, r orders.Request, w waiter, outcome AskOutcome, detail string) {
 	if outcome == AskRefused {
-		m.note(NoteOrderWaits, "engine", e.Name, "item", r.Item(), "detail", detail)
+		m.out.Log(logevent.OrderWaits, "engine", e.Name, "item", r.Item(), "detail", detail)
 	}
 	if w.token != 0 {
-		m.do(OrderAnswered{Token: w.token, Outcome: outcome, Detail: detail})
+		m.out.Do(OrderAnswered{Token: w.token, Outcome: outcome, Detail: detail})
 		return
 	}
 	m.askSettled(askKey{e.Name, r}, outcome, detail)
@@ -379,7 +380,7 @@
 func (m *Machine) orderAsked(a OrderAsked) {
 	e := m.engines[a.Engine]
 	if e == nil {
-		m.do(OrderAnswered{Token: a.Token, Outcome: AskRefused, Detail: "this instance does not order the engine"})
+		m.out.Do(OrderAnswered{Token: a.Token, Outcome: AskRefused, Detail: "this instance does not order the engine"})
 		return
 	}
 	m.request(e, a.Request, waiter{token: a.Token})
--- a/core/instance/event.go
+++ b/core/instance/event.go
@@ -8,15 +8,17 @@
 	"github.com/birchdrift/birchdrift/core/clock"
 	"github.com/birchdrift/birchdrift/core/code"
 	"github.com/birchdrift/birchdrift/core/config"
+	"github.com/birchdrift/birchdrift/core/option"
 	"github.com/birchdrift/birchdrift/core/orders"
 	"github.com/birchdrift/birchdrift/core/pool"
 	"github.com/birchdrift/birchdrift/core/registry"
 	"github.com/birchdrift/birchdrift/core/route"
 	"github.com/birchdrift/birchdrift/core/share"
+	"github.com/birchdrift/birchdrift/core/step"
 )
 
 // An Event is something that happened outside the machine.
-type Event interface{ event() }
+type Event = step.Event
 
 // A CallID names one call on one instance.
 type CallID uint64
@@ -286,7 +288,7 @@
 	Stop struct{}
 	// Retune takes over changed tunables and seeds.
 	Retune struct {
-		Options Options
+		Options option.Options
 		Seeds   []string
 	}
 )
@@ -308,36 +310,36 @@
 	Intents []Intent `json:"intents,omitempty"`
 }
 
-func (Arrive) event()           {}
-func (First) event()            {}
-func (Done) event()             {}
-func (Broke) event()            {}
-func (Gone) event()             {}
-func (ClaimReply) event()       {}
-func (ConfigReply) event()      {}
-func (ListReply) event()        {}
-func (WatchReply) event()       {}
-func (LeaseReply) event()       {}
-func (IntentsReply) event()     {}
-func (StateReply) event()       {}
-func (OrderReply) event()       {}
-func (ExchangeReply) event()    {}
-func (ExchangeAsked) event()    {}
-func (RegistryReply) event()    {}
-func (LoadReply) event()        {}
-func (EnrolReply) event()       {}
-func (KeepReply) event()        {}
-func (WriteReply) event()       {}
-func (EngineOrderReply) event() {}
-func (EngineStateReply) event() {}
-func (OrderAsked) event()       {}
-func (AskOrderReply) event()    {}
-func (Retune) event()           {}
-func (Tick) event()             {}
-func (Stop) event()             {}
+func (Arrive) IsEvent()           {}
+func (First) IsEvent()            {}
+func (Done) IsEvent()             {}
+func (Broke) IsEvent()            {}
+func (Gone) IsEvent()             {}
+func (ClaimReply) IsEvent()       {}
+func (ConfigReply) IsEvent()      {}
+func (ListReply) IsEvent()        {}
+func (WatchReply) IsEvent()       {}
+func (LeaseReply) IsEvent()       {}
+func (IntentsReply) IsEvent()     {}
+func (StateReply) IsEvent()       {}
+func (OrderReply) IsEvent()       {}
+func (ExchangeReply) IsEvent()    {}
+func (ExchangeAsked) IsEvent()    {}
+func (RegistryReply) IsEvent()    {}
+func (LoadReply) IsEvent()        {}
+func (EnrolReply) IsEvent()       {}
+func (KeepReply) IsEvent()        {}
+func (WriteReply) IsEvent()       {}
+func (EngineOrderReply) IsEvent() {}
+func (EngineStateReply) IsEvent() {}
+func (OrderAsked) IsEvent()       {}
+func (AskOrderReply) IsEvent()    {}
+func (Retune) IsEvent()           {}
+func (Tick) IsEvent()             {}
+func (Stop) IsEvent()             {}
 
 // An Action is something that the machine asks its driver to do.
-type Action interface{ action() }
+type Action = step.Action
 
 // The actions of calls.
 type (
@@ -522,42 +524,38 @@
 		Snapshot *config.Snapshot
 		Source   string
 	}
-	// Note is a numbered log event.
-	Note struct {
-		Event  Number
-		Fields []any // alternating keys and values
-	}
+	// Log is a numbered log event.
+	Log = step.Log
 	// Exit says that a stop is complete; Cut counts the calls it cut off.
 	Exit struct{ Cut int }
 )
 
-func (Dispatch) action()      {}
-func (Finish) action()        {}
-func (Relay) action()         {}
-func (Cancel) action()        {}
-func (Claim) action()         {}
-func (ReadClaim) action()     {}
-func (ReleaseClaim) action()  {}
-func (WatchConfig) action()   {}
-func (WatchList) action()     {}
-func (WatchPlatform) action() {}
-func (SeekLease) action()     {}
-func (ReleaseLease) action()  {}
-func (ReadIntents) action()   {}
-func (WriteIntents) action()  {}
-func (ReadState) action()     {}
-func (SendOrder) action()     {}
-func (Exchange) action()      {}
-func (Answer) action()        {}
-func (Install) action()       {}
-func (Note) action()          {}
-func (Enrol) action()         {}
-func (KeepEnrolled) action()  {}
-func (Resign) action()        {}
-func (WriteRegistry) action() {}
-func (EngineOrder) action()   {}
-func (AskEngine) action()     {}
-func (AskLoad) action()       {}
-func (AskOrder) action()      {}
-func (OrderAnswered) action() {}
-func (Exit) action()          {}
+func (Dispatch) IsAction()      {}
+func (Finish) IsAction()        {}
+func (Relay) IsAction()         {}
+func (Cancel) IsAction()        {}
+func (Claim) IsAction()         {}
+func (ReadClaim) IsAction()     {}
+func (ReleaseClaim) IsAction()  {}
+func (WatchConfig) IsAction()   {}
+func (WatchList) IsAction()     {}
+func (WatchPlatform) IsAction() {}
+func (SeekLease) IsAction()     {}
+func (ReleaseLease) IsAction()  {}
+func (ReadIntents) IsAction()   {}
+func (WriteIntents) IsAction()  {}
+func (ReadState) IsAction()     {}
+func (SendOrder) IsAction()     {}
+func (Exchange) IsAction()      {}
+func (Answer) IsAction()        {}
+func (Install) IsAction()       {}
+func (Enrol) IsAction()         {}
+func (KeepEnrolled) IsAction()  {}
+func (Resign) IsAction()        {}
+func (WriteRegistry) IsAction() {}
+func (EngineOrder) IsAction()   {}
+func (AskEngine) IsAction()     {}
+func (AskLoad) IsAction()       {}
+func (AskOrder) IsAction()      {}
+func (OrderAnswered) IsAction() {}
+func (Exit) IsAction()          {}
--- a/core/instance/exchange.go
+++ b/core/instance/exchange.go
@@ -5,8 +5,11 @@
 
 	"github.com/birchdrift/birchdrift/core/clock"
 	"github.com/birchdrift/birchdrift/core/demand"
+	"github.com/birchdrift/birchdrift/core/logevent"
 	"github.com/birchdrift/birchdrift/core/member"
+	"github.com/birchdrift/birchdrift/core/option"
 	"github.com/birchdrift/birchdrift/core/share"
+	"github.com/birchdrift/birchdrift/core/step"
 )
 
 // Numbers of the exchanges.
@@ -83,7 +86,7 @@
 		return
 	}
 	if m.meshed() && !x.urgent {
-		x.due = m.now.Add(m.jitter(m.opt.ExchangeEvery))
+		x.due = m.now.Add(step.Jitter(m.rng, m.opt.ExchangeEvery))
 		m.contactSeeds()
 		return
 	}
@@ -92,7 +95,7 @@
 		x.news--
 		every = min(every, newsSpacing)
 	}
-	x.due = m.now.Add(m.jitter(every))
+	x.due = m.now.Add(step.Jitter(m.rng, every))
 	if x.urgent {
 		m.exchangeBurst()
 		return
@@ -162,7 +165,7 @@
 // zone, in a fixed rhythm.
 func (m *Machine) nextPeer() *member.Peer {
 	x := &m.exchanges
-	if m.opt.OneWatch {
+	if m.opt.Environment == option.Platform {
 		if p := m.nextOfFleet(); p != nil {
 			return p
 		}
@@ -219,7 +222,7 @@
 		return
 	}
 	m.exchanges.flying[address] = true
-	m.do(Exchange{Address: address, Message: m.message("")})
+	m.out.Do(Exchange{Address: address, Message: m.message("")})
 }
 
 func (m *Machine) exchangeWith(p *member.Peer) {
@@ -227,7 +230,7 @@
 		return
 	}
 	m.exchanges.flying[p.Address] = true
-	m.do(Exchange{Peer: p.Name, Address: p.Address, Message: m.message(p.Name)})
+	m.out.Do(Exchange{Peer: p.Name, Address: p.Address, Message: m.message(p.Name)})
 }
 
 // message composes one side of an exchange with the peer, "" if its name is
@@ -311,14 +314,14 @@
 	if e.Message.WantConfig && e.Message.Revision < m.cfg.Revision() {
 		reply.Config = m.encoded
 	}
-	m.do(Answer{Token: e.Token, Message: reply})
+	m.out.Do(Answer{Token: e.Token, Message: reply})
 }
 
 func (m *Machine) exchangeReply(e ExchangeReply) {
 	delete(m.exchanges.flying, e.Address)
 	if e.Err != nil {
 		if p := m.members.Get(e.Peer); p != nil && p.Live(m.now) {
-			m.note(NotePeerFailed, "peer", e.Peer, "error", e.Err.Error())
+			m.out.Log(logevent.PeerFailed, "peer", e.Peer, "error", e.Err.Error())
 		}
 		m.members.Failed(m.now, e.Peer)
 		m.pull()
@@ -372,7 +375,7 @@
 	if x.ahead <= m.cfg.Revision() || m.now.Before(x.pullTo) {
 		return
 	}
-	if m.opt.OneWatch && m.watches() && !m.platform.down && m.now.Before(x.aheadAt.Add(pullPatience)) {
+	if m.opt.Environment == option.Platform && m.watches() && !m.platform.down && m.now.Before(x.aheadAt.Add(pullPatience)) {
 		return // the platform will bring it, and more cheaply
 	}
 	p := m.furthestAhead()
@@ -383,7 +386,7 @@
 	x.flying[p.Address] = true
 	msg := m.message(p.Name)
 	msg.WantConfig = true
-	m.do(Exchange{Peer: p.Name, Address: p.Address, Message: msg})
+	m.out.Do(Exchange{Peer: p.Name, Address: p.Address, Message: msg})
 }
 
 // pullTime is how long a configuration that a peer was asked for is waited for
@@ -467,6 +470,6 @@
 func (m *Machine) noticeLeaving(res share.Residency) {
 	r := m.pool.Get(res.Engine)
 	if r != nil && res.Leaving && !r.Leaving() {
-		m.note(NoteLeaving, "upstream", res.Engine, "source", "itself")
+		m.out.Log(logevent.Leaving, "upstream", res.Engine, "source", "itself")
 	}
 }
--- a/core/instance/exchange_test.go
+++ b/core/instance/exchange_test.go
@@ -11,6 +11,8 @@
 
 	"github.com/birchdrift/birchdrift/core/clock"
 	"github.com/birchdrift/birchdrift/core/clock/clocktest"
+	"github.com/birchdrift/birchdrift/core/member"
+	"github.com/birchdrift/birchdrift/core/option"
 	"github.com/birchdrift/birchdrift/core/pool"
 	"github.com/birchdrift/birchdrift/core/registry"
 	"github.com/birchdrift/birchdrift/core/share"
@@ -19,11 +21,11 @@
 // fleetMachine is an instance of a large fleet that watches the platform as one.
 // It has a record, as have its peers, and is not among those that watch.
 func fleetMachine(now clock.Instant, peers ...string) *Machine {
-	opt := DefaultOptions()
-	opt.OneWatch = true
+	opt := option.Default()
+	opt.Environment = option.Platform
 	opt.Watchers = 1
 	opt.ExchangeEvery = time.Minute
-	m := New(Identity{Name: "self", Zone: "z", Address: "self", Boot: 1}, opt, 1)
+	m := New(member.Identity{Name: "self", Zone: "z", Address: "self", Boot: 1}, opt, 1)
 	m.now = now
 	var records []registry.Record
 	for i, name := range peers {
@@ -44,10 +46,10 @@
 func TestDutiesGoToTheStrongest(t *testing.T) {
 	is := is.New(t)
 	now := clocktest.At(time.Hour)
-	opt := DefaultOptions()
-	opt.OneWatch = true
+	opt := option.Default()
+	opt.Environment = option.Platform
 	opt.Watchers = 2
-	m := New(Identity{Name: "self", Zone: "z0", Address: "self", Boot: 1, Processor: 0.8}, opt, 1)
+	m := New(member.Identity{Name: "self", Zone: "z0", Address: "self", Boot: 1, Processor: 0.8}, opt, 1)
 	var records []registry.Record
 	for i := range 30 {
 		record := registry.Instance{Name: fmt.Sprintf("i%02d", i), Zone: fmt.Sprintf("z%d", i%2), Address: fmt.Sprint(i), Boot: 1, Processor: 0.2}
--- a/core/instance/forward.go
+++ b/core/instance/forward.go
@@ -11,6 +11,7 @@
 	"github.com/birchdrift/birchdrift/core/code"
 	"github.com/birchdrift/birchdrift/core/config"
 	"github.com/birchdrift/birchdrift/core/limit"
+	"github.com/birchdrift/birchdrift/core/logevent"
 	"github.com/birchdrift/birchdrift/core/orders"
 	"github.com/birchdrift/birchdrift/core/policy"
 	"github.com/birchdrift/birchdrift/core/pool"
@@ -189,7 +190,7 @@
 	}
 	c.phase = fetching
 	c.forward.fetches++
-	m.note(NoteCallWaits, "call", c.Forward.Name, "item", c.item, "for", "an order", "engine", r.Name)
+	m.out.Log(logevent.CallWaits, "call", c.Forward.Name, "item", c.item, "for", "an order", "engine", r.Name)
 	m.askFor(c.fetchKey(r), c)
 }
 
@@ -245,7 +246,7 @@
 	spent := m.now.Since(c.arrived)
 	if spent+eta < c.service.Target.FirstToken {
 		if !m.inLine(c) {
-			m.note(NoteCallWaits, "call", c.Forward.Name, "item", c.item, "for", "its model", "eta_ms", wholeMillis(eta))
+			m.out.Log(logevent.CallWaits, "call", c.Forward.Name, "item", c.item, "for", "its model", "eta_ms", wholeMillis(eta))
 		}
 		m.wait(c)
 		return
@@ -301,11 +302,11 @@
 			own.Used(m.now, c.item)
 		}
 	}
-	m.note(NoteCallSent, "call", c.Forward.Name, "service", c.Service, "item", c.item, "attempt", c.history.Attempts,
+	m.out.Log(logevent.CallSent, "call", c.Forward.Name, "service", c.Service, "item", c.item, "attempt", c.history.Attempts,
 		"replica", c.replica, "waited_ms", wholeMillis(m.now.Since(c.arrived)), "ahead_ms", wholeMillis(e.Ahead),
 		"prefill_ms", wholeMillis(e.Prefill), "other_ms", wholeMillis(e.Other), "cached", e.Cached, "calls_there", e.Calls,
 		"announced_ago_ms", wholeMillis(m.now.Since(e.Replica.AnnouncedAt())), "revision", m.cfg.Revision())
-	m.do(m.forwardAction(c, e.Replica))
+	m.out.Do(m.forwardAction(c, e.Replica))
 }
 
 // wholeMillis is a duration in logs.
@@ -380,7 +381,7 @@
 		m.endForward(c, e)
 		return
 	}
-	m.note(NoteCallRetried, "call", c.Forward.Name, "replica", former, "status", e.Status, "detail", e.Detail)
+	m.out.Log(logevent.CallRetried, "call", c.Forward.Name, "replica", former, "status", e.Status, "detail", e.Detail)
 	c.phase = waiting
 	c.probeAgain()
 	m.placeForward(c)
@@ -420,8 +421,8 @@
 	switch {
 	case c.forward.relayable && !c.forward.opened:
 		delete(m.calls, c.ID)
-		m.note(NoteCallFailed, "call", c.Forward.Name, "service", c.Service, "code", int(code.UpstreamRefused), "run", string(run), "status", e.Status, "detail", "the replica's own answer")
-		m.do(Relay{ID: c.ID})
+		m.out.Log(logevent.CallFailed, "call", c.Forward.Name, "service", c.Service, "code", int(code.UpstreamRefused), "run", string(run), "status", e.Status, "detail", "the replica's own answer")
+		m.out.Do(Relay{ID: c.ID})
 		m.pool.Touch()
 	case c.forward.opened:
 		m.refuse(c, code.Refusal{Code: code.StreamCut, Run: run, Detail: e.Detail})
@@ -442,7 +443,7 @@
 	case e.Misdirected && e.Incarnation != "" && e.Incarnation != c.replica:
 		r.Forget(uint64(c.ID))
 		m.pool.Dead(m.now, c.replica)
-		m.note(NoteLeaving, "upstream", c.replica, "source", "another replica has its address", "now", e.Incarnation)
+		m.out.Log(logevent.Leaving, "upstream", c.replica, "source", "another replica has its address", "now", e.Incarnation)
 	case e.Misdirected:
 		r.Forget(uint64(c.ID))
 		m.pool.Drop(c.replica, c.item)
--- a/core/instance/intents.go
+++ b/core/instance/intents.go
@@ -3,6 +3,7 @@
 import (
 	"github.com/birchdrift/birchdrift/core/book"
 	"github.com/birchdrift/birchdrift/core/clock"
+	"github.com/birchdrift/birchdrift/core/logevent"
 )
 
 // Intents keep a zone safe whose engines do not check who orders them. Every
@@ -58,7 +59,7 @@
 	}
 	in.reread = false
 	in.flying = true
-	m.do(ReadIntents{})
+	m.out.Do(ReadIntents{})
 }
 
 // intentsRead takes over what an earlier holder left, or finds out what came
@@ -67,7 +68,7 @@
 	p := &m.planner
 	in := &p.intents
 	if e.Intents.Fence > p.fence {
-		m.loseLease(NoteIntentsLost)
+		m.loseLease(logevent.IntentsLost)
 		return
 	}
 	in.revision = e.Revision
@@ -181,5 +182,5 @@
 	in.flying = true
 	in.dirty = false
 	list := append([]Intent(nil), in.list...)
-	m.do(WriteIntents{Intents: Intents{Fence: m.planner.fence, Intents: list}, Revision: in.revision})
+	m.out.Do(WriteIntents{Intents: Intents{Fence: m.planner.fence, Intents: list}, Revision: in.revision})
 }
--- a/core/instance/line.go
+++ b/core/instance/line.go
@@ -8,6 +8,7 @@
 	"github.com/birchdrift/birchdrift/core/code"
 	"github.com/birchdrift/birchdrift/core/pool"
 	"github.com/birchdrift/birchdrift/core/route"
+	"github.com/birchdrift/birchdrift/core/step"
 )
 
 // How a call that was taken in finds its replica, or waits for one.
@@ -72,7 +73,7 @@
 }
 
 func (m *Machine) comeBack(d time.Duration) time.Duration {
-	return max(m.jitter(d), leastRetryAfter)
+	return max(step.Jitter(m.rng, d), leastRetryAfter)
 }
 
 func (m *Machine) wait(c *call) {
--- a/core/instance/machine.go
+++ b/core/instance/machine.go
@@ -28,24 +28,15 @@
 	"github.com/birchdrift/birchdrift/core/demand"
 	"github.com/birchdrift/birchdrift/core/lease"
 	"github.com/birchdrift/birchdrift/core/limit"
+	"github.com/birchdrift/birchdrift/core/logevent"
 	"github.com/birchdrift/birchdrift/core/member"
+	"github.com/birchdrift/birchdrift/core/option"
 	"github.com/birchdrift/birchdrift/core/pool"
 	"github.com/birchdrift/birchdrift/core/route"
 	"github.com/birchdrift/birchdrift/core/share"
+	"github.com/birchdrift/birchdrift/core/step"
 )
 
-// An Identity says who an instance is.
-type Identity struct {
-	Name    string // unique in the fleet
-	Zone    string
-	Address string // IP:port of its peers' listener
-	Boot    uint64 // rises with every start of the instance
-	// Processor is the share of a core that it may use, 0 if that is not known.
-	Processor float64
-	// Seeds are peers' addresses known from settings.
-	Seeds []string
-}
-
 // prefixMemory is how many prefix blocks an instance remembers.
 const prefixMemory = 8192
 
@@ -57,11 +48,11 @@
 
 // A Machine is the state of one entry instance.
 type Machine struct {
-	self    Identity
-	opt     Options
+	self    member.Identity
+	opt     option.Options
 	rng     *rand.Rand
 	now     clock.Instant
-	out     []Action
+	out     *step.Output
 	cfg     *config.Snapshot
 	encoded []byte // of cfg, for peers
 
@@ -103,10 +94,11 @@
 }
 
 // New returns the machine of an instance that knows nothing yet.
-func New(self Identity, opt Options, seed uint64) *Machine {
+func New(self member.Identity, opt option.Options, seed uint64) *Machine {
 	return &Machine{
 		self:      self,
 		opt:       opt,
+		out:       &step.Output{},
 		rng:       rand.New(rand.NewPCG(seed, self.Boot)),
 		pool:      pool.New(),
 		chooser:   route.NewChooser(prefixMemory),
@@ -137,13 +129,13 @@
 // is valid until the next Step.
 func (m *Machine) Step(now clock.Instant, ev Event) []Action {
 	m.now = now
-	m.out = m.out[:0]
+	m.out.Reset()
 	m.handle(ev)
 	m.runDue()
 	if _, tick := ev.(Tick); tick || m.pool.Touched() != m.drained {
 		m.drain()
 	}
-	return m.out
+	return m.out.Actions()
 }
 
 func (m *Machine) handle(ev Event) {
@@ -253,48 +245,10 @@
 	return wakeEvery
 }
 
-func (m *Machine) do(a Action) { m.out = append(m.out, a) }
-
-func (m *Machine) note(n Number, fields ...any) { m.do(Note{Event: n, Fields: fields}) }
-
-// jitter draws a duration within a tenth of d, so that instances that started
-// together do not act together.
-func (m *Machine) jitter(d time.Duration) time.Duration {
-	return time.Duration((0.9 + 0.2*m.rng.Float64()) * float64(d))
-}
-
-// A job is periodic work with at most one request under way.
-type job struct {
-	due    clock.Instant
-	flying bool
-	since  clock.Instant // when the request under way was sent
-}
-
-// jobLost is how long a reply may be missing before the job is begun anew. A
-// driver always replies; this only guards against one that lost its reply.
-const jobLost = time.Minute
-
-func (j *job) ready(now clock.Instant) bool {
-	if j.flying && now.Since(j.since) < jobLost {
-		return false
-	}
-	return !now.Before(j.due)
-}
-
-func (j *job) begin(now clock.Instant) {
-	j.flying = true
-	j.since = now
-}
-
-func (j *job) end(due clock.Instant) {
-	j.flying = false
-	j.due = due
-}
-
 // A platformView is what the machine knows of the platform's service.
 type platformView struct {
-	config  job
-	list    job
+	config  step.Job
+	list    step.Job
 	backoff backoff.Backoff
 	version uint64 // of the instance list
 	downAt  clock.Instant
@@ -310,7 +264,7 @@
 	p := &m.platform
 	if err == nil {
 		if p.down {
-			m.note(NotePlatformBack, "after", m.now.Since(p.downAt).String())
+			m.out.Log(logevent.PlatformBack, "after", m.now.Since(p.downAt).String())
 		}
 		p.down = false
 		p.backoff = p.backoff.WithSuccess()
@@ -318,7 +272,7 @@
 	}
 	if !p.down {
 		p.downAt = m.now
-		m.note(NotePlatformDown, "error", err.Error())
+		m.out.Log(logevent.PlatformDown, "error", err.Error())
 	}
 	p.down = true
 	p.backoff = p.backoff.WithFailure()
--- a/core/instance/mesh.go
+++ b/core/instance/mesh.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"github.com/birchdrift/birchdrift/core/share"
+	"github.com/birchdrift/birchdrift/core/step"
 )
 
 // A small fleet exchanges pairwise: each instance begins an exchange with every
@@ -23,7 +24,7 @@
 	if !m.meshed() || m.now.Before(x.meshDue) {
 		return
 	}
-	x.meshDue = m.now.Add(m.jitter(m.opt.MeshEvery))
+	x.meshDue = m.now.Add(step.Jitter(m.rng, m.opt.MeshEvery))
 	for _, p := range m.members.Peers() {
 		if p.Name > m.self.Name && (!p.Failing() || x.count%failingEvery == 0) {
 			m.exchangeWith(p)
--- a/core/instance/placement.go
+++ b/core/instance/placement.go
@@ -6,16 +6,17 @@
 	"sort"
 	"time"
 
-	"github.com/cespare/xxhash/v2"
-
 	"github.com/birchdrift/birchdrift/core/clock"
 	"github.com/birchdrift/birchdrift/core/config"
 	"github.com/birchdrift/birchdrift/core/demand"
+	"github.com/birchdrift/birchdrift/core/logevent"
+	"github.com/birchdrift/birchdrift/core/option"
 	"github.com/birchdrift/birchdrift/core/orders"
 	"github.com/birchdrift/birchdrift/core/place"
 	"github.com/birchdrift/birchdrift/core/pool"
 	"github.com/birchdrift/birchdrift/core/registry"
-	"github.com/birchdrift/birchdrift/core/route"
+	"github.com/birchdrift/birchdrift/core/rendezvous"
+	"github.com/birchdrift/birchdrift/core/step"
 )
 
 // Placing models on the engines that announce themselves. One instance, the
@@ -75,7 +76,7 @@
 // while this instance has.
 func (m *Machine) placementDue() {
 	v := &m.placement
-	if !m.opt.OneWatch || m.stop.begun || m.cfg == nil {
+	if m.opt.Environment == option.Own || m.stop.begun || m.cfg == nil {
 		return
 	}
 	placing := m.placing()
@@ -114,7 +115,7 @@
 	v.at = m.now
 	v.tokens = 0
 	v.demandAt = m.now
-	m.note(NotePlacing, "orphan", orphan, "revision", m.registry.placer.Revision)
+	m.out.Log(logevent.Placing, "orphan", orphan, "revision", m.registry.placer.Revision)
 }
 
 // orphaned reports whether this instance owns engines and cannot hear of the
@@ -140,7 +141,7 @@
 	if v.seeking || m.now.Before(v.seekDue) || !g.enrolled || !g.known || g.steadyAt.IsZero() || !m.onWatch() {
 		return
 	}
-	v.seekDue = m.now.Add(m.jitter(claimEvery))
+	v.seekDue = m.now.Add(step.Jitter(m.rng, claimEvery))
 	if g.placer.Name != "" && g.placer.Name != m.self.Name {
 		return
 	}
@@ -148,22 +149,22 @@
 		return
 	}
 	v.seeking = true
-	m.do(WriteRegistry{Write: RegistryWrite{Placer: &registry.Placer{Name: m.self.Name, Boot: m.self.Boot, Revision: g.placer.Revision}}, Lease: g.lease})
+	m.out.Do(WriteRegistry{Write: RegistryWrite{Placer: &registry.Placer{Name: m.self.Name, Boot: m.self.Boot, Revision: g.placer.Revision}}, Lease: g.lease})
 }
 
 // placerRank returns how many instances come before this one as the placer: of
 // those that watch the platform, the ones with more of a processor, else by
 // rendezvous hashing.
 func (m *Machine) placerRank() int {
-	key := xxhash.Sum64String(placerDuty)
-	own := route.Score(key, m.self.Name)
+	key := rendezvous.Key(placerDuty)
+	own := rendezvous.Score(key, m.self.Name)
 	ahead := 0
 	for _, zone := range m.zones() {
 		for _, name := range m.watchersOf(zone) {
 			theirs := m.registry.instances[name].Processor
 			switch {
 			case name == m.self.Name || theirs < m.self.Processor:
-			case theirs > m.self.Processor || route.Score(key, name) > own:
+			case theirs > m.self.Processor || rendezvous.Score(key, name) > own:
 				ahead++
 			}
 		}
@@ -217,7 +218,7 @@
 func (m *Machine) placeService(svc config.Service) {
 	v := &m.placement
 	for _, c := range place.Changes(m.placeInput(svc)) {
-		m.note(NotePlaced, "engine", c.Engine, "load", c.Load, "drop", c.Drop, "source", c.Source.String(), "worth", c.Worth, "cost", c.Cost, "work", c.Work, "copies", c.Copies)
+		m.out.Log(logevent.Placed, "engine", c.Engine, "load", c.Load, "drop", c.Drop, "source", c.Source.String(), "worth", c.Worth, "cost", c.Cost, "work", c.Work, "copies", c.Copies)
 		ch := &change{Change: c, begun: m.now}
 		v.changes[c.Engine] = ch
 		if m.goOn(ch) {
@@ -231,13 +232,13 @@
 	r := m.pool.Get(c.Engine)
 	switch {
 	case r == nil || !r.Usable():
-		m.note(NotePlaceEnded, "engine", c.Engine, "load", c.Load, "detail", "the engine is gone")
+		m.out.Log(logevent.PlaceEnded, "engine", c.Engine, "load", c.Load, "detail", "the engine is gone")
 		return true
 	case m.now.Since(c.begun) > changeTime:
-		m.note(NotePlaceEnded, "engine", c.Engine, "load", c.Load, "detail", "it took too long")
+		m.out.Log(logevent.PlaceEnded, "engine", c.Engine, "load", c.Load, "detail", "it took too long")
 		return true
 	case r.Phase(c.Load) == pool.Ready:
-		m.note(NotePlaceEnded, "engine", c.Engine, "load", c.Load, "detail", "done", "took", m.now.Since(c.begun).String())
+		m.out.Log(logevent.PlaceEnded, "engine", c.Engine, "load", c.Load, "detail", "done", "took", m.now.Since(c.begun).String())
 		return true
 	case r.Phase(c.Load) == pool.Loading || m.now.Before(c.askedAt.Add(changeRepeat)) && !c.askedAt.IsZero():
 		return false
--- a/core/instance/planinput.go
+++ b/core/instance/planinput.go
@@ -4,12 +4,10 @@
 	"math"
 	"time"
 
-	"github.com/cespare/xxhash/v2"
-
 	"github.com/birchdrift/birchdrift/core/config"
 	"github.com/birchdrift/birchdrift/core/plan"
 	"github.com/birchdrift/birchdrift/core/pool"
-	"github.com/birchdrift/birchdrift/core/route"
+	"github.com/birchdrift/birchdrift/core/rendezvous"
 )
 
 // A homeView holds what a plan needs of a revision, worked out once.
@@ -60,11 +58,11 @@
 }
 
 func homeZone(zones []string, model string) string {
-	key := xxhash.Sum64String(model)
+	key := rendezvous.Key(model)
 	best := ""
 	var top uint64
 	for _, z := range zones {
-		if score := route.Score(key, z); best == "" || score > top {
+		if score := rendezvous.Score(key, z); best == "" || score > top {
 			best = z
 			top = score
 		}
@@ -164,14 +162,14 @@
 		reachable[z.Name] = m.zoneReachable(z.Name)
 	}
 	for name := range m.homes.items {
-		key := xxhash.Sum64String(name)
-		own := route.Score(key, m.self.Zone)
+		key := rendezvous.Key(name)
+		own := rendezvous.Score(key, m.self.Zone)
 		for _, r := range m.pool.Ready(name) {
 			if r.Zone == m.self.Zone || !r.Usable() || !reachable[r.Zone] || r.Ejected(m.now) {
 				continue
 			}
 			all[name]++
-			if route.Score(key, r.Zone) > own {
+			if rendezvous.Score(key, r.Zone) > own {
 				covered[name]++
 			}
 		}
--- a/core/instance/planner.go
+++ b/core/instance/planner.go
@@ -4,9 +4,11 @@
 	"github.com/birchdrift/birchdrift/core/backoff"
 	"github.com/birchdrift/birchdrift/core/book"
 	"github.com/birchdrift/birchdrift/core/clock"
+	"github.com/birchdrift/birchdrift/core/logevent"
 	"github.com/birchdrift/birchdrift/core/plan"
 	"github.com/birchdrift/birchdrift/core/pool"
 	"github.com/birchdrift/birchdrift/core/share"
+	"github.com/birchdrift/birchdrift/core/step"
 )
 
 // candidates is how many instances of a zone seek its planner's lease.
@@ -14,7 +16,7 @@
 
 // A plannerView is the machine's work for its zone while it holds the lease.
 type plannerView struct {
-	job        job // seeking and renewing the lease
+	job        step.Job // seeking and renewing the lease
 	planDue    clock.Instant
 	fence      uint64 // under which the ledgers were begun; 0 if none were
 	seq        uint64 // of the last order
@@ -90,26 +92,26 @@
 
 func (m *Machine) leaseDue() {
 	p := &m.planner
-	if m.stop.begun || len(m.homes.zones) == 0 || !p.job.ready(m.now) {
+	if m.stop.begun || len(m.homes.zones) == 0 || !p.job.Ready(m.now) {
 		return
 	}
 	switch {
 	case m.lease.Held():
 		m.noteDoubt()
 		if m.lease.RenewDue(m.now) {
-			p.job.begin(m.now)
-			m.do(SeekLease{Term: m.opt.LeaseTerm, Renew: m.lease.Fence()})
+			p.job.Begin(m.now)
+			m.out.Do(SeekLease{Term: m.opt.LeaseTerm, Renew: m.lease.Fence()})
 		}
 	case m.members.OnDuty(m.now, "plan/"+m.self.Zone, candidates):
-		p.job.begin(m.now)
-		m.do(SeekLease{Term: m.opt.LeaseTerm})
+		p.job.Begin(m.now)
+		m.out.Do(SeekLease{Term: m.opt.LeaseTerm})
 	}
 }
 
 func (m *Machine) noteDoubt() {
 	doubt := !m.lease.Valid(m.now)
 	if doubt && !m.planner.doubtNoted {
-		m.note(NoteLeaseDoubt, "fence", m.lease.Fence())
+		m.out.Log(logevent.LeaseDoubt, "fence", m.lease.Fence())
 	}
 	m.planner.doubtNoted = doubt
 }
@@ -118,12 +120,12 @@
 	p := &m.planner
 	m.platformSays(e.Err)
 	if e.Err != nil {
-		p.job.end(m.now.Add(m.platform.backoff.Wait(m.rng)))
+		p.job.End(m.now.Add(m.platform.backoff.Wait(m.rng)))
 		return
 	}
-	p.job.end(m.now.Add(m.jitter(m.opt.LeaseTerm / 4)))
+	p.job.End(m.now.Add(step.Jitter(m.rng, m.opt.LeaseTerm/4)))
 	if !e.Granted {
-		m.loseLease(NoteLeaseLost)
+		m.loseLease(logevent.LeaseLost)
 		return
 	}
 	m.lease = m.lease.WithGrant(e.Fence, e.Sent)
@@ -132,9 +134,9 @@
 	}
 }
 
-func (m *Machine) loseLease(why Number) {
+func (m *Machine) loseLease(why logevent.Number) {
 	if m.lease.Held() {
-		m.note(why, "fence", m.lease.Fence())
+		m.out.Log(why, "fence", m.lease.Fence())
 	}
 	m.lease = m.lease.WithLoss()
 	m.planner.abandon()
@@ -155,12 +157,12 @@
 	p.fence = m.lease.Fence()
 	p.seq = 0
 	p.loads = budgetView{at: m.now}
-	m.note(NoteLeaseGained, "fence", p.fence)
+	m.out.Log(logevent.LeaseGained, "fence", p.fence)
 	m.store.AddHolder("", share.Holder{Zone: m.self.Zone, Instance: m.self.Name, Fence: p.fence})
 	m.exchanges.hurry(m)
 	p.sync(m)
 	p.intents.flying = true
-	m.do(ReadIntents{})
+	m.out.Do(ReadIntents{})
 }
 
 // sync gives every engine of the zone a ledger.
@@ -202,8 +204,8 @@
 	}
 	if r.ChecksFence && s.Fence != p.fence && !m.opt.Disable.Fences {
 		if s.Fence > p.fence {
-			m.note(NoteOrderFenced, "engine", r.Name, "fence", s.Fence)
-			m.loseLease(NoteLeaseLost)
+			m.out.Log(logevent.OrderFenced, "engine", r.Name, "fence", s.Fence)
+			m.loseLease(logevent.LeaseLost)
 		} else if l.Known() && s.Residency.Boot > l.Boot() {
 			// It restarted and forgot the fence: raise it anew first.
 			p.ledgers[r.Name] = l.Restarted()
@@ -249,7 +251,7 @@
 	if !m.planning() || m.stop.begun || m.now.Before(p.planDue) {
 		return
 	}
-	p.planDue = m.now.Add(m.jitter(m.opt.PlanEvery))
+	p.planDue = m.now.Add(step.Jitter(m.rng, m.opt.PlanEvery))
 	m.board.Report(m.now, m.self.Name, m.meter.Items(m.now))
 	m.rereadDue()
 	m.tellLeaders()
@@ -278,7 +280,7 @@
 		ra.due = m.now.Add(ra.backoff.Wait(m.rng))
 		o := book.Order{Engine: r.Name, Fence: p.fence, Seq: p.nextSeq(), Op: book.Raise}
 		l.Book(o)
-		m.do(SendOrder{Address: r.Address, Order: o})
+		m.out.Do(SendOrder{Address: r.Address, Order: o})
 	}
 }
 
@@ -292,7 +294,7 @@
 	}
 	o := book.Order{Engine: s.Engine, Fence: p.fence, Seq: p.nextSeq(), Op: s.Op, Item: s.Item, MiB: s.MiB}
 	if !l.Book(o) && !m.opt.Disable.Booking {
-		m.note(NoteOvercommitAvert, "engine", s.Engine, "op", s.Op.String(), "item", s.Item)
+		m.out.Log(logevent.OvercommitAvert, "engine", s.Engine, "op", s.Op.String(), "item", s.Item)
 		return
 	}
 	if s.Op == book.Load {
@@ -311,8 +313,8 @@
 }
 
 func (m *Machine) send(o book.Order, r *pool.Replica) {
-	m.note(NoteOrder, "engine", o.Engine, "op", o.Op.String(), "item", o.Item, "mib", o.MiB, "fence", o.Fence, "seq", o.Seq)
-	m.do(SendOrder{Address: r.Address, Order: o})
+	m.out.Log(logevent.Order, "engine", o.Engine, "op", o.Op.String(), "item", o.Item, "mib", o.MiB, "fence", o.Fence, "seq", o.Seq)
+	m.out.Do(SendOrder{Address: r.Address, Order: o})
 }
 
 func (m *Machine) orderReply(e OrderReply) {
@@ -332,18 +334,18 @@
 		p.observe(m, l, e.State, e.Seq)
 	case OrderRefused:
 		if op != book.Raise {
-			m.note(NoteOrderRefused, "engine", e.Engine, "seq", e.Seq, "detail", e.Detail)
+			m.out.Log(logevent.OrderRefused, "engine", e.Engine, "seq", e.Seq, "detail", e.Detail)
 		}
 		l.Refused(e.Seq)
 		m.observe(e.Engine, e.State)
 		p.observe(m, l, e.State, e.Seq)
 	case OrderFenced:
-		m.note(NoteOrderFenced, "engine", e.Engine, "seq", e.Seq)
-		m.loseLease(NoteLeaseLost)
+		m.out.Log(logevent.OrderFenced, "engine", e.Engine, "seq", e.Seq)
+		m.loseLease(logevent.LeaseLost)
 	case OrderNotSent:
 		l.NotSent(e.Seq)
 	case OrderLost:
-		m.note(NoteOrderLost, "engine", e.Engine, "seq", e.Seq, "detail", e.Detail)
+		m.out.Log(logevent.OrderLost, "engine", e.Engine, "seq", e.Seq, "detail", e.Detail)
 		l.Lost(e.Seq)
 		if ra := p.raises[e.Engine]; ra != nil {
 			ra.due = m.now
--- a/core/instance/probe.go
+++ b/core/instance/probe.go
@@ -43,7 +43,7 @@
 			continue
 		}
 		p.asked++
-		m.do(AskLoad{Call: c.ID, Engine: e.Replica.Name, Address: e.Replica.Address, Wait: m.opt.LoadWait})
+		m.out.Do(AskLoad{Call: c.ID, Engine: e.Replica.Name, Address: e.Replica.Address, Wait: m.opt.LoadWait})
 	}
 	if p.asked == 0 {
 		return false
--- a/core/instance/promises_test.go
+++ b/core/instance/promises_test.go
@@ -11,6 +11,7 @@
 
 	"github.com/birchdrift/birchdrift/core/book"
 	"github.com/birchdrift/birchdrift/core/config"
+	"github.com/birchdrift/birchdrift/core/option"
 	"github.com/birchdrift/birchdrift/core/pool"
 	"github.com/birchdrift/birchdrift/core/share"
 )
@@ -49,8 +50,8 @@
 	return d
 }
 
-func quickOptions() Options {
-	opt := DefaultOptions()
+func quickOptions() option.Options {
+	opt := option.Default()
 	opt.LeaseTerm = 3 * time.Second
 	opt.ExchangeEvery = 500 * time.Millisecond
 	opt.ReadEvery = 500 * time.Millisecond
@@ -138,7 +139,7 @@
 const stormTime = 45 * time.Second
 
 // runStorm runs one storm and returns the world after it.
-func runStorm(t *testing.T, s storm, checks bool, seed uint64, change func(*Options)) *world {
+func runStorm(t *testing.T, s storm, checks bool, seed uint64, change func(*option.Options)) *world {
 	opt := quickOptions()
 	if change != nil {
 		change(&opt)
@@ -200,12 +201,12 @@
 	cases := []struct {
 		name   string
 		checks bool
-		off    func(*Options)
+		off    func(*option.Options)
 		finds  string
 	}{
-		{"booking", true, func(o *Options) { o.Disable.Booking = true }, "overcommit"},
-		{"at most once", true, func(o *Options) { o.Disable.AtMost = true }, "ran 2 times"},
-		{"intents", false, func(o *Options) { o.Disable.Intents = true }, "overcommit"},
+		{"booking", true, func(o *option.Options) { o.Disable.Booking = true }, "overcommit"},
+		{"at most once", true, func(o *option.Options) { o.Disable.AtMost = true }, "ran 2 times"},
+		{"intents", false, func(o *option.Options) { o.Disable.Intents = true }, "overcommit"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/core/instance/read.go
+++ b/core/instance/read.go
@@ -6,6 +6,7 @@
 	"github.com/birchdrift/birchdrift/core/backoff"
 	"github.com/birchdrift/birchdrift/core/pool"
 	"github.com/birchdrift/birchdrift/core/share"
+	"github.com/birchdrift/birchdrift/core/step"
 )
 
 // readersPerEngine is how many instances of its zone read one engine's state;
@@ -24,7 +25,7 @@
 
 // A reader is the duty of reading one engine.
 type reader struct {
-	job
+	step.Job
 	backoff backoff.Backoff
 }
 
@@ -47,12 +48,12 @@
 	every := max(m.opt.ReadEvery, time.Duration(len(mine))*readSpacing)
 	for _, r := range mine {
 		rd := m.reader(r.Name)
-		if !rd.ready(m.now) {
+		if !rd.Ready(m.now) {
 			continue
 		}
-		rd.begin(m.now)
-		rd.due = m.now.Add(m.jitter(m.readEvery(r, every)))
-		m.do(ReadState{Engine: r.Name, Address: r.Address})
+		rd.Begin(m.now)
+		rd.SetDue(m.now.Add(step.Jitter(m.rng, m.readEvery(r, every))))
+		m.out.Do(ReadState{Engine: r.Name, Address: r.Address})
 	}
 }
 
@@ -87,11 +88,11 @@
 	rd := m.reader(e.Engine)
 	if e.Err != nil {
 		rd.backoff = rd.backoff.WithFailure()
-		rd.end(m.now.Add(rd.backoff.Wait(m.rng)))
+		rd.End(m.now.Add(rd.backoff.Wait(m.rng)))
 		return
 	}
 	rd.backoff = rd.backoff.WithSuccess()
-	rd.end(rd.due)
+	rd.EndAsScheduled()
 	m.observe(e.Engine, e.State)
 	if l := m.planner.ledgers[e.Engine]; l != nil {
 		m.planner.observe(m, l, e.State, 0)
--- a/core/instance/registry.go
+++ b/core/instance/registry.go
@@ -6,13 +6,14 @@
 	"sort"
 	"time"
 
-	"github.com/cespare/xxhash/v2"
-
 	"github.com/birchdrift/birchdrift/core/backoff"
 	"github.com/birchdrift/birchdrift/core/clock"
+	"github.com/birchdrift/birchdrift/core/logevent"
+	"github.com/birchdrift/birchdrift/core/option"
 	"github.com/birchdrift/birchdrift/core/pool"
 	"github.com/birchdrift/birchdrift/core/registry"
-	"github.com/birchdrift/birchdrift/core/route"
+	"github.com/birchdrift/birchdrift/core/rendezvous"
+	"github.com/birchdrift/birchdrift/core/step"
 )
 
 // The registry: this instance's own record, and which instance orders which of
@@ -30,7 +31,7 @@
 
 // A registryView is what the machine knows of the registry.
 type registryView struct {
-	keep       job
+	keep       step.Job
 	lease      uint64
 	keptAt     clock.Instant // when the last renewal that succeeded was sent
 	enrolled   bool
@@ -70,7 +71,7 @@
 
 // registryDue keeps this instance's record and claims engines.
 func (m *Machine) registryDue() {
-	if !m.opt.OneWatch || m.stop.begun {
+	if m.opt.Environment == option.Own || m.stop.begun {
 		return
 	}
 	if !m.mayOrderEngines() {
@@ -92,15 +93,15 @@
 
 func (m *Machine) enrolDue() {
 	g := &m.registry
-	if !g.keep.ready(m.now) {
+	if !g.keep.Ready(m.now) {
 		return
 	}
-	g.keep.begin(m.now)
+	g.keep.Begin(m.now)
 	if g.enrolled {
-		m.do(KeepEnrolled{Lease: g.lease})
+		m.out.Do(KeepEnrolled{Lease: g.lease})
 		return
 	}
-	m.do(Enrol{Term: m.opt.EnrolTerm, Instance: registry.Instance{
+	m.out.Do(Enrol{Term: m.opt.EnrolTerm, Instance: registry.Instance{
 		Name: m.self.Name, Zone: m.self.Zone, Address: m.self.Address, Boot: m.self.Boot, Processor: m.self.Processor,
 	}})
 }
@@ -115,25 +116,25 @@
 	g.lease = e.Lease
 	g.enrolled = true
 	g.keptAt = e.Sent
-	g.keep.end(m.now.Add(m.keepEvery()))
-	m.note(NoteEnrolled, "lease", e.Lease)
+	g.keep.End(m.now.Add(m.keepEvery()))
+	m.out.Log(logevent.Enrolled, "lease", e.Lease)
 }
 
 func (m *Machine) keepReply(e KeepReply) {
 	g := &m.registry
 	switch {
 	case e.Over:
-		m.note(NoteEnrolmentLost, "lease", e.Lease)
+		m.out.Log(logevent.EnrolmentLost, "lease", e.Lease)
 		g.enrolled = false
 		m.disown("this instance's record went")
-		g.keep.end(m.now)
+		g.keep.End(m.now)
 		m.registryAnswered()
 	case e.Err != nil:
 		m.registryFailed(e.Err)
 	default:
 		m.registryAnswered()
 		g.keptAt = e.Sent
-		g.keep.end(m.now.Add(m.keepEvery()))
+		g.keep.End(m.now.Add(m.keepEvery()))
 	}
 }
 
@@ -152,7 +153,7 @@
 	g := &m.registry
 	m.platformSays(err)
 	g.backoff = g.backoff.WithFailure()
-	g.keep.end(m.now.Add(g.backoff.Wait(m.rng)))
+	g.keep.End(m.now.Add(g.backoff.Wait(m.rng)))
 	g.steadyAt = clock.Instant{}
 }
 
@@ -268,7 +269,7 @@
 	if m.now.Before(g.claimDue) {
 		return
 	}
-	g.claimDue = m.now.Add(m.jitter(claimEvery))
+	g.claimDue = m.now.Add(step.Jitter(m.rng, claimEvery))
 	if !g.known || !g.enrolled || g.claiming || !m.onWatch() || !m.mayOrderEngines() || m.cfg == nil {
 		return
 	}
@@ -285,7 +286,7 @@
 		return
 	}
 	g.claiming = true
-	m.do(WriteRegistry{Write: RegistryWrite{Claim: claims}})
+	m.out.Do(WriteRegistry{Write: RegistryWrite{Claim: claims}})
 }
 
 // claimOf returns the claim of an engine, if this instance is to take it now.
@@ -354,14 +355,14 @@
 	if m.self.Zone != r.Zone {
 		ahead = len(m.watchersOf(r.Zone))
 	}
-	key := xxhash.Sum64String(r.Name)
-	own := route.Score(key, m.self.Name)
+	key := rendezvous.Key(r.Name)
+	own := rendezvous.Score(key, m.self.Name)
 	for _, zone := range m.zones() {
 		if (zone == r.Zone) != (m.self.Zone == r.Zone) {
 			continue
 		}
 		for _, name := range m.watchersOf(zone) {
-			if name != m.self.Name && route.Score(key, name) > own {
+			if name != m.self.Name && rendezvous.Score(key, name) > own {
 				ahead++
 			}
 		}
@@ -445,5 +446,5 @@
 		m.loseEngine(name, "this instance stops")
 	}
 	g.enrolled = false
-	m.do(Resign{Lease: g.lease, Give: give})
+	m.out.Do(Resign{Lease: g.lease, Give: give})
 }
--- a/core/instance/stop.go
+++ b/core/instance/stop.go
@@ -3,6 +3,7 @@
 import (
 	"github.com/birchdrift/birchdrift/core/clock"
 	"github.com/birchdrift/birchdrift/core/code"
+	"github.com/birchdrift/birchdrift/core/logevent"
 	"github.com/birchdrift/birchdrift/core/share"
 )
 
@@ -34,13 +35,13 @@
 		takeTo: m.now.Add(m.opt.StopDelay),
 		endAt:  m.now.Add(m.opt.StopLimit),
 	}
-	m.note(NoteStopping, "calls", len(m.calls))
+	m.out.Log(logevent.Stopping, "calls", len(m.calls))
 	if m.lease.Held() {
 		fence := m.lease.Fence()
 		m.store.AddHolder("", share.Holder{Zone: m.self.Zone, Fence: fence})
 		m.lease = m.lease.WithLoss()
 		m.planner.abandon()
-		m.do(ReleaseLease{Fence: fence})
+		m.out.Do(ReleaseLease{Fence: fence})
 	}
 	m.resign()
 	for _, p := range m.members.InZone(true) {
@@ -70,8 +71,8 @@
 		m.cutCall(c)
 	}
 	m.stop.exited = true
-	m.note(NoteStopped, "cut", cut)
-	m.do(Exit{Cut: cut})
+	m.out.Log(logevent.Stopped, "cut", cut)
+	m.out.Do(Exit{Cut: cut})
 }
 
 // cutCall gives a call its final answer because the process ends.
--- a/core/instance/watch.go
+++ b/core/instance/watch.go
@@ -3,6 +3,8 @@
 import (
 	"github.com/birchdrift/birchdrift/core/clock"
 	"github.com/birchdrift/birchdrift/core/config"
+	"github.com/birchdrift/birchdrift/core/logevent"
+	"github.com/birchdrift/birchdrift/core/option"
 	"github.com/birchdrift/birchdrift/core/share"
 )
 
@@ -12,31 +14,31 @@
 		return
 	}
 	p := &m.platform
-	if m.opt.OneWatch {
-		if p.list.ready(m.now) {
-			p.list.begin(m.now)
-			m.do(WatchPlatform{Wait: m.opt.WatchWait})
+	if m.opt.Environment == option.Platform {
+		if p.list.Ready(m.now) {
+			p.list.Begin(m.now)
+			m.out.Do(WatchPlatform{Wait: m.opt.WatchWait})
 		}
 		return
 	}
-	if p.config.ready(m.now) {
-		p.config.begin(m.now)
-		m.do(WatchConfig{Have: m.cfg.Revision(), Wait: m.opt.WatchWait})
+	if p.config.Ready(m.now) {
+		p.config.Begin(m.now)
+		m.out.Do(WatchConfig{Have: m.cfg.Revision(), Wait: m.opt.WatchWait})
 	}
-	if p.list.ready(m.now) {
-		p.list.begin(m.now)
-		m.do(WatchList{Since: p.version, Wait: m.opt.WatchWait})
+	if p.list.Ready(m.now) {
+		p.list.Begin(m.now)
+		m.out.Do(WatchList{Since: p.version, Wait: m.opt.WatchWait})
 	}
 }
 
 func (m *Machine) configReply(e ConfigReply) {
-	if e.Source == PlatformSource && !m.opt.OneWatch {
+	if e.Source == PlatformSource && m.opt.Environment == option.Own {
 		m.platformSays(e.Err)
-		m.platform.config.end(m.nextWatch())
+		m.platform.config.End(m.nextWatch())
 	}
 	if e.Err != nil {
 		if e.Snapshot == nil && e.Encoded != nil {
-			m.note(NoteConfigFailed, "source", e.Source, "error", e.Err.Error())
+			m.out.Log(logevent.ConfigFailed, "source", e.Source, "error", e.Err.Error())
 		}
 		return
 	}
@@ -52,7 +54,7 @@
 func (m *Machine) install(s *config.Snapshot, encoded []byte, source string) {
 	if s.Revision() <= m.cfg.Revision() && !m.opt.Disable.Monotonic {
 		if s.Revision() < m.cfg.Revision() {
-			m.note(NoteOlderIgnored, "offered", s.Revision(), "in_force", m.cfg.Revision(), "source", source)
+			m.out.Log(logevent.OlderIgnored, "offered", s.Revision(), "in_force", m.cfg.Revision(), "source", source)
 		}
 		return
 	}
@@ -66,8 +68,8 @@
 	m.exchanges.aheadAt = m.now
 	m.pulled()
 	m.exchanges.hurry(m)
-	m.note(NoteInstalled, "revision", s.Revision(), "source", source)
-	m.do(Install{Snapshot: s, Source: source})
+	m.out.Log(logevent.Installed, "revision", s.Revision(), "source", source)
+	m.out.Do(Install{Snapshot: s, Source: source})
 }
 
 // replayRecords tells the pool what was heard of upstreams before the revision
@@ -83,14 +85,14 @@
 }
 
 func (m *Machine) listReply(e ListReply) {
-	if !m.opt.OneWatch {
+	if m.opt.Environment == option.Own {
 		m.watchReply(WatchReply{Err: e.Err})
 	}
 	if e.Err != nil {
 		return
 	}
 	m.platform.version = e.Version
-	if m.opt.OneWatch {
+	if m.opt.Environment == option.Platform {
 		m.exchanges.version = e.Version
 	}
 	if e.Whole {
@@ -108,10 +110,10 @@
 func (m *Machine) watchReply(e WatchReply) {
 	m.platformSays(e.Err)
 	if e.Err == nil {
-		m.registry.heardAt = m.platform.list.since
-		m.exchanges.storeAt = later(m.exchanges.storeAt, m.platform.list.since)
+		m.registry.heardAt = m.platform.list.SentAt()
+		m.exchanges.storeAt = later(m.exchanges.storeAt, m.platform.list.SentAt())
 	}
-	m.platform.list.end(m.nextWatch())
+	m.platform.list.End(m.nextWatch())
 }
 
 // applyListed takes over one entry of the platform's list.
@@ -129,7 +131,7 @@
 	}
 	r := m.pool.Get(l.Name)
 	if r != nil && !r.Leaving() {
-		m.note(NoteLeaving, "upstream", l.Name, "source", "list")
+		m.out.Log(logevent.Leaving, "upstream", l.Name, "source", "list")
 	}
 	m.pool.ObserveListed(l.Name, true)
 }
--- a/core/instance/world_test.go
+++ b/core/instance/world_test.go
@@ -13,6 +13,8 @@
 	"github.com/birchdrift/birchdrift/core/clock/clocktest"
 	"github.com/birchdrift/birchdrift/core/code"
 	"github.com/birchdrift/birchdrift/core/config"
+	"github.com/birchdrift/birchdrift/core/member"
+	"github.com/birchdrift/birchdrift/core/option"
 	"github.com/birchdrift/birchdrift/core/pool"
 	"github.com/birchdrift/birchdrift/core/share"
 )
@@ -27,7 +29,7 @@
 	now      time.Duration
 	queue    eventQueue
 	order    uint64
-	opt      Options
+	opt      option.Options
 	doc      config.Document
 	platform fakePlatform
 	engines  map[string]*fakeEngine
@@ -55,7 +57,7 @@
 // A node is one machine with its own clocks.
 type node struct {
 	m       *Machine
-	id      Identity
+	id      member.Identity
 	dead    bool
 	paused  bool
 	monoLag time.Duration // by how much its monotonic clock is behind
@@ -145,7 +147,7 @@
 
 const worldStart = time.Hour // so that no instant is zero
 
-func newWorld(t *testing.T, seed uint64, doc config.Document, perZone int, opt Options) *world {
+func newWorld(t *testing.T, seed uint64, doc config.Document, perZone int, opt option.Options) *world {
 	w := &world{
 		t: t, rng: rand.New(rand.NewPCG(seed, 1)), now: worldStart, opt: opt, doc: doc,
 		platform: fakePlatform{values: map[string]fakeValue{}, leases: map[string]*fakeLease{}},
@@ -177,7 +179,7 @@
 	if old := w.nodes[name]; old != nil {
 		incarn = old.incarn + 1
 	}
-	id := Identity{Name: name, Zone: zone, Address: name, Boot: uint64(incarn), Seeds: w.names[:1]}
+	id := member.Identity{Name: name, Zone: zone, Address: name, Boot: uint64(incarn), Seeds: w.names[:1]}
 	n := &node{id: id, m: New(id, w.opt, seed+uint64(len(name))+uint64(incarn)<<32), incarn: incarn}
 	w.nodes[name] = n
 	delete(w.install, name)
--- /dev/null
+++ b/core/logevent/logevent.go
@@ -0,0 +1,131 @@
+// Package logevent provides the numbered events that the product writes to its
+// log: one line for each decision on a call and for each change of what an
+// instance believes.
+//
+// Numbers and names are never changed or used again, since operators' searches
+// and alerts rest on them. docs/events.md is generated from Catalogue.
+package logevent
+
+import "fmt"
+
+// A Number is the number of one log event.
+type Number int
+
+// The log events. Catalogue holds the meaning and the remedy of each.
+const (
+	Started         Number = 1001
+	Stopping        Number = 1002
+	Stopped         Number = 1003
+	Listening       Number = 1004
+	Reloaded        Number = 1005
+	ReloadRefused   Number = 1006
+	Installed       Number = 1101
+	OlderIgnored    Number = 1102
+	ConfigFailed    Number = 1103
+	PlatformDown    Number = 1201
+	PlatformBack    Number = 1202
+	LeaseGained     Number = 1301
+	LeaseLost       Number = 1302
+	LeaseDoubt      Number = 1303
+	IntentsLost     Number = 1304
+	Enrolled        Number = 1311
+	EnrolmentLost   Number = 1312
+	EngineTaken     Number = 1313
+	EngineLost      Number = 1314
+	Order           Number = 1401
+	OrderRefused    Number = 1402
+	OrderLost       Number = 1403
+	OrderFenced     Number = 1404
+	OvercommitAvert Number = 1405
+	Placing         Number = 1321
+	Placed          Number = 1322
+	PlaceEnded      Number = 1323
+	EngineOrder     Number = 1411
+	EngineAnswer    Number = 1412
+	EngineState     Number = 1413
+	OrderWaits      Number = 1414
+	Leaving         Number = 1501
+	Announced       Number = 1502
+	Vanished        Number = 1503
+	PeerFailed      Number = 1601
+	PolicyFailed    Number = 1701
+	CallFailed      Number = 1801
+	CallRetried     Number = 1802
+	CallResumed     Number = 1803
+	CallSent        Number = 1804
+	CallServed      Number = 1805
+	CallWaits       Number = 1806
+	Bug             Number = 1901
+)
+
+// names are the catalogue's names by number.
+var names = func() map[Number]string {
+	m := make(map[Number]string, len(Catalogue))
+	for _, e := range Catalogue {
+		m[e.Number] = e.Name
+	}
+	return m
+}()
+
+// Name returns the event's name in the catalogue.
+func (n Number) Name() string {
+	if name, ok := names[n]; ok {
+		return name
+	}
+	return fmt.Sprintf("event_%d", int(n))
+}
+
+// An Entry describes one log event for people.
+type Entry struct {
+	Number  Number
+	Name    string
+	Meaning string
+	Remedy  string
+}
+
+// Catalogue lists every log event in rising order.
+var Catalogue = []Entry{
+	{Started, "started", "The process started with the settings shown.", "None."},
+	{Stopping, "stopping", "A planned stop began.", "None."},
+	{Stopped, "stopped", "The stop is complete; `cut` counts the calls that it cut off.", "If `cut` is not 0, raise `--stop-limit`."},
+	{Listening, "listening", "A listener accepts connections.", "None."},
+	{Reloaded, "settings_reloaded", "Changed settings are in force; those that need a restart keep their old value until then.", "None."},
+	{ReloadRefused, "settings_refused", "The changed settings are wrong; the old ones stay in force.", "Mend what the detail names."},
+	{Installed, "configuration_installed", "A configuration revision is in force on this instance.", "None."},
+	{OlderIgnored, "older_configuration_ignored", "Somebody offered a revision that is not newer than the one in force.", "None; a burst after a zone heals is usual."},
+	{ConfigFailed, "configuration_failed", "A stored configuration could not be taken over; the one in force stays.", "Apply a good one with `birchctl apply`."},
+	{PlatformDown, "platform_down", "The platform's key-value service does not answer.", "Check the platform. Calls whose models are resident go on."},
+	{PlatformBack, "platform_back", "The platform's key-value service answers again.", "None."},
+	{LeaseGained, "lease_gained", "This instance plans for its zone from now on.", "None."},
+	{LeaseLost, "lease_lost", "Another instance plans for this zone.", "None."},
+	{LeaseDoubt, "lease_in_doubt", "The lease may have lapsed; only engines that check fences are still ordered.", "Check the platform if it lasts."},
+	{IntentsLost, "intents_conflict", "Another holder has written the zone's intents; this one stops ordering.", "None."},
+	{Enrolled, "enrolled", "This instance's record stands in the platform's store.", "None."},
+	{EnrolmentLost, "enrolment_lost", "The platform dropped this instance's record; it is written again.", "None; often means that the platform was out of reach for longer than the record's term."},
+	{EngineTaken, "engine_taken", "This instance orders the engine from now on, at the earliest after `wait`.", "None."},
+	{EngineLost, "engine_lost", "This instance no longer orders the engine.", "None."},
+	{Placing, "placing", "This instance places models from now on.", "None."},
+	{Placed, "placement", "A model is to be loaded on an engine, and others to make way for it.", "None; `worth` and `cost` say why."},
+	{PlaceEnded, "placement_ended", "A placement is done, or was given up.", "None."},
+	{Order, "order", "An order was sent to an engine.", "None."},
+	{OrderRefused, "order_refused", "An engine refused an order.", "Read the detail; an engine out of memory that the ledger thought free is a bug."},
+	{OrderLost, "order_lost", "An order's answer is lost; its memory stays booked until the engine's state tells.", "Check the engine if it lasts."},
+	{OrderFenced, "order_fenced", "An engine has seen a later fence than this instance's.", "None; another instance plans for the zone."},
+	{OvercommitAvert, "overcommit_averted", "The plan asked for a step that the ledger refused.", "None; rare lines are usual when state changes under a plan."},
+	{EngineOrder, "engine_order", "An order was sent to an announced engine.", "None."},
+	{EngineAnswer, "engine_answer", "What came of an order to an announced engine.", "Many that are lost: check the engine."},
+	{EngineState, "engine_state", "An announced engine was asked for its state.", "None."},
+	{OrderWaits, "order_refused_here", "A peer asked for an order that this instance will not give now.", "Read the reason."},
+	{Leaving, "upstream_leaving", "An upstream is leaving and gets no new work.", "None."},
+	{Announced, "upstream_announced", "A replica announced itself in the platform's list.", "None."},
+	{Vanished, "upstream_vanished", "A replica's entry is gone from the platform's list; it is used for a moment more where nothing better is there.", "None; many at once mean that the platform lost its leases."},
+	{PeerFailed, "peer_failed", "An exchange with a peer failed.", "Check the network between the instances if it lasts."},
+	{PolicyFailed, "policy_failed", "A policy expression failed at run time; its declared default was used.", "Mend the expression."},
+	{CallFailed, "call_failed", "A call got a final answer that is not its upstream's.", "Look the code up in docs/codes.md."},
+	{CallRetried, "call_retried", "A call was sent to another replica after an attempt broke.", "None; watch the rate."},
+	{CallResumed, "call_resumed", "A broken stream goes on at its offset.", "None; watch the rate."},
+	{CallSent, "call_sent", "A forwarded call was sent to a replica: what was expected of it, from which load and how old its announcement was.", "None."},
+	{CallServed, "call_served", "A forwarded call's answer is whole; how long its parts took.", "None."},
+	{CallWaits, "call_waits", "A forwarded call waits here, for an order or for its model.", "None."},
+	{Bug, "bug", "The program met a state that it holds impossible.", "Report it with the line."},
+}
--- a/core/member/member.go
+++ b/core/member/member.go
@@ -12,15 +12,25 @@
 	"time"
 
 	"github.com/birchdrift/birchdrift/core/clock"
-	"github.com/birchdrift/birchdrift/core/route"
-
-	"github.com/cespare/xxhash/v2"
+	"github.com/birchdrift/birchdrift/core/rendezvous"
 )
 
 // SilentAfter is how long a peer may fail every exchange before duties pass it
 // over, though the list still has it.
 const SilentAfter = 10 * time.Second
 
+// An Identity says who an instance is.
+type Identity struct {
+	Name    string // unique in the fleet
+	Zone    string
+	Address string // IP:port of its peers' listener
+	Boot    uint64 // rises with every start of the instance
+	// Processor is the share of a core that it may use, 0 if that is not known.
+	Processor float64
+	// Seeds are addresses (IP:port) of peers known from settings.
+	Seeds []string
+}
+
 // A Peer is another entry instance.
 type Peer struct {
 	Name    string
@@ -151,14 +161,14 @@
 // OnDuty reports whether the instance is among the n that rendezvous hashing
 // names for duty, of itself and its zone's live peers.
 func (t *Table) OnDuty(now clock.Instant, duty string, n int) bool {
-	key := xxhash.Sum64String(duty)
-	own := route.Score(key, t.self)
+	key := rendezvous.Key(duty)
+	own := rendezvous.Score(key, t.self)
 	ahead := 0
 	for _, p := range t.peers {
 		if p.Zone != t.zone || !p.Live(now) {
 			continue
 		}
-		if score := route.Score(key, p.Name); score > own || (score == own && p.Name < t.self) {
+		if score := rendezvous.Score(key, p.Name); score > own || (score == own && p.Name < t.self) {
 			ahead++
 		}
 	}
--- a/core/instance/options.go
+++ b/core/option/option.go
@@ -1,9 +1,12 @@
-package instance
+// Package option provides the tunables of an instance's state machine. A driver
+// fills them from settings. The machine keeps one Options, which all its modules
+// read; a change of settings replaces it between two steps.
+package option
 
 import "time"
 
 // Options are the tunables of a machine. The zero value is not usable; start
-// from DefaultOptions.
+// from Default.
 type Options struct {
 	// LeaseTerm is the term of the planner's lease.
 	LeaseTerm time.Duration
@@ -62,12 +65,28 @@
 	// LoadWait is how long a forwarded call waits for engines to say how busy
 	// they are, in a fleet too large to exchange pairwise; 0: it does not ask.
 	LoadWait time.Duration
-	// OneWatch says that the platform's store is watched as one.
-	OneWatch bool
+	// Environment says what the instance runs in. It is read once, when the
+	// machine is put together.
+	Environment Environment
 	// Disable switches mechanisms off, for tests that show what they prevent.
 	Disable Disabled
 }
 
+// An Environment says what an instance runs in, and so which parts its machine
+// is put together from.
+type Environment int
+
+// The environments.
+const (
+	// Own is the product's own: a key-value service that answers watches of
+	// single keys, and engines that take orders under a zone planner's lease.
+	Own Environment = iota
+	// Platform is a users' platform that is joined through internal/seam: one
+	// watch of its whole store, and engines that announce themselves and take
+	// orders from an owner.
+	Platform
+)
+
 // Disabled names the mechanisms that a test may switch off.
 type Disabled struct {
 	Booking   bool // plan by what engines last reported, without the ledger
@@ -82,8 +101,8 @@
 	Intents      bool // order engines that check nothing without writing it down
 }
 
-// DefaultOptions returns the product's defaults.
-func DefaultOptions() Options {
+// Default returns the product's defaults.
+func Default() Options {
 	return Options{
 		LeaseTerm:     10 * time.Second,
 		ExchangeEvery: 2 * time.Second,
--- a/core/route/forward.go
+++ b/core/route/forward.go
@@ -6,6 +6,7 @@
 
 	"github.com/birchdrift/birchdrift/core/clock"
 	"github.com/birchdrift/birchdrift/core/pool"
+	"github.com/birchdrift/birchdrift/core/rendezvous"
 )
 
 // Tunables of the choice for forwarded calls.
@@ -156,7 +157,7 @@
 		if x, y := a.Total()/bestStep, b.Total()/bestStep; x != y {
 			return x < y
 		}
-		return Score(q.Salt, a.Replica.Name) > Score(q.Salt, b.Replica.Name)
+		return rendezvous.Score(q.Salt, a.Replica.Name) > rendezvous.Score(q.Salt, b.Replica.Name)
 	})
 	return all[:min(n, len(all))]
 }
@@ -221,7 +222,7 @@
 	var best *pool.Replica
 	var top uint64
 	for _, r := range usable {
-		if score := Score(key, r.Name); best == nil || score > top {
+		if score := rendezvous.Score(key, r.Name); best == nil || score > top {
 			best = r
 			top = score
 		}
--- a/core/route/route.go
+++ b/core/route/route.go
@@ -16,10 +16,9 @@
 import (
 	"time"
 
-	"github.com/cespare/xxhash/v2"
-
 	"github.com/birchdrift/birchdrift/core/clock"
 	"github.com/birchdrift/birchdrift/core/pool"
+	"github.com/birchdrift/birchdrift/core/rendezvous"
 )
 
 // Tunables of the choice.
@@ -176,7 +175,7 @@
 		if !r.Usable() {
 			continue
 		}
-		if score := Score(p.blocks[0], r.Name); best == nil || score > top {
+		if score := rendezvous.Score(p.blocks[0], r.Name); best == nil || score > top {
 			best = r
 			top = score
 		}
@@ -184,18 +183,5 @@
 	return best
 }
 
-// Score is the rendezvous weight of name for key.
-func Score(key uint64, name string) uint64 {
-	h := key ^ xxhash.Sum64String(name)
-	// One round of a 64-bit finaliser spreads the combination; without it,
-	// keys that differ in few bits would rank names alike.
-	h ^= h >> 33
-	h *= 0xff51afd7ed558ccd
-	h ^= h >> 33
-	h *= 0xc4ceb9fe1a85ec53
-	h ^= h >> 33
-	return h
-}
-
 // Restarted notes that the replica restarted and its prefix cache is empty.
 func (c *Chooser) Restarted(replica string) { c.memory.Drop(replica) }
--- a/internal/pages/pages.go
+++ b/internal/pages/pages.go
@@ -7,7 +7,7 @@
 	"strings"
 
 	"github.com/birchdrift/birchdrift/core/code"
-	"github.com/birchdrift/birchdrift/core/instance"
+	"github.com/birchdrift/birchdrift/core/logevent"
 	"github.com/birchdrift/birchdrift/internal/settings"
 	"github.com/birchdrift/birchdrift/internal/telemetry"
 )
@@ -61,7 +61,7 @@
 func events() string {
 	var b strings.Builder
 	header(&b, "Log events", "event", "name", "meaning", "remedy")
-	for _, e := range instance.Catalogue {
+	for _, e := range logevent.Catalogue {
 		row(&b, fmt.Sprint(int(e.Number)), e.Name, e.Meaning, e.Remedy)
 	}
 	b.WriteString("\nLogs are JSON lines on standard output; each carries `event`, `instance` and `zone`.\n")
--- a/internal/pages/pages_test.go
+++ b/internal/pages/pages_test.go
@@ -11,7 +11,7 @@
 	"github.com/matryer/is"
 
 	"github.com/birchdrift/birchdrift/core/code"
-	"github.com/birchdrift/birchdrift/core/instance"
+	"github.com/birchdrift/birchdrift/core/logevent"
 )
 
 var update = flag.Bool("update", false, "write the generated pages")
@@ -44,8 +44,8 @@
 	for i := 1; i < len(code.Table); i++ {
 		is.True(code.Table[i-1].Code < code.Table[i].Code) // codes rise
 	}
-	for i := 1; i < len(instance.Catalogue); i++ {
-		is.True(instance.Catalogue[i-1].Number < instance.Catalogue[i].Number) // events rise
+	for i := 1; i < len(logevent.Catalogue); i++ {
+		is.True(logevent.Catalogue[i-1].Number < logevent.Catalogue[i].Number) // events rise
 	}
 }
 
--- a/internal/peer/peerpb/peer.twirp.go
+++ b/internal/peer/peerpb/peer.twirp.go
@@ -3,23 +3,36 @@
 
 package peerpb
 
-import context "context"
-import fmt "fmt"
-import http "net/http"
-import io "io"
-import json "encoding/json"
-import strconv "strconv"
-import strings "strings"
-
-import protojson "google.golang.org/protobuf/encoding/protojson"
-import proto "google.golang.org/protobuf/proto"
-import twirp "github.com/twitchtv/twirp"
-import ctxsetters "github.com/twitchtv/twirp/ctxsetters"
-
-import bytes "bytes"
-import errors "errors"
-import path "path"
-import url "net/url"
+import (
+	context "context"
+	fmt "fmt"
+
+	http "net/http"
+
+	io "io"
+
+	json "encoding/json"
+
+	strconv "strconv"
+
+	strings "strings"
+
+	protojson "google.golang.org/protobuf/encoding/protojson"
+
+	proto "google.golang.org/protobuf/proto"
+
+	twirp "github.com/twitchtv/twirp"
+
+	ctxsetters "github.com/twitchtv/twirp/ctxsetters"
+
+	bytes "bytes"
+
+	errors "errors"
+
+	path "path"
+
+	url "net/url"
+)
 
 // Version compatibility assertion.
 // If the constant is not defined in the package, that likely means
--- a/internal/server/follow.go
+++ b/internal/server/follow.go
@@ -9,6 +9,7 @@
 	"time"
 
 	"github.com/birchdrift/birchdrift/core/instance"
+	"github.com/birchdrift/birchdrift/core/logevent"
 	"github.com/birchdrift/birchdrift/internal/settings"
 )
 
@@ -65,12 +66,12 @@
 	s.file = file
 	if len(faults) > 0 {
 		for _, f := range faults {
-			s.log.Info(instance.NoteReloadRefused.Name(), "event", int(instance.NoteReloadRefused), "detail", f.Error())
+			s.log.Info(logevent.ReloadRefused.Name(), "event", int(logevent.ReloadRefused), "detail", f.Error())
 		}
 		return
 	}
 	s.level.Set(set.LogLevel)
 	limitMemory(set.MemoryLimit)
 	s.shell.Retune(instance.Retune{Options: set.Options(), Seeds: set.Seeds})
-	s.log.Info(instance.NoteReloaded.Name(), "event", int(instance.NoteReloaded), "settings", set.String())
+	s.log.Info(logevent.Reloaded.Name(), "event", int(logevent.Reloaded), "settings", set.String())
 }
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -20,6 +20,9 @@
 	"golang.org/x/sync/errgroup"
 
 	"github.com/birchdrift/birchdrift/core/instance"
+	"github.com/birchdrift/birchdrift/core/logevent"
+	"github.com/birchdrift/birchdrift/core/member"
+	"github.com/birchdrift/birchdrift/core/option"
 	"github.com/birchdrift/birchdrift/internal/engine"
 	"github.com/birchdrift/birchdrift/internal/entry"
 	"github.com/birchdrift/birchdrift/internal/forward"
@@ -43,7 +46,7 @@
 // A Server is one entry instance.
 type Server struct {
 	set       settings.Settings
-	opt       instance.Options
+	opt       option.Options
 	log       logr.Logger
 	tracer    *telemetry.Tracer
 	shell     *shell.Shell
@@ -83,7 +86,7 @@
 // New binds the listeners and wires the instance, whose tunables are opt, to the
 // environment that enter joins it to; Run starts it. Logs go to logs, spans to
 // spans.
-func New(set settings.Settings, opt instance.Options, enter Enter, logs, spans io.Writer) (*Server, error) {
+func New(set settings.Settings, opt option.Options, enter Enter, logs, spans io.Writer) (*Server, error) {
 	level := new(slog.LevelVar)
 	level.Set(set.LogLevel)
 	metrics := telemetry.NewMetrics()
@@ -125,7 +128,7 @@
 	metrics := s.metrics
 	transports := upstream.NewTransports()
 	environment := enter(s.set, transports)
-	self := instance.Identity{
+	self := member.Identity{
 		Name: s.set.Name, Zone: s.set.Zone, Address: s.set.Advertise,
 		Boot: uint64(time.Now().UnixNano()), Seeds: s.set.Seeds, Processor: s.set.Processor,
 	}
@@ -174,7 +177,7 @@
 	group.Go(s.shell.Run)
 	group.Go(s.follow)
 	callers, peers, operations := s.Addresses()
-	s.log.Info("listening", "event", int(instance.NoteListening), "callers", callers, "peers", peers, "operations", operations)
+	s.log.Info("listening", "event", int(logevent.Listening), "callers", callers, "peers", peers, "operations", operations)
 	for _, l := range s.listeners {
 		group.Go(func() error {
 			if err := l.http.Serve(l.net); !errors.Is(err, http.ErrServerClosed) {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -20,7 +20,7 @@
 	"github.com/urfave/cli/v3"
 
 	"github.com/birchdrift/birchdrift/core/code"
-	"github.com/birchdrift/birchdrift/core/instance"
+	"github.com/birchdrift/birchdrift/core/option"
 )
 
 // EnvPrefix begins every environment variable.
@@ -172,8 +172,8 @@
 }
 
 // Options returns the machine's tunables.
-func (s Settings) Options() instance.Options {
-	opt := instance.DefaultOptions()
+func (s Settings) Options() option.Options {
+	opt := option.Default()
 	opt.Stall = s.Stall
 	opt.MaxWaiting = s.MaxWaiting
 	opt.DefaultWait = s.DefaultWait
@@ -191,7 +191,9 @@
 	opt.MeshEvery = s.MeshEvery
 	opt.TurnGap = s.TurnGap
 	opt.LoadWait = s.LoadWait
-	opt.OneWatch = s.Environment != EnvironmentOwn
+	if s.Environment != EnvironmentOwn {
+		opt.Environment = option.Platform
+	}
 	return opt
 }
 
--- a/internal/shell/actions.go
+++ b/internal/shell/actions.go
@@ -10,6 +10,7 @@
 
 	"github.com/birchdrift/birchdrift/core/config"
 	"github.com/birchdrift/birchdrift/core/instance"
+	"github.com/birchdrift/birchdrift/core/logevent"
 	"github.com/birchdrift/birchdrift/core/share"
 	"github.com/birchdrift/birchdrift/internal/keyvalue"
 	"github.com/birchdrift/birchdrift/internal/peer"
@@ -93,7 +94,7 @@
 		}
 	case instance.Install:
 		s.snapshot.install = act.Snapshot
-	case instance.Note:
+	case instance.Log:
 		s.log.Info(act.Event.Name(), append([]any{"event", int(act.Event)}, act.Fields...)...)
 	case instance.Exit:
 		s.exited <- act
@@ -112,7 +113,7 @@
 	select {
 	case box.actions <- a:
 	default:
-		s.log.Error(nil, "bug", "event", int(instance.NoteBug), "detail", "a call's mailbox is full", "call", uint64(id))
+		s.log.Error(nil, "bug", "event", int(logevent.Bug), "detail", "a call's mailbox is full", "call", uint64(id))
 	}
 }
 
@@ -218,7 +219,7 @@
 func (s *Shell) postConfig(data []byte, source string) {
 	snapshot, err := s.loadConfig(data)
 	if err != nil {
-		s.log.Info(instance.NoteConfigFailed.Name(), "event", int(instance.NoteConfigFailed), "source", source, "error", err.Error())
+		s.log.Info(logevent.ConfigFailed.Name(), "event", int(logevent.ConfigFailed), "source", source, "error", err.Error())
 		s.post(instance.ConfigReply{Source: source})
 		return
 	}
--- a/internal/shell/shell.go
+++ b/internal/shell/shell.go
@@ -18,6 +18,7 @@
 	"github.com/birchdrift/birchdrift/core/clock"
 	"github.com/birchdrift/birchdrift/core/config"
 	"github.com/birchdrift/birchdrift/core/instance"
+	"github.com/birchdrift/birchdrift/core/member"
 	"github.com/birchdrift/birchdrift/core/share"
 	"github.com/birchdrift/birchdrift/internal/engine"
 	"github.com/birchdrift/birchdrift/internal/keyvalue"
@@ -59,7 +60,7 @@
 // A Shell runs one machine.
 type Shell struct {
 	machine  *instance.Machine
-	self     instance.Identity
+	self     member.Identity
 	adapters Adapters
 	log      logr.Logger
 	metrics  *telemetry.Metrics
@@ -79,7 +80,7 @@
 }
 
 // New returns a shell that lives as long as ctx; Run starts it.
-func New(ctx context.Context, self instance.Identity, m *instance.Machine, a Adapters, log logr.Logger, metrics *telemetry.Metrics) *Shell {
+func New(ctx context.Context, self member.Identity, m *instance.Machine, a Adapters, log logr.Logger, metrics *telemetry.Metrics) *Shell {
 	return &Shell{
 		machine:  m,
 		self:     self,
--- a/internal/shell/shell_test.go
+++ b/internal/shell/shell_test.go
@@ -15,6 +15,8 @@
 
 	"github.com/birchdrift/birchdrift/core/clock"
 	"github.com/birchdrift/birchdrift/core/instance"
+	"github.com/birchdrift/birchdrift/core/member"
+	"github.com/birchdrift/birchdrift/core/option"
 	"github.com/birchdrift/birchdrift/core/share"
 	"github.com/birchdrift/birchdrift/internal/engine"
 	"github.com/birchdrift/birchdrift/internal/keyvalue"
@@ -38,9 +40,9 @@
 // peer is at seed.
 func running(t *testing.T, seed string) *Shell {
 	t.Helper()
-	opt := instance.DefaultOptions()
+	opt := option.Default()
 	opt.ExchangeEvery = 20 * time.Millisecond
-	self := instance.Identity{Name: "entry-1", Zone: "z1", Address: "127.0.0.1:1", Boot: 1, Seeds: []string{seed}}
+	self := member.Identity{Name: "entry-1", Zone: "z1", Address: "127.0.0.1:1", Boot: 1, Seeds: []string{seed}}
 	transports := upstream.NewTransports()
 	adapters := Adapters{
 		Platform: keyvalue.NewClient(nobody(t), transports),
--- a/internal/telemetry/metrics.go
+++ b/internal/telemetry/metrics.go
@@ -10,6 +10,7 @@
 	"github.com/VictoriaMetrics/metrics"
 
 	"github.com/birchdrift/birchdrift/core/instance"
+	"github.com/birchdrift/birchdrift/core/logevent"
 )
 
 // Metrics are the measures of one instance. They are safe for concurrent use.
@@ -88,19 +89,19 @@
 	switch act := a.(type) {
 	case instance.SendOrder:
 		m.set.GetOrCreateCounter(fmt.Sprintf(`birchdrift_orders_total{op="%s"}`, act.Order.Op)).Inc()
-	case instance.Note:
+	case instance.Log:
 		m.note(act.Event)
 	}
 }
 
-func (m *Metrics) note(n instance.Number) {
+func (m *Metrics) note(n logevent.Number) {
 	m.set.GetOrCreateCounter(fmt.Sprintf(`birchdrift_notes_total{event="%d"}`, n)).Inc()
 	switch n {
-	case instance.NoteCallRetried:
+	case logevent.CallRetried:
 		m.retries.Inc()
-	case instance.NoteCallResumed:
+	case logevent.CallResumed:
 		m.resumes.Inc()
-	case instance.NotePolicyFailed:
+	case logevent.PolicyFailed:
 		m.policyFails.Inc()
 	}
 }
