--- a/core/demand/demand.go
+++ b/core/demand/demand.go
@@ -8,7 +8,9 @@
 package demand
 
 import (
+	"maps"
 	"math"
+	"slices"
 	"sort"
 	"time"
 
@@ -191,7 +193,10 @@
 // SumOf returns the demand that the instances for which keep is true reported.
 func (b *Board) SumOf(now clock.Instant, keep func(instance string) bool) []Item {
 	sums := map[string]Item{}
-	for name, r := range b.reports {
+	// In the order of their names: sums of floating-point numbers differ with
+	// the order, and the machine must decide alike on the same events.
+	for _, name := range slices.Sorted(maps.Keys(b.reports)) {
+		r := b.reports[name]
 		if now.Since(r.at) > stale {
 			delete(b.reports, name)
 			continue
