--- /dev/null
+++ b/core/asks/asks.go
@@ -0,0 +1,163 @@
+// Package asks asks the owners of engines for orders.
+//
+// Any instance may need an order: for an adapter that a call waits for, or for a
+// model that it places. Only the engine's owner gives it. An order is asked for
+// once, however many calls wait for it, and one that was refused is not asked for
+// again for a moment.
+package asks
+
+import (
+	"time"
+
+	"github.com/birchdrift/birchdrift/core/calls"
+	"github.com/birchdrift/birchdrift/core/clock"
+	"github.com/birchdrift/birchdrift/core/member"
+	"github.com/birchdrift/birchdrift/core/orders"
+	"github.com/birchdrift/birchdrift/core/owned"
+	"github.com/birchdrift/birchdrift/core/pool"
+	"github.com/birchdrift/birchdrift/core/registry"
+	"github.com/birchdrift/birchdrift/core/step"
+)
+
+// refusedSpan is how long an order that was refused is not asked for again. Not
+// measured: an engine that was busy with another order is free by then.
+const refusedSpan = 300 * time.Millisecond
+
+// A Key names an order asked for.
+type Key struct {
+	Engine  string
+	Request orders.Request
+}
+
+type (
+	// Ask is an action: ask the owner of an engine for an order.
+	Ask struct {
+		Peer    string // the owner
+		Address string // of the owner
+		Engine  string
+		Request orders.Request
+	}
+	// Reply is the event that answers an Ask.
+	Reply struct {
+		Engine  string
+		Request orders.Request
+		Outcome owned.Outcome
+		Detail  string
+	}
+)
+
+// IsAction implements step.Action.
+func (Ask) IsAction() {}
+
+// IsEvent implements step.Event.
+func (Reply) IsEvent() {}
+
+// Asks are the orders asked for and not settled. The fields must be set before
+// its use.
+type Asks struct {
+	Self    member.Identity
+	Out     *step.Output
+	Members *member.Table
+	Pool    *pool.Pool
+	Owned   *owned.Engines
+	// Owner returns who owns an engine, as far as is known.
+	Owner func(engine string) (registry.Ownership, bool)
+	// Resume has a call that waited for an order look for its replica again.
+	Resume func(now clock.Instant, id calls.ID)
+
+	waiting map[Key][]calls.ID // calls that wait, by the order asked for
+	refused map[Key]clock.Instant
+}
+
+// New returns asks of which none is under way.
+func New() *Asks {
+	return &Asks{waiting: map[Key][]calls.ID{}, refused: map[Key]clock.Instant{}}
+}
+
+// Possible reports whether an order can be asked for now.
+func (a *Asks) Possible(now clock.Instant, key Key) bool {
+	if at, ok := a.refused[key]; ok {
+		if now.Since(at) < refusedSpan {
+			return false
+		}
+		delete(a.refused, key)
+	}
+	return a.OwnerReachable(now, key.Engine)
+}
+
+// OwnerReachable reports whether somebody is known who orders the engine, and
+// answered lately.
+func (a *Asks) OwnerReachable(now clock.Instant, engine string) bool {
+	if e := a.Owned.Get(engine); e != nil {
+		return a.Owned.Orderable(now, e)
+	}
+	o, ok := a.Owner(engine)
+	if !ok || o.Owner == "" || o.Owner == a.Self.Name {
+		return false
+	}
+	p := a.Members.Get(o.Owner)
+	return p != nil && !p.Leaving && !p.Failing()
+}
+
+// UnderWay reports whether an order was asked for and is not settled.
+func (a *Asks) UnderWay(key Key) bool {
+	_, ok := a.waiting[key]
+	return ok
+}
+
+// For asks for an order.
+func (a *Asks) For(now clock.Instant, key Key) {
+	if a.UnderWay(key) {
+		return
+	}
+	a.waiting[key] = nil
+	a.begin(now, key)
+}
+
+// ForCall asks for an order that a call waits for; the call is resumed once the
+// order is settled, whatever came of it.
+func (a *Asks) ForCall(now clock.Instant, key Key, id calls.ID) {
+	_, underWay := a.waiting[key]
+	a.waiting[key] = append(a.waiting[key], id)
+	if !underWay {
+		a.begin(now, key)
+	}
+}
+
+func (a *Asks) begin(now clock.Instant, key Key) {
+	if e := a.Owned.Get(key.Engine); e != nil {
+		a.Owned.Request(now, e, key.Request)
+		return
+	}
+	o, _ := a.Owner(key.Engine) // none is found below, as an unknown member
+	p := a.Members.Get(o.Owner)
+	if p == nil {
+		a.Settled(now, key, owned.Failed, "its owner is not known")
+		return
+	}
+	a.Out.Do(Ask{Peer: p.Name, Address: p.Address, Engine: key.Engine, Request: key.Request})
+}
+
+// Replied takes in what an owner answered.
+func (a *Asks) Replied(now clock.Instant, r Reply) {
+	a.Settled(now, Key{r.Engine, r.Request}, r.Outcome, r.Detail)
+}
+
+// Settled takes in what came of an order asked for: the calls that wait for it go
+// to the engine, or look for another.
+func (a *Asks) Settled(now clock.Instant, key Key, o owned.Outcome, detail string) {
+	waiting, ok := a.waiting[key]
+	if !ok {
+		return
+	}
+	delete(a.waiting, key)
+	if o == owned.Done && key.Request.Load {
+		a.Pool.Hold(key.Engine, key.Request.Item())
+	}
+	if o == owned.Refused || o == owned.Failed {
+		a.refused[key] = now
+	}
+	for _, id := range waiting {
+		a.Resume(now, id)
+	}
+}
--- /dev/null
+++ b/core/calls/call.go
@@ -0,0 +1,118 @@
+// Package calls keeps the calls in progress on one instance: what every call
+// has, the queue of those that wait for a replica, and how each comes to its one
+// final answer.
+//
+// What differs between the kinds of call, forwarded ones (core/forwarding) and
+// those of the product's own interface (core/own/modelcalls), is a Kind: a set
+// of functions that the table calls.
+//
+// Invariants: a call that was taken in gets exactly one of Finish, Relay, or a
+// Dispatch whose Done ends it, unless its caller leaves; a call waits in the
+// queue exactly while its phase is Waiting and it was put there.
+package calls
+
+import (
+	"time"
+
+	"github.com/birchdrift/birchdrift/core/attempt"
+	"github.com/birchdrift/birchdrift/core/clock"
+	"github.com/birchdrift/birchdrift/core/code"
+	"github.com/birchdrift/birchdrift/core/own/choose"
+	"github.com/birchdrift/birchdrift/core/pool"
+	"github.com/birchdrift/birchdrift/core/route"
+)
+
+// An ID names one call on one instance.
+type ID uint64
+
+// A Request is what the machine needs to know of a call that arrives.
+type Request struct {
+	ID             ID
+	Service        string
+	Plain          bool   // under /services/, not a model call
+	Path           string // of a plain call, below the service
+	Key            string // the caller's key, "" if none was sent
+	IdempotencyKey string
+	NotRepeatable  bool // marked so by the call itself
+	Replayable     bool // its body can be sent a second time
+	PromptTokens   int
+	MaxTokens      int
+	Prefix         choose.Prefix
+	Forward        *Forwarded // of a forwarded call; nil for the own interface
+}
+
+// A Forwarded is what a forwarded call says of itself.
+type Forwarded struct {
+	Name       string // the caller's identity of the call, for logs
+	Host       string
+	Model      string // "" if the call names none
+	Adapter    string
+	Parts      []route.Part // shared parts of the prompt, in order
+	LengthHint int
+	Deadline   time.Duration // how long the caller will wait; 0 if it does not say
+}
+
+// A Phase says where a call stands.
+type Phase int
+
+// The phases.
+const (
+	Claiming Phase = iota + 1 // its idempotency key is being claimed
+	Waiting                   // it looks for a replica, or waits in the queue
+	Running                   // a replica has it
+	Fetching                  // it waits for an order that it needs
+	Probing                   // it waits for engines to say how busy they are
+)
+
+// A Call is one call in progress.
+type Call struct {
+	Request
+	Kind  *Kind
+	State any // the kind's own
+
+	Item     string        // adapter or model that must be ready; "" if it needs none
+	Target   time.Duration // in which its first answer is due, from its arrival
+	Priority int           // higher goes first
+	Arrived  clock.Instant
+	Expires  clock.Instant // when it is given up, whatever its phase; zero: never
+
+	Phase    Phase
+	History  attempt.History
+	Replica  string // while running
+	Started  clock.Instant
+	Answered bool // the first piece of the answer came
+}
+
+// A Kind is what differs between kinds of call.
+type Kind struct {
+	// Place sends the call to the best replica, has it wait, or refuses it.
+	Place func(now clock.Instant, c *Call)
+	// First takes in that the first piece of the answer came.
+	First func(now clock.Instant, c *Call)
+	// Broke decides what follows an attempt that failed.
+	Broke func(now clock.Instant, c *Call, b Broke)
+	// Served takes in that the answer is whole.
+	Served func(now clock.Instant, c *Call)
+	// Cancel has a replica drop what it does for the call.
+	Cancel func(c *Call, r *pool.Replica)
+	// NotRun is told of a call that ends and certainly did not run.
+	NotRun func(c *Call)
+	// LeftQueue is told of a call that does not wait in the queue any more.
+	LeftQueue func(c *Call)
+}
+
+// Label names the call in logs: by its caller's identity where it has one.
+func (c *Call) Label() any {
+	if c.Forward != nil {
+		return c.Forward.Name
+	}
+	return uint64(c.ID)
+}
+
+// Late reports whether the call's target has passed already.
+func (c *Call) Late(now clock.Instant) bool { return now.Since(c.Arrived) > c.Target }
+
+// NotRun returns the refusal of a call that certainly did not run.
+func NotRun(c code.Code, detail string, after time.Duration) code.Refusal {
+	return code.Refusal{Code: c, Run: code.NotRun, RetryAfter: after, Detail: detail}
+}
--- /dev/null
+++ b/core/calls/queue.go
@@ -0,0 +1,104 @@
+package calls
+
+import (
+	"slices"
+	"sort"
+
+	"github.com/birchdrift/birchdrift/core/clock"
+	"github.com/birchdrift/birchdrift/core/code"
+)
+
+// The queue of calls that wait for a replica.
+
+// Queued reports whether the call waits in the queue.
+func (t *Table) Queued(c *Call) bool { return slices.Contains(t.queue, c) }
+
+// Wait puts the call into the queue. One that is full refuses the least
+// important call, which may be this one.
+func (t *Table) Wait(c *Call) {
+	if c.Phase == Waiting && t.Queued(c) {
+		return
+	}
+	if len(t.queue) >= t.Options.MaxWaiting && !t.displace(c) {
+		t.Refuse(c, NotRun(code.NoCapacity, "too many calls wait", t.RetryAfter(0)))
+		return
+	}
+	c.Phase = Waiting
+	t.queue = append(t.queue, c)
+}
+
+// displace refuses the least important waiting call if c matters more.
+func (t *Table) displace(c *Call) bool {
+	var least *Call
+	for _, x := range t.queue {
+		if least == nil || x.Priority < least.Priority {
+			least = x
+		}
+	}
+	if least == nil || least.Priority >= c.Priority {
+		return false
+	}
+	t.Refuse(least, NotRun(code.NoCapacity, "gave way to a more important call", t.RetryAfter(0)))
+	return true
+}
+
+// LeaveQueue takes the call out of the queue, if it is there.
+func (t *Table) LeaveQueue(c *Call) {
+	if i := slices.Index(t.queue, c); i >= 0 {
+		t.queue = slices.Delete(t.queue, i, i+1)
+	}
+	c.Kind.LeftQueue(c)
+}
+
+// Changed reports whether something changed since the last look over the queue
+// that could let a call go on.
+func (t *Table) Changed() bool { return t.Pool.Touched() != t.lookedAt }
+
+// Retry looks again for replicas of the calls that wait, in order.
+func (t *Table) Retry(now clock.Instant) {
+	if len(t.queue) == 0 {
+		return
+	}
+	t.lookedAt = t.Pool.Touched()
+	var waiting []*Call
+	for _, c := range t.inOrder(now) {
+		if c.Phase != Waiting || t.calls[c.ID] != c {
+			continue // displaced meanwhile
+		}
+		c.Kind.Place(now, c)
+		if c.Phase == Waiting {
+			waiting = append(waiting, c)
+		}
+	}
+	if t.StillWaiting != nil {
+		t.StillWaiting(now, waiting)
+	}
+}
+
+// inOrder returns the waiting calls in the order in which they are tried: the
+// most important first, then those that can still meet their targets, the newest
+// of them first, then the oldest of the rest. Under overload the oldest of those
+// still in time would each be served just too late; with the newest first useful
+// work fell to 0.80 of what it was instead of 0.54 (docs/measurements-own.md,
+// "Overload").
+func (t *Table) inOrder(now clock.Instant) []*Call {
+	queue := slices.Clone(t.queue)
+	late := make(map[*Call]bool, len(queue))
+	for _, c := range queue {
+		late[c] = c.Late(now)
+	}
+	sort.SliceStable(queue, func(i, j int) bool {
+		a, b := queue[i], queue[j]
+		if a.Priority != b.Priority {
+			return a.Priority > b.Priority
+		}
+		if late[a] != late[b] {
+			return late[b]
+		}
+		if !late[a] {
+			return b.Arrived.Before(a.Arrived)
+		}
+		return a.Arrived.Before(b.Arrived)
+	})
+	return queue
+}
--- a/core/clock/clock.go
+++ b/core/clock/clock.go
@@ -39,3 +39,11 @@
 
 // IsZero reports whether t was never set.
 func (t Instant) IsZero() bool { return t.Mono == 0 && t.Wall.IsZero() }
+
+// Latest returns the later of two instants.
+func Latest(a, b Instant) Instant {
+	if a.Before(b) {
+		return b
+	}
+	return a
+}
--- a/core/config/snapshot.go
+++ b/core/config/snapshot.go
@@ -90,6 +90,19 @@
 	return Service{}, false
 }
 
+// EnginePool returns the engines that announce themselves for a service; ok is
+// false if the service has none, or there is no configuration.
+func (s *Snapshot) EnginePool(service string) (p *EnginePool, ok bool) {
+	if s == nil {
+		return nil, false
+	}
+	svc, found := s.Service(service)
+	if !found || svc.Announced == nil || svc.Announced.Engine == nil {
+		return nil, false
+	}
+	return svc.Announced.Engine, true
+}
+
 // Model returns the model with this name.
 func (s *Snapshot) Model(name string) (Model, bool) {
 	if m, ok := s.models[name]; ok {
@@ -202,3 +215,14 @@
 	sort.Strings(names)
 	return names
 }
+
+// A Current holds the configuration in force on one instance. The modules of its
+// machine share it; only the installation of a newer revision writes it. A
+// Current without a snapshot has revision 0.
+type Current struct {
+	*Snapshot
+	Encoded []byte // the snapshot as it came, to be handed to peers
+}
+
+// Known reports whether there is a configuration at all.
+func (c *Current) Known() bool { return c.Snapshot != nil }
--- /dev/null
+++ b/core/exchange/exchange.go
@@ -0,0 +1,284 @@
+// Package exchange spreads what instances tell each other: records of replicas
+// and of the registry, what each has in flight, the demand of its callers, and
+// which revision of the configuration it has.
+//
+// Each exchange is one request and one answer between two instances, and carries
+// only what became new since the other confirmed (core/share). In a small fleet
+// every instance exchanges with every other (full mesh). In a large one each
+// exchanges with its neighbours on a ring, and with the instances that have news
+// first.
+//
+// The package owns the rhythm of the exchanges, what each peer said of itself
+// last, and the pull of a newer configuration. What records mean is for the
+// modules that they are handed to.
+package exchange
+
+import (
+	"math/rand/v2"
+	"time"
+
+	"github.com/birchdrift/birchdrift/core/clock"
+	"github.com/birchdrift/birchdrift/core/config"
+	"github.com/birchdrift/birchdrift/core/demand"
+	"github.com/birchdrift/birchdrift/core/logevent"
+	"github.com/birchdrift/birchdrift/core/member"
+	"github.com/birchdrift/birchdrift/core/option"
+	"github.com/birchdrift/birchdrift/core/pool"
+	"github.com/birchdrift/birchdrift/core/registry"
+	"github.com/birchdrift/birchdrift/core/share"
+	"github.com/birchdrift/birchdrift/core/step"
+	"github.com/birchdrift/birchdrift/core/watchers"
+)
+
+type (
+	// Begin is an action: begin an exchange with a peer.
+	Begin struct {
+		Peer    string // "" when only the address is known
+		Address string
+		Message share.Message
+	}
+	// Reply is the event that answers a Begin.
+	Reply struct {
+		Peer    string
+		Address string
+		Message share.Message
+		Err     error
+	}
+	// Asked is the event that a peer began an exchange. It is answered with an
+	// Answer of the same Token.
+	Asked struct {
+		Token   uint64
+		Message share.Message
+	}
+	// Answer is the action that ends an exchange that a peer began.
+	Answer struct {
+		Token   uint64
+		Message share.Message
+	}
+)
+
+// IsAction implements step.Action.
+func (Begin) IsAction() {}
+
+// IsAction implements step.Action.
+func (Answer) IsAction() {}
+
+// IsEvent implements step.Event.
+func (Reply) IsEvent() {}
+
+// IsEvent implements step.Event.
+func (Asked) IsEvent() {}
+
+// Needs are what exchanges need of the other modules. The functions must be set
+// before the first event.
+type Needs struct {
+	Self    member.Identity
+	Options *option.Options
+	Rand    *rand.Rand
+	Out     *step.Output
+	Members *member.Table
+	Pool    *pool.Pool
+	Records *share.Store
+	Config  *config.Current
+	Roster  *watchers.Roster
+
+	// Stopping reports whether a planned stop has begun.
+	Stopping func() bool
+	// NextPeer returns whom to exchange with in a round, nil to leave it to the
+	// ring of neighbours.
+	NextPeer func(now clock.Instant, round int) *member.Peer
+	// PlatformBrings reports whether this instance will hear of a newer
+	// configuration from the platform itself.
+	PlatformBrings func(now clock.Instant) bool
+	// DemandFor returns the demand that a peer is told of, DemandHeard takes in
+	// what a peer told.
+	DemandFor   func(now clock.Instant, peer string) []demand.Item
+	DemandHeard func(now clock.Instant, peer string, items []demand.Item)
+	// Listed and Registered take in records; from is who told of them.
+	Listed     func(now clock.Instant, from string, l share.Listed)
+	Registered func(now clock.Instant, from string, records []registry.Record)
+	// Used notes that an item of an engine is in use.
+	Used func(now clock.Instant, engine, item string)
+}
+
+// Exchanges are one instance's exchanges with its peers.
+type Exchanges struct {
+	Needs
+	seeds  []string // addresses known from settings
+	rhythm rhythm
+	pull   pull
+	peers  map[string]peerState
+	flying map[string]bool // exchanges under way, by address
+
+	storeVersion uint64        // up to where the platform's store was heard at first hand
+	storeAt      clock.Instant // when the newest news of the store, from whomever, left it
+}
+
+// A peerState is what a peer said of itself last.
+type peerState struct {
+	boot     uint64
+	stamp    uint64 // of its records, when it said so
+	revision uint64 // of the configuration in force there
+	store    uint64 // up to where it heard the platform's store at first hand
+	acked    uint64 // what it confirmed of this instance's records
+}
+
+// New returns the exchanges of an instance that has heard of nobody.
+func New(n Needs) *Exchanges {
+	return &Exchanges{Needs: n, seeds: n.Self.Seeds, peers: map[string]peerState{}, flying: map[string]bool{}}
+}
+
+// SetSeeds takes over changed addresses of peers known from settings.
+func (x *Exchanges) SetSeeds(seeds []string) { x.seeds = seeds }
+
+// StoreHeard notes that the platform's store was heard at first hand: of
+// everything up to version, by a watch that was sent at sent.
+func (x *Exchanges) StoreHeard(sent clock.Instant) { x.storeAt = clock.Latest(x.storeAt, sent) }
+
+// StoreVersion notes up to where the store was heard at first hand.
+func (x *Exchanges) StoreVersion(version uint64) { x.storeVersion = version }
+
+// StoreAge returns how old the newest news of the store is.
+func (x *Exchanges) StoreAge(now clock.Instant) time.Duration { return now.Since(x.storeAt) }
+
+// With begins an exchange with a peer, if there is one and none is under way.
+func (x *Exchanges) With(now clock.Instant, p *member.Peer) {
+	if p == nil || x.flying[p.Address] {
+		return
+	}
+	x.flying[p.Address] = true
+	x.Out.Do(Begin{Peer: p.Name, Address: p.Address, Message: x.message(now, p.Name)})
+}
+
+// WithZone begins an exchange with each peer of this instance's zone.
+func (x *Exchanges) WithZone(now clock.Instant) {
+	for _, p := range x.Members.InZone(true) {
+		x.With(now, p)
+	}
+}
+
+// message composes one side of an exchange with the peer, "" if its name is not
+// known yet.
+func (x *Exchanges) message(now clock.Instant, peer string) share.Message {
+	known := x.peers[peer]
+	sameZone := false
+	if p := x.Members.Get(peer); p != nil {
+		sameZone = p.Zone == x.Self.Zone
+	}
+	msg := share.Message{
+		From:         x.Self.Name,
+		Zone:         x.Self.Zone,
+		Address:      x.Self.Address,
+		Boot:         x.Self.Boot,
+		Leaving:      x.Stopping(),
+		Revision:     x.Config.Revision(),
+		StoreAge:     now.Since(x.storeAt),
+		StoreVersion: x.storeVersion,
+		Stamp:        x.Records.Stamp(),
+		AckBoot:      known.boot,
+		Ack:          known.stamp,
+		Records:      x.Records.Since(known.acked, peer, sameZone, known.store),
+	}
+	msg.Demand = x.DemandFor(now, peer)
+	if x.Options.MeshEvery > 0 {
+		msg.Uses = x.Pool.OwnUse(now)
+	}
+	return msg
+}
+
+// Asked answers an exchange that a peer began.
+func (x *Exchanges) Asked(now clock.Instant, e Asked) {
+	x.take(now, e.Message)
+	reply := x.message(now, e.Message.From)
+	if e.Message.WantConfig && e.Message.Revision < x.Config.Revision() {
+		reply.Config = x.Config.Encoded
+	}
+	x.Out.Do(Answer{Token: e.Token, Message: reply})
+}
+
+// Replied takes in what came of an exchange that this instance began.
+func (x *Exchanges) Replied(now clock.Instant, e Reply) {
+	delete(x.flying, e.Address)
+	if e.Err != nil {
+		if p := x.Members.Get(e.Peer); p != nil && p.Live(now) {
+			x.Out.Log(logevent.PeerFailed, "peer", e.Peer, "error", e.Err.Error())
+		}
+		x.Members.Failed(now, e.Peer)
+		x.pullNewer(now)
+		return
+	}
+	x.take(now, e.Message)
+}
+
+// take takes in what a peer said.
+func (x *Exchanges) take(now clock.Instant, msg share.Message) {
+	if msg.From == "" || msg.From == x.Self.Name {
+		return
+	}
+	x.Members.Learn(msg.From, msg.Zone, msg.Address)
+	x.Members.SetLeaving(msg.From, msg.Leaving)
+	x.Members.Heard(now, msg.From)
+	former := x.peers[msg.From]
+	state := peerState{boot: msg.Boot, stamp: msg.Stamp, revision: msg.Revision, store: msg.StoreVersion}
+	// What a new boot confirms may have been composed for the boot before it. A
+	// peer that confirms another boot of this instance has nothing of this one.
+	if msg.AckBoot == x.Self.Boot && (former.boot == msg.Boot || former.boot == 0) {
+		state.acked = msg.Ack
+	}
+	x.peers[msg.From] = state
+	x.takeRecords(now, msg.From, msg.Records)
+	if msg.StoreAge > 0 {
+		x.storeAt = clock.Latest(x.storeAt, now.Add(-msg.StoreAge))
+	}
+	x.takeUses(now, msg)
+	if len(msg.Demand) > 0 {
+		x.DemandHeard(now, msg.From, msg.Demand)
+	}
+	x.pull.heard(now, msg.Revision, x.Config.Revision())
+	if len(msg.Config) == 0 {
+		x.pullNewer(now)
+	}
+}
+
+func (x *Exchanges) takeRecords(now clock.Instant, from string, r share.Records) {
+	for _, res := range r.Residencies {
+		if x.Records.AddResidency(from, res) {
+			x.LogLeaving(res)
+			x.Pool.ObserveResidency(now, res.Engine, res.Residency)
+			x.News(now)
+		}
+	}
+	for _, l := range r.Loads {
+		if x.Records.AddLoad(from, l) {
+			x.Pool.ObserveLoad(now, l.Engine, l.Load)
+		}
+	}
+	for _, l := range r.Listed {
+		x.Listed(now, from, l)
+	}
+	for _, h := range r.Holders {
+		x.Records.AddHolder(from, h)
+	}
+	x.Registered(now, from, r.Registered)
+}
+
+// LogLeaving logs that an engine says for the first time that it is leaving.
+func (x *Exchanges) LogLeaving(res share.Residency) {
+	r := x.Pool.Get(res.Engine)
+	if r != nil && res.Leaving && !r.Leaving() {
+		x.Out.Log(logevent.Leaving, "upstream", res.Engine, "source", "itself")
+	}
+}
+
+// takeUses takes in what a peer has in flight.
+func (x *Exchanges) takeUses(now clock.Instant, msg share.Message) {
+	if msg.Uses == nil {
+		return
+	}
+	x.Pool.ObserveUse(now, msg.From, msg.Uses)
+	for engine, use := range msg.Uses {
+		for _, item := range use.Items {
+			x.Used(now, engine, item)
+		}
+	}
+}
--- /dev/null
+++ b/core/exchange/rhythm.go
@@ -0,0 +1,183 @@
+package exchange
+
+import (
+	"time"
+
+	"github.com/birchdrift/birchdrift/core/clock"
+	"github.com/birchdrift/birchdrift/core/member"
+	"github.com/birchdrift/birchdrift/core/step"
+)
+
+// When this instance begins exchanges, and with whom.
+
+const (
+	// newsSpacing is how soon the next neighbour is told when there is news that
+	// calls may wait for: what an engine holds, or who is leaving.
+	newsSpacing = 400 * time.Millisecond
+	// failingEvery is every how manyth round of the full mesh a peer that does
+	// not answer is tried.
+	failingEvery = 4
+	// abroadEvery is every how manyth exchange goes to another zone.
+	abroadEvery = 4
+	// alonePeriods is after how many of its own exchange periods without a word
+	// from any peer an instance counts itself as alone.
+	alonePeriods = 5
+)
+
+// A rhythm says when the next exchanges are due.
+type rhythm struct {
+	due     clock.Instant
+	meshDue clock.Instant // of the full mesh
+	round   int
+	turn    int  // of the neighbours, and of those that watch
+	news    int  // exchanges to space by newsSpacing
+	urgent  bool // tell every neighbour without waiting
+}
+
+// Tick begins the exchanges that are due.
+func (x *Exchanges) Tick(now clock.Instant) {
+	x.pullNewer(now)
+	r := &x.rhythm
+	if now.Before(r.due) {
+		return
+	}
+	if x.Roster.FullMesh() && !r.urgent {
+		r.due = now.Add(step.Jitter(x.Rand, x.Options.ExchangeEvery))
+		x.contactSeeds(now)
+		return
+	}
+	every := x.Options.ExchangeEvery
+	if r.news > 0 {
+		r.news--
+		every = min(every, newsSpacing)
+	}
+	r.due = now.Add(step.Jitter(x.Rand, every))
+	if r.urgent {
+		x.burst(now)
+		return
+	}
+	r.round++
+	x.With(now, x.nextPeer(now))
+	x.contactSeeds(now)
+}
+
+// TickMesh begins the exchanges of a full mesh that are due. Of each pair the one
+// whose name comes first begins, so that all hear from all, at first hand and
+// within MeshEvery.
+func (x *Exchanges) TickMesh(now clock.Instant) {
+	r := &x.rhythm
+	if !x.Roster.FullMesh() || now.Before(r.meshDue) {
+		return
+	}
+	r.meshDue = now.Add(step.Jitter(x.Rand, x.Options.MeshEvery))
+	for _, p := range x.Members.Peers() {
+		if p.Name > x.Self.Name && (!p.Failing() || r.round%failingEvery == 0) {
+			x.With(now, p)
+		}
+	}
+	r.round++
+	x.Pool.ForgetUsed()
+}
+
+// Hurry has the next exchanges begun at once, to spread what is new.
+func (x *Exchanges) Hurry(now clock.Instant) {
+	x.rhythm.urgent = true
+	x.rhythm.due = now
+}
+
+// News brings the next exchange forward for as many turns as there are
+// neighbours, so that each of them is told.
+func (x *Exchanges) News(now clock.Instant) {
+	x.rhythm.news = len(x.Members.Neighbours())
+	if due := now.Add(newsSpacing); due.Before(x.rhythm.due) {
+		x.rhythm.due = due
+	}
+}
+
+// Alone reports whether no peer was heard for some of the own exchange periods.
+func (x *Exchanges) Alone(now clock.Instant) bool {
+	return x.Members.HeardWithin(now, alonePeriods*x.Options.ExchangeEvery) == 0
+}
+
+// burst tells every neighbour, and a peer of another zone, at once.
+func (x *Exchanges) burst(now clock.Instant) {
+	x.rhythm.urgent = false
+	if x.Roster.FullMesh() {
+		for _, p := range x.Members.Peers() {
+			x.With(now, p)
+		}
+		return
+	}
+	for _, p := range x.Members.Neighbours() {
+		x.With(now, p)
+	}
+	x.With(now, member.Draw(x.Rand, x.Members.InZone(false)))
+}
+
+// nextPeer returns whom to exchange with in this round.
+func (x *Exchanges) nextPeer(now clock.Instant) *member.Peer {
+	if p := x.NextPeer(now, x.rhythm.round); p != nil {
+		return p
+	}
+	if near := x.Members.Neighbours(); len(near) > 0 {
+		x.rhythm.turn++
+		return near[x.rhythm.turn%len(near)]
+	}
+	return member.Draw(x.Rand, x.Members.InZone(false))
+}
+
+// NextOfFleet returns whom to exchange with in a fleet that is too large for a
+// full mesh and in which few instances watch the platform: every other round one
+// that watches, which has the news first, and in between the placer, which needs
+// the demand, or a peer of another zone. placer is the placer's name.
+func (x *Exchanges) NextOfFleet(now clock.Instant, round int, placer string) *member.Peer {
+	switch round % 4 {
+	case 0, 2:
+		if p := x.NextWatcher(now, x.Self.Zone); p != nil {
+			return p
+		}
+	case 1:
+		if p := x.Members.Get(placer); p != nil && !p.Leaving {
+			return p
+		}
+	case 3:
+		if zones := x.Roster.Zones(); x.Roster.Includes(now) && len(zones) > 1 {
+			if p := x.NextWatcher(now, zones[x.Rand.IntN(len(zones))]); p != nil {
+				return p
+			}
+		}
+	}
+	if round%abroadEvery == 0 {
+		return member.Draw(x.Rand, x.Members.InZone(false))
+	}
+	return nil
+}
+
+// NextWatcher returns the peer of a zone whose turn it is, of those that watch
+// the platform.
+func (x *Exchanges) NextWatcher(now clock.Instant, zone string) *member.Peer {
+	var others []*member.Peer
+	for _, name := range x.Roster.Of(now, zone) {
+		if p := x.Members.Get(name); p != nil && !p.Leaving {
+			others = append(others, p)
+		}
+	}
+	if len(others) == 0 {
+		return nil
+	}
+	x.rhythm.turn++
+	return others[x.rhythm.turn%len(others)]
+}
+
+// contactSeeds tries one address from the settings while no peer was heard.
+func (x *Exchanges) contactSeeds(now clock.Instant) {
+	if len(x.seeds) == 0 || !x.Alone(now) {
+		return
+	}
+	address := x.seeds[x.Rand.IntN(len(x.seeds))]
+	if address == x.Self.Address || x.flying[address] {
+		return
+	}
+	x.flying[address] = true
+	x.Out.Do(Begin{Address: address, Message: x.message(now, "")})
+}
--- /dev/null
+++ b/core/forwarding/attempts.go
@@ -0,0 +1,185 @@
+package forwarding
+
+import (
+	"time"
+
+	"github.com/birchdrift/birchdrift/core/attempt"
+	"github.com/birchdrift/birchdrift/core/calls"
+	"github.com/birchdrift/birchdrift/core/clock"
+	"github.com/birchdrift/birchdrift/core/code"
+	"github.com/birchdrift/birchdrift/core/config"
+	"github.com/birchdrift/birchdrift/core/logevent"
+)
+
+// What becomes of a call once it is sent.
+
+const (
+	// maxRefusals is how many replicas that refuse a call it follows; each costs
+	// the budget.
+	maxRefusals = 3
+	// maxUnsent is how many replicas it follows at which nothing answers.
+	maxUnsent = 8
+	// leastLeft is the least time for which an attempt is worth making.
+	leastLeft = 20 * time.Millisecond
+)
+
+// first takes in the first event of the answer.
+func (f *Forwarder) first(now clock.Instant, c *calls.Call) {
+	s := stateOf(c)
+	s.sent.firstAt = now
+	s.progress.opened = s.rule.Kind == config.Stream
+	r := f.Pool.Get(c.Replica)
+	if r == nil {
+		return
+	}
+	r.First(now, uint64(c.ID), false)
+	if c.Item != "" && s.sent.alone {
+		f.routes.Learn(s.target.weight, s.sent.unread, now.Since(c.Started))
+	}
+}
+
+// served logs an answer that is whole, and how long its parts took.
+func (f *Forwarder) served(now clock.Instant, c *calls.Call) {
+	s := stateOf(c)
+	f.Out.Log(logevent.CallServed, "call", c.Forward.Name, "replica", c.Replica, "attempts", c.History.Attempts,
+		"waited_ms", c.Started.Since(c.Arrived).Milliseconds(), "first_ms", s.sent.firstAt.Since(c.Started).Milliseconds(),
+		"total_ms", now.Since(c.Arrived).Milliseconds())
+}
+
+// broke decides what follows an attempt that did not come to its proper end.
+func (f *Forwarder) broke(now clock.Instant, c *calls.Call, b calls.Broke) {
+	s := stateOf(c)
+	f.settleReplica(now, c, b)
+	c.History = c.History.WithBroken(b.Phase)
+	former := c.Replica
+	c.Replica = ""
+	s.progress.add(former, b)
+	if !f.mayRepeat(now, c, b) {
+		f.end(c, s, b.Status, b.Detail)
+		return
+	}
+	f.Out.Log(logevent.CallRetried, "call", c.Forward.Name, "replica", former, "status", b.Status, "detail", b.Detail)
+	c.Phase = calls.Waiting
+	s.probe = probe{}
+	f.place(now, c)
+}
+
+// add takes in how an attempt at a replica ended.
+func (p *progress) add(replica string, b calls.Broke) {
+	p.relayable = b.Own
+	p.opened = p.opened || b.Delivered > 0
+	switch b.Phase {
+	case attempt.NotSent:
+		p.unsent++ // it counts as down for a while, and may be tried again after that
+		return
+	case attempt.Refused:
+		p.refusals++
+	default:
+		p.ran++
+	}
+	p.tried = append(p.tried, replica)
+}
+
+// mayRepeat reports whether the call may go to another replica, and spends the
+// budget for it. A call that may have run is repeated only where its route says
+// that this is harmless; a stream that has begun only where it can be resumed.
+func (f *Forwarder) mayRepeat(now clock.Instant, c *calls.Call, b calls.Broke) bool {
+	s := stateOf(c)
+	p := s.progress
+	harmless := c.History.Repeatable || c.History.Run() == code.NotRun
+	if p.opened {
+		harmless = s.rule.Kind == config.Stream && s.rule.Resumable
+	}
+	if !harmless || b.Spent || p.ran >= max(1, s.rule.MaxAttempts) || p.refusals >= maxRefusals || p.unsent >= maxUnsent {
+		return false
+	}
+	if !now.Add(leastLeft).Before(c.Expires) {
+		return false
+	}
+	// What never left did not arrive anywhere, so it costs no budget.
+	return b.Phase == attempt.NotSent || f.Budget.Spend(now, c.Service)
+}
+
+// end gives a call whose attempts are over its final answer. status is the HTTP
+// status of the last one, 0 if none came.
+func (f *Forwarder) end(c *calls.Call, s *state, status int, detail string) {
+	run := c.History.Run()
+	switch {
+	case s.progress.relayable && !s.progress.opened:
+		f.relay(c, status)
+	case s.progress.opened:
+		f.Calls.Refuse(c, code.Refusal{Code: code.StreamCut, Run: run, Detail: detail})
+	case run == code.NotRun:
+		f.Calls.Refuse(c, calls.NotRun(code.NoCapacity, detail, f.Calls.RetryAfter(0)))
+	default:
+		f.Calls.Refuse(c, code.Refusal{Code: code.UpstreamBroke, Run: run, Detail: detail})
+	}
+}
+
+// relay passes on the replica's own failing answer.
+func (f *Forwarder) relay(c *calls.Call, status int) {
+	f.Out.Log(logevent.CallFailed, "call", c.Forward.Name, "service", c.Service, "code", int(code.UpstreamRefused),
+		"run", string(c.History.Run()), "status", status, "detail", "the replica's own answer")
+	f.Out.Do(calls.Relay{ID: c.ID})
+	f.Calls.Remove(c)
+}
+
+// settleReplica takes in what an attempt that failed says of its replica.
+func (f *Forwarder) settleReplica(now clock.Instant, c *calls.Call, b calls.Broke) {
+	r := f.Pool.Get(c.Replica)
+	if r == nil {
+		return
+	}
+	switch {
+	case b.Misdirected && b.Incarnation != "" && b.Incarnation != c.Replica:
+		r.Forget(uint64(c.ID))
+		f.Pool.Dead(now, c.Replica)
+		f.Out.Log(logevent.Leaving, "upstream", c.Replica, "source", "another replica has its address", "now", b.Incarnation)
+	case b.Misdirected:
+		r.Forget(uint64(c.ID))
+		f.Pool.Drop(c.Replica, c.Item)
+		r.Refused(now, c.Item)
+	case b.Phase == attempt.Refused:
+		r.Forget(uint64(c.ID))
+		r.Refused(now, c.Item)
+	case b.Phase == attempt.NotSent:
+		r.Forget(uint64(c.ID))
+		r.SetDown(now)
+	case b.Own:
+		// The replica works; that it failed a call may lie in the call.
+		r.End(now, uint64(c.ID), c.Started, false)
+	default:
+		f.Pool.Failed(now, r, uint64(c.ID), c.Started)
+	}
+}
+
+// expireEvery spaces the looks for calls whose time is over.
+const expireEvery = 20 * time.Millisecond
+
+// Expire ends the calls whose time is over, at once, so that nobody is held for
+// nothing.
+func (f *Forwarder) Expire(now clock.Instant) {
+	if now.Before(f.expireDue) {
+		return
+	}
+	f.expireDue = now.Add(expireEvery)
+	for _, c := range f.Calls.Overdue(now) {
+		f.expire(c)
+	}
+}
+
+func (f *Forwarder) expire(c *calls.Call) {
+	if c.Phase != calls.Running {
+		f.Calls.Refuse(c, calls.NotRun(code.TargetMissed, "it waited until its time was over", f.Calls.RetryAfter(0)))
+		return
+	}
+	if r := f.Pool.Get(c.Replica); r != nil {
+		r.Forget(uint64(c.ID))
+	}
+	c.History = c.History.WithBroken(attempt.MaybeSent)
+	num := code.TimedOut
+	if stateOf(c).progress.opened {
+		num = code.StreamCut
+	}
+	f.Calls.Refuse(c, code.Refusal{Code: num, Run: c.History.Run(), Detail: "the time for which it may be held is over"})
+}
--- /dev/null
+++ b/core/forwarding/forwarding.go
@@ -0,0 +1,212 @@
+// Package forwarding serves forwarded calls: those that a route of the
+// configuration sends to the replicas of a service as they came.
+//
+// A call is admitted by its route, sent to the replica that should answer it
+// first (core/route), or waits for its adapter or model; after an attempt that
+// failed it is sent to another replica as far as that is harmless and the retry
+// budget allows; and it ends in time, with an answer that says whether it ran.
+//
+// The package owns what a forwarded call has beside what every call has
+// (core/calls), and what was learnt of how fast engines read prompts. It relies
+// on core/asks for orders and on core/placement to hear of missed models.
+package forwarding
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"time"
+
+	"github.com/birchdrift/birchdrift/core/asks"
+	"github.com/birchdrift/birchdrift/core/attempt"
+	"github.com/birchdrift/birchdrift/core/calls"
+	"github.com/birchdrift/birchdrift/core/clock"
+	"github.com/birchdrift/birchdrift/core/code"
+	"github.com/birchdrift/birchdrift/core/config"
+	"github.com/birchdrift/birchdrift/core/demand"
+	"github.com/birchdrift/birchdrift/core/member"
+	"github.com/birchdrift/birchdrift/core/option"
+	"github.com/birchdrift/birchdrift/core/policy"
+	"github.com/birchdrift/birchdrift/core/pool"
+	"github.com/birchdrift/birchdrift/core/retrybudget"
+	"github.com/birchdrift/birchdrift/core/route"
+	"github.com/birchdrift/birchdrift/core/step"
+	"github.com/birchdrift/birchdrift/core/watchers"
+)
+
+// Needs are what forwarding needs of the other modules.
+type Needs struct {
+	Self    member.Identity
+	Options *option.Options
+	Rand    *rand.Rand
+	Out     *step.Output
+	Members *member.Table
+	Pool    *pool.Pool
+	Config  *config.Current
+	Calls   *calls.Table
+	Budget  *retrybudget.Budget
+	Asks    *asks.Asks
+	Roster  *watchers.Roster
+	Flow    *demand.Flow
+	// Used notes that a call uses an item of an engine.
+	Used func(now clock.Instant, engine, item string)
+	// Missed notes that a call found its model nowhere.
+	Missed func(now clock.Instant)
+}
+
+// A Forwarder serves forwarded calls.
+type Forwarder struct {
+	Needs
+	kind      calls.Kind
+	routes    *route.Forwards
+	expireDue clock.Instant // when to look for calls whose time is over
+}
+
+// A state is what a forwarded call has beside what every call has.
+type state struct {
+	rule     *config.Forward
+	service  config.Service
+	target   target
+	progress progress
+	sent     sent
+	fetches  int  // orders that it waited for
+	missed   bool // it found its model on no engine
+	probe    probe
+}
+
+// A target is what a forwarded call asks of an engine; the zero value is that of
+// a call to a plain service.
+type target struct {
+	model   string
+	adapter string
+	chain   route.Chain
+	weight  route.Weight
+}
+
+// A progress is what came of the attempts so far.
+type progress struct {
+	tried     []string // replicas that failed it
+	ran       int      // attempts that may have run
+	refusals  int      // replicas that said they did not run it
+	unsent    int      // replicas that it could not be sent to
+	opened    bool     // the head of an answer was passed on
+	relayable bool     // the replica's own failing answer can be passed on
+}
+
+// A sent is what was expected of the last attempt.
+type sent struct {
+	unread  int           // prompt tokens believed to be read for it
+	alone   bool          // no other prompt was being read there
+	firstAt clock.Instant // when the first event came
+}
+
+// New returns a forwarder that has seen no call.
+func New(n Needs) *Forwarder {
+	f := &Forwarder{Needs: n, routes: route.NewForwards()}
+	f.kind = calls.Kind{
+		Place:     f.place,
+		First:     f.first,
+		Broke:     f.broke,
+		Served:    f.served,
+		Cancel:    func(*calls.Call, *pool.Replica) {}, // closing the connection is all there is
+		NotRun:    func(*calls.Call) {},
+		LeftQueue: func(*calls.Call) {},
+	}
+	return f
+}
+
+func stateOf(c *calls.Call) *state { return c.State.(*state) }
+
+// Arrive takes a call in, or refuses it. refusing says that this instance takes
+// no more calls since it stops.
+func (f *Forwarder) Arrive(now clock.Instant, r calls.Request, refusing bool) {
+	c := &calls.Call{Request: r, Kind: &f.kind, Arrived: now, Phase: calls.Waiting}
+	if refusal, ok := f.admit(now, c, refusing); !ok {
+		f.Calls.RefuseNew(c, refusal)
+		return
+	}
+	f.Calls.Add(c)
+	f.place(now, c)
+}
+
+// admit fills in what the configuration says of the call, or returns why it is
+// refused. Nothing has been sent anywhere at this point.
+func (f *Forwarder) admit(now clock.Instant, c *calls.Call, refusing bool) (code.Refusal, bool) {
+	if refusing {
+		return calls.NotRun(code.Stopping, "this instance is stopping", calls.LeastRetryAfter), false
+	}
+	if !f.Config.Known() {
+		return calls.NotRun(code.NoConfiguration, "no configuration yet", calls.LeastRetryAfter), false
+	}
+	rule, ok := f.Config.Forward(c.Forward.Host, c.Path)
+	if !ok {
+		return calls.NotRun(code.UnknownService, fmt.Sprintf("no forward for %s%s", c.Forward.Host, c.Path), 0), false
+	}
+	name := rule.Pick(f.Rand.Float64())
+	service, ok := f.Config.Service(name)
+	if !ok || service.Announced == nil {
+		return calls.NotRun(code.NoReplica, fmt.Sprintf("no service %q", name), calls.LeastRetryAfter), false
+	}
+	limit := rule.Timeout
+	if d := c.Forward.Deadline; d > 0 && d < limit {
+		limit = d
+	}
+	c.Service = name
+	c.Target = rule.Target
+	c.Expires = now.Add(limit)
+	c.Priority = rankPriority(rule.Priority)
+	c.History = attempt.New(rule.MayRepeat() && c.Replayable)
+	s := &state{rule: rule, service: service}
+	c.State = s
+	if service.Announced.Engine != nil && c.Forward.Model != "" {
+		f.aim(c, s)
+	}
+	f.Budget.Call(now, name)
+	if c.Item != "" {
+		f.Flow.Call(now, s.target.model, f.workOf(c, s))
+	}
+	return code.Refusal{}, true
+}
+
+// aim fills in what the call asks of an engine.
+func (f *Forwarder) aim(c *calls.Call, s *state) {
+	c.Item = pool.AdapterItem(c.Forward.Model, c.Forward.Adapter)
+	facts, _ := s.service.Announced.Engine.Model(c.Forward.Model) // one that is not configured weighs nothing
+	s.target = target{
+		model:   c.Forward.Model,
+		adapter: c.Forward.Adapter,
+		chain:   route.NewChain(c.Item, c.Forward.Parts),
+		weight:  route.Weight{Model: c.Forward.Model, MB: facts.MemoryMB},
+	}
+}
+
+// rankStep is the difference in priority between two ranks of routes.
+const rankStep = 10
+
+// rankPriority turns a route's rank, 0 first, into a policy's priority.
+func rankPriority(rank int) int { return max(0, policy.MaxPriority-rankStep*(rank+1)) }
+
+const (
+	// decodeTime is the engine time that one token of an answer takes beside
+	// others.
+	decodeTime = 100 * time.Microsecond
+	// freshShare is the part of a prompt that is believed to be read anew.
+	freshShare = 0.6
+)
+
+// workOf returns the engine time that a call is believed to take.
+func (f *Forwarder) workOf(c *calls.Call, s *state) time.Duration {
+	out := c.Forward.LengthHint
+	if out == 0 {
+		out = c.MaxTokens
+	}
+	read := time.Duration(freshShare * float64(c.PromptTokens) * float64(f.routes.TokenTime(s.target.weight)))
+	return read + time.Duration(out)*decodeTime
+}
+
+// Resume has a call that waited for an order look for its replica again.
+func (f *Forwarder) Resume(now clock.Instant, id calls.ID) {
+	if c := f.Calls.Get(id); c != nil && c.Phase == calls.Fetching {
+		c.Phase = calls.Waiting
+		f.place(now, c)
+	}
+}
--- /dev/null
+++ b/core/forwarding/place.go
@@ -0,0 +1,192 @@
+package forwarding
+
+import (
+	"time"
+
+	"github.com/birchdrift/birchdrift/core/asks"
+	"github.com/birchdrift/birchdrift/core/calls"
+	"github.com/birchdrift/birchdrift/core/clock"
+	"github.com/birchdrift/birchdrift/core/config"
+	"github.com/birchdrift/birchdrift/core/logevent"
+	"github.com/birchdrift/birchdrift/core/orders"
+	"github.com/birchdrift/birchdrift/core/pool"
+	"github.com/birchdrift/birchdrift/core/route"
+)
+
+// How a call finds its replica.
+
+// place sends the call to the best replica, has what it needs loaded there
+// first, lets it wait for its model, or refuses it.
+func (f *Forwarder) place(now clock.Instant, c *calls.Call) {
+	s := stateOf(c)
+	query := f.query(now, c, s)
+	candidates := f.Pool.Serving(c.Service)
+	if f.probeEngines(now, c, query, candidates) {
+		return
+	}
+	best, ok := f.routes.Choose(now, query, candidates)
+	switch {
+	case !ok:
+		f.noReplica(now, c)
+	case c.Item != "" && best.Replica.Phase(c.Item) != pool.Ready:
+		f.fetch(now, c, best.Replica)
+	default:
+		f.dispatch(now, c, best)
+	}
+}
+
+func (f *Forwarder) query(now clock.Instant, c *calls.Call, s *state) route.ForwardQuery {
+	query := route.ForwardQuery{
+		Zone:   f.Self.Zone,
+		Model:  s.target.weight,
+		Tokens: c.PromptTokens,
+		Chain:  s.target.chain,
+		Tried:  s.progress.tried,
+		Salt:   uint64(c.ID) ^ f.Self.Boot,
+		Doubt:  f.zoneCost,
+	}
+	if c.Item != "" {
+		query.Extra = func(r *pool.Replica) (time.Duration, bool) { return f.itemCost(now, c, r) }
+	}
+	return query
+}
+
+// silentZoneCost keeps calls from the replicas of a zone none of whose instances
+// answers, where others can serve them. Not measured: about what a call loses
+// that is sent there and must be sent again.
+const silentZoneCost = 400 * time.Millisecond
+
+// zoneCost returns the cost of a zone that seems to be cut off from this one. In
+// a large fleet silence says little, since few instances are spoken to.
+func (f *Forwarder) zoneCost(zone string) time.Duration {
+	if zone == f.Self.Zone || !f.Roster.FullMesh() || !f.Members.ZoneSilent(zone) {
+		return 0
+	}
+	return silentZoneCost
+}
+
+const (
+	// fetchCost is what an adapter that is not on an engine costs a call that
+	// goes there: asking, ordering, loading.
+	fetchCost = 25 * time.Millisecond
+	// evictCost comes on top where another adapter must make way.
+	evictCost = 25 * time.Millisecond
+	// maxFetches is how many orders one call may wait for.
+	maxFetches = 3
+)
+
+// itemCost returns what it takes until the engine can serve the call's model or
+// adapter; ok is false if it cannot be made to.
+func (f *Forwarder) itemCost(now clock.Instant, c *calls.Call, r *pool.Replica) (cost time.Duration, ok bool) {
+	s := stateOf(c)
+	if r.Refusing(now, c.Item) || r.Phase(s.target.model) != pool.Ready {
+		return 0, false
+	}
+	phase := r.Phase(c.Item)
+	if phase == pool.Ready {
+		return 0, true
+	}
+	if phase == pool.Unloading || s.fetches >= maxFetches || !f.Asks.Possible(now, orderKey(s, r)) {
+		return 0, false
+	}
+	cost = fetchCost
+	if phase != pool.Loading && r.Adapters() >= s.service.Announced.Engine.AdapterSlots {
+		cost += evictCost
+	}
+	return cost, true
+}
+
+func orderKey(s *state, r *pool.Replica) asks.Key {
+	return asks.Key{Engine: r.Name, Request: orders.Request{Load: true, Model: s.target.model, Adapter: s.target.adapter}}
+}
+
+// fetch has the call's adapter loaded on an engine.
+func (f *Forwarder) fetch(now clock.Instant, c *calls.Call, r *pool.Replica) {
+	s := stateOf(c)
+	f.leaveQueue(c, calls.Fetching)
+	s.fetches++
+	f.Out.Log(logevent.CallWaits, "call", c.Forward.Name, "item", c.Item, "for", "an order", "engine", r.Name)
+	f.Asks.ForCall(now, orderKey(s, r), c.ID)
+}
+
+// leaveQueue takes the call out of the queue, if it waits there, for another
+// phase.
+func (f *Forwarder) leaveQueue(c *calls.Call, next calls.Phase) {
+	if c.Phase == calls.Waiting {
+		f.Calls.LeaveQueue(c)
+	}
+	c.Phase = next
+}
+
+// aloneCalls is how many calls may run at an engine for its reading speed to be
+// learnt from one more.
+const aloneCalls = 4
+
+// dispatch sends the call to the chosen replica.
+func (f *Forwarder) dispatch(now clock.Instant, c *calls.Call, e route.ForwardEstimate) {
+	s := stateOf(c)
+	f.leaveQueue(c, calls.Running)
+	c.History = c.History.WithAttempt()
+	c.Replica = e.Replica.Name
+	c.Started = now
+	c.Answered = false
+	s.sent = sent{
+		unread: c.PromptTokens - e.Cached,
+		alone:  e.Ahead == 0 && e.Calls <= aloneCalls,
+	}
+	e.Replica.StartPrefill(now, uint64(c.ID), e.Prefill, e.Total())
+	if c.Item != "" {
+		f.routes.Sent(c.Replica, s.target.chain, cacheTokens(s))
+		e.Replica.Use(c.Item)
+		f.Used(now, c.Replica, c.Item)
+	}
+	f.Out.Log(logevent.CallSent, "call", c.Forward.Name, "service", c.Service, "item", c.Item, "attempt", c.History.Attempts,
+		"replica", c.Replica, "waited_ms", now.Since(c.Arrived).Milliseconds(), "ahead_ms", e.Ahead.Milliseconds(),
+		"prefill_ms", e.Prefill.Milliseconds(), "other_ms", e.Other.Milliseconds(), "cached", e.Cached, "calls_there", e.Calls,
+		"announced_ago_ms", now.Since(e.Replica.AnnouncedAt()).Milliseconds(), "revision", f.Config.Revision())
+	f.Out.Do(f.attempt(now, c, e.Replica))
+}
+
+// cachedShare is the part of an engine's memory for prompts and answers that is
+// believed to keep prompts.
+const cachedShare = 0.75
+
+// cacheTokens returns the prompt tokens that an engine of the call's service is
+// believed to keep.
+func cacheTokens(s *state) int {
+	return int(cachedShare * float64(s.service.Announced.Engine.CacheTokens))
+}
+
+// lowestRank is the least urgent rank that a replica is told.
+const lowestRank = 9
+
+// attempt returns the action that sends the call to the replica.
+func (f *Forwarder) attempt(now clock.Instant, c *calls.Call, r *pool.Replica) calls.Dispatch {
+	s := stateOf(c)
+	left := time.Duration(0)
+	if c.Forward.Deadline > 0 {
+		left = max(time.Millisecond, c.Expires.Since(now))
+	}
+	priority := -1
+	if c.Item != "" {
+		priority = min(s.rule.Priority, lowestRank)
+	}
+	return calls.Dispatch{
+		ID:         c.ID,
+		Attempt:    c.History.Attempts,
+		Replica:    r.Name,
+		Address:    r.Address,
+		Zone:       r.Zone,
+		Plain:      c.Item == "",
+		Model:      s.target.model,
+		Adapter:    s.target.adapter,
+		Repeatable: c.History.Repeatable,
+		Stall:      f.Options.Stall,
+		Forward: &calls.ForwardAttempt{
+			Left:      left,
+			Priority:  priority,
+			Stream:    s.rule.Kind == config.Stream,
+			Resumable: s.rule.Kind == config.Stream && s.rule.Resumable,
+		},
+	}
+}
--- /dev/null
+++ b/core/forwarding/probe.go
@@ -0,0 +1,101 @@
+package forwarding
+
+import (
+	"time"
+
+	"github.com/birchdrift/birchdrift/core/calls"
+	"github.com/birchdrift/birchdrift/core/clock"
+	"github.com/birchdrift/birchdrift/core/pool"
+	"github.com/birchdrift/birchdrift/core/route"
+)
+
+// Asking engines how busy they are. In a small fleet instances tell each other
+// what they have in flight. In a large one nobody hears from everybody in time,
+// so a call that could go to several engines first asks the best of them, and
+// goes by what they say: one short round trip against a wait behind prompts that
+// this instance knows nothing of.
+
+const (
+	// probedEngines is how many engines a call asks. Three were asked at first;
+	// the grown sites gained nothing from the third (docs/measurements.md).
+	probedEngines = 2
+	// ProbeFresh is how old an engine's answer may be for it not to be asked
+	// again. Not measured: below the age that its figures have anyhow.
+	ProbeFresh = 60 * time.Millisecond
+)
+
+type (
+	// AskLoad is an action: ask an engine how busy it is, for a call that may go
+	// there. It is answered after Wait at the latest.
+	AskLoad struct {
+		Call    calls.ID
+		Engine  string
+		Address string
+		Wait    time.Duration
+	}
+	// LoadReply is the event that answers an AskLoad.
+	LoadReply struct {
+		Call    calls.ID
+		Engine  string
+		Queued  int // calls without a first event there
+		Running int // calls with one
+		Err     error
+	}
+)
+
+// IsAction implements step.Action.
+func (AskLoad) IsAction() {}
+
+// IsEvent implements step.Event.
+func (LoadReply) IsEvent() {}
+
+// A probe is the state of a call that asks engines.
+type probe struct {
+	asked   int // engines that have not answered
+	settled bool
+}
+
+// probeEngines asks the engines that the call may go to how busy they are, and
+// reports whether the call waits for them.
+func (f *Forwarder) probeEngines(now clock.Instant, c *calls.Call, q route.ForwardQuery, candidates []*pool.Replica) bool {
+	p := &stateOf(c).probe
+	if p.settled || c.Item == "" || f.Options.LoadWait == 0 || f.Roster.FullMesh() {
+		return false
+	}
+	p.settled = true
+	best := f.routes.Best(now, q, candidates, probedEngines)
+	if len(best) < 2 {
+		return false
+	}
+	for _, e := range best {
+		if e.Replica.ReportAge(now) < ProbeFresh {
+			continue
+		}
+		p.asked++
+		f.Out.Do(AskLoad{Call: c.ID, Engine: e.Replica.Name, Address: e.Replica.Address, Wait: f.Options.LoadWait})
+	}
+	if p.asked == 0 {
+		return false
+	}
+	f.leaveQueue(c, calls.Probing)
+	return true
+}
+
+// LoadReplied takes in what an engine says of its load. The call that asked goes
+// on once all have answered.
+func (f *Forwarder) LoadReplied(now clock.Instant, e LoadReply) {
+	if r := f.Pool.Get(e.Engine); r != nil && e.Err == nil {
+		r.ObserveReport(now, pool.Report{Queued: e.Queued, Running: e.Running})
+	}
+	c := f.Calls.Get(e.Call)
+	if c == nil || c.Phase != calls.Probing {
+		return
+	}
+	p := &stateOf(c).probe
+	p.asked--
+	if p.asked > 0 {
+		return
+	}
+	c.Phase = calls.Waiting
+	f.place(now, c)
+}
--- /dev/null
+++ b/core/instance/config.go
@@ -0,0 +1,78 @@
+package instance
+
+import (
+	"github.com/birchdrift/birchdrift/core/clock"
+	"github.com/birchdrift/birchdrift/core/config"
+	"github.com/birchdrift/birchdrift/core/logevent"
+)
+
+// PlatformSource is the Source of configurations that the platform sent.
+const PlatformSource = "platform"
+
+type (
+	// ConfigReply brings a configuration, or ends a watch of it.
+	ConfigReply struct {
+		Snapshot *config.Snapshot // nil if there is nothing newer
+		Encoded  []byte           // of the snapshot, to pass on to peers
+		Source   string           // PlatformSource or the peer's name
+		Err      error
+	}
+	// Install is an action: a revision is in force from now on.
+	Install struct {
+		Snapshot *config.Snapshot
+		Source   string
+	}
+)
+
+// IsEvent implements step.Event.
+func (ConfigReply) IsEvent() {}
+
+// IsAction implements step.Action.
+func (Install) IsAction() {}
+
+// configReplied takes in a configuration that the platform or a peer sent.
+func (m *Machine) configReplied(now clock.Instant, e ConfigReply) {
+	if e.Source == PlatformSource {
+		m.env.configReplied(now, e.Err)
+	}
+	if e.Err != nil {
+		if e.Snapshot == nil && e.Encoded != nil {
+			m.out.Log(logevent.ConfigFailed, "source", e.Source, "error", e.Err.Error())
+		}
+		return
+	}
+	if e.Snapshot != nil {
+		m.install(now, e)
+	}
+}
+
+// install puts a newer revision in force; an older one changes nothing.
+func (m *Machine) install(now clock.Instant, e ConfigReply) {
+	s := e.Snapshot
+	if s.Revision() <= m.cfg.Revision() && !m.opt.Disable.Monotonic {
+		if s.Revision() < m.cfg.Revision() {
+			m.out.Log(logevent.OlderIgnored, "offered", s.Revision(), "in_force", m.cfg.Revision(), "source", e.Source)
+		}
+		return
+	}
+	*m.cfg = config.Current{Snapshot: s, Encoded: e.Encoded}
+	m.pool.Apply(s)
+	m.orders.owned.Configure()
+	m.replayRecords(now)
+	m.env.installed(now, s)
+	m.exchanges.Installed(now)
+	m.out.Log(logevent.Installed, "revision", s.Revision(), "source", e.Source)
+	m.out.Do(Install{Snapshot: s, Source: e.Source})
+}
+
+// replayRecords tells the pool what was heard of upstreams before the revision
+// that defines them.
+func (m *Machine) replayRecords(now clock.Instant) {
+	all := m.records.Since(0, "", true, 0)
+	for _, r := range all.Residencies {
+		m.pool.ObserveResidency(now, r.Engine, r.Residency)
+	}
+	for _, l := range all.Listed {
+		m.listing.Apply(now, l)
+	}
+}
--- a/core/instance/machine.go
+++ b/core/instance/machine.go
@@ -1,5 +1,5 @@
-// Package instance provides the whole behaviour of one entry instance as a
-// deterministic state machine.
+// Package instance puts the state machine of one entry instance together from its
+// modules, and passes events on to them.
 //
 // The idea: Step takes the present time and one event and returns the actions
 // that its driver should carry out. The machine reads no clock, starts no
@@ -7,6 +7,17 @@
 // process, a test or a replay drives it alike, and the same events at the same
 // times under the same seed yield the same actions.
 //
+// Who does what:
+//   - core/calls, core/forwarding: calls in progress and forwarded calls;
+//   - core/watch, core/watchers: who watches the platform, and the watch;
+//   - core/listing: replicas and instances that the platform lists;
+//   - core/exchange: what instances tell each other;
+//   - core/ownership, core/owned, core/asks: who orders an engine, its orders,
+//     and orders asked of other owners;
+//   - core/placement: which models are loaded where;
+//   - core/shutdown: the planned stop;
+//   - core/own/...: what only the product's own environment runs.
+//
 // Invariants:
 //   - every Arrive is followed by exactly one of Finish, or a Dispatch whose
 //     Done ends the call, or Gone;
@@ -22,258 +33,201 @@
 	"math/rand/v2"
 	"time"
 
-	"github.com/birchdrift/birchdrift/core/backoff"
+	"github.com/birchdrift/birchdrift/core/calls"
 	"github.com/birchdrift/birchdrift/core/clock"
 	"github.com/birchdrift/birchdrift/core/config"
-	"github.com/birchdrift/birchdrift/core/demand"
-	"github.com/birchdrift/birchdrift/core/lease"
-	"github.com/birchdrift/birchdrift/core/limit"
-	"github.com/birchdrift/birchdrift/core/logevent"
+	"github.com/birchdrift/birchdrift/core/exchange"
+	"github.com/birchdrift/birchdrift/core/forwarding"
+	"github.com/birchdrift/birchdrift/core/listing"
 	"github.com/birchdrift/birchdrift/core/member"
 	"github.com/birchdrift/birchdrift/core/option"
+	"github.com/birchdrift/birchdrift/core/outage"
 	"github.com/birchdrift/birchdrift/core/pool"
-	"github.com/birchdrift/birchdrift/core/route"
+	"github.com/birchdrift/birchdrift/core/retrybudget"
 	"github.com/birchdrift/birchdrift/core/share"
+	"github.com/birchdrift/birchdrift/core/shutdown"
 	"github.com/birchdrift/birchdrift/core/step"
 )
 
-// prefixMemory is how many prefix blocks an instance remembers.
-const prefixMemory = 8192
-
-// Bounds of the spacing of platform calls after failures.
-const (
-	platformBase = 200 * time.Millisecond
-	platformMax  = 5 * time.Second
-)
-
 // A Machine is the state of one entry instance.
 type Machine struct {
+	common
+	calls      *calls.Table
+	budget     *retrybudget.Budget
+	forwarding *forwarding.Forwarder
+	listing    *listing.List
+	exchanges  *exchange.Exchanges
+	orders     orderParts
+	stop       *shutdown.Stop
+	env        environment
+}
+
+// A common is what all modules of a machine share.
+type common struct {
 	self    member.Identity
-	opt     option.Options
+	opt     *option.Options
 	rng     *rand.Rand
-	now     clock.Instant
 	out     *step.Output
-	cfg     *config.Snapshot
-	encoded []byte // of cfg, for peers
-
+	cfg     *config.Current
 	pool    *pool.Pool
-	chooser *route.Chooser
 	members *member.Table
-	store   *share.Store
-	meter   *demand.Meter
-	board   *demand.Board
-
-	calls   map[CallID]*call
-	line    []*call         // calls that wait
-	drained uint64          // pool.Touched at the last drain
-	able    []*pool.Replica // what candidates returned last
-	budget  limit.Budget
-
-	forwards  *route.Forwards
-	retries   map[string]*limit.Window // of forwarded calls, by service
-	expireDue clock.Instant            // when to look for calls whose time is over
-	recent    *decisions
-
-	platform  platformView
-	exchanges exchangeView
-	readers   map[string]*reader
-	scanDue   clock.Instant // when to look for reads that are due
-	planner   plannerView
-	lease     lease.Lease
-	homes     homeView
-
-	registry  registryView
-	duties    dutyView
-	engines   map[string]*ownedEngine // that this instance orders
-	asks      map[askKey]*ask         // orders asked for and not settled
-	refused   map[askKey]clock.Instant
-	placement placementView
-	flow      *demand.Flow // of forwarded calls
-
-	stop stopView
+	records *share.Store
+	outage  *outage.Tracker
 }
 
-// New returns the machine of an instance that knows nothing yet.
-func New(self member.Identity, opt option.Options, seed uint64) *Machine {
-	return &Machine{
-		self:      self,
-		opt:       opt,
-		out:       &step.Output{},
-		rng:       rand.New(rand.NewPCG(seed, self.Boot)),
-		pool:      pool.New(),
-		chooser:   route.NewChooser(prefixMemory),
-		members:   member.New(self.Name, self.Zone),
-		store:     share.NewStore(),
-		meter:     demand.NewMeter(),
-		board:     demand.NewBoard(),
-		calls:     map[CallID]*call{},
-		budget:    limit.NewBudget(),
-		recent:    newDecisions(),
-		forwards:  route.NewForwards(),
-		retries:   map[string]*limit.Window{},
-		registry:  newRegistryView(),
-		engines:   map[string]*ownedEngine{},
-		asks:      map[askKey]*ask{},
-		refused:   map[askKey]clock.Instant{},
-		placement: newPlacementView(),
-		flow:      demand.NewFlow(),
-		platform:  newPlatformView(),
-		exchanges: newExchangeView(),
-		readers:   map[string]*reader{},
-		planner:   newPlannerView(),
-		lease:     lease.New(opt.LeaseTerm),
-	}
+// An environment is what differs between the environments that an instance runs
+// in. It is chosen once, by New.
+type environment struct {
+	// Of platform and own one is nil.
+	platform *platformParts
+	own      *ownParts
+
+	// handle takes in an event that only this environment knows, and reports
+	// whether it did.
+	handle func(now clock.Instant, ev Event) bool
+	// tick is periodic work: tickFirst before the exchanges, tickLast after.
+	tickFirst []func(now clock.Instant)
+	tickLast  []func(now clock.Instant)
+	// installed takes over a newer configuration.
+	installed func(now clock.Instant, s *config.Snapshot)
+	// configReplied and listReplied end watches of the platform.
+	configReplied func(now clock.Instant, err error)
+	listReplied   func(now clock.Instant, e listing.Reply)
+	// handOver gives back what others can take over, at a planned stop.
+	handOver func(now clock.Instant)
+	// status fills in what operators see of this environment's modules.
+	status func(now clock.Instant, s *Status)
 }
 
 // Step takes in one event at now and returns what to do, in order. The slice
 // is valid until the next Step.
 func (m *Machine) Step(now clock.Instant, ev Event) []Action {
-	m.now = now
 	m.out.Reset()
-	m.handle(ev)
-	m.runDue()
-	if _, tick := ev.(Tick); tick || m.pool.Touched() != m.drained {
-		m.drain()
+	m.handle(now, ev)
+	m.tick(now)
+	if _, tick := ev.(Tick); tick || m.calls.Changed() {
+		m.calls.Retry(now)
 	}
 	return m.out.Actions()
 }
 
-func (m *Machine) handle(ev Event) {
+// handle passes an event on to the module that it is for.
+func (m *Machine) handle(now clock.Instant, ev Event) {
+	if m.handleCall(now, ev) || m.handleOrder(now, ev) || m.env.handle(now, ev) {
+		return
+	}
+	switch e := ev.(type) {
+	case ConfigReply:
+		m.configReplied(now, e)
+	case ListReply:
+		m.env.listReplied(now, e)
+	case ExchangeReply:
+		m.exchanges.Replied(now, e)
+	case ExchangeAsked:
+		m.exchanges.Asked(now, e)
+	case Stop:
+		m.stop.Begin(now)
+	case Retune:
+		m.retune(e)
+	case Tick:
+	}
+}
+
+func (m *Machine) handleCall(now clock.Instant, ev Event) bool {
 	switch e := ev.(type) {
-	case Arrive:
-		m.arrive(e.Call)
 	case First:
-		m.first(e)
+		m.calls.First(now, e)
 	case Done:
-		m.done(e)
+		m.calls.Done(now, e)
 	case Broke:
-		m.broke(e)
+		m.calls.Broke(now, e)
 	case Gone:
-		m.gone(e)
-	case ClaimReply:
-		m.claimReply(e)
-	case ConfigReply:
-		m.configReply(e)
-	case ListReply:
-		m.listReply(e)
-	case WatchReply:
-		m.watchReply(e)
+		m.calls.Gone(e)
+	case LoadReply:
+		m.forwarding.LoadReplied(now, e)
+	case Arrive:
+		if e.Call.Forward == nil {
+			return false
+		}
+		m.forwarding.Arrive(now, e.Call, m.stop.Refusing(now))
+	default:
+		return false
+	}
+	return true
+}
+
+func (m *Machine) handleOrder(now clock.Instant, ev Event) bool {
+	o := &m.orders
+	switch e := ev.(type) {
 	case RegistryReply:
-		m.registryReply(e)
+		o.registry.Heard(now, e)
 	case EnrolReply:
-		m.enrolReply(e)
+		o.registry.Enrolled(now, e)
 	case KeepReply:
-		m.keepReply(e)
+		o.registry.Kept(now, e)
 	case WriteReply:
-		m.writeReply(e)
+		o.registry.Written(now, e)
 	case EngineOrderReply:
-		m.engineOrderReply(e)
+		o.owned.OrderReplied(now, e)
 	case EngineStateReply:
-		m.engineStateReply(e)
-	case LoadReply:
-		m.loadReply(e)
+		o.owned.StateReplied(now, e)
 	case OrderAsked:
-		m.orderAsked(e)
+		o.owned.Asked(now, e)
 	case AskOrderReply:
-		m.askOrderReply(e)
-	case LeaseReply:
-		m.leaseReply(e)
-	case IntentsReply:
-		m.intentsReply(e)
-	case StateReply:
-		m.stateReply(e)
-	case OrderReply:
-		m.orderReply(e)
-	case ExchangeReply:
-		m.exchangeReply(e)
-	case ExchangeAsked:
-		m.exchangeAsked(e)
-	case Stop:
-		m.beginStop()
-	case Retune:
-		m.retune(e)
-	case Tick:
+		o.asks.Replied(now, e)
+	default:
+		return false
 	}
+	return true
 }
 
 // retune takes over tunables that may change while the machine runs. What its
 // driver was built with stays.
 func (m *Machine) retune(e Retune) {
-	disable := m.opt.Disable
 	if e.Options.RetryWindow != m.opt.RetryWindow {
-		clear(m.retries)
+		m.budget.Reset()
 	}
-	m.opt = e.Options
+	disable, env := m.opt.Disable, m.opt.Environment
+	*m.opt = e.Options
 	m.opt.Disable = disable
-	m.self.Seeds = e.Seeds
+	m.opt.Environment = env
+	m.exchanges.SetSeeds(e.Seeds)
 }
 
-// runDue begins whatever periodic work is due.
-func (m *Machine) runDue() {
-	m.expireForwards()
-	m.vanishDue()
-	m.registryDue()
-	m.enginesDue()
-	m.placementDue()
-	m.meshDue()
-	m.watchDue()
-	m.exchangeDue()
-	m.readDue()
-	m.leaseDue()
-	m.planDue()
-	m.stopDue()
+// tick begins whatever periodic work is due.
+func (m *Machine) tick(now clock.Instant) {
+	m.forwarding.Expire(now)
+	m.listing.Tick(now)
+	for _, tick := range m.env.tickFirst {
+		tick(now)
+	}
+	m.exchanges.Tick(now)
+	for _, tick := range m.env.tickLast {
+		tick(now)
+	}
+	m.stop.Tick(now)
 }
 
-// wakeEvery bounds how long the machine may go without a Step: expiries of
-// waiting calls and duties that moved here are noticed within it.
+// The longest times between two steps. Expiries of waiting calls, and duties that
+// moved to this instance, are noticed within them.
 const (
 	wakeEvery     = 250 * time.Millisecond
-	wakeEveryBusy = 50 * time.Millisecond
-	// wakeEveryOrder is the same while adapters, which take some milliseconds,
-	// are on their way.
+	wakeEveryBusy = 50 * time.Millisecond // while calls are in progress
+	// wakeEveryOrder is the same while requests wait at an engine: adapters take
+	// some milliseconds.
 	wakeEveryOrder = 4 * time.Millisecond
 )
 
 // NextWake returns how long the driver may wait before the next Tick.
 func (m *Machine) NextWake() time.Duration {
-	if m.adaptersComing() {
+	if m.orders.owned.Waiting() {
 		return wakeEveryOrder
 	}
-	if len(m.line) > 0 || m.stop.begun || len(m.calls) > 0 && m.cfg.HasForwards() {
+	if m.calls.Waiting() > 0 || m.stop.Begun() || m.calls.Len() > 0 && m.cfg.HasForwards() {
 		return wakeEveryBusy
 	}
 	return wakeEvery
 }
 
-// A platformView is what the machine knows of the platform's service.
-type platformView struct {
-	config  step.Job
-	list    step.Job
-	backoff backoff.Backoff
-	version uint64 // of the instance list
-	downAt  clock.Instant
-	down    bool
-}
-
-func newPlatformView() platformView {
-	return platformView{backoff: backoff.New(platformBase, platformMax)}
-}
-
-// platformSays notes whether a platform call was answered.
-func (m *Machine) platformSays(err error) {
-	p := &m.platform
-	if err == nil {
-		if p.down {
-			m.out.Log(logevent.PlatformBack, "after", m.now.Since(p.downAt).String())
-		}
-		p.down = false
-		p.backoff = p.backoff.WithSuccess()
-		return
-	}
-	if !p.down {
-		p.downAt = m.now
-		m.out.Log(logevent.PlatformDown, "error", err.Error())
-	}
-	p.down = true
-	p.backoff = p.backoff.WithFailure()
-}
+// Stopping reports whether a planned stop has begun.
+func (m *Machine) Stopping() bool { return m.stop.Begun() }
--- /dev/null
+++ b/core/instance/own.go
@@ -0,0 +1,81 @@
+package instance
+
+import (
+	"github.com/birchdrift/birchdrift/core/clock"
+	"github.com/birchdrift/birchdrift/core/config"
+	"github.com/birchdrift/birchdrift/core/demand"
+	"github.com/birchdrift/birchdrift/core/own/choose"
+	"github.com/birchdrift/birchdrift/core/own/meter"
+	"github.com/birchdrift/birchdrift/core/own/modelcalls"
+	"github.com/birchdrift/birchdrift/core/own/planner"
+	"github.com/birchdrift/birchdrift/core/own/watch"
+)
+
+// prefixMemory is how many prefix blocks an instance remembers, which takes it
+// about a megabyte.
+const prefixMemory = 8192
+
+// ownParts are the modules that only the product's own environment needs.
+type ownParts struct {
+	planner *planner.Planner
+	calls   *modelcalls.Handler
+	chooser *choose.Chooser
+	meter   *meter.Meter
+}
+
+// ownEnvironment adds the modules that only the product's own environment needs:
+// watches of its key-value service, the zone's planner, and the calls of its own
+// interface.
+func (m *Machine) ownEnvironment(board *demand.Board) environment {
+	chooser := choose.NewChooser(prefixMemory)
+	asked := meter.New()
+	p := planner.New(planner.Needs{
+		Self: m.self, Options: m.opt, Rand: m.rng, Out: m.out, Members: m.members, Pool: m.pool, Records: m.records,
+		Config: m.cfg, Outage: m.outage, Chooser: chooser, Meter: asked, Board: board,
+		Stopping: m.stop.Begun, News: m.exchanges.News, Hurry: m.exchanges.Hurry, Tell: m.exchanges.With,
+		Leaving: m.exchanges.LogLeaving,
+	})
+	h := modelcalls.New(modelcalls.Needs{
+		Self: m.self, Options: m.opt, Rand: m.rng, Out: m.out, Pool: m.pool, Config: m.cfg, Calls: m.calls,
+		Budget: m.budget, Outage: m.outage, Chooser: chooser, Meter: asked, Unmet: p.Unmet,
+	})
+	w := &watch.Watch{
+		Self: m.self, Options: m.opt, Rand: m.rng, Out: m.out, Members: m.members, Config: m.cfg, Outage: m.outage,
+		Listing: m.listing, Exchanges: m.exchanges, Stopping: m.stop.Begun,
+	}
+	m.forwarding.Missed = func(clock.Instant) {} // nobody places the models of announced engines here
+	m.exchanges.DemandFor = p.DemandFor
+	m.exchanges.DemandHeard = p.DemandHeard
+	m.exchanges.PlatformBrings = func(clock.Instant) bool { return false } // a peer is asked at once
+	m.exchanges.NextPeer = p.NextPeer
+	parts := &ownParts{planner: p, calls: h, chooser: chooser, meter: asked}
+	return environment{
+		own: parts,
+		handle: func(now clock.Instant, ev Event) bool {
+			switch e := ev.(type) {
+			case Arrive:
+				h.Arrive(now, e.Call, m.stop.Refusing(now))
+			case ClaimReply:
+				h.ClaimReplied(now, e)
+			case LeaseReply:
+				p.LeaseReplied(now, e)
+			case IntentsReply:
+				p.IntentsReplied(now, e)
+			case StateReply:
+				p.StateReplied(now, e)
+			case OrderReply:
+				p.OrderReplied(now, e)
+			default:
+				return false
+			}
+			return true
+		},
+		tickFirst:     []func(now clock.Instant){m.exchanges.TickMesh, w.Tick},
+		tickLast:      []func(now clock.Instant){p.Tick},
+		installed:     func(_ clock.Instant, s *config.Snapshot) { p.Configured(s) },
+		configReplied: w.ConfigReplied,
+		listReplied:   w.ListReplied,
+		handOver:      func(clock.Instant) { p.HandOver() },
+		status:        parts.status,
+	}
+}
--- /dev/null
+++ b/core/instance/platform.go
@@ -0,0 +1,73 @@
+package instance
+
+import (
+	"github.com/birchdrift/birchdrift/core/calls"
+	"github.com/birchdrift/birchdrift/core/clock"
+	"github.com/birchdrift/birchdrift/core/code"
+	"github.com/birchdrift/birchdrift/core/config"
+	"github.com/birchdrift/birchdrift/core/demand"
+	"github.com/birchdrift/birchdrift/core/listing"
+	"github.com/birchdrift/birchdrift/core/member"
+	"github.com/birchdrift/birchdrift/core/placement"
+	"github.com/birchdrift/birchdrift/core/watch"
+)
+
+// platformParts are the modules that only a users' platform needs.
+type platformParts struct {
+	placer *placement.Placer
+	watch  *watch.Watch
+}
+
+// platformEnvironment adds the modules that only a users' platform needs: one
+// watch of its store, the owners of engines, and the placer.
+func (m *Machine) platformEnvironment(flow *demand.Flow, board *demand.Board) environment {
+	o := &m.orders
+	placer := placement.New(placement.Needs{
+		Self: m.self, Options: m.opt, Out: m.out, Members: m.members, Pool: m.pool, Config: m.cfg,
+		Registry: o.registry, Asks: o.asks, Roster: o.roster, Flow: flow, Board: board,
+		Stopping: m.stop.Begun, Tell: m.exchanges.With, NextWatcher: m.exchanges.NextWatcher,
+	})
+	w := &watch.Watch{
+		Options: m.opt, Rand: m.rng, Out: m.out, Outage: m.outage, Roster: o.roster, Registry: o.registry,
+		Exchanges: m.exchanges, Stopping: m.stop.Begun,
+	}
+	m.forwarding.Missed = placer.Missed
+	m.exchanges.DemandFor = placer.DemandFor
+	m.exchanges.DemandHeard = placer.DemandHeard
+	m.exchanges.PlatformBrings = w.Brings
+	m.exchanges.NextPeer = func(now clock.Instant, round int) *member.Peer {
+		return m.exchanges.NextOfFleet(now, round, o.registry.Placer().Name)
+	}
+	return environment{
+		platform: &platformParts{placer: placer, watch: w},
+		handle: func(now clock.Instant, ev Event) bool {
+			switch e := ev.(type) {
+			case WatchReply:
+				w.Replied(now, e)
+			case Arrive:
+				m.refuseOwnCall(e)
+			default:
+				return false
+			}
+			return true
+		},
+		tickFirst: []func(now clock.Instant){
+			o.registry.Tick, o.owned.Tick, placer.Tick, m.exchanges.TickMesh, w.Tick,
+		},
+		installed:     func(clock.Instant, *config.Snapshot) {},
+		configReplied: func(clock.Instant, error) {}, // WatchReply ends the one watch
+		listReplied: func(now clock.Instant, e listing.Reply) {
+			m.exchanges.StoreVersion(e.Version)
+			m.listing.Replied(now, e)
+		},
+		handOver: o.registry.Resign,
+		status:   func(clock.Instant, *Status) {},
+	}
+}
+
+// refuseOwnCall refuses a call of the product's own interface, which is not served
+// on a users' platform.
+func (m *Machine) refuseOwnCall(e Arrive) {
+	c := &calls.Call{Request: e.Call}
+	m.calls.RefuseNew(c, calls.NotRun(code.UnknownService, "the product's own interface is not served here", 0))
+}
--- /dev/null
+++ b/core/listing/listing.go
@@ -0,0 +1,151 @@
+// Package listing takes over what the platform lists: entry instances, and
+// replicas that announce themselves or are said to be leaving.
+//
+// It hands each entry that is news to the modules that keep the state of what is
+// listed: core/member for instances, core/pool for replicas. An entry that went
+// does not end a replica at once, since the platform may lose entries of
+// replicas that live.
+package listing
+
+import (
+	"github.com/birchdrift/birchdrift/core/clock"
+	"github.com/birchdrift/birchdrift/core/logevent"
+	"github.com/birchdrift/birchdrift/core/member"
+	"github.com/birchdrift/birchdrift/core/pool"
+	"github.com/birchdrift/birchdrift/core/share"
+	"github.com/birchdrift/birchdrift/core/step"
+)
+
+// Reply is the event that a watch brought entries of the list.
+type Reply struct {
+	Entries []share.Listed
+	Version uint64
+	Whole   bool // Entries are all that the list has
+	Err     error
+}
+
+// IsEvent implements step.Event.
+func (Reply) IsEvent() {}
+
+// A List is what is known of the platform's list. The fields must be set before
+// its use.
+type List struct {
+	Out     *step.Output
+	Members *member.Table
+	Pool    *pool.Pool
+	Records *share.Store
+	// Announced is told which models an engine announced that it holds.
+	Announced func(now clock.Instant, engine string, models []pool.AnnouncedModel)
+	// News is called when an entry was news that peers are to be told of.
+	News func(now clock.Instant)
+
+	version uint64
+}
+
+// Version returns the version up to which the list is known, at whichever hand.
+func (l *List) Version() uint64 { return l.version }
+
+// Replied takes in what a watch brought.
+func (l *List) Replied(now clock.Instant, e Reply) {
+	l.version = e.Version
+	entries := e.Entries
+	if e.Whole {
+		entries = append(entries, l.missing(entries, e.Version)...)
+	}
+	for _, entry := range entries {
+		l.add(now, "", entry)
+	}
+}
+
+// Heard takes in an entry that a peer told of.
+func (l *List) Heard(now clock.Instant, from string, entry share.Listed) {
+	l.add(now, from, entry)
+	l.version = max(l.version, entry.Version)
+}
+
+func (l *List) add(now clock.Instant, from string, entry share.Listed) {
+	if l.Records.AddListed(from, entry) {
+		l.Apply(now, entry)
+		l.News(now)
+	}
+}
+
+// Apply takes over one entry.
+func (l *List) Apply(now clock.Instant, entry share.Listed) {
+	switch {
+	case entry.Kind == share.Entry:
+		l.applyInstance(entry)
+	case entry.Announced != nil || entry.Gone && l.announced(entry.Name):
+		l.applyAnnounced(now, entry)
+	case entry.Leaving || entry.Gone:
+		l.applyLeaving(entry)
+	}
+}
+
+func (l *List) applyInstance(entry share.Listed) {
+	if entry.Gone {
+		l.Members.Forget(entry.Name)
+		return
+	}
+	l.Members.Learn(entry.Name, entry.Zone, entry.Address)
+	l.Members.SetLeaving(entry.Name, entry.Leaving)
+}
+
+func (l *List) applyLeaving(entry share.Listed) {
+	r := l.Pool.Get(entry.Name)
+	if r != nil && !r.Leaving() {
+		l.Out.Log(logevent.Leaving, "upstream", entry.Name, "source", "list")
+	}
+	l.Pool.ObserveListed(entry.Name, true)
+}
+
+// announced reports whether a replica of this name announced itself.
+func (l *List) announced(name string) bool {
+	r := l.Pool.Get(name)
+	return r != nil && r.Announced
+}
+
+// applyAnnounced takes over the entry of a replica that announces itself.
+func (l *List) applyAnnounced(now clock.Instant, entry share.Listed) {
+	if entry.Gone {
+		l.Out.Log(logevent.Vanished, "upstream", entry.Name, "version", entry.Version)
+		l.Pool.Vanish(now, entry.Name)
+		return
+	}
+	r := l.Pool.Get(entry.Name)
+	a := *entry.Announced
+	if r == nil {
+		l.Out.Log(logevent.Announced, "upstream", entry.Name, "service", a.Service, "address", a.Address, "zone", a.Zone, "version", entry.Version)
+	}
+	if a.Draining && (r == nil || !r.Leaving()) {
+		l.Out.Log(logevent.Leaving, "upstream", entry.Name, "source", "list", "version", entry.Version, "remaining", a.Remaining.String())
+	}
+	l.Pool.Announce(now, entry.Name, a)
+	if known, ok := l.Records.Residency(entry.Name); r == nil && ok {
+		l.Pool.ObserveResidency(now, entry.Name, known.Residency)
+	}
+	l.Announced(now, entry.Name, a.Models)
+}
+
+// missing returns the announced replicas that a whole list no longer has, as
+// entries that are gone.
+func (l *List) missing(entries []share.Listed, version uint64) []share.Listed {
+	has := make(map[string]bool, len(entries))
+	for _, entry := range entries {
+		has[entry.Name] = true
+	}
+	var gone []share.Listed
+	for _, r := range l.Pool.All() {
+		if r.Announced && !r.Vanished() && !has[r.Name] {
+			gone = append(gone, share.Listed{Name: r.Name, Kind: share.Upstream, Zone: r.Zone, Gone: true, Version: version})
+		}
+	}
+	return gone
+}
+
+// Tick has replicas whose entries went a while ago count as leaving.
+func (l *List) Tick(now clock.Instant) {
+	for _, name := range l.Pool.Expire(now, pool.VanishSpan) {
+		l.Out.Log(logevent.Leaving, "upstream", name, "source", "its entry went")
+	}
+}
--- a/core/member/member.go
+++ b/core/member/member.go
@@ -8,6 +8,7 @@
 package member
 
 import (
+	"math/rand/v2"
 	"sort"
 	"time"
 
@@ -144,6 +145,30 @@
 	return out
 }
 
+// ZoneSilent reports whether instances of the zone are known and none of them
+// answers.
+func (t *Table) ZoneSilent(zone string) bool {
+	known := false
+	for _, p := range t.Peers() {
+		if p.Zone != zone {
+			continue
+		}
+		known = true
+		if !p.Failing() {
+			return false
+		}
+	}
+	return known
+}
+
+// Draw draws one of the peers, nil if there is none.
+func Draw(rng *rand.Rand, peers []*Peer) *Peer {
+	if len(peers) == 0 {
+		return nil
+	}
+	return peers[rng.IntN(len(peers))]
+}
+
 // Size returns how many instances are known, this one included.
 func (t *Table) Size() int { return len(t.peers) + 1 }
 
--- a/core/orders/orders.go
+++ b/core/orders/orders.go
@@ -40,6 +40,33 @@
 	AdapterSlots int
 }
 
+// An Order is a request as it is sent to an engine.
+type Order struct {
+	Engine  string // its incarnation, which alone may carry the order out
+	Address string // IP:port
+	Request Request
+	// Expect is how many orders the engine must have taken before. An engine
+	// that has taken another number refuses this one, so an order whose answer
+	// is lost cannot take effect after a later one.
+	Expect uint64
+	Fence  uint64
+}
+
+// An Answer is what came of an order.
+type Answer int
+
+// The answers. Their numbers stand in the log.
+const (
+	AnswerLost        Answer = iota + 1 // no answer: it may be carried out, now or later
+	AnswerTaken                         // it is being carried out
+	AnswerHolds                         // what it asks for is so already
+	AnswerConflict                      // another is under way, or Expect differs
+	AnswerFenced                        // the engine has seen a later fence
+	AnswerInvalid                       // the engine knows no such order
+	AnswerMisdirected                   // another engine has the address
+	AnswerNotSent                       // it certainly never left
+)
+
 // A held is one item on the engine.
 type held struct {
 	model   string
@@ -55,15 +82,15 @@
 
 // The verdicts.
 const (
-	Order    Verdict = iota + 1 // it may be sent
-	Holds                       // what it asks for is so already
-	Coming                      // it is on its way already
-	Later                       // an order is without an answer, or the engine is busy
-	NoRoom                      // memory or slots are missing
-	NoModel                     // the adapter's model is not there
-	Unknown                     // the engine's state is not known yet
-	Unsized                     // the model is not configured
-	NotThere                    // what should be unloaded is not there
+	Permitted Verdict = iota + 1 // it may be sent
+	Holds                        // what it asks for is so already
+	Coming                       // it is on its way already
+	Later                        // an order is without an answer, or the engine is busy
+	NoRoom                       // memory or slots are missing
+	NoModel                      // the adapter's model is not there
+	Unknown                      // the engine's state is not known yet
+	Unsized                      // the model is not configured
+	NotThere                     // what should be unloaded is not there
 )
 
 // An Engine is the owner's ledger of one engine.
@@ -202,7 +229,7 @@
 	case e.flying != nil || e.busyBut(r.Item()) || h.phase == pool.Loading:
 		return Later
 	default:
-		return Order
+		return Permitted
 	}
 }
 
@@ -213,7 +240,7 @@
 	if mb > e.Free() {
 		return NoRoom
 	}
-	return Order
+	return Permitted
 }
 
 // maxComing is how many adapters may be on their way to one engine.
@@ -230,7 +257,7 @@
 	if mb > e.Free() || e.slots() >= e.limits.AdapterSlots {
 		return NoRoom
 	}
-	return Order
+	return Permitted
 }
 
 func (e *Engine) coming() int {
--- /dev/null
+++ b/core/outage/outage.go
@@ -0,0 +1,61 @@
+// Package outage tracks whether the platform's service answers an instance, and
+// how long to wait before it is called again.
+//
+// All modules that call the service report each outcome to one Tracker, so that
+// an outage is noticed, logged and backed off from once, whoever met it.
+package outage
+
+import (
+	"math/rand/v2"
+	"time"
+
+	"github.com/birchdrift/birchdrift/core/backoff"
+	"github.com/birchdrift/birchdrift/core/clock"
+	"github.com/birchdrift/birchdrift/core/logevent"
+	"github.com/birchdrift/birchdrift/core/step"
+)
+
+// Bounds of the time between two calls of one kind after failures. Not
+// measured: the first is fifty times an answer's usual 4 ms; with the last, 370
+// instances that find the service down call it some 140 times a second.
+const (
+	firstWait = 200 * time.Millisecond
+	LongWait  = 5 * time.Second
+)
+
+// A Tracker is what one instance knows of the service's availability.
+type Tracker struct {
+	out     *step.Output
+	down    bool
+	since   clock.Instant // when it was first found down
+	backoff backoff.Backoff
+}
+
+// New returns the tracker of a service that has not been called yet.
+func New(out *step.Output) *Tracker {
+	return &Tracker{out: out, backoff: backoff.New(firstWait, LongWait)}
+}
+
+// Observe takes in the outcome of one call: nil if the service answered.
+func (t *Tracker) Observe(now clock.Instant, err error) {
+	if err == nil {
+		if t.down {
+			t.out.Log(logevent.PlatformBack, "after", now.Since(t.since).String())
+		}
+		t.down = false
+		t.backoff = t.backoff.WithSuccess()
+		return
+	}
+	if !t.down {
+		t.since = now
+		t.out.Log(logevent.PlatformDown, "error", err.Error())
+	}
+	t.down = true
+	t.backoff = t.backoff.WithFailure()
+}
+
+// Down reports whether the last call failed.
+func (t *Tracker) Down() bool { return t.down }
+
+// Wait draws how long to wait before the next call: 0 after a success.
+func (t *Tracker) Wait(rng *rand.Rand) time.Duration { return t.backoff.Wait(rng) }
--- a/core/route/route.go
+++ b/core/own/choose/choose.go
@@ -1,4 +1,6 @@
-// Package route provides the choice of the replica that a call is sent to.
+// Package choose provides the choice of the replica that a call of the product's
+// own interface is sent to. Only the product's own environment runs it; forwarded
+// calls are chosen for in core/route.
 //
 // The idea: each candidate gets an expected time to first token, made of the
 // wait behind the sequences ahead, the prefill of the prompt tokens that are
@@ -11,7 +13,7 @@
 // passed over unless more than a third of the candidates are ejected, since
 // then the cause is likelier to be on this side; ejected replicas of other
 // zones are always passed over.
-package route
+package choose
 
 import (
 	"time"
--- a/core/route/prefix.go
+++ b/core/own/choose/prefix.go
@@ -1,4 +1,4 @@
-package route
+package choose
 
 import (
 	"container/list"
--- /dev/null
+++ b/core/own/modelcalls/claims.go
@@ -0,0 +1,144 @@
+package modelcalls
+
+import (
+	"crypto/sha256"
+	"encoding/hex"
+	"time"
+
+	"github.com/birchdrift/birchdrift/core/calls"
+	"github.com/birchdrift/birchdrift/core/clock"
+	"github.com/birchdrift/birchdrift/core/code"
+	"github.com/birchdrift/birchdrift/core/outage"
+)
+
+// A ClaimOutcome is what came of a claim.
+type ClaimOutcome int
+
+// The outcomes of a claim.
+const (
+	ClaimWon     ClaimOutcome = iota + 1 // this call holds the claim
+	ClaimLost                            // another call holds it
+	ClaimAbsent                          // reading back found none
+	ClaimUnknown                         // the answer was lost
+	ClaimNotSent                         // the request certainly never left
+)
+
+type (
+	// Claim is an action: claim an idempotency key.
+	Claim struct {
+		ID   calls.ID
+		Key  string
+		Life time.Duration
+	}
+	// ReadClaim is an action: read back a claim whose answer was lost.
+	ReadClaim struct {
+		ID  calls.ID
+		Key string
+	}
+	// ReleaseClaim is an action: give up a claim whose call certainly did not
+	// run.
+	ReleaseClaim struct {
+		ID  calls.ID
+		Key string
+	}
+	// ClaimReply is the event that answers a Claim or a ReadClaim.
+	ClaimReply struct {
+		ID      calls.ID
+		Outcome ClaimOutcome
+	}
+)
+
+// IsAction implements step.Action.
+func (Claim) IsAction() {}
+
+// IsAction implements step.Action.
+func (ReadClaim) IsAction() {}
+
+// IsAction implements step.Action.
+func (ReleaseClaim) IsAction() {}
+
+// IsEvent implements step.Event.
+func (ClaimReply) IsEvent() {}
+
+// claimTries is how many requests are sent for one claim before it is given up.
+const claimTries = 6
+
+// claimKey names the claim of a caller's idempotency key for one service. The
+// parts are hashed with their lengths fixed by the separator, which no name
+// and no header value can hold.
+func claimKey(caller, service, key string) string {
+	sum := sha256.Sum256([]byte(caller + "\x00" + service + "\x00" + key))
+	return "claim/" + hex.EncodeToString(sum[:])
+}
+
+// claim asks the platform for the call's idempotency key. While the platform
+// is known to be down the call is refused at once: it has not run, and holding
+// it would help nobody.
+func (h *Handler) claim(c *calls.Call) {
+	s := stateOf(c)
+	if h.Outage.Down() {
+		h.Calls.Refuse(c, calls.NotRun(code.PlatformDown, "the idempotency key cannot be claimed now", h.Calls.RetryAfter(outage.LongWait)))
+		return
+	}
+	c.Phase = calls.Claiming
+	s.claims++
+	h.Out.Do(Claim{ID: c.ID, Key: s.claimKey, Life: h.Options.ClaimLife})
+}
+
+// ClaimReplied takes in what came of a claim, or of reading one back.
+func (h *Handler) ClaimReplied(now clock.Instant, e ClaimReply) {
+	c := h.Calls.Get(e.ID)
+	if c == nil || c.Phase != calls.Claiming {
+		return
+	}
+	s := stateOf(c)
+	switch e.Outcome {
+	case ClaimWon:
+		c.Phase = calls.Waiting
+		h.place(now, c)
+	case ClaimLost:
+		s.claimKey = "" // another's; not ours to release
+		h.Calls.Refuse(c, calls.NotRun(code.KeyClaimed, "another call with this key was accepted earlier", 0))
+	case ClaimUnknown:
+		h.readBack(c)
+	case ClaimAbsent, ClaimNotSent:
+		h.claimAgain(c)
+	}
+}
+
+// readBack finds out whether a claim whose answer was lost took effect.
+func (h *Handler) readBack(c *calls.Call) {
+	s := stateOf(c)
+	if s.claims >= claimTries {
+		h.giveUpClaim(c)
+		return
+	}
+	s.claims++
+	h.Out.Do(ReadClaim{ID: c.ID, Key: s.claimKey})
+}
+
+// claimAgain repeats the claim. A first request that is still on its way can
+// do no harm: it carries the same value, so reading back recognises it.
+func (h *Handler) claimAgain(c *calls.Call) {
+	s := stateOf(c)
+	if s.claims >= claimTries {
+		h.giveUpClaim(c)
+		return
+	}
+	h.claim(c)
+}
+
+func (h *Handler) giveUpClaim(c *calls.Call) {
+	h.Calls.Refuse(c, calls.NotRun(code.PlatformDown, "the idempotency key could not be claimed", h.Calls.RetryAfter(outage.LongWait)))
+}
+
+// releaseClaim gives up the claim of a call that certainly did not run, so
+// that the caller may come back with the same key.
+func (h *Handler) releaseClaim(c *calls.Call) {
+	s := stateOf(c)
+	if s.claimKey == "" || s.claims == 0 {
+		return
+	}
+	h.Out.Do(ReleaseClaim{ID: c.ID, Key: s.claimKey})
+	s.claimKey = ""
+}
--- /dev/null
+++ b/core/own/modelcalls/decisions.go
@@ -0,0 +1,61 @@
+package modelcalls
+
+import (
+	"time"
+
+	"github.com/birchdrift/birchdrift/core/calls"
+	"github.com/birchdrift/birchdrift/core/clock"
+	"github.com/birchdrift/birchdrift/core/own/choose"
+)
+
+// A Decision is one choice of a replica, kept for `birchctl explain`.
+type Decision struct {
+	At       time.Time `json:"at"`
+	Call     uint64    `json:"call"`
+	Service  string    `json:"service"`
+	Item     string    `json:"item,omitempty"`
+	Attempt  int       `json:"attempt"`
+	Replica  string    `json:"replica"`
+	QueueMS  float64   `json:"queue_ms"`
+	Prefill  float64   `json:"prefill_ms"`
+	Network  float64   `json:"network_ms"`
+	Slow     float64   `json:"slow_ms"`
+	Cached   int       `json:"cached_tokens,omitempty"`
+	WaitedMS float64   `json:"waited_ms"`
+}
+
+// decisions is a ring of the latest choices.
+type decisions struct {
+	ring []Decision
+	next int
+}
+
+const decisionsKept = 256
+
+func (d *decisions) add(now clock.Instant, c *calls.Call, e choose.Estimate) {
+	x := Decision{
+		At:       now.Wall,
+		Call:     uint64(c.ID),
+		Service:  c.Service,
+		Item:     c.Item,
+		Attempt:  c.History.Attempts,
+		Replica:  e.Replica.Name,
+		QueueMS:  millis(e.Queue),
+		Prefill:  millis(e.Prefill),
+		Network:  millis(e.Network),
+		Slow:     millis(e.Slow),
+		Cached:   e.Cached,
+		WaitedMS: millis(now.Since(c.Arrived)),
+	}
+	if len(d.ring) < decisionsKept {
+		d.ring = append(d.ring, x)
+		return
+	}
+	d.ring[d.next] = x
+	d.next = (d.next + 1) % decisionsKept
+}
+
+func millis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
+
+// Recent returns the latest choices.
+func (h *Handler) Recent() []Decision { return h.recent.ring }
--- /dev/null
+++ b/core/own/modelcalls/modelcalls.go
@@ -0,0 +1,216 @@
+// Package modelcalls serves the calls of the product's own interface: chat and
+// completion calls of a service's model, and calls under /services/. Only the
+// product's own environment runs it; forwarded calls are served by
+// core/forwarding.
+//
+// A call is admitted by its caller's key and the service's policy, may claim an
+// idempotency key, goes to the replica that should answer it first, and is
+// resumed or sent again where that is harmless.
+package modelcalls
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"time"
+
+	"github.com/birchdrift/birchdrift/core/attempt"
+	"github.com/birchdrift/birchdrift/core/calls"
+	"github.com/birchdrift/birchdrift/core/clock"
+	"github.com/birchdrift/birchdrift/core/code"
+	"github.com/birchdrift/birchdrift/core/config"
+	"github.com/birchdrift/birchdrift/core/logevent"
+	"github.com/birchdrift/birchdrift/core/member"
+	"github.com/birchdrift/birchdrift/core/option"
+	"github.com/birchdrift/birchdrift/core/outage"
+	"github.com/birchdrift/birchdrift/core/own/choose"
+	"github.com/birchdrift/birchdrift/core/own/meter"
+	"github.com/birchdrift/birchdrift/core/policy"
+	"github.com/birchdrift/birchdrift/core/pool"
+	"github.com/birchdrift/birchdrift/core/retrybudget"
+	"github.com/birchdrift/birchdrift/core/step"
+)
+
+const (
+	// resumePause spaces the resumes of one broken stream.
+	resumePause = 50 * time.Millisecond
+	// neutralPriority is the priority at which a call's weight is 1.
+	neutralPriority = 50.0
+)
+
+// Needs are what the handler needs of the other modules.
+type Needs struct {
+	Self    member.Identity
+	Options *option.Options
+	Rand    *rand.Rand
+	Out     *step.Output
+	Pool    *pool.Pool
+	Config  *config.Current
+	Calls   *calls.Table
+	Budget  *retrybudget.Budget
+	Outage  *outage.Tracker
+	Chooser *choose.Chooser
+	Meter   *meter.Meter
+	// Unmet is called when a call found its item resident nowhere.
+	Unmet func(now clock.Instant)
+}
+
+// A Handler serves calls of the own interface.
+type Handler struct {
+	Needs
+	kind   calls.Kind
+	able   []*pool.Replica // what candidates returned last
+	recent decisions
+}
+
+// A state is what a call of the own interface has beside what every call has.
+type state struct {
+	service     config.Service
+	version     config.Version
+	prefillRate int // tokens a second
+	load        time.Duration
+	caller      string
+	verdict     policy.Verdict
+	failedOn    string // replica that failed it last
+	claimKey    string
+	claims      int // claim requests sent
+}
+
+func stateOf(c *calls.Call) *state { return c.State.(*state) }
+
+// New returns a handler that has seen no call.
+func New(n Needs) *Handler {
+	h := &Handler{Needs: n}
+	h.kind = calls.Kind{
+		Place:     h.place,
+		First:     h.first,
+		Broke:     h.broke,
+		Served:    h.served,
+		Cancel:    h.cancel,
+		NotRun:    h.releaseClaim,
+		LeftQueue: h.leftQueue,
+	}
+	n.Calls.StillWaiting = h.stillWaiting
+	return h
+}
+
+// Arrive takes a call in, or refuses it. refusing says that this instance takes
+// no more calls since it stops.
+func (h *Handler) Arrive(now clock.Instant, r calls.Request, refusing bool) {
+	c := &calls.Call{Request: r, Kind: &h.kind, State: &state{}, Arrived: now, Phase: calls.Waiting}
+	if refusal, ok := h.admit(now, c, refusing); !ok {
+		h.Calls.RefuseNew(c, refusal)
+		return
+	}
+	h.Calls.Add(c)
+	h.Budget.Call(now, c.Service)
+	if stateOf(c).claimKey != "" {
+		h.claim(c)
+		return
+	}
+	h.place(now, c)
+}
+
+// admit fills in what the configuration and the policy say of the call, or
+// returns why it is refused. Nothing has been sent anywhere at this point.
+func (h *Handler) admit(now clock.Instant, c *calls.Call, refusing bool) (code.Refusal, bool) {
+	if refusing {
+		return calls.NotRun(code.Stopping, "this instance is stopping", calls.LeastRetryAfter), false
+	}
+	if !h.Config.Known() {
+		return calls.NotRun(code.NoConfiguration, "no configuration yet", calls.LeastRetryAfter), false
+	}
+	caller, known := h.Config.CallerByKey(c.Key)
+	if !known {
+		return calls.NotRun(code.Unauthorized, "no such key", 0), false
+	}
+	svc, ok := h.Config.Service(c.Service)
+	if !ok || c.Plain != (len(svc.Replicas) > 0) {
+		return calls.NotRun(code.UnknownService, fmt.Sprintf("no service %q of this kind", c.Service), 0), false
+	}
+	if !caller.Admits(svc.Name) {
+		return calls.NotRun(code.Forbidden, fmt.Sprintf("caller %q may not call %q", caller.Name, svc.Name), 0), false
+	}
+	s := stateOf(c)
+	s.caller = caller.Name
+	s.service = svc
+	c.Target = svc.Target.FirstToken
+	h.attach(c)
+	return h.applyPolicy(now, c)
+}
+
+// attach picks the version and works out whether the call may be repeated.
+func (h *Handler) attach(c *calls.Call) {
+	s := stateOf(c)
+	repeatable := s.service.Repeatable(c.Path) && !c.NotRepeatable
+	if !repeatable && c.IdempotencyKey != "" {
+		s.claimKey = claimKey(s.caller, s.service.Name, c.IdempotencyKey)
+	}
+	c.History = attempt.New(repeatable && c.Replayable)
+	if c.Plain {
+		return
+	}
+	s.version = s.service.PickVersion(h.Rand.Float64())
+	c.Item = s.version.Model
+	if s.version.Adapter != "" {
+		c.Item = s.version.Adapter
+	}
+	if model, ok := h.Config.Model(s.version.Model); ok {
+		s.prefillRate = model.PrefillPerSecond
+		s.load = model.Load
+	}
+}
+
+// applyPolicy asks the service's policy about the call.
+func (h *Handler) applyPolicy(now clock.Instant, c *calls.Call) (code.Refusal, bool) {
+	s := stateOf(c)
+	s.verdict = policy.Verdict{Priority: config.DefaultPriority, Wait: h.Options.DefaultWait}
+	if program := h.Config.Policy(s.service.Policy); program != nil {
+		verdict, failed := program.Eval(policy.Input{
+			Service:       s.service.Name,
+			Model:         s.version.Model,
+			Caller:        s.caller,
+			PromptTokens:  c.PromptTokens,
+			MaxTokens:     c.MaxTokens,
+			NotRepeatable: !c.History.Repeatable,
+			Load:          h.zoneLoad(now),
+			Hour:          now.Wall.UTC().Hour(),
+		})
+		s.verdict = verdict
+		if failed > 0 {
+			h.Out.Log(logevent.PolicyFailed, "policy", s.service.Policy, "expressions", failed)
+		}
+	}
+	c.Priority = s.verdict.Priority
+	if c.Item != "" {
+		weight := float64(s.verdict.Priority) / neutralPriority
+		h.Meter.Call(now, c.Item, weight)
+		if c.Item != s.version.Model {
+			h.Meter.Call(now, s.version.Model, weight)
+		}
+	}
+	if s.verdict.Refuse {
+		return calls.NotRun(code.RefusedByPolicy, fmt.Sprintf("policy %q", s.service.Policy), calls.LeastRetryAfter), false
+	}
+	return code.Refusal{}, true
+}
+
+// zoneLoad returns the share of the zone's sequences in use.
+func (h *Handler) zoneLoad(now clock.Instant) float64 {
+	var used, all float64
+	for _, r := range h.Pool.All() {
+		if r.Kind == pool.Engine && r.Zone == h.Self.Zone && r.Usable() {
+			used += r.Sequences(now)
+			all += float64(r.Concurrent)
+		}
+	}
+	if all == 0 {
+		return 0
+	}
+	return used / all
+}
+
+// allowance returns how long the call may still wait for its first token.
+func (h *Handler) allowance(now clock.Instant, c *calls.Call) time.Duration {
+	s := stateOf(c)
+	return s.service.Target.FirstToken + s.verdict.Wait - now.Since(c.Arrived)
+}
--- /dev/null
+++ b/core/own/modelcalls/place.go
@@ -0,0 +1,127 @@
+package modelcalls
+
+import (
+	"fmt"
+	"time"
+
+	"github.com/birchdrift/birchdrift/core/calls"
+	"github.com/birchdrift/birchdrift/core/clock"
+	"github.com/birchdrift/birchdrift/core/code"
+	"github.com/birchdrift/birchdrift/core/own/choose"
+	"github.com/birchdrift/birchdrift/core/pool"
+)
+
+// How a call that was taken in finds its replica, or waits for one.
+
+// candidates returns the replicas that can serve the call. The slice is valid
+// until the next call of candidates.
+func (h *Handler) candidates(now clock.Instant, c *calls.Call) []*pool.Replica {
+	s := stateOf(c)
+	if c.Plain {
+		return h.Pool.Serving(s.service.Name)
+	}
+	h.able = h.able[:0]
+	for _, r := range h.Pool.Ready(c.Item) {
+		// An adapter is through long before its model, which is what an
+		// engine that is asked then refuses for; and what has just refused an
+		// item answers fastest, so it would draw every call if it counted.
+		if r.Phase(s.version.Model) == pool.Ready && !r.Refusing(now, c.Item) {
+			h.able = append(h.able, r)
+		}
+	}
+	return h.able
+}
+
+// place sends the call to the best replica, or lets it wait, or refuses it.
+func (h *Handler) place(now clock.Instant, c *calls.Call) {
+	s := stateOf(c)
+	q := choose.Query{
+		Zone:         h.Self.Zone,
+		PromptTokens: c.PromptTokens,
+		PrefillRate:  s.prefillRate,
+		Prefix:       c.Prefix,
+		Exclude:      s.failedOn,
+	}
+	best, ok := h.Chooser.Choose(now, q, h.candidates(now, c))
+	switch {
+	case !ok:
+		h.placeAbsent(now, c)
+	case best.Room:
+		h.dispatch(now, c, best)
+	case best.Queue > h.allowance(now, c):
+		h.Calls.Refuse(c, calls.NotRun(code.NoCapacity, "every replica is full", h.Calls.RetryAfter(best.Queue)))
+	default:
+		h.Calls.Wait(c)
+	}
+}
+
+// placeAbsent deals with a call that no usable replica can serve.
+func (h *Handler) placeAbsent(now clock.Instant, c *calls.Call) {
+	s := stateOf(c)
+	if c.Plain {
+		h.Calls.Refuse(c, calls.NotRun(code.NoReplica, "no live replica", h.Calls.RetryAfter(0)))
+		return
+	}
+	h.Meter.Unmet(now, c.Item)
+	h.Unmet(now)
+	if s.load > h.allowance(now, c)+now.Since(c.Arrived) || h.allowance(now, c) <= 0 {
+		h.Calls.Refuse(c, calls.NotRun(code.NotResident, fmt.Sprintf("%q is not resident", c.Item), h.Calls.RetryAfter(s.load)))
+		return
+	}
+	h.Calls.Wait(c)
+}
+
+func (h *Handler) dispatch(now clock.Instant, c *calls.Call, e choose.Estimate) {
+	if c.Phase == calls.Waiting {
+		h.Calls.LeaveQueue(c)
+	}
+	c.Phase = calls.Running
+	c.History = c.History.WithAttempt()
+	c.Replica = e.Replica.Name
+	c.Started = now
+	if c.Item != "" {
+		h.Chooser.Sent(c.Prefix, e.Replica.Name)
+	}
+	e.Replica.Start(now, uint64(c.ID))
+	h.recent.add(now, c, e)
+	h.Out.Do(h.dispatchAction(c, e.Replica, false, 0))
+}
+
+func (h *Handler) dispatchAction(c *calls.Call, r *pool.Replica, resume bool, after time.Duration) calls.Dispatch {
+	s := stateOf(c)
+	return calls.Dispatch{
+		ID:         c.ID,
+		Attempt:    c.History.Attempts,
+		Replica:    r.Name,
+		Address:    r.Address,
+		Zone:       r.Zone,
+		Plain:      c.Plain,
+		Model:      s.version.Model,
+		Adapter:    s.version.Adapter,
+		Priority:   s.verdict.Priority,
+		Repeatable: c.History.Repeatable,
+		Resume:     resume,
+		After:      after,
+		Stall:      h.Options.Stall,
+	}
+}
+
+// stillWaiting counts the calls that go on waiting for an item that no replica
+// has, by which the planner makes room.
+func (h *Handler) stillWaiting(now clock.Instant, waiting []*calls.Call) {
+	absent := map[string]int{}
+	for _, c := range waiting {
+		if c.Kind == &h.kind && c.Item != "" && len(h.candidates(now, c)) == 0 {
+			absent[c.Item]++
+		}
+	}
+	for item, n := range absent {
+		h.Meter.Waiting(item, n)
+	}
+}
+
+func (h *Handler) leftQueue(c *calls.Call) {
+	if c.Item != "" {
+		h.Meter.Waiting(c.Item, 0)
+	}
+}
--- a/core/plan/place.go
+++ b/core/own/plan/place.go
@@ -4,7 +4,7 @@
 	"sort"
 	"time"
 
-	"github.com/birchdrift/birchdrift/core/book"
+	"github.com/birchdrift/birchdrift/core/own/book"
 )
 
 // An option is one way to place a want.
--- a/core/plan/plan.go
+++ b/core/own/plan/plan.go
@@ -17,8 +17,8 @@
 	"sort"
 	"time"
 
-	"github.com/birchdrift/birchdrift/core/book"
 	"github.com/birchdrift/birchdrift/core/demand"
+	"github.com/birchdrift/birchdrift/core/own/book"
 )
 
 // Tunables of the plan.
--- /dev/null
+++ b/core/own/planner/demand.go
@@ -0,0 +1,148 @@
+package planner
+
+import (
+	"time"
+
+	"github.com/birchdrift/birchdrift/core/clock"
+	"github.com/birchdrift/birchdrift/core/demand"
+	"github.com/birchdrift/birchdrift/core/member"
+)
+
+// How planners hear of demand: from the instances of their zone, and from the
+// planners of zones that live on their copies.
+
+// tellEvery spaces the words to the planner about unmet demand. Without them a
+// call for a cold model would wait for the planner's turn in the rhythm.
+const tellEvery = 500 * time.Millisecond
+
+// Unmet lets the zone's planner know of an unmet demand soon.
+func (p *Planner) Unmet(now clock.Instant) {
+	if !p.toldAt.IsZero() && now.Since(p.toldAt) < tellEvery {
+		return
+	}
+	p.toldAt = now
+	if p.Planning() {
+		p.planDue = now
+		return
+	}
+	p.Tell(now, p.Members.Get(p.Records.Holder(p.Self.Zone).Instance))
+}
+
+// tellLeaders has a planner tell the planners of other zones of unmet demand
+// for items whose first copy is theirs to place.
+func (p *Planner) tellLeaders(now clock.Instant) {
+	if !p.ledAt.IsZero() && now.Since(p.ledAt) < tellEvery {
+		return
+	}
+	zones := p.planningZones(now)
+	told := map[string]bool{p.Self.Zone: true}
+	for _, it := range p.Board.Sum(now) {
+		if it.Unmet == 0 || len(p.Pool.Ready(it.Name)) > 0 {
+			continue
+		}
+		zone := p.leader(zones, it.Name)
+		if told[zone] {
+			continue
+		}
+		told[zone] = true
+		p.ledAt = now
+		p.Tell(now, p.Members.Get(p.Records.Holder(zone).Instance))
+	}
+}
+
+// DemandFor returns what the peer's planning needs to know: this instance's
+// demand if it plans for this zone; what this zone lives on elsewhere if both
+// are planners.
+func (p *Planner) DemandFor(now clock.Instant, peer string) []demand.Item {
+	other := p.Members.Get(peer)
+	if other == nil || p.Records.Holder(other.Zone).Instance != peer {
+		return nil
+	}
+	if other.Zone == p.Self.Zone {
+		return p.Meter.Items(now)
+	}
+	if !p.Planning() {
+		return nil
+	}
+	return p.borrowed(now, other.Zone)
+}
+
+// borrowed returns the zone's demand for items that it has not and that the
+// other zone has ready, or is to place.
+func (p *Planner) borrowed(now clock.Instant, zone string) []demand.Item {
+	var items []demand.Item
+	zones := p.planningZones(now)
+	// Only what this zone's own callers ask for: what other planners reported
+	// here must not come back to them as more demand.
+	own := p.Board.SumOf(now, func(name string) bool {
+		other := p.Members.Get(name)
+		return name == p.Self.Name || other != nil && other.Zone == p.Self.Zone
+	})
+	for _, it := range own {
+		here := false
+		there := false
+		for _, r := range p.Pool.Ready(it.Name) {
+			here = here || r.Zone == p.Self.Zone
+			there = there || r.Zone == zone
+		}
+		if !here && (there || p.leader(zones, it.Name) == zone) {
+			items = append(items, it)
+		}
+	}
+	return items
+}
+
+// DemandHeard takes in what a peer's callers ask for. The next plan is made at
+// once if they wait.
+func (p *Planner) DemandHeard(now clock.Instant, peer string, items []demand.Item) {
+	p.Board.Report(now, peer, items)
+	for _, it := range items {
+		if it.Unmet > 0 && p.Planning() {
+			p.planDue = now
+			return
+		}
+	}
+}
+
+const (
+	// abroadEvery is every how manyth exchange goes to another zone.
+	abroadEvery = 4
+	// plannerEvery is every how manyth exchange goes to the zone's planner,
+	// which needs the demand.
+	plannerEvery = 2
+)
+
+// NextPeer returns whom this instance exchanges with in a round: every so often
+// the planner of the zone, and, as a planner, those of other zones; nil to leave
+// it to the ring of neighbours.
+func (p *Planner) NextPeer(_ clock.Instant, round int) *member.Peer {
+	if round%abroadEvery == 0 {
+		if peer := p.abroad(); peer != nil {
+			return peer
+		}
+	}
+	if round%plannerEvery == 1 {
+		if peer := p.Members.Get(p.Records.Holder(p.Self.Zone).Instance); peer != nil && !peer.Leaving {
+			return peer
+		}
+	}
+	return nil
+}
+
+// abroad draws a peer of another zone. A planner draws other zones' planners, to
+// tell them which of their models its zone lives on.
+func (p *Planner) abroad() *member.Peer {
+	others := p.Members.InZone(false)
+	if p.Planning() {
+		var planners []*member.Peer
+		for _, peer := range others {
+			if p.Records.Holder(peer.Zone).Instance == peer.Name {
+				planners = append(planners, peer)
+			}
+		}
+		if len(planners) > 0 {
+			others = planners
+		}
+	}
+	return member.Draw(p.Rand, others)
+}
--- /dev/null
+++ b/core/own/planner/event.go
@@ -0,0 +1,131 @@
+package planner
+
+import (
+	"time"
+
+	"github.com/birchdrift/birchdrift/core/clock"
+	"github.com/birchdrift/birchdrift/core/own/book"
+	"github.com/birchdrift/birchdrift/core/pool"
+)
+
+// The planner's events.
+type (
+	// LeaseReply answers a SeekLease.
+	LeaseReply struct {
+		Sent    clock.Instant // when the request was sent
+		Granted bool
+		Fence   uint64
+		Holder  string // who holds it, if not granted
+		Err     error
+	}
+	// IntentsReply answers a ReadIntents or a WriteIntents.
+	IntentsReply struct {
+		Read     bool // it answers a ReadIntents
+		Intents  Intents
+		Revision uint64 // of the key, for the next compare-and-swap
+		Conflict bool
+		Err      error
+	}
+	// StateReply answers a ReadState.
+	StateReply struct {
+		Engine string
+		State  pool.State
+		Err    error
+	}
+	// OrderReply answers an Order.
+	OrderReply struct {
+		Engine  string
+		Fence   uint64
+		Seq     uint64
+		Outcome OrderOutcome
+		State   pool.State // valid with OrderDone and OrderRefused
+		Detail  string
+	}
+)
+
+// The planner's actions.
+type (
+	// SeekLease asks for, or renews, the planner's lease.
+	SeekLease struct {
+		Term  time.Duration
+		Renew uint64 // fence of the grant to renew, 0 to ask anew
+	}
+	// ReleaseLease gives the planner's lease back.
+	ReleaseLease struct{ Fence uint64 }
+	// ReadIntents reads the zone's outstanding intents.
+	ReadIntents struct{}
+	// WriteIntents replaces them if they are still at Revision.
+	WriteIntents struct {
+		Intents  Intents
+		Revision uint64
+	}
+	// ReadState asks an engine for its state.
+	ReadState struct {
+		Engine  string
+		Address string
+	}
+	// SendOrder gives an engine an order.
+	SendOrder struct {
+		Address string
+		Order   book.Order
+	}
+)
+
+// An OrderOutcome is what came of an order.
+type OrderOutcome int
+
+// The outcomes of an order.
+const (
+	OrderDone    OrderOutcome = iota + 1 // the engine carries it out
+	OrderRefused                         // the engine will not carry it out
+	OrderFenced                          // the engine has seen a later fence
+	OrderNotSent                         // it certainly never left
+	OrderLost                            // its answer is lost
+)
+
+// An Intent is one order written to the platform before it is sent, because
+// its engine does not check who orders it.
+type Intent struct {
+	Engine string `json:"engine"`
+	Op     uint8  `json:"op"`
+	Item   string `json:"item"`
+	MiB    int64  `json:"mib"`
+	Seq    uint64 `json:"seq"`
+	Fence  uint64 `json:"fence"`
+}
+
+// Intents is the platform's value that holds a zone's outstanding intents.
+type Intents struct {
+	Fence   uint64   `json:"fence"` // of the holder that wrote it
+	Intents []Intent `json:"intents,omitempty"`
+}
+
+// IsEvent implements step.Event.
+func (LeaseReply) IsEvent() {}
+
+// IsEvent implements step.Event.
+func (IntentsReply) IsEvent() {}
+
+// IsEvent implements step.Event.
+func (StateReply) IsEvent() {}
+
+// IsEvent implements step.Event.
+func (OrderReply) IsEvent() {}
+
+// IsAction implements step.Action.
+func (SeekLease) IsAction() {}
+
+// IsAction implements step.Action.
+func (ReleaseLease) IsAction() {}
+
+// IsAction implements step.Action.
+func (ReadIntents) IsAction() {}
+
+// IsAction implements step.Action.
+func (WriteIntents) IsAction() {}
+
+// IsAction implements step.Action.
+func (ReadState) IsAction() {}
+
+// IsAction implements step.Action.
+func (SendOrder) IsAction() {}
--- a/core/instance/planinput.go
+++ b/core/own/planner/input.go
@@ -1,29 +1,30 @@
-package instance
+package planner
 
 import (
 	"math"
 	"time"
 
+	"github.com/birchdrift/birchdrift/core/clock"
 	"github.com/birchdrift/birchdrift/core/config"
-	"github.com/birchdrift/birchdrift/core/plan"
+	"github.com/birchdrift/birchdrift/core/own/plan"
 	"github.com/birchdrift/birchdrift/core/pool"
 	"github.com/birchdrift/birchdrift/core/rendezvous"
 )
 
-// A homeView holds what a plan needs of a revision, worked out once.
-type homeView struct {
+// A zoneView holds what a plan needs of a revision, worked out once.
+type zoneView struct {
 	items map[string]plan.Item
 	home  map[string]bool // items that this zone holds though nobody asks
 	zones []string        // those with engines
 }
 
-// newHomeView names each model's home zone by rendezvous hashing, so that
+// newZoneView names each model's home zone by rendezvous hashing, so that
 // zones agree without a message which of them keeps a model that nobody asks
 // for. An adapter lives with its model.
-func newHomeView(s *config.Snapshot, zone string) homeView {
+func newZoneView(s *config.Snapshot, zone string) zoneView {
 	doc := s.Document()
 	zones := engineZones(doc)
-	h := homeView{items: map[string]plan.Item{}, home: map[string]bool{}, zones: zones}
+	h := zoneView{items: map[string]plan.Item{}, home: map[string]bool{}, zones: zones}
 	attached := map[string]bool{}
 	for _, svc := range doc.Services {
 		for _, v := range svc.Versions {
@@ -71,46 +72,46 @@
 }
 
 // planInput gathers what the plan depends on at this moment.
-func (m *Machine) planInput() plan.Input {
-	doc := m.cfg.Document()
+func (p *Planner) planInput(now clock.Instant) plan.Input {
+	doc := p.Config.Document()
 	in := plan.Input{
-		Items:       m.homes.items,
-		Demand:      m.board.Sum(m.now),
-		Home:        m.homes.home,
+		Items:       p.zones.items,
+		Demand:      p.Board.Sum(now),
+		Home:        p.zones.home,
 		MoveCost:    doc.Residency.MoveCost,
 		MinimumStay: doc.Residency.MinimumStay,
-		Loads:       m.loadsAllowed(doc.Weights),
+		Loads:       p.loadsAllowed(now, doc.Weights),
 	}
-	in.Elsewhere, in.Covered = m.elsewhere()
-	zones := m.planningZones()
-	in.Leads = func(item string) bool { return m.leader(zones, item) == m.self.Zone }
+	in.Elsewhere, in.Covered = p.elsewhere(now)
+	zones := p.planningZones(now)
+	in.Leads = func(item string) bool { return p.leader(zones, item) == p.Self.Zone }
 	period := time.Duration(doc.Residency.MoveCost * float64(starvePeriod))
-	in.Starve = m.planner.starvedAt.IsZero() || m.now.Since(m.planner.starvedAt) >= period
-	for _, r := range m.pool.All() {
-		if l := m.planner.ledgers[r.Name]; l != nil {
-			in.Engines = append(in.Engines, m.planEngine(r))
+	in.Starve = p.starvedAt.IsZero() || now.Since(p.starvedAt) >= period
+	for _, r := range p.Pool.All() {
+		if l := p.ledgers[r.Name]; l != nil {
+			in.Engines = append(in.Engines, p.planEngine(now, r))
 		}
 	}
 	return in
 }
 
-func (m *Machine) planEngine(r *pool.Replica) plan.Engine {
-	l := m.planner.ledgers[r.Name]
+func (p *Planner) planEngine(now clock.Instant, r *pool.Replica) plan.Engine {
+	l := p.ledgers[r.Name]
 	e := plan.Engine{
 		Name:      r.Name,
 		Domain:    r.Domain,
 		Sequences: r.Concurrent,
 		Free:      l.Free(),
 		Capacity:  r.MemoryMiB,
-		Usable:    l.Known() && r.Usable() && m.mayOrder(r),
+		Usable:    l.Known() && r.Usable() && p.mayOrder(now, r),
 	}
-	if m.opt.Disable.Booking {
-		e.Free = m.reportedFree(r)
+	if p.Options.Disable.Booking {
+		e.Free = p.reportedFree(r)
 	}
 	for _, item := range l.Items() {
 		res := plan.Resident{Name: item, Settled: l.Phase(item) == pool.Ready && !l.Pinned(item)}
-		if since, ok := m.planner.since[placement{r.Name, item}]; ok {
-			res.Since = m.now.Since(since)
+		if since, ok := p.since[placement{r.Name, item}]; ok {
+			res.Since = now.Since(since)
 		}
 		e.Residents = append(e.Residents, res)
 	}
@@ -119,10 +120,10 @@
 
 // reportedFree is what is free by the engine's last report alone. Only tests
 // that show why that is not enough use it.
-func (m *Machine) reportedFree(r *pool.Replica) int64 {
+func (p *Planner) reportedFree(r *pool.Replica) int64 {
 	free := r.MemoryMiB
 	for _, it := range r.Residency.Items {
-		free -= m.cfg.ItemMiB(it.Name)
+		free -= p.Config.ItemMiB(it.Name)
 	}
 	return free
 }
@@ -133,10 +134,10 @@
 
 // planningZones returns the zones with engines that somebody is known to plan
 // for, this one included.
-func (m *Machine) planningZones() []string {
+func (p *Planner) planningZones(now clock.Instant) []string {
 	var zones []string
-	for _, z := range m.homes.zones {
-		if z == m.self.Zone || m.store.Holder(z).Instance != "" && m.zoneReachable(z) {
+	for _, z := range p.zones.zones {
+		if z == p.Self.Zone || p.Records.Holder(z).Instance != "" && p.zoneReachable(now, z) {
 			zones = append(zones, z)
 		}
 	}
@@ -145,8 +146,8 @@
 
 // leader returns the zone that places the first copy of an item. An adapter
 // goes where its model does.
-func (m *Machine) leader(zones []string, item string) string {
-	if base := m.homes.items[item].Base; base != "" {
+func (p *Planner) leader(zones []string, item string) string {
+	if base := p.zones.items[item].Base; base != "" {
 		item = base
 	}
 	return homeZone(zones, item)
@@ -154,18 +155,18 @@
 
 // elsewhere counts the copies ready in other zones that were heard lately, and
 // those of them in zones that rendezvous hashing puts before this one.
-func (m *Machine) elsewhere() (all, covered map[string]int) {
+func (p *Planner) elsewhere(now clock.Instant) (all, covered map[string]int) {
 	all = map[string]int{}
 	covered = map[string]int{}
 	reachable := map[string]bool{}
-	for _, z := range m.cfg.Document().Zones {
-		reachable[z.Name] = m.zoneReachable(z.Name)
+	for _, z := range p.Config.Document().Zones {
+		reachable[z.Name] = p.zoneReachable(now, z.Name)
 	}
-	for name := range m.homes.items {
+	for name := range p.zones.items {
 		key := rendezvous.Key(name)
-		own := rendezvous.Score(key, m.self.Zone)
-		for _, r := range m.pool.Ready(name) {
-			if r.Zone == m.self.Zone || !r.Usable() || !reachable[r.Zone] || r.Ejected(m.now) {
+		own := rendezvous.Score(key, p.Self.Zone)
+		for _, r := range p.Pool.Ready(name) {
+			if r.Zone == p.Self.Zone || !r.Usable() || !reachable[r.Zone] || r.Ejected(now) {
 				continue
 			}
 			all[name]++
@@ -178,9 +179,9 @@
 }
 
 // zoneReachable reports whether any instance of the zone was heard lately.
-func (m *Machine) zoneReachable(zone string) bool {
-	for _, p := range m.members.Peers() {
-		if p.Zone == zone && p.HeardWithin(m.now, zoneSilence*m.opt.ExchangeEvery) {
+func (p *Planner) zoneReachable(now clock.Instant, zone string) bool {
+	for _, peer := range p.Members.Peers() {
+		if peer.Zone == zone && peer.HeardWithin(now, zoneSilence*p.Options.ExchangeEvery) {
 			return true
 		}
 	}
@@ -194,15 +195,15 @@
 // loadsAllowed returns how many loads may begin now by this zone's guaranteed
 // share of the weight store, in rate and in loads at once. The share needs no
 // word from anybody, so it holds while the zone is cut off.
-func (m *Machine) loadsAllowed(w config.WeightStore) int {
-	b := &m.planner.loads
-	share := 1 / float64(max(1, len(m.homes.zones)))
+func (p *Planner) loadsAllowed(now clock.Instant, w config.WeightStore) int {
+	b := &p.loads
+	share := 1 / float64(max(1, len(p.zones.zones)))
 	rate := w.LoadsPerSecond * share
-	b.tokens = min(b.tokens+rate*m.now.Since(b.at).Seconds(), max(1, rate))
-	b.at = m.now
+	b.tokens = min(b.tokens+rate*now.Since(b.at).Seconds(), max(1, rate))
+	b.at = now
 	atOnce := max(1, int(math.Floor(float64(w.AtOnce)*share)))
 	loading := 0
-	for _, l := range m.planner.ledgers {
+	for _, l := range p.ledgers {
 		loading += l.LoadsUnderWay()
 	}
 	return max(0, min(int(b.tokens), atOnce-loading))
--- a/core/instance/intents.go
+++ b/core/own/planner/intents.go
@@ -1,9 +1,9 @@
-package instance
+package planner
 
 import (
-	"github.com/birchdrift/birchdrift/core/book"
 	"github.com/birchdrift/birchdrift/core/clock"
 	"github.com/birchdrift/birchdrift/core/logevent"
+	"github.com/birchdrift/birchdrift/core/own/book"
 )
 
 // Intents keep a zone safe whose engines do not check who orders them. Every
@@ -16,116 +16,112 @@
 	return Intent{Engine: o.Engine, Op: uint8(o.Op), Item: o.Item, MiB: o.MiB, Seq: o.Seq, Fence: o.Fence}
 }
 
-func (i Intent) order() book.Order {
+func (i Intent) order(now clock.Instant) book.Order {
 	return book.Order{Engine: i.Engine, Op: book.Op(i.Op), Item: i.Item, MiB: i.MiB, Seq: i.Seq, Fence: i.Fence}
 }
 
-// intentsReply answers the read at a take-over or a write of the list.
-func (m *Machine) intentsReply(e IntentsReply) {
-	p := &m.planner
+// IntentsReplied takes in the read at a take-over or a write of the list.
+func (p *Planner) IntentsReplied(now clock.Instant, e IntentsReply) {
 	p.intents.flying = false
-	m.platformSays(e.Err)
-	if !m.planning() {
+	p.Outage.Observe(now, e.Err)
+	if !p.Planning() {
 		return
 	}
 	switch {
 	case e.Err != nil:
 		// A lost answer may have taken effect. Reading back tells; until then
 		// nothing is sent that waits for it.
-		m.rereadIntents(m.now.Add(m.platform.backoff.Wait(m.rng)))
+		p.rereadIntents(now, now.Add(p.Outage.Wait(p.Rand)))
 	case e.Conflict:
 		// Either a later holder wrote, or an own write whose answer was lost
 		// has landed. The fence in the value tells which.
-		m.rereadIntents(m.now)
+		p.rereadIntents(now, now)
 	case e.Read:
-		m.intentsRead(e)
+		p.intentsRead(e)
 	default:
-		m.intentsWritten(e)
+		p.intentsWritten(now, e)
 	}
 }
 
 // rereadIntents has the zone's intents read again at due.
-func (m *Machine) rereadIntents(due clock.Instant) {
-	in := &m.planner.intents
+func (p *Planner) rereadIntents(now clock.Instant, due clock.Instant) {
+	in := &p.intents
 	in.reread = true
 	in.due = due
-	m.rereadDue()
+	p.rereadDue(now)
 }
 
-func (m *Machine) rereadDue() {
-	in := &m.planner.intents
-	if !in.reread || in.flying || m.now.Before(in.due) {
+func (p *Planner) rereadDue(now clock.Instant) {
+	in := &p.intents
+	if !in.reread || in.flying || now.Before(in.due) {
 		return
 	}
 	in.reread = false
 	in.flying = true
-	m.out.Do(ReadIntents{})
+	p.Out.Do(ReadIntents{})
 }
 
 // intentsRead takes over what an earlier holder left, or finds out what came
 // of an own write.
-func (m *Machine) intentsRead(e IntentsReply) {
-	p := &m.planner
+func (p *Planner) intentsRead(e IntentsReply) {
 	in := &p.intents
 	if e.Intents.Fence > p.fence {
-		m.loseLease(logevent.IntentsLost)
+		p.loseLease(logevent.IntentsLost)
 		return
 	}
 	in.revision = e.Revision
 	if e.Intents.Fence != p.fence {
 		in.list = e.Intents.Intents
-		m.renumber()
+		p.renumber()
 	}
 	in.dirty = true
-	m.flushIntents()
+	p.flushIntents()
 }
 
 // renumber gives inherited intents sequence numbers of this fence, so that
 // they cannot be taken for orders of its own.
-func (m *Machine) renumber() {
-	p := &m.planner
+func (p *Planner) renumber() {
 	for i := range p.intents.list {
 		p.intents.list[i].Seq = p.nextSeq()
 		p.intents.list[i].Fence = p.fence
 	}
 }
 
-func (m *Machine) intentsWritten(e IntentsReply) {
-	p := &m.planner
+func (p *Planner) intentsWritten(now clock.Instant, e IntentsReply) {
 	in := &p.intents
 	in.revision = e.Revision
 	if !in.owned {
 		in.owned = true
 		for _, i := range in.list {
 			if l := p.ledgers[i.Engine]; l != nil {
-				l.Inherit(i.order())
+				l.Inherit(i.order(now))
 			}
 		}
 	}
-	m.sendQueued(e.Intents)
-	m.flushIntents()
+	p.sendQueued(now, e.Intents)
+	p.flushIntents()
 }
 
 // sendQueued sends the orders whose intents the platform now holds.
-func (m *Machine) sendQueued(written Intents) {
-	in := &m.planner.intents
+func (p *Planner) sendQueued(now clock.Instant, written Intents) {
+	in := &p.intents
 	stands := make(map[uint64]bool, len(written.Intents))
 	for _, i := range written.Intents {
 		stands[i.Seq] = true
 	}
 	var rest []book.Order
 	for _, o := range in.queued {
-		r := m.pool.Get(o.Engine)
-		l := m.planner.ledgers[o.Engine]
+		r := p.Pool.Get(o.Engine)
+		l := p.ledgers[o.Engine]
 		switch {
 		case !stands[o.Seq]:
 			rest = append(rest, o)
-		case r == nil || l == nil || !m.mayOrder(r):
+		case r == nil || l == nil || !p.mayOrder(now, r):
 			if l != nil {
 				l.NotSent(o.Seq)
 			}
 		default:
-			m.send(o, r)
+			p.send(o, r)
 		}
 	}
 	in.queued = rest
@@ -134,34 +130,34 @@
 // resendUnsure sends orders whose answers are lost again, to engines that check
 // nothing: both operations may be repeated, and only a state that shows their
 // effect, or an answer, settles them.
-func (m *Machine) resendUnsure() {
-	for _, r := range m.pool.All() {
-		l := m.planner.ledgers[r.Name]
-		if l == nil || r.ChecksFence || !m.mayOrder(r) {
+func (p *Planner) resendUnsure(now clock.Instant) {
+	for _, r := range p.Pool.All() {
+		l := p.ledgers[r.Name]
+		if l == nil || r.ChecksFence || !p.mayOrder(now, r) {
 			continue
 		}
-		ra := m.planner.raises[r.Name]
+		ra := p.raises[r.Name]
 		unsure := l.Unsure()
-		if len(unsure) == 0 || m.now.Before(ra.due) {
+		if len(unsure) == 0 || now.Before(ra.due) {
 			continue
 		}
 		ra.backoff = ra.backoff.WithFailure()
-		ra.due = m.now.Add(ra.backoff.Wait(m.rng))
+		ra.due = now.Add(ra.backoff.Wait(p.Rand))
 		for _, o := range unsure {
-			m.send(o, r)
+			p.send(o, r)
 		}
 	}
 }
 
 // settleIntents drops the intents whose orders are settled.
-func (m *Machine) settleIntents() {
-	in := &m.planner.intents
+func (p *Planner) settleIntents() {
+	in := &p.intents
 	if !in.owned {
 		return
 	}
 	var rest []Intent
 	for _, i := range in.list {
-		if l := m.planner.ledgers[i.Engine]; l != nil && l.IsOpen(i.Seq) {
+		if l := p.ledgers[i.Engine]; l != nil && l.IsOpen(i.Seq) {
 			rest = append(rest, i)
 		}
 	}
@@ -174,13 +170,13 @@
 // flushIntents writes the list if it changed and no write is under way. Lists
 // that only shrank wait for the next order, up to the next plan, so that most
 // orders cost one write.
-func (m *Machine) flushIntents() {
-	in := &m.planner.intents
-	if in.flying || in.reread || !in.dirty || m.planner.fence == 0 {
+func (p *Planner) flushIntents() {
+	in := &p.intents
+	if in.flying || in.reread || !in.dirty || p.fence == 0 {
 		return
 	}
 	in.flying = true
 	in.dirty = false
 	list := append([]Intent(nil), in.list...)
-	m.out.Do(WriteIntents{Intents: Intents{Fence: m.planner.fence, Intents: list}, Revision: in.revision})
+	p.Out.Do(WriteIntents{Intents: Intents{Fence: p.fence, Intents: list}, Revision: in.revision})
 }
--- /dev/null
+++ b/core/own/planner/planner.go
@@ -0,0 +1,467 @@
+// Package planner decides which models and adapters are resident on the engines of
+// one availability zone, in the product's own environment.
+//
+// One instance of a zone, the holder of the zone's lease, plans for it and orders
+// its engines. It keeps a ledger of each engine's memory (core/own/book), in
+// which nothing is free until the engine's fence was raised and its state read.
+// Engines that do not check fences are ordered only after the order stands as an
+// intent in the platform's service. Every instance also takes part in reading the
+// engines' states.
+//
+// On the users' platform nothing of this runs: see core/ownership, core/owned and
+// core/placement.
+package planner
+
+import (
+	"math/rand/v2"
+
+	"github.com/birchdrift/birchdrift/core/backoff"
+	"github.com/birchdrift/birchdrift/core/clock"
+	"github.com/birchdrift/birchdrift/core/config"
+	"github.com/birchdrift/birchdrift/core/demand"
+	"github.com/birchdrift/birchdrift/core/logevent"
+	"github.com/birchdrift/birchdrift/core/member"
+	"github.com/birchdrift/birchdrift/core/option"
+	"github.com/birchdrift/birchdrift/core/outage"
+	"github.com/birchdrift/birchdrift/core/own/book"
+	"github.com/birchdrift/birchdrift/core/own/choose"
+	"github.com/birchdrift/birchdrift/core/own/lease"
+	"github.com/birchdrift/birchdrift/core/own/meter"
+	"github.com/birchdrift/birchdrift/core/own/plan"
+	"github.com/birchdrift/birchdrift/core/pool"
+	"github.com/birchdrift/birchdrift/core/share"
+	"github.com/birchdrift/birchdrift/core/step"
+)
+
+// candidates is how many instances of a zone seek its planner's lease.
+const candidates = 2
+
+// Needs are what the planner needs of the other modules.
+type Needs struct {
+	Self    member.Identity
+	Options *option.Options
+	Rand    *rand.Rand
+	Out     *step.Output
+	Members *member.Table
+	Pool    *pool.Pool
+	Records *share.Store
+	Config  *config.Current
+	Outage  *outage.Tracker
+	Chooser *choose.Chooser
+	Meter   *meter.Meter
+	Board   *demand.Board
+	// Stopping reports whether a planned stop has begun.
+	Stopping func() bool
+	// News has the next exchanges begun soon, Hurry at once; Tell begins one
+	// with a peer, if there is one.
+	News  func(now clock.Instant)
+	Hurry func(now clock.Instant)
+	Tell  func(now clock.Instant, p *member.Peer)
+	// Leaving is told of each engine that says for the first time that it is
+	// leaving.
+	Leaving func(r share.Residency)
+}
+
+// A Planner is one instance's part in the planning for its zone.
+type Planner struct {
+	Needs
+	lease lease.Lease
+	job   step.Job // seeking and renewing the lease
+	zones zoneView
+	tenure
+	reads reads
+
+	planDue    clock.Instant
+	since      map[placement]clock.Instant // when a placement was first seen
+	starvedAt  clock.Instant               // when room was last made for a starving item
+	doubtNoted bool
+	moves      Moves
+	toldAt     clock.Instant // when the planner was last told of an unmet demand
+	ledAt      clock.Instant // when other zones' planners were last told of it
+}
+
+// A tenure is the work under one grant of the lease; it ends with it.
+type tenure struct {
+	fence   uint64 // under which the ledgers were begun; 0 if none were
+	seq     uint64 // of the last order
+	ledgers map[string]*book.Engine
+	raises  map[string]*raise
+	intents intentView
+	loads   loadBudget
+}
+
+func newTenure() tenure {
+	return tenure{ledgers: map[string]*book.Engine{}, raises: map[string]*raise{}}
+}
+
+// A placement is an item on an engine.
+type placement struct{ engine, item string }
+
+// A raise spaces what one engine must be sent again and again until it answers:
+// the fence before it is planned for, and orders whose answers are lost.
+type raise struct {
+	backoff backoff.Backoff
+	due     clock.Instant
+}
+
+// Moves counts the orders that engines have taken.
+type Moves struct {
+	Loads   int
+	Unloads int
+}
+
+// An intentView is the holder's copy of the zone's outstanding intents.
+type intentView struct {
+	owned    bool // they were read and rewritten under this fence
+	revision uint64
+	list     []Intent
+	flying   bool
+	reread   bool // the value must be read before it is written again
+	due      clock.Instant
+	dirty    bool // list differs from what the platform holds
+	queued   []book.Order
+}
+
+// A loadBudget spaces loads by the zone's share of the weight store.
+type loadBudget struct {
+	tokens float64
+	at     clock.Instant
+}
+
+// New returns the planner of an instance that does not hold the lease.
+func New(n Needs) *Planner {
+	return &Planner{
+		Needs:  n,
+		lease:  lease.New(n.Options.LeaseTerm),
+		tenure: newTenure(),
+		reads:  newReads(),
+		since:  map[placement]clock.Instant{},
+	}
+}
+
+// Configured takes over a newer configuration.
+func (p *Planner) Configured(s *config.Snapshot) {
+	p.zones = newZoneView(s, p.Self.Zone)
+	p.sync()
+}
+
+// Tick reads engines that are due, keeps the lease, and plans.
+func (p *Planner) Tick(now clock.Instant) {
+	p.readDue(now)
+	p.leaseDue(now)
+	p.plan(now)
+}
+
+// Holder returns who plans for this instance's zone, as far as is known.
+func (p *Planner) Holder() string { return p.Records.Holder(p.Self.Zone).Instance }
+
+// Lease returns whether the lease certainly is held, and the fence of its last
+// grant.
+func (p *Planner) Lease(now clock.Instant) (valid bool, fence uint64) {
+	return p.lease.Valid(now), p.lease.Fence()
+}
+
+// Moves returns the orders that engines have taken from this instance.
+func (p *Planner) Moves() Moves { return p.moves }
+
+// FreeMiB returns the memory of an engine that nothing holds, by this planner's
+// ledger; 0 if it has none.
+func (p *Planner) FreeMiB(engine string) int64 {
+	if l := p.ledgers[engine]; l != nil {
+		return l.Free()
+	}
+	return 0
+}
+
+// HandOver gives the lease back, at a planned stop.
+func (p *Planner) HandOver() {
+	if !p.lease.Held() {
+		return
+	}
+	fence := p.lease.Fence()
+	p.Records.AddHolder("", share.Holder{Zone: p.Self.Zone, Fence: fence})
+	p.lease = p.lease.WithLoss()
+	p.abandon()
+	p.Out.Do(ReleaseLease{Fence: fence})
+}
+
+// Planning reports whether this instance plans for its zone: it was granted
+// the lease and nobody has said that another holds it since.
+func (p *Planner) Planning() bool { return p.lease.Held() && p.fence != 0 }
+
+// mayOrder reports whether the engine may be sent orders. One that checks
+// fences arbitrates by itself: whoever holds a later lease has raised its
+// fence first. One that does not is only ordered while the lease certainly is
+// held and the zone's intents are this holder's.
+func (p *Planner) mayOrder(now clock.Instant, r *pool.Replica) bool {
+	if !p.Planning() || p.Stopping() {
+		return false
+	}
+	if r.ChecksFence {
+		return true
+	}
+	return p.Options.Disable.Intents || p.lease.Valid(now) && p.intents.owned
+}
+
+func (p *Planner) leaseDue(now clock.Instant) {
+	if p.Stopping() || len(p.zones.zones) == 0 || !p.job.Ready(now) {
+		return
+	}
+	switch {
+	case p.lease.Held():
+		p.noteDoubt(now)
+		if p.lease.RenewDue(now) {
+			p.job.Begin(now)
+			p.Out.Do(SeekLease{Term: p.Options.LeaseTerm, Renew: p.lease.Fence()})
+		}
+	case p.Members.OnDuty(now, "plan/"+p.Self.Zone, candidates):
+		p.job.Begin(now)
+		p.Out.Do(SeekLease{Term: p.Options.LeaseTerm})
+	}
+}
+
+func (p *Planner) noteDoubt(now clock.Instant) {
+	doubt := !p.lease.Valid(now)
+	if doubt && !p.doubtNoted {
+		p.Out.Log(logevent.LeaseDoubt, "fence", p.lease.Fence())
+	}
+	p.doubtNoted = doubt
+}
+
+// LeaseReplied takes in what came of seeking the lease.
+func (p *Planner) LeaseReplied(now clock.Instant, e LeaseReply) {
+	p.Outage.Observe(now, e.Err)
+	if e.Err != nil {
+		p.job.End(now.Add(p.Outage.Wait(p.Rand)))
+		return
+	}
+	p.job.End(now.Add(step.Jitter(p.Rand, p.Options.LeaseTerm/4)))
+	if !e.Granted {
+		p.loseLease(logevent.LeaseLost)
+		return
+	}
+	p.lease = p.lease.WithGrant(e.Fence, e.Sent)
+	if p.fence != p.lease.Fence() {
+		p.takeOver(now)
+	}
+}
+
+func (p *Planner) loseLease(why logevent.Number) {
+	if p.lease.Held() {
+		p.Out.Log(why, "fence", p.lease.Fence())
+	}
+	p.lease = p.lease.WithLoss()
+	p.abandon()
+}
+
+func (p *Planner) abandon() { p.tenure = newTenure() }
+
+// takeOver begins to plan under a new fence: ledgers in which nothing is free
+// until each engine's fence is raised and its state read.
+func (p *Planner) takeOver(now clock.Instant) {
+	p.abandon()
+	p.fence = p.lease.Fence()
+	p.seq = 0
+	p.loads = loadBudget{at: now}
+	p.Out.Log(logevent.LeaseGained, "fence", p.fence)
+	p.Records.AddHolder("", share.Holder{Zone: p.Self.Zone, Instance: p.Self.Name, Fence: p.fence})
+	p.Hurry(now)
+	p.sync()
+	p.intents.flying = true
+	p.Out.Do(ReadIntents{})
+}
+
+// sync gives every engine of the zone a ledger.
+func (p *Planner) sync() {
+	if p.fence == 0 {
+		return
+	}
+	live := map[string]bool{}
+	for _, r := range p.Pool.All() {
+		if r.Kind != pool.Engine || r.Announced || r.Zone != p.Self.Zone {
+			continue
+		}
+		live[r.Name] = true
+		if p.ledgers[r.Name] == nil {
+			p.ledgers[r.Name] = book.NewEngine(r.Name, r.MemoryMiB, r.ChecksFence)
+			p.raises[r.Name] = &raise{backoff: backoff.New(readBase, readMax)}
+		}
+	}
+	for name := range p.ledgers {
+		if !live[name] {
+			delete(p.ledgers, name)
+			delete(p.raises, name)
+		}
+	}
+}
+
+func (p *Planner) nextSeq() uint64 {
+	p.seq++
+	return p.seq
+}
+
+// settle takes an engine's state into its ledger. A state of an engine that
+// checks fences counts only under this holder's fence: before that, another
+// holder's orders could still change what it says.
+func (p *Planner) settle(now clock.Instant, l *book.Engine, s pool.State, answered uint64) {
+	r := p.Pool.Get(l.Name())
+	if r == nil {
+		return
+	}
+	if r.ChecksFence && s.Fence != p.fence && !p.Options.Disable.Fences {
+		if s.Fence > p.fence {
+			p.Out.Log(logevent.OrderFenced, "engine", r.Name, "fence", s.Fence)
+			p.loseLease(logevent.LeaseLost)
+		} else if l.Known() && s.Residency.Boot > l.Boot() {
+			// It restarted and forgot the fence: raise it anew first.
+			p.ledgers[r.Name] = l.Restarted()
+			p.raises[r.Name] = &raise{backoff: backoff.New(readBase, readMax)}
+		}
+		return
+	}
+	if !r.ChecksFence && !p.intents.owned && !p.Options.Disable.Intents {
+		return
+	}
+	l.Observe(s, p.fence, answered, p.Config.ItemMiB)
+	p.trackSince(now, r.Name, s.Residency)
+	p.settleIntents()
+}
+
+func (p *Planner) trackSince(now clock.Instant, engine string, res pool.Residency) {
+	for _, it := range res.Items {
+		key := placement{engine, it.Name}
+		if _, ok := p.since[key]; !ok {
+			p.since[key] = now
+		}
+	}
+	for key := range p.since {
+		if key.engine == engine && !holds(res, key.item) {
+			delete(p.since, key)
+		}
+	}
+}
+
+func holds(res pool.Residency, item string) bool {
+	for _, it := range res.Items {
+		if it.Name == item {
+			return true
+		}
+	}
+	return false
+}
+
+// planDue raises fences that are not raised yet, settles what is unsure, then
+// orders what the plan asks for.
+func (p *Planner) plan(now clock.Instant) {
+	if !p.Planning() || p.Stopping() || now.Before(p.planDue) {
+		return
+	}
+	p.planDue = now.Add(step.Jitter(p.Rand, p.Options.PlanEvery))
+	p.Board.Report(now, p.Self.Name, p.Meter.Items(now))
+	p.rereadDue(now)
+	p.tellLeaders(now)
+	p.raiseFences(now)
+	p.resendUnsure(now)
+	for _, s := range plan.Steps(p.planInput(now)) {
+		p.order(now, s)
+	}
+	p.flushIntents()
+}
+
+// raiseFences gives the fence to engines that have not confirmed it, and asks
+// those with unsure orders, which settles them.
+func (p *Planner) raiseFences(now clock.Instant) {
+	for _, r := range p.Pool.All() {
+		l := p.ledgers[r.Name]
+		if l == nil || !r.ChecksFence || p.Options.Disable.Fences {
+			continue
+		}
+		ra := p.raises[r.Name]
+		if now.Before(ra.due) || (l.Known() && len(l.Unsure()) == 0) {
+			continue
+		}
+		ra.backoff = ra.backoff.WithFailure()
+		ra.due = now.Add(ra.backoff.Wait(p.Rand))
+		o := book.Order{Engine: r.Name, Fence: p.fence, Seq: p.nextSeq(), Op: book.Raise}
+		l.Book(o)
+		p.Out.Do(SendOrder{Address: r.Address, Order: o})
+	}
+}
+
+// order books a planned step and sends it, or queues it behind its intent.
+func (p *Planner) order(now clock.Instant, s plan.Step) {
+	r := p.Pool.Get(s.Engine)
+	l := p.ledgers[s.Engine]
+	if r == nil || l == nil || !p.mayOrder(now, r) {
+		return
+	}
+	o := book.Order{Engine: s.Engine, Fence: p.fence, Seq: p.nextSeq(), Op: s.Op, Item: s.Item, MiB: s.MiB}
+	if !l.Book(o) && !p.Options.Disable.Booking {
+		p.Out.Log(logevent.OvercommitAvert, "engine", s.Engine, "op", s.Op.String(), "item", s.Item)
+		return
+	}
+	if s.Op == book.Load {
+		p.loads.tokens--
+	}
+	if s.Starving {
+		p.starvedAt = now
+	}
+	if r.ChecksFence || p.Options.Disable.Intents {
+		p.send(o, r)
+		return
+	}
+	p.intents.queued = append(p.intents.queued, o)
+	p.intents.list = append(p.intents.list, intentOf(o))
+	p.intents.dirty = true
+}
+
+func (p *Planner) send(o book.Order, r *pool.Replica) {
+	p.Out.Log(logevent.Order, "engine", o.Engine, "op", o.Op.String(), "item", o.Item, "mib", o.MiB, "fence", o.Fence, "seq", o.Seq)
+	p.Out.Do(SendOrder{Address: r.Address, Order: o})
+}
+
+// OrderReplied takes in what came of an order.
+func (p *Planner) OrderReplied(now clock.Instant, e OrderReply) {
+	l := p.ledgers[e.Engine]
+	if l == nil || e.Fence != p.fence {
+		return
+	}
+	op, _ := l.Op(e.Seq)
+	switch e.Outcome {
+	case OrderDone:
+		p.count(op)
+		if ra := p.raises[e.Engine]; ra != nil {
+			ra.backoff = ra.backoff.WithSuccess()
+		}
+		p.observe(now, e.Engine, e.State)
+		p.settle(now, l, e.State, e.Seq)
+	case OrderRefused:
+		if op != book.Raise {
+			p.Out.Log(logevent.OrderRefused, "engine", e.Engine, "seq", e.Seq, "detail", e.Detail)
+		}
+		l.Refused(e.Seq)
+		p.observe(now, e.Engine, e.State)
+		p.settle(now, l, e.State, e.Seq)
+	case OrderFenced:
+		p.Out.Log(logevent.OrderFenced, "engine", e.Engine, "seq", e.Seq)
+		p.loseLease(logevent.LeaseLost)
+	case OrderNotSent:
+		l.NotSent(e.Seq)
+	case OrderLost:
+		p.Out.Log(logevent.OrderLost, "engine", e.Engine, "seq", e.Seq, "detail", e.Detail)
+		l.Lost(e.Seq)
+		if ra := p.raises[e.Engine]; ra != nil {
+			ra.due = now
+		}
+	}
+	p.settleIntents()
+}
+
+func (p *Planner) count(op book.Op) {
+	switch op {
+	case book.Load:
+		p.moves.Loads++
+	case book.Unload:
+		p.moves.Unloads++
+	}
+}
--- /dev/null
+++ b/core/own/planner/read.go
@@ -0,0 +1,142 @@
+package planner
+
+import (
+	"time"
+
+	"github.com/birchdrift/birchdrift/core/backoff"
+	"github.com/birchdrift/birchdrift/core/clock"
+	"github.com/birchdrift/birchdrift/core/pool"
+	"github.com/birchdrift/birchdrift/core/share"
+	"github.com/birchdrift/birchdrift/core/step"
+)
+
+// readersPerEngine is how many instances of its zone read one engine's state;
+// the rest hear from them.
+const readersPerEngine = 2
+
+// readSpacing is how much time the reads of one instance keep between each
+// other on average, however many engines it reads.
+const readSpacing = 500 * time.Millisecond
+
+// Bounds of the spacing of reads of an engine that does not answer.
+const (
+	readBase = 500 * time.Millisecond
+	readMax  = 5 * time.Second
+)
+
+// A reads is this instance's part in reading the engines' states.
+type reads struct {
+	readers map[string]*reader
+	scanDue clock.Instant // when to look for reads that are due
+}
+
+func newReads() reads { return reads{readers: map[string]*reader{}} }
+
+// A reader is the duty of reading one engine.
+type reader struct {
+	step.Job
+	backoff backoff.Backoff
+}
+
+// scanEvery spaces the looks over all engines for reads that are due. Every
+// call steps the machine, and a look costs in proportion to the engines.
+const scanEvery = 50 * time.Millisecond
+
+// readDue asks the engines whose state is this instance's to read.
+func (p *Planner) readDue(now clock.Instant) {
+	if !p.Config.Known() || now.Before(p.reads.scanDue) {
+		return
+	}
+	p.reads.scanDue = now.Add(scanEvery)
+	var mine []*pool.Replica
+	for _, r := range p.Pool.All() {
+		if r.Kind == pool.Engine && !r.Announced && r.Zone == p.Self.Zone && p.isReader(now, r) {
+			mine = append(mine, r)
+		}
+	}
+	every := max(p.Options.ReadEvery, time.Duration(len(mine))*readSpacing)
+	for _, r := range mine {
+		rd := p.reader(r.Name)
+		if !rd.Ready(now) {
+			continue
+		}
+		rd.Begin(now)
+		rd.SetDue(now.Add(step.Jitter(p.Rand, p.readEvery(r, every))))
+		p.Out.Do(ReadState{Engine: r.Name, Address: r.Address})
+	}
+}
+
+// isReader reports whether the engine is this instance's to read. A planner also
+// reads those that it waits for.
+func (p *Planner) isReader(now clock.Instant, r *pool.Replica) bool {
+	if p.Planning() {
+		if l := p.ledgers[r.Name]; l != nil && l.Known() && l.Busy() {
+			return true
+		}
+	}
+	return p.Members.OnDuty(now, "read/"+r.Name, readersPerEngine)
+}
+
+func (p *Planner) readEvery(r *pool.Replica, every time.Duration) time.Duration {
+	if l := p.ledgers[r.Name]; p.Planning() && l != nil && l.Busy() {
+		return p.Options.BusyReadEvery
+	}
+	return every
+}
+
+func (p *Planner) reader(engine string) *reader {
+	rd := p.reads.readers[engine]
+	if rd == nil {
+		rd = &reader{backoff: backoff.New(readBase, readMax)}
+		p.reads.readers[engine] = rd
+	}
+	return rd
+}
+
+// StateReplied takes in what an engine said of its state.
+func (p *Planner) StateReplied(now clock.Instant, e StateReply) {
+	rd := p.reader(e.Engine)
+	if e.Err != nil {
+		rd.backoff = rd.backoff.WithFailure()
+		rd.End(now.Add(rd.backoff.Wait(p.Rand)))
+		return
+	}
+	rd.backoff = rd.backoff.WithSuccess()
+	rd.EndAsScheduled()
+	p.observe(now, e.Engine, e.State)
+	if l := p.ledgers[e.Engine]; l != nil {
+		p.settle(now, l, e.State, 0)
+	}
+}
+
+// observe takes in an engine's own word and makes it known to peers.
+func (p *Planner) observe(now clock.Instant, engine string, s pool.State) {
+	res := share.Residency{Engine: engine, Residency: s.Residency}
+	if p.Records.AddResidency("", res) {
+		p.Leaving(res)
+		if r := p.Pool.Get(engine); r != nil && s.Residency.Boot > r.Residency.Boot {
+			p.Chooser.Restarted(engine)
+		}
+		p.Pool.ObserveResidency(now, engine, s.Residency)
+		p.News(now)
+	}
+	p.observeLoad(now, engine, s.Load)
+}
+
+// observeLoad takes in a load. Peers are told only of a change that could
+// sway a choice; the rest is noise that would fill the exchanges.
+func (p *Planner) observeLoad(now clock.Instant, engine string, load pool.Load) {
+	r := p.Pool.Get(engine)
+	if r == nil {
+		return
+	}
+	p.Pool.ObserveLoad(now, engine, load)
+	told, ok := p.Records.Load(engine)
+	change := load.Running + load.Waiting - told.Running - told.Waiting
+	if change < 0 {
+		change = -change
+	}
+	if !ok || told.Boot != load.Boot || change >= max(1, r.Concurrent/8) {
+		p.Records.AddLoad("", share.Load{Engine: engine, Load: load})
+	}
+}
--- /dev/null
+++ b/core/own/watch/watch.go
@@ -0,0 +1,101 @@
+// Package watch keeps the watches of the product's own key-value service: one of
+// the configuration and one of the list of instances. Two instances of each zone
+// keep them, and the others hear from those.
+//
+// On the users' platform core/watch is used in its place.
+package watch
+
+import (
+	"math/rand/v2"
+	"time"
+
+	"github.com/birchdrift/birchdrift/core/clock"
+	"github.com/birchdrift/birchdrift/core/config"
+	"github.com/birchdrift/birchdrift/core/exchange"
+	"github.com/birchdrift/birchdrift/core/listing"
+	"github.com/birchdrift/birchdrift/core/member"
+	"github.com/birchdrift/birchdrift/core/option"
+	"github.com/birchdrift/birchdrift/core/outage"
+	"github.com/birchdrift/birchdrift/core/step"
+	"github.com/birchdrift/birchdrift/core/watchers"
+)
+
+type (
+	// Config is an action: wait for a configuration newer than Have.
+	Config struct {
+		Have uint64
+		Wait time.Duration
+	}
+	// List is an action: wait for what changed in the list since Since.
+	List struct {
+		Since uint64
+		Wait  time.Duration
+	}
+)
+
+// IsAction implements step.Action.
+func (Config) IsAction() {}
+
+// IsAction implements step.Action.
+func (List) IsAction() {}
+
+// A Watch is one instance's watches. The fields must be set before its use.
+type Watch struct {
+	Self      member.Identity
+	Options   *option.Options
+	Rand      *rand.Rand
+	Out       *step.Output
+	Members   *member.Table
+	Config    *config.Current
+	Outage    *outage.Tracker
+	Listing   *listing.List
+	Exchanges *exchange.Exchanges
+	// Stopping reports whether a planned stop has begun.
+	Stopping func() bool
+
+	config step.Job
+	list   step.Job
+}
+
+// keeps reports whether this instance watches now.
+func (w *Watch) keeps(now clock.Instant) bool {
+	return w.Exchanges.Alone(now) || w.Members.OnDuty(now, watchers.Duty+w.Self.Zone, w.Options.Watchers)
+}
+
+// Tick begins the watches that are due.
+func (w *Watch) Tick(now clock.Instant) {
+	if w.Stopping() || !w.keeps(now) {
+		return
+	}
+	if w.config.Ready(now) {
+		w.config.Begin(now)
+		w.Out.Do(Config{Have: w.Config.Revision(), Wait: w.Options.WatchWait})
+	}
+	if w.list.Ready(now) {
+		w.list.Begin(now)
+		w.Out.Do(List{Since: w.Listing.Version(), Wait: w.Options.WatchWait})
+	}
+}
+
+// ConfigReplied notes that a watch of the configuration is over.
+func (w *Watch) ConfigReplied(now clock.Instant, err error) {
+	w.Outage.Observe(now, err)
+	w.config.End(w.next(now))
+}
+
+// ListReplied takes in what a watch of the list brought.
+func (w *Watch) ListReplied(now clock.Instant, e listing.Reply) {
+	w.Outage.Observe(now, e.Err)
+	if e.Err == nil {
+		w.Exchanges.StoreHeard(w.list.SentAt())
+	}
+	w.list.End(w.next(now))
+	if e.Err == nil {
+		w.Listing.Replied(now, e)
+	}
+}
+
+// next returns when the next watch of one kind may begin.
+func (w *Watch) next(now clock.Instant) clock.Instant {
+	return now.Add(max(w.Options.WatchEvery, w.Outage.Wait(w.Rand)))
+}
--- /dev/null
+++ b/core/owned/engine.go
@@ -0,0 +1,57 @@
+package owned
+
+import (
+	"time"
+
+	"github.com/birchdrift/birchdrift/core/clock"
+	"github.com/birchdrift/birchdrift/core/orders"
+	"github.com/birchdrift/birchdrift/core/registry"
+)
+
+// An Engine is an engine that this instance owns: its ledger, and the requests
+// that wait for their turn there.
+type Engine struct {
+	*orders.Engine
+	// Settled says that no order of a former owner can be on its way any more.
+	Settled bool
+
+	queue     []queued
+	asking    bool          // for its state
+	askDue    clock.Instant // when it may be asked for its state again
+	orderedAt clock.Instant // when an order was last sent
+	published uint64        // changes of the ledger that the fleet was told of
+	change    uint64        // number of the last residency that the fleet was told
+}
+
+// A queued request waits for its turn.
+type queued struct {
+	request orders.Request
+	waiters []waiter
+	due     clock.Instant // not before
+	expires clock.Instant
+}
+
+// A waiter is who is told of the outcome.
+type waiter struct {
+	token uint64 // of a peer's question; 0 for this instance itself
+}
+
+// Quiet returns for how long the engine has certainly been sent no order: by
+// this instance, and before it by former owners, whose orders it has waited for.
+func (e *Engine) Quiet(now clock.Instant) time.Duration {
+	switch {
+	case !e.Settled || e.Flying() || e.Doubtful() || now.Before(e.From):
+		return 0
+	case !e.orderedAt.IsZero():
+		return now.Since(e.orderedAt)
+	default:
+		return now.Since(e.From)
+	}
+}
+
+// Confirm notes that the ownership was written again at this revision, which is
+// the fence of the orders from now on.
+func (e *Engine) Confirm(o registry.Ownership) {
+	e.Fence = o.Revision
+	e.Settled = true
+}
--- /dev/null
+++ b/core/owned/owned.go
@@ -0,0 +1,189 @@
+// Package owned orders the engines that this instance owns.
+//
+// It keeps a ledger of each (core/orders), lets requests wait for their turn,
+// sends one order at a time, settles orders whose answers are lost by asking the
+// engine for its state, and has the fleet told of what its engines hold. Which
+// engines those are, and until when they may be ordered, is decided in
+// core/ownership.
+package owned
+
+import (
+	"maps"
+	"slices"
+
+	"github.com/birchdrift/birchdrift/core/clock"
+	"github.com/birchdrift/birchdrift/core/config"
+	"github.com/birchdrift/birchdrift/core/logevent"
+	"github.com/birchdrift/birchdrift/core/orders"
+	"github.com/birchdrift/birchdrift/core/pool"
+	"github.com/birchdrift/birchdrift/core/registry"
+	"github.com/birchdrift/birchdrift/core/share"
+	"github.com/birchdrift/birchdrift/core/step"
+)
+
+// Engines are the engines that this instance owns. The fields must be set before
+// its use.
+type Engines struct {
+	Out     *step.Output
+	Pool    *pool.Pool
+	Records *share.Store
+	Config  *config.Current
+	// MayOrder reports whether this instance's ownerships are certainly still
+	// its own.
+	MayOrder func(now clock.Instant) bool
+	// Published is called after the fleet's records learnt what an engine holds.
+	Published func(now clock.Instant)
+	// Answered is called with what came of a request of this instance itself.
+	Answered func(now clock.Instant, engine string, r orders.Request, o Outcome, detail string)
+
+	engines map[string]*Engine
+}
+
+// Get returns an engine that this instance owns, nil if it does not own it.
+func (s *Engines) Get(name string) *Engine { return s.engines[name] }
+
+// Len returns how many engines this instance owns.
+func (s *Engines) Len() int { return len(s.engines) }
+
+// Names returns the engines that this instance owns, in order.
+func (s *Engines) Names() []string { return slices.Sorted(maps.Keys(s.engines)) }
+
+// Take begins to own an engine, which may be ordered from from on.
+func (s *Engines) Take(now clock.Instant, o registry.Ownership, from clock.Instant) {
+	r := s.Pool.Get(o.Engine)
+	if r == nil {
+		return
+	}
+	limits, sizes, ok := s.facts(r)
+	if !ok {
+		return
+	}
+	e := &Engine{
+		Engine:  orders.New(r.Name, r.Address, o.Revision, from, limits, sizes),
+		Settled: o.Former == "",
+	}
+	if s.engines == nil {
+		s.engines = map[string]*Engine{}
+	}
+	s.engines[r.Name] = e
+	s.Out.Log(logevent.EngineTaken, "engine", r.Name, "fence", o.Revision, "former", o.Former, "wait", from.Since(now).String())
+	s.askState(now, e)
+}
+
+// Lose ends the ownership of an engine; whoever waits for an order is told why.
+func (s *Engines) Lose(now clock.Instant, name, why string) {
+	e := s.engines[name]
+	if e == nil {
+		return
+	}
+	delete(s.engines, name)
+	s.Out.Log(logevent.EngineLost, "engine", name, "fence", e.Fence, "detail", why)
+	for _, q := range e.queue {
+		s.answerAll(now, e, q, Refused, why)
+	}
+}
+
+// LoseAll ends every ownership.
+func (s *Engines) LoseAll(now clock.Instant, why string) {
+	for _, name := range s.Names() {
+		s.Lose(now, name, why)
+	}
+}
+
+// Configure takes over what a newer configuration says of the engines. An engine
+// whose pool is no longer configured keeps its limits: it still holds what it
+// was ordered to load.
+func (s *Engines) Configure() {
+	for name, e := range s.engines {
+		r := s.Pool.Get(name)
+		if r == nil {
+			continue
+		}
+		if limits, sizes, ok := s.facts(r); ok {
+			e.Configure(limits, sizes)
+		}
+	}
+}
+
+// facts returns what the configuration says of an engine's pool.
+func (s *Engines) facts(r *pool.Replica) (limits orders.Limits, sizes orders.Sizes, ok bool) {
+	p, ok := s.Config.EnginePool(r.Service)
+	if !ok {
+		return limits, nil, false
+	}
+	return orders.Limits{MemoryMB: p.MemoryMB, AdapterSlots: p.AdapterSlots}, sizesOf(p), true
+}
+
+func sizesOf(p *config.EnginePool) orders.Sizes {
+	return func(model string) (modelMB, adapterMB int64, ok bool) {
+		m, ok := p.Model(model)
+		return m.MemoryMB, m.AdapterMB, ok
+	}
+}
+
+// Orderable reports whether an engine that this instance owns may be ordered
+// now.
+func (s *Engines) Orderable(now clock.Instant, e *Engine) bool {
+	return s.MayOrder(now) && e.Settled && !now.Before(e.From)
+}
+
+// Used notes that an item of an engine was used, so that it makes way later.
+func (s *Engines) Used(now clock.Instant, engine, item string) {
+	if e := s.engines[engine]; e != nil {
+		e.Used(now, item)
+	}
+}
+
+// Tick sends what waits, settles adapters that take a known time, and has the
+// fleet told of changes.
+func (s *Engines) Tick(now clock.Instant) {
+	for _, name := range s.Names() {
+		e := s.engines[name]
+		r := s.Pool.Get(name)
+		if r == nil || r.Leaving() {
+			s.Lose(now, name, "it is leaving")
+			continue
+		}
+		e.Settle(now)
+		s.askState(now, e)
+		s.workQueue(now, e)
+		s.publish(now, e)
+	}
+}
+
+// Waiting reports whether a request waits at any engine. Adapters are ready
+// after a known time, which only the clock shows.
+func (s *Engines) Waiting() bool {
+	for _, e := range s.engines {
+		if len(e.queue) > 0 {
+			return true
+		}
+	}
+	return false
+}
+
+// Announced takes over what an engine itself announced that it holds.
+func (s *Engines) Announced(now clock.Instant, name string, models []pool.AnnouncedModel) {
+	e := s.engines[name]
+	if e == nil {
+		return
+	}
+	e.Announced(models)
+	s.workQueue(now, e)
+	s.publish(now, e)
+}
+
+// publish takes what the ledger says into this instance's own view, and into the
+// records that peers are told.
+func (s *Engines) publish(now clock.Instant, e *Engine) {
+	if e.published == e.Changes() || !e.Known() && e.change == 0 {
+		return
+	}
+	e.published = e.Changes()
+	e.change++
+	res := pool.Residency{Boot: e.Fence, Change: e.change, Items: e.Items()}
+	if s.Records.AddResidency("", share.Residency{Engine: e.Name, Residency: res}) {
+		s.Pool.ObserveResidency(now, e.Name, res)
+		s.Published(now)
+	}
+}
--- /dev/null
+++ b/core/owned/queue.go
@@ -0,0 +1,234 @@
+package owned
+
+import (
+	"time"
+
+	"github.com/birchdrift/birchdrift/core/clock"
+	"github.com/birchdrift/birchdrift/core/logevent"
+	"github.com/birchdrift/birchdrift/core/orders"
+	"github.com/birchdrift/birchdrift/core/pool"
+)
+
+// How requests wait for their turn at an engine, and which order is sent next.
+
+const (
+	// adapterTime is how long an adapter is believed to take until the engine
+	// says otherwise.
+	adapterTime = 14 * time.Millisecond
+	// queueTime is how long a request waits for its turn. Not measured: longer
+	// than every adapter takes, shorter than callers wait.
+	queueTime = time.Second
+	// unloadPause is how long the fleet has to hear that a model goes before its
+	// unload is ordered: one exchange with each neighbour.
+	unloadPause = 300 * time.Millisecond
+	// idleAdapter is how long an adapter must not have been used to make way.
+	// Not measured: several rounds of exchanges, by which uses are heard of.
+	idleAdapter = 400 * time.Millisecond
+)
+
+// An Outcome is what came of a request for an order.
+type Outcome int
+
+// The outcomes.
+const (
+	Done    Outcome = iota + 1 // the item is there, or gone, as asked
+	Started                    // the engine carries the order out
+	Refused                    // the owner does not give the order now
+	Failed                     // the owner cannot be reached, or did not say
+)
+
+type (
+	// Asked is the event that a peer asks for an order to an engine that this
+	// instance owns. It is answered with an Answer of the same Token.
+	Asked struct {
+		Token   uint64
+		From    string
+		Engine  string
+		Request orders.Request
+	}
+	// Answer is the action that answers an Asked.
+	Answer struct {
+		Token   uint64
+		Outcome Outcome
+		Detail  string
+	}
+	// SendOrder is an action: give an order to an engine.
+	SendOrder struct{ orders.Order }
+	// OrderReply is the event that answers a SendOrder.
+	OrderReply struct {
+		Engine string
+		Fence  uint64
+		Answer orders.Answer
+		Detail string
+	}
+)
+
+// IsEvent implements step.Event.
+func (Asked) IsEvent() {}
+
+// IsEvent implements step.Event.
+func (OrderReply) IsEvent() {}
+
+// IsAction implements step.Action.
+func (Answer) IsAction() {}
+
+// IsAction implements step.Action.
+func (SendOrder) IsAction() {}
+
+// Asked takes in a peer's question for an order.
+func (s *Engines) Asked(now clock.Instant, a Asked) {
+	e := s.engines[a.Engine]
+	if e == nil {
+		s.Out.Do(Answer{Token: a.Token, Outcome: Refused, Detail: "this instance does not order the engine"})
+		return
+	}
+	s.request(now, e, a.Request, waiter{token: a.Token})
+}
+
+// Request asks for an order to an engine that this instance owns, on behalf of
+// this instance itself; Answered is told of the outcome.
+func (s *Engines) Request(now clock.Instant, e *Engine, r orders.Request) {
+	s.request(now, e, r, waiter{})
+}
+
+func (s *Engines) request(now clock.Instant, e *Engine, r orders.Request, w waiter) {
+	if !s.Orderable(now, e) {
+		s.answer(now, e, r, w, Refused, "the engine may not be ordered yet")
+		return
+	}
+	for i := range e.queue {
+		if e.queue[i].request == r {
+			e.queue[i].waiters = append(e.queue[i].waiters, w)
+			return
+		}
+	}
+	q := queued{request: r, waiters: []waiter{w}, due: now, expires: now.Add(queueTime)}
+	if !r.Load && r.Adapter == "" && e.Phase(r.Model) == pool.Ready {
+		e.Retire(r.Model)
+		q.due = now.Add(unloadPause)
+	}
+	e.queue = append(e.queue, q)
+	s.workQueue(now, e)
+}
+
+// workQueue goes over what waits at an engine: it settles what is done and sends
+// the next order that can be sent.
+func (s *Engines) workQueue(now clock.Instant, e *Engine) {
+	var rest []queued
+	queue := e.queue
+	e.queue = nil
+	for _, q := range queue {
+		if s.work(now, e, &q) {
+			continue
+		}
+		rest = append(rest, q)
+	}
+	e.queue = append(rest, e.queue...)
+}
+
+// work does what can be done for one request, and reports whether it is over.
+func (s *Engines) work(now clock.Instant, e *Engine, q *queued) bool {
+	switch e.Judge(q.request) {
+	case orders.Holds, orders.NotThere:
+		s.answerAll(now, e, *q, Done, "")
+		return true
+	case orders.Coming:
+		if q.request.Adapter == "" {
+			s.answerAll(now, e, *q, Started, "")
+			return true
+		}
+	case orders.Permitted:
+		if !now.Before(q.due) {
+			s.send(now, e, q.request)
+		}
+	case orders.NoRoom:
+		if q.request.Adapter == "" || !s.makeRoom(now, e) {
+			s.answerAll(now, e, *q, Refused, "no room")
+			return true
+		}
+	case orders.NoModel, orders.Unsized:
+		s.answerAll(now, e, *q, Refused, "the model is not there")
+		return true
+	}
+	if now.Before(q.expires) {
+		return false
+	}
+	if !q.request.Load && q.request.Adapter == "" {
+		e.Unretire(q.request.Model)
+	}
+	s.answerAll(now, e, *q, Refused, "the engine did not become free in time")
+	return true
+}
+
+// makeRoom orders the adapter that was used least lately away, and reports
+// whether room is to be expected.
+func (s *Engines) makeRoom(now clock.Instant, e *Engine) bool {
+	if e.Flying() || !e.Known() {
+		return true
+	}
+	idle, ok := e.IdleAdapter(now, idleAdapter)
+	if !ok || e.Judge(idle) != orders.Permitted {
+		return false
+	}
+	s.send(now, e, idle)
+	return true
+}
+
+func (s *Engines) send(now clock.Instant, e *Engine, r orders.Request) {
+	if !s.Orderable(now, e) {
+		return
+	}
+	s.Out.Log(logevent.EngineOrder, "engine", e.Name, "load", r.Load, "item", r.Item(), "expect", e.Sequence(), "fence", e.Fence)
+	expect := e.Sequence()
+	e.orderedAt = now
+	e.Send(r)
+	s.Out.Do(SendOrder{orders.Order{Engine: e.Name, Address: e.Address, Request: r, Expect: expect, Fence: e.Fence}})
+}
+
+// OrderReplied takes in what came of an order.
+func (s *Engines) OrderReplied(now clock.Instant, r OrderReply) {
+	e := s.engines[r.Engine]
+	if e == nil || e.Fence != r.Fence || !e.Flying() {
+		return
+	}
+	s.Out.Log(logevent.EngineAnswer, "engine", e.Name, "answer", int(r.Answer), "sequence", e.Sequence(), "detail", r.Detail)
+	switch r.Answer {
+	case orders.AnswerTaken:
+		e.Taken(now, adapterTime)
+		s.expectModel(now, e)
+	case orders.AnswerHolds:
+		e.Holds()
+	case orders.AnswerNotSent, orders.AnswerInvalid:
+		e.Failed()
+	case orders.AnswerConflict:
+		e.Contradicted()
+	case orders.AnswerMisdirected:
+		e.Failed()
+		s.Pool.Dead(now, e.Name)
+	case orders.AnswerFenced:
+		e.Failed()
+		s.Lose(now, e.Name, "the engine has seen a later fence")
+		return
+	case orders.AnswerLost:
+		e.Lost()
+	}
+	s.workQueue(now, e)
+	s.publish(now, e)
+}
+
+func (s *Engines) answerAll(now clock.Instant, e *Engine, q queued, o Outcome, detail string) {
+	for _, w := range q.waiters {
+		s.answer(now, e, q.request, w, o, detail)
+	}
+}
+
+func (s *Engines) answer(now clock.Instant, e *Engine, r orders.Request, w waiter, o Outcome, detail string) {
+	if o == Refused {
+		s.Out.Log(logevent.OrderWaits, "engine", e.Name, "item", r.Item(), "detail", detail)
+	}
+	if w.token != 0 {
+		s.Out.Do(Answer{Token: w.token, Outcome: o, Detail: detail})
+		return
+	}
+	s.Answered(now, e.Name, r, o, detail)
+}
--- /dev/null
+++ b/core/owned/state.go
@@ -0,0 +1,111 @@
+package owned
+
+import (
+	"time"
+
+	"github.com/birchdrift/birchdrift/core/clock"
+	"github.com/birchdrift/birchdrift/core/config"
+	"github.com/birchdrift/birchdrift/core/logevent"
+	"github.com/birchdrift/birchdrift/core/orders"
+	"github.com/birchdrift/birchdrift/core/pool"
+)
+
+// What an engine is asked of itself, and when.
+
+const (
+	// askEvery is the least time between two questions for one engine's state.
+	// Not measured: twice the age that an answer may have, see reportLag.
+	askEvery = 250 * time.Millisecond
+	// reportLag is how old what an engine says of itself may be, by what the
+	// users' pages say of its reports ("some hundred ms").
+	reportLag = 120 * time.Millisecond
+)
+
+type (
+	// AskState is an action: ask an engine for its state.
+	AskState struct {
+		Engine  string
+		Address string
+	}
+	// StateReply is the event that answers AskState.
+	StateReply struct {
+		Engine string
+		State  orders.State
+		Err    error
+	}
+)
+
+// IsAction implements step.Action.
+func (AskState) IsAction() {}
+
+// IsEvent implements step.Event.
+func (StateReply) IsEvent() {}
+
+// askState asks an engine whose state is in doubt.
+func (s *Engines) askState(now clock.Instant, e *Engine) {
+	if !e.Doubtful() && !e.Ordered() || e.Flying() || e.asking || now.Before(e.askDue) {
+		return
+	}
+	e.asking = true
+	e.askDue = now.Add(askEvery)
+	s.Out.Do(AskState{Engine: e.Name, Address: e.Address})
+}
+
+// StateReplied takes an engine's state into its ledger. It is asked again after
+// askEvery if it could not be read.
+func (s *Engines) StateReplied(now clock.Instant, r StateReply) {
+	e := s.engines[r.Engine]
+	if e == nil {
+		return
+	}
+	e.asking = false
+	if r.Err != nil {
+		return
+	}
+	s.Out.Log(logevent.EngineState, "engine", e.Name, "sequence", r.State.Sequence, "busy", r.State.Busy)
+	e.Observe(now, r.State)
+	s.workQueue(now, e)
+	s.publish(now, e)
+}
+
+// expectModel has an engine asked for its state when the model that it loads
+// should be there: its own announcement comes later, and costs more to hear.
+func (s *Engines) expectModel(now clock.Instant, e *Engine) {
+	if !e.Busy() {
+		return
+	}
+	r := s.Pool.Get(e.Name)
+	model, loading := e.Underway()
+	if r == nil || model == "" {
+		return
+	}
+	wait := askEvery
+	if loading {
+		wait = s.loadTime(r, model)
+	}
+	e.askDue = now.Add(wait + reportLag)
+}
+
+// loadTime returns how long an engine takes to load a model.
+func (s *Engines) loadTime(r *pool.Replica, model string) time.Duration {
+	p, ok := s.Config.EnginePool(r.Service)
+	if !ok {
+		return askEvery
+	}
+	facts, _ := p.Model(model) // an unknown model has no load times
+	return LoadTime(facts, r.Announcement())
+}
+
+// LoadTime returns how long an engine that announced this takes to load a model:
+// it depends on whether the weights lie in its host memory or on its disk, or
+// come from the weight store.
+func LoadTime(m config.PooledModel, a pool.Announcement) time.Duration {
+	switch a.SourceOf(m.Name) {
+	case pool.HostMemory:
+		return m.LoadHost
+	case pool.Disk:
+		return m.LoadDisk
+	default:
+		return m.Load
+	}
+}
