--- /dev/null
+++ b/core/ownership/claim.go
@@ -0,0 +1,180 @@
+package ownership
+
+import (
+	"cmp"
+	"time"
+
+	"github.com/birchdrift/birchdrift/core/clock"
+	"github.com/birchdrift/birchdrift/core/pool"
+	"github.com/birchdrift/birchdrift/core/registry"
+	"github.com/birchdrift/birchdrift/core/rendezvous"
+	"github.com/birchdrift/birchdrift/core/step"
+)
+
+// Claims of engines: who takes an engine that nobody owns, and when it may give
+// the first order there.
+
+const (
+	// claimEvery spaces the looks for engines to claim, and for the placer's
+	// record. Not measured: a third of the time that a lost owner's engines have
+	// to wait anyhow.
+	claimEvery = 300 * time.Millisecond
+	// claimStep is how long the instance next in rank waits for the one before
+	// it to claim. Not measured: two looks and a write.
+	claimStep = 700 * time.Millisecond
+	// sameOwnerGap is how long an owner waits that takes its own engine again,
+	// whose orders may still be on their way. Not measured: above the time limit
+	// of an order at the fastest engines, below the gap between two owners.
+	sameOwnerGap = 400 * time.Millisecond
+	// turnMargin is added to the gap between the orders of two owners, for the
+	// way of an order and for clocks that run apart.
+	turnMargin = 300 * time.Millisecond
+)
+
+// A claims is this instance's claiming under way.
+type claims struct {
+	due    clock.Instant
+	flying bool
+}
+
+// claim claims the engines that this instance should own.
+func (g *Registry) claim(now clock.Instant) {
+	if now.Before(g.claims.due) {
+		return
+	}
+	g.claims.due = now.Add(step.Jitter(g.Rand, claimEvery))
+	if !g.known || !g.enrolment.held || g.claims.flying || !g.Roster.Includes(now) || !g.MayOrder(now) || !g.Config.Known() {
+		return
+	}
+	var claims []registry.Ownership
+	for _, r := range g.Pool.All() {
+		if !r.Announced || r.Kind != pool.Engine || !r.Usable() || len(claims) == registry.MaxClaims {
+			continue
+		}
+		if c, ok := g.claimOf(now, r); ok {
+			claims = append(claims, c)
+		}
+	}
+	if len(claims) == 0 {
+		return
+	}
+	g.claims.flying = true
+	g.Out.Do(Write{Write: Records{Claim: claims}})
+}
+
+// claimOf returns the claim of an engine; ok says whether this instance is to
+// write it now.
+func (g *Registry) claimOf(now clock.Instant, r *pool.Replica) (claim registry.Ownership, ok bool) {
+	old, owned := g.owners[r.Name]
+	claim = registry.Ownership{Engine: r.Name, Owner: g.Self.Name, Boot: g.Self.Boot, Revision: old.Revision}
+	switch {
+	case owned && old.Owner == g.Self.Name:
+		e := g.Owned.Get(r.Name)
+		if e == nil {
+			claim.Former = old.Former
+			claim.QuietMS = old.QuietMS
+			return claim, true
+		}
+		// Once the former owner's orders cannot be on their way any more, the
+		// record is written again without it.
+		return claim, !e.Settled && !now.Before(e.From)
+	case owned && old.Owner == "":
+		claim.Former = cmp.Or(old.Former, registry.Returned)
+		claim.QuietMS = old.QuietMS
+	case owned:
+		claim.Former = old.Owner
+	}
+	since, free := g.freeSince(now, r, old, owned)
+	if !free {
+		return claim, false
+	}
+	// Should the instance that ranks first not claim, the next one does.
+	return claim, !now.Before(since.Add(time.Duration(g.rank(now, r)) * claimStep))
+}
+
+// freeSince returns since when nobody is to be expected to order an engine; ok
+// is false while its owner is there, or may be as far as this instance can tell.
+func (g *Registry) freeSince(now clock.Instant, r *pool.Replica, old registry.Ownership, owned bool) (since clock.Instant, ok bool) {
+	if g.steadyAt.IsZero() {
+		return since, false
+	}
+	if !owned {
+		return clock.Latest(g.steadyAt.Add(claimStep), r.SeenAt()), true
+	}
+	if old.Owner == "" {
+		return g.learnt[r.Name], true
+	}
+	if _, there := g.instances[old.Owner]; there {
+		return since, false
+	}
+	gone, seen := g.absent[old.Owner]
+	if !seen {
+		g.absent[old.Owner] = now
+		return since, false
+	}
+	return clock.Latest(gone, g.steadyAt).Add(g.Options.AbsentFor), true
+}
+
+// rank returns how many instances come before this one as the owner of an
+// engine: of those that watch the store, the ones of the engine's zone first,
+// then by rendezvous hashing.
+func (g *Registry) rank(now clock.Instant, r *pool.Replica) int {
+	ahead := 0
+	if g.Self.Zone != r.Zone {
+		ahead = len(g.Roster.Of(now, r.Zone))
+	}
+	key := rendezvous.Key(r.Name)
+	own := rendezvous.Score(key, g.Self.Name)
+	for _, zone := range g.Roster.Zones() {
+		if (zone == r.Zone) != (g.Self.Zone == r.Zone) {
+			continue
+		}
+		for _, name := range g.Roster.Of(now, zone) {
+			if name != g.Self.Name && rendezvous.Score(key, name) > own {
+				ahead++
+			}
+		}
+	}
+	return ahead
+}
+
+// claimsWritten takes in what came of claims.
+func (g *Registry) claimsWritten(now clock.Instant, e WriteReply) {
+	g.claims.flying = false
+	if e.Err != nil {
+		g.Outage.Observe(now, e.Err)
+		return
+	}
+	if e.Conflict {
+		return
+	}
+	for _, claim := range e.Write.Claim {
+		first := claim.Revision == 0
+		claim.Revision = e.Revision
+		g.owners[claim.Engine] = claim
+		if own := g.Owned.Get(claim.Engine); own != nil && claim.Former == "" {
+			own.Confirm(claim)
+			continue
+		}
+		g.Owned.Take(now, claim, g.firstOrder(now, claim, first))
+	}
+}
+
+// firstOrder returns when this instance may first order an engine that it has
+// just claimed; first says that nobody ever ordered it.
+func (g *Registry) firstOrder(now clock.Instant, claim registry.Ownership, first bool) clock.Instant {
+	o := g.Options
+	switch {
+	case o.Disable.TurnWait:
+		return now
+	case claim.Former == "" && first:
+		return now
+	case claim.Former == "":
+		return now.Add(sameOwnerGap)
+	case claim.Former == registry.Returned:
+		quiet := time.Duration(claim.QuietMS) * time.Millisecond
+		return now.Add(max(0, o.TurnGap+turnMargin-quiet))
+	default:
+		return now.Add(o.OrderValid + o.TurnGap + turnMargin)
+	}
+}
--- /dev/null
+++ b/core/ownership/enrol.go
@@ -0,0 +1,127 @@
+package ownership
+
+import (
+	"time"
+
+	"github.com/birchdrift/birchdrift/core/backoff"
+	"github.com/birchdrift/birchdrift/core/clock"
+	"github.com/birchdrift/birchdrift/core/logevent"
+	"github.com/birchdrift/birchdrift/core/registry"
+	"github.com/birchdrift/birchdrift/core/step"
+)
+
+// Bounds of the time between two tries to write or renew this instance's record.
+// Not measured: the first is shorter than a renewal's spacing, the last still
+// allows three tries within the record's term.
+const (
+	enrolBase = 100 * time.Millisecond
+	enrolMax  = time.Second
+)
+
+// An enrolment is the lease on which this instance's record hangs.
+type enrolment struct {
+	job     step.Job
+	lease   uint64
+	held    bool
+	keptAt  clock.Instant // when the last renewal that succeeded was sent
+	backoff backoff.Backoff
+}
+
+func newEnrolment() enrolment {
+	return enrolment{backoff: backoff.New(enrolBase, enrolMax)}
+}
+
+// keepEnrolled renews the lease, or begins one.
+func (g *Registry) keepEnrolled(now clock.Instant) {
+	l := &g.enrolment
+	if !l.job.Ready(now) {
+		return
+	}
+	l.job.Begin(now)
+	if l.held {
+		g.Out.Do(KeepEnrolled{Lease: l.lease})
+		return
+	}
+	g.Out.Do(Enrol{Term: g.Options.EnrolTerm, Instance: registry.Instance{
+		Name: g.Self.Name, Zone: g.Self.Zone, Address: g.Self.Address, Boot: g.Self.Boot, Processor: g.Self.Processor,
+	}})
+}
+
+// Enrolled takes in what came of Enrol.
+func (g *Registry) Enrolled(now clock.Instant, e EnrolReply) {
+	if e.Err != nil {
+		g.renewalFailed(now, e.Err)
+		return
+	}
+	l := &g.enrolment
+	l.lease = e.Lease
+	l.held = true
+	g.renewed(now, e.Sent)
+	g.Out.Log(logevent.Enrolled, "lease", e.Lease)
+}
+
+// Kept takes in what came of a renewal.
+func (g *Registry) Kept(now clock.Instant, e KeepReply) {
+	switch {
+	case e.Over:
+		g.Out.Log(logevent.EnrolmentLost, "lease", e.Lease)
+		g.enrolment.held = false
+		g.loseAll(now, "this instance's record went")
+		g.enrolment.job.End(now)
+		g.storeAnswered(now)
+	case e.Err != nil:
+		g.renewalFailed(now, e.Err)
+	default:
+		g.renewed(now, e.Sent)
+	}
+}
+
+func (g *Registry) renewed(now, sent clock.Instant) {
+	g.storeAnswered(now)
+	g.enrolment.keptAt = sent
+	g.enrolment.job.End(now.Add(g.keepEvery()))
+}
+
+// keepEvery returns the spacing of renewals. An instance that gives no orders may
+// lose its record for a moment without harm, so it renews half as often.
+func (g *Registry) keepEvery() time.Duration {
+	if g.Owned.Len() == 0 && !g.placer.held {
+		return 2 * g.Options.KeepEvery
+	}
+	return g.Options.KeepEvery
+}
+
+// renewalFailed notes a call that was not answered. What depends on the time for
+// which the store has answered starts anew.
+func (g *Registry) renewalFailed(now clock.Instant, err error) {
+	l := &g.enrolment
+	g.Outage.Observe(now, err)
+	l.backoff = l.backoff.WithFailure()
+	l.job.End(now.Add(l.backoff.Wait(g.Rand)))
+	g.steadyAt = clock.Instant{}
+}
+
+func (g *Registry) storeAnswered(now clock.Instant) {
+	g.Outage.Observe(now, nil)
+	g.enrolment.backoff = g.enrolment.backoff.WithSuccess()
+	if g.steadyAt.IsZero() {
+		g.steadyAt = now
+	}
+}
+
+// Resign gives the engines back and ends the lease, at a planned stop.
+func (g *Registry) Resign(now clock.Instant) {
+	if !g.enrolment.held {
+		return
+	}
+	var give []registry.Ownership
+	for _, name := range g.Owned.Names() {
+		o := g.owners[name]
+		o.Owner = ""
+		o.QuietMS = g.Owned.Get(name).Quiet(now).Milliseconds()
+		give = append(give, o)
+	}
+	g.Owned.LoseAll(now, "this instance stops")
+	g.enrolment.held = false
+	g.Out.Do(Resign{Lease: g.enrolment.lease, Give: give})
+}
--- /dev/null
+++ b/core/ownership/ownership.go
@@ -0,0 +1,292 @@
+// Package ownership decides which engines this instance owns, and until when it
+// may order them, by records in the platform's store.
+//
+// An owner may give orders for OrderValid after its last renewal, and the last
+// watch through which it heard of the records, were sent. Whoever takes an
+// engine over from another waits that long and TurnGap on top, counted from its
+// claim, since the former owner may not know yet that it lost the engine: the
+// store may drop a record without telling its writer, and only a watch shows
+// that. So only instances that watch the store own engines.
+//
+// Ownerships are spread over the instances that watch, so the loss of one leaves
+// most engines ordered. The others hear of the records from their peers, and
+// know by them whom to ask for orders.
+//
+// The package also keeps the record of the placer, the one instance that decides
+// which models are loaded where (core/placement).
+package ownership
+
+import (
+	"math/rand/v2"
+	"slices"
+	"time"
+
+	"github.com/birchdrift/birchdrift/core/clock"
+	"github.com/birchdrift/birchdrift/core/config"
+	"github.com/birchdrift/birchdrift/core/member"
+	"github.com/birchdrift/birchdrift/core/option"
+	"github.com/birchdrift/birchdrift/core/outage"
+	"github.com/birchdrift/birchdrift/core/owned"
+	"github.com/birchdrift/birchdrift/core/pool"
+	"github.com/birchdrift/birchdrift/core/registry"
+	"github.com/birchdrift/birchdrift/core/share"
+	"github.com/birchdrift/birchdrift/core/step"
+	"github.com/birchdrift/birchdrift/core/watchers"
+)
+
+type (
+	// Enrol is an action: begin a lease and write this instance's record under
+	// it.
+	Enrol struct {
+		Term     time.Duration
+		Instance registry.Instance
+	}
+	// EnrolReply is the event that answers Enrol.
+	EnrolReply struct {
+		Sent  clock.Instant
+		Lease uint64
+		Err   error
+	}
+	// KeepEnrolled is an action: renew the lease.
+	KeepEnrolled struct{ Lease uint64 }
+	// KeepReply is the event that answers KeepEnrolled. Over says that the lease
+	// has gone.
+	KeepReply struct {
+		Sent  clock.Instant
+		Lease uint64
+		Over  bool
+		Err   error
+	}
+	// Write is an action: write ownerships, or the placer's record under Lease.
+	Write struct {
+		Write Records
+		Lease uint64
+	}
+	// Records are what one Write is for.
+	Records struct {
+		Claim  []registry.Ownership // each under the condition of its Revision
+		Placer *registry.Placer
+	}
+	// WriteReply is the event that answers a Write.
+	WriteReply struct {
+		Write    Records
+		Sent     clock.Instant
+		Revision uint64
+		Conflict bool // a condition did not hold, or the lease is over
+		Err      error
+	}
+	// Heard is the event that a watch brought news of the records.
+	Heard struct {
+		Records []registry.Record
+		Version uint64 // of the store
+		Whole   bool   // Records are all that there are
+	}
+	// Resign is an action: write the ownerships that are given back, then end
+	// the lease.
+	Resign struct {
+		Lease uint64
+		Give  []registry.Ownership
+	}
+)
+
+// IsAction implements step.Action.
+func (Enrol) IsAction() {}
+
+// IsAction implements step.Action.
+func (KeepEnrolled) IsAction() {}
+
+// IsAction implements step.Action.
+func (Write) IsAction() {}
+
+// IsAction implements step.Action.
+func (Resign) IsAction() {}
+
+// IsEvent implements step.Event.
+func (EnrolReply) IsEvent() {}
+
+// IsEvent implements step.Event.
+func (KeepReply) IsEvent() {}
+
+// IsEvent implements step.Event.
+func (WriteReply) IsEvent() {}
+
+// IsEvent implements step.Event.
+func (Heard) IsEvent() {}
+
+// Needs are what ownership needs of the other modules.
+type Needs struct {
+	Self    member.Identity
+	Options *option.Options
+	Rand    *rand.Rand
+	Out     *step.Output
+	Members *member.Table
+	Pool    *pool.Pool
+	Records *share.Store
+	Config  *config.Current
+	Outage  *outage.Tracker
+	Roster  *watchers.Roster
+	Owned   *owned.Engines
+	// Stopping reports whether a planned stop has begun.
+	Stopping func() bool
+	// News is called when records became known that peers are to be told of.
+	News func(now clock.Instant)
+}
+
+// A Registry is what an instance knows of the records, and its own part in them.
+type Registry struct {
+	Needs
+	enrolment enrolment
+	claims    claims
+	placer    placer
+
+	known     bool          // the records were read at least once
+	heardAt   clock.Instant // when the last watch that was answered was sent
+	steadyAt  clock.Instant // since when the store has answered renewals
+	instances map[string]registry.Instance
+	absent    map[string]clock.Instant // since when an instance has no record
+	owners    map[string]registry.Ownership
+	learnt    map[string]clock.Instant // when each ownership was learnt
+}
+
+// New returns the registry of an instance that has heard of no record.
+func New(n Needs) *Registry {
+	return &Registry{
+		Needs:     n,
+		enrolment: newEnrolment(),
+		instances: map[string]registry.Instance{},
+		absent:    map[string]clock.Instant{},
+		owners:    map[string]registry.Ownership{},
+		learnt:    map[string]clock.Instant{},
+	}
+}
+
+// Tick keeps this instance's record and claims engines.
+func (g *Registry) Tick(now clock.Instant) {
+	if g.Stopping() {
+		return
+	}
+	if !g.MayOrder(now) {
+		g.loseAll(now, "this instance's record may have gone")
+	}
+	g.keepEnrolled(now)
+	g.claim(now)
+}
+
+// MayOrder reports whether this instance's ownerships are certainly still its
+// own. Both clocks count, so that a machine that was suspended does not order.
+func (g *Registry) MayOrder(now clock.Instant) bool {
+	kept := g.enrolment.keptAt
+	if g.Stopping() || kept.IsZero() || now.Elapsed(kept) >= g.Options.OrderValid {
+		return false
+	}
+	if g.Options.Disable.HearRegistry {
+		return true
+	}
+	return !g.heardAt.IsZero() && now.Elapsed(g.heardAt) < g.Options.OrderValid
+}
+
+// loseAll has this instance order nothing any more. Others may have taken its
+// engines and its place as the placer without its knowledge, so it must claim
+// them anew.
+func (g *Registry) loseAll(now clock.Instant, why string) {
+	g.Owned.LoseAll(now, why)
+	g.placer.held = false
+}
+
+// WatchAnswered notes that a watch of the store that was sent at sent was
+// answered.
+func (g *Registry) WatchAnswered(sent clock.Instant) { g.heardAt = sent }
+
+// Instances returns the instances that have a record, by name.
+func (g *Registry) Instances() map[string]registry.Instance { return g.instances }
+
+// Owner returns who owns an engine by the newest record known; ok is false where
+// there is none.
+func (g *Registry) Owner(engine string) (o registry.Ownership, ok bool) {
+	o, ok = g.owners[engine]
+	return o, ok
+}
+
+// Heard takes in what a watch brought.
+func (g *Registry) Heard(now clock.Instant, e Heard) {
+	g.known = true
+	records := e.Records
+	if e.Whole {
+		records = append(slices.Clone(records), g.Records.Missing(records, e.Version)...)
+	}
+	g.Take(now, "", records)
+}
+
+// Take takes in those of the records that are news; from is the peer that told
+// of them, "" if they were learnt from the store itself.
+func (g *Registry) Take(now clock.Instant, from string, records []registry.Record) {
+	var change registry.Change
+	news := false
+	for _, r := range records {
+		if g.Records.AddRegistered(from, r) {
+			change.Add(r)
+			news = true
+		}
+	}
+	if news {
+		g.apply(now, change)
+		g.News(now)
+	}
+}
+
+func (g *Registry) apply(now clock.Instant, c registry.Change) {
+	for _, i := range c.Instances {
+		g.instances[i.Name] = i
+		delete(g.absent, i.Name)
+		g.Members.Learn(i.Name, i.Zone, i.Address)
+	}
+	for _, name := range c.GoneInstances {
+		g.instanceGone(now, name)
+	}
+	for _, o := range c.Owners {
+		g.takeOwnership(now, o)
+	}
+	for _, engine := range c.GoneOwners {
+		delete(g.owners, engine)
+		g.Owned.Lose(now, engine, "its record went")
+	}
+	if c.Placer != nil {
+		g.takePlacer(*c.Placer)
+	}
+	if c.PlacerGone {
+		g.takePlacer(registry.Placer{})
+		g.placer.goneAt = now
+	}
+}
+
+func (g *Registry) instanceGone(now clock.Instant, name string) {
+	delete(g.instances, name)
+	if name == g.Self.Name {
+		return // the next renewal will say so
+	}
+	if _, ok := g.absent[name]; !ok {
+		g.absent[name] = now
+	}
+}
+
+// takeOwnership takes in one ownership, of whoever wrote it.
+func (g *Registry) takeOwnership(now clock.Instant, o registry.Ownership) {
+	if old, ok := g.owners[o.Engine]; ok && old.Revision > o.Revision {
+		return
+	}
+	g.owners[o.Engine] = o
+	g.learnt[o.Engine] = now
+	if o.Owner != g.Self.Name || o.Boot != g.Self.Boot {
+		g.Owned.Lose(now, o.Engine, "another instance took it")
+	}
+}
+
+// Written takes in what came of a write. After an error, or a condition that did
+// not hold, the watch brings what stands in the store.
+func (g *Registry) Written(now clock.Instant, e WriteReply) {
+	if e.Write.Placer != nil {
+		g.placerWritten(now, e)
+		return
+	}
+	g.claimsWritten(now, e)
+}
--- /dev/null
+++ b/core/ownership/placer.go
@@ -0,0 +1,97 @@
+package ownership
+
+import (
+	"time"
+
+	"github.com/birchdrift/birchdrift/core/clock"
+	"github.com/birchdrift/birchdrift/core/registry"
+	"github.com/birchdrift/birchdrift/core/rendezvous"
+	"github.com/birchdrift/birchdrift/core/step"
+)
+
+// placerDuty is the rendezvous key of the placer.
+const placerDuty = "placer"
+
+// A placer is the placer's record as it is known here, and this instance's part
+// in it. The record hangs on its holder's lease and goes with it.
+type placer struct {
+	record  registry.Placer
+	goneAt  clock.Instant // when the last one's record went
+	held    bool          // by this instance, by its last write
+	seeking bool
+	seekDue clock.Instant
+}
+
+// Placer returns who places models by the newest record known; the name is ""
+// where nobody is known to.
+func (g *Registry) Placer() registry.Placer { return g.placer.record }
+
+// HoldsPlacer reports whether this instance holds the placer's record, by its
+// last write.
+func (g *Registry) HoldsPlacer() bool { return g.placer.held }
+
+// IsPlacer reports whether this instance certainly still is the placer.
+func (g *Registry) IsPlacer(now clock.Instant) bool { return g.placer.held && g.MayOrder(now) }
+
+// SeekPlacer writes the placer's record where there is none, or where it is this
+// instance's from before it may have lost it. Instances come in the order of
+// their rank, should those before them not write it.
+func (g *Registry) SeekPlacer(now clock.Instant) {
+	p := &g.placer
+	if p.seeking || now.Before(p.seekDue) || !g.enrolment.held || !g.known || g.steadyAt.IsZero() || !g.Roster.Includes(now) {
+		return
+	}
+	p.seekDue = now.Add(step.Jitter(g.Rand, claimEvery))
+	if p.record.Name != "" && p.record.Name != g.Self.Name {
+		return
+	}
+	free := clock.Latest(g.steadyAt, p.goneAt)
+	if p.record.Name == "" && now.Before(free.Add(time.Duration(g.PlacerRank(now))*claimStep)) {
+		return
+	}
+	p.seeking = true
+	record := registry.Placer{Name: g.Self.Name, Boot: g.Self.Boot, Revision: p.record.Revision}
+	g.Out.Do(Write{Write: Records{Placer: &record}, Lease: g.enrolment.lease})
+}
+
+// PlacerRank returns how many instances come before this one as the placer: of
+// those that watch the store, the ones with more of a processor, then by
+// rendezvous hashing.
+func (g *Registry) PlacerRank(now clock.Instant) int {
+	key := rendezvous.Key(placerDuty)
+	own := rendezvous.Score(key, g.Self.Name)
+	ahead := 0
+	for _, zone := range g.Roster.Zones() {
+		for _, name := range g.Roster.Of(now, zone) {
+			theirs := g.instances[name].Processor
+			switch {
+			case name == g.Self.Name || theirs < g.Self.Processor:
+			case theirs > g.Self.Processor || rendezvous.Score(key, name) > own:
+				ahead++
+			}
+		}
+	}
+	return ahead
+}
+
+func (g *Registry) placerWritten(now clock.Instant, e WriteReply) {
+	g.placer.seeking = false
+	if e.Err != nil {
+		g.Outage.Observe(now, e.Err)
+		return
+	}
+	if e.Conflict {
+		return
+	}
+	g.placer.record = *e.Write.Placer
+	g.placer.record.Revision = e.Revision
+	g.placer.held = true
+}
+
+// takePlacer takes in who the records say the placer is.
+func (g *Registry) takePlacer(p registry.Placer) {
+	g.placer.record = p
+	if p.Name != g.Self.Name || p.Boot != g.Self.Boot {
+		g.placer.held = false
+	}
+}
--- /dev/null
+++ b/core/placement/budget.go
@@ -0,0 +1,73 @@
+package placement
+
+import (
+	"math"
+
+	"github.com/birchdrift/birchdrift/core/clock"
+	"github.com/birchdrift/birchdrift/core/option"
+	"github.com/birchdrift/birchdrift/core/pool"
+)
+
+const (
+	// loadBurst is how many loads from the weight store may begin together.
+	loadBurst = 2.0
+	// loadShare is the share of the weight store's rate that is used, so that
+	// loads which begin late do not come to more than the whole.
+	loadShare = 0.9
+)
+
+// A loadBudget is a token bucket of loads from the weight store.
+type loadBudget struct {
+	begun  clock.Instant // when this instance became the placer
+	at     clock.Instant // when tokens were last added
+	tokens float64
+}
+
+func newLoadBudget(now clock.Instant) loadBudget { return loadBudget{begun: now, at: now} }
+
+// refill adds the loads that may have begun since the last time, at rate loads a
+// second. While the former placer may still be at work, there are none.
+func (b *loadBudget) refill(now clock.Instant, rate float64, o *option.Options) {
+	if o.Disable.Rate {
+		b.tokens = math.MaxInt32
+		return
+	}
+	if now.Since(b.begun) < o.OrderValid {
+		b.at = now
+		return
+	}
+	b.tokens = min(b.tokens+loadShare*rate*now.Since(b.at).Seconds(), loadBurst)
+	b.at = now
+}
+
+// spend takes one load, and reports whether there was one.
+func (b *loadBudget) spend() bool {
+	if b.tokens < 1 {
+		return false
+	}
+	b.tokens--
+	return true
+}
+
+// loadRate returns the weight store's rate for all services, in loads a second.
+func (p *Placer) loadRate() float64 {
+	rate := 0.0
+	for _, svc := range p.Config.Document().Services {
+		if svc.Announced != nil && svc.Announced.Engine != nil {
+			rate += svc.Announced.Engine.LoadsPerSec
+		}
+	}
+	return rate
+}
+
+// plannable returns how many loads from the weight store may be planned now:
+// those that may begin, less those that are planned and have not begun.
+func (p *Placer) plannable() int {
+	free := math.Floor(p.loads.tokens)
+	for _, c := range p.changes {
+		if c.Source == pool.WeightStore && !c.counted {
+			free--
+		}
+	}
+	return max(0, int(free))
+}
--- a/core/place/place.go
+++ b/core/placement/changes.go
@@ -1,20 +1,23 @@
-// Package place provides the placement of models on engines that announce
-// themselves: which models get another copy, where, and what makes way.
+package placement
+
+// Which models get another copy, where, and what makes way: a pure function of
+// an Input.
 //
-// The idea: the work that a model brings is measured in engine time a second. A
-// model whose copies have more than TargetWork to do each gets another one, on
-// the engine that has least to do and can have the model soonest: from its host
+// The work that a model brings is measured in engine time a second. A model
+// whose copies have more than TargetWork to do each gets another one, on the
+// engine that has least to do and can have the model soonest: from its host
 // memory, its disk, or last from the weight store, whose loads are limited and
 // cost. A copy makes way when the others of its model can carry its work.
 //
 // Invariants: the last copy of a model is never dropped while anybody asks for
-// the model; no engine is given a second change while one is under way; no step
-// takes more loads from the weight store than Input allows.
-package place
+// the model; no engine is given a second change while one is under way; no
+// placement takes more loads from the weight store than its Input allows.
 
 import (
 	"sort"
 	"time"
+
+	"github.com/birchdrift/birchdrift/core/pool"
 )
 
 // Tunables of the placement.
@@ -44,6 +47,12 @@
 	zoneBonus = 0.05
 	// fullEngine is the work from which an engine is no place for more.
 	fullEngine = 0.75
+	// engineWorkWeight is what the work that an engine has already takes away
+	// from its score.
+	engineWorkWeight = 0.5
+	// lastAtHandCost keeps the last copy of a model whose weights no other
+	// engine has at hand.
+	lastAtHandCost = 1
 )
 
 // A Model is what is known of a model's weights.
@@ -70,7 +79,7 @@
 	Age     time.Duration // since it became ready
 }
 
-// An Engine is one engine as its placer knows it.
+// An Engine is one engine as the placer knows it.
 type Engine struct {
 	Name     string
 	Zone     string
@@ -99,28 +108,13 @@
 	OnlyAbsent bool
 }
 
-// A Source is where an engine takes a model's weights from.
-type Source int
-
-// The sources, slowest first.
-const (
-	FromStore Source = iota
-	FromDisk
-	FromMemory
-)
-
-// String returns the source as it stands in logs.
-func (s Source) String() string {
-	return [...]string{"store", "disk", "memory"}[s]
-}
-
 // A Change is one change of one engine: Drop makes way for Load. Either may be
 // empty.
 type Change struct {
 	Engine string
 	Load   string
 	Drop   []string
-	Source Source
+	Source pool.Source
 	Worth  float64 // of the load, for logs
 	Cost   float64 // of the drops, for logs
 	Work   float64 // that the model brings, for logs
@@ -129,18 +123,18 @@
 
 // Changes returns the changes to begin now, the most worth first.
 func Changes(in Input) []Change {
-	p := newPlacer(in)
+	r := newRound(in)
 	var changes []Change
-	for _, w := range p.wants() {
-		if c, ok := p.place(w); ok {
-			changes = append(changes, c)
+	for _, c := range r.candidates() {
+		if change, ok := r.place(c); ok {
+			changes = append(changes, change)
 		}
 	}
 	return changes
 }
 
-// A placer holds one placement in the making.
-type placer struct {
+// A round holds one placement in the making.
+type round struct {
 	in      Input
 	engines []*engine
 	copies  map[string]int            // that serve, or will
@@ -151,75 +145,75 @@
 
 type engine struct {
 	Engine
-	work  float64
-	taken bool // it has a change in this placement
+	work     float64
+	changing bool // it has a change in this placement
 }
 
-func newPlacer(in Input) *placer {
-	p := &placer{in: in, copies: map[string]int{}, zones: map[string]map[string]int{}, atHand: map[string]int{}, store: in.StoreLoads}
+func newRound(in Input) *round {
+	r := &round{in: in, copies: map[string]int{}, zones: map[string]map[string]int{}, atHand: map[string]int{}, store: in.StoreLoads}
 	for _, e := range in.Engines {
-		p.engines = append(p.engines, &engine{Engine: e})
-		p.countAtHand(e)
+		r.engines = append(r.engines, &engine{Engine: e})
+		r.countAtHand(e)
 		if !e.Sound {
 			continue
 		}
 		for _, c := range e.Copies {
 			if !c.Leaving {
-				p.count(c.Model, e.Zone, 1)
+				r.count(c.Model, e.Zone, 1)
 			}
 		}
 	}
-	for _, e := range p.engines {
+	for _, e := range r.engines {
 		for _, c := range e.Copies {
 			if !c.Leaving {
-				e.work += p.share(c.Model)
+				e.work += r.share(c.Model)
 			}
 		}
 	}
-	return p
+	return r
 }
 
 // countAtHand notes the models whose weights an engine has at hand.
-func (p *placer) countAtHand(e Engine) {
+func (r *round) countAtHand(e Engine) {
 	if !e.Sound || !e.Open {
 		return
 	}
 	for model, there := range e.OnDisk {
 		if there {
-			p.atHand[model]++
+			r.atHand[model]++
 		}
 	}
 	for model, there := range e.InMemory {
 		if there && !e.OnDisk[model] {
-			p.atHand[model]++
+			r.atHand[model]++
 		}
 	}
 }
 
 // count notes copies of a model that came or went in a zone.
-func (p *placer) count(model, zone string, n int) {
-	p.copies[model] += n
-	if p.zones[model] == nil {
-		p.zones[model] = map[string]int{}
+func (r *round) count(model, zone string, n int) {
+	r.copies[model] += n
+	if r.zones[model] == nil {
+		r.zones[model] = map[string]int{}
 	}
-	p.zones[model][zone] += n
+	r.zones[model][zone] += n
 }
 
 // share returns the work of one copy of a model.
-func (p *placer) share(model string) float64 {
-	return p.in.Demand[model].Work / float64(max(1, p.copies[model]))
+func (r *round) share(model string) float64 {
+	return r.in.Demand[model].Work / float64(max(1, r.copies[model]))
 }
 
-// A want is a copy that a model could do with.
-type want struct {
+// A candidate is a copy that a model could do with.
+type candidate struct {
 	model string
 	worth float64
 }
 
 // worth returns what copy number n of a model is worth: the work that it takes
 // from the others, and more where there are none or they have too much to do.
-func (p *placer) worth(model string, n int) float64 {
-	d := p.in.Demand[model]
+func (r *round) worth(model string, n int) float64 {
+	d := r.in.Demand[model]
 	if n <= 1 {
 		return restWorth + d.Work + absentWorth*max(d.Absent, d.Rate)
 	}
@@ -236,45 +230,45 @@
 // work does, and steeply once there is more than one copy should have.
 func pressure(work float64) float64 {
 	x := work / TargetWork
-	return TargetWork * x * x * 0.5
+	return TargetWork * x * x / 2
 }
 
-// wants returns the copies that would be worth having, most worth first; of
+// candidates returns the copies that would be worth having, most worth first; of
 // each model the next one only. What is worth too little wherever its weights
-// come from is left out, for each want is weighed on every engine.
-func (p *placer) wants() []want {
-	var wants []want
-	for name := range p.in.Models {
-		if p.in.OnlyAbsent && (p.copies[name] > 0 || p.in.Demand[name].Absent == 0) {
+// come from is left out, for each candidate is weighed on every engine.
+func (r *round) candidates() []candidate {
+	var candidates []candidate
+	for name := range r.in.Models {
+		if r.in.OnlyAbsent && (r.copies[name] > 0 || r.in.Demand[name].Absent == 0) {
 			continue
 		}
-		if w := p.worth(name, p.copies[name]+1); w >= handWorth || p.copies[name] == 0 {
-			wants = append(wants, want{model: name, worth: w})
+		if worth := r.worth(name, r.copies[name]+1); worth >= handWorth || r.copies[name] == 0 {
+			candidates = append(candidates, candidate{model: name, worth: worth})
 		}
 	}
-	sort.Slice(wants, func(i, j int) bool {
-		if wants[i].worth != wants[j].worth {
-			return wants[i].worth > wants[j].worth
+	sort.Slice(candidates, func(i, j int) bool {
+		if candidates[i].worth != candidates[j].worth {
+			return candidates[i].worth > candidates[j].worth
 		}
-		return wants[i].model < wants[j].model
+		return candidates[i].model < candidates[j].model
 	})
-	return wants
+	return candidates
 }
 
-// An option is one way to place a want.
-type option struct {
+// A fit is one way to place a candidate.
+type fit struct {
 	engine *engine
-	source Source
+	source pool.Source
 	drop   []string
 	cost   float64
 	score  float64 // worth less cost and what the engine's work takes away
 }
 
-func (p *placer) place(w want) (Change, bool) {
-	var best option
+func (r *round) place(c candidate) (Change, bool) {
+	var best fit
 	found := false
-	for _, e := range p.engines {
-		o, ok := p.option(e, w)
+	for _, e := range r.engines {
+		o, ok := r.fit(e, c)
 		if ok && (!found || o.score > best.score) {
 			best = o
 			found = true
@@ -284,63 +278,63 @@
 		return Change{}, false
 	}
 	change := Change{
-		Engine: best.engine.Name, Load: w.model, Drop: best.drop, Source: best.source,
-		Worth: w.worth, Cost: best.cost, Work: p.in.Demand[w.model].Work, Copies: p.copies[w.model],
+		Engine: best.engine.Name, Load: c.model, Drop: best.drop, Source: best.source,
+		Worth: c.worth, Cost: best.cost, Work: r.in.Demand[c.model].Work, Copies: r.copies[c.model],
 	}
-	p.take(best, w)
+	r.apply(best, c)
 	return change, true
 }
 
-// take has the placement go on as if the change were done.
-func (p *placer) take(o option, w want) {
-	o.engine.taken = true
-	if o.source == FromStore {
-		p.store--
+// apply has the placement go on as if the change were done.
+func (r *round) apply(o fit, c candidate) {
+	o.engine.changing = true
+	if o.source == pool.WeightStore {
+		r.store--
 	}
-	p.count(w.model, o.engine.Zone, 1)
+	r.count(c.model, o.engine.Zone, 1)
 	for _, model := range o.drop {
-		p.count(model, o.engine.Zone, -1)
+		r.count(model, o.engine.Zone, -1)
 	}
 }
 
-// option returns how a want could be placed on an engine, if it pays.
-func (p *placer) option(e *engine, w want) (option, bool) {
-	if !e.Open || !e.Sound || e.taken || e.has(w.model) {
-		return option{}, false
+// fit returns how a candidate could be placed on an engine, if it pays.
+func (r *round) fit(e *engine, c candidate) (fit, bool) {
+	if !e.Open || !e.Sound || e.changing || e.has(c.model) {
+		return fit{}, false
 	}
-	o := option{engine: e, source: e.source(w.model)}
+	o := fit{engine: e, source: e.source(c.model)}
 	least := handWorth
-	if o.source == FromStore {
+	if o.source == pool.WeightStore {
 		least = storeWorth
-		if p.store <= 0 {
-			return option{}, false
+		if r.store <= 0 {
+			return fit{}, false
 		}
 	}
-	first := p.copies[w.model] == 0
-	if w.worth < least && !first {
-		return option{}, false
+	first := r.copies[c.model] == 0
+	if c.worth < least && !first {
+		return fit{}, false
 	}
 	if !first && e.work > fullEngine {
-		return option{}, false
+		return fit{}, false
 	}
-	if !p.room(&o, w) {
-		return option{}, false
+	if !r.room(&o, c) {
+		return fit{}, false
 	}
-	if p.in.Blind && len(o.drop) > 0 && p.in.Demand[w.model].Absent == 0 {
-		return option{}, false
+	if r.in.Blind && len(o.drop) > 0 && r.in.Demand[c.model].Absent == 0 {
+		return fit{}, false
 	}
-	if o.cost > 0 && w.worth < margin*o.cost {
-		return option{}, false
+	if o.cost > 0 && c.worth < margin*o.cost {
+		return fit{}, false
 	}
-	if p.zones[w.model][e.Zone] == 0 {
+	if r.zones[c.model][e.Zone] == 0 {
 		o.score += zoneBonus
 	}
-	o.score += w.worth - o.cost - e.work*0.5 + sourceBonus[o.source]
+	o.score += c.worth - o.cost - engineWorkWeight*e.work + sourceBonus[o.source]
 	return o, true
 }
 
 // sourceBonus prefers engines that have the weights at hand.
-var sourceBonus = map[Source]float64{FromStore: 0, FromDisk: 0.5, FromMemory: 0.6}
+var sourceBonus = map[pool.Source]float64{pool.WeightStore: 0, pool.Disk: 0.5, pool.HostMemory: 0.6}
 
 func (e *engine) has(model string) bool {
 	for _, c := range e.Copies {
@@ -351,20 +345,20 @@
 	return false
 }
 
-func (e *engine) source(model string) Source {
+func (e *engine) source(model string) pool.Source {
 	switch {
 	case e.InMemory[model]:
-		return FromMemory
+		return pool.HostMemory
 	case e.OnDisk[model]:
-		return FromDisk
+		return pool.Disk
 	default:
-		return FromStore
+		return pool.WeightStore
 	}
 }
 
-// room finds what must make way for a want on an engine, the cheapest first.
-func (p *placer) room(o *option, w want) bool {
-	need := p.in.Models[w.model].MB - o.engine.FreeMB
+// room finds what must make way for a candidate on an engine, the cheapest first.
+func (r *round) room(o *fit, c candidate) bool {
+	need := r.in.Models[c.model].MB - o.engine.FreeMB
 	if need <= 0 {
 		return true
 	}
@@ -375,10 +369,10 @@
 	}
 	var victims []victim
 	for _, c := range o.engine.Copies {
-		if !c.Ready || c.Leaving || c.Age < p.in.MinimumStay {
+		if !c.Ready || c.Leaving || c.Age < r.in.MinimumStay {
 			continue
 		}
-		victims = append(victims, victim{c.Model, p.in.Models[c.Model].MB, p.dropCost(c.Model)})
+		victims = append(victims, victim{c.Model, r.in.Models[c.Model].MB, r.dropCost(c.Model)})
 	}
 	sort.Slice(victims, func(i, j int) bool {
 		if victims[i].cost != victims[j].cost {
@@ -400,15 +394,15 @@
 // dropCost returns what is lost with one copy of a model. The last copy of a
 // model that nobody asks for may go only where another engine has its weights
 // at hand, so that it is back soon when somebody does.
-func (p *placer) dropCost(model string) float64 {
-	n := p.copies[model]
-	runs := runsCost * p.in.Demand[model].Rate / float64(max(1, n))
+func (r *round) dropCost(model string) float64 {
+	n := r.copies[model]
+	runs := runsCost * r.in.Demand[model].Rate / float64(max(1, n))
 	if n > 1 {
-		return p.worth(model, n) + runs
+		return r.worth(model, n) + runs
 	}
-	cost := p.worth(model, 1) + runs
-	if p.atHand[model] <= 1 { // the one that drops it keeps a copy too
-		cost += 1
+	cost := r.worth(model, 1) + runs
+	if r.atHand[model] <= 1 { // the one that drops it keeps a copy too
+		cost += lastAtHandCost
 	}
 	return cost
 }
--- a/core/place/place_test.go
+++ b/core/placement/changes_test.go
@@ -1,4 +1,4 @@
-package place
+package placement
 
 import (
 	"fmt"
--- /dev/null
+++ b/core/placement/input.go
@@ -0,0 +1,106 @@
+package placement
+
+import (
+	"slices"
+	"sort"
+
+	"github.com/birchdrift/birchdrift/core/clock"
+	"github.com/birchdrift/birchdrift/core/config"
+	"github.com/birchdrift/birchdrift/core/pool"
+)
+
+// input gathers what the placement of one service's models depends on.
+func (p *Placer) input(now clock.Instant, svc config.Service) Input {
+	engines := svc.Announced.Engine
+	in := Input{
+		Models:      make(map[string]Model, len(engines.Models)),
+		Demand:      map[string]Demand{},
+		StoreLoads:  p.plannable(),
+		MinimumStay: minimumStay,
+		Blind:       now.Since(p.demandAt) < blindTime,
+		OnlyAbsent:  p.cutOff,
+	}
+	if p.cutOff {
+		in.StoreLoads = 0 // the placer alone counts them
+	}
+	for _, m := range engines.Models {
+		in.Models[m.Name] = Model{Name: m.Name, MB: m.MemoryMB, Store: m.Load, Disk: m.LoadDisk, Memory: m.LoadHost}
+	}
+	for _, d := range p.Board.Sum(now) {
+		in.Demand[d.Name] = Demand{Work: d.Concurrent, Rate: d.Rate, Absent: d.Absent}
+	}
+	for _, r := range p.Pool.Serving(svc.Name) {
+		if r.Kind == pool.Engine {
+			in.Engines = append(in.Engines, p.engine(now, r, engines))
+		}
+	}
+	return in
+}
+
+// engine returns an engine as it will be once the change under way there is
+// done, so that no later placement asks for the same again.
+func (p *Placer) engine(now clock.Instant, r *pool.Replica, facts *config.EnginePool) Engine {
+	e := Engine{
+		Name:   r.Name,
+		Zone:   r.Zone,
+		FreeMB: facts.MemoryMB,
+		Sound:  r.Usable() && !r.Vanished() && !r.Ejected(now),
+		Open:   p.changes[r.Name] == nil && p.Asks.OwnerReachable(now, r.Name),
+	}
+	newest := clock.Instant{}
+	for item, phase := range r.Items() {
+		model, adapter := pool.SplitItem(item)
+		m, _ := facts.Model(model) // one that is not configured takes no memory
+		if adapter != "" {
+			e.FreeMB -= m.AdapterMB
+			continue
+		}
+		e.FreeMB -= m.MemoryMB
+		c := Copy{Model: model, Ready: phase == pool.Ready, Leaving: phase == pool.Unloading}
+		if since, ok := p.readyAt[copyKey{r.Name, item}]; ok {
+			c.Age = now.Since(since)
+			newest = clock.Latest(newest, since)
+		}
+		if phase != pool.Ready {
+			e.Open = false
+		}
+		e.Copies = append(e.Copies, c)
+	}
+	// A load pushes other weights out of the engine's disk and host memory, and
+	// what it announced before does not say which. Taken for at hand, they would
+	// come from the weight store without being counted there.
+	if !r.AnnouncedAt().Before(newest) {
+		a := r.Announcement()
+		e.InMemory = setOf(a.InMemory)
+		e.OnDisk = setOf(a.OnDisk)
+	}
+	e = withChange(e, p.changes[r.Name])
+	sort.Slice(e.Copies, func(i, j int) bool { return e.Copies[i].Model < e.Copies[j].Model })
+	return e
+}
+
+// withChange returns an engine as if the change were done.
+func withChange(e Engine, c *change) Engine {
+	if c == nil {
+		return e
+	}
+	coming := false
+	for i, held := range e.Copies {
+		coming = coming || held.Model == c.Load
+		if slices.Contains(c.Drop, held.Model) {
+			e.Copies[i].Leaving = true
+		}
+	}
+	if !coming {
+		e.Copies = append(e.Copies, Copy{Model: c.Load})
+	}
+	return e
+}
+
+func setOf(names []string) map[string]bool {
+	set := make(map[string]bool, len(names))
+	for _, n := range names {
+		set[n] = true
+	}
+	return set
+}
--- /dev/null
+++ b/core/placement/placer.go
@@ -0,0 +1,253 @@
+// Package placement decides which models are loaded on which engines.
+//
+// One instance, the placer, decides for the fleet; the owners of the engines
+// give the orders. Two placers at once can do no harm to an engine, only to the
+// rate of loads from the weight store, so a new one waits with those until the
+// former certainly has stopped. The owners of engines in a zone that is cut off
+// from the placer bring in what their own callers miss, from weights that their
+// engines have at hand.
+//
+// Changes is the decision itself; the Placer gathers its input, carries changes
+// through, and counts loads from the weight store.
+package placement
+
+import (
+	"maps"
+	"slices"
+	"time"
+
+	"github.com/birchdrift/birchdrift/core/asks"
+	"github.com/birchdrift/birchdrift/core/clock"
+	"github.com/birchdrift/birchdrift/core/config"
+	"github.com/birchdrift/birchdrift/core/demand"
+	"github.com/birchdrift/birchdrift/core/logevent"
+	"github.com/birchdrift/birchdrift/core/member"
+	"github.com/birchdrift/birchdrift/core/option"
+	"github.com/birchdrift/birchdrift/core/orders"
+	"github.com/birchdrift/birchdrift/core/ownership"
+	"github.com/birchdrift/birchdrift/core/pool"
+	"github.com/birchdrift/birchdrift/core/step"
+	"github.com/birchdrift/birchdrift/core/watchers"
+)
+
+const (
+	// placeEvery spaces placements, unless a call finds its model nowhere.
+	placeEvery = 200 * time.Millisecond
+	// placeGap is the least time between two placements even then.
+	placeGap = 40 * time.Millisecond
+	// changeTime is how long a change may take before it is given up. Not
+	// measured: the slowest load of the users' models takes 6.4 s.
+	changeTime = 10 * time.Second
+	// changeRepeat is the least time between two requests for one order.
+	changeRepeat = 400 * time.Millisecond
+	// minimumStay is the least age of a copy that makes way.
+	minimumStay = 3 * time.Second
+	// blindTime is how long a new placer learns the demand before it drops
+	// copies for models that nobody misses.
+	blindTime = 3 * time.Second
+	// tellEvery is the least time between two words to the placer about models
+	// that calls miss.
+	tellEvery = 100 * time.Millisecond
+)
+
+// Needs are what the placer needs of the other modules.
+type Needs struct {
+	Self    member.Identity
+	Options *option.Options
+	Out     *step.Output
+	Members *member.Table
+	Pool    *pool.Pool
+	Config  *config.Current
+	// Registry says who is the placer, Asks gets orders from owners.
+	Registry *ownership.Registry
+	Asks     *asks.Asks
+	Roster   *watchers.Roster
+	// Flow is what this instance's own callers ask for, Board what was heard
+	// from all.
+	Flow  *demand.Flow
+	Board *demand.Board
+	// Stopping reports whether a planned stop has begun.
+	Stopping func() bool
+	// Tell has an exchange with a peer begun at once, if there is one; NextWatcher
+	// names the instance of a zone whose turn it is, of those that watch.
+	Tell        func(now clock.Instant, p *member.Peer)
+	NextWatcher func(now clock.Instant, zone string) *member.Peer
+}
+
+// A Placer is one instance's part in the placement: idle, unless it is the
+// placer or owns engines that are cut off from the placer.
+type Placer struct {
+	Needs
+	due      clock.Instant
+	placedAt clock.Instant // when models were placed last
+	toldAt   clock.Instant // when the placer was last told of a missed model
+	active   bool
+	cutOff   bool          // placing for the own engines only, and only what is missed
+	demandAt clock.Instant // since when callers are known to ask for models
+	loads    loadBudget
+	changes  map[string]*change        // under way, by engine
+	readyAt  map[copyKey]clock.Instant // since when a copy is seen ready
+}
+
+// A change is a Change under way.
+type change struct {
+	Change
+	begun   clock.Instant
+	askedAt clock.Instant
+	counted bool // its load from the weight store was counted
+}
+
+// A copyKey names a copy of a model on an engine.
+type copyKey struct{ engine, item string }
+
+// New returns a placer that has placed nothing.
+func New(n Needs) *Placer {
+	return &Placer{Needs: n, changes: map[string]*change{}, readyAt: map[copyKey]clock.Instant{}}
+}
+
+// Tick seeks the placer's record while nobody holds it, and places models while
+// this instance does.
+func (p *Placer) Tick(now clock.Instant) {
+	if p.Stopping() || !p.Config.Known() {
+		return
+	}
+	placing := p.Registry.IsPlacer(now)
+	if !placing {
+		p.Registry.SeekPlacer(now)
+	}
+	if !placing && !p.CutOff(now) {
+		if p.active {
+			p.active = false
+			p.changes = map[string]*change{}
+		}
+		return
+	}
+	p.begin(now, !placing)
+	if now.Before(p.due) || !p.placedAt.IsZero() && now.Since(p.placedAt) < placeGap {
+		return
+	}
+	p.placedAt = now
+	p.due = now.Add(placeEvery)
+	p.place(now)
+}
+
+// begin begins to place models, for the fleet or for the own engines alone, if
+// that is not what it does already.
+func (p *Placer) begin(now clock.Instant, cutOff bool) {
+	if p.active && p.cutOff == cutOff {
+		return
+	}
+	p.active = true
+	p.cutOff = cutOff
+	p.changes = map[string]*change{}
+	p.loads = newLoadBudget(now)
+	p.demandAt = now
+	p.Out.Log(logevent.Placing, "orphan", cutOff, "revision", p.Registry.Placer().Revision)
+}
+
+// CutOff reports whether this instance owns engines and the placer does not
+// answer it.
+func (p *Placer) CutOff(now clock.Instant) bool {
+	return p.Registry.Owned.Len() > 0 && p.Registry.MayOrder(now) && p.placerSilent()
+}
+
+// placerSilent reports whether the placer is another instance that does not
+// answer this one.
+func (p *Placer) placerSilent() bool {
+	peer := p.Members.Get(p.Registry.Placer().Name)
+	return peer != nil && peer.Failing()
+}
+
+// place goes on with the changes under way, then begins new ones.
+func (p *Placer) place(now clock.Instant) {
+	p.Board.Report(now, p.Self.Name, p.Flow.Items(now))
+	if len(p.Board.Sum(now)) == 0 {
+		p.demandAt = now
+	}
+	p.loads.refill(now, p.loadRate(), p.Options)
+	p.trackReady(now)
+	for _, engine := range slices.Sorted(maps.Keys(p.changes)) {
+		p.advance(now, p.changes[engine])
+	}
+	for _, svc := range p.Config.Document().Services {
+		if svc.Announced == nil || svc.Announced.Engine == nil {
+			continue
+		}
+		for _, c := range Changes(p.input(now, svc)) {
+			p.Out.Log(logevent.Placed, "engine", c.Engine, "load", c.Load, "drop", c.Drop, "source", c.Source.String(),
+				"worth", c.Worth, "cost", c.Cost, "work", c.Work, "copies", c.Copies)
+			ch := &change{Change: c, begun: now}
+			p.changes[c.Engine] = ch
+			p.advance(now, ch)
+		}
+	}
+}
+
+// advance takes the next step of a change, and ends it if there is none.
+func (p *Placer) advance(now clock.Instant, c *change) {
+	r := p.Pool.Get(c.Engine)
+	switch {
+	case r == nil || !r.Usable():
+		p.end(c, "the engine is gone")
+		return
+	case now.Since(c.begun) > changeTime:
+		p.end(c, "it took too long")
+		return
+	case r.Phase(c.Load) == pool.Ready:
+		p.end(c, "done", "took", now.Since(c.begun).String())
+		return
+	case r.Phase(c.Load) == pool.Loading || now.Before(c.askedAt.Add(changeRepeat)) && !c.askedAt.IsZero():
+		return
+	}
+	for _, model := range c.Drop {
+		if r.Phase(model) != 0 {
+			p.ask(now, c, orders.Request{Model: model})
+			return
+		}
+	}
+	// A load is counted where it begins: what makes way may take seconds to go,
+	// and loads that were planned over seconds would begin together.
+	if c.Source == pool.WeightStore && !c.counted {
+		if !p.loads.spend() {
+			return
+		}
+		c.counted = true
+	}
+	p.ask(now, c, orders.Request{Load: true, Model: c.Load})
+}
+
+func (p *Placer) end(c *change, detail string, more ...any) {
+	delete(p.changes, c.Engine)
+	p.Out.Log(logevent.PlaceEnded, append([]any{"engine", c.Engine, "load", c.Load, "detail", detail}, more...)...)
+}
+
+// ask asks the engine's owner for the order that a change needs next.
+func (p *Placer) ask(now clock.Instant, c *change, r orders.Request) {
+	key := asks.Key{Engine: c.Engine, Request: r}
+	if p.Asks.UnderWay(key) || !p.Asks.Possible(now, key) {
+		return
+	}
+	c.askedAt = now
+	p.Asks.For(now, key)
+}
+
+// trackReady notes since when copies are ready.
+func (p *Placer) trackReady(now clock.Instant) {
+	seen := map[copyKey]bool{}
+	for _, r := range p.Pool.All() {
+		if !r.Announced || r.Kind != pool.Engine {
+			continue
+		}
+		for item, phase := range r.Items() {
+			key := copyKey{r.Name, item}
+			if phase != pool.Ready {
+				continue
+			}
+			seen[key] = true
+			if _, ok := p.readyAt[key]; !ok {
+				p.readyAt[key] = now
+			}
+		}
+	}
+	maps.DeleteFunc(p.readyAt, func(key copyKey, _ clock.Instant) bool { return !seen[key] })
+}
--- /dev/null
+++ b/core/placement/placer_test.go
@@ -0,0 +1,51 @@
+package placement
+
+import (
+	"testing"
+	"time"
+
+	"github.com/matryer/is"
+
+	"github.com/birchdrift/birchdrift/core/asks"
+	"github.com/birchdrift/birchdrift/core/clock/clocktest"
+	"github.com/birchdrift/birchdrift/core/member"
+	"github.com/birchdrift/birchdrift/core/owned"
+	"github.com/birchdrift/birchdrift/core/pool"
+	"github.com/birchdrift/birchdrift/core/registry"
+	"github.com/birchdrift/birchdrift/core/step"
+)
+
+// TestLoadsAreCountedWhereTheyBegin: loads were once counted when they were
+// planned; several that waited for room then began together (CEILING broke on
+// two days in some hundred).
+func TestLoadsAreCountedWhereTheyBegin(t *testing.T) {
+	is := is.New(t)
+	now := clocktest.At(time.Hour)
+	out := &step.Output{}
+	members := member.New("self", "z")
+	members.Learn("owner", "z", "owner")
+	members.Heard(now, "owner")
+	engines := pool.New()
+	a := asks.New()
+	a.Out = out
+	a.Members = members
+	a.Pool = engines
+	a.Owned = &owned.Engines{}
+	a.Owner = func(engine string) (registry.Ownership, bool) {
+		return registry.Ownership{Engine: engine, Owner: "owner"}, true
+	}
+	p := New(Needs{Out: out, Pool: engines, Asks: a})
+	p.loads.tokens = 1
+	begun := 0
+	for _, engine := range []string{"e0", "e1", "e2"} {
+		engines.Announce(now, engine, pool.Announcement{Service: "llm", Address: engine, Zone: "z", Slots: 8, Engine: true})
+		c := &change{Change: Change{Engine: engine, Load: "m11", Source: pool.WeightStore}, begun: now}
+		p.changes[engine] = c
+		p.advance(now, c)
+		if !c.askedAt.IsZero() {
+			begun++
+		}
+	}
+	is.Equal(begun, 1)
+	is.Equal(p.plannable(), 0)
+}
--- a/core/pool/announced.go
+++ b/core/pool/announced.go
@@ -1,6 +1,7 @@
 package pool
 
 import (
+	"slices"
 	"sort"
 	"strings"
 	"time"
@@ -30,6 +31,32 @@
 	Adapters []string
 }
 
+// A Source is where an engine takes the weights of a model from.
+type Source int
+
+// The sources, the slowest first.
+const (
+	WeightStore Source = iota // shared by all engines, limited in its rate
+	Disk                      // the engine's own
+	HostMemory                // the engine's own
+)
+
+// String names the source for logs.
+func (s Source) String() string { return [...]string{"store", "disk", "memory"}[s] }
+
+// SourceOf returns where the engine would take a model's weights from, by what
+// it announced.
+func (a Announcement) SourceOf(model string) Source {
+	switch {
+	case slices.Contains(a.InMemory, model):
+		return HostMemory
+	case slices.Contains(a.OnDisk, model):
+		return Disk
+	default:
+		return WeightStore
+	}
+}
+
 // AdapterItem names an adapter of a model among the items of an engine. Two
 // models may have adapters of the same name.
 func AdapterItem(model, adapter string) string {
--- a/core/limit/window.go
+++ b/core/retrybudget/window.go
@@ -1,4 +1,4 @@
-package limit
+package retrybudget
 
 import (
 	"time"
--- a/core/route/forward.go
+++ b/core/route/forward.go
@@ -1,3 +1,6 @@
+// Package route provides the choice of the replica that a forwarded call is sent
+// to: the one that should answer it first, by what is known of the calls there,
+// of the prompts that it keeps, and of what must be loaded before.
 package route
 
 import (
--- /dev/null
+++ b/core/shutdown/shutdown.go
@@ -0,0 +1,72 @@
+// Package shutdown carries out a planned stop: the instance is not ready from its
+// beginning on, hands over what others can take, takes calls until the balancer
+// has had time to see that it is not ready, and exits once its calls have ended
+// or its time is over.
+package shutdown
+
+import (
+	"github.com/birchdrift/birchdrift/core/calls"
+	"github.com/birchdrift/birchdrift/core/clock"
+	"github.com/birchdrift/birchdrift/core/logevent"
+	"github.com/birchdrift/birchdrift/core/option"
+	"github.com/birchdrift/birchdrift/core/step"
+)
+
+// Exit is an action: the stop is complete. Cut counts the calls it cut off.
+type Exit struct{ Cut int }
+
+// IsAction implements step.Action.
+func (Exit) IsAction() {}
+
+// A Stop is a planned stop. The fields must be set before its use.
+type Stop struct {
+	Options *option.Options
+	Out     *step.Output
+	Calls   *calls.Table
+	// HandOver is called once, when the stop begins: it gives back what others
+	// can take over, and tells peers.
+	HandOver func(now clock.Instant)
+
+	begun  bool
+	takeTo clock.Instant // calls are taken until then
+	endAt  clock.Instant // calls are cut then
+	exited bool
+}
+
+// Begun reports whether the stop has begun.
+func (s *Stop) Begun() bool { return s.begun }
+
+// Refusing reports whether new calls are refused because of the stop.
+func (s *Stop) Refusing(now clock.Instant) bool { return s.begun && !now.Before(s.takeTo) }
+
+// Begin begins the stop. A second one ends it at once.
+func (s *Stop) Begin(now clock.Instant) {
+	if s.begun {
+		s.endAt = now
+		return
+	}
+	s.begun = true
+	s.takeTo = now.Add(s.Options.StopDelay)
+	s.endAt = now.Add(s.Options.StopLimit)
+	s.Out.Log(logevent.Stopping, "calls", s.Calls.Len())
+	s.HandOver(now)
+}
+
+// Tick exits when every call has ended, or when the limit has come.
+func (s *Stop) Tick(now clock.Instant) {
+	if !s.begun || s.exited {
+		return
+	}
+	over := !now.Before(s.endAt)
+	idle := !now.Before(s.takeTo) && s.Calls.Len() == 0
+	if over || idle {
+		s.exit()
+	}
+}
+
+func (s *Stop) exit() {
+	cut := s.Calls.CutAll()
+	s.exited = true
+	s.Out.Log(logevent.Stopped, "cut", cut)
+	s.Out.Do(Exit{Cut: cut})
+}
--- a/internal/control/ask.go
+++ b/internal/control/ask.go
@@ -12,6 +12,7 @@
 	"github.com/gravitational/trace"
 
 	"github.com/birchdrift/birchdrift/core/instance"
+	"github.com/birchdrift/birchdrift/core/own/modelcalls"
 )
 
 // Ask reads the state of the instance whose operations listener is at address.
@@ -109,7 +110,7 @@
 // ExplainService writes the latest choices made for a service or model.
 func ExplainService(w io.Writer, name string, states []instance.Status) {
 	for _, s := range states {
-		recent := append([]instance.Decision(nil), s.Recent...)
+		recent := append([]modelcalls.Decision(nil), s.Recent...)
 		sort.Slice(recent, func(i, j int) bool { return recent[i].At.Before(recent[j].At) })
 		for _, d := range recent {
 			if d.Service != name && d.Item != name {
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -19,8 +19,9 @@
 	"github.com/gravitational/trace"
 
 	"github.com/birchdrift/birchdrift/core/attempt"
-	"github.com/birchdrift/birchdrift/core/book"
 	"github.com/birchdrift/birchdrift/core/instance"
+	"github.com/birchdrift/birchdrift/core/own/book"
+	"github.com/birchdrift/birchdrift/core/own/planner"
 	"github.com/birchdrift/birchdrift/core/pool"
 	"github.com/birchdrift/birchdrift/internal/upstream"
 )
@@ -169,16 +170,16 @@
 	wire := OrderRequest{Fence: o.Fence, Seq: o.Seq, Op: o.Op.String(), Item: o.Item, Base: base, MiB: o.MiB}
 	req, err := newRequest(progress.Watch(ctx), address, PathOrders, wire)
 	if err != nil {
-		out.Outcome = instance.OrderNotSent
+		out.Outcome = planner.OrderNotSent
 		out.Detail = err.Error()
 		return out
 	}
 	req.GetBody = nil
 	resp, err := c.transports.Fresh.RoundTrip(req)
 	if err != nil {
-		out.Outcome = instance.OrderLost
+		out.Outcome = planner.OrderLost
 		if progress.Phase() == attempt.NotSent {
-			out.Outcome = instance.OrderNotSent
+			out.Outcome = planner.OrderNotSent
 		}
 		out.Detail = err.Error()
 		return out
@@ -186,19 +187,19 @@
 	defer resp.Body.Close()
 	var reply OrderReply
 	if err := decodeReply(resp, &reply); err != nil {
-		out.Outcome = instance.OrderLost
+		out.Outcome = planner.OrderLost
 		out.Detail = err.Error()
 		return out
 	}
 	out.State = reply.State.decode()
 	out.Detail = reply.Detail
 	out.Outcome = map[string]instance.OrderOutcome{
-		ResultDone:    instance.OrderDone,
-		ResultRefused: instance.OrderRefused,
-		ResultFenced:  instance.OrderFenced,
+		ResultDone:    planner.OrderDone,
+		ResultRefused: planner.OrderRefused,
+		ResultFenced:  planner.OrderFenced,
 	}[reply.Result]
 	if out.Outcome == 0 {
-		out.Outcome = instance.OrderLost
+		out.Outcome = planner.OrderLost
 	}
 	return out
 }
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -14,8 +14,9 @@
 	"github.com/matryer/is"
 
 	"github.com/birchdrift/birchdrift/core/attempt"
-	"github.com/birchdrift/birchdrift/core/book"
 	"github.com/birchdrift/birchdrift/core/instance"
+	"github.com/birchdrift/birchdrift/core/own/book"
+	"github.com/birchdrift/birchdrift/core/own/planner"
 	"github.com/birchdrift/birchdrift/internal/upstream"
 )
 
@@ -90,13 +91,13 @@
 		do   http.HandlerFunc
 		want instance.OrderOutcome
 	}{
-		{"done", func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, `{"result":"done"}`) }, instance.OrderDone},
-		{"refused", func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, `{"result":"refused"}`) }, instance.OrderRefused},
-		{"fenced", func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, `{"result":"fenced"}`) }, instance.OrderFenced},
-		{"a word we do not know", func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, `{"result":"maybe"}`) }, instance.OrderLost},
-		{"an error page", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusInternalServerError) }, instance.OrderLost},
-		{"no answer", func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }, instance.OrderLost},
-		{"half an answer", func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, `{"result":`) }, instance.OrderLost},
+		{"done", func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, `{"result":"done"}`) }, planner.OrderDone},
+		{"refused", func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, `{"result":"refused"}`) }, planner.OrderRefused},
+		{"fenced", func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, `{"result":"fenced"}`) }, planner.OrderFenced},
+		{"a word we do not know", func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, `{"result":"maybe"}`) }, planner.OrderLost},
+		{"an error page", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusInternalServerError) }, planner.OrderLost},
+		{"no answer", func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }, planner.OrderLost},
+		{"half an answer", func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, `{"result":`) }, planner.OrderLost},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -115,7 +116,7 @@
 		address := l.Addr().String()
 		is.NoErr(l.Close())
 		reply := NewClient(upstream.NewTransports()).Order(context.Background(), address, book.Order{Engine: "e"}, "")
-		is.Equal(reply.Outcome, instance.OrderNotSent)
+		is.Equal(reply.Outcome, planner.OrderNotSent)
 	})
 }
 
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -27,7 +27,7 @@
 
 	"github.com/birchdrift/birchdrift/core/code"
 	"github.com/birchdrift/birchdrift/core/instance"
-	"github.com/birchdrift/birchdrift/core/route"
+	"github.com/birchdrift/birchdrift/core/own/choose"
 	"github.com/birchdrift/birchdrift/internal/engine"
 	"github.com/birchdrift/birchdrift/internal/forward"
 	"github.com/birchdrift/birchdrift/internal/service"
@@ -178,9 +178,9 @@
 		IdempotencyKey: r.Header.Get(HeaderIdempotency),
 		NotRepeatable:  notRepeatable(r),
 		Replayable:     true,
-		PromptTokens:   len(prompt)/route.BytesPerToken + 1,
+		PromptTokens:   len(prompt)/choose.BytesPerToken + 1,
 		MaxTokens:      req.MaxTokens,
-		Prefix:         route.NewPrefix(req.Model, prompt),
+		Prefix:         choose.NewPrefix(req.Model, prompt),
 	}
 	span.SetAttributes(attribute.String("service", req.Model), attribute.Int64("call", int64(call.ID)))
 	m := &modelCall{
--- a/internal/seam/seam.go
+++ b/internal/seam/seam.go
@@ -13,6 +13,7 @@
 	"time"
 
 	"github.com/birchdrift/birchdrift/core/config"
+	"github.com/birchdrift/birchdrift/core/orders"
 	"github.com/birchdrift/birchdrift/core/pool"
 	"github.com/birchdrift/birchdrift/core/registry"
 	"github.com/birchdrift/birchdrift/core/share"
@@ -79,18 +80,6 @@
 	Decode func(data []byte) (config.Document, error)
 }
 
-// An EngineOrder is an order to an engine that announces itself.
-type EngineOrder struct {
-	Engine  string // its incarnation, which alone may carry the order out
-	Address string
-	Load    bool // else unload
-	Model   string
-	Adapter string // "" for the model itself
-	Expect  uint64 // the orders that the engine must have taken before
-	Holder  string // who gives the order
-	Fence   uint64
-}
-
 // An EngineReport is what an engine says of itself when it is asked.
 type EngineReport struct {
 	Announcement pool.Announcement
@@ -101,23 +90,11 @@
 	Running      int
 }
 
-// An OrderAnswer is what came of an order.
-type OrderAnswer int
-
-// The answers to an order.
-const (
-	OrderLost     OrderAnswer = iota // no answer: it may be carried out, now or later
-	OrderTaken                       // it is being carried out
-	OrderHolds                       // what it asks for is so already
-	OrderConflict                    // another is under way, or Expect differs
-	OrderFenced                      // a later fence was seen
-	OrderInvalid                     // the engine knows no such order
-	OrderAstray                      // another engine has the address
-	OrderNotSent                     // it certainly never left
-)
-
 // Engines are the environment's engines.
 type Engines struct {
-	Order  func(ctx context.Context, o EngineOrder) (OrderAnswer, string)
+	// Order gives an engine an order in the name of holder, and returns what came
+	// of it with a text that explains it.
+	Order func(ctx context.Context, holder string, o orders.Order) (orders.Answer, string)
+	// Report asks an engine what it says of itself.
 	Report func(ctx context.Context, address string) (EngineReport, error)
 }
--- a/internal/shell/actions.go
+++ b/internal/shell/actions.go
@@ -11,6 +11,7 @@
 	"github.com/birchdrift/birchdrift/core/config"
 	"github.com/birchdrift/birchdrift/core/instance"
 	"github.com/birchdrift/birchdrift/core/logevent"
+	"github.com/birchdrift/birchdrift/core/own/modelcalls"
 	"github.com/birchdrift/birchdrift/core/share"
 	"github.com/birchdrift/birchdrift/internal/keyvalue"
 	"github.com/birchdrift/birchdrift/internal/peer"
@@ -153,15 +154,15 @@
 func claimOutcome(err error) instance.ClaimOutcome {
 	switch {
 	case err == nil:
-		return instance.ClaimWon
+		return modelcalls.ClaimWon
 	case errors.Is(err, keyvalue.ErrConflict):
 		// The first of two requests whose answer was lost conflicts with the
 		// second, so a conflict alone does not say that another won.
-		return instance.ClaimUnknown
+		return modelcalls.ClaimUnknown
 	case errors.Is(err, keyvalue.ErrNotSent):
-		return instance.ClaimNotSent
+		return modelcalls.ClaimNotSent
 	default:
-		return instance.ClaimUnknown
+		return modelcalls.ClaimUnknown
 	}
 }
 
@@ -169,14 +170,14 @@
 	ctx, done := context.WithTimeout(ctx, claimTimeout)
 	defer done()
 	v, err := s.adapters.Platform.Get(ctx, a.Key, 0, 0)
-	outcome := instance.ClaimLost
+	outcome := modelcalls.ClaimLost
 	switch {
 	case err != nil:
-		outcome = instance.ClaimUnknown
+		outcome = modelcalls.ClaimUnknown
 	case v.Revision == 0:
-		outcome = instance.ClaimAbsent
+		outcome = modelcalls.ClaimAbsent
 	case string(v.Data) == string(s.claimValue(a.ID)):
-		outcome = instance.ClaimWon
+		outcome = modelcalls.ClaimWon
 	}
 	s.post(instance.ClaimReply{ID: a.ID, Outcome: outcome})
 }
--- a/internal/shell/environment.go
+++ b/internal/shell/environment.go
@@ -8,6 +8,7 @@
 
 	"github.com/birchdrift/birchdrift/core/instance"
 	"github.com/birchdrift/birchdrift/core/orders"
+	"github.com/birchdrift/birchdrift/core/owned"
 	"github.com/birchdrift/birchdrift/core/registry"
 	"github.com/birchdrift/birchdrift/internal/peer"
 	"github.com/birchdrift/birchdrift/internal/seam"
@@ -97,24 +98,9 @@
 	s.post(reply)
 }
 
-// engineAnswers are the machine's words for what came of an order.
-var engineAnswers = map[seam.OrderAnswer]instance.EngineAnswer{
-	seam.OrderLost:     instance.EngineLost,
-	seam.OrderTaken:    instance.EngineTakes,
-	seam.OrderHolds:    instance.EngineHolds,
-	seam.OrderConflict: instance.EngineConflict,
-	seam.OrderFenced:   instance.EngineFenced,
-	seam.OrderInvalid:  instance.EngineInvalid,
-	seam.OrderAstray:   instance.EngineAstray,
-	seam.OrderNotSent:  instance.EngineNotSent,
-}
-
 func (s *Shell) engineOrder(ctx context.Context, a instance.EngineOrder) {
-	answer, detail := s.adapters.Engines.Order(ctx, seam.EngineOrder{
-		Engine: a.Engine, Address: a.Address, Load: a.Request.Load, Model: a.Request.Model, Adapter: a.Request.Adapter,
-		Expect: a.Expect, Holder: s.self.Name, Fence: a.Fence,
-	})
-	s.post(instance.EngineOrderReply{Engine: a.Engine, Fence: a.Fence, Answer: engineAnswers[answer], Detail: detail})
+	answer, detail := s.adapters.Engines.Order(ctx, s.self.Name, a.Order)
+	s.post(instance.EngineOrderReply{Engine: a.Engine, Fence: a.Fence, Answer: answer, Detail: detail})
 }
 
 func (s *Shell) askEngine(ctx context.Context, a instance.AskEngine) {
@@ -140,7 +126,7 @@
 	defer done()
 	reply, err := s.adapters.Peer.Order(ctx, a.Address, s.self.Name, a.Engine, a.Request)
 	if err != nil {
-		reply = peer.OrderReply{Outcome: instance.AskFailed, Detail: err.Error()}
+		reply = peer.OrderReply{Outcome: owned.Failed, Detail: err.Error()}
 	}
 	s.post(instance.AskOrderReply{Engine: a.Engine, Request: a.Request, Outcome: reply.Outcome, Detail: reply.Detail})
 }
