--- a/cmd/birchdrift/main.go
+++ b/cmd/birchdrift/main.go
@@ -11,6 +11,7 @@
 
 	"github.com/urfave/cli/v3"
 
+	"github.com/birchdrift/birchdrift/internal/environment"
 	"github.com/birchdrift/birchdrift/internal/server"
 	"github.com/birchdrift/birchdrift/internal/settings"
 	"github.com/birchdrift/birchdrift/internal/upstream"
@@ -28,9 +29,8 @@
 var environments = map[string]server.Enter{
 	settings.EnvironmentOwn: server.Own,
 	settings.EnvironmentPlatform: func(set settings.Settings, t upstream.Transports) server.Environment {
-		store := platform.NewStore(set.Platform, t)
-		engines := platform.NewEngines(t)
-		return server.Environment{Store: &store, Engines: &engines, Wire: platform.Wire}
+		join := environment.Join(platform.NewStore(set.Platform, t), platform.NewEngines(t))
+		return server.Environment{Join: join, Wire: platform.Wire}
 	},
 }
 
--- a/core/calls/call.go
+++ b/core/calls/call.go
@@ -50,6 +50,8 @@
 	Parts      []route.Part // shared parts of the prompt, in order
 	LengthHint int
 	Deadline   time.Duration // how long the caller will wait; 0 if it does not say
+	// Ignored are the headers that made no sense and count as absent.
+	Ignored []string
 }
 
 // A Phase says where a call stands.
--- a/core/forwarding/forwarding.go
+++ b/core/forwarding/forwarding.go
@@ -23,6 +23,7 @@
 	"github.com/birchdrift/birchdrift/core/code"
 	"github.com/birchdrift/birchdrift/core/config"
 	"github.com/birchdrift/birchdrift/core/demand"
+	"github.com/birchdrift/birchdrift/core/logevent"
 	"github.com/birchdrift/birchdrift/core/member"
 	"github.com/birchdrift/birchdrift/core/option"
 	"github.com/birchdrift/birchdrift/core/policy"
@@ -137,6 +138,9 @@
 	if !f.Config.Known() {
 		return calls.NotRun(code.NoConfiguration, "no configuration yet", calls.LeastRetryAfter), false
 	}
+	if len(c.Forward.Ignored) > 0 {
+		f.Out.Log(logevent.HeaderIgnored, "call", c.Forward.Name, "headers", c.Forward.Ignored)
+	}
 	rule, ok := f.Config.Forward(c.Forward.Host, c.Path)
 	if !ok {
 		return calls.NotRun(code.UnknownService, fmt.Sprintf("no forward for %s%s", c.Forward.Host, c.Path), 0), false
--- a/core/forwarding/probe.go
+++ b/core/forwarding/probe.go
@@ -5,6 +5,7 @@
 
 	"github.com/birchdrift/birchdrift/core/calls"
 	"github.com/birchdrift/birchdrift/core/clock"
+	"github.com/birchdrift/birchdrift/core/logevent"
 	"github.com/birchdrift/birchdrift/core/pool"
 	"github.com/birchdrift/birchdrift/core/route"
 )
@@ -81,13 +82,23 @@
 	return true
 }
 
+// label names a call in logs, "" for one that has ended.
+func label(c *calls.Call) any {
+	if c == nil {
+		return ""
+	}
+	return c.Label()
+}
+
 // LoadReplied takes in what an engine says of its load. The call that asked goes
 // on once all have answered.
 func (f *Forwarder) LoadReplied(now clock.Instant, e LoadReply) {
-	if r := f.Pool.Get(e.Engine); r != nil && e.Err == nil {
+	c := f.Calls.Get(e.Call)
+	if e.Err != nil {
+		f.Out.Log(logevent.ProbeFailed, "engine", e.Engine, "call", label(c), "error", e.Err.Error())
+	} else if r := f.Pool.Get(e.Engine); r != nil {
 		r.ObserveReport(now, pool.Report{Queued: e.Queued, Running: e.Running})
 	}
-	c := f.Calls.Get(e.Call)
 	if c == nil || c.Phase != calls.Probing {
 		return
 	}
--- a/core/logevent/logevent.go
+++ b/core/logevent/logevent.go
@@ -13,49 +13,54 @@
 
 // The log events. Catalogue holds the meaning and the remedy of each.
 const (
-	Started         Number = 1001
-	Stopping        Number = 1002
-	Stopped         Number = 1003
-	Listening       Number = 1004
-	Reloaded        Number = 1005
-	ReloadRefused   Number = 1006
-	Installed       Number = 1101
-	OlderIgnored    Number = 1102
-	ConfigFailed    Number = 1103
-	PlatformDown    Number = 1201
-	PlatformBack    Number = 1202
-	LeaseGained     Number = 1301
-	LeaseLost       Number = 1302
-	LeaseDoubt      Number = 1303
-	IntentsLost     Number = 1304
-	Enrolled        Number = 1311
-	EnrolmentLost   Number = 1312
-	EngineTaken     Number = 1313
-	EngineLost      Number = 1314
-	Order           Number = 1401
-	OrderRefused    Number = 1402
-	OrderLost       Number = 1403
-	OrderFenced     Number = 1404
-	OvercommitAvert Number = 1405
-	Placing         Number = 1321
-	Placed          Number = 1322
-	PlaceEnded      Number = 1323
-	EngineOrder     Number = 1411
-	EngineAnswer    Number = 1412
-	EngineState     Number = 1413
-	OrderWaits      Number = 1414
-	Leaving         Number = 1501
-	Announced       Number = 1502
-	Vanished        Number = 1503
-	PeerFailed      Number = 1601
-	PolicyFailed    Number = 1701
-	CallFailed      Number = 1801
-	CallRetried     Number = 1802
-	CallResumed     Number = 1803
-	CallSent        Number = 1804
-	CallServed      Number = 1805
-	CallWaits       Number = 1806
-	Bug             Number = 1901
+	Started           Number = 1001
+	Stopping          Number = 1002
+	Stopped           Number = 1003
+	Listening         Number = 1004
+	Reloaded          Number = 1005
+	ReloadRefused     Number = 1006
+	Installed         Number = 1101
+	OlderIgnored      Number = 1102
+	ConfigFailed      Number = 1103
+	PlatformDown      Number = 1201
+	PlatformBack      Number = 1202
+	LeaseGained       Number = 1301
+	LeaseLost         Number = 1302
+	LeaseDoubt        Number = 1303
+	IntentsLost       Number = 1304
+	Enrolled          Number = 1311
+	EnrolmentLost     Number = 1312
+	EngineTaken       Number = 1313
+	EngineLost        Number = 1314
+	NotReturned       Number = 1315
+	Order             Number = 1401
+	OrderRefused      Number = 1402
+	OrderLost         Number = 1403
+	OrderFenced       Number = 1404
+	OvercommitAvert   Number = 1405
+	Placing           Number = 1321
+	Placed            Number = 1322
+	PlaceEnded        Number = 1323
+	EngineOrder       Number = 1411
+	EngineAnswer      Number = 1412
+	EngineState       Number = 1413
+	OrderWaits        Number = 1414
+	EngineStateFailed Number = 1415
+	Leaving           Number = 1501
+	Announced         Number = 1502
+	Vanished          Number = 1503
+	PeerFailed        Number = 1601
+	PolicyFailed      Number = 1701
+	CallFailed        Number = 1801
+	CallRetried       Number = 1802
+	CallResumed       Number = 1803
+	CallSent          Number = 1804
+	CallServed        Number = 1805
+	CallWaits         Number = 1806
+	ProbeFailed       Number = 1807
+	CancelFailed      Number = 1808
+	HeaderIgnored     Number = 1809
+	Bug               Number = 1901
 )
 
 // names are the catalogue's names by number.
@@ -104,6 +109,7 @@
 	{EnrolmentLost, "enrolment_lost", "The platform dropped this instance's record; it is written again.", "None; often means that the platform was out of reach for longer than the record's term."},
 	{EngineTaken, "engine_taken", "This instance orders the engine from now on, at the earliest after `wait`.", "None."},
 	{EngineLost, "engine_lost", "This instance no longer orders the engine.", "None."},
+	{NotReturned, "not_returned", "At a planned stop, or after a call that did not run, something could not be given back to the platform; others wait until it lapses.", "Check the platform if it lasts."},
 	{Placing, "placing", "This instance places models from now on.", "None."},
 	{Placed, "placement", "A model is to be loaded on an engine, and others to make way for it.", "None; `worth` and `cost` say why."},
 	{PlaceEnded, "placement_ended", "A placement is done, or was given up.", "None."},
@@ -116,6 +122,7 @@
 	{EngineAnswer, "engine_answer", "What came of an order to an announced engine.", "Many that are lost: check the engine."},
 	{EngineState, "engine_state", "An announced engine was asked for its state.", "None."},
 	{OrderWaits, "order_refused_here", "A peer asked for an order that this instance will not give now.", "Read the reason."},
+	{EngineStateFailed, "engine_state_failed", "An announced engine did not say its state; it is asked again.", "Many for one engine: check it."},
 	{Leaving, "upstream_leaving", "An upstream is leaving and gets no new work.", "None."},
 	{Announced, "upstream_announced", "A replica announced itself in the platform's list.", "None."},
 	{Vanished, "upstream_vanished", "A replica's entry is gone from the platform's list; it is used for a moment more where nothing better is there.", "None; many at once mean that the platform lost its leases."},
@@ -127,5 +134,8 @@
 	{CallSent, "call_sent", "A forwarded call was sent to a replica: what was expected of it, from which load and how old its announcement was.", "None."},
 	{CallServed, "call_served", "A forwarded call's answer is whole; how long its parts took.", "None."},
 	{CallWaits, "call_waits", "A forwarded call waits here, for an order or for its model.", "None."},
+	{ProbeFailed, "probe_failed", "An engine did not say in time how busy it is; the call goes by what is known.", "Many: check the engine, or raise `--load-wait`."},
+	{CancelFailed, "cancel_failed", "A replica could not be told to drop a call; it notices the closed connection.", "None; many for one upstream: check it."},
+	{HeaderIgnored, "header_ignored", "A forwarded call's header makes no sense and counts as absent; it only steers decisions.", "Mend the caller that sends it."},
 	{Bug, "bug", "The program met a state that it holds impossible.", "Report it with the line."},
 }
--- a/core/owned/state.go
+++ b/core/owned/state.go
@@ -60,6 +60,7 @@
 	}
 	e.asking = false
 	if r.Err != nil {
+		s.Out.Log(logevent.EngineStateFailed, "engine", e.Name, "error", r.Err.Error())
 		return
 	}
 	s.Out.Log(logevent.EngineState, "engine", e.Name, "sequence", r.State.Sequence, "busy", r.State.Busy)
--- a/internal/control/command.go
+++ b/internal/control/command.go
@@ -16,7 +16,7 @@
 	"github.com/birchdrift/birchdrift/core/code"
 	"github.com/birchdrift/birchdrift/core/config"
 	"github.com/birchdrift/birchdrift/core/instance"
-	"github.com/birchdrift/birchdrift/internal/keyvalue"
+	"github.com/birchdrift/birchdrift/internal/own/keyvalue"
 	"github.com/birchdrift/birchdrift/internal/settings"
 	"github.com/birchdrift/birchdrift/internal/upstream"
 )
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -20,7 +20,7 @@
 
 	"github.com/birchdrift/birchdrift/core/code"
 	"github.com/birchdrift/birchdrift/core/config"
-	"github.com/birchdrift/birchdrift/internal/keyvalue"
+	"github.com/birchdrift/birchdrift/internal/own/keyvalue"
 )
 
 // applyTries bounds how often an apply whose answer is lost is repeated.
--- a/internal/entry/body.go
+++ b/internal/entry/body.go
@@ -11,29 +11,32 @@
 // after an attempt that certainly did not run. Larger ones are streamed.
 const smallBody = 256 << 10
 
-// A callBody is the body of a call to a plain service: kept if it is small and
+// A Body is the body of a call: kept if it is small and
 // its length is known, else streamed through once.
-type callBody struct {
+type Body struct {
 	kept     []byte
 	stream   io.ReadCloser
 	streamed bool
 	begun    atomic.Bool // a part of the stream was read
 }
 
-// readBody reads a small body whole and leaves a larger one to be streamed.
-func readBody(r *http.Request) (*callBody, error) {
+// ReadBody reads a small body whole and leaves a larger one to be streamed.
+func ReadBody(r *http.Request) (*Body, error) {
 	if r.ContentLength < 0 || r.ContentLength > smallBody {
-		return &callBody{stream: r.Body, streamed: true}, nil
+		return &Body{stream: r.Body, streamed: true}, nil
 	}
 	data, err := io.ReadAll(io.LimitReader(r.Body, smallBody))
-	return &callBody{kept: data}, err
+	return &Body{kept: data}, err
 }
 
-// spent reports whether the body cannot be sent again.
-func (b *callBody) spent() bool { return b.streamed && b.begun.Load() }
+// Streamed reports whether the body can be sent only once.
+func (b *Body) Streamed() bool { return b.streamed }
 
-// next returns the body for one attempt.
-func (b *callBody) next(watch *watchdog) io.ReadCloser {
+// Spent reports whether the body cannot be sent again.
+func (b *Body) Spent() bool { return b.streamed && b.begun.Load() }
+
+// Next returns the body for one attempt.
+func (b *Body) Next(watch *Watchdog) io.ReadCloser {
 	if !b.streamed {
 		return io.NopCloser(bytes.NewReader(b.kept))
 	}
@@ -44,15 +47,15 @@
 // leaves the caller's body open: an attempt that never read it may be followed
 // by one that does.
 type watchedBody struct {
-	body  *callBody
-	watch *watchdog
+	body  *Body
+	watch *Watchdog
 }
 
 // Read implements io.Reader.
 func (w *watchedBody) Read(data []byte) (int, error) {
 	w.body.begun.Store(true)
 	n, err := w.body.stream.Read(data)
-	w.watch.alive()
+	w.watch.Alive()
 	return n, err
 }
 
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -1,5 +1,5 @@
-// Package entry provides the callers' listener: OpenAI-compatible model calls
-// and plain services.
+// Package entry serves callers: it takes in forwarded calls, and hands those of
+// the product's own interface on to package modelapi.
 //
 // A handler decides nothing. It reads the call, brings it to the machine
 // through package shell, and then does what the machine says, one action at a
@@ -15,79 +15,46 @@
 import (
 	"context"
 	"encoding/json"
-	"fmt"
-	"io"
-	"math"
 	"net/http"
 	"strings"
 	"sync/atomic"
-	"time"
-
-	"go.opentelemetry.io/otel/attribute"
 
 	"github.com/birchdrift/birchdrift/core/code"
 	"github.com/birchdrift/birchdrift/core/instance"
-	"github.com/birchdrift/birchdrift/core/own/choose"
-	"github.com/birchdrift/birchdrift/internal/engine"
 	"github.com/birchdrift/birchdrift/internal/forward"
 	"github.com/birchdrift/birchdrift/internal/service"
 	"github.com/birchdrift/birchdrift/internal/shell"
 	"github.com/birchdrift/birchdrift/internal/telemetry"
 )
 
-// Headers of callers.
-const (
-	// HeaderNotRepeatable marks a call as not repeatable with "true".
-	HeaderNotRepeatable = "Birchdrift-Not-Repeatable"
-	// HeaderIdempotency carries the caller's key for a call that runs at most once.
-	HeaderIdempotency = "Idempotency-Key"
-	// HeaderInstance names the instance that answered.
-	HeaderInstance = "Birchdrift-Instance"
-	// HeaderUpstream names the upstream that served the call.
-	HeaderUpstream = "Birchdrift-Upstream"
-)
-
 // A Handler serves callers.
 type Handler struct {
-	Shell    *shell.Shell
-	Engine   *engine.Client
-	Service  *service.Client
-	Metrics  *telemetry.Metrics
-	Tracer   *telemetry.Tracer
-	Instance string
-	MaxBody  int64
-	Wire     forward.Wire // how forwarded calls are worded
-	// ForwardAll says that every call is a forwarded one: the own interface
-	// is not served to callers.
-	ForwardAll bool
+	Shell   *shell.Shell
+	Service *service.Client
+	Metrics *telemetry.Metrics
+	Tracer  *telemetry.Tracer
+	Wire    forward.Wire // how forwarded calls are worded
+	// Own serves the calls that no route forwards; nil where every call is a
+	// forwarded one.
+	Own http.Handler
 
 	lastID atomic.Uint64
 }
 
 // Routes returns the callers' HTTP handler.
 func (h *Handler) Routes() http.Handler {
-	mux := http.NewServeMux()
-	mux.HandleFunc("POST /v1/chat/completions", func(w http.ResponseWriter, r *http.Request) { h.model(w, r, true) })
-	mux.HandleFunc("POST /v1/completions", func(w http.ResponseWriter, r *http.Request) { h.model(w, r, false) })
-	mux.HandleFunc("GET /v1/models", h.models)
-	mux.HandleFunc("/services/{name}/{path...}", h.plain)
-	mux.HandleFunc("/services/{name}", h.plain)
-	mux.HandleFunc("/", func(w http.ResponseWriter, r *http.Request) {
-		h.refuse(w, code.Refusal{Code: code.UnknownService, Run: code.NotRun, Detail: "no such path: " + r.URL.Path}, time.Now())
-	})
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		// Before the mux, which cleans paths and redirects.
 		if h.forwards(r) {
 			h.forward(w, r)
 			return
 		}
-		mux.ServeHTTP(w, r)
+		h.Own.ServeHTTP(w, r)
 	})
 }
 
 // forwards reports whether the call is a forwarded one.
 func (h *Handler) forwards(r *http.Request) bool {
-	if h.ForwardAll {
+	if h.Own == nil {
 		return true
 	}
 	cfg := h.Shell.Config()
@@ -99,100 +66,42 @@
 	return ok
 }
 
-func (h *Handler) nextID() instance.CallID { return instance.CallID(h.lastID.Add(1)) }
-
-// key returns the caller's key.
-func key(r *http.Request) string {
-	return strings.TrimPrefix(r.Header.Get("Authorization"), "Bearer ")
-}
-
-func notRepeatable(r *http.Request) bool {
-	return strings.EqualFold(r.Header.Get(HeaderNotRepeatable), "true")
-}
+// NextID returns an identity for a call.
+func (h *Handler) NextID() instance.CallID { return instance.CallID(h.lastID.Add(1)) }
 
-func (h *Handler) models(w http.ResponseWriter, r *http.Request) {
-	begun := time.Now()
-	cfg := h.Shell.Config()
-	if cfg == nil {
-		h.refuse(w, code.Refusal{Code: code.NoConfiguration, Run: code.NotRun, RetryAfter: time.Second}, begun)
-		return
-	}
-	caller, known := cfg.CallerByKey(key(r))
-	if !known {
-		h.refuse(w, code.Refusal{Code: code.Unauthorized, Run: code.NotRun}, begun)
-		return
-	}
-	list := modelList{Object: "list", Data: []modelInfo{}}
-	for _, name := range cfg.Names() {
-		svc, _ := cfg.Service(name)
-		if len(svc.Versions) > 0 && caller.Admits(name) {
-			list.Data = append(list.Data, modelInfo{ID: name, Object: "model", OwnedBy: "birchdrift"})
-		}
-	}
-	writeJSON(w, http.StatusOK, list)
-}
-
-// refuse writes a call's final answer that is not its upstream's.
-func (h *Handler) refuse(w http.ResponseWriter, r code.Refusal, begun time.Time) {
-	h.Metrics.Answered(int(r.Code), time.Since(begun))
-	if r.RetryAfter > 0 {
-		w.Header().Set("Retry-After", fmt.Sprint(int(math.Ceil(r.RetryAfter.Seconds()))))
-	}
-	w.Header().Set(HeaderInstance, h.Instance)
-	status := code.Lookup(r.Code).HTTP
-	if status == 0 {
-		status = http.StatusInternalServerError
-	}
-	if r.Code == code.Stopping {
-		w.Header().Set("Connection", "close")
-	}
-	writeJSON(w, status, errorOf(r))
-}
-
-func writeJSON(w http.ResponseWriter, status int, v any) {
+// WriteJSON writes an answer of this system's own.
+func WriteJSON(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	// The caller may be gone, which its own connection tells it.
 	_ = json.NewEncoder(w).Encode(v)
 }
 
-// model serves a chat or completion call.
-func (h *Handler) model(w http.ResponseWriter, r *http.Request, chat bool) {
-	begun := time.Now()
-	ctx, span := h.Tracer.Start(h.Tracer.Extract(r.Context(), r.Header), "entry")
-	defer span.End()
-	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, h.MaxBody))
-	if err != nil {
-		h.refuse(w, code.Refusal{Code: code.TooLarge, Run: code.NotRun, Detail: err.Error()}, begun)
-		return
-	}
-	req, prompt, fault := parseRequest(data, chat)
-	if fault != nil {
-		h.refuse(w, code.Refusal{Code: fault.Code, Run: code.NotRun, Detail: fault.Detail}, begun)
-		return
-	}
-	call := instance.Call{
-		ID:             h.nextID(),
-		Service:        req.Model,
-		Key:            key(r),
-		IdempotencyKey: r.Header.Get(HeaderIdempotency),
-		NotRepeatable:  notRepeatable(r),
-		Replayable:     true,
-		PromptTokens:   len(prompt)/choose.BytesPerToken + 1,
-		MaxTokens:      req.MaxTokens,
-		Prefix:         choose.NewPrefix(req.Model, prompt),
-	}
-	span.SetAttributes(attribute.String("service", req.Model), attribute.Int64("call", int64(call.ID)))
-	m := &modelCall{
-		handler: h, w: w, req: req, prompt: prompt, begun: begun, call: call,
-		form: form{chat: chat, id: fmt.Sprintf("%s-%d", h.Instance, call.ID), model: req.Model, created: begun},
+// An ErrorBody is a refusal on the wire.
+type ErrorBody struct {
+	Error errorDetail `json:"error"`
+}
+
+type errorDetail struct {
+	Code    int      `json:"code"`
+	Name    string   `json:"name"`
+	Message string   `json:"message"`
+	Run     code.Run `json:"run"`
+}
+
+// ErrorOf returns a refusal as it stands on the wire.
+func ErrorOf(r code.Refusal) ErrorBody {
+	info := code.Lookup(r.Code)
+	message := info.Meaning
+	if r.Detail != "" {
+		message += " " + r.Detail
 	}
-	m.run(ctx, h.Shell.Begin(call))
+	return ErrorBody{Error: errorDetail{Code: int(r.Code), Name: info.Name, Message: message, Run: r.Run}}
 }
 
-// waitAction waits for the machine's next word on a call, or for the caller to
-// be gone.
-func waitAction(ctx context.Context, s shell.Session) (instance.Action, bool) {
+// Await waits for the machine's next action for a call; ok is false once the
+// caller is gone.
+func Await(ctx context.Context, s shell.Session) (a instance.Action, ok bool) {
 	select {
 	case a := <-s.Actions:
 		return a, true
--- a/internal/entry/forward.go
+++ b/internal/entry/forward.go
@@ -38,13 +38,13 @@
 	f := &forwardCall{handler: h, w: w, r: r, begun: begun}
 	req, err := h.Wire.Read(r.Header)
 	if err == nil {
-		f.body, err = readBody(r)
+		f.body, err = ReadBody(r)
 	}
 	if err != nil {
 		f.refuse(code.Refusal{Code: code.BadRequest, Run: code.NotRun, Detail: err.Error()})
 		return
 	}
-	f.call = forwardedCall(h.nextID(), r, req, !f.body.streamed)
+	f.call = forwardedCall(h.NextID(), r, req, !f.body.Streamed())
 	f.lastEvent = req.LastEvent
 	span.SetAttributes(attribute.String("call", req.CallID))
 	f.run(ctx, h.Shell.Begin(f.call))
@@ -71,6 +71,7 @@
 			Parts:      parts,
 			LengthHint: req.LengthHint,
 			Deadline:   req.Deadline,
+			Ignored:    req.Ignored,
 		},
 	}
 }
@@ -80,7 +81,7 @@
 	handler *Handler
 	w       http.ResponseWriter
 	r       *http.Request
-	body    *callBody
+	body    *Body
 	call    instance.Call
 	begun   time.Time
 
@@ -100,7 +101,7 @@
 func (f *forwardCall) run(ctx context.Context, s shell.Session) {
 	queueCtx, queue := f.handler.Tracer.Start(ctx, "queue")
 	for {
-		a, ok := waitAction(queueCtx, s)
+		a, ok := Await(queueCtx, s)
 		queue.End()
 		if !ok {
 			f.gone(s)
@@ -147,7 +148,7 @@
 		head.Set(f.handler.Wire.RetryAfter, strconv.FormatFloat(r.RetryAfter.Seconds(), 'f', 3, 64))
 	}
 	f.closeIfStopping()
-	writeJSON(f.w, status, errorOf(r))
+	WriteJSON(f.w, status, ErrorOf(r))
 }
 
 // closeIfStopping asks the caller to open its next connection elsewhere.
@@ -187,8 +188,8 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	s.Interrupt(cancel)
-	watch := newWatchdog(d.Stall, cancel)
-	defer watch.stop()
+	watch := NewWatchdog(d.Stall, cancel)
+	defer watch.Stop()
 	f.own = nil
 	var progress upstream.Progress
 	resp, err := f.handler.Service.Exchange(ctx, f.outgoing(d, watch), &progress)
@@ -200,7 +201,7 @@
 }
 
 // outgoing words the call for the replica.
-func (f *forwardCall) outgoing(d instance.Dispatch, watch *watchdog) service.Call {
+func (f *forwardCall) outgoing(d instance.Dispatch, watch *Watchdog) service.Call {
 	header := service.EndToEnd(f.r.Header)
 	f.handler.Wire.Dress(header, forward.Attempt{
 		Expect:    d.Replica,
@@ -215,7 +216,7 @@
 		Method:     f.r.Method,
 		Target:     f.r.RequestURI,
 		Header:     header,
-		Body:       f.body.next(watch),
+		Body:       f.body.Next(watch),
 		Length:     f.r.ContentLength,
 		Repeatable: d.Repeatable,
 	}
@@ -223,15 +224,15 @@
 
 // broke tells the machine how an attempt ended and reports whether the call is
 // over, which it only is when the caller is gone.
-func (f *forwardCall) broke(s shell.Session, d instance.Dispatch, progress *upstream.Progress, watch *watchdog, b instance.Broke) bool {
+func (f *forwardCall) broke(s shell.Session, d instance.Dispatch, progress *upstream.Progress, watch *Watchdog, b instance.Broke) bool {
 	if f.r.Context().Err() != nil {
 		f.gone(s)
 		return true
 	}
 	b.Attempt = d.Attempt
 	b.Phase = progress.Phase()
-	b.Stalled = watch.barked()
-	b.Spent = f.body.spent()
+	b.Stalled = watch.Fired()
+	b.Spent = f.body.Spent()
 	if f.opened {
 		b.Delivered = max(1, f.lastEvent)
 	}
@@ -240,7 +241,7 @@
 }
 
 // answer deals with the head of a replica's answer.
-func (f *forwardCall) answer(s shell.Session, d instance.Dispatch, resp *http.Response, progress *upstream.Progress, watch *watchdog) bool {
+func (f *forwardCall) answer(s shell.Session, d instance.Dispatch, resp *http.Response, progress *upstream.Progress, watch *Watchdog) bool {
 	reply := f.handler.Wire.Judge(resp, f.call.Forward.Name)
 	b := instance.Broke{Status: resp.StatusCode, Misdirected: reply.Misdirected, Incarnation: reply.Incarnation}
 	switch {
@@ -289,7 +290,7 @@
 
 // whole passes on an answer that is not a series: small ones only once they
 // are here whole.
-func (f *forwardCall) whole(s shell.Session, d instance.Dispatch, resp *http.Response, progress *upstream.Progress, watch *watchdog) bool {
+func (f *forwardCall) whole(s shell.Session, d instance.Dispatch, resp *http.Response, progress *upstream.Progress, watch *Watchdog) bool {
 	data, err := io.ReadAll(io.LimitReader(resp.Body, smallAnswer))
 	if err != nil {
 		return f.broke(s, d, progress, watch, instance.Broke{Status: resp.StatusCode, Detail: err.Error()})
@@ -310,7 +311,7 @@
 }
 
 // rest passes on what follows the part of a large answer that was kept.
-func (f *forwardCall) rest(s shell.Session, d instance.Dispatch, resp *http.Response, progress *upstream.Progress, watch *watchdog) bool {
+func (f *forwardCall) rest(s shell.Session, d instance.Dispatch, resp *http.Response, progress *upstream.Progress, watch *Watchdog) bool {
 	_, err := io.Copy(f.w, watchedReader{resp.Body, watch})
 	if err == nil {
 		return f.done(s)
@@ -328,7 +329,7 @@
 
 // series passes on a series of events, each as it comes and only whole, so that
 // another replica can go on behind the last one.
-func (f *forwardCall) series(s shell.Session, d instance.Dispatch, resp *http.Response, progress *upstream.Progress, watch *watchdog) bool {
+func (f *forwardCall) series(s shell.Session, d instance.Dispatch, resp *http.Response, progress *upstream.Progress, watch *Watchdog) bool {
 	events := forward.NewEvents(resp.Body)
 	flush := http.NewResponseController(f.w)
 	first := true
@@ -346,7 +347,7 @@
 		if err != nil {
 			return f.broke(s, d, progress, watch, instance.Broke{Status: resp.StatusCode, Detail: err.Error()})
 		}
-		watch.alive()
+		watch.Alive()
 		if first {
 			first = false
 			s.First()
@@ -373,14 +374,14 @@
 // A watchedReader puts the watchdog off with every part that comes.
 type watchedReader struct {
 	io.Reader
-	watch *watchdog
+	watch *Watchdog
 }
 
 // Read implements io.Reader.
 func (w watchedReader) Read(data []byte) (int, error) {
 	n, err := w.Reader.Read(data)
 	if n > 0 {
-		w.watch.alive()
+		w.watch.Alive()
 	}
 	return n, err
 }
--- a/internal/entry/watchdog.go
+++ b/internal/entry/watchdog.go
@@ -6,16 +6,16 @@
 	"time"
 )
 
-// A watchdog turns an upstream's silence into a broken attempt.
-type watchdog struct {
+// A Watchdog turns an upstream's silence into a broken attempt.
+type Watchdog struct {
 	timer *time.Timer
 	span  time.Duration
 	fired atomic.Bool
 }
 
-// newWatchdog returns a watchdog that cancels after span without a sign of life.
-func newWatchdog(span time.Duration, cancel context.CancelFunc) *watchdog {
-	w := &watchdog{span: span}
+// NewWatchdog returns a watchdog that cancels after span without a sign of life.
+func NewWatchdog(span time.Duration, cancel context.CancelFunc) *Watchdog {
+	w := &Watchdog{span: span}
 	w.timer = time.AfterFunc(span, func() {
 		w.fired.Store(true)
 		cancel()
@@ -23,10 +23,11 @@
 	return w
 }
 
-// alive notes a sign of life.
-func (w *watchdog) alive() { w.timer.Reset(w.span) }
+// Alive notes a sign of life.
+func (w *Watchdog) Alive() { w.timer.Reset(w.span) }
 
-// barked reports whether the silence was too long.
-func (w *watchdog) barked() bool { return w.fired.Load() }
+// Fired reports whether the upstream was silent for too long.
+func (w *Watchdog) Fired() bool { return w.fired.Load() }
 
-func (w *watchdog) stop() { w.timer.Stop() }
+// Stop ends the watch.
+func (w *Watchdog) Stop() { w.timer.Stop() }
--- /dev/null
+++ b/internal/environment/driver.go
@@ -0,0 +1,170 @@
+package environment
+
+import (
+	"context"
+	"errors"
+	"slices"
+
+	"github.com/birchdrift/birchdrift/core/config"
+	"github.com/birchdrift/birchdrift/core/instance"
+	"github.com/birchdrift/birchdrift/core/logevent"
+	"github.com/birchdrift/birchdrift/core/orders"
+	"github.com/birchdrift/birchdrift/core/registry"
+	"github.com/birchdrift/birchdrift/internal/shell"
+)
+
+// A driver carries out the machine's actions through a platform's store and
+// engines.
+type driver struct {
+	store   Store
+	engines Engines
+	host    shell.Host
+}
+
+// Join returns what joins a shell to a platform with this store and these engines.
+func Join(store Store, engines Engines) shell.Join {
+	return func(h shell.Host) shell.Environment {
+		d := &driver{store: store, engines: engines, host: h}
+		return shell.Environment{CarryOut: d.carryOut, Decode: d.decode}
+	}
+}
+
+// decode reads a configuration as instances hand it to each other.
+func (d *driver) decode(data []byte) (config.Document, error) {
+	stored, err := unpack(data)
+	if err != nil {
+		return config.Document{}, err
+	}
+	return d.store.Decode(stored)
+}
+
+// carryOut returns the work that carries an action out, nil for an action that is
+// not this environment's.
+func (d *driver) carryOut(a instance.Action) func(ctx context.Context) {
+	switch act := a.(type) {
+	case instance.WatchPlatform:
+		return func(ctx context.Context) { d.watchPlatform(ctx, act) }
+	case instance.Enrol:
+		return func(ctx context.Context) { d.enrol(ctx, act) }
+	case instance.KeepEnrolled:
+		return func(ctx context.Context) { d.keepEnrolled(ctx, act) }
+	case instance.Resign:
+		return func(ctx context.Context) { d.resign(ctx, act) }
+	case instance.WriteRegistry:
+		return func(ctx context.Context) { d.writeRegistry(ctx, act) }
+	case instance.EngineOrder:
+		return func(ctx context.Context) { d.engineOrder(ctx, act) }
+	case instance.AskEngine:
+		return func(ctx context.Context) { d.askEngine(ctx, act) }
+	case instance.AskLoad:
+		return func(ctx context.Context) { d.askLoad(ctx, act) }
+	default:
+		return nil
+	}
+}
+
+// watchPlatform waits for whatever changes in the environment's store and
+// posts it as one event for each kind of news.
+func (d *driver) watchPlatform(ctx context.Context, a instance.WatchPlatform) {
+	change, err := d.store.Watch(ctx, a.Wait)
+	if err != nil {
+		d.host.Post(instance.WatchReply{Err: err})
+		return
+	}
+	d.host.PlatformCalled()
+	if change.Config != nil {
+		d.host.PostConfig(pack(change.Config), instance.PlatformSource)
+	}
+	if len(change.Listed) > 0 || change.Whole {
+		d.host.Post(instance.ListReply{Entries: change.Listed, Version: change.Version, Whole: change.Whole})
+	}
+	if len(change.Records) > 0 || change.Whole {
+		d.host.Post(instance.RegistryReply{Records: change.Records, Version: change.Version, Whole: change.Whole})
+	}
+	d.host.Post(instance.WatchReply{})
+}
+
+// enrol begins a lease and writes the instance's record under it.
+func (d *driver) enrol(ctx context.Context, a instance.Enrol) {
+	sent := d.host.Now()
+	d.host.PlatformCalled()
+	lease, err := d.store.Grant(ctx, a.Term)
+	if err != nil {
+		d.host.Post(instance.EnrolReply{Err: err})
+		return
+	}
+	v := a.Instance.Value()
+	d.host.PlatformCalled()
+	_, err = d.store.Commit(ctx, Commit{Puts: []Put{{Key: v.Key, Value: v.Data, Lease: lease}}})
+	d.host.Post(instance.EnrolReply{Sent: sent, Lease: lease, Err: err})
+}
+
+func (d *driver) keepEnrolled(ctx context.Context, a instance.KeepEnrolled) {
+	sent := d.host.Now()
+	d.host.PlatformCalled()
+	err := d.store.Keep(ctx, a.Lease)
+	over := errors.Is(err, ErrNoLease)
+	d.host.Post(instance.KeepReply{Sent: sent, Lease: a.Lease, Over: over, Err: err})
+}
+
+// resign gives ownerships back, then ends the lease. What is not given back is
+// taken over when the lease is over, so a failure costs others that time and is
+// not tried again: the process ends.
+func (d *driver) resign(ctx context.Context, a instance.Resign) {
+	for chunk := range slices.Chunk(a.Give, registry.MaxClaims) {
+		if _, err := d.store.Commit(ctx, claimCommit(chunk)); err != nil {
+			d.host.Event(logevent.NotReturned, "what", "ownerships", "engines", len(chunk), "error", err.Error())
+		}
+	}
+	if err := d.store.End(ctx, a.Lease); err != nil {
+		d.host.Event(logevent.NotReturned, "what", "lease", "error", err.Error())
+	}
+}
+
+func claimCommit(claims []registry.Ownership) Commit {
+	var c Commit
+	for _, o := range claims {
+		v := o.Value()
+		c.Conditions = append(c.Conditions, Condition{Key: v.Key, Revision: o.Revision})
+		c.Puts = append(c.Puts, Put{Key: v.Key, Value: v.Data})
+	}
+	return c
+}
+
+func (d *driver) writeRegistry(ctx context.Context, a instance.WriteRegistry) {
+	reply := instance.WriteReply{Write: a.Write, Sent: d.host.Now()}
+	commit := claimCommit(a.Write.Claim)
+	if p := a.Write.Placer; p != nil {
+		v := p.Value()
+		commit.Conditions = append(commit.Conditions, Condition{Key: v.Key, Revision: p.Revision})
+		commit.Puts = append(commit.Puts, Put{Key: v.Key, Value: v.Data, Lease: a.Lease})
+	}
+	d.host.PlatformCalled()
+	var err error
+	reply.Revision, err = d.store.Commit(ctx, commit)
+	reply.Conflict = errors.Is(err, ErrConflict) || errors.Is(err, ErrNoLease)
+	if !reply.Conflict {
+		reply.Err = err
+	}
+	d.host.Post(reply)
+}
+
+func (d *driver) engineOrder(ctx context.Context, a instance.EngineOrder) {
+	answer, detail := d.engines.Order(ctx, d.host.Self.Name, a.Order)
+	d.host.Post(instance.EngineOrderReply{Engine: a.Engine, Fence: a.Fence, Answer: answer, Detail: detail})
+}
+
+func (d *driver) askEngine(ctx context.Context, a instance.AskEngine) {
+	report, err := d.engines.Report(ctx, a.Address)
+	d.host.Post(instance.EngineStateReply{Engine: a.Engine, Err: err, State: orders.State{
+		Sequence: report.Sequence, Busy: report.Busy, Models: report.Announcement.Models, Coming: report.Coming,
+	}})
+}
+
+// askLoad asks an engine how busy it is.
+func (d *driver) askLoad(ctx context.Context, a instance.AskLoad) {
+	ctx, done := context.WithTimeout(ctx, a.Wait)
+	defer done()
+	report, err := d.engines.Report(ctx, a.Address)
+	d.host.Post(instance.LoadReply{Call: a.Call, Engine: a.Engine, Queued: report.Queued, Running: report.Running, Err: err})
+}
--- a/internal/shell/pack.go
+++ b/internal/environment/pack.go
@@ -1,4 +1,4 @@
-package shell
+package environment
 
 import (
 	"bytes"
--- a/internal/shell/pack_test.go
+++ b/internal/environment/pack_test.go
@@ -1,4 +1,4 @@
-package shell
+package environment
 
 import (
 	"bytes"
@@ -7,7 +7,6 @@
 	"github.com/matryer/is"
 
 	"github.com/birchdrift/birchdrift/core/config"
-	"github.com/birchdrift/birchdrift/internal/seam"
 )
 
 // TestConfigurationsTravelPacked: what instances hand each other is much smaller
@@ -19,14 +18,15 @@
 	packed := pack(stored)
 	is.True(len(packed)*8 < len(stored))
 	var decoded []byte
-	a := Adapters{Store: &seam.Store{Decode: func(data []byte) (config.Document, error) {
+	store := Store{Decode: func(data []byte) (config.Document, error) {
 		decoded = data
 		return config.Document{Revision: 3}, nil
-	}}}
-	doc, err := a.decode(packed)
+	}}
+	d := &driver{store: store}
+	doc, err := d.decode(packed)
 	is.NoErr(err)
 	is.Equal(doc.Revision, uint64(3))
 	is.Equal(decoded, stored)
-	_, err = a.decode(stored)
+	_, err = d.decode(stored)
 	is.True(err != nil) // what is not packed is refused, not guessed at
 }
--- a/internal/seam/seam.go
+++ b/internal/environment/store.go
@@ -1,11 +1,12 @@
-// Package seam provides the places at which an environment other than the
-// product's own is joined to it: a store that is watched and written under
-// conditions, and engines that announce themselves and take orders.
+// Package environment joins an instance to a platform other than the product's
+// own: a store that is watched and written under conditions, and engines that
+// announce themselves and take orders.
 //
-// The idea: each seam is a struct of function fields with the product's own
-// types on both sides. An environment fills the fields and decides nothing; the
-// state machine never learns which environment it runs in.
-package seam
+// Store and Engines are structs of function fields with the product's own types
+// on both sides; package platform fills them in. A Driver carries out, through
+// them, what the state machine asks for. Nothing here decides, and the machine
+// never learns which platform it runs on.
+package environment
 
 import (
 	"context"
@@ -13,8 +14,6 @@
 	"time"
 
 	"github.com/birchdrift/birchdrift/core/config"
-	"github.com/birchdrift/birchdrift/core/orders"
-	"github.com/birchdrift/birchdrift/core/pool"
 	"github.com/birchdrift/birchdrift/core/registry"
 	"github.com/birchdrift/birchdrift/core/share"
 )
@@ -79,22 +78,3 @@
 	// Decode reads a configuration as the store holds it.
 	Decode func(data []byte) (config.Document, error)
 }
-
-// An EngineReport is what an engine says of itself when it is asked.
-type EngineReport struct {
-	Announcement pool.Announcement
-	Sequence     uint64   // orders that it has taken
-	Busy         bool     // an order on a model is under way
-	Coming       []string // adapters on their way, as items
-	Queued       int
-	Running      int
-}
-
-// Engines are the environment's engines.
-type Engines struct {
-	// Order gives an engine an order in the name of holder, and returns what came
-	// of it with a text that explains it.
-	Order func(ctx context.Context, holder string, o orders.Order) (orders.Answer, string)
-	// Report asks an engine what it says of itself.
-	Report func(ctx context.Context, address string) (EngineReport, error)
-}
--- a/internal/forward/wire.go
+++ b/internal/forward/wire.go
@@ -11,6 +11,7 @@
 import (
 	"fmt"
 	"net/http"
+	"slices"
 	"strconv"
 	"strings"
 	"time"
@@ -75,6 +76,9 @@
 	LengthHint   int
 	Parts        []Part
 	LastEvent    int // 0 if the caller has none
+	// Ignored names the headers that make no sense and count as absent. They
+	// only steer decisions, so the call itself is none the worse for it.
+	Ignored []string
 }
 
 // Bounds of what a header may hold.
@@ -95,41 +99,56 @@
 		}
 		r.Deadline = time.Duration(ms * float64(time.Millisecond))
 	}
-	if v := h.Get(w.Tokens); v != "" {
-		prompt, out, _ := strings.Cut(v, ",")
-		r.PromptTokens = tokens(prompt)
-		r.MaxTokens = tokens(out)
-	}
-	r.LengthHint = tokens(h.Get(w.LengthHint))
-	r.LastEvent = tokens(h.Get(w.LastEvent))
-	r.Parts = readParts(h.Get(w.Parts))
+	r.readTokens(w, h)
+	r.LengthHint = r.count(w.LengthHint, h.Get(w.LengthHint))
+	r.LastEvent = r.count(w.LastEvent, h.Get(w.LastEvent))
+	r.readParts(w.Parts, h.Get(w.Parts))
 	return r, nil
 }
 
-// tokens reads a count that only steers decisions; one that makes no sense
-// counts as absent, since the call itself is none the worse for it.
-func tokens(v string) int {
+func (r *Request) readTokens(w Wire, h http.Header) {
+	v := h.Get(w.Tokens)
+	if v == "" {
+		return
+	}
+	prompt, out, _ := strings.Cut(v, ",")
+	r.PromptTokens = r.count(w.Tokens, prompt)
+	r.MaxTokens = r.count(w.Tokens, out)
+}
+
+// count reads a number; one that makes no sense counts as absent.
+func (r *Request) count(header, v string) int {
+	if v == "" {
+		return 0
+	}
 	n, err := strconv.Atoi(strings.TrimSpace(v))
 	if err != nil || n < 0 || n > maxTokens {
+		r.ignore(header)
 		return 0
 	}
 	return n
 }
 
-func readParts(v string) []Part {
+func (r *Request) ignore(header string) {
+	if !slices.Contains(r.Ignored, header) {
+		r.Ignored = append(r.Ignored, header)
+	}
+}
+
+// readParts reads the shared parts of a prompt, as far as they make sense.
+func (r *Request) readParts(header, v string) {
 	if v == "" {
-		return nil
+		return
 	}
-	var parts []Part
 	for _, field := range strings.Split(v, ",") {
 		id, count, ok := strings.Cut(strings.TrimSpace(field), ":")
 		n, err := strconv.ParseUint(id, 16, 64)
-		if !ok || err != nil || len(parts) == maxParts {
-			return parts
+		if !ok || err != nil || len(r.Parts) == maxParts {
+			r.ignore(header)
+			return
 		}
-		parts = append(parts, Part{ID: n, Tokens: tokens(count)})
+		r.Parts = append(r.Parts, Part{ID: n, Tokens: r.count(header, count)})
 	}
-	return parts
 }
 
 // An Attempt is what this system adds to a call on its way to a replica.
--- /dev/null
+++ b/internal/own/driver.go
@@ -0,0 +1,234 @@
+// Package own joins an instance to the product's own environment: a small
+// key-value service (package keyvalue) and engines with a protocol of the
+// product's own (package engine).
+package own
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"sync/atomic"
+	"time"
+
+	"github.com/birchdrift/birchdrift/core/config"
+	"github.com/birchdrift/birchdrift/core/instance"
+	"github.com/birchdrift/birchdrift/core/logevent"
+	"github.com/birchdrift/birchdrift/core/member"
+	"github.com/birchdrift/birchdrift/core/own/modelcalls"
+	"github.com/birchdrift/birchdrift/internal/own/engine"
+	"github.com/birchdrift/birchdrift/internal/own/keyvalue"
+	"github.com/birchdrift/birchdrift/internal/shell"
+)
+
+// Time limits of single requests. Not measured: some hundred times what an answer
+// takes on loopback.
+const (
+	engineTimeout = 2 * time.Second
+	claimTimeout  = time.Second
+)
+
+// A driver carries out the machine's actions through the key-value service and
+// the engines.
+type driver struct {
+	platform *keyvalue.Client
+	engine   *engine.Client
+	host     shell.Host
+	// configSeen is the service's revision of the configuration last read.
+	configSeen atomic.Uint64
+}
+
+// Join returns what joins a shell to the product's own environment.
+func Join(p *keyvalue.Client, e *engine.Client) shell.Join {
+	return func(h shell.Host) shell.Environment {
+		p.Called = h.PlatformCalled
+		d := &driver{platform: p, engine: e, host: h}
+		return shell.Environment{CarryOut: d.carryOut, Decode: config.Decode}
+	}
+}
+
+// CallName is the identity of one attempt of a call outside this instance.
+func CallName(self member.Identity, id instance.CallID, attempt int) string {
+	return fmt.Sprintf("%s-%x-%d-%d", self.Name, self.Boot, id, attempt)
+}
+
+// carryOut returns the work that carries an action out, nil for an action that is
+// not this environment's.
+func (d *driver) carryOut(a instance.Action) func(ctx context.Context) {
+	switch act := a.(type) {
+	case instance.Cancel:
+		return func(ctx context.Context) { d.cancel(ctx, act) }
+	case instance.Claim:
+		return func(ctx context.Context) { d.claim(ctx, act) }
+	case instance.ReadClaim:
+		return func(ctx context.Context) { d.readClaim(ctx, act) }
+	case instance.ReleaseClaim:
+		return func(ctx context.Context) { d.releaseClaim(ctx, act) }
+	case instance.WatchConfig:
+		return func(ctx context.Context) { d.watchConfig(ctx, act) }
+	case instance.WatchList:
+		return func(ctx context.Context) { d.watchList(ctx, act) }
+	case instance.SeekLease:
+		return func(ctx context.Context) { d.seekLease(ctx, act) }
+	case instance.ReleaseLease:
+		return func(ctx context.Context) { d.releaseLease(ctx, act) }
+	case instance.ReadIntents:
+		return d.readIntents
+	case instance.WriteIntents:
+		return func(ctx context.Context) { d.writeIntents(ctx, act) }
+	case instance.ReadState:
+		return func(ctx context.Context) { d.readState(ctx, act) }
+	case instance.SendOrder:
+		return func(ctx context.Context) { d.sendOrder(ctx, act) }
+	default:
+		return nil
+	}
+}
+
+func (d *driver) cancel(ctx context.Context, a instance.Cancel) {
+	ctx, done := context.WithTimeout(ctx, engineTimeout)
+	defer done()
+	// Closing the stream cancels as well; this only frees the sequence sooner, so
+	// a failure needs no second try.
+	if err := d.engine.Cancel(ctx, a.Address, CallName(d.host.Self, a.ID, a.Attempt)); err != nil {
+		d.host.Event(logevent.CancelFailed, "call", uint64(a.ID), "upstream", a.Replica, "error", err.Error())
+	}
+}
+
+func (d *driver) claimValue(id instance.CallID) []byte {
+	return fmt.Appendf(nil, "%s/%x/%d", d.host.Self.Name, d.host.Self.Boot, id)
+}
+
+func (d *driver) claim(ctx context.Context, a instance.Claim) {
+	ctx, done := context.WithTimeout(ctx, claimTimeout)
+	defer done()
+	_, err := d.platform.Swap(ctx, a.Key, d.claimValue(a.ID), 0, a.Life)
+	d.host.Post(instance.ClaimReply{ID: a.ID, Outcome: claimOutcome(err)})
+}
+
+func claimOutcome(err error) instance.ClaimOutcome {
+	switch {
+	case err == nil:
+		return modelcalls.ClaimWon
+	case errors.Is(err, keyvalue.ErrConflict):
+		// The first of two requests whose answer was lost conflicts with the
+		// second, so a conflict alone does not say that another won.
+		return modelcalls.ClaimUnknown
+	case errors.Is(err, keyvalue.ErrNotSent):
+		return modelcalls.ClaimNotSent
+	default:
+		return modelcalls.ClaimUnknown
+	}
+}
+
+func (d *driver) readClaim(ctx context.Context, a instance.ReadClaim) {
+	ctx, done := context.WithTimeout(ctx, claimTimeout)
+	defer done()
+	v, err := d.platform.Get(ctx, a.Key, 0, 0)
+	outcome := modelcalls.ClaimLost
+	switch {
+	case err != nil:
+		outcome = modelcalls.ClaimUnknown
+	case v.Revision == 0:
+		outcome = modelcalls.ClaimAbsent
+	case string(v.Data) == string(d.claimValue(a.ID)):
+		outcome = modelcalls.ClaimWon
+	}
+	d.host.Post(instance.ClaimReply{ID: a.ID, Outcome: outcome})
+}
+
+// releaseClaim drops the claim if it is this call's. It is best effort: a claim
+// that stays refuses its key until it expires, and runs nothing.
+func (d *driver) releaseClaim(ctx context.Context, a instance.ReleaseClaim) {
+	ctx, done := context.WithTimeout(ctx, claimTimeout)
+	defer done()
+	v, err := d.platform.Get(ctx, a.Key, 0, 0)
+	if err == nil && string(v.Data) == string(d.claimValue(a.ID)) {
+		err = d.platform.Delete(ctx, a.Key, v.Revision)
+	}
+	if err != nil {
+		d.host.Event(logevent.NotReturned, "what", "claim", "call", uint64(a.ID), "error", err.Error())
+	}
+}
+
+// watchConfig waits for a configuration newer than the one had. The platform
+// orders values by its own revisions, which this shell remembers; the document
+// carries the revision that decides.
+func (d *driver) watchConfig(ctx context.Context, a instance.WatchConfig) {
+	after := d.configSeen.Load()
+	if a.Have == 0 {
+		after = 0
+	}
+	v, err := d.platform.Get(ctx, keyvalue.ConfigKey, after, a.Wait)
+	if err != nil {
+		d.host.Post(instance.ConfigReply{Source: instance.PlatformSource, Err: err})
+		return
+	}
+	if v.Revision == 0 || v.Revision == after {
+		d.host.Post(instance.ConfigReply{Source: instance.PlatformSource})
+		return
+	}
+	d.configSeen.Store(v.Revision)
+	d.host.PostConfig(v.Data, instance.PlatformSource)
+}
+
+func (d *driver) watchList(ctx context.Context, a instance.WatchList) {
+	entries, version, err := d.platform.Instances(ctx, a.Since, a.Wait)
+	d.host.Post(instance.ListReply{Entries: entries, Version: version, Err: err})
+}
+
+func (d *driver) holder() string { return fmt.Sprintf("%s/%x", d.host.Self.Name, d.host.Self.Boot) }
+
+func (d *driver) seekLease(ctx context.Context, a instance.SeekLease) {
+	sent := d.host.Now()
+	reply, err := d.platform.Lease(ctx, keyvalue.LeaseName(d.host.Self.Zone), keyvalue.LeaseRequest{
+		Holder: d.holder(), TermMS: a.Term.Milliseconds(), Renew: a.Renew,
+	})
+	d.host.Post(instance.LeaseReply{Sent: sent, Granted: reply.Granted, Fence: reply.Fence, Holder: reply.Holder, Err: err})
+}
+
+func (d *driver) releaseLease(ctx context.Context, a instance.ReleaseLease) {
+	// A lease that is not released lapses.
+	if err := d.platform.Release(ctx, keyvalue.LeaseName(d.host.Self.Zone), a.Fence); err != nil {
+		d.host.Event(logevent.NotReturned, "what", "planner's lease", "error", err.Error())
+	}
+}
+
+func (d *driver) readIntents(ctx context.Context) {
+	v, err := d.platform.Get(ctx, keyvalue.IntentsKey(d.host.Self.Zone), 0, 0)
+	reply := instance.IntentsReply{Read: true, Revision: v.Revision, Err: err}
+	if err == nil && len(v.Data) > 0 {
+		reply.Err = json.Unmarshal(v.Data, &reply.Intents)
+	}
+	d.host.Post(reply)
+}
+
+func (d *driver) writeIntents(ctx context.Context, a instance.WriteIntents) {
+	reply := instance.IntentsReply{Intents: a.Intents}
+	data, err := json.Marshal(a.Intents)
+	if err == nil {
+		reply.Revision, err = d.platform.Swap(ctx, keyvalue.IntentsKey(d.host.Self.Zone), data, a.Revision, 0)
+	}
+	reply.Conflict = errors.Is(err, keyvalue.ErrConflict)
+	if !reply.Conflict {
+		reply.Err = err
+	}
+	d.host.Post(reply)
+}
+
+func (d *driver) readState(ctx context.Context, a instance.ReadState) {
+	ctx, done := context.WithTimeout(ctx, engineTimeout)
+	defer done()
+	state, err := d.engine.State(ctx, a.Address)
+	d.host.Post(instance.StateReply{Engine: a.Engine, State: state, Err: err})
+}
+
+func (d *driver) sendOrder(ctx context.Context, a instance.SendOrder) {
+	ctx, done := context.WithTimeout(ctx, engineTimeout)
+	defer done()
+	base := ""
+	if cfg := d.host.Config(); cfg != nil {
+		base = cfg.Base(a.Order.Item)
+	}
+	d.host.Post(d.engine.Order(ctx, a.Address, a.Order, base))
+}
--- a/internal/entry/model.go
+++ b/internal/own/modelapi/model.go
@@ -1,4 +1,4 @@
-package entry
+package modelapi
 
 import (
 	"context"
@@ -13,7 +13,9 @@
 
 	"github.com/birchdrift/birchdrift/core/code"
 	"github.com/birchdrift/birchdrift/core/instance"
-	"github.com/birchdrift/birchdrift/internal/engine"
+	"github.com/birchdrift/birchdrift/internal/entry"
+	"github.com/birchdrift/birchdrift/internal/own"
+	"github.com/birchdrift/birchdrift/internal/own/engine"
 	"github.com/birchdrift/birchdrift/internal/shell"
 	"github.com/birchdrift/birchdrift/internal/upstream"
 )
@@ -39,7 +41,7 @@
 func (m *modelCall) run(ctx context.Context, s shell.Session) {
 	queueCtx, queue := m.handler.Tracer.Start(ctx, "queue")
 	for {
-		a, ok := waitAction(queueCtx, s)
+		a, ok := entry.Await(queueCtx, s)
 		queue.End()
 		if !ok {
 			m.gone(s)
@@ -64,7 +66,7 @@
 		return
 	}
 	m.handler.Metrics.Answered(int(r.Code), time.Since(m.begun))
-	data, err := json.Marshal(errorOf(r))
+	data, err := json.Marshal(entry.ErrorOf(r))
 	if err == nil {
 		m.event(data)
 	}
@@ -136,8 +138,8 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	s.Interrupt(cancel)
-	watch := newWatchdog(d.Stall, cancel)
-	defer watch.stop()
+	watch := entry.NewWatchdog(d.Stall, cancel)
+	defer watch.Stop()
 	stream, err := m.open(ctx, d, progress)
 	if err != nil {
 		return m.broke(d, progress, watch, err), false
@@ -148,7 +150,7 @@
 		if err != nil {
 			return m.broke(d, progress, watch, err), false
 		}
-		watch.alive()
+		watch.Alive()
 		if m.pieces == 0 {
 			s.First()
 			m.handler.Metrics.First(time.Since(m.begun))
@@ -164,7 +166,7 @@
 func (m *modelCall) open(ctx context.Context, d instance.Dispatch, progress *upstream.Progress) (*engine.Stream, error) {
 	header := http.Header{}
 	m.handler.Tracer.Inject(ctx, header)
-	id := m.handler.Shell.CallName(m.call.ID, d.Attempt)
+	id := own.CallName(m.handler.Self, m.call.ID, d.Attempt)
 	if d.Resume {
 		return m.handler.Engine.Resume(ctx, d.Address, engine.ResumeRequest{ID: id, Offset: m.pieces}, header, progress)
 	}
@@ -176,13 +178,13 @@
 
 // broke words how an attempt broke. Only facts go in; what follows is the
 // machine's to say.
-func (m *modelCall) broke(d instance.Dispatch, progress *upstream.Progress, watch *watchdog, err error) instance.Broke {
+func (m *modelCall) broke(d instance.Dispatch, progress *upstream.Progress, watch *entry.Watchdog, err error) instance.Broke {
 	b := instance.Broke{
 		Attempt:   d.Attempt,
 		Phase:     progress.Phase(),
 		Delivered: m.delivered,
 		Resumable: true,
-		Stalled:   watch.barked(),
+		Stalled:   watch.Fired(),
 		Detail:    err.Error(),
 	}
 	var status *engine.StatusError
@@ -222,7 +224,7 @@
 }
 
 func (m *modelCall) mark(d instance.Dispatch) {
-	m.w.Header().Set(HeaderInstance, m.handler.Instance)
+	m.w.Header().Set(HeaderInstance, m.handler.Self.Name)
 	m.w.Header().Set(HeaderUpstream, d.Replica)
 }
 
@@ -234,7 +236,7 @@
 		m.event([]byte("[DONE]"))
 	} else {
 		m.mark(d)
-		writeJSON(m.w, http.StatusOK, m.form.whole(m.text.String(), p.Reason, m.call.PromptTokens, m.pieces-1))
+		entry.WriteJSON(m.w, http.StatusOK, m.form.whole(m.text.String(), p.Reason, m.call.PromptTokens, m.pieces-1))
 	}
 	s.Done()
 	m.handler.Metrics.Answered(int(code.OK), time.Since(m.begun))
--- /dev/null
+++ b/internal/own/modelapi/modelapi.go
@@ -0,0 +1,146 @@
+// Package modelapi serves the product's own interface to callers: OpenAI-compatible
+// model calls, and calls of plain services under /services/. Only the product's
+// own environment has it; forwarded calls are served by package entry.
+package modelapi
+
+import (
+	"fmt"
+	"io"
+	"math"
+	"net/http"
+	"strings"
+	"time"
+
+	"go.opentelemetry.io/otel/attribute"
+
+	"github.com/birchdrift/birchdrift/core/code"
+	"github.com/birchdrift/birchdrift/core/instance"
+	"github.com/birchdrift/birchdrift/core/member"
+	"github.com/birchdrift/birchdrift/core/own/choose"
+	"github.com/birchdrift/birchdrift/internal/entry"
+	"github.com/birchdrift/birchdrift/internal/own/engine"
+	"github.com/birchdrift/birchdrift/internal/service"
+	"github.com/birchdrift/birchdrift/internal/shell"
+	"github.com/birchdrift/birchdrift/internal/telemetry"
+)
+
+// Headers of callers.
+const (
+	// HeaderNotRepeatable marks a call as not repeatable with "true".
+	HeaderNotRepeatable = "Birchdrift-Not-Repeatable"
+	// HeaderIdempotency carries the caller's key for a call that runs at most once.
+	HeaderIdempotency = "Idempotency-Key"
+	// HeaderInstance names the instance that answered.
+	HeaderInstance = "Birchdrift-Instance"
+	// HeaderUpstream names the upstream that served the call.
+	HeaderUpstream = "Birchdrift-Upstream"
+)
+
+// A Handler serves callers of the own interface.
+type Handler struct {
+	Shell   *shell.Shell
+	Engine  *engine.Client
+	Service *service.Client
+	Metrics *telemetry.Metrics
+	Tracer  *telemetry.Tracer
+	Self    member.Identity
+	MaxBody int64
+	// NextID returns an identity for a call, different from those of all others.
+	NextID func() instance.CallID
+}
+
+// Routes returns the HTTP handler of the own interface.
+func (h *Handler) Routes() http.Handler {
+	mux := http.NewServeMux()
+	mux.HandleFunc("POST /v1/chat/completions", func(w http.ResponseWriter, r *http.Request) { h.model(w, r, true) })
+	mux.HandleFunc("POST /v1/completions", func(w http.ResponseWriter, r *http.Request) { h.model(w, r, false) })
+	mux.HandleFunc("GET /v1/models", h.models)
+	mux.HandleFunc("/services/{name}/{path...}", h.plain)
+	mux.HandleFunc("/services/{name}", h.plain)
+	mux.HandleFunc("/", func(w http.ResponseWriter, r *http.Request) {
+		h.refuse(w, code.Refusal{Code: code.UnknownService, Run: code.NotRun, Detail: "no such path: " + r.URL.Path}, time.Now())
+	})
+	return mux
+}
+
+// key returns the caller's key.
+func key(r *http.Request) string {
+	return strings.TrimPrefix(r.Header.Get("Authorization"), "Bearer ")
+}
+
+func notRepeatable(r *http.Request) bool {
+	return strings.EqualFold(r.Header.Get(HeaderNotRepeatable), "true")
+}
+
+func (h *Handler) models(w http.ResponseWriter, r *http.Request) {
+	begun := time.Now()
+	cfg := h.Shell.Config()
+	if cfg == nil {
+		h.refuse(w, code.Refusal{Code: code.NoConfiguration, Run: code.NotRun, RetryAfter: time.Second}, begun)
+		return
+	}
+	caller, known := cfg.CallerByKey(key(r))
+	if !known {
+		h.refuse(w, code.Refusal{Code: code.Unauthorized, Run: code.NotRun}, begun)
+		return
+	}
+	list := modelList{Object: "list", Data: []modelInfo{}}
+	for _, name := range cfg.Names() {
+		svc, _ := cfg.Service(name)
+		if len(svc.Versions) > 0 && caller.Admits(name) {
+			list.Data = append(list.Data, modelInfo{ID: name, Object: "model", OwnedBy: "birchdrift"})
+		}
+	}
+	entry.WriteJSON(w, http.StatusOK, list)
+}
+
+// refuse writes a call's final answer that is not its upstream's.
+func (h *Handler) refuse(w http.ResponseWriter, r code.Refusal, begun time.Time) {
+	h.Metrics.Answered(int(r.Code), time.Since(begun))
+	if r.RetryAfter > 0 {
+		w.Header().Set("Retry-After", fmt.Sprint(int(math.Ceil(r.RetryAfter.Seconds()))))
+	}
+	w.Header().Set(HeaderInstance, h.Self.Name)
+	status := code.Lookup(r.Code).HTTP
+	if status == 0 {
+		status = http.StatusInternalServerError
+	}
+	if r.Code == code.Stopping {
+		w.Header().Set("Connection", "close")
+	}
+	entry.WriteJSON(w, status, entry.ErrorOf(r))
+}
+
+// model serves a chat or completion call.
+func (h *Handler) model(w http.ResponseWriter, r *http.Request, chat bool) {
+	begun := time.Now()
+	ctx, span := h.Tracer.Start(h.Tracer.Extract(r.Context(), r.Header), "entry")
+	defer span.End()
+	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, h.MaxBody))
+	if err != nil {
+		h.refuse(w, code.Refusal{Code: code.TooLarge, Run: code.NotRun, Detail: err.Error()}, begun)
+		return
+	}
+	req, prompt, fault := parseRequest(data, chat)
+	if fault != nil {
+		h.refuse(w, code.Refusal{Code: fault.Code, Run: code.NotRun, Detail: fault.Detail}, begun)
+		return
+	}
+	call := instance.Call{
+		ID:             h.NextID(),
+		Service:        req.Model,
+		Key:            key(r),
+		IdempotencyKey: r.Header.Get(HeaderIdempotency),
+		NotRepeatable:  notRepeatable(r),
+		Replayable:     true,
+		PromptTokens:   len(prompt)/choose.BytesPerToken + 1,
+		MaxTokens:      req.MaxTokens,
+		Prefix:         choose.NewPrefix(req.Model, prompt),
+	}
+	span.SetAttributes(attribute.String("service", req.Model), attribute.Int64("call", int64(call.ID)))
+	m := &modelCall{
+		handler: h, w: w, req: req, prompt: prompt, begun: begun, call: call,
+		form: form{chat: chat, id: fmt.Sprintf("%s-%d", h.Self.Name, call.ID), model: req.Model, created: begun},
+	}
+	m.run(ctx, h.Shell.Begin(call))
+}
--- a/internal/entry/entry_test.go
+++ b/internal/own/modelapi/modelapi_test.go
@@ -1,4 +1,4 @@
-package entry
+package modelapi
 
 import (
 	"strings"
--- a/internal/entry/openai.go
+++ b/internal/own/modelapi/openai.go
@@ -1,4 +1,4 @@
-package entry
+package modelapi
 
 import (
 	"encoding/json"
@@ -176,27 +176,6 @@
 	}
 }
 
-// An errorBody is a refusal on the wire.
-type errorBody struct {
-	Error errorDetail `json:"error"`
-}
-
-type errorDetail struct {
-	Code    int      `json:"code"`
-	Name    string   `json:"name"`
-	Message string   `json:"message"`
-	Run     code.Run `json:"run"`
-}
-
-func errorOf(r code.Refusal) errorBody {
-	info := code.Lookup(r.Code)
-	message := info.Meaning
-	if r.Detail != "" {
-		message += " " + r.Detail
-	}
-	return errorBody{Error: errorDetail{Code: int(r.Code), Name: info.Name, Message: message, Run: r.Run}}
-}
-
 // A modelList answers GET /v1/models.
 type modelList struct {
 	Object string      `json:"object"`
--- a/internal/entry/plain.go
+++ b/internal/own/modelapi/plain.go
@@ -1,4 +1,4 @@
-package entry
+package modelapi
 
 import (
 	"context"
@@ -13,6 +13,8 @@
 	"github.com/birchdrift/birchdrift/core/attempt"
 	"github.com/birchdrift/birchdrift/core/code"
 	"github.com/birchdrift/birchdrift/core/instance"
+	"github.com/birchdrift/birchdrift/internal/entry"
+	"github.com/birchdrift/birchdrift/internal/own"
 	"github.com/birchdrift/birchdrift/internal/service"
 	"github.com/birchdrift/birchdrift/internal/shell"
 	"github.com/birchdrift/birchdrift/internal/upstream"
@@ -23,20 +25,20 @@
 	begun := time.Now()
 	ctx, span := h.Tracer.Start(h.Tracer.Extract(r.Context(), r.Header), "entry")
 	defer span.End()
-	body, err := readBody(r)
+	body, err := entry.ReadBody(r)
 	if err != nil {
 		h.refuse(w, code.Refusal{Code: code.BadRequest, Run: code.NotRun, Detail: err.Error()}, begun)
 		return
 	}
 	call := instance.Call{
-		ID:             h.nextID(),
+		ID:             h.NextID(),
 		Service:        r.PathValue("name"),
 		Plain:          true,
 		Path:           "/" + r.PathValue("path"),
 		Key:            key(r),
 		IdempotencyKey: r.Header.Get(HeaderIdempotency),
 		NotRepeatable:  notRepeatable(r),
-		Replayable:     !body.streamed,
+		Replayable:     !body.Streamed(),
 	}
 	span.SetAttributes(attribute.String("service", call.Service), attribute.Int64("call", int64(call.ID)))
 	p := &plainCall{handler: h, w: w, r: r, body: body, call: call, begun: begun}
@@ -48,14 +50,14 @@
 	handler *Handler
 	w       http.ResponseWriter
 	r       *http.Request
-	body    *callBody
+	body    *entry.Body
 	call    instance.Call
 	begun   time.Time
 }
 
 func (p *plainCall) run(ctx context.Context, s shell.Session) {
 	for {
-		a, ok := waitAction(ctx, s)
+		a, ok := entry.Await(ctx, s)
 		if !ok {
 			p.gone(s)
 			return
@@ -81,8 +83,8 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	s.Interrupt(cancel)
-	watch := newWatchdog(d.Stall, cancel)
-	defer watch.stop()
+	watch := entry.NewWatchdog(d.Stall, cancel)
+	defer watch.Stop()
 	var progress upstream.Progress
 	resp, err := p.handler.Service.Send(ctx, p.outgoing(d, watch), &progress)
 	if err != nil {
@@ -94,10 +96,10 @@
 }
 
 // outgoing words the call for the upstream.
-func (p *plainCall) outgoing(d instance.Dispatch, watch *watchdog) service.Call {
+func (p *plainCall) outgoing(d instance.Dispatch, watch *entry.Watchdog) service.Call {
 	header := service.EndToEnd(p.r.Header)
 	header.Del("Authorization") // the key is this system's, not the upstream's
-	header.Set(upstream.HeaderCall, p.handler.Shell.CallName(p.call.ID, d.Attempt))
+	header.Set(upstream.HeaderCall, own.CallName(p.handler.Self, p.call.ID, d.Attempt))
 	p.handler.Tracer.Inject(p.r.Context(), header)
 	return service.Call{
 		Address:    d.Address,
@@ -105,7 +107,7 @@
 		Path:       p.call.Path,
 		Query:      p.r.URL.RawQuery,
 		Header:     header,
-		Body:       p.body.next(watch),
+		Body:       p.body.Next(watch),
 		Length:     p.r.ContentLength,
 		Repeatable: d.Repeatable,
 	}
@@ -116,13 +118,13 @@
 	p.handler.Metrics.Answered(int(code.CallerGone), time.Since(p.begun))
 }
 
-func (p *plainCall) broke(s shell.Session, d instance.Dispatch, progress *upstream.Progress, watch *watchdog, err error) bool {
+func (p *plainCall) broke(s shell.Session, d instance.Dispatch, progress *upstream.Progress, watch *entry.Watchdog, err error) bool {
 	if p.r.Context().Err() != nil {
 		p.gone(s)
 		return true
 	}
 	b := instance.Broke{
-		Attempt: d.Attempt, Phase: progress.Phase(), Stalled: watch.barked(), Spent: p.body.spent(), Detail: err.Error(),
+		Attempt: d.Attempt, Phase: progress.Phase(), Stalled: watch.Fired(), Spent: p.body.Spent(), Detail: err.Error(),
 	}
 	var refused *service.RefusedError
 	if errors.As(err, &refused) {
@@ -134,11 +136,11 @@
 }
 
 // pass streams the upstream's answer to the caller.
-func (p *plainCall) pass(s shell.Session, d instance.Dispatch, resp *http.Response, watch *watchdog) bool {
+func (p *plainCall) pass(s shell.Session, d instance.Dispatch, resp *http.Response, watch *entry.Watchdog) bool {
 	for name, values := range service.EndToEnd(resp.Header) {
 		p.w.Header()[name] = values
 	}
-	p.w.Header().Set(HeaderInstance, p.handler.Instance)
+	p.w.Header().Set(HeaderInstance, p.handler.Self.Name)
 	p.w.Header().Set(HeaderUpstream, d.Replica)
 	p.w.WriteHeader(resp.StatusCode)
 	delivered, err := p.copy(resp.Body, watch)
@@ -157,13 +159,13 @@
 const copyBuffer = 32 << 10
 
 // copy passes the body on, each part as it comes.
-func (p *plainCall) copy(body io.Reader, watch *watchdog) (int, error) {
+func (p *plainCall) copy(body io.Reader, watch *entry.Watchdog) (int, error) {
 	flush := http.NewResponseController(p.w)
 	buf := make([]byte, copyBuffer)
 	total := 0
 	for {
 		n, err := body.Read(buf)
-		watch.alive()
+		watch.Alive()
 		if n > 0 {
 			if _, werr := p.w.Write(buf[:n]); werr != nil {
 				return total, werr
--- a/internal/server/forward_test.go
+++ b/internal/server/forward_test.go
@@ -18,8 +18,8 @@
 	"github.com/birchdrift/birchdrift/core/config"
 	"github.com/birchdrift/birchdrift/core/pool"
 	"github.com/birchdrift/birchdrift/core/share"
+	"github.com/birchdrift/birchdrift/internal/environment"
 	"github.com/birchdrift/birchdrift/internal/forward"
-	"github.com/birchdrift/birchdrift/internal/seam"
 	"github.com/birchdrift/birchdrift/internal/settings"
 	"github.com/birchdrift/birchdrift/internal/upstream"
 )
@@ -122,7 +122,7 @@
 	t.Helper()
 	is := is.New(t)
 	s := &site{t: t}
-	change := seam.Change{Whole: true, Version: 5}
+	change := environment.Change{Whole: true, Version: 5}
 	for i, answer := range answers {
 		r := &replica{name: fmt.Sprintf("r%d", i), answer: answer}
 		r.server = httptest.NewServer(r)
@@ -179,29 +179,29 @@
 }
 
 // memoryStore joins the instance to a store that says one thing and then waits.
-func memoryStore(change seam.Change) Enter {
-	first := make(chan seam.Change, 1)
+func memoryStore(change environment.Change) Enter {
+	first := make(chan environment.Change, 1)
 	first <- change
-	store := &seam.Store{
-		Watch: func(ctx context.Context, wait time.Duration) (seam.Change, error) {
+	store := &environment.Store{
+		Watch: func(ctx context.Context, wait time.Duration) (environment.Change, error) {
 			select {
 			case c := <-first:
 				return c, nil
 			case <-ctx.Done():
-				return seam.Change{}, ctx.Err()
+				return environment.Change{}, ctx.Err()
 			case <-time.After(wait):
-				return seam.Change{Version: change.Version}, nil
+				return environment.Change{Version: change.Version}, nil
 			}
 		},
 		Restart: func() {},
 		Grant:   func(context.Context, time.Duration) (uint64, error) { return 1, nil },
 		Keep:    func(context.Context, uint64) error { return nil },
 		End:     func(context.Context, uint64) error { return nil },
-		Commit:  func(context.Context, seam.Commit) (uint64, error) { return 6, nil },
+		Commit:  func(context.Context, environment.Commit) (uint64, error) { return 6, nil },
 		Decode:  config.Decode,
 	}
 	return func(settings.Settings, upstream.Transports) Environment {
-		return Environment{Store: store, Wire: forward.Own}
+		return Environment{Join: environment.Join(*store, environment.Engines{}), Wire: forward.Own}
 	}
 }
 
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -23,13 +23,14 @@
 	"github.com/birchdrift/birchdrift/core/logevent"
 	"github.com/birchdrift/birchdrift/core/member"
 	"github.com/birchdrift/birchdrift/core/option"
-	"github.com/birchdrift/birchdrift/internal/engine"
 	"github.com/birchdrift/birchdrift/internal/entry"
 	"github.com/birchdrift/birchdrift/internal/forward"
-	"github.com/birchdrift/birchdrift/internal/keyvalue"
 	"github.com/birchdrift/birchdrift/internal/ops"
+	"github.com/birchdrift/birchdrift/internal/own"
+	"github.com/birchdrift/birchdrift/internal/own/engine"
+	"github.com/birchdrift/birchdrift/internal/own/keyvalue"
+	"github.com/birchdrift/birchdrift/internal/own/modelapi"
 	"github.com/birchdrift/birchdrift/internal/peer"
-	"github.com/birchdrift/birchdrift/internal/seam"
 	"github.com/birchdrift/birchdrift/internal/service"
 	"github.com/birchdrift/birchdrift/internal/settings"
 	"github.com/birchdrift/birchdrift/internal/shell"
@@ -67,20 +68,32 @@
 	http *http.Server
 }
 
-// An Environment is what an instance runs in, other than the product's own
-// interfaces: the zero value stands for those.
+// An Environment is what an instance runs in.
 type Environment struct {
-	Store   *seam.Store
-	Engines *seam.Engines
-	Wire    forward.Wire
+	Join shell.Join
+	Wire forward.Wire // how forwarded calls are worded
+	// OwnCalls returns the handler of the product's own interface; nil where
+	// callers are not offered it.
+	OwnCalls func(h *entry.Handler, self member.Identity, maxBody int64) http.Handler
 }
 
 // An Enter joins an instance to its environment.
 type Enter func(set settings.Settings, t upstream.Transports) Environment
 
-// Own joins an instance to the product's own interfaces.
-func Own(settings.Settings, upstream.Transports) Environment {
-	return Environment{Wire: forward.Own}
+// Own joins an instance to the product's own environment.
+func Own(set settings.Settings, t upstream.Transports) Environment {
+	engines := engine.NewClient(t)
+	return Environment{
+		Join: own.Join(keyvalue.NewClient(set.Platform, t), engines),
+		Wire: forward.Own,
+		OwnCalls: func(h *entry.Handler, self member.Identity, maxBody int64) http.Handler {
+			api := &modelapi.Handler{
+				Shell: h.Shell, Engine: engines, Service: h.Service, Metrics: h.Metrics, Tracer: h.Tracer,
+				Self: self, MaxBody: maxBody, NextID: h.NextID,
+			}
+			return api.Routes()
+		},
+	}
 }
 
 // New binds the listeners and wires the instance, whose tunables are opt, to the
@@ -132,22 +145,16 @@
 		Name: s.set.Name, Zone: s.set.Zone, Address: s.set.Advertise,
 		Boot: uint64(time.Now().UnixNano()), Seeds: s.set.Seeds, Processor: s.set.Processor,
 	}
-	adapters := shell.Adapters{
-		Platform: keyvalue.NewClient(s.set.Platform, transports),
-		Engine:   engine.NewClient(transports),
-		Peer:     peer.NewClient(&http.Client{Transport: transports.Reused}, s.set.PeerKey),
-		Store:    environment.Store,
-		Engines:  environment.Engines,
-	}
-	adapters.Platform.Called = metrics.PlatformCall
+	peers := peer.NewClient(&http.Client{Transport: transports.Reused}, s.set.PeerKey)
 	ctx, cancel := context.WithCancel(context.Background())
 	s.ctx = ctx
 	s.cancel = cancel
-	s.shell = shell.New(ctx, self, instance.New(self, s.opt, self.Boot), adapters, s.log, metrics)
+	s.shell = shell.New(ctx, self, instance.New(self, s.opt, self.Boot), environment.Join, peers, s.log, metrics)
 	callers := &entry.Handler{
-		Shell: s.shell, Engine: adapters.Engine, Service: service.NewClient(transports),
-		Metrics: metrics, Tracer: s.tracer, Instance: s.set.Name, MaxBody: s.set.MaxBody,
-		Wire: environment.Wire, ForwardAll: environment.Store != nil,
+		Shell: s.shell, Service: service.NewClient(transports), Metrics: metrics, Tracer: s.tracer, Wire: environment.Wire,
+	}
+	if environment.OwnCalls != nil {
+		callers.Own = environment.OwnCalls(callers, self, s.set.MaxBody)
 	}
 	handlers := []http.Handler{
 		callers.Routes(),
--- a/internal/shell/shell.go
+++ b/internal/shell/shell.go
@@ -18,12 +18,10 @@
 	"github.com/birchdrift/birchdrift/core/clock"
 	"github.com/birchdrift/birchdrift/core/config"
 	"github.com/birchdrift/birchdrift/core/instance"
+	"github.com/birchdrift/birchdrift/core/logevent"
 	"github.com/birchdrift/birchdrift/core/member"
 	"github.com/birchdrift/birchdrift/core/share"
-	"github.com/birchdrift/birchdrift/internal/engine"
-	"github.com/birchdrift/birchdrift/internal/keyvalue"
 	"github.com/birchdrift/birchdrift/internal/peer"
-	"github.com/birchdrift/birchdrift/internal/seam"
 	"github.com/birchdrift/birchdrift/internal/telemetry"
 )
 
@@ -34,37 +32,45 @@
 // gives a call one action at a time and waits for its outcome.
 const mailbox = 4
 
-// Adapters are the ways to the outside that actions are carried out over.
-type Adapters struct {
-	Platform *keyvalue.Client
-	Engine   *engine.Client
-	Peer     *peer.Client
-	// Store and Engines are set in an environment other than the product's
-	// own, in place of Platform and Engine.
-	Store   *seam.Store
-	Engines *seam.Engines
-}
-
-// decode reads a configuration as the environment's store holds it.
-func (a Adapters) decode(data []byte) (config.Document, error) {
-	if a.Store != nil {
-		data, err := unpack(data)
-		if err != nil {
-			return config.Document{}, err
-		}
-		return a.Store.Decode(data)
-	}
-	return config.Decode(data)
+// An Environment carries out what depends on the environment that an instance
+// runs in.
+type Environment struct {
+	// CarryOut returns the work that carries an action out, nil for an action
+	// that is not the environment's. The work posts the action's reply.
+	CarryOut func(a instance.Action) func(ctx context.Context)
+	// Decode reads a configuration as instances hand it to each other.
+	Decode func(data []byte) (config.Document, error)
 }
 
+// A Host is what an environment is given of the shell.
+type Host struct {
+	Self member.Identity
+	// Now reads both clocks.
+	Now func() clock.Instant
+	// Post hands an event to the machine.
+	Post func(ev instance.Event)
+	// PostConfig decodes a configuration that came from source and posts it.
+	PostConfig func(data []byte, source string)
+	// Config returns the configuration in force, nil if there is none.
+	Config func() *config.Snapshot
+	// PlatformCalled counts a call to the platform.
+	PlatformCalled func()
+	// Event writes a numbered line to the log.
+	Event func(n logevent.Number, fields ...any)
+}
+
+// A Join joins an environment to a shell.
+type Join func(h Host) Environment
+
 // A Shell runs one machine.
 type Shell struct {
-	machine  *instance.Machine
-	self     member.Identity
-	adapters Adapters
-	log      logr.Logger
-	metrics  *telemetry.Metrics
-	start    time.Time
+	machine     *instance.Machine
+	self        member.Identity
+	environment Environment
+	peers       *peer.Client
+	log         logr.Logger
+	metrics     *telemetry.Metrics
+	start       time.Time
 
 	events   chan func(*Shell) instance.Event
 	calls    map[instance.CallID]*callBox
@@ -75,26 +81,35 @@
 	exited   chan instance.Exit
 	ctx      context.Context
 	snapshot snapshotCell
-	// configSeen is the platform's revision of the configuration last read.
-	configSeen atomic.Uint64
-}
-
-// New returns a shell that lives as long as ctx; Run starts it.
-func New(ctx context.Context, self member.Identity, m *instance.Machine, a Adapters, log logr.Logger, metrics *telemetry.Metrics) *Shell {
-	return &Shell{
-		machine:  m,
-		self:     self,
-		adapters: a,
-		log:      log,
-		metrics:  metrics,
-		start:    time.Now(),
-		events:   make(chan func(*Shell) instance.Event, eventQueue),
-		calls:    map[instance.CallID]*callBox{},
-		asks:     map[uint64]chan share.Message{},
-		orders:   map[uint64]chan peer.OrderReply{},
-		exited:   make(chan instance.Exit, 1),
-		ctx:      ctx,
+}
+
+// New returns a shell that lives as long as ctx and is joined to an environment;
+// Run starts it.
+func New(ctx context.Context, self member.Identity, m *instance.Machine, join Join, peers *peer.Client, log logr.Logger, metrics *telemetry.Metrics) *Shell {
+	s := &Shell{
+		machine: m,
+		self:    self,
+		peers:   peers,
+		log:     log,
+		metrics: metrics,
+		start:   time.Now(),
+		events:  make(chan func(*Shell) instance.Event, eventQueue),
+		calls:   map[instance.CallID]*callBox{},
+		asks:    map[uint64]chan share.Message{},
+		orders:  map[uint64]chan peer.OrderReply{},
+		exited:  make(chan instance.Exit, 1),
+		ctx:     ctx,
 	}
+	s.environment = join(Host{
+		Self: self, Now: s.Now, Post: s.post, PostConfig: s.postConfig, Config: s.Config,
+		PlatformCalled: metrics.PlatformCall, Event: s.event,
+	})
+	return s
+}
+
+// event writes a numbered line to the log.
+func (s *Shell) event(n logevent.Number, fields ...any) {
+	s.log.Info(n.Name(), append([]any{"event", int(n)}, fields...)...)
 }
 
 // Now reads both clocks. The wall reading is stripped of Go's own monotonic
--- a/internal/shell/shell_test.go
+++ b/internal/shell/shell_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"net"
 	"net/http"
 	"net/http/httptest"
@@ -14,12 +15,11 @@
 	"go.uber.org/goleak"
 
 	"github.com/birchdrift/birchdrift/core/clock"
+	"github.com/birchdrift/birchdrift/core/config"
 	"github.com/birchdrift/birchdrift/core/instance"
 	"github.com/birchdrift/birchdrift/core/member"
 	"github.com/birchdrift/birchdrift/core/option"
 	"github.com/birchdrift/birchdrift/core/share"
-	"github.com/birchdrift/birchdrift/internal/engine"
-	"github.com/birchdrift/birchdrift/internal/keyvalue"
 	"github.com/birchdrift/birchdrift/internal/peer"
 	"github.com/birchdrift/birchdrift/internal/telemetry"
 	"github.com/birchdrift/birchdrift/internal/upstream"
@@ -36,6 +36,24 @@
 	return l.Addr().String()
 }
 
+// nowhere is an environment that fails every request.
+func nowhere(h Host) Environment {
+	return Environment{
+		CarryOut: func(a instance.Action) func(ctx context.Context) {
+			switch a.(type) {
+			case instance.WatchConfig:
+				return func(context.Context) {
+					h.Post(instance.ConfigReply{Source: instance.PlatformSource, Err: errors.New("nobody there")})
+				}
+			case instance.WatchList:
+				return func(context.Context) { h.Post(instance.ListReply{Err: errors.New("nobody there")}) }
+			}
+			return nil
+		},
+		Decode: config.Decode,
+	}
+}
+
 // running returns a shell under way whose platform is down and whose only
 // peer is at seed.
 func running(t *testing.T, seed string) *Shell {
@@ -44,13 +62,9 @@
 	opt.ExchangeEvery = 20 * time.Millisecond
 	self := member.Identity{Name: "entry-1", Zone: "z1", Address: "127.0.0.1:1", Boot: 1, Seeds: []string{seed}}
 	transports := upstream.NewTransports()
-	adapters := Adapters{
-		Platform: keyvalue.NewClient(nobody(t), transports),
-		Engine:   engine.NewClient(transports),
-		Peer:     peer.NewClient(&http.Client{Transport: transports.Reused}, ""),
-	}
+	peers := peer.NewClient(&http.Client{Transport: transports.Reused}, "")
 	ctx, cancel := context.WithCancel(context.Background())
-	s := New(ctx, self, instance.New(self, opt, 1), adapters, logr.Discard(), telemetry.NewMetrics())
+	s := New(ctx, self, instance.New(self, opt, 1), nowhere, peers, logr.Discard(), telemetry.NewMetrics())
 	ended := make(chan error, 1)
 	go func() { ended <- s.Run() }()
 	t.Cleanup(func() {
--- a/standin/cmd/demo/main.go
+++ b/standin/cmd/demo/main.go
@@ -17,7 +17,7 @@
 	"time"
 
 	"github.com/birchdrift/birchdrift/internal/control"
-	"github.com/birchdrift/birchdrift/internal/keyvalue"
+	"github.com/birchdrift/birchdrift/internal/own/keyvalue"
 	"github.com/birchdrift/birchdrift/internal/upstream"
 	"github.com/birchdrift/birchdrift/standin/fleet"
 )
--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -16,7 +16,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	wire "github.com/birchdrift/birchdrift/internal/engine"
+	wire "github.com/birchdrift/birchdrift/internal/own/engine"
 	"github.com/birchdrift/birchdrift/internal/upstream"
 	"github.com/birchdrift/birchdrift/standin/fault"
 )
--- a/standin/engine/orders.go
+++ b/standin/engine/orders.go
@@ -8,7 +8,7 @@
 	"net/url"
 	"time"
 
-	wire "github.com/birchdrift/birchdrift/internal/engine"
+	wire "github.com/birchdrift/birchdrift/internal/own/engine"
 	"github.com/birchdrift/birchdrift/standin/fault"
 )
 
--- a/standin/engine/sequence.go
+++ b/standin/engine/sequence.go
@@ -7,7 +7,7 @@
 	"sync"
 	"time"
 
-	wire "github.com/birchdrift/birchdrift/internal/engine"
+	wire "github.com/birchdrift/birchdrift/internal/own/engine"
 )
 
 // A sequence is one call that the engine runs.
--- a/standin/integration/contract_test.go
+++ b/standin/integration/contract_test.go
@@ -8,7 +8,7 @@
 
 	"github.com/matryer/is"
 
-	"github.com/birchdrift/birchdrift/internal/keyvalue"
+	"github.com/birchdrift/birchdrift/internal/own/keyvalue"
 	"github.com/birchdrift/birchdrift/standin/fault"
 	"github.com/birchdrift/birchdrift/standin/platform"
 )
--- a/standin/integration/fleet_test.go
+++ b/standin/integration/fleet_test.go
@@ -16,7 +16,7 @@
 
 	"github.com/birchdrift/birchdrift/core/code"
 	"github.com/birchdrift/birchdrift/internal/control"
-	"github.com/birchdrift/birchdrift/internal/keyvalue"
+	"github.com/birchdrift/birchdrift/internal/own/keyvalue"
 	"github.com/birchdrift/birchdrift/standin/engine"
 	"github.com/birchdrift/birchdrift/standin/fleet"
 	"github.com/birchdrift/birchdrift/standin/platform"
--- a/standin/integration/world_test.go
+++ b/standin/integration/world_test.go
@@ -14,7 +14,7 @@
 
 	"github.com/birchdrift/birchdrift/core/config"
 	"github.com/birchdrift/birchdrift/internal/control"
-	"github.com/birchdrift/birchdrift/internal/keyvalue"
+	"github.com/birchdrift/birchdrift/internal/own/keyvalue"
 	"github.com/birchdrift/birchdrift/internal/upstream"
 	"github.com/birchdrift/birchdrift/standin/engine"
 	"github.com/birchdrift/birchdrift/standin/fleet"
--- a/standin/platform/platform.go
+++ b/standin/platform/platform.go
@@ -15,7 +15,7 @@
 
 	"golang.org/x/time/rate"
 
-	"github.com/birchdrift/birchdrift/internal/keyvalue"
+	"github.com/birchdrift/birchdrift/internal/own/keyvalue"
 	"github.com/birchdrift/birchdrift/standin/fault"
 )
 
