--- /dev/null
+++ b/core/orders/answer.go
@@ -0,0 +1,94 @@
+package orders
+
+import (
+	"time"
+
+	"github.com/birchdrift/birchdrift/core/clock"
+	"github.com/birchdrift/birchdrift/core/pool"
+)
+
+// How the ledger books an order, and takes in what came of it.
+
+// Send books a request that Judge allowed; Expect of the order is Sequence.
+func (e *Engine) Send(r Request) {
+	e.flying = &r
+	h := held{model: r.Model, adapter: r.Adapter, phase: pool.Loading}
+	if !r.Load {
+		h = e.items[r.Item()]
+		h.phase = pool.Unloading
+		h.retired = false
+	}
+	e.put(r.Item(), h)
+}
+
+// Taken notes that the engine carries the order in flight out. adapterTime is
+// how long an adapter is believed to be on its way.
+func (e *Engine) Taken(now clock.Instant, adapterTime time.Duration) {
+	r := e.flying
+	if r == nil {
+		return
+	}
+	e.flying = nil
+	e.sequence++
+	if r.Adapter == "" {
+		return
+	}
+	h := e.items[r.Item()]
+	if r.Load {
+		h.readyAt = now.Add(adapterTime)
+		h.usedAt = now
+	} else {
+		h.readyAt = now.Add(unloadTime)
+	}
+	e.put(r.Item(), h)
+}
+
+// Holds notes that what the order in flight asked for is so already, or at
+// once. An adapter that no request uses is unloaded at once, which counts as an
+// order that was taken.
+func (e *Engine) Holds() {
+	r := e.flying
+	if r == nil {
+		return
+	}
+	e.flying = nil
+	if !r.Load {
+		e.drop(r.Item())
+		e.sequence++
+		return
+	}
+	h := e.items[r.Item()]
+	h.phase = pool.Ready
+	e.put(r.Item(), h)
+}
+
+// Failed notes that the order in flight was not carried out and never will be:
+// it never left, or the engine said so.
+func (e *Engine) Failed() {
+	r := e.flying
+	if r == nil {
+		return
+	}
+	e.flying = nil
+	h := e.items[r.Item()]
+	if r.Load {
+		e.drop(r.Item())
+		return
+	}
+	h.phase = pool.Ready
+	e.put(r.Item(), h)
+}
+
+// Lost notes that the answer of the order in flight is lost. What it would do
+// stays booked until the engine is asked.
+func (e *Engine) Lost() {
+	e.flying = nil
+	e.doubtful = true
+}
+
+// Contradicted notes that the engine has taken another number of orders than
+// was believed; it must be asked.
+func (e *Engine) Contradicted() {
+	e.Failed()
+	e.doubtful = true
+}
--- /dev/null
+++ b/core/orders/judge.go
@@ -0,0 +1,178 @@
+package orders
+
+import (
+	"time"
+
+	"github.com/birchdrift/birchdrift/core/clock"
+	"github.com/birchdrift/birchdrift/core/pool"
+)
+
+// What may be ordered now, by what the ledger holds.
+
+// A Verdict says what may be done with a request.
+type Verdict int
+
+// The verdicts.
+const (
+	Permitted Verdict = iota + 1 // it may be sent
+	Holds                        // what it asks for is so already
+	Coming                       // it is on its way already
+	Later                        // an order is without an answer, or the engine is busy
+	NoRoom                       // memory or slots are missing
+	NoModel                      // the adapter's model is not there
+	Unknown                      // the engine's state is not known yet
+	Unsized                      // the model is not configured
+	NotThere                     // what should be unloaded is not there
+)
+
+// busyBut reports whether a model other than item is on its way in or out.
+func (e *Engine) busyBut(item string) bool {
+	for name, h := range e.items {
+		if h.adapter == "" && h.phase != pool.Ready && name != item {
+			return true
+		}
+	}
+	return false
+}
+
+// Retire has a model that is there count as on its way out, so that no more
+// calls are sent to it, before it is ordered out. Unretire takes that back.
+func (e *Engine) Retire(model string) {
+	if h, ok := e.items[model]; ok && h.phase == pool.Ready {
+		h.phase = pool.Unloading
+		h.retired = true
+		e.put(model, h)
+	}
+}
+
+// Unretire takes a Retire back that no order has followed.
+func (e *Engine) Unretire(model string) {
+	if h, ok := e.items[model]; ok && h.retired {
+		h.phase = pool.Ready
+		h.retired = false
+		e.put(model, h)
+	}
+}
+
+// Judge says what may be done with a request now.
+func (e *Engine) Judge(r Request) Verdict {
+	if !e.Known() {
+		return Unknown
+	}
+	h, here := e.items[r.Item()]
+	if !r.Load {
+		return e.judgeUnload(r, h, here)
+	}
+	switch {
+	case here && h.phase == pool.Ready:
+		return Holds
+	case here && h.phase == pool.Loading:
+		return Coming
+	case here, e.flying != nil:
+		return Later
+	}
+	modelMB, adapterMB, ok := e.sizes(r.Model)
+	if !ok {
+		return Unsized
+	}
+	if r.Adapter == "" {
+		return e.judgeModel(modelMB)
+	}
+	return e.judgeAdapter(r, adapterMB)
+}
+
+func (e *Engine) judgeUnload(r Request, h held, here bool) Verdict {
+	switch {
+	case !here:
+		return NotThere
+	case h.phase == pool.Unloading && !h.retired:
+		return Coming
+	case e.flying != nil || e.busyBut(r.Item()) || h.phase == pool.Loading:
+		return Later
+	default:
+		return Permitted
+	}
+}
+
+func (e *Engine) judgeModel(mb int64) Verdict {
+	if e.Busy() {
+		return Later
+	}
+	if mb > e.Free() {
+		return NoRoom
+	}
+	return Permitted
+}
+
+func (e *Engine) judgeAdapter(r Request, mb int64) Verdict {
+	model, here := e.items[r.Model]
+	if !here || model.phase != pool.Ready {
+		return NoModel
+	}
+	if e.coming() >= maxComing {
+		return Later
+	}
+	if mb > e.Free() || e.slots() >= e.limits.AdapterSlots {
+		return NoRoom
+	}
+	return Permitted
+}
+
+func (e *Engine) coming() int {
+	n := 0
+	for _, h := range e.items {
+		if h.adapter != "" && h.phase == pool.Loading {
+			n++
+		}
+	}
+	return n
+}
+
+// slots returns the adapter slots in use; one whose unload has no proof yet
+// still takes its slot.
+func (e *Engine) slots() int {
+	n := 0
+	for _, h := range e.items {
+		if h.adapter != "" {
+			n++
+		}
+	}
+	return n
+}
+
+// Free returns the memory that nothing holds, in MB.
+func (e *Engine) Free() int64 {
+	free := e.limits.MemoryMB
+	for _, h := range e.items {
+		modelMB, adapterMB, ok := e.sizes(h.model)
+		switch {
+		case !ok:
+			return 0 // it holds what nobody can size
+		case h.adapter == "":
+			free -= modelMB
+		default:
+			free -= adapterMB
+		}
+	}
+	return free
+}
+
+// IdleAdapter returns the ready adapter that was used least lately, if it has
+// been idle for as long as idle.
+func (e *Engine) IdleAdapter(now clock.Instant, idle time.Duration) (Request, bool) {
+	var best string
+	for _, item := range e.sorted() {
+		h := e.items[item]
+		if h.adapter == "" || h.phase != pool.Ready || now.Since(h.usedAt) < idle {
+			continue
+		}
+		if best == "" || h.usedAt.Before(e.items[best].usedAt) {
+			best = item
+		}
+	}
+	if best == "" {
+		return Request{}, false
+	}
+	h := e.items[best]
+	return Request{Model: h.model, Adapter: h.adapter}, true
+}
--- /dev/null
+++ b/core/orders/observe.go
@@ -0,0 +1,125 @@
+package orders
+
+import (
+	"github.com/birchdrift/birchdrift/core/clock"
+	"github.com/birchdrift/birchdrift/core/pool"
+)
+
+// How the ledger takes in what the engine says of itself.
+
+// A State is what an engine says of itself.
+type State struct {
+	Sequence uint64
+	Busy     bool // an order on a model is under way
+	Models   []pool.AnnouncedModel
+	Coming   []string // adapters on their way, as items
+}
+
+// Observe takes in what the engine said when it was asked. One that is older
+// than an order which was answered says nothing.
+func (e *Engine) Observe(now clock.Instant, s State) {
+	if e.flying != nil || s.Sequence < e.sequence {
+		return
+	}
+	e.replace(now, s)
+	e.known = true
+	e.sequence = s.Sequence
+	// A model that another owner's order brings takes memory, and the engine
+	// does not say which it is: nothing may be ordered until it is done.
+	model, _ := e.Underway()
+	e.doubtful = s.Busy && model == ""
+}
+
+// Announced takes in the models that the engine says, unasked, to hold. It does
+// so when an order on a model is done; of adapters it says nothing in time.
+func (e *Engine) Announced(models []pool.AnnouncedModel) {
+	if !e.known {
+		return
+	}
+	here := make(map[string]bool, len(models))
+	for _, m := range models {
+		here[m.Name] = true
+		if _, held := e.items[m.Name]; !held {
+			e.doubtful = true // an order that was given up took effect late
+		}
+	}
+	for _, item := range e.sorted() {
+		h := e.items[item]
+		if h.adapter != "" {
+			continue
+		}
+		switch {
+		case h.phase == pool.Loading && here[item]:
+			h.phase = pool.Ready
+			e.put(item, h)
+		case h.phase == pool.Unloading && !here[item]:
+			e.dropModel(item)
+		}
+	}
+}
+
+// replace takes the state as the whole truth, but for a model whose order is
+// under way: the engine does not say which one that is.
+func (e *Engine) replace(now clock.Instant, s State) {
+	next := make(map[string]held, len(e.items))
+	for _, m := range s.Models {
+		next[m.Name] = e.ready(now, m.Name, "")
+		for _, a := range m.Adapters {
+			next[pool.AdapterItem(m.Name, a)] = e.ready(now, m.Name, a)
+		}
+	}
+	for _, item := range s.Coming {
+		if old, ok := e.items[item]; ok && next[item].model == "" {
+			old.phase = pool.Loading
+			next[item] = old
+		}
+	}
+	for item, old := range e.items {
+		if !s.Busy || old.adapter != "" || old.phase == pool.Ready {
+			continue
+		}
+		next[item] = old
+	}
+	e.items = next
+	e.changes++
+}
+
+func (e *Engine) ready(now clock.Instant, model, adapter string) held {
+	h := e.items[pool.AdapterItem(model, adapter)]
+	if h.model == "" {
+		h.usedAt = now
+	}
+	h.model = model
+	h.adapter = adapter
+	h.phase = pool.Ready
+	return h
+}
+
+// dropModel drops a model and its adapters.
+func (e *Engine) dropModel(model string) {
+	for item, h := range e.items {
+		if h.model == model {
+			e.drop(item)
+		}
+	}
+}
+
+// Settle has adapters whose time on the way is over count as ready, and reports
+// whether any does so now.
+func (e *Engine) Settle(now clock.Instant) bool {
+	changed := false
+	for item, h := range e.items {
+		if h.adapter == "" || h.readyAt.IsZero() || now.Before(h.readyAt) {
+			continue
+		}
+		switch h.phase {
+		case pool.Loading:
+			h.phase = pool.Ready
+			e.put(item, h)
+			changed = true
+		case pool.Unloading:
+			e.doubtful = true
+		}
+	}
+	return changed
+}
--- /dev/null
+++ b/core/own/planner/orders.go
@@ -0,0 +1,160 @@
+package planner
+
+import (
+	"github.com/birchdrift/birchdrift/core/backoff"
+	"github.com/birchdrift/birchdrift/core/clock"
+	"github.com/birchdrift/birchdrift/core/logevent"
+	"github.com/birchdrift/birchdrift/core/own/book"
+	"github.com/birchdrift/birchdrift/core/own/plan"
+	"github.com/birchdrift/birchdrift/core/pool"
+)
+
+// Orders to the engines of the zone, and the ledgers that they are booked in.
+
+// settle takes an engine's state into its ledger. A state of an engine that
+// checks fences counts only under this holder's fence: before that, another
+// holder's orders could still change what it says.
+func (p *Planner) settle(now clock.Instant, l *book.Engine, s pool.State, answered uint64) {
+	r := p.Pool.Get(l.Name())
+	if r == nil {
+		return
+	}
+	if r.ChecksFence && s.Fence != p.fence && !p.Options.Disable.Fences {
+		if s.Fence > p.fence {
+			p.Out.Log(logevent.OrderFenced, "engine", r.Name, "fence", s.Fence)
+			p.loseLease(logevent.LeaseLost)
+		} else if l.Known() && s.Residency.Boot > l.Boot() {
+			// It restarted and forgot the fence: raise it anew first.
+			p.ledgers[r.Name] = l.Restarted()
+			p.raises[r.Name] = &raise{backoff: backoff.New(readBase, readMax)}
+		}
+		return
+	}
+	if !r.ChecksFence && !p.intents.owned && !p.Options.Disable.Intents {
+		return
+	}
+	l.Observe(s, p.fence, answered, p.Config.ItemMiB)
+	p.trackSince(now, r.Name, s.Residency)
+	p.settleIntents()
+}
+
+func (p *Planner) trackSince(now clock.Instant, engine string, res pool.Residency) {
+	for _, it := range res.Items {
+		key := placement{engine, it.Name}
+		if _, ok := p.since[key]; !ok {
+			p.since[key] = now
+		}
+	}
+	for key := range p.since {
+		if key.engine == engine && !holds(res, key.item) {
+			delete(p.since, key)
+		}
+	}
+}
+
+func holds(res pool.Residency, item string) bool {
+	for _, it := range res.Items {
+		if it.Name == item {
+			return true
+		}
+	}
+	return false
+}
+
+// raiseFences gives the fence to engines that have not confirmed it, and asks
+// those with unsure orders, which settles them.
+func (p *Planner) raiseFences(now clock.Instant) {
+	for _, r := range p.Pool.All() {
+		l := p.ledgers[r.Name]
+		if l == nil || !r.ChecksFence || p.Options.Disable.Fences {
+			continue
+		}
+		ra := p.raises[r.Name]
+		if now.Before(ra.due) || (l.Known() && len(l.Unsure()) == 0) {
+			continue
+		}
+		ra.backoff = ra.backoff.WithFailure()
+		ra.due = now.Add(ra.backoff.Wait(p.Rand))
+		o := book.Order{Engine: r.Name, Fence: p.fence, Seq: p.nextSeq(), Op: book.Raise}
+		l.Book(o)
+		p.Out.Do(SendOrder{Address: r.Address, Order: o})
+	}
+}
+
+// order books a planned step and sends it, or queues it behind its intent.
+func (p *Planner) order(now clock.Instant, s plan.Step) {
+	r := p.Pool.Get(s.Engine)
+	l := p.ledgers[s.Engine]
+	if r == nil || l == nil || !p.mayOrder(now, r) {
+		return
+	}
+	o := book.Order{Engine: s.Engine, Fence: p.fence, Seq: p.nextSeq(), Op: s.Op, Item: s.Item, MiB: s.MiB}
+	if !l.Book(o) && !p.Options.Disable.Booking {
+		p.Out.Log(logevent.OvercommitAvert, "engine", s.Engine, "op", s.Op.String(), "item", s.Item)
+		return
+	}
+	if s.Op == book.Load {
+		p.loads.tokens--
+	}
+	if s.Starving {
+		p.starvedAt = now
+	}
+	if r.ChecksFence || p.Options.Disable.Intents {
+		p.send(o, r)
+		return
+	}
+	p.intents.queued = append(p.intents.queued, o)
+	p.intents.list = append(p.intents.list, intentOf(o))
+	p.intents.dirty = true
+}
+
+func (p *Planner) send(o book.Order, r *pool.Replica) {
+	p.Out.Log(logevent.Order, "engine", o.Engine, "op", o.Op.String(), "item", o.Item, "mib", o.MiB, "fence", o.Fence, "seq", o.Seq)
+	p.Out.Do(SendOrder{Address: r.Address, Order: o})
+}
+
+// OrderReplied takes in what came of an order.
+func (p *Planner) OrderReplied(now clock.Instant, e OrderReply) {
+	l := p.ledgers[e.Engine]
+	if l == nil || e.Fence != p.fence {
+		return
+	}
+	op, _ := l.Op(e.Seq)
+	switch e.Outcome {
+	case OrderDone:
+		p.count(op)
+		if ra := p.raises[e.Engine]; ra != nil {
+			ra.backoff = ra.backoff.WithSuccess()
+		}
+		p.observe(now, e.Engine, e.State)
+		p.settle(now, l, e.State, e.Seq)
+	case OrderRefused:
+		if op != book.Raise {
+			p.Out.Log(logevent.OrderRefused, "engine", e.Engine, "seq", e.Seq, "detail", e.Detail)
+		}
+		l.Refused(e.Seq)
+		p.observe(now, e.Engine, e.State)
+		p.settle(now, l, e.State, e.Seq)
+	case OrderFenced:
+		p.Out.Log(logevent.OrderFenced, "engine", e.Engine, "seq", e.Seq)
+		p.loseLease(logevent.LeaseLost)
+	case OrderNotSent:
+		l.NotSent(e.Seq)
+	case OrderLost:
+		p.Out.Log(logevent.OrderLost, "engine", e.Engine, "seq", e.Seq, "detail", e.Detail)
+		l.Lost(e.Seq)
+		if ra := p.raises[e.Engine]; ra != nil {
+			ra.due = now
+		}
+	}
+	p.settleIntents()
+}
+
+func (p *Planner) count(op book.Op) {
+	switch op {
+	case book.Load:
+		p.moves.Loads++
+	case book.Unload:
+		p.moves.Unloads++
+	}
+}
