--- a/core/forwarding/attempts.go
+++ b/core/forwarding/attempts.go
@@ -15,11 +15,13 @@
 
 const (
 	// maxRefusals is how many replicas that refuse a call it follows; each costs
-	// the budget.
+	// the budget. Set in 4387df2.
 	maxRefusals = 3
 	// maxUnsent is how many replicas it follows at which nothing answers.
+	// Set in 4387df2.
 	maxUnsent = 8
 	// leastLeft is the least time for which an attempt is worth making.
+	// Set in 949b701.
 	leastLeft = 20 * time.Millisecond
 )
 
@@ -153,7 +155,7 @@
 	}
 }
 
-// expireEvery spaces the looks for calls whose time is over.
+// expireEvery spaces the looks for calls whose time is over. Set in 949b701.
 const expireEvery = 20 * time.Millisecond
 
 // Expire ends the calls whose time is over, at once, so that nobody is held for
--- a/core/forwarding/place.go
+++ b/core/forwarding/place.go
@@ -67,11 +67,11 @@
 
 const (
 	// fetchCost is what an adapter that is not on an engine costs a call that
-	// goes there: asking, ordering, loading.
+	// goes there: asking, ordering, loading. Set in fd5c1f7.
 	fetchCost = 25 * time.Millisecond
-	// evictCost comes on top where another adapter must make way.
+	// evictCost comes on top where another adapter must make way. Set in fd5c1f7.
 	evictCost = 25 * time.Millisecond
-	// maxFetches is how many orders one call may wait for.
+	// maxFetches is how many orders one call may wait for. Set in fd5c1f7.
 	maxFetches = 3
 )
 
@@ -119,7 +119,7 @@
 }
 
 // aloneCalls is how many calls may run at an engine for its reading speed to be
-// learnt from one more.
+// learnt from one more. Set in 949b701.
 const aloneCalls = 4
 
 // dispatch sends the call to the chosen replica.
@@ -148,7 +148,7 @@
 }
 
 // cachedShare is the part of an engine's memory for prompts and answers that is
-// believed to keep prompts.
+// believed to keep prompts. Set in 949b701.
 const cachedShare = 0.75
 
 // cacheTokens returns the prompt tokens that an engine of the call's service is
@@ -157,7 +157,7 @@
 	return int(cachedShare * float64(s.service.Announced.Engine.CacheTokens))
 }
 
-// lowestRank is the least urgent rank that a replica is told.
+// lowestRank is the least urgent rank that a replica is told. Set in 949b701.
 const lowestRank = 9
 
 // attempt returns the action that sends the call to the replica.
--- a/core/forwarding/probe.go
+++ b/core/forwarding/probe.go
@@ -17,8 +17,8 @@
 // this instance knows nothing of.
 
 const (
-	// probedEngines is how many engines a call asks. Three were asked at first;
-	// the grown sites gained nothing from the third (docs/measurements.md).
+	// probedEngines is how many engines a call asks. With three, probes cost
+	// 0.007 and new connections 0.005 of the worth at Scirè grown; set in 396841e.
 	probedEngines = 2
 	// ProbeFresh is how old an engine's answer may be for it not to be asked
 	// again. Not measured: below the age that its figures have anyhow.
--- a/core/forwarding/wait.go
+++ b/core/forwarding/wait.go
@@ -17,17 +17,18 @@
 
 const (
 	// leastRetryAfter is the least time after which a refused call is told to
-	// come back.
+	// come back. Set in 1db316e.
 	leastRetryAfter = 250 * time.Millisecond
 	// adapterPatience is the part of its target that a call waits for an adapter
 	// to become loadable: slots come free and owners come back within moments,
-	// or not soon.
+	// or not soon. Set in 1db316e.
 	adapterPatience = 0.25
 	// placementTime is what passes before an order is given for a model that is
-	// missed.
+	// missed. Set in 7c7040a.
 	placementTime = 600 * time.Millisecond
 	// retryShare is the part of its remaining time after which a call comes back
 	// at the latest whose model is missing, so that it has time left then.
+	// Set in 7c7040a.
 	retryShare = 0.25
 )
 
--- a/core/instance/machine.go
+++ b/core/instance/machine.go
@@ -211,10 +211,10 @@
 // The longest times between two steps. Expiries of waiting calls, and duties that
 // moved to this instance, are noticed within them.
 const (
-	wakeEvery     = 250 * time.Millisecond
-	wakeEveryBusy = 50 * time.Millisecond // while calls are in progress
+	wakeEvery     = 250 * time.Millisecond // first version (301115d), not measured
+	wakeEveryBusy = 50 * time.Millisecond  // while calls are in progress; first version (301115d), not measured
 	// wakeEveryOrder is the same while requests wait at an engine: adapters take
-	// some milliseconds.
+	// some milliseconds. Set in fd5c1f7.
 	wakeEveryOrder = 4 * time.Millisecond
 )
 
--- a/core/instance/own.go
+++ b/core/instance/own.go
@@ -12,7 +12,7 @@
 )
 
 // prefixMemory is how many prefix blocks an instance remembers, which takes it
-// about a megabyte.
+// about a megabyte. First version (301115d), not measured.
 const prefixMemory = 8192
 
 // ownParts are the modules that only the product's own environment needs.
--- a/core/member/member.go
+++ b/core/member/member.go
@@ -17,7 +17,7 @@
 )
 
 // SilentAfter is how long a peer may fail every exchange before duties pass it
-// over, though the list still has it.
+// over, though the list still has it. First version (301115d), not measured.
 const SilentAfter = 10 * time.Second
 
 // An Identity says who an instance is.
--- a/core/orders/orders.go
+++ b/core/orders/orders.go
@@ -148,7 +148,7 @@
 	return model != "" && e.flying == nil
 }
 
-// maxComing is how many adapters may be on their way to one engine.
+// maxComing is how many adapters may be on their way to one engine. Set in fd5c1f7.
 const maxComing = 4
 
 func (e *Engine) put(item string, h held) {
--- a/core/own/choose/choose.go
+++ b/core/own/choose/choose.go
@@ -25,19 +25,21 @@
 
 // Tunables of the choice.
 const (
-	sameRegion = 2 * time.Millisecond // way to another zone and back
+	sameRegion = 2 * time.Millisecond // way to another zone and back; first version (301115d), not measured
 	// crowd is what one sequence that runs beside a call costs it, as a share
 	// of the measured hold time at a full replica: batches slow each other.
+	// First version (301115d), not measured.
 	crowd = 0.15
 	// queueSlack is the share of a replica's sequences that may wait inside it
 	// before calls wait here instead, where a better place can still be found.
+	// First version (301115d), not measured.
 	queueSlack = 0.25
 	// ejectedShare is the share of candidates that may be passed over for
-	// their failures.
+	// their failures. First version (301115d), not measured.
 	ejectedShare = 1.0 / 3
 	// affinityBonus is the share of a prefix's prefill that the replica which
 	// rendezvous hashing names is trusted to save, when this instance has no
-	// memory of the prefix itself.
+	// memory of the prefix itself. First version (301115d), not measured.
 	affinityBonus = 0.25
 )
 
--- a/core/own/modelcalls/decisions.go
+++ b/core/own/modelcalls/decisions.go
@@ -30,7 +30,8 @@
 	next int
 }
 
-const decisionsKept = 256
+// decisionsKept is how many choices are kept for operators.
+const decisionsKept = 256 // first version (301115d), not measured
 
 func (d *decisions) add(now clock.Instant, c *calls.Call, e choose.Estimate) {
 	x := Decision{
--- a/core/own/plan/plan.go
+++ b/core/own/plan/plan.go
@@ -24,24 +24,29 @@
 // Tunables of the plan.
 const (
 	// Horizon is how far ahead a copy's worth is counted.
+	// First version (301115d), not measured.
 	Horizon = 60 * time.Second
 	// Starving is how long an item may be unmet before it goes ahead of every
-	// worth; the stated bound of reachability builds on it.
+	// worth; the stated bound of reachability builds on it. Set in 444fc44.
 	Starving   = 6 * time.Second
-	hysteresis = 1.3
+	hysteresis = 1.3 // first version (301115d), not measured
 	// fill is the share of an engine's sequences that one copy should use.
+	// First version (301115d), not measured.
 	fill = 0.7
 	// spareWorth is the worth left to a copy beyond those that demand needs.
+	// First version (301115d), not measured.
 	spareWorth = 0.02
 	// remoteWorth is the share of worth left when another zone has a copy: the
-	// way there costs a millisecond or two of a target of hundreds.
+	// way there costs a millisecond or two of a target of hundreds. Set in 9c9b9a3.
 	remoteWorth = 0.02
 	// starvingStay is how long even an item dropped for a starving one stays,
-	// so that the calls that waited for it are served.
+	// so that the calls that waited for it are served. Set in 9c9b9a3.
 	starvingStay = 4 * time.Second
 	// homeWorth is the worth of an item nobody asks for, in its home zone.
+	// First version (301115d), not measured.
 	homeWorth = 0.05
 	// unmetWorth is added for each second that calls have found it absent.
+	// First version (301115d), not measured.
 	unmetWorth = 0.5
 )
 
--- a/core/owned/state.go
+++ b/core/owned/state.go
@@ -17,7 +17,7 @@
 	// Not measured: twice the age that an answer may have, see reportLag.
 	askEvery = 250 * time.Millisecond
 	// reportLag is how old what an engine says of itself may be, by what the
-	// users' pages say of its reports ("some hundred ms").
+	// users' pages say of its reports ("some hundred ms"). Set in 7c7040a.
 	reportLag = 120 * time.Millisecond
 )
 
--- a/core/ownership/claim.go
+++ b/core/ownership/claim.go
@@ -27,7 +27,7 @@
 	// of an order at the fastest engines, below the gap between two owners.
 	sameOwnerGap = 400 * time.Millisecond
 	// turnMargin is added to the gap between the orders of two owners, for the
-	// way of an order and for clocks that run apart.
+	// way of an order and for clocks that run apart. Set in fd5c1f7.
 	turnMargin = 300 * time.Millisecond
 )
 
--- a/core/placement/budget.go
+++ b/core/placement/budget.go
@@ -10,9 +10,10 @@
 
 const (
 	// loadBurst is how many loads from the weight store may begin together.
+	// Set in 7c7040a.
 	loadBurst = 2.0
 	// loadShare is the share of the weight store's rate that is used, so that
-	// loads which begin late do not come to more than the whole.
+	// loads which begin late do not come to more than the whole. Set in 7c7040a.
 	loadShare = 0.9
 )
 
--- a/core/placement/changes.go
+++ b/core/placement/changes.go
@@ -23,35 +23,40 @@
 // Tunables of the placement.
 const (
 	// TargetWork is the work, in engine seconds a second, that one copy of a
-	// model should have at most.
+	// model should have at most. Set in 7c7040a.
 	TargetWork = 0.22
 	// margin is by how much a copy must be worth more than what makes way.
+	// Set in 7c7040a.
 	margin = 1.5
 	// storeWorth is the least worth of a copy that is loaded from the store.
+	// Set in 1db316e.
 	storeWorth = 0.12
 	// handWorth is the same for one whose weights the engine has at hand.
+	// Set in 1db316e.
 	handWorth = 0.04
 	// runsCost is the cost of dropping a copy of a model, for each call a
-	// second that it serves: its runs must end first.
+	// second that it serves: its runs must end first. Set in 7c7040a.
 	runsCost = 0.03
 	// absentWorth is the worth of the first copy of a model for each call a
-	// second that finds none.
+	// second that finds none. Set in 7c7040a.
 	absentWorth = 2.0
 	// restWorth is the worth of the first copy of a model nobody asks for now.
+	// Set in 7c7040a.
 	restWorth = 0.06
 	// spareWorth is the worth of a second copy of a model that has one: it
-	// stands in when the first is lost.
+	// stands in when the first is lost. Set in 7c7040a.
 	spareWorth = 0.01
 	// zoneBonus prefers an engine in a zone that has no copy of the model yet:
-	// a zone may be cut off from the others.
+	// a zone may be cut off from the others. Set in 4387df2.
 	zoneBonus = 0.05
 	// fullEngine is the work from which an engine is no place for more.
+	// Set in 7c7040a.
 	fullEngine = 0.75
 	// engineWorkWeight is what the work that an engine has already takes away
-	// from its score.
+	// from its score. Set in 7c7040a.
 	engineWorkWeight = 0.5
 	// lastAtHandCost keeps the last copy of a model whose weights no other
-	// engine has at hand.
+	// engine has at hand. Set in 7c7040a.
 	lastAtHandCost = 1
 )
 
--- a/core/placement/placer.go
+++ b/core/placement/placer.go
@@ -32,21 +32,23 @@
 
 const (
 	// placeEvery spaces placements, unless a call finds its model nowhere.
+	// Set in 7c7040a.
 	placeEvery = 200 * time.Millisecond
-	// placeGap is the least time between two placements even then.
+	// placeGap is the least time between two placements even then. Set in 0f952de.
 	placeGap = 40 * time.Millisecond
 	// changeTime is how long a change may take before it is given up. Not
 	// measured: the slowest load of the users' models takes 6.4 s.
 	changeTime = 10 * time.Second
 	// changeRepeat is the least time between two requests for one order.
+	// Set in 7c7040a.
 	changeRepeat = 400 * time.Millisecond
-	// minimumStay is the least age of a copy that makes way.
+	// minimumStay is the least age of a copy that makes way. Set in 7c7040a.
 	minimumStay = 3 * time.Second
 	// blindTime is how long a new placer learns the demand before it drops
-	// copies for models that nobody misses.
+	// copies for models that nobody misses. Set in 7c7040a.
 	blindTime = 3 * time.Second
 	// tellEvery is the least time between two words to the placer about models
-	// that calls miss.
+	// that calls miss. Set in 7c7040a.
 	tellEvery = 100 * time.Millisecond
 )
 
--- a/core/pool/announced.go
+++ b/core/pool/announced.go
@@ -90,7 +90,7 @@
 // is sound: when the list's store loses its leases in an outage.
 const vanishSpan = time.Second
 
-// forgetSpan is how long a replica without an entry is remembered.
+// forgetSpan is how long a replica without an entry is remembered. Set in 949b701.
 const forgetSpan = 30 * time.Second
 
 // Announce takes in an announcement. A replica's name is its incarnation: one
@@ -203,7 +203,7 @@
 }
 
 // staleWord is how much younger than its owner's word an announcement must be
-// to show that a model which the word has is not there any more.
+// to show that a model which the word has is not there any more. Set in fd5c1f7.
 const staleWord = 1500 * time.Millisecond
 
 // merge works out what an announced engine holds, from the word of the instance
--- a/core/route/forward.go
+++ b/core/route/forward.go
@@ -15,29 +15,33 @@
 // Tunables of the choice for forwarded calls.
 const (
 	// crossZone is the way to another zone and back; it also stands for the
-	// price of bytes that cross.
+	// price of bytes that cross. Set in 949b701.
 	crossZone = 4 * time.Millisecond
 	// perSequence is what one call that runs beside another adds to the time
-	// to its first event.
+	// to its first event. Set in 949b701.
 	perSequence = 300 * time.Microsecond
 	// defaultTokenTime is how long an engine is believed to read one prompt
 	// token of a model that was not measured yet.
 	defaultTokenTime = 25 * time.Microsecond
 	// headBonus is the share of its prompt's work that the engine which
 	// rendezvous hashing names for a prompt's first part is trusted to save.
+	// Set in 949b701.
 	headBonus = 0.1
 	// waitingTokens is what a prompt of which only its being there is known is
-	// believed to have left to read.
+	// believed to have left to read. Set in 396841e.
 	waitingTokens = 2500
 	// learnTokens is the least prompt from which the reading speed is learnt.
+	// Set in 949b701.
 	learnTokens = 400
 	// learnStep is the share by which one more measurement moves the estimate,
 	// learnQuantile the share of measurements that should lie below it.
+	// Set in 7c7040a.
 	learnStep     = 0.15
-	learnQuantile = 0.4
+	learnQuantile = 0.4 // set in 7c7040a
 	// firstOverhead is what a first event takes beside reading the prompt.
+	// Set in 949b701.
 	firstOverhead = 8 * time.Millisecond
-	// suspectCost is added for each failure in a row.
+	// suspectCost is added for each failure in a row. Set in 949b701.
 	suspectCost = 50 * time.Millisecond
 )
 
@@ -165,7 +169,7 @@
 	return all[:min(n, len(all))]
 }
 
-// bestStep is a difference between estimates that means nothing.
+// bestStep is a difference between estimates that means nothing. Set in 396841e.
 const bestStep = 20 * time.Millisecond
 
 // estimates returns the estimates of the candidates that may be sent the call.
@@ -275,13 +279,15 @@
 }
 
 // overdueSlack is how late a first event may be before that speaks against its
-// replica.
+// replica. Set in 4387df2.
 const overdueSlack = 150 * time.Millisecond
 
 // doubtedCost keeps calls from replicas at which a peer found nothing.
+// Set in 4387df2.
 const doubtedCost = 200 * time.Millisecond
 
 // vanishedCost keeps calls from replicas whose entries went, where others are.
+// Set in 949b701.
 const vanishedCost = 500 * time.Millisecond
 
 // plain estimates a plain replica: its own usual time, longer in proportion to
@@ -298,5 +304,5 @@
 }
 
 // maxPlainHold bounds what a plain replica's usual time counts for, so that one
-// that was slow once is tried again.
+// that was slow once is tried again. Set in 949b701.
 const maxPlainHold = 300 * time.Millisecond
--- a/core/watch/watch.go
+++ b/core/watch/watch.go
@@ -20,10 +20,10 @@
 
 const (
 	// storeSilence is how old the newest news of the store may be before an
-	// instance watches it whoever else should.
+	// instance watches it whoever else should. Set in 04d16fa.
 	storeSilence = 4 * time.Second
 	// BehindLimit is how long peers may be ahead of this instance with the
-	// configuration before it asks the store itself.
+	// configuration before it asks the store itself. Set in 396841e.
 	BehindLimit = 1200 * time.Millisecond
 )
 
--- a/internal/entry/body.go
+++ b/internal/entry/body.go
@@ -9,6 +9,7 @@
 
 // smallBody is the largest body that is kept, so that it can be sent again
 // after an attempt that certainly did not run. Larger ones are streamed.
+// Set in 2fb8517.
 const smallBody = 256 << 10
 
 // A Body is the body of a call: kept if it is small and
--- a/internal/entry/forward.go
+++ b/internal/entry/forward.go
@@ -25,6 +25,7 @@
 
 // smallAnswer is the largest answer that is read whole before any of it is
 // passed on, so that one that breaks off can still be asked for elsewhere.
+// Set in 949b701.
 const smallAnswer = 256 << 10
 
 // errSeries says that a series of events has a gap or goes back.
--- a/internal/own/modelapi/plain.go
+++ b/internal/own/modelapi/plain.go
@@ -156,7 +156,8 @@
 	panic(http.ErrAbortHandler)
 }
 
-const copyBuffer = 32 << 10
+// copyBuffer is how much of an answer is read at a time, in bytes.
+const copyBuffer = 32 << 10 // first version (301115d), not measured
 
 // copy passes the body on, each part as it comes.
 func (p *plainCall) copy(body io.Reader, watch *entry.Watchdog) (int, error) {
--- /dev/null
+++ b/internal/pages/constants_test.go
@@ -0,0 +1,133 @@
+package pages
+
+import (
+	"bytes"
+	"cmp"
+	"go/ast"
+	"go/parser"
+	"go/printer"
+	"go/token"
+	"os"
+	"path/filepath"
+	"regexp"
+	"slices"
+	"strings"
+	"testing"
+)
+
+// A constant is a numeric constant of the code: a timeout, limit, weight or
+// threshold.
+type constant struct {
+	pkg     string
+	name    string
+	value   string
+	meaning string
+}
+
+// origin finds, in a constant's comment, where its figure comes from.
+var origin = regexp.MustCompile(`[Nn]ot measured|[Ss]et in [0-9a-f]{7}|docs/`)
+
+// TestConstantsAreDocumented: each numeric constant says what it is and where its
+// figure comes from, and docs/design/constants.md lists them all.
+func TestConstantsAreDocumented(t *testing.T) {
+	all := constants(t)
+	if len(all) < 150 {
+		t.Fatalf("only %d constants were found", len(all))
+	}
+	for _, c := range all {
+		if !origin.MatchString(c.meaning) {
+			t.Errorf("%s.%s: its comment does not say where the figure comes from: %q", c.pkg, c.name, c.meaning)
+		}
+	}
+	var b strings.Builder
+	header(&b, "Constants", "package", "constant", "value", "what it is, and where its figure comes from")
+	for _, c := range all {
+		row(&b, c.pkg, "`"+c.name+"`", "`"+c.value+"`", c.meaning)
+	}
+	b.WriteString("\nA commit that is named set the figure; its body says what was measured. What operators\n" +
+		"may change is a setting ([settings.md](../settings.md)).\n")
+	path := filepath.Join(docs, "design", "constants.md")
+	if *update {
+		if err := os.WriteFile(path, []byte(b.String()), 0o644); err != nil {
+			t.Fatal(err)
+		}
+		return
+	}
+	data, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if string(data) != b.String() {
+		t.Error("docs/design/constants.md differs from the code; run make docs")
+	}
+}
+
+// constants returns the numeric constants of the product, by package and name.
+func constants(t *testing.T) []constant {
+	t.Helper()
+	var all []constant
+	for _, root := range []string{"core", "internal", "platform"} {
+		err := filepath.WalkDir(filepath.Join("../..", root), func(path string, d os.DirEntry, err error) error {
+			if err != nil || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") || strings.Contains(path, "peerpb") {
+				return err
+			}
+			fset := token.NewFileSet()
+			f, err := parser.ParseFile(fset, path, nil, parser.ParseComments)
+			if err != nil {
+				return err
+			}
+			rel, err := filepath.Rel("../..", filepath.Dir(path))
+			for _, decl := range f.Decls {
+				if g, ok := decl.(*ast.GenDecl); ok && g.Tok == token.CONST {
+					all = append(all, constantsOf(fset, filepath.ToSlash(rel), g)...)
+				}
+			}
+			return err
+		})
+		if err != nil {
+			t.Fatal(err)
+		}
+	}
+	slices.SortFunc(all, func(a, b constant) int {
+		return cmp.Or(cmp.Compare(a.pkg, b.pkg), cmp.Compare(a.name, b.name))
+	})
+	return all
+}
+
+// constantsOf returns the numeric constants of one declaration. Those with a type
+// of their own, such as enumerations, are none.
+func constantsOf(fset *token.FileSet, pkg string, g *ast.GenDecl) []constant {
+	var out []constant
+	for _, spec := range g.Specs {
+		v := spec.(*ast.ValueSpec)
+		if v.Type != nil || len(v.Values) != 1 || !numeric(v.Values[0]) {
+			continue
+		}
+		var value bytes.Buffer
+		if err := printer.Fprint(&value, fset, v.Values[0]); err != nil {
+			continue // it cannot fail into a buffer
+		}
+		parts := []string{v.Doc.Text(), v.Comment.Text()}
+		if v.Doc == nil {
+			parts = append([]string{g.Doc.Text()}, parts...)
+		}
+		meaning := strings.Join(strings.Fields(strings.Join(parts, " ")), " ")
+		out = append(out, constant{pkg: pkg, name: v.Names[0].Name, value: value.String(), meaning: meaning})
+	}
+	return out
+}
+
+// numeric reports whether an expression is a number and no enumeration.
+func numeric(e ast.Expr) bool {
+	number, iota := false, false
+	ast.Inspect(e, func(n ast.Node) bool {
+		if lit, ok := n.(*ast.BasicLit); ok && (lit.Kind == token.INT || lit.Kind == token.FLOAT) {
+			number = true
+		}
+		if id, ok := n.(*ast.Ident); ok && id.Name == "iota" {
+			iota = true
+		}
+		return true
+	})
+	return number && !iota
+}
--- a/internal/shell/actions.go
+++ b/internal/shell/actions.go
@@ -16,8 +16,8 @@
 
 // Time limits of single requests to peers.
 const (
-	exchangeTimeout = 800 * time.Millisecond
-	pullTimeout     = 3 * time.Second // of an exchange that brings a configuration
+	exchangeTimeout = 800 * time.Millisecond // set in 4387df2
+	pullTimeout     = 3 * time.Second        // of an exchange that brings a configuration; set in 396841e
 )
 
 // carryOut does what the machine asked for. Whatever can wait on the outside
@@ -105,7 +105,7 @@
 }
 
 // largeConfig is the size of an encoded configuration, in bytes, from which the
-// memory that its decoding leaves behind is worth a collection.
+// memory that its decoding leaves behind is worth a collection. Set in 949b701.
 const largeConfig = 128 << 10
 
 func (s *Shell) loadConfig(data []byte) (*config.Snapshot, error) {
