--- a/Makefile
+++ b/Makefile
@@ -32,4 +32,4 @@
 
 # Pages that are generated from the code: codes, events, settings, metrics.
 docs:
-	go test ./internal/pages -update
+	go test ./internal/pages -run "TestPagesAreCurrent|TestConstantsAreDocumented" -update
--- /dev/null
+++ b/core/calls/queue_test.go
@@ -0,0 +1,91 @@
+package calls
+
+import (
+	"math/rand/v2"
+	"testing"
+	"time"
+
+	"github.com/matryer/is"
+
+	"github.com/birchdrift/birchdrift/core/clock"
+	"github.com/birchdrift/birchdrift/core/clock/clocktest"
+	"github.com/birchdrift/birchdrift/core/option"
+	"github.com/birchdrift/birchdrift/core/pool"
+	"github.com/birchdrift/birchdrift/core/step"
+)
+
+// testTable is a table whose calls of kind k have them refused, and tried again,
+// by nobody.
+func testTable(maxWaiting int) (t *Table, k *Kind) {
+	opt := option.Default()
+	opt.MaxWaiting = maxWaiting
+	t = New()
+	t.Options = &opt
+	t.Rand = rand.New(rand.NewPCG(1, 1))
+	t.Out = &step.Output{}
+	t.Pool = pool.New()
+	k = &Kind{
+		Place:     func(clock.Instant, *Call) {},
+		NotRun:    func(*Call) {},
+		LeftQueue: func(*Call) {},
+	}
+	return t, k
+}
+
+func (t *Table) add(k *Kind, id ID, priority int, arrived clock.Instant, target time.Duration) *Call {
+	c := &Call{Request: Request{ID: id}, Kind: k, Priority: priority, Arrived: arrived, Target: target, Phase: Waiting}
+	t.Add(c)
+	t.Wait(c)
+	return c
+}
+
+// TestWaitingCallsAreTriedInOrder: by priority, then those still in time, the
+// newest of them first, then the oldest of the late ones.
+func TestWaitingCallsAreTriedInOrder(t *testing.T) {
+	is := is.New(t)
+	now := clocktest.At(time.Hour)
+	table, k := testTable(10)
+	ago := func(d time.Duration) clock.Instant { return now.Add(-d) }
+	table.add(k, 1, 50, ago(900*time.Millisecond), time.Second)
+	table.add(k, 2, 50, ago(100*time.Millisecond), time.Second)
+	table.add(k, 3, 50, ago(3*time.Second), time.Second)
+	table.add(k, 4, 50, ago(2*time.Second), time.Second)
+	table.add(k, 5, 80, ago(9*time.Second), time.Second)
+	table.add(k, 6, 20, ago(0), time.Second)
+	var order []ID
+	for _, c := range table.inOrder(now) {
+		order = append(order, c.ID)
+	}
+	is.Equal(order, []ID{5, 2, 1, 3, 4, 6})
+}
+
+// TestAFullQueueRefusesTheLeastImportant, which may be the call that comes.
+func TestAFullQueueRefusesTheLeastImportant(t *testing.T) {
+	cases := []struct {
+		name     string
+		priority int
+		refused  ID
+	}{
+		{"a more important call displaces", 60, 2},
+		{"an equal one is refused", 20, 3},
+		{"a lesser one is refused", 10, 3},
+	}
+	for _, c := range cases {
+		t.Run(c.name, func(t *testing.T) {
+			is := is.New(t)
+			now := clocktest.At(time.Hour)
+			table, k := testTable(2)
+			table.add(k, 1, 50, now, time.Second)
+			table.add(k, 2, 20, now, time.Second)
+			table.add(k, 3, c.priority, now, time.Second)
+			is.Equal(table.Waiting(), 2)
+			var refused []ID
+			for _, a := range table.Out.Actions() {
+				if f, ok := a.(Finish); ok {
+					refused = append(refused, f.ID)
+				}
+			}
+			is.Equal(refused, []ID{c.refused})
+		})
+	}
+}
--- /dev/null
+++ b/core/exchange/pull_test.go
@@ -0,0 +1,56 @@
+package exchange
+
+import (
+	"testing"
+	"time"
+
+	"github.com/matryer/is"
+
+	"github.com/birchdrift/birchdrift/core/clock/clocktest"
+	"github.com/birchdrift/birchdrift/core/config"
+	"github.com/birchdrift/birchdrift/core/member"
+)
+
+// TestWhoIsAskedForAConfiguration: a peer of the own zone before others, then the
+// one with the newest revision; one that does not answer or is being asked is
+// passed over.
+func TestWhoIsAskedForAConfiguration(t *testing.T) {
+	type peer struct {
+		name, zone string
+		revision   uint64
+		failing    bool
+		flying     bool
+	}
+	cases := []struct {
+		name  string
+		peers []peer
+		want  string
+	}{
+		{"nobody is ahead", []peer{{"a", "z", 0, false, false}}, ""},
+		{"the newest", []peer{{"a", "z", 4, false, false}, {"b", "z", 5, false, false}}, "b"},
+		{"the own zone first", []peer{{"a", "y", 5, false, false}, {"b", "z", 4, false, false}}, "b"},
+		{"one that fails is passed over", []peer{{"a", "z", 5, true, false}, {"b", "y", 4, false, false}}, "b"},
+		{"one that is being asked is passed over", []peer{{"a", "z", 5, false, true}, {"b", "y", 4, false, false}}, "b"},
+	}
+	for _, c := range cases {
+		t.Run(c.name, func(t *testing.T) {
+			is := is.New(t)
+			now := clocktest.At(time.Hour)
+			self := member.Identity{Name: "self", Zone: "z"}
+			x := New(Needs{Self: self, Members: member.New(self.Name, self.Zone), Config: &config.Current{}})
+			for _, p := range c.peers {
+				x.Members.Learn(p.name, p.zone, p.name)
+				x.peers[p.name] = peerState{revision: p.revision}
+				x.flying[p.name] = p.flying
+				if p.failing {
+					x.Members.Failed(now, p.name)
+				}
+			}
+			got := ""
+			if p := x.furthestAhead(); p != nil {
+				got = p.Name
+			}
+			is.Equal(got, c.want)
+		})
+	}
+}
--- /dev/null
+++ b/core/forwarding/forwarding_test.go
@@ -0,0 +1,210 @@
+package forwarding
+
+import (
+	"math/rand/v2"
+	"testing"
+	"time"
+
+	"github.com/matryer/is"
+
+	"github.com/birchdrift/birchdrift/core/attempt"
+	"github.com/birchdrift/birchdrift/core/calls"
+	"github.com/birchdrift/birchdrift/core/clock"
+	"github.com/birchdrift/birchdrift/core/clock/clocktest"
+	"github.com/birchdrift/birchdrift/core/code"
+	"github.com/birchdrift/birchdrift/core/config"
+	"github.com/birchdrift/birchdrift/core/demand"
+	"github.com/birchdrift/birchdrift/core/member"
+	"github.com/birchdrift/birchdrift/core/option"
+	"github.com/birchdrift/birchdrift/core/pool"
+	"github.com/birchdrift/birchdrift/core/retrybudget"
+	"github.com/birchdrift/birchdrift/core/step"
+)
+
+var start = clocktest.At(time.Hour)
+
+// testForwarder serves one engine pool that has model m configured, and no engine.
+func testForwarder(t *testing.T) *Forwarder {
+	t.Helper()
+	opt := option.Default()
+	out := &step.Output{}
+	members := member.New("self", "z")
+	table := calls.New()
+	table.Options = &opt
+	table.Rand = rand.New(rand.NewPCG(1, 1))
+	table.Out = out
+	table.Pool = pool.New()
+	return New(Needs{
+		Self: member.Identity{Name: "self", Zone: "z"}, Options: &opt, Rand: table.Rand, Out: out, Members: members,
+		Pool: table.Pool, Config: &config.Current{}, Calls: table,
+		Budget: &retrybudget.Budget{Options: &opt, Members: members}, Flow: demand.NewFlow(),
+		Missed: func(clock.Instant) {},
+	})
+}
+
+// testCall is a call in progress whose route allows two attempts.
+func (f *Forwarder) testCall(kind config.Kind, resumable bool) (*calls.Call, *state) {
+	engines := &config.EnginePool{Models: []config.PooledModel{{Name: "m", MemoryMB: 70, Load: 4 * time.Second, LoadDisk: 800 * time.Millisecond}}}
+	s := &state{
+		rule:    &config.Forward{Kind: kind, Resumable: resumable, MaxAttempts: 2},
+		service: config.Service{Name: "s", Announced: &config.Announced{Engine: engines}},
+	}
+	c := &calls.Call{
+		Request: calls.Request{ID: 1, Service: "s", Forward: &calls.Forwarded{Name: "call"}},
+		Kind:    &f.kind, State: s, Phase: calls.Running, Arrived: start, Target: time.Second, Expires: start.Add(5 * time.Second),
+		History: attempt.New(s.rule.MayRepeat()),
+	}
+	f.Calls.Add(c)
+	return c, s
+}
+
+// TestMayRepeat tables when a call whose attempt failed may go to another replica.
+func TestMayRepeat(t *testing.T) {
+	cases := []struct {
+		name      string
+		kind      config.Kind
+		resumable bool
+		broke     calls.Broke
+		prepare   func(c *calls.Call, s *state)
+		want      bool
+	}{
+		{"harmless to repeat", config.Repeatable, false, calls.Broke{Phase: attempt.MaybeSent}, nil, true},
+		{"once, and it may have run", config.Once, false, calls.Broke{Phase: attempt.MaybeSent}, nil, false},
+		{"once, and it never left", config.Once, false, calls.Broke{Phase: attempt.NotSent}, nil, true},
+		{"once, and the replica did not run it", config.Once, false, calls.Broke{Phase: attempt.Refused}, nil, true},
+		{"its body is gone", config.Repeatable, false, calls.Broke{Phase: attempt.MaybeSent, Spent: true}, nil, false},
+		{"all attempts are used", config.Repeatable, false, calls.Broke{Phase: attempt.MaybeSent},
+			func(_ *calls.Call, s *state) { s.progress.ran = 1 }, false},
+		{"refused too often", config.Repeatable, false, calls.Broke{Phase: attempt.Refused},
+			func(_ *calls.Call, s *state) { s.progress.refusals = maxRefusals - 1 }, false},
+		{"nothing answered too often", config.Repeatable, false, calls.Broke{Phase: attempt.NotSent},
+			func(_ *calls.Call, s *state) { s.progress.unsent = maxUnsent - 1 }, false},
+		{"no time is left", config.Repeatable, false, calls.Broke{Phase: attempt.MaybeSent},
+			func(c *calls.Call, _ *state) { c.Expires = start.Add(leastLeft) }, false},
+		{"a stream that began and can be resumed", config.Stream, true, calls.Broke{Phase: attempt.Answered, Delivered: 3}, nil, true},
+		{"a stream that began and cannot", config.Stream, false, calls.Broke{Phase: attempt.Answered, Delivered: 3}, nil, false},
+	}
+	for _, c := range cases {
+		t.Run(c.name, func(t *testing.T) {
+			is := is.New(t)
+			f := testForwarder(t)
+			call, s := f.testCall(c.kind, c.resumable)
+			if c.prepare != nil {
+				c.prepare(call, s)
+			}
+			call.History = call.History.WithAttempt().WithBroken(c.broke.Phase)
+			s.progress.add("r", c.broke)
+			is.Equal(f.mayRepeat(start, call, c.broke), c.want)
+		})
+	}
+}
+
+// TestRepeatsStopAtTheBudget: a repeat that the fleet's budget does not allow is
+// not made.
+func TestRepeatsStopAtTheBudget(t *testing.T) {
+	is := is.New(t)
+	f := testForwarder(t)
+	call, _ := f.testCall(config.Repeatable, false)
+	for f.Budget.Spend(start, "s") {
+	}
+	is.True(!f.mayRepeat(start, call, calls.Broke{Phase: attempt.MaybeSent}))
+	is.True(f.mayRepeat(start, call, calls.Broke{Phase: attempt.NotSent})) // it arrived nowhere
+}
+
+// finished returns the refusals, by call, and which calls' own answers were passed
+// on.
+func finished(out *step.Output) (refused map[calls.ID]code.Refusal, relayed []calls.ID) {
+	refused = map[calls.ID]code.Refusal{}
+	for _, a := range out.Actions() {
+		switch act := a.(type) {
+		case calls.Finish:
+			refused[act.ID] = act.Refusal
+		case calls.Relay:
+			relayed = append(relayed, act.ID)
+		}
+	}
+	return refused, relayed
+}
+
+// TestFinalAnswers tables which answer a call gets whose attempts are over: one
+// that promises that it did not run only where that is certain.
+func TestFinalAnswers(t *testing.T) {
+	cases := []struct {
+		name     string
+		progress progress
+		phase    attempt.Phase
+		relayed  bool
+		code     code.Code
+		run      code.Run
+	}{
+		{"the replica's own answer is at hand", progress{relayable: true}, attempt.Answered, true, 0, ""},
+		{"a stream that began", progress{opened: true}, attempt.Answered, false, code.StreamCut, code.Ran},
+		{"nothing ran", progress{}, attempt.Refused, false, code.NoCapacity, code.NotRun},
+		{"it may have run", progress{}, attempt.MaybeSent, false, code.UpstreamBroke, code.Unknown},
+	}
+	for _, c := range cases {
+		t.Run(c.name, func(t *testing.T) {
+			is := is.New(t)
+			f := testForwarder(t)
+			call, s := f.testCall(config.Stream, false)
+			call.History = call.History.WithAttempt().WithBroken(c.phase)
+			s.progress = c.progress
+			f.end(call, s, 0, "detail")
+			refused, relayed := finished(f.Out)
+			is.Equal(len(relayed) == 1, c.relayed)
+			is.Equal(refused[1].Code, c.code)
+			is.Equal(refused[1].Run, c.run)
+			is.Equal(f.Calls.Len(), 0)
+		})
+	}
+}
+
+// TestCallsThatFindNoReplica tables what becomes of a call that no replica can
+// serve: it waits where what it needs can be there in time, or is refused with
+// when to come back.
+func TestCallsThatFindNoReplica(t *testing.T) {
+	cases := []struct {
+		name    string
+		target  target
+		item    string
+		prepare func(f *Forwarder, c *calls.Call, s *state)
+		waits   bool
+		code    code.Code
+		retry   time.Duration
+	}{
+		{"a plain service", target{}, "", nil, false, code.NoReplica, leastRetryAfter},
+		{"its replicas refused it", target{model: "m"}, "m",
+			func(_ *Forwarder, _ *calls.Call, s *state) { s.progress.refusals = 1 }, false, code.NoCapacity, leastRetryAfter},
+		{"a model that loads too slowly", target{model: "m"}, "m", nil, false, code.NotResident, 1250 * time.Millisecond},
+		{"a model that an engine has on its disk", target{model: "m"}, "m",
+			func(f *Forwarder, c *calls.Call, _ *state) {
+				c.Target = 2 * time.Second
+				f.Pool.Announce(start, "e", pool.Announcement{Service: "s", Address: "e", Engine: true, OnDisk: []string{"m"}})
+			}, true, 0, 0},
+		{"an adapter whose model is served", target{model: "m", adapter: "a"}, "m/a", func(f *Forwarder, _ *calls.Call, _ *state) {
+			f.Pool.Announce(start, "e", pool.Announcement{Service: "s", Address: "e", Engine: true, Models: []pool.AnnouncedModel{{Name: "m"}}})
+		}, true, 0, 0},
+		{"the same, out of patience", target{model: "m", adapter: "a"}, "m/a", func(f *Forwarder, c *calls.Call, _ *state) {
+			c.Arrived = start.Add(-c.Target / 2)
+			f.Pool.Announce(start, "e", pool.Announcement{Service: "s", Address: "e", Engine: true, Models: []pool.AnnouncedModel{{Name: "m"}}})
+		}, false, code.NotResident, calls.LeastRetryAfter},
+	}
+	for _, c := range cases {
+		t.Run(c.name, func(t *testing.T) {
+			is := is.New(t)
+			f := testForwarder(t)
+			call, s := f.testCall(config.Stream, false)
+			call.Phase = calls.Waiting
+			call.Item = c.item
+			s.target = c.target
+			if c.prepare != nil {
+				c.prepare(f, call, s)
+			}
+			f.noReplica(start, call)
+			refused, _ := finished(f.Out)
+			is.Equal(f.Calls.Waiting() == 1, c.waits)
+			is.Equal(refused[1].Code, c.code)
+			is.Equal(refused[1].RetryAfter, c.retry)
+		})
+	}
+}
--- a/core/orders/orders.go
+++ b/core/orders/orders.go
@@ -162,7 +162,7 @@
 }
 
 // unloadTime is how long an adapter that calls still use is given before the
-// engine is asked whether it is gone; it does not announce that.
+// engine is asked whether it is gone; it does not announce that. Set in fd5c1f7.
 const unloadTime = time.Second
 
 // Used notes that a call used an item.
--- a/core/orders/orders_test.go
+++ b/core/orders/orders_test.go
@@ -148,3 +148,36 @@
 	e.Announced([]pool.AnnouncedModel{{Name: "a"}, {Name: "b"}, {Name: "z"}})
 	is.True(e.Doubtful())
 }
+
+// TestAdaptersMakeWay: the adapter that was used least lately goes, if it was not
+// used for a while and is not on its way.
+func TestAdaptersMakeWay(t *testing.T) {
+	const idle = 400 * time.Millisecond
+	cases := []struct {
+		name string
+		used map[string]time.Duration // ago, by adapter of model a
+		want string
+	}{
+		{"the least lately used", map[string]time.Duration{"x": time.Second, "y": 2 * time.Second}, "y"},
+		{"one was used just now", map[string]time.Duration{"x": time.Second, "y": 0}, "x"},
+		{"all were used just now", map[string]time.Duration{"x": 0, "y": idle - 1}, ""},
+		{"there is none", nil, ""},
+	}
+	for _, c := range cases {
+		t.Run(c.name, func(t *testing.T) {
+			is := is.New(t)
+			e := New("e", "10.0.0.1:80", 7, start, Limits{MemoryMB: 3 * modelMB, AdapterSlots: 2}, sizes)
+			model := pool.AnnouncedModel{Name: "a"}
+			for name := range c.used {
+				model.Adapters = append(model.Adapters, name)
+			}
+			e.Observe(start.Add(-time.Hour), State{Models: []pool.AnnouncedModel{model}})
+			for name, ago := range c.used {
+				e.Used(start.Add(-ago), pool.AdapterItem("a", name))
+			}
+			got, ok := e.IdleAdapter(start, idle)
+			is.Equal(ok, c.want != "")
+			is.Equal(got.Adapter, c.want)
+		})
+	}
+}
--- a/core/ownership/ownership_test.go
+++ b/core/ownership/ownership_test.go
@@ -79,3 +79,79 @@
 	g.placer.held = true
 	is.Equal(g.keepEvery(), g.Options.KeepEvery)
 }
+
+// TestOwnersFallSilent: an owner may order only while both its last renewal and
+// the last watch that it heard the records through are recent, by both clocks.
+func TestOwnersFallSilent(t *testing.T) {
+	valid := option.Default().OrderValid
+	cases := []struct {
+		name         string
+		kept, heard  time.Duration // ago; negative: never
+		stopping     bool
+		wallClockAdd time.Duration // that the wall clock went ahead of the other
+		want         bool
+	}{
+		{"both recent", time.Second, time.Second, false, 0, true},
+		{"never renewed", -1, time.Second, false, 0, false},
+		{"never heard", time.Second, -1, false, 0, false},
+		{"renewed too long ago", valid, 0, false, 0, false},
+		{"heard too long ago", 0, valid, false, 0, false},
+		{"just in time", valid - 1, valid - 1, false, 0, true},
+		{"stopping", 0, 0, true, 0, false},
+		{"suspended meanwhile", time.Second, time.Second, false, valid, false},
+	}
+	for _, c := range cases {
+		t.Run(c.name, func(t *testing.T) {
+			is := is.New(t)
+			now := clocktest.At(time.Hour)
+			g := testRegistry(now)
+			g.Stopping = func() bool { return c.stopping }
+			if c.kept >= 0 {
+				g.enrolment.keptAt = now.Add(-c.kept)
+			}
+			if c.heard >= 0 {
+				g.WatchAnswered(now.Add(-c.heard))
+			}
+			now.Wall = now.Wall.Add(c.wallClockAdd)
+			is.Equal(g.MayOrder(now), c.want)
+		})
+	}
+}
+
+// TestWhenAnEngineIsFree tables since when nobody is to be expected to order an
+// engine.
+func TestWhenAnEngineIsFree(t *testing.T) {
+	now := clocktest.At(time.Hour)
+	long := now.Add(-time.Minute)
+	absent := option.Default().AbsentFor
+	cases := []struct {
+		name    string
+		prepare func(g *Registry)
+		old     registry.Ownership
+		owned   bool
+		free    bool
+		since   clock.Instant
+	}{
+		{"the store has not answered for long enough to tell", func(g *Registry) { g.steadyAt = clock.Instant{} }, registry.Ownership{}, false, false, clock.Instant{}},
+		{"nobody ever owned it", nil, registry.Ownership{}, false, true, now},
+		{"given back", func(g *Registry) { g.learnt["e"] = now.Add(-time.Second) }, registry.Ownership{}, true, true, now.Add(-time.Second)},
+		{"its owner is there", func(g *Registry) { g.instances["a"] = registry.Instance{Name: "a"} }, registry.Ownership{Owner: "a"}, true, false, clock.Instant{}},
+		{"its owner's record was never seen", nil, registry.Ownership{Owner: "a"}, true, false, clock.Instant{}},
+		{"its owner's record went", func(g *Registry) { g.absent["a"] = now.Add(-2 * time.Second) }, registry.Ownership{Owner: "a"}, true, true, now.Add(-2 * time.Second).Add(absent)},
+	}
+	for _, c := range cases {
+		t.Run(c.name, func(t *testing.T) {
+			is := is.New(t)
+			g := testRegistry(now)
+			g.steadyAt = long
+			if c.prepare != nil {
+				c.prepare(g)
+			}
+			since, free := g.freeSince(now, g.Pool.Get("e"), c.old, c.owned)
+			is.Equal(free, c.free)
+			if free {
+				is.Equal(since, c.since)
+			}
+		})
+	}
+}
--- a/core/pool/announced.go
+++ b/core/pool/announced.go
@@ -85,10 +85,11 @@
 	return items
 }
 
-// vanishSpan is how long a replica is still used, where nothing better is
+// VanishSpan is how long a replica is still used, where nothing better is
 // there, after its entry went from the list. Entries also go while the replica
 // is sound: when the list's store loses its leases in an outage.
-const vanishSpan = time.Second
+// Set in 949b701.
+const VanishSpan = time.Second
 
 // forgetSpan is how long a replica without an entry is remembered. Set in 949b701.
 const forgetSpan = 30 * time.Second
@@ -172,9 +173,6 @@
 	return left
 }
 
-// VanishSpan is the usual span of Expire.
-const VanishSpan = vanishSpan
-
 // Vanished reports whether the list no longer has the replica.
 func (r *Replica) Vanished() bool { return !r.vanishedAt.IsZero() }
 
--- a/core/pool/replica.go
+++ b/core/pool/replica.go
@@ -42,7 +42,8 @@
 	holdAlpha = 0.1 // first version (301115d), not measured
 	// defaultFirst is the time to a first token before any was measured.
 	defaultFirst = 50 * time.Millisecond // first version (301115d), not measured
-	defaultHold  = time.Second
+	// defaultHold is how long a call is believed to occupy a replica.
+	defaultHold = time.Second // first version (301115d), not measured
 	// defaultPlainHold is the same for an announced plain replica. Set in 949b701.
 	defaultPlainHold = 30 * time.Millisecond
 	// firstHalfLife is after which half of a slow average is forgotten.
--- /dev/null
+++ b/core/pool/replica_test.go
@@ -0,0 +1,65 @@
+package pool
+
+import (
+	"testing"
+	"time"
+
+	"github.com/matryer/is"
+
+	"github.com/birchdrift/birchdrift/core/clock/clocktest"
+)
+
+// TestReplicasAreEjected: failures in a row eject a replica, for longer each
+// time; an answer in between, or a refusal, does not count as one of them.
+func TestReplicasAreEjected(t *testing.T) {
+	is := is.New(t)
+	now := clocktest.At(time.Hour)
+	p := New()
+	p.Announce(now, "r", Announcement{Service: "s", Address: "r", Zone: "z", Slots: 4})
+	r := p.Get("r")
+	id := uint64(0)
+	failed := func(n int) {
+		for range n {
+			id++
+			r.Start(now, id)
+			p.Failed(now, r, id, now)
+		}
+	}
+	failed(ejectAfter - 1)
+	is.True(!r.Ejected(now))
+	id++
+	r.Start(now, id)
+	r.Forget(id) // says nothing of the replica
+	is.Equal(r.Failures(), ejectAfter-1)
+	touched := p.Touched()
+	failed(1)
+	is.True(r.Ejected(now))
+	is.True(p.Touched() > touched) // calls that wait look again
+	now = now.Add(ejectBase)
+	is.True(!r.Ejected(now))
+	failed(ejectAfter)
+	is.True(r.Ejected(now.Add(2*ejectBase - 1)))
+	is.True(!r.Ejected(now.Add(2 * ejectBase)))
+}
+
+// TestEntriesThatWent: a replica whose entry went is used for a moment more, then
+// counts as leaving, and is forgotten once no call runs there.
+func TestEntriesThatWent(t *testing.T) {
+	is := is.New(t)
+	now := clocktest.At(time.Hour)
+	p := New()
+	p.Announce(now, "r", Announcement{Service: "s", Address: "r", Zone: "z", Slots: 4})
+	r := p.Get("r")
+	r.Start(now, 1)
+	p.Vanish(now, "r")
+	is.True(r.Vanished())
+	is.Equal(p.Expire(now.Add(VanishSpan-1), VanishSpan), nil)
+	is.True(r.Usable())
+	is.Equal(p.Expire(now.Add(VanishSpan), VanishSpan), []string{"r"})
+	is.True(r.Leaving())
+	is.Equal(p.Expire(now.Add(forgetSpan), VanishSpan), nil)
+	is.True(p.Get("r") != nil) // a call runs there
+	r.Forget(1)
+	p.Expire(now.Add(forgetSpan), VanishSpan)
+	is.True(p.Get("r") == nil)
+}
--- a/core/route/forward.go
+++ b/core/route/forward.go
@@ -290,6 +290,10 @@
 // Set in 949b701.
 const vanishedCost = 500 * time.Millisecond
 
+// fullSlowdown is by which part of its usual time a plain replica is slower when
+// it is full: a quarter. Set in 949b701.
+const fullSlowdown = 4
+
 // plain estimates a plain replica: its own usual time, longer in proportion to
 // the calls beyond its slots.
 func (e *ForwardEstimate) plain(r *pool.Replica, load pool.Use) {
@@ -299,8 +303,8 @@
 	if load.Calls >= slots {
 		e.Ahead = time.Duration(load.Calls-slots+1) * hold / time.Duration(slots)
 	}
-	// Replicas slow down when they are nearly full.
-	e.Other += time.Duration(load.Calls) * hold / time.Duration(4*slots)
+	// Replicas slow down as they fill.
+	e.Other += time.Duration(load.Calls) * hold / time.Duration(fullSlowdown*slots)
 }
 
 // maxPlainHold bounds what a plain replica's usual time counts for, so that one
--- /dev/null
+++ b/core/route/forward_test.go
@@ -0,0 +1,123 @@
+package route
+
+import (
+	"testing"
+	"time"
+
+	"github.com/matryer/is"
+
+	"github.com/birchdrift/birchdrift/core/clock"
+	"github.com/birchdrift/birchdrift/core/clock/clocktest"
+	"github.com/birchdrift/birchdrift/core/pool"
+)
+
+var start = clocktest.At(time.Hour)
+
+// replicas returns two replicas of one service, a in zone z and b in zone y, with
+// slots calls at once each.
+func replicas(engine bool, slots int) (p *pool.Pool, a, b *pool.Replica) {
+	p = pool.New()
+	for name, zone := range map[string]string{"a": "z", "b": "y"} {
+		p.Announce(start, name, pool.Announcement{Service: "s", Address: name, Zone: zone, Slots: slots, Engine: engine})
+	}
+	return p, p.Get("a"), p.Get("b")
+}
+
+// fail has calls fail at a replica so often that it is ejected.
+func fail(now clock.Instant, r *pool.Replica) {
+	for id := uint64(100); !r.Ejected(now); id++ {
+		r.Start(now, id)
+		r.End(now, id, now, true)
+	}
+}
+
+// TestChoose tables what makes a replica the better one for a call. Without a
+// reason the one of the own zone, a, is.
+func TestChoose(t *testing.T) {
+	// Rendezvous hashing names a for the first part, so nothing speaks for b.
+	weight := Weight{Model: "m", MB: 70}
+	chain := NewChain("m", []Part{{ID: 3, Tokens: 2000}, {ID: 2, Tokens: 1000}})
+	cases := []struct {
+		name    string
+		engine  bool
+		prepare func(f *Forwards, p *pool.Pool, a, b *pool.Replica, q *ForwardQuery)
+		want    string // "" for none
+	}{
+		{"the own zone", true, nil, "a"},
+		{"the other keeps the prompt", true, func(f *Forwards, _ *pool.Pool, _, b *pool.Replica, _ *ForwardQuery) {
+			f.Sent("b", chain, 100_000)
+		}, "b"},
+		{"the own zone's is reading a prompt", true, func(_ *Forwards, _ *pool.Pool, a, _ *pool.Replica, _ *ForwardQuery) {
+			a.StartPrefill(start, 1, 300*time.Millisecond, 400*time.Millisecond)
+		}, "b"},
+		{"the own zone's failed the call", true, func(_ *Forwards, _ *pool.Pool, _, _ *pool.Replica, q *ForwardQuery) {
+			q.Tried = []string{"a"}
+		}, "b"},
+		{"both failed the call", true, func(_ *Forwards, _ *pool.Pool, _, _ *pool.Replica, q *ForwardQuery) {
+			q.Tried = []string{"a", "b"}
+		}, ""},
+		{"nothing answers at the own zone's", true, func(_ *Forwards, _ *pool.Pool, a, _ *pool.Replica, _ *ForwardQuery) {
+			a.SetDown(start)
+		}, "b"},
+		{"the own zone's is ejected", true, func(_ *Forwards, _ *pool.Pool, a, _ *pool.Replica, _ *ForwardQuery) {
+			fail(start, a)
+		}, "b"},
+		{"all are ejected, so none is passed over", true, func(_ *Forwards, _ *pool.Pool, a, b *pool.Replica, _ *ForwardQuery) {
+			fail(start, a)
+			fail(start, b)
+		}, "a"},
+		{"the own zone's entry went", true, func(_ *Forwards, p *pool.Pool, _, _ *pool.Replica, _ *ForwardQuery) {
+			p.Vanish(start, "a")
+		}, "b"},
+		{"the own zone's must load the item first", true, func(_ *Forwards, _ *pool.Pool, _, _ *pool.Replica, q *ForwardQuery) {
+			q.Extra = func(r *pool.Replica) (time.Duration, bool) {
+				if r.Name == "a" {
+					return 50 * time.Millisecond, true
+				}
+				return 0, true
+			}
+		}, "b"},
+		{"the own zone's cannot load the item", true, func(_ *Forwards, _ *pool.Pool, _, _ *pool.Replica, q *ForwardQuery) {
+			q.Extra = func(r *pool.Replica) (time.Duration, bool) { return 0, r.Name != "a" }
+		}, "b"},
+		{"a plain replica that is full", false, func(_ *Forwards, _ *pool.Pool, a, _ *pool.Replica, q *ForwardQuery) {
+			q.Model = Weight{}
+			for id := range uint64(4) {
+				a.Start(start, id)
+			}
+		}, "b"},
+	}
+	for _, c := range cases {
+		t.Run(c.name, func(t *testing.T) {
+			is := is.New(t)
+			p, a, b := replicas(c.engine, 4)
+			f := NewForwards()
+			q := ForwardQuery{Zone: "z", Model: weight, Tokens: 3000, Chain: chain}
+			if c.prepare != nil {
+				c.prepare(f, p, a, b, &q)
+			}
+			best, ok := f.Choose(start, q, p.Serving("s"))
+			is.Equal(ok, c.want != "")
+			if ok {
+				is.Equal(best.Replica.Name, c.want)
+			}
+		})
+	}
+}
+
+// TestReadingSpeedIsLearnt: a measured model is estimated by its own speed, one of
+// the same size by that of others, and short prompts teach nothing.
+func TestReadingSpeedIsLearnt(t *testing.T) {
+	is := is.New(t)
+	f := NewForwards()
+	known, same, other := Weight{"m", 70}, Weight{"n", 70}, Weight{"o", 80}
+	f.Learn(known, learnTokens-1, time.Second)
+	is.Equal(f.TokenTime(known), defaultTokenTime)
+	for range 50 {
+		f.Learn(known, 1000, firstOverhead+50*time.Millisecond)
+	}
+	is.True(f.TokenTime(known) > 45*time.Microsecond)
+	is.True(f.TokenTime(known) < 55*time.Microsecond)
+	is.Equal(f.TokenTime(same), f.TokenTime(known))
+	is.Equal(f.TokenTime(other), defaultTokenTime)
+}
--- a/internal/pages/constants_test.go
+++ b/internal/pages/constants_test.go
@@ -124,6 +124,9 @@
 		if lit, ok := n.(*ast.BasicLit); ok && (lit.Kind == token.INT || lit.Kind == token.FLOAT) {
 			number = true
 		}
+		if sel, ok := n.(*ast.SelectorExpr); ok && sel.Sel.Name == "Second" || ok && sel.Sel.Name == "Minute" {
+			number = true
+		}
 		if id, ok := n.(*ast.Ident); ok && id.Name == "iota" {
 			iota = true
 		}
--- a/internal/shell/actions.go
+++ b/internal/shell/actions.go
@@ -139,6 +139,7 @@
 }
 
 // askTime bounds how long the owner of an engine is waited for.
+// Set in fd5c1f7.
 const askTime = time.Second
 
 func (s *Shell) askOrder(ctx context.Context, a instance.AskOrder) {
