--- a/core/asks/asks.go
+++ b/core/asks/asks.go
@@ -152,7 +152,7 @@
 	}
 	delete(a.waiting, key)
 	if o == owned.Done && key.Request.Load {
-		a.Pool.Hold(key.Engine, key.Request.Item())
+		a.Pool.MarkReady(key.Engine, key.Request.Item())
 	}
 	if o == owned.Refused || o == owned.Failed {
 		a.refused[key] = now
--- a/core/calls/call.go
+++ b/core/calls/call.go
@@ -87,12 +87,12 @@
 
 // A Kind is what differs between kinds of call.
 type Kind struct {
-	// Place sends the call to the best replica, has it wait, or refuses it.
-	Place func(now clock.Instant, c *Call)
-	// First takes in that the first piece of the answer came.
-	First func(now clock.Instant, c *Call)
-	// Broke decides what follows an attempt that failed.
-	Broke func(now clock.Instant, c *Call, b Broke)
+	// FindReplica sends the call to the best replica, has it wait, or refuses it.
+	FindReplica func(now clock.Instant, c *Call)
+	// AnswerBegan takes in that the first piece of the answer came.
+	AnswerBegan func(now clock.Instant, c *Call)
+	// AttemptFailed decides what follows an attempt that failed.
+	AttemptFailed func(now clock.Instant, c *Call, b AttemptFailed)
 	// Served takes in that the answer is whole.
 	Served func(now clock.Instant, c *Call)
 	// Cancel has a replica drop what it does for the call.
--- a/core/calls/event.go
+++ b/core/calls/event.go
@@ -9,35 +9,35 @@
 
 // The events of calls.
 type (
-	// Arrive begins a call.
-	Arrive struct{ Call Request }
-	// First says that the first piece of the answer came.
-	First struct{ ID ID }
-	// Done says that the answer's explicit end was delivered.
-	Done struct{ ID ID }
-	// Broke says that an attempt ended otherwise.
-	Broke struct {
-		ID        ID
-		Attempt   int
-		Phase     attempt.Phase
-		Delivered int  // pieces or bytes that reached the caller
-		Resumable bool // the replica may still hold the sequence
-		Stalled   bool // the replica fell silent
-		Spent     bool // the call's body cannot be sent again
-		Leaving   bool // the replica said that it is leaving
-		Status    int  // the replica's HTTP status, 0 if none came
+	// Arrived begins a call.
+	Arrived struct{ Call Request }
+	// AnswerBegan says that the first piece of the answer came.
+	AnswerBegan struct{ ID ID }
+	// Completed says that the answer's explicit end was delivered.
+	Completed struct{ ID ID }
+	// AttemptFailed says that an attempt ended otherwise.
+	AttemptFailed struct {
+		ID           ID
+		Attempt      int
+		Phase        attempt.Phase
+		Delivered    int  // pieces or bytes that reached the caller
+		Resumable    bool // the replica may still hold the sequence
+		Stalled      bool // the replica fell silent
+		BodyConsumed bool // the call's body cannot be sent again
+		Leaving      bool // the replica said that it is leaving
+		Status       int  // the replica's HTTP status, 0 if none came
 		// Misdirected says that the replica is not the expected one, or does
 		// not hold the model.
 		Misdirected bool
 		// Incarnation is the name that the answering replica gave, if any.
 		Incarnation string
-		// Own says that the replica's own whole answer, a failure, is at hand
+		// Relayable says that the replica's own whole answer, a failure, is at hand
 		// and can be passed on.
-		Own    bool
-		Detail string
+		Relayable bool
+		Detail    string
 	}
-	// Gone says that the caller closed its connection.
-	Gone struct{ ID ID }
+	// CallerGone says that the caller closed its connection.
+	CallerGone struct{ ID ID }
 )
 
 // The actions of calls.
@@ -70,7 +70,7 @@
 		// that only whole events may be passed on.
 		Resumable bool
 	}
-	// Relay passes on the replica's own failing answer, which the last Broke
+	// Relay passes on the replica's own failing answer, which the last AttemptFailed
 	// said to be at hand.
 	Relay struct{ ID ID }
 	// Finish gives a call its final answer without an upstream's.
@@ -81,19 +81,19 @@
 )
 
 // IsEvent implements step.Event.
-func (Arrive) IsEvent() {}
+func (Arrived) IsEvent() {}
 
 // IsEvent implements step.Event.
-func (First) IsEvent() {}
+func (AnswerBegan) IsEvent() {}
 
 // IsEvent implements step.Event.
-func (Done) IsEvent() {}
+func (Completed) IsEvent() {}
 
 // IsEvent implements step.Event.
-func (Broke) IsEvent() {}
+func (AttemptFailed) IsEvent() {}
 
 // IsEvent implements step.Event.
-func (Gone) IsEvent() {}
+func (CallerGone) IsEvent() {}
 
 // IsAction implements step.Action.
 func (Dispatch) IsAction() {}
--- a/core/calls/queue.go
+++ b/core/calls/queue.go
@@ -65,7 +65,7 @@
 		if c.Phase != Waiting || t.calls[c.ID] != c {
 			continue // displaced meanwhile
 		}
-		c.Kind.Place(now, c)
+		c.Kind.FindReplica(now, c)
 		if c.Phase == Waiting {
 			waiting = append(waiting, c)
 		}
@@ -79,7 +79,7 @@
 // most important first, then those that can still meet their targets, the newest
 // of them first, then the oldest of the rest. Under overload the oldest of those
 // still in time would each be served just too late; with the newest first useful
-// work fell to 0.80 of what it was instead of 0.54 (docs/measurements-own.md,
+// work fell to 0.80 of what it was instead of 0.54 (docs/own/measurements.md,
 // "Overload").
 func (t *Table) inOrder(now clock.Instant) []*Call {
 	queue := slices.Clone(t.queue)
--- a/core/calls/queue_test.go
+++ b/core/calls/queue_test.go
@@ -25,9 +25,9 @@
 	t.Out = &step.Output{}
 	t.Pool = pool.New()
 	k = &Kind{
-		Place:     func(clock.Instant, *Call) {},
-		NotRun:    func(*Call) {},
-		LeftQueue: func(*Call) {},
+		FindReplica: func(clock.Instant, *Call) {},
+		NotRun:      func(*Call) {},
+		LeftQueue:   func(*Call) {},
 	}
 	return t, k
 }
--- a/core/calls/table.go
+++ b/core/calls/table.go
@@ -72,18 +72,18 @@
 	return over
 }
 
-// First takes in that the first piece of a call's answer came.
-func (t *Table) First(now clock.Instant, e First) {
+// AnswerBegan takes in that the first piece of a call's answer came.
+func (t *Table) AnswerBegan(now clock.Instant, e AnswerBegan) {
 	c := t.calls[e.ID]
 	if c == nil || c.Phase != Running || c.Answered {
 		return
 	}
 	c.Answered = true
-	c.Kind.First(now, c)
+	c.Kind.AnswerBegan(now, c)
 }
 
-// Done takes in that a call's answer is whole.
-func (t *Table) Done(now clock.Instant, e Done) {
+// Completed takes in that a call's answer is whole.
+func (t *Table) Completed(now clock.Instant, e Completed) {
 	c := t.calls[e.ID]
 	if c == nil {
 		return
@@ -95,18 +95,18 @@
 	t.Remove(c)
 }
 
-// Broke takes in that an attempt failed. Word of an earlier attempt than the
+// AttemptFailed takes in that an attempt failed. Word of an earlier attempt than the
 // last says nothing.
-func (t *Table) Broke(now clock.Instant, e Broke) {
+func (t *Table) AttemptFailed(now clock.Instant, e AttemptFailed) {
 	c := t.calls[e.ID]
 	if c == nil || c.Phase != Running || e.Attempt != c.History.Attempts {
 		return
 	}
-	c.Kind.Broke(now, c, e)
+	c.Kind.AttemptFailed(now, c, e)
 }
 
-// Gone takes in that a call's caller is gone.
-func (t *Table) Gone(e Gone) {
+// CallerGone takes in that a call's caller is gone.
+func (t *Table) CallerGone(e CallerGone) {
 	c := t.calls[e.ID]
 	if c == nil {
 		return
--- a/core/demand/board_test.go
+++ b/core/demand/board_test.go
@@ -18,7 +18,7 @@
 	is := is.New(t)
 	now := clocktest.At(time.Hour)
 	sum := func(first int) Item {
-		b := NewBoard()
+		b := NewTotals()
 		for i := range 16 {
 			n := (first + i) % 16
 			b.Report(now, fmt.Sprintf("i%02d", n), []Item{{Name: "m", Rate: 0.1 * float64(n+1), Concurrent: 1 / float64(n+1)}})
--- a/core/demand/demand.go
+++ b/core/demand/demand.go
@@ -1,6 +1,6 @@
 // Package demand provides the measure of how much each model is asked for: by the
-// forwarded calls of this instance (Flow), and by what every instance reported to
-// the one that decides which models are loaded where (Board).
+// forwarded calls of this instance (Tracker), and by what every instance reported to
+// the one that decides which models are loaded where (Totals).
 package demand
 
 import (
@@ -28,8 +28,8 @@
 	Absent     float64       // calls a second that found it nowhere; of forwarded calls
 }
 
-// A Board sums the demand that the instances of a zone reported to its planner.
-type Board struct {
+// A Totals sums the demand that the instances of a zone reported to its planner.
+type Totals struct {
 	reports map[string]report // by instance
 }
 
@@ -38,22 +38,22 @@
 	items []Item
 }
 
-// NewBoard returns a board without reports.
-func NewBoard() *Board { return &Board{reports: map[string]report{}} }
+// NewTotals returns a board without reports.
+func NewTotals() *Totals { return &Totals{reports: map[string]report{}} }
 
 // Report replaces what the instance reported before.
-func (b *Board) Report(now clock.Instant, instance string, items []Item) {
+func (b *Totals) Report(now clock.Instant, instance string, items []Item) {
 	b.reports[instance] = report{at: now, items: items}
 }
 
 // Sum returns the demand of all reports by name; reports that are too old are
 // dropped.
-func (b *Board) Sum(now clock.Instant) []Item {
+func (b *Totals) Sum(now clock.Instant) []Item {
 	return b.SumOf(now, func(string) bool { return true })
 }
 
 // SumOf returns the demand that the instances for which keep is true reported.
-func (b *Board) SumOf(now clock.Instant, keep func(instance string) bool) []Item {
+func (b *Totals) SumOf(now clock.Instant, keep func(instance string) bool) []Item {
 	sums := map[string]Item{}
 	// In the order of their names: sums of floating-point numbers differ with
 	// the order, and the machine must decide alike on the same events.
--- a/core/demand/flow.go
+++ b/core/demand/flow.go
@@ -8,7 +8,7 @@
 	"github.com/birchdrift/birchdrift/core/clock"
 )
 
-// Spans of a Flow. Work is followed quickly, so that a model that rises gets its
+// Spans of a Tracker. Work is followed quickly, so that a model that rises gets its
 // copies before calls queue; what was asked for counts longer, so that a model
 // which is asked for now and then keeps a place.
 const (
@@ -20,9 +20,9 @@
 	lostSpan = 2 * time.Second // set in 7c7040a
 )
 
-// A Flow measures what forwarded calls ask of models: engine time, calls, and
+// A Tracker measures what forwarded calls ask of models: engine time, calls, and
 // calls that found the model nowhere.
-type Flow struct{ models map[string]*flowModel }
+type Tracker struct{ models map[string]*flowModel }
 
 type flowModel struct {
 	at     clock.Instant
@@ -32,10 +32,10 @@
 	absent float64
 }
 
-// NewFlow returns a flow that has seen no call.
-func NewFlow() *Flow { return &Flow{models: map[string]*flowModel{}} }
+// NewTracker returns a flow that has seen no call.
+func NewTracker() *Tracker { return &Tracker{models: map[string]*flowModel{}} }
 
-func (f *Flow) model(now clock.Instant, name string) *flowModel {
+func (f *Tracker) model(now clock.Instant, name string) *flowModel {
 	m := f.models[name]
 	if m == nil {
 		m = &flowModel{at: now}
@@ -58,7 +58,7 @@
 }
 
 // Call notes a call for a model and the engine time that it takes.
-func (f *Flow) Call(now clock.Instant, model string, work time.Duration) {
+func (f *Tracker) Call(now clock.Instant, model string, work time.Duration) {
 	m := f.model(now, model)
 	m.calls++
 	m.work += work.Seconds()
@@ -66,7 +66,7 @@
 }
 
 // Absent notes that a call found no engine with its model.
-func (f *Flow) Absent(now clock.Instant, model string) { f.model(now, model).absent++ }
+func (f *Tracker) Absent(now clock.Instant, model string) { f.model(now, model).absent++ }
 
 // slowShare is the part of the work over the longer span that counts even when
 // the shorter one has less. Set in 7c7040a.
@@ -74,7 +74,7 @@
 
 // Items returns what is asked for now, by name. Concurrent is the engine time a
 // second.
-func (f *Flow) Items(now clock.Instant) []Item {
+func (f *Tracker) Items(now clock.Instant) []Item {
 	var items []Item
 	for name, m := range f.models {
 		m.decay(now)
--- a/core/exchange/exchange.go
+++ b/core/exchange/exchange.go
@@ -78,7 +78,7 @@
 	Out     *step.Output
 	Members *member.Table
 	Pool    *pool.Pool
-	Records *share.Store
+	Records *share.Set
 	Config  *config.Current
 	Roster  *watchers.Roster
 
@@ -104,11 +104,11 @@
 // Exchanges are one instance's exchanges with its peers.
 type Exchanges struct {
 	Needs
-	seeds  []string // addresses known from settings
-	rhythm rhythm
-	pull   pull
-	peers  map[string]peerState
-	flying map[string]bool // exchanges under way, by address
+	seeds    []string // addresses known from settings
+	rhythm   rhythm
+	pull     pull
+	peers    map[string]peerState
+	inFlight map[string]bool // exchanges under way, by address
 
 	storeVersion uint64        // up to where the platform's store was heard at first hand
 	storeAt      clock.Instant // when the newest news of the store, from whomever, left it
@@ -125,7 +125,7 @@
 
 // New returns the exchanges of an instance that has heard of nobody.
 func New(n Needs) *Exchanges {
-	return &Exchanges{Needs: n, seeds: n.Self.Seeds, peers: map[string]peerState{}, flying: map[string]bool{}}
+	return &Exchanges{Needs: n, seeds: n.Self.Seeds, peers: map[string]peerState{}, inFlight: map[string]bool{}}
 }
 
 // SetSeeds takes over changed addresses of peers known from settings.
@@ -143,10 +143,10 @@
 
 // With begins an exchange with a peer, if there is one and none is under way.
 func (x *Exchanges) With(now clock.Instant, p *member.Peer) {
-	if p == nil || x.flying[p.Address] {
+	if p == nil || x.inFlight[p.Address] {
 		return
 	}
-	x.flying[p.Address] = true
+	x.inFlight[p.Address] = true
 	x.Out.Do(Begin{Peer: p.Name, Address: p.Address, Message: x.message(now, p.Name)})
 }
 
@@ -188,7 +188,7 @@
 
 // Asked answers an exchange that a peer began.
 func (x *Exchanges) Asked(now clock.Instant, e Asked) {
-	x.take(now, e.Message)
+	x.receive(now, e.Message)
 	reply := x.message(now, e.Message.From)
 	if e.Message.WantConfig && e.Message.Revision < x.Config.Revision() {
 		reply.Config = x.Config.Encoded
@@ -198,7 +198,7 @@
 
 // Replied takes in what came of an exchange that this instance began.
 func (x *Exchanges) Replied(now clock.Instant, e Reply) {
-	delete(x.flying, e.Address)
+	delete(x.inFlight, e.Address)
 	if e.Err != nil {
 		if p := x.Members.Get(e.Peer); p != nil && p.Live(now) {
 			x.Out.Log(logevent.PeerFailed, "peer", e.Peer, "error", e.Err.Error())
@@ -207,11 +207,11 @@
 		x.pullNewer(now)
 		return
 	}
-	x.take(now, e.Message)
+	x.receive(now, e.Message)
 }
 
-// take takes in what a peer said.
-func (x *Exchanges) take(now clock.Instant, msg share.Message) {
+// receive takes in what a peer said.
+func (x *Exchanges) receive(now clock.Instant, msg share.Message) {
 	if msg.From == "" || msg.From == x.Self.Name {
 		return
 	}
@@ -245,7 +245,7 @@
 		if x.Records.AddResidency(from, res) {
 			x.LogLeaving(res)
 			x.Pool.ObserveResidency(now, res.Engine, res.Residency)
-			x.News(now)
+			x.TellSoon(now)
 		}
 	}
 	for _, l := range r.Loads {
--- a/core/exchange/pull.go
+++ b/core/exchange/pull.go
@@ -53,7 +53,7 @@
 	x.pull.sinceAt = now
 	x.pull.until = clock.Instant{}
 	x.pullNewer(now)
-	x.Hurry(now)
+	x.TellAll(now)
 }
 
 // pullNewer asks a peer that is ahead for its configuration. Only one is asked at
@@ -70,7 +70,7 @@
 		return
 	}
 	x.pull.until = now.Add(PullTime)
-	x.flying[p.Address] = true
+	x.inFlight[p.Address] = true
 	msg := x.message(now, p.Name)
 	msg.WantConfig = true
 	x.Out.Do(Begin{Peer: p.Name, Address: p.Address, Message: msg})
@@ -82,7 +82,7 @@
 func (x *Exchanges) furthestAhead() *member.Peer {
 	var best *member.Peer
 	for _, p := range x.Members.Peers() {
-		if x.peers[p.Name].revision <= x.Config.Revision() || p.Failing() || x.flying[p.Address] {
+		if x.peers[p.Name].revision <= x.Config.Revision() || p.Failing() || x.inFlight[p.Address] {
 			continue
 		}
 		if best == nil || x.preferred(p, best) {
--- a/core/exchange/pull_test.go
+++ b/core/exchange/pull_test.go
@@ -41,7 +41,7 @@
 			for _, p := range c.peers {
 				x.Members.Learn(p.name, p.zone, p.name)
 				x.peers[p.name] = peerState{revision: p.revision}
-				x.flying[p.name] = p.flying
+				x.inFlight[p.name] = p.flying
 				if p.failing {
 					x.Members.Failed(now, p.name)
 				}
--- a/core/exchange/rhythm.go
+++ b/core/exchange/rhythm.go
@@ -20,7 +20,7 @@
 	// abroadEvery is every how manyth exchange goes to another zone.
 	// First version (301115d), not measured.
 	abroadEvery = 4
-	// alonePeriods is after how many of its own exchange periods without a word
+	// alonePeriods is after how many of its own exchange periods without any message
 	// from any peer an instance counts itself as alone.
 	// First version (301115d), not measured.
 	alonePeriods = 5
@@ -81,15 +81,15 @@
 	x.Pool.ForgetUsed()
 }
 
-// Hurry has the next exchanges begun at once, to spread what is new.
-func (x *Exchanges) Hurry(now clock.Instant) {
+// TellAll has the next exchanges begun at once, to spread what is new.
+func (x *Exchanges) TellAll(now clock.Instant) {
 	x.rhythm.urgent = true
 	x.rhythm.due = now
 }
 
-// News brings the next exchange forward for as many turns as there are
+// TellSoon brings the next exchange forward for as many turns as there are
 // neighbours, so that each of them is told.
-func (x *Exchanges) News(now clock.Instant) {
+func (x *Exchanges) TellSoon(now clock.Instant) {
 	x.rhythm.news = len(x.Members.Neighbours())
 	if due := now.Add(newsSpacing); due.Before(x.rhythm.due) {
 		x.rhythm.due = due
@@ -177,9 +177,9 @@
 		return
 	}
 	address := x.seeds[x.Rand.IntN(len(x.seeds))]
-	if address == x.Self.Address || x.flying[address] {
+	if address == x.Self.Address || x.inFlight[address] {
 		return
 	}
-	x.flying[address] = true
+	x.inFlight[address] = true
 	x.Out.Do(Begin{Address: address, Message: x.message(now, "")})
 }
--- a/core/forwarding/attempts.go
+++ b/core/forwarding/attempts.go
@@ -29,14 +29,14 @@
 func (f *Forwarder) first(now clock.Instant, c *calls.Call) {
 	s := stateOf(c)
 	s.sent.firstAt = now
-	s.progress.opened = s.rule.Kind == config.Stream
+	s.progress.opened = s.route.Kind == config.Stream
 	r := f.Pool.Get(c.Replica)
 	if r == nil {
 		return
 	}
 	r.First(now, uint64(c.ID), false)
 	if c.Item != "" && s.sent.alone {
-		f.routes.Learn(s.target.weight, s.sent.unread, now.Since(c.Started))
+		f.router.Learn(s.target.weight, s.sent.unread, now.Since(c.Started))
 	}
 }
 
@@ -49,7 +49,7 @@
 }
 
 // broke decides what follows an attempt that did not come to its proper end.
-func (f *Forwarder) broke(now clock.Instant, c *calls.Call, b calls.Broke) {
+func (f *Forwarder) broke(now clock.Instant, c *calls.Call, b calls.AttemptFailed) {
 	s := stateOf(c)
 	f.settleReplica(now, c, b)
 	c.History = c.History.WithBroken(b.Phase)
@@ -63,12 +63,12 @@
 	f.Out.Log(logevent.CallRetried, "call", c.Forward.Name, "replica", former, "status", b.Status, "detail", b.Detail)
 	c.Phase = calls.Waiting
 	s.probe = probe{}
-	f.place(now, c)
+	f.findReplica(now, c)
 }
 
 // add takes in how an attempt at a replica ended.
-func (p *progress) add(replica string, b calls.Broke) {
-	p.relayable = b.Own
+func (p *progress) add(replica string, b calls.AttemptFailed) {
+	p.relayable = b.Relayable
 	p.opened = p.opened || b.Delivered > 0
 	switch b.Phase {
 	case attempt.NotSent:
@@ -85,14 +85,14 @@
 // mayRepeat reports whether the call may go to another replica, and spends the
 // budget for it. A call that may have run is repeated only where its route says
 // that this is harmless; a stream that has begun only where it can be resumed.
-func (f *Forwarder) mayRepeat(now clock.Instant, c *calls.Call, b calls.Broke) bool {
+func (f *Forwarder) mayRepeat(now clock.Instant, c *calls.Call, b calls.AttemptFailed) bool {
 	s := stateOf(c)
 	p := s.progress
 	harmless := c.History.Repeatable || c.History.Run() == code.NotRun
 	if p.opened {
-		harmless = s.rule.Kind == config.Stream && s.rule.Resumable
+		harmless = s.route.Kind == config.Stream && s.route.Resumable
 	}
-	if !harmless || b.Spent || p.ran >= max(1, s.rule.MaxAttempts) || p.refusals >= maxRefusals || p.unsent >= maxUnsent {
+	if !harmless || b.BodyConsumed || p.ran >= max(1, s.route.MaxAttempts) || p.refusals >= maxRefusals || p.unsent >= maxUnsent {
 		return false
 	}
 	if !now.Add(leastLeft).Before(c.Expires) {
@@ -127,7 +127,7 @@
 }
 
 // settleReplica takes in what an attempt that failed says of its replica.
-func (f *Forwarder) settleReplica(now clock.Instant, c *calls.Call, b calls.Broke) {
+func (f *Forwarder) settleReplica(now clock.Instant, c *calls.Call, b calls.AttemptFailed) {
 	r := f.Pool.Get(c.Replica)
 	if r == nil {
 		return
@@ -135,11 +135,11 @@
 	switch {
 	case b.Misdirected && b.Incarnation != "" && b.Incarnation != c.Replica:
 		r.Forget(uint64(c.ID))
-		f.Pool.Dead(now, c.Replica)
+		f.Pool.MarkGone(now, c.Replica)
 		f.Out.Log(logevent.Leaving, "upstream", c.Replica, "source", "another replica has its address", "now", b.Incarnation)
 	case b.Misdirected:
 		r.Forget(uint64(c.ID))
-		f.Pool.Drop(c.Replica, c.Item)
+		f.Pool.MarkAbsent(c.Replica, c.Item)
 		r.Refused(now, c.Item)
 	case b.Phase == attempt.Refused:
 		r.Forget(uint64(c.ID))
@@ -147,7 +147,7 @@
 	case b.Phase == attempt.NotSent:
 		r.Forget(uint64(c.ID))
 		r.SetDown(now)
-	case b.Own:
+	case b.Relayable:
 		// The replica works; that it failed a call may lie in the call.
 		r.End(now, uint64(c.ID), c.Started, false)
 	default:
--- a/core/forwarding/forwarding.go
+++ b/core/forwarding/forwarding.go
@@ -47,7 +47,7 @@
 	Budget  *retrybudget.Budget
 	Asks    *asks.Asks
 	Roster  *watchers.Roster
-	Flow    *demand.Flow
+	Demand  *demand.Tracker
 	// Used notes that a call uses an item of an engine.
 	Used func(now clock.Instant, engine, item string)
 	// Missed notes that a call found its model nowhere.
@@ -58,13 +58,13 @@
 type Forwarder struct {
 	Needs
 	kind      calls.Kind
-	routes    *route.Forwards
+	router    *route.Router
 	expireDue clock.Instant // when to look for calls whose time is over
 }
 
 // A state is what a forwarded call has beside what every call has.
 type state struct {
-	rule     *config.Forward
+	route    *config.Forward
 	service  config.Service
 	target   target
 	progress progress
@@ -102,15 +102,15 @@
 
 // New returns a forwarder that has seen no call.
 func New(n Needs) *Forwarder {
-	f := &Forwarder{Needs: n, routes: route.NewForwards()}
+	f := &Forwarder{Needs: n, router: route.NewRouter()}
 	f.kind = calls.Kind{
-		Place:     f.place,
-		First:     f.first,
-		Broke:     f.broke,
-		Served:    f.served,
-		Cancel:    func(*calls.Call, *pool.Replica) {}, // closing the connection is all there is
-		NotRun:    func(*calls.Call) {},
-		LeftQueue: func(*calls.Call) {},
+		FindReplica:   f.findReplica,
+		AnswerBegan:   f.first,
+		AttemptFailed: f.broke,
+		Served:        f.served,
+		Cancel:        func(*calls.Call, *pool.Replica) {}, // closing the connection is all there is
+		NotRun:        func(*calls.Call) {},
+		LeftQueue:     func(*calls.Call) {},
 	}
 	return f
 }
@@ -126,7 +126,7 @@
 		return
 	}
 	f.Calls.Add(c)
-	f.place(now, c)
+	f.findReplica(now, c)
 }
 
 // admit fills in what the configuration says of the call, or returns why it is
@@ -159,14 +159,14 @@
 	c.Expires = now.Add(limit)
 	c.Priority = rankPriority(rule.Priority)
 	c.History = attempt.New(rule.MayRepeat() && c.Replayable)
-	s := &state{rule: rule, service: service}
+	s := &state{route: rule, service: service}
 	c.State = s
 	if service.Announced.Engine != nil && c.Forward.Model != "" {
 		f.aim(c, s)
 	}
 	f.Budget.Call(now, name)
 	if c.Item != "" {
-		f.Flow.Call(now, s.target.model, f.workOf(c, s))
+		f.Demand.Call(now, s.target.model, f.workOf(c, s))
 	}
 	return code.Refusal{}, true
 }
@@ -205,7 +205,7 @@
 	if out == 0 {
 		out = c.MaxTokens
 	}
-	read := time.Duration(freshShare * float64(c.PromptTokens) * float64(f.routes.TokenTime(s.target.weight)))
+	read := time.Duration(freshShare * float64(c.PromptTokens) * float64(f.router.TokenTime(s.target.weight)))
 	return read + time.Duration(out)*decodeTime
 }
 
@@ -213,6 +213,6 @@
 func (f *Forwarder) Resume(now clock.Instant, id calls.ID) {
 	if c := f.Calls.Get(id); c != nil && c.Phase == calls.Fetching {
 		c.Phase = calls.Waiting
-		f.place(now, c)
+		f.findReplica(now, c)
 	}
 }
--- a/core/forwarding/forwarding_test.go
+++ b/core/forwarding/forwarding_test.go
@@ -37,7 +37,7 @@
 	return New(Needs{
 		Self: member.Identity{Name: "self", Zone: "z"}, Options: &opt, Rand: table.Rand, Out: out, Members: members,
 		Pool: table.Pool, Config: &config.Current{}, Calls: table,
-		Budget: &retrybudget.Budget{Options: &opt, Members: members}, Flow: demand.NewFlow(),
+		Budget: &retrybudget.Budget{Options: &opt, Members: members}, Demand: demand.NewTracker(),
 		Missed: func(clock.Instant) {},
 	})
 }
@@ -46,13 +46,13 @@
 func (f *Forwarder) testCall(kind config.Kind, resumable bool) (*calls.Call, *state) {
 	engines := &config.EnginePool{Models: []config.PooledModel{{Name: "m", MemoryMB: 70, Load: 4 * time.Second, LoadDisk: 800 * time.Millisecond}}}
 	s := &state{
-		rule:    &config.Forward{Kind: kind, Resumable: resumable, MaxAttempts: 2},
+		route:   &config.Forward{Kind: kind, Resumable: resumable, MaxAttempts: 2},
 		service: config.Service{Name: "s", Announced: &config.Announced{Engine: engines}},
 	}
 	c := &calls.Call{
 		Request: calls.Request{ID: 1, Service: "s", Forward: &calls.Forwarded{Name: "call"}},
 		Kind:    &f.kind, State: s, Phase: calls.Running, Arrived: start, Target: time.Second, Expires: start.Add(5 * time.Second),
-		History: attempt.New(s.rule.MayRepeat()),
+		History: attempt.New(s.route.MayRepeat()),
 	}
 	f.Calls.Add(c)
 	return c, s
@@ -64,25 +64,25 @@
 		name      string
 		kind      config.Kind
 		resumable bool
-		broke     calls.Broke
+		broke     calls.AttemptFailed
 		prepare   func(c *calls.Call, s *state)
 		want      bool
 	}{
-		{"harmless to repeat", config.Repeatable, false, calls.Broke{Phase: attempt.MaybeSent}, nil, true},
-		{"once, and it may have run", config.Once, false, calls.Broke{Phase: attempt.MaybeSent}, nil, false},
-		{"once, and it never left", config.Once, false, calls.Broke{Phase: attempt.NotSent}, nil, true},
-		{"once, and the replica did not run it", config.Once, false, calls.Broke{Phase: attempt.Refused}, nil, true},
-		{"its body is gone", config.Repeatable, false, calls.Broke{Phase: attempt.MaybeSent, Spent: true}, nil, false},
-		{"all attempts are used", config.Repeatable, false, calls.Broke{Phase: attempt.MaybeSent},
+		{"harmless to repeat", config.Repeatable, false, calls.AttemptFailed{Phase: attempt.MaybeSent}, nil, true},
+		{"once, and it may have run", config.Once, false, calls.AttemptFailed{Phase: attempt.MaybeSent}, nil, false},
+		{"once, and it never left", config.Once, false, calls.AttemptFailed{Phase: attempt.NotSent}, nil, true},
+		{"once, and the replica did not run it", config.Once, false, calls.AttemptFailed{Phase: attempt.Refused}, nil, true},
+		{"its body is gone", config.Repeatable, false, calls.AttemptFailed{Phase: attempt.MaybeSent, BodyConsumed: true}, nil, false},
+		{"all attempts are used", config.Repeatable, false, calls.AttemptFailed{Phase: attempt.MaybeSent},
 			func(_ *calls.Call, s *state) { s.progress.ran = 1 }, false},
-		{"refused too often", config.Repeatable, false, calls.Broke{Phase: attempt.Refused},
+		{"refused too often", config.Repeatable, false, calls.AttemptFailed{Phase: attempt.Refused},
 			func(_ *calls.Call, s *state) { s.progress.refusals = maxRefusals - 1 }, false},
-		{"nothing answered too often", config.Repeatable, false, calls.Broke{Phase: attempt.NotSent},
+		{"nothing answered too often", config.Repeatable, false, calls.AttemptFailed{Phase: attempt.NotSent},
 			func(_ *calls.Call, s *state) { s.progress.unsent = maxUnsent - 1 }, false},
-		{"no time is left", config.Repeatable, false, calls.Broke{Phase: attempt.MaybeSent},
+		{"no time is left", config.Repeatable, false, calls.AttemptFailed{Phase: attempt.MaybeSent},
 			func(c *calls.Call, _ *state) { c.Expires = start.Add(leastLeft) }, false},
-		{"a stream that began and can be resumed", config.Stream, true, calls.Broke{Phase: attempt.Answered, Delivered: 3}, nil, true},
-		{"a stream that began and cannot", config.Stream, false, calls.Broke{Phase: attempt.Answered, Delivered: 3}, nil, false},
+		{"a stream that began and can be resumed", config.Stream, true, calls.AttemptFailed{Phase: attempt.Answered, Delivered: 3}, nil, true},
+		{"a stream that began and cannot", config.Stream, false, calls.AttemptFailed{Phase: attempt.Answered, Delivered: 3}, nil, false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -107,8 +107,8 @@
 	call, _ := f.testCall(config.Repeatable, false)
 	for f.Budget.Spend(start, "s") {
 	}
-	is.True(!f.mayRepeat(start, call, calls.Broke{Phase: attempt.MaybeSent}))
-	is.True(f.mayRepeat(start, call, calls.Broke{Phase: attempt.NotSent})) // it arrived nowhere
+	is.True(!f.mayRepeat(start, call, calls.AttemptFailed{Phase: attempt.MaybeSent}))
+	is.True(f.mayRepeat(start, call, calls.AttemptFailed{Phase: attempt.NotSent})) // it arrived nowhere
 }
 
 // finished returns the refusals, by call, and which calls' own answers were passed
--- a/core/forwarding/place.go
+++ b/core/forwarding/place.go
@@ -15,16 +15,16 @@
 
 // How a call finds its replica.
 
-// place sends the call to the best replica, has what it needs loaded there
+// findReplica sends the call to the best replica, has what it needs loaded there
 // first, lets it wait for its model, or refuses it.
-func (f *Forwarder) place(now clock.Instant, c *calls.Call) {
+func (f *Forwarder) findReplica(now clock.Instant, c *calls.Call) {
 	s := stateOf(c)
 	query := f.query(now, c, s)
 	candidates := f.Pool.Serving(c.Service)
 	if f.probeEngines(now, c, query, candidates) {
 		return
 	}
-	best, ok := f.routes.Choose(now, query, candidates)
+	best, ok := f.router.Choose(now, query, candidates)
 	switch {
 	case !ok:
 		f.noReplica(now, c)
@@ -35,18 +35,18 @@
 	}
 }
 
-func (f *Forwarder) query(now clock.Instant, c *calls.Call, s *state) route.ForwardQuery {
-	query := route.ForwardQuery{
-		Zone:   f.Self.Zone,
-		Model:  s.target.weight,
-		Tokens: c.PromptTokens,
-		Chain:  s.target.chain,
-		Tried:  s.progress.tried,
-		Salt:   uint64(c.ID) ^ f.Self.Boot,
-		Doubt:  f.zoneCost,
+func (f *Forwarder) query(now clock.Instant, c *calls.Call, s *state) route.Query {
+	query := route.Query{
+		Zone:     f.Self.Zone,
+		Model:    s.target.weight,
+		Tokens:   c.PromptTokens,
+		Chain:    s.target.chain,
+		Tried:    s.progress.tried,
+		Salt:     uint64(c.ID) ^ f.Self.Boot,
+		ZoneCost: f.zoneCost,
 	}
 	if c.Item != "" {
-		query.Extra = func(r *pool.Replica) (time.Duration, bool) { return f.itemCost(now, c, r) }
+		query.LoadCost = func(r *pool.Replica) (time.Duration, bool) { return f.itemCost(now, c, r) }
 	}
 	return query
 }
@@ -123,7 +123,7 @@
 const aloneCalls = 4
 
 // dispatch sends the call to the chosen replica.
-func (f *Forwarder) dispatch(now clock.Instant, c *calls.Call, e route.ForwardEstimate) {
+func (f *Forwarder) dispatch(now clock.Instant, c *calls.Call, e route.Estimate) {
 	s := stateOf(c)
 	f.leaveQueue(c, calls.Running)
 	c.History = c.History.WithAttempt()
@@ -136,7 +136,7 @@
 	}
 	e.Replica.StartPrefill(now, uint64(c.ID), e.Prefill, e.Total())
 	if c.Item != "" {
-		f.routes.Sent(c.Replica, s.target.chain, cacheTokens(s))
+		f.router.Sent(c.Replica, s.target.chain, cacheTokens(s))
 		e.Replica.Use(c.Item)
 		f.Used(now, c.Replica, c.Item)
 	}
@@ -169,7 +169,7 @@
 	}
 	priority := -1
 	if c.Item != "" {
-		priority = min(s.rule.Priority, lowestRank)
+		priority = min(s.route.Priority, lowestRank)
 	}
 	return calls.Dispatch{
 		ID:         c.ID,
@@ -185,8 +185,8 @@
 		Forward: &calls.ForwardAttempt{
 			Left:      left,
 			Priority:  priority,
-			Stream:    s.rule.Kind == config.Stream,
-			Resumable: s.rule.Kind == config.Stream && s.rule.Resumable,
+			Stream:    s.route.Kind == config.Stream,
+			Resumable: s.route.Kind == config.Stream && s.route.Resumable,
 		},
 	}
 }
--- a/core/forwarding/probe.go
+++ b/core/forwarding/probe.go
@@ -26,16 +26,16 @@
 )
 
 type (
-	// AskLoad is an action: ask an engine how busy it is, for a call that may go
+	// ProbeEngine is an action: ask an engine how busy it is, for a call that may go
 	// there. It is answered after Wait at the latest.
-	AskLoad struct {
+	ProbeEngine struct {
 		Call    calls.ID
 		Engine  string
 		Address string
 		Wait    time.Duration
 	}
-	// LoadReply is the event that answers an AskLoad.
-	LoadReply struct {
+	// ProbeReply is the event that answers a ProbeEngine.
+	ProbeReply struct {
 		Call    calls.ID
 		Engine  string
 		Queued  int // calls without a first event there
@@ -45,10 +45,10 @@
 )
 
 // IsAction implements step.Action.
-func (AskLoad) IsAction() {}
+func (ProbeEngine) IsAction() {}
 
 // IsEvent implements step.Event.
-func (LoadReply) IsEvent() {}
+func (ProbeReply) IsEvent() {}
 
 // A probe is the state of a call that asks engines.
 type probe struct {
@@ -58,13 +58,13 @@
 
 // probeEngines asks the engines that the call may go to how busy they are, and
 // reports whether the call waits for them.
-func (f *Forwarder) probeEngines(now clock.Instant, c *calls.Call, q route.ForwardQuery, candidates []*pool.Replica) bool {
+func (f *Forwarder) probeEngines(now clock.Instant, c *calls.Call, q route.Query, candidates []*pool.Replica) bool {
 	p := &stateOf(c).probe
-	if p.settled || c.Item == "" || f.Options.LoadWait == 0 || f.Roster.FullMesh() {
+	if p.settled || c.Item == "" || f.Options.ProbeWait == 0 || f.Roster.FullMesh() {
 		return false
 	}
 	p.settled = true
-	best := f.routes.Best(now, q, candidates, probedEngines)
+	best := f.router.Best(now, q, candidates, probedEngines)
 	if len(best) < 2 {
 		return false
 	}
@@ -73,7 +73,7 @@
 			continue
 		}
 		p.asked++
-		f.Out.Do(AskLoad{Call: c.ID, Engine: e.Replica.Name, Address: e.Replica.Address, Wait: f.Options.LoadWait})
+		f.Out.Do(ProbeEngine{Call: c.ID, Engine: e.Replica.Name, Address: e.Replica.Address, Wait: f.Options.ProbeWait})
 	}
 	if p.asked == 0 {
 		return false
@@ -90,9 +90,9 @@
 	return c.Label()
 }
 
-// LoadReplied takes in what an engine says of its load. The call that asked goes
+// ProbeReplied takes in what an engine says of its load. The call that asked goes
 // on once all have answered.
-func (f *Forwarder) LoadReplied(now clock.Instant, e LoadReply) {
+func (f *Forwarder) ProbeReplied(now clock.Instant, e ProbeReply) {
 	c := f.Calls.Get(e.Call)
 	if e.Err != nil {
 		f.Out.Log(logevent.ProbeFailed, "engine", e.Engine, "call", label(c), "error", e.Err.Error())
@@ -108,5 +108,5 @@
 		return
 	}
 	c.Phase = calls.Waiting
-	f.place(now, c)
+	f.findReplica(now, c)
 }
--- a/core/forwarding/wait.go
+++ b/core/forwarding/wait.go
@@ -76,7 +76,7 @@
 	s := stateOf(c)
 	if !s.missed {
 		s.missed = true
-		f.Flow.Absent(now, s.target.model)
+		f.Demand.Absent(now, s.target.model)
 		f.Missed(now)
 	}
 	eta := f.modelETA(c, s)
--- a/core/instance/adapter_test.go
+++ b/core/instance/adapter_test.go
@@ -61,7 +61,7 @@
 	now := clocktest.At(time.Hour)
 	m := adapterMachine(t, now)
 	m.pool.ObserveResidency(now, "e1", residency(1, pool.Loading))
-	is.Equal(sentTo(m.Step(now, Arrive{Call: Call{ID: 1, Service: "s", Replayable: true}})), "")
+	is.Equal(sentTo(m.Step(now, Arrived{Call: Call{ID: 1, Service: "s", Replayable: true}})), "")
 	m.pool.ObserveResidency(now, "e1", residency(2, pool.Ready))
 	is.Equal(sentTo(m.Step(now.Add(time.Second), Tick{})), "e1")
 }
@@ -74,11 +74,11 @@
 	m := adapterMachine(t, now)
 	m.pool.ObserveResidency(now, "e1", residency(1, pool.Ready))
 	m.pool.ObserveResidency(now, "e2", residency(1, pool.Ready))
-	first := sentTo(m.Step(now, Arrive{Call: Call{ID: 1, Service: "s", Replayable: true}}))
+	first := sentTo(m.Step(now, Arrived{Call: Call{ID: 1, Service: "s", Replayable: true}}))
 	is.True(first != "")
-	next := sentTo(m.Step(now, Broke{ID: 1, Attempt: 1, Phase: attempt.Refused, Status: 409}))
+	next := sentTo(m.Step(now, AttemptFailed{ID: 1, Attempt: 1, Phase: attempt.Refused, Status: 409}))
 	is.True(next != "" && next != first)
 	for id := CallID(2); id < 5; id++ {
-		is.Equal(sentTo(m.Step(now, Arrive{Call: Call{ID: id, Service: "s", Replayable: true}})), next)
+		is.Equal(sentTo(m.Step(now, Arrived{Call: Call{ID: id, Service: "s", Replayable: true}})), next)
 	}
 }
--- a/core/instance/announced_world_test.go
+++ b/core/instance/announced_world_test.go
@@ -321,12 +321,12 @@
 func (f *fleet) serve(d Dispatch, reply func(time.Duration, Event)) {
 	e := f.engines[d.Replica]
 	if e == nil || e.gone || !e.models[d.Model] || d.Adapter != "" && !e.adapters[d.Model+"/"+d.Adapter] {
-		reply(2*fleetWay, Broke{ID: d.ID, Attempt: d.Attempt, Phase: 4, Misdirected: true, Incarnation: d.Replica})
+		reply(2*fleetWay, AttemptFailed{ID: d.ID, Attempt: d.Attempt, Phase: 4, Misdirected: true, Incarnation: d.Replica})
 		return
 	}
 	f.served++
-	reply(f.firstAfter, First{ID: d.ID})
-	reply(400*time.Millisecond, Done{ID: d.ID})
+	reply(f.firstAfter, AnswerBegan{ID: d.ID})
+	reply(400*time.Millisecond, Completed{ID: d.ID})
 }
 
 // storeCall makes one call of the store. A write may take effect without an
@@ -723,7 +723,7 @@
 			if f.rng.Float64() < 0.4 {
 				adapter = fmt.Sprintf("a%d", f.rng.IntN(4))
 			}
-			f.step(n, n.boot, Arrive{Call: Call{
+			f.step(n, n.boot, Arrived{Call: Call{
 				ID: CallID(f.order), Path: "/x", Replayable: true, PromptTokens: 4000,
 				Forward: &Forwarded{Name: fmt.Sprint(f.order), Host: "h", Model: fmt.Sprintf("m%d", model()), Adapter: adapter},
 			}})
@@ -960,7 +960,7 @@
 	}
 }
 
-// deafOwners has the records of members that give orders go without a word, one
+// deafOwners has the records of members that give orders go without any message, one
 // after the other, while their watches and exchanges are held up and their leases
 // are renewed.
 func (f *fleet) deafOwners() {
--- a/core/instance/bench_test.go
+++ b/core/instance/bench_test.go
@@ -76,9 +76,9 @@
 			for b.Loop() {
 				id++
 				now = now.Add(time.Millisecond)
-				m.Step(now, Arrive{Call: Call{ID: id, Service: fmt.Sprintf("svc-model-%d", int(id)%s.models), Replayable: true, PromptTokens: 100}})
-				m.Step(now, First{ID: id})
-				m.Step(now, Done{ID: id})
+				m.Step(now, Arrived{Call: Call{ID: id, Service: fmt.Sprintf("svc-model-%d", int(id)%s.models), Replayable: true, PromptTokens: 100}})
+				m.Step(now, AnswerBegan{ID: id})
+				m.Step(now, Completed{ID: id})
 			}
 		})
 	}
--- a/core/instance/build.go
+++ b/core/instance/build.go
@@ -45,10 +45,10 @@
 		cfg:     &config.Current{},
 		pool:    pool.New(),
 		members: member.New(self.Name, self.Zone),
-		records: share.NewStore(),
+		records: share.NewSet(),
 		outage:  outage.New(out),
 	}}
-	flow, board := demand.NewFlow(), demand.NewBoard()
+	flow, board := demand.NewTracker(), demand.NewTotals()
 	m.buildCalls()
 	m.buildOrders()
 	m.buildExchanges()
@@ -87,7 +87,7 @@
 		Self: m.self, Options: m.opt, Rand: m.rng, Out: m.out, Members: m.members, Pool: m.pool, Records: m.records,
 		Config: m.cfg, Outage: m.outage, Roster: o.roster, Owned: o.owned,
 		Stopping: m.stop.Begun,
-		News:     func(now clock.Instant) { m.exchanges.News(now) },
+		News:     func(now clock.Instant) { m.exchanges.TellSoon(now) },
 	})
 	o.asks = asks.New()
 	o.asks.Self = m.self
@@ -99,7 +99,7 @@
 	o.asks.Resume = func(now clock.Instant, id calls.ID) { m.forwarding.Resume(now, id) }
 	o.roster.Instances = o.registry.Instances
 	o.owned.MayOrder = o.registry.MayOrder
-	o.owned.Published = func(now clock.Instant) { m.exchanges.News(now) }
+	o.owned.Published = func(now clock.Instant) { m.exchanges.TellSoon(now) }
 	o.owned.Answered = func(now clock.Instant, engine string, r orders.Request, outcome owned.Outcome, detail string) {
 		o.asks.Settled(now, asks.Key{Engine: engine, Request: r}, outcome, detail)
 	}
@@ -111,22 +111,22 @@
 	m.listing = &listing.List{
 		Out: m.out, Members: m.members, Pool: m.pool, Records: m.records,
 		Announced: m.orders.owned.Announced,
-		News:      func(now clock.Instant) { m.exchanges.News(now) },
+		News:      func(now clock.Instant) { m.exchanges.TellSoon(now) },
 	}
 	m.exchanges = exchange.New(exchange.Needs{
 		Self: m.self, Options: m.opt, Rand: m.rng, Out: m.out, Members: m.members, Pool: m.pool, Records: m.records,
 		Config: m.cfg, Roster: m.orders.roster,
 		Stopping:   m.stop.Begun,
 		Listed:     m.listing.Heard,
-		Registered: m.orders.registry.Take,
+		Registered: m.orders.registry.Merge,
 		Used:       m.orders.owned.Used,
 	})
 }
 
-func (m *Machine) buildForwarding(flow *demand.Flow) {
+func (m *Machine) buildForwarding(flow *demand.Tracker) {
 	m.forwarding = forwarding.New(forwarding.Needs{
 		Self: m.self, Options: m.opt, Rand: m.rng, Out: m.out, Members: m.members, Pool: m.pool, Config: m.cfg,
-		Calls: m.calls, Budget: m.budget, Asks: m.orders.asks, Roster: m.orders.roster, Flow: flow,
+		Calls: m.calls, Budget: m.budget, Asks: m.orders.asks, Roster: m.orders.roster, Demand: flow,
 		Used: m.orders.owned.Used,
 	})
 }
--- a/core/instance/event.go
+++ b/core/instance/event.go
@@ -36,17 +36,17 @@
 	CallID         = calls.ID
 	Call           = calls.Request
 	Forwarded      = calls.Forwarded
-	Arrive         = calls.Arrive
-	First          = calls.First
-	Done           = calls.Done
-	Broke          = calls.Broke
-	Gone           = calls.Gone
+	Arrived        = calls.Arrived
+	AnswerBegan    = calls.AnswerBegan
+	Completed      = calls.Completed
+	AttemptFailed  = calls.AttemptFailed
+	CallerGone     = calls.CallerGone
 	Dispatch       = calls.Dispatch
 	ForwardAttempt = calls.ForwardAttempt
 	Relay          = calls.Relay
 	Finish         = calls.Finish
-	AskLoad        = forwarding.AskLoad
-	LoadReply      = forwarding.LoadReply
+	ProbeEngine    = forwarding.ProbeEngine
+	ProbeReply     = forwarding.ProbeReply
 )
 
 // The events and actions of the platform's store and of peers.
--- a/core/instance/exchange_test.go
+++ b/core/instance/exchange_test.go
@@ -57,7 +57,7 @@
 	}}})
 	m.Step(now, EnrolReply{Sent: now, Lease: 1})
 	m.orders.registry.WatchAnswered(now)
-	m.orders.owned.Take(now, registry.Ownership{Engine: "e1", Owner: m.self.Name, Boot: m.self.Boot, Revision: 7}, now)
+	m.orders.owned.Acquire(now, registry.Ownership{Engine: "e1", Owner: m.self.Name, Boot: m.self.Boot, Revision: 7}, now)
 }
 
 // TestDutiesGoToTheStrongest: in a fleet of unlike machines the ones with most
@@ -109,8 +109,8 @@
 		placer = "p01"
 	}
 	v := registry.Placer{Name: placer, Boot: 1}.Value()
-	m.orders.registry.Take(now, "", []registry.Record{{Key: v.Key, Data: v.Data, Revision: 99}})
-	m.forwarding.Flow.Call(now, "model", time.Second)
+	m.orders.registry.Merge(now, "", []registry.Record{{Key: v.Key, Data: v.Data, Revision: 99}})
+	m.forwarding.Demand.Call(now, "model", time.Second)
 	is.Equal(len(m.exchanges.DemandFor(now, placer)), 1)
 	is.Equal(len(m.exchanges.DemandFor(now, watcher)), 0)
 	m.Step(now, ExchangeReply{Peer: placer, Address: placer, Err: errors.New("no answer")})
@@ -163,7 +163,7 @@
 	wanted := 0
 	for _, name := range []string{"a", "b", "c", "d"} {
 		actions := m.Step(now, ExchangeAsked{Token: 1, Message: share.Message{From: name, Zone: "z", Address: name, Boot: 1, Revision: 5, StoreAge: time.Millisecond}})
-		m.exchanges.Hurry(now)
+		m.exchanges.TellAll(now)
 		for _, msg := range exchanges(append(slices.Clone(actions), m.Step(now, Tick{})...)) {
 			if msg.WantConfig {
 				wanted++
@@ -227,14 +227,14 @@
 		v := registry.Ownership{Engine: "e", Owner: owner}.Value()
 		return registry.Record{Key: v.Key, Data: v.Data, Revision: revision}
 	}
-	m.orders.registry.Take(now, "a", []registry.Record{owned("new", 20)})
-	m.orders.registry.Take(now, "b", []registry.Record{owned("old", 19)})
+	m.orders.registry.Merge(now, "a", []registry.Record{owned("new", 20)})
+	m.orders.registry.Merge(now, "b", []registry.Record{owned("old", 19)})
 	is.Equal(ownerOf(m), "new")
 	m.Step(now, RegistryReply{Version: 15, Whole: true}) // from before that change
 	is.Equal(ownerOf(m), "new")
 	is.Equal(len(m.orders.registry.Instances()), 0)
 	m.Step(now, RegistryReply{Version: 25, Whole: true})
 	is.Equal(ownerOf(m), "")
-	m.orders.registry.Take(now, "b", []registry.Record{owned("new", 20)})
+	m.orders.registry.Merge(now, "b", []registry.Record{owned("new", 20)})
 	is.Equal(ownerOf(m), "")
 }
--- a/core/instance/machine.go
+++ b/core/instance/machine.go
@@ -19,8 +19,8 @@
 //   - core/own/...: what only the product's own environment runs.
 //
 // Invariants:
-//   - every Arrive is followed by exactly one of Finish, or a Dispatch whose
-//     Done ends the call, or Gone;
+//   - every Arrived is followed by exactly one of Finish, or a Dispatch whose
+//     Completed ends the call, or CallerGone;
 //   - a call that may not be repeated is dispatched again only while no earlier
 //     attempt can have run;
 //   - the configuration in force only moves to higher revisions;
@@ -71,7 +71,7 @@
 	cfg     *config.Current
 	pool    *pool.Pool
 	members *member.Table
-	records *share.Store
+	records *share.Set
 	outage  *outage.Tracker
 }
 
@@ -135,17 +135,17 @@
 
 func (m *Machine) handleCall(now clock.Instant, ev Event) bool {
 	switch e := ev.(type) {
-	case First:
-		m.calls.First(now, e)
-	case Done:
-		m.calls.Done(now, e)
-	case Broke:
-		m.calls.Broke(now, e)
-	case Gone:
-		m.calls.Gone(e)
-	case LoadReply:
-		m.forwarding.LoadReplied(now, e)
-	case Arrive:
+	case AnswerBegan:
+		m.calls.AnswerBegan(now, e)
+	case Completed:
+		m.calls.Completed(now, e)
+	case AttemptFailed:
+		m.calls.AttemptFailed(now, e)
+	case CallerGone:
+		m.calls.CallerGone(e)
+	case ProbeReply:
+		m.forwarding.ProbeReplied(now, e)
+	case Arrived:
 		if e.Call.Forward == nil {
 			return false
 		}
--- a/core/instance/own.go
+++ b/core/instance/own.go
@@ -26,13 +26,13 @@
 // ownEnvironment adds the modules that only the product's own environment needs:
 // watches of its key-value service, the zone's planner, and the calls of its own
 // interface.
-func (m *Machine) ownEnvironment(board *demand.Board) environment {
+func (m *Machine) ownEnvironment(board *demand.Totals) environment {
 	chooser := choose.NewChooser(prefixMemory)
 	asked := meter.New()
 	p := planner.New(planner.Needs{
 		Self: m.self, Options: m.opt, Rand: m.rng, Out: m.out, Members: m.members, Pool: m.pool, Records: m.records,
 		Config: m.cfg, Outage: m.outage, Chooser: chooser, Meter: asked, Board: board,
-		Stopping: m.stop.Begun, News: m.exchanges.News, Hurry: m.exchanges.Hurry, Tell: m.exchanges.With,
+		Stopping: m.stop.Begun, News: m.exchanges.TellSoon, Hurry: m.exchanges.TellAll, Tell: m.exchanges.With,
 		Leaving: m.exchanges.LogLeaving,
 	})
 	h := modelcalls.New(modelcalls.Needs{
@@ -53,7 +53,7 @@
 		own: parts,
 		handle: func(now clock.Instant, ev Event) bool {
 			switch e := ev.(type) {
-			case Arrive:
+			case Arrived:
 				h.Arrive(now, e.Call, m.stop.Refusing(now))
 			case ClaimReply:
 				h.ClaimReplied(now, e)
--- a/core/instance/platform.go
+++ b/core/instance/platform.go
@@ -20,11 +20,11 @@
 
 // platformEnvironment adds the modules that only a users' platform needs: one
 // watch of its store, the owners of engines, and the placer.
-func (m *Machine) platformEnvironment(flow *demand.Flow, board *demand.Board) environment {
+func (m *Machine) platformEnvironment(flow *demand.Tracker, board *demand.Totals) environment {
 	o := &m.orders
 	placer := placement.New(placement.Needs{
 		Self: m.self, Options: m.opt, Out: m.out, Members: m.members, Pool: m.pool, Config: m.cfg,
-		Registry: o.registry, Asks: o.asks, Roster: o.roster, Flow: flow, Board: board,
+		Registry: o.registry, Asks: o.asks, Roster: o.roster, OwnDemand: flow, AllDemand: board,
 		Stopping: m.stop.Begun, Tell: m.exchanges.With, NextWatcher: m.exchanges.NextWatcher,
 	})
 	w := &watch.Watch{
@@ -44,7 +44,7 @@
 			switch e := ev.(type) {
 			case WatchReply:
 				w.Replied(now, e)
-			case Arrive:
+			case Arrived:
 				m.refuseOwnCall(e)
 			default:
 				return false
@@ -67,7 +67,7 @@
 
 // refuseOwnCall refuses a call of the product's own interface, which is not served
 // on a users' platform.
-func (m *Machine) refuseOwnCall(e Arrive) {
+func (m *Machine) refuseOwnCall(e Arrived) {
 	c := &calls.Call{Request: e.Call}
 	m.calls.RefuseNew(c, calls.NotRun(code.UnknownService, "the product's own interface is not served here", 0))
 }
--- a/core/instance/probe_test.go
+++ b/core/instance/probe_test.go
@@ -25,7 +25,7 @@
 		peers = append(peers, string(rune('a'+i%26))+string(rune('a'+i/26)))
 	}
 	m := fleetMachine(now, peers...)
-	m.opt.LoadWait = wait
+	m.opt.ProbeWait = wait
 	snapshot, err := config.NewSnapshot(fleetDocument())
 	if err != nil {
 		t.Fatal(err)
@@ -42,15 +42,15 @@
 	return m
 }
 
-func probeCall(id CallID) Arrive {
-	return Arrive{Call: Call{ID: id, Path: "/x", Replayable: true, PromptTokens: 4000, Forward: &Forwarded{Name: "call", Host: "h", Model: "m0"}}}
+func probeCall(id CallID) Arrived {
+	return Arrived{Call: Call{ID: id, Path: "/x", Replayable: true, PromptTokens: 4000, Forward: &Forwarded{Name: "call", Host: "h", Model: "m0"}}}
 }
 
 // asked returns the engines that are asked how busy they are.
 func asked(actions []Action) []string {
 	var names []string
 	for _, a := range actions {
-		if p, ok := a.(AskLoad); ok {
+		if p, ok := a.(ProbeEngine); ok {
 			names = append(names, p.Engine)
 		}
 	}
@@ -64,13 +64,13 @@
 func TestCallsGoWhereEnginesSayThatTheyAreIdle(t *testing.T) {
 	cases := []struct {
 		name string
-		e1   LoadReply
-		e2   LoadReply
+		e1   ProbeReply
+		e2   ProbeReply
 		want string
 	}{
-		{"the first is busy", LoadReply{Queued: 12, Running: 30}, LoadReply{}, "e2"},
-		{"the second is busy", LoadReply{}, LoadReply{Queued: 12, Running: 30}, "e1"},
-		{"the first is busy, the second silent", LoadReply{Queued: 12, Running: 30}, LoadReply{Err: errors.New("no answer")}, "e2"},
+		{"the first is busy", ProbeReply{Queued: 12, Running: 30}, ProbeReply{}, "e2"},
+		{"the second is busy", ProbeReply{}, ProbeReply{Queued: 12, Running: 30}, "e1"},
+		{"the first is busy, the second silent", ProbeReply{Queued: 12, Running: 30}, ProbeReply{Err: errors.New("no answer")}, "e2"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -113,8 +113,8 @@
 	now := clocktest.At(time.Hour)
 	m := probeMachine(t, now, 20*time.Millisecond, "e1", "e2")
 	m.Step(now, probeCall(1))
-	m.Step(now, Gone{ID: 1})
-	is.Equal(sentTo(m.Step(now, LoadReply{Call: 1, Engine: "e1"})), "")
-	is.Equal(sentTo(m.Step(now, LoadReply{Call: 1, Engine: "e2"})), "")
+	m.Step(now, CallerGone{ID: 1})
+	is.Equal(sentTo(m.Step(now, ProbeReply{Call: 1, Engine: "e1"})), "")
+	is.Equal(sentTo(m.Step(now, ProbeReply{Call: 1, Engine: "e2"})), "")
 	is.Equal(m.calls.Len(), 0)
 }
--- a/core/instance/world_calls_test.go
+++ b/core/instance/world_calls_test.go
@@ -60,7 +60,7 @@
 	n := w.nodes[name]
 	wc := &worldCall{id: fmt.Sprintf("%s/%d/%d", name, n.id.Boot, c.ID), node: name, notRepeatable: c.NotRepeatable, key: c.IdempotencyKey}
 	w.calls[wc.id] = wc
-	w.step(n, Arrive{Call: c})
+	w.step(n, Arrived{Call: c})
 	return wc
 }
 
@@ -77,7 +77,7 @@
 		w.breach("%s was sent work %v after it began to leave", e.name, w.now-e.leftAt)
 	}
 	if !w.engineUp(n, a.Zone)() {
-		w.after(100*time.Millisecond, func() { w.step(n, Broke{ID: a.ID, Attempt: a.Attempt, Phase: attempt.NotSent}) })
+		w.after(100*time.Millisecond, func() { w.step(n, AttemptFailed{ID: a.ID, Attempt: a.Attempt, Phase: attempt.NotSent}) })
 		return
 	}
 	w.after(w.latency(), func() { w.play(n, a, c, e) })
@@ -88,19 +88,19 @@
 
 func (w *world) play(n *node, a Dispatch, c *worldCall, e *fakeEngine) {
 	if e != nil && (e.leaving || !e.ready(a)) {
-		w.step(n, Broke{ID: a.ID, Attempt: a.Attempt, Phase: attempt.Refused, Leaving: e.leaving, Status: 503})
+		w.step(n, AttemptFailed{ID: a.ID, Attempt: a.Attempt, Phase: attempt.Refused, Leaving: e.leaving, Status: 503})
 		return
 	}
 	if w.rng.Float64() >= w.faults.breaks {
 		w.execute(c, a)
-		w.step(n, First{ID: a.ID})
+		w.step(n, AnswerBegan{ID: a.ID})
 		w.after(w.latency(), func() {
 			c.answered = true
-			w.step(n, Done{ID: a.ID})
+			w.step(n, Completed{ID: a.ID})
 		})
 		return
 	}
-	b := Broke{ID: a.ID, Attempt: a.Attempt}
+	b := AttemptFailed{ID: a.ID, Attempt: a.Attempt}
 	switch w.rng.IntN(4) {
 	case 0:
 		b.Phase = attempt.NotSent
--- a/core/listing/listing.go
+++ b/core/listing/listing.go
@@ -33,7 +33,7 @@
 	Out     *step.Output
 	Members *member.Table
 	Pool    *pool.Pool
-	Records *share.Store
+	Records *share.Set
 	// Announced is told which models an engine announced that it holds.
 	Announced func(now clock.Instant, engine string, models []pool.AnnouncedModel)
 	// News is called when an entry was news that peers are to be told of.
@@ -117,7 +117,7 @@
 	if r == nil {
 		l.Out.Log(logevent.Announced, "upstream", entry.Name, "service", a.Service, "address", a.Address, "zone", a.Zone, "version", entry.Version)
 	}
-	if a.Draining && (r == nil || !r.Leaving()) {
+	if a.Leaving && (r == nil || !r.Leaving()) {
 		l.Out.Log(logevent.Leaving, "upstream", entry.Name, "source", "list", "version", entry.Version, "remaining", a.Remaining.String())
 	}
 	l.Pool.Announce(now, entry.Name, a)
--- a/core/logevent/logevent.go
+++ b/core/logevent/logevent.go
@@ -33,6 +33,7 @@
 	EngineTaken       Number = 1313
 	EngineLost        Number = 1314
 	NotReturned       Number = 1315
+	RecordUnreadable  Number = 1316
 	Order             Number = 1401
 	OrderRefused      Number = 1402
 	OrderLost         Number = 1403
@@ -110,6 +111,7 @@
 	{EngineTaken, "engine_taken", "This instance orders the engine from now on, at the earliest after `wait`.", "None."},
 	{EngineLost, "engine_lost", "This instance no longer orders the engine.", "None."},
 	{NotReturned, "not_returned", "At a planned stop, or after a call that did not run, something could not be given back to the platform; others wait until it lapses.", "Check the platform if it lasts."},
+	{RecordUnreadable, "record_unreadable", "A record in the platform's store cannot be read and is passed over.", "See who wrote the key; a replica's entry without an address counts too."},
 	{Placing, "placing", "This instance places models from now on.", "None."},
 	{Placed, "placement", "A model is to be loaded on an engine, and others to make way for it.", "None; `worth` and `cost` say why."},
 	{PlaceEnded, "placement_ended", "A placement is done, or was given up.", "None."},
--- a/core/member/member.go
+++ b/core/member/member.go
@@ -183,9 +183,9 @@
 	return n
 }
 
-// OnDuty reports whether the instance is among the n that rendezvous hashing
+// Assigned reports whether the instance is among the n that rendezvous hashing
 // names for duty, of itself and its zone's live peers.
-func (t *Table) OnDuty(now clock.Instant, duty string, n int) bool {
+func (t *Table) Assigned(now clock.Instant, duty string, n int) bool {
 	key := rendezvous.Key(duty)
 	own := rendezvous.Score(key, t.self)
 	ahead := 0
--- a/core/option/option.go
+++ b/core/option/option.go
@@ -62,9 +62,9 @@
 	// MeshEvery spaces the exchanges with every peer of a small fleet; 0 means
 	// that there are none.
 	MeshEvery time.Duration
-	// LoadWait is how long a forwarded call waits for engines to say how busy
+	// ProbeWait is how long a forwarded call waits for engines to say how busy
 	// they are, in a fleet too large to exchange pairwise; 0: it does not ask.
-	LoadWait time.Duration
+	ProbeWait time.Duration
 	// Environment says what the instance runs in. It is read once, when the
 	// machine is put together.
 	Environment Environment
@@ -81,7 +81,7 @@
 	// Own is the product's own: a key-value service that answers watches of
 	// single keys, and engines that take orders under a zone planner's lease.
 	Own Environment = iota
-	// Platform is a users' platform that is joined through internal/seam: one
+	// Platform is a users' platform that is joined through internal/environment: one
 	// watch of its whole store, and engines that announce themselves and take
 	// orders from an owner.
 	Platform
--- a/core/orders/answer.go
+++ b/core/orders/answer.go
@@ -9,14 +9,14 @@
 
 // How the ledger books an order, and takes in what came of it.
 
-// Send books a request that Judge allowed; Expect of the order is Sequence.
+// Send books a request that Check allowed; Expect of the order is Sequence.
 func (e *Engine) Send(r Request) {
-	e.flying = &r
+	e.inFlight = &r
 	h := held{model: r.Model, adapter: r.Adapter, phase: pool.Loading}
 	if !r.Load {
 		h = e.items[r.Item()]
 		h.phase = pool.Unloading
-		h.retired = false
+		h.unloadMarked = false
 	}
 	e.put(r.Item(), h)
 }
@@ -24,11 +24,11 @@
 // Taken notes that the engine carries the order in flight out. adapterTime is
 // how long an adapter is believed to be on its way.
 func (e *Engine) Taken(now clock.Instant, adapterTime time.Duration) {
-	r := e.flying
+	r := e.inFlight
 	if r == nil {
 		return
 	}
-	e.flying = nil
+	e.inFlight = nil
 	e.sequence++
 	if r.Adapter == "" {
 		return
@@ -47,11 +47,11 @@
 // once. An adapter that no request uses is unloaded at once, which counts as an
 // order that was taken.
 func (e *Engine) Holds() {
-	r := e.flying
+	r := e.inFlight
 	if r == nil {
 		return
 	}
-	e.flying = nil
+	e.inFlight = nil
 	if !r.Load {
 		e.drop(r.Item())
 		e.sequence++
@@ -65,11 +65,11 @@
 // Failed notes that the order in flight was not carried out and never will be:
 // it never left, or the engine said so.
 func (e *Engine) Failed() {
-	r := e.flying
+	r := e.inFlight
 	if r == nil {
 		return
 	}
-	e.flying = nil
+	e.inFlight = nil
 	h := e.items[r.Item()]
 	if r.Load {
 		e.drop(r.Item())
@@ -82,13 +82,13 @@
 // Lost notes that the answer of the order in flight is lost. What it would do
 // stays booked until the engine is asked.
 func (e *Engine) Lost() {
-	e.flying = nil
-	e.doubtful = true
+	e.inFlight = nil
+	e.uncertain = true
 }
 
-// Contradicted notes that the engine has taken another number of orders than
+// SequenceDiffers notes that the engine has taken another number of orders than
 // was believed; it must be asked.
-func (e *Engine) Contradicted() {
+func (e *Engine) SequenceDiffers() {
 	e.Failed()
-	e.doubtful = true
+	e.uncertain = true
 }
--- a/core/orders/judge.go
+++ b/core/orders/judge.go
@@ -35,40 +35,40 @@
 	return false
 }
 
-// Retire has a model that is there count as on its way out, so that no more
-// calls are sent to it, before it is ordered out. Unretire takes that back.
-func (e *Engine) Retire(model string) {
+// MarkUnloading has a model that is there count as on its way out, so that no more
+// calls are sent to it, before it is ordered out. UnmarkUnloading takes that back.
+func (e *Engine) MarkUnloading(model string) {
 	if h, ok := e.items[model]; ok && h.phase == pool.Ready {
 		h.phase = pool.Unloading
-		h.retired = true
+		h.unloadMarked = true
 		e.put(model, h)
 	}
 }
 
-// Unretire takes a Retire back that no order has followed.
-func (e *Engine) Unretire(model string) {
-	if h, ok := e.items[model]; ok && h.retired {
+// UnmarkUnloading takes a MarkUnloading back that no order has followed.
+func (e *Engine) UnmarkUnloading(model string) {
+	if h, ok := e.items[model]; ok && h.unloadMarked {
 		h.phase = pool.Ready
-		h.retired = false
+		h.unloadMarked = false
 		e.put(model, h)
 	}
 }
 
-// Judge says what may be done with a request now.
-func (e *Engine) Judge(r Request) Verdict {
+// Check says what may be done with a request now.
+func (e *Engine) Check(r Request) Verdict {
 	if !e.Known() {
 		return Unknown
 	}
 	h, here := e.items[r.Item()]
 	if !r.Load {
-		return e.judgeUnload(r, h, here)
+		return e.checkUnload(r, h, here)
 	}
 	switch {
 	case here && h.phase == pool.Ready:
 		return Holds
 	case here && h.phase == pool.Loading:
 		return Coming
-	case here, e.flying != nil:
+	case here, e.inFlight != nil:
 		return Later
 	}
 	modelMB, adapterMB, ok := e.sizes(r.Model)
@@ -76,25 +76,25 @@
 		return Unsized
 	}
 	if r.Adapter == "" {
-		return e.judgeModel(modelMB)
+		return e.checkModel(modelMB)
 	}
-	return e.judgeAdapter(r, adapterMB)
+	return e.checkAdapter(r, adapterMB)
 }
 
-func (e *Engine) judgeUnload(r Request, h held, here bool) Verdict {
+func (e *Engine) checkUnload(r Request, h held, here bool) Verdict {
 	switch {
 	case !here:
 		return NotThere
-	case h.phase == pool.Unloading && !h.retired:
+	case h.phase == pool.Unloading && !h.unloadMarked:
 		return Coming
-	case e.flying != nil || e.busyBut(r.Item()) || h.phase == pool.Loading:
+	case e.inFlight != nil || e.busyBut(r.Item()) || h.phase == pool.Loading:
 		return Later
 	default:
 		return Permitted
 	}
 }
 
-func (e *Engine) judgeModel(mb int64) Verdict {
+func (e *Engine) checkModel(mb int64) Verdict {
 	if e.Busy() {
 		return Later
 	}
@@ -104,7 +104,7 @@
 	return Permitted
 }
 
-func (e *Engine) judgeAdapter(r Request, mb int64) Verdict {
+func (e *Engine) checkAdapter(r Request, mb int64) Verdict {
 	model, here := e.items[r.Model]
 	if !here || model.phase != pool.Ready {
 		return NoModel
--- a/core/orders/observe.go
+++ b/core/orders/observe.go
@@ -18,7 +18,7 @@
 // Observe takes in what the engine said when it was asked. One that is older
 // than an order which was answered says nothing.
 func (e *Engine) Observe(now clock.Instant, s State) {
-	if e.flying != nil || s.Sequence < e.sequence {
+	if e.inFlight != nil || s.Sequence < e.sequence {
 		return
 	}
 	e.replace(now, s)
@@ -27,7 +27,7 @@
 	// A model that another owner's order brings takes memory, and the engine
 	// does not say which it is: nothing may be ordered until it is done.
 	model, _ := e.Underway()
-	e.doubtful = s.Busy && model == ""
+	e.uncertain = s.Busy && model == ""
 }
 
 // Announced takes in the models that the engine says, unasked, to hold. It does
@@ -40,7 +40,7 @@
 	for _, m := range models {
 		here[m.Name] = true
 		if _, held := e.items[m.Name]; !held {
-			e.doubtful = true // an order that was given up took effect late
+			e.uncertain = true // an order that was given up took effect late
 		}
 	}
 	for _, item := range e.sorted() {
@@ -118,7 +118,7 @@
 			e.put(item, h)
 			changed = true
 		case pool.Unloading:
-			e.doubtful = true
+			e.uncertain = true
 		}
 	}
 	return changed
--- a/core/orders/orders.go
+++ b/core/orders/orders.go
@@ -69,28 +69,28 @@
 
 // A held is one item on the engine.
 type held struct {
-	model   string
-	adapter string
-	phase   pool.ItemPhase
-	readyAt clock.Instant // when an adapter on its way is believed to be there
-	usedAt  clock.Instant
-	retired bool // told to be on its way out, and not ordered out yet
+	model        string
+	adapter      string
+	phase        pool.ItemPhase
+	readyAt      clock.Instant // when an adapter on its way is believed to be there
+	usedAt       clock.Instant
+	unloadMarked bool // told to be on its way out, and not ordered out yet
 }
 
 // An Engine is the owner's ledger of one engine.
 type Engine struct {
-	Name     string
-	Address  string
-	Fence    uint64
-	From     clock.Instant // no order may be sent before
-	limits   Limits
-	sizes    Sizes
-	known    bool
-	sequence uint64
-	items    map[string]held
-	flying   *Request // sent and not answered
-	doubtful bool     // an order's answer was lost since the state was last read
-	changes  uint64   // rises with every change of what is held
+	Name      string
+	Address   string
+	Fence     uint64
+	From      clock.Instant // no order may be sent before
+	limits    Limits
+	sizes     Sizes
+	known     bool
+	sequence  uint64
+	items     map[string]held
+	inFlight  *Request // sent and not answered
+	uncertain bool     // an order's answer was lost since the state was last read
+	changes   uint64   // rises with every change of what is held
 }
 
 // New returns the ledger of an engine whose state is not known yet.
@@ -108,10 +108,10 @@
 }
 
 // Known reports whether the engine's state is known well enough to order it.
-func (e *Engine) Known() bool { return e.known && !e.doubtful }
+func (e *Engine) Known() bool { return e.known && !e.uncertain }
 
-// Doubtful reports whether the engine must be asked for its state.
-func (e *Engine) Doubtful() bool { return e.doubtful || !e.known }
+// Uncertain reports whether the engine must be asked for its state.
+func (e *Engine) Uncertain() bool { return e.uncertain || !e.known }
 
 // Sequence returns the number of orders that the engine has taken.
 func (e *Engine) Sequence() uint64 { return e.sequence }
@@ -119,8 +119,8 @@
 // Changes rises with every change of what the engine holds.
 func (e *Engine) Changes() uint64 { return e.changes }
 
-// Flying reports whether an order is without an answer.
-func (e *Engine) Flying() bool { return e.flying != nil }
+// InFlight reports whether an order is without an answer.
+func (e *Engine) InFlight() bool { return e.inFlight != nil }
 
 // Busy reports whether a model is on its way in or out.
 func (e *Engine) Busy() bool {
@@ -135,7 +135,7 @@
 // Underway returns the model on its way in or out, and whether it comes in.
 func (e *Engine) Underway() (model string, loading bool) {
 	for _, h := range e.items {
-		if h.adapter == "" && h.phase != pool.Ready && !h.retired {
+		if h.adapter == "" && h.phase != pool.Ready && !h.unloadMarked {
 			return h.model, h.phase == pool.Loading
 		}
 	}
@@ -145,7 +145,7 @@
 // Ordered reports whether an order on a model was taken and is not done.
 func (e *Engine) Ordered() bool {
 	model, _ := e.Underway()
-	return model != "" && e.flying == nil
+	return model != "" && e.inFlight == nil
 }
 
 // maxComing is how many adapters may be on their way to one engine. Set in fd5c1f7.
--- a/core/orders/orders_test.go
+++ b/core/orders/orders_test.go
@@ -89,14 +89,14 @@
 		{"dropping what is not there", func() *Engine { return engine(1, "a") }, Request{Model: "b"}, NotThere},
 		{"dropping what is told to be leaving", func() *Engine {
 			e := engine(1, "a")
-			e.Retire("a")
+			e.MarkUnloading("a")
 			return e
 		}, Request{Model: "a"}, Permitted},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			is.Equal(c.make().Judge(c.ask), c.want)
+			is.Equal(c.make().Check(c.ask), c.want)
 		})
 	}
 }
@@ -110,10 +110,10 @@
 	busy := stateOf(6, "a", "b")
 	busy.Busy = true
 	e.Observe(start, busy)
-	is.Equal(e.Judge(load("c", "")), Unknown)
-	is.True(e.Doubtful()) // it must be asked again
+	is.Equal(e.Check(load("c", "")), Unknown)
+	is.True(e.Uncertain()) // it must be asked again
 	e.Observe(start, stateOf(6, "a", "b", "d"))
-	is.Equal(e.Judge(load("c", "")), NoRoom)
+	is.Equal(e.Check(load("c", "")), NoRoom)
 }
 
 // TestALateOrderIsVoid: what an unanswered order would do stays booked until the
@@ -127,7 +127,7 @@
 	e.Observe(start, stateOf(3)) // older than what was answered: says nothing
 	is.Equal(e.Free(), int64(8))
 	e.Observe(start, stateOf(4, "a", "b"))
-	is.Equal(e.Judge(load("d", "")), Permitted)
+	is.Equal(e.Check(load("d", "")), Permitted)
 	is.Equal(e.Sequence(), uint64(4)) // so the lost one is void once this is taken
 	e.Send(load("d", ""))
 	e.Taken(start, 0)
@@ -146,7 +146,7 @@
 	e.Announced([]pool.AnnouncedModel{{Name: "a"}, {Name: "b"}})
 	is.Equal(e.Phase("b"), pool.Ready)
 	e.Announced([]pool.AnnouncedModel{{Name: "a"}, {Name: "b"}, {Name: "z"}})
-	is.True(e.Doubtful())
+	is.True(e.Uncertain())
 }
 
 // TestAdaptersMakeWay: the adapter that was used least lately goes, if it was not
--- a/core/own/book/book.go
+++ b/core/own/book/book.go
@@ -2,7 +2,7 @@
 // never overcommits accelerator memory.
 //
 // The idea: memory is booked before an order is sent and freed only on the
-// engine's own word that the item is gone. An order whose answer is missing
+// engine's own report that the item is gone. An order whose answer is missing
 // counts as both done and not done: a load keeps its memory booked, an unload
 // keeps the item's memory taken.
 //
--- a/core/own/choose/choose.go
+++ b/core/own/choose/choose.go
@@ -137,9 +137,9 @@
 	slots := float64(max(1, r.Concurrent))
 	e := Estimate{Replica: r}
 	if n >= slots {
-		e.Queue = time.Duration((n - slots + 1) / slots * float64(r.Hold()))
+		e.Queue = time.Duration((n - slots + 1) / slots * float64(r.ServiceTime()))
 	}
-	e.Queue += time.Duration(crowd * min(n/slots, 1) * float64(min(r.Hold(), time.Second)))
+	e.Queue += time.Duration(crowd * min(n/slots, 1) * float64(min(r.ServiceTime(), time.Second)))
 	if q.PrefillRate > 0 {
 		e.Prefill = time.Duration(float64(q.PromptTokens) / float64(q.PrefillRate) * float64(time.Second))
 	}
--- a/core/own/modelcalls/attempts.go
+++ b/core/own/modelcalls/attempts.go
@@ -52,11 +52,11 @@
 }
 
 // broke decides what follows an attempt that did not come to its proper end.
-func (h *Handler) broke(now clock.Instant, c *calls.Call, e calls.Broke) {
+func (h *Handler) broke(now clock.Instant, c *calls.Call, e calls.AttemptFailed) {
 	h.settleReplica(now, c, e)
 	c.History = c.History.WithBroken(e.Phase)
 	next := c.History.Next(attempt.Break{
-		Phase: e.Phase, Delivered: e.Delivered, SameBoot: e.Resumable, Stalled: e.Stalled, Spent: e.Spent,
+		Phase: e.Phase, Delivered: e.Delivered, SameBoot: e.Resumable, Stalled: e.Stalled, Spent: e.BodyConsumed,
 	})
 	if h.Options.Disable.AtMost && next == attempt.Fail && e.Delivered == 0 {
 		next = attempt.Retry
@@ -72,7 +72,7 @@
 }
 
 // settleReplica takes in what an attempt that failed says of its replica.
-func (h *Handler) settleReplica(now clock.Instant, c *calls.Call, e calls.Broke) {
+func (h *Handler) settleReplica(now clock.Instant, c *calls.Call, e calls.AttemptFailed) {
 	if e.Leaving {
 		h.Pool.ObserveLeaving(c.Replica)
 		h.Out.Log(logevent.Leaving, "upstream", c.Replica, "source", "answer")
@@ -97,7 +97,7 @@
 func (h *Handler) resume(now clock.Instant, c *calls.Call) {
 	r := h.Pool.Get(c.Replica)
 	if r == nil {
-		h.fail(c, calls.Broke{Phase: attempt.Answered, Delivered: 1, Detail: "the replica left the configuration"})
+		h.fail(c, calls.AttemptFailed{Phase: attempt.Answered, Delivered: 1, Detail: "the replica left the configuration"})
 		return
 	}
 	c.History = c.History.WithResume()
@@ -106,7 +106,7 @@
 	h.Out.Do(h.dispatchAction(c, r, true, resumePause*time.Duration(c.History.Resumes-1)))
 }
 
-func (h *Handler) retry(now clock.Instant, c *calls.Call, e calls.Broke) {
+func (h *Handler) retry(now clock.Instant, c *calls.Call, e calls.AttemptFailed) {
 	s := stateOf(c)
 	if e.Phase != attempt.Refused {
 		if !h.Budget.Spend(now, c.Service) {
@@ -124,11 +124,11 @@
 		h.Calls.Refuse(c, calls.NotRun(code.NoCapacity, "every replica refused: "+e.Detail, h.Calls.RetryAfter(0)))
 		return
 	}
-	h.place(now, c)
+	h.findReplica(now, c)
 }
 
 // abandon frees the sequence that a broken attempt may have left behind.
-func (h *Handler) abandon(c *calls.Call, e calls.Broke) {
+func (h *Handler) abandon(c *calls.Call, e calls.AttemptFailed) {
 	r := h.Pool.Get(c.Replica)
 	if r == nil || e.Phase == attempt.NotSent || e.Phase == attempt.Refused {
 		return
@@ -140,7 +140,7 @@
 // First version (301115d), not measured.
 const maxRefusals = 6
 
-func (h *Handler) fail(c *calls.Call, e calls.Broke) {
+func (h *Handler) fail(c *calls.Call, e calls.AttemptFailed) {
 	num := code.UpstreamBroke
 	if e.Delivered > 0 {
 		num = code.StreamCut
--- a/core/own/modelcalls/claims.go
+++ b/core/own/modelcalls/claims.go
@@ -96,7 +96,7 @@
 	switch e.Outcome {
 	case ClaimWon:
 		c.Phase = calls.Waiting
-		h.place(now, c)
+		h.findReplica(now, c)
 	case ClaimLost:
 		s.claimKey = "" // another's; not ours to release
 		h.Calls.Refuse(c, calls.NotRun(code.KeyClaimed, "another call with this key was accepted earlier", 0))
--- a/core/own/modelcalls/modelcalls.go
+++ b/core/own/modelcalls/modelcalls.go
@@ -83,13 +83,13 @@
 func New(n Needs) *Handler {
 	h := &Handler{Needs: n}
 	h.kind = calls.Kind{
-		Place:     h.place,
-		First:     h.first,
-		Broke:     h.broke,
-		Served:    h.served,
-		Cancel:    h.cancel,
-		NotRun:    h.releaseClaim,
-		LeftQueue: h.leftQueue,
+		FindReplica:   h.findReplica,
+		AnswerBegan:   h.first,
+		AttemptFailed: h.broke,
+		Served:        h.served,
+		Cancel:        h.cancel,
+		NotRun:        h.releaseClaim,
+		LeftQueue:     h.leftQueue,
 	}
 	n.Calls.StillWaiting = h.stillWaiting
 	return h
@@ -109,7 +109,7 @@
 		h.claim(c)
 		return
 	}
-	h.place(now, c)
+	h.findReplica(now, c)
 }
 
 // admit fills in what the configuration and the policy say of the call, or
--- a/core/own/modelcalls/place.go
+++ b/core/own/modelcalls/place.go
@@ -32,8 +32,8 @@
 	return h.able
 }
 
-// place sends the call to the best replica, or lets it wait, or refuses it.
-func (h *Handler) place(now clock.Instant, c *calls.Call) {
+// findReplica sends the call to the best replica, or lets it wait, or refuses it.
+func (h *Handler) findReplica(now clock.Instant, c *calls.Call) {
 	s := stateOf(c)
 	q := choose.Query{
 		Zone:         h.Self.Zone,
@@ -45,7 +45,7 @@
 	best, ok := h.Chooser.Choose(now, q, h.candidates(now, c))
 	switch {
 	case !ok:
-		h.placeAbsent(now, c)
+		h.noReplica(now, c)
 	case best.Room:
 		h.dispatch(now, c, best)
 	case best.Queue > h.allowance(now, c):
@@ -55,8 +55,8 @@
 	}
 }
 
-// placeAbsent deals with a call that no usable replica can serve.
-func (h *Handler) placeAbsent(now clock.Instant, c *calls.Call) {
+// noReplica deals with a call that no usable replica can serve.
+func (h *Handler) noReplica(now clock.Instant, c *calls.Call) {
 	s := stateOf(c)
 	if c.Plain {
 		h.Calls.Refuse(c, calls.NotRun(code.NoReplica, "no live replica", h.Calls.RetryAfter(0)))
--- a/core/own/planner/planner.go
+++ b/core/own/planner/planner.go
@@ -45,15 +45,15 @@
 	Out     *step.Output
 	Members *member.Table
 	Pool    *pool.Pool
-	Records *share.Store
+	Records *share.Set
 	Config  *config.Current
 	Outage  *outage.Tracker
 	Chooser *choose.Chooser
 	Meter   *meter.Meter
-	Board   *demand.Board
+	Board   *demand.Totals
 	// Stopping reports whether a planned stop has begun.
 	Stopping func() bool
-	// News has the next exchanges begun soon, Hurry at once; Tell begins one
+	// News has the next exchanges begun soon, TellAll at once; Tell begins one
 	// with a peer, if there is one.
 	News  func(now clock.Instant)
 	Hurry func(now clock.Instant)
@@ -215,7 +215,7 @@
 			p.job.Begin(now)
 			p.Out.Do(SeekLease{Term: p.Options.LeaseTerm, Renew: p.lease.Fence()})
 		}
-	case p.Members.OnDuty(now, "plan/"+p.Self.Zone, candidates):
+	case p.Members.Assigned(now, "plan/"+p.Self.Zone, candidates):
 		p.job.Begin(now)
 		p.Out.Do(SeekLease{Term: p.Options.LeaseTerm})
 	}
--- a/core/own/planner/read.go
+++ b/core/own/planner/read.go
@@ -76,7 +76,7 @@
 			return true
 		}
 	}
-	return p.Members.OnDuty(now, "read/"+r.Name, readersPerEngine)
+	return p.Members.Assigned(now, "read/"+r.Name, readersPerEngine)
 }
 
 func (p *Planner) readEvery(r *pool.Replica, every time.Duration) time.Duration {
@@ -111,7 +111,7 @@
 	}
 }
 
-// observe takes in an engine's own word and makes it known to peers.
+// observe takes in an engine's own report and makes it known to peers.
 func (p *Planner) observe(now clock.Instant, engine string, s pool.State) {
 	res := share.Residency{Engine: engine, Residency: s.Residency}
 	if p.Records.AddResidency("", res) {
--- a/core/owned/engine.go
+++ b/core/owned/engine.go
@@ -40,7 +40,7 @@
 // this instance, and before it by former owners, whose orders it has waited for.
 func (e *Engine) Quiet(now clock.Instant) time.Duration {
 	switch {
-	case !e.Settled || e.Flying() || e.Doubtful() || now.Before(e.From):
+	case !e.Settled || e.InFlight() || e.Uncertain() || now.Before(e.From):
 		return 0
 	case !e.orderedAt.IsZero():
 		return now.Since(e.orderedAt)
--- a/core/owned/owned.go
+++ b/core/owned/owned.go
@@ -26,7 +26,7 @@
 type Engines struct {
 	Out     *step.Output
 	Pool    *pool.Pool
-	Records *share.Store
+	Records *share.Set
 	Config  *config.Current
 	// MayOrder reports whether this instance's ownerships are certainly still
 	// its own.
@@ -48,8 +48,8 @@
 // Names returns the engines that this instance owns, in order.
 func (s *Engines) Names() []string { return slices.Sorted(maps.Keys(s.engines)) }
 
-// Take begins to own an engine, which may be ordered from from on.
-func (s *Engines) Take(now clock.Instant, o registry.Ownership, from clock.Instant) {
+// Acquire begins to own an engine, which may be ordered from from on.
+func (s *Engines) Acquire(now clock.Instant, o registry.Ownership, from clock.Instant) {
 	r := s.Pool.Get(o.Engine)
 	if r == nil {
 		return
--- a/core/owned/queue.go
+++ b/core/owned/queue.go
@@ -104,7 +104,7 @@
 	}
 	q := queued{request: r, waiters: []waiter{w}, due: now, expires: now.Add(queueTime)}
 	if !r.Load && r.Adapter == "" && e.Phase(r.Model) == pool.Ready {
-		e.Retire(r.Model)
+		e.MarkUnloading(r.Model)
 		q.due = now.Add(unloadPause)
 	}
 	e.queue = append(e.queue, q)
@@ -128,7 +128,7 @@
 
 // work does what can be done for one request, and reports whether it is over.
 func (s *Engines) work(now clock.Instant, e *Engine, q *queued) bool {
-	switch e.Judge(q.request) {
+	switch e.Check(q.request) {
 	case orders.Holds, orders.NotThere:
 		s.answerAll(now, e, *q, Done, "")
 		return true
@@ -154,7 +154,7 @@
 		return false
 	}
 	if !q.request.Load && q.request.Adapter == "" {
-		e.Unretire(q.request.Model)
+		e.UnmarkUnloading(q.request.Model)
 	}
 	s.answerAll(now, e, *q, Refused, "the engine did not become free in time")
 	return true
@@ -163,11 +163,11 @@
 // makeRoom orders the adapter that was used least lately away, and reports
 // whether room is to be expected.
 func (s *Engines) makeRoom(now clock.Instant, e *Engine) bool {
-	if e.Flying() || !e.Known() {
+	if e.InFlight() || !e.Known() {
 		return true
 	}
 	idle, ok := e.IdleAdapter(now, idleAdapter)
-	if !ok || e.Judge(idle) != orders.Permitted {
+	if !ok || e.Check(idle) != orders.Permitted {
 		return false
 	}
 	s.send(now, e, idle)
@@ -188,7 +188,7 @@
 // OrderReplied takes in what came of an order.
 func (s *Engines) OrderReplied(now clock.Instant, r OrderReply) {
 	e := s.engines[r.Engine]
-	if e == nil || e.Fence != r.Fence || !e.Flying() {
+	if e == nil || e.Fence != r.Fence || !e.InFlight() {
 		return
 	}
 	s.Out.Log(logevent.EngineAnswer, "engine", e.Name, "answer", int(r.Answer), "sequence", e.Sequence(), "detail", r.Detail)
@@ -201,10 +201,10 @@
 	case orders.AnswerNotSent, orders.AnswerInvalid:
 		e.Failed()
 	case orders.AnswerConflict:
-		e.Contradicted()
+		e.SequenceDiffers()
 	case orders.AnswerMisdirected:
 		e.Failed()
-		s.Pool.Dead(now, e.Name)
+		s.Pool.MarkGone(now, e.Name)
 	case orders.AnswerFenced:
 		e.Failed()
 		s.Lose(now, e.Name, "the engine has seen a later fence")
--- a/core/ownership/claim.go
+++ b/core/ownership/claim.go
@@ -33,8 +33,8 @@
 
 // A claims is this instance's claiming under way.
 type claims struct {
-	due    clock.Instant
-	flying bool
+	due      clock.Instant
+	inFlight bool
 }
 
 // claim claims the engines that this instance should own.
@@ -43,7 +43,7 @@
 		return
 	}
 	g.claims.due = now.Add(step.Jitter(g.Rand, claimEvery))
-	if !g.known || !g.enrolment.held || g.claims.flying || !g.Roster.Includes(now) || !g.MayOrder(now) || !g.Config.Known() {
+	if !g.known || !g.enrolment.held || g.claims.inFlight || !g.Roster.Includes(now) || !g.MayOrder(now) || !g.Config.Known() {
 		return
 	}
 	var claims []registry.Ownership
@@ -58,7 +58,7 @@
 	if len(claims) == 0 {
 		return
 	}
-	g.claims.flying = true
+	g.claims.inFlight = true
 	g.Out.Do(Write{Write: Records{Claim: claims}})
 }
 
@@ -140,7 +140,7 @@
 
 // claimsWritten takes in what came of claims.
 func (g *Registry) claimsWritten(now clock.Instant, e WriteReply) {
-	g.claims.flying = false
+	g.claims.inFlight = false
 	if e.Err != nil {
 		g.Outage.Observe(now, e.Err)
 		return
@@ -156,7 +156,7 @@
 			own.Confirm(claim)
 			continue
 		}
-		g.Owned.Take(now, claim, g.firstOrder(now, claim, first))
+		g.Owned.Acquire(now, claim, g.firstOrder(now, claim, first))
 	}
 }
 
--- a/core/ownership/ownership.go
+++ b/core/ownership/ownership.go
@@ -23,6 +23,7 @@
 
 	"github.com/birchdrift/birchdrift/core/clock"
 	"github.com/birchdrift/birchdrift/core/config"
+	"github.com/birchdrift/birchdrift/core/logevent"
 	"github.com/birchdrift/birchdrift/core/member"
 	"github.com/birchdrift/birchdrift/core/option"
 	"github.com/birchdrift/birchdrift/core/outage"
@@ -121,7 +122,7 @@
 	Out     *step.Output
 	Members *member.Table
 	Pool    *pool.Pool
-	Records *share.Store
+	Records *share.Set
 	Config  *config.Current
 	Outage  *outage.Tracker
 	Roster  *watchers.Roster
@@ -214,12 +215,12 @@
 	if e.Whole {
 		records = append(slices.Clone(records), g.Records.Missing(records, e.Version)...)
 	}
-	g.Take(now, "", records)
+	g.Merge(now, "", records)
 }
 
-// Take takes in those of the records that are news; from is the peer that told
+// Merge takes in those of the records that are news; from is the peer that told
 // of them, "" if they were learnt from the store itself.
-func (g *Registry) Take(now clock.Instant, from string, records []registry.Record) {
+func (g *Registry) Merge(now clock.Instant, from string, records []registry.Record) {
 	var change registry.Change
 	news := false
 	for _, r := range records {
@@ -235,6 +236,9 @@
 }
 
 func (g *Registry) apply(now clock.Instant, c registry.Change) {
+	for _, key := range c.Unreadable {
+		g.Out.Log(logevent.RecordUnreadable, "key", key)
+	}
 	for _, i := range c.Instances {
 		g.instances[i.Name] = i
 		delete(g.absent, i.Name)
--- a/core/ownership/ownership_test.go
+++ b/core/ownership/ownership_test.go
@@ -33,7 +33,7 @@
 	}
 	engines := pool.New()
 	engines.Announce(now, "e", pool.Announcement{Service: "llm", Address: "e", Zone: "z", Slots: 8, Engine: true})
-	own := &owned.Engines{Out: out, Pool: engines, Records: share.NewStore(), Config: &config.Current{Snapshot: snapshot}}
+	own := &owned.Engines{Out: out, Pool: engines, Records: share.NewSet(), Config: &config.Current{Snapshot: snapshot}}
 	return New(Needs{
 		Self: member.Identity{Name: "self", Zone: "z", Boot: 1}, Options: &opt, Rand: rand.New(rand.NewPCG(1, 1)),
 		Out: out, Pool: engines, Owned: own, Stopping: func() bool { return false },
@@ -72,7 +72,7 @@
 	g := testRegistry(now)
 	is.Equal(g.keepEvery(), 2*g.Options.KeepEvery)
 	is.True(g.keepEvery() < g.Options.EnrolTerm/2)
-	g.Owned.Take(now, registry.Ownership{Engine: "e", Owner: "self", Boot: 1, Revision: 1}, now)
+	g.Owned.Acquire(now, registry.Ownership{Engine: "e", Owner: "self", Boot: 1, Revision: 1}, now)
 	is.Equal(g.Owned.Len(), 1)
 	is.Equal(g.keepEvery(), g.Options.KeepEvery)
 	g.Owned.LoseAll(now, "test")
--- a/core/ownership/placer.go
+++ b/core/ownership/placer.go
@@ -9,8 +9,8 @@
 	"github.com/birchdrift/birchdrift/core/step"
 )
 
-// placerDuty is the rendezvous key of the placer.
-const placerDuty = "placer"
+// placerKey is the rendezvous key of the placer.
+const placerKey = "placer"
 
 // A placer is the placer's record as it is known here, and this instance's part
 // in it. The record hangs on its holder's lease and goes with it.
@@ -58,7 +58,7 @@
 // those that watch the store, the ones with more of a processor, then by
 // rendezvous hashing.
 func (g *Registry) PlacerRank(now clock.Instant) int {
-	key := rendezvous.Key(placerDuty)
+	key := rendezvous.Key(placerKey)
 	own := rendezvous.Score(key, g.Self.Name)
 	ahead := 0
 	for _, zone := range g.Roster.Zones() {
--- a/core/placement/budget.go
+++ b/core/placement/budget.go
@@ -19,9 +19,9 @@
 
 // A loadBudget is a token bucket of loads from the weight store.
 type loadBudget struct {
-	begun  clock.Instant // when this instance became the placer
-	at     clock.Instant // when tokens were last added
-	tokens float64
+	begun     clock.Instant // when this instance became the placer
+	at        clock.Instant // when tokens were last added
+	available float64
 }
 
 func newLoadBudget(now clock.Instant) loadBudget { return loadBudget{begun: now, at: now} }
@@ -30,23 +30,23 @@
 // second. While the former placer may still be at work, there are none.
 func (b *loadBudget) refill(now clock.Instant, rate float64, o *option.Options) {
 	if o.Disable.Rate {
-		b.tokens = math.MaxInt32
+		b.available = math.MaxInt32
 		return
 	}
 	if now.Since(b.begun) < o.OrderValid {
 		b.at = now
 		return
 	}
-	b.tokens = min(b.tokens+loadShare*rate*now.Since(b.at).Seconds(), loadBurst)
+	b.available = min(b.available+loadShare*rate*now.Since(b.at).Seconds(), loadBurst)
 	b.at = now
 }
 
 // spend takes one load, and reports whether there was one.
 func (b *loadBudget) spend() bool {
-	if b.tokens < 1 {
+	if b.available < 1 {
 		return false
 	}
-	b.tokens--
+	b.available--
 	return true
 }
 
@@ -64,7 +64,7 @@
 // plannable returns how many loads from the weight store may be planned now:
 // those that may begin, less those that are planned and have not begun.
 func (p *Placer) plannable() int {
-	free := math.Floor(p.loads.tokens)
+	free := math.Floor(p.loads.available)
 	for _, c := range p.changes {
 		if c.Source == pool.WeightStore && !c.counted {
 			free--
--- a/core/placement/changes.go
+++ b/core/placement/changes.go
@@ -28,24 +28,24 @@
 	// margin is by how much a copy must be worth more than what makes way.
 	// Set in 7c7040a.
 	margin = 1.5
-	// storeWorth is the least worth of a copy that is loaded from the store.
+	// minStoreValue is the least worth of a copy that is loaded from the store.
 	// Set in 1db316e.
-	storeWorth = 0.12
-	// handWorth is the same for one whose weights the engine has at hand.
+	minStoreValue = 0.12
+	// minAtHandValue is the same for one whose weights the engine has at hand.
 	// Set in 1db316e.
-	handWorth = 0.04
+	minAtHandValue = 0.04
 	// runsCost is the cost of dropping a copy of a model, for each call a
 	// second that it serves: its runs must end first. Set in 7c7040a.
 	runsCost = 0.03
-	// absentWorth is the worth of the first copy of a model for each call a
+	// absentValue is the worth of the first copy of a model for each call a
 	// second that finds none. Set in 7c7040a.
-	absentWorth = 2.0
-	// restWorth is the worth of the first copy of a model nobody asks for now.
+	absentValue = 2.0
+	// idleValue is the worth of the first copy of a model nobody asks for now.
 	// Set in 7c7040a.
-	restWorth = 0.06
-	// spareWorth is the worth of a second copy of a model that has one: it
+	idleValue = 0.06
+	// spareValue is the worth of a second copy of a model that has one: it
 	// stands in when the first is lost. Set in 7c7040a.
-	spareWorth = 0.01
+	spareValue = 0.01
 	// zoneBonus prefers an engine in a zone that has no copy of the model yet:
 	// a zone may be cut off from the others. Set in 4387df2.
 	zoneBonus = 0.05
@@ -120,7 +120,7 @@
 	Load   string
 	Drop   []string
 	Source pool.Source
-	Worth  float64 // of the load, for logs
+	Value  float64 // of the load, for logs
 	Cost   float64 // of the drops, for logs
 	Work   float64 // that the model brings, for logs
 	Copies int     // of the model before, for logs
@@ -212,21 +212,21 @@
 // A candidate is a copy that a model could do with.
 type candidate struct {
 	model string
-	worth float64
+	value float64
 }
 
-// worth returns what copy number n of a model is worth: the work that it takes
+// value returns what copy number n of a model is value: the work that it takes
 // from the others, and more where there are none or they have too much to do.
-func (r *round) worth(model string, n int) float64 {
+func (r *round) value(model string, n int) float64 {
 	d := r.in.Demand[model]
 	if n <= 1 {
-		return restWorth + d.Work + absentWorth*max(d.Absent, d.Rate)
+		return idleValue + d.Work + absentValue*max(d.Absent, d.Rate)
 	}
 	before := d.Work / float64(n-1)
 	after := d.Work / float64(n)
 	worth := pressure(before)*float64(n-1) - pressure(after)*float64(n)
 	if n == 2 {
-		worth += spareWorth
+		worth += spareValue
 	}
 	return worth
 }
@@ -247,13 +247,13 @@
 		if r.in.OnlyAbsent && (r.copies[name] > 0 || r.in.Demand[name].Absent == 0) {
 			continue
 		}
-		if worth := r.worth(name, r.copies[name]+1); worth >= handWorth || r.copies[name] == 0 {
-			candidates = append(candidates, candidate{model: name, worth: worth})
+		if worth := r.value(name, r.copies[name]+1); worth >= minAtHandValue || r.copies[name] == 0 {
+			candidates = append(candidates, candidate{model: name, value: worth})
 		}
 	}
 	sort.Slice(candidates, func(i, j int) bool {
-		if candidates[i].worth != candidates[j].worth {
-			return candidates[i].worth > candidates[j].worth
+		if candidates[i].value != candidates[j].value {
+			return candidates[i].value > candidates[j].value
 		}
 		return candidates[i].model < candidates[j].model
 	})
@@ -284,7 +284,7 @@
 	}
 	change := Change{
 		Engine: best.engine.Name, Load: c.model, Drop: best.drop, Source: best.source,
-		Worth: c.worth, Cost: best.cost, Work: r.in.Demand[c.model].Work, Copies: r.copies[c.model],
+		Value: c.value, Cost: best.cost, Work: r.in.Demand[c.model].Work, Copies: r.copies[c.model],
 	}
 	r.apply(best, c)
 	return change, true
@@ -308,15 +308,15 @@
 		return fit{}, false
 	}
 	o := fit{engine: e, source: e.source(c.model)}
-	least := handWorth
+	least := minAtHandValue
 	if o.source == pool.WeightStore {
-		least = storeWorth
+		least = minStoreValue
 		if r.store <= 0 {
 			return fit{}, false
 		}
 	}
 	first := r.copies[c.model] == 0
-	if c.worth < least && !first {
+	if c.value < least && !first {
 		return fit{}, false
 	}
 	if !first && e.work > fullEngine {
@@ -328,13 +328,13 @@
 	if r.in.Blind && len(o.drop) > 0 && r.in.Demand[c.model].Absent == 0 {
 		return fit{}, false
 	}
-	if o.cost > 0 && c.worth < margin*o.cost {
+	if o.cost > 0 && c.value < margin*o.cost {
 		return fit{}, false
 	}
 	if r.zones[c.model][e.Zone] == 0 {
 		o.score += zoneBonus
 	}
-	o.score += c.worth - o.cost - engineWorkWeight*e.work + sourceBonus[o.source]
+	o.score += c.value - o.cost - engineWorkWeight*e.work + sourceBonus[o.source]
 	return o, true
 }
 
--- a/core/placement/demand.go
+++ b/core/placement/demand.go
@@ -20,13 +20,13 @@
 	if p.Registry.Placer().Name != peer && !standsIn {
 		return nil
 	}
-	return p.Flow.Items(now)
+	return p.OwnDemand.Items(now)
 }
 
 // DemandHeard takes in what a peer's callers ask for. Models are placed at once
 // if they found one nowhere.
 func (p *Placer) DemandHeard(now clock.Instant, peer string, items []demand.Item) {
-	p.Board.Report(now, peer, items)
+	p.AllDemand.Report(now, peer, items)
 	if !p.Registry.IsPlacer(now) && !p.CutOff(now) {
 		return
 	}
--- a/core/placement/input.go
+++ b/core/placement/input.go
@@ -26,7 +26,7 @@
 	for _, m := range engines.Models {
 		in.Models[m.Name] = Model{Name: m.Name, MB: m.MemoryMB, Store: m.Load, Disk: m.LoadDisk, Memory: m.LoadHost}
 	}
-	for _, d := range p.Board.Sum(now) {
+	for _, d := range p.AllDemand.Sum(now) {
 		in.Demand[d.Name] = Demand{Work: d.Concurrent, Rate: d.Rate, Absent: d.Absent}
 	}
 	for _, r := range p.Pool.Serving(svc.Name) {
--- a/core/placement/placer.go
+++ b/core/placement/placer.go
@@ -64,10 +64,10 @@
 	Registry *ownership.Registry
 	Asks     *asks.Asks
 	Roster   *watchers.Roster
-	// Flow is what this instance's own callers ask for, Board what was heard
+	// OwnDemand is what this instance's own callers ask for, AllDemand what was heard
 	// from all.
-	Flow  *demand.Flow
-	Board *demand.Board
+	OwnDemand *demand.Tracker
+	AllDemand *demand.Totals
 	// Stopping reports whether a planned stop has begun.
 	Stopping func() bool
 	// Tell has an exchange with a peer begun at once, if there is one; NextWatcher
@@ -162,8 +162,8 @@
 
 // place goes on with the changes under way, then begins new ones.
 func (p *Placer) place(now clock.Instant) {
-	p.Board.Report(now, p.Self.Name, p.Flow.Items(now))
-	if len(p.Board.Sum(now)) == 0 {
+	p.AllDemand.Report(now, p.Self.Name, p.OwnDemand.Items(now))
+	if len(p.AllDemand.Sum(now)) == 0 {
 		p.demandAt = now
 	}
 	p.loads.refill(now, p.loadRate(), p.Options)
@@ -177,7 +177,7 @@
 		}
 		for _, c := range Changes(p.input(now, svc)) {
 			p.Out.Log(logevent.Placed, "engine", c.Engine, "load", c.Load, "drop", c.Drop, "source", c.Source.String(),
-				"worth", c.Worth, "cost", c.Cost, "work", c.Work, "copies", c.Copies)
+				"worth", c.Value, "cost", c.Cost, "work", c.Work, "copies", c.Copies)
 			ch := &change{Change: c, begun: now}
 			p.changes[c.Engine] = ch
 			p.advance(now, ch)
--- a/core/placement/placer_test.go
+++ b/core/placement/placer_test.go
@@ -35,7 +35,7 @@
 		return registry.Ownership{Engine: engine, Owner: "owner"}, true
 	}
 	p := New(Needs{Out: out, Pool: engines, Asks: a})
-	p.loads.tokens = 1
+	p.loads.available = 1
 	begun := 0
 	for _, engine := range []string{"e0", "e1", "e2"} {
 		engines.Announce(now, engine, pool.Announcement{Service: "llm", Address: engine, Zone: "z", Slots: 8, Engine: true})
--- a/core/placement/room.go
+++ b/core/placement/room.go
@@ -46,9 +46,9 @@
 	n := r.copies[model]
 	runs := runsCost * r.in.Demand[model].Rate / float64(max(1, n))
 	if n > 1 {
-		return r.worth(model, n) + runs
+		return r.value(model, n) + runs
 	}
-	cost := r.worth(model, 1) + runs
+	cost := r.value(model, 1) + runs
 	if r.atHand[model] <= 1 { // the one that drops it keeps a copy too
 		cost += lastAtHandCost
 	}
--- a/core/pool/announced.go
+++ b/core/pool/announced.go
@@ -11,11 +11,11 @@
 
 // An Announcement is what a replica says of itself in the platform's list.
 type Announcement struct {
-	Service  string
-	Address  string // IP:port
-	Zone     string
-	Slots    int  // calls it runs at once
-	Draining bool // it takes no new work and will end
+	Service string
+	Address string // IP:port
+	Zone    string
+	Slots   int  // calls it runs at once
+	Leaving bool // it takes no new work and will end
 	// Remaining is the time left to a replica that is taken away at short
 	// notice, counted from the announcement; 0 if it is not, or not known.
 	Remaining time.Duration
@@ -117,8 +117,8 @@
 	r.announced = a
 	r.announcedAt = now
 	r.vanishedAt = clock.Instant{}
-	r.listedLeaving = a.Draining
-	if a.Draining && a.Remaining > 0 {
+	r.listedLeaving = a.Leaving
+	if a.Leaving && a.Remaining > 0 {
 		r.endsAt = now.Add(a.Remaining)
 	}
 	p.merge(r)
@@ -189,9 +189,9 @@
 // AnnouncedAt returns when the replica was last announced.
 func (r *Replica) AnnouncedAt() clock.Instant { return r.announcedAt }
 
-// Dead notes an answer that shows that another replica has the address, or that
+// MarkGone notes an answer that shows that another replica has the address, or that
 // nothing runs there.
-func (p *Pool) Dead(now clock.Instant, name string) {
+func (p *Pool) MarkGone(now clock.Instant, name string) {
 	r := p.replicas[name]
 	if r == nil {
 		return
@@ -200,13 +200,13 @@
 	p.touched++
 }
 
-// staleWord is how much younger than its owner's word an announcement must be
-// to show that a model which the word has is not there any more. Set in fd5c1f7.
-const staleWord = 1500 * time.Millisecond
+// staleReport is how much younger than its owner's report an announcement must be
+// to show that a model which the report has is not there any more. Set in fd5c1f7.
+const staleReport = 1500 * time.Millisecond
 
-// merge works out what an announced engine holds, from the word of the instance
+// merge works out what an announced engine holds, from the report of the instance
 // that orders it where there is one, else from its announcement. An announcement
-// that is younger than the word tells what became of orders on models; it says
+// that is younger than the report tells what became of orders on models; it says
 // nothing of adapters, which engines announce late.
 func (p *Pool) merge(r *Replica) {
 	if !r.Announced {
@@ -221,10 +221,10 @@
 	for _, it := range r.Residency.Items {
 		r.items[it.Name] = it.Phase
 	}
-	if r.announcedAt.Before(r.wordAt) {
+	if r.announcedAt.Before(r.reportedAt) {
 		return
 	}
-	old := r.announcedAt.Since(r.wordAt) >= staleWord
+	old := r.announcedAt.Since(r.reportedAt) >= staleReport
 	for item, phase := range r.items {
 		model, adapter := SplitItem(item)
 		_, shown := announced[model]
@@ -253,8 +253,8 @@
 	return n
 }
 
-// Drop notes that the replica itself said that it does not hold the item.
-func (p *Pool) Drop(name, item string) {
+// MarkAbsent notes that the replica itself said that it does not hold the item.
+func (p *Pool) MarkAbsent(name, item string) {
 	r := p.replicas[name]
 	if r == nil || r.items[item] != Ready {
 		return
@@ -270,9 +270,9 @@
 	p.touched++
 }
 
-// Hold notes that an item is ready on an engine, by the word of whoever had it
+// MarkReady notes that an item is ready on an engine, as reported by whoever had it
 // loaded.
-func (p *Pool) Hold(name, item string) {
+func (p *Pool) MarkReady(name, item string) {
 	r := p.replicas[name]
 	if r == nil || r.items[item] == Ready {
 		return
--- a/core/pool/pool.go
+++ b/core/pool/pool.go
@@ -131,7 +131,7 @@
 	old := r.items
 	r.Residency = res
 	clear(r.refused)
-	r.wordAt = now
+	r.reportedAt = now
 	if r.Announced {
 		p.merge(r)
 	} else {
@@ -218,7 +218,7 @@
 	p.touched++
 }
 
-// ObserveLeaving takes in the word of somebody else, such as an answer's
+// ObserveLeaving takes in the report of somebody else, such as an answer's
 // header, that the replica is leaving.
 func (p *Pool) ObserveLeaving(name string) {
 	r := p.replicas[name]
--- a/core/pool/replica.go
+++ b/core/pool/replica.go
@@ -81,7 +81,7 @@
 	announced   Announcement
 	seenAt      clock.Instant // when it was first announced
 	announcedAt clock.Instant // when it was last announced
-	wordAt      clock.Instant // when its owner's word was last heard
+	reportedAt  clock.Instant // when its owner's report was last heard
 	vanishedAt  clock.Instant // when the list lost it; zero while it is listed
 	endsAt      clock.Instant // when it is taken away, if that is known
 
@@ -156,7 +156,7 @@
 
 // Leaving reports whether any source said that the replica is leaving. The
 // first source that says so wins; only a later boot takes it back, because the
-// list lags behind the upstream's own word.
+// list lags behind the upstream's own report.
 func (r *Replica) Leaving() bool { return r.saidLeaving || r.listedLeaving }
 
 // Ejected reports whether failures keep the replica out of the choice at now.
@@ -196,8 +196,8 @@
 	return first
 }
 
-// Hold returns the measured time that a call occupies the replica.
-func (r *Replica) Hold() time.Duration { return r.hold }
+// ServiceTime returns the measured time that a call occupies the replica.
+func (r *Replica) ServiceTime() time.Duration { return r.hold }
 
 // Busy returns the replica's running share at now: 1 is full.
 func (r *Replica) Busy(now clock.Instant) float64 {
--- a/core/pool/report.go
+++ b/core/pool/report.go
@@ -30,7 +30,7 @@
 	Phase ItemPhase
 }
 
-// A Residency is what an engine holds, in its own words. Boot and Change order
+// A Residency is what an engine holds, in its own reports. Boot and Change order
 // residencies of one engine: Boot rises with every start, Change with every
 // change since.
 type Residency struct {
--- a/core/pool/use.go
+++ b/core/pool/use.go
@@ -15,7 +15,7 @@
 	Down    bool          // nothing answered there a moment ago
 }
 
-// useSpan is how long another instance's word about its calls is believed.
+// useSpan is how long another instance's report of its calls is believed.
 // Set in 949b701.
 const useSpan = 3 * time.Second
 
@@ -101,9 +101,9 @@
 	return sum
 }
 
-// Doubted reports whether this instance, or a peer that was heard a moment ago,
+// Suspected reports whether this instance, or a peer that was heard a moment ago,
 // found nothing at the replica's address.
-func (r *Replica) Doubted(now clock.Instant) bool {
+func (r *Replica) Suspected(now clock.Instant) bool {
 	if r.Down(now) {
 		return true
 	}
@@ -135,7 +135,7 @@
 	Running int // with one
 }
 
-// An engine's word about its load is some 100 ms old when it comes, and is
+// An engine's report of its load is some 100 ms old when it comes, and is
 // believed for a while.
 const (
 	reportLag  = 100 * time.Millisecond // set in 396841e
--- a/core/registry/registry.go
+++ b/core/registry/registry.go
@@ -80,10 +80,11 @@
 	GoneOwners    []string
 	Placer        *Placer // set if it changed
 	PlacerGone    bool
+	Unreadable    []string // keys of records that cannot be read, and are passed over
 }
 
-// Add takes one record into the change. One that makes no sense is passed over:
-// a later version of the program may write what this one does not know.
+// Add takes one record into the change. Records of kinds that this version of the
+// program does not know are passed over.
 func (c *Change) Add(r Record) {
 	switch {
 	case r.Key == placerKey:
@@ -102,10 +103,12 @@
 		return
 	}
 	p := Placer{Revision: revision}
-	if json.Unmarshal(value, &p) == nil {
-		c.Placer = &p
-		c.PlacerGone = false
+	if json.Unmarshal(value, &p) != nil {
+		c.Unreadable = append(c.Unreadable, placerKey)
+		return
 	}
+	c.Placer = &p
+	c.PlacerGone = false
 }
 
 func (c *Change) addInstance(name string, value []byte, gone bool) {
@@ -114,9 +117,11 @@
 		return
 	}
 	i := Instance{Name: name}
-	if json.Unmarshal(value, &i) == nil {
-		c.Instances = append(c.Instances, i)
+	if json.Unmarshal(value, &i) != nil {
+		c.Unreadable = append(c.Unreadable, instancePrefix+name)
+		return
 	}
+	c.Instances = append(c.Instances, i)
 }
 
 func (c *Change) addOwner(engine string, value []byte, revision uint64, gone bool) {
@@ -125,9 +130,11 @@
 		return
 	}
 	o := Ownership{Engine: engine, Revision: revision}
-	if json.Unmarshal(value, &o) == nil {
-		c.Owners = append(c.Owners, o)
+	if json.Unmarshal(value, &o) != nil {
+		c.Unreadable = append(c.Unreadable, ownerPrefix+engine)
+		return
 	}
+	c.Owners = append(c.Owners, o)
 }
 
 // A Value is a key with the bytes to write there.
--- a/core/route/forward.go
+++ b/core/route/forward.go
@@ -45,25 +45,25 @@
 	suspectCost = 50 * time.Millisecond
 )
 
-// A ForwardQuery is what the choice needs to know of one forwarded call.
-type ForwardQuery struct {
+// A Query is what the choice needs to know of one forwarded call.
+type Query struct {
 	Zone   string   // zone of this instance
 	Model  Weight   // the zero value for a plain service
 	Tokens int      // of the prompt
 	Chain  Chain    // of the prompt's parts
 	Tried  []string // replicas that failed the call, passed over
 	Salt   uint64   // of the call, to tell apart replicas that seem alike
-	// Extra returns what must happen at a replica before it can serve the
+	// LoadCost returns what must happen at a replica before it can serve the
 	// call, as time; ok is false if it cannot. nil: nothing must.
-	Extra func(r *pool.Replica) (cost time.Duration, ok bool)
-	// Doubt returns the cost of what is doubtful about a replica's zone; nil:
+	LoadCost func(r *pool.Replica) (cost time.Duration, ok bool)
+	// ZoneCost returns the cost of a zone that seems to be cut off; nil:
 	// nothing is.
-	Doubt func(zone string) time.Duration
+	ZoneCost func(zone string) time.Duration
 }
 
-// A ForwardEstimate is the expected time to the answer, or to a stream's first
+// A Estimate is the expected time to the answer, or to a stream's first
 // event, on one replica.
-type ForwardEstimate struct {
+type Estimate struct {
 	Replica *pool.Replica
 	Ahead   time.Duration // work that is there already
 	Prefill time.Duration // work on this call's own prompt
@@ -73,19 +73,19 @@
 }
 
 // Total returns the expected time.
-func (e ForwardEstimate) Total() time.Duration { return e.Ahead + e.Prefill + e.Other }
+func (e Estimate) Total() time.Duration { return e.Ahead + e.Prefill + e.Other }
 
-// Forwards chooses replicas for forwarded calls, and learns how fast models
+// Router chooses replicas for forwarded calls, and learns how fast models
 // read and what engines keep.
-type Forwards struct {
+type Router struct {
 	caches   map[string]*Cache // by engine
 	perToken map[string]time.Duration
 	perSize  map[int64]time.Duration // of models of a size, for those not measured yet
 }
 
-// NewForwards returns a chooser that has learnt nothing.
-func NewForwards() *Forwards {
-	return &Forwards{caches: map[string]*Cache{}, perToken: map[string]time.Duration{}, perSize: map[int64]time.Duration{}}
+// NewRouter returns a chooser that has learnt nothing.
+func NewRouter() *Router {
+	return &Router{caches: map[string]*Cache{}, perToken: map[string]time.Duration{}, perSize: map[int64]time.Duration{}}
 }
 
 // A Weight names a model and the memory that its weights take, in MB.
@@ -96,7 +96,7 @@
 
 // TokenTime returns how long an engine is believed to read one prompt token of
 // a model: as measured, else as measured of models of its size.
-func (f *Forwards) TokenTime(w Weight) time.Duration {
+func (f *Router) TokenTime(w Weight) time.Duration {
 	if d, ok := f.perToken[w.Model]; ok {
 		return d
 	}
@@ -110,7 +110,7 @@
 // read on an engine that had no other prompt to read. What else happens there
 // makes some measurements too long, and parts that are kept there unknown to
 // this instance make others too short; so the estimate follows a quantile.
-func (f *Forwards) Learn(w Weight, tokens int, took time.Duration) {
+func (f *Router) Learn(w Weight, tokens int, took time.Duration) {
 	if tokens < learnTokens {
 		return
 	}
@@ -133,7 +133,7 @@
 }
 
 // Sent notes that a prompt goes to an engine that keeps so many tokens.
-func (f *Forwards) Sent(engine string, chain Chain, capacity int) {
+func (f *Router) Sent(engine string, chain Chain, capacity int) {
 	c := f.caches[engine]
 	if c == nil {
 		c = NewCache(capacity)
@@ -144,7 +144,7 @@
 
 // Choose returns the best of the candidates; ok is false when none may be sent
 // the call.
-func (f *Forwards) Choose(now clock.Instant, q ForwardQuery, candidates []*pool.Replica) (best ForwardEstimate, ok bool) {
+func (f *Router) Choose(now clock.Instant, q Query, candidates []*pool.Replica) (best Estimate, ok bool) {
 	for _, e := range f.estimates(now, q, candidates) {
 		if !ok || e.Total() < best.Total() {
 			best = e
@@ -157,7 +157,7 @@
 // Best returns the best of the candidates, n at most. Those that differ by less
 // than bestStep come in an order of the call's own, so that calls of the same kind
 // do not all look at the same ones.
-func (f *Forwards) Best(now clock.Instant, q ForwardQuery, candidates []*pool.Replica, n int) []ForwardEstimate {
+func (f *Router) Best(now clock.Instant, q Query, candidates []*pool.Replica, n int) []Estimate {
 	all := f.estimates(now, q, candidates)
 	sort.Slice(all, func(i, j int) bool {
 		a, b := all[i], all[j]
@@ -173,7 +173,7 @@
 const bestStep = 20 * time.Millisecond
 
 // estimates returns the estimates of the candidates that may be sent the call.
-func (f *Forwards) estimates(now clock.Instant, q ForwardQuery, candidates []*pool.Replica) (estimates []ForwardEstimate) {
+func (f *Router) estimates(now clock.Instant, q Query, candidates []*pool.Replica) (estimates []Estimate) {
 	usable := make([]*pool.Replica, 0, len(candidates))
 	ejected := 0
 	for _, r := range candidates {
@@ -202,11 +202,11 @@
 }
 
 // possible reports whether the replica can be made to serve the call.
-func (q ForwardQuery) possible(r *pool.Replica) bool {
-	if q.Extra == nil {
+func (q Query) possible(r *pool.Replica) bool {
+	if q.LoadCost == nil {
 		return true
 	}
-	_, ok := q.Extra(r)
+	_, ok := q.LoadCost(r)
 	return ok
 }
 
@@ -221,7 +221,7 @@
 
 // headOwner returns the engine that rendezvous hashing names for the prompt's
 // first part, so that instances agree on where a new part is read first.
-func (f *Forwards) headOwner(q ForwardQuery, usable []*pool.Replica) *pool.Replica {
+func (f *Router) headOwner(q Query, usable []*pool.Replica) *pool.Replica {
 	key, ok := q.Chain.Head()
 	if !ok {
 		return nil
@@ -237,25 +237,25 @@
 	return best
 }
 
-func (f *Forwards) estimate(now clock.Instant, q ForwardQuery, r *pool.Replica, head bool) ForwardEstimate {
+func (f *Router) estimate(now clock.Instant, q Query, r *pool.Replica, head bool) Estimate {
 	load := r.Load(now)
-	e := ForwardEstimate{Replica: r, Calls: load.Calls}
+	e := Estimate{Replica: r, Calls: load.Calls}
 	if r.Zone != q.Zone {
 		e.Other += crossZone
 	}
 	if r.Vanished() {
 		e.Other += vanishedCost
 	}
-	if q.Extra != nil {
-		cost, _ := q.Extra(r)
+	if q.LoadCost != nil {
+		cost, _ := q.LoadCost(r)
 		e.Other += cost
 	}
 	e.Other += suspectCost * time.Duration(r.Failures())
-	if r.Doubted(now) {
-		e.Other += doubtedCost
+	if r.Suspected(now) {
+		e.Other += suspectedCost
 	}
-	if q.Doubt != nil {
-		e.Other += q.Doubt(r.Zone)
+	if q.ZoneCost != nil {
+		e.Other += q.ZoneCost(r.Zone)
 	}
 	if late := r.Overdue(now); late > overdueSlack {
 		e.Other += late
@@ -273,7 +273,7 @@
 	e.Ahead = load.Prefill + time.Duration(load.Waiting)*waitingTokens*perToken
 	e.Other += perSequence * time.Duration(load.Calls)
 	if excess := load.Calls - r.Concurrent; excess >= 0 {
-		e.Ahead += time.Duration(excess+1) * r.Hold() / time.Duration(max(1, r.Concurrent))
+		e.Ahead += time.Duration(excess+1) * r.ServiceTime() / time.Duration(max(1, r.Concurrent))
 	}
 	return e
 }
@@ -282,9 +282,9 @@
 // replica. Set in 4387df2.
 const overdueSlack = 150 * time.Millisecond
 
-// doubtedCost keeps calls from replicas at which a peer found nothing.
+// suspectedCost keeps calls from replicas at which a peer found nothing.
 // Set in 4387df2.
-const doubtedCost = 200 * time.Millisecond
+const suspectedCost = 200 * time.Millisecond
 
 // vanishedCost keeps calls from replicas whose entries went, where others are.
 // Set in 949b701.
@@ -296,8 +296,8 @@
 
 // plain estimates a plain replica: its own usual time, longer in proportion to
 // the calls beyond its slots.
-func (e *ForwardEstimate) plain(r *pool.Replica, load pool.Use) {
-	hold := min(r.Hold(), maxPlainHold)
+func (e *Estimate) plain(r *pool.Replica, load pool.Use) {
+	hold := min(r.ServiceTime(), maxPlainHold)
 	slots := max(1, r.Concurrent)
 	e.Prefill = hold
 	if load.Calls >= slots {
--- a/core/route/forward_test.go
+++ b/core/route/forward_test.go
@@ -40,47 +40,47 @@
 	cases := []struct {
 		name    string
 		engine  bool
-		prepare func(f *Forwards, p *pool.Pool, a, b *pool.Replica, q *ForwardQuery)
+		prepare func(f *Router, p *pool.Pool, a, b *pool.Replica, q *Query)
 		want    string // "" for none
 	}{
 		{"the own zone", true, nil, "a"},
-		{"the other keeps the prompt", true, func(f *Forwards, _ *pool.Pool, _, b *pool.Replica, _ *ForwardQuery) {
+		{"the other keeps the prompt", true, func(f *Router, _ *pool.Pool, _, b *pool.Replica, _ *Query) {
 			f.Sent("b", chain, 100_000)
 		}, "b"},
-		{"the own zone's is reading a prompt", true, func(_ *Forwards, _ *pool.Pool, a, _ *pool.Replica, _ *ForwardQuery) {
+		{"the own zone's is reading a prompt", true, func(_ *Router, _ *pool.Pool, a, _ *pool.Replica, _ *Query) {
 			a.StartPrefill(start, 1, 300*time.Millisecond, 400*time.Millisecond)
 		}, "b"},
-		{"the own zone's failed the call", true, func(_ *Forwards, _ *pool.Pool, _, _ *pool.Replica, q *ForwardQuery) {
+		{"the own zone's failed the call", true, func(_ *Router, _ *pool.Pool, _, _ *pool.Replica, q *Query) {
 			q.Tried = []string{"a"}
 		}, "b"},
-		{"both failed the call", true, func(_ *Forwards, _ *pool.Pool, _, _ *pool.Replica, q *ForwardQuery) {
+		{"both failed the call", true, func(_ *Router, _ *pool.Pool, _, _ *pool.Replica, q *Query) {
 			q.Tried = []string{"a", "b"}
 		}, ""},
-		{"nothing answers at the own zone's", true, func(_ *Forwards, _ *pool.Pool, a, _ *pool.Replica, _ *ForwardQuery) {
+		{"nothing answers at the own zone's", true, func(_ *Router, _ *pool.Pool, a, _ *pool.Replica, _ *Query) {
 			a.SetDown(start)
 		}, "b"},
-		{"the own zone's is ejected", true, func(_ *Forwards, _ *pool.Pool, a, _ *pool.Replica, _ *ForwardQuery) {
+		{"the own zone's is ejected", true, func(_ *Router, _ *pool.Pool, a, _ *pool.Replica, _ *Query) {
 			fail(start, a)
 		}, "b"},
-		{"all are ejected, so none is passed over", true, func(_ *Forwards, _ *pool.Pool, a, b *pool.Replica, _ *ForwardQuery) {
+		{"all are ejected, so none is passed over", true, func(_ *Router, _ *pool.Pool, a, b *pool.Replica, _ *Query) {
 			fail(start, a)
 			fail(start, b)
 		}, "a"},
-		{"the own zone's entry went", true, func(_ *Forwards, p *pool.Pool, _, _ *pool.Replica, _ *ForwardQuery) {
+		{"the own zone's entry went", true, func(_ *Router, p *pool.Pool, _, _ *pool.Replica, _ *Query) {
 			p.Vanish(start, "a")
 		}, "b"},
-		{"the own zone's must load the item first", true, func(_ *Forwards, _ *pool.Pool, _, _ *pool.Replica, q *ForwardQuery) {
-			q.Extra = func(r *pool.Replica) (time.Duration, bool) {
+		{"the own zone's must load the item first", true, func(_ *Router, _ *pool.Pool, _, _ *pool.Replica, q *Query) {
+			q.LoadCost = func(r *pool.Replica) (time.Duration, bool) {
 				if r.Name == "a" {
 					return 50 * time.Millisecond, true
 				}
 				return 0, true
 			}
 		}, "b"},
-		{"the own zone's cannot load the item", true, func(_ *Forwards, _ *pool.Pool, _, _ *pool.Replica, q *ForwardQuery) {
-			q.Extra = func(r *pool.Replica) (time.Duration, bool) { return 0, r.Name != "a" }
+		{"the own zone's cannot load the item", true, func(_ *Router, _ *pool.Pool, _, _ *pool.Replica, q *Query) {
+			q.LoadCost = func(r *pool.Replica) (time.Duration, bool) { return 0, r.Name != "a" }
 		}, "b"},
-		{"a plain replica that is full", false, func(_ *Forwards, _ *pool.Pool, a, _ *pool.Replica, q *ForwardQuery) {
+		{"a plain replica that is full", false, func(_ *Router, _ *pool.Pool, a, _ *pool.Replica, q *Query) {
 			q.Model = Weight{}
 			for id := range uint64(4) {
 				a.Start(start, id)
@@ -91,8 +91,8 @@
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
 			p, a, b := replicas(c.engine, 4)
-			f := NewForwards()
-			q := ForwardQuery{Zone: "z", Model: weight, Tokens: 3000, Chain: chain}
+			f := NewRouter()
+			q := Query{Zone: "z", Model: weight, Tokens: 3000, Chain: chain}
 			if c.prepare != nil {
 				c.prepare(f, p, a, b, &q)
 			}
@@ -109,7 +109,7 @@
 // the same size by that of others, and short prompts teach nothing.
 func TestReadingSpeedIsLearnt(t *testing.T) {
 	is := is.New(t)
-	f := NewForwards()
+	f := NewRouter()
 	known, same, other := Weight{"m", 70}, Weight{"n", 70}, Weight{"o", 80}
 	f.Learn(known, learnTokens-1, time.Second)
 	is.Equal(f.TokenTime(known), defaultTokenTime)
--- a/core/share/share.go
+++ b/core/share/share.go
@@ -81,7 +81,7 @@
 	Boot     uint64 // of the sender
 	Leaving  bool   // the sender is stopping
 	Revision uint64 // of the configuration in force at the sender
-	// StoreAge is how old the newest word of the platform's store is that the
+	// StoreAge is how old the newest news of the platform's store is that the
 	// sender has, at first hand or from others.
 	StoreAge time.Duration
 	// StoreVersion is up to where the sender has heard the platform's store at
@@ -103,9 +103,9 @@
 	Config []byte
 }
 
-// A Store holds the newest record of each kind and name, and when it became
+// A Set holds the newest record of each kind and name, and when it became
 // new here.
-type Store struct {
+type Set struct {
 	stamp       uint64
 	residencies map[string]stamped[Residency]
 	loads       map[string]stamped[Load]
@@ -121,9 +121,9 @@
 	from   string
 }
 
-// NewStore returns an empty store.
-func NewStore() *Store {
-	return &Store{
+// NewSet returns an empty store.
+func NewSet() *Set {
+	return &Set{
 		residencies: map[string]stamped[Residency]{},
 		loads:       map[string]stamped[Load]{},
 		listed:      map[string]stamped[Listed]{},
@@ -133,10 +133,10 @@
 }
 
 // Stamp rises with every record that became new here.
-func (s *Store) Stamp() uint64 { return s.stamp }
+func (s *Set) Stamp() uint64 { return s.stamp }
 
 // put stores the record if fresh says so.
-func put[T any](s *Store, into map[string]stamped[T], name, from string, rec T, newer func(old T) bool) bool {
+func put[T any](s *Set, into map[string]stamped[T], name, from string, rec T, newer func(old T) bool) bool {
 	old, ok := into[name]
 	if ok && !newer(old.record) {
 		return false
@@ -148,35 +148,35 @@
 
 // AddResidency stores the record, told by from or learnt at first hand (""), and
 // reports whether it was news.
-func (s *Store) AddResidency(from string, r Residency) bool {
+func (s *Set) AddResidency(from string, r Residency) bool {
 	return put(s, s.residencies, r.Engine, from, r, func(old Residency) bool { return r.Newer(old.Residency) })
 }
 
 // AddLoad stores the record and reports whether it was news.
-func (s *Store) AddLoad(from string, l Load) bool {
+func (s *Set) AddLoad(from string, l Load) bool {
 	return put(s, s.loads, l.Engine, from, l, func(old Load) bool { return l.Newer(old.Load) })
 }
 
 // AddListed stores the record and reports whether it was news.
-func (s *Store) AddListed(from string, l Listed) bool {
+func (s *Set) AddListed(from string, l Listed) bool {
 	return put(s, s.listed, l.Name, from, l, func(old Listed) bool { return l.Version > old.Version })
 }
 
 // AddHolder stores the record and reports whether it was news.
-func (s *Store) AddHolder(from string, h Holder) bool {
+func (s *Set) AddHolder(from string, h Holder) bool {
 	return put(s, s.holders, h.Zone, from, h, func(old Holder) bool {
 		return h.Fence > old.Fence || (h.Fence == old.Fence && h.Instance == "" && old.Instance != "")
 	})
 }
 
 // AddRegistered stores the record and reports whether it was news.
-func (s *Store) AddRegistered(from string, r registry.Record) bool {
+func (s *Set) AddRegistered(from string, r registry.Record) bool {
 	return put(s, s.registered, r.Key, from, r, func(old registry.Record) bool { return r.Revision > old.Revision })
 }
 
 // Missing returns the registry's records that a listing of the whole registry at
 // revision at does not have, as records that are gone.
-func (s *Store) Missing(whole []registry.Record, at uint64) []registry.Record {
+func (s *Set) Missing(whole []registry.Record, at uint64) []registry.Record {
 	here := make(map[string]bool, len(whole))
 	for _, r := range whole {
 		here[r.Key] = true
@@ -192,16 +192,16 @@
 }
 
 // Holder returns who plans for the zone, "" if nobody is known to.
-func (s *Store) Holder(zone string) Holder { return s.holders[zone].record }
+func (s *Set) Holder(zone string) Holder { return s.holders[zone].record }
 
-// Residency returns the newest word about what an engine holds.
-func (s *Store) Residency(engine string) (Residency, bool) {
+// Residency returns the newest report of what an engine holds.
+func (s *Set) Residency(engine string) (Residency, bool) {
 	r, ok := s.residencies[engine]
 	return r.record, ok
 }
 
 // Load returns the newest load known of an engine.
-func (s *Store) Load(engine string) (Load, bool) {
+func (s *Set) Load(engine string) (Load, bool) {
 	l, ok := s.loads[engine]
 	return l.record, ok
 }
@@ -209,7 +209,7 @@
 // Since returns the records that became new after stamp, without those that to
 // told of itself; loads only if withLoads. Of what the platform's store holds,
 // only what changed there after known.
-func (s *Store) Since(stamp uint64, to string, withLoads bool, known uint64) Records {
+func (s *Set) Since(stamp uint64, to string, withLoads bool, known uint64) Records {
 	var r Records
 	r.Residencies = after(s.residencies, stamp, to)
 	r.Listed = after(s.listed, stamp, to)
--- a/core/step/step.go
+++ b/core/step/step.go
@@ -54,14 +54,14 @@
 // A Job is periodic work with at most one request under way. The zero Job is
 // due at once.
 type Job struct {
-	due    clock.Instant
-	flying bool
-	sentAt clock.Instant
+	due      clock.Instant
+	inFlight bool
+	sentAt   clock.Instant
 }
 
 // Ready reports whether the next request is due and none is under way.
 func (j *Job) Ready(now clock.Instant) bool {
-	if j.flying && now.Since(j.sentAt) < replyLost {
+	if j.inFlight && now.Since(j.sentAt) < replyLost {
 		return false
 	}
 	return !now.Before(j.due)
@@ -69,7 +69,7 @@
 
 // Begin notes that a request was sent at now.
 func (j *Job) Begin(now clock.Instant) {
-	j.flying = true
+	j.inFlight = true
 	j.sentAt = now
 }
 
@@ -78,12 +78,12 @@
 
 // End notes that the request is over; the next one is due at due.
 func (j *Job) End(due clock.Instant) {
-	j.flying = false
+	j.inFlight = false
 	j.due = due
 }
 
 // EndAsScheduled notes that the request is over and leaves the due time.
-func (j *Job) EndAsScheduled() { j.flying = false }
+func (j *Job) EndAsScheduled() { j.inFlight = false }
 
 // SentAt returns when the last request was sent.
 func (j *Job) SentAt() clock.Instant { return j.sentAt }
--- a/core/watchers/watchers.go
+++ b/core/watchers/watchers.go
@@ -29,8 +29,8 @@
 // part in 60 exchanges a second.
 const FullMeshLimit = 16
 
-// Duty is the rendezvous key of the watch, before the name of the zone.
-const Duty = "watch/"
+// KeyPrefix is the rendezvous key of the watch, before the name of the zone.
+const KeyPrefix = "watch/"
 
 // cacheSpan is how long what was worked out is used again. It was worked out at
 // every step before, which took 8% of a busy instance's time
@@ -94,7 +94,7 @@
 		}
 	}
 	names := slices.Sorted(maps.Keys(processors))
-	key := rendezvous.Key(Duty + zone)
+	key := rendezvous.Key(KeyPrefix + zone)
 	sort.SliceStable(names, func(i, j int) bool {
 		a, b := names[i], names[j]
 		if processors[a] != processors[b] {
--- a/internal/entry/forward.go
+++ b/internal/entry/forward.go
@@ -123,7 +123,7 @@
 	}
 }
 
-// finish gives the caller the machine's final word. An answer that was begun
+// finish gives the caller the machine's final answer. An answer that was begun
 // must be seen as cut, which a normal return would prevent.
 func (f *forwardCall) finish(r code.Refusal) {
 	if f.opened {
@@ -195,7 +195,7 @@
 	var progress upstream.Progress
 	resp, err := f.handler.Service.Exchange(ctx, f.outgoing(d, watch), &progress)
 	if err != nil {
-		return f.broke(s, d, &progress, watch, instance.Broke{Detail: err.Error()})
+		return f.broke(s, d, &progress, watch, instance.AttemptFailed{Detail: err.Error()})
 	}
 	defer resp.Body.Close()
 	return f.answer(s, d, resp, &progress, watch)
@@ -204,7 +204,7 @@
 // outgoing words the call for the replica.
 func (f *forwardCall) outgoing(d instance.Dispatch, watch *Watchdog) service.Call {
 	header := service.EndToEnd(f.r.Header)
-	f.handler.Wire.Dress(header, forward.Attempt{
+	f.handler.Wire.SetHeaders(header, forward.Attempt{
 		Expect:    d.Replica,
 		Left:      d.Forward.Left,
 		Priority:  d.Forward.Priority,
@@ -225,7 +225,7 @@
 
 // broke tells the machine how an attempt ended and reports whether the call is
 // over, which it only is when the caller is gone.
-func (f *forwardCall) broke(s shell.Session, d instance.Dispatch, progress *upstream.Progress, watch *Watchdog, b instance.Broke) bool {
+func (f *forwardCall) broke(s shell.Session, d instance.Dispatch, progress *upstream.Progress, watch *Watchdog, b instance.AttemptFailed) bool {
 	if f.r.Context().Err() != nil {
 		f.gone(s)
 		return true
@@ -233,7 +233,7 @@
 	b.Attempt = d.Attempt
 	b.Phase = progress.Phase()
 	b.Stalled = watch.Fired()
-	b.Spent = f.body.Spent()
+	b.BodyConsumed = f.body.Spent()
 	if f.opened {
 		b.Delivered = max(1, f.lastEvent)
 	}
@@ -243,21 +243,21 @@
 
 // answer deals with the head of a replica's answer.
 func (f *forwardCall) answer(s shell.Session, d instance.Dispatch, resp *http.Response, progress *upstream.Progress, watch *Watchdog) bool {
-	reply := f.handler.Wire.Judge(resp, f.call.Forward.Name)
-	b := instance.Broke{Status: resp.StatusCode, Misdirected: reply.Misdirected, Incarnation: reply.Incarnation}
+	reply := f.handler.Wire.ReadReply(resp, f.call.Forward.Name)
+	b := instance.AttemptFailed{Status: resp.StatusCode, Misdirected: reply.Misdirected, Incarnation: reply.Incarnation}
 	switch {
-	case reply.Foreign:
+	case reply.Mismatched:
 		b.Detail = "the answer to another call came"
 	case reply.NotRun:
 		progress.Reach(attempt.Refused)
 		b.Detail = fmt.Sprintf("the replica did not run it: status %d", resp.StatusCode)
-	case reply.Spoilt:
+	case reply.Invalid:
 		progress.Reach(attempt.Answered)
 		b.Detail = "the answer is not the replica's own"
 	case resp.StatusCode >= http.StatusInternalServerError:
 		progress.Reach(attempt.Answered)
 		f.keep(resp)
-		b.Own = f.own != nil
+		b.Relayable = f.own != nil
 		b.Detail = fmt.Sprintf("the replica failed: status %d", resp.StatusCode)
 	case d.Forward.Stream && reply.Stream:
 		progress.Reach(attempt.Answered)
@@ -294,7 +294,7 @@
 func (f *forwardCall) whole(s shell.Session, d instance.Dispatch, resp *http.Response, progress *upstream.Progress, watch *Watchdog) bool {
 	data, err := io.ReadAll(io.LimitReader(resp.Body, smallAnswer))
 	if err != nil {
-		return f.broke(s, d, progress, watch, instance.Broke{Status: resp.StatusCode, Detail: err.Error()})
+		return f.broke(s, d, progress, watch, instance.AttemptFailed{Status: resp.StatusCode, Detail: err.Error()})
 	}
 	s.First()
 	if len(data) < smallAnswer && resp.ContentLength < 0 {
@@ -317,7 +317,7 @@
 	if err == nil {
 		return f.done(s)
 	}
-	f.broke(s, d, progress, watch, instance.Broke{Status: resp.StatusCode, Detail: err.Error()})
+	f.broke(s, d, progress, watch, instance.AttemptFailed{Status: resp.StatusCode, Detail: err.Error()})
 	f.handler.Metrics.Answered(int(code.StreamCut), time.Since(f.begun))
 	panic(http.ErrAbortHandler)
 }
@@ -346,7 +346,7 @@
 			err = errSeries
 		}
 		if err != nil {
-			return f.broke(s, d, progress, watch, instance.Broke{Status: resp.StatusCode, Detail: err.Error()})
+			return f.broke(s, d, progress, watch, instance.AttemptFailed{Status: resp.StatusCode, Detail: err.Error()})
 		}
 		watch.Alive()
 		if first {
--- a/internal/environment/driver.go
+++ b/internal/environment/driver.go
@@ -56,7 +56,7 @@
 		return func(ctx context.Context) { d.engineOrder(ctx, act) }
 	case instance.AskEngine:
 		return func(ctx context.Context) { d.askEngine(ctx, act) }
-	case instance.AskLoad:
+	case instance.ProbeEngine:
 		return func(ctx context.Context) { d.askLoad(ctx, act) }
 	default:
 		return nil
@@ -72,6 +72,9 @@
 		return
 	}
 	d.host.PlatformCalled()
+	for _, key := range change.Unreadable {
+		d.host.Event(logevent.RecordUnreadable, "key", key)
+	}
 	if change.Config != nil {
 		d.host.PostConfig(pack(change.Config), instance.PlatformSource)
 	}
@@ -162,9 +165,9 @@
 }
 
 // askLoad asks an engine how busy it is.
-func (d *driver) askLoad(ctx context.Context, a instance.AskLoad) {
+func (d *driver) askLoad(ctx context.Context, a instance.ProbeEngine) {
 	ctx, done := context.WithTimeout(ctx, a.Wait)
 	defer done()
 	report, err := d.engines.Report(ctx, a.Address)
-	d.host.Post(instance.LoadReply{Call: a.Call, Engine: a.Engine, Queued: report.Queued, Running: report.Running, Err: err})
+	d.host.Post(instance.ProbeReply{Call: a.Call, Engine: a.Engine, Queued: report.Queued, Running: report.Running, Err: err})
 }
--- a/internal/forward/wire.go
+++ b/internal/forward/wire.go
@@ -30,7 +30,7 @@
 	Signature   string // a replica's signature on its answer
 	Expect      string // identity of the replica that must answer
 	Incarnation string // identity of the replica that did answer
-	NotRun      string // a replica's word that it did not run the call
+	NotRun      string // a replica's statement that it did not run the call
 	Priority    string // 0 to 9, 0 first
 	RetryAfter  string // seconds, with fractions
 	Misdirected int    // status of a replica that is not the expected one
@@ -40,7 +40,7 @@
 	Reserved []string
 }
 
-// Own is the product's own wording.
+// Own is the product's own reporting.
 var Own = Wire{
 	CallID:      "Birchdrift-Call",
 	Deadline:    "Birchdrift-Deadline",
@@ -159,9 +159,9 @@
 	LastEvent int           // number of the last event that was delivered, 0 if none
 }
 
-// Dress writes an attempt's headers over the caller's, and drops those that a
+// SetHeaders writes an attempt's headers over the caller's, and drops those that a
 // caller may not set.
-func (w Wire) Dress(h http.Header, a Attempt) {
+func (w Wire) SetHeaders(h http.Header, a Attempt) {
 	for _, name := range w.Reserved {
 		h.Del(name)
 	}
@@ -188,13 +188,13 @@
 	NotRun      bool // the replica did not run the call and never will
 	Misdirected bool // another replica has the address, or the model is not there
 	Incarnation string
-	Foreign     bool // it answers another call
-	Spoilt      bool // it is not an answer that may be passed on
+	Mismatched  bool // it answers another call
+	Invalid     bool // it is not an answer that may be passed on
 	Stream      bool // it is a series of events
 }
 
-// Judge reads the head of a replica's answer to the call with this identity.
-func (w Wire) Judge(resp *http.Response, callID string) Reply {
+// ReadReply reads the head of a replica's answer to the call with this identity.
+func (w Wire) ReadReply(resp *http.Response, callID string) Reply {
 	r := Reply{
 		NotRun:      w.NotRun != "" && resp.Header.Get(w.NotRun) != "",
 		Misdirected: resp.StatusCode == w.Misdirected,
@@ -203,14 +203,14 @@
 	}
 	r.NotRun = r.NotRun || r.Misdirected
 	if echoed := resp.Header.Get(w.CallID); callID != "" && echoed != "" && echoed != callID {
-		r.Foreign = true
+		r.Mismatched = true
 	}
 	success := resp.StatusCode >= 200 && resp.StatusCode < 300
 	if success && (w.Signature == "" || resp.Header.Get(w.Signature) == "" || resp.Header.Get("Content-Encoding") != "") {
-		r.Spoilt = w.Signature != ""
+		r.Invalid = w.Signature != ""
 	}
 	if success && callID != "" && resp.Header.Get(w.CallID) == "" {
-		r.Spoilt = true
+		r.Invalid = true
 	}
 	return r
 }
--- a/internal/own/engine/engine.go
+++ b/internal/own/engine/engine.go
@@ -41,7 +41,7 @@
 // A StatusError is an answer that is not a stream.
 type StatusError struct {
 	Status  int
-	NotRun  bool // the engine's own word that it did not and will not run it
+	NotRun  bool // the engine's own report that it did not and will not run it
 	Unknown bool // a resume found no such sequence
 	Leaving bool
 	Detail  string
--- a/internal/own/modelapi/model.go
+++ b/internal/own/modelapi/model.go
@@ -59,7 +59,7 @@
 	}
 }
 
-// finish gives the caller the machine's final word.
+// finish gives the caller the machine's final answer.
 func (m *modelCall) finish(r code.Refusal) {
 	if !m.started {
 		m.handler.refuse(m.w, r, m.begun)
@@ -134,7 +134,7 @@
 
 // stream sends the attempt and passes its pieces on. It returns over when the
 // answer is whole, else how the attempt broke.
-func (m *modelCall) stream(ctx context.Context, s shell.Session, d instance.Dispatch, progress *upstream.Progress) (instance.Broke, bool) {
+func (m *modelCall) stream(ctx context.Context, s shell.Session, d instance.Dispatch, progress *upstream.Progress) (instance.AttemptFailed, bool) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	s.Interrupt(cancel)
@@ -178,8 +178,8 @@
 
 // broke words how an attempt broke. Only facts go in; what follows is the
 // machine's to say.
-func (m *modelCall) broke(d instance.Dispatch, progress *upstream.Progress, watch *entry.Watchdog, err error) instance.Broke {
-	b := instance.Broke{
+func (m *modelCall) broke(d instance.Dispatch, progress *upstream.Progress, watch *entry.Watchdog, err error) instance.AttemptFailed {
+	b := instance.AttemptFailed{
 		Attempt:   d.Attempt,
 		Phase:     progress.Phase(),
 		Delivered: m.delivered,
@@ -229,7 +229,7 @@
 }
 
 // end ends the answer properly.
-func (m *modelCall) end(s shell.Session, d instance.Dispatch, p engine.Piece) (instance.Broke, bool) {
+func (m *modelCall) end(s shell.Session, d instance.Dispatch, p engine.Piece) (instance.AttemptFailed, bool) {
 	if m.req.Stream {
 		m.begin(d)
 		m.chunk(m.form.chunk("", &p.Reason))
@@ -240,7 +240,7 @@
 	}
 	s.Done()
 	m.handler.Metrics.Answered(int(code.OK), time.Since(m.begun))
-	return instance.Broke{}, true
+	return instance.AttemptFailed{}, true
 }
 
 func (m *modelCall) chunk(a answer) {
--- a/internal/own/modelapi/plain.go
+++ b/internal/own/modelapi/plain.go
@@ -123,8 +123,8 @@
 		p.gone(s)
 		return true
 	}
-	b := instance.Broke{
-		Attempt: d.Attempt, Phase: progress.Phase(), Stalled: watch.Fired(), Spent: p.body.Spent(), Detail: err.Error(),
+	b := instance.AttemptFailed{
+		Attempt: d.Attempt, Phase: progress.Phase(), Stalled: watch.Fired(), BodyConsumed: p.body.Spent(), Detail: err.Error(),
 	}
 	var refused *service.RefusedError
 	if errors.As(err, &refused) {
@@ -150,8 +150,8 @@
 		return true
 	}
 	// The header is out, so no answer of our own can follow: tell the machine,
-	// take its final word for the books, and cut the connection.
-	s.Broke(instance.Broke{Attempt: d.Attempt, Phase: attempt.Answered, Delivered: max(1, delivered), Detail: err.Error()})
+	// take its final answer for the books, and cut the connection.
+	s.Broke(instance.AttemptFailed{Attempt: d.Attempt, Phase: attempt.Answered, Delivered: max(1, delivered), Detail: err.Error()})
 	p.handler.Metrics.Answered(int(code.StreamCut), time.Since(p.begun))
 	panic(http.ErrAbortHandler)
 }
--- a/internal/peer/convert.go
+++ b/internal/peer/convert.go
@@ -70,7 +70,7 @@
 	}
 	out := &peerpb.Announced{
 		Service: a.Service, Address: a.Address, Zone: a.Zone, Slots: uint32(a.Slots),
-		Draining: a.Draining, LeftMs: uint32(a.Remaining.Milliseconds()),
+		Draining: a.Leaving, LeftMs: uint32(a.Remaining.Milliseconds()),
 		Engine: a.Engine, HostCopies: a.InMemory, DiskCopies: a.OnDisk,
 	}
 	for _, m := range a.Models {
@@ -85,7 +85,7 @@
 	}
 	out := &pool.Announcement{
 		Service: a.GetService(), Address: a.GetAddress(), Zone: a.GetZone(), Slots: int(a.GetSlots()),
-		Draining: a.GetDraining(), Remaining: time.Duration(a.GetLeftMs()) * time.Millisecond,
+		Leaving: a.GetDraining(), Remaining: time.Duration(a.GetLeftMs()) * time.Millisecond,
 		Engine: a.GetEngine(), InMemory: a.GetHostCopies(), OnDisk: a.GetDiskCopies(),
 	}
 	for _, m := range a.GetModels() {
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -217,7 +217,7 @@
 }
 
 // close takes the listeners down. Handlers whose calls were cut still have
-// their final word to write, so connections get a moment.
+// their final answer to write, so connections get a moment.
 func (s *Server) close() {
 	ctx, done := context.WithTimeout(context.Background(), closeTime)
 	defer done()
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -115,7 +115,7 @@
 	{"retry-window", "10s", "100ms to 24h", "Span over which repeats of forwarded calls are counted.", false, duration(func(s *Settings) *time.Duration { return &s.RetryWindow }, 100*time.Millisecond)},
 	{"retry-slack", "50", "0 to 1000000", "Repeats of a service's forwarded calls that all instances together may make beyond the share.", false, number(func(s *Settings) *float64 { return &s.RetrySlack }, 0, 1e6)},
 	{"watchers", "2", "1 to 1000", "Instances of a zone that watch the platform; the others hear from them. On the users' platform all do in a fleet of up to 16.", false, count(func(s *Settings) *int { return &s.Watchers }, 1, 1000)},
-	{"watch-wait", "25s", "100ms to 24h", "How long one watch call waits at the platform for a change. Where watches may be dropped without a word, this bounds how late that is noticed.", false, duration(func(s *Settings) *time.Duration { return &s.WatchWait }, 100*time.Millisecond)},
+	{"watch-wait", "25s", "100ms to 24h", "How long one watch call waits at the platform for a change. Where watches may be dropped without any message, this bounds how late that is noticed.", false, duration(func(s *Settings) *time.Duration { return &s.WatchWait }, 100*time.Millisecond)},
 	{"watch-every", "0s", "0s to 24h", "Least time between two watch calls, so that changes that come together are heard together.", false, duration(func(s *Settings) *time.Duration { return &s.WatchEvery }, 0)},
 	{"mesh-every", "0s", "0s to 24h", "Spacing of the exchanges with every peer of a small fleet; 0 for none.", false, duration(func(s *Settings) *time.Duration { return &s.MeshEvery }, 0)},
 	{"load-wait", "0s", "0s to 1s", "How long a forwarded call waits for announced engines to say how busy they are, in a fleet too large to exchange pairwise; 0: it does not ask.", false, atMost(time.Second, duration(func(s *Settings) *time.Duration { return &s.LoadWait }, 0), func(s *Settings) time.Duration { return s.LoadWait })},
@@ -190,7 +190,7 @@
 	opt.WatchWait = s.WatchWait
 	opt.MeshEvery = s.MeshEvery
 	opt.TurnGap = s.TurnGap
-	opt.LoadWait = s.LoadWait
+	opt.ProbeWait = s.LoadWait
 	if s.Environment != EnvironmentOwn {
 		opt.Environment = option.Platform
 	}
--- a/internal/shell/shell.go
+++ b/internal/shell/shell.go
@@ -219,7 +219,7 @@
 	box := &callBox{actions: make(chan instance.Action, mailbox)}
 	s.do(func(s *Shell) instance.Event {
 		s.calls[call.ID] = box
-		return instance.Arrive{Call: call}
+		return instance.Arrived{Call: call}
 	})
 	return Session{ID: call.ID, Actions: box.actions, box: box, shell: s}
 }
@@ -229,16 +229,16 @@
 func (c Session) Interrupt(cancel context.CancelFunc) { c.box.interrupt.Store(&cancel) }
 
 // First tells the machine that the first piece came.
-func (c Session) First() { c.shell.post(instance.First{ID: c.ID}) }
+func (c Session) First() { c.shell.post(instance.AnswerBegan{ID: c.ID}) }
 
 // Done tells the machine that the answer is whole.
-func (c Session) Done() { c.end(instance.Done{ID: c.ID}) }
+func (c Session) Done() { c.end(instance.Completed{ID: c.ID}) }
 
 // Gone tells the machine that the caller is gone.
-func (c Session) Gone() { c.end(instance.Gone{ID: c.ID}) }
+func (c Session) Gone() { c.end(instance.CallerGone{ID: c.ID}) }
 
 // Broke tells the machine that an attempt broke.
-func (c Session) Broke(b instance.Broke) {
+func (c Session) Broke(b instance.AttemptFailed) {
 	b.ID = c.ID
 	c.shell.post(b)
 }
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -55,7 +55,7 @@
 }
 
 // newDialer returns a dialer whose connections notice within seconds that the
-// other end is gone without a word.
+// other end is gone without any message.
 func newDialer() *net.Dialer {
 	return &net.Dialer{
 		Timeout:         dialTimeout,
