--- a/core/forwarding/attempts.go
+++ b/core/forwarding/attempts.go
@@ -13,18 +13,6 @@
 
 // What becomes of a call once it is sent.
 
-const (
-	// maxRefusals is how many replicas that refuse a call it follows; each costs
-	// the budget. Set in 4387df2.
-	maxRefusals = 3
-	// maxUnsent is how many replicas it follows at which nothing answers.
-	// Set in 4387df2.
-	maxUnsent = 8
-	// leastLeft is the least time for which an attempt is worth making.
-	// Set in 949b701.
-	leastLeft = 20 * time.Millisecond
-)
-
 // first takes in the first event of the answer.
 func (f *Forwarder) first(now clock.Instant, c *calls.Call) {
 	s := stateOf(c)
@@ -56,7 +44,8 @@
 	former := c.Replica
 	c.Replica = ""
 	s.progress.add(former, b)
-	if !f.mayRepeat(now, c, b) {
+	if reason := f.mayRepeat(now, c, b); reason != repeatAllowed {
+		f.Out.Log(logevent.CallNotRepeated, "call", c.Forward.Name, "replica", former, "reason", reason.String())
 		f.end(c, s, b.Status, b.Detail)
 		return
 	}
@@ -82,26 +71,6 @@
 	p.tried = append(p.tried, replica)
 }
 
-// mayRepeat reports whether the call may go to another replica, and spends the
-// budget for it. A call that may have run is repeated only where its route says
-// that this is harmless; a stream that has begun only where it can be resumed.
-func (f *Forwarder) mayRepeat(now clock.Instant, c *calls.Call, b calls.AttemptFailed) bool {
-	s := stateOf(c)
-	p := s.progress
-	harmless := c.History.Repeatable || c.History.Run() == code.NotRun
-	if p.opened {
-		harmless = s.route.Kind == config.Stream && s.route.Resumable
-	}
-	if !harmless || b.BodyConsumed || p.ran >= max(1, s.route.MaxAttempts) || p.refusals >= maxRefusals || p.unsent >= maxUnsent {
-		return false
-	}
-	if !now.Add(leastLeft).Before(c.Expires) {
-		return false
-	}
-	// What never left did not arrive anywhere, so it costs no budget.
-	return b.Phase == attempt.NotSent || f.Budget.Spend(now, c.Service)
-}
-
 // end gives a call whose attempts are over its final answer. status is the HTTP
 // status of the last one, 0 if none came.
 func (f *Forwarder) end(c *calls.Call, s *state, status int, detail string) {
--- a/core/forwarding/forwarding_test.go
+++ b/core/forwarding/forwarding_test.go
@@ -66,23 +66,23 @@
 		resumable bool
 		broke     calls.AttemptFailed
 		prepare   func(c *calls.Call, s *state)
-		want      bool
+		want      repeatVerdict
 	}{
-		{"harmless to repeat", config.Repeatable, false, calls.AttemptFailed{Phase: attempt.MaybeSent}, nil, true},
-		{"once, and it may have run", config.Once, false, calls.AttemptFailed{Phase: attempt.MaybeSent}, nil, false},
-		{"once, and it never left", config.Once, false, calls.AttemptFailed{Phase: attempt.NotSent}, nil, true},
-		{"once, and the replica did not run it", config.Once, false, calls.AttemptFailed{Phase: attempt.Refused}, nil, true},
-		{"its body is gone", config.Repeatable, false, calls.AttemptFailed{Phase: attempt.MaybeSent, BodyConsumed: true}, nil, false},
+		{"harmless to repeat", config.Repeatable, false, calls.AttemptFailed{Phase: attempt.MaybeSent}, nil, repeatAllowed},
+		{"once, and it may have run", config.Once, false, calls.AttemptFailed{Phase: attempt.MaybeSent}, nil, mayHaveRun},
+		{"once, and it never left", config.Once, false, calls.AttemptFailed{Phase: attempt.NotSent}, nil, repeatAllowed},
+		{"once, and the replica did not run it", config.Once, false, calls.AttemptFailed{Phase: attempt.Refused}, nil, repeatAllowed},
+		{"its body is gone", config.Repeatable, false, calls.AttemptFailed{Phase: attempt.MaybeSent, BodyConsumed: true}, nil, bodyConsumed},
 		{"all attempts are used", config.Repeatable, false, calls.AttemptFailed{Phase: attempt.MaybeSent},
-			func(_ *calls.Call, s *state) { s.progress.ran = 1 }, false},
+			func(_ *calls.Call, s *state) { s.progress.ran = 1 }, attemptsUsed},
 		{"refused too often", config.Repeatable, false, calls.AttemptFailed{Phase: attempt.Refused},
-			func(_ *calls.Call, s *state) { s.progress.refusals = maxRefusals - 1 }, false},
+			func(_ *calls.Call, s *state) { s.progress.refusals = maxRefusals - 1 }, refusedTooOften},
 		{"nothing answered too often", config.Repeatable, false, calls.AttemptFailed{Phase: attempt.NotSent},
-			func(_ *calls.Call, s *state) { s.progress.unsent = maxUnsent - 1 }, false},
+			func(_ *calls.Call, s *state) { s.progress.unsent = maxUnsent - 1 }, unsentTooOften},
 		{"no time is left", config.Repeatable, false, calls.AttemptFailed{Phase: attempt.MaybeSent},
-			func(c *calls.Call, _ *state) { c.Expires = start.Add(leastLeft) }, false},
-		{"a stream that began and can be resumed", config.Stream, true, calls.AttemptFailed{Phase: attempt.Answered, Delivered: 3}, nil, true},
-		{"a stream that began and cannot", config.Stream, false, calls.AttemptFailed{Phase: attempt.Answered, Delivered: 3}, nil, false},
+			func(c *calls.Call, _ *state) { c.Expires = start.Add(leastLeft) }, noTimeLeft},
+		{"a stream that began and can be resumed", config.Stream, true, calls.AttemptFailed{Phase: attempt.Answered, Delivered: 3}, nil, repeatAllowed},
+		{"a stream that began and cannot", config.Stream, false, calls.AttemptFailed{Phase: attempt.Answered, Delivered: 3}, nil, notResumable},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -107,8 +107,8 @@
 	call, _ := f.testCall(config.Repeatable, false)
 	for f.Budget.Spend(start, "s") {
 	}
-	is.True(!f.mayRepeat(start, call, calls.AttemptFailed{Phase: attempt.MaybeSent}))
-	is.True(f.mayRepeat(start, call, calls.AttemptFailed{Phase: attempt.NotSent})) // it arrived nowhere
+	is.Equal(f.mayRepeat(start, call, calls.AttemptFailed{Phase: attempt.MaybeSent}), overBudget)
+	is.Equal(f.mayRepeat(start, call, calls.AttemptFailed{Phase: attempt.NotSent}), repeatAllowed) // it arrived nowhere
 }
 
 // finished returns the refusals, by call, and which calls' own answers were passed
--- a/core/instance/own.go
+++ b/core/instance/own.go
@@ -50,26 +50,8 @@
 	m.exchanges.NextPeer = p.NextPeer
 	parts := &ownParts{planner: p, calls: h, chooser: chooser, meter: asked}
 	return environment{
-		own: parts,
-		handle: func(now clock.Instant, ev Event) bool {
-			switch e := ev.(type) {
-			case Arrived:
-				h.Arrive(now, e.Call, m.stop.Refusing(now))
-			case ClaimReply:
-				h.ClaimReplied(now, e)
-			case LeaseReply:
-				p.LeaseReplied(now, e)
-			case IntentsReply:
-				p.IntentsReplied(now, e)
-			case StateReply:
-				p.StateReplied(now, e)
-			case OrderReply:
-				p.OrderReplied(now, e)
-			default:
-				return false
-			}
-			return true
-		},
+		own:           parts,
+		handle:        func(now clock.Instant, ev Event) bool { return m.handleOwn(now, parts, ev) },
 		tickFirst:     []func(now clock.Instant){m.exchanges.TickMesh, w.Tick},
 		tickLast:      []func(now clock.Instant){p.Tick},
 		installed:     func(_ clock.Instant, s *config.Snapshot) { p.Configured(s) },
@@ -79,3 +61,24 @@
 		status:        parts.status,
 	}
 }
+
+// handleOwn takes in an event that only the product's own environment knows.
+func (m *Machine) handleOwn(now clock.Instant, o *ownParts, ev Event) bool {
+	switch e := ev.(type) {
+	case Arrived:
+		o.calls.Arrive(now, e.Call, m.stop.Refusing(now))
+	case ClaimReply:
+		o.calls.ClaimReplied(now, e)
+	case LeaseReply:
+		o.planner.LeaseReplied(now, e)
+	case IntentsReply:
+		o.planner.IntentsReplied(now, e)
+	case StateReply:
+		o.planner.StateReplied(now, e)
+	case OrderReply:
+		o.planner.OrderReplied(now, e)
+	default:
+		return false
+	}
+	return true
+}
--- a/core/instance/platform.go
+++ b/core/instance/platform.go
@@ -40,17 +40,7 @@
 	}
 	return environment{
 		platform: &platformParts{placer: placer, watch: w},
-		handle: func(now clock.Instant, ev Event) bool {
-			switch e := ev.(type) {
-			case WatchReply:
-				w.Replied(now, e)
-			case Arrived:
-				m.refuseOwnCall(e)
-			default:
-				return false
-			}
-			return true
-		},
+		handle:   func(now clock.Instant, ev Event) bool { return m.handlePlatform(now, w, ev) },
 		tickFirst: []func(now clock.Instant){
 			o.registry.Tick, o.owned.Tick, placer.Tick, m.exchanges.TickMesh, w.Tick,
 		},
@@ -65,6 +55,19 @@
 	}
 }
 
+// handlePlatform takes in an event that only a users' platform knows.
+func (m *Machine) handlePlatform(now clock.Instant, w *watch.Watch, ev Event) bool {
+	switch e := ev.(type) {
+	case WatchReply:
+		w.Replied(now, e)
+	case Arrived:
+		m.refuseOwnCall(e)
+	default:
+		return false
+	}
+	return true
+}
+
 // refuseOwnCall refuses a call of the product's own interface, which is not served
 // on a users' platform.
 func (m *Machine) refuseOwnCall(e Arrived) {
--- a/core/logevent/logevent.go
+++ b/core/logevent/logevent.go
@@ -61,6 +61,7 @@
 	ProbeFailed       Number = 1807
 	CancelFailed      Number = 1808
 	HeaderIgnored     Number = 1809
+	CallNotRepeated   Number = 1810
 	Bug               Number = 1901
 )
 
@@ -139,5 +140,6 @@
 	{ProbeFailed, "probe_failed", "An engine did not say in time how busy it is; the call goes by what is known.", "Many: check the engine, or raise `--load-wait`."},
 	{CancelFailed, "cancel_failed", "A replica could not be told to drop a call; it notices the closed connection.", "None; many for one upstream: check it."},
 	{HeaderIgnored, "header_ignored", "A forwarded call's header makes no sense and counts as absent; it only steers decisions.", "Mend the caller that sends it."},
+	{CallNotRepeated, "call_not_repeated", "A forwarded call's attempt failed and it does not go to another replica; `reason` says why.", "Many with the retry budget used up: an upstream is failing."},
 	{Bug, "bug", "The program met a state that it holds impossible.", "Report it with the line."},
 }
--- a/core/pool/replica.go
+++ b/core/pool/replica.go
@@ -56,9 +56,18 @@
 type Replica struct {
 	Facts
 	Residency Residency
+	Limit     limit.Concurrency
 	items     map[string]ItemPhase
 	refused   map[string]clock.Instant // until when an item counts as refused
+	usage
+	health
+	listing
+	leaving
+}
 
+// A usage is what runs at a replica: by the own count, by what peers tell, and by
+// its own reports.
+type usage struct {
 	load     Load
 	loadAt   clock.Instant
 	ownAtRep int // own calls in flight when load was heard
@@ -71,20 +80,28 @@
 	first    time.Duration // peak EWMA of the time to first token
 	firstAt  clock.Instant
 	hold     time.Duration // EWMA of the time a call occupies the replica
-	Limit    limit.Concurrency
+}
 
+// A health is what calls at a replica showed.
+type health struct {
 	downTo    clock.Instant // until when it counts as down, since nothing answered at its address
 	failures  int           // in a row
 	ejections int           // in a row
 	ejectedTo clock.Instant
+}
 
+// A listing is what the platform's list says of a replica that announces itself.
+type listing struct {
 	announced   Announcement
 	seenAt      clock.Instant // when it was first announced
 	announcedAt clock.Instant // when it was last announced
 	reportedAt  clock.Instant // when its owner's report was last heard
 	vanishedAt  clock.Instant // when the list lost it; zero while it is listed
 	endsAt      clock.Instant // when it is taken away, if that is known
+}
 
+// A leaving says who called a replica leaving.
+type leaving struct {
 	listedLeaving bool
 	leavingBoot   uint64 // boot that was told to be leaving
 	saidLeaving   bool
@@ -104,11 +121,11 @@
 		hold = defaultPlainHold
 	}
 	return &Replica{
-		Facts: f,
-		items: map[string]ItemPhase{}, refused: map[string]clock.Instant{},
-		first: defaultFirst,
-		hold:  hold,
-		Limit: limit.NewConcurrency(f.Concurrent),
+		Facts:   f,
+		Limit:   limit.NewConcurrency(f.Concurrent),
+		items:   map[string]ItemPhase{},
+		refused: map[string]clock.Instant{},
+		usage:   usage{first: defaultFirst, hold: hold},
 	}
 }
 
--- a/internal/peer/convert.go
+++ b/internal/peer/convert.go
@@ -14,54 +14,58 @@
 // encode turns the core's message into the wire's.
 func encode(m share.Message) *peerpb.Message {
 	out := &peerpb.Message{
-		From:       m.From,
-		Zone:       m.Zone,
-		Address:    m.Address,
-		Boot:       m.Boot,
-		Leaving:    m.Leaving,
-		Revision:   m.Revision,
-		Stamp:      m.Stamp,
-		AckBoot:    m.AckBoot,
-		Ack:        m.Ack,
-		WantConfig: m.WantConfig,
-		Config:     m.Config,
-		StoreAgeMs: uint32(min(m.StoreAge.Milliseconds(), math.MaxUint32)),
-
+		From:         m.From,
+		Zone:         m.Zone,
+		Address:      m.Address,
+		Boot:         m.Boot,
+		Leaving:      m.Leaving,
+		Revision:     m.Revision,
+		Stamp:        m.Stamp,
+		AckBoot:      m.AckBoot,
+		Ack:          m.Ack,
+		WantConfig:   m.WantConfig,
+		Config:       m.Config,
+		StoreAgeMs:   uint32(min(m.StoreAge.Milliseconds(), math.MaxUint32)),
 		StoreVersion: m.StoreVersion,
 	}
-	for _, r := range m.Records.Registered {
+	encodeRecords(m.Records, out)
+	for _, d := range m.Demand {
+		out.Demand = append(out.Demand, &peerpb.Demand{
+			Name: d.Name, Rate: float32(d.Rate), Concurrent: float32(d.Concurrent), Weight: float32(d.Weight),
+			Waiting: uint32(d.Waiting), UnmetMs: uint32(d.Unmet.Milliseconds()), IdleMs: uint32(d.Idle.Milliseconds()), Absent: float32(d.Absent),
+		})
+	}
+	out.HasUses = m.Uses != nil
+	for name, u := range m.Uses {
+		out.Uses = append(out.Uses, &peerpb.Use{
+			Replica: name, Calls: uint32(u.Calls), PrefillUs: uint32(u.Prefill.Microseconds()), Items: u.Items, Down: u.Down,
+		})
+	}
+	return out
+}
+
+// encodeRecords adds the records to the message.
+func encodeRecords(records share.Records, out *peerpb.Message) {
+	for _, r := range records.Registered {
 		out.Registered = append(out.Registered, &peerpb.Registered{Key: r.Key, Data: r.Data, Revision: r.Revision, Gone: r.Gone})
 	}
-	for _, r := range m.Records.Residencies {
+	for _, r := range records.Residencies {
 		out.Residencies = append(out.Residencies, encodeResidency(r))
 	}
-	for _, l := range m.Records.Loads {
+	for _, l := range records.Loads {
 		out.Loads = append(out.Loads, &peerpb.Load{
 			Engine: l.Engine, Boot: l.Boot, Seq: l.Seq, Running: uint32(l.Running), Waiting: uint32(l.Waiting),
 		})
 	}
-	for _, l := range m.Records.Listed {
+	for _, l := range records.Listed {
 		out.Listed = append(out.Listed, &peerpb.Listed{
 			Name: l.Name, Kind: uint32(l.Kind), Zone: l.Zone, Address: l.Address,
 			Leaving: l.Leaving, Gone: l.Gone, Version: l.Version, Announced: encodeAnnounced(l.Announced),
 		})
 	}
-	for _, h := range m.Records.Holders {
+	for _, h := range records.Holders {
 		out.Holders = append(out.Holders, &peerpb.Holder{Zone: h.Zone, Instance: h.Instance, Fence: h.Fence})
 	}
-	for _, d := range m.Demand {
-		out.Demand = append(out.Demand, &peerpb.Demand{
-			Name: d.Name, Rate: float32(d.Rate), Concurrent: float32(d.Concurrent), Weight: float32(d.Weight),
-			Waiting: uint32(d.Waiting), UnmetMs: uint32(d.Unmet.Milliseconds()), IdleMs: uint32(d.Idle.Milliseconds()), Absent: float32(d.Absent),
-		})
-	}
-	out.HasUses = m.Uses != nil
-	for name, u := range m.Uses {
-		out.Uses = append(out.Uses, &peerpb.Use{
-			Replica: name, Calls: uint32(u.Calls), PrefillUs: uint32(u.Prefill.Microseconds()), Items: u.Items, Down: u.Down,
-		})
-	}
-	return out
 }
 
 func encodeAnnounced(a *pool.Announcement) *peerpb.Announced {
@@ -105,61 +109,67 @@
 // decode turns the wire's message into the core's.
 func decode(m *peerpb.Message) share.Message {
 	out := share.Message{
-		From:       m.GetFrom(),
-		Zone:       m.GetZone(),
-		Address:    m.GetAddress(),
-		Boot:       m.GetBoot(),
-		Leaving:    m.GetLeaving(),
-		Revision:   m.GetRevision(),
-		Stamp:      m.GetStamp(),
-		AckBoot:    m.GetAckBoot(),
-		Ack:        m.GetAck(),
-		WantConfig: m.GetWantConfig(),
-		Config:     m.GetConfig(),
-		StoreAge:   time.Duration(m.GetStoreAgeMs()) * time.Millisecond,
-
+		From:         m.GetFrom(),
+		Zone:         m.GetZone(),
+		Address:      m.GetAddress(),
+		Boot:         m.GetBoot(),
+		Leaving:      m.GetLeaving(),
+		Revision:     m.GetRevision(),
+		Stamp:        m.GetStamp(),
+		AckBoot:      m.GetAckBoot(),
+		Ack:          m.GetAck(),
+		WantConfig:   m.GetWantConfig(),
+		Config:       m.GetConfig(),
+		StoreAge:     time.Duration(m.GetStoreAgeMs()) * time.Millisecond,
 		StoreVersion: m.GetStoreVersion(),
+		Records:      decodeRecords(m),
 	}
+	for _, d := range m.GetDemand() {
+		out.Demand = append(out.Demand, demand.Item{
+			Name: d.GetName(), Rate: float64(d.GetRate()), Concurrent: float64(d.GetConcurrent()),
+			Weight: float64(d.GetWeight()), Waiting: int(d.GetWaiting()),
+			Unmet: time.Duration(d.GetUnmetMs()) * time.Millisecond, Idle: time.Duration(d.GetIdleMs()) * time.Millisecond,
+			Absent: float64(d.GetAbsent()),
+		})
+	}
+	if m.GetHasUses() {
+		out.Uses = map[string]pool.Use{}
+	}
+	for _, u := range m.GetUses() {
+		out.Uses[u.GetReplica()] = pool.Use{
+			Calls: int(u.GetCalls()), Prefill: time.Duration(u.GetPrefillUs()) * time.Microsecond, Items: u.GetItems(), Down: u.GetDown(),
+		}
+	}
+	return out
+}
+
+// decodeRecords returns the message's records.
+func decodeRecords(m *peerpb.Message) share.Records {
+	var out share.Records
 	for _, r := range m.GetRegistered() {
-		out.Records.Registered = append(out.Records.Registered, registry.Record{
+		out.Registered = append(out.Registered, registry.Record{
 			Key: r.GetKey(), Data: r.GetData(), Revision: r.GetRevision(), Gone: r.GetGone(),
 		})
 	}
 	for _, r := range m.GetResidencies() {
-		out.Records.Residencies = append(out.Records.Residencies, decodeResidency(r))
+		out.Residencies = append(out.Residencies, decodeResidency(r))
 	}
 	for _, l := range m.GetLoads() {
-		out.Records.Loads = append(out.Records.Loads, share.Load{Engine: l.GetEngine(), Load: pool.Load{
+		out.Loads = append(out.Loads, share.Load{Engine: l.GetEngine(), Load: pool.Load{
 			Boot: l.GetBoot(), Seq: l.GetSeq(), Running: int(l.GetRunning()), Waiting: int(l.GetWaiting()),
 		}})
 	}
 	for _, l := range m.GetListed() {
-		out.Records.Listed = append(out.Records.Listed, share.Listed{
+		out.Listed = append(out.Listed, share.Listed{
 			Name: l.GetName(), Kind: share.ListedKind(l.GetKind()), Zone: l.GetZone(), Address: l.GetAddress(),
 			Leaving: l.GetLeaving(), Gone: l.GetGone(), Version: l.GetVersion(), Announced: decodeAnnounced(l.GetAnnounced()),
 		})
 	}
 	for _, h := range m.GetHolders() {
-		out.Records.Holders = append(out.Records.Holders, share.Holder{
+		out.Holders = append(out.Holders, share.Holder{
 			Zone: h.GetZone(), Instance: h.GetInstance(), Fence: h.GetFence(),
 		})
 	}
-	for _, d := range m.GetDemand() {
-		out.Demand = append(out.Demand, demand.Item{
-			Name: d.GetName(), Rate: float64(d.GetRate()), Concurrent: float64(d.GetConcurrent()),
-			Weight: float64(d.GetWeight()), Waiting: int(d.GetWaiting()),
-			Unmet: time.Duration(d.GetUnmetMs()) * time.Millisecond, Idle: time.Duration(d.GetIdleMs()) * time.Millisecond,
-			Absent: float64(d.GetAbsent()),
-		})
-	}
-	if m.GetHasUses() {
-		out.Uses = map[string]pool.Use{}
-	}
-	for _, u := range m.GetUses() {
-		out.Uses[u.GetReplica()] = pool.Use{
-			Calls: int(u.GetCalls()), Prefill: time.Duration(u.GetPrefillUs()) * time.Microsecond, Items: u.GetItems(), Down: u.GetDown(),
-		}
-	}
 	return out
 }
 
