--- a/core/exchange/exchange.go
+++ b/core/exchange/exchange.go
@@ -14,19 +14,15 @@
 package exchange
 
 import (
-	"math/rand/v2"
 	"time"
 
 	"github.com/birchdrift/birchdrift/core/clock"
-	"github.com/birchdrift/birchdrift/core/config"
 	"github.com/birchdrift/birchdrift/core/demand"
 	"github.com/birchdrift/birchdrift/core/logevent"
 	"github.com/birchdrift/birchdrift/core/member"
-	"github.com/birchdrift/birchdrift/core/option"
-	"github.com/birchdrift/birchdrift/core/pool"
 	"github.com/birchdrift/birchdrift/core/registry"
 	"github.com/birchdrift/birchdrift/core/share"
-	"github.com/birchdrift/birchdrift/core/step"
+	"github.com/birchdrift/birchdrift/core/shared"
 	"github.com/birchdrift/birchdrift/core/watchers"
 )
 
@@ -72,15 +68,9 @@
 // Needs are what exchanges need of the other modules. The functions must be set
 // before the first event.
 type Needs struct {
-	Self    member.Identity
-	Options *option.Options
-	Rand    *rand.Rand
-	Out     *step.Output
-	Members *member.Table
-	Pool    *pool.Pool
-	Records *share.Set
-	Config  *config.Current
-	Roster  *watchers.Roster
+	shared.State
+
+	Roster *watchers.Roster
 
 	// Stopping reports whether a planned stop has begun.
 	Stopping func() bool
--- a/core/exchange/pull_test.go
+++ b/core/exchange/pull_test.go
@@ -7,8 +7,9 @@
 	"github.com/matryer/is"
 
 	"github.com/birchdrift/birchdrift/core/clock/clocktest"
-	"github.com/birchdrift/birchdrift/core/config"
 	"github.com/birchdrift/birchdrift/core/member"
+	"github.com/birchdrift/birchdrift/core/option"
+	"github.com/birchdrift/birchdrift/core/shared"
 )
 
 // TestWhoIsAskedForAConfiguration: a peer of the own zone before others, then the
@@ -37,7 +38,7 @@
 			is := is.New(t)
 			now := clocktest.At(time.Hour)
 			self := member.Identity{Name: "self", Zone: "z"}
-			x := New(Needs{Self: self, Members: member.New(self.Name, self.Zone), Config: &config.Current{}})
+			x := New(Needs{State: shared.New(self, option.Default(), 1)})
 			for _, p := range c.peers {
 				x.Members.Learn(p.name, p.zone, p.name)
 				x.peers[p.name] = peerState{revision: p.revision}
--- a/core/forwarding/forwarding.go
+++ b/core/forwarding/forwarding.go
@@ -13,7 +13,6 @@
 
 import (
 	"fmt"
-	"math/rand/v2"
 	"time"
 
 	"github.com/birchdrift/birchdrift/core/asks"
@@ -24,30 +23,23 @@
 	"github.com/birchdrift/birchdrift/core/config"
 	"github.com/birchdrift/birchdrift/core/demand"
 	"github.com/birchdrift/birchdrift/core/logevent"
-	"github.com/birchdrift/birchdrift/core/member"
-	"github.com/birchdrift/birchdrift/core/option"
 	"github.com/birchdrift/birchdrift/core/policy"
 	"github.com/birchdrift/birchdrift/core/pool"
 	"github.com/birchdrift/birchdrift/core/retrybudget"
 	"github.com/birchdrift/birchdrift/core/route"
-	"github.com/birchdrift/birchdrift/core/step"
+	"github.com/birchdrift/birchdrift/core/shared"
 	"github.com/birchdrift/birchdrift/core/watchers"
 )
 
 // Needs are what forwarding needs of the other modules.
 type Needs struct {
-	Self    member.Identity
-	Options *option.Options
-	Rand    *rand.Rand
-	Out     *step.Output
-	Members *member.Table
-	Pool    *pool.Pool
-	Config  *config.Current
-	Calls   *calls.Table
-	Budget  *retrybudget.Budget
-	Asks    *asks.Asks
-	Roster  *watchers.Roster
-	Demand  *demand.Tracker
+	shared.State
+
+	Calls  *calls.Table
+	Budget *retrybudget.Budget
+	Asks   *asks.Asks
+	Roster *watchers.Roster
+	Demand *demand.Tracker
 	// Used notes that a call uses an item of an engine.
 	Used func(now clock.Instant, engine, item string)
 	// Missed notes that a call found its model nowhere.
--- a/core/forwarding/forwarding_test.go
+++ b/core/forwarding/forwarding_test.go
@@ -1,7 +1,6 @@
 package forwarding
 
 import (
-	"math/rand/v2"
 	"testing"
 	"time"
 
@@ -18,6 +17,7 @@
 	"github.com/birchdrift/birchdrift/core/option"
 	"github.com/birchdrift/birchdrift/core/pool"
 	"github.com/birchdrift/birchdrift/core/retrybudget"
+	"github.com/birchdrift/birchdrift/core/shared"
 	"github.com/birchdrift/birchdrift/core/step"
 )
 
@@ -26,19 +26,15 @@
 // testForwarder serves one engine pool that has model m configured, and no engine.
 func testForwarder(t *testing.T) *Forwarder {
 	t.Helper()
-	opt := option.Default()
-	out := &step.Output{}
-	members := member.New("self", "z")
+	state := shared.New(member.Identity{Name: "self", Zone: "z"}, option.Default(), 1)
 	table := calls.New()
-	table.Options = &opt
-	table.Rand = rand.New(rand.NewPCG(1, 1))
-	table.Out = out
-	table.Pool = pool.New()
+	table.Options = state.Options
+	table.Rand = state.Rand
+	table.Out = state.Out
+	table.Pool = state.Pool
 	return New(Needs{
-		Self: member.Identity{Name: "self", Zone: "z"}, Options: &opt, Rand: table.Rand, Out: out, Members: members,
-		Pool: table.Pool, Config: &config.Current{}, Calls: table,
-		Budget: &retrybudget.Budget{Options: &opt, Members: members}, Demand: demand.NewTracker(),
-		Missed: func(clock.Instant) {},
+		State: state, Calls: table, Budget: &retrybudget.Budget{Options: state.Options, Members: state.Members},
+		Demand: demand.NewTracker(), Missed: func(clock.Instant) {},
 	})
 }
 
--- a/core/instance/adapter_test.go
+++ b/core/instance/adapter_test.go
@@ -60,9 +60,9 @@
 	is := is.New(t)
 	now := clocktest.At(time.Hour)
 	m := adapterMachine(t, now)
-	m.pool.ObserveResidency(now, "e1", residency(1, pool.Loading))
+	m.state.Pool.ObserveResidency(now, "e1", residency(1, pool.Loading))
 	is.Equal(sentTo(m.Step(now, Arrived{Call: Call{ID: 1, Service: "s", Replayable: true}})), "")
-	m.pool.ObserveResidency(now, "e1", residency(2, pool.Ready))
+	m.state.Pool.ObserveResidency(now, "e1", residency(2, pool.Ready))
 	is.Equal(sentTo(m.Step(now.Add(time.Second), Tick{})), "e1")
 }
 
@@ -72,8 +72,8 @@
 	is := is.New(t)
 	now := clocktest.At(time.Hour)
 	m := adapterMachine(t, now)
-	m.pool.ObserveResidency(now, "e1", residency(1, pool.Ready))
-	m.pool.ObserveResidency(now, "e2", residency(1, pool.Ready))
+	m.state.Pool.ObserveResidency(now, "e1", residency(1, pool.Ready))
+	m.state.Pool.ObserveResidency(now, "e2", residency(1, pool.Ready))
 	first := sentTo(m.Step(now, Arrived{Call: Call{ID: 1, Service: "s", Replayable: true}}))
 	is.True(first != "")
 	next := sentTo(m.Step(now, AttemptFailed{ID: 1, Attempt: 1, Phase: attempt.Refused, Status: 409}))
--- a/core/instance/bench_test.go
+++ b/core/instance/bench_test.go
@@ -60,7 +60,7 @@
 		for k := range 3 {
 			res.Items = append(res.Items, pool.Item{Name: fmt.Sprintf("model-%d", (i*3+k)%s.models), Phase: pool.Ready})
 		}
-		m.pool.ObserveResidency(now, fmt.Sprintf("engine-%d", i), res)
+		m.state.Pool.ObserveResidency(now, fmt.Sprintf("engine-%d", i), res)
 	}
 	return m, now
 }
@@ -94,7 +94,7 @@
 			q := choose.Query{Zone: "z0", PromptTokens: 2000, PrefillRate: 8000, Prefix: choose.NewPrefix("m", string(prompt))}
 			b.ReportAllocs()
 			for b.Loop() {
-				m.env.own.chooser.Choose(now, q, m.pool.All())
+				m.env.own.chooser.Choose(now, q, m.state.Pool.All())
 			}
 		})
 	}
--- a/core/instance/build.go
+++ b/core/instance/build.go
@@ -1,12 +1,9 @@
 package instance
 
 import (
-	"math/rand/v2"
-
 	"github.com/birchdrift/birchdrift/core/asks"
 	"github.com/birchdrift/birchdrift/core/calls"
 	"github.com/birchdrift/birchdrift/core/clock"
-	"github.com/birchdrift/birchdrift/core/config"
 	"github.com/birchdrift/birchdrift/core/demand"
 	"github.com/birchdrift/birchdrift/core/exchange"
 	"github.com/birchdrift/birchdrift/core/forwarding"
@@ -14,14 +11,11 @@
 	"github.com/birchdrift/birchdrift/core/member"
 	"github.com/birchdrift/birchdrift/core/option"
 	"github.com/birchdrift/birchdrift/core/orders"
-	"github.com/birchdrift/birchdrift/core/outage"
 	"github.com/birchdrift/birchdrift/core/owned"
 	"github.com/birchdrift/birchdrift/core/ownership"
-	"github.com/birchdrift/birchdrift/core/pool"
 	"github.com/birchdrift/birchdrift/core/retrybudget"
-	"github.com/birchdrift/birchdrift/core/share"
+	"github.com/birchdrift/birchdrift/core/shared"
 	"github.com/birchdrift/birchdrift/core/shutdown"
-	"github.com/birchdrift/birchdrift/core/step"
 	"github.com/birchdrift/birchdrift/core/watchers"
 )
 
@@ -36,18 +30,7 @@
 // New returns the machine of an instance that knows nothing yet. Its random draws
 // come from seed.
 func New(self member.Identity, opt option.Options, seed uint64) *Machine {
-	out := &step.Output{}
-	m := &Machine{common: common{
-		self:    self,
-		opt:     &opt,
-		rng:     rand.New(rand.NewPCG(seed, self.Boot)),
-		out:     out,
-		cfg:     &config.Current{},
-		pool:    pool.New(),
-		members: member.New(self.Name, self.Zone),
-		records: share.NewSet(),
-		outage:  outage.New(out),
-	}}
+	m := &Machine{state: shared.New(self, opt, seed)}
 	flow, board := demand.NewTracker(), demand.NewTotals()
 	m.buildCalls()
 	m.buildOrders()
@@ -64,12 +47,12 @@
 
 func (m *Machine) buildCalls() {
 	m.calls = calls.New()
-	m.calls.Options = m.opt
-	m.calls.Rand = m.rng
-	m.calls.Out = m.out
-	m.calls.Pool = m.pool
-	m.budget = &retrybudget.Budget{Options: m.opt, Members: m.members}
-	m.stop = &shutdown.Stop{Options: m.opt, Out: m.out, Calls: m.calls, HandOver: m.handOver}
+	m.calls.Options = m.state.Options
+	m.calls.Rand = m.state.Rand
+	m.calls.Out = m.state.Out
+	m.calls.Pool = m.state.Pool
+	m.budget = &retrybudget.Budget{Options: m.state.Options, Members: m.state.Members}
+	m.stop = &shutdown.Stop{Options: m.state.Options, Out: m.state.Out, Calls: m.calls, HandOver: m.handOver}
 }
 
 // handOver gives back what others can take over, at a planned stop, and tells the
@@ -81,19 +64,19 @@
 
 func (m *Machine) buildOrders() {
 	o := &m.orders
-	o.roster = &watchers.Roster{Self: m.self, Options: m.opt, Members: m.members}
-	o.owned = &owned.Engines{Out: m.out, Pool: m.pool, Records: m.records, Config: m.cfg}
+	o.roster = &watchers.Roster{Self: m.state.Self, Options: m.state.Options, Members: m.state.Members}
+	o.owned = &owned.Engines{Out: m.state.Out, Pool: m.state.Pool, Records: m.state.Records, Config: m.state.Config}
 	o.registry = ownership.New(ownership.Needs{
-		Self: m.self, Options: m.opt, Rand: m.rng, Out: m.out, Members: m.members, Pool: m.pool, Records: m.records,
-		Config: m.cfg, Outage: m.outage, Roster: o.roster, Owned: o.owned,
+		State:  m.state,
+		Roster: o.roster, Owned: o.owned,
 		Stopping: m.stop.Begun,
 		News:     func(now clock.Instant) { m.exchanges.TellSoon(now) },
 	})
 	o.asks = asks.New()
-	o.asks.Self = m.self
-	o.asks.Out = m.out
-	o.asks.Members = m.members
-	o.asks.Pool = m.pool
+	o.asks.Self = m.state.Self
+	o.asks.Out = m.state.Out
+	o.asks.Members = m.state.Members
+	o.asks.Pool = m.state.Pool
 	o.asks.Owned = o.owned
 	o.asks.Owner = o.registry.Owner
 	o.asks.Resume = func(now clock.Instant, id calls.ID) { m.forwarding.Resume(now, id) }
@@ -109,13 +92,13 @@
 // between environments is set by them.
 func (m *Machine) buildExchanges() {
 	m.listing = &listing.List{
-		Out: m.out, Members: m.members, Pool: m.pool, Records: m.records,
+		Out: m.state.Out, Members: m.state.Members, Pool: m.state.Pool, Records: m.state.Records,
 		Announced: m.orders.owned.Announced,
 		News:      func(now clock.Instant) { m.exchanges.TellSoon(now) },
 	}
 	m.exchanges = exchange.New(exchange.Needs{
-		Self: m.self, Options: m.opt, Rand: m.rng, Out: m.out, Members: m.members, Pool: m.pool, Records: m.records,
-		Config: m.cfg, Roster: m.orders.roster,
+		State:      m.state,
+		Roster:     m.orders.roster,
 		Stopping:   m.stop.Begun,
 		Listed:     m.listing.Heard,
 		Registered: m.orders.registry.Merge,
@@ -125,7 +108,7 @@
 
 func (m *Machine) buildForwarding(flow *demand.Tracker) {
 	m.forwarding = forwarding.New(forwarding.Needs{
-		Self: m.self, Options: m.opt, Rand: m.rng, Out: m.out, Members: m.members, Pool: m.pool, Config: m.cfg,
+		State: m.state,
 		Calls: m.calls, Budget: m.budget, Asks: m.orders.asks, Roster: m.orders.roster, Demand: flow,
 		Used: m.orders.owned.Used,
 	})
--- a/core/instance/config.go
+++ b/core/instance/config.go
@@ -37,7 +37,7 @@
 	}
 	if e.Err != nil {
 		if e.Snapshot == nil && e.Encoded != nil {
-			m.out.Log(logevent.ConfigFailed, "source", e.Source, "error", e.Err.Error())
+			m.state.Out.Log(logevent.ConfigFailed, "source", e.Source, "error", e.Err.Error())
 		}
 		return
 	}
@@ -49,28 +49,28 @@
 // install puts a newer revision in force; an older one changes nothing.
 func (m *Machine) install(now clock.Instant, e ConfigReply) {
 	s := e.Snapshot
-	if s.Revision() <= m.cfg.Revision() && !m.opt.Disable.Monotonic {
-		if s.Revision() < m.cfg.Revision() {
-			m.out.Log(logevent.OlderIgnored, "offered", s.Revision(), "in_force", m.cfg.Revision(), "source", e.Source)
+	if s.Revision() <= m.state.Config.Revision() && !m.state.Options.Disable.Monotonic {
+		if s.Revision() < m.state.Config.Revision() {
+			m.state.Out.Log(logevent.OlderIgnored, "offered", s.Revision(), "in_force", m.state.Config.Revision(), "source", e.Source)
 		}
 		return
 	}
-	*m.cfg = config.Current{Snapshot: s, Encoded: e.Encoded}
-	m.pool.Apply(s)
+	*m.state.Config = config.Current{Snapshot: s, Encoded: e.Encoded}
+	m.state.Pool.Apply(s)
 	m.orders.owned.Configure()
 	m.replayRecords(now)
 	m.env.installed(now, s)
 	m.exchanges.Installed(now)
-	m.out.Log(logevent.Installed, "revision", s.Revision(), "source", e.Source)
-	m.out.Do(Install{Snapshot: s, Source: e.Source})
+	m.state.Out.Log(logevent.Installed, "revision", s.Revision(), "source", e.Source)
+	m.state.Out.Do(Install{Snapshot: s, Source: e.Source})
 }
 
 // replayRecords tells the pool what was heard of upstreams before the revision
 // that defines them.
 func (m *Machine) replayRecords(now clock.Instant) {
-	all := m.records.Since(0, "", true, 0)
+	all := m.state.Records.Since(0, "", true, 0)
 	for _, r := range all.Residencies {
-		m.pool.ObserveResidency(now, r.Engine, r.Residency)
+		m.state.Pool.ObserveResidency(now, r.Engine, r.Residency)
 	}
 	for _, l := range all.Listed {
 		m.listing.Apply(now, l)
--- a/core/instance/exchange_test.go
+++ b/core/instance/exchange_test.go
@@ -57,7 +57,7 @@
 	}}})
 	m.Step(now, EnrolReply{Sent: now, Lease: 1})
 	m.orders.registry.WatchAnswered(now)
-	m.orders.owned.Acquire(now, registry.Ownership{Engine: "e1", Owner: m.self.Name, Boot: m.self.Boot, Revision: 7}, now)
+	m.orders.owned.Acquire(now, registry.Ownership{Engine: "e1", Owner: m.state.Self.Name, Boot: m.state.Self.Boot, Revision: 7}, now)
 }
 
 // TestDutiesGoToTheStrongest: in a fleet of unlike machines the ones with most
@@ -101,7 +101,7 @@
 	}
 	m := fleetMachine(now, peers...)
 	watcher := m.orders.roster.Of(now, "z")[0]
-	if watcher == m.self.Name {
+	if watcher == m.state.Self.Name {
 		t.Fatal("this instance is not to watch in this test")
 	}
 	placer := "p00"
@@ -201,10 +201,10 @@
 	}
 	is.Equal(told(1, 0, 0, 0), []string{"r1", "r2"})
 	is.Equal(told(1, 0, 0, 11), []string{"r2"})
-	is.Equal(told(1, 1, m.records.Stamp(), 12), nil)
+	is.Equal(told(1, 1, m.state.Records.Stamp(), 12), nil)
 	// A new boot that confirms what was composed for the one before it.
-	is.Equal(told(2, 1, m.records.Stamp(), 0), []string{"r1", "r2"})
-	is.Equal(told(2, 1, m.records.Stamp(), 0), nil)
+	is.Equal(told(2, 1, m.state.Records.Stamp(), 0), []string{"r1", "r2"})
+	is.Equal(told(2, 1, m.state.Records.Stamp(), 0), nil)
 }
 
 // ownerOf returns who owns engine e by the newest record known, "" where there is
--- a/core/instance/machine.go
+++ b/core/instance/machine.go
@@ -30,7 +30,6 @@
 package instance
 
 import (
-	"math/rand/v2"
 	"time"
 
 	"github.com/birchdrift/birchdrift/core/calls"
@@ -39,19 +38,14 @@
 	"github.com/birchdrift/birchdrift/core/exchange"
 	"github.com/birchdrift/birchdrift/core/forwarding"
 	"github.com/birchdrift/birchdrift/core/listing"
-	"github.com/birchdrift/birchdrift/core/member"
-	"github.com/birchdrift/birchdrift/core/option"
-	"github.com/birchdrift/birchdrift/core/outage"
-	"github.com/birchdrift/birchdrift/core/pool"
 	"github.com/birchdrift/birchdrift/core/retrybudget"
-	"github.com/birchdrift/birchdrift/core/share"
+	"github.com/birchdrift/birchdrift/core/shared"
 	"github.com/birchdrift/birchdrift/core/shutdown"
-	"github.com/birchdrift/birchdrift/core/step"
 )
 
 // A Machine is the state of one entry instance.
 type Machine struct {
-	common
+	state      shared.State
 	calls      *calls.Table
 	budget     *retrybudget.Budget
 	forwarding *forwarding.Forwarder
@@ -62,19 +56,6 @@
 	env        environment
 }
 
-// A common is what all modules of a machine share.
-type common struct {
-	self    member.Identity
-	opt     *option.Options
-	rng     *rand.Rand
-	out     *step.Output
-	cfg     *config.Current
-	pool    *pool.Pool
-	members *member.Table
-	records *share.Set
-	outage  *outage.Tracker
-}
-
 // An environment is what differs between the environments that an instance runs
 // in. It is chosen once, by New.
 type environment struct {
@@ -102,13 +83,13 @@
 // Step takes in one event at now and returns what to do, in order. The slice
 // is valid until the next Step.
 func (m *Machine) Step(now clock.Instant, ev Event) []Action {
-	m.out.Reset()
+	m.state.Out.Reset()
 	m.handle(now, ev)
 	m.tick(now)
 	if _, tick := ev.(Tick); tick || m.calls.Changed() {
 		m.calls.Retry(now)
 	}
-	return m.out.Actions()
+	return m.state.Out.Actions()
 }
 
 // handle passes an event on to the module that it is for.
@@ -184,13 +165,13 @@
 // retune takes over tunables that may change while the machine runs. What its
 // driver was built with stays.
 func (m *Machine) retune(e Retune) {
-	if e.Options.RetryWindow != m.opt.RetryWindow {
+	if e.Options.RetryWindow != m.state.Options.RetryWindow {
 		m.budget.Reset()
 	}
-	disable, env := m.opt.Disable, m.opt.Environment
-	*m.opt = e.Options
-	m.opt.Disable = disable
-	m.opt.Environment = env
+	disable, env := m.state.Options.Disable, m.state.Options.Environment
+	*m.state.Options = e.Options
+	m.state.Options.Disable = disable
+	m.state.Options.Environment = env
 	m.exchanges.SetSeeds(e.Seeds)
 }
 
@@ -223,7 +204,7 @@
 	if m.orders.owned.Waiting() {
 		return wakeEveryOrder
 	}
-	if m.calls.Waiting() > 0 || m.stop.Begun() || m.calls.Len() > 0 && m.cfg.HasForwards() {
+	if m.calls.Waiting() > 0 || m.stop.Begun() || m.calls.Len() > 0 && m.state.Config.HasForwards() {
 		return wakeEveryBusy
 	}
 	return wakeEvery
--- a/core/instance/own.go
+++ b/core/instance/own.go
@@ -30,17 +30,17 @@
 	chooser := choose.NewChooser(prefixMemory)
 	asked := meter.New()
 	p := planner.New(planner.Needs{
-		Self: m.self, Options: m.opt, Rand: m.rng, Out: m.out, Members: m.members, Pool: m.pool, Records: m.records,
-		Config: m.cfg, Outage: m.outage, Chooser: chooser, Meter: asked, Board: board,
+		State:   m.state,
+		Chooser: chooser, Meter: asked, Board: board,
 		Stopping: m.stop.Begun, News: m.exchanges.TellSoon, Hurry: m.exchanges.TellAll, Tell: m.exchanges.With,
 		Leaving: m.exchanges.LogLeaving,
 	})
 	h := modelcalls.New(modelcalls.Needs{
-		Self: m.self, Options: m.opt, Rand: m.rng, Out: m.out, Pool: m.pool, Config: m.cfg, Calls: m.calls,
-		Budget: m.budget, Outage: m.outage, Chooser: chooser, Meter: asked, Unmet: p.Unmet,
+		State: m.state, Calls: m.calls,
+		Budget: m.budget, Chooser: chooser, Meter: asked, Unmet: p.Unmet,
 	})
 	w := &watch.Watch{
-		Self: m.self, Options: m.opt, Rand: m.rng, Out: m.out, Members: m.members, Config: m.cfg, Outage: m.outage,
+		State:   m.state,
 		Listing: m.listing, Exchanges: m.exchanges, Stopping: m.stop.Begun,
 	}
 	m.forwarding.Missed = func(clock.Instant) {} // nobody places the models of announced engines here
--- a/core/instance/platform.go
+++ b/core/instance/platform.go
@@ -23,12 +23,12 @@
 func (m *Machine) platformEnvironment(flow *demand.Tracker, board *demand.Totals) environment {
 	o := &m.orders
 	placer := placement.New(placement.Needs{
-		Self: m.self, Options: m.opt, Out: m.out, Members: m.members, Pool: m.pool, Config: m.cfg,
+		State:    m.state,
 		Registry: o.registry, Asks: o.asks, Roster: o.roster, OwnDemand: flow, AllDemand: board,
 		Stopping: m.stop.Begun, Tell: m.exchanges.With, NextWatcher: m.exchanges.NextWatcher,
 	})
 	w := &watch.Watch{
-		Options: m.opt, Rand: m.rng, Out: m.out, Outage: m.outage, Roster: o.roster, Registry: o.registry,
+		Options: m.state.Options, Rand: m.state.Rand, Out: m.state.Out, Outage: m.state.Outage, Roster: o.roster, Registry: o.registry,
 		Exchanges: m.exchanges, Stopping: m.stop.Begun,
 	}
 	m.forwarding.Missed = placer.Missed
--- a/core/instance/probe_test.go
+++ b/core/instance/probe_test.go
@@ -25,7 +25,7 @@
 		peers = append(peers, string(rune('a'+i%26))+string(rune('a'+i/26)))
 	}
 	m := fleetMachine(now, peers...)
-	m.opt.ProbeWait = wait
+	m.state.Options.ProbeWait = wait
 	snapshot, err := config.NewSnapshot(fleetDocument())
 	if err != nil {
 		t.Fatal(err)
--- a/core/instance/promises_test.go
+++ b/core/instance/promises_test.go
@@ -381,7 +381,7 @@
 		w.platform.list = append(w.platform.list, share.Listed{Name: leaving, Kind: share.Upstream, Version: w.platform.version})
 		w.run(3 * time.Second)
 		for _, name := range w.names {
-			if !w.nodes[name].m.pool.Get(leaving).Leaving() {
+			if !w.nodes[name].m.state.Pool.Get(leaving).Leaving() {
 				t.Fatalf("%s believes the lagging list", name)
 			}
 		}
--- a/core/instance/status.go
+++ b/core/instance/status.go
@@ -64,7 +64,7 @@
 	if m.stop.Begun() {
 		return false, "stopping"
 	}
-	if !m.cfg.Known() {
+	if !m.state.Config.Known() {
 		return false, "no configuration from the platform or a peer yet"
 	}
 	return true, ""
@@ -74,19 +74,19 @@
 func (m *Machine) Status(now clock.Instant) Status {
 	ready, reason := m.Ready()
 	s := Status{
-		Name:         m.self.Name,
-		Zone:         m.self.Zone,
+		Name:         m.state.Self.Name,
+		Zone:         m.state.Self.Zone,
 		Ready:        ready,
 		Reason:       reason,
-		Revision:     m.cfg.Revision(),
-		PlatformDown: m.outage.Down(),
+		Revision:     m.state.Config.Revision(),
+		PlatformDown: m.state.Outage.Down(),
 		Calls:        m.calls.Len(),
 		Waiting:      m.calls.Waiting(),
 	}
-	for _, p := range m.members.Peers() {
+	for _, p := range m.state.Members.Peers() {
 		s.Peers = append(s.Peers, PeerStatus{Name: p.Name, Zone: p.Zone, Address: p.Address, Live: p.Live(now)})
 	}
-	for _, r := range m.pool.All() {
+	for _, r := range m.state.Pool.All() {
 		s.Upstreams = append(s.Upstreams, replicaStatus(now, r))
 	}
 	m.env.status(now, &s)
--- a/core/own/modelcalls/modelcalls.go
+++ b/core/own/modelcalls/modelcalls.go
@@ -10,7 +10,6 @@
 
 import (
 	"fmt"
-	"math/rand/v2"
 	"time"
 
 	"github.com/birchdrift/birchdrift/core/attempt"
@@ -19,15 +18,12 @@
 	"github.com/birchdrift/birchdrift/core/code"
 	"github.com/birchdrift/birchdrift/core/config"
 	"github.com/birchdrift/birchdrift/core/logevent"
-	"github.com/birchdrift/birchdrift/core/member"
-	"github.com/birchdrift/birchdrift/core/option"
-	"github.com/birchdrift/birchdrift/core/outage"
 	"github.com/birchdrift/birchdrift/core/own/choose"
 	"github.com/birchdrift/birchdrift/core/own/meter"
 	"github.com/birchdrift/birchdrift/core/policy"
 	"github.com/birchdrift/birchdrift/core/pool"
 	"github.com/birchdrift/birchdrift/core/retrybudget"
-	"github.com/birchdrift/birchdrift/core/step"
+	"github.com/birchdrift/birchdrift/core/shared"
 )
 
 const (
@@ -41,15 +37,10 @@
 
 // Needs are what the handler needs of the other modules.
 type Needs struct {
-	Self    member.Identity
-	Options *option.Options
-	Rand    *rand.Rand
-	Out     *step.Output
-	Pool    *pool.Pool
-	Config  *config.Current
+	shared.State
+
 	Calls   *calls.Table
 	Budget  *retrybudget.Budget
-	Outage  *outage.Tracker
 	Chooser *choose.Chooser
 	Meter   *meter.Meter
 	// Unmet is called when a call found its item resident nowhere.
--- a/core/own/planner/planner.go
+++ b/core/own/planner/planner.go
@@ -13,16 +13,12 @@
 package planner
 
 import (
-	"math/rand/v2"
-
 	"github.com/birchdrift/birchdrift/core/backoff"
 	"github.com/birchdrift/birchdrift/core/clock"
 	"github.com/birchdrift/birchdrift/core/config"
 	"github.com/birchdrift/birchdrift/core/demand"
 	"github.com/birchdrift/birchdrift/core/logevent"
 	"github.com/birchdrift/birchdrift/core/member"
-	"github.com/birchdrift/birchdrift/core/option"
-	"github.com/birchdrift/birchdrift/core/outage"
 	"github.com/birchdrift/birchdrift/core/own/book"
 	"github.com/birchdrift/birchdrift/core/own/choose"
 	"github.com/birchdrift/birchdrift/core/own/lease"
@@ -30,6 +26,7 @@
 	"github.com/birchdrift/birchdrift/core/own/plan"
 	"github.com/birchdrift/birchdrift/core/pool"
 	"github.com/birchdrift/birchdrift/core/share"
+	"github.com/birchdrift/birchdrift/core/shared"
 	"github.com/birchdrift/birchdrift/core/step"
 )
 
@@ -39,15 +36,8 @@
 
 // Needs are what the planner needs of the other modules.
 type Needs struct {
-	Self    member.Identity
-	Options *option.Options
-	Rand    *rand.Rand
-	Out     *step.Output
-	Members *member.Table
-	Pool    *pool.Pool
-	Records *share.Set
-	Config  *config.Current
-	Outage  *outage.Tracker
+	shared.State
+
 	Chooser *choose.Chooser
 	Meter   *meter.Meter
 	Board   *demand.Totals
--- a/core/own/watch/watch.go
+++ b/core/own/watch/watch.go
@@ -6,16 +6,12 @@
 package watch
 
 import (
-	"math/rand/v2"
 	"time"
 
 	"github.com/birchdrift/birchdrift/core/clock"
-	"github.com/birchdrift/birchdrift/core/config"
 	"github.com/birchdrift/birchdrift/core/exchange"
 	"github.com/birchdrift/birchdrift/core/listing"
-	"github.com/birchdrift/birchdrift/core/member"
-	"github.com/birchdrift/birchdrift/core/option"
-	"github.com/birchdrift/birchdrift/core/outage"
+	"github.com/birchdrift/birchdrift/core/shared"
 	"github.com/birchdrift/birchdrift/core/step"
 	"github.com/birchdrift/birchdrift/core/watchers"
 )
@@ -41,13 +37,8 @@
 
 // A Watch is one instance's watches. The fields must be set before its use.
 type Watch struct {
-	Self      member.Identity
-	Options   *option.Options
-	Rand      *rand.Rand
-	Out       *step.Output
-	Members   *member.Table
-	Config    *config.Current
-	Outage    *outage.Tracker
+	shared.State
+
 	Listing   *listing.List
 	Exchanges *exchange.Exchanges
 	// Stopping reports whether a planned stop has begun.
--- a/core/ownership/ownership.go
+++ b/core/ownership/ownership.go
@@ -17,21 +17,14 @@
 package ownership
 
 import (
-	"math/rand/v2"
 	"slices"
 	"time"
 
 	"github.com/birchdrift/birchdrift/core/clock"
-	"github.com/birchdrift/birchdrift/core/config"
 	"github.com/birchdrift/birchdrift/core/logevent"
-	"github.com/birchdrift/birchdrift/core/member"
-	"github.com/birchdrift/birchdrift/core/option"
-	"github.com/birchdrift/birchdrift/core/outage"
 	"github.com/birchdrift/birchdrift/core/owned"
-	"github.com/birchdrift/birchdrift/core/pool"
 	"github.com/birchdrift/birchdrift/core/registry"
-	"github.com/birchdrift/birchdrift/core/share"
-	"github.com/birchdrift/birchdrift/core/step"
+	"github.com/birchdrift/birchdrift/core/shared"
 	"github.com/birchdrift/birchdrift/core/watchers"
 )
 
@@ -116,17 +109,10 @@
 
 // Needs are what ownership needs of the other modules.
 type Needs struct {
-	Self    member.Identity
-	Options *option.Options
-	Rand    *rand.Rand
-	Out     *step.Output
-	Members *member.Table
-	Pool    *pool.Pool
-	Records *share.Set
-	Config  *config.Current
-	Outage  *outage.Tracker
-	Roster  *watchers.Roster
-	Owned   *owned.Engines
+	shared.State
+
+	Roster *watchers.Roster
+	Owned  *owned.Engines
 	// Stopping reports whether a planned stop has begun.
 	Stopping func() bool
 	// News is called when records became known that peers are to be told of.
--- a/core/ownership/ownership_test.go
+++ b/core/ownership/ownership_test.go
@@ -1,7 +1,6 @@
 package ownership
 
 import (
-	"math/rand/v2"
 	"testing"
 	"time"
 
@@ -16,6 +15,7 @@
 	"github.com/birchdrift/birchdrift/core/pool"
 	"github.com/birchdrift/birchdrift/core/registry"
 	"github.com/birchdrift/birchdrift/core/share"
+	"github.com/birchdrift/birchdrift/core/shared"
 	"github.com/birchdrift/birchdrift/core/step"
 )
 
@@ -34,10 +34,10 @@
 	engines := pool.New()
 	engines.Announce(now, "e", pool.Announcement{Service: "llm", Address: "e", Zone: "z", Slots: 8, Engine: true})
 	own := &owned.Engines{Out: out, Pool: engines, Records: share.NewSet(), Config: &config.Current{Snapshot: snapshot}}
-	return New(Needs{
-		Self: member.Identity{Name: "self", Zone: "z", Boot: 1}, Options: &opt, Rand: rand.New(rand.NewPCG(1, 1)),
-		Out: out, Pool: engines, Owned: own, Stopping: func() bool { return false },
-	})
+	state := shared.New(member.Identity{Name: "self", Zone: "z", Boot: 1}, opt, 1)
+	state.Out = out
+	state.Pool = engines
+	return New(Needs{State: state, Owned: own, Stopping: func() bool { return false }})
 }
 
 // TestQuietEngineIsOrderedSoonerAfterAStop: an engine that is given back waits for
--- a/core/placement/placer.go
+++ b/core/placement/placer.go
@@ -18,15 +18,13 @@
 
 	"github.com/birchdrift/birchdrift/core/asks"
 	"github.com/birchdrift/birchdrift/core/clock"
-	"github.com/birchdrift/birchdrift/core/config"
 	"github.com/birchdrift/birchdrift/core/demand"
 	"github.com/birchdrift/birchdrift/core/logevent"
 	"github.com/birchdrift/birchdrift/core/member"
-	"github.com/birchdrift/birchdrift/core/option"
 	"github.com/birchdrift/birchdrift/core/orders"
 	"github.com/birchdrift/birchdrift/core/ownership"
 	"github.com/birchdrift/birchdrift/core/pool"
-	"github.com/birchdrift/birchdrift/core/step"
+	"github.com/birchdrift/birchdrift/core/shared"
 	"github.com/birchdrift/birchdrift/core/watchers"
 )
 
@@ -54,12 +52,8 @@
 
 // Needs are what the placer needs of the other modules.
 type Needs struct {
-	Self    member.Identity
-	Options *option.Options
-	Out     *step.Output
-	Members *member.Table
-	Pool    *pool.Pool
-	Config  *config.Current
+	shared.State
+
 	// Registry says who is the placer, Asks gets orders from owners.
 	Registry *ownership.Registry
 	Asks     *asks.Asks
