--- a/core/forwarding/attempts.go
+++ b/core/forwarding/attempts.go
@@ -104,7 +104,7 @@
 	switch {
 	case b.Misdirected && b.Incarnation != "" && b.Incarnation != c.Replica:
 		r.Forget(uint64(c.ID))
-		f.Pool.MarkGone(now, c.Replica)
+		f.Pool.MarkGone(c.Replica)
 		f.Out.Log(logevent.Leaving, "upstream", c.Replica, "source", "another replica has its address", "now", b.Incarnation)
 	case b.Misdirected:
 		r.Forget(uint64(c.ID))
--- a/core/pool/announced.go
+++ b/core/pool/announced.go
@@ -191,7 +191,7 @@
 
 // MarkGone notes an answer that shows that another replica has the address, or that
 // nothing runs there.
-func (p *Pool) MarkGone(now clock.Instant, name string) {
+func (p *Pool) MarkGone(name string) {
 	r := p.replicas[name]
 	if r == nil {
 		return
