--- a/core/option/option.go
+++ b/core/option/option.go
@@ -5,7 +5,7 @@
 
 import "time"
 
-// Options are the tunables of a machine. The zero value is not usable; start
+// Options are the tunables of a machine, all in one table. The zero value is not usable; start
 // from Default.
 type Options struct {
 	// LeaseTerm is the term of the planner's lease.
@@ -36,8 +36,7 @@
 	StopDelay time.Duration
 	// StopLimit is how long a stopping instance waits for calls to end.
 	StopLimit time.Duration
-	// RetryWindow is the span over which repeats of forwarded calls are
-	// counted, RetryRatio the share of a service's calls that they may be, and
+	// RetryWindow is the span over which repeats of calls are counted, RetryRatio the share of a service's calls that they may be, and
 	// RetrySlack how many more all instances together may make.
 	RetryWindow time.Duration
 	RetryRatio  float64
--- a/core/own/plan/place.go
+++ b/core/own/plan/place.go
@@ -159,20 +159,31 @@
 	return n
 }
 
+// A victim is what could make way together.
+type victim struct {
+	group []Resident // a model with its adapters, or one adapter
+	mib   int64
+	worth float64
+}
+
+// before orders victims by what they are worth for the memory that they take.
+func (v victim) before(w victim) bool {
+	a, b := v.worth/float64(v.mib), w.worth/float64(w.mib)
+	if a != b {
+		return a < b
+	}
+	return v.group[len(v.group)-1].Name < w.group[len(w.group)-1].Name
+}
+
 // withVictims adds the cheapest residents whose dropping frees enough.
 func (p *planner) withVictims(o option, keep string, need int64, w want) (option, bool) {
-	type candidate struct {
-		group []Resident // a model with its adapters, or one adapter
-		mib   int64
-		worth float64
-	}
-	var candidates []candidate
+	var candidates []victim
 	for name, r := range o.engine.here {
 		if name == keep || p.in.Items[name].Base != "" && p.in.Items[name].Base != keep {
 			continue // an adapter goes with its model, unless the model stays
 		}
 		group := p.group(o.engine, r)
-		c := candidate{group: group}
+		c := victim{group: group}
 		droppable := true
 		for _, g := range group {
 			droppable = droppable && g.Settled && g.Since >= p.stay(w)
@@ -183,14 +194,7 @@
 			candidates = append(candidates, c)
 		}
 	}
-	sort.Slice(candidates, func(i, j int) bool {
-		a, b := candidates[i], candidates[j]
-		da, db := a.worth/float64(a.mib), b.worth/float64(b.mib)
-		if da != db {
-			return da < db
-		}
-		return a.group[len(a.group)-1].Name < b.group[len(b.group)-1].Name
-	})
+	sort.Slice(candidates, func(i, j int) bool { return candidates[i].before(candidates[j]) })
 	for _, c := range candidates {
 		if need <= 0 {
 			break
