--- a/core/option/option.go
+++ b/core/option/option.go
@@ -36,8 +36,9 @@
 	StopDelay time.Duration
 	// StopLimit is how long a stopping instance waits for calls to end.
 	StopLimit time.Duration
-	// RetryWindow is the span over which repeats of calls are counted, RetryRatio the share of a service's calls that they may be, and
-	// RetrySlack how many more all instances together may make.
+	// RetryWindow is the span over which repeats of calls are counted, RetryRatio
+	// the share of a service's calls that they may be, and RetrySlack how many more
+	// all instances together may make.
 	RetryWindow time.Duration
 	RetryRatio  float64
 	RetrySlack  float64
