--- a/core/calls/call.go
+++ b/core/calls/call.go
@@ -118,3 +118,16 @@
 func NotRun(c code.Code, detail string, after time.Duration) code.Refusal {
 	return code.Refusal{Code: c, Run: code.NotRun, RetryAfter: after, Detail: detail}
 }
+
+// Admission returns why no call can be taken in now, whatever it asks for; ok says
+// that calls are taken in. refusing says that the instance stops.
+func Admission(refusing, configured bool) (r code.Refusal, ok bool) {
+	switch {
+	case refusing:
+		return NotRun(code.Stopping, "this instance is stopping", LeastRetryAfter), false
+	case !configured:
+		return NotRun(code.NoConfiguration, "no configuration yet", LeastRetryAfter), false
+	default:
+		return r, true
+	}
+}
--- a/core/forwarding/forwarding.go
+++ b/core/forwarding/forwarding.go
@@ -124,11 +124,8 @@
 // admit fills in what the configuration says of the call, or returns why it is
 // refused. Nothing has been sent anywhere at this point.
 func (f *Forwarder) admit(now clock.Instant, c *calls.Call, refusing bool) (code.Refusal, bool) {
-	if refusing {
-		return calls.NotRun(code.Stopping, "this instance is stopping", calls.LeastRetryAfter), false
-	}
-	if !f.Config.Known() {
-		return calls.NotRun(code.NoConfiguration, "no configuration yet", calls.LeastRetryAfter), false
+	if refusal, ok := calls.Admission(refusing, f.Config.Known()); !ok {
+		return refusal, false
 	}
 	if len(c.Forward.Ignored) > 0 {
 		f.Out.Log(logevent.HeaderIgnored, "call", c.Forward.Name, "headers", c.Forward.Ignored)
--- a/core/instance/adapter_test.go
+++ b/core/instance/adapter_test.go
@@ -7,12 +7,14 @@
 	"github.com/matryer/is"
 
 	"github.com/birchdrift/birchdrift/core/attempt"
+	"github.com/birchdrift/birchdrift/core/calls"
 	"github.com/birchdrift/birchdrift/core/clock"
 	"github.com/birchdrift/birchdrift/core/clock/clocktest"
 	"github.com/birchdrift/birchdrift/core/config"
 	"github.com/birchdrift/birchdrift/core/member"
 	"github.com/birchdrift/birchdrift/core/option"
 	"github.com/birchdrift/birchdrift/core/pool"
+	"github.com/birchdrift/birchdrift/core/step"
 )
 
 // adapterMachine knows two engines; the residencies are given by each test.
@@ -44,9 +46,9 @@
 }
 
 // sentTo returns the replica of the Dispatch among the actions, "" if none.
-func sentTo(actions []Action) string {
+func sentTo(actions []step.Action) string {
 	for _, a := range actions {
-		if d, ok := a.(Dispatch); ok {
+		if d, ok := a.(calls.Dispatch); ok {
 			return d.Replica
 		}
 	}
@@ -61,7 +63,7 @@
 	now := clocktest.At(time.Hour)
 	m := adapterMachine(t, now)
 	m.state.Pool.ObserveResidency(now, "e1", residency(1, pool.Loading))
-	is.Equal(sentTo(m.Step(now, Arrived{Call: Call{ID: 1, Service: "s", Replayable: true}})), "")
+	is.Equal(sentTo(m.Step(now, calls.Arrived{Call: calls.Request{ID: 1, Service: "s", Replayable: true}})), "")
 	m.state.Pool.ObserveResidency(now, "e1", residency(2, pool.Ready))
 	is.Equal(sentTo(m.Step(now.Add(time.Second), Tick{})), "e1")
 }
@@ -74,11 +76,11 @@
 	m := adapterMachine(t, now)
 	m.state.Pool.ObserveResidency(now, "e1", residency(1, pool.Ready))
 	m.state.Pool.ObserveResidency(now, "e2", residency(1, pool.Ready))
-	first := sentTo(m.Step(now, Arrived{Call: Call{ID: 1, Service: "s", Replayable: true}}))
+	first := sentTo(m.Step(now, calls.Arrived{Call: calls.Request{ID: 1, Service: "s", Replayable: true}}))
 	is.True(first != "")
-	next := sentTo(m.Step(now, AttemptFailed{ID: 1, Attempt: 1, Phase: attempt.Refused, Status: 409}))
+	next := sentTo(m.Step(now, calls.AttemptFailed{ID: 1, Attempt: 1, Phase: attempt.Refused, Status: 409}))
 	is.True(next != "" && next != first)
-	for id := CallID(2); id < 5; id++ {
-		is.Equal(sentTo(m.Step(now, Arrived{Call: Call{ID: id, Service: "s", Replayable: true}})), next)
+	for id := calls.ID(2); id < 5; id++ {
+		is.Equal(sentTo(m.Step(now, calls.Arrived{Call: calls.Request{ID: id, Service: "s", Replayable: true}})), next)
 	}
 }
--- a/core/instance/announced_world_test.go
+++ b/core/instance/announced_world_test.go
@@ -13,16 +13,23 @@
 
 	"github.com/matryer/is"
 
+	"github.com/birchdrift/birchdrift/core/asks"
+	"github.com/birchdrift/birchdrift/core/calls"
 	"github.com/birchdrift/birchdrift/core/clock"
 	"github.com/birchdrift/birchdrift/core/clock/clocktest"
 	"github.com/birchdrift/birchdrift/core/config"
+	"github.com/birchdrift/birchdrift/core/exchange"
+	"github.com/birchdrift/birchdrift/core/listing"
 	"github.com/birchdrift/birchdrift/core/member"
 	"github.com/birchdrift/birchdrift/core/option"
 	"github.com/birchdrift/birchdrift/core/orders"
 	"github.com/birchdrift/birchdrift/core/owned"
+	"github.com/birchdrift/birchdrift/core/ownership"
 	"github.com/birchdrift/birchdrift/core/pool"
 	"github.com/birchdrift/birchdrift/core/registry"
 	"github.com/birchdrift/birchdrift/core/share"
+	"github.com/birchdrift/birchdrift/core/step"
+	"github.com/birchdrift/birchdrift/core/watch"
 	"github.com/birchdrift/birchdrift/core/watchers"
 )
 
@@ -66,7 +73,7 @@
 	noStore bool
 	deaf    bool   // its watches hear nothing, nor do its exchanges
 	after   uint64 // the watch's position; 0 reads the whole
-	asked   map[uint64]func(OrderAnswered)
+	asked   map[uint64]func(owned.Answer)
 	answers map[uint64]func(share.Message)
 	token   uint64
 }
@@ -221,7 +228,7 @@
 	n.held = nil
 	n.after = 0
 	n.id.Boot = n.boot
-	n.asked = map[uint64]func(OrderAnswered){}
+	n.asked = map[uint64]func(owned.Answer){}
 	n.answers = map[uint64]func(share.Message){}
 	n.m = New(n.id, f.opt, f.rng.Uint64())
 	f.tick(n, n.boot)
@@ -236,7 +243,7 @@
 }
 
 // step hands an event to a machine, or holds it while the machine is frozen.
-func (f *fleet) step(n *fleetMember, boot uint64, ev Event) {
+func (f *fleet) step(n *fleetMember, boot uint64, ev step.Event) {
 	switch {
 	case n.dead || n.boot != boot:
 		return
@@ -260,78 +267,78 @@
 
 const fleetWay = 2 * time.Millisecond
 
-func (f *fleet) do(n *fleetMember, boot uint64, a Action) {
-	reply := func(d time.Duration, ev Event) { f.at(d, func() { f.step(n, boot, ev) }) }
+func (f *fleet) do(n *fleetMember, boot uint64, a step.Action) {
+	reply := func(d time.Duration, ev step.Event) { f.at(d, func() { f.step(n, boot, ev) }) }
 	switch act := a.(type) {
-	case WatchPlatform:
+	case watch.Begin:
 		f.at(fleetWay, func() { f.watch(n, boot, act.Wait) })
-	case Enrol:
-		f.storeCall(n, func() (Event, bool) { return f.enrol(act), true }, func(err error) Event { return EnrolReply{Err: err} }, reply)
-	case KeepEnrolled:
+	case ownership.Enrol:
+		f.storeCall(n, func() (step.Event, bool) { return f.enrol(act), true }, func(err error) step.Event { return ownership.EnrolReply{Err: err} }, reply)
+	case ownership.KeepEnrolled:
 		sent := clocktest.At(time.Hour + f.now)
-		f.storeCall(n, func() (Event, bool) {
+		f.storeCall(n, func() (step.Event, bool) {
 			l := f.store.leases[act.Lease]
 			if l == nil {
-				return KeepReply{Sent: sent, Lease: act.Lease, Over: true, Err: errors.New("over")}, false
+				return ownership.KeepReply{Sent: sent, Lease: act.Lease, Over: true, Err: errors.New("over")}, false
 			}
 			l.expires = f.now + l.term
-			return KeepReply{Sent: sent, Lease: act.Lease}, false
-		}, func(err error) Event { return KeepReply{Lease: act.Lease, Err: err} }, reply)
-	case Resign:
-		f.storeCall(n, func() (Event, bool) {
+			return ownership.KeepReply{Sent: sent, Lease: act.Lease}, false
+		}, func(err error) step.Event { return ownership.KeepReply{Lease: act.Lease, Err: err} }, reply)
+	case ownership.Resign:
+		f.storeCall(n, func() (step.Event, bool) {
 			for _, o := range act.Give {
 				f.writeOwnership(o)
 			}
 			f.endLease(act.Lease)
 			return Tick{}, false
-		}, func(error) Event { return Tick{} }, reply)
-	case WriteRegistry:
+		}, func(error) step.Event { return Tick{} }, reply)
+	case ownership.Write:
 		sent := clocktest.At(time.Hour + f.now)
-		f.storeCall(n, func() (Event, bool) { return f.write(act, sent), true }, func(err error) Event { return WriteReply{Write: act.Write, Err: err} }, reply)
-	case EngineOrder:
+		f.storeCall(n, func() (step.Event, bool) { return f.write(act, sent), true }, func(err error) step.Event { return ownership.WriteReply{Write: act.Write, Err: err} }, reply)
+	case owned.SendOrder:
 		f.sendOrder(n, act, reply)
-	case AskEngine:
+	case owned.AskState:
 		f.at(fleetWay, func() {
 			e := f.engines[act.Engine]
-			reply(fleetWay, EngineStateReply{Engine: act.Engine, State: e.state()})
+			reply(fleetWay, owned.StateReply{Engine: act.Engine, State: e.state()})
 		})
-	case AskOrder:
+	case asks.Ask:
 		f.askPeer(n, act, reply)
-	case OrderAnswered:
+	case owned.Answer:
 		if do := n.asked[act.Token]; do != nil {
 			delete(n.asked, act.Token)
 			do(act)
 		}
-	case Exchange:
+	case exchange.Begin:
 		f.exchange(n, act, reply)
-	case Answer:
+	case exchange.Answer:
 		if do := n.answers[act.Token]; do != nil {
 			delete(n.answers, act.Token)
 			do(act.Message)
 		}
-	case Dispatch:
+	case calls.Dispatch:
 		f.serve(act, reply)
-	case Finish:
+	case calls.Finish:
 		f.refused++
-	case Relay:
+	case calls.Relay:
 	}
 }
 
 // serve has a call run, or be refused, at its engine.
-func (f *fleet) serve(d Dispatch, reply func(time.Duration, Event)) {
+func (f *fleet) serve(d calls.Dispatch, reply func(time.Duration, step.Event)) {
 	e := f.engines[d.Replica]
 	if e == nil || e.gone || !e.models[d.Model] || d.Adapter != "" && !e.adapters[d.Model+"/"+d.Adapter] {
-		reply(2*fleetWay, AttemptFailed{ID: d.ID, Attempt: d.Attempt, Phase: 4, Misdirected: true, Incarnation: d.Replica})
+		reply(2*fleetWay, calls.AttemptFailed{ID: d.ID, Attempt: d.Attempt, Phase: 4, Misdirected: true, Incarnation: d.Replica})
 		return
 	}
 	f.served++
-	reply(f.firstAfter, AnswerBegan{ID: d.ID})
-	reply(400*time.Millisecond, Completed{ID: d.ID})
+	reply(f.firstAfter, calls.AnswerBegan{ID: d.ID})
+	reply(400*time.Millisecond, calls.Completed{ID: d.ID})
 }
 
 // storeCall makes one call of the store. A write may take effect without an
 // answer, and seconds later.
-func (f *fleet) storeCall(n *fleetMember, do func() (ev Event, write bool), failed func(error) Event, reply func(time.Duration, Event)) {
+func (f *fleet) storeCall(n *fleetMember, do func() (ev step.Event, write bool), failed func(error) step.Event, reply func(time.Duration, step.Event)) {
 	errLost := errors.New("no answer")
 	if n.noStore {
 		reply(time.Second, failed(errLost))
@@ -373,13 +380,13 @@
 	f.change("servers/"+e.name, &fleetValue{data: a})
 }
 
-func (f *fleet) enrol(a Enrol) Event {
+func (f *fleet) enrol(a ownership.Enrol) step.Event {
 	f.store.next++
 	lease := f.store.next
 	f.store.leases[lease] = &fleetLease{expires: f.now + a.Term, term: a.Term}
 	i := a.Instance
 	f.change("instances/"+i.Name, &fleetValue{data: &i, lease: lease})
-	return EnrolReply{Sent: clocktest.At(time.Hour + f.now), Lease: lease}
+	return ownership.EnrolReply{Sent: clocktest.At(time.Hour + f.now), Lease: lease}
 }
 
 // leaseOf returns the lease on which the member's record hangs, 0 if it has none.
@@ -429,8 +436,8 @@
 	return true
 }
 
-func (f *fleet) write(a WriteRegistry, sent clock.Instant) Event {
-	r := WriteReply{Write: a.Write, Sent: sent}
+func (f *fleet) write(a ownership.Write, sent clock.Instant) step.Event {
+	r := ownership.WriteReply{Write: a.Write, Sent: sent}
 	if p := a.Write.Placer; p != nil {
 		have := uint64(0)
 		if v := f.store.values["placer"]; v != nil {
@@ -470,7 +477,7 @@
 	case n.dead || n.boot != boot:
 		return
 	case n.noStore || n.deaf || f.store.down:
-		f.at(wait+time.Second, func() { f.step(n, boot, WatchReply{Err: errors.New("no answer")}) })
+		f.at(wait+time.Second, func() { f.step(n, boot, watch.Reply{Err: errors.New("no answer")}) })
 		return
 	}
 	f.watches++
@@ -503,17 +510,17 @@
 		}
 		f.step(n, boot, ConfigReply{Snapshot: snapshot, Source: PlatformSource})
 	}
-	list := ListReply{Whole: whole, Version: f.store.revision}
-	reg := RegistryReply{Whole: whole, Version: f.store.revision}
+	list := listing.Reply{Whole: whole, Version: f.store.revision}
+	reg := ownership.Heard{Whole: whole, Version: f.store.revision}
 	for _, c := range changes {
 		addFleetChange(&list, &reg, c)
 	}
 	f.step(n, boot, list)
 	f.step(n, boot, reg)
-	f.step(n, boot, WatchReply{})
+	f.step(n, boot, watch.Reply{})
 }
 
-func addFleetChange(list *ListReply, reg *RegistryReply, c fleetChange) {
+func addFleetChange(list *listing.Reply, reg *ownership.Heard, c fleetChange) {
 	kind, name, _ := cutKey(c.key)
 	gone := c.value == nil
 	if kind == "servers" {
@@ -555,10 +562,10 @@
 }
 
 // sendOrder carries an order to its engine, perhaps without an answer and late.
-func (f *fleet) sendOrder(n *fleetMember, a EngineOrder, reply func(time.Duration, Event)) {
+func (f *fleet) sendOrder(n *fleetMember, a owned.SendOrder, reply func(time.Duration, step.Event)) {
 	f.orders++
-	out := func(answer EngineAnswer) Event {
-		return EngineOrderReply{Engine: a.Engine, Fence: a.Fence, Answer: answer}
+	out := func(answer orders.Answer) step.Event {
+		return owned.OrderReply{Engine: a.Engine, Fence: a.Fence, Answer: answer}
 	}
 	if f.rng.Float64() < f.late {
 		f.at(fleetWay, func() { f.checkHolder(n.id.Name, a) })
@@ -574,7 +581,7 @@
 
 // checkHolder checks that orders of two holders do not take turns too quickly,
 // and that fences only rise.
-func (f *fleet) checkHolder(holder string, a EngineOrder) {
+func (f *fleet) checkHolder(holder string, a owned.SendOrder) {
 	e := f.engines[a.Engine]
 	if e.holder != "" && e.holder != holder && f.now-e.heldAt < f.opt.TurnGap {
 		f.fault("%s ordered %s %v after %s", holder, e.name, f.now-e.heldAt, e.holder)
@@ -588,7 +595,7 @@
 }
 
 // carryOut does what an order says, and checks that there is room for it.
-func (f *fleet) carryOut(a EngineOrder) EngineAnswer {
+func (f *fleet) carryOut(a owned.SendOrder) orders.Answer {
 	e := f.engines[a.Engine]
 	r := a.Request
 	model, adapter := r.Model, r.Item()
@@ -673,10 +680,10 @@
 	}
 }
 
-func (f *fleet) askPeer(n *fleetMember, a AskOrder, reply func(time.Duration, Event)) {
+func (f *fleet) askPeer(n *fleetMember, a asks.Ask, reply func(time.Duration, step.Event)) {
 	p := f.members[a.Peer]
-	out := func(outcome AskOutcome) Event {
-		return AskOrderReply{Engine: a.Engine, Request: a.Request, Outcome: outcome}
+	out := func(outcome owned.Outcome) step.Event {
+		return asks.Reply{Engine: a.Engine, Request: a.Request, Outcome: outcome}
 	}
 	if p == nil || p.dead || p.frozen {
 		reply(time.Second, out(owned.Failed))
@@ -685,24 +692,24 @@
 	f.at(fleetWay, func() {
 		p.token++
 		token := p.token
-		p.asked[token] = func(o OrderAnswered) { reply(fleetWay, out(o.Outcome)) }
-		f.step(p, p.boot, OrderAsked{Token: token, From: n.id.Name, Engine: a.Engine, Request: a.Request})
+		p.asked[token] = func(o owned.Answer) { reply(fleetWay, out(o.Outcome)) }
+		f.step(p, p.boot, owned.Asked{Token: token, From: n.id.Name, Engine: a.Engine, Request: a.Request})
 	})
 }
 
-func (f *fleet) exchange(n *fleetMember, a Exchange, reply func(time.Duration, Event)) {
+func (f *fleet) exchange(n *fleetMember, a exchange.Begin, reply func(time.Duration, step.Event)) {
 	p := f.members[a.Address]
 	if p == nil || p.dead || p.frozen || p.deaf || n.deaf {
-		reply(time.Second, ExchangeReply{Peer: a.Peer, Address: a.Address, Err: errors.New("no answer")})
+		reply(time.Second, exchange.Reply{Peer: a.Peer, Address: a.Address, Err: errors.New("no answer")})
 		return
 	}
 	f.at(fleetWay, func() {
 		p.token++
 		token := p.token
 		p.answers[token] = func(msg share.Message) {
-			reply(fleetWay, ExchangeReply{Peer: a.Peer, Address: a.Address, Message: msg})
+			reply(fleetWay, exchange.Reply{Peer: a.Peer, Address: a.Address, Message: msg})
 		}
-		f.step(p, p.boot, ExchangeAsked{Token: token, Message: a.Message})
+		f.step(p, p.boot, exchange.Asked{Token: token, Message: a.Message})
 	})
 }
 
@@ -723,9 +730,9 @@
 			if f.rng.Float64() < 0.4 {
 				adapter = fmt.Sprintf("a%d", f.rng.IntN(4))
 			}
-			f.step(n, n.boot, Arrived{Call: Call{
-				ID: CallID(f.order), Path: "/x", Replayable: true, PromptTokens: 4000,
-				Forward: &Forwarded{Name: fmt.Sprint(f.order), Host: "h", Model: fmt.Sprintf("m%d", model()), Adapter: adapter},
+			f.step(n, n.boot, calls.Arrived{Call: calls.Request{
+				ID: calls.ID(f.order), Path: "/x", Replayable: true, PromptTokens: 4000,
+				Forward: &calls.Forwarded{Name: fmt.Sprint(f.order), Host: "h", Model: fmt.Sprintf("m%d", model()), Adapter: adapter},
 			}})
 		}
 		f.callersOf(every, model)
--- a/core/instance/bench_test.go
+++ b/core/instance/bench_test.go
@@ -5,6 +5,7 @@
 	"testing"
 	"time"
 
+	"github.com/birchdrift/birchdrift/core/calls"
 	"github.com/birchdrift/birchdrift/core/clock"
 	"github.com/birchdrift/birchdrift/core/clock/clocktest"
 	"github.com/birchdrift/birchdrift/core/config"
@@ -72,13 +73,13 @@
 		b.Run(s.String(), func(b *testing.B) {
 			m, now := s.loaded(b)
 			b.ReportAllocs()
-			id := CallID(0)
+			id := calls.ID(0)
 			for b.Loop() {
 				id++
 				now = now.Add(time.Millisecond)
-				m.Step(now, Arrived{Call: Call{ID: id, Service: fmt.Sprintf("svc-model-%d", int(id)%s.models), Replayable: true, PromptTokens: 100}})
-				m.Step(now, AnswerBegan{ID: id})
-				m.Step(now, Completed{ID: id})
+				m.Step(now, calls.Arrived{Call: calls.Request{ID: id, Service: fmt.Sprintf("svc-model-%d", int(id)%s.models), Replayable: true, PromptTokens: 100}})
+				m.Step(now, calls.AnswerBegan{ID: id})
+				m.Step(now, calls.Completed{ID: id})
 			}
 		})
 	}
--- a/core/instance/configure_test.go
+++ b/core/instance/configure_test.go
@@ -9,14 +9,16 @@
 	"github.com/birchdrift/birchdrift/core/clock/clocktest"
 	"github.com/birchdrift/birchdrift/core/config"
 	"github.com/birchdrift/birchdrift/core/orders"
+	"github.com/birchdrift/birchdrift/core/owned"
 	"github.com/birchdrift/birchdrift/core/pool"
+	"github.com/birchdrift/birchdrift/core/step"
 )
 
 // orderedModels returns the models that the actions order to be loaded.
-func orderedModels(actions []Action) []string {
+func orderedModels(actions []step.Action) []string {
 	var models []string
 	for _, a := range actions {
-		if o, ok := a.(EngineOrder); ok && o.Request.Load {
+		if o, ok := a.(owned.SendOrder); ok && o.Request.Load {
 			models = append(models, o.Request.Model)
 		}
 	}
@@ -32,10 +34,10 @@
 	now := clocktest.At(time.Hour)
 	m := fleetMachine(now, "a")
 	ownEngine(t, m, now)
-	m.Step(now, EngineStateReply{Engine: "e1", State: orders.State{Models: []pool.AnnouncedModel{{Name: "m0"}}}})
+	m.Step(now, owned.StateReply{Engine: "e1", State: orders.State{Models: []pool.AnnouncedModel{{Name: "m0"}}}})
 
 	added := orders.Request{Load: true, Model: "added"}
-	is.Equal(orderedModels(m.Step(now, OrderAsked{Token: 1, Engine: "e1", Request: added})), nil)
+	is.Equal(orderedModels(m.Step(now, owned.Asked{Token: 1, Engine: "e1", Request: added})), nil)
 
 	doc := fleetDocument()
 	doc.Revision++
@@ -44,5 +46,5 @@
 	snapshot, err := config.NewSnapshot(doc)
 	is.NoErr(err)
 	m.Step(now, ConfigReply{Snapshot: snapshot, Source: PlatformSource})
-	is.Equal(orderedModels(m.Step(now, OrderAsked{Token: 2, Engine: "e1", Request: added})), []string{"added"})
+	is.Equal(orderedModels(m.Step(now, owned.Asked{Token: 2, Engine: "e1", Request: added})), []string{"added"})
 }
--- a/core/instance/exchange_test.go
+++ b/core/instance/exchange_test.go
@@ -13,11 +13,14 @@
 	"github.com/birchdrift/birchdrift/core/clock/clocktest"
 	"github.com/birchdrift/birchdrift/core/config"
 	"github.com/birchdrift/birchdrift/core/exchange"
+	"github.com/birchdrift/birchdrift/core/listing"
 	"github.com/birchdrift/birchdrift/core/member"
 	"github.com/birchdrift/birchdrift/core/option"
+	"github.com/birchdrift/birchdrift/core/ownership"
 	"github.com/birchdrift/birchdrift/core/pool"
 	"github.com/birchdrift/birchdrift/core/registry"
 	"github.com/birchdrift/birchdrift/core/share"
+	"github.com/birchdrift/birchdrift/core/step"
 	"github.com/birchdrift/birchdrift/core/watch"
 	"github.com/birchdrift/birchdrift/core/watchers"
 )
@@ -35,9 +38,9 @@
 		v := registry.Instance{Name: name, Zone: "z", Address: name, Boot: 1}.Value()
 		records = append(records, registry.Record{Key: v.Key, Data: v.Data, Revision: uint64(i + 1)})
 	}
-	m.Step(now, RegistryReply{Records: records, Version: 10, Whole: true})
+	m.Step(now, ownership.Heard{Records: records, Version: 10, Whole: true})
 	for _, name := range peers {
-		m.Step(now, ExchangeReply{Peer: name, Address: name, Message: share.Message{From: name, Zone: "z", Address: name, Boot: 1, StoreAge: time.Millisecond}})
+		m.Step(now, exchange.Reply{Peer: name, Address: name, Message: share.Message{From: name, Zone: "z", Address: name, Boot: 1, StoreAge: time.Millisecond}})
 	}
 	return m
 }
@@ -51,11 +54,11 @@
 		t.Fatal(err)
 	}
 	m.Step(now, ConfigReply{Snapshot: snapshot, Source: PlatformSource})
-	m.Step(now, ListReply{Version: 100, Entries: []share.Listed{{
+	m.Step(now, listing.Reply{Version: 100, Entries: []share.Listed{{
 		Name: "e1", Kind: share.Upstream, Zone: "z", Version: 50,
 		Announced: &pool.Announcement{Service: "llm", Address: "e1", Zone: "z", Slots: 8, Engine: true, Models: []pool.AnnouncedModel{{Name: "m0"}}},
 	}}})
-	m.Step(now, EnrolReply{Sent: now, Lease: 1})
+	m.Step(now, ownership.EnrolReply{Sent: now, Lease: 1})
 	m.orders.registry.WatchAnswered(now)
 	m.orders.owned.Acquire(now, registry.Ownership{Engine: "e1", Owner: m.state.Self.Name, Boot: m.state.Self.Boot, Revision: 7}, now)
 }
@@ -80,7 +83,7 @@
 		v := record.Value()
 		records = append(records, registry.Record{Key: v.Key, Data: v.Data, Revision: uint64(i + 1)})
 	}
-	m.Step(now, RegistryReply{Records: records, Version: 40, Whole: true})
+	m.Step(now, ownership.Heard{Records: records, Version: 40, Whole: true})
 	is.Equal(m.orders.roster.Of(now, "z0")[0], "self")
 	is.Equal(len(m.orders.roster.Of(now, "z0")), 2)
 	strong := m.orders.roster.Of(now, "z1")
@@ -113,7 +116,7 @@
 	m.forwarding.Demand.Call(now, "model", time.Second)
 	is.Equal(len(m.exchanges.DemandFor(now, placer)), 1)
 	is.Equal(len(m.exchanges.DemandFor(now, watcher)), 0)
-	m.Step(now, ExchangeReply{Peer: placer, Address: placer, Err: errors.New("no answer")})
+	m.Step(now, exchange.Reply{Peer: placer, Address: placer, Err: errors.New("no answer")})
 	is.Equal(len(m.exchanges.DemandFor(now, watcher)), 1)
 	is.True(!m.env.platform.placer.CutOff(now)) // it owns no engine
 	ownEngine(t, m, now)
@@ -121,10 +124,10 @@
 }
 
 // exchanges returns the exchanges among the actions, by peer.
-func exchanges(actions []Action) map[string]share.Message {
+func exchanges(actions []step.Action) map[string]share.Message {
 	out := map[string]share.Message{}
 	for _, a := range actions {
-		if e, ok := a.(Exchange); ok {
+		if e, ok := a.(exchange.Begin); ok {
 			out[e.Peer] = e.Message
 		}
 	}
@@ -139,8 +142,8 @@
 	is := is.New(t)
 	now := clocktest.At(time.Hour)
 	m := fleetMachine(now, "a", "b")
-	ahead := func(name string) []Action {
-		return m.Step(now, ExchangeAsked{Token: 1, Message: share.Message{From: name, Zone: "z", Address: name, Boot: 1, Revision: 5, StoreAge: time.Millisecond}})
+	ahead := func(name string) []step.Action {
+		return m.Step(now, exchange.Asked{Token: 1, Message: share.Message{From: name, Zone: "z", Address: name, Boot: 1, Revision: 5, StoreAge: time.Millisecond}})
 	}
 	first := exchanges(ahead("a"))
 	is.True(first["a"].WantConfig)
@@ -162,7 +165,7 @@
 	m := fleetMachine(now, "a", "b", "c", "d")
 	wanted := 0
 	for _, name := range []string{"a", "b", "c", "d"} {
-		actions := m.Step(now, ExchangeAsked{Token: 1, Message: share.Message{From: name, Zone: "z", Address: name, Boot: 1, Revision: 5, StoreAge: time.Millisecond}})
+		actions := m.Step(now, exchange.Asked{Token: 1, Message: share.Message{From: name, Zone: "z", Address: name, Boot: 1, Revision: 5, StoreAge: time.Millisecond}})
 		m.exchanges.TellAll(now)
 		for _, msg := range exchanges(append(slices.Clone(actions), m.Step(now, Tick{})...)) {
 			if msg.WantConfig {
@@ -181,17 +184,17 @@
 	now := clocktest.At(time.Hour)
 	m := fleetMachine(now, "a", "b")
 	for i, name := range []string{"r1", "r2"} {
-		m.Step(now, ListReply{Version: uint64(11 + i), Entries: []share.Listed{{
+		m.Step(now, listing.Reply{Version: uint64(11 + i), Entries: []share.Listed{{
 			Name: name, Kind: share.Upstream, Version: uint64(11 + i), Announced: &pool.Announcement{Service: "s", Address: name},
 		}}})
 	}
 	told := func(boot, ackBoot, ack, heard uint64) []string {
-		actions := m.Step(now, ExchangeAsked{Token: 1, Message: share.Message{
+		actions := m.Step(now, exchange.Asked{Token: 1, Message: share.Message{
 			From: "a", Zone: "z", Address: "a", Boot: boot, AckBoot: ackBoot, Ack: ack, StoreVersion: heard,
 		}})
 		var names []string
 		for _, a := range actions {
-			if answer, ok := a.(Answer); ok {
+			if answer, ok := a.(exchange.Answer); ok {
 				for _, l := range answer.Message.Records.Listed {
 					names = append(names, l.Name)
 				}
@@ -230,10 +233,10 @@
 	m.orders.registry.Merge(now, "a", []registry.Record{owned("new", 20)})
 	m.orders.registry.Merge(now, "b", []registry.Record{owned("old", 19)})
 	is.Equal(ownerOf(m), "new")
-	m.Step(now, RegistryReply{Version: 15, Whole: true}) // from before that change
+	m.Step(now, ownership.Heard{Version: 15, Whole: true}) // from before that change
 	is.Equal(ownerOf(m), "new")
 	is.Equal(len(m.orders.registry.Instances()), 0)
-	m.Step(now, RegistryReply{Version: 25, Whole: true})
+	m.Step(now, ownership.Heard{Version: 25, Whole: true})
 	is.Equal(ownerOf(m), "")
 	m.orders.registry.Merge(now, "b", []registry.Record{owned("new", 20)})
 	is.Equal(ownerOf(m), "")
--- a/core/instance/machine.go
+++ b/core/instance/machine.go
@@ -32,15 +32,19 @@
 import (
 	"time"
 
+	"github.com/birchdrift/birchdrift/core/asks"
 	"github.com/birchdrift/birchdrift/core/calls"
 	"github.com/birchdrift/birchdrift/core/clock"
 	"github.com/birchdrift/birchdrift/core/config"
 	"github.com/birchdrift/birchdrift/core/exchange"
 	"github.com/birchdrift/birchdrift/core/forwarding"
 	"github.com/birchdrift/birchdrift/core/listing"
+	"github.com/birchdrift/birchdrift/core/owned"
+	"github.com/birchdrift/birchdrift/core/ownership"
 	"github.com/birchdrift/birchdrift/core/retrybudget"
 	"github.com/birchdrift/birchdrift/core/shared"
 	"github.com/birchdrift/birchdrift/core/shutdown"
+	"github.com/birchdrift/birchdrift/core/step"
 )
 
 // A Machine is the state of one entry instance.
@@ -65,7 +69,7 @@
 
 	// handle takes in an event that only this environment knows, and reports
 	// whether it did.
-	handle func(now clock.Instant, ev Event) bool
+	handle func(now clock.Instant, ev step.Event) bool
 	// tick is periodic work: tickFirst before the exchanges, tickLast after.
 	tickFirst []func(now clock.Instant)
 	tickLast  []func(now clock.Instant)
@@ -82,7 +86,7 @@
 
 // Step takes in one event at now and returns what to do, in order. The slice
 // is valid until the next Step.
-func (m *Machine) Step(now clock.Instant, ev Event) []Action {
+func (m *Machine) Step(now clock.Instant, ev step.Event) []step.Action {
 	m.state.Out.Reset()
 	m.handle(now, ev)
 	m.tick(now)
@@ -93,18 +97,18 @@
 }
 
 // handle passes an event on to the module that it is for.
-func (m *Machine) handle(now clock.Instant, ev Event) {
+func (m *Machine) handle(now clock.Instant, ev step.Event) {
 	if m.handleCall(now, ev) || m.handleOrder(now, ev) || m.env.handle(now, ev) {
 		return
 	}
 	switch e := ev.(type) {
 	case ConfigReply:
 		m.configReplied(now, e)
-	case ListReply:
+	case listing.Reply:
 		m.env.listReplied(now, e)
-	case ExchangeReply:
+	case exchange.Reply:
 		m.exchanges.Replied(now, e)
-	case ExchangeAsked:
+	case exchange.Asked:
 		m.exchanges.Asked(now, e)
 	case Stop:
 		m.stop.Begin(now)
@@ -114,19 +118,19 @@
 	}
 }
 
-func (m *Machine) handleCall(now clock.Instant, ev Event) bool {
+func (m *Machine) handleCall(now clock.Instant, ev step.Event) bool {
 	switch e := ev.(type) {
-	case AnswerBegan:
+	case calls.AnswerBegan:
 		m.calls.AnswerBegan(now, e)
-	case Completed:
+	case calls.Completed:
 		m.calls.Completed(now, e)
-	case AttemptFailed:
+	case calls.AttemptFailed:
 		m.calls.AttemptFailed(now, e)
-	case CallerGone:
+	case calls.CallerGone:
 		m.calls.CallerGone(e)
-	case ProbeReply:
+	case forwarding.ProbeReply:
 		m.forwarding.ProbeReplied(now, e)
-	case Arrived:
+	case calls.Arrived:
 		if e.Call.Forward == nil {
 			return false
 		}
@@ -137,24 +141,24 @@
 	return true
 }
 
-func (m *Machine) handleOrder(now clock.Instant, ev Event) bool {
+func (m *Machine) handleOrder(now clock.Instant, ev step.Event) bool {
 	o := &m.orders
 	switch e := ev.(type) {
-	case RegistryReply:
+	case ownership.Heard:
 		o.registry.Heard(now, e)
-	case EnrolReply:
+	case ownership.EnrolReply:
 		o.registry.Enrolled(now, e)
-	case KeepReply:
+	case ownership.KeepReply:
 		o.registry.Kept(now, e)
-	case WriteReply:
+	case ownership.WriteReply:
 		o.registry.Written(now, e)
-	case EngineOrderReply:
+	case owned.OrderReply:
 		o.owned.OrderReplied(now, e)
-	case EngineStateReply:
+	case owned.StateReply:
 		o.owned.StateReplied(now, e)
-	case OrderAsked:
+	case owned.Asked:
 		o.owned.Asked(now, e)
-	case AskOrderReply:
+	case asks.Reply:
 		o.asks.Replied(now, e)
 	default:
 		return false
--- a/core/instance/own.go
+++ b/core/instance/own.go
@@ -1,14 +1,16 @@
 package instance
 
 import (
+	"github.com/birchdrift/birchdrift/core/calls"
 	"github.com/birchdrift/birchdrift/core/clock"
 	"github.com/birchdrift/birchdrift/core/config"
 	"github.com/birchdrift/birchdrift/core/demand"
 	"github.com/birchdrift/birchdrift/core/own/choose"
+	"github.com/birchdrift/birchdrift/core/own/kvwatch"
 	"github.com/birchdrift/birchdrift/core/own/meter"
 	"github.com/birchdrift/birchdrift/core/own/modelcalls"
 	"github.com/birchdrift/birchdrift/core/own/planner"
-	"github.com/birchdrift/birchdrift/core/own/watch"
+	"github.com/birchdrift/birchdrift/core/step"
 )
 
 // prefixMemory is how many prefix blocks an instance remembers, which takes it
@@ -39,7 +41,7 @@
 		State: m.state, Calls: m.calls,
 		Budget: m.budget, Chooser: chooser, Meter: asked, Unmet: p.Unmet,
 	})
-	w := &watch.Watch{
+	w := &kvwatch.Watch{
 		State:   m.state,
 		Listing: m.listing, Exchanges: m.exchanges, Stopping: m.stop.Begun,
 	}
@@ -51,7 +53,7 @@
 	parts := &ownParts{planner: p, calls: h, chooser: chooser, meter: asked}
 	return environment{
 		own:           parts,
-		handle:        func(now clock.Instant, ev Event) bool { return m.handleOwn(now, parts, ev) },
+		handle:        func(now clock.Instant, ev step.Event) bool { return m.handleOwn(now, parts, ev) },
 		tickFirst:     []func(now clock.Instant){m.exchanges.TickMesh, w.Tick},
 		tickLast:      []func(now clock.Instant){p.Tick},
 		installed:     func(_ clock.Instant, s *config.Snapshot) { p.Configured(s) },
@@ -63,19 +65,19 @@
 }
 
 // handleOwn takes in an event that only the product's own environment knows.
-func (m *Machine) handleOwn(now clock.Instant, o *ownParts, ev Event) bool {
+func (m *Machine) handleOwn(now clock.Instant, o *ownParts, ev step.Event) bool {
 	switch e := ev.(type) {
-	case Arrived:
+	case calls.Arrived:
 		o.calls.Arrive(now, e.Call, m.stop.Refusing(now))
-	case ClaimReply:
+	case modelcalls.ClaimReply:
 		o.calls.ClaimReplied(now, e)
-	case LeaseReply:
+	case planner.LeaseReply:
 		o.planner.LeaseReplied(now, e)
-	case IntentsReply:
+	case planner.IntentsReply:
 		o.planner.IntentsReplied(now, e)
-	case StateReply:
+	case planner.StateReply:
 		o.planner.StateReplied(now, e)
-	case OrderReply:
+	case planner.OrderReply:
 		o.planner.OrderReplied(now, e)
 	default:
 		return false
--- a/core/instance/platform.go
+++ b/core/instance/platform.go
@@ -9,6 +9,7 @@
 	"github.com/birchdrift/birchdrift/core/listing"
 	"github.com/birchdrift/birchdrift/core/member"
 	"github.com/birchdrift/birchdrift/core/placement"
+	"github.com/birchdrift/birchdrift/core/step"
 	"github.com/birchdrift/birchdrift/core/watch"
 )
 
@@ -40,7 +41,7 @@
 	}
 	return environment{
 		platform: &platformParts{placer: placer, watch: w},
-		handle:   func(now clock.Instant, ev Event) bool { return m.handlePlatform(now, w, ev) },
+		handle:   func(now clock.Instant, ev step.Event) bool { return m.handlePlatform(now, w, ev) },
 		tickFirst: []func(now clock.Instant){
 			o.registry.Tick, o.owned.Tick, placer.Tick, m.exchanges.TickMesh, w.Tick,
 		},
@@ -56,11 +57,11 @@
 }
 
 // handlePlatform takes in an event that only a users' platform knows.
-func (m *Machine) handlePlatform(now clock.Instant, w *watch.Watch, ev Event) bool {
+func (m *Machine) handlePlatform(now clock.Instant, w *watch.Watch, ev step.Event) bool {
 	switch e := ev.(type) {
-	case WatchReply:
+	case watch.Reply:
 		w.Replied(now, e)
-	case Arrived:
+	case calls.Arrived:
 		m.refuseOwnCall(e)
 	default:
 		return false
@@ -70,7 +71,7 @@
 
 // refuseOwnCall refuses a call of the product's own interface, which is not served
 // on a users' platform.
-func (m *Machine) refuseOwnCall(e Arrived) {
+func (m *Machine) refuseOwnCall(e calls.Arrived) {
 	c := &calls.Call{Request: e.Call}
 	m.calls.RefuseNew(c, calls.NotRun(code.UnknownService, "the product's own interface is not served here", 0))
 }
--- a/core/instance/probe_test.go
+++ b/core/instance/probe_test.go
@@ -8,12 +8,15 @@
 
 	"github.com/matryer/is"
 
+	"github.com/birchdrift/birchdrift/core/calls"
 	"github.com/birchdrift/birchdrift/core/clock"
 	"github.com/birchdrift/birchdrift/core/clock/clocktest"
 	"github.com/birchdrift/birchdrift/core/config"
 	"github.com/birchdrift/birchdrift/core/forwarding"
+	"github.com/birchdrift/birchdrift/core/listing"
 	"github.com/birchdrift/birchdrift/core/pool"
 	"github.com/birchdrift/birchdrift/core/share"
+	"github.com/birchdrift/birchdrift/core/step"
 	"github.com/birchdrift/birchdrift/core/watchers"
 )
 
@@ -31,7 +34,7 @@
 		t.Fatal(err)
 	}
 	m.Step(now, ConfigReply{Snapshot: snapshot, Source: PlatformSource})
-	var list ListReply
+	var list listing.Reply
 	list.Version = 100
 	for i, name := range engines {
 		list.Entries = append(list.Entries, share.Listed{Name: name, Kind: share.Upstream, Zone: "z", Version: uint64(50 + i), Announced: &pool.Announcement{
@@ -42,15 +45,15 @@
 	return m
 }
 
-func probeCall(id CallID) Arrived {
-	return Arrived{Call: Call{ID: id, Path: "/x", Replayable: true, PromptTokens: 4000, Forward: &Forwarded{Name: "call", Host: "h", Model: "m0"}}}
+func probeCall(id calls.ID) calls.Arrived {
+	return calls.Arrived{Call: calls.Request{ID: id, Path: "/x", Replayable: true, PromptTokens: 4000, Forward: &calls.Forwarded{Name: "call", Host: "h", Model: "m0"}}}
 }
 
 // asked returns the engines that are asked how busy they are.
-func asked(actions []Action) []string {
+func asked(actions []step.Action) []string {
 	var names []string
 	for _, a := range actions {
-		if p, ok := a.(ProbeEngine); ok {
+		if p, ok := a.(forwarding.ProbeEngine); ok {
 			names = append(names, p.Engine)
 		}
 	}
@@ -64,13 +67,13 @@
 func TestCallsGoWhereEnginesSayThatTheyAreIdle(t *testing.T) {
 	cases := []struct {
 		name string
-		e1   ProbeReply
-		e2   ProbeReply
+		e1   forwarding.ProbeReply
+		e2   forwarding.ProbeReply
 		want string
 	}{
-		{"the first is busy", ProbeReply{Queued: 12, Running: 30}, ProbeReply{}, "e2"},
-		{"the second is busy", ProbeReply{}, ProbeReply{Queued: 12, Running: 30}, "e1"},
-		{"the first is busy, the second silent", ProbeReply{Queued: 12, Running: 30}, ProbeReply{Err: errors.New("no answer")}, "e2"},
+		{"the first is busy", forwarding.ProbeReply{Queued: 12, Running: 30}, forwarding.ProbeReply{}, "e2"},
+		{"the second is busy", forwarding.ProbeReply{}, forwarding.ProbeReply{Queued: 12, Running: 30}, "e1"},
+		{"the first is busy, the second silent", forwarding.ProbeReply{Queued: 12, Running: 30}, forwarding.ProbeReply{Err: errors.New("no answer")}, "e2"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -113,8 +116,8 @@
 	now := clocktest.At(time.Hour)
 	m := probeMachine(t, now, 20*time.Millisecond, "e1", "e2")
 	m.Step(now, probeCall(1))
-	m.Step(now, CallerGone{ID: 1})
-	is.Equal(sentTo(m.Step(now, ProbeReply{Call: 1, Engine: "e1"})), "")
-	is.Equal(sentTo(m.Step(now, ProbeReply{Call: 1, Engine: "e2"})), "")
+	m.Step(now, calls.CallerGone{ID: 1})
+	is.Equal(sentTo(m.Step(now, forwarding.ProbeReply{Call: 1, Engine: "e1"})), "")
+	is.Equal(sentTo(m.Step(now, forwarding.ProbeReply{Call: 1, Engine: "e2"})), "")
 	is.Equal(m.calls.Len(), 0)
 }
--- a/core/instance/promises_test.go
+++ b/core/instance/promises_test.go
@@ -9,6 +9,7 @@
 
 	"github.com/matryer/is"
 
+	"github.com/birchdrift/birchdrift/core/calls"
 	"github.com/birchdrift/birchdrift/core/clock/clocktest"
 	"github.com/birchdrift/birchdrift/core/config"
 	"github.com/birchdrift/birchdrift/core/option"
@@ -119,15 +120,15 @@
 
 // traffic sends calls whose favourite models change every few seconds.
 func (w *world) traffic(d time.Duration) {
-	id := CallID(0)
+	id := calls.ID(0)
 	for at := time.Second; at < d; at += 40 * time.Millisecond {
 		w.after(at, func() {
 			id++
 			name := w.names[w.rng.IntN(len(w.names))]
 			favourite := int(w.now/(6*time.Second))*3 + w.rng.IntN(3)
-			c := Call{ID: id, Service: fmt.Sprintf("svc-model-%d", favourite%8+1), Replayable: true}
+			c := calls.Request{ID: id, Service: fmt.Sprintf("svc-model-%d", favourite%8+1), Replayable: true}
 			if w.rng.IntN(4) == 0 {
-				c = Call{ID: id, Service: "stock", Plain: true, Path: "/x", NotRepeatable: true}
+				c = calls.Request{ID: id, Service: "stock", Plain: true, Path: "/x", NotRepeatable: true}
 				if w.rng.IntN(2) == 0 {
 					c.IdempotencyKey = fmt.Sprintf("key-%d", id/3) // shared by neighbours
 				}
@@ -414,16 +415,16 @@
 	w.faults.platform = true
 	before := w.platform.calls
 	const outage = 10 * time.Minute
-	id := CallID(1 << 20)
-	var calls []*worldCall
+	id := calls.ID(1 << 20)
+	var resident []*worldCall
 	for at := time.Second; at < outage; at += time.Second {
 		w.after(at, func() {
 			id++
-			calls = append(calls, w.call(w.names[int(id)%len(w.names)], Call{ID: id, Service: "svc-model-1", Replayable: true}))
+			resident = append(resident, w.call(w.names[int(id)%len(w.names)], calls.Request{ID: id, Service: "svc-model-1", Replayable: true}))
 		})
 	}
 	w.run(outage)
-	for _, c := range calls[:len(calls)-1] {
+	for _, c := range resident[:len(resident)-1] {
 		is.True(c.answered) // every call to a resident model was served
 	}
 	perInstance := float64(w.platform.calls-before) / outage.Seconds() / float64(len(w.names))
@@ -433,11 +434,11 @@
 
 // warm asks for a model until it is resident.
 func (w *world) warm(model string, d time.Duration) {
-	id := CallID(1 << 30)
+	id := calls.ID(1 << 30)
 	for at := time.Second; at < d; at += 200 * time.Millisecond {
 		w.after(at, func() {
 			id++
-			w.call(w.names[int(id)%len(w.names)], Call{ID: id, Service: "svc-" + model, Replayable: true})
+			w.call(w.names[int(id)%len(w.names)], calls.Request{ID: id, Service: "svc-" + model, Replayable: true})
 		})
 	}
 	w.run(d)
@@ -455,12 +456,12 @@
 			}
 			served := map[string]time.Duration{}
 			begun := w.now
-			id := CallID(0)
+			id := calls.ID(0)
 			for at := time.Second; at < reachBound; at += 100 * time.Millisecond {
 				w.after(at, func() {
 					id++
 					model := fmt.Sprintf("model-%d", int(id)%8+1)
-					c := w.call("z1-entry-1", Call{ID: id, Service: "svc-" + model, Replayable: true})
+					c := w.call("z1-entry-1", calls.Request{ID: id, Service: "svc-" + model, Replayable: true})
 					w.after(3*time.Second, func() {
 						if c.answered && served[model] == 0 {
 							served[model] = w.now - begun
--- a/core/instance/world_calls_test.go
+++ b/core/instance/world_calls_test.go
@@ -5,16 +5,18 @@
 	"time"
 
 	"github.com/birchdrift/birchdrift/core/attempt"
+	"github.com/birchdrift/birchdrift/core/calls"
 	"github.com/birchdrift/birchdrift/core/code"
 	"github.com/birchdrift/birchdrift/core/own/modelcalls"
 	"github.com/birchdrift/birchdrift/core/pool"
+	"github.com/birchdrift/birchdrift/core/step"
 )
 
 // The world's callers, plain upstreams and claims.
 
-func (w *world) claims(n *node, a Action) {
+func (w *world) claims(n *node, a step.Action) {
 	switch act := a.(type) {
-	case Claim:
+	case modelcalls.Claim:
 		mine := fmt.Sprintf("%s/%d/%d", n.id.Name, n.id.Boot, act.ID)
 		w.platform.calls++
 		w.send(n, w.platformUp(n), func() func() {
@@ -24,9 +26,9 @@
 				w.platform.values[act.Key] = fakeValue{data: mine, revision: w.platform.revision}
 				outcome = modelcalls.ClaimWon
 			}
-			return func() { w.step(n, ClaimReply{ID: act.ID, Outcome: outcome}) }
-		}, func(bool) { w.step(n, ClaimReply{ID: act.ID, Outcome: modelcalls.ClaimUnknown}) })
-	case ReadClaim:
+			return func() { w.step(n, modelcalls.ClaimReply{ID: act.ID, Outcome: outcome}) }
+		}, func(bool) { w.step(n, modelcalls.ClaimReply{ID: act.ID, Outcome: modelcalls.ClaimUnknown}) })
+	case modelcalls.ReadClaim:
 		mine := fmt.Sprintf("%s/%d/%d", n.id.Name, n.id.Boot, act.ID)
 		w.platform.calls++
 		w.send(n, w.platformUp(n), func() func() {
@@ -37,9 +39,9 @@
 			case mine:
 				outcome = modelcalls.ClaimWon
 			}
-			return func() { w.step(n, ClaimReply{ID: act.ID, Outcome: outcome}) }
-		}, func(bool) { w.step(n, ClaimReply{ID: act.ID, Outcome: modelcalls.ClaimUnknown}) })
-	case ReleaseClaim:
+			return func() { w.step(n, modelcalls.ClaimReply{ID: act.ID, Outcome: outcome}) }
+		}, func(bool) { w.step(n, modelcalls.ClaimReply{ID: act.ID, Outcome: modelcalls.ClaimUnknown}) })
+	case modelcalls.ReleaseClaim:
 		mine := fmt.Sprintf("%s/%d/%d", n.id.Name, n.id.Boot, act.ID)
 		w.platform.calls++
 		w.send(n, w.platformUp(n), func() func() {
@@ -51,22 +53,22 @@
 	}
 }
 
-func (w *world) callOf(n *node, id CallID) *worldCall {
+func (w *world) callOf(n *node, id calls.ID) *worldCall {
 	return w.calls[fmt.Sprintf("%s/%d/%d", n.id.Name, n.id.Boot, id)]
 }
 
 // call begins a caller's call at a node.
-func (w *world) call(name string, c Call) *worldCall {
+func (w *world) call(name string, c calls.Request) *worldCall {
 	n := w.nodes[name]
 	wc := &worldCall{id: fmt.Sprintf("%s/%d/%d", name, n.id.Boot, c.ID), node: name, notRepeatable: c.NotRepeatable, key: c.IdempotencyKey}
 	w.calls[wc.id] = wc
-	w.step(n, Arrived{Call: c})
+	w.step(n, calls.Arrived{Call: c})
 	return wc
 }
 
 // dispatch plays an upstream: the connection may break before a byte leaves,
 // on the way, after the call ran, or halfway through its answer.
-func (w *world) dispatch(n *node, a Dispatch) {
+func (w *world) dispatch(n *node, a calls.Dispatch) {
 	c := w.callOf(n, a.ID)
 	if c == nil {
 		return
@@ -77,7 +79,7 @@
 		w.breach("%s was sent work %v after it began to leave", e.name, w.now-e.leftAt)
 	}
 	if !w.engineUp(n, a.Zone)() {
-		w.after(100*time.Millisecond, func() { w.step(n, AttemptFailed{ID: a.ID, Attempt: a.Attempt, Phase: attempt.NotSent}) })
+		w.after(100*time.Millisecond, func() { w.step(n, calls.AttemptFailed{ID: a.ID, Attempt: a.Attempt, Phase: attempt.NotSent}) })
 		return
 	}
 	w.after(w.latency(), func() { w.play(n, a, c, e) })
@@ -86,21 +88,21 @@
 // leavingBound is the stated time after which a leaving upstream gets no work.
 const leavingBound = 4 * time.Second
 
-func (w *world) play(n *node, a Dispatch, c *worldCall, e *fakeEngine) {
+func (w *world) play(n *node, a calls.Dispatch, c *worldCall, e *fakeEngine) {
 	if e != nil && (e.leaving || !e.ready(a)) {
-		w.step(n, AttemptFailed{ID: a.ID, Attempt: a.Attempt, Phase: attempt.Refused, Leaving: e.leaving, Status: 503})
+		w.step(n, calls.AttemptFailed{ID: a.ID, Attempt: a.Attempt, Phase: attempt.Refused, Leaving: e.leaving, Status: 503})
 		return
 	}
 	if w.rng.Float64() >= w.faults.breaks {
 		w.execute(c, a)
-		w.step(n, AnswerBegan{ID: a.ID})
+		w.step(n, calls.AnswerBegan{ID: a.ID})
 		w.after(w.latency(), func() {
 			c.answered = true
-			w.step(n, Completed{ID: a.ID})
+			w.step(n, calls.Completed{ID: a.ID})
 		})
 		return
 	}
-	b := AttemptFailed{ID: a.ID, Attempt: a.Attempt}
+	b := calls.AttemptFailed{ID: a.ID, Attempt: a.Attempt}
 	switch w.rng.IntN(4) {
 	case 0:
 		b.Phase = attempt.NotSent
@@ -117,7 +119,7 @@
 	w.step(n, b)
 }
 
-func (e *fakeEngine) ready(a Dispatch) bool {
+func (e *fakeEngine) ready(a calls.Dispatch) bool {
 	for _, name := range []string{a.Model, a.Adapter} {
 		if name == "" {
 			continue
@@ -130,7 +132,7 @@
 }
 
 // execute notes that a call ran, and checks that it may have.
-func (w *world) execute(c *worldCall, a Dispatch) {
+func (w *world) execute(c *worldCall, a calls.Dispatch) {
 	if a.Resume {
 		return
 	}
@@ -152,7 +154,7 @@
 	}
 }
 
-func (w *world) finish(n *node, a Finish) {
+func (w *world) finish(n *node, a calls.Finish) {
 	c := w.callOf(n, a.ID)
 	if c == nil {
 		return
--- a/core/instance/world_engine_test.go
+++ b/core/instance/world_engine_test.go
@@ -10,12 +10,12 @@
 
 // The world's engines, and the orders that they carry out.
 
-func (w *world) readState(n *node, a ReadState) {
+func (w *world) readState(n *node, a planner.ReadState) {
 	e := w.engines[a.Engine]
 	w.send(n, w.engineUp(n, w.zoneOf(e.name)), func() func() {
 		s := e.state()
-		return func() { w.step(n, StateReply{Engine: a.Engine, State: s}) }
-	}, func(bool) { w.step(n, StateReply{Engine: a.Engine, Err: errLost}) })
+		return func() { w.step(n, planner.StateReply{Engine: a.Engine, State: s}) }
+	}, func(bool) { w.step(n, planner.StateReply{Engine: a.Engine, Err: errLost}) })
 }
 
 func (w *world) zoneOf(engine string) string {
@@ -27,9 +27,9 @@
 	return ""
 }
 
-func (w *world) sendOrder(n *node, a SendOrder) {
+func (w *world) sendOrder(n *node, a planner.SendOrder) {
 	e := w.engines[a.Order.Engine]
-	reply := OrderReply{Engine: e.name, Fence: a.Order.Fence, Seq: a.Order.Seq}
+	reply := planner.OrderReply{Engine: e.name, Fence: a.Order.Fence, Seq: a.Order.Seq}
 	w.send(n, w.engineUp(n, w.zoneOf(e.name)), func() func() {
 		if w.beforeOrder != nil {
 			w.beforeOrder(n, e, a.Order)
@@ -48,7 +48,7 @@
 
 // carryOrder has the engine carry out an order as a real one would; asking for
 // more memory than there is counts as a broken promise.
-func (w *world) carryOrder(e *fakeEngine, o book.Order) OrderOutcome {
+func (w *world) carryOrder(e *fakeEngine, o book.Order) planner.OrderOutcome {
 	if e.checks {
 		if o.Fence < e.fence {
 			return planner.OrderFenced
@@ -79,7 +79,7 @@
 	return planner.OrderDone
 }
 
-func (w *world) load(e *fakeEngine, o book.Order) OrderOutcome {
+func (w *world) load(e *fakeEngine, o book.Order) planner.OrderOutcome {
 	if e.items[o.Item] != nil {
 		return planner.OrderDone
 	}
--- a/core/instance/world_test.go
+++ b/core/instance/world_test.go
@@ -8,15 +8,22 @@
 	"testing"
 	"time"
 
+	"github.com/birchdrift/birchdrift/core/calls"
 	"github.com/birchdrift/birchdrift/core/clock"
 	"github.com/birchdrift/birchdrift/core/clock/clocktest"
 	"github.com/birchdrift/birchdrift/core/code"
 	"github.com/birchdrift/birchdrift/core/config"
+	"github.com/birchdrift/birchdrift/core/exchange"
+	"github.com/birchdrift/birchdrift/core/listing"
 	"github.com/birchdrift/birchdrift/core/member"
 	"github.com/birchdrift/birchdrift/core/option"
 	"github.com/birchdrift/birchdrift/core/own/book"
+	"github.com/birchdrift/birchdrift/core/own/kvwatch"
+	"github.com/birchdrift/birchdrift/core/own/modelcalls"
+	"github.com/birchdrift/birchdrift/core/own/planner"
 	"github.com/birchdrift/birchdrift/core/pool"
 	"github.com/birchdrift/birchdrift/core/share"
+	"github.com/birchdrift/birchdrift/core/step"
 )
 
 // A world drives several machines under one clock, with messages lost, late
@@ -224,7 +231,7 @@
 }
 
 // step gives a node an event, now or when it wakes up.
-func (w *world) step(n *node, ev Event) {
+func (w *world) step(n *node, ev step.Event) {
 	if n.dead {
 		return
 	}
@@ -232,7 +239,7 @@
 		n.held = append(n.held, func() { w.step(n, ev) })
 		return
 	}
-	actions := append([]Action(nil), n.m.Step(n.clock(w.now), ev)...)
+	actions := append([]step.Action(nil), n.m.Step(n.clock(w.now), ev)...)
 	for _, a := range actions {
 		w.carryOut(n, a)
 	}
@@ -306,36 +313,36 @@
 	return func() bool { return zone == n.id.Zone || !w.faults.cut[n.id.Zone] && !w.faults.cut[zone] }
 }
 
-func (w *world) carryOut(n *node, a Action) {
+func (w *world) carryOut(n *node, a step.Action) {
 	switch act := a.(type) {
 	case Install:
 		w.noteInstall(n, act)
-	case WatchConfig:
+	case kvwatch.Config:
 		w.watchConfig(n, act)
-	case WatchList:
+	case kvwatch.List:
 		w.watchList(n, act)
-	case SeekLease:
+	case planner.SeekLease:
 		w.seekLease(n, act)
-	case ReleaseLease:
+	case planner.ReleaseLease:
 		w.send(n, w.platformUp(n), func() func() {
 			if l := w.platform.leases[n.id.Zone]; l != nil && l.fence == act.Fence {
 				l.holder = ""
 			}
 			return func() {}
 		}, func(bool) {})
-	case ReadIntents, WriteIntents:
+	case planner.ReadIntents, planner.WriteIntents:
 		w.intents(n, act)
-	case ReadState:
+	case planner.ReadState:
 		w.readState(n, act)
-	case SendOrder:
+	case planner.SendOrder:
 		w.sendOrder(n, act)
-	case Exchange:
+	case exchange.Begin:
 		w.exchange(n, act)
-	case Claim, ReadClaim, ReleaseClaim:
+	case modelcalls.Claim, modelcalls.ReadClaim, modelcalls.ReleaseClaim:
 		w.claims(n, act)
-	case Dispatch:
+	case calls.Dispatch:
 		w.dispatch(n, act)
-	case Finish:
+	case calls.Finish:
 		w.finish(n, act)
 	}
 }
@@ -348,7 +355,7 @@
 	w.install[n.id.Name] = a.Snapshot.Revision()
 }
 
-func (w *world) watchConfig(n *node, a WatchConfig) {
+func (w *world) watchConfig(n *node, a kvwatch.Config) {
 	w.platform.calls++
 	w.send(n, w.platformUp(n), func() func() {
 		v := w.platform.values["config"]
@@ -372,7 +379,7 @@
 	return ConfigReply{Snapshot: s, Encoded: encoded, Source: source}
 }
 
-func (w *world) watchList(n *node, a WatchList) {
+func (w *world) watchList(n *node, a kvwatch.List) {
 	w.platform.calls++
 	w.send(n, w.platformUp(n), func() func() {
 		var news []share.Listed
@@ -387,11 +394,11 @@
 		if len(news) == 0 {
 			wait = time.Second
 		}
-		return func() { w.after(wait, func() { w.step(n, ListReply{Entries: news, Version: version}) }) }
-	}, func(bool) { w.step(n, ListReply{Err: errLost}) })
+		return func() { w.after(wait, func() { w.step(n, listing.Reply{Entries: news, Version: version}) }) }
+	}, func(bool) { w.step(n, listing.Reply{Err: errLost}) })
 }
 
-func (w *world) seekLease(n *node, a SeekLease) {
+func (w *world) seekLease(n *node, a planner.SeekLease) {
 	sent := n.clock(w.now)
 	holder := fmt.Sprintf("%s/%d", n.id.Name, n.id.Boot)
 	w.platform.calls++
@@ -402,7 +409,7 @@
 			w.platform.leases[n.id.Zone] = l
 		}
 		free := l.holder == "" || w.now > l.expires
-		reply := LeaseReply{Sent: sent, Fence: l.fence, Holder: l.holder}
+		reply := planner.LeaseReply{Sent: sent, Fence: l.fence, Holder: l.holder}
 		switch {
 		case !free && l.holder == holder && (a.Renew == 0 || a.Renew == l.fence):
 			l.expires = w.now + a.Term
@@ -413,43 +420,43 @@
 			reply.Granted, reply.Fence = true, l.fence
 		}
 		return func() { w.step(n, reply) }
-	}, func(bool) { w.step(n, LeaseReply{Sent: sent, Err: errLost}) })
+	}, func(bool) { w.step(n, planner.LeaseReply{Sent: sent, Err: errLost}) })
 }
 
-func (w *world) intents(n *node, a Action) {
+func (w *world) intents(n *node, a step.Action) {
 	key := "intents/" + n.id.Zone
-	write, isWrite := a.(WriteIntents)
+	write, isWrite := a.(planner.WriteIntents)
 	w.platform.calls++
 	w.send(n, w.platformUp(n), func() func() {
 		v := w.platform.values[key]
 		if !isWrite {
-			in, _ := v.data.(Intents)
-			return func() { w.step(n, IntentsReply{Read: true, Intents: in, Revision: v.revision}) }
+			in, _ := v.data.(planner.Intents)
+			return func() { w.step(n, planner.IntentsReply{Read: true, Intents: in, Revision: v.revision}) }
 		}
 		if v.revision != write.Revision {
-			return func() { w.step(n, IntentsReply{Intents: write.Intents, Conflict: true}) }
+			return func() { w.step(n, planner.IntentsReply{Intents: write.Intents, Conflict: true}) }
 		}
 		w.platform.revision++
 		v = fakeValue{data: write.Intents, revision: w.platform.revision}
 		w.platform.values[key] = v
-		return func() { w.step(n, IntentsReply{Intents: write.Intents, Revision: v.revision}) }
-	}, func(bool) { w.step(n, IntentsReply{Read: !isWrite, Intents: write.Intents, Err: errLost}) })
+		return func() { w.step(n, planner.IntentsReply{Intents: write.Intents, Revision: v.revision}) }
+	}, func(bool) { w.step(n, planner.IntentsReply{Read: !isWrite, Intents: write.Intents, Err: errLost}) })
 }
 
-func (w *world) exchange(n *node, a Exchange) {
+func (w *world) exchange(n *node, a exchange.Begin) {
 	peer := w.nodes[a.Address]
 	up := func() bool {
 		return peer != nil && !peer.dead && !peer.paused && (peer.id.Zone == n.id.Zone || !w.faults.cut[n.id.Zone] && !w.faults.cut[peer.id.Zone])
 	}
-	failed := func(bool) { w.step(n, ExchangeReply{Peer: a.Peer, Address: a.Address, Err: errLost}) }
+	failed := func(bool) { w.step(n, exchange.Reply{Peer: a.Peer, Address: a.Address, Err: errLost}) }
 	w.send(n, up, func() func() {
 		if peer.dead || peer.paused {
 			return func() { failed(false) }
 		}
-		actions := append([]Action(nil), peer.m.Step(peer.clock(w.now), ExchangeAsked{Token: 1, Message: a.Message})...)
+		actions := append([]step.Action(nil), peer.m.Step(peer.clock(w.now), exchange.Asked{Token: 1, Message: a.Message})...)
 		var answer share.Message
 		for _, x := range actions {
-			if ans, ok := x.(Answer); ok {
+			if ans, ok := x.(exchange.Answer); ok {
 				answer = ans.Message
 				continue
 			}
@@ -458,7 +465,7 @@
 		w.takeConfig(peer, a.Message)
 		return func() {
 			w.takeConfig(n, answer)
-			w.step(n, ExchangeReply{Peer: a.Peer, Address: a.Address, Message: answer})
+			w.step(n, exchange.Reply{Peer: a.Peer, Address: a.Address, Message: answer})
 		}
 	}, failed)
 }
--- a/core/own/watch/watch.go
+++ b/core/own/kvwatch/watch.go
@@ -1,9 +1,9 @@
-// Package watch keeps the watches of the product's own key-value service: one of
+// Package kvwatch keeps the watches of the product's own key-value service: one of
 // the configuration and one of the list of instances. Two instances of each zone
 // keep them, and the others hear from those.
 //
 // On the users' platform core/watch is used in its place.
-package watch
+package kvwatch
 
 import (
 	"time"
--- a/core/own/modelcalls/modelcalls.go
+++ b/core/own/modelcalls/modelcalls.go
@@ -106,11 +106,8 @@
 // admit fills in what the configuration and the policy say of the call, or
 // returns why it is refused. Nothing has been sent anywhere at this point.
 func (h *Handler) admit(now clock.Instant, c *calls.Call, refusing bool) (code.Refusal, bool) {
-	if refusing {
-		return calls.NotRun(code.Stopping, "this instance is stopping", calls.LeastRetryAfter), false
-	}
-	if !h.Config.Known() {
-		return calls.NotRun(code.NoConfiguration, "no configuration yet", calls.LeastRetryAfter), false
+	if refusal, ok := calls.Admission(refusing, h.Config.Known()); !ok {
+		return refusal, false
 	}
 	caller, known := h.Config.CallerByKey(c.Key)
 	if !known {
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -19,8 +19,9 @@
 	"strings"
 	"sync/atomic"
 
+	"github.com/birchdrift/birchdrift/core/calls"
 	"github.com/birchdrift/birchdrift/core/code"
-	"github.com/birchdrift/birchdrift/core/instance"
+	"github.com/birchdrift/birchdrift/core/step"
 	"github.com/birchdrift/birchdrift/internal/forward"
 	"github.com/birchdrift/birchdrift/internal/service"
 	"github.com/birchdrift/birchdrift/internal/shell"
@@ -67,7 +68,7 @@
 }
 
 // NextID returns an identity for a call.
-func (h *Handler) NextID() instance.CallID { return instance.CallID(h.lastID.Add(1)) }
+func (h *Handler) NextID() calls.ID { return calls.ID(h.lastID.Add(1)) }
 
 // WriteJSON writes an answer of this system's own.
 func WriteJSON(w http.ResponseWriter, status int, v any) {
@@ -101,7 +102,7 @@
 
 // Await waits for the machine's next action for a call; ok is false once the
 // caller is gone.
-func Await(ctx context.Context, s shell.Session) (a instance.Action, ok bool) {
+func Await(ctx context.Context, s shell.Session) (a step.Action, ok bool) {
 	select {
 	case a := <-s.Actions:
 		return a, true
--- a/internal/entry/forward.go
+++ b/internal/entry/forward.go
@@ -14,8 +14,8 @@
 	oteltrace "go.opentelemetry.io/otel/trace"
 
 	"github.com/birchdrift/birchdrift/core/attempt"
+	"github.com/birchdrift/birchdrift/core/calls"
 	"github.com/birchdrift/birchdrift/core/code"
-	"github.com/birchdrift/birchdrift/core/instance"
 	"github.com/birchdrift/birchdrift/core/route"
 	"github.com/birchdrift/birchdrift/internal/forward"
 	"github.com/birchdrift/birchdrift/internal/service"
@@ -52,19 +52,19 @@
 }
 
 // forwardedCall words a request for the machine.
-func forwardedCall(id instance.CallID, r *http.Request, req forward.Request, replayable bool) instance.Call {
+func forwardedCall(id calls.ID, r *http.Request, req forward.Request, replayable bool) calls.Request {
 	parts := make([]route.Part, 0, len(req.Parts))
 	for _, p := range req.Parts {
 		parts = append(parts, route.Part(p))
 	}
 	path, _, _ := strings.Cut(r.RequestURI, "?")
-	return instance.Call{
+	return calls.Request{
 		ID:           id,
 		Path:         path,
 		Replayable:   replayable,
 		PromptTokens: req.PromptTokens,
 		MaxTokens:    req.MaxTokens,
-		Forward: &instance.Forwarded{
+		Forward: &calls.Forwarded{
 			Name:       req.CallID,
 			Host:       r.Host,
 			Model:      req.Model,
@@ -83,7 +83,7 @@
 	w       http.ResponseWriter
 	r       *http.Request
 	body    *Body
-	call    instance.Call
+	call    calls.Request
 	begun   time.Time
 
 	opened    bool // the head of the answer was written
@@ -109,13 +109,13 @@
 			return
 		}
 		switch act := a.(type) {
-		case instance.Finish:
+		case calls.Finish:
 			f.finish(act.Refusal)
 			return
-		case instance.Relay:
+		case calls.Relay:
 			f.relay()
 			return
-		case instance.Dispatch:
+		case calls.Dispatch:
 			if f.attempt(ctx, s, act) {
 				return
 			}
@@ -175,7 +175,7 @@
 }
 
 // attempt carries out one Dispatch and reports whether the call is over.
-func (f *forwardCall) attempt(ctx context.Context, s shell.Session, d instance.Dispatch) bool {
+func (f *forwardCall) attempt(ctx context.Context, s shell.Session, d calls.Dispatch) bool {
 	if d.Attempt == 1 {
 		f.handler.Metrics.Queued(time.Since(f.begun))
 	}
@@ -195,14 +195,14 @@
 	var progress upstream.Progress
 	resp, err := f.handler.Service.Exchange(ctx, f.outgoing(d, watch), &progress)
 	if err != nil {
-		return f.broke(s, d, &progress, watch, instance.AttemptFailed{Detail: err.Error()})
+		return f.broke(s, d, &progress, watch, calls.AttemptFailed{Detail: err.Error()})
 	}
 	defer resp.Body.Close()
 	return f.answer(s, d, resp, &progress, watch)
 }
 
 // outgoing words the call for the replica.
-func (f *forwardCall) outgoing(d instance.Dispatch, watch *Watchdog) service.Call {
+func (f *forwardCall) outgoing(d calls.Dispatch, watch *Watchdog) service.Call {
 	header := service.EndToEnd(f.r.Header)
 	f.handler.Wire.SetHeaders(header, forward.Attempt{
 		Expect:    d.Replica,
@@ -225,7 +225,7 @@
 
 // broke tells the machine how an attempt ended and reports whether the call is
 // over, which it only is when the caller is gone.
-func (f *forwardCall) broke(s shell.Session, d instance.Dispatch, progress *upstream.Progress, watch *Watchdog, b instance.AttemptFailed) bool {
+func (f *forwardCall) broke(s shell.Session, d calls.Dispatch, progress *upstream.Progress, watch *Watchdog, b calls.AttemptFailed) bool {
 	if f.r.Context().Err() != nil {
 		f.gone(s)
 		return true
@@ -242,9 +242,9 @@
 }
 
 // answer deals with the head of a replica's answer.
-func (f *forwardCall) answer(s shell.Session, d instance.Dispatch, resp *http.Response, progress *upstream.Progress, watch *Watchdog) bool {
+func (f *forwardCall) answer(s shell.Session, d calls.Dispatch, resp *http.Response, progress *upstream.Progress, watch *Watchdog) bool {
 	reply := f.handler.Wire.ReadReply(resp, f.call.Forward.Name)
-	b := instance.AttemptFailed{Status: resp.StatusCode, Misdirected: reply.Misdirected, Incarnation: reply.Incarnation}
+	b := calls.AttemptFailed{Status: resp.StatusCode, Misdirected: reply.Misdirected, Incarnation: reply.Incarnation}
 	switch {
 	case reply.Mismatched:
 		b.Detail = "the answer to another call came"
@@ -291,10 +291,10 @@
 
 // whole passes on an answer that is not a series: small ones only once they
 // are here whole.
-func (f *forwardCall) whole(s shell.Session, d instance.Dispatch, resp *http.Response, progress *upstream.Progress, watch *Watchdog) bool {
+func (f *forwardCall) whole(s shell.Session, d calls.Dispatch, resp *http.Response, progress *upstream.Progress, watch *Watchdog) bool {
 	data, err := io.ReadAll(io.LimitReader(resp.Body, smallAnswer))
 	if err != nil {
-		return f.broke(s, d, progress, watch, instance.AttemptFailed{Status: resp.StatusCode, Detail: err.Error()})
+		return f.broke(s, d, progress, watch, calls.AttemptFailed{Status: resp.StatusCode, Detail: err.Error()})
 	}
 	s.First()
 	if len(data) < smallAnswer && resp.ContentLength < 0 {
@@ -312,12 +312,12 @@
 }
 
 // rest passes on what follows the part of a large answer that was kept.
-func (f *forwardCall) rest(s shell.Session, d instance.Dispatch, resp *http.Response, progress *upstream.Progress, watch *Watchdog) bool {
+func (f *forwardCall) rest(s shell.Session, d calls.Dispatch, resp *http.Response, progress *upstream.Progress, watch *Watchdog) bool {
 	_, err := io.Copy(f.w, watchedReader{resp.Body, watch})
 	if err == nil {
 		return f.done(s)
 	}
-	f.broke(s, d, progress, watch, instance.AttemptFailed{Status: resp.StatusCode, Detail: err.Error()})
+	f.broke(s, d, progress, watch, calls.AttemptFailed{Status: resp.StatusCode, Detail: err.Error()})
 	f.handler.Metrics.Answered(int(code.StreamCut), time.Since(f.begun))
 	panic(http.ErrAbortHandler)
 }
@@ -330,7 +330,7 @@
 
 // series passes on a series of events, each as it comes and only whole, so that
 // another replica can go on behind the last one.
-func (f *forwardCall) series(s shell.Session, d instance.Dispatch, resp *http.Response, progress *upstream.Progress, watch *Watchdog) bool {
+func (f *forwardCall) series(s shell.Session, d calls.Dispatch, resp *http.Response, progress *upstream.Progress, watch *Watchdog) bool {
 	events := forward.NewEvents(resp.Body)
 	flush := http.NewResponseController(f.w)
 	first := true
@@ -346,7 +346,7 @@
 			err = errSeries
 		}
 		if err != nil {
-			return f.broke(s, d, progress, watch, instance.AttemptFailed{Status: resp.StatusCode, Detail: err.Error()})
+			return f.broke(s, d, progress, watch, calls.AttemptFailed{Status: resp.StatusCode, Detail: err.Error()})
 		}
 		watch.Alive()
 		if first {
--- a/internal/environment/driver.go
+++ b/internal/environment/driver.go
@@ -6,10 +6,16 @@
 	"slices"
 
 	"github.com/birchdrift/birchdrift/core/config"
+	"github.com/birchdrift/birchdrift/core/forwarding"
 	"github.com/birchdrift/birchdrift/core/instance"
+	"github.com/birchdrift/birchdrift/core/listing"
 	"github.com/birchdrift/birchdrift/core/logevent"
 	"github.com/birchdrift/birchdrift/core/orders"
+	"github.com/birchdrift/birchdrift/core/owned"
+	"github.com/birchdrift/birchdrift/core/ownership"
 	"github.com/birchdrift/birchdrift/core/registry"
+	"github.com/birchdrift/birchdrift/core/step"
+	"github.com/birchdrift/birchdrift/core/watch"
 	"github.com/birchdrift/birchdrift/internal/shell"
 )
 
@@ -40,23 +46,23 @@
 
 // carryOut returns the work that carries an action out, nil for an action that is
 // not this environment's.
-func (d *driver) carryOut(a instance.Action) func(ctx context.Context) {
+func (d *driver) carryOut(a step.Action) func(ctx context.Context) {
 	switch act := a.(type) {
-	case instance.WatchPlatform:
+	case watch.Begin:
 		return func(ctx context.Context) { d.watchPlatform(ctx, act) }
-	case instance.Enrol:
+	case ownership.Enrol:
 		return func(ctx context.Context) { d.enrol(ctx, act) }
-	case instance.KeepEnrolled:
+	case ownership.KeepEnrolled:
 		return func(ctx context.Context) { d.keepEnrolled(ctx, act) }
-	case instance.Resign:
+	case ownership.Resign:
 		return func(ctx context.Context) { d.resign(ctx, act) }
-	case instance.WriteRegistry:
+	case ownership.Write:
 		return func(ctx context.Context) { d.writeRegistry(ctx, act) }
-	case instance.EngineOrder:
+	case owned.SendOrder:
 		return func(ctx context.Context) { d.engineOrder(ctx, act) }
-	case instance.AskEngine:
+	case owned.AskState:
 		return func(ctx context.Context) { d.askEngine(ctx, act) }
-	case instance.ProbeEngine:
+	case forwarding.ProbeEngine:
 		return func(ctx context.Context) { d.askLoad(ctx, act) }
 	default:
 		return nil
@@ -65,10 +71,10 @@
 
 // watchPlatform waits for whatever changes in the environment's store and
 // posts it as one event for each kind of news.
-func (d *driver) watchPlatform(ctx context.Context, a instance.WatchPlatform) {
+func (d *driver) watchPlatform(ctx context.Context, a watch.Begin) {
 	change, err := d.store.Watch(ctx, a.Wait)
 	if err != nil {
-		d.host.Post(instance.WatchReply{Err: err})
+		d.host.Post(watch.Reply{Err: err})
 		return
 	}
 	d.host.PlatformCalled()
@@ -79,41 +85,41 @@
 		d.host.PostConfig(pack(change.Config), instance.PlatformSource)
 	}
 	if len(change.Listed) > 0 || change.Whole {
-		d.host.Post(instance.ListReply{Entries: change.Listed, Version: change.Version, Whole: change.Whole})
+		d.host.Post(listing.Reply{Entries: change.Listed, Version: change.Version, Whole: change.Whole})
 	}
 	if len(change.Records) > 0 || change.Whole {
-		d.host.Post(instance.RegistryReply{Records: change.Records, Version: change.Version, Whole: change.Whole})
+		d.host.Post(ownership.Heard{Records: change.Records, Version: change.Version, Whole: change.Whole})
 	}
-	d.host.Post(instance.WatchReply{})
+	d.host.Post(watch.Reply{})
 }
 
 // enrol begins a lease and writes the instance's record under it.
-func (d *driver) enrol(ctx context.Context, a instance.Enrol) {
+func (d *driver) enrol(ctx context.Context, a ownership.Enrol) {
 	sent := d.host.Now()
 	d.host.PlatformCalled()
 	lease, err := d.store.Grant(ctx, a.Term)
 	if err != nil {
-		d.host.Post(instance.EnrolReply{Err: err})
+		d.host.Post(ownership.EnrolReply{Err: err})
 		return
 	}
 	v := a.Instance.Value()
 	d.host.PlatformCalled()
 	_, err = d.store.Commit(ctx, Commit{Puts: []Put{{Key: v.Key, Value: v.Data, Lease: lease}}})
-	d.host.Post(instance.EnrolReply{Sent: sent, Lease: lease, Err: err})
+	d.host.Post(ownership.EnrolReply{Sent: sent, Lease: lease, Err: err})
 }
 
-func (d *driver) keepEnrolled(ctx context.Context, a instance.KeepEnrolled) {
+func (d *driver) keepEnrolled(ctx context.Context, a ownership.KeepEnrolled) {
 	sent := d.host.Now()
 	d.host.PlatformCalled()
 	err := d.store.Keep(ctx, a.Lease)
 	over := errors.Is(err, ErrNoLease)
-	d.host.Post(instance.KeepReply{Sent: sent, Lease: a.Lease, Over: over, Err: err})
+	d.host.Post(ownership.KeepReply{Sent: sent, Lease: a.Lease, Over: over, Err: err})
 }
 
 // resign gives ownerships back, then ends the lease. What is not given back is
 // taken over when the lease is over, so a failure costs others that time and is
 // not tried again: the process ends.
-func (d *driver) resign(ctx context.Context, a instance.Resign) {
+func (d *driver) resign(ctx context.Context, a ownership.Resign) {
 	for chunk := range slices.Chunk(a.Give, registry.MaxClaims) {
 		if _, err := d.store.Commit(ctx, claimCommit(chunk)); err != nil {
 			d.host.Event(logevent.NotReturned, "what", "ownerships", "engines", len(chunk), "error", err.Error())
@@ -134,8 +140,8 @@
 	return c
 }
 
-func (d *driver) writeRegistry(ctx context.Context, a instance.WriteRegistry) {
-	reply := instance.WriteReply{Write: a.Write, Sent: d.host.Now()}
+func (d *driver) writeRegistry(ctx context.Context, a ownership.Write) {
+	reply := ownership.WriteReply{Write: a.Write, Sent: d.host.Now()}
 	commit := claimCommit(a.Write.Claim)
 	if p := a.Write.Placer; p != nil {
 		v := p.Value()
@@ -152,22 +158,22 @@
 	d.host.Post(reply)
 }
 
-func (d *driver) engineOrder(ctx context.Context, a instance.EngineOrder) {
+func (d *driver) engineOrder(ctx context.Context, a owned.SendOrder) {
 	answer, detail := d.engines.Order(ctx, d.host.Self.Name, a.Order)
-	d.host.Post(instance.EngineOrderReply{Engine: a.Engine, Fence: a.Fence, Answer: answer, Detail: detail})
+	d.host.Post(owned.OrderReply{Engine: a.Engine, Fence: a.Fence, Answer: answer, Detail: detail})
 }
 
-func (d *driver) askEngine(ctx context.Context, a instance.AskEngine) {
+func (d *driver) askEngine(ctx context.Context, a owned.AskState) {
 	report, err := d.engines.Report(ctx, a.Address)
-	d.host.Post(instance.EngineStateReply{Engine: a.Engine, Err: err, State: orders.State{
+	d.host.Post(owned.StateReply{Engine: a.Engine, Err: err, State: orders.State{
 		Sequence: report.Sequence, Busy: report.Busy, Models: report.Announcement.Models, Coming: report.Coming,
 	}})
 }
 
 // askLoad asks an engine how busy it is.
-func (d *driver) askLoad(ctx context.Context, a instance.ProbeEngine) {
+func (d *driver) askLoad(ctx context.Context, a forwarding.ProbeEngine) {
 	ctx, done := context.WithTimeout(ctx, a.Wait)
 	defer done()
 	report, err := d.engines.Report(ctx, a.Address)
-	d.host.Post(instance.ProbeReply{Call: a.Call, Engine: a.Engine, Queued: report.Queued, Running: report.Running, Err: err})
+	d.host.Post(forwarding.ProbeReply{Call: a.Call, Engine: a.Engine, Queued: report.Queued, Running: report.Running, Err: err})
 }
--- a/internal/own/driver.go
+++ b/internal/own/driver.go
@@ -11,11 +11,16 @@
 	"sync/atomic"
 	"time"
 
+	"github.com/birchdrift/birchdrift/core/calls"
 	"github.com/birchdrift/birchdrift/core/config"
 	"github.com/birchdrift/birchdrift/core/instance"
+	"github.com/birchdrift/birchdrift/core/listing"
 	"github.com/birchdrift/birchdrift/core/logevent"
 	"github.com/birchdrift/birchdrift/core/member"
+	"github.com/birchdrift/birchdrift/core/own/kvwatch"
 	"github.com/birchdrift/birchdrift/core/own/modelcalls"
+	"github.com/birchdrift/birchdrift/core/own/planner"
+	"github.com/birchdrift/birchdrift/core/step"
 	"github.com/birchdrift/birchdrift/internal/own/engine"
 	"github.com/birchdrift/birchdrift/internal/own/keyvalue"
 	"github.com/birchdrift/birchdrift/internal/shell"
@@ -48,44 +53,44 @@
 }
 
 // CallName is the identity of one attempt of a call outside this instance.
-func CallName(self member.Identity, id instance.CallID, attempt int) string {
+func CallName(self member.Identity, id calls.ID, attempt int) string {
 	return fmt.Sprintf("%s-%x-%d-%d", self.Name, self.Boot, id, attempt)
 }
 
 // carryOut returns the work that carries an action out, nil for an action that is
 // not this environment's.
-func (d *driver) carryOut(a instance.Action) func(ctx context.Context) {
+func (d *driver) carryOut(a step.Action) func(ctx context.Context) {
 	switch act := a.(type) {
-	case instance.Cancel:
+	case modelcalls.Cancel:
 		return func(ctx context.Context) { d.cancel(ctx, act) }
-	case instance.Claim:
+	case modelcalls.Claim:
 		return func(ctx context.Context) { d.claim(ctx, act) }
-	case instance.ReadClaim:
+	case modelcalls.ReadClaim:
 		return func(ctx context.Context) { d.readClaim(ctx, act) }
-	case instance.ReleaseClaim:
+	case modelcalls.ReleaseClaim:
 		return func(ctx context.Context) { d.releaseClaim(ctx, act) }
-	case instance.WatchConfig:
+	case kvwatch.Config:
 		return func(ctx context.Context) { d.watchConfig(ctx, act) }
-	case instance.WatchList:
+	case kvwatch.List:
 		return func(ctx context.Context) { d.watchList(ctx, act) }
-	case instance.SeekLease:
+	case planner.SeekLease:
 		return func(ctx context.Context) { d.seekLease(ctx, act) }
-	case instance.ReleaseLease:
+	case planner.ReleaseLease:
 		return func(ctx context.Context) { d.releaseLease(ctx, act) }
-	case instance.ReadIntents:
+	case planner.ReadIntents:
 		return d.readIntents
-	case instance.WriteIntents:
+	case planner.WriteIntents:
 		return func(ctx context.Context) { d.writeIntents(ctx, act) }
-	case instance.ReadState:
+	case planner.ReadState:
 		return func(ctx context.Context) { d.readState(ctx, act) }
-	case instance.SendOrder:
+	case planner.SendOrder:
 		return func(ctx context.Context) { d.sendOrder(ctx, act) }
 	default:
 		return nil
 	}
 }
 
-func (d *driver) cancel(ctx context.Context, a instance.Cancel) {
+func (d *driver) cancel(ctx context.Context, a modelcalls.Cancel) {
 	ctx, done := context.WithTimeout(ctx, engineTimeout)
 	defer done()
 	// Closing the stream cancels as well; this only frees the sequence sooner, so
@@ -95,18 +100,18 @@
 	}
 }
 
-func (d *driver) claimValue(id instance.CallID) []byte {
+func (d *driver) claimValue(id calls.ID) []byte {
 	return fmt.Appendf(nil, "%s/%x/%d", d.host.Self.Name, d.host.Self.Boot, id)
 }
 
-func (d *driver) claim(ctx context.Context, a instance.Claim) {
+func (d *driver) claim(ctx context.Context, a modelcalls.Claim) {
 	ctx, done := context.WithTimeout(ctx, claimTimeout)
 	defer done()
 	_, err := d.platform.Swap(ctx, a.Key, d.claimValue(a.ID), 0, a.Life)
-	d.host.Post(instance.ClaimReply{ID: a.ID, Outcome: claimOutcome(err)})
+	d.host.Post(modelcalls.ClaimReply{ID: a.ID, Outcome: claimOutcome(err)})
 }
 
-func claimOutcome(err error) instance.ClaimOutcome {
+func claimOutcome(err error) modelcalls.ClaimOutcome {
 	switch {
 	case err == nil:
 		return modelcalls.ClaimWon
@@ -121,7 +126,7 @@
 	}
 }
 
-func (d *driver) readClaim(ctx context.Context, a instance.ReadClaim) {
+func (d *driver) readClaim(ctx context.Context, a modelcalls.ReadClaim) {
 	ctx, done := context.WithTimeout(ctx, claimTimeout)
 	defer done()
 	v, err := d.platform.Get(ctx, a.Key, 0, 0)
@@ -134,12 +139,12 @@
 	case string(v.Data) == string(d.claimValue(a.ID)):
 		outcome = modelcalls.ClaimWon
 	}
-	d.host.Post(instance.ClaimReply{ID: a.ID, Outcome: outcome})
+	d.host.Post(modelcalls.ClaimReply{ID: a.ID, Outcome: outcome})
 }
 
 // releaseClaim drops the claim if it is this call's. It is best effort: a claim
 // that stays refuses its key until it expires, and runs nothing.
-func (d *driver) releaseClaim(ctx context.Context, a instance.ReleaseClaim) {
+func (d *driver) releaseClaim(ctx context.Context, a modelcalls.ReleaseClaim) {
 	ctx, done := context.WithTimeout(ctx, claimTimeout)
 	defer done()
 	v, err := d.platform.Get(ctx, a.Key, 0, 0)
@@ -154,7 +159,7 @@
 // watchConfig waits for a configuration newer than the one had. The platform
 // orders values by its own revisions, which this shell remembers; the document
 // carries the revision that decides.
-func (d *driver) watchConfig(ctx context.Context, a instance.WatchConfig) {
+func (d *driver) watchConfig(ctx context.Context, a kvwatch.Config) {
 	after := d.configSeen.Load()
 	if a.Have == 0 {
 		after = 0
@@ -172,22 +177,22 @@
 	d.host.PostConfig(v.Data, instance.PlatformSource)
 }
 
-func (d *driver) watchList(ctx context.Context, a instance.WatchList) {
+func (d *driver) watchList(ctx context.Context, a kvwatch.List) {
 	entries, version, err := d.platform.Instances(ctx, a.Since, a.Wait)
-	d.host.Post(instance.ListReply{Entries: entries, Version: version, Err: err})
+	d.host.Post(listing.Reply{Entries: entries, Version: version, Err: err})
 }
 
 func (d *driver) holder() string { return fmt.Sprintf("%s/%x", d.host.Self.Name, d.host.Self.Boot) }
 
-func (d *driver) seekLease(ctx context.Context, a instance.SeekLease) {
+func (d *driver) seekLease(ctx context.Context, a planner.SeekLease) {
 	sent := d.host.Now()
 	reply, err := d.platform.Lease(ctx, keyvalue.LeaseName(d.host.Self.Zone), keyvalue.LeaseRequest{
 		Holder: d.holder(), TermMS: a.Term.Milliseconds(), Renew: a.Renew,
 	})
-	d.host.Post(instance.LeaseReply{Sent: sent, Granted: reply.Granted, Fence: reply.Fence, Holder: reply.Holder, Err: err})
+	d.host.Post(planner.LeaseReply{Sent: sent, Granted: reply.Granted, Fence: reply.Fence, Holder: reply.Holder, Err: err})
 }
 
-func (d *driver) releaseLease(ctx context.Context, a instance.ReleaseLease) {
+func (d *driver) releaseLease(ctx context.Context, a planner.ReleaseLease) {
 	// A lease that is not released lapses.
 	if err := d.platform.Release(ctx, keyvalue.LeaseName(d.host.Self.Zone), a.Fence); err != nil {
 		d.host.Event(logevent.NotReturned, "what", "planner's lease", "error", err.Error())
@@ -196,15 +201,15 @@
 
 func (d *driver) readIntents(ctx context.Context) {
 	v, err := d.platform.Get(ctx, keyvalue.IntentsKey(d.host.Self.Zone), 0, 0)
-	reply := instance.IntentsReply{Read: true, Revision: v.Revision, Err: err}
+	reply := planner.IntentsReply{Read: true, Revision: v.Revision, Err: err}
 	if err == nil && len(v.Data) > 0 {
 		reply.Err = json.Unmarshal(v.Data, &reply.Intents)
 	}
 	d.host.Post(reply)
 }
 
-func (d *driver) writeIntents(ctx context.Context, a instance.WriteIntents) {
-	reply := instance.IntentsReply{Intents: a.Intents}
+func (d *driver) writeIntents(ctx context.Context, a planner.WriteIntents) {
+	reply := planner.IntentsReply{Intents: a.Intents}
 	data, err := json.Marshal(a.Intents)
 	if err == nil {
 		reply.Revision, err = d.platform.Swap(ctx, keyvalue.IntentsKey(d.host.Self.Zone), data, a.Revision, 0)
@@ -216,14 +221,14 @@
 	d.host.Post(reply)
 }
 
-func (d *driver) readState(ctx context.Context, a instance.ReadState) {
+func (d *driver) readState(ctx context.Context, a planner.ReadState) {
 	ctx, done := context.WithTimeout(ctx, engineTimeout)
 	defer done()
 	state, err := d.engine.State(ctx, a.Address)
-	d.host.Post(instance.StateReply{Engine: a.Engine, State: state, Err: err})
+	d.host.Post(planner.StateReply{Engine: a.Engine, State: state, Err: err})
 }
 
-func (d *driver) sendOrder(ctx context.Context, a instance.SendOrder) {
+func (d *driver) sendOrder(ctx context.Context, a planner.SendOrder) {
 	ctx, done := context.WithTimeout(ctx, engineTimeout)
 	defer done()
 	base := ""
--- a/internal/own/engine/engine.go
+++ b/internal/own/engine/engine.go
@@ -19,7 +19,6 @@
 	"github.com/gravitational/trace"
 
 	"github.com/birchdrift/birchdrift/core/attempt"
-	"github.com/birchdrift/birchdrift/core/instance"
 	"github.com/birchdrift/birchdrift/core/own/book"
 	"github.com/birchdrift/birchdrift/core/own/planner"
 	"github.com/birchdrift/birchdrift/core/pool"
@@ -165,8 +164,8 @@
 
 // Order gives the engine an order. base is the model of an adapter. The order
 // goes over a fresh connection, so that it cannot be repeated underneath.
-func (c *Client) Order(ctx context.Context, address string, o book.Order, base string) instance.OrderReply {
-	out := instance.OrderReply{Engine: o.Engine, Fence: o.Fence, Seq: o.Seq}
+func (c *Client) Order(ctx context.Context, address string, o book.Order, base string) planner.OrderReply {
+	out := planner.OrderReply{Engine: o.Engine, Fence: o.Fence, Seq: o.Seq}
 	var progress upstream.Progress
 	wire := OrderRequest{Fence: o.Fence, Seq: o.Seq, Op: o.Op.String(), Item: o.Item, Base: base, MiB: o.MiB}
 	req, err := newRequest(progress.Watch(ctx), address, PathOrders, wire)
@@ -194,7 +193,7 @@
 	}
 	out.State = reply.State.decode()
 	out.Detail = reply.Detail
-	out.Outcome = map[string]instance.OrderOutcome{
+	out.Outcome = map[string]planner.OrderOutcome{
 		ResultDone:    planner.OrderDone,
 		ResultRefused: planner.OrderRefused,
 		ResultFenced:  planner.OrderFenced,
--- a/internal/own/engine/engine_test.go
+++ b/internal/own/engine/engine_test.go
@@ -14,7 +14,6 @@
 	"github.com/matryer/is"
 
 	"github.com/birchdrift/birchdrift/core/attempt"
-	"github.com/birchdrift/birchdrift/core/instance"
 	"github.com/birchdrift/birchdrift/core/own/book"
 	"github.com/birchdrift/birchdrift/core/own/planner"
 	"github.com/birchdrift/birchdrift/internal/upstream"
@@ -89,7 +88,7 @@
 	cases := []struct {
 		name string
 		do   http.HandlerFunc
-		want instance.OrderOutcome
+		want planner.OrderOutcome
 	}{
 		{"done", func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, `{"result":"done"}`) }, planner.OrderDone},
 		{"refused", func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, `{"result":"refused"}`) }, planner.OrderRefused},
--- a/internal/own/modelapi/model.go
+++ b/internal/own/modelapi/model.go
@@ -11,8 +11,8 @@
 	"go.opentelemetry.io/otel/attribute"
 	oteltrace "go.opentelemetry.io/otel/trace"
 
+	"github.com/birchdrift/birchdrift/core/calls"
 	"github.com/birchdrift/birchdrift/core/code"
-	"github.com/birchdrift/birchdrift/core/instance"
 	"github.com/birchdrift/birchdrift/internal/entry"
 	"github.com/birchdrift/birchdrift/internal/own"
 	"github.com/birchdrift/birchdrift/internal/own/engine"
@@ -27,7 +27,7 @@
 	req     modelRequest
 	prompt  string
 	begun   time.Time
-	call    instance.Call
+	call    calls.Request
 	form    form
 
 	text      strings.Builder // of the attempt in progress, for whole answers
@@ -48,10 +48,10 @@
 			return
 		}
 		switch act := a.(type) {
-		case instance.Finish:
+		case calls.Finish:
 			m.finish(act.Refusal)
 			return
-		case instance.Dispatch:
+		case calls.Dispatch:
 			if m.attempt(ctx, s, act) {
 				return
 			}
@@ -75,7 +75,7 @@
 }
 
 // attempt carries out one Dispatch and reports whether the call is over.
-func (m *modelCall) attempt(ctx context.Context, s shell.Session, d instance.Dispatch) bool {
+func (m *modelCall) attempt(ctx context.Context, s shell.Session, d calls.Dispatch) bool {
 	if d.Attempt == 1 && !d.Resume {
 		m.handler.Metrics.Queued(time.Since(m.begun))
 	}
@@ -134,7 +134,7 @@
 
 // stream sends the attempt and passes its pieces on. It returns over when the
 // answer is whole, else how the attempt broke.
-func (m *modelCall) stream(ctx context.Context, s shell.Session, d instance.Dispatch, progress *upstream.Progress) (instance.AttemptFailed, bool) {
+func (m *modelCall) stream(ctx context.Context, s shell.Session, d calls.Dispatch, progress *upstream.Progress) (calls.AttemptFailed, bool) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	s.Interrupt(cancel)
@@ -163,7 +163,7 @@
 	}
 }
 
-func (m *modelCall) open(ctx context.Context, d instance.Dispatch, progress *upstream.Progress) (*engine.Stream, error) {
+func (m *modelCall) open(ctx context.Context, d calls.Dispatch, progress *upstream.Progress) (*engine.Stream, error) {
 	header := http.Header{}
 	m.handler.Tracer.Inject(ctx, header)
 	id := own.CallName(m.handler.Self, m.call.ID, d.Attempt)
@@ -178,8 +178,8 @@
 
 // broke words how an attempt broke. Only facts go in; what follows is the
 // machine's to say.
-func (m *modelCall) broke(d instance.Dispatch, progress *upstream.Progress, watch *entry.Watchdog, err error) instance.AttemptFailed {
-	b := instance.AttemptFailed{
+func (m *modelCall) broke(d calls.Dispatch, progress *upstream.Progress, watch *entry.Watchdog, err error) calls.AttemptFailed {
+	b := calls.AttemptFailed{
 		Attempt:   d.Attempt,
 		Phase:     progress.Phase(),
 		Delivered: m.delivered,
@@ -197,7 +197,7 @@
 }
 
 // pass hands one piece on: to the caller of a stream at once, else to the text.
-func (m *modelCall) pass(d instance.Dispatch, p engine.Piece) {
+func (m *modelCall) pass(d calls.Dispatch, p engine.Piece) {
 	if !m.lastPiece.IsZero() {
 		m.handler.Metrics.Between(time.Since(m.lastPiece))
 	}
@@ -212,7 +212,7 @@
 }
 
 // begin writes the header of an event stream.
-func (m *modelCall) begin(d instance.Dispatch) {
+func (m *modelCall) begin(d calls.Dispatch) {
 	if m.started {
 		return
 	}
@@ -223,13 +223,13 @@
 	m.w.WriteHeader(http.StatusOK)
 }
 
-func (m *modelCall) mark(d instance.Dispatch) {
+func (m *modelCall) mark(d calls.Dispatch) {
 	m.w.Header().Set(HeaderInstance, m.handler.Self.Name)
 	m.w.Header().Set(HeaderUpstream, d.Replica)
 }
 
 // end ends the answer properly.
-func (m *modelCall) end(s shell.Session, d instance.Dispatch, p engine.Piece) (instance.AttemptFailed, bool) {
+func (m *modelCall) end(s shell.Session, d calls.Dispatch, p engine.Piece) (calls.AttemptFailed, bool) {
 	if m.req.Stream {
 		m.begin(d)
 		m.chunk(m.form.chunk("", &p.Reason))
@@ -240,7 +240,7 @@
 	}
 	s.Done()
 	m.handler.Metrics.Answered(int(code.OK), time.Since(m.begun))
-	return instance.AttemptFailed{}, true
+	return calls.AttemptFailed{}, true
 }
 
 func (m *modelCall) chunk(a answer) {
--- a/internal/own/modelapi/modelapi.go
+++ b/internal/own/modelapi/modelapi.go
@@ -13,8 +13,8 @@
 
 	"go.opentelemetry.io/otel/attribute"
 
+	"github.com/birchdrift/birchdrift/core/calls"
 	"github.com/birchdrift/birchdrift/core/code"
-	"github.com/birchdrift/birchdrift/core/instance"
 	"github.com/birchdrift/birchdrift/core/member"
 	"github.com/birchdrift/birchdrift/core/own/choose"
 	"github.com/birchdrift/birchdrift/internal/entry"
@@ -46,7 +46,7 @@
 	Self    member.Identity
 	MaxBody int64
 	// NextID returns an identity for a call, different from those of all others.
-	NextID func() instance.CallID
+	NextID func() calls.ID
 }
 
 // Routes returns the HTTP handler of the own interface.
@@ -126,7 +126,7 @@
 		h.refuse(w, code.Refusal{Code: fault.Code, Run: code.NotRun, Detail: fault.Detail}, begun)
 		return
 	}
-	call := instance.Call{
+	call := calls.Request{
 		ID:             h.NextID(),
 		Service:        req.Model,
 		Key:            key(r),
--- a/internal/own/modelapi/plain.go
+++ b/internal/own/modelapi/plain.go
@@ -11,8 +11,8 @@
 	oteltrace "go.opentelemetry.io/otel/trace"
 
 	"github.com/birchdrift/birchdrift/core/attempt"
+	"github.com/birchdrift/birchdrift/core/calls"
 	"github.com/birchdrift/birchdrift/core/code"
-	"github.com/birchdrift/birchdrift/core/instance"
 	"github.com/birchdrift/birchdrift/internal/entry"
 	"github.com/birchdrift/birchdrift/internal/own"
 	"github.com/birchdrift/birchdrift/internal/service"
@@ -30,7 +30,7 @@
 		h.refuse(w, code.Refusal{Code: code.BadRequest, Run: code.NotRun, Detail: err.Error()}, begun)
 		return
 	}
-	call := instance.Call{
+	call := calls.Request{
 		ID:             h.NextID(),
 		Service:        r.PathValue("name"),
 		Plain:          true,
@@ -51,7 +51,7 @@
 	w       http.ResponseWriter
 	r       *http.Request
 	body    *entry.Body
-	call    instance.Call
+	call    calls.Request
 	begun   time.Time
 }
 
@@ -63,10 +63,10 @@
 			return
 		}
 		switch act := a.(type) {
-		case instance.Finish:
+		case calls.Finish:
 			p.handler.refuse(p.w, act.Refusal, p.begun)
 			return
-		case instance.Dispatch:
+		case calls.Dispatch:
 			if p.attempt(ctx, s, act) {
 				return
 			}
@@ -75,7 +75,7 @@
 }
 
 // attempt carries out one Dispatch and reports whether the call is over.
-func (p *plainCall) attempt(ctx context.Context, s shell.Session, d instance.Dispatch) bool {
+func (p *plainCall) attempt(ctx context.Context, s shell.Session, d calls.Dispatch) bool {
 	p.handler.Metrics.Queued(time.Since(p.begun))
 	ctx, span := p.handler.Tracer.Start(ctx, "attempt", oteltrace.WithSpanKind(oteltrace.SpanKindClient))
 	defer span.End()
@@ -96,7 +96,7 @@
 }
 
 // outgoing words the call for the upstream.
-func (p *plainCall) outgoing(d instance.Dispatch, watch *entry.Watchdog) service.Call {
+func (p *plainCall) outgoing(d calls.Dispatch, watch *entry.Watchdog) service.Call {
 	header := service.EndToEnd(p.r.Header)
 	header.Del("Authorization") // the key is this system's, not the upstream's
 	header.Set(upstream.HeaderCall, own.CallName(p.handler.Self, p.call.ID, d.Attempt))
@@ -118,12 +118,12 @@
 	p.handler.Metrics.Answered(int(code.CallerGone), time.Since(p.begun))
 }
 
-func (p *plainCall) broke(s shell.Session, d instance.Dispatch, progress *upstream.Progress, watch *entry.Watchdog, err error) bool {
+func (p *plainCall) broke(s shell.Session, d calls.Dispatch, progress *upstream.Progress, watch *entry.Watchdog, err error) bool {
 	if p.r.Context().Err() != nil {
 		p.gone(s)
 		return true
 	}
-	b := instance.AttemptFailed{
+	b := calls.AttemptFailed{
 		Attempt: d.Attempt, Phase: progress.Phase(), Stalled: watch.Fired(), BodyConsumed: p.body.Spent(), Detail: err.Error(),
 	}
 	var refused *service.RefusedError
@@ -136,7 +136,7 @@
 }
 
 // pass streams the upstream's answer to the caller.
-func (p *plainCall) pass(s shell.Session, d instance.Dispatch, resp *http.Response, watch *entry.Watchdog) bool {
+func (p *plainCall) pass(s shell.Session, d calls.Dispatch, resp *http.Response, watch *entry.Watchdog) bool {
 	for name, values := range service.EndToEnd(resp.Header) {
 		p.w.Header()[name] = values
 	}
@@ -151,7 +151,7 @@
 	}
 	// The header is out, so no answer of our own can follow: tell the machine,
 	// take its final answer for the books, and cut the connection.
-	s.Broke(instance.AttemptFailed{Attempt: d.Attempt, Phase: attempt.Answered, Delivered: max(1, delivered), Detail: err.Error()})
+	s.Broke(calls.AttemptFailed{Attempt: d.Attempt, Phase: attempt.Answered, Delivered: max(1, delivered), Detail: err.Error()})
 	p.handler.Metrics.Answered(int(code.StreamCut), time.Since(p.begun))
 	panic(http.ErrAbortHandler)
 }
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -15,8 +15,8 @@
 	"github.com/gravitational/trace"
 	"github.com/twitchtv/twirp"
 
-	"github.com/birchdrift/birchdrift/core/instance"
 	"github.com/birchdrift/birchdrift/core/orders"
+	"github.com/birchdrift/birchdrift/core/owned"
 	"github.com/birchdrift/birchdrift/core/share"
 	"github.com/birchdrift/birchdrift/internal/peer/peerpb"
 )
@@ -53,7 +53,7 @@
 
 // An OrderReply is what the owner of an engine answers.
 type OrderReply struct {
-	Outcome instance.AskOutcome
+	Outcome owned.Outcome
 	Detail  string
 }
 
@@ -69,7 +69,7 @@
 	if err != nil {
 		return OrderReply{}, trace.Wrap(err, "asking %s for an order", address)
 	}
-	return OrderReply{Outcome: instance.AskOutcome(reply.GetOutcome()), Detail: reply.GetDetail()}, nil
+	return OrderReply{Outcome: owned.Outcome(reply.GetOutcome()), Detail: reply.GetDetail()}, nil
 }
 
 // withKey returns a context under which calls show the instances' key.
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -23,6 +23,7 @@
 	"github.com/birchdrift/birchdrift/core/logevent"
 	"github.com/birchdrift/birchdrift/core/member"
 	"github.com/birchdrift/birchdrift/core/option"
+	"github.com/birchdrift/birchdrift/core/shutdown"
 	"github.com/birchdrift/birchdrift/internal/entry"
 	"github.com/birchdrift/birchdrift/internal/forward"
 	"github.com/birchdrift/birchdrift/internal/ops"
@@ -202,7 +203,7 @@
 	return exit.Cut, err
 }
 
-func (s *Server) awaitExit() instance.Exit {
+func (s *Server) awaitExit() shutdown.Exit {
 	signals := make(chan os.Signal, 2)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
 	defer signal.Stop(signals)
--- a/internal/shell/actions.go
+++ b/internal/shell/actions.go
@@ -5,12 +5,17 @@
 	"runtime/debug"
 	"time"
 
+	"github.com/birchdrift/birchdrift/core/asks"
+	"github.com/birchdrift/birchdrift/core/calls"
 	"github.com/birchdrift/birchdrift/core/config"
+	"github.com/birchdrift/birchdrift/core/exchange"
 	"github.com/birchdrift/birchdrift/core/instance"
 	"github.com/birchdrift/birchdrift/core/logevent"
 	"github.com/birchdrift/birchdrift/core/orders"
 	"github.com/birchdrift/birchdrift/core/owned"
 	"github.com/birchdrift/birchdrift/core/share"
+	"github.com/birchdrift/birchdrift/core/shutdown"
+	"github.com/birchdrift/birchdrift/core/step"
 	"github.com/birchdrift/birchdrift/internal/peer"
 )
 
@@ -22,37 +27,37 @@
 
 // carryOut does what the machine asked for. Whatever can wait on the outside
 // runs in a worker and posts its reply.
-func (s *Shell) carryOut(a instance.Action) {
+func (s *Shell) carryOut(a step.Action) {
 	s.metrics.Action(a)
 	switch act := a.(type) {
-	case instance.Dispatch:
+	case calls.Dispatch:
 		s.deliver(act.ID, act)
-	case instance.Finish:
+	case calls.Finish:
 		s.deliver(act.ID, act)
 		s.interrupt(act.ID)
 		delete(s.calls, act.ID)
-	case instance.Relay:
+	case calls.Relay:
 		s.deliver(act.ID, act)
 		delete(s.calls, act.ID)
-	case instance.Exchange:
+	case exchange.Begin:
 		s.work(func(ctx context.Context) { s.exchange(ctx, act) })
-	case instance.Answer:
+	case exchange.Answer:
 		if reply, ok := s.asks[act.Token]; ok {
 			reply <- act.Message
 			delete(s.asks, act.Token)
 		}
-	case instance.AskOrder:
+	case asks.Ask:
 		s.work(func(ctx context.Context) { s.askOrder(ctx, act) })
-	case instance.OrderAnswered:
+	case owned.Answer:
 		if reply, ok := s.orders[act.Token]; ok {
 			reply <- peer.OrderReply{Outcome: act.Outcome, Detail: act.Detail}
 			delete(s.orders, act.Token)
 		}
 	case instance.Install:
 		s.snapshot.install = act.Snapshot
-	case instance.Log:
+	case step.Log:
 		s.event(act.Event, act.Fields...)
-	case instance.Exit:
+	case shutdown.Exit:
 		s.exited <- act
 	default:
 		if work := s.environment.CarryOut(a); work != nil {
@@ -65,7 +70,7 @@
 	s.workers.Go(func() { f(s.ctx) })
 }
 
-func (s *Shell) deliver(id instance.CallID, a instance.Action) {
+func (s *Shell) deliver(id calls.ID, a step.Action) {
 	box, ok := s.calls[id]
 	if !ok {
 		return // its handler has ended
@@ -78,7 +83,7 @@
 }
 
 // interrupt ends the attempt that the call may have under way.
-func (s *Shell) interrupt(id instance.CallID) {
+func (s *Shell) interrupt(id calls.ID) {
 	if box, ok := s.calls[id]; ok {
 		if cancel := box.interrupt.Load(); cancel != nil {
 			(*cancel)()
@@ -124,7 +129,7 @@
 	s.work(func(context.Context) { s.postConfig(msg.Config, msg.From) })
 }
 
-func (s *Shell) exchange(ctx context.Context, a instance.Exchange) {
+func (s *Shell) exchange(ctx context.Context, a exchange.Begin) {
 	limit := exchangeTimeout
 	if a.Message.WantConfig {
 		limit = pullTimeout
@@ -135,30 +140,30 @@
 	if err == nil {
 		s.decodeConfig(reply)
 	}
-	s.post(instance.ExchangeReply{Peer: a.Peer, Address: a.Address, Message: reply, Err: err})
+	s.post(exchange.Reply{Peer: a.Peer, Address: a.Address, Message: reply, Err: err})
 }
 
 // askTime bounds how long the owner of an engine is waited for.
 // Set in fd5c1f7.
 const askTime = time.Second
 
-func (s *Shell) askOrder(ctx context.Context, a instance.AskOrder) {
+func (s *Shell) askOrder(ctx context.Context, a asks.Ask) {
 	ctx, done := context.WithTimeout(ctx, askTime)
 	defer done()
 	reply, err := s.peers.Order(ctx, a.Address, s.self.Name, a.Engine, a.Request)
 	if err != nil {
 		reply = peer.OrderReply{Outcome: owned.Failed, Detail: err.Error()}
 	}
-	s.post(instance.AskOrderReply{Engine: a.Engine, Request: a.Request, Outcome: reply.Outcome, Detail: reply.Detail})
+	s.post(asks.Reply{Engine: a.Engine, Request: a.Request, Outcome: reply.Outcome, Detail: reply.Detail})
 }
 
 // TakeOrder answers a peer that asks for an order.
 func (s *Shell) TakeOrder(ctx context.Context, from, engine string, r orders.Request) (peer.OrderReply, error) {
 	reply := make(chan peer.OrderReply, 1)
-	s.do(func(s *Shell) instance.Event {
+	s.do(func(s *Shell) step.Event {
 		s.nextAsk++
 		s.orders[s.nextAsk] = reply
-		return instance.OrderAsked{Token: s.nextAsk, From: from, Engine: engine, Request: r}
+		return owned.Asked{Token: s.nextAsk, From: from, Engine: engine, Request: r}
 	})
 	select {
 	case out := <-reply:
--- a/internal/shell/shell.go
+++ b/internal/shell/shell.go
@@ -15,12 +15,16 @@
 
 	"github.com/go-logr/logr"
 
+	"github.com/birchdrift/birchdrift/core/calls"
 	"github.com/birchdrift/birchdrift/core/clock"
 	"github.com/birchdrift/birchdrift/core/config"
+	"github.com/birchdrift/birchdrift/core/exchange"
 	"github.com/birchdrift/birchdrift/core/instance"
 	"github.com/birchdrift/birchdrift/core/logevent"
 	"github.com/birchdrift/birchdrift/core/member"
 	"github.com/birchdrift/birchdrift/core/share"
+	"github.com/birchdrift/birchdrift/core/shutdown"
+	"github.com/birchdrift/birchdrift/core/step"
 	"github.com/birchdrift/birchdrift/internal/peer"
 	"github.com/birchdrift/birchdrift/internal/telemetry"
 )
@@ -39,7 +43,7 @@
 type Environment struct {
 	// CarryOut returns the work that carries an action out, nil for an action
 	// that is not the environment's. The work posts the action's reply.
-	CarryOut func(a instance.Action) func(ctx context.Context)
+	CarryOut func(a step.Action) func(ctx context.Context)
 	// Decode reads a configuration as instances hand it to each other.
 	Decode func(data []byte) (config.Document, error)
 }
@@ -50,7 +54,7 @@
 	// Now reads both clocks.
 	Now func() clock.Instant
 	// Post hands an event to the machine.
-	Post func(ev instance.Event)
+	Post func(ev step.Event)
 	// PostConfig decodes a configuration that came from source and posts it.
 	PostConfig func(data []byte, source string)
 	// Config returns the configuration in force, nil if there is none.
@@ -74,13 +78,13 @@
 	metrics     *telemetry.Metrics
 	start       time.Time
 
-	events   chan func(*Shell) instance.Event
-	calls    map[instance.CallID]*callBox
+	events   chan func(*Shell) step.Event
+	calls    map[calls.ID]*callBox
 	asks     map[uint64]chan share.Message
 	orders   map[uint64]chan peer.OrderReply
 	nextAsk  uint64
 	workers  sync.WaitGroup
-	exited   chan instance.Exit
+	exited   chan shutdown.Exit
 	ctx      context.Context
 	snapshot snapshotCell
 }
@@ -95,11 +99,11 @@
 		log:     log,
 		metrics: metrics,
 		start:   time.Now(),
-		events:  make(chan func(*Shell) instance.Event, eventQueue),
-		calls:   map[instance.CallID]*callBox{},
+		events:  make(chan func(*Shell) step.Event, eventQueue),
+		calls:   map[calls.ID]*callBox{},
 		asks:    map[uint64]chan share.Message{},
 		orders:  map[uint64]chan peer.OrderReply{},
-		exited:  make(chan instance.Exit, 1),
+		exited:  make(chan shutdown.Exit, 1),
 		ctx:     ctx,
 	}
 	s.environment = join(Host{
@@ -146,7 +150,7 @@
 	}
 }
 
-func (s *Shell) step(ev instance.Event) {
+func (s *Shell) step(ev step.Event) {
 	for _, a := range s.machine.Step(s.Now(), ev) {
 		s.carryOut(a)
 	}
@@ -154,13 +158,13 @@
 }
 
 // post hands an event to the machine's goroutine.
-func (s *Shell) post(ev instance.Event) {
-	s.do(func(*Shell) instance.Event { return ev })
+func (s *Shell) post(ev step.Event) {
+	s.do(func(*Shell) step.Event { return ev })
 }
 
 // do runs f on the machine's goroutine; the event it returns, if any, is
 // stepped. Nothing happens once the shell has ended.
-func (s *Shell) do(f func(*Shell) instance.Event) {
+func (s *Shell) do(f func(*Shell) step.Event) {
 	select {
 	case s.events <- f:
 	case <-s.ctx.Done():
@@ -168,7 +172,7 @@
 }
 
 // Exited delivers the machine's Exit after a stop.
-func (s *Shell) Exited() <-chan instance.Exit { return s.exited }
+func (s *Shell) Exited() <-chan shutdown.Exit { return s.exited }
 
 // Retune has the machine take over changed tunables.
 func (s *Shell) Retune(r instance.Retune) { s.post(r) }
@@ -188,7 +192,7 @@
 // Status asks the machine for its state.
 func (s *Shell) Status(ctx context.Context) (instance.Status, error) {
 	reply := make(chan instance.Status, 1)
-	s.do(func(s *Shell) instance.Event {
+	s.do(func(s *Shell) step.Event {
 		reply <- s.machine.Status(s.Now())
 		return nil
 	})
@@ -202,24 +206,24 @@
 
 // A callBox is the shell's side of one call.
 type callBox struct {
-	actions   chan instance.Action
+	actions   chan step.Action
 	interrupt atomic.Pointer[context.CancelFunc]
 }
 
 // A Session is the handler's side of one call.
 type Session struct {
-	ID      instance.CallID
-	Actions <-chan instance.Action // Dispatch or Finish
+	ID      calls.ID
+	Actions <-chan step.Action // Dispatch or Finish
 	box     *callBox
 	shell   *Shell
 }
 
 // Begin brings a call to the machine.
-func (s *Shell) Begin(call instance.Call) Session {
-	box := &callBox{actions: make(chan instance.Action, mailbox)}
-	s.do(func(s *Shell) instance.Event {
+func (s *Shell) Begin(call calls.Request) Session {
+	box := &callBox{actions: make(chan step.Action, mailbox)}
+	s.do(func(s *Shell) step.Event {
 		s.calls[call.ID] = box
-		return instance.Arrived{Call: call}
+		return calls.Arrived{Call: call}
 	})
 	return Session{ID: call.ID, Actions: box.actions, box: box, shell: s}
 }
@@ -229,22 +233,22 @@
 func (c Session) Interrupt(cancel context.CancelFunc) { c.box.interrupt.Store(&cancel) }
 
 // First tells the machine that the first piece came.
-func (c Session) First() { c.shell.post(instance.AnswerBegan{ID: c.ID}) }
+func (c Session) First() { c.shell.post(calls.AnswerBegan{ID: c.ID}) }
 
 // Done tells the machine that the answer is whole.
-func (c Session) Done() { c.end(instance.Completed{ID: c.ID}) }
+func (c Session) Done() { c.end(calls.Completed{ID: c.ID}) }
 
 // Gone tells the machine that the caller is gone.
-func (c Session) Gone() { c.end(instance.CallerGone{ID: c.ID}) }
+func (c Session) Gone() { c.end(calls.CallerGone{ID: c.ID}) }
 
 // Broke tells the machine that an attempt broke.
-func (c Session) Broke(b instance.AttemptFailed) {
+func (c Session) Broke(b calls.AttemptFailed) {
 	b.ID = c.ID
 	c.shell.post(b)
 }
 
-func (c Session) end(ev instance.Event) {
-	c.shell.do(func(s *Shell) instance.Event {
+func (c Session) end(ev step.Event) {
+	c.shell.do(func(s *Shell) step.Event {
 		delete(s.calls, c.ID)
 		return ev
 	})
@@ -253,10 +257,10 @@
 // Take answers an exchange that a peer began.
 func (s *Shell) Take(ctx context.Context, msg share.Message) (share.Message, error) {
 	reply := make(chan share.Message, 1)
-	s.do(func(s *Shell) instance.Event {
+	s.do(func(s *Shell) step.Event {
 		s.nextAsk++
 		s.asks[s.nextAsk] = reply
-		return instance.ExchangeAsked{Token: s.nextAsk, Message: msg}
+		return exchange.Asked{Token: s.nextAsk, Message: msg}
 	})
 	s.decodeConfig(msg)
 	select {
--- a/internal/shell/shell_test.go
+++ b/internal/shell/shell_test.go
@@ -14,12 +14,16 @@
 	"github.com/matryer/is"
 	"go.uber.org/goleak"
 
+	"github.com/birchdrift/birchdrift/core/calls"
 	"github.com/birchdrift/birchdrift/core/clock"
 	"github.com/birchdrift/birchdrift/core/config"
 	"github.com/birchdrift/birchdrift/core/instance"
+	"github.com/birchdrift/birchdrift/core/listing"
 	"github.com/birchdrift/birchdrift/core/member"
 	"github.com/birchdrift/birchdrift/core/option"
+	"github.com/birchdrift/birchdrift/core/own/kvwatch"
 	"github.com/birchdrift/birchdrift/core/share"
+	"github.com/birchdrift/birchdrift/core/step"
 	"github.com/birchdrift/birchdrift/internal/peer"
 	"github.com/birchdrift/birchdrift/internal/telemetry"
 	"github.com/birchdrift/birchdrift/internal/upstream"
@@ -39,14 +43,14 @@
 // nowhere is an environment that fails every request.
 func nowhere(h Host) Environment {
 	return Environment{
-		CarryOut: func(a instance.Action) func(ctx context.Context) {
+		CarryOut: func(a step.Action) func(ctx context.Context) {
 			switch a.(type) {
-			case instance.WatchConfig:
+			case kvwatch.Config:
 				return func(context.Context) {
 					h.Post(instance.ConfigReply{Source: instance.PlatformSource, Err: errors.New("nobody there")})
 				}
-			case instance.WatchList:
-				return func(context.Context) { h.Post(instance.ListReply{Err: errors.New("nobody there")}) }
+			case kvwatch.List:
+				return func(context.Context) { h.Post(listing.Reply{Err: errors.New("nobody there")}) }
 			}
 			return nil
 		},
@@ -106,8 +110,8 @@
 	t.Run("call", func(t *testing.T) {
 		is := is.New(t)
 		s := running(t, nobody(t))
-		call := s.Begin(instance.Call{ID: 1, Service: "x"})
-		finish, ok := (<-call.Actions).(instance.Finish)
+		call := s.Begin(calls.Request{ID: 1, Service: "x"})
+		finish, ok := (<-call.Actions).(calls.Finish)
 		is.True(ok)
 		is.Equal(int(finish.Refusal.Code), 402)
 		ready, reason := s.Ready()
--- a/internal/telemetry/metrics.go
+++ b/internal/telemetry/metrics.go
@@ -9,8 +9,9 @@
 
 	"github.com/VictoriaMetrics/metrics"
 
-	"github.com/birchdrift/birchdrift/core/instance"
 	"github.com/birchdrift/birchdrift/core/logevent"
+	"github.com/birchdrift/birchdrift/core/own/planner"
+	"github.com/birchdrift/birchdrift/core/step"
 )
 
 // Metrics are the measures of one instance. They are safe for concurrent use.
@@ -85,11 +86,11 @@
 }
 
 // Action counts what the machine asked for, where that is worth a metric.
-func (m *Metrics) Action(a instance.Action) {
+func (m *Metrics) Action(a step.Action) {
 	switch act := a.(type) {
-	case instance.SendOrder:
+	case planner.SendOrder:
 		m.set.GetOrCreateCounter(fmt.Sprintf(`birchdrift_orders_total{op="%s"}`, act.Order.Op)).Inc()
-	case instance.Log:
+	case step.Log:
 		m.note(act.Event)
 	}
 }
