--- a/core/forwarding/attempts.go
+++ b/core/forwarding/attempts.go
@@ -13,8 +13,8 @@
 
 // What becomes of a call once it is sent.
 
-// first takes in the first event of the answer.
-func (f *Forwarder) first(now clock.Instant, c *calls.Call) {
+// answerBegan takes in the first event of the answer.
+func (f *Forwarder) answerBegan(now clock.Instant, c *calls.Call) {
 	s := stateOf(c)
 	s.sent.firstAt = now
 	s.progress.opened = s.route.Kind == config.Stream
@@ -36,8 +36,8 @@
 		"total_ms", now.Since(c.Arrived).Milliseconds())
 }
 
-// broke decides what follows an attempt that did not come to its proper end.
-func (f *Forwarder) broke(now clock.Instant, c *calls.Call, b calls.AttemptFailed) {
+// attemptFailed decides what follows an attempt that did not come to its proper end.
+func (f *Forwarder) attemptFailed(now clock.Instant, c *calls.Call, b calls.AttemptFailed) {
 	s := stateOf(c)
 	f.settleReplica(now, c, b)
 	c.History = c.History.WithBroken(b.Phase)
--- a/core/forwarding/forwarding.go
+++ b/core/forwarding/forwarding.go
@@ -97,8 +97,8 @@
 	f := &Forwarder{Needs: n, router: route.NewRouter()}
 	f.kind = calls.Kind{
 		FindReplica:   f.findReplica,
-		AnswerBegan:   f.first,
-		AttemptFailed: f.broke,
+		AnswerBegan:   f.answerBegan,
+		AttemptFailed: f.attemptFailed,
 		Served:        f.served,
 		Cancel:        func(*calls.Call, *pool.Replica) {}, // closing the connection is all there is
 		NotRun:        func(*calls.Call) {},
--- a/core/instance/build.go
+++ b/core/instance/build.go
@@ -31,16 +31,16 @@
 // come from seed.
 func New(self member.Identity, opt option.Options, seed uint64) *Machine {
 	m := &Machine{state: shared.New(self, opt, seed)}
-	flow, board := demand.NewTracker(), demand.NewTotals()
+	tracker, totals := demand.NewTracker(), demand.NewTotals()
 	m.buildCalls()
 	m.buildOrders()
 	m.buildExchanges()
-	m.buildForwarding(flow)
+	m.buildForwarding(tracker)
 	switch opt.Environment {
 	case option.Platform:
-		m.env = m.platformEnvironment(flow, board)
+		m.env = m.platformEnvironment(tracker, totals)
 	default:
-		m.env = m.ownEnvironment(board)
+		m.env = m.ownEnvironment(totals)
 	}
 	return m
 }
@@ -106,10 +106,10 @@
 	})
 }
 
-func (m *Machine) buildForwarding(flow *demand.Tracker) {
+func (m *Machine) buildForwarding(tracker *demand.Tracker) {
 	m.forwarding = forwarding.New(forwarding.Needs{
 		State: m.state,
-		Calls: m.calls, Budget: m.budget, Asks: m.orders.asks, Roster: m.orders.roster, Demand: flow,
+		Calls: m.calls, Budget: m.budget, Asks: m.orders.asks, Roster: m.orders.roster, Demand: tracker,
 		Used: m.orders.owned.Used,
 	})
 }
--- a/core/instance/own.go
+++ b/core/instance/own.go
@@ -13,8 +13,8 @@
 	"github.com/birchdrift/birchdrift/core/step"
 )
 
-// prefixMemory is how many prefix blocks an instance remembers, which takes it
-// about a megabyte. First version (301115d), not measured.
+// prefixMemory is how many blocks of prompts an instance remembers the replicas of.
+// First version (301115d), not measured.
 const prefixMemory = 8192
 
 // ownParts are the modules that only the product's own environment needs.
@@ -28,12 +28,12 @@
 // ownEnvironment adds the modules that only the product's own environment needs:
 // watches of its key-value service, the zone's planner, and the calls of its own
 // interface.
-func (m *Machine) ownEnvironment(board *demand.Totals) environment {
+func (m *Machine) ownEnvironment(totals *demand.Totals) environment {
 	chooser := choose.NewChooser(prefixMemory)
 	asked := meter.New()
 	p := planner.New(planner.Needs{
 		State:   m.state,
-		Chooser: chooser, Meter: asked, Board: board,
+		Chooser: chooser, Meter: asked, Board: totals,
 		Stopping: m.stop.Begun, News: m.exchanges.TellSoon, Hurry: m.exchanges.TellAll, Tell: m.exchanges.With,
 		Leaving: m.exchanges.LogLeaving,
 	})
--- a/core/instance/platform.go
+++ b/core/instance/platform.go
@@ -21,11 +21,11 @@
 
 // platformEnvironment adds the modules that only a users' platform needs: one
 // watch of its store, the owners of engines, and the placer.
-func (m *Machine) platformEnvironment(flow *demand.Tracker, board *demand.Totals) environment {
+func (m *Machine) platformEnvironment(tracker *demand.Tracker, totals *demand.Totals) environment {
 	o := &m.orders
 	placer := placement.New(placement.Needs{
 		State:    m.state,
-		Registry: o.registry, Asks: o.asks, Roster: o.roster, OwnDemand: flow, AllDemand: board,
+		Registry: o.registry, Asks: o.asks, Roster: o.roster, OwnDemand: tracker, AllDemand: totals,
 		Stopping: m.stop.Begun, Tell: m.exchanges.With, NextWatcher: m.exchanges.NextWatcher,
 	})
 	w := &watch.Watch{
--- a/core/own/modelcalls/attempts.go
+++ b/core/own/modelcalls/attempts.go
@@ -32,7 +32,7 @@
 	h.Out.Do(Cancel{ID: c.ID, Attempt: c.History.Attempts, Replica: r.Name, Address: r.Address})
 }
 
-func (h *Handler) first(now clock.Instant, c *calls.Call) {
+func (h *Handler) answerBegan(now clock.Instant, c *calls.Call) {
 	if c.Item != "" {
 		h.Meter.Met(c.Item)
 	}
@@ -51,8 +51,8 @@
 	h.Meter.Held(stateOf(c).version.Model, held)
 }
 
-// broke decides what follows an attempt that did not come to its proper end.
-func (h *Handler) broke(now clock.Instant, c *calls.Call, e calls.AttemptFailed) {
+// attemptFailed decides what follows an attempt that did not come to its proper end.
+func (h *Handler) attemptFailed(now clock.Instant, c *calls.Call, e calls.AttemptFailed) {
 	h.settleReplica(now, c, e)
 	c.History = c.History.WithBroken(e.Phase)
 	next := c.History.Next(attempt.Break{
--- a/core/own/modelcalls/modelcalls.go
+++ b/core/own/modelcalls/modelcalls.go
@@ -75,8 +75,8 @@
 	h := &Handler{Needs: n}
 	h.kind = calls.Kind{
 		FindReplica:   h.findReplica,
-		AnswerBegan:   h.first,
-		AttemptFailed: h.broke,
+		AnswerBegan:   h.answerBegan,
+		AttemptFailed: h.attemptFailed,
 		Served:        h.served,
 		Cancel:        h.cancel,
 		NotRun:        h.releaseClaim,
--- a/internal/entry/forward.go
+++ b/internal/entry/forward.go
@@ -167,7 +167,7 @@
 }
 
 func (f *forwardCall) gone(s shell.Session) {
-	s.Gone()
+	s.CallerGone()
 	f.handler.Metrics.Answered(int(code.CallerGone), time.Since(f.begun))
 	if f.opened {
 		panic(http.ErrAbortHandler)
@@ -237,7 +237,7 @@
 	if f.opened {
 		b.Delivered = max(1, f.lastEvent)
 	}
-	s.Broke(b)
+	s.AttemptFailed(b)
 	return false
 }
 
@@ -296,7 +296,7 @@
 	if err != nil {
 		return f.broke(s, d, progress, watch, calls.AttemptFailed{Status: resp.StatusCode, Detail: err.Error()})
 	}
-	s.First()
+	s.AnswerBegan()
 	if len(data) < smallAnswer && resp.ContentLength < 0 {
 		f.w.Header().Set("Content-Length", strconv.Itoa(len(data)))
 	}
@@ -323,7 +323,7 @@
 }
 
 func (f *forwardCall) done(s shell.Session) bool {
-	s.Done()
+	s.Completed()
 	f.handler.Metrics.Answered(int(code.OK), time.Since(f.begun))
 	return true
 }
@@ -351,7 +351,7 @@
 		watch.Alive()
 		if first {
 			first = false
-			s.First()
+			s.AnswerBegan()
 			f.handler.Metrics.First(time.Since(f.begun))
 			f.open(resp)
 		}
--- a/internal/own/modelapi/model.go
+++ b/internal/own/modelapi/model.go
@@ -104,14 +104,14 @@
 		m.gone(s)
 		return true
 	}
-	s.Broke(broke)
+	s.AttemptFailed(broke)
 	return false
 }
 
 // gone deals with a caller that closed its connection. Should the connection
 // be there after all, it must not see a proper end of what was begun.
 func (m *modelCall) gone(s shell.Session) {
-	s.Gone()
+	s.CallerGone()
 	m.handler.Metrics.Answered(int(code.CallerGone), time.Since(m.begun))
 	if m.started {
 		panic(http.ErrAbortHandler)
@@ -152,7 +152,7 @@
 		}
 		watch.Alive()
 		if m.pieces == 0 {
-			s.First()
+			s.AnswerBegan()
 			m.handler.Metrics.First(time.Since(m.begun))
 		}
 		m.pieces++
@@ -238,7 +238,7 @@
 		m.mark(d)
 		entry.WriteJSON(m.w, http.StatusOK, m.form.whole(m.text.String(), p.Reason, m.call.PromptTokens, m.pieces-1))
 	}
-	s.Done()
+	s.Completed()
 	m.handler.Metrics.Answered(int(code.OK), time.Since(m.begun))
 	return calls.AttemptFailed{}, true
 }
--- a/internal/own/modelapi/plain.go
+++ b/internal/own/modelapi/plain.go
@@ -91,7 +91,7 @@
 		return p.broke(s, d, &progress, watch, err)
 	}
 	defer resp.Body.Close()
-	s.First()
+	s.AnswerBegan()
 	return p.pass(s, d, resp, watch)
 }
 
@@ -114,7 +114,7 @@
 }
 
 func (p *plainCall) gone(s shell.Session) {
-	s.Gone()
+	s.CallerGone()
 	p.handler.Metrics.Answered(int(code.CallerGone), time.Since(p.begun))
 }
 
@@ -131,7 +131,7 @@
 		b.Status = refused.Status
 		b.Leaving = refused.Leaving
 	}
-	s.Broke(b)
+	s.AttemptFailed(b)
 	return false
 }
 
@@ -145,13 +145,13 @@
 	p.w.WriteHeader(resp.StatusCode)
 	delivered, err := p.copy(resp.Body, watch)
 	if err == nil {
-		s.Done()
+		s.Completed()
 		p.handler.Metrics.Answered(int(code.OK), time.Since(p.begun))
 		return true
 	}
 	// The header is out, so no answer of our own can follow: tell the machine,
 	// take its final answer for the books, and cut the connection.
-	s.Broke(calls.AttemptFailed{Attempt: d.Attempt, Phase: attempt.Answered, Delivered: max(1, delivered), Detail: err.Error()})
+	s.AttemptFailed(calls.AttemptFailed{Attempt: d.Attempt, Phase: attempt.Answered, Delivered: max(1, delivered), Detail: err.Error()})
 	p.handler.Metrics.Answered(int(code.StreamCut), time.Since(p.begun))
 	panic(http.ErrAbortHandler)
 }
--- a/internal/shell/shell.go
+++ b/internal/shell/shell.go
@@ -232,17 +232,17 @@
 // under way, as a stop does to calls that it cuts off.
 func (c Session) Interrupt(cancel context.CancelFunc) { c.box.interrupt.Store(&cancel) }
 
-// First tells the machine that the first piece came.
-func (c Session) First() { c.shell.post(calls.AnswerBegan{ID: c.ID}) }
+// AnswerBegan tells the machine that the first piece came.
+func (c Session) AnswerBegan() { c.shell.post(calls.AnswerBegan{ID: c.ID}) }
 
-// Done tells the machine that the answer is whole.
-func (c Session) Done() { c.end(calls.Completed{ID: c.ID}) }
+// Completed tells the machine that the answer is whole.
+func (c Session) Completed() { c.end(calls.Completed{ID: c.ID}) }
 
-// Gone tells the machine that the caller is gone.
-func (c Session) Gone() { c.end(calls.CallerGone{ID: c.ID}) }
+// CallerGone tells the machine that the caller is gone.
+func (c Session) CallerGone() { c.end(calls.CallerGone{ID: c.ID}) }
 
-// Broke tells the machine that an attempt broke.
-func (c Session) Broke(b calls.AttemptFailed) {
+// AttemptFailed tells the machine that an attempt broke.
+func (c Session) AttemptFailed(b calls.AttemptFailed) {
 	b.ID = c.ID
 	c.shell.post(b)
 }
