--- a/core/forwarding/wait.go
+++ b/core/forwarding/wait.go
@@ -19,10 +19,11 @@
 	// leastRetryAfter is the least time after which a refused call is told to
 	// come back. Set in 1db316e.
 	leastRetryAfter = 250 * time.Millisecond
-	// adapterPatience is the part of its target that a call waits for an adapter
-	// to become loadable: slots come free and owners come back within moments,
-	// or not soon. Set in 1db316e.
-	adapterPatience = 0.25
+	// adapterExpected is the part of a call's target that an adapter which cannot
+	// be ordered now is expected to take, so that the call waits for the rest of
+	// it: slots come free and owners come back within moments, or not soon.
+	// Set in 1db316e.
+	adapterExpected = 0.75
 	// placementTime is what passes before an order is given for a model that is
 	// missed. Set in 7c7040a.
 	placementTime = 600 * time.Millisecond
@@ -32,19 +33,64 @@
 	retryShare = 0.25
 )
 
+// A missing says what a call lacks that no replica can serve now.
+type missing int
+
+const (
+	furtherAttempt  missing = iota // an attempt may have run, or its answer was begun
+	anyReplica                     // no replica is live
+	willingReplica                 // those that are live refused it
+	loadableAdapter                // its model is served, its adapter cannot be loaded there
+	residentModel                  // its model is resident nowhere
+)
+
+// An absence is what is known of a call that no replica can serve now.
+type absence struct {
+	run         code.Run // of its attempts so far
+	opened      bool     // its answer was begun
+	item        string   // "" if it needs none
+	refusals    int      // replicas that said they did not run it
+	adapter     string   // "" if it needs none
+	modelServed func() bool
+}
+
+// missing returns what the call lacks.
+func (a absence) missing() missing {
+	switch {
+	case a.run != code.NotRun || a.opened:
+		return furtherAttempt
+	case a.item == "":
+		return anyReplica
+	case a.refusals > 0:
+		return willingReplica
+	case a.adapter != "" && a.modelServed():
+		return loadableAdapter
+	default:
+		return residentModel
+	}
+}
+
+// worthWaiting reports whether a call that has waited so long, for what is expected
+// to take so much longer, can still be in time for its target.
+func worthWaiting(waited, expected, target time.Duration) bool { return waited+expected < target }
+
 // noReplica decides what becomes of a call that no replica can serve now.
 func (f *Forwarder) noReplica(now clock.Instant, c *calls.Call) {
 	s := stateOf(c)
-	switch {
-	case c.History.Run() != code.NotRun || s.progress.opened:
+	a := absence{
+		run: c.History.Run(), opened: s.progress.opened, item: c.Item, refusals: s.progress.refusals, adapter: s.target.adapter,
+		modelServed: func() bool { return f.modelServed(c, s) },
+	}
+	switch a.missing() {
+	case furtherAttempt:
 		f.end(c, s, 0, "no other replica can serve it")
-	case c.Item == "":
+	case anyReplica:
 		f.Calls.Refuse(c, calls.NotRun(code.NoReplica, "no live replica", leastRetryAfter))
-	case s.progress.refusals > 0:
+	case willingReplica:
 		f.Calls.Refuse(c, calls.NotRun(code.NoCapacity, "its replicas refused it", leastRetryAfter))
-	case s.target.adapter != "" && f.modelServed(c, s):
+	case loadableAdapter:
 		f.awaitAdapter(now, c)
-	default:
+	case residentModel:
 		f.awaitModel(now, c)
 	}
 }
@@ -60,18 +106,17 @@
 	return false
 }
 
-// awaitAdapter decides about a call whose adapter cannot be loaded now where its
-// model is.
+// awaitAdapter has a call wait for its adapter, or refuses it.
 func (f *Forwarder) awaitAdapter(now clock.Instant, c *calls.Call) {
-	if now.Since(c.Arrived) < time.Duration(adapterPatience*float64(c.Target)) {
+	expected := time.Duration(adapterExpected * float64(c.Target))
+	if worthWaiting(now.Since(c.Arrived), expected, c.Target) {
 		f.Calls.Wait(c)
 		return
 	}
 	f.Calls.Refuse(c, calls.NotRun(code.NotResident, fmt.Sprintf("%q cannot be loaded where its model is", c.Item), f.Calls.RetryAfter(leastRetryAfter)))
 }
 
-// awaitModel decides about a call whose model no engine can serve now: it waits
-// if the model can be there within the call's target.
+// awaitModel has a call wait for its model, or refuses it.
 func (f *Forwarder) awaitModel(now clock.Instant, c *calls.Call) {
 	s := stateOf(c)
 	if !s.missed {
@@ -80,7 +125,7 @@
 		f.Missed(now)
 	}
 	eta := f.modelETA(c, s)
-	if now.Since(c.Arrived)+eta < c.Target {
+	if worthWaiting(now.Since(c.Arrived), eta, c.Target) {
 		if !f.Calls.Queued(c) {
 			f.Out.Log(logevent.CallWaits, "call", c.Forward.Name, "item", c.Item, "for", "its model", "eta_ms", eta.Milliseconds())
 		}
--- a/core/instance/build.go
+++ b/core/instance/build.go
@@ -70,7 +70,7 @@
 		State:  m.state,
 		Roster: o.roster, Owned: o.owned,
 		Stopping: m.stop.Begun,
-		News:     func(now clock.Instant) { m.exchanges.TellSoon(now) },
+		TellSoon: func(now clock.Instant) { m.exchanges.TellSoon(now) },
 	})
 	o.asks = asks.New()
 	o.asks.Self = m.state.Self
@@ -94,7 +94,7 @@
 	m.listing = &listing.List{
 		Out: m.state.Out, Members: m.state.Members, Pool: m.state.Pool, Records: m.state.Records,
 		Announced: m.orders.owned.Announced,
-		News:      func(now clock.Instant) { m.exchanges.TellSoon(now) },
+		TellSoon:  func(now clock.Instant) { m.exchanges.TellSoon(now) },
 	}
 	m.exchanges = exchange.New(exchange.Needs{
 		State:      m.state,
--- a/core/instance/own.go
+++ b/core/instance/own.go
@@ -33,8 +33,8 @@
 	asked := meter.New()
 	p := planner.New(planner.Needs{
 		State:   m.state,
-		Chooser: chooser, Meter: asked, Board: totals,
-		Stopping: m.stop.Begun, News: m.exchanges.TellSoon, Hurry: m.exchanges.TellAll, Tell: m.exchanges.With,
+		Chooser: chooser, Meter: asked, Totals: totals,
+		Stopping: m.stop.Begun, TellSoon: m.exchanges.TellSoon, TellAll: m.exchanges.TellAll, Tell: m.exchanges.With,
 		Leaving: m.exchanges.LogLeaving,
 	})
 	h := modelcalls.New(modelcalls.Needs{
--- a/core/listing/listing.go
+++ b/core/listing/listing.go
@@ -36,8 +36,8 @@
 	Records *share.Set
 	// Announced is told which models an engine announced that it holds.
 	Announced func(now clock.Instant, engine string, models []pool.AnnouncedModel)
-	// News is called when an entry was news that peers are to be told of.
-	News func(now clock.Instant)
+	// TellSoon is called when an entry was news that peers are to be told of.
+	TellSoon func(now clock.Instant)
 
 	version uint64
 }
@@ -66,7 +66,7 @@
 func (l *List) add(now clock.Instant, from string, entry share.Listed) {
 	if l.Records.AddListed(from, entry) {
 		l.Apply(now, entry)
-		l.News(now)
+		l.TellSoon(now)
 	}
 }
 
--- a/core/own/planner/demand.go
+++ b/core/own/planner/demand.go
@@ -37,7 +37,7 @@
 	}
 	zones := p.planningZones(now)
 	told := map[string]bool{p.Self.Zone: true}
-	for _, it := range p.Board.Sum(now) {
+	for _, it := range p.Totals.Sum(now) {
 		if it.Unmet == 0 || len(p.Pool.Ready(it.Name)) > 0 {
 			continue
 		}
@@ -75,7 +75,7 @@
 	zones := p.planningZones(now)
 	// Only what this zone's own callers ask for: what other planners reported
 	// here must not come back to them as more demand.
-	own := p.Board.SumOf(now, func(name string) bool {
+	own := p.Totals.SumOf(now, func(name string) bool {
 		other := p.Members.Get(name)
 		return name == p.Self.Name || other != nil && other.Zone == p.Self.Zone
 	})
@@ -96,7 +96,7 @@
 // DemandHeard takes in what a peer's callers ask for. The next plan is made at
 // once if they wait.
 func (p *Planner) DemandHeard(now clock.Instant, peer string, items []demand.Item) {
-	p.Board.Report(now, peer, items)
+	p.Totals.Report(now, peer, items)
 	for _, it := range items {
 		if it.Unmet > 0 && p.Planning() {
 			p.planDue = now
--- a/core/own/planner/input.go
+++ b/core/own/planner/input.go
@@ -76,7 +76,7 @@
 	doc := p.Config.Document()
 	in := plan.Input{
 		Items:       p.zones.items,
-		Demand:      p.Board.Sum(now),
+		Demand:      p.Totals.Sum(now),
 		Home:        p.zones.home,
 		MoveCost:    doc.Residency.MoveCost,
 		MinimumStay: doc.Residency.MinimumStay,
--- a/core/own/planner/planner.go
+++ b/core/own/planner/planner.go
@@ -40,14 +40,14 @@
 
 	Chooser *choose.Chooser
 	Meter   *meter.Meter
-	Board   *demand.Totals
+	Totals  *demand.Totals
 	// Stopping reports whether a planned stop has begun.
 	Stopping func() bool
-	// News has the next exchanges begun soon, TellAll at once; Tell begins one
+	// TellSoon has the next exchanges begun soon, TellAll at once; Tell begins one
 	// with a peer, if there is one.
-	News  func(now clock.Instant)
-	Hurry func(now clock.Instant)
-	Tell  func(now clock.Instant, p *member.Peer)
+	TellSoon func(now clock.Instant)
+	TellAll  func(now clock.Instant)
+	Tell     func(now clock.Instant, p *member.Peer)
 	// Leaving is told of each engine that says for the first time that it is
 	// leaving.
 	Leaving func(r share.Residency)
@@ -256,7 +256,7 @@
 	p.loads = loadBudget{at: now}
 	p.Out.Log(logevent.LeaseGained, "fence", p.fence)
 	p.Records.AddHolder("", share.Holder{Zone: p.Self.Zone, Instance: p.Self.Name, Fence: p.fence})
-	p.Hurry(now)
+	p.TellAll(now)
 	p.sync()
 	p.intents.flying = true
 	p.Out.Do(ReadIntents{})
@@ -298,7 +298,7 @@
 		return
 	}
 	p.planDue = now.Add(step.Jitter(p.Rand, p.Options.PlanEvery))
-	p.Board.Report(now, p.Self.Name, p.Meter.Items(now))
+	p.Totals.Report(now, p.Self.Name, p.Meter.Items(now))
 	p.rereadDue(now)
 	p.tellLeaders(now)
 	p.raiseFences(now)
--- a/core/own/planner/read.go
+++ b/core/own/planner/read.go
@@ -120,7 +120,7 @@
 			p.Chooser.Restarted(engine)
 		}
 		p.Pool.ObserveResidency(now, engine, s.Residency)
-		p.News(now)
+		p.TellSoon(now)
 	}
 	p.observeLoad(now, engine, s.Load)
 }
--- a/core/ownership/claim.go
+++ b/core/ownership/claim.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"github.com/birchdrift/birchdrift/core/clock"
+	"github.com/birchdrift/birchdrift/core/option"
 	"github.com/birchdrift/birchdrift/core/pool"
 	"github.com/birchdrift/birchdrift/core/registry"
 	"github.com/birchdrift/birchdrift/core/rendezvous"
@@ -84,7 +85,7 @@
 	case owned:
 		claim.Former = old.Owner
 	}
-	since, free := g.freeSince(now, r, old, owned)
+	since, free := g.engineView(now, r, old, owned).freeSince(g.Options.AbsentFor)
 	if !free {
 		return claim, false
 	}
@@ -92,27 +93,53 @@
 	return claim, !now.Before(since.Add(time.Duration(g.rank(now, r)) * claimStep))
 }
 
-// freeSince returns since when nobody is to be expected to order an engine; ok
-// is false while its owner is there, or may be as far as this instance can tell.
-func (g *Registry) freeSince(now clock.Instant, r *pool.Replica, old registry.Ownership, owned bool) (since clock.Instant, ok bool) {
-	if g.steadyAt.IsZero() {
-		return since, false
-	}
-	if !owned {
-		return clock.Latest(g.steadyAt.Add(claimStep), r.SeenAt()), true
-	}
-	if old.Owner == "" {
-		return g.learnt[r.Name], true
+// An engineView is what is known of who may order an engine.
+type engineView struct {
+	steadyAt   clock.Instant // since when the store has answered; zero: it does not
+	seenAt     clock.Instant // when the engine was first announced here
+	owned      bool          // there is a record of its owner
+	owner      string        // "" if it was given back
+	learntAt   clock.Instant // when that record was learnt
+	ownerThere bool          // the owner has a record of its own
+	ownerGone  clock.Instant // since when it has none; zero if it was never seen go
+}
+
+// engineView gathers what is known. An owner without a record counts as gone from
+// the first look on at which it has none.
+func (g *Registry) engineView(now clock.Instant, r *pool.Replica, old registry.Ownership, owned bool) engineView {
+	v := engineView{steadyAt: g.steadyAt, seenAt: r.SeenAt(), owned: owned, owner: old.Owner, learntAt: g.learnt[r.Name]}
+	if g.steadyAt.IsZero() || !owned || old.Owner == "" {
+		return v
 	}
-	if _, there := g.instances[old.Owner]; there {
-		return since, false
+	_, v.ownerThere = g.instances[old.Owner]
+	if v.ownerThere {
+		return v
 	}
 	gone, seen := g.absent[old.Owner]
 	if !seen {
 		g.absent[old.Owner] = now
+	}
+	v.ownerGone = gone
+	return v
+}
+
+// freeSince returns since when nobody is to be expected to order the engine; ok is
+// false while its owner is there, or may be as far as this instance can tell.
+// absentFor is how long an owner's record must have been gone while the store
+// answered.
+func (v engineView) freeSince(absentFor time.Duration) (since clock.Instant, ok bool) {
+	switch {
+	case v.steadyAt.IsZero():
+		return since, false
+	case !v.owned:
+		return clock.Latest(v.steadyAt.Add(claimStep), v.seenAt), true
+	case v.owner == "":
+		return v.learntAt, true
+	case v.ownerThere || v.ownerGone.IsZero():
 		return since, false
+	default:
+		return clock.Latest(v.ownerGone, v.steadyAt).Add(absentFor), true
 	}
-	return clock.Latest(gone, g.steadyAt).Add(g.Options.AbsentFor), true
 }
 
 // rank returns how many instances come before this one as the owner of an
@@ -156,14 +183,15 @@
 			own.Confirm(claim)
 			continue
 		}
-		g.Owned.Acquire(now, claim, g.firstOrder(now, claim, first))
+		g.Owned.Acquire(now, claim, firstOrder(now, claim, first, g.Options))
 	}
 }
 
-// firstOrder returns when this instance may first order an engine that it has
-// just claimed; first says that nobody ever ordered it.
-func (g *Registry) firstOrder(now clock.Instant, claim registry.Ownership, first bool) clock.Instant {
-	o := g.Options
+// firstOrder returns when an instance may first order an engine that it has just
+// claimed: once no order of the former owner can be on its way any more, and the
+// gap between the orders of two owners has passed. first says that nobody ever
+// ordered it.
+func firstOrder(now clock.Instant, claim registry.Ownership, first bool, o *option.Options) clock.Instant {
 	switch {
 	case o.Disable.TurnWait:
 		return now
--- a/core/ownership/ownership.go
+++ b/core/ownership/ownership.go
@@ -115,8 +115,8 @@
 	Owned  *owned.Engines
 	// Stopping reports whether a planned stop has begun.
 	Stopping func() bool
-	// News is called when records became known that peers are to be told of.
-	News func(now clock.Instant)
+	// TellSoon is called when records became known that peers are to be told of.
+	TellSoon func(now clock.Instant)
 }
 
 // A Registry is what an instance knows of the records, and its own part in them.
@@ -152,26 +152,66 @@
 	if g.Stopping() {
 		return
 	}
-	if !g.MayOrder(now) {
-		g.loseAll(now, "this instance's record may have gone")
+	if why := g.silence(now); why != speaking {
+		g.loseAll(now, string(why))
 	}
 	g.keepEnrolled(now)
 	g.claim(now)
 }
 
-// MayOrder reports whether this instance's ownerships are certainly still its
-// own. Both clocks count, so that a machine that was suspended does not order.
-func (g *Registry) MayOrder(now clock.Instant) bool {
-	kept := g.enrolment.keptAt
-	if g.Stopping() || kept.IsZero() || now.Elapsed(kept) >= g.Options.OrderValid {
-		return false
+// A silence says why an owner may not order, "" if it may.
+type silence string
+
+// The reasons.
+const (
+	speaking      silence = ""
+	stopping      silence = "this instance stops"
+	neverRenewed  silence = "its record was never renewed"
+	renewalTooOld silence = "the last renewal of its record that was answered is too old"
+	neverHeard    silence = "it never heard of the records from the store"
+	watchTooOld   silence = "the last watch that was answered is too old"
+)
+
+// A standing is what decides whether an owner may order.
+type standing struct {
+	stopping bool
+	keptAt   clock.Instant // when the last renewal that succeeded was sent; zero: never
+	heardAt  clock.Instant // when the last watch that was answered was sent; zero: never
+}
+
+// silence returns why an owner may not order at now, valid being how long a renewal
+// and a watch are good for. Both clocks count, so that a machine that was suspended
+// does not order.
+func (s standing) silence(now clock.Instant, valid time.Duration) silence {
+	switch {
+	case s.stopping:
+		return stopping
+	case s.keptAt.IsZero():
+		return neverRenewed
+	case now.Elapsed(s.keptAt) >= valid:
+		return renewalTooOld
+	case s.heardAt.IsZero():
+		return neverHeard
+	case now.Elapsed(s.heardAt) >= valid:
+		return watchTooOld
+	default:
+		return speaking
 	}
+}
+
+// silence returns why this instance may order no engine now, "" if it may.
+func (g *Registry) silence(now clock.Instant) silence {
+	s := standing{stopping: g.Stopping(), keptAt: g.enrolment.keptAt, heardAt: g.heardAt}
 	if g.Options.Disable.HearRegistry {
-		return true
+		s.heardAt = now
 	}
-	return !g.heardAt.IsZero() && now.Elapsed(g.heardAt) < g.Options.OrderValid
+	return s.silence(now, g.Options.OrderValid)
 }
 
+// MayOrder reports whether this instance's ownerships are certainly still its
+// own.
+func (g *Registry) MayOrder(now clock.Instant) bool { return g.silence(now) == speaking }
+
 // loseAll has this instance order nothing any more. Others may have taken its
 // engines and its place as the placer without its knowledge, so it must claim
 // them anew.
@@ -217,7 +257,7 @@
 	}
 	if news {
 		g.apply(now, change)
-		g.News(now)
+		g.TellSoon(now)
 	}
 }
 
--- a/core/ownership/ownership_test.go
+++ b/core/ownership/ownership_test.go
@@ -60,7 +60,7 @@
 	}
 	for _, c := range cases {
 		claim := registry.Ownership{Engine: "e", Former: c.former, QuietMS: c.quiet.Milliseconds()}
-		is.Equal(g.firstOrder(now, claim, false), now.Add(c.want))
+		is.Equal(firstOrder(now, claim, false, g.Options), now.Add(c.want))
 	}
 }
 
@@ -89,16 +89,16 @@
 		kept, heard  time.Duration // ago; negative: never
 		stopping     bool
 		wallClockAdd time.Duration // that the wall clock went ahead of the other
-		want         bool
+		want         silence
 	}{
-		{"both recent", time.Second, time.Second, false, 0, true},
-		{"never renewed", -1, time.Second, false, 0, false},
-		{"never heard", time.Second, -1, false, 0, false},
-		{"renewed too long ago", valid, 0, false, 0, false},
-		{"heard too long ago", 0, valid, false, 0, false},
-		{"just in time", valid - 1, valid - 1, false, 0, true},
-		{"stopping", 0, 0, true, 0, false},
-		{"suspended meanwhile", time.Second, time.Second, false, valid, false},
+		{"both recent", time.Second, time.Second, false, 0, speaking},
+		{"never renewed", -1, time.Second, false, 0, neverRenewed},
+		{"never heard", time.Second, -1, false, 0, neverHeard},
+		{"renewed too long ago", valid, 0, false, 0, renewalTooOld},
+		{"heard too long ago", 0, valid, false, 0, watchTooOld},
+		{"just in time", valid - 1, valid - 1, false, 0, speaking},
+		{"stopping", 0, 0, true, 0, stopping},
+		{"suspended meanwhile", time.Second, time.Second, false, valid, renewalTooOld},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -113,7 +113,8 @@
 				g.WatchAnswered(now.Add(-c.heard))
 			}
 			now.Wall = now.Wall.Add(c.wallClockAdd)
-			is.Equal(g.MayOrder(now), c.want)
+			is.Equal(g.silence(now), c.want)
+			is.Equal(g.MayOrder(now), c.want == speaking)
 		})
 	}
 }
@@ -147,7 +148,7 @@
 			if c.prepare != nil {
 				c.prepare(g)
 			}
-			since, free := g.freeSince(now, g.Pool.Get("e"), c.old, c.owned)
+			since, free := g.engineView(now, g.Pool.Get("e"), c.old, c.owned).freeSince(absent)
 			is.Equal(free, c.free)
 			if free {
 				is.Equal(since, c.since)
