--- a/core/logevent/logevent.go
+++ b/core/logevent/logevent.go
@@ -34,6 +34,7 @@
 	EngineLost        Number = 1314
 	NotReturned       Number = 1315
 	RecordUnreadable  Number = 1316
+	Watching          Number = 1317
 	Order             Number = 1401
 	OrderRefused      Number = 1402
 	OrderLost         Number = 1403
@@ -113,6 +114,7 @@
 	{EngineLost, "engine_lost", "This instance no longer orders the engine.", "None."},
 	{NotReturned, "not_returned", "At a planned stop, or after a call that did not run, something could not be given back to the platform; others wait until it lapses.", "Check the platform if it lasts."},
 	{RecordUnreadable, "record_unreadable", "A record in the platform's store cannot be read and is passed over.", "See who wrote the key; a replica's entry without an address counts too."},
+	{Watching, "watching", "This instance watches the platform's store from now on, or no longer does (`keeps`), and why.", "None; one that begins again and again hears too late from its peers."},
 	{Placing, "placing", "This instance places models from now on.", "None."},
 	{Placed, "placement", "A model is to be loaded on an engine, and others to make way for it.", "None; `worth` and `cost` say why."},
 	{PlaceEnded, "placement_ended", "A placement is done, or was given up.", "None."},
--- a/core/watch/watch.go
+++ b/core/watch/watch.go
@@ -11,6 +11,7 @@
 
 	"github.com/birchdrift/birchdrift/core/clock"
 	"github.com/birchdrift/birchdrift/core/exchange"
+	"github.com/birchdrift/birchdrift/core/logevent"
 	"github.com/birchdrift/birchdrift/core/option"
 	"github.com/birchdrift/birchdrift/core/outage"
 	"github.com/birchdrift/birchdrift/core/ownership"
@@ -41,6 +42,52 @@
 // IsEvent implements step.Event.
 func (Reply) IsEvent() {}
 
+// A reason says why an instance watches the store, "" if it does not.
+type reason string
+
+// The reasons, in the order in which they are looked for.
+const (
+	notNeeded   reason = ""
+	noPeerHeard reason = "no peer was heard"
+	onRoster    reason = "it is one of its zone's watchers"
+	ownsEngines reason = "it owns engines"
+	placesNow   reason = "it places models"
+	newsTooOld  reason = "what peers told it of the store is too old"
+	peersAhead  reason = "peers have had a newer configuration for too long"
+)
+
+// A view is what decides whether an instance watches.
+type view struct {
+	alone    bool          // no peer was heard
+	onRoster bool          // it is one of its zone's watchers
+	engines  int           // that it owns
+	placer   bool          // it places models
+	newsAge  time.Duration // of the newest news of the store, from whomever
+	behind   time.Duration // how long peers have had a newer configuration; 0: they have not
+}
+
+// reason returns why an instance watches. Without a watch an owner could not know
+// that it is still one, and an instance that nobody tells of changes must ask for
+// them itself.
+func (v view) reason() reason {
+	switch {
+	case v.alone:
+		return noPeerHeard
+	case v.onRoster:
+		return onRoster
+	case v.engines > 0:
+		return ownsEngines
+	case v.placer:
+		return placesNow
+	case v.newsAge > storeSilence:
+		return newsTooOld
+	case v.behind > BehindLimit:
+		return peersAhead
+	default:
+		return notNeeded
+	}
+}
+
 // A Watch is one instance's watch of the store. The fields must be set before its
 // use.
 type Watch struct {
@@ -54,27 +101,38 @@
 	// Stopping reports whether a planned stop has begun.
 	Stopping func() bool
 
-	job step.Job
+	job    step.Job
+	logged reason // that was logged last
 }
 
-// Keeps reports whether this instance watches now.
-func (w *Watch) Keeps(now clock.Instant) bool {
-	if w.Exchanges.Alone(now) {
-		return true
+// view gathers what decides now.
+func (w *Watch) view(now clock.Instant) view {
+	alone := w.Exchanges.Alone(now)
+	behind, _ := w.Exchanges.Behind(now)
+	return view{
+		alone:    alone,
+		onRoster: !alone && w.Roster.Includes(now),
+		engines:  w.Registry.Owned.Len(),
+		placer:   w.Registry.HoldsPlacer(),
+		newsAge:  w.Exchanges.StoreAge(now),
+		behind:   behind,
 	}
-	if w.Roster.Includes(now) || w.Registry.Owned.Len() > 0 || w.Registry.HoldsPlacer() {
-		return true
-	}
-	behind, ok := w.Exchanges.Behind(now)
-	return w.Exchanges.StoreAge(now) > storeSilence || ok && behind > BehindLimit
 }
 
+// Keeps reports whether this instance watches now.
+func (w *Watch) Keeps(now clock.Instant) bool { return w.view(now).reason() != notNeeded }
+
 // Brings reports whether this instance hears of changes from the store itself.
 func (w *Watch) Brings(now clock.Instant) bool { return w.Keeps(now) && !w.Outage.Down() }
 
 // Tick begins the next watch if it is due.
 func (w *Watch) Tick(now clock.Instant) {
-	if w.Stopping() || !w.Keeps(now) || !w.job.Ready(now) {
+	if w.Stopping() {
+		return
+	}
+	why := w.view(now).reason()
+	w.log(why)
+	if why == notNeeded || !w.job.Ready(now) {
 		return
 	}
 	w.job.Begin(now)
@@ -91,3 +149,12 @@
 	}
 	w.job.End(now.Add(max(w.Options.WatchEvery, w.Outage.Wait(w.Rand))))
 }
+
+// log notes that the instance begins to watch, or no longer does.
+func (w *Watch) log(why reason) {
+	if (why == notNeeded) == (w.logged == notNeeded) {
+		return
+	}
+	w.logged = why
+	w.Out.Log(logevent.Watching, "keeps", why != notNeeded, "reason", string(why))
+}
--- /dev/null
+++ b/core/watch/watch_test.go
@@ -0,0 +1,31 @@
+package watch
+
+import (
+	"testing"
+	"time"
+
+	"github.com/matryer/is"
+)
+
+// TestWhoWatches: of what makes an instance watch, the first that holds is named.
+func TestWhoWatches(t *testing.T) {
+	told := view{newsAge: storeSilence, behind: BehindLimit}
+	for _, tt := range []struct {
+		name string
+		view view
+		want reason
+	}{
+		{"peers tell it all", told, notNeeded},
+		{"alone", view{alone: true, engines: 1}, noPeerHeard},
+		{"on the roster", view{onRoster: true, placer: true}, onRoster},
+		{"an owner", view{engines: 1, placer: true}, ownsEngines},
+		{"the placer", view{placer: true, newsAge: time.Hour}, placesNow},
+		{"its news grew old", view{newsAge: storeSilence + 1, behind: time.Hour}, newsTooOld},
+		{"peers are ahead", view{behind: BehindLimit + 1}, peersAhead},
+	} {
+		t.Run(tt.name, func(t *testing.T) {
+			is := is.New(t)
+			is.Equal(tt.view.reason(), tt.want)
+		})
+	}
+}
