--- a/core/placement/placer.go
+++ b/core/placement/placer.go
@@ -85,14 +85,6 @@
 	readyAt  map[copyKey]clock.Instant // since when a copy is seen ready
 }
 
-// A change is a Change under way.
-type change struct {
-	Change
-	begun   clock.Instant
-	askedAt clock.Instant
-	counted bool // its load from the weight store was counted
-}
-
 // A copyKey names a copy of a model on an engine.
 type copyKey struct{ engine, item string }
 
@@ -181,40 +173,43 @@
 
 // advance takes the next step of a change, and ends it if there is none.
 func (p *Placer) advance(now clock.Instant, c *change) {
-	r := p.Pool.Get(c.Engine)
-	switch {
-	case r == nil || !r.Usable():
-		p.end(c, "the engine is gone")
-		return
-	case now.Since(c.begun) > changeTime:
-		p.end(c, "it took too long")
-		return
-	case r.Phase(c.Load) == pool.Ready:
-		p.end(c, "done", "took", now.Since(c.begun).String())
-		return
-	case r.Phase(c.Load) == pool.Loading || now.Before(c.askedAt.Add(changeRepeat)) && !c.askedAt.IsZero():
+	engine := p.engineState(c.Engine)
+	if o := c.outcome(now, engine); o != underWay {
+		p.end(now, c, o)
 		return
 	}
-	for _, model := range c.Drop {
-		if r.Phase(model) != 0 {
-			p.ask(now, c, orders.Request{Model: model})
-			return
-		}
+	request, due := c.nextOrder(now, engine)
+	if !due {
+		return
 	}
 	// A load is counted where it begins: what makes way may take seconds to go,
 	// and loads that were planned over seconds would begin together.
-	if c.Source == pool.WeightStore && !c.counted {
+	if request.Load && c.Source == pool.WeightStore && !c.counted {
 		if !p.loads.spend() {
 			return
 		}
 		c.counted = true
 	}
-	p.ask(now, c, orders.Request{Load: true, Model: c.Load})
+	p.ask(now, c, request)
+}
+
+// engineState returns what an engine that is changed is known to hold.
+func (p *Placer) engineState(name string) engineState {
+	r := p.Pool.Get(name)
+	if r == nil {
+		return engineState{}
+	}
+	return engineState{usable: r.Usable(), phase: r.Phase}
 }
 
-func (p *Placer) end(c *change, detail string, more ...any) {
+// end forgets a change that has ended.
+func (p *Placer) end(now clock.Instant, c *change, o outcome) {
 	delete(p.changes, c.Engine)
-	p.Out.Log(logevent.PlaceEnded, append([]any{"engine", c.Engine, "load", c.Load, "detail", detail}, more...)...)
+	fields := []any{"engine", c.Engine, "load", c.Load, "detail", string(o)}
+	if o == done {
+		fields = append(fields, "took", now.Since(c.begun).String())
+	}
+	p.Out.Log(logevent.PlaceEnded, fields...)
 }
 
 // ask asks the engine's owner for the order that a change needs next.
--- /dev/null
+++ b/core/placement/progress.go
@@ -0,0 +1,69 @@
+package placement
+
+import (
+	"github.com/birchdrift/birchdrift/core/clock"
+	"github.com/birchdrift/birchdrift/core/orders"
+	"github.com/birchdrift/birchdrift/core/pool"
+)
+
+// Changes under way: which order a change needs next, and when it has ended.
+
+// An outcome says how a change ended.
+type outcome string
+
+// The outcomes.
+const (
+	underWay    outcome = ""
+	done        outcome = "done"
+	engineGone  outcome = "the engine is gone"
+	tookTooLong outcome = "it took too long"
+)
+
+// A change is a Change under way.
+type change struct {
+	Change
+	begun   clock.Instant
+	askedAt clock.Instant // when an order was asked for last; zero: none was yet
+	counted bool          // its load from the weight store was counted
+}
+
+// An engineState is what decides how a change of an engine goes on.
+type engineState struct {
+	usable bool                              // it is known, and not leaving
+	phase  func(model string) pool.ItemPhase // 0: the model is absent
+}
+
+// outcome returns how the change ended, underWay if it has not. A change that
+// takes longer than any load is given up, so that the next placement begins from
+// what the engine holds.
+func (c *change) outcome(now clock.Instant, e engineState) outcome {
+	switch {
+	case !e.usable:
+		return engineGone
+	case now.Since(c.begun) > changeTime:
+		return tookTooLong
+	case e.phase(c.Load) == pool.Ready:
+		return done
+	default:
+		return underWay
+	}
+}
+
+// nextOrder returns the order that the change needs now; due is false while there
+// is none. What must make way is dropped first, one model after the other. An
+// order that shows no effect is asked for again after changeRepeat: it may have
+// been lost with the instance that was asked.
+func (c *change) nextOrder(now clock.Instant, e engineState) (request orders.Request, due bool) {
+	if e.phase(c.Load) == pool.Loading {
+		return request, false
+	}
+	if !c.askedAt.IsZero() && now.Before(c.askedAt.Add(changeRepeat)) {
+		return request, false
+	}
+	for _, model := range c.Drop {
+		if e.phase(model) != 0 {
+			return orders.Request{Model: model}, true
+		}
+	}
+	return orders.Request{Load: true, Model: c.Load}, true
+}
--- /dev/null
+++ b/core/placement/progress_test.go
@@ -0,0 +1,58 @@
+package placement
+
+import (
+	"testing"
+	"time"
+
+	"github.com/matryer/is"
+
+	"github.com/birchdrift/birchdrift/core/clock"
+	"github.com/birchdrift/birchdrift/core/clock/clocktest"
+	"github.com/birchdrift/birchdrift/core/orders"
+	"github.com/birchdrift/birchdrift/core/pool"
+)
+
+// TestAChangeGoesOnUntilItsModelIsReady: what makes way goes first, an order
+// without effect is repeated after a while, and the change ends when the model is
+// there, the engine is not, or it took too long.
+func TestAChangeGoesOnUntilItsModelIsReady(t *testing.T) {
+	now := clocktest.At(time.Hour)
+	ago := func(d time.Duration) clock.Instant { return now.Add(-d) }
+	type phases map[string]pool.ItemPhase
+	drop := &orders.Request{Model: "old"}
+	load := &orders.Request{Load: true, Model: "new"}
+	for _, tt := range []struct {
+		name    string
+		gone    bool
+		holds   phases
+		begun   clock.Instant
+		askedAt clock.Instant
+		outcome outcome
+		order   *orders.Request
+	}{
+		{name: "first what makes way", holds: phases{"old": pool.Ready}, begun: now, order: drop},
+		{name: "then the load", begun: now, order: load},
+		{name: "the load was asked for", begun: now, askedAt: ago(changeRepeat - 1)},
+		{name: "it shows no effect", begun: now, askedAt: ago(changeRepeat), order: load},
+		{name: "the load is under way", holds: phases{"new": pool.Loading}, begun: now, askedAt: ago(changeRepeat)},
+		{name: "the model is there", holds: phases{"new": pool.Ready}, begun: now, outcome: done},
+		{name: "the engine is gone", gone: true, begun: now, outcome: engineGone},
+		{name: "at the limit", holds: phases{"old": pool.Ready}, begun: ago(changeTime), order: drop},
+		{name: "above the limit", holds: phases{"new": pool.Ready}, begun: ago(changeTime + 1), outcome: tookTooLong},
+	} {
+		t.Run(tt.name, func(t *testing.T) {
+			is := is.New(t)
+			c := &change{Change: Change{Load: "new", Drop: []string{"old"}}, begun: tt.begun, askedAt: tt.askedAt}
+			e := engineState{usable: !tt.gone, phase: func(model string) pool.ItemPhase { return tt.holds[model] }}
+			is.Equal(c.outcome(now, e), tt.outcome)
+			if tt.outcome != underWay {
+				return
+			}
+			order, due := c.nextOrder(now, e)
+			is.Equal(due, tt.order != nil)
+			if due {
+				is.Equal(order, *tt.order)
+			}
+		})
+	}
+}
