--- a/core/own/book/book.go
+++ b/core/own/book/book.go
@@ -58,8 +58,8 @@
 
 // An outstanding order has no answer yet.
 type outstanding struct {
-	order  Order
-	unsure bool // the answer is lost; the order may arrive at any time
+	order       Order
+	unconfirmed bool // the answer is lost; the order may arrive at any time
 }
 
 // An entry is one item's hold on an engine's memory.
@@ -151,11 +151,11 @@
 	return false
 }
 
-// Unsure returns the orders whose answers are lost, by rising Seq.
-func (e *Engine) Unsure() []Order {
+// Unconfirmed returns the orders whose answers are lost, by rising Seq.
+func (e *Engine) Unconfirmed() []Order {
 	var orders []Order
 	for _, o := range e.open {
-		if o.unsure {
+		if o.unconfirmed {
 			orders = append(orders, o.order)
 		}
 	}
@@ -182,13 +182,13 @@
 	return true
 }
 
-// Inherit counts an order of an earlier holder as outstanding and unsure, as a
+// Inherit counts an order of an earlier holder as outstanding and unconfirmed, as a
 // new holder does for every intent that it finds.
 func (e *Engine) Inherit(o Order) {
 	if o.Op == Load && !e.Holds(o.Item) {
 		e.entries[o.Item] = entry{mib: o.MiB}
 	}
-	e.open[o.Seq] = outstanding{order: o, unsure: true}
+	e.open[o.Seq] = outstanding{order: o, unconfirmed: true}
 }
 
 // NotSent notes that an order certainly never left; its booking is undone.
@@ -206,7 +206,7 @@
 // Lost notes that an order's answer is lost.
 func (e *Engine) Lost(seq uint64) {
 	if o, ok := e.open[seq]; ok {
-		o.unsure = true
+		o.unconfirmed = true
 		e.open[seq] = o
 	}
 }
@@ -269,17 +269,17 @@
 		switch {
 		case seq == answered:
 			delete(e.open, seq)
-			if o.unsure && !e.checks && o.order.Op == Load {
+			if o.unconfirmed && !e.checks && o.order.Op == Load {
 				e.pin(o.order.Item) // an earlier sending may still arrive
 			}
 		case e.checks:
 			if s.Fence > o.order.Fence || (s.Fence == fence && o.order.Fence == fence && s.LastOrder >= seq) {
 				delete(e.open, seq)
 			}
-		case o.unsure && o.order.Op == Load && shown[o.order.Item]:
+		case o.unconfirmed && o.order.Op == Load && shown[o.order.Item]:
 			delete(e.open, seq)
 			e.pin(o.order.Item)
-		case o.unsure && o.order.Op == Unload && !shown[o.order.Item]:
+		case o.unconfirmed && o.order.Op == Unload && !shown[o.order.Item]:
 			delete(e.open, seq)
 		}
 	}
@@ -357,7 +357,7 @@
 		if o.order.Op == Load {
 			next.entries[o.order.Item] = entry{mib: o.order.MiB}
 		}
-		o.unsure = true
+		o.unconfirmed = true
 		next.open[seq] = o
 	}
 	return next
--- a/core/own/plan/place.go
+++ b/core/own/plan/place.go
@@ -7,17 +7,17 @@
 	"github.com/birchdrift/birchdrift/core/own/book"
 )
 
-// An option is one way to place a want.
+// An option is one way to place a missing copy.
 type option struct {
 	engine  *engine
 	load    []Item     // base first
 	victims []Resident // adapters before their models
-	cost    float64    // worth dropped
+	cost    float64    // value of what is dropped
 	spread  int        // copies in the same failure domain
 }
 
 // place gives the orders for the best option that pays.
-func (p *planner) place(w want) {
+func (p *planner) place(w missingCopy) {
 	best, ok := p.bestOption(w)
 	if !ok {
 		return
@@ -26,7 +26,7 @@
 	if w.spare && len(best.victims) > 0 {
 		return
 	}
-	pays := w.worth > hysteresis*best.cost+p.in.MoveCost*moves
+	pays := w.value > hysteresis*best.cost+p.in.MoveCost*moves
 	if len(best.victims) > 0 && !pays {
 		// One at a time: what starves and does not pay is what few ask for,
 		// and it may take the place of one popular item, not of many.
@@ -43,7 +43,7 @@
 	p.load(best, w)
 }
 
-func (p *planner) load(o option, w want) {
+func (p *planner) load(o option, w missingCopy) {
 	for _, it := range o.load {
 		if p.loads <= 0 {
 			return
@@ -55,13 +55,13 @@
 		if it.Base != "" {
 			o.engine.children[it.Base]++
 		}
-		p.steps = append(p.steps, Step{Op: book.Load, Engine: o.engine.Name, Item: it.Name, MiB: it.MiB, Worth: w.worth})
+		p.steps = append(p.steps, Step{Op: book.Load, Engine: o.engine.Name, Item: it.Name, MiB: it.MiB, Value: w.value})
 	}
 }
 
 // drop gives the unloads; the loads follow in a later plan, when the engine
-// says that the memory is free. The room is kept from lesser wants till then.
-func (p *planner) drop(o option, w want) {
+// says that the memory is free. The room is kept from less valuable copies until then.
+func (p *planner) drop(o option, w missingCopy) {
 	for _, v := range o.victims {
 		it := p.in.Items[v.Name]
 		o.engine.leaving += it.MiB
@@ -70,7 +70,7 @@
 		if it.Base != "" {
 			o.engine.children[it.Base]--
 		}
-		p.steps = append(p.steps, Step{Op: book.Unload, Engine: o.engine.Name, Item: v.Name, MiB: it.MiB, Worth: w.worth, Starving: w.forced})
+		p.steps = append(p.steps, Step{Op: book.Unload, Engine: o.engine.Name, Item: v.Name, MiB: it.MiB, Value: w.value, Starving: w.forced})
 	}
 	p.loads-- // the load this makes room for
 	for _, it := range o.load {
@@ -80,7 +80,7 @@
 	}
 }
 
-func (p *planner) bestOption(w want) (option, bool) {
+func (p *planner) bestOption(w missingCopy) (option, bool) {
 	var best option
 	found := false
 	for _, e := range p.engines {
@@ -117,8 +117,8 @@
 	return o.engine.Name < than.engine.Name
 }
 
-// option returns how the want could be placed on e, if it can.
-func (p *planner) option(e *engine, w want) (option, bool) {
+// option returns how the missing copy could be placed on e, if it can.
+func (p *planner) option(e *engine, w missingCopy) (option, bool) {
 	if _, here := e.here[w.item]; here {
 		return option{}, false
 	}
@@ -163,12 +163,12 @@
 type victim struct {
 	group []Resident // a model with its adapters, or one adapter
 	mib   int64
-	worth float64
+	value float64
 }
 
-// before orders victims by what they are worth for the memory that they take.
+// before orders victims by their value for the memory that they take.
 func (v victim) before(w victim) bool {
-	a, b := v.worth/float64(v.mib), w.worth/float64(w.mib)
+	a, b := v.value/float64(v.mib), w.value/float64(w.mib)
 	if a != b {
 		return a < b
 	}
@@ -176,7 +176,7 @@
 }
 
 // withVictims adds the cheapest residents whose dropping frees enough.
-func (p *planner) withVictims(o option, keep string, need int64, w want) (option, bool) {
+func (p *planner) withVictims(o option, keep string, need int64, w missingCopy) (option, bool) {
 	var candidates []victim
 	for name, r := range o.engine.here {
 		if name == keep || p.in.Items[name].Base != "" && p.in.Items[name].Base != keep {
@@ -188,7 +188,7 @@
 		for _, g := range group {
 			droppable = droppable && g.Settled && g.Since >= p.stay(w)
 			c.mib += p.in.Items[g.Name].MiB
-			c.worth += p.worth(g.Name, p.copies[g.Name], p.in.Covered[g.Name])
+			c.value += p.value(g.Name, p.copies[g.Name], p.in.Covered[g.Name])
 		}
 		if droppable {
 			candidates = append(candidates, c)
@@ -200,14 +200,14 @@
 			break
 		}
 		need -= c.mib
-		o.cost += c.worth
+		o.cost += c.value
 		o.victims = append(o.victims, c.group...)
 	}
 	return o, need <= 0
 }
 
 // stay returns how long an item must have been there to be dropped for w.
-func (p *planner) stay(w want) time.Duration {
+func (p *planner) stay(w missingCopy) time.Duration {
 	if w.starving {
 		return min(starvingStay, p.in.MinimumStay)
 	}
--- a/core/own/plan/plan.go
+++ b/core/own/plan/plan.go
@@ -5,7 +5,7 @@
 // without it over a horizon, weighted by policy. A step is taken only when what
 // it gains exceeds what it drops, by a margin, plus the cost that operators set
 // for a move. Noise therefore moves nothing, and a demand that has nowhere to
-// go grows in worth the longer it is unmet, so nothing starves.
+// go grows in value the longer it is unmet, so nothing starves.
 //
 // Invariants: Steps never asks for more memory than an engine has free; it
 // drops an adapter before its model; it drops no item within its minimum stay,
@@ -23,31 +23,32 @@
 
 // Tunables of the plan.
 const (
-	// Horizon is how far ahead a copy's worth is counted.
+	// Horizon is how far ahead a copy's value is counted.
 	// First version (301115d), not measured.
 	Horizon = 60 * time.Second
-	// Starving is how long an item may be unmet before it goes ahead of every
-	// worth; the stated bound of reachability builds on it. Set in 444fc44.
+	// Starving is how long an item may be unmet before it goes ahead of all
+	// else, whatever its value; the stated bound of reachability builds on it. Set in 444fc44.
 	Starving   = 6 * time.Second
 	hysteresis = 1.3 // first version (301115d), not measured
 	// fill is the share of an engine's sequences that one copy should use.
 	// First version (301115d), not measured.
 	fill = 0.7
-	// spareWorth is the worth left to a copy beyond those that demand needs.
+	// spareValue is the value left to a copy beyond those that demand needs.
 	// First version (301115d), not measured.
-	spareWorth = 0.02
-	// remoteWorth is the share of worth left when another zone has a copy: the
+	spareValue = 0.02
+	// remoteValue is the share of its value left when another zone has a copy: the
 	// way there costs a millisecond or two of a target of hundreds. Set in 9c9b9a3.
-	remoteWorth = 0.02
+	remoteValue = 0.02
 	// starvingStay is how long even an item dropped for a starving one stays,
 	// so that the calls that waited for it are served. Set in 9c9b9a3.
 	starvingStay = 4 * time.Second
-	// homeWorth is the worth of an item nobody asks for, in its home zone.
+	// assignedValue is the value of an item nobody asks for, in the zone that it is
+	// assigned to.
 	// First version (301115d), not measured.
-	homeWorth = 0.05
-	// unmetWorth is added for each second that calls have found it absent.
+	assignedValue = 0.05
+	// unmetValue is added for each second that calls have found it absent.
 	// First version (301115d), not measured.
-	unmetWorth = 0.5
+	unmetValue = 0.5
 )
 
 // An Item is a model or adapter that may be placed.
@@ -86,8 +87,8 @@
 	// item. A copy here may be dropped on the strength of these only: of two
 	// zones that each have a copy, at most one may rely on the other's.
 	Covered map[string]int
-	// Home holds the items that this zone should hold though nobody asks.
-	Home map[string]bool
+	// Assigned holds the items that this zone should hold though nobody asks.
+	Assigned map[string]bool
 	// Leads reports whether a first copy of the item is this zone's to place,
 	// of all zones that can be reached. nil means every item is.
 	Leads func(item string) bool
@@ -104,7 +105,7 @@
 	Engine string
 	Item   string
 	MiB    int64
-	Worth  float64 // of what the step is for
+	Value  float64 // of what the step is for
 	// Starving says that the step makes room for a starving item, whatever
 	// that costs.
 	Starving bool
@@ -114,7 +115,7 @@
 // unloads first and is asked for again once the room is there.
 func Steps(in Input) []Step {
 	p := newPlanner(in)
-	for _, w := range p.wants() {
+	for _, w := range p.missing() {
 		if p.loads <= 0 {
 			break
 		}
@@ -123,10 +124,10 @@
 	return p.steps
 }
 
-// A want is a copy that is missing.
-type want struct {
+// A missingCopy is a copy that is to be placed.
+type missingCopy struct {
 	item     string
-	worth    float64
+	value    float64
 	starving bool
 	forced   bool // room is made for it though that does not pay
 	spare    bool // a second copy against the loss of the first, where there is room
@@ -183,19 +184,19 @@
 	return out
 }
 
-// worth returns what the copy number n of an item (1 for the first) gains in
+// value returns what the copy number n of an item (1 for the first) gains in
 // this zone when so many copies elsewhere can be relied on.
-func (p *planner) worth(item string, n, remote int) float64 {
+func (p *planner) value(item string, n, remote int) float64 {
 	d, asked := p.demand[item]
 	if !asked {
 		if remote > 0 {
 			return 0
 		}
-		return p.idleWorth(item, n)
+		return p.idleValue(item, n)
 	}
 	calls := d.Weight * (d.Rate*Horizon.Seconds() + float64(d.Waiting))
 	if n == 1 && remote == 0 {
-		return calls + unmetWorth*d.Unmet.Seconds()
+		return calls + unmetValue*d.Unmet.Seconds()
 	}
 	others := float64(n - 1 + remote)
 	needed := p.needed(item)
@@ -204,14 +205,14 @@
 		return calls * min(1, (needed-others)/needed)
 	}
 	if n == 1 {
-		return remoteWorth * calls
+		return remoteValue * calls
 	}
-	return spareWorth * calls
+	return spareValue * calls
 }
 
-func (p *planner) idleWorth(item string, n int) float64 {
-	if n == 1 && p.in.Home[item] {
-		return homeWorth
+func (p *planner) idleValue(item string, n int) float64 {
+	if n == 1 && p.in.Assigned[item] {
+		return assignedValue
 	}
 	return 0
 }
@@ -226,9 +227,9 @@
 	return d.Concurrent / (fill * float64(sequences))
 }
 
-// wants returns the missing copies, most worth first.
-func (p *planner) wants() []want {
-	var wants []want
+// missing returns the missing copies, the most valuable first.
+func (p *planner) missing() []missingCopy {
+	var missing []missingCopy
 	for name, it := range p.in.Items {
 		if it.MiB <= 0 {
 			continue
@@ -239,32 +240,32 @@
 		if have == 0 && remote == 0 && !p.leads(name) {
 			continue
 		}
-		if have == 0 && (d.Rate > 0 || p.in.Home[name]) {
-			wants = append(wants, want{item: name, worth: p.worth(name, 1, remote), starving: d.Unmet > Starving && remote == 0})
+		if have == 0 && (d.Rate > 0 || p.in.Assigned[name]) {
+			missing = append(missing, missingCopy{item: name, value: p.value(name, 1, remote), starving: d.Unmet > Starving && remote == 0})
 			continue
 		}
 		if have > 0 && float64(have+remote) < math.Ceil(p.needed(name)) {
-			wants = append(wants, want{item: name, worth: p.worth(name, have+1, remote)})
+			missing = append(missing, missingCopy{item: name, value: p.value(name, have+1, remote)})
 			continue
 		}
-		if worth := p.worth(name, have+1, remote); have == 1 && remote == 0 && worth > p.in.MoveCost {
-			wants = append(wants, want{item: name, worth: worth, spare: true})
+		if value := p.value(name, have+1, remote); have == 1 && remote == 0 && value > p.in.MoveCost {
+			missing = append(missing, missingCopy{item: name, value: value, spare: true})
 		}
 	}
-	sort.Slice(wants, func(i, j int) bool {
-		a, b := wants[i], wants[j]
+	sort.Slice(missing, func(i, j int) bool {
+		a, b := missing[i], missing[j]
 		if a.starving != b.starving {
 			return a.starving
 		}
 		if a.spare != b.spare {
 			return b.spare
 		}
-		if a.worth != b.worth {
-			return a.worth > b.worth
+		if a.value != b.value {
+			return a.value > b.value
 		}
 		return a.item < b.item
 	})
-	return wants
+	return missing
 }
 
 func (p *planner) leads(item string) bool { return p.in.Leads == nil || p.in.Leads(item) }
--- a/core/own/planner/input.go
+++ b/core/own/planner/input.go
@@ -13,18 +13,17 @@
 
 // A zoneView holds what a plan needs of a revision, worked out once.
 type zoneView struct {
-	items map[string]plan.Item
-	home  map[string]bool // items that this zone holds though nobody asks
-	zones []string        // those with engines
+	items    map[string]plan.Item
+	assigned map[string]bool // items that this zone holds though nobody asks
+	zones    []string        // those with engines
 }
 
-// newZoneView names each model's home zone by rendezvous hashing, so that
-// zones agree without a message which of them keeps a model that nobody asks
-// for. An adapter lives with its model.
+// newZoneView assigns each model to a zone by rendezvous hashing, so that zones
+// agree without a message which of them keeps a model that nobody asks for. An adapter lives with its model.
 func newZoneView(s *config.Snapshot, zone string) zoneView {
 	doc := s.Document()
 	zones := engineZones(doc)
-	h := zoneView{items: map[string]plan.Item{}, home: map[string]bool{}, zones: zones}
+	h := zoneView{items: map[string]plan.Item{}, assigned: map[string]bool{}, zones: zones}
 	attached := map[string]bool{}
 	for _, svc := range doc.Services {
 		for _, v := range svc.Versions {
@@ -34,11 +33,11 @@
 	}
 	for _, model := range doc.Models {
 		h.items[model.Name] = plan.Item{Name: model.Name, MiB: model.MemoryMiB}
-		h.home[model.Name] = attached[model.Name] && homeZone(zones, model.Name) == zone
+		h.assigned[model.Name] = attached[model.Name] && assignedZone(zones, model.Name) == zone
 	}
 	for _, a := range doc.Adapters {
 		h.items[a.Name] = plan.Item{Name: a.Name, Base: a.Model, MiB: a.MemoryMiB}
-		h.home[a.Name] = attached[a.Name] && homeZone(zones, a.Model) == zone
+		h.assigned[a.Name] = attached[a.Name] && assignedZone(zones, a.Model) == zone
 	}
 	return h
 }
@@ -58,7 +57,8 @@
 	return zones
 }
 
-func homeZone(zones []string, model string) string {
+// assignedZone returns the zone that keeps a model that nobody asks for.
+func assignedZone(zones []string, model string) string {
 	key := rendezvous.Key(model)
 	best := ""
 	var top uint64
@@ -77,7 +77,7 @@
 	in := plan.Input{
 		Items:       p.zones.items,
 		Demand:      p.Totals.Sum(now),
-		Home:        p.zones.home,
+		Assigned:    p.zones.assigned,
 		MoveCost:    doc.Residency.MoveCost,
 		MinimumStay: doc.Residency.MinimumStay,
 		Loads:       p.loadsAllowed(now, doc.Weights),
@@ -129,7 +129,7 @@
 }
 
 // starvePeriod is how often, at a move cost of 1, a zone makes room for an item
-// that nobody would make room for on its worth. Set in 9c9b9a3.
+// that nobody would make room for for its value. Set in 9c9b9a3.
 const starvePeriod = 15 * time.Second
 
 // planningZones returns the zones with engines that somebody is known to plan
@@ -150,7 +150,7 @@
 	if base := p.zones.items[item].Base; base != "" {
 		item = base
 	}
-	return homeZone(zones, item)
+	return assignedZone(zones, item)
 }
 
 // elsewhere counts the copies ready in other zones that were heard lately, and
--- a/core/own/planner/intents.go
+++ b/core/own/planner/intents.go
@@ -127,23 +127,23 @@
 	in.queued = rest
 }
 
-// resendUnsure sends orders whose answers are lost again, to engines that check
+// resendUnconfirmed sends orders whose answers are lost again, to engines that check
 // nothing: both operations may be repeated, and only a state that shows their
 // effect, or an answer, settles them.
-func (p *Planner) resendUnsure(now clock.Instant) {
+func (p *Planner) resendUnconfirmed(now clock.Instant) {
 	for _, r := range p.Pool.All() {
 		l := p.ledgers[r.Name]
 		if l == nil || r.ChecksFence || !p.mayOrder(now, r) {
 			continue
 		}
 		ra := p.raises[r.Name]
-		unsure := l.Unsure()
-		if len(unsure) == 0 || now.Before(ra.due) {
+		unconfirmed := l.Unconfirmed()
+		if len(unconfirmed) == 0 || now.Before(ra.due) {
 			continue
 		}
 		ra.backoff = ra.backoff.WithFailure()
 		ra.due = now.Add(ra.backoff.Wait(p.Rand))
-		for _, o := range unsure {
+		for _, o := range unconfirmed {
 			p.send(o, r)
 		}
 	}
--- a/core/own/planner/orders.go
+++ b/core/own/planner/orders.go
@@ -62,7 +62,7 @@
 }
 
 // raiseFences gives the fence to engines that have not confirmed it, and asks
-// those with unsure orders, which settles them.
+// those with unconfirmed orders, which settles them.
 func (p *Planner) raiseFences(now clock.Instant) {
 	for _, r := range p.Pool.All() {
 		l := p.ledgers[r.Name]
@@ -70,7 +70,7 @@
 			continue
 		}
 		ra := p.raises[r.Name]
-		if now.Before(ra.due) || (l.Known() && len(l.Unsure()) == 0) {
+		if now.Before(ra.due) || (l.Known() && len(l.Unconfirmed()) == 0) {
 			continue
 		}
 		ra.backoff = ra.backoff.WithFailure()
--- a/core/own/planner/planner.go
+++ b/core/own/planner/planner.go
@@ -291,7 +291,7 @@
 	return p.seq
 }
 
-// planDue raises fences that are not raised yet, settles what is unsure, then
+// planDue raises fences that are not raised yet, settles what is unconfirmed, then
 // orders what the plan asks for.
 func (p *Planner) plan(now clock.Instant) {
 	if !p.Planning() || p.Stopping() || now.Before(p.planDue) {
@@ -302,7 +302,7 @@
 	p.rereadDue(now)
 	p.tellLeaders(now)
 	p.raiseFences(now)
-	p.resendUnsure(now)
+	p.resendUnconfirmed(now)
 	for _, s := range plan.Steps(p.planInput(now)) {
 		p.order(now, s)
 	}
--- a/core/placement/changes.go
+++ b/core/placement/changes.go
@@ -25,10 +25,10 @@
 	// TargetWork is the work, in engine seconds a second, that one copy of a
 	// model should have at most. Set in 7c7040a.
 	TargetWork = 0.22
-	// margin is by how much a copy must be worth more than what makes way.
+	// margin is by how much the value of a copy must exceed that of what makes way.
 	// Set in 7c7040a.
 	margin = 1.5
-	// minStoreValue is the least worth of a copy that is loaded from the store.
+	// minStoreValue is the least value of a copy that is loaded from the store.
 	// Set in 1db316e.
 	minStoreValue = 0.12
 	// minAtHandValue is the same for one whose weights the engine has at hand.
@@ -37,13 +37,13 @@
 	// runsCost is the cost of dropping a copy of a model, for each call a
 	// second that it serves: its runs must end first. Set in 7c7040a.
 	runsCost = 0.03
-	// absentValue is the worth of the first copy of a model for each call a
+	// absentValue is the value of the first copy of a model for each call a
 	// second that finds none. Set in 7c7040a.
 	absentValue = 2.0
-	// idleValue is the worth of the first copy of a model nobody asks for now.
+	// idleValue is the value of the first copy of a model nobody asks for now.
 	// Set in 7c7040a.
 	idleValue = 0.06
-	// spareValue is the worth of a second copy of a model that has one: it
+	// spareValue is the value of a second copy of a model that has one: it
 	// stands in when the first is lost. Set in 7c7040a.
 	spareValue = 0.01
 	// zoneBonus prefers an engine in a zone that has no copy of the model yet:
@@ -126,7 +126,7 @@
 	Copies int     // of the model before, for logs
 }
 
-// Changes returns the changes to begin now, the most worth first.
+// Changes returns the changes to begin now, the most valuable first.
 func Changes(in Input) []Change {
 	r := newRound(in)
 	var changes []Change
@@ -224,11 +224,11 @@
 	}
 	before := d.Work / float64(n-1)
 	after := d.Work / float64(n)
-	worth := pressure(before)*float64(n-1) - pressure(after)*float64(n)
+	value := pressure(before)*float64(n-1) - pressure(after)*float64(n)
 	if n == 2 {
-		worth += spareValue
+		value += spareValue
 	}
-	return worth
+	return value
 }
 
 // pressure is the cost of so much work on one copy: it grows faster than the
@@ -238,8 +238,8 @@
 	return TargetWork * x * x / 2
 }
 
-// candidates returns the copies that would be worth having, most worth first; of
-// each model the next one only. What is worth too little wherever its weights
+// candidates returns the copies that would be worth having, the most valuable first; of
+// each model the next one only. What has too little value wherever its weights
 // come from is left out, for each candidate is weighed on every engine.
 func (r *round) candidates() []candidate {
 	var candidates []candidate
@@ -247,8 +247,8 @@
 		if r.in.OnlyAbsent && (r.copies[name] > 0 || r.in.Demand[name].Absent == 0) {
 			continue
 		}
-		if worth := r.value(name, r.copies[name]+1); worth >= minAtHandValue || r.copies[name] == 0 {
-			candidates = append(candidates, candidate{model: name, value: worth})
+		if value := r.value(name, r.copies[name]+1); value >= minAtHandValue || r.copies[name] == 0 {
+			candidates = append(candidates, candidate{model: name, value: value})
 		}
 	}
 	sort.Slice(candidates, func(i, j int) bool {
@@ -266,7 +266,7 @@
 	source pool.Source
 	drop   []string
 	cost   float64
-	score  float64 // worth less cost and what the engine's work takes away
+	score  float64 // value less cost and what the engine's work takes away
 }
 
 func (r *round) place(c candidate) (Change, bool) {
