--- a/core/backoff/backoff.go
+++ b/core/backoff/backoff.go
@@ -8,6 +8,10 @@
 	"time"
 )
 
+// maxDoublings bounds the doublings of Base that are worked out, so that they do
+// not overflow. Not measured: a Base of 10 ms reaches three hours with it.
+const maxDoublings = 20
+
 // A Backoff is an immutable count of failures in a row with its bounds.
 type Backoff struct {
 	Base     time.Duration
@@ -37,7 +41,7 @@
 		return 0
 	}
 	ceiling := b.Max
-	if b.failures < 20 {
+	if b.failures < maxDoublings {
 		ceiling = min(b.Base<<b.failures, b.Max)
 	}
 	return b.Base + time.Duration(rng.Float64()*float64(max(ceiling-b.Base, 0)))
--- /dev/null
+++ b/core/backoff/backoff_test.go
@@ -0,0 +1,45 @@
+package backoff
+
+import (
+	"math/rand/v2"
+	"testing"
+	"time"
+
+	"github.com/matryer/is"
+)
+
+// TestWait: no wait without a failure, then between the base and a ceiling that
+// doubles with each failure up to the longest, and none again after a success.
+func TestWait(t *testing.T) {
+	const base, longest = 100 * time.Millisecond, time.Second
+	for _, tt := range []struct {
+		failures int
+		least    time.Duration
+		ceiling  time.Duration
+	}{
+		{0, 0, 0},
+		{1, base, 2 * base},
+		{2, base, 4 * base},
+		{3, base, 8 * base},
+		{4, base, longest},
+		{maxDoublings - 1, base, longest},
+		{maxDoublings, base, longest},
+		{100, base, longest},
+	} {
+		is := is.New(t)
+		rng := rand.New(rand.NewPCG(1, 1))
+		b := New(base, longest)
+		for range tt.failures {
+			b = b.WithFailure()
+		}
+		var most time.Duration
+		for range 200 {
+			wait := b.Wait(rng)
+			is.True(wait >= tt.least)   // above the base
+			is.True(wait <= tt.ceiling) // below the ceiling
+			most = max(most, wait)
+		}
+		is.True(most >= tt.ceiling*9/10) // the whole span is drawn from
+		is.Equal(b.WithSuccess().Wait(rng), time.Duration(0))
+	}
+}
--- /dev/null
+++ b/core/clock/clock_test.go
@@ -0,0 +1,31 @@
+package clock
+
+import (
+	"testing"
+	"time"
+
+	"github.com/matryer/is"
+)
+
+// TestElapsed: a lease is old if either clock says so; work is spaced by the
+// monotonic clock alone.
+func TestElapsed(t *testing.T) {
+	from := Instant{Mono: time.Hour, Wall: time.Unix(1e9, 0)}
+	for _, tt := range []struct {
+		name    string
+		mono    time.Duration
+		wall    time.Duration
+		elapsed time.Duration
+	}{
+		{"both went on", time.Second, time.Second, time.Second},
+		{"the machine was suspended", time.Second, time.Minute, time.Minute},
+		{"somebody set the wall clock back", time.Second, -time.Minute, time.Second},
+	} {
+		t.Run(tt.name, func(t *testing.T) {
+			is := is.New(t)
+			now := Instant{Mono: from.Mono + tt.mono, Wall: from.Wall.Add(tt.wall)}
+			is.Equal(now.Elapsed(from), tt.elapsed)
+			is.Equal(now.Since(from), tt.mono)
+		})
+	}
+}
--- a/core/instance/machine.go
+++ b/core/instance/machine.go
@@ -193,7 +193,7 @@
 	m.stop.Tick(now)
 }
 
-// The longest times between two steps. Expiries of waiting calls, and duties that
+// The longest times between two steps. Expiries of waiting calls, and tasks that
 // moved to this instance, are noticed within them.
 const (
 	wakeEvery     = 250 * time.Millisecond // first version (301115d), not measured
--- a/core/member/member.go
+++ b/core/member/member.go
@@ -1,9 +1,9 @@
 // Package member provides an instance's view of its peers: the other entry
 // instances, learnt from settings, from the platform's list and from exchanges.
 //
-// Nobody votes and nothing is agreed on. Every instance computes duties, such
-// as who watches the platform or who reads an engine's state, by rendezvous
-// hashing over its own view. Views may differ for some seconds; then a duty is
+// Nobody votes and nothing is agreed on. Every instance works out who does which
+// task, such as watching the platform or reading an engine's state, by rendezvous
+// hashing over its own view. Views may differ for some seconds; then a task is
 // done twice or by a neighbour, which costs calls and harms nothing.
 package member
 
@@ -16,8 +16,8 @@
 	"github.com/birchdrift/birchdrift/core/rendezvous"
 )
 
-// SilentAfter is how long a peer may fail every exchange before duties pass it
-// over, though the list still has it. First version (301115d), not measured.
+// SilentAfter is how long a peer may fail every exchange before it counts as
+// gone where tasks are assigned, though the list still has it. First version (301115d), not measured.
 const SilentAfter = 10 * time.Second
 
 // An Identity says who an instance is.
@@ -92,7 +92,7 @@
 // Forget drops a peer that the list no longer has.
 func (t *Table) Forget(name string) { delete(t.peers, name) }
 
-// Live reports whether the peer takes part in duties at now.
+// Live reports whether tasks may be assigned to the peer at now.
 func (p *Peer) Live(now clock.Instant) bool {
 	if p.Leaving {
 		return false
@@ -184,9 +184,9 @@
 }
 
 // Assigned reports whether the instance is among the n that rendezvous hashing
-// names for duty, of itself and its zone's live peers.
-func (t *Table) Assigned(now clock.Instant, duty string, n int) bool {
-	key := rendezvous.Key(duty)
+// names for a task, of itself and its zone's live peers.
+func (t *Table) Assigned(now clock.Instant, task string, n int) bool {
+	key := rendezvous.Key(task)
 	own := rendezvous.Score(key, t.self)
 	ahead := 0
 	for _, p := range t.peers {
--- /dev/null
+++ b/core/member/member_test.go
@@ -0,0 +1,92 @@
+package member
+
+import (
+	"slices"
+	"testing"
+	"time"
+
+	"github.com/matryer/is"
+
+	"github.com/birchdrift/birchdrift/core/clock/clocktest"
+)
+
+// TestWhenAPeerCountsAsGone: a peer is failing from the first exchange that
+// failed, and tasks pass it over once that lasts; an answer makes it good, and one
+// that is leaving gets no task at all.
+func TestWhenAPeerCountsAsGone(t *testing.T) {
+	start := clocktest.At(time.Hour)
+	for _, tt := range []struct {
+		name    string
+		failed  []time.Duration // when exchanges failed, after start
+		heard   time.Duration   // when it was heard last, after start; 0: never
+		leaving bool
+		at      time.Duration
+		failing bool
+		live    bool
+	}{
+		{name: "never tried", live: true},
+		{name: "one exchange failed", failed: []time.Duration{0}, at: SilentAfter - 1, failing: true, live: true},
+		{name: "it failed for long", failed: []time.Duration{0}, at: SilentAfter, failing: true},
+		{name: "later failures do not begin it anew", failed: []time.Duration{0, SilentAfter / 2}, at: SilentAfter, failing: true},
+		{name: "it answered", failed: []time.Duration{0}, heard: time.Second, at: SilentAfter, live: true},
+		{name: "it is leaving", leaving: true},
+	} {
+		t.Run(tt.name, func(t *testing.T) {
+			is := is.New(t)
+			table := New("self", "z")
+			table.Learn("p", "z", "address")
+			for _, d := range tt.failed {
+				table.Failed(start.Add(d), "p")
+			}
+			if tt.heard > 0 {
+				table.Heard(start.Add(tt.heard), "p")
+			}
+			table.SetLeaving("p", tt.leaving)
+			p := table.Get("p")
+			is.Equal(p.Failing(), tt.failing)
+			is.Equal(p.Live(start.Add(tt.at)), tt.live)
+		})
+	}
+}
+
+// TestTasksAreAssignedOnce: of instances that know each other, exactly n find
+// that a task is theirs; without one of these another takes its place.
+func TestTasksAreAssignedOnce(t *testing.T) {
+	is := is.New(t)
+	now := clocktest.At(time.Hour)
+	names := []string{"a", "b", "c", "d", "e"}
+	assigned := func(names []string) map[string]bool {
+		found := map[string]bool{}
+		for _, self := range names {
+			table := New(self, "z")
+			for _, other := range names {
+				table.Learn(other, "z", other)
+			}
+			if table.Assigned(now, "task", 2) {
+				found[self] = true
+			}
+		}
+		return found
+	}
+	all := assigned(names)
+	is.Equal(len(all), 2)
+	for gone := range all {
+		rest := slices.DeleteFunc(slices.Clone(names), func(name string) bool { return name == gone })
+		is.Equal(len(assigned(rest)), 2)
+	}
+}
+
+// TestNeighbours: the partners stand 1, 2, 4 places ahead on the ring of names.
+func TestNeighbours(t *testing.T) {
+	is := is.New(t)
+	table := New("c", "z")
+	for _, name := range []string{"a", "b", "d", "e", "f"} {
+		table.Learn(name, "z", name)
+	}
+	table.Learn("abroad", "other", "abroad")
+	var got []string
+	for _, p := range table.Neighbours() {
+		got = append(got, p.Name)
+	}
+	is.Equal(got, []string{"d", "e", "a"})
+}
--- a/core/own/planner/read.go
+++ b/core/own/planner/read.go
@@ -33,7 +33,7 @@
 
 func newReads() reads { return reads{readers: map[string]*reader{}} }
 
-// A reader is the duty of reading one engine.
+// A reader is the task of reading one engine.
 type reader struct {
 	step.Job
 	backoff backoff.Backoff
--- a/core/registry/registry.go
+++ b/core/registry/registry.go
@@ -27,7 +27,7 @@
 	Zone    string `json:"zone"`
 	Address string `json:"address"` // of its peers' listener
 	Boot    uint64 `json:"boot"`
-	// Processor is the share of a core that the instance may use; duties go to
+	// Processor is the share of a core that the instance may use; tasks go to
 	// the instances that have most.
 	Processor float64 `json:"processor,omitempty"`
 }
--- a/core/rendezvous/rendezvous.go
+++ b/core/rendezvous/rendezvous.go
@@ -4,7 +4,7 @@
 
 import "github.com/cespare/xxhash/v2"
 
-// Key returns the key of a name, such as that of a duty or an engine.
+// Key returns the key of a name, such as that of a task or an engine.
 func Key(name string) uint64 { return xxhash.Sum64String(name) }
 
 // Score returns the weight of a candidate for a key; the one with the highest
--- a/core/share/share.go
+++ b/core/share/share.go
@@ -1,6 +1,6 @@
 // Package share provides what entry instances tell each other: versioned
-// records, the deltas in which they travel, and the store that holds the newest
-// of each.
+// records, the deltas in which they travel, and the set that holds the newest of
+// each.
 //
 // The idea: every record is ordered by its origin's own counters, an engine's
 // boot and change or the list's version, so it does not matter which way or how
@@ -87,13 +87,14 @@
 	// StoreVersion is up to where the sender has heard the platform's store at
 	// first hand, so that it need not be told what changed before.
 	StoreVersion uint64
-	Stamp        uint64 // the sender's store at the time of sending
+	Stamp        uint64 // of the sender's Set at the time of sending
 	// AckBoot and Ack confirm what the receiver sent: everything up to Ack of
 	// its boot AckBoot is here.
 	AckBoot uint64
 	Ack     uint64
 	Records Records
-	// Demand is sent to the planner of the sender's zone only.
+	// Demand is what the sender's callers ask for. It is sent only to whoever
+	// places models by it.
 	Demand []demand.Item
 	// Uses is what the sender has in flight, by replica; nil if it does not say.
 	Uses map[string]pool.Use
@@ -114,14 +115,14 @@
 	registered  map[string]stamped[registry.Record]
 }
 
-// from is who told of the record; "" if it was learnt at first hand.
+// A stamped is a record with the Stamp of the set when it became new here.
 type stamped[T any] struct {
 	record T
 	stamp  uint64
-	from   string
+	from   string // who told of it; "" if it was learnt at first hand
 }
 
-// NewSet returns an empty store.
+// NewSet returns an empty set.
 func NewSet() *Set {
 	return &Set{
 		residencies: map[string]stamped[Residency]{},
@@ -135,7 +136,8 @@
 // Stamp rises with every record that became new here.
 func (s *Set) Stamp() uint64 { return s.stamp }
 
-// put stores the record if fresh says so.
+// put stores the record if there is none of its name, or newer says that it is
+// newer than that one, and reports whether it did.
 func put[T any](s *Set, into map[string]stamped[T], name, from string, rec T, newer func(old T) bool) bool {
 	old, ok := into[name]
 	if ok && !newer(old.record) {
--- /dev/null
+++ b/core/share/share_test.go
@@ -0,0 +1,108 @@
+package share
+
+import (
+	"testing"
+
+	"github.com/matryer/is"
+
+	"github.com/birchdrift/birchdrift/core/pool"
+	"github.com/birchdrift/birchdrift/core/registry"
+)
+
+// TestOlderRecordsAreNotNews: whatever way and order records arrive in, the newest
+// by its origin's counters stays.
+func TestOlderRecordsAreNotNews(t *testing.T) {
+	residency := func(boot, change uint64) func(*Set) bool {
+		return func(s *Set) bool {
+			return s.AddResidency("", Residency{Engine: "e", Residency: pool.Residency{Boot: boot, Change: change}})
+		}
+	}
+	listed := func(version uint64) func(*Set) bool {
+		return func(s *Set) bool { return s.AddListed("", Listed{Name: "l", Version: version}) }
+	}
+	holder := func(fence uint64, instance string) func(*Set) bool {
+		return func(s *Set) bool { return s.AddHolder("", Holder{Zone: "z", Instance: instance, Fence: fence}) }
+	}
+	registered := func(revision uint64) func(*Set) bool {
+		return func(s *Set) bool { return s.AddRegistered("", registry.Record{Key: "k", Revision: revision}) }
+	}
+	for _, tt := range []struct {
+		name   string
+		first  func(*Set) bool
+		second func(*Set) bool
+		news   bool
+	}{
+		{"the same residency", residency(1, 5), residency(1, 5), false},
+		{"a later change", residency(1, 5), residency(1, 6), true},
+		{"an earlier change", residency(1, 5), residency(1, 4), false},
+		{"a later boot", residency(1, 5), residency(2, 1), true},
+		{"an earlier boot", residency(2, 1), residency(1, 5), false},
+		{"a later list", listed(3), listed(4), true},
+		{"the same list", listed(3), listed(3), false},
+		{"a higher fence", holder(1, "a"), holder(2, "b"), true},
+		{"a lower fence", holder(2, "b"), holder(1, "a"), false},
+		{"the holder gave its lease back", holder(2, "b"), holder(2, ""), true},
+		{"what was given back is not held again", holder(2, ""), holder(2, "b"), false},
+		{"a later revision", registered(1), registered(2), true},
+		{"the same revision", registered(2), registered(2), false},
+	} {
+		t.Run(tt.name, func(t *testing.T) {
+			is := is.New(t)
+			s := NewSet()
+			is.True(tt.first(s)) // the first of a name is news
+			stamp := s.Stamp()
+			is.Equal(tt.second(s), tt.news)
+			is.Equal(s.Stamp() > stamp, tt.news)
+		})
+	}
+}
+
+// TestAPeerIsSentWhatItLacks: not what it confirmed, not what it told itself, no
+// loads if it has no use for them, and of the platform's store only what it did
+// not hear there.
+func TestAPeerIsSentWhatItLacks(t *testing.T) {
+	s := NewSet()
+	s.AddRegistered("", registry.Record{Key: "old", Revision: 1})
+	confirmed := s.Stamp()
+	s.AddRegistered("", registry.Record{Key: "heard", Revision: 7})
+	s.AddRegistered("", registry.Record{Key: "new", Revision: 8})
+	s.AddRegistered("peer", registry.Record{Key: "told", Revision: 9})
+	s.AddLoad("", Load{Engine: "e"})
+	for _, tt := range []struct {
+		name      string
+		stamp     uint64
+		withLoads bool
+		known     uint64
+		keys      []string
+		loads     int
+	}{
+		{"all", 0, true, 0, []string{"old", "heard", "new"}, 1},
+		{"what it did not confirm", confirmed, true, 0, []string{"heard", "new"}, 1},
+		{"it is in another zone", confirmed, false, 0, []string{"heard", "new"}, 0},
+		{"it hears the store itself", confirmed, false, 7, []string{"new"}, 0},
+	} {
+		t.Run(tt.name, func(t *testing.T) {
+			is := is.New(t)
+			records := s.Since(tt.stamp, "peer", tt.withLoads, tt.known)
+			var keys []string
+			for _, r := range records.Registered {
+				keys = append(keys, r.Key)
+			}
+			is.Equal(keys, tt.keys)
+			is.Equal(len(records.Loads), tt.loads)
+		})
+	}
+}
+
+// TestMissing: what a listing of the whole registry lacks is gone, unless it was
+// written after the listing.
+func TestMissing(t *testing.T) {
+	is := is.New(t)
+	s := NewSet()
+	for key, revision := range map[string]uint64{"there": 1, "gone": 2, "later": 9} {
+		s.AddRegistered("", registry.Record{Key: key, Revision: revision})
+	}
+	s.AddRegistered("", registry.Record{Key: "known", Revision: 3, Gone: true})
+	gone := s.Missing([]registry.Record{{Key: "there", Revision: 1}}, 8)
+	is.Equal(gone, []registry.Record{{Key: "gone", Revision: 8, Gone: true}})
+}
--- a/core/watchers/watchers.go
+++ b/core/watchers/watchers.go
@@ -78,7 +78,7 @@
 
 // suited returns the instances of a zone that have a record and answer: those
 // with the largest share of a processor first, then by rendezvous hashing. The
-// duties of a watcher once fell to instances with a fifth of a core, which then
+// tasks of a watcher once fell to instances with a fifth of a core, which then
 // lagged behind in everything else.
 func (r *Roster) suited(now clock.Instant, zone string) []string {
 	processors := map[string]float64{}
