--- a/core/instance/machine.go
+++ b/core/instance/machine.go
@@ -118,6 +118,8 @@
 	}
 }
 
+// handleCall takes in events of calls, and reports whether ev is one. A call of the
+// product's own interface is left to the environment.
 func (m *Machine) handleCall(now clock.Instant, ev step.Event) bool {
 	switch e := ev.(type) {
 	case calls.AnswerBegan:
@@ -141,6 +143,8 @@
 	return true
 }
 
+// handleOrder takes in events of engines and of who orders them, and reports
+// whether ev is one.
 func (m *Machine) handleOrder(now clock.Instant, ev step.Event) bool {
 	o := &m.orders
 	switch e := ev.(type) {
--- a/core/instance/platform.go
+++ b/core/instance/platform.go
@@ -46,7 +46,7 @@
 			o.registry.Tick, o.owned.Tick, placer.Tick, m.exchanges.TickMesh, w.Tick,
 		},
 		installed:     func(clock.Instant, *config.Snapshot) {},
-		configReplied: func(clock.Instant, error) {}, // WatchReply ends the one watch
+		configReplied: func(clock.Instant, error) {}, // watch.Reply ends the one watch
 		listReplied: func(now clock.Instant, e listing.Reply) {
 			m.exchanges.StoreVersion(e.Version)
 			m.listing.Replied(now, e)
