--- a/core/calls/call.go
+++ b/core/calls/call.go
@@ -7,7 +7,7 @@
 // of functions that the table calls.
 //
 // Invariants: a call that was taken in gets exactly one of Finish, Relay, or a
-// Dispatch whose Done ends it, unless its caller leaves; a call waits in the
+// Dispatch whose Completed ends it, unless its caller leaves; a call waits in the
 // queue exactly while its phase is Waiting and it was put there.
 package calls
 
--- a/core/calls/table.go
+++ b/core/calls/table.go
@@ -95,8 +95,8 @@
 	t.Remove(c)
 }
 
-// AttemptFailed takes in that an attempt failed. Word of an earlier attempt than the
-// last says nothing.
+// AttemptFailed takes in that an attempt failed. A report of an earlier attempt than
+// the last is ignored.
 func (t *Table) AttemptFailed(now clock.Instant, e AttemptFailed) {
 	c := t.calls[e.ID]
 	if c == nil || c.Phase != Running || e.Attempt != c.History.Attempts {
--- a/core/own/planner/input.go
+++ b/core/own/planner/input.go
@@ -193,8 +193,8 @@
 const zoneSilence = 8
 
 // loadsAllowed returns how many loads may begin now by this zone's guaranteed
-// share of the weight store, in rate and in loads at once. The share needs no
-// word from anybody, so it holds while the zone is cut off.
+// share of the weight store, in rate and in loads at once. The share is
+// known without a message, so it holds while the zone is cut off.
 func (p *Planner) loadsAllowed(now clock.Instant, w config.WeightStore) int {
 	b := &p.loads
 	share := 1 / float64(max(1, len(p.zones.zones)))
