--- a/core/ownership/claim.go
+++ b/core/ownership/claim.go
@@ -8,7 +8,6 @@
 	"github.com/birchdrift/birchdrift/core/option"
 	"github.com/birchdrift/birchdrift/core/pool"
 	"github.com/birchdrift/birchdrift/core/registry"
-	"github.com/birchdrift/birchdrift/core/rendezvous"
 	"github.com/birchdrift/birchdrift/core/step"
 )
 
@@ -90,7 +89,7 @@
 		return claim, false
 	}
 	// Should the instance that ranks first not claim, the next one does.
-	return claim, !now.Before(since.Add(time.Duration(g.rank(now, r)) * claimStep))
+	return claim, !now.Before(since.Add(time.Duration(ownerRank(r.Name, r.Zone, g.self(), g.candidates(now))) * claimStep))
 }
 
 // An engineView is what is known of who may order an engine.
@@ -142,29 +141,6 @@
 	}
 }
 
-// rank returns how many instances come before this one as the owner of an
-// engine: of those that watch the store, the ones of the engine's zone first,
-// then by rendezvous hashing.
-func (g *Registry) rank(now clock.Instant, r *pool.Replica) int {
-	ahead := 0
-	if g.Self.Zone != r.Zone {
-		ahead = len(g.Roster.Of(now, r.Zone))
-	}
-	key := rendezvous.Key(r.Name)
-	own := rendezvous.Score(key, g.Self.Name)
-	for _, zone := range g.Roster.Zones() {
-		if (zone == r.Zone) != (g.Self.Zone == r.Zone) {
-			continue
-		}
-		for _, name := range g.Roster.Of(now, zone) {
-			if name != g.Self.Name && rendezvous.Score(key, name) > own {
-				ahead++
-			}
-		}
-	}
-	return ahead
-}
-
 // claimsWritten takes in what came of claims.
 func (g *Registry) claimsWritten(now clock.Instant, e WriteReply) {
 	g.claims.inFlight = false
--- a/core/ownership/placer.go
+++ b/core/ownership/placer.go
@@ -5,7 +5,6 @@
 
 	"github.com/birchdrift/birchdrift/core/clock"
 	"github.com/birchdrift/birchdrift/core/registry"
-	"github.com/birchdrift/birchdrift/core/rendezvous"
 	"github.com/birchdrift/birchdrift/core/step"
 )
 
@@ -54,24 +53,9 @@
 	g.Out.Do(Write{Write: Records{Placer: &record}, Lease: g.enrolment.lease})
 }
 
-// PlacerRank returns how many instances come before this one as the placer: of
-// those that watch the store, the ones with more of a processor, then by
-// rendezvous hashing.
+// PlacerRank returns how many instances come before this one as the placer.
 func (g *Registry) PlacerRank(now clock.Instant) int {
-	key := rendezvous.Key(placerKey)
-	own := rendezvous.Score(key, g.Self.Name)
-	ahead := 0
-	for _, zone := range g.Roster.Zones() {
-		for _, name := range g.Roster.Of(now, zone) {
-			theirs := g.instances[name].Processor
-			switch {
-			case name == g.Self.Name || theirs < g.Self.Processor:
-			case theirs > g.Self.Processor || rendezvous.Score(key, name) > own:
-				ahead++
-			}
-		}
-	}
-	return ahead
+	return placerRank(g.self(), g.candidates(now))
 }
 
 func (g *Registry) placerWritten(now clock.Instant, e WriteReply) {
--- /dev/null
+++ b/core/ownership/rank.go
@@ -0,0 +1,72 @@
+package ownership
+
+import (
+	"github.com/birchdrift/birchdrift/core/clock"
+	"github.com/birchdrift/birchdrift/core/rendezvous"
+)
+
+// Ranks: in which order instances take what nobody holds. Every instance works its
+// own rank out and waits claimStep for each that comes before it, so that usually
+// one of them writes.
+
+// A candidate is an instance that watches the store, and so may own engines and
+// place models.
+type candidate struct {
+	name      string
+	zone      string
+	processor float64 // the share of a core that it may use, 0 if that is not known
+}
+
+// self returns this instance as a candidate.
+func (g *Registry) self() candidate {
+	return candidate{name: g.Self.Name, zone: g.Self.Zone, processor: g.Self.Processor}
+}
+
+// candidates returns the instances that watch the store, this one among them if it
+// does.
+func (g *Registry) candidates(now clock.Instant) []candidate {
+	var all []candidate
+	for _, zone := range g.Roster.Zones() {
+		for _, name := range g.Roster.Of(now, zone) {
+			all = append(all, candidate{name: name, zone: zone, processor: g.instances[name].Processor})
+		}
+	}
+	return all
+}
+
+// ownerRank returns how many candidates come before self as the owner of an
+// engine: those of the engine's zone, which reach it when the zone is cut off, then
+// by rendezvous hashing, which spreads the engines.
+func ownerRank(engine, zone string, self candidate, all []candidate) int {
+	key := rendezvous.Key(engine)
+	own := rendezvous.Score(key, self.name)
+	ahead := 0
+	for _, c := range all {
+		if c.name == self.name {
+			continue
+		}
+		near, selfNear := c.zone == zone, self.zone == zone
+		if near && !selfNear || near == selfNear && rendezvous.Score(key, c.name) > own {
+			ahead++
+		}
+	}
+	return ahead
+}
+
+// placerRank returns how many candidates come before self as the placer: those with
+// more of a processor, then by rendezvous hashing. A placer with a fifth of a core
+// once lagged behind in everything else.
+func placerRank(self candidate, all []candidate) int {
+	key := rendezvous.Key(placerKey)
+	own := rendezvous.Score(key, self.name)
+	ahead := 0
+	for _, c := range all {
+		if c.name == self.name {
+			continue
+		}
+		if c.processor > self.processor || c.processor == self.processor && rendezvous.Score(key, c.name) > own {
+			ahead++
+		}
+	}
+	return ahead
+}
