--- a/core/forwarding/forwarding_test.go
+++ b/core/forwarding/forwarding_test.go
@@ -168,9 +168,9 @@
 		code    code.Code
 		retry   time.Duration
 	}{
-		{"a plain service", target{}, "", nil, false, code.NoReplica, leastRetryAfter},
+		{"a plain service", target{}, "", nil, false, code.NoReplica, noReplicaRetryAfter},
 		{"its replicas refused it", target{model: "m"}, "m",
-			func(_ *Forwarder, _ *calls.Call, s *state) { s.progress.refusals = 1 }, false, code.NoCapacity, leastRetryAfter},
+			func(_ *Forwarder, _ *calls.Call, s *state) { s.progress.refusals = 1 }, false, code.NoCapacity, noReplicaRetryAfter},
 		{"a model that loads too slowly", target{model: "m"}, "m", nil, false, code.NotResident, 1250 * time.Millisecond},
 		{"a model that an engine has on its disk", target{model: "m"}, "m",
 			func(f *Forwarder, c *calls.Call, _ *state) {
--- a/core/forwarding/wait.go
+++ b/core/forwarding/wait.go
@@ -16,9 +16,10 @@
 // to come back.
 
 const (
-	// leastRetryAfter is the least time after which a refused call is told to
-	// come back. Set in 1db316e.
-	leastRetryAfter = 250 * time.Millisecond
+	// noReplicaRetryAfter is when a call that no replica can serve now is told to
+	// come back, at the least: replicas come back, and room comes free, within
+	// moments. Set in 1db316e.
+	noReplicaRetryAfter = 250 * time.Millisecond
 	// adapterExpected is the part of a call's target that an adapter which cannot
 	// be ordered now is expected to take, so that the call waits for the rest of
 	// it: slots come free and owners come back within moments, or not soon.
@@ -85,9 +86,9 @@
 	case furtherAttempt:
 		f.end(c, s, 0, "no other replica can serve it")
 	case anyReplica:
-		f.Calls.Refuse(c, calls.NotRun(code.NoReplica, "no live replica", leastRetryAfter))
+		f.Calls.Refuse(c, calls.NotRun(code.NoReplica, "no live replica", noReplicaRetryAfter))
 	case willingReplica:
-		f.Calls.Refuse(c, calls.NotRun(code.NoCapacity, "its replicas refused it", leastRetryAfter))
+		f.Calls.Refuse(c, calls.NotRun(code.NoCapacity, "its replicas refused it", noReplicaRetryAfter))
 	case loadableAdapter:
 		f.awaitAdapter(now, c)
 	case residentModel:
@@ -113,7 +114,7 @@
 		f.Calls.Wait(c)
 		return
 	}
-	f.Calls.Refuse(c, calls.NotRun(code.NotResident, fmt.Sprintf("%q cannot be loaded where its model is", c.Item), f.Calls.RetryAfter(leastRetryAfter)))
+	f.Calls.Refuse(c, calls.NotRun(code.NotResident, fmt.Sprintf("%q cannot be loaded where its model is", c.Item), f.Calls.RetryAfter(noReplicaRetryAfter)))
 }
 
 // awaitModel has a call wait for its model, or refuses it.
