--- a/core/registry/registry.go
+++ b/core/registry/registry.go
@@ -11,6 +11,7 @@
 
 import (
 	"encoding/json"
+	"slices"
 	"strings"
 )
 
@@ -83,7 +84,8 @@
 	Unreadable    []string // keys of records that cannot be read, and are passed over
 }
 
-// Add takes one record into the change. Records of kinds that this version of the
+// Add takes one record into the change, in place of an earlier one of the same
+// name: records are added in the order of their revisions. Records of kinds that this version of the
 // program does not know are passed over.
 func (c *Change) Add(r Record) {
 	switch {
@@ -112,6 +114,8 @@
 }
 
 func (c *Change) addInstance(name string, value []byte, gone bool) {
+	c.Instances = slices.DeleteFunc(c.Instances, func(i Instance) bool { return i.Name == name })
+	c.GoneInstances = slices.DeleteFunc(c.GoneInstances, func(n string) bool { return n == name })
 	if gone {
 		c.GoneInstances = append(c.GoneInstances, name)
 		return
@@ -125,6 +129,8 @@
 }
 
 func (c *Change) addOwner(engine string, value []byte, revision uint64, gone bool) {
+	c.Owners = slices.DeleteFunc(c.Owners, func(o Ownership) bool { return o.Engine == engine })
+	c.GoneOwners = slices.DeleteFunc(c.GoneOwners, func(e string) bool { return e == engine })
 	if gone {
 		c.GoneOwners = append(c.GoneOwners, engine)
 		return
--- /dev/null
+++ b/core/registry/registry_test.go
@@ -0,0 +1,54 @@
+package registry
+
+import (
+	"testing"
+
+	"github.com/matryer/is"
+)
+
+// TestTheLaterRecordOfANameCounts: news may bring that a record went and that it
+// was written anew, as after an outage in which the platform dropped every record.
+// Instances that were there again then counted as gone, and took each other's
+// engines again and again.
+func TestTheLaterRecordOfANameCounts(t *testing.T) {
+	written := func(v Value, revision uint64) Record {
+		return Record{Key: v.Key, Data: v.Data, Revision: revision}
+	}
+	gone := func(v Value, revision uint64) Record {
+		return Record{Key: v.Key, Revision: revision, Gone: true}
+	}
+	instance := Instance{Name: "i"}.Value()
+	owner := Ownership{Engine: "e", Owner: "i"}.Value()
+	placer := Placer{Name: "i"}.Value()
+	for _, tt := range []struct {
+		name  string
+		value Value
+	}{
+		{"instance", instance},
+		{"owner", owner},
+		{"placer", placer},
+	} {
+		t.Run(tt.name, func(t *testing.T) {
+			is := is.New(t)
+			var back, lost Change
+			back.Add(gone(tt.value, 1))
+			back.Add(written(tt.value, 2))
+			is.Equal(len(back.Instances)+len(back.Owners)+placers(back), 1)
+			is.Equal(len(back.GoneInstances)+len(back.GoneOwners), 0)
+			is.True(!back.PlacerGone)
+
+			lost.Add(written(tt.value, 1))
+			lost.Add(gone(tt.value, 2))
+			is.Equal(len(lost.Instances)+len(lost.Owners)+placers(lost), 0)
+			is.True(len(lost.GoneInstances)+len(lost.GoneOwners) == 1 || lost.PlacerGone)
+		})
+	}
+}
+
+// placers returns how many placers a change brings.
+func placers(c Change) int {
+	if c.Placer == nil {
+		return 0
+	}
+	return 1
+}
