--- a/core/ownership/ownership.go
+++ b/core/ownership/ownership.go
@@ -247,16 +247,14 @@
 // Merge takes in those of the records that are news; from is the peer that told
 // of them, "" if they were learnt from the store itself.
 func (g *Registry) Merge(now clock.Instant, from string, records []registry.Record) {
-	var change registry.Change
-	news := false
+	var news []registry.Record
 	for _, r := range records {
 		if g.Records.AddRegistered(from, r) {
-			change.Add(r)
-			news = true
+			news = append(news, r)
 		}
 	}
-	if news {
-		g.apply(now, change)
+	if len(news) > 0 {
+		g.apply(now, registry.ChangeOf(news))
 		g.TellSoon(now)
 	}
 }
--- a/core/registry/registry.go
+++ b/core/registry/registry.go
@@ -11,7 +11,6 @@
 
 import (
 	"encoding/json"
-	"slices"
 	"strings"
 )
 
@@ -84,10 +83,25 @@
 	Unreadable    []string // keys of records that cannot be read, and are passed over
 }
 
-// Add takes one record into the change, in place of an earlier one of the same
-// name: records are added in the order of their revisions. Records of kinds that this version of the
-// program does not know are passed over.
-func (c *Change) Add(r Record) {
+// ChangeOf returns what records change. Of several with one key the last counts, so
+// they must be in the order of their revisions: news may bring that a record went
+// and that it was written anew. Records of kinds that this version of the program
+// does not know are passed over.
+func ChangeOf(records []Record) Change {
+	last := make(map[string]int, len(records))
+	for i, r := range records {
+		last[r.Key] = i
+	}
+	var c Change
+	for i, r := range records {
+		if last[r.Key] == i {
+			c.add(r)
+		}
+	}
+	return c
+}
+
+func (c *Change) add(r Record) {
 	switch {
 	case r.Key == placerKey:
 		c.addPlacer(r.Data, r.Revision, r.Gone)
@@ -100,7 +114,6 @@
 
 func (c *Change) addPlacer(value []byte, revision uint64, gone bool) {
 	if gone {
-		c.Placer = nil
 		c.PlacerGone = true
 		return
 	}
@@ -110,12 +123,9 @@
 		return
 	}
 	c.Placer = &p
-	c.PlacerGone = false
 }
 
 func (c *Change) addInstance(name string, value []byte, gone bool) {
-	c.Instances = slices.DeleteFunc(c.Instances, func(i Instance) bool { return i.Name == name })
-	c.GoneInstances = slices.DeleteFunc(c.GoneInstances, func(n string) bool { return n == name })
 	if gone {
 		c.GoneInstances = append(c.GoneInstances, name)
 		return
@@ -129,8 +139,6 @@
 }
 
 func (c *Change) addOwner(engine string, value []byte, revision uint64, gone bool) {
-	c.Owners = slices.DeleteFunc(c.Owners, func(o Ownership) bool { return o.Engine == engine })
-	c.GoneOwners = slices.DeleteFunc(c.GoneOwners, func(e string) bool { return e == engine })
 	if gone {
 		c.GoneOwners = append(c.GoneOwners, engine)
 		return
--- a/core/registry/registry_test.go
+++ b/core/registry/registry_test.go
@@ -30,15 +30,12 @@
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
-			var back, lost Change
-			back.Add(gone(tt.value, 1))
-			back.Add(written(tt.value, 2))
+			back := ChangeOf([]Record{gone(tt.value, 1), written(tt.value, 2)})
 			is.Equal(len(back.Instances)+len(back.Owners)+placers(back), 1)
 			is.Equal(len(back.GoneInstances)+len(back.GoneOwners), 0)
 			is.True(!back.PlacerGone)
 
-			lost.Add(written(tt.value, 1))
-			lost.Add(gone(tt.value, 2))
+			lost := ChangeOf([]Record{written(tt.value, 1), gone(tt.value, 2)})
 			is.Equal(len(lost.Instances)+len(lost.Owners)+placers(lost), 0)
 			is.True(len(lost.GoneInstances)+len(lost.GoneOwners) == 1 || lost.PlacerGone)
 		})
