--- a/core/ownership/claim.go
+++ b/core/ownership/claim.go
@@ -2,6 +2,7 @@
 
 import (
 	"cmp"
+	"sync"
 	"time"
 
 	"github.com/birchdrift/birchdrift/core/clock"
@@ -47,11 +48,12 @@
 		return
 	}
 	var claims []registry.Ownership
+	candidates := sync.OnceValue(func() []candidate { return g.candidates(now) }) // most looks find nothing to claim
 	for _, r := range g.Pool.All() {
 		if !r.Announced || r.Kind != pool.Engine || !r.Usable() || len(claims) == registry.MaxClaims {
 			continue
 		}
-		if c, ok := g.claimOf(now, r); ok {
+		if c, ok := g.claimOf(now, r, candidates); ok {
 			claims = append(claims, c)
 		}
 	}
@@ -64,7 +66,7 @@
 
 // claimOf returns the claim of an engine; ok says whether this instance is to
 // write it now.
-func (g *Registry) claimOf(now clock.Instant, r *pool.Replica) (claim registry.Ownership, ok bool) {
+func (g *Registry) claimOf(now clock.Instant, r *pool.Replica, candidates func() []candidate) (claim registry.Ownership, ok bool) {
 	old, owned := g.owners[r.Name]
 	claim = registry.Ownership{Engine: r.Name, Owner: g.Self.Name, Boot: g.Self.Boot, Revision: old.Revision}
 	switch {
@@ -89,7 +91,7 @@
 		return claim, false
 	}
 	// Should the instance that ranks first not claim, the next one does.
-	return claim, !now.Before(since.Add(time.Duration(ownerRank(r.Name, r.Zone, g.self(), g.candidates(now))) * claimStep))
+	return claim, !now.Before(since.Add(time.Duration(ownerRank(r.Name, r.Zone, g.self(), candidates())) * claimStep))
 }
 
 // An engineView is what is known of who may order an engine.
--- a/core/ownership/rank.go
+++ b/core/ownership/rank.go
@@ -1,6 +1,8 @@
 package ownership
 
 import (
+	"cmp"
+
 	"github.com/birchdrift/birchdrift/core/clock"
 	"github.com/birchdrift/birchdrift/core/rendezvous"
 )
@@ -38,33 +40,33 @@
 // engine: those of the engine's zone, which reach it when the zone is cut off, then
 // by rendezvous hashing, which spreads the engines.
 func ownerRank(engine, zone string, self candidate, all []candidate) int {
-	key := rendezvous.Key(engine)
-	own := rendezvous.Score(key, self.name)
-	ahead := 0
-	for _, c := range all {
-		if c.name == self.name {
-			continue
-		}
-		near, selfNear := c.zone == zone, self.zone == zone
-		if near && !selfNear || near == selfNear && rendezvous.Score(key, c.name) > own {
-			ahead++
+	near := func(c candidate) int {
+		if c.zone == zone {
+			return 1
 		}
+		return 0
 	}
-	return ahead
+	return rank(engine, self, all, func(a, b candidate) int { return near(a) - near(b) })
 }
 
 // placerRank returns how many candidates come before self as the placer: those with
 // more of a processor, then by rendezvous hashing. A placer with a fifth of a core
 // once lagged behind in everything else.
 func placerRank(self candidate, all []candidate) int {
-	key := rendezvous.Key(placerKey)
-	own := rendezvous.Score(key, self.name)
+	return rank(placerKey, self, all, func(a, b candidate) int { return cmp.Compare(a.processor, b.processor) })
+}
+
+// rank returns how many candidates come before self: those that compare as more
+// suited, and of those that compare as equal the ones with a higher score for key.
+func rank(key string, self candidate, all []candidate, compare func(a, b candidate) int) int {
+	hash := rendezvous.Key(key)
+	own := rendezvous.Score(hash, self.name)
 	ahead := 0
 	for _, c := range all {
 		if c.name == self.name {
 			continue
 		}
-		if c.processor > self.processor || c.processor == self.processor && rendezvous.Score(key, c.name) > own {
+		if d := compare(c, self); d > 0 || d == 0 && rendezvous.Score(hash, c.name) > own {
 			ahead++
 		}
 	}
