--- a/core/calls/call.go
+++ b/core/calls/call.go
@@ -111,6 +111,20 @@
 	return uint64(c.ID)
 }
 
+// Dispatch returns what every sending of the call to a replica says. stall is how
+// long the replica may be silent in its answer.
+func (c *Call) Dispatch(r *pool.Replica, stall time.Duration) Dispatch {
+	return Dispatch{
+		ID:         c.ID,
+		Attempt:    c.History.Attempts,
+		Replica:    r.Name,
+		Address:    r.Address,
+		Zone:       r.Zone,
+		Repeatable: c.History.Repeatable,
+		Stall:      stall,
+	}
+}
+
 // Late reports whether the call's target has passed already.
 func (c *Call) Late(now clock.Instant) bool { return now.Since(c.Arrived) > c.Target }
 
--- a/core/calls/table.go
+++ b/core/calls/table.go
@@ -43,8 +43,7 @@
 // Get returns a call, nil if it is not in progress.
 func (t *Table) Get(id ID) *Call { return t.calls[id] }
 
-// Len returns how many calls are in progress, Waiting how many of them wait in
-// the queue.
+// Len returns how many calls are in progress.
 func (t *Table) Len() int { return len(t.calls) }
 
 // Waiting returns how many calls wait in the queue.
--- a/core/forwarding/place.go
+++ b/core/forwarding/place.go
@@ -171,22 +171,15 @@
 	if c.Item != "" {
 		priority = min(s.route.Priority, lowestRank)
 	}
-	return calls.Dispatch{
-		ID:         c.ID,
-		Attempt:    c.History.Attempts,
-		Replica:    r.Name,
-		Address:    r.Address,
-		Zone:       r.Zone,
-		Plain:      c.Item == "",
-		Model:      s.target.model,
-		Adapter:    s.target.adapter,
-		Repeatable: c.History.Repeatable,
-		Stall:      f.Options.Stall,
-		Forward: &calls.ForwardAttempt{
-			Left:      left,
-			Priority:  priority,
-			Stream:    s.route.Kind == config.Stream,
-			Resumable: s.route.Kind == config.Stream && s.route.Resumable,
-		},
+	d := c.Dispatch(r, f.Options.Stall)
+	d.Plain = c.Item == ""
+	d.Model = s.target.model
+	d.Adapter = s.target.adapter
+	d.Forward = &calls.ForwardAttempt{
+		Left:      left,
+		Priority:  priority,
+		Stream:    s.route.Kind == config.Stream,
+		Resumable: s.route.Kind == config.Stream && s.route.Resumable,
 	}
+	return d
 }
--- a/core/own/modelcalls/place.go
+++ b/core/own/modelcalls/place.go
@@ -89,21 +89,14 @@
 
 func (h *Handler) dispatchAction(c *calls.Call, r *pool.Replica, resume bool, after time.Duration) calls.Dispatch {
 	s := stateOf(c)
-	return calls.Dispatch{
-		ID:         c.ID,
-		Attempt:    c.History.Attempts,
-		Replica:    r.Name,
-		Address:    r.Address,
-		Zone:       r.Zone,
-		Plain:      c.Plain,
-		Model:      s.version.Model,
-		Adapter:    s.version.Adapter,
-		Priority:   s.verdict.Priority,
-		Repeatable: c.History.Repeatable,
-		Resume:     resume,
-		After:      after,
-		Stall:      h.Options.Stall,
-	}
+	d := c.Dispatch(r, h.Options.Stall)
+	d.Plain = c.Plain
+	d.Model = s.version.Model
+	d.Adapter = s.version.Adapter
+	d.Priority = s.verdict.Priority
+	d.Resume = resume
+	d.After = after
+	return d
 }
 
 // stillWaiting counts the calls that go on waiting for an item that no replica
--- a/core/owned/state.go
+++ b/core/owned/state.go
@@ -16,8 +16,8 @@
 	// askEvery is the least time between two questions for one engine's state.
 	// Not measured: twice the age that an answer may have, see reportLag.
 	askEvery = 250 * time.Millisecond
-	// reportLag is how old what an engine says of itself may be, by what the
-	// users' pages say of its reports ("some hundred ms"). Set in 7c7040a.
+	// reportLag is how old what an engine says of itself may be when it comes. Not
+	// measured: the platform's description of engines has some 100 ms. Set in 7c7040a.
 	reportLag = 120 * time.Millisecond
 )
 
--- a/core/ownership/ownership.go
+++ b/core/ownership/ownership.go
@@ -152,24 +152,24 @@
 	if g.Stopping() {
 		return
 	}
-	if why := g.silence(now); why != speaking {
+	if why := g.denial(now); why != allowed {
 		g.loseAll(now, string(why))
 	}
 	g.keepEnrolled(now)
 	g.claim(now)
 }
 
-// A silence says why an owner may not order, "" if it may.
-type silence string
+// A denial says why an owner may not order, "" if it may.
+type denial string
 
 // The reasons.
 const (
-	speaking      silence = ""
-	stopping      silence = "this instance stops"
-	neverRenewed  silence = "its record was never renewed"
-	renewalTooOld silence = "the last renewal of its record that was answered is too old"
-	neverHeard    silence = "it never heard of the records from the store"
-	watchTooOld   silence = "the last watch that was answered is too old"
+	allowed      denial = ""
+	stopping      denial = "this instance stops"
+	neverRenewed  denial = "its record was never renewed"
+	renewalTooOld denial = "the last renewal of its record that was answered is too old"
+	neverHeard    denial = "it never heard of the records from the store"
+	watchTooOld   denial = "the last watch that was answered is too old"
 )
 
 // A standing is what decides whether an owner may order.
@@ -179,10 +179,10 @@
 	heardAt  clock.Instant // when the last watch that was answered was sent; zero: never
 }
 
-// silence returns why an owner may not order at now, valid being how long a renewal
+// denial returns why an owner may not order at now, valid being how long a renewal
 // and a watch are good for. Both clocks count, so that a machine that was suspended
 // does not order.
-func (s standing) silence(now clock.Instant, valid time.Duration) silence {
+func (s standing) denial(now clock.Instant, valid time.Duration) denial {
 	switch {
 	case s.stopping:
 		return stopping
@@ -195,22 +195,22 @@
 	case now.Elapsed(s.heardAt) >= valid:
 		return watchTooOld
 	default:
-		return speaking
+		return allowed
 	}
 }
 
-// silence returns why this instance may order no engine now, "" if it may.
-func (g *Registry) silence(now clock.Instant) silence {
+// denial returns why this instance may order no engine now, "" if it may.
+func (g *Registry) denial(now clock.Instant) denial {
 	s := standing{stopping: g.Stopping(), keptAt: g.enrolment.keptAt, heardAt: g.heardAt}
 	if g.Options.Disable.HearRegistry {
 		s.heardAt = now
 	}
-	return s.silence(now, g.Options.OrderValid)
+	return s.denial(now, g.Options.OrderValid)
 }
 
 // MayOrder reports whether this instance's ownerships are certainly still its
 // own.
-func (g *Registry) MayOrder(now clock.Instant) bool { return g.silence(now) == speaking }
+func (g *Registry) MayOrder(now clock.Instant) bool { return g.denial(now) == allowed }
 
 // loseAll has this instance order nothing any more. Others may have taken its
 // engines and its place as the placer without its knowledge, so it must claim
--- a/core/ownership/ownership_test.go
+++ b/core/ownership/ownership_test.go
@@ -89,14 +89,14 @@
 		kept, heard  time.Duration // ago; negative: never
 		stopping     bool
 		wallClockAdd time.Duration // that the wall clock went ahead of the other
-		want         silence
+		want         denial
 	}{
-		{"both recent", time.Second, time.Second, false, 0, speaking},
+		{"both recent", time.Second, time.Second, false, 0, allowed},
 		{"never renewed", -1, time.Second, false, 0, neverRenewed},
 		{"never heard", time.Second, -1, false, 0, neverHeard},
 		{"renewed too long ago", valid, 0, false, 0, renewalTooOld},
 		{"heard too long ago", 0, valid, false, 0, watchTooOld},
-		{"just in time", valid - 1, valid - 1, false, 0, speaking},
+		{"just in time", valid - 1, valid - 1, false, 0, allowed},
 		{"stopping", 0, 0, true, 0, stopping},
 		{"suspended meanwhile", time.Second, time.Second, false, valid, renewalTooOld},
 	}
@@ -113,8 +113,8 @@
 				g.WatchAnswered(now.Add(-c.heard))
 			}
 			now.Wall = now.Wall.Add(c.wallClockAdd)
-			is.Equal(g.silence(now), c.want)
-			is.Equal(g.MayOrder(now), c.want == speaking)
+			is.Equal(g.denial(now), c.want)
+			is.Equal(g.MayOrder(now), c.want == allowed)
 		})
 	}
 }
