--- a/core/ownership/ownership.go
+++ b/core/ownership/ownership.go
@@ -164,7 +164,7 @@
 
 // The reasons.
 const (
-	allowed      denial = ""
+	allowed       denial = ""
 	stopping      denial = "this instance stops"
 	neverRenewed  denial = "its record was never renewed"
 	renewalTooOld denial = "the last renewal of its record that was answered is too old"
