--- a/core/calls/queue.go
+++ b/core/calls/queue.go
@@ -50,6 +50,23 @@
 	c.Kind.LeftQueue(c)
 }
 
+// Leave takes the call out of the queue, if it waits there, for another phase.
+func (t *Table) Leave(c *Call, next Phase) {
+	if c.Phase == Waiting {
+		t.LeaveQueue(c)
+	}
+	c.Phase = next
+}
+
+// Sent notes that the call goes to a replica, as one more attempt.
+func (t *Table) Sent(now clock.Instant, c *Call, replica string) {
+	t.Leave(c, Running)
+	c.History = c.History.WithAttempt()
+	c.Replica = replica
+	c.Started = now
+	c.Answered = false
+}
+
 // Changed reports whether something changed since the last look over the queue
 // that could let a call go on.
 func (t *Table) Changed() bool { return t.Pool.Touched() != t.lookedAt }
--- a/core/forwarding/place.go
+++ b/core/forwarding/place.go
@@ -103,21 +103,12 @@
 // fetch has the call's adapter loaded on an engine.
 func (f *Forwarder) fetch(now clock.Instant, c *calls.Call, r *pool.Replica) {
 	s := stateOf(c)
-	f.leaveQueue(c, calls.Fetching)
+	f.Calls.Leave(c, calls.Fetching)
 	s.fetches++
 	f.Out.Log(logevent.CallWaits, "call", c.Forward.Name, "item", c.Item, "for", "an order", "engine", r.Name)
 	f.Asks.ForCall(now, orderKey(s, r), c.ID)
 }
 
-// leaveQueue takes the call out of the queue, if it waits there, for another
-// phase.
-func (f *Forwarder) leaveQueue(c *calls.Call, next calls.Phase) {
-	if c.Phase == calls.Waiting {
-		f.Calls.LeaveQueue(c)
-	}
-	c.Phase = next
-}
-
 // aloneCalls is how many calls may run at an engine for its reading speed to be
 // learnt from one more. Set in 949b701.
 const aloneCalls = 4
@@ -125,11 +116,7 @@
 // dispatch sends the call to the chosen replica.
 func (f *Forwarder) dispatch(now clock.Instant, c *calls.Call, e route.Estimate) {
 	s := stateOf(c)
-	f.leaveQueue(c, calls.Running)
-	c.History = c.History.WithAttempt()
-	c.Replica = e.Replica.Name
-	c.Started = now
-	c.Answered = false
+	f.Calls.Sent(now, c, e.Replica.Name)
 	s.sent = sent{
 		unread: c.PromptTokens - e.Cached,
 		alone:  e.Ahead == 0 && e.Calls <= aloneCalls,
--- a/core/forwarding/probe.go
+++ b/core/forwarding/probe.go
@@ -78,7 +78,7 @@
 	if p.asked == 0 {
 		return false
 	}
-	f.leaveQueue(c, calls.Probing)
+	f.Calls.Leave(c, calls.Probing)
 	return true
 }
 
--- a/core/own/modelcalls/attempts.go
+++ b/core/own/modelcalls/attempts.go
@@ -118,7 +118,6 @@
 	h.abandon(c, e)
 	s.failedOn = c.Replica
 	c.Replica = ""
-	c.Answered = false
 	c.Phase = calls.Waiting
 	if e.Phase == attempt.Refused && c.History.Attempts >= maxRefusals {
 		h.Calls.Refuse(c, calls.NotRun(code.NoCapacity, "every replica refused: "+e.Detail, h.Calls.RetryAfter(0)))
--- a/core/own/modelcalls/place.go
+++ b/core/own/modelcalls/place.go
@@ -72,13 +72,7 @@
 }
 
 func (h *Handler) dispatch(now clock.Instant, c *calls.Call, e choose.Estimate) {
-	if c.Phase == calls.Waiting {
-		h.Calls.LeaveQueue(c)
-	}
-	c.Phase = calls.Running
-	c.History = c.History.WithAttempt()
-	c.Replica = e.Replica.Name
-	c.Started = now
+	h.Calls.Sent(now, c, e.Replica.Name)
 	if c.Item != "" {
 		h.Chooser.Sent(c.Prefix, e.Replica.Name)
 	}
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -100,9 +100,49 @@
 	return ErrorBody{Error: errorDetail{Code: int(r.Code), Name: info.Name, Message: message, Run: r.Run}}
 }
 
-// Await waits for the machine's next action for a call; ok is false once the
+// Steps are what a kind of call does at each action of the machine.
+type Steps struct {
+	// Waited is told after each wait for an action; nil if nobody needs to know.
+	Waited func()
+	// Attempt carries out one Dispatch and reports whether the call is over.
+	Attempt func(d calls.Dispatch) bool
+	// Finish gives the caller the machine's final answer, Relay the replica's own
+	// failing one; Relay is nil where the machine never asks for it.
+	Finish func(r code.Refusal)
+	Relay  func()
+	// Gone deals with a caller that is gone.
+	Gone func()
+}
+
+// Follow does what the machine says until the call is over or its caller gone.
+func Follow(ctx context.Context, s shell.Session, do Steps) {
+	for {
+		a, ok := await(ctx, s)
+		if do.Waited != nil {
+			do.Waited()
+		}
+		if !ok {
+			do.Gone()
+			return
+		}
+		switch act := a.(type) {
+		case calls.Finish:
+			do.Finish(act.Refusal)
+			return
+		case calls.Relay:
+			do.Relay()
+			return
+		case calls.Dispatch:
+			if do.Attempt(act) {
+				return
+			}
+		}
+	}
+}
+
+// await waits for the machine's next action for a call; ok is false once the
 // caller is gone.
-func Await(ctx context.Context, s shell.Session) (a step.Action, ok bool) {
+func await(ctx context.Context, s shell.Session) (a step.Action, ok bool) {
 	select {
 	case a := <-s.Actions:
 		return a, true
--- a/internal/entry/forward.go
+++ b/internal/entry/forward.go
@@ -100,27 +100,14 @@
 }
 
 func (f *forwardCall) run(ctx context.Context, s shell.Session) {
-	queueCtx, queue := f.handler.Tracer.Start(ctx, "queue")
-	for {
-		a, ok := Await(queueCtx, s)
-		queue.End()
-		if !ok {
-			f.gone(s)
-			return
-		}
-		switch act := a.(type) {
-		case calls.Finish:
-			f.finish(act.Refusal)
-			return
-		case calls.Relay:
-			f.relay()
-			return
-		case calls.Dispatch:
-			if f.attempt(ctx, s, act) {
-				return
-			}
-		}
-	}
+	_, queue := f.handler.Tracer.Start(ctx, "queue")
+	Follow(ctx, s, Steps{
+		Waited:  func() { queue.End() },
+		Attempt: func(d calls.Dispatch) bool { return f.attempt(ctx, s, d) },
+		Finish:  f.finish,
+		Relay:   f.relay,
+		Gone:    func() { f.gone(s) },
+	})
 }
 
 // finish gives the caller the machine's final answer. An answer that was begun
--- a/internal/own/modelapi/model.go
+++ b/internal/own/modelapi/model.go
@@ -39,24 +39,13 @@
 
 // run does what the machine says until the call has its final answer.
 func (m *modelCall) run(ctx context.Context, s shell.Session) {
-	queueCtx, queue := m.handler.Tracer.Start(ctx, "queue")
-	for {
-		a, ok := entry.Await(queueCtx, s)
-		queue.End()
-		if !ok {
-			m.gone(s)
-			return
-		}
-		switch act := a.(type) {
-		case calls.Finish:
-			m.finish(act.Refusal)
-			return
-		case calls.Dispatch:
-			if m.attempt(ctx, s, act) {
-				return
-			}
-		}
-	}
+	_, queue := m.handler.Tracer.Start(ctx, "queue")
+	entry.Follow(ctx, s, entry.Steps{
+		Waited:  func() { queue.End() },
+		Attempt: func(d calls.Dispatch) bool { return m.attempt(ctx, s, d) },
+		Finish:  m.finish,
+		Gone:    func() { m.gone(s) },
+	})
 }
 
 // finish gives the caller the machine's final answer.
--- a/internal/own/modelapi/plain.go
+++ b/internal/own/modelapi/plain.go
@@ -56,22 +56,11 @@
 }
 
 func (p *plainCall) run(ctx context.Context, s shell.Session) {
-	for {
-		a, ok := entry.Await(ctx, s)
-		if !ok {
-			p.gone(s)
-			return
-		}
-		switch act := a.(type) {
-		case calls.Finish:
-			p.handler.refuse(p.w, act.Refusal, p.begun)
-			return
-		case calls.Dispatch:
-			if p.attempt(ctx, s, act) {
-				return
-			}
-		}
-	}
+	entry.Follow(ctx, s, entry.Steps{
+		Attempt: func(d calls.Dispatch) bool { return p.attempt(ctx, s, d) },
+		Finish:  func(r code.Refusal) { p.handler.refuse(p.w, r, p.begun) },
+		Gone:    func() { p.gone(s) },
+	})
 }
 
 // attempt carries out one Dispatch and reports whether the call is over.
