--- a/core/calls/event.go
+++ b/core/calls/event.go
@@ -49,7 +49,6 @@
 		Replica  string
 		Address  string
 		Zone     string
-		Plain    bool
 		Model    string
 		Adapter  string
 		Priority int
@@ -66,9 +65,6 @@
 		Left     time.Duration // of the caller's deadline; 0 if there is none
 		Priority int           // -1 if the replica is not to be told
 		Stream   bool          // the answer is a series of events
-		// Resumable says that a broken series may go on at another replica, so
-		// that only whole events may be passed on.
-		Resumable bool
 	}
 	// Relay passes on the replica's own failing answer, which the last AttemptFailed
 	// said to be at hand.
--- a/core/forwarding/place.go
+++ b/core/forwarding/place.go
@@ -159,14 +159,12 @@
 		priority = min(s.route.Priority, lowestRank)
 	}
 	d := c.Dispatch(r, f.Options.Stall)
-	d.Plain = c.Item == ""
 	d.Model = s.target.model
 	d.Adapter = s.target.adapter
 	d.Forward = &calls.ForwardAttempt{
-		Left:      left,
-		Priority:  priority,
-		Stream:    s.route.Kind == config.Stream,
-		Resumable: s.route.Kind == config.Stream && s.route.Resumable,
+		Left:     left,
+		Priority: priority,
+		Stream:   s.route.Kind == config.Stream,
 	}
 	return d
 }
--- a/core/instance/announced_world_test.go
+++ b/core/instance/announced_world_test.go
@@ -437,7 +437,7 @@
 }
 
 func (f *fleet) write(a ownership.Write, sent clock.Instant) step.Event {
-	r := ownership.WriteReply{Write: a.Write, Sent: sent}
+	r := ownership.WriteReply{Write: a.Write}
 	if p := a.Write.Placer; p != nil {
 		have := uint64(0)
 		if v := f.store.values["placer"]; v != nil {
@@ -693,7 +693,7 @@
 		p.token++
 		token := p.token
 		p.asked[token] = func(o owned.Answer) { reply(fleetWay, out(o.Outcome)) }
-		f.step(p, p.boot, owned.Asked{Token: token, From: n.id.Name, Engine: a.Engine, Request: a.Request})
+		f.step(p, p.boot, owned.Asked{Token: token, Engine: a.Engine, Request: a.Request})
 	})
 }
 
--- a/core/instance/config.go
+++ b/core/instance/config.go
@@ -18,10 +18,7 @@
 		Err      error
 	}
 	// Install is an action: a revision is in force from now on.
-	Install struct {
-		Snapshot *config.Snapshot
-		Source   string
-	}
+	Install struct{ Snapshot *config.Snapshot }
 )
 
 // IsEvent implements step.Event.
@@ -62,7 +59,7 @@
 	m.env.installed(now, s)
 	m.exchanges.Installed(now)
 	m.state.Out.Log(logevent.Installed, "revision", s.Revision(), "source", e.Source)
-	m.state.Out.Do(Install{Snapshot: s, Source: e.Source})
+	m.state.Out.Do(Install{Snapshot: s})
 }
 
 // replayRecords tells the pool what was heard of upstreams before the revision
--- a/core/instance/world_test.go
+++ b/core/instance/world_test.go
@@ -409,7 +409,7 @@
 			w.platform.leases[n.id.Zone] = l
 		}
 		free := l.holder == "" || w.now > l.expires
-		reply := planner.LeaseReply{Sent: sent, Fence: l.fence, Holder: l.holder}
+		reply := planner.LeaseReply{Sent: sent, Fence: l.fence}
 		switch {
 		case !free && l.holder == holder && (a.Renew == 0 || a.Renew == l.fence):
 			l.expires = w.now + a.Term
--- a/core/option/option.go
+++ b/core/option/option.go
@@ -91,7 +91,6 @@
 type Disabled struct {
 	Booking   bool // plan by what engines last reported, without the ledger
 	AtMost    bool // send a call again though it may have run
-	Leaving   bool // believe only the list about who is leaving
 	Monotonic bool // take over an older revision
 	Fences    bool // plan by plain reads, without raising fences first
 	TurnWait  bool // order an engine at once after taking it from another owner
--- a/core/own/modelcalls/place.go
+++ b/core/own/modelcalls/place.go
@@ -84,7 +84,6 @@
 func (h *Handler) dispatchAction(c *calls.Call, r *pool.Replica, resume bool, after time.Duration) calls.Dispatch {
 	s := stateOf(c)
 	d := c.Dispatch(r, h.Options.Stall)
-	d.Plain = c.Plain
 	d.Model = s.version.Model
 	d.Adapter = s.version.Adapter
 	d.Priority = s.verdict.Priority
--- a/core/own/plan/place.go
+++ b/core/own/plan/place.go
@@ -55,7 +55,7 @@
 		if it.Base != "" {
 			o.engine.children[it.Base]++
 		}
-		p.steps = append(p.steps, Step{Op: book.Load, Engine: o.engine.Name, Item: it.Name, MiB: it.MiB, Value: w.value})
+		p.steps = append(p.steps, Step{Op: book.Load, Engine: o.engine.Name, Item: it.Name, MiB: it.MiB})
 	}
 }
 
@@ -70,7 +70,7 @@
 		if it.Base != "" {
 			o.engine.children[it.Base]--
 		}
-		p.steps = append(p.steps, Step{Op: book.Unload, Engine: o.engine.Name, Item: v.Name, MiB: it.MiB, Value: w.value, Starving: w.forced})
+		p.steps = append(p.steps, Step{Op: book.Unload, Engine: o.engine.Name, Item: v.Name, MiB: it.MiB, Starving: w.forced})
 	}
 	p.loads-- // the load this makes room for
 	for _, it := range o.load {
--- a/core/own/plan/plan.go
+++ b/core/own/plan/plan.go
@@ -105,7 +105,6 @@
 	Engine string
 	Item   string
 	MiB    int64
-	Value  float64 // of what the step is for
 	// Starving says that the step makes room for a starving item, whatever
 	// that costs.
 	Starving bool
--- a/core/own/planner/event.go
+++ b/core/own/planner/event.go
@@ -15,7 +15,6 @@
 		Sent    clock.Instant // when the request was sent
 		Granted bool
 		Fence   uint64
-		Holder  string // who holds it, if not granted
 		Err     error
 	}
 	// IntentsReply answers a ReadIntents or a WriteIntents.
--- a/core/owned/queue.go
+++ b/core/owned/queue.go
@@ -42,7 +42,6 @@
 	// instance owns. It is answered with an Answer of the same Token.
 	Asked struct {
 		Token   uint64
-		From    string
 		Engine  string
 		Request orders.Request
 	}
--- a/core/ownership/ownership.go
+++ b/core/ownership/ownership.go
@@ -64,7 +64,6 @@
 	// WriteReply is the event that answers a Write.
 	WriteReply struct {
 		Write    Records
-		Sent     clock.Instant
 		Revision uint64
 		Conflict bool // a condition did not hold, or the lease is over
 		Err      error
--- a/core/placement/changes.go
+++ b/core/placement/changes.go
@@ -62,11 +62,7 @@
 
 // A Model is what is known of a model's weights.
 type Model struct {
-	Name   string
-	MB     int64
-	Store  time.Duration // load from the weight store
-	Disk   time.Duration // load from the engine's disk
-	Memory time.Duration // load from the engine's host memory
+	MB int64 // that they take on an engine
 }
 
 // A Demand is what callers ask of a model.
@@ -215,7 +211,7 @@
 	value float64
 }
 
-// value returns what copy number n of a model is value: the work that it takes
+// value returns what copy number n of a model is worth: the work that it takes
 // from the others, and more where there are none or they have too much to do.
 func (r *round) value(model string, n int) float64 {
 	d := r.in.Demand[model]
@@ -238,9 +234,9 @@
 	return TargetWork * x * x / 2
 }
 
-// candidates returns the copies that would be worth having, the most valuable first; of
-// each model the next one only. What has too little value wherever its weights
-// come from is left out, for each candidate is weighed on every engine.
+// candidates returns the copies that would be worth having, the most valuable
+// first; of each model the next one only. What has too little value wherever its
+// weights come from is left out, for each candidate is weighed on every engine.
 func (r *round) candidates() []candidate {
 	var candidates []candidate
 	for name := range r.in.Models {
@@ -338,7 +334,7 @@
 	return o, true
 }
 
-// sourceBonus prefers engines that have the weights at hand.
+// sourceBonus prefers engines that have the weights at hand. Set in 7c7040a.
 var sourceBonus = map[pool.Source]float64{pool.WeightStore: 0, pool.Disk: 0.5, pool.HostMemory: 0.6}
 
 func (e *engine) has(model string) bool {
--- a/core/placement/changes_test.go
+++ b/core/placement/changes_test.go
@@ -14,7 +14,7 @@
 	in := Input{Models: map[string]Model{}, Demand: map[string]Demand{}, StoreLoads: 2, MinimumStay: time.Second}
 	for i := range models {
 		name := fmt.Sprintf("m%d", i)
-		in.Models[name] = Model{Name: name, MB: 70, Store: 4 * time.Second, Disk: 800 * time.Millisecond, Memory: 400 * time.Millisecond}
+		in.Models[name] = Model{MB: 70}
 		if i%6 == 0 {
 			in.Demand[name] = Demand{Work: 0.05 * float64(1+i%7), Rate: 1}
 		}
@@ -47,7 +47,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
 			in := Input{
-				Models: map[string]Model{"rare": {Name: "rare", MB: 70}, "busy": {Name: "busy", MB: 70}},
+				Models: map[string]Model{"rare": {MB: 70}, "busy": {MB: 70}},
 				Demand: map[string]Demand{"busy": {Work: 0.5, Rate: 1}},
 			}
 			other := Engine{Name: "other", Open: true, Sound: true, Copies: []Copy{{Model: "busy", Ready: true, Age: time.Minute}}, OnDisk: map[string]bool{"rare": c.elsewhere}}
--- a/core/placement/input.go
+++ b/core/placement/input.go
@@ -24,7 +24,7 @@
 		in.StoreLoads = 0 // the placer alone counts them
 	}
 	for _, m := range engines.Models {
-		in.Models[m.Name] = Model{Name: m.Name, MB: m.MemoryMB, Store: m.Load, Disk: m.LoadDisk, Memory: m.LoadHost}
+		in.Models[m.Name] = Model{MB: m.MemoryMB}
 	}
 	for _, d := range p.AllDemand.Sum(now) {
 		in.Demand[d.Name] = Demand{Work: d.Concurrent, Rate: d.Rate, Absent: d.Absent}
--- a/core/pool/pool.go
+++ b/core/pool/pool.go
@@ -46,7 +46,7 @@
 	for _, e := range doc.Engines {
 		p.keep(next, Facts{
 			Name: e.Name, Address: e.Address, Zone: e.Zone, Domain: e.Domain, Kind: Engine,
-			Concurrent: e.Sequences, Accelerators: e.Accelerators, MemoryMiB: e.MemoryMiB, ChecksFence: e.ChecksFence,
+			Concurrent: e.Sequences, MemoryMiB: e.MemoryMiB, ChecksFence: e.ChecksFence,
 		})
 	}
 	for _, svc := range doc.Services {
--- a/core/pool/replica.go
+++ b/core/pool/replica.go
@@ -18,17 +18,16 @@
 
 // Facts are what the configuration says of a replica.
 type Facts struct {
-	Name         string
-	Address      string // IP:port
-	Zone         string
-	Domain       string
-	Kind         Kind
-	Service      string // the service of a plain or announced replica
-	Announced    bool   // it announces itself, rather than being configured
-	Concurrent   int    // sequences or calls it runs at once
-	Accelerators int
-	MemoryMiB    int64
-	ChecksFence  bool
+	Name        string
+	Address     string // IP:port
+	Zone        string
+	Domain      string
+	Kind        Kind
+	Service     string // the service of a plain or announced replica
+	Announced   bool   // it announces itself, rather than being configured
+	Concurrent  int    // sequences or calls it runs at once
+	MemoryMiB   int64
+	ChecksFence bool
 }
 
 // Tunables of the health view.
--- a/internal/environment/driver.go
+++ b/internal/environment/driver.go
@@ -141,7 +141,7 @@
 }
 
 func (d *driver) writeRegistry(ctx context.Context, a ownership.Write) {
-	reply := ownership.WriteReply{Write: a.Write, Sent: d.host.Now()}
+	reply := ownership.WriteReply{Write: a.Write}
 	commit := claimCommit(a.Write.Claim)
 	if p := a.Write.Placer; p != nil {
 		v := p.Value()
--- a/internal/environment/store.go
+++ b/internal/environment/store.go
@@ -67,8 +67,6 @@
 	// time and whenever the store has forgotten in between. It waits at most
 	// wait for a change.
 	Watch func(ctx context.Context, wait time.Duration) (Change, error)
-	// Restart has the next Watch return the whole.
-	Restart func()
 	// Grant begins a lease.
 	Grant func(ctx context.Context, term time.Duration) (lease uint64, err error)
 	// Keep renews a lease.
--- a/internal/own/driver.go
+++ b/internal/own/driver.go
@@ -189,7 +189,7 @@
 	reply, err := d.platform.Lease(ctx, keyvalue.LeaseName(d.host.Self.Zone), keyvalue.LeaseRequest{
 		Holder: d.holder(), TermMS: a.Term.Milliseconds(), Renew: a.Renew,
 	})
-	d.host.Post(planner.LeaseReply{Sent: sent, Granted: reply.Granted, Fence: reply.Fence, Holder: reply.Holder, Err: err})
+	d.host.Post(planner.LeaseReply{Sent: sent, Granted: reply.Granted, Fence: reply.Fence, Err: err})
 }
 
 func (d *driver) releaseLease(ctx context.Context, a planner.ReleaseLease) {
--- a/internal/own/engine/engine.go
+++ b/internal/own/engine/engine.go
@@ -41,7 +41,6 @@
 type StatusError struct {
 	Status  int
 	NotRun  bool // the engine's own report that it did not and will not run it
-	Unknown bool // a resume found no such sequence
 	Leaving bool
 	Detail  string
 }
@@ -105,7 +104,6 @@
 	e := &StatusError{
 		Status:  resp.StatusCode,
 		NotRun:  resp.Header.Get(upstream.HeaderRun) == "not_run",
-		Unknown: resp.StatusCode == http.StatusNotFound,
 		Leaving: resp.Header.Get(upstream.HeaderLeaving) == "true",
 		Detail:  string(bytes.TrimSpace(detail)),
 	}
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -99,7 +99,7 @@
 	// Take answers one message.
 	Take func(ctx context.Context, msg share.Message) (share.Message, error)
 	// TakeOrder answers a question for an order; nil refuses every one.
-	TakeOrder func(ctx context.Context, from, engine string, r orders.Request) (OrderReply, error)
+	TakeOrder func(ctx context.Context, engine string, r orders.Request) (OrderReply, error)
 }
 
 // Order implements the generated service.
@@ -108,7 +108,7 @@
 		return nil, twirp.NewError(twirp.Unimplemented, "no orders are taken here")
 	}
 	r := orders.Request{Load: in.GetLoad(), Model: in.GetModel(), Adapter: in.GetAdapter()}
-	reply, err := s.TakeOrder(ctx, in.GetFrom(), in.GetEngine(), r)
+	reply, err := s.TakeOrder(ctx, in.GetEngine(), r)
 	if err != nil {
 		return nil, twirp.NewError(twirp.Unavailable, err.Error())
 	}
--- a/internal/server/forward_test.go
+++ b/internal/server/forward_test.go
@@ -193,12 +193,11 @@
 				return environment.Change{Version: change.Version}, nil
 			}
 		},
-		Restart: func() {},
-		Grant:   func(context.Context, time.Duration) (uint64, error) { return 1, nil },
-		Keep:    func(context.Context, uint64) error { return nil },
-		End:     func(context.Context, uint64) error { return nil },
-		Commit:  func(context.Context, environment.Commit) (uint64, error) { return 6, nil },
-		Decode:  config.Decode,
+		Grant:  func(context.Context, time.Duration) (uint64, error) { return 1, nil },
+		Keep:   func(context.Context, uint64) error { return nil },
+		End:    func(context.Context, uint64) error { return nil },
+		Commit: func(context.Context, environment.Commit) (uint64, error) { return 6, nil },
+		Decode: config.Decode,
 	}
 	return func(settings.Settings, upstream.Transports) Environment {
 		return Environment{Join: environment.Join(*store, environment.Engines{}), Wire: forward.Own}
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -66,7 +66,6 @@
 
 // A listener is one bound listener with its server.
 type listener struct {
-	name string
 	net  net.Listener
 	http *http.Server
 }
@@ -132,7 +131,7 @@
 			}
 			return trace.Wrap(err, "listening for %s", l.name)
 		}
-		s.listeners = append(s.listeners, &listener{name: l.name, net: bound})
+		s.listeners = append(s.listeners, &listener{net: bound})
 	}
 	if s.set.Advertise == "" {
 		s.set.Advertise = s.listeners[1].net.Addr().String()
--- a/internal/shell/actions.go
+++ b/internal/shell/actions.go
@@ -158,12 +158,12 @@
 }
 
 // TakeOrder answers a peer that asks for an order.
-func (s *Shell) TakeOrder(ctx context.Context, from, engine string, r orders.Request) (peer.OrderReply, error) {
+func (s *Shell) TakeOrder(ctx context.Context, engine string, r orders.Request) (peer.OrderReply, error) {
 	reply := make(chan peer.OrderReply, 1)
 	s.do(func(s *Shell) step.Event {
 		s.nextAsk++
 		s.orders[s.nextAsk] = reply
-		return owned.Asked{Token: s.nextAsk, From: from, Engine: engine, Request: r}
+		return owned.Asked{Token: s.nextAsk, Engine: engine, Request: r}
 	})
 	select {
 	case out := <-reply:
