--- a/core/listing/listing.go
+++ b/core/listing/listing.go
@@ -154,7 +154,7 @@
 		if entry.Leaving {
 			by = now
 		}
-		l.Pool.Vanish(now, entry.Name, by)
+		l.Pool.MarkVanished(now, entry.Name, by)
 		return
 	}
 	l.announce(now, entry.Name, *entry.Announced, entry.Version)
--- a/core/pool/announced.go
+++ b/core/pool/announced.go
@@ -184,9 +184,9 @@
 	}
 }
 
-// Vanish notes that the list no longer has the replica. It counts as leaving once the span of
+// MarkVanished notes that the list no longer has the replica. It counts as leaving once the span of
 // Expire is over, or at the deadline if that is sooner; a zero deadline is none.
-func (p *Pool) Vanish(now clock.Instant, name string, deadline clock.Instant) {
+func (p *Pool) MarkVanished(now clock.Instant, name string, deadline clock.Instant) {
 	r := p.replicas[name]
 	if r == nil || !r.Announced {
 		return
--- a/core/pool/notice_test.go
+++ b/core/pool/notice_test.go
@@ -74,7 +74,7 @@
 	p.Hear(now, "r", now, Notice{Leaving: true})
 	p.Announce(now, "r", entry)
 	is.True(p.Get("r").Leaving())
-	p.Vanish(now, "r", clock.Instant{})
+	p.MarkVanished(now, "r", clock.Instant{})
 	p.Announce(now, "r", entry)
 	is.True(p.Get("r").Leaving())
 	unborn := entry
--- a/core/route/forward_test.go
+++ b/core/route/forward_test.go
@@ -161,7 +161,7 @@
 			p.MarkGone("a")
 		}, "b"},
 		{"the own zone's entry went", true, func(_ *Router, p *pool.Pool, _, _ *pool.Replica, _ *Query) {
-			p.Vanish(start, "a", clock.Instant{})
+			p.MarkVanished(start, "a", clock.Instant{})
 		}, "b"},
 		{"the own zone's must load the item first", true, func(_ *Router, _ *pool.Pool, _, _ *pool.Replica, q *Query) {
 			q.LoadCost = func(r *pool.Replica) (time.Duration, bool) {
