--- a/core/pool/announced.go
+++ b/core/pool/announced.go
@@ -200,9 +200,9 @@
 	}
 }
 
-// Expire has replicas that vanished count as leaving when their time is up, and
+// ExpireVanished has replicas that vanished count as leaving when their time is up, and
 // forgets those that are long gone. It returns the names of the former.
-func (p *Pool) Expire(now clock.Instant, span time.Duration) []string {
+func (p *Pool) ExpireVanished(now clock.Instant, span time.Duration) []string {
 	var left []string
 	gone := false
 	for name, r := range p.replicas {
--- a/core/pool/replica_test.go
+++ b/core/pool/replica_test.go
@@ -54,14 +54,14 @@
 	r.Start(now, 1)
 	p.MarkVanished(now, "r", clock.Instant{})
 	is.True(r.Vanished())
-	is.Equal(p.Expire(now.Add(VanishSpan-1), VanishSpan), nil)
+	is.Equal(p.ExpireVanished(now.Add(VanishSpan-1), VanishSpan), nil)
 	is.True(r.Usable())
-	is.Equal(p.Expire(now.Add(VanishSpan), VanishSpan), []string{"r"})
+	is.Equal(p.ExpireVanished(now.Add(VanishSpan), VanishSpan), []string{"r"})
 	is.True(r.Leaving())
-	is.Equal(p.Expire(now.Add(forgetSpan), VanishSpan), nil)
+	is.Equal(p.ExpireVanished(now.Add(forgetSpan), VanishSpan), nil)
 	is.True(p.Get("r") != nil) // a call runs there
 	r.Forget(1)
-	p.Expire(now.Add(forgetSpan), VanishSpan)
+	p.ExpireVanished(now.Add(forgetSpan), VanishSpan)
 	is.True(p.Get("r") == nil)
 }
 
@@ -85,7 +85,7 @@
 	say("2", false)
 	is.True(p.Get("r").Usable())
 	p.MarkVanished(now, "r", clock.Instant{})
-	p.Expire(now.Add(VanishSpan), VanishSpan)
+	p.ExpireVanished(now.Add(VanishSpan), VanishSpan)
 	is.True(!p.Get("r").Usable())
 	say("2", false)
 	is.True(p.Get("r").Usable())
@@ -99,8 +99,8 @@
 	p := New()
 	p.Announce(now, "r", Announcement{Service: "s", Address: "r", Zone: "z", Slots: 4})
 	p.MarkVanished(now, "r", now.Add(VanishSpan/4))
-	is.Equal(p.Expire(now.Add(VanishSpan/4-1), VanishSpan), nil)
-	is.Equal(p.Expire(now.Add(VanishSpan/4), VanishSpan), []string{"r"})
+	is.Equal(p.ExpireVanished(now.Add(VanishSpan/4-1), VanishSpan), nil)
+	is.Equal(p.ExpireVanished(now.Add(VanishSpan/4), VanishSpan), []string{"r"})
 	p.Announce(now, "r", Announcement{Service: "s", Address: "r", Zone: "z", Slots: 4})
 	is.True(p.Get("r").Usable())
 }
