--- a/core/forwarding/attempts.go
+++ b/core/forwarding/attempts.go
@@ -170,7 +170,7 @@
 	case b.Misdirected && b.Incarnation != "" && b.Incarnation != c.Replica:
 		r.Forget(uint64(c.ID))
 		f.Quarantine.Ended(now, r.Incarnation())
-		f.Pool.MarkGone(c.Replica)
+		f.Pool.MarkTerminated(c.Replica)
 		f.Out.Log(logevent.Leaving, "upstream", c.Replica, "source", "another replica has its address", "now", b.Incarnation)
 	case b.Misdirected:
 		r.Forget(uint64(c.ID))
--- a/core/forwarding/permit_test.go
+++ b/core/forwarding/permit_test.go
@@ -161,7 +161,7 @@
 		"the replica wants nothing": func(f *Forwarder, _ *calls.Call, _ *pool.Replica) {
 			f.Pool.Hear(start, "r", start, pool.Notice{Rest: time.Hour})
 		},
-		"the replica leaves":         func(f *Forwarder, _ *calls.Call, _ *pool.Replica) { f.Pool.MarkGone("r") },
+		"the replica leaves":         func(f *Forwarder, _ *calls.Call, _ *pool.Replica) { f.Pool.MarkTerminated("r") },
 		"its model went":             func(f *Forwarder, _ *calls.Call, _ *pool.Replica) { f.Pool.MarkAbsent("r", "m") },
 		"its request is not run now": func(f *Forwarder, c *calls.Call, _ *pool.Replica) { f.Cut(c.Forward.Fingerprint, time.Second) },
 	} {
--- a/core/owned/queue.go
+++ b/core/owned/queue.go
@@ -245,7 +245,7 @@
 		e.SequenceDiffers()
 	case orders.AnswerMisdirected:
 		e.Failed()
-		s.Pool.MarkGone(e.Name)
+		s.Pool.MarkTerminated(e.Name)
 	case orders.AnswerFenced:
 		e.Failed()
 		s.Lose(now, e.Name, "the engine has seen a later fence")
--- a/core/pool/announced.go
+++ b/core/pool/announced.go
@@ -244,9 +244,9 @@
 // AnnouncedAt returns when the replica was last announced.
 func (r *Replica) AnnouncedAt() clock.Instant { return r.announcedAt }
 
-// MarkGone notes an answer that shows that another replica has the address, or that
+// MarkTerminated notes an answer that shows that another replica has the address, or that
 // nothing runs there.
-func (p *Pool) MarkGone(name string) {
+func (p *Pool) MarkTerminated(name string) {
 	r := p.replicas[name]
 	if r == nil {
 		return
--- a/core/route/forward_test.go
+++ b/core/route/forward_test.go
@@ -158,7 +158,7 @@
 		{"both said that they leave, and another has the address of one", true, func(_ *Router, p *pool.Pool, _, _ *pool.Replica, _ *Query) {
 			p.Hear(start, "a", start, pool.Notice{Leaving: true})
 			p.Hear(start, "b", start, pool.Notice{Leaving: true})
-			p.MarkGone("a")
+			p.MarkTerminated("a")
 		}, "b"},
 		{"the own zone's entry went", true, func(_ *Router, p *pool.Pool, _, _ *pool.Replica, _ *Query) {
 			p.MarkVanished(start, "a", clock.Instant{})
