--- a/core/listing/listing.go
+++ b/core/listing/listing.go
@@ -175,7 +175,7 @@
 // said so when it was asked.
 func (l *List) announce(now clock.Instant, name string, a pool.Announcement, version era.Number) {
 	former := l.Pool.Get(name)
-	if former != nil && former.IsFormer(a.Born) {
+	if former != nil && former.IsPastIncarnation(a.Born) {
 		return // it was written, or came, after the end of that life
 	}
 	if former == nil {
--- a/core/pool/announced.go
+++ b/core/pool/announced.go
@@ -142,12 +142,14 @@
 // late by seconds, and no replica starts so often in that time.
 const maxFormer = 8
 
-// IsFormer reports whether a birth is that of a life which ended before this one.
-func (r *Replica) IsFormer(born string) bool { return born != "" && slices.Contains(r.former, born) }
+// IsPastIncarnation reports whether a birth is that of a life which ended before this one.
+func (r *Replica) IsPastIncarnation(born string) bool {
+	return born != "" && slices.Contains(r.former, born)
+}
 
 // Restarted reports whether a birth is that of a life after the one that is known.
 func (r *Replica) Restarted(born string) bool {
-	return r.Announced && !r.LivesAs(born) && !r.IsFormer(born)
+	return r.Announced && !r.LivesAs(born) && !r.IsPastIncarnation(born)
 }
 
 // succeed takes over what outlives a former life of the replica.
