--- a/core/notice/notice.go
+++ b/core/notice/notice.go
@@ -123,7 +123,7 @@
 // ToldLimit takes in what a peer was told of the limit of a life of a replica.
 func (n *Notices) ToldLimit(now clock.Instant, from string, life pool.Incarnation, w pool.LimitWord) {
 	r := n.Pool.Get(life.Name)
-	if r != nil && r.LivesAs(life.Born) {
+	if r != nil && r.MayBeIncarnation(life.Born) {
 		former := r.LimitWord()
 		if !n.Pool.TellLimit(life, w) {
 			return // this instance heard of it later
--- a/core/permits/coordinator.go
+++ b/core/permits/coordinator.go
@@ -185,7 +185,7 @@
 		return supply{rate: amount / 2 / span.Seconds(), burst: amount / 2, begin: amount / 2, settle: span}, true
 	}
 	rate, bounded := r.Word.Rate(now)
-	if known := c.p.Pool.Get(r.Replica.Name); known != nil && known.LivesAs(r.Replica.Born) {
+	if known := c.p.Pool.Get(r.Replica.Name); known != nil && known.MayBeIncarnation(r.Replica.Born) {
 		rate, bounded = known.RateLimit(now)
 	}
 	return supply{rate: rate, burst: max(leastBurst, rate*burstSpan.Seconds()), begin: 1, settle: settleSpan}, bounded
@@ -327,7 +327,7 @@
 // answer tells whoever made a request what came of it.
 func (c *coordinator) answer(now clock.Instant, w waiting, v Verdict) {
 	if w.token != 0 {
-		if r := c.p.Pool.Get(w.request.Replica.Name); r != nil && r.LivesAs(w.request.Replica.Born) {
+		if r := c.p.Pool.Get(w.request.Replica.Name); r != nil && r.MayBeIncarnation(w.request.Replica.Born) {
 			v.Word = r.LimitWord()
 			v.Word.Moment = v.Word.Sent(now)
 		}
--- a/core/pool/announced.go
+++ b/core/pool/announced.go
@@ -149,7 +149,7 @@
 
 // Restarted reports whether a birth is that of a life after the one that is known.
 func (r *Replica) Restarted(born string) bool {
-	return r.Announced && !r.LivesAs(born) && !r.IsPastIncarnation(born)
+	return r.Announced && !r.MayBeIncarnation(born) && !r.IsPastIncarnation(born)
 }
 
 // succeed takes over what outlives a former life of the replica.
@@ -162,8 +162,8 @@
 	}
 }
 
-// LivesAs reports whether what is said of the life with this birth may be of this one.
-func (r *Replica) LivesAs(born string) bool {
+// MayBeIncarnation reports whether what is said of the life with this birth may be of this one.
+func (r *Replica) MayBeIncarnation(born string) bool {
 	return born == "" || r.announced.Born == "" || born == r.announced.Born
 }
 
--- a/core/pool/notice.go
+++ b/core/pool/notice.go
@@ -58,7 +58,7 @@
 
 // TellRest notes until when a life of a replica wants nothing from some other instance.
 func (p *Pool) TellRest(life Incarnation, until clock.Instant) {
-	if r := p.replicas[life.Name]; r != nil && r.LivesAs(life.Born) {
+	if r := p.replicas[life.Name]; r != nil && r.MayBeIncarnation(life.Born) {
 		r.rest.others = clock.Latest(r.rest.others, until)
 	}
 }
--- a/core/pool/pool.go
+++ b/core/pool/pool.go
@@ -120,7 +120,7 @@
 // came, and reports whether that was news.
 func (p *Pool) ObserveResidency(now clock.Instant, name string, res Residency) bool {
 	r := p.replicas[name]
-	if r == nil || !res.Newer(r.Residency) || !r.LivesAs(res.Born) {
+	if r == nil || !res.Newer(r.Residency) || !r.MayBeIncarnation(res.Born) {
 		return false
 	}
 	r.rebooted(res.Boot)
--- a/core/pool/ratelimit.go
+++ b/core/pool/ratelimit.go
@@ -120,7 +120,7 @@
 // reports whether that is later than what is known.
 func (p *Pool) TellLimit(life Incarnation, w LimitWord) bool {
 	r := p.replicas[life.Name]
-	if r == nil || !r.LivesAs(life.Born) || !w.Newer(r.limit.word) {
+	if r == nil || !r.MayBeIncarnation(life.Born) || !w.Newer(r.limit.word) {
 		return false
 	}
 	r.limit.word = w
