--- a/core/listing/listing.go
+++ b/core/listing/listing.go
@@ -196,7 +196,7 @@
 // comes. What it says of a life that is known, its owner's ledger takes in.
 func (l *List) Reported(now clock.Instant, e Reported) {
 	r := l.Pool.Get(e.Replica)
-	if r == nil || e.Sent.Before(r.SeenAt()) || !r.Restarted(e.Announcement.Born) {
+	if r == nil || e.Sent.Before(r.FirstSeenAt()) || !r.Restarted(e.Announcement.Born) {
 		return
 	}
 	a := r.Announcement()
--- a/core/pool/announced.go
+++ b/core/pool/announced.go
@@ -233,8 +233,8 @@
 // Vanished reports whether the list no longer has the replica.
 func (r *Replica) Vanished() bool { return !r.vanishedAt.IsZero() }
 
-// SeenAt returns when the replica was first announced here.
-func (r *Replica) SeenAt() clock.Instant { return r.seenAt }
+// FirstSeenAt returns when the replica was first announced here.
+func (r *Replica) FirstSeenAt() clock.Instant { return r.seenAt }
 
 // EndsAt returns when a replica that is taken away at short notice ends; ok is
 // false where that is not known.
