--- a/core/notice/notice_test.go
+++ b/core/notice/notice_test.go
@@ -176,13 +176,13 @@
 	n.ToldRests(start, "peer", rests("0", time.Second))
 	is.True(!r.TurnsOthersAway(start))
 	n.ToldRests(start, "peer", rests("1", time.Second))
-	is.True(r.TurnsOthersAway(start) && r.Unproved(start) && !r.Resting(start))
+	is.True(r.TurnsOthersAway(start) && r.MayReject(start) && !r.Resting(start))
 	n.ToldRests(start, "other", rests("1", time.Second+restNoise))
 	is.Equal(*told, 2) // the same rest, by another way
-	is.True(!r.Unproved(start.Add(1100 * time.Millisecond)))
+	is.True(!r.MayReject(start.Add(1100 * time.Millisecond)))
 	r.Start(start, 1)
 	n.Pool.AnswerBegan(start, r, 1)
-	is.True(!r.Unproved(start))
+	is.True(!r.MayReject(start))
 }
 
 // restNoise is by how much spans differ that travelled.
--- a/core/pool/notice.go
+++ b/core/pool/notice.go
@@ -44,9 +44,9 @@
 // takes calls.
 func (r *Replica) RestLeft(now clock.Instant) time.Duration { return max(0, r.rest.until.Since(now)) }
 
-// Unproved reports whether the replica may turn a call away: it wanted nothing from this
+// MayReject reports whether the replica may turn a call away: it wanted nothing from this
 // instance and has not answered a call of it since, or wants nothing from another one.
-func (r *Replica) Unproved(now clock.Instant) bool { return r.waits() || r.TurnsOthersAway(now) }
+func (r *Replica) MayReject(now clock.Instant) bool { return r.waits() || r.TurnsOthersAway(now) }
 
 // waits reports whether the replica wanted nothing from this instance and has not answered
 // a call of it since.
--- a/core/pool/notice_test.go
+++ b/core/pool/notice_test.go
@@ -117,11 +117,11 @@
 	is.True(r.Resting(now)) // an answer to what was sent before shows nothing
 	now = now.Add(time.Second)
 	is.True(!r.Resting(now))
-	is.True(r.Unproved(now) && !r.OnTrial())
+	is.True(r.MayReject(now) && !r.OnTrial())
 	r.Start(now, 2)
 	is.True(r.OnTrial())
 	r.Forget(2)
-	is.True(r.Unproved(now) && !r.OnTrial())
+	is.True(r.MayReject(now) && !r.OnTrial())
 	r.Start(now, 3)
 	p.Hear(now, "r", now, Notice{Rest: time.Second})
 	r.Forget(3)
@@ -130,6 +130,6 @@
 	r.Start(now, 4)
 	touched := p.Touched()
 	p.AnswerBegan(now, r, 4)
-	is.True(!r.Unproved(now) && !r.OnTrial())
+	is.True(!r.MayReject(now) && !r.OnTrial())
 	is.True(p.Touched() > touched) // calls that wait look again
 }
--- a/core/route/forward.go
+++ b/core/route/forward.go
@@ -181,7 +181,7 @@
 
 // estimates returns the estimates of the candidates that may be sent the call.
 func (f *Router) estimates(now clock.Instant, q Query, candidates []*pool.Replica) (estimates []Estimate) {
-	usable := q.selectable(now, candidates, func(r *pool.Replica) bool { return r.Usable() && !(q.Sure && r.Unproved(now)) })
+	usable := q.selectable(now, candidates, func(r *pool.Replica) bool { return r.Usable() && !(q.Sure && r.MayReject(now)) })
 	if len(usable) == 0 && q.Sure {
 		usable = q.selectable(now, candidates, (*pool.Replica).Usable)
 	}
