--- a/core/pool/notice.go
+++ b/core/pool/notice.go
@@ -46,15 +46,15 @@
 
 // MayReject reports whether the replica may turn a call away: it wanted nothing from this
 // instance and has not answered a call of it since, or wants nothing from another one.
-func (r *Replica) MayReject(now clock.Instant) bool { return r.waits() || r.TurnsOthersAway(now) }
+func (r *Replica) MayReject(now clock.Instant) bool { return r.waits() || r.RejectsPeers(now) }
 
 // waits reports whether the replica wanted nothing from this instance and has not answered
 // a call of it since.
 func (r *Replica) waits() bool { return !r.rest.until.IsZero() }
 
-// TurnsOthersAway reports whether the replica wants nothing from some other instance. It is
+// RejectsPeers reports whether the replica wants nothing from some other instance. It is
 // between those two; but one that is full turns the next away as well.
-func (r *Replica) TurnsOthersAway(now clock.Instant) bool { return now.Before(r.rest.others) }
+func (r *Replica) RejectsPeers(now clock.Instant) bool { return now.Before(r.rest.others) }
 
 // TellRest notes until when a life of a replica wants nothing from some other instance.
 func (p *Pool) TellRest(life Incarnation, until clock.Instant) {
--- a/core/route/forward.go
+++ b/core/route/forward.go
@@ -260,7 +260,7 @@
 		e.Other += cost
 	}
 	e.Other += suspectCost * time.Duration(r.Failures())
-	if r.Suspected(now) || r.TurnsOthersAway(now) {
+	if r.Suspected(now) || r.RejectsPeers(now) {
 		e.Other += suspectedCost
 	}
 	if q.ZoneCost != nil {
