--- a/core/notice/notice.go
+++ b/core/notice/notice.go
@@ -140,7 +140,7 @@
 	for _, x := range rests {
 		x.Until = now.Add(x.Left)
 		if n.Records.AddRest(from, x) {
-			n.Pool.TellRest(x.Incarnation, x.Until)
+			n.Pool.ObservePeerRest(x.Incarnation, x.Until)
 			n.TellSoon(now)
 		}
 	}
--- a/core/pool/notice.go
+++ b/core/pool/notice.go
@@ -56,8 +56,8 @@
 // between those two; but one that is full turns the next away as well.
 func (r *Replica) RejectsPeers(now clock.Instant) bool { return now.Before(r.rest.others) }
 
-// TellRest notes until when a life of a replica wants nothing from some other instance.
-func (p *Pool) TellRest(life Incarnation, until clock.Instant) {
+// ObservePeerRest notes until when a life of a replica wants nothing from some other instance.
+func (p *Pool) ObservePeerRest(life Incarnation, until clock.Instant) {
 	if r := p.replicas[life.Name]; r != nil && r.MayBeIncarnation(life.Born) {
 		r.rest.others = clock.Latest(r.rest.others, until)
 	}
