--- a/core/forwarding/forwarding_test.go
+++ b/core/forwarding/forwarding_test.go
@@ -236,7 +236,7 @@
 			for i, span := range spans {
 				name := string(rune('a' + i))
 				f.Pool.Announce(start, name, pool.Announcement{Service: "s", Address: name, Engine: true, Models: []pool.AnnouncedModel{{Name: "m"}}})
-				f.Pool.Hear(start, name, start, pool.Notice{Rest: span})
+				f.Pool.ObserveNotice(start, name, start, pool.Notice{Rest: span})
 			}
 		}
 	}
@@ -259,7 +259,7 @@
 		}, false, code.NoCapacity, noReplicaRetryAfter},
 		{"another call shows whether the replica takes calls", func(f *Forwarder, _ *calls.Call, _ *state) {
 			f.Pool.Announce(start, "a", pool.Announcement{Service: "s", Address: "a", Engine: true, Models: []pool.AnnouncedModel{{Name: "m"}}})
-			f.Pool.Hear(start.Add(-time.Second), "a", start, pool.Notice{Rest: time.Second})
+			f.Pool.ObserveNotice(start.Add(-time.Second), "a", start, pool.Notice{Rest: time.Second})
 			f.Pool.Get("a").Start(start, 99)
 		}, true, 0, 0},
 		{"it may have run", func(f *Forwarder, c *calls.Call, s *state) {
@@ -304,7 +304,7 @@
 	s.target = target{model: "m"}
 	r := f.Pool.Get("a")
 	r.Start(start, uint64(call.ID))
-	f.Pool.Hear(start, "a", start, pool.Notice{Rest: 300 * time.Millisecond})
+	f.Pool.ObserveNotice(start, "a", start, pool.Notice{Rest: 300 * time.Millisecond})
 	f.attemptFailed(start, call, calls.AttemptFailed{Phase: attempt.Refused, Status: 503})
 	is.Equal(r.Failures(), 0)
 	is.Equal(f.Calls.Waiting(), 1)
--- a/core/forwarding/permit_test.go
+++ b/core/forwarding/permit_test.go
@@ -159,7 +159,7 @@
 		},
 		"its time is over": func(f *Forwarder, c *calls.Call, _ *pool.Replica) { f.expire(c) },
 		"the replica wants nothing": func(f *Forwarder, _ *calls.Call, _ *pool.Replica) {
-			f.Pool.Hear(start, "r", start, pool.Notice{Rest: time.Hour})
+			f.Pool.ObserveNotice(start, "r", start, pool.Notice{Rest: time.Hour})
 		},
 		"the replica leaves":         func(f *Forwarder, _ *calls.Call, _ *pool.Replica) { f.Pool.MarkTerminated("r") },
 		"its model went":             func(f *Forwarder, _ *calls.Call, _ *pool.Replica) { f.Pool.MarkAbsent("r", "m") },
--- a/core/instance/gone_test.go
+++ b/core/instance/gone_test.go
@@ -93,7 +93,7 @@
 		}},
 		{"it waits for a rest", calls.Waiting, func(l *soloLab) {
 			for _, r := range l.m.state.Pool.All() {
-				l.m.state.Pool.Hear(l.now, r.Name, l.now, pool.Notice{Rest: 300 * time.Millisecond})
+				l.m.state.Pool.ObserveNotice(l.now, r.Name, l.now, pool.Notice{Rest: 300 * time.Millisecond})
 			}
 			l.arrive("m0", "")
 		}, nil},
--- a/core/notice/notice.go
+++ b/core/notice/notice.go
@@ -67,7 +67,7 @@
 	said := e.Notice
 	said.Rest += n.spread(e.Replica, said.Rest)
 	n.heardLimit(now, e)
-	news := n.Pool.Hear(now, e.Replica, e.Sent, said)
+	news := n.Pool.ObserveNotice(now, e.Replica, e.Sent, said)
 	if news.IsZero() {
 		return
 	}
--- a/core/pool/notice.go
+++ b/core/pool/notice.go
@@ -73,10 +73,10 @@
 	return !r.listedLeaving && !r.ended && !r.leavingAt.IsZero() && now.Since(r.leavingAt) < lastResortSpan
 }
 
-// Hear takes in what a replica said of its leaving and its rest in its answer to what was
+// ObserveNotice takes in what a replica said of its leaving and its rest in its answer to what was
 // sent at sent, and returns what of it is news. An answer to something that was sent before this life of the
 // replica was known may be one of the life before, and says nothing.
-func (p *Pool) Hear(now clock.Instant, name string, sent clock.Instant, said Notice) Notice {
+func (p *Pool) ObserveNotice(now clock.Instant, name string, sent clock.Instant, said Notice) Notice {
 	r := p.replicas[name]
 	if r == nil || sent.Before(r.seenAt) {
 		return Notice{}
--- a/core/pool/notice_test.go
+++ b/core/pool/notice_test.go
@@ -40,8 +40,8 @@
 		{"one at another address says so", func(p *Pool) { p.Announce(start.Add(10*time.Second), "r", elsewhere) }, leaving, 50 * time.Second, leaving, true, 0},
 		{"one of an entry without a birth says so", func(p *Pool) { a := entry; a.Born = ""; p.Announce(start.Add(55*time.Second), "r", a) }, leaving, 50 * time.Second, leaving, true, 0},
 		{"it wants rest", nil, Notice{Rest: 3 * time.Second}, 50 * time.Second, Notice{Rest: 3 * time.Second}, false, 3 * time.Second},
-		{"a longer rest after a shorter one", func(p *Pool) { p.Hear(now, "r", now, Notice{Rest: time.Second}) }, Notice{Rest: 3 * time.Second}, 50 * time.Second, Notice{Rest: 3 * time.Second}, false, 3 * time.Second},
-		{"a shorter rest after a longer one", func(p *Pool) { p.Hear(now, "r", now, Notice{Rest: 5 * time.Second}) }, Notice{Rest: 3 * time.Second}, 50 * time.Second, Notice{}, false, 5 * time.Second},
+		{"a longer rest after a shorter one", func(p *Pool) { p.ObserveNotice(now, "r", now, Notice{Rest: time.Second}) }, Notice{Rest: 3 * time.Second}, 50 * time.Second, Notice{Rest: 3 * time.Second}, false, 3 * time.Second},
+		{"a shorter rest after a longer one", func(p *Pool) { p.ObserveNotice(now, "r", now, Notice{Rest: 5 * time.Second}) }, Notice{Rest: 3 * time.Second}, 50 * time.Second, Notice{}, false, 5 * time.Second},
 		{"it says nothing", nil, Notice{}, 50 * time.Second, Notice{}, false, 0},
 	}
 	for _, c := range cases {
@@ -52,7 +52,7 @@
 			if c.do != nil {
 				c.do(p)
 			}
-			is.Equal(p.Hear(now, "r", start.Add(c.sent), c.said), c.news)
+			is.Equal(p.ObserveNotice(now, "r", start.Add(c.sent), c.said), c.news)
 			r := p.Get("r")
 			is.Equal(r != nil && r.Leaving(), c.leaving)
 			if r != nil {
@@ -71,7 +71,7 @@
 	p := New()
 	entry := Announcement{Service: "s", Address: "r", Zone: "z", Slots: 4, Born: "1"}
 	p.Announce(now, "r", entry)
-	p.Hear(now, "r", now, Notice{Leaving: true})
+	p.ObserveNotice(now, "r", now, Notice{Leaving: true})
 	p.Announce(now, "r", entry)
 	is.True(p.Get("r").Leaving())
 	p.MarkVanished(now, "r", clock.Instant{})
@@ -95,7 +95,7 @@
 	p := New()
 	entry := Announcement{Service: "s", Address: "r", Zone: "z", Slots: 4, Born: "1"}
 	p.Announce(now, "r", entry)
-	p.Hear(now, "r", now, Notice{Rest: 5 * time.Second})
+	p.ObserveNotice(now, "r", now, Notice{Rest: 5 * time.Second})
 	entry.Born = "2"
 	p.Announce(now.Add(time.Second), "r", entry)
 	is.Equal(p.Get("r").RestLeft(now.Add(time.Second)), 4*time.Second)
@@ -112,7 +112,7 @@
 	p.Announce(now, "r", Announcement{Service: "s", Address: "r", Zone: "z", Slots: 4})
 	r := p.Get("r")
 	r.Start(now, 1) // it runs there since before
-	p.Hear(now, "r", now, Notice{Rest: time.Second})
+	p.ObserveNotice(now, "r", now, Notice{Rest: time.Second})
 	p.AnswerBegan(now, r, 1)
 	is.True(r.Resting(now)) // an answer to what was sent before shows nothing
 	now = now.Add(time.Second)
@@ -123,7 +123,7 @@
 	r.Forget(2)
 	is.True(r.MayReject(now) && !r.OnTrial())
 	r.Start(now, 3)
-	p.Hear(now, "r", now, Notice{Rest: time.Second})
+	p.ObserveNotice(now, "r", now, Notice{Rest: time.Second})
 	r.Forget(3)
 	is.True(r.Resting(now))
 	now = now.Add(time.Second)
--- a/core/pool/ratelimit_test.go
+++ b/core/pool/ratelimit_test.go
@@ -73,7 +73,7 @@
 	is.True(p.TellLimit(Incarnation{Name: "r", Born: "2"}, LimitWord{Limit: named(4), By: "j", Moment: clock.Moment{At: later}}))
 	is.True(!p.HearLimit(later, "gone", later, named(3), "i"))
 	// A rest and its leaving are beside it.
-	p.Hear(later, "r", later, Notice{Rest: time.Second, Leaving: true})
+	p.ObserveNotice(later, "r", later, Notice{Rest: time.Second, Leaving: true})
 	r := p.Get("r")
 	rate, limited := r.RateLimit(later)
 	is.True(limited && rate == 4 && r.Resting(later) && r.Leaving())
--- a/core/route/forward_test.go
+++ b/core/route/forward_test.go
@@ -110,54 +110,54 @@
 			fail(start, b)
 		}, "a"},
 		{"the own zone's wants nothing", true, func(_ *Router, p *pool.Pool, _, _ *pool.Replica, _ *Query) {
-			p.Hear(start, "a", start, pool.Notice{Rest: time.Second})
+			p.ObserveNotice(start, "a", start, pool.Notice{Rest: time.Second})
 		}, "b"},
 		{"both want nothing", true, func(_ *Router, p *pool.Pool, _, _ *pool.Replica, _ *Query) {
-			p.Hear(start, "a", start, pool.Notice{Rest: time.Second})
-			p.Hear(start, "b", start, pool.Notice{Rest: time.Second})
+			p.ObserveNotice(start, "a", start, pool.Notice{Rest: time.Second})
+			p.ObserveNotice(start, "b", start, pool.Notice{Rest: time.Second})
 		}, ""},
 		{"one wants nothing, and the other is ejected", true, func(_ *Router, p *pool.Pool, _, b *pool.Replica, _ *Query) {
-			p.Hear(start, "a", start, pool.Notice{Rest: time.Second})
+			p.ObserveNotice(start, "a", start, pool.Notice{Rest: time.Second})
 			fail(start, b)
 		}, "b"},
 		{"the own zone's wanted nothing until a moment ago", true, func(_ *Router, p *pool.Pool, _, _ *pool.Replica, _ *Query) {
-			p.Hear(start.Add(-time.Second), "a", start, pool.Notice{Rest: time.Second})
+			p.ObserveNotice(start.Add(-time.Second), "a", start, pool.Notice{Rest: time.Second})
 		}, "a"},
 		{"the same, and a call shows whether it takes calls", true, func(_ *Router, p *pool.Pool, a, _ *pool.Replica, _ *Query) {
-			p.Hear(start.Add(-time.Second), "a", start, pool.Notice{Rest: time.Second})
+			p.ObserveNotice(start.Add(-time.Second), "a", start, pool.Notice{Rest: time.Second})
 			a.Start(start, 1)
 		}, "b"},
 		{"the same, for a call that could not be repeated", true, func(_ *Router, p *pool.Pool, _, _ *pool.Replica, q *Query) {
-			p.Hear(start.Add(-time.Second), "a", start, pool.Notice{Rest: time.Second})
+			p.ObserveNotice(start.Add(-time.Second), "a", start, pool.Notice{Rest: time.Second})
 			q.Sure = true
 		}, "b"},
 		{"the same, of both", true, func(_ *Router, p *pool.Pool, _, _ *pool.Replica, q *Query) {
-			p.Hear(start.Add(-time.Second), "a", start, pool.Notice{Rest: time.Second})
-			p.Hear(start.Add(-time.Second), "b", start, pool.Notice{Rest: time.Second})
+			p.ObserveNotice(start.Add(-time.Second), "a", start, pool.Notice{Rest: time.Second})
+			p.ObserveNotice(start.Add(-time.Second), "b", start, pool.Notice{Rest: time.Second})
 			q.Sure = true
 		}, "a"},
 		{"the own zone's said that it leaves", true, func(_ *Router, p *pool.Pool, _, _ *pool.Replica, _ *Query) {
-			p.Hear(start, "a", start, pool.Notice{Leaving: true})
+			p.ObserveNotice(start, "a", start, pool.Notice{Leaving: true})
 		}, "b"},
 		{"both said a moment ago that they leave", true, func(_ *Router, p *pool.Pool, _, _ *pool.Replica, _ *Query) {
-			p.Hear(start.Add(-900*time.Millisecond), "a", start, pool.Notice{Leaving: true})
-			p.Hear(start.Add(-900*time.Millisecond), "b", start, pool.Notice{Leaving: true})
+			p.ObserveNotice(start.Add(-900*time.Millisecond), "a", start, pool.Notice{Leaving: true})
+			p.ObserveNotice(start.Add(-900*time.Millisecond), "b", start, pool.Notice{Leaving: true})
 		}, "a"},
 		{"both said a while ago that they leave", true, func(_ *Router, p *pool.Pool, _, _ *pool.Replica, _ *Query) {
-			p.Hear(start.Add(-time.Second), "a", start, pool.Notice{Leaving: true})
-			p.Hear(start.Add(-time.Second), "b", start, pool.Notice{Leaving: true})
+			p.ObserveNotice(start.Add(-time.Second), "a", start, pool.Notice{Leaving: true})
+			p.ObserveNotice(start.Add(-time.Second), "b", start, pool.Notice{Leaving: true})
 		}, ""},
 		{"both are listed as leaving", true, func(_ *Router, p *pool.Pool, a, b *pool.Replica, _ *Query) {
 			for _, r := range []*pool.Replica{a, b} {
 				leaving := r.Announcement()
 				leaving.Leaving = true
-				p.Hear(start, r.Name, start, pool.Notice{Leaving: true})
+				p.ObserveNotice(start, r.Name, start, pool.Notice{Leaving: true})
 				p.Announce(start, r.Name, leaving)
 			}
 		}, ""},
 		{"both said that they leave, and another has the address of one", true, func(_ *Router, p *pool.Pool, _, _ *pool.Replica, _ *Query) {
-			p.Hear(start, "a", start, pool.Notice{Leaving: true})
-			p.Hear(start, "b", start, pool.Notice{Leaving: true})
+			p.ObserveNotice(start, "a", start, pool.Notice{Leaving: true})
+			p.ObserveNotice(start, "b", start, pool.Notice{Leaving: true})
 			p.MarkTerminated("a")
 		}, "b"},
 		{"the own zone's entry went", true, func(_ *Router, p *pool.Pool, _, _ *pool.Replica, _ *Query) {
