--- a/core/notice/notice.go
+++ b/core/notice/notice.go
@@ -162,7 +162,7 @@
 		}
 		n.TellSoon(now)
 		r := n.Pool.Get(l.Name)
-		if r != nil && r.Incarnation() == l.Incarnation && n.Pool.TellLeaving(l.Name) {
+		if r != nil && r.Incarnation() == l.Incarnation && n.Pool.ObservePeerLeaving(l.Name) {
 			n.Out.Log(logevent.Leaving, "upstream", l.Name, "source", "a peer", "told", from)
 		}
 	}
@@ -176,7 +176,7 @@
 	if r == nil {
 		return
 	}
-	if n.Records.IsLeaving(r.Incarnation()) && n.Pool.TellLeaving(name) {
+	if n.Records.IsLeaving(r.Incarnation()) && n.Pool.ObservePeerLeaving(name) {
 		n.Out.Log(logevent.Leaving, "upstream", name, "source", "a peer")
 	}
 	if r.AnnouncedLeaving() && n.Records.AddLeaving("", share.Leaving{Incarnation: r.Incarnation(), At: now}) {
--- a/core/pool/notice.go
+++ b/core/pool/notice.go
@@ -106,9 +106,9 @@
 	return true
 }
 
-// TellLeaving notes that a replica leaves as other instances know, and reports whether that is
+// ObservePeerLeaving notes that a replica leaves as other instances know, and reports whether that is
 // news. It is not used as a last resort then, since it may have been leaving for long.
-func (p *Pool) TellLeaving(name string) bool {
+func (p *Pool) ObservePeerLeaving(name string) bool {
 	r := p.replicas[name]
 	if r == nil || r.Leaving() {
 		return false
