--- a/core/calls/queue.go
+++ b/core/calls/queue.go
@@ -71,14 +71,14 @@
 
 // Changed reports whether something changed since the last look over the queue
 // that could let a call go on.
-func (t *Table) Changed() bool { return t.Pool.Touched() != t.lookedAt }
+func (t *Table) Changed() bool { return t.Pool.CapacityChanges() != t.lookedAt }
 
 // Retry looks again for replicas of the calls that wait, in order.
 func (t *Table) Retry(now clock.Instant) {
 	if len(t.queue) == 0 {
 		return
 	}
-	t.lookedAt = t.Pool.Touched()
+	t.lookedAt = t.Pool.CapacityChanges()
 	var waiting []*Call
 	for _, c := range t.inOrder(now) {
 		if c.Phase != Waiting || t.calls[c.ID] != c {
--- a/core/pool/notice_test.go
+++ b/core/pool/notice_test.go
@@ -128,8 +128,8 @@
 	is.True(r.Resting(now))
 	now = now.Add(time.Second)
 	r.Start(now, 4)
-	touched := p.Touched()
+	touched := p.CapacityChanges()
 	p.AnswerBegan(now, r, 4)
 	is.True(!r.MayReject(now) && !r.OnTrial())
-	is.True(p.Touched() > touched) // calls that wait look again
+	is.True(p.CapacityChanges() > touched) // calls that wait look again
 }
--- a/core/pool/pool.go
+++ b/core/pool/pool.go
@@ -110,8 +110,8 @@
 // or not.
 func (p *Pool) Serving(service string) []*Replica { return p.plain[service] }
 
-// Touched rises with every change that could let a waiting call go on.
-func (p *Pool) Touched() uint64 { return p.touched }
+// CapacityChanges rises with every change that could let a waiting call go on.
+func (p *Pool) CapacityChanges() uint64 { return p.touched }
 
 // Touch notes such a change that the pool cannot see itself.
 func (p *Pool) Touch() { p.touched++ }
--- a/core/pool/replica_test.go
+++ b/core/pool/replica_test.go
@@ -32,10 +32,10 @@
 	r.Start(now, id)
 	r.Forget(id) // says nothing of the replica
 	is.Equal(r.Failures(), ejectAfter-1)
-	touched := p.Touched()
+	touched := p.CapacityChanges()
 	failed(1)
 	is.True(r.Ejected(now))
-	is.True(p.Touched() > touched) // calls that wait look again
+	is.True(p.CapacityChanges() > touched) // calls that wait look again
 	now = now.Add(ejectBase)
 	is.True(!r.Ejected(now))
 	failed(ejectAfter)
