--- a/core/calls/table.go
+++ b/core/calls/table.go
@@ -127,7 +127,7 @@
 
 // Remove takes a call out that has its final answer, or needs none.
 func (t *Table) Remove(c *Call) {
-	t.Pool.Touch()
+	t.Pool.NoteCapacityChange()
 	delete(t.calls, c.ID)
 }
 
@@ -153,7 +153,7 @@
 	delete(t.calls, c.ID)
 	t.Out.Log(logevent.CallFailed, "call", c.Label(), "service", c.Service, "item", c.Item, "code", int(r.Code), "run", string(r.Run), "detail", r.Detail)
 	t.Out.Do(Finish{ID: c.ID, Refusal: r})
-	t.Pool.Touch()
+	t.Pool.NoteCapacityChange()
 }
 
 // RetryAfter returns when a refused call is told to come back: d, spread so that
--- a/core/pool/pool.go
+++ b/core/pool/pool.go
@@ -113,8 +113,8 @@
 // CapacityChanges rises with every change that could let a waiting call go on.
 func (p *Pool) CapacityChanges() uint64 { return p.touched }
 
-// Touch notes such a change that the pool cannot see itself.
-func (p *Pool) Touch() { p.touched++ }
+// NoteCapacityChange notes such a change that the pool cannot see itself.
+func (p *Pool) NoteCapacityChange() { p.touched++ }
 
 // ObserveResidency takes in what an engine said it holds, from whichever way it
 // came, and reports whether that was news.
@@ -234,7 +234,7 @@
 	wasEjected := r.Ejected(now)
 	r.End(now, call, started, true)
 	if r.Ejected(now) && !wasEjected {
-		p.Touch()
+		p.NoteCapacityChange()
 	}
 }
 
--- a/core/quarantine/verdict.go
+++ b/core/quarantine/verdict.go
@@ -201,7 +201,7 @@
 	t.Out.Log(logevent.RequestReleased, "fingerprint", request.String())
 	t.unrecord(t.verdicts[request], request)
 	delete(t.verdicts, request)
-	t.Pool.Touch()
+	t.Pool.NoteCapacityChange()
 }
 
 func (t *Tracker) pruneVerdicts(now clock.Instant) {
