--- a/core/forwarding/attempts.go
+++ b/core/forwarding/attempts.go
@@ -191,7 +191,7 @@
 		// The replica works; that it failed a call may lie in the call.
 		r.End(now, uint64(c.ID), c.Started, false)
 	default:
-		f.Pool.Failed(now, r, uint64(c.ID), c.Started)
+		f.Pool.CallFailed(now, r, uint64(c.ID), c.Started)
 		if b.Severed {
 			f.Quarantine.Severed(now, c.Forward.Fingerprint, r)
 		}
--- a/core/own/modelcalls/attempts.go
+++ b/core/own/modelcalls/attempts.go
@@ -91,7 +91,7 @@
 	if e.Phase == attempt.NotSent && c.Item != "" {
 		h.Meter.Unmet(now, c.Item) // resident, but not within reach
 	}
-	h.Pool.Failed(now, r, uint64(c.ID), c.Started)
+	h.Pool.CallFailed(now, r, uint64(c.ID), c.Started)
 }
 
 func (h *Handler) resume(now clock.Instant, c *calls.Call) {
--- a/core/pool/pool.go
+++ b/core/pool/pool.go
@@ -229,8 +229,8 @@
 	r.leavingBoot = max(r.leavingBoot, r.Residency.Boot)
 }
 
-// Failed notes that a call which ran at the replica since started failed there.
-func (p *Pool) Failed(now clock.Instant, r *Replica, call uint64, started clock.Instant) {
+// CallFailed notes that a call which ran at the replica since started failed there.
+func (p *Pool) CallFailed(now clock.Instant, r *Replica, call uint64, started clock.Instant) {
 	wasEjected := r.Ejected(now)
 	r.End(now, call, started, true)
 	if r.Ejected(now) && !wasEjected {
--- a/core/pool/replica_test.go
+++ b/core/pool/replica_test.go
@@ -23,7 +23,7 @@
 		for range n {
 			id++
 			r.Start(now, id)
-			p.Failed(now, r, id, now)
+			p.CallFailed(now, r, id, now)
 		}
 	}
 	failed(ejectAfter - 1)
