--- a/core/forwarding/permit.go
+++ b/core/forwarding/permit.go
@@ -48,7 +48,7 @@
 	}
 	s.permits++
 	wait, alone := f.turnWait(now, c, q, best)
-	w := best.Replica.LimitWord()
+	w := best.Replica.LimitReport()
 	f.Calls.Leave(c, calls.Permitting)
 	f.Out.Log(logevent.CallWaits, "call", c.Forward.Name, "item", c.Item, "for", "a permit", "replica", best.Replica.Name,
 		"per_s", w.Limit.PerSecond, "by", w.By, "ago_ms", now.Since(w.At).Milliseconds(), "most_ms", wait.Milliseconds())
@@ -146,7 +146,7 @@
 	next := slices.MinFunc(denied, func(a, b denial) int { return int(a.after - b.after) })
 	detail := "the replicas that can serve it take no more requests for now"
 	if r := f.Pool.Get(next.life.Name); r != nil {
-		w := r.LimitWord()
+		w := r.LimitReport()
 		detail = fmt.Sprintf("%s; %s takes %g a second, as %s heard %v ago", detail, r.Name, w.Limit.PerSecond, w.By, now.Since(w.At).Round(time.Millisecond))
 	}
 	if c.History.Run() != code.NotRun || s.progress.opened {
--- a/core/instance/status.go
+++ b/core/instance/status.go
@@ -118,7 +118,7 @@
 		Items:    map[string]string{},
 	}
 	if rate, limited := r.RateLimit(now); limited {
-		w := r.LimitWord()
+		w := r.LimitReport()
 		s.Limit = &LimitStatus{PerSecond: w.Limit.PerSecond, By: w.By, AgeMS: now.Since(w.At).Milliseconds(), Ended: !w.Limit.Named, GivenOut: rate}
 	}
 	for _, it := range r.Residency.Items {
--- a/core/notice/notice.go
+++ b/core/notice/notice.go
@@ -92,19 +92,19 @@
 	if r == nil {
 		return
 	}
-	former := r.LimitWord()
+	former := r.LimitReport()
 	if !n.Pool.HearLimit(now, e.Replica, e.Sent, e.Notice.Limit, n.Self.Name) {
 		return
 	}
 	n.logLimit(now, r, former)
-	if n.Records.AddLimit("", r.Incarnation(), r.LimitWord()) {
+	if n.Records.AddLimit("", r.Incarnation(), r.LimitReport()) {
 		n.TellSoon(now)
 	}
 }
 
 // logLimit logs what is known of a replica's limit, if it is another one than before.
 func (n *Notices) logLimit(now clock.Instant, r *pool.Replica, former pool.LimitWord) {
-	w := r.LimitWord()
+	w := r.LimitReport()
 	if w.Limit == former.Limit {
 		return
 	}
@@ -124,7 +124,7 @@
 func (n *Notices) ToldLimit(now clock.Instant, from string, life pool.Incarnation, w pool.LimitWord) {
 	r := n.Pool.Get(life.Name)
 	if r != nil && r.MayBeIncarnation(life.Born) {
-		former := r.LimitWord()
+		former := r.LimitReport()
 		if !n.Pool.TellLimit(life, w) {
 			return // this instance heard of it later
 		}
--- a/core/permits/coordinator.go
+++ b/core/permits/coordinator.go
@@ -328,7 +328,7 @@
 func (c *coordinator) answer(now clock.Instant, w waiting, v Verdict) {
 	if w.token != 0 {
 		if r := c.p.Pool.Get(w.request.Replica.Name); r != nil && r.MayBeIncarnation(w.request.Replica.Born) {
-			v.Word = r.LimitWord()
+			v.Word = r.LimitReport()
 			v.Word.Moment = v.Word.Sent(now)
 		}
 		c.p.Out.Do(Answer{Token: w.token, Verdict: v})
--- a/core/permits/permits.go
+++ b/core/permits/permits.go
@@ -205,7 +205,7 @@
 }
 
 func requestOf(r *pool.Replica, rank int, wait time.Duration) Request {
-	return Request{Subject: Subject{Replica: r.Incarnation()}, Zone: r.Zone, Rank: min(rank, adapterRank), Wait: max(0, wait), Word: r.LimitWord()}
+	return Request{Subject: Subject{Replica: r.Incarnation()}, Zone: r.Zone, Rank: min(rank, adapterRank), Wait: max(0, wait), Word: r.LimitReport()}
 }
 
 // ForRepeat asks for a permit to repeat a call of a service, within wait. Decided is told of
--- a/core/pool/ratelimit.go
+++ b/core/pool/ratelimit.go
@@ -83,8 +83,8 @@
 	}
 }
 
-// LimitWord returns the newest that is known of the replica's limit.
-func (r *Replica) LimitWord() LimitWord { return r.limit.word }
+// LimitReport returns the newest that is known of the replica's limit.
+func (r *Replica) LimitReport() LimitWord { return r.limit.word }
 
 // RateLimit returns how many requests a second the replica is to get from all instances
 // together; limited is false where nothing is held back.
--- a/core/pool/ratelimit_test.go
+++ b/core/pool/ratelimit_test.go
@@ -51,7 +51,7 @@
 				is.True(p.HearLimit(first, "r", first, c.was, "i"))
 			}
 			is.Equal(p.HearLimit(second, "r", first.Add(c.sent), c.said, "j"), c.news)
-			is.Equal(p.Get("r").LimitWord().Limit, c.want)
+			is.Equal(p.Get("r").LimitReport().Limit, c.want)
 		})
 	}
 }
@@ -94,7 +94,7 @@
 	is.True(!p.HearLimit(start.Add(2*time.Second), "r", start.Add(900*time.Millisecond), named(5), "i")) // sent before that was said
 	is.True(p.HearLimit(start.Add(2*time.Second), "r", start.Add(1100*time.Millisecond), named(5), "i"))
 	is.True(!told(1500*time.Millisecond, named(2)))
-	is.Equal(p.Get("r").LimitWord().By, "i")
+	is.Equal(p.Get("r").LimitReport().By, "i")
 }
 
 // TestWhatALimitLetsThrough tables the rate by what was named and how long ago.
