--- a/core/forwarding/permit_test.go
+++ b/core/forwarding/permit_test.go
@@ -22,7 +22,7 @@
 func (f *Forwarder) limitedReplica(name string, perSecond float64) *pool.Replica {
 	f.Pool.Announce(start, name, pool.Announcement{Service: "s", Address: name, Zone: "z", Slots: 8, Engine: true, Models: []pool.AnnouncedModel{{Name: "m"}}})
 	if perSecond >= 0 {
-		f.Pool.HearLimit(start, name, start, pool.RateLimit{Named: true, PerSecond: perSecond}, "i")
+		f.Pool.ObserveLimit(start, name, start, pool.RateLimit{Named: true, PerSecond: perSecond}, "i")
 	}
 	return f.Pool.Get(name)
 }
--- a/core/notice/notice.go
+++ b/core/notice/notice.go
@@ -93,7 +93,7 @@
 		return
 	}
 	former := r.LimitReport()
-	if !n.Pool.HearLimit(now, e.Replica, e.Sent, e.Notice.Limit, n.Self.Name) {
+	if !n.Pool.ObserveLimit(now, e.Replica, e.Sent, e.Notice.Limit, n.Self.Name) {
 		return
 	}
 	n.logLimit(now, r, former)
--- a/core/permits/permits_test.go
+++ b/core/permits/permits_test.go
@@ -62,7 +62,7 @@
 
 // limit has the replica name a limit.
 func (l *lab) limit(perSecond float64) {
-	l.Pool.HearLimit(l.now, "r", l.now, pool.RateLimit{Named: true, PerSecond: perSecond}, "self")
+	l.Pool.ObserveLimit(l.now, "r", l.now, pool.RateLimit{Named: true, PerSecond: perSecond}, "self")
 }
 
 // after lets time go by, in ticks.
--- a/core/pool/ratelimit.go
+++ b/core/pool/ratelimit.go
@@ -98,10 +98,10 @@
 	turnAt clock.Instant // when the next request may be sent, as was last said
 }
 
-// HearLimit takes in what a replica said of its limit in its answer to what was sent at
+// ObserveLimit takes in what a replica said of its limit in its answer to what was sent at
 // sent by the instance by, and reports whether it holds against what was known. An answer to
 // something that was sent before this life of the replica was known says nothing.
-func (p *Pool) HearLimit(now clock.Instant, name string, sent clock.Instant, limit RateLimit, by string) bool {
+func (p *Pool) ObserveLimit(now clock.Instant, name string, sent clock.Instant, limit RateLimit, by string) bool {
 	r := p.replicas[name]
 	if r == nil || sent.Before(r.seenAt) || !r.limit.word.saidLater(limit, sent) {
 		return false
--- a/core/pool/ratelimit_test.go
+++ b/core/pool/ratelimit_test.go
@@ -48,9 +48,9 @@
 			p := New()
 			p.Announce(start, "r", Announcement{Service: "s", Address: "r"})
 			if c.was != none {
-				is.True(p.HearLimit(first, "r", first, c.was, "i"))
+				is.True(p.ObserveLimit(first, "r", first, c.was, "i"))
 			}
-			is.Equal(p.HearLimit(second, "r", first.Add(c.sent), c.said, "j"), c.news)
+			is.Equal(p.ObserveLimit(second, "r", first.Add(c.sent), c.said, "j"), c.news)
 			is.Equal(p.Get("r").LimitReport().Limit, c.want)
 		})
 	}
@@ -63,15 +63,15 @@
 	start := clocktest.At(time.Hour)
 	p := New()
 	p.Announce(start, "r", Announcement{Service: "s", Address: "r", Born: "1"})
-	is.True(p.HearLimit(start, "r", start, named(3), "i"))
+	is.True(p.ObserveLimit(start, "r", start, named(3), "i"))
 	later := start.Add(time.Second)
 	p.Announce(later, "r", Announcement{Service: "s", Address: "r", Born: "2"})
 	_, limited := p.Get("r").RateLimit(later)
 	is.True(!limited)
-	is.True(!p.HearLimit(later, "r", start, named(3), "i"))
+	is.True(!p.ObserveLimit(later, "r", start, named(3), "i"))
 	is.True(!p.TellLimit(Incarnation{Name: "r", Born: "1"}, LimitWord{Limit: named(3), By: "j", Moment: clock.Moment{At: later}}))
 	is.True(p.TellLimit(Incarnation{Name: "r", Born: "2"}, LimitWord{Limit: named(4), By: "j", Moment: clock.Moment{At: later}}))
-	is.True(!p.HearLimit(later, "gone", later, named(3), "i"))
+	is.True(!p.ObserveLimit(later, "gone", later, named(3), "i"))
 	// A rest and its leaving are beside it.
 	p.ObserveNotice(later, "r", later, Notice{Rest: time.Second, Leaving: true})
 	r := p.Get("r")
@@ -91,8 +91,8 @@
 	is.True(told(time.Second, named(2)))
 	is.True(!told(time.Second, named(5)))
 	is.True(!told(900*time.Millisecond, RateLimit{}))
-	is.True(!p.HearLimit(start.Add(2*time.Second), "r", start.Add(900*time.Millisecond), named(5), "i")) // sent before that was said
-	is.True(p.HearLimit(start.Add(2*time.Second), "r", start.Add(1100*time.Millisecond), named(5), "i"))
+	is.True(!p.ObserveLimit(start.Add(2*time.Second), "r", start.Add(900*time.Millisecond), named(5), "i")) // sent before that was said
+	is.True(p.ObserveLimit(start.Add(2*time.Second), "r", start.Add(1100*time.Millisecond), named(5), "i"))
 	is.True(!told(1500*time.Millisecond, named(2)))
 	is.Equal(p.Get("r").LimitReport().By, "i")
 }
@@ -139,7 +139,7 @@
 	r := p.Get("r")
 	is.Equal(r.TurnDelay(now), time.Duration(0))
 	is.True(!r.LimitUnheard(now.Add(time.Hour)))
-	p.HearLimit(now, "r", now, named(2), "i")
+	p.ObserveLimit(now, "r", now, named(2), "i")
 	is.Equal(r.TurnDelay(now), 250*time.Millisecond)
 	r.SetTurn(now.Add(2 * time.Second))
 	is.Equal(r.TurnDelay(now), 2*time.Second)
