--- a/core/notice/notice.go
+++ b/core/notice/notice.go
@@ -125,7 +125,7 @@
 	r := n.Pool.Get(life.Name)
 	if r != nil && r.MayBeIncarnation(life.Born) {
 		former := r.LimitReport()
-		if !n.Pool.TellLimit(life, w) {
+		if !n.Pool.ObservePeerLimit(life, w) {
 			return // this instance heard of it later
 		}
 		n.logLimit(now, r, former)
@@ -183,7 +183,7 @@
 		n.TellSoon(now)
 	}
 	if w, ok := n.Records.Limit(r.Incarnation()); ok {
-		n.Pool.TellLimit(r.Incarnation(), w)
+		n.Pool.ObservePeerLimit(r.Incarnation(), w)
 	}
 }
 
--- a/core/pool/ratelimit.go
+++ b/core/pool/ratelimit.go
@@ -116,9 +116,9 @@
 	return true
 }
 
-// TellLimit takes in what another instance heard of the limit of a life of a replica, and
+// ObservePeerLimit takes in what another instance heard of the limit of a life of a replica, and
 // reports whether that is later than what is known.
-func (p *Pool) TellLimit(life Incarnation, w LimitWord) bool {
+func (p *Pool) ObservePeerLimit(life Incarnation, w LimitWord) bool {
 	r := p.replicas[life.Name]
 	if r == nil || !r.MayBeIncarnation(life.Born) || !w.Newer(r.limit.word) {
 		return false
