--- a/core/forwarding/permit_test.go
+++ b/core/forwarding/permit_test.go
@@ -84,7 +84,7 @@
 	for range 3 {
 		f.spend(start, r)
 	}
-	r.SetTurn(start.Add(time.Minute))
+	r.SetNextSend(start.Add(time.Minute))
 	f.findReplica(start, f.callFor(2)) // its turn would come later than the free one serves it
 	is.Equal(f.dispatches()[2].Replica, "free")
 }
@@ -140,7 +140,7 @@
 	f := testForwarder(t)
 	a, b := f.limitedReplica("a", 1), f.limitedReplica("b", 1)
 	f.spend(start, a)
-	a.SetTurn(start) // not known to this call
+	a.SetNextSend(start) // not known to this call
 	f.findReplica(start, f.callFor(1))
 	f.findReplica(start, f.callFor(2))
 	is.Equal(len(f.dispatches()), 1)
--- a/core/permits/permits.go
+++ b/core/permits/permits.go
@@ -316,7 +316,7 @@
 func (p *Permits) decide(now clock.Instant, a *ask, v Verdict) {
 	v.Granted = v.Granted && now.Elapsed(a.sent)-v.Held < permitLife
 	if r := p.Pool.Get(a.request.Replica.Name); r != nil {
-		r.SetTurn(now.Add(v.Turn))
+		r.SetNextSend(now.Add(v.Turn))
 	}
 	if a.call != 0 {
 		p.Decided(now, a.call, a.request.Subject, v)
--- a/core/pool/ratelimit.go
+++ b/core/pool/ratelimit.go
@@ -128,8 +128,8 @@
 	return true
 }
 
-// SetTurn notes when the next request may be sent to the replica, as was said now.
-func (r *Replica) SetTurn(at clock.Instant) { r.limit.turnAt = at }
+// SetNextSend notes when the next request may be sent to the replica, as was said now.
+func (r *Replica) SetNextSend(at clock.Instant) { r.limit.turnAt = at }
 
 // TurnDelay returns how long a request to the replica is believed to wait for its limit:
 // until the next one may be sent, as far as that is known, and half the time between two of
