--- a/core/forwarding/place.go
+++ b/core/forwarding/place.go
@@ -102,7 +102,7 @@
 		Sure:     !f.Budget.Left(now, c.Service),
 		Salt:     uint64(c.ID) ^ f.Self.Boot,
 		ZoneCost: f.zoneCost,
-		TurnCost: func(r *pool.Replica) time.Duration { return r.TurnDelay(now) },
+		TurnCost: func(r *pool.Replica) time.Duration { return r.RateLimitDelay(now) },
 	}
 	if c.Item != "" {
 		query.LoadCost = func(r *pool.Replica) (time.Duration, bool) { return f.itemCost(now, c, r) }
@@ -148,7 +148,7 @@
 	if phase == pool.Unloading || s.fetches >= maxFetches || !f.Asks.Possible(now, orderKey(s, r)) {
 		return 0, false
 	}
-	cost = fetchCost + r.TurnDelay(now) // the order takes a turn of its own
+	cost = fetchCost + r.RateLimitDelay(now) // the order takes a turn of its own
 	if phase != pool.Loading && r.Adapters() >= s.service.Announced.Engine.AdapterSlots {
 		cost += evictCost
 	}
--- a/core/pool/ratelimit.go
+++ b/core/pool/ratelimit.go
@@ -131,10 +131,10 @@
 // SetNextSend notes when the next request may be sent to the replica, as was said now.
 func (r *Replica) SetNextSend(at clock.Instant) { r.limit.turnAt = at }
 
-// TurnDelay returns how long a request to the replica is believed to wait for its limit:
+// RateLimitDelay returns how long a request to the replica is believed to wait for its limit:
 // until the next one may be sent, as far as that is known, and half the time between two of
 // them at least, since other instances send there too.
-func (r *Replica) TurnDelay(now clock.Instant) time.Duration {
+func (r *Replica) RateLimitDelay(now clock.Instant) time.Duration {
 	rate, limited := r.RateLimit(now)
 	if !limited {
 		return 0
