--- a/core/forwarding/permit.go
+++ b/core/forwarding/permit.go
@@ -162,7 +162,7 @@
 func (f *Forwarder) unheard(now clock.Instant, c *calls.Call, candidates []*pool.Replica) []*pool.Replica {
 	var out []*pool.Replica
 	for _, r := range candidates {
-		if r.LimitUnheard(now) && (c.Item == "" || r.Phase(c.Item) == pool.Ready) {
+		if r.LimitStale(now) && (c.Item == "" || r.Phase(c.Item) == pool.Ready) {
 			out = append(out, r)
 		}
 	}
--- a/core/pool/ratelimit.go
+++ b/core/pool/ratelimit.go
@@ -146,9 +146,9 @@
 // to go to its replica, which shows whether it still holds (docs/design/limits.md).
 const unheardSpan = 5 * time.Second
 
-// LimitUnheard reports whether the replica named a limit, nobody has heard of it for a
+// LimitStale reports whether the replica named a limit, nobody has heard of it for a
 // while, and a request may be sent now as far as is known.
-func (r *Replica) LimitUnheard(now clock.Instant) bool {
+func (r *Replica) LimitStale(now clock.Instant) bool {
 	w := r.limit.word
 	return w.Limit.Named && now.Since(w.At) >= unheardSpan && !now.Before(r.limit.turnAt)
 }
