--- a/core/forwarding/attempts.go
+++ b/core/forwarding/attempts.go
@@ -175,11 +175,11 @@
 	case b.Misdirected:
 		r.Forget(uint64(c.ID))
 		f.Pool.MarkAbsent(c.Replica, c.Item)
-		r.Refused(now, c.Item)
+		r.MarkRefused(now, c.Item)
 	case b.Phase == attempt.Refused:
 		r.Forget(uint64(c.ID))
 		if !r.Resting(now) { // else it said itself for how long
-			r.Refused(now, c.Item)
+			r.MarkRefused(now, c.Item)
 		}
 	case b.Phase == attempt.NotSent:
 		r.Forget(uint64(c.ID))
--- a/core/own/modelcalls/attempts.go
+++ b/core/own/modelcalls/attempts.go
@@ -84,7 +84,7 @@
 	if e.Phase == attempt.Refused {
 		r.Forget(uint64(c.ID))
 		if c.Item != "" {
-			r.Refused(now, c.Item)
+			r.MarkRefused(now, c.Item)
 		}
 		return
 	}
--- a/core/pool/replica.go
+++ b/core/pool/replica.go
@@ -161,8 +161,8 @@
 // unless its residency is heard anew first.
 const refusal = 500 * time.Millisecond
 
-// Refused notes that the replica refused a call for item as not run.
-func (r *Replica) Refused(now clock.Instant, item string) { r.refused[item] = now.Add(refusal) }
+// MarkRefused notes that the replica refused a call for item as not run.
+func (r *Replica) MarkRefused(now clock.Instant, item string) { r.refused[item] = now.Add(refusal) }
 
 // Refusing reports whether the replica refused item a moment ago.
 func (r *Replica) Refusing(now clock.Instant, item string) bool {
