--- a/core/forwarding/attempts.go
+++ b/core/forwarding/attempts.go
@@ -183,7 +183,7 @@
 		}
 	case b.Phase == attempt.NotSent:
 		r.Forget(uint64(c.ID))
-		r.SetDown(now)
+		r.MarkDown(now)
 		if b.Unreachable {
 			f.Quarantine.Ended(now, r.Incarnation())
 		}
--- a/core/owned/queue.go
+++ b/core/owned/queue.go
@@ -178,7 +178,7 @@
 // process had ended.
 func (s *Engines) unreachable(now clock.Instant, e *Engine) {
 	if r := s.Pool.Get(e.Name); r != nil {
-		r.SetDown(now)
+		r.MarkDown(now)
 	}
 	queue := e.queue
 	e.queue = nil
--- a/core/pool/replica.go
+++ b/core/pool/replica.go
@@ -176,8 +176,8 @@
 // down, before it is tried again.
 const downSpan = 700 * time.Millisecond
 
-// SetDown notes that nothing answered at the replica's address.
-func (r *Replica) SetDown(now clock.Instant) { r.downTo = now.Add(downSpan) }
+// MarkDown notes that nothing answered at the replica's address.
+func (r *Replica) MarkDown(now clock.Instant) { r.downTo = now.Add(downSpan) }
 
 // Down reports whether nothing answered at the replica's address a moment ago.
 func (r *Replica) Down(now clock.Instant) bool { return now.Before(r.downTo) }
--- a/core/route/forward_test.go
+++ b/core/route/forward_test.go
@@ -100,7 +100,7 @@
 			q.Tried = []pool.Incarnation{{Name: "a"}, {Name: "b"}}
 		}, ""},
 		{"nothing answers at the own zone's", true, func(_ *Router, _ *pool.Pool, a, _ *pool.Replica, _ *Query) {
-			a.SetDown(start)
+			a.MarkDown(start)
 		}, "b"},
 		{"the own zone's is ejected", true, func(_ *Router, _ *pool.Pool, a, _ *pool.Replica, _ *Query) {
 			fail(start, a)
