--- a/core/own/choose/choose.go
+++ b/core/own/choose/choose.go
@@ -131,7 +131,7 @@
 }
 
 func estimate(now clock.Instant, q Query, r *pool.Replica) Estimate {
-	n := r.Sequences(now)
+	n := r.ActiveSequences(now)
 	slots := float64(max(1, r.Concurrent))
 	e := Estimate{Replica: r}
 	if n >= slots {
--- a/core/own/modelcalls/modelcalls.go
+++ b/core/own/modelcalls/modelcalls.go
@@ -188,7 +188,7 @@
 	var used, all float64
 	for _, r := range h.Pool.All() {
 		if r.Kind == pool.Engine && r.Zone == h.Self.Zone && r.Usable() {
-			used += r.Sequences(now)
+			used += r.ActiveSequences(now)
 			all += float64(r.Concurrent)
 		}
 	}
--- a/core/pool/replica.go
+++ b/core/pool/replica.go
@@ -210,10 +210,10 @@
 // Usable reports whether new work may be sent to the replica.
 func (r *Replica) Usable() bool { return !r.Leaving() }
 
-// Sequences estimates the calls that occupy the replica at now: own calls are
+// ActiveSequences estimates the calls that occupy the replica at now: own calls are
 // known exactly; those of others come from the last reported load, less what
 // was own then, and fade with the report's age.
-func (r *Replica) Sequences(now clock.Instant) float64 {
+func (r *Replica) ActiveSequences(now clock.Instant) float64 {
 	if r.Announced {
 		return float64(r.Load(now).Calls.Sum())
 	}
@@ -246,7 +246,7 @@
 
 // Busy returns the replica's running share at now: 1 is full.
 func (r *Replica) Busy(now clock.Instant) float64 {
-	return r.Sequences(now) / float64(max(1, r.Concurrent))
+	return r.ActiveSequences(now) / float64(max(1, r.Concurrent))
 }
 
 // Start notes that this instance sent the call id to the replica.
