--- a/core/instance/status.go
+++ b/core/instance/status.go
@@ -114,7 +114,7 @@
 		RestMS:   r.RestLeft(now).Milliseconds(),
 		InFlight: r.InFlight(),
 		Busy:     r.Busy(now),
-		FirstMS:  float64(r.FirstToken(now)) / float64(time.Millisecond),
+		FirstMS:  float64(r.TimeToFirstToken(now)) / float64(time.Millisecond),
 		Items:    map[string]string{},
 	}
 	if rate, limited := r.RateLimit(now); limited {
--- a/core/own/choose/choose.go
+++ b/core/own/choose/choose.go
@@ -144,7 +144,7 @@
 	if r.Zone != q.Zone {
 		e.Network = sameRegion
 	}
-	if first := r.FirstToken(now); first > e.Queue+e.Prefill {
+	if first := r.TimeToFirstToken(now); first > e.Queue+e.Prefill {
 		e.Slow = first - e.Queue - e.Prefill
 	}
 	e.Room = n < slots*(1+queueSlack) && r.InFlight() < r.Limit.Limit()
--- a/core/pool/replica.go
+++ b/core/pool/replica.go
@@ -225,10 +225,10 @@
 	return float64(len(r.inFlight)) + others
 }
 
-// FirstToken returns the measured time to first token: the peak EWMA, or the
+// TimeToFirstToken returns the measured time to first token: the peak EWMA, or the
 // age of the oldest own call that still waits for one if that is longer. The
 // age is what makes a frozen replica look slow before it has answered at all.
-func (r *Replica) FirstToken(now clock.Instant) time.Duration {
+func (r *Replica) TimeToFirstToken(now clock.Instant) time.Duration {
 	first := r.first
 	if age := now.Since(r.firstAt); first > defaultFirst && age > 0 {
 		// A slow answer is believed less the older it is; without this, a sole
