--- a/core/instance/status.go
+++ b/core/instance/status.go
@@ -113,7 +113,7 @@
 		Ejected:  r.Ejected(now),
 		RestMS:   r.RestLeft(now).Milliseconds(),
 		InFlight: r.InFlight(),
-		Busy:     r.Busy(now),
+		Busy:     r.Utilization(now),
 		FirstMS:  float64(r.TimeToFirstToken(now)) / float64(time.Millisecond),
 		Items:    map[string]string{},
 	}
--- a/core/pool/replica.go
+++ b/core/pool/replica.go
@@ -244,8 +244,8 @@
 // ServiceTime returns the measured time that a call occupies the replica.
 func (r *Replica) ServiceTime() time.Duration { return r.hold }
 
-// Busy returns the replica's running share at now: 1 is full.
-func (r *Replica) Busy(now clock.Instant) float64 {
+// Utilization returns the replica's running share at now: 1 is full.
+func (r *Replica) Utilization(now clock.Instant) float64 {
 	return r.ActiveSequences(now) / float64(max(1, r.Concurrent))
 }
 
