--- a/core/forwarding/attempts.go
+++ b/core/forwarding/attempts.go
@@ -163,7 +163,7 @@
 	r := f.Pool.Get(c.Replica)
 	switch {
 	case r == nil:
-	case !r.Serves(uint64(c.ID)):
+	case !r.HasCall(uint64(c.ID)):
 		if b.Severed {
 			f.Quarantine.SeveredByEnd(now, c.Forward.Fingerprint, c.Life)
 		}
--- a/core/pool/replica.go
+++ b/core/pool/replica.go
@@ -270,8 +270,8 @@
 	r.pending = append(r.pending, pendingCall{id: id, rank: rank, since: now, prefill: p.Work, expected: p.Expected})
 }
 
-// Serves reports whether the call is known to be in flight at this life of the replica.
-func (r *Replica) Serves(id uint64) bool {
+// HasCall reports whether the call is known to be in flight at this life of the replica.
+func (r *Replica) HasCall(id uint64) bool {
 	_, ok := r.inFlight[id]
 	return ok
 }
@@ -301,7 +301,7 @@
 
 // End notes that the call no longer occupies the replica.
 func (r *Replica) End(now clock.Instant, id uint64, started clock.Instant, failed bool) {
-	if !r.Serves(id) {
+	if !r.HasCall(id) {
 		return // it was at a former life
 	}
 	r.leave(id)
