--- a/core/own/modelcalls/attempts.go
+++ b/core/own/modelcalls/attempts.go
@@ -38,7 +38,7 @@
 	}
 	if r := h.Pool.Get(c.Replica); r != nil {
 		late := now.Since(c.Started) > c.Target
-		r.First(now, uint64(c.ID), late)
+		r.FirstTokenReceived(now, uint64(c.ID), late)
 	}
 }
 
--- a/core/pool/notice.go
+++ b/core/pool/notice.go
@@ -125,5 +125,5 @@
 		p.touched++
 	}
 	r.rest.others = clock.Instant{} // whatever it told others, it serves
-	r.First(now, call, false)
+	r.FirstTokenReceived(now, call, false)
 }
--- a/core/pool/rank_test.go
+++ b/core/pool/rank_test.go
@@ -29,7 +29,7 @@
 	is.Equal(r.Load(now).Calls.UpTo(0), 1)
 	is.Equal(r.Load(now).Calls.UpTo(1), 5)
 	is.Equal(r.Load(now).Calls.Sum(), 7)
-	r.First(now, 2, false) // its prompt is read
+	r.FirstTokenReceived(now, 2, false) // its prompt is read
 	is.Equal(r.Load(now).Prefill.UpTo(2), 3*time.Second)
 	is.Equal(r.Load(now).Calls.UpTo(2), 6)
 	r.Forget(2)
--- a/core/pool/replica.go
+++ b/core/pool/replica.go
@@ -276,9 +276,9 @@
 	return ok
 }
 
-// First notes that the call's first token came. late says that it came later
+// FirstTokenReceived notes that the call's first token came. late says that it came later
 // than the call's target for a reason that lies in the replica.
-func (r *Replica) First(now clock.Instant, id uint64, late bool) {
+func (r *Replica) FirstTokenReceived(now clock.Instant, id uint64, late bool) {
 	since, ok := r.settle(id)
 	if !ok {
 		return
--- a/core/route/forward_test.go
+++ b/core/route/forward_test.go
@@ -67,7 +67,7 @@
 		{"streams run at the own zone's that two more prompts would stretch", true, func(_ *Router, _ *pool.Pool, a, _ *pool.Replica, q *Query) {
 			for id := range uint64(3) {
 				a.Start(start, id) // streams that are sent
-				a.First(start, id, false)
+				a.FirstTokenReceived(start, id, false)
 			}
 			a.StartPrefill(start, 9, pool.Prefill{Rank: 5, Work: 200 * time.Millisecond})
 			q.Gap = 250 * time.Millisecond
@@ -75,21 +75,21 @@
 		{"streams run there that may pause", true, func(_ *Router, _ *pool.Pool, a, _ *pool.Replica, _ *Query) {
 			for id := range uint64(3) {
 				a.Start(start, id)
-				a.First(start, id, false)
+				a.FirstTokenReceived(start, id, false)
 			}
 			a.StartPrefill(start, 9, pool.Prefill{Rank: 5, Work: 200 * time.Millisecond})
 		}, "a"},
 		{"calls of its rank fill the own zone's", true, func(_ *Router, _ *pool.Pool, a, _ *pool.Replica, q *Query) {
 			for id := range uint64(4) {
 				a.StartPrefill(start, id, pool.Prefill{Rank: 1})
-				a.First(start, id, false)
+				a.FirstTokenReceived(start, id, false)
 			}
 			q.Rank = 1
 		}, "b"},
 		{"less urgent calls fill the own zone's", true, func(_ *Router, _ *pool.Pool, a, _ *pool.Replica, q *Query) {
 			for id := range uint64(4) {
 				a.StartPrefill(start, id, pool.Prefill{Rank: 2})
-				a.First(start, id, false)
+				a.FirstTokenReceived(start, id, false)
 			}
 			q.Rank = 1
 		}, "a"},
