--- a/core/calls/table.go
+++ b/core/calls/table.go
@@ -112,7 +112,7 @@
 	switch c.Phase {
 	case Running:
 		if r := t.Pool.Get(c.Replica); r != nil {
-			r.Forget(uint64(c.ID))
+			r.DropCall(uint64(c.ID))
 			c.Kind.Left(now, c, r)
 			c.Kind.Cancel(c, r)
 		}
--- a/core/forwarding/attempts.go
+++ b/core/forwarding/attempts.go
@@ -168,21 +168,21 @@
 			f.Quarantine.SeveredByEnd(now, c.Forward.Fingerprint, c.Life)
 		}
 	case b.Misdirected && b.Incarnation != "" && b.Incarnation != c.Replica:
-		r.Forget(uint64(c.ID))
+		r.DropCall(uint64(c.ID))
 		f.Quarantine.Ended(now, r.Incarnation())
 		f.Pool.MarkTerminated(c.Replica)
 		f.Out.Log(logevent.Leaving, "upstream", c.Replica, "source", "another replica has its address", "now", b.Incarnation)
 	case b.Misdirected:
-		r.Forget(uint64(c.ID))
+		r.DropCall(uint64(c.ID))
 		f.Pool.MarkAbsent(c.Replica, c.Item)
 		r.MarkRefused(now, c.Item)
 	case b.Phase == attempt.Refused:
-		r.Forget(uint64(c.ID))
+		r.DropCall(uint64(c.ID))
 		if !r.Resting(now) { // else it said itself for how long
 			r.MarkRefused(now, c.Item)
 		}
 	case b.Phase == attempt.NotSent:
-		r.Forget(uint64(c.ID))
+		r.DropCall(uint64(c.ID))
 		r.MarkDown(now)
 		if b.Unreachable {
 			f.Quarantine.Ended(now, r.Incarnation())
@@ -253,7 +253,7 @@
 		return
 	}
 	if r := f.Pool.Get(c.Replica); r != nil {
-		r.Forget(uint64(c.ID))
+		r.DropCall(uint64(c.ID))
 	}
 	c.History = c.History.WithBroken(attempt.MaybeSent)
 }
--- a/core/own/modelcalls/attempts.go
+++ b/core/own/modelcalls/attempts.go
@@ -82,7 +82,7 @@
 		return
 	}
 	if e.Phase == attempt.Refused {
-		r.Forget(uint64(c.ID))
+		r.DropCall(uint64(c.ID))
 		if c.Item != "" {
 			r.MarkRefused(now, c.Item)
 		}
--- a/core/pool/rank_test.go
+++ b/core/pool/rank_test.go
@@ -32,9 +32,9 @@
 	r.FirstTokenReceived(now, 2, false) // its prompt is read
 	is.Equal(r.Load(now).Prefill.UpTo(2), 3*time.Second)
 	is.Equal(r.Load(now).Calls.UpTo(2), 6)
-	r.Forget(2)
+	r.DropCall(2)
 	is.Equal(r.Load(now).Calls.UpTo(2), 5)
-	r.Forget(2) // again, which changes nothing
+	r.DropCall(2) // again, which changes nothing
 	is.Equal(r.Load(now).Calls.UpTo(2), 5)
 	is.Equal(r.InFlight(), 2)
 }
--- a/core/pool/replica.go
+++ b/core/pool/replica.go
@@ -315,8 +315,8 @@
 	}
 }
 
-// Forget notes that a call ended for a reason that says nothing of the replica.
-func (r *Replica) Forget(id uint64) {
+// DropCall notes that a call ended for a reason that says nothing of the replica.
+func (r *Replica) DropCall(id uint64) {
 	r.leave(id)
 }
 
--- a/core/pool/replica_test.go
+++ b/core/pool/replica_test.go
@@ -30,7 +30,7 @@
 	is.True(!r.Ejected(now))
 	id++
 	r.Start(now, id)
-	r.Forget(id) // says nothing of the replica
+	r.DropCall(id) // says nothing of the replica
 	is.Equal(r.Failures(), ejectAfter-1)
 	touched := p.CapacityChanges()
 	failed(1)
@@ -60,7 +60,7 @@
 	is.True(r.Leaving())
 	is.Equal(p.ExpireVanished(now.Add(forgetSpan), VanishSpan), nil)
 	is.True(p.Get("r") != nil) // a call runs there
-	r.Forget(1)
+	r.DropCall(1)
 	p.ExpireVanished(now.Add(forgetSpan), VanishSpan)
 	is.True(p.Get("r") == nil)
 }
