--- a/core/exchange/exchange.go
+++ b/core/exchange/exchange.go
@@ -285,7 +285,7 @@
 	if msg.Uses == nil {
 		return
 	}
-	x.Pool.ObserveUse(now, msg.From, msg.Uses)
+	x.Pool.ObservePeerUsage(now, msg.From, msg.Uses)
 	for engine, use := range msg.Uses {
 		for _, item := range use.Items {
 			x.Used(now, engine, item)
--- a/core/pool/use.go
+++ b/core/pool/use.go
@@ -24,9 +24,9 @@
 	at clock.Instant
 }
 
-// ObserveUse takes in what a peer has in flight, by replica. Replicas that are
+// ObservePeerUsage takes in what a peer has in flight, by replica. Replicas that are
 // not named have nothing of it in flight.
-func (p *Pool) ObserveUse(now clock.Instant, peer string, uses map[string]Use) {
+func (p *Pool) ObservePeerUsage(now clock.Instant, peer string, uses map[string]Use) {
 	for name, r := range p.replicas {
 		u, ok := uses[name]
 		if !ok {
