--- a/core/exchange/exchange.go
+++ b/core/exchange/exchange.go
@@ -185,7 +185,7 @@
 	}
 	msg.Demand = x.DemandFor(now, peer)
 	if x.Options.MeshEvery > 0 {
-		msg.Uses = x.Pool.OwnUse(now)
+		msg.Uses = x.Pool.OwnUsage(now)
 	}
 	return msg
 }
--- a/core/pool/use.go
+++ b/core/pool/use.go
@@ -41,8 +41,8 @@
 	p.touched++
 }
 
-// OwnUse returns what this instance has in flight, by replica.
-func (p *Pool) OwnUse(now clock.Instant) map[string]Use {
+// OwnUsage returns what this instance has in flight, by replica.
+func (p *Pool) OwnUsage(now clock.Instant) map[string]Use {
 	uses := map[string]Use{}
 	for name, r := range p.replicas {
 		if len(r.inFlight) > 0 || len(r.used) > 0 || r.Down(now) {
