--- a/core/forwarding/place.go
+++ b/core/forwarding/place.go
@@ -191,7 +191,7 @@
 	e.Replica.StartPrefill(now, uint64(c.ID), pool.Prefill{Rank: s.route.Priority, Work: e.Prefill, Expected: e.Total()})
 	if c.Item != "" {
 		f.router.Sent(c.Life, s.target.chain, cacheTokens(s))
-		e.Replica.Use(c.Item)
+		e.Replica.MarkUsed(c.Item)
 		f.Used(now, c.Replica, c.Item)
 	}
 	f.Out.Log(logevent.CallSent, "call", c.Forward.Name, "fingerprint", c.Forward.Fingerprint.String(), "service", c.Service, "item", c.Item, "attempt", c.History.Attempts,
--- a/core/pool/use.go
+++ b/core/pool/use.go
@@ -55,8 +55,8 @@
 // usedKept bounds the items of one replica that are remembered as used.
 const usedKept = 16
 
-// Use notes that an own call uses an item.
-func (r *Replica) Use(item string) {
+// MarkUsed notes that an own call uses an item.
+func (r *Replica) MarkUsed(item string) {
 	for i, it := range r.used {
 		if it == item {
 			r.used = append(r.used[:i], r.used[i+1:]...)
