--- a/core/exchange/rhythm.go
+++ b/core/exchange/rhythm.go
@@ -76,7 +76,7 @@
 		}
 	}
 	r.round++
-	x.Pool.ForgetUsed()
+	x.Pool.ResetUsed()
 }
 
 // TellAll has the next exchanges begun at once, to spread what is new.
--- a/core/pool/use.go
+++ b/core/pool/use.go
@@ -71,8 +71,8 @@
 
 func (r *Replica) recent() []string { return append([]string(nil), r.used...) }
 
-// ForgetUsed begins the list of used items anew, once peers were told of it.
-func (p *Pool) ForgetUsed() {
+// ResetUsed begins the list of used items anew, once peers were told of it.
+func (p *Pool) ResetUsed() {
 	for _, r := range p.replicas {
 		r.used = r.used[:0]
 	}
