--- a/core/instance/machine.go
+++ b/core/instance/machine.go
@@ -144,7 +144,7 @@
 	case listing.Reported:
 		m.listing.Reported(now, e)
 	case notice.Heard:
-		m.notices.Heard(now, e)
+		m.notices.HandleNotice(now, e)
 	case permits.Reply:
 		m.permits.Replied(now, e)
 	case permits.Asked:
--- a/core/notice/notice.go
+++ b/core/notice/notice.go
@@ -62,8 +62,8 @@
 // New returns notices of which none was heard.
 func New(n Needs) *Notices { return &Notices{Needs: n} }
 
-// Heard takes in what a replica said of itself.
-func (n *Notices) Heard(now clock.Instant, e Heard) {
+// HandleNotice takes in what a replica said of itself.
+func (n *Notices) HandleNotice(now clock.Instant, e Heard) {
 	said := e.Notice
 	said.Rest += n.spread(e.Replica, said.Rest)
 	n.heardLimit(now, e)
--- a/core/notice/notice_test.go
+++ b/core/notice/notice_test.go
@@ -34,11 +34,11 @@
 	n, told := testNotices("i")
 	heard := Heard{Replica: "r", Sent: start, Notice: pool.Notice{Leaving: true}}
 	rests := Heard{Replica: "r", Sent: start, Notice: pool.Notice{Rest: time.Second}}
-	n.Heard(start, rests)
-	n.Heard(start, rests)
+	n.HandleNotice(start, rests)
+	n.HandleNotice(start, rests)
 	is.Equal(*told, 1)
-	n.Heard(start, heard)
-	n.Heard(start, heard)
+	n.HandleNotice(start, heard)
+	n.HandleNotice(start, heard)
 	is.Equal(*told, 2)
 	rest := n.Records.News(start.Add(400*time.Millisecond), 0, "peer", false, 0).Rests
 	is.Equal(rest, []share.Rest{{Incarnation: pool.Incarnation{Name: "r", Born: "1"}, Left: 600 * time.Millisecond}})
@@ -86,7 +86,7 @@
 			var in [parts]int
 			for i := range instances {
 				n, _ := testNotices(fmt.Sprintf("i%d", i))
-				n.Heard(start, Heard{Replica: "r", Sent: start, Notice: pool.Notice{Rest: tt.asked}})
+				n.HandleNotice(start, Heard{Replica: "r", Sent: start, Notice: pool.Notice{Rest: tt.asked}})
 				late := n.Pool.Get("r").RestLeft(start) - tt.asked
 				is.True(late >= 0 && late < tt.window)
 				in[late*parts/tt.window]++
@@ -106,7 +106,7 @@
 	now := start
 	heard := func(after time.Duration, limit pool.RateLimit) {
 		now = now.Add(after)
-		n.Heard(now, Heard{Replica: "r", Sent: now, Notice: pool.Notice{Limit: limit}})
+		n.HandleNotice(now, Heard{Replica: "r", Sent: now, Notice: pool.Notice{Limit: limit}})
 	}
 	three := pool.RateLimit{Named: true, PerSecond: 3}
 	heard(0, pool.RateLimit{})
@@ -148,7 +148,7 @@
 	n.ToldLimits(start, "peer", word("1", 2, time.Second))
 	is.Equal(rate(), 2.0)
 	is.Equal(*told, 2)
-	n.Heard(start, Heard{Replica: "r", Sent: start, Notice: pool.Notice{Limit: pool.RateLimit{Named: true, PerSecond: 5}}})
+	n.HandleNotice(start, Heard{Replica: "r", Sent: start, Notice: pool.Notice{Limit: pool.RateLimit{Named: true, PerSecond: 5}}})
 	is.Equal(rate(), 5.0)
 	n.ToldLimits(start, "peer", word("1", 1, 500*time.Millisecond))
 	is.Equal(rate(), 5.0)
