--- a/core/instance/build.go
+++ b/core/instance/build.go
@@ -148,7 +148,7 @@
 		Listed:     m.listing.Heard,
 		Registered: m.orders.registry.Merge,
 		Crashed:    m.quarantine.Heard,
-		Leaving:    m.notices.Told,
+		Leaving:    m.notices.HandlePeerLeaving,
 		Limits:     m.notices.ToldLimits,
 		Rests:      m.notices.ToldRests,
 		Used:       m.orders.owned.Used,
--- a/core/notice/notice.go
+++ b/core/notice/notice.go
@@ -153,8 +153,8 @@
 	return time.Duration(place * min(spreadShare*float64(rest), float64(longestSpread)))
 }
 
-// Told takes in that a peer was told of replicas that leave.
-func (n *Notices) Told(now clock.Instant, from string, leaving []share.Leaving) {
+// HandlePeerLeaving takes in that a peer was told of replicas that leave.
+func (n *Notices) HandlePeerLeaving(now clock.Instant, from string, leaving []share.Leaving) {
 	for _, l := range leaving {
 		l.At = now
 		if !n.Records.AddLeaving(from, l) {
--- a/core/notice/notice_test.go
+++ b/core/notice/notice_test.go
@@ -55,8 +55,8 @@
 	leaving := func(born string) []share.Leaving {
 		return []share.Leaving{{Incarnation: pool.Incarnation{Name: "r", Born: born}}}
 	}
-	n.Told(start, "peer", leaving("0"))
-	n.Told(start, "peer", leaving("2"))
+	n.HandlePeerLeaving(start, "peer", leaving("0"))
+	n.HandlePeerLeaving(start, "peer", leaving("2"))
 	is.True(!n.Pool.Get("r").Leaving())
 	is.Equal(*told, 2) // others may know that life
 	n.Pool.Announce(start, "r", pool.Announcement{Service: "s", Address: "r", Zone: "z", Born: "2"})
@@ -65,9 +65,9 @@
 	n.Pool.Announce(start, "r", pool.Announcement{Service: "s", Address: "r", Zone: "z", Born: "3"})
 	n.Announced(start, "r")
 	is.True(!n.Pool.Get("r").Leaving())
-	n.Told(start, "peer", leaving("3"))
+	n.HandlePeerLeaving(start, "peer", leaving("3"))
 	is.True(n.Pool.Get("r").Leaving())
-	n.Told(start, "other", leaving("3"))
+	n.HandlePeerLeaving(start, "other", leaving("3"))
 	is.Equal(*told, 3)
 	n.Tick(start.Add(memory + time.Second))
 	is.True(!n.Records.IsLeaving(pool.Incarnation{Name: "r", Born: "3"}))
