--- a/core/instance/build.go
+++ b/core/instance/build.go
@@ -149,7 +149,7 @@
 		Registered: m.orders.registry.Merge,
 		Crashed:    m.quarantine.Heard,
 		Leaving:    m.notices.HandlePeerLeaving,
-		Limits:     m.notices.ToldLimits,
+		Limits:     m.notices.HandlePeerLimits,
 		Rests:      m.notices.ToldRests,
 		Used:       m.orders.owned.Used,
 	})
--- a/core/notice/notice.go
+++ b/core/notice/notice.go
@@ -112,8 +112,8 @@
 		"by", w.By, "ago_ms", now.Since(w.At).Milliseconds())
 }
 
-// ToldLimits takes in what a peer was told of the limits of replicas.
-func (n *Notices) ToldLimits(now clock.Instant, from string, limits []share.Limit) {
+// HandlePeerLimits takes in what a peer was told of the limits of replicas.
+func (n *Notices) HandlePeerLimits(now clock.Instant, from string, limits []share.Limit) {
 	for _, l := range limits {
 		l.Moment = l.Received(now)
 		n.ToldLimit(now, from, l.Incarnation, l.LimitWord)
