--- a/core/instance/build.go
+++ b/core/instance/build.go
@@ -120,7 +120,7 @@
 		State:     m.state,
 		Instances: m.orders.registry.Instances,
 		Stopping:  m.stop.Begun,
-		Told:      m.notices.ToldLimit,
+		Told:      m.notices.HandlePeerLimit,
 		Repeats:   m.budget.OnDemand,
 		Decided: func(now clock.Instant, call calls.ID, s permits.Subject, v permits.Verdict) {
 			m.forwarding.Permitted(now, call, s, v)
--- a/core/notice/notice.go
+++ b/core/notice/notice.go
@@ -116,12 +116,12 @@
 func (n *Notices) HandlePeerLimits(now clock.Instant, from string, limits []share.Limit) {
 	for _, l := range limits {
 		l.Moment = l.Received(now)
-		n.ToldLimit(now, from, l.Incarnation, l.LimitWord)
+		n.HandlePeerLimit(now, from, l.Incarnation, l.LimitWord)
 	}
 }
 
-// ToldLimit takes in what a peer was told of the limit of a life of a replica.
-func (n *Notices) ToldLimit(now clock.Instant, from string, life pool.Incarnation, w pool.LimitWord) {
+// HandlePeerLimit takes in what a peer was told of the limit of a life of a replica.
+func (n *Notices) HandlePeerLimit(now clock.Instant, from string, life pool.Incarnation, w pool.LimitWord) {
 	r := n.Pool.Get(life.Name)
 	if r != nil && r.MayBeIncarnation(life.Born) {
 		former := r.LimitReport()
