--- a/core/instance/build.go
+++ b/core/instance/build.go
@@ -150,7 +150,7 @@
 		Crashed:    m.quarantine.Heard,
 		Leaving:    m.notices.HandlePeerLeaving,
 		Limits:     m.notices.HandlePeerLimits,
-		Rests:      m.notices.ToldRests,
+		Rests:      m.notices.HandlePeerRests,
 		Used:       m.orders.owned.Used,
 	})
 }
--- a/core/notice/notice.go
+++ b/core/notice/notice.go
@@ -135,8 +135,8 @@
 	}
 }
 
-// ToldRests takes in which replicas turned others away.
-func (n *Notices) ToldRests(now clock.Instant, from string, rests []share.Rest) {
+// HandlePeerRests takes in which replicas turned others away.
+func (n *Notices) HandlePeerRests(now clock.Instant, from string, rests []share.Rest) {
 	for _, x := range rests {
 		x.Until = now.Add(x.Left)
 		if n.Records.AddRest(from, x) {
--- a/core/notice/notice_test.go
+++ b/core/notice/notice_test.go
@@ -173,11 +173,11 @@
 	rests := func(born string, left time.Duration) []share.Rest {
 		return []share.Rest{{Incarnation: pool.Incarnation{Name: "r", Born: born}, Left: left}}
 	}
-	n.ToldRests(start, "peer", rests("0", time.Second))
+	n.HandlePeerRests(start, "peer", rests("0", time.Second))
 	is.True(!r.RejectsPeers(start))
-	n.ToldRests(start, "peer", rests("1", time.Second))
+	n.HandlePeerRests(start, "peer", rests("1", time.Second))
 	is.True(r.RejectsPeers(start) && r.MayReject(start) && !r.Resting(start))
-	n.ToldRests(start, "other", rests("1", time.Second+restNoise))
+	n.HandlePeerRests(start, "other", rests("1", time.Second+restNoise))
 	is.Equal(*told, 2) // the same rest, by another way
 	is.True(!r.MayReject(start.Add(1100 * time.Millisecond)))
 	r.Start(start, 1)
