--- a/core/instance/build.go
+++ b/core/instance/build.go
@@ -137,7 +137,7 @@
 		Outage:    m.state.Outage,
 		KnownAt:   func() clock.Instant { return m.exchanges.StoreAt() },
 		Announced: m.orders.owned.Announced,
-		Present:   m.notices.Announced,
+		Present:   m.notices.HandleAnnounced,
 		Restarted: func(now clock.Instant, replica string) { m.forwarding.Restarted(now, replica) },
 		TellSoon:  func(now clock.Instant) { m.exchanges.TellSoon(now) },
 	}
--- a/core/notice/notice.go
+++ b/core/notice/notice.go
@@ -168,10 +168,10 @@
 	}
 }
 
-// Announced has what is known of this life of a replica that was announced hold for it. That an
+// HandleAnnounced has what is known of this life of a replica that was announced hold for it. That an
 // entry says that it leaves is told to all instances, as its own word is: the store may lose that
 // entry, and instances that start then would take the replica for ready.
-func (n *Notices) Announced(now clock.Instant, name string) {
+func (n *Notices) HandleAnnounced(now clock.Instant, name string) {
 	r := n.Pool.Get(name)
 	if r == nil {
 		return
