--- a/core/demand/flow.go
+++ b/core/demand/flow.go
@@ -57,8 +57,8 @@
 	m.at = now
 }
 
-// Call notes a call for a model and the engine time that it takes.
-func (f *Tracker) Call(now clock.Instant, model string, work time.Duration) {
+// RecordCall notes a call for a model and the engine time that it takes.
+func (f *Tracker) RecordCall(now clock.Instant, model string, work time.Duration) {
 	m := f.model(now, model)
 	m.calls++
 	m.work += work.Seconds()
--- a/core/forwarding/forwarding.go
+++ b/core/forwarding/forwarding.go
@@ -174,7 +174,7 @@
 	}
 	f.Budget.Call(now, name)
 	if c.Item != "" {
-		f.Demand.Call(now, s.target.model, f.workOf(c, s))
+		f.Demand.RecordCall(now, s.target.model, f.workOf(c, s))
 	}
 	return code.Refusal{}, true
 }
--- a/core/instance/exchange_test.go
+++ b/core/instance/exchange_test.go
@@ -114,7 +114,7 @@
 	}
 	v := registry.Placer{Name: placer, Boot: 1}.Value()
 	m.orders.registry.Merge(now, "", []registry.Record{{Key: v.Key, Data: v.Data, Revision: 99}})
-	m.forwarding.Demand.Call(now, "model", time.Second)
+	m.forwarding.Demand.RecordCall(now, "model", time.Second)
 	is.Equal(len(m.exchanges.DemandFor(now, placer)), 1)
 	is.Equal(len(m.exchanges.DemandFor(now, watcher)), 0)
 	m.Step(now, exchange.Reply{Peer: placer, Address: placer, Err: errors.New("no answer")})
