--- a/core/demand/flow.go
+++ b/core/demand/flow.go
@@ -65,8 +65,8 @@
 	m.slow += work.Seconds()
 }
 
-// Absent notes that a call found no engine with its model.
-func (f *Tracker) Absent(now clock.Instant, model string) { f.model(now, model).absent++ }
+// RecordMiss notes that a call found no engine with its model.
+func (f *Tracker) RecordMiss(now clock.Instant, model string) { f.model(now, model).absent++ }
 
 // slowShare is the part of the work over the longer span that counts even when
 // the shorter one has less.
--- a/core/forwarding/wait.go
+++ b/core/forwarding/wait.go
@@ -171,7 +171,7 @@
 	s := stateOf(c)
 	if !s.missed {
 		s.missed = true
-		f.Demand.Absent(now, s.target.model)
+		f.Demand.RecordMiss(now, s.target.model)
 		f.Missed(now)
 	}
 	eta := f.modelETA(c, s)
