--- a/core/notice/notice.go
+++ b/core/notice/notice.go
@@ -194,7 +194,7 @@
 	}
 	n.pruneDue = now.Add(pruneEvery)
 	n.Records.ForgetLeaving(now, memory)
-	n.Records.ForgetRests(now)
+	n.Records.PruneRests(now)
 	n.Records.ForgetLimits(now, memory, func(life pool.Incarnation) bool {
 		r := n.Pool.Get(life.Name)
 		return r != nil && r.Incarnation() == life
--- a/core/share/share.go
+++ b/core/share/share.go
@@ -338,8 +338,8 @@
 	return put(s, s.rests, r.Incarnation, from, r, func(old Rest) bool { return r.Until.Since(old.Until) >= restApart })
 }
 
-// ForgetRests drops the rests that are over.
-func (s *Set) ForgetRests(now clock.Instant) {
+// PruneRests drops the rests that are over.
+func (s *Set) PruneRests(now clock.Instant) {
 	maps.DeleteFunc(s.rests, func(_ pool.Incarnation, x stamped[Rest]) bool { return !now.Before(x.record.Until) })
 }
 
