--- a/core/quarantine/quarantine.go
+++ b/core/quarantine/quarantine.go
@@ -183,7 +183,7 @@
 
 // prune forgets what is too old.
 func (t *Tracker) prune(now clock.Instant) {
-	if t.Records.ForgetCrashes(now, memory, maxReports) {
+	if t.Records.PruneCrashes(now, memory, maxReports) {
 		clear(t.suspects)
 		for _, r := range t.Records.Crashes() {
 			t.suspect(r.Requests)
--- a/core/share/share.go
+++ b/core/share/share.go
@@ -265,10 +265,10 @@
 // ServedAt returns when a request was last served whole, as far as records tell.
 func (s *Set) ServedAt(r crash.Request) clock.Instant { return s.successes[r].record.At }
 
-// ForgetCrashes drops the reports of crashes that are older than age, the oldest beyond
+// PruneCrashes drops the reports of crashes that are older than age, the oldest beyond
 // the newest keep of them, and the successes that are older than age. It reports whether
 // there were such reports.
-func (s *Set) ForgetCrashes(now clock.Instant, age time.Duration, keep int) bool {
+func (s *Set) PruneCrashes(now clock.Instant, age time.Duration, keep int) bool {
 	before := len(s.crashes)
 	names := slices.SortedFunc(maps.Keys(s.crashes), func(a, b string) int {
 		return cmp.Or(cmp.Compare(s.crashes[b].record.At.Mono, s.crashes[a].record.At.Mono), cmp.Compare(a, b))
--- a/core/share/share_test.go
+++ b/core/share/share_test.go
@@ -156,11 +156,11 @@
 		s.AddCrash("", crash.Report{Observer: "i", Seq: seq, Moment: clock.Moment{At: now.Add(-time.Duration(seq) * time.Minute)}})
 		s.AddSuccess("", crash.Success{Request: crash.Request(seq), Moment: clock.Moment{At: now.Add(-time.Duration(seq) * time.Minute)}})
 	}
-	is.True(!s.ForgetCrashes(now, time.Hour, 5))
-	is.True(s.ForgetCrashes(now, 3*time.Minute, 5))
+	is.True(!s.PruneCrashes(now, time.Hour, 5))
+	is.True(s.PruneCrashes(now, 3*time.Minute, 5))
 	is.Equal(len(s.Crashes()), 4)
 	is.True(s.ServedAt(4).IsZero())
-	is.True(s.ForgetCrashes(now, time.Hour, 2))
+	is.True(s.PruneCrashes(now, time.Hour, 2))
 	is.Equal(len(s.Crashes()), 2)
 	for _, r := range s.Crashes() {
 		is.True(now.Since(r.At) <= time.Minute)
