--- a/core/notice/notice.go
+++ b/core/notice/notice.go
@@ -193,7 +193,7 @@
 		return
 	}
 	n.pruneDue = now.Add(pruneEvery)
-	n.Records.ForgetLeaving(now, memory)
+	n.Records.PruneLeaving(now, memory)
 	n.Records.PruneRests(now)
 	n.Records.ForgetLimits(now, memory, func(life pool.Incarnation) bool {
 		r := n.Pool.Get(life.Name)
--- a/core/share/share.go
+++ b/core/share/share.go
@@ -297,8 +297,8 @@
 	return ok
 }
 
-// ForgetLeaving drops the records of replicas that leave which are older than age.
-func (s *Set) ForgetLeaving(now clock.Instant, age time.Duration) {
+// PruneLeaving drops the records of replicas that leave which are older than age.
+func (s *Set) PruneLeaving(now clock.Instant, age time.Duration) {
 	maps.DeleteFunc(s.leaving, func(_ pool.Incarnation, x stamped[Leaving]) bool { return now.Elapsed(x.record.At) > age })
 }
 
