--- a/core/notice/notice.go
+++ b/core/notice/notice.go
@@ -195,7 +195,7 @@
 	n.pruneDue = now.Add(pruneEvery)
 	n.Records.PruneLeaving(now, memory)
 	n.Records.PruneRests(now)
-	n.Records.ForgetLimits(now, memory, func(life pool.Incarnation) bool {
+	n.Records.PruneLimits(now, memory, func(life pool.Incarnation) bool {
 		r := n.Pool.Get(life.Name)
 		return r != nil && r.Incarnation() == life
 	})
--- a/core/share/share.go
+++ b/core/share/share.go
@@ -320,9 +320,9 @@
 	return l.record.LimitWord, ok
 }
 
-// ForgetLimits drops what was said of limits longer ago than age, but of lives that are
+// PruneLimits drops what was said of limits longer ago than age, but of lives that are
 // there.
-func (s *Set) ForgetLimits(now clock.Instant, age time.Duration, there func(pool.Incarnation) bool) {
+func (s *Set) PruneLimits(now clock.Instant, age time.Duration, there func(pool.Incarnation) bool) {
 	maps.DeleteFunc(s.limits, func(life pool.Incarnation, x stamped[Limit]) bool {
 		return now.Elapsed(x.record.At) > age && !there(life)
 	})
