--- a/core/quarantine/verdict.go
+++ b/core/quarantine/verdict.go
@@ -77,7 +77,7 @@
 	if !t.suspects[request] {
 		return false
 	}
-	return len(replicasUnder(request, t.Records.Crashes(), t.Records.ServedAt(request))) >= crash.Limit
+	return len(replicasUnder(request, t.Records.Crashes(), t.Records.LastSuccess(request))) >= crash.Limit
 }
 
 // turn returns in which turn this instance sends its tries of a request.
@@ -109,7 +109,7 @@
 func (t *Tracker) judge(now clock.Instant) {
 	settled := now.Add(-settle)
 	reports := t.Records.Crashes()
-	cases := crash.Blame(reports, t.Records.ServedAt, t.limit, settled)
+	cases := crash.Blame(reports, t.Records.LastSuccess, t.limit, settled)
 	blamed := map[crash.Request]bool{}
 	explained := map[pool.Incarnation]bool{}
 	for _, c := range cases {
@@ -176,7 +176,7 @@
 // reports were forgotten, or that another request may be to blame as well, clears nobody.
 func (t *Tracker) cleared(request crash.Request, under []pool.Incarnation, explained map[pool.Incarnation]bool) bool {
 	v := t.verdicts[request]
-	if v.since.Before(t.Records.ServedAt(request)) {
+	if v.since.Before(t.Records.LastSuccess(request)) {
 		return true
 	}
 	unexplained := slices.ContainsFunc(under, func(replica pool.Incarnation) bool { return !explained[replica] })
--- a/core/share/share.go
+++ b/core/share/share.go
@@ -262,8 +262,8 @@
 	return out
 }
 
-// ServedAt returns when a request was last served whole, as far as records tell.
-func (s *Set) ServedAt(r crash.Request) clock.Instant { return s.successes[r].record.At }
+// LastSuccess returns when a request was last served whole, as far as records tell.
+func (s *Set) LastSuccess(r crash.Request) clock.Instant { return s.successes[r].record.At }
 
 // PruneCrashes drops the reports of crashes that are older than age, the oldest beyond
 // the newest keep of them, and the successes that are older than age. It reports whether
--- a/core/share/share_test.go
+++ b/core/share/share_test.go
@@ -159,7 +159,7 @@
 	is.True(!s.PruneCrashes(now, time.Hour, 5))
 	is.True(s.PruneCrashes(now, 3*time.Minute, 5))
 	is.Equal(len(s.Crashes()), 4)
-	is.True(s.ServedAt(4).IsZero())
+	is.True(s.LastSuccess(4).IsZero())
 	is.True(s.PruneCrashes(now, time.Hour, 2))
 	is.Equal(len(s.Crashes()), 2)
 	for _, r := range s.Crashes() {
