--- a/core/exchange/exchange.go
+++ b/core/exchange/exchange.go
@@ -181,7 +181,7 @@
 		Stamp:        x.Records.Stamp(),
 		AckBoot:      known.boot,
 		Ack:          known.stamp,
-		Records:      x.Records.News(now, known.acked, peer, sameZone, known.store),
+		Records:      x.Records.Delta(now, known.acked, peer, sameZone, known.store),
 	}
 	msg.Demand = x.DemandFor(now, peer)
 	if x.Options.MeshEvery > 0 {
--- a/core/notice/notice_test.go
+++ b/core/notice/notice_test.go
@@ -40,7 +40,7 @@
 	n.HandleNotice(start, heard)
 	n.HandleNotice(start, heard)
 	is.Equal(*told, 2)
-	rest := n.Records.News(start.Add(400*time.Millisecond), 0, "peer", false, 0).Rests
+	rest := n.Records.Delta(start.Add(400*time.Millisecond), 0, "peer", false, 0).Rests
 	is.Equal(rest, []share.Rest{{Incarnation: pool.Incarnation{Name: "r", Born: "1"}, Left: 600 * time.Millisecond}})
 	news := n.Records.Since(0, "peer", false, 0).Leaving
 	is.Equal(len(news), 1)
@@ -120,7 +120,7 @@
 	is.Equal(*told, 3)
 	heard(time.Second, pool.RateLimit{})
 	is.Equal(*told, 3)
-	news := n.Records.News(now, 0, "peer", false, 0).Limits
+	news := n.Records.Delta(now, 0, "peer", false, 0).Limits
 	is.Equal(len(news), 1)
 	is.Equal(news[0].Incarnation, pool.Incarnation{Name: "r", Born: "1"})
 	is.Equal(news[0].Age, time.Second)
@@ -152,7 +152,7 @@
 	is.Equal(rate(), 5.0)
 	n.HandlePeerLimits(start, "peer", word("1", 1, 500*time.Millisecond))
 	is.Equal(rate(), 5.0)
-	is.Equal(n.Records.News(start, 0, "other", false, 0).Limits[1].Limit.PerSecond, 5.0)
+	is.Equal(n.Records.Delta(start, 0, "other", false, 0).Limits[1].Limit.PerSecond, 5.0)
 	n.HandlePeerLimits(start, "peer", word("2", 7, 0))
 	n.Pool.Announce(start, "r", pool.Announcement{Service: "s", Address: "r", Zone: "z", Born: "2"})
 	n.HandleAnnounced(start, "r")
--- a/core/share/share.go
+++ b/core/share/share.go
@@ -378,8 +378,8 @@
 	return l.record, ok
 }
 
-// News returns Since as it travels in a message sent at now.
-func (s *Set) News(now clock.Instant, stamp uint64, to string, withLoads bool, known era.Number) Records {
+// Delta returns Since as it travels in a message sent at now.
+func (s *Set) Delta(now clock.Instant, stamp uint64, to string, withLoads bool, known era.Number) Records {
 	return s.Since(stamp, to, withLoads, known).withAges(now)
 }
 
