--- a/core/exchange/exchange.go
+++ b/core/exchange/exchange.go
@@ -261,7 +261,7 @@
 		x.Listed(now, from, l)
 	}
 	for _, h := range r.Holders {
-		x.Records.AddHolder(from, h)
+		x.Records.AddLeaseHolder(from, h)
 	}
 	x.Registered(now, from, r.Registered)
 	if len(r.Crashes)+len(r.Successes) > 0 {
--- a/core/share/share.go
+++ b/core/share/share.go
@@ -224,8 +224,8 @@
 	})
 }
 
-// AddHolder stores the record and reports whether it was news.
-func (s *Set) AddHolder(from string, h Holder) bool {
+// AddLeaseHolder stores the record and reports whether it was news.
+func (s *Set) AddLeaseHolder(from string, h Holder) bool {
 	return put(s, s.holders, h.Zone, from, h, func(old Holder) bool {
 		return h.Fence > old.Fence || (h.Fence == old.Fence && h.Instance == "" && old.Instance != "")
 	})
