--- a/core/own/planner/demand.go
+++ b/core/own/planner/demand.go
@@ -25,7 +25,7 @@
 		p.planDue = now
 		return
 	}
-	p.Tell(now, p.Members.Get(p.Records.Holder(p.Self.Zone).Instance))
+	p.Tell(now, p.Members.Get(p.Records.LeaseHolder(p.Self.Zone).Instance))
 }
 
 // tellLeaders has a planner tell the planners of other zones of unmet demand
@@ -46,7 +46,7 @@
 		}
 		told[zone] = true
 		p.ledAt = now
-		p.Tell(now, p.Members.Get(p.Records.Holder(zone).Instance))
+		p.Tell(now, p.Members.Get(p.Records.LeaseHolder(zone).Instance))
 	}
 }
 
@@ -55,7 +55,7 @@
 // are planners.
 func (p *Planner) DemandFor(now clock.Instant, peer string) []demand.Item {
 	other := p.Members.Get(peer)
-	if other == nil || p.Records.Holder(other.Zone).Instance != peer {
+	if other == nil || p.Records.LeaseHolder(other.Zone).Instance != peer {
 		return nil
 	}
 	if other.Zone == p.Self.Zone {
@@ -122,7 +122,7 @@
 		}
 	}
 	if round%plannerEvery == 1 {
-		if peer := p.Members.Get(p.Records.Holder(p.Self.Zone).Instance); peer != nil && !peer.Leaving {
+		if peer := p.Members.Get(p.Records.LeaseHolder(p.Self.Zone).Instance); peer != nil && !peer.Leaving {
 			return peer
 		}
 	}
@@ -136,7 +136,7 @@
 	if p.Planning() {
 		var planners []*member.Peer
 		for _, peer := range others {
-			if p.Records.Holder(peer.Zone).Instance == peer.Name {
+			if p.Records.LeaseHolder(peer.Zone).Instance == peer.Name {
 				planners = append(planners, peer)
 			}
 		}
--- a/core/own/planner/input.go
+++ b/core/own/planner/input.go
@@ -137,7 +137,7 @@
 func (p *Planner) planningZones(now clock.Instant) []string {
 	var zones []string
 	for _, z := range p.zones.zones {
-		if z == p.Self.Zone || p.Records.Holder(z).Instance != "" && p.zoneReachable(now, z) {
+		if z == p.Self.Zone || p.Records.LeaseHolder(z).Instance != "" && p.zoneReachable(now, z) {
 			zones = append(zones, z)
 		}
 	}
--- a/core/own/planner/planner.go
+++ b/core/own/planner/planner.go
@@ -143,7 +143,7 @@
 }
 
 // Holder returns who plans for this instance's zone, as far as is known.
-func (p *Planner) Holder() string { return p.Records.Holder(p.Self.Zone).Instance }
+func (p *Planner) Holder() string { return p.Records.LeaseHolder(p.Self.Zone).Instance }
 
 // Lease returns whether the lease certainly is held, and the fence of its last
 // grant.
--- a/core/share/share.go
+++ b/core/share/share.go
@@ -363,8 +363,8 @@
 // ListedVersion returns the version of the newest entry of a name, 0 if there was none.
 func (s *Set) ListedVersion(name string) era.Number { return s.listed[name].record.Version }
 
-// Holder returns who plans for the zone, "" if nobody is known to.
-func (s *Set) Holder(zone string) Holder { return s.holders[zone].record }
+// LeaseHolder returns who plans for the zone, "" if nobody is known to.
+func (s *Set) LeaseHolder(zone string) Holder { return s.holders[zone].record }
 
 // Residency returns the newest report of what an engine holds.
 func (s *Set) Residency(engine string) (Residency, bool) {
