--- a/core/bounds/bounds.go
+++ b/core/bounds/bounds.go
@@ -113,8 +113,8 @@
 	return strings.Join(words, ", ")
 }
 
-// Parts works the parts out.
-func (b Bounds) Parts(r Rhythm) Parts {
+// Delays works the parts out.
+func (b Bounds) Delays(r Rhythm) Parts {
 	p := Parts{
 		Pause:   b.share(pauseShare),
 		Overdue: b.share(overdueShare),
@@ -138,7 +138,7 @@
 
 // Check returns an error for parts that come to more than the bound.
 func (b Bounds) Check(r Rhythm) error {
-	if p := b.Parts(r); p.Sum() > b.Leave {
+	if p := b.Delays(r); p.Sum() > b.Leave {
 		return fmt.Errorf("a replica that leaves could get calls for %v, and %v are allowed: %v", p.Sum(), b.Leave, p)
 	}
 	return nil
--- a/core/bounds/bounds_test.go
+++ b/core/bounds/bounds_test.go
@@ -26,7 +26,7 @@
 		for _, mesh := range []bool{true, false} {
 			is := is.New(t)
 			r := Rhythm{Mesh: mesh, Exchange: exchange}
-			p := b.Parts(r)
+			p := b.Delays(r)
 			is.True(b.Leave-p.Sum() >= b.Leave/leftOver)
 			is.NoErr(b.Check(r))
 			is.True(p.Wait >= leastWait)
