--- a/core/bounds/bounds.go
+++ b/core/bounds/bounds.go
@@ -80,9 +80,9 @@
 	return p.Pause + p.Wait + p.Overdue + p.Read + p.Hop + p.Dial + p.Send
 }
 
-// FirstHand returns how old the list may be at an instance while a sound store answers it, or
+// MaxListAge returns how old the list may be at an instance while a sound store answers it, or
 // those that tell it of the list.
-func (p Parts) FirstHand() time.Duration { return p.Pause + p.Wait + p.Overdue + p.Hop }
+func (p Parts) MaxListAge() time.Duration { return p.Pause + p.Wait + p.Overdue + p.Hop }
 
 // A Part is one of them.
 type Part struct {
--- a/core/watch/watch.go
+++ b/core/watch/watch.go
@@ -288,7 +288,7 @@
 // noteAge logs when the list becomes older than it should be, and when that is over.
 func (w *Watch) noteAge(now clock.Instant) {
 	age := w.Exchanges.StoreAge(now)
-	most := max(w.Options.Bounds.Leave/2, w.parts().FirstHand())
+	most := max(w.Options.Bounds.Leave/2, w.parts().MaxListAge())
 	switch {
 	case w.Exchanges.StoreAt().IsZero():
 	case age > most:
