--- a/core/bounds/bounds.go
+++ b/core/bounds/bounds.go
@@ -124,7 +124,7 @@
 	}
 	if !r.Mesh {
 		p.Pause = b.share(pauseFewShare)
-		p.Hop = time.Duration(hopRounds * float64(b.Round(r.Exchange)))
+		p.Hop = time.Duration(hopRounds * float64(b.ExchangeInterval(r.Exchange)))
 	}
 	if r.Pause > 0 {
 		p.Pause = r.Pause
@@ -144,9 +144,11 @@
 	return nil
 }
 
-// Round returns the spacing of exchanges where news travels by them: as set, but short enough
+// ExchangeInterval returns the spacing of exchanges where news travels by them: as set, but short enough
 // for Leave.
-func (b Bounds) Round(set time.Duration) time.Duration { return min(set, b.share(roundShare)) }
+func (b Bounds) ExchangeInterval(set time.Duration) time.Duration {
+	return min(set, b.share(roundShare))
+}
 
 // StoreSilence returns how old the list may be at an instance that hears of it from peers before
 // it asks the store itself.
--- a/core/option/option.go
+++ b/core/option/option.go
@@ -113,7 +113,7 @@
 	if o.Environment != Platform {
 		return o.ExchangeEvery
 	}
-	return o.Bounds.Round(o.ExchangeEvery)
+	return o.Bounds.ExchangeInterval(o.ExchangeEvery)
 }
 
 // Default returns the product's defaults.
