--- a/core/bounds/bounds.go
+++ b/core/bounds/bounds.go
@@ -150,9 +150,9 @@
 	return min(set, b.share(roundShare))
 }
 
-// StoreSilence returns how old the list may be at an instance that hears of it from peers before
+// MaxStoreSilence returns how old the list may be at an instance that hears of it from peers before
 // it asks the store itself.
-func (b Bounds) StoreSilence() time.Duration {
+func (b Bounds) MaxStoreSilence() time.Duration {
 	return b.Leave - b.share(readShare) - b.share(sendShare) - Dial
 }
 
--- a/core/bounds/bounds_test.go
+++ b/core/bounds/bounds_test.go
@@ -32,8 +32,8 @@
 			is.True(p.Wait >= leastWait)
 			// An instance that asks the store itself, since its news is old, is in time too,
 			// and does not do so while all is well.
-			is.True(b.StoreSilence()+p.Read+p.Dial+p.Send <= b.Leave)
-			is.True(p.MaxListAge() <= b.StoreSilence())
+			is.True(b.MaxStoreSilence()+p.Read+p.Dial+p.Send <= b.Leave)
+			is.True(p.MaxListAge() <= b.MaxStoreSilence())
 			// After an outage the list is there before the bound binds again.
 			is.True(b.LongWait()+p.Read < b.Settle)
 		}
--- a/core/watch/watch.go
+++ b/core/watch/watch.go
@@ -172,7 +172,7 @@
 		engines:  w.Registry.Owned.Len(),
 		placer:   w.Registry.HoldsPlacer(),
 		newsAge:  w.Exchanges.StoreAge(now),
-		silence:  w.Options.Bounds.StoreSilence(),
+		silence:  w.Options.Bounds.MaxStoreSilence(),
 		behind:   behind,
 	}
 }
--- a/internal/pages/pages.go
+++ b/internal/pages/pages.go
@@ -137,7 +137,7 @@
 	for i, c := range budgetCases {
 		sum = append(sum, parts[i].Sum().String())
 		bound = append(bound, c.bounds.Leave.String())
-		silence = append(silence, c.bounds.StoreSilence().String())
+		silence = append(silence, c.bounds.MaxStoreSilence().String())
 		unlisted = append(unlisted, c.bounds.Unlisted().String())
 		again = append(again, fmt.Sprintf("%v of %v", c.bounds.LongWait(), c.bounds.Settle))
 	}
