--- a/core/bounds/bounds.go
+++ b/core/bounds/bounds.go
@@ -156,9 +156,9 @@
 	return b.Leave - b.share(readShare) - b.share(sendShare) - Dial
 }
 
-// Unlisted returns for how long a replica may still be used after its entry was last known to
+// VanishedGracePeriod returns for how long a replica may still be used after its entry was last known to
 // stand, if no outage of the store may be why it went.
-func (b Bounds) Unlisted() time.Duration { return b.Leave - b.share(sendShare) - Dial }
+func (b Bounds) VanishedGracePeriod() time.Duration { return b.Leave - b.share(sendShare) - Dial }
 
 // LongWait returns after how long the store is called again at the latest, after calls that
 // failed.
--- a/core/listing/listing.go
+++ b/core/listing/listing.go
@@ -168,7 +168,7 @@
 	if now.Since(known) > l.Options.Bounds.Leave || l.Outage.FailedSince(known) {
 		return clock.Instant{}
 	}
-	return known.Add(l.Options.Bounds.Unlisted())
+	return known.Add(l.Options.Bounds.VanishedGracePeriod())
 }
 
 // announce takes over what a replica says of itself; version is that of its entry, 0 if it
--- a/internal/pages/pages.go
+++ b/internal/pages/pages.go
@@ -138,7 +138,7 @@
 		sum = append(sum, parts[i].Sum().String())
 		bound = append(bound, c.bounds.Leave.String())
 		silence = append(silence, c.bounds.MaxStoreSilence().String())
-		unlisted = append(unlisted, c.bounds.Unlisted().String())
+		unlisted = append(unlisted, c.bounds.VanishedGracePeriod().String())
 		again = append(again, fmt.Sprintf("%v of %v", c.bounds.LongWait(), c.bounds.Settle))
 	}
 	for _, cells := range [][]string{sum, bound, silence, unlisted, again} {
