--- a/core/bounds/bounds.go
+++ b/core/bounds/bounds.go
@@ -160,8 +160,8 @@
 // stand, if no outage of the store may be why it went.
 func (b Bounds) VanishedGracePeriod() time.Duration { return b.Leave - b.share(sendShare) - Dial }
 
-// LongWait returns after how long the store is called again at the latest, after calls that
+// MaxRetryDelay returns after how long the store is called again at the latest, after calls that
 // failed.
-func (b Bounds) LongWait() time.Duration { return time.Duration(settleShare * float64(b.Settle)) }
+func (b Bounds) MaxRetryDelay() time.Duration { return time.Duration(settleShare * float64(b.Settle)) }
 
 func (b Bounds) share(part float64) time.Duration { return time.Duration(part * float64(b.Leave)) }
--- a/core/bounds/bounds_test.go
+++ b/core/bounds/bounds_test.go
@@ -35,7 +35,7 @@
 			is.True(b.MaxStoreSilence()+p.Read+p.Dial+p.Send <= b.Leave)
 			is.True(p.MaxListAge() <= b.MaxStoreSilence())
 			// After an outage the list is there before the bound binds again.
-			is.True(b.LongWait()+p.Read < b.Settle)
+			is.True(b.MaxRetryDelay()+p.Read < b.Settle)
 		}
 	}
 }
--- a/core/shared/shared.go
+++ b/core/shared/shared.go
@@ -34,7 +34,7 @@
 // longestWait returns after how long the platform is called again at the latest after a failure.
 func longestWait(opt option.Options) time.Duration {
 	if opt.Environment == option.Platform {
-		return opt.Bounds.LongWait()
+		return opt.Bounds.MaxRetryDelay()
 	}
 	return outage.LongWait
 }
--- a/core/watch/watch.go
+++ b/core/watch/watch.go
@@ -273,7 +273,7 @@
 
 func (w *Watch) resetFailures() {
 	b := w.Options.Bounds
-	w.failed = failures{beside: backoff.New(w.parts().Read, b.LongWait())}
+	w.failed = failures{beside: backoff.New(w.parts().Read, b.MaxRetryDelay())}
 }
 
 // answeredAt returns up to when an answer that came at now has everything. One that does not
--- a/internal/pages/pages.go
+++ b/internal/pages/pages.go
@@ -139,7 +139,7 @@
 		bound = append(bound, c.bounds.Leave.String())
 		silence = append(silence, c.bounds.MaxStoreSilence().String())
 		unlisted = append(unlisted, c.bounds.VanishedGracePeriod().String())
-		again = append(again, fmt.Sprintf("%v of %v", c.bounds.LongWait(), c.bounds.Settle))
+		again = append(again, fmt.Sprintf("%v of %v", c.bounds.MaxRetryDelay(), c.bounds.Settle))
 	}
 	for _, cells := range [][]string{sum, bound, silence, unlisted, again} {
 		row(&b, cells...)
