--- a/core/forwarding/attempts.go
+++ b/core/forwarding/attempts.go
@@ -165,7 +165,7 @@
 	case r == nil:
 	case !r.HasCall(uint64(c.ID)):
 		if b.Severed {
-			f.Quarantine.SeveredByEnd(now, c.Forward.Fingerprint, c.Life)
+			f.Quarantine.SeveredByReplicaEnd(now, c.Forward.Fingerprint, c.Life)
 		}
 	case b.Misdirected && b.Incarnation != "" && b.Incarnation != c.Replica:
 		r.DropCall(uint64(c.ID))
--- a/core/quarantine/evidence.go
+++ b/core/quarantine/evidence.go
@@ -72,9 +72,9 @@
 	}
 }
 
-// SeveredByEnd notes that a request's call was at a replica which is known to have ended,
+// SeveredByReplicaEnd notes that a request's call was at a replica which is known to have ended,
 // since its next life is there.
-func (t *Tracker) SeveredByEnd(now clock.Instant, request crash.Request, replica pool.Incarnation) {
+func (t *Tracker) SeveredByReplicaEnd(now clock.Instant, request crash.Request, replica pool.Incarnation) {
 	if request == 0 {
 		return
 	}
