--- a/core/forwarding/attempts.go
+++ b/core/forwarding/attempts.go
@@ -227,7 +227,7 @@
 
 // left takes in that a call's caller left while the replica had it.
 func (f *Forwarder) left(now clock.Instant, c *calls.Call, r *pool.Replica) {
-	f.Quarantine.Departed(now, c.Forward.Fingerprint, r)
+	f.Quarantine.CallerDisconnected(now, c.Forward.Fingerprint, r)
 }
 
 // quarantined returns the refusal of a call whose request is not run for so long.
--- a/core/quarantine/evidence.go
+++ b/core/quarantine/evidence.go
@@ -100,9 +100,9 @@
 	at      clock.Instant
 }
 
-// Departed notes that the caller of a request's call left while a replica had it: the
+// CallerDisconnected notes that the caller of a request's call left while a replica had it: the
 // replica may end by it all the same.
-func (t *Tracker) Departed(now clock.Instant, request crash.Request, r *pool.Replica) {
+func (t *Tracker) CallerDisconnected(now clock.Instant, request crash.Request, r *pool.Replica) {
 	if request == 0 || r.Leaving() {
 		return
 	}
--- a/core/quarantine/quarantine_test.go
+++ b/core/quarantine/quarantine_test.go
@@ -117,17 +117,17 @@
 			b.Ended(b.now, life("r"))
 		}, 0},
 		{"its caller had just left", func(b *fixture) {
-			b.Departed(b.now, bad, b.replica("r", false))
+			b.CallerDisconnected(b.now, bad, b.replica("r", false))
 			b.pass(100 * time.Millisecond)
 			b.end("r", 8)
 		}, 2},
 		{"its caller had just left, and nothing else was there", func(b *fixture) {
-			b.Departed(b.now, bad, b.replica("r", false))
+			b.CallerDisconnected(b.now, bad, b.replica("r", false))
 			b.pass(100 * time.Millisecond)
 			b.Ended(b.now, life("r"))
 		}, 1},
 		{"its caller had left long before", func(b *fixture) {
-			b.Departed(b.now, bad, b.replica("r", false))
+			b.CallerDisconnected(b.now, bad, b.replica("r", false))
 			b.pass(2 * departedSpan)
 			b.end("r", 8)
 		}, 1},
@@ -354,7 +354,7 @@
 	is.True(len(b.suspects) <= maxReports*maxRequests)
 	busy := b.replica("busy", false)
 	for n := range crash.Request(4 * maxRequests) {
-		b.Departed(b.now, n+1, busy)
+		b.CallerDisconnected(b.now, n+1, busy)
 		b.now = b.now.Add(time.Millisecond)
 	}
 	is.True(len(b.departed[life("busy")]) <= maxRequests)
