--- a/core/forwarding/attempts.go
+++ b/core/forwarding/attempts.go
@@ -169,7 +169,7 @@
 		}
 	case b.Misdirected && b.Incarnation != "" && b.Incarnation != c.Replica:
 		r.DropCall(uint64(c.ID))
-		f.Quarantine.Ended(now, r.Incarnation())
+		f.Quarantine.ReplicaEnded(now, r.Incarnation())
 		f.Pool.MarkTerminated(c.Replica)
 		f.Out.Log(logevent.Leaving, "upstream", c.Replica, "source", "another replica has its address", "now", b.Incarnation)
 	case b.Misdirected:
@@ -185,7 +185,7 @@
 		r.DropCall(uint64(c.ID))
 		r.MarkDown(now)
 		if b.Unreachable {
-			f.Quarantine.Ended(now, r.Incarnation())
+			f.Quarantine.ReplicaEnded(now, r.Incarnation())
 		}
 	case b.Relayable:
 		// The replica works; that it failed a call may lie in the call.
--- a/core/quarantine/evidence.go
+++ b/core/quarantine/evidence.go
@@ -78,7 +78,7 @@
 	if request == 0 {
 		return
 	}
-	t.Ended(now, replica)
+	t.ReplicaEnded(now, replica)
 	if e := t.evidenceOf(now, replica); e.add(request) {
 		t.report(now, replica, e)
 	}
@@ -116,8 +116,8 @@
 // past reports whether no end that shows from now on can have come of the departed call.
 func (d departure) past(now clock.Instant) bool { return now.Elapsed(d.at) > departedSpan }
 
-// Ended notes that a replica's process is not there any more.
-func (t *Tracker) Ended(now clock.Instant, replica pool.Incarnation) {
+// ReplicaEnded notes that a replica's process is not there any more.
+func (t *Tracker) ReplicaEnded(now clock.Instant, replica pool.Incarnation) {
 	e := t.evidenceOf(now, replica)
 	if e.ended {
 		return
@@ -174,7 +174,7 @@
 // Checked takes in what came of a Check.
 func (t *Tracker) Checked(now clock.Instant, e Checked) {
 	if e.Ended {
-		t.Ended(now, e.Replica)
+		t.ReplicaEnded(now, e.Replica)
 	}
 }
 
--- a/core/quarantine/quarantine_test.go
+++ b/core/quarantine/quarantine_test.go
@@ -68,7 +68,7 @@
 	for _, request := range requests {
 		b.Severed(b.now, request, r)
 	}
-	b.Ended(b.now, life(name))
+	b.ReplicaEnded(b.now, life(name))
 }
 
 func only[T step.Action](actions []step.Action) []T {
@@ -92,7 +92,7 @@
 		{"severed, and nothing listens there", func(b *fixture) { b.end("r", bad, 8) }, 2},
 		{"nothing listens, then severed", func(b *fixture) {
 			r := b.replica("r", false)
-			b.Ended(b.now, life("r"))
+			b.ReplicaEnded(b.now, life("r"))
 			b.Severed(b.now, bad, r)
 		}, 1},
 		{"severed, and a check finds nobody", func(b *fixture) {
@@ -106,15 +106,15 @@
 			b.Checked(b.now, Checked{Replica: life("r")})
 		}, 0},
 		{"severed, and nobody knows", func(b *fixture) { b.Severed(b.now, bad, b.replica("r", false)) }, 0},
-		{"nothing listens, and nothing was severed", func(b *fixture) { b.Ended(b.now, life("r")) }, 0},
+		{"nothing listens, and nothing was severed", func(b *fixture) { b.ReplicaEnded(b.now, life("r")) }, 0},
 		{"it had said that it leaves", func(b *fixture) {
 			b.Severed(b.now, bad, b.replica("r", true))
-			b.Ended(b.now, life("r"))
+			b.ReplicaEnded(b.now, life("r"))
 		}, 0},
 		{"it ended long after", func(b *fixture) {
 			b.Severed(b.now, bad, b.replica("r", false))
 			b.pass(2 * endSpan)
-			b.Ended(b.now, life("r"))
+			b.ReplicaEnded(b.now, life("r"))
 		}, 0},
 		{"its caller had just left", func(b *fixture) {
 			b.CallerDisconnected(b.now, bad, b.replica("r", false))
@@ -124,7 +124,7 @@
 		{"its caller had just left, and nothing else was there", func(b *fixture) {
 			b.CallerDisconnected(b.now, bad, b.replica("r", false))
 			b.pass(100 * time.Millisecond)
-			b.Ended(b.now, life("r"))
+			b.ReplicaEnded(b.now, life("r"))
 		}, 1},
 		{"its caller had left long before", func(b *fixture) {
 			b.CallerDisconnected(b.now, bad, b.replica("r", false))
