--- a/core/forwarding/forwarding_test.go
+++ b/core/forwarding/forwarding_test.go
@@ -327,7 +327,7 @@
 	is.True(!f.pauses(start, c, s))
 	for seq := range uint64(crash.Limit) {
 		report := crash.Report{Observer: "i", Seq: seq, Replica: pool.Incarnation{Name: string(rune('a' + seq))}, Requests: []crash.Request{7, 8}}
-		f.Quarantine.Heard(start, "i", []crash.Report{report}, nil)
+		f.Quarantine.HandlePeerReports(start, "i", []crash.Report{report}, nil)
 	}
 	is.True(f.pauses(start, c, s))
 	after := start.Add(f.Quarantine.Pause(7))
--- a/core/instance/build.go
+++ b/core/instance/build.go
@@ -147,7 +147,7 @@
 		Stopping:   m.stop.Begun,
 		Listed:     m.listing.Heard,
 		Registered: m.orders.registry.Merge,
-		Crashed:    m.quarantine.Heard,
+		Crashed:    m.quarantine.HandlePeerReports,
 		Leaving:    m.notices.HandlePeerLeaving,
 		Limits:     m.notices.HandlePeerLimits,
 		Rests:      m.notices.HandlePeerRests,
--- a/core/instance/gone_test.go
+++ b/core/instance/gone_test.go
@@ -100,7 +100,7 @@
 		{"it waits for the tries of a suspected request", calls.Waiting, func(l *soloLab) {
 			for seq := range uint64(crash.Limit) {
 				r := crash.Report{Observer: "j", Seq: seq, Replica: pool.Incarnation{Name: fmt.Sprint(seq)}, Requests: []crash.Request{7, 8}}
-				l.m.quarantine.Heard(l.now, "j", []crash.Report{r}, nil)
+				l.m.quarantine.HandlePeerReports(l.now, "j", []crash.Report{r}, nil)
 			}
 			l.arrive("m0", "")
 		}, nil},
--- a/core/quarantine/quarantine.go
+++ b/core/quarantine/quarantine.go
@@ -110,8 +110,8 @@
 	}
 }
 
-// Heard takes in what a peer told.
-func (t *Tracker) Heard(now clock.Instant, from string, reports []crash.Report, served []crash.Success) {
+// HandlePeerReports takes in what a peer told.
+func (t *Tracker) HandlePeerReports(now clock.Instant, from string, reports []crash.Report, served []crash.Success) {
 	news, pressing := false, false
 	for _, r := range reports {
 		r.Moment = r.Received(now)
--- a/core/quarantine/quarantine_test.go
+++ b/core/quarantine/quarantine_test.go
@@ -206,7 +206,7 @@
 		{"nothing", func(*fixture) {}, false},
 		{"a call that was under way is served", func(b *fixture) { b.Served(b.now, bad) }, true},
 		{"another instance served it", func(b *fixture) {
-			b.Heard(b.now, "j", nil, []crash.Success{{Request: bad}})
+			b.HandlePeerReports(b.now, "j", nil, []crash.Success{{Request: bad}})
 		}, true},
 		{"another was in flight there and at more", func(b *fixture) {
 			var late []crash.Report
@@ -215,7 +215,7 @@
 					Observer: "j", Seq: uint64(n), Replica: life(replica), Requests: []crash.Request{8}, Moment: clock.Moment{Age: time.Duration(3-n) * time.Second},
 				})
 			}
-			b.Heard(b.now, "j", late, nil)
+			b.HandlePeerReports(b.now, "j", late, nil)
 		}, true},
 		{"another was in flight there", func(b *fixture) {
 			var late []crash.Report
@@ -224,7 +224,7 @@
 					Observer: "j", Seq: uint64(n), Replica: life(replica), Requests: []crash.Request{8}, Moment: clock.Moment{Age: time.Duration(3-n) * time.Second},
 				})
 			}
-			b.Heard(b.now, "j", late, nil)
+			b.HandlePeerReports(b.now, "j", late, nil)
 		}, false},
 	}
 	for _, c := range cases {
@@ -298,19 +298,19 @@
 	}
 	b.pass(time.Second)
 	before := b.told
-	b.Heard(b.now, "j", report(1), nil)
+	b.HandlePeerReports(b.now, "j", report(1), nil)
 	b.pass(time.Second)
 	is.Equal(b.told, before)
 	b.Direct = func() bool { return false }
-	b.Heard(b.now, "j", report(1), nil) // no news
+	b.HandlePeerReports(b.now, "j", report(1), nil) // no news
 	b.pass(time.Second)
 	is.Equal(b.told, before)
-	b.Heard(b.now, "j", report(2), nil) // too few ends for the next to decide
+	b.HandlePeerReports(b.now, "j", report(2), nil) // too few ends for the next to decide
 	b.pass(time.Second)
 	is.Equal(b.told, before)
 	for seq := range uint64(4) {
 		report := crash.Report{Observer: "k", Seq: seq, Replica: life(string(rune('p' + seq))), Requests: []crash.Request{8}}
-		b.Heard(b.now, "k", []crash.Report{report}, nil)
+		b.HandlePeerReports(b.now, "k", []crash.Report{report}, nil)
 		b.pass(10 * time.Millisecond)
 	}
 	b.pass(tellEvery)
