--- a/core/forwarding/forwarding.go
+++ b/core/forwarding/forwarding.go
@@ -155,7 +155,7 @@
 	if !ok || service.Announced == nil {
 		return calls.NotRun(code.NoReplica, fmt.Sprintf("no service %q", name), calls.LeastRetryAfter), false
 	}
-	if left := f.Quarantine.Left(now, c.Forward.Fingerprint); left > 0 {
+	if left := f.Quarantine.Remaining(now, c.Forward.Fingerprint); left > 0 {
 		return quarantined(left), false
 	}
 	limit := rule.Timeout
--- a/core/forwarding/place.go
+++ b/core/forwarding/place.go
@@ -20,7 +20,7 @@
 // findReplica sends the call to the best replica, has what it needs loaded there
 // first, lets it wait for its model, or refuses it.
 func (f *Forwarder) findReplica(now clock.Instant, c *calls.Call) {
-	if left := f.Quarantine.Left(now, c.Forward.Fingerprint); left > 0 {
+	if left := f.Quarantine.Remaining(now, c.Forward.Fingerprint); left > 0 {
 		f.Calls.Refuse(c, quarantined(left))
 		return
 	}
--- a/core/instance/crash_test.go
+++ b/core/instance/crash_test.go
@@ -560,7 +560,7 @@
 	for range 3000 {
 		n := 0
 		for _, m := range l.f.members {
-			if m.m.quarantine.Left(clocktest.At(time.Hour+l.f.now), 1000) > 0 {
+			if m.m.quarantine.Remaining(clocktest.At(time.Hour+l.f.now), 1000) > 0 {
 				n++
 			}
 		}
--- a/core/quarantine/quarantine_test.go
+++ b/core/quarantine/quarantine_test.go
@@ -166,18 +166,18 @@
 	is := is.New(t)
 	b := newFixture()
 	for _, name := range []string{"a", "b", "c"} {
-		is.Equal(b.Left(b.now, bad), time.Duration(0))
+		is.Equal(b.Remaining(b.now, bad), time.Duration(0))
 		b.end(name, bad)
 		b.pass(time.Second)
 	}
 	is.Equal(b.cut, []crash.Request{bad})
-	is.True(b.Left(b.now, bad) > firstTerm-2*time.Second)
-	is.True(b.Left(b.now, bad) <= firstTerm)
+	is.True(b.Remaining(b.now, bad) > firstTerm-2*time.Second)
+	is.True(b.Remaining(b.now, bad) <= firstTerm)
 	b.now = b.now.Add(firstTerm)
-	is.Equal(b.Left(b.now, bad), time.Duration(0))
+	is.Equal(b.Remaining(b.now, bad), time.Duration(0))
 	b.end("d", bad)
 	b.pass(time.Second)
-	is.True(b.Left(b.now, bad) > 2*firstTerm-2*time.Second)
+	is.True(b.Remaining(b.now, bad) > 2*firstTerm-2*time.Second)
 	b.now = b.now.Add(4 * firstTerm)
 	b.pass(2 * pruneEvery)
 	is.Equal(len(b.verdicts), 0)
@@ -193,7 +193,7 @@
 		b.pass(time.Second)
 	}
 	b.now.Wall = b.now.Wall.Add(firstTerm)
-	is.Equal(b.Left(b.now, bad), time.Duration(0))
+	is.Equal(b.Remaining(b.now, bad), time.Duration(0))
 }
 
 // TestReleases tables what has a request run again before its term is over.
@@ -235,10 +235,10 @@
 				b.end(name, bad)
 				b.pass(time.Second)
 			}
-			is.True(b.Left(b.now, bad) > 0)
+			is.True(b.Remaining(b.now, bad) > 0)
 			c.happens(b)
 			b.pass(2 * settle)
-			is.Equal(b.Left(b.now, bad) == 0, c.released)
+			is.Equal(b.Remaining(b.now, bad) == 0, c.released)
 		})
 	}
 }
@@ -276,7 +276,7 @@
 	late := newFixture()
 	late.Recalled(late.now, registry.Quarantine{Request: bad, Replicas: 3})
 	is.Equal(late.cut, []crash.Request{bad})
-	is.True(late.Left(late.now, bad) > 0)
+	is.True(late.Remaining(late.now, bad) > 0)
 	is.Equal(len(only[Record](late.pass(time.Second))), 0)
 }
 
--- a/core/quarantine/record.go
+++ b/core/quarantine/record.go
@@ -58,7 +58,7 @@
 // record writes the next verdict that is to be.
 func (t *Tracker) record(now clock.Instant) {
 	r := &t.records
-	for len(r.queue) > 0 && t.Left(now, r.queue[0]) == 0 {
+	for len(r.queue) > 0 && t.Remaining(now, r.queue[0]) == 0 {
 		r.queue = r.queue[1:] // it does not hold any more
 	}
 	if len(r.queue) == 0 || !r.job.Ready(now) || t.Outage.Down() {
--- a/core/quarantine/verdict.go
+++ b/core/quarantine/verdict.go
@@ -54,8 +54,8 @@
 // replica that ends under it is enough then.
 func (v *verdict) remembered(now clock.Instant) bool { return now.Elapsed(v.since) < 2*v.term }
 
-// Left returns for how long a request is not run, 0 if it may be.
-func (t *Tracker) Left(now clock.Instant, request crash.Request) time.Duration {
+// Remaining returns for how long a request is not run, 0 if it may be.
+func (t *Tracker) Remaining(now clock.Instant, request crash.Request) time.Duration {
 	return t.verdicts[request].left(now)
 }
 
@@ -159,7 +159,7 @@
 
 // Recalled takes in a verdict that stands in the platform's store.
 func (t *Tracker) Recalled(now clock.Instant, q registry.Quarantine) {
-	if t.Left(now, q.Request) > 0 || t.verdicts[q.Request] != nil {
+	if t.Remaining(now, q.Request) > 0 || t.verdicts[q.Request] != nil {
 		return
 	}
 	t.impose(q.Request, &verdict{since: now, term: firstTerm, replicas: q.Replicas, recorded: true})
