--- a/core/forwarding/forwarding_test.go
+++ b/core/forwarding/forwarding_test.go
@@ -330,7 +330,7 @@
 		f.Quarantine.HandlePeerReports(start, "i", []crash.Report{report}, nil)
 	}
 	is.True(f.pauses(start, c, s))
-	after := start.Add(f.Quarantine.Pause(7))
+	after := start.Add(f.Quarantine.SendDelay(7))
 	c.Phase = calls.Waiting
 	is.True(!f.pauses(after, c, s))
 	fails := func(b calls.AttemptFailed) {
@@ -342,7 +342,7 @@
 	is.True(!f.pauses(after, c, s))
 	fails(calls.AttemptFailed{Phase: attempt.MaybeSent, Severed: true})
 	is.True(f.pauses(after, c, s))
-	later := after.Add(f.Quarantine.Pause(7))
+	later := after.Add(f.Quarantine.SendDelay(7))
 	is.True(!f.pauses(later, c, s))
 	f.Calls.Add(&calls.Call{Request: calls.Request{ID: 2, Forward: &calls.Forwarded{Fingerprint: 7}}, Phase: calls.Running})
 	is.True(f.pauses(later, c, s))
--- a/core/forwarding/place.go
+++ b/core/forwarding/place.go
@@ -72,7 +72,7 @@
 // pauses reports whether a call is not to be sent yet, since replicas ended under its
 // request.
 func (f *Forwarder) pauses(now clock.Instant, c *calls.Call, s *state) bool {
-	pause := f.Quarantine.Pause(c.Forward.Fingerprint)
+	pause := f.Quarantine.SendDelay(c.Forward.Fingerprint)
 	if pause == 0 {
 		return false
 	}
--- a/core/quarantine/quarantine_test.go
+++ b/core/quarantine/quarantine_test.go
@@ -393,14 +393,14 @@
 		for _, name := range []string{"a", "b"} {
 			b.end(name, bad, 8)
 		}
-		is.Equal(b.Pause(bad), time.Duration(0))
+		is.Equal(b.SendDelay(bad), time.Duration(0))
 		b.end("c", bad, 8)
 		b.end("d", 8)
-		is.Equal(b.Pause(bad), b.Pause(bad))
-		is.Equal(b.Pause(9), time.Duration(0))
-		pauses[b.Pause(bad)] = true
+		is.Equal(b.SendDelay(bad), b.SendDelay(bad))
+		is.Equal(b.SendDelay(9), time.Duration(0))
+		pauses[b.SendDelay(bad)] = true
 		b.Served(b.now.Add(time.Millisecond), bad)
-		is.Equal(b.Pause(bad), time.Duration(0)) // what is served harms nobody
+		is.Equal(b.SendDelay(bad), time.Duration(0)) // what is served harms nobody
 	}
 	is.Equal(len(pauses), len(names)) // no two at once
 	for pause := range pauses {
--- a/core/quarantine/verdict.go
+++ b/core/quarantine/verdict.go
@@ -59,12 +59,12 @@
 	return t.verdicts[request].left(now)
 }
 
-// Pause returns how long a call of a request waits before it is sent: 0, but for one
+// SendDelay returns how long a call of a request waits before it is sent: 0, but for one
 // under which so many replicas ended that the next end decides. Its tries at all
 // instances are sent one after the other then, each after what the one before showed
 // has been judged. A request that harms nobody is late by that; of one that does, one
 // more replica ends instead of one at each instance.
-func (t *Tracker) Pause(request crash.Request) time.Duration {
+func (t *Tracker) SendDelay(request crash.Request) time.Duration {
 	if !t.suspected(request) {
 		return 0
 	}
