--- a/core/instance/build.go
+++ b/core/instance/build.go
@@ -111,7 +111,7 @@
 		Direct: m.orders.roster.FullMesh,
 		Cut:    func(request crash.Request, left time.Duration) { m.forwarding.Cut(request, left) },
 	})
-	m.orders.registry.Quarantined = m.quarantine.Recalled
+	m.orders.registry.Quarantined = m.quarantine.Restored
 	m.orders.registry.SteppedBack = m.quarantine.SteppedBack
 }
 
--- a/core/quarantine/quarantine_test.go
+++ b/core/quarantine/quarantine_test.go
@@ -274,7 +274,7 @@
 	is.Equal(only[Unrecord](b.pass(2*settle)), []Unrecord{{Quarantine: registry.Quarantine{Request: bad, Replicas: 4}}})
 
 	late := newFixture()
-	late.Recalled(late.now, registry.Quarantine{Request: bad, Replicas: 3})
+	late.Restored(late.now, registry.Quarantine{Request: bad, Replicas: 3})
 	is.Equal(late.cut, []crash.Request{bad})
 	is.True(late.Remaining(late.now, bad) > 0)
 	is.Equal(len(only[Record](late.pass(time.Second))), 0)
@@ -362,7 +362,7 @@
 	is.Equal(len(b.departed), 0)
 	is.True(len(b.evidence) <= maxReports)
 	for n := range crash.Request(2 * maxVerdicts) {
-		b.Recalled(b.now, registry.Quarantine{Request: n + 1_000_000, Replicas: 3})
+		b.Restored(b.now, registry.Quarantine{Request: n + 1_000_000, Replicas: 3})
 	}
 	b.pass(2 * pruneEvery)
 	is.Equal(len(b.verdicts), maxVerdicts)
@@ -430,7 +430,7 @@
 		for _, peer := range names {
 			reader.Members.Learn(peer, "z", peer)
 		}
-		reader.Recalled(reader.now, registry.Quarantine{Request: bad, Replicas: 3})
+		reader.Restored(reader.now, registry.Quarantine{Request: bad, Replicas: 3})
 		reader.SteppedBack(reader.now)
 		rewrites += len(only[Record](reader.pass(2 * time.Second)))
 	}
--- a/core/quarantine/verdict.go
+++ b/core/quarantine/verdict.go
@@ -157,8 +157,8 @@
 	return out
 }
 
-// Recalled takes in a verdict that stands in the platform's store.
-func (t *Tracker) Recalled(now clock.Instant, q registry.Quarantine) {
+// Restored takes in a verdict that stands in the platform's store.
+func (t *Tracker) Restored(now clock.Instant, q registry.Quarantine) {
 	if t.Remaining(now, q.Request) > 0 || t.verdicts[q.Request] != nil {
 		return
 	}
