--- a/core/instance/machine.go
+++ b/core/instance/machine.go
@@ -152,7 +152,7 @@
 	case quarantine.Checked:
 		m.quarantine.Checked(now, e)
 	case quarantine.Recorded:
-		m.quarantine.Recorded(now, e)
+		m.quarantine.VerdictStored(now, e)
 	case calls.Arrived:
 		if e.Call.Forward == nil {
 			return false
--- a/core/quarantine/record.go
+++ b/core/quarantine/record.go
@@ -73,8 +73,8 @@
 	})
 }
 
-// Recorded takes in what came of a Record.
-func (t *Tracker) Recorded(now clock.Instant, e Recorded) {
+// VerdictStored takes in what came of a Record.
+func (t *Tracker) VerdictStored(now clock.Instant, e Recorded) {
 	if e.Err != nil {
 		t.Out.Log(logevent.QuarantineNotKept, "fingerprint", e.Request.String(), "error", e.Err.Error())
 		t.records.job.End(now.Add(step.Jitter(t.Rand, recordAgain)))
