--- a/core/instance/build.go
+++ b/core/instance/build.go
@@ -84,7 +84,7 @@
 	o.registry = ownership.New(ownership.Needs{
 		State:  m.state,
 		Roster: o.roster, Owned: o.owned,
-		Stopping: m.stop.Begun,
+		Stopping: m.stop.Started,
 		TellSoon: func(now clock.Instant) { m.exchanges.TellSoon(now) },
 	})
 	o.asks = asks.New()
@@ -119,7 +119,7 @@
 	m.permits = permits.New(permits.Needs{
 		State:     m.state,
 		Instances: m.orders.registry.Instances,
-		Stopping:  m.stop.Begun,
+		Stopping:  m.stop.Started,
 		Told:      m.notices.HandlePeerLimit,
 		Repeats:   m.budget.OnDemand,
 		Decided: func(now clock.Instant, call calls.ID, s permits.Subject, v permits.Verdict) {
@@ -144,7 +144,7 @@
 	m.exchanges = exchange.New(exchange.Needs{
 		State:      m.state,
 		Roster:     m.orders.roster,
-		Stopping:   m.stop.Begun,
+		Stopping:   m.stop.Started,
 		Listed:     m.listing.Heard,
 		Registered: m.orders.registry.Merge,
 		Crashed:    m.quarantine.HandlePeerReports,
--- a/core/instance/machine.go
+++ b/core/instance/machine.go
@@ -238,11 +238,11 @@
 	if m.orders.owned.Waiting() {
 		return wakeEveryOrder
 	}
-	if m.calls.Waiting() > 0 || m.permits.Waiting() || m.stop.Begun() || m.calls.Len() > 0 && m.state.Config.HasForwards() {
+	if m.calls.Waiting() > 0 || m.permits.Waiting() || m.stop.Started() || m.calls.Len() > 0 && m.state.Config.HasForwards() {
 		return wakeEveryBusy
 	}
 	return wakeEvery
 }
 
 // Stopping reports whether a planned stop has begun.
-func (m *Machine) Stopping() bool { return m.stop.Begun() }
+func (m *Machine) Stopping() bool { return m.stop.Started() }
--- a/core/instance/own.go
+++ b/core/instance/own.go
@@ -33,7 +33,7 @@
 	p := planner.New(planner.Needs{
 		State:   m.state,
 		Chooser: chooser, Meter: asked, Totals: totals,
-		Stopping: m.stop.Begun, TellSoon: m.exchanges.TellSoon, TellAll: m.exchanges.TellAll, Tell: m.exchanges.With,
+		Stopping: m.stop.Started, TellSoon: m.exchanges.TellSoon, TellAll: m.exchanges.TellAll, Tell: m.exchanges.With,
 		Leaving: m.exchanges.LogLeaving,
 	})
 	h := modelcalls.New(modelcalls.Needs{
@@ -42,7 +42,7 @@
 	})
 	w := &kvwatch.Watch{
 		State:   m.state,
-		Listing: m.listing, Exchanges: m.exchanges, Stopping: m.stop.Begun,
+		Listing: m.listing, Exchanges: m.exchanges, Stopping: m.stop.Started,
 	}
 	m.forwarding.Missed = func(clock.Instant) {} // nobody places the models of announced engines here
 	m.exchanges.DemandFor = p.DemandFor
--- a/core/instance/platform.go
+++ b/core/instance/platform.go
@@ -26,11 +26,11 @@
 	placer := placement.New(placement.Needs{
 		State:    m.state,
 		Registry: o.registry, Asks: o.asks, Roster: o.roster, OwnDemand: tracker, AllDemand: totals,
-		Stopping: m.stop.Begun, Tell: m.exchanges.With, NextWatcher: m.exchanges.NextWatcher,
+		Stopping: m.stop.Started, Tell: m.exchanges.With, NextWatcher: m.exchanges.NextWatcher,
 	})
 	w := watch.New(watch.Needs{
 		Options: m.state.Options, Rand: m.state.Rand, Out: m.state.Out, Outage: m.state.Outage, Roster: o.roster, Registry: o.registry,
-		Exchanges: m.exchanges, Stopping: m.stop.Begun,
+		Exchanges: m.exchanges, Stopping: m.stop.Started,
 	})
 	m.forwarding.Missed = placer.Missed
 	m.exchanges.DemandFor = placer.DemandFor
--- a/core/instance/status.go
+++ b/core/instance/status.go
@@ -72,7 +72,7 @@
 
 // Ready reports whether the balancer should send calls here, and if not, why.
 func (m *Machine) Ready() (bool, string) {
-	if m.stop.Begun() {
+	if m.stop.Started() {
 		return false, "stopping"
 	}
 	if !m.state.Config.Known() {
--- a/core/shutdown/shutdown.go
+++ b/core/shutdown/shutdown.go
@@ -33,8 +33,8 @@
 	exited bool
 }
 
-// Begun reports whether the stop has begun.
-func (s *Stop) Begun() bool { return s.begun }
+// Started reports whether the stop has begun.
+func (s *Stop) Started() bool { return s.begun }
 
 // Refusing reports whether new calls are refused because of the stop.
 func (s *Stop) Refusing(now clock.Instant) bool { return s.begun && !now.Before(s.takeTo) }
