--- a/core/instance/machine.go
+++ b/core/instance/machine.go
@@ -120,7 +120,7 @@
 	case exchange.Asked:
 		m.exchanges.Asked(now, e)
 	case Stop:
-		m.stop.Begin(now)
+		m.stop.Start(now)
 	case Retune:
 		m.retune(e)
 	case Tick:
--- a/core/shutdown/shutdown.go
+++ b/core/shutdown/shutdown.go
@@ -39,8 +39,8 @@
 // Refusing reports whether new calls are refused because of the stop.
 func (s *Stop) Refusing(now clock.Instant) bool { return s.begun && !now.Before(s.takeTo) }
 
-// Begin begins the stop. A second one ends it at once.
-func (s *Stop) Begin(now clock.Instant) {
+// Start begins the stop. A second one ends it at once.
+func (s *Stop) Start(now clock.Instant) {
 	if s.begun {
 		s.endAt = now
 		return
--- a/core/shutdown/shutdown_test.go
+++ b/core/shutdown/shutdown_test.go
@@ -52,10 +52,10 @@
 			}
 			handedOver := 0
 			s := &Stop{Options: &opt, Out: out, Calls: table, HandOver: func(clock.Instant) { handedOver++ }}
-			s.Begin(begun)
+			s.Start(begun)
 			now := begun.Add(c.after)
 			if c.twice {
-				s.Begin(now)
+				s.Start(now)
 			}
 			is.Equal(handedOver, 1)
 			is.Equal(s.Refusing(now), c.refuses)
