--- a/core/placement/changes.go
+++ b/core/placement/changes.go
@@ -116,7 +116,7 @@
 	Engine string
 	Load   string
 	Drop   []string
-	Source pool.Source
+	Source pool.WeightSource
 	Value  float64 // of the load, for logs
 	Cost   float64 // of the drops, for logs
 	Work   float64 // that the model brings, for logs
@@ -260,7 +260,7 @@
 // A fit is one way to place a candidate.
 type fit struct {
 	engine *engine
-	source pool.Source
+	source pool.WeightSource
 	drop   []string
 	cost   float64
 	score  float64 // value less cost and what the engine's work takes away
@@ -336,7 +336,7 @@
 }
 
 // sourceBonus prefers engines that have the weights at hand.
-var sourceBonus = map[pool.Source]float64{pool.WeightStore: 0, pool.Disk: 0.5, pool.HostMemory: 0.6}
+var sourceBonus = map[pool.WeightSource]float64{pool.WeightStore: 0, pool.Disk: 0.5, pool.HostMemory: 0.6}
 
 func (e *engine) has(model string) bool {
 	for _, c := range e.Copies {
@@ -347,7 +347,7 @@
 	return false
 }
 
-func (e *engine) source(model string) pool.Source {
+func (e *engine) source(model string) pool.WeightSource {
 	switch {
 	case e.InMemory[model]:
 		return pool.HostMemory
--- a/core/pool/announced.go
+++ b/core/pool/announced.go
@@ -33,22 +33,22 @@
 	Adapters []string
 }
 
-// A Source is where an engine takes the weights of a model from.
-type Source int
+// A WeightSource is where an engine takes the weights of a model from.
+type WeightSource int
 
 // The sources, the slowest first.
 const (
-	WeightStore Source = iota // shared by all engines, limited in its rate
-	Disk                      // the engine's own
-	HostMemory                // the engine's own
+	WeightStore WeightSource = iota // shared by all engines, limited in its rate
+	Disk                            // the engine's own
+	HostMemory                      // the engine's own
 )
 
 // String names the source for logs.
-func (s Source) String() string { return [...]string{"store", "disk", "memory"}[s] }
+func (s WeightSource) String() string { return [...]string{"store", "disk", "memory"}[s] }
 
 // SourceOf returns where the engine would take a model's weights from, by what
 // it announced.
-func (a Announcement) SourceOf(model string) Source {
+func (a Announcement) SourceOf(model string) WeightSource {
 	switch {
 	case slices.Contains(a.InMemory, model):
 		return HostMemory
