--- a/core/forwarding/forwarding.go
+++ b/core/forwarding/forwarding.go
@@ -181,7 +181,7 @@
 
 // aim fills in what the call asks of an engine.
 func (f *Forwarder) aim(c *calls.Call, s *state) {
-	c.Item = pool.AdapterItem(c.Forward.Model, c.Forward.Adapter)
+	c.Item = pool.ItemName(c.Forward.Model, c.Forward.Adapter)
 	facts, _ := s.service.Announced.Engine.Model(c.Forward.Model) // one that is not configured weighs nothing
 	s.target = target{
 		model:   c.Forward.Model,
--- a/core/orders/observe.go
+++ b/core/orders/observe.go
@@ -67,7 +67,7 @@
 	for _, m := range s.Models {
 		next[m.Name] = e.ready(now, m.Name, "")
 		for _, a := range m.Adapters {
-			next[pool.AdapterItem(m.Name, a)] = e.ready(now, m.Name, a)
+			next[pool.ItemName(m.Name, a)] = e.ready(now, m.Name, a)
 		}
 	}
 	for _, item := range s.Coming {
@@ -103,7 +103,7 @@
 }
 
 func (e *Engine) ready(now clock.Instant, model, adapter string) held {
-	h := e.items[pool.AdapterItem(model, adapter)]
+	h := e.items[pool.ItemName(model, adapter)]
 	if h.model == "" {
 		h.usedAt = now
 	}
--- a/core/orders/orders.go
+++ b/core/orders/orders.go
@@ -29,7 +29,7 @@
 }
 
 // Item returns the name of what the request is about.
-func (r Request) Item() string { return pool.AdapterItem(r.Model, r.Adapter) }
+func (r Request) Item() string { return pool.ItemName(r.Model, r.Adapter) }
 
 // A Sizes function gives the memory of a model and of one of its adapters, in
 // MB; ok is false for a model that is not configured.
--- a/core/pool/announced.go
+++ b/core/pool/announced.go
@@ -59,9 +59,9 @@
 	}
 }
 
-// AdapterItem names an adapter of a model among the items of an engine. Two
+// ItemName names an adapter of a model among the items of an engine. Two
 // models may have adapters of the same name.
-func AdapterItem(model, adapter string) string {
+func ItemName(model, adapter string) string {
 	if adapter == "" {
 		return model
 	}
@@ -81,7 +81,7 @@
 	for _, m := range a.Models {
 		items[m.Name] = Ready
 		for _, adapter := range m.Adapters {
-			items[AdapterItem(m.Name, adapter)] = Ready
+			items[ItemName(m.Name, adapter)] = Ready
 		}
 	}
 	return items
