--- a/core/listing/listing.go
+++ b/core/listing/listing.go
@@ -243,7 +243,7 @@
 
 // Tick has replicas whose entries went a while ago count as leaving.
 func (l *List) Tick(now clock.Instant) {
-	for _, name := range l.Pool.ExpireVanished(now, pool.VanishSpan) {
+	for _, name := range l.Pool.ExpireVanished(now, pool.VanishedGracePeriod) {
 		l.Out.Log(logevent.Leaving, "upstream", name, "source", "its entry went")
 	}
 }
--- a/core/pool/announced.go
+++ b/core/pool/announced.go
@@ -87,10 +87,10 @@
 	return items
 }
 
-// VanishSpan is how long a replica is still used, where nothing better is there,
+// VanishedGracePeriod is how long a replica is still used, where nothing better is there,
 // after its entry went from the list. Entries also go while the replica is
 // sound: when the list's store loses its leases in an outage.
-const VanishSpan = time.Second
+const VanishedGracePeriod = time.Second
 
 // forgetSpan is how long a replica without an entry is remembered.
 const forgetSpan = 30 * time.Second
