--- a/core/forwarding/forwarding_test.go
+++ b/core/forwarding/forwarding_test.go
@@ -50,7 +50,7 @@
 			State:     state,
 			Instances: func() map[string]registry.Instance { return nil },
 			Stopping:  func() bool { return false },
-			Told:      func(clock.Instant, string, pool.Incarnation, pool.LimitWord) {},
+			Told:      func(clock.Instant, string, pool.Incarnation, pool.LimitReport) {},
 			Repeats:   func() (float64, time.Duration) { return 4, 10 * time.Second },
 			Decided: func(now clock.Instant, call calls.ID, s permits.Subject, v permits.Verdict) {
 				f.Permitted(now, call, s, v)
--- a/core/notice/notice.go
+++ b/core/notice/notice.go
@@ -103,7 +103,7 @@
 }
 
 // logLimit logs what is known of a replica's limit, if it is another one than before.
-func (n *Notices) logLimit(now clock.Instant, r *pool.Replica, former pool.LimitWord) {
+func (n *Notices) logLimit(now clock.Instant, r *pool.Replica, former pool.LimitReport) {
 	w := r.LimitReport()
 	if w.Limit == former.Limit {
 		return
@@ -116,12 +116,12 @@
 func (n *Notices) HandlePeerLimits(now clock.Instant, from string, limits []share.Limit) {
 	for _, l := range limits {
 		l.Moment = l.Received(now)
-		n.HandlePeerLimit(now, from, l.Incarnation, l.LimitWord)
+		n.HandlePeerLimit(now, from, l.Incarnation, l.LimitReport)
 	}
 }
 
 // HandlePeerLimit takes in what a peer was told of the limit of a life of a replica.
-func (n *Notices) HandlePeerLimit(now clock.Instant, from string, life pool.Incarnation, w pool.LimitWord) {
+func (n *Notices) HandlePeerLimit(now clock.Instant, from string, life pool.Incarnation, w pool.LimitReport) {
 	r := n.Pool.Get(life.Name)
 	if r != nil && r.MayBeIncarnation(life.Born) {
 		former := r.LimitReport()
--- a/core/notice/notice_test.go
+++ b/core/notice/notice_test.go
@@ -135,7 +135,7 @@
 	is := is.New(t)
 	n, told := testNotices("i")
 	word := func(born string, perSecond float64, ago time.Duration) []share.Limit {
-		return []share.Limit{{Incarnation: pool.Incarnation{Name: "r", Born: born}, LimitWord: pool.LimitWord{
+		return []share.Limit{{Incarnation: pool.Incarnation{Name: "r", Born: born}, LimitReport: pool.LimitReport{
 			Limit: pool.RateLimit{Named: true, PerSecond: perSecond}, By: "j", Moment: clock.Moment{Age: ago},
 		}}}
 	}
--- a/core/permits/permits.go
+++ b/core/permits/permits.go
@@ -81,7 +81,7 @@
 	Alone bool
 	// Unused says that a permit is given back, rather than asked for.
 	Unused bool
-	Word   pool.LimitWord // of the replica's limit, as known to who asks
+	Word   pool.LimitReport // of the replica's limit, as known to who asks
 }
 
 // A Verdict answers a Request.
@@ -91,7 +91,7 @@
 	Turn    time.Duration // until one more request could be sent
 	// After is when a caller that is turned away for this should come back.
 	After time.Duration
-	Word  pool.LimitWord // as known to who answers
+	Word  pool.LimitReport // as known to who answers
 }
 
 type (
@@ -144,7 +144,7 @@
 	// Stopping reports whether a planned stop has begun.
 	Stopping func() bool
 	// Told takes in what a peer knows of a replica's limit.
-	Told func(now clock.Instant, from string, life pool.Incarnation, w pool.LimitWord)
+	Told func(now clock.Instant, from string, life pool.Incarnation, w pool.LimitReport)
 	// Repeats returns how many repeats of a service's calls belong to no instance in each
 	// span of the retry budget.
 	Repeats func() (amount float64, span time.Duration)
@@ -345,7 +345,7 @@
 }
 
 // told takes in what a peer knows of a replica's limit, if it knows of one.
-func (p *Permits) told(now clock.Instant, from string, life pool.Incarnation, w pool.LimitWord) {
+func (p *Permits) told(now clock.Instant, from string, life pool.Incarnation, w pool.LimitReport) {
 	if !w.IsZero() {
 		w.Moment = w.Received(now)
 		p.Told(now, from, life, w)
--- a/core/permits/permits_test.go
+++ b/core/permits/permits_test.go
@@ -29,7 +29,7 @@
 type lab struct {
 	*Permits
 	decided []decision
-	told    []pool.LimitWord
+	told    []pool.LimitReport
 	now     clock.Instant
 }
 
@@ -47,7 +47,7 @@
 		State:     state,
 		Instances: func() map[string]registry.Instance { return instances },
 		Stopping:  func() bool { return false },
-		Told: func(_ clock.Instant, _ string, _ pool.Incarnation, w pool.LimitWord) {
+		Told: func(_ clock.Instant, _ string, _ pool.Incarnation, w pool.LimitReport) {
 			l.told = append(l.told, w)
 		},
 		Repeats: func() (float64, time.Duration) { return 20, 10 * time.Second },
--- a/core/pool/ratelimit.go
+++ b/core/pool/ratelimit.go
@@ -17,9 +17,9 @@
 	Unclear bool
 }
 
-// A LimitWord is the newest that is known of a replica's limit. The zero value says that
+// A LimitReport is the newest that is known of a replica's limit. The zero value says that
 // it never named one.
-type LimitWord struct {
+type LimitReport struct {
 	// Limit is what it named. Of one that has ended, PerSecond is what it was.
 	Limit RateLimit
 	By    string // the instance that had the answer
@@ -28,7 +28,7 @@
 }
 
 // IsZero reports whether the replica never named a limit.
-func (w LimitWord) IsZero() bool { return w.By == "" }
+func (w LimitReport) IsZero() bool { return w.By == "" }
 
 const (
 	// leastRate is the rate, in requests a second, at which a replica is sent requests
@@ -50,7 +50,7 @@
 
 // Rate returns how many requests a second the replica is to get from all instances
 // together; limited is false where nothing is held back.
-func (w LimitWord) Rate(now clock.Instant) (perSecond float64, limited bool) {
+func (w LimitReport) Rate(now clock.Instant) (perSecond float64, limited bool) {
 	switch since := now.Since(w.At); {
 	case w.IsZero():
 		return 0, false
@@ -65,12 +65,12 @@
 }
 
 // Newer reports whether w is later than another word of the same replica.
-func (w LimitWord) Newer(old LimitWord) bool { return old.At.Before(w.At) }
+func (w LimitReport) Newer(old LimitReport) bool { return old.At.Before(w.At) }
 
 // saidLater reports whether what an answer says of the limit holds against what is known.
 // Answers overtake each other, so one that takes back what another said must be to a
 // request that was sent after that came; one that says less counts at once.
-func (w LimitWord) saidLater(limit RateLimit, sent clock.Instant) bool {
+func (w LimitReport) saidLater(limit RateLimit, sent clock.Instant) bool {
 	switch {
 	case limit.Unclear:
 		return false
@@ -84,7 +84,7 @@
 }
 
 // LimitReport returns the newest that is known of the replica's limit.
-func (r *Replica) LimitReport() LimitWord { return r.limit.word }
+func (r *Replica) LimitReport() LimitReport { return r.limit.word }
 
 // RateLimit returns how many requests a second the replica is to get from all instances
 // together; limited is false where nothing is held back.
@@ -94,7 +94,7 @@
 
 // A limitState is what is known of a replica's limit, and when a request may go there.
 type limitState struct {
-	word   LimitWord
+	word   LimitReport
 	turnAt clock.Instant // when the next request may be sent, as was last said
 }
 
@@ -112,13 +112,13 @@
 	if limit != r.limit.word.Limit {
 		p.touched++
 	}
-	r.limit.word = LimitWord{Limit: limit, By: by, Moment: clock.Moment{At: now}}
+	r.limit.word = LimitReport{Limit: limit, By: by, Moment: clock.Moment{At: now}}
 	return true
 }
 
 // ObservePeerLimit takes in what another instance heard of the limit of a life of a replica, and
 // reports whether that is later than what is known.
-func (p *Pool) ObservePeerLimit(life Incarnation, w LimitWord) bool {
+func (p *Pool) ObservePeerLimit(life Incarnation, w LimitReport) bool {
 	r := p.replicas[life.Name]
 	if r == nil || !r.MayBeIncarnation(life.Born) || !w.Newer(r.limit.word) {
 		return false
--- a/core/share/share.go
+++ b/core/share/share.go
@@ -80,7 +80,7 @@
 // A Limit tells what a life of a replica said last of its limit.
 type Limit struct {
 	pool.Incarnation
-	pool.LimitWord
+	pool.LimitReport
 }
 
 // A Holder tells who plans for a zone.
@@ -308,16 +308,16 @@
 
 // AddLimit stores what a life of a replica said of its limit, and reports whether it was
 // news.
-func (s *Set) AddLimit(from string, life pool.Incarnation, w pool.LimitWord) bool {
+func (s *Set) AddLimit(from string, life pool.Incarnation, w pool.LimitReport) bool {
 	return put(s, s.limits, life, from, Limit{life, w}, func(old Limit) bool {
-		return w.Newer(old.LimitWord) && (w.Limit != old.Limit || w.At.Since(old.At) >= limitApart)
+		return w.Newer(old.LimitReport) && (w.Limit != old.Limit || w.At.Since(old.At) >= limitApart)
 	})
 }
 
 // Limit returns what a life of a replica said last of its limit, as far as records tell.
-func (s *Set) Limit(life pool.Incarnation) (pool.LimitWord, bool) {
+func (s *Set) Limit(life pool.Incarnation) (pool.LimitReport, bool) {
 	l, ok := s.limits[life]
-	return l.record.LimitWord, ok
+	return l.record.LimitReport, ok
 }
 
 // PruneLimits drops what was said of limits longer ago than age, but of lives that are
--- a/core/share/share_test.go
+++ b/core/share/share_test.go
@@ -48,7 +48,7 @@
 	}
 	limited := func(perSecond float64, at time.Duration) func(*Set) bool {
 		return func(s *Set) bool {
-			return s.AddLimit("", pool.Incarnation{Name: "r"}, pool.LimitWord{
+			return s.AddLimit("", pool.Incarnation{Name: "r"}, pool.LimitReport{
 				Limit: pool.RateLimit{Named: true, PerSecond: perSecond}, By: "i", Moment: clock.Moment{At: clocktest.At(at)},
 			})
 		}
--- a/internal/peer/convert.go
+++ b/internal/peer/convert.go
@@ -104,7 +104,7 @@
 		out.Rests = append(out.Rests, &peerpb.Rest{Replica: encodeLife(r.Incarnation), LeftMs: milliseconds(r.Left)})
 	}
 	for _, l := range records.Limits {
-		limit := encodeLimit(l.LimitWord)
+		limit := encodeLimit(l.LimitReport)
 		limit.Replica = encodeLife(l.Incarnation)
 		out.Limits = append(out.Limits, limit)
 	}
@@ -122,18 +122,18 @@
 }
 
 // encodeLimit words what is known of a replica's limit, nil if it never named one.
-func encodeLimit(w pool.LimitWord) *peerpb.RateLimit {
+func encodeLimit(w pool.LimitReport) *peerpb.RateLimit {
 	if w.IsZero() {
 		return nil
 	}
 	return &peerpb.RateLimit{Named: w.Limit.Named, PerSecond: w.Limit.PerSecond, By: w.By, AgeMs: milliseconds(w.Age)}
 }
 
-func decodeLimit(l *peerpb.RateLimit) pool.LimitWord {
+func decodeLimit(l *peerpb.RateLimit) pool.LimitReport {
 	if l == nil {
-		return pool.LimitWord{}
+		return pool.LimitReport{}
 	}
-	return pool.LimitWord{
+	return pool.LimitReport{
 		Limit: pool.RateLimit{Named: l.GetNamed(), PerSecond: l.GetPerSecond()}, By: l.GetBy(), Moment: age(l.GetAgeMs()),
 	}
 }
@@ -308,7 +308,7 @@
 		out.Rests = append(out.Rests, share.Rest{Incarnation: decodeLife(r.GetReplica()), Left: span(r.GetLeftMs())})
 	}
 	for _, l := range m.GetLimits() {
-		out.Limits = append(out.Limits, share.Limit{Incarnation: decodeLife(l.GetReplica()), LimitWord: decodeLimit(l)})
+		out.Limits = append(out.Limits, share.Limit{Incarnation: decodeLife(l.GetReplica()), LimitReport: decodeLimit(l)})
 	}
 	for _, h := range m.GetHolders() {
 		out.Holders = append(out.Holders, share.Holder{
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -46,7 +46,7 @@
 			Successes: []crash.Success{{Request: 22, Moment: clock.Moment{Age: 23 * time.Millisecond}}},
 			Leaving:   []share.Leaving{{Incarnation: pool.Incarnation{Name: "e", Born: "24"}}},
 			Rests:     []share.Rest{{Incarnation: pool.Incarnation{Name: "e", Born: "33"}, Left: 34 * time.Millisecond}},
-			Limits: []share.Limit{{Incarnation: pool.Incarnation{Name: "e", Born: "31"}, LimitWord: pool.LimitWord{
+			Limits: []share.Limit{{Incarnation: pool.Incarnation{Name: "e", Born: "31"}, LimitReport: pool.LimitReport{
 				Limit: pool.RateLimit{Named: true, PerSecond: 0.5}, By: "a", Moment: clock.Moment{Age: 32 * time.Millisecond},
 			}}},
 		},
@@ -86,7 +86,7 @@
 // were sent.
 func TestPermitsTravelWhole(t *testing.T) {
 	is := is.New(t)
-	word := pool.LimitWord{Limit: pool.RateLimit{Named: true, PerSecond: 0.25}, By: "b", Moment: clock.Moment{Age: 3 * time.Millisecond}}
+	word := pool.LimitReport{Limit: pool.RateLimit{Named: true, PerSecond: 0.25}, By: "b", Moment: clock.Moment{Age: 3 * time.Millisecond}}
 	request := permits.Request{
 		Subject: permits.Subject{Replica: pool.Incarnation{Name: "e", Born: "1"}, Service: "s"}, Alone: true, Zone: "z", Rank: -1, Wait: 4 * time.Second, Unused: true, Word: word,
 	}
