--- a/core/pool/announced.go
+++ b/core/pool/announced.go
@@ -105,7 +105,7 @@
 	if a.Engine {
 		kind = Engine
 	}
-	facts := Facts{
+	facts := Spec{
 		Name: name, Address: a.Address, Zone: a.Zone, Kind: kind,
 		Service: a.Service, Concurrent: max(1, a.Slots), Announced: true,
 	}
@@ -122,7 +122,7 @@
 	if a.Born == "" {
 		a.Born = r.announced.Born
 	}
-	r.Facts = facts
+	r.Spec = facts
 	r.announced = a
 	r.announcedAt = now
 	r.vanishedAt = clock.Instant{}
--- a/core/pool/replica.go
+++ b/core/pool/replica.go
@@ -17,8 +17,8 @@
 	Plain
 )
 
-// Facts are what the configuration says of a replica.
-type Facts struct {
+// Spec are what the configuration says of a replica.
+type Spec struct {
 	Name        string
 	Address     string // IP:port
 	Zone        string
@@ -54,7 +54,7 @@
 // A Replica is this instance's view of one upstream. Only the goroutine that
 // owns the state machine touches it.
 type Replica struct {
-	Facts
+	Spec
 	Residency Residency
 	Limit     limit.Concurrency
 	items     map[string]ItemPhase
@@ -126,13 +126,13 @@
 	expected time.Duration // time believed to pass until its first event
 }
 
-func newReplica(f Facts) *Replica {
+func newReplica(f Spec) *Replica {
 	hold := defaultHold
 	if f.Announced && f.Kind == Plain {
 		hold = defaultPlainHold
 	}
 	return &Replica{
-		Facts:   f,
+		Spec:    f,
 		Limit:   limit.NewConcurrency(f.Concurrent),
 		items:   map[string]ItemPhase{},
 		refused: map[string]clock.Instant{},
