--- a/core/pool/rank_test.go
+++ b/core/pool/rank_test.go
@@ -20,7 +20,7 @@
 	r.StartPrefill(now, 1, Prefill{Rank: 0, Work: time.Second})
 	r.StartPrefill(now, 2, Prefill{Rank: 2, Work: 10 * time.Second})
 	r.StartPrefill(now, 3, Prefill{Rank: Ranks + 5, Work: 100 * time.Second})
-	p.ObservePeerUsage(now, "peer", map[string]Use{"r": {Calls: ByRank[int]{1: 4}, Prefill: ByRank[time.Duration]{1: 2 * time.Second}}})
+	p.ObservePeerUsage(now, "peer", map[string]Usage{"r": {Calls: ByRank[int]{1: 4}, Prefill: ByRank[time.Duration]{1: 2 * time.Second}}})
 	for rank, want := range map[int]time.Duration{
 		0: time.Second, 1: 3 * time.Second, 2: 13 * time.Second, Ranks - 1: 113 * time.Second, Ranks: 113 * time.Second,
 	} {
--- a/core/pool/use.go
+++ b/core/pool/use.go
@@ -6,8 +6,8 @@
 	"github.com/birchdrift/birchdrift/core/clock"
 )
 
-// A Use is what one instance has in flight at a replica.
-type Use struct {
+// A Usage is what one instance has in flight at a replica.
+type Usage struct {
 	Calls   ByRank[int]
 	Prefill ByRank[time.Duration] // work on prompts that it believes is still to be done there
 	Waiting int                   // calls without a first event that are not in Prefill
@@ -20,13 +20,13 @@
 
 // A peerUse is another instance's Use with the time at which it was heard.
 type peerUse struct {
-	Use
+	Usage
 	at clock.Instant
 }
 
 // ObservePeerUsage takes in what a peer has in flight, by replica. Replicas that are
 // not named have nothing of it in flight.
-func (p *Pool) ObservePeerUsage(now clock.Instant, peer string, uses map[string]Use) {
+func (p *Pool) ObservePeerUsage(now clock.Instant, peer string, uses map[string]Usage) {
 	for name, r := range p.replicas {
 		u, ok := uses[name]
 		if !ok {
@@ -36,17 +36,17 @@
 		if r.peers == nil {
 			r.peers = map[string]peerUse{}
 		}
-		r.peers[peer] = peerUse{Use: u, at: now}
+		r.peers[peer] = peerUse{Usage: u, at: now}
 	}
 	p.touched++
 }
 
 // OwnUsage returns what this instance has in flight, by replica.
-func (p *Pool) OwnUsage(now clock.Instant) map[string]Use {
-	uses := map[string]Use{}
+func (p *Pool) OwnUsage(now clock.Instant) map[string]Usage {
+	uses := map[string]Usage{}
 	for name, r := range p.replicas {
 		if len(r.inFlight) > 0 || len(r.used) > 0 || r.Down(now) {
-			uses[name] = Use{Calls: r.ownCalls, Prefill: r.ownPrefill(), Items: r.recent(), Down: r.Down(now)}
+			uses[name] = Usage{Calls: r.ownCalls, Prefill: r.ownPrefill(), Items: r.recent(), Down: r.Down(now)}
 		}
 	}
 	return uses
@@ -88,8 +88,8 @@
 }
 
 // others sums what peers have in flight at the replica.
-func (r *Replica) others(now clock.Instant) Use {
-	var sum Use
+func (r *Replica) others(now clock.Instant) Usage {
+	var sum Usage
 	for _, u := range r.peers {
 		if now.Since(u.at) <= useSpan {
 			sum.Calls.add(u.Calls)
@@ -115,7 +115,7 @@
 
 // Load returns the calls in flight at the replica and the work on prompts that
 // is still to be done there, of every instance that was heard lately.
-func (r *Replica) Load(now clock.Instant) Use {
+func (r *Replica) Load(now clock.Instant) Usage {
 	u := r.others(now)
 	if r.ReportAge(now) <= reportSpan {
 		u.Calls = ByRank[int]{r.report.running} // of ranks that it does not say
--- a/core/share/share.go
+++ b/core/share/share.go
@@ -145,7 +145,7 @@
 	// places models by it.
 	Demand []demand.Item
 	// Uses is what the sender has in flight, by replica; nil if it does not say.
-	Uses map[string]pool.Use
+	Uses map[string]pool.Usage
 	// WantConfig asks for the configuration if the receiver's is newer.
 	WantConfig bool
 	// Config is the encoded configuration of Revision, if it was asked for.
--- a/internal/peer/convert.go
+++ b/internal/peer/convert.go
@@ -261,10 +261,10 @@
 		})
 	}
 	if m.GetHasUses() {
-		out.Uses = map[string]pool.Use{}
+		out.Uses = map[string]pool.Usage{}
 	}
 	for _, u := range m.GetUses() {
-		out.Uses[u.GetReplica()] = pool.Use{
+		out.Uses[u.GetReplica()] = pool.Usage{
 			Calls: decodeByRank(u.GetCalls(), 1), Prefill: decodeByRank(u.GetPrefillUs(), time.Microsecond), Items: u.GetItems(), Down: u.GetDown(),
 		}
 	}
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -51,7 +51,7 @@
 			}}},
 		},
 		Demand: []demand.Item{{Name: "m", Rate: 0.5, Concurrent: 0.25, Weight: 2, Waiting: 13, Unmet: time.Second, Idle: time.Minute}},
-		Uses: map[string]pool.Use{"e": {
+		Uses: map[string]pool.Usage{"e": {
 			Calls: pool.ByRank[int]{1: 3}, Prefill: pool.ByRank[time.Duration]{0: time.Millisecond, 2: 2 * time.Millisecond}, Items: []string{"m"}, Down: true,
 		}},
 		WantConfig: true,
