--- a/core/forwarding/probe.go
+++ b/core/forwarding/probe.go
@@ -101,7 +101,7 @@
 	if e.Err != nil {
 		f.Out.Log(logevent.ProbeFailed, "engine", e.Engine, "call", label(c), "error", e.Err.Error())
 	} else if r := f.Pool.Get(e.Engine); r != nil && !e.Sent.Before(r.FirstSeenAt()) {
-		r.ObserveReport(now, pool.Report{Queued: e.Queued, Running: e.Running})
+		r.ObserveReport(now, pool.LoadReport{Queued: e.Queued, Running: e.Running})
 	}
 	if c == nil || c.Phase != calls.Probing {
 		return
--- a/core/pool/use.go
+++ b/core/pool/use.go
@@ -127,8 +127,8 @@
 	return u
 }
 
-// A Report is what an engine says of the calls there when it is asked.
-type Report struct {
+// A LoadReport is what an engine says of the calls there when it is asked.
+type LoadReport struct {
 	Queued  int // without a first event
 	Running int // with one
 }
@@ -148,7 +148,7 @@
 }
 
 // ObserveReport takes in what an engine says of its load.
-func (r *Replica) ObserveReport(now clock.Instant, said Report) {
+func (r *Replica) ObserveReport(now clock.Instant, said LoadReport) {
 	then := now.Add(-reportLag)
 	waiting := 0
 	for _, c := range r.pending {
