--- a/core/instance/limit_test.go
+++ b/core/instance/limit_test.go
@@ -163,7 +163,7 @@
 		if _, known := l.told[to]; said.Limit.Named && !known && !n.dead && !n.frozen && n.boot == boot {
 			l.told[to] = l.f.now
 		}
-		l.f.step(n, boot, notice.Heard{Replica: e.name, Sent: sent, Notice: said})
+		l.f.step(n, boot, notice.Received{Replica: e.name, Sent: sent, Notice: said})
 	})
 }
 
--- a/core/instance/lives_test.go
+++ b/core/instance/lives_test.go
@@ -200,7 +200,7 @@
 			l.m.Step(l.now, listing.Reported{Replica: "e", Sent: l.now, Announcement: *old.Announced})
 		}},
 		{"an answer of it that says that it leaves", func(l *soloLab) {
-			l.m.Step(l.now, notice.Heard{Replica: "e", Sent: l.now.Add(-5 * time.Millisecond), Notice: pool.Notice{Leaving: true}})
+			l.m.Step(l.now, notice.Received{Replica: "e", Sent: l.now.Add(-5 * time.Millisecond), Notice: pool.Notice{Leaving: true}})
 		}},
 		{"what it said of its load", func(l *soloLab) {
 			l.m.Step(l.now, forwarding.ProbeReply{Call: 9, Engine: "e", Sent: l.now.Add(-5 * time.Millisecond), Queued: 500})
--- a/core/instance/machine.go
+++ b/core/instance/machine.go
@@ -143,7 +143,7 @@
 		m.forwarding.ProbeReplied(now, e)
 	case listing.Reported:
 		m.listing.Reported(now, e)
-	case notice.Heard:
+	case notice.Received:
 		m.notices.HandleNotice(now, e)
 	case permits.Reply:
 		m.permits.Replied(now, e)
--- a/core/instance/notice_test.go
+++ b/core/instance/notice_test.go
@@ -126,7 +126,7 @@
 		if _, known := l.told[to]; said.Leaving && !known && !n.dead && !n.frozen && n.boot == boot {
 			l.told[to] = l.f.now
 		}
-		l.f.step(n, boot, notice.Heard{Replica: e.name, Sent: sent, Notice: said})
+		l.f.step(n, boot, notice.Received{Replica: e.name, Sent: sent, Notice: said})
 	})
 }
 
@@ -365,7 +365,7 @@
 		f.run(time.Second)
 		for _, name := range f.names {
 			n := f.members[name]
-			f.step(n, n.boot, notice.Heard{Replica: e.name, Sent: sent, Notice: pool.Notice{Leaving: true, Rest: time.Hour}})
+			f.step(n, n.boot, notice.Received{Replica: e.name, Sent: sent, Notice: pool.Notice{Leaving: true, Rest: time.Hour}})
 		}
 		f.run(4 * time.Second)
 		is.True(l.served[e] > 10)
--- a/core/notice/notice.go
+++ b/core/notice/notice.go
@@ -35,15 +35,15 @@
 	pruneEvery = 10 * time.Second
 )
 
-// Heard is the event that a replica said something of itself in an answer.
-type Heard struct {
+// Received is the event that a replica said something of itself in an answer.
+type Received struct {
 	Replica string
 	Sent    clock.Instant // when it was sent what it answers
 	Notice  pool.Notice
 }
 
 // IsEvent implements step.Event.
-func (Heard) IsEvent() {}
+func (Received) IsEvent() {}
 
 // Needs are what Notices need of the other modules. The functions must be set before the
 // first event.
@@ -63,7 +63,7 @@
 func New(n Needs) *Notices { return &Notices{Needs: n} }
 
 // HandleNotice takes in what a replica said of itself.
-func (n *Notices) HandleNotice(now clock.Instant, e Heard) {
+func (n *Notices) HandleNotice(now clock.Instant, e Received) {
 	said := e.Notice
 	said.Rest += n.spread(e.Replica, said.Rest)
 	n.heardLimit(now, e)
@@ -87,7 +87,7 @@
 
 // heardLimit takes in what a replica said of its limit, or that it named none. It is told to
 // the others, so that they know before they send there.
-func (n *Notices) heardLimit(now clock.Instant, e Heard) {
+func (n *Notices) heardLimit(now clock.Instant, e Received) {
 	r := n.Pool.Get(e.Replica)
 	if r == nil {
 		return
--- a/core/notice/notice_test.go
+++ b/core/notice/notice_test.go
@@ -32,8 +32,8 @@
 func TestLeavingIsToldOnce(t *testing.T) {
 	is := is.New(t)
 	n, told := testNotices("i")
-	heard := Heard{Replica: "r", Sent: start, Notice: pool.Notice{Leaving: true}}
-	rests := Heard{Replica: "r", Sent: start, Notice: pool.Notice{Rest: time.Second}}
+	heard := Received{Replica: "r", Sent: start, Notice: pool.Notice{Leaving: true}}
+	rests := Received{Replica: "r", Sent: start, Notice: pool.Notice{Rest: time.Second}}
 	n.HandleNotice(start, rests)
 	n.HandleNotice(start, rests)
 	is.Equal(*told, 1)
@@ -86,7 +86,7 @@
 			var in [parts]int
 			for i := range instances {
 				n, _ := testNotices(fmt.Sprintf("i%d", i))
-				n.HandleNotice(start, Heard{Replica: "r", Sent: start, Notice: pool.Notice{Rest: tt.asked}})
+				n.HandleNotice(start, Received{Replica: "r", Sent: start, Notice: pool.Notice{Rest: tt.asked}})
 				late := n.Pool.Get("r").RestLeft(start) - tt.asked
 				is.True(late >= 0 && late < tt.window)
 				in[late*parts/tt.window]++
@@ -106,7 +106,7 @@
 	now := start
 	heard := func(after time.Duration, limit pool.RateLimit) {
 		now = now.Add(after)
-		n.HandleNotice(now, Heard{Replica: "r", Sent: now, Notice: pool.Notice{Limit: limit}})
+		n.HandleNotice(now, Received{Replica: "r", Sent: now, Notice: pool.Notice{Limit: limit}})
 	}
 	three := pool.RateLimit{Named: true, PerSecond: 3}
 	heard(0, pool.RateLimit{})
@@ -148,7 +148,7 @@
 	n.HandlePeerLimits(start, "peer", word("1", 2, time.Second))
 	is.Equal(rate(), 2.0)
 	is.Equal(*told, 2)
-	n.HandleNotice(start, Heard{Replica: "r", Sent: start, Notice: pool.Notice{Limit: pool.RateLimit{Named: true, PerSecond: 5}}})
+	n.HandleNotice(start, Received{Replica: "r", Sent: start, Notice: pool.Notice{Limit: pool.RateLimit{Named: true, PerSecond: 5}}})
 	is.Equal(rate(), 5.0)
 	n.HandlePeerLimits(start, "peer", word("1", 1, 500*time.Millisecond))
 	is.Equal(rate(), 5.0)
--- a/internal/environment/driver.go
+++ b/internal/environment/driver.go
@@ -291,7 +291,7 @@
 // news.
 func (d *driver) heard(engine string, sent clock.Instant, n pool.Notice, news bool) {
 	if news || !n.IsZero() {
-		d.host.Post(notice.Heard{Replica: engine, Sent: sent, Notice: n})
+		d.host.Post(notice.Received{Replica: engine, Sent: sent, Notice: n})
 	}
 }
 
