--- a/core/instance/machine.go
+++ b/core/instance/machine.go
@@ -59,7 +59,7 @@
 	calls      *calls.Table
 	budget     *retrybudget.Budget
 	quarantine *quarantine.Tracker
-	notices    *notice.Notices
+	notices    *notice.Tracker
 	permits    *permits.Permits
 	forwarding *forwarding.Forwarder
 	listing    *listing.List
--- a/core/notice/notice.go
+++ b/core/notice/notice.go
@@ -53,17 +53,17 @@
 	TellSoon func(now clock.Instant)
 }
 
-// Notices take in what replicas say of themselves.
-type Notices struct {
+// Tracker take in what replicas say of themselves.
+type Tracker struct {
 	Needs
 	pruneDue clock.Instant
 }
 
 // New returns notices of which none was heard.
-func New(n Needs) *Notices { return &Notices{Needs: n} }
+func New(n Needs) *Tracker { return &Tracker{Needs: n} }
 
 // HandleNotice takes in what a replica said of itself.
-func (n *Notices) HandleNotice(now clock.Instant, e Received) {
+func (n *Tracker) HandleNotice(now clock.Instant, e Received) {
 	said := e.Notice
 	said.Rest += n.spread(e.Replica, said.Rest)
 	n.heardLimit(now, e)
@@ -87,7 +87,7 @@
 
 // heardLimit takes in what a replica said of its limit, or that it named none. It is told to
 // the others, so that they know before they send there.
-func (n *Notices) heardLimit(now clock.Instant, e Received) {
+func (n *Tracker) heardLimit(now clock.Instant, e Received) {
 	r := n.Pool.Get(e.Replica)
 	if r == nil {
 		return
@@ -103,7 +103,7 @@
 }
 
 // logLimit logs what is known of a replica's limit, if it is another one than before.
-func (n *Notices) logLimit(now clock.Instant, r *pool.Replica, former pool.LimitReport) {
+func (n *Tracker) logLimit(now clock.Instant, r *pool.Replica, former pool.LimitReport) {
 	w := r.LimitReport()
 	if w.Limit == former.Limit {
 		return
@@ -113,7 +113,7 @@
 }
 
 // HandlePeerLimits takes in what a peer was told of the limits of replicas.
-func (n *Notices) HandlePeerLimits(now clock.Instant, from string, limits []share.Limit) {
+func (n *Tracker) HandlePeerLimits(now clock.Instant, from string, limits []share.Limit) {
 	for _, l := range limits {
 		l.Moment = l.Received(now)
 		n.HandlePeerLimit(now, from, l.Incarnation, l.LimitReport)
@@ -121,7 +121,7 @@
 }
 
 // HandlePeerLimit takes in what a peer was told of the limit of a life of a replica.
-func (n *Notices) HandlePeerLimit(now clock.Instant, from string, life pool.Incarnation, w pool.LimitReport) {
+func (n *Tracker) HandlePeerLimit(now clock.Instant, from string, life pool.Incarnation, w pool.LimitReport) {
 	r := n.Pool.Get(life.Name)
 	if r != nil && r.MayBeIncarnation(life.Born) {
 		former := r.LimitReport()
@@ -136,7 +136,7 @@
 }
 
 // HandlePeerRests takes in which replicas turned others away.
-func (n *Notices) HandlePeerRests(now clock.Instant, from string, rests []share.Rest) {
+func (n *Tracker) HandlePeerRests(now clock.Instant, from string, rests []share.Rest) {
 	for _, x := range rests {
 		x.Until = now.Add(x.Left)
 		if n.Records.AddRest(from, x) {
@@ -148,13 +148,13 @@
 
 // spread returns how much longer than it was asked for this instance's rest is, so that
 // all instances do not come back at once: each has its own place in that time.
-func (n *Notices) spread(replica string, rest time.Duration) time.Duration {
+func (n *Tracker) spread(replica string, rest time.Duration) time.Duration {
 	place := float64(rendezvous.Score(rendezvous.Key(replica), n.Self.Name)) / math.MaxUint64
 	return time.Duration(place * min(spreadShare*float64(rest), float64(longestSpread)))
 }
 
 // HandlePeerLeaving takes in that a peer was told of replicas that leave.
-func (n *Notices) HandlePeerLeaving(now clock.Instant, from string, leaving []share.Leaving) {
+func (n *Tracker) HandlePeerLeaving(now clock.Instant, from string, leaving []share.Leaving) {
 	for _, l := range leaving {
 		l.At = now
 		if !n.Records.AddLeaving(from, l) {
@@ -171,7 +171,7 @@
 // HandleAnnounced has what is known of this life of a replica that was announced hold for it. That an
 // entry says that it leaves is told to all instances, as its own word is: the store may lose that
 // entry, and instances that start then would take the replica for ready.
-func (n *Notices) HandleAnnounced(now clock.Instant, name string) {
+func (n *Tracker) HandleAnnounced(now clock.Instant, name string) {
 	r := n.Pool.Get(name)
 	if r == nil {
 		return
@@ -188,7 +188,7 @@
 }
 
 // Tick forgets what is too old.
-func (n *Notices) Tick(now clock.Instant) {
+func (n *Tracker) Tick(now clock.Instant) {
 	if now.Before(n.pruneDue) {
 		return
 	}
--- a/core/notice/notice_test.go
+++ b/core/notice/notice_test.go
@@ -20,7 +20,7 @@
 
 // testNotices returns the notices of an instance that knows one replica, and how often
 // peers were to be told.
-func testNotices(name string) (n *Notices, told *int) {
+func testNotices(name string) (n *Tracker, told *int) {
 	told = new(int)
 	n = New(Needs{State: shared.New(member.Identity{Name: name, Zone: "z"}, option.Default(), 1), TellSoon: func(clock.Instant) { *told++ }})
 	n.Pool.Announce(start, "r", pool.Announcement{Service: "s", Address: "r", Zone: "z", Slots: 4, Born: "1"})
