--- a/core/instance/build.go
+++ b/core/instance/build.go
@@ -41,7 +41,7 @@
 	m.buildCalls()
 	m.buildOrders()
 	m.buildQuarantine()
-	m.notices = notice.New(notice.Needs{
+	m.notices = notice.New(notice.Deps{
 		State:    m.state,
 		TellSoon: func(now clock.Instant) { m.exchanges.TellSoon(now) },
 	})
--- a/core/notice/notice.go
+++ b/core/notice/notice.go
@@ -45,9 +45,9 @@
 // IsEvent implements step.Event.
 func (Received) IsEvent() {}
 
-// Needs are what Notices need of the other modules. The functions must be set before the
+// Deps are what Notices need of the other modules. The functions must be set before the
 // first event.
-type Needs struct {
+type Deps struct {
 	shared.State
 	// TellSoon is called when there is news that peers are to be told of.
 	TellSoon func(now clock.Instant)
@@ -55,12 +55,12 @@
 
 // Tracker take in what replicas say of themselves.
 type Tracker struct {
-	Needs
+	Deps
 	pruneDue clock.Instant
 }
 
 // New returns notices of which none was heard.
-func New(n Needs) *Tracker { return &Tracker{Needs: n} }
+func New(n Deps) *Tracker { return &Tracker{Deps: n} }
 
 // HandleNotice takes in what a replica said of itself.
 func (n *Tracker) HandleNotice(now clock.Instant, e Received) {
--- a/core/notice/notice_test.go
+++ b/core/notice/notice_test.go
@@ -22,7 +22,7 @@
 // peers were to be told.
 func testNotices(name string) (n *Tracker, told *int) {
 	told = new(int)
-	n = New(Needs{State: shared.New(member.Identity{Name: name, Zone: "z"}, option.Default(), 1), TellSoon: func(clock.Instant) { *told++ }})
+	n = New(Deps{State: shared.New(member.Identity{Name: name, Zone: "z"}, option.Default(), 1), TellSoon: func(clock.Instant) { *told++ }})
 	n.Pool.Announce(start, "r", pool.Announcement{Service: "s", Address: "r", Zone: "z", Slots: 4, Born: "1"})
 	return n, told
 }
