--- a/core/own/planner/planner.go
+++ b/core/own/planner/planner.go
@@ -169,7 +169,7 @@
 		return
 	}
 	fence := p.lease.Fence()
-	p.Records.AddLeaseHolder("", share.Holder{Zone: p.Self.Zone, Fence: fence})
+	p.Records.AddLeaseHolder("", share.LeaseHolder{Zone: p.Self.Zone, Fence: fence})
 	p.lease = p.lease.WithLoss()
 	p.abandon()
 	p.Out.Do(ReleaseLease{Fence: fence})
@@ -254,7 +254,7 @@
 	p.seq = 0
 	p.loads = loadBudget{at: now}
 	p.Out.Log(logevent.LeaseGained, "fence", p.fence)
-	p.Records.AddLeaseHolder("", share.Holder{Zone: p.Self.Zone, Instance: p.Self.Name, Fence: p.fence})
+	p.Records.AddLeaseHolder("", share.LeaseHolder{Zone: p.Self.Zone, Instance: p.Self.Name, Fence: p.fence})
 	p.TellAll(now)
 	p.sync()
 	p.intents.flying = true
--- a/core/share/share.go
+++ b/core/share/share.go
@@ -83,8 +83,8 @@
 	pool.LimitReport
 }
 
-// A Holder tells who plans for a zone.
-type Holder struct {
+// A LeaseHolder tells who plans for a zone.
+type LeaseHolder struct {
 	Zone     string
 	Instance string
 	Fence    uint64
@@ -95,7 +95,7 @@
 	Residencies []Residency
 	Loads       []Load
 	Listed      []Listed
-	Holders     []Holder
+	Holders     []LeaseHolder
 	Registered  []registry.Record
 	Crashes     []crash.Report
 	Successes   []crash.Success
@@ -159,7 +159,7 @@
 	residencies map[string]stamped[Residency]
 	loads       map[string]stamped[Load]
 	listed      map[string]stamped[Listed]
-	holders     map[string]stamped[Holder]
+	holders     map[string]stamped[LeaseHolder]
 	registered  map[string]stamped[registry.Record]
 	crashes     map[string]stamped[crash.Report]
 	successes   map[crash.Request]stamped[crash.Success]
@@ -181,7 +181,7 @@
 		residencies: map[string]stamped[Residency]{},
 		loads:       map[string]stamped[Load]{},
 		listed:      map[string]stamped[Listed]{},
-		holders:     map[string]stamped[Holder]{},
+		holders:     map[string]stamped[LeaseHolder]{},
 		registered:  map[string]stamped[registry.Record]{},
 		crashes:     map[string]stamped[crash.Report]{},
 		successes:   map[crash.Request]stamped[crash.Success]{},
@@ -225,8 +225,8 @@
 }
 
 // AddLeaseHolder stores the record and reports whether it was news.
-func (s *Set) AddLeaseHolder(from string, h Holder) bool {
-	return put(s, s.holders, h.Zone, from, h, func(old Holder) bool {
+func (s *Set) AddLeaseHolder(from string, h LeaseHolder) bool {
+	return put(s, s.holders, h.Zone, from, h, func(old LeaseHolder) bool {
 		return h.Fence > old.Fence || (h.Fence == old.Fence && h.Instance == "" && old.Instance != "")
 	})
 }
@@ -364,7 +364,7 @@
 func (s *Set) ListedVersion(name string) era.Number { return s.listed[name].record.Version }
 
 // LeaseHolder returns who plans for the zone, "" if nobody is known to.
-func (s *Set) LeaseHolder(zone string) Holder { return s.holders[zone].record }
+func (s *Set) LeaseHolder(zone string) LeaseHolder { return s.holders[zone].record }
 
 // Residency returns the newest report of what an engine holds.
 func (s *Set) Residency(engine string) (Residency, bool) {
--- a/core/share/share_test.go
+++ b/core/share/share_test.go
@@ -26,7 +26,9 @@
 		return func(s *Set) bool { return s.AddListed("", Listed{Name: "l", Version: version}) }
 	}
 	holder := func(fence uint64, instance string) func(*Set) bool {
-		return func(s *Set) bool { return s.AddLeaseHolder("", Holder{Zone: "z", Instance: instance, Fence: fence}) }
+		return func(s *Set) bool {
+			return s.AddLeaseHolder("", LeaseHolder{Zone: "z", Instance: instance, Fence: fence})
+		}
 	}
 	registered := func(revision era.Number) func(*Set) bool {
 		return func(s *Set) bool { return s.AddRegistered("", registry.Record{Key: "k", Revision: revision}) }
--- a/internal/peer/convert.go
+++ b/internal/peer/convert.go
@@ -311,7 +311,7 @@
 		out.Limits = append(out.Limits, share.Limit{Incarnation: decodeLife(l.GetReplica()), LimitReport: decodeLimit(l)})
 	}
 	for _, h := range m.GetHolders() {
-		out.Holders = append(out.Holders, share.Holder{
+		out.Holders = append(out.Holders, share.LeaseHolder{
 			Zone: h.GetZone(), Instance: h.GetInstance(), Fence: h.GetFence(),
 		})
 	}
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -35,7 +35,7 @@
 					Models: []pool.AnnouncedModel{{Name: "m", Adapters: []string{"a"}}}, InMemory: []string{"m"}, OnDisk: []string{"n"},
 				}},
 			},
-			Holders: []share.Holder{{Zone: "z", Instance: "a", Fence: 12}},
+			Holders: []share.LeaseHolder{{Zone: "z", Instance: "a", Fence: 12}},
 			Registered: []registry.Record{
 				{Key: "owners/e", Data: []byte("{}"), Revision: 14},
 				{Key: "owners/f", Revision: 15, Gone: true},
