--- a/core/bounds/bounds.go
+++ b/core/bounds/bounds.go
@@ -51,8 +51,8 @@
 	settleShare = 0.5
 )
 
-// A Rhythm is what else the parts depend on.
-type Rhythm struct {
+// A Timing is what else the parts depend on.
+type Timing struct {
 	// Mesh says that each instance watches, and exchanges with each other one.
 	Mesh bool
 	// Exchange is the spacing of an instance's exchanges.
@@ -114,7 +114,7 @@
 }
 
 // Delays works the parts out.
-func (b Bounds) Delays(r Rhythm) Parts {
+func (b Bounds) Delays(r Timing) Parts {
 	p := Parts{
 		Pause:   b.share(pauseShare),
 		Overdue: b.share(overdueShare),
@@ -137,7 +137,7 @@
 }
 
 // Check returns an error for parts that come to more than the bound.
-func (b Bounds) Check(r Rhythm) error {
+func (b Bounds) Check(r Timing) error {
 	if p := b.Delays(r); p.Sum() > b.Leave {
 		return fmt.Errorf("a replica that leaves could get calls for %v, and %v are allowed: %v", p.Sum(), b.Leave, p)
 	}
--- a/core/bounds/bounds_test.go
+++ b/core/bounds/bounds_test.go
@@ -25,7 +25,7 @@
 	for _, b := range []Bounds{small, large, {Leave: 10 * time.Second, Settle: 10 * time.Second}} {
 		for _, mesh := range []bool{true, false} {
 			is := is.New(t)
-			r := Rhythm{Mesh: mesh, Exchange: exchange}
+			r := Timing{Mesh: mesh, Exchange: exchange}
 			p := b.Delays(r)
 			is.True(b.Leave-p.Sum() >= b.Leave/leftOver)
 			is.NoErr(b.Check(r))
@@ -45,12 +45,12 @@
 	for _, tt := range []struct {
 		name   string
 		bounds Bounds
-		rhythm Rhythm
+		rhythm Timing
 		want   string
 	}{
-		{"a long wait", small, Rhythm{Mesh: true, Wait: 1500 * time.Millisecond}, "calls for 2.8s, and 2s are allowed"},
-		{"a long pause", small, Rhythm{Mesh: true, Pause: time.Second, Wait: 600 * time.Millisecond}, "pause 1s"},
-		{"a short bound", Bounds{Leave: 500 * time.Millisecond}, Rhythm{Mesh: true}, "dial 500ms"},
+		{"a long wait", small, Timing{Mesh: true, Wait: 1500 * time.Millisecond}, "calls for 2.8s, and 2s are allowed"},
+		{"a long pause", small, Timing{Mesh: true, Pause: time.Second, Wait: 600 * time.Millisecond}, "pause 1s"},
+		{"a short bound", Bounds{Leave: 500 * time.Millisecond}, Timing{Mesh: true}, "dial 500ms"},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
--- a/core/watch/watch.go
+++ b/core/watch/watch.go
@@ -152,7 +152,7 @@
 // parts returns the waits on the way from the store's word to a call.
 func (w *Watch) parts() bounds.Parts {
 	o := w.Options
-	return o.Bounds.Delays(bounds.Rhythm{Mesh: w.Roster.FullMesh(), Exchange: o.ExchangeEvery, Pause: o.WatchEvery, Wait: o.WatchWait})
+	return o.Bounds.Delays(bounds.Timing{Mesh: w.Roster.FullMesh(), Exchange: o.ExchangeEvery, Pause: o.WatchEvery, Wait: o.WatchWait})
 }
 
 // New returns the watch of an instance that has not called the store yet.
--- a/internal/pages/pages.go
+++ b/internal/pages/pages.go
@@ -119,7 +119,7 @@
 	var parts []bounds.Parts
 	for _, c := range budgetCases {
 		columns = append(columns, c.name)
-		parts = append(parts, c.bounds.Delays(bounds.Rhythm{Mesh: c.mesh, Exchange: exchangeEvery}))
+		parts = append(parts, c.bounds.Delays(bounds.Timing{Mesh: c.mesh, Exchange: exchangeEvery}))
 	}
 	header(&b, "Budgets", columns...)
 	for i, part := range parts[0].All() {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -197,7 +197,7 @@
 	if s.Environment != EnvironmentPlatform {
 		return nil
 	}
-	r := bounds.Rhythm{Exchange: s.Exchange, Pause: s.WatchEvery, Wait: s.WatchWait}
+	r := bounds.Timing{Exchange: s.Exchange, Pause: s.WatchEvery, Wait: s.WatchWait}
 	for _, r.Mesh = range []bool{true, false} {
 		if err := s.bounds().Check(r); err != nil {
 			return err
