--- a/core/bounds/bounds.go
+++ b/core/bounds/bounds.go
@@ -62,10 +62,10 @@
 	Wait  time.Duration
 }
 
-// Parts are the longest waits on the way from the store's word to the last call, one after the
+// Delays are the longest waits on the way from the store's word to the last call, one after the
 // other: the news comes just after a watch was answered, the next watch hangs, the whole list is
 // read beside it, a peer hears of it, and a connection to the replica is being made.
-type Parts struct {
+type Delays struct {
 	Pause   time.Duration // from one watch to the next
 	Wait    time.Duration // of one watch at the store
 	Overdue time.Duration // until another call is made beside a watch that hangs
@@ -76,13 +76,13 @@
 }
 
 // Sum returns the longest time from the store's word to the last call.
-func (p Parts) Sum() time.Duration {
+func (p Delays) Sum() time.Duration {
 	return p.Pause + p.Wait + p.Overdue + p.Read + p.Hop + p.Dial + p.Send
 }
 
 // MaxListAge returns how old the list may be at an instance while a sound store answers it, or
 // those that tell it of the list.
-func (p Parts) MaxListAge() time.Duration { return p.Pause + p.Wait + p.Overdue + p.Hop }
+func (p Delays) MaxListAge() time.Duration { return p.Pause + p.Wait + p.Overdue + p.Hop }
 
 // A Part is one of them.
 type Part struct {
@@ -92,7 +92,7 @@
 }
 
 // All lists the parts, in their order.
-func (p Parts) All() []Part {
+func (p Delays) All() []Part {
 	return []Part{
 		{"pause", "from the answer to a watch to the next one", p.Pause},
 		{"wait", "of one watch at the store", p.Wait},
@@ -105,7 +105,7 @@
 }
 
 // String lists the parts.
-func (p Parts) String() string {
+func (p Delays) String() string {
 	var words []string
 	for _, part := range p.All() {
 		words = append(words, fmt.Sprintf("%s %v", part.Name, part.Longest))
@@ -114,8 +114,8 @@
 }
 
 // Delays works the parts out.
-func (b Bounds) Delays(r Timing) Parts {
-	p := Parts{
+func (b Bounds) Delays(r Timing) Delays {
+	p := Delays{
 		Pause:   b.share(pauseShare),
 		Overdue: b.share(overdueShare),
 		Read:    b.share(readShare),
--- a/core/watch/watch.go
+++ b/core/watch/watch.go
@@ -150,7 +150,7 @@
 }
 
 // parts returns the waits on the way from the store's word to a call.
-func (w *Watch) parts() bounds.Parts {
+func (w *Watch) parts() bounds.Delays {
 	o := w.Options
 	return o.Bounds.Delays(bounds.Timing{Mesh: w.Roster.FullMesh(), Exchange: o.ExchangeEvery, Pause: o.WatchEvery, Wait: o.WatchWait})
 }
--- a/internal/pages/pages.go
+++ b/internal/pages/pages.go
@@ -116,7 +116,7 @@
 func budgets() string {
 	var b strings.Builder
 	columns := []string{"part", "what it is"}
-	var parts []bounds.Parts
+	var parts []bounds.Delays
 	for _, c := range budgetCases {
 		columns = append(columns, c.name)
 		parts = append(parts, c.bounds.Delays(bounds.Timing{Mesh: c.mesh, Exchange: exchangeEvery}))
