--- a/core/bounds/bounds.go
+++ b/core/bounds/bounds.go
@@ -84,16 +84,16 @@
 // those that tell it of the list.
 func (p Delays) MaxListAge() time.Duration { return p.Pause + p.Wait + p.Overdue + p.Hop }
 
-// A Part is one of them.
-type Part struct {
+// A Delay is one of them.
+type Delay struct {
 	Name    string
 	Meaning string
 	Longest time.Duration
 }
 
 // All lists the parts, in their order.
-func (p Delays) All() []Part {
-	return []Part{
+func (p Delays) All() []Delay {
+	return []Delay{
 		{"pause", "from the answer to a watch to the next one", p.Pause},
 		{"wait", "of one watch at the store", p.Wait},
 		{"overdue", "until a watch without an answer counts as hanging", p.Overdue},
