--- a/core/bounds/bounds.go
+++ b/core/bounds/bounds.go
@@ -25,8 +25,8 @@
 // Default returns the bounds where a platform states none.
 func Default() Bounds { return Bounds{Leave: 2 * time.Second, Settle: 3 * time.Second} }
 
-// Dial is how long an instance tries to connect to a replica.
-const Dial = 500 * time.Millisecond
+// DialTimeout is how long an instance tries to connect to a replica.
+const DialTimeout = 500 * time.Millisecond
 
 // Shares of Leave.
 const (
@@ -119,7 +119,7 @@
 		Pause:   b.share(pauseShare),
 		Overdue: b.share(overdueShare),
 		Read:    b.share(readShare),
-		Dial:    Dial,
+		Dial:    DialTimeout,
 		Send:    b.share(sendShare),
 	}
 	if !r.Mesh {
@@ -153,12 +153,14 @@
 // MaxStoreSilence returns how old the list may be at an instance that hears of it from peers before
 // it asks the store itself.
 func (b Bounds) MaxStoreSilence() time.Duration {
-	return b.Leave - b.share(readShare) - b.share(sendShare) - Dial
+	return b.Leave - b.share(readShare) - b.share(sendShare) - DialTimeout
 }
 
 // VanishedGracePeriod returns for how long a replica may still be used after its entry was last known to
 // stand, if no outage of the store may be why it went.
-func (b Bounds) VanishedGracePeriod() time.Duration { return b.Leave - b.share(sendShare) - Dial }
+func (b Bounds) VanishedGracePeriod() time.Duration {
+	return b.Leave - b.share(sendShare) - DialTimeout
+}
 
 // MaxRetryDelay returns after how long the store is called again at the latest, after calls that
 // failed.
--- a/core/instance/leaving_test.go
+++ b/core/instance/leaving_test.go
@@ -98,7 +98,7 @@
 	if l.bound(n) {
 		l.oldest = max(l.oldest, d.Forward.ListAge)
 	}
-	l.f.at(bounds.Dial, func() {
+	l.f.at(bounds.DialTimeout, func() {
 		w, ok := l.words[e]
 		if !ok || !w.stable || l.f.now-w.at <= l.bounds.Leave || !l.bound(n) || e.gone {
 			return
@@ -148,7 +148,7 @@
 		return
 	}
 	l.left++
-	l.f.at(l.bounds.Leave-bounds.Dial, func() {
+	l.f.at(l.bounds.Leave-bounds.DialTimeout, func() {
 		if l.words[e] == w {
 			l.checkUnused(e)
 		}
@@ -161,7 +161,7 @@
 	for _, n := range l.everyone() {
 		r := n.m.state.Pool.Get(e.name)
 		if l.bound(n) && r != nil && (r.Usable() || r.LastResort(l.f.clock(n))) {
-			l.late = append(l.late, fmt.Sprintf("%v: %s would send calls to %s %v after the store had taken that it leaves", l.f.now, n.id.Name, e.name, l.bounds.Leave-bounds.Dial))
+			l.late = append(l.late, fmt.Sprintf("%v: %s would send calls to %s %v after the store had taken that it leaves", l.f.now, n.id.Name, e.name, l.bounds.Leave-bounds.DialTimeout))
 		}
 	}
 }
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -29,7 +29,7 @@
 
 // Bounds of connections to upstreams.
 const (
-	dialTimeout = bounds.Dial
+	dialTimeout = bounds.DialTimeout
 	idleTimeout = 4 * time.Second // below what upstreams keep idle connections for
 	idlePerHost = 64
 	probeEvery  = time.Second // probes of a connection on which nothing comes
