--- a/core/forwarding/forwarding_test.go
+++ b/core/forwarding/forwarding_test.go
@@ -43,7 +43,7 @@
 		Demand: demand.NewTracker(), Missed: func(clock.Instant) {}, Used: func(clock.Instant, string, string) {},
 		ListAge: func(clock.Instant) time.Duration { return 0 },
 		Roster:  &watchers.Roster{Self: state.Self, Options: state.Options, Members: state.Members},
-		Quarantine: quarantine.New(quarantine.Needs{
+		Quarantine: quarantine.New(quarantine.Deps{
 			State: state, Tell: func(clock.Instant) {}, Direct: func() bool { return true }, Cut: func(crash.Request, time.Duration) {},
 		}),
 		Permits: permits.New(permits.Needs{
--- a/core/instance/build.go
+++ b/core/instance/build.go
@@ -104,7 +104,7 @@
 }
 
 func (m *Machine) buildQuarantine() {
-	m.quarantine = quarantine.New(quarantine.Needs{
+	m.quarantine = quarantine.New(quarantine.Deps{
 		State:  m.state,
 		Stored: m.state.Options.Environment == option.Platform,
 		Tell:   func(now clock.Instant) { m.exchanges.TellAll(now) },
--- a/core/quarantine/quarantine.go
+++ b/core/quarantine/quarantine.go
@@ -59,9 +59,9 @@
 	pruneEvery = time.Second
 )
 
-// Needs are what a Tracker needs of the other modules. The functions must be set before
+// Deps are what a Tracker needs of the other modules. The functions must be set before
 // the first event.
-type Needs struct {
+type Deps struct {
 	shared.State
 	// Stored says that the environment has a store for verdicts.
 	Stored bool
@@ -75,7 +75,7 @@
 
 // A Tracker knows which requests are not to be run.
 type Tracker struct {
-	Needs
+	Deps
 	evidence map[pool.Incarnation]*evidence
 	departed map[pool.Incarnation][]departure // the oldest first
 	seq      uint64                           // of the last own report
@@ -90,9 +90,9 @@
 }
 
 // New returns a tracker that knows of no request.
-func New(n Needs) *Tracker {
+func New(n Deps) *Tracker {
 	return &Tracker{
-		Needs:    n,
+		Deps:     n,
 		evidence: map[pool.Incarnation]*evidence{},
 		departed: map[pool.Incarnation][]departure{},
 		suspects: map[crash.Request]bool{},
--- a/core/quarantine/quarantine_test.go
+++ b/core/quarantine/quarantine_test.go
@@ -34,7 +34,7 @@
 // newFixtureOf returns the tracker of the instance with this name.
 func newFixtureOf(name string) *fixture {
 	b := &fixture{now: clocktest.At(time.Hour)}
-	b.Tracker = New(Needs{
+	b.Tracker = New(Deps{
 		State:  shared.New(member.Identity{Name: name, Zone: "z", Boot: 1}, option.Default(), 1),
 		Stored: true,
 		Tell:   func(clock.Instant) { b.told++ },
