--- a/core/instance/announced_world_test.go
+++ b/core/instance/announced_world_test.go
@@ -389,7 +389,7 @@
 	case quarantine.Check:
 		e := f.engines[act.Replica.Name]
 		reply(2*fleetWay, quarantine.Checked{Replica: act.Replica, Ended: e.dead && !f.severed(n.id.Zone, e.zone)})
-	case quarantine.Record:
+	case quarantine.StoreVerdict:
 		f.storeCall(n, nil, func() (step.Event, bool) {
 			q := act.Quarantine
 			if f.store.values[q.Value().Key] == nil {
--- a/core/quarantine/quarantine_test.go
+++ b/core/quarantine/quarantine_test.go
@@ -256,18 +256,18 @@
 		b.pass(10 * time.Millisecond)
 	}
 	b.Outage.Observe(b.now, errors.New("no answer"))
-	is.Equal(len(only[Record](b.pass(time.Second))), 0)
+	is.Equal(len(only[StoreVerdict](b.pass(time.Second))), 0)
 	b.Outage.Observe(b.now, nil)
-	first := only[Record](b.pass(time.Second))
+	first := only[StoreVerdict](b.pass(time.Second))
 	is.Equal(len(first), 1)
 	is.Equal(first[0].Quarantine, registry.Quarantine{Request: bad, Replicas: 4})
 	is.True(first[0].Term <= longestLease)
 	b.VerdictStored(b.now, Recorded{Request: bad, Err: errors.New("no answer")})
-	again := only[Record](b.pass(2 * recordAgain))
+	again := only[StoreVerdict](b.pass(2 * recordAgain))
 	is.Equal(len(again), 1)
 	is.Equal(again[0].Quarantine.Request, bad)
 	b.VerdictStored(b.now, Recorded{Request: bad})
-	next := only[Record](b.pass(time.Second))
+	next := only[StoreVerdict](b.pass(time.Second))
 	is.Equal(len(next), 1)
 	is.Equal(next[0].Quarantine.Request, other)
 	b.Served(b.now, bad)
@@ -277,7 +277,7 @@
 	late.Restored(late.now, registry.Quarantine{Request: bad, Replicas: 3})
 	is.Equal(late.cut, []crash.Request{bad})
 	is.True(late.Remaining(late.now, bad) > 0)
-	is.Equal(len(only[Record](late.pass(time.Second))), 0)
+	is.Equal(len(only[StoreVerdict](late.pass(time.Second))), 0)
 }
 
 // TestNewsIsTold: at once, a few times a second at most, and by whoever heard it only
@@ -417,11 +417,11 @@
 	for _, name := range []string{"r1", "r2", "r3"} {
 		writer.end(name, bad)
 	}
-	is.Equal(len(only[Record](writer.pass(2*time.Second))), 1)
+	is.Equal(len(only[StoreVerdict](writer.pass(2*time.Second))), 1)
 	writer.VerdictStored(writer.now, Recorded{Request: bad})
-	is.Equal(len(only[Record](writer.pass(2*time.Second))), 0)
+	is.Equal(len(only[StoreVerdict](writer.pass(2*time.Second))), 0)
 	writer.SteppedBack(writer.now)
-	is.Equal(len(only[Record](writer.pass(2*time.Second))), 1)
+	is.Equal(len(only[StoreVerdict](writer.pass(2*time.Second))), 1)
 
 	rewrites := 0
 	names := []string{"i1", "i2", "i3", "i4"}
@@ -432,7 +432,7 @@
 		}
 		reader.Restored(reader.now, registry.Quarantine{Request: bad, Replicas: 3})
 		reader.SteppedBack(reader.now)
-		rewrites += len(only[Record](reader.pass(2 * time.Second)))
+		rewrites += len(only[StoreVerdict](reader.pass(2 * time.Second)))
 	}
 	is.Equal(rewrites, 1)
 }
--- a/core/quarantine/record.go
+++ b/core/quarantine/record.go
@@ -24,9 +24,9 @@
 )
 
 type (
-	// Record is an action: write a verdict, unless it stands in the store already, on a
+	// StoreVerdict is an action: write a verdict, unless it stands in the store already, on a
 	// lease of so long a term.
-	Record struct {
+	StoreVerdict struct {
 		Quarantine registry.Quarantine
 		Term       time.Duration
 	}
@@ -40,7 +40,7 @@
 )
 
 // IsAction implements step.Action.
-func (Record) IsAction() {}
+func (StoreVerdict) IsAction() {}
 
 // IsAction implements step.Action.
 func (Unrecord) IsAction() {}
@@ -67,7 +67,7 @@
 	request := r.queue[0]
 	v := t.verdicts[request]
 	r.job.Begin(now)
-	t.Out.Do(Record{
+	t.Out.Do(StoreVerdict{
 		Quarantine: registry.Quarantine{Request: request, Replicas: v.replicas},
 		Term:       min(v.left(now), longestLease),
 	})
--- a/internal/environment/driver.go
+++ b/internal/environment/driver.go
@@ -63,7 +63,7 @@
 		return func(ctx context.Context) { d.resign(ctx, act) }
 	case ownership.Write:
 		return func(ctx context.Context) { d.writeRegistry(ctx, act) }
-	case quarantine.Record:
+	case quarantine.StoreVerdict:
 		return func(ctx context.Context) { d.recordQuarantine(ctx, act) }
 	case quarantine.Unrecord:
 		return func(ctx context.Context) { d.removeQuarantine(ctx, act) }
@@ -240,7 +240,7 @@
 }
 
 // recordQuarantine writes a verdict under a lease of its own, with which it goes.
-func (d *driver) recordQuarantine(ctx context.Context, a quarantine.Record) {
+func (d *driver) recordQuarantine(ctx context.Context, a quarantine.StoreVerdict) {
 	reply := quarantine.Recorded{Request: a.Quarantine.Request}
 	d.host.PlatformCalled()
 	lease, err := d.store.Grant(ctx, a.Term)
