--- a/core/instance/announced_world_test.go
+++ b/core/instance/announced_world_test.go
@@ -395,8 +395,8 @@
 			if f.store.values[q.Value().Key] == nil {
 				f.change(q.Value().Key, &fleetValue{data: &q})
 			}
-			return quarantine.Recorded{Request: q.Request}, true
-		}, func(err error) step.Event { return quarantine.Recorded{Request: act.Quarantine.Request, Err: err} }, reply)
+			return quarantine.VerdictStored{Request: q.Request}, true
+		}, func(err error) step.Event { return quarantine.VerdictStored{Request: act.Quarantine.Request, Err: err} }, reply)
 	case quarantine.Unrecord:
 		f.storeCall(n, nil, func() (step.Event, bool) {
 			f.change(act.Quarantine.Value().Key, nil)
--- a/core/instance/machine.go
+++ b/core/instance/machine.go
@@ -151,7 +151,7 @@
 		m.permits.Asked(now, e)
 	case quarantine.Checked:
 		m.quarantine.Checked(now, e)
-	case quarantine.Recorded:
+	case quarantine.VerdictStored:
 		m.quarantine.VerdictStored(now, e)
 	case calls.Arrived:
 		if e.Call.Forward == nil {
--- a/core/quarantine/record.go
+++ b/core/quarantine/record.go
@@ -30,8 +30,8 @@
 		Quarantine registry.Quarantine
 		Term       time.Duration
 	}
-	// Recorded is the event that answers a Record.
-	Recorded struct {
+	// VerdictStored is the event that answers a Record.
+	VerdictStored struct {
 		Request crash.Request
 		Err     error // nil also where the record stood there already
 	}
@@ -46,7 +46,7 @@
 func (Unrecord) IsAction() {}
 
 // IsEvent implements step.Event.
-func (Recorded) IsEvent() {}
+func (VerdictStored) IsEvent() {}
 
 // records is the writing of records: one at a time, so that many verdicts at once do
 // not use up the store's rate.
@@ -74,7 +74,7 @@
 }
 
 // VerdictStored takes in what came of a Record.
-func (t *Tracker) VerdictStored(now clock.Instant, e Recorded) {
+func (t *Tracker) VerdictStored(now clock.Instant, e VerdictStored) {
 	if e.Err != nil {
 		t.Out.Log(logevent.QuarantineNotKept, "fingerprint", e.Request.String(), "error", e.Err.Error())
 		t.records.job.End(now.Add(step.Jitter(t.Rand, recordAgain)))
--- a/internal/environment/driver.go
+++ b/internal/environment/driver.go
@@ -241,7 +241,7 @@
 
 // recordQuarantine writes a verdict under a lease of its own, with which it goes.
 func (d *driver) recordQuarantine(ctx context.Context, a quarantine.StoreVerdict) {
-	reply := quarantine.Recorded{Request: a.Quarantine.Request}
+	reply := quarantine.VerdictStored{Request: a.Quarantine.Request}
 	d.host.PlatformCalled()
 	lease, err := d.store.Grant(ctx, a.Term)
 	if err != nil {
