--- a/core/instance/announced_world_test.go
+++ b/core/instance/announced_world_test.go
@@ -397,7 +397,7 @@
 			}
 			return quarantine.VerdictStored{Request: q.Request}, true
 		}, func(err error) step.Event { return quarantine.VerdictStored{Request: act.Quarantine.Request, Err: err} }, reply)
-	case quarantine.Unrecord:
+	case quarantine.RemoveVerdict:
 		f.storeCall(n, nil, func() (step.Event, bool) {
 			f.change(act.Quarantine.Value().Key, nil)
 			return Tick{}, true
--- a/core/quarantine/record.go
+++ b/core/quarantine/record.go
@@ -35,15 +35,15 @@
 		Request crash.Request
 		Err     error // nil also where the record stood there already
 	}
-	// Unrecord is an action: remove a verdict that does not hold any more.
-	Unrecord struct{ Quarantine registry.Quarantine }
+	// RemoveVerdict is an action: remove a verdict that does not hold any more.
+	RemoveVerdict struct{ Quarantine registry.Quarantine }
 )
 
 // IsAction implements step.Action.
 func (StoreVerdict) IsAction() {}
 
 // IsAction implements step.Action.
-func (Unrecord) IsAction() {}
+func (RemoveVerdict) IsAction() {}
 
 // IsEvent implements step.Event.
 func (VerdictStored) IsEvent() {}
@@ -105,6 +105,6 @@
 // unrecord removes the record of a verdict that this instance wrote or read.
 func (t *Tracker) unrecord(v *verdict, request crash.Request) {
 	if v.recorded {
-		t.Out.Do(Unrecord{Quarantine: registry.Quarantine{Request: request, Replicas: v.replicas}})
+		t.Out.Do(RemoveVerdict{Quarantine: registry.Quarantine{Request: request, Replicas: v.replicas}})
 	}
 }
--- a/internal/environment/driver.go
+++ b/internal/environment/driver.go
@@ -65,7 +65,7 @@
 		return func(ctx context.Context) { d.writeRegistry(ctx, act) }
 	case quarantine.StoreVerdict:
 		return func(ctx context.Context) { d.recordQuarantine(ctx, act) }
-	case quarantine.Unrecord:
+	case quarantine.RemoveVerdict:
 		return func(ctx context.Context) { d.removeQuarantine(ctx, act) }
 	case owned.SendOrder:
 		return func(ctx context.Context) { d.engineOrder(ctx, act) }
@@ -273,7 +273,7 @@
 
 // removeQuarantine removes a verdict that does not hold any more. A failure leaves it to
 // its lease.
-func (d *driver) removeQuarantine(ctx context.Context, a quarantine.Unrecord) {
+func (d *driver) removeQuarantine(ctx context.Context, a quarantine.RemoveVerdict) {
 	d.host.PlatformCalled()
 	if _, err := d.store.Commit(ctx, Commit{Removes: []string{a.Quarantine.Value().Key}, AnyEra: true}); err != nil {
 		d.host.Event(logevent.NotReturned, "what", "quarantine", "error", err.Error())
