--- a/core/calls/call.go
+++ b/core/calls/call.go
@@ -46,7 +46,7 @@
 type Forwarded struct {
 	Name string // the caller's identity of the call, for logs
 	// Fingerprint is the same for all tries of one request.
-	Fingerprint crash.Request
+	Fingerprint crash.Fingerprint
 	Host        string
 	Model       string // "" if the call names none
 	Adapter     string
--- a/core/crash/blame.go
+++ b/core/crash/blame.go
@@ -31,12 +31,12 @@
 type end struct {
 	replica  pool.Incarnation
 	at       clock.Instant // of the first report
-	requests []Request     // rising
+	requests []Fingerprint // rising
 }
 
 // A Case is a request with the replicas that ended under it.
 type Case struct {
-	Request  Request
+	Request  Fingerprint
 	Replicas []pool.Incarnation
 }
 
@@ -44,12 +44,12 @@
 // replicas. served is when a request was last served whole; limit is how many ends it
 // takes for a request. Reports count up to settled only: before that, those of other
 // instances may be missing.
-func Blame(reports []Report, served func(Request) clock.Instant, limit func(Request) int, settled clock.Instant) []Case {
+func Blame(reports []Report, served func(Fingerprint) clock.Instant, limit func(Fingerprint) int, settled clock.Instant) []Case {
 	ends := merge(reports, settled)
 	under := endsUnder(ends, served, limit)
 	explained := map[*end]bool{}
 	var cases []Case
-	blame := func(request Request) {
+	blame := func(request Fingerprint) {
 		cases = append(cases, Case{Request: request, Replicas: replicas(under[request])})
 		for _, e := range under[request] {
 			explained[e] = true
@@ -100,14 +100,14 @@
 // endsUnder returns the ends by request, without those after which the request was
 // served, of the requests with enough ends to be blamed. Nearly all requests have one
 // end, and are left out at once.
-func endsUnder(ends []*end, served func(Request) clock.Instant, limit func(Request) int) map[Request][]*end {
-	count := map[Request]int{}
+func endsUnder(ends []*end, served func(Fingerprint) clock.Instant, limit func(Fingerprint) int) map[Fingerprint][]*end {
+	count := map[Fingerprint]int{}
 	for _, e := range ends {
 		for _, request := range e.requests {
 			count[request]++
 		}
 	}
-	under := map[Request][]*end{}
+	under := map[Fingerprint][]*end{}
 	for _, e := range ends {
 		for _, request := range e.requests {
 			if request != 0 && count[request] >= limit(request) && served(request).Before(e.at) {
@@ -121,9 +121,9 @@
 // strongest returns the request with the most ends that no other explains, if these are
 // enough to blame it. Where others that have as many were in flight at some of the same,
 // or it may have been there by chance, more ends have to tell.
-func strongest(ends []*end, under map[Request][]*end, explained map[*end]bool, limit func(Request) int) (Request, bool) {
-	open := map[Request][]*end{}
-	at := map[*end][]Request{}
+func strongest(ends []*end, under map[Fingerprint][]*end, explained map[*end]bool, limit func(Fingerprint) int) (Fingerprint, bool) {
+	open := map[Fingerprint][]*end{}
+	at := map[*end][]Fingerprint{}
 	for request, ends := range under {
 		left := slices.DeleteFunc(slices.Clone(ends), func(e *end) bool { return explained[e] })
 		if len(left) < limit(request) {
@@ -134,7 +134,7 @@
 			at[e] = append(at[e], request)
 		}
 	}
-	byEnds := slices.SortedFunc(maps.Keys(open), func(a, b Request) int {
+	byEnds := slices.SortedFunc(maps.Keys(open), func(a, b Fingerprint) int {
 		return cmp.Or(cmp.Compare(len(open[b]), len(open[a])), cmp.Compare(a, b))
 	})
 	disputed := map[*end]bool{}
@@ -169,9 +169,9 @@
 
 // hasRival reports whether another request has as many ends, some of them the same. at
 // are the requests of each end.
-func hasRival(request Request, open map[Request][]*end, at map[*end][]Request) bool {
+func hasRival(request Fingerprint, open map[Fingerprint][]*end, at map[*end][]Fingerprint) bool {
 	return slices.ContainsFunc(open[request], func(e *end) bool {
-		return slices.ContainsFunc(at[e], func(other Request) bool {
+		return slices.ContainsFunc(at[e], func(other Fingerprint) bool {
 			return other != request && len(open[other]) == len(open[request])
 		})
 	})
--- a/core/crash/crash.go
+++ b/core/crash/crash.go
@@ -19,13 +19,13 @@
 	"github.com/birchdrift/birchdrift/core/pool"
 )
 
-// A Request identifies a request over all its tries, by a digest of what its caller
+// A Fingerprint identifies a request over all its tries, by a digest of what its caller
 // sent: a caller that tries again gives the try another name, and may come to another
 // instance. 0: not known.
-type Request uint64
+type Fingerprint uint64
 
 // String returns the request as logs and keys of the store show it.
-func (r Request) String() string { return fmt.Sprintf("%016x", uint64(r)) }
+func (r Fingerprint) String() string { return fmt.Sprintf("%016x", uint64(r)) }
 
 // A Report says which requests one instance had in flight at a replica that ended
 // without a word.
@@ -34,18 +34,18 @@
 	Boot     uint64 // of the instance
 	Seq      uint64 // rises with each replica that ended under the instance's calls
 	Replica  pool.Incarnation
-	Requests []Request // rising
+	Requests []Fingerprint // rising
 	clock.Moment
 }
 
 // Has reports whether the request was in flight at the replica.
-func (r Report) Has(request Request) bool {
+func (r Report) Has(request Fingerprint) bool {
 	_, found := slices.BinarySearch(r.Requests, request)
 	return found
 }
 
 // A Success says that a request was served whole.
 type Success struct {
-	Request Request
+	Request Fingerprint
 	clock.Moment
 }
--- a/core/crash/crash_test.go
+++ b/core/crash/crash_test.go
@@ -22,7 +22,7 @@
 
 // again are reports like ended's, of so many replicas in turn that start again under their
 // names.
-func again(replicas int, requests ...[]Request) []Report {
+func again(replicas int, requests ...[]Fingerprint) []Report {
 	reports := ended(requests...)
 	for n := range reports {
 		reports[n].Replica = life(string(rune('a'+n%replicas)), string(rune('0'+n)))
@@ -31,7 +31,7 @@
 }
 
 // ended are the reports of one replica after the other, with what was in flight.
-func ended(requests ...[]Request) []Report {
+func ended(requests ...[]Fingerprint) []Report {
 	var reports []Report
 	for n, inFlight := range requests {
 		reports = append(reports, Report{
@@ -46,22 +46,22 @@
 	var reports []Report
 	for i := range n {
 		reports = append(reports, Report{
-			Observer: "i", Seq: uint64(100 + i), Replica: life("other"+string(rune('a'+i)), ""), Requests: []Request{Request(100 + i)},
+			Observer: "i", Seq: uint64(100 + i), Replica: life("other"+string(rune('a'+i)), ""), Requests: []Fingerprint{Fingerprint(100 + i)},
 			Moment: clock.Moment{At: start.Add(until - time.Duration(i)*time.Second)},
 		})
 	}
 	return reports
 }
 
-func blamed(reports []Report, served map[Request]clock.Instant, limits map[Request]int) []Request {
-	limit := func(r Request) int {
+func blamed(reports []Report, served map[Fingerprint]clock.Instant, limits map[Fingerprint]int) []Fingerprint {
+	limit := func(r Fingerprint) int {
 		if n, ok := limits[r]; ok {
 			return n
 		}
 		return Limit
 	}
-	var out []Request
-	for _, c := range Blame(reports, func(r Request) clock.Instant { return served[r] }, limit, start.Add(time.Hour)) {
+	var out []Fingerprint
+	for _, c := range Blame(reports, func(r Fingerprint) clock.Instant { return served[r] }, limit, start.Add(time.Hour)) {
 		out = append(out, c.Request)
 	}
 	slices.Sort(out)
@@ -71,33 +71,33 @@
 // TestBlame tables which requests the ends of replicas are put down to. 1 and 2 are
 // requests that end replicas, the others harm nobody.
 func TestBlame(t *testing.T) {
-	type in = []Request
-	repeat := func(n int, requests ...Request) []in {
+	type in = []Fingerprint
+	repeat := func(n int, requests ...Fingerprint) []in {
 		return slices.Repeat([]in{requests}, n)
 	}
 	cases := []struct {
 		name    string
 		reports []Report
-		served  map[Request]clock.Instant
-		limits  map[Request]int
-		want    []Request
+		served  map[Fingerprint]clock.Instant
+		limits  map[Fingerprint]int
+		want    []Fingerprint
 	}{
 		{"two replicas are too few", ended(repeat(2, 1)...), nil, nil, nil},
-		{"three replicas", ended(in{1, 8}, in{1, 9}, in{1, 7}), nil, nil, []Request{1}},
-		{"beside another at two of them", ended(in{1, 9}, in{1, 9}, in{1}), nil, nil, []Request{1}},
+		{"three replicas", ended(in{1, 8}, in{1, 9}, in{1, 7}), nil, nil, []Fingerprint{1}},
+		{"beside another at two of them", ended(in{1, 9}, in{1, 9}, in{1}), nil, nil, []Fingerprint{1}},
 		{"beside another at all of them", ended(repeat(3, 1, 9)...), nil, nil, nil},
-		{"a fourth tells them apart", ended(in{1, 9}, in{1, 9}, in{1, 9}, in{1}), nil, nil, []Request{1}},
+		{"a fourth tells them apart", ended(in{1, 9}, in{1, 9}, in{1, 9}, in{1}), nil, nil, []Fingerprint{1}},
 		{"as many, some the same", ended(in{1}, in{1, 9}, in{1, 9}, in{9}), nil, nil, nil},
-		{"together for so long that it is no chance", ended(repeat(4, 1, 2)...), nil, nil, []Request{1, 2}},
-		{"two, one after the other", ended(in{1, 9}, in{1}, in{1, 8}, in{2, 9}, in{2}, in{2, 8}), nil, nil, []Request{1, 2}},
+		{"together for so long that it is no chance", ended(repeat(4, 1, 2)...), nil, nil, []Fingerprint{1, 2}},
+		{"two, one after the other", ended(in{1, 9}, in{1}, in{1, 8}, in{2, 9}, in{2}, in{2, 8}), nil, nil, []Fingerprint{1, 2}},
 		{"among many that end for another reason", append(ended(in{1}, in{1}, in{1}), others(2*apart, 4)...), nil, nil, nil},
-		{"a fourth among many", append(ended(in{1}, in{1}, in{1}, in{1}), others(3*apart, 4)...), nil, nil, []Request{1}},
+		{"a fourth among many", append(ended(in{1}, in{1}, in{1}, in{1}), others(3*apart, 4)...), nil, nil, []Fingerprint{1}},
 		{"beside one that ended for another reason", append(ended(in{1}, in{1}, in{1}), others(2*apart, 1)...), nil, nil, nil},
-		{"long after others that ended", append(ended(in{1}, in{1}, in{1}), others(0, 4)...), nil, nil, []Request{1}},
-		{"its ends are another's", ended(in{1, 9}, in{1, 9}, in{1, 9}, in{1}, in{1}), nil, nil, []Request{1}},
-		{"served since", ended(repeat(3, 1)...), map[Request]clock.Instant{1: start.Add(2 * apart).Add(1)}, nil, nil},
-		{"served in between", ended(repeat(4, 1)...), map[Request]clock.Instant{1: start.Add(1)}, nil, []Request{1}},
-		{"blamed before", ended(in{1}), nil, map[Request]int{1: 1}, []Request{1}},
+		{"long after others that ended", append(ended(in{1}, in{1}, in{1}), others(0, 4)...), nil, nil, []Fingerprint{1}},
+		{"its ends are another's", ended(in{1, 9}, in{1, 9}, in{1, 9}, in{1}, in{1}), nil, nil, []Fingerprint{1}},
+		{"served since", ended(repeat(3, 1)...), map[Fingerprint]clock.Instant{1: start.Add(2 * apart).Add(1)}, nil, nil},
+		{"served in between", ended(repeat(4, 1)...), map[Fingerprint]clock.Instant{1: start.Add(1)}, nil, []Fingerprint{1}},
+		{"blamed before", ended(in{1}), nil, map[Fingerprint]int{1: 1}, []Fingerprint{1}},
 		{"requests that are not known", ended(repeat(4, 0)...), nil, nil, nil},
 		{"one end in two reports", append(ended(repeat(2, 1)...), Report{
 			Observer: "j", Replica: life("b", ""), Requests: in{1}, Moment: clock.Moment{At: start.Add(apart).Add(time.Second)},
@@ -105,15 +105,15 @@
 		{"one end in two reports, of which one comes from an instance that stood still", append(ended(repeat(2, 1)...), Report{
 			Observer: "j", Replica: life("b", ""), Requests: in{1}, Moment: clock.Moment{At: start.Add(5 * apart)},
 		}), nil, nil, nil},
-		{"one replica that starts again and again", again(1, repeat(3, 1)...), nil, nil, []Request{1}},
-		{"two in turn that start again and again", again(2, repeat(6, 1)...), nil, nil, []Request{1}},
+		{"one replica that starts again and again", again(1, repeat(3, 1)...), nil, nil, []Fingerprint{1}},
+		{"two in turn that start again and again", again(2, repeat(6, 1)...), nil, nil, []Fingerprint{1}},
 		{"two in turn, beside another at all of them", again(2, repeat(3, 1, 9)...), nil, nil, nil},
 		{"one life in two reports", append(again(1, repeat(2, 1)...), Report{
 			Observer: "j", Replica: life("a", "1"), Requests: in{1}, Moment: clock.Moment{At: start.Add(5 * apart)},
 		}), nil, nil, nil},
 		{"reports of others complete an end", append(ended(in{9}, in{1, 9}, in{1, 9}, in{1}), Report{
 			Observer: "j", Replica: life("a", ""), Requests: in{1}, Moment: clock.Moment{At: start},
-		}), nil, nil, []Request{1}},
+		}), nil, nil, []Fingerprint{1}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -129,9 +129,9 @@
 // missing, and a request that was there by chance would be blamed.
 func TestReportsCountOnceTheyAreSettled(t *testing.T) {
 	is := is.New(t)
-	reports := ended(slices.Repeat([][]Request{{1}}, 3)...)
-	never := func(Request) clock.Instant { return clock.Instant{} }
-	limit := func(Request) int { return Limit }
+	reports := ended(slices.Repeat([][]Fingerprint{{1}}, 3)...)
+	never := func(Fingerprint) clock.Instant { return clock.Instant{} }
+	limit := func(Fingerprint) int { return Limit }
 	third := reports[2].At
 	is.Equal(len(Blame(reports, never, limit, third.Add(-1))), 0)
 	is.Equal(Blame(reports, never, limit, third), []Case{{Request: 1, Replicas: []pool.Incarnation{life("a", ""), life("b", ""), life("c", "")}}})
--- a/core/forwarding/attempts.go
+++ b/core/forwarding/attempts.go
@@ -237,7 +237,7 @@
 
 // Cut ends the calls of a request that is not to be run any more. A replica that has not
 // begun to run one drops it when its connection closes, and is spared so.
-func (f *Forwarder) Cut(request crash.Request, left time.Duration) {
+func (f *Forwarder) Cut(request crash.Fingerprint, left time.Duration) {
 	for _, c := range f.Calls.All() {
 		if c.Forward == nil || c.Forward.Fingerprint != request {
 			continue
--- a/core/forwarding/forwarding_test.go
+++ b/core/forwarding/forwarding_test.go
@@ -44,7 +44,7 @@
 		ListAge: func(clock.Instant) time.Duration { return 0 },
 		Roster:  &watchers.Roster{Self: state.Self, Options: state.Options, Members: state.Members},
 		Quarantine: quarantine.New(quarantine.Deps{
-			State: state, Tell: func(clock.Instant) {}, Direct: func() bool { return true }, Cut: func(crash.Request, time.Duration) {},
+			State: state, Tell: func(clock.Instant) {}, Direct: func() bool { return true }, Cut: func(crash.Fingerprint, time.Duration) {},
 		}),
 		Permits: permits.New(permits.Needs{
 			State:     state,
@@ -326,7 +326,7 @@
 	c.Forward.Fingerprint = 7
 	is.True(!f.pauses(start, c, s))
 	for seq := range uint64(crash.Limit) {
-		report := crash.Report{Observer: "i", Seq: seq, Replica: pool.Incarnation{Name: string(rune('a' + seq))}, Requests: []crash.Request{7, 8}}
+		report := crash.Report{Observer: "i", Seq: seq, Replica: pool.Incarnation{Name: string(rune('a' + seq))}, Requests: []crash.Fingerprint{7, 8}}
 		f.Quarantine.HandlePeerReports(start, "i", []crash.Report{report}, nil)
 	}
 	is.True(f.pauses(start, c, s))
--- a/core/forwarding/permit_test.go
+++ b/core/forwarding/permit_test.go
@@ -171,7 +171,7 @@
 			r := f.limitedReplica("r", 9)
 			f.spend(start, r)
 			c := f.callFor(1)
-			c.Forward.Fingerprint = crash.Request(7)
+			c.Forward.Fingerprint = crash.Fingerprint(7)
 			f.findReplica(start, c)
 			is.Equal(c.Phase, calls.Permitting)
 			happens(f, c, r)
--- a/core/forwarding/place.go
+++ b/core/forwarding/place.go
@@ -84,7 +84,7 @@
 }
 
 // running reports whether a call of the request is at a replica.
-func (f *Forwarder) running(request crash.Request) bool {
+func (f *Forwarder) running(request crash.Fingerprint) bool {
 	return slices.ContainsFunc(f.Calls.All(), func(c *calls.Call) bool {
 		return c.Phase == calls.Running && c.Forward != nil && c.Forward.Fingerprint == request
 	})
--- a/core/instance/crash_test.go
+++ b/core/instance/crash_test.go
@@ -58,11 +58,11 @@
 	f        *fleet
 	calls    map[calls.ID]*labCall
 	runs     map[string][]*labRun // by engine
-	ended    map[crash.Request][]time.Duration
-	arrivals map[crash.Request][]time.Duration
+	ended    map[crash.Fingerprint][]time.Duration
+	arrivals map[crash.Fingerprint][]time.Duration
 	lives    map[string]int // engines that ran at an address
 	calm     time.Duration  // since when no zone was cut off
-	refused  map[crash.Request]int
+	refused  map[crash.Fingerprint]int
 	served   int
 	// severs is the share of calls whose connection breaks though the engine lives.
 	severs float64
@@ -91,15 +91,15 @@
 func newCrashLab(f *fleet) *crashLab {
 	l := &crashLab{
 		f: f, calls: map[calls.ID]*labCall{}, runs: map[string][]*labRun{},
-		ended: map[crash.Request][]time.Duration{}, arrivals: map[crash.Request][]time.Duration{},
-		lives: map[string]int{}, refused: map[crash.Request]int{},
+		ended: map[crash.Fingerprint][]time.Duration{}, arrivals: map[crash.Fingerprint][]time.Duration{},
+		lives: map[string]int{}, refused: map[crash.Fingerprint]int{},
 	}
 	f.crashes = l
 	return l
 }
 
 // poison has a request that ends its engines come again and again at any member.
-func (l *crashLab) poison(fingerprint crash.Request, model int, every time.Duration) {
+func (l *crashLab) poison(fingerprint crash.Fingerprint, model int, every time.Duration) {
 	l.f.at(time.Duration(l.f.rng.Int64N(int64(2*every))), func() {
 		l.poison(fingerprint, model, every)
 		n := l.f.anyMember()
@@ -197,7 +197,7 @@
 		return
 	}
 	e.dead = true
-	poisons := map[crash.Request]bool{}
+	poisons := map[crash.Fingerprint]bool{}
 	for _, r := range l.runs[e.name] {
 		if r.over {
 			continue
@@ -282,7 +282,7 @@
 
 // late returns how often a request reached engines later than labContact after the
 // third had ended under it.
-func (l *crashLab) late(request crash.Request) int {
+func (l *crashLab) late(request crash.Fingerprint) int {
 	at := l.ended[request]
 	if len(at) < labLimit {
 		return 0
@@ -392,12 +392,12 @@
 					s.do(l)
 				}
 				for p := range s.poisons {
-					l.poison(crash.Request(1000+p), p, s.every)
+					l.poison(crash.Fingerprint(1000+p), p, s.every)
 				}
 				l.f.run(40 * time.Second)
 				l.check(t)
 				for p := range s.poisons {
-					request := crash.Request(1000 + p)
+					request := crash.Fingerprint(1000 + p)
 					late[l.late(request)]++
 					if l.refused[request] == 0 {
 						t.Errorf("seed %d: the request was never refused", seed)
--- a/core/instance/gone_test.go
+++ b/core/instance/gone_test.go
@@ -99,7 +99,7 @@
 		}, nil},
 		{"it waits for the tries of a suspected request", calls.Waiting, func(l *soloLab) {
 			for seq := range uint64(crash.Limit) {
-				r := crash.Report{Observer: "j", Seq: seq, Replica: pool.Incarnation{Name: fmt.Sprint(seq)}, Requests: []crash.Request{7, 8}}
+				r := crash.Report{Observer: "j", Seq: seq, Replica: pool.Incarnation{Name: fmt.Sprint(seq)}, Requests: []crash.Fingerprint{7, 8}}
 				l.m.quarantine.HandlePeerReports(l.now, "j", []crash.Report{r}, nil)
 			}
 			l.arrive("m0", "")
--- a/core/quarantine/evidence.go
+++ b/core/quarantine/evidence.go
@@ -52,15 +52,15 @@
 type evidence struct {
 	at       clock.Instant // when it showed first
 	address  string
-	requests []crash.Request // whose calls were in flight; rising
-	ended    bool            // the replica's process is not there any more
-	asked    bool            // a Check was sent
-	seq      uint64          // of the report, 0 before there is one
+	requests []crash.Fingerprint // whose calls were in flight; rising
+	ended    bool                // the replica's process is not there any more
+	asked    bool                // a Check was sent
+	seq      uint64              // of the report, 0 before there is one
 }
 
 // Severed notes that the connection of a request's call was ended by its replica, or by
 // the replica's machine, before the answer was whole.
-func (t *Tracker) Severed(now clock.Instant, request crash.Request, r *pool.Replica) {
+func (t *Tracker) Severed(now clock.Instant, request crash.Fingerprint, r *pool.Replica) {
 	if request == 0 || r.Leaving() {
 		return // what leaves may end as it likes
 	}
@@ -74,7 +74,7 @@
 
 // SeveredByReplicaEnd notes that a request's call was at a replica which is known to have ended,
 // since its next life is there.
-func (t *Tracker) SeveredByReplicaEnd(now clock.Instant, request crash.Request, replica pool.Incarnation) {
+func (t *Tracker) SeveredByReplicaEnd(now clock.Instant, request crash.Fingerprint, replica pool.Incarnation) {
 	if request == 0 {
 		return
 	}
@@ -85,7 +85,7 @@
 }
 
 // add notes that a request was in flight, and reports whether that is new.
-func (e *evidence) add(request crash.Request) bool {
+func (e *evidence) add(request crash.Fingerprint) bool {
 	i, found := slices.BinarySearch(e.requests, request)
 	if found || len(e.requests) == maxRequests {
 		return false
@@ -96,13 +96,13 @@
 
 // A departure is a call whose caller left while a replica had it.
 type departure struct {
-	request crash.Request
+	request crash.Fingerprint
 	at      clock.Instant
 }
 
 // CallerDisconnected notes that the caller of a request's call left while a replica had it: the
 // replica may end by it all the same.
-func (t *Tracker) CallerDisconnected(now clock.Instant, request crash.Request, r *pool.Replica) {
+func (t *Tracker) CallerDisconnected(now clock.Instant, request crash.Fingerprint, r *pool.Replica) {
 	if request == 0 || r.Leaving() {
 		return
 	}
--- a/core/quarantine/quarantine.go
+++ b/core/quarantine/quarantine.go
@@ -70,7 +70,7 @@
 	// Direct reports whether every instance tells every other itself.
 	Direct func() bool
 	// Cut ends the calls of a request that are under way here.
-	Cut func(request crash.Request, left time.Duration)
+	Cut func(request crash.Fingerprint, left time.Duration)
 }
 
 // A Tracker knows which requests are not to be run.
@@ -79,8 +79,8 @@
 	evidence map[pool.Incarnation]*evidence
 	departed map[pool.Incarnation][]departure // the oldest first
 	seq      uint64                           // of the last own report
-	suspects map[crash.Request]bool
-	verdicts map[crash.Request]*verdict
+	suspects map[crash.Fingerprint]bool
+	verdicts map[crash.Fingerprint]*verdict
 	records  records
 
 	judgeDue clock.Instant // zero: nothing to judge
@@ -95,13 +95,13 @@
 		Deps:     n,
 		evidence: map[pool.Incarnation]*evidence{},
 		departed: map[pool.Incarnation][]departure{},
-		suspects: map[crash.Request]bool{},
-		verdicts: map[crash.Request]*verdict{},
+		suspects: map[crash.Fingerprint]bool{},
+		verdicts: map[crash.Fingerprint]*verdict{},
 	}
 }
 
 // Served notes that a request was served whole: replicas did not end by it.
-func (t *Tracker) Served(now clock.Instant, request crash.Request) {
+func (t *Tracker) Served(now clock.Instant, request crash.Fingerprint) {
 	if !t.suspects[request] {
 		return
 	}
@@ -155,7 +155,7 @@
 	}
 }
 
-func (t *Tracker) suspect(requests []crash.Request) {
+func (t *Tracker) suspect(requests []crash.Fingerprint) {
 	for _, r := range requests {
 		t.suspects[r] = true
 	}
@@ -195,7 +195,7 @@
 
 // observed reports whether this instance itself had the request in flight at a replica
 // that ended.
-func (t *Tracker) observed(request crash.Request) bool {
+func (t *Tracker) observed(request crash.Fingerprint) bool {
 	return slices.ContainsFunc(t.Records.Crashes(), func(r crash.Report) bool {
 		return r.Observer == t.Self.Name && r.Has(request)
 	})
--- a/core/quarantine/quarantine_test.go
+++ b/core/quarantine/quarantine_test.go
@@ -19,14 +19,14 @@
 )
 
 // bad is the request that ends replicas in these tests.
-const bad = crash.Request(7)
+const bad = crash.Fingerprint(7)
 
 // A fixture is a tracker with what it does.
 type fixture struct {
 	*Tracker
 	now  clock.Instant
 	told int
-	cut  []crash.Request
+	cut  []crash.Fingerprint
 }
 
 func newFixture() *fixture { return newFixtureOf("i") }
@@ -39,7 +39,7 @@
 		Stored: true,
 		Tell:   func(clock.Instant) { b.told++ },
 		Direct: func() bool { return true },
-		Cut:    func(r crash.Request, _ time.Duration) { b.cut = append(b.cut, r) },
+		Cut:    func(r crash.Fingerprint, _ time.Duration) { b.cut = append(b.cut, r) },
 	})
 	return b
 }
@@ -63,7 +63,7 @@
 }
 
 // end has a replica end under requests.
-func (b *fixture) end(name string, requests ...crash.Request) {
+func (b *fixture) end(name string, requests ...crash.Fingerprint) {
 	r := b.replica(name, false)
 	for _, request := range requests {
 		b.Severed(b.now, request, r)
@@ -153,7 +153,7 @@
 	is := is.New(t)
 	b := newFixture()
 	r := b.replica("r", false)
-	for request := range crash.Request(20) {
+	for request := range crash.Fingerprint(20) {
 		b.Severed(b.now, request+1, r)
 	}
 	b.end("gone", bad)
@@ -170,7 +170,7 @@
 		b.end(name, bad)
 		b.pass(time.Second)
 	}
-	is.Equal(b.cut, []crash.Request{bad})
+	is.Equal(b.cut, []crash.Fingerprint{bad})
 	is.True(b.Remaining(b.now, bad) > firstTerm-2*time.Second)
 	is.True(b.Remaining(b.now, bad) <= firstTerm)
 	b.now = b.now.Add(firstTerm)
@@ -212,7 +212,7 @@
 			var late []crash.Report
 			for n, replica := range []string{"a", "b", "c", "d"} {
 				late = append(late, crash.Report{
-					Observer: "j", Seq: uint64(n), Replica: life(replica), Requests: []crash.Request{8}, Moment: clock.Moment{Age: time.Duration(3-n) * time.Second},
+					Observer: "j", Seq: uint64(n), Replica: life(replica), Requests: []crash.Fingerprint{8}, Moment: clock.Moment{Age: time.Duration(3-n) * time.Second},
 				})
 			}
 			b.HandlePeerReports(b.now, "j", late, nil)
@@ -221,7 +221,7 @@
 			var late []crash.Report
 			for n, replica := range []string{"a", "b", "c"} {
 				late = append(late, crash.Report{
-					Observer: "j", Seq: uint64(n), Replica: life(replica), Requests: []crash.Request{8}, Moment: clock.Moment{Age: time.Duration(3-n) * time.Second},
+					Observer: "j", Seq: uint64(n), Replica: life(replica), Requests: []crash.Fingerprint{8}, Moment: clock.Moment{Age: time.Duration(3-n) * time.Second},
 				})
 			}
 			b.HandlePeerReports(b.now, "j", late, nil)
@@ -249,7 +249,7 @@
 func TestRecords(t *testing.T) {
 	is := is.New(t)
 	b := newFixture()
-	const other = crash.Request(9)
+	const other = crash.Fingerprint(9)
 	for _, name := range []string{"a", "b", "c", "d"} {
 		b.end(name, bad)
 		b.end(name+"'", other)
@@ -275,7 +275,7 @@
 
 	late := newFixture()
 	late.Restored(late.now, registry.Quarantine{Request: bad, Replicas: 3})
-	is.Equal(late.cut, []crash.Request{bad})
+	is.Equal(late.cut, []crash.Fingerprint{bad})
 	is.True(late.Remaining(late.now, bad) > 0)
 	is.Equal(len(only[StoreVerdict](late.pass(time.Second))), 0)
 }
@@ -294,7 +294,7 @@
 	}
 	is.True(b.told <= 2+int(500*time.Millisecond/tellEvery))
 	report := func(seq uint64) []crash.Report {
-		return []crash.Report{{Observer: "j", Seq: seq, Replica: life("x"), Requests: []crash.Request{8}}}
+		return []crash.Report{{Observer: "j", Seq: seq, Replica: life("x"), Requests: []crash.Fingerprint{8}}}
 	}
 	b.pass(time.Second)
 	before := b.told
@@ -309,7 +309,7 @@
 	b.pass(time.Second)
 	is.Equal(b.told, before)
 	for seq := range uint64(4) {
-		report := crash.Report{Observer: "k", Seq: seq, Replica: life(string(rune('p' + seq))), Requests: []crash.Request{8}}
+		report := crash.Report{Observer: "k", Seq: seq, Replica: life(string(rune('p' + seq))), Requests: []crash.Fingerprint{8}}
 		b.HandlePeerReports(b.now, "k", []crash.Report{report}, nil)
 		b.pass(10 * time.Millisecond)
 	}
@@ -319,7 +319,7 @@
 	b.pass(2 * tellEveryLarge)
 	before = b.told
 	for n := range 20 {
-		b.end("own"+string(rune('a'+n)), crash.Request(100+n)) // decides on no request
+		b.end("own"+string(rune('a'+n)), crash.Fingerprint(100+n)) // decides on no request
 		b.pass(10 * time.Millisecond)
 	}
 	is.True(b.told > before)
@@ -328,9 +328,9 @@
 
 // flood has many replicas end, each with so many requests of its own and a bad one.
 func (b *fixture) flood(replicas, requests int) {
-	next := crash.Request(1000)
+	next := crash.Fingerprint(1000)
 	for n := range replicas {
-		inFlight := []crash.Request{bad + crash.Request(n/crash.Limit)}
+		inFlight := []crash.Fingerprint{bad + crash.Fingerprint(n/crash.Limit)}
 		for range requests {
 			next++
 			inFlight = append(inFlight, next)
@@ -353,7 +353,7 @@
 	}
 	is.True(len(b.suspects) <= maxReports*maxRequests)
 	busy := b.replica("busy", false)
-	for n := range crash.Request(4 * maxRequests) {
+	for n := range crash.Fingerprint(4 * maxRequests) {
 		b.CallerDisconnected(b.now, n+1, busy)
 		b.now = b.now.Add(time.Millisecond)
 	}
@@ -361,7 +361,7 @@
 	b.pass(endSpan + 2*pruneEvery)
 	is.Equal(len(b.departed), 0)
 	is.True(len(b.evidence) <= maxReports)
-	for n := range crash.Request(2 * maxVerdicts) {
+	for n := range crash.Fingerprint(2 * maxVerdicts) {
 		b.Restored(b.now, registry.Quarantine{Request: n + 1_000_000, Replicas: 3})
 	}
 	b.pass(2 * pruneEvery)
--- a/core/quarantine/record.go
+++ b/core/quarantine/record.go
@@ -32,7 +32,7 @@
 	}
 	// VerdictStored is the event that answers a Record.
 	VerdictStored struct {
-		Request crash.Request
+		Request crash.Fingerprint
 		Err     error // nil also where the record stood there already
 	}
 	// RemoveVerdict is an action: remove a verdict that does not hold any more.
@@ -52,7 +52,7 @@
 // not use up the store's rate.
 type records struct {
 	job   step.Job
-	queue []crash.Request // whose records are to be written, the oldest verdict first
+	queue []crash.Fingerprint // whose records are to be written, the oldest verdict first
 }
 
 // record writes the next verdict that is to be.
@@ -81,7 +81,7 @@
 		return
 	}
 	t.records.job.End(now)
-	t.records.queue = slices.DeleteFunc(t.records.queue, func(r crash.Request) bool { return r == e.Request })
+	t.records.queue = slices.DeleteFunc(t.records.queue, func(r crash.Fingerprint) bool { return r == e.Request })
 	if v := t.verdicts[e.Request]; v != nil {
 		v.recorded = true
 		v.wrote = true
@@ -103,7 +103,7 @@
 }
 
 // unrecord removes the record of a verdict that this instance wrote or read.
-func (t *Tracker) unrecord(v *verdict, request crash.Request) {
+func (t *Tracker) unrecord(v *verdict, request crash.Fingerprint) {
 	if v.recorded {
 		t.Out.Do(RemoveVerdict{Quarantine: registry.Quarantine{Request: request, Replicas: v.replicas}})
 	}
--- a/core/quarantine/verdict.go
+++ b/core/quarantine/verdict.go
@@ -55,7 +55,7 @@
 func (v *verdict) remembered(now clock.Instant) bool { return now.Elapsed(v.since) < 2*v.term }
 
 // Remaining returns for how long a request is not run, 0 if it may be.
-func (t *Tracker) Remaining(now clock.Instant, request crash.Request) time.Duration {
+func (t *Tracker) Remaining(now clock.Instant, request crash.Fingerprint) time.Duration {
 	return t.verdicts[request].left(now)
 }
 
@@ -64,7 +64,7 @@
 // instances are sent one after the other then, each after what the one before showed
 // has been judged. A request that harms nobody is late by that; of one that does, one
 // more replica ends instead of one at each instance.
-func (t *Tracker) SendDelay(request crash.Request) time.Duration {
+func (t *Tracker) SendDelay(request crash.Fingerprint) time.Duration {
 	if !t.suspected(request) {
 		return 0
 	}
@@ -73,7 +73,7 @@
 
 // suspected reports whether so many replicas ended under a request since it was last
 // served that it may be blamed.
-func (t *Tracker) suspected(request crash.Request) bool {
+func (t *Tracker) suspected(request crash.Fingerprint) bool {
 	if !t.suspects[request] {
 		return false
 	}
@@ -81,10 +81,10 @@
 }
 
 // turn returns in which turn this instance sends its tries of a request.
-func (t *Tracker) turn(request crash.Request) int { return t.before(request) % turns }
+func (t *Tracker) turn(request crash.Fingerprint) int { return t.before(request) % turns }
 
 // before returns how many instances come before this one for a request.
-func (t *Tracker) before(request crash.Request) int {
+func (t *Tracker) before(request crash.Fingerprint) int {
 	key := rendezvous.Key(request.String())
 	own := rendezvous.Score(key, t.Self.Name)
 	before := 0
@@ -97,7 +97,7 @@
 }
 
 // limit returns how many replicas must have ended under a request for it to be blamed.
-func (t *Tracker) limit(request crash.Request) int {
+func (t *Tracker) limit(request crash.Fingerprint) int {
 	if t.verdicts[request] != nil {
 		return 1
 	}
@@ -110,7 +110,7 @@
 	settled := now.Add(-settle)
 	reports := t.Records.Crashes()
 	cases := crash.Blame(reports, t.Records.LastSuccess, t.limit, settled)
-	blamed := map[crash.Request]bool{}
+	blamed := map[crash.Fingerprint]bool{}
 	explained := map[pool.Incarnation]bool{}
 	for _, c := range cases {
 		blamed[c.Request] = true
@@ -166,7 +166,7 @@
 	t.Out.Log(logevent.RequestQuarantined, "fingerprint", q.Request.String(), "source", "the store", "term", firstTerm.String())
 }
 
-func (t *Tracker) impose(request crash.Request, v *verdict) {
+func (t *Tracker) impose(request crash.Fingerprint, v *verdict) {
 	t.verdicts[request] = v
 	t.Cut(request, v.term)
 }
@@ -174,7 +174,7 @@
 // cleared reports whether a request that is not blamed any more may be run again: it was
 // served since, or others explain the ends of all the replicas that ended under it. That
 // reports were forgotten, or that another request may be to blame as well, clears nobody.
-func (t *Tracker) cleared(request crash.Request, under []pool.Incarnation, explained map[pool.Incarnation]bool) bool {
+func (t *Tracker) cleared(request crash.Fingerprint, under []pool.Incarnation, explained map[pool.Incarnation]bool) bool {
 	v := t.verdicts[request]
 	if v.since.Before(t.Records.LastSuccess(request)) {
 		return true
@@ -185,7 +185,7 @@
 
 // replicasUnder returns the replicas that are reported to have ended under a request
 // since an instant, in order, each life of them once.
-func replicasUnder(request crash.Request, reports []crash.Report, since clock.Instant) []pool.Incarnation {
+func replicasUnder(request crash.Fingerprint, reports []crash.Report, since clock.Instant) []pool.Incarnation {
 	var under []pool.Incarnation
 	for _, r := range reports {
 		if since.Before(r.At) && r.Has(request) {
@@ -197,7 +197,7 @@
 }
 
 // release has a request run again.
-func (t *Tracker) release(request crash.Request) {
+func (t *Tracker) release(request crash.Fingerprint) {
 	t.Out.Log(logevent.RequestReleased, "fingerprint", request.String())
 	t.unrecord(t.verdicts[request], request)
 	delete(t.verdicts, request)
@@ -205,11 +205,11 @@
 }
 
 func (t *Tracker) pruneVerdicts(now clock.Instant) {
-	maps.DeleteFunc(t.verdicts, func(_ crash.Request, v *verdict) bool { return !v.remembered(now) })
+	maps.DeleteFunc(t.verdicts, func(_ crash.Fingerprint, v *verdict) bool { return !v.remembered(now) })
 	if len(t.verdicts) <= maxVerdicts {
 		return
 	}
-	byAge := slices.SortedFunc(maps.Keys(t.verdicts), func(a, b crash.Request) int {
+	byAge := slices.SortedFunc(maps.Keys(t.verdicts), func(a, b crash.Fingerprint) int {
 		return cmp.Or(cmp.Compare(t.verdicts[b].since.Mono, t.verdicts[a].since.Mono), cmp.Compare(a, b))
 	})
 	for _, request := range byAge[maxVerdicts:] {
--- a/core/registry/registry.go
+++ b/core/registry/registry.go
@@ -81,8 +81,8 @@
 // A Quarantine says that a request is not run, since replicas ended under it. Its
 // record hangs on a lease of its own, and goes when the quarantine is over.
 type Quarantine struct {
-	Request  crash.Request `json:"-"`
-	Replicas int           `json:"replicas"` // that ended
+	Request  crash.Fingerprint `json:"-"`
+	Replicas int               `json:"replicas"` // that ended
 }
 
 // An EraMark stands for one era of the store. Claims depend on it, so none that was meant for
@@ -188,7 +188,7 @@
 		return
 	}
 	request, err := strconv.ParseUint(strings.TrimPrefix(key, quarantineKeys), 16, 64)
-	q := Quarantine{Request: crash.Request(request)}
+	q := Quarantine{Request: crash.Fingerprint(request)}
 	if err != nil || request == 0 || json.Unmarshal(value, &q) != nil {
 		c.Unreadable = append(c.Unreadable, key)
 		return
--- a/core/share/share.go
+++ b/core/share/share.go
@@ -162,7 +162,7 @@
 	holders     map[string]stamped[LeaseHolder]
 	registered  map[string]stamped[registry.Record]
 	crashes     map[string]stamped[crash.Report]
-	successes   map[crash.Request]stamped[crash.Success]
+	successes   map[crash.Fingerprint]stamped[crash.Success]
 	leaving     map[pool.Incarnation]stamped[Leaving]
 	limits      map[pool.Incarnation]stamped[Limit]
 	rests       map[pool.Incarnation]stamped[Rest]
@@ -184,7 +184,7 @@
 		holders:     map[string]stamped[LeaseHolder]{},
 		registered:  map[string]stamped[registry.Record]{},
 		crashes:     map[string]stamped[crash.Report]{},
-		successes:   map[crash.Request]stamped[crash.Success]{},
+		successes:   map[crash.Fingerprint]stamped[crash.Success]{},
 		leaving:     map[pool.Incarnation]stamped[Leaving]{},
 		limits:      map[pool.Incarnation]stamped[Limit]{},
 		rests:       map[pool.Incarnation]stamped[Rest]{},
@@ -263,7 +263,7 @@
 }
 
 // LastSuccess returns when a request was last served whole, as far as records tell.
-func (s *Set) LastSuccess(r crash.Request) clock.Instant { return s.successes[r].record.At }
+func (s *Set) LastSuccess(r crash.Fingerprint) clock.Instant { return s.successes[r].record.At }
 
 // PruneCrashes drops the reports of crashes that are older than age, the oldest beyond
 // the newest keep of them, and the successes that are older than age. It reports whether
--- a/core/share/share_test.go
+++ b/core/share/share_test.go
@@ -33,7 +33,7 @@
 	registered := func(revision era.Number) func(*Set) bool {
 		return func(s *Set) bool { return s.AddRegistered("", registry.Record{Key: "k", Revision: revision}) }
 	}
-	crashed := func(seq uint64, requests ...crash.Request) func(*Set) bool {
+	crashed := func(seq uint64, requests ...crash.Fingerprint) func(*Set) bool {
 		return func(s *Set) bool {
 			return s.AddCrash("", crash.Report{Observer: "i", Boot: 1, Seq: seq, Requests: requests, Moment: clock.Moment{At: clocktest.At(time.Hour)}})
 		}
@@ -156,7 +156,7 @@
 	now := clocktest.At(time.Hour)
 	for seq := range uint64(5) {
 		s.AddCrash("", crash.Report{Observer: "i", Seq: seq, Moment: clock.Moment{At: now.Add(-time.Duration(seq) * time.Minute)}})
-		s.AddSuccess("", crash.Success{Request: crash.Request(seq), Moment: clock.Moment{At: now.Add(-time.Duration(seq) * time.Minute)}})
+		s.AddSuccess("", crash.Success{Request: crash.Fingerprint(seq), Moment: clock.Moment{At: now.Add(-time.Duration(seq) * time.Minute)}})
 	}
 	is.True(!s.PruneCrashes(now, time.Hour, 5))
 	is.True(s.PruneCrashes(now, 3*time.Minute, 5))
--- a/internal/entry/fingerprint.go
+++ b/internal/entry/fingerprint.go
@@ -18,7 +18,7 @@
 //
 // A caller without credentials is not told from others by its address, since one
 // that comes again may come through another gateway.
-func fingerprint(r *http.Request, b *Body) crash.Request {
+func fingerprint(r *http.Request, b *Body) crash.Fingerprint {
 	h := sha256.New()
 	for _, part := range []string{r.Method, r.Host, r.RequestURI, r.Header.Get("Authorization")} {
 		// A hash takes whatever is written to it.
@@ -28,5 +28,5 @@
 		_, _ = io.WriteString(h, strconv.FormatInt(r.ContentLength, 10)+":")
 	}
 	_, _ = h.Write(b.kept)
-	return crash.Request(binary.BigEndian.Uint64(h.Sum(nil)))
+	return crash.Fingerprint(binary.BigEndian.Uint64(h.Sum(nil)))
 }
--- a/internal/entry/fingerprint_test.go
+++ b/internal/entry/fingerprint_test.go
@@ -14,7 +14,7 @@
 
 // TestFingerprint tables which tries are the same request.
 func TestFingerprint(t *testing.T) {
-	of := func(method, target, body string, change func(r *http.Request)) crash.Request {
+	of := func(method, target, body string, change func(r *http.Request)) crash.Fingerprint {
 		r := httptest.NewRequest(method, target, strings.NewReader(body))
 		if change != nil {
 			change(r)
@@ -29,8 +29,8 @@
 	large := strings.Repeat("x", smallBody+1)
 	cases := []struct {
 		name string
-		one  crash.Request
-		two  crash.Request
+		one  crash.Fingerprint
+		two  crash.Fingerprint
 		same bool
 	}{
 		{"another name, deadline and address", of("POST", target, "body", nil), of("POST", target, "body", func(r *http.Request) {
--- a/internal/peer/convert.go
+++ b/internal/peer/convert.go
@@ -183,7 +183,7 @@
 		Moment: age(c.GetAgeMs()),
 	}
 	for _, r := range c.GetRequests() {
-		out.Requests = append(out.Requests, crash.Request(r))
+		out.Requests = append(out.Requests, crash.Fingerprint(r))
 	}
 	slices.Sort(out.Requests) // they are looked up as such, whoever sent them
 	return out
@@ -298,7 +298,7 @@
 	}
 	for _, s := range m.GetSuccesses() {
 		out.Successes = append(out.Successes, crash.Success{
-			Request: crash.Request(s.GetRequest()), Moment: age(s.GetAgeMs()),
+			Request: crash.Fingerprint(s.GetRequest()), Moment: age(s.GetAgeMs()),
 		})
 	}
 	for _, l := range m.GetLeavingReplicas() {
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -41,7 +41,7 @@
 				{Key: "owners/f", Revision: 15, Gone: true},
 			},
 			Crashes: []crash.Report{{
-				Observer: "a", Boot: 18, Seq: 19, Replica: pool.Incarnation{Name: "e", Born: "29"}, Requests: []crash.Request{20, 1 << 63}, Moment: clock.Moment{Age: 21 * time.Millisecond},
+				Observer: "a", Boot: 18, Seq: 19, Replica: pool.Incarnation{Name: "e", Born: "29"}, Requests: []crash.Fingerprint{20, 1 << 63}, Moment: clock.Moment{Age: 21 * time.Millisecond},
 			}},
 			Successes: []crash.Success{{Request: 22, Moment: clock.Moment{Age: 23 * time.Millisecond}}},
 			Leaving:   []share.Leaving{{Incarnation: pool.Incarnation{Name: "e", Born: "24"}}},
