--- a/core/crash/blame.go
+++ b/core/crash/blame.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	// Limit is how many replicas may end under a request before it is blamed: the
+	// MaxCrashes is how many replicas may end under a request before it is blamed: the
 	// users' bound for a request that ends replicas.
-	Limit = 3
+	MaxCrashes = 3
 	// sureLimit is how many replicas may end under a request, whatever else was in flight
 	// there, before it is blamed: the usual tries of a caller, two of two attempts each,
 	// bring a request that harms nobody to no more, so one that has as many and comes again
--- a/core/crash/crash_test.go
+++ b/core/crash/crash_test.go
@@ -58,7 +58,7 @@
 		if n, ok := limits[r]; ok {
 			return n
 		}
-		return Limit
+		return MaxCrashes
 	}
 	var out []Fingerprint
 	for _, c := range Blame(reports, func(r Fingerprint) clock.Instant { return served[r] }, limit, start.Add(time.Hour)) {
@@ -131,7 +131,7 @@
 	is := is.New(t)
 	reports := ended(slices.Repeat([][]Fingerprint{{1}}, 3)...)
 	never := func(Fingerprint) clock.Instant { return clock.Instant{} }
-	limit := func(Fingerprint) int { return Limit }
+	limit := func(Fingerprint) int { return MaxCrashes }
 	third := reports[2].At
 	is.Equal(len(Blame(reports, never, limit, third.Add(-1))), 0)
 	is.Equal(Blame(reports, never, limit, third), []Case{{Request: 1, Replicas: []pool.Incarnation{life("a", ""), life("b", ""), life("c", "")}}})
--- a/core/forwarding/forwarding_test.go
+++ b/core/forwarding/forwarding_test.go
@@ -325,7 +325,7 @@
 	c.Expires = start.Add(time.Minute)
 	c.Forward.Fingerprint = 7
 	is.True(!f.pauses(start, c, s))
-	for seq := range uint64(crash.Limit) {
+	for seq := range uint64(crash.MaxCrashes) {
 		report := crash.Report{Observer: "i", Seq: seq, Replica: pool.Incarnation{Name: string(rune('a' + seq))}, Requests: []crash.Fingerprint{7, 8}}
 		f.Quarantine.HandlePeerReports(start, "i", []crash.Report{report}, nil)
 	}
--- a/core/instance/gone_test.go
+++ b/core/instance/gone_test.go
@@ -98,7 +98,7 @@
 			l.arrive("m0", "")
 		}, nil},
 		{"it waits for the tries of a suspected request", calls.Waiting, func(l *soloLab) {
-			for seq := range uint64(crash.Limit) {
+			for seq := range uint64(crash.MaxCrashes) {
 				r := crash.Report{Observer: "j", Seq: seq, Replica: pool.Incarnation{Name: fmt.Sprint(seq)}, Requests: []crash.Fingerprint{7, 8}}
 				l.m.quarantine.HandlePeerReports(l.now, "j", []crash.Report{r}, nil)
 			}
--- a/core/quarantine/quarantine_test.go
+++ b/core/quarantine/quarantine_test.go
@@ -330,7 +330,7 @@
 func (b *fixture) flood(replicas, requests int) {
 	next := crash.Fingerprint(1000)
 	for n := range replicas {
-		inFlight := []crash.Fingerprint{bad + crash.Fingerprint(n/crash.Limit)}
+		inFlight := []crash.Fingerprint{bad + crash.Fingerprint(n/crash.MaxCrashes)}
 		for range requests {
 			next++
 			inFlight = append(inFlight, next)
--- a/core/quarantine/verdict.go
+++ b/core/quarantine/verdict.go
@@ -77,7 +77,7 @@
 	if !t.suspects[request] {
 		return false
 	}
-	return len(replicasUnder(request, t.Records.Crashes(), t.Records.LastSuccess(request))) >= crash.Limit
+	return len(replicasUnder(request, t.Records.Crashes(), t.Records.LastSuccess(request))) >= crash.MaxCrashes
 }
 
 // turn returns in which turn this instance sends its tries of a request.
@@ -101,7 +101,7 @@
 	if t.verdicts[request] != nil {
 		return 1
 	}
-	return crash.Limit
+	return crash.MaxCrashes
 }
 
 // judge blames requests for the ends that were reported, and releases those that
