--- a/core/crash/blame.go
+++ b/core/crash/blame.go
@@ -34,8 +34,8 @@
 	requests []Fingerprint // rising
 }
 
-// A Case is a request with the replicas that ended under it.
-type Case struct {
+// A Attribution is a request with the replicas that ended under it.
+type Attribution struct {
 	Request  Fingerprint
 	Replicas []pool.Incarnation
 }
@@ -44,13 +44,13 @@
 // replicas. served is when a request was last served whole; limit is how many ends it
 // takes for a request. Reports count up to settled only: before that, those of other
 // instances may be missing.
-func Blame(reports []Report, served func(Fingerprint) clock.Instant, limit func(Fingerprint) int, settled clock.Instant) []Case {
+func Blame(reports []Report, served func(Fingerprint) clock.Instant, limit func(Fingerprint) int, settled clock.Instant) []Attribution {
 	ends := merge(reports, settled)
 	under := endsUnder(ends, served, limit)
 	explained := map[*end]bool{}
-	var cases []Case
+	var cases []Attribution
 	blame := func(request Fingerprint) {
-		cases = append(cases, Case{Request: request, Replicas: replicas(under[request])})
+		cases = append(cases, Attribution{Request: request, Replicas: replicas(under[request])})
 		for _, e := range under[request] {
 			explained[e] = true
 		}
--- a/core/crash/crash_test.go
+++ b/core/crash/crash_test.go
@@ -134,7 +134,7 @@
 	limit := func(Fingerprint) int { return MaxCrashes }
 	third := reports[2].At
 	is.Equal(len(Blame(reports, never, limit, third.Add(-1))), 0)
-	is.Equal(Blame(reports, never, limit, third), []Case{{Request: 1, Replicas: []pool.Incarnation{life("a", ""), life("b", ""), life("c", "")}}})
+	is.Equal(Blame(reports, never, limit, third), []Attribution{{Request: 1, Replicas: []pool.Incarnation{life("a", ""), life("b", ""), life("c", "")}}})
 }
 
 // TestAgesTravel: what a message says of the past is as old on arrival as it was when
--- a/core/quarantine/verdict.go
+++ b/core/quarantine/verdict.go
@@ -131,7 +131,7 @@
 }
 
 // blame has a request not run from now on.
-func (t *Tracker) blame(now clock.Instant, c crash.Case) {
+func (t *Tracker) blame(now clock.Instant, c crash.Attribution) {
 	v := t.verdicts[c.Request]
 	if v.left(now) > 0 {
 		v.judged = true
