--- a/core/instance/build.go
+++ b/core/instance/build.go
@@ -67,7 +67,7 @@
 		Options: m.state.Options, Members: m.state.Members,
 		Common: m.state.Options.Environment == option.Platform, // instances know of each other by their records
 	}
-	m.stop = &shutdown.Stop{Options: m.state.Options, Out: m.state.Out, Calls: m.calls, HandOver: m.handOver}
+	m.stop = &shutdown.Controller{Options: m.state.Options, Out: m.state.Out, Calls: m.calls, HandOver: m.handOver}
 }
 
 // handOver gives back what others can take over, at a planned stop, and tells the
--- a/core/instance/machine.go
+++ b/core/instance/machine.go
@@ -65,7 +65,7 @@
 	listing    *listing.List
 	exchanges  *exchange.Exchanges
 	orders     orderParts
-	stop       *shutdown.Stop
+	stop       *shutdown.Controller
 	env        environment
 }
 
--- a/core/shutdown/shutdown.go
+++ b/core/shutdown/shutdown.go
@@ -18,8 +18,8 @@
 // IsAction implements step.Action.
 func (Exit) IsAction() {}
 
-// A Stop is a planned stop. The fields must be set before its use.
-type Stop struct {
+// A Controller is a planned stop. The fields must be set before its use.
+type Controller struct {
 	Options *option.Options
 	Out     *step.Output
 	Calls   *calls.Table
@@ -34,13 +34,13 @@
 }
 
 // Started reports whether the stop has begun.
-func (s *Stop) Started() bool { return s.begun }
+func (s *Controller) Started() bool { return s.begun }
 
 // Refusing reports whether new calls are refused because of the stop.
-func (s *Stop) Refusing(now clock.Instant) bool { return s.begun && !now.Before(s.takeTo) }
+func (s *Controller) Refusing(now clock.Instant) bool { return s.begun && !now.Before(s.takeTo) }
 
 // Start begins the stop. A second one ends it at once.
-func (s *Stop) Start(now clock.Instant) {
+func (s *Controller) Start(now clock.Instant) {
 	if s.begun {
 		s.endAt = now
 		return
@@ -53,7 +53,7 @@
 }
 
 // Tick exits when every call has ended, or when the limit has come.
-func (s *Stop) Tick(now clock.Instant) {
+func (s *Controller) Tick(now clock.Instant) {
 	if !s.begun || s.exited {
 		return
 	}
@@ -64,7 +64,7 @@
 	}
 }
 
-func (s *Stop) exit() {
+func (s *Controller) exit() {
 	cut := s.Calls.CutAll()
 	s.exited = true
 	s.Out.Log(logevent.Stopped, "cut", cut)
--- a/core/shutdown/shutdown_test.go
+++ b/core/shutdown/shutdown_test.go
@@ -51,7 +51,7 @@
 				})
 			}
 			handedOver := 0
-			s := &Stop{Options: &opt, Out: out, Calls: table, HandOver: func(clock.Instant) { handedOver++ }}
+			s := &Controller{Options: &opt, Out: out, Calls: table, HandOver: func(clock.Instant) { handedOver++ }}
 			s.Start(begun)
 			now := begun.Add(c.after)
 			if c.twice {
