--- a/core/clock/clock.go
+++ b/core/clock/clock.go
@@ -29,8 +29,8 @@
 // Since returns the steady time from u to t.
 func (t Instant) Since(u Instant) time.Duration { return t.Mono - u.Mono }
 
-// Elapsed returns the larger of the steady and the wall time from u to t.
-func (t Instant) Elapsed(u Instant) time.Duration {
+// MaxElapsed returns the larger of the steady and the wall time from u to t.
+func (t Instant) MaxElapsed(u Instant) time.Duration {
 	return max(t.Mono-u.Mono, t.Wall.Sub(u.Wall))
 }
 
@@ -64,7 +64,7 @@
 }
 
 // Sent returns the moment as it travels in a message sent at now.
-func (m Moment) Sent(now Instant) Moment { return Moment{Age: max(0, now.Elapsed(m.At))} }
+func (m Moment) Sent(now Instant) Moment { return Moment{Age: max(0, now.MaxElapsed(m.At))} }
 
 // Received returns a moment that arrived in a message at now.
 func (m Moment) Received(now Instant) Moment { return Moment{At: now.Add(-m.Age)} }
--- a/core/clock/clock_test.go
+++ b/core/clock/clock_test.go
@@ -24,7 +24,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
 			now := Instant{Mono: from.Mono + tt.mono, Wall: from.Wall.Add(tt.wall)}
-			is.Equal(now.Elapsed(from), tt.elapsed)
+			is.Equal(now.MaxElapsed(from), tt.elapsed)
 			is.Equal(now.Since(from), tt.mono)
 		})
 	}
--- a/core/own/lease/lease.go
+++ b/core/own/lease/lease.go
@@ -59,7 +59,7 @@
 		return false
 	}
 	usable := l.Term - time.Duration(Margin*float64(l.Term))
-	return now.Elapsed(l.sent) < usable
+	return now.MaxElapsed(l.sent) < usable
 }
 
 // Held reports whether the lease was granted and never known to be lost; it may
@@ -72,5 +72,5 @@
 
 // RenewDue reports whether a third of the term has passed since the last grant.
 func (l Lease) RenewDue(now clock.Instant) bool {
-	return l.held && now.Elapsed(l.sent) >= l.Term/3
+	return l.held && now.MaxElapsed(l.sent) >= l.Term/3
 }
--- a/core/ownership/ownership.go
+++ b/core/ownership/ownership.go
@@ -218,11 +218,11 @@
 		return stopping
 	case s.keptAt.IsZero():
 		return neverRenewed
-	case now.Elapsed(s.keptAt) >= valid:
+	case now.MaxElapsed(s.keptAt) >= valid:
 		return renewalTooOld
 	case s.heardAt.IsZero():
 		return neverHeard
-	case now.Elapsed(s.heardAt) >= valid:
+	case now.MaxElapsed(s.heardAt) >= valid:
 		return watchTooOld
 	default:
 		return allowed
--- a/core/permits/coordinator.go
+++ b/core/permits/coordinator.go
@@ -75,7 +75,7 @@
 // forgetViews drops the views from before a sleep: they say nothing of who gave out permits
 // meanwhile.
 func (p *Permits) forgetViews(now clock.Instant) {
-	if n := len(p.views); n > 0 && now.Elapsed(p.views[n-1].at) > settleSpan {
+	if n := len(p.views); n > 0 && now.MaxElapsed(p.views[n-1].at) > settleSpan {
 		p.views = nil
 	}
 }
@@ -276,7 +276,7 @@
 	switch first := c.p.first(now, r) == c.p.Self.Name; {
 	case !first:
 		b.firstSince = clock.Instant{}
-	case b.firstSince.IsZero(), now.Elapsed(b.seen) > s.settle:
+	case b.firstSince.IsZero(), now.MaxElapsed(b.seen) > s.settle:
 		b.firstSince = c.p.firstSince(now, r)
 	}
 	b.seen = now
--- a/core/permits/permits.go
+++ b/core/permits/permits.go
@@ -314,7 +314,7 @@
 // decide passes on what came of a request. A permit that was long on its way, since this
 // instance slept for instance, is void.
 func (p *Permits) decide(now clock.Instant, a *ask, v Verdict) {
-	v.Granted = v.Granted && now.Elapsed(a.sent)-v.Held < permitLife
+	v.Granted = v.Granted && now.MaxElapsed(a.sent)-v.Held < permitLife
 	if r := p.Pool.Get(a.request.Replica.Name); r != nil {
 		r.SetNextSend(now.Add(v.Turn))
 	}
--- a/core/quarantine/evidence.go
+++ b/core/quarantine/evidence.go
@@ -114,7 +114,7 @@
 }
 
 // past reports whether no end that shows from now on can have come of the departed call.
-func (d departure) past(now clock.Instant) bool { return now.Elapsed(d.at) > departedSpan }
+func (d departure) past(now clock.Instant) bool { return now.MaxElapsed(d.at) > departedSpan }
 
 // ReplicaEnded notes that a replica's process is not there any more.
 func (t *Tracker) ReplicaEnded(now clock.Instant, replica pool.Incarnation) {
@@ -136,7 +136,7 @@
 // evidenceOf returns the evidence of the end that shows now.
 func (t *Tracker) evidenceOf(now clock.Instant, replica pool.Incarnation) *evidence {
 	e := t.evidence[replica]
-	if e == nil || now.Elapsed(e.at) >= endSpan {
+	if e == nil || now.MaxElapsed(e.at) >= endSpan {
 		e = &evidence{at: now}
 		t.evidence[replica] = e
 	}
@@ -180,7 +180,7 @@
 
 func (t *Tracker) pruneEvidence(now clock.Instant) {
 	maps.DeleteFunc(t.departed, func(_ pool.Incarnation, left []departure) bool {
-		return !slices.ContainsFunc(left, func(d departure) bool { return now.Elapsed(d.at) < endSpan })
+		return !slices.ContainsFunc(left, func(d departure) bool { return now.MaxElapsed(d.at) < endSpan })
 	})
-	maps.DeleteFunc(t.evidence, func(_ pool.Incarnation, e *evidence) bool { return now.Elapsed(e.at) >= endSpan })
+	maps.DeleteFunc(t.evidence, func(_ pool.Incarnation, e *evidence) bool { return now.MaxElapsed(e.at) >= endSpan })
 }
--- a/core/quarantine/quarantine.go
+++ b/core/quarantine/quarantine.go
@@ -115,7 +115,7 @@
 	news, pressing := false, false
 	for _, r := range reports {
 		r.Moment = r.Received(now)
-		if now.Elapsed(r.At) < memory && len(r.Requests) <= maxRequests && t.Records.AddCrash(from, r) {
+		if now.MaxElapsed(r.At) < memory && len(r.Requests) <= maxRequests && t.Records.AddCrash(from, r) {
 			t.suspect(r.Requests)
 			news = true
 			pressing = pressing || t.pressing(r)
--- a/core/quarantine/verdict.go
+++ b/core/quarantine/verdict.go
@@ -47,12 +47,12 @@
 	if v == nil {
 		return 0
 	}
-	return max(0, v.term-now.Elapsed(v.since))
+	return max(0, v.term-now.MaxElapsed(v.since))
 }
 
 // remembered reports whether a request whose term is over is still known: one more
 // replica that ends under it is enough then.
-func (v *verdict) remembered(now clock.Instant) bool { return now.Elapsed(v.since) < 2*v.term }
+func (v *verdict) remembered(now clock.Instant) bool { return now.MaxElapsed(v.since) < 2*v.term }
 
 // Remaining returns for how long a request is not run, 0 if it may be.
 func (t *Tracker) Remaining(now clock.Instant, request crash.Fingerprint) time.Duration {
--- a/core/share/share.go
+++ b/core/share/share.go
@@ -274,12 +274,12 @@
 		return cmp.Or(cmp.Compare(s.crashes[b].record.At.Mono, s.crashes[a].record.At.Mono), cmp.Compare(a, b))
 	})
 	for i, name := range names {
-		if i >= keep || now.Elapsed(s.crashes[name].record.At) > age {
+		if i >= keep || now.MaxElapsed(s.crashes[name].record.At) > age {
 			delete(s.crashes, name)
 		}
 	}
 	for name, x := range s.successes {
-		if now.Elapsed(x.record.At) > age {
+		if now.MaxElapsed(x.record.At) > age {
 			delete(s.successes, name)
 		}
 	}
@@ -299,7 +299,7 @@
 
 // PruneLeaving drops the records of replicas that leave which are older than age.
 func (s *Set) PruneLeaving(now clock.Instant, age time.Duration) {
-	maps.DeleteFunc(s.leaving, func(_ pool.Incarnation, x stamped[Leaving]) bool { return now.Elapsed(x.record.At) > age })
+	maps.DeleteFunc(s.leaving, func(_ pool.Incarnation, x stamped[Leaving]) bool { return now.MaxElapsed(x.record.At) > age })
 }
 
 // limitApart is how much later a replica must have said the same of its limit again for
@@ -324,7 +324,7 @@
 // there.
 func (s *Set) PruneLimits(now clock.Instant, age time.Duration, there func(pool.Incarnation) bool) {
 	maps.DeleteFunc(s.limits, func(life pool.Incarnation, x stamped[Limit]) bool {
-		return now.Elapsed(x.record.At) > age && !there(life)
+		return now.MaxElapsed(x.record.At) > age && !there(life)
 	})
 }
 
--- a/internal/shell/shell_test.go
+++ b/internal/shell/shell_test.go
@@ -153,7 +153,7 @@
 	now := s.Now()
 	is.Equal(now.Wall, now.Wall.Round(0)) // == compares the monotonic part too
 	later := clock.Instant{Mono: now.Mono, Wall: now.Wall.Add(time.Hour)}
-	is.Equal(later.Elapsed(now), time.Hour)
+	is.Equal(later.MaxElapsed(now), time.Hour)
 }
 
 // TestSilentConnectionsToPeers: an exchange on a connection that went silent fails within
