--- a/core/clock/clock.go
+++ b/core/clock/clock.go
@@ -63,8 +63,8 @@
 	Age time.Duration
 }
 
-// Sent returns the moment as it travels in a message sent at now.
-func (m Moment) Sent(now Instant) Moment { return Moment{Age: max(0, now.MaxElapsed(m.At))} }
+// ForWire returns the moment as it travels in a message sent at now.
+func (m Moment) ForWire(now Instant) Moment { return Moment{Age: max(0, now.MaxElapsed(m.At))} }
 
 // Received returns a moment that arrived in a message at now.
 func (m Moment) Received(now Instant) Moment { return Moment{At: now.Add(-m.Age)} }
--- a/core/crash/crash_test.go
+++ b/core/crash/crash_test.go
@@ -141,11 +141,11 @@
 // it was sent, by the receiver's own clocks.
 func TestAgesTravel(t *testing.T) {
 	is := is.New(t)
-	sent := clock.Moment{At: start}.Sent(start.Add(7 * time.Second))
+	sent := clock.Moment{At: start}.ForWire(start.Add(7 * time.Second))
 	is.Equal(sent, clock.Moment{Age: 7 * time.Second})
 	there := clocktest.At(time.Minute)
 	is.Equal(sent.Received(there), clock.Moment{At: there.Add(-7 * time.Second)})
 	// A machine that slept since counts the sleep.
 	asleep := clock.Instant{Mono: start.Mono, Wall: start.Wall.Add(time.Minute)}
-	is.Equal(clock.Moment{At: start}.Sent(asleep).Age, time.Minute)
+	is.Equal(clock.Moment{At: start}.ForWire(asleep).Age, time.Minute)
 }
--- a/core/permits/permits.go
+++ b/core/permits/permits.go
@@ -267,7 +267,7 @@
 
 // send asks a peer.
 func (p *Permits) send(now clock.Instant, token uint64, peer string, r Request) {
-	r.Word.Moment = r.Word.Sent(now)
+	r.Word.Moment = r.Word.ForWire(now)
 	p.Out.Do(Ask{Token: token, Peer: peer, Address: p.Members.Get(peer).Address, Request: r})
 }
 
