--- a/core/clock/clock.go
+++ b/core/clock/clock.go
@@ -66,5 +66,5 @@
 // ForWire returns the moment as it travels in a message sent at now.
 func (m Moment) ForWire(now Instant) Moment { return Moment{Age: max(0, now.MaxElapsed(m.At))} }
 
-// Received returns a moment that arrived in a message at now.
-func (m Moment) Received(now Instant) Moment { return Moment{At: now.Add(-m.Age)} }
+// FromWire returns a moment that arrived in a message at now.
+func (m Moment) FromWire(now Instant) Moment { return Moment{At: now.Add(-m.Age)} }
--- a/core/crash/crash_test.go
+++ b/core/crash/crash_test.go
@@ -144,7 +144,7 @@
 	sent := clock.Moment{At: start}.ForWire(start.Add(7 * time.Second))
 	is.Equal(sent, clock.Moment{Age: 7 * time.Second})
 	there := clocktest.At(time.Minute)
-	is.Equal(sent.Received(there), clock.Moment{At: there.Add(-7 * time.Second)})
+	is.Equal(sent.FromWire(there), clock.Moment{At: there.Add(-7 * time.Second)})
 	// A machine that slept since counts the sleep.
 	asleep := clock.Instant{Mono: start.Mono, Wall: start.Wall.Add(time.Minute)}
 	is.Equal(clock.Moment{At: start}.ForWire(asleep).Age, time.Minute)
--- a/core/permits/permits.go
+++ b/core/permits/permits.go
@@ -347,7 +347,7 @@
 // told takes in what a peer knows of a replica's limit, if it knows of one.
 func (p *Permits) told(now clock.Instant, from string, life pool.Incarnation, w pool.LimitReport) {
 	if !w.IsZero() {
-		w.Moment = w.Received(now)
+		w.Moment = w.FromWire(now)
 		p.Told(now, from, life, w)
 	}
 }
