--- a/core/asks/asks.go
+++ b/core/asks/asks.go
@@ -135,7 +135,7 @@
 		a.Settled(now, key, owned.Failed, "its owner is not known")
 		return
 	}
-	a.Out.Do(Ask{Peer: p.Name, Address: p.Address, Engine: key.Engine, Request: key.Request})
+	a.Out.Emit(Ask{Peer: p.Name, Address: p.Address, Engine: key.Engine, Request: key.Request})
 }
 
 // Replied takes in what an owner answered.
--- a/core/calls/table.go
+++ b/core/calls/table.go
@@ -134,7 +134,7 @@
 // RefuseNew gives a call that was not taken in its final answer.
 func (t *Table) RefuseNew(c *Call, r code.Refusal) {
 	t.Out.Log(logevent.CallFailed, "call", c.Label(), "service", c.Service, "code", int(r.Code), "run", string(r.Run))
-	t.Out.Do(Finish{ID: c.ID, Refusal: r})
+	t.Out.Emit(Finish{ID: c.ID, Refusal: r})
 }
 
 // Refuse gives a call that was taken in its final answer.
@@ -152,7 +152,7 @@
 	c.Phase = 0
 	delete(t.calls, c.ID)
 	t.Out.Log(logevent.CallFailed, "call", c.Label(), "service", c.Service, "item", c.Item, "code", int(r.Code), "run", string(r.Run), "detail", r.Detail)
-	t.Out.Do(Finish{ID: c.ID, Refusal: r})
+	t.Out.Emit(Finish{ID: c.ID, Refusal: r})
 	t.Pool.NoteCapacityChange()
 }
 
--- a/core/exchange/exchange.go
+++ b/core/exchange/exchange.go
@@ -151,7 +151,7 @@
 		return
 	}
 	x.inFlight[p.Address] = true
-	x.Out.Do(Begin{Peer: p.Name, Address: p.Address, Message: x.message(now, p.Name)})
+	x.Out.Emit(Begin{Peer: p.Name, Address: p.Address, Message: x.message(now, p.Name)})
 }
 
 // WithZone begins an exchange with each peer of this instance's zone.
@@ -197,7 +197,7 @@
 	if e.Message.WantConfig && e.Message.Revision < x.Config.Revision() {
 		reply.Config = x.Config.Encoded
 	}
-	x.Out.Do(Answer{Token: e.Token, Message: reply})
+	x.Out.Emit(Answer{Token: e.Token, Message: reply})
 }
 
 // Replied takes in what came of an exchange that this instance began.
--- a/core/forwarding/attempts.go
+++ b/core/forwarding/attempts.go
@@ -153,7 +153,7 @@
 func (f *Forwarder) relay(c *calls.Call, status int) {
 	f.Out.Log(logevent.CallFailed, "call", c.Forward.Name, "service", c.Service, "code", int(code.UpstreamRefused),
 		"run", string(c.History.Run()), "status", status, "detail", "the replica's own answer")
-	f.Out.Do(calls.Relay{ID: c.ID})
+	f.Out.Emit(calls.Relay{ID: c.ID})
 	f.Calls.Remove(c)
 }
 
@@ -206,7 +206,7 @@
 			continue
 		}
 		stateOf(c).sent.crashed = true
-		f.Out.Do(calls.Interrupt{ID: c.ID})
+		f.Out.Emit(calls.Interrupt{ID: c.ID})
 	}
 }
 
--- a/core/forwarding/place.go
+++ b/core/forwarding/place.go
@@ -199,7 +199,7 @@
 		"replica", c.Replica, "waited_ms", now.Since(c.Arrived).Milliseconds(), "ahead_ms", e.Ahead.Milliseconds(),
 		"prefill_ms", e.Prefill.Milliseconds(), "other_ms", e.Other.Milliseconds(), "cached", e.Cached, "calls_there", e.Calls,
 		"announced_ago_ms", now.Since(e.Replica.AnnouncedAt()).Milliseconds(), "list_age_ms", f.ListAge(now).Milliseconds(), "revision", f.Config.Revision())
-	f.Out.Do(f.attempt(now, c, e.Replica))
+	f.Out.Emit(f.attempt(now, c, e.Replica))
 }
 
 // cachedShare is the part of an engine's memory for prompts and answers that is
--- a/core/forwarding/probe.go
+++ b/core/forwarding/probe.go
@@ -77,7 +77,7 @@
 			continue // one that names a limit is not asked: that would count too
 		}
 		p.asked++
-		f.Out.Do(ProbeEngine{Call: c.ID, Engine: e.Replica.Name, Address: e.Replica.Address, Wait: f.Options.ProbeWait})
+		f.Out.Emit(ProbeEngine{Call: c.ID, Engine: e.Replica.Name, Address: e.Replica.Address, Wait: f.Options.ProbeWait})
 	}
 	if p.asked == 0 {
 		return false
--- a/core/instance/config.go
+++ b/core/instance/config.go
@@ -59,7 +59,7 @@
 	m.env.installed(now, s)
 	m.exchanges.Installed(now)
 	m.state.Out.Log(logevent.Installed, "revision", s.Revision(), "source", e.Source)
-	m.state.Out.Do(Install{Snapshot: s})
+	m.state.Out.Emit(Install{Snapshot: s})
 }
 
 // replayRecords tells the pool what was heard of upstreams before the revision
--- a/core/own/kvwatch/watch.go
+++ b/core/own/kvwatch/watch.go
@@ -60,11 +60,11 @@
 	}
 	if w.config.Ready(now) {
 		w.config.Begin(now)
-		w.Out.Do(Config{Have: w.Config.Revision(), Wait: w.Options.WatchWait})
+		w.Out.Emit(Config{Have: w.Config.Revision(), Wait: w.Options.WatchWait})
 	}
 	if w.list.Ready(now) {
 		w.list.Begin(now)
-		w.Out.Do(List{Since: w.Listing.Version().Raw(), Wait: w.Options.WatchWait})
+		w.Out.Emit(List{Since: w.Listing.Version().Raw(), Wait: w.Options.WatchWait})
 	}
 }
 
--- a/core/own/modelcalls/attempts.go
+++ b/core/own/modelcalls/attempts.go
@@ -29,7 +29,7 @@
 	if c.Plain {
 		return // closing the connection is all there is
 	}
-	h.Out.Do(Cancel{ID: c.ID, Attempt: c.History.Attempts, Replica: r.Name, Address: r.Address})
+	h.Out.Emit(Cancel{ID: c.ID, Attempt: c.History.Attempts, Replica: r.Name, Address: r.Address})
 }
 
 func (h *Handler) answerBegan(now clock.Instant, c *calls.Call) {
@@ -103,7 +103,7 @@
 	c.History = c.History.WithResume()
 	r.Start(now, uint64(c.ID))
 	h.Out.Log(logevent.CallResumed, "call", uint64(c.ID), "replica", c.Replica)
-	h.Out.Do(h.dispatchAction(c, r, true, resumePause*time.Duration(c.History.Resumes-1)))
+	h.Out.Emit(h.dispatchAction(c, r, true, resumePause*time.Duration(c.History.Resumes-1)))
 }
 
 func (h *Handler) retry(now clock.Instant, c *calls.Call, e calls.AttemptFailed) {
--- a/core/own/modelcalls/claims.go
+++ b/core/own/modelcalls/claims.go
@@ -82,7 +82,7 @@
 	}
 	c.Phase = calls.Claiming
 	s.claims++
-	h.Out.Do(Claim{ID: c.ID, Key: s.claimKey, Life: h.Options.ClaimLife})
+	h.Out.Emit(Claim{ID: c.ID, Key: s.claimKey, Life: h.Options.ClaimLife})
 }
 
 // ClaimReplied takes in what came of a claim, or of reading one back.
@@ -114,7 +114,7 @@
 		return
 	}
 	s.claims++
-	h.Out.Do(ReadClaim{ID: c.ID, Key: s.claimKey})
+	h.Out.Emit(ReadClaim{ID: c.ID, Key: s.claimKey})
 }
 
 // claimAgain repeats the claim. A first request that is still on its way can
@@ -139,6 +139,6 @@
 	if s.claimKey == "" || s.claims == 0 {
 		return
 	}
-	h.Out.Do(ReleaseClaim{ID: c.ID, Key: s.claimKey})
+	h.Out.Emit(ReleaseClaim{ID: c.ID, Key: s.claimKey})
 	s.claimKey = ""
 }
--- a/core/own/modelcalls/place.go
+++ b/core/own/modelcalls/place.go
@@ -78,7 +78,7 @@
 	}
 	e.Replica.Start(now, uint64(c.ID))
 	h.recent.add(now, c, e)
-	h.Out.Do(h.dispatchAction(c, e.Replica, false, 0))
+	h.Out.Emit(h.dispatchAction(c, e.Replica, false, 0))
 }
 
 func (h *Handler) dispatchAction(c *calls.Call, r *pool.Replica, resume bool, after time.Duration) calls.Dispatch {
--- a/core/own/planner/intents.go
+++ b/core/own/planner/intents.go
@@ -58,7 +58,7 @@
 	}
 	in.reread = false
 	in.flying = true
-	p.Out.Do(ReadIntents{})
+	p.Out.Emit(ReadIntents{})
 }
 
 // intentsRead takes over what an earlier holder left, or finds out what came
@@ -178,5 +178,5 @@
 	in.flying = true
 	in.dirty = false
 	list := append([]Intent(nil), in.list...)
-	p.Out.Do(WriteIntents{Intents: Intents{Fence: p.fence, Intents: list}, Revision: in.revision})
+	p.Out.Emit(WriteIntents{Intents: Intents{Fence: p.fence, Intents: list}, Revision: in.revision})
 }
--- a/core/own/planner/orders.go
+++ b/core/own/planner/orders.go
@@ -77,7 +77,7 @@
 		ra.due = now.Add(ra.backoff.Wait(p.Rand))
 		o := book.Order{Engine: r.Name, Fence: p.fence, Seq: p.nextSeq(), Op: book.Raise}
 		l.Book(o)
-		p.Out.Do(SendOrder{Address: r.Address, Order: o})
+		p.Out.Emit(SendOrder{Address: r.Address, Order: o})
 	}
 }
 
@@ -110,7 +110,7 @@
 
 func (p *Planner) send(o book.Order, r *pool.Replica) {
 	p.Out.Log(logevent.Order, "engine", o.Engine, "op", o.Op.String(), "item", o.Item, "mib", o.MiB, "fence", o.Fence, "seq", o.Seq)
-	p.Out.Do(SendOrder{Address: r.Address, Order: o})
+	p.Out.Emit(SendOrder{Address: r.Address, Order: o})
 }
 
 // OrderReplied takes in what came of an order.
--- a/core/own/planner/planner.go
+++ b/core/own/planner/planner.go
@@ -172,7 +172,7 @@
 	p.Records.AddLeaseHolder("", share.LeaseHolder{Zone: p.Self.Zone, Fence: fence})
 	p.lease = p.lease.WithLoss()
 	p.abandon()
-	p.Out.Do(ReleaseLease{Fence: fence})
+	p.Out.Emit(ReleaseLease{Fence: fence})
 }
 
 // Planning reports whether this instance plans for its zone: it was granted
@@ -202,11 +202,11 @@
 		p.noteDoubt(now)
 		if p.lease.RenewDue(now) {
 			p.job.Begin(now)
-			p.Out.Do(SeekLease{Term: p.Options.LeaseTerm, Renew: p.lease.Fence()})
+			p.Out.Emit(SeekLease{Term: p.Options.LeaseTerm, Renew: p.lease.Fence()})
 		}
 	case p.Members.Assigned(now, "plan/"+p.Self.Zone, candidates):
 		p.job.Begin(now)
-		p.Out.Do(SeekLease{Term: p.Options.LeaseTerm})
+		p.Out.Emit(SeekLease{Term: p.Options.LeaseTerm})
 	}
 }
 
@@ -258,7 +258,7 @@
 	p.TellAll(now)
 	p.sync()
 	p.intents.flying = true
-	p.Out.Do(ReadIntents{})
+	p.Out.Emit(ReadIntents{})
 }
 
 // sync gives every engine of the zone a ledger.
--- a/core/own/planner/read.go
+++ b/core/own/planner/read.go
@@ -62,7 +62,7 @@
 		}
 		rd.Begin(now)
 		rd.SetDue(now.Add(step.Jitter(p.Rand, p.readEvery(r, every))))
-		p.Out.Do(ReadState{Engine: r.Name, Address: r.Address})
+		p.Out.Emit(ReadState{Engine: r.Name, Address: r.Address})
 	}
 }
 
--- a/core/owned/queue.go
+++ b/core/owned/queue.go
@@ -82,7 +82,7 @@
 func (s *Engines) Asked(now clock.Instant, a Asked) {
 	e := s.engines[a.Engine]
 	if e == nil {
-		s.Out.Do(Answer{Token: a.Token, Outcome: Refused, Detail: "this instance does not order the engine"})
+		s.Out.Emit(Answer{Token: a.Token, Outcome: Refused, Detail: "this instance does not order the engine"})
 		return
 	}
 	s.request(now, e, a.Request, waiter{token: a.Token})
@@ -220,7 +220,7 @@
 	e.orderFence = e.Fence
 	e.Send(r)
 	o := orders.Order{Engine: e.Name, Address: e.Address, Request: r, Expect: expect, Fence: e.Fence}
-	s.Out.Do(SendOrder{Order: o, Limited: s.limited(now, e)})
+	s.Out.Emit(SendOrder{Order: o, Limited: s.limited(now, e)})
 }
 
 // OrderReplied takes in what came of an order.
@@ -268,7 +268,7 @@
 		s.Out.Log(logevent.OrderWaits, "engine", e.Name, "item", r.Item(), "detail", detail)
 	}
 	if w.token != 0 {
-		s.Out.Do(Answer{Token: w.token, Outcome: o, Detail: detail})
+		s.Out.Emit(Answer{Token: w.token, Outcome: o, Detail: detail})
 		return
 	}
 	s.Answered(now, e.Name, r, o, detail)
--- a/core/owned/state.go
+++ b/core/owned/state.go
@@ -50,7 +50,7 @@
 	}
 	e.asking = true
 	e.askDue = now.Add(askEvery)
-	s.Out.Do(AskState{Engine: e.Name, Address: e.Address, Limited: s.limited(now, e)})
+	s.Out.Emit(AskState{Engine: e.Name, Address: e.Address, Limited: s.limited(now, e)})
 }
 
 // StateReplied takes an engine's state into its ledger. It is asked again after
--- a/core/ownership/enrol.go
+++ b/core/ownership/enrol.go
@@ -42,10 +42,10 @@
 	}
 	l.job.Begin(now)
 	if l.held && !l.again && !g.era.isOver(l.lease) {
-		g.Out.Do(KeepEnrolled{Lease: l.lease})
+		g.Out.Emit(KeepEnrolled{Lease: l.lease})
 		return
 	}
-	g.Out.Do(Enrol{Term: g.Options.EnrolTerm, Instance: registry.Instance{
+	g.Out.Emit(Enrol{Term: g.Options.EnrolTerm, Instance: registry.Instance{
 		Name: g.Self.Name, Zone: g.Self.Zone, Address: g.Self.Address, Boot: g.Self.Boot, Processor: g.Self.Processor,
 	}})
 }
@@ -135,5 +135,5 @@
 	}
 	g.Owned.LoseAll(now, "this instance stops")
 	g.enrolment.held = false
-	g.Out.Do(Resign{Lease: g.enrolment.lease, Give: give, Placer: placer, Depends: g.era.depends()})
+	g.Out.Emit(Resign{Lease: g.enrolment.lease, Give: give, Placer: placer, Depends: g.era.depends()})
 }
--- a/core/permits/permits.go
+++ b/core/permits/permits.go
@@ -268,7 +268,7 @@
 // send asks a peer.
 func (p *Permits) send(now clock.Instant, token uint64, peer string, r Request) {
 	r.Word.Moment = r.Word.ForWire(now)
-	p.Out.Do(Ask{Token: token, Peer: peer, Address: p.Members.Get(peer).Address, Request: r})
+	p.Out.Emit(Ask{Token: token, Peer: peer, Address: p.Members.Get(peer).Address, Request: r})
 }
 
 // choose returns the peer to ask, "" for this instance itself.
@@ -357,7 +357,7 @@
 	p.told(now, e.From, e.Request.Replica, e.Request.Word)
 	if e.Request.Unused {
 		p.coordinator.giveBack(now, e.Request.Subject)
-		p.Out.Do(Answer{Token: e.Token})
+		p.Out.Emit(Answer{Token: e.Token})
 		return
 	}
 	p.coordinator.take(now, waiting{token: e.Token, request: e.Request})
--- a/core/quarantine/evidence.go
+++ b/core/quarantine/evidence.go
@@ -167,7 +167,7 @@
 			continue
 		}
 		e.asked = true
-		t.Out.Do(Check{Replica: replica, Address: e.address})
+		t.Out.Emit(Check{Replica: replica, Address: e.address})
 	}
 }
 
--- a/core/quarantine/record.go
+++ b/core/quarantine/record.go
@@ -67,7 +67,7 @@
 	request := r.queue[0]
 	v := t.verdicts[request]
 	r.job.Begin(now)
-	t.Out.Do(StoreVerdict{
+	t.Out.Emit(StoreVerdict{
 		Quarantine: registry.Quarantine{Request: request, Replicas: v.replicas},
 		Term:       min(v.left(now), longestLease),
 	})
@@ -105,6 +105,6 @@
 // unrecord removes the record of a verdict that this instance wrote or read.
 func (t *Tracker) unrecord(v *verdict, request crash.Fingerprint) {
 	if v.recorded {
-		t.Out.Do(RemoveVerdict{Quarantine: registry.Quarantine{Request: request, Replicas: v.replicas}})
+		t.Out.Emit(RemoveVerdict{Quarantine: registry.Quarantine{Request: request, Replicas: v.replicas}})
 	}
 }
--- a/core/shutdown/shutdown.go
+++ b/core/shutdown/shutdown.go
@@ -68,5 +68,5 @@
 	cut := s.Calls.CutAll()
 	s.exited = true
 	s.Out.Log(logevent.Stopped, "cut", cut)
-	s.Out.Do(Exit{Cut: cut})
+	s.Out.Emit(Exit{Cut: cut})
 }
--- a/core/step/step.go
+++ b/core/step/step.go
@@ -37,11 +37,11 @@
 // Reset drops the actions of the step before. Their slice is used again.
 func (o *Output) Reset() { o.actions = o.actions[:0] }
 
-// Do adds an action.
-func (o *Output) Do(a Action) { o.actions = append(o.actions, a) }
+// Emit adds an action.
+func (o *Output) Emit(a Action) { o.actions = append(o.actions, a) }
 
 // Log adds a line of the log; fields are alternating keys and values.
-func (o *Output) Log(n logevent.Number, fields ...any) { o.Do(Log{Event: n, Fields: fields}) }
+func (o *Output) Log(n logevent.Number, fields ...any) { o.Emit(Log{Event: n, Fields: fields}) }
 
 // Actions returns the actions of this step, valid until the next Reset.
 func (o *Output) Actions() []Action { return o.actions }
--- a/core/watch/watch.go
+++ b/core/watch/watch.go
@@ -232,7 +232,7 @@
 		w.due = now.Add(b.Wait + parts.Overdue)
 	}
 	w.calls[w.last] = call{sent: now, wait: b.Wait}
-	w.Out.Do(b)
+	w.Out.Emit(b)
 }
 
 // Replied notes that a call is over. An answer ends the calls beside it too: what they bring
