--- a/core/own/kvwatch/watch.go
+++ b/core/own/kvwatch/watch.go
@@ -58,11 +58,11 @@
 	if w.Stopping() || !w.keeps(now) {
 		return
 	}
-	if w.config.Ready(now) {
+	if w.config.Due(now) {
 		w.config.Begin(now)
 		w.Out.Emit(Config{Have: w.Config.Revision(), Wait: w.Options.WatchWait})
 	}
-	if w.list.Ready(now) {
+	if w.list.Due(now) {
 		w.list.Begin(now)
 		w.Out.Emit(List{Since: w.Listing.Version().Raw(), Wait: w.Options.WatchWait})
 	}
--- a/core/own/planner/planner.go
+++ b/core/own/planner/planner.go
@@ -194,7 +194,7 @@
 }
 
 func (p *Planner) leaseDue(now clock.Instant) {
-	if p.Stopping() || len(p.zones.zones) == 0 || !p.job.Ready(now) {
+	if p.Stopping() || len(p.zones.zones) == 0 || !p.job.Due(now) {
 		return
 	}
 	switch {
--- a/core/own/planner/read.go
+++ b/core/own/planner/read.go
@@ -57,7 +57,7 @@
 	every := max(p.Options.ReadEvery, time.Duration(len(mine))*readSpacing)
 	for _, r := range mine {
 		rd := p.reader(r.Name)
-		if !rd.Ready(now) {
+		if !rd.Due(now) {
 			continue
 		}
 		rd.Begin(now)
--- a/core/ownership/enrol.go
+++ b/core/ownership/enrol.go
@@ -37,7 +37,7 @@
 // keepEnrolled renews the lease, or begins one.
 func (g *Registry) keepEnrolled(now clock.Instant) {
 	l := &g.enrolment
-	if !l.job.Ready(now) || now.Before(l.due) {
+	if !l.job.Due(now) || now.Before(l.due) {
 		return
 	}
 	l.job.Begin(now)
--- a/core/quarantine/record.go
+++ b/core/quarantine/record.go
@@ -61,7 +61,7 @@
 	for len(r.queue) > 0 && t.Remaining(now, r.queue[0]) == 0 {
 		r.queue = r.queue[1:] // it does not hold any more
 	}
-	if len(r.queue) == 0 || !r.job.Ready(now) || t.Outage.Down() {
+	if len(r.queue) == 0 || !r.job.Due(now) || t.Outage.Down() {
 		return
 	}
 	request := r.queue[0]
--- a/core/step/step.go
+++ b/core/step/step.go
@@ -59,8 +59,8 @@
 	sentAt   clock.Instant
 }
 
-// Ready reports whether the next request is due and none is under way.
-func (j *Job) Ready(now clock.Instant) bool {
+// Due reports whether the next request is due and none is under way.
+func (j *Job) Due(now clock.Instant) bool {
 	if j.inFlight && now.Since(j.sentAt) < replyLost {
 		return false
 	}
