--- a/core/own/planner/read.go
+++ b/core/own/planner/read.go
@@ -102,7 +102,7 @@
 		return
 	}
 	rd.backoff = rd.backoff.WithSuccess()
-	rd.EndAsScheduled()
+	rd.EndKeepDue()
 	p.observe(now, e.Engine, e.State)
 	if l := p.ledgers[e.Engine]; l != nil {
 		p.settle(now, l, e.State, 0)
--- a/core/step/step.go
+++ b/core/step/step.go
@@ -82,8 +82,8 @@
 	j.due = due
 }
 
-// EndAsScheduled notes that the request is over and leaves the due time.
-func (j *Job) EndAsScheduled() { j.inFlight = false }
+// EndKeepDue notes that the request is over and leaves the due time.
+func (j *Job) EndKeepDue() { j.inFlight = false }
 
 // SentAt returns when the last request was sent.
 func (j *Job) SentAt() clock.Instant { return j.sentAt }
