--- a/core/exchange/rhythm.go
+++ b/core/exchange/rhythm.go
@@ -46,7 +46,7 @@
 		x.contactSeeds(now)
 		return
 	}
-	every := x.Options.ExchangeRound()
+	every := x.Options.PlatformExchangeInterval()
 	if r.news > 0 {
 		r.news--
 		every = min(every, newsSpacing)
--- a/core/option/option.go
+++ b/core/option/option.go
@@ -108,8 +108,8 @@
 	Intents      bool // order engines that check nothing without writing it down
 }
 
-// ExchangeRound returns the spacing of exchanges where news of the platform travels by them.
-func (o Options) ExchangeRound() time.Duration {
+// PlatformExchangeInterval returns the spacing of exchanges where news of the platform travels by them.
+func (o Options) PlatformExchangeInterval() time.Duration {
 	if o.Environment != Platform {
 		return o.ExchangeEvery
 	}
