--- a/core/config/document.go
+++ b/core/config/document.go
@@ -16,9 +16,9 @@
 type Document struct {
 	// Revision counts accepted changes. birchctl writes it; operators leave it out.
 	Revision uint64 `yaml:"revision,omitempty"`
-	// Change identifies the apply that wrote this revision, so that an
+	// ChangeID identifies the apply that wrote this revision, so that an
 	// operator whose answer was lost can recognise his own change.
-	Change    string      `yaml:"change,omitempty"`
+	ChangeID  string      `yaml:"change,omitempty"`
 	Zones     []Zone      `yaml:"zones"`
 	Engines   []Engine    `yaml:"engines,omitempty"`
 	Models    []Model     `yaml:"models,omitempty"`
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -79,7 +79,7 @@
 		return 0, conflict(doc, stored.Document)
 	}
 	doc.Revision = stored.Document.Revision + 1
-	doc.Change = newChange()
+	doc.ChangeID = newChange()
 	data, err := doc.Encode()
 	if err != nil {
 		return 0, err
@@ -99,7 +99,7 @@
 		if err != nil {
 			continue // the next swap can do no harm: it expects the same revision
 		}
-		if now.Document.Change == doc.Change {
+		if now.Document.ChangeID == doc.ChangeID {
 			return doc.Revision, nil
 		}
 		if now.Revision != stored.Revision {
@@ -117,11 +117,11 @@
 	now, err := Get(ctx, p)
 	switch {
 	case err != nil:
-		return code.Errorf(code.ConfigUnresolved, "change %s on revision %d: %v", doc.Change, stored.Document.Revision, err)
-	case now.Document.Change == doc.Change:
+		return code.Errorf(code.ConfigUnresolved, "change %s on revision %d: %v", doc.ChangeID, stored.Document.Revision, err)
+	case now.Document.ChangeID == doc.ChangeID:
 		return nil
 	default:
-		return code.Errorf(code.ConfigUnresolved, "change %s is not in force now, yet may still arrive", doc.Change)
+		return code.Errorf(code.ConfigUnresolved, "change %s is not in force now, yet may still arrive", doc.ChangeID)
 	}
 }
 
@@ -161,6 +161,6 @@
 
 func plain(d config.Document) ([]byte, error) {
 	d.Revision = 0
-	d.Change = ""
+	d.ChangeID = ""
 	return d.YAML()
 }
