--- a/core/config/document.go
+++ b/core/config/document.go
@@ -18,18 +18,18 @@
 	Revision uint64 `yaml:"revision,omitempty"`
 	// ChangeID identifies the apply that wrote this revision, so that an
 	// operator whose answer was lost can recognise his own change.
-	ChangeID  string      `yaml:"change,omitempty"`
-	Zones     []Zone      `yaml:"zones"`
-	Engines   []Engine    `yaml:"engines,omitempty"`
-	Models    []Model     `yaml:"models,omitempty"`
-	Adapters  []Adapter   `yaml:"adapters,omitempty"`
-	Services  []Service   `yaml:"services"`
-	Forwards  []Forward   `yaml:"forwards,omitempty"`
-	Callers   []Caller    `yaml:"callers,omitempty"`
-	Policies  []Policy    `yaml:"policies,omitempty"`
-	Residency Residency   `yaml:"residency,omitempty"`
-	Weights   WeightStore `yaml:"weight_store,omitempty"`
-	Limits    Limits      `yaml:"limits,omitempty"`
+	ChangeID    string      `yaml:"change,omitempty"`
+	Zones       []Zone      `yaml:"zones"`
+	Engines     []Engine    `yaml:"engines,omitempty"`
+	Models      []Model     `yaml:"models,omitempty"`
+	Adapters    []Adapter   `yaml:"adapters,omitempty"`
+	Services    []Service   `yaml:"services"`
+	Forwards    []Forward   `yaml:"forwards,omitempty"`
+	Callers     []Caller    `yaml:"callers,omitempty"`
+	Policies    []Policy    `yaml:"policies,omitempty"`
+	Residency   Residency   `yaml:"residency,omitempty"`
+	WeightStore WeightStore `yaml:"weight_store,omitempty"`
+	Limits      Limits      `yaml:"limits,omitempty"`
 }
 
 // A Zone is one availability zone.
@@ -190,10 +190,10 @@
 		d.Residency.MoveCost = DefaultMoveCost
 	}
 	d.Residency.MinimumStay = orDuration(d.Residency.MinimumStay, DefaultMinimumStay)
-	if d.Weights.LoadsPerSecond == 0 {
-		d.Weights.LoadsPerSecond = DefaultLoadsPerSec
+	if d.WeightStore.LoadsPerSecond == 0 {
+		d.WeightStore.LoadsPerSecond = DefaultLoadsPerSec
 	}
-	d.Weights.AtOnce = orInt(d.Weights.AtOnce, DefaultLoadsAtOnce)
+	d.WeightStore.AtOnce = orInt(d.WeightStore.AtOnce, DefaultLoadsAtOnce)
 	return d
 }
 
--- a/core/own/planner/input.go
+++ b/core/own/planner/input.go
@@ -80,7 +80,7 @@
 		Assigned:    p.zones.assigned,
 		MoveCost:    doc.Residency.MoveCost,
 		MinimumStay: doc.Residency.MinimumStay,
-		Loads:       p.loadsAllowed(now, doc.Weights),
+		Loads:       p.loadsAllowed(now, doc.WeightStore),
 	}
 	in.Elsewhere, in.Covered = p.elsewhere(now)
 	zones := p.planningZones(now)
--- a/standin/integration/fleet_test.go
+++ b/standin/integration/fleet_test.go
@@ -132,8 +132,8 @@
 	}
 	w.doc.Residency.MinimumStay = 300 * time.Millisecond
 	w.doc.Residency.MoveCost = 0.01
-	w.doc.Weights.LoadsPerSecond = 40
-	w.doc.Weights.AtOnce = 40
+	w.doc.WeightStore.LoadsPerSecond = 40
+	w.doc.WeightStore.AtOnce = 40
 	return w
 }
 
