--- a/core/config/config_test.go
+++ b/core/config/config_test.go
@@ -145,7 +145,7 @@
 	}
 	for i := range 1900 {
 		model := fmt.Sprintf("model-%d", i)
-		d.Models = append(d.Models, Model{Name: model, MemoryMiB: int64(4000 + i*7%9000), Load: time.Duration(i%20) * time.Second})
+		d.Models = append(d.Models, Model{Name: model, MemoryMiB: int64(4000 + i*7%9000), LoadTime: time.Duration(i%20) * time.Second})
 		d.Services = append(d.Services, Service{Name: "service-" + model, Versions: []Version{{Name: "v1", Model: model, Share: 1}}, Policy: "p"})
 	}
 	d.Policies = []Policy{{Name: "p", Priority: "50"}}
--- a/core/config/document.go
+++ b/core/config/document.go
@@ -57,8 +57,8 @@
 	MemoryMiB int64  `yaml:"memory_mib"`
 	// PrefillPerSecond is the prompt tokens one engine reads a second.
 	PrefillPerSecond int `yaml:"prefill_per_second,omitempty"`
-	// Load is the usual time to load it at the weight store's full speed.
-	Load time.Duration `yaml:"load,omitempty"`
+	// LoadTime is the usual time to load it at the weight store's full speed.
+	LoadTime time.Duration `yaml:"load,omitempty"`
 }
 
 // An Adapter is a small set of weights on top of a model.
@@ -174,7 +174,7 @@
 	for i := range d.Models {
 		m := &d.Models[i]
 		m.PrefillPerSecond = orInt(m.PrefillPerSecond, DefaultPrefill)
-		m.Load = orDuration(m.Load, DefaultLoad)
+		m.LoadTime = orDuration(m.LoadTime, DefaultLoad)
 	}
 	d.Services = append([]Service(nil), d.Services...)
 	for i := range d.Services {
--- a/core/instance/adapter_test.go
+++ b/core/instance/adapter_test.go
@@ -23,7 +23,7 @@
 	doc := config.Document{
 		Revision: 1,
 		Zones:    []config.Zone{{Name: "z"}},
-		Models:   []config.Model{{Name: "m", MemoryMiB: 100, Load: time.Second}},
+		Models:   []config.Model{{Name: "m", MemoryMiB: 100, LoadTime: time.Second}},
 		Adapters: []config.Adapter{{Name: "a", Model: "m", MemoryMiB: 1}},
 		Services: []config.Service{{Name: "s", Versions: []config.Version{{Name: "v", Model: "m", Adapter: "a", Share: 1}}}},
 	}
--- a/core/instance/promises_test.go
+++ b/core/instance/promises_test.go
@@ -37,7 +37,7 @@
 	d.Services = nil
 	for i := range 8 {
 		model := fmt.Sprintf("model-%d", i+1)
-		d.Models = append(d.Models, config.Model{Name: model, MemoryMiB: 400, Load: time.Second})
+		d.Models = append(d.Models, config.Model{Name: model, MemoryMiB: 400, LoadTime: time.Second})
 		d.Services = append(d.Services, config.Service{
 			Name: "svc-" + model, Versions: []config.Version{{Name: "v1", Model: model, Share: 1}},
 		})
--- a/core/own/modelcalls/modelcalls.go
+++ b/core/own/modelcalls/modelcalls.go
@@ -145,7 +145,7 @@
 	}
 	if model, ok := h.Config.Model(s.version.Model); ok {
 		s.prefillRate = model.PrefillPerSecond
-		s.load = model.Load
+		s.load = model.LoadTime
 	}
 }
 
--- a/standin/cmd/demo/config.go
+++ b/standin/cmd/demo/config.go
@@ -46,7 +46,7 @@
 	}
 	for i := range models {
 		d.Models = append(d.Models, config.Model{
-			Name: modelName(i), MemoryMiB: modelMiB, PrefillPerSecond: 20000, Load: 2 * time.Second,
+			Name: modelName(i), MemoryMiB: modelMiB, PrefillPerSecond: 20000, LoadTime: 2 * time.Second,
 		})
 	}
 	for i := range adapters {
--- a/standin/integration/world_test.go
+++ b/standin/integration/world_test.go
@@ -121,7 +121,7 @@
 
 // model adds a model with a service of its own, "svc-" before the name.
 func (w *world) model(name string, mib int64) {
-	w.doc.Models = append(w.doc.Models, config.Model{Name: name, MemoryMiB: mib, PrefillPerSecond: 100000, Load: 100_000_000})
+	w.doc.Models = append(w.doc.Models, config.Model{Name: name, MemoryMiB: mib, PrefillPerSecond: 100000, LoadTime: 100_000_000})
 	w.doc.Services = append(w.doc.Services, config.Service{
 		Name: "svc-" + name, Versions: []config.Version{{Name: "v1", Model: name, Share: 1}},
 	})
