--- a/core/config/forward.go
+++ b/core/config/forward.go
@@ -95,7 +95,7 @@
 type PooledModel struct {
 	Name      string        `yaml:"name"`
 	MemoryMB  int64         `yaml:"memory_mb"`
-	Load      time.Duration `yaml:"load"`      // from the weight store
+	LoadTime  time.Duration `yaml:"load"`      // from the weight store
 	LoadDisk  time.Duration `yaml:"load_disk"` // from the engine's own disk
 	LoadHost  time.Duration `yaml:"load_host"` // from the engine's host memory
 	Adapters  int           `yaml:"adapters"`  // how many there are
--- a/core/forwarding/wait.go
+++ b/core/forwarding/wait.go
@@ -192,7 +192,7 @@
 	if !ok {
 		return calls.LeastRetryAfter
 	}
-	best := facts.Load
+	best := facts.LoadTime
 	for _, r := range f.Pool.Serving(c.Service) {
 		if r.Usable() {
 			best = min(best, owned.LoadTime(facts, r.Announcement()))
--- a/core/owned/state.go
+++ b/core/owned/state.go
@@ -109,6 +109,6 @@
 	case pool.Disk:
 		return m.LoadDisk
 	default:
-		return m.Load
+		return m.LoadTime
 	}
 }
