--- a/core/config/forward.go
+++ b/core/config/forward.go
@@ -93,13 +93,13 @@
 
 // A PooledModel is a model that the engines of a pool may hold.
 type PooledModel struct {
-	Name      string        `yaml:"name"`
-	MemoryMB  int64         `yaml:"memory_mb"`
-	LoadTime  time.Duration `yaml:"load"`      // from the weight store
-	LoadDisk  time.Duration `yaml:"load_disk"` // from the engine's own disk
-	LoadHost  time.Duration `yaml:"load_host"` // from the engine's host memory
-	Adapters  int           `yaml:"adapters"`  // how many there are
-	AdapterMB int64         `yaml:"adapter_mb"`
+	Name         string        `yaml:"name"`
+	MemoryMB     int64         `yaml:"memory_mb"`
+	LoadTime     time.Duration `yaml:"load"`      // from the weight store
+	DiskLoadTime time.Duration `yaml:"load_disk"` // from the engine's own disk
+	LoadHost     time.Duration `yaml:"load_host"` // from the engine's host memory
+	Adapters     int           `yaml:"adapters"`  // how many there are
+	AdapterMB    int64         `yaml:"adapter_mb"`
 }
 
 // Model returns the pool's model with this name.
--- a/core/forwarding/forwarding_test.go
+++ b/core/forwarding/forwarding_test.go
@@ -62,7 +62,7 @@
 
 // testCall is a call in progress whose route allows two attempts.
 func (f *Forwarder) testCall(kind config.Kind, resumable bool) (*calls.Call, *state) {
-	engines := &config.EnginePool{Models: []config.PooledModel{{Name: "m", MemoryMB: 70, LoadTime: 4 * time.Second, LoadDisk: 800 * time.Millisecond}}}
+	engines := &config.EnginePool{Models: []config.PooledModel{{Name: "m", MemoryMB: 70, LoadTime: 4 * time.Second, DiskLoadTime: 800 * time.Millisecond}}}
 	s := &state{
 		route:   &config.Forward{Kind: kind, Resumable: resumable, MaxAttempts: 2},
 		service: config.Service{Name: "s", Announced: &config.Announced{Engine: engines}},
--- a/core/owned/state.go
+++ b/core/owned/state.go
@@ -107,7 +107,7 @@
 	case pool.HostMemory:
 		return m.LoadHost
 	case pool.Disk:
-		return m.LoadDisk
+		return m.DiskLoadTime
 	default:
 		return m.LoadTime
 	}
