--- a/core/config/forward.go
+++ b/core/config/forward.go
@@ -97,7 +97,7 @@
 	MemoryMB     int64         `yaml:"memory_mb"`
 	LoadTime     time.Duration `yaml:"load"`      // from the weight store
 	DiskLoadTime time.Duration `yaml:"load_disk"` // from the engine's own disk
-	LoadHost     time.Duration `yaml:"load_host"` // from the engine's host memory
+	HostLoadTime time.Duration `yaml:"load_host"` // from the engine's host memory
 	Adapters     int           `yaml:"adapters"`  // how many there are
 	AdapterMB    int64         `yaml:"adapter_mb"`
 }
--- a/core/instance/announced_world_test.go
+++ b/core/instance/announced_world_test.go
@@ -178,7 +178,7 @@
 	for i := range fleetModels {
 		engine.Models = append(engine.Models, config.PooledModel{
 			Name: fmt.Sprintf("m%d", i), MemoryMB: fleetModelMB, Adapters: 4, AdapterMB: 1,
-			LoadTime: 4 * time.Second, DiskLoadTime: 800 * time.Millisecond, LoadHost: 400 * time.Millisecond,
+			LoadTime: 4 * time.Second, DiskLoadTime: 800 * time.Millisecond, HostLoadTime: 400 * time.Millisecond,
 		})
 	}
 	return config.Document{
--- a/core/owned/state.go
+++ b/core/owned/state.go
@@ -105,7 +105,7 @@
 func LoadTime(m config.PooledModel, a pool.Announcement) time.Duration {
 	switch a.SourceOf(m.Name) {
 	case pool.HostMemory:
-		return m.LoadHost
+		return m.HostLoadTime
 	case pool.Disk:
 		return m.DiskLoadTime
 	default:
