--- a/core/config/forward.go
+++ b/core/config/forward.go
@@ -98,7 +98,7 @@
 	LoadTime     time.Duration `yaml:"load"`      // from the weight store
 	DiskLoadTime time.Duration `yaml:"load_disk"` // from the engine's own disk
 	HostLoadTime time.Duration `yaml:"load_host"` // from the engine's host memory
-	Adapters     int           `yaml:"adapters"`  // how many there are
+	AdapterCount int           `yaml:"adapters"`  // how many there are
 	AdapterMB    int64         `yaml:"adapter_mb"`
 }
 
--- a/core/instance/announced_world_test.go
+++ b/core/instance/announced_world_test.go
@@ -177,7 +177,7 @@
 	engine := &config.EnginePool{Sequences: 8, CacheTokens: 1000, MemoryMB: 3*fleetModelMB + 5, AdapterSlots: 2, LoadsPerSec: fleetRate}
 	for i := range fleetModels {
 		engine.Models = append(engine.Models, config.PooledModel{
-			Name: fmt.Sprintf("m%d", i), MemoryMB: fleetModelMB, Adapters: 4, AdapterMB: 1,
+			Name: fmt.Sprintf("m%d", i), MemoryMB: fleetModelMB, AdapterCount: 4, AdapterMB: 1,
 			LoadTime: 4 * time.Second, DiskLoadTime: 800 * time.Millisecond, HostLoadTime: 400 * time.Millisecond,
 		})
 	}
--- a/core/instance/configure_test.go
+++ b/core/instance/configure_test.go
@@ -42,7 +42,7 @@
 	doc := fleetDocument()
 	doc.Revision++
 	engines := doc.Services[0].Announced.Engine
-	engines.Models = append(engines.Models, config.PooledModel{Name: "added", MemoryMB: 1, LoadTime: time.Second, Adapters: 1, AdapterMB: 1})
+	engines.Models = append(engines.Models, config.PooledModel{Name: "added", MemoryMB: 1, LoadTime: time.Second, AdapterCount: 1, AdapterMB: 1})
 	snapshot, err := config.NewSnapshot(doc)
 	is.NoErr(err)
 	m.Step(now, ConfigReply{Snapshot: snapshot, Source: PlatformSource})
