--- a/core/forwarding/place.go
+++ b/core/forwarding/place.go
@@ -149,7 +149,7 @@
 		return 0, false
 	}
 	cost = fetchCost + r.RateLimitDelay(now) // the order takes a turn of its own
-	if phase != pool.Loading && r.Adapters() >= s.service.Announced.Engine.AdapterSlots {
+	if phase != pool.Loading && r.Adapters() >= s.service.Announced.Engine.MaxAdapters {
 		cost += evictCost
 	}
 	return cost, true
--- a/core/owned/owned.go
+++ b/core/owned/owned.go
@@ -130,7 +130,7 @@
 	if !ok {
 		return limits, nil, false
 	}
-	return orders.Limits{MemoryMB: p.MemoryMB, AdapterSlots: p.AdapterSlots}, sizesOf(p), true
+	return orders.Limits{MemoryMB: p.MemoryMB, AdapterSlots: p.MaxAdapters}, sizesOf(p), true
 }
 
 func sizesOf(p *config.EnginePool) orders.Sizes {
