--- a/core/config/forward.go
+++ b/core/config/forward.go
@@ -83,12 +83,12 @@
 // An EnginePool says what every engine of an announced service is and which
 // models it may hold.
 type EnginePool struct {
-	Sequences   int           `yaml:"sequences"`    // calls one engine runs at once
-	CacheTokens int           `yaml:"cache_tokens"` // tokens its memory for prompts and answers holds
-	MemoryMB    int64         `yaml:"memory_mb"`    // for weights and adapters together
-	MaxAdapters int           `yaml:"max_adapters"` // adapters one engine may hold
-	LoadsPerSec float64       `yaml:"loads_per_second"`
-	Models      []PooledModel `yaml:"models"`
+	Sequences      int           `yaml:"sequences"`    // calls one engine runs at once
+	CacheTokens    int           `yaml:"cache_tokens"` // tokens its memory for prompts and answers holds
+	MemoryMB       int64         `yaml:"memory_mb"`    // for weights and adapters together
+	MaxAdapters    int           `yaml:"max_adapters"` // adapters one engine may hold
+	LoadsPerSecond float64       `yaml:"loads_per_second"`
+	Models         []PooledModel `yaml:"models"`
 }
 
 // A PooledModel is a model that the engines of a pool may hold.
--- a/core/instance/announced_world_test.go
+++ b/core/instance/announced_world_test.go
@@ -174,7 +174,7 @@
 )
 
 func fleetDocument() config.Document {
-	engine := &config.EnginePool{Sequences: 8, CacheTokens: 1000, MemoryMB: 3*fleetModelMB + 5, MaxAdapters: 2, LoadsPerSec: fleetRate}
+	engine := &config.EnginePool{Sequences: 8, CacheTokens: 1000, MemoryMB: 3*fleetModelMB + 5, MaxAdapters: 2, LoadsPerSecond: fleetRate}
 	for i := range fleetModels {
 		engine.Models = append(engine.Models, config.PooledModel{
 			Name: fmt.Sprintf("m%d", i), MemoryMB: fleetModelMB, AdapterCount: 4, AdapterMB: 1,
--- a/core/placement/budget.go
+++ b/core/placement/budget.go
@@ -70,7 +70,7 @@
 	rate := 0.0
 	for _, svc := range p.Config.Document().Services {
 		if svc.Announced != nil && svc.Announced.Engine != nil {
-			rate += svc.Announced.Engine.LoadsPerSec
+			rate += svc.Announced.Engine.LoadsPerSecond
 		}
 	}
 	return rate
