--- a/core/config/check.go
+++ b/core/config/check.go
@@ -232,7 +232,7 @@
 	if c.doc.Residency.MinimumStay < 0 {
 		c.fault(code.ConfigValue, "minimum_stay is negative", "residency", "minimum_stay")
 	}
-	if c.doc.WeightStore.LoadsPerSecond < 0 || c.doc.WeightStore.AtOnce < 0 {
+	if c.doc.WeightStore.LoadsPerSecond < 0 || c.doc.WeightStore.MaxConcurrentLoads < 0 {
 		c.fault(code.ConfigValue, "limits are positive", "weight_store")
 	}
 }
--- a/core/config/document.go
+++ b/core/config/document.go
@@ -150,8 +150,8 @@
 
 // WeightStore carries the limits of the store that all zones load from.
 type WeightStore struct {
-	LoadsPerSecond float64 `yaml:"loads_per_second,omitempty"`
-	AtOnce         int     `yaml:"at_once,omitempty"`
+	LoadsPerSecond     float64 `yaml:"loads_per_second,omitempty"`
+	MaxConcurrentLoads int     `yaml:"at_once,omitempty"`
 }
 
 // Defaults of fields that operators may leave out.
@@ -193,7 +193,7 @@
 	if d.WeightStore.LoadsPerSecond == 0 {
 		d.WeightStore.LoadsPerSecond = DefaultLoadsPerSec
 	}
-	d.WeightStore.AtOnce = orInt(d.WeightStore.AtOnce, DefaultLoadsAtOnce)
+	d.WeightStore.MaxConcurrentLoads = orInt(d.WeightStore.MaxConcurrentLoads, DefaultLoadsAtOnce)
 	return d
 }
 
--- a/core/instance/promises_test.go
+++ b/core/instance/promises_test.go
@@ -49,7 +49,7 @@
 	}
 	d.Services = append(d.Services, plain)
 	d.Residency = config.Residency{MinimumStay: 2 * time.Second, MoveCost: 0.1}
-	d.WeightStore = config.WeightStore{LoadsPerSecond: 4, AtOnce: 8}
+	d.WeightStore = config.WeightStore{LoadsPerSecond: 4, MaxConcurrentLoads: 8}
 	return d
 }
 
--- a/core/own/planner/input.go
+++ b/core/own/planner/input.go
@@ -201,7 +201,7 @@
 	rate := w.LoadsPerSecond * share
 	b.tokens = min(b.tokens+rate*now.Since(b.at).Seconds(), max(1, rate))
 	b.at = now
-	atOnce := max(1, int(math.Floor(float64(w.AtOnce)*share)))
+	atOnce := max(1, int(math.Floor(float64(w.MaxConcurrentLoads)*share)))
 	loading := 0
 	for _, l := range p.ledgers {
 		loading += l.LoadsUnderWay()
--- a/standin/integration/fleet_test.go
+++ b/standin/integration/fleet_test.go
@@ -133,7 +133,7 @@
 	w.doc.Residency.MinimumStay = 300 * time.Millisecond
 	w.doc.Residency.MoveCost = 0.01
 	w.doc.WeightStore.LoadsPerSecond = 40
-	w.doc.WeightStore.AtOnce = 40
+	w.doc.WeightStore.MaxConcurrentLoads = 40
 	return w
 }
 
