--- a/core/config/check.go
+++ b/core/config/check.go
@@ -180,7 +180,7 @@
 		for j, r := range s.Replicas {
 			c.name(replicas, r.Name, "services", i, "replicas", j)
 			c.place(r.Address, r.Zone, "services", i, "replicas", j)
-			c.positive(int64(r.Concurrent), "concurrent", "services", i, "replicas", j, "concurrent")
+			c.positive(int64(r.MaxConcurrent), "concurrent", "services", i, "replicas", j, "concurrent")
 		}
 	}
 }
--- a/core/config/document.go
+++ b/core/config/document.go
@@ -95,11 +95,11 @@
 
 // A Replica is one process of a plain service.
 type Replica struct {
-	Name       string `yaml:"name"`
-	Address    string `yaml:"address"` // IP:port
-	Zone       string `yaml:"zone"`
-	Domain     string `yaml:"domain,omitempty"`
-	Concurrent int    `yaml:"concurrent,omitempty"` // calls it bears at once; 64 if unset
+	Name          string `yaml:"name"`
+	Address       string `yaml:"address"` // IP:port
+	Zone          string `yaml:"zone"`
+	Domain        string `yaml:"domain,omitempty"`
+	MaxConcurrent int    `yaml:"concurrent,omitempty"` // calls it bears at once; 64 if unset
 }
 
 // A Route overrides its service for paths that begin with Prefix.
@@ -183,7 +183,7 @@
 		s.Target.BetweenTokens = orDuration(s.Target.BetweenTokens, DefaultBetweenTokens)
 		s.Replicas = append([]Replica(nil), s.Replicas...)
 		for j := range s.Replicas {
-			s.Replicas[j].Concurrent = orInt(s.Replicas[j].Concurrent, DefaultConcurrent)
+			s.Replicas[j].MaxConcurrent = orInt(s.Replicas[j].MaxConcurrent, DefaultConcurrent)
 		}
 	}
 	if d.Residency.MoveCost == 0 {
--- a/core/instance/promises_test.go
+++ b/core/instance/promises_test.go
@@ -45,7 +45,7 @@
 	plain := config.Service{Name: "stock"}
 	for i := range 2 {
 		name := fmt.Sprintf("stock-%d", i+1)
-		plain.Replicas = append(plain.Replicas, config.Replica{Name: name, Address: name, Zone: fmt.Sprintf("z%d", i+1), Concurrent: 8})
+		plain.Replicas = append(plain.Replicas, config.Replica{Name: name, Address: name, Zone: fmt.Sprintf("z%d", i+1), MaxConcurrent: 8})
 	}
 	d.Services = append(d.Services, plain)
 	d.Residency = config.Residency{MinimumStay: 2 * time.Second, MoveCost: 0.1}
--- a/core/pool/pool.go
+++ b/core/pool/pool.go
@@ -53,7 +53,7 @@
 		for _, r := range svc.Replicas {
 			p.keep(next, Spec{
 				Name: r.Name, Address: r.Address, Zone: r.Zone, Domain: r.Domain, Kind: Plain,
-				Service: svc.Name, Concurrent: r.Concurrent,
+				Service: svc.Name, Concurrent: r.MaxConcurrent,
 			})
 		}
 	}
