--- a/core/config/forward.go
+++ b/core/config/forward.go
@@ -34,8 +34,8 @@
 	// Target is the time within which an answer counts in full: its end, or
 	// the first event of a stream.
 	Target time.Duration `yaml:"target,omitempty"`
-	// Gap is the longest pause between events that keeps a stream in time.
-	Gap time.Duration `yaml:"gap,omitempty"`
+	// MaxEventGap is the longest pause between events that keeps a stream in time.
+	MaxEventGap time.Duration `yaml:"gap,omitempty"`
 	// Priority is the rank of the calls; 0 is the most urgent.
 	Priority int `yaml:"priority,omitempty"`
 	// MaxAttempts bounds the replicas that one call may go to.
--- a/core/forwarding/overload.go
+++ b/core/forwarding/overload.go
@@ -102,7 +102,7 @@
 		target:   c.Target,
 		reading:  best.Reading,
 		own:      best.Prefill,
-		gap:      s.route.Gap,
+		gap:      s.route.MaxEventGap,
 	}
 	switch p.verdict(f.Calls.Queued(c)) {
 	case holdIt:
