--- a/core/config/forward.go
+++ b/core/config/forward.go
@@ -114,10 +114,10 @@
 
 // Limits bound what callers of forwards may send.
 type Limits struct {
-	HeaderBytes int           `yaml:"header_bytes,omitempty"`
-	BodyBytes   int64         `yaml:"body_bytes,omitempty"`
-	HeaderTime  time.Duration `yaml:"header_time,omitempty"`
-	IdleTime    time.Duration `yaml:"idle_time,omitempty"`
+	MaxHeaderBytes int           `yaml:"header_bytes,omitempty"`
+	BodyBytes      int64         `yaml:"body_bytes,omitempty"`
+	HeaderTime     time.Duration `yaml:"header_time,omitempty"`
+	IdleTime       time.Duration `yaml:"idle_time,omitempty"`
 }
 
 // forwardTable finds the forward of a call: by host, then by longest prefix.
