--- a/core/config/forward.go
+++ b/core/config/forward.go
@@ -115,7 +115,7 @@
 // Limits bound what callers of forwards may send.
 type Limits struct {
 	MaxHeaderBytes int           `yaml:"header_bytes,omitempty"`
-	BodyBytes      int64         `yaml:"body_bytes,omitempty"`
+	MaxBodyBytes   int64         `yaml:"body_bytes,omitempty"`
 	HeaderTime     time.Duration `yaml:"header_time,omitempty"`
 	IdleTime       time.Duration `yaml:"idle_time,omitempty"`
 }
