--- a/core/config/forward.go
+++ b/core/config/forward.go
@@ -116,7 +116,7 @@
 type Limits struct {
 	MaxHeaderBytes int           `yaml:"header_bytes,omitempty"`
 	MaxBodyBytes   int64         `yaml:"body_bytes,omitempty"`
-	HeaderTime     time.Duration `yaml:"header_time,omitempty"`
+	HeaderTimeout  time.Duration `yaml:"header_time,omitempty"`
 	IdleTime       time.Duration `yaml:"idle_time,omitempty"`
 }
 
