--- a/core/config/forward.go
+++ b/core/config/forward.go
@@ -117,7 +117,7 @@
 	MaxHeaderBytes int           `yaml:"header_bytes,omitempty"`
 	MaxBodyBytes   int64         `yaml:"body_bytes,omitempty"`
 	HeaderTimeout  time.Duration `yaml:"header_time,omitempty"`
-	IdleTime       time.Duration `yaml:"idle_time,omitempty"`
+	IdleTimeout    time.Duration `yaml:"idle_time,omitempty"`
 }
 
 // forwardTable finds the forward of a call: by host, then by longest prefix.
