--- a/core/config/check.go
+++ b/core/config/check.go
@@ -19,8 +19,8 @@
 
 var nameRE = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]*$`)
 
-// Check returns every fault of the file; none means it may be applied.
-func (f File) Check() []*code.Error {
+// Validate returns every fault of the file; none means it may be applied.
+func (f File) Validate() []*code.Error {
 	c := checker{file: f, doc: f.Document.withDefaults()}
 	c.zones()
 	c.engines()
--- a/core/config/config_test.go
+++ b/core/config/config_test.go
@@ -44,7 +44,7 @@
 func TestGoodDocumentIsAccepted(t *testing.T) {
 	is := is.New(t)
 	f := mustParse(t, good)
-	is.Equal(len(f.Check()), 0)
+	is.Equal(len(f.Validate()), 0)
 	f.Document.Revision = 3
 	data, err := f.Document.Encode()
 	is.NoErr(err)
@@ -111,7 +111,7 @@
 			is.True(text != good)
 			f, faults := Parse([]byte(text))
 			if len(faults) == 0 {
-				faults = f.Check()
+				faults = f.Validate()
 			}
 			is.True(len(faults) > 0)
 			var found *code.Error
@@ -162,7 +162,7 @@
 	f.Add([]byte("zones: 3"))
 	f.Fuzz(func(_ *testing.T, data []byte) {
 		if file, faults := Parse(data); len(faults) == 0 {
-			file.Check()
+			file.Validate()
 		}
 	})
 }
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -38,7 +38,7 @@
 	if len(faults) > 0 {
 		return config.Document{}, faults
 	}
-	if faults := file.Check(); len(faults) > 0 {
+	if faults := file.Validate(); len(faults) > 0 {
 		return config.Document{}, faults
 	}
 	if _, err := file.Document.Encode(); err != nil {
