--- a/core/config/forward.go
+++ b/core/config/forward.go
@@ -55,8 +55,8 @@
 	return f.Kind == Repeatable || f.Kind == Stream && f.Resumable
 }
 
-// Pick returns the service for a draw in [0,1), by weight.
-func (f Forward) Pick(draw float64) string {
+// PickService returns the service for a draw in [0,1), by weight.
+func (f Forward) PickService(draw float64) string {
 	total := 0
 	for _, s := range f.Split {
 		total += s.Weight
--- a/core/forwarding/forwarding.go
+++ b/core/forwarding/forwarding.go
@@ -150,7 +150,7 @@
 	if !ok {
 		return calls.NotRun(code.UnknownService, fmt.Sprintf("no forward for %s%s", c.Forward.Host, c.Path), 0), false
 	}
-	name := rule.Pick(f.Rand.Float64())
+	name := rule.PickService(f.Rand.Float64())
 	service, ok := f.Config.Service(name)
 	if !ok || service.Announced == nil {
 		return calls.NotRun(code.NoReplica, fmt.Sprintf("no service %q", name), calls.LeastRetryAfter), false
