--- a/core/config/config_test.go
+++ b/core/config/config_test.go
@@ -62,8 +62,8 @@
 	is.True(ok)
 	caller, ok := s.CallerByKey("foo")
 	is.True(ok)
-	is.True(caller.Admits("notes"))
-	is.True(!caller.Admits("stock"))
+	is.True(caller.MayCall("notes"))
+	is.True(!caller.MayCall("stock"))
 	_, ok = s.CallerByKey("bar")
 	is.True(!ok)
 }
--- a/core/config/snapshot.go
+++ b/core/config/snapshot.go
@@ -159,8 +159,8 @@
 	return *c, same
 }
 
-// Admits reports whether the caller may call the service.
-func (c Caller) Admits(service string) bool {
+// MayCall reports whether the caller may call the service.
+func (c Caller) MayCall(service string) bool {
 	if len(c.Services) == 0 {
 		return true
 	}
--- a/core/own/modelcalls/modelcalls.go
+++ b/core/own/modelcalls/modelcalls.go
@@ -116,7 +116,7 @@
 	if !ok || c.Plain != (len(svc.Replicas) > 0) {
 		return calls.NotRun(code.UnknownService, fmt.Sprintf("no service %q of this kind", c.Service), 0), false
 	}
-	if !caller.Admits(svc.Name) {
+	if !caller.MayCall(svc.Name) {
 		return calls.NotRun(code.Forbidden, fmt.Sprintf("caller %q may not call %q", caller.Name, svc.Name), 0), false
 	}
 	s := stateOf(c)
