--- a/core/config/config_test.go
+++ b/core/config/config_test.go
@@ -73,8 +73,8 @@
 	s, err := NewSnapshot(mustParse(t, good).Document)
 	is.NoErr(err)
 	svc, _ := s.Service("stock")
-	is.True(svc.Repeatable("/levels"))
-	is.True(!svc.Repeatable("/allocations/7"))
+	is.True(svc.MayRepeat("/levels"))
+	is.True(!svc.MayRepeat("/allocations/7"))
 }
 
 // TestFaultsAreNumberedAndPlaced changes one thing of the good document at a
--- a/core/config/snapshot.go
+++ b/core/config/snapshot.go
@@ -188,8 +188,8 @@
 	return s.Versions[len(s.Versions)-1]
 }
 
-// Repeatable reports whether a call to path of the service may run twice.
-func (s Service) Repeatable(path string) bool {
+// MayRepeat reports whether a call to path of the service may run twice.
+func (s Service) MayRepeat(path string) bool {
 	best := -1
 	repeatable := !s.NotRepeatable
 	for _, r := range s.Routes {
--- a/core/own/modelcalls/modelcalls.go
+++ b/core/own/modelcalls/modelcalls.go
@@ -130,7 +130,7 @@
 // attach picks the version and works out whether the call may be repeated.
 func (h *Handler) attach(c *calls.Call) {
 	s := stateOf(c)
-	repeatable := s.service.Repeatable(c.Path) && !c.NotRepeatable
+	repeatable := s.service.MayRepeat(c.Path) && !c.NotRepeatable
 	if !repeatable && c.IdempotencyKey != "" {
 		s.claimKey = claimKey(s.caller, s.service.Name, c.IdempotencyKey)
 	}
