--- a/core/config/snapshot.go
+++ b/core/config/snapshot.go
@@ -119,8 +119,8 @@
 	return Engine{}, false
 }
 
-// ItemMiB returns the accelerator memory of a model or adapter, 0 if unknown.
-func (s *Snapshot) ItemMiB(item string) int64 {
+// ItemMemoryMiB returns the accelerator memory of a model or adapter, 0 if unknown.
+func (s *Snapshot) ItemMemoryMiB(item string) int64 {
 	if m, ok := s.models[item]; ok {
 		return m.MemoryMiB
 	}
--- a/core/own/planner/input.go
+++ b/core/own/planner/input.go
@@ -123,7 +123,7 @@
 func (p *Planner) reportedFree(r *pool.Replica) int64 {
 	free := r.MemoryMiB
 	for _, it := range r.Residency.Items {
-		free -= p.Config.ItemMiB(it.Name)
+		free -= p.Config.ItemMemoryMiB(it.Name)
 	}
 	return free
 }
--- a/core/own/planner/orders.go
+++ b/core/own/planner/orders.go
@@ -33,7 +33,7 @@
 	if !r.ChecksFence && !p.intents.owned && !p.Options.Disable.Intents {
 		return
 	}
-	l.Observe(s, p.fence, answered, p.Config.ItemMiB)
+	l.Observe(s, p.fence, answered, p.Config.ItemMemoryMiB)
 	p.trackSince(now, r.Name, s.Residency)
 	p.settleIntents()
 }
