--- a/core/config/snapshot.go
+++ b/core/config/snapshot.go
@@ -130,8 +130,8 @@
 	return 0
 }
 
-// Base returns the model under an adapter, or "" when item is no adapter.
-func (s *Snapshot) Base(item string) string {
+// BaseModel returns the model under an adapter, or "" when item is no adapter.
+func (s *Snapshot) BaseModel(item string) string {
 	if a, ok := s.adapters[item]; ok {
 		return a.Model
 	}
--- a/internal/own/driver.go
+++ b/internal/own/driver.go
@@ -234,7 +234,7 @@
 	defer done()
 	base := ""
 	if cfg := d.host.Config(); cfg != nil {
-		base = cfg.Base(a.Order.Item)
+		base = cfg.BaseModel(a.Order.Item)
 	}
 	d.host.Post(d.engine.Order(ctx, a.Address, a.Order, base))
 }
