--- a/core/config/snapshot.go
+++ b/core/config/snapshot.go
@@ -201,8 +201,8 @@
 	return repeatable
 }
 
-// Names returns what callers may name, services before bare models, sorted.
-func (s *Snapshot) Names() []string {
+// ServiceNames returns what callers may name, services before bare models, sorted.
+func (s *Snapshot) ServiceNames() []string {
 	var names []string
 	for name := range s.services {
 		names = append(names, name)
--- a/internal/own/modelapi/modelapi.go
+++ b/internal/own/modelapi/modelapi.go
@@ -85,7 +85,7 @@
 		return
 	}
 	list := modelList{Object: "list", Data: []modelInfo{}}
-	for _, name := range cfg.Names() {
+	for _, name := range cfg.ServiceNames() {
 		svc, _ := cfg.Service(name)
 		if len(svc.Versions) > 0 && caller.MayCall(name) {
 			list.Data = append(list.Data, modelInfo{ID: name, Object: "model", OwnedBy: "birchdrift"})
