--- a/core/config/snapshot.go
+++ b/core/config/snapshot.go
@@ -224,5 +224,5 @@
 	Encoded []byte // the snapshot as it came, to be handed to peers
 }
 
-// Known reports whether there is a configuration at all.
-func (c *Current) Known() bool { return c.Snapshot != nil }
+// Loaded reports whether there is a configuration at all.
+func (c *Current) Loaded() bool { return c.Snapshot != nil }
--- a/core/instance/status.go
+++ b/core/instance/status.go
@@ -75,7 +75,7 @@
 	if m.stop.Started() {
 		return false, "stopping"
 	}
-	if !m.state.Config.Known() {
+	if !m.state.Config.Loaded() {
 		return false, "no configuration from the platform or a peer yet"
 	}
 	return true, ""
--- a/core/own/planner/read.go
+++ b/core/own/planner/read.go
@@ -44,7 +44,7 @@
 
 // readDue asks the engines whose state is this instance's to read.
 func (p *Planner) readDue(now clock.Instant) {
-	if !p.Config.Known() || now.Before(p.reads.scanDue) {
+	if !p.Config.Loaded() || now.Before(p.reads.scanDue) {
 		return
 	}
 	p.reads.scanDue = now.Add(scanEvery)
--- a/core/permits/coordinator.go
+++ b/core/permits/coordinator.go
@@ -238,7 +238,7 @@
 	if !c.enrolled() {
 		return
 	}
-	if c.p.Config.Known() {
+	if c.p.Config.Loaded() {
 		for _, svc := range c.p.Config.Document().Services {
 			if svc.Announced != nil {
 				c.standFor(now, Request{Subject: Subject{Service: svc.Name}})
--- a/core/placement/placer.go
+++ b/core/placement/placer.go
@@ -108,7 +108,7 @@
 // Tick seeks the placer's record while nobody holds it, and places models while
 // this instance does.
 func (p *Placer) Tick(now clock.Instant) {
-	if p.Stopping() || !p.Config.Known() {
+	if p.Stopping() || !p.Config.Loaded() {
 		return
 	}
 	p.Registry.SeekPlacer(now)
@@ -149,7 +149,7 @@
 // LoadsLeft returns how many loads from the weight store this instance could begin now
 // as the placer; without a configuration there is nothing to load.
 func (p *Placer) LoadsLeft(now clock.Instant) float64 {
-	if !p.Config.Known() {
+	if !p.Config.Loaded() {
 		return 0
 	}
 	rate := p.loadRate()
