--- a/core/instance/status.go
+++ b/core/instance/status.go
@@ -40,18 +40,18 @@
 
 // A ReplicaStatus is one upstream as known here.
 type ReplicaStatus struct {
-	Name     string            `json:"name"`
-	Zone     string            `json:"zone"`
-	Address  string            `json:"address"`
-	Leaving  bool              `json:"leaving"`
-	Ejected  bool              `json:"ejected"`
-	RestMS   int64             `json:"rest_ms,omitempty"` // for which it wants nothing from this instance
-	Limit    *LimitStatus      `json:"limit,omitempty"`
-	InFlight int               `json:"in_flight"` // of this instance
-	Busy     float64           `json:"busy"`      // 1 is full
-	FirstMS  float64           `json:"first_token_ms"`
-	Items    map[string]string `json:"items,omitempty"` // phase by item
-	FreeMiB  int64             `json:"free_mib,omitempty"`
+	Name         string            `json:"name"`
+	Zone         string            `json:"zone"`
+	Address      string            `json:"address"`
+	Leaving      bool              `json:"leaving"`
+	Ejected      bool              `json:"ejected"`
+	RestMS       int64             `json:"rest_ms,omitempty"` // for which it wants nothing from this instance
+	Limit        *LimitStatus      `json:"limit,omitempty"`
+	InFlight     int               `json:"in_flight"` // of this instance
+	Busy         float64           `json:"busy"`      // 1 is full
+	FirstTokenMS float64           `json:"first_token_ms"`
+	Items        map[string]string `json:"items,omitempty"` // phase by item
+	FreeMiB      int64             `json:"free_mib,omitempty"`
 }
 
 // A LimitStatus is the limit that a replica names, as known here.
@@ -106,16 +106,16 @@
 
 func replicaStatus(now clock.Instant, r *pool.Replica) ReplicaStatus {
 	s := ReplicaStatus{
-		Name:     r.Name,
-		Zone:     r.Zone,
-		Address:  r.Address,
-		Leaving:  r.Leaving(),
-		Ejected:  r.Ejected(now),
-		RestMS:   r.RestLeft(now).Milliseconds(),
-		InFlight: r.InFlight(),
-		Busy:     r.Utilization(now),
-		FirstMS:  float64(r.TimeToFirstToken(now)) / float64(time.Millisecond),
-		Items:    map[string]string{},
+		Name:         r.Name,
+		Zone:         r.Zone,
+		Address:      r.Address,
+		Leaving:      r.Leaving(),
+		Ejected:      r.Ejected(now),
+		RestMS:       r.RestLeft(now).Milliseconds(),
+		InFlight:     r.InFlight(),
+		Busy:         r.Utilization(now),
+		FirstTokenMS: float64(r.TimeToFirstToken(now)) / float64(time.Millisecond),
+		Items:        map[string]string{},
 	}
 	if rate, limited := r.RateLimit(now); limited {
 		w := r.LimitReport()
