--- a/internal/server/notice_test.go
+++ b/internal/server/notice_test.go
@@ -188,7 +188,7 @@
 			named.Store(false)
 			_, ended := s.upstreams(func(u instance.ReplicaStatus) bool {
 				s.call("POST", c.host, "/x", "body")
-				return u.Limit != nil && u.Limit.Ended
+				return u.Limit != nil && u.Limit.Withdrawn
 			})
 			is.True(ended)
 		})
