--- a/core/instance/status.go
+++ b/core/instance/status.go
@@ -56,11 +56,11 @@
 
 // A LimitStatus is the limit that a replica names, as known here.
 type LimitStatus struct {
-	PerSecond float64 `json:"per_s"` // that it takes from all instances together
-	By        string  `json:"by"`    // the instance that had its answer
-	AgeMS     int64   `json:"age_ms"`
-	Withdrawn bool    `json:"ended"`       // it names none any more; calls come back one after the other
-	GivenOut  float64 `json:"given_per_s"` // what all instances together send there now
+	PerSecond        float64 `json:"per_s"` // that it takes from all instances together
+	By               string  `json:"by"`    // the instance that had its answer
+	AgeMS            int64   `json:"age_ms"`
+	Withdrawn        bool    `json:"ended"`       // it names none any more; calls come back one after the other
+	GrantedPerSecond float64 `json:"given_per_s"` // what all instances together send there now
 }
 
 // A DemandStatus is the demand for one item at this instance.
@@ -119,7 +119,7 @@
 	}
 	if rate, limited := r.RateLimit(now); limited {
 		w := r.LimitReport()
-		s.Limit = &LimitStatus{PerSecond: w.Limit.PerSecond, By: w.By, AgeMS: now.Since(w.At).Milliseconds(), Withdrawn: !w.Limit.Named, GivenOut: rate}
+		s.Limit = &LimitStatus{PerSecond: w.Limit.PerSecond, By: w.By, AgeMS: now.Since(w.At).Milliseconds(), Withdrawn: !w.Limit.Named, GrantedPerSecond: rate}
 	}
 	for _, it := range r.Residency.Items {
 		s.Items[it.Name] = it.Phase.String()
