--- a/core/clock/clock.go
+++ b/core/clock/clock.go
@@ -56,15 +56,17 @@
 	return b
 }
 
-// A Moment is when something was: by the clocks of this instance in At, and in a message
+// A EventTime is when something was: by the clocks of this instance in At, and in a message
 // by how long ago it was then in Age.
-type Moment struct {
+type EventTime struct {
 	At  Instant
 	Age time.Duration
 }
 
 // ForWire returns the moment as it travels in a message sent at now.
-func (m Moment) ForWire(now Instant) Moment { return Moment{Age: max(0, now.MaxElapsed(m.At))} }
+func (m EventTime) ForWire(now Instant) EventTime {
+	return EventTime{Age: max(0, now.MaxElapsed(m.At))}
+}
 
 // FromWire returns a moment that arrived in a message at now.
-func (m Moment) FromWire(now Instant) Moment { return Moment{At: now.Add(-m.Age)} }
+func (m EventTime) FromWire(now Instant) EventTime { return EventTime{At: now.Add(-m.Age)} }
--- a/core/crash/crash.go
+++ b/core/crash/crash.go
@@ -35,7 +35,7 @@
 	Seq      uint64 // rises with each replica that ended under the instance's calls
 	Replica  pool.Incarnation
 	Requests []Fingerprint // rising
-	clock.Moment
+	clock.EventTime
 }
 
 // Has reports whether the request was in flight at the replica.
@@ -47,5 +47,5 @@
 // A Success says that a request was served whole.
 type Success struct {
 	Request Fingerprint
-	clock.Moment
+	clock.EventTime
 }
--- a/core/crash/crash_test.go
+++ b/core/crash/crash_test.go
@@ -35,7 +35,7 @@
 	var reports []Report
 	for n, inFlight := range requests {
 		reports = append(reports, Report{
-			Observer: "i", Seq: uint64(n + 1), Replica: life(string(rune('a'+n)), ""), Requests: inFlight, Moment: clock.Moment{At: start.Add(time.Duration(n) * apart)},
+			Observer: "i", Seq: uint64(n + 1), Replica: life(string(rune('a'+n)), ""), Requests: inFlight, EventTime: clock.EventTime{At: start.Add(time.Duration(n) * apart)},
 		})
 	}
 	return reports
@@ -47,7 +47,7 @@
 	for i := range n {
 		reports = append(reports, Report{
 			Observer: "i", Seq: uint64(100 + i), Replica: life("other"+string(rune('a'+i)), ""), Requests: []Fingerprint{Fingerprint(100 + i)},
-			Moment: clock.Moment{At: start.Add(until - time.Duration(i)*time.Second)},
+			EventTime: clock.EventTime{At: start.Add(until - time.Duration(i)*time.Second)},
 		})
 	}
 	return reports
@@ -100,19 +100,19 @@
 		{"blamed before", ended(in{1}), nil, map[Fingerprint]int{1: 1}, []Fingerprint{1}},
 		{"requests that are not known", ended(repeat(4, 0)...), nil, nil, nil},
 		{"one end in two reports", append(ended(repeat(2, 1)...), Report{
-			Observer: "j", Replica: life("b", ""), Requests: in{1}, Moment: clock.Moment{At: start.Add(apart).Add(time.Second)},
+			Observer: "j", Replica: life("b", ""), Requests: in{1}, EventTime: clock.EventTime{At: start.Add(apart).Add(time.Second)},
 		}), nil, nil, nil},
 		{"one end in two reports, of which one comes from an instance that stood still", append(ended(repeat(2, 1)...), Report{
-			Observer: "j", Replica: life("b", ""), Requests: in{1}, Moment: clock.Moment{At: start.Add(5 * apart)},
+			Observer: "j", Replica: life("b", ""), Requests: in{1}, EventTime: clock.EventTime{At: start.Add(5 * apart)},
 		}), nil, nil, nil},
 		{"one replica that starts again and again", again(1, repeat(3, 1)...), nil, nil, []Fingerprint{1}},
 		{"two in turn that start again and again", again(2, repeat(6, 1)...), nil, nil, []Fingerprint{1}},
 		{"two in turn, beside another at all of them", again(2, repeat(3, 1, 9)...), nil, nil, nil},
 		{"one life in two reports", append(again(1, repeat(2, 1)...), Report{
-			Observer: "j", Replica: life("a", "1"), Requests: in{1}, Moment: clock.Moment{At: start.Add(5 * apart)},
+			Observer: "j", Replica: life("a", "1"), Requests: in{1}, EventTime: clock.EventTime{At: start.Add(5 * apart)},
 		}), nil, nil, nil},
 		{"reports of others complete an end", append(ended(in{9}, in{1, 9}, in{1, 9}, in{1}), Report{
-			Observer: "j", Replica: life("a", ""), Requests: in{1}, Moment: clock.Moment{At: start},
+			Observer: "j", Replica: life("a", ""), Requests: in{1}, EventTime: clock.EventTime{At: start},
 		}), nil, nil, []Fingerprint{1}},
 	}
 	for _, c := range cases {
@@ -141,11 +141,11 @@
 // it was sent, by the receiver's own clocks.
 func TestAgesTravel(t *testing.T) {
 	is := is.New(t)
-	sent := clock.Moment{At: start}.ForWire(start.Add(7 * time.Second))
-	is.Equal(sent, clock.Moment{Age: 7 * time.Second})
+	sent := clock.EventTime{At: start}.ForWire(start.Add(7 * time.Second))
+	is.Equal(sent, clock.EventTime{Age: 7 * time.Second})
 	there := clocktest.At(time.Minute)
-	is.Equal(sent.FromWire(there), clock.Moment{At: there.Add(-7 * time.Second)})
+	is.Equal(sent.FromWire(there), clock.EventTime{At: there.Add(-7 * time.Second)})
 	// A machine that slept since counts the sleep.
 	asleep := clock.Instant{Mono: start.Mono, Wall: start.Wall.Add(time.Minute)}
-	is.Equal(clock.Moment{At: start}.ForWire(asleep).Age, time.Minute)
+	is.Equal(clock.EventTime{At: start}.ForWire(asleep).Age, time.Minute)
 }
--- a/core/notice/notice.go
+++ b/core/notice/notice.go
@@ -115,7 +115,7 @@
 // HandlePeerLimits takes in what a peer was told of the limits of replicas.
 func (n *Tracker) HandlePeerLimits(now clock.Instant, from string, limits []share.Limit) {
 	for _, l := range limits {
-		l.Moment = l.FromWire(now)
+		l.EventTime = l.FromWire(now)
 		n.HandlePeerLimit(now, from, l.Incarnation, l.LimitReport)
 	}
 }
--- a/core/notice/notice_test.go
+++ b/core/notice/notice_test.go
@@ -136,7 +136,7 @@
 	n, told := testNotices("i")
 	word := func(born string, perSecond float64, ago time.Duration) []share.Limit {
 		return []share.Limit{{Incarnation: pool.Incarnation{Name: "r", Born: born}, LimitReport: pool.LimitReport{
-			Limit: pool.RateLimit{Named: true, PerSecond: perSecond}, By: "j", Moment: clock.Moment{Age: ago},
+			Limit: pool.RateLimit{Named: true, PerSecond: perSecond}, By: "j", EventTime: clock.EventTime{Age: ago},
 		}}}
 	}
 	rate := func() float64 {
--- a/core/permits/coordinator.go
+++ b/core/permits/coordinator.go
@@ -329,7 +329,7 @@
 	if w.token != 0 {
 		if r := c.p.Pool.Get(w.request.Replica.Name); r != nil && r.MayBeIncarnation(w.request.Replica.Born) {
 			v.Word = r.LimitReport()
-			v.Word.Moment = v.Word.ForWire(now)
+			v.Word.EventTime = v.Word.ForWire(now)
 		}
 		c.p.Out.Emit(Answer{Token: w.token, Verdict: v})
 		return
--- a/core/permits/permits.go
+++ b/core/permits/permits.go
@@ -267,7 +267,7 @@
 
 // send asks a peer.
 func (p *Permits) send(now clock.Instant, token uint64, peer string, r Request) {
-	r.Word.Moment = r.Word.ForWire(now)
+	r.Word.EventTime = r.Word.ForWire(now)
 	p.Out.Emit(Ask{Token: token, Peer: peer, Address: p.Members.Get(peer).Address, Request: r})
 }
 
@@ -347,7 +347,7 @@
 // told takes in what a peer knows of a replica's limit, if it knows of one.
 func (p *Permits) told(now clock.Instant, from string, life pool.Incarnation, w pool.LimitReport) {
 	if !w.IsZero() {
-		w.Moment = w.FromWire(now)
+		w.EventTime = w.FromWire(now)
 		p.Told(now, from, life, w)
 	}
 }
--- a/core/pool/ratelimit.go
+++ b/core/pool/ratelimit.go
@@ -24,7 +24,7 @@
 	Limit RateLimit
 	By    string // the instance that had the answer
 	// Moment is when that came.
-	clock.Moment
+	clock.EventTime
 }
 
 // IsZero reports whether the replica never named a limit.
@@ -112,7 +112,7 @@
 	if limit != r.limit.word.Limit {
 		p.touched++
 	}
-	r.limit.word = LimitReport{Limit: limit, By: by, Moment: clock.Moment{At: now}}
+	r.limit.word = LimitReport{Limit: limit, By: by, EventTime: clock.EventTime{At: now}}
 	return true
 }
 
--- a/core/pool/ratelimit_test.go
+++ b/core/pool/ratelimit_test.go
@@ -69,8 +69,8 @@
 	_, limited := p.Get("r").RateLimit(later)
 	is.True(!limited)
 	is.True(!p.ObserveLimit(later, "r", start, named(3), "i"))
-	is.True(!p.ObservePeerLimit(Incarnation{Name: "r", Born: "1"}, LimitReport{Limit: named(3), By: "j", Moment: clock.Moment{At: later}}))
-	is.True(p.ObservePeerLimit(Incarnation{Name: "r", Born: "2"}, LimitReport{Limit: named(4), By: "j", Moment: clock.Moment{At: later}}))
+	is.True(!p.ObservePeerLimit(Incarnation{Name: "r", Born: "1"}, LimitReport{Limit: named(3), By: "j", EventTime: clock.EventTime{At: later}}))
+	is.True(p.ObservePeerLimit(Incarnation{Name: "r", Born: "2"}, LimitReport{Limit: named(4), By: "j", EventTime: clock.EventTime{At: later}}))
 	is.True(!p.ObserveLimit(later, "gone", later, named(3), "i"))
 	// A rest and its leaving are beside it.
 	p.ObserveNotice(later, "r", later, Notice{Rest: time.Second, Leaving: true})
@@ -86,7 +86,7 @@
 	p := New()
 	p.Announce(start, "r", Announcement{Service: "s", Address: "r"})
 	told := func(after time.Duration, l RateLimit) bool {
-		return p.ObservePeerLimit(Incarnation{Name: "r"}, LimitReport{Limit: l, By: "j", Moment: clock.Moment{At: start.Add(after)}})
+		return p.ObservePeerLimit(Incarnation{Name: "r"}, LimitReport{Limit: l, By: "j", EventTime: clock.EventTime{At: start.Add(after)}})
 	}
 	is.True(told(time.Second, named(2)))
 	is.True(!told(time.Second, named(5)))
@@ -119,7 +119,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			w := LimitReport{Limit: c.limit, By: "i", Moment: clock.Moment{At: start}}
+			w := LimitReport{Limit: c.limit, By: "i", EventTime: clock.EventTime{At: start}}
 			rate, limited := w.Rate(start.Add(c.age))
 			is.Equal(rate, c.want)
 			is.Equal(limited, c.limited)
--- a/core/quarantine/evidence.go
+++ b/core/quarantine/evidence.go
@@ -153,7 +153,7 @@
 	t.suspect(e.requests)
 	r := crash.Report{
 		Observer: t.Self.Name, Boot: t.Self.Boot, Seq: e.seq, Replica: replica, Requests: slices.Clone(e.requests),
-		Moment: clock.Moment{At: e.at},
+		EventTime: clock.EventTime{At: e.at},
 	}
 	t.Records.AddCrash("", r)
 	t.news(now, true, t.ownSpacing(r))
--- a/core/quarantine/quarantine.go
+++ b/core/quarantine/quarantine.go
@@ -105,7 +105,7 @@
 	if !t.suspects[request] {
 		return
 	}
-	if t.Records.AddSuccess("", crash.Success{Request: request, Moment: clock.Moment{At: now}}) {
+	if t.Records.AddSuccess("", crash.Success{Request: request, EventTime: clock.EventTime{At: now}}) {
 		t.news(now, true, tellEvery)
 	}
 }
@@ -114,7 +114,7 @@
 func (t *Tracker) HandlePeerReports(now clock.Instant, from string, reports []crash.Report, served []crash.Success) {
 	news, pressing := false, false
 	for _, r := range reports {
-		r.Moment = r.FromWire(now)
+		r.EventTime = r.FromWire(now)
 		if now.MaxElapsed(r.At) < memory && len(r.Requests) <= maxRequests && t.Records.AddCrash(from, r) {
 			t.suspect(r.Requests)
 			news = true
@@ -122,7 +122,7 @@
 		}
 	}
 	for _, s := range served {
-		s.Moment = s.FromWire(now)
+		s.EventTime = s.FromWire(now)
 		news = t.Records.AddSuccess(from, s) || news
 	}
 	if news {
--- a/core/quarantine/quarantine_test.go
+++ b/core/quarantine/quarantine_test.go
@@ -212,7 +212,7 @@
 			var late []crash.Report
 			for n, replica := range []string{"a", "b", "c", "d"} {
 				late = append(late, crash.Report{
-					Observer: "j", Seq: uint64(n), Replica: life(replica), Requests: []crash.Fingerprint{8}, Moment: clock.Moment{Age: time.Duration(3-n) * time.Second},
+					Observer: "j", Seq: uint64(n), Replica: life(replica), Requests: []crash.Fingerprint{8}, EventTime: clock.EventTime{Age: time.Duration(3-n) * time.Second},
 				})
 			}
 			b.HandlePeerReports(b.now, "j", late, nil)
@@ -221,7 +221,7 @@
 			var late []crash.Report
 			for n, replica := range []string{"a", "b", "c"} {
 				late = append(late, crash.Report{
-					Observer: "j", Seq: uint64(n), Replica: life(replica), Requests: []crash.Fingerprint{8}, Moment: clock.Moment{Age: time.Duration(3-n) * time.Second},
+					Observer: "j", Seq: uint64(n), Replica: life(replica), Requests: []crash.Fingerprint{8}, EventTime: clock.EventTime{Age: time.Duration(3-n) * time.Second},
 				})
 			}
 			b.HandlePeerReports(b.now, "j", late, nil)
--- a/core/share/share.go
+++ b/core/share/share.go
@@ -107,13 +107,13 @@
 // withAges returns the records as they travel in a message sent at now.
 func (r Records) withAges(now clock.Instant) Records {
 	for i, c := range r.Crashes {
-		r.Crashes[i].Moment = c.ForWire(now)
+		r.Crashes[i].EventTime = c.ForWire(now)
 	}
 	for i, s := range r.Successes {
-		r.Successes[i].Moment = s.ForWire(now)
+		r.Successes[i].EventTime = s.ForWire(now)
 	}
 	for i, l := range r.Limits {
-		r.Limits[i].Moment = l.ForWire(now)
+		r.Limits[i].EventTime = l.ForWire(now)
 	}
 	for i, x := range r.Rests {
 		r.Rests[i] = Rest{Incarnation: x.Incarnation, Left: max(0, x.Until.Since(now))}
--- a/core/share/share_test.go
+++ b/core/share/share_test.go
@@ -35,12 +35,12 @@
 	}
 	crashed := func(seq uint64, requests ...crash.Fingerprint) func(*Set) bool {
 		return func(s *Set) bool {
-			return s.AddCrash("", crash.Report{Observer: "i", Boot: 1, Seq: seq, Requests: requests, Moment: clock.Moment{At: clocktest.At(time.Hour)}})
+			return s.AddCrash("", crash.Report{Observer: "i", Boot: 1, Seq: seq, Requests: requests, EventTime: clock.EventTime{At: clocktest.At(time.Hour)}})
 		}
 	}
 	served := func(at time.Duration) func(*Set) bool {
 		return func(s *Set) bool {
-			return s.AddSuccess("", crash.Success{Request: 1, Moment: clock.Moment{At: clocktest.At(at)}})
+			return s.AddSuccess("", crash.Success{Request: 1, EventTime: clock.EventTime{At: clocktest.At(at)}})
 		}
 	}
 	leaving := func(born string) func(*Set) bool {
@@ -51,7 +51,7 @@
 	limited := func(perSecond float64, at time.Duration) func(*Set) bool {
 		return func(s *Set) bool {
 			return s.AddLimit("", pool.Incarnation{Name: "r"}, pool.LimitReport{
-				Limit: pool.RateLimit{Named: true, PerSecond: perSecond}, By: "i", Moment: clock.Moment{At: clocktest.At(at)},
+				Limit: pool.RateLimit{Named: true, PerSecond: perSecond}, By: "i", EventTime: clock.EventTime{At: clocktest.At(at)},
 			})
 		}
 	}
@@ -155,8 +155,8 @@
 	s := NewSet()
 	now := clocktest.At(time.Hour)
 	for seq := range uint64(5) {
-		s.AddCrash("", crash.Report{Observer: "i", Seq: seq, Moment: clock.Moment{At: now.Add(-time.Duration(seq) * time.Minute)}})
-		s.AddSuccess("", crash.Success{Request: crash.Fingerprint(seq), Moment: clock.Moment{At: now.Add(-time.Duration(seq) * time.Minute)}})
+		s.AddCrash("", crash.Report{Observer: "i", Seq: seq, EventTime: clock.EventTime{At: now.Add(-time.Duration(seq) * time.Minute)}})
+		s.AddSuccess("", crash.Success{Request: crash.Fingerprint(seq), EventTime: clock.EventTime{At: now.Add(-time.Duration(seq) * time.Minute)}})
 	}
 	is.True(!s.PruneCrashes(now, time.Hour, 5))
 	is.True(s.PruneCrashes(now, 3*time.Minute, 5))
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -41,13 +41,13 @@
 				{Key: "owners/f", Revision: 15, Gone: true},
 			},
 			Crashes: []crash.Report{{
-				Observer: "a", Boot: 18, Seq: 19, Replica: pool.Incarnation{Name: "e", Born: "29"}, Requests: []crash.Fingerprint{20, 1 << 63}, Moment: clock.Moment{Age: 21 * time.Millisecond},
+				Observer: "a", Boot: 18, Seq: 19, Replica: pool.Incarnation{Name: "e", Born: "29"}, Requests: []crash.Fingerprint{20, 1 << 63}, EventTime: clock.EventTime{Age: 21 * time.Millisecond},
 			}},
-			Successes: []crash.Success{{Request: 22, Moment: clock.Moment{Age: 23 * time.Millisecond}}},
+			Successes: []crash.Success{{Request: 22, EventTime: clock.EventTime{Age: 23 * time.Millisecond}}},
 			Leaving:   []share.Leaving{{Incarnation: pool.Incarnation{Name: "e", Born: "24"}}},
 			Rests:     []share.Rest{{Incarnation: pool.Incarnation{Name: "e", Born: "33"}, Left: 34 * time.Millisecond}},
 			Limits: []share.Limit{{Incarnation: pool.Incarnation{Name: "e", Born: "31"}, LimitReport: pool.LimitReport{
-				Limit: pool.RateLimit{Named: true, PerSecond: 0.5}, By: "a", Moment: clock.Moment{Age: 32 * time.Millisecond},
+				Limit: pool.RateLimit{Named: true, PerSecond: 0.5}, By: "a", EventTime: clock.EventTime{Age: 32 * time.Millisecond},
 			}}},
 		},
 		Demand: []demand.Item{{Name: "m", Rate: 0.5, Concurrent: 0.25, Weight: 2, Waiting: 13, Unmet: time.Second, Idle: time.Minute}},
@@ -86,7 +86,7 @@
 // were sent.
 func TestPermitsTravelWhole(t *testing.T) {
 	is := is.New(t)
-	word := pool.LimitReport{Limit: pool.RateLimit{Named: true, PerSecond: 0.25}, By: "b", Moment: clock.Moment{Age: 3 * time.Millisecond}}
+	word := pool.LimitReport{Limit: pool.RateLimit{Named: true, PerSecond: 0.25}, By: "b", EventTime: clock.EventTime{Age: 3 * time.Millisecond}}
 	request := permits.Request{
 		Subject: permits.Subject{Replica: pool.Incarnation{Name: "e", Born: "1"}, Service: "s"}, Alone: true, Zone: "z", Rank: -1, Wait: 4 * time.Second, Unused: true, Word: word,
 	}
