--- a/core/config/document.go
+++ b/core/config/document.go
@@ -160,7 +160,7 @@
 	DefaultBetweenTokens = 75 * time.Millisecond
 	DefaultConcurrent    = 64
 	DefaultPrefill       = 8000 // tokens per second
-	DefaultLoad          = 10 * time.Second
+	DefaultLoadTime      = 10 * time.Second
 	DefaultMoveCost      = 1.0
 	DefaultMinimumStay   = 30 * time.Second
 	DefaultLoadsPerSec   = 2.0
@@ -174,7 +174,7 @@
 	for i := range d.Models {
 		m := &d.Models[i]
 		m.PrefillPerSecond = orInt(m.PrefillPerSecond, DefaultPrefill)
-		m.LoadTime = orDuration(m.LoadTime, DefaultLoad)
+		m.LoadTime = orDuration(m.LoadTime, DefaultLoadTime)
 	}
 	d.Services = append([]Service(nil), d.Services...)
 	for i := range d.Services {
