--- a/core/config/document.go
+++ b/core/config/document.go
@@ -156,16 +156,16 @@
 
 // Defaults of fields that operators may leave out.
 const (
-	DefaultFirstToken    = 400 * time.Millisecond
-	DefaultBetweenTokens = 75 * time.Millisecond
-	DefaultConcurrent    = 64
-	DefaultPrefill       = 8000 // tokens per second
-	DefaultLoadTime      = 10 * time.Second
-	DefaultMoveCost      = 1.0
-	DefaultMinimumStay   = 30 * time.Second
-	DefaultLoadsPerSec   = 2.0
-	DefaultLoadsAtOnce   = 8
-	DefaultPriority      = 50
+	DefaultFirstToken       = 400 * time.Millisecond
+	DefaultBetweenTokens    = 75 * time.Millisecond
+	DefaultConcurrent       = 64
+	DefaultPrefillPerSecond = 8000 // tokens per second
+	DefaultLoadTime         = 10 * time.Second
+	DefaultMoveCost         = 1.0
+	DefaultMinimumStay      = 30 * time.Second
+	DefaultLoadsPerSec      = 2.0
+	DefaultLoadsAtOnce      = 8
+	DefaultPriority         = 50
 )
 
 // withDefaults returns d with unset fields filled in.
@@ -173,7 +173,7 @@
 	d.Models = append([]Model(nil), d.Models...)
 	for i := range d.Models {
 		m := &d.Models[i]
-		m.PrefillPerSecond = orInt(m.PrefillPerSecond, DefaultPrefill)
+		m.PrefillPerSecond = orInt(m.PrefillPerSecond, DefaultPrefillPerSecond)
 		m.LoadTime = orDuration(m.LoadTime, DefaultLoadTime)
 	}
 	d.Services = append([]Service(nil), d.Services...)
