--- a/core/config/document.go
+++ b/core/config/document.go
@@ -158,7 +158,7 @@
 const (
 	DefaultFirstToken       = 400 * time.Millisecond
 	DefaultBetweenTokens    = 75 * time.Millisecond
-	DefaultConcurrent       = 64
+	DefaultMaxConcurrent    = 64
 	DefaultPrefillPerSecond = 8000 // tokens per second
 	DefaultLoadTime         = 10 * time.Second
 	DefaultMoveCost         = 1.0
@@ -183,7 +183,7 @@
 		s.Target.BetweenTokens = orDuration(s.Target.BetweenTokens, DefaultBetweenTokens)
 		s.Replicas = append([]Replica(nil), s.Replicas...)
 		for j := range s.Replicas {
-			s.Replicas[j].MaxConcurrent = orInt(s.Replicas[j].MaxConcurrent, DefaultConcurrent)
+			s.Replicas[j].MaxConcurrent = orInt(s.Replicas[j].MaxConcurrent, DefaultMaxConcurrent)
 		}
 	}
 	if d.Residency.MoveCost == 0 {
