--- a/core/config/document.go
+++ b/core/config/document.go
@@ -163,7 +163,7 @@
 	DefaultLoadTime         = 10 * time.Second
 	DefaultMoveCost         = 1.0
 	DefaultMinimumStay      = 30 * time.Second
-	DefaultLoadsPerSec      = 2.0
+	DefaultLoadsPerSecond   = 2.0
 	DefaultLoadsAtOnce      = 8
 	DefaultPriority         = 50
 )
@@ -191,7 +191,7 @@
 	}
 	d.Residency.MinimumStay = orDuration(d.Residency.MinimumStay, DefaultMinimumStay)
 	if d.WeightStore.LoadsPerSecond == 0 {
-		d.WeightStore.LoadsPerSecond = DefaultLoadsPerSec
+		d.WeightStore.LoadsPerSecond = DefaultLoadsPerSecond
 	}
 	d.WeightStore.MaxConcurrentLoads = orInt(d.WeightStore.MaxConcurrentLoads, DefaultLoadsAtOnce)
 	return d
