--- a/core/config/document.go
+++ b/core/config/document.go
@@ -156,16 +156,16 @@
 
 // Defaults of fields that operators may leave out.
 const (
-	DefaultFirstToken       = 400 * time.Millisecond
-	DefaultBetweenTokens    = 75 * time.Millisecond
-	DefaultMaxConcurrent    = 64
-	DefaultPrefillPerSecond = 8000 // tokens per second
-	DefaultLoadTime         = 10 * time.Second
-	DefaultMoveCost         = 1.0
-	DefaultMinimumStay      = 30 * time.Second
-	DefaultLoadsPerSecond   = 2.0
-	DefaultLoadsAtOnce      = 8
-	DefaultPriority         = 50
+	DefaultFirstToken         = 400 * time.Millisecond
+	DefaultBetweenTokens      = 75 * time.Millisecond
+	DefaultMaxConcurrent      = 64
+	DefaultPrefillPerSecond   = 8000 // tokens per second
+	DefaultLoadTime           = 10 * time.Second
+	DefaultMoveCost           = 1.0
+	DefaultMinimumStay        = 30 * time.Second
+	DefaultLoadsPerSecond     = 2.0
+	DefaultMaxConcurrentLoads = 8
+	DefaultPriority           = 50
 )
 
 // withDefaults returns d with unset fields filled in.
@@ -193,7 +193,7 @@
 	if d.WeightStore.LoadsPerSecond == 0 {
 		d.WeightStore.LoadsPerSecond = DefaultLoadsPerSecond
 	}
-	d.WeightStore.MaxConcurrentLoads = orInt(d.WeightStore.MaxConcurrentLoads, DefaultLoadsAtOnce)
+	d.WeightStore.MaxConcurrentLoads = orInt(d.WeightStore.MaxConcurrentLoads, DefaultMaxConcurrentLoads)
 	return d
 }
 
