--- a/core/config/config_test.go
+++ b/core/config/config_test.go
@@ -151,8 +151,8 @@
 	d.Policies = []Policy{{Name: "p", Priority: "50"}}
 	data, err := d.Encode()
 	is.NoErr(err)
-	t.Logf("1,900 models and services, 850 engines: %d bytes stored, %d allowed", len(data), MaxEncoded)
-	is.True(len(data) < MaxEncoded/4) // room to grow without sharding
+	t.Logf("1,900 models and services, 850 engines: %d bytes stored, %d allowed", len(data), MaxEncodedBytes)
+	is.True(len(data) < MaxEncodedBytes/4) // room to grow without sharding
 }
 
 // FuzzParse feeds bytes that operators could send.
--- a/core/config/parse.go
+++ b/core/config/parse.go
@@ -15,8 +15,8 @@
 	"github.com/birchdrift/birchdrift/core/code"
 )
 
-// MaxEncoded is the largest value the platform's service holds, in bytes.
-const MaxEncoded = 1 << 20
+// MaxEncodedBytes is the largest value the platform's service holds, in bytes.
+const MaxEncodedBytes = 1 << 20
 
 // maxDecoded bounds what Decode unpacks, so that a small hostile value cannot
 // fill an instance's memory.
@@ -142,8 +142,8 @@
 	if err := zip.Close(); err != nil {
 		return nil, code.Errorf(code.Internal, "compressing the configuration: %v", err)
 	}
-	if buf.Len() > MaxEncoded {
-		return nil, code.Errorf(code.ConfigTooLarge, "%d bytes encoded, at most %d allowed", buf.Len(), MaxEncoded)
+	if buf.Len() > MaxEncodedBytes {
+		return nil, code.Errorf(code.ConfigTooLarge, "%d bytes encoded, at most %d allowed", buf.Len(), MaxEncodedBytes)
 	}
 	return buf.Bytes(), nil
 }
--- a/internal/own/keyvalue/keyvalue.go
+++ b/internal/own/keyvalue/keyvalue.go
@@ -159,7 +159,7 @@
 }
 
 func readAnswer(resp *http.Response) (Value, error) {
-	data, err := io.ReadAll(io.LimitReader(resp.Body, 4*config.MaxEncoded))
+	data, err := io.ReadAll(io.LimitReader(resp.Body, 4*config.MaxEncodedBytes))
 	if err != nil {
 		return Value{}, trace.Wrap(err)
 	}
