--- a/core/code/code.go
+++ b/core/code/code.go
@@ -18,40 +18,40 @@
 const (
 	OK Code = 0
 
-	BadRequest       Code = 101
-	UnknownService   Code = 102
-	Unauthorized     Code = 103
-	Forbidden        Code = 104
-	TooLarge         Code = 105
-	KeyClaimed       Code = 106
-	RefusedByPolicy  Code = 107
-	CallerGone       Code = 108
-	Quarantined      Code = 109
-	CallerSilent     Code = 110
-	NoCapacity       Code = 201
-	TargetMissed     Code = 202
-	NotResident      Code = 203
-	Stopping         Code = 204
-	TimedOut         Code = 205
-	NoReplica        Code = 301
-	UpstreamBroke    Code = 302
-	StreamCut        Code = 303
-	UpstreamRefused  Code = 304
-	PlatformDown     Code = 401
-	NoConfiguration  Code = 402
-	ConfigSyntax     Code = 411
-	ConfigUnknown    Code = 412
-	ConfigDangling   Code = 413
-	ConfigDuplicate  Code = 414
-	ConfigSize       Code = 415
-	ConfigValue      Code = 416
-	ConfigPolicy     Code = 417
-	ConfigConflict   Code = 418
-	ConfigTooLarge   Code = 419
-	ConfigUnresolved Code = 420
-	BadSetting       Code = 501
-	BadUsage         Code = 502
-	Internal         Code = 901
+	BadRequest         Code = 101
+	UnknownService     Code = 102
+	Unauthorized       Code = 103
+	Forbidden          Code = 104
+	TooLarge           Code = 105
+	KeyClaimed         Code = 106
+	RefusedByPolicy    Code = 107
+	CallerGone         Code = 108
+	Quarantined        Code = 109
+	CallerSilent       Code = 110
+	NoCapacity         Code = 201
+	TargetMissed       Code = 202
+	NotResident        Code = 203
+	Stopping           Code = 204
+	TimedOut           Code = 205
+	NoReplica          Code = 301
+	UpstreamBroke      Code = 302
+	StreamCut          Code = 303
+	UpstreamRefused    Code = 304
+	PlatformDown       Code = 401
+	NoConfiguration    Code = 402
+	ConfigSyntax       Code = 411
+	ConfigUnknownField Code = 412
+	ConfigDangling     Code = 413
+	ConfigDuplicate    Code = 414
+	ConfigSize         Code = 415
+	ConfigValue        Code = 416
+	ConfigPolicy       Code = 417
+	ConfigConflict     Code = 418
+	ConfigTooLarge     Code = 419
+	ConfigUnresolved   Code = 420
+	BadSetting         Code = 501
+	BadUsage           Code = 502
+	Internal           Code = 901
 )
 
 // An Info describes one code for people.
@@ -87,7 +87,7 @@
 	{PlatformDown, "platform_down", 503, "The platform's key-value service did not answer and the call needs it.", "Come back after `Retry-After`."},
 	{NoConfiguration, "no_configuration", 503, "This instance has no configuration yet.", "Check that the platform or a peer can be reached."},
 	{ConfigSyntax, "config_syntax", 400, "The configuration is not well-formed YAML or JSON.", "Mend the line that is named."},
-	{ConfigUnknown, "config_unknown_field", 400, "The configuration has a field that does not exist.", "Remove or rename the field."},
+	{ConfigUnknownField, "config_unknown_field", 400, "The configuration has a field that does not exist.", "Remove or rename the field."},
 	{ConfigDangling, "config_dangling_name", 400, "The configuration names something that it does not define.", "Define it or mend the name."},
 	{ConfigDuplicate, "config_duplicate_name", 400, "Two things in the configuration have the same name.", "Rename one."},
 	{ConfigSize, "config_never_fits", 400, "A model or adapter is larger than every engine that could hold it.", "Use a smaller model or a larger engine."},
--- a/core/config/config_test.go
+++ b/core/config/config_test.go
@@ -85,7 +85,7 @@
 		code           code.Code
 		path           string
 	}{
-		{"unknown field", "region: sicily", "colour: red", code.ConfigUnknown, ""},
+		{"unknown field", "region: sicily", "colour: red", code.ConfigUnknownField, ""},
 		{"not YAML", "zones: [", "zones: [[", code.ConfigSyntax, ""},
 		{"wrong type", "memory_mib: 500", "memory_mib: much", code.ConfigSyntax, ""},
 		{"dangling zone", `"127.0.0.1:1", zone: z1`, `"127.0.0.1:1", zone: z9`, code.ConfigDangling, "engines[0].zone"},
--- a/core/config/parse.go
+++ b/core/config/parse.go
@@ -66,7 +66,7 @@
 		e.Detail = strings.Replace(e.Detail, m[0], "", 1)
 	}
 	if strings.Contains(msg, "not found in type") {
-		e.Code = code.ConfigUnknown
+		e.Code = code.ConfigUnknownField
 	}
 	return e
 }
