--- a/core/code/code.go
+++ b/core/code/code.go
@@ -41,7 +41,7 @@
 	NoConfiguration    Code = 402
 	ConfigSyntax       Code = 411
 	ConfigUnknownField Code = 412
-	ConfigDangling     Code = 413
+	ConfigDanglingName Code = 413
 	ConfigDuplicate    Code = 414
 	ConfigSize         Code = 415
 	ConfigValue        Code = 416
@@ -88,7 +88,7 @@
 	{NoConfiguration, "no_configuration", 503, "This instance has no configuration yet.", "Check that the platform or a peer can be reached."},
 	{ConfigSyntax, "config_syntax", 400, "The configuration is not well-formed YAML or JSON.", "Mend the line that is named."},
 	{ConfigUnknownField, "config_unknown_field", 400, "The configuration has a field that does not exist.", "Remove or rename the field."},
-	{ConfigDangling, "config_dangling_name", 400, "The configuration names something that it does not define.", "Define it or mend the name."},
+	{ConfigDanglingName, "config_dangling_name", 400, "The configuration names something that it does not define.", "Define it or mend the name."},
 	{ConfigDuplicate, "config_duplicate_name", 400, "Two things in the configuration have the same name.", "Rename one."},
 	{ConfigSize, "config_never_fits", 400, "A model or adapter is larger than every engine that could hold it.", "Use a smaller model or a larger engine."},
 	{ConfigValue, "config_bad_value", 400, "A value is out of its allowed range.", "Use a value as the detail allows."},
--- a/core/config/check.go
+++ b/core/config/check.go
@@ -79,7 +79,7 @@
 		c.fault(code.ConfigValue, fmt.Sprintf("%q is not IP:port", address), append(append([]any(nil), path...), "address")...)
 	}
 	if !c.zoneSet[zone] {
-		c.fault(code.ConfigDangling, fmt.Sprintf("no zone %q", zone), append(append([]any(nil), path...), "zone")...)
+		c.fault(code.ConfigDanglingName, fmt.Sprintf("no zone %q", zone), append(append([]any(nil), path...), "zone")...)
 	}
 }
 
@@ -122,7 +122,7 @@
 		c.positive(a.MemoryMiB, "memory_mib", "adapters", i, "memory_mib")
 		base, ok := c.modelSet[a.Model]
 		if !ok {
-			c.fault(code.ConfigDangling, fmt.Sprintf("no model %q", a.Model), "adapters", i, "model")
+			c.fault(code.ConfigDanglingName, fmt.Sprintf("no model %q", a.Model), "adapters", i, "model")
 			continue
 		}
 		c.adapters[a.Name] = a.Model
@@ -171,7 +171,7 @@
 		}
 		c.announced(i, s.Announced)
 		if s.Policy != "" && !c.policy[s.Policy] {
-			c.fault(code.ConfigDangling, fmt.Sprintf("no policy %q", s.Policy), "services", i, "policy")
+			c.fault(code.ConfigDanglingName, fmt.Sprintf("no policy %q", s.Policy), "services", i, "policy")
 		}
 		if s.Target.FirstToken < 0 || s.Target.BetweenTokens < 0 {
 			c.fault(code.ConfigValue, "targets are positive durations", "services", i, "target")
@@ -191,10 +191,10 @@
 	for j, v := range s.Versions {
 		c.name(seen, v.Name, "services", i, "versions", j)
 		if _, ok := c.modelSet[v.Model]; !ok {
-			c.fault(code.ConfigDangling, fmt.Sprintf("no model %q", v.Model), "services", i, "versions", j, "model")
+			c.fault(code.ConfigDanglingName, fmt.Sprintf("no model %q", v.Model), "services", i, "versions", j, "model")
 		}
 		if base, ok := c.adapters[v.Adapter]; v.Adapter != "" && (!ok || base != v.Model) {
-			c.fault(code.ConfigDangling, fmt.Sprintf("no adapter %q on model %q", v.Adapter, v.Model), "services", i, "versions", j, "adapter")
+			c.fault(code.ConfigDanglingName, fmt.Sprintf("no adapter %q on model %q", v.Adapter, v.Model), "services", i, "versions", j, "adapter")
 		}
 		if v.Share < 0 || v.Share > maxShare {
 			c.fault(code.ConfigValue, fmt.Sprintf("share is %d, 0 to %d allowed", v.Share, maxShare), "services", i, "versions", j, "share")
@@ -219,7 +219,7 @@
 		}
 		for j, s := range caller.Services {
 			if !services[s] {
-				c.fault(code.ConfigDangling, fmt.Sprintf("no service %q", s), "callers", i, "services", j)
+				c.fault(code.ConfigDanglingName, fmt.Sprintf("no service %q", s), "callers", i, "services", j)
 			}
 		}
 	}
--- a/core/config/check_forward.go
+++ b/core/config/check_forward.go
@@ -76,7 +76,7 @@
 	for j, s := range f.Split {
 		announced, ok := services[s.Service]
 		if !ok {
-			c.fault(code.ConfigDangling, fmt.Sprintf("no service %q", s.Service), "forwards", i, "split", j, "service")
+			c.fault(code.ConfigDanglingName, fmt.Sprintf("no service %q", s.Service), "forwards", i, "split", j, "service")
 		} else if !announced {
 			c.fault(code.ConfigValue, fmt.Sprintf("the replicas of %q do not announce themselves", s.Service), "forwards", i, "split", j, "service")
 		}
