--- a/core/code/code.go
+++ b/core/code/code.go
@@ -18,40 +18,40 @@
 const (
 	OK Code = 0
 
-	BadRequest         Code = 101
-	UnknownService     Code = 102
-	Unauthorized       Code = 103
-	Forbidden          Code = 104
-	TooLarge           Code = 105
-	KeyClaimed         Code = 106
-	RefusedByPolicy    Code = 107
-	CallerGone         Code = 108
-	Quarantined        Code = 109
-	CallerSilent       Code = 110
-	NoCapacity         Code = 201
-	TargetMissed       Code = 202
-	NotResident        Code = 203
-	Stopping           Code = 204
-	TimedOut           Code = 205
-	NoReplica          Code = 301
-	UpstreamBroke      Code = 302
-	StreamCut          Code = 303
-	UpstreamRefused    Code = 304
-	PlatformDown       Code = 401
-	NoConfiguration    Code = 402
-	ConfigSyntax       Code = 411
-	ConfigUnknownField Code = 412
-	ConfigDanglingName Code = 413
-	ConfigDuplicate    Code = 414
-	ConfigSize         Code = 415
-	ConfigValue        Code = 416
-	ConfigPolicy       Code = 417
-	ConfigConflict     Code = 418
-	ConfigTooLarge     Code = 419
-	ConfigUnresolved   Code = 420
-	BadSetting         Code = 501
-	BadUsage           Code = 502
-	Internal           Code = 901
+	BadRequest          Code = 101
+	UnknownService      Code = 102
+	Unauthorized        Code = 103
+	Forbidden           Code = 104
+	TooLarge            Code = 105
+	KeyClaimed          Code = 106
+	RefusedByPolicy     Code = 107
+	CallerGone          Code = 108
+	Quarantined         Code = 109
+	CallerSilent        Code = 110
+	NoCapacity          Code = 201
+	TargetMissed        Code = 202
+	NotResident         Code = 203
+	Stopping            Code = 204
+	TimedOut            Code = 205
+	NoReplica           Code = 301
+	UpstreamBroke       Code = 302
+	StreamCut           Code = 303
+	UpstreamRefused     Code = 304
+	PlatformDown        Code = 401
+	NoConfiguration     Code = 402
+	ConfigSyntax        Code = 411
+	ConfigUnknownField  Code = 412
+	ConfigDanglingName  Code = 413
+	ConfigDuplicateName Code = 414
+	ConfigSize          Code = 415
+	ConfigValue         Code = 416
+	ConfigPolicy        Code = 417
+	ConfigConflict      Code = 418
+	ConfigTooLarge      Code = 419
+	ConfigUnresolved    Code = 420
+	BadSetting          Code = 501
+	BadUsage            Code = 502
+	Internal            Code = 901
 )
 
 // An Info describes one code for people.
@@ -89,7 +89,7 @@
 	{ConfigSyntax, "config_syntax", 400, "The configuration is not well-formed YAML or JSON.", "Mend the line that is named."},
 	{ConfigUnknownField, "config_unknown_field", 400, "The configuration has a field that does not exist.", "Remove or rename the field."},
 	{ConfigDanglingName, "config_dangling_name", 400, "The configuration names something that it does not define.", "Define it or mend the name."},
-	{ConfigDuplicate, "config_duplicate_name", 400, "Two things in the configuration have the same name.", "Rename one."},
+	{ConfigDuplicateName, "config_duplicate_name", 400, "Two things in the configuration have the same name.", "Rename one."},
 	{ConfigSize, "config_never_fits", 400, "A model or adapter is larger than every engine that could hold it.", "Use a smaller model or a larger engine."},
 	{ConfigValue, "config_bad_value", 400, "A value is out of its allowed range.", "Use a value as the detail allows."},
 	{ConfigPolicy, "config_bad_policy", 400, "A policy program does not type-check or costs too much.", "Mend the expression; the detail carries the compiler's words."},
--- a/core/config/check.go
+++ b/core/config/check.go
@@ -62,7 +62,7 @@
 		return
 	}
 	if seen[name] {
-		c.fault(code.ConfigDuplicate, fmt.Sprintf("%q is defined twice", name), path...)
+		c.fault(code.ConfigDuplicateName, fmt.Sprintf("%q is defined twice", name), path...)
 	}
 	seen[name] = true
 }
--- a/core/config/check_forward.go
+++ b/core/config/check_forward.go
@@ -55,7 +55,7 @@
 			c.fault(code.ConfigValue, fmt.Sprintf("%q does not begin and end with a slash", f.Prefix), "forwards", i, "prefix")
 		}
 		if key := strings.ToLower(f.Host) + f.Prefix; seen[key] {
-			c.fault(code.ConfigDuplicate, fmt.Sprintf("%s%s is forwarded twice", f.Host, f.Prefix), "forwards", i)
+			c.fault(code.ConfigDuplicateName, fmt.Sprintf("%s%s is forwarded twice", f.Host, f.Prefix), "forwards", i)
 		} else {
 			seen[key] = true
 		}
--- a/core/config/config_test.go
+++ b/core/config/config_test.go
@@ -93,7 +93,7 @@
 		{"dangling adapter", "adapter: a1", "adapter: a9", code.ConfigDanglingName, "services[0].versions[0].adapter"},
 		{"dangling policy", "policy: p1", "policy: p9", code.ConfigDanglingName, "services[0].policy"},
 		{"dangling service", "services: [notes]", "services: [nets]", code.ConfigDanglingName, "callers[0].services[0]"},
-		{"duplicate name", "name: a1, model", "name: m1, model", code.ConfigDuplicate, "adapters[0].name"},
+		{"duplicate name", "name: a1, model", "name: m1, model", code.ConfigDuplicateName, "adapters[0].name"},
 		{"bad name", "name: e1", `name: "e 1"`, code.ConfigValue, "engines[0].name"},
 		{"hostname", `"127.0.0.1:1"`, `"engine:1"`, code.ConfigValue, "engines[0].address"},
 		{"never fits", "memory_mib: 500", "memory_mib: 5000", code.ConfigSize, "models[0].memory_mib"},
