--- a/core/config/check.go
+++ b/core/config/check.go
@@ -132,7 +132,7 @@
 
 func (c *checker) fits(mib int64, path ...any) {
 	if mib > c.largest {
-		c.fault(code.ConfigSize, fmt.Sprintf("%d MiB with its model, the largest engine has %d MiB", mib, c.largest), path...)
+		c.fault(code.ConfigNeverFits, fmt.Sprintf("%d MiB with its model, the largest engine has %d MiB", mib, c.largest), path...)
 	}
 }
 
--- a/core/config/check_forward.go
+++ b/core/config/check_forward.go
@@ -33,7 +33,7 @@
 		c.name(seen, m.Name, path...)
 		c.positive(m.MemoryMB, "memory_mb", append(path, "memory_mb")...)
 		if m.MemoryMB > e.MemoryMB {
-			c.fault(code.ConfigSize, fmt.Sprintf("%d MB, an engine has %d MB", m.MemoryMB, e.MemoryMB), append(path, "memory_mb")...)
+			c.fault(code.ConfigNeverFits, fmt.Sprintf("%d MB, an engine has %d MB", m.MemoryMB, e.MemoryMB), append(path, "memory_mb")...)
 		}
 	}
 }
