--- a/core/code/code.go
+++ b/core/code/code.go
@@ -44,7 +44,7 @@
 	ConfigDanglingName  Code = 413
 	ConfigDuplicateName Code = 414
 	ConfigNeverFits     Code = 415
-	ConfigValue         Code = 416
+	ConfigBadValue      Code = 416
 	ConfigPolicy        Code = 417
 	ConfigConflict      Code = 418
 	ConfigTooLarge      Code = 419
@@ -91,7 +91,7 @@
 	{ConfigDanglingName, "config_dangling_name", 400, "The configuration names something that it does not define.", "Define it or mend the name."},
 	{ConfigDuplicateName, "config_duplicate_name", 400, "Two things in the configuration have the same name.", "Rename one."},
 	{ConfigNeverFits, "config_never_fits", 400, "A model or adapter is larger than every engine that could hold it.", "Use a smaller model or a larger engine."},
-	{ConfigValue, "config_bad_value", 400, "A value is out of its allowed range.", "Use a value as the detail allows."},
+	{ConfigBadValue, "config_bad_value", 400, "A value is out of its allowed range.", "Use a value as the detail allows."},
 	{ConfigPolicy, "config_bad_policy", 400, "A policy program does not type-check or costs too much.", "Mend the expression; the detail carries the compiler's words."},
 	{ConfigConflict, "config_conflict", 409, "Another operator changed the configuration first; nothing was changed.", "Read the difference, then apply again on the new revision."},
 	{ConfigTooLarge, "config_too_large", 400, "The encoded configuration exceeds the platform's limit for one value.", "Remove what is unused."},
--- a/core/config/check.go
+++ b/core/config/check.go
@@ -58,7 +58,7 @@
 func (c *checker) name(seen map[string]bool, name string, path ...any) {
 	path = append(append([]any(nil), path...), "name")
 	if len(name) > maxName || !nameRE.MatchString(name) {
-		c.fault(code.ConfigValue, fmt.Sprintf("%q is not a name: letters, digits, '.', '_' and '-', at most %d", name, maxName), path...)
+		c.fault(code.ConfigBadValue, fmt.Sprintf("%q is not a name: letters, digits, '.', '_' and '-', at most %d", name, maxName), path...)
 		return
 	}
 	if seen[name] {
@@ -69,14 +69,14 @@
 
 func (c *checker) positive(v int64, what string, path ...any) {
 	if v <= 0 {
-		c.fault(code.ConfigValue, fmt.Sprintf("%s is %d, at least 1 allowed", what, v), path...)
+		c.fault(code.ConfigBadValue, fmt.Sprintf("%s is %d, at least 1 allowed", what, v), path...)
 	}
 }
 
 // place checks the address and the zone of an upstream.
 func (c *checker) place(address, zone string, path ...any) {
 	if _, err := netip.ParseAddrPort(address); err != nil {
-		c.fault(code.ConfigValue, fmt.Sprintf("%q is not IP:port", address), append(append([]any(nil), path...), "address")...)
+		c.fault(code.ConfigBadValue, fmt.Sprintf("%q is not IP:port", address), append(append([]any(nil), path...), "address")...)
 	}
 	if !c.zoneSet[zone] {
 		c.fault(code.ConfigDanglingName, fmt.Sprintf("no zone %q", zone), append(append([]any(nil), path...), "zone")...)
@@ -89,7 +89,7 @@
 		c.name(c.zoneSet, z.Name, "zones", i)
 	}
 	if len(c.doc.Zones) == 0 {
-		c.fault(code.ConfigValue, "at least one zone is needed", "zones")
+		c.fault(code.ConfigBadValue, "at least one zone is needed", "zones")
 	}
 }
 
@@ -153,7 +153,7 @@
 			}
 		}
 		if p.Default.Priority < 0 || p.Default.Priority > policy.MaxPriority {
-			c.fault(code.ConfigValue, "0 to 100 allowed", "policies", i, "default", "priority")
+			c.fault(code.ConfigBadValue, "0 to 100 allowed", "policies", i, "default", "priority")
 		}
 	}
 }
@@ -167,14 +167,14 @@
 	for i, s := range c.doc.Services {
 		c.name(seen, s.Name, "services", i)
 		if !exactlyOne(len(s.Versions) > 0, len(s.Replicas) > 0, s.Announced != nil) {
-			c.fault(code.ConfigValue, "a service has versions, replicas or announced replicas, one of the three", "services", i)
+			c.fault(code.ConfigBadValue, "a service has versions, replicas or announced replicas, one of the three", "services", i)
 		}
 		c.announced(i, s.Announced)
 		if s.Policy != "" && !c.policy[s.Policy] {
 			c.fault(code.ConfigDanglingName, fmt.Sprintf("no policy %q", s.Policy), "services", i, "policy")
 		}
 		if s.Target.FirstToken < 0 || s.Target.BetweenTokens < 0 {
-			c.fault(code.ConfigValue, "targets are positive durations", "services", i, "target")
+			c.fault(code.ConfigBadValue, "targets are positive durations", "services", i, "target")
 		}
 		c.versions(i, s)
 		for j, r := range s.Replicas {
@@ -197,12 +197,12 @@
 			c.fault(code.ConfigDanglingName, fmt.Sprintf("no adapter %q on model %q", v.Adapter, v.Model), "services", i, "versions", j, "adapter")
 		}
 		if v.Share < 0 || v.Share > maxShare {
-			c.fault(code.ConfigValue, fmt.Sprintf("share is %d, 0 to %d allowed", v.Share, maxShare), "services", i, "versions", j, "share")
+			c.fault(code.ConfigBadValue, fmt.Sprintf("share is %d, 0 to %d allowed", v.Share, maxShare), "services", i, "versions", j, "share")
 		}
 		total += v.Share
 	}
 	if len(s.Versions) > 0 && total <= 0 {
-		c.fault(code.ConfigValue, "the shares of a service sum to 0", "services", i, "versions")
+		c.fault(code.ConfigBadValue, "the shares of a service sum to 0", "services", i, "versions")
 	}
 }
 
@@ -215,7 +215,7 @@
 	for i, caller := range c.doc.Callers {
 		c.name(names, caller.Name, "callers", i)
 		if _, err := hex.DecodeString(caller.KeySHA256); err != nil || len(caller.KeySHA256) != sha256HexLen {
-			c.fault(code.ConfigValue, "not the hex of a SHA-256", "callers", i, "key_sha256")
+			c.fault(code.ConfigBadValue, "not the hex of a SHA-256", "callers", i, "key_sha256")
 		}
 		for j, s := range caller.Services {
 			if !services[s] {
@@ -227,12 +227,12 @@
 
 func (c *checker) steering() {
 	if c.doc.Residency.MoveCost < 0 {
-		c.fault(code.ConfigValue, "move_cost is negative", "residency", "move_cost")
+		c.fault(code.ConfigBadValue, "move_cost is negative", "residency", "move_cost")
 	}
 	if c.doc.Residency.MinimumStay < 0 {
-		c.fault(code.ConfigValue, "minimum_stay is negative", "residency", "minimum_stay")
+		c.fault(code.ConfigBadValue, "minimum_stay is negative", "residency", "minimum_stay")
 	}
 	if c.doc.WeightStore.LoadsPerSecond < 0 || c.doc.WeightStore.MaxConcurrentLoads < 0 {
-		c.fault(code.ConfigValue, "limits are positive", "weight_store")
+		c.fault(code.ConfigBadValue, "limits are positive", "weight_store")
 	}
 }
--- a/core/config/check_forward.go
+++ b/core/config/check_forward.go
@@ -49,10 +49,10 @@
 	for i, f := range c.doc.Forwards {
 		c.name(names, f.Name, "forwards", i)
 		if f.Host == "" {
-			c.fault(code.ConfigValue, "a host is needed", "forwards", i, "host")
+			c.fault(code.ConfigBadValue, "a host is needed", "forwards", i, "host")
 		}
 		if !strings.HasPrefix(f.Prefix, "/") || !strings.HasSuffix(f.Prefix, "/") {
-			c.fault(code.ConfigValue, fmt.Sprintf("%q does not begin and end with a slash", f.Prefix), "forwards", i, "prefix")
+			c.fault(code.ConfigBadValue, fmt.Sprintf("%q does not begin and end with a slash", f.Prefix), "forwards", i, "prefix")
 		}
 		if key := strings.ToLower(f.Host) + f.Prefix; seen[key] {
 			c.fault(code.ConfigDuplicateName, fmt.Sprintf("%s%s is forwarded twice", f.Host, f.Prefix), "forwards", i)
@@ -62,10 +62,10 @@
 		switch f.Kind {
 		case Repeatable, Once, Stream:
 		default:
-			c.fault(code.ConfigValue, fmt.Sprintf("kind is %q, allowed: repeatable, once, stream", f.Kind), "forwards", i, "kind")
+			c.fault(code.ConfigBadValue, fmt.Sprintf("kind is %q, allowed: repeatable, once, stream", f.Kind), "forwards", i, "kind")
 		}
 		if f.Timeout <= 0 {
-			c.fault(code.ConfigValue, "a timeout is needed", "forwards", i, "timeout")
+			c.fault(code.ConfigBadValue, "a timeout is needed", "forwards", i, "timeout")
 		}
 		c.split(i, f, services)
 	}
@@ -78,14 +78,14 @@
 		if !ok {
 			c.fault(code.ConfigDanglingName, fmt.Sprintf("no service %q", s.Service), "forwards", i, "split", j, "service")
 		} else if !announced {
-			c.fault(code.ConfigValue, fmt.Sprintf("the replicas of %q do not announce themselves", s.Service), "forwards", i, "split", j, "service")
+			c.fault(code.ConfigBadValue, fmt.Sprintf("the replicas of %q do not announce themselves", s.Service), "forwards", i, "split", j, "service")
 		}
 		if s.Weight < 0 || s.Weight > maxShare {
-			c.fault(code.ConfigValue, fmt.Sprintf("weight is %d, 0 to %d allowed", s.Weight, maxShare), "forwards", i, "split", j, "weight")
+			c.fault(code.ConfigBadValue, fmt.Sprintf("weight is %d, 0 to %d allowed", s.Weight, maxShare), "forwards", i, "split", j, "weight")
 		}
 		total += s.Weight
 	}
 	if total <= 0 {
-		c.fault(code.ConfigValue, "the weights sum to 0", "forwards", i, "split")
+		c.fault(code.ConfigBadValue, "the weights sum to 0", "forwards", i, "split")
 	}
 }
--- a/core/config/config_test.go
+++ b/core/config/config_test.go
@@ -94,15 +94,15 @@
 		{"dangling policy", "policy: p1", "policy: p9", code.ConfigDanglingName, "services[0].policy"},
 		{"dangling service", "services: [notes]", "services: [nets]", code.ConfigDanglingName, "callers[0].services[0]"},
 		{"duplicate name", "name: a1, model", "name: m1, model", code.ConfigDuplicateName, "adapters[0].name"},
-		{"bad name", "name: e1", `name: "e 1"`, code.ConfigValue, "engines[0].name"},
-		{"hostname", `"127.0.0.1:1"`, `"engine:1"`, code.ConfigValue, "engines[0].address"},
+		{"bad name", "name: e1", `name: "e 1"`, code.ConfigBadValue, "engines[0].name"},
+		{"hostname", `"127.0.0.1:1"`, `"engine:1"`, code.ConfigBadValue, "engines[0].address"},
 		{"never fits", "memory_mib: 500", "memory_mib: 5000", code.ConfigNeverFits, "models[0].memory_mib"},
 		{"adapter never fits", "memory_mib: 10}", "memory_mib: 501}", code.ConfigNeverFits, "adapters[0].memory_mib"},
-		{"no sequences", "sequences: 4", "sequences: 0", code.ConfigValue, "engines[0].sequences"},
-		{"negative share", "share: 9", "share: -1", code.ConfigValue, "services[0].versions[0].share"},
+		{"no sequences", "sequences: 4", "sequences: 0", code.ConfigBadValue, "engines[0].sequences"},
+		{"negative share", "share: 9", "share: -1", code.ConfigBadValue, "services[0].versions[0].share"},
 		{"policy type", "prompt_tokens > 10 ? 10 : 60", "model + service", code.ConfigPolicy, "policies[0].priority"},
 		{"policy name", "load > 2.0", "lood > 2.0", code.ConfigPolicy, "policies[0].refuse"},
-		{"bad hash", "2c26b46b", "zz26b46b", code.ConfigValue, "callers[0].key_sha256"},
+		{"bad hash", "2c26b46b", "zz26b46b", code.ConfigBadValue, "callers[0].key_sha256"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
