--- a/core/code/code.go
+++ b/core/code/code.go
@@ -45,7 +45,7 @@
 	ConfigDuplicateName Code = 414
 	ConfigNeverFits     Code = 415
 	ConfigBadValue      Code = 416
-	ConfigPolicy        Code = 417
+	ConfigBadPolicy     Code = 417
 	ConfigConflict      Code = 418
 	ConfigTooLarge      Code = 419
 	ConfigUnresolved    Code = 420
@@ -92,7 +92,7 @@
 	{ConfigDuplicateName, "config_duplicate_name", 400, "Two things in the configuration have the same name.", "Rename one."},
 	{ConfigNeverFits, "config_never_fits", 400, "A model or adapter is larger than every engine that could hold it.", "Use a smaller model or a larger engine."},
 	{ConfigBadValue, "config_bad_value", 400, "A value is out of its allowed range.", "Use a value as the detail allows."},
-	{ConfigPolicy, "config_bad_policy", 400, "A policy program does not type-check or costs too much.", "Mend the expression; the detail carries the compiler's words."},
+	{ConfigBadPolicy, "config_bad_policy", 400, "A policy program does not type-check or costs too much.", "Mend the expression; the detail carries the compiler's words."},
 	{ConfigConflict, "config_conflict", 409, "Another operator changed the configuration first; nothing was changed.", "Read the difference, then apply again on the new revision."},
 	{ConfigTooLarge, "config_too_large", 400, "The encoded configuration exceeds the platform's limit for one value.", "Remove what is unused."},
 	{ConfigUnresolved, "config_unresolved", 503, "The platform's answer was lost and reading back did not tell whether the change took effect.", "Run `birchctl get` before applying again."},
--- a/core/config/check.go
+++ b/core/config/check.go
@@ -149,7 +149,7 @@
 			{"wait", p.Wait, policy.Duration},
 		} {
 			if err := policy.Validate(e.text, e.kind); err != nil {
-				c.fault(code.ConfigPolicy, err.Error(), "policies", i, e.field)
+				c.fault(code.ConfigBadPolicy, err.Error(), "policies", i, e.field)
 			}
 		}
 		if p.Default.Priority < 0 || p.Default.Priority > policy.MaxPriority {
--- a/core/config/config_test.go
+++ b/core/config/config_test.go
@@ -100,8 +100,8 @@
 		{"adapter never fits", "memory_mib: 10}", "memory_mib: 501}", code.ConfigNeverFits, "adapters[0].memory_mib"},
 		{"no sequences", "sequences: 4", "sequences: 0", code.ConfigBadValue, "engines[0].sequences"},
 		{"negative share", "share: 9", "share: -1", code.ConfigBadValue, "services[0].versions[0].share"},
-		{"policy type", "prompt_tokens > 10 ? 10 : 60", "model + service", code.ConfigPolicy, "policies[0].priority"},
-		{"policy name", "load > 2.0", "lood > 2.0", code.ConfigPolicy, "policies[0].refuse"},
+		{"policy type", "prompt_tokens > 10 ? 10 : 60", "model + service", code.ConfigBadPolicy, "policies[0].priority"},
+		{"policy name", "load > 2.0", "lood > 2.0", code.ConfigBadPolicy, "policies[0].refuse"},
 		{"bad hash", "2c26b46b", "zz26b46b", code.ConfigBadValue, "callers[0].key_sha256"},
 	}
 	for _, c := range cases {
