--- a/core/attempt/attempt.go
+++ b/core/attempt/attempt.go
@@ -26,7 +26,7 @@
 )
 
 // Run returns what is known of an attempt that went no further than p.
-func (p Phase) Run() code.Run {
+func (p Phase) Run() code.RunState {
 	switch p {
 	case NotSent, Refused:
 		return code.NotRun
@@ -54,9 +54,9 @@
 // A History is the immutable record of one call's attempts.
 type History struct {
 	Repeatable bool
-	run        code.Run // worst of the attempts that are over
-	Attempts   int      // attempts begun
-	Resumes    int      // resumes of the attempt in progress
+	run        code.RunState // worst of the attempts that are over
+	Attempts   int           // attempts begun
+	Resumes    int           // resumes of the attempt in progress
 }
 
 // New returns the history of a call that was never sent.
@@ -84,7 +84,7 @@
 }
 
 // worse returns the statement that promises less: ran, unknown, not run.
-func worse(a, b code.Run) code.Run {
+func worse(a, b code.RunState) code.RunState {
 	if a == code.Ran || b == code.Ran {
 		return code.Ran
 	}
@@ -95,7 +95,7 @@
 }
 
 // Run says whether the call ran, as far as its attempts tell.
-func (h History) Run() code.Run { return h.run }
+func (h History) Run() code.RunState { return h.run }
 
 // A Break describes the end of an attempt that was not its proper end.
 type Break struct {
--- a/core/attempt/attempt_test.go
+++ b/core/attempt/attempt_test.go
@@ -16,7 +16,7 @@
 func TestRunFollowsThePhases(t *testing.T) {
 	cases := []struct {
 		phases []Phase
-		want   code.Run
+		want   code.RunState
 	}{
 		{nil, code.NotRun},
 		{[]Phase{NotSent}, code.NotRun},
--- a/core/code/code.go
+++ b/core/code/code.go
@@ -117,14 +117,14 @@
 	return byCode[Internal]
 }
 
-// Run says whether a call ran, as far as this instance can know.
-type Run string
+// RunState says whether a call ran, as far as this instance can know.
+type RunState string
 
 // The values of Run.
 const (
-	NotRun  Run = "not_run" // the call certainly did not run
-	Ran     Run = "ran"     // the call certainly ran
-	Unknown Run = "unknown" // the call may have run
+	NotRun  RunState = "not_run" // the call certainly did not run
+	Ran     RunState = "ran"     // the call certainly ran
+	Unknown RunState = "unknown" // the call may have run
 )
 
 // An Error is a numbered error.
@@ -155,7 +155,7 @@
 // A Refusal is the final answer to a call that is not served.
 type Refusal struct {
 	Code       Code
-	Run        Run
+	Run        RunState
 	RetryAfter time.Duration // 0 where coming back makes no sense
 	Detail     string
 }
--- a/core/forwarding/forwarding_test.go
+++ b/core/forwarding/forwarding_test.go
@@ -153,7 +153,7 @@
 		phase    attempt.Phase
 		relayed  bool
 		code     code.Code
-		run      code.Run
+		run      code.RunState
 	}{
 		{"the replica's own answer is at hand", progress{relayable: true}, attempt.Answered, true, 0, ""},
 		{"a stream that began", progress{opened: true}, attempt.Answered, false, code.StreamCut, code.Ran},
--- a/core/forwarding/wait.go
+++ b/core/forwarding/wait.go
@@ -49,11 +49,11 @@
 
 // An absence is what is known of a call that no replica can serve now.
 type absence struct {
-	run         code.Run // of its attempts so far
-	opened      bool     // its answer was begun
-	item        string   // "" if it needs none
-	refusals    int      // replicas that said they did not run it
-	adapter     string   // "" if it needs none
+	run         code.RunState // of its attempts so far
+	opened      bool          // its answer was begun
+	item        string        // "" if it needs none
+	refusals    int           // replicas that said they did not run it
+	adapter     string        // "" if it needs none
 	modelServed func() bool
 }
 
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -88,10 +88,10 @@
 }
 
 type errorDetail struct {
-	Code    int      `json:"code"`
-	Name    string   `json:"name"`
-	Message string   `json:"message"`
-	Run     code.Run `json:"run"`
+	Code    int           `json:"code"`
+	Name    string        `json:"name"`
+	Message string        `json:"message"`
+	Run     code.RunState `json:"run"`
 }
 
 // ErrorOf returns a refusal as it stands on the wire.
