--- a/core/attempt/attempt.go
+++ b/core/attempt/attempt.go
@@ -31,7 +31,7 @@
 	case NotSent, Refused:
 		return code.NotRun
 	case MaybeSent:
-		return code.Unknown
+		return code.MayHaveRun
 	default:
 		return code.Ran
 	}
@@ -88,8 +88,8 @@
 	if a == code.Ran || b == code.Ran {
 		return code.Ran
 	}
-	if a == code.Unknown || b == code.Unknown {
-		return code.Unknown
+	if a == code.MayHaveRun || b == code.MayHaveRun {
+		return code.MayHaveRun
 	}
 	return code.NotRun
 }
--- a/core/calls/table.go
+++ b/core/calls/table.go
@@ -180,7 +180,7 @@
 	if r := t.Pool.Get(c.Replica); r != nil {
 		c.Kind.Cancel(c, r)
 	}
-	run := code.Unknown
+	run := code.MayHaveRun
 	if c.Answered {
 		run = code.Ran
 	}
--- a/core/code/code.go
+++ b/core/code/code.go
@@ -122,9 +122,9 @@
 
 // The values of Run.
 const (
-	NotRun  RunState = "not_run" // the call certainly did not run
-	Ran     RunState = "ran"     // the call certainly ran
-	Unknown RunState = "unknown" // the call may have run
+	NotRun     RunState = "not_run" // the call certainly did not run
+	Ran        RunState = "ran"     // the call certainly ran
+	MayHaveRun RunState = "unknown" // the call may have run
 )
 
 // An Error is a numbered error.
--- a/core/forwarding/forwarding_test.go
+++ b/core/forwarding/forwarding_test.go
@@ -158,7 +158,7 @@
 		{"the replica's own answer is at hand", progress{relayable: true}, attempt.Answered, true, 0, ""},
 		{"a stream that began", progress{opened: true}, attempt.Answered, false, code.StreamCut, code.Ran},
 		{"nothing ran", progress{}, attempt.Refused, false, code.NoCapacity, code.NotRun},
-		{"it may have run", progress{}, attempt.MaybeSent, false, code.UpstreamBroke, code.Unknown},
+		{"it may have run", progress{}, attempt.MaybeSent, false, code.UpstreamBroke, code.MayHaveRun},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
