--- a/internal/server/follow.go
+++ b/internal/server/follow.go
@@ -73,5 +73,5 @@
 	s.level.Set(set.LogLevel)
 	limitMemory(set.MemoryLimit)
 	s.shell.Retune(instance.Retune{Options: set.Options(), Seeds: set.Seeds})
-	s.log.Info(logevent.Reloaded.Name(), "event", int(logevent.Reloaded), "settings", set.String())
+	s.log.Info(logevent.SettingsReloaded.Name(), "event", int(logevent.SettingsReloaded), "settings", set.String())
 }
