--- a/core/logevent/logevent.go
+++ b/core/logevent/logevent.go
@@ -18,7 +18,7 @@
 	Stopped            Number = 1003
 	Listening          Number = 1004
 	SettingsReloaded   Number = 1005
-	ReloadRefused      Number = 1006
+	SettingsRefused    Number = 1006
 	SleepUncounted     Number = 1007
 	BoundTooShort      Number = 1008
 	Installed          Number = 1101
@@ -112,7 +112,7 @@
 	{Stopped, "stopped", "The stop is complete; `cut` counts the calls that it cut off.", "If `cut` is not 0, raise `--stop-limit`."},
 	{Listening, "listening", "A listener accepts connections.", "None."},
 	{SettingsReloaded, "settings_reloaded", "Changed settings are in force; those that need a restart keep their old value until then.", "None."},
-	{ReloadRefused, "settings_refused", "The changed settings are wrong; the old ones stay in force.", "Mend what the detail names."},
+	{SettingsRefused, "settings_refused", "The changed settings are wrong; the old ones stay in force.", "Mend what the detail names."},
 	{SleepUncounted, "sleep_uncounted", "The system offers no clock that counts the time for which the machine sleeps; rights are judged by the wall clock as well, which may be set back.", "Keep the machine from being suspended, or its wall clock from being set back."},
 	{BoundTooShort, "bound_too_short", "The bound for replicas that leave is shorter than what the waits on the way to it come to at their least; they are kept at that, and listed.", "Ask for a longer bound, or exchange more often (`--exchange-every`)."},
 	{Installed, "configuration_installed", "A configuration revision is in force on this instance.", "None."},
--- a/internal/server/follow.go
+++ b/internal/server/follow.go
@@ -66,7 +66,7 @@
 	s.file = file
 	if len(faults) > 0 {
 		for _, f := range faults {
-			s.log.Info(logevent.ReloadRefused.Name(), "event", int(logevent.ReloadRefused), "detail", f.Error())
+			s.log.Info(logevent.SettingsRefused.Name(), "event", int(logevent.SettingsRefused), "detail", f.Error())
 		}
 		return
 	}
