--- a/core/instance/config.go
+++ b/core/instance/config.go
@@ -58,7 +58,7 @@
 	m.replayRecords(now)
 	m.env.installed(now, s)
 	m.exchanges.Installed(now)
-	m.state.Out.Log(logevent.Installed, "revision", s.Revision(), "source", e.Source)
+	m.state.Out.Log(logevent.ConfigInstalled, "revision", s.Revision(), "source", e.Source)
 	m.state.Out.Emit(Install{Snapshot: s})
 }
 
