--- a/core/instance/config.go
+++ b/core/instance/config.go
@@ -48,7 +48,7 @@
 	s := e.Snapshot
 	if s.Revision() <= m.state.Config.Revision() && !m.state.Options.Disable.Monotonic {
 		if s.Revision() < m.state.Config.Revision() {
-			m.state.Out.Log(logevent.OlderIgnored, "offered", s.Revision(), "in_force", m.state.Config.Revision(), "source", e.Source)
+			m.state.Out.Log(logevent.OlderConfigIgnored, "offered", s.Revision(), "in_force", m.state.Config.Revision(), "source", e.Source)
 		}
 		return
 	}
--- a/core/logevent/logevent.go
+++ b/core/logevent/logevent.go
@@ -22,7 +22,7 @@
 	SleepUncounted     Number = 1007
 	BoundTooShort      Number = 1008
 	ConfigInstalled    Number = 1101
-	OlderIgnored       Number = 1102
+	OlderConfigIgnored Number = 1102
 	ConfigFailed       Number = 1103
 	PlatformDown       Number = 1201
 	PlatformBack       Number = 1202
@@ -116,7 +116,7 @@
 	{SleepUncounted, "sleep_uncounted", "The system offers no clock that counts the time for which the machine sleeps; rights are judged by the wall clock as well, which may be set back.", "Keep the machine from being suspended, or its wall clock from being set back."},
 	{BoundTooShort, "bound_too_short", "The bound for replicas that leave is shorter than what the waits on the way to it come to at their least; they are kept at that, and listed.", "Ask for a longer bound, or exchange more often (`--exchange-every`)."},
 	{ConfigInstalled, "configuration_installed", "A configuration revision is in force on this instance.", "None."},
-	{OlderIgnored, "older_configuration_ignored", "Somebody offered a revision that is not newer than the one in force.", "None; a burst after a zone heals is usual."},
+	{OlderConfigIgnored, "older_configuration_ignored", "Somebody offered a revision that is not newer than the one in force.", "None; a burst after a zone heals is usual."},
 	{ConfigFailed, "configuration_failed", "A stored configuration could not be taken over; the one in force stays.", "Apply a good one with `birchctl apply`."},
 	{PlatformDown, "platform_down", "The platform's key-value service does not answer.", "Check the platform. Calls whose models are resident go on."},
 	{PlatformBack, "platform_back", "The platform's key-value service answers again.", "None."},
