--- a/core/own/planner/planner.go
+++ b/core/own/planner/planner.go
@@ -213,7 +213,7 @@
 func (p *Planner) noteDoubt(now clock.Instant) {
 	doubt := !p.lease.Valid(now)
 	if doubt && !p.doubtNoted {
-		p.Out.Log(logevent.LeaseDoubt, "fence", p.lease.Fence())
+		p.Out.Log(logevent.LeaseInDoubt, "fence", p.lease.Fence())
 	}
 	p.doubtNoted = doubt
 }
