--- a/core/logevent/logevent.go
+++ b/core/logevent/logevent.go
@@ -29,7 +29,7 @@
 	LeaseGained        Number = 1301
 	LeaseLost          Number = 1302
 	LeaseInDoubt       Number = 1303
-	IntentsLost        Number = 1304
+	IntentsConflict    Number = 1304
 	Enrolled           Number = 1311
 	EnrolmentLost      Number = 1312
 	EngineTaken        Number = 1313
@@ -123,7 +123,7 @@
 	{LeaseGained, "lease_gained", "This instance plans for its zone from now on.", "None."},
 	{LeaseLost, "lease_lost", "Another instance plans for this zone.", "None."},
 	{LeaseInDoubt, "lease_in_doubt", "The lease may have lapsed; only engines that check fences are still ordered.", "Check the platform if it lasts."},
-	{IntentsLost, "intents_conflict", "Another holder has written the zone's intents; this one stops ordering.", "None."},
+	{IntentsConflict, "intents_conflict", "Another holder has written the zone's intents; this one stops ordering.", "None."},
 	{Enrolled, "enrolled", "This instance's record stands in the platform's store.", "None."},
 	{EnrolmentLost, "enrolment_lost", "The platform dropped this instance's record; it is written again.", "None; often means that the platform was out of reach for longer than the record's term."},
 	{EngineTaken, "engine_taken", "This instance orders the engine from now on, at the earliest after `wait`.", "None."},
--- a/core/own/planner/intents.go
+++ b/core/own/planner/intents.go
@@ -66,7 +66,7 @@
 func (p *Planner) intentsRead(e IntentsReply) {
 	in := &p.intents
 	if e.Intents.Fence > p.fence {
-		p.loseLease(logevent.IntentsLost)
+		p.loseLease(logevent.IntentsConflict)
 		return
 	}
 	in.revision = e.Revision
