--- a/core/logevent/logevent.go
+++ b/core/logevent/logevent.go
@@ -47,7 +47,7 @@
 	OvercommitAvert    Number = 1405
 	Placing            Number = 1321
 	Placed             Number = 1322
-	PlaceEnded         Number = 1323
+	PlacementEnded     Number = 1323
 	EngineOrder        Number = 1411
 	EngineAnswer       Number = 1412
 	EngineState        Number = 1413
@@ -136,7 +136,7 @@
 	{ListCurrent, "list_current", "The list is as young again as it should be; `oldest_ms` is how old it became.", "None."},
 	{Placing, "placing", "This instance places models from now on.", "None."},
 	{Placed, "placement", "A model is to be loaded on an engine, and others to make way for it.", "None; `worth` and `cost` say why."},
-	{PlaceEnded, "placement_ended", "A placement is done, or was given up.", "None."},
+	{PlacementEnded, "placement_ended", "A placement is done, or was given up.", "None."},
 	{Order, "order", "An order was sent to an engine.", "None."},
 	{OrderRefused, "order_refused", "An engine refused an order.", "Read the detail; an engine out of memory that the ledger thought free is a bug."},
 	{OrderLost, "order_lost", "An order's answer is lost; its memory stays booked until the engine's state tells.", "Check the engine if it lasts."},
--- a/core/placement/placer.go
+++ b/core/placement/placer.go
@@ -239,7 +239,7 @@
 	if o == done {
 		fields = append(fields, "took", now.Since(c.begun).String())
 	}
-	p.Out.Log(logevent.PlaceEnded, fields...)
+	p.Out.Log(logevent.PlacementEnded, fields...)
 }
 
 // ask asks the engine's owner for the order that a change needs next.
--- a/internal/losses/absence.go
+++ b/internal/losses/absence.go
@@ -43,7 +43,7 @@
 		c := &change{engine: r.Engine, load: model, source: r.Source, begun: r.Time}
 		l.changes = append(l.changes, c)
 		l.open[key] = c
-	case r.Event == logevent.PlaceEnded:
+	case r.Event == logevent.PlacementEnded:
 		if c := l.open[key]; c != nil {
 			c.ended = r.Time
 			c.outcome = r.Detail
--- a/internal/losses/losses_test.go
+++ b/internal/losses/losses_test.go
@@ -28,7 +28,7 @@
 	placing := at(0, logevent.Placing, `"orphan":false`)
 	placed := at(time.Second, logevent.Placed, `"engine":"e","load":"m","source":"disk"`)
 	ended := func(after time.Duration, detail string) string {
-		return at(after, logevent.PlaceEnded, fmt.Sprintf(`"engine":"e","load":"m","detail":%q`, detail))
+		return at(after, logevent.PlacementEnded, fmt.Sprintf(`"engine":"e","load":"m","detail":%q`, detail))
 	}
 	ordered := at(2*time.Second, logevent.EngineOrder, `"engine":"e","load":true,"item":"m"`)
 	other := at(time.Second, logevent.CallFailed, `"call":"before","code":203,"detail":"\"m\" is not resident"`)
