--- a/core/logevent/logevent.go
+++ b/core/logevent/logevent.go
@@ -46,7 +46,7 @@
 	OrderFenced        Number = 1404
 	OvercommitAvert    Number = 1405
 	Placing            Number = 1321
-	Placed             Number = 1322
+	Placement          Number = 1322
 	PlacementEnded     Number = 1323
 	EngineOrder        Number = 1411
 	EngineAnswer       Number = 1412
@@ -135,7 +135,7 @@
 	{ListOld, "list_old", "What this instance knows of the platform's list is older than a sound platform and sound peers would let it be (`age_ms`, `most_ms`), though the platform is not known to be down. Calls go on.", "See whether `platform_down` or `peer_failed` follows; else connections hang. Calls that reach a replica too late after it left have such an age in `call_sent`."},
 	{ListCurrent, "list_current", "The list is as young again as it should be; `oldest_ms` is how old it became.", "None."},
 	{Placing, "placing", "This instance places models from now on.", "None."},
-	{Placed, "placement", "A model is to be loaded on an engine, and others to make way for it.", "None; `worth` and `cost` say why."},
+	{Placement, "placement", "A model is to be loaded on an engine, and others to make way for it.", "None; `worth` and `cost` say why."},
 	{PlacementEnded, "placement_ended", "A placement is done, or was given up.", "None."},
 	{Order, "order", "An order was sent to an engine.", "None."},
 	{OrderRefused, "order_refused", "An engine refused an order.", "Read the detail; an engine out of memory that the ledger thought free is a bug."},
--- a/core/placement/placer.go
+++ b/core/placement/placer.go
@@ -187,7 +187,7 @@
 			continue
 		}
 		for _, c := range Changes(p.input(now, svc)) {
-			p.Out.Log(logevent.Placed, "engine", c.Engine, "load", c.Load, "drop", c.Drop, "source", c.Source.String(),
+			p.Out.Log(logevent.Placement, "engine", c.Engine, "load", c.Load, "drop", c.Drop, "source", c.Source.String(),
 				"worth", c.Value, "cost", c.Cost, "work", c.Work, "copies", c.Copies)
 			ch := &change{Change: c, life: p.engineState(c.Engine).life, begun: now, movedAt: now}
 			p.changes[c.Engine] = ch
--- a/internal/losses/absence.go
+++ b/internal/losses/absence.go
@@ -39,7 +39,7 @@
 	model, isName := r.Load.(string)
 	key := changeKey{r.Instance, r.Engine}
 	switch {
-	case r.Event == logevent.Placed && isName:
+	case r.Event == logevent.Placement && isName:
 		c := &change{engine: r.Engine, load: model, source: r.Source, begun: r.Time}
 		l.changes = append(l.changes, c)
 		l.open[key] = c
--- a/internal/losses/losses_test.go
+++ b/internal/losses/losses_test.go
@@ -26,7 +26,7 @@
 // TestReasons tables logs with known causes, and the reason that each gives the call.
 func TestReasons(t *testing.T) {
 	placing := at(0, logevent.Placing, `"orphan":false`)
-	placed := at(time.Second, logevent.Placed, `"engine":"e","load":"m","source":"disk"`)
+	placed := at(time.Second, logevent.Placement, `"engine":"e","load":"m","source":"disk"`)
 	ended := func(after time.Duration, detail string) string {
 		return at(after, logevent.PlacementEnded, fmt.Sprintf(`"engine":"e","load":"m","detail":%q`, detail))
 	}
--- a/internal/losses/record.go
+++ b/internal/losses/record.go
@@ -119,7 +119,7 @@
 		if !r.Orphan {
 			l.placers = append(l.placers, r.Time)
 		}
-	case logevent.Placed, logevent.PlacementEnded, logevent.EngineOrder:
+	case logevent.Placement, logevent.PlacementEnded, logevent.EngineOrder:
 		l.takeChange(r)
 	case logevent.Listening:
 		l.starts[r.Instance] = append(l.starts[r.Instance], r.Time)
