--- a/core/logevent/logevent.go
+++ b/core/logevent/logevent.go
@@ -44,7 +44,7 @@
 	OrderRefused       Number = 1402
 	OrderLost          Number = 1403
 	OrderFenced        Number = 1404
-	OvercommitAvert    Number = 1405
+	OvercommitAverted  Number = 1405
 	Placing            Number = 1321
 	Placement          Number = 1322
 	PlacementEnded     Number = 1323
@@ -141,7 +141,7 @@
 	{OrderRefused, "order_refused", "An engine refused an order.", "Read the detail; an engine out of memory that the ledger thought free is a bug."},
 	{OrderLost, "order_lost", "An order's answer is lost; its memory stays booked until the engine's state tells.", "Check the engine if it lasts."},
 	{OrderFenced, "order_fenced", "An engine has seen a later fence than this instance's.", "None; another instance plans for the zone."},
-	{OvercommitAvert, "overcommit_averted", "The plan asked for a step that the ledger refused.", "None; rare lines are usual when state changes under a plan."},
+	{OvercommitAverted, "overcommit_averted", "The plan asked for a step that the ledger refused.", "None; rare lines are usual when state changes under a plan."},
 	{EngineOrder, "engine_order", "An order was sent to an announced engine.", "None."},
 	{EngineAnswer, "engine_answer", "What came of an order to an announced engine.", "Many that are lost: check the engine."},
 	{EngineState, "engine_state", "An announced engine was asked for its state.", "None."},
--- a/core/own/planner/orders.go
+++ b/core/own/planner/orders.go
@@ -90,7 +90,7 @@
 	}
 	o := book.Order{Engine: s.Engine, Fence: p.fence, Seq: p.nextSeq(), Op: s.Op, Item: s.Item, MiB: s.MiB}
 	if !l.Book(o) && !p.Options.Disable.Booking {
-		p.Out.Log(logevent.OvercommitAvert, "engine", s.Engine, "op", s.Op.String(), "item", s.Item)
+		p.Out.Log(logevent.OvercommitAverted, "engine", s.Engine, "op", s.Op.String(), "item", s.Item)
 		return
 	}
 	if s.Op == book.Load {
