--- a/core/logevent/logevent.go
+++ b/core/logevent/logevent.go
@@ -51,7 +51,7 @@
 	EngineOrder        Number = 1411
 	EngineAnswer       Number = 1412
 	EngineState        Number = 1413
-	OrderWaits         Number = 1414
+	OrderRefusedHere   Number = 1414
 	EngineStateFailed  Number = 1415
 	Leaving            Number = 1501
 	Announced          Number = 1502
@@ -145,7 +145,7 @@
 	{EngineOrder, "engine_order", "An order was sent to an announced engine.", "None."},
 	{EngineAnswer, "engine_answer", "What came of an order to an announced engine.", "Many that are lost: check the engine."},
 	{EngineState, "engine_state", "An announced engine was asked for its state.", "None."},
-	{OrderWaits, "order_refused_here", "A peer asked for an order that this instance will not give now.", "Read the reason."},
+	{OrderRefusedHere, "order_refused_here", "A peer asked for an order that this instance will not give now.", "Read the reason."},
 	{EngineStateFailed, "engine_state_failed", "An announced engine did not say its state; it is asked again.", "Many for one engine: check it."},
 	{Leaving, "upstream_leaving", "An upstream is leaving and gets no new work.", "None."},
 	{Announced, "upstream_announced", "A replica announced itself in the platform's list.", "None."},
--- a/core/owned/queue.go
+++ b/core/owned/queue.go
@@ -265,7 +265,7 @@
 
 func (s *Engines) answer(now clock.Instant, e *Engine, r orders.Request, w waiter, o Outcome, detail string) {
 	if o == Refused {
-		s.Out.Log(logevent.OrderWaits, "engine", e.Name, "item", r.Item(), "detail", detail)
+		s.Out.Log(logevent.OrderRefusedHere, "engine", e.Name, "item", r.Item(), "detail", detail)
 	}
 	if w.token != 0 {
 		s.Out.Emit(Answer{Token: w.token, Outcome: o, Detail: detail})
