--- a/core/exchange/exchange.go
+++ b/core/exchange/exchange.go
@@ -276,7 +276,7 @@
 func (x *Exchanges) LogLeaving(res share.Residency) {
 	r := x.Pool.Get(res.Engine)
 	if r != nil && res.Leaving && !r.Leaving() {
-		x.Out.Log(logevent.Leaving, "upstream", res.Engine, "source", "itself")
+		x.Out.Log(logevent.UpstreamLeaving, "upstream", res.Engine, "source", "itself")
 	}
 }
 
--- a/core/forwarding/attempts.go
+++ b/core/forwarding/attempts.go
@@ -171,7 +171,7 @@
 		r.DropCall(uint64(c.ID))
 		f.Quarantine.ReplicaEnded(now, r.Incarnation())
 		f.Pool.MarkTerminated(c.Replica)
-		f.Out.Log(logevent.Leaving, "upstream", c.Replica, "source", "another replica has its address", "now", b.Incarnation)
+		f.Out.Log(logevent.UpstreamLeaving, "upstream", c.Replica, "source", "another replica has its address", "now", b.Incarnation)
 	case b.Misdirected:
 		r.DropCall(uint64(c.ID))
 		f.Pool.MarkAbsent(c.Replica, c.Item)
--- a/core/listing/listing.go
+++ b/core/listing/listing.go
@@ -135,7 +135,7 @@
 func (l *List) applyLeaving(entry share.Listed) {
 	r := l.Pool.Get(entry.Name)
 	if r != nil && !r.Leaving() {
-		l.Out.Log(logevent.Leaving, "upstream", entry.Name, "source", "list")
+		l.Out.Log(logevent.UpstreamLeaving, "upstream", entry.Name, "source", "list")
 	}
 	l.Pool.ObserveListed(entry.Name, true)
 }
@@ -182,7 +182,7 @@
 		l.Out.Log(logevent.Announced, "upstream", name, "service", a.Service, "address", a.Address, "zone", a.Zone, "version", version)
 	}
 	if a.Leaving && (former == nil || !former.Leaving()) {
-		l.Out.Log(logevent.Leaving, "upstream", name, "source", "list", "version", version, "remaining", a.Remaining.String())
+		l.Out.Log(logevent.UpstreamLeaving, "upstream", name, "source", "list", "version", version, "remaining", a.Remaining.String())
 	}
 	l.Pool.Announce(now, name, a)
 	if r := l.Pool.Get(name); r != former {
@@ -244,6 +244,6 @@
 // Tick has replicas whose entries went a while ago count as leaving.
 func (l *List) Tick(now clock.Instant) {
 	for _, name := range l.Pool.ExpireVanished(now, pool.VanishedGracePeriod) {
-		l.Out.Log(logevent.Leaving, "upstream", name, "source", "its entry went")
+		l.Out.Log(logevent.UpstreamLeaving, "upstream", name, "source", "its entry went")
 	}
 }
--- a/core/logevent/logevent.go
+++ b/core/logevent/logevent.go
@@ -53,7 +53,7 @@
 	EngineState        Number = 1413
 	OrderRefusedHere   Number = 1414
 	EngineStateFailed  Number = 1415
-	Leaving            Number = 1501
+	UpstreamLeaving    Number = 1501
 	Announced          Number = 1502
 	Vanished           Number = 1503
 	ReplicaEnded       Number = 1504
@@ -147,7 +147,7 @@
 	{EngineState, "engine_state", "An announced engine was asked for its state.", "None."},
 	{OrderRefusedHere, "order_refused_here", "A peer asked for an order that this instance will not give now.", "Read the reason."},
 	{EngineStateFailed, "engine_state_failed", "An announced engine did not say its state; it is asked again.", "Many for one engine: check it."},
-	{Leaving, "upstream_leaving", "An upstream is leaving and gets no new work.", "None."},
+	{UpstreamLeaving, "upstream_leaving", "An upstream is leaving and gets no new work.", "None."},
 	{Announced, "upstream_announced", "A replica announced itself in the platform's list.", "None."},
 	{Vanished, "upstream_vanished", "A replica's entry is gone from the platform's list; it is used for a moment more where nothing better is there.", "None; many at once mean that the platform lost its leases."},
 	{ReplicaEnded, "upstream_ended", "A replica ended without a word while it had calls of this instance; they are reported to all instances.", "Many: look for 1811, which names the request that is blamed."},
--- a/core/notice/notice.go
+++ b/core/notice/notice.go
@@ -79,7 +79,7 @@
 		}
 	}
 	if news.Leaving {
-		n.Out.Log(logevent.Leaving, "upstream", e.Replica, "source", "itself")
+		n.Out.Log(logevent.UpstreamLeaving, "upstream", e.Replica, "source", "itself")
 		n.Records.AddLeaving("", share.Leaving{Incarnation: n.Pool.Get(e.Replica).Incarnation(), At: now})
 		n.TellSoon(now)
 	}
@@ -163,7 +163,7 @@
 		n.TellSoon(now)
 		r := n.Pool.Get(l.Name)
 		if r != nil && r.Incarnation() == l.Incarnation && n.Pool.ObservePeerLeaving(l.Name) {
-			n.Out.Log(logevent.Leaving, "upstream", l.Name, "source", "a peer", "told", from)
+			n.Out.Log(logevent.UpstreamLeaving, "upstream", l.Name, "source", "a peer", "told", from)
 		}
 	}
 }
@@ -177,7 +177,7 @@
 		return
 	}
 	if n.Records.IsLeaving(r.Incarnation()) && n.Pool.ObservePeerLeaving(name) {
-		n.Out.Log(logevent.Leaving, "upstream", name, "source", "a peer")
+		n.Out.Log(logevent.UpstreamLeaving, "upstream", name, "source", "a peer")
 	}
 	if r.AnnouncedLeaving() && n.Records.AddLeaving("", share.Leaving{Incarnation: r.Incarnation(), At: now}) {
 		n.TellSoon(now)
--- a/core/own/modelcalls/attempts.go
+++ b/core/own/modelcalls/attempts.go
@@ -75,7 +75,7 @@
 func (h *Handler) settleReplica(now clock.Instant, c *calls.Call, e calls.AttemptFailed) {
 	if e.Leaving {
 		h.Pool.ObserveLeaving(c.Replica)
-		h.Out.Log(logevent.Leaving, "upstream", c.Replica, "source", "answer")
+		h.Out.Log(logevent.UpstreamLeaving, "upstream", c.Replica, "source", "answer")
 	}
 	r := h.Pool.Get(c.Replica)
 	if r == nil {
