--- a/core/logevent/logevent.go
+++ b/core/logevent/logevent.go
@@ -54,7 +54,7 @@
 	OrderRefusedHere   Number = 1414
 	EngineStateFailed  Number = 1415
 	UpstreamLeaving    Number = 1501
-	Announced          Number = 1502
+	UpstreamAnnounced  Number = 1502
 	Vanished           Number = 1503
 	ReplicaEnded       Number = 1504
 	ReplicaNotice      Number = 1505
@@ -148,7 +148,7 @@
 	{OrderRefusedHere, "order_refused_here", "A peer asked for an order that this instance will not give now.", "Read the reason."},
 	{EngineStateFailed, "engine_state_failed", "An announced engine did not say its state; it is asked again.", "Many for one engine: check it."},
 	{UpstreamLeaving, "upstream_leaving", "An upstream is leaving and gets no new work.", "None."},
-	{Announced, "upstream_announced", "A replica announced itself in the platform's list.", "None."},
+	{UpstreamAnnounced, "upstream_announced", "A replica announced itself in the platform's list.", "None."},
 	{Vanished, "upstream_vanished", "A replica's entry is gone from the platform's list; it is used for a moment more where nothing better is there.", "None; many at once mean that the platform lost its leases."},
 	{ReplicaEnded, "upstream_ended", "A replica ended without a word while it had calls of this instance; they are reported to all instances.", "Many: look for 1811, which names the request that is blamed."},
 	{ReplicaNotice, "upstream_notice", "A replica said of itself in an answer that it leaves, or for how long it wants nothing from this instance.", "None; one that asks for rest again and again is overloaded."},
