--- a/core/listing/listing.go
+++ b/core/listing/listing.go
@@ -149,7 +149,7 @@
 // applyAnnounced takes over the entry of a replica that announces itself.
 func (l *List) applyAnnounced(now clock.Instant, entry share.Listed) {
 	if entry.Gone {
-		l.Out.Log(logevent.Vanished, "upstream", entry.Name, "version", entry.Version)
+		l.Out.Log(logevent.UpstreamVanished, "upstream", entry.Name, "version", entry.Version)
 		by := l.leavesBy(now)
 		if entry.Leaving {
 			by = now
--- a/core/logevent/logevent.go
+++ b/core/logevent/logevent.go
@@ -55,7 +55,7 @@
 	EngineStateFailed  Number = 1415
 	UpstreamLeaving    Number = 1501
 	UpstreamAnnounced  Number = 1502
-	Vanished           Number = 1503
+	UpstreamVanished   Number = 1503
 	ReplicaEnded       Number = 1504
 	ReplicaNotice      Number = 1505
 	Restarted          Number = 1506
@@ -149,7 +149,7 @@
 	{EngineStateFailed, "engine_state_failed", "An announced engine did not say its state; it is asked again.", "Many for one engine: check it."},
 	{UpstreamLeaving, "upstream_leaving", "An upstream is leaving and gets no new work.", "None."},
 	{UpstreamAnnounced, "upstream_announced", "A replica announced itself in the platform's list.", "None."},
-	{Vanished, "upstream_vanished", "A replica's entry is gone from the platform's list; it is used for a moment more where nothing better is there.", "None; many at once mean that the platform lost its leases."},
+	{UpstreamVanished, "upstream_vanished", "A replica's entry is gone from the platform's list; it is used for a moment more where nothing better is there.", "None; many at once mean that the platform lost its leases."},
 	{ReplicaEnded, "upstream_ended", "A replica ended without a word while it had calls of this instance; they are reported to all instances.", "Many: look for 1811, which names the request that is blamed."},
 	{ReplicaNotice, "upstream_notice", "A replica said of itself in an answer that it leaves, or for how long it wants nothing from this instance.", "None; one that asks for rest again and again is overloaded."},
 	{Restarted, "upstream_restarted", "A replica started again under its name, or at another address; calls that were there are settled as after a crash.", "None; again and again: look at what ends it."},
