--- a/core/quarantine/evidence.go
+++ b/core/quarantine/evidence.go
@@ -148,7 +148,7 @@
 	if e.seq == 0 {
 		t.seq++
 		e.seq = t.seq
-		t.Out.Log(logevent.ReplicaEnded, "upstream", replica.Name, "calls", len(e.requests))
+		t.Out.Log(logevent.UpstreamEnded, "upstream", replica.Name, "calls", len(e.requests))
 	}
 	t.suspect(e.requests)
 	r := crash.Report{
