--- a/core/notice/notice.go
+++ b/core/notice/notice.go
@@ -71,7 +71,7 @@
 	if news.IsZero() {
 		return
 	}
-	n.Out.Log(logevent.ReplicaNotice, "upstream", e.Replica, "leaving", news.Leaving, "rest_ms", news.Rest.Milliseconds())
+	n.Out.Log(logevent.UpstreamNotice, "upstream", e.Replica, "leaving", news.Leaving, "rest_ms", news.Rest.Milliseconds())
 	if r := n.Pool.Get(e.Replica); news.Rest > 0 {
 		rest := share.Rest{Incarnation: r.Incarnation(), Until: now.Add(e.Notice.Rest)}
 		if n.Records.AddRest("", rest) {
