--- a/core/listing/listing.go
+++ b/core/listing/listing.go
@@ -213,7 +213,7 @@
 // one before it, nil if there was none.
 func (l *List) appeared(now clock.Instant, former, r *pool.Replica) {
 	if former != nil {
-		l.Out.Log(logevent.Restarted, "upstream", r.Name, "address", r.Address, "born", r.Incarnation().Born, "former", former.Incarnation().Born)
+		l.Out.Log(logevent.UpstreamRestarted, "upstream", r.Name, "address", r.Address, "born", r.Incarnation().Born, "former", former.Incarnation().Born)
 		l.Restarted(now, r.Name)
 	}
 	if known, ok := l.Records.Residency(r.Name); ok {
--- a/core/logevent/logevent.go
+++ b/core/logevent/logevent.go
@@ -58,7 +58,7 @@
 	UpstreamVanished   Number = 1503
 	UpstreamEnded      Number = 1504
 	UpstreamNotice     Number = 1505
-	Restarted          Number = 1506
+	UpstreamRestarted  Number = 1506
 	HeaderUnread       Number = 1507
 	ReplicaLimit       Number = 1508
 	PeerFailed         Number = 1601
@@ -152,7 +152,7 @@
 	{UpstreamVanished, "upstream_vanished", "A replica's entry is gone from the platform's list; it is used for a moment more where nothing better is there.", "None; many at once mean that the platform lost its leases."},
 	{UpstreamEnded, "upstream_ended", "A replica ended without a word while it had calls of this instance; they are reported to all instances.", "Many: look for 1811, which names the request that is blamed."},
 	{UpstreamNotice, "upstream_notice", "A replica said of itself in an answer that it leaves, or for how long it wants nothing from this instance.", "None; one that asks for rest again and again is overloaded."},
-	{Restarted, "upstream_restarted", "A replica started again under its name, or at another address; calls that were there are settled as after a crash.", "None; again and again: look at what ends it."},
+	{UpstreamRestarted, "upstream_restarted", "A replica started again under its name, or at another address; calls that were there are settled as after a crash.", "None; again and again: look at what ends it."},
 	{HeaderUnread, "header_unread", "An answer of a replica or of the platform's store had a header that nothing here reads; each name is logged once.", "See what the platform's pages say of it. If it asks something of callers, nothing here does that yet: report it."},
 	{ReplicaLimit, "upstream_limit", "A replica names how many requests a second it takes from all instances together, another number, or none any more (`named`); `by` is the instance that had its answer, `ago_ms` before.", "None; one that names a limit is in need: look at what runs there."},
 	{PeerFailed, "peer_failed", "An exchange with a peer failed.", "Check the network between the instances if it lasts."},
