--- a/core/logevent/logevent.go
+++ b/core/logevent/logevent.go
@@ -60,7 +60,7 @@
 	UpstreamNotice     Number = 1505
 	UpstreamRestarted  Number = 1506
 	HeaderUnread       Number = 1507
-	ReplicaLimit       Number = 1508
+	UpstreamLimit      Number = 1508
 	PeerFailed         Number = 1601
 	PolicyFailed       Number = 1701
 	CallFailed         Number = 1801
@@ -154,7 +154,7 @@
 	{UpstreamNotice, "upstream_notice", "A replica said of itself in an answer that it leaves, or for how long it wants nothing from this instance.", "None; one that asks for rest again and again is overloaded."},
 	{UpstreamRestarted, "upstream_restarted", "A replica started again under its name, or at another address; calls that were there are settled as after a crash.", "None; again and again: look at what ends it."},
 	{HeaderUnread, "header_unread", "An answer of a replica or of the platform's store had a header that nothing here reads; each name is logged once.", "See what the platform's pages say of it. If it asks something of callers, nothing here does that yet: report it."},
-	{ReplicaLimit, "upstream_limit", "A replica names how many requests a second it takes from all instances together, another number, or none any more (`named`); `by` is the instance that had its answer, `ago_ms` before.", "None; one that names a limit is in need: look at what runs there."},
+	{UpstreamLimit, "upstream_limit", "A replica names how many requests a second it takes from all instances together, another number, or none any more (`named`); `by` is the instance that had its answer, `ago_ms` before.", "None; one that names a limit is in need: look at what runs there."},
 	{PeerFailed, "peer_failed", "An exchange with a peer failed.", "Check the network between the instances if it lasts."},
 	{PolicyFailed, "policy_failed", "A policy expression failed at run time; its declared default was used.", "Mend the expression."},
 	{CallFailed, "call_failed", "A call got a final answer that is not its upstream's.", "Look the code up in docs/codes.md."},
--- a/core/notice/notice.go
+++ b/core/notice/notice.go
@@ -108,7 +108,7 @@
 	if w.Limit == former.Limit {
 		return
 	}
-	n.Out.Log(logevent.ReplicaLimit, "upstream", r.Name, "named", w.Limit.Named, "per_s", w.Limit.PerSecond,
+	n.Out.Log(logevent.UpstreamLimit, "upstream", r.Name, "named", w.Limit.Named, "per_s", w.Limit.PerSecond,
 		"by", w.By, "ago_ms", now.Since(w.At).Milliseconds())
 }
 
