--- a/core/instance/event.go
+++ b/core/instance/event.go
@@ -19,8 +19,8 @@
 	Tick struct{}
 	// Stop begins a planned stop; a second one ends it at once.
 	Stop struct{}
-	// Retune takes over changed tunables and seeds.
-	Retune struct {
+	// OptionsChanged takes over changed tunables and seeds.
+	OptionsChanged struct {
 		Options option.Options
 		Seeds   []string
 	}
@@ -33,4 +33,4 @@
 func (Stop) IsEvent() {}
 
 // IsEvent implements step.Event.
-func (Retune) IsEvent() {}
+func (OptionsChanged) IsEvent() {}
--- a/core/instance/machine.go
+++ b/core/instance/machine.go
@@ -121,7 +121,7 @@
 		m.exchanges.Asked(now, e)
 	case Stop:
 		m.stop.Start(now)
-	case Retune:
+	case OptionsChanged:
 		m.retune(e)
 	case Tick:
 	}
@@ -195,7 +195,7 @@
 
 // retune takes over tunables that may change while the machine runs. What its
 // driver was built with stays.
-func (m *Machine) retune(e Retune) {
+func (m *Machine) retune(e OptionsChanged) {
 	if e.Options.RetryWindow != m.state.Options.RetryWindow {
 		m.budget.Reset()
 	}
--- a/internal/shell/shell.go
+++ b/internal/shell/shell.go
@@ -179,7 +179,7 @@
 func (s *Shell) Exited() <-chan shutdown.Exit { return s.exited }
 
 // Retune has the machine take over changed tunables.
-func (s *Shell) Retune(r instance.Retune) { s.post(r) }
+func (s *Shell) Retune(r instance.OptionsChanged) { s.post(r) }
 
 // Stop begins a planned stop, or ends one that is under way.
 func (s *Shell) Stop() { s.post(instance.Stop{}) }
