--- a/core/instance/config.go
+++ b/core/instance/config.go
@@ -17,15 +17,15 @@
 		Source   string           // PlatformSource or the peer's name
 		Err      error
 	}
-	// Install is an action: a revision is in force from now on.
-	Install struct{ Snapshot *config.Snapshot }
+	// ConfigInstalled is an action: a revision is in force from now on.
+	ConfigInstalled struct{ Snapshot *config.Snapshot }
 )
 
 // IsEvent implements step.Event.
 func (ConfigReply) IsEvent() {}
 
 // IsAction implements step.Action.
-func (Install) IsAction() {}
+func (ConfigInstalled) IsAction() {}
 
 // configReplied takes in a configuration that the platform or a peer sent.
 func (m *Machine) configReplied(now clock.Instant, e ConfigReply) {
@@ -59,7 +59,7 @@
 	m.env.installed(now, s)
 	m.exchanges.Installed(now)
 	m.state.Out.Log(logevent.ConfigInstalled, "revision", s.Revision(), "source", e.Source)
-	m.state.Out.Emit(Install{Snapshot: s})
+	m.state.Out.Emit(ConfigInstalled{Snapshot: s})
 }
 
 // replayRecords tells the pool what was heard of upstreams before the revision
--- a/core/instance/world_test.go
+++ b/core/instance/world_test.go
@@ -316,7 +316,7 @@
 
 func (w *world) carryOut(n *node, a step.Action) {
 	switch act := a.(type) {
-	case Install:
+	case ConfigInstalled:
 		w.noteInstall(n, act)
 	case kvwatch.Config:
 		w.watchConfig(n, act)
@@ -348,7 +348,7 @@
 	}
 }
 
-func (w *world) noteInstall(n *node, a Install) {
+func (w *world) noteInstall(n *node, a ConfigInstalled) {
 	old := w.install[n.id.Name]
 	if a.Snapshot.Revision() < old {
 		w.breach("%s went from revision %d to %d", n.id.Name, old, a.Snapshot.Revision())
--- a/internal/shell/actions.go
+++ b/internal/shell/actions.go
@@ -67,7 +67,7 @@
 			reply <- peer.OrderReply{Outcome: act.Outcome, Detail: act.Detail}
 			delete(s.orders, act.Token)
 		}
-	case instance.Install:
+	case instance.ConfigInstalled:
 		s.snapshot.install = act.Snapshot
 	case step.Log:
 		s.event(act.Event, act.Fields...)
