--- a/core/era/era.go
+++ b/core/era/era.go
@@ -42,9 +42,9 @@
 	MaxEra      uint64 = 1<<13 - 1 // count of steps back
 )
 
-// Number returns the revision that the store gave out as raw in this era. It panics for one
+// Revision returns the revision that the store gave out as raw in this era. It panics for one
 // beyond MaxRevision, which would be taken for one of another era.
-func (e Era) Number(raw uint64) Number {
+func (e Era) Revision(raw uint64) Number {
 	switch {
 	case raw == 0:
 		return 0
--- a/core/era/era_test.go
+++ b/core/era/era_test.go
@@ -10,11 +10,11 @@
 // TestNumbersOfALaterEraAreGreater: however the store's own numbers went back.
 func TestNumbersOfALaterEraAreGreater(t *testing.T) {
 	is := is.New(t)
-	is.True(Era(0).Number(7) < Era(0).Number(8))
-	is.True(Era(0).Number(MaxRevision) < Era(1).Number(1))
-	is.True(Era(2).Number(MaxRevision) < Era(3).Number(1))
-	is.Equal(Era(0).Number(7), Number(7)) // a store without eras: its own numbers
-	is.Equal(Era(3).Number(0), Number(0)) // none is none in each era
+	is.True(Era(0).Revision(7) < Era(0).Revision(8))
+	is.True(Era(0).Revision(MaxRevision) < Era(1).Revision(1))
+	is.True(Era(2).Revision(MaxRevision) < Era(3).Revision(1))
+	is.Equal(Era(0).Revision(7), Number(7)) // a store without eras: its own numbers
+	is.Equal(Era(3).Revision(0), Number(0)) // none is none in each era
 }
 
 // TestNumbersAreReadBack, also the largest.
@@ -22,20 +22,20 @@
 	is := is.New(t)
 	for _, e := range []Era{0, 1, 2, Era(MaxEra)} {
 		for _, raw := range []uint64{1, 41, MaxRevision} {
-			n := e.Number(raw)
+			n := e.Revision(raw)
 			is.Equal(n.Era(), e)
 			is.Equal(n.Raw(), raw)
 			is.True(uint64(n) < 1<<53)
 		}
 	}
-	is.Equal(Era(0).Number(41).String(), "41")
-	is.Equal(Era(2).Number(41).String(), "2/41")
+	is.Equal(Era(0).Revision(41).String(), "41")
+	is.Equal(Era(2).Revision(41).String(), "2/41")
 }
 
 // TestNumbersInLogs: one with an era is a text, for the integer says nothing to a reader.
 func TestNumbersInLogs(t *testing.T) {
 	is := is.New(t)
-	for n, want := range map[Number]string{41: `41`, Era(2).Number(41): `"2/41"`} {
+	for n, want := range map[Number]string{41: `41`, Era(2).Revision(41): `"2/41"`} {
 		data, err := json.Marshal(n)
 		is.NoErr(err)
 		is.Equal(string(data), want)
--- a/core/instance/announced_world_test.go
+++ b/core/instance/announced_world_test.go
@@ -552,7 +552,7 @@
 }
 
 // number returns a number that the store gives out now.
-func (f *fleet) number(raw uint64) era.Number { return f.store.era.Number(raw) }
+func (f *fleet) number(raw uint64) era.Number { return f.store.era.Revision(raw) }
 
 func (f *fleet) change(key string, v *fleetValue) uint64 {
 	f.store.revision++
@@ -831,14 +831,14 @@
 	kind, name, _ := cutKey(c.key)
 	gone := c.value == nil
 	if kind == "servers" {
-		l := share.Listed{Name: name, Kind: share.Upstream, Version: in.Number(c.revision), Gone: gone}
+		l := share.Listed{Name: name, Kind: share.Upstream, Version: in.Revision(c.revision), Gone: gone}
 		if !gone {
 			l.Announced = c.value.data.(*pool.Announcement)
 		}
 		list.Entries = append(list.Entries, l)
 		return
 	}
-	rec := registry.Record{Key: c.key, Revision: in.Number(c.revision), Gone: gone}
+	rec := registry.Record{Key: c.key, Revision: in.Revision(c.revision), Gone: gone}
 	if !gone {
 		rec.Data = c.value.data.(interface{ Value() registry.Value }).Value().Data
 	}
--- a/core/ownership/era_test.go
+++ b/core/ownership/era_test.go
@@ -55,13 +55,13 @@
 func (b *bench) heardAll(e era.Era, records ...registry.Record) {
 	mark := registry.EraMark{Era: e, First: e == 1}
 	records = append(records, record(e, 3, mark.Value()))
-	b.g.Heard(b.now, Heard{Records: records, Version: e.Number(50), Whole: true})
+	b.g.Heard(b.now, Heard{Records: records, Version: e.Revision(50), Whole: true})
 	b.g.WatchAnswered(b.now)
 }
 
 // record returns a record as it stands at a revision of an era.
 func record(e era.Era, raw uint64, v registry.Value) registry.Record {
-	return registry.Record{Key: v.Key, Data: v.Data, Revision: e.Number(raw)}
+	return registry.Record{Key: v.Key, Data: v.Data, Revision: e.Revision(raw)}
 }
 
 // enrolled has the lease and the record of an era written.
@@ -106,7 +106,7 @@
 	if !ok {
 		t.Fatal("nothing was claimed")
 	}
-	b.g.Written(b.now, WriteReply{Write: w, Revision: era.Era(1).Number(40)})
+	b.g.Written(b.now, WriteReply{Write: w, Revision: era.Era(1).Revision(40)})
 	if b.g.Owned.Get("e") == nil {
 		t.Fatal("e is not owned")
 	}
@@ -146,13 +146,13 @@
 			is.Equal(w.Claim[0].Former, "")
 			is.Equal(w.Claim[0].Era, era.Era(2))
 			is.Equal(w.Claim[0].Revision != 0, len(found) > 0)
-			is.Equal(w.Depends, era.Era(2).Number(3)) // on the mark of this era
-			b.g.Written(b.now, WriteReply{Write: w, Revision: era.Era(2).Number(60)})
+			is.Equal(w.Depends, era.Era(2).Revision(3)) // on the mark of this era
+			b.g.Written(b.now, WriteReply{Write: w, Revision: era.Era(2).Revision(60)})
 			b.enrolled(2)
 			b.pass(10 * time.Second)
 			b.tick()
 			is.True(b.orderable())
-			is.Equal(b.g.Owned.Get("e").Fence, era.Era(2).Number(60))
+			is.Equal(b.g.Owned.Get("e").Fence, era.Era(2).Revision(60))
 		})
 	}
 }
@@ -189,7 +189,7 @@
 	is := is.New(t)
 	b := in(t, 1)
 	claim := registry.Ownership{Engine: "e", Owner: "self", Boot: 1, Era: 1, Former: "b"}
-	b.g.Written(b.now, WriteReply{Write: Records{Claim: []registry.Ownership{claim}}, Revision: era.Era(1).Number(40)})
+	b.g.Written(b.now, WriteReply{Write: Records{Claim: []registry.Ownership{claim}}, Revision: era.Era(1).Revision(40)})
 	is.True(b.g.Owned.Get("e") != nil)
 	b.heardAll(2)
 	is.True(b.g.Owned.Get("e") == nil)
@@ -210,7 +210,7 @@
 			w, ok := b.claims(5 * time.Second)
 			is.True(ok)
 			is.Equal(w.Claim[0].Former, registry.Unknown)
-			b.g.Written(b.now, WriteReply{Write: w, Revision: era.Era(2).Number(60)})
+			b.g.Written(b.now, WriteReply{Write: w, Revision: era.Era(2).Revision(60)})
 			o := b.g.Options
 			is.Equal(b.g.Owned.Get("e").From, b.now.Add(o.OrderValid+o.TurnGap+turnMargin))
 		})
@@ -226,7 +226,7 @@
 		heard := b.now
 		w, ok := b.claims(5 * time.Second)
 		is.True(ok)
-		b.g.Written(b.now, WriteReply{Write: w, Revision: e.Number(60)})
+		b.g.Written(b.now, WriteReply{Write: w, Revision: e.Revision(60)})
 		want := b.now
 		if e > 1 {
 			o := b.g.Options
@@ -269,7 +269,7 @@
 	b.heardAll(2)
 	b.enrolled(2)
 	key := registry.Instance{Name: "self"}.Value().Key
-	b.g.Heard(b.now, Heard{Records: []registry.Record{{Key: key, Revision: era.Era(2).Number(70), Gone: true}}, Version: era.Era(2).Number(70)})
+	b.g.Heard(b.now, Heard{Records: []registry.Record{{Key: key, Revision: era.Era(2).Revision(70), Gone: true}}, Version: era.Era(2).Revision(70)})
 	b.now = b.now.Add(2 * time.Second)
 	enrols := 0
 	for _, a := range b.tick() {
@@ -306,7 +306,7 @@
 func TestNothingIsClaimedWithoutAMark(t *testing.T) {
 	is := is.New(t)
 	b := newBench(t)
-	b.g.Heard(b.now, Heard{Version: era.Era(2).Number(50), Whole: true})
+	b.g.Heard(b.now, Heard{Version: era.Era(2).Revision(50), Whole: true})
 	b.g.WatchAnswered(b.now)
 	b.enrolled(2)
 	var mark *registry.EraMark
@@ -323,10 +323,10 @@
 	}
 	is.True(mark != nil)
 	is.Equal(mark.Era, era.Era(2))
-	b.g.Written(b.now, WriteReply{Write: Records{Mark: mark}, Revision: era.Era(2).Number(51)})
+	b.g.Written(b.now, WriteReply{Write: Records{Mark: mark}, Revision: era.Era(2).Revision(51)})
 	w, ok := b.claims(time.Second)
 	is.True(ok)
-	is.Equal(w.Depends, era.Era(2).Number(51))
+	is.Equal(w.Depends, era.Era(2).Revision(51))
 }
 
 // TestThePlacerGoesOnAndWritesAgain: as a holder of engines does; others wait until it must have.
@@ -346,7 +346,7 @@
 	b.pass(time.Second)
 	p := seek()
 	is.True(p != nil)
-	b.g.Written(b.now, WriteReply{Write: Records{Placer: p}, Revision: era.Era(1).Number(41)})
+	b.g.Written(b.now, WriteReply{Write: Records{Placer: p}, Revision: era.Era(1).Revision(41)})
 	is.True(b.g.IsPlacer(b.now))
 	other := registry.Placer{Name: "b", Boot: 7, Era: 1}.Value()
 	b.heardAll(2, record(2, 20, other))
@@ -357,8 +357,8 @@
 	p = seek()
 	is.True(p != nil)
 	is.Equal(p.Era, era.Era(2))
-	is.Equal(p.Revision, era.Era(2).Number(20))
-	b.g.Written(b.now, WriteReply{Write: Records{Placer: p}, Revision: era.Era(2).Number(61)})
+	is.Equal(p.Revision, era.Era(2).Revision(20))
+	b.g.Written(b.now, WriteReply{Write: Records{Placer: p}, Revision: era.Era(2).Revision(61)})
 	b.pass(option.Default().OrderValid)
 	b.tick()
 	is.True(b.g.IsPlacer(b.now))
