--- a/core/owned/owned.go
+++ b/core/owned/owned.go
@@ -65,7 +65,7 @@
 	}
 	e := &Engine{
 		Engine:     orders.New(r.Name, r.Address, o.Revision, from, limits, sizes),
-		Settled:    o.Former == "",
+		Settled:    o.FormerOwner == "",
 		life:       r.Incarnation(),
 		acquiredAt: now,
 	}
@@ -74,7 +74,7 @@
 	}
 	s.engines[r.Name] = e
 	e.Reserve(s.lateOf(now, e.life))
-	s.Out.Log(logevent.EngineTaken, "engine", r.Name, "fence", o.Revision, "former", o.Former, "wait", from.Since(now).String())
+	s.Out.Log(logevent.EngineTaken, "engine", r.Name, "fence", o.Revision, "former", o.FormerOwner, "wait", from.Since(now).String())
 	s.askState(now, e)
 }
 
--- a/core/ownership/claim.go
+++ b/core/ownership/claim.go
@@ -76,19 +76,19 @@
 	stale := owned && g.era.isStale(old.Era)
 	switch {
 	case stale:
-		claim.Former = registry.Unknown
+		claim.FormerOwner = registry.Unknown
 		if old.Owner == g.Self.Name {
 			return claim, true
 		}
 	case owned && old.Owner == g.Self.Name:
-		claim.Former = old.Former
+		claim.FormerOwner = old.FormerOwner
 		claim.QuietMS = old.QuietMS
 		return claim, true
 	case owned && old.Owner == "":
-		claim.Former = cmp.Or(old.Former, registry.Returned)
+		claim.FormerOwner = cmp.Or(old.FormerOwner, registry.Returned)
 		claim.QuietMS = old.QuietMS
 	case owned:
-		claim.Former = old.Owner
+		claim.FormerOwner = old.Owner
 	}
 	since, free := g.engineView(now, r, old, owned).freeSince(g.Options.AbsentFor)
 	if !free {
@@ -164,7 +164,7 @@
 			continue // the store went back since
 		}
 		g.owners[claim.Engine] = claim
-		if own := g.Owned.Get(claim.Engine); own != nil && claim.Former == "" {
+		if own := g.Owned.Get(claim.Engine); own != nil && claim.FormerOwner == "" {
 			own.Confirm(claim)
 			continue
 		}
@@ -194,11 +194,11 @@
 	switch {
 	case o.Disable.TurnWait:
 		return now
-	case claim.Former == "" && first:
+	case claim.FormerOwner == "" && first:
 		return now
-	case claim.Former == "":
+	case claim.FormerOwner == "":
 		return now.Add(sameOwnerGap)
-	case claim.Former == registry.Returned:
+	case claim.FormerOwner == registry.Returned:
 		quiet := time.Duration(claim.QuietMS) * time.Millisecond
 		return now.Add(max(0, o.TurnGap+turnMargin-quiet))
 	default:
--- a/core/ownership/era_test.go
+++ b/core/ownership/era_test.go
@@ -143,7 +143,7 @@
 			is.True(b.orderable())
 			w, ok := b.claims(time.Second)
 			is.True(ok)
-			is.Equal(w.Claim[0].Former, "")
+			is.Equal(w.Claim[0].FormerOwner, "")
 			is.Equal(w.Claim[0].Era, era.Era(2))
 			is.Equal(w.Claim[0].Revision != 0, len(found) > 0)
 			is.Equal(w.Depends, era.Era(2).Revision(3)) // on the mark of this era
@@ -188,7 +188,7 @@
 func TestWhoWaitsForAFormerOwnerLosesTheEngine(t *testing.T) {
 	is := is.New(t)
 	b := in(t, 1)
-	claim := registry.Ownership{Engine: "e", Owner: "self", Boot: 1, Era: 1, Former: "b"}
+	claim := registry.Ownership{Engine: "e", Owner: "self", Boot: 1, Era: 1, FormerOwner: "b"}
 	b.g.Written(b.now, WriteReply{Write: Records{Claim: []registry.Ownership{claim}}, Revision: era.Era(1).Revision(40)})
 	is.True(b.g.Owned.Get("e") != nil)
 	b.heardAll(2)
@@ -209,7 +209,7 @@
 			}
 			w, ok := b.claims(5 * time.Second)
 			is.True(ok)
-			is.Equal(w.Claim[0].Former, registry.Unknown)
+			is.Equal(w.Claim[0].FormerOwner, registry.Unknown)
 			b.g.Written(b.now, WriteReply{Write: w, Revision: era.Era(2).Revision(60)})
 			o := b.g.Options
 			is.Equal(b.g.Owned.Get("e").From, b.now.Add(o.OrderValid+o.TurnGap+turnMargin))
--- a/core/ownership/ownership_test.go
+++ b/core/ownership/ownership_test.go
@@ -60,7 +60,7 @@
 		{"b", time.Minute, whole + g.Options.OrderValid},
 	}
 	for _, c := range cases {
-		claim := registry.Ownership{Engine: "e", Former: c.former, QuietMS: c.quiet.Milliseconds()}
+		claim := registry.Ownership{Engine: "e", FormerOwner: c.former, QuietMS: c.quiet.Milliseconds()}
 		is.Equal(firstOrder(now, claim, false, g.Options), now.Add(c.want))
 	}
 }
--- a/core/registry/registry.go
+++ b/core/registry/registry.go
@@ -45,11 +45,11 @@
 	Engine string `json:"-"`
 	Owner  string `json:"owner"`
 	Boot   uint64 `json:"boot"` // of the owner when it took the engine
-	// Former is whose orders may still be on their way: the owner before, or
+	// FormerOwner is whose orders may still be on their way: the owner before, or
 	// Returned. It is cleared by the owner once they cannot be any more. A
 	// write may take effect without an answer, so an owner that finds its own
 	// name in a record must be able to tell what it has to wait for.
-	Former string `json:"former,omitempty"`
+	FormerOwner string `json:"former,omitempty"`
 	// QuietMS is, of an engine that was given back, for how many milliseconds
 	// it had been sent no order then.
 	QuietMS int64 `json:"quiet_ms,omitempty"`
