--- a/core/exchange/exchange.go
+++ b/core/exchange/exchange.go
@@ -219,7 +219,7 @@
 	if msg.From == "" || msg.From == x.Self.Name {
 		return
 	}
-	x.Members.Learn(msg.From, msg.Zone, msg.Address)
+	x.Members.Upsert(msg.From, msg.Zone, msg.Address)
 	x.Members.SetLeaving(msg.From, msg.Leaving)
 	x.Members.Heard(now, msg.From)
 	former := x.peers[msg.From]
--- a/core/exchange/pull_test.go
+++ b/core/exchange/pull_test.go
@@ -40,7 +40,7 @@
 			self := member.Identity{Name: "self", Zone: "z"}
 			x := New(Needs{State: shared.New(self, option.Default(), 1)})
 			for _, p := range c.peers {
-				x.Members.Learn(p.name, p.zone, p.name)
+				x.Members.Upsert(p.name, p.zone, p.name)
 				x.peers[p.name] = peerState{revision: p.revision}
 				x.inFlight[p.name] = p.flying
 				if p.failing {
--- a/core/instance/gone_test.go
+++ b/core/instance/gone_test.go
@@ -111,7 +111,7 @@
 		{"engines are asked how busy they are", calls.Probing, func(l *soloLab) {
 			l.m.state.Options.ProbeWait = 20 * time.Millisecond
 			for i := range 2 * watchers.FullMeshLimit {
-				l.m.state.Members.Learn(fmt.Sprintf("peer%d", i), "z0", fmt.Sprintf("peer%d", i))
+				l.m.state.Members.Upsert(fmt.Sprintf("peer%d", i), "z0", fmt.Sprintf("peer%d", i))
 			}
 			l.list(l.entry("1"))
 			l.arrive("m0", "")
--- a/core/listing/listing.go
+++ b/core/listing/listing.go
@@ -128,7 +128,7 @@
 		l.Members.Forget(entry.Name)
 		return
 	}
-	l.Members.Learn(entry.Name, entry.Zone, entry.Address)
+	l.Members.Upsert(entry.Name, entry.Zone, entry.Address)
 	l.Members.SetLeaving(entry.Name, entry.Leaving)
 }
 
--- a/core/member/member.go
+++ b/core/member/member.go
@@ -54,8 +54,8 @@
 	return &Table{self: self, zone: zone, peers: map[string]*Peer{}}
 }
 
-// Learn adds a peer or moves it to another address. Itself is passed over.
-func (t *Table) Learn(name, zone, address string) {
+// Upsert adds a peer or moves it to another address. Itself is passed over.
+func (t *Table) Upsert(name, zone, address string) {
 	if name == t.self || name == "" {
 		return
 	}
--- a/core/member/member_test.go
+++ b/core/member/member_test.go
@@ -34,7 +34,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
 			table := New("self", "z")
-			table.Learn("p", "z", "address")
+			table.Upsert("p", "z", "address")
 			for _, d := range tt.failed {
 				table.Failed(start.Add(d), "p")
 			}
@@ -60,7 +60,7 @@
 		for _, self := range names {
 			table := New(self, "z")
 			for _, other := range names {
-				table.Learn(other, "z", other)
+				table.Upsert(other, "z", other)
 			}
 			if table.Assigned(now, "task", 2) {
 				found[self] = true
@@ -81,9 +81,9 @@
 	is := is.New(t)
 	table := New("c", "z")
 	for _, name := range []string{"a", "b", "d", "e", "f"} {
-		table.Learn(name, "z", name)
+		table.Upsert(name, "z", name)
 	}
-	table.Learn("abroad", "other", "abroad")
+	table.Upsert("abroad", "other", "abroad")
 	var got []string
 	for _, p := range table.Neighbours() {
 		got = append(got, p.Name)
--- a/core/ownership/ownership.go
+++ b/core/ownership/ownership.go
@@ -309,7 +309,7 @@
 	for _, i := range c.Instances {
 		g.instances[i.Name] = i
 		delete(g.absent, i.Name)
-		g.Members.Learn(i.Name, i.Zone, i.Address)
+		g.Members.Upsert(i.Name, i.Zone, i.Address)
 	}
 	for _, name := range c.GoneInstances {
 		g.instanceGone(now, name)
--- a/core/permits/permits_test.go
+++ b/core/permits/permits_test.go
@@ -41,7 +41,7 @@
 	state := shared.New(member.Identity{Name: "self", Zone: "z"}, option.Default(), 1)
 	for name, zone := range others {
 		instances[name] = registry.Instance{Name: name, Zone: zone}
-		state.Members.Learn(name, zone, name)
+		state.Members.Upsert(name, zone, name)
 	}
 	l.Permits = New(Needs{
 		State:     state,
@@ -200,7 +200,7 @@
 	for l.first(l.now, requestOf(l.Pool.Get("r"), 0, 0)) == "self" { // until another is the first
 		name := fmt.Sprintf("another%d", l.Members.Size())
 		l.Instances()[name] = registry.Instance{Name: name, Zone: "z"}
-		l.Members.Learn(name, "z", name)
+		l.Members.Upsert(name, "z", name)
 	}
 	given(l, settleSpan)
 	n = given(l, settleSpan)
--- a/core/placement/placer_test.go
+++ b/core/placement/placer_test.go
@@ -24,7 +24,7 @@
 	now := clocktest.At(time.Hour)
 	out := &step.Output{}
 	members := member.New("self", "z")
-	members.Learn("owner", "z", "owner")
+	members.Upsert("owner", "z", "owner")
 	members.Heard(now, "owner")
 	engines := pool.New()
 	a := asks.New()
--- a/core/quarantine/quarantine_test.go
+++ b/core/quarantine/quarantine_test.go
@@ -388,7 +388,7 @@
 	for _, self := range names {
 		b := newFixtureOf(self)
 		for _, other := range names {
-			b.Members.Learn(other, "z", other)
+			b.Members.Upsert(other, "z", other)
 		}
 		for _, name := range []string{"a", "b"} {
 			b.end(name, bad, 8)
@@ -428,7 +428,7 @@
 	for _, name := range names {
 		reader := newFixtureOf(name)
 		for _, peer := range names {
-			reader.Members.Learn(peer, "z", peer)
+			reader.Members.Upsert(peer, "z", peer)
 		}
 		reader.Restored(reader.now, registry.Quarantine{Request: bad, Replicas: 3})
 		reader.SteppedBack(reader.now)
--- a/core/retrybudget/budget_test.go
+++ b/core/retrybudget/budget_test.go
@@ -39,7 +39,7 @@
 			opt.RetrySlack = 50
 			members := member.New("self", "z")
 			for i := range c.peers {
-				members.Learn(string(rune('a'+i)), "z", "address")
+				members.Upsert(string(rune('a'+i)), "z", "address")
 			}
 			b := &Budget{Options: &opt, Members: members, Common: c.common}
 			for range c.calls {
