--- a/core/listing/listing.go
+++ b/core/listing/listing.go
@@ -125,7 +125,7 @@
 
 func (l *List) applyInstance(entry share.Listed) {
 	if entry.Gone {
-		l.Members.Forget(entry.Name)
+		l.Members.Remove(entry.Name)
 		return
 	}
 	l.Members.Upsert(entry.Name, entry.Zone, entry.Address)
--- a/core/member/member.go
+++ b/core/member/member.go
@@ -89,8 +89,8 @@
 	}
 }
 
-// Forget drops a peer that the list no longer has.
-func (t *Table) Forget(name string) { delete(t.peers, name) }
+// Remove drops a peer that the list no longer has.
+func (t *Table) Remove(name string) { delete(t.peers, name) }
 
 // Live reports whether tasks may be assigned to the peer at now.
 func (p *Peer) Live(now clock.Instant) bool {
