--- a/core/exchange/exchange.go
+++ b/core/exchange/exchange.go
@@ -221,7 +221,7 @@
 	}
 	x.Members.Upsert(msg.From, msg.Zone, msg.Address)
 	x.Members.SetLeaving(msg.From, msg.Leaving)
-	x.Members.Heard(now, msg.From)
+	x.Members.MarkHeard(now, msg.From)
 	former := x.peers[msg.From]
 	state := peerState{boot: msg.Boot, stamp: msg.Stamp, revision: msg.Revision, store: msg.StoreVersion}
 	// What a new boot confirms may have been composed for the boot before it. A
--- a/core/member/member.go
+++ b/core/member/member.go
@@ -67,8 +67,8 @@
 	p.Zone = zone
 }
 
-// Heard notes that something came from the peer at now.
-func (t *Table) Heard(now clock.Instant, name string) {
+// MarkHeard notes that something came from the peer at now.
+func (t *Table) MarkHeard(now clock.Instant, name string) {
 	if p := t.peers[name]; p != nil {
 		p.heard = now
 		p.failed = clock.Instant{}
--- a/core/member/member_test.go
+++ b/core/member/member_test.go
@@ -39,7 +39,7 @@
 				table.Failed(start.Add(d), "p")
 			}
 			if tt.heard > 0 {
-				table.Heard(start.Add(tt.heard), "p")
+				table.MarkHeard(start.Add(tt.heard), "p")
 			}
 			table.SetLeaving("p", tt.leaving)
 			p := table.Get("p")
--- a/core/permits/permits_test.go
+++ b/core/permits/permits_test.go
@@ -217,7 +217,7 @@
 		l.Members.Failed(l.now, name)
 	}
 	is.Equal(l.answering(l.now), 0.25)
-	l.Members.Heard(l.now, "a")
+	l.Members.MarkHeard(l.now, "a")
 	is.Equal(l.answering(l.now), 0.5)
 	delete(l.Instances(), "b")
 	is.Equal(l.answering(l.now), 2.0/3)
--- a/core/placement/placer_test.go
+++ b/core/placement/placer_test.go
@@ -25,7 +25,7 @@
 	out := &step.Output{}
 	members := member.New("self", "z")
 	members.Upsert("owner", "z", "owner")
-	members.Heard(now, "owner")
+	members.MarkHeard(now, "owner")
 	engines := pool.New()
 	a := asks.New()
 	a.Out = out
