--- a/core/exchange/exchange.go
+++ b/core/exchange/exchange.go
@@ -207,7 +207,7 @@
 		if p := x.Members.Get(e.Peer); p != nil && p.Live(now) {
 			x.Out.Log(logevent.PeerFailed, "peer", e.Peer, "error", e.Err.Error())
 		}
-		x.Members.Failed(now, e.Peer)
+		x.Members.MarkFailed(now, e.Peer)
 		x.pullNewer(now)
 		return
 	}
--- a/core/exchange/pull_test.go
+++ b/core/exchange/pull_test.go
@@ -44,7 +44,7 @@
 				x.peers[p.name] = peerState{revision: p.revision}
 				x.inFlight[p.name] = p.flying
 				if p.failing {
-					x.Members.Failed(now, p.name)
+					x.Members.MarkFailed(now, p.name)
 				}
 			}
 			got := ""
--- a/core/member/member.go
+++ b/core/member/member.go
@@ -75,8 +75,8 @@
 	}
 }
 
-// Failed notes that an exchange with the peer failed at now.
-func (t *Table) Failed(now clock.Instant, name string) {
+// MarkFailed notes that an exchange with the peer failed at now.
+func (t *Table) MarkFailed(now clock.Instant, name string) {
 	if p := t.peers[name]; p != nil && p.failed.IsZero() {
 		p.failed = now
 	}
--- a/core/member/member_test.go
+++ b/core/member/member_test.go
@@ -36,7 +36,7 @@
 			table := New("self", "z")
 			table.Upsert("p", "z", "address")
 			for _, d := range tt.failed {
-				table.Failed(start.Add(d), "p")
+				table.MarkFailed(start.Add(d), "p")
 			}
 			if tt.heard > 0 {
 				table.MarkHeard(start.Add(tt.heard), "p")
--- a/core/permits/permits_test.go
+++ b/core/permits/permits_test.go
@@ -214,7 +214,7 @@
 	l := newLab(8, map[string]string{"a": "y", "b": "y", "c": "y"})
 	is.Equal(l.answering(l.now), 1.0)
 	for _, name := range []string{"a", "b", "c"} {
-		l.Members.Failed(l.now, name)
+		l.Members.MarkFailed(l.now, name)
 	}
 	is.Equal(l.answering(l.now), 0.25)
 	l.Members.MarkHeard(l.now, "a")
@@ -245,7 +245,7 @@
 	chosen := first(life)
 	is.Equal(first(pool.Incarnation{Name: "r", Born: "2"}), chosen) // whichever life it is in
 	for _, gone := range []string{"near1", "near2"} {
-		l.Members.Failed(l.now, gone)
+		l.Members.MarkFailed(l.now, gone)
 	}
 	is.Equal(first(life), "self")
 	l.Permits.Stopping = func() bool { return true }
