--- a/core/forwarding/place.go
+++ b/core/forwarding/place.go
@@ -118,7 +118,7 @@
 // zoneCost returns the cost of a zone that seems to be cut off from this one. In
 // a large fleet silence says little, since few instances are spoken to.
 func (f *Forwarder) zoneCost(zone string) time.Duration {
-	if zone == f.Self.Zone || !f.Roster.FullMesh() || !f.Members.ZoneSilent(zone) {
+	if zone == f.Self.Zone || !f.Roster.FullMesh() || !f.Members.ZoneUnreachable(zone) {
 		return 0
 	}
 	return silentZoneCost
--- a/core/member/member.go
+++ b/core/member/member.go
@@ -145,9 +145,9 @@
 	return out
 }
 
-// ZoneSilent reports whether instances of the zone are known and none of them
+// ZoneUnreachable reports whether instances of the zone are known and none of them
 // answers.
-func (t *Table) ZoneSilent(zone string) bool {
+func (t *Table) ZoneUnreachable(zone string) bool {
 	known := false
 	for _, p := range t.Peers() {
 		if p.Zone != zone {
