--- a/core/exchange/exchange.go
+++ b/core/exchange/exchange.go
@@ -156,7 +156,7 @@
 
 // WithZone begins an exchange with each peer of this instance's zone.
 func (x *Exchanges) WithZone(now clock.Instant) {
-	for _, p := range x.Members.InZone(true) {
+	for _, p := range x.Members.ZonePeers(true) {
 		x.With(now, p)
 	}
 }
--- a/core/member/member.go
+++ b/core/member/member.go
@@ -118,8 +118,8 @@
 	return out
 }
 
-// InZone returns the peers of the table's own zone, or those of other zones.
-func (t *Table) InZone(own bool) []*Peer {
+// ZonePeers returns the peers of the table's own zone, or those of other zones.
+func (t *Table) ZonePeers(own bool) []*Peer {
 	var out []*Peer
 	for _, p := range t.Peers() {
 		if (p.Zone == t.zone) == own {
@@ -135,7 +135,7 @@
 // and each pair meets often enough that what it owes each other stays small;
 // with partners drawn at random that would grow with the zone.
 func (t *Table) Neighbours() []*Peer {
-	ring := t.InZone(true)
+	ring := t.ZonePeers(true)
 	at := sort.Search(len(ring), func(i int) bool { return ring[i].Name > t.self })
 	var out []*Peer
 	for step := 1; step <= len(ring); step *= 2 {
--- a/core/own/planner/demand.go
+++ b/core/own/planner/demand.go
@@ -132,7 +132,7 @@
 // abroad draws a peer of another zone. A planner draws other zones' planners, to
 // tell them which of their models its zone lives on.
 func (p *Planner) abroad() *member.Peer {
-	others := p.Members.InZone(false)
+	others := p.Members.ZonePeers(false)
 	if p.Planning() {
 		var planners []*member.Peer
 		for _, peer := range others {
