--- a/core/outage/outage.go
+++ b/core/outage/outage.go
@@ -58,9 +58,9 @@
 	t.backoff = t.backoff.WithFailure()
 }
 
-// BackAt returns when the service was last found to answer again after failures, zero if it
+// RecoveredAt returns when the service was last found to answer again after failures, zero if it
 // never was.
-func (t *Tracker) BackAt() clock.Instant { return t.backAt }
+func (t *Tracker) RecoveredAt() clock.Instant { return t.backAt }
 
 // FailedSince reports whether a call failed at a moment or later.
 func (t *Tracker) FailedSince(at clock.Instant) bool {
--- a/core/watch/watch.go
+++ b/core/watch/watch.go
@@ -205,7 +205,7 @@
 // returnSoon brings the next call forward once the store answers other calls of this instance
 // again.
 func (w *Watch) returnSoon(now clock.Instant) {
-	if w.failed.count == 0 || !w.failed.at.Before(w.Outage.BackAt()) {
+	if w.failed.count == 0 || !w.failed.at.Before(w.Outage.RecoveredAt()) {
 		return
 	}
 	w.failed.at = now
