--- a/core/exchange/rhythm.go
+++ b/core/exchange/rhythm.go
@@ -157,7 +157,7 @@
 // the platform.
 func (x *Exchanges) NextWatcher(now clock.Instant, zone string) *member.Peer {
 	var others []*member.Peer
-	for _, name := range x.Roster.Of(now, zone) {
+	for _, name := range x.Roster.InZone(now, zone) {
 		if p := x.Members.Get(name); p != nil && !p.Leaving {
 			others = append(others, p)
 		}
--- a/core/instance/exchange_test.go
+++ b/core/instance/exchange_test.go
@@ -85,9 +85,9 @@
 		records = append(records, registry.Record{Key: v.Key, Data: v.Data, Revision: era.Number(i + 1)})
 	}
 	m.Step(now, ownership.Heard{Records: records, Version: 40, Whole: true})
-	is.Equal(m.orders.roster.Of(now, "z0")[0], "self")
-	is.Equal(len(m.orders.roster.Of(now, "z0")), 2)
-	strong := m.orders.roster.Of(now, "z1")
+	is.Equal(m.orders.roster.InZone(now, "z0")[0], "self")
+	is.Equal(len(m.orders.roster.InZone(now, "z0")), 2)
+	strong := m.orders.roster.InZone(now, "z1")
 	slices.Sort(strong)
 	is.Equal(strong, []string{"i07", "i11"})
 	is.Equal(m.orders.registry.PlacerRank(now), 2)
@@ -104,7 +104,7 @@
 		peers = append(peers, fmt.Sprintf("p%02d", i))
 	}
 	m := fleetMachine(now, peers...)
-	watcher := m.orders.roster.Of(now, "z")[0]
+	watcher := m.orders.roster.InZone(now, "z")[0]
 	if watcher == m.state.Self.Name {
 		t.Fatal("this instance is not to watch in this test")
 	}
--- a/core/ownership/rank.go
+++ b/core/ownership/rank.go
@@ -29,7 +29,7 @@
 func (g *Registry) candidates(now clock.Instant) []candidate {
 	var all []candidate
 	for _, zone := range g.Roster.Zones() {
-		for _, name := range g.Roster.Of(now, zone) {
+		for _, name := range g.Roster.InZone(now, zone) {
 			all = append(all, candidate{name: name, zone: zone, processor: g.instances[name].Processor})
 		}
 	}
--- a/core/placement/demand.go
+++ b/core/placement/demand.go
@@ -16,7 +16,7 @@
 	if peer == "" {
 		return nil
 	}
-	standsIn := !p.Roster.FullMesh() && p.placerSilent() && slices.Contains(p.Roster.Of(now, p.Self.Zone), peer)
+	standsIn := !p.Roster.FullMesh() && p.placerSilent() && slices.Contains(p.Roster.InZone(now, p.Self.Zone), peer)
 	if p.Registry.Placer().Name != peer && !standsIn {
 		return nil
 	}
--- a/core/watchers/watchers.go
+++ b/core/watchers/watchers.go
@@ -54,8 +54,8 @@
 	return r.Options.MeshEvery > 0 && r.Members.Size() <= FullMeshLimit
 }
 
-// Of returns the instances of a zone that keep a watch, the most suited first.
-func (r *Roster) Of(now clock.Instant, zone string) []string {
+// InZone returns the instances of a zone that keep a watch, the most suited first.
+func (r *Roster) InZone(now clock.Instant, zone string) []string {
 	if r.byZone == nil || now.Since(r.at) >= cacheSpan {
 		r.at = now
 		r.byZone = map[string][]string{}
@@ -73,7 +73,7 @@
 
 // Includes reports whether this instance is one of them.
 func (r *Roster) Includes(now clock.Instant) bool {
-	return slices.Contains(r.Of(now, r.Self.Zone), r.Self.Name)
+	return slices.Contains(r.InZone(now, r.Self.Zone), r.Self.Name)
 }
 
 // suited returns the instances of a zone that have a record and answer: those
