--- a/core/exchange/rhythm.go
+++ b/core/exchange/rhythm.go
@@ -141,7 +141,7 @@
 			return p
 		}
 	case 3:
-		if zones := x.Roster.Zones(); x.Roster.Includes(now) && len(zones) > 1 {
+		if zones := x.Roster.Zones(); x.Roster.IncludesSelf(now) && len(zones) > 1 {
 			if p := x.NextWatcher(now, zones[x.Rand.IntN(len(zones))]); p != nil {
 				return p
 			}
--- a/core/ownership/claim.go
+++ b/core/ownership/claim.go
@@ -43,7 +43,7 @@
 		return
 	}
 	g.claims.due = now.Add(step.Jitter(g.Rand, claimEvery))
-	if !g.era.isRead() || !g.enrolment.held || g.claims.inFlight || !g.Roster.Includes(now) || !g.MayOrder(now) || !g.Config.Loaded() {
+	if !g.era.isRead() || !g.enrolment.held || g.claims.inFlight || !g.Roster.IncludesSelf(now) || !g.MayOrder(now) || !g.Config.Loaded() {
 		return
 	}
 	var claims []registry.Ownership
--- a/core/ownership/era.go
+++ b/core/ownership/era.go
@@ -146,7 +146,7 @@
 // out any more. Instances come in the order of their rank.
 func (g *Registry) markEra(now clock.Instant) {
 	x := &g.era
-	if x.now == 0 || x.mark != nil || x.marking || x.readAt.IsZero() || now.Before(x.markDue) || !g.Roster.Includes(now) {
+	if x.now == 0 || x.mark != nil || x.marking || x.readAt.IsZero() || now.Before(x.markDue) || !g.Roster.IncludesSelf(now) {
 		return
 	}
 	if now.Before(x.readAt.Add(time.Duration(g.PlacerRank(now)) * claimStep)) {
--- a/core/ownership/placer.go
+++ b/core/ownership/placer.go
@@ -46,7 +46,7 @@
 		return
 	}
 	if p.seeking || now.Before(p.seekDue) || !g.enrolment.held || g.era.isOver(g.enrolment.lease) ||
-		!g.era.isRead() || g.steadyAt.IsZero() || !g.Roster.Includes(now) {
+		!g.era.isRead() || g.steadyAt.IsZero() || !g.Roster.IncludesSelf(now) {
 		return
 	}
 	p.seekDue = now.Add(step.Jitter(g.Rand, claimEvery))
--- a/core/watch/watch.go
+++ b/core/watch/watch.go
@@ -168,7 +168,7 @@
 	behind, _ := w.Exchanges.Behind(now)
 	return view{
 		alone:    alone,
-		onRoster: !alone && w.Roster.Includes(now),
+		onRoster: !alone && w.Roster.IncludesSelf(now),
 		engines:  w.Registry.Owned.Len(),
 		placer:   w.Registry.HoldsPlacer(),
 		newsAge:  w.Exchanges.StoreAge(now),
--- a/core/watchers/watchers.go
+++ b/core/watchers/watchers.go
@@ -71,8 +71,8 @@
 	return names
 }
 
-// Includes reports whether this instance is one of them.
-func (r *Roster) Includes(now clock.Instant) bool {
+// IncludesSelf reports whether this instance is one of them.
+func (r *Roster) IncludesSelf(now clock.Instant) bool {
 	return slices.Contains(r.InZone(now, r.Self.Zone), r.Self.Name)
 }
 
