--- a/core/instance/machine.go
+++ b/core/instance/machine.go
@@ -172,7 +172,7 @@
 	case ownership.Heard:
 		o.registry.Heard(now, e)
 	case ownership.EraHeard:
-		m.orders.registry.EraHeard(now, e)
+		m.orders.registry.HandleEraObserved(now, e)
 	case ownership.EnrolReply:
 		o.registry.Enrolled(now, e)
 	case ownership.KeepReply:
--- a/core/ownership/era.go
+++ b/core/ownership/era.go
@@ -69,8 +69,8 @@
 	return x.mark.Revision
 }
 
-// EraHeard takes in that a call showed the store's era.
-func (g *Registry) EraHeard(now clock.Instant, e EraHeard) { g.observeEra(now, e.Era) }
+// HandleEraObserved takes in that a call showed the store's era.
+func (g *Registry) HandleEraObserved(now clock.Instant, e EraHeard) { g.observeEra(now, e.Era) }
 
 // observeEra takes in that the store is, or was, in an era.
 func (g *Registry) observeEra(now clock.Instant, e era.Era) {
