--- a/core/instance/machine.go
+++ b/core/instance/machine.go
@@ -170,7 +170,7 @@
 	o := &m.orders
 	switch e := ev.(type) {
 	case ownership.Heard:
-		o.registry.Heard(now, e)
+		o.registry.HandleWatchUpdate(now, e)
 	case ownership.EraHeard:
 		m.orders.registry.HandleEraObserved(now, e)
 	case ownership.EnrolReply:
--- a/core/ownership/ownership.go
+++ b/core/ownership/ownership.go
@@ -264,8 +264,8 @@
 	return o, ok
 }
 
-// Heard takes in what a watch brought.
-func (g *Registry) Heard(now clock.Instant, e Heard) {
+// HandleWatchUpdate takes in what a watch brought.
+func (g *Registry) HandleWatchUpdate(now clock.Instant, e Heard) {
 	g.observeEra(now, e.Version.Era())
 	if e.Version.Era() < g.era.now {
 		return // it was on its way while the store went back
