--- a/core/instance/machine.go
+++ b/core/instance/machine.go
@@ -178,7 +178,7 @@
 	case ownership.KeepReply:
 		o.registry.Kept(now, e)
 	case ownership.WriteReply:
-		o.registry.Written(now, e)
+		o.registry.HandleWriteReply(now, e)
 	case owned.OrderReply:
 		o.owned.OrderReplied(now, e)
 	case owned.StateReply:
--- a/core/ownership/era_test.go
+++ b/core/ownership/era_test.go
@@ -106,7 +106,7 @@
 	if !ok {
 		t.Fatal("nothing was claimed")
 	}
-	b.g.Written(b.now, WriteReply{Write: w, Revision: era.Era(1).Revision(40)})
+	b.g.HandleWriteReply(b.now, WriteReply{Write: w, Revision: era.Era(1).Revision(40)})
 	if b.g.Owned.Get("e") == nil {
 		t.Fatal("e is not owned")
 	}
@@ -147,7 +147,7 @@
 			is.Equal(w.Claim[0].Era, era.Era(2))
 			is.Equal(w.Claim[0].Revision != 0, len(found) > 0)
 			is.Equal(w.Depends, era.Era(2).Revision(3)) // on the mark of this era
-			b.g.Written(b.now, WriteReply{Write: w, Revision: era.Era(2).Revision(60)})
+			b.g.HandleWriteReply(b.now, WriteReply{Write: w, Revision: era.Era(2).Revision(60)})
 			b.enrolled(2)
 			b.pass(10 * time.Second)
 			b.tick()
@@ -174,7 +174,7 @@
 	b.enrolled(2)
 	w, ok := b.claims(time.Second)
 	is.True(ok)
-	b.g.Written(b.now, WriteReply{Write: w, Err: errors.New("no answer")})
+	b.g.HandleWriteReply(b.now, WriteReply{Write: w, Err: errors.New("no answer")})
 	b.pass(b.g.Options.OrderValid - 2*time.Second)
 	is.True(b.orderable())
 	b.pass(2 * time.Second)
@@ -189,7 +189,7 @@
 	is := is.New(t)
 	b := in(t, 1)
 	claim := registry.Ownership{Engine: "e", Owner: "self", Boot: 1, Era: 1, FormerOwner: "b"}
-	b.g.Written(b.now, WriteReply{Write: Records{Claim: []registry.Ownership{claim}}, Revision: era.Era(1).Revision(40)})
+	b.g.HandleWriteReply(b.now, WriteReply{Write: Records{Claim: []registry.Ownership{claim}}, Revision: era.Era(1).Revision(40)})
 	is.True(b.g.Owned.Get("e") != nil)
 	b.heardAll(2)
 	is.True(b.g.Owned.Get("e") == nil)
@@ -210,7 +210,7 @@
 			w, ok := b.claims(5 * time.Second)
 			is.True(ok)
 			is.Equal(w.Claim[0].FormerOwner, registry.Unknown)
-			b.g.Written(b.now, WriteReply{Write: w, Revision: era.Era(2).Revision(60)})
+			b.g.HandleWriteReply(b.now, WriteReply{Write: w, Revision: era.Era(2).Revision(60)})
 			o := b.g.Options
 			is.Equal(b.g.Owned.Get("e").From, b.now.Add(o.OrderValid+o.TurnGap+turnMargin))
 		})
@@ -226,7 +226,7 @@
 		heard := b.now
 		w, ok := b.claims(5 * time.Second)
 		is.True(ok)
-		b.g.Written(b.now, WriteReply{Write: w, Revision: e.Revision(60)})
+		b.g.HandleWriteReply(b.now, WriteReply{Write: w, Revision: e.Revision(60)})
 		want := b.now
 		if e > 1 {
 			o := b.g.Options
@@ -323,7 +323,7 @@
 	}
 	is.True(mark != nil)
 	is.Equal(mark.Era, era.Era(2))
-	b.g.Written(b.now, WriteReply{Write: Records{Mark: mark}, Revision: era.Era(2).Revision(51)})
+	b.g.HandleWriteReply(b.now, WriteReply{Write: Records{Mark: mark}, Revision: era.Era(2).Revision(51)})
 	w, ok := b.claims(time.Second)
 	is.True(ok)
 	is.Equal(w.Depends, era.Era(2).Revision(51))
@@ -346,7 +346,7 @@
 	b.pass(time.Second)
 	p := seek()
 	is.True(p != nil)
-	b.g.Written(b.now, WriteReply{Write: Records{Placer: p}, Revision: era.Era(1).Revision(41)})
+	b.g.HandleWriteReply(b.now, WriteReply{Write: Records{Placer: p}, Revision: era.Era(1).Revision(41)})
 	is.True(b.g.IsPlacer(b.now))
 	other := registry.Placer{Name: "b", Boot: 7, Era: 1}.Value()
 	b.heardAll(2, record(2, 20, other))
@@ -358,7 +358,7 @@
 	is.True(p != nil)
 	is.Equal(p.Era, era.Era(2))
 	is.Equal(p.Revision, era.Era(2).Revision(20))
-	b.g.Written(b.now, WriteReply{Write: Records{Placer: p}, Revision: era.Era(2).Revision(61)})
+	b.g.HandleWriteReply(b.now, WriteReply{Write: Records{Placer: p}, Revision: era.Era(2).Revision(61)})
 	b.pass(option.Default().OrderValid)
 	b.tick()
 	is.True(b.g.IsPlacer(b.now))
--- a/core/ownership/ownership.go
+++ b/core/ownership/ownership.go
@@ -372,9 +372,9 @@
 	g.Owned.Lose(now, engine, why)
 }
 
-// Written takes in what came of a write. After an error, or a condition that did
+// HandleWriteReply takes in what came of a write. After an error, or a condition that did
 // not hold, the watch brings what stands in the store.
-func (g *Registry) Written(now clock.Instant, e WriteReply) {
+func (g *Registry) HandleWriteReply(now clock.Instant, e WriteReply) {
 	switch {
 	case e.Write.Mark != nil:
 		g.markWritten(now, e)
