--- a/core/instance/machine.go
+++ b/core/instance/machine.go
@@ -174,7 +174,7 @@
 	case ownership.EraHeard:
 		m.orders.registry.HandleEraObserved(now, e)
 	case ownership.EnrolReply:
-		o.registry.Enrolled(now, e)
+		o.registry.HandleEnrolReply(now, e)
 	case ownership.KeepReply:
 		o.registry.Kept(now, e)
 	case ownership.WriteReply:
--- a/core/ownership/enrol.go
+++ b/core/ownership/enrol.go
@@ -50,8 +50,8 @@
 	}})
 }
 
-// Enrolled takes in what came of Enrol.
-func (g *Registry) Enrolled(now clock.Instant, e EnrolReply) {
+// HandleEnrolReply takes in what came of Enrol.
+func (g *Registry) HandleEnrolReply(now clock.Instant, e EnrolReply) {
 	if e.Err != nil {
 		g.renewalFailed(now, e.Err)
 		return
--- a/core/ownership/era_test.go
+++ b/core/ownership/era_test.go
@@ -66,7 +66,7 @@
 
 // enrolled has the lease and the record of an era written.
 func (b *bench) enrolled(e era.Era) {
-	b.g.Enrolled(b.now, EnrolReply{Sent: b.now, Lease: era.Lease{Era: e, ID: 9}})
+	b.g.HandleEnrolReply(b.now, EnrolReply{Sent: b.now, Lease: era.Lease{Era: e, ID: 9}})
 }
 
 // pass lets time pass while the store answers watches and renewals.
