--- a/core/instance/machine.go
+++ b/core/instance/machine.go
@@ -176,7 +176,7 @@
 	case ownership.EnrolReply:
 		o.registry.HandleEnrolReply(now, e)
 	case ownership.KeepReply:
-		o.registry.Kept(now, e)
+		o.registry.HandleRenewReply(now, e)
 	case ownership.WriteReply:
 		o.registry.HandleWriteReply(now, e)
 	case owned.OrderReply:
--- a/core/ownership/enrol.go
+++ b/core/ownership/enrol.go
@@ -65,8 +65,8 @@
 	g.Out.Log(logevent.Enrolled, "lease", e.Lease)
 }
 
-// Kept takes in what came of a renewal.
-func (g *Registry) Kept(now clock.Instant, e KeepReply) {
+// HandleRenewReply takes in what came of a renewal.
+func (g *Registry) HandleRenewReply(now clock.Instant, e KeepReply) {
 	switch {
 	case e.Err != nil && g.era.isOver(e.Lease):
 		g.enrolment.job.End(now) // the store went back; a new lease is begun
