--- a/core/instance/build.go
+++ b/core/instance/build.go
@@ -96,7 +96,7 @@
 	o.asks.Owner = o.registry.Owner
 	o.asks.Resume = func(now clock.Instant, id calls.ID) { m.forwarding.Resume(now, id) }
 	o.roster.Instances = o.registry.Instances
-	o.owned.MayOrder = o.registry.MayOrderUnder
+	o.owned.MayOrder = o.registry.MayOrderWithFence
 	o.owned.Published = func(now clock.Instant) { m.exchanges.TellSoon(now) }
 	o.owned.Answered = func(now clock.Instant, engine string, r orders.Request, outcome owned.Outcome, detail string) {
 		o.asks.Settled(now, asks.Key{Engine: engine, Request: r}, outcome, detail)
--- a/core/ownership/era.go
+++ b/core/ownership/era.go
@@ -107,9 +107,9 @@
 	return g.era.since.Add(2*g.Options.OrderValid + turnMargin)
 }
 
-// MayOrderUnder reports whether this instance may order under a fence: under one that it
+// MayOrderWithFence reports whether this instance may order under a fence: under one that it
 // gained in a former era only until it must have claimed again.
-func (g *Registry) MayOrderUnder(now clock.Instant, fence era.Number) bool {
+func (g *Registry) MayOrderWithFence(now clock.Instant, fence era.Number) bool {
 	return g.MayOrder(now) && (!g.era.isFormer(fence) || now.Before(g.era.formerUntil))
 }
 
--- a/core/ownership/era_test.go
+++ b/core/ownership/era_test.go
@@ -31,7 +31,7 @@
 	b := &bench{T: t, now: clocktest.At(time.Hour)}
 	g := testRegistry(b.now)
 	g.Owned.Out = g.Out
-	g.Owned.MayOrder = g.MayOrderUnder
+	g.Owned.MayOrder = g.MayOrderWithFence
 	g.Owned.Published = func(clock.Instant) {}
 	g.Config.Snapshot = g.Owned.Config.Snapshot
 	g.Options.MeshEvery = 250 * time.Millisecond
--- a/core/ownership/placer.go
+++ b/core/ownership/placer.go
@@ -34,7 +34,7 @@
 
 // IsPlacer reports whether this instance certainly still is the placer.
 func (g *Registry) IsPlacer(now clock.Instant) bool {
-	return g.placer.held && g.MayOrderUnder(now, g.placer.fence)
+	return g.placer.held && g.MayOrderWithFence(now, g.placer.fence)
 }
 
 // SeekPlacer writes the placer's record where there is none, or where it is this
