--- a/core/ownership/era_test.go
+++ b/core/ownership/era_test.go
@@ -335,7 +335,7 @@
 	b := in(t, 1)
 	seek := func() *registry.Placer {
 		b.g.Out.Reset()
-		b.g.SeekPlacer(b.now)
+		b.g.ClaimPlacer(b.now)
 		for _, a := range b.g.Out.Actions() {
 			if w, ok := a.(Write); ok && w.Write.Placer != nil {
 				return w.Write.Placer
@@ -376,7 +376,7 @@
 			heard := b.now
 			for range 200 {
 				b.g.Out.Reset()
-				b.g.SeekPlacer(b.now)
+				b.g.ClaimPlacer(b.now)
 				if len(b.g.Out.Actions()) > 0 {
 					break
 				}
--- a/core/ownership/placer.go
+++ b/core/ownership/placer.go
@@ -37,10 +37,10 @@
 	return g.placer.held && g.MayOrderWithFence(now, g.placer.fence)
 }
 
-// SeekPlacer writes the placer's record where there is none, or where it is this
+// ClaimPlacer writes the placer's record where there is none, or where it is this
 // instance's from before it may have lost it, or the store may have. Instances come in the order of
 // their rank, should those before them not write it.
-func (g *Registry) SeekPlacer(now clock.Instant) {
+func (g *Registry) ClaimPlacer(now clock.Instant) {
 	p := &g.placer
 	if g.IsPlacer(now) && !g.era.isFormer(p.fence) {
 		return
--- a/core/placement/placer.go
+++ b/core/placement/placer.go
@@ -111,7 +111,7 @@
 	if p.Stopping() || !p.Config.Loaded() {
 		return
 	}
-	p.Registry.SeekPlacer(now)
+	p.Registry.ClaimPlacer(now)
 	placing := p.Registry.IsPlacer(now)
 	if !placing && !p.CutOff(now) {
 		if p.active {
