--- a/core/ownership/placer.go
+++ b/core/ownership/placer.go
@@ -87,10 +87,10 @@
 	return !now.Before(free.Add(time.Duration(g.PlacerRank(now)) * claimStep))
 }
 
-// HandedLoads returns how many loads from the weight store may begin at once, as the
+// HandedOverLoads returns how many loads from the weight store may begin at once, as the
 // placer before this instance left it; ok is false where it did not give the task back
 // and may still be at work.
-func (g *Registry) HandedLoads() (loads float64, ok bool) {
+func (g *Registry) HandedOverLoads() (loads float64, ok bool) {
 	if g.placer.handed == nil {
 		return 0, false
 	}
--- a/core/placement/placer.go
+++ b/core/placement/placer.go
@@ -139,7 +139,7 @@
 	p.cutOff = cutOff
 	p.changes = map[string]*change{}
 	p.loads = newLoadBudget(now)
-	if left, ok := p.Registry.HandedLoads(); ok && !cutOff {
+	if left, ok := p.Registry.HandedOverLoads(); ok && !cutOff {
 		p.loads = handedBudget(now, left, p.Options)
 	}
 	p.demandAt = now
