--- a/core/exchange/exchange.go
+++ b/core/exchange/exchange.go
@@ -190,8 +190,8 @@
 	return msg
 }
 
-// Asked answers an exchange that a peer began.
-func (x *Exchanges) Asked(now clock.Instant, e Asked) {
+// HandleRequest answers an exchange that a peer began.
+func (x *Exchanges) HandleRequest(now clock.Instant, e Asked) {
 	x.receive(now, e.Message)
 	reply := x.message(now, e.Message.From)
 	if e.Message.WantConfig && e.Message.Revision < x.Config.Revision() {
--- a/core/instance/machine.go
+++ b/core/instance/machine.go
@@ -118,7 +118,7 @@
 	case exchange.Reply:
 		m.exchanges.Replied(now, e)
 	case exchange.Asked:
-		m.exchanges.Asked(now, e)
+		m.exchanges.HandleRequest(now, e)
 	case Stop:
 		m.stop.Start(now)
 	case OptionsChanged:
