--- a/core/exchange/exchange.go
+++ b/core/exchange/exchange.go
@@ -200,8 +200,8 @@
 	x.Out.Emit(Answer{Token: e.Token, Message: reply})
 }
 
-// Replied takes in what came of an exchange that this instance began.
-func (x *Exchanges) Replied(now clock.Instant, e Reply) {
+// HandleReply takes in what came of an exchange that this instance began.
+func (x *Exchanges) HandleReply(now clock.Instant, e Reply) {
 	delete(x.inFlight, e.Address)
 	if e.Err != nil {
 		if p := x.Members.Get(e.Peer); p != nil && p.Live(now) {
--- a/core/instance/machine.go
+++ b/core/instance/machine.go
@@ -116,7 +116,7 @@
 	case listing.Reply:
 		m.env.listReplied(now, e)
 	case exchange.Reply:
-		m.exchanges.Replied(now, e)
+		m.exchanges.HandleReply(now, e)
 	case exchange.Asked:
 		m.exchanges.HandleRequest(now, e)
 	case Stop:
