--- a/core/exchange/exchange.go
+++ b/core/exchange/exchange.go
@@ -145,8 +145,8 @@
 // StoreAge returns how old what is known of the store is.
 func (x *Exchanges) StoreAge(now clock.Instant) time.Duration { return now.Since(x.storeAt) }
 
-// With begins an exchange with a peer, if there is one and none is under way.
-func (x *Exchanges) With(now clock.Instant, p *member.Peer) {
+// StartWith begins an exchange with a peer, if there is one and none is under way.
+func (x *Exchanges) StartWith(now clock.Instant, p *member.Peer) {
 	if p == nil || x.inFlight[p.Address] {
 		return
 	}
@@ -157,7 +157,7 @@
 // WithZone begins an exchange with each peer of this instance's zone.
 func (x *Exchanges) WithZone(now clock.Instant) {
 	for _, p := range x.Members.ZonePeers(true) {
-		x.With(now, p)
+		x.StartWith(now, p)
 	}
 }
 
--- a/core/exchange/rhythm.go
+++ b/core/exchange/rhythm.go
@@ -57,7 +57,7 @@
 		return
 	}
 	r.round++
-	x.With(now, x.nextPeer(now))
+	x.StartWith(now, x.nextPeer(now))
 	x.contactSeeds(now)
 }
 
@@ -72,7 +72,7 @@
 	r.meshDue = now.Add(step.Jitter(x.Rand, x.Options.MeshEvery))
 	for _, p := range x.Members.Peers() {
 		if p.Name > x.Self.Name && (!p.Failing() || r.round%failingEvery == 0) {
-			x.With(now, p)
+			x.StartWith(now, p)
 		}
 	}
 	r.round++
@@ -104,14 +104,14 @@
 	x.rhythm.urgent = false
 	if x.Roster.FullMesh() {
 		for _, p := range x.Members.Peers() {
-			x.With(now, p)
+			x.StartWith(now, p)
 		}
 		return
 	}
 	for _, p := range x.Members.Neighbours() {
-		x.With(now, p)
+		x.StartWith(now, p)
 	}
-	x.With(now, member.Draw(x.Rand, x.Members.ZonePeers(false)))
+	x.StartWith(now, member.Draw(x.Rand, x.Members.ZonePeers(false)))
 }
 
 // nextPeer returns whom to exchange with in this round.
--- a/core/instance/own.go
+++ b/core/instance/own.go
@@ -33,7 +33,7 @@
 	p := planner.New(planner.Needs{
 		State:   m.state,
 		Chooser: chooser, Meter: asked, Totals: totals,
-		Stopping: m.stop.Started, TellSoon: m.exchanges.TellSoon, TellAll: m.exchanges.TellAll, Tell: m.exchanges.With,
+		Stopping: m.stop.Started, TellSoon: m.exchanges.TellSoon, TellAll: m.exchanges.TellAll, Tell: m.exchanges.StartWith,
 		Leaving: m.exchanges.LogLeaving,
 	})
 	h := modelcalls.New(modelcalls.Needs{
--- a/core/instance/platform.go
+++ b/core/instance/platform.go
@@ -26,7 +26,7 @@
 	placer := placement.New(placement.Needs{
 		State:    m.state,
 		Registry: o.registry, Asks: o.asks, Roster: o.roster, OwnDemand: tracker, AllDemand: totals,
-		Stopping: m.stop.Started, Tell: m.exchanges.With, NextWatcher: m.exchanges.NextWatcher,
+		Stopping: m.stop.Started, Tell: m.exchanges.StartWith, NextWatcher: m.exchanges.NextWatcher,
 	})
 	w := watch.New(watch.Needs{
 		Options: m.state.Options, Rand: m.state.Rand, Out: m.state.Out, Outage: m.state.Outage, Roster: o.roster, Registry: o.registry,
