--- a/core/exchange/exchange.go
+++ b/core/exchange/exchange.go
@@ -154,8 +154,8 @@
 	x.Out.Emit(Begin{Peer: p.Name, Address: p.Address, Message: x.message(now, p.Name)})
 }
 
-// WithZone begins an exchange with each peer of this instance's zone.
-func (x *Exchanges) WithZone(now clock.Instant) {
+// StartWithZone begins an exchange with each peer of this instance's zone.
+func (x *Exchanges) StartWithZone(now clock.Instant) {
 	for _, p := range x.Members.ZonePeers(true) {
 		x.StartWith(now, p)
 	}
--- a/core/instance/build.go
+++ b/core/instance/build.go
@@ -74,7 +74,7 @@
 // peers of the zone.
 func (m *Machine) handOver(now clock.Instant) {
 	m.env.handOver(now)
-	m.exchanges.WithZone(now)
+	m.exchanges.StartWithZone(now)
 }
 
 func (m *Machine) buildOrders() {
