--- a/core/exchange/exchange.go
+++ b/core/exchange/exchange.go
@@ -132,9 +132,11 @@
 // SetSeeds takes over changed addresses of peers known from settings.
 func (x *Exchanges) SetSeeds(seeds []string) { x.seeds = seeds }
 
-// StoreHeard notes that everything in the platform's store up to a moment was heard at first
+// MarkStoreKnownUntil notes that everything in the platform's store up to a moment was heard at first
 // hand.
-func (x *Exchanges) StoreHeard(upTo clock.Instant) { x.storeAt = clock.Latest(x.storeAt, upTo) }
+func (x *Exchanges) MarkStoreKnownUntil(upTo clock.Instant) {
+	x.storeAt = clock.Latest(x.storeAt, upTo)
+}
 
 // StoreVersion notes up to where the store was heard at first hand.
 func (x *Exchanges) StoreVersion(version era.Number) { x.storeVersion = max(x.storeVersion, version) }
--- a/core/own/kvwatch/watch.go
+++ b/core/own/kvwatch/watch.go
@@ -78,7 +78,7 @@
 func (w *Watch) ListReplied(now clock.Instant, e listing.Reply) {
 	w.Outage.Observe(now, e.Err)
 	if e.Err == nil {
-		w.Exchanges.StoreHeard(w.list.SentAt())
+		w.Exchanges.MarkStoreKnownUntil(w.list.SentAt())
 	}
 	w.list.End(w.next(now))
 	if e.Err == nil {
--- a/core/watch/watch.go
+++ b/core/watch/watch.go
@@ -249,7 +249,7 @@
 	}
 	w.Outage.Observe(now, nil)
 	w.Registry.WatchAnswered(c.sent)
-	w.Exchanges.StoreHeard(answeredAt(now, c, e.Whole))
+	w.Exchanges.MarkStoreKnownUntil(answeredAt(now, c, e.Whole))
 	clear(w.calls)
 	w.resetFailures()
 	w.due = now.Add(w.parts().Pause)
