--- a/core/exchange/exchange.go
+++ b/core/exchange/exchange.go
@@ -141,8 +141,8 @@
 // StoreVersion notes up to where the store was heard at first hand.
 func (x *Exchanges) StoreVersion(version era.Number) { x.storeVersion = max(x.storeVersion, version) }
 
-// StoreAt returns up to when everything in the store is known, by whomever.
-func (x *Exchanges) StoreAt() clock.Instant { return x.storeAt }
+// StoreKnownUntil returns up to when everything in the store is known, by whomever.
+func (x *Exchanges) StoreKnownUntil() clock.Instant { return x.storeAt }
 
 // StoreAge returns how old what is known of the store is.
 func (x *Exchanges) StoreAge(now clock.Instant) time.Duration { return now.Since(x.storeAt) }
--- a/core/instance/build.go
+++ b/core/instance/build.go
@@ -135,7 +135,7 @@
 	m.listing = &listing.List{
 		Options: m.state.Options, Out: m.state.Out, Members: m.state.Members, Pool: m.state.Pool, Records: m.state.Records,
 		Outage:    m.state.Outage,
-		KnownAt:   func() clock.Instant { return m.exchanges.StoreAt() },
+		KnownAt:   func() clock.Instant { return m.exchanges.StoreKnownUntil() },
 		Announced: m.orders.owned.Announced,
 		Present:   m.notices.HandleAnnounced,
 		Restarted: func(now clock.Instant, replica string) { m.forwarding.Restarted(now, replica) },
--- a/core/instance/outage_test.go
+++ b/core/instance/outage_test.go
@@ -50,7 +50,7 @@
 	f.called = nil
 	const span = 8 * time.Second
 	var e outageEnd
-	e.list = f.untilAll(span, func(n *fleetMember) bool { return !n.m.exchanges.StoreAt().Before(back) })
+	e.list = f.untilAll(span, func(n *fleetMember) bool { return !n.m.exchanges.StoreKnownUntil().Before(back) })
 	e.lease = e.list + f.untilAll(span, func(n *fleetMember) bool {
 		v := f.store.values["instances/"+n.id.Name]
 		return v != nil && f.store.leases[v.lease] != nil
--- a/core/watch/watch.go
+++ b/core/watch/watch.go
@@ -290,7 +290,7 @@
 	age := w.Exchanges.StoreAge(now)
 	most := max(w.Options.Bounds.Leave/2, w.parts().MaxListAge())
 	switch {
-	case w.Exchanges.StoreAt().IsZero():
+	case w.Exchanges.StoreKnownUntil().IsZero():
 	case age > most:
 		if !w.old.noted && !w.Outage.Down() {
 			w.old = oldList{noted: true}
