--- a/core/exchange/exchange.go
+++ b/core/exchange/exchange.go
@@ -138,8 +138,10 @@
 	x.storeAt = clock.Latest(x.storeAt, upTo)
 }
 
-// StoreVersion notes up to where the store was heard at first hand.
-func (x *Exchanges) StoreVersion(version era.Number) { x.storeVersion = max(x.storeVersion, version) }
+// ObserveStoreVersion notes up to where the store was heard at first hand.
+func (x *Exchanges) ObserveStoreVersion(version era.Number) {
+	x.storeVersion = max(x.storeVersion, version)
+}
 
 // StoreKnownUntil returns up to when everything in the store is known, by whomever.
 func (x *Exchanges) StoreKnownUntil() clock.Instant { return x.storeAt }
--- a/core/instance/platform.go
+++ b/core/instance/platform.go
@@ -48,7 +48,7 @@
 		installed:     func(clock.Instant, *config.Snapshot) {},
 		configReplied: func(clock.Instant, error) {}, // watch.Reply ends the one watch
 		listReplied: func(now clock.Instant, e listing.Reply) {
-			m.exchanges.StoreVersion(e.Version)
+			m.exchanges.ObserveStoreVersion(e.Version)
 			m.listing.Replied(now, e)
 		},
 		handOver: func(now clock.Instant) { o.registry.Resign(now, placer.LoadsLeft(now)) },
