--- a/core/exchange/pull.go
+++ b/core/exchange/pull.go
@@ -37,9 +37,9 @@
 	p.newest = revision
 }
 
-// Behind returns for how long a peer has been ahead of this instance; ok is false
+// ConfigLag returns for how long a peer has been ahead of this instance; ok is false
 // if none is known to be.
-func (x *Exchanges) Behind(now clock.Instant) (span time.Duration, ok bool) {
+func (x *Exchanges) ConfigLag(now clock.Instant) (span time.Duration, ok bool) {
 	if x.pull.newest <= x.Config.Revision() {
 		return 0, false
 	}
--- a/core/watch/watch.go
+++ b/core/watch/watch.go
@@ -165,7 +165,7 @@
 // view gathers what decides now.
 func (w *Watch) view(now clock.Instant) view {
 	alone := w.Exchanges.Alone(now)
-	behind, _ := w.Exchanges.Behind(now)
+	behind, _ := w.Exchanges.ConfigLag(now)
 	return view{
 		alone:    alone,
 		onRoster: !alone && w.Roster.IncludesSelf(now),
