--- a/core/exchange/pull.go
+++ b/core/exchange/pull.go
@@ -46,9 +46,9 @@
 	return now.Since(x.pull.sinceAt), true
 }
 
-// Installed notes that a newer revision is in force here: it is spread at once,
+// ConfigInstalled notes that a newer revision is in force here: it is spread at once,
 // and a still newer one that was announced meanwhile is asked for.
-func (x *Exchanges) Installed(now clock.Instant) {
+func (x *Exchanges) ConfigInstalled(now clock.Instant) {
 	x.pull.sinceAt = now
 	x.pull.until = clock.Instant{}
 	x.pullNewer(now)
--- a/core/instance/config.go
+++ b/core/instance/config.go
@@ -57,7 +57,7 @@
 	m.orders.owned.Configure()
 	m.replayRecords(now)
 	m.env.installed(now, s)
-	m.exchanges.Installed(now)
+	m.exchanges.ConfigInstalled(now)
 	m.state.Out.Log(logevent.ConfigInstalled, "revision", s.Revision(), "source", e.Source)
 	m.state.Out.Emit(ConfigInstalled{Snapshot: s})
 }
