--- a/core/exchange/rhythm.go
+++ b/core/exchange/rhythm.go
@@ -94,8 +94,8 @@
 	}
 }
 
-// Alone reports whether no peer was heard for some of the own exchange periods.
-func (x *Exchanges) Alone(now clock.Instant) bool {
+// Isolated reports whether no peer was heard for some of the own exchange periods.
+func (x *Exchanges) Isolated(now clock.Instant) bool {
 	return x.Members.HeardWithin(now, alonePeriods*x.Options.ExchangeEvery) == 0
 }
 
@@ -171,7 +171,7 @@
 
 // contactSeeds tries one address from the settings while no peer was heard.
 func (x *Exchanges) contactSeeds(now clock.Instant) {
-	if len(x.seeds) == 0 || !x.Alone(now) {
+	if len(x.seeds) == 0 || !x.Isolated(now) {
 		return
 	}
 	address := x.seeds[x.Rand.IntN(len(x.seeds))]
--- a/core/own/kvwatch/watch.go
+++ b/core/own/kvwatch/watch.go
@@ -50,7 +50,7 @@
 
 // keeps reports whether this instance watches now.
 func (w *Watch) keeps(now clock.Instant) bool {
-	return w.Exchanges.Alone(now) || w.Members.Assigned(now, watchers.KeyPrefix+w.Self.Zone, w.Options.Watchers)
+	return w.Exchanges.Isolated(now) || w.Members.Assigned(now, watchers.KeyPrefix+w.Self.Zone, w.Options.Watchers)
 }
 
 // Tick begins the watches that are due.
--- a/core/watch/watch.go
+++ b/core/watch/watch.go
@@ -164,7 +164,7 @@
 
 // view gathers what decides now.
 func (w *Watch) view(now clock.Instant) view {
-	alone := w.Exchanges.Alone(now)
+	alone := w.Exchanges.Isolated(now)
 	behind, _ := w.Exchanges.ConfigLag(now)
 	return view{
 		alone:    alone,
