--- a/core/exchange/rhythm.go
+++ b/core/exchange/rhythm.go
@@ -126,11 +126,11 @@
 	return member.Draw(x.Rand, x.Members.ZonePeers(false))
 }
 
-// NextOfFleet returns whom to exchange with in a fleet that is too large for a
+// NextInLargeFleet returns whom to exchange with in a fleet that is too large for a
 // full mesh and in which few instances watch the platform: every other round one
 // that watches, which has the news first, and in between the placer, which needs
 // the demand, or a peer of another zone. placer is the placer's name.
-func (x *Exchanges) NextOfFleet(now clock.Instant, round int, placer string) *member.Peer {
+func (x *Exchanges) NextInLargeFleet(now clock.Instant, round int, placer string) *member.Peer {
 	switch round % 4 {
 	case 0, 2:
 		if p := x.NextWatcher(now, x.Self.Zone); p != nil {
--- a/core/instance/platform.go
+++ b/core/instance/platform.go
@@ -37,7 +37,7 @@
 	m.exchanges.DemandHeard = placer.DemandHeard
 	m.exchanges.PlatformBrings = w.Brings
 	m.exchanges.NextPeer = func(now clock.Instant, round int) *member.Peer {
-		return m.exchanges.NextOfFleet(now, round, o.registry.Placer().Name)
+		return m.exchanges.NextInLargeFleet(now, round, o.registry.Placer().Name)
 	}
 	return environment{
 		platform: &platformParts{placer: placer, watch: w},
