--- a/core/instance/platform.go
+++ b/core/instance/platform.go
@@ -49,7 +49,7 @@
 		configReplied: func(clock.Instant, error) {}, // watch.Reply ends the one watch
 		listReplied: func(now clock.Instant, e listing.Reply) {
 			m.exchanges.ObserveStoreVersion(e.Version)
-			m.listing.Replied(now, e)
+			m.listing.HandleReply(now, e)
 		},
 		handOver: func(now clock.Instant) { o.registry.Resign(now, placer.LoadsLeft(now)) },
 		status:   func(clock.Instant, *Status) {},
--- a/core/listing/listing.go
+++ b/core/listing/listing.go
@@ -70,8 +70,8 @@
 // Version returns the version up to which the list is known, at whichever hand.
 func (l *List) Version() era.Number { return l.version }
 
-// Replied takes in what a watch brought.
-func (l *List) Replied(now clock.Instant, e Reply) {
+// HandleReply takes in what a watch brought.
+func (l *List) HandleReply(now clock.Instant, e Reply) {
 	if e.Version.Era() < l.version.Era() {
 		return // it was on its way while the store went back
 	}
--- a/core/own/kvwatch/watch.go
+++ b/core/own/kvwatch/watch.go
@@ -82,7 +82,7 @@
 	}
 	w.list.End(w.next(now))
 	if e.Err == nil {
-		w.Listing.Replied(now, e)
+		w.Listing.HandleReply(now, e)
 	}
 }
 
