--- a/core/instance/build.go
+++ b/core/instance/build.go
@@ -145,7 +145,7 @@
 		State:      m.state,
 		Roster:     m.orders.roster,
 		Stopping:   m.stop.Started,
-		Listed:     m.listing.Heard,
+		Listed:     m.listing.HandlePeerEntry,
 		Registered: m.orders.registry.Merge,
 		Crashed:    m.quarantine.HandlePeerReports,
 		Leaving:    m.notices.HandlePeerLeaving,
--- a/core/listing/listing.go
+++ b/core/listing/listing.go
@@ -95,8 +95,8 @@
 	}
 }
 
-// Heard takes in an entry that a peer told of.
-func (l *List) Heard(now clock.Instant, from string, entry share.Listed) {
+// HandlePeerEntry takes in an entry that a peer told of.
+func (l *List) HandlePeerEntry(now clock.Instant, from string, entry share.Listed) {
 	if entry.Version.Era() < l.version.Era() {
 		return // the peer has not heard yet that the store went back
 	}
