--- a/core/instance/machine.go
+++ b/core/instance/machine.go
@@ -142,7 +142,7 @@
 	case forwarding.ProbeReply:
 		m.forwarding.ProbeReplied(now, e)
 	case listing.Reported:
-		m.listing.Reported(now, e)
+		m.listing.HandleSelfReport(now, e)
 	case notice.Received:
 		m.notices.HandleNotice(now, e)
 	case permits.Reply:
--- a/core/listing/listing.go
+++ b/core/listing/listing.go
@@ -192,9 +192,9 @@
 	l.Announced(now, name, a.Models)
 }
 
-// Reported takes in a life of a replica that is heard of from itself before its entry
+// HandleSelfReport takes in a life of a replica that is heard of from itself before its entry
 // comes. What it says of a life that is known, its owner's ledger takes in.
-func (l *List) Reported(now clock.Instant, e Reported) {
+func (l *List) HandleSelfReport(now clock.Instant, e Reported) {
 	r := l.Pool.Get(e.Replica)
 	if r == nil || e.Sent.Before(r.FirstSeenAt()) || !r.Restarted(e.Announcement.Born) {
 		return
