--- a/core/instance/announced_world_test.go
+++ b/core/instance/announced_world_test.go
@@ -1364,7 +1364,7 @@
 		if m.orders.owned.Len() > 0 {
 			owners++
 		}
-		if m.env.platform.watch.Keeps(clocktest.At(time.Hour + f.now)) {
+		if m.env.platform.watch.Active(clocktest.At(time.Hour + f.now)) {
 			watching++
 		}
 		known := 0
--- a/core/instance/exchange_test.go
+++ b/core/instance/exchange_test.go
@@ -151,10 +151,10 @@
 	is.Equal(exchanges(ahead("b")), map[string]share.Message{}) // one is asked at a time
 	now = now.Add(exchange.PullTime)
 	is.True(exchanges(m.Step(now, Tick{}))["b"].WantConfig)
-	is.True(!m.env.platform.watch.Keeps(now))
+	is.True(!m.env.platform.watch.Active(now))
 	now = now.Add(watch.BehindLimit)
 	m.Step(now, Tick{})
-	is.True(m.env.platform.watch.Keeps(now))
+	is.True(m.env.platform.watch.Active(now))
 }
 
 // TestOnlyPullsBringConfigurations: of all exchanges with peers that are ahead,
