--- a/core/watch/watch.go
+++ b/core/watch/watch.go
@@ -180,8 +180,8 @@
 // Active reports whether this instance watches now.
 func (w *Watch) Active(now clock.Instant) bool { return w.view(now).reason() != notNeeded }
 
-// Brings reports whether this instance hears of changes from the store itself.
-func (w *Watch) Brings(now clock.Instant) bool { return w.Active(now) && !w.Outage.Down() }
+// ReceivesUpdates reports whether this instance hears of changes from the store itself.
+func (w *Watch) ReceivesUpdates(now clock.Instant) bool { return w.Active(now) && !w.Outage.Down() }
 
 // Tick begins the next call if it is due: another watch, or a read of everything beside a call
 // that hangs or after one that failed.
