--- a/core/instance/platform.go
+++ b/core/instance/platform.go
@@ -60,7 +60,7 @@
 func (m *Machine) handlePlatform(now clock.Instant, w *watch.Watch, ev step.Event) bool {
 	switch e := ev.(type) {
 	case watch.Reply:
-		w.Replied(now, e)
+		w.HandleReply(now, e)
 	case calls.Arrived:
 		m.refuseOwnCall(e)
 	default:
--- a/core/watch/watch.go
+++ b/core/watch/watch.go
@@ -235,9 +235,9 @@
 	w.Out.Emit(b)
 }
 
-// Replied notes that a call is over. An answer ends the calls beside it too: what they bring
+// HandleReply notes that a call is over. An answer ends the calls beside it too: what they bring
 // later is older, or the same.
-func (w *Watch) Replied(now clock.Instant, e Reply) {
+func (w *Watch) HandleReply(now clock.Instant, e Reply) {
 	c, ok := w.calls[e.ID]
 	if !ok {
 		return
