--- a/core/era/era.go
+++ b/core/era/era.go
@@ -15,9 +15,9 @@
 // say.
 type Era uint32
 
-// A Number is a revision that the store gave out in some era. Those of a later era are greater
+// A Revision is a revision that the store gave out in some era. Those of a later era are greater
 // than all of the eras before; 0 is none.
-type Number uint64
+type Revision uint64
 
 // A Lease is one that the store gave out in some era. Leases have no order, and the store may
 // name them by any number. The zero Lease is none.
@@ -44,25 +44,25 @@
 
 // Revision returns the revision that the store gave out as raw in this era. It panics for one
 // beyond MaxRevision, which would be taken for one of another era.
-func (e Era) Revision(raw uint64) Number {
+func (e Era) Revision(raw uint64) Revision {
 	switch {
 	case raw == 0:
 		return 0
 	case raw > MaxRevision:
 		panic("era: a revision beyond MaxRevision")
 	default:
-		return Number(uint64(e)<<rawBits | raw)
+		return Revision(uint64(e)<<rawBits | raw)
 	}
 }
 
 // Era returns the era in which the number was given out, 0 also for none.
-func (n Number) Era() Era { return Era(n >> rawBits) }
+func (n Revision) Era() Era { return Era(n >> rawBits) }
 
 // Raw returns the number as the store knows it.
-func (n Number) Raw() uint64 { return uint64(n) & MaxRevision }
+func (n Revision) Raw() uint64 { return uint64(n) & MaxRevision }
 
 // String returns the number for logs, as ERA/NUMBER where the store tells its era.
-func (n Number) String() string { return inEra(n.Era(), n.Raw()) }
+func (n Revision) String() string { return inEra(n.Era(), n.Raw()) }
 
 func inEra(e Era, raw uint64) string {
 	text := strconv.FormatUint(raw, 10)
@@ -73,7 +73,7 @@
 }
 
 // MarshalJSON writes the number for logs: as the store's own where it tells of no era.
-func (n Number) MarshalJSON() ([]byte, error) {
+func (n Revision) MarshalJSON() ([]byte, error) {
 	if n.Era() == 0 {
 		return []byte(n.String()), nil
 	}
--- a/core/era/era_test.go
+++ b/core/era/era_test.go
@@ -13,8 +13,8 @@
 	is.True(Era(0).Revision(7) < Era(0).Revision(8))
 	is.True(Era(0).Revision(MaxRevision) < Era(1).Revision(1))
 	is.True(Era(2).Revision(MaxRevision) < Era(3).Revision(1))
-	is.Equal(Era(0).Revision(7), Number(7)) // a store without eras: its own numbers
-	is.Equal(Era(3).Revision(0), Number(0)) // none is none in each era
+	is.Equal(Era(0).Revision(7), Revision(7)) // a store without eras: its own numbers
+	is.Equal(Era(3).Revision(0), Revision(0)) // none is none in each era
 }
 
 // TestNumbersAreReadBack, also the largest.
@@ -35,7 +35,7 @@
 // TestNumbersInLogs: one with an era is a text, for the integer says nothing to a reader.
 func TestNumbersInLogs(t *testing.T) {
 	is := is.New(t)
-	for n, want := range map[Number]string{41: `41`, Era(2).Revision(41): `"2/41"`} {
+	for n, want := range map[Revision]string{41: `41`, Era(2).Revision(41): `"2/41"`} {
 		data, err := json.Marshal(n)
 		is.NoErr(err)
 		is.Equal(string(data), want)
--- a/core/exchange/exchange.go
+++ b/core/exchange/exchange.go
@@ -111,17 +111,17 @@
 	peers    map[string]peerState
 	inFlight map[string]bool // exchanges under way, by address
 
-	storeVersion era.Number    // up to where the platform's store was heard at first hand
+	storeVersion era.Revision  // up to where the platform's store was heard at first hand
 	storeAt      clock.Instant // up to when everything in it is known, by whomever
 }
 
 // A peerState is what a peer said of itself last.
 type peerState struct {
 	boot     uint64
-	stamp    uint64     // of its records, when it said so
-	revision uint64     // of the configuration in force there
-	store    era.Number // up to where it heard the platform's store at first hand
-	acked    uint64     // what it confirmed of this instance's records
+	stamp    uint64       // of its records, when it said so
+	revision uint64       // of the configuration in force there
+	store    era.Revision // up to where it heard the platform's store at first hand
+	acked    uint64       // what it confirmed of this instance's records
 }
 
 // New returns the exchanges of an instance that has heard of nobody.
@@ -139,7 +139,7 @@
 }
 
 // ObserveStoreVersion notes up to where the store was heard at first hand.
-func (x *Exchanges) ObserveStoreVersion(version era.Number) {
+func (x *Exchanges) ObserveStoreVersion(version era.Revision) {
 	x.storeVersion = max(x.storeVersion, version)
 }
 
--- a/core/instance/announced_world_test.go
+++ b/core/instance/announced_world_test.go
@@ -102,8 +102,8 @@
 	thawed  time.Duration // when it was last
 	held    []func()
 	noStore bool
-	deaf    bool       // its watches hear nothing, nor do its exchanges
-	after   era.Number // the watch's position; 0 reads the whole
+	deaf    bool         // its watches hear nothing, nor do its exchanges
+	after   era.Revision // the watch's position; 0 reads the whole
 	waiting []*fleetWatch
 	known   era.Era // the latest in which the store answered it
 	asked   map[uint64]func(owned.Answer)
@@ -156,7 +156,7 @@
 	onDisk   map[string]bool
 	holder   string
 	heldAt   time.Duration
-	fence    era.Number
+	fence    era.Revision
 	loadedAt map[string]time.Duration
 	born     int // lives under this name
 	gone     bool
@@ -552,7 +552,7 @@
 }
 
 // number returns a number that the store gives out now.
-func (f *fleet) number(raw uint64) era.Number { return f.store.era.Revision(raw) }
+func (f *fleet) number(raw uint64) era.Revision { return f.store.era.Revision(raw) }
 
 func (f *fleet) change(key string, v *fleetValue) uint64 {
 	f.store.revision++
@@ -652,7 +652,7 @@
 
 // writePlacer writes the placer's record under the condition of its revision, and
 // returns the new one, 0 if the condition did not hold.
-func (f *fleet) writePlacer(p registry.Placer, lease uint64) era.Number {
+func (f *fleet) writePlacer(p registry.Placer, lease uint64) era.Revision {
 	have := uint64(0)
 	if v := f.store.values["placer"]; v != nil {
 		have = v.revision
@@ -664,7 +664,7 @@
 }
 
 // marked reports whether the mark of an era stands at a revision, or none is asked for.
-func (f *fleet) marked(in era.Era, mark era.Number) bool {
+func (f *fleet) marked(in era.Era, mark era.Revision) bool {
 	if mark == 0 {
 		return true
 	}
@@ -673,7 +673,7 @@
 }
 
 // writeMark writes an era's mark where there is none, and removes those of former eras.
-func (f *fleet) writeMark(w ownership.Records) era.Number {
+func (f *fleet) writeMark(w ownership.Records) era.Revision {
 	if f.store.values[w.Mark.Key()] != nil {
 		return 0
 	}
@@ -809,7 +809,7 @@
 	return changes
 }
 
-func (f *fleet) deliver(n *fleetMember, w *fleetWatch, changes []fleetChange, at era.Number, whole bool) {
+func (f *fleet) deliver(n *fleetMember, w *fleetWatch, changes []fleetChange, at era.Revision, whole bool) {
 	if whole {
 		snapshot, err := config.NewSnapshot(f.doc)
 		if err != nil {
--- a/core/instance/exchange_test.go
+++ b/core/instance/exchange_test.go
@@ -37,7 +37,7 @@
 	var records []registry.Record
 	for i, name := range peers {
 		v := registry.Instance{Name: name, Zone: "z", Address: name, Boot: 1}.Value()
-		records = append(records, registry.Record{Key: v.Key, Data: v.Data, Revision: era.Number(i + 1)})
+		records = append(records, registry.Record{Key: v.Key, Data: v.Data, Revision: era.Revision(i + 1)})
 	}
 	m.Step(now, ownership.Heard{Records: records, Version: 10, Whole: true})
 	for _, name := range peers {
@@ -82,7 +82,7 @@
 			record.Processor = 0.9
 		}
 		v := record.Value()
-		records = append(records, registry.Record{Key: v.Key, Data: v.Data, Revision: era.Number(i + 1)})
+		records = append(records, registry.Record{Key: v.Key, Data: v.Data, Revision: era.Revision(i + 1)})
 	}
 	m.Step(now, ownership.Heard{Records: records, Version: 40, Whole: true})
 	is.Equal(m.orders.roster.InZone(now, "z0")[0], "self")
@@ -185,11 +185,11 @@
 	now := clocktest.At(time.Hour)
 	m := fleetMachine(now, "a", "b")
 	for i, name := range []string{"r1", "r2"} {
-		m.Step(now, listing.Reply{Version: era.Number(11 + i), Entries: []share.Listed{{
-			Name: name, Kind: share.Upstream, Version: era.Number(11 + i), Announced: &pool.Announcement{Service: "s", Address: name},
+		m.Step(now, listing.Reply{Version: era.Revision(11 + i), Entries: []share.Listed{{
+			Name: name, Kind: share.Upstream, Version: era.Revision(11 + i), Announced: &pool.Announcement{Service: "s", Address: name},
 		}}})
 	}
-	told := func(boot, ackBoot, ack uint64, heard era.Number) []string {
+	told := func(boot, ackBoot, ack uint64, heard era.Revision) []string {
 		actions := m.Step(now, exchange.Asked{Token: 1, Message: share.Message{
 			From: "a", Zone: "z", Address: "a", Boot: boot, AckBoot: ackBoot, Ack: ack, StoreVersion: heard,
 		}})
@@ -227,7 +227,7 @@
 	is := is.New(t)
 	now := clocktest.At(time.Hour)
 	m := fleetMachine(now, "a")
-	owned := func(owner string, revision era.Number) registry.Record {
+	owned := func(owner string, revision era.Revision) registry.Record {
 		v := registry.Ownership{Engine: "e", Owner: owner}.Value()
 		return registry.Record{Key: v.Key, Data: v.Data, Revision: revision}
 	}
--- a/core/instance/lives_test.go
+++ b/core/instance/lives_test.go
@@ -132,7 +132,7 @@
 type soloLab struct {
 	m       *Machine
 	now     clock.Instant
-	version era.Number
+	version era.Revision
 }
 
 func newSoloLab(t *testing.T) *soloLab {
--- a/core/instance/probe_test.go
+++ b/core/instance/probe_test.go
@@ -38,7 +38,7 @@
 	var list listing.Reply
 	list.Version = 100
 	for i, name := range engines {
-		list.Entries = append(list.Entries, share.Listed{Name: name, Kind: share.Upstream, Zone: "z", Version: era.Number(50 + i), Announced: &pool.Announcement{
+		list.Entries = append(list.Entries, share.Listed{Name: name, Kind: share.Upstream, Zone: "z", Version: era.Revision(50 + i), Announced: &pool.Announcement{
 			Service: "llm", Address: name, Zone: "z", Slots: 8, Engine: true, Models: []pool.AnnouncedModel{{Name: "m0"}},
 		}})
 	}
--- a/core/instance/promises_test.go
+++ b/core/instance/promises_test.go
@@ -380,7 +380,7 @@
 		}
 		// The list says so only now, and says live first: nothing may change.
 		w.platform.version++
-		w.platform.list = append(w.platform.list, share.Listed{Name: leaving, Kind: share.Upstream, Version: era.Number(w.platform.version)})
+		w.platform.list = append(w.platform.list, share.Listed{Name: leaving, Kind: share.Upstream, Version: era.Revision(w.platform.version)})
 		w.run(3 * time.Second)
 		for _, name := range w.names {
 			if !w.nodes[name].m.state.Pool.Get(leaving).Leaving() {
--- a/core/instance/world_test.go
+++ b/core/instance/world_test.go
@@ -172,7 +172,7 @@
 			w.names = append(w.names, name)
 			w.platform.version++
 			w.platform.list = append(w.platform.list, share.Listed{
-				Name: name, Kind: share.Entry, Zone: z.Name, Address: name, Version: era.Number(w.platform.version),
+				Name: name, Kind: share.Entry, Zone: z.Name, Address: name, Version: era.Revision(w.platform.version),
 			})
 			w.start(name, z.Name, seed)
 		}
@@ -396,7 +396,7 @@
 			wait = time.Second
 		}
 		return func() {
-			w.after(wait, func() { w.step(n, listing.Reply{Entries: news, Version: era.Number(version)}) })
+			w.after(wait, func() { w.step(n, listing.Reply{Entries: news, Version: era.Revision(version)}) })
 		}
 	}, func(bool) { w.step(n, listing.Reply{Err: errLost}) })
 }
--- a/core/listing/listing.go
+++ b/core/listing/listing.go
@@ -22,7 +22,7 @@
 // Reply is the event that a watch brought entries of the list.
 type Reply struct {
 	Entries []share.Listed
-	Version era.Number
+	Version era.Revision
 	Whole   bool // Entries are all that the list has, but for Unreadable
 	// Unreadable are upstreams whose entries make no sense. They say nothing: what was
 	// known of the upstream stays until its entry goes or can be read again.
@@ -64,11 +64,11 @@
 	// TellSoon is called when an entry was news that peers are to be told of.
 	TellSoon func(now clock.Instant)
 
-	version era.Number
+	version era.Revision
 }
 
 // Version returns the version up to which the list is known, at whichever hand.
-func (l *List) Version() era.Number { return l.version }
+func (l *List) Version() era.Revision { return l.version }
 
 // HandleReply takes in what a watch brought.
 func (l *List) HandleReply(now clock.Instant, e Reply) {
@@ -173,7 +173,7 @@
 
 // announce takes over what a replica says of itself; version is that of its entry, 0 if it
 // said so when it was asked.
-func (l *List) announce(now clock.Instant, name string, a pool.Announcement, version era.Number) {
+func (l *List) announce(now clock.Instant, name string, a pool.Announcement, version era.Revision) {
 	former := l.Pool.Get(name)
 	if former != nil && former.IsPastIncarnation(a.Born) {
 		return // it was written, or came, after the end of that life
--- a/core/orders/orders.go
+++ b/core/orders/orders.go
@@ -50,7 +50,7 @@
 	// that has taken another number refuses this one, so an order whose answer
 	// is lost cannot take effect after a later one.
 	Expect uint64
-	Fence  era.Number
+	Fence  era.Revision
 }
 
 // An Answer is what came of an order.
@@ -82,7 +82,7 @@
 type Engine struct {
 	Name      string
 	Address   string
-	Fence     era.Number
+	Fence     era.Revision
 	From      clock.Instant // no order may be sent before
 	limits    Limits
 	sizes     Sizes
@@ -96,7 +96,7 @@
 }
 
 // New returns the ledger of an engine whose state is not known yet.
-func New(name, address string, fence era.Number, from clock.Instant, limits Limits, sizes Sizes) *Engine {
+func New(name, address string, fence era.Revision, from clock.Instant, limits Limits, sizes Sizes) *Engine {
 	return &Engine{
 		Name: name, Address: address, Fence: fence, From: from,
 		limits: limits, sizes: sizes, items: map[string]held{},
--- a/core/owned/engine.go
+++ b/core/owned/engine.go
@@ -23,7 +23,7 @@
 	asking     bool          // for its state
 	askDue     clock.Instant // when it may be asked for its state again
 	orderedAt  clock.Instant // when an order was last sent
-	orderFence era.Number    // of that order
+	orderFence era.Revision  // of that order
 	published  uint64        // changes of the ledger that the fleet was told of
 	change     uint64        // number of the last residency that the fleet was told
 }
--- a/core/owned/owned.go
+++ b/core/owned/owned.go
@@ -31,7 +31,7 @@
 	Config  *config.Current
 	// MayOrder reports whether the ownership that this instance gained with a fence is
 	// certainly still its own.
-	MayOrder func(now clock.Instant, fence era.Number) bool
+	MayOrder func(now clock.Instant, fence era.Revision) bool
 	// Permitted reports whether something may be sent to an engine now that names a limit:
 	// an order for an adapter, or for a model, or a question.
 	Permitted func(now clock.Instant, engine string, adapter bool) bool
--- a/core/owned/queue.go
+++ b/core/owned/queue.go
@@ -60,7 +60,7 @@
 	// OrderReply is the event that answers a SendOrder.
 	OrderReply struct {
 		Engine string
-		Fence  era.Number
+		Fence  era.Revision
 		Answer orders.Answer
 		Detail string
 	}
--- a/core/ownership/era.go
+++ b/core/ownership/era.go
@@ -40,7 +40,7 @@
 }
 
 // isFormer reports whether a number is of an era that is over.
-func (x *storeEra) isFormer(n era.Number) bool { return n.Era() < x.now }
+func (x *storeEra) isFormer(n era.Revision) bool { return n.Era() < x.now }
 
 // isOver reports whether a lease is of an era that is over.
 func (x *storeEra) isOver(l era.Lease) bool { return l.Era < x.now }
@@ -62,7 +62,7 @@
 func (x *storeEra) firstEver() bool { return x.now == 0 || x.mark != nil && x.mark.First }
 
 // depends returns the revision of the record that claims depend on, 0 if they do on none.
-func (x *storeEra) depends() era.Number {
+func (x *storeEra) depends() era.Revision {
 	if x.mark == nil {
 		return 0
 	}
@@ -109,7 +109,7 @@
 
 // MayOrderWithFence reports whether this instance may order under a fence: under one that it
 // gained in a former era only until it must have claimed again.
-func (g *Registry) MayOrderWithFence(now clock.Instant, fence era.Number) bool {
+func (g *Registry) MayOrderWithFence(now clock.Instant, fence era.Revision) bool {
 	return g.MayOrder(now) && (!g.era.isFormer(fence) || now.Before(g.era.formerUntil))
 }
 
--- a/core/ownership/ownership.go
+++ b/core/ownership/ownership.go
@@ -65,20 +65,20 @@
 		Former []era.Era         // whose marks go, with Mark
 		// Depends is the revision of the era's mark, under the condition of which
 		// Claim and Placer are written; 0: under none.
-		Depends era.Number
+		Depends era.Revision
 	}
 	// WriteReply is the event that answers a Write.
 	WriteReply struct {
 		Write    Records
-		Revision era.Number
+		Revision era.Revision
 		Conflict bool // a condition did not hold, or the lease is over
 		Err      error
 	}
 	// Heard is the event that a watch brought news of the records.
 	Heard struct {
 		Records []registry.Record
-		Version era.Number // of the store
-		Whole   bool       // Records are all that there are
+		Version era.Revision // of the store
+		Whole   bool         // Records are all that there are
 	}
 	// Resign is an action: write the ownerships that are given back, and the placer's
 	// record if that is, then end
@@ -87,7 +87,7 @@
 		Lease   era.Lease
 		Give    []registry.Ownership
 		Placer  *registry.Placer // nil: this instance is not the placer
-		Depends era.Number       // as of Records
+		Depends era.Revision     // as of Records
 	}
 )
 
--- a/core/ownership/placer.go
+++ b/core/ownership/placer.go
@@ -18,7 +18,7 @@
 	record  registry.Placer
 	goneAt  clock.Instant    // when the last one's record went
 	held    bool             // by this instance, by its last write
-	fence   era.Number       // the revision of that write
+	fence   era.Revision     // the revision of that write
 	handed  *registry.Placer // the record by which the one before gave the task back; nil: it did not
 	seeking bool
 	seekDue clock.Instant
--- a/core/registry/registry.go
+++ b/core/registry/registry.go
@@ -54,8 +54,8 @@
 	// it had been sent no order then.
 	QuietMS int64 `json:"quiet_ms,omitempty"`
 	// Era is the one of the store that the record was meant for.
-	Era      era.Era    `json:"era,omitempty"`
-	Revision era.Number `json:"-"` // of the record; the fence of its orders
+	Era      era.Era      `json:"era,omitempty"`
+	Revision era.Revision `json:"-"` // of the record; the fence of its orders
 }
 
 // Formers that are no owner's name.
@@ -74,8 +74,8 @@
 	// may begin at once; less than 0 while none may.
 	Loads float64 `json:"loads,omitempty"`
 	// Era is the one of the store that the record was meant for.
-	Era      era.Era    `json:"era,omitempty"`
-	Revision era.Number `json:"-"`
+	Era      era.Era      `json:"era,omitempty"`
+	Revision era.Revision `json:"-"`
 }
 
 // A Quarantine says that a request is not run, since replicas ended under it. Its
@@ -90,8 +90,8 @@
 type EraMark struct {
 	Era era.Era `json:"-"`
 	// First says that no record of ours can have been lost with an era before.
-	First    bool       `json:"first,omitempty"`
-	Revision era.Number `json:"-"`
+	First    bool         `json:"first,omitempty"`
+	Revision era.Revision `json:"-"`
 }
 
 // Key returns the key of the era's record.
@@ -105,8 +105,8 @@
 type Record struct {
 	Key      string
 	Data     []byte
-	Revision era.Number // of its last change; rises over the whole store
-	Gone     bool       // it was there and is not any more
+	Revision era.Revision // of its last change; rises over the whole store
+	Gone     bool         // it was there and is not any more
 }
 
 // A Change is news of the registry.
@@ -155,7 +155,7 @@
 	}
 }
 
-func (c *Change) addPlacer(value []byte, revision era.Number, gone bool) {
+func (c *Change) addPlacer(value []byte, revision era.Revision, gone bool) {
 	if gone {
 		c.PlacerGone = true
 		return
@@ -210,7 +210,7 @@
 	c.Marks = append(c.Marks, m)
 }
 
-func (c *Change) addOwner(engine string, value []byte, revision era.Number, gone bool) {
+func (c *Change) addOwner(engine string, value []byte, revision era.Revision, gone bool) {
 	if gone {
 		c.GoneOwners = append(c.GoneOwners, engine)
 		return
--- a/core/registry/registry_test.go
+++ b/core/registry/registry_test.go
@@ -13,10 +13,10 @@
 // Instances that were there again then counted as gone, and took each other's
 // engines again and again.
 func TestTheLaterRecordOfANameCounts(t *testing.T) {
-	written := func(v Value, revision era.Number) Record {
+	written := func(v Value, revision era.Revision) Record {
 		return Record{Key: v.Key, Data: v.Data, Revision: revision}
 	}
-	gone := func(v Value, revision era.Number) Record {
+	gone := func(v Value, revision era.Revision) Record {
 		return Record{Key: v.Key, Revision: revision, Gone: true}
 	}
 	instance := Instance{Name: "i"}.Value()
--- a/core/share/share.go
+++ b/core/share/share.go
@@ -57,8 +57,8 @@
 	Zone    string
 	Address string // of an entry instance's peers' listener
 	Leaving bool
-	Gone    bool       // the list no longer has it
-	Version era.Number // of the list, when this was last changed
+	Gone    bool         // the list no longer has it
+	Version era.Revision // of the list, when this was last changed
 	// Announced is what an upstream that announces itself says; nil for others.
 	Announced *pool.Announcement
 }
@@ -134,7 +134,7 @@
 	StoreAge time.Duration
 	// StoreVersion is up to where the sender has heard the platform's store at
 	// first hand, so that it need not be told what changed before.
-	StoreVersion era.Number
+	StoreVersion era.Revision
 	Stamp        uint64 // of the sender's Set at the time of sending
 	// AckBoot and Ack confirm what the receiver sent: everything up to Ack of
 	// its boot AckBoot is here.
@@ -345,7 +345,7 @@
 
 // Missing returns the registry's records that a listing of the whole registry at
 // revision at does not have, as records that are gone.
-func (s *Set) Missing(whole []registry.Record, at era.Number) []registry.Record {
+func (s *Set) Missing(whole []registry.Record, at era.Revision) []registry.Record {
 	here := make(map[string]bool, len(whole))
 	for _, r := range whole {
 		here[r.Key] = true
@@ -361,7 +361,7 @@
 }
 
 // ListedVersion returns the version of the newest entry of a name, 0 if there was none.
-func (s *Set) ListedVersion(name string) era.Number { return s.listed[name].record.Version }
+func (s *Set) ListedVersion(name string) era.Revision { return s.listed[name].record.Version }
 
 // LeaseHolder returns who plans for the zone, "" if nobody is known to.
 func (s *Set) LeaseHolder(zone string) LeaseHolder { return s.holders[zone].record }
@@ -379,14 +379,14 @@
 }
 
 // Delta returns Since as it travels in a message sent at now.
-func (s *Set) Delta(now clock.Instant, stamp uint64, to string, withLoads bool, known era.Number) Records {
+func (s *Set) Delta(now clock.Instant, stamp uint64, to string, withLoads bool, known era.Revision) Records {
 	return s.Since(stamp, to, withLoads, known).withAges(now)
 }
 
 // Since returns the records that became new after stamp, without those that to
 // told of itself; loads only if withLoads. Of what the platform's store holds,
 // only what changed there after known.
-func (s *Set) Since(stamp uint64, to string, withLoads bool, known era.Number) Records {
+func (s *Set) Since(stamp uint64, to string, withLoads bool, known era.Revision) Records {
 	var r Records
 	r.Residencies = after(s.residencies, stamp, to)
 	r.Listed = after(s.listed, stamp, to)
--- a/core/share/share_test.go
+++ b/core/share/share_test.go
@@ -22,7 +22,7 @@
 			return s.AddResidency("", Residency{Engine: "e", Residency: pool.Residency{Boot: boot, Change: change}})
 		}
 	}
-	listed := func(version era.Number) func(*Set) bool {
+	listed := func(version era.Revision) func(*Set) bool {
 		return func(s *Set) bool { return s.AddListed("", Listed{Name: "l", Version: version}) }
 	}
 	holder := func(fence uint64, instance string) func(*Set) bool {
@@ -30,7 +30,7 @@
 			return s.AddLeaseHolder("", LeaseHolder{Zone: "z", Instance: instance, Fence: fence})
 		}
 	}
-	registered := func(revision era.Number) func(*Set) bool {
+	registered := func(revision era.Revision) func(*Set) bool {
 		return func(s *Set) bool { return s.AddRegistered("", registry.Record{Key: "k", Revision: revision}) }
 	}
 	crashed := func(seq uint64, requests ...crash.Fingerprint) func(*Set) bool {
@@ -114,7 +114,7 @@
 		name      string
 		stamp     uint64
 		withLoads bool
-		known     era.Number
+		known     era.Revision
 		keys      []string
 		loads     int
 	}{
@@ -141,7 +141,7 @@
 func TestMissing(t *testing.T) {
 	is := is.New(t)
 	s := NewSet()
-	for key, revision := range map[string]era.Number{"there": 1, "gone": 2, "later": 9} {
+	for key, revision := range map[string]era.Revision{"there": 1, "gone": 2, "later": 9} {
 		s.AddRegistered("", registry.Record{Key: key, Revision: revision})
 	}
 	s.AddRegistered("", registry.Record{Key: "known", Revision: 3, Gone: true})
--- a/internal/environment/driver.go
+++ b/internal/environment/driver.go
@@ -170,7 +170,7 @@
 
 // dependingOn returns a write of an era that is carried out only while the era's mark stands at
 // a revision; 0: whether or not there is one.
-func dependingOn(in era.Era, mark era.Number) Commit {
+func dependingOn(in era.Era, mark era.Revision) Commit {
 	c := Commit{Era: in}
 	if mark != 0 {
 		c.Conditions = append(c.Conditions, Condition{Key: registry.EraMark{Era: in}.Key(), Revision: mark})
@@ -179,7 +179,7 @@
 }
 
 // claimCommit returns the write of claims, all of one era.
-func claimCommit(claims []registry.Ownership, mark era.Number) Commit {
+func claimCommit(claims []registry.Ownership, mark era.Revision) Commit {
 	c := dependingOn(claims[0].Era, mark)
 	for _, o := range claims {
 		v := o.Value()
@@ -191,7 +191,7 @@
 
 // placerCommit returns the write of the placer's record, which hangs on the lease
 // unless that is 0.
-func placerCommit(p registry.Placer, lease era.Lease, mark era.Number) Commit {
+func placerCommit(p registry.Placer, lease era.Lease, mark era.Revision) Commit {
 	v := p.Value()
 	c := dependingOn(p.Era, mark)
 	c.Conditions = append(c.Conditions, Condition{Key: v.Key, Revision: p.Revision})
--- a/internal/environment/store.go
+++ b/internal/environment/store.go
@@ -54,14 +54,14 @@
 	Unreadable         []string
 	UnreadableReplicas []string
 	Whole              bool // Listed and Records are all that there is
-	Version            era.Number
+	Version            era.Revision
 }
 
 // A Condition holds while a key's last change is Revision; 0: while there is no
 // such key.
 type Condition struct {
 	Key      string
-	Revision era.Number
+	Revision era.Revision
 }
 
 // A Put writes one value; with a lease it goes when the lease does.
@@ -106,7 +106,7 @@
 	// End gives a lease back.
 	End func(ctx context.Context, lease era.Lease) error
 	// Commit writes; it returns the revision of the write.
-	Commit func(ctx context.Context, c Commit) (revision era.Number, err error)
+	Commit func(ctx context.Context, c Commit) (revision era.Revision, err error)
 	// Decode reads a configuration as the store holds it.
 	Decode func(data []byte) (config.Document, error)
 }
--- a/internal/own/driver.go
+++ b/internal/own/driver.go
@@ -180,7 +180,7 @@
 
 func (d *driver) watchList(ctx context.Context, a kvwatch.List) {
 	entries, version, err := d.platform.Instances(ctx, a.Since, a.Wait)
-	d.host.Post(listing.Reply{Entries: entries, Version: era.Number(version), Err: err})
+	d.host.Post(listing.Reply{Entries: entries, Version: era.Revision(version), Err: err})
 }
 
 func (d *driver) holder() string { return fmt.Sprintf("%s/%x", d.host.Self.Name, d.host.Self.Boot) }
--- a/internal/own/keyvalue/wire.go
+++ b/internal/own/keyvalue/wire.go
@@ -69,6 +69,6 @@
 		Address: i.Address,
 		Leaving: i.State == StateLeaving,
 		Gone:    i.State == StateGone,
-		Version: era.Number(i.Version),
+		Version: era.Revision(i.Version),
 	}
 }
--- a/internal/peer/convert.go
+++ b/internal/peer/convert.go
@@ -249,7 +249,7 @@
 		WantConfig:   m.GetWantConfig(),
 		Config:       m.GetConfig(),
 		StoreAge:     time.Duration(m.GetStoreAgeMs()) * time.Millisecond,
-		StoreVersion: era.Number(m.GetStoreVersion()),
+		StoreVersion: era.Revision(m.GetStoreVersion()),
 		Records:      decodeRecords(m),
 	}
 	for _, d := range m.GetDemand() {
@@ -276,7 +276,7 @@
 	var out share.Records
 	for _, r := range m.GetRegistered() {
 		out.Registered = append(out.Registered, registry.Record{
-			Key: r.GetKey(), Data: r.GetData(), Revision: era.Number(r.GetRevision()), Gone: r.GetGone(),
+			Key: r.GetKey(), Data: r.GetData(), Revision: era.Revision(r.GetRevision()), Gone: r.GetGone(),
 		})
 	}
 	for _, r := range m.GetResidencies() {
@@ -290,7 +290,7 @@
 	for _, l := range m.GetListed() {
 		out.Listed = append(out.Listed, share.Listed{
 			Name: l.GetName(), Kind: share.ListedKind(l.GetKind()), Zone: l.GetZone(), Address: l.GetAddress(),
-			Leaving: l.GetLeaving(), Gone: l.GetGone(), Version: era.Number(l.GetVersion()), Announced: decodeAnnounced(l.GetAnnounced()),
+			Leaving: l.GetLeaving(), Gone: l.GetGone(), Version: era.Revision(l.GetVersion()), Announced: decodeAnnounced(l.GetAnnounced()),
 		})
 	}
 	for _, c := range m.GetCrashes() {
--- a/internal/server/forward_test.go
+++ b/internal/server/forward_test.go
@@ -218,7 +218,7 @@
 		Grant:      func(context.Context, time.Duration) (era.Lease, error) { return era.Lease{ID: 1}, nil },
 		Keep:       func(context.Context, era.Lease) error { return nil },
 		End:        func(context.Context, era.Lease) error { return nil },
-		Commit:     func(context.Context, environment.Commit) (era.Number, error) { return 6, nil },
+		Commit:     func(context.Context, environment.Commit) (era.Revision, error) { return 6, nil },
 		Decode:     config.Decode,
 	}
 	return func(settings.Settings, upstream.Transports) Environment {
