--- a/core/ownership/claim.go
+++ b/core/ownership/claim.go
@@ -85,7 +85,7 @@
 		claim.QuietMS = old.QuietMS
 		return claim, true
 	case owned && old.Owner == "":
-		claim.FormerOwner = cmp.Or(old.FormerOwner, registry.Returned)
+		claim.FormerOwner = cmp.Or(old.FormerOwner, registry.FormerReleased)
 		claim.QuietMS = old.QuietMS
 	case owned:
 		claim.FormerOwner = old.Owner
@@ -198,7 +198,7 @@
 		return now
 	case claim.FormerOwner == "":
 		return now.Add(sameOwnerGap)
-	case claim.FormerOwner == registry.Returned:
+	case claim.FormerOwner == registry.FormerReleased:
 		quiet := time.Duration(claim.QuietMS) * time.Millisecond
 		return now.Add(max(0, o.TurnGap+turnMargin-quiet))
 	default:
--- a/core/ownership/ownership_test.go
+++ b/core/ownership/ownership_test.go
@@ -54,9 +54,9 @@
 		quiet  time.Duration
 		want   time.Duration
 	}{
-		{registry.Returned, 0, whole},
-		{registry.Returned, time.Second, whole - time.Second},
-		{registry.Returned, time.Minute, 0},
+		{registry.FormerReleased, 0, whole},
+		{registry.FormerReleased, time.Second, whole - time.Second},
+		{registry.FormerReleased, time.Minute, 0},
 		{"b", time.Minute, whole + g.Options.OrderValid},
 	}
 	for _, c := range cases {
