--- a/core/ownership/claim.go
+++ b/core/ownership/claim.go
@@ -76,7 +76,7 @@
 	stale := owned && g.era.isStale(old.Era)
 	switch {
 	case stale:
-		claim.FormerOwner = registry.Unknown
+		claim.FormerOwner = registry.FormerUnknown
 		if old.Owner == g.Self.Name {
 			return claim, true
 		}
--- a/core/ownership/era_test.go
+++ b/core/ownership/era_test.go
@@ -209,7 +209,7 @@
 			}
 			w, ok := b.claims(5 * time.Second)
 			is.True(ok)
-			is.Equal(w.Claim[0].FormerOwner, registry.Unknown)
+			is.Equal(w.Claim[0].FormerOwner, registry.FormerUnknown)
 			b.g.HandleWriteReply(b.now, WriteReply{Write: w, Revision: era.Era(2).Revision(60)})
 			o := b.g.Options
 			is.Equal(b.g.Owned.Get("e").From, b.now.Add(o.OrderValid+o.TurnGap+turnMargin))
--- a/core/registry/registry.go
+++ b/core/registry/registry.go
@@ -61,7 +61,7 @@
 // Formers that are no owner's name.
 const (
 	FormerReleased = "-" // its owner gave the engine back
-	Unknown        = "?" // the store went back, and has lost who owned the engine last
+	FormerUnknown  = "?" // the store went back, and has lost who owned the engine last
 )
 
 // A Placer says which instance places models. Its record hangs on the lease of
