--- a/core/instance/announced_world_test.go
+++ b/core/instance/announced_world_test.go
@@ -668,7 +668,7 @@
 	if mark == 0 {
 		return true
 	}
-	v := f.store.values[registry.EraMark{Era: in}.Key()]
+	v := f.store.values[registry.EraRecord{Era: in}.Key()]
 	return v != nil && v.revision == mark.Raw()
 }
 
@@ -678,7 +678,7 @@
 		return 0
 	}
 	for _, e := range w.Former {
-		f.change(registry.EraMark{Era: e}.Key(), nil)
+		f.change(registry.EraRecord{Era: e}.Key(), nil)
 	}
 	return f.number(f.change(w.Mark.Key(), &fleetValue{data: w.Mark}))
 }
--- a/core/ownership/era.go
+++ b/core/ownership/era.go
@@ -30,7 +30,7 @@
 	now     era.Era
 	since   clock.Instant // when this instance heard of it
 	readAt  clock.Instant // when the whole was read in it first; zero: it was not
-	mark    *registry.EraMark
+	mark    *registry.EraRecord
 	marking bool          // the mark's write is under way
 	markDue clock.Instant // when it may be written again
 	stepped bool          // this instance was there before
@@ -153,7 +153,7 @@
 		return
 	}
 	x.marking = true
-	mark := registry.EraMark{Era: x.now, First: !x.stepped && !g.hasStale()}
+	mark := registry.EraRecord{Era: x.now, First: !x.stepped && !g.hasStale()}
 	g.Out.Emit(Write{Write: Records{Mark: &mark, Former: g.formerMarks}})
 }
 
@@ -187,7 +187,7 @@
 }
 
 // takeMark takes in the record of an era.
-func (g *Registry) takeMark(m registry.EraMark) {
+func (g *Registry) takeMark(m registry.EraRecord) {
 	switch {
 	case m.Era == g.era.now:
 		g.era.mark = &m
--- a/core/ownership/era_test.go
+++ b/core/ownership/era_test.go
@@ -53,7 +53,7 @@
 
 // heardAll has the whole of an era heard: these records, and its mark.
 func (b *bench) heardAll(e era.Era, records ...registry.Record) {
-	mark := registry.EraMark{Era: e, First: e == 1}
+	mark := registry.EraRecord{Era: e, First: e == 1}
 	records = append(records, record(e, 3, mark.Value()))
 	b.g.HandleWatchUpdate(b.now, Heard{Records: records, Version: e.Revision(50), Whole: true})
 	b.g.WatchAnswered(b.now)
@@ -309,7 +309,7 @@
 	b.g.HandleWatchUpdate(b.now, Heard{Version: era.Era(2).Revision(50), Whole: true})
 	b.g.WatchAnswered(b.now)
 	b.enrolled(2)
-	var mark *registry.EraMark
+	var mark *registry.EraRecord
 	for range 30 {
 		for _, a := range b.tick() {
 			w, ok := a.(Write)
--- a/core/ownership/ownership.go
+++ b/core/ownership/ownership.go
@@ -61,8 +61,8 @@
 	Records struct {
 		Claim  []registry.Ownership // each under the condition of its Revision
 		Placer *registry.Placer
-		Mark   *registry.EraMark // where there is none
-		Former []era.Era         // whose marks go, with Mark
+		Mark   *registry.EraRecord // where there is none
+		Former []era.Era           // whose marks go, with Mark
 		// Depends is the revision of the era's mark, under the condition of which
 		// Claim and Placer are written; 0: under none.
 		Depends era.Revision
--- a/core/registry/registry.go
+++ b/core/registry/registry.go
@@ -85,9 +85,9 @@
 	Replicas int               `json:"replicas"` // that ended
 }
 
-// An EraMark stands for one era of the store. Claims depend on it, so none that was meant for
+// An EraRecord stands for one era of the store. Claims depend on it, so none that was meant for
 // another era can be carried out while it stands.
-type EraMark struct {
+type EraRecord struct {
 	Era era.Era `json:"-"`
 	// First says that no record of ours can have been lost with an era before.
 	First    bool         `json:"first,omitempty"`
@@ -95,7 +95,7 @@
 }
 
 // Key returns the key of the era's record.
-func (m EraMark) Key() string { return eraPrefix + strconv.FormatUint(uint64(m.Era), 10) }
+func (m EraRecord) Key() string { return eraPrefix + strconv.FormatUint(uint64(m.Era), 10) }
 
 // MaxClaims is the most ownerships that one write holds: each is a condition
 // and a value, and stores bound the two together.
@@ -118,7 +118,7 @@
 	Placer        *Placer // set if it changed
 	PlacerGone    bool
 	Quarantines   []Quarantine
-	Marks         []EraMark
+	Marks         []EraRecord
 	Unreadable    []string // keys of records that cannot be read, and are passed over
 }
 
@@ -202,7 +202,7 @@
 		return
 	}
 	n, err := strconv.ParseUint(strings.TrimPrefix(r.Key, eraPrefix), 10, 64)
-	m := EraMark{Era: era.Era(n), Revision: r.Revision}
+	m := EraRecord{Era: era.Era(n), Revision: r.Revision}
 	if err != nil || n > era.MaxEra || json.Unmarshal(r.Data, &m) != nil {
 		c.Unreadable = append(c.Unreadable, r.Key)
 		return
@@ -239,7 +239,7 @@
 func (p Placer) Value() Value { return value(placerKey, p) }
 
 // Value returns the era's record.
-func (m EraMark) Value() Value { return value(m.Key(), m) }
+func (m EraRecord) Value() Value { return value(m.Key(), m) }
 
 // Value returns the quarantine's record.
 func (q Quarantine) Value() Value { return value(quarantineKeys+q.Request.String(), q) }
--- a/internal/environment/driver.go
+++ b/internal/environment/driver.go
@@ -173,7 +173,7 @@
 func dependingOn(in era.Era, mark era.Revision) Commit {
 	c := Commit{Era: in}
 	if mark != 0 {
-		c.Conditions = append(c.Conditions, Condition{Key: registry.EraMark{Era: in}.Key(), Revision: mark})
+		c.Conditions = append(c.Conditions, Condition{Key: registry.EraRecord{Era: in}.Key(), Revision: mark})
 	}
 	return c
 }
@@ -200,7 +200,7 @@
 }
 
 // markCommit returns the write of an era's mark, with which those of former eras go.
-func markCommit(m registry.EraMark, former []era.Era) Commit {
+func markCommit(m registry.EraRecord, former []era.Era) Commit {
 	v := m.Value()
 	c := Commit{
 		Conditions: []Condition{{Key: v.Key}},
@@ -208,7 +208,7 @@
 		Era:        m.Era,
 	}
 	for _, e := range former {
-		c.Removes = append(c.Removes, registry.EraMark{Era: e}.Key())
+		c.Removes = append(c.Removes, registry.EraRecord{Era: e}.Key())
 	}
 	return c
 }
