--- a/core/member/member.go
+++ b/core/member/member.go
@@ -16,9 +16,9 @@
 	"github.com/birchdrift/birchdrift/core/rendezvous"
 )
 
-// SilentAfter is how long a peer may fail every exchange before it counts as gone where tasks
+// LivenessTimeout is how long a peer may fail every exchange before it counts as gone where tasks
 // are assigned, though the list still has it.
-const SilentAfter = 10 * time.Second
+const LivenessTimeout = 10 * time.Second
 
 // An Identity says who an instance is.
 type Identity struct {
@@ -97,7 +97,7 @@
 	if p.Leaving {
 		return false
 	}
-	return p.failed.IsZero() || now.Since(p.failed) < SilentAfter
+	return p.failed.IsZero() || now.Since(p.failed) < LivenessTimeout
 }
 
 // Failing reports whether the last exchange with the peer failed.
--- a/core/member/member_test.go
+++ b/core/member/member_test.go
@@ -25,10 +25,10 @@
 		live    bool
 	}{
 		{name: "never tried", live: true},
-		{name: "one exchange failed", failed: []time.Duration{0}, at: SilentAfter - 1, failing: true, live: true},
-		{name: "it failed for long", failed: []time.Duration{0}, at: SilentAfter, failing: true},
-		{name: "later failures do not begin it anew", failed: []time.Duration{0, SilentAfter / 2}, at: SilentAfter, failing: true},
-		{name: "it answered", failed: []time.Duration{0}, heard: time.Second, at: SilentAfter, live: true},
+		{name: "one exchange failed", failed: []time.Duration{0}, at: LivenessTimeout - 1, failing: true, live: true},
+		{name: "it failed for long", failed: []time.Duration{0}, at: LivenessTimeout, failing: true},
+		{name: "later failures do not begin it anew", failed: []time.Duration{0, LivenessTimeout / 2}, at: LivenessTimeout, failing: true},
+		{name: "it answered", failed: []time.Duration{0}, heard: time.Second, at: LivenessTimeout, live: true},
 		{name: "it is leaving", leaving: true},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
