--- a/core/exchange/rhythm.go
+++ b/core/exchange/rhythm.go
@@ -111,7 +111,7 @@
 	for _, p := range x.Members.Neighbours() {
 		x.StartWith(now, p)
 	}
-	x.StartWith(now, member.Draw(x.Rand, x.Members.ZonePeers(false)))
+	x.StartWith(now, member.Random(x.Rand, x.Members.ZonePeers(false)))
 }
 
 // nextPeer returns whom to exchange with in this round.
@@ -123,7 +123,7 @@
 		x.rhythm.turn++
 		return near[x.rhythm.turn%len(near)]
 	}
-	return member.Draw(x.Rand, x.Members.ZonePeers(false))
+	return member.Random(x.Rand, x.Members.ZonePeers(false))
 }
 
 // NextInLargeFleet returns whom to exchange with in a fleet that is too large for a
@@ -148,7 +148,7 @@
 		}
 	}
 	if round%abroadEvery == 0 {
-		return member.Draw(x.Rand, x.Members.ZonePeers(false))
+		return member.Random(x.Rand, x.Members.ZonePeers(false))
 	}
 	return nil
 }
--- a/core/member/member.go
+++ b/core/member/member.go
@@ -161,8 +161,8 @@
 	return known
 }
 
-// Draw draws one of the peers, nil if there is none.
-func Draw(rng *rand.Rand, peers []*Peer) *Peer {
+// Random draws one of the peers, nil if there is none.
+func Random(rng *rand.Rand, peers []*Peer) *Peer {
 	if len(peers) == 0 {
 		return nil
 	}
--- a/core/own/planner/demand.go
+++ b/core/own/planner/demand.go
@@ -144,5 +144,5 @@
 			others = planners
 		}
 	}
-	return member.Draw(p.Rand, others)
+	return member.Random(p.Rand, others)
 }
