--- a/core/outage/outage.go
+++ b/core/outage/outage.go
@@ -18,8 +18,8 @@
 // Bounds of the time between two calls of one kind after failures, where a platform states no
 // bound from which the longest follows.
 const (
-	firstWait = 200 * time.Millisecond
-	LongWait  = 5 * time.Second
+	firstWait            = 200 * time.Millisecond
+	DefaultMaxRetryDelay = 5 * time.Second
 )
 
 // A Tracker is what one instance knows of the service's availability.
--- a/core/outage/outage_test.go
+++ b/core/outage/outage_test.go
@@ -20,7 +20,7 @@
 	now := clocktest.At(time.Hour)
 	rng := rand.New(rand.NewPCG(1, 1))
 	out := &step.Output{}
-	tracker := New(out, LongWait)
+	tracker := New(out, DefaultMaxRetryDelay)
 	down := errors.New("connection refused")
 	outcomes := []error{nil, down, down, nil, nil, down}
 	var logged []logevent.Number
--- a/core/shared/shared.go
+++ b/core/shared/shared.go
@@ -36,7 +36,7 @@
 	if opt.Environment == option.Platform {
 		return opt.Bounds.MaxRetryDelay()
 	}
-	return outage.LongWait
+	return outage.DefaultMaxRetryDelay
 }
 
 // New returns the state of an instance that knows nothing yet. Its random draws
