--- a/core/instance/build.go
+++ b/core/instance/build.go
@@ -81,7 +81,7 @@
 	o := &m.orders
 	o.roster = &watchers.Roster{Self: m.state.Self, Options: m.state.Options, Members: m.state.Members}
 	o.owned = &owned.Engines{Out: m.state.Out, Pool: m.state.Pool, Records: m.state.Records, Config: m.state.Config}
-	o.registry = ownership.New(ownership.Needs{
+	o.registry = ownership.New(ownership.Deps{
 		State:  m.state,
 		Roster: o.roster, Owned: o.owned,
 		Stopping: m.stop.Started,
--- a/core/ownership/ownership.go
+++ b/core/ownership/ownership.go
@@ -129,8 +129,8 @@
 // IsEvent implements step.Event.
 func (Heard) IsEvent() {}
 
-// Needs are what ownership needs of the other modules.
-type Needs struct {
+// Deps are what ownership needs of the other modules.
+type Deps struct {
 	shared.State
 
 	Roster *watchers.Roster
@@ -147,7 +147,7 @@
 
 // A Registry is what an instance knows of the records, and its own part in them.
 type Registry struct {
-	Needs
+	Deps
 	enrolment enrolment
 	claims    claims
 	placer    placer
@@ -164,9 +164,9 @@
 }
 
 // New returns the registry of an instance that has heard of no record.
-func New(n Needs) *Registry {
+func New(n Deps) *Registry {
 	return &Registry{
-		Needs:     n,
+		Deps:      n,
 		enrolment: newEnrolment(),
 		instances: map[string]registry.Instance{},
 		absent:    map[string]clock.Instant{},
--- a/core/ownership/ownership_test.go
+++ b/core/ownership/ownership_test.go
@@ -38,7 +38,7 @@
 	state := shared.New(member.Identity{Name: "self", Zone: "z", Boot: 1}, opt, 1)
 	state.Out = out
 	state.Pool = engines
-	return New(Needs{State: state, Owned: own, Stopping: func() bool { return false }})
+	return New(Deps{State: state, Owned: own, Stopping: func() bool { return false }})
 }
 
 // TestQuietEngineIsOrderedSoonerAfterAStop: an engine that is given back waits for
