--- a/core/instance/announced_world_test.go
+++ b/core/instance/announced_world_test.go
@@ -360,7 +360,7 @@
 		f.at(fleetWay, func() { f.watch(n, boot, act) })
 	case ownership.Enrol:
 		f.storeCall(n, nil, func() (step.Event, bool) { return f.enrol(n, act), true }, func(err error) step.Event { return ownership.EnrolReply{Err: err} }, reply)
-	case ownership.KeepEnrolled:
+	case ownership.RenewLease:
 		sent := f.clock(n)
 		f.storeCall(n, in(act.Lease.Era), func() (step.Event, bool) {
 			l := f.store.leases[act.Lease.ID]
--- a/core/ownership/enrol.go
+++ b/core/ownership/enrol.go
@@ -42,7 +42,7 @@
 	}
 	l.job.Begin(now)
 	if l.held && !l.again && !g.era.isOver(l.lease) {
-		g.Out.Emit(KeepEnrolled{Lease: l.lease})
+		g.Out.Emit(RenewLease{Lease: l.lease})
 		return
 	}
 	g.Out.Emit(Enrol{Term: g.Options.EnrolTerm, Instance: registry.Instance{
--- a/core/ownership/era_test.go
+++ b/core/ownership/era_test.go
@@ -245,7 +245,7 @@
 	enrols := 0
 	for _, a := range b.tick() {
 		switch a.(type) {
-		case KeepEnrolled:
+		case RenewLease:
 			t.Error("a lease of the former era is renewed")
 		case Enrol:
 			enrols++
@@ -255,7 +255,7 @@
 	b.enrolled(2)
 	b.now = b.now.Add(2 * time.Second)
 	for _, a := range b.tick() {
-		if k, ok := a.(KeepEnrolled); ok {
+		if k, ok := a.(RenewLease); ok {
 			is.Equal(k.Lease.Era, era.Era(2))
 		}
 	}
--- a/core/ownership/ownership.go
+++ b/core/ownership/ownership.go
@@ -42,8 +42,8 @@
 		Lease era.Lease
 		Err   error
 	}
-	// KeepEnrolled is an action: renew the lease.
-	KeepEnrolled struct{ Lease era.Lease }
+	// RenewLease is an action: renew the lease.
+	RenewLease struct{ Lease era.Lease }
 	// KeepReply is the event that answers KeepEnrolled. Over says that the lease
 	// has gone.
 	KeepReply struct {
@@ -109,7 +109,7 @@
 func (Enrol) IsAction() {}
 
 // IsAction implements step.Action.
-func (KeepEnrolled) IsAction() {}
+func (RenewLease) IsAction() {}
 
 // IsAction implements step.Action.
 func (Write) IsAction() {}
