--- a/core/instance/announced_world_test.go
+++ b/core/instance/announced_world_test.go
@@ -365,11 +365,11 @@
 		f.storeCall(n, in(act.Lease.Era), func() (step.Event, bool) {
 			l := f.store.leases[act.Lease.ID]
 			if l == nil {
-				return ownership.KeepReply{Sent: sent, Lease: act.Lease, Over: true, Err: errors.New("over")}, false
+				return ownership.RenewReply{Sent: sent, Lease: act.Lease, Over: true, Err: errors.New("over")}, false
 			}
 			l.expires = f.now + l.term
-			return ownership.KeepReply{Sent: sent, Lease: act.Lease}, false
-		}, func(err error) step.Event { return ownership.KeepReply{Lease: act.Lease, Err: err} }, reply)
+			return ownership.RenewReply{Sent: sent, Lease: act.Lease}, false
+		}, func(err error) step.Event { return ownership.RenewReply{Lease: act.Lease, Err: err} }, reply)
 	case ownership.Resign:
 		f.storeCall(n, in(act.Lease.Era), func() (step.Event, bool) {
 			for _, o := range act.Give {
--- a/core/instance/machine.go
+++ b/core/instance/machine.go
@@ -175,7 +175,7 @@
 		m.orders.registry.HandleEraObserved(now, e)
 	case ownership.EnrolReply:
 		o.registry.HandleEnrolReply(now, e)
-	case ownership.KeepReply:
+	case ownership.RenewReply:
 		o.registry.HandleRenewReply(now, e)
 	case ownership.WriteReply:
 		o.registry.HandleWriteReply(now, e)
--- a/core/ownership/enrol.go
+++ b/core/ownership/enrol.go
@@ -66,7 +66,7 @@
 }
 
 // HandleRenewReply takes in what came of a renewal.
-func (g *Registry) HandleRenewReply(now clock.Instant, e KeepReply) {
+func (g *Registry) HandleRenewReply(now clock.Instant, e RenewReply) {
 	switch {
 	case e.Err != nil && g.era.isOver(e.Lease):
 		g.enrolment.job.End(now) // the store went back; a new lease is begun
--- a/core/ownership/ownership.go
+++ b/core/ownership/ownership.go
@@ -44,9 +44,9 @@
 	}
 	// RenewLease is an action: renew the lease.
 	RenewLease struct{ Lease era.Lease }
-	// KeepReply is the event that answers KeepEnrolled. Over says that the lease
+	// RenewReply is the event that answers KeepEnrolled. Over says that the lease
 	// has gone.
-	KeepReply struct {
+	RenewReply struct {
 		Sent  clock.Instant
 		Lease era.Lease
 		Over  bool
@@ -121,7 +121,7 @@
 func (EnrolReply) IsEvent() {}
 
 // IsEvent implements step.Event.
-func (KeepReply) IsEvent() {}
+func (RenewReply) IsEvent() {}
 
 // IsEvent implements step.Event.
 func (WriteReply) IsEvent() {}
--- a/internal/environment/driver.go
+++ b/internal/environment/driver.go
@@ -138,7 +138,7 @@
 	err := d.store.Keep(ctx, a.Lease)
 	d.eraHeard(err)
 	over := errors.Is(err, ErrNoLease)
-	d.host.Post(ownership.KeepReply{Sent: sent, Lease: a.Lease, Over: over, Err: err})
+	d.host.Post(ownership.RenewReply{Sent: sent, Lease: a.Lease, Over: over, Err: err})
 }
 
 // resign gives ownerships back, then ends the lease. What is not given back is
