--- a/core/instance/announced_world_test.go
+++ b/core/instance/announced_world_test.go
@@ -673,7 +673,7 @@
 }
 
 // writeMark writes an era's mark where there is none, and removes those of former eras.
-func (f *fleet) writeMark(w ownership.Records) era.Revision {
+func (f *fleet) writeMark(w ownership.Txn) era.Revision {
 	if f.store.values[w.Mark.Key()] != nil {
 		return 0
 	}
--- a/core/ownership/era.go
+++ b/core/ownership/era.go
@@ -154,7 +154,7 @@
 	}
 	x.marking = true
 	mark := registry.EraRecord{Era: x.now, First: !x.stepped && !g.hasStale()}
-	g.Out.Emit(Write{Write: Records{Mark: &mark, Former: g.formerMarks}})
+	g.Out.Emit(Write{Write: Txn{Mark: &mark, Former: g.formerMarks}})
 }
 
 // hasStale reports whether there are records of a former era.
--- a/core/ownership/era_test.go
+++ b/core/ownership/era_test.go
@@ -88,7 +88,7 @@
 }
 
 // claims waits for a write of claims and returns it.
-func (b *bench) claims(most time.Duration) (Records, bool) {
+func (b *bench) claims(most time.Duration) (Txn, bool) {
 	for end := b.now.Add(most); b.now.Before(end); b.pass(100 * time.Millisecond) {
 		for _, a := range b.tick() {
 			if w, ok := a.(Write); ok && len(w.Write.Claim) > 0 {
@@ -96,7 +96,7 @@
 			}
 		}
 	}
-	return Records{}, false
+	return Txn{}, false
 }
 
 // holding returns a registry that owns engine e in the first era, with nothing to wait for.
@@ -189,7 +189,7 @@
 	is := is.New(t)
 	b := in(t, 1)
 	claim := registry.Ownership{Engine: "e", Owner: "self", Boot: 1, Era: 1, FormerOwner: "b"}
-	b.g.HandleWriteReply(b.now, WriteReply{Write: Records{Claim: []registry.Ownership{claim}}, Revision: era.Era(1).Revision(40)})
+	b.g.HandleWriteReply(b.now, WriteReply{Write: Txn{Claim: []registry.Ownership{claim}}, Revision: era.Era(1).Revision(40)})
 	is.True(b.g.Owned.Get("e") != nil)
 	b.heardAll(2)
 	is.True(b.g.Owned.Get("e") == nil)
@@ -323,7 +323,7 @@
 	}
 	is.True(mark != nil)
 	is.Equal(mark.Era, era.Era(2))
-	b.g.HandleWriteReply(b.now, WriteReply{Write: Records{Mark: mark}, Revision: era.Era(2).Revision(51)})
+	b.g.HandleWriteReply(b.now, WriteReply{Write: Txn{Mark: mark}, Revision: era.Era(2).Revision(51)})
 	w, ok := b.claims(time.Second)
 	is.True(ok)
 	is.Equal(w.Depends, era.Era(2).Revision(51))
@@ -346,7 +346,7 @@
 	b.pass(time.Second)
 	p := seek()
 	is.True(p != nil)
-	b.g.HandleWriteReply(b.now, WriteReply{Write: Records{Placer: p}, Revision: era.Era(1).Revision(41)})
+	b.g.HandleWriteReply(b.now, WriteReply{Write: Txn{Placer: p}, Revision: era.Era(1).Revision(41)})
 	is.True(b.g.IsPlacer(b.now))
 	other := registry.Placer{Name: "b", Boot: 7, Era: 1}.Value()
 	b.heardAll(2, record(2, 20, other))
@@ -358,7 +358,7 @@
 	is.True(p != nil)
 	is.Equal(p.Era, era.Era(2))
 	is.Equal(p.Revision, era.Era(2).Revision(20))
-	b.g.HandleWriteReply(b.now, WriteReply{Write: Records{Placer: p}, Revision: era.Era(2).Revision(61)})
+	b.g.HandleWriteReply(b.now, WriteReply{Write: Txn{Placer: p}, Revision: era.Era(2).Revision(61)})
 	b.pass(option.Default().OrderValid)
 	b.tick()
 	is.True(b.g.IsPlacer(b.now))
--- a/core/ownership/ownership.go
+++ b/core/ownership/ownership.go
@@ -54,11 +54,11 @@
 	}
 	// Write is an action: write ownerships, or the placer's record under Lease.
 	Write struct {
-		Write Records
+		Write Txn
 		Lease era.Lease
 	}
-	// Records are what one Write is for.
-	Records struct {
+	// Txn are what one Write is for.
+	Txn struct {
 		Claim  []registry.Ownership // each under the condition of its Revision
 		Placer *registry.Placer
 		Mark   *registry.EraRecord // where there is none
@@ -69,7 +69,7 @@
 	}
 	// WriteReply is the event that answers a Write.
 	WriteReply struct {
-		Write    Records
+		Write    Txn
 		Revision era.Revision
 		Conflict bool // a condition did not hold, or the lease is over
 		Err      error
@@ -92,7 +92,7 @@
 )
 
 // Era returns the era that the records are meant for.
-func (r Records) Era() era.Era {
+func (r Txn) Era() era.Era {
 	switch {
 	case r.Mark != nil:
 		return r.Mark.Era
