--- a/core/instance/announced_world_test.go
+++ b/core/instance/announced_world_test.go
@@ -818,7 +818,7 @@
 		f.step(n, w.boot, ConfigReply{Snapshot: snapshot, Source: PlatformSource})
 	}
 	list := listing.Reply{Whole: whole, Version: at}
-	reg := ownership.Heard{Whole: whole, Version: at}
+	reg := ownership.WatchUpdate{Whole: whole, Version: at}
 	for _, c := range changes {
 		addFleetChange(&list, &reg, c, at.Era())
 	}
@@ -827,7 +827,7 @@
 	f.step(n, w.boot, watch.Reply{ID: w.id, Whole: whole})
 }
 
-func addFleetChange(list *listing.Reply, reg *ownership.Heard, c fleetChange, in era.Era) {
+func addFleetChange(list *listing.Reply, reg *ownership.WatchUpdate, c fleetChange, in era.Era) {
 	kind, name, _ := cutKey(c.key)
 	gone := c.value == nil
 	if kind == "servers" {
--- a/core/instance/exchange_test.go
+++ b/core/instance/exchange_test.go
@@ -39,7 +39,7 @@
 		v := registry.Instance{Name: name, Zone: "z", Address: name, Boot: 1}.Value()
 		records = append(records, registry.Record{Key: v.Key, Data: v.Data, Revision: era.Revision(i + 1)})
 	}
-	m.Step(now, ownership.Heard{Records: records, Version: 10, Whole: true})
+	m.Step(now, ownership.WatchUpdate{Records: records, Version: 10, Whole: true})
 	for _, name := range peers {
 		m.Step(now, exchange.Reply{Peer: name, Address: name, Message: share.Message{From: name, Zone: "z", Address: name, Boot: 1, StoreAge: time.Millisecond}})
 	}
@@ -84,7 +84,7 @@
 		v := record.Value()
 		records = append(records, registry.Record{Key: v.Key, Data: v.Data, Revision: era.Revision(i + 1)})
 	}
-	m.Step(now, ownership.Heard{Records: records, Version: 40, Whole: true})
+	m.Step(now, ownership.WatchUpdate{Records: records, Version: 40, Whole: true})
 	is.Equal(m.orders.roster.InZone(now, "z0")[0], "self")
 	is.Equal(len(m.orders.roster.InZone(now, "z0")), 2)
 	strong := m.orders.roster.InZone(now, "z1")
@@ -234,10 +234,10 @@
 	m.orders.registry.Merge(now, "a", []registry.Record{owned("new", 20)})
 	m.orders.registry.Merge(now, "b", []registry.Record{owned("old", 19)})
 	is.Equal(ownerOf(m), "new")
-	m.Step(now, ownership.Heard{Version: 15, Whole: true}) // from before that change
+	m.Step(now, ownership.WatchUpdate{Version: 15, Whole: true}) // from before that change
 	is.Equal(ownerOf(m), "new")
 	is.Equal(len(m.orders.registry.Instances()), 0)
-	m.Step(now, ownership.Heard{Version: 25, Whole: true})
+	m.Step(now, ownership.WatchUpdate{Version: 25, Whole: true})
 	is.Equal(ownerOf(m), "")
 	m.orders.registry.Merge(now, "b", []registry.Record{owned("new", 20)})
 	is.Equal(ownerOf(m), "")
--- a/core/instance/machine.go
+++ b/core/instance/machine.go
@@ -169,7 +169,7 @@
 func (m *Machine) handleOrder(now clock.Instant, ev step.Event) bool {
 	o := &m.orders
 	switch e := ev.(type) {
-	case ownership.Heard:
+	case ownership.WatchUpdate:
 		o.registry.HandleWatchUpdate(now, e)
 	case ownership.EraHeard:
 		m.orders.registry.HandleEraObserved(now, e)
--- a/core/ownership/era_test.go
+++ b/core/ownership/era_test.go
@@ -55,7 +55,7 @@
 func (b *bench) heardAll(e era.Era, records ...registry.Record) {
 	mark := registry.EraRecord{Era: e, First: e == 1}
 	records = append(records, record(e, 3, mark.Value()))
-	b.g.HandleWatchUpdate(b.now, Heard{Records: records, Version: e.Revision(50), Whole: true})
+	b.g.HandleWatchUpdate(b.now, WatchUpdate{Records: records, Version: e.Revision(50), Whole: true})
 	b.g.WatchAnswered(b.now)
 }
 
@@ -269,7 +269,7 @@
 	b.heardAll(2)
 	b.enrolled(2)
 	key := registry.Instance{Name: "self"}.Value().Key
-	b.g.HandleWatchUpdate(b.now, Heard{Records: []registry.Record{{Key: key, Revision: era.Era(2).Revision(70), Gone: true}}, Version: era.Era(2).Revision(70)})
+	b.g.HandleWatchUpdate(b.now, WatchUpdate{Records: []registry.Record{{Key: key, Revision: era.Era(2).Revision(70), Gone: true}}, Version: era.Era(2).Revision(70)})
 	b.now = b.now.Add(2 * time.Second)
 	enrols := 0
 	for _, a := range b.tick() {
@@ -306,7 +306,7 @@
 func TestNothingIsClaimedWithoutAMark(t *testing.T) {
 	is := is.New(t)
 	b := newBench(t)
-	b.g.HandleWatchUpdate(b.now, Heard{Version: era.Era(2).Revision(50), Whole: true})
+	b.g.HandleWatchUpdate(b.now, WatchUpdate{Version: era.Era(2).Revision(50), Whole: true})
 	b.g.WatchAnswered(b.now)
 	b.enrolled(2)
 	var mark *registry.EraRecord
--- a/core/ownership/ownership.go
+++ b/core/ownership/ownership.go
@@ -74,8 +74,8 @@
 		Conflict bool // a condition did not hold, or the lease is over
 		Err      error
 	}
-	// Heard is the event that a watch brought news of the records.
-	Heard struct {
+	// WatchUpdate is the event that a watch brought news of the records.
+	WatchUpdate struct {
 		Records []registry.Record
 		Version era.Revision // of the store
 		Whole   bool         // Records are all that there are
@@ -127,7 +127,7 @@
 func (WriteReply) IsEvent() {}
 
 // IsEvent implements step.Event.
-func (Heard) IsEvent() {}
+func (WatchUpdate) IsEvent() {}
 
 // Deps are what ownership needs of the other modules.
 type Deps struct {
@@ -265,7 +265,7 @@
 }
 
 // HandleWatchUpdate takes in what a watch brought.
-func (g *Registry) HandleWatchUpdate(now clock.Instant, e Heard) {
+func (g *Registry) HandleWatchUpdate(now clock.Instant, e WatchUpdate) {
 	g.observeEra(now, e.Version.Era())
 	if e.Version.Era() < g.era.now {
 		return // it was on its way while the store went back
--- a/internal/environment/driver.go
+++ b/internal/environment/driver.go
@@ -99,7 +99,7 @@
 		})
 	}
 	if len(change.Records) > 0 || change.Whole {
-		d.host.Post(ownership.Heard{Records: change.Records, Version: change.Version, Whole: change.Whole})
+		d.host.Post(ownership.WatchUpdate{Records: change.Records, Version: change.Version, Whole: change.Whole})
 	}
 	d.host.Post(watch.Reply{ID: a.ID, Whole: change.Whole})
 }
