--- a/core/instance/announced_world_test.go
+++ b/core/instance/announced_world_test.go
@@ -518,7 +518,7 @@
 	errLost := errors.New("no answer")
 	former := func() bool { return made != nil && *made != n.known }
 	if former() {
-		reply(fleetWay, ownership.EraHeard{Era: n.known})
+		reply(fleetWay, ownership.EraObserved{Era: n.known})
 		reply(fleetWay, failed(errors.New("a number of a former era")))
 		return
 	}
@@ -543,7 +543,7 @@
 		}
 		n.known = f.store.era
 		if former() {
-			reply(fleetWay, ownership.EraHeard{Era: n.known})
+			reply(fleetWay, ownership.EraObserved{Era: n.known})
 			reply(fleetWay, failed(errors.New("answered in a later era")))
 			return
 		}
--- a/core/instance/machine.go
+++ b/core/instance/machine.go
@@ -171,7 +171,7 @@
 	switch e := ev.(type) {
 	case ownership.WatchUpdate:
 		o.registry.HandleWatchUpdate(now, e)
-	case ownership.EraHeard:
+	case ownership.EraObserved:
 		m.orders.registry.HandleEraObserved(now, e)
 	case ownership.EnrolReply:
 		o.registry.HandleEnrolReply(now, e)
--- a/core/ownership/era.go
+++ b/core/ownership/era.go
@@ -18,11 +18,11 @@
 // enrolApart spaces, over all instances, the new leases after a step back: two writes each.
 const enrolApart = 10 * time.Millisecond
 
-// EraHeard is the event that a call showed in which era the store is.
-type EraHeard struct{ Era era.Era }
+// EraObserved is the event that a call showed in which era the store is.
+type EraObserved struct{ Era era.Era }
 
 // IsEvent implements step.Event.
-func (EraHeard) IsEvent() {}
+func (EraObserved) IsEvent() {}
 
 // A storeEra is what is known of the era in which the store is.
 type storeEra struct {
@@ -70,7 +70,7 @@
 }
 
 // HandleEraObserved takes in that a call showed the store's era.
-func (g *Registry) HandleEraObserved(now clock.Instant, e EraHeard) { g.observeEra(now, e.Era) }
+func (g *Registry) HandleEraObserved(now clock.Instant, e EraObserved) { g.observeEra(now, e.Era) }
 
 // observeEra takes in that the store is, or was, in an era.
 func (g *Registry) observeEra(now clock.Instant, e era.Era) {
--- a/internal/environment/driver.go
+++ b/internal/environment/driver.go
@@ -164,7 +164,7 @@
 func (d *driver) eraHeard(err error) {
 	var former FormerEraError
 	if errors.As(err, &former) {
-		d.host.Post(ownership.EraHeard{Era: former.Now})
+		d.host.Post(ownership.EraObserved{Era: former.Now})
 	}
 }
 
