--- a/core/exchange/exchange.go
+++ b/core/exchange/exchange.go
@@ -67,9 +67,9 @@
 // IsEvent implements step.Event.
 func (Asked) IsEvent() {}
 
-// Needs are what exchanges need of the other modules. The functions must be set
+// Deps are what exchanges need of the other modules. The functions must be set
 // before the first event.
-type Needs struct {
+type Deps struct {
 	shared.State
 
 	Roster *watchers.Roster
@@ -104,7 +104,7 @@
 
 // Exchanges are one instance's exchanges with its peers.
 type Exchanges struct {
-	Needs
+	Deps
 	seeds    []string // addresses known from settings
 	rhythm   rhythm
 	pull     pull
@@ -125,8 +125,8 @@
 }
 
 // New returns the exchanges of an instance that has heard of nobody.
-func New(n Needs) *Exchanges {
-	return &Exchanges{Needs: n, seeds: n.Self.Seeds, peers: map[string]peerState{}, inFlight: map[string]bool{}}
+func New(n Deps) *Exchanges {
+	return &Exchanges{Deps: n, seeds: n.Self.Seeds, peers: map[string]peerState{}, inFlight: map[string]bool{}}
 }
 
 // SetSeeds takes over changed addresses of peers known from settings.
--- a/core/exchange/pull_test.go
+++ b/core/exchange/pull_test.go
@@ -38,7 +38,7 @@
 			is := is.New(t)
 			now := clocktest.At(time.Hour)
 			self := member.Identity{Name: "self", Zone: "z"}
-			x := New(Needs{State: shared.New(self, option.Default(), 1)})
+			x := New(Deps{State: shared.New(self, option.Default(), 1)})
 			for _, p := range c.peers {
 				x.Members.Upsert(p.name, p.zone, p.name)
 				x.peers[p.name] = peerState{revision: p.revision}
--- a/core/instance/build.go
+++ b/core/instance/build.go
@@ -141,7 +141,7 @@
 		Restarted: func(now clock.Instant, replica string) { m.forwarding.Restarted(now, replica) },
 		TellSoon:  func(now clock.Instant) { m.exchanges.TellSoon(now) },
 	}
-	m.exchanges = exchange.New(exchange.Needs{
+	m.exchanges = exchange.New(exchange.Deps{
 		State:      m.state,
 		Roster:     m.orders.roster,
 		Stopping:   m.stop.Started,
