--- a/core/exchange/exchange.go
+++ b/core/exchange/exchange.go
@@ -29,8 +29,8 @@
 )
 
 type (
-	// Begin is an action: begin an exchange with a peer.
-	Begin struct {
+	// SendRequest is an action: begin an exchange with a peer.
+	SendRequest struct {
 		Peer    string // "" when only the address is known
 		Address string
 		Message share.Message
@@ -56,7 +56,7 @@
 )
 
 // IsAction implements step.Action.
-func (Begin) IsAction() {}
+func (SendRequest) IsAction() {}
 
 // IsAction implements step.Action.
 func (Answer) IsAction() {}
@@ -155,7 +155,7 @@
 		return
 	}
 	x.inFlight[p.Address] = true
-	x.Out.Emit(Begin{Peer: p.Name, Address: p.Address, Message: x.message(now, p.Name)})
+	x.Out.Emit(SendRequest{Peer: p.Name, Address: p.Address, Message: x.message(now, p.Name)})
 }
 
 // StartWithZone begins an exchange with each peer of this instance's zone.
--- a/core/exchange/pull.go
+++ b/core/exchange/pull.go
@@ -72,7 +72,7 @@
 	x.inFlight[p.Address] = true
 	msg := x.message(now, p.Name)
 	msg.WantConfig = true
-	x.Out.Emit(Begin{Peer: p.Name, Address: p.Address, Message: msg})
+	x.Out.Emit(SendRequest{Peer: p.Name, Address: p.Address, Message: msg})
 }
 
 // furthestAhead returns the peer to ask for its configuration: one of the own
--- a/core/exchange/rhythm.go
+++ b/core/exchange/rhythm.go
@@ -179,5 +179,5 @@
 		return
 	}
 	x.inFlight[address] = true
-	x.Out.Emit(Begin{Address: address, Message: x.message(now, "")})
+	x.Out.Emit(SendRequest{Address: address, Message: x.message(now, "")})
 }
--- a/core/instance/announced_world_test.go
+++ b/core/instance/announced_world_test.go
@@ -442,7 +442,7 @@
 			delete(n.asked, act.Token)
 			do(act)
 		}
-	case exchange.Begin:
+	case exchange.SendRequest:
 		f.exchange(n, act, reply)
 	case exchange.Answer:
 		if do := n.answers[act.Token]; do != nil {
@@ -1047,7 +1047,7 @@
 	})
 }
 
-func (f *fleet) exchange(n *fleetMember, a exchange.Begin, reply func(time.Duration, step.Event)) {
+func (f *fleet) exchange(n *fleetMember, a exchange.SendRequest, reply func(time.Duration, step.Event)) {
 	p := f.members[a.Address]
 	if p == nil || p.dead || p.frozen || p.deaf || n.deaf || f.severed(n.id.Zone, p.id.Zone) {
 		reply(time.Second, exchange.Reply{Peer: a.Peer, Address: a.Address, Err: errors.New("no answer")})
--- a/core/instance/exchange_test.go
+++ b/core/instance/exchange_test.go
@@ -128,7 +128,7 @@
 func exchanges(actions []step.Action) map[string]share.Message {
 	out := map[string]share.Message{}
 	for _, a := range actions {
-		if e, ok := a.(exchange.Begin); ok {
+		if e, ok := a.(exchange.SendRequest); ok {
 			out[e.Peer] = e.Message
 		}
 	}
--- a/core/instance/world_test.go
+++ b/core/instance/world_test.go
@@ -337,7 +337,7 @@
 		w.readState(n, act)
 	case planner.SendOrder:
 		w.sendOrder(n, act)
-	case exchange.Begin:
+	case exchange.SendRequest:
 		w.exchange(n, act)
 	case modelcalls.Claim, modelcalls.ReadClaim, modelcalls.ReleaseClaim:
 		w.claims(n, act)
@@ -446,7 +446,7 @@
 	}, func(bool) { w.step(n, planner.IntentsReply{Read: !isWrite, Intents: write.Intents, Err: errLost}) })
 }
 
-func (w *world) exchange(n *node, a exchange.Begin) {
+func (w *world) exchange(n *node, a exchange.SendRequest) {
 	peer := w.nodes[a.Address]
 	up := func() bool {
 		return peer != nil && !peer.dead && !peer.paused && (peer.id.Zone == n.id.Zone || !w.faults.cut[n.id.Zone] && !w.faults.cut[peer.id.Zone])
--- a/internal/shell/actions.go
+++ b/internal/shell/actions.go
@@ -44,7 +44,7 @@
 	case calls.Relay:
 		s.deliver(act.ID, act)
 		delete(s.calls, act.ID)
-	case exchange.Begin:
+	case exchange.SendRequest:
 		s.work(func(ctx context.Context) { s.exchange(ctx, act) })
 	case exchange.Answer:
 		if reply, ok := s.asks[act.Token]; ok {
@@ -143,7 +143,7 @@
 	s.work(func(context.Context) { s.postConfig(msg.Config, msg.From) })
 }
 
-func (s *Shell) exchange(ctx context.Context, a exchange.Begin) {
+func (s *Shell) exchange(ctx context.Context, a exchange.SendRequest) {
 	limit := exchangeTimeout
 	if a.Message.WantConfig {
 		limit = pullTimeout
