--- a/core/exchange/exchange.go
+++ b/core/exchange/exchange.go
@@ -42,9 +42,9 @@
 		Message share.Message
 		Err     error
 	}
-	// Asked is the event that a peer began an exchange. It is answered with an
+	// RequestReceived is the event that a peer began an exchange. It is answered with an
 	// Answer of the same Token.
-	Asked struct {
+	RequestReceived struct {
 		Token   uint64
 		Message share.Message
 	}
@@ -65,7 +65,7 @@
 func (Reply) IsEvent() {}
 
 // IsEvent implements step.Event.
-func (Asked) IsEvent() {}
+func (RequestReceived) IsEvent() {}
 
 // Deps are what exchanges need of the other modules. The functions must be set
 // before the first event.
@@ -195,7 +195,7 @@
 }
 
 // HandleRequest answers an exchange that a peer began.
-func (x *Exchanges) HandleRequest(now clock.Instant, e Asked) {
+func (x *Exchanges) HandleRequest(now clock.Instant, e RequestReceived) {
 	x.receive(now, e.Message)
 	reply := x.message(now, e.Message.From)
 	if e.Message.WantConfig && e.Message.Revision < x.Config.Revision() {
--- a/core/instance/announced_world_test.go
+++ b/core/instance/announced_world_test.go
@@ -1059,7 +1059,7 @@
 		p.answers[token] = func(msg share.Message) {
 			reply(fleetWay, exchange.Reply{Peer: a.Peer, Address: a.Address, Message: msg})
 		}
-		f.step(p, p.boot, exchange.Asked{Token: token, Message: a.Message})
+		f.step(p, p.boot, exchange.RequestReceived{Token: token, Message: a.Message})
 	})
 }
 
--- a/core/instance/exchange_test.go
+++ b/core/instance/exchange_test.go
@@ -144,7 +144,7 @@
 	now := clocktest.At(time.Hour)
 	m := fleetMachine(now, "a", "b")
 	ahead := func(name string) []step.Action {
-		return m.Step(now, exchange.Asked{Token: 1, Message: share.Message{From: name, Zone: "z", Address: name, Boot: 1, Revision: 5, StoreAge: time.Millisecond}})
+		return m.Step(now, exchange.RequestReceived{Token: 1, Message: share.Message{From: name, Zone: "z", Address: name, Boot: 1, Revision: 5, StoreAge: time.Millisecond}})
 	}
 	first := exchanges(ahead("a"))
 	is.True(first["a"].WantConfig)
@@ -166,7 +166,7 @@
 	m := fleetMachine(now, "a", "b", "c", "d")
 	wanted := 0
 	for _, name := range []string{"a", "b", "c", "d"} {
-		actions := m.Step(now, exchange.Asked{Token: 1, Message: share.Message{From: name, Zone: "z", Address: name, Boot: 1, Revision: 5, StoreAge: time.Millisecond}})
+		actions := m.Step(now, exchange.RequestReceived{Token: 1, Message: share.Message{From: name, Zone: "z", Address: name, Boot: 1, Revision: 5, StoreAge: time.Millisecond}})
 		m.exchanges.TellAll(now)
 		for _, msg := range exchanges(append(slices.Clone(actions), m.Step(now, Tick{})...)) {
 			if msg.WantConfig {
@@ -190,7 +190,7 @@
 		}}})
 	}
 	told := func(boot, ackBoot, ack uint64, heard era.Revision) []string {
-		actions := m.Step(now, exchange.Asked{Token: 1, Message: share.Message{
+		actions := m.Step(now, exchange.RequestReceived{Token: 1, Message: share.Message{
 			From: "a", Zone: "z", Address: "a", Boot: boot, AckBoot: ackBoot, Ack: ack, StoreVersion: heard,
 		}})
 		var names []string
--- a/core/instance/lives_test.go
+++ b/core/instance/lives_test.go
@@ -188,7 +188,7 @@
 		{"an entry that a peer heard before", func(l *soloLab) {
 			old := l.entry("1")
 			old.Version = 999
-			l.m.Step(l.now, exchange.Asked{Token: 1, Message: share.Message{From: "peer", Address: "peer", Boot: 1, Records: share.Records{Listed: []share.Listed{old}}}})
+			l.m.Step(l.now, exchange.RequestReceived{Token: 1, Message: share.Message{From: "peer", Address: "peer", Boot: 1, Records: share.Records{Listed: []share.Listed{old}}}})
 		}},
 		{"an entry of it that says that it leaves", func(l *soloLab) {
 			old := l.entry("1")
@@ -207,7 +207,7 @@
 		}},
 		{"what its owner said that it holds", func(l *soloLab) {
 			res := share.Residency{Engine: "e", Residency: pool.Residency{Boot: 7, Change: 3, Born: "1", Items: []pool.Item{{Name: "m5", Phase: pool.Ready}}}}
-			l.m.Step(l.now, exchange.Asked{Token: 1, Message: share.Message{From: "peer", Address: "peer", Boot: 1, Records: share.Records{Residencies: []share.Residency{res}}}})
+			l.m.Step(l.now, exchange.RequestReceived{Token: 1, Message: share.Message{From: "peer", Address: "peer", Boot: 1, Records: share.Records{Residencies: []share.Residency{res}}}})
 		}},
 		{"a call found another replica at its address", func(l *soloLab) {
 			l.m.Step(l.now, calls.AttemptFailed{ID: 1, Attempt: 1, Phase: attempt.Refused, Misdirected: true, Incarnation: "another"})
--- a/core/instance/machine.go
+++ b/core/instance/machine.go
@@ -117,7 +117,7 @@
 		m.env.listReplied(now, e)
 	case exchange.Reply:
 		m.exchanges.HandleReply(now, e)
-	case exchange.Asked:
+	case exchange.RequestReceived:
 		m.exchanges.HandleRequest(now, e)
 	case Stop:
 		m.stop.Start(now)
--- a/core/instance/world_test.go
+++ b/core/instance/world_test.go
@@ -456,7 +456,7 @@
 		if peer.dead || peer.paused {
 			return func() { failed(false) }
 		}
-		actions := append([]step.Action(nil), peer.m.Step(peer.clock(w.now), exchange.Asked{Token: 1, Message: a.Message})...)
+		actions := append([]step.Action(nil), peer.m.Step(peer.clock(w.now), exchange.RequestReceived{Token: 1, Message: a.Message})...)
 		var answer share.Message
 		for _, x := range actions {
 			if ans, ok := x.(exchange.Answer); ok {
--- a/internal/shell/shell.go
+++ b/internal/shell/shell.go
@@ -264,7 +264,7 @@
 	s.do(func(s *Shell) step.Event {
 		s.nextAsk++
 		s.asks[s.nextAsk] = reply
-		return exchange.Asked{Token: s.nextAsk, Message: msg}
+		return exchange.RequestReceived{Token: s.nextAsk, Message: msg}
 	})
 	s.decodeConfig(msg)
 	select {
