--- a/core/exchange/exchange.go
+++ b/core/exchange/exchange.go
@@ -48,8 +48,8 @@
 		Token   uint64
 		Message share.Message
 	}
-	// Answer is the action that ends an exchange that a peer began.
-	Answer struct {
+	// SendReply is the action that ends an exchange that a peer began.
+	SendReply struct {
 		Token   uint64
 		Message share.Message
 	}
@@ -59,7 +59,7 @@
 func (SendRequest) IsAction() {}
 
 // IsAction implements step.Action.
-func (Answer) IsAction() {}
+func (SendReply) IsAction() {}
 
 // IsEvent implements step.Event.
 func (Reply) IsEvent() {}
@@ -201,7 +201,7 @@
 	if e.Message.WantConfig && e.Message.Revision < x.Config.Revision() {
 		reply.Config = x.Config.Encoded
 	}
-	x.Out.Emit(Answer{Token: e.Token, Message: reply})
+	x.Out.Emit(SendReply{Token: e.Token, Message: reply})
 }
 
 // HandleReply takes in what came of an exchange that this instance began.
--- a/core/instance/announced_world_test.go
+++ b/core/instance/announced_world_test.go
@@ -444,7 +444,7 @@
 		}
 	case exchange.SendRequest:
 		f.exchange(n, act, reply)
-	case exchange.Answer:
+	case exchange.SendReply:
 		if do := n.answers[act.Token]; do != nil {
 			delete(n.answers, act.Token)
 			do(act.Message)
--- a/core/instance/exchange_test.go
+++ b/core/instance/exchange_test.go
@@ -195,7 +195,7 @@
 		}})
 		var names []string
 		for _, a := range actions {
-			if answer, ok := a.(exchange.Answer); ok {
+			if answer, ok := a.(exchange.SendReply); ok {
 				for _, l := range answer.Message.Records.Listed {
 					names = append(names, l.Name)
 				}
--- a/core/instance/world_test.go
+++ b/core/instance/world_test.go
@@ -459,7 +459,7 @@
 		actions := append([]step.Action(nil), peer.m.Step(peer.clock(w.now), exchange.RequestReceived{Token: 1, Message: a.Message})...)
 		var answer share.Message
 		for _, x := range actions {
-			if ans, ok := x.(exchange.Answer); ok {
+			if ans, ok := x.(exchange.SendReply); ok {
 				answer = ans.Message
 				continue
 			}
--- a/internal/shell/actions.go
+++ b/internal/shell/actions.go
@@ -46,7 +46,7 @@
 		delete(s.calls, act.ID)
 	case exchange.SendRequest:
 		s.work(func(ctx context.Context) { s.exchange(ctx, act) })
-	case exchange.Answer:
+	case exchange.SendReply:
 		if reply, ok := s.asks[act.Token]; ok {
 			reply <- act.Message
 			delete(s.asks, act.Token)
