--- a/core/exchange/pull.go
+++ b/core/exchange/pull.go
@@ -10,10 +10,10 @@
 // Pulling a newer configuration from a peer that has one.
 
 const (
-	// PullTime is how long a peer that was asked for a configuration is waited for
+	// PullTimeout is how long a peer that was asked for a configuration is waited for
 	// before another one is asked. Several at once would share a narrow link, and
 	// none would arrive.
-	PullTime = 600 * time.Millisecond
+	PullTimeout = 600 * time.Millisecond
 	// pullPatience is how long an instance that watches the platform itself
 	// waits for a revision that a peer has, before it asks the peer for it.
 	pullPatience = 600 * time.Millisecond
@@ -68,7 +68,7 @@
 	if p == nil {
 		return
 	}
-	x.pull.until = now.Add(PullTime)
+	x.pull.until = now.Add(PullTimeout)
 	x.inFlight[p.Address] = true
 	msg := x.message(now, p.Name)
 	msg.WantConfig = true
--- a/core/instance/exchange_test.go
+++ b/core/instance/exchange_test.go
@@ -149,7 +149,7 @@
 	first := exchanges(ahead("a"))
 	is.True(first["a"].WantConfig)
 	is.Equal(exchanges(ahead("b")), map[string]share.Message{}) // one is asked at a time
-	now = now.Add(exchange.PullTime)
+	now = now.Add(exchange.PullTimeout)
 	is.True(exchanges(m.Step(now, Tick{}))["b"].WantConfig)
 	is.True(!m.env.platform.watch.Active(now))
 	now = now.Add(watch.BehindLimit)
