--- a/core/instance/lives_test.go
+++ b/core/instance/lives_test.go
@@ -197,7 +197,7 @@
 		}},
 		{"a report of it", func(l *soloLab) {
 			old := l.entry("1")
-			l.m.Step(l.now, listing.Reported{Replica: "e", Sent: l.now, Announcement: *old.Announced})
+			l.m.Step(l.now, listing.SelfReport{Replica: "e", Sent: l.now, Announcement: *old.Announced})
 		}},
 		{"an answer of it that says that it leaves", func(l *soloLab) {
 			l.m.Step(l.now, notice.Received{Replica: "e", Sent: l.now.Add(-5 * time.Millisecond), Notice: pool.Notice{Leaving: true}})
@@ -271,10 +271,10 @@
 	l.list(l.entry("1"))
 	next := l.entry("2")
 	next.Announced.Models = []pool.AnnouncedModel{{Name: "m1"}}
-	l.m.Step(l.now, listing.Reported{Replica: "e", Sent: l.now.Add(-time.Millisecond), Announcement: *next.Announced})
+	l.m.Step(l.now, listing.SelfReport{Replica: "e", Sent: l.now.Add(-time.Millisecond), Announcement: *next.Announced})
 	is.Equal(l.m.state.Pool.Get("e").Announcement().Born, "1") // asked before this one was known
 	l.now = l.now.Add(10 * time.Millisecond)
-	l.m.Step(l.now, listing.Reported{Replica: "e", Sent: l.now, Announcement: *next.Announced})
+	l.m.Step(l.now, listing.SelfReport{Replica: "e", Sent: l.now, Announcement: *next.Announced})
 	r := l.m.state.Pool.Get("e")
 	is.Equal(r.Announcement().Born, "2")
 	is.Equal(r.Phase("m0"), pool.ItemPhase(0))
--- a/core/instance/machine.go
+++ b/core/instance/machine.go
@@ -141,7 +141,7 @@
 		m.calls.CallerGone(now, e)
 	case forwarding.ProbeReply:
 		m.forwarding.ProbeReplied(now, e)
-	case listing.Reported:
+	case listing.SelfReport:
 		m.listing.HandleSelfReport(now, e)
 	case notice.Received:
 		m.notices.HandleNotice(now, e)
--- a/core/listing/listing.go
+++ b/core/listing/listing.go
@@ -33,16 +33,16 @@
 // IsEvent implements step.Event.
 func (Reply) IsEvent() {}
 
-// Reported is the event that a replica said of itself, when it was asked, in which life it
+// SelfReport is the event that a replica said of itself, when it was asked, in which life it
 // is.
-type Reported struct {
+type SelfReport struct {
 	Replica      string
 	Sent         clock.Instant // when it was asked
 	Announcement pool.Announcement
 }
 
 // IsEvent implements step.Event.
-func (Reported) IsEvent() {}
+func (SelfReport) IsEvent() {}
 
 // A List is what is known of the platform's list. The fields must be set before
 // its use.
@@ -194,7 +194,7 @@
 
 // HandleSelfReport takes in a life of a replica that is heard of from itself before its entry
 // comes. What it says of a life that is known, its owner's ledger takes in.
-func (l *List) HandleSelfReport(now clock.Instant, e Reported) {
+func (l *List) HandleSelfReport(now clock.Instant, e SelfReport) {
 	r := l.Pool.Get(e.Replica)
 	if r == nil || e.Sent.Before(r.FirstSeenAt()) || !r.Restarted(e.Announcement.Born) {
 		return
--- a/internal/environment/driver.go
+++ b/internal/environment/driver.go
@@ -308,7 +308,7 @@
 // engine is, then what it says of that.
 func (d *driver) reported(engine string, sent clock.Instant, r EngineReport, limited bool) {
 	if r.Announcement.Born != "" {
-		d.host.Post(listing.Reported{Replica: engine, Sent: sent, Announcement: r.Announcement})
+		d.host.Post(listing.SelfReport{Replica: engine, Sent: sent, Announcement: r.Announcement})
 	}
 	d.heard(engine, sent, r.Notice, limited && r.Heard)
 }
