--- a/core/instance/platform.go
+++ b/core/instance/platform.go
@@ -28,7 +28,7 @@
 		Registry: o.registry, Asks: o.asks, Roster: o.roster, OwnDemand: tracker, AllDemand: totals,
 		Stopping: m.stop.Started, Tell: m.exchanges.StartWith, NextWatcher: m.exchanges.NextWatcher,
 	})
-	w := watch.New(watch.Needs{
+	w := watch.New(watch.Deps{
 		Options: m.state.Options, Rand: m.state.Rand, Out: m.state.Out, Outage: m.state.Outage, Roster: o.roster, Registry: o.registry,
 		Exchanges: m.exchanges, Stopping: m.stop.Started,
 	})
--- a/core/watch/watch.go
+++ b/core/watch/watch.go
@@ -105,8 +105,8 @@
 	}
 }
 
-// Needs are what a Watch needs of the other modules.
-type Needs struct {
+// Deps are what a Watch needs of the other modules.
+type Deps struct {
 	Options   *option.Options
 	Rand      *rand.Rand
 	Out       *step.Output
@@ -120,7 +120,7 @@
 
 // A Watch is one instance's watch of the store.
 type Watch struct {
-	Needs
+	Deps
 	calls   map[uint64]call // that were not answered yet
 	last    uint64          // number of the newest call
 	due     clock.Instant   // of the next call, also beside one that hangs
@@ -156,8 +156,8 @@
 }
 
 // New returns the watch of an instance that has not called the store yet.
-func New(n Needs) *Watch {
-	w := &Watch{Needs: n, calls: map[uint64]call{}}
+func New(n Deps) *Watch {
+	w := &Watch{Deps: n, calls: map[uint64]call{}}
 	w.resetFailures()
 	return w
 }
