--- a/core/instance/announced_world_test.go
+++ b/core/instance/announced_world_test.go
@@ -356,7 +356,7 @@
 	switch act := a.(type) {
 	case step.Log:
 		f.logged[act.Event]++
-	case watch.Begin:
+	case watch.SendRequest:
 		f.at(fleetWay, func() { f.watch(n, boot, act) })
 	case ownership.Enrol:
 		f.storeCall(n, nil, func() (step.Event, bool) { return f.enrol(n, act), true }, func(err error) step.Event { return ownership.EnrolReply{Err: err} }, reply)
@@ -742,7 +742,7 @@
 const readLimit = 3 * time.Second
 
 // watch begins a watch, which answers when something changed or when the wait is over.
-func (f *fleet) watch(n *fleetMember, boot uint64, a watch.Begin) {
+func (f *fleet) watch(n *fleetMember, boot uint64, a watch.SendRequest) {
 	w := &fleetWatch{id: a.ID, boot: boot, whole: a.Wait == 0, until: f.now + a.Wait, limit: f.now + a.Wait + watchLimit}
 	if w.whole {
 		w.limit = f.now + readLimit
--- a/core/watch/watch.go
+++ b/core/watch/watch.go
@@ -35,8 +35,8 @@
 )
 
 type (
-	// Begin is an action: call the store. It is answered by the Reply of the same ID.
-	Begin struct {
+	// SendRequest is an action: call the store. It is answered by the Reply of the same ID.
+	SendRequest struct {
 		ID uint64
 		// Wait is how long to wait for whatever changes; 0: read everything.
 		Wait time.Duration
@@ -53,7 +53,7 @@
 )
 
 // IsAction implements step.Action.
-func (Begin) IsAction() {}
+func (SendRequest) IsAction() {}
 
 // IsEvent implements step.Event.
 func (Reply) IsEvent() {}
@@ -217,7 +217,7 @@
 func (w *Watch) begin(now clock.Instant) {
 	parts := w.parts()
 	w.last++
-	b := Begin{ID: w.last, Fresh: now.Before(w.reuseAt)}
+	b := SendRequest{ID: w.last, Fresh: now.Before(w.reuseAt)}
 	switch {
 	case len(w.calls) > 0: // and none of them was answered in time
 		b.Fresh = true
--- a/internal/environment/driver.go
+++ b/internal/environment/driver.go
@@ -53,7 +53,7 @@
 // not this environment's.
 func (d *driver) carryOut(a step.Action) func(ctx context.Context) {
 	switch act := a.(type) {
-	case watch.Begin:
+	case watch.SendRequest:
 		return func(ctx context.Context) { d.watchPlatform(ctx, act) }
 	case ownership.Enrol:
 		return func(ctx context.Context) { d.enrol(ctx, act) }
@@ -80,7 +80,7 @@
 
 // watchPlatform waits for whatever changes in the environment's store and
 // posts it as one event for each kind of news.
-func (d *driver) watchPlatform(ctx context.Context, a watch.Begin) {
+func (d *driver) watchPlatform(ctx context.Context, a watch.SendRequest) {
 	change, err := d.change(ctx, a)
 	if err != nil {
 		d.host.Post(watch.Reply{ID: a.ID, Err: err})
@@ -105,7 +105,7 @@
 }
 
 // change calls the store for what changed.
-func (d *driver) change(ctx context.Context, a watch.Begin) (Change, error) {
+func (d *driver) change(ctx context.Context, a watch.SendRequest) (Change, error) {
 	switch {
 	case a.Wait == 0:
 		return d.store.Read(ctx)
