--- a/core/instance/exchange_test.go
+++ b/core/instance/exchange_test.go
@@ -152,7 +152,7 @@
 	now = now.Add(exchange.PullTimeout)
 	is.True(exchanges(m.Step(now, Tick{}))["b"].WantConfig)
 	is.True(!m.env.platform.watch.Active(now))
-	now = now.Add(watch.BehindLimit)
+	now = now.Add(watch.MaxConfigLag)
 	m.Step(now, Tick{})
 	is.True(m.env.platform.watch.Active(now))
 }
--- a/core/watch/watch.go
+++ b/core/watch/watch.go
@@ -23,9 +23,9 @@
 )
 
 const (
-	// BehindLimit is how long peers may be ahead of this instance with the
+	// MaxConfigLag is how long peers may be ahead of this instance with the
 	// configuration before it asks the store itself.
-	BehindLimit = 1200 * time.Millisecond
+	MaxConfigLag = 1200 * time.Millisecond
 	// distrustSpan is for how long connections that are kept are not used after a watch hung:
 	// until they have been idle for so long that they were closed.
 	distrustSpan = 5 * time.Second
@@ -98,7 +98,7 @@
 		return placesNow
 	case v.newsAge > v.silence:
 		return newsTooOld
-	case v.behind > BehindLimit:
+	case v.behind > MaxConfigLag:
 		return peersAhead
 	default:
 		return notNeeded
--- a/core/watch/watch_test.go
+++ b/core/watch/watch_test.go
@@ -10,7 +10,7 @@
 // TestWhoWatches: of what makes an instance watch, the first that holds is named.
 func TestWhoWatches(t *testing.T) {
 	const silence = 2 * time.Second
-	told := view{newsAge: silence, silence: silence, behind: BehindLimit}
+	told := view{newsAge: silence, silence: silence, behind: MaxConfigLag}
 	for _, tt := range []struct {
 		name string
 		view view
@@ -22,7 +22,7 @@
 		{"an owner", view{engines: 1, placer: true}, ownsEngines},
 		{"the placer", view{placer: true, newsAge: time.Hour}, placesNow},
 		{"its news grew old", view{newsAge: silence + 1, silence: silence, behind: time.Hour}, newsTooOld},
-		{"peers are ahead", view{behind: BehindLimit + 1}, peersAhead},
+		{"peers are ahead", view{behind: MaxConfigLag + 1}, peersAhead},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
