--- a/core/attempt/attempt.go
+++ b/core/attempt/attempt.go
@@ -77,8 +77,8 @@
 	return h
 }
 
-// WithBroken returns h after an attempt broke in phase p.
-func (h History) WithBroken(p Phase) History {
+// WithFailure returns h after an attempt broke in phase p.
+func (h History) WithFailure(p Phase) History {
 	h.run = worse(h.run, p.Run())
 	return h
 }
--- a/core/attempt/attempt_test.go
+++ b/core/attempt/attempt_test.go
@@ -30,7 +30,7 @@
 	for _, c := range cases {
 		h := New(true)
 		for _, p := range c.phases {
-			h = h.WithAttempt().WithBroken(p)
+			h = h.WithAttempt().WithFailure(p)
 		}
 		is.New(t).Equal(h.Run(), c.want)
 	}
@@ -44,7 +44,7 @@
 		mayHaveRun := false
 		for range rapid.IntRange(1, 20).Draw(t, "breaks") {
 			phase := Phase(rapid.IntRange(int(NotSent), int(Refused)).Draw(t, "phase"))
-			h = h.WithBroken(phase)
+			h = h.WithFailure(phase)
 			mayHaveRun = mayHaveRun || phase.Run() != code.NotRun
 			step := h.Next(Break{
 				Phase:     phase,
@@ -69,12 +69,12 @@
 }
 
 func TestNothingStartsAnewAfterAByteWasDelivered(t *testing.T) {
-	h := New(true).WithAttempt().WithBroken(Answered)
+	h := New(true).WithAttempt().WithFailure(Answered)
 	is.New(t).Equal(h.Next(Break{Phase: Answered, Delivered: 1}), Fail)
 }
 
 func TestResumesAreBounded(t *testing.T) {
-	h := New(false).WithAttempt().WithBroken(Answered)
+	h := New(false).WithAttempt().WithFailure(Answered)
 	for range MaxResumes {
 		h = h.WithResume()
 	}
--- a/core/forwarding/attempts.go
+++ b/core/forwarding/attempts.go
@@ -46,7 +46,7 @@
 		b.Severed = true // by the end of its replica, whatever showed that here
 	}
 	f.settleReplica(now, c, b)
-	c.History = c.History.WithBroken(b.Phase)
+	c.History = c.History.WithFailure(b.Phase)
 	former := c.Replica
 	c.Replica = ""
 	s.progress.add(c.Life, b, f.rests(now, former))
@@ -255,7 +255,7 @@
 	if r := f.Pool.Get(c.Replica); r != nil {
 		r.DropCall(uint64(c.ID))
 	}
-	c.History = c.History.WithBroken(attempt.MaybeSent)
+	c.History = c.History.WithFailure(attempt.MaybeSent)
 }
 
 func (f *Forwarder) expire(c *calls.Call) {
--- a/core/forwarding/forwarding_test.go
+++ b/core/forwarding/forwarding_test.go
@@ -110,7 +110,7 @@
 			if c.prepare != nil {
 				c.prepare(call, s)
 			}
-			call.History = call.History.WithAttempt().WithBroken(c.broke.Phase)
+			call.History = call.History.WithAttempt().WithFailure(c.broke.Phase)
 			s.progress.add(pool.Incarnation{Name: "r"}, c.broke, false)
 			is.Equal(f.mayRepeat(start, call, c.broke), c.want)
 		})
@@ -165,7 +165,7 @@
 			is := is.New(t)
 			f := testForwarder(t)
 			call, s := f.testCall(config.Stream, false)
-			call.History = call.History.WithAttempt().WithBroken(c.phase)
+			call.History = call.History.WithAttempt().WithFailure(c.phase)
 			s.progress = c.progress
 			f.end(call, s, 0, "detail")
 			refused, relayed := finished(f.Out)
@@ -264,7 +264,7 @@
 		}, true, 0, 0},
 		{"it may have run", func(f *Forwarder, c *calls.Call, s *state) {
 			rest(3*time.Second)(f, c, s)
-			c.History = c.History.WithAttempt().WithBroken(attempt.MaybeSent)
+			c.History = c.History.WithAttempt().WithFailure(attempt.MaybeSent)
 		}, false, code.UpstreamBroke, 0},
 		{"for so long that its model is loaded elsewhere first", rest(time.Hour), false, code.NotResident, 1250 * time.Millisecond},
 		{"none of them has its model", func(f *Forwarder, c *calls.Call, s *state) {
--- a/core/forwarding/overload_test.go
+++ b/core/forwarding/overload_test.go
@@ -80,10 +80,10 @@
 	}{
 		{"a call that was not sent", func(*calls.Call) {}, true},
 		{"a call that a replica refused", func(c *calls.Call) {
-			c.History = c.History.WithAttempt().WithBroken(attempt.Refused)
+			c.History = c.History.WithAttempt().WithFailure(attempt.Refused)
 		}, true},
 		{"a call that may have run", func(c *calls.Call) {
-			c.History = c.History.WithAttempt().WithBroken(attempt.MaybeSent)
+			c.History = c.History.WithAttempt().WithFailure(attempt.MaybeSent)
 		}, false},
 		{"a call to a plain service", func(c *calls.Call) { c.Item = "" }, false},
 	} {
--- a/core/forwarding/permit_test.go
+++ b/core/forwarding/permit_test.go
@@ -104,7 +104,7 @@
 		{"its turn comes too late", 1, func(*calls.Call) {}, false, code.NoCapacity},
 		{"it has time to spare", 1, func(c *calls.Call) { c.Target = 8 * time.Second }, true, 0},
 		{"it has waited long enough", 10, func(c *calls.Call) { c.Arrived = start.Add(-450 * time.Millisecond) }, false, code.NoCapacity},
-		{"it may have run", 1, func(c *calls.Call) { c.History = c.History.WithAttempt().WithBroken(attempt.MaybeSent) }, false, code.UpstreamBroke},
+		{"it may have run", 1, func(c *calls.Call) { c.History = c.History.WithAttempt().WithFailure(attempt.MaybeSent) }, false, code.UpstreamBroke},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/core/own/modelcalls/attempts.go
+++ b/core/own/modelcalls/attempts.go
@@ -54,7 +54,7 @@
 // attemptFailed decides what follows an attempt that did not come to its proper end.
 func (h *Handler) attemptFailed(now clock.Instant, c *calls.Call, e calls.AttemptFailed) {
 	h.settleReplica(now, c, e)
-	c.History = c.History.WithBroken(e.Phase)
+	c.History = c.History.WithFailure(e.Phase)
 	next := c.History.Next(attempt.Break{
 		Phase: e.Phase, Delivered: e.Delivered, SameBoot: e.Resumable, Stalled: e.Stalled, Spent: e.BodyConsumed,
 	})
