--- a/core/attempt/attempt.go
+++ b/core/attempt/attempt.go
@@ -106,9 +106,9 @@
 	Spent     bool // the call's body is gone and cannot be sent again
 }
 
-// Next returns the step after a break; h must already include it. Whether the
+// Decide returns the step after a break; h must already include it. Whether the
 // retry budget allows a Retry is the caller's matter.
-func (h History) Next(b Break) Step {
+func (h History) Decide(b Break) Step {
 	if b.Phase == Ended {
 		return Fail
 	}
