--- a/core/attempt/attempt.go
+++ b/core/attempt/attempt.go
@@ -25,8 +25,8 @@
 	Refused                // the upstream said that it did not run the call
 )
 
-// Run returns what is known of an attempt that went no further than p.
-func (p Phase) Run() code.RunState {
+// RunState returns what is known of an attempt that went no further than p.
+func (p Phase) RunState() code.RunState {
 	switch p {
 	case NotSent, Refused:
 		return code.NotRun
@@ -79,7 +79,7 @@
 
 // WithFailure returns h after an attempt broke in phase p.
 func (h History) WithFailure(p Phase) History {
-	h.run = worse(h.run, p.Run())
+	h.run = worse(h.run, p.RunState())
 	return h
 }
 
--- a/core/attempt/attempt_test.go
+++ b/core/attempt/attempt_test.go
@@ -45,7 +45,7 @@
 		for range rapid.IntRange(1, 20).Draw(t, "breaks") {
 			phase := Phase(rapid.IntRange(int(NotSent), int(Refused)).Draw(t, "phase"))
 			h = h.WithFailure(phase)
-			mayHaveRun = mayHaveRun || phase.Run() != code.NotRun
+			mayHaveRun = mayHaveRun || phase.RunState() != code.NotRun
 			step := h.Decide(Break{
 				Phase:     phase,
 				Delivered: rapid.IntRange(0, 1).Draw(t, "delivered"),
