--- a/core/attempt/attempt.go
+++ b/core/attempt/attempt.go
@@ -94,8 +94,8 @@
 	return code.NotRun
 }
 
-// Run says whether the call ran, as far as its attempts tell.
-func (h History) Run() code.RunState { return h.run }
+// RunState says whether the call ran, as far as its attempts tell.
+func (h History) RunState() code.RunState { return h.run }
 
 // A Break describes the end of an attempt that was not its proper end.
 type Break struct {
--- a/core/attempt/attempt_test.go
+++ b/core/attempt/attempt_test.go
@@ -32,7 +32,7 @@
 		for _, p := range c.phases {
 			h = h.WithAttempt().WithFailure(p)
 		}
-		is.New(t).Equal(h.Run(), c.want)
+		is.New(t).Equal(h.RunState(), c.want)
 	}
 }
 
--- a/core/calls/table.go
+++ b/core/calls/table.go
@@ -140,7 +140,7 @@
 // Refuse gives a call that was taken in its final answer.
 func (t *Table) Refuse(c *Call, r code.Refusal) {
 	// An earlier attempt may have run though the last step did not.
-	if run := c.History.Run(); run != code.NotRun {
+	if run := c.History.RunState(); run != code.NotRun {
 		r.Run = run
 	}
 	if c.Phase == Waiting {
--- a/core/forwarding/attempts.go
+++ b/core/forwarding/attempts.go
@@ -136,7 +136,7 @@
 // end gives a call whose attempts are over its final answer. status is the HTTP
 // status of the last one, 0 if none came.
 func (f *Forwarder) end(c *calls.Call, s *state, status int, detail string) {
-	run := c.History.Run()
+	run := c.History.RunState()
 	switch {
 	case s.progress.relayable && !s.progress.opened:
 		f.relay(c, status)
@@ -152,7 +152,7 @@
 // relay passes on the replica's own failing answer.
 func (f *Forwarder) relay(c *calls.Call, status int) {
 	f.Out.Log(logevent.CallFailed, "call", c.Forward.Name, "service", c.Service, "code", int(code.UpstreamRefused),
-		"run", string(c.History.Run()), "status", status, "detail", "the replica's own answer")
+		"run", string(c.History.RunState()), "status", status, "detail", "the replica's own answer")
 	f.Out.Emit(calls.Relay{ID: c.ID})
 	f.Calls.Remove(c)
 }
@@ -268,5 +268,5 @@
 	if stateOf(c).progress.opened {
 		num = code.StreamCut
 	}
-	f.Calls.Refuse(c, code.Refusal{Code: num, Run: c.History.Run(), Detail: "the time for which it may be held is over"})
+	f.Calls.Refuse(c, code.Refusal{Code: num, Run: c.History.RunState(), Detail: "the time for which it may be held is over"})
 }
--- a/core/forwarding/repeat.go
+++ b/core/forwarding/repeat.go
@@ -55,7 +55,7 @@
 	switch {
 	case p.opened && !(s.route.Kind == config.Stream && s.route.Resumable):
 		return notResumable
-	case !p.opened && !c.History.Repeatable && c.History.Run() != code.NotRun:
+	case !p.opened && !c.History.Repeatable && c.History.RunState() != code.NotRun:
 		return mayHaveRun
 	case b.BodyConsumed:
 		return bodyConsumed
--- a/core/own/modelcalls/attempts.go
+++ b/core/own/modelcalls/attempts.go
@@ -145,7 +145,7 @@
 	} else if e.Status != 0 && e.Phase != attempt.MaybeSent {
 		num = code.UpstreamRefused
 	}
-	refusal := code.Refusal{Code: num, Run: c.History.Run(), Detail: e.Detail}
+	refusal := code.Refusal{Code: num, Run: c.History.RunState(), Detail: e.Detail}
 	if refusal.Run == code.NotRun || c.History.Repeatable {
 		refusal.RetryAfter = calls.LeastRetryAfter
 	}
