--- a/core/forwarding/forwarding.go
+++ b/core/forwarding/forwarding.go
@@ -172,7 +172,7 @@
 	if service.Announced.Engine != nil && c.Forward.Model != "" {
 		f.aim(c, s)
 	}
-	f.Budget.Call(now, name)
+	f.Budget.RecordCall(now, name)
 	if c.Item != "" {
 		f.Demand.RecordCall(now, s.target.model, f.workOf(c, s))
 	}
--- a/core/own/modelcalls/modelcalls.go
+++ b/core/own/modelcalls/modelcalls.go
@@ -94,7 +94,7 @@
 		return
 	}
 	h.Calls.Add(c)
-	h.Budget.Call(now, c.Service)
+	h.Budget.RecordCall(now, c.Service)
 	if stateOf(c).claimKey != "" {
 		h.claim(c)
 		return
--- a/core/retrybudget/budget.go
+++ b/core/retrybudget/budget.go
@@ -44,8 +44,8 @@
 	windows map[string]*Window
 }
 
-// Call counts a call of the service.
-func (b *Budget) Call(now clock.Instant, service string) { b.window(service).Call(now) }
+// RecordCall counts a call of the service.
+func (b *Budget) RecordCall(now clock.Instant, service string) { b.window(service).Call(now) }
 
 // Spend takes one repeat of a call of the service, and reports whether the
 // budget allows it.
--- a/core/retrybudget/budget_test.go
+++ b/core/retrybudget/budget_test.go
@@ -43,7 +43,7 @@
 			}
 			b := &Budget{Options: &opt, Members: members, Common: c.common}
 			for range c.calls {
-				b.Call(now, "s")
+				b.RecordCall(now, "s")
 			}
 			spent := 0
 			for spent < 1000 && b.Spend(now, "s") {
