--- a/core/forwarding/place.go
+++ b/core/forwarding/place.go
@@ -99,7 +99,7 @@
 		Gap:      s.route.MaxEventGap,
 		Chain:    s.target.chain,
 		Tried:    s.passedOver(now),
-		Sure:     !f.Budget.Left(now, c.Service),
+		Sure:     !f.Budget.Available(now, c.Service),
 		Salt:     uint64(c.ID) ^ f.Self.Boot,
 		ZoneCost: f.zoneCost,
 		TurnCost: func(r *pool.Replica) time.Duration { return r.RateLimitDelay(now) },
--- a/core/retrybudget/budget.go
+++ b/core/retrybudget/budget.go
@@ -53,8 +53,8 @@
 	return b.window(service).Repeat(now, b.Options.RetryRatio, b.slack())
 }
 
-// Left reports whether the budget allows a repeat of a call of the service.
-func (b *Budget) Left(now clock.Instant, service string) bool {
+// Available reports whether the budget allows a repeat of a call of the service.
+func (b *Budget) Available(now clock.Instant, service string) bool {
 	return b.window(service).Allows(now, b.Options.RetryRatio, b.slack())
 }
 
