--- a/core/retrybudget/budget.go
+++ b/core/retrybudget/budget.go
@@ -62,8 +62,8 @@
 // without any fault of what is known here (docs/design/limits.md).
 const scarce = 2
 
-// Scarce reports whether few repeats of calls of the service are left.
-func (b *Budget) Scarce(now clock.Instant, service string) bool {
+// Low reports whether few repeats of calls of the service are left.
+func (b *Budget) Low(now clock.Instant, service string) bool {
 	return !b.window(service).Allows(now, b.Options.RetryRatio, b.slack()-scarce)
 }
 
