--- a/core/instance/build.go
+++ b/core/instance/build.go
@@ -121,7 +121,7 @@
 		Instances: m.orders.registry.Instances,
 		Stopping:  m.stop.Started,
 		Told:      m.notices.HandlePeerLimit,
-		Repeats:   m.budget.OnDemand,
+		Repeats:   m.budget.SharedRetries,
 		Decided: func(now clock.Instant, call calls.ID, s permits.Subject, v permits.Verdict) {
 			m.forwarding.Permitted(now, call, s, v)
 		},
--- a/core/retrybudget/budget.go
+++ b/core/retrybudget/budget.go
@@ -76,9 +76,9 @@
 	return slack / float64(max(leastFleet, b.Members.Size()))
 }
 
-// OnDemand returns how many repeats of a service's calls belong to no instance, and the span
+// SharedRetries returns how many repeats of a service's calls belong to no instance, and the span
 // in which they may be made.
-func (b *Budget) OnDemand() (repeats float64, span time.Duration) {
+func (b *Budget) SharedRetries() (repeats float64, span time.Duration) {
 	return commonShare * b.Options.RetrySlack, b.Options.RetryWindow
 }
 
