--- a/core/retrybudget/budget.go
+++ b/core/retrybudget/budget.go
@@ -45,7 +45,7 @@
 }
 
 // RecordCall counts a call of the service.
-func (b *Budget) RecordCall(now clock.Instant, service string) { b.window(service).Call(now) }
+func (b *Budget) RecordCall(now clock.Instant, service string) { b.window(service).RecordCall(now) }
 
 // Spend takes one repeat of a call of the service, and reports whether the
 // budget allows it.
--- a/core/retrybudget/window.go
+++ b/core/retrybudget/window.go
@@ -38,8 +38,8 @@
 	return int(w.at % slices)
 }
 
-// Call counts one call.
-func (w *Window) Call(now clock.Instant) { w.calls[w.advance(now)]++ }
+// RecordCall counts one call.
+func (w *Window) RecordCall(now clock.Instant) { w.calls[w.advance(now)]++ }
 
 // Repeat counts one repeat if it stays within ratio times the calls plus slack,
 // and reports whether it does.
