--- a/core/retrybudget/budget.go
+++ b/core/retrybudget/budget.go
@@ -50,7 +50,7 @@
 // Spend takes one repeat of a call of the service, and reports whether the
 // budget allows it.
 func (b *Budget) Spend(now clock.Instant, service string) bool {
-	return b.window(service).Repeat(now, b.Options.RetryRatio, b.slack())
+	return b.window(service).TryRetry(now, b.Options.RetryRatio, b.slack())
 }
 
 // Available reports whether the budget allows a repeat of a call of the service.
--- a/core/retrybudget/window.go
+++ b/core/retrybudget/window.go
@@ -41,9 +41,9 @@
 // RecordCall counts one call.
 func (w *Window) RecordCall(now clock.Instant) { w.calls[w.advance(now)]++ }
 
-// Repeat counts one repeat if it stays within ratio times the calls plus slack,
+// TryRetry counts one repeat if it stays within ratio times the calls plus slack,
 // and reports whether it does.
-func (w *Window) Repeat(now clock.Instant, ratio, slack float64) bool {
+func (w *Window) TryRetry(now clock.Instant, ratio, slack float64) bool {
 	if !w.Allows(now, ratio, slack) {
 		return false
 	}
