--- a/core/backoff/backoff.go
+++ b/core/backoff/backoff.go
@@ -34,9 +34,9 @@
 	return b
 }
 
-// Wait draws the time until the next attempt: nothing without failures, else
+// Delay draws the time until the next attempt: nothing without failures, else
 // uniformly between Base and the ceiling that doubles with each failure.
-func (b Backoff) Wait(rng *rand.Rand) time.Duration {
+func (b Backoff) Delay(rng *rand.Rand) time.Duration {
 	if b.failures == 0 {
 		return 0
 	}
--- a/core/backoff/backoff_test.go
+++ b/core/backoff/backoff_test.go
@@ -34,12 +34,12 @@
 		}
 		var most time.Duration
 		for range 200 {
-			wait := b.Wait(rng)
+			wait := b.Delay(rng)
 			is.True(wait >= tt.least)   // above the base
 			is.True(wait <= tt.ceiling) // below the ceiling
 			most = max(most, wait)
 		}
 		is.True(most >= tt.ceiling*9/10) // the whole span is drawn from
-		is.Equal(b.WithSuccess().Wait(rng), time.Duration(0))
+		is.Equal(b.WithSuccess().Delay(rng), time.Duration(0))
 	}
 }
--- a/core/outage/outage.go
+++ b/core/outage/outage.go
@@ -71,4 +71,4 @@
 func (t *Tracker) Down() bool { return t.down }
 
 // Wait draws how long to wait before the next call: 0 after a success.
-func (t *Tracker) Wait(rng *rand.Rand) time.Duration { return t.backoff.Wait(rng) }
+func (t *Tracker) Wait(rng *rand.Rand) time.Duration { return t.backoff.Delay(rng) }
--- a/core/own/planner/intents.go
+++ b/core/own/planner/intents.go
@@ -142,7 +142,7 @@
 			continue
 		}
 		ra.backoff = ra.backoff.WithFailure()
-		ra.due = now.Add(ra.backoff.Wait(p.Rand))
+		ra.due = now.Add(ra.backoff.Delay(p.Rand))
 		for _, o := range unconfirmed {
 			p.send(o, r)
 		}
--- a/core/own/planner/orders.go
+++ b/core/own/planner/orders.go
@@ -74,7 +74,7 @@
 			continue
 		}
 		ra.backoff = ra.backoff.WithFailure()
-		ra.due = now.Add(ra.backoff.Wait(p.Rand))
+		ra.due = now.Add(ra.backoff.Delay(p.Rand))
 		o := book.Order{Engine: r.Name, Fence: p.fence, Seq: p.nextSeq(), Op: book.Raise}
 		l.Book(o)
 		p.Out.Emit(SendOrder{Address: r.Address, Order: o})
--- a/core/own/planner/read.go
+++ b/core/own/planner/read.go
@@ -98,7 +98,7 @@
 	rd := p.reader(e.Engine)
 	if e.Err != nil {
 		rd.backoff = rd.backoff.WithFailure()
-		rd.End(now.Add(rd.backoff.Wait(p.Rand)))
+		rd.End(now.Add(rd.backoff.Delay(p.Rand)))
 		return
 	}
 	rd.backoff = rd.backoff.WithSuccess()
--- a/core/ownership/enrol.go
+++ b/core/ownership/enrol.go
@@ -104,7 +104,7 @@
 	l := &g.enrolment
 	g.Outage.Observe(now, err)
 	l.backoff = l.backoff.WithFailure()
-	l.job.End(now.Add(l.backoff.Wait(g.Rand)))
+	l.job.End(now.Add(l.backoff.Delay(g.Rand)))
 	g.steadyAt = clock.Instant{}
 }
 
--- a/core/watch/watch.go
+++ b/core/watch/watch.go
@@ -223,7 +223,7 @@
 		b.Fresh = true
 		w.reuseAt = now.Add(distrustSpan)
 		w.failed.beside = w.failed.beside.WithFailure()
-		w.due = now.Add(w.failed.beside.Wait(w.Rand))
+		w.due = now.Add(w.failed.beside.Delay(w.Rand))
 	case w.failed.count > 0:
 		b.Fresh = true
 		w.due = now.Add(parts.Read)
