--- a/core/calls/queue.go
+++ b/core/calls/queue.go
@@ -14,9 +14,9 @@
 // Queued reports whether the call waits in the queue.
 func (t *Table) Queued(c *Call) bool { return slices.Contains(t.queue, c) }
 
-// Wait puts the call into the queue. One that is full refuses the least
+// Enqueue puts the call into the queue. One that is full refuses the least
 // important call, which may be this one.
-func (t *Table) Wait(c *Call) {
+func (t *Table) Enqueue(c *Call) {
 	if c.Phase == Waiting && t.Queued(c) {
 		return
 	}
--- a/core/calls/queue_test.go
+++ b/core/calls/queue_test.go
@@ -35,7 +35,7 @@
 func (t *Table) add(k *Kind, id ID, priority int, arrived clock.Instant, target time.Duration) *Call {
 	c := &Call{Request: Request{ID: id}, Kind: k, Priority: priority, Arrived: arrived, Target: target, Phase: Waiting}
 	t.Add(c)
-	t.Wait(c)
+	t.Enqueue(c)
 	return c
 }
 
--- a/core/forwarding/overload.go
+++ b/core/forwarding/overload.go
@@ -121,5 +121,5 @@
 	if !f.Calls.Queued(c) {
 		f.Out.Log(logevent.CallWaits, "call", c.Forward.Name, "item", c.Item, "for", "engines with less to read")
 	}
-	f.Calls.Wait(c)
+	f.Calls.Enqueue(c)
 }
--- a/core/forwarding/place.go
+++ b/core/forwarding/place.go
@@ -26,7 +26,7 @@
 	}
 	s := stateOf(c)
 	if f.pauses(now, c, s) {
-		f.Calls.Wait(c)
+		f.Calls.Enqueue(c)
 		return
 	}
 	query := f.query(now, c, s)
--- a/core/forwarding/wait.go
+++ b/core/forwarding/wait.go
@@ -135,7 +135,7 @@
 		if !f.Calls.Queued(c) {
 			f.Out.Log(logevent.CallWaits, "call", c.Forward.Name, "item", c.Item, "for", "the rest of its replicas", "rest_ms", left.Milliseconds())
 		}
-		f.Calls.Wait(c)
+		f.Calls.Enqueue(c)
 	case c.History.RunState() != code.NotRun || s.progress.opened:
 		f.end(c, s, 0, "the other replicas that could serve it want no calls")
 	case c.Item != "" && left >= pool.LongRest:
@@ -160,7 +160,7 @@
 func (f *Forwarder) awaitAdapter(now clock.Instant, c *calls.Call) {
 	expected := time.Duration(adapterExpected * float64(c.Target))
 	if worthWaiting(now.Since(c.Arrived), expected, c.Target) {
-		f.Calls.Wait(c)
+		f.Calls.Enqueue(c)
 		return
 	}
 	f.Calls.Refuse(c, calls.NotRun(code.NotResident, fmt.Sprintf("%q cannot be loaded where its model is", c.Item), f.Calls.RetryAfter(noReplicaRetryAfter)))
@@ -179,7 +179,7 @@
 		if !f.Calls.Queued(c) {
 			f.Out.Log(logevent.CallWaits, "call", c.Forward.Name, "item", c.Item, "for", "its model", "eta_ms", eta.Milliseconds())
 		}
-		f.Calls.Wait(c)
+		f.Calls.Enqueue(c)
 		return
 	}
 	left := time.Duration(retryShare * float64(c.Expires.Since(now)))
--- a/core/own/modelcalls/place.go
+++ b/core/own/modelcalls/place.go
@@ -51,7 +51,7 @@
 	case best.Queue > h.allowance(now, c):
 		h.Calls.Refuse(c, calls.NotRun(code.NoCapacity, "every replica is full", h.Calls.RetryAfter(best.Queue)))
 	default:
-		h.Calls.Wait(c)
+		h.Calls.Enqueue(c)
 	}
 }
 
@@ -68,7 +68,7 @@
 		h.Calls.Refuse(c, calls.NotRun(code.NotResident, fmt.Sprintf("%q is not resident", c.Item), h.Calls.RetryAfter(s.load)))
 		return
 	}
-	h.Calls.Wait(c)
+	h.Calls.Enqueue(c)
 }
 
 func (h *Handler) dispatch(now clock.Instant, c *calls.Call, e choose.Estimate) {
