--- a/core/calls/queue.go
+++ b/core/calls/queue.go
@@ -43,8 +43,8 @@
 	return true
 }
 
-// LeaveQueue takes the call out of the queue, if it is there.
-func (t *Table) LeaveQueue(c *Call) {
+// Dequeue takes the call out of the queue, if it is there.
+func (t *Table) Dequeue(c *Call) {
 	if i := slices.Index(t.queue, c); i >= 0 {
 		t.queue = slices.Delete(t.queue, i, i+1)
 	}
@@ -54,7 +54,7 @@
 // Leave takes the call out of the queue, if it waits there, for another phase.
 func (t *Table) Leave(c *Call, next Phase) {
 	if c.Phase == Waiting {
-		t.LeaveQueue(c)
+		t.Dequeue(c)
 	}
 	c.Phase = next
 }
--- a/core/calls/table.go
+++ b/core/calls/table.go
@@ -117,7 +117,7 @@
 			c.Kind.Cancel(c, r)
 		}
 	case Waiting:
-		t.LeaveQueue(c)
+		t.Dequeue(c)
 		c.Kind.NotRun(c)
 	case Claiming:
 		c.Kind.NotRun(c)
@@ -144,7 +144,7 @@
 		r.Run = run
 	}
 	if c.Phase == Waiting {
-		t.LeaveQueue(c)
+		t.Dequeue(c)
 	}
 	if r.Run == code.NotRun {
 		c.Kind.NotRun(c)
