--- a/core/calls/queue.go
+++ b/core/calls/queue.go
@@ -51,8 +51,8 @@
 	c.Kind.LeftQueue(c)
 }
 
-// Leave takes the call out of the queue, if it waits there, for another phase.
-func (t *Table) Leave(c *Call, next Phase) {
+// EnterPhase takes the call out of the queue, if it waits there, for another phase.
+func (t *Table) EnterPhase(c *Call, next Phase) {
 	if c.Phase == Waiting {
 		t.Dequeue(c)
 	}
@@ -61,7 +61,7 @@
 
 // Sent notes that the call goes to a replica, as one more attempt.
 func (t *Table) Sent(now clock.Instant, c *Call, r *pool.Replica) {
-	t.Leave(c, Running)
+	t.EnterPhase(c, Running)
 	c.History = c.History.WithAttempt()
 	c.Replica = r.Name
 	c.Life = r.Incarnation()
--- a/core/forwarding/permit.go
+++ b/core/forwarding/permit.go
@@ -49,7 +49,7 @@
 	s.permits++
 	wait, alone := f.turnWait(now, c, q, best)
 	w := best.Replica.LimitReport()
-	f.Calls.Leave(c, calls.Permitting)
+	f.Calls.EnterPhase(c, calls.Permitting)
 	f.Out.Log(logevent.CallWaits, "call", c.Forward.Name, "item", c.Item, "for", "a permit", "replica", best.Replica.Name,
 		"per_s", w.Limit.PerSecond, "by", w.By, "ago_ms", now.Since(w.At).Milliseconds(), "most_ms", wait.Milliseconds())
 	f.Permits.ForCall(now, best.Replica, c.ID, s.route.Priority, wait, alone)
--- a/core/forwarding/probe.go
+++ b/core/forwarding/probe.go
@@ -82,7 +82,7 @@
 	if p.asked == 0 {
 		return false
 	}
-	f.Calls.Leave(c, calls.Probing)
+	f.Calls.EnterPhase(c, calls.Probing)
 	return true
 }
 
