--- a/core/calls/queue.go
+++ b/core/calls/queue.go
@@ -59,8 +59,8 @@
 	c.Phase = next
 }
 
-// Sent notes that the call goes to a replica, as one more attempt.
-func (t *Table) Sent(now clock.Instant, c *Call, r *pool.Replica) {
+// MarkSent notes that the call goes to a replica, as one more attempt.
+func (t *Table) MarkSent(now clock.Instant, c *Call, r *pool.Replica) {
 	t.EnterPhase(c, Running)
 	c.History = c.History.WithAttempt()
 	c.Replica = r.Name
--- a/core/forwarding/place.go
+++ b/core/forwarding/place.go
@@ -183,7 +183,7 @@
 // dispatch sends the call to the chosen replica.
 func (f *Forwarder) dispatch(now clock.Instant, c *calls.Call, e route.Estimate) {
 	s := stateOf(c)
-	f.Calls.Sent(now, c, e.Replica)
+	f.Calls.MarkSent(now, c, e.Replica)
 	s.sent = sent{
 		unread: c.PromptTokens - e.Cached,
 		alone:  e.Ahead == 0 && e.Calls <= aloneCalls,
--- a/core/own/modelcalls/place.go
+++ b/core/own/modelcalls/place.go
@@ -72,7 +72,7 @@
 }
 
 func (h *Handler) dispatch(now clock.Instant, c *calls.Call, e choose.Estimate) {
-	h.Calls.Sent(now, c, e.Replica)
+	h.Calls.MarkSent(now, c, e.Replica)
 	if c.Item != "" {
 		h.Chooser.Sent(c.Prefix, e.Replica.Name)
 	}
