--- a/core/calls/queue.go
+++ b/core/calls/queue.go
@@ -69,9 +69,9 @@
 	c.Answered = false
 }
 
-// Changed reports whether something changed since the last look over the queue
+// PoolChanged reports whether something changed since the last look over the queue
 // that could let a call go on.
-func (t *Table) Changed() bool { return t.Pool.CapacityChanges() != t.lookedAt }
+func (t *Table) PoolChanged() bool { return t.Pool.CapacityChanges() != t.lookedAt }
 
 // Retry looks again for replicas of the calls that wait, in order.
 func (t *Table) Retry(now clock.Instant) {
--- a/core/instance/machine.go
+++ b/core/instance/machine.go
@@ -99,7 +99,7 @@
 	m.state.Out.Reset()
 	m.handle(now, ev)
 	m.tick(now)
-	if _, tick := ev.(Tick); tick || m.calls.Changed() {
+	if _, tick := ev.(Tick); tick || m.calls.PoolChanged() {
 		m.calls.Retry(now)
 	}
 	return m.state.Out.Actions()
