--- a/core/calls/queue.go
+++ b/core/calls/queue.go
@@ -73,8 +73,8 @@
 // that could let a call go on.
 func (t *Table) PoolChanged() bool { return t.Pool.CapacityChanges() != t.lookedAt }
 
-// Retry looks again for replicas of the calls that wait, in order.
-func (t *Table) Retry(now clock.Instant) {
+// RetryQueued looks again for replicas of the calls that wait, in order.
+func (t *Table) RetryQueued(now clock.Instant) {
 	if len(t.queue) == 0 {
 		return
 	}
--- a/core/forwarding/forwarding_test.go
+++ b/core/forwarding/forwarding_test.go
@@ -309,7 +309,7 @@
 	is.Equal(r.Failures(), 0)
 	is.Equal(f.Calls.Waiting(), 1)
 	later := start.Add(300 * time.Millisecond)
-	f.Calls.Retry(later)
+	f.Calls.RetryQueued(later)
 	is.Equal(call.Phase, calls.Running)
 	is.Equal(call.Replica, "a")
 }
--- a/core/instance/machine.go
+++ b/core/instance/machine.go
@@ -100,7 +100,7 @@
 	m.handle(now, ev)
 	m.tick(now)
 	if _, tick := ev.(Tick); tick || m.calls.PoolChanged() {
-		m.calls.Retry(now)
+		m.calls.RetryQueued(now)
 	}
 	return m.state.Out.Actions()
 }
