--- a/core/calls/queue_test.go
+++ b/core/calls/queue_test.go
@@ -78,7 +78,7 @@
 			table.add(k, 1, 50, now, time.Second)
 			table.add(k, 2, 20, now, time.Second)
 			table.add(k, 3, c.priority, now, time.Second)
-			is.Equal(table.Waiting(), 2)
+			is.Equal(table.QueueLen(), 2)
 			var refused []ID
 			for _, a := range table.Out.Actions() {
 				if f, ok := a.(Finish); ok {
--- a/core/calls/table.go
+++ b/core/calls/table.go
@@ -45,8 +45,8 @@
 // Len returns how many calls are in progress.
 func (t *Table) Len() int { return len(t.calls) }
 
-// Waiting returns how many calls wait in the queue.
-func (t *Table) Waiting() int { return len(t.queue) }
+// QueueLen returns how many calls wait in the queue.
+func (t *Table) QueueLen() int { return len(t.queue) }
 
 // All returns the calls in progress, by rising ID.
 func (t *Table) All() []*Call {
--- a/core/instance/machine.go
+++ b/core/instance/machine.go
@@ -238,7 +238,7 @@
 	if m.orders.owned.Waiting() {
 		return wakeEveryOrder
 	}
-	if m.calls.Waiting() > 0 || m.permits.Waiting() || m.stop.Started() || m.calls.Len() > 0 && m.state.Config.HasForwards() {
+	if m.calls.QueueLen() > 0 || m.permits.Waiting() || m.stop.Started() || m.calls.Len() > 0 && m.state.Config.HasForwards() {
 		return wakeEveryBusy
 	}
 	return wakeEvery
--- a/core/instance/status.go
+++ b/core/instance/status.go
@@ -92,7 +92,7 @@
 		Revision:     m.state.Config.Revision(),
 		PlatformDown: m.state.Outage.Down(),
 		Calls:        m.calls.Len(),
-		Waiting:      m.calls.Waiting(),
+		Waiting:      m.calls.QueueLen(),
 	}
 	for _, p := range m.state.Members.Peers() {
 		s.Peers = append(s.Peers, PeerStatus{Name: p.Name, Zone: p.Zone, Address: p.Address, Live: p.Live(now)})
