--- a/core/calls/table.go
+++ b/core/calls/table.go
@@ -58,8 +58,8 @@
 	return all
 }
 
-// Overdue returns the calls that are to be given up at now, by rising ID.
-func (t *Table) Overdue(now clock.Instant) []*Call {
+// Expired returns the calls that are to be given up at now, by rising ID.
+func (t *Table) Expired(now clock.Instant) []*Call {
 	var over []*Call
 	for _, c := range t.calls {
 		if !c.Expires.IsZero() && !now.Before(c.Expires) {
--- a/core/forwarding/attempts.go
+++ b/core/forwarding/attempts.go
@@ -220,7 +220,7 @@
 		return
 	}
 	f.expireDue = now.Add(expireEvery)
-	for _, c := range f.Calls.Overdue(now) {
+	for _, c := range f.Calls.Expired(now) {
 		f.expire(c)
 	}
 }
