--- a/core/calls/table.go
+++ b/core/calls/table.go
@@ -162,9 +162,9 @@
 	return max(step.Jitter(t.Rand, d), LeastRetryAfter)
 }
 
-// CutAll gives every call its final answer because the process ends, and returns
+// AbortAll gives every call its final answer because the process ends, and returns
 // how many there were.
-func (t *Table) CutAll() int {
+func (t *Table) AbortAll() int {
 	all := t.All()
 	for _, c := range all {
 		t.cut(c)
--- a/core/shutdown/shutdown.go
+++ b/core/shutdown/shutdown.go
@@ -65,7 +65,7 @@
 }
 
 func (s *Controller) exit() {
-	cut := s.Calls.CutAll()
+	cut := s.Calls.AbortAll()
 	s.exited = true
 	s.Out.Log(logevent.Stopped, "cut", cut)
 	s.Out.Emit(Exit{Cut: cut})
