--- a/core/limit/limit.go
+++ b/core/limit/limit.go
@@ -25,8 +25,8 @@
 // Limit returns the calls allowed in flight, at least 1.
 func (c Concurrency) Limit() int { return max(1, int(c.limit)) }
 
-// WithGood returns c after an answer in time.
-func (c Concurrency) WithGood() Concurrency {
+// WithOnTime returns c after an answer in time.
+func (c Concurrency) WithOnTime() Concurrency {
 	c.limit = min(c.limit+growth/c.limit, c.start*ceilingTimes)
 	return c
 }
--- a/core/pool/replica.go
+++ b/core/pool/replica.go
@@ -296,7 +296,7 @@
 		r.Limit = r.Limit.WithLate()
 		return
 	}
-	r.Limit = r.Limit.WithGood()
+	r.Limit = r.Limit.WithOnTime()
 }
 
 // End notes that the call no longer occupies the replica.
