--- a/core/route/forward.go
+++ b/core/route/forward.go
@@ -231,7 +231,7 @@
 // headOwner returns the engine that rendezvous hashing names for the prompt's
 // first part, so that instances agree on where a new part is read first.
 func (f *Router) headOwner(q Query, usable []*pool.Replica) *pool.Replica {
-	key, ok := q.Chain.Head()
+	key, ok := q.Chain.First()
 	if !ok {
 		return nil
 	}
--- a/core/route/parts.go
+++ b/core/route/parts.go
@@ -38,8 +38,8 @@
 	return c
 }
 
-// Head returns the hash of the first part; ok is false for a chain without parts.
-func (c Chain) Head() (hash uint64, ok bool) {
+// First returns the hash of the first part; ok is false for a chain without parts.
+func (c Chain) First() (hash uint64, ok bool) {
 	if len(c.links) == 0 {
 		return 0, false
 	}
