--- a/core/route/forward.go
+++ b/core/route/forward.go
@@ -276,7 +276,7 @@
 		e.plain(r)
 		return e
 	}
-	e.Cached = min(f.cache(r.Incarnation()).Cached(q.Chain), q.Tokens)
+	e.Cached = min(f.cache(r.Incarnation()).CachedTokens(q.Chain), q.Tokens)
 	perToken := f.TokenTime(q.Model)
 	e.Prefill = time.Duration(q.Tokens-e.Cached) * perToken
 	if head {
--- a/core/route/parts.go
+++ b/core/route/parts.go
@@ -77,8 +77,8 @@
 	}
 }
 
-// Cached returns the tokens of the chain's leading parts that the cache holds.
-func (c *Cache) Cached(chain Chain) int {
+// CachedTokens returns the tokens of the chain's leading parts that the cache holds.
+func (c *Cache) CachedTokens(chain Chain) int {
 	if c == nil {
 		return 0
 	}
