--- a/core/forwarding/forwarding.go
+++ b/core/forwarding/forwarding.go
@@ -212,7 +212,7 @@
 	if out == 0 {
 		out = c.MaxTokens
 	}
-	read := time.Duration(freshShare * float64(c.PromptTokens) * float64(f.router.TokenTime(s.target.weight)))
+	read := time.Duration(freshShare * float64(c.PromptTokens) * float64(f.router.PrefillTokenTime(s.target.weight)))
 	return read + time.Duration(out)*decodeTime
 }
 
--- a/core/route/forward.go
+++ b/core/route/forward.go
@@ -90,9 +90,9 @@
 	MB    int64
 }
 
-// TokenTime returns how long an engine is believed to read one prompt token of
+// PrefillTokenTime returns how long an engine is believed to read one prompt token of
 // a model: as measured, else as measured of models of its size.
-func (f *Router) TokenTime(w Weight) time.Duration { return f.speed(w).tokenTime() }
+func (f *Router) PrefillTokenTime(w Weight) time.Duration { return f.speed(w).tokenTime() }
 
 // speed returns what is known of a model's speed: as measured, else as measured of
 // models of its size.
@@ -277,7 +277,7 @@
 		return e
 	}
 	e.Cached = min(f.cache(r.Incarnation()).CachedTokens(q.Chain), q.Tokens)
-	perToken := f.TokenTime(q.Model)
+	perToken := f.PrefillTokenTime(q.Model)
 	e.Prefill = time.Duration(q.Tokens-e.Cached) * perToken
 	if head {
 		e.Prefill -= time.Duration(headBonus * float64(e.Prefill))
--- a/core/route/speed_test.go
+++ b/core/route/speed_test.go
@@ -26,7 +26,7 @@
 			is := is.New(t)
 			f := NewRouter()
 			known, same, other := Weight{"m", 70}, Weight{"n", 70}, Weight{"o", 80}
-			is.Equal(f.TokenTime(known), defaultTokenTime)
+			is.Equal(f.PrefillTokenTime(known), defaultTokenTime)
 			for i := range 60 {
 				tokens := 300 + 37*(i*7%40)
 				took := tt.overhead + time.Duration(tokens)*tt.perToken
@@ -36,10 +36,10 @@
 				f.Learn(known, tokens, took)
 			}
 			const tolerance = 2 * time.Microsecond
-			is.True(f.TokenTime(known) > tt.perToken-tolerance)
-			is.True(f.TokenTime(known) < tt.perToken+tolerance)
-			is.Equal(f.TokenTime(same), f.TokenTime(known))
-			is.Equal(f.TokenTime(other), defaultTokenTime)
+			is.True(f.PrefillTokenTime(known) > tt.perToken-tolerance)
+			is.True(f.PrefillTokenTime(known) < tt.perToken+tolerance)
+			is.Equal(f.PrefillTokenTime(same), f.PrefillTokenTime(known))
+			is.Equal(f.PrefillTokenTime(other), defaultTokenTime)
 		})
 	}
 }
