--- a/core/route/forward.go
+++ b/core/route/forward.go
@@ -106,11 +106,11 @@
 	return newSpeed()
 }
 
-// Learn takes in how long a first event took, of a call with so many tokens to
+// ObserveFirstEvent takes in how long a first event took, of a call with so many tokens to
 // read on an engine that had no other prompt to read. What else happens there
 // makes some measurements too long, and parts that are kept there unknown to
 // this instance make others too short.
-func (f *Router) Learn(w Weight, tokens int, took time.Duration) {
+func (f *Router) ObserveFirstEvent(w Weight, tokens int, took time.Duration) {
 	f.speeds[w.Model] = f.speed(w).learn(tokens, took)
 	size, ok := f.perSize[w.MB]
 	if !ok {
--- a/core/route/speed_test.go
+++ b/core/route/speed_test.go
@@ -33,7 +33,7 @@
 				if tt.hiccups && i%10 == 9 {
 					took += time.Second
 				}
-				f.Learn(known, tokens, took)
+				f.ObserveFirstEvent(known, tokens, took)
 			}
 			const tolerance = 2 * time.Microsecond
 			is.True(f.PrefillTokenTime(known) > tt.perToken-tolerance)
