--- a/core/forwarding/place.go
+++ b/core/forwarding/place.go
@@ -190,7 +190,7 @@
 	}
 	e.Replica.StartPrefill(now, uint64(c.ID), pool.Prefill{Rank: s.route.Priority, Work: e.Prefill, Expected: e.Total()})
 	if c.Item != "" {
-		f.router.Sent(c.Life, s.target.chain, cacheTokens(s))
+		f.router.RecordPrompt(c.Life, s.target.chain, cacheTokens(s))
 		e.Replica.MarkUsed(c.Item)
 		f.Used(now, c.Replica, c.Item)
 	}
--- a/core/route/forward.go
+++ b/core/route/forward.go
@@ -125,9 +125,9 @@
 	cache *Cache
 }
 
-// Sent notes that a prompt goes to an engine that keeps so many tokens. One that has
+// RecordPrompt notes that a prompt goes to an engine that keeps so many tokens. One that has
 // started again keeps nothing of what was sent before.
-func (f *Router) Sent(engine pool.Incarnation, chain Chain, capacity int) {
+func (f *Router) RecordPrompt(engine pool.Incarnation, chain Chain, capacity int) {
 	c := f.cache(engine)
 	if c == nil {
 		c = NewCache(capacity)
--- a/core/route/forward_test.go
+++ b/core/route/forward_test.go
@@ -45,10 +45,10 @@
 	}{
 		{"the own zone", true, nil, "a"},
 		{"the other keeps the prompt", true, func(f *Router, _ *pool.Pool, _, b *pool.Replica, _ *Query) {
-			f.Sent(pool.Incarnation{Name: "b"}, chain, 100_000)
+			f.RecordPrompt(pool.Incarnation{Name: "b"}, chain, 100_000)
 		}, "b"},
 		{"the other kept the prompt before it started again", true, func(f *Router, p *pool.Pool, _, b *pool.Replica, _ *Query) {
-			f.Sent(b.Incarnation(), chain, 100_000)
+			f.RecordPrompt(b.Incarnation(), chain, 100_000)
 			next := b.Announcement()
 			next.Born = "2"
 			p.Announce(start, "b", next)
