--- a/core/forwarding/attempts.go
+++ b/core/forwarding/attempts.go
@@ -235,9 +235,9 @@
 	return calls.NotRun(code.Quarantined, "", left)
 }
 
-// Cut ends the calls of a request that is not to be run any more. A replica that has not
+// RefuseQuarantined ends the calls of a request that is not to be run any more. A replica that has not
 // begun to run one drops it when its connection closes, and is spared so.
-func (f *Forwarder) Cut(request crash.Fingerprint, left time.Duration) {
+func (f *Forwarder) RefuseQuarantined(request crash.Fingerprint, left time.Duration) {
 	for _, c := range f.Calls.All() {
 		if c.Forward == nil || c.Forward.Fingerprint != request {
 			continue
--- a/core/forwarding/permit_test.go
+++ b/core/forwarding/permit_test.go
@@ -161,9 +161,11 @@
 		"the replica wants nothing": func(f *Forwarder, _ *calls.Call, _ *pool.Replica) {
 			f.Pool.ObserveNotice(start, "r", start, pool.Notice{Rest: time.Hour})
 		},
-		"the replica leaves":         func(f *Forwarder, _ *calls.Call, _ *pool.Replica) { f.Pool.MarkTerminated("r") },
-		"its model went":             func(f *Forwarder, _ *calls.Call, _ *pool.Replica) { f.Pool.MarkAbsent("r", "m") },
-		"its request is not run now": func(f *Forwarder, c *calls.Call, _ *pool.Replica) { f.Cut(c.Forward.Fingerprint, time.Second) },
+		"the replica leaves": func(f *Forwarder, _ *calls.Call, _ *pool.Replica) { f.Pool.MarkTerminated("r") },
+		"its model went":     func(f *Forwarder, _ *calls.Call, _ *pool.Replica) { f.Pool.MarkAbsent("r", "m") },
+		"its request is not run now": func(f *Forwarder, c *calls.Call, _ *pool.Replica) {
+			f.RefuseQuarantined(c.Forward.Fingerprint, time.Second)
+		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
--- a/core/instance/build.go
+++ b/core/instance/build.go
@@ -109,7 +109,7 @@
 		Stored: m.state.Options.Environment == option.Platform,
 		Tell:   func(now clock.Instant) { m.exchanges.TellAll(now) },
 		Direct: m.orders.roster.FullMesh,
-		Cut:    func(request crash.Fingerprint, left time.Duration) { m.forwarding.Cut(request, left) },
+		Cut:    func(request crash.Fingerprint, left time.Duration) { m.forwarding.RefuseQuarantined(request, left) },
 	})
 	m.orders.registry.Quarantined = m.quarantine.Restored
 	m.orders.registry.SteppedBack = m.quarantine.SteppedBack
