--- a/core/forwarding/attempts.go
+++ b/core/forwarding/attempts.go
@@ -198,9 +198,9 @@
 	}
 }
 
-// Restarted takes in that a replica has started again: what was at its former life ended
+// ReplicaRestarted takes in that a replica has started again: what was at its former life ended
 // with it. Calls whose connections do not show that would wait there for nothing.
-func (f *Forwarder) Restarted(now clock.Instant, replica string) {
+func (f *Forwarder) ReplicaRestarted(now clock.Instant, replica string) {
 	for _, c := range f.Calls.All() {
 		if c.Forward == nil || c.Phase != calls.Running || c.Replica != replica {
 			continue
--- a/core/instance/build.go
+++ b/core/instance/build.go
@@ -138,7 +138,7 @@
 		KnownAt:   func() clock.Instant { return m.exchanges.StoreKnownUntil() },
 		Announced: m.orders.owned.Announced,
 		Present:   m.notices.HandleAnnounced,
-		Restarted: func(now clock.Instant, replica string) { m.forwarding.Restarted(now, replica) },
+		Restarted: func(now clock.Instant, replica string) { m.forwarding.ReplicaRestarted(now, replica) },
 		TellSoon:  func(now clock.Instant) { m.exchanges.TellSoon(now) },
 	}
 	m.exchanges = exchange.New(exchange.Deps{
