--- a/core/forwarding/forwarding_test.go
+++ b/core/forwarding/forwarding_test.go
@@ -53,7 +53,7 @@
 			Told:      func(clock.Instant, string, pool.Incarnation, pool.LimitReport) {},
 			Repeats:   func() (float64, time.Duration) { return 4, 10 * time.Second },
 			Decided: func(now clock.Instant, call calls.ID, s permits.Subject, v permits.Verdict) {
-				f.Permitted(now, call, s, v)
+				f.PermitDecided(now, call, s, v)
 			},
 		}),
 	})
--- a/core/forwarding/permit.go
+++ b/core/forwarding/permit.go
@@ -73,9 +73,9 @@
 	return time.Duration(turnShare*float64(c.Target)) - now.Since(c.Arrived)
 }
 
-// Permitted takes in what came of a call's request for a permit. A permit that is of no use
+// PermitDecided takes in what came of a call's request for a permit. A permit that is of no use
 // any more is given back.
-func (f *Forwarder) Permitted(now clock.Instant, id calls.ID, subject permits.Subject, v permits.Verdict) {
+func (f *Forwarder) PermitDecided(now clock.Instant, id calls.ID, subject permits.Subject, v permits.Verdict) {
 	c := f.Calls.Get(id)
 	waits := c != nil && c.Phase == calls.Permitting
 	if !waits {
--- a/core/instance/build.go
+++ b/core/instance/build.go
@@ -123,7 +123,7 @@
 		Told:      m.notices.HandlePeerLimit,
 		Repeats:   m.budget.SharedRetries,
 		Decided: func(now clock.Instant, call calls.ID, s permits.Subject, v permits.Verdict) {
-			m.forwarding.Permitted(now, call, s, v)
+			m.forwarding.PermitDecided(now, call, s, v)
 		},
 	})
 	m.orders.owned.Permitted = m.permits.ForOrder
