--- a/core/forwarding/forwarding.go
+++ b/core/forwarding/forwarding.go
@@ -216,8 +216,8 @@
 	return read + time.Duration(out)*decodeTime
 }
 
-// Resume has a call that waited for an order look for its replica again.
-func (f *Forwarder) Resume(now clock.Instant, id calls.ID) {
+// OrderDone has a call that waited for an order look for its replica again.
+func (f *Forwarder) OrderDone(now clock.Instant, id calls.ID) {
 	if c := f.Calls.Get(id); c != nil && c.Phase == calls.Fetching {
 		c.Phase = calls.Waiting
 		f.findReplica(now, c)
--- a/core/instance/build.go
+++ b/core/instance/build.go
@@ -94,7 +94,7 @@
 	o.asks.Pool = m.state.Pool
 	o.asks.Owned = o.owned
 	o.asks.Owner = o.registry.Owner
-	o.asks.Resume = func(now clock.Instant, id calls.ID) { m.forwarding.Resume(now, id) }
+	o.asks.Resume = func(now clock.Instant, id calls.ID) { m.forwarding.OrderDone(now, id) }
 	o.roster.Instances = o.registry.Instances
 	o.owned.MayOrder = o.registry.MayOrderWithFence
 	o.owned.Published = func(now clock.Instant) { m.exchanges.TellSoon(now) }
