--- a/core/attempt/attempt.go
+++ b/core/attempt/attempt.go
@@ -37,14 +37,14 @@
 	}
 }
 
-// A Step is what to do after an attempt broke.
-type Step int
+// A Decision is what to do after an attempt broke.
+type Decision int
 
 // The steps.
 const (
-	Fail   Step = iota // give the call its final answer
-	Retry              // start anew, at any replica
-	Resume             // go on at the delivered offset, at the same replica
+	Fail   Decision = iota // give the call its final answer
+	Retry                  // start anew, at any replica
+	Resume                 // go on at the delivered offset, at the same replica
 )
 
 // MaxResumes bounds how often one attempt is resumed, so that a connection
@@ -108,7 +108,7 @@
 
 // Decide returns the step after a break; h must already include it. Whether the
 // retry budget allows a Retry is the caller's matter.
-func (h History) Decide(b Break) Step {
+func (h History) Decide(b Break) Decision {
 	if b.Phase == Ended {
 		return Fail
 	}
