--- a/core/attempt/attempt.go
+++ b/core/attempt/attempt.go
@@ -97,8 +97,8 @@
 // RunState says whether the call ran, as far as its attempts tell.
 func (h History) RunState() code.RunState { return h.run }
 
-// A Break describes the end of an attempt that was not its proper end.
-type Break struct {
+// A Failure describes the end of an attempt that was not its proper end.
+type Failure struct {
 	Phase     Phase
 	Delivered int  // tokens or bytes that reached the caller
 	SameBoot  bool // the replica is the same process and can resume
@@ -108,7 +108,7 @@
 
 // Decide returns the step after a break; h must already include it. Whether the
 // retry budget allows a Retry is the caller's matter.
-func (h History) Decide(b Break) Decision {
+func (h History) Decide(b Failure) Decision {
 	if b.Phase == Ended {
 		return Fail
 	}
@@ -124,11 +124,11 @@
 	return Fail
 }
 
-func (h History) mayResume(b Break) bool {
+func (h History) mayResume(b Failure) bool {
 	return b.SameBoot && h.Resumes < MaxResumes && b.Phase != NotSent && b.Phase != Refused
 }
 
-func (h History) mayStartAnew(b Break) bool {
+func (h History) mayStartAnew(b Failure) bool {
 	if b.Delivered > 0 || b.Spent {
 		return false
 	}
--- a/core/attempt/attempt_test.go
+++ b/core/attempt/attempt_test.go
@@ -46,7 +46,7 @@
 			phase := Phase(rapid.IntRange(int(NotSent), int(Refused)).Draw(t, "phase"))
 			h = h.WithFailure(phase)
 			mayHaveRun = mayHaveRun || phase.RunState() != code.NotRun
-			step := h.Decide(Break{
+			step := h.Decide(Failure{
 				Phase:     phase,
 				Delivered: rapid.IntRange(0, 1).Draw(t, "delivered"),
 				SameBoot:  rapid.Bool().Draw(t, "same boot"),
@@ -70,7 +70,7 @@
 
 func TestNothingStartsAnewAfterAByteWasDelivered(t *testing.T) {
 	h := New(true).WithAttempt().WithFailure(Answered)
-	is.New(t).Equal(h.Decide(Break{Phase: Answered, Delivered: 1}), Fail)
+	is.New(t).Equal(h.Decide(Failure{Phase: Answered, Delivered: 1}), Fail)
 }
 
 func TestResumesAreBounded(t *testing.T) {
@@ -78,5 +78,5 @@
 	for range MaxResumes {
 		h = h.WithResume()
 	}
-	is.New(t).Equal(h.Decide(Break{Phase: Answered, Delivered: 1, SameBoot: true}), Fail)
+	is.New(t).Equal(h.Decide(Failure{Phase: Answered, Delivered: 1, SameBoot: true}), Fail)
 }
--- a/core/own/modelcalls/attempts.go
+++ b/core/own/modelcalls/attempts.go
@@ -55,7 +55,7 @@
 func (h *Handler) attemptFailed(now clock.Instant, c *calls.Call, e calls.AttemptFailed) {
 	h.settleReplica(now, c, e)
 	c.History = c.History.WithFailure(e.Phase)
-	next := c.History.Decide(attempt.Break{
+	next := c.History.Decide(attempt.Failure{
 		Phase: e.Phase, Delivered: e.Delivered, SameBoot: e.Resumable, Stalled: e.Stalled, Spent: e.BodyConsumed,
 	})
 	if h.Options.Disable.AtMost && next == attempt.Fail && e.Delivered == 0 {
