--- a/core/calls/call.go
+++ b/core/calls/call.go
@@ -73,7 +73,7 @@
 // A Call is one call in progress.
 type Call struct {
 	Request
-	Kind  *Kind
+	Kind  *Handlers
 	State any // the kind's own
 
 	Item     string        // adapter or model that must be ready; "" if it needs none
@@ -90,8 +90,8 @@
 	Answered bool // the first piece of the answer came
 }
 
-// A Kind is what differs between kinds of call.
-type Kind struct {
+// A Handlers is what differs between kinds of call.
+type Handlers struct {
 	// FindReplica sends the call to the best replica, has it wait, or refuses it.
 	FindReplica func(now clock.Instant, c *Call)
 	// AnswerBegan takes in that the first piece of the answer came.
--- a/core/calls/queue_test.go
+++ b/core/calls/queue_test.go
@@ -16,7 +16,7 @@
 
 // testTable is a table whose calls of kind k have them refused, and tried again,
 // by nobody.
-func testTable(maxWaiting int) (t *Table, k *Kind) {
+func testTable(maxWaiting int) (t *Table, k *Handlers) {
 	opt := option.Default()
 	opt.MaxWaiting = maxWaiting
 	t = New()
@@ -24,7 +24,7 @@
 	t.Rand = rand.New(rand.NewPCG(1, 1))
 	t.Out = &step.Output{}
 	t.Pool = pool.New()
-	k = &Kind{
+	k = &Handlers{
 		FindReplica: func(clock.Instant, *Call) {},
 		NotRun:      func(*Call) {},
 		LeftQueue:   func(*Call) {},
@@ -32,7 +32,7 @@
 	return t, k
 }
 
-func (t *Table) add(k *Kind, id ID, priority int, arrived clock.Instant, target time.Duration) *Call {
+func (t *Table) add(k *Handlers, id ID, priority int, arrived clock.Instant, target time.Duration) *Call {
 	c := &Call{Request: Request{ID: id}, Kind: k, Priority: priority, Arrived: arrived, Target: target, Phase: Waiting}
 	t.Add(c)
 	t.Enqueue(c)
--- a/core/forwarding/forwarding.go
+++ b/core/forwarding/forwarding.go
@@ -56,7 +56,7 @@
 // A Forwarder serves forwarded calls.
 type Forwarder struct {
 	Needs
-	kind      calls.Kind
+	kind      calls.Handlers
 	router    *route.Router
 	probing   probing       // whether calls ask engines how busy they are
 	expireDue clock.Instant // when to look for calls whose time is over
@@ -110,7 +110,7 @@
 // New returns a forwarder that has seen no call.
 func New(n Needs) *Forwarder {
 	f := &Forwarder{Needs: n, router: route.NewRouter()}
-	f.kind = calls.Kind{
+	f.kind = calls.Handlers{
 		FindReplica:   f.findReplica,
 		AnswerBegan:   f.answerBegan,
 		AttemptFailed: f.attemptFailed,
--- a/core/own/modelcalls/modelcalls.go
+++ b/core/own/modelcalls/modelcalls.go
@@ -48,7 +48,7 @@
 // A Handler serves calls of the own interface.
 type Handler struct {
 	Needs
-	kind   calls.Kind
+	kind   calls.Handlers
 	able   []*pool.Replica // what candidates returned last
 	recent decisions
 }
@@ -71,7 +71,7 @@
 // New returns a handler that has seen no call.
 func New(n Needs) *Handler {
 	h := &Handler{Needs: n}
-	h.kind = calls.Kind{
+	h.kind = calls.Handlers{
 		FindReplica:   h.findReplica,
 		AnswerBegan:   h.answerBegan,
 		AttemptFailed: h.attemptFailed,
--- a/core/shutdown/shutdown_test.go
+++ b/core/shutdown/shutdown_test.go
@@ -47,7 +47,7 @@
 			for id := range c.calls {
 				table.Add(&calls.Call{
 					Request: calls.Request{ID: calls.ID(id)}, Phase: calls.Fetching,
-					Kind: &calls.Kind{NotRun: func(*calls.Call) {}},
+					Kind: &calls.Handlers{NotRun: func(*calls.Call) {}},
 				})
 			}
 			handedOver := 0
