--- a/core/calls/call.go
+++ b/core/calls/call.go
@@ -39,11 +39,11 @@
 	PromptTokens   int
 	MaxTokens      int
 	Prefix         choose.Prefix
-	Forward        *Forwarded // of a forwarded call; nil for the own interface
+	Forward        *ForwardRequest // of a forwarded call; nil for the own interface
 }
 
-// A Forwarded is what a forwarded call says of itself.
-type Forwarded struct {
+// A ForwardRequest is what a forwarded call says of itself.
+type ForwardRequest struct {
 	Name string // the caller's identity of the call, for logs
 	// Fingerprint is the same for all tries of one request.
 	Fingerprint crash.Fingerprint
--- a/core/forwarding/forwarding_test.go
+++ b/core/forwarding/forwarding_test.go
@@ -68,7 +68,7 @@
 		service: config.Service{Name: "s", Announced: &config.Announced{Engine: engines}},
 	}
 	c := &calls.Call{
-		Request: calls.Request{ID: 1, Service: "s", Forward: &calls.Forwarded{Name: "call"}},
+		Request: calls.Request{ID: 1, Service: "s", Forward: &calls.ForwardRequest{Name: "call"}},
 		Kind:    &f.kind, State: s, Phase: calls.Running, Arrived: start, Target: time.Second, Expires: start.Add(5 * time.Second),
 		History: attempt.New(s.route.MayRepeat()),
 	}
@@ -344,6 +344,6 @@
 	is.True(f.pauses(after, c, s))
 	later := after.Add(f.Quarantine.SendDelay(7))
 	is.True(!f.pauses(later, c, s))
-	f.Calls.Add(&calls.Call{Request: calls.Request{ID: 2, Forward: &calls.Forwarded{Fingerprint: 7}}, Phase: calls.Running})
+	f.Calls.Add(&calls.Call{Request: calls.Request{ID: 2, Forward: &calls.ForwardRequest{Fingerprint: 7}}, Phase: calls.Running})
 	is.True(f.pauses(later, c, s))
 }
--- a/core/instance/announced_world_test.go
+++ b/core/instance/announced_world_test.go
@@ -1086,7 +1086,7 @@
 			}
 			r := calls.Request{
 				ID: calls.ID(f.order), Path: "/x", Replayable: true, PromptTokens: f.tokens,
-				Forward: &calls.Forwarded{
+				Forward: &calls.ForwardRequest{
 					Name: fmt.Sprint(f.order), Fingerprint: crash.Fingerprint(f.order) << 32,
 					Host: "h", Model: fmt.Sprintf("m%d", model()), Adapter: adapter,
 				},
--- a/core/instance/crash_test.go
+++ b/core/instance/crash_test.go
@@ -107,7 +107,7 @@
 			return
 		}
 		l.f.token()
-		r := calls.Request{ID: calls.ID(l.f.order), Path: "/x", Replayable: true, PromptTokens: 1750, Forward: &calls.Forwarded{
+		r := calls.Request{ID: calls.ID(l.f.order), Path: "/x", Replayable: true, PromptTokens: 1750, Forward: &calls.ForwardRequest{
 			Name: fmt.Sprint(l.f.order), Fingerprint: fingerprint, Host: "h", Model: fmt.Sprintf("m%d", model),
 		}}
 		l.calls[r.ID] = &labCall{request: r, poison: true, again: true}
--- a/core/instance/gone_test.go
+++ b/core/instance/gone_test.go
@@ -36,7 +36,7 @@
 func (l *soloLab) arrive(model, adapter string) []step.Action {
 	return l.m.Step(l.now, calls.Arrived{Call: calls.Request{
 		ID: goneCall, Path: "/x", Replayable: true, PromptTokens: 100,
-		Forward: &calls.Forwarded{Name: "call", Host: "h", Model: model, Adapter: adapter, Fingerprint: 7},
+		Forward: &calls.ForwardRequest{Name: "call", Host: "h", Model: model, Adapter: adapter, Fingerprint: 7},
 	}})
 }
 
--- a/core/instance/lives_test.go
+++ b/core/instance/lives_test.go
@@ -173,7 +173,7 @@
 // call has a call arrive, and returns where it is sent.
 func (l *soloLab) call(id calls.ID) []calls.Dispatch {
 	return soloStep[calls.Dispatch](l, calls.Arrived{Call: calls.Request{
-		ID: id, Path: "/x", Replayable: true, PromptTokens: 100, Forward: &calls.Forwarded{Name: "call", Host: "h", Model: "m0"},
+		ID: id, Path: "/x", Replayable: true, PromptTokens: 100, Forward: &calls.ForwardRequest{Name: "call", Host: "h", Model: "m0"},
 	}})
 }
 
--- a/core/instance/probe_test.go
+++ b/core/instance/probe_test.go
@@ -47,7 +47,7 @@
 }
 
 func probeCall(id calls.ID) calls.Arrived {
-	return calls.Arrived{Call: calls.Request{ID: id, Path: "/x", Replayable: true, PromptTokens: 4000, Forward: &calls.Forwarded{Name: "call", Host: "h", Model: "m0"}}}
+	return calls.Arrived{Call: calls.Request{ID: id, Path: "/x", Replayable: true, PromptTokens: 4000, Forward: &calls.ForwardRequest{Name: "call", Host: "h", Model: "m0"}}}
 }
 
 // asked returns the engines that are asked how busy they are.
--- a/internal/entry/forward.go
+++ b/internal/entry/forward.go
@@ -73,7 +73,7 @@
 		Replayable:   !body.Streamed(),
 		PromptTokens: req.PromptTokens,
 		MaxTokens:    req.MaxTokens,
-		Forward: &calls.Forwarded{
+		Forward: &calls.ForwardRequest{
 			Name:        req.CallID,
 			Fingerprint: fingerprint(r, body),
 			Host:        r.Host,
