--- a/core/forwarding/forwarding.go
+++ b/core/forwarding/forwarding.go
@@ -218,7 +218,7 @@
 
 // OrderDone has a call that waited for an order look for its replica again.
 func (f *Forwarder) OrderDone(now clock.Instant, id calls.ID) {
-	if c := f.Calls.Get(id); c != nil && c.Phase == calls.Fetching {
+	if c := f.Calls.Get(id); c != nil && c.Phase == calls.AwaitingOrder {
 		c.Phase = calls.Waiting
 		f.findReplica(now, c)
 	}
--- a/core/forwarding/place.go
+++ b/core/forwarding/place.go
@@ -170,7 +170,7 @@
 // fetch has the call's adapter loaded on an engine.
 func (f *Forwarder) fetch(now clock.Instant, c *calls.Call, r *pool.Replica) {
 	s := stateOf(c)
-	f.Calls.EnterPhase(c, calls.Fetching)
+	f.Calls.EnterPhase(c, calls.AwaitingOrder)
 	s.fetches++
 	f.Out.Log(logevent.CallWaits, "call", c.Forward.Name, "item", c.Item, "for", "an order", "engine", r.Name)
 	f.Asks.ForCall(now, orderKey(s, r), c.ID)
--- a/core/instance/gone_test.go
+++ b/core/instance/gone_test.go
@@ -104,7 +104,7 @@
 			}
 			l.arrive("m0", "")
 		}, nil},
-		{"it waits for an adapter", calls.Fetching, func(l *soloLab) { l.arrive("m0", "a1") }, func(l *soloLab) []step.Action {
+		{"it waits for an adapter", calls.AwaitingOrder, func(l *soloLab) { l.arrive("m0", "a1") }, func(l *soloLab) []step.Action {
 			e := l.m.orders.owned.Get("e0")
 			return l.m.Step(l.now, owned.OrderReply{Engine: "e0", Fence: e.Fence, Answer: 2})
 		}},
--- a/core/shutdown/shutdown_test.go
+++ b/core/shutdown/shutdown_test.go
@@ -46,7 +46,7 @@
 			table.Pool = pool.New()
 			for id := range c.calls {
 				table.Add(&calls.Call{
-					Request: calls.Request{ID: calls.ID(id)}, Phase: calls.Fetching,
+					Request: calls.Request{ID: calls.ID(id)}, Phase: calls.AwaitingOrder,
 					Kind: &calls.Handlers{NotRun: func(*calls.Call) {}},
 				})
 			}
