--- a/core/calls/call.go
+++ b/core/calls/call.go
@@ -62,12 +62,12 @@
 
 // The phases.
 const (
-	Claiming      Phase = iota + 1 // its idempotency key is being claimed
-	Waiting                        // it looks for a replica, or waits in the queue
-	Running                        // a replica has it
-	AwaitingOrder                  // it waits for an order that it needs
-	Probing                        // it waits for engines to say how busy they are
-	Permitting                     // it waits for a permit to go to a replica that names a limit
+	Claiming       Phase = iota + 1 // its idempotency key is being claimed
+	Waiting                         // it looks for a replica, or waits in the queue
+	Running                         // a replica has it
+	AwaitingOrder                   // it waits for an order that it needs
+	Probing                         // it waits for engines to say how busy they are
+	AwaitingPermit                  // it waits for a permit to go to a replica that names a limit
 )
 
 // A Call is one call in progress.
--- a/core/forwarding/attempts.go
+++ b/core/forwarding/attempts.go
@@ -91,7 +91,7 @@
 func (f *Forwarder) askRepeat(now clock.Instant, c *calls.Call, b failure) {
 	s := stateOf(c)
 	s.failed = &b
-	f.Calls.EnterPhase(c, calls.Permitting)
+	f.Calls.EnterPhase(c, calls.AwaitingPermit)
 	f.Permits.ForRepeat(now, c.Service, c.ID, s.route.Priority, f.patience(now, c))
 }
 
--- a/core/forwarding/permit.go
+++ b/core/forwarding/permit.go
@@ -49,7 +49,7 @@
 	s.permits++
 	wait, alone := f.turnWait(now, c, q, best)
 	w := best.Replica.LimitReport()
-	f.Calls.EnterPhase(c, calls.Permitting)
+	f.Calls.EnterPhase(c, calls.AwaitingPermit)
 	f.Out.Log(logevent.CallWaits, "call", c.Forward.Name, "item", c.Item, "for", "a permit", "replica", best.Replica.Name,
 		"per_s", w.Limit.PerSecond, "by", w.By, "ago_ms", now.Since(w.At).Milliseconds(), "most_ms", wait.Milliseconds())
 	f.Permits.ForCall(now, best.Replica, c.ID, s.route.Priority, wait, alone)
@@ -77,7 +77,7 @@
 // any more is given back.
 func (f *Forwarder) PermitDecided(now clock.Instant, id calls.ID, subject permits.Subject, v permits.Verdict) {
 	c := f.Calls.Get(id)
-	waits := c != nil && c.Phase == calls.Permitting
+	waits := c != nil && c.Phase == calls.AwaitingPermit
 	if !waits {
 		if v.Granted {
 			f.Permits.GiveBack(now, subject)
--- a/core/forwarding/permit_test.go
+++ b/core/forwarding/permit_test.go
@@ -116,7 +116,7 @@
 			c.prepare(call)
 			f.findReplica(start, call)
 			refused, _ := finished(f.Out)
-			is.Equal(call.Phase == calls.Permitting, c.waits)
+			is.Equal(call.Phase == calls.AwaitingPermit, c.waits)
 			is.Equal(refused[1].Code, c.code)
 			is.Equal(len(f.dispatches()), 0)
 			if c.code == code.NoCapacity {
@@ -175,7 +175,7 @@
 			c := f.callFor(1)
 			c.Forward.Fingerprint = crash.Fingerprint(7)
 			f.findReplica(start, c)
-			is.Equal(c.Phase, calls.Permitting)
+			is.Equal(c.Phase, calls.AwaitingPermit)
 			happens(f, c, r)
 			f.Permits.Tick(start.Add(450 * time.Millisecond))
 			is.Equal(len(f.dispatches()), 0)
