--- a/core/calls/call.go
+++ b/core/calls/call.go
@@ -62,7 +62,7 @@
 
 // The phases.
 const (
-	Claiming       Phase = iota + 1 // its idempotency key is being claimed
+	ClaimingKey    Phase = iota + 1 // its idempotency key is being claimed
 	Waiting                         // it looks for a replica, or waits in the queue
 	Running                         // a replica has it
 	AwaitingOrder                   // it waits for an order that it needs
--- a/core/calls/table.go
+++ b/core/calls/table.go
@@ -119,7 +119,7 @@
 	case Waiting:
 		t.Dequeue(c)
 		c.Kind.NotRun(c)
-	case Claiming:
+	case ClaimingKey:
 		c.Kind.NotRun(c)
 	}
 	t.Remove(c)
--- a/core/own/modelcalls/claims.go
+++ b/core/own/modelcalls/claims.go
@@ -80,7 +80,7 @@
 		h.Calls.Refuse(c, calls.NotRun(code.PlatformDown, "the idempotency key cannot be claimed now", h.Calls.RetryAfter(outage.DefaultMaxRetryDelay)))
 		return
 	}
-	c.Phase = calls.Claiming
+	c.Phase = calls.ClaimingKey
 	s.claims++
 	h.Out.Emit(Claim{ID: c.ID, Key: s.claimKey, Life: h.Options.ClaimLife})
 }
@@ -88,7 +88,7 @@
 // ClaimReplied takes in what came of a claim, or of reading one back.
 func (h *Handler) ClaimReplied(now clock.Instant, e ClaimReply) {
 	c := h.Calls.Get(e.ID)
-	if c == nil || c.Phase != calls.Claiming {
+	if c == nil || c.Phase != calls.ClaimingKey {
 		return
 	}
 	s := stateOf(c)
