--- a/core/calls/call.go
+++ b/core/calls/call.go
@@ -135,8 +135,8 @@
 // Late reports whether the call's target has passed already.
 func (c *Call) Late(now clock.Instant) bool { return now.Since(c.Arrived) > c.Target }
 
-// NotRun returns the refusal of a call that certainly did not run.
-func NotRun(c code.Code, detail string, after time.Duration) code.Refusal {
+// NotRunRefusal returns the refusal of a call that certainly did not run.
+func NotRunRefusal(c code.Code, detail string, after time.Duration) code.Refusal {
 	return code.Refusal{Code: c, Run: code.NotRun, RetryAfter: after, Detail: detail}
 }
 
@@ -145,9 +145,9 @@
 func Admission(refusing, configured bool) (r code.Refusal, ok bool) {
 	switch {
 	case refusing:
-		return NotRun(code.Stopping, "this instance is stopping", LeastRetryAfter), false
+		return NotRunRefusal(code.Stopping, "this instance is stopping", LeastRetryAfter), false
 	case !configured:
-		return NotRun(code.NoConfiguration, "no configuration yet", LeastRetryAfter), false
+		return NotRunRefusal(code.NoConfiguration, "no configuration yet", LeastRetryAfter), false
 	default:
 		return r, true
 	}
--- a/core/calls/queue.go
+++ b/core/calls/queue.go
@@ -21,7 +21,7 @@
 		return
 	}
 	if len(t.queue) >= t.Options.MaxWaiting && !t.displace(c) {
-		t.Refuse(c, NotRun(code.NoCapacity, "too many calls wait", t.RetryAfter(0)))
+		t.Refuse(c, NotRunRefusal(code.NoCapacity, "too many calls wait", t.RetryAfter(0)))
 		return
 	}
 	c.Phase = Waiting
@@ -39,7 +39,7 @@
 	if least == nil || least.Priority >= c.Priority {
 		return false
 	}
-	t.Refuse(least, NotRun(code.NoCapacity, "gave way to a more important call", t.RetryAfter(0)))
+	t.Refuse(least, NotRunRefusal(code.NoCapacity, "gave way to a more important call", t.RetryAfter(0)))
 	return true
 }
 
--- a/core/calls/table.go
+++ b/core/calls/table.go
@@ -174,7 +174,7 @@
 
 func (t *Table) cut(c *Call) {
 	if c.Phase != Running {
-		t.Refuse(c, NotRun(code.Stopping, "this instance stopped", LeastRetryAfter))
+		t.Refuse(c, NotRunRefusal(code.Stopping, "this instance stopped", LeastRetryAfter))
 		return
 	}
 	if r := t.Pool.Get(c.Replica); r != nil {
--- a/core/forwarding/attempts.go
+++ b/core/forwarding/attempts.go
@@ -143,7 +143,7 @@
 	case s.progress.opened:
 		f.Calls.Refuse(c, code.Refusal{Code: code.StreamCut, Run: run, Detail: detail})
 	case run == code.NotRun:
-		f.Calls.Refuse(c, calls.NotRun(code.NoCapacity, detail, f.Calls.RetryAfter(0)))
+		f.Calls.Refuse(c, calls.NotRunRefusal(code.NoCapacity, detail, f.Calls.RetryAfter(0)))
 	default:
 		f.Calls.Refuse(c, code.Refusal{Code: code.UpstreamBroke, Run: run, Detail: detail})
 	}
@@ -232,7 +232,7 @@
 
 // quarantined returns the refusal of a call whose request is not run for so long.
 func quarantined(left time.Duration) code.Refusal {
-	return calls.NotRun(code.Quarantined, "", left)
+	return calls.NotRunRefusal(code.Quarantined, "", left)
 }
 
 // RefuseQuarantined ends the calls of a request that is not to be run any more. A replica that has not
@@ -260,7 +260,7 @@
 
 func (f *Forwarder) expire(c *calls.Call) {
 	if c.Phase != calls.Running {
-		f.Calls.Refuse(c, calls.NotRun(code.TargetMissed, "it waited until its time was over", f.Calls.RetryAfter(0)))
+		f.Calls.Refuse(c, calls.NotRunRefusal(code.TargetMissed, "it waited until its time was over", f.Calls.RetryAfter(0)))
 		return
 	}
 	f.abandon(c)
--- a/core/forwarding/forwarding.go
+++ b/core/forwarding/forwarding.go
@@ -148,12 +148,12 @@
 	}
 	rule, ok := f.Config.Forward(c.Forward.Host, c.Path)
 	if !ok {
-		return calls.NotRun(code.UnknownService, fmt.Sprintf("no forward for %s%s", c.Forward.Host, c.Path), 0), false
+		return calls.NotRunRefusal(code.UnknownService, fmt.Sprintf("no forward for %s%s", c.Forward.Host, c.Path), 0), false
 	}
 	name := rule.PickService(f.Rand.Float64())
 	service, ok := f.Config.Service(name)
 	if !ok || service.Announced == nil {
-		return calls.NotRun(code.NoReplica, fmt.Sprintf("no service %q", name), calls.LeastRetryAfter), false
+		return calls.NotRunRefusal(code.NoReplica, fmt.Sprintf("no service %q", name), calls.LeastRetryAfter), false
 	}
 	if left := f.Quarantine.Remaining(now, c.Forward.Fingerprint); left > 0 {
 		return quarantined(left), false
--- a/core/forwarding/permit.go
+++ b/core/forwarding/permit.go
@@ -153,7 +153,7 @@
 		f.end(c, s, 0, detail)
 		return true
 	}
-	f.Calls.Refuse(c, calls.NotRun(code.NoCapacity, detail, max(next.after, noReplicaRetryAfter)))
+	f.Calls.Refuse(c, calls.NotRunRefusal(code.NoCapacity, detail, max(next.after, noReplicaRetryAfter)))
 	return true
 }
 
--- a/core/forwarding/wait.go
+++ b/core/forwarding/wait.go
@@ -95,9 +95,9 @@
 	case furtherAttempt:
 		f.end(c, s, 0, "no other replica can serve it")
 	case anyReplica:
-		f.Calls.Refuse(c, calls.NotRun(code.NoReplica, "no live replica", noReplicaRetryAfter))
+		f.Calls.Refuse(c, calls.NotRunRefusal(code.NoReplica, "no live replica", noReplicaRetryAfter))
 	case willingReplica:
-		f.Calls.Refuse(c, calls.NotRun(code.NoCapacity, "its replicas refused it", noReplicaRetryAfter))
+		f.Calls.Refuse(c, calls.NotRunRefusal(code.NoCapacity, "its replicas refused it", noReplicaRetryAfter))
 	case loadableAdapter:
 		f.awaitAdapter(now, c)
 	case residentModel:
@@ -141,7 +141,7 @@
 	case c.Item != "" && left >= pool.LongRest:
 		f.awaitModel(now, c)
 	default:
-		f.Calls.Refuse(c, calls.NotRun(code.NoCapacity, "its replicas want no calls for a while", max(left, noReplicaRetryAfter)))
+		f.Calls.Refuse(c, calls.NotRunRefusal(code.NoCapacity, "its replicas want no calls for a while", max(left, noReplicaRetryAfter)))
 	}
 }
 
@@ -163,7 +163,7 @@
 		f.Calls.Enqueue(c)
 		return
 	}
-	f.Calls.Refuse(c, calls.NotRun(code.NotResident, fmt.Sprintf("%q cannot be loaded where its model is", c.Item), f.Calls.RetryAfter(noReplicaRetryAfter)))
+	f.Calls.Refuse(c, calls.NotRunRefusal(code.NotResident, fmt.Sprintf("%q cannot be loaded where its model is", c.Item), f.Calls.RetryAfter(noReplicaRetryAfter)))
 }
 
 // awaitModel has a call wait for its model, or refuses it.
@@ -183,7 +183,7 @@
 		return
 	}
 	left := time.Duration(retryShare * float64(c.Expires.Since(now)))
-	f.Calls.Refuse(c, calls.NotRun(code.NotResident, fmt.Sprintf("%q is not resident", c.Item), min(eta, left)))
+	f.Calls.Refuse(c, calls.NotRunRefusal(code.NotResident, fmt.Sprintf("%q is not resident", c.Item), min(eta, left)))
 }
 
 // modelETA estimates when an engine will have the call's model ready.
--- a/core/own/modelcalls/attempts.go
+++ b/core/own/modelcalls/attempts.go
@@ -120,7 +120,7 @@
 	c.Replica = ""
 	c.Phase = calls.Waiting
 	if e.Phase == attempt.Refused && c.History.Attempts >= maxRefusals {
-		h.Calls.Refuse(c, calls.NotRun(code.NoCapacity, "every replica refused: "+e.Detail, h.Calls.RetryAfter(0)))
+		h.Calls.Refuse(c, calls.NotRunRefusal(code.NoCapacity, "every replica refused: "+e.Detail, h.Calls.RetryAfter(0)))
 		return
 	}
 	h.findReplica(now, c)
--- a/core/own/modelcalls/claims.go
+++ b/core/own/modelcalls/claims.go
@@ -77,7 +77,7 @@
 func (h *Handler) claim(c *calls.Call) {
 	s := stateOf(c)
 	if h.Outage.Down() {
-		h.Calls.Refuse(c, calls.NotRun(code.PlatformDown, "the idempotency key cannot be claimed now", h.Calls.RetryAfter(outage.DefaultMaxRetryDelay)))
+		h.Calls.Refuse(c, calls.NotRunRefusal(code.PlatformDown, "the idempotency key cannot be claimed now", h.Calls.RetryAfter(outage.DefaultMaxRetryDelay)))
 		return
 	}
 	c.Phase = calls.ClaimingKey
@@ -98,7 +98,7 @@
 		h.findReplica(now, c)
 	case ClaimLost:
 		s.claimKey = "" // another's; not ours to release
-		h.Calls.Refuse(c, calls.NotRun(code.KeyClaimed, "another call with this key was accepted earlier", 0))
+		h.Calls.Refuse(c, calls.NotRunRefusal(code.KeyClaimed, "another call with this key was accepted earlier", 0))
 	case ClaimUnknown:
 		h.readBack(c)
 	case ClaimAbsent, ClaimNotSent:
@@ -129,7 +129,7 @@
 }
 
 func (h *Handler) giveUpClaim(c *calls.Call) {
-	h.Calls.Refuse(c, calls.NotRun(code.PlatformDown, "the idempotency key could not be claimed", h.Calls.RetryAfter(outage.DefaultMaxRetryDelay)))
+	h.Calls.Refuse(c, calls.NotRunRefusal(code.PlatformDown, "the idempotency key could not be claimed", h.Calls.RetryAfter(outage.DefaultMaxRetryDelay)))
 }
 
 // releaseClaim gives up the claim of a call that certainly did not run, so
--- a/core/own/modelcalls/modelcalls.go
+++ b/core/own/modelcalls/modelcalls.go
@@ -110,14 +110,14 @@
 	}
 	caller, known := h.Config.CallerByKey(c.Key)
 	if !known {
-		return calls.NotRun(code.Unauthorized, "no such key", 0), false
+		return calls.NotRunRefusal(code.Unauthorized, "no such key", 0), false
 	}
 	svc, ok := h.Config.Service(c.Service)
 	if !ok || c.Plain != (len(svc.Replicas) > 0) {
-		return calls.NotRun(code.UnknownService, fmt.Sprintf("no service %q of this kind", c.Service), 0), false
+		return calls.NotRunRefusal(code.UnknownService, fmt.Sprintf("no service %q of this kind", c.Service), 0), false
 	}
 	if !caller.MayCall(svc.Name) {
-		return calls.NotRun(code.Forbidden, fmt.Sprintf("caller %q may not call %q", caller.Name, svc.Name), 0), false
+		return calls.NotRunRefusal(code.Forbidden, fmt.Sprintf("caller %q may not call %q", caller.Name, svc.Name), 0), false
 	}
 	s := stateOf(c)
 	s.caller = caller.Name
@@ -178,7 +178,7 @@
 		}
 	}
 	if s.verdict.Refuse {
-		return calls.NotRun(code.RefusedByPolicy, fmt.Sprintf("policy %q", s.service.Policy), calls.LeastRetryAfter), false
+		return calls.NotRunRefusal(code.RefusedByPolicy, fmt.Sprintf("policy %q", s.service.Policy), calls.LeastRetryAfter), false
 	}
 	return code.Refusal{}, true
 }
--- a/core/own/modelcalls/place.go
+++ b/core/own/modelcalls/place.go
@@ -49,7 +49,7 @@
 	case best.Room:
 		h.dispatch(now, c, best)
 	case best.Queue > h.allowance(now, c):
-		h.Calls.Refuse(c, calls.NotRun(code.NoCapacity, "every replica is full", h.Calls.RetryAfter(best.Queue)))
+		h.Calls.Refuse(c, calls.NotRunRefusal(code.NoCapacity, "every replica is full", h.Calls.RetryAfter(best.Queue)))
 	default:
 		h.Calls.Enqueue(c)
 	}
@@ -59,13 +59,13 @@
 func (h *Handler) noReplica(now clock.Instant, c *calls.Call) {
 	s := stateOf(c)
 	if c.Plain {
-		h.Calls.Refuse(c, calls.NotRun(code.NoReplica, "no live replica", h.Calls.RetryAfter(0)))
+		h.Calls.Refuse(c, calls.NotRunRefusal(code.NoReplica, "no live replica", h.Calls.RetryAfter(0)))
 		return
 	}
 	h.Meter.Unmet(now, c.Item)
 	h.Unmet(now)
 	if s.load > h.allowance(now, c)+now.Since(c.Arrived) || h.allowance(now, c) <= 0 {
-		h.Calls.Refuse(c, calls.NotRun(code.NotResident, fmt.Sprintf("%q is not resident", c.Item), h.Calls.RetryAfter(s.load)))
+		h.Calls.Refuse(c, calls.NotRunRefusal(code.NotResident, fmt.Sprintf("%q is not resident", c.Item), h.Calls.RetryAfter(s.load)))
 		return
 	}
 	h.Calls.Enqueue(c)
