--- a/core/calls/call.go
+++ b/core/calls/call.go
@@ -140,9 +140,9 @@
 	return code.Refusal{Code: c, Run: code.NotRun, RetryAfter: after, Detail: detail}
 }
 
-// Admission returns why no call can be taken in now, whatever it asks for; ok says
+// CheckAdmission returns why no call can be taken in now, whatever it asks for; ok says
 // that calls are taken in. refusing says that the instance stops.
-func Admission(refusing, configured bool) (r code.Refusal, ok bool) {
+func CheckAdmission(refusing, configured bool) (r code.Refusal, ok bool) {
 	switch {
 	case refusing:
 		return NotRunRefusal(code.Stopping, "this instance is stopping", LeastRetryAfter), false
--- a/core/forwarding/forwarding.go
+++ b/core/forwarding/forwarding.go
@@ -140,7 +140,7 @@
 // admit fills in what the configuration says of the call, or returns why it is
 // refused. Nothing has been sent anywhere at this point.
 func (f *Forwarder) admit(now clock.Instant, c *calls.Call, refusing bool) (code.Refusal, bool) {
-	if refusal, ok := calls.Admission(refusing, f.Config.Loaded()); !ok {
+	if refusal, ok := calls.CheckAdmission(refusing, f.Config.Loaded()); !ok {
 		return refusal, false
 	}
 	if len(c.Forward.Ignored) > 0 {
--- a/core/own/modelcalls/modelcalls.go
+++ b/core/own/modelcalls/modelcalls.go
@@ -105,7 +105,7 @@
 // admit fills in what the configuration and the policy say of the call, or
 // returns why it is refused. Nothing has been sent anywhere at this point.
 func (h *Handler) admit(now clock.Instant, c *calls.Call, refusing bool) (code.Refusal, bool) {
-	if refusal, ok := calls.Admission(refusing, h.Config.Loaded()); !ok {
+	if refusal, ok := calls.CheckAdmission(refusing, h.Config.Loaded()); !ok {
 		return refusal, false
 	}
 	caller, known := h.Config.CallerByKey(c.Key)
