--- a/core/calls/call.go
+++ b/core/calls/call.go
@@ -145,9 +145,9 @@
 func CheckAdmission(refusing, configured bool) (r code.Refusal, ok bool) {
 	switch {
 	case refusing:
-		return NotRunRefusal(code.Stopping, "this instance is stopping", LeastRetryAfter), false
+		return NotRunRefusal(code.Stopping, "this instance is stopping", MinRetryAfter), false
 	case !configured:
-		return NotRunRefusal(code.NoConfiguration, "no configuration yet", LeastRetryAfter), false
+		return NotRunRefusal(code.NoConfiguration, "no configuration yet", MinRetryAfter), false
 	default:
 		return r, true
 	}
--- a/core/calls/table.go
+++ b/core/calls/table.go
@@ -14,9 +14,9 @@
 	"github.com/birchdrift/birchdrift/core/step"
 )
 
-// LeastRetryAfter is the least time after which a refused call is told to come
+// MinRetryAfter is the least time after which a refused call is told to come
 // back: HTTP's Retry-After of the own interface counts in whole seconds.
-const LeastRetryAfter = time.Second
+const MinRetryAfter = time.Second
 
 // A Table holds the calls in progress. The fields must be set before its use.
 type Table struct {
@@ -159,7 +159,7 @@
 // RetryAfter returns when a refused call is told to come back: d, spread so that
 // calls refused together do not come back together, and not too soon.
 func (t *Table) RetryAfter(d time.Duration) time.Duration {
-	return max(step.Jitter(t.Rand, d), LeastRetryAfter)
+	return max(step.Jitter(t.Rand, d), MinRetryAfter)
 }
 
 // AbortAll gives every call its final answer because the process ends, and returns
@@ -174,7 +174,7 @@
 
 func (t *Table) cut(c *Call) {
 	if c.Phase != Running {
-		t.Refuse(c, NotRunRefusal(code.Stopping, "this instance stopped", LeastRetryAfter))
+		t.Refuse(c, NotRunRefusal(code.Stopping, "this instance stopped", MinRetryAfter))
 		return
 	}
 	if r := t.Pool.Get(c.Replica); r != nil {
--- a/core/forwarding/forwarding.go
+++ b/core/forwarding/forwarding.go
@@ -153,7 +153,7 @@
 	name := rule.PickService(f.Rand.Float64())
 	service, ok := f.Config.Service(name)
 	if !ok || service.Announced == nil {
-		return calls.NotRunRefusal(code.NoReplica, fmt.Sprintf("no service %q", name), calls.LeastRetryAfter), false
+		return calls.NotRunRefusal(code.NoReplica, fmt.Sprintf("no service %q", name), calls.MinRetryAfter), false
 	}
 	if left := f.Quarantine.Remaining(now, c.Forward.Fingerprint); left > 0 {
 		return quarantined(left), false
--- a/core/forwarding/forwarding_test.go
+++ b/core/forwarding/forwarding_test.go
@@ -205,7 +205,7 @@
 		{"the same, out of patience", target{model: "m", adapter: "a"}, "m/a", func(f *Forwarder, c *calls.Call, _ *state) {
 			c.Arrived = start.Add(-c.Target / 2)
 			f.Pool.Announce(start, "e", pool.Announcement{Service: "s", Address: "e", Engine: true, Models: []pool.AnnouncedModel{{Name: "m"}}})
-		}, false, code.NotResident, calls.LeastRetryAfter},
+		}, false, code.NotResident, calls.MinRetryAfter},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -271,7 +271,7 @@
 			rest(400*time.Millisecond)(f, c, s)
 			c.Item = "n"
 			s.target.model = "n"
-		}, false, code.NotResident, calls.LeastRetryAfter},
+		}, false, code.NotResident, calls.MinRetryAfter},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/core/forwarding/wait.go
+++ b/core/forwarding/wait.go
@@ -190,7 +190,7 @@
 func (f *Forwarder) modelETA(c *calls.Call, s *state) time.Duration {
 	facts, ok := s.service.Announced.Engine.Model(s.target.model)
 	if !ok {
-		return calls.LeastRetryAfter
+		return calls.MinRetryAfter
 	}
 	best := facts.LoadTime
 	for _, r := range f.Pool.Serving(c.Service) {
--- a/core/own/modelcalls/attempts.go
+++ b/core/own/modelcalls/attempts.go
@@ -147,7 +147,7 @@
 	}
 	refusal := code.Refusal{Code: num, Run: c.History.RunState(), Detail: e.Detail}
 	if refusal.Run == code.NotRun || c.History.Repeatable {
-		refusal.RetryAfter = calls.LeastRetryAfter
+		refusal.RetryAfter = calls.MinRetryAfter
 	}
 	h.Calls.Refuse(c, refusal)
 }
--- a/core/own/modelcalls/modelcalls.go
+++ b/core/own/modelcalls/modelcalls.go
@@ -178,7 +178,7 @@
 		}
 	}
 	if s.verdict.Refuse {
-		return calls.NotRunRefusal(code.RefusedByPolicy, fmt.Sprintf("policy %q", s.service.Policy), calls.LeastRetryAfter), false
+		return calls.NotRunRefusal(code.RefusedByPolicy, fmt.Sprintf("policy %q", s.service.Policy), calls.MinRetryAfter), false
 	}
 	return code.Refusal{}, true
 }
