--- a/core/calls/call.go
+++ b/core/calls/call.go
@@ -50,7 +50,7 @@
 	Host        string
 	Model       string // "" if the call names none
 	Adapter     string
-	Parts       []route.Part // shared parts of the prompt, in order
+	Parts       []route.PromptPart // shared parts of the prompt, in order
 	LengthHint  int
 	Deadline    time.Duration // how long the caller will wait; 0 if it does not say
 	// Ignored are the headers that made no sense and count as absent.
--- a/core/route/forward_test.go
+++ b/core/route/forward_test.go
@@ -36,7 +36,7 @@
 func TestChoose(t *testing.T) {
 	// Rendezvous hashing names a for the first part, so nothing speaks for b.
 	weight := Weight{Model: "m", MB: 70}
-	chain := NewChain("m", []Part{{ID: 3, Tokens: 2000}, {ID: 2, Tokens: 1000}})
+	chain := NewChain("m", []PromptPart{{ID: 3, Tokens: 2000}, {ID: 2, Tokens: 1000}})
 	cases := []struct {
 		name    string
 		engine  bool
--- a/core/route/parts.go
+++ b/core/route/parts.go
@@ -7,8 +7,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// A Part is one shared part of a prompt, as its caller names it.
-type Part struct {
+// A PromptPart is one shared part of a prompt, as its caller names it.
+type PromptPart struct {
 	ID     uint64
 	Tokens int
 }
@@ -25,7 +25,7 @@
 type Chain struct{ links []link }
 
 // NewChain returns the chain of a prompt's parts on an item.
-func NewChain(item string, parts []Part) Chain {
+func NewChain(item string, parts []PromptPart) Chain {
 	c := Chain{links: make([]link, 0, len(parts))}
 	hash := xxhash.Sum64String(item)
 	var buf [16]byte
--- a/internal/entry/forward.go
+++ b/internal/entry/forward.go
@@ -62,9 +62,9 @@
 
 // forwardedCall words a request for the machine.
 func forwardedCall(id calls.ID, r *http.Request, req forward.Request, body *Body) calls.Request {
-	parts := make([]route.Part, 0, len(req.Parts))
+	parts := make([]route.PromptPart, 0, len(req.Parts))
 	for _, p := range req.Parts {
-		parts = append(parts, route.Part(p))
+		parts = append(parts, route.PromptPart(p))
 	}
 	path, _, _ := strings.Cut(r.RequestURI, "?")
 	return calls.Request{
