--- a/core/forwarding/forwarding.go
+++ b/core/forwarding/forwarding.go
@@ -85,7 +85,7 @@
 type target struct {
 	model   string
 	adapter string
-	chain   route.Chain
+	chain   route.HashChain
 	weight  route.Weight
 }
 
--- a/core/route/forward.go
+++ b/core/route/forward.go
@@ -38,7 +38,7 @@
 	Tokens int                // of the prompt
 	Gap    time.Duration      // longest pause between events that keeps a stream in time; 0: any
 	Rank   int                // of urgency, 0 first
-	Chain  Chain              // of the prompt's parts
+	Chain  HashChain          // of the prompt's parts
 	Tried  []pool.Incarnation // replicas that are passed over: they failed the call, or take none now
 	// Sure passes over replicas that may turn the call away, where there are others: the
 	// call could not be repeated then.
@@ -127,7 +127,7 @@
 
 // RecordPrompt notes that a prompt goes to an engine that keeps so many tokens. One that has
 // started again keeps nothing of what was sent before.
-func (f *Router) RecordPrompt(engine pool.Incarnation, chain Chain, capacity int) {
+func (f *Router) RecordPrompt(engine pool.Incarnation, chain HashChain, capacity int) {
 	c := f.cache(engine)
 	if c == nil {
 		c = NewCache(capacity)
--- a/core/route/parts.go
+++ b/core/route/parts.go
@@ -20,13 +20,13 @@
 	tokens int // of this part alone
 }
 
-// A Chain is the hashed form of a prompt's parts on one model or adapter. An
+// A HashChain is the hashed form of a prompt's parts on one model or adapter. An
 // engine reuses a part only for the same model and after the same parts.
-type Chain struct{ links []link }
+type HashChain struct{ links []link }
 
 // NewChain returns the chain of a prompt's parts on an item.
-func NewChain(item string, parts []PromptPart) Chain {
-	c := Chain{links: make([]link, 0, len(parts))}
+func NewChain(item string, parts []PromptPart) HashChain {
+	c := HashChain{links: make([]link, 0, len(parts))}
 	hash := xxhash.Sum64String(item)
 	var buf [16]byte
 	for _, p := range parts {
@@ -39,7 +39,7 @@
 }
 
 // First returns the hash of the first part; ok is false for a chain without parts.
-func (c Chain) First() (hash uint64, ok bool) {
+func (c HashChain) First() (hash uint64, ok bool) {
 	if len(c.links) == 0 {
 		return 0, false
 	}
@@ -61,7 +61,7 @@
 }
 
 // Add notes that a prompt with this chain was read.
-func (c *Cache) Add(chain Chain) {
+func (c *Cache) Add(chain HashChain) {
 	for _, l := range chain.links {
 		if el, ok := c.byHash[l.hash]; ok {
 			c.recent.MoveToFront(el)
@@ -78,7 +78,7 @@
 }
 
 // CachedTokens returns the tokens of the chain's leading parts that the cache holds.
-func (c *Cache) CachedTokens(chain Chain) int {
+func (c *Cache) CachedTokens(chain HashChain) int {
 	if c == nil {
 		return 0
 	}
