--- a/core/route/forward.go
+++ b/core/route/forward.go
@@ -122,7 +122,7 @@
 // A lifeCache is what one life of an engine is believed to keep.
 type lifeCache struct {
 	life  pool.Incarnation
-	cache *Cache
+	cache *PrefixCache
 }
 
 // RecordPrompt notes that a prompt goes to an engine that keeps so many tokens. One that has
@@ -137,7 +137,7 @@
 }
 
 // cache returns what an engine is believed to keep, nil if nothing is known of it.
-func (f *Router) cache(engine pool.Incarnation) *Cache {
+func (f *Router) cache(engine pool.Incarnation) *PrefixCache {
 	if c := f.caches[engine.Name]; c.life == engine {
 		return c.cache
 	}
--- a/core/route/parts.go
+++ b/core/route/parts.go
@@ -46,9 +46,9 @@
 	return c.links[0].hash, true
 }
 
-// A Cache is what this instance believes one engine's prompt memory to hold:
+// A PrefixCache is what this instance believes one engine's prompt memory to hold:
 // the parts that it sent there last, up to a number of tokens.
-type Cache struct {
+type PrefixCache struct {
 	capacity int
 	tokens   int
 	recent   *list.List // of link, most recent first
@@ -56,12 +56,12 @@
 }
 
 // NewCache returns an empty cache of so many tokens.
-func NewCache(capacity int) *Cache {
-	return &Cache{capacity: capacity, recent: list.New(), byHash: map[uint64]*list.Element{}}
+func NewCache(capacity int) *PrefixCache {
+	return &PrefixCache{capacity: capacity, recent: list.New(), byHash: map[uint64]*list.Element{}}
 }
 
 // Add notes that a prompt with this chain was read.
-func (c *Cache) Add(chain HashChain) {
+func (c *PrefixCache) Add(chain HashChain) {
 	for _, l := range chain.links {
 		if el, ok := c.byHash[l.hash]; ok {
 			c.recent.MoveToFront(el)
@@ -78,7 +78,7 @@
 }
 
 // CachedTokens returns the tokens of the chain's leading parts that the cache holds.
-func (c *Cache) CachedTokens(chain HashChain) int {
+func (c *PrefixCache) CachedTokens(chain HashChain) int {
 	if c == nil {
 		return 0
 	}
