--- a/core/forwarding/forwarding.go
+++ b/core/forwarding/forwarding.go
@@ -86,7 +86,7 @@
 	model   string
 	adapter string
 	chain   route.HashChain
-	weight  route.Weight
+	weight  route.ModelSize
 }
 
 // A progress is what came of the attempts so far.
@@ -187,7 +187,7 @@
 		model:   c.Forward.Model,
 		adapter: c.Forward.Adapter,
 		chain:   route.NewChain(c.Item, c.Forward.Parts),
-		weight:  route.Weight{Model: c.Forward.Model, MB: facts.MemoryMB},
+		weight:  route.ModelSize{Model: c.Forward.Model, MB: facts.MemoryMB},
 	}
 }
 
--- a/core/route/forward.go
+++ b/core/route/forward.go
@@ -34,7 +34,7 @@
 // A Query is what the choice needs to know of one forwarded call.
 type Query struct {
 	Zone   string             // zone of this instance
-	Model  Weight             // the zero value for a plain service
+	Model  ModelSize          // the zero value for a plain service
 	Tokens int                // of the prompt
 	Gap    time.Duration      // longest pause between events that keeps a stream in time; 0: any
 	Rank   int                // of urgency, 0 first
@@ -84,19 +84,19 @@
 	return &Router{caches: map[string]lifeCache{}, speeds: map[string]speed{}, perSize: map[int64]speed{}}
 }
 
-// A Weight names a model and the memory that its weights take, in MB.
-type Weight struct {
+// A ModelSize names a model and the memory that its weights take, in MB.
+type ModelSize struct {
 	Model string
 	MB    int64
 }
 
 // PrefillTokenTime returns how long an engine is believed to read one prompt token of
 // a model: as measured, else as measured of models of its size.
-func (f *Router) PrefillTokenTime(w Weight) time.Duration { return f.speed(w).tokenTime() }
+func (f *Router) PrefillTokenTime(w ModelSize) time.Duration { return f.speed(w).tokenTime() }
 
 // speed returns what is known of a model's speed: as measured, else as measured of
 // models of its size.
-func (f *Router) speed(w Weight) speed {
+func (f *Router) speed(w ModelSize) speed {
 	if s, ok := f.speeds[w.Model]; ok {
 		return s
 	}
@@ -110,7 +110,7 @@
 // read on an engine that had no other prompt to read. What else happens there
 // makes some measurements too long, and parts that are kept there unknown to
 // this instance make others too short.
-func (f *Router) ObserveFirstEvent(w Weight, tokens int, took time.Duration) {
+func (f *Router) ObserveFirstEvent(w ModelSize, tokens int, took time.Duration) {
 	f.speeds[w.Model] = f.speed(w).learn(tokens, took)
 	size, ok := f.perSize[w.MB]
 	if !ok {
--- a/core/route/forward_test.go
+++ b/core/route/forward_test.go
@@ -35,7 +35,7 @@
 // reason the one of the own zone, a, is.
 func TestChoose(t *testing.T) {
 	// Rendezvous hashing names a for the first part, so nothing speaks for b.
-	weight := Weight{Model: "m", MB: 70}
+	weight := ModelSize{Model: "m", MB: 70}
 	chain := NewChain("m", []PromptPart{{ID: 3, Tokens: 2000}, {ID: 2, Tokens: 1000}})
 	cases := []struct {
 		name    string
@@ -175,7 +175,7 @@
 			q.LoadCost = func(r *pool.Replica) (time.Duration, bool) { return 0, r.Name != "a" }
 		}, "b"},
 		{"a plain replica that is full", false, func(_ *Router, _ *pool.Pool, a, _ *pool.Replica, q *Query) {
-			q.Model = Weight{}
+			q.Model = ModelSize{}
 			for id := range uint64(4) {
 				a.Start(start, id)
 			}
--- a/core/route/speed_test.go
+++ b/core/route/speed_test.go
@@ -25,7 +25,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
 			f := NewRouter()
-			known, same, other := Weight{"m", 70}, Weight{"n", 70}, Weight{"o", 80}
+			known, same, other := ModelSize{"m", 70}, ModelSize{"n", 70}, ModelSize{"o", 80}
 			is.Equal(f.PrefillTokenTime(known), defaultTokenTime)
 			for i := range 60 {
 				tokens := 300 + 37*(i*7%40)
