--- a/core/config/check.go
+++ b/core/config/check.go
@@ -142,7 +142,7 @@
 		c.name(c.policy, p.Name, "policies", i)
 		for _, e := range []struct {
 			field, text string
-			kind        policy.Kind
+			kind        policy.ResultType
 		}{
 			{"priority", p.Priority, policy.Int},
 			{"refuse", p.Refuse, policy.Bool},
--- a/core/policy/policy.go
+++ b/core/policy/policy.go
@@ -23,12 +23,12 @@
 // costLimit bounds one evaluation, in CEL cost units.
 const costLimit = 10_000
 
-// A Kind is the type an expression must have.
-type Kind int
+// A ResultType is the type an expression must have.
+type ResultType int
 
 // The kinds of expression.
 const (
-	Int Kind = iota
+	Int ResultType = iota
 	Bool
 	Duration
 )
@@ -65,7 +65,7 @@
 	)
 })
 
-func (k Kind) celType() *cel.Type {
+func (k ResultType) celType() *cel.Type {
 	switch k {
 	case Int:
 		return cel.IntType
@@ -77,13 +77,13 @@
 }
 
 // Validate reports why text is not an expression of this kind; "" is valid.
-func Validate(text string, kind Kind) error {
+func Validate(text string, kind ResultType) error {
 	_, err := compile(text, kind)
 	return err
 }
 
 // compile returns nil without error for an empty expression.
-func compile(text string, kind Kind) (cel.Program, error) {
+func compile(text string, kind ResultType) (cel.Program, error) {
 	if text == "" {
 		return nil, nil
 	}
