--- a/core/config/snapshot.go
+++ b/core/config/snapshot.go
@@ -53,7 +53,7 @@
 		s.callers[strings.ToLower(doc.Callers[i].KeySHA256)] = &doc.Callers[i]
 	}
 	for _, p := range doc.Policies {
-		program, err := policy.Compile(p.Priority, p.Refuse, p.Wait, policy.Verdict(p.Default))
+		program, err := policy.Compile(p.Priority, p.Refuse, p.Wait, policy.Decision(p.Default))
 		if err != nil {
 			return nil, err
 		}
--- a/core/own/modelcalls/modelcalls.go
+++ b/core/own/modelcalls/modelcalls.go
@@ -60,7 +60,7 @@
 	prefillRate int // tokens a second
 	load        time.Duration
 	caller      string
-	verdict     policy.Verdict
+	verdict     policy.Decision
 	failedOn    string // replica that failed it last
 	claimKey    string
 	claims      int // claim requests sent
@@ -152,7 +152,7 @@
 // applyPolicy asks the service's policy about the call.
 func (h *Handler) applyPolicy(now clock.Instant, c *calls.Call) (code.Refusal, bool) {
 	s := stateOf(c)
-	s.verdict = policy.Verdict{Priority: config.DefaultPriority, Wait: h.Options.DefaultWait}
+	s.verdict = policy.Decision{Priority: config.DefaultPriority, Wait: h.Options.DefaultWait}
 	if program := h.Config.Policy(s.service.Policy); program != nil {
 		verdict, failed := program.Eval(policy.Input{
 			Service:       s.service.Name,
--- a/core/policy/policy.go
+++ b/core/policy/policy.go
@@ -45,8 +45,8 @@
 	Hour          int     // hour: hour of the day in UTC, 0 to 23
 }
 
-// A Verdict is what a policy says of one call.
-type Verdict struct {
+// A Decision is what a policy says of one call.
+type Decision struct {
 	Priority int
 	Refuse   bool
 	Wait     time.Duration
@@ -104,12 +104,12 @@
 // A Program is a compiled policy, safe for concurrent use.
 type Program struct {
 	priority, refuse, wait cel.Program
-	fallback               Verdict
+	fallback               Decision
 }
 
 // Compile compiles the three expressions; an empty one always yields the
 // fallback's value.
-func Compile(priority, refuse, wait string, fallback Verdict) (*Program, error) {
+func Compile(priority, refuse, wait string, fallback Decision) (*Program, error) {
 	p := &Program{fallback: fallback}
 	var err error
 	if p.priority, err = compile(priority, Int); err != nil {
@@ -126,7 +126,7 @@
 
 // Eval returns the verdict and how many expressions failed at run time. A
 // priority outside 0 to MaxPriority is clamped.
-func (p *Program) Eval(in Input) (Verdict, int) {
+func (p *Program) Eval(in Input) (Decision, int) {
 	vars := map[string]any{
 		"service":        in.Service,
 		"model":          in.Model,
