--- a/core/forwarding/forwarding.go
+++ b/core/forwarding/forwarding.go
@@ -33,8 +33,8 @@
 	"github.com/birchdrift/birchdrift/core/watchers"
 )
 
-// Needs are what forwarding needs of the other modules.
-type Needs struct {
+// Deps are what forwarding needs of the other modules.
+type Deps struct {
 	shared.State
 
 	Calls  *calls.Table
@@ -55,7 +55,7 @@
 
 // A Forwarder serves forwarded calls.
 type Forwarder struct {
-	Needs
+	Deps
 	kind      calls.Handlers
 	router    *route.Router
 	probing   probing       // whether calls ask engines how busy they are
@@ -108,8 +108,8 @@
 }
 
 // New returns a forwarder that has seen no call.
-func New(n Needs) *Forwarder {
-	f := &Forwarder{Needs: n, router: route.NewRouter()}
+func New(n Deps) *Forwarder {
+	f := &Forwarder{Deps: n, router: route.NewRouter()}
 	f.kind = calls.Handlers{
 		FindReplica:   f.findReplica,
 		AnswerBegan:   f.answerBegan,
--- a/core/forwarding/forwarding_test.go
+++ b/core/forwarding/forwarding_test.go
@@ -38,7 +38,7 @@
 	table.Out = state.Out
 	table.Pool = state.Pool
 	var f *Forwarder
-	f = New(Needs{
+	f = New(Deps{
 		State: state, Calls: table, Budget: &retrybudget.Budget{Options: state.Options, Members: state.Members},
 		Demand: demand.NewTracker(), Missed: func(clock.Instant) {}, Used: func(clock.Instant, string, string) {},
 		ListAge: func(clock.Instant) time.Duration { return 0 },
--- a/core/instance/build.go
+++ b/core/instance/build.go
@@ -156,7 +156,7 @@
 }
 
 func (m *Machine) buildForwarding(tracker *demand.Tracker) {
-	m.forwarding = forwarding.New(forwarding.Needs{
+	m.forwarding = forwarding.New(forwarding.Deps{
 		State: m.state,
 		Calls: m.calls, Budget: m.budget, Asks: m.orders.asks, Roster: m.orders.roster, Demand: tracker,
 		Quarantine: m.quarantine, Permits: m.permits,
