--- a/core/forwarding/probe.go
+++ b/core/forwarding/probe.go
@@ -19,9 +19,9 @@
 const (
 	// probedEngines is how many engines a call asks: each costs its replica an answer.
 	probedEngines = 2
-	// ProbeFresh is how old an engine's answer may be for it not to be asked
+	// ProbeMaxAge is how old an engine's answer may be for it not to be asked
 	// again: below the age that its figures have anyhow.
-	ProbeFresh = 60 * time.Millisecond
+	ProbeMaxAge = 60 * time.Millisecond
 )
 
 type (
@@ -73,7 +73,7 @@
 	p.first = best[0].Replica
 	p.askedAt = now
 	for _, e := range best {
-		if e.Replica.ReportAge(now) < ProbeFresh || limited(now, e.Replica) {
+		if e.Replica.ReportAge(now) < ProbeMaxAge || limited(now, e.Replica) {
 			continue // one that names a limit is not asked: that would count too
 		}
 		p.asked++
--- a/core/instance/probe_test.go
+++ b/core/instance/probe_test.go
@@ -89,7 +89,7 @@
 			is.Equal(sentTo(m.Step(now, c.e1)), "")
 			is.Equal(sentTo(m.Step(now, c.e2)), c.want)
 			// What they said a moment ago serves the next call as well.
-			now = now.Add(forwarding.ProbeFresh / 2)
+			now = now.Add(forwarding.ProbeMaxAge / 2)
 			if c.e2.Err == nil {
 				is.Equal(sentTo(m.Step(now, probeCall(2))), c.want)
 			}
