--- a/core/forwarding/forwarding.go
+++ b/core/forwarding/forwarding.go
@@ -15,7 +15,6 @@
 	"fmt"
 	"time"
 
-	"github.com/birchdrift/birchdrift/core/asks"
 	"github.com/birchdrift/birchdrift/core/attempt"
 	"github.com/birchdrift/birchdrift/core/calls"
 	"github.com/birchdrift/birchdrift/core/clock"
@@ -23,6 +22,7 @@
 	"github.com/birchdrift/birchdrift/core/config"
 	"github.com/birchdrift/birchdrift/core/demand"
 	"github.com/birchdrift/birchdrift/core/logevent"
+	"github.com/birchdrift/birchdrift/core/orderclient"
 	"github.com/birchdrift/birchdrift/core/permits"
 	"github.com/birchdrift/birchdrift/core/policy"
 	"github.com/birchdrift/birchdrift/core/pool"
@@ -39,7 +39,7 @@
 
 	Calls  *calls.Table
 	Budget *retrybudget.Budget
-	Asks   *asks.Asks
+	Asks   *orderclient.Asks
 	Roster *watchers.Roster
 	Demand *demand.Tracker
 	// Quarantine knows which requests are not to be run.
--- a/core/forwarding/place.go
+++ b/core/forwarding/place.go
@@ -4,12 +4,12 @@
 	"slices"
 	"time"
 
-	"github.com/birchdrift/birchdrift/core/asks"
 	"github.com/birchdrift/birchdrift/core/calls"
 	"github.com/birchdrift/birchdrift/core/clock"
 	"github.com/birchdrift/birchdrift/core/config"
 	"github.com/birchdrift/birchdrift/core/crash"
 	"github.com/birchdrift/birchdrift/core/logevent"
+	"github.com/birchdrift/birchdrift/core/orderclient"
 	"github.com/birchdrift/birchdrift/core/orders"
 	"github.com/birchdrift/birchdrift/core/pool"
 	"github.com/birchdrift/birchdrift/core/route"
@@ -163,8 +163,8 @@
 		f.Budget.Low(now, c.Service) && f.Asks.Possible(now, orderKey(s, r))
 }
 
-func orderKey(s *state, r *pool.Replica) asks.Key {
-	return asks.Key{Engine: r.Name, Request: orders.Request{Load: true, Model: s.target.model, Adapter: s.target.adapter}}
+func orderKey(s *state, r *pool.Replica) orderclient.Key {
+	return orderclient.Key{Engine: r.Name, Request: orders.Request{Load: true, Model: s.target.model, Adapter: s.target.adapter}}
 }
 
 // fetch has the call's adapter loaded on an engine.
--- a/core/instance/announced_world_test.go
+++ b/core/instance/announced_world_test.go
@@ -14,7 +14,6 @@
 
 	"github.com/matryer/is"
 
-	"github.com/birchdrift/birchdrift/core/asks"
 	"github.com/birchdrift/birchdrift/core/bounds"
 	"github.com/birchdrift/birchdrift/core/calls"
 	"github.com/birchdrift/birchdrift/core/clock"
@@ -28,6 +27,7 @@
 	"github.com/birchdrift/birchdrift/core/logevent"
 	"github.com/birchdrift/birchdrift/core/member"
 	"github.com/birchdrift/birchdrift/core/option"
+	"github.com/birchdrift/birchdrift/core/orderclient"
 	"github.com/birchdrift/birchdrift/core/orders"
 	"github.com/birchdrift/birchdrift/core/owned"
 	"github.com/birchdrift/birchdrift/core/ownership"
@@ -428,7 +428,7 @@
 		})
 	case forwarding.ProbeEngine:
 		f.probe(n, boot, act, reply)
-	case asks.Ask:
+	case orderclient.Ask:
 		f.askPeer(n, act, reply)
 	case permits.Ask:
 		f.askPermit(n, act, reply)
@@ -1008,10 +1008,10 @@
 	}
 }
 
-func (f *fleet) askPeer(n *fleetMember, a asks.Ask, reply func(time.Duration, step.Event)) {
+func (f *fleet) askPeer(n *fleetMember, a orderclient.Ask, reply func(time.Duration, step.Event)) {
 	p := f.members[a.Peer]
 	out := func(outcome owned.Outcome) step.Event {
-		return asks.Reply{Engine: a.Engine, Request: a.Request, Outcome: outcome}
+		return orderclient.Reply{Engine: a.Engine, Request: a.Request, Outcome: outcome}
 	}
 	if p == nil || p.dead || p.frozen || f.severed(n.id.Zone, p.id.Zone) {
 		reply(time.Second, out(owned.Failed))
--- a/core/instance/build.go
+++ b/core/instance/build.go
@@ -3,7 +3,6 @@
 import (
 	"time"
 
-	"github.com/birchdrift/birchdrift/core/asks"
 	"github.com/birchdrift/birchdrift/core/calls"
 	"github.com/birchdrift/birchdrift/core/clock"
 	"github.com/birchdrift/birchdrift/core/crash"
@@ -14,6 +13,7 @@
 	"github.com/birchdrift/birchdrift/core/member"
 	"github.com/birchdrift/birchdrift/core/notice"
 	"github.com/birchdrift/birchdrift/core/option"
+	"github.com/birchdrift/birchdrift/core/orderclient"
 	"github.com/birchdrift/birchdrift/core/orders"
 	"github.com/birchdrift/birchdrift/core/owned"
 	"github.com/birchdrift/birchdrift/core/ownership"
@@ -30,7 +30,7 @@
 	roster   *watchers.Roster
 	registry *ownership.Registry
 	owned    *owned.Engines
-	asks     *asks.Asks
+	asks     *orderclient.Asks
 }
 
 // New returns the machine of an instance that knows nothing yet. Its random draws
@@ -87,7 +87,7 @@
 		Stopping: m.stop.Started,
 		TellSoon: func(now clock.Instant) { m.exchanges.TellSoon(now) },
 	})
-	o.asks = asks.New()
+	o.asks = orderclient.New()
 	o.asks.Self = m.state.Self
 	o.asks.Out = m.state.Out
 	o.asks.Members = m.state.Members
@@ -99,7 +99,7 @@
 	o.owned.MayOrder = o.registry.MayOrderWithFence
 	o.owned.Published = func(now clock.Instant) { m.exchanges.TellSoon(now) }
 	o.owned.Answered = func(now clock.Instant, engine string, r orders.Request, outcome owned.Outcome, detail string) {
-		o.asks.Settled(now, asks.Key{Engine: engine, Request: r}, outcome, detail)
+		o.asks.Settled(now, orderclient.Key{Engine: engine, Request: r}, outcome, detail)
 	}
 }
 
--- a/core/instance/machine.go
+++ b/core/instance/machine.go
@@ -35,7 +35,6 @@
 import (
 	"time"
 
-	"github.com/birchdrift/birchdrift/core/asks"
 	"github.com/birchdrift/birchdrift/core/calls"
 	"github.com/birchdrift/birchdrift/core/clock"
 	"github.com/birchdrift/birchdrift/core/config"
@@ -43,6 +42,7 @@
 	"github.com/birchdrift/birchdrift/core/forwarding"
 	"github.com/birchdrift/birchdrift/core/listing"
 	"github.com/birchdrift/birchdrift/core/notice"
+	"github.com/birchdrift/birchdrift/core/orderclient"
 	"github.com/birchdrift/birchdrift/core/owned"
 	"github.com/birchdrift/birchdrift/core/ownership"
 	"github.com/birchdrift/birchdrift/core/permits"
@@ -185,7 +185,7 @@
 		o.owned.StateReplied(now, e)
 	case owned.Asked:
 		o.owned.Asked(now, e)
-	case asks.Reply:
+	case orderclient.Reply:
 		o.asks.Replied(now, e)
 	default:
 		return false
--- a/core/asks/asks.go
+++ b/core/orderclient/asks.go
@@ -4,7 +4,7 @@
 // model that it places. Only the engine's owner gives it. An order is asked for
 // once, however many calls wait for it, and one that was refused is not asked for
 // again for a moment.
-package asks
+package orderclient
 
 import (
 	"time"
--- a/core/ownership/ownership.go
+++ b/core/ownership/ownership.go
@@ -44,7 +44,7 @@
 	}
 	// RenewLease is an action: renew the lease.
 	RenewLease struct{ Lease era.Lease }
-	// RenewReply is the event that answers KeepEnrolled. Over says that the lease
+	// RenewReply is the event that answers RenewLease. Over says that the lease
 	// has gone.
 	RenewReply struct {
 		Sent  clock.Instant
@@ -87,7 +87,7 @@
 		Lease   era.Lease
 		Give    []registry.Ownership
 		Placer  *registry.Placer // nil: this instance is not the placer
-		Depends era.Revision     // as of Records
+		Depends era.Revision     // as in Txn
 	}
 )
 
--- a/core/placement/placer.go
+++ b/core/placement/placer.go
@@ -16,11 +16,11 @@
 	"slices"
 	"time"
 
-	"github.com/birchdrift/birchdrift/core/asks"
 	"github.com/birchdrift/birchdrift/core/clock"
 	"github.com/birchdrift/birchdrift/core/demand"
 	"github.com/birchdrift/birchdrift/core/logevent"
 	"github.com/birchdrift/birchdrift/core/member"
+	"github.com/birchdrift/birchdrift/core/orderclient"
 	"github.com/birchdrift/birchdrift/core/orders"
 	"github.com/birchdrift/birchdrift/core/ownership"
 	"github.com/birchdrift/birchdrift/core/pool"
@@ -61,7 +61,7 @@
 
 	// Registry says who is the placer, Asks gets orders from owners.
 	Registry *ownership.Registry
-	Asks     *asks.Asks
+	Asks     *orderclient.Asks
 	Roster   *watchers.Roster
 	// OwnDemand is what this instance's own callers ask for, AllDemand what was heard
 	// from all.
@@ -244,7 +244,7 @@
 
 // ask asks the engine's owner for the order that a change needs next.
 func (p *Placer) ask(now clock.Instant, c *change, r orders.Request) {
-	key := asks.Key{Engine: c.Engine, Request: r}
+	key := orderclient.Key{Engine: c.Engine, Request: r}
 	if p.Asks.UnderWay(key) || !p.Asks.Possible(now, key) {
 		return
 	}
--- a/core/placement/placer_test.go
+++ b/core/placement/placer_test.go
@@ -6,9 +6,9 @@
 
 	"github.com/matryer/is"
 
-	"github.com/birchdrift/birchdrift/core/asks"
 	"github.com/birchdrift/birchdrift/core/clock/clocktest"
 	"github.com/birchdrift/birchdrift/core/member"
+	"github.com/birchdrift/birchdrift/core/orderclient"
 	"github.com/birchdrift/birchdrift/core/owned"
 	"github.com/birchdrift/birchdrift/core/pool"
 	"github.com/birchdrift/birchdrift/core/registry"
@@ -27,7 +27,7 @@
 	members.Upsert("owner", "z", "owner")
 	members.MarkHeard(now, "owner")
 	engines := pool.New()
-	a := asks.New()
+	a := orderclient.New()
 	a.Out = out
 	a.Members = members
 	a.Pool = engines
--- a/internal/shell/actions.go
+++ b/internal/shell/actions.go
@@ -5,12 +5,12 @@
 	"runtime/debug"
 	"time"
 
-	"github.com/birchdrift/birchdrift/core/asks"
 	"github.com/birchdrift/birchdrift/core/calls"
 	"github.com/birchdrift/birchdrift/core/config"
 	"github.com/birchdrift/birchdrift/core/exchange"
 	"github.com/birchdrift/birchdrift/core/instance"
 	"github.com/birchdrift/birchdrift/core/logevent"
+	"github.com/birchdrift/birchdrift/core/orderclient"
 	"github.com/birchdrift/birchdrift/core/orders"
 	"github.com/birchdrift/birchdrift/core/owned"
 	"github.com/birchdrift/birchdrift/core/permits"
@@ -53,7 +53,7 @@
 		}
 	case quarantine.Check:
 		s.work(func(ctx context.Context) { s.check(ctx, act) })
-	case asks.Ask:
+	case orderclient.Ask:
 		s.work(func(ctx context.Context) { s.askOrder(ctx, act) })
 	case permits.Ask:
 		s.work(func(ctx context.Context) { s.askPermit(ctx, act) })
@@ -166,14 +166,14 @@
 // askTime bounds how long the owner of an engine is waited for.
 const askTime = time.Second
 
-func (s *Shell) askOrder(ctx context.Context, a asks.Ask) {
+func (s *Shell) askOrder(ctx context.Context, a orderclient.Ask) {
 	ctx, done := context.WithTimeout(ctx, askTime)
 	defer done()
 	reply, err := s.peers.Order(ctx, a.Address, s.self.Name, a.Engine, a.Request)
 	if err != nil {
 		reply = peer.OrderReply{Outcome: owned.Failed, Detail: err.Error()}
 	}
-	s.post(asks.Reply{Engine: a.Engine, Request: a.Request, Outcome: reply.Outcome, Detail: reply.Detail})
+	s.post(orderclient.Reply{Engine: a.Engine, Request: a.Request, Outcome: reply.Outcome, Detail: reply.Detail})
 }
 
 // permitTime bounds how long a peer is waited for beyond the time that the request may wait
