--- a/core/exchange/exchange.go
+++ b/core/exchange/exchange.go
@@ -20,10 +20,10 @@
 	"github.com/birchdrift/birchdrift/core/crash"
 	"github.com/birchdrift/birchdrift/core/demand"
 	"github.com/birchdrift/birchdrift/core/era"
+	"github.com/birchdrift/birchdrift/core/gossip"
 	"github.com/birchdrift/birchdrift/core/logevent"
 	"github.com/birchdrift/birchdrift/core/member"
 	"github.com/birchdrift/birchdrift/core/registry"
-	"github.com/birchdrift/birchdrift/core/share"
 	"github.com/birchdrift/birchdrift/core/shared"
 	"github.com/birchdrift/birchdrift/core/watchers"
 )
@@ -33,25 +33,25 @@
 	SendRequest struct {
 		Peer    string // "" when only the address is known
 		Address string
-		Message share.Message
+		Message gossip.Message
 	}
 	// Reply is the event that answers a Begin.
 	Reply struct {
 		Peer    string
 		Address string
-		Message share.Message
+		Message gossip.Message
 		Err     error
 	}
 	// RequestReceived is the event that a peer began an exchange. It is answered with an
 	// Answer of the same Token.
 	RequestReceived struct {
 		Token   uint64
-		Message share.Message
+		Message gossip.Message
 	}
 	// SendReply is the action that ends an exchange that a peer began.
 	SendReply struct {
 		Token   uint64
-		Message share.Message
+		Message gossip.Message
 	}
 )
 
@@ -87,17 +87,17 @@
 	DemandFor   func(now clock.Instant, peer string) []demand.Item
 	DemandHeard func(now clock.Instant, peer string, items []demand.Item)
 	// Listed and Registered take in records; from is who told of them.
-	Listed     func(now clock.Instant, from string, l share.Listed)
+	Listed     func(now clock.Instant, from string, l gossip.Listed)
 	Registered func(now clock.Instant, from string, records []registry.Record)
 	// Crashed takes in what a peer told of replicas that ended under its calls, or
 	// others' calls, and of requests that were served since.
 	Crashed func(now clock.Instant, from string, reports []crash.Report, served []crash.Success)
 	// Leaving takes in which replicas a peer knows to leave by their own word.
-	Leaving func(now clock.Instant, from string, leaving []share.Leaving)
+	Leaving func(now clock.Instant, from string, leaving []gossip.Leaving)
 	// Limits takes in what a peer was told of the limits of replicas.
-	Limits func(now clock.Instant, from string, limits []share.Limit)
+	Limits func(now clock.Instant, from string, limits []gossip.Limit)
 	// Rests takes in which replicas turned others away, as a peer knows.
-	Rests func(now clock.Instant, from string, rests []share.Rest)
+	Rests func(now clock.Instant, from string, rests []gossip.Rest)
 	// Used notes that an item of an engine is in use.
 	Used func(now clock.Instant, engine, item string)
 }
@@ -167,13 +167,13 @@
 
 // message composes one side of an exchange with the peer, "" if its name is not
 // known yet.
-func (x *Exchanges) message(now clock.Instant, peer string) share.Message {
+func (x *Exchanges) message(now clock.Instant, peer string) gossip.Message {
 	known := x.peers[peer]
 	sameZone := false
 	if p := x.Members.Get(peer); p != nil {
 		sameZone = p.Zone == x.Self.Zone
 	}
-	msg := share.Message{
+	msg := gossip.Message{
 		From:         x.Self.Name,
 		Zone:         x.Self.Zone,
 		Address:      x.Self.Address,
@@ -219,7 +219,7 @@
 }
 
 // receive takes in what a peer said.
-func (x *Exchanges) receive(now clock.Instant, msg share.Message) {
+func (x *Exchanges) receive(now clock.Instant, msg gossip.Message) {
 	if msg.From == "" || msg.From == x.Self.Name {
 		return
 	}
@@ -248,7 +248,7 @@
 	}
 }
 
-func (x *Exchanges) takeRecords(now clock.Instant, from string, r share.Records) {
+func (x *Exchanges) takeRecords(now clock.Instant, from string, r gossip.Records) {
 	for _, res := range r.Residencies {
 		if x.Records.AddResidency(from, res) {
 			x.LogLeaving(res)
@@ -277,7 +277,7 @@
 }
 
 // LogLeaving logs that an engine says for the first time that it is leaving.
-func (x *Exchanges) LogLeaving(res share.Residency) {
+func (x *Exchanges) LogLeaving(res gossip.Residency) {
 	r := x.Pool.Get(res.Engine)
 	if r != nil && res.Leaving && !r.Leaving() {
 		x.Out.Log(logevent.UpstreamLeaving, "upstream", res.Engine, "source", "itself")
@@ -285,7 +285,7 @@
 }
 
 // takeUses takes in what a peer has in flight.
-func (x *Exchanges) takeUses(now clock.Instant, msg share.Message) {
+func (x *Exchanges) takeUses(now clock.Instant, msg gossip.Message) {
 	if msg.Uses == nil {
 		return
 	}
--- a/core/share/share.go
+++ b/core/gossip/gossip.go
@@ -11,7 +11,7 @@
 // records go everywhere, for they change rarely and calls are sent across zones
 // by them; loads stay in their zone, for they change all the time and are stale
 // by the time they would have crossed.
-package share
+package gossip
 
 import (
 	"cmp"
--- a/core/share/share_test.go
+++ b/core/gossip/gossip_test.go
@@ -1,4 +1,4 @@
-package share
+package gossip
 
 import (
 	"testing"
--- a/core/instance/announced_world_test.go
+++ b/core/instance/announced_world_test.go
@@ -23,6 +23,7 @@
 	"github.com/birchdrift/birchdrift/core/era"
 	"github.com/birchdrift/birchdrift/core/exchange"
 	"github.com/birchdrift/birchdrift/core/forwarding"
+	"github.com/birchdrift/birchdrift/core/gossip"
 	"github.com/birchdrift/birchdrift/core/listing"
 	"github.com/birchdrift/birchdrift/core/logevent"
 	"github.com/birchdrift/birchdrift/core/member"
@@ -35,7 +36,6 @@
 	"github.com/birchdrift/birchdrift/core/pool"
 	"github.com/birchdrift/birchdrift/core/quarantine"
 	"github.com/birchdrift/birchdrift/core/registry"
-	"github.com/birchdrift/birchdrift/core/share"
 	"github.com/birchdrift/birchdrift/core/step"
 	"github.com/birchdrift/birchdrift/core/watch"
 	"github.com/birchdrift/birchdrift/core/watchers"
@@ -107,7 +107,7 @@
 	waiting []*fleetWatch
 	known   era.Era // the latest in which the store answered it
 	asked   map[uint64]func(owned.Answer)
-	answers map[uint64]func(share.Message)
+	answers map[uint64]func(gossip.Message)
 	permits map[uint64]func(permits.Verdict)
 	token   uint64
 }
@@ -289,7 +289,7 @@
 	n.known = 0
 	n.id.Boot = n.boot
 	n.asked = map[uint64]func(owned.Answer){}
-	n.answers = map[uint64]func(share.Message){}
+	n.answers = map[uint64]func(gossip.Message){}
 	n.permits = map[uint64]func(permits.Verdict){}
 	n.m = New(n.id, f.opt, f.rng.Uint64())
 	f.tick(n, n.boot)
@@ -831,7 +831,7 @@
 	kind, name, _ := cutKey(c.key)
 	gone := c.value == nil
 	if kind == "servers" {
-		l := share.Listed{Name: name, Kind: share.Upstream, Version: in.Revision(c.revision), Gone: gone}
+		l := gossip.Listed{Name: name, Kind: gossip.Upstream, Version: in.Revision(c.revision), Gone: gone}
 		if !gone {
 			l.Announced = c.value.data.(*pool.Announcement)
 		}
@@ -1056,7 +1056,7 @@
 	f.at(fleetWay, func() {
 		p.token++
 		token := p.token
-		p.answers[token] = func(msg share.Message) {
+		p.answers[token] = func(msg gossip.Message) {
 			reply(fleetWay, exchange.Reply{Peer: a.Peer, Address: a.Address, Message: msg})
 		}
 		f.step(p, p.boot, exchange.RequestReceived{Token: token, Message: a.Message})
--- a/core/instance/exchange_test.go
+++ b/core/instance/exchange_test.go
@@ -14,13 +14,13 @@
 	"github.com/birchdrift/birchdrift/core/config"
 	"github.com/birchdrift/birchdrift/core/era"
 	"github.com/birchdrift/birchdrift/core/exchange"
+	"github.com/birchdrift/birchdrift/core/gossip"
 	"github.com/birchdrift/birchdrift/core/listing"
 	"github.com/birchdrift/birchdrift/core/member"
 	"github.com/birchdrift/birchdrift/core/option"
 	"github.com/birchdrift/birchdrift/core/ownership"
 	"github.com/birchdrift/birchdrift/core/pool"
 	"github.com/birchdrift/birchdrift/core/registry"
-	"github.com/birchdrift/birchdrift/core/share"
 	"github.com/birchdrift/birchdrift/core/step"
 	"github.com/birchdrift/birchdrift/core/watch"
 	"github.com/birchdrift/birchdrift/core/watchers"
@@ -41,7 +41,7 @@
 	}
 	m.Step(now, ownership.WatchUpdate{Records: records, Version: 10, Whole: true})
 	for _, name := range peers {
-		m.Step(now, exchange.Reply{Peer: name, Address: name, Message: share.Message{From: name, Zone: "z", Address: name, Boot: 1, StoreAge: time.Millisecond}})
+		m.Step(now, exchange.Reply{Peer: name, Address: name, Message: gossip.Message{From: name, Zone: "z", Address: name, Boot: 1, StoreAge: time.Millisecond}})
 	}
 	return m
 }
@@ -55,8 +55,8 @@
 		t.Fatal(err)
 	}
 	m.Step(now, ConfigReply{Snapshot: snapshot, Source: PlatformSource})
-	m.Step(now, listing.Reply{Version: 100, Entries: []share.Listed{{
-		Name: "e1", Kind: share.Upstream, Zone: "z", Version: 50,
+	m.Step(now, listing.Reply{Version: 100, Entries: []gossip.Listed{{
+		Name: "e1", Kind: gossip.Upstream, Zone: "z", Version: 50,
 		Announced: &pool.Announcement{Service: "llm", Address: "e1", Zone: "z", Slots: 8, Engine: true, Models: []pool.AnnouncedModel{{Name: "m0"}}},
 	}}})
 	m.Step(now, ownership.EnrolReply{Sent: now, Lease: era.Lease{ID: 1}})
@@ -125,8 +125,8 @@
 }
 
 // exchanges returns the exchanges among the actions, by peer.
-func exchanges(actions []step.Action) map[string]share.Message {
-	out := map[string]share.Message{}
+func exchanges(actions []step.Action) map[string]gossip.Message {
+	out := map[string]gossip.Message{}
 	for _, a := range actions {
 		if e, ok := a.(exchange.SendRequest); ok {
 			out[e.Peer] = e.Message
@@ -144,11 +144,11 @@
 	now := clocktest.At(time.Hour)
 	m := fleetMachine(now, "a", "b")
 	ahead := func(name string) []step.Action {
-		return m.Step(now, exchange.RequestReceived{Token: 1, Message: share.Message{From: name, Zone: "z", Address: name, Boot: 1, Revision: 5, StoreAge: time.Millisecond}})
+		return m.Step(now, exchange.RequestReceived{Token: 1, Message: gossip.Message{From: name, Zone: "z", Address: name, Boot: 1, Revision: 5, StoreAge: time.Millisecond}})
 	}
 	first := exchanges(ahead("a"))
 	is.True(first["a"].WantConfig)
-	is.Equal(exchanges(ahead("b")), map[string]share.Message{}) // one is asked at a time
+	is.Equal(exchanges(ahead("b")), map[string]gossip.Message{}) // one is asked at a time
 	now = now.Add(exchange.PullTimeout)
 	is.True(exchanges(m.Step(now, Tick{}))["b"].WantConfig)
 	is.True(!m.env.platform.watch.Active(now))
@@ -166,7 +166,7 @@
 	m := fleetMachine(now, "a", "b", "c", "d")
 	wanted := 0
 	for _, name := range []string{"a", "b", "c", "d"} {
-		actions := m.Step(now, exchange.RequestReceived{Token: 1, Message: share.Message{From: name, Zone: "z", Address: name, Boot: 1, Revision: 5, StoreAge: time.Millisecond}})
+		actions := m.Step(now, exchange.RequestReceived{Token: 1, Message: gossip.Message{From: name, Zone: "z", Address: name, Boot: 1, Revision: 5, StoreAge: time.Millisecond}})
 		m.exchanges.TellAll(now)
 		for _, msg := range exchanges(append(slices.Clone(actions), m.Step(now, Tick{})...)) {
 			if msg.WantConfig {
@@ -185,12 +185,12 @@
 	now := clocktest.At(time.Hour)
 	m := fleetMachine(now, "a", "b")
 	for i, name := range []string{"r1", "r2"} {
-		m.Step(now, listing.Reply{Version: era.Revision(11 + i), Entries: []share.Listed{{
-			Name: name, Kind: share.Upstream, Version: era.Revision(11 + i), Announced: &pool.Announcement{Service: "s", Address: name},
+		m.Step(now, listing.Reply{Version: era.Revision(11 + i), Entries: []gossip.Listed{{
+			Name: name, Kind: gossip.Upstream, Version: era.Revision(11 + i), Announced: &pool.Announcement{Service: "s", Address: name},
 		}}})
 	}
 	told := func(boot, ackBoot, ack uint64, heard era.Revision) []string {
-		actions := m.Step(now, exchange.RequestReceived{Token: 1, Message: share.Message{
+		actions := m.Step(now, exchange.RequestReceived{Token: 1, Message: gossip.Message{
 			From: "a", Zone: "z", Address: "a", Boot: boot, AckBoot: ackBoot, Ack: ack, StoreVersion: heard,
 		}})
 		var names []string
--- a/core/instance/lives_test.go
+++ b/core/instance/lives_test.go
@@ -15,6 +15,7 @@
 	"github.com/birchdrift/birchdrift/core/era"
 	"github.com/birchdrift/birchdrift/core/exchange"
 	"github.com/birchdrift/birchdrift/core/forwarding"
+	"github.com/birchdrift/birchdrift/core/gossip"
 	"github.com/birchdrift/birchdrift/core/listing"
 	"github.com/birchdrift/birchdrift/core/notice"
 	"github.com/birchdrift/birchdrift/core/option"
@@ -22,7 +23,6 @@
 	"github.com/birchdrift/birchdrift/core/owned"
 	"github.com/birchdrift/birchdrift/core/pool"
 	"github.com/birchdrift/birchdrift/core/registry"
-	"github.com/birchdrift/birchdrift/core/share"
 	"github.com/birchdrift/birchdrift/core/step"
 )
 
@@ -156,17 +156,17 @@
 }
 
 // entry returns an entry of an engine that holds model m0, in one of its lives.
-func (l *soloLab) entry(born string) share.Listed {
+func (l *soloLab) entry(born string) gossip.Listed {
 	l.version++
-	return share.Listed{
-		Name: "e", Kind: share.Upstream, Zone: "z0", Version: l.version,
+	return gossip.Listed{
+		Name: "e", Kind: gossip.Upstream, Zone: "z0", Version: l.version,
 		Announced: &pool.Announcement{
 			Service: "llm", Address: "e", Zone: "z0", Slots: 8, Engine: true, Born: born, Models: []pool.AnnouncedModel{{Name: "m0"}},
 		},
 	}
 }
 
-func (l *soloLab) list(entries ...share.Listed) {
+func (l *soloLab) list(entries ...gossip.Listed) {
 	l.m.Step(l.now, listing.Reply{Entries: entries, Version: l.version})
 }
 
@@ -188,7 +188,7 @@
 		{"an entry that a peer heard before", func(l *soloLab) {
 			old := l.entry("1")
 			old.Version = 999
-			l.m.Step(l.now, exchange.RequestReceived{Token: 1, Message: share.Message{From: "peer", Address: "peer", Boot: 1, Records: share.Records{Listed: []share.Listed{old}}}})
+			l.m.Step(l.now, exchange.RequestReceived{Token: 1, Message: gossip.Message{From: "peer", Address: "peer", Boot: 1, Records: gossip.Records{Listed: []gossip.Listed{old}}}})
 		}},
 		{"an entry of it that says that it leaves", func(l *soloLab) {
 			old := l.entry("1")
@@ -206,8 +206,8 @@
 			l.m.Step(l.now, forwarding.ProbeReply{Call: 9, Engine: "e", Sent: l.now.Add(-5 * time.Millisecond), Queued: 500})
 		}},
 		{"what its owner said that it holds", func(l *soloLab) {
-			res := share.Residency{Engine: "e", Residency: pool.Residency{Boot: 7, Change: 3, Born: "1", Items: []pool.Item{{Name: "m5", Phase: pool.Ready}}}}
-			l.m.Step(l.now, exchange.RequestReceived{Token: 1, Message: share.Message{From: "peer", Address: "peer", Boot: 1, Records: share.Records{Residencies: []share.Residency{res}}}})
+			res := gossip.Residency{Engine: "e", Residency: pool.Residency{Boot: 7, Change: 3, Born: "1", Items: []pool.Item{{Name: "m5", Phase: pool.Ready}}}}
+			l.m.Step(l.now, exchange.RequestReceived{Token: 1, Message: gossip.Message{From: "peer", Address: "peer", Boot: 1, Records: gossip.Records{Residencies: []gossip.Residency{res}}}})
 		}},
 		{"a call found another replica at its address", func(l *soloLab) {
 			l.m.Step(l.now, calls.AttemptFailed{ID: 1, Attempt: 1, Phase: attempt.Refused, Misdirected: true, Incarnation: "another"})
@@ -252,7 +252,7 @@
 	is.Equal(len(l.call(1)), 1)
 	l.now = l.now.Add(time.Second)
 	entry := l.entry("2")
-	cut := soloStep[calls.Interrupt](l, listing.Reply{Entries: []share.Listed{entry}, Version: l.version})
+	cut := soloStep[calls.Interrupt](l, listing.Reply{Entries: []gossip.Listed{entry}, Version: l.version})
 	is.Equal(cut, []calls.Interrupt{{ID: 1}})
 	// Its attempt ends by that, not by its connection.
 	l.now = l.now.Add(time.Millisecond)
--- a/core/instance/probe_test.go
+++ b/core/instance/probe_test.go
@@ -14,9 +14,9 @@
 	"github.com/birchdrift/birchdrift/core/config"
 	"github.com/birchdrift/birchdrift/core/era"
 	"github.com/birchdrift/birchdrift/core/forwarding"
+	"github.com/birchdrift/birchdrift/core/gossip"
 	"github.com/birchdrift/birchdrift/core/listing"
 	"github.com/birchdrift/birchdrift/core/pool"
-	"github.com/birchdrift/birchdrift/core/share"
 	"github.com/birchdrift/birchdrift/core/step"
 	"github.com/birchdrift/birchdrift/core/watchers"
 )
@@ -38,7 +38,7 @@
 	var list listing.Reply
 	list.Version = 100
 	for i, name := range engines {
-		list.Entries = append(list.Entries, share.Listed{Name: name, Kind: share.Upstream, Zone: "z", Version: era.Revision(50 + i), Announced: &pool.Announcement{
+		list.Entries = append(list.Entries, gossip.Listed{Name: name, Kind: gossip.Upstream, Zone: "z", Version: era.Revision(50 + i), Announced: &pool.Announcement{
 			Service: "llm", Address: name, Zone: "z", Slots: 8, Engine: true, Models: []pool.AnnouncedModel{{Name: "m0"}},
 		}})
 	}
--- a/core/instance/promises_test.go
+++ b/core/instance/promises_test.go
@@ -13,10 +13,10 @@
 	"github.com/birchdrift/birchdrift/core/clock/clocktest"
 	"github.com/birchdrift/birchdrift/core/config"
 	"github.com/birchdrift/birchdrift/core/era"
+	"github.com/birchdrift/birchdrift/core/gossip"
 	"github.com/birchdrift/birchdrift/core/option"
 	"github.com/birchdrift/birchdrift/core/own/book"
 	"github.com/birchdrift/birchdrift/core/pool"
-	"github.com/birchdrift/birchdrift/core/share"
 )
 
 // smallDocument has two zones of two engines, more models than fit, and a
@@ -380,7 +380,7 @@
 		}
 		// The list says so only now, and says live first: nothing may change.
 		w.platform.version++
-		w.platform.list = append(w.platform.list, share.Listed{Name: leaving, Kind: share.Upstream, Version: era.Revision(w.platform.version)})
+		w.platform.list = append(w.platform.list, gossip.Listed{Name: leaving, Kind: gossip.Upstream, Version: era.Revision(w.platform.version)})
 		w.run(3 * time.Second)
 		for _, name := range w.names {
 			if !w.nodes[name].m.state.Pool.Get(leaving).Leaving() {
--- a/core/instance/world_test.go
+++ b/core/instance/world_test.go
@@ -15,6 +15,7 @@
 	"github.com/birchdrift/birchdrift/core/config"
 	"github.com/birchdrift/birchdrift/core/era"
 	"github.com/birchdrift/birchdrift/core/exchange"
+	"github.com/birchdrift/birchdrift/core/gossip"
 	"github.com/birchdrift/birchdrift/core/listing"
 	"github.com/birchdrift/birchdrift/core/member"
 	"github.com/birchdrift/birchdrift/core/option"
@@ -23,7 +24,6 @@
 	"github.com/birchdrift/birchdrift/core/own/modelcalls"
 	"github.com/birchdrift/birchdrift/core/own/planner"
 	"github.com/birchdrift/birchdrift/core/pool"
-	"github.com/birchdrift/birchdrift/core/share"
 	"github.com/birchdrift/birchdrift/core/step"
 )
 
@@ -114,7 +114,7 @@
 	revision uint64
 	values   map[string]fakeValue
 	leases   map[string]*fakeLease
-	list     []share.Listed
+	list     []gossip.Listed
 	version  uint64
 	calls    int
 }
@@ -171,8 +171,8 @@
 			name := fmt.Sprintf("%s-entry-%d", z.Name, i+1)
 			w.names = append(w.names, name)
 			w.platform.version++
-			w.platform.list = append(w.platform.list, share.Listed{
-				Name: name, Kind: share.Entry, Zone: z.Name, Address: name, Version: era.Revision(w.platform.version),
+			w.platform.list = append(w.platform.list, gossip.Listed{
+				Name: name, Kind: gossip.Entry, Zone: z.Name, Address: name, Version: era.Revision(w.platform.version),
 			})
 			w.start(name, z.Name, seed)
 		}
@@ -383,7 +383,7 @@
 func (w *world) watchList(n *node, a kvwatch.List) {
 	w.platform.calls++
 	w.send(n, w.platformUp(n), func() func() {
-		var news []share.Listed
+		var news []gossip.Listed
 		version := a.Since
 		for _, l := range w.platform.list {
 			if l.Version.Raw() > a.Since {
@@ -457,7 +457,7 @@
 			return func() { failed(false) }
 		}
 		actions := append([]step.Action(nil), peer.m.Step(peer.clock(w.now), exchange.RequestReceived{Token: 1, Message: a.Message})...)
-		var answer share.Message
+		var answer gossip.Message
 		for _, x := range actions {
 			if ans, ok := x.(exchange.SendReply); ok {
 				answer = ans.Message
@@ -473,7 +473,7 @@
 	}, failed)
 }
 
-func (w *world) takeConfig(n *node, msg share.Message) {
+func (w *world) takeConfig(n *node, msg gossip.Message) {
 	if len(msg.Config) == 0 {
 		return
 	}
--- a/core/listing/listing.go
+++ b/core/listing/listing.go
@@ -10,18 +10,18 @@
 import (
 	"github.com/birchdrift/birchdrift/core/clock"
 	"github.com/birchdrift/birchdrift/core/era"
+	"github.com/birchdrift/birchdrift/core/gossip"
 	"github.com/birchdrift/birchdrift/core/logevent"
 	"github.com/birchdrift/birchdrift/core/member"
 	"github.com/birchdrift/birchdrift/core/option"
 	"github.com/birchdrift/birchdrift/core/outage"
 	"github.com/birchdrift/birchdrift/core/pool"
-	"github.com/birchdrift/birchdrift/core/share"
 	"github.com/birchdrift/birchdrift/core/step"
 )
 
 // Reply is the event that a watch brought entries of the list.
 type Reply struct {
-	Entries []share.Listed
+	Entries []gossip.Listed
 	Version era.Revision
 	Whole   bool // Entries are all that the list has, but for Unreadable
 	// Unreadable are upstreams whose entries make no sense. They say nothing: what was
@@ -51,7 +51,7 @@
 	Out     *step.Output
 	Members *member.Table
 	Pool    *pool.Pool
-	Records *share.Set
+	Records *gossip.Set
 	Outage  *outage.Tracker
 	// KnownAt returns up to when everything in the list is known.
 	KnownAt func() clock.Instant
@@ -96,7 +96,7 @@
 }
 
 // HandlePeerEntry takes in an entry that a peer told of.
-func (l *List) HandlePeerEntry(now clock.Instant, from string, entry share.Listed) {
+func (l *List) HandlePeerEntry(now clock.Instant, from string, entry gossip.Listed) {
 	if entry.Version.Era() < l.version.Era() {
 		return // the peer has not heard yet that the store went back
 	}
@@ -104,7 +104,7 @@
 	l.version = max(l.version, entry.Version)
 }
 
-func (l *List) add(now clock.Instant, from string, entry share.Listed) {
+func (l *List) add(now clock.Instant, from string, entry gossip.Listed) {
 	if l.Records.AddListed(from, entry) {
 		l.Apply(now, entry)
 		l.TellSoon(now)
@@ -112,9 +112,9 @@
 }
 
 // Apply takes over one entry.
-func (l *List) Apply(now clock.Instant, entry share.Listed) {
+func (l *List) Apply(now clock.Instant, entry gossip.Listed) {
 	switch {
-	case entry.Kind == share.Entry:
+	case entry.Kind == gossip.Entry:
 		l.applyInstance(entry)
 	case entry.Announced != nil || entry.Gone && l.announced(entry.Name):
 		l.applyAnnounced(now, entry)
@@ -123,7 +123,7 @@
 	}
 }
 
-func (l *List) applyInstance(entry share.Listed) {
+func (l *List) applyInstance(entry gossip.Listed) {
 	if entry.Gone {
 		l.Members.Remove(entry.Name)
 		return
@@ -132,7 +132,7 @@
 	l.Members.SetLeaving(entry.Name, entry.Leaving)
 }
 
-func (l *List) applyLeaving(entry share.Listed) {
+func (l *List) applyLeaving(entry gossip.Listed) {
 	r := l.Pool.Get(entry.Name)
 	if r != nil && !r.Leaving() {
 		l.Out.Log(logevent.UpstreamLeaving, "upstream", entry.Name, "source", "list")
@@ -147,7 +147,7 @@
 }
 
 // applyAnnounced takes over the entry of a replica that announces itself.
-func (l *List) applyAnnounced(now clock.Instant, entry share.Listed) {
+func (l *List) applyAnnounced(now clock.Instant, entry gossip.Listed) {
 	if entry.Gone {
 		l.Out.Log(logevent.UpstreamVanished, "upstream", entry.Name, "version", entry.Version)
 		by := l.leavesBy(now)
@@ -223,7 +223,7 @@
 
 // missing returns the announced replicas that a whole list no longer has and that do not count
 // as leaving yet, as entries that are gone.
-func (l *List) missing(e Reply) []share.Listed {
+func (l *List) missing(e Reply) []gossip.Listed {
 	has := make(map[string]bool, len(e.Entries))
 	for _, entry := range e.Entries {
 		has[entry.Name] = true
@@ -231,11 +231,11 @@
 	for _, name := range e.Unreadable {
 		has[name] = true
 	}
-	var gone []share.Listed
+	var gone []gossip.Listed
 	for _, r := range l.Pool.All() {
 		newer := l.Records.ListedVersion(r.Name) > e.Version // the list was read beside a watch
 		if r.Announced && !r.Leaving() && !has[r.Name] && !newer {
-			gone = append(gone, share.Listed{Name: r.Name, Kind: share.Upstream, Zone: r.Zone, Gone: true, Version: e.Version})
+			gone = append(gone, gossip.Listed{Name: r.Name, Kind: gossip.Upstream, Zone: r.Zone, Gone: true, Version: e.Version})
 		}
 	}
 	return gone
--- a/core/notice/notice.go
+++ b/core/notice/notice.go
@@ -14,10 +14,10 @@
 	"time"
 
 	"github.com/birchdrift/birchdrift/core/clock"
+	"github.com/birchdrift/birchdrift/core/gossip"
 	"github.com/birchdrift/birchdrift/core/logevent"
 	"github.com/birchdrift/birchdrift/core/pool"
 	"github.com/birchdrift/birchdrift/core/rendezvous"
-	"github.com/birchdrift/birchdrift/core/share"
 	"github.com/birchdrift/birchdrift/core/shared"
 )
 
@@ -73,14 +73,14 @@
 	}
 	n.Out.Log(logevent.UpstreamNotice, "upstream", e.Replica, "leaving", news.Leaving, "rest_ms", news.Rest.Milliseconds())
 	if r := n.Pool.Get(e.Replica); news.Rest > 0 {
-		rest := share.Rest{Incarnation: r.Incarnation(), Until: now.Add(e.Notice.Rest)}
+		rest := gossip.Rest{Incarnation: r.Incarnation(), Until: now.Add(e.Notice.Rest)}
 		if n.Records.AddRest("", rest) {
 			n.TellSoon(now)
 		}
 	}
 	if news.Leaving {
 		n.Out.Log(logevent.UpstreamLeaving, "upstream", e.Replica, "source", "itself")
-		n.Records.AddLeaving("", share.Leaving{Incarnation: n.Pool.Get(e.Replica).Incarnation(), At: now})
+		n.Records.AddLeaving("", gossip.Leaving{Incarnation: n.Pool.Get(e.Replica).Incarnation(), At: now})
 		n.TellSoon(now)
 	}
 }
@@ -113,7 +113,7 @@
 }
 
 // HandlePeerLimits takes in what a peer was told of the limits of replicas.
-func (n *Tracker) HandlePeerLimits(now clock.Instant, from string, limits []share.Limit) {
+func (n *Tracker) HandlePeerLimits(now clock.Instant, from string, limits []gossip.Limit) {
 	for _, l := range limits {
 		l.EventTime = l.FromWire(now)
 		n.HandlePeerLimit(now, from, l.Incarnation, l.LimitReport)
@@ -136,7 +136,7 @@
 }
 
 // HandlePeerRests takes in which replicas turned others away.
-func (n *Tracker) HandlePeerRests(now clock.Instant, from string, rests []share.Rest) {
+func (n *Tracker) HandlePeerRests(now clock.Instant, from string, rests []gossip.Rest) {
 	for _, x := range rests {
 		x.Until = now.Add(x.Left)
 		if n.Records.AddRest(from, x) {
@@ -154,7 +154,7 @@
 }
 
 // HandlePeerLeaving takes in that a peer was told of replicas that leave.
-func (n *Tracker) HandlePeerLeaving(now clock.Instant, from string, leaving []share.Leaving) {
+func (n *Tracker) HandlePeerLeaving(now clock.Instant, from string, leaving []gossip.Leaving) {
 	for _, l := range leaving {
 		l.At = now
 		if !n.Records.AddLeaving(from, l) {
@@ -179,7 +179,7 @@
 	if n.Records.IsLeaving(r.Incarnation()) && n.Pool.ObservePeerLeaving(name) {
 		n.Out.Log(logevent.UpstreamLeaving, "upstream", name, "source", "a peer")
 	}
-	if r.AnnouncedLeaving() && n.Records.AddLeaving("", share.Leaving{Incarnation: r.Incarnation(), At: now}) {
+	if r.AnnouncedLeaving() && n.Records.AddLeaving("", gossip.Leaving{Incarnation: r.Incarnation(), At: now}) {
 		n.TellSoon(now)
 	}
 	if w, ok := n.Records.Limit(r.Incarnation()); ok {
--- a/core/notice/notice_test.go
+++ b/core/notice/notice_test.go
@@ -9,10 +9,10 @@
 
 	"github.com/birchdrift/birchdrift/core/clock"
 	"github.com/birchdrift/birchdrift/core/clock/clocktest"
+	"github.com/birchdrift/birchdrift/core/gossip"
 	"github.com/birchdrift/birchdrift/core/member"
 	"github.com/birchdrift/birchdrift/core/option"
 	"github.com/birchdrift/birchdrift/core/pool"
-	"github.com/birchdrift/birchdrift/core/share"
 	"github.com/birchdrift/birchdrift/core/shared"
 )
 
@@ -41,7 +41,7 @@
 	n.HandleNotice(start, heard)
 	is.Equal(*told, 2)
 	rest := n.Records.Delta(start.Add(400*time.Millisecond), 0, "peer", false, 0).Rests
-	is.Equal(rest, []share.Rest{{Incarnation: pool.Incarnation{Name: "r", Born: "1"}, Left: 600 * time.Millisecond}})
+	is.Equal(rest, []gossip.Rest{{Incarnation: pool.Incarnation{Name: "r", Born: "1"}, Left: 600 * time.Millisecond}})
 	news := n.Records.Since(0, "peer", false, 0).Leaving
 	is.Equal(len(news), 1)
 	is.Equal(news[0].Incarnation, pool.Incarnation{Name: "r", Born: "1"})
@@ -52,8 +52,8 @@
 func TestPeersSayWhoLeaves(t *testing.T) {
 	is := is.New(t)
 	n, told := testNotices("i")
-	leaving := func(born string) []share.Leaving {
-		return []share.Leaving{{Incarnation: pool.Incarnation{Name: "r", Born: born}}}
+	leaving := func(born string) []gossip.Leaving {
+		return []gossip.Leaving{{Incarnation: pool.Incarnation{Name: "r", Born: born}}}
 	}
 	n.HandlePeerLeaving(start, "peer", leaving("0"))
 	n.HandlePeerLeaving(start, "peer", leaving("2"))
@@ -134,8 +134,8 @@
 func TestPeersSayWhatTheLimitIs(t *testing.T) {
 	is := is.New(t)
 	n, told := testNotices("i")
-	word := func(born string, perSecond float64, ago time.Duration) []share.Limit {
-		return []share.Limit{{Incarnation: pool.Incarnation{Name: "r", Born: born}, LimitReport: pool.LimitReport{
+	word := func(born string, perSecond float64, ago time.Duration) []gossip.Limit {
+		return []gossip.Limit{{Incarnation: pool.Incarnation{Name: "r", Born: born}, LimitReport: pool.LimitReport{
 			Limit: pool.RateLimit{Named: true, PerSecond: perSecond}, By: "j", EventTime: clock.EventTime{Age: ago},
 		}}}
 	}
@@ -170,8 +170,8 @@
 	is := is.New(t)
 	n, told := testNotices("i")
 	r := n.Pool.Get("r")
-	rests := func(born string, left time.Duration) []share.Rest {
-		return []share.Rest{{Incarnation: pool.Incarnation{Name: "r", Born: born}, Left: left}}
+	rests := func(born string, left time.Duration) []gossip.Rest {
+		return []gossip.Rest{{Incarnation: pool.Incarnation{Name: "r", Born: born}, Left: left}}
 	}
 	n.HandlePeerRests(start, "peer", rests("0", time.Second))
 	is.True(!r.RejectsPeers(start))
--- a/core/orderclient/asks.go
+++ b/core/orderclient/orderclient.go
@@ -1,4 +1,4 @@
-// Package asks asks the owners of engines for orders.
+// Package orderclient asks the owners of engines for orders.
 //
 // Any instance may need an order: for an adapter that a call waits for, or for a
 // model that it places. Only the engine's owner gives it. An order is asked for
--- a/core/own/planner/planner.go
+++ b/core/own/planner/planner.go
@@ -17,6 +17,7 @@
 	"github.com/birchdrift/birchdrift/core/clock"
 	"github.com/birchdrift/birchdrift/core/config"
 	"github.com/birchdrift/birchdrift/core/demand"
+	"github.com/birchdrift/birchdrift/core/gossip"
 	"github.com/birchdrift/birchdrift/core/logevent"
 	"github.com/birchdrift/birchdrift/core/member"
 	"github.com/birchdrift/birchdrift/core/own/book"
@@ -25,7 +26,6 @@
 	"github.com/birchdrift/birchdrift/core/own/meter"
 	"github.com/birchdrift/birchdrift/core/own/plan"
 	"github.com/birchdrift/birchdrift/core/pool"
-	"github.com/birchdrift/birchdrift/core/share"
 	"github.com/birchdrift/birchdrift/core/shared"
 	"github.com/birchdrift/birchdrift/core/step"
 )
@@ -49,7 +49,7 @@
 	Tell     func(now clock.Instant, p *member.Peer)
 	// Leaving is told of each engine that says for the first time that it is
 	// leaving.
-	Leaving func(r share.Residency)
+	Leaving func(r gossip.Residency)
 }
 
 // A Planner is one instance's part in the planning for its zone.
@@ -169,7 +169,7 @@
 		return
 	}
 	fence := p.lease.Fence()
-	p.Records.AddLeaseHolder("", share.LeaseHolder{Zone: p.Self.Zone, Fence: fence})
+	p.Records.AddLeaseHolder("", gossip.LeaseHolder{Zone: p.Self.Zone, Fence: fence})
 	p.lease = p.lease.WithLoss()
 	p.abandon()
 	p.Out.Emit(ReleaseLease{Fence: fence})
@@ -254,7 +254,7 @@
 	p.seq = 0
 	p.loads = loadBudget{at: now}
 	p.Out.Log(logevent.LeaseGained, "fence", p.fence)
-	p.Records.AddLeaseHolder("", share.LeaseHolder{Zone: p.Self.Zone, Instance: p.Self.Name, Fence: p.fence})
+	p.Records.AddLeaseHolder("", gossip.LeaseHolder{Zone: p.Self.Zone, Instance: p.Self.Name, Fence: p.fence})
 	p.TellAll(now)
 	p.sync()
 	p.intents.flying = true
--- a/core/own/planner/read.go
+++ b/core/own/planner/read.go
@@ -5,8 +5,8 @@
 
 	"github.com/birchdrift/birchdrift/core/backoff"
 	"github.com/birchdrift/birchdrift/core/clock"
+	"github.com/birchdrift/birchdrift/core/gossip"
 	"github.com/birchdrift/birchdrift/core/pool"
-	"github.com/birchdrift/birchdrift/core/share"
 	"github.com/birchdrift/birchdrift/core/step"
 )
 
@@ -111,7 +111,7 @@
 
 // observe takes in an engine's own report and makes it known to peers.
 func (p *Planner) observe(now clock.Instant, engine string, s pool.State) {
-	res := share.Residency{Engine: engine, Residency: s.Residency}
+	res := gossip.Residency{Engine: engine, Residency: s.Residency}
 	if p.Records.AddResidency("", res) {
 		p.Leaving(res)
 		if r := p.Pool.Get(engine); r != nil && s.Residency.Boot > r.Residency.Boot {
@@ -137,6 +137,6 @@
 		change = -change
 	}
 	if !ok || told.Boot != load.Boot || change >= max(1, r.Concurrent/8) {
-		p.Records.AddLoad("", share.Load{Engine: engine, Load: load})
+		p.Records.AddLoad("", gossip.Load{Engine: engine, Load: load})
 	}
 }
--- a/core/owned/owned.go
+++ b/core/owned/owned.go
@@ -14,11 +14,11 @@
 	"github.com/birchdrift/birchdrift/core/clock"
 	"github.com/birchdrift/birchdrift/core/config"
 	"github.com/birchdrift/birchdrift/core/era"
+	"github.com/birchdrift/birchdrift/core/gossip"
 	"github.com/birchdrift/birchdrift/core/logevent"
 	"github.com/birchdrift/birchdrift/core/orders"
 	"github.com/birchdrift/birchdrift/core/pool"
 	"github.com/birchdrift/birchdrift/core/registry"
-	"github.com/birchdrift/birchdrift/core/share"
 	"github.com/birchdrift/birchdrift/core/step"
 )
 
@@ -27,7 +27,7 @@
 type Engines struct {
 	Out     *step.Output
 	Pool    *pool.Pool
-	Records *share.Set
+	Records *gossip.Set
 	Config  *config.Current
 	// MayOrder reports whether the ownership that this instance gained with a fence is
 	// certainly still its own.
@@ -226,7 +226,7 @@
 	e.published = e.Changes()
 	e.change++
 	res := pool.Residency{Boot: uint64(e.Fence), Change: e.change, Born: e.life.Born, Items: e.Items()}
-	if s.Records.AddResidency("", share.Residency{Engine: e.Name, Residency: res}) {
+	if s.Records.AddResidency("", gossip.Residency{Engine: e.Name, Residency: res}) {
 		s.Pool.ObserveResidency(now, e.Name, res)
 		s.Published(now)
 	}
--- a/core/ownership/ownership_test.go
+++ b/core/ownership/ownership_test.go
@@ -9,12 +9,12 @@
 	"github.com/birchdrift/birchdrift/core/clock"
 	"github.com/birchdrift/birchdrift/core/clock/clocktest"
 	"github.com/birchdrift/birchdrift/core/config"
+	"github.com/birchdrift/birchdrift/core/gossip"
 	"github.com/birchdrift/birchdrift/core/member"
 	"github.com/birchdrift/birchdrift/core/option"
 	"github.com/birchdrift/birchdrift/core/owned"
 	"github.com/birchdrift/birchdrift/core/pool"
 	"github.com/birchdrift/birchdrift/core/registry"
-	"github.com/birchdrift/birchdrift/core/share"
 	"github.com/birchdrift/birchdrift/core/shared"
 	"github.com/birchdrift/birchdrift/core/step"
 )
@@ -33,7 +33,7 @@
 	}
 	engines := pool.New()
 	engines.Announce(now, "e", pool.Announcement{Service: "llm", Address: "e", Zone: "z", Slots: 8, Engine: true})
-	own := &owned.Engines{Out: out, Pool: engines, Records: share.NewSet(), Config: &config.Current{Snapshot: snapshot}}
+	own := &owned.Engines{Out: out, Pool: engines, Records: gossip.NewSet(), Config: &config.Current{Snapshot: snapshot}}
 	own.Permitted = func(clock.Instant, string, bool) bool { return true }
 	state := shared.New(member.Identity{Name: "self", Zone: "z", Boot: 1}, opt, 1)
 	state.Out = out
--- a/core/shared/shared.go
+++ b/core/shared/shared.go
@@ -8,11 +8,11 @@
 	"time"
 
 	"github.com/birchdrift/birchdrift/core/config"
+	"github.com/birchdrift/birchdrift/core/gossip"
 	"github.com/birchdrift/birchdrift/core/member"
 	"github.com/birchdrift/birchdrift/core/option"
 	"github.com/birchdrift/birchdrift/core/outage"
 	"github.com/birchdrift/birchdrift/core/pool"
-	"github.com/birchdrift/birchdrift/core/share"
 	"github.com/birchdrift/birchdrift/core/step"
 )
 
@@ -26,7 +26,7 @@
 	Out     *step.Output
 	Members *member.Table
 	Pool    *pool.Pool
-	Records *share.Set // that instances tell each other
+	Records *gossip.Set // that instances tell each other
 	Config  *config.Current
 	Outage  *outage.Tracker
 }
@@ -50,7 +50,7 @@
 		Out:     out,
 		Members: member.New(self.Name, self.Zone),
 		Pool:    pool.New(),
-		Records: share.NewSet(),
+		Records: gossip.NewSet(),
 		Config:  &config.Current{},
 		Outage:  outage.New(out, longestWait(opt)),
 	}
--- a/internal/environment/store.go
+++ b/internal/environment/store.go
@@ -17,8 +17,8 @@
 
 	"github.com/birchdrift/birchdrift/core/config"
 	"github.com/birchdrift/birchdrift/core/era"
+	"github.com/birchdrift/birchdrift/core/gossip"
 	"github.com/birchdrift/birchdrift/core/registry"
-	"github.com/birchdrift/birchdrift/core/share"
 )
 
 // Errors of a store that say for certain what became of a call. After any
@@ -46,7 +46,7 @@
 // A Change is what a watch brought.
 type Change struct {
 	Config  []byte // the newest configuration as the store holds it; nil if it did not change
-	Listed  []share.Listed
+	Listed  []gossip.Listed
 	Records []registry.Record // the product's own values
 	// Unreadable are keys whose values make no sense, and are passed over;
 	// UnreadableReplicas are the names of the replicas among them, of which nothing is
--- a/internal/own/keyvalue/keyvalue.go
+++ b/internal/own/keyvalue/keyvalue.go
@@ -23,7 +23,7 @@
 
 	"github.com/birchdrift/birchdrift/core/attempt"
 	"github.com/birchdrift/birchdrift/core/config"
-	"github.com/birchdrift/birchdrift/core/share"
+	"github.com/birchdrift/birchdrift/core/gossip"
 	"github.com/birchdrift/birchdrift/internal/upstream"
 )
 
@@ -113,7 +113,7 @@
 
 // Instances returns what changed in the list since a version, waiting for a
 // change if there is none.
-func (c *Client) Instances(ctx context.Context, since uint64, wait time.Duration) ([]share.Listed, uint64, error) {
+func (c *Client) Instances(ctx context.Context, since uint64, wait time.Duration) ([]gossip.Listed, uint64, error) {
 	query := url.Values{"since": {strconv.FormatUint(since, 10)}, "wait": {wait.String()}}
 	v, err := c.call(ctx, http.MethodGet, PathInstances, query, nil, wait)
 	if err != nil {
@@ -123,7 +123,7 @@
 	if err := json.Unmarshal(v.Data, &list); err != nil {
 		return nil, 0, trace.Wrap(err)
 	}
-	entries := make([]share.Listed, 0, len(list.Instances))
+	entries := make([]gossip.Listed, 0, len(list.Instances))
 	for _, i := range list.Instances {
 		entries = append(entries, i.decode())
 	}
--- a/internal/own/keyvalue/wire.go
+++ b/internal/own/keyvalue/wire.go
@@ -2,7 +2,7 @@
 
 import (
 	"github.com/birchdrift/birchdrift/core/era"
-	"github.com/birchdrift/birchdrift/core/share"
+	"github.com/birchdrift/birchdrift/core/gossip"
 )
 
 // Paths of the platform's interface.
@@ -57,12 +57,12 @@
 	StateGone    = "gone"
 )
 
-func (i Instance) decode() share.Listed {
-	kind := share.Upstream
+func (i Instance) decode() gossip.Listed {
+	kind := gossip.Upstream
 	if i.Kind == KindEntry {
-		kind = share.Entry
+		kind = gossip.Entry
 	}
-	return share.Listed{
+	return gossip.Listed{
 		Name:    i.Name,
 		Kind:    kind,
 		Zone:    i.Zone,
--- a/internal/peer/convert.go
+++ b/internal/peer/convert.go
@@ -9,15 +9,15 @@
 	"github.com/birchdrift/birchdrift/core/crash"
 	"github.com/birchdrift/birchdrift/core/demand"
 	"github.com/birchdrift/birchdrift/core/era"
+	"github.com/birchdrift/birchdrift/core/gossip"
 	"github.com/birchdrift/birchdrift/core/permits"
 	"github.com/birchdrift/birchdrift/core/pool"
 	"github.com/birchdrift/birchdrift/core/registry"
-	"github.com/birchdrift/birchdrift/core/share"
 	"github.com/birchdrift/birchdrift/internal/peer/peerpb"
 )
 
 // encode turns the core's message into the wire's.
-func encode(m share.Message) *peerpb.Message {
+func encode(m gossip.Message) *peerpb.Message {
 	out := &peerpb.Message{
 		From:         m.From,
 		Zone:         m.Zone,
@@ -73,7 +73,7 @@
 }
 
 // encodeRecords adds the records to the message.
-func encodeRecords(records share.Records, out *peerpb.Message) {
+func encodeRecords(records gossip.Records, out *peerpb.Message) {
 	for _, r := range records.Registered {
 		out.Registered = append(out.Registered, &peerpb.Registered{Key: r.Key, Data: r.Data, Revision: uint64(r.Revision), Gone: r.Gone})
 	}
@@ -226,7 +226,7 @@
 	return out
 }
 
-func encodeResidency(r share.Residency) *peerpb.Residency {
+func encodeResidency(r gossip.Residency) *peerpb.Residency {
 	out := &peerpb.Residency{Engine: r.Engine, Boot: r.Boot, Change: r.Change, Leaving: r.Leaving, Born: r.Born}
 	for _, it := range r.Items {
 		out.Items = append(out.Items, &peerpb.Item{Name: it.Name, Phase: uint32(it.Phase)})
@@ -235,8 +235,8 @@
 }
 
 // decode turns the wire's message into the core's.
-func decode(m *peerpb.Message) share.Message {
-	out := share.Message{
+func decode(m *peerpb.Message) gossip.Message {
+	out := gossip.Message{
 		From:         m.GetFrom(),
 		Zone:         m.GetZone(),
 		Address:      m.GetAddress(),
@@ -272,8 +272,8 @@
 }
 
 // decodeRecords returns the message's records.
-func decodeRecords(m *peerpb.Message) share.Records {
-	var out share.Records
+func decodeRecords(m *peerpb.Message) gossip.Records {
+	var out gossip.Records
 	for _, r := range m.GetRegistered() {
 		out.Registered = append(out.Registered, registry.Record{
 			Key: r.GetKey(), Data: r.GetData(), Revision: era.Revision(r.GetRevision()), Gone: r.GetGone(),
@@ -283,13 +283,13 @@
 		out.Residencies = append(out.Residencies, decodeResidency(r))
 	}
 	for _, l := range m.GetLoads() {
-		out.Loads = append(out.Loads, share.Load{Engine: l.GetEngine(), Load: pool.Load{
+		out.Loads = append(out.Loads, gossip.Load{Engine: l.GetEngine(), Load: pool.Load{
 			Boot: l.GetBoot(), Seq: l.GetSeq(), Running: int(l.GetRunning()), Waiting: int(l.GetWaiting()),
 		}})
 	}
 	for _, l := range m.GetListed() {
-		out.Listed = append(out.Listed, share.Listed{
-			Name: l.GetName(), Kind: share.ListedKind(l.GetKind()), Zone: l.GetZone(), Address: l.GetAddress(),
+		out.Listed = append(out.Listed, gossip.Listed{
+			Name: l.GetName(), Kind: gossip.ListedKind(l.GetKind()), Zone: l.GetZone(), Address: l.GetAddress(),
 			Leaving: l.GetLeaving(), Gone: l.GetGone(), Version: era.Revision(l.GetVersion()), Announced: decodeAnnounced(l.GetAnnounced()),
 		})
 	}
@@ -302,24 +302,24 @@
 		})
 	}
 	for _, l := range m.GetLeavingReplicas() {
-		out.Leaving = append(out.Leaving, share.Leaving{Incarnation: decodeLife(l)})
+		out.Leaving = append(out.Leaving, gossip.Leaving{Incarnation: decodeLife(l)})
 	}
 	for _, r := range m.GetRests() {
-		out.Rests = append(out.Rests, share.Rest{Incarnation: decodeLife(r.GetReplica()), Left: span(r.GetLeftMs())})
+		out.Rests = append(out.Rests, gossip.Rest{Incarnation: decodeLife(r.GetReplica()), Left: span(r.GetLeftMs())})
 	}
 	for _, l := range m.GetLimits() {
-		out.Limits = append(out.Limits, share.Limit{Incarnation: decodeLife(l.GetReplica()), LimitReport: decodeLimit(l)})
+		out.Limits = append(out.Limits, gossip.Limit{Incarnation: decodeLife(l.GetReplica()), LimitReport: decodeLimit(l)})
 	}
 	for _, h := range m.GetHolders() {
-		out.Holders = append(out.Holders, share.LeaseHolder{
+		out.Holders = append(out.Holders, gossip.LeaseHolder{
 			Zone: h.GetZone(), Instance: h.GetInstance(), Fence: h.GetFence(),
 		})
 	}
 	return out
 }
 
-func decodeResidency(r *peerpb.Residency) share.Residency {
-	out := share.Residency{Engine: r.GetEngine()}
+func decodeResidency(r *peerpb.Residency) gossip.Residency {
+	out := gossip.Residency{Engine: r.GetEngine()}
 	out.Boot = r.GetBoot()
 	out.Change = r.GetChange()
 	out.Leaving = r.GetLeaving()
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -15,10 +15,10 @@
 	"github.com/gravitational/trace"
 	"github.com/twitchtv/twirp"
 
+	"github.com/birchdrift/birchdrift/core/gossip"
 	"github.com/birchdrift/birchdrift/core/orders"
 	"github.com/birchdrift/birchdrift/core/owned"
 	"github.com/birchdrift/birchdrift/core/permits"
-	"github.com/birchdrift/birchdrift/core/share"
 	"github.com/birchdrift/birchdrift/internal/peer/peerpb"
 )
 
@@ -40,14 +40,14 @@
 }
 
 // Exchange sends msg to the peer at address (IP:port) and returns its side.
-func (c *Client) Exchange(ctx context.Context, address string, msg share.Message) (share.Message, error) {
+func (c *Client) Exchange(ctx context.Context, address string, msg gossip.Message) (gossip.Message, error) {
 	ctx, err := c.withKey(ctx)
 	if err != nil {
-		return share.Message{}, err
+		return gossip.Message{}, err
 	}
 	reply, err := c.client(address).Exchange(ctx, encode(msg))
 	if err != nil {
-		return share.Message{}, trace.Wrap(err, "exchange with %s", address)
+		return gossip.Message{}, trace.Wrap(err, "exchange with %s", address)
 	}
 	return decode(reply), nil
 }
@@ -112,7 +112,7 @@
 // A Server takes exchanges that peers begin.
 type Server struct {
 	// Take answers one message.
-	Take func(ctx context.Context, msg share.Message) (share.Message, error)
+	Take func(ctx context.Context, msg gossip.Message) (gossip.Message, error)
 	// TakeOrder answers a question for an order; nil refuses every one.
 	TakeOrder func(ctx context.Context, engine string, r orders.Request) (OrderReply, error)
 	// TakePermit answers a question for a permit; nil refuses every one.
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -12,30 +12,30 @@
 	"github.com/birchdrift/birchdrift/core/clock"
 	"github.com/birchdrift/birchdrift/core/crash"
 	"github.com/birchdrift/birchdrift/core/demand"
+	"github.com/birchdrift/birchdrift/core/gossip"
 	"github.com/birchdrift/birchdrift/core/permits"
 	"github.com/birchdrift/birchdrift/core/pool"
 	"github.com/birchdrift/birchdrift/core/registry"
-	"github.com/birchdrift/birchdrift/core/share"
 )
 
 // full has every field set, so that one that the wire loses shows.
-func full() share.Message {
-	return share.Message{
+func full() gossip.Message {
+	return gossip.Message{
 		From: "a", Zone: "z", Address: "127.0.0.1:1", Boot: 1, Leaving: true, Revision: 2, Stamp: 3, AckBoot: 4, Ack: 5,
 		StoreAge: 16 * time.Millisecond, StoreVersion: 17,
-		Records: share.Records{
-			Residencies: []share.Residency{{Engine: "e", Residency: pool.Residency{
+		Records: gossip.Records{
+			Residencies: []gossip.Residency{{Engine: "e", Residency: pool.Residency{
 				Boot: 6, Change: 7, Leaving: true, Born: "30", Items: []pool.Item{{Name: "m", Phase: pool.Ready}},
 			}}},
-			Loads: []share.Load{{Engine: "e", Load: pool.Load{Boot: 6, Seq: 8, Running: 9, Waiting: 10}}},
-			Listed: []share.Listed{
-				{Name: "b", Kind: share.Entry, Zone: "z", Address: "x", Leaving: true, Gone: true, Version: 11},
-				{Name: "e", Kind: share.Upstream, Zone: "z", Version: 25, Announced: &pool.Announcement{
+			Loads: []gossip.Load{{Engine: "e", Load: pool.Load{Boot: 6, Seq: 8, Running: 9, Waiting: 10}}},
+			Listed: []gossip.Listed{
+				{Name: "b", Kind: gossip.Entry, Zone: "z", Address: "x", Leaving: true, Gone: true, Version: 11},
+				{Name: "e", Kind: gossip.Upstream, Zone: "z", Version: 25, Announced: &pool.Announcement{
 					Service: "s", Address: "127.0.0.1:2", Zone: "z", Slots: 26, Leaving: true, Remaining: 27 * time.Millisecond, Born: "28", Engine: true,
 					Models: []pool.AnnouncedModel{{Name: "m", Adapters: []string{"a"}}}, InMemory: []string{"m"}, OnDisk: []string{"n"},
 				}},
 			},
-			Holders: []share.LeaseHolder{{Zone: "z", Instance: "a", Fence: 12}},
+			Holders: []gossip.LeaseHolder{{Zone: "z", Instance: "a", Fence: 12}},
 			Registered: []registry.Record{
 				{Key: "owners/e", Data: []byte("{}"), Revision: 14},
 				{Key: "owners/f", Revision: 15, Gone: true},
@@ -44,9 +44,9 @@
 				Observer: "a", Boot: 18, Seq: 19, Replica: pool.Incarnation{Name: "e", Born: "29"}, Requests: []crash.Fingerprint{20, 1 << 63}, EventTime: clock.EventTime{Age: 21 * time.Millisecond},
 			}},
 			Successes: []crash.Success{{Request: 22, EventTime: clock.EventTime{Age: 23 * time.Millisecond}}},
-			Leaving:   []share.Leaving{{Incarnation: pool.Incarnation{Name: "e", Born: "24"}}},
-			Rests:     []share.Rest{{Incarnation: pool.Incarnation{Name: "e", Born: "33"}, Left: 34 * time.Millisecond}},
-			Limits: []share.Limit{{Incarnation: pool.Incarnation{Name: "e", Born: "31"}, LimitReport: pool.LimitReport{
+			Leaving:   []gossip.Leaving{{Incarnation: pool.Incarnation{Name: "e", Born: "24"}}},
+			Rests:     []gossip.Rest{{Incarnation: pool.Incarnation{Name: "e", Born: "33"}, Left: 34 * time.Millisecond}},
+			Limits: []gossip.Limit{{Incarnation: pool.Incarnation{Name: "e", Born: "31"}, LimitReport: pool.LimitReport{
 				Limit: pool.RateLimit{Named: true, PerSecond: 0.5}, By: "a", EventTime: clock.EventTime{Age: 32 * time.Millisecond},
 			}}},
 		},
@@ -66,7 +66,7 @@
 func TestExchangeNeedsTheSharedKey(t *testing.T) {
 	is := is.New(t)
 	taken := 0
-	server := httptest.NewServer(Server{Take: func(_ context.Context, msg share.Message) (share.Message, error) {
+	server := httptest.NewServer(Server{Take: func(_ context.Context, msg gossip.Message) (gossip.Message, error) {
 		taken++
 		return msg, nil
 	}}.Handler("right"))
--- a/internal/server/forward_test.go
+++ b/internal/server/forward_test.go
@@ -17,8 +17,8 @@
 
 	"github.com/birchdrift/birchdrift/core/config"
 	"github.com/birchdrift/birchdrift/core/era"
+	"github.com/birchdrift/birchdrift/core/gossip"
 	"github.com/birchdrift/birchdrift/core/pool"
-	"github.com/birchdrift/birchdrift/core/share"
 	"github.com/birchdrift/birchdrift/internal/environment"
 	"github.com/birchdrift/birchdrift/internal/forward"
 	"github.com/birchdrift/birchdrift/internal/settings"
@@ -144,8 +144,8 @@
 			r.proxy = proxytest.New(t, address)
 			address = r.proxy.Address()
 		}
-		change.Listed = append(change.Listed, share.Listed{
-			Name: r.name, Kind: share.Upstream, Zone: "z", Version: 4,
+		change.Listed = append(change.Listed, gossip.Listed{
+			Name: r.name, Kind: gossip.Upstream, Zone: "z", Version: 4,
 			Announced: &pool.Announcement{Service: "app", Address: address, Zone: "z", Slots: 8},
 		})
 	}
--- a/internal/shell/actions.go
+++ b/internal/shell/actions.go
@@ -8,6 +8,7 @@
 	"github.com/birchdrift/birchdrift/core/calls"
 	"github.com/birchdrift/birchdrift/core/config"
 	"github.com/birchdrift/birchdrift/core/exchange"
+	"github.com/birchdrift/birchdrift/core/gossip"
 	"github.com/birchdrift/birchdrift/core/instance"
 	"github.com/birchdrift/birchdrift/core/logevent"
 	"github.com/birchdrift/birchdrift/core/orderclient"
@@ -15,7 +16,6 @@
 	"github.com/birchdrift/birchdrift/core/owned"
 	"github.com/birchdrift/birchdrift/core/permits"
 	"github.com/birchdrift/birchdrift/core/quarantine"
-	"github.com/birchdrift/birchdrift/core/share"
 	"github.com/birchdrift/birchdrift/core/shutdown"
 	"github.com/birchdrift/birchdrift/core/step"
 	"github.com/birchdrift/birchdrift/internal/peer"
@@ -136,7 +136,7 @@
 }
 
 // decodeConfig takes in the configuration that a peer's message carries.
-func (s *Shell) decodeConfig(msg share.Message) {
+func (s *Shell) decodeConfig(msg gossip.Message) {
 	if len(msg.Config) == 0 || msg.Revision <= s.Config().Revision() {
 		return
 	}
--- a/internal/shell/shell.go
+++ b/internal/shell/shell.go
@@ -19,12 +19,12 @@
 	"github.com/birchdrift/birchdrift/core/clock"
 	"github.com/birchdrift/birchdrift/core/config"
 	"github.com/birchdrift/birchdrift/core/exchange"
+	"github.com/birchdrift/birchdrift/core/gossip"
 	"github.com/birchdrift/birchdrift/core/instance"
 	"github.com/birchdrift/birchdrift/core/logevent"
 	"github.com/birchdrift/birchdrift/core/member"
 	"github.com/birchdrift/birchdrift/core/notice"
 	"github.com/birchdrift/birchdrift/core/permits"
-	"github.com/birchdrift/birchdrift/core/share"
 	"github.com/birchdrift/birchdrift/core/shutdown"
 	"github.com/birchdrift/birchdrift/core/step"
 	"github.com/birchdrift/birchdrift/internal/peer"
@@ -80,7 +80,7 @@
 
 	events   chan func(*Shell) step.Event
 	calls    map[calls.ID]*callBox
-	asks     map[uint64]chan share.Message
+	asks     map[uint64]chan gossip.Message
 	orders   map[uint64]chan peer.OrderReply
 	permits  map[uint64]chan permits.Verdict
 	nextAsk  uint64
@@ -102,7 +102,7 @@
 		clocks:  newClocks(),
 		events:  make(chan func(*Shell) step.Event, eventQueue),
 		calls:   map[calls.ID]*callBox{},
-		asks:    map[uint64]chan share.Message{},
+		asks:    map[uint64]chan gossip.Message{},
 		orders:  map[uint64]chan peer.OrderReply{},
 		permits: map[uint64]chan permits.Verdict{},
 		exited:  make(chan shutdown.Exit, 1),
@@ -259,8 +259,8 @@
 }
 
 // Take answers an exchange that a peer began.
-func (s *Shell) Take(ctx context.Context, msg share.Message) (share.Message, error) {
-	reply := make(chan share.Message, 1)
+func (s *Shell) Take(ctx context.Context, msg gossip.Message) (gossip.Message, error) {
+	reply := make(chan gossip.Message, 1)
 	s.do(func(s *Shell) step.Event {
 		s.nextAsk++
 		s.asks[s.nextAsk] = reply
@@ -271,6 +271,6 @@
 	case out := <-reply:
 		return out, nil
 	case <-ctx.Done():
-		return share.Message{}, ctx.Err()
+		return gossip.Message{}, ctx.Err()
 	}
 }
--- a/internal/shell/shell_test.go
+++ b/internal/shell/shell_test.go
@@ -17,12 +17,12 @@
 	"github.com/birchdrift/birchdrift/core/calls"
 	"github.com/birchdrift/birchdrift/core/clock"
 	"github.com/birchdrift/birchdrift/core/config"
+	"github.com/birchdrift/birchdrift/core/gossip"
 	"github.com/birchdrift/birchdrift/core/instance"
 	"github.com/birchdrift/birchdrift/core/listing"
 	"github.com/birchdrift/birchdrift/core/member"
 	"github.com/birchdrift/birchdrift/core/option"
 	"github.com/birchdrift/birchdrift/core/own/kvwatch"
-	"github.com/birchdrift/birchdrift/core/share"
 	"github.com/birchdrift/birchdrift/core/step"
 	"github.com/birchdrift/birchdrift/internal/peer"
 	"github.com/birchdrift/birchdrift/internal/telemetry"
@@ -88,9 +88,9 @@
 func TestQuestionsDoNotPutOffTicks(t *testing.T) {
 	is := is.New(t)
 	var exchanges atomic.Int64
-	other := httptest.NewServer(peer.Server{Take: func(_ context.Context, msg share.Message) (share.Message, error) {
+	other := httptest.NewServer(peer.Server{Take: func(_ context.Context, msg gossip.Message) (gossip.Message, error) {
 		exchanges.Add(1)
-		return share.Message{}, nil
+		return gossip.Message{}, nil
 	}}.Handler(""))
 	defer other.Close()
 	s := running(t, other.Listener.Addr().String())
@@ -161,9 +161,9 @@
 func TestSilentConnectionsToPeers(t *testing.T) {
 	is := is.New(t)
 	var exchanges atomic.Int64
-	other := httptest.NewServer(peer.Server{Take: func(context.Context, share.Message) (share.Message, error) {
+	other := httptest.NewServer(peer.Server{Take: func(context.Context, gossip.Message) (gossip.Message, error) {
 		exchanges.Add(1)
-		return share.Message{}, nil
+		return gossip.Message{}, nil
 	}}.Handler(""))
 	defer other.Close()
 	proxy := proxytest.New(t, other.Listener.Addr().String())
