--- a/core/instance/machine.go
+++ b/core/instance/machine.go
@@ -148,7 +148,7 @@
 	case permits.Reply:
 		m.permits.Replied(now, e)
 	case permits.Asked:
-		m.permits.Asked(now, e)
+		m.permits.HandleRequest(now, e)
 	case quarantine.Checked:
 		m.quarantine.Checked(now, e)
 	case quarantine.VerdictStored:
--- a/core/permits/permits.go
+++ b/core/permits/permits.go
@@ -352,8 +352,8 @@
 	}
 }
 
-// Asked takes in a peer's request.
-func (p *Permits) Asked(now clock.Instant, e Asked) {
+// HandleRequest takes in a peer's request.
+func (p *Permits) HandleRequest(now clock.Instant, e Asked) {
 	p.told(now, e.From, e.Request.Replica, e.Request.Word)
 	if e.Request.Unused {
 		p.coordinator.giveBack(now, e.Request.Subject)
