--- a/core/instance/machine.go
+++ b/core/instance/machine.go
@@ -146,7 +146,7 @@
 	case notice.Received:
 		m.notices.HandleNotice(now, e)
 	case permits.Reply:
-		m.permits.Replied(now, e)
+		m.permits.HandleReply(now, e)
 	case permits.Asked:
 		m.permits.HandleRequest(now, e)
 	case quarantine.Checked:
--- a/core/permits/permits.go
+++ b/core/permits/permits.go
@@ -282,8 +282,8 @@
 	return ""
 }
 
-// Replied takes in a peer's answer, or that none came. Another is asked then.
-func (p *Permits) Replied(now clock.Instant, e Reply) {
+// HandleReply takes in a peer's answer, or that none came. Another is asked then.
+func (p *Permits) HandleReply(now clock.Instant, e Reply) {
 	a := p.asks[e.Token]
 	if a == nil {
 		return
--- a/core/permits/permits_test.go
+++ b/core/permits/permits_test.go
@@ -270,21 +270,21 @@
 	is.Equal(len(asked), 1)
 	is.Equal(asked[0].Request.Word.By, "self")
 	l.now = l.now.Add(100 * time.Millisecond)
-	l.Replied(l.now, Reply{Token: asked[0].Token, Err: noAnswer})
+	l.HandleReply(l.now, Reply{Token: asked[0].Token, Err: noAnswer})
 	again := l.sent()
 	is.Equal(len(again), 1)
 	is.True(again[0].Peer != asked[0].Peer)
 	is.Equal(again[0].Request.Wait, 900*time.Millisecond)
-	l.Replied(l.now, Reply{Token: asked[0].Token, Verdict: Verdict{Granted: true}}) // too late
+	l.HandleReply(l.now, Reply{Token: asked[0].Token, Verdict: Verdict{Granted: true}}) // too late
 	is.Equal(len(l.decided), 0)
-	l.Replied(l.now, Reply{Token: again[0].Token, Err: noAnswer})
+	l.HandleReply(l.now, Reply{Token: again[0].Token, Err: noAnswer})
 	is.Equal(l.granted(), []calls.ID{1}) // by itself
 	is.Equal(len(l.sent()), 0)
 
 	l.ask(2, 0, 0)
 	asked = l.sent()
 	is.Equal(len(asked), 1)
-	l.Replied(l.now, Reply{Token: asked[0].Token, Err: noAnswer})
+	l.HandleReply(l.now, Reply{Token: asked[0].Token, Err: noAnswer})
 	is.Equal(len(l.sent()), 0)
 	is.Equal(l.decided[1].Granted, false)
 }
@@ -311,7 +311,7 @@
 			l.ask(1, 0, 5*time.Second)
 			asked := l.sent()
 			is.Equal(len(asked), 1)
-			l.Replied(l.now.Add(c.took), Reply{Token: asked[0].Token, Verdict: Verdict{Granted: true, Held: c.held}})
+			l.HandleReply(l.now.Add(c.took), Reply{Token: asked[0].Token, Verdict: Verdict{Granted: true, Held: c.held}})
 			is.Equal(l.decided[0].Granted, c.valid)
 		})
 	}
