--- a/core/forwarding/permit.go
+++ b/core/forwarding/permit.go
@@ -52,7 +52,7 @@
 	f.Calls.EnterPhase(c, calls.AwaitingPermit)
 	f.Out.Log(logevent.CallWaits, "call", c.Forward.Name, "item", c.Item, "for", "a permit", "replica", best.Replica.Name,
 		"per_s", w.Limit.PerSecond, "by", w.By, "ago_ms", now.Since(w.At).Milliseconds(), "most_ms", wait.Milliseconds())
-	f.Permits.ForCall(now, best.Replica, c.ID, s.route.Priority, wait, alone)
+	f.Permits.RequestForCall(now, best.Replica, c.ID, s.route.Priority, wait, alone)
 }
 
 // turnWait returns how long the call may wait for its turn at a replica: while it can still
--- a/core/permits/permits.go
+++ b/core/permits/permits.go
@@ -196,9 +196,9 @@
 	return p
 }
 
-// ForCall asks for a permit to send a call to a replica, within wait; alone says that nothing
-// else can serve it. Decided is told of the outcome, perhaps before ForCall returns.
-func (p *Permits) ForCall(now clock.Instant, r *pool.Replica, call calls.ID, rank int, wait time.Duration, alone bool) {
+// RequestForCall asks for a permit to send a call to a replica, within wait; alone says that nothing
+// else can serve it. Decided is told of the outcome, perhaps before RequestForCall returns.
+func (p *Permits) RequestForCall(now clock.Instant, r *pool.Replica, call calls.ID, rank int, wait time.Duration, alone bool) {
 	request := requestOf(r, rank, wait)
 	request.Alone = alone
 	p.begin(now, &ask{request: request, call: call})
--- a/core/permits/permits_test.go
+++ b/core/permits/permits_test.go
@@ -83,7 +83,7 @@
 }
 
 func (l *lab) ask(call calls.ID, rank int, wait time.Duration) {
-	l.ForCall(l.now, l.Pool.Get("r"), call, rank, wait, wait > 0)
+	l.RequestForCall(l.now, l.Pool.Get("r"), call, rank, wait, wait > 0)
 }
 
 // granted returns the calls that were granted a permit, in order.
