--- a/core/forwarding/attempts.go
+++ b/core/forwarding/attempts.go
@@ -92,7 +92,7 @@
 	s := stateOf(c)
 	s.failed = &b
 	f.Calls.EnterPhase(c, calls.AwaitingPermit)
-	f.Permits.ForRepeat(now, c.Service, c.ID, s.route.Priority, f.patience(now, c))
+	f.Permits.RequestForRetry(now, c.Service, c.ID, s.route.Priority, f.patience(now, c))
 }
 
 // repeatPermitted takes in what came of that.
--- a/core/permits/permits.go
+++ b/core/permits/permits.go
@@ -208,9 +208,9 @@
 	return Request{Subject: Subject{Replica: r.Incarnation()}, Zone: r.Zone, Rank: min(rank, adapterRank), Wait: max(0, wait), Word: r.LimitReport()}
 }
 
-// ForRepeat asks for a permit to repeat a call of a service, within wait. Decided is told of
-// the outcome, perhaps before ForRepeat returns.
-func (p *Permits) ForRepeat(now clock.Instant, service string, call calls.ID, rank int, wait time.Duration) {
+// RequestForRetry asks for a permit to repeat a call of a service, within wait. Decided is told of
+// the outcome, perhaps before RequestForRetry returns.
+func (p *Permits) RequestForRetry(now clock.Instant, service string, call calls.ID, rank int, wait time.Duration) {
 	request := Request{Subject: Subject{Service: service}, Rank: rank, Wait: max(0, wait)}
 	p.begin(now, &ask{request: request, call: call})
 }
--- a/core/permits/permits_test.go
+++ b/core/permits/permits_test.go
@@ -390,7 +390,7 @@
 	var granted []clock.Instant
 	for i := range 6000 {
 		l.decided = nil
-		l.ForRepeat(l.now, "s", calls.ID(i+1), 0, 0)
+		l.RequestForRetry(l.now, "s", calls.ID(i+1), 0, 0)
 		is.Equal(len(l.decided), 1)
 		if l.decided[0].Granted {
 			granted = append(granted, l.now)
@@ -405,7 +405,7 @@
 		}
 	}
 	is.True(len(granted) >= 9) // the part that comes in each span
-	l.ForRepeat(l.now.Add(time.Minute), "another", 1, 0, 0)
+	l.RequestForRetry(l.now.Add(time.Minute), "another", 1, 0, 0)
 	is.True(l.decided[len(l.decided)-1].Granted) // each service has its own
 }
 
