--- a/core/forwarding/permit_test.go
+++ b/core/forwarding/permit_test.go
@@ -41,7 +41,7 @@
 
 // spend uses up what a replica takes now.
 func (f *Forwarder) spend(now clock.Instant, r *pool.Replica) {
-	f.Permits.ForOrder(now, r.Name, false)
+	f.Permits.TryAcquireForOrder(now, r.Name, false)
 }
 
 // dispatches returns where calls are sent.
--- a/core/instance/build.go
+++ b/core/instance/build.go
@@ -126,7 +126,7 @@
 			m.forwarding.PermitDecided(now, call, s, v)
 		},
 	})
-	m.orders.owned.Permitted = m.permits.ForOrder
+	m.orders.owned.Permitted = m.permits.TryAcquireForOrder
 }
 
 // buildExchanges builds the exchanges and the list of what is there. What differs
--- a/core/permits/permits.go
+++ b/core/permits/permits.go
@@ -215,10 +215,10 @@
 	p.begin(now, &ask{request: request, call: call})
 }
 
-// ForOrder reports whether an order may be sent to an engine now, for an adapter or for a
+// TryAcquireForOrder reports whether an order may be sent to an engine now, for an adapter or for a
 // model, or a question for its state. Where a permit is needed and none is at hand, one is
 // asked for; it is at hand later.
-func (p *Permits) ForOrder(now clock.Instant, engine string, adapter bool) bool {
+func (p *Permits) TryAcquireForOrder(now clock.Instant, engine string, adapter bool) bool {
 	r := p.Pool.Get(engine)
 	if r == nil {
 		return true
--- a/core/permits/permits_test.go
+++ b/core/permits/permits_test.go
@@ -322,22 +322,22 @@
 func TestOrdersTakePermits(t *testing.T) {
 	is := is.New(t)
 	l := newLab(1, nil)
-	is.True(l.ForOrder(l.now, "nobody", false))
-	is.True(l.ForOrder(l.now, "r", false)) // the token that a bucket begins with
-	is.True(!l.ForOrder(l.now, "r", false))
+	is.True(l.TryAcquireForOrder(l.now, "nobody", false))
+	is.True(l.TryAcquireForOrder(l.now, "r", false)) // the token that a bucket begins with
+	is.True(!l.TryAcquireForOrder(l.now, "r", false))
 	l.ask(1, 0, time.Minute)
 	l.after(3500 * time.Millisecond) // three tenths of the limit at first
 	is.Equal(len(l.granted()), 0)
-	is.True(l.ForOrder(l.now, "r", false))
-	is.True(!l.ForOrder(l.now, "r", false))
+	is.True(l.TryAcquireForOrder(l.now, "r", false))
+	is.True(!l.TryAcquireForOrder(l.now, "r", false))
 
 	l = newLab(1, nil)
-	is.True(l.ForOrder(l.now, "r", false))
-	is.True(!l.ForOrder(l.now, "r", false))
+	is.True(l.TryAcquireForOrder(l.now, "r", false))
+	is.True(!l.TryAcquireForOrder(l.now, "r", false))
 	l.after(3400*time.Millisecond + permitLife) // it was there, and was not used
-	is.True(!l.ForOrder(l.now, "r", false))
+	is.True(!l.TryAcquireForOrder(l.now, "r", false))
 	l.Pool.Announce(l.now, "r", pool.Announcement{Service: "s", Address: "r", Zone: "z", Born: "2"})
-	is.True(l.ForOrder(l.now, "r", false)) // another life named none
+	is.True(l.TryAcquireForOrder(l.now, "r", false)) // another life named none
 }
 
 // TestPermitsComeBack: one that is not used goes to who waits, here and at a peer.
@@ -415,22 +415,22 @@
 	is := is.New(t)
 	l := newLab(1, nil)
 	l.settle()
-	for l.ForOrder(l.now, "r", false) { // what is there
+	for l.TryAcquireForOrder(l.now, "r", false) { // what is there
 	}
-	is.True(!l.ForOrder(l.now, "r", true))
+	is.True(!l.TryAcquireForOrder(l.now, "r", true))
 	l.ask(1, 3, time.Minute)
 	until := func(may func() bool) {
 		for end := l.now.Add(2 * time.Second); !may() && l.now.Before(end); {
 			l.after(10 * time.Millisecond)
 		}
 	}
-	until(func() bool { return l.ForOrder(l.now, "r", false) }) // the question's turn
+	until(func() bool { return l.TryAcquireForOrder(l.now, "r", false) }) // the question's turn
 	is.Equal(len(l.granted()), 0)
 	until(func() bool { return len(l.granted()) > 0 })
 	is.Equal(l.granted(), []calls.ID{1})
-	is.True(!l.ForOrder(l.now, "r", true))
+	is.True(!l.TryAcquireForOrder(l.now, "r", true))
 	served := l.now
-	until(func() bool { return l.ForOrder(l.now, "r", true) })
+	until(func() bool { return l.TryAcquireForOrder(l.now, "r", true) })
 	is.True(l.now.Since(served) > 900*time.Millisecond && l.now.Since(served) < 1100*time.Millisecond)
 }
 
