--- a/core/forwarding/permit.go
+++ b/core/forwarding/permit.go
@@ -80,7 +80,7 @@
 	waits := c != nil && c.Phase == calls.AwaitingPermit
 	if !waits {
 		if v.Granted {
-			f.Permits.GiveBack(now, subject)
+			f.Permits.Release(now, subject)
 		}
 		return
 	}
@@ -92,7 +92,7 @@
 		f.deny(now, stateOf(c), f.Pool.Get(subject.Replica.Name), v)
 		f.findReplica(now, c)
 	case !f.usePermit(now, c, subject.Replica):
-		f.Permits.GiveBack(now, subject)
+		f.Permits.Release(now, subject)
 		f.findReplica(now, c)
 	}
 }
--- a/core/permits/permits.go
+++ b/core/permits/permits.go
@@ -330,8 +330,8 @@
 	p.orders[a.order] = o
 }
 
-// GiveBack returns a permit that is not used.
-func (p *Permits) GiveBack(now clock.Instant, s Subject) {
+// Release returns a permit that is not used.
+func (p *Permits) Release(now clock.Instant, s Subject) {
 	request := Request{Subject: s, Unused: true}
 	if r := p.Pool.Get(s.Replica.Name); r != nil {
 		request.Zone = r.Zone
--- a/core/permits/permits_test.go
+++ b/core/permits/permits_test.go
@@ -347,15 +347,15 @@
 	l.ask(1, 0, 0)
 	l.ask(2, 0, time.Minute)
 	is.Equal(l.granted(), []calls.ID{1})
-	l.GiveBack(l.now, Subject{Replica: life})
+	l.Release(l.now, Subject{Replica: life})
 	is.Equal(l.granted(), []calls.ID{1, 2})
-	l.GiveBack(l.now, Subject{Replica: pool.Incarnation{Name: "r", Born: "0"}}) // of a life before
+	l.Release(l.now, Subject{Replica: pool.Incarnation{Name: "r", Born: "0"}}) // of a life before
 	l.ask(3, 0, 0)
 	is.Equal(len(l.granted()), 2)
 
 	l = newLab(1, map[string]string{"a": "z"})
 	l.Permits.Stopping = func() bool { return true }
-	l.GiveBack(l.now, Subject{Replica: life})
+	l.Release(l.now, Subject{Replica: life})
 	asked := l.sent()
 	is.Equal(len(asked), 1)
 	is.True(asked[0].Request.Unused)
