--- a/core/orders/orders.go
+++ b/core/orders/orders.go
@@ -118,8 +118,8 @@
 // Sequence returns the number of orders that the engine has taken.
 func (e *Engine) Sequence() uint64 { return e.sequence }
 
-// Changes rises with every change of what the engine holds.
-func (e *Engine) Changes() uint64 { return e.changes }
+// Version rises with every change of what the engine holds.
+func (e *Engine) Version() uint64 { return e.changes }
 
 // InFlight reports whether an order is without an answer.
 func (e *Engine) InFlight() bool { return e.inFlight != nil }
--- a/core/owned/owned.go
+++ b/core/owned/owned.go
@@ -220,10 +220,10 @@
 // publish takes what the ledger says into this instance's own view, and into the
 // records that peers are told.
 func (s *Engines) publish(now clock.Instant, e *Engine) {
-	if e.published == e.Changes() || !e.Known() && e.change == 0 {
+	if e.published == e.Version() || !e.Known() && e.change == 0 {
 		return
 	}
-	e.published = e.Changes()
+	e.published = e.Version()
 	e.change++
 	res := pool.Residency{Boot: uint64(e.Fence), Change: e.change, Born: e.life.Born, Items: e.Items()}
 	if s.Records.AddResidency("", gossip.Residency{Engine: e.Name, Residency: res}) {
