--- a/core/orders/observe.go
+++ b/core/orders/observe.go
@@ -28,7 +28,7 @@
 	e.sequence = s.Sequence
 	// A model that another owner's order brings takes memory, and the engine
 	// does not say which it is: nothing may be ordered until it is done.
-	model, _ := e.Underway()
+	model, _ := e.ModelInTransition()
 	e.uncertain = s.Busy && model == ""
 }
 
--- a/core/orders/orders.go
+++ b/core/orders/orders.go
@@ -134,8 +134,8 @@
 	return false
 }
 
-// Underway returns the model on its way in or out, and whether it comes in.
-func (e *Engine) Underway() (model string, loading bool) {
+// ModelInTransition returns the model on its way in or out, and whether it comes in.
+func (e *Engine) ModelInTransition() (model string, loading bool) {
 	for _, h := range e.items {
 		if h.adapter == "" && h.phase != pool.Ready && !h.unloadMarked {
 			return h.model, h.phase == pool.Loading
@@ -146,7 +146,7 @@
 
 // Ordered reports whether an order on a model was taken and is not done.
 func (e *Engine) Ordered() bool {
-	model, _ := e.Underway()
+	model, _ := e.ModelInTransition()
 	return model != "" && e.inFlight == nil
 }
 
--- a/core/owned/state.go
+++ b/core/owned/state.go
@@ -78,7 +78,7 @@
 		return
 	}
 	r := s.Pool.Get(e.Name)
-	model, loading := e.Underway()
+	model, loading := e.ModelInTransition()
 	if r == nil || model == "" {
 		return
 	}
