--- a/core/orders/orders.go
+++ b/core/orders/orders.go
@@ -144,8 +144,8 @@
 	return "", false
 }
 
-// Ordered reports whether an order on a model was taken and is not done.
-func (e *Engine) Ordered() bool {
+// ModelOrderRunning reports whether an order on a model was taken and is not done.
+func (e *Engine) ModelOrderRunning() bool {
 	model, _ := e.ModelInTransition()
 	return model != "" && e.inFlight == nil
 }
--- a/core/owned/state.go
+++ b/core/owned/state.go
@@ -45,7 +45,7 @@
 
 // askState asks an engine whose state is in doubt.
 func (s *Engines) askState(now clock.Instant, e *Engine) {
-	if !e.Uncertain() && !e.Ordered() || e.InFlight() || e.asking || now.Before(e.askDue) || s.resting(now, e) || !s.Permitted(now, e.Name, false) {
+	if !e.Uncertain() && !e.ModelOrderRunning() || e.InFlight() || e.asking || now.Before(e.askDue) || s.resting(now, e) || !s.Permitted(now, e.Name, false) {
 		return
 	}
 	e.asking = true
