--- a/core/orders/orders.go
+++ b/core/orders/orders.go
@@ -167,8 +167,8 @@
 // engine is asked whether it is gone; it does not announce that.
 const unloadTime = time.Second
 
-// Used notes that a call used an item.
-func (e *Engine) Used(now clock.Instant, item string) {
+// RecordUse notes that a call used an item.
+func (e *Engine) RecordUse(now clock.Instant, item string) {
 	if h, ok := e.items[item]; ok {
 		h.usedAt = now
 		e.items[item] = h
--- a/core/orders/orders_test.go
+++ b/core/orders/orders_test.go
@@ -199,7 +199,7 @@
 			}
 			e.Observe(start.Add(-time.Hour), State{Models: []pool.AnnouncedModel{model}})
 			for name, ago := range c.used {
-				e.Used(start.Add(-ago), pool.ItemName("a", name))
+				e.RecordUse(start.Add(-ago), pool.ItemName("a", name))
 			}
 			got, ok := e.IdleAdapter(start, idle)
 			is.Equal(ok, c.want != "")
--- a/core/owned/owned.go
+++ b/core/owned/owned.go
@@ -165,7 +165,7 @@
 // Used notes that an item of an engine was used, so that it makes way later.
 func (s *Engines) Used(now clock.Instant, engine, item string) {
 	if e := s.engines[engine]; e != nil {
-		e.Used(now, item)
+		e.RecordUse(now, item)
 	}
 }
 
