--- a/core/orders/answer.go
+++ b/core/orders/answer.go
@@ -9,8 +9,8 @@
 
 // How the ledger books an order, and takes in what came of it.
 
-// Send books a request that Check allowed; Expect of the order is Sequence.
-func (e *Engine) Send(r Request) {
+// RecordSent books a request that Check allowed; Expect of the order is Sequence.
+func (e *Engine) RecordSent(r Request) {
 	e.inFlight = &r
 	h := held{model: r.Model, adapter: r.Adapter, phase: pool.Loading}
 	if !r.Load {
--- a/core/orders/orders_test.go
+++ b/core/orders/orders_test.go
@@ -82,19 +82,19 @@
 		{"an adapter of a model there", func() *Engine { return engine(1, "a") }, load("a", "x"), Permitted},
 		{"while an order is without an answer", func() *Engine {
 			e := engine(1, "a")
-			e.Send(load("a", "x"))
+			e.RecordSent(load("a", "x"))
 			return e
 		}, load("a", "y"), Later},
 		{"an adapter on its way", func() *Engine {
 			e := engine(1, "a")
-			e.Send(load("a", "x"))
+			e.RecordSent(load("a", "x"))
 			e.Taken(start, time.Second)
 			return e
 		}, load("a", "x"), Coming},
 		{"no slot left", func() *Engine {
 			e := engine(1, "a")
 			for _, x := range []string{"x", "y"} {
-				e.Send(load("a", x))
+				e.RecordSent(load("a", x))
 				e.Taken(start, 0)
 				e.Settle(start)
 			}
@@ -102,13 +102,13 @@
 		}, load("a", "z"), NoRoom},
 		{"a second model while one is on its way", func() *Engine {
 			e := engine(1, "a")
-			e.Send(load("b", ""))
+			e.RecordSent(load("b", ""))
 			e.Taken(start, 0)
 			return e
 		}, load("c", ""), Later},
 		{"after a lost answer", func() *Engine {
 			e := engine(1, "a")
-			e.Send(load("b", ""))
+			e.RecordSent(load("b", ""))
 			e.Lost()
 			return e
 		}, load("a", "x"), Unknown},
@@ -147,7 +147,7 @@
 func TestALateOrderIsVoid(t *testing.T) {
 	is := is.New(t)
 	e := engine(4, "a", "b")
-	e.Send(load("c", ""))
+	e.RecordSent(load("c", ""))
 	e.Lost()
 	is.Equal(e.Free(), int64(8)) // booked
 	e.Observe(start, stateOf(3)) // older than what was answered: says nothing
@@ -155,7 +155,7 @@
 	e.Observe(start, stateOf(4, "a", "b"))
 	is.Equal(e.Check(load("d", "")), Permitted)
 	is.Equal(e.Sequence(), uint64(4)) // so the lost one is void once this is taken
-	e.Send(load("d", ""))
+	e.RecordSent(load("d", ""))
 	e.Taken(start, 0)
 	is.Equal(e.Sequence(), uint64(5))
 }
@@ -165,7 +165,7 @@
 func TestAnnouncementsEndOrdersOnModels(t *testing.T) {
 	is := is.New(t)
 	e := engine(1, "a")
-	e.Send(load("b", ""))
+	e.RecordSent(load("b", ""))
 	e.Taken(start, 0)
 	e.Announced([]pool.AnnouncedModel{{Name: "a"}})
 	is.Equal(e.Phase("b"), pool.Loading)
--- a/core/owned/queue.go
+++ b/core/owned/queue.go
@@ -218,7 +218,7 @@
 	expect := e.Sequence()
 	e.orderedAt = now
 	e.orderFence = e.Fence
-	e.Send(r)
+	e.RecordSent(r)
 	o := orders.Order{Engine: e.Name, Address: e.Address, Request: r, Expect: expect, Fence: e.Fence}
 	s.Out.Emit(SendOrder{Order: o, Limited: s.limited(now, e)})
 }
