--- a/core/orders/answer.go
+++ b/core/orders/answer.go
@@ -21,9 +21,9 @@
 	e.put(r.Item(), h)
 }
 
-// Taken notes that the engine carries the order in flight out. adapterTime is
+// RecordAccepted notes that the engine carries the order in flight out. adapterTime is
 // how long an adapter is believed to be on its way.
-func (e *Engine) Taken(now clock.Instant, adapterTime time.Duration) {
+func (e *Engine) RecordAccepted(now clock.Instant, adapterTime time.Duration) {
 	r := e.inFlight
 	if r == nil {
 		return
--- a/core/orders/orders_test.go
+++ b/core/orders/orders_test.go
@@ -88,14 +88,14 @@
 		{"an adapter on its way", func() *Engine {
 			e := engine(1, "a")
 			e.RecordSent(load("a", "x"))
-			e.Taken(start, time.Second)
+			e.RecordAccepted(start, time.Second)
 			return e
 		}, load("a", "x"), Coming},
 		{"no slot left", func() *Engine {
 			e := engine(1, "a")
 			for _, x := range []string{"x", "y"} {
 				e.RecordSent(load("a", x))
-				e.Taken(start, 0)
+				e.RecordAccepted(start, 0)
 				e.Settle(start)
 			}
 			return e
@@ -103,7 +103,7 @@
 		{"a second model while one is on its way", func() *Engine {
 			e := engine(1, "a")
 			e.RecordSent(load("b", ""))
-			e.Taken(start, 0)
+			e.RecordAccepted(start, 0)
 			return e
 		}, load("c", ""), Later},
 		{"after a lost answer", func() *Engine {
@@ -156,7 +156,7 @@
 	is.Equal(e.Check(load("d", "")), Permitted)
 	is.Equal(e.Sequence(), uint64(4)) // so the lost one is void once this is taken
 	e.RecordSent(load("d", ""))
-	e.Taken(start, 0)
+	e.RecordAccepted(start, 0)
 	is.Equal(e.Sequence(), uint64(5))
 }
 
@@ -166,7 +166,7 @@
 	is := is.New(t)
 	e := engine(1, "a")
 	e.RecordSent(load("b", ""))
-	e.Taken(start, 0)
+	e.RecordAccepted(start, 0)
 	e.Announced([]pool.AnnouncedModel{{Name: "a"}})
 	is.Equal(e.Phase("b"), pool.Loading)
 	e.Announced([]pool.AnnouncedModel{{Name: "a"}, {Name: "b"}})
--- a/core/owned/queue.go
+++ b/core/owned/queue.go
@@ -232,7 +232,7 @@
 	s.Out.Log(logevent.EngineAnswer, "engine", e.Name, "answer", int(r.Answer), "sequence", e.Sequence(), "detail", r.Detail)
 	switch r.Answer {
 	case orders.AnswerTaken:
-		e.Taken(now, adapterTime)
+		e.RecordAccepted(now, adapterTime)
 		s.expectModel(now, e)
 	case orders.AnswerHolds:
 		e.Holds()
