--- a/core/orders/answer.go
+++ b/core/orders/answer.go
@@ -43,10 +43,10 @@
 	e.put(r.Item(), h)
 }
 
-// Holds notes that what the order in flight asked for is so already, or at
+// RecordNoChange notes that what the order in flight asked for is so already, or at
 // once. An adapter that no request uses is unloaded at once, which counts as an
 // order that was taken.
-func (e *Engine) Holds() {
+func (e *Engine) RecordNoChange() {
 	r := e.inFlight
 	if r == nil {
 		return
--- a/core/owned/queue.go
+++ b/core/owned/queue.go
@@ -235,7 +235,7 @@
 		e.RecordAccepted(now, adapterTime)
 		s.expectModel(now, e)
 	case orders.AnswerHolds:
-		e.Holds()
+		e.RecordNoChange()
 	case orders.AnswerNotSent:
 		e.Failed()
 		s.unreachable(now, e)
