--- a/core/orders/answer.go
+++ b/core/orders/answer.go
@@ -62,9 +62,9 @@
 	e.put(r.Item(), h)
 }
 
-// Failed notes that the order in flight was not carried out and never will be:
+// RecordFailed notes that the order in flight was not carried out and never will be:
 // it never left, or the engine said so.
-func (e *Engine) Failed() {
+func (e *Engine) RecordFailed() {
 	r := e.inFlight
 	if r == nil {
 		return
@@ -94,6 +94,6 @@
 // SequenceDiffers notes that the engine has taken another number of orders than
 // was believed; it must be asked.
 func (e *Engine) SequenceDiffers() {
-	e.Failed()
+	e.RecordFailed()
 	e.uncertain = true
 }
--- a/core/owned/queue.go
+++ b/core/owned/queue.go
@@ -237,17 +237,17 @@
 	case orders.AnswerHolds:
 		e.RecordNoChange()
 	case orders.AnswerNotSent:
-		e.Failed()
+		e.RecordFailed()
 		s.unreachable(now, e)
 	case orders.AnswerInvalid:
-		e.Failed()
+		e.RecordFailed()
 	case orders.AnswerConflict:
 		e.SequenceDiffers()
 	case orders.AnswerMisdirected:
-		e.Failed()
+		e.RecordFailed()
 		s.Pool.MarkTerminated(e.Name)
 	case orders.AnswerFenced:
-		e.Failed()
+		e.RecordFailed()
 		s.Lose(now, e.Name, "the engine has seen a later fence")
 		return
 	case orders.AnswerLost:
