--- a/core/orders/answer.go
+++ b/core/orders/answer.go
@@ -79,9 +79,9 @@
 	e.put(r.Item(), h)
 }
 
-// Lost notes that the answer of the order in flight is lost, and returns what it asked
+// RecordLost notes that the answer of the order in flight is lost, and returns what it asked
 // for. What it would do stays booked until the engine is asked.
-func (e *Engine) Lost() (r Request, ok bool) {
+func (e *Engine) RecordLost() (r Request, ok bool) {
 	if e.inFlight == nil {
 		return r, false
 	}
--- a/core/orders/orders_test.go
+++ b/core/orders/orders_test.go
@@ -109,7 +109,7 @@
 		{"after a lost answer", func() *Engine {
 			e := engine(1, "a")
 			e.RecordSent(load("b", ""))
-			e.Lost()
+			e.RecordLost()
 			return e
 		}, load("a", "x"), Unknown},
 		{"dropping what is not there", func() *Engine { return engine(1, "a") }, Request{Model: "b"}, NotThere},
@@ -148,7 +148,7 @@
 	is := is.New(t)
 	e := engine(4, "a", "b")
 	e.RecordSent(load("c", ""))
-	e.Lost()
+	e.RecordLost()
 	is.Equal(e.Free(), int64(8)) // booked
 	e.Observe(start, stateOf(3)) // older than what was answered: says nothing
 	is.Equal(e.Free(), int64(8))
--- a/core/owned/late.go
+++ b/core/owned/late.go
@@ -18,7 +18,7 @@
 // noteLate notes that the answer of the order in flight at an engine is lost, if there is
 // one.
 func (s *Engines) noteLate(now clock.Instant, e *Engine) {
-	r, ok := e.Lost()
+	r, ok := e.RecordLost()
 	if !ok {
 		return
 	}
