--- a/core/orders/answer.go
+++ b/core/orders/answer.go
@@ -91,9 +91,9 @@
 	return r, true
 }
 
-// SequenceDiffers notes that the engine has taken another number of orders than
+// RecordConflict notes that the engine has taken another number of orders than
 // was believed; it must be asked.
-func (e *Engine) SequenceDiffers() {
+func (e *Engine) RecordConflict() {
 	e.RecordFailed()
 	e.uncertain = true
 }
--- a/core/owned/queue.go
+++ b/core/owned/queue.go
@@ -242,7 +242,7 @@
 	case orders.AnswerInvalid:
 		e.RecordFailed()
 	case orders.AnswerConflict:
-		e.SequenceDiffers()
+		e.RecordConflict()
 	case orders.AnswerMisdirected:
 		e.RecordFailed()
 		s.Pool.MarkTerminated(e.Name)
