--- a/core/orders/observe.go
+++ b/core/orders/observe.go
@@ -17,9 +17,9 @@
 	Coming   []string // adapters on their way, as items
 }
 
-// Observe takes in what the engine said when it was asked. One that is older
+// ObserveState takes in what the engine said when it was asked. One that is older
 // than an order which was answered says nothing.
-func (e *Engine) Observe(now clock.Instant, s State) {
+func (e *Engine) ObserveState(now clock.Instant, s State) {
 	if e.inFlight != nil || s.Sequence < e.sequence {
 		return
 	}
--- a/core/orders/orders_test.go
+++ b/core/orders/orders_test.go
@@ -23,7 +23,7 @@
 // orders.
 func engine(sequence uint64, models ...string) *Engine {
 	e := New("e", "10.0.0.1:80", 7, start, Limits{MemoryMB: 3*modelMB + 8, AdapterSlots: 2}, sizes)
-	e.Observe(start, stateOf(sequence, models...))
+	e.ObserveState(start, stateOf(sequence, models...))
 	return e
 }
 
@@ -135,10 +135,10 @@
 	e := New("e", "a", 9, start, Limits{MemoryMB: 3*modelMB + 8, AdapterSlots: 2}, sizes)
 	busy := stateOf(6, "a", "b")
 	busy.Busy = true
-	e.Observe(start, busy)
+	e.ObserveState(start, busy)
 	is.Equal(e.Check(load("c", "")), Unknown)
 	is.True(e.Uncertain()) // it must be asked again
-	e.Observe(start, stateOf(6, "a", "b", "d"))
+	e.ObserveState(start, stateOf(6, "a", "b", "d"))
 	is.Equal(e.Check(load("c", "")), NoRoom)
 }
 
@@ -149,10 +149,10 @@
 	e := engine(4, "a", "b")
 	e.RecordSent(load("c", ""))
 	e.RecordLost()
-	is.Equal(e.Free(), int64(8)) // booked
-	e.Observe(start, stateOf(3)) // older than what was answered: says nothing
+	is.Equal(e.Free(), int64(8))      // booked
+	e.ObserveState(start, stateOf(3)) // older than what was answered: says nothing
 	is.Equal(e.Free(), int64(8))
-	e.Observe(start, stateOf(4, "a", "b"))
+	e.ObserveState(start, stateOf(4, "a", "b"))
 	is.Equal(e.Check(load("d", "")), Permitted)
 	is.Equal(e.Sequence(), uint64(4)) // so the lost one is void once this is taken
 	e.RecordSent(load("d", ""))
@@ -197,7 +197,7 @@
 			for name := range c.used {
 				model.Adapters = append(model.Adapters, name)
 			}
-			e.Observe(start.Add(-time.Hour), State{Models: []pool.AnnouncedModel{model}})
+			e.ObserveState(start.Add(-time.Hour), State{Models: []pool.AnnouncedModel{model}})
 			for name, ago := range c.used {
 				e.RecordUse(start.Add(-ago), pool.ItemName("a", name))
 			}
@@ -214,7 +214,7 @@
 func TestAdaptersOnTheirWayTakeSlots(t *testing.T) {
 	is := is.New(t)
 	e := New("e", "10.0.0.1:80", 7, start, Limits{MemoryMB: 3*modelMB + 8, AdapterSlots: 2}, sizes)
-	e.Observe(start, State{
+	e.ObserveState(start, State{
 		Sequence: 2,
 		Models:   []pool.AnnouncedModel{{Name: "m", Adapters: []string{"a1"}}},
 		Coming:   []string{"m/a2"},
--- a/core/owned/state.go
+++ b/core/owned/state.go
@@ -66,7 +66,7 @@
 		return
 	}
 	s.Out.Log(logevent.EngineState, "engine", e.Name, "sequence", r.State.Sequence, "busy", r.State.Busy)
-	e.Observe(now, r.State)
+	e.ObserveState(now, r.State)
 	s.workQueue(now, e)
 	s.publish(now, e)
 }
