--- a/core/orders/observe.go
+++ b/core/orders/observe.go
@@ -32,9 +32,9 @@
 	e.uncertain = s.Busy && model == ""
 }
 
-// Announced takes in the models that the engine says, unasked, to hold. It does
+// ObserveModels takes in the models that the engine says, unasked, to hold. It does
 // so when an order on a model is done; of adapters it says nothing in time.
-func (e *Engine) Announced(models []pool.AnnouncedModel) {
+func (e *Engine) ObserveModels(models []pool.AnnouncedModel) {
 	if !e.known {
 		return
 	}
--- a/core/orders/orders_test.go
+++ b/core/orders/orders_test.go
@@ -167,11 +167,11 @@
 	e := engine(1, "a")
 	e.RecordSent(load("b", ""))
 	e.RecordAccepted(start, 0)
-	e.Announced([]pool.AnnouncedModel{{Name: "a"}})
+	e.ObserveModels([]pool.AnnouncedModel{{Name: "a"}})
 	is.Equal(e.Phase("b"), pool.Loading)
-	e.Announced([]pool.AnnouncedModel{{Name: "a"}, {Name: "b"}})
+	e.ObserveModels([]pool.AnnouncedModel{{Name: "a"}, {Name: "b"}})
 	is.Equal(e.Phase("b"), pool.Ready)
-	e.Announced([]pool.AnnouncedModel{{Name: "a"}, {Name: "b"}, {Name: "z"}})
+	e.ObserveModels([]pool.AnnouncedModel{{Name: "a"}, {Name: "b"}, {Name: "z"}})
 	is.True(e.Uncertain())
 }
 
--- a/core/owned/owned.go
+++ b/core/owned/owned.go
@@ -212,7 +212,7 @@
 	if e == nil {
 		return
 	}
-	e.Announced(models)
+	e.ObserveModels(models)
 	s.workQueue(now, e)
 	s.publish(now, e)
 }
