--- a/core/orders/observe.go
+++ b/core/orders/observe.go
@@ -122,9 +122,9 @@
 	}
 }
 
-// Settle has adapters whose time on the way is over count as ready, and reports
+// Advance has adapters whose time on the way is over count as ready, and reports
 // whether any does so now.
-func (e *Engine) Settle(now clock.Instant) bool {
+func (e *Engine) Advance(now clock.Instant) bool {
 	e.expireLate(now)
 	changed := false
 	for item, h := range e.items {
--- a/core/orders/orders_test.go
+++ b/core/orders/orders_test.go
@@ -65,7 +65,7 @@
 		{"a late order whose time is over", func() *Engine {
 			e := engine(0, "a", "b")
 			e.Reserve([]Late{LateOf(start, load("c", ""))})
-			e.Settle(start.Add(LateSpan))
+			e.Advance(start.Add(LateSpan))
 			return e
 		}, load("d", ""), Permitted},
 		{"a late order that unloads", func() *Engine {
@@ -96,7 +96,7 @@
 			for _, x := range []string{"x", "y"} {
 				e.RecordSent(load("a", x))
 				e.RecordAccepted(start, 0)
-				e.Settle(start)
+				e.Advance(start)
 			}
 			return e
 		}, load("a", "z"), NoRoom},
@@ -222,8 +222,8 @@
 	is.Equal(e.Phase("m/a2"), pool.Loading)
 	is.Equal(e.Check(load("m", "a2")), Coming)
 	is.Equal(e.Check(load("m", "a3")), NoRoom)
-	e.Settle(start.Add(comingTime - 1))
+	e.Advance(start.Add(comingTime - 1))
 	is.Equal(e.Phase("m/a2"), pool.Loading)
-	e.Settle(start.Add(comingTime))
+	e.Advance(start.Add(comingTime))
 	is.Equal(e.Phase("m/a2"), pool.Ready)
 }
--- a/core/owned/owned.go
+++ b/core/owned/owned.go
@@ -188,7 +188,7 @@
 			s.Lose(now, name, "it started again")
 			continue
 		}
-		e.Settle(now)
+		e.Advance(now)
 		s.askState(now, e)
 		s.workQueue(now, e)
 		s.publish(now, e)
