--- a/core/orders/judge.go
+++ b/core/orders/judge.go
@@ -98,7 +98,7 @@
 	if e.Busy() {
 		return Later
 	}
-	if mb > e.Free() {
+	if mb > e.FreeMB() {
 		return NoRoom
 	}
 	return Permitted
@@ -112,7 +112,7 @@
 	if e.coming() >= maxComing {
 		return Later
 	}
-	if mb > e.Free() || e.slots() >= e.limits.AdapterSlots {
+	if mb > e.FreeMB() || e.slots() >= e.limits.AdapterSlots {
 		return NoRoom
 	}
 	return Permitted
@@ -140,8 +140,8 @@
 	return n
 }
 
-// Free returns the memory that nothing holds, in MB.
-func (e *Engine) Free() int64 {
+// FreeMB returns the memory that nothing holds, in MB.
+func (e *Engine) FreeMB() int64 {
 	late, ok := e.lateMB()
 	if !ok {
 		return 0
--- a/core/orders/orders_test.go
+++ b/core/orders/orders_test.go
@@ -149,9 +149,9 @@
 	e := engine(4, "a", "b")
 	e.RecordSent(load("c", ""))
 	e.RecordLost()
-	is.Equal(e.Free(), int64(8))      // booked
+	is.Equal(e.FreeMB(), int64(8))    // booked
 	e.ObserveState(start, stateOf(3)) // older than what was answered: says nothing
-	is.Equal(e.Free(), int64(8))
+	is.Equal(e.FreeMB(), int64(8))
 	e.ObserveState(start, stateOf(4, "a", "b"))
 	is.Equal(e.Check(load("d", "")), Permitted)
 	is.Equal(e.Sequence(), uint64(4)) // so the lost one is void once this is taken
