--- a/core/orders/late.go
+++ b/core/orders/late.go
@@ -22,8 +22,8 @@
 	Until   clock.Instant
 }
 
-// Reserve keeps free what orders to a former life of the engine would take.
-func (e *Engine) Reserve(late []Late) { e.late = append(e.late, late...) }
+// ReserveDelayed keeps free what orders to a former life of the engine would take.
+func (e *Engine) ReserveDelayed(late []Late) { e.late = append(e.late, late...) }
 
 // expireLate drops the late orders whose time is over.
 func (e *Engine) expireLate(now clock.Instant) {
