--- a/core/instance/machine.go
+++ b/core/instance/machine.go
@@ -184,7 +184,7 @@
 	case owned.StateReply:
 		o.owned.StateReplied(now, e)
 	case owned.Asked:
-		o.owned.Asked(now, e)
+		o.owned.HandleRequest(now, e)
 	case orderclient.Reply:
 		o.asks.Replied(now, e)
 	default:
--- a/core/owned/queue.go
+++ b/core/owned/queue.go
@@ -78,8 +78,8 @@
 // IsAction implements step.Action.
 func (SendOrder) IsAction() {}
 
-// Asked takes in a peer's question for an order.
-func (s *Engines) Asked(now clock.Instant, a Asked) {
+// HandleRequest takes in a peer's question for an order.
+func (s *Engines) HandleRequest(now clock.Instant, a Asked) {
 	e := s.engines[a.Engine]
 	if e == nil {
 		s.Out.Emit(Answer{Token: a.Token, Outcome: Refused, Detail: "this instance does not order the engine"})
