--- a/core/instance/machine.go
+++ b/core/instance/machine.go
@@ -180,7 +180,7 @@
 	case ownership.WriteReply:
 		o.registry.HandleWriteReply(now, e)
 	case owned.OrderReply:
-		o.owned.OrderReplied(now, e)
+		o.owned.HandleOrderReply(now, e)
 	case owned.StateReply:
 		o.owned.StateReplied(now, e)
 	case owned.Asked:
--- a/core/owned/queue.go
+++ b/core/owned/queue.go
@@ -223,8 +223,8 @@
 	s.Out.Emit(SendOrder{Order: o, Limited: s.limited(now, e)})
 }
 
-// OrderReplied takes in what came of an order.
-func (s *Engines) OrderReplied(now clock.Instant, r OrderReply) {
+// HandleOrderReply takes in what came of an order.
+func (s *Engines) HandleOrderReply(now clock.Instant, r OrderReply) {
 	e := s.engines[r.Engine]
 	if e == nil || e.orderFence != r.Fence || !e.InFlight() {
 		return
