--- a/core/instance/machine.go
+++ b/core/instance/machine.go
@@ -182,7 +182,7 @@
 	case owned.OrderReply:
 		o.owned.HandleOrderReply(now, e)
 	case owned.StateReply:
-		o.owned.StateReplied(now, e)
+		o.owned.HandleStateReply(now, e)
 	case owned.Asked:
 		o.owned.HandleRequest(now, e)
 	case orderclient.Reply:
--- a/core/owned/state.go
+++ b/core/owned/state.go
@@ -53,9 +53,9 @@
 	s.Out.Emit(AskState{Engine: e.Name, Address: e.Address, Limited: s.limited(now, e)})
 }
 
-// StateReplied takes an engine's state into its ledger. It is asked again after
+// HandleStateReply takes an engine's state into its ledger. It is asked again after
 // askEvery if it could not be read.
-func (s *Engines) StateReplied(now clock.Instant, r StateReply) {
+func (s *Engines) HandleStateReply(now clock.Instant, r StateReply) {
 	e := s.engines[r.Engine]
 	if e == nil || r.Sent.Before(e.acquiredAt) {
 		return // it was asked for an earlier ledger, perhaps of a former life
