--- a/core/instance/build.go
+++ b/core/instance/build.go
@@ -136,7 +136,7 @@
 		Options: m.state.Options, Out: m.state.Out, Members: m.state.Members, Pool: m.state.Pool, Records: m.state.Records,
 		Outage:    m.state.Outage,
 		KnownAt:   func() clock.Instant { return m.exchanges.StoreKnownUntil() },
-		Announced: m.orders.owned.Announced,
+		Announced: m.orders.owned.HandleAnnouncement,
 		Present:   m.notices.HandleAnnounced,
 		Restarted: func(now clock.Instant, replica string) { m.forwarding.ReplicaRestarted(now, replica) },
 		TellSoon:  func(now clock.Instant) { m.exchanges.TellSoon(now) },
--- a/core/owned/owned.go
+++ b/core/owned/owned.go
@@ -206,8 +206,8 @@
 	return false
 }
 
-// Announced takes over what an engine itself announced that it holds.
-func (s *Engines) Announced(now clock.Instant, name string, models []pool.AnnouncedModel) {
+// HandleAnnouncement takes over what an engine itself announced that it holds.
+func (s *Engines) HandleAnnouncement(now clock.Instant, name string, models []pool.AnnouncedModel) {
 	e := s.engines[name]
 	if e == nil {
 		return
