--- a/core/instance/build.go
+++ b/core/instance/build.go
@@ -151,7 +151,7 @@
 		Leaving:    m.notices.HandlePeerLeaving,
 		Limits:     m.notices.HandlePeerLimits,
 		Rests:      m.notices.HandlePeerRests,
-		Used:       m.orders.owned.Used,
+		Used:       m.orders.owned.RecordUse,
 	})
 }
 
@@ -161,6 +161,6 @@
 		Calls: m.calls, Budget: m.budget, Asks: m.orders.asks, Roster: m.orders.roster, Demand: tracker,
 		Quarantine: m.quarantine, Permits: m.permits,
 		ListAge: m.exchanges.StoreAge,
-		Used:    m.orders.owned.Used,
+		Used:    m.orders.owned.RecordUse,
 	})
 }
--- a/core/owned/owned.go
+++ b/core/owned/owned.go
@@ -162,8 +162,8 @@
 	return limited
 }
 
-// Used notes that an item of an engine was used, so that it makes way later.
-func (s *Engines) Used(now clock.Instant, engine, item string) {
+// RecordUse notes that an item of an engine was used, so that it makes way later.
+func (s *Engines) RecordUse(now clock.Instant, engine, item string) {
 	if e := s.engines[engine]; e != nil {
 		e.RecordUse(now, item)
 	}
