--- a/core/owned/engine.go
+++ b/core/owned/engine.go
@@ -41,9 +41,9 @@
 	token uint64 // of a peer's question; 0 for this instance itself
 }
 
-// Quiet returns for how long the engine has certainly been sent no order: by
+// SinceLastOrder returns for how long the engine has certainly been sent no order: by
 // this instance, and before it by former owners, whose orders it has waited for.
-func (e *Engine) Quiet(now clock.Instant) time.Duration {
+func (e *Engine) SinceLastOrder(now clock.Instant) time.Duration {
 	switch {
 	case !e.Settled || e.InFlight() || e.Uncertain() || now.Before(e.From):
 		return 0
--- a/core/ownership/enrol.go
+++ b/core/ownership/enrol.go
@@ -130,7 +130,7 @@
 	var give []registry.Ownership
 	for _, name := range g.Owned.Names() {
 		o := registry.Ownership{Engine: name, Era: g.era.now, Revision: g.owners[name].Revision}
-		o.QuietMS = g.Owned.Get(name).Quiet(now).Milliseconds()
+		o.QuietMS = g.Owned.Get(name).SinceLastOrder(now).Milliseconds()
 		give = append(give, o)
 	}
 	g.Owned.LoseAll(now, "this instance stops")
