--- a/core/forwarding/place.go
+++ b/core/forwarding/place.go
@@ -145,7 +145,7 @@
 	if phase == pool.Ready {
 		return 0, true
 	}
-	if phase == pool.Unloading || s.fetches >= maxFetches || !f.Asks.Possible(now, orderKey(s, r)) {
+	if phase == pool.Unloading || s.fetches >= maxFetches || !f.Asks.CanRequest(now, orderKey(s, r)) {
 		return 0, false
 	}
 	cost = fetchCost + r.RateLimitDelay(now) // the order takes a turn of its own
@@ -160,7 +160,7 @@
 // few repeats are left, its owner is asked first, and they are kept for what nobody knows.
 func (f *Forwarder) hearsay(now clock.Instant, c *calls.Call, s *state, r *pool.Replica) bool {
 	return s.target.adapter != "" && s.fetches == 0 && !f.Roster.FullMesh() &&
-		f.Budget.Low(now, c.Service) && f.Asks.Possible(now, orderKey(s, r))
+		f.Budget.Low(now, c.Service) && f.Asks.CanRequest(now, orderKey(s, r))
 }
 
 func orderKey(s *state, r *pool.Replica) orderclient.Key {
--- a/core/orderclient/orderclient.go
+++ b/core/orderclient/orderclient.go
@@ -74,8 +74,8 @@
 	return &Asks{waiting: map[Key][]calls.ID{}, refused: map[Key]clock.Instant{}}
 }
 
-// Possible reports whether an order can be asked for now.
-func (a *Asks) Possible(now clock.Instant, key Key) bool {
+// CanRequest reports whether an order can be asked for now.
+func (a *Asks) CanRequest(now clock.Instant, key Key) bool {
 	if at, ok := a.refused[key]; ok {
 		if now.Since(at) < refusedSpan {
 			return false
