--- a/core/orderclient/orderclient.go
+++ b/core/orderclient/orderclient.go
@@ -99,15 +99,15 @@
 	return p != nil && !p.Leaving && !p.Failing()
 }
 
-// UnderWay reports whether an order was asked for and is not settled.
-func (a *Asks) UnderWay(key Key) bool {
+// Pending reports whether an order was asked for and is not settled.
+func (a *Asks) Pending(key Key) bool {
 	_, ok := a.waiting[key]
 	return ok
 }
 
 // For asks for an order.
 func (a *Asks) For(now clock.Instant, key Key) {
-	if a.UnderWay(key) {
+	if a.Pending(key) {
 		return
 	}
 	a.waiting[key] = nil
--- a/core/placement/placer.go
+++ b/core/placement/placer.go
@@ -245,7 +245,7 @@
 // ask asks the engine's owner for the order that a change needs next.
 func (p *Placer) ask(now clock.Instant, c *change, r orders.Request) {
 	key := orderclient.Key{Engine: c.Engine, Request: r}
-	if p.Asks.UnderWay(key) || !p.Asks.CanRequest(now, key) {
+	if p.Asks.Pending(key) || !p.Asks.CanRequest(now, key) {
 		return
 	}
 	c.askedAt = now
