--- a/core/orderclient/orderclient.go
+++ b/core/orderclient/orderclient.go
@@ -105,8 +105,8 @@
 	return ok
 }
 
-// For asks for an order.
-func (a *Asks) For(now clock.Instant, key Key) {
+// Request asks for an order.
+func (a *Asks) Request(now clock.Instant, key Key) {
 	if a.Pending(key) {
 		return
 	}
--- a/core/placement/placer.go
+++ b/core/placement/placer.go
@@ -249,7 +249,7 @@
 		return
 	}
 	c.askedAt = now
-	p.Asks.For(now, key)
+	p.Asks.Request(now, key)
 }
 
 // trackReady notes since when copies are ready.
