--- a/core/forwarding/place.go
+++ b/core/forwarding/place.go
@@ -173,7 +173,7 @@
 	f.Calls.EnterPhase(c, calls.AwaitingOrder)
 	s.fetches++
 	f.Out.Log(logevent.CallWaits, "call", c.Forward.Name, "item", c.Item, "for", "an order", "engine", r.Name)
-	f.Asks.ForCall(now, orderKey(s, r), c.ID)
+	f.Asks.RequestForCall(now, orderKey(s, r), c.ID)
 }
 
 // aloneCalls is how many calls may run at an engine for its reading speed to be
--- a/core/orderclient/orderclient.go
+++ b/core/orderclient/orderclient.go
@@ -114,9 +114,9 @@
 	a.begin(now, key)
 }
 
-// ForCall asks for an order that a call waits for; the call is resumed once the
+// RequestForCall asks for an order that a call waits for; the call is resumed once the
 // order is settled, whatever came of it.
-func (a *Asks) ForCall(now clock.Instant, key Key, id calls.ID) {
+func (a *Asks) RequestForCall(now clock.Instant, key Key, id calls.ID) {
 	_, underWay := a.waiting[key]
 	a.waiting[key] = append(a.waiting[key], id)
 	if !underWay {
