--- a/core/instance/machine.go
+++ b/core/instance/machine.go
@@ -186,7 +186,7 @@
 	case owned.Asked:
 		o.owned.HandleRequest(now, e)
 	case orderclient.Reply:
-		o.asks.Replied(now, e)
+		o.asks.HandleReply(now, e)
 	default:
 		return false
 	}
--- a/core/orderclient/orderclient.go
+++ b/core/orderclient/orderclient.go
@@ -138,8 +138,8 @@
 	a.Out.Emit(Ask{Peer: p.Name, Address: p.Address, Engine: key.Engine, Request: key.Request})
 }
 
-// Replied takes in what an owner answered.
-func (a *Asks) Replied(now clock.Instant, r Reply) {
+// HandleReply takes in what an owner answered.
+func (a *Asks) HandleReply(now clock.Instant, r Reply) {
 	a.Settled(now, Key{r.Engine, r.Request}, r.Outcome, r.Detail)
 }
 
