--- a/core/instance/build.go
+++ b/core/instance/build.go
@@ -99,7 +99,7 @@
 	o.owned.MayOrder = o.registry.MayOrderWithFence
 	o.owned.Published = func(now clock.Instant) { m.exchanges.TellSoon(now) }
 	o.owned.Answered = func(now clock.Instant, engine string, r orders.Request, outcome owned.Outcome, detail string) {
-		o.asks.Settled(now, orderclient.Key{Engine: engine, Request: r}, outcome, detail)
+		o.asks.HandleOutcome(now, orderclient.Key{Engine: engine, Request: r}, outcome, detail)
 	}
 }
 
--- a/core/orderclient/orderclient.go
+++ b/core/orderclient/orderclient.go
@@ -132,7 +132,7 @@
 	o, _ := a.Owner(key.Engine) // none is found below, as an unknown member
 	p := a.Members.Get(o.Owner)
 	if p == nil {
-		a.Settled(now, key, owned.Failed, "its owner is not known")
+		a.HandleOutcome(now, key, owned.Failed, "its owner is not known")
 		return
 	}
 	a.Out.Emit(Ask{Peer: p.Name, Address: p.Address, Engine: key.Engine, Request: key.Request})
@@ -140,12 +140,12 @@
 
 // HandleReply takes in what an owner answered.
 func (a *Asks) HandleReply(now clock.Instant, r Reply) {
-	a.Settled(now, Key{r.Engine, r.Request}, r.Outcome, r.Detail)
+	a.HandleOutcome(now, Key{r.Engine, r.Request}, r.Outcome, r.Detail)
 }
 
-// Settled takes in what came of an order asked for: the calls that wait for it go
+// HandleOutcome takes in what came of an order asked for: the calls that wait for it go
 // to the engine, or look for another.
-func (a *Asks) Settled(now clock.Instant, key Key, o owned.Outcome, detail string) {
+func (a *Asks) HandleOutcome(now clock.Instant, key Key, o owned.Outcome, detail string) {
 	waiting, ok := a.waiting[key]
 	if !ok {
 		return
