--- a/core/instance/platform.go
+++ b/core/instance/platform.go
@@ -34,7 +34,7 @@
 	})
 	m.forwarding.Missed = placer.Missed
 	m.exchanges.DemandFor = placer.DemandFor
-	m.exchanges.DemandHeard = placer.DemandHeard
+	m.exchanges.DemandHeard = placer.HandleDemand
 	m.exchanges.PlatformBrings = w.ReceivesUpdates
 	m.exchanges.NextPeer = func(now clock.Instant, round int) *member.Peer {
 		return m.exchanges.NextInLargeFleet(now, round, o.registry.Placer().Name)
--- a/core/placement/demand.go
+++ b/core/placement/demand.go
@@ -23,9 +23,9 @@
 	return p.OwnDemand.Items(now)
 }
 
-// DemandHeard takes in what a peer's callers ask for. Models are placed at once
+// HandleDemand takes in what a peer's callers ask for. Models are placed at once
 // if they found one nowhere.
-func (p *Placer) DemandHeard(now clock.Instant, peer string, items []demand.Item) {
+func (p *Placer) HandleDemand(now clock.Instant, peer string, items []demand.Item) {
 	p.AllDemand.Report(now, peer, items)
 	if !p.Registry.IsPlacer(now) && !p.CutOff(now) {
 		return
