--- a/core/instance/platform.go
+++ b/core/instance/platform.go
@@ -32,7 +32,7 @@
 		Options: m.state.Options, Rand: m.state.Rand, Out: m.state.Out, Outage: m.state.Outage, Roster: o.roster, Registry: o.registry,
 		Exchanges: m.exchanges, Stopping: m.stop.Started,
 	})
-	m.forwarding.Missed = placer.Missed
+	m.forwarding.Missed = placer.ReportMiss
 	m.exchanges.DemandFor = placer.DemandFor
 	m.exchanges.DemandHeard = placer.HandleDemand
 	m.exchanges.PlatformBrings = w.ReceivesUpdates
--- a/core/placement/demand.go
+++ b/core/placement/demand.go
@@ -35,8 +35,8 @@
 	}
 }
 
-// Missed lets the placer know soon of a call that found its model nowhere.
-func (p *Placer) Missed(now clock.Instant) {
+// ReportMiss lets the placer know soon of a call that found its model nowhere.
+func (p *Placer) ReportMiss(now clock.Instant) {
 	if !p.toldAt.IsZero() && now.Since(p.toldAt) < tellEvery {
 		return
 	}
