--- a/core/instance/exchange_test.go
+++ b/core/instance/exchange_test.go
@@ -119,9 +119,9 @@
 	is.Equal(len(m.exchanges.DemandFor(now, watcher)), 0)
 	m.Step(now, exchange.Reply{Peer: placer, Address: placer, Err: errors.New("no answer")})
 	is.Equal(len(m.exchanges.DemandFor(now, watcher)), 1)
-	is.True(!m.env.platform.placer.CutOff(now)) // it owns no engine
+	is.True(!m.env.platform.placer.PlacerUnreachable(now)) // it owns no engine
 	ownEngine(t, m, now)
-	is.True(m.env.platform.placer.CutOff(now))
+	is.True(m.env.platform.placer.PlacerUnreachable(now))
 }
 
 // exchanges returns the exchanges among the actions, by peer.
--- a/core/placement/demand.go
+++ b/core/placement/demand.go
@@ -27,7 +27,7 @@
 // if they found one nowhere.
 func (p *Placer) HandleDemand(now clock.Instant, peer string, items []demand.Item) {
 	p.AllDemand.Report(now, peer, items)
-	if !p.Registry.IsPlacer(now) && !p.CutOff(now) {
+	if !p.Registry.IsPlacer(now) && !p.PlacerUnreachable(now) {
 		return
 	}
 	if slices.ContainsFunc(items, func(it demand.Item) bool { return it.Absent > 0 }) {
--- a/core/placement/placer.go
+++ b/core/placement/placer.go
@@ -113,7 +113,7 @@
 	}
 	p.Registry.ClaimPlacer(now)
 	placing := p.Registry.IsPlacer(now)
-	if !placing && !p.CutOff(now) {
+	if !placing && !p.PlacerUnreachable(now) {
 		if p.active {
 			p.active = false
 			p.changes = map[string]*change{}
@@ -157,9 +157,9 @@
 	return p.loads.left(now, rate, p.Options)
 }
 
-// CutOff reports whether this instance owns engines and the placer does not
+// PlacerUnreachable reports whether this instance owns engines and the placer does not
 // answer it.
-func (p *Placer) CutOff(now clock.Instant) bool {
+func (p *Placer) PlacerUnreachable(now clock.Instant) bool {
 	return p.Registry.Owned.Len() > 0 && p.Registry.MayOrder(now) && p.placerSilent()
 }
 
