--- a/core/forwarding/permit.go
+++ b/core/forwarding/permit.go
@@ -75,7 +75,7 @@
 
 // PermitDecided takes in what came of a call's request for a permit. A permit that is of no use
 // any more is given back.
-func (f *Forwarder) PermitDecided(now clock.Instant, id calls.ID, subject permits.Subject, v permits.Verdict) {
+func (f *Forwarder) PermitDecided(now clock.Instant, id calls.ID, subject permits.Resource, v permits.Verdict) {
 	c := f.Calls.Get(id)
 	waits := c != nil && c.Phase == calls.AwaitingPermit
 	if !waits {
--- a/core/forwarding/permit_test.go
+++ b/core/forwarding/permit_test.go
@@ -180,7 +180,7 @@
 			f.Permits.Tick(start.Add(450 * time.Millisecond))
 			is.Equal(len(f.dispatches()), 0)
 			v := permits.Verdict{}
-			f.Permits.Decided = func(_ clock.Instant, _ calls.ID, _ permits.Subject, x permits.Verdict) { v = x }
+			f.Permits.Decided = func(_ clock.Instant, _ calls.ID, _ permits.Resource, x permits.Verdict) { v = x }
 			f.Permits.RequestForCall(start.Add(450*time.Millisecond), r, 2, 0, 0, false)
 			is.True(v.Granted)
 		})
--- a/core/permits/coordinator.go
+++ b/core/permits/coordinator.go
@@ -31,7 +31,7 @@
 // A coordinator gives out the permits that this instance is asked for.
 type coordinator struct {
 	p       *Permits
-	buckets map[Subject]*bucket
+	buckets map[Resource]*bucket
 }
 
 // A bucket is what may be given out of one subject now, and who waits for it.
@@ -105,7 +105,7 @@
 		processor float64
 		score     uint64
 	}
-	key := rendezvous.Key(r.Subject.String())
+	key := rendezvous.Key(r.Resource.String())
 	var best string
 	var top rank
 	for _, i := range v.instances {
@@ -241,7 +241,7 @@
 	if c.p.Config.Loaded() {
 		for _, svc := range c.p.Config.Document().Services {
 			if svc.Announced != nil {
-				c.standFor(now, Request{Subject: Subject{Service: svc.Name}})
+				c.standFor(now, Request{Resource: Resource{Service: svc.Name}})
 			}
 		}
 	}
@@ -254,7 +254,7 @@
 
 // standFor notes whether this instance is the first to give out a subject.
 func (c *coordinator) standFor(now clock.Instant, r Request) {
-	if c.buckets[r.Subject] == nil && c.p.first(now, r) != c.p.Self.Name {
+	if c.buckets[r.Resource] == nil && c.p.first(now, r) != c.p.Self.Name {
 		return
 	}
 	s, bounded := c.supply(now, r)
@@ -268,10 +268,10 @@
 // bucket returns a subject's bucket, and notes whether this instance is the first to give
 // it out.
 func (c *coordinator) bucket(now clock.Instant, r Request, s supply) *bucket {
-	b := c.buckets[r.Subject]
+	b := c.buckets[r.Resource]
 	if b == nil {
 		b = &bucket{tokens: newTokens(now, s)}
-		c.buckets[r.Subject] = b
+		c.buckets[r.Resource] = b
 	}
 	switch first := c.p.first(now, r) == c.p.Self.Name; {
 	case !first:
@@ -341,7 +341,7 @@
 }
 
 // giveBack takes a permit back that was not used.
-func (c *coordinator) giveBack(now clock.Instant, s Subject) {
+func (c *coordinator) giveBack(now clock.Instant, s Resource) {
 	if b := c.buckets[s]; b != nil {
 		b.tokens.giveBack()
 		c.serve(now, b)
@@ -351,7 +351,7 @@
 // tick serves those that wait, and turns away whose time is over: more urgent ones came
 // before them, or the limit fell.
 func (c *coordinator) tick(now clock.Instant) {
-	for _, subject := range slices.SortedFunc(maps.Keys(c.buckets), Subject.Compare) {
+	for _, subject := range slices.SortedFunc(maps.Keys(c.buckets), Resource.Compare) {
 		b := c.buckets[subject]
 		if len(b.queue) == 0 {
 			if now.Since(b.seen) > forgetSpan {
--- a/core/permits/permits.go
+++ b/core/permits/permits.go
@@ -55,24 +55,24 @@
 	orderWait = 5 * time.Second
 )
 
-// A Subject is what permits are for: requests to a replica that names a limit, or repeats
+// A Resource is what permits are for: requests to a replica that names a limit, or repeats
 // of calls of a service.
-type Subject struct {
+type Resource struct {
 	Replica pool.Incarnation
 	Service string // "" for a replica's
 }
 
 // String names the subject for the log.
-func (s Subject) String() string { return cmp.Or(s.Service, s.Replica.Name) }
+func (s Resource) String() string { return cmp.Or(s.Service, s.Replica.Name) }
 
 // Compare orders subjects.
-func (s Subject) Compare(other Subject) int {
+func (s Resource) Compare(other Resource) int {
 	return cmp.Or(cmp.Compare(s.Service, other.Service), s.Replica.Compare(other.Replica))
 }
 
 // A Request asks for one permit.
 type Request struct {
-	Subject
+	Resource
 	Zone string // of the replica
 	Rank int    // of urgency, 0 first
 	Wait time.Duration
@@ -149,7 +149,7 @@
 	// span of the retry budget.
 	Repeats func() (amount float64, span time.Duration)
 	// Decided is told what came of a call's request for a permit.
-	Decided func(now clock.Instant, call calls.ID, s Subject, v Verdict)
+	Decided func(now clock.Instant, call calls.ID, s Resource, v Verdict)
 }
 
 // Permits are one instance's permits: those that it asks for, and those that it gives out.
@@ -192,7 +192,7 @@
 	p := &Permits{
 		Needs: n, asks: map[uint64]*ask{}, silent: map[string]clock.Instant{}, orders: map[orderKind]orderPermit{},
 	}
-	p.coordinator = coordinator{p: p, buckets: map[Subject]*bucket{}}
+	p.coordinator = coordinator{p: p, buckets: map[Resource]*bucket{}}
 	return p
 }
 
@@ -205,13 +205,13 @@
 }
 
 func requestOf(r *pool.Replica, rank int, wait time.Duration) Request {
-	return Request{Subject: Subject{Replica: r.Incarnation()}, Zone: r.Zone, Rank: min(rank, adapterRank), Wait: max(0, wait), Word: r.LimitReport()}
+	return Request{Resource: Resource{Replica: r.Incarnation()}, Zone: r.Zone, Rank: min(rank, adapterRank), Wait: max(0, wait), Word: r.LimitReport()}
 }
 
 // RequestForRetry asks for a permit to repeat a call of a service, within wait. Decided is told of
 // the outcome, perhaps before RequestForRetry returns.
 func (p *Permits) RequestForRetry(now clock.Instant, service string, call calls.ID, rank int, wait time.Duration) {
-	request := Request{Subject: Subject{Service: service}, Rank: rank, Wait: max(0, wait)}
+	request := Request{Resource: Resource{Service: service}, Rank: rank, Wait: max(0, wait)}
 	p.begin(now, &ask{request: request, call: call})
 }
 
@@ -290,7 +290,7 @@
 	}
 	delete(p.asks, e.Token)
 	if e.Err != nil {
-		p.Out.Log(logevent.PermitFailed, "for", a.request.Subject.String(), "peer", a.peer, "error", e.Err.Error())
+		p.Out.Log(logevent.PermitFailed, "for", a.request.Resource.String(), "peer", a.peer, "error", e.Err.Error())
 		p.silent[a.peer] = now.Add(silentSpan)
 		p.again(now, a)
 		return
@@ -319,7 +319,7 @@
 		r.SetNextSend(now.Add(v.Turn))
 	}
 	if a.call != 0 {
-		p.Decided(now, a.call, a.request.Subject, v)
+		p.Decided(now, a.call, a.request.Resource, v)
 		return
 	}
 	o := p.orders[a.order]
@@ -331,8 +331,8 @@
 }
 
 // Release returns a permit that is not used.
-func (p *Permits) Release(now clock.Instant, s Subject) {
-	request := Request{Subject: s, Unused: true}
+func (p *Permits) Release(now clock.Instant, s Resource) {
+	request := Request{Resource: s, Unused: true}
 	if r := p.Pool.Get(s.Replica.Name); r != nil {
 		request.Zone = r.Zone
 	}
@@ -356,7 +356,7 @@
 func (p *Permits) HandleRequest(now clock.Instant, e Asked) {
 	p.told(now, e.From, e.Request.Replica, e.Request.Word)
 	if e.Request.Unused {
-		p.coordinator.giveBack(now, e.Request.Subject)
+		p.coordinator.giveBack(now, e.Request.Resource)
 		p.Out.Emit(Answer{Token: e.Token})
 		return
 	}
--- a/core/permits/permits_test.go
+++ b/core/permits/permits_test.go
@@ -51,7 +51,7 @@
 			l.told = append(l.told, w)
 		},
 		Repeats: func() (float64, time.Duration) { return 20, 10 * time.Second },
-		Decided: func(_ clock.Instant, call calls.ID, _ Subject, v Verdict) {
+		Decided: func(_ clock.Instant, call calls.ID, _ Resource, v Verdict) {
 			l.decided = append(l.decided, decision{call, v})
 		},
 	})
@@ -232,7 +232,7 @@
 	others := map[string]string{"far1": "y", "far2": "y", "near1": "z", "near2": "z"}
 	l := newLab(1, others)
 	first := func(r pool.Incarnation) string {
-		return l.first(l.now, Request{Subject: Subject{Replica: r}, Zone: "z"})
+		return l.first(l.now, Request{Resource: Resource{Replica: r}, Zone: "z"})
 	}
 	seen := map[string]int{}
 	for i := range 300 {
@@ -347,15 +347,15 @@
 	l.ask(1, 0, 0)
 	l.ask(2, 0, time.Minute)
 	is.Equal(l.granted(), []calls.ID{1})
-	l.Release(l.now, Subject{Replica: life})
+	l.Release(l.now, Resource{Replica: life})
 	is.Equal(l.granted(), []calls.ID{1, 2})
-	l.Release(l.now, Subject{Replica: pool.Incarnation{Name: "r", Born: "0"}}) // of a life before
+	l.Release(l.now, Resource{Replica: pool.Incarnation{Name: "r", Born: "0"}}) // of a life before
 	l.ask(3, 0, 0)
 	is.Equal(len(l.granted()), 2)
 
 	l = newLab(1, map[string]string{"a": "z"})
 	l.Permits.Stopping = func() bool { return true }
-	l.Release(l.now, Subject{Replica: life})
+	l.Release(l.now, Resource{Replica: life})
 	asked := l.sent()
 	is.Equal(len(asked), 1)
 	is.True(asked[0].Request.Unused)
--- a/internal/peer/convert.go
+++ b/internal/peer/convert.go
@@ -147,7 +147,7 @@
 
 func decodePermitRequest(r *peerpb.PermitRequest) permits.Request {
 	return permits.Request{
-		Subject: permits.Subject{Replica: decodeLife(r.GetReplica()), Service: r.GetService()}, Alone: r.GetAlone(), Zone: r.GetZone(), Rank: int(r.GetRank()), Wait: span(r.GetWithinMs()),
+		Resource: permits.Resource{Replica: decodeLife(r.GetReplica()), Service: r.GetService()}, Alone: r.GetAlone(), Zone: r.GetZone(), Rank: int(r.GetRank()), Wait: span(r.GetWithinMs()),
 		Unused: r.GetUnused(), Word: decodeLimit(r.GetLimit()),
 	}
 }
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -88,7 +88,7 @@
 	is := is.New(t)
 	word := pool.LimitReport{Limit: pool.RateLimit{Named: true, PerSecond: 0.25}, By: "b", EventTime: clock.EventTime{Age: 3 * time.Millisecond}}
 	request := permits.Request{
-		Subject: permits.Subject{Replica: pool.Incarnation{Name: "e", Born: "1"}, Service: "s"}, Alone: true, Zone: "z", Rank: -1, Wait: 4 * time.Second, Unused: true, Word: word,
+		Resource: permits.Resource{Replica: pool.Incarnation{Name: "e", Born: "1"}, Service: "s"}, Alone: true, Zone: "z", Rank: -1, Wait: 4 * time.Second, Unused: true, Word: word,
 	}
 	verdict := permits.Verdict{Granted: true, Held: 5 * time.Millisecond, Turn: 6 * time.Millisecond, After: 7 * time.Millisecond, Word: word}
 	server := httptest.NewServer(Server{TakePermit: func(_ context.Context, from string, r permits.Request) (permits.Verdict, error) {
--- a/internal/shell/actions.go
+++ b/internal/shell/actions.go
@@ -186,7 +186,7 @@
 	verdict, err := s.peers.Permit(ctx, a.Address, s.self.Name, a.Request)
 	if a.Request.Unused {
 		if err != nil {
-			s.event(logevent.PermitFailed, "for", a.Request.Subject.String(), "peer", a.Peer, "unused", true, "error", err.Error())
+			s.event(logevent.PermitFailed, "for", a.Request.Resource.String(), "peer", a.Peer, "unused", true, "error", err.Error())
 		}
 		return
 	}
