--- a/core/forwarding/permit.go
+++ b/core/forwarding/permit.go
@@ -42,7 +42,7 @@
 func (f *Forwarder) askPermit(now clock.Instant, c *calls.Call, q route.Query, best route.Estimate) {
 	s := stateOf(c)
 	if s.permits >= maxPermits {
-		f.deny(now, s, best.Replica, permits.Verdict{Turn: best.Turn, After: best.Turn})
+		f.deny(now, s, best.Replica, permits.Decision{Turn: best.Turn, After: best.Turn})
 		f.noReplica(now, c)
 		return
 	}
@@ -75,7 +75,7 @@
 
 // PermitDecided takes in what came of a call's request for a permit. A permit that is of no use
 // any more is given back.
-func (f *Forwarder) PermitDecided(now clock.Instant, id calls.ID, subject permits.Resource, v permits.Verdict) {
+func (f *Forwarder) PermitDecided(now clock.Instant, id calls.ID, subject permits.Resource, v permits.Decision) {
 	c := f.Calls.Get(id)
 	waits := c != nil && c.Phase == calls.AwaitingPermit
 	if !waits {
@@ -115,7 +115,7 @@
 }
 
 // deny notes that a replica, nil if it has gone, takes no request of the call for now.
-func (f *Forwarder) deny(now clock.Instant, s *state, r *pool.Replica, v permits.Verdict) {
+func (f *Forwarder) deny(now clock.Instant, s *state, r *pool.Replica, v permits.Decision) {
 	if r != nil {
 		s.denials = append(s.denials, denial{life: r.Incarnation(), until: now.Add(v.Turn), after: v.After})
 	}
--- a/core/forwarding/permit_test.go
+++ b/core/forwarding/permit_test.go
@@ -179,8 +179,8 @@
 			happens(f, c, r)
 			f.Permits.Tick(start.Add(450 * time.Millisecond))
 			is.Equal(len(f.dispatches()), 0)
-			v := permits.Verdict{}
-			f.Permits.Decided = func(_ clock.Instant, _ calls.ID, _ permits.Resource, x permits.Verdict) { v = x }
+			v := permits.Decision{}
+			f.Permits.Decided = func(_ clock.Instant, _ calls.ID, _ permits.Resource, x permits.Decision) { v = x }
 			f.Permits.RequestForCall(start.Add(450*time.Millisecond), r, 2, 0, 0, false)
 			is.True(v.Granted)
 		})
--- a/core/instance/announced_world_test.go
+++ b/core/instance/announced_world_test.go
@@ -108,7 +108,7 @@
 	known   era.Era // the latest in which the store answered it
 	asked   map[uint64]func(owned.Answer)
 	answers map[uint64]func(gossip.Message)
-	permits map[uint64]func(permits.Verdict)
+	permits map[uint64]func(permits.Decision)
 	token   uint64
 }
 
@@ -290,7 +290,7 @@
 	n.id.Boot = n.boot
 	n.asked = map[uint64]func(owned.Answer){}
 	n.answers = map[uint64]func(gossip.Message){}
-	n.permits = map[uint64]func(permits.Verdict){}
+	n.permits = map[uint64]func(permits.Decision){}
 	n.m = New(n.id, f.opt, f.rng.Uint64())
 	f.tick(n, n.boot)
 }
@@ -1036,7 +1036,7 @@
 	f.at(fleetWay, func() {
 		p.token++
 		token := p.token
-		p.permits[token] = func(v permits.Verdict) { reply(fleetWay, permits.Reply{Token: a.Token, Verdict: v}) }
+		p.permits[token] = func(v permits.Decision) { reply(fleetWay, permits.Reply{Token: a.Token, Verdict: v}) }
 		f.step(p, boot, permits.Asked{Token: token, From: n.id.Name, Request: a.Request})
 		f.at(a.Request.Wait+300*time.Millisecond, func() {
 			if p.boot == boot && p.permits[token] == nil {
--- a/core/instance/build.go
+++ b/core/instance/build.go
@@ -122,7 +122,7 @@
 		Stopping:  m.stop.Started,
 		Told:      m.notices.HandlePeerLimit,
 		Repeats:   m.budget.SharedRetries,
-		Decided: func(now clock.Instant, call calls.ID, s permits.Resource, v permits.Verdict) {
+		Decided: func(now clock.Instant, call calls.ID, s permits.Resource, v permits.Decision) {
 			m.forwarding.PermitDecided(now, call, s, v)
 		},
 	})
--- a/core/permits/coordinator.go
+++ b/core/permits/coordinator.go
@@ -206,11 +206,11 @@
 	w.since = now
 	s, bounded := c.supply(now, w.request)
 	if !bounded {
-		c.answer(now, w, Verdict{Granted: true})
+		c.answer(now, w, Decision{Granted: true})
 		return
 	}
 	if w.request.Service != "" && !c.enrolled() {
-		c.answer(now, w, Verdict{}) // it may take itself for the only one
+		c.answer(now, w, Decision{}) // it may take itself for the only one
 		return
 	}
 	b := c.bucket(now, w.request, s)
@@ -310,22 +310,22 @@
 	for len(b.queue) > 0 && b.tokens.take() {
 		w := b.queue[0]
 		b.queue = b.queue[1:]
-		c.answer(now, w, Verdict{Granted: true, Held: now.Since(w.since), Turn: b.tokens.until(len(b.queue) + 1)})
+		c.answer(now, w, Decision{Granted: true, Held: now.Since(w.since), Turn: b.tokens.until(len(b.queue) + 1)})
 	}
 }
 
 // refusal turns a request away that would wait so long. Callers that are turned away are
 // told to come back one after the other, as fast as the replica takes requests.
-func (c *coordinator) refusal(now clock.Instant, b *bucket, w waiting, wait time.Duration) Verdict {
+func (c *coordinator) refusal(now clock.Instant, b *bucket, w waiting, wait time.Duration) Decision {
 	if !w.request.Alone {
-		return Verdict{Turn: wait, After: wait}
+		return Decision{Turn: wait, After: wait}
 	}
 	b.returnAt = clock.Latest(b.returnAt, now.Add(wait)).Add(b.tokens.interval())
-	return Verdict{Turn: wait, After: b.returnAt.Since(now)}
+	return Decision{Turn: wait, After: b.returnAt.Since(now)}
 }
 
 // answer tells whoever made a request what came of it.
-func (c *coordinator) answer(now clock.Instant, w waiting, v Verdict) {
+func (c *coordinator) answer(now clock.Instant, w waiting, v Decision) {
 	if w.token != 0 {
 		if r := c.p.Pool.Get(w.request.Replica.Name); r != nil && r.MayBeIncarnation(w.request.Replica.Born) {
 			v.Word = r.LimitReport()
@@ -390,7 +390,7 @@
 	queue := b.queue
 	b.queue = nil
 	for _, w := range queue {
-		c.answer(now, w, Verdict{Granted: true, Held: now.Since(w.since)})
+		c.answer(now, w, Decision{Granted: true, Held: now.Since(w.since)})
 	}
 }
 
--- a/core/permits/permits.go
+++ b/core/permits/permits.go
@@ -84,8 +84,8 @@
 	Word   pool.LimitReport // of the replica's limit, as known to who asks
 }
 
-// A Verdict answers a Request.
-type Verdict struct {
+// A Decision answers a Request.
+type Decision struct {
 	Granted bool
 	Held    time.Duration // for which the request waited
 	Turn    time.Duration // until one more request could be sent
@@ -105,7 +105,7 @@
 	// Reply is the event that answers an Ask.
 	Reply struct {
 		Token   uint64
-		Verdict Verdict
+		Verdict Decision
 		Err     error
 	}
 	// Asked is the event that a peer asks for a permit. It is answered with an Answer of
@@ -118,7 +118,7 @@
 	// Answer is the action that answers an Asked.
 	Answer struct {
 		Token   uint64
-		Verdict Verdict
+		Verdict Decision
 	}
 )
 
@@ -149,7 +149,7 @@
 	// span of the retry budget.
 	Repeats func() (amount float64, span time.Duration)
 	// Decided is told what came of a call's request for a permit.
-	Decided func(now clock.Instant, call calls.ID, s Resource, v Verdict)
+	Decided func(now clock.Instant, call calls.ID, s Resource, v Decision)
 }
 
 // Permits are one instance's permits: those that it asks for, and those that it gives out.
@@ -304,7 +304,7 @@
 func (p *Permits) again(now clock.Instant, a *ask) {
 	a.request.Wait -= now.Since(a.sent)
 	if a.request.Wait <= 0 {
-		p.decide(now, a, Verdict{Turn: silentSpan, After: silentSpan})
+		p.decide(now, a, Decision{Turn: silentSpan, After: silentSpan})
 		return
 	}
 	a.peers++
@@ -313,7 +313,7 @@
 
 // decide passes on what came of a request. A permit that was long on its way, since this
 // instance slept for instance, is void.
-func (p *Permits) decide(now clock.Instant, a *ask, v Verdict) {
+func (p *Permits) decide(now clock.Instant, a *ask, v Decision) {
 	v.Granted = v.Granted && now.MaxElapsed(a.sent)-v.Held < permitLife
 	if r := p.Pool.Get(a.request.Replica.Name); r != nil {
 		r.SetNextSend(now.Add(v.Turn))
--- a/core/permits/permits_test.go
+++ b/core/permits/permits_test.go
@@ -22,7 +22,7 @@
 // A decision is what came of a call's request.
 type decision struct {
 	call calls.ID
-	Verdict
+	Decision
 }
 
 // A lab is one instance's permits before a replica that a test speaks for.
@@ -51,7 +51,7 @@
 			l.told = append(l.told, w)
 		},
 		Repeats: func() (float64, time.Duration) { return 20, 10 * time.Second },
-		Decided: func(_ clock.Instant, call calls.ID, _ Resource, v Verdict) {
+		Decided: func(_ clock.Instant, call calls.ID, _ Resource, v Decision) {
 			l.decided = append(l.decided, decision{call, v})
 		},
 	})
@@ -275,7 +275,7 @@
 	is.Equal(len(again), 1)
 	is.True(again[0].Peer != asked[0].Peer)
 	is.Equal(again[0].Request.Wait, 900*time.Millisecond)
-	l.HandleReply(l.now, Reply{Token: asked[0].Token, Verdict: Verdict{Granted: true}}) // too late
+	l.HandleReply(l.now, Reply{Token: asked[0].Token, Verdict: Decision{Granted: true}}) // too late
 	is.Equal(len(l.decided), 0)
 	l.HandleReply(l.now, Reply{Token: again[0].Token, Err: noAnswer})
 	is.Equal(l.granted(), []calls.ID{1}) // by itself
@@ -311,7 +311,7 @@
 			l.ask(1, 0, 5*time.Second)
 			asked := l.sent()
 			is.Equal(len(asked), 1)
-			l.HandleReply(l.now.Add(c.took), Reply{Token: asked[0].Token, Verdict: Verdict{Granted: true, Held: c.held}})
+			l.HandleReply(l.now.Add(c.took), Reply{Token: asked[0].Token, Verdict: Decision{Granted: true, Held: c.held}})
 			is.Equal(l.decided[0].Granted, c.valid)
 		})
 	}
--- a/internal/peer/convert.go
+++ b/internal/peer/convert.go
@@ -152,15 +152,15 @@
 	}
 }
 
-func encodeVerdict(v permits.Verdict) *peerpb.PermitReply {
+func encodeVerdict(v permits.Decision) *peerpb.PermitReply {
 	return &peerpb.PermitReply{
 		Granted: v.Granted, HeldMs: milliseconds(v.Held), TurnMs: milliseconds(v.Turn), AfterMs: milliseconds(v.After),
 		Limit: encodeLimit(v.Word),
 	}
 }
 
-func decodeVerdict(r *peerpb.PermitReply) permits.Verdict {
-	return permits.Verdict{
+func decodeVerdict(r *peerpb.PermitReply) permits.Decision {
+	return permits.Decision{
 		Granted: r.GetGranted(), Held: span(r.GetHeldMs()), Turn: span(r.GetTurnMs()), After: span(r.GetAfterMs()),
 		Word: decodeLimit(r.GetLimit()),
 	}
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -75,14 +75,14 @@
 
 // Permit asks the peer at address (IP:port) for a permit, or gives one back. A caller that
 // leaves meanwhile is seen by the end of ctx.
-func (c *Client) Permit(ctx context.Context, address, from string, r permits.Request) (permits.Verdict, error) {
+func (c *Client) Permit(ctx context.Context, address, from string, r permits.Request) (permits.Decision, error) {
 	ctx, err := c.withKey(ctx)
 	if err != nil {
-		return permits.Verdict{}, err
+		return permits.Decision{}, err
 	}
 	reply, err := c.client(address).Permit(ctx, encodePermitRequest(from, r))
 	if err != nil {
-		return permits.Verdict{}, trace.Wrap(err, "asking %s for a permit", address)
+		return permits.Decision{}, trace.Wrap(err, "asking %s for a permit", address)
 	}
 	return decodeVerdict(reply), nil
 }
@@ -116,7 +116,7 @@
 	// TakeOrder answers a question for an order; nil refuses every one.
 	TakeOrder func(ctx context.Context, engine string, r orders.Request) (OrderReply, error)
 	// TakePermit answers a question for a permit; nil refuses every one.
-	TakePermit func(ctx context.Context, from string, r permits.Request) (permits.Verdict, error)
+	TakePermit func(ctx context.Context, from string, r permits.Request) (permits.Decision, error)
 }
 
 // Permit implements the generated service.
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -90,8 +90,8 @@
 	request := permits.Request{
 		Resource: permits.Resource{Replica: pool.Incarnation{Name: "e", Born: "1"}, Service: "s"}, Alone: true, Zone: "z", Rank: -1, Wait: 4 * time.Second, Unused: true, Word: word,
 	}
-	verdict := permits.Verdict{Granted: true, Held: 5 * time.Millisecond, Turn: 6 * time.Millisecond, After: 7 * time.Millisecond, Word: word}
-	server := httptest.NewServer(Server{TakePermit: func(_ context.Context, from string, r permits.Request) (permits.Verdict, error) {
+	verdict := permits.Decision{Granted: true, Held: 5 * time.Millisecond, Turn: 6 * time.Millisecond, After: 7 * time.Millisecond, Word: word}
+	server := httptest.NewServer(Server{TakePermit: func(_ context.Context, from string, r permits.Request) (permits.Decision, error) {
 		is.Equal(from, "a")
 		is.Equal(r, request)
 		return verdict, nil
@@ -100,7 +100,7 @@
 	got, err := NewClient(http.DefaultClient, "key").Permit(context.Background(), server.Listener.Addr().String(), "a", request)
 	is.NoErr(err)
 	is.Equal(got, verdict)
-	is.Equal(decodeVerdict(encodeVerdict(permits.Verdict{})), permits.Verdict{}) // nothing is known of a limit
+	is.Equal(decodeVerdict(encodeVerdict(permits.Decision{})), permits.Decision{}) // nothing is known of a limit
 	_, err = NewClient(http.DefaultClient, "wrong").Permit(context.Background(), server.Listener.Addr().String(), "a", request)
 	is.True(err != nil)
 }
--- a/internal/shell/actions.go
+++ b/internal/shell/actions.go
@@ -194,8 +194,8 @@
 }
 
 // TakePermit answers a peer that asks for a permit.
-func (s *Shell) TakePermit(ctx context.Context, from string, r permits.Request) (permits.Verdict, error) {
-	reply := make(chan permits.Verdict, 1)
+func (s *Shell) TakePermit(ctx context.Context, from string, r permits.Request) (permits.Decision, error) {
+	reply := make(chan permits.Decision, 1)
 	s.do(func(s *Shell) step.Event {
 		s.nextAsk++
 		s.permits[s.nextAsk] = reply
@@ -205,7 +205,7 @@
 	case v := <-reply:
 		return v, nil
 	case <-ctx.Done():
-		return permits.Verdict{}, ctx.Err()
+		return permits.Decision{}, ctx.Err()
 	}
 }
 
--- a/internal/shell/shell.go
+++ b/internal/shell/shell.go
@@ -82,7 +82,7 @@
 	calls    map[calls.ID]*callBox
 	asks     map[uint64]chan gossip.Message
 	orders   map[uint64]chan peer.OrderReply
-	permits  map[uint64]chan permits.Verdict
+	permits  map[uint64]chan permits.Decision
 	nextAsk  uint64
 	workers  sync.WaitGroup
 	exited   chan shutdown.Exit
@@ -104,7 +104,7 @@
 		calls:   map[calls.ID]*callBox{},
 		asks:    map[uint64]chan gossip.Message{},
 		orders:  map[uint64]chan peer.OrderReply{},
-		permits: map[uint64]chan permits.Verdict{},
+		permits: map[uint64]chan permits.Decision{},
 		exited:  make(chan shutdown.Exit, 1),
 		ctx:     ctx,
 	}
