--- a/core/instance/announced_world_test.go
+++ b/core/instance/announced_world_test.go
@@ -430,7 +430,7 @@
 		f.probe(n, boot, act, reply)
 	case orderclient.Ask:
 		f.askPeer(n, act, reply)
-	case permits.Ask:
+	case permits.SendRequest:
 		f.askPermit(n, act, reply)
 	case permits.Answer:
 		if do := n.permits[act.Token]; do != nil {
@@ -1026,7 +1026,7 @@
 }
 
 // askPermit carries a request for a permit to a peer and its answer back.
-func (f *fleet) askPermit(n *fleetMember, a permits.Ask, reply func(time.Duration, step.Event)) {
+func (f *fleet) askPermit(n *fleetMember, a permits.SendRequest, reply func(time.Duration, step.Event)) {
 	p := f.members[a.Peer]
 	if p == nil || p.dead || p.frozen || p.deaf || n.deaf || f.severed(n.id.Zone, p.id.Zone) {
 		reply(300*time.Millisecond, permits.Reply{Token: a.Token, Err: errors.New("no answer")})
--- a/core/permits/permits.go
+++ b/core/permits/permits.go
@@ -95,8 +95,8 @@
 }
 
 type (
-	// Ask is an action: ask a peer for a permit.
-	Ask struct {
+	// SendRequest is an action: ask a peer for a permit.
+	SendRequest struct {
 		Token   uint64
 		Peer    string
 		Address string // of the peer
@@ -123,7 +123,7 @@
 )
 
 // IsAction implements step.Action.
-func (Ask) IsAction() {}
+func (SendRequest) IsAction() {}
 
 // IsAction implements step.Action.
 func (Answer) IsAction() {}
@@ -268,7 +268,7 @@
 // send asks a peer.
 func (p *Permits) send(now clock.Instant, token uint64, peer string, r Request) {
 	r.Word.EventTime = r.Word.ForWire(now)
-	p.Out.Emit(Ask{Token: token, Peer: peer, Address: p.Members.Get(peer).Address, Request: r})
+	p.Out.Emit(SendRequest{Token: token, Peer: peer, Address: p.Members.Get(peer).Address, Request: r})
 }
 
 // choose returns the peer to ask, "" for this instance itself.
--- a/core/permits/permits_test.go
+++ b/core/permits/permits_test.go
@@ -98,10 +98,10 @@
 }
 
 // sent returns the questions that were sent to peers since the last look.
-func (l *lab) sent() []Ask {
-	var out []Ask
+func (l *lab) sent() []SendRequest {
+	var out []SendRequest
 	for _, a := range l.Out.Actions() {
-		if ask, ok := a.(Ask); ok {
+		if ask, ok := a.(SendRequest); ok {
 			out = append(out, ask)
 		}
 	}
--- a/internal/shell/actions.go
+++ b/internal/shell/actions.go
@@ -55,7 +55,7 @@
 		s.work(func(ctx context.Context) { s.check(ctx, act) })
 	case orderclient.Ask:
 		s.work(func(ctx context.Context) { s.askOrder(ctx, act) })
-	case permits.Ask:
+	case permits.SendRequest:
 		s.work(func(ctx context.Context) { s.askPermit(ctx, act) })
 	case permits.Answer:
 		if reply, ok := s.permits[act.Token]; ok {
@@ -180,7 +180,7 @@
 // there (docs/design/limits.md).
 const permitTime = 200 * time.Millisecond
 
-func (s *Shell) askPermit(ctx context.Context, a permits.Ask) {
+func (s *Shell) askPermit(ctx context.Context, a permits.SendRequest) {
 	ctx, done := context.WithTimeout(ctx, a.Request.Wait+permitTime)
 	defer done()
 	verdict, err := s.peers.Permit(ctx, a.Address, s.self.Name, a.Request)
