--- a/core/instance/announced_world_test.go
+++ b/core/instance/announced_world_test.go
@@ -1037,7 +1037,7 @@
 		p.token++
 		token := p.token
 		p.permits[token] = func(v permits.Decision) { reply(fleetWay, permits.Reply{Token: a.Token, Verdict: v}) }
-		f.step(p, boot, permits.Asked{Token: token, From: n.id.Name, Request: a.Request})
+		f.step(p, boot, permits.RequestReceived{Token: token, From: n.id.Name, Request: a.Request})
 		f.at(a.Request.Wait+300*time.Millisecond, func() {
 			if p.boot == boot && p.permits[token] == nil {
 				return
--- a/core/instance/machine.go
+++ b/core/instance/machine.go
@@ -147,7 +147,7 @@
 		m.notices.HandleNotice(now, e)
 	case permits.Reply:
 		m.permits.HandleReply(now, e)
-	case permits.Asked:
+	case permits.RequestReceived:
 		m.permits.HandleRequest(now, e)
 	case quarantine.Checked:
 		m.quarantine.Checked(now, e)
--- a/core/permits/permits.go
+++ b/core/permits/permits.go
@@ -108,9 +108,9 @@
 		Verdict Decision
 		Err     error
 	}
-	// Asked is the event that a peer asks for a permit. It is answered with an Answer of
+	// RequestReceived is the event that a peer asks for a permit. It is answered with an Answer of
 	// the same Token.
-	Asked struct {
+	RequestReceived struct {
 		Token   uint64
 		From    string
 		Request Request
@@ -132,7 +132,7 @@
 func (Reply) IsEvent() {}
 
 // IsEvent implements step.Event.
-func (Asked) IsEvent() {}
+func (RequestReceived) IsEvent() {}
 
 // Needs are what permits need of the other modules. The functions must be set before the
 // first event.
@@ -353,7 +353,7 @@
 }
 
 // HandleRequest takes in a peer's request.
-func (p *Permits) HandleRequest(now clock.Instant, e Asked) {
+func (p *Permits) HandleRequest(now clock.Instant, e RequestReceived) {
 	p.told(now, e.From, e.Request.Replica, e.Request.Word)
 	if e.Request.Unused {
 		p.coordinator.giveBack(now, e.Request.Resource)
--- a/core/permits/permits_test.go
+++ b/core/permits/permits_test.go
@@ -171,7 +171,7 @@
 		for end := l.now.Add(span); l.now.Before(end); {
 			token := l.next + 1
 			l.next = token
-			l.HandleRequest(l.now, Asked{Token: token, From: "x", Request: requestOf(l.Pool.Get("r"), 0, 0)})
+			l.HandleRequest(l.now, RequestReceived{Token: token, From: "x", Request: requestOf(l.Pool.Get("r"), 0, 0)})
 			l.after(10 * time.Millisecond)
 		}
 		n := 0
--- a/internal/shell/actions.go
+++ b/internal/shell/actions.go
@@ -199,7 +199,7 @@
 	s.do(func(s *Shell) step.Event {
 		s.nextAsk++
 		s.permits[s.nextAsk] = reply
-		return permits.Asked{Token: s.nextAsk, From: from, Request: r}
+		return permits.RequestReceived{Token: s.nextAsk, From: from, Request: r}
 	})
 	select {
 	case v := <-reply:
