--- a/core/instance/announced_world_test.go
+++ b/core/instance/announced_world_test.go
@@ -432,7 +432,7 @@
 		f.askPeer(n, act, reply)
 	case permits.SendRequest:
 		f.askPermit(n, act, reply)
-	case permits.Answer:
+	case permits.SendReply:
 		if do := n.permits[act.Token]; do != nil {
 			delete(n.permits, act.Token)
 			do(act.Verdict)
--- a/core/permits/coordinator.go
+++ b/core/permits/coordinator.go
@@ -331,7 +331,7 @@
 			v.Word = r.LimitReport()
 			v.Word.EventTime = v.Word.ForWire(now)
 		}
-		c.p.Out.Emit(Answer{Token: w.token, Verdict: v})
+		c.p.Out.Emit(SendReply{Token: w.token, Verdict: v})
 		return
 	}
 	if a := c.p.asks[w.own]; a != nil {
--- a/core/permits/permits.go
+++ b/core/permits/permits.go
@@ -115,8 +115,8 @@
 		From    string
 		Request Request
 	}
-	// Answer is the action that answers an Asked.
-	Answer struct {
+	// SendReply is the action that answers an Asked.
+	SendReply struct {
 		Token   uint64
 		Verdict Decision
 	}
@@ -126,7 +126,7 @@
 func (SendRequest) IsAction() {}
 
 // IsAction implements step.Action.
-func (Answer) IsAction() {}
+func (SendReply) IsAction() {}
 
 // IsEvent implements step.Event.
 func (Reply) IsEvent() {}
@@ -357,7 +357,7 @@
 	p.told(now, e.From, e.Request.Replica, e.Request.Word)
 	if e.Request.Unused {
 		p.coordinator.giveBack(now, e.Request.Resource)
-		p.Out.Emit(Answer{Token: e.Token})
+		p.Out.Emit(SendReply{Token: e.Token})
 		return
 	}
 	p.coordinator.take(now, waiting{token: e.Token, request: e.Request})
--- a/core/permits/permits_test.go
+++ b/core/permits/permits_test.go
@@ -176,7 +176,7 @@
 		}
 		n := 0
 		for _, a := range l.Out.Actions() {
-			if answer, ok := a.(Answer); ok && answer.Verdict.Granted {
+			if answer, ok := a.(SendReply); ok && answer.Verdict.Granted {
 				n++
 			}
 		}
--- a/internal/shell/actions.go
+++ b/internal/shell/actions.go
@@ -57,7 +57,7 @@
 		s.work(func(ctx context.Context) { s.askOrder(ctx, act) })
 	case permits.SendRequest:
 		s.work(func(ctx context.Context) { s.askPermit(ctx, act) })
-	case permits.Answer:
+	case permits.SendReply:
 		if reply, ok := s.permits[act.Token]; ok {
 			reply <- act.Verdict
 			delete(s.permits, act.Token)
