--- a/core/forwarding/forwarding_test.go
+++ b/core/forwarding/forwarding_test.go
@@ -46,7 +46,7 @@
 		Quarantine: quarantine.New(quarantine.Deps{
 			State: state, Tell: func(clock.Instant) {}, Direct: func() bool { return true }, Cut: func(crash.Fingerprint, time.Duration) {},
 		}),
-		Permits: permits.New(permits.Needs{
+		Permits: permits.New(permits.Deps{
 			State:     state,
 			Instances: func() map[string]registry.Instance { return nil },
 			Stopping:  func() bool { return false },
--- a/core/instance/build.go
+++ b/core/instance/build.go
@@ -116,7 +116,7 @@
 }
 
 func (m *Machine) buildPermits() {
-	m.permits = permits.New(permits.Needs{
+	m.permits = permits.New(permits.Deps{
 		State:     m.state,
 		Instances: m.orders.registry.Instances,
 		Stopping:  m.stop.Started,
--- a/core/permits/permits.go
+++ b/core/permits/permits.go
@@ -134,9 +134,9 @@
 // IsEvent implements step.Event.
 func (RequestReceived) IsEvent() {}
 
-// Needs are what permits need of the other modules. The functions must be set before the
+// Deps are what permits need of the other modules. The functions must be set before the
 // first event.
-type Needs struct {
+type Deps struct {
 	shared.State
 
 	// Instances returns the instances of the fleet that have a record, by name.
@@ -154,7 +154,7 @@
 
 // Permits are one instance's permits: those that it asks for, and those that it gives out.
 type Permits struct {
-	Needs
+	Deps
 	coordinator coordinator
 	asks        map[uint64]*ask
 	next        uint64
@@ -188,9 +188,9 @@
 }
 
 // New returns permits of which none was asked for.
-func New(n Needs) *Permits {
+func New(n Deps) *Permits {
 	p := &Permits{
-		Needs: n, asks: map[uint64]*ask{}, silent: map[string]clock.Instant{}, orders: map[orderKind]orderPermit{},
+		Deps: n, asks: map[uint64]*ask{}, silent: map[string]clock.Instant{}, orders: map[orderKind]orderPermit{},
 	}
 	p.coordinator = coordinator{p: p, buckets: map[Resource]*bucket{}}
 	return p
--- a/core/permits/permits_test.go
+++ b/core/permits/permits_test.go
@@ -43,7 +43,7 @@
 		instances[name] = registry.Instance{Name: name, Zone: zone}
 		state.Members.Upsert(name, zone, name)
 	}
-	l.Permits = New(Needs{
+	l.Permits = New(Deps{
 		State:     state,
 		Instances: func() map[string]registry.Instance { return instances },
 		Stopping:  func() bool { return false },
