--- a/core/orders/answer.go
+++ b/core/orders/answer.go
@@ -10,7 +10,7 @@
 // How the ledger books an order, and takes in what came of it.
 
 // RecordSent books a request that Check allowed; Expect of the order is Sequence.
-func (e *Engine) RecordSent(r Request) {
+func (e *Ledger) RecordSent(r Request) {
 	e.inFlight = &r
 	h := held{model: r.Model, adapter: r.Adapter, phase: pool.Loading}
 	if !r.Load {
@@ -23,7 +23,7 @@
 
 // RecordAccepted notes that the engine carries the order in flight out. adapterTime is
 // how long an adapter is believed to be on its way.
-func (e *Engine) RecordAccepted(now clock.Instant, adapterTime time.Duration) {
+func (e *Ledger) RecordAccepted(now clock.Instant, adapterTime time.Duration) {
 	r := e.inFlight
 	if r == nil {
 		return
@@ -46,7 +46,7 @@
 // RecordNoChange notes that what the order in flight asked for is so already, or at
 // once. An adapter that no request uses is unloaded at once, which counts as an
 // order that was taken.
-func (e *Engine) RecordNoChange() {
+func (e *Ledger) RecordNoChange() {
 	r := e.inFlight
 	if r == nil {
 		return
@@ -64,7 +64,7 @@
 
 // RecordFailed notes that the order in flight was not carried out and never will be:
 // it never left, or the engine said so.
-func (e *Engine) RecordFailed() {
+func (e *Ledger) RecordFailed() {
 	r := e.inFlight
 	if r == nil {
 		return
@@ -81,7 +81,7 @@
 
 // RecordLost notes that the answer of the order in flight is lost, and returns what it asked
 // for. What it would do stays booked until the engine is asked.
-func (e *Engine) RecordLost() (r Request, ok bool) {
+func (e *Ledger) RecordLost() (r Request, ok bool) {
 	if e.inFlight == nil {
 		return r, false
 	}
@@ -93,7 +93,7 @@
 
 // RecordConflict notes that the engine has taken another number of orders than
 // was believed; it must be asked.
-func (e *Engine) RecordConflict() {
+func (e *Ledger) RecordConflict() {
 	e.RecordFailed()
 	e.uncertain = true
 }
--- a/core/orders/judge.go
+++ b/core/orders/judge.go
@@ -26,7 +26,7 @@
 )
 
 // busyBut reports whether a model other than item is on its way in or out.
-func (e *Engine) busyBut(item string) bool {
+func (e *Ledger) busyBut(item string) bool {
 	for name, h := range e.items {
 		if h.adapter == "" && h.phase != pool.Ready && name != item {
 			return true
@@ -37,7 +37,7 @@
 
 // MarkUnloading has a model that is there count as on its way out, so that no more
 // calls are sent to it, before it is ordered out. UnmarkUnloading takes that back.
-func (e *Engine) MarkUnloading(model string) {
+func (e *Ledger) MarkUnloading(model string) {
 	if h, ok := e.items[model]; ok && h.phase == pool.Ready {
 		h.phase = pool.Unloading
 		h.unloadMarked = true
@@ -46,7 +46,7 @@
 }
 
 // UnmarkUnloading takes a MarkUnloading back that no order has followed.
-func (e *Engine) UnmarkUnloading(model string) {
+func (e *Ledger) UnmarkUnloading(model string) {
 	if h, ok := e.items[model]; ok && h.unloadMarked {
 		h.phase = pool.Ready
 		h.unloadMarked = false
@@ -55,7 +55,7 @@
 }
 
 // Check says what may be done with a request now.
-func (e *Engine) Check(r Request) Verdict {
+func (e *Ledger) Check(r Request) Verdict {
 	if !e.Known() {
 		return Unknown
 	}
@@ -81,7 +81,7 @@
 	return e.checkAdapter(r, adapterMB)
 }
 
-func (e *Engine) checkUnload(r Request, h held, here bool) Verdict {
+func (e *Ledger) checkUnload(r Request, h held, here bool) Verdict {
 	switch {
 	case !here:
 		return NotThere
@@ -94,7 +94,7 @@
 	}
 }
 
-func (e *Engine) checkModel(mb int64) Verdict {
+func (e *Ledger) checkModel(mb int64) Verdict {
 	if e.Busy() {
 		return Later
 	}
@@ -104,7 +104,7 @@
 	return Permitted
 }
 
-func (e *Engine) checkAdapter(r Request, mb int64) Verdict {
+func (e *Ledger) checkAdapter(r Request, mb int64) Verdict {
 	model, here := e.items[r.Model]
 	if !here || model.phase != pool.Ready {
 		return NoModel
@@ -118,7 +118,7 @@
 	return Permitted
 }
 
-func (e *Engine) coming() int {
+func (e *Ledger) coming() int {
 	n := 0
 	for _, h := range e.items {
 		if h.adapter != "" && h.phase == pool.Loading {
@@ -130,7 +130,7 @@
 
 // slots returns the adapter slots in use; one whose unload has no proof yet
 // still takes its slot.
-func (e *Engine) slots() int {
+func (e *Ledger) slots() int {
 	n := e.lateSlots()
 	for _, h := range e.items {
 		if h.adapter != "" {
@@ -141,7 +141,7 @@
 }
 
 // FreeMB returns the memory that nothing holds, in MB.
-func (e *Engine) FreeMB() int64 {
+func (e *Ledger) FreeMB() int64 {
 	late, ok := e.lateMB()
 	if !ok {
 		return 0
@@ -163,7 +163,7 @@
 
 // IdleAdapter returns the ready adapter that was used least lately, if it has
 // been idle for as long as idle.
-func (e *Engine) IdleAdapter(now clock.Instant, idle time.Duration) (Request, bool) {
+func (e *Ledger) IdleAdapter(now clock.Instant, idle time.Duration) (Request, bool) {
 	var best string
 	for _, item := range e.sorted() {
 		h := e.items[item]
--- a/core/orders/late.go
+++ b/core/orders/late.go
@@ -23,10 +23,10 @@
 }
 
 // ReserveDelayed keeps free what orders to a former life of the engine would take.
-func (e *Engine) ReserveDelayed(late []Late) { e.late = append(e.late, late...) }
+func (e *Ledger) ReserveDelayed(late []Late) { e.late = append(e.late, late...) }
 
 // expireLate drops the late orders whose time is over.
-func (e *Engine) expireLate(now clock.Instant) {
+func (e *Ledger) expireLate(now clock.Instant) {
 	before := len(e.late)
 	e.late = slices.DeleteFunc(e.late, func(l Late) bool { return !now.Before(l.Until) })
 	if len(e.late) < before {
@@ -35,7 +35,7 @@
 }
 
 // lateItems returns what late orders would load, without what is there.
-func (e *Engine) lateItems() []Request {
+func (e *Ledger) lateItems() []Request {
 	var items []Request
 	for _, l := range e.late {
 		if _, here := e.items[l.Request.Item()]; !here && l.Request.Load && !slices.Contains(items, l.Request) {
@@ -47,7 +47,7 @@
 
 // lateMB returns the memory that late orders would take, in MB; ok is false if nobody can
 // size it.
-func (e *Engine) lateMB() (mb int64, ok bool) {
+func (e *Ledger) lateMB() (mb int64, ok bool) {
 	for _, r := range e.lateItems() {
 		modelMB, adapterMB, ok := e.sizes(r.Model)
 		if !ok {
@@ -63,7 +63,7 @@
 }
 
 // lateSlots returns the adapter slots that late orders would take.
-func (e *Engine) lateSlots() int {
+func (e *Ledger) lateSlots() int {
 	n := 0
 	for _, r := range e.lateItems() {
 		if r.Adapter != "" {
--- a/core/orders/observe.go
+++ b/core/orders/observe.go
@@ -19,7 +19,7 @@
 
 // ObserveState takes in what the engine said when it was asked. One that is older
 // than an order which was answered says nothing.
-func (e *Engine) ObserveState(now clock.Instant, s State) {
+func (e *Ledger) ObserveState(now clock.Instant, s State) {
 	if e.inFlight != nil || s.Sequence < e.sequence {
 		return
 	}
@@ -34,7 +34,7 @@
 
 // ObserveModels takes in the models that the engine says, unasked, to hold. It does
 // so when an order on a model is done; of adapters it says nothing in time.
-func (e *Engine) ObserveModels(models []pool.AnnouncedModel) {
+func (e *Ledger) ObserveModels(models []pool.AnnouncedModel) {
 	if !e.known {
 		return
 	}
@@ -62,7 +62,7 @@
 
 // replace takes the state as the whole truth, but for a model whose order is
 // under way: the engine does not say which one that is.
-func (e *Engine) replace(now clock.Instant, s State) {
+func (e *Ledger) replace(now clock.Instant, s State) {
 	next := make(map[string]held, len(e.items))
 	for _, m := range s.Models {
 		next[m.Name] = e.ready(now, m.Name, "")
@@ -91,7 +91,7 @@
 
 // onItsWay returns an adapter that the engine says is on its way. It takes a slot,
 // whoever ordered it.
-func (e *Engine) onItsWay(now clock.Instant, item string) held {
+func (e *Ledger) onItsWay(now clock.Instant, item string) held {
 	h, known := e.items[item]
 	if !known {
 		h.model, h.adapter = pool.SplitItem(item)
@@ -102,7 +102,7 @@
 	return h
 }
 
-func (e *Engine) ready(now clock.Instant, model, adapter string) held {
+func (e *Ledger) ready(now clock.Instant, model, adapter string) held {
 	h := e.items[pool.ItemName(model, adapter)]
 	if h.model == "" {
 		h.usedAt = now
@@ -114,7 +114,7 @@
 }
 
 // dropModel drops a model and its adapters.
-func (e *Engine) dropModel(model string) {
+func (e *Ledger) dropModel(model string) {
 	for item, h := range e.items {
 		if h.model == model {
 			e.drop(item)
@@ -124,7 +124,7 @@
 
 // Advance has adapters whose time on the way is over count as ready, and reports
 // whether any does so now.
-func (e *Engine) Advance(now clock.Instant) bool {
+func (e *Ledger) Advance(now clock.Instant) bool {
 	e.expireLate(now)
 	changed := false
 	for item, h := range e.items {
--- a/core/orders/orders.go
+++ b/core/orders/orders.go
@@ -78,8 +78,8 @@
 	unloadMarked bool // told to be on its way out, and not ordered out yet
 }
 
-// An Engine is the owner's ledger of one engine.
-type Engine struct {
+// An Ledger is the owner's ledger of one engine.
+type Ledger struct {
 	Name      string
 	Address   string
 	Fence     era.Revision
@@ -96,36 +96,36 @@
 }
 
 // New returns the ledger of an engine whose state is not known yet.
-func New(name, address string, fence era.Revision, from clock.Instant, limits Limits, sizes Sizes) *Engine {
-	return &Engine{
+func New(name, address string, fence era.Revision, from clock.Instant, limits Limits, sizes Sizes) *Ledger {
+	return &Ledger{
 		Name: name, Address: address, Fence: fence, From: from,
 		limits: limits, sizes: sizes, items: map[string]held{},
 	}
 }
 
 // Configure takes over what a newer configuration says.
-func (e *Engine) Configure(limits Limits, sizes Sizes) {
+func (e *Ledger) Configure(limits Limits, sizes Sizes) {
 	e.limits = limits
 	e.sizes = sizes
 }
 
 // Known reports whether the engine's state is known well enough to order it.
-func (e *Engine) Known() bool { return e.known && !e.uncertain }
+func (e *Ledger) Known() bool { return e.known && !e.uncertain }
 
 // Uncertain reports whether the engine must be asked for its state.
-func (e *Engine) Uncertain() bool { return e.uncertain || !e.known }
+func (e *Ledger) Uncertain() bool { return e.uncertain || !e.known }
 
 // Sequence returns the number of orders that the engine has taken.
-func (e *Engine) Sequence() uint64 { return e.sequence }
+func (e *Ledger) Sequence() uint64 { return e.sequence }
 
 // Version rises with every change of what the engine holds.
-func (e *Engine) Version() uint64 { return e.changes }
+func (e *Ledger) Version() uint64 { return e.changes }
 
 // InFlight reports whether an order is without an answer.
-func (e *Engine) InFlight() bool { return e.inFlight != nil }
+func (e *Ledger) InFlight() bool { return e.inFlight != nil }
 
 // Busy reports whether a model is on its way in or out.
-func (e *Engine) Busy() bool {
+func (e *Ledger) Busy() bool {
 	for _, h := range e.items {
 		if h.adapter == "" && h.phase != pool.Ready {
 			return true
@@ -135,7 +135,7 @@
 }
 
 // ModelInTransition returns the model on its way in or out, and whether it comes in.
-func (e *Engine) ModelInTransition() (model string, loading bool) {
+func (e *Ledger) ModelInTransition() (model string, loading bool) {
 	for _, h := range e.items {
 		if h.adapter == "" && h.phase != pool.Ready && !h.unloadMarked {
 			return h.model, h.phase == pool.Loading
@@ -145,7 +145,7 @@
 }
 
 // ModelOrderRunning reports whether an order on a model was taken and is not done.
-func (e *Engine) ModelOrderRunning() bool {
+func (e *Ledger) ModelOrderRunning() bool {
 	model, _ := e.ModelInTransition()
 	return model != "" && e.inFlight == nil
 }
@@ -153,12 +153,12 @@
 // maxComing is how many adapters may be on their way to one engine.
 const maxComing = 4
 
-func (e *Engine) put(item string, h held) {
+func (e *Ledger) put(item string, h held) {
 	e.items[item] = h
 	e.changes++
 }
 
-func (e *Engine) drop(item string) {
+func (e *Ledger) drop(item string) {
 	delete(e.items, item)
 	e.changes++
 }
@@ -168,14 +168,14 @@
 const unloadTime = time.Second
 
 // RecordUse notes that a call used an item.
-func (e *Engine) RecordUse(now clock.Instant, item string) {
+func (e *Ledger) RecordUse(now clock.Instant, item string) {
 	if h, ok := e.items[item]; ok {
 		h.usedAt = now
 		e.items[item] = h
 	}
 }
 
-func (e *Engine) sorted() []string {
+func (e *Ledger) sorted() []string {
 	names := make([]string, 0, len(e.items))
 	for item := range e.items {
 		names = append(names, item)
@@ -185,10 +185,10 @@
 }
 
 // Phase returns where an item stands, 0 if it is not there.
-func (e *Engine) Phase(item string) pool.ItemPhase { return e.items[item].phase }
+func (e *Ledger) Phase(item string) pool.ItemPhase { return e.items[item].phase }
 
 // Items returns what the engine holds, by name.
-func (e *Engine) Items() []pool.Item {
+func (e *Ledger) Items() []pool.Item {
 	items := make([]pool.Item, 0, len(e.items))
 	for _, name := range e.sorted() {
 		items = append(items, pool.Item{Name: name, Phase: e.items[name].phase})
--- a/core/orders/orders_test.go
+++ b/core/orders/orders_test.go
@@ -21,7 +21,7 @@
 
 // engine returns the ledger of an engine that holds the models, after so many
 // orders.
-func engine(sequence uint64, models ...string) *Engine {
+func engine(sequence uint64, models ...string) *Ledger {
 	e := New("e", "10.0.0.1:80", 7, start, Limits{MemoryMB: 3*modelMB + 8, AdapterSlots: 2}, sizes)
 	e.ObserveState(start, stateOf(sequence, models...))
 	return e
@@ -43,55 +43,55 @@
 func TestJudge(t *testing.T) {
 	cases := []struct {
 		name string
-		make func() *Engine
+		make func() *Ledger
 		ask  Request
 		want Verdict
 	}{
-		{"nothing known yet", func() *Engine { return New("e", "a", 1, start, Limits{}, sizes) }, load("m", ""), Unknown},
-		{"room for a model", func() *Engine { return engine(1, "a", "b") }, load("c", ""), Permitted},
-		{"no room for a model", func() *Engine { return engine(1, "a", "b", "c") }, load("d", ""), NoRoom},
-		{"a model that is there", func() *Engine { return engine(1, "a") }, load("a", ""), Holds},
-		{"a model nobody can size", func() *Engine { return engine(1) }, load("unknown", ""), Unsized},
-		{"room for a model, which a late order to a former life may take", func() *Engine {
+		{"nothing known yet", func() *Ledger { return New("e", "a", 1, start, Limits{}, sizes) }, load("m", ""), Unknown},
+		{"room for a model", func() *Ledger { return engine(1, "a", "b") }, load("c", ""), Permitted},
+		{"no room for a model", func() *Ledger { return engine(1, "a", "b", "c") }, load("d", ""), NoRoom},
+		{"a model that is there", func() *Ledger { return engine(1, "a") }, load("a", ""), Holds},
+		{"a model nobody can size", func() *Ledger { return engine(1) }, load("unknown", ""), Unsized},
+		{"room for a model, which a late order to a former life may take", func() *Ledger {
 			e := engine(0, "a", "b")
 			e.ReserveDelayed([]Late{LateOf(start, load("c", ""))})
 			return e
 		}, load("d", ""), NoRoom},
-		{"the same model as the late order's", func() *Engine {
+		{"the same model as the late order's", func() *Ledger {
 			e := engine(0, "a", "b", "c")
 			e.ReserveDelayed([]Late{LateOf(start, load("c", ""))})
 			return e
 		}, load("a", "x"), Permitted},
-		{"a late order whose time is over", func() *Engine {
+		{"a late order whose time is over", func() *Ledger {
 			e := engine(0, "a", "b")
 			e.ReserveDelayed([]Late{LateOf(start, load("c", ""))})
 			e.Advance(start.Add(LateSpan))
 			return e
 		}, load("d", ""), Permitted},
-		{"a late order that unloads", func() *Engine {
+		{"a late order that unloads", func() *Ledger {
 			e := engine(0, "a", "b")
 			e.ReserveDelayed([]Late{LateOf(start, Request{Model: "a"})})
 			return e
 		}, load("c", ""), Permitted},
-		{"slots for adapters, which late orders may take", func() *Engine {
+		{"slots for adapters, which late orders may take", func() *Ledger {
 			e := engine(0, "a")
 			e.ReserveDelayed([]Late{LateOf(start, load("a", "y")), LateOf(start, load("a", "z")), LateOf(start, load("a", "z"))})
 			return e
 		}, load("a", "x"), NoRoom},
-		{"an adapter without its model", func() *Engine { return engine(1, "a") }, load("b", "x"), NoModel},
-		{"an adapter of a model there", func() *Engine { return engine(1, "a") }, load("a", "x"), Permitted},
-		{"while an order is without an answer", func() *Engine {
+		{"an adapter without its model", func() *Ledger { return engine(1, "a") }, load("b", "x"), NoModel},
+		{"an adapter of a model there", func() *Ledger { return engine(1, "a") }, load("a", "x"), Permitted},
+		{"while an order is without an answer", func() *Ledger {
 			e := engine(1, "a")
 			e.RecordSent(load("a", "x"))
 			return e
 		}, load("a", "y"), Later},
-		{"an adapter on its way", func() *Engine {
+		{"an adapter on its way", func() *Ledger {
 			e := engine(1, "a")
 			e.RecordSent(load("a", "x"))
 			e.RecordAccepted(start, time.Second)
 			return e
 		}, load("a", "x"), Coming},
-		{"no slot left", func() *Engine {
+		{"no slot left", func() *Ledger {
 			e := engine(1, "a")
 			for _, x := range []string{"x", "y"} {
 				e.RecordSent(load("a", x))
@@ -100,20 +100,20 @@
 			}
 			return e
 		}, load("a", "z"), NoRoom},
-		{"a second model while one is on its way", func() *Engine {
+		{"a second model while one is on its way", func() *Ledger {
 			e := engine(1, "a")
 			e.RecordSent(load("b", ""))
 			e.RecordAccepted(start, 0)
 			return e
 		}, load("c", ""), Later},
-		{"after a lost answer", func() *Engine {
+		{"after a lost answer", func() *Ledger {
 			e := engine(1, "a")
 			e.RecordSent(load("b", ""))
 			e.RecordLost()
 			return e
 		}, load("a", "x"), Unknown},
-		{"dropping what is not there", func() *Engine { return engine(1, "a") }, Request{Model: "b"}, NotThere},
-		{"dropping what is told to be leaving", func() *Engine {
+		{"dropping what is not there", func() *Ledger { return engine(1, "a") }, Request{Model: "b"}, NotThere},
+		{"dropping what is told to be leaving", func() *Ledger {
 			e := engine(1, "a")
 			e.MarkUnloading("a")
 			return e
--- a/core/owned/engine.go
+++ b/core/owned/engine.go
@@ -13,7 +13,7 @@
 // An Engine is an engine that this instance owns: its ledger, and the requests
 // that wait for their turn there.
 type Engine struct {
-	*orders.Engine
+	*orders.Ledger
 	// Settled says that no order of a former owner can be on its way any more.
 	Settled bool
 
--- a/core/owned/owned.go
+++ b/core/owned/owned.go
@@ -64,7 +64,7 @@
 		return
 	}
 	e := &Engine{
-		Engine:     orders.New(r.Name, r.Address, o.Revision, from, limits, sizes),
+		Ledger:     orders.New(r.Name, r.Address, o.Revision, from, limits, sizes),
 		Settled:    o.FormerOwner == "",
 		life:       r.Incarnation(),
 		acquiredAt: now,
