--- a/core/orders/orders.go
+++ b/core/orders/orders.go
@@ -31,9 +31,9 @@
 // Item returns the name of what the request is about.
 func (r Request) Item() string { return pool.ItemName(r.Model, r.Adapter) }
 
-// A Sizes function gives the memory of a model and of one of its adapters, in
+// A SizeFunc function gives the memory of a model and of one of its adapters, in
 // MB; ok is false for a model that is not configured.
-type Sizes func(model string) (modelMB, adapterMB int64, ok bool)
+type SizeFunc func(model string) (modelMB, adapterMB int64, ok bool)
 
 // A Limits is what one engine has to give.
 type Limits struct {
@@ -85,7 +85,7 @@
 	Fence     era.Revision
 	From      clock.Instant // no order may be sent before
 	limits    Limits
-	sizes     Sizes
+	sizes     SizeFunc
 	known     bool
 	sequence  uint64
 	items     map[string]held
@@ -96,7 +96,7 @@
 }
 
 // New returns the ledger of an engine whose state is not known yet.
-func New(name, address string, fence era.Revision, from clock.Instant, limits Limits, sizes Sizes) *Ledger {
+func New(name, address string, fence era.Revision, from clock.Instant, limits Limits, sizes SizeFunc) *Ledger {
 	return &Ledger{
 		Name: name, Address: address, Fence: fence, From: from,
 		limits: limits, sizes: sizes, items: map[string]held{},
@@ -104,7 +104,7 @@
 }
 
 // Configure takes over what a newer configuration says.
-func (e *Ledger) Configure(limits Limits, sizes Sizes) {
+func (e *Ledger) Configure(limits Limits, sizes SizeFunc) {
 	e.limits = limits
 	e.sizes = sizes
 }
--- a/core/owned/owned.go
+++ b/core/owned/owned.go
@@ -125,7 +125,7 @@
 }
 
 // facts returns what the configuration says of an engine's pool.
-func (s *Engines) facts(r *pool.Replica) (limits orders.Limits, sizes orders.Sizes, ok bool) {
+func (s *Engines) facts(r *pool.Replica) (limits orders.Limits, sizes orders.SizeFunc, ok bool) {
 	p, ok := s.Config.EnginePool(r.Service)
 	if !ok {
 		return limits, nil, false
@@ -133,7 +133,7 @@
 	return orders.Limits{MemoryMB: p.MemoryMB, AdapterSlots: p.MaxAdapters}, sizesOf(p), true
 }
 
-func sizesOf(p *config.EnginePool) orders.Sizes {
+func sizesOf(p *config.EnginePool) orders.SizeFunc {
 	return func(model string) (modelMB, adapterMB int64, ok bool) {
 		m, ok := p.Model(model)
 		return m.MemoryMB, m.AdapterMB, ok
