--- a/core/orders/orders.go
+++ b/core/orders/orders.go
@@ -35,8 +35,8 @@
 // MB; ok is false for a model that is not configured.
 type SizeFunc func(model string) (modelMB, adapterMB int64, ok bool)
 
-// A Limits is what one engine has to give.
-type Limits struct {
+// A Capacity is what one engine has to give.
+type Capacity struct {
 	MemoryMB     int64
 	AdapterSlots int
 }
@@ -84,7 +84,7 @@
 	Address   string
 	Fence     era.Revision
 	From      clock.Instant // no order may be sent before
-	limits    Limits
+	limits    Capacity
 	sizes     SizeFunc
 	known     bool
 	sequence  uint64
@@ -96,7 +96,7 @@
 }
 
 // New returns the ledger of an engine whose state is not known yet.
-func New(name, address string, fence era.Revision, from clock.Instant, limits Limits, sizes SizeFunc) *Ledger {
+func New(name, address string, fence era.Revision, from clock.Instant, limits Capacity, sizes SizeFunc) *Ledger {
 	return &Ledger{
 		Name: name, Address: address, Fence: fence, From: from,
 		limits: limits, sizes: sizes, items: map[string]held{},
@@ -104,7 +104,7 @@
 }
 
 // Configure takes over what a newer configuration says.
-func (e *Ledger) Configure(limits Limits, sizes SizeFunc) {
+func (e *Ledger) Configure(limits Capacity, sizes SizeFunc) {
 	e.limits = limits
 	e.sizes = sizes
 }
--- a/core/orders/orders_test.go
+++ b/core/orders/orders_test.go
@@ -22,7 +22,7 @@
 // engine returns the ledger of an engine that holds the models, after so many
 // orders.
 func engine(sequence uint64, models ...string) *Ledger {
-	e := New("e", "10.0.0.1:80", 7, start, Limits{MemoryMB: 3*modelMB + 8, AdapterSlots: 2}, sizes)
+	e := New("e", "10.0.0.1:80", 7, start, Capacity{MemoryMB: 3*modelMB + 8, AdapterSlots: 2}, sizes)
 	e.ObserveState(start, stateOf(sequence, models...))
 	return e
 }
@@ -47,7 +47,7 @@
 		ask  Request
 		want Verdict
 	}{
-		{"nothing known yet", func() *Ledger { return New("e", "a", 1, start, Limits{}, sizes) }, load("m", ""), Unknown},
+		{"nothing known yet", func() *Ledger { return New("e", "a", 1, start, Capacity{}, sizes) }, load("m", ""), Unknown},
 		{"room for a model", func() *Ledger { return engine(1, "a", "b") }, load("c", ""), Permitted},
 		{"no room for a model", func() *Ledger { return engine(1, "a", "b", "c") }, load("d", ""), NoRoom},
 		{"a model that is there", func() *Ledger { return engine(1, "a") }, load("a", ""), Holds},
@@ -132,7 +132,7 @@
 // order to load another once overfilled the engine.
 func TestAnUnknownModelOnItsWayBlocks(t *testing.T) {
 	is := is.New(t)
-	e := New("e", "a", 9, start, Limits{MemoryMB: 3*modelMB + 8, AdapterSlots: 2}, sizes)
+	e := New("e", "a", 9, start, Capacity{MemoryMB: 3*modelMB + 8, AdapterSlots: 2}, sizes)
 	busy := stateOf(6, "a", "b")
 	busy.Busy = true
 	e.ObserveState(start, busy)
@@ -192,7 +192,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			e := New("e", "10.0.0.1:80", 7, start, Limits{MemoryMB: 3 * modelMB, AdapterSlots: 2}, sizes)
+			e := New("e", "10.0.0.1:80", 7, start, Capacity{MemoryMB: 3 * modelMB, AdapterSlots: 2}, sizes)
 			model := pool.AnnouncedModel{Name: "a"}
 			for name := range c.used {
 				model.Adapters = append(model.Adapters, name)
@@ -213,7 +213,7 @@
 // owner ordered one more than the engine has slots for, and the engine fell.
 func TestAdaptersOnTheirWayTakeSlots(t *testing.T) {
 	is := is.New(t)
-	e := New("e", "10.0.0.1:80", 7, start, Limits{MemoryMB: 3*modelMB + 8, AdapterSlots: 2}, sizes)
+	e := New("e", "10.0.0.1:80", 7, start, Capacity{MemoryMB: 3*modelMB + 8, AdapterSlots: 2}, sizes)
 	e.ObserveState(start, State{
 		Sequence: 2,
 		Models:   []pool.AnnouncedModel{{Name: "m", Adapters: []string{"a1"}}},
--- a/core/owned/owned.go
+++ b/core/owned/owned.go
@@ -125,12 +125,12 @@
 }
 
 // facts returns what the configuration says of an engine's pool.
-func (s *Engines) facts(r *pool.Replica) (limits orders.Limits, sizes orders.SizeFunc, ok bool) {
+func (s *Engines) facts(r *pool.Replica) (limits orders.Capacity, sizes orders.SizeFunc, ok bool) {
 	p, ok := s.Config.EnginePool(r.Service)
 	if !ok {
 		return limits, nil, false
 	}
-	return orders.Limits{MemoryMB: p.MemoryMB, AdapterSlots: p.MaxAdapters}, sizesOf(p), true
+	return orders.Capacity{MemoryMB: p.MemoryMB, AdapterSlots: p.MaxAdapters}, sizesOf(p), true
 }
 
 func sizesOf(p *config.EnginePool) orders.SizeFunc {
