--- a/core/instance/announced_world_test.go
+++ b/core/instance/announced_world_test.go
@@ -934,7 +934,7 @@
 			delete(e.adapters, adapter)
 		}
 		e.sequence++
-		return orders.AnswerTaken
+		return orders.AnswerAccepted
 	case e.busy:
 		return orders.AnswerConflict
 	case r.Load && e.models[model]:
@@ -945,7 +945,7 @@
 	if !r.Load {
 		// It waits for its runs.
 		f.inThisLife(e, time.Duration(100+f.rng.IntN(5000))*time.Millisecond, func() { f.unloaded(e, model) })
-		return orders.AnswerTaken
+		return orders.AnswerAccepted
 	}
 	if len(e.models)+1 > 3 {
 		f.fault("%s was ordered to load more than it holds", e.name)
@@ -958,7 +958,7 @@
 		f.countLoad()
 	}
 	f.inThisLife(e, took, func() { f.loaded(e, model) })
-	return orders.AnswerTaken
+	return orders.AnswerAccepted
 }
 
 // inThisLife has an engine do something after a span, if it has not started again by then.
--- a/core/orders/orders.go
+++ b/core/orders/orders.go
@@ -59,7 +59,7 @@
 // The answers. Their numbers stand in the log.
 const (
 	AnswerLost        Answer = iota + 1 // no answer: it may be carried out, now or later
-	AnswerTaken                         // it is being carried out
+	AnswerAccepted                      // it is being carried out
 	AnswerHolds                         // what it asks for is so already
 	AnswerConflict                      // another is under way, or Expect differs
 	AnswerFenced                        // the engine has seen a later fence
--- a/core/owned/queue.go
+++ b/core/owned/queue.go
@@ -231,7 +231,7 @@
 	}
 	s.Out.Log(logevent.EngineAnswer, "engine", e.Name, "answer", int(r.Answer), "sequence", e.Sequence(), "detail", r.Detail)
 	switch r.Answer {
-	case orders.AnswerTaken:
+	case orders.AnswerAccepted:
 		e.RecordAccepted(now, adapterTime)
 		s.expectModel(now, e)
 	case orders.AnswerHolds:
