--- a/core/instance/announced_world_test.go
+++ b/core/instance/announced_world_test.go
@@ -917,7 +917,7 @@
 	case r.Adapter != "":
 		if r.Load {
 			if e.adapters[adapter] {
-				return orders.AnswerHolds
+				return orders.AnswerNoChange
 			}
 			if !e.models[model] {
 				return orders.AnswerInvalid
@@ -938,7 +938,7 @@
 	case e.busy:
 		return orders.AnswerConflict
 	case r.Load && e.models[model]:
-		return orders.AnswerHolds
+		return orders.AnswerNoChange
 	}
 	e.sequence++
 	e.busy = true
--- a/core/orders/orders.go
+++ b/core/orders/orders.go
@@ -60,7 +60,7 @@
 const (
 	AnswerLost        Answer = iota + 1 // no answer: it may be carried out, now or later
 	AnswerAccepted                      // it is being carried out
-	AnswerHolds                         // what it asks for is so already
+	AnswerNoChange                      // what it asks for is so already
 	AnswerConflict                      // another is under way, or Expect differs
 	AnswerFenced                        // the engine has seen a later fence
 	AnswerInvalid                       // the engine knows no such order
--- a/core/owned/queue.go
+++ b/core/owned/queue.go
@@ -234,7 +234,7 @@
 	case orders.AnswerAccepted:
 		e.RecordAccepted(now, adapterTime)
 		s.expectModel(now, e)
-	case orders.AnswerHolds:
+	case orders.AnswerNoChange:
 		e.RecordNoChange()
 	case orders.AnswerNotSent:
 		e.RecordFailed()
