--- a/core/orders/late.go
+++ b/core/orders/late.go
@@ -16,19 +16,19 @@
 // the platform's description of engines has up to twelve seconds.
 const LateSpan = 13 * time.Second
 
-// A Late is an order to a former life of an engine that may still be on its way.
-type Late struct {
+// A DelayedOrder is an order to a former life of an engine that may still be on its way.
+type DelayedOrder struct {
 	Request Request
 	Until   clock.Instant
 }
 
 // ReserveDelayed keeps free what orders to a former life of the engine would take.
-func (e *Ledger) ReserveDelayed(late []Late) { e.late = append(e.late, late...) }
+func (e *Ledger) ReserveDelayed(late []DelayedOrder) { e.late = append(e.late, late...) }
 
 // expireLate drops the late orders whose time is over.
 func (e *Ledger) expireLate(now clock.Instant) {
 	before := len(e.late)
-	e.late = slices.DeleteFunc(e.late, func(l Late) bool { return !now.Before(l.Until) })
+	e.late = slices.DeleteFunc(e.late, func(l DelayedOrder) bool { return !now.Before(l.Until) })
 	if len(e.late) < before {
 		e.changes++
 	}
@@ -74,4 +74,6 @@
 }
 
 // LateOf returns an order whose answer was lost now.
-func LateOf(now clock.Instant, r Request) Late { return Late{Request: r, Until: now.Add(LateSpan)} }
+func LateOf(now clock.Instant, r Request) DelayedOrder {
+	return DelayedOrder{Request: r, Until: now.Add(LateSpan)}
+}
--- a/core/orders/orders.go
+++ b/core/orders/orders.go
@@ -89,10 +89,10 @@
 	known     bool
 	sequence  uint64
 	items     map[string]held
-	inFlight  *Request // sent and not answered
-	late      []Late   // to a former life of the engine, and perhaps still on their way
-	uncertain bool     // an order's answer was lost since the state was last read
-	changes   uint64   // rises with every change of what is held
+	inFlight  *Request       // sent and not answered
+	late      []DelayedOrder // to a former life of the engine, and perhaps still on their way
+	uncertain bool           // an order's answer was lost since the state was last read
+	changes   uint64         // rises with every change of what is held
 }
 
 // New returns the ledger of an engine whose state is not known yet.
--- a/core/owned/late.go
+++ b/core/owned/late.go
@@ -11,7 +11,7 @@
 // A lateOrder is an order whose answer was lost, with the life of the engine that it was
 // for.
 type lateOrder struct {
-	orders.Late
+	orders.DelayedOrder
 	life pool.Incarnation
 }
 
@@ -26,15 +26,15 @@
 		s.late = map[string][]lateOrder{}
 	}
 	recent := slices.DeleteFunc(s.late[e.Name], func(l lateOrder) bool { return !now.Before(l.Until) })
-	s.late[e.Name] = append(recent, lateOrder{Late: orders.LateOf(now, r), life: e.life})
+	s.late[e.Name] = append(recent, lateOrder{DelayedOrder: orders.LateOf(now, r), life: e.life})
 }
 
 // lateOf returns the orders to former lives of an engine that may still be on their way.
-func (s *Engines) lateOf(now clock.Instant, life pool.Incarnation) []orders.Late {
-	var late []orders.Late
+func (s *Engines) lateOf(now clock.Instant, life pool.Incarnation) []orders.DelayedOrder {
+	var late []orders.DelayedOrder
 	for _, l := range s.late[life.Name] {
 		if l.life != life && now.Before(l.Until) {
-			late = append(late, l.Late)
+			late = append(late, l.DelayedOrder)
 		}
 	}
 	return late
