--- a/core/orders/late.go
+++ b/core/orders/late.go
@@ -12,9 +12,9 @@
 // carried out late by the next life finds the count that it names once more, on a state for
 // which it was not worked out.
 
-// LateSpan is how long after it was sent an order without an answer may be carried out:
+// MaxOrderDelay is how long after it was sent an order without an answer may be carried out:
 // the platform's description of engines has up to twelve seconds.
-const LateSpan = 13 * time.Second
+const MaxOrderDelay = 13 * time.Second
 
 // A DelayedOrder is an order to a former life of an engine that may still be on its way.
 type DelayedOrder struct {
@@ -75,5 +75,5 @@
 
 // LateOf returns an order whose answer was lost now.
 func LateOf(now clock.Instant, r Request) DelayedOrder {
-	return DelayedOrder{Request: r, Until: now.Add(LateSpan)}
+	return DelayedOrder{Request: r, Until: now.Add(MaxOrderDelay)}
 }
--- a/core/orders/orders_test.go
+++ b/core/orders/orders_test.go
@@ -65,7 +65,7 @@
 		{"a late order whose time is over", func() *Ledger {
 			e := engine(0, "a", "b")
 			e.ReserveDelayed([]DelayedOrder{LateOf(start, load("c", ""))})
-			e.Advance(start.Add(LateSpan))
+			e.Advance(start.Add(MaxOrderDelay))
 			return e
 		}, load("d", ""), Permitted},
 		{"a late order that unloads", func() *Ledger {
