--- a/core/orders/late.go
+++ b/core/orders/late.go
@@ -73,7 +73,7 @@
 	return n
 }
 
-// LateOf returns an order whose answer was lost now.
-func LateOf(now clock.Instant, r Request) DelayedOrder {
+// NewDelayedOrder returns an order whose answer was lost now.
+func NewDelayedOrder(now clock.Instant, r Request) DelayedOrder {
 	return DelayedOrder{Request: r, Until: now.Add(MaxOrderDelay)}
 }
--- a/core/orders/orders_test.go
+++ b/core/orders/orders_test.go
@@ -54,28 +54,28 @@
 		{"a model nobody can size", func() *Ledger { return engine(1) }, load("unknown", ""), Unsized},
 		{"room for a model, which a late order to a former life may take", func() *Ledger {
 			e := engine(0, "a", "b")
-			e.ReserveDelayed([]DelayedOrder{LateOf(start, load("c", ""))})
+			e.ReserveDelayed([]DelayedOrder{NewDelayedOrder(start, load("c", ""))})
 			return e
 		}, load("d", ""), NoRoom},
 		{"the same model as the late order's", func() *Ledger {
 			e := engine(0, "a", "b", "c")
-			e.ReserveDelayed([]DelayedOrder{LateOf(start, load("c", ""))})
+			e.ReserveDelayed([]DelayedOrder{NewDelayedOrder(start, load("c", ""))})
 			return e
 		}, load("a", "x"), Permitted},
 		{"a late order whose time is over", func() *Ledger {
 			e := engine(0, "a", "b")
-			e.ReserveDelayed([]DelayedOrder{LateOf(start, load("c", ""))})
+			e.ReserveDelayed([]DelayedOrder{NewDelayedOrder(start, load("c", ""))})
 			e.Advance(start.Add(MaxOrderDelay))
 			return e
 		}, load("d", ""), Permitted},
 		{"a late order that unloads", func() *Ledger {
 			e := engine(0, "a", "b")
-			e.ReserveDelayed([]DelayedOrder{LateOf(start, Request{Model: "a"})})
+			e.ReserveDelayed([]DelayedOrder{NewDelayedOrder(start, Request{Model: "a"})})
 			return e
 		}, load("c", ""), Permitted},
 		{"slots for adapters, which late orders may take", func() *Ledger {
 			e := engine(0, "a")
-			e.ReserveDelayed([]DelayedOrder{LateOf(start, load("a", "y")), LateOf(start, load("a", "z")), LateOf(start, load("a", "z"))})
+			e.ReserveDelayed([]DelayedOrder{NewDelayedOrder(start, load("a", "y")), NewDelayedOrder(start, load("a", "z")), NewDelayedOrder(start, load("a", "z"))})
 			return e
 		}, load("a", "x"), NoRoom},
 		{"an adapter without its model", func() *Ledger { return engine(1, "a") }, load("b", "x"), NoModel},
--- a/core/owned/late.go
+++ b/core/owned/late.go
@@ -26,7 +26,7 @@
 		s.late = map[string][]lateOrder{}
 	}
 	recent := slices.DeleteFunc(s.late[e.Name], func(l lateOrder) bool { return !now.Before(l.Until) })
-	s.late[e.Name] = append(recent, lateOrder{DelayedOrder: orders.LateOf(now, r), life: e.life})
+	s.late[e.Name] = append(recent, lateOrder{DelayedOrder: orders.NewDelayedOrder(now, r), life: e.life})
 }
 
 // lateOf returns the orders to former lives of an engine that may still be on their way.
