--- a/core/orders/judge.go
+++ b/core/orders/judge.go
@@ -9,20 +9,20 @@
 
 // What may be ordered now, by what the ledger holds.
 
-// A Verdict says what may be done with a request.
-type Verdict int
+// A CheckResult says what may be done with a request.
+type CheckResult int
 
 // The verdicts.
 const (
-	Permitted Verdict = iota + 1 // it may be sent
-	Holds                        // what it asks for is so already
-	Coming                       // it is on its way already
-	Later                        // an order is without an answer, or the engine is busy
-	NoRoom                       // memory or slots are missing
-	NoModel                      // the adapter's model is not there
-	Unknown                      // the engine's state is not known yet
-	Unsized                      // the model is not configured
-	NotThere                     // what should be unloaded is not there
+	Permitted CheckResult = iota + 1 // it may be sent
+	Holds                            // what it asks for is so already
+	Coming                           // it is on its way already
+	Later                            // an order is without an answer, or the engine is busy
+	NoRoom                           // memory or slots are missing
+	NoModel                          // the adapter's model is not there
+	Unknown                          // the engine's state is not known yet
+	Unsized                          // the model is not configured
+	NotThere                         // what should be unloaded is not there
 )
 
 // busyBut reports whether a model other than item is on its way in or out.
@@ -55,7 +55,7 @@
 }
 
 // Check says what may be done with a request now.
-func (e *Ledger) Check(r Request) Verdict {
+func (e *Ledger) Check(r Request) CheckResult {
 	if !e.Known() {
 		return Unknown
 	}
@@ -81,7 +81,7 @@
 	return e.checkAdapter(r, adapterMB)
 }
 
-func (e *Ledger) checkUnload(r Request, h held, here bool) Verdict {
+func (e *Ledger) checkUnload(r Request, h held, here bool) CheckResult {
 	switch {
 	case !here:
 		return NotThere
@@ -94,7 +94,7 @@
 	}
 }
 
-func (e *Ledger) checkModel(mb int64) Verdict {
+func (e *Ledger) checkModel(mb int64) CheckResult {
 	if e.Busy() {
 		return Later
 	}
@@ -104,7 +104,7 @@
 	return Permitted
 }
 
-func (e *Ledger) checkAdapter(r Request, mb int64) Verdict {
+func (e *Ledger) checkAdapter(r Request, mb int64) CheckResult {
 	model, here := e.items[r.Model]
 	if !here || model.phase != pool.Ready {
 		return NoModel
--- a/core/orders/orders_test.go
+++ b/core/orders/orders_test.go
@@ -45,7 +45,7 @@
 		name string
 		make func() *Ledger
 		ask  Request
-		want Verdict
+		want CheckResult
 	}{
 		{"nothing known yet", func() *Ledger { return New("e", "a", 1, start, Capacity{}, sizes) }, load("m", ""), Unknown},
 		{"room for a model", func() *Ledger { return engine(1, "a", "b") }, load("c", ""), Permitted},
