--- a/core/orders/judge.go
+++ b/core/orders/judge.go
@@ -14,15 +14,15 @@
 
 // The verdicts.
 const (
-	Permitted CheckResult = iota + 1 // it may be sent
-	Holds                            // what it asks for is so already
-	Coming                           // it is on its way already
-	Later                            // an order is without an answer, or the engine is busy
-	NoRoom                           // memory or slots are missing
-	NoModel                          // the adapter's model is not there
-	Unknown                          // the engine's state is not known yet
-	Unsized                          // the model is not configured
-	NotThere                         // what should be unloaded is not there
+	Allowed  CheckResult = iota + 1 // it may be sent
+	Holds                           // what it asks for is so already
+	Coming                          // it is on its way already
+	Later                           // an order is without an answer, or the engine is busy
+	NoRoom                          // memory or slots are missing
+	NoModel                         // the adapter's model is not there
+	Unknown                         // the engine's state is not known yet
+	Unsized                         // the model is not configured
+	NotThere                        // what should be unloaded is not there
 )
 
 // busyBut reports whether a model other than item is on its way in or out.
@@ -90,7 +90,7 @@
 	case e.inFlight != nil || e.busyBut(r.Item()) || h.phase == pool.Loading:
 		return Later
 	default:
-		return Permitted
+		return Allowed
 	}
 }
 
@@ -101,7 +101,7 @@
 	if mb > e.FreeMB() {
 		return NoRoom
 	}
-	return Permitted
+	return Allowed
 }
 
 func (e *Ledger) checkAdapter(r Request, mb int64) CheckResult {
@@ -115,7 +115,7 @@
 	if mb > e.FreeMB() || e.slots() >= e.limits.AdapterSlots {
 		return NoRoom
 	}
-	return Permitted
+	return Allowed
 }
 
 func (e *Ledger) coming() int {
--- a/core/orders/orders_test.go
+++ b/core/orders/orders_test.go
@@ -48,7 +48,7 @@
 		want CheckResult
 	}{
 		{"nothing known yet", func() *Ledger { return New("e", "a", 1, start, Capacity{}, sizes) }, load("m", ""), Unknown},
-		{"room for a model", func() *Ledger { return engine(1, "a", "b") }, load("c", ""), Permitted},
+		{"room for a model", func() *Ledger { return engine(1, "a", "b") }, load("c", ""), Allowed},
 		{"no room for a model", func() *Ledger { return engine(1, "a", "b", "c") }, load("d", ""), NoRoom},
 		{"a model that is there", func() *Ledger { return engine(1, "a") }, load("a", ""), Holds},
 		{"a model nobody can size", func() *Ledger { return engine(1) }, load("unknown", ""), Unsized},
@@ -61,25 +61,25 @@
 			e := engine(0, "a", "b", "c")
 			e.ReserveDelayed([]DelayedOrder{NewDelayedOrder(start, load("c", ""))})
 			return e
-		}, load("a", "x"), Permitted},
+		}, load("a", "x"), Allowed},
 		{"a late order whose time is over", func() *Ledger {
 			e := engine(0, "a", "b")
 			e.ReserveDelayed([]DelayedOrder{NewDelayedOrder(start, load("c", ""))})
 			e.Advance(start.Add(MaxOrderDelay))
 			return e
-		}, load("d", ""), Permitted},
+		}, load("d", ""), Allowed},
 		{"a late order that unloads", func() *Ledger {
 			e := engine(0, "a", "b")
 			e.ReserveDelayed([]DelayedOrder{NewDelayedOrder(start, Request{Model: "a"})})
 			return e
-		}, load("c", ""), Permitted},
+		}, load("c", ""), Allowed},
 		{"slots for adapters, which late orders may take", func() *Ledger {
 			e := engine(0, "a")
 			e.ReserveDelayed([]DelayedOrder{NewDelayedOrder(start, load("a", "y")), NewDelayedOrder(start, load("a", "z")), NewDelayedOrder(start, load("a", "z"))})
 			return e
 		}, load("a", "x"), NoRoom},
 		{"an adapter without its model", func() *Ledger { return engine(1, "a") }, load("b", "x"), NoModel},
-		{"an adapter of a model there", func() *Ledger { return engine(1, "a") }, load("a", "x"), Permitted},
+		{"an adapter of a model there", func() *Ledger { return engine(1, "a") }, load("a", "x"), Allowed},
 		{"while an order is without an answer", func() *Ledger {
 			e := engine(1, "a")
 			e.RecordSent(load("a", "x"))
@@ -117,7 +117,7 @@
 			e := engine(1, "a")
 			e.MarkUnloading("a")
 			return e
-		}, Request{Model: "a"}, Permitted},
+		}, Request{Model: "a"}, Allowed},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -153,7 +153,7 @@
 	e.ObserveState(start, stateOf(3)) // older than what was answered: says nothing
 	is.Equal(e.FreeMB(), int64(8))
 	e.ObserveState(start, stateOf(4, "a", "b"))
-	is.Equal(e.Check(load("d", "")), Permitted)
+	is.Equal(e.Check(load("d", "")), Allowed)
 	is.Equal(e.Sequence(), uint64(4)) // so the lost one is void once this is taken
 	e.RecordSent(load("d", ""))
 	e.RecordAccepted(start, 0)
--- a/core/owned/queue.go
+++ b/core/owned/queue.go
@@ -144,7 +144,7 @@
 			s.answerAll(now, e, *q, Started, "")
 			return true
 		}
-	case orders.Permitted:
+	case orders.Allowed:
 		if !now.Before(q.due) {
 			s.send(now, e, q.request)
 		}
@@ -203,7 +203,7 @@
 		return true
 	}
 	idle, ok := e.IdleAdapter(now, idleAdapter)
-	if !ok || e.Check(idle) != orders.Permitted {
+	if !ok || e.Check(idle) != orders.Allowed {
 		return false
 	}
 	s.send(now, e, idle)
