--- a/core/orders/judge.go
+++ b/core/orders/judge.go
@@ -15,7 +15,7 @@
 // The verdicts.
 const (
 	Allowed  CheckResult = iota + 1 // it may be sent
-	Holds                           // what it asks for is so already
+	NoChange                        // what it asks for is so already
 	Coming                          // it is on its way already
 	Later                           // an order is without an answer, or the engine is busy
 	NoRoom                          // memory or slots are missing
@@ -65,7 +65,7 @@
 	}
 	switch {
 	case here && h.phase == pool.Ready:
-		return Holds
+		return NoChange
 	case here && h.phase == pool.Loading:
 		return Coming
 	case here, e.inFlight != nil:
--- a/core/orders/orders_test.go
+++ b/core/orders/orders_test.go
@@ -50,7 +50,7 @@
 		{"nothing known yet", func() *Ledger { return New("e", "a", 1, start, Capacity{}, sizes) }, load("m", ""), Unknown},
 		{"room for a model", func() *Ledger { return engine(1, "a", "b") }, load("c", ""), Allowed},
 		{"no room for a model", func() *Ledger { return engine(1, "a", "b", "c") }, load("d", ""), NoRoom},
-		{"a model that is there", func() *Ledger { return engine(1, "a") }, load("a", ""), Holds},
+		{"a model that is there", func() *Ledger { return engine(1, "a") }, load("a", ""), NoChange},
 		{"a model nobody can size", func() *Ledger { return engine(1) }, load("unknown", ""), Unsized},
 		{"room for a model, which a late order to a former life may take", func() *Ledger {
 			e := engine(0, "a", "b")
