--- a/core/orders/judge.go
+++ b/core/orders/judge.go
@@ -14,15 +14,15 @@
 
 // The verdicts.
 const (
-	Allowed  CheckResult = iota + 1 // it may be sent
-	NoChange                        // what it asks for is so already
-	Coming                          // it is on its way already
-	Later                           // an order is without an answer, or the engine is busy
-	NoRoom                          // memory or slots are missing
-	NoModel                         // the adapter's model is not there
-	Unknown                         // the engine's state is not known yet
-	Unsized                         // the model is not configured
-	NotThere                        // what should be unloaded is not there
+	Allowed    CheckResult = iota + 1 // it may be sent
+	NoChange                          // what it asks for is so already
+	InProgress                        // it is on its way already
+	Later                             // an order is without an answer, or the engine is busy
+	NoRoom                            // memory or slots are missing
+	NoModel                           // the adapter's model is not there
+	Unknown                           // the engine's state is not known yet
+	Unsized                           // the model is not configured
+	NotThere                          // what should be unloaded is not there
 )
 
 // busyBut reports whether a model other than item is on its way in or out.
@@ -67,7 +67,7 @@
 	case here && h.phase == pool.Ready:
 		return NoChange
 	case here && h.phase == pool.Loading:
-		return Coming
+		return InProgress
 	case here, e.inFlight != nil:
 		return Later
 	}
@@ -86,7 +86,7 @@
 	case !here:
 		return NotThere
 	case h.phase == pool.Unloading && !h.unloadMarked:
-		return Coming
+		return InProgress
 	case e.inFlight != nil || e.busyBut(r.Item()) || h.phase == pool.Loading:
 		return Later
 	default:
--- a/core/orders/orders_test.go
+++ b/core/orders/orders_test.go
@@ -90,7 +90,7 @@
 			e.RecordSent(load("a", "x"))
 			e.RecordAccepted(start, time.Second)
 			return e
-		}, load("a", "x"), Coming},
+		}, load("a", "x"), InProgress},
 		{"no slot left", func() *Ledger {
 			e := engine(1, "a")
 			for _, x := range []string{"x", "y"} {
@@ -220,7 +220,7 @@
 		Coming:   []string{"m/a2"},
 	})
 	is.Equal(e.Phase("m/a2"), pool.Loading)
-	is.Equal(e.Check(load("m", "a2")), Coming)
+	is.Equal(e.Check(load("m", "a2")), InProgress)
 	is.Equal(e.Check(load("m", "a3")), NoRoom)
 	e.Advance(start.Add(comingTime - 1))
 	is.Equal(e.Phase("m/a2"), pool.Loading)
--- a/core/owned/queue.go
+++ b/core/owned/queue.go
@@ -139,7 +139,7 @@
 	case orders.NoChange, orders.NotThere:
 		s.answerAll(now, e, *q, Done, "")
 		return true
-	case orders.Coming:
+	case orders.InProgress:
 		if q.request.Adapter == "" {
 			s.answerAll(now, e, *q, Started, "")
 			return true
