--- a/core/orders/judge.go
+++ b/core/orders/judge.go
@@ -17,7 +17,7 @@
 	Allowed    CheckResult = iota + 1 // it may be sent
 	NoChange                          // what it asks for is so already
 	InProgress                        // it is on its way already
-	Later                             // an order is without an answer, or the engine is busy
+	NotNow                            // an order is without an answer, or the engine is busy
 	NoRoom                            // memory or slots are missing
 	NoModel                           // the adapter's model is not there
 	Unknown                           // the engine's state is not known yet
@@ -69,7 +69,7 @@
 	case here && h.phase == pool.Loading:
 		return InProgress
 	case here, e.inFlight != nil:
-		return Later
+		return NotNow
 	}
 	modelMB, adapterMB, ok := e.sizes(r.Model)
 	if !ok {
@@ -88,7 +88,7 @@
 	case h.phase == pool.Unloading && !h.unloadMarked:
 		return InProgress
 	case e.inFlight != nil || e.busyBut(r.Item()) || h.phase == pool.Loading:
-		return Later
+		return NotNow
 	default:
 		return Allowed
 	}
@@ -96,7 +96,7 @@
 
 func (e *Ledger) checkModel(mb int64) CheckResult {
 	if e.Busy() {
-		return Later
+		return NotNow
 	}
 	if mb > e.FreeMB() {
 		return NoRoom
@@ -110,7 +110,7 @@
 		return NoModel
 	}
 	if e.coming() >= maxComing {
-		return Later
+		return NotNow
 	}
 	if mb > e.FreeMB() || e.slots() >= e.limits.AdapterSlots {
 		return NoRoom
--- a/core/orders/orders_test.go
+++ b/core/orders/orders_test.go
@@ -84,7 +84,7 @@
 			e := engine(1, "a")
 			e.RecordSent(load("a", "x"))
 			return e
-		}, load("a", "y"), Later},
+		}, load("a", "y"), NotNow},
 		{"an adapter on its way", func() *Ledger {
 			e := engine(1, "a")
 			e.RecordSent(load("a", "x"))
@@ -105,7 +105,7 @@
 			e.RecordSent(load("b", ""))
 			e.RecordAccepted(start, 0)
 			return e
-		}, load("c", ""), Later},
+		}, load("c", ""), NotNow},
 		{"after a lost answer", func() *Ledger {
 			e := engine(1, "a")
 			e.RecordSent(load("b", ""))
