--- a/core/orders/judge.go
+++ b/core/orders/judge.go
@@ -18,7 +18,7 @@
 	NoChange                          // what it asks for is so already
 	InProgress                        // it is on its way already
 	NotNow                            // an order is without an answer, or the engine is busy
-	NoRoom                            // memory or slots are missing
+	NoCapacity                        // memory or slots are missing
 	NoModel                           // the adapter's model is not there
 	Unknown                           // the engine's state is not known yet
 	Unsized                           // the model is not configured
@@ -99,7 +99,7 @@
 		return NotNow
 	}
 	if mb > e.FreeMB() {
-		return NoRoom
+		return NoCapacity
 	}
 	return Allowed
 }
@@ -113,7 +113,7 @@
 		return NotNow
 	}
 	if mb > e.FreeMB() || e.slots() >= e.limits.AdapterSlots {
-		return NoRoom
+		return NoCapacity
 	}
 	return Allowed
 }
--- a/core/orders/orders_test.go
+++ b/core/orders/orders_test.go
@@ -49,14 +49,14 @@
 	}{
 		{"nothing known yet", func() *Ledger { return New("e", "a", 1, start, Capacity{}, sizes) }, load("m", ""), Unknown},
 		{"room for a model", func() *Ledger { return engine(1, "a", "b") }, load("c", ""), Allowed},
-		{"no room for a model", func() *Ledger { return engine(1, "a", "b", "c") }, load("d", ""), NoRoom},
+		{"no room for a model", func() *Ledger { return engine(1, "a", "b", "c") }, load("d", ""), NoCapacity},
 		{"a model that is there", func() *Ledger { return engine(1, "a") }, load("a", ""), NoChange},
 		{"a model nobody can size", func() *Ledger { return engine(1) }, load("unknown", ""), Unsized},
 		{"room for a model, which a late order to a former life may take", func() *Ledger {
 			e := engine(0, "a", "b")
 			e.ReserveDelayed([]DelayedOrder{NewDelayedOrder(start, load("c", ""))})
 			return e
-		}, load("d", ""), NoRoom},
+		}, load("d", ""), NoCapacity},
 		{"the same model as the late order's", func() *Ledger {
 			e := engine(0, "a", "b", "c")
 			e.ReserveDelayed([]DelayedOrder{NewDelayedOrder(start, load("c", ""))})
@@ -77,7 +77,7 @@
 			e := engine(0, "a")
 			e.ReserveDelayed([]DelayedOrder{NewDelayedOrder(start, load("a", "y")), NewDelayedOrder(start, load("a", "z")), NewDelayedOrder(start, load("a", "z"))})
 			return e
-		}, load("a", "x"), NoRoom},
+		}, load("a", "x"), NoCapacity},
 		{"an adapter without its model", func() *Ledger { return engine(1, "a") }, load("b", "x"), NoModel},
 		{"an adapter of a model there", func() *Ledger { return engine(1, "a") }, load("a", "x"), Allowed},
 		{"while an order is without an answer", func() *Ledger {
@@ -99,7 +99,7 @@
 				e.Advance(start)
 			}
 			return e
-		}, load("a", "z"), NoRoom},
+		}, load("a", "z"), NoCapacity},
 		{"a second model while one is on its way", func() *Ledger {
 			e := engine(1, "a")
 			e.RecordSent(load("b", ""))
@@ -139,7 +139,7 @@
 	is.Equal(e.Check(load("c", "")), Unknown)
 	is.True(e.Uncertain()) // it must be asked again
 	e.ObserveState(start, stateOf(6, "a", "b", "d"))
-	is.Equal(e.Check(load("c", "")), NoRoom)
+	is.Equal(e.Check(load("c", "")), NoCapacity)
 }
 
 // TestALateOrderIsVoid: what an unanswered order would do stays booked until the
@@ -221,7 +221,7 @@
 	})
 	is.Equal(e.Phase("m/a2"), pool.Loading)
 	is.Equal(e.Check(load("m", "a2")), InProgress)
-	is.Equal(e.Check(load("m", "a3")), NoRoom)
+	is.Equal(e.Check(load("m", "a3")), NoCapacity)
 	e.Advance(start.Add(comingTime - 1))
 	is.Equal(e.Phase("m/a2"), pool.Loading)
 	e.Advance(start.Add(comingTime))
--- a/core/owned/queue.go
+++ b/core/owned/queue.go
@@ -148,7 +148,7 @@
 		if !now.Before(q.due) {
 			s.send(now, e, q.request)
 		}
-	case orders.NoRoom:
+	case orders.NoCapacity:
 		if q.request.Adapter == "" || !s.makeRoom(now, e) {
 			s.answerAll(now, e, *q, Refused, "no room")
 			return true
