--- a/core/orders/judge.go
+++ b/core/orders/judge.go
@@ -14,15 +14,15 @@
 
 // The verdicts.
 const (
-	Allowed    CheckResult = iota + 1 // it may be sent
-	NoChange                          // what it asks for is so already
-	InProgress                        // it is on its way already
-	NotNow                            // an order is without an answer, or the engine is busy
-	NoCapacity                        // memory or slots are missing
-	NoModel                           // the adapter's model is not there
-	Unknown                           // the engine's state is not known yet
-	Unsized                           // the model is not configured
-	NotThere                          // what should be unloaded is not there
+	Allowed       CheckResult = iota + 1 // it may be sent
+	NoChange                             // what it asks for is so already
+	InProgress                           // it is on its way already
+	NotNow                               // an order is without an answer, or the engine is busy
+	NoCapacity                           // memory or slots are missing
+	ModelNotReady                        // the adapter's model is not there
+	Unknown                              // the engine's state is not known yet
+	Unsized                              // the model is not configured
+	NotThere                             // what should be unloaded is not there
 )
 
 // busyBut reports whether a model other than item is on its way in or out.
@@ -107,7 +107,7 @@
 func (e *Ledger) checkAdapter(r Request, mb int64) CheckResult {
 	model, here := e.items[r.Model]
 	if !here || model.phase != pool.Ready {
-		return NoModel
+		return ModelNotReady
 	}
 	if e.coming() >= maxComing {
 		return NotNow
--- a/core/orders/orders_test.go
+++ b/core/orders/orders_test.go
@@ -78,7 +78,7 @@
 			e.ReserveDelayed([]DelayedOrder{NewDelayedOrder(start, load("a", "y")), NewDelayedOrder(start, load("a", "z")), NewDelayedOrder(start, load("a", "z"))})
 			return e
 		}, load("a", "x"), NoCapacity},
-		{"an adapter without its model", func() *Ledger { return engine(1, "a") }, load("b", "x"), NoModel},
+		{"an adapter without its model", func() *Ledger { return engine(1, "a") }, load("b", "x"), ModelNotReady},
 		{"an adapter of a model there", func() *Ledger { return engine(1, "a") }, load("a", "x"), Allowed},
 		{"while an order is without an answer", func() *Ledger {
 			e := engine(1, "a")
