--- a/core/orders/judge.go
+++ b/core/orders/judge.go
@@ -20,7 +20,7 @@
 	NotNow                               // an order is without an answer, or the engine is busy
 	NoCapacity                           // memory or slots are missing
 	ModelNotReady                        // the adapter's model is not there
-	Unknown                              // the engine's state is not known yet
+	StateUnknown                         // the engine's state is not known yet
 	Unsized                              // the model is not configured
 	NotThere                             // what should be unloaded is not there
 )
@@ -57,7 +57,7 @@
 // Check says what may be done with a request now.
 func (e *Ledger) Check(r Request) CheckResult {
 	if !e.Known() {
-		return Unknown
+		return StateUnknown
 	}
 	h, here := e.items[r.Item()]
 	if !r.Load {
--- a/core/orders/orders_test.go
+++ b/core/orders/orders_test.go
@@ -47,7 +47,7 @@
 		ask  Request
 		want CheckResult
 	}{
-		{"nothing known yet", func() *Ledger { return New("e", "a", 1, start, Capacity{}, sizes) }, load("m", ""), Unknown},
+		{"nothing known yet", func() *Ledger { return New("e", "a", 1, start, Capacity{}, sizes) }, load("m", ""), StateUnknown},
 		{"room for a model", func() *Ledger { return engine(1, "a", "b") }, load("c", ""), Allowed},
 		{"no room for a model", func() *Ledger { return engine(1, "a", "b", "c") }, load("d", ""), NoCapacity},
 		{"a model that is there", func() *Ledger { return engine(1, "a") }, load("a", ""), NoChange},
@@ -111,7 +111,7 @@
 			e.RecordSent(load("b", ""))
 			e.RecordLost()
 			return e
-		}, load("a", "x"), Unknown},
+		}, load("a", "x"), StateUnknown},
 		{"dropping what is not there", func() *Ledger { return engine(1, "a") }, Request{Model: "b"}, NotThere},
 		{"dropping what is told to be leaving", func() *Ledger {
 			e := engine(1, "a")
@@ -136,7 +136,7 @@
 	busy := stateOf(6, "a", "b")
 	busy.Busy = true
 	e.ObserveState(start, busy)
-	is.Equal(e.Check(load("c", "")), Unknown)
+	is.Equal(e.Check(load("c", "")), StateUnknown)
 	is.True(e.Uncertain()) // it must be asked again
 	e.ObserveState(start, stateOf(6, "a", "b", "d"))
 	is.Equal(e.Check(load("c", "")), NoCapacity)
