--- a/core/orders/judge.go
+++ b/core/orders/judge.go
@@ -21,7 +21,7 @@
 	NoCapacity                           // memory or slots are missing
 	ModelNotReady                        // the adapter's model is not there
 	StateUnknown                         // the engine's state is not known yet
-	Unsized                              // the model is not configured
+	SizeUnknown                          // the model is not configured
 	NotThere                             // what should be unloaded is not there
 )
 
@@ -73,7 +73,7 @@
 	}
 	modelMB, adapterMB, ok := e.sizes(r.Model)
 	if !ok {
-		return Unsized
+		return SizeUnknown
 	}
 	if r.Adapter == "" {
 		return e.checkModel(modelMB)
--- a/core/orders/orders_test.go
+++ b/core/orders/orders_test.go
@@ -51,7 +51,7 @@
 		{"room for a model", func() *Ledger { return engine(1, "a", "b") }, load("c", ""), Allowed},
 		{"no room for a model", func() *Ledger { return engine(1, "a", "b", "c") }, load("d", ""), NoCapacity},
 		{"a model that is there", func() *Ledger { return engine(1, "a") }, load("a", ""), NoChange},
-		{"a model nobody can size", func() *Ledger { return engine(1) }, load("unknown", ""), Unsized},
+		{"a model nobody can size", func() *Ledger { return engine(1) }, load("unknown", ""), SizeUnknown},
 		{"room for a model, which a late order to a former life may take", func() *Ledger {
 			e := engine(0, "a", "b")
 			e.ReserveDelayed([]DelayedOrder{NewDelayedOrder(start, load("c", ""))})
--- a/core/owned/queue.go
+++ b/core/owned/queue.go
@@ -153,7 +153,7 @@
 			s.answerAll(now, e, *q, Refused, "no room")
 			return true
 		}
-	case orders.ModelNotReady, orders.Unsized:
+	case orders.ModelNotReady, orders.SizeUnknown:
 		s.answerAll(now, e, *q, Refused, "the model is not there")
 		return true
 	}
