--- a/core/orders/judge.go
+++ b/core/orders/judge.go
@@ -22,7 +22,7 @@
 	ModelNotReady                        // the adapter's model is not there
 	StateUnknown                         // the engine's state is not known yet
 	SizeUnknown                          // the model is not configured
-	NotThere                             // what should be unloaded is not there
+	NotLoaded                            // what should be unloaded is not there
 )
 
 // busyBut reports whether a model other than item is on its way in or out.
@@ -84,7 +84,7 @@
 func (e *Ledger) checkUnload(r Request, h held, here bool) CheckResult {
 	switch {
 	case !here:
-		return NotThere
+		return NotLoaded
 	case h.phase == pool.Unloading && !h.unloadMarked:
 		return InProgress
 	case e.inFlight != nil || e.busyBut(r.Item()) || h.phase == pool.Loading:
--- a/core/orders/orders_test.go
+++ b/core/orders/orders_test.go
@@ -112,7 +112,7 @@
 			e.RecordLost()
 			return e
 		}, load("a", "x"), StateUnknown},
-		{"dropping what is not there", func() *Ledger { return engine(1, "a") }, Request{Model: "b"}, NotThere},
+		{"dropping what is not there", func() *Ledger { return engine(1, "a") }, Request{Model: "b"}, NotLoaded},
 		{"dropping what is told to be leaving", func() *Ledger {
 			e := engine(1, "a")
 			e.MarkUnloading("a")
--- a/core/owned/queue.go
+++ b/core/owned/queue.go
@@ -136,7 +136,7 @@
 // work does what can be done for one request, and reports whether it is over.
 func (s *Engines) work(now clock.Instant, e *Engine, q *queued) bool {
 	switch e.Check(q.request) {
-	case orders.NoChange, orders.NotThere:
+	case orders.NoChange, orders.NotLoaded:
 		s.answerAll(now, e, *q, Done, "")
 		return true
 	case orders.InProgress:
