--- a/core/instance/announced_world_test.go
+++ b/core/instance/announced_world_test.go
@@ -1021,7 +1021,7 @@
 		p.token++
 		token := p.token
 		p.asked[token] = func(o owned.Answer) { reply(fleetWay, out(o.Outcome)) }
-		f.step(p, p.boot, owned.Asked{Token: token, Engine: a.Engine, Request: a.Request})
+		f.step(p, p.boot, owned.RequestReceived{Token: token, Engine: a.Engine, Request: a.Request})
 	})
 }
 
--- a/core/instance/configure_test.go
+++ b/core/instance/configure_test.go
@@ -37,7 +37,7 @@
 	m.Step(now, owned.StateReply{Engine: "e1", Sent: now, State: orders.State{Models: []pool.AnnouncedModel{{Name: "m0"}}}})
 
 	added := orders.Request{Load: true, Model: "added"}
-	is.Equal(orderedModels(m.Step(now, owned.Asked{Token: 1, Engine: "e1", Request: added})), nil)
+	is.Equal(orderedModels(m.Step(now, owned.RequestReceived{Token: 1, Engine: "e1", Request: added})), nil)
 
 	doc := fleetDocument()
 	doc.Revision++
@@ -46,5 +46,5 @@
 	snapshot, err := config.NewSnapshot(doc)
 	is.NoErr(err)
 	m.Step(now, ConfigReply{Snapshot: snapshot, Source: PlatformSource})
-	is.Equal(orderedModels(m.Step(now, owned.Asked{Token: 2, Engine: "e1", Request: added})), []string{"added"})
+	is.Equal(orderedModels(m.Step(now, owned.RequestReceived{Token: 2, Engine: "e1", Request: added})), []string{"added"})
 }
--- a/core/instance/crash_test.go
+++ b/core/instance/crash_test.go
@@ -502,7 +502,7 @@
 		request := orders.Request{Load: true, Model: sortedKeys(e.models)[0], Adapter: fmt.Sprintf("a%d", n)}
 		owner.token++
 		owner.asked[owner.token] = func(a owned.Answer) { answers = append(answers, a) }
-		l.f.step(owner, owner.boot, owned.Asked{Token: owner.token, Engine: e.name, Request: request})
+		l.f.step(owner, owner.boot, owned.RequestReceived{Token: owner.token, Engine: e.name, Request: request})
 	}
 	l.f.run(100 * time.Millisecond)
 	t.Logf("%d orders to an engine that had ended", e.afterEnd)
--- a/core/instance/lives_test.go
+++ b/core/instance/lives_test.go
@@ -69,7 +69,7 @@
 	owner := f.members[o.Owner]
 	owner.token++
 	owner.asked[owner.token] = func(a owned.Answer) { outcome = a.Outcome }
-	f.step(owner, owner.boot, owned.Asked{Token: owner.token, Engine: e.name, Request: r})
+	f.step(owner, owner.boot, owned.RequestReceived{Token: owner.token, Engine: e.name, Request: r})
 	f.run(time.Second)
 	return outcome
 }
--- a/core/instance/machine.go
+++ b/core/instance/machine.go
@@ -183,7 +183,7 @@
 		o.owned.HandleOrderReply(now, e)
 	case owned.StateReply:
 		o.owned.HandleStateReply(now, e)
-	case owned.Asked:
+	case owned.RequestReceived:
 		o.owned.HandleRequest(now, e)
 	case orderclient.Reply:
 		o.asks.HandleReply(now, e)
--- a/core/owned/queue.go
+++ b/core/owned/queue.go
@@ -39,9 +39,9 @@
 )
 
 type (
-	// Asked is the event that a peer asks for an order to an engine that this
+	// RequestReceived is the event that a peer asks for an order to an engine that this
 	// instance owns. It is answered with an Answer of the same Token.
-	Asked struct {
+	RequestReceived struct {
 		Token   uint64
 		Engine  string
 		Request orders.Request
@@ -67,7 +67,7 @@
 )
 
 // IsEvent implements step.Event.
-func (Asked) IsEvent() {}
+func (RequestReceived) IsEvent() {}
 
 // IsEvent implements step.Event.
 func (OrderReply) IsEvent() {}
@@ -79,7 +79,7 @@
 func (SendOrder) IsAction() {}
 
 // HandleRequest takes in a peer's question for an order.
-func (s *Engines) HandleRequest(now clock.Instant, a Asked) {
+func (s *Engines) HandleRequest(now clock.Instant, a RequestReceived) {
 	e := s.engines[a.Engine]
 	if e == nil {
 		s.Out.Emit(Answer{Token: a.Token, Outcome: Refused, Detail: "this instance does not order the engine"})
--- a/internal/shell/actions.go
+++ b/internal/shell/actions.go
@@ -215,7 +215,7 @@
 	s.do(func(s *Shell) step.Event {
 		s.nextAsk++
 		s.orders[s.nextAsk] = reply
-		return owned.Asked{Token: s.nextAsk, Engine: engine, Request: r}
+		return owned.RequestReceived{Token: s.nextAsk, Engine: engine, Request: r}
 	})
 	select {
 	case out := <-reply:
