--- a/core/instance/crash_test.go
+++ b/core/instance/crash_test.go
@@ -497,11 +497,11 @@
 	e := l.f.engines["e0"]
 	l.end(e)
 	owner := l.ownerOf(e)
-	var answers []owned.Answer
+	var answers []owned.SendReply
 	for n := range 3 {
 		request := orders.Request{Load: true, Model: sortedKeys(e.models)[0], Adapter: fmt.Sprintf("a%d", n)}
 		owner.token++
-		owner.asked[owner.token] = func(a owned.Answer) { answers = append(answers, a) }
+		owner.asked[owner.token] = func(a owned.SendReply) { answers = append(answers, a) }
 		l.f.step(owner, owner.boot, owned.RequestReceived{Token: owner.token, Engine: e.name, Request: request})
 	}
 	l.f.run(100 * time.Millisecond)
--- a/core/owned/queue.go
+++ b/core/owned/queue.go
@@ -46,8 +46,8 @@
 		Engine  string
 		Request orders.Request
 	}
-	// Answer is the action that answers an Asked.
-	Answer struct {
+	// SendReply is the action that answers an Asked.
+	SendReply struct {
 		Token   uint64
 		Outcome Outcome
 		Detail  string
@@ -73,7 +73,7 @@
 func (OrderReply) IsEvent() {}
 
 // IsAction implements step.Action.
-func (Answer) IsAction() {}
+func (SendReply) IsAction() {}
 
 // IsAction implements step.Action.
 func (SendOrder) IsAction() {}
@@ -82,7 +82,7 @@
 func (s *Engines) HandleRequest(now clock.Instant, a RequestReceived) {
 	e := s.engines[a.Engine]
 	if e == nil {
-		s.Out.Emit(Answer{Token: a.Token, Outcome: Refused, Detail: "this instance does not order the engine"})
+		s.Out.Emit(SendReply{Token: a.Token, Outcome: Refused, Detail: "this instance does not order the engine"})
 		return
 	}
 	s.request(now, e, a.Request, waiter{token: a.Token})
@@ -268,7 +268,7 @@
 		s.Out.Log(logevent.OrderRefusedHere, "engine", e.Name, "item", r.Item(), "detail", detail)
 	}
 	if w.token != 0 {
-		s.Out.Emit(Answer{Token: w.token, Outcome: o, Detail: detail})
+		s.Out.Emit(SendReply{Token: w.token, Outcome: o, Detail: detail})
 		return
 	}
 	s.Answered(now, e.Name, r, o, detail)
--- a/internal/shell/actions.go
+++ b/internal/shell/actions.go
@@ -62,7 +62,7 @@
 			reply <- act.Verdict
 			delete(s.permits, act.Token)
 		}
-	case owned.Answer:
+	case owned.SendReply:
 		if reply, ok := s.orders[act.Token]; ok {
 			reply <- peer.OrderReply{Outcome: act.Outcome, Detail: act.Detail}
 			delete(s.orders, act.Token)
