--- a/core/instance/announced_world_test.go
+++ b/core/instance/announced_world_test.go
@@ -410,7 +410,7 @@
 			f.limits.reached(n, boot, f.engines[act.Engine], fleetWay, f.clock(n))
 		}
 		f.sendOrder(n, act, reply)
-	case owned.AskState:
+	case owned.QueryState:
 		sent := f.clock(n)
 		f.at(fleetWay, func() {
 			e := f.engines[act.Engine]
--- a/core/owned/state.go
+++ b/core/owned/state.go
@@ -22,8 +22,8 @@
 )
 
 type (
-	// AskState is an action: ask an engine for its state.
-	AskState struct {
+	// QueryState is an action: ask an engine for its state.
+	QueryState struct {
 		Engine  string
 		Address string
 		Limited bool // the engine named a limit, see calls.Dispatch
@@ -38,7 +38,7 @@
 )
 
 // IsAction implements step.Action.
-func (AskState) IsAction() {}
+func (QueryState) IsAction() {}
 
 // IsEvent implements step.Event.
 func (StateReply) IsEvent() {}
@@ -50,7 +50,7 @@
 	}
 	e.asking = true
 	e.askDue = now.Add(askEvery)
-	s.Out.Emit(AskState{Engine: e.Name, Address: e.Address, Limited: s.limited(now, e)})
+	s.Out.Emit(QueryState{Engine: e.Name, Address: e.Address, Limited: s.limited(now, e)})
 }
 
 // HandleStateReply takes an engine's state into its ledger. It is asked again after
--- a/internal/environment/driver.go
+++ b/internal/environment/driver.go
@@ -69,7 +69,7 @@
 		return func(ctx context.Context) { d.removeQuarantine(ctx, act) }
 	case owned.SendOrder:
 		return func(ctx context.Context) { d.engineOrder(ctx, act) }
-	case owned.AskState:
+	case owned.QueryState:
 		return func(ctx context.Context) { d.askEngine(ctx, act) }
 	case forwarding.ProbeEngine:
 		return func(ctx context.Context) { d.askLoad(ctx, act) }
@@ -295,7 +295,7 @@
 	}
 }
 
-func (d *driver) askEngine(ctx context.Context, a owned.AskState) {
+func (d *driver) askEngine(ctx context.Context, a owned.QueryState) {
 	sent := d.host.Now()
 	report, err := d.engines.Report(ctx, a.Address)
 	d.reported(a.Engine, sent, report, a.Limited)
