--- a/core/forwarding/forwarding.go
+++ b/core/forwarding/forwarding.go
@@ -39,7 +39,7 @@
 
 	Calls  *calls.Table
 	Budget *retrybudget.Budget
-	Asks   *orderclient.Asks
+	Asks   *orderclient.Client
 	Roster *watchers.Roster
 	Demand *demand.Tracker
 	// Quarantine knows which requests are not to be run.
--- a/core/instance/build.go
+++ b/core/instance/build.go
@@ -30,7 +30,7 @@
 	roster   *watchers.Roster
 	registry *ownership.Registry
 	owned    *owned.Engines
-	asks     *orderclient.Asks
+	asks     *orderclient.Client
 }
 
 // New returns the machine of an instance that knows nothing yet. Its random draws
--- a/core/orderclient/orderclient.go
+++ b/core/orderclient/orderclient.go
@@ -52,9 +52,9 @@
 // IsEvent implements step.Event.
 func (Reply) IsEvent() {}
 
-// Asks are the orders asked for and not settled. The fields must be set before
+// Client are the orders asked for and not settled. The fields must be set before
 // its use.
-type Asks struct {
+type Client struct {
 	Self    member.Identity
 	Out     *step.Output
 	Members *member.Table
@@ -70,12 +70,12 @@
 }
 
 // New returns asks of which none is under way.
-func New() *Asks {
-	return &Asks{waiting: map[Key][]calls.ID{}, refused: map[Key]clock.Instant{}}
+func New() *Client {
+	return &Client{waiting: map[Key][]calls.ID{}, refused: map[Key]clock.Instant{}}
 }
 
 // CanRequest reports whether an order can be asked for now.
-func (a *Asks) CanRequest(now clock.Instant, key Key) bool {
+func (a *Client) CanRequest(now clock.Instant, key Key) bool {
 	if at, ok := a.refused[key]; ok {
 		if now.Since(at) < refusedSpan {
 			return false
@@ -87,7 +87,7 @@
 
 // OwnerReachable reports whether somebody is known who orders the engine, and
 // answered lately.
-func (a *Asks) OwnerReachable(now clock.Instant, engine string) bool {
+func (a *Client) OwnerReachable(now clock.Instant, engine string) bool {
 	if e := a.Owned.Get(engine); e != nil {
 		return a.Owned.Orderable(now, e)
 	}
@@ -100,13 +100,13 @@
 }
 
 // Pending reports whether an order was asked for and is not settled.
-func (a *Asks) Pending(key Key) bool {
+func (a *Client) Pending(key Key) bool {
 	_, ok := a.waiting[key]
 	return ok
 }
 
 // Request asks for an order.
-func (a *Asks) Request(now clock.Instant, key Key) {
+func (a *Client) Request(now clock.Instant, key Key) {
 	if a.Pending(key) {
 		return
 	}
@@ -116,7 +116,7 @@
 
 // RequestForCall asks for an order that a call waits for; the call is resumed once the
 // order is settled, whatever came of it.
-func (a *Asks) RequestForCall(now clock.Instant, key Key, id calls.ID) {
+func (a *Client) RequestForCall(now clock.Instant, key Key, id calls.ID) {
 	_, underWay := a.waiting[key]
 	a.waiting[key] = append(a.waiting[key], id)
 	if !underWay {
@@ -124,7 +124,7 @@
 	}
 }
 
-func (a *Asks) begin(now clock.Instant, key Key) {
+func (a *Client) begin(now clock.Instant, key Key) {
 	if e := a.Owned.Get(key.Engine); e != nil {
 		a.Owned.Request(now, e, key.Request)
 		return
@@ -139,13 +139,13 @@
 }
 
 // HandleReply takes in what an owner answered.
-func (a *Asks) HandleReply(now clock.Instant, r Reply) {
+func (a *Client) HandleReply(now clock.Instant, r Reply) {
 	a.HandleOutcome(now, Key{r.Engine, r.Request}, r.Outcome, r.Detail)
 }
 
 // HandleOutcome takes in what came of an order asked for: the calls that wait for it go
 // to the engine, or look for another.
-func (a *Asks) HandleOutcome(now clock.Instant, key Key, o owned.Outcome, detail string) {
+func (a *Client) HandleOutcome(now clock.Instant, key Key, o owned.Outcome, detail string) {
 	waiting, ok := a.waiting[key]
 	if !ok {
 		return
--- a/core/placement/placer.go
+++ b/core/placement/placer.go
@@ -61,7 +61,7 @@
 
 	// Registry says who is the placer, Asks gets orders from owners.
 	Registry *ownership.Registry
-	Asks     *orderclient.Asks
+	Asks     *orderclient.Client
 	Roster   *watchers.Roster
 	// OwnDemand is what this instance's own callers ask for, AllDemand what was heard
 	// from all.
