--- a/core/instance/announced_world_test.go
+++ b/core/instance/announced_world_test.go
@@ -428,7 +428,7 @@
 		})
 	case forwarding.ProbeEngine:
 		f.probe(n, boot, act, reply)
-	case orderclient.Ask:
+	case orderclient.SendRequest:
 		f.askPeer(n, act, reply)
 	case permits.SendRequest:
 		f.askPermit(n, act, reply)
@@ -1008,7 +1008,7 @@
 	}
 }
 
-func (f *fleet) askPeer(n *fleetMember, a orderclient.Ask, reply func(time.Duration, step.Event)) {
+func (f *fleet) askPeer(n *fleetMember, a orderclient.SendRequest, reply func(time.Duration, step.Event)) {
 	p := f.members[a.Peer]
 	out := func(outcome owned.Outcome) step.Event {
 		return orderclient.Reply{Engine: a.Engine, Request: a.Request, Outcome: outcome}
--- a/core/orderclient/orderclient.go
+++ b/core/orderclient/orderclient.go
@@ -30,8 +30,8 @@
 }
 
 type (
-	// Ask is an action: ask the owner of an engine for an order.
-	Ask struct {
+	// SendRequest is an action: ask the owner of an engine for an order.
+	SendRequest struct {
 		Peer    string // the owner
 		Address string // of the owner
 		Engine  string
@@ -47,7 +47,7 @@
 )
 
 // IsAction implements step.Action.
-func (Ask) IsAction() {}
+func (SendRequest) IsAction() {}
 
 // IsEvent implements step.Event.
 func (Reply) IsEvent() {}
@@ -135,7 +135,7 @@
 		a.HandleOutcome(now, key, owned.Failed, "its owner is not known")
 		return
 	}
-	a.Out.Emit(Ask{Peer: p.Name, Address: p.Address, Engine: key.Engine, Request: key.Request})
+	a.Out.Emit(SendRequest{Peer: p.Name, Address: p.Address, Engine: key.Engine, Request: key.Request})
 }
 
 // HandleReply takes in what an owner answered.
--- a/internal/shell/actions.go
+++ b/internal/shell/actions.go
@@ -53,7 +53,7 @@
 		}
 	case quarantine.Check:
 		s.work(func(ctx context.Context) { s.check(ctx, act) })
-	case orderclient.Ask:
+	case orderclient.SendRequest:
 		s.work(func(ctx context.Context) { s.askOrder(ctx, act) })
 	case permits.SendRequest:
 		s.work(func(ctx context.Context) { s.askPermit(ctx, act) })
@@ -166,7 +166,7 @@
 // askTime bounds how long the owner of an engine is waited for.
 const askTime = time.Second
 
-func (s *Shell) askOrder(ctx context.Context, a orderclient.Ask) {
+func (s *Shell) askOrder(ctx context.Context, a orderclient.SendRequest) {
 	ctx, done := context.WithTimeout(ctx, askTime)
 	defer done()
 	reply, err := s.peers.Order(ctx, a.Address, s.self.Name, a.Engine, a.Request)
