--- a/core/instance/platform.go
+++ b/core/instance/platform.go
@@ -23,7 +23,7 @@
 // watch of its store, the owners of engines, and the placer.
 func (m *Machine) platformEnvironment(tracker *demand.Tracker, totals *demand.Totals) environment {
 	o := &m.orders
-	placer := placement.New(placement.Needs{
+	placer := placement.New(placement.Deps{
 		State:    m.state,
 		Registry: o.registry, Asks: o.asks, Roster: o.roster, OwnDemand: tracker, AllDemand: totals,
 		Stopping: m.stop.Started, Tell: m.exchanges.StartWith, NextWatcher: m.exchanges.NextWatcher,
--- a/core/placement/placer.go
+++ b/core/placement/placer.go
@@ -55,8 +55,8 @@
 	tellEvery = 100 * time.Millisecond
 )
 
-// Needs are what the placer needs of the other modules.
-type Needs struct {
+// Deps are what the placer needs of the other modules.
+type Deps struct {
 	shared.State
 
 	// Registry says who is the placer, Asks gets orders from owners.
@@ -78,7 +78,7 @@
 // A Placer is one instance's part in the placement: idle, unless it is the
 // placer or owns engines that are cut off from the placer.
 type Placer struct {
-	Needs
+	Deps
 	due      clock.Instant
 	placedAt clock.Instant // when models were placed last
 	toldAt   clock.Instant // when the placer was last told of a missed model
@@ -98,9 +98,9 @@
 type copyKey struct{ engine, item string }
 
 // New returns a placer that has placed nothing.
-func New(n Needs) *Placer {
+func New(n Deps) *Placer {
 	return &Placer{
-		Needs: n, changes: map[string]*change{}, readyAt: map[copyKey]clock.Instant{}, closed: map[string]clock.Instant{},
+		Deps: n, changes: map[string]*change{}, readyAt: map[copyKey]clock.Instant{}, closed: map[string]clock.Instant{},
 		uncarried: map[string]map[copyKey]bool{},
 	}
 }
--- a/core/placement/placer_test.go
+++ b/core/placement/placer_test.go
@@ -35,7 +35,7 @@
 	a.Owner = func(engine string) (registry.Ownership, bool) {
 		return registry.Ownership{Engine: engine, Owner: "owner"}, true
 	}
-	p := New(Needs{State: shared.State{Out: out, Pool: engines}, Asks: a})
+	p := New(Deps{State: shared.State{Out: out, Pool: engines}, Asks: a})
 	p.loads.available = 1
 	begun := 0
 	for _, engine := range []string{"e0", "e1", "e2"} {
