--- a/core/placement/changes.go
+++ b/core/placement/changes.go
@@ -123,8 +123,8 @@
 	Copies int     // of the model before, for logs
 }
 
-// Changes returns the changes to begin now, the most valuable first.
-func Changes(in Input) []Change {
+// Plan returns the changes to begin now, the most valuable first.
+func Plan(in Input) []Change {
 	r := newRound(in)
 	var changes []Change
 	for _, c := range r.candidates() {
--- a/core/placement/changes_test.go
+++ b/core/placement/changes_test.go
@@ -53,7 +53,7 @@
 			other := Engine{Name: "other", Open: true, Sound: true, Copies: []Copy{{Model: "busy", Ready: true, Age: time.Minute}}, OnDisk: map[string]bool{"rare": c.elsewhere}}
 			holder := Engine{Name: "holder", Open: true, Sound: true, Copies: []Copy{{Model: "rare", Ready: true, Age: time.Minute}}, OnDisk: map[string]bool{"rare": true, "busy": true}}
 			in.Engines = []Engine{holder, other}
-			changes := Changes(in)
+			changes := Plan(in)
 			is.Equal(len(changes), c.want)
 			if c.want > 0 {
 				is.Equal(changes[0].Load, "busy")
@@ -69,7 +69,7 @@
 		b.Run(fmt.Sprintf("%d_engines", size.engines), func(b *testing.B) {
 			in := sized(size.engines, size.models)
 			for b.Loop() {
-				Changes(in)
+				Plan(in)
 			}
 		})
 	}
--- a/core/placement/limited_test.go
+++ b/core/placement/limited_test.go
@@ -44,7 +44,7 @@
 			in.Engines[i].Copies[k].Uncarried = too[copyKey{e.Name, c.Model}]
 		}
 	}
-	return Changes(in), too
+	return Plan(in), too
 }
 
 // TestModelsOfLimitedEnginesAreLoadedElsewhere: a model whose calls a limit does not carry
--- a/core/placement/placer.go
+++ b/core/placement/placer.go
@@ -186,7 +186,7 @@
 		if svc.Announced == nil || svc.Announced.Engine == nil {
 			continue
 		}
-		for _, c := range Changes(p.input(now, svc)) {
+		for _, c := range Plan(p.input(now, svc)) {
 			p.Out.Log(logevent.Placement, "engine", c.Engine, "load", c.Load, "drop", c.Drop, "source", c.Source.String(),
 				"worth", c.Value, "cost", c.Cost, "work", c.Work, "copies", c.Copies)
 			ch := &change{Change: c, life: p.engineState(c.Engine).life, begun: now, movedAt: now}
