--- a/core/forwarding/forwarding.go
+++ b/core/forwarding/forwarding.go
@@ -8,7 +8,7 @@
 //
 // The package owns what a forwarded call has beside what every call has
 // (core/calls), and what was learnt of how fast engines read prompts. It relies
-// on core/asks for orders and on core/placement to hear of missed models.
+// on core/orderclient for orders and on core/placement to hear of missed models.
 package forwarding
 
 import (
--- a/core/instance/machine.go
+++ b/core/instance/machine.go
@@ -15,7 +15,7 @@
 //   - core/watch, core/watchers: who watches the platform, and the watch;
 //   - core/listing: replicas and instances that the platform lists;
 //   - core/exchange: what instances tell each other;
-//   - core/ownership, core/owned, core/asks: who orders an engine, its orders,
+//   - core/ownership, core/owned, core/orderclient: who orders an engine, its orders,
 //     and orders asked of other owners;
 //   - core/placement: which models are loaded where;
 //   - core/shutdown: the planned stop;
--- a/core/owned/state.go
+++ b/core/owned/state.go
@@ -28,7 +28,7 @@
 		Address string
 		Limited bool // the engine named a limit, see calls.Dispatch
 	}
-	// StateReply is the event that answers AskState.
+	// StateReply is the event that answers QueryState.
 	StateReply struct {
 		Engine string
 		Sent   clock.Instant // when it was asked
