--- a/core/permits/coordinator.go
+++ b/core/permits/coordinator.go
@@ -12,10 +12,10 @@
 )
 
 const (
-	// settleSpan is how long an instance must have been the first in its own view to give
+	// probationPeriod is how long an instance must have been the first in its own view to give
 	// out the whole of a limit: the span over which limits are counted
 	// (docs/design/limits.md).
-	settleSpan = 4 * time.Second
+	probationPeriod = 4 * time.Second
 	// unsettledShare is the part that it gives out otherwise, beside another instance that
 	// may give out the whole: together, with what may pile up at both, less than one and a
 	// half times the limit (docs/design/limits.md).
@@ -75,7 +75,7 @@
 // forgetViews drops the views from before a sleep: they say nothing of who gave out permits
 // meanwhile.
 func (p *Permits) forgetViews(now clock.Instant) {
-	if n := len(p.views); n > 0 && now.MaxElapsed(p.views[n-1].at) > settleSpan {
+	if n := len(p.views); n > 0 && now.MaxElapsed(p.views[n-1].at) > probationPeriod {
 		p.views = nil
 	}
 }
@@ -188,7 +188,7 @@
 	if known := c.p.Pool.Get(r.Replica.Name); known != nil && known.MayBeIncarnation(r.Replica.Born) {
 		rate, bounded = known.RateLimit(now)
 	}
-	return supply{rate: rate, burst: max(leastBurst, rate*burstSpan.Seconds()), begin: 1, settle: settleSpan}, bounded
+	return supply{rate: rate, burst: max(leastBurst, rate*burstSpan.Seconds()), begin: 1, settle: probationPeriod}, bounded
 }
 
 // part returns the part of a supply that this instance gives out.
--- a/core/permits/permits_test.go
+++ b/core/permits/permits_test.go
@@ -185,15 +185,15 @@
 	}
 	is := is.New(t)
 	l := newLab(10, nil)
-	n := given(l, settleSpan)
+	n := given(l, probationPeriod)
 	is.True(n >= 12 && n <= 13) // it has just begun
-	n = given(l, settleSpan)
+	n = given(l, probationPeriod)
 	is.True(n >= 38 && n <= 42)
-	l.after(2 * settleSpan) // nobody asked it, and it was the first all the same
-	n = given(l, settleSpan)
+	l.after(2 * probationPeriod) // nobody asked it, and it was the first all the same
+	n = given(l, probationPeriod)
 	is.True(n >= 38 && n <= 44)
-	l.now = l.now.Add(settleSpan + time.Second) // it slept; another may have been asked
-	n = given(l, settleSpan)
+	l.now = l.now.Add(probationPeriod + time.Second) // it slept; another may have been asked
+	n = given(l, probationPeriod)
 	is.True(n >= 12 && n <= 15)
 
 	l = newLab(10, map[string]string{"another": "z"})
@@ -202,8 +202,8 @@
 		l.Instances()[name] = registry.Instance{Name: name, Zone: "z"}
 		l.Members.Upsert(name, "z", name)
 	}
-	given(l, settleSpan)
-	n = given(l, settleSpan)
+	given(l, probationPeriod)
+	n = given(l, probationPeriod)
 	is.True(n >= 12 && n <= 13)
 }
 
@@ -449,7 +449,7 @@
 	}
 	is := is.New(t)
 	l := unnamed()
-	l.after(settleSpan + time.Second)
+	l.after(probationPeriod + time.Second)
 	l.limit(10)
 	is.Equal(part(l), 10.0)
 	l = unnamed()
@@ -457,8 +457,8 @@
 	l.limit(10)
 	is.Equal(part(l), 10*unsettledShare)
 	l = unnamed()
-	l.after(settleSpan + time.Second)
-	l.now = l.now.Add(settleSpan + time.Second) // asleep
+	l.after(probationPeriod + time.Second)
+	l.now = l.now.Add(probationPeriod + time.Second) // asleep
 	l.limit(10)
 	is.Equal(part(l), 10*unsettledShare)
 }
