--- a/core/permits/coordinator.go
+++ b/core/permits/coordinator.go
@@ -16,10 +16,10 @@
 	// out the whole of a limit: the span over which limits are counted
 	// (docs/design/limits.md).
 	probationPeriod = 4 * time.Second
-	// unsettledShare is the part that it gives out otherwise, beside another instance that
+	// probationShare is the part that it gives out otherwise, beside another instance that
 	// may give out the whole: together, with what may pile up at both, less than one and a
 	// half times the limit (docs/design/limits.md).
-	unsettledShare = 0.3
+	probationShare = 0.3
 	// maxQueue bounds the requests that wait for one replica: each holds a connection
 	// between instances (docs/design/limits.md).
 	maxQueue = 128
@@ -196,7 +196,7 @@
 	share := c.p.answering(now)
 	rate := share * s.rate
 	if b.firstSince.IsZero() || now.Since(b.firstSince) < s.settle {
-		rate *= unsettledShare
+		rate *= probationShare
 	}
 	return supply{rate: rate, burst: max(min(s.burst, leastBurst), share*s.burst)}
 }
--- a/core/permits/permits_test.go
+++ b/core/permits/permits_test.go
@@ -455,10 +455,10 @@
 	l = unnamed()
 	l.after(time.Second)
 	l.limit(10)
-	is.Equal(part(l), 10*unsettledShare)
+	is.Equal(part(l), 10*probationShare)
 	l = unnamed()
 	l.after(probationPeriod + time.Second)
 	l.now = l.now.Add(probationPeriod + time.Second) // asleep
 	l.limit(10)
-	is.Equal(part(l), 10*unsettledShare)
+	is.Equal(part(l), 10*probationShare)
 }
