--- a/core/permits/coordinator.go
+++ b/core/permits/coordinator.go
@@ -23,9 +23,9 @@
 	// maxQueue bounds the requests that wait for one replica: each holds a connection
 	// between instances (docs/design/limits.md).
 	maxQueue = 128
-	// forgetSpan is how long a bucket must not have been looked at for it to go
+	// bucketIdleTimeout is how long a bucket must not have been looked at for it to go
 	// (docs/design/limits.md).
-	forgetSpan = time.Minute
+	bucketIdleTimeout = time.Minute
 )
 
 // A coordinator gives out the permits that this instance is asked for.
@@ -354,7 +354,7 @@
 	for _, subject := range slices.SortedFunc(maps.Keys(c.buckets), Resource.Compare) {
 		b := c.buckets[subject]
 		if len(b.queue) == 0 {
-			if now.Since(b.seen) > forgetSpan {
+			if now.Since(b.seen) > bucketIdleTimeout {
 				delete(c.buckets, subject)
 			}
 			continue
