--- a/core/permits/coordinator.go
+++ b/core/permits/coordinator.go
@@ -36,8 +36,8 @@
 
 // A bucket is what may be given out of one subject now, and who waits for it.
 type bucket struct {
-	tokens tokens
-	seen   clock.Instant // when it was last looked at
+	tokens   tokens
+	lastUsed clock.Instant // when it was last looked at
 	// firstSince is since when this instance has been the first in its own view; zero: it is
 	// not.
 	firstSince clock.Instant
@@ -276,10 +276,10 @@
 	switch first := c.p.first(now, r) == c.p.Self.Name; {
 	case !first:
 		b.firstSince = clock.Instant{}
-	case b.firstSince.IsZero(), now.MaxElapsed(b.seen) > s.settle:
+	case b.firstSince.IsZero(), now.MaxElapsed(b.lastUsed) > s.settle:
 		b.firstSince = c.p.firstSince(now, r)
 	}
-	b.seen = now
+	b.lastUsed = now
 	return b
 }
 
@@ -354,7 +354,7 @@
 	for _, subject := range slices.SortedFunc(maps.Keys(c.buckets), Resource.Compare) {
 		b := c.buckets[subject]
 		if len(b.queue) == 0 {
-			if now.Since(b.seen) > bucketIdleTimeout {
+			if now.Since(b.lastUsed) > bucketIdleTimeout {
 				delete(c.buckets, subject)
 			}
 			continue
