--- a/core/permits/coordinator.go
+++ b/core/permits/coordinator.go
@@ -38,9 +38,9 @@
 type bucket struct {
 	tokens   tokens
 	lastUsed clock.Instant // when it was last looked at
-	// firstSince is since when this instance has been the first in its own view; zero: it is
+	// coordinatorSince is since when this instance has been the first in its own view; zero: it is
 	// not.
-	firstSince clock.Instant
+	coordinatorSince clock.Instant
 	// returnAt is when the last of the callers that were turned away was told to come back.
 	returnAt clock.Instant
 	queue    []waiting // in the order in which they are served
@@ -195,7 +195,7 @@
 func (c *coordinator) part(now clock.Instant, b *bucket, s supply) supply {
 	share := c.p.answering(now)
 	rate := share * s.rate
-	if b.firstSince.IsZero() || now.Since(b.firstSince) < s.settle {
+	if b.coordinatorSince.IsZero() || now.Since(b.coordinatorSince) < s.settle {
 		rate *= probationShare
 	}
 	return supply{rate: rate, burst: max(min(s.burst, leastBurst), share*s.burst)}
@@ -275,9 +275,9 @@
 	}
 	switch first := c.p.first(now, r) == c.p.Self.Name; {
 	case !first:
-		b.firstSince = clock.Instant{}
-	case b.firstSince.IsZero(), now.MaxElapsed(b.lastUsed) > s.settle:
-		b.firstSince = c.p.firstSince(now, r)
+		b.coordinatorSince = clock.Instant{}
+	case b.coordinatorSince.IsZero(), now.MaxElapsed(b.lastUsed) > s.settle:
+		b.coordinatorSince = c.p.firstSince(now, r)
 	}
 	b.lastUsed = now
 	return b
