--- a/core/permits/coordinator.go
+++ b/core/permits/coordinator.go
@@ -41,9 +41,9 @@
 	// coordinatorSince is since when this instance has been the first in its own view; zero: it is
 	// not.
 	coordinatorSince clock.Instant
-	// returnAt is when the last of the callers that were turned away was told to come back.
-	returnAt clock.Instant
-	queue    []waiting // in the order in which they are served
+	// lastRetryAt is when the last of the callers that were turned away was told to come back.
+	lastRetryAt clock.Instant
+	queue       []waiting // in the order in which they are served
 }
 
 // A waiting is a request for a permit, and who made it: a peer, by its token, or this
@@ -320,8 +320,8 @@
 	if !w.request.Alone {
 		return Decision{Turn: wait, After: wait}
 	}
-	b.returnAt = clock.Latest(b.returnAt, now.Add(wait)).Add(b.tokens.interval())
-	return Decision{Turn: wait, After: b.returnAt.Since(now)}
+	b.lastRetryAt = clock.Latest(b.lastRetryAt, now.Add(wait)).Add(b.tokens.interval())
+	return Decision{Turn: wait, After: b.lastRetryAt.Since(now)}
 }
 
 // answer tells whoever made a request what came of it.
