--- a/core/permits/coordinator.go
+++ b/core/permits/coordinator.go
@@ -43,12 +43,12 @@
 	coordinatorSince clock.Instant
 	// lastRetryAt is when the last of the callers that were turned away was told to come back.
 	lastRetryAt clock.Instant
-	queue       []waiting // in the order in which they are served
+	queue       []queuedRequest // in the order in which they are served
 }
 
-// A waiting is a request for a permit, and who made it: a peer, by its token, or this
+// A queuedRequest is a request for a permit, and who made it: a peer, by its token, or this
 // instance, by the token of its own ask.
-type waiting struct {
+type queuedRequest struct {
 	token   uint64
 	own     uint64
 	request Request
@@ -202,7 +202,7 @@
 }
 
 // take takes in a request: it is granted, waits for its turn, or is turned away.
-func (c *coordinator) take(now clock.Instant, w waiting) {
+func (c *coordinator) take(now clock.Instant, w queuedRequest) {
 	w.since = now
 	s, bounded := c.supply(now, w.request)
 	if !bounded {
@@ -295,8 +295,8 @@
 }
 
 // insert has a request wait behind those that are as urgent.
-func (b *bucket) insert(w waiting) {
-	i, _ := slices.BinarySearchFunc(b.queue, w.request.Rank, func(x waiting, rank int) int {
+func (b *bucket) insert(w queuedRequest) {
+	i, _ := slices.BinarySearchFunc(b.queue, w.request.Rank, func(x queuedRequest, rank int) int {
 		if x.request.Rank <= rank {
 			return -1
 		}
@@ -316,7 +316,7 @@
 
 // refusal turns a request away that would wait so long. Callers that are turned away are
 // told to come back one after the other, as fast as the replica takes requests.
-func (c *coordinator) refusal(now clock.Instant, b *bucket, w waiting, wait time.Duration) Decision {
+func (c *coordinator) refusal(now clock.Instant, b *bucket, w queuedRequest, wait time.Duration) Decision {
 	if !w.request.Alone {
 		return Decision{Turn: wait, After: wait}
 	}
@@ -325,7 +325,7 @@
 }
 
 // answer tells whoever made a request what came of it.
-func (c *coordinator) answer(now clock.Instant, w waiting, v Decision) {
+func (c *coordinator) answer(now clock.Instant, w queuedRequest, v Decision) {
 	if w.token != 0 {
 		if r := c.p.Pool.Get(w.request.Replica.Name); r != nil && r.MayBeIncarnation(w.request.Replica.Born) {
 			v.Word = r.LimitReport()
@@ -372,8 +372,8 @@
 	}
 	b.tokens.refill(now, c.part(now, b, s))
 	c.serve(now, b)
-	var over []waiting
-	b.queue = slices.DeleteFunc(b.queue, func(w waiting) bool {
+	var over []queuedRequest
+	b.queue = slices.DeleteFunc(b.queue, func(w queuedRequest) bool {
 		late := now.Since(w.since) > w.request.Wait
 		if late {
 			over = append(over, w)
