--- a/core/permits/coordinator.go
+++ b/core/permits/coordinator.go
@@ -49,10 +49,10 @@
 // A queuedRequest is a request for a permit, and who made it: a peer, by its token, or this
 // instance, by the token of its own ask.
 type queuedRequest struct {
-	token   uint64
-	own     uint64
-	request Request
-	since   clock.Instant
+	peerToken uint64
+	own       uint64
+	request   Request
+	since     clock.Instant
 }
 
 // A view is the instances that could give out permits at an instant, as seen from here.
@@ -326,12 +326,12 @@
 
 // answer tells whoever made a request what came of it.
 func (c *coordinator) answer(now clock.Instant, w queuedRequest, v Decision) {
-	if w.token != 0 {
+	if w.peerToken != 0 {
 		if r := c.p.Pool.Get(w.request.Replica.Name); r != nil && r.MayBeIncarnation(w.request.Replica.Born) {
 			v.Word = r.LimitReport()
 			v.Word.EventTime = v.Word.ForWire(now)
 		}
-		c.p.Out.Emit(SendReply{Token: w.token, Verdict: v})
+		c.p.Out.Emit(SendReply{Token: w.peerToken, Verdict: v})
 		return
 	}
 	if a := c.p.asks[w.own]; a != nil {
--- a/core/permits/permits.go
+++ b/core/permits/permits.go
@@ -360,7 +360,7 @@
 		p.Out.Emit(SendReply{Token: e.Token})
 		return
 	}
-	p.coordinator.take(now, queuedRequest{token: e.Token, request: e.Request})
+	p.coordinator.take(now, queuedRequest{peerToken: e.Token, request: e.Request})
 }
 
 // Tick gives out what has become due, and gives back what was not used.
