--- a/core/permits/coordinator.go
+++ b/core/permits/coordinator.go
@@ -49,10 +49,10 @@
 // A queuedRequest is a request for a permit, and who made it: a peer, by its token, or this
 // instance, by the token of its own ask.
 type queuedRequest struct {
-	peerToken uint64
-	own       uint64
-	request   Request
-	since     clock.Instant
+	peerToken  uint64
+	localToken uint64
+	request    Request
+	since      clock.Instant
 }
 
 // A view is the instances that could give out permits at an instant, as seen from here.
@@ -334,8 +334,8 @@
 		c.p.Out.Emit(SendReply{Token: w.peerToken, Verdict: v})
 		return
 	}
-	if a := c.p.asks[w.own]; a != nil {
-		delete(c.p.asks, w.own)
+	if a := c.p.asks[w.localToken]; a != nil {
+		delete(c.p.asks, w.localToken)
 		c.p.decide(now, a, v)
 	}
 }
--- a/core/permits/permits.go
+++ b/core/permits/permits.go
@@ -259,7 +259,7 @@
 	a.sent = now
 	a.peer = p.choose(now, a)
 	if a.peer == "" {
-		p.coordinator.take(now, queuedRequest{own: token, request: a.request})
+		p.coordinator.take(now, queuedRequest{localToken: token, request: a.request})
 		return
 	}
 	p.send(now, token, a.peer, a.request)
