--- a/core/permits/coordinator.go
+++ b/core/permits/coordinator.go
@@ -52,7 +52,7 @@
 	peerToken  uint64
 	localToken uint64
 	request    Request
-	since      clock.Instant
+	queuedAt   clock.Instant
 }
 
 // A view is the instances that could give out permits at an instant, as seen from here.
@@ -203,7 +203,7 @@
 
 // take takes in a request: it is granted, waits for its turn, or is turned away.
 func (c *coordinator) take(now clock.Instant, w queuedRequest) {
-	w.since = now
+	w.queuedAt = now
 	s, bounded := c.supply(now, w.request)
 	if !bounded {
 		c.answer(now, w, Decision{Granted: true})
@@ -310,7 +310,7 @@
 	for len(b.queue) > 0 && b.tokens.take() {
 		w := b.queue[0]
 		b.queue = b.queue[1:]
-		c.answer(now, w, Decision{Granted: true, Held: now.Since(w.since), Turn: b.tokens.until(len(b.queue) + 1)})
+		c.answer(now, w, Decision{Granted: true, Held: now.Since(w.queuedAt), Turn: b.tokens.until(len(b.queue) + 1)})
 	}
 }
 
@@ -374,7 +374,7 @@
 	c.serve(now, b)
 	var over []queuedRequest
 	b.queue = slices.DeleteFunc(b.queue, func(w queuedRequest) bool {
-		late := now.Since(w.since) > w.request.Wait
+		late := now.Since(w.queuedAt) > w.request.Wait
 		if late {
 			over = append(over, w)
 		}
@@ -390,7 +390,7 @@
 	queue := b.queue
 	b.queue = nil
 	for _, w := range queue {
-		c.answer(now, w, Decision{Granted: true, Held: now.Since(w.since)})
+		c.answer(now, w, Decision{Granted: true, Held: now.Since(w.queuedAt)})
 	}
 }
 
