--- a/core/permits/coordinator.go
+++ b/core/permits/coordinator.go
@@ -55,8 +55,8 @@
 	queuedAt   clock.Instant
 }
 
-// A view is the instances that could give out permits at an instant, as seen from here.
-type view struct {
+// A fleetView is the instances that could give out permits at an instant, as seen from here.
+type fleetView struct {
 	at        clock.Instant
 	instances []registry.Instance
 }
@@ -81,8 +81,8 @@
 }
 
 // view returns who could give out permits now.
-func (p *Permits) view(now clock.Instant) view {
-	v := view{at: now}
+func (p *Permits) view(now clock.Instant) fleetView {
+	v := fleetView{at: now}
 	for name, i := range p.Instances() {
 		if p.answers(now, name) {
 			v.instances = append(v.instances, i)
@@ -99,7 +99,7 @@
 // first returns the instance that gives out the permits of a subject, "" if there is none: of
 // those in the view one in the replica's zone, of these one with the largest share of a
 // processor, of these the one that rendezvous hashing names.
-func (v view) first(r Request) string {
+func (v fleetView) first(r Request) string {
 	type rank struct {
 		near      bool
 		processor float64
--- a/core/permits/permits.go
+++ b/core/permits/permits.go
@@ -161,7 +161,7 @@
 	silent      map[string]clock.Instant // peers that did not answer, until when they are passed over
 	orders      map[orderKind]orderPermit
 	standDue    clock.Instant
-	views       []view // of the fleet, one for each standEvery, the newest last
+	views       []fleetView // of the fleet, one for each standEvery, the newest last
 }
 
 // An ask is a request for a permit that is under way.
