--- a/core/permits/coordinator.go
+++ b/core/permits/coordinator.go
@@ -65,8 +65,8 @@
 // becomes settled (docs/design/limits.md).
 const maxViews = 16
 
-// look remembers who could give out permits now.
-func (p *Permits) look(now clock.Instant) {
+// recordView remembers who could give out permits now.
+func (p *Permits) recordView(now clock.Instant) {
 	p.forgetViews(now)
 	p.views = append(p.views, p.view(now))
 	p.views = p.views[max(0, len(p.views)-maxViews):]
--- a/core/permits/permits.go
+++ b/core/permits/permits.go
@@ -367,7 +367,7 @@
 func (p *Permits) Tick(now clock.Instant) {
 	if !now.Before(p.standDue) {
 		p.standDue = now.Add(standEvery)
-		p.look(now)
+		p.recordView(now)
 		p.coordinator.stand(now)
 	}
 	p.coordinator.tick(now)
