--- a/core/permits/coordinator.go
+++ b/core/permits/coordinator.go
@@ -67,14 +67,14 @@
 
 // recordView remembers who could give out permits now.
 func (p *Permits) recordView(now clock.Instant) {
-	p.forgetViews(now)
+	p.dropStaleViews(now)
 	p.views = append(p.views, p.view(now))
 	p.views = p.views[max(0, len(p.views)-maxViews):]
 }
 
-// forgetViews drops the views from before a sleep: they say nothing of who gave out permits
+// dropStaleViews drops the views from before a sleep: they say nothing of who gave out permits
 // meanwhile.
-func (p *Permits) forgetViews(now clock.Instant) {
+func (p *Permits) dropStaleViews(now clock.Instant) {
 	if n := len(p.views); n > 0 && now.MaxElapsed(p.views[n-1].at) > probationPeriod {
 		p.views = nil
 	}
@@ -128,7 +128,7 @@
 // firstSince returns since when this instance has been the first in its own view, by what it
 // remembers.
 func (p *Permits) firstSince(now clock.Instant, r Request) clock.Instant {
-	p.forgetViews(now)
+	p.dropStaleViews(now)
 	since := now
 	for _, v := range slices.Backward(p.views) {
 		if v.first(r) != p.Self.Name {
