--- a/core/permits/coordinator.go
+++ b/core/permits/coordinator.go
@@ -68,7 +68,7 @@
 // recordView remembers who could give out permits now.
 func (p *Permits) recordView(now clock.Instant) {
 	p.dropStaleViews(now)
-	p.views = append(p.views, p.view(now))
+	p.views = append(p.views, p.currentView(now))
 	p.views = p.views[max(0, len(p.views)-maxViews):]
 }
 
@@ -80,8 +80,8 @@
 	}
 }
 
-// view returns who could give out permits now.
-func (p *Permits) view(now clock.Instant) fleetView {
+// currentView returns who could give out permits now.
+func (p *Permits) currentView(now clock.Instant) fleetView {
 	v := fleetView{at: now}
 	for name, i := range p.Instances() {
 		if p.answers(now, name) {
@@ -93,7 +93,7 @@
 
 // first returns the instance that gives out the permits of a subject, as seen from here now.
 func (p *Permits) first(now clock.Instant, r Request) string {
-	return cmp.Or(p.view(now).first(r), p.Self.Name)
+	return cmp.Or(p.currentView(now).first(r), p.Self.Name)
 }
 
 // first returns the instance that gives out the permits of a subject, "" if there is none: of
