--- a/core/permits/coordinator.go
+++ b/core/permits/coordinator.go
@@ -91,8 +91,8 @@
 	return v
 }
 
-// first returns the instance that gives out the permits of a subject, as seen from here now.
-func (p *Permits) first(now clock.Instant, r Request) string {
+// coordinatorFor returns the instance that gives out the permits of a subject, as seen from here now.
+func (p *Permits) coordinatorFor(now clock.Instant, r Request) string {
 	return cmp.Or(p.currentView(now).first(r), p.Self.Name)
 }
 
@@ -254,7 +254,7 @@
 
 // standFor notes whether this instance is the first to give out a subject.
 func (c *coordinator) standFor(now clock.Instant, r Request) {
-	if c.buckets[r.Resource] == nil && c.p.first(now, r) != c.p.Self.Name {
+	if c.buckets[r.Resource] == nil && c.p.coordinatorFor(now, r) != c.p.Self.Name {
 		return
 	}
 	s, bounded := c.supply(now, r)
@@ -273,7 +273,7 @@
 		b = &bucket{tokens: newTokens(now, s)}
 		c.buckets[r.Resource] = b
 	}
-	switch first := c.p.first(now, r) == c.p.Self.Name; {
+	switch first := c.p.coordinatorFor(now, r) == c.p.Self.Name; {
 	case !first:
 		b.coordinatorSince = clock.Instant{}
 	case b.coordinatorSince.IsZero(), now.MaxElapsed(b.lastUsed) > s.settle:
--- a/core/permits/permits.go
+++ b/core/permits/permits.go
@@ -276,7 +276,7 @@
 	if a.peers >= maxPeers {
 		return ""
 	}
-	if first := p.first(now, a.request); first != p.Self.Name {
+	if first := p.coordinatorFor(now, a.request); first != p.Self.Name {
 		return first
 	}
 	return ""
@@ -336,7 +336,7 @@
 	if r := p.Pool.Get(s.Replica.Name); r != nil {
 		request.Zone = r.Zone
 	}
-	first := p.first(now, request)
+	first := p.coordinatorFor(now, request)
 	if first == p.Self.Name {
 		p.coordinator.giveBack(now, s)
 		return
--- a/core/permits/permits_test.go
+++ b/core/permits/permits_test.go
@@ -197,7 +197,7 @@
 	is.True(n >= 12 && n <= 15)
 
 	l = newLab(10, map[string]string{"another": "z"})
-	for l.first(l.now, requestOf(l.Pool.Get("r"), 0, 0)) == "self" { // until another is the first
+	for l.coordinatorFor(l.now, requestOf(l.Pool.Get("r"), 0, 0)) == "self" { // until another is the first
 		name := fmt.Sprintf("another%d", l.Members.Size())
 		l.Instances()[name] = registry.Instance{Name: name, Zone: "z"}
 		l.Members.Upsert(name, "z", name)
@@ -232,7 +232,7 @@
 	others := map[string]string{"far1": "y", "far2": "y", "near1": "z", "near2": "z"}
 	l := newLab(1, others)
 	first := func(r pool.Incarnation) string {
-		return l.first(l.now, Request{Resource: Resource{Replica: r}, Zone: "z"})
+		return l.coordinatorFor(l.now, Request{Resource: Resource{Replica: r}, Zone: "z"})
 	}
 	seen := map[string]int{}
 	for i := range 300 {
