--- a/core/permits/coordinator.go
+++ b/core/permits/coordinator.go
@@ -93,13 +93,13 @@
 
 // coordinatorFor returns the instance that gives out the permits of a subject, as seen from here now.
 func (p *Permits) coordinatorFor(now clock.Instant, r Request) string {
-	return cmp.Or(p.currentView(now).first(r), p.Self.Name)
+	return cmp.Or(p.currentView(now).coordinatorFor(r), p.Self.Name)
 }
 
-// first returns the instance that gives out the permits of a subject, "" if there is none: of
+// coordinatorFor returns the instance that gives out the permits of a subject, "" if there is none: of
 // those in the view one in the replica's zone, of these one with the largest share of a
 // processor, of these the one that rendezvous hashing names.
-func (v fleetView) first(r Request) string {
+func (v fleetView) coordinatorFor(r Request) string {
 	type rank struct {
 		near      bool
 		processor float64
@@ -131,7 +131,7 @@
 	p.dropStaleViews(now)
 	since := now
 	for _, v := range slices.Backward(p.views) {
-		if v.first(r) != p.Self.Name {
+		if v.coordinatorFor(r) != p.Self.Name {
 			break
 		}
 		since = v.at
