--- a/core/permits/coordinator.go
+++ b/core/permits/coordinator.go
@@ -125,9 +125,9 @@
 	return best
 }
 
-// firstSince returns since when this instance has been the first in its own view, by what it
+// coordinatorSince returns since when this instance has been the first in its own view, by what it
 // remembers.
-func (p *Permits) firstSince(now clock.Instant, r Request) clock.Instant {
+func (p *Permits) coordinatorSince(now clock.Instant, r Request) clock.Instant {
 	p.dropStaleViews(now)
 	since := now
 	for _, v := range slices.Backward(p.views) {
@@ -277,7 +277,7 @@
 	case !first:
 		b.coordinatorSince = clock.Instant{}
 	case b.coordinatorSince.IsZero(), now.MaxElapsed(b.lastUsed) > s.settle:
-		b.coordinatorSince = c.p.firstSince(now, r)
+		b.coordinatorSince = c.p.coordinatorSince(now, r)
 	}
 	b.lastUsed = now
 	return b
