--- a/core/permits/coordinator.go
+++ b/core/permits/coordinator.go
@@ -84,7 +84,7 @@
 func (p *Permits) currentView(now clock.Instant) fleetView {
 	v := fleetView{at: now}
 	for name, i := range p.Instances() {
-		if p.answers(now, name) {
+		if p.isCandidate(now, name) {
 			v.instances = append(v.instances, i)
 		}
 	}
@@ -139,8 +139,8 @@
 	return since
 }
 
-// answers reports whether an instance may give out permits, as far as is known here.
-func (p *Permits) answers(now clock.Instant, name string) bool {
+// isCandidate reports whether an instance may give out permits, as far as is known here.
+func (p *Permits) isCandidate(now clock.Instant, name string) bool {
 	if name == p.Self.Name {
 		return !p.Stopping()
 	}
@@ -161,7 +161,7 @@
 			continue // it is about to begin, or to end
 		}
 		all++
-		if p.answers(now, name) {
+		if p.isCandidate(now, name) {
 			answering++
 		}
 	}
