--- a/core/permits/coordinator.go
+++ b/core/permits/coordinator.go
@@ -148,9 +148,9 @@
 	return peer != nil && !peer.Leaving && !peer.Failing() && !now.Before(p.silent[name])
 }
 
-// answering returns the share of the fleet's instances that answer this one. The others may
+// reachableShare returns the share of the fleet's instances that answer this one. The others may
 // be cut off from it, and send to the replica by what another of them gives out.
-func (p *Permits) answering(now clock.Instant) float64 {
+func (p *Permits) reachableShare(now clock.Instant) float64 {
 	all, answering := 1, 1
 	for name := range p.Instances() {
 		if name == p.Self.Name {
@@ -193,7 +193,7 @@
 
 // part returns the part of a supply that this instance gives out.
 func (c *coordinator) part(now clock.Instant, b *bucket, s supply) supply {
-	share := c.p.answering(now)
+	share := c.p.reachableShare(now)
 	rate := share * s.rate
 	if b.coordinatorSince.IsZero() || now.Since(b.coordinatorSince) < s.settle {
 		rate *= probationShare
--- a/core/permits/permits_test.go
+++ b/core/permits/permits_test.go
@@ -212,17 +212,17 @@
 func TestThePartOfThoseThatAreSilentStays(t *testing.T) {
 	is := is.New(t)
 	l := newLab(8, map[string]string{"a": "y", "b": "y", "c": "y"})
-	is.Equal(l.answering(l.now), 1.0)
+	is.Equal(l.reachableShare(l.now), 1.0)
 	for _, name := range []string{"a", "b", "c"} {
 		l.Members.MarkFailed(l.now, name)
 	}
-	is.Equal(l.answering(l.now), 0.25)
+	is.Equal(l.reachableShare(l.now), 0.25)
 	l.Members.MarkHeard(l.now, "a")
-	is.Equal(l.answering(l.now), 0.5)
+	is.Equal(l.reachableShare(l.now), 0.5)
 	delete(l.Instances(), "b")
-	is.Equal(l.answering(l.now), 2.0/3)
+	is.Equal(l.reachableShare(l.now), 2.0/3)
 	l.Members.SetLeaving("c", true)
-	is.Equal(l.answering(l.now), 1.0)
+	is.Equal(l.reachableShare(l.now), 1.0)
 }
 
 // TestWhoGivesOutPermits: one instance of the replica's zone, the same whoever asks; another
