--- a/core/permits/coordinator.go
+++ b/core/permits/coordinator.go
@@ -168,8 +168,8 @@
 	return float64(answering) / float64(all)
 }
 
-// A supply is how much of a subject all instances together may be given.
-type supply struct {
+// A quota is how much of a subject all instances together may be given.
+type quota struct {
 	rate   float64       // permits a second
 	burst  float64       // how many may pile up
 	begin  float64       // how many there are when this instance is asked first
@@ -178,27 +178,27 @@
 
 // supply returns how much of a request's subject may be given out; bounded is false where
 // nothing is held back.
-func (c *coordinator) supply(now clock.Instant, r Request) (s supply, bounded bool) {
+func (c *coordinator) supply(now clock.Instant, r Request) (s quota, bounded bool) {
 	if r.Service != "" {
 		// Half may pile up and half comes in each span, so that none has more than all.
 		amount, span := c.p.Repeats()
-		return supply{rate: amount / 2 / span.Seconds(), burst: amount / 2, begin: amount / 2, settle: span}, true
+		return quota{rate: amount / 2 / span.Seconds(), burst: amount / 2, begin: amount / 2, settle: span}, true
 	}
 	rate, bounded := r.Word.Rate(now)
 	if known := c.p.Pool.Get(r.Replica.Name); known != nil && known.MayBeIncarnation(r.Replica.Born) {
 		rate, bounded = known.RateLimit(now)
 	}
-	return supply{rate: rate, burst: max(leastBurst, rate*burstSpan.Seconds()), begin: 1, settle: probationPeriod}, bounded
+	return quota{rate: rate, burst: max(leastBurst, rate*burstSpan.Seconds()), begin: 1, settle: probationPeriod}, bounded
 }
 
 // part returns the part of a supply that this instance gives out.
-func (c *coordinator) part(now clock.Instant, b *bucket, s supply) supply {
+func (c *coordinator) part(now clock.Instant, b *bucket, s quota) quota {
 	share := c.p.reachableShare(now)
 	rate := share * s.rate
 	if b.coordinatorSince.IsZero() || now.Since(b.coordinatorSince) < s.settle {
 		rate *= probationShare
 	}
-	return supply{rate: rate, burst: max(min(s.burst, leastBurst), share*s.burst)}
+	return quota{rate: rate, burst: max(min(s.burst, leastBurst), share*s.burst)}
 }
 
 // take takes in a request: it is granted, waits for its turn, or is turned away.
@@ -267,7 +267,7 @@
 
 // bucket returns a subject's bucket, and notes whether this instance is the first to give
 // it out.
-func (c *coordinator) bucket(now clock.Instant, r Request, s supply) *bucket {
+func (c *coordinator) bucket(now clock.Instant, r Request, s quota) *bucket {
 	b := c.buckets[r.Resource]
 	if b == nil {
 		b = &bucket{tokens: newTokens(now, s)}
--- a/core/permits/tokens.go
+++ b/core/permits/tokens.go
@@ -23,13 +23,13 @@
 	rate float64       // a second
 }
 
-func newTokens(now clock.Instant, s supply) tokens {
+func newTokens(now clock.Instant, s quota) tokens {
 	return tokens{left: s.begin, at: now}
 }
 
 // refill adds what came since the last refill at the rate that held then, and takes over
 // another rate and bound.
-func (t *tokens) refill(now clock.Instant, s supply) {
+func (t *tokens) refill(now clock.Instant, s quota) {
 	if span := now.Since(t.at); span > 0 {
 		t.left += t.rate * span.Seconds()
 		t.at = now
--- a/core/permits/tokens_test.go
+++ b/core/permits/tokens_test.go
@@ -15,8 +15,8 @@
 var start = clocktest.At(time.Hour)
 
 // supplyOf is the supply of a limit.
-func supplyOf(rate float64) supply {
-	return supply{rate: rate, burst: max(leastBurst, rate*burstSpan.Seconds()), begin: 1}
+func supplyOf(rate float64) quota {
+	return quota{rate: rate, burst: max(leastBurst, rate*burstSpan.Seconds()), begin: 1}
 }
 
 // TestTokensKeepTheRate: whatever is asked for, and whenever, no 4 s give out more than the
