--- a/core/permits/coordinator.go
+++ b/core/permits/coordinator.go
@@ -170,10 +170,10 @@
 
 // A quota is how much of a subject all instances together may be given.
 type quota struct {
-	rate   float64       // permits a second
-	burst  float64       // how many may pile up
-	begin  float64       // how many there are when this instance is asked first
-	settle time.Duration // see settleSpan
+	rate    float64       // permits a second
+	burst   float64       // how many may pile up
+	initial float64       // how many there are when this instance is asked first
+	settle  time.Duration // see settleSpan
 }
 
 // supply returns how much of a request's subject may be given out; bounded is false where
@@ -182,13 +182,13 @@
 	if r.Service != "" {
 		// Half may pile up and half comes in each span, so that none has more than all.
 		amount, span := c.p.Repeats()
-		return quota{rate: amount / 2 / span.Seconds(), burst: amount / 2, begin: amount / 2, settle: span}, true
+		return quota{rate: amount / 2 / span.Seconds(), burst: amount / 2, initial: amount / 2, settle: span}, true
 	}
 	rate, bounded := r.Word.Rate(now)
 	if known := c.p.Pool.Get(r.Replica.Name); known != nil && known.MayBeIncarnation(r.Replica.Born) {
 		rate, bounded = known.RateLimit(now)
 	}
-	return quota{rate: rate, burst: max(leastBurst, rate*burstSpan.Seconds()), begin: 1, settle: probationPeriod}, bounded
+	return quota{rate: rate, burst: max(leastBurst, rate*burstSpan.Seconds()), initial: 1, settle: probationPeriod}, bounded
 }
 
 // part returns the part of a supply that this instance gives out.
--- a/core/permits/tokens.go
+++ b/core/permits/tokens.go
@@ -24,7 +24,7 @@
 }
 
 func newTokens(now clock.Instant, s quota) tokens {
-	return tokens{left: s.begin, at: now}
+	return tokens{left: s.initial, at: now}
 }
 
 // refill adds what came since the last refill at the rate that held then, and takes over
--- a/core/permits/tokens_test.go
+++ b/core/permits/tokens_test.go
@@ -16,7 +16,7 @@
 
 // supplyOf is the supply of a limit.
 func supplyOf(rate float64) quota {
-	return quota{rate: rate, burst: max(leastBurst, rate*burstSpan.Seconds()), begin: 1}
+	return quota{rate: rate, burst: max(leastBurst, rate*burstSpan.Seconds()), initial: 1}
 }
 
 // TestTokensKeepTheRate: whatever is asked for, and whenever, no 4 s give out more than the
