--- a/core/permits/coordinator.go
+++ b/core/permits/coordinator.go
@@ -170,10 +170,10 @@
 
 // A quota is how much of a subject all instances together may be given.
 type quota struct {
-	rate    float64       // permits a second
-	burst   float64       // how many may pile up
-	initial float64       // how many there are when this instance is asked first
-	settle  time.Duration // see settleSpan
+	rate      float64       // permits a second
+	burst     float64       // how many may pile up
+	initial   float64       // how many there are when this instance is asked first
+	probation time.Duration // see settleSpan
 }
 
 // supply returns how much of a request's subject may be given out; bounded is false where
@@ -182,20 +182,20 @@
 	if r.Service != "" {
 		// Half may pile up and half comes in each span, so that none has more than all.
 		amount, span := c.p.Repeats()
-		return quota{rate: amount / 2 / span.Seconds(), burst: amount / 2, initial: amount / 2, settle: span}, true
+		return quota{rate: amount / 2 / span.Seconds(), burst: amount / 2, initial: amount / 2, probation: span}, true
 	}
 	rate, bounded := r.Word.Rate(now)
 	if known := c.p.Pool.Get(r.Replica.Name); known != nil && known.MayBeIncarnation(r.Replica.Born) {
 		rate, bounded = known.RateLimit(now)
 	}
-	return quota{rate: rate, burst: max(leastBurst, rate*burstSpan.Seconds()), initial: 1, settle: probationPeriod}, bounded
+	return quota{rate: rate, burst: max(leastBurst, rate*burstSpan.Seconds()), initial: 1, probation: probationPeriod}, bounded
 }
 
 // part returns the part of a supply that this instance gives out.
 func (c *coordinator) part(now clock.Instant, b *bucket, s quota) quota {
 	share := c.p.reachableShare(now)
 	rate := share * s.rate
-	if b.coordinatorSince.IsZero() || now.Since(b.coordinatorSince) < s.settle {
+	if b.coordinatorSince.IsZero() || now.Since(b.coordinatorSince) < s.probation {
 		rate *= probationShare
 	}
 	return quota{rate: rate, burst: max(min(s.burst, leastBurst), share*s.burst)}
@@ -276,7 +276,7 @@
 	switch first := c.p.coordinatorFor(now, r) == c.p.Self.Name; {
 	case !first:
 		b.coordinatorSince = clock.Instant{}
-	case b.coordinatorSince.IsZero(), now.MaxElapsed(b.lastUsed) > s.settle:
+	case b.coordinatorSince.IsZero(), now.MaxElapsed(b.lastUsed) > s.probation:
 		b.coordinatorSince = c.p.coordinatorSince(now, r)
 	}
 	b.lastUsed = now
