--- a/core/permits/coordinator.go
+++ b/core/permits/coordinator.go
@@ -176,9 +176,9 @@
 	probation time.Duration // see settleSpan
 }
 
-// supply returns how much of a request's subject may be given out; bounded is false where
+// quota returns how much of a request's subject may be given out; bounded is false where
 // nothing is held back.
-func (c *coordinator) supply(now clock.Instant, r Request) (s quota, bounded bool) {
+func (c *coordinator) quota(now clock.Instant, r Request) (s quota, bounded bool) {
 	if r.Service != "" {
 		// Half may pile up and half comes in each span, so that none has more than all.
 		amount, span := c.p.Repeats()
@@ -204,7 +204,7 @@
 // take takes in a request: it is granted, waits for its turn, or is turned away.
 func (c *coordinator) take(now clock.Instant, w queuedRequest) {
 	w.queuedAt = now
-	s, bounded := c.supply(now, w.request)
+	s, bounded := c.quota(now, w.request)
 	if !bounded {
 		c.answer(now, w, Decision{Granted: true})
 		return
@@ -257,7 +257,7 @@
 	if c.buckets[r.Resource] == nil && c.p.coordinatorFor(now, r) != c.p.Self.Name {
 		return
 	}
-	s, bounded := c.supply(now, r)
+	s, bounded := c.quota(now, r)
 	if !bounded {
 		return
 	}
@@ -365,7 +365,7 @@
 
 // advance goes on with the requests that wait for one subject.
 func (c *coordinator) advance(now clock.Instant, b *bucket) {
-	s, bounded := c.supply(now, b.queue[0].request)
+	s, bounded := c.quota(now, b.queue[0].request)
 	if !bounded {
 		c.release(now, b)
 		return
--- a/core/permits/permits_test.go
+++ b/core/permits/permits_test.go
@@ -439,7 +439,7 @@
 func TestWhoWasTheFirstBeforeALimitWasNamed(t *testing.T) {
 	part := func(l *lab) float64 {
 		r := requestOf(l.Pool.Get("r"), 0, 0)
-		s, _ := l.coordinator.supply(l.now, r)
+		s, _ := l.coordinator.quota(l.now, r)
 		return l.coordinator.part(l.now, l.coordinator.bucket(l.now, r, s), s).rate
 	}
 	unnamed := func() *lab {
