--- a/core/permits/coordinator.go
+++ b/core/permits/coordinator.go
@@ -191,8 +191,8 @@
 	return quota{rate: rate, burst: max(leastBurst, rate*burstSpan.Seconds()), initial: 1, probation: probationPeriod}, bounded
 }
 
-// part returns the part of a supply that this instance gives out.
-func (c *coordinator) part(now clock.Instant, b *bucket, s quota) quota {
+// ownQuota returns the ownQuota of a supply that this instance gives out.
+func (c *coordinator) ownQuota(now clock.Instant, b *bucket, s quota) quota {
 	share := c.p.reachableShare(now)
 	rate := share * s.rate
 	if b.coordinatorSince.IsZero() || now.Since(b.coordinatorSince) < s.probation {
@@ -214,7 +214,7 @@
 		return
 	}
 	b := c.bucket(now, w.request, s)
-	b.tokens.refill(now, c.part(now, b, s))
+	b.tokens.refill(now, c.ownQuota(now, b, s))
 	c.serve(now, b)
 	wait, fits := b.place(w.request.Rank)
 	if !fits || wait > w.request.Wait {
@@ -262,7 +262,7 @@
 		return
 	}
 	b := c.bucket(now, r, s)
-	b.tokens.refill(now, c.part(now, b, s))
+	b.tokens.refill(now, c.ownQuota(now, b, s))
 }
 
 // bucket returns a subject's bucket, and notes whether this instance is the first to give
@@ -370,7 +370,7 @@
 		c.release(now, b)
 		return
 	}
-	b.tokens.refill(now, c.part(now, b, s))
+	b.tokens.refill(now, c.ownQuota(now, b, s))
 	c.serve(now, b)
 	var over []queuedRequest
 	b.queue = slices.DeleteFunc(b.queue, func(w queuedRequest) bool {
--- a/core/permits/permits_test.go
+++ b/core/permits/permits_test.go
@@ -440,7 +440,7 @@
 	part := func(l *lab) float64 {
 		r := requestOf(l.Pool.Get("r"), 0, 0)
 		s, _ := l.coordinator.quota(l.now, r)
-		return l.coordinator.part(l.now, l.coordinator.bucket(l.now, r, s), s).rate
+		return l.coordinator.ownQuota(l.now, l.coordinator.bucket(l.now, r, s), s).rate
 	}
 	unnamed := func() *lab {
 		l := newLab(10, nil)
