--- a/core/permits/coordinator.go
+++ b/core/permits/coordinator.go
@@ -201,8 +201,8 @@
 	return quota{rate: rate, burst: max(min(s.burst, leastBurst), share*s.burst)}
 }
 
-// take takes in a request: it is granted, waits for its turn, or is turned away.
-func (c *coordinator) take(now clock.Instant, w queuedRequest) {
+// admit takes in a request: it is granted, waits for its turn, or is turned away.
+func (c *coordinator) admit(now clock.Instant, w queuedRequest) {
 	w.queuedAt = now
 	s, bounded := c.quota(now, w.request)
 	if !bounded {
--- a/core/permits/permits.go
+++ b/core/permits/permits.go
@@ -259,7 +259,7 @@
 	a.sent = now
 	a.peer = p.choose(now, a)
 	if a.peer == "" {
-		p.coordinator.take(now, queuedRequest{localToken: token, request: a.request})
+		p.coordinator.admit(now, queuedRequest{localToken: token, request: a.request})
 		return
 	}
 	p.send(now, token, a.peer, a.request)
@@ -360,7 +360,7 @@
 		p.Out.Emit(SendReply{Token: e.Token})
 		return
 	}
-	p.coordinator.take(now, queuedRequest{peerToken: e.Token, request: e.Request})
+	p.coordinator.admit(now, queuedRequest{peerToken: e.Token, request: e.Request})
 }
 
 // Tick gives out what has become due, and gives back what was not used.
