--- a/core/permits/coordinator.go
+++ b/core/permits/coordinator.go
@@ -209,7 +209,7 @@
 		c.answer(now, w, Decision{Granted: true})
 		return
 	}
-	if w.request.Service != "" && !c.enrolled() {
+	if w.request.Service != "" && !c.registered() {
 		c.answer(now, w, Decision{}) // it may take itself for the only one
 		return
 	}
@@ -225,8 +225,8 @@
 	c.serve(now, b)
 }
 
-// enrolled reports whether this instance has a record, by which the others know of it.
-func (c *coordinator) enrolled() bool {
+// registered reports whether this instance has a record, by which the others know of it.
+func (c *coordinator) registered() bool {
 	_, ok := c.p.Instances()[c.p.Self.Name]
 	return ok
 }
@@ -235,7 +235,7 @@
 // for: calls fail together, and what may be given out then is there only if it piled up; and
 // an instance that is seldom asked has been the first all the same.
 func (c *coordinator) stand(now clock.Instant) {
-	if !c.enrolled() {
+	if !c.registered() {
 		return
 	}
 	if c.p.Config.Loaded() {
