--- a/core/permits/coordinator.go
+++ b/core/permits/coordinator.go
@@ -231,10 +231,10 @@
 	return ok
 }
 
-// stand notes what this instance gives out as the first in its own view, before any is asked
+// prepareBuckets notes what this instance gives out as the first in its own view, before any is asked
 // for: calls fail together, and what may be given out then is there only if it piled up; and
 // an instance that is seldom asked has been the first all the same.
-func (c *coordinator) stand(now clock.Instant) {
+func (c *coordinator) prepareBuckets(now clock.Instant) {
 	if !c.registered() {
 		return
 	}
--- a/core/permits/permits.go
+++ b/core/permits/permits.go
@@ -368,7 +368,7 @@
 	if !now.Before(p.standDue) {
 		p.standDue = now.Add(standEvery)
 		p.recordView(now)
-		p.coordinator.stand(now)
+		p.coordinator.prepareBuckets(now)
 	}
 	p.coordinator.tick(now)
 	for kind, o := range p.orders {
