--- a/core/permits/coordinator.go
+++ b/core/permits/coordinator.go
@@ -241,19 +241,19 @@
 	if c.p.Config.Loaded() {
 		for _, svc := range c.p.Config.Document().Services {
 			if svc.Announced != nil {
-				c.standFor(now, Request{Resource: Resource{Service: svc.Name}})
+				c.prepareBucket(now, Request{Resource: Resource{Service: svc.Name}})
 			}
 		}
 	}
 	for _, r := range c.p.Pool.All() {
 		if _, limited := r.RateLimit(now); limited {
-			c.standFor(now, requestOf(r, 0, 0))
+			c.prepareBucket(now, requestOf(r, 0, 0))
 		}
 	}
 }
 
-// standFor notes whether this instance is the first to give out a subject.
-func (c *coordinator) standFor(now clock.Instant, r Request) {
+// prepareBucket notes whether this instance is the first to give out a subject.
+func (c *coordinator) prepareBucket(now clock.Instant, r Request) {
 	if c.buckets[r.Resource] == nil && c.p.coordinatorFor(now, r) != c.p.Self.Name {
 		return
 	}
