--- a/core/permits/permits.go
+++ b/core/permits/permits.go
@@ -37,9 +37,9 @@
 	// silentSpan is how long a coordinator that did not answer is passed over, and how long a
 	// replica takes no request of a call that found it silent (docs/design/limits.md).
 	silentSpan = 2 * time.Second
-	// standEvery spaces the looks for services whose repeats this instance gives out
+	// prepareInterval spaces the looks for services whose repeats this instance gives out
 	// (docs/design/limits.md).
-	standEvery = time.Second
+	prepareInterval = time.Second
 	// maxPeers is how many peers are asked in turn before the instance asks itself
 	// (docs/design/limits.md).
 	maxPeers = 2
@@ -366,7 +366,7 @@
 // Tick gives out what has become due, and gives back what was not used.
 func (p *Permits) Tick(now clock.Instant) {
 	if !now.Before(p.standDue) {
-		p.standDue = now.Add(standEvery)
+		p.standDue = now.Add(prepareInterval)
 		p.recordView(now)
 		p.coordinator.prepareBuckets(now)
 	}
