--- a/core/permits/permits.go
+++ b/core/permits/permits.go
@@ -160,7 +160,7 @@
 	next        uint64
 	silent      map[string]clock.Instant // peers that did not answer, until when they are passed over
 	orders      map[orderKind]orderPermit
-	standDue    clock.Instant
+	prepareDue  clock.Instant
 	views       []fleetView // of the fleet, one for each standEvery, the newest last
 }
 
@@ -365,8 +365,8 @@
 
 // Tick gives out what has become due, and gives back what was not used.
 func (p *Permits) Tick(now clock.Instant) {
-	if !now.Before(p.standDue) {
-		p.standDue = now.Add(prepareInterval)
+	if !now.Before(p.prepareDue) {
+		p.prepareDue = now.Add(prepareInterval)
 		p.recordView(now)
 		p.coordinator.prepareBuckets(now)
 	}
