--- a/core/permits/coordinator.go
+++ b/core/permits/coordinator.go
@@ -216,7 +216,7 @@
 	b := c.bucket(now, w.request, s)
 	b.tokens.refill(now, c.ownQuota(now, b, s))
 	c.serve(now, b)
-	wait, fits := b.place(w.request.Rank)
+	wait, fits := b.queueWait(w.request.Rank)
 	if !fits || wait > w.request.Wait {
 		c.answer(now, w, c.refusal(now, b, w, wait))
 		return
@@ -283,8 +283,8 @@
 	return b
 }
 
-// place returns how long a request of a rank would wait; fits is false where too many wait.
-func (b *bucket) place(rank int) (wait time.Duration, fits bool) {
+// queueWait returns how long a request of a rank would wait; fits is false where too many wait.
+func (b *bucket) queueWait(rank int) (wait time.Duration, fits bool) {
 	ahead := 0
 	for _, w := range b.queue {
 		if w.request.Rank <= rank {
