--- a/core/permits/coordinator.go
+++ b/core/permits/coordinator.go
@@ -221,7 +221,7 @@
 		c.answer(now, w, c.refusal(now, b, w, wait))
 		return
 	}
-	b.insert(w)
+	b.enqueue(w)
 	c.serve(now, b)
 }
 
@@ -294,8 +294,8 @@
 	return b.tokens.until(ahead + 1), len(b.queue) < maxQueue
 }
 
-// insert has a request wait behind those that are as urgent.
-func (b *bucket) insert(w queuedRequest) {
+// enqueue has a request wait behind those that are as urgent.
+func (b *bucket) enqueue(w queuedRequest) {
 	i, _ := slices.BinarySearchFunc(b.queue, w.request.Rank, func(x queuedRequest, rank int) int {
 		if x.request.Rank <= rank {
 			return -1
