--- a/core/permits/coordinator.go
+++ b/core/permits/coordinator.go
@@ -215,14 +215,14 @@
 	}
 	b := c.bucket(now, w.request, s)
 	b.tokens.refill(now, c.ownQuota(now, b, s))
-	c.serve(now, b)
+	c.grantAvailable(now, b)
 	wait, fits := b.queueWait(w.request.Rank)
 	if !fits || wait > w.request.Wait {
 		c.answer(now, w, c.refusal(now, b, w, wait))
 		return
 	}
 	b.enqueue(w)
-	c.serve(now, b)
+	c.grantAvailable(now, b)
 }
 
 // registered reports whether this instance has a record, by which the others know of it.
@@ -305,8 +305,8 @@
 	b.queue = slices.Insert(b.queue, i, w)
 }
 
-// serve grants what those that wait first may have now.
-func (c *coordinator) serve(now clock.Instant, b *bucket) {
+// grantAvailable grants what those that wait first may have now.
+func (c *coordinator) grantAvailable(now clock.Instant, b *bucket) {
 	for len(b.queue) > 0 && b.tokens.take() {
 		w := b.queue[0]
 		b.queue = b.queue[1:]
@@ -344,7 +344,7 @@
 func (c *coordinator) giveBack(now clock.Instant, s Resource) {
 	if b := c.buckets[s]; b != nil {
 		b.tokens.giveBack()
-		c.serve(now, b)
+		c.grantAvailable(now, b)
 	}
 }
 
@@ -371,7 +371,7 @@
 		return
 	}
 	b.tokens.refill(now, c.ownQuota(now, b, s))
-	c.serve(now, b)
+	c.grantAvailable(now, b)
 	var over []queuedRequest
 	b.queue = slices.DeleteFunc(b.queue, func(w queuedRequest) bool {
 		late := now.Since(w.queuedAt) > w.request.Wait
