--- a/core/permits/coordinator.go
+++ b/core/permits/coordinator.go
@@ -218,7 +218,7 @@
 	c.grantAvailable(now, b)
 	wait, fits := b.queueWait(w.request.Rank)
 	if !fits || wait > w.request.Wait {
-		c.answer(now, w, c.refusal(now, b, w, wait))
+		c.answer(now, w, c.deny(now, b, w, wait))
 		return
 	}
 	b.enqueue(w)
@@ -314,9 +314,9 @@
 	}
 }
 
-// refusal turns a request away that would wait so long. Callers that are turned away are
+// deny turns a request away that would wait so long. Callers that are turned away are
 // told to come back one after the other, as fast as the replica takes requests.
-func (c *coordinator) refusal(now clock.Instant, b *bucket, w queuedRequest, wait time.Duration) Decision {
+func (c *coordinator) deny(now clock.Instant, b *bucket, w queuedRequest, wait time.Duration) Decision {
 	if !w.request.Alone {
 		return Decision{Turn: wait, After: wait}
 	}
@@ -381,7 +381,7 @@
 		return late
 	})
 	for _, w := range over {
-		c.answer(now, w, c.refusal(now, b, w, b.tokens.until(len(b.queue)+1)))
+		c.answer(now, w, c.deny(now, b, w, b.tokens.until(len(b.queue)+1)))
 	}
 }
 
