--- a/core/permits/coordinator.go
+++ b/core/permits/coordinator.go
@@ -206,11 +206,11 @@
 	w.queuedAt = now
 	s, bounded := c.quota(now, w.request)
 	if !bounded {
-		c.answer(now, w, Decision{Granted: true})
+		c.reply(now, w, Decision{Granted: true})
 		return
 	}
 	if w.request.Service != "" && !c.registered() {
-		c.answer(now, w, Decision{}) // it may take itself for the only one
+		c.reply(now, w, Decision{}) // it may take itself for the only one
 		return
 	}
 	b := c.bucket(now, w.request, s)
@@ -218,7 +218,7 @@
 	c.grantAvailable(now, b)
 	wait, fits := b.queueWait(w.request.Rank)
 	if !fits || wait > w.request.Wait {
-		c.answer(now, w, c.deny(now, b, w, wait))
+		c.reply(now, w, c.deny(now, b, w, wait))
 		return
 	}
 	b.enqueue(w)
@@ -310,7 +310,7 @@
 	for len(b.queue) > 0 && b.tokens.take() {
 		w := b.queue[0]
 		b.queue = b.queue[1:]
-		c.answer(now, w, Decision{Granted: true, Held: now.Since(w.queuedAt), Turn: b.tokens.until(len(b.queue) + 1)})
+		c.reply(now, w, Decision{Granted: true, Held: now.Since(w.queuedAt), Turn: b.tokens.until(len(b.queue) + 1)})
 	}
 }
 
@@ -324,8 +324,8 @@
 	return Decision{Turn: wait, After: b.lastRetryAt.Since(now)}
 }
 
-// answer tells whoever made a request what came of it.
-func (c *coordinator) answer(now clock.Instant, w queuedRequest, v Decision) {
+// reply tells whoever made a request what came of it.
+func (c *coordinator) reply(now clock.Instant, w queuedRequest, v Decision) {
 	if w.peerToken != 0 {
 		if r := c.p.Pool.Get(w.request.Replica.Name); r != nil && r.MayBeIncarnation(w.request.Replica.Born) {
 			v.Word = r.LimitReport()
@@ -381,7 +381,7 @@
 		return late
 	})
 	for _, w := range over {
-		c.answer(now, w, c.deny(now, b, w, b.tokens.until(len(b.queue)+1)))
+		c.reply(now, w, c.deny(now, b, w, b.tokens.until(len(b.queue)+1)))
 	}
 }
 
@@ -390,7 +390,7 @@
 	queue := b.queue
 	b.queue = nil
 	for _, w := range queue {
-		c.answer(now, w, Decision{Granted: true, Held: now.Since(w.queuedAt)})
+		c.reply(now, w, Decision{Granted: true, Held: now.Since(w.queuedAt)})
 	}
 }
 
