--- a/core/permits/coordinator.go
+++ b/core/permits/coordinator.go
@@ -367,7 +367,7 @@
 func (c *coordinator) advance(now clock.Instant, b *bucket) {
 	s, bounded := c.quota(now, b.queue[0].request)
 	if !bounded {
-		c.release(now, b)
+		c.grantAll(now, b)
 		return
 	}
 	b.tokens.refill(now, c.ownQuota(now, b, s))
@@ -385,8 +385,8 @@
 	}
 }
 
-// release grants all that wait, since nothing is held back any more.
-func (c *coordinator) release(now clock.Instant, b *bucket) {
+// grantAll grants all that wait, since nothing is held back any more.
+func (c *coordinator) grantAll(now clock.Instant, b *bucket) {
 	queue := b.queue
 	b.queue = nil
 	for _, w := range queue {
