--- a/core/permits/coordinator.go
+++ b/core/permits/coordinator.go
@@ -340,8 +340,8 @@
 	}
 }
 
-// giveBack takes a permit back that was not used.
-func (c *coordinator) giveBack(now clock.Instant, s Resource) {
+// release takes a permit back that was not used.
+func (c *coordinator) release(now clock.Instant, s Resource) {
 	if b := c.buckets[s]; b != nil {
 		b.tokens.giveBack()
 		c.grantAvailable(now, b)
--- a/core/permits/permits.go
+++ b/core/permits/permits.go
@@ -338,7 +338,7 @@
 	}
 	first := p.coordinatorFor(now, request)
 	if first == p.Self.Name {
-		p.coordinator.giveBack(now, s)
+		p.coordinator.release(now, s)
 		return
 	}
 	p.send(now, 0, first, request)
@@ -356,7 +356,7 @@
 func (p *Permits) HandleRequest(now clock.Instant, e RequestReceived) {
 	p.told(now, e.From, e.Request.Replica, e.Request.Word)
 	if e.Request.Unused {
-		p.coordinator.giveBack(now, e.Request.Resource)
+		p.coordinator.release(now, e.Request.Resource)
 		p.Out.Emit(SendReply{Token: e.Token})
 		return
 	}
