--- a/core/permits/coordinator.go
+++ b/core/permits/coordinator.go
@@ -359,12 +359,12 @@
 			}
 			continue
 		}
-		c.advance(now, b)
+		c.processQueue(now, b)
 	}
 }
 
-// advance goes on with the requests that wait for one subject.
-func (c *coordinator) advance(now clock.Instant, b *bucket) {
+// processQueue goes on with the requests that wait for one subject.
+func (c *coordinator) processQueue(now clock.Instant, b *bucket) {
 	s, bounded := c.quota(now, b.queue[0].request)
 	if !bounded {
 		c.grantAll(now, b)
