--- a/core/permits/coordinator.go
+++ b/core/permits/coordinator.go
@@ -394,8 +394,8 @@
 	}
 }
 
-// waits reports whether anything waits.
-func (c *coordinator) waits() bool {
+// hasQueued reports whether anything hasQueued.
+func (c *coordinator) hasQueued() bool {
 	for _, b := range c.buckets {
 		if len(b.queue) > 0 {
 			return true
--- a/core/permits/permits.go
+++ b/core/permits/permits.go
@@ -379,4 +379,4 @@
 }
 
 // Waiting reports whether a request waits here for its turn.
-func (p *Permits) Waiting() bool { return p.coordinator.waits() }
+func (p *Permits) Waiting() bool { return p.coordinator.hasQueued() }
