--- a/core/permits/coordinator.go
+++ b/core/permits/coordinator.go
@@ -36,7 +36,7 @@
 
 // A bucket is what may be given out of one subject now, and who waits for it.
 type bucket struct {
-	tokens   tokens
+	tokens   tokenBucket
 	lastUsed clock.Instant // when it was last looked at
 	// coordinatorSince is since when this instance has been the first in its own view; zero: it is
 	// not.
--- a/core/permits/tokens.go
+++ b/core/permits/tokens.go
@@ -15,21 +15,21 @@
 	leastBurst = 2
 )
 
-// A tokens is a token bucket. It does not begin full: another instance may have given out
+// A tokenBucket is a token bucket. It does not begin full: another instance may have given out
 // permits until now.
-type tokens struct {
+type tokenBucket struct {
 	left float64
 	at   clock.Instant // when it was last refilled
 	rate float64       // a second
 }
 
-func newTokens(now clock.Instant, s quota) tokens {
-	return tokens{left: s.initial, at: now}
+func newTokens(now clock.Instant, s quota) tokenBucket {
+	return tokenBucket{left: s.initial, at: now}
 }
 
 // refill adds what came since the last refill at the rate that held then, and takes over
 // another rate and bound.
-func (t *tokens) refill(now clock.Instant, s quota) {
+func (t *tokenBucket) refill(now clock.Instant, s quota) {
 	if span := now.Since(t.at); span > 0 {
 		t.left += t.rate * span.Seconds()
 		t.at = now
@@ -39,7 +39,7 @@
 }
 
 // take takes one token, if there is one.
-func (t *tokens) take() bool {
+func (t *tokenBucket) take() bool {
 	if t.left < 1 {
 		return false
 	}
@@ -48,10 +48,10 @@
 }
 
 // giveBack puts one token back; the next refill drops what is too much.
-func (t *tokens) giveBack() { t.left++ }
+func (t *tokenBucket) giveBack() { t.left++ }
 
 // until returns how long it takes until n tokens were there in all, from now on.
-func (t *tokens) until(n int) time.Duration {
+func (t *tokenBucket) until(n int) time.Duration {
 	missing := float64(n) - t.left
 	if missing <= 0 {
 		return 0
@@ -68,7 +68,7 @@
 const longestWait = time.Hour
 
 // interval returns the time between two tokens.
-func (t *tokens) interval() time.Duration {
+func (t *tokenBucket) interval() time.Duration {
 	if t.rate <= 0 {
 		return longestWait
 	}
