--- a/core/permits/coordinator.go
+++ b/core/permits/coordinator.go
@@ -270,7 +270,7 @@
 func (c *coordinator) bucket(now clock.Instant, r Request, s quota) *bucket {
 	b := c.buckets[r.Resource]
 	if b == nil {
-		b = &bucket{tokens: newTokens(now, s)}
+		b = &bucket{tokens: newTokenBucket(now, s)}
 		c.buckets[r.Resource] = b
 	}
 	switch first := c.p.coordinatorFor(now, r) == c.p.Self.Name; {
--- a/core/permits/tokens.go
+++ b/core/permits/tokens.go
@@ -23,7 +23,7 @@
 	rate float64       // a second
 }
 
-func newTokens(now clock.Instant, s quota) tokenBucket {
+func newTokenBucket(now clock.Instant, s quota) tokenBucket {
 	return tokenBucket{left: s.initial, at: now}
 }
 
--- a/core/permits/tokens_test.go
+++ b/core/permits/tokens_test.go
@@ -27,7 +27,7 @@
 			t.Run(fmt.Sprintf("%g a second, seed %d", rate, seed), func(t *testing.T) {
 				is := is.New(t)
 				rng := rand.New(rand.NewPCG(seed, 1))
-				tokens := newTokens(start, supplyOf(rate))
+				tokens := newTokenBucket(start, supplyOf(rate))
 				now := start
 				var given []clock.Instant
 				greedy := 0
@@ -56,7 +56,7 @@
 // what came until then came at the former one.
 func TestTokensFollowTheirRate(t *testing.T) {
 	is := is.New(t)
-	tokens := newTokens(start, supplyOf(2))
+	tokens := newTokenBucket(start, supplyOf(2))
 	tokens.refill(start, supplyOf(2))
 	is.Equal(tokens.until(1), time.Duration(0))
 	is.Equal(tokens.until(2), 500*time.Millisecond)
@@ -72,7 +72,7 @@
 	is.True(tokens.take())
 	is.True(!tokens.take()) // what piled up at the former rate does not stay
 	is.Equal(tokens.until(1), 2*time.Second)
-	none := newTokens(start, supplyOf(1))
+	none := newTokenBucket(start, supplyOf(1))
 	is.Equal(none.until(2), longestWait)
 	is.Equal(none.interval(), longestWait)
 }
