--- a/core/permits/tokens.go
+++ b/core/permits/tokens.go
@@ -18,41 +18,41 @@
 // A tokenBucket is a token bucket. It does not begin full: another instance may have given out
 // permits until now.
 type tokenBucket struct {
-	left float64
-	at   clock.Instant // when it was last refilled
-	rate float64       // a second
+	available float64
+	at        clock.Instant // when it was last refilled
+	rate      float64       // a second
 }
 
 func newTokenBucket(now clock.Instant, s quota) tokenBucket {
-	return tokenBucket{left: s.initial, at: now}
+	return tokenBucket{available: s.initial, at: now}
 }
 
 // refill adds what came since the last refill at the rate that held then, and takes over
 // another rate and bound.
 func (t *tokenBucket) refill(now clock.Instant, s quota) {
 	if span := now.Since(t.at); span > 0 {
-		t.left += t.rate * span.Seconds()
+		t.available += t.rate * span.Seconds()
 		t.at = now
 	}
 	t.rate = s.rate
-	t.left = min(t.left, s.burst)
+	t.available = min(t.available, s.burst)
 }
 
 // take takes one token, if there is one.
 func (t *tokenBucket) take() bool {
-	if t.left < 1 {
+	if t.available < 1 {
 		return false
 	}
-	t.left--
+	t.available--
 	return true
 }
 
 // giveBack puts one token back; the next refill drops what is too much.
-func (t *tokenBucket) giveBack() { t.left++ }
+func (t *tokenBucket) giveBack() { t.available++ }
 
 // until returns how long it takes until n tokens were there in all, from now on.
 func (t *tokenBucket) until(n int) time.Duration {
-	missing := float64(n) - t.left
+	missing := float64(n) - t.available
 	if missing <= 0 {
 		return 0
 	}
