--- a/core/permits/tokens.go
+++ b/core/permits/tokens.go
@@ -18,21 +18,21 @@
 // A tokenBucket is a token bucket. It does not begin full: another instance may have given out
 // permits until now.
 type tokenBucket struct {
-	available float64
-	at        clock.Instant // when it was last refilled
-	rate      float64       // a second
+	available  float64
+	refilledAt clock.Instant // when it was last refilled
+	rate       float64       // a second
 }
 
 func newTokenBucket(now clock.Instant, s quota) tokenBucket {
-	return tokenBucket{available: s.initial, at: now}
+	return tokenBucket{available: s.initial, refilledAt: now}
 }
 
 // refill adds what came since the last refill at the rate that held then, and takes over
 // another rate and bound.
 func (t *tokenBucket) refill(now clock.Instant, s quota) {
-	if span := now.Since(t.at); span > 0 {
+	if span := now.Since(t.refilledAt); span > 0 {
 		t.available += t.rate * span.Seconds()
-		t.at = now
+		t.refilledAt = now
 	}
 	t.rate = s.rate
 	t.available = min(t.available, s.burst)
