--- a/core/permits/coordinator.go
+++ b/core/permits/coordinator.go
@@ -291,7 +291,7 @@
 			ahead++
 		}
 	}
-	return b.tokens.until(ahead + 1), len(b.queue) < maxQueue
+	return b.tokens.waitFor(ahead + 1), len(b.queue) < maxQueue
 }
 
 // enqueue has a request wait behind those that are as urgent.
@@ -310,7 +310,7 @@
 	for len(b.queue) > 0 && b.tokens.take() {
 		w := b.queue[0]
 		b.queue = b.queue[1:]
-		c.reply(now, w, Decision{Granted: true, Held: now.Since(w.queuedAt), Turn: b.tokens.until(len(b.queue) + 1)})
+		c.reply(now, w, Decision{Granted: true, Held: now.Since(w.queuedAt), Turn: b.tokens.waitFor(len(b.queue) + 1)})
 	}
 }
 
@@ -381,7 +381,7 @@
 		return late
 	})
 	for _, w := range over {
-		c.reply(now, w, c.deny(now, b, w, b.tokens.until(len(b.queue)+1)))
+		c.reply(now, w, c.deny(now, b, w, b.tokens.waitFor(len(b.queue)+1)))
 	}
 }
 
--- a/core/permits/tokens.go
+++ b/core/permits/tokens.go
@@ -50,8 +50,8 @@
 // giveBack puts one token back; the next refill drops what is too much.
 func (t *tokenBucket) giveBack() { t.available++ }
 
-// until returns how long it takes until n tokens were there in all, from now on.
-func (t *tokenBucket) until(n int) time.Duration {
+// waitFor returns how long it takes waitFor n tokens were there in all, from now on.
+func (t *tokenBucket) waitFor(n int) time.Duration {
 	missing := float64(n) - t.available
 	if missing <= 0 {
 		return 0
--- a/core/permits/tokens_test.go
+++ b/core/permits/tokens_test.go
@@ -58,8 +58,8 @@
 	is := is.New(t)
 	tokens := newTokenBucket(start, supplyOf(2))
 	tokens.refill(start, supplyOf(2))
-	is.Equal(tokens.until(1), time.Duration(0))
-	is.Equal(tokens.until(2), 500*time.Millisecond)
+	is.Equal(tokens.waitFor(1), time.Duration(0))
+	is.Equal(tokens.waitFor(2), 500*time.Millisecond)
 	is.True(tokens.take())
 	is.True(!tokens.take())
 	is.Equal(tokens.interval(), 500*time.Millisecond)
@@ -71,8 +71,8 @@
 	is.True(tokens.take())
 	is.True(tokens.take())
 	is.True(!tokens.take()) // what piled up at the former rate does not stay
-	is.Equal(tokens.until(1), 2*time.Second)
+	is.Equal(tokens.waitFor(1), 2*time.Second)
 	none := newTokenBucket(start, supplyOf(1))
-	is.Equal(none.until(2), longestWait)
+	is.Equal(none.waitFor(2), longestWait)
 	is.Equal(none.interval(), longestWait)
 }
