--- a/core/permits/coordinator.go
+++ b/core/permits/coordinator.go
@@ -343,7 +343,7 @@
 // release takes a permit back that was not used.
 func (c *coordinator) release(now clock.Instant, s Resource) {
 	if b := c.buckets[s]; b != nil {
-		b.tokens.giveBack()
+		b.tokens.release()
 		c.grantAvailable(now, b)
 	}
 }
--- a/core/permits/tokens.go
+++ b/core/permits/tokens.go
@@ -47,8 +47,8 @@
 	return true
 }
 
-// giveBack puts one token back; the next refill drops what is too much.
-func (t *tokenBucket) giveBack() { t.available++ }
+// release puts one token back; the next refill drops what is too much.
+func (t *tokenBucket) release() { t.available++ }
 
 // waitFor returns how long it takes waitFor n tokens were there in all, from now on.
 func (t *tokenBucket) waitFor(n int) time.Duration {
--- a/core/permits/tokens_test.go
+++ b/core/permits/tokens_test.go
@@ -65,7 +65,7 @@
 	is.Equal(tokens.interval(), 500*time.Millisecond)
 	tokens.refill(start.Add(250*time.Millisecond), supplyOf(200))
 	is.True(!tokens.take()) // half a token
-	tokens.giveBack()
+	tokens.release()
 	is.True(tokens.take())
 	tokens.refill(start.Add(time.Hour), supplyOf(0.5))
 	is.True(tokens.take())
