--- a/core/permits/tokens.go
+++ b/core/permits/tokens.go
@@ -57,20 +57,20 @@
 		return 0
 	}
 	if t.rate <= 0 {
-		return longestWait
+		return maxWait
 	}
-	wait := min(missing/t.rate, longestWait.Seconds()) * float64(time.Second)
+	wait := min(missing/t.rate, maxWait.Seconds()) * float64(time.Second)
 	return max(time.Duration(wait), 1) // a missing part of a token is a wait, however short
 }
 
-// longestWait bounds what is told of a wait, so that no span overflows
+// maxWait bounds what is told of a wait, so that no span overflows
 // (docs/design/limits.md).
-const longestWait = time.Hour
+const maxWait = time.Hour
 
 // interval returns the time between two tokens.
 func (t *tokenBucket) interval() time.Duration {
 	if t.rate <= 0 {
-		return longestWait
+		return maxWait
 	}
-	return min(time.Duration(float64(time.Second)/t.rate), longestWait)
+	return min(time.Duration(float64(time.Second)/t.rate), maxWait)
 }
--- a/core/permits/tokens_test.go
+++ b/core/permits/tokens_test.go
@@ -73,6 +73,6 @@
 	is.True(!tokens.take()) // what piled up at the former rate does not stay
 	is.Equal(tokens.waitFor(1), 2*time.Second)
 	none := newTokenBucket(start, supplyOf(1))
-	is.Equal(none.waitFor(2), longestWait)
-	is.Equal(none.interval(), longestWait)
+	is.Equal(none.waitFor(2), maxWait)
+	is.Equal(none.interval(), maxWait)
 }
