--- a/core/permits/coordinator.go
+++ b/core/permits/coordinator.go
@@ -188,7 +188,7 @@
 	if known := c.p.Pool.Get(r.Replica.Name); known != nil && known.MayBeIncarnation(r.Replica.Born) {
 		rate, bounded = known.RateLimit(now)
 	}
-	return quota{rate: rate, burst: max(leastBurst, rate*burstSpan.Seconds()), initial: 1, probation: probationPeriod}, bounded
+	return quota{rate: rate, burst: max(minBurst, rate*burstSpan.Seconds()), initial: 1, probation: probationPeriod}, bounded
 }
 
 // ownQuota returns the ownQuota of a supply that this instance gives out.
@@ -198,7 +198,7 @@
 	if b.coordinatorSince.IsZero() || now.Since(b.coordinatorSince) < s.probation {
 		rate *= probationShare
 	}
-	return quota{rate: rate, burst: max(min(s.burst, leastBurst), share*s.burst)}
+	return quota{rate: rate, burst: max(min(s.burst, minBurst), share*s.burst)}
 }
 
 // admit takes in a request: it is granted, waits for its turn, or is turned away.
--- a/core/permits/tokens.go
+++ b/core/permits/tokens.go
@@ -10,9 +10,9 @@
 	// burstSpan is over how much time of a limit permits may pile up: what waits is served
 	// at ticks, which are apart (docs/design/limits.md).
 	burstSpan = 200 * time.Millisecond
-	// leastBurst is the least that may pile up: with one, what comes while no call waits is
+	// minBurst is the least that may pile up: with one, what comes while no call waits is
 	// lost, a seventh of small limits (docs/design/limits.md).
-	leastBurst = 2
+	minBurst = 2
 )
 
 // A tokenBucket is a token bucket. It does not begin full: another instance may have given out
