--- a/core/permits/coordinator.go
+++ b/core/permits/coordinator.go
@@ -188,7 +188,7 @@
 	if known := c.p.Pool.Get(r.Replica.Name); known != nil && known.MayBeIncarnation(r.Replica.Born) {
 		rate, bounded = known.RateLimit(now)
 	}
-	return quota{rate: rate, burst: max(minBurst, rate*burstSpan.Seconds()), initial: 1, probation: probationPeriod}, bounded
+	return quota{rate: rate, burst: max(minBurst, rate*burstTime.Seconds()), initial: 1, probation: probationPeriod}, bounded
 }
 
 // ownQuota returns the ownQuota of a supply that this instance gives out.
--- a/core/permits/tokens.go
+++ b/core/permits/tokens.go
@@ -7,9 +7,9 @@
 )
 
 const (
-	// burstSpan is over how much time of a limit permits may pile up: what waits is served
+	// burstTime is over how much time of a limit permits may pile up: what waits is served
 	// at ticks, which are apart (docs/design/limits.md).
-	burstSpan = 200 * time.Millisecond
+	burstTime = 200 * time.Millisecond
 	// minBurst is the least that may pile up: with one, what comes while no call waits is
 	// lost, a seventh of small limits (docs/design/limits.md).
 	minBurst = 2
--- a/core/permits/tokens_test.go
+++ b/core/permits/tokens_test.go
@@ -16,7 +16,7 @@
 
 // supplyOf is the supply of a limit.
 func supplyOf(rate float64) quota {
-	return quota{rate: rate, burst: max(minBurst, rate*burstSpan.Seconds()), initial: 1}
+	return quota{rate: rate, burst: max(minBurst, rate*burstTime.Seconds()), initial: 1}
 }
 
 // TestTokensKeepTheRate: whatever is asked for, and whenever, no 4 s give out more than the
@@ -44,7 +44,7 @@
 					for len(given) > 0 && now.Since(given[0]) > 4*time.Second {
 						given = given[1:]
 					}
-					is.True(float64(len(given)) <= 4*rate+max(minBurst, rate*burstSpan.Seconds())+1e-9)
+					is.True(float64(len(given)) <= 4*rate+max(minBurst, rate*burstTime.Seconds())+1e-9)
 				}
 				is.True(greedy > 0)
 			})
