--- a/core/permits/permits.go
+++ b/core/permits/permits.go
@@ -32,8 +32,8 @@
 )
 
 const (
-	// permitLife is how long after it was given a permit may be used (docs/design/limits.md).
-	permitLife = 300 * time.Millisecond
+	// permitTTL is how long after it was given a permit may be used (docs/design/limits.md).
+	permitTTL = 300 * time.Millisecond
 	// silentSpan is how long a coordinator that did not answer is passed over, and how long a
 	// replica takes no request of a call that found it silent (docs/design/limits.md).
 	silentSpan = 2 * time.Second
@@ -314,7 +314,7 @@
 // decide passes on what came of a request. A permit that was long on its way, since this
 // instance slept for instance, is void.
 func (p *Permits) decide(now clock.Instant, a *ask, v Decision) {
-	v.Granted = v.Granted && now.MaxElapsed(a.sent)-v.Held < permitLife
+	v.Granted = v.Granted && now.MaxElapsed(a.sent)-v.Held < permitTTL
 	if r := p.Pool.Get(a.request.Replica.Name); r != nil {
 		r.SetNextSend(now.Add(v.Turn))
 	}
@@ -325,7 +325,7 @@
 	o := p.orders[a.order]
 	o.asked = false
 	if v.Granted {
-		o.until = now.Add(permitLife)
+		o.until = now.Add(permitTTL)
 	}
 	p.orders[a.order] = o
 }
--- a/core/permits/permits_test.go
+++ b/core/permits/permits_test.go
@@ -334,7 +334,7 @@
 	l = newLab(1, nil)
 	is.True(l.TryAcquireForOrder(l.now, "r", false))
 	is.True(!l.TryAcquireForOrder(l.now, "r", false))
-	l.after(3400*time.Millisecond + permitLife) // it was there, and was not used
+	l.after(3400*time.Millisecond + permitTTL) // it was there, and was not used
 	is.True(!l.TryAcquireForOrder(l.now, "r", false))
 	l.Pool.Announce(l.now, "r", pool.Announcement{Service: "s", Address: "r", Zone: "z", Born: "2"})
 	is.True(l.TryAcquireForOrder(l.now, "r", false)) // another life named none
