--- a/core/permits/permits.go
+++ b/core/permits/permits.go
@@ -34,9 +34,9 @@
 const (
 	// permitTTL is how long after it was given a permit may be used (docs/design/limits.md).
 	permitTTL = 300 * time.Millisecond
-	// silentSpan is how long a coordinator that did not answer is passed over, and how long a
+	// peerBackoff is how long a coordinator that did not answer is passed over, and how long a
 	// replica takes no request of a call that found it silent (docs/design/limits.md).
-	silentSpan = 2 * time.Second
+	peerBackoff = 2 * time.Second
 	// prepareInterval spaces the looks for services whose repeats this instance gives out
 	// (docs/design/limits.md).
 	prepareInterval = time.Second
@@ -291,7 +291,7 @@
 	delete(p.asks, e.Token)
 	if e.Err != nil {
 		p.Out.Log(logevent.PermitFailed, "for", a.request.Resource.String(), "peer", a.peer, "error", e.Err.Error())
-		p.silent[a.peer] = now.Add(silentSpan)
+		p.silent[a.peer] = now.Add(peerBackoff)
 		p.again(now, a)
 		return
 	}
@@ -304,7 +304,7 @@
 func (p *Permits) again(now clock.Instant, a *ask) {
 	a.request.Wait -= now.Since(a.sent)
 	if a.request.Wait <= 0 {
-		p.decide(now, a, Decision{Turn: silentSpan, After: silentSpan})
+		p.decide(now, a, Decision{Turn: peerBackoff, After: peerBackoff})
 		return
 	}
 	a.peers++
