--- a/core/permits/coordinator.go
+++ b/core/permits/coordinator.go
@@ -145,7 +145,7 @@
 		return !p.Stopping()
 	}
 	peer := p.Members.Get(name)
-	return peer != nil && !peer.Leaving && !peer.Failing() && !now.Before(p.silent[name])
+	return peer != nil && !peer.Leaving && !peer.Failing() && !now.Before(p.backoffUntil[name])
 }
 
 // reachableShare returns the share of the fleet's instances that answer this one. The others may
--- a/core/permits/permits.go
+++ b/core/permits/permits.go
@@ -155,13 +155,13 @@
 // Permits are one instance's permits: those that it asks for, and those that it gives out.
 type Permits struct {
 	Deps
-	coordinator coordinator
-	asks        map[uint64]*ask
-	next        uint64
-	silent      map[string]clock.Instant // peers that did not answer, until when they are passed over
-	orders      map[orderKind]orderPermit
-	prepareDue  clock.Instant
-	views       []fleetView // of the fleet, one for each standEvery, the newest last
+	coordinator  coordinator
+	asks         map[uint64]*ask
+	next         uint64
+	backoffUntil map[string]clock.Instant // peers that did not answer, until when they are passed over
+	orders       map[orderKind]orderPermit
+	prepareDue   clock.Instant
+	views        []fleetView // of the fleet, one for each standEvery, the newest last
 }
 
 // An ask is a request for a permit that is under way.
@@ -190,7 +190,7 @@
 // New returns permits of which none was asked for.
 func New(n Deps) *Permits {
 	p := &Permits{
-		Deps: n, asks: map[uint64]*ask{}, silent: map[string]clock.Instant{}, orders: map[orderKind]orderPermit{},
+		Deps: n, asks: map[uint64]*ask{}, backoffUntil: map[string]clock.Instant{}, orders: map[orderKind]orderPermit{},
 	}
 	p.coordinator = coordinator{p: p, buckets: map[Resource]*bucket{}}
 	return p
@@ -291,7 +291,7 @@
 	delete(p.asks, e.Token)
 	if e.Err != nil {
 		p.Out.Log(logevent.PermitFailed, "for", a.request.Resource.String(), "peer", a.peer, "error", e.Err.Error())
-		p.silent[a.peer] = now.Add(peerBackoff)
+		p.backoffUntil[a.peer] = now.Add(peerBackoff)
 		p.again(now, a)
 		return
 	}
