--- a/core/permits/permits.go
+++ b/core/permits/permits.go
@@ -40,9 +40,9 @@
 	// prepareInterval spaces the looks for services whose repeats this instance gives out
 	// (docs/design/limits.md).
 	prepareInterval = time.Second
-	// maxPeers is how many peers are asked in turn before the instance asks itself
+	// maxPeerAttempts is how many peers are asked in turn before the instance asks itself
 	// (docs/design/limits.md).
-	maxPeers = 2
+	maxPeerAttempts = 2
 	// orderRank is the rank of orders that change an engine's models, and of questions for
 	// its state: before all calls, since an engine that is not ordered serves none of some
 	// models (docs/design/limits.md).
@@ -273,7 +273,7 @@
 
 // choose returns the peer to ask, "" for this instance itself.
 func (p *Permits) choose(now clock.Instant, a *ask) string {
-	if a.peers >= maxPeers {
+	if a.peers >= maxPeerAttempts {
 		return ""
 	}
 	if first := p.coordinatorFor(now, a.request); first != p.Self.Name {
