--- a/core/permits/permits.go
+++ b/core/permits/permits.go
@@ -51,8 +51,8 @@
 	// takes two permits, so where they are short others are served more often
 	// (docs/design/limits.md).
 	adapterRank = pool.Ranks
-	// orderWait is how long an order waits for its turn (docs/design/limits.md).
-	orderWait = 5 * time.Second
+	// maxOrderWait is how long an order waits for its turn (docs/design/limits.md).
+	maxOrderWait = 5 * time.Second
 )
 
 // A Resource is what permits are for: requests to a replica that names a limit, or repeats
@@ -242,7 +242,7 @@
 		rank = adapterRank
 	}
 	p.orders[kind] = orderPermit{life: r.Incarnation(), asked: true}
-	p.begin(now, &ask{request: requestOf(r, rank, orderWait), order: kind})
+	p.begin(now, &ask{request: requestOf(r, rank, maxOrderWait), order: kind})
 	o = p.orders[kind] // it may be at hand already
 	if !now.Before(o.until) {
 		return false
