--- a/core/permits/permits.go
+++ b/core/permits/permits.go
@@ -156,7 +156,7 @@
 type Permits struct {
 	Deps
 	coordinator  coordinator
-	asks         map[uint64]*ask
+	asks         map[uint64]*pendingRequest
 	next         uint64
 	backoffUntil map[string]clock.Instant // peers that did not answer, until when they are passed over
 	orders       map[orderKind]orderPermit
@@ -164,8 +164,8 @@
 	views        []fleetView // of the fleet, one for each standEvery, the newest last
 }
 
-// An ask is a request for a permit that is under way.
-type ask struct {
+// An pendingRequest is a request for a permit that is under way.
+type pendingRequest struct {
 	request Request
 	call    calls.ID  // 0: for orders
 	order   orderKind // else the zero value
@@ -190,7 +190,7 @@
 // New returns permits of which none was asked for.
 func New(n Deps) *Permits {
 	p := &Permits{
-		Deps: n, asks: map[uint64]*ask{}, backoffUntil: map[string]clock.Instant{}, orders: map[orderKind]orderPermit{},
+		Deps: n, asks: map[uint64]*pendingRequest{}, backoffUntil: map[string]clock.Instant{}, orders: map[orderKind]orderPermit{},
 	}
 	p.coordinator = coordinator{p: p, buckets: map[Resource]*bucket{}}
 	return p
@@ -201,7 +201,7 @@
 func (p *Permits) RequestForCall(now clock.Instant, r *pool.Replica, call calls.ID, rank int, wait time.Duration, alone bool) {
 	request := requestOf(r, rank, wait)
 	request.Alone = alone
-	p.begin(now, &ask{request: request, call: call})
+	p.begin(now, &pendingRequest{request: request, call: call})
 }
 
 func requestOf(r *pool.Replica, rank int, wait time.Duration) Request {
@@ -212,7 +212,7 @@
 // the outcome, perhaps before RequestForRetry returns.
 func (p *Permits) RequestForRetry(now clock.Instant, service string, call calls.ID, rank int, wait time.Duration) {
 	request := Request{Resource: Resource{Service: service}, Rank: rank, Wait: max(0, wait)}
-	p.begin(now, &ask{request: request, call: call})
+	p.begin(now, &pendingRequest{request: request, call: call})
 }
 
 // TryAcquireForOrder reports whether an order may be sent to an engine now, for an adapter or for a
@@ -242,7 +242,7 @@
 		rank = adapterRank
 	}
 	p.orders[kind] = orderPermit{life: r.Incarnation(), asked: true}
-	p.begin(now, &ask{request: requestOf(r, rank, maxOrderWait), order: kind})
+	p.begin(now, &pendingRequest{request: requestOf(r, rank, maxOrderWait), order: kind})
 	o = p.orders[kind] // it may be at hand already
 	if !now.Before(o.until) {
 		return false
@@ -252,7 +252,7 @@
 }
 
 // begin sends a request to the replica's coordinator, or takes it in here.
-func (p *Permits) begin(now clock.Instant, a *ask) {
+func (p *Permits) begin(now clock.Instant, a *pendingRequest) {
 	p.next++
 	token := p.next
 	p.asks[token] = a
@@ -272,7 +272,7 @@
 }
 
 // choose returns the peer to ask, "" for this instance itself.
-func (p *Permits) choose(now clock.Instant, a *ask) string {
+func (p *Permits) choose(now clock.Instant, a *pendingRequest) string {
 	if a.peers >= maxPeerAttempts {
 		return ""
 	}
@@ -301,7 +301,7 @@
 
 // again asks another instance, unless nobody waits for that: a call that another replica can
 // serve goes there.
-func (p *Permits) again(now clock.Instant, a *ask) {
+func (p *Permits) again(now clock.Instant, a *pendingRequest) {
 	a.request.Wait -= now.Since(a.sent)
 	if a.request.Wait <= 0 {
 		p.decide(now, a, Decision{Turn: peerBackoff, After: peerBackoff})
@@ -313,7 +313,7 @@
 
 // decide passes on what came of a request. A permit that was long on its way, since this
 // instance slept for instance, is void.
-func (p *Permits) decide(now clock.Instant, a *ask, v Decision) {
+func (p *Permits) decide(now clock.Instant, a *pendingRequest, v Decision) {
 	v.Granted = v.Granted && now.MaxElapsed(a.sent)-v.Held < permitTTL
 	if r := p.Pool.Get(a.request.Replica.Name); r != nil {
 		r.SetNextSend(now.Add(v.Turn))
