--- a/core/permits/coordinator.go
+++ b/core/permits/coordinator.go
@@ -334,8 +334,8 @@
 		c.p.Out.Emit(SendReply{Token: w.peerToken, Verdict: v})
 		return
 	}
-	if a := c.p.asks[w.localToken]; a != nil {
-		delete(c.p.asks, w.localToken)
+	if a := c.p.pending[w.localToken]; a != nil {
+		delete(c.p.pending, w.localToken)
 		c.p.decide(now, a, v)
 	}
 }
--- a/core/permits/permits.go
+++ b/core/permits/permits.go
@@ -156,7 +156,7 @@
 type Permits struct {
 	Deps
 	coordinator  coordinator
-	asks         map[uint64]*pendingRequest
+	pending      map[uint64]*pendingRequest
 	next         uint64
 	backoffUntil map[string]clock.Instant // peers that did not answer, until when they are passed over
 	orders       map[orderKind]orderPermit
@@ -190,7 +190,7 @@
 // New returns permits of which none was asked for.
 func New(n Deps) *Permits {
 	p := &Permits{
-		Deps: n, asks: map[uint64]*pendingRequest{}, backoffUntil: map[string]clock.Instant{}, orders: map[orderKind]orderPermit{},
+		Deps: n, pending: map[uint64]*pendingRequest{}, backoffUntil: map[string]clock.Instant{}, orders: map[orderKind]orderPermit{},
 	}
 	p.coordinator = coordinator{p: p, buckets: map[Resource]*bucket{}}
 	return p
@@ -255,7 +255,7 @@
 func (p *Permits) begin(now clock.Instant, a *pendingRequest) {
 	p.next++
 	token := p.next
-	p.asks[token] = a
+	p.pending[token] = a
 	a.sent = now
 	a.peer = p.choose(now, a)
 	if a.peer == "" {
@@ -284,11 +284,11 @@
 
 // HandleReply takes in a peer's answer, or that none came. Another is asked then.
 func (p *Permits) HandleReply(now clock.Instant, e Reply) {
-	a := p.asks[e.Token]
+	a := p.pending[e.Token]
 	if a == nil {
 		return
 	}
-	delete(p.asks, e.Token)
+	delete(p.pending, e.Token)
 	if e.Err != nil {
 		p.Out.Log(logevent.PermitFailed, "for", a.request.Resource.String(), "peer", a.peer, "error", e.Err.Error())
 		p.backoffUntil[a.peer] = now.Add(peerBackoff)
