--- a/core/permits/permits.go
+++ b/core/permits/permits.go
@@ -157,7 +157,7 @@
 	Deps
 	coordinator  coordinator
 	pending      map[uint64]*pendingRequest
-	next         uint64
+	lastToken    uint64
 	backoffUntil map[string]clock.Instant // peers that did not answer, until when they are passed over
 	orders       map[orderKind]orderPermit
 	prepareDue   clock.Instant
@@ -253,8 +253,8 @@
 
 // begin sends a request to the replica's coordinator, or takes it in here.
 func (p *Permits) begin(now clock.Instant, a *pendingRequest) {
-	p.next++
-	token := p.next
+	p.lastToken++
+	token := p.lastToken
 	p.pending[token] = a
 	a.sent = now
 	a.peer = p.choose(now, a)
--- a/core/permits/permits_test.go
+++ b/core/permits/permits_test.go
@@ -169,8 +169,8 @@
 	given := func(l *lab, span time.Duration) int {
 		l.decided = nil
 		for end := l.now.Add(span); l.now.Before(end); {
-			token := l.next + 1
-			l.next = token
+			token := l.lastToken + 1
+			l.lastToken = token
 			l.HandleRequest(l.now, RequestReceived{Token: token, From: "x", Request: requestOf(l.Pool.Get("r"), 0, 0)})
 			l.after(10 * time.Millisecond)
 		}
