--- a/core/permits/permits.go
+++ b/core/permits/permits.go
@@ -159,7 +159,7 @@
 	pending      map[uint64]*pendingRequest
 	lastToken    uint64
 	backoffUntil map[string]clock.Instant // peers that did not answer, until when they are passed over
-	orders       map[orderKind]orderPermit
+	orderPermits map[orderKind]orderPermit
 	prepareDue   clock.Instant
 	views        []fleetView // of the fleet, one for each standEvery, the newest last
 }
@@ -190,7 +190,7 @@
 // New returns permits of which none was asked for.
 func New(n Deps) *Permits {
 	p := &Permits{
-		Deps: n, pending: map[uint64]*pendingRequest{}, backoffUntil: map[string]clock.Instant{}, orders: map[orderKind]orderPermit{},
+		Deps: n, pending: map[uint64]*pendingRequest{}, backoffUntil: map[string]clock.Instant{}, orderPermits: map[orderKind]orderPermit{},
 	}
 	p.coordinator = coordinator{p: p, buckets: map[Resource]*bucket{}}
 	return p
@@ -227,10 +227,10 @@
 		return true
 	}
 	kind := orderKind{engine, adapter}
-	o := p.orders[kind]
+	o := p.orderPermits[kind]
 	if o.life == r.Incarnation() {
 		if now.Before(o.until) {
-			delete(p.orders, kind)
+			delete(p.orderPermits, kind)
 			return true
 		}
 		if o.asked {
@@ -241,13 +241,13 @@
 	if adapter {
 		rank = adapterRank
 	}
-	p.orders[kind] = orderPermit{life: r.Incarnation(), asked: true}
+	p.orderPermits[kind] = orderPermit{life: r.Incarnation(), asked: true}
 	p.begin(now, &pendingRequest{request: requestOf(r, rank, maxOrderWait), order: kind})
-	o = p.orders[kind] // it may be at hand already
+	o = p.orderPermits[kind] // it may be at hand already
 	if !now.Before(o.until) {
 		return false
 	}
-	delete(p.orders, kind)
+	delete(p.orderPermits, kind)
 	return true
 }
 
@@ -322,12 +322,12 @@
 		p.Decided(now, a.call, a.request.Resource, v)
 		return
 	}
-	o := p.orders[a.order]
+	o := p.orderPermits[a.order]
 	o.asked = false
 	if v.Granted {
 		o.until = now.Add(permitTTL)
 	}
-	p.orders[a.order] = o
+	p.orderPermits[a.order] = o
 }
 
 // Release returns a permit that is not used.
@@ -371,9 +371,9 @@
 		p.coordinator.prepareBuckets(now)
 	}
 	p.coordinator.tick(now)
-	for kind, o := range p.orders {
+	for kind, o := range p.orderPermits {
 		if !o.asked && !now.Before(o.until) {
-			delete(p.orders, kind)
+			delete(p.orderPermits, kind)
 		}
 	}
 }
