--- a/core/permits/permits.go
+++ b/core/permits/permits.go
@@ -182,9 +182,9 @@
 
 // An orderPermit is what an engine's owner has or asked for.
 type orderPermit struct {
-	life  pool.Incarnation
-	asked bool
-	until clock.Instant // until when the permit at hand may be used; zero: none is at hand
+	incarnation pool.Incarnation
+	asked       bool
+	until       clock.Instant // until when the permit at hand may be used; zero: none is at hand
 }
 
 // New returns permits of which none was asked for.
@@ -228,7 +228,7 @@
 	}
 	kind := orderKind{engine, adapter}
 	o := p.orderPermits[kind]
-	if o.life == r.Incarnation() {
+	if o.incarnation == r.Incarnation() {
 		if now.Before(o.until) {
 			delete(p.orderPermits, kind)
 			return true
@@ -241,7 +241,7 @@
 	if adapter {
 		rank = adapterRank
 	}
-	p.orderPermits[kind] = orderPermit{life: r.Incarnation(), asked: true}
+	p.orderPermits[kind] = orderPermit{incarnation: r.Incarnation(), asked: true}
 	p.begin(now, &pendingRequest{request: requestOf(r, rank, maxOrderWait), order: kind})
 	o = p.orderPermits[kind] // it may be at hand already
 	if !now.Before(o.until) {
