--- a/core/permits/permits.go
+++ b/core/permits/permits.go
@@ -183,7 +183,7 @@
 // An orderPermit is what an engine's owner has or asked for.
 type orderPermit struct {
 	incarnation pool.Incarnation
-	asked       bool
+	pending     bool
 	until       clock.Instant // until when the permit at hand may be used; zero: none is at hand
 }
 
@@ -233,7 +233,7 @@
 			delete(p.orderPermits, kind)
 			return true
 		}
-		if o.asked {
+		if o.pending {
 			return false
 		}
 	}
@@ -241,7 +241,7 @@
 	if adapter {
 		rank = adapterRank
 	}
-	p.orderPermits[kind] = orderPermit{incarnation: r.Incarnation(), asked: true}
+	p.orderPermits[kind] = orderPermit{incarnation: r.Incarnation(), pending: true}
 	p.begin(now, &pendingRequest{request: requestOf(r, rank, maxOrderWait), order: kind})
 	o = p.orderPermits[kind] // it may be at hand already
 	if !now.Before(o.until) {
@@ -323,7 +323,7 @@
 		return
 	}
 	o := p.orderPermits[a.order]
-	o.asked = false
+	o.pending = false
 	if v.Granted {
 		o.until = now.Add(permitTTL)
 	}
@@ -372,7 +372,7 @@
 	}
 	p.coordinator.tick(now)
 	for kind, o := range p.orderPermits {
-		if !o.asked && !now.Before(o.until) {
+		if !o.pending && !now.Before(o.until) {
 			delete(p.orderPermits, kind)
 		}
 	}
