--- a/core/permits/permits.go
+++ b/core/permits/permits.go
@@ -184,7 +184,7 @@
 type orderPermit struct {
 	incarnation pool.Incarnation
 	pending     bool
-	until       clock.Instant // until when the permit at hand may be used; zero: none is at hand
+	validUntil  clock.Instant // until when the permit at hand may be used; zero: none is at hand
 }
 
 // New returns permits of which none was asked for.
@@ -229,7 +229,7 @@
 	kind := orderKind{engine, adapter}
 	o := p.orderPermits[kind]
 	if o.incarnation == r.Incarnation() {
-		if now.Before(o.until) {
+		if now.Before(o.validUntil) {
 			delete(p.orderPermits, kind)
 			return true
 		}
@@ -244,7 +244,7 @@
 	p.orderPermits[kind] = orderPermit{incarnation: r.Incarnation(), pending: true}
 	p.begin(now, &pendingRequest{request: requestOf(r, rank, maxOrderWait), order: kind})
 	o = p.orderPermits[kind] // it may be at hand already
-	if !now.Before(o.until) {
+	if !now.Before(o.validUntil) {
 		return false
 	}
 	delete(p.orderPermits, kind)
@@ -325,7 +325,7 @@
 	o := p.orderPermits[a.order]
 	o.pending = false
 	if v.Granted {
-		o.until = now.Add(permitTTL)
+		o.validUntil = now.Add(permitTTL)
 	}
 	p.orderPermits[a.order] = o
 }
@@ -372,7 +372,7 @@
 	}
 	p.coordinator.tick(now)
 	for kind, o := range p.orderPermits {
-		if !o.pending && !now.Before(o.until) {
+		if !o.pending && !now.Before(o.validUntil) {
 			delete(p.orderPermits, kind)
 		}
 	}
