--- a/core/permits/permits.go
+++ b/core/permits/permits.go
@@ -169,7 +169,7 @@
 	request Request
 	call    calls.ID  // 0: for orders
 	order   orderKind // else the zero value
-	sent    clock.Instant
+	sentAt  clock.Instant
 	peer    string // "" while this instance asks itself
 	peers   int    // that were asked before
 }
@@ -256,7 +256,7 @@
 	p.lastToken++
 	token := p.lastToken
 	p.pending[token] = a
-	a.sent = now
+	a.sentAt = now
 	a.peer = p.choose(now, a)
 	if a.peer == "" {
 		p.coordinator.admit(now, queuedRequest{localToken: token, request: a.request})
@@ -302,7 +302,7 @@
 // again asks another instance, unless nobody waits for that: a call that another replica can
 // serve goes there.
 func (p *Permits) again(now clock.Instant, a *pendingRequest) {
-	a.request.Wait -= now.Since(a.sent)
+	a.request.Wait -= now.Since(a.sentAt)
 	if a.request.Wait <= 0 {
 		p.decide(now, a, Decision{Turn: peerBackoff, After: peerBackoff})
 		return
@@ -314,7 +314,7 @@
 // decide passes on what came of a request. A permit that was long on its way, since this
 // instance slept for instance, is void.
 func (p *Permits) decide(now clock.Instant, a *pendingRequest, v Decision) {
-	v.Granted = v.Granted && now.MaxElapsed(a.sent)-v.Held < permitTTL
+	v.Granted = v.Granted && now.MaxElapsed(a.sentAt)-v.Held < permitTTL
 	if r := p.Pool.Get(a.request.Replica.Name); r != nil {
 		r.SetNextSend(now.Add(v.Turn))
 	}
