--- a/core/permits/permits.go
+++ b/core/permits/permits.go
@@ -166,12 +166,12 @@
 
 // An pendingRequest is a request for a permit that is under way.
 type pendingRequest struct {
-	request Request
-	call    calls.ID  // 0: for orders
-	order   orderKind // else the zero value
-	sentAt  clock.Instant
-	peer    string // "" while this instance asks itself
-	peers   int    // that were asked before
+	request  Request
+	call     calls.ID  // 0: for orders
+	order    orderKind // else the zero value
+	sentAt   clock.Instant
+	peer     string // "" while this instance asks itself
+	attempts int    // that were asked before
 }
 
 // An orderKind is an engine's orders of one rank.
@@ -273,7 +273,7 @@
 
 // choose returns the peer to ask, "" for this instance itself.
 func (p *Permits) choose(now clock.Instant, a *pendingRequest) string {
-	if a.peers >= maxPeerAttempts {
+	if a.attempts >= maxPeerAttempts {
 		return ""
 	}
 	if first := p.coordinatorFor(now, a.request); first != p.Self.Name {
@@ -307,7 +307,7 @@
 		p.decide(now, a, Decision{Turn: peerBackoff, After: peerBackoff})
 		return
 	}
-	a.peers++
+	a.attempts++
 	p.begin(now, a)
 }
 
