--- a/core/permits/permits.go
+++ b/core/permits/permits.go
@@ -201,7 +201,7 @@
 func (p *Permits) RequestForCall(now clock.Instant, r *pool.Replica, call calls.ID, rank int, wait time.Duration, alone bool) {
 	request := requestOf(r, rank, wait)
 	request.Alone = alone
-	p.begin(now, &pendingRequest{request: request, call: call})
+	p.dispatch(now, &pendingRequest{request: request, call: call})
 }
 
 func requestOf(r *pool.Replica, rank int, wait time.Duration) Request {
@@ -212,7 +212,7 @@
 // the outcome, perhaps before RequestForRetry returns.
 func (p *Permits) RequestForRetry(now clock.Instant, service string, call calls.ID, rank int, wait time.Duration) {
 	request := Request{Resource: Resource{Service: service}, Rank: rank, Wait: max(0, wait)}
-	p.begin(now, &pendingRequest{request: request, call: call})
+	p.dispatch(now, &pendingRequest{request: request, call: call})
 }
 
 // TryAcquireForOrder reports whether an order may be sent to an engine now, for an adapter or for a
@@ -242,7 +242,7 @@
 		rank = adapterRank
 	}
 	p.orderPermits[kind] = orderPermit{incarnation: r.Incarnation(), pending: true}
-	p.begin(now, &pendingRequest{request: requestOf(r, rank, maxOrderWait), order: kind})
+	p.dispatch(now, &pendingRequest{request: requestOf(r, rank, maxOrderWait), order: kind})
 	o = p.orderPermits[kind] // it may be at hand already
 	if !now.Before(o.validUntil) {
 		return false
@@ -251,8 +251,8 @@
 	return true
 }
 
-// begin sends a request to the replica's coordinator, or takes it in here.
-func (p *Permits) begin(now clock.Instant, a *pendingRequest) {
+// dispatch sends a request to the replica's coordinator, or takes it in here.
+func (p *Permits) dispatch(now clock.Instant, a *pendingRequest) {
 	p.lastToken++
 	token := p.lastToken
 	p.pending[token] = a
@@ -308,7 +308,7 @@
 		return
 	}
 	a.attempts++
-	p.begin(now, a)
+	p.dispatch(now, a)
 }
 
 // decide passes on what came of a request. A permit that was long on its way, since this
