--- a/core/permits/permits.go
+++ b/core/permits/permits.go
@@ -257,7 +257,7 @@
 	token := p.lastToken
 	p.pending[token] = a
 	a.sentAt = now
-	a.peer = p.choose(now, a)
+	a.peer = p.choosePeer(now, a)
 	if a.peer == "" {
 		p.coordinator.admit(now, queuedRequest{localToken: token, request: a.request})
 		return
@@ -271,8 +271,8 @@
 	p.Out.Emit(SendRequest{Token: token, Peer: peer, Address: p.Members.Get(peer).Address, Request: r})
 }
 
-// choose returns the peer to ask, "" for this instance itself.
-func (p *Permits) choose(now clock.Instant, a *pendingRequest) string {
+// choosePeer returns the peer to ask, "" for this instance itself.
+func (p *Permits) choosePeer(now clock.Instant, a *pendingRequest) string {
 	if a.attempts >= maxPeerAttempts {
 		return ""
 	}
