--- a/core/permits/permits.go
+++ b/core/permits/permits.go
@@ -292,16 +292,16 @@
 	if e.Err != nil {
 		p.Out.Log(logevent.PermitFailed, "for", a.request.Resource.String(), "peer", a.peer, "error", e.Err.Error())
 		p.backoffUntil[a.peer] = now.Add(peerBackoff)
-		p.again(now, a)
+		p.retry(now, a)
 		return
 	}
 	p.told(now, a.peer, a.request.Replica, e.Verdict.Word)
 	p.decide(now, a, e.Verdict)
 }
 
-// again asks another instance, unless nobody waits for that: a call that another replica can
+// retry asks another instance, unless nobody waits for that: a call that another replica can
 // serve goes there.
-func (p *Permits) again(now clock.Instant, a *pendingRequest) {
+func (p *Permits) retry(now clock.Instant, a *pendingRequest) {
 	a.request.Wait -= now.Since(a.sentAt)
 	if a.request.Wait <= 0 {
 		p.decide(now, a, Decision{Turn: peerBackoff, After: peerBackoff})
