--- a/core/permits/coordinator.go
+++ b/core/permits/coordinator.go
@@ -336,7 +336,7 @@
 	}
 	if a := c.p.pending[w.localToken]; a != nil {
 		delete(c.p.pending, w.localToken)
-		c.p.decide(now, a, v)
+		c.p.deliver(now, a, v)
 	}
 }
 
--- a/core/permits/permits.go
+++ b/core/permits/permits.go
@@ -296,7 +296,7 @@
 		return
 	}
 	p.told(now, a.peer, a.request.Replica, e.Verdict.Word)
-	p.decide(now, a, e.Verdict)
+	p.deliver(now, a, e.Verdict)
 }
 
 // retry asks another instance, unless nobody waits for that: a call that another replica can
@@ -304,16 +304,16 @@
 func (p *Permits) retry(now clock.Instant, a *pendingRequest) {
 	a.request.Wait -= now.Since(a.sentAt)
 	if a.request.Wait <= 0 {
-		p.decide(now, a, Decision{Turn: peerBackoff, After: peerBackoff})
+		p.deliver(now, a, Decision{Turn: peerBackoff, After: peerBackoff})
 		return
 	}
 	a.attempts++
 	p.dispatch(now, a)
 }
 
-// decide passes on what came of a request. A permit that was long on its way, since this
+// deliver passes on what came of a request. A permit that was long on its way, since this
 // instance slept for instance, is void.
-func (p *Permits) decide(now clock.Instant, a *pendingRequest, v Decision) {
+func (p *Permits) deliver(now clock.Instant, a *pendingRequest, v Decision) {
 	v.Granted = v.Granted && now.MaxElapsed(a.sentAt)-v.Held < permitTTL
 	if r := p.Pool.Get(a.request.Replica.Name); r != nil {
 		r.SetNextSend(now.Add(v.Turn))
