--- a/core/permits/permits.go
+++ b/core/permits/permits.go
@@ -295,7 +295,7 @@
 		p.retry(now, a)
 		return
 	}
-	p.told(now, a.peer, a.request.Replica, e.Verdict.Word)
+	p.observeLimit(now, a.peer, a.request.Replica, e.Verdict.Word)
 	p.deliver(now, a, e.Verdict)
 }
 
@@ -344,8 +344,8 @@
 	p.send(now, 0, first, request)
 }
 
-// told takes in what a peer knows of a replica's limit, if it knows of one.
-func (p *Permits) told(now clock.Instant, from string, life pool.Incarnation, w pool.LimitReport) {
+// observeLimit takes in what a peer knows of a replica's limit, if it knows of one.
+func (p *Permits) observeLimit(now clock.Instant, from string, life pool.Incarnation, w pool.LimitReport) {
 	if !w.IsZero() {
 		w.EventTime = w.FromWire(now)
 		p.Told(now, from, life, w)
@@ -354,7 +354,7 @@
 
 // HandleRequest takes in a peer's request.
 func (p *Permits) HandleRequest(now clock.Instant, e RequestReceived) {
-	p.told(now, e.From, e.Request.Replica, e.Request.Word)
+	p.observeLimit(now, e.From, e.Request.Replica, e.Request.Word)
 	if e.Request.Unused {
 		p.coordinator.release(now, e.Request.Resource)
 		p.Out.Emit(SendReply{Token: e.Token})
