--- a/core/permits/coordinator.go
+++ b/core/permits/coordinator.go
@@ -247,7 +247,7 @@
 	}
 	for _, r := range c.p.Pool.All() {
 		if _, limited := r.RateLimit(now); limited {
-			c.prepareBucket(now, requestOf(r, 0, 0))
+			c.prepareBucket(now, replicaRequest(r, 0, 0))
 		}
 	}
 }
--- a/core/permits/permits.go
+++ b/core/permits/permits.go
@@ -199,12 +199,12 @@
 // RequestForCall asks for a permit to send a call to a replica, within wait; alone says that nothing
 // else can serve it. Decided is told of the outcome, perhaps before RequestForCall returns.
 func (p *Permits) RequestForCall(now clock.Instant, r *pool.Replica, call calls.ID, rank int, wait time.Duration, alone bool) {
-	request := requestOf(r, rank, wait)
+	request := replicaRequest(r, rank, wait)
 	request.Alone = alone
 	p.dispatch(now, &pendingRequest{request: request, call: call})
 }
 
-func requestOf(r *pool.Replica, rank int, wait time.Duration) Request {
+func replicaRequest(r *pool.Replica, rank int, wait time.Duration) Request {
 	return Request{Resource: Resource{Replica: r.Incarnation()}, Zone: r.Zone, Rank: min(rank, adapterRank), Wait: max(0, wait), Word: r.LimitReport()}
 }
 
@@ -242,7 +242,7 @@
 		rank = adapterRank
 	}
 	p.orderPermits[kind] = orderPermit{incarnation: r.Incarnation(), pending: true}
-	p.dispatch(now, &pendingRequest{request: requestOf(r, rank, maxOrderWait), order: kind})
+	p.dispatch(now, &pendingRequest{request: replicaRequest(r, rank, maxOrderWait), order: kind})
 	o = p.orderPermits[kind] // it may be at hand already
 	if !now.Before(o.validUntil) {
 		return false
--- a/core/permits/permits_test.go
+++ b/core/permits/permits_test.go
@@ -171,7 +171,7 @@
 		for end := l.now.Add(span); l.now.Before(end); {
 			token := l.lastToken + 1
 			l.lastToken = token
-			l.HandleRequest(l.now, RequestReceived{Token: token, From: "x", Request: requestOf(l.Pool.Get("r"), 0, 0)})
+			l.HandleRequest(l.now, RequestReceived{Token: token, From: "x", Request: replicaRequest(l.Pool.Get("r"), 0, 0)})
 			l.after(10 * time.Millisecond)
 		}
 		n := 0
@@ -197,7 +197,7 @@
 	is.True(n >= 12 && n <= 15)
 
 	l = newLab(10, map[string]string{"another": "z"})
-	for l.coordinatorFor(l.now, requestOf(l.Pool.Get("r"), 0, 0)) == "self" { // until another is the first
+	for l.coordinatorFor(l.now, replicaRequest(l.Pool.Get("r"), 0, 0)) == "self" { // until another is the first
 		name := fmt.Sprintf("another%d", l.Members.Size())
 		l.Instances()[name] = registry.Instance{Name: name, Zone: "z"}
 		l.Members.Upsert(name, "z", name)
@@ -438,7 +438,7 @@
 // begun, or slept, gives out less for a while.
 func TestWhoWasTheFirstBeforeALimitWasNamed(t *testing.T) {
 	part := func(l *lab) float64 {
-		r := requestOf(l.Pool.Get("r"), 0, 0)
+		r := replicaRequest(l.Pool.Get("r"), 0, 0)
 		s, _ := l.coordinator.quota(l.now, r)
 		return l.coordinator.ownQuota(l.now, l.coordinator.bucket(l.now, r, s), s).rate
 	}
