--- a/core/permits/permits_test.go
+++ b/core/permits/permits_test.go
@@ -25,8 +25,8 @@
 	Decision
 }
 
-// A lab is one instance's permits before a replica that a test speaks for.
-type lab struct {
+// A fixture is one instance's permits before a replica that a test speaks for.
+type fixture struct {
 	*Permits
 	decided []decision
 	told    []pool.LimitReport
@@ -35,8 +35,8 @@
 
 // newLab returns the permits of the instance "self" of zone z among others, by name and
 // zone, before a replica of zone z that names a limit.
-func newLab(perSecond float64, others map[string]string) *lab {
-	l := &lab{now: start}
+func newLab(perSecond float64, others map[string]string) *fixture {
+	l := &fixture{now: start}
 	instances := map[string]registry.Instance{"self": {Name: "self", Zone: "z"}}
 	state := shared.New(member.Identity{Name: "self", Zone: "z"}, option.Default(), 1)
 	for name, zone := range others {
@@ -61,12 +61,12 @@
 }
 
 // limit has the replica name a limit.
-func (l *lab) limit(perSecond float64) {
+func (l *fixture) limit(perSecond float64) {
 	l.Pool.ObserveLimit(l.now, "r", l.now, pool.RateLimit{Named: true, PerSecond: perSecond}, "self")
 }
 
 // after lets time go by, in ticks.
-func (l *lab) after(span time.Duration) {
+func (l *fixture) after(span time.Duration) {
 	for end := l.now.Add(span); l.now.Before(end); {
 		l.now = l.now.Add(10 * time.Millisecond)
 		l.Tick(l.now)
@@ -74,7 +74,7 @@
 }
 
 // settle has this instance have been the first for long enough to give out the whole.
-func (l *lab) settle() {
+func (l *fixture) settle() {
 	for range 10 {
 		l.ask(99, 0, 0)
 		l.after(500 * time.Millisecond)
@@ -82,12 +82,12 @@
 	l.decided = nil
 }
 
-func (l *lab) ask(call calls.ID, rank int, wait time.Duration) {
+func (l *fixture) ask(call calls.ID, rank int, wait time.Duration) {
 	l.RequestForCall(l.now, l.Pool.Get("r"), call, rank, wait, wait > 0)
 }
 
 // granted returns the calls that were granted a permit, in order.
-func (l *lab) granted() []calls.ID {
+func (l *fixture) granted() []calls.ID {
 	var out []calls.ID
 	for _, d := range l.decided {
 		if d.Granted {
@@ -98,7 +98,7 @@
 }
 
 // sent returns the questions that were sent to peers since the last look.
-func (l *lab) sent() []SendRequest {
+func (l *fixture) sent() []SendRequest {
 	var out []SendRequest
 	for _, a := range l.Out.Actions() {
 		if ask, ok := a.(SendRequest); ok {
@@ -166,7 +166,7 @@
 // a while, gives out three tenths of the limit, so that two never give out more than one and a
 // half times the limit.
 func TestLessIsGivenOutBesideAnother(t *testing.T) {
-	given := func(l *lab, span time.Duration) int {
+	given := func(l *fixture, span time.Duration) int {
 		l.decided = nil
 		for end := l.now.Add(span); l.now.Before(end); {
 			token := l.lastToken + 1
@@ -437,12 +437,12 @@
 // TestWhoWasTheFirstBeforeALimitWasNamed: it gives out the whole at once; one that has just
 // begun, or slept, gives out less for a while.
 func TestWhoWasTheFirstBeforeALimitWasNamed(t *testing.T) {
-	part := func(l *lab) float64 {
+	part := func(l *fixture) float64 {
 		r := replicaRequest(l.Pool.Get("r"), 0, 0)
 		s, _ := l.coordinator.quota(l.now, r)
 		return l.coordinator.ownQuota(l.now, l.coordinator.bucket(l.now, r, s), s).rate
 	}
-	unnamed := func() *lab {
+	unnamed := func() *fixture {
 		l := newLab(10, nil)
 		l.Pool.Announce(l.now, "r", pool.Announcement{Service: "s", Address: "r", Zone: "z", Born: "2"})
 		return l
