--- a/core/permits/permits_test.go
+++ b/core/permits/permits_test.go
@@ -33,9 +33,9 @@
 	now     clock.Instant
 }
 
-// newLab returns the permits of the instance "self" of zone z among others, by name and
+// newFixture returns the permits of the instance "self" of zone z among others, by name and
 // zone, before a replica of zone z that names a limit.
-func newLab(perSecond float64, others map[string]string) *fixture {
+func newFixture(perSecond float64, others map[string]string) *fixture {
 	l := &fixture{now: start}
 	instances := map[string]registry.Instance{"self": {Name: "self", Zone: "z"}}
 	state := shared.New(member.Identity{Name: "self", Zone: "z"}, option.Default(), 1)
@@ -114,7 +114,7 @@
 // fast as the replica takes requests.
 func TestWhoWaitsForAPermit(t *testing.T) {
 	is := is.New(t)
-	l := newLab(2, nil)
+	l := newFixture(2, nil)
 	l.settle()
 	l.after(time.Second)
 	l.ask(98, 0, 0) // of the two that piled up
@@ -141,7 +141,7 @@
 // ones came is turned away when that time is over.
 func TestUrgentRequestsPushOthersBack(t *testing.T) {
 	is := is.New(t)
-	l := newLab(1, nil)
+	l := newFixture(1, nil)
 	l.settle()
 	l.ask(98, 0, 0) // what is there
 	l.decided = nil
@@ -184,7 +184,7 @@
 		return n
 	}
 	is := is.New(t)
-	l := newLab(10, nil)
+	l := newFixture(10, nil)
 	n := given(l, probationPeriod)
 	is.True(n >= 12 && n <= 13) // it has just begun
 	n = given(l, probationPeriod)
@@ -196,7 +196,7 @@
 	n = given(l, probationPeriod)
 	is.True(n >= 12 && n <= 15)
 
-	l = newLab(10, map[string]string{"another": "z"})
+	l = newFixture(10, map[string]string{"another": "z"})
 	for l.coordinatorFor(l.now, replicaRequest(l.Pool.Get("r"), 0, 0)) == "self" { // until another is the first
 		name := fmt.Sprintf("another%d", l.Members.Size())
 		l.Instances()[name] = registry.Instance{Name: name, Zone: "z"}
@@ -211,7 +211,7 @@
 // is not given out here, as long as they have a record.
 func TestThePartOfThoseThatAreSilentStays(t *testing.T) {
 	is := is.New(t)
-	l := newLab(8, map[string]string{"a": "y", "b": "y", "c": "y"})
+	l := newFixture(8, map[string]string{"a": "y", "b": "y", "c": "y"})
 	is.Equal(l.reachableShare(l.now), 1.0)
 	for _, name := range []string{"a", "b", "c"} {
 		l.Members.MarkFailed(l.now, name)
@@ -230,7 +230,7 @@
 func TestWhoGivesOutPermits(t *testing.T) {
 	is := is.New(t)
 	others := map[string]string{"far1": "y", "far2": "y", "near1": "z", "near2": "z"}
-	l := newLab(1, others)
+	l := newFixture(1, others)
 	first := func(r pool.Incarnation) string {
 		return l.coordinatorFor(l.now, Request{Resource: Resource{Replica: r}, Zone: "z"})
 	}
@@ -263,7 +263,7 @@
 	}
 	noAnswer := errors.New("no answer")
 	is := is.New(t)
-	l := newLab(1, others)
+	l := newFixture(1, others)
 	l.Permits.Self.Zone = "z"
 	l.ask(1, 0, time.Second)
 	asked := l.sent()
@@ -306,7 +306,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			l := newLab(1, map[string]string{"a": "z"})
+			l := newFixture(1, map[string]string{"a": "z"})
 			l.Permits.Stopping = func() bool { return true } // so that the other is asked
 			l.ask(1, 0, 5*time.Second)
 			asked := l.sent()
@@ -321,7 +321,7 @@
 // that is not used in time is none. Where the replica names no limit, none is needed.
 func TestOrdersTakePermits(t *testing.T) {
 	is := is.New(t)
-	l := newLab(1, nil)
+	l := newFixture(1, nil)
 	is.True(l.TryAcquireForOrder(l.now, "nobody", false))
 	is.True(l.TryAcquireForOrder(l.now, "r", false)) // the token that a bucket begins with
 	is.True(!l.TryAcquireForOrder(l.now, "r", false))
@@ -331,7 +331,7 @@
 	is.True(l.TryAcquireForOrder(l.now, "r", false))
 	is.True(!l.TryAcquireForOrder(l.now, "r", false))
 
-	l = newLab(1, nil)
+	l = newFixture(1, nil)
 	is.True(l.TryAcquireForOrder(l.now, "r", false))
 	is.True(!l.TryAcquireForOrder(l.now, "r", false))
 	l.after(3400*time.Millisecond + permitTTL) // it was there, and was not used
@@ -343,7 +343,7 @@
 // TestPermitsComeBack: one that is not used goes to who waits, here and at a peer.
 func TestPermitsComeBack(t *testing.T) {
 	is := is.New(t)
-	l := newLab(1, nil)
+	l := newFixture(1, nil)
 	l.ask(1, 0, 0)
 	l.ask(2, 0, time.Minute)
 	is.Equal(l.granted(), []calls.ID{1})
@@ -353,7 +353,7 @@
 	l.ask(3, 0, 0)
 	is.Equal(len(l.granted()), 2)
 
-	l = newLab(1, map[string]string{"a": "z"})
+	l = newFixture(1, map[string]string{"a": "z"})
 	l.Permits.Stopping = func() bool { return true }
 	l.Release(l.now, Resource{Replica: life})
 	asked := l.sent()
@@ -365,7 +365,7 @@
 // and a limit that rises is given out at once.
 func TestAnEndedLimitHoldsNothingBack(t *testing.T) {
 	is := is.New(t)
-	l := newLab(0, nil)
+	l := newFixture(0, nil)
 	l.settle()
 	for id := range calls.ID(20) {
 		l.ask(id+1, 0, time.Hour)
@@ -386,7 +386,7 @@
 // once.
 func TestRepeatsAreSharedByTheFleet(t *testing.T) {
 	is := is.New(t)
-	l := newLab(1, nil)
+	l := newFixture(1, nil)
 	var granted []clock.Instant
 	for i := range 6000 {
 		l.decided = nil
@@ -413,7 +413,7 @@
 // permits are short others come first; orders on models and questions come before all.
 func TestOrdersForAdaptersComeAfterCalls(t *testing.T) {
 	is := is.New(t)
-	l := newLab(1, nil)
+	l := newFixture(1, nil)
 	l.settle()
 	for l.TryAcquireForOrder(l.now, "r", false) { // what is there
 	}
@@ -443,7 +443,7 @@
 		return l.coordinator.ownQuota(l.now, l.coordinator.bucket(l.now, r, s), s).rate
 	}
 	unnamed := func() *fixture {
-		l := newLab(10, nil)
+		l := newFixture(10, nil)
 		l.Pool.Announce(l.now, "r", pool.Announcement{Service: "s", Address: "r", Zone: "z", Born: "2"})
 		return l
 	}
