--- a/core/permits/permits_test.go
+++ b/core/permits/permits_test.go
@@ -65,8 +65,8 @@
 	l.Pool.ObserveLimit(l.now, "r", l.now, pool.RateLimit{Named: true, PerSecond: perSecond}, "self")
 }
 
-// after lets time go by, in ticks.
-func (l *fixture) after(span time.Duration) {
+// advance lets time go by, in ticks.
+func (l *fixture) advance(span time.Duration) {
 	for end := l.now.Add(span); l.now.Before(end); {
 		l.now = l.now.Add(10 * time.Millisecond)
 		l.Tick(l.now)
@@ -77,7 +77,7 @@
 func (l *fixture) settle() {
 	for range 10 {
 		l.ask(99, 0, 0)
-		l.after(500 * time.Millisecond)
+		l.advance(500 * time.Millisecond)
 	}
 	l.decided = nil
 }
@@ -116,7 +116,7 @@
 	is := is.New(t)
 	l := newFixture(2, nil)
 	l.settle()
-	l.after(time.Second)
+	l.advance(time.Second)
 	l.ask(98, 0, 0) // of the two that piled up
 	l.decided = nil
 	l.ask(1, 1, time.Minute)
@@ -133,7 +133,7 @@
 	is.Equal(first.Turn, 2*time.Second)
 	is.Equal(first.After, 2500*time.Millisecond)
 	is.Equal(second.After, 3*time.Second)
-	l.after(3 * time.Second)
+	l.advance(3 * time.Second)
 	is.Equal(l.granted(), []calls.ID{1, 5, 2, 4, 3})
 }
 
@@ -150,7 +150,7 @@
 	for id := range calls.ID(4) {
 		l.ask(10+id, 0, time.Minute)
 	}
-	l.after(6 * time.Second)
+	l.advance(6 * time.Second)
 	is.Equal(l.granted()[:4], []calls.ID{10, 11, 12, 13})
 	turned := map[calls.ID]time.Duration{}
 	for _, d := range l.decided {
@@ -172,7 +172,7 @@
 			token := l.lastToken + 1
 			l.lastToken = token
 			l.HandleRequest(l.now, RequestReceived{Token: token, From: "x", Request: replicaRequest(l.Pool.Get("r"), 0, 0)})
-			l.after(10 * time.Millisecond)
+			l.advance(10 * time.Millisecond)
 		}
 		n := 0
 		for _, a := range l.Out.Actions() {
@@ -189,7 +189,7 @@
 	is.True(n >= 12 && n <= 13) // it has just begun
 	n = given(l, probationPeriod)
 	is.True(n >= 38 && n <= 42)
-	l.after(2 * probationPeriod) // nobody asked it, and it was the first all the same
+	l.advance(2 * probationPeriod) // nobody asked it, and it was the first all the same
 	n = given(l, probationPeriod)
 	is.True(n >= 38 && n <= 44)
 	l.now = l.now.Add(probationPeriod + time.Second) // it slept; another may have been asked
@@ -326,7 +326,7 @@
 	is.True(l.TryAcquireForOrder(l.now, "r", false)) // the token that a bucket begins with
 	is.True(!l.TryAcquireForOrder(l.now, "r", false))
 	l.ask(1, 0, time.Minute)
-	l.after(3500 * time.Millisecond) // three tenths of the limit at first
+	l.advance(3500 * time.Millisecond) // three tenths of the limit at first
 	is.Equal(len(l.granted()), 0)
 	is.True(l.TryAcquireForOrder(l.now, "r", false))
 	is.True(!l.TryAcquireForOrder(l.now, "r", false))
@@ -334,7 +334,7 @@
 	l = newFixture(1, nil)
 	is.True(l.TryAcquireForOrder(l.now, "r", false))
 	is.True(!l.TryAcquireForOrder(l.now, "r", false))
-	l.after(3400*time.Millisecond + permitTTL) // it was there, and was not used
+	l.advance(3400*time.Millisecond + permitTTL) // it was there, and was not used
 	is.True(!l.TryAcquireForOrder(l.now, "r", false))
 	l.Pool.Announce(l.now, "r", pool.Announcement{Service: "s", Address: "r", Zone: "z", Born: "2"})
 	is.True(l.TryAcquireForOrder(l.now, "r", false)) // another life named none
@@ -370,14 +370,14 @@
 	for id := range calls.ID(20) {
 		l.ask(id+1, 0, time.Hour)
 	}
-	l.after(time.Second)
+	l.advance(time.Second)
 	is.True(len(l.granted()) <= 1)
 	l.limit(100)
-	l.after(100 * time.Millisecond)
+	l.advance(100 * time.Millisecond)
 	n := len(l.granted())
 	is.True(n >= 5 && n <= 16)
 	l.limit(1e6)
-	l.after(10 * time.Millisecond)
+	l.advance(10 * time.Millisecond)
 	is.Equal(len(l.granted()), 20)
 }
 
@@ -399,9 +399,9 @@
 			granted = granted[1:]
 		}
 		is.True(len(granted) <= 20)
-		l.after(10 * time.Millisecond)
+		l.advance(10 * time.Millisecond)
 		if i%1500 == 0 && i < 4000 {
-			l.after(15 * time.Second) // nobody asks for a while
+			l.advance(15 * time.Second) // nobody asks for a while
 		}
 	}
 	is.True(len(granted) >= 9) // the part that comes in each span
@@ -421,7 +421,7 @@
 	l.ask(1, 3, time.Minute)
 	until := func(may func() bool) {
 		for end := l.now.Add(2 * time.Second); !may() && l.now.Before(end); {
-			l.after(10 * time.Millisecond)
+			l.advance(10 * time.Millisecond)
 		}
 	}
 	until(func() bool { return l.TryAcquireForOrder(l.now, "r", false) }) // the question's turn
@@ -449,15 +449,15 @@
 	}
 	is := is.New(t)
 	l := unnamed()
-	l.after(probationPeriod + time.Second)
+	l.advance(probationPeriod + time.Second)
 	l.limit(10)
 	is.Equal(part(l), 10.0)
 	l = unnamed()
-	l.after(time.Second)
+	l.advance(time.Second)
 	l.limit(10)
 	is.Equal(part(l), 10*probationShare)
 	l = unnamed()
-	l.after(probationPeriod + time.Second)
+	l.advance(probationPeriod + time.Second)
 	l.now = l.now.Add(probationPeriod + time.Second) // asleep
 	l.limit(10)
 	is.Equal(part(l), 10*probationShare)
