--- a/core/permits/permits_test.go
+++ b/core/permits/permits_test.go
@@ -56,12 +56,12 @@
 		},
 	})
 	l.Pool.Announce(start, "r", pool.Announcement{Service: "s", Address: "r", Zone: "z", Born: "1"})
-	l.limit(perSecond)
+	l.setLimit(perSecond)
 	return l
 }
 
-// limit has the replica name a limit.
-func (l *fixture) limit(perSecond float64) {
+// setLimit has the replica name a setLimit.
+func (l *fixture) setLimit(perSecond float64) {
 	l.Pool.ObserveLimit(l.now, "r", l.now, pool.RateLimit{Named: true, PerSecond: perSecond}, "self")
 }
 
@@ -372,11 +372,11 @@
 	}
 	l.advance(time.Second)
 	is.True(len(l.granted()) <= 1)
-	l.limit(100)
+	l.setLimit(100)
 	l.advance(100 * time.Millisecond)
 	n := len(l.granted())
 	is.True(n >= 5 && n <= 16)
-	l.limit(1e6)
+	l.setLimit(1e6)
 	l.advance(10 * time.Millisecond)
 	is.Equal(len(l.granted()), 20)
 }
@@ -450,15 +450,15 @@
 	is := is.New(t)
 	l := unnamed()
 	l.advance(probationPeriod + time.Second)
-	l.limit(10)
+	l.setLimit(10)
 	is.Equal(part(l), 10.0)
 	l = unnamed()
 	l.advance(time.Second)
-	l.limit(10)
+	l.setLimit(10)
 	is.Equal(part(l), 10*probationShare)
 	l = unnamed()
 	l.advance(probationPeriod + time.Second)
 	l.now = l.now.Add(probationPeriod + time.Second) // asleep
-	l.limit(10)
+	l.setLimit(10)
 	is.Equal(part(l), 10*probationShare)
 }
