--- a/core/permits/permits_test.go
+++ b/core/permits/permits_test.go
@@ -73,8 +73,8 @@
 	}
 }
 
-// settle has this instance have been the first for long enough to give out the whole.
-func (l *fixture) settle() {
+// endProbation has this instance have been the first for long enough to give out the whole.
+func (l *fixture) endProbation() {
 	for range 10 {
 		l.ask(99, 0, 0)
 		l.advance(500 * time.Millisecond)
@@ -115,7 +115,7 @@
 func TestWhoWaitsForAPermit(t *testing.T) {
 	is := is.New(t)
 	l := newFixture(2, nil)
-	l.settle()
+	l.endProbation()
 	l.advance(time.Second)
 	l.ask(98, 0, 0) // of the two that piled up
 	l.decided = nil
@@ -142,7 +142,7 @@
 func TestUrgentRequestsPushOthersBack(t *testing.T) {
 	is := is.New(t)
 	l := newFixture(1, nil)
-	l.settle()
+	l.endProbation()
 	l.ask(98, 0, 0) // what is there
 	l.decided = nil
 	l.ask(1, 1, time.Second)
@@ -366,7 +366,7 @@
 func TestAnEndedLimitHoldsNothingBack(t *testing.T) {
 	is := is.New(t)
 	l := newFixture(0, nil)
-	l.settle()
+	l.endProbation()
 	for id := range calls.ID(20) {
 		l.ask(id+1, 0, time.Hour)
 	}
@@ -414,7 +414,7 @@
 func TestOrdersForAdaptersComeAfterCalls(t *testing.T) {
 	is := is.New(t)
 	l := newFixture(1, nil)
-	l.settle()
+	l.endProbation()
 	for l.TryAcquireForOrder(l.now, "r", false) { // what is there
 	}
 	is.True(!l.TryAcquireForOrder(l.now, "r", true))
