--- a/core/permits/permits_test.go
+++ b/core/permits/permits_test.go
@@ -97,8 +97,8 @@
 	return out
 }
 
-// sent returns the questions that were sent to peers since the last look.
-func (l *fixture) sent() []SendRequest {
+// takeRequests returns the questions that were takeRequests to peers since the last look.
+func (l *fixture) takeRequests() []SendRequest {
 	var out []SendRequest
 	for _, a := range l.Out.Actions() {
 		if ask, ok := a.(SendRequest); ok {
@@ -266,12 +266,12 @@
 	l := newFixture(1, others)
 	l.Permits.Self.Zone = "z"
 	l.ask(1, 0, time.Second)
-	asked := l.sent()
+	asked := l.takeRequests()
 	is.Equal(len(asked), 1)
 	is.Equal(asked[0].Request.Word.By, "self")
 	l.now = l.now.Add(100 * time.Millisecond)
 	l.HandleReply(l.now, Reply{Token: asked[0].Token, Err: noAnswer})
-	again := l.sent()
+	again := l.takeRequests()
 	is.Equal(len(again), 1)
 	is.True(again[0].Peer != asked[0].Peer)
 	is.Equal(again[0].Request.Wait, 900*time.Millisecond)
@@ -279,13 +279,13 @@
 	is.Equal(len(l.decided), 0)
 	l.HandleReply(l.now, Reply{Token: again[0].Token, Err: noAnswer})
 	is.Equal(l.granted(), []calls.ID{1}) // by itself
-	is.Equal(len(l.sent()), 0)
+	is.Equal(len(l.takeRequests()), 0)
 
 	l.ask(2, 0, 0)
-	asked = l.sent()
+	asked = l.takeRequests()
 	is.Equal(len(asked), 1)
 	l.HandleReply(l.now, Reply{Token: asked[0].Token, Err: noAnswer})
-	is.Equal(len(l.sent()), 0)
+	is.Equal(len(l.takeRequests()), 0)
 	is.Equal(l.decided[1].Granted, false)
 }
 
@@ -309,7 +309,7 @@
 			l := newFixture(1, map[string]string{"a": "z"})
 			l.Permits.Stopping = func() bool { return true } // so that the other is asked
 			l.ask(1, 0, 5*time.Second)
-			asked := l.sent()
+			asked := l.takeRequests()
 			is.Equal(len(asked), 1)
 			l.HandleReply(l.now.Add(c.took), Reply{Token: asked[0].Token, Verdict: Decision{Granted: true, Held: c.held}})
 			is.Equal(l.decided[0].Granted, c.valid)
@@ -356,7 +356,7 @@
 	l = newFixture(1, map[string]string{"a": "z"})
 	l.Permits.Stopping = func() bool { return true }
 	l.Release(l.now, Resource{Replica: life})
-	asked := l.sent()
+	asked := l.takeRequests()
 	is.Equal(len(asked), 1)
 	is.True(asked[0].Request.Unused)
 }
