--- a/core/permits/permits_test.go
+++ b/core/permits/permits_test.go
@@ -28,9 +28,9 @@
 // A fixture is one instance's permits before a replica that a test speaks for.
 type fixture struct {
 	*Permits
-	decided []decision
-	told    []pool.LimitReport
-	now     clock.Instant
+	decisions []decision
+	told      []pool.LimitReport
+	now       clock.Instant
 }
 
 // newFixture returns the permits of the instance "self" of zone z among others, by name and
@@ -52,7 +52,7 @@
 		},
 		Repeats: func() (float64, time.Duration) { return 20, 10 * time.Second },
 		Decided: func(_ clock.Instant, call calls.ID, _ Resource, v Decision) {
-			l.decided = append(l.decided, decision{call, v})
+			l.decisions = append(l.decisions, decision{call, v})
 		},
 	})
 	l.Pool.Announce(start, "r", pool.Announcement{Service: "s", Address: "r", Zone: "z", Born: "1"})
@@ -79,7 +79,7 @@
 		l.ask(99, 0, 0)
 		l.advance(500 * time.Millisecond)
 	}
-	l.decided = nil
+	l.decisions = nil
 }
 
 func (l *fixture) ask(call calls.ID, rank int, wait time.Duration) {
@@ -89,7 +89,7 @@
 // granted returns the calls that were granted a permit, in order.
 func (l *fixture) granted() []calls.ID {
 	var out []calls.ID
-	for _, d := range l.decided {
+	for _, d := range l.decisions {
 		if d.Granted {
 			out = append(out, d.call)
 		}
@@ -118,7 +118,7 @@
 	l.endProbation()
 	l.advance(time.Second)
 	l.ask(98, 0, 0) // of the two that piled up
-	l.decided = nil
+	l.decisions = nil
 	l.ask(1, 1, time.Minute)
 	is.Equal(l.granted(), []calls.ID{1}) // nobody waits
 	l.ask(2, 1, time.Minute)
@@ -127,8 +127,8 @@
 	l.ask(5, 0, time.Minute)
 	l.ask(6, 1, 1900*time.Millisecond) // three go before it, so it would wait 2 s
 	l.ask(7, 1, 1900*time.Millisecond)
-	is.Equal(len(l.decided), 3)
-	first, second := l.decided[1], l.decided[2]
+	is.Equal(len(l.decisions), 3)
+	first, second := l.decisions[1], l.decisions[2]
 	is.True(!first.Granted && !second.Granted)
 	is.Equal(first.Turn, 2*time.Second)
 	is.Equal(first.After, 2500*time.Millisecond)
@@ -144,7 +144,7 @@
 	l := newFixture(1, nil)
 	l.endProbation()
 	l.ask(98, 0, 0) // what is there
-	l.decided = nil
+	l.decisions = nil
 	l.ask(1, 1, time.Second)
 	l.ask(2, 3, 2500*time.Millisecond)
 	for id := range calls.ID(4) {
@@ -153,7 +153,7 @@
 	l.advance(6 * time.Second)
 	is.Equal(l.granted()[:4], []calls.ID{10, 11, 12, 13})
 	turned := map[calls.ID]time.Duration{}
-	for _, d := range l.decided {
+	for _, d := range l.decisions {
 		if !d.Granted {
 			turned[d.call] = d.After
 		}
@@ -167,7 +167,7 @@
 // half times the limit.
 func TestLessIsGivenOutBesideAnother(t *testing.T) {
 	given := func(l *fixture, span time.Duration) int {
-		l.decided = nil
+		l.decisions = nil
 		for end := l.now.Add(span); l.now.Before(end); {
 			token := l.lastToken + 1
 			l.lastToken = token
@@ -276,7 +276,7 @@
 	is.True(again[0].Peer != asked[0].Peer)
 	is.Equal(again[0].Request.Wait, 900*time.Millisecond)
 	l.HandleReply(l.now, Reply{Token: asked[0].Token, Verdict: Decision{Granted: true}}) // too late
-	is.Equal(len(l.decided), 0)
+	is.Equal(len(l.decisions), 0)
 	l.HandleReply(l.now, Reply{Token: again[0].Token, Err: noAnswer})
 	is.Equal(l.granted(), []calls.ID{1}) // by itself
 	is.Equal(len(l.takeRequests()), 0)
@@ -286,7 +286,7 @@
 	is.Equal(len(asked), 1)
 	l.HandleReply(l.now, Reply{Token: asked[0].Token, Err: noAnswer})
 	is.Equal(len(l.takeRequests()), 0)
-	is.Equal(l.decided[1].Granted, false)
+	is.Equal(l.decisions[1].Granted, false)
 }
 
 // TestAPermitIsUsedAtOnceOrVoid: one that was long on its way, or comes to an instance that
@@ -312,7 +312,7 @@
 			asked := l.takeRequests()
 			is.Equal(len(asked), 1)
 			l.HandleReply(l.now.Add(c.took), Reply{Token: asked[0].Token, Verdict: Decision{Granted: true, Held: c.held}})
-			is.Equal(l.decided[0].Granted, c.valid)
+			is.Equal(l.decisions[0].Granted, c.valid)
 		})
 	}
 }
@@ -389,10 +389,10 @@
 	l := newFixture(1, nil)
 	var granted []clock.Instant
 	for i := range 6000 {
-		l.decided = nil
+		l.decisions = nil
 		l.RequestForRetry(l.now, "s", calls.ID(i+1), 0, 0)
-		is.Equal(len(l.decided), 1)
-		if l.decided[0].Granted {
+		is.Equal(len(l.decisions), 1)
+		if l.decisions[0].Granted {
 			granted = append(granted, l.now)
 		}
 		for len(granted) > 0 && l.now.Since(granted[0]) > 10*time.Second {
@@ -406,7 +406,7 @@
 	}
 	is.True(len(granted) >= 9) // the part that comes in each span
 	l.RequestForRetry(l.now.Add(time.Minute), "another", 1, 0, 0)
-	is.True(l.decided[len(l.decided)-1].Granted) // each service has its own
+	is.True(l.decisions[len(l.decisions)-1].Granted) // each service has its own
 }
 
 // TestOrdersForAdaptersComeAfterCalls: a call that needs one takes two permits, so where
