--- a/core/permits/permits_test.go
+++ b/core/permits/permits_test.go
@@ -29,7 +29,7 @@
 type fixture struct {
 	*Permits
 	decisions []decision
-	told      []pool.LimitReport
+	limits    []pool.LimitReport
 	now       clock.Instant
 }
 
@@ -48,7 +48,7 @@
 		Instances: func() map[string]registry.Instance { return instances },
 		Stopping:  func() bool { return false },
 		Told: func(_ clock.Instant, _ string, _ pool.Incarnation, w pool.LimitReport) {
-			l.told = append(l.told, w)
+			l.limits = append(l.limits, w)
 		},
 		Repeats: func() (float64, time.Duration) { return 20, 10 * time.Second },
 		Decided: func(_ clock.Instant, call calls.ID, _ Resource, v Decision) {
