--- a/core/permits/permits_test.go
+++ b/core/permits/permits_test.go
@@ -19,8 +19,8 @@
 
 var life = pool.Incarnation{Name: "r", Born: "1"}
 
-// A decision is what came of a call's request.
-type decision struct {
+// A callDecision is what came of a call's request.
+type callDecision struct {
 	call calls.ID
 	Decision
 }
@@ -28,7 +28,7 @@
 // A fixture is one instance's permits before a replica that a test speaks for.
 type fixture struct {
 	*Permits
-	decisions []decision
+	decisions []callDecision
 	limits    []pool.LimitReport
 	now       clock.Instant
 }
@@ -52,7 +52,7 @@
 		},
 		Repeats: func() (float64, time.Duration) { return 20, 10 * time.Second },
 		Decided: func(_ clock.Instant, call calls.ID, _ Resource, v Decision) {
-			l.decisions = append(l.decisions, decision{call, v})
+			l.decisions = append(l.decisions, callDecision{call, v})
 		},
 	})
 	l.Pool.Announce(start, "r", pool.Announcement{Service: "s", Address: "r", Zone: "z", Born: "1"})
