--- a/core/permits/permits_test.go
+++ b/core/permits/permits_test.go
@@ -17,7 +17,7 @@
 	"github.com/birchdrift/birchdrift/core/shared"
 )
 
-var life = pool.Incarnation{Name: "r", Born: "1"}
+var incarnation = pool.Incarnation{Name: "r", Born: "1"}
 
 // A callDecision is what came of a call's request.
 type callDecision struct {
@@ -242,16 +242,16 @@
 	for _, name := range []string{"self", "near1", "near2"} {
 		is.True(seen[name] > 50)
 	}
-	chosen := first(life)
+	chosen := first(incarnation)
 	is.Equal(first(pool.Incarnation{Name: "r", Born: "2"}), chosen) // whichever life it is in
 	for _, gone := range []string{"near1", "near2"} {
 		l.Members.MarkFailed(l.now, gone)
 	}
-	is.Equal(first(life), "self")
+	is.Equal(first(incarnation), "self")
 	l.Permits.Stopping = func() bool { return true }
-	is.Equal(others[first(life)], "y")
+	is.Equal(others[first(incarnation)], "y")
 	l.Instances()["far1"] = registry.Instance{Name: "far1", Zone: "y", Processor: 0.8}
-	is.Equal(first(life), "far1") // the larger share of a processor
+	is.Equal(first(incarnation), "far1") // the larger share of a processor
 }
 
 // TestASilentCoordinatorIsPassedOver: who can wait asks another instance, and at last this
@@ -347,7 +347,7 @@
 	l.ask(1, 0, 0)
 	l.ask(2, 0, time.Minute)
 	is.Equal(l.granted(), []calls.ID{1})
-	l.Release(l.now, Resource{Replica: life})
+	l.Release(l.now, Resource{Replica: incarnation})
 	is.Equal(l.granted(), []calls.ID{1, 2})
 	l.Release(l.now, Resource{Replica: pool.Incarnation{Name: "r", Born: "0"}}) // of a life before
 	l.ask(3, 0, 0)
@@ -355,7 +355,7 @@
 
 	l = newFixture(1, map[string]string{"a": "z"})
 	l.Permits.Stopping = func() bool { return true }
-	l.Release(l.now, Resource{Replica: life})
+	l.Release(l.now, Resource{Replica: incarnation})
 	asked := l.takeRequests()
 	is.Equal(len(asked), 1)
 	is.True(asked[0].Request.Unused)
