--- a/core/permits/permits_test.go
+++ b/core/permits/permits_test.go
@@ -109,10 +109,10 @@
 	return out
 }
 
-// TestWhoWaitsForAPermit: the more urgent first, in the order of arrival; who cannot wait
+// TestQueueOrder: the more urgent first, in the order of arrival; who cannot wait
 // for so long is turned away at once, and told when to come back: one after the other, as
 // fast as the replica takes requests.
-func TestWhoWaitsForAPermit(t *testing.T) {
+func TestQueueOrder(t *testing.T) {
 	is := is.New(t)
 	l := newFixture(2, nil)
 	l.endProbation()
