--- a/core/permits/permits_test.go
+++ b/core/permits/permits_test.go
@@ -137,9 +137,9 @@
 	is.Equal(l.granted(), []calls.ID{1, 5, 2, 4, 3})
 }
 
-// TestUrgentRequestsPushOthersBack: who cannot have its turn in its time since more urgent
+// TestUrgentRequestsOvertake: who cannot have its turn in its time since more urgent
 // ones came is turned away when that time is over.
-func TestUrgentRequestsPushOthersBack(t *testing.T) {
+func TestUrgentRequestsOvertake(t *testing.T) {
 	is := is.New(t)
 	l := newFixture(1, nil)
 	l.endProbation()
