--- a/core/permits/permits_test.go
+++ b/core/permits/permits_test.go
@@ -162,10 +162,10 @@
 	is.True(turned[1] > 0 && turned[2] > 0)
 }
 
-// TestLessIsGivenOutBesideAnother: who is not the first in its own view, or has not been for
+// TestProbationRate: who is not the first in its own view, or has not been for
 // a while, gives out three tenths of the limit, so that two never give out more than one and a
 // half times the limit.
-func TestLessIsGivenOutBesideAnother(t *testing.T) {
+func TestProbationRate(t *testing.T) {
 	given := func(l *fixture, span time.Duration) int {
 		l.decisions = nil
 		for end := l.now.Add(span); l.now.Before(end); {
