--- a/core/permits/permits_test.go
+++ b/core/permits/permits_test.go
@@ -207,9 +207,9 @@
 	is.True(n >= 12 && n <= 13)
 }
 
-// TestThePartOfThoseThatAreSilentStays: what instances that do not answer this one may send
+// TestUnreachableInstancesKeepTheirShare: what instances that do not answer this one may send
 // is not given out here, as long as they have a record.
-func TestThePartOfThoseThatAreSilentStays(t *testing.T) {
+func TestUnreachableInstancesKeepTheirShare(t *testing.T) {
 	is := is.New(t)
 	l := newFixture(8, map[string]string{"a": "y", "b": "y", "c": "y"})
 	is.Equal(l.reachableShare(l.now), 1.0)
