--- a/core/permits/permits_test.go
+++ b/core/permits/permits_test.go
@@ -225,9 +225,9 @@
 	is.Equal(l.reachableShare(l.now), 1.0)
 }
 
-// TestWhoGivesOutPermits: one instance of the replica's zone, the same whoever asks; another
+// TestCoordinatorChoice: one instance of the replica's zone, the same whoever asks; another
 // where that one does not answer; one of another zone where none there does.
-func TestWhoGivesOutPermits(t *testing.T) {
+func TestCoordinatorChoice(t *testing.T) {
 	is := is.New(t)
 	others := map[string]string{"far1": "y", "far2": "y", "near1": "z", "near2": "z"}
 	l := newFixture(1, others)
