--- a/core/permits/permits_test.go
+++ b/core/permits/permits_test.go
@@ -254,9 +254,9 @@
 	is.Equal(first(incarnation), "far1") // the larger share of a processor
 }
 
-// TestASilentCoordinatorIsPassedOver: who can wait asks another instance, and at last this
+// TestUnresponsiveCoordinatorIsSkipped: who can wait asks another instance, and at last this
 // one; who cannot is told at once, so that it goes to another replica.
-func TestASilentCoordinatorIsPassedOver(t *testing.T) {
+func TestUnresponsiveCoordinatorIsSkipped(t *testing.T) {
 	others := map[string]string{}
 	for i := range 20 {
 		others[fmt.Sprintf("near%d", i)] = "z"
