--- a/core/permits/permits_test.go
+++ b/core/permits/permits_test.go
@@ -289,10 +289,10 @@
 	is.Equal(l.decisions[1].Granted, false)
 }
 
-// TestAPermitIsUsedAtOnceOrVoid: one that was long on its way, or comes to an instance that
+// TestDelayedPermitIsVoid: one that was long on its way, or comes to an instance that
 // slept meanwhile, is none; the time for which it was held where it was asked for counts as
 // none of that.
-func TestAPermitIsUsedAtOnceOrVoid(t *testing.T) {
+func TestDelayedPermitIsVoid(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		took  time.Duration
