--- a/core/permits/permits_test.go
+++ b/core/permits/permits_test.go
@@ -317,9 +317,9 @@
 	}
 }
 
-// TestOrdersTakePermits: an order waits for a permit, before all calls, and uses it up; one
+// TestOrdersNeedPermits: an order waits for a permit, before all calls, and uses it up; one
 // that is not used in time is none. Where the replica names no limit, none is needed.
-func TestOrdersTakePermits(t *testing.T) {
+func TestOrdersNeedPermits(t *testing.T) {
 	is := is.New(t)
 	l := newFixture(1, nil)
 	is.True(l.TryAcquireForOrder(l.now, "nobody", false))
