--- a/core/permits/permits_test.go
+++ b/core/permits/permits_test.go
@@ -340,8 +340,8 @@
 	is.True(l.TryAcquireForOrder(l.now, "r", false)) // another life named none
 }
 
-// TestPermitsComeBack: one that is not used goes to who waits, here and at a peer.
-func TestPermitsComeBack(t *testing.T) {
+// TestReleasedPermitIsGranted: one that is not used goes to who waits, here and at a peer.
+func TestReleasedPermitIsGranted(t *testing.T) {
 	is := is.New(t)
 	l := newFixture(1, nil)
 	l.ask(1, 0, 0)
