--- a/core/permits/permits_test.go
+++ b/core/permits/permits_test.go
@@ -361,9 +361,9 @@
 	is.True(asked[0].Request.Unused)
 }
 
-// TestAnEndedLimitHoldsNothingBack: who waits goes on when nothing is held back any more,
+// TestRaisedLimitGrantsQueue: who waits goes on when nothing is held back any more,
 // and a limit that rises is given out at once.
-func TestAnEndedLimitHoldsNothingBack(t *testing.T) {
+func TestRaisedLimitGrantsQueue(t *testing.T) {
 	is := is.New(t)
 	l := newFixture(0, nil)
 	l.endProbation()
