--- a/core/permits/permits_test.go
+++ b/core/permits/permits_test.go
@@ -381,10 +381,10 @@
 	is.Equal(len(l.granted()), 20)
 }
 
-// TestRepeatsAreSharedByTheFleet: no span of the retry budget has more repeats granted than
+// TestRetriesAreSharedByFleet: no span of the retry budget has more repeats granted than
 // belong to no instance, however many ask and whenever; one that is not granted is told so at
 // once.
-func TestRepeatsAreSharedByTheFleet(t *testing.T) {
+func TestRetriesAreSharedByFleet(t *testing.T) {
 	is := is.New(t)
 	l := newFixture(1, nil)
 	var granted []clock.Instant
