--- a/core/permits/permits_test.go
+++ b/core/permits/permits_test.go
@@ -409,9 +409,9 @@
 	is.True(l.decisions[len(l.decisions)-1].Granted) // each service has its own
 }
 
-// TestOrdersForAdaptersComeAfterCalls: a call that needs one takes two permits, so where
+// TestAdapterOrdersRankBelowCalls: a call that needs one takes two permits, so where
 // permits are short others come first; orders on models and questions come before all.
-func TestOrdersForAdaptersComeAfterCalls(t *testing.T) {
+func TestAdapterOrdersRankBelowCalls(t *testing.T) {
 	is := is.New(t)
 	l := newFixture(1, nil)
 	l.endProbation()
