--- a/core/permits/permits_test.go
+++ b/core/permits/permits_test.go
@@ -434,9 +434,9 @@
 	is.True(l.now.Since(served) > 900*time.Millisecond && l.now.Since(served) < 1100*time.Millisecond)
 }
 
-// TestWhoWasTheFirstBeforeALimitWasNamed: it gives out the whole at once; one that has just
+// TestProbationBeforeLimitIsNamed: it gives out the whole at once; one that has just
 // begun, or slept, gives out less for a while.
-func TestWhoWasTheFirstBeforeALimitWasNamed(t *testing.T) {
+func TestProbationBeforeLimitIsNamed(t *testing.T) {
 	part := func(l *fixture) float64 {
 		r := replicaRequest(l.Pool.Get("r"), 0, 0)
 		s, _ := l.coordinator.quota(l.now, r)
