--- a/core/permits/tokens_test.go
+++ b/core/permits/tokens_test.go
@@ -19,9 +19,9 @@
 	return quota{rate: rate, burst: max(minBurst, rate*burstTime.Seconds()), initial: 1}
 }
 
-// TestTokensKeepTheRate: whatever is asked for, and whenever, no 4 s give out more than the
+// TestTokenBucketRate: whatever is asked for, and whenever, no 4 s give out more than the
 // rate and what may pile up; asked for all the time, they give out the rate.
-func TestTokensKeepTheRate(t *testing.T) {
+func TestTokenBucketRate(t *testing.T) {
 	for _, rate := range []float64{0.2, 0.5, 1, 3, 10, 200} {
 		for seed := range uint64(20) {
 			t.Run(fmt.Sprintf("%g a second, seed %d", rate, seed), func(t *testing.T) {
