--- a/core/permits/tokens_test.go
+++ b/core/permits/tokens_test.go
@@ -52,9 +52,9 @@
 	}
 }
 
-// TestTokensFollowTheirRate tables how long requests wait, and what another rate changes:
+// TestTokenBucketRateChange tables how long requests wait, and what another rate changes:
 // what came until then came at the former one.
-func TestTokensFollowTheirRate(t *testing.T) {
+func TestTokenBucketRateChange(t *testing.T) {
 	is := is.New(t)
 	tokens := newTokenBucket(start, supplyOf(2))
 	tokens.refill(start, supplyOf(2))
