--- a/core/permits/tokens_test.go
+++ b/core/permits/tokens_test.go
@@ -14,8 +14,8 @@
 
 var start = clocktest.At(time.Hour)
 
-// supplyOf is the supply of a limit.
-func supplyOf(rate float64) quota {
+// quotaOf is the supply of a limit.
+func quotaOf(rate float64) quota {
 	return quota{rate: rate, burst: max(minBurst, rate*burstTime.Seconds()), initial: 1}
 }
 
@@ -27,7 +27,7 @@
 			t.Run(fmt.Sprintf("%g a second, seed %d", rate, seed), func(t *testing.T) {
 				is := is.New(t)
 				rng := rand.New(rand.NewPCG(seed, 1))
-				tokens := newTokenBucket(start, supplyOf(rate))
+				tokens := newTokenBucket(start, quotaOf(rate))
 				now := start
 				var given []clock.Instant
 				greedy := 0
@@ -36,7 +36,7 @@
 					if rng.IntN(200) == 0 {
 						now = now.Add(5 * time.Second) // nobody asks for a while
 					}
-					tokens.refill(now, supplyOf(rate))
+					tokens.refill(now, quotaOf(rate))
 					for tokens.take() {
 						given = append(given, now)
 						greedy++
@@ -56,23 +56,23 @@
 // what came until then came at the former one.
 func TestTokenBucketRateChange(t *testing.T) {
 	is := is.New(t)
-	tokens := newTokenBucket(start, supplyOf(2))
-	tokens.refill(start, supplyOf(2))
+	tokens := newTokenBucket(start, quotaOf(2))
+	tokens.refill(start, quotaOf(2))
 	is.Equal(tokens.waitFor(1), time.Duration(0))
 	is.Equal(tokens.waitFor(2), 500*time.Millisecond)
 	is.True(tokens.take())
 	is.True(!tokens.take())
 	is.Equal(tokens.interval(), 500*time.Millisecond)
-	tokens.refill(start.Add(250*time.Millisecond), supplyOf(200))
+	tokens.refill(start.Add(250*time.Millisecond), quotaOf(200))
 	is.True(!tokens.take()) // half a token
 	tokens.release()
 	is.True(tokens.take())
-	tokens.refill(start.Add(time.Hour), supplyOf(0.5))
+	tokens.refill(start.Add(time.Hour), quotaOf(0.5))
 	is.True(tokens.take())
 	is.True(tokens.take())
 	is.True(!tokens.take()) // what piled up at the former rate does not stay
 	is.Equal(tokens.waitFor(1), 2*time.Second)
-	none := newTokenBucket(start, supplyOf(1))
+	none := newTokenBucket(start, quotaOf(1))
 	is.Equal(none.waitFor(2), maxWait)
 	is.Equal(none.interval(), maxWait)
 }
