--- a/core/orders/answer.go
+++ b/core/orders/answer.go
@@ -12,7 +12,7 @@
 // RecordSent books a request that Check allowed; Expect of the order is Sequence.
 func (e *Ledger) RecordSent(r Request) {
 	e.inFlight = &r
-	h := held{model: r.Model, adapter: r.Adapter, phase: pool.Loading}
+	h := itemState{model: r.Model, adapter: r.Adapter, phase: pool.Loading}
 	if !r.Load {
 		h = e.items[r.Item()]
 		h.phase = pool.Unloading
--- a/core/orders/judge.go
+++ b/core/orders/judge.go
@@ -81,7 +81,7 @@
 	return e.checkAdapter(r, adapterMB)
 }
 
-func (e *Ledger) checkUnload(r Request, h held, here bool) CheckResult {
+func (e *Ledger) checkUnload(r Request, h itemState, here bool) CheckResult {
 	switch {
 	case !here:
 		return NotLoaded
--- a/core/orders/observe.go
+++ b/core/orders/observe.go
@@ -63,7 +63,7 @@
 // replace takes the state as the whole truth, but for a model whose order is
 // under way: the engine does not say which one that is.
 func (e *Ledger) replace(now clock.Instant, s State) {
-	next := make(map[string]held, len(e.items))
+	next := make(map[string]itemState, len(e.items))
 	for _, m := range s.Models {
 		next[m.Name] = e.ready(now, m.Name, "")
 		for _, a := range m.Adapters {
@@ -91,7 +91,7 @@
 
 // onItsWay returns an adapter that the engine says is on its way. It takes a slot,
 // whoever ordered it.
-func (e *Ledger) onItsWay(now clock.Instant, item string) held {
+func (e *Ledger) onItsWay(now clock.Instant, item string) itemState {
 	h, known := e.items[item]
 	if !known {
 		h.model, h.adapter = pool.SplitItem(item)
@@ -102,7 +102,7 @@
 	return h
 }
 
-func (e *Ledger) ready(now clock.Instant, model, adapter string) held {
+func (e *Ledger) ready(now clock.Instant, model, adapter string) itemState {
 	h := e.items[pool.ItemName(model, adapter)]
 	if h.model == "" {
 		h.usedAt = now
--- a/core/orders/orders.go
+++ b/core/orders/orders.go
@@ -68,8 +68,8 @@
 	AnswerNotSent                       // it certainly never left
 )
 
-// A held is one item on the engine.
-type held struct {
+// A itemState is one item on the engine.
+type itemState struct {
 	model        string
 	adapter      string
 	phase        pool.ItemPhase
@@ -88,7 +88,7 @@
 	sizes     SizeFunc
 	known     bool
 	sequence  uint64
-	items     map[string]held
+	items     map[string]itemState
 	inFlight  *Request       // sent and not answered
 	late      []DelayedOrder // to a former life of the engine, and perhaps still on their way
 	uncertain bool           // an order's answer was lost since the state was last read
@@ -99,7 +99,7 @@
 func New(name, address string, fence era.Revision, from clock.Instant, limits Capacity, sizes SizeFunc) *Ledger {
 	return &Ledger{
 		Name: name, Address: address, Fence: fence, From: from,
-		limits: limits, sizes: sizes, items: map[string]held{},
+		limits: limits, sizes: sizes, items: map[string]itemState{},
 	}
 }
 
@@ -153,7 +153,7 @@
 // maxComing is how many adapters may be on their way to one engine.
 const maxComing = 4
 
-func (e *Ledger) put(item string, h held) {
+func (e *Ledger) put(item string, h itemState) {
 	e.items[item] = h
 	e.changes++
 }
