--- a/core/orders/late.go
+++ b/core/orders/late.go
@@ -23,13 +23,13 @@
 }
 
 // ReserveDelayed keeps free what orders to a former life of the engine would take.
-func (e *Ledger) ReserveDelayed(late []DelayedOrder) { e.late = append(e.late, late...) }
+func (e *Ledger) ReserveDelayed(late []DelayedOrder) { e.delayed = append(e.delayed, late...) }
 
 // expireLate drops the late orders whose time is over.
 func (e *Ledger) expireLate(now clock.Instant) {
-	before := len(e.late)
-	e.late = slices.DeleteFunc(e.late, func(l DelayedOrder) bool { return !now.Before(l.Until) })
-	if len(e.late) < before {
+	before := len(e.delayed)
+	e.delayed = slices.DeleteFunc(e.delayed, func(l DelayedOrder) bool { return !now.Before(l.Until) })
+	if len(e.delayed) < before {
 		e.changes++
 	}
 }
@@ -37,7 +37,7 @@
 // lateItems returns what late orders would load, without what is there.
 func (e *Ledger) lateItems() []Request {
 	var items []Request
-	for _, l := range e.late {
+	for _, l := range e.delayed {
 		if _, here := e.items[l.Request.Item()]; !here && l.Request.Load && !slices.Contains(items, l.Request) {
 			items = append(items, l.Request)
 		}
--- a/core/orders/orders.go
+++ b/core/orders/orders.go
@@ -90,7 +90,7 @@
 	sequence  uint64
 	items     map[string]itemState
 	inFlight  *Request       // sent and not answered
-	late      []DelayedOrder // to a former life of the engine, and perhaps still on their way
+	delayed   []DelayedOrder // to a former life of the engine, and perhaps still on their way
 	uncertain bool           // an order's answer was lost since the state was last read
 	changes   uint64         // rises with every change of what is held
 }
