--- a/core/orders/late.go
+++ b/core/orders/late.go
@@ -30,7 +30,7 @@
 	before := len(e.delayed)
 	e.delayed = slices.DeleteFunc(e.delayed, func(l DelayedOrder) bool { return !now.Before(l.Until) })
 	if len(e.delayed) < before {
-		e.changes++
+		e.version++
 	}
 }
 
--- a/core/orders/observe.go
+++ b/core/orders/observe.go
@@ -82,7 +82,7 @@
 		next[item] = old
 	}
 	e.items = next
-	e.changes++
+	e.version++
 }
 
 // comingTime is how long an adapter that another owner ordered is believed to be on its
--- a/core/orders/orders.go
+++ b/core/orders/orders.go
@@ -92,7 +92,7 @@
 	inFlight  *Request       // sent and not answered
 	delayed   []DelayedOrder // to a former life of the engine, and perhaps still on their way
 	uncertain bool           // an order's answer was lost since the state was last read
-	changes   uint64         // rises with every change of what is held
+	version   uint64         // rises with every change of what is held
 }
 
 // New returns the ledger of an engine whose state is not known yet.
@@ -119,7 +119,7 @@
 func (e *Ledger) Sequence() uint64 { return e.sequence }
 
 // Version rises with every change of what the engine holds.
-func (e *Ledger) Version() uint64 { return e.changes }
+func (e *Ledger) Version() uint64 { return e.version }
 
 // InFlight reports whether an order is without an answer.
 func (e *Ledger) InFlight() bool { return e.inFlight != nil }
@@ -155,12 +155,12 @@
 
 func (e *Ledger) put(item string, h itemState) {
 	e.items[item] = h
-	e.changes++
+	e.version++
 }
 
 func (e *Ledger) drop(item string) {
 	delete(e.items, item)
-	e.changes++
+	e.version++
 }
 
 // unloadTime is how long an adapter that calls still use is given before the
