--- a/core/orders/answer.go
+++ b/core/orders/answer.go
@@ -18,7 +18,7 @@
 		h.phase = pool.Unloading
 		h.unloadMarked = false
 	}
-	e.put(r.Item(), h)
+	e.setItem(r.Item(), h)
 }
 
 // RecordAccepted notes that the engine carries the order in flight out. adapterTime is
@@ -40,7 +40,7 @@
 	} else {
 		h.readyAt = now.Add(unloadTime)
 	}
-	e.put(r.Item(), h)
+	e.setItem(r.Item(), h)
 }
 
 // RecordNoChange notes that what the order in flight asked for is so already, or at
@@ -59,7 +59,7 @@
 	}
 	h := e.items[r.Item()]
 	h.phase = pool.Ready
-	e.put(r.Item(), h)
+	e.setItem(r.Item(), h)
 }
 
 // RecordFailed notes that the order in flight was not carried out and never will be:
@@ -76,7 +76,7 @@
 		return
 	}
 	h.phase = pool.Ready
-	e.put(r.Item(), h)
+	e.setItem(r.Item(), h)
 }
 
 // RecordLost notes that the answer of the order in flight is lost, and returns what it asked
--- a/core/orders/judge.go
+++ b/core/orders/judge.go
@@ -41,7 +41,7 @@
 	if h, ok := e.items[model]; ok && h.phase == pool.Ready {
 		h.phase = pool.Unloading
 		h.unloadMarked = true
-		e.put(model, h)
+		e.setItem(model, h)
 	}
 }
 
@@ -50,7 +50,7 @@
 	if h, ok := e.items[model]; ok && h.unloadMarked {
 		h.phase = pool.Ready
 		h.unloadMarked = false
-		e.put(model, h)
+		e.setItem(model, h)
 	}
 }
 
--- a/core/orders/observe.go
+++ b/core/orders/observe.go
@@ -53,7 +53,7 @@
 		switch {
 		case h.phase == pool.Loading && here[item]:
 			h.phase = pool.Ready
-			e.put(item, h)
+			e.setItem(item, h)
 		case h.phase == pool.Unloading && !here[item]:
 			e.dropModel(item)
 		}
@@ -134,7 +134,7 @@
 		switch h.phase {
 		case pool.Loading:
 			h.phase = pool.Ready
-			e.put(item, h)
+			e.setItem(item, h)
 			changed = true
 		case pool.Unloading:
 			e.uncertain = true
--- a/core/orders/orders.go
+++ b/core/orders/orders.go
@@ -153,7 +153,7 @@
 // maxComing is how many adapters may be on their way to one engine.
 const maxComing = 4
 
-func (e *Ledger) put(item string, h itemState) {
+func (e *Ledger) setItem(item string, h itemState) {
 	e.items[item] = h
 	e.version++
 }
