--- a/core/orders/answer.go
+++ b/core/orders/answer.go
@@ -53,7 +53,7 @@
 	}
 	e.inFlight = nil
 	if !r.Load {
-		e.drop(r.Item())
+		e.removeItem(r.Item())
 		e.sequence++
 		return
 	}
@@ -72,7 +72,7 @@
 	e.inFlight = nil
 	h := e.items[r.Item()]
 	if r.Load {
-		e.drop(r.Item())
+		e.removeItem(r.Item())
 		return
 	}
 	h.phase = pool.Ready
--- a/core/orders/observe.go
+++ b/core/orders/observe.go
@@ -117,7 +117,7 @@
 func (e *Ledger) dropModel(model string) {
 	for item, h := range e.items {
 		if h.model == model {
-			e.drop(item)
+			e.removeItem(item)
 		}
 	}
 }
--- a/core/orders/orders.go
+++ b/core/orders/orders.go
@@ -158,7 +158,7 @@
 	e.version++
 }
 
-func (e *Ledger) drop(item string) {
+func (e *Ledger) removeItem(item string) {
 	delete(e.items, item)
 	e.version++
 }
