--- a/core/orders/judge.go
+++ b/core/orders/judge.go
@@ -165,7 +165,7 @@
 // been idle for as long as idle.
 func (e *Ledger) IdleAdapter(now clock.Instant, idle time.Duration) (Request, bool) {
 	var best string
-	for _, item := range e.sorted() {
+	for _, item := range e.sortedItems() {
 		h := e.items[item]
 		if h.adapter == "" || h.phase != pool.Ready || now.Since(h.usedAt) < idle {
 			continue
--- a/core/orders/observe.go
+++ b/core/orders/observe.go
@@ -45,7 +45,7 @@
 			e.uncertain = true // an order that was given up took effect late
 		}
 	}
-	for _, item := range e.sorted() {
+	for _, item := range e.sortedItems() {
 		h := e.items[item]
 		if h.adapter != "" {
 			continue
--- a/core/orders/orders.go
+++ b/core/orders/orders.go
@@ -175,7 +175,7 @@
 	}
 }
 
-func (e *Ledger) sorted() []string {
+func (e *Ledger) sortedItems() []string {
 	names := make([]string, 0, len(e.items))
 	for item := range e.items {
 		names = append(names, item)
@@ -190,7 +190,7 @@
 // Items returns what the engine holds, by name.
 func (e *Ledger) Items() []pool.Item {
 	items := make([]pool.Item, 0, len(e.items))
-	for _, name := range e.sorted() {
+	for _, name := range e.sortedItems() {
 		items = append(items, pool.Item{Name: name, Phase: e.items[name].phase})
 	}
 	return items
