--- a/core/orders/judge.go
+++ b/core/orders/judge.go
@@ -109,7 +109,7 @@
 	if !here || model.phase != pool.Ready {
 		return ModelNotReady
 	}
-	if e.coming() >= maxComing {
+	if e.coming() >= maxLoadingAdapters {
 		return NotNow
 	}
 	if mb > e.FreeMB() || e.slots() >= e.limits.AdapterSlots {
--- a/core/orders/orders.go
+++ b/core/orders/orders.go
@@ -150,8 +150,8 @@
 	return model != "" && e.inFlight == nil
 }
 
-// maxComing is how many adapters may be on their way to one engine.
-const maxComing = 4
+// maxLoadingAdapters is how many adapters may be on their way to one engine.
+const maxLoadingAdapters = 4
 
 func (e *Ledger) setItem(item string, h itemState) {
 	e.items[item] = h
