--- a/core/orders/answer.go
+++ b/core/orders/answer.go
@@ -38,7 +38,7 @@
 		h.readyAt = now.Add(adapterTime)
 		h.usedAt = now
 	} else {
-		h.readyAt = now.Add(unloadTime)
+		h.readyAt = now.Add(adapterUnloadTime)
 	}
 	e.setItem(r.Item(), h)
 }
--- a/core/orders/orders.go
+++ b/core/orders/orders.go
@@ -163,9 +163,9 @@
 	e.version++
 }
 
-// unloadTime is how long an adapter that calls still use is given before the
+// adapterUnloadTime is how long an adapter that calls still use is given before the
 // engine is asked whether it is gone; it does not announce that.
-const unloadTime = time.Second
+const adapterUnloadTime = time.Second
 
 // RecordUse notes that a call used an item.
 func (e *Ledger) RecordUse(now clock.Instant, item string) {
