--- a/core/orders/observe.go
+++ b/core/orders/observe.go
@@ -85,9 +85,9 @@
 	e.version++
 }
 
-// comingTime is how long an adapter that another owner ordered is believed to be on its
+// adapterLoadTime is how long an adapter that another owner ordered is believed to be on its
 // way: several times what adapters take, and the age of what an engine says.
-const comingTime = 300 * time.Millisecond
+const adapterLoadTime = 300 * time.Millisecond
 
 // onItsWay returns an adapter that the engine says is on its way. It takes a slot,
 // whoever ordered it.
@@ -95,7 +95,7 @@
 	h, known := e.items[item]
 	if !known {
 		h.model, h.adapter = pool.SplitItem(item)
-		h.readyAt = now.Add(comingTime)
+		h.readyAt = now.Add(adapterLoadTime)
 		h.usedAt = now
 	}
 	h.phase = pool.Loading
--- a/core/orders/orders_test.go
+++ b/core/orders/orders_test.go
@@ -222,8 +222,8 @@
 	is.Equal(e.Phase("m/a2"), pool.Loading)
 	is.Equal(e.Check(load("m", "a2")), InProgress)
 	is.Equal(e.Check(load("m", "a3")), NoCapacity)
-	e.Advance(start.Add(comingTime - 1))
+	e.Advance(start.Add(adapterLoadTime - 1))
 	is.Equal(e.Phase("m/a2"), pool.Loading)
-	e.Advance(start.Add(comingTime))
+	e.Advance(start.Add(adapterLoadTime))
 	is.Equal(e.Phase("m/a2"), pool.Ready)
 }
