--- a/core/orders/judge.go
+++ b/core/orders/judge.go
@@ -25,8 +25,8 @@
 	NotLoaded                            // what should be unloaded is not there
 )
 
-// busyBut reports whether a model other than item is on its way in or out.
-func (e *Ledger) busyBut(item string) bool {
+// otherModelBusy reports whether a model other than item is on its way in or out.
+func (e *Ledger) otherModelBusy(item string) bool {
 	for name, h := range e.items {
 		if h.adapter == "" && h.phase != pool.Ready && name != item {
 			return true
@@ -87,7 +87,7 @@
 		return NotLoaded
 	case h.phase == pool.Unloading && !h.unloadMarked:
 		return InProgress
-	case e.inFlight != nil || e.busyBut(r.Item()) || h.phase == pool.Loading:
+	case e.inFlight != nil || e.otherModelBusy(r.Item()) || h.phase == pool.Loading:
 		return NotNow
 	default:
 		return Allowed
