--- a/core/orders/judge.go
+++ b/core/orders/judge.go
@@ -109,7 +109,7 @@
 	if !here || model.phase != pool.Ready {
 		return ModelNotReady
 	}
-	if e.coming() >= maxLoadingAdapters {
+	if e.loadingAdapters() >= maxLoadingAdapters {
 		return NotNow
 	}
 	if mb > e.FreeMB() || e.slots() >= e.limits.AdapterSlots {
@@ -118,7 +118,7 @@
 	return Allowed
 }
 
-func (e *Ledger) coming() int {
+func (e *Ledger) loadingAdapters() int {
 	n := 0
 	for _, h := range e.items {
 		if h.adapter != "" && h.phase == pool.Loading {
