--- a/core/orders/judge.go
+++ b/core/orders/judge.go
@@ -112,7 +112,7 @@
 	if e.loadingAdapters() >= maxLoadingAdapters {
 		return NotNow
 	}
-	if mb > e.FreeMB() || e.slots() >= e.limits.AdapterSlots {
+	if mb > e.FreeMB() || e.usedSlots() >= e.limits.AdapterSlots {
 		return NoCapacity
 	}
 	return Allowed
@@ -128,9 +128,9 @@
 	return n
 }
 
-// slots returns the adapter slots in use; one whose unload has no proof yet
+// usedSlots returns the adapter usedSlots in use; one whose unload has no proof yet
 // still takes its slot.
-func (e *Ledger) slots() int {
+func (e *Ledger) usedSlots() int {
 	n := e.lateSlots()
 	for _, h := range e.items {
 		if h.adapter != "" {
