--- a/core/orders/late.go
+++ b/core/orders/late.go
@@ -25,8 +25,8 @@
 // ReserveDelayed keeps free what orders to a former life of the engine would take.
 func (e *Ledger) ReserveDelayed(late []DelayedOrder) { e.delayed = append(e.delayed, late...) }
 
-// expireLate drops the late orders whose time is over.
-func (e *Ledger) expireLate(now clock.Instant) {
+// expireDelayed drops the late orders whose time is over.
+func (e *Ledger) expireDelayed(now clock.Instant) {
 	before := len(e.delayed)
 	e.delayed = slices.DeleteFunc(e.delayed, func(l DelayedOrder) bool { return !now.Before(l.Until) })
 	if len(e.delayed) < before {
--- a/core/orders/observe.go
+++ b/core/orders/observe.go
@@ -125,7 +125,7 @@
 // Advance has adapters whose time on the way is over count as ready, and reports
 // whether any does so now.
 func (e *Ledger) Advance(now clock.Instant) bool {
-	e.expireLate(now)
+	e.expireDelayed(now)
 	changed := false
 	for item, h := range e.items {
 		if h.adapter == "" || h.readyAt.IsZero() || now.Before(h.readyAt) {
