--- a/core/orders/late.go
+++ b/core/orders/late.go
@@ -34,8 +34,8 @@
 	}
 }
 
-// lateItems returns what late orders would load, without what is there.
-func (e *Ledger) lateItems() []Request {
+// delayedLoads returns what late orders would load, without what is there.
+func (e *Ledger) delayedLoads() []Request {
 	var items []Request
 	for _, l := range e.delayed {
 		if _, here := e.items[l.Request.Item()]; !here && l.Request.Load && !slices.Contains(items, l.Request) {
@@ -48,7 +48,7 @@
 // lateMB returns the memory that late orders would take, in MB; ok is false if nobody can
 // size it.
 func (e *Ledger) lateMB() (mb int64, ok bool) {
-	for _, r := range e.lateItems() {
+	for _, r := range e.delayedLoads() {
 		modelMB, adapterMB, ok := e.sizes(r.Model)
 		if !ok {
 			return 0, false
@@ -65,7 +65,7 @@
 // lateSlots returns the adapter slots that late orders would take.
 func (e *Ledger) lateSlots() int {
 	n := 0
-	for _, r := range e.lateItems() {
+	for _, r := range e.delayedLoads() {
 		if r.Adapter != "" {
 			n++
 		}
