--- a/core/orders/judge.go
+++ b/core/orders/judge.go
@@ -142,7 +142,7 @@
 
 // FreeMB returns the memory that nothing holds, in MB.
 func (e *Ledger) FreeMB() int64 {
-	late, ok := e.lateMB()
+	late, ok := e.delayedMB()
 	if !ok {
 		return 0
 	}
--- a/core/orders/late.go
+++ b/core/orders/late.go
@@ -45,9 +45,9 @@
 	return items
 }
 
-// lateMB returns the memory that late orders would take, in MB; ok is false if nobody can
+// delayedMB returns the memory that late orders would take, in MB; ok is false if nobody can
 // size it.
-func (e *Ledger) lateMB() (mb int64, ok bool) {
+func (e *Ledger) delayedMB() (mb int64, ok bool) {
 	for _, r := range e.delayedLoads() {
 		modelMB, adapterMB, ok := e.sizes(r.Model)
 		if !ok {
