--- a/core/orders/judge.go
+++ b/core/orders/judge.go
@@ -131,7 +131,7 @@
 // usedSlots returns the adapter usedSlots in use; one whose unload has no proof yet
 // still takes its slot.
 func (e *Ledger) usedSlots() int {
-	n := e.lateSlots()
+	n := e.delayedSlots()
 	for _, h := range e.items {
 		if h.adapter != "" {
 			n++
--- a/core/orders/late.go
+++ b/core/orders/late.go
@@ -62,8 +62,8 @@
 	return mb, true
 }
 
-// lateSlots returns the adapter slots that late orders would take.
-func (e *Ledger) lateSlots() int {
+// delayedSlots returns the adapter slots that late orders would take.
+func (e *Ledger) delayedSlots() int {
 	n := 0
 	for _, r := range e.delayedLoads() {
 		if r.Adapter != "" {
