--- a/core/orders/observe.go
+++ b/core/orders/observe.go
@@ -23,7 +23,7 @@
 	if e.inFlight != nil || s.Sequence < e.sequence {
 		return
 	}
-	e.replace(now, s)
+	e.replaceItems(now, s)
 	e.known = true
 	e.sequence = s.Sequence
 	// A model that another owner's order brings takes memory, and the engine
@@ -60,9 +60,9 @@
 	}
 }
 
-// replace takes the state as the whole truth, but for a model whose order is
+// replaceItems takes the state as the whole truth, but for a model whose order is
 // under way: the engine does not say which one that is.
-func (e *Ledger) replace(now clock.Instant, s State) {
+func (e *Ledger) replaceItems(now clock.Instant, s State) {
 	next := make(map[string]itemState, len(e.items))
 	for _, m := range s.Models {
 		next[m.Name] = e.ready(now, m.Name, "")
