--- a/core/orders/observe.go
+++ b/core/orders/observe.go
@@ -72,7 +72,7 @@
 	}
 	for _, item := range s.Coming {
 		if next[item].model == "" {
-			next[item] = e.onItsWay(now, item)
+			next[item] = e.loadingAdapter(now, item)
 		}
 	}
 	for item, old := range e.items {
@@ -89,9 +89,9 @@
 // way: several times what adapters take, and the age of what an engine says.
 const adapterLoadTime = 300 * time.Millisecond
 
-// onItsWay returns an adapter that the engine says is on its way. It takes a slot,
+// loadingAdapter returns an adapter that the engine says is on its way. It takes a slot,
 // whoever ordered it.
-func (e *Ledger) onItsWay(now clock.Instant, item string) itemState {
+func (e *Ledger) loadingAdapter(now clock.Instant, item string) itemState {
 	h, known := e.items[item]
 	if !known {
 		h.model, h.adapter = pool.SplitItem(item)
