--- a/core/orders/observe.go
+++ b/core/orders/observe.go
@@ -65,9 +65,9 @@
 func (e *Ledger) replaceItems(now clock.Instant, s State) {
 	next := make(map[string]itemState, len(e.items))
 	for _, m := range s.Models {
-		next[m.Name] = e.ready(now, m.Name, "")
+		next[m.Name] = e.readyItem(now, m.Name, "")
 		for _, a := range m.Adapters {
-			next[pool.ItemName(m.Name, a)] = e.ready(now, m.Name, a)
+			next[pool.ItemName(m.Name, a)] = e.readyItem(now, m.Name, a)
 		}
 	}
 	for _, item := range s.Coming {
@@ -102,7 +102,7 @@
 	return h
 }
 
-func (e *Ledger) ready(now clock.Instant, model, adapter string) itemState {
+func (e *Ledger) readyItem(now clock.Instant, model, adapter string) itemState {
 	h := e.items[pool.ItemName(model, adapter)]
 	if h.model == "" {
 		h.usedAt = now
