--- a/core/orders/observe.go
+++ b/core/orders/observe.go
@@ -55,7 +55,7 @@
 			h.phase = pool.Ready
 			e.setItem(item, h)
 		case h.phase == pool.Unloading && !here[item]:
-			e.dropModel(item)
+			e.removeModel(item)
 		}
 	}
 }
@@ -113,8 +113,8 @@
 	return h
 }
 
-// dropModel drops a model and its adapters.
-func (e *Ledger) dropModel(model string) {
+// removeModel drops a model and its adapters.
+func (e *Ledger) removeModel(model string) {
 	for item, h := range e.items {
 		if h.model == model {
 			e.removeItem(item)
