--- a/core/orders/orders_test.go
+++ b/core/orders/orders_test.go
@@ -19,9 +19,9 @@
 
 var start = clocktest.At(time.Hour)
 
-// engine returns the ledger of an engine that holds the models, after so many
+// newLedger returns the ledger of an newLedger that holds the models, after so many
 // orders.
-func engine(sequence uint64, models ...string) *Ledger {
+func newLedger(sequence uint64, models ...string) *Ledger {
 	e := New("e", "10.0.0.1:80", 7, start, Capacity{MemoryMB: 3*modelMB + 8, AdapterSlots: 2}, sizes)
 	e.ObserveState(start, stateOf(sequence, models...))
 	return e
@@ -48,51 +48,51 @@
 		want CheckResult
 	}{
 		{"nothing known yet", func() *Ledger { return New("e", "a", 1, start, Capacity{}, sizes) }, load("m", ""), StateUnknown},
-		{"room for a model", func() *Ledger { return engine(1, "a", "b") }, load("c", ""), Allowed},
-		{"no room for a model", func() *Ledger { return engine(1, "a", "b", "c") }, load("d", ""), NoCapacity},
-		{"a model that is there", func() *Ledger { return engine(1, "a") }, load("a", ""), NoChange},
-		{"a model nobody can size", func() *Ledger { return engine(1) }, load("unknown", ""), SizeUnknown},
+		{"room for a model", func() *Ledger { return newLedger(1, "a", "b") }, load("c", ""), Allowed},
+		{"no room for a model", func() *Ledger { return newLedger(1, "a", "b", "c") }, load("d", ""), NoCapacity},
+		{"a model that is there", func() *Ledger { return newLedger(1, "a") }, load("a", ""), NoChange},
+		{"a model nobody can size", func() *Ledger { return newLedger(1) }, load("unknown", ""), SizeUnknown},
 		{"room for a model, which a late order to a former life may take", func() *Ledger {
-			e := engine(0, "a", "b")
+			e := newLedger(0, "a", "b")
 			e.ReserveDelayed([]DelayedOrder{NewDelayedOrder(start, load("c", ""))})
 			return e
 		}, load("d", ""), NoCapacity},
 		{"the same model as the late order's", func() *Ledger {
-			e := engine(0, "a", "b", "c")
+			e := newLedger(0, "a", "b", "c")
 			e.ReserveDelayed([]DelayedOrder{NewDelayedOrder(start, load("c", ""))})
 			return e
 		}, load("a", "x"), Allowed},
 		{"a late order whose time is over", func() *Ledger {
-			e := engine(0, "a", "b")
+			e := newLedger(0, "a", "b")
 			e.ReserveDelayed([]DelayedOrder{NewDelayedOrder(start, load("c", ""))})
 			e.Advance(start.Add(MaxOrderDelay))
 			return e
 		}, load("d", ""), Allowed},
 		{"a late order that unloads", func() *Ledger {
-			e := engine(0, "a", "b")
+			e := newLedger(0, "a", "b")
 			e.ReserveDelayed([]DelayedOrder{NewDelayedOrder(start, Request{Model: "a"})})
 			return e
 		}, load("c", ""), Allowed},
 		{"slots for adapters, which late orders may take", func() *Ledger {
-			e := engine(0, "a")
+			e := newLedger(0, "a")
 			e.ReserveDelayed([]DelayedOrder{NewDelayedOrder(start, load("a", "y")), NewDelayedOrder(start, load("a", "z")), NewDelayedOrder(start, load("a", "z"))})
 			return e
 		}, load("a", "x"), NoCapacity},
-		{"an adapter without its model", func() *Ledger { return engine(1, "a") }, load("b", "x"), ModelNotReady},
-		{"an adapter of a model there", func() *Ledger { return engine(1, "a") }, load("a", "x"), Allowed},
+		{"an adapter without its model", func() *Ledger { return newLedger(1, "a") }, load("b", "x"), ModelNotReady},
+		{"an adapter of a model there", func() *Ledger { return newLedger(1, "a") }, load("a", "x"), Allowed},
 		{"while an order is without an answer", func() *Ledger {
-			e := engine(1, "a")
+			e := newLedger(1, "a")
 			e.RecordSent(load("a", "x"))
 			return e
 		}, load("a", "y"), NotNow},
 		{"an adapter on its way", func() *Ledger {
-			e := engine(1, "a")
+			e := newLedger(1, "a")
 			e.RecordSent(load("a", "x"))
 			e.RecordAccepted(start, time.Second)
 			return e
 		}, load("a", "x"), InProgress},
 		{"no slot left", func() *Ledger {
-			e := engine(1, "a")
+			e := newLedger(1, "a")
 			for _, x := range []string{"x", "y"} {
 				e.RecordSent(load("a", x))
 				e.RecordAccepted(start, 0)
@@ -101,20 +101,20 @@
 			return e
 		}, load("a", "z"), NoCapacity},
 		{"a second model while one is on its way", func() *Ledger {
-			e := engine(1, "a")
+			e := newLedger(1, "a")
 			e.RecordSent(load("b", ""))
 			e.RecordAccepted(start, 0)
 			return e
 		}, load("c", ""), NotNow},
 		{"after a lost answer", func() *Ledger {
-			e := engine(1, "a")
+			e := newLedger(1, "a")
 			e.RecordSent(load("b", ""))
 			e.RecordLost()
 			return e
 		}, load("a", "x"), StateUnknown},
-		{"dropping what is not there", func() *Ledger { return engine(1, "a") }, Request{Model: "b"}, NotLoaded},
+		{"dropping what is not there", func() *Ledger { return newLedger(1, "a") }, Request{Model: "b"}, NotLoaded},
 		{"dropping what is told to be leaving", func() *Ledger {
-			e := engine(1, "a")
+			e := newLedger(1, "a")
 			e.MarkUnloading("a")
 			return e
 		}, Request{Model: "a"}, Allowed},
@@ -146,7 +146,7 @@
 // engine was asked, and the next order names the count that the engine gave.
 func TestALateOrderIsVoid(t *testing.T) {
 	is := is.New(t)
-	e := engine(4, "a", "b")
+	e := newLedger(4, "a", "b")
 	e.RecordSent(load("c", ""))
 	e.RecordLost()
 	is.Equal(e.FreeMB(), int64(8))    // booked
@@ -164,7 +164,7 @@
 // done, and one that nobody ordered shows that a late order took effect.
 func TestAnnouncementsEndOrdersOnModels(t *testing.T) {
 	is := is.New(t)
-	e := engine(1, "a")
+	e := newLedger(1, "a")
 	e.RecordSent(load("b", ""))
 	e.RecordAccepted(start, 0)
 	e.ObserveModels([]pool.AnnouncedModel{{Name: "a"}})
