--- a/core/orders/orders_test.go
+++ b/core/orders/orders_test.go
@@ -15,14 +15,14 @@
 	adapterMB = 1
 )
 
-func sizes(model string) (int64, int64, bool) { return modelMB, adapterMB, model != "unknown" }
+func testSizes(model string) (int64, int64, bool) { return modelMB, adapterMB, model != "unknown" }
 
 var start = clocktest.At(time.Hour)
 
 // newLedger returns the ledger of an newLedger that holds the models, after so many
 // orders.
 func newLedger(sequence uint64, models ...string) *Ledger {
-	e := New("e", "10.0.0.1:80", 7, start, Capacity{MemoryMB: 3*modelMB + 8, AdapterSlots: 2}, sizes)
+	e := New("e", "10.0.0.1:80", 7, start, Capacity{MemoryMB: 3*modelMB + 8, AdapterSlots: 2}, testSizes)
 	e.ObserveState(start, stateOf(sequence, models...))
 	return e
 }
@@ -47,7 +47,7 @@
 		ask  Request
 		want CheckResult
 	}{
-		{"nothing known yet", func() *Ledger { return New("e", "a", 1, start, Capacity{}, sizes) }, load("m", ""), StateUnknown},
+		{"nothing known yet", func() *Ledger { return New("e", "a", 1, start, Capacity{}, testSizes) }, load("m", ""), StateUnknown},
 		{"room for a model", func() *Ledger { return newLedger(1, "a", "b") }, load("c", ""), Allowed},
 		{"no room for a model", func() *Ledger { return newLedger(1, "a", "b", "c") }, load("d", ""), NoCapacity},
 		{"a model that is there", func() *Ledger { return newLedger(1, "a") }, load("a", ""), NoChange},
@@ -132,7 +132,7 @@
 // order to load another once overfilled the engine.
 func TestAnUnknownModelOnItsWayBlocks(t *testing.T) {
 	is := is.New(t)
-	e := New("e", "a", 9, start, Capacity{MemoryMB: 3*modelMB + 8, AdapterSlots: 2}, sizes)
+	e := New("e", "a", 9, start, Capacity{MemoryMB: 3*modelMB + 8, AdapterSlots: 2}, testSizes)
 	busy := stateOf(6, "a", "b")
 	busy.Busy = true
 	e.ObserveState(start, busy)
@@ -192,7 +192,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			e := New("e", "10.0.0.1:80", 7, start, Capacity{MemoryMB: 3 * modelMB, AdapterSlots: 2}, sizes)
+			e := New("e", "10.0.0.1:80", 7, start, Capacity{MemoryMB: 3 * modelMB, AdapterSlots: 2}, testSizes)
 			model := pool.AnnouncedModel{Name: "a"}
 			for name := range c.used {
 				model.Adapters = append(model.Adapters, name)
@@ -213,7 +213,7 @@
 // owner ordered one more than the engine has slots for, and the engine fell.
 func TestAdaptersOnTheirWayTakeSlots(t *testing.T) {
 	is := is.New(t)
-	e := New("e", "10.0.0.1:80", 7, start, Capacity{MemoryMB: 3*modelMB + 8, AdapterSlots: 2}, sizes)
+	e := New("e", "10.0.0.1:80", 7, start, Capacity{MemoryMB: 3*modelMB + 8, AdapterSlots: 2}, testSizes)
 	e.ObserveState(start, State{
 		Sequence: 2,
 		Models:   []pool.AnnouncedModel{{Name: "m", Adapters: []string{"a1"}}},
