--- a/core/orders/orders_test.go
+++ b/core/orders/orders_test.go
@@ -39,8 +39,8 @@
 	return Request{Load: true, Model: model, Adapter: adapter}
 }
 
-// TestJudge tables what an owner may order in which state.
-func TestJudge(t *testing.T) {
+// TestCheck tables what an owner may order in which state.
+func TestCheck(t *testing.T) {
 	cases := []struct {
 		name string
 		make func() *Ledger
