--- a/core/orders/orders_test.go
+++ b/core/orders/orders_test.go
@@ -127,10 +127,10 @@
 	}
 }
 
-// TestAnUnknownModelOnItsWayBlocks: a new owner finds the engine busy with an
+// TestUnknownLoadingModelBlocksOrders: a new owner finds the engine busy with an
 // order of the former one. The model takes memory that no list shows, and an
 // order to load another once overfilled the engine.
-func TestAnUnknownModelOnItsWayBlocks(t *testing.T) {
+func TestUnknownLoadingModelBlocksOrders(t *testing.T) {
 	is := is.New(t)
 	e := New("e", "a", 9, start, Capacity{MemoryMB: 3*modelMB + 8, AdapterSlots: 2}, testSizes)
 	busy := stateOf(6, "a", "b")
