--- a/core/orders/orders_test.go
+++ b/core/orders/orders_test.go
@@ -142,9 +142,9 @@
 	is.Equal(e.Check(load("c", "")), NoCapacity)
 }
 
-// TestALateOrderIsVoid: what an unanswered order would do stays booked until the
+// TestUnansweredOrderIsVoid: what an unanswered order would do stays booked until the
 // engine was asked, and the next order names the count that the engine gave.
-func TestALateOrderIsVoid(t *testing.T) {
+func TestUnansweredOrderIsVoid(t *testing.T) {
 	is := is.New(t)
 	e := newLedger(4, "a", "b")
 	e.RecordSent(load("c", ""))
