--- a/core/orders/orders_test.go
+++ b/core/orders/orders_test.go
@@ -160,9 +160,9 @@
 	is.Equal(e.Sequence(), uint64(5))
 }
 
-// TestAnnouncementsEndOrdersOnModels: an engine announces a model when it is
+// TestAnnouncementCompletesModelOrder: an engine announces a model when it is
 // done, and one that nobody ordered shows that a late order took effect.
-func TestAnnouncementsEndOrdersOnModels(t *testing.T) {
+func TestAnnouncementCompletesModelOrder(t *testing.T) {
 	is := is.New(t)
 	e := newLedger(1, "a")
 	e.RecordSent(load("b", ""))
