--- a/core/orders/orders_test.go
+++ b/core/orders/orders_test.go
@@ -175,9 +175,9 @@
 	is.True(e.Uncertain())
 }
 
-// TestAdaptersMakeWay: the adapter that was used least lately goes, if it was not
+// TestIdleAdapter: the adapter that was used least lately goes, if it was not
 // used for a while and is not on its way.
-func TestAdaptersMakeWay(t *testing.T) {
+func TestIdleAdapter(t *testing.T) {
 	const idle = 400 * time.Millisecond
 	cases := []struct {
 		name string
