--- a/core/orders/orders_test.go
+++ b/core/orders/orders_test.go
@@ -208,10 +208,10 @@
 	}
 }
 
-// TestAdaptersOnTheirWayTakeSlots: an adapter that a former owner ordered is on its way
+// TestLoadingAdaptersTakeSlots: an adapter that a former owner ordered is on its way
 // when the new owner first asks the engine. It once was passed over, so that the new
 // owner ordered one more than the engine has slots for, and the engine fell.
-func TestAdaptersOnTheirWayTakeSlots(t *testing.T) {
+func TestLoadingAdaptersTakeSlots(t *testing.T) {
 	is := is.New(t)
 	e := New("e", "10.0.0.1:80", 7, start, Capacity{MemoryMB: 3*modelMB + 8, AdapterSlots: 2}, testSizes)
 	e.ObserveState(start, State{
