--- a/core/owned/late.go
+++ b/core/owned/late.go
@@ -8,9 +8,9 @@
 	"github.com/birchdrift/birchdrift/core/pool"
 )
 
-// A lateOrder is an order whose answer was lost, with the life of the engine that it was
+// A delayedOrder is an order whose answer was lost, with the life of the engine that it was
 // for.
-type lateOrder struct {
+type delayedOrder struct {
 	orders.DelayedOrder
 	life pool.Incarnation
 }
@@ -23,10 +23,10 @@
 		return
 	}
 	if s.late == nil {
-		s.late = map[string][]lateOrder{}
+		s.late = map[string][]delayedOrder{}
 	}
-	recent := slices.DeleteFunc(s.late[e.Name], func(l lateOrder) bool { return !now.Before(l.Until) })
-	s.late[e.Name] = append(recent, lateOrder{DelayedOrder: orders.NewDelayedOrder(now, r), life: e.life})
+	recent := slices.DeleteFunc(s.late[e.Name], func(l delayedOrder) bool { return !now.Before(l.Until) })
+	s.late[e.Name] = append(recent, delayedOrder{DelayedOrder: orders.NewDelayedOrder(now, r), life: e.life})
 }
 
 // lateOf returns the orders to former lives of an engine that may still be on their way.
