--- a/core/owned/late.go
+++ b/core/owned/late.go
@@ -22,17 +22,17 @@
 	if !ok {
 		return
 	}
-	if s.late == nil {
-		s.late = map[string][]delayedOrder{}
+	if s.delayed == nil {
+		s.delayed = map[string][]delayedOrder{}
 	}
-	recent := slices.DeleteFunc(s.late[e.Name], func(l delayedOrder) bool { return !now.Before(l.Until) })
-	s.late[e.Name] = append(recent, delayedOrder{DelayedOrder: orders.NewDelayedOrder(now, r), life: e.life})
+	recent := slices.DeleteFunc(s.delayed[e.Name], func(l delayedOrder) bool { return !now.Before(l.Until) })
+	s.delayed[e.Name] = append(recent, delayedOrder{DelayedOrder: orders.NewDelayedOrder(now, r), life: e.life})
 }
 
 // lateOf returns the orders to former lives of an engine that may still be on their way.
 func (s *Engines) lateOf(now clock.Instant, life pool.Incarnation) []orders.DelayedOrder {
 	var late []orders.DelayedOrder
-	for _, l := range s.late[life.Name] {
+	for _, l := range s.delayed[life.Name] {
 		if l.life != life && now.Before(l.Until) {
 			late = append(late, l.DelayedOrder)
 		}
--- a/core/owned/owned.go
+++ b/core/owned/owned.go
@@ -41,7 +41,7 @@
 	Answered func(now clock.Instant, engine string, r orders.Request, o Outcome, detail string)
 
 	engines map[string]*Engine
-	late    map[string][]delayedOrder // orders whose answers were lost, by engine
+	delayed map[string][]delayedOrder // orders whose answers were lost, by engine
 }
 
 // Get returns an engine that this instance owns, nil if it does not own it.
