--- a/core/owned/late.go
+++ b/core/owned/late.go
@@ -15,9 +15,9 @@
 	life pool.Incarnation
 }
 
-// noteLate notes that the answer of the order in flight at an engine is lost, if there is
+// recordDelayed notes that the answer of the order in flight at an engine is lost, if there is
 // one.
-func (s *Engines) noteLate(now clock.Instant, e *Engine) {
+func (s *Engines) recordDelayed(now clock.Instant, e *Engine) {
 	r, ok := e.RecordLost()
 	if !ok {
 		return
--- a/core/owned/owned.go
+++ b/core/owned/owned.go
@@ -85,7 +85,7 @@
 		return
 	}
 	delete(s.engines, name)
-	s.noteLate(now, e)
+	s.recordDelayed(now, e)
 	s.Out.Log(logevent.EngineLost, "engine", name, "fence", e.Fence, "detail", why)
 	for _, q := range e.queue {
 		s.answerAll(now, e, q, Refused, why)
--- a/core/owned/queue.go
+++ b/core/owned/queue.go
@@ -251,7 +251,7 @@
 		s.Lose(now, e.Name, "the engine has seen a later fence")
 		return
 	case orders.AnswerLost:
-		s.noteLate(now, e)
+		s.recordDelayed(now, e)
 	}
 	s.workQueue(now, e)
 	s.publish(now, e)
