--- a/core/owned/late.go
+++ b/core/owned/late.go
@@ -29,8 +29,8 @@
 	s.delayed[e.Name] = append(recent, delayedOrder{DelayedOrder: orders.NewDelayedOrder(now, r), life: e.life})
 }
 
-// lateOf returns the orders to former lives of an engine that may still be on their way.
-func (s *Engines) lateOf(now clock.Instant, life pool.Incarnation) []orders.DelayedOrder {
+// delayedOrders returns the orders to former lives of an engine that may still be on their way.
+func (s *Engines) delayedOrders(now clock.Instant, life pool.Incarnation) []orders.DelayedOrder {
 	var late []orders.DelayedOrder
 	for _, l := range s.delayed[life.Name] {
 		if l.life != life && now.Before(l.Until) {
--- a/core/owned/owned.go
+++ b/core/owned/owned.go
@@ -73,7 +73,7 @@
 		s.engines = map[string]*Engine{}
 	}
 	s.engines[r.Name] = e
-	e.ReserveDelayed(s.lateOf(now, e.life))
+	e.ReserveDelayed(s.delayedOrders(now, e.life))
 	s.Out.Log(logevent.EngineTaken, "engine", r.Name, "fence", o.Revision, "former", o.FormerOwner, "wait", from.Since(now).String())
 	s.askState(now, e)
 }
