--- a/core/owned/late.go
+++ b/core/owned/late.go
@@ -12,7 +12,7 @@
 // for.
 type delayedOrder struct {
 	orders.DelayedOrder
-	life pool.Incarnation
+	incarnation pool.Incarnation
 }
 
 // recordDelayed notes that the answer of the order in flight at an engine is lost, if there is
@@ -26,14 +26,14 @@
 		s.delayed = map[string][]delayedOrder{}
 	}
 	recent := slices.DeleteFunc(s.delayed[e.Name], func(l delayedOrder) bool { return !now.Before(l.Until) })
-	s.delayed[e.Name] = append(recent, delayedOrder{DelayedOrder: orders.NewDelayedOrder(now, r), life: e.life})
+	s.delayed[e.Name] = append(recent, delayedOrder{DelayedOrder: orders.NewDelayedOrder(now, r), incarnation: e.life})
 }
 
 // delayedOrders returns the orders to former lives of an engine that may still be on their way.
 func (s *Engines) delayedOrders(now clock.Instant, life pool.Incarnation) []orders.DelayedOrder {
 	var late []orders.DelayedOrder
 	for _, l := range s.delayed[life.Name] {
-		if l.life != life && now.Before(l.Until) {
+		if l.incarnation != life && now.Before(l.Until) {
 			late = append(late, l.DelayedOrder)
 		}
 	}
