--- a/core/owned/late.go
+++ b/core/owned/late.go
@@ -26,7 +26,7 @@
 		s.delayed = map[string][]delayedOrder{}
 	}
 	recent := slices.DeleteFunc(s.delayed[e.Name], func(l delayedOrder) bool { return !now.Before(l.Until) })
-	s.delayed[e.Name] = append(recent, delayedOrder{DelayedOrder: orders.NewDelayedOrder(now, r), incarnation: e.life})
+	s.delayed[e.Name] = append(recent, delayedOrder{DelayedOrder: orders.NewDelayedOrder(now, r), incarnation: e.incarnation})
 }
 
 // delayedOrders returns the orders to former lives of an engine that may still be on their way.
--- a/core/owned/owned.go
+++ b/core/owned/owned.go
@@ -64,16 +64,16 @@
 		return
 	}
 	e := &Engine{
-		Ledger:     orders.New(r.Name, r.Address, o.Revision, from, limits, sizes),
-		Settled:    o.FormerOwner == "",
-		life:       r.Incarnation(),
-		acquiredAt: now,
+		Ledger:      orders.New(r.Name, r.Address, o.Revision, from, limits, sizes),
+		Settled:     o.FormerOwner == "",
+		incarnation: r.Incarnation(),
+		acquiredAt:  now,
 	}
 	if s.engines == nil {
 		s.engines = map[string]*Engine{}
 	}
 	s.engines[r.Name] = e
-	e.ReserveDelayed(s.delayedOrders(now, e.life))
+	e.ReserveDelayed(s.delayedOrders(now, e.incarnation))
 	s.Out.Log(logevent.EngineTaken, "engine", r.Name, "fence", o.Revision, "former", o.FormerOwner, "wait", from.Since(now).String())
 	s.askState(now, e)
 }
@@ -179,10 +179,10 @@
 			s.Lose(now, name, "it is leaving")
 			continue
 		}
-		if e.life.Born == "" {
-			e.life = r.Incarnation()
+		if e.incarnation.Born == "" {
+			e.incarnation = r.Incarnation()
 		}
-		if e.life != r.Incarnation() {
+		if e.incarnation != r.Incarnation() {
 			// Its count of orders began anew and it holds nothing: a ledger of the life
 			// before would refuse what the engine says, and never order it again.
 			s.Lose(now, name, "it started again")
@@ -225,7 +225,7 @@
 	}
 	e.published = e.Version()
 	e.change++
-	res := pool.Residency{Boot: uint64(e.Fence), Change: e.change, Born: e.life.Born, Items: e.Items()}
+	res := pool.Residency{Boot: uint64(e.Fence), Change: e.change, Born: e.incarnation.Born, Items: e.Items()}
 	if s.Records.AddResidency("", gossip.Residency{Engine: e.Name, Residency: res}) {
 		s.Pool.ObserveResidency(now, e.Name, res)
 		s.Published(now)
