--- a/core/owned/engine.go
+++ b/core/owned/engine.go
@@ -20,7 +20,7 @@
 	incarnation pool.Incarnation // the one that the ledger is of
 	acquiredAt  clock.Instant
 	queue       []queued
-	asking      bool          // for its state
+	querying    bool          // for its state
 	askDue      clock.Instant // when it may be asked for its state again
 	orderedAt   clock.Instant // when an order was last sent
 	orderFence  era.Revision  // of that order
--- a/core/owned/state.go
+++ b/core/owned/state.go
@@ -45,10 +45,10 @@
 
 // askState asks an engine whose state is in doubt.
 func (s *Engines) askState(now clock.Instant, e *Engine) {
-	if !e.Uncertain() && !e.ModelOrderRunning() || e.InFlight() || e.asking || now.Before(e.askDue) || s.resting(now, e) || !s.Permitted(now, e.Name, false) {
+	if !e.Uncertain() && !e.ModelOrderRunning() || e.InFlight() || e.querying || now.Before(e.askDue) || s.resting(now, e) || !s.Permitted(now, e.Name, false) {
 		return
 	}
-	e.asking = true
+	e.querying = true
 	e.askDue = now.Add(askEvery)
 	s.Out.Emit(QueryState{Engine: e.Name, Address: e.Address, Limited: s.limited(now, e)})
 }
@@ -60,7 +60,7 @@
 	if e == nil || r.Sent.Before(e.acquiredAt) {
 		return // it was asked for an earlier ledger, perhaps of a former life
 	}
-	e.asking = false
+	e.querying = false
 	if r.Err != nil {
 		s.Out.Log(logevent.EngineStateFailed, "engine", e.Name, "error", r.Err.Error())
 		return
