--- a/core/owned/engine.go
+++ b/core/owned/engine.go
@@ -21,7 +21,7 @@
 	acquiredAt  clock.Instant
 	queue       []queued
 	querying    bool          // for its state
-	askDue      clock.Instant // when it may be asked for its state again
+	queryDue    clock.Instant // when it may be asked for its state again
 	orderedAt   clock.Instant // when an order was last sent
 	orderFence  era.Revision  // of that order
 	published   uint64        // changes of the ledger that the fleet was told of
--- a/core/owned/state.go
+++ b/core/owned/state.go
@@ -45,11 +45,11 @@
 
 // askState asks an engine whose state is in doubt.
 func (s *Engines) askState(now clock.Instant, e *Engine) {
-	if !e.Uncertain() && !e.ModelOrderRunning() || e.InFlight() || e.querying || now.Before(e.askDue) || s.resting(now, e) || !s.Permitted(now, e.Name, false) {
+	if !e.Uncertain() && !e.ModelOrderRunning() || e.InFlight() || e.querying || now.Before(e.queryDue) || s.resting(now, e) || !s.Permitted(now, e.Name, false) {
 		return
 	}
 	e.querying = true
-	e.askDue = now.Add(askEvery)
+	e.queryDue = now.Add(askEvery)
 	s.Out.Emit(QueryState{Engine: e.Name, Address: e.Address, Limited: s.limited(now, e)})
 }
 
@@ -86,7 +86,7 @@
 	if loading {
 		wait = s.loadTime(r, model)
 	}
-	e.askDue = now.Add(wait + reportLag)
+	e.queryDue = now.Add(wait + reportLag)
 }
 
 // loadTime returns how long an engine takes to load a model.
