--- a/core/owned/engine.go
+++ b/core/owned/engine.go
@@ -22,7 +22,7 @@
 	queue       []queued
 	querying    bool          // for its state
 	queryDue    clock.Instant // when it may be asked for its state again
-	orderedAt   clock.Instant // when an order was last sent
+	lastOrderAt clock.Instant // when an order was last sent
 	orderFence  era.Revision  // of that order
 	published   uint64        // changes of the ledger that the fleet was told of
 	change      uint64        // number of the last residency that the fleet was told
@@ -47,8 +47,8 @@
 	switch {
 	case !e.Settled || e.InFlight() || e.Uncertain() || now.Before(e.From):
 		return 0
-	case !e.orderedAt.IsZero():
-		return now.Since(e.orderedAt)
+	case !e.lastOrderAt.IsZero():
+		return now.Since(e.lastOrderAt)
 	default:
 		return now.Since(e.From)
 	}
--- a/core/owned/queue.go
+++ b/core/owned/queue.go
@@ -216,7 +216,7 @@
 	}
 	s.Out.Log(logevent.EngineOrder, "engine", e.Name, "load", r.Load, "item", r.Item(), "expect", e.Sequence(), "fence", e.Fence)
 	expect := e.Sequence()
-	e.orderedAt = now
+	e.lastOrderAt = now
 	e.orderFence = e.Fence
 	e.RecordSent(r)
 	o := orders.Order{Engine: e.Name, Address: e.Address, Request: r, Expect: expect, Fence: e.Fence}
