--- a/core/owned/queue.go
+++ b/core/owned/queue.go
@@ -217,7 +217,7 @@
 	s.Out.Log(logevent.EngineOrder, "engine", e.Name, "load", r.Load, "item", r.Item(), "expect", e.Sequence(), "fence", e.Fence)
 	expect := e.Sequence()
 	e.lastOrderAt = now
-	e.orderFence = e.Fence
+	e.lastOrderFence = e.Fence
 	e.RecordSent(r)
 	o := orders.Order{Engine: e.Name, Address: e.Address, Request: r, Expect: expect, Fence: e.Fence}
 	s.Out.Emit(SendOrder{Order: o, Limited: s.limited(now, e)})
@@ -226,7 +226,7 @@
 // HandleOrderReply takes in what came of an order.
 func (s *Engines) HandleOrderReply(now clock.Instant, r OrderReply) {
 	e := s.engines[r.Engine]
-	if e == nil || e.orderFence != r.Fence || !e.InFlight() {
+	if e == nil || e.lastOrderFence != r.Fence || !e.InFlight() {
 		return
 	}
 	s.Out.Log(logevent.EngineAnswer, "engine", e.Name, "answer", int(r.Answer), "sequence", e.Sequence(), "detail", r.Detail)
