--- a/core/owned/engine.go
+++ b/core/owned/engine.go
@@ -17,15 +17,15 @@
 	// Settled says that no order of a former owner can be on its way any more.
 	Settled bool
 
-	incarnation    pool.Incarnation // the one that the ledger is of
-	acquiredAt     clock.Instant
-	queue          []queued
-	querying       bool          // for its state
-	queryDue       clock.Instant // when it may be asked for its state again
-	lastOrderAt    clock.Instant // when an order was last sent
-	lastOrderFence era.Revision  // of that order
-	published      uint64        // changes of the ledger that the fleet was told of
-	change         uint64        // number of the last residency that the fleet was told
+	incarnation      pool.Incarnation // the one that the ledger is of
+	acquiredAt       clock.Instant
+	queue            []queued
+	querying         bool          // for its state
+	queryDue         clock.Instant // when it may be asked for its state again
+	lastOrderAt      clock.Instant // when an order was last sent
+	lastOrderFence   era.Revision  // of that order
+	publishedVersion uint64        // changes of the ledger that the fleet was told of
+	change           uint64        // number of the last residency that the fleet was told
 }
 
 // A queued request waits for its turn.
--- a/core/owned/owned.go
+++ b/core/owned/owned.go
@@ -220,10 +220,10 @@
 // publish takes what the ledger says into this instance's own view, and into the
 // records that peers are told.
 func (s *Engines) publish(now clock.Instant, e *Engine) {
-	if e.published == e.Version() || !e.Known() && e.change == 0 {
+	if e.publishedVersion == e.Version() || !e.Known() && e.change == 0 {
 		return
 	}
-	e.published = e.Version()
+	e.publishedVersion = e.Version()
 	e.change++
 	res := pool.Residency{Boot: uint64(e.Fence), Change: e.change, Born: e.incarnation.Born, Items: e.Items()}
 	if s.Records.AddResidency("", gossip.Residency{Engine: e.Name, Residency: res}) {
