--- a/core/owned/engine.go
+++ b/core/owned/engine.go
@@ -25,7 +25,7 @@
 	lastOrderAt      clock.Instant // when an order was last sent
 	lastOrderFence   era.Revision  // of that order
 	publishedVersion uint64        // changes of the ledger that the fleet was told of
-	change           uint64        // number of the last residency that the fleet was told
+	residencyChange  uint64        // number of the last residency that the fleet was told
 }
 
 // A queued request waits for its turn.
--- a/core/owned/owned.go
+++ b/core/owned/owned.go
@@ -220,12 +220,12 @@
 // publish takes what the ledger says into this instance's own view, and into the
 // records that peers are told.
 func (s *Engines) publish(now clock.Instant, e *Engine) {
-	if e.publishedVersion == e.Version() || !e.Known() && e.change == 0 {
+	if e.publishedVersion == e.Version() || !e.Known() && e.residencyChange == 0 {
 		return
 	}
 	e.publishedVersion = e.Version()
-	e.change++
-	res := pool.Residency{Boot: uint64(e.Fence), Change: e.change, Born: e.incarnation.Born, Items: e.Items()}
+	e.residencyChange++
+	res := pool.Residency{Boot: uint64(e.Fence), Change: e.residencyChange, Born: e.incarnation.Born, Items: e.Items()}
 	if s.Records.AddResidency("", gossip.Residency{Engine: e.Name, Residency: res}) {
 		s.Pool.ObserveResidency(now, e.Name, res)
 		s.Published(now)
