--- a/core/owned/engine.go
+++ b/core/owned/engine.go
@@ -19,7 +19,7 @@
 
 	incarnation      pool.Incarnation // the one that the ledger is of
 	acquiredAt       clock.Instant
-	queue            []queued
+	queue            []queuedRequest
 	querying         bool          // for its state
 	queryDue         clock.Instant // when it may be asked for its state again
 	lastOrderAt      clock.Instant // when an order was last sent
@@ -28,8 +28,8 @@
 	residencyChange  uint64        // number of the last residency that the fleet was told
 }
 
-// A queued request waits for its turn.
-type queued struct {
+// A queuedRequest request waits for its turn.
+type queuedRequest struct {
 	request orders.Request
 	waiters []waiter
 	due     clock.Instant // not before
--- a/core/owned/queue.go
+++ b/core/owned/queue.go
@@ -109,7 +109,7 @@
 			return
 		}
 	}
-	q := queued{request: r, waiters: []waiter{w}, due: now, expires: now.Add(queueTime)}
+	q := queuedRequest{request: r, waiters: []waiter{w}, due: now, expires: now.Add(queueTime)}
 	if !r.Load && r.Adapter == "" && e.Phase(r.Model) == pool.Ready {
 		e.MarkUnloading(r.Model)
 		q.due = now.Add(unloadPause)
@@ -121,7 +121,7 @@
 // workQueue goes over what waits at an engine: it settles what is done and sends
 // the next order that can be sent.
 func (s *Engines) workQueue(now clock.Instant, e *Engine) {
-	var rest []queued
+	var rest []queuedRequest
 	queue := e.queue
 	e.queue = nil
 	for _, q := range queue {
@@ -134,7 +134,7 @@
 }
 
 // work does what can be done for one request, and reports whether it is over.
-func (s *Engines) work(now clock.Instant, e *Engine, q *queued) bool {
+func (s *Engines) work(now clock.Instant, e *Engine, q *queuedRequest) bool {
 	switch e.Check(q.request) {
 	case orders.NoChange, orders.NotLoaded:
 		s.answerAll(now, e, *q, Done, "")
@@ -165,7 +165,7 @@
 }
 
 // giveUp refuses a request that waits.
-func (s *Engines) giveUp(now clock.Instant, e *Engine, q queued, detail string) {
+func (s *Engines) giveUp(now clock.Instant, e *Engine, q queuedRequest, detail string) {
 	if !q.request.Load && q.request.Adapter == "" {
 		e.UnmarkUnloading(q.request.Model)
 	}
@@ -257,7 +257,7 @@
 	s.publish(now, e)
 }
 
-func (s *Engines) answerAll(now clock.Instant, e *Engine, q queued, o Outcome, detail string) {
+func (s *Engines) answerAll(now clock.Instant, e *Engine, q queuedRequest, o Outcome, detail string) {
 	for _, w := range q.waiters {
 		s.answer(now, e, q.request, w, o, detail)
 	}
