--- a/core/owned/engine.go
+++ b/core/owned/engine.go
@@ -30,10 +30,10 @@
 
 // A queuedRequest request waits for its turn.
 type queuedRequest struct {
-	request orders.Request
-	waiters []waiter
-	due     clock.Instant // not before
-	expires clock.Instant
+	request   orders.Request
+	waiters   []waiter
+	notBefore clock.Instant // not before
+	expires   clock.Instant
 }
 
 // A waiter is who is told of the outcome.
--- a/core/owned/queue.go
+++ b/core/owned/queue.go
@@ -109,10 +109,10 @@
 			return
 		}
 	}
-	q := queuedRequest{request: r, waiters: []waiter{w}, due: now, expires: now.Add(queueTime)}
+	q := queuedRequest{request: r, waiters: []waiter{w}, notBefore: now, expires: now.Add(queueTime)}
 	if !r.Load && r.Adapter == "" && e.Phase(r.Model) == pool.Ready {
 		e.MarkUnloading(r.Model)
-		q.due = now.Add(unloadPause)
+		q.notBefore = now.Add(unloadPause)
 	}
 	e.queue = append(e.queue, q)
 	s.workQueue(now, e)
@@ -145,7 +145,7 @@
 			return true
 		}
 	case orders.Allowed:
-		if !now.Before(q.due) {
+		if !now.Before(q.notBefore) {
 			s.send(now, e, q.request)
 		}
 	case orders.NoCapacity:
