--- a/core/owned/engine.go
+++ b/core/owned/engine.go
@@ -33,7 +33,7 @@
 	request   orders.Request
 	waiters   []waiter
 	notBefore clock.Instant // not before
-	expires   clock.Instant
+	expiresAt clock.Instant
 }
 
 // A waiter is who is told of the outcome.
--- a/core/owned/queue.go
+++ b/core/owned/queue.go
@@ -109,7 +109,7 @@
 			return
 		}
 	}
-	q := queuedRequest{request: r, waiters: []waiter{w}, notBefore: now, expires: now.Add(queueTime)}
+	q := queuedRequest{request: r, waiters: []waiter{w}, notBefore: now, expiresAt: now.Add(queueTime)}
 	if !r.Load && r.Adapter == "" && e.Phase(r.Model) == pool.Ready {
 		e.MarkUnloading(r.Model)
 		q.notBefore = now.Add(unloadPause)
@@ -157,7 +157,7 @@
 		s.answerAll(now, e, *q, Refused, "the model is not there")
 		return true
 	}
-	if now.Before(q.expires) {
+	if now.Before(q.expiresAt) {
 		return false
 	}
 	s.giveUp(now, e, *q, "the engine did not become free in time")
