--- a/core/owned/owned.go
+++ b/core/owned/owned.go
@@ -59,7 +59,7 @@
 	if r == nil {
 		return
 	}
-	limits, sizes, ok := s.facts(r)
+	limits, sizes, ok := s.capacityOf(r)
 	if !ok {
 		return
 	}
@@ -118,14 +118,14 @@
 		if r == nil {
 			continue
 		}
-		if limits, sizes, ok := s.facts(r); ok {
+		if limits, sizes, ok := s.capacityOf(r); ok {
 			e.Configure(limits, sizes)
 		}
 	}
 }
 
-// facts returns what the configuration says of an engine's pool.
-func (s *Engines) facts(r *pool.Replica) (limits orders.Capacity, sizes orders.SizeFunc, ok bool) {
+// capacityOf returns what the configuration says of an engine's pool.
+func (s *Engines) capacityOf(r *pool.Replica) (limits orders.Capacity, sizes orders.SizeFunc, ok bool) {
 	p, ok := s.Config.EnginePool(r.Service)
 	if !ok {
 		return limits, nil, false
