--- a/core/owned/owned.go
+++ b/core/owned/owned.go
@@ -152,8 +152,8 @@
 	return r != nil && r.Resting(now)
 }
 
-// limited reports whether an engine names a limit.
-func (s *Engines) limited(now clock.Instant, e *Engine) bool {
+// rateLimited reports whether an engine names a limit.
+func (s *Engines) rateLimited(now clock.Instant, e *Engine) bool {
 	r := s.Pool.Get(e.Name)
 	if r == nil {
 		return false
--- a/core/owned/queue.go
+++ b/core/owned/queue.go
@@ -220,7 +220,7 @@
 	e.lastOrderFence = e.Fence
 	e.RecordSent(r)
 	o := orders.Order{Engine: e.Name, Address: e.Address, Request: r, Expect: expect, Fence: e.Fence}
-	s.Out.Emit(SendOrder{Order: o, Limited: s.limited(now, e)})
+	s.Out.Emit(SendOrder{Order: o, Limited: s.rateLimited(now, e)})
 }
 
 // HandleOrderReply takes in what came of an order.
--- a/core/owned/state.go
+++ b/core/owned/state.go
@@ -50,7 +50,7 @@
 	}
 	e.querying = true
 	e.queryDue = now.Add(askEvery)
-	s.Out.Emit(QueryState{Engine: e.Name, Address: e.Address, Limited: s.limited(now, e)})
+	s.Out.Emit(QueryState{Engine: e.Name, Address: e.Address, Limited: s.rateLimited(now, e)})
 }
 
 // HandleStateReply takes an engine's state into its ledger. It is asked again after
