--- a/core/owned/queue.go
+++ b/core/owned/queue.go
@@ -13,9 +13,9 @@
 // How requests wait for their turn at an engine, and which order is sent next.
 
 const (
-	// adapterTime is how long an adapter is believed to take until the engine
+	// adapterLoadTime is how long an adapter is believed to take until the engine
 	// says otherwise.
-	adapterTime = 14 * time.Millisecond
+	adapterLoadTime = 14 * time.Millisecond
 	// queueTime is how long a request waits for its turn: longer than every
 	// adapter takes, shorter than callers wait.
 	queueTime = time.Second
@@ -232,7 +232,7 @@
 	s.Out.Log(logevent.EngineAnswer, "engine", e.Name, "answer", int(r.Answer), "sequence", e.Sequence(), "detail", r.Detail)
 	switch r.Answer {
 	case orders.AnswerAccepted:
-		e.RecordAccepted(now, adapterTime)
+		e.RecordAccepted(now, adapterLoadTime)
 		s.expectModel(now, e)
 	case orders.AnswerNoChange:
 		e.RecordNoChange()
