--- a/core/owned/queue.go
+++ b/core/owned/queue.go
@@ -16,9 +16,9 @@
 	// adapterLoadTime is how long an adapter is believed to take until the engine
 	// says otherwise.
 	adapterLoadTime = 14 * time.Millisecond
-	// queueTime is how long a request waits for its turn: longer than every
+	// maxQueueTime is how long a request waits for its turn: longer than every
 	// adapter takes, shorter than callers wait.
-	queueTime = time.Second
+	maxQueueTime = time.Second
 	// unloadPause is how long the fleet has to hear that a model goes before its
 	// unload is ordered: one exchange with each neighbour.
 	unloadPause = 300 * time.Millisecond
@@ -109,7 +109,7 @@
 			return
 		}
 	}
-	q := queuedRequest{request: r, waiters: []waiter{w}, notBefore: now, expiresAt: now.Add(queueTime)}
+	q := queuedRequest{request: r, waiters: []waiter{w}, notBefore: now, expiresAt: now.Add(maxQueueTime)}
 	if !r.Load && r.Adapter == "" && e.Phase(r.Model) == pool.Ready {
 		e.MarkUnloading(r.Model)
 		q.notBefore = now.Add(unloadPause)
