--- a/core/owned/queue.go
+++ b/core/owned/queue.go
@@ -19,9 +19,9 @@
 	// maxQueueTime is how long a request waits for its turn: longer than every
 	// adapter takes, shorter than callers wait.
 	maxQueueTime = time.Second
-	// unloadPause is how long the fleet has to hear that a model goes before its
+	// unloadDelay is how long the fleet has to hear that a model goes before its
 	// unload is ordered: one exchange with each neighbour.
-	unloadPause = 300 * time.Millisecond
+	unloadDelay = 300 * time.Millisecond
 	// idleAdapter is how long an adapter must not have been used to make way:
 	// several rounds of exchanges, by which uses are heard of.
 	idleAdapter = 400 * time.Millisecond
@@ -112,7 +112,7 @@
 	q := queuedRequest{request: r, waiters: []waiter{w}, notBefore: now, expiresAt: now.Add(maxQueueTime)}
 	if !r.Load && r.Adapter == "" && e.Phase(r.Model) == pool.Ready {
 		e.MarkUnloading(r.Model)
-		q.notBefore = now.Add(unloadPause)
+		q.notBefore = now.Add(unloadDelay)
 	}
 	e.queue = append(e.queue, q)
 	s.workQueue(now, e)
