--- a/core/owned/queue.go
+++ b/core/owned/queue.go
@@ -22,9 +22,9 @@
 	// unloadDelay is how long the fleet has to hear that a model goes before its
 	// unload is ordered: one exchange with each neighbour.
 	unloadDelay = 300 * time.Millisecond
-	// idleAdapter is how long an adapter must not have been used to make way:
+	// minAdapterIdle is how long an adapter must not have been used to make way:
 	// several rounds of exchanges, by which uses are heard of.
-	idleAdapter = 400 * time.Millisecond
+	minAdapterIdle = 400 * time.Millisecond
 )
 
 // An Outcome is what came of a request for an order.
@@ -202,7 +202,7 @@
 	if e.InFlight() || !e.Known() {
 		return true
 	}
-	idle, ok := e.IdleAdapter(now, idleAdapter)
+	idle, ok := e.IdleAdapter(now, minAdapterIdle)
 	if !ok || e.Check(idle) != orders.Allowed {
 		return false
 	}
