--- a/core/owned/queue.go
+++ b/core/owned/queue.go
@@ -85,16 +85,16 @@
 		s.Out.Emit(SendReply{Token: a.Token, Outcome: Refused, Detail: "this instance does not order the engine"})
 		return
 	}
-	s.request(now, e, a.Request, waiter{token: a.Token})
+	s.enqueue(now, e, a.Request, waiter{token: a.Token})
 }
 
 // Request asks for an order to an engine that this instance owns, on behalf of
 // this instance itself; Answered is told of the outcome.
 func (s *Engines) Request(now clock.Instant, e *Engine, r orders.Request) {
-	s.request(now, e, r, waiter{})
+	s.enqueue(now, e, r, waiter{})
 }
 
-func (s *Engines) request(now clock.Instant, e *Engine, r orders.Request, w waiter) {
+func (s *Engines) enqueue(now clock.Instant, e *Engine, r orders.Request, w waiter) {
 	if !s.Orderable(now, e) {
 		s.answer(now, e, r, w, Refused, "the engine may not be ordered yet")
 		return
