--- a/core/owned/queue.go
+++ b/core/owned/queue.go
@@ -125,7 +125,7 @@
 	queue := e.queue
 	e.queue = nil
 	for _, q := range queue {
-		if s.work(now, e, &q) {
+		if s.process(now, e, &q) {
 			continue
 		}
 		rest = append(rest, q)
@@ -133,8 +133,8 @@
 	e.queue = append(rest, e.queue...)
 }
 
-// work does what can be done for one request, and reports whether it is over.
-func (s *Engines) work(now clock.Instant, e *Engine, q *queuedRequest) bool {
+// process does what can be done for one request, and reports whether it is over.
+func (s *Engines) process(now clock.Instant, e *Engine, q *queuedRequest) bool {
 	switch e.Check(q.request) {
 	case orders.NoChange, orders.NotLoaded:
 		s.answerAll(now, e, *q, Done, "")
