--- a/core/owned/owned.go
+++ b/core/owned/owned.go
@@ -190,7 +190,7 @@
 		}
 		e.Advance(now)
 		s.askState(now, e)
-		s.workQueue(now, e)
+		s.processQueue(now, e)
 		s.publish(now, e)
 	}
 }
@@ -213,7 +213,7 @@
 		return
 	}
 	e.ObserveModels(models)
-	s.workQueue(now, e)
+	s.processQueue(now, e)
 	s.publish(now, e)
 }
 
--- a/core/owned/queue.go
+++ b/core/owned/queue.go
@@ -115,12 +115,12 @@
 		q.notBefore = now.Add(unloadDelay)
 	}
 	e.queue = append(e.queue, q)
-	s.workQueue(now, e)
+	s.processQueue(now, e)
 }
 
-// workQueue goes over what waits at an engine: it settles what is done and sends
+// processQueue goes over what waits at an engine: it settles what is done and sends
 // the next order that can be sent.
-func (s *Engines) workQueue(now clock.Instant, e *Engine) {
+func (s *Engines) processQueue(now clock.Instant, e *Engine) {
 	var rest []queuedRequest
 	queue := e.queue
 	e.queue = nil
@@ -253,7 +253,7 @@
 	case orders.AnswerLost:
 		s.recordDelayed(now, e)
 	}
-	s.workQueue(now, e)
+	s.processQueue(now, e)
 	s.publish(now, e)
 }
 
--- a/core/owned/state.go
+++ b/core/owned/state.go
@@ -67,7 +67,7 @@
 	}
 	s.Out.Log(logevent.EngineState, "engine", e.Name, "sequence", r.State.Sequence, "busy", r.State.Busy)
 	e.ObserveState(now, r.State)
-	s.workQueue(now, e)
+	s.processQueue(now, e)
 	s.publish(now, e)
 }
 
