--- a/core/owned/queue.go
+++ b/core/owned/queue.go
@@ -160,12 +160,12 @@
 	if now.Before(q.expiresAt) {
 		return false
 	}
-	s.giveUp(now, e, *q, "the engine did not become free in time")
+	s.refuse(now, e, *q, "the engine did not become free in time")
 	return true
 }
 
-// giveUp refuses a request that waits.
-func (s *Engines) giveUp(now clock.Instant, e *Engine, q queuedRequest, detail string) {
+// refuse refuses a request that waits.
+func (s *Engines) refuse(now clock.Instant, e *Engine, q queuedRequest, detail string) {
 	if !q.request.Load && q.request.Adapter == "" {
 		e.UnmarkUnloading(q.request.Model)
 	}
@@ -183,7 +183,7 @@
 	queue := e.queue
 	e.queue = nil
 	for _, q := range queue {
-		s.giveUp(now, e, q, nothingAnswers)
+		s.refuse(now, e, q, nothingAnswers)
 	}
 }
 
