--- a/core/owned/queue.go
+++ b/core/owned/queue.go
@@ -172,11 +172,11 @@
 	s.answerAll(now, e, q, Refused, detail)
 }
 
-// unreachable takes in that nothing answers at an engine. What waits there is given up at
+// handleUnreachable takes in that nothing answers at an engine. What waits there is given up at
 // once, so that calls go to another engine. Otherwise the order would be repeated as fast
 // as it fails, for queueTime: every 0.7 ms by the log of an instance whose engine's
 // process had ended.
-func (s *Engines) unreachable(now clock.Instant, e *Engine) {
+func (s *Engines) handleUnreachable(now clock.Instant, e *Engine) {
 	if r := s.Pool.Get(e.Name); r != nil {
 		r.MarkDown(now)
 	}
@@ -238,7 +238,7 @@
 		e.RecordNoChange()
 	case orders.AnswerNotSent:
 		e.RecordFailed()
-		s.unreachable(now, e)
+		s.handleUnreachable(now, e)
 	case orders.AnswerInvalid:
 		e.RecordFailed()
 	case orders.AnswerConflict:
