--- a/core/owned/queue.go
+++ b/core/owned/queue.go
@@ -100,7 +100,7 @@
 		return
 	}
 	if s.down(now, e) {
-		s.answer(now, e, r, w, Refused, nothingAnswers)
+		s.answer(now, e, r, w, Refused, unreachableDetail)
 		return
 	}
 	for i := range e.queue {
@@ -183,12 +183,12 @@
 	queue := e.queue
 	e.queue = nil
 	for _, q := range queue {
-		s.refuse(now, e, q, nothingAnswers)
+		s.refuse(now, e, q, unreachableDetail)
 	}
 }
 
-// nothingAnswers is the reason of a refusal.
-const nothingAnswers = "nothing answers at the engine"
+// unreachableDetail is the reason of a refusal.
+const unreachableDetail = "nothing answers at the engine"
 
 // down reports whether nothing answered at an engine a moment ago.
 func (s *Engines) down(now clock.Instant, e *Engine) bool {
