--- a/core/owned/queue.go
+++ b/core/owned/queue.go
@@ -149,7 +149,7 @@
 			s.send(now, e, q.request)
 		}
 	case orders.NoCapacity:
-		if q.request.Adapter == "" || !s.makeRoom(now, e) {
+		if q.request.Adapter == "" || !s.evictAdapter(now, e) {
 			s.answerAll(now, e, *q, Refused, "no room")
 			return true
 		}
@@ -196,9 +196,9 @@
 	return r != nil && r.Down(now)
 }
 
-// makeRoom orders the adapter that was used least lately away, and reports
+// evictAdapter orders the adapter that was used least lately away, and reports
 // whether room is to be expected.
-func (s *Engines) makeRoom(now clock.Instant, e *Engine) bool {
+func (s *Engines) evictAdapter(now clock.Instant, e *Engine) bool {
 	if e.InFlight() || !e.Known() {
 		return true
 	}
