--- a/core/owned/owned.go
+++ b/core/owned/owned.go
@@ -88,7 +88,7 @@
 	s.recordDelayed(now, e)
 	s.Out.Log(logevent.EngineLost, "engine", name, "fence", e.Fence, "detail", why)
 	for _, q := range e.queue {
-		s.answerAll(now, e, q, Refused, why)
+		s.replyAll(now, e, q, Refused, why)
 	}
 }
 
--- a/core/owned/queue.go
+++ b/core/owned/queue.go
@@ -137,11 +137,11 @@
 func (s *Engines) process(now clock.Instant, e *Engine, q *queuedRequest) bool {
 	switch e.Check(q.request) {
 	case orders.NoChange, orders.NotLoaded:
-		s.answerAll(now, e, *q, Done, "")
+		s.replyAll(now, e, *q, Done, "")
 		return true
 	case orders.InProgress:
 		if q.request.Adapter == "" {
-			s.answerAll(now, e, *q, Started, "")
+			s.replyAll(now, e, *q, Started, "")
 			return true
 		}
 	case orders.Allowed:
@@ -150,11 +150,11 @@
 		}
 	case orders.NoCapacity:
 		if q.request.Adapter == "" || !s.evictAdapter(now, e) {
-			s.answerAll(now, e, *q, Refused, "no room")
+			s.replyAll(now, e, *q, Refused, "no room")
 			return true
 		}
 	case orders.ModelNotReady, orders.SizeUnknown:
-		s.answerAll(now, e, *q, Refused, "the model is not there")
+		s.replyAll(now, e, *q, Refused, "the model is not there")
 		return true
 	}
 	if now.Before(q.expiresAt) {
@@ -169,7 +169,7 @@
 	if !q.request.Load && q.request.Adapter == "" {
 		e.UnmarkUnloading(q.request.Model)
 	}
-	s.answerAll(now, e, q, Refused, detail)
+	s.replyAll(now, e, q, Refused, detail)
 }
 
 // handleUnreachable takes in that nothing answers at an engine. What waits there is given up at
@@ -257,7 +257,7 @@
 	s.publish(now, e)
 }
 
-func (s *Engines) answerAll(now clock.Instant, e *Engine, q queuedRequest, o Outcome, detail string) {
+func (s *Engines) replyAll(now clock.Instant, e *Engine, q queuedRequest, o Outcome, detail string) {
 	for _, w := range q.waiters {
 		s.answer(now, e, q.request, w, o, detail)
 	}
