--- a/core/owned/queue.go
+++ b/core/owned/queue.go
@@ -96,11 +96,11 @@
 
 func (s *Engines) enqueue(now clock.Instant, e *Engine, r orders.Request, w waiter) {
 	if !s.Orderable(now, e) {
-		s.answer(now, e, r, w, Refused, "the engine may not be ordered yet")
+		s.reply(now, e, r, w, Refused, "the engine may not be ordered yet")
 		return
 	}
 	if s.down(now, e) {
-		s.answer(now, e, r, w, Refused, unreachableDetail)
+		s.reply(now, e, r, w, Refused, unreachableDetail)
 		return
 	}
 	for i := range e.queue {
@@ -259,11 +259,11 @@
 
 func (s *Engines) replyAll(now clock.Instant, e *Engine, q queuedRequest, o Outcome, detail string) {
 	for _, w := range q.waiters {
-		s.answer(now, e, q.request, w, o, detail)
+		s.reply(now, e, q.request, w, o, detail)
 	}
 }
 
-func (s *Engines) answer(now clock.Instant, e *Engine, r orders.Request, w waiter, o Outcome, detail string) {
+func (s *Engines) reply(now clock.Instant, e *Engine, r orders.Request, w waiter, o Outcome, detail string) {
 	if o == Refused {
 		s.Out.Log(logevent.OrderRefusedHere, "engine", e.Name, "item", r.Item(), "detail", detail)
 	}
