--- a/core/owned/state.go
+++ b/core/owned/state.go
@@ -13,9 +13,9 @@
 // What an engine is asked of itself, and when.
 
 const (
-	// askEvery is the least time between two questions for one engine's state:
+	// queryInterval is the least time between two questions for one engine's state:
 	// twice the age that an answer may have, see reportLag.
-	askEvery = 250 * time.Millisecond
+	queryInterval = 250 * time.Millisecond
 	// reportLag is how old what an engine says of itself may be when it comes: the
 	// platform's description of engines has some 100 ms.
 	reportLag = 120 * time.Millisecond
@@ -49,7 +49,7 @@
 		return
 	}
 	e.querying = true
-	e.queryDue = now.Add(askEvery)
+	e.queryDue = now.Add(queryInterval)
 	s.Out.Emit(QueryState{Engine: e.Name, Address: e.Address, Limited: s.rateLimited(now, e)})
 }
 
@@ -82,7 +82,7 @@
 	if r == nil || model == "" {
 		return
 	}
-	wait := askEvery
+	wait := queryInterval
 	if loading {
 		wait = s.loadTime(r, model)
 	}
@@ -93,7 +93,7 @@
 func (s *Engines) loadTime(r *pool.Replica, model string) time.Duration {
 	p, ok := s.Config.EnginePool(r.Service)
 	if !ok {
-		return askEvery
+		return queryInterval
 	}
 	facts, _ := p.Model(model) // an unknown model has no load times
 	return LoadTime(facts, r.Announcement())
