--- a/core/owned/state.go
+++ b/core/owned/state.go
@@ -16,9 +16,9 @@
 	// queryInterval is the least time between two questions for one engine's state:
 	// twice the age that an answer may have, see reportLag.
 	queryInterval = 250 * time.Millisecond
-	// reportLag is how old what an engine says of itself may be when it comes: the
+	// maxStateAge is how old what an engine says of itself may be when it comes: the
 	// platform's description of engines has some 100 ms.
-	reportLag = 120 * time.Millisecond
+	maxStateAge = 120 * time.Millisecond
 )
 
 type (
@@ -86,7 +86,7 @@
 	if loading {
 		wait = s.loadTime(r, model)
 	}
-	e.queryDue = now.Add(wait + reportLag)
+	e.queryDue = now.Add(wait + maxStateAge)
 }
 
 // loadTime returns how long an engine takes to load a model.
