--- a/core/owned/owned.go
+++ b/core/owned/owned.go
@@ -75,7 +75,7 @@
 	s.engines[r.Name] = e
 	e.ReserveDelayed(s.delayedOrders(now, e.incarnation))
 	s.Out.Log(logevent.EngineTaken, "engine", r.Name, "fence", o.Revision, "former", o.FormerOwner, "wait", from.Since(now).String())
-	s.askState(now, e)
+	s.queryState(now, e)
 }
 
 // Lose ends the ownership of an engine; whoever waits for an order is told why.
@@ -189,7 +189,7 @@
 			continue
 		}
 		e.Advance(now)
-		s.askState(now, e)
+		s.queryState(now, e)
 		s.processQueue(now, e)
 		s.publish(now, e)
 	}
--- a/core/owned/state.go
+++ b/core/owned/state.go
@@ -43,8 +43,8 @@
 // IsEvent implements step.Event.
 func (StateReply) IsEvent() {}
 
-// askState asks an engine whose state is in doubt.
-func (s *Engines) askState(now clock.Instant, e *Engine) {
+// queryState asks an engine whose state is in doubt.
+func (s *Engines) queryState(now clock.Instant, e *Engine) {
 	if !e.Uncertain() && !e.ModelOrderRunning() || e.InFlight() || e.querying || now.Before(e.queryDue) || s.resting(now, e) || !s.Permitted(now, e.Name, false) {
 		return
 	}
