--- a/core/owned/queue.go
+++ b/core/owned/queue.go
@@ -233,7 +233,7 @@
 	switch r.Answer {
 	case orders.AnswerAccepted:
 		e.RecordAccepted(now, adapterLoadTime)
-		s.expectModel(now, e)
+		s.scheduleQuery(now, e)
 	case orders.AnswerNoChange:
 		e.RecordNoChange()
 	case orders.AnswerNotSent:
--- a/core/owned/state.go
+++ b/core/owned/state.go
@@ -71,9 +71,9 @@
 	s.publish(now, e)
 }
 
-// expectModel has an engine asked for its state when the model that it loads
+// scheduleQuery has an engine asked for its state when the model that it loads
 // should be there: its own announcement comes later, and costs more to hear.
-func (s *Engines) expectModel(now clock.Instant, e *Engine) {
+func (s *Engines) scheduleQuery(now clock.Instant, e *Engine) {
 	if !e.Busy() {
 		return
 	}
