--- a/core/orderclient/orderclient.go
+++ b/core/orderclient/orderclient.go
@@ -19,9 +19,9 @@
 	"github.com/birchdrift/birchdrift/core/step"
 )
 
-// refusedSpan is how long an order that was refused is not asked for again: an
+// refusalBackoff is how long an order that was refused is not asked for again: an
 // engine that was busy with another order is free by then.
-const refusedSpan = 300 * time.Millisecond
+const refusalBackoff = 300 * time.Millisecond
 
 // A Key names an order asked for.
 type Key struct {
@@ -77,7 +77,7 @@
 // CanRequest reports whether an order can be asked for now.
 func (a *Client) CanRequest(now clock.Instant, key Key) bool {
 	if at, ok := a.refused[key]; ok {
-		if now.Since(at) < refusedSpan {
+		if now.Since(at) < refusalBackoff {
 			return false
 		}
 		delete(a.refused, key)
