--- a/core/orderclient/orderclient.go
+++ b/core/orderclient/orderclient.go
@@ -65,13 +65,13 @@
 	// Resume has a call that waited for an order look for its replica again.
 	Resume func(now clock.Instant, id calls.ID)
 
-	waiting map[Key][]calls.ID // calls that wait, by the order asked for
+	pending map[Key][]calls.ID // calls that wait, by the order asked for
 	refused map[Key]clock.Instant
 }
 
 // New returns asks of which none is under way.
 func New() *Client {
-	return &Client{waiting: map[Key][]calls.ID{}, refused: map[Key]clock.Instant{}}
+	return &Client{pending: map[Key][]calls.ID{}, refused: map[Key]clock.Instant{}}
 }
 
 // CanRequest reports whether an order can be asked for now.
@@ -101,7 +101,7 @@
 
 // Pending reports whether an order was asked for and is not settled.
 func (a *Client) Pending(key Key) bool {
-	_, ok := a.waiting[key]
+	_, ok := a.pending[key]
 	return ok
 }
 
@@ -110,15 +110,15 @@
 	if a.Pending(key) {
 		return
 	}
-	a.waiting[key] = nil
+	a.pending[key] = nil
 	a.begin(now, key)
 }
 
 // RequestForCall asks for an order that a call waits for; the call is resumed once the
 // order is settled, whatever came of it.
 func (a *Client) RequestForCall(now clock.Instant, key Key, id calls.ID) {
-	_, underWay := a.waiting[key]
-	a.waiting[key] = append(a.waiting[key], id)
+	_, underWay := a.pending[key]
+	a.pending[key] = append(a.pending[key], id)
 	if !underWay {
 		a.begin(now, key)
 	}
@@ -146,11 +146,11 @@
 // HandleOutcome takes in what came of an order asked for: the calls that wait for it go
 // to the engine, or look for another.
 func (a *Client) HandleOutcome(now clock.Instant, key Key, o owned.Outcome, detail string) {
-	waiting, ok := a.waiting[key]
+	waiting, ok := a.pending[key]
 	if !ok {
 		return
 	}
-	delete(a.waiting, key)
+	delete(a.pending, key)
 	if o == owned.Done && key.Request.Load {
 		a.Pool.MarkReady(key.Engine, key.Request.Item())
 	}
