--- a/core/orderclient/orderclient.go
+++ b/core/orderclient/orderclient.go
@@ -65,22 +65,22 @@
 	// Resume has a call that waited for an order look for its replica again.
 	Resume func(now clock.Instant, id calls.ID)
 
-	pending map[Key][]calls.ID // calls that wait, by the order asked for
-	refused map[Key]clock.Instant
+	pending   map[Key][]calls.ID // calls that wait, by the order asked for
+	refusedAt map[Key]clock.Instant
 }
 
 // New returns asks of which none is under way.
 func New() *Client {
-	return &Client{pending: map[Key][]calls.ID{}, refused: map[Key]clock.Instant{}}
+	return &Client{pending: map[Key][]calls.ID{}, refusedAt: map[Key]clock.Instant{}}
 }
 
 // CanRequest reports whether an order can be asked for now.
 func (a *Client) CanRequest(now clock.Instant, key Key) bool {
-	if at, ok := a.refused[key]; ok {
+	if at, ok := a.refusedAt[key]; ok {
 		if now.Since(at) < refusalBackoff {
 			return false
 		}
-		delete(a.refused, key)
+		delete(a.refusedAt, key)
 	}
 	return a.OwnerReachable(now, key.Engine)
 }
@@ -155,7 +155,7 @@
 		a.Pool.MarkReady(key.Engine, key.Request.Item())
 	}
 	if o == owned.Refused || o == owned.Failed {
-		a.refused[key] = now
+		a.refusedAt[key] = now
 	}
 	for _, id := range waiting {
 		a.Resume(now, id)
