--- a/core/orderclient/orderclient.go
+++ b/core/orderclient/orderclient.go
@@ -111,7 +111,7 @@
 		return
 	}
 	a.pending[key] = nil
-	a.begin(now, key)
+	a.send(now, key)
 }
 
 // RequestForCall asks for an order that a call waits for; the call is resumed once the
@@ -120,11 +120,11 @@
 	_, underWay := a.pending[key]
 	a.pending[key] = append(a.pending[key], id)
 	if !underWay {
-		a.begin(now, key)
+		a.send(now, key)
 	}
 }
 
-func (a *Client) begin(now clock.Instant, key Key) {
+func (a *Client) send(now clock.Instant, key Key) {
 	if e := a.Owned.Get(key.Engine); e != nil {
 		a.Owned.Request(now, e, key.Request)
 		return
