--- a/core/placement/changes.go
+++ b/core/placement/changes.go
@@ -25,8 +25,8 @@
 	// TargetWork is the work, in engine seconds a second, that one copy of a
 	// model should have at most.
 	TargetWork = 0.22
-	// margin is by how much the value of a copy must exceed that of what makes way.
-	margin = 1.5
+	// minValueRatio is by how much the value of a copy must exceed that of what makes way.
+	minValueRatio = 1.5
 	// minStoreValue is the least value of a copy that is loaded from the store.
 	minStoreValue = 0.12
 	// minAtHandValue is the same for one whose weights the engine has at hand.
@@ -325,7 +325,7 @@
 	if r.in.Blind && len(o.drop) > 0 && r.in.Demand[c.model].Absent == 0 {
 		return fit{}, false
 	}
-	if o.cost > 0 && c.value < margin*o.cost {
+	if o.cost > 0 && c.value < minValueRatio*o.cost {
 		return fit{}, false
 	}
 	if r.zones[c.model][e.Zone] == 0 {
