--- a/core/placement/changes.go
+++ b/core/placement/changes.go
@@ -29,8 +29,8 @@
 	minValueRatio = 1.5
 	// minStoreValue is the least value of a copy that is loaded from the store.
 	minStoreValue = 0.12
-	// minAtHandValue is the same for one whose weights the engine has at hand.
-	minAtHandValue = 0.04
+	// minCachedValue is the same for one whose weights the engine has at hand.
+	minCachedValue = 0.04
 	// runsCost is the cost of dropping a copy of a model, for each call a
 	// second that it serves: its runs must end first.
 	runsCost = 0.03
@@ -244,7 +244,7 @@
 		if r.in.OnlyAbsent && (r.copies[name] > 0 || r.in.Demand[name].Absent == 0) {
 			continue
 		}
-		if value := r.value(name, r.copies[name]+1); value >= minAtHandValue || r.copies[name] == 0 {
+		if value := r.value(name, r.copies[name]+1); value >= minCachedValue || r.copies[name] == 0 {
 			candidates = append(candidates, candidate{model: name, value: value})
 		}
 	}
@@ -305,7 +305,7 @@
 		return fit{}, false
 	}
 	o := fit{engine: e, source: e.source(c.model)}
-	least := minAtHandValue
+	least := minCachedValue
 	if o.source == pool.WeightStore {
 		least = minStoreValue
 		if r.store <= 0 {
