--- a/core/placement/changes.go
+++ b/core/placement/changes.go
@@ -31,9 +31,9 @@
 	minStoreValue = 0.12
 	// minCachedValue is the same for one whose weights the engine has at hand.
 	minCachedValue = 0.04
-	// runsCost is the cost of dropping a copy of a model, for each call a
+	// callDropCost is the cost of dropping a copy of a model, for each call a
 	// second that it serves: its runs must end first.
-	runsCost = 0.03
+	callDropCost = 0.03
 	// absentValue is the value of the first copy of a model for each call a
 	// second that finds none.
 	absentValue = 2.0
--- a/core/placement/room.go
+++ b/core/placement/room.go
@@ -44,7 +44,7 @@
 // at hand, so that it is back soon when somebody does.
 func (r *round) dropCost(model string) float64 {
 	n := r.copies[model]
-	runs := runsCost * r.in.Demand[model].Rate / float64(max(1, n))
+	runs := callDropCost * r.in.Demand[model].Rate / float64(max(1, n))
 	if n > 1 {
 		return r.value(model, n) + runs
 	}
