--- a/core/placement/changes.go
+++ b/core/placement/changes.go
@@ -34,9 +34,9 @@
 	// callDropCost is the cost of dropping a copy of a model, for each call a
 	// second that it serves: its runs must end first.
 	callDropCost = 0.03
-	// absentValue is the value of the first copy of a model for each call a
+	// missValue is the value of the first copy of a model for each call a
 	// second that finds none.
-	absentValue = 2.0
+	missValue = 2.0
 	// idleValue is the value of the first copy of a model nobody asks for now.
 	idleValue = 0.06
 	// spareValue is the value of a second copy of a model that has one: it
@@ -217,7 +217,7 @@
 func (r *round) value(model string, n int) float64 {
 	d := r.in.Demand[model]
 	if n <= 1 {
-		return idleValue + d.Work + absentValue*max(d.Absent, d.Rate)
+		return idleValue + d.Work + missValue*max(d.Absent, d.Rate)
 	}
 	before := d.Work / float64(n-1)
 	after := d.Work / float64(n)
