--- a/core/placement/changes.go
+++ b/core/placement/changes.go
@@ -37,8 +37,8 @@
 	// missValue is the value of the first copy of a model for each call a
 	// second that finds none.
 	missValue = 2.0
-	// idleValue is the value of the first copy of a model nobody asks for now.
-	idleValue = 0.06
+	// unusedValue is the value of the first copy of a model nobody asks for now.
+	unusedValue = 0.06
 	// spareValue is the value of a second copy of a model that has one: it
 	// stands in when the first is lost.
 	spareValue = 0.01
@@ -217,7 +217,7 @@
 func (r *round) value(model string, n int) float64 {
 	d := r.in.Demand[model]
 	if n <= 1 {
-		return idleValue + d.Work + missValue*max(d.Absent, d.Rate)
+		return unusedValue + d.Work + missValue*max(d.Absent, d.Rate)
 	}
 	before := d.Work / float64(n-1)
 	after := d.Work / float64(n)
