--- a/core/placement/changes.go
+++ b/core/placement/changes.go
@@ -45,8 +45,8 @@
 	// zoneBonus prefers an engine in a zone that has no copy of the model yet: a
 	// zone may be cut off from the others.
 	zoneBonus = 0.05
-	// fullEngine is the work from which an engine is no place for more.
-	fullEngine = 0.75
+	// maxEngineWork is the work from which an engine is no place for more.
+	maxEngineWork = 0.75
 	// engineWorkWeight is what the work that an engine has already takes away
 	// from its score.
 	engineWorkWeight = 0.5
@@ -316,7 +316,7 @@
 	if c.value < least && !first {
 		return fit{}, false
 	}
-	if !first && e.work > fullEngine {
+	if !first && e.work > maxEngineWork {
 		return fit{}, false
 	}
 	if !r.room(&o, c) {
