--- a/core/placement/changes.go
+++ b/core/placement/changes.go
@@ -50,9 +50,9 @@
 	// engineWorkWeight is what the work that an engine has already takes away
 	// from its score.
 	engineWorkWeight = 0.5
-	// lastAtHandCost keeps the last copy of a model whose weights no other
+	// lastCachedCost keeps the last copy of a model whose weights no other
 	// engine has at hand.
-	lastAtHandCost = 1
+	lastCachedCost = 1
 )
 
 // A Model is what is known of a model's weights.
--- a/core/placement/room.go
+++ b/core/placement/room.go
@@ -50,7 +50,7 @@
 	}
 	cost := r.value(model, 1) + runs
 	if r.atHand[model] <= 1 { // the one that drops it keeps a copy too
-		cost += lastAtHandCost
+		cost += lastCachedCost
 	}
 	return cost
 }
