--- a/core/placement/changes.go
+++ b/core/placement/changes.go
@@ -135,8 +135,8 @@
 	return changes
 }
 
-// A round holds one placement in the making.
-type round struct {
+// A planner holds one placement in the making.
+type planner struct {
 	in      Input
 	engines []*engine
 	copies  map[string]int            // that serve, or will
@@ -151,8 +151,8 @@
 	changing bool // it has a change in this placement
 }
 
-func newRound(in Input) *round {
-	r := &round{in: in, copies: map[string]int{}, zones: map[string]map[string]int{}, atHand: map[string]int{}, store: in.StoreLoads}
+func newRound(in Input) *planner {
+	r := &planner{in: in, copies: map[string]int{}, zones: map[string]map[string]int{}, atHand: map[string]int{}, store: in.StoreLoads}
 	for _, e := range in.Engines {
 		r.engines = append(r.engines, &engine{Engine: e})
 		r.countAtHand(e)
@@ -176,7 +176,7 @@
 }
 
 // countAtHand notes the models whose weights an engine has at hand.
-func (r *round) countAtHand(e Engine) {
+func (r *planner) countAtHand(e Engine) {
 	if !e.Sound || !e.Open {
 		return
 	}
@@ -193,7 +193,7 @@
 }
 
 // count notes copies of a model that came or went in a zone.
-func (r *round) count(model, zone string, n int) {
+func (r *planner) count(model, zone string, n int) {
 	r.copies[model] += n
 	if r.zones[model] == nil {
 		r.zones[model] = map[string]int{}
@@ -202,7 +202,7 @@
 }
 
 // share returns the work of one copy of a model.
-func (r *round) share(model string) float64 {
+func (r *planner) share(model string) float64 {
 	return r.in.Demand[model].Work / float64(max(1, r.copies[model]))
 }
 
@@ -214,7 +214,7 @@
 
 // value returns what copy number n of a model is worth: the work that it takes
 // from the others, and more where there are none or they have too much to do.
-func (r *round) value(model string, n int) float64 {
+func (r *planner) value(model string, n int) float64 {
 	d := r.in.Demand[model]
 	if n <= 1 {
 		return unusedValue + d.Work + missValue*max(d.Absent, d.Rate)
@@ -238,7 +238,7 @@
 // candidates returns the copies that would be worth having, the most valuable
 // first; of each model the next one only. What has too little value wherever its
 // weights come from is left out, for each candidate is weighed on every engine.
-func (r *round) candidates() []candidate {
+func (r *planner) candidates() []candidate {
 	var candidates []candidate
 	for name := range r.in.Models {
 		if r.in.OnlyAbsent && (r.copies[name] > 0 || r.in.Demand[name].Absent == 0) {
@@ -266,7 +266,7 @@
 	score  float64 // value less cost and what the engine's work takes away
 }
 
-func (r *round) place(c candidate) (Change, bool) {
+func (r *planner) place(c candidate) (Change, bool) {
 	var best fit
 	found := false
 	for _, e := range r.engines {
@@ -288,7 +288,7 @@
 }
 
 // apply has the placement go on as if the change were done.
-func (r *round) apply(o fit, c candidate) {
+func (r *planner) apply(o fit, c candidate) {
 	o.engine.changing = true
 	if o.source == pool.WeightStore {
 		r.store--
@@ -300,7 +300,7 @@
 }
 
 // fit returns how a candidate could be placed on an engine, if it pays.
-func (r *round) fit(e *engine, c candidate) (fit, bool) {
+func (r *planner) fit(e *engine, c candidate) (fit, bool) {
 	if !e.Open || !e.Sound || e.changing || e.has(c.model) {
 		return fit{}, false
 	}
--- a/core/placement/room.go
+++ b/core/placement/room.go
@@ -5,7 +5,7 @@
 // What makes way for a copy, and what is lost with it.
 
 // room finds what must make way for a candidate on an engine, the cheapest first.
-func (r *round) room(o *fit, c candidate) bool {
+func (r *planner) room(o *fit, c candidate) bool {
 	need := r.in.Models[c.model].MB - o.engine.FreeMB
 	if need <= 0 {
 		return true
@@ -42,7 +42,7 @@
 // dropCost returns what is lost with one copy of a model. The last copy of a
 // model that nobody asks for may go only where another engine has its weights
 // at hand, so that it is back soon when somebody does.
-func (r *round) dropCost(model string) float64 {
+func (r *planner) dropCost(model string) float64 {
 	n := r.copies[model]
 	runs := callDropCost * r.in.Demand[model].Rate / float64(max(1, n))
 	if n > 1 {
