--- a/core/placement/changes.go
+++ b/core/placement/changes.go
@@ -125,7 +125,7 @@
 
 // Plan returns the changes to begin now, the most valuable first.
 func Plan(in Input) []Change {
-	r := newRound(in)
+	r := newPlanner(in)
 	var changes []Change
 	for _, c := range r.candidates() {
 		if change, ok := r.place(c); ok {
@@ -151,7 +151,7 @@
 	changing bool // it has a change in this placement
 }
 
-func newRound(in Input) *planner {
+func newPlanner(in Input) *planner {
 	r := &planner{in: in, copies: map[string]int{}, zones: map[string]map[string]int{}, atHand: map[string]int{}, store: in.StoreLoads}
 	for _, e := range in.Engines {
 		r.engines = append(r.engines, &engine{Engine: e})
