--- a/core/placement/changes.go
+++ b/core/placement/changes.go
@@ -137,12 +137,12 @@
 
 // A planner holds one placement in the making.
 type planner struct {
-	in      Input
-	engines []*engine
-	copies  map[string]int            // that serve, or will
-	zones   map[string]map[string]int // copies by model, then by zone
-	atHand  map[string]int            // engines that have a model's weights and can be ordered
-	store   int
+	in         Input
+	engines    []*engine
+	copies     map[string]int            // that serve, or will
+	zoneCopies map[string]map[string]int // copies by model, then by zone
+	atHand     map[string]int            // engines that have a model's weights and can be ordered
+	store      int
 }
 
 type engine struct {
@@ -152,7 +152,7 @@
 }
 
 func newPlanner(in Input) *planner {
-	r := &planner{in: in, copies: map[string]int{}, zones: map[string]map[string]int{}, atHand: map[string]int{}, store: in.StoreLoads}
+	r := &planner{in: in, copies: map[string]int{}, zoneCopies: map[string]map[string]int{}, atHand: map[string]int{}, store: in.StoreLoads}
 	for _, e := range in.Engines {
 		r.engines = append(r.engines, &engine{Engine: e})
 		r.countAtHand(e)
@@ -195,10 +195,10 @@
 // count notes copies of a model that came or went in a zone.
 func (r *planner) count(model, zone string, n int) {
 	r.copies[model] += n
-	if r.zones[model] == nil {
-		r.zones[model] = map[string]int{}
+	if r.zoneCopies[model] == nil {
+		r.zoneCopies[model] = map[string]int{}
 	}
-	r.zones[model][zone] += n
+	r.zoneCopies[model][zone] += n
 }
 
 // share returns the work of one copy of a model.
@@ -328,7 +328,7 @@
 	if o.cost > 0 && c.value < minValueRatio*o.cost {
 		return fit{}, false
 	}
-	if r.zones[c.model][e.Zone] == 0 {
+	if r.zoneCopies[c.model][e.Zone] == 0 {
 		o.score += zoneBonus
 	}
 	o.score += c.value - o.cost - engineWorkWeight*e.work + sourceBonus[o.source]
