--- a/core/placement/changes.go
+++ b/core/placement/changes.go
@@ -141,7 +141,7 @@
 	engines    []*engine
 	copies     map[string]int            // that serve, or will
 	zoneCopies map[string]map[string]int // copies by model, then by zone
-	atHand     map[string]int            // engines that have a model's weights and can be ordered
+	cached     map[string]int            // engines that have a model's weights and can be ordered
 	store      int
 }
 
@@ -152,7 +152,7 @@
 }
 
 func newPlanner(in Input) *planner {
-	r := &planner{in: in, copies: map[string]int{}, zoneCopies: map[string]map[string]int{}, atHand: map[string]int{}, store: in.StoreLoads}
+	r := &planner{in: in, copies: map[string]int{}, zoneCopies: map[string]map[string]int{}, cached: map[string]int{}, store: in.StoreLoads}
 	for _, e := range in.Engines {
 		r.engines = append(r.engines, &engine{Engine: e})
 		r.countAtHand(e)
@@ -182,12 +182,12 @@
 	}
 	for model, there := range e.OnDisk {
 		if there {
-			r.atHand[model]++
+			r.cached[model]++
 		}
 	}
 	for model, there := range e.InMemory {
 		if there && !e.OnDisk[model] {
-			r.atHand[model]++
+			r.cached[model]++
 		}
 	}
 }
--- a/core/placement/room.go
+++ b/core/placement/room.go
@@ -49,7 +49,7 @@
 		return r.value(model, n) + runs
 	}
 	cost := r.value(model, 1) + runs
-	if r.atHand[model] <= 1 { // the one that drops it keeps a copy too
+	if r.cached[model] <= 1 { // the one that drops it keeps a copy too
 		cost += lastCachedCost
 	}
 	return cost
