--- a/core/placement/changes.go
+++ b/core/placement/changes.go
@@ -142,7 +142,7 @@
 	copies     map[string]int            // that serve, or will
 	zoneCopies map[string]map[string]int // copies by model, then by zone
 	cached     map[string]int            // engines that have a model's weights and can be ordered
-	store      int
+	storeLoads int
 }
 
 type engine struct {
@@ -152,7 +152,7 @@
 }
 
 func newPlanner(in Input) *planner {
-	r := &planner{in: in, copies: map[string]int{}, zoneCopies: map[string]map[string]int{}, cached: map[string]int{}, store: in.StoreLoads}
+	r := &planner{in: in, copies: map[string]int{}, zoneCopies: map[string]map[string]int{}, cached: map[string]int{}, storeLoads: in.StoreLoads}
 	for _, e := range in.Engines {
 		r.engines = append(r.engines, &engine{Engine: e})
 		r.countAtHand(e)
@@ -291,7 +291,7 @@
 func (r *planner) apply(o fit, c candidate) {
 	o.engine.changing = true
 	if o.source == pool.WeightStore {
-		r.store--
+		r.storeLoads--
 	}
 	r.count(c.model, o.engine.Zone, 1)
 	for _, model := range o.drop {
@@ -308,7 +308,7 @@
 	least := minCachedValue
 	if o.source == pool.WeightStore {
 		least = minStoreValue
-		if r.store <= 0 {
+		if r.storeLoads <= 0 {
 			return fit{}, false
 		}
 	}
