--- a/core/placement/changes.go
+++ b/core/placement/changes.go
@@ -155,7 +155,7 @@
 	r := &planner{in: in, copies: map[string]int{}, zoneCopies: map[string]map[string]int{}, cached: map[string]int{}, storeLoads: in.StoreLoads}
 	for _, e := range in.Engines {
 		r.engines = append(r.engines, &engine{Engine: e})
-		r.countAtHand(e)
+		r.countCached(e)
 		if !e.Sound {
 			continue
 		}
@@ -175,8 +175,8 @@
 	return r
 }
 
-// countAtHand notes the models whose weights an engine has at hand.
-func (r *planner) countAtHand(e Engine) {
+// countCached notes the models whose weights an engine has at hand.
+func (r *planner) countCached(e Engine) {
 	if !e.Sound || !e.Open {
 		return
 	}
