--- a/core/placement/changes.go
+++ b/core/placement/changes.go
@@ -161,7 +161,7 @@
 		}
 		for _, c := range e.Copies {
 			if !c.Leaving && !c.Uncarried {
-				r.count(c.Model, e.Zone, 1)
+				r.addCopies(c.Model, e.Zone, 1)
 			}
 		}
 	}
@@ -192,8 +192,8 @@
 	}
 }
 
-// count notes copies of a model that came or went in a zone.
-func (r *planner) count(model, zone string, n int) {
+// addCopies notes copies of a model that came or went in a zone.
+func (r *planner) addCopies(model, zone string, n int) {
 	r.copies[model] += n
 	if r.zoneCopies[model] == nil {
 		r.zoneCopies[model] = map[string]int{}
@@ -293,9 +293,9 @@
 	if o.source == pool.WeightStore {
 		r.storeLoads--
 	}
-	r.count(c.model, o.engine.Zone, 1)
+	r.addCopies(c.model, o.engine.Zone, 1)
 	for _, model := range o.drop {
-		r.count(model, o.engine.Zone, -1)
+		r.addCopies(model, o.engine.Zone, -1)
 	}
 }
 
