--- a/core/placement/changes.go
+++ b/core/placement/changes.go
@@ -168,7 +168,7 @@
 	for _, e := range r.engines {
 		for _, c := range e.Copies {
 			if !c.Leaving {
-				e.work += r.share(c.Model)
+				e.work += r.workPerCopy(c.Model)
 			}
 		}
 	}
@@ -201,8 +201,8 @@
 	r.zoneCopies[model][zone] += n
 }
 
-// share returns the work of one copy of a model.
-func (r *planner) share(model string) float64 {
+// workPerCopy returns the work of one copy of a model.
+func (r *planner) workPerCopy(model string) float64 {
 	return r.in.Demand[model].Work / float64(max(1, r.copies[model]))
 }
 
