--- a/core/placement/changes.go
+++ b/core/placement/changes.go
@@ -221,16 +221,16 @@
 	}
 	before := d.Work / float64(n-1)
 	after := d.Work / float64(n)
-	value := pressure(before)*float64(n-1) - pressure(after)*float64(n)
+	value := workCost(before)*float64(n-1) - workCost(after)*float64(n)
 	if n == 2 {
 		value += spareValue
 	}
 	return value
 }
 
-// pressure is the cost of so much work on one copy: it grows faster than the
+// workCost is the cost of so much work on one copy: it grows faster than the
 // work does, and steeply once there is more than one copy should have.
-func pressure(work float64) float64 {
+func workCost(work float64) float64 {
 	x := work / TargetWork
 	return TargetWork * x * x / 2
 }
