--- a/core/placement/changes.go
+++ b/core/placement/changes.go
@@ -257,8 +257,8 @@
 	return candidates
 }
 
-// A fit is one way to place a candidate.
-type fit struct {
+// A choice is one way to place a candidate.
+type choice struct {
 	engine *engine
 	source pool.WeightSource
 	drop   []string
@@ -267,7 +267,7 @@
 }
 
 func (r *planner) place(c candidate) (Change, bool) {
-	var best fit
+	var best choice
 	found := false
 	for _, e := range r.engines {
 		o, ok := r.fit(e, c)
@@ -288,7 +288,7 @@
 }
 
 // apply has the placement go on as if the change were done.
-func (r *planner) apply(o fit, c candidate) {
+func (r *planner) apply(o choice, c candidate) {
 	o.engine.changing = true
 	if o.source == pool.WeightStore {
 		r.storeLoads--
@@ -300,33 +300,33 @@
 }
 
 // fit returns how a candidate could be placed on an engine, if it pays.
-func (r *planner) fit(e *engine, c candidate) (fit, bool) {
+func (r *planner) fit(e *engine, c candidate) (choice, bool) {
 	if !e.Open || !e.Sound || e.changing || e.has(c.model) {
-		return fit{}, false
+		return choice{}, false
 	}
-	o := fit{engine: e, source: e.source(c.model)}
+	o := choice{engine: e, source: e.source(c.model)}
 	least := minCachedValue
 	if o.source == pool.WeightStore {
 		least = minStoreValue
 		if r.storeLoads <= 0 {
-			return fit{}, false
+			return choice{}, false
 		}
 	}
 	first := r.copies[c.model] == 0
 	if c.value < least && !first {
-		return fit{}, false
+		return choice{}, false
 	}
 	if !first && e.work > maxEngineWork {
-		return fit{}, false
+		return choice{}, false
 	}
 	if !r.room(&o, c) {
-		return fit{}, false
+		return choice{}, false
 	}
 	if r.in.Blind && len(o.drop) > 0 && r.in.Demand[c.model].Absent == 0 {
-		return fit{}, false
+		return choice{}, false
 	}
 	if o.cost > 0 && c.value < minValueRatio*o.cost {
-		return fit{}, false
+		return choice{}, false
 	}
 	if r.zoneCopies[c.model][e.Zone] == 0 {
 		o.score += zoneBonus
