--- a/core/placement/changes.go
+++ b/core/placement/changes.go
@@ -270,7 +270,7 @@
 	var best choice
 	found := false
 	for _, e := range r.engines {
-		o, ok := r.fit(e, c)
+		o, ok := r.evaluate(e, c)
 		if ok && (!found || o.score > best.score) {
 			best = o
 			found = true
@@ -299,8 +299,8 @@
 	}
 }
 
-// fit returns how a candidate could be placed on an engine, if it pays.
-func (r *planner) fit(e *engine, c candidate) (choice, bool) {
+// evaluate returns how a candidate could be placed on an engine, if it pays.
+func (r *planner) evaluate(e *engine, c candidate) (choice, bool) {
 	if !e.Open || !e.Sound || e.changing || e.has(c.model) {
 		return choice{}, false
 	}
