--- a/core/placement/changes.go
+++ b/core/placement/changes.go
@@ -319,7 +319,7 @@
 	if !first && e.work > maxEngineWork {
 		return choice{}, false
 	}
-	if !r.room(&o, c) {
+	if !r.chooseVictims(&o, c) {
 		return choice{}, false
 	}
 	if r.in.Blind && len(o.drop) > 0 && r.in.Demand[c.model].Absent == 0 {
--- a/core/placement/room.go
+++ b/core/placement/room.go
@@ -4,8 +4,8 @@
 
 // What makes way for a copy, and what is lost with it.
 
-// room finds what must make way for a candidate on an engine, the cheapest first.
-func (r *planner) room(o *choice, c candidate) bool {
+// chooseVictims finds what must make way for a candidate on an engine, the cheapest first.
+func (r *planner) chooseVictims(o *choice, c candidate) bool {
 	need := r.in.Models[c.model].MB - o.engine.FreeMB
 	if need <= 0 {
 		return true
