--- a/core/placement/input.go
+++ b/core/placement/input.go
@@ -41,7 +41,7 @@
 // markUncarried marks the copies of a service's models for which the limits that their
 // engines name are too small.
 func (p *Placer) markUncarried(service string, in Input) {
-	too := uncarried(in, p.uncarried[service])
+	too := overLimitCopies(in, p.uncarried[service])
 	p.uncarried[service] = too
 	for _, e := range in.Engines {
 		for i, c := range e.Copies {
--- a/core/placement/limited.go
+++ b/core/placement/limited.go
@@ -16,12 +16,12 @@
 // (docs/design/limits.md).
 const carriedAgain = 0.5
 
-// uncarried returns the copies for which the limits of their engines are too small: the
+// overLimitCopies returns the copies for which the limits of their engines are too small: the
 // demand for them is met elsewhere, so they do not count. Of an engine's copies those that
 // few calls ask for come first: many rare models are served by a limit that one busy model
 // uses up, and which has copies elsewhere sooner. was says which copies were too much before.
 // Where all engines name a limit nothing is gained by moving models between them.
-func uncarried(in Input, was map[copyKey]bool) map[copyKey]bool {
+func overLimitCopies(in Input, was map[copyKey]bool) map[copyKey]bool {
 	out := map[copyKey]bool{}
 	if !slices.ContainsFunc(in.Engines, func(e Engine) bool { return e.Sound && !e.Limited }) {
 		return out
--- a/core/placement/limited_test.go
+++ b/core/placement/limited_test.go
@@ -38,7 +38,7 @@
 // placed returns the changes of an input whose limits are taken into account, and the copies
 // that are too much for them.
 func placed(in Input, was map[copyKey]bool) ([]Change, map[copyKey]bool) {
-	too := uncarried(in, was)
+	too := overLimitCopies(in, was)
 	for i, e := range in.Engines {
 		for k, c := range e.Copies {
 			in.Engines[i].Copies[k].Uncarried = too[copyKey{e.Name, c.Model}]
