--- a/core/placement/limited.go
+++ b/core/placement/limited.go
@@ -36,14 +36,14 @@
 	}
 	for _, e := range in.Engines {
 		if e.Limited && e.Sound {
-			e.uncarried(in, copies, was, out)
+			e.addOverLimit(in, copies, was, out)
 		}
 	}
 	return out
 }
 
-// uncarried adds an engine's copies that its limit is too small for to out.
-func (e Engine) uncarried(in Input, copies map[string]int, was, out map[copyKey]bool) {
+// addOverLimit adds an engine's copies that its limit is too small for to out.
+func (e Engine) addOverLimit(in Input, copies map[string]int, was, out map[copyKey]bool) {
 	rate := func(c Copy) float64 { return in.Demand[c.Model].Rate / float64(max(1, copies[c.Model])) }
 	held := slices.Clone(e.Copies)
 	slices.SortFunc(held, func(a, b Copy) int {
