--- a/core/placement/limited.go
+++ b/core/placement/limited.go
@@ -7,9 +7,9 @@
 
 // Engines that name a limit: which of their copies it carries.
 
-// carriedShare is the part of a limit that is for calls; the rest is for the orders that
+// callShare is the part of a limit that is for calls; the rest is for the orders that
 // their adapters need (docs/design/limits.md).
-const carriedShare = 0.5
+const callShare = 0.5
 
 // carriedAgain is the part of its limit below which an engine carries a copy again that it
 // did not: what is loaded elsewhere takes demand away, and is not to go at once for that
@@ -53,7 +53,7 @@
 	for _, c := range held {
 		asked += rate(c)
 		key := copyKey{e.Name, c.Model}
-		carries := carriedShare * e.Limit
+		carries := callShare * e.Limit
 		if was[key] {
 			carries *= carriedAgain
 		}
