--- a/core/placement/limited.go
+++ b/core/placement/limited.go
@@ -11,10 +11,10 @@
 // their adapters need (docs/design/limits.md).
 const callShare = 0.5
 
-// carriedAgain is the part of its limit below which an engine carries a copy again that it
+// overLimitHysteresis is the part of its limit below which an engine carries a copy again that it
 // did not: what is loaded elsewhere takes demand away, and is not to go at once for that
 // (docs/design/limits.md).
-const carriedAgain = 0.5
+const overLimitHysteresis = 0.5
 
 // overLimitCopies returns the copies for which the limits of their engines are too small: the
 // demand for them is met elsewhere, so they do not count. Of an engine's copies those that
@@ -55,7 +55,7 @@
 		key := copyKey{e.Name, c.Model}
 		carries := callShare * e.Limit
 		if was[key] {
-			carries *= carriedAgain
+			carries *= overLimitHysteresis
 		}
 		if asked > carries && rate(c) > 0 {
 			out[key] = true
