--- a/core/placement/input.go
+++ b/core/placement/input.go
@@ -34,13 +34,13 @@
 			in.Engines = append(in.Engines, p.engine(now, r, engines))
 		}
 	}
-	p.markUncarried(svc.Name, in)
+	p.markOverLimit(svc.Name, in)
 	return in
 }
 
-// markUncarried marks the copies of a service's models for which the limits that their
+// markOverLimit marks the copies of a service's models for which the limits that their
 // engines name are too small.
-func (p *Placer) markUncarried(service string, in Input) {
+func (p *Placer) markOverLimit(service string, in Input) {
 	too := overLimitCopies(in, p.uncarried[service])
 	p.uncarried[service] = too
 	for _, e := range in.Engines {
