--- a/core/placement/input.go
+++ b/core/placement/input.go
@@ -41,8 +41,8 @@
 // markOverLimit marks the copies of a service's models for which the limits that their
 // engines name are too small.
 func (p *Placer) markOverLimit(service string, in Input) {
-	too := overLimitCopies(in, p.uncarried[service])
-	p.uncarried[service] = too
+	too := overLimitCopies(in, p.overLimit[service])
+	p.overLimit[service] = too
 	for _, e := range in.Engines {
 		for i, c := range e.Copies {
 			e.Copies[i].Uncarried = too[copyKey{e.Name, c.Model}]
--- a/core/placement/placer.go
+++ b/core/placement/placer.go
@@ -89,9 +89,9 @@
 	changes  map[string]*change        // under way, by engine
 	readyAt  map[copyKey]clock.Instant // since when a copy is seen ready
 	closed   map[string]clock.Instant  // until when an engine is left out
-	// uncarried are the copies that the limits of their engines were too small for, when
+	// overLimit are the copies that the limits of their engines were too small for, when
 	// models were placed last; by service.
-	uncarried map[string]map[copyKey]bool
+	overLimit map[string]map[copyKey]bool
 }
 
 // A copyKey names a copy of a model on an engine.
@@ -101,7 +101,7 @@
 func New(n Deps) *Placer {
 	return &Placer{
 		Deps: n, changes: map[string]*change{}, readyAt: map[copyKey]clock.Instant{}, closed: map[string]clock.Instant{},
-		uncarried: map[string]map[copyKey]bool{},
+		overLimit: map[string]map[copyKey]bool{},
 	}
 }
 
