--- a/core/placement/budget.go
+++ b/core/placement/budget.go
@@ -18,23 +18,23 @@
 
 // A loadBudget is a token bucket of loads from the weight store.
 type loadBudget struct {
-	begun     clock.Instant // when this instance became the placer
+	startedAt clock.Instant // when this instance became the placer
 	at        clock.Instant // when tokens were last added
 	available float64
 }
 
-func newLoadBudget(now clock.Instant) loadBudget { return loadBudget{begun: now, at: now} }
+func newLoadBudget(now clock.Instant) loadBudget { return loadBudget{startedAt: now, at: now} }
 
 // handedBudget returns the budget of a placer whose former one gave the task back,
 // with so many loads left, and is at work no more.
 func handedBudget(now clock.Instant, available float64, o *option.Options) loadBudget {
-	return loadBudget{begun: now.Add(-o.OrderValid), at: now, available: min(available, loadBurst)}
+	return loadBudget{startedAt: now.Add(-o.OrderValid), at: now, available: min(available, loadBurst)}
 }
 
 // left returns how many loads may begin at now, less than 0 while none may: as many
 // fewer as would have come in the time for which the former placer may be at work.
 func (b *loadBudget) left(now clock.Instant, rate float64, o *option.Options) float64 {
-	wait := o.OrderValid - now.Since(b.begun)
+	wait := o.OrderValid - now.Since(b.startedAt)
 	if wait > 0 {
 		return -loadShare * rate * wait.Seconds()
 	}
@@ -48,7 +48,7 @@
 		b.available = math.MaxInt32
 		return
 	}
-	if now.Since(b.begun) < o.OrderValid {
+	if now.Since(b.startedAt) < o.OrderValid {
 		b.at = now
 		return
 	}
