--- a/core/placement/budget.go
+++ b/core/placement/budget.go
@@ -18,17 +18,17 @@
 
 // A loadBudget is a token bucket of loads from the weight store.
 type loadBudget struct {
-	startedAt clock.Instant // when this instance became the placer
-	at        clock.Instant // when tokens were last added
-	available float64
+	startedAt  clock.Instant // when this instance became the placer
+	refilledAt clock.Instant // when tokens were last added
+	available  float64
 }
 
-func newLoadBudget(now clock.Instant) loadBudget { return loadBudget{startedAt: now, at: now} }
+func newLoadBudget(now clock.Instant) loadBudget { return loadBudget{startedAt: now, refilledAt: now} }
 
 // handedBudget returns the budget of a placer whose former one gave the task back,
 // with so many loads left, and is at work no more.
 func handedBudget(now clock.Instant, available float64, o *option.Options) loadBudget {
-	return loadBudget{startedAt: now.Add(-o.OrderValid), at: now, available: min(available, loadBurst)}
+	return loadBudget{startedAt: now.Add(-o.OrderValid), refilledAt: now, available: min(available, loadBurst)}
 }
 
 // left returns how many loads may begin at now, less than 0 while none may: as many
@@ -49,11 +49,11 @@
 		return
 	}
 	if now.Since(b.startedAt) < o.OrderValid {
-		b.at = now
+		b.refilledAt = now
 		return
 	}
-	b.available = min(b.available+loadShare*rate*now.Since(b.at).Seconds(), loadBurst)
-	b.at = now
+	b.available = min(b.available+loadShare*rate*now.Since(b.refilledAt).Seconds(), loadBurst)
+	b.refilledAt = now
 }
 
 // spend takes one load, and reports whether there was one.
