--- a/core/placement/budget.go
+++ b/core/placement/budget.go
@@ -25,9 +25,9 @@
 
 func newLoadBudget(now clock.Instant) loadBudget { return loadBudget{startedAt: now, refilledAt: now} }
 
-// handedBudget returns the budget of a placer whose former one gave the task back,
+// inheritedBudget returns the budget of a placer whose former one gave the task back,
 // with so many loads left, and is at work no more.
-func handedBudget(now clock.Instant, available float64, o *option.Options) loadBudget {
+func inheritedBudget(now clock.Instant, available float64, o *option.Options) loadBudget {
 	return loadBudget{startedAt: now.Add(-o.OrderValid), refilledAt: now, available: min(available, loadBurst)}
 }
 
--- a/core/placement/budget_test.go
+++ b/core/placement/budget_test.go
@@ -62,7 +62,7 @@
 				is.True(first.spend())
 			}
 			is.Equal(first.left(now, rate, &opt), tt.want)
-			next := handedBudget(now, first.left(now, rate, &opt), &opt)
+			next := inheritedBudget(now, first.left(now, rate, &opt), &opt)
 			next.refill(now, rate, &opt)
 			for range int(max(0, tt.want)) {
 				is.True(next.spend())
--- a/core/placement/placer.go
+++ b/core/placement/placer.go
@@ -140,7 +140,7 @@
 	p.changes = map[string]*change{}
 	p.loads = newLoadBudget(now)
 	if left, ok := p.Registry.HandedOverLoads(); ok && !cutOff {
-		p.loads = handedBudget(now, left, p.Options)
+		p.loads = inheritedBudget(now, left, p.Options)
 	}
 	p.demandAt = now
 	p.Out.Log(logevent.Placing, "orphan", cutOff, "revision", p.Registry.Placer().Revision)
