--- a/core/placement/budget.go
+++ b/core/placement/budget.go
@@ -31,9 +31,9 @@
 	return loadBudget{startedAt: now.Add(-o.OrderValid), refilledAt: now, available: min(available, loadBurst)}
 }
 
-// left returns how many loads may begin at now, less than 0 while none may: as many
+// remaining returns how many loads may begin at now, less than 0 while none may: as many
 // fewer as would have come in the time for which the former placer may be at work.
-func (b *loadBudget) left(now clock.Instant, rate float64, o *option.Options) float64 {
+func (b *loadBudget) remaining(now clock.Instant, rate float64, o *option.Options) float64 {
 	wait := o.OrderValid - now.Since(b.startedAt)
 	if wait > 0 {
 		return -loadShare * rate * wait.Seconds()
--- a/core/placement/budget_test.go
+++ b/core/placement/budget_test.go
@@ -61,8 +61,8 @@
 			for range tt.spent {
 				is.True(first.spend())
 			}
-			is.Equal(first.left(now, rate, &opt), tt.want)
-			next := inheritedBudget(now, first.left(now, rate, &opt), &opt)
+			is.Equal(first.remaining(now, rate, &opt), tt.want)
+			next := inheritedBudget(now, first.remaining(now, rate, &opt), &opt)
 			next.refill(now, rate, &opt)
 			for range int(max(0, tt.want)) {
 				is.True(next.spend())
--- a/core/placement/placer.go
+++ b/core/placement/placer.go
@@ -154,7 +154,7 @@
 	}
 	rate := p.loadRate()
 	p.loads.refill(now, rate, p.Options)
-	return p.loads.left(now, rate, p.Options)
+	return p.loads.remaining(now, rate, p.Options)
 }
 
 // PlacerUnreachable reports whether this instance owns engines and the placer does not
