--- a/core/placement/budget.go
+++ b/core/placement/budget.go
@@ -56,8 +56,8 @@
 	b.refilledAt = now
 }
 
-// spend takes one load, and reports whether there was one.
-func (b *loadBudget) spend() bool {
+// take takes one load, and reports whether there was one.
+func (b *loadBudget) take() bool {
 	if b.available < 1 {
 		return false
 	}
--- a/core/placement/budget_test.go
+++ b/core/placement/budget_test.go
@@ -18,7 +18,7 @@
 	opt := option.Default()
 	const rate = 2.0
 	spent := func(b *loadBudget) (n int) {
-		for b.spend() {
+		for b.take() {
 			n++
 		}
 		return n
@@ -59,17 +59,17 @@
 			first := newLoadBudget(now.Add(-tt.begun))
 			first.refill(now, rate, &opt)
 			for range tt.spent {
-				is.True(first.spend())
+				is.True(first.take())
 			}
 			is.Equal(first.remaining(now, rate, &opt), tt.want)
 			next := inheritedBudget(now, first.remaining(now, rate, &opt), &opt)
 			next.refill(now, rate, &opt)
 			for range int(max(0, tt.want)) {
-				is.True(next.spend())
+				is.True(next.take())
 			}
-			is.True(!next.spend())
+			is.True(!next.take())
 			next.refill(now.Add(opt.OrderValid+2*time.Second), rate, &opt)
-			is.True(next.spend())
+			is.True(next.take())
 		})
 	}
 }
--- a/core/placement/placer.go
+++ b/core/placement/placer.go
@@ -211,7 +211,7 @@
 	// A load is counted where it begins: what makes way may take seconds to go,
 	// and loads that were planned over seconds would begin together.
 	if request.Load && c.Source == pool.WeightStore && !c.counted {
-		if !p.loads.spend() {
+		if !p.loads.take() {
 			c.movedAt = now // it waits for the store's rate
 			return
 		}
