--- a/core/placement/budget.go
+++ b/core/placement/budget.go
@@ -76,9 +76,9 @@
 	return rate
 }
 
-// plannable returns how many loads from the weight store may be planned now:
+// plannableLoads returns how many loads from the weight store may be planned now:
 // those that may begin, less those that are planned and have not begun.
-func (p *Placer) plannable() int {
+func (p *Placer) plannableLoads() int {
 	free := math.Floor(p.loads.available)
 	for _, c := range p.changes {
 		if c.Source == pool.WeightStore && !c.counted {
--- a/core/placement/input.go
+++ b/core/placement/input.go
@@ -15,7 +15,7 @@
 	in := Input{
 		Models:      make(map[string]Model, len(engines.Models)),
 		Demand:      map[string]Demand{},
-		StoreLoads:  p.plannable(),
+		StoreLoads:  p.plannableLoads(),
 		MinimumStay: minimumStay,
 		Blind:       now.Since(p.demandAt) < blindTime,
 		OnlyAbsent:  p.cutOff,
--- a/core/placement/placer_test.go
+++ b/core/placement/placer_test.go
@@ -48,5 +48,5 @@
 		}
 	}
 	is.Equal(begun, 1)
-	is.Equal(p.plannable(), 0)
+	is.Equal(p.plannableLoads(), 0)
 }
