--- a/core/placement/placer.go
+++ b/core/placement/placer.go
@@ -29,8 +29,8 @@
 )
 
 const (
-	// placeEvery spaces placements, unless a call finds its model nowhere.
-	placeEvery = 200 * time.Millisecond
+	// placementInterval spaces placements, unless a call finds its model nowhere.
+	placementInterval = 200 * time.Millisecond
 	// placeGap is the least time between two placements even then.
 	placeGap = 40 * time.Millisecond
 	// changeTime is how long a change may take before it is given up: the
@@ -125,7 +125,7 @@
 		return
 	}
 	p.placedAt = now
-	p.due = now.Add(placeEvery)
+	p.due = now.Add(placementInterval)
 	p.place(now)
 }
 
