--- a/core/placement/placer.go
+++ b/core/placement/placer.go
@@ -31,8 +31,8 @@
 const (
 	// placementInterval spaces placements, unless a call finds its model nowhere.
 	placementInterval = 200 * time.Millisecond
-	// placeGap is the least time between two placements even then.
-	placeGap = 40 * time.Millisecond
+	// minPlacementGap is the least time between two placements even then.
+	minPlacementGap = 40 * time.Millisecond
 	// changeTime is how long a change may take before it is given up: the
 	// slowest load of the users' models takes 6.4 s.
 	changeTime = 10 * time.Second
@@ -121,7 +121,7 @@
 		return
 	}
 	p.begin(now, !placing)
-	if now.Before(p.due) || !p.placedAt.IsZero() && now.Since(p.placedAt) < placeGap {
+	if now.Before(p.due) || !p.placedAt.IsZero() && now.Since(p.placedAt) < minPlacementGap {
 		return
 	}
 	p.placedAt = now
