--- a/core/placement/placer.go
+++ b/core/placement/placer.go
@@ -33,9 +33,9 @@
 	placementInterval = 200 * time.Millisecond
 	// minPlacementGap is the least time between two placements even then.
 	minPlacementGap = 40 * time.Millisecond
-	// changeTime is how long a change may take before it is given up: the
+	// changeTimeout is how long a change may take before it is given up: the
 	// slowest load of the users' models takes 6.4 s.
-	changeTime = 10 * time.Second
+	changeTimeout = 10 * time.Second
 	// orderTime is how long a change may go without an order that is carried out: its
 	// engine's owner may have lost the right to order, or the way to the engine: four
 	// tries, and above the time in which owners settle an order whose answer was lost.
--- a/core/placement/progress.go
+++ b/core/placement/progress.go
@@ -61,7 +61,7 @@
 		// What was ordered is gone. A load begun again under this change would not be
 		// counted against the weight store's rate.
 		return restarted
-	case now.Since(c.begun) > changeTime:
+	case now.Since(c.begun) > changeTimeout:
 		return tookTooLong
 	case e.phase(c.Load) == pool.Ready:
 		return done
--- a/core/placement/progress_test.go
+++ b/core/placement/progress_test.go
@@ -43,8 +43,8 @@
 		{name: "the unload waits for its runs", holds: phases{"old": pool.Unloading}, begun: ago(orderTime + 1), movedAt: ago(orderTime + 1), order: drop},
 		{name: "the engine is gone", gone: true, begun: now, outcome: engineGone},
 		{name: "the engine started again", born: "2", holds: phases{"old": pool.Ready}, begun: now, outcome: restarted},
-		{name: "at the limit", holds: phases{"old": pool.Ready}, begun: ago(changeTime), order: drop},
-		{name: "above the limit", holds: phases{"new": pool.Ready}, begun: ago(changeTime + 1), outcome: tookTooLong},
+		{name: "at the limit", holds: phases{"old": pool.Ready}, begun: ago(changeTimeout), order: drop},
+		{name: "above the limit", holds: phases{"new": pool.Ready}, begun: ago(changeTimeout + 1), outcome: tookTooLong},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
