--- a/core/placement/placer.go
+++ b/core/placement/placer.go
@@ -36,10 +36,10 @@
 	// changeTimeout is how long a change may take before it is given up: the
 	// slowest load of the users' models takes 6.4 s.
 	changeTimeout = 10 * time.Second
-	// orderTime is how long a change may go without an order that is carried out: its
+	// orderTimeout is how long a change may go without an order that is carried out: its
 	// engine's owner may have lost the right to order, or the way to the engine: four
 	// tries, and above the time in which owners settle an order whose answer was lost.
-	orderTime = 2 * time.Second
+	orderTimeout = 2 * time.Second
 	// closedTime is how long an engine for which nobody gave orders is left out:
 	// about the time in which another instance takes it over.
 	closedTime = 3 * time.Second
--- a/core/placement/progress.go
+++ b/core/placement/progress.go
@@ -65,7 +65,7 @@
 		return tookTooLong
 	case e.phase(c.Load) == pool.Ready:
 		return done
-	case now.Since(c.movedAt) > orderTime:
+	case now.Since(c.movedAt) > orderTimeout:
 		return notOrdered
 	default:
 		return underWay
