--- a/core/placement/placer.go
+++ b/core/placement/placer.go
@@ -40,9 +40,9 @@
 	// engine's owner may have lost the right to order, or the way to the engine: four
 	// tries, and above the time in which owners settle an order whose answer was lost.
 	orderTimeout = 2 * time.Second
-	// closedTime is how long an engine for which nobody gave orders is left out:
+	// engineBackoff is how long an engine for which nobody gave orders is left out:
 	// about the time in which another instance takes it over.
-	closedTime = 3 * time.Second
+	engineBackoff = 3 * time.Second
 	// changeRepeat is the least time between two requests for one order.
 	changeRepeat = 400 * time.Millisecond
 	// minimumStay is the least age of a copy that makes way.
@@ -233,7 +233,7 @@
 func (p *Placer) end(now clock.Instant, c *change, o outcome) {
 	delete(p.changes, c.Engine)
 	if o == notOrdered {
-		p.closed[c.Engine] = now.Add(closedTime)
+		p.closed[c.Engine] = now.Add(engineBackoff)
 	}
 	fields := []any{"engine", c.Engine, "load", c.Load, "detail", string(o)}
 	if o == done {
