--- a/core/placement/placer.go
+++ b/core/placement/placer.go
@@ -43,8 +43,8 @@
 	// engineBackoff is how long an engine for which nobody gave orders is left out:
 	// about the time in which another instance takes it over.
 	engineBackoff = 3 * time.Second
-	// changeRepeat is the least time between two requests for one order.
-	changeRepeat = 400 * time.Millisecond
+	// orderRetryInterval is the least time between two requests for one order.
+	orderRetryInterval = 400 * time.Millisecond
 	// minimumStay is the least age of a copy that makes way.
 	minimumStay = 3 * time.Second
 	// blindTime is how long a new placer learns the demand before it drops
--- a/core/placement/progress.go
+++ b/core/placement/progress.go
@@ -80,7 +80,7 @@
 	if e.phase(c.Load) == pool.Loading {
 		return request, false
 	}
-	if !c.askedAt.IsZero() && now.Before(c.askedAt.Add(changeRepeat)) {
+	if !c.askedAt.IsZero() && now.Before(c.askedAt.Add(orderRetryInterval)) {
 		return request, false
 	}
 	for _, model := range c.Drop {
--- a/core/placement/progress_test.go
+++ b/core/placement/progress_test.go
@@ -34,9 +34,9 @@
 	}{
 		{name: "first what makes way", holds: phases{"old": pool.Ready}, begun: now, order: drop},
 		{name: "then the load", begun: now, order: load},
-		{name: "the load was asked for", begun: now, askedAt: ago(changeRepeat - 1)},
-		{name: "it shows no effect", begun: now, askedAt: ago(changeRepeat), order: load},
-		{name: "the load is under way", holds: phases{"new": pool.Loading}, begun: now, askedAt: ago(changeRepeat)},
+		{name: "the load was asked for", begun: now, askedAt: ago(orderRetryInterval - 1)},
+		{name: "it shows no effect", begun: now, askedAt: ago(orderRetryInterval), order: load},
+		{name: "the load is under way", holds: phases{"new": pool.Loading}, begun: now, askedAt: ago(orderRetryInterval)},
 		{name: "the model is there", holds: phases{"new": pool.Ready}, begun: now, outcome: done},
 		{name: "no order is carried out, at the limit", holds: phases{"old": pool.Ready}, begun: ago(orderTimeout), movedAt: ago(orderTimeout), order: drop},
 		{name: "no order is carried out, above the limit", holds: phases{"old": pool.Ready}, begun: ago(orderTimeout + 1), movedAt: ago(orderTimeout + 1), outcome: notOrdered},
