--- a/core/placement/input.go
+++ b/core/placement/input.go
@@ -16,7 +16,7 @@
 		Models:      make(map[string]Model, len(engines.Models)),
 		Demand:      map[string]Demand{},
 		StoreLoads:  p.plannableLoads(),
-		MinimumStay: minimumStay,
+		MinimumStay: minCopyAge,
 		Blind:       now.Since(p.demandAt) < blindTime,
 		OnlyAbsent:  p.cutOff,
 	}
--- a/core/placement/placer.go
+++ b/core/placement/placer.go
@@ -45,8 +45,8 @@
 	engineBackoff = 3 * time.Second
 	// orderRetryInterval is the least time between two requests for one order.
 	orderRetryInterval = 400 * time.Millisecond
-	// minimumStay is the least age of a copy that makes way.
-	minimumStay = 3 * time.Second
+	// minCopyAge is the least age of a copy that makes way.
+	minCopyAge = 3 * time.Second
 	// blindTime is how long a new placer learns the demand before it drops
 	// copies for models that nobody misses.
 	blindTime = 3 * time.Second
