--- a/core/placement/input.go
+++ b/core/placement/input.go
@@ -17,7 +17,7 @@
 		Demand:      map[string]Demand{},
 		StoreLoads:  p.plannableLoads(),
 		MinimumStay: minCopyAge,
-		Blind:       now.Since(p.demandAt) < blindTime,
+		Blind:       now.Since(p.demandAt) < demandWarmUp,
 		OnlyAbsent:  p.cutOff,
 	}
 	if p.cutOff {
--- a/core/placement/placer.go
+++ b/core/placement/placer.go
@@ -47,9 +47,9 @@
 	orderRetryInterval = 400 * time.Millisecond
 	// minCopyAge is the least age of a copy that makes way.
 	minCopyAge = 3 * time.Second
-	// blindTime is how long a new placer learns the demand before it drops
+	// demandWarmUp is how long a new placer learns the demand before it drops
 	// copies for models that nobody misses.
-	blindTime = 3 * time.Second
+	demandWarmUp = 3 * time.Second
 	// tellEvery is the least time between two words to the placer about models
 	// that calls miss.
 	tellEvery = 100 * time.Millisecond
