--- a/core/placement/demand.go
+++ b/core/placement/demand.go
@@ -37,7 +37,7 @@
 
 // ReportMiss lets the placer know soon of a call that found its model nowhere.
 func (p *Placer) ReportMiss(now clock.Instant) {
-	if !p.toldAt.IsZero() && now.Since(p.toldAt) < tellEvery {
+	if !p.toldAt.IsZero() && now.Since(p.toldAt) < missReportInterval {
 		return
 	}
 	p.toldAt = now
--- a/core/placement/placer.go
+++ b/core/placement/placer.go
@@ -50,9 +50,9 @@
 	// demandWarmUp is how long a new placer learns the demand before it drops
 	// copies for models that nobody misses.
 	demandWarmUp = 3 * time.Second
-	// tellEvery is the least time between two words to the placer about models
+	// missReportInterval is the least time between two words to the placer about models
 	// that calls miss.
-	tellEvery = 100 * time.Millisecond
+	missReportInterval = 100 * time.Millisecond
 )
 
 // Deps are what the placer needs of the other modules.
