--- a/core/placement/demand.go
+++ b/core/placement/demand.go
@@ -37,10 +37,10 @@
 
 // ReportMiss lets the placer know soon of a call that found its model nowhere.
 func (p *Placer) ReportMiss(now clock.Instant) {
-	if !p.toldAt.IsZero() && now.Since(p.toldAt) < missReportInterval {
+	if !p.missReportedAt.IsZero() && now.Since(p.missReportedAt) < missReportInterval {
 		return
 	}
-	p.toldAt = now
+	p.missReportedAt = now
 	switch {
 	case p.Registry.IsPlacer(now):
 		p.due = now
--- a/core/placement/placer.go
+++ b/core/placement/placer.go
@@ -79,16 +79,16 @@
 // placer or owns engines that are cut off from the placer.
 type Placer struct {
 	Deps
-	due      clock.Instant
-	placedAt clock.Instant // when models were placed last
-	toldAt   clock.Instant // when the placer was last told of a missed model
-	active   bool
-	cutOff   bool          // placing for the own engines only, and only what is missed
-	demandAt clock.Instant // since when callers are known to ask for models
-	loads    loadBudget
-	changes  map[string]*change        // under way, by engine
-	readyAt  map[copyKey]clock.Instant // since when a copy is seen ready
-	closed   map[string]clock.Instant  // until when an engine is left out
+	due            clock.Instant
+	placedAt       clock.Instant // when models were placed last
+	missReportedAt clock.Instant // when the placer was last told of a missed model
+	active         bool
+	cutOff         bool          // placing for the own engines only, and only what is missed
+	demandAt       clock.Instant // since when callers are known to ask for models
+	loads          loadBudget
+	changes        map[string]*change        // under way, by engine
+	readyAt        map[copyKey]clock.Instant // since when a copy is seen ready
+	closed         map[string]clock.Instant  // until when an engine is left out
 	// overLimit are the copies that the limits of their engines were too small for, when
 	// models were placed last; by service.
 	overLimit map[string]map[copyKey]bool
