--- a/core/placement/input.go
+++ b/core/placement/input.go
@@ -18,9 +18,9 @@
 		StoreLoads:  p.plannableLoads(),
 		MinimumStay: minCopyAge,
 		Blind:       now.Since(p.demandAt) < demandWarmUp,
-		OnlyAbsent:  p.cutOff,
+		OnlyAbsent:  p.localOnly,
 	}
-	if p.cutOff {
+	if p.localOnly {
 		in.StoreLoads = 0 // the placer alone counts them
 	}
 	for _, m := range engines.Models {
--- a/core/placement/placer.go
+++ b/core/placement/placer.go
@@ -83,7 +83,7 @@
 	placedAt       clock.Instant // when models were placed last
 	missReportedAt clock.Instant // when the placer was last told of a missed model
 	active         bool
-	cutOff         bool          // placing for the own engines only, and only what is missed
+	localOnly      bool          // placing for the own engines only, and only what is missed
 	demandAt       clock.Instant // since when callers are known to ask for models
 	loads          loadBudget
 	changes        map[string]*change        // under way, by engine
@@ -132,11 +132,11 @@
 // begin begins to place models, for the fleet or for the own engines alone, if
 // that is not what it does already.
 func (p *Placer) begin(now clock.Instant, cutOff bool) {
-	if p.active && p.cutOff == cutOff {
+	if p.active && p.localOnly == cutOff {
 		return
 	}
 	p.active = true
-	p.cutOff = cutOff
+	p.localOnly = cutOff
 	p.changes = map[string]*change{}
 	p.loads = newLoadBudget(now)
 	if left, ok := p.Registry.HandedOverLoads(); ok && !cutOff {
