--- a/core/placement/input.go
+++ b/core/placement/input.go
@@ -17,7 +17,7 @@
 		Demand:      map[string]Demand{},
 		StoreLoads:  p.plannableLoads(),
 		MinimumStay: minCopyAge,
-		Blind:       now.Since(p.demandAt) < demandWarmUp,
+		Blind:       now.Since(p.demandSince) < demandWarmUp,
 		OnlyAbsent:  p.localOnly,
 	}
 	if p.localOnly {
--- a/core/placement/placer.go
+++ b/core/placement/placer.go
@@ -84,7 +84,7 @@
 	missReportedAt clock.Instant // when the placer was last told of a missed model
 	active         bool
 	localOnly      bool          // placing for the own engines only, and only what is missed
-	demandAt       clock.Instant // since when callers are known to ask for models
+	demandSince    clock.Instant // since when callers are known to ask for models
 	loads          loadBudget
 	changes        map[string]*change        // under way, by engine
 	readyAt        map[copyKey]clock.Instant // since when a copy is seen ready
@@ -142,7 +142,7 @@
 	if left, ok := p.Registry.HandedOverLoads(); ok && !cutOff {
 		p.loads = inheritedBudget(now, left, p.Options)
 	}
-	p.demandAt = now
+	p.demandSince = now
 	p.Out.Log(logevent.Placing, "orphan", cutOff, "revision", p.Registry.Placer().Revision)
 }
 
@@ -174,7 +174,7 @@
 func (p *Placer) place(now clock.Instant) {
 	p.AllDemand.Report(now, p.Self.Name, p.OwnDemand.Items(now))
 	if len(p.AllDemand.Sum(now)) == 0 {
-		p.demandAt = now
+		p.demandSince = now
 	}
 	p.loads.refill(now, p.loadRate(), p.Options)
 	p.trackReady(now)
