--- a/core/placement/input.go
+++ b/core/placement/input.go
@@ -71,7 +71,7 @@
 		}
 		e.FreeMB -= m.MemoryMB
 		c := Copy{Model: model, Ready: phase == pool.Ready, Leaving: phase == pool.Unloading}
-		if since, ok := p.readyAt[copyKey{r.Name, item}]; ok {
+		if since, ok := p.readySince[copyKey{r.Name, item}]; ok {
 			c.Age = now.Since(since)
 			newest = clock.Latest(newest, since)
 		}
--- a/core/placement/placer.go
+++ b/core/placement/placer.go
@@ -87,7 +87,7 @@
 	demandSince    clock.Instant // since when callers are known to ask for models
 	loads          loadBudget
 	changes        map[string]*change        // under way, by engine
-	readyAt        map[copyKey]clock.Instant // since when a copy is seen ready
+	readySince     map[copyKey]clock.Instant // since when a copy is seen ready
 	closed         map[string]clock.Instant  // until when an engine is left out
 	// overLimit are the copies that the limits of their engines were too small for, when
 	// models were placed last; by service.
@@ -100,7 +100,7 @@
 // New returns a placer that has placed nothing.
 func New(n Deps) *Placer {
 	return &Placer{
-		Deps: n, changes: map[string]*change{}, readyAt: map[copyKey]clock.Instant{}, closed: map[string]clock.Instant{},
+		Deps: n, changes: map[string]*change{}, readySince: map[copyKey]clock.Instant{}, closed: map[string]clock.Instant{},
 		overLimit: map[string]map[copyKey]bool{},
 	}
 }
@@ -265,10 +265,10 @@
 				continue
 			}
 			seen[key] = true
-			if _, ok := p.readyAt[key]; !ok {
-				p.readyAt[key] = now
+			if _, ok := p.readySince[key]; !ok {
+				p.readySince[key] = now
 			}
 		}
 	}
-	maps.DeleteFunc(p.readyAt, func(key copyKey, _ clock.Instant) bool { return !seen[key] })
+	maps.DeleteFunc(p.readySince, func(key copyKey, _ clock.Instant) bool { return !seen[key] })
 }
