--- a/core/placement/input.go
+++ b/core/placement/input.go
@@ -58,7 +58,7 @@
 		Zone:   r.Zone,
 		FreeMB: facts.MemoryMB,
 		Sound:  r.Usable() && !r.Vanished() && !r.Ejected(now) && r.RestLeft(now) < pool.LongRest,
-		Open:   p.changes[r.Name] == nil && !now.Before(p.closed[r.Name]) && p.Asks.OwnerReachable(now, r.Name),
+		Open:   p.changes[r.Name] == nil && !now.Before(p.backoffUntil[r.Name]) && p.Asks.OwnerReachable(now, r.Name),
 	}
 	e.Limit, e.Limited = r.RateLimit(now)
 	newest := clock.Instant{}
--- a/core/placement/placer.go
+++ b/core/placement/placer.go
@@ -88,7 +88,7 @@
 	loads          loadBudget
 	changes        map[string]*change        // under way, by engine
 	readySince     map[copyKey]clock.Instant // since when a copy is seen ready
-	closed         map[string]clock.Instant  // until when an engine is left out
+	backoffUntil   map[string]clock.Instant  // until when an engine is left out
 	// overLimit are the copies that the limits of their engines were too small for, when
 	// models were placed last; by service.
 	overLimit map[string]map[copyKey]bool
@@ -100,7 +100,7 @@
 // New returns a placer that has placed nothing.
 func New(n Deps) *Placer {
 	return &Placer{
-		Deps: n, changes: map[string]*change{}, readySince: map[copyKey]clock.Instant{}, closed: map[string]clock.Instant{},
+		Deps: n, changes: map[string]*change{}, readySince: map[copyKey]clock.Instant{}, backoffUntil: map[string]clock.Instant{},
 		overLimit: map[string]map[copyKey]bool{},
 	}
 }
@@ -178,7 +178,7 @@
 	}
 	p.loads.refill(now, p.loadRate(), p.Options)
 	p.trackReady(now)
-	maps.DeleteFunc(p.closed, func(_ string, until clock.Instant) bool { return !now.Before(until) })
+	maps.DeleteFunc(p.backoffUntil, func(_ string, until clock.Instant) bool { return !now.Before(until) })
 	for _, engine := range slices.Sorted(maps.Keys(p.changes)) {
 		p.advance(now, p.changes[engine])
 	}
@@ -233,7 +233,7 @@
 func (p *Placer) end(now clock.Instant, c *change, o outcome) {
 	delete(p.changes, c.Engine)
 	if o == notOrdered {
-		p.closed[c.Engine] = now.Add(engineBackoff)
+		p.backoffUntil[c.Engine] = now.Add(engineBackoff)
 	}
 	fields := []any{"engine", c.Engine, "load", c.Load, "detail", string(o)}
 	if o == done {
