--- a/core/placement/placer.go
+++ b/core/placement/placer.go
@@ -120,7 +120,7 @@
 		}
 		return
 	}
-	p.begin(now, !placing)
+	p.start(now, !placing)
 	if now.Before(p.due) || !p.placedAt.IsZero() && now.Since(p.placedAt) < minPlacementGap {
 		return
 	}
@@ -129,9 +129,9 @@
 	p.place(now)
 }
 
-// begin begins to place models, for the fleet or for the own engines alone, if
+// start begins to place models, for the fleet or for the own engines alone, if
 // that is not what it does already.
-func (p *Placer) begin(now clock.Instant, cutOff bool) {
+func (p *Placer) start(now clock.Instant, cutOff bool) {
 	if p.active && p.localOnly == cutOff {
 		return
 	}
