--- a/core/placement/demand.go
+++ b/core/placement/demand.go
@@ -16,7 +16,7 @@
 	if peer == "" {
 		return nil
 	}
-	standsIn := !p.Roster.FullMesh() && p.placerSilent() && slices.Contains(p.Roster.InZone(now, p.Self.Zone), peer)
+	standsIn := !p.Roster.FullMesh() && p.placerUnresponsive() && slices.Contains(p.Roster.InZone(now, p.Self.Zone), peer)
 	if p.Registry.Placer().Name != peer && !standsIn {
 		return nil
 	}
@@ -44,7 +44,7 @@
 	switch {
 	case p.Registry.IsPlacer(now):
 		p.due = now
-	case p.placerSilent() && !p.Roster.FullMesh():
+	case p.placerUnresponsive() && !p.Roster.FullMesh():
 		p.Tell(now, p.NextWatcher(now, p.Self.Zone))
 	default:
 		p.Tell(now, p.Members.Get(p.Registry.Placer().Name))
--- a/core/placement/placer.go
+++ b/core/placement/placer.go
@@ -160,12 +160,12 @@
 // PlacerUnreachable reports whether this instance owns engines and the placer does not
 // answer it.
 func (p *Placer) PlacerUnreachable(now clock.Instant) bool {
-	return p.Registry.Owned.Len() > 0 && p.Registry.MayOrder(now) && p.placerSilent()
+	return p.Registry.Owned.Len() > 0 && p.Registry.MayOrder(now) && p.placerUnresponsive()
 }
 
-// placerSilent reports whether the placer is another instance that does not
+// placerUnresponsive reports whether the placer is another instance that does not
 // answer this one.
-func (p *Placer) placerSilent() bool {
+func (p *Placer) placerUnresponsive() bool {
 	peer := p.Members.Get(p.Registry.Placer().Name)
 	return peer != nil && peer.Failing()
 }
