--- a/core/placement/placer.go
+++ b/core/placement/placer.go
@@ -126,7 +126,7 @@
 	}
 	p.placedAt = now
 	p.due = now.Add(placementInterval)
-	p.place(now)
+	p.placeModels(now)
 }
 
 // start begins to place models, for the fleet or for the own engines alone, if
@@ -170,8 +170,8 @@
 	return peer != nil && peer.Failing()
 }
 
-// place goes on with the changes under way, then begins new ones.
-func (p *Placer) place(now clock.Instant) {
+// placeModels goes on with the changes under way, then begins new ones.
+func (p *Placer) placeModels(now clock.Instant) {
 	p.AllDemand.Report(now, p.Self.Name, p.OwnDemand.Items(now))
 	if len(p.AllDemand.Sum(now)) == 0 {
 		p.demandSince = now
