--- a/core/placement/placer.go
+++ b/core/placement/placer.go
@@ -201,7 +201,7 @@
 	engine := p.engineState(c.Engine)
 	c.observe(now, engine)
 	if o := c.outcome(now, engine); o != underWay {
-		p.end(now, c, o)
+		p.finish(now, c, o)
 		return
 	}
 	request, due := c.nextOrder(now, engine)
@@ -229,8 +229,8 @@
 	return engineState{life: r.Incarnation(), usable: r.Usable(), phase: r.Phase}
 }
 
-// end forgets a change that has ended.
-func (p *Placer) end(now clock.Instant, c *change, o outcome) {
+// finish forgets a change that has ended.
+func (p *Placer) finish(now clock.Instant, c *change, o outcome) {
 	delete(p.changes, c.Engine)
 	if o == notOrdered {
 		p.backoffUntil[c.Engine] = now.Add(engineBackoff)
