--- a/core/placement/placer.go
+++ b/core/placement/placer.go
@@ -217,7 +217,7 @@
 		}
 		c.counted = true
 	}
-	p.ask(now, c, request)
+	p.requestOrder(now, c, request)
 }
 
 // engineState returns what an engine that is changed is known to hold.
@@ -242,8 +242,8 @@
 	p.Out.Log(logevent.PlacementEnded, fields...)
 }
 
-// ask asks the engine's owner for the order that a change needs next.
-func (p *Placer) ask(now clock.Instant, c *change, r orders.Request) {
+// requestOrder asks the engine's owner for the order that a change needs next.
+func (p *Placer) requestOrder(now clock.Instant, c *change, r orders.Request) {
 	key := orderclient.Key{Engine: c.Engine, Request: r}
 	if p.Asks.Pending(key) || !p.Asks.CanRequest(now, key) {
 		return
