--- a/core/placement/placer.go
+++ b/core/placement/placer.go
@@ -200,7 +200,7 @@
 func (p *Placer) advance(now clock.Instant, c *change) {
 	engine := p.engineState(c.Engine)
 	c.observe(now, engine)
-	if o := c.outcome(now, engine); o != underWay {
+	if o := c.outcome(now, engine); o != running {
 		p.finish(now, c, o)
 		return
 	}
--- a/core/placement/progress.go
+++ b/core/placement/progress.go
@@ -13,7 +13,7 @@
 
 // The outcomes.
 const (
-	underWay    outcome = ""
+	running     outcome = ""
 	done        outcome = "done"
 	engineGone  outcome = "the engine is gone"
 	restarted   outcome = "the engine started again"
@@ -68,7 +68,7 @@
 	case now.Since(c.movedAt) > orderTimeout:
 		return notOrdered
 	default:
-		return underWay
+		return running
 	}
 }
 
--- a/core/placement/progress_test.go
+++ b/core/placement/progress_test.go
@@ -55,7 +55,7 @@
 			e := engineState{life: pool.Incarnation{Born: tt.born}, usable: !tt.gone, phase: func(model string) pool.ItemPhase { return tt.holds[model] }}
 			c.observe(now, e)
 			is.Equal(c.outcome(now, e), tt.outcome)
-			if tt.outcome != underWay {
+			if tt.outcome != running {
 				return
 			}
 			order, due := c.nextOrder(now, e)
