--- a/core/placement/progress.go
+++ b/core/placement/progress.go
@@ -13,12 +13,12 @@
 
 // The outcomes.
 const (
-	running     outcome = ""
-	done        outcome = "done"
-	engineGone  outcome = "the engine is gone"
-	restarted   outcome = "the engine started again"
-	tookTooLong outcome = "it took too long"
-	notOrdered  outcome = "nobody orders the engine"
+	running    outcome = ""
+	done       outcome = "done"
+	engineGone outcome = "the engine is gone"
+	restarted  outcome = "the engine started again"
+	timedOut   outcome = "it took too long"
+	notOrdered outcome = "nobody orders the engine"
 )
 
 // A change is a Change under way.
@@ -62,7 +62,7 @@
 		// counted against the weight store's rate.
 		return restarted
 	case now.Since(c.begun) > changeTimeout:
-		return tookTooLong
+		return timedOut
 	case e.phase(c.Load) == pool.Ready:
 		return done
 	case now.Since(c.movedAt) > orderTimeout:
--- a/core/placement/progress_test.go
+++ b/core/placement/progress_test.go
@@ -44,7 +44,7 @@
 		{name: "the engine is gone", gone: true, begun: now, outcome: engineGone},
 		{name: "the engine started again", born: "2", holds: phases{"old": pool.Ready}, begun: now, outcome: restarted},
 		{name: "at the limit", holds: phases{"old": pool.Ready}, begun: ago(changeTimeout), order: drop},
-		{name: "above the limit", holds: phases{"new": pool.Ready}, begun: ago(changeTimeout + 1), outcome: tookTooLong},
+		{name: "above the limit", holds: phases{"new": pool.Ready}, begun: ago(changeTimeout + 1), outcome: timedOut},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
