--- a/core/placement/placer.go
+++ b/core/placement/placer.go
@@ -189,7 +189,7 @@
 		for _, c := range Plan(p.input(now, svc)) {
 			p.Out.Log(logevent.Placement, "engine", c.Engine, "load", c.Load, "drop", c.Drop, "source", c.Source.String(),
 				"worth", c.Value, "cost", c.Cost, "work", c.Work, "copies", c.Copies)
-			ch := &change{Change: c, life: p.engineState(c.Engine).life, begun: now, movedAt: now}
+			ch := &change{Change: c, life: p.engineState(c.Engine).life, begun: now, progressAt: now}
 			p.changes[c.Engine] = ch
 			p.advance(now, ch)
 		}
@@ -212,7 +212,7 @@
 	// and loads that were planned over seconds would begin together.
 	if request.Load && c.Source == pool.WeightStore && !c.counted {
 		if !p.loads.take() {
-			c.movedAt = now // it waits for the store's rate
+			c.progressAt = now // it waits for the store's rate
 			return
 		}
 		c.counted = true
--- a/core/placement/progress.go
+++ b/core/placement/progress.go
@@ -24,11 +24,11 @@
 // A change is a Change under way.
 type change struct {
 	Change
-	life    pool.Incarnation // of its engine, for which it was worked out
-	begun   clock.Instant
-	movedAt clock.Instant // when its engine last carried out an order of it, or it waited for the store's rate
-	askedAt clock.Instant // when an order was asked for last; zero: none was yet
-	counted bool          // its load from the weight store was counted
+	life       pool.Incarnation // of its engine, for which it was worked out
+	begun      clock.Instant
+	progressAt clock.Instant // when its engine last carried out an order of it, or it waited for the store's rate
+	askedAt    clock.Instant // when an order was asked for last; zero: none was yet
+	counted    bool          // its load from the weight store was counted
 }
 
 // An engineState is what decides how a change of an engine goes on.
@@ -41,11 +41,11 @@
 // observe notes whether the engine carries out an order of the change now.
 func (c *change) observe(now clock.Instant, e engineState) {
 	if e.phase(c.Load) == pool.Loading {
-		c.movedAt = now
+		c.progressAt = now
 	}
 	for _, model := range c.Drop {
 		if e.phase(model) == pool.Unloading {
-			c.movedAt = now
+			c.progressAt = now
 		}
 	}
 }
@@ -65,7 +65,7 @@
 		return timedOut
 	case e.phase(c.Load) == pool.Ready:
 		return done
-	case now.Since(c.movedAt) > orderTimeout:
+	case now.Since(c.progressAt) > orderTimeout:
 		return notOrdered
 	default:
 		return running
--- a/core/placement/progress_test.go
+++ b/core/placement/progress_test.go
@@ -48,9 +48,9 @@
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
-			c := &change{Change: Change{Load: "new", Drop: []string{"old"}}, begun: tt.begun, movedAt: tt.movedAt, askedAt: tt.askedAt}
+			c := &change{Change: Change{Load: "new", Drop: []string{"old"}}, begun: tt.begun, progressAt: tt.movedAt, askedAt: tt.askedAt}
 			if tt.movedAt.IsZero() {
-				c.movedAt = now
+				c.progressAt = now
 			}
 			e := engineState{life: pool.Incarnation{Born: tt.born}, usable: !tt.gone, phase: func(model string) pool.ItemPhase { return tt.holds[model] }}
 			c.observe(now, e)
