--- a/core/placement/progress.go
+++ b/core/placement/progress.go
@@ -24,11 +24,11 @@
 // A change is a Change under way.
 type change struct {
 	Change
-	life       pool.Incarnation // of its engine, for which it was worked out
-	begun      clock.Instant
-	progressAt clock.Instant // when its engine last carried out an order of it, or it waited for the store's rate
-	askedAt    clock.Instant // when an order was asked for last; zero: none was yet
-	counted    bool          // its load from the weight store was counted
+	incarnation pool.Incarnation // of its engine, for which it was worked out
+	begun       clock.Instant
+	progressAt  clock.Instant // when its engine last carried out an order of it, or it waited for the store's rate
+	askedAt     clock.Instant // when an order was asked for last; zero: none was yet
+	counted     bool          // its load from the weight store was counted
 }
 
 // An engineState is what decides how a change of an engine goes on.
@@ -57,7 +57,7 @@
 	switch {
 	case !e.usable:
 		return engineGone
-	case e.life != c.life:
+	case e.life != c.incarnation:
 		// What was ordered is gone. A load begun again under this change would not be
 		// counted against the weight store's rate.
 		return restarted
