--- a/core/placement/placer.go
+++ b/core/placement/placer.go
@@ -189,7 +189,7 @@
 		for _, c := range Plan(p.input(now, svc)) {
 			p.Out.Log(logevent.Placement, "engine", c.Engine, "load", c.Load, "drop", c.Drop, "source", c.Source.String(),
 				"worth", c.Value, "cost", c.Cost, "work", c.Work, "copies", c.Copies)
-			ch := &change{Change: c, incarnation: p.engineState(c.Engine).life, begun: now, progressAt: now}
+			ch := &change{Change: c, incarnation: p.engineState(c.Engine).life, startedAt: now, progressAt: now}
 			p.changes[c.Engine] = ch
 			p.advance(now, ch)
 		}
@@ -237,7 +237,7 @@
 	}
 	fields := []any{"engine", c.Engine, "load", c.Load, "detail", string(o)}
 	if o == done {
-		fields = append(fields, "took", now.Since(c.begun).String())
+		fields = append(fields, "took", now.Since(c.startedAt).String())
 	}
 	p.Out.Log(logevent.PlacementEnded, fields...)
 }
--- a/core/placement/placer_test.go
+++ b/core/placement/placer_test.go
@@ -40,7 +40,7 @@
 	begun := 0
 	for _, engine := range []string{"e0", "e1", "e2"} {
 		engines.Announce(now, engine, pool.Announcement{Service: "llm", Address: engine, Zone: "z", Slots: 8, Engine: true})
-		c := &change{Change: Change{Engine: engine, Load: "m11", Source: pool.WeightStore}, incarnation: pool.Incarnation{Name: engine}, begun: now, progressAt: now}
+		c := &change{Change: Change{Engine: engine, Load: "m11", Source: pool.WeightStore}, incarnation: pool.Incarnation{Name: engine}, startedAt: now, progressAt: now}
 		p.changes[engine] = c
 		p.advance(now, c)
 		if !c.askedAt.IsZero() {
--- a/core/placement/progress.go
+++ b/core/placement/progress.go
@@ -25,7 +25,7 @@
 type change struct {
 	Change
 	incarnation pool.Incarnation // of its engine, for which it was worked out
-	begun       clock.Instant
+	startedAt   clock.Instant
 	progressAt  clock.Instant // when its engine last carried out an order of it, or it waited for the store's rate
 	askedAt     clock.Instant // when an order was asked for last; zero: none was yet
 	counted     bool          // its load from the weight store was counted
@@ -61,7 +61,7 @@
 		// What was ordered is gone. A load begun again under this change would not be
 		// counted against the weight store's rate.
 		return restarted
-	case now.Since(c.begun) > changeTimeout:
+	case now.Since(c.startedAt) > changeTimeout:
 		return timedOut
 	case e.phase(c.Load) == pool.Ready:
 		return done
