--- a/core/placement/placer.go
+++ b/core/placement/placer.go
@@ -248,7 +248,7 @@
 	if p.Asks.Pending(key) || !p.Asks.CanRequest(now, key) {
 		return
 	}
-	c.askedAt = now
+	c.requestedAt = now
 	p.Asks.Request(now, key)
 }
 
--- a/core/placement/placer_test.go
+++ b/core/placement/placer_test.go
@@ -43,7 +43,7 @@
 		c := &change{Change: Change{Engine: engine, Load: "m11", Source: pool.WeightStore}, incarnation: pool.Incarnation{Name: engine}, startedAt: now, progressAt: now}
 		p.changes[engine] = c
 		p.advance(now, c)
-		if !c.askedAt.IsZero() {
+		if !c.requestedAt.IsZero() {
 			begun++
 		}
 	}
--- a/core/placement/progress.go
+++ b/core/placement/progress.go
@@ -27,7 +27,7 @@
 	incarnation pool.Incarnation // of its engine, for which it was worked out
 	startedAt   clock.Instant
 	progressAt  clock.Instant // when its engine last carried out an order of it, or it waited for the store's rate
-	askedAt     clock.Instant // when an order was asked for last; zero: none was yet
+	requestedAt clock.Instant // when an order was asked for last; zero: none was yet
 	counted     bool          // its load from the weight store was counted
 }
 
@@ -80,7 +80,7 @@
 	if e.phase(c.Load) == pool.Loading {
 		return request, false
 	}
-	if !c.askedAt.IsZero() && now.Before(c.askedAt.Add(orderRetryInterval)) {
+	if !c.requestedAt.IsZero() && now.Before(c.requestedAt.Add(orderRetryInterval)) {
 		return request, false
 	}
 	for _, model := range c.Drop {
--- a/core/placement/progress_test.go
+++ b/core/placement/progress_test.go
@@ -48,7 +48,7 @@
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
-			c := &change{Change: Change{Load: "new", Drop: []string{"old"}}, startedAt: tt.begun, progressAt: tt.movedAt, askedAt: tt.askedAt}
+			c := &change{Change: Change{Load: "new", Drop: []string{"old"}}, startedAt: tt.begun, progressAt: tt.movedAt, requestedAt: tt.askedAt}
 			if tt.movedAt.IsZero() {
 				c.progressAt = now
 			}
