--- a/core/placement/budget.go
+++ b/core/placement/budget.go
@@ -81,7 +81,7 @@
 func (p *Placer) plannableLoads() int {
 	free := math.Floor(p.loads.available)
 	for _, c := range p.changes {
-		if c.Source == pool.WeightStore && !c.counted {
+		if c.Source == pool.WeightStore && !c.loadCounted {
 			free--
 		}
 	}
--- a/core/placement/placer.go
+++ b/core/placement/placer.go
@@ -210,12 +210,12 @@
 	}
 	// A load is counted where it begins: what makes way may take seconds to go,
 	// and loads that were planned over seconds would begin together.
-	if request.Load && c.Source == pool.WeightStore && !c.counted {
+	if request.Load && c.Source == pool.WeightStore && !c.loadCounted {
 		if !p.loads.take() {
 			c.progressAt = now // it waits for the store's rate
 			return
 		}
-		c.counted = true
+		c.loadCounted = true
 	}
 	p.requestOrder(now, c, request)
 }
--- a/core/placement/progress.go
+++ b/core/placement/progress.go
@@ -28,7 +28,7 @@
 	startedAt   clock.Instant
 	progressAt  clock.Instant // when its engine last carried out an order of it, or it waited for the store's rate
 	requestedAt clock.Instant // when an order was asked for last; zero: none was yet
-	counted     bool          // its load from the weight store was counted
+	loadCounted bool          // its load from the weight store was counted
 }
 
 // An engineState is what decides how a change of an engine goes on.
