--- a/core/placement/placer.go
+++ b/core/placement/placer.go
@@ -189,7 +189,7 @@
 		for _, c := range Plan(p.input(now, svc)) {
 			p.Out.Log(logevent.Placement, "engine", c.Engine, "load", c.Load, "drop", c.Drop, "source", c.Source.String(),
 				"worth", c.Value, "cost", c.Cost, "work", c.Work, "copies", c.Copies)
-			ch := &change{Change: c, incarnation: p.engineState(c.Engine).life, startedAt: now, progressAt: now}
+			ch := &change{Change: c, incarnation: p.engineState(c.Engine).incarnation, startedAt: now, progressAt: now}
 			p.changes[c.Engine] = ch
 			p.advance(now, ch)
 		}
@@ -226,7 +226,7 @@
 	if r == nil {
 		return engineState{}
 	}
-	return engineState{life: r.Incarnation(), usable: r.Usable(), phase: r.Phase}
+	return engineState{incarnation: r.Incarnation(), usable: r.Usable(), phase: r.Phase}
 }
 
 // finish forgets a change that has ended.
--- a/core/placement/progress.go
+++ b/core/placement/progress.go
@@ -33,9 +33,9 @@
 
 // An engineState is what decides how a change of an engine goes on.
 type engineState struct {
-	life   pool.Incarnation
-	usable bool                              // it is known, and not leaving
-	phase  func(model string) pool.ItemPhase // 0: the model is absent
+	incarnation pool.Incarnation
+	usable      bool                              // it is known, and not leaving
+	phase       func(model string) pool.ItemPhase // 0: the model is absent
 }
 
 // observe notes whether the engine carries out an order of the change now.
@@ -57,7 +57,7 @@
 	switch {
 	case !e.usable:
 		return engineGone
-	case e.life != c.incarnation:
+	case e.incarnation != c.incarnation:
 		// What was ordered is gone. A load begun again under this change would not be
 		// counted against the weight store's rate.
 		return restarted
--- a/core/placement/progress_test.go
+++ b/core/placement/progress_test.go
@@ -52,7 +52,7 @@
 			if tt.movedAt.IsZero() {
 				c.progressAt = now
 			}
-			e := engineState{life: pool.Incarnation{Born: tt.born}, usable: !tt.gone, phase: func(model string) pool.ItemPhase { return tt.holds[model] }}
+			e := engineState{incarnation: pool.Incarnation{Born: tt.born}, usable: !tt.gone, phase: func(model string) pool.ItemPhase { return tt.holds[model] }}
 			c.observe(now, e)
 			is.Equal(c.outcome(now, e), tt.outcome)
 			if tt.outcome != running {
