--- a/core/placement/changes_test.go
+++ b/core/placement/changes_test.go
@@ -8,9 +8,9 @@
 	"github.com/matryer/is"
 )
 
-// sized returns an input of so many engines and models: every model stands on
+// newInput returns an input of so many engines and models: every model stands on
 // one engine, some on more, and a few are asked for.
-func sized(engines, models int) Input {
+func newInput(engines, models int) Input {
 	in := Input{Models: map[string]Model{}, Demand: map[string]Demand{}, StoreLoads: 2, MinimumStay: time.Second}
 	for i := range models {
 		name := fmt.Sprintf("m%d", i)
@@ -67,7 +67,7 @@
 func BenchmarkChanges(b *testing.B) {
 	for _, size := range []struct{ engines, models int }{{18, 39}, {144, 305}, {850, 1900}} {
 		b.Run(fmt.Sprintf("%d_engines", size.engines), func(b *testing.B) {
-			in := sized(size.engines, size.models)
+			in := newInput(size.engines, size.models)
 			for b.Loop() {
 				Plan(in)
 			}
