--- a/core/placement/limited_test.go
+++ b/core/placement/limited_test.go
@@ -35,9 +35,9 @@
 	return in
 }
 
-// placed returns the changes of an input whose limits are taken into account, and the copies
+// planLimited returns the changes of an input whose limits are taken into account, and the copies
 // that are too much for them.
-func placed(in Input, was map[copyKey]bool) ([]Change, map[copyKey]bool) {
+func planLimited(in Input, was map[copyKey]bool) ([]Change, map[copyKey]bool) {
 	too := overLimitCopies(in, was)
 	for i, e := range in.Engines {
 		for k, c := range e.Copies {
@@ -53,16 +53,16 @@
 func TestModelsOfLimitedEnginesAreLoadedElsewhere(t *testing.T) {
 	is := is.New(t)
 	for _, limit := range []float64{-1, 100, 7} {
-		changes, too := placed(limitedInput(limit), nil)
+		changes, too := planLimited(limitedInput(limit), nil)
 		is.Equal(len(changes), 0)
 		is.Equal(len(too), 0)
 	}
-	changes, too := placed(limitedInput(2), nil)
+	changes, too := planLimited(limitedInput(2), nil)
 	is.Equal(too, map[copyKey]bool{{"a", "busy"}: true})
 	is.Equal(len(changes), 1)
 	is.Equal(changes[0].Load, "busy")
 	is.Equal(changes[0].Engine, "b")
-	_, too = placed(limitedInput(0.1), nil)
+	_, too = planLimited(limitedInput(0.1), nil)
 	is.Equal(len(too), 2)
 }
 
@@ -72,15 +72,15 @@
 func TestModelsDoNotMoveToAndFro(t *testing.T) {
 	is := is.New(t)
 	in := limitedInput(4)
-	_, was := placed(in, nil)
+	_, was := planLimited(in, nil)
 	is.Equal(len(was), 1)
 	in.Engines[1].Copies = append(in.Engines[1].Copies, Copy{Model: "busy", Ready: true, Age: time.Minute})
 	in.Engines[1].FreeMB = 0
-	changes, still := placed(in, was)
+	changes, still := planLimited(in, was)
 	is.Equal(len(changes), 0)
 	is.Equal(still, was)
 	in.Demand["busy"] = Demand{Work: 0.1, Rate: 1.2} // half of the limit with the rare one
-	_, now := placed(in, was)
+	_, now := planLimited(in, was)
 	is.Equal(len(now), 0)
 
 	in = limitedInput(1)
@@ -88,7 +88,7 @@
 		in.Engines[i].Limited = true
 		in.Engines[i].Limit = 1
 	}
-	changes, too := placed(in, nil)
+	changes, too := planLimited(in, nil)
 	is.Equal(len(changes), 0)
 	is.Equal(len(too), 0)
 }
