--- a/core/placement/budget_test.go
+++ b/core/placement/budget_test.go
@@ -37,10 +37,10 @@
 	is.Equal(spent(&b), int(loadBurst))
 }
 
-// TestABudgetIsHandedOver: what a placer that stops leaves is what the next one begins
+// TestBudgetHandover: what a placer that stops leaves is what the next one begins
 // with, so that both together begin no more loads than one would; what the first still
 // had to wait for counts as loads that it owes.
-func TestABudgetIsHandedOver(t *testing.T) {
+func TestBudgetHandover(t *testing.T) {
 	now := clocktest.At(time.Hour)
 	opt := option.Default()
 	const rate = 2.0
