--- a/core/placement/changes_test.go
+++ b/core/placement/changes_test.go
@@ -32,9 +32,9 @@
 	return in
 }
 
-// TestTheLastCopyAtHandStays: the last copy of a model that nobody asks for makes
+// TestLastCachedCopyIsKept: the last copy of a model that nobody asks for makes
 // way only where another engine has its weights at hand.
-func TestTheLastCopyAtHandStays(t *testing.T) {
+func TestLastCachedCopyIsKept(t *testing.T) {
 	cases := []struct {
 		name      string
 		elsewhere bool
