--- a/core/placement/limited_test.go
+++ b/core/placement/limited_test.go
@@ -47,10 +47,10 @@
 	return Plan(in), too
 }
 
-// TestModelsOfLimitedEnginesAreLoadedElsewhere: a model whose calls a limit does not carry
+// TestOverLimitModelIsLoadedElsewhere: a model whose calls a limit does not carry
 // gets a copy at another engine; the engine keeps the rare ones that it does carry. Nothing
 // moves for a limit that the demand does not reach.
-func TestModelsOfLimitedEnginesAreLoadedElsewhere(t *testing.T) {
+func TestOverLimitModelIsLoadedElsewhere(t *testing.T) {
 	is := is.New(t)
 	for _, limit := range []float64{-1, 100, 7} {
 		changes, too := planLimited(limitedInput(limit), nil)
