--- a/core/placement/limited_test.go
+++ b/core/placement/limited_test.go
@@ -66,10 +66,10 @@
 	is.Equal(len(too), 2)
 }
 
-// TestModelsDoNotMoveToAndFro: once the model stands elsewhere, half of its calls are less
+// TestOverLimitCopiesDoNotOscillate: once the model stands elsewhere, half of its calls are less
 // than the limit; its copy at the limited engine does not count again for that, and the one
 // elsewhere stays. Where all engines are limited nothing moves.
-func TestModelsDoNotMoveToAndFro(t *testing.T) {
+func TestOverLimitCopiesDoNotOscillate(t *testing.T) {
 	is := is.New(t)
 	in := limitedInput(4)
 	_, was := planLimited(in, nil)
