--- a/core/placement/placer_test.go
+++ b/core/placement/placer_test.go
@@ -16,10 +16,10 @@
 	"github.com/birchdrift/birchdrift/core/step"
 )
 
-// TestLoadsAreCountedWhereTheyBegin: loads were once counted when they were
+// TestLoadsAreCountedWhenTheyStart: loads were once counted when they were
 // planned; several that waited for room then began together (CEILING broke on
 // two days in some hundred).
-func TestLoadsAreCountedWhereTheyBegin(t *testing.T) {
+func TestLoadsAreCountedWhenTheyStart(t *testing.T) {
 	is := is.New(t)
 	now := clocktest.At(time.Hour)
 	out := &step.Output{}
