--- a/core/placement/progress_test.go
+++ b/core/placement/progress_test.go
@@ -12,10 +12,10 @@
 	"github.com/birchdrift/birchdrift/core/pool"
 )
 
-// TestAChangeGoesOnUntilItsModelIsReady: what makes way goes first, an order
+// TestChangeProgress: what makes way goes first, an order
 // without effect is repeated after a while, and the change ends when the model is
 // there, the engine is not, or it took too long.
-func TestAChangeGoesOnUntilItsModelIsReady(t *testing.T) {
+func TestChangeProgress(t *testing.T) {
 	now := clocktest.At(time.Hour)
 	ago := func(d time.Duration) clock.Instant { return now.Add(-d) }
 	type phases map[string]pool.ItemPhase
