--- a/core/orderclient/orderclient.go
+++ b/core/orderclient/orderclient.go
@@ -1,9 +1,9 @@
-// Package orderclient asks the owners of engines for orders.
+// Package orderclient requests orders from the owners of engines.
 //
-// Any instance may need an order: for an adapter that a call waits for, or for a
-// model that it places. Only the engine's owner gives it. An order is asked for
-// once, however many calls wait for it, and one that was refused is not asked for
-// again for a moment.
+// Any instance may need an order: to load an adapter for a waiting call, or to load a
+// model as part of a placement. Only the engine's owner sends it. An order is requested
+// once, however many calls wait for it, and after a refusal it is not requested again for
+// a short time.
 package orderclient
 
 import (
@@ -19,25 +19,25 @@
 	"github.com/birchdrift/birchdrift/core/step"
 )
 
-// refusalBackoff is how long an order that was refused is not asked for again: an
-// engine that was busy with another order is free by then.
+// refusalBackoff is how long an order that was refused is not requested again: an engine
+// that was busy with another order is free by then.
 const refusalBackoff = 300 * time.Millisecond
 
-// A Key names an order asked for.
+// A Key identifies a requested order.
 type Key struct {
 	Engine  string
 	Request orders.Request
 }
 
 type (
-	// SendRequest is an action: ask the owner of an engine for an order.
+	// SendRequest is the action that requests an order from the owner of an engine.
 	SendRequest struct {
-		Peer    string // the owner
-		Address string // of the owner
+		Peer    string // name of the owner
+		Address string // address of the owner
 		Engine  string
 		Request orders.Request
 	}
-	// Reply is the event that answers an Ask.
+	// Reply is the event that answers a SendRequest.
 	Reply struct {
 		Engine  string
 		Request orders.Request
@@ -52,7 +52,7 @@
 // IsEvent implements step.Event.
 func (Reply) IsEvent() {}
 
-// Client are the orders asked for and not settled. The fields must be set before
+// A Client holds the pending requests for orders. The exported fields must be set before
 // its use.
 type Client struct {
 	Self    member.Identity
@@ -60,21 +60,21 @@
 	Members *member.Table
 	Pool    *pool.Pool
 	Owned   *owned.Engines
-	// Owner returns who owns an engine, as far as is known.
+	// Owner returns the ownership of an engine, as far as it is known.
 	Owner func(engine string) (registry.Ownership, bool)
-	// Resume has a call that waited for an order look for its replica again.
+	// Resume resumes the routing of a call that waited for an order.
 	Resume func(now clock.Instant, id calls.ID)
 
-	pending   map[Key][]calls.ID // calls that wait, by the order asked for
+	pending   map[Key][]calls.ID // waiting calls, by the order that they wait for
 	refusedAt map[Key]clock.Instant
 }
 
-// New returns asks of which none is under way.
+// New returns a client without pending requests.
 func New() *Client {
 	return &Client{pending: map[Key][]calls.ID{}, refusedAt: map[Key]clock.Instant{}}
 }
 
-// CanRequest reports whether an order can be asked for now.
+// CanRequest reports whether an order can be requested now.
 func (a *Client) CanRequest(now clock.Instant, key Key) bool {
 	if at, ok := a.refusedAt[key]; ok {
 		if now.Since(at) < refusalBackoff {
@@ -85,8 +85,8 @@
 	return a.OwnerReachable(now, key.Engine)
 }
 
-// OwnerReachable reports whether somebody is known who orders the engine, and
-// answered lately.
+// OwnerReachable reports whether the owner of the engine is known and has answered
+// lately.
 func (a *Client) OwnerReachable(now clock.Instant, engine string) bool {
 	if e := a.Owned.Get(engine); e != nil {
 		return a.Owned.Orderable(now, e)
@@ -99,13 +99,13 @@
 	return p != nil && !p.Leaving && !p.Failing()
 }
 
-// Pending reports whether an order was asked for and is not settled.
+// Pending reports whether an order was requested and has no outcome yet.
 func (a *Client) Pending(key Key) bool {
 	_, ok := a.pending[key]
 	return ok
 }
 
-// Request asks for an order.
+// Request requests an order.
 func (a *Client) Request(now clock.Instant, key Key) {
 	if a.Pending(key) {
 		return
@@ -114,8 +114,8 @@
 	a.send(now, key)
 }
 
-// RequestForCall asks for an order that a call waits for; the call is resumed once the
-// order is settled, whatever came of it.
+// RequestForCall requests an order that a call waits for. The call is resumed when the
+// outcome is known, whatever it is.
 func (a *Client) RequestForCall(now clock.Instant, key Key, id calls.ID) {
 	_, underWay := a.pending[key]
 	a.pending[key] = append(a.pending[key], id)
@@ -129,7 +129,7 @@
 		a.Owned.Request(now, e, key.Request)
 		return
 	}
-	o, _ := a.Owner(key.Engine) // none is found below, as an unknown member
+	o, _ := a.Owner(key.Engine) // an unknown owner is an unknown member, which is handled below
 	p := a.Members.Get(o.Owner)
 	if p == nil {
 		a.HandleOutcome(now, key, owned.Failed, "its owner is not known")
@@ -138,13 +138,13 @@
 	a.Out.Emit(SendRequest{Peer: p.Name, Address: p.Address, Engine: key.Engine, Request: key.Request})
 }
 
-// HandleReply takes in what an owner answered.
+// HandleReply handles an owner's reply.
 func (a *Client) HandleReply(now clock.Instant, r Reply) {
 	a.HandleOutcome(now, Key{r.Engine, r.Request}, r.Outcome, r.Detail)
 }
 
-// HandleOutcome takes in what came of an order asked for: the calls that wait for it go
-// to the engine, or look for another.
+// HandleOutcome handles the outcome of a requested order. The calls that wait for it are
+// resumed: they go to the engine or choose another one.
 func (a *Client) HandleOutcome(now clock.Instant, key Key, o owned.Outcome, detail string) {
 	waiting, ok := a.pending[key]
 	if !ok {
--- a/core/orders/answer.go
+++ b/core/orders/answer.go
@@ -7,9 +7,10 @@
 	"github.com/birchdrift/birchdrift/core/pool"
 )
 
-// How the ledger books an order, and takes in what came of it.
+// Recording orders and their answers in the ledger.
 
-// RecordSent books a request that Check allowed; Expect of the order is Sequence.
+// RecordSent records a request that Check allowed as in flight; the order's Expect is
+// Sequence.
 func (e *Ledger) RecordSent(r Request) {
 	e.inFlight = &r
 	h := itemState{model: r.Model, adapter: r.Adapter, phase: pool.Loading}
@@ -21,8 +22,8 @@
 	e.setItem(r.Item(), h)
 }
 
-// RecordAccepted notes that the engine carries the order in flight out. adapterTime is
-// how long an adapter is believed to be on its way.
+// RecordAccepted records that the engine carries out the order in flight. adapterTime is
+// the expected time that an adapter takes to load.
 func (e *Ledger) RecordAccepted(now clock.Instant, adapterTime time.Duration) {
 	r := e.inFlight
 	if r == nil {
@@ -43,9 +44,9 @@
 	e.setItem(r.Item(), h)
 }
 
-// RecordNoChange notes that what the order in flight asked for is so already, or at
-// once. An adapter that no request uses is unloaded at once, which counts as an
-// order that was taken.
+// RecordNoChange records that the engine already was in the state that the order in
+// flight asked for, or reached it at once. An adapter that no call uses is unloaded at
+// once, which counts as an accepted order.
 func (e *Ledger) RecordNoChange() {
 	r := e.inFlight
 	if r == nil {
@@ -62,8 +63,8 @@
 	e.setItem(r.Item(), h)
 }
 
-// RecordFailed notes that the order in flight was not carried out and never will be:
-// it never left, or the engine said so.
+// RecordFailed records that the order in flight was not carried out and never will be: it
+// was not sent, or the engine rejected it.
 func (e *Ledger) RecordFailed() {
 	r := e.inFlight
 	if r == nil {
@@ -79,8 +80,9 @@
 	e.setItem(r.Item(), h)
 }
 
-// RecordLost notes that the answer of the order in flight is lost, and returns what it asked
-// for. What it would do stays booked until the engine is asked.
+// RecordLost records that the answer to the order in flight is lost, and returns the
+// request. The effect of the order stays in the ledger until the engine's state is
+// queried.
 func (e *Ledger) RecordLost() (r Request, ok bool) {
 	if e.inFlight == nil {
 		return r, false
@@ -91,8 +93,8 @@
 	return r, true
 }
 
-// RecordConflict notes that the engine has taken another number of orders than
-// was believed; it must be asked.
+// RecordConflict records that the engine has accepted a different number of orders than
+// the ledger says; its state must be queried.
 func (e *Ledger) RecordConflict() {
 	e.RecordFailed()
 	e.uncertain = true
--- a/core/orders/judge.go
+++ b/core/orders/judge.go
@@ -7,25 +7,25 @@
 	"github.com/birchdrift/birchdrift/core/pool"
 )
 
-// What may be ordered now, by what the ledger holds.
+// Checking which orders the ledger allows now.
 
-// A CheckResult says what may be done with a request.
+// A CheckResult says whether a request may be sent.
 type CheckResult int
 
-// The verdicts.
+// The results of Check.
 const (
-	Allowed       CheckResult = iota + 1 // it may be sent
-	NoChange                             // what it asks for is so already
-	InProgress                           // it is on its way already
-	NotNow                               // an order is without an answer, or the engine is busy
-	NoCapacity                           // memory or slots are missing
-	ModelNotReady                        // the adapter's model is not there
+	Allowed       CheckResult = iota + 1 // the order may be sent
+	NoChange                             // the engine already is in the requested state
+	InProgress                           // the engine is already getting there
+	NotNow                               // an order is unanswered, or the engine is busy
+	NoCapacity                           // memory or adapter slots are missing
+	ModelNotReady                        // the adapter's model is not loaded
 	StateUnknown                         // the engine's state is not known yet
-	SizeUnknown                          // the model is not configured
-	NotLoaded                            // what should be unloaded is not there
+	SizeUnknown                          // the model is not configured, so its size is unknown
+	NotLoaded                            // the item to unload is not loaded
 )
 
-// otherModelBusy reports whether a model other than item is on its way in or out.
+// otherModelBusy reports whether a model other than item is being loaded or unloaded.
 func (e *Ledger) otherModelBusy(item string) bool {
 	for name, h := range e.items {
 		if h.adapter == "" && h.phase != pool.Ready && name != item {
@@ -35,8 +35,8 @@
 	return false
 }
 
-// MarkUnloading has a model that is there count as on its way out, so that no more
-// calls are sent to it, before it is ordered out. UnmarkUnloading takes that back.
+// MarkUnloading marks a ready model as unloading before the order to unload it is sent,
+// so that no more calls are sent to it. UnmarkUnloading reverts that.
 func (e *Ledger) MarkUnloading(model string) {
 	if h, ok := e.items[model]; ok && h.phase == pool.Ready {
 		h.phase = pool.Unloading
@@ -45,7 +45,7 @@
 	}
 }
 
-// UnmarkUnloading takes a MarkUnloading back that no order has followed.
+// UnmarkUnloading reverts a MarkUnloading that was not followed by an order.
 func (e *Ledger) UnmarkUnloading(model string) {
 	if h, ok := e.items[model]; ok && h.unloadMarked {
 		h.phase = pool.Ready
@@ -54,7 +54,7 @@
 	}
 }
 
-// Check says what may be done with a request now.
+// Check returns what the ledger allows for a request now.
 func (e *Ledger) Check(r Request) CheckResult {
 	if !e.Known() {
 		return StateUnknown
@@ -128,8 +128,8 @@
 	return n
 }
 
-// usedSlots returns the adapter usedSlots in use; one whose unload has no proof yet
-// still takes its slot.
+// usedSlots returns the adapter slots in use. An adapter whose unload is not confirmed
+// yet still takes its slot.
 func (e *Ledger) usedSlots() int {
 	n := e.delayedSlots()
 	for _, h := range e.items {
@@ -140,7 +140,7 @@
 	return n
 }
 
-// FreeMB returns the memory that nothing holds, in MB.
+// FreeMB returns the memory that no item or delayed order takes, in MB.
 func (e *Ledger) FreeMB() int64 {
 	late, ok := e.delayedMB()
 	if !ok {
@@ -151,7 +151,7 @@
 		modelMB, adapterMB, ok := e.sizes(h.model)
 		switch {
 		case !ok:
-			return 0 // it holds what nobody can size
+			return 0 // the size of an item is unknown
 		case h.adapter == "":
 			free -= modelMB
 		default:
@@ -161,8 +161,8 @@
 	return free
 }
 
-// IdleAdapter returns the ready adapter that was used least lately, if it has
-// been idle for as long as idle.
+// IdleAdapter returns the least recently used ready adapter, if it has been idle for at
+// least idle.
 func (e *Ledger) IdleAdapter(now clock.Instant, idle time.Duration) (Request, bool) {
 	var best string
 	for _, item := range e.sortedItems() {
--- a/core/orders/late.go
+++ b/core/orders/late.go
@@ -7,25 +7,28 @@
 	"github.com/birchdrift/birchdrift/core/clock"
 )
 
-// Orders whose answers were lost before their engine started again. Within one life of an
-// engine its count of orders voids them, but that begins anew with each life: one that is
-// carried out late by the next life finds the count that it names once more, on a state for
-// which it was not worked out.
+// Orders whose answers were lost before their engine restarted. Within one incarnation
+// the engine's count of orders makes them void, but the count starts again with each
+// incarnation. So an order that arrives late, at the next incarnation, may carry the
+// count that the engine has reached again, although its state is not the one for which
+// the order was computed.
 
-// MaxOrderDelay is how long after it was sent an order without an answer may be carried out:
-// the platform's description of engines has up to twelve seconds.
+// MaxOrderDelay is how long after it was sent an unanswered order may still be carried
+// out: the platform's description of engines allows up to twelve seconds.
 const MaxOrderDelay = 13 * time.Second
 
-// A DelayedOrder is an order to a former life of an engine that may still be on its way.
+// A DelayedOrder is an order to an earlier incarnation of an engine that may still
+// arrive.
 type DelayedOrder struct {
 	Request Request
 	Until   clock.Instant
 }
 
-// ReserveDelayed keeps free what orders to a former life of the engine would take.
+// ReserveDelayed reserves the capacity that delayed orders to earlier incarnations of the
+// engine would take.
 func (e *Ledger) ReserveDelayed(late []DelayedOrder) { e.delayed = append(e.delayed, late...) }
 
-// expireDelayed drops the late orders whose time is over.
+// expireDelayed drops the delayed orders that can no longer arrive.
 func (e *Ledger) expireDelayed(now clock.Instant) {
 	before := len(e.delayed)
 	e.delayed = slices.DeleteFunc(e.delayed, func(l DelayedOrder) bool { return !now.Before(l.Until) })
@@ -34,7 +37,8 @@
 	}
 }
 
-// delayedLoads returns what late orders would load, without what is there.
+// delayedLoads returns the items that delayed orders would load, except those that the
+// engine holds.
 func (e *Ledger) delayedLoads() []Request {
 	var items []Request
 	for _, l := range e.delayed {
@@ -45,8 +49,8 @@
 	return items
 }
 
-// delayedMB returns the memory that late orders would take, in MB; ok is false if nobody can
-// size it.
+// delayedMB returns the memory that delayed orders would take, in MB; ok is false if the
+// size of a model is unknown.
 func (e *Ledger) delayedMB() (mb int64, ok bool) {
 	for _, r := range e.delayedLoads() {
 		modelMB, adapterMB, ok := e.sizes(r.Model)
@@ -62,7 +66,7 @@
 	return mb, true
 }
 
-// delayedSlots returns the adapter slots that late orders would take.
+// delayedSlots returns the adapter slots that delayed orders would take.
 func (e *Ledger) delayedSlots() int {
 	n := 0
 	for _, r := range e.delayedLoads() {
@@ -73,7 +77,7 @@
 	return n
 }
 
-// NewDelayedOrder returns an order whose answer was lost now.
+// NewDelayedOrder returns a delayed order whose answer was lost at now.
 func NewDelayedOrder(now clock.Instant, r Request) DelayedOrder {
 	return DelayedOrder{Request: r, Until: now.Add(MaxOrderDelay)}
 }
--- a/core/orders/observe.go
+++ b/core/orders/observe.go
@@ -7,18 +7,18 @@
 	"github.com/birchdrift/birchdrift/core/pool"
 )
 
-// How the ledger takes in what the engine says of itself.
+// Updating the ledger from the state that the engine reports.
 
-// A State is what an engine says of itself.
+// A State is the state that an engine reports.
 type State struct {
 	Sequence uint64
-	Busy     bool // an order on a model is under way
+	Busy     bool // an order for a model is being carried out
 	Models   []pool.AnnouncedModel
-	Coming   []string // adapters on their way, as items
+	Coming   []string // item names of the adapters being loaded
 }
 
-// ObserveState takes in what the engine said when it was asked. One that is older
-// than an order which was answered says nothing.
+// ObserveState updates the ledger with the engine's reply to a state query. A state that
+// is older than an answered order is ignored.
 func (e *Ledger) ObserveState(now clock.Instant, s State) {
 	if e.inFlight != nil || s.Sequence < e.sequence {
 		return
@@ -26,14 +26,15 @@
 	e.replaceItems(now, s)
 	e.known = true
 	e.sequence = s.Sequence
-	// A model that another owner's order brings takes memory, and the engine
-	// does not say which it is: nothing may be ordered until it is done.
+	// A model that is being loaded for another owner takes memory, and the engine does
+	// not say which model it is: nothing may be ordered until it is done.
 	model, _ := e.ModelInTransition()
 	e.uncertain = s.Busy && model == ""
 }
 
-// ObserveModels takes in the models that the engine says, unasked, to hold. It does
-// so when an order on a model is done; of adapters it says nothing in time.
+// ObserveModels updates the ledger with the models that the engine announces by itself.
+// It does so when an order for a model is done; for adapters its announcements come too
+// late.
 func (e *Ledger) ObserveModels(models []pool.AnnouncedModel) {
 	if !e.known {
 		return
@@ -60,8 +61,8 @@
 	}
 }
 
-// replaceItems takes the state as the whole truth, but for a model whose order is
-// under way: the engine does not say which one that is.
+// replaceItems replaces the items of the ledger by the state, except for a model with an
+// order in progress: the engine does not say which one that is.
 func (e *Ledger) replaceItems(now clock.Instant, s State) {
 	next := make(map[string]itemState, len(e.items))
 	for _, m := range s.Models {
@@ -85,12 +86,12 @@
 	e.version++
 }
 
-// adapterLoadTime is how long an adapter that another owner ordered is believed to be on its
-// way: several times what adapters take, and the age of what an engine says.
+// adapterLoadTime is how long an adapter that another owner ordered is assumed to take to
+// load: several times the usual load time of adapters plus the age of the reported state.
 const adapterLoadTime = 300 * time.Millisecond
 
-// loadingAdapter returns an adapter that the engine says is on its way. It takes a slot,
-// whoever ordered it.
+// loadingAdapter returns the state of an adapter that the engine reports as loading. It
+// takes a slot whichever owner ordered it.
 func (e *Ledger) loadingAdapter(now clock.Instant, item string) itemState {
 	h, known := e.items[item]
 	if !known {
@@ -113,7 +114,7 @@
 	return h
 }
 
-// removeModel drops a model and its adapters.
+// removeModel removes a model and its adapters.
 func (e *Ledger) removeModel(model string) {
 	for item, h := range e.items {
 		if h.model == model {
@@ -122,8 +123,8 @@
 	}
 }
 
-// Advance has adapters whose time on the way is over count as ready, and reports
-// whether any does so now.
+// Advance marks the adapters whose expected load time has passed as ready, expires
+// delayed orders, and reports whether an adapter became ready.
 func (e *Ledger) Advance(now clock.Instant) bool {
 	e.expireDelayed(now)
 	changed := false
--- a/core/orders/orders.go
+++ b/core/orders/orders.go
@@ -1,15 +1,15 @@
-// Package orders provides what the owner of an engine knows and books of it:
-// which orders it may give, and what the engine holds after them.
+// Package orders provides the ledger that the owner of an engine keeps: which orders it
+// may send, and what the engine holds after them.
 //
-// The idea: every order names the number of orders that the engine must have
-// taken before (Expect). An order that is held up on its way can then only take
-// effect on the very state for which it was worked out; once any other order was
-// taken, it is void. So an order without an answer needs no intent written down
-// before it: the next one settles it.
+// Every order carries the number of orders that the engine must have accepted before
+// (Expect). A delayed order can therefore take effect only on the state for which it was
+// computed; once the engine has accepted any other order, it is void. So the owner need
+// not store an intent before it sends an order: the next order makes an unanswered one
+// void.
 //
-// Invariants: at most one order is without an answer; no order asks for more
-// memory or adapter slots than the engine has free after every order that it may
-// have taken; nothing is ordered while the engine's own count is not known.
+// Invariants: at most one order is unanswered; no order asks for more memory or adapter
+// slots than the engine has free after every order that it may have accepted; nothing is
+// ordered while the engine's own count of orders is unknown.
 package orders
 
 import (
@@ -21,21 +21,21 @@
 	"github.com/birchdrift/birchdrift/core/pool"
 )
 
-// A Request asks for one order.
+// A Request describes one order.
 type Request struct {
-	Load    bool // else unload
+	Load    bool // false for an unload
 	Model   string
 	Adapter string // "" for the model itself
 }
 
-// Item returns the name of what the request is about.
+// Item returns the name of the item to load or unload.
 func (r Request) Item() string { return pool.ItemName(r.Model, r.Adapter) }
 
-// A SizeFunc function gives the memory of a model and of one of its adapters, in
-// MB; ok is false for a model that is not configured.
+// A SizeFunc returns the memory of a model and of one of its adapters, in MB; ok is false
+// if the model is not configured.
 type SizeFunc func(model string) (modelMB, adapterMB int64, ok bool)
 
-// A Capacity is what one engine has to give.
+// Capacity is the memory and the adapter slots of one engine.
 type Capacity struct {
 	MemoryMB     int64
 	AdapterSlots int
@@ -43,56 +43,56 @@
 
 // An Order is a request as it is sent to an engine.
 type Order struct {
-	Engine  string // its incarnation, which alone may carry the order out
+	Engine  string // the only incarnation that may carry out the order
 	Address string // IP:port
 	Request Request
-	// Expect is how many orders the engine must have taken before. An engine
-	// that has taken another number refuses this one, so an order whose answer
-	// is lost cannot take effect after a later one.
+	// Expect is the number of orders that the engine must have accepted before. An engine
+	// that has accepted a different number refuses this one, so an order whose answer was
+	// lost cannot take effect after a later one.
 	Expect uint64
 	Fence  era.Revision
 }
 
-// An Answer is what came of an order.
+// An Answer is the engine's answer to an order, or the lack of one.
 type Answer int
 
-// The answers. Their numbers stand in the log.
+// The answers. Their numbers are written to the log.
 const (
-	AnswerLost        Answer = iota + 1 // no answer: it may be carried out, now or later
-	AnswerAccepted                      // it is being carried out
-	AnswerNoChange                      // what it asks for is so already
-	AnswerConflict                      // another is under way, or Expect differs
-	AnswerFenced                        // the engine has seen a later fence
-	AnswerInvalid                       // the engine knows no such order
+	AnswerLost        Answer = iota + 1 // no answer: the order may be carried out, now or later
+	AnswerAccepted                      // the engine carries out the order
+	AnswerNoChange                      // the engine already is in the requested state
+	AnswerConflict                      // another order is in progress, or Expect differs
+	AnswerFenced                        // the engine has seen a higher fence
+	AnswerInvalid                       // the engine does not know such an order
 	AnswerMisdirected                   // another engine has the address
-	AnswerNotSent                       // it certainly never left
+	AnswerNotSent                       // the order was certainly not sent
 )
 
-// A itemState is one item on the engine.
+// An itemState is the state of one item on the engine.
 type itemState struct {
 	model        string
 	adapter      string
 	phase        pool.ItemPhase
-	readyAt      clock.Instant // when an adapter on its way is believed to be there
+	readyAt      clock.Instant // when a loading adapter is expected to be ready
 	usedAt       clock.Instant
-	unloadMarked bool // told to be on its way out, and not ordered out yet
+	unloadMarked bool // marked as unloading, but the unload is not ordered yet
 }
 
-// An Ledger is the owner's ledger of one engine.
+// A Ledger is the owner's record of one engine's items and orders.
 type Ledger struct {
 	Name      string
 	Address   string
 	Fence     era.Revision
-	From      clock.Instant // no order may be sent before
+	From      clock.Instant // no order may be sent before this time
 	limits    Capacity
 	sizes     SizeFunc
 	known     bool
 	sequence  uint64
 	items     map[string]itemState
 	inFlight  *Request       // sent and not answered
-	delayed   []DelayedOrder // to a former life of the engine, and perhaps still on their way
-	uncertain bool           // an order's answer was lost since the state was last read
-	version   uint64         // rises with every change of what is held
+	delayed   []DelayedOrder // orders to earlier incarnations that may still arrive
+	uncertain bool           // an answer was lost since the state was last read
+	version   uint64         // incremented with every change of the items
 }
 
 // New returns the ledger of an engine whose state is not known yet.
@@ -103,28 +103,28 @@
 	}
 }
 
-// Configure takes over what a newer configuration says.
+// Configure applies a newer configuration.
 func (e *Ledger) Configure(limits Capacity, sizes SizeFunc) {
 	e.limits = limits
 	e.sizes = sizes
 }
 
-// Known reports whether the engine's state is known well enough to order it.
+// Known reports whether the engine's state is known well enough to send it orders.
 func (e *Ledger) Known() bool { return e.known && !e.uncertain }
 
-// Uncertain reports whether the engine must be asked for its state.
+// Uncertain reports whether the engine's state must be queried.
 func (e *Ledger) Uncertain() bool { return e.uncertain || !e.known }
 
-// Sequence returns the number of orders that the engine has taken.
+// Sequence returns the number of orders that the engine has accepted.
 func (e *Ledger) Sequence() uint64 { return e.sequence }
 
-// Version rises with every change of what the engine holds.
+// Version returns a number that is incremented with every change of the engine's items.
 func (e *Ledger) Version() uint64 { return e.version }
 
-// InFlight reports whether an order is without an answer.
+// InFlight reports whether an order is unanswered.
 func (e *Ledger) InFlight() bool { return e.inFlight != nil }
 
-// Busy reports whether a model is on its way in or out.
+// Busy reports whether a model is being loaded or unloaded.
 func (e *Ledger) Busy() bool {
 	for _, h := range e.items {
 		if h.adapter == "" && h.phase != pool.Ready {
@@ -134,7 +134,8 @@
 	return false
 }
 
-// ModelInTransition returns the model on its way in or out, and whether it comes in.
+// ModelInTransition returns the model that an order loads or unloads, "" if there is
+// none, and whether it is being loaded.
 func (e *Ledger) ModelInTransition() (model string, loading bool) {
 	for _, h := range e.items {
 		if h.adapter == "" && h.phase != pool.Ready && !h.unloadMarked {
@@ -144,13 +145,13 @@
 	return "", false
 }
 
-// ModelOrderRunning reports whether an order on a model was taken and is not done.
+// ModelOrderRunning reports whether an order for a model was accepted and is not done.
 func (e *Ledger) ModelOrderRunning() bool {
 	model, _ := e.ModelInTransition()
 	return model != "" && e.inFlight == nil
 }
 
-// maxLoadingAdapters is how many adapters may be on their way to one engine.
+// maxLoadingAdapters is how many adapters may be loading on one engine at a time.
 const maxLoadingAdapters = 4
 
 func (e *Ledger) setItem(item string, h itemState) {
@@ -163,11 +164,11 @@
 	e.version++
 }
 
-// adapterUnloadTime is how long an adapter that calls still use is given before the
-// engine is asked whether it is gone; it does not announce that.
+// adapterUnloadTime is how long an adapter that calls still use may take to unload before
+// the engine's state is queried; the engine does not announce the end of an unload.
 const adapterUnloadTime = time.Second
 
-// RecordUse notes that a call used an item.
+// RecordUse records that a call used an item.
 func (e *Ledger) RecordUse(now clock.Instant, item string) {
 	if h, ok := e.items[item]; ok {
 		h.usedAt = now
@@ -184,10 +185,10 @@
 	return names
 }
 
-// Phase returns where an item stands, 0 if it is not there.
+// Phase returns the phase of an item, 0 if the engine does not hold it.
 func (e *Ledger) Phase(item string) pool.ItemPhase { return e.items[item].phase }
 
-// Items returns what the engine holds, by name.
+// Items returns the engine's items, sorted by name.
 func (e *Ledger) Items() []pool.Item {
 	items := make([]pool.Item, 0, len(e.items))
 	for _, name := range e.sortedItems() {
--- a/core/orders/orders_test.go
+++ b/core/orders/orders_test.go
@@ -19,8 +19,8 @@
 
 var start = clocktest.At(time.Hour)
 
-// newLedger returns the ledger of an newLedger that holds the models, after so many
-// orders.
+// newLedger returns the ledger of an engine that holds the models and has accepted
+// sequence orders.
 func newLedger(sequence uint64, models ...string) *Ledger {
 	e := New("e", "10.0.0.1:80", 7, start, Capacity{MemoryMB: 3*modelMB + 8, AdapterSlots: 2}, testSizes)
 	e.ObserveState(start, stateOf(sequence, models...))
@@ -39,7 +39,7 @@
 	return Request{Load: true, Model: model, Adapter: adapter}
 }
 
-// TestCheck tables what an owner may order in which state.
+// TestCheck lists what an owner may order in which state.
 func TestCheck(t *testing.T) {
 	cases := []struct {
 		name string
@@ -127,9 +127,9 @@
 	}
 }
 
-// TestUnknownLoadingModelBlocksOrders: a new owner finds the engine busy with an
-// order of the former one. The model takes memory that no list shows, and an
-// order to load another once overfilled the engine.
+// TestUnknownLoadingModelBlocksOrders: a new owner finds the engine busy with an order of
+// the former owner. The model takes memory although no list shows it; an order for
+// another model once exceeded the engine's memory.
 func TestUnknownLoadingModelBlocksOrders(t *testing.T) {
 	is := is.New(t)
 	e := New("e", "a", 9, start, Capacity{MemoryMB: 3*modelMB + 8, AdapterSlots: 2}, testSizes)
@@ -137,31 +137,32 @@
 	busy.Busy = true
 	e.ObserveState(start, busy)
 	is.Equal(e.Check(load("c", "")), StateUnknown)
-	is.True(e.Uncertain()) // it must be asked again
+	is.True(e.Uncertain()) // its state must be queried again
 	e.ObserveState(start, stateOf(6, "a", "b", "d"))
 	is.Equal(e.Check(load("c", "")), NoCapacity)
 }
 
-// TestUnansweredOrderIsVoid: what an unanswered order would do stays booked until the
-// engine was asked, and the next order names the count that the engine gave.
+// TestUnansweredOrderIsVoid checks that the effect of an unanswered order stays in the
+// ledger until the engine's state is queried, and that the next order carries the count
+// that the engine reported.
 func TestUnansweredOrderIsVoid(t *testing.T) {
 	is := is.New(t)
 	e := newLedger(4, "a", "b")
 	e.RecordSent(load("c", ""))
 	e.RecordLost()
-	is.Equal(e.FreeMB(), int64(8))    // booked
-	e.ObserveState(start, stateOf(3)) // older than what was answered: says nothing
+	is.Equal(e.FreeMB(), int64(8))    // the unanswered order is counted
+	e.ObserveState(start, stateOf(3)) // older than the last answered order: ignored
 	is.Equal(e.FreeMB(), int64(8))
 	e.ObserveState(start, stateOf(4, "a", "b"))
 	is.Equal(e.Check(load("d", "")), Allowed)
-	is.Equal(e.Sequence(), uint64(4)) // so the lost one is void once this is taken
+	is.Equal(e.Sequence(), uint64(4)) // so the lost order is void once this one is accepted
 	e.RecordSent(load("d", ""))
 	e.RecordAccepted(start, 0)
 	is.Equal(e.Sequence(), uint64(5))
 }
 
-// TestAnnouncementCompletesModelOrder: an engine announces a model when it is
-// done, and one that nobody ordered shows that a late order took effect.
+// TestAnnouncementCompletesModelOrder: an engine announces a model when its order is
+// done. A model that the ledger does not know shows that an order took effect late.
 func TestAnnouncementCompletesModelOrder(t *testing.T) {
 	is := is.New(t)
 	e := newLedger(1, "a")
@@ -175,13 +176,13 @@
 	is.True(e.Uncertain())
 }
 
-// TestIdleAdapter: the adapter that was used least lately goes, if it was not
-// used for a while and is not on its way.
+// TestIdleAdapter checks that the least recently used adapter is returned, if it has been
+// idle long enough and is not loading.
 func TestIdleAdapter(t *testing.T) {
 	const idle = 400 * time.Millisecond
 	cases := []struct {
 		name string
-		used map[string]time.Duration // ago, by adapter of model a
+		used map[string]time.Duration // time since the last use, by adapter of model a
 		want string
 	}{
 		{"the least lately used", map[string]time.Duration{"x": time.Second, "y": 2 * time.Second}, "y"},
@@ -208,9 +209,9 @@
 	}
 }
 
-// TestLoadingAdaptersTakeSlots: an adapter that a former owner ordered is on its way
-// when the new owner first asks the engine. It once was passed over, so that the new
-// owner ordered one more than the engine has slots for, and the engine fell.
+// TestLoadingAdaptersTakeSlots: an adapter that a former owner ordered is still loading
+// when the new owner first queries the engine. It was once ignored, so that the new owner
+// ordered one adapter more than the engine has slots for, and the engine crashed.
 func TestLoadingAdaptersTakeSlots(t *testing.T) {
 	is := is.New(t)
 	e := New("e", "10.0.0.1:80", 7, start, Capacity{MemoryMB: 3*modelMB + 8, AdapterSlots: 2}, testSizes)
--- a/core/owned/engine.go
+++ b/core/owned/engine.go
@@ -10,39 +10,39 @@
 	"github.com/birchdrift/birchdrift/core/registry"
 )
 
-// An Engine is an engine that this instance owns: its ledger, and the requests
-// that wait for their turn there.
+// An Engine is an engine that this instance owns: its ledger and its queue of requests.
 type Engine struct {
 	*orders.Ledger
-	// Settled says that no order of a former owner can be on its way any more.
+	// Settled reports that no order of a former owner can still arrive.
 	Settled bool
 
-	incarnation      pool.Incarnation // the one that the ledger is of
+	incarnation      pool.Incarnation // the incarnation that the ledger describes
 	acquiredAt       clock.Instant
 	queue            []queuedRequest
-	querying         bool          // for its state
-	queryDue         clock.Instant // when it may be asked for its state again
+	querying         bool          // a state query is unanswered
+	queryDue         clock.Instant // earliest time of the next state query
 	lastOrderAt      clock.Instant // when an order was last sent
-	lastOrderFence   era.Revision  // of that order
-	publishedVersion uint64        // changes of the ledger that the fleet was told of
-	residencyChange  uint64        // number of the last residency that the fleet was told
+	lastOrderFence   era.Revision  // fence of that order
+	publishedVersion uint64        // version of the ledger that was last published
+	residencyChange  uint64        // number of the last published residency
 }
 
-// A queuedRequest request waits for its turn.
+// A queuedRequest is a request for an order that is not sent yet.
 type queuedRequest struct {
 	request   orders.Request
 	waiters   []waiter
-	notBefore clock.Instant // not before
+	notBefore clock.Instant // earliest time to send the order
 	expiresAt clock.Instant
 }
 
-// A waiter is who is told of the outcome.
+// A waiter is a requester to notify of the outcome.
 type waiter struct {
-	token uint64 // of a peer's question; 0 for this instance itself
+	token uint64 // token of a peer's request; 0 for this instance itself
 }
 
-// SinceLastOrder returns for how long the engine has certainly been sent no order: by
-// this instance, and before it by former owners, whose orders it has waited for.
+// SinceLastOrder returns for how long the engine has certainly been sent no order,
+// neither by this instance nor by former owners, whose orders this instance has waited
+// for.
 func (e *Engine) SinceLastOrder(now clock.Instant) time.Duration {
 	switch {
 	case !e.Settled || e.InFlight() || e.Uncertain() || now.Before(e.From):
@@ -54,8 +54,8 @@
 	}
 }
 
-// Confirm notes that the ownership was written again at this revision, which is
-// the fence of the orders from now on.
+// Confirm records that the ownership was written again at this revision, which is the
+// fence of the orders from now on.
 func (e *Engine) Confirm(o registry.Ownership) {
 	e.Fence = o.Revision
 	e.Settled = true
--- a/core/owned/late.go
+++ b/core/owned/late.go
@@ -8,15 +8,15 @@
 	"github.com/birchdrift/birchdrift/core/pool"
 )
 
-// A delayedOrder is an order whose answer was lost, with the life of the engine that it was
-// for.
+// A delayedOrder is an order whose answer was lost, with the incarnation of the engine
+// that it was sent to.
 type delayedOrder struct {
 	orders.DelayedOrder
 	incarnation pool.Incarnation
 }
 
-// recordDelayed notes that the answer of the order in flight at an engine is lost, if there is
-// one.
+// recordDelayed records that the answer to the order in flight at an engine is lost, if
+// there is one.
 func (s *Engines) recordDelayed(now clock.Instant, e *Engine) {
 	r, ok := e.RecordLost()
 	if !ok {
@@ -29,7 +29,8 @@
 	s.delayed[e.Name] = append(recent, delayedOrder{DelayedOrder: orders.NewDelayedOrder(now, r), incarnation: e.incarnation})
 }
 
-// delayedOrders returns the orders to former lives of an engine that may still be on their way.
+// delayedOrders returns the orders to earlier incarnations of an engine that may still
+// arrive.
 func (s *Engines) delayedOrders(now clock.Instant, life pool.Incarnation) []orders.DelayedOrder {
 	var late []orders.DelayedOrder
 	for _, l := range s.delayed[life.Name] {
--- a/core/owned/owned.go
+++ b/core/owned/owned.go
@@ -1,10 +1,9 @@
-// Package owned orders the engines that this instance owns.
+// Package owned sends orders to the engines that this instance owns.
 //
-// It keeps a ledger of each (core/orders), lets requests wait for their turn,
-// sends one order at a time, settles orders whose answers are lost by asking the
-// engine for its state, and has the fleet told of what its engines hold. Which
-// engines those are, and until when they may be ordered, is decided in
-// core/ownership.
+// It keeps a ledger of each engine (core/orders), queues requests, sends one order at a
+// time, resolves orders whose answers were lost by querying the engine's state, and
+// publishes to the fleet what its engines hold. Package core/ownership decides which
+// engines this instance owns and until when it may send them orders.
 package owned
 
 import (
@@ -22,8 +21,8 @@
 	"github.com/birchdrift/birchdrift/core/step"
 )
 
-// Engines are the engines that this instance owns. The fields must be set before
-// its use.
+// Engines holds the engines that this instance owns. The exported fields must be set
+// before its use.
 type Engines struct {
 	Out     *step.Output
 	Pool    *pool.Pool
@@ -32,12 +31,12 @@
 	// MayOrder reports whether the ownership that this instance gained with a fence is
 	// certainly still its own.
 	MayOrder func(now clock.Instant, fence era.Revision) bool
-	// Permitted reports whether something may be sent to an engine now that names a limit:
-	// an order for an adapter, or for a model, or a question.
+	// Permitted reports whether an order for an adapter or a model, or a state query, may
+	// be sent to an engine now, as far as its rate limit is concerned.
 	Permitted func(now clock.Instant, engine string, adapter bool) bool
-	// Published is called after the fleet's records learnt what an engine holds.
+	// Published is called after an engine's items were added to the gossip records.
 	Published func(now clock.Instant)
-	// Answered is called with what came of a request of this instance itself.
+	// Answered is called with the outcome of a request of this instance itself.
 	Answered func(now clock.Instant, engine string, r orders.Request, o Outcome, detail string)
 
 	engines map[string]*Engine
@@ -50,10 +49,10 @@
 // Len returns how many engines this instance owns.
 func (s *Engines) Len() int { return len(s.engines) }
 
-// Names returns the engines that this instance owns, in order.
+// Names returns the names of the engines that this instance owns, sorted.
 func (s *Engines) Names() []string { return slices.Sorted(maps.Keys(s.engines)) }
 
-// Acquire begins to own an engine, which may be ordered from from on.
+// Acquire starts the ownership of an engine; no order may be sent before from.
 func (s *Engines) Acquire(now clock.Instant, o registry.Ownership, from clock.Instant) {
 	r := s.Pool.Get(o.Engine)
 	if r == nil {
@@ -78,7 +77,8 @@
 	s.queryState(now, e)
 }
 
-// Lose ends the ownership of an engine; whoever waits for an order is told why.
+// Lose ends the ownership of an engine. Its queued requests are refused with why as the
+// detail.
 func (s *Engines) Lose(now clock.Instant, name, why string) {
 	e := s.engines[name]
 	if e == nil {
@@ -92,8 +92,8 @@
 	}
 }
 
-// LoseUnsettled ends the ownerships of engines that may not be ordered yet, since orders of a
-// former owner may still come.
+// LoseUnsettled ends the ownership of the engines that may not be sent orders yet because
+// orders of a former owner may still arrive.
 func (s *Engines) LoseUnsettled(now clock.Instant, why string) {
 	for _, name := range s.Names() {
 		if e := s.engines[name]; !e.Settled || now.Before(e.From) {
@@ -109,9 +109,8 @@
 	}
 }
 
-// Configure takes over what a newer configuration says of the engines. An engine
-// whose pool is no longer configured keeps its limits: it still holds what it
-// was ordered to load.
+// Configure applies a newer configuration to the engines. An engine whose pool is no
+// longer configured keeps its capacity: it still holds what it was ordered to load.
 func (s *Engines) Configure() {
 	for name, e := range s.engines {
 		r := s.Pool.Get(name)
@@ -124,7 +123,8 @@
 	}
 }
 
-// capacityOf returns what the configuration says of an engine's pool.
+// capacityOf returns the capacity and the sizes that the configuration gives for an
+// engine's pool.
 func (s *Engines) capacityOf(r *pool.Replica) (limits orders.Capacity, sizes orders.SizeFunc, ok bool) {
 	p, ok := s.Config.EnginePool(r.Service)
 	if !ok {
@@ -140,19 +140,19 @@
 	}
 }
 
-// Orderable reports whether an engine that this instance owns may be ordered
-// now.
+// Orderable reports whether an engine that this instance owns may be sent orders now.
 func (s *Engines) Orderable(now clock.Instant, e *Engine) bool {
 	return s.MayOrder(now, e.Fence) && e.Settled && !now.Before(e.From) && !s.resting(now, e)
 }
 
-// resting reports whether an engine wants nothing from this instance.
+// resting reports whether an engine is in a rest, that is, asked this instance to send it
+// nothing for a while.
 func (s *Engines) resting(now clock.Instant, e *Engine) bool {
 	r := s.Pool.Get(e.Name)
 	return r != nil && r.Resting(now)
 }
 
-// rateLimited reports whether an engine names a limit.
+// rateLimited reports whether an engine names a rate limit.
 func (s *Engines) rateLimited(now clock.Instant, e *Engine) bool {
 	r := s.Pool.Get(e.Name)
 	if r == nil {
@@ -162,15 +162,15 @@
 	return limited
 }
 
-// RecordUse notes that an item of an engine was used, so that it makes way later.
+// RecordUse records that an item of an engine was used, so that it is evicted later.
 func (s *Engines) RecordUse(now clock.Instant, engine, item string) {
 	if e := s.engines[engine]; e != nil {
 		e.RecordUse(now, item)
 	}
 }
 
-// Tick sends what waits, settles adapters that take a known time, and has the
-// fleet told of changes.
+// Tick sends queued orders, completes adapters whose load time has passed, and publishes
+// changes.
 func (s *Engines) Tick(now clock.Instant) {
 	for _, name := range s.Names() {
 		e := s.engines[name]
@@ -183,8 +183,9 @@
 			e.incarnation = r.Incarnation()
 		}
 		if e.incarnation != r.Incarnation() {
-			// Its count of orders began anew and it holds nothing: a ledger of the life
-			// before would refuse what the engine says, and never order it again.
+			// The new incarnation starts its count of orders again and holds nothing. The
+			// ledger of the former one would reject its states as too old and never send
+			// it an order.
 			s.Lose(now, name, "it started again")
 			continue
 		}
@@ -195,8 +196,8 @@
 	}
 }
 
-// Waiting reports whether a request waits at any engine. Adapters are ready
-// after a known time, which only the clock shows.
+// Waiting reports whether a request is queued at any engine. Such an engine needs ticks:
+// an adapter becomes ready after an expected time, without an event.
 func (s *Engines) Waiting() bool {
 	for _, e := range s.engines {
 		if len(e.queue) > 0 {
@@ -206,7 +207,7 @@
 	return false
 }
 
-// HandleAnnouncement takes over what an engine itself announced that it holds.
+// HandleAnnouncement handles the models that an engine announces.
 func (s *Engines) HandleAnnouncement(now clock.Instant, name string, models []pool.AnnouncedModel) {
 	e := s.engines[name]
 	if e == nil {
@@ -217,8 +218,8 @@
 	s.publish(now, e)
 }
 
-// publish takes what the ledger says into this instance's own view, and into the
-// records that peers are told.
+// publish copies the items of the ledger to this instance's own view of the engine and to
+// the records that peers get.
 func (s *Engines) publish(now clock.Instant, e *Engine) {
 	if e.publishedVersion == e.Version() || !e.Known() && e.residencyChange == 0 {
 		return
--- a/core/owned/queue.go
+++ b/core/owned/queue.go
@@ -10,52 +10,52 @@
 	"github.com/birchdrift/birchdrift/core/pool"
 )
 
-// How requests wait for their turn at an engine, and which order is sent next.
+// Queueing of requests at an engine, and the choice of the next order.
 
 const (
-	// adapterLoadTime is how long an adapter is believed to take until the engine
-	// says otherwise.
+	// adapterLoadTime is how long an adapter is assumed to take to load until the engine
+	// reports otherwise.
 	adapterLoadTime = 14 * time.Millisecond
-	// maxQueueTime is how long a request waits for its turn: longer than every
-	// adapter takes, shorter than callers wait.
+	// maxQueueTime is how long a request is queued at most: longer than any adapter takes
+	// to load, shorter than callers wait.
 	maxQueueTime = time.Second
-	// unloadDelay is how long the fleet has to hear that a model goes before its
-	// unload is ordered: one exchange with each neighbour.
+	// unloadDelay is the time between marking a model as unloading and ordering the
+	// unload, in which the fleet learns of it: one exchange with each neighbor.
 	unloadDelay = 300 * time.Millisecond
-	// minAdapterIdle is how long an adapter must not have been used to make way:
-	// several rounds of exchanges, by which uses are heard of.
+	// minAdapterIdle is how long an adapter must have been unused before it may be
+	// evicted: several rounds of exchanges, which carry the uses by other instances.
 	minAdapterIdle = 400 * time.Millisecond
 )
 
-// An Outcome is what came of a request for an order.
+// An Outcome is the outcome of a request for an order.
 type Outcome int
 
 // The outcomes.
 const (
-	Done    Outcome = iota + 1 // the item is there, or gone, as asked
-	Started                    // the engine carries the order out
-	Refused                    // the owner does not give the order now
-	Failed                     // the owner cannot be reached, or did not say
+	Done    Outcome = iota + 1 // the item is loaded, or unloaded, as requested
+	Started                    // the engine carries out the order
+	Refused                    // the owner does not send the order now
+	Failed                     // the owner is unreachable or did not answer
 )
 
 type (
-	// RequestReceived is the event that a peer asks for an order to an engine that this
-	// instance owns. It is answered with an Answer of the same Token.
+	// RequestReceived is the event that a peer requests an order to an engine that this
+	// instance owns. It is answered by a SendReply with the same Token.
 	RequestReceived struct {
 		Token   uint64
 		Engine  string
 		Request orders.Request
 	}
-	// SendReply is the action that answers an Asked.
+	// SendReply is the action that answers a RequestReceived.
 	SendReply struct {
 		Token   uint64
 		Outcome Outcome
 		Detail  string
 	}
-	// SendOrder is an action: give an order to an engine.
+	// SendOrder is the action that sends an order to an engine.
 	SendOrder struct {
 		orders.Order
-		Limited bool // the engine named a limit, see calls.Dispatch
+		Limited bool // the engine names a rate limit, see calls.Dispatch
 	}
 	// OrderReply is the event that answers a SendOrder.
 	OrderReply struct {
@@ -78,7 +78,7 @@
 // IsAction implements step.Action.
 func (SendOrder) IsAction() {}
 
-// HandleRequest takes in a peer's question for an order.
+// HandleRequest handles a peer's request for an order.
 func (s *Engines) HandleRequest(now clock.Instant, a RequestReceived) {
 	e := s.engines[a.Engine]
 	if e == nil {
@@ -88,8 +88,8 @@
 	s.enqueue(now, e, a.Request, waiter{token: a.Token})
 }
 
-// Request asks for an order to an engine that this instance owns, on behalf of
-// this instance itself; Answered is told of the outcome.
+// Request requests an order to an engine that this instance owns, on behalf of this
+// instance itself; Answered is called with the outcome.
 func (s *Engines) Request(now clock.Instant, e *Engine, r orders.Request) {
 	s.enqueue(now, e, r, waiter{})
 }
@@ -118,8 +118,8 @@
 	s.processQueue(now, e)
 }
 
-// processQueue goes over what waits at an engine: it settles what is done and sends
-// the next order that can be sent.
+// processQueue processes the requests queued at an engine: it removes those that are done
+// and sends the next order that may be sent.
 func (s *Engines) processQueue(now clock.Instant, e *Engine) {
 	var rest []queuedRequest
 	queue := e.queue
@@ -133,7 +133,7 @@
 	e.queue = append(rest, e.queue...)
 }
 
-// process does what can be done for one request, and reports whether it is over.
+// process processes one queued request and reports whether it is done.
 func (s *Engines) process(now clock.Instant, e *Engine, q *queuedRequest) bool {
 	switch e.Check(q.request) {
 	case orders.NoChange, orders.NotLoaded:
@@ -164,7 +164,7 @@
 	return true
 }
 
-// refuse refuses a request that waits.
+// refuse refuses a queued request.
 func (s *Engines) refuse(now clock.Instant, e *Engine, q queuedRequest, detail string) {
 	if !q.request.Load && q.request.Adapter == "" {
 		e.UnmarkUnloading(q.request.Model)
@@ -172,10 +172,10 @@
 	s.replyAll(now, e, q, Refused, detail)
 }
 
-// handleUnreachable takes in that nothing answers at an engine. What waits there is given up at
-// once, so that calls go to another engine. Otherwise the order would be repeated as fast
-// as it fails, for queueTime: every 0.7 ms by the log of an instance whose engine's
-// process had ended.
+// handleUnreachable handles an engine that accepts no connection. It refuses the queued
+// requests at once, so that calls go to another engine. Otherwise the order would be
+// retried as fast as it fails for maxQueueTime: every 0.7 ms according to the log of an
+// instance whose engine's process had ended.
 func (s *Engines) handleUnreachable(now clock.Instant, e *Engine) {
 	if r := s.Pool.Get(e.Name); r != nil {
 		r.MarkDown(now)
@@ -187,17 +187,17 @@
 	}
 }
 
-// unreachableDetail is the reason of a refusal.
+// unreachableDetail is the detail of refusals for an unreachable engine.
 const unreachableDetail = "nothing answers at the engine"
 
-// down reports whether nothing answered at an engine a moment ago.
+// down reports whether the engine was unreachable a moment ago.
 func (s *Engines) down(now clock.Instant, e *Engine) bool {
 	r := s.Pool.Get(e.Name)
 	return r != nil && r.Down(now)
 }
 
-// evictAdapter orders the adapter that was used least lately away, and reports
-// whether room is to be expected.
+// evictAdapter orders the unload of the least recently used adapter, and reports whether
+// room can be expected.
 func (s *Engines) evictAdapter(now clock.Instant, e *Engine) bool {
 	if e.InFlight() || !e.Known() {
 		return true
@@ -223,7 +223,7 @@
 	s.Out.Emit(SendOrder{Order: o, Limited: s.rateLimited(now, e)})
 }
 
-// HandleOrderReply takes in what came of an order.
+// HandleOrderReply handles the answer to an order.
 func (s *Engines) HandleOrderReply(now clock.Instant, r OrderReply) {
 	e := s.engines[r.Engine]
 	if e == nil || e.lastOrderFence != r.Fence || !e.InFlight() {
--- a/core/owned/state.go
+++ b/core/owned/state.go
@@ -10,28 +10,28 @@
 	"github.com/birchdrift/birchdrift/core/pool"
 )
 
-// What an engine is asked of itself, and when.
+// When and how an engine's state is queried.
 
 const (
-	// queryInterval is the least time between two questions for one engine's state:
-	// twice the age that an answer may have, see reportLag.
+	// queryInterval is the least time between two state queries to one engine: twice the
+	// age that a reported state may have, see maxStateAge.
 	queryInterval = 250 * time.Millisecond
-	// maxStateAge is how old what an engine says of itself may be when it comes: the
-	// platform's description of engines has some 100 ms.
+	// maxStateAge is how old a reported state may be when it arrives: the platform's
+	// description of engines says some 100 ms.
 	maxStateAge = 120 * time.Millisecond
 )
 
 type (
-	// QueryState is an action: ask an engine for its state.
+	// QueryState is the action that queries an engine's state.
 	QueryState struct {
 		Engine  string
 		Address string
-		Limited bool // the engine named a limit, see calls.Dispatch
+		Limited bool // the engine names a rate limit, see calls.Dispatch
 	}
-	// StateReply is the event that answers QueryState.
+	// StateReply is the event that answers a QueryState.
 	StateReply struct {
 		Engine string
-		Sent   clock.Instant // when it was asked
+		Sent   clock.Instant // when the query was sent
 		State  orders.State
 		Err    error
 	}
@@ -43,7 +43,8 @@
 // IsEvent implements step.Event.
 func (StateReply) IsEvent() {}
 
-// queryState asks an engine whose state is in doubt.
+// queryState queries the state of an engine if it is uncertain or an order for a model is
+// running.
 func (s *Engines) queryState(now clock.Instant, e *Engine) {
 	if !e.Uncertain() && !e.ModelOrderRunning() || e.InFlight() || e.querying || now.Before(e.queryDue) || s.resting(now, e) || !s.Permitted(now, e.Name, false) {
 		return
@@ -53,12 +54,12 @@
 	s.Out.Emit(QueryState{Engine: e.Name, Address: e.Address, Limited: s.rateLimited(now, e)})
 }
 
-// HandleStateReply takes an engine's state into its ledger. It is asked again after
-// askEvery if it could not be read.
+// HandleStateReply updates an engine's ledger with its reported state. If the state could
+// not be read, it is queried again after queryInterval.
 func (s *Engines) HandleStateReply(now clock.Instant, r StateReply) {
 	e := s.engines[r.Engine]
 	if e == nil || r.Sent.Before(e.acquiredAt) {
-		return // it was asked for an earlier ledger, perhaps of a former life
+		return // the query belongs to an earlier ledger, perhaps of an earlier incarnation
 	}
 	e.querying = false
 	if r.Err != nil {
@@ -71,8 +72,9 @@
 	s.publish(now, e)
 }
 
-// scheduleQuery has an engine asked for its state when the model that it loads
-// should be there: its own announcement comes later, and costs more to hear.
+// scheduleQuery schedules a state query for the time when the model that the engine loads
+// should be ready: the engine's own announcement comes later and is more expensive to
+// read.
 func (s *Engines) scheduleQuery(now clock.Instant, e *Engine) {
 	if !e.Busy() {
 		return
@@ -99,9 +101,9 @@
 	return LoadTime(facts, r.Announcement())
 }
 
-// LoadTime returns how long an engine that announced this takes to load a model:
-// it depends on whether the weights lie in its host memory or on its disk, or
-// come from the weight store.
+// LoadTime returns how long an engine with this announcement takes to load a model. It
+// depends on whether the weights are in the engine's host memory, on its disk or only in
+// the weight store.
 func LoadTime(m config.PooledModel, a pool.Announcement) time.Duration {
 	switch a.SourceOf(m.Name) {
 	case pool.HostMemory:
--- a/core/permits/coordinator.go
+++ b/core/permits/coordinator.go
@@ -12,42 +12,42 @@
 )
 
 const (
-	// probationPeriod is how long an instance must have been the first in its own view to give
-	// out the whole of a limit: the span over which limits are counted
-	// (docs/design/limits.md).
+	// probationPeriod is how long an instance must have been the coordinator, in its own
+	// view, before it grants the whole of a limit. It equals the time window over which
+	// limits are counted (docs/design/limits.md).
 	probationPeriod = 4 * time.Second
-	// probationShare is the part that it gives out otherwise, beside another instance that
-	// may give out the whole: together, with what may pile up at both, less than one and a
-	// half times the limit (docs/design/limits.md).
+	// probationShare is the share of a limit that an instance grants before that, while
+	// another instance may grant the whole: together with the bursts of both, this stays
+	// below one and a half times the limit (docs/design/limits.md).
 	probationShare = 0.3
-	// maxQueue bounds the requests that wait for one replica: each holds a connection
+	// maxQueue bounds the requests queued for one replica: each holds a connection
 	// between instances (docs/design/limits.md).
 	maxQueue = 128
-	// bucketIdleTimeout is how long a bucket must not have been looked at for it to go
+	// bucketIdleTimeout is how long a bucket must have been unused before it is deleted
 	// (docs/design/limits.md).
 	bucketIdleTimeout = time.Minute
 )
 
-// A coordinator gives out the permits that this instance is asked for.
+// A coordinator grants the permits that are requested from this instance.
 type coordinator struct {
 	p       *Permits
 	buckets map[Resource]*bucket
 }
 
-// A bucket is what may be given out of one subject now, and who waits for it.
+// A bucket holds the token bucket of one resource and the requests queued for it.
 type bucket struct {
 	tokens   tokenBucket
-	lastUsed clock.Instant // when it was last looked at
-	// coordinatorSince is since when this instance has been the first in its own view; zero: it is
-	// not.
+	lastUsed clock.Instant // when the bucket was last used
+	// coordinatorSince is when this instance became the coordinator in its own view; zero
+	// if it is not the coordinator.
 	coordinatorSince clock.Instant
-	// lastRetryAt is when the last of the callers that were turned away was told to come back.
+	// lastRetryAt is the latest retry time that was given to a denied caller.
 	lastRetryAt clock.Instant
-	queue       []queuedRequest // in the order in which they are served
+	queue       []queuedRequest // in the order in which they are granted
 }
 
-// A queuedRequest is a request for a permit, and who made it: a peer, by its token, or this
-// instance, by the token of its own ask.
+// A queuedRequest is a request for a permit and its sender: a peer, identified by
+// peerToken, or this instance, by the localToken of its pending request.
 type queuedRequest struct {
 	peerToken  uint64
 	localToken uint64
@@ -55,32 +55,33 @@
 	queuedAt   clock.Instant
 }
 
-// A fleetView is the instances that could give out permits at an instant, as seen from here.
+// A fleetView holds the instances that could act as coordinator at an instant, as seen
+// from this instance.
 type fleetView struct {
 	at        clock.Instant
 	instances []registry.Instance
 }
 
-// maxViews is how many views are remembered: more than the longest time in which an instance
-// becomes settled (docs/design/limits.md).
+// maxViews is how many views are kept: enough to cover more than the longest probation
+// period (docs/design/limits.md).
 const maxViews = 16
 
-// recordView remembers who could give out permits now.
+// recordView records which instances could act as coordinator now.
 func (p *Permits) recordView(now clock.Instant) {
 	p.dropStaleViews(now)
 	p.views = append(p.views, p.currentView(now))
 	p.views = p.views[max(0, len(p.views)-maxViews):]
 }
 
-// dropStaleViews drops the views from before a sleep: they say nothing of who gave out permits
-// meanwhile.
+// dropStaleViews drops the views from before a suspension of this process: they do not
+// show which instance granted permits meanwhile.
 func (p *Permits) dropStaleViews(now clock.Instant) {
 	if n := len(p.views); n > 0 && now.MaxElapsed(p.views[n-1].at) > probationPeriod {
 		p.views = nil
 	}
 }
 
-// currentView returns who could give out permits now.
+// currentView returns the instances that could act as coordinator now.
 func (p *Permits) currentView(now clock.Instant) fleetView {
 	v := fleetView{at: now}
 	for name, i := range p.Instances() {
@@ -91,14 +92,15 @@
 	return v
 }
 
-// coordinatorFor returns the instance that gives out the permits of a subject, as seen from here now.
+// coordinatorFor returns the coordinator of the request's resource, as seen from this
+// instance now.
 func (p *Permits) coordinatorFor(now clock.Instant, r Request) string {
 	return cmp.Or(p.currentView(now).coordinatorFor(r), p.Self.Name)
 }
 
-// coordinatorFor returns the instance that gives out the permits of a subject, "" if there is none: of
-// those in the view one in the replica's zone, of these one with the largest share of a
-// processor, of these the one that rendezvous hashing names.
+// coordinatorFor returns the coordinator of the request's resource, "" if the view is
+// empty. It prefers instances in the replica's zone, then the largest share of a
+// processor, then the highest rendezvous score.
 func (v fleetView) coordinatorFor(r Request) string {
 	type rank struct {
 		near      bool
@@ -125,8 +127,8 @@
 	return best
 }
 
-// coordinatorSince returns since when this instance has been the first in its own view, by what it
-// remembers.
+// coordinatorSince returns since when this instance has been the coordinator in its own
+// view, according to the recorded views.
 func (p *Permits) coordinatorSince(now clock.Instant, r Request) clock.Instant {
 	p.dropStaleViews(now)
 	since := now
@@ -139,7 +141,8 @@
 	return since
 }
 
-// isCandidate reports whether an instance may give out permits, as far as is known here.
+// isCandidate reports whether an instance may act as coordinator, as far as this instance
+// knows.
 func (p *Permits) isCandidate(now clock.Instant, name string) bool {
 	if name == p.Self.Name {
 		return !p.Stopping()
@@ -148,8 +151,9 @@
 	return peer != nil && !peer.Leaving && !peer.Failing() && !now.Before(p.backoffUntil[name])
 }
 
-// reachableShare returns the share of the fleet's instances that answer this one. The others may
-// be cut off from it, and send to the replica by what another of them gives out.
+// reachableShare returns the share of the fleet's instances that answer this one. The
+// others may be partitioned from it and send to the replica with permits from another
+// coordinator.
 func (p *Permits) reachableShare(now clock.Instant) float64 {
 	all, answering := 1, 1
 	for name := range p.Instances() {
@@ -158,7 +162,7 @@
 		}
 		peer := p.Members.Get(name)
 		if peer == nil || peer.Leaving {
-			continue // it is about to begin, or to end
+			continue // it is just starting or stopping
 		}
 		all++
 		if p.isCandidate(now, name) {
@@ -168,19 +172,20 @@
 	return float64(answering) / float64(all)
 }
 
-// A quota is how much of a subject all instances together may be given.
+// A quota is the amount of a resource that may be granted.
 type quota struct {
-	rate      float64       // permits a second
-	burst     float64       // how many may pile up
-	initial   float64       // how many there are when this instance is asked first
-	probation time.Duration // see settleSpan
+	rate      float64       // permits per second
+	burst     float64       // most permits that may accumulate
+	initial   float64       // permits in a new bucket
+	probation time.Duration // see probationPeriod
 }
 
-// quota returns how much of a request's subject may be given out; bounded is false where
-// nothing is held back.
+// quota returns how much of a request's resource all instances together may be granted;
+// bounded is false if the resource has no limit.
 func (c *coordinator) quota(now clock.Instant, r Request) (s quota, bounded bool) {
 	if r.Service != "" {
-		// Half may pile up and half comes in each span, so that none has more than all.
+		// Half of the amount may accumulate and half is refilled in each span, so that no
+		// span grants more than the whole.
 		amount, span := c.p.Repeats()
 		return quota{rate: amount / 2 / span.Seconds(), burst: amount / 2, initial: amount / 2, probation: span}, true
 	}
@@ -191,7 +196,7 @@
 	return quota{rate: rate, burst: max(minBurst, rate*burstTime.Seconds()), initial: 1, probation: probationPeriod}, bounded
 }
 
-// ownQuota returns the ownQuota of a supply that this instance gives out.
+// ownQuota returns the part of a quota that this instance grants.
 func (c *coordinator) ownQuota(now clock.Instant, b *bucket, s quota) quota {
 	share := c.p.reachableShare(now)
 	rate := share * s.rate
@@ -201,7 +206,7 @@
 	return quota{rate: rate, burst: max(min(s.burst, minBurst), share*s.burst)}
 }
 
-// admit takes in a request: it is granted, waits for its turn, or is turned away.
+// admit handles a request: it grants, queues or denies it.
 func (c *coordinator) admit(now clock.Instant, w queuedRequest) {
 	w.queuedAt = now
 	s, bounded := c.quota(now, w.request)
@@ -210,7 +215,7 @@
 		return
 	}
 	if w.request.Service != "" && !c.registered() {
-		c.reply(now, w, Decision{}) // it may take itself for the only one
+		c.reply(now, w, Decision{}) // the others do not know this instance, so it may wrongly believe that it is alone
 		return
 	}
 	b := c.bucket(now, w.request, s)
@@ -225,15 +230,17 @@
 	c.grantAvailable(now, b)
 }
 
-// registered reports whether this instance has a record, by which the others know of it.
+// registered reports whether this instance has a registration, by which the others know
+// of it.
 func (c *coordinator) registered() bool {
 	_, ok := c.p.Instances()[c.p.Self.Name]
 	return ok
 }
 
-// prepareBuckets notes what this instance gives out as the first in its own view, before any is asked
-// for: calls fail together, and what may be given out then is there only if it piled up; and
-// an instance that is seldom asked has been the first all the same.
+// prepareBuckets creates and refills the buckets that this instance coordinates before
+// the first request for them. Calls tend to fail at the same time, and tokens are
+// available then only if they have accumulated; and an instance that rarely receives
+// requests must still record since when it has been the coordinator.
 func (c *coordinator) prepareBuckets(now clock.Instant) {
 	if !c.registered() {
 		return
@@ -252,7 +259,8 @@
 	}
 }
 
-// prepareBucket notes whether this instance is the first to give out a subject.
+// prepareBucket creates or refills the bucket of a resource if this instance is its
+// coordinator.
 func (c *coordinator) prepareBucket(now clock.Instant, r Request) {
 	if c.buckets[r.Resource] == nil && c.p.coordinatorFor(now, r) != c.p.Self.Name {
 		return
@@ -265,8 +273,8 @@
 	b.tokens.refill(now, c.ownQuota(now, b, s))
 }
 
-// bucket returns a subject's bucket, and notes whether this instance is the first to give
-// it out.
+// bucket returns the bucket of a resource, creating it if necessary, and updates whether
+// this instance is its coordinator.
 func (c *coordinator) bucket(now clock.Instant, r Request, s quota) *bucket {
 	b := c.buckets[r.Resource]
 	if b == nil {
@@ -283,7 +291,8 @@
 	return b
 }
 
-// queueWait returns how long a request of a rank would wait; fits is false where too many wait.
+// queueWait returns how long a request of a rank would wait; fits is false if the queue
+// is full.
 func (b *bucket) queueWait(rank int) (wait time.Duration, fits bool) {
 	ahead := 0
 	for _, w := range b.queue {
@@ -294,7 +303,7 @@
 	return b.tokens.waitFor(ahead + 1), len(b.queue) < maxQueue
 }
 
-// enqueue has a request wait behind those that are as urgent.
+// enqueue inserts a request behind those of the same or a more urgent rank.
 func (b *bucket) enqueue(w queuedRequest) {
 	i, _ := slices.BinarySearchFunc(b.queue, w.request.Rank, func(x queuedRequest, rank int) int {
 		if x.request.Rank <= rank {
@@ -305,7 +314,7 @@
 	b.queue = slices.Insert(b.queue, i, w)
 }
 
-// grantAvailable grants what those that wait first may have now.
+// grantAvailable grants the requests at the head of the queue for which there are tokens.
 func (c *coordinator) grantAvailable(now clock.Instant, b *bucket) {
 	for len(b.queue) > 0 && b.tokens.take() {
 		w := b.queue[0]
@@ -314,8 +323,9 @@
 	}
 }
 
-// deny turns a request away that would wait so long. Callers that are turned away are
-// told to come back one after the other, as fast as the replica takes requests.
+// deny returns the decision that denies a request which would have to wait for wait. The
+// callers of denied requests get retry times one after the other, at the rate at which
+// the replica takes requests.
 func (c *coordinator) deny(now clock.Instant, b *bucket, w queuedRequest, wait time.Duration) Decision {
 	if !w.request.Alone {
 		return Decision{Turn: wait, After: wait}
@@ -324,7 +334,7 @@
 	return Decision{Turn: wait, After: b.lastRetryAt.Since(now)}
 }
 
-// reply tells whoever made a request what came of it.
+// reply sends a decision to the sender of the request.
 func (c *coordinator) reply(now clock.Instant, w queuedRequest, v Decision) {
 	if w.peerToken != 0 {
 		if r := c.p.Pool.Get(w.request.Replica.Name); r != nil && r.MayBeIncarnation(w.request.Replica.Born) {
@@ -340,7 +350,7 @@
 	}
 }
 
-// release takes a permit back that was not used.
+// release takes back a permit that was not used.
 func (c *coordinator) release(now clock.Instant, s Resource) {
 	if b := c.buckets[s]; b != nil {
 		b.tokens.release()
@@ -348,8 +358,7 @@
 	}
 }
 
-// tick serves those that wait, and turns away whose time is over: more urgent ones came
-// before them, or the limit fell.
+// tick processes the queues and deletes idle buckets.
 func (c *coordinator) tick(now clock.Instant) {
 	for _, subject := range slices.SortedFunc(maps.Keys(c.buckets), Resource.Compare) {
 		b := c.buckets[subject]
@@ -363,7 +372,8 @@
 	}
 }
 
-// processQueue goes on with the requests that wait for one subject.
+// processQueue grants queued requests for which there are tokens, and denies those whose
+// wait has expired because more urgent ones overtook them or the limit fell.
 func (c *coordinator) processQueue(now clock.Instant, b *bucket) {
 	s, bounded := c.quota(now, b.queue[0].request)
 	if !bounded {
@@ -385,7 +395,7 @@
 	}
 }
 
-// grantAll grants all that wait, since nothing is held back any more.
+// grantAll grants all queued requests because the resource no longer has a limit.
 func (c *coordinator) grantAll(now clock.Instant, b *bucket) {
 	queue := b.queue
 	b.queue = nil
@@ -394,7 +404,7 @@
 	}
 }
 
-// hasQueued reports whether anything hasQueued.
+// hasQueued reports whether any request is queued.
 func (c *coordinator) hasQueued() bool {
 	for _, b := range c.buckets {
 		if len(b.queue) > 0 {
--- a/core/permits/permits.go
+++ b/core/permits/permits.go
@@ -1,22 +1,23 @@
-// Package permits keeps all instances together to amounts that they share: what replicas
-// take that name a limit, and the part of the retry budget of a service that belongs to no
-// instance.
+// Package permits enforces limits that all instances share: the rate limits of replicas,
+// and the part of a service's retry budget that belongs to no single instance.
 //
-// Every request to a replica that names a limit, whatever it is, needs a permit; so does a
-// repeat for which an instance's own part of the budget is used up. Permits are given out by
-// one instance, the coordinator, which rendezvous hashing names; for a replica among those of
-// its zone: whoever reaches the replica reaches that zone, and a zone that is cut off keeps
-// its own. The coordinator has a token bucket, and lets those wait who can, the most urgent
-// first.
+// Every request of any kind to a rate-limited replica needs a permit; so does a retry for
+// which the instance's own part of the retry budget is used up. One instance, the
+// coordinator, grants the permits of a resource; it is chosen by rendezvous hashing. The
+// coordinator for a replica is an instance of the replica's zone: an instance that can
+// reach the replica can reach that zone, and a partitioned zone keeps its own
+// coordinator. The coordinator has a token bucket for each resource and queues the
+// requests that can wait, the most urgent first.
 //
-// Nobody agrees on the coordinator. Where two instances hold themselves for it, or one is
-// asked that does not, the one that is not the first in its own view, or has not been for a
-// while, gives out less than half. So while a coordinator is replaced no more than one and a
-// half times the amount is given out, which is what replicas bear and the budget leaves room
-// for.
+// The instances do not elect a coordinator by agreement. Two instances may both consider
+// themselves the coordinator, or an instance may get a request without being the
+// coordinator in its own view. An instance that is not the coordinator in its own view,
+// or has not been for long enough, grants less than half of the limit. So while a
+// coordinator is replaced at most one and a half times the limit is granted, which
+// replicas tolerate and the retry budget allows for.
 //
-// What is not in the hands of an instance when it is cut off, falls asleep or ends is not its
-// own: a permit is used at once or is void.
+// No permit outlives a partition, a suspension or the end of an instance: a permit is
+// used at once or is void.
 package permits
 
 import (
@@ -32,90 +33,93 @@
 )
 
 const (
-	// permitTTL is how long after it was given a permit may be used (docs/design/limits.md).
+	// permitTTL is how long after it was granted a permit may be used
+	// (docs/design/limits.md).
 	permitTTL = 300 * time.Millisecond
-	// peerBackoff is how long a coordinator that did not answer is passed over, and how long a
-	// replica takes no request of a call that found it silent (docs/design/limits.md).
-	peerBackoff = 2 * time.Second
-	// prepareInterval spaces the looks for services whose repeats this instance gives out
+	// peerBackoff is how long a coordinator that did not answer is skipped, and how long
+	// a replica takes no request of a call that could not reach its coordinator
 	// (docs/design/limits.md).
+	peerBackoff = 2 * time.Second
+	// prepareInterval is the time between two checks for the resources that this instance
+	// coordinates (docs/design/limits.md).
 	prepareInterval = time.Second
-	// maxPeerAttempts is how many peers are asked in turn before the instance asks itself
-	// (docs/design/limits.md).
+	// maxPeerAttempts is how many peers are tried in turn before the instance decides by
+	// itself (docs/design/limits.md).
 	maxPeerAttempts = 2
-	// orderRank is the rank of orders that change an engine's models, and of questions for
-	// its state: before all calls, since an engine that is not ordered serves none of some
+	// orderRank is the rank of orders for models and of queries for an engine's state.
+	// They precede all calls, since an engine without orders cannot serve some of the
 	// models (docs/design/limits.md).
 	orderRank = -1
-	// adapterRank is the rank of orders for adapters: after all calls. A call that needs one
-	// takes two permits, so where they are short others are served more often
-	// (docs/design/limits.md).
+	// adapterRank is the rank of orders for adapters. They follow all calls: a call that
+	// needs an adapter takes two permits, so where permits are scarce other calls are
+	// served more often (docs/design/limits.md).
 	adapterRank = pool.Ranks
-	// maxOrderWait is how long an order waits for its turn (docs/design/limits.md).
+	// maxOrderWait is the longest time that an order waits for its permit
+	// (docs/design/limits.md).
 	maxOrderWait = 5 * time.Second
 )
 
-// A Resource is what permits are for: requests to a replica that names a limit, or repeats
-// of calls of a service.
+// A Resource is what a permit is for: requests to a rate-limited replica, or retries of
+// the calls of a service.
 type Resource struct {
 	Replica pool.Incarnation
-	Service string // "" for a replica's
+	Service string // empty if the resource is a replica
 }
 
-// String names the subject for the log.
+// String returns the name of the resource for logs.
 func (s Resource) String() string { return cmp.Or(s.Service, s.Replica.Name) }
 
-// Compare orders subjects.
+// Compare orders resources.
 func (s Resource) Compare(other Resource) int {
 	return cmp.Or(cmp.Compare(s.Service, other.Service), s.Replica.Compare(other.Replica))
 }
 
-// A Request asks for one permit.
+// A Request asks for one permit or releases one.
 type Request struct {
 	Resource
-	Zone string // of the replica
-	Rank int    // of urgency, 0 first
+	Zone string // zone of the replica
+	Rank int    // priority rank, 0 is the most urgent
 	Wait time.Duration
-	// Alone says that nothing else can serve the call: its caller is told when to come back
-	// if it is turned away.
+	// Alone reports that no other replica can serve the call. Its caller is told when to
+	// retry if the request is denied.
 	Alone bool
-	// Unused says that a permit is given back, rather than asked for.
+	// Unused marks the release of a permit instead of a request for one.
 	Unused bool
-	Word   pool.LimitReport // of the replica's limit, as known to who asks
+	Word   pool.LimitReport // the replica's rate limit as known to the sender
 }
 
-// A Decision answers a Request.
+// A Decision is the coordinator's reply to a Request.
 type Decision struct {
 	Granted bool
-	Held    time.Duration // for which the request waited
-	Turn    time.Duration // until one more request could be sent
-	// After is when a caller that is turned away for this should come back.
+	Held    time.Duration // time for which the request was queued
+	Turn    time.Duration // time until one more request could be sent
+	// After is the time after which the caller of a denied request should retry.
 	After time.Duration
-	Word  pool.LimitReport // as known to who answers
+	Word  pool.LimitReport // the replica's rate limit as known to the coordinator
 }
 
 type (
-	// SendRequest is an action: ask a peer for a permit.
+	// SendRequest is the action that sends a request for a permit to a peer.
 	SendRequest struct {
 		Token   uint64
 		Peer    string
-		Address string // of the peer
+		Address string // address of the peer
 		Request Request
 	}
-	// Reply is the event that answers an Ask.
+	// Reply is the event that answers a SendRequest.
 	Reply struct {
 		Token   uint64
 		Verdict Decision
 		Err     error
 	}
-	// RequestReceived is the event that a peer asks for a permit. It is answered with an Answer of
-	// the same Token.
+	// RequestReceived is the event that a peer requests a permit. It is answered by a
+	// SendReply with the same Token.
 	RequestReceived struct {
 		Token   uint64
 		From    string
 		Request Request
 	}
-	// SendReply is the action that answers an Asked.
+	// SendReply is the action that answers a RequestReceived.
 	SendReply struct {
 		Token   uint64
 		Verdict Decision
@@ -134,60 +138,61 @@
 // IsEvent implements step.Event.
 func (RequestReceived) IsEvent() {}
 
-// Deps are what permits need of the other modules. The functions must be set before the
+// Deps holds what Permits needs from other modules. The functions must be set before the
 // first event.
 type Deps struct {
 	shared.State
 
-	// Instances returns the instances of the fleet that have a record, by name.
+	// Instances returns the registered instances of the fleet by name.
 	Instances func() map[string]registry.Instance
 	// Stopping reports whether a planned stop has begun.
 	Stopping func() bool
-	// Told takes in what a peer knows of a replica's limit.
+	// Told records what a peer knows of a replica's rate limit.
 	Told func(now clock.Instant, from string, life pool.Incarnation, w pool.LimitReport)
-	// Repeats returns how many repeats of a service's calls belong to no instance in each
-	// span of the retry budget.
+	// Repeats returns how many retries of a service's calls belong to no single instance
+	// in each span of the retry budget.
 	Repeats func() (amount float64, span time.Duration)
-	// Decided is told what came of a call's request for a permit.
+	// Decided is called with the decision on a call's request.
 	Decided func(now clock.Instant, call calls.ID, s Resource, v Decision)
 }
 
-// Permits are one instance's permits: those that it asks for, and those that it gives out.
+// Permits requests the permits that this instance needs and, as coordinator, grants
+// permits to all instances.
 type Permits struct {
 	Deps
 	coordinator  coordinator
 	pending      map[uint64]*pendingRequest
 	lastToken    uint64
-	backoffUntil map[string]clock.Instant // peers that did not answer, until when they are passed over
+	backoffUntil map[string]clock.Instant // unresponsive peers, and until when they are skipped
 	orderPermits map[orderKind]orderPermit
 	prepareDue   clock.Instant
-	views        []fleetView // of the fleet, one for each standEvery, the newest last
+	views        []fleetView // recent views of the fleet, one per prepareInterval, the newest last
 }
 
-// An pendingRequest is a request for a permit that is under way.
+// A pendingRequest is an undecided request of this instance.
 type pendingRequest struct {
 	request  Request
-	call     calls.ID  // 0: for orders
-	order    orderKind // else the zero value
+	call     calls.ID  // 0 if the request is for orders
+	order    orderKind // zero value if the request is for a call
 	sentAt   clock.Instant
-	peer     string // "" while this instance asks itself
-	attempts int    // that were asked before
+	peer     string // "" while this instance decides by itself
+	attempts int    // peers tried before this one
 }
 
-// An orderKind is an engine's orders of one rank.
+// An orderKind is the orders to one engine that share a rank.
 type orderKind struct {
 	engine  string
-	adapter bool // for adapters; else for models, and questions
+	adapter bool // orders for adapters; otherwise orders for models and state queries
 }
 
-// An orderPermit is what an engine's owner has or asked for.
+// An orderPermit is the permit for orders that an engine's owner has or has requested.
 type orderPermit struct {
 	incarnation pool.Incarnation
 	pending     bool
-	validUntil  clock.Instant // until when the permit at hand may be used; zero: none is at hand
+	validUntil  clock.Instant // until when the available permit may be used; zero if there is none
 }
 
-// New returns permits of which none was asked for.
+// New returns Permits without pending requests.
 func New(n Deps) *Permits {
 	p := &Permits{
 		Deps: n, pending: map[uint64]*pendingRequest{}, backoffUntil: map[string]clock.Instant{}, orderPermits: map[orderKind]orderPermit{},
@@ -196,8 +201,9 @@
 	return p
 }
 
-// RequestForCall asks for a permit to send a call to a replica, within wait; alone says that nothing
-// else can serve it. Decided is told of the outcome, perhaps before RequestForCall returns.
+// RequestForCall requests a permit to send a call to a replica and waits at most wait for
+// it; alone says that no other replica can serve the call. Decided is called with the
+// decision, possibly before RequestForCall returns.
 func (p *Permits) RequestForCall(now clock.Instant, r *pool.Replica, call calls.ID, rank int, wait time.Duration, alone bool) {
 	request := replicaRequest(r, rank, wait)
 	request.Alone = alone
@@ -208,16 +214,16 @@
 	return Request{Resource: Resource{Replica: r.Incarnation()}, Zone: r.Zone, Rank: min(rank, adapterRank), Wait: max(0, wait), Word: r.LimitReport()}
 }
 
-// RequestForRetry asks for a permit to repeat a call of a service, within wait. Decided is told of
-// the outcome, perhaps before RequestForRetry returns.
+// RequestForRetry requests a permit to retry a call of a service and waits at most wait
+// for it. Decided is called with the decision, possibly before RequestForRetry returns.
 func (p *Permits) RequestForRetry(now clock.Instant, service string, call calls.ID, rank int, wait time.Duration) {
 	request := Request{Resource: Resource{Service: service}, Rank: rank, Wait: max(0, wait)}
 	p.dispatch(now, &pendingRequest{request: request, call: call})
 }
 
-// TryAcquireForOrder reports whether an order may be sent to an engine now, for an adapter or for a
-// model, or a question for its state. Where a permit is needed and none is at hand, one is
-// asked for; it is at hand later.
+// TryAcquireForOrder reports whether an order for an adapter or a model, or a state
+// query, may be sent to an engine now. If a permit is needed and available, it is used
+// up. If none is available, one is requested, and a later call may succeed.
 func (p *Permits) TryAcquireForOrder(now clock.Instant, engine string, adapter bool) bool {
 	r := p.Pool.Get(engine)
 	if r == nil {
@@ -243,7 +249,7 @@
 	}
 	p.orderPermits[kind] = orderPermit{incarnation: r.Incarnation(), pending: true}
 	p.dispatch(now, &pendingRequest{request: replicaRequest(r, rank, maxOrderWait), order: kind})
-	o = p.orderPermits[kind] // it may be at hand already
+	o = p.orderPermits[kind] // the permit may already be available
 	if !now.Before(o.validUntil) {
 		return false
 	}
@@ -251,7 +257,7 @@
 	return true
 }
 
-// dispatch sends a request to the replica's coordinator, or takes it in here.
+// dispatch sends a request to the coordinator of its resource, or handles it here.
 func (p *Permits) dispatch(now clock.Instant, a *pendingRequest) {
 	p.lastToken++
 	token := p.lastToken
@@ -265,13 +271,14 @@
 	p.send(now, token, a.peer, a.request)
 }
 
-// send asks a peer.
+// send sends a request to a peer.
 func (p *Permits) send(now clock.Instant, token uint64, peer string, r Request) {
 	r.Word.EventTime = r.Word.ForWire(now)
 	p.Out.Emit(SendRequest{Token: token, Peer: peer, Address: p.Members.Get(peer).Address, Request: r})
 }
 
-// choosePeer returns the peer to ask, "" for this instance itself.
+// choosePeer returns the peer to send the request to, "" if this instance decides by
+// itself.
 func (p *Permits) choosePeer(now clock.Instant, a *pendingRequest) string {
 	if a.attempts >= maxPeerAttempts {
 		return ""
@@ -282,7 +289,8 @@
 	return ""
 }
 
-// HandleReply takes in a peer's answer, or that none came. Another is asked then.
+// HandleReply handles a peer's reply, or its absence. If there was none, it tries another
+// instance.
 func (p *Permits) HandleReply(now clock.Instant, e Reply) {
 	a := p.pending[e.Token]
 	if a == nil {
@@ -299,8 +307,8 @@
 	p.deliver(now, a, e.Verdict)
 }
 
-// retry asks another instance, unless nobody waits for that: a call that another replica can
-// serve goes there.
+// retry sends the request to another instance, unless its wait has expired: such a call
+// goes to another replica that can serve it.
 func (p *Permits) retry(now clock.Instant, a *pendingRequest) {
 	a.request.Wait -= now.Since(a.sentAt)
 	if a.request.Wait <= 0 {
@@ -311,8 +319,8 @@
 	p.dispatch(now, a)
 }
 
-// deliver passes on what came of a request. A permit that was long on its way, since this
-// instance slept for instance, is void.
+// deliver passes on the decision on a request. A permit that took too long to arrive, for
+// instance because this instance was suspended, is void.
 func (p *Permits) deliver(now clock.Instant, a *pendingRequest, v Decision) {
 	v.Granted = v.Granted && now.MaxElapsed(a.sentAt)-v.Held < permitTTL
 	if r := p.Pool.Get(a.request.Replica.Name); r != nil {
@@ -330,7 +338,7 @@
 	p.orderPermits[a.order] = o
 }
 
-// Release returns a permit that is not used.
+// Release gives back a permit that will not be used.
 func (p *Permits) Release(now clock.Instant, s Resource) {
 	request := Request{Resource: s, Unused: true}
 	if r := p.Pool.Get(s.Replica.Name); r != nil {
@@ -344,7 +352,7 @@
 	p.send(now, 0, first, request)
 }
 
-// observeLimit takes in what a peer knows of a replica's limit, if it knows of one.
+// observeLimit records what a peer knows of a replica's rate limit, if it knows one.
 func (p *Permits) observeLimit(now clock.Instant, from string, life pool.Incarnation, w pool.LimitReport) {
 	if !w.IsZero() {
 		w.EventTime = w.FromWire(now)
@@ -352,7 +360,7 @@
 	}
 }
 
-// HandleRequest takes in a peer's request.
+// HandleRequest handles a peer's request.
 func (p *Permits) HandleRequest(now clock.Instant, e RequestReceived) {
 	p.observeLimit(now, e.From, e.Request.Replica, e.Request.Word)
 	if e.Request.Unused {
@@ -363,7 +371,7 @@
 	p.coordinator.admit(now, queuedRequest{peerToken: e.Token, request: e.Request})
 }
 
-// Tick gives out what has become due, and gives back what was not used.
+// Tick processes the queues and drops unused order permits that have expired.
 func (p *Permits) Tick(now clock.Instant) {
 	if !now.Before(p.prepareDue) {
 		p.prepareDue = now.Add(prepareInterval)
@@ -378,5 +386,5 @@
 	}
 }
 
-// Waiting reports whether a request waits here for its turn.
+// Waiting reports whether a request is queued at this instance.
 func (p *Permits) Waiting() bool { return p.coordinator.hasQueued() }
--- a/core/permits/permits_test.go
+++ b/core/permits/permits_test.go
@@ -19,13 +19,13 @@
 
 var incarnation = pool.Incarnation{Name: "r", Born: "1"}
 
-// A callDecision is what came of a call's request.
+// A callDecision is the decision on a call's request.
 type callDecision struct {
 	call calls.ID
 	Decision
 }
 
-// A fixture is one instance's permits before a replica that a test speaks for.
+// A fixture holds the permits of one instance, with a replica that the test controls.
 type fixture struct {
 	*Permits
 	decisions []callDecision
@@ -33,8 +33,8 @@
 	now       clock.Instant
 }
 
-// newFixture returns the permits of the instance "self" of zone z among others, by name and
-// zone, before a replica of zone z that names a limit.
+// newFixture returns the permits of the instance "self" in zone z with a rate-limited
+// replica in zone z. others maps the names of the other instances to their zones.
 func newFixture(perSecond float64, others map[string]string) *fixture {
 	l := &fixture{now: start}
 	instances := map[string]registry.Instance{"self": {Name: "self", Zone: "z"}}
@@ -60,12 +60,12 @@
 	return l
 }
 
-// setLimit has the replica name a setLimit.
+// setLimit makes the replica name a limit.
 func (l *fixture) setLimit(perSecond float64) {
 	l.Pool.ObserveLimit(l.now, "r", l.now, pool.RateLimit{Named: true, PerSecond: perSecond}, "self")
 }
 
-// advance lets time go by, in ticks.
+// advance lets time pass in ticks of 10 ms.
 func (l *fixture) advance(span time.Duration) {
 	for end := l.now.Add(span); l.now.Before(end); {
 		l.now = l.now.Add(10 * time.Millisecond)
@@ -73,7 +73,8 @@
 	}
 }
 
-// endProbation has this instance have been the first for long enough to give out the whole.
+// endProbation makes this instance the coordinator for long enough to grant the whole
+// limit.
 func (l *fixture) endProbation() {
 	for range 10 {
 		l.ask(99, 0, 0)
@@ -97,7 +98,7 @@
 	return out
 }
 
-// takeRequests returns the questions that were takeRequests to peers since the last look.
+// takeRequests returns the requests that were sent to peers since its last call.
 func (l *fixture) takeRequests() []SendRequest {
 	var out []SendRequest
 	for _, a := range l.Out.Actions() {
@@ -109,23 +110,23 @@
 	return out
 }
 
-// TestQueueOrder: the more urgent first, in the order of arrival; who cannot wait
-// for so long is turned away at once, and told when to come back: one after the other, as
-// fast as the replica takes requests.
+// TestQueueOrder checks that requests are granted by rank and then in the order of
+// arrival. A request that cannot wait long enough is denied at once, and the retry times
+// of denied callers are spaced at the rate of the replica.
 func TestQueueOrder(t *testing.T) {
 	is := is.New(t)
 	l := newFixture(2, nil)
 	l.endProbation()
 	l.advance(time.Second)
-	l.ask(98, 0, 0) // of the two that piled up
+	l.ask(98, 0, 0) // one of the two accumulated tokens
 	l.decisions = nil
 	l.ask(1, 1, time.Minute)
-	is.Equal(l.granted(), []calls.ID{1}) // nobody waits
+	is.Equal(l.granted(), []calls.ID{1}) // the queue is empty
 	l.ask(2, 1, time.Minute)
 	l.ask(3, 2, time.Minute)
 	l.ask(4, 1, time.Minute)
 	l.ask(5, 0, time.Minute)
-	l.ask(6, 1, 1900*time.Millisecond) // three go before it, so it would wait 2 s
+	l.ask(6, 1, 1900*time.Millisecond) // three are ahead of it, so it would wait 2 s
 	l.ask(7, 1, 1900*time.Millisecond)
 	is.Equal(len(l.decisions), 3)
 	first, second := l.decisions[1], l.decisions[2]
@@ -137,13 +138,13 @@
 	is.Equal(l.granted(), []calls.ID{1, 5, 2, 4, 3})
 }
 
-// TestUrgentRequestsOvertake: who cannot have its turn in its time since more urgent
-// ones came is turned away when that time is over.
+// TestUrgentRequestsOvertake checks that a request is denied when its wait expires
+// because more urgent requests overtook it.
 func TestUrgentRequestsOvertake(t *testing.T) {
 	is := is.New(t)
 	l := newFixture(1, nil)
 	l.endProbation()
-	l.ask(98, 0, 0) // what is there
+	l.ask(98, 0, 0) // takes the available tokens
 	l.decisions = nil
 	l.ask(1, 1, time.Second)
 	l.ask(2, 3, 2500*time.Millisecond)
@@ -162,9 +163,9 @@
 	is.True(turned[1] > 0 && turned[2] > 0)
 }
 
-// TestProbationRate: who is not the first in its own view, or has not been for
-// a while, gives out three tenths of the limit, so that two never give out more than one and a
-// half times the limit.
+// TestProbationRate checks that an instance grants three tenths of the limit while it is
+// not the coordinator in its own view, or has not been for long enough, so that two
+// instances never grant more than one and a half times the limit.
 func TestProbationRate(t *testing.T) {
 	given := func(l *fixture, span time.Duration) int {
 		l.decisions = nil
@@ -186,18 +187,18 @@
 	is := is.New(t)
 	l := newFixture(10, nil)
 	n := given(l, probationPeriod)
-	is.True(n >= 12 && n <= 13) // it has just begun
+	is.True(n >= 12 && n <= 13) // it has just started
 	n = given(l, probationPeriod)
 	is.True(n >= 38 && n <= 42)
-	l.advance(2 * probationPeriod) // nobody asked it, and it was the first all the same
+	l.advance(2 * probationPeriod) // it was the coordinator although it got no requests
 	n = given(l, probationPeriod)
 	is.True(n >= 38 && n <= 44)
-	l.now = l.now.Add(probationPeriod + time.Second) // it slept; another may have been asked
+	l.now = l.now.Add(probationPeriod + time.Second) // it was suspended, and another instance may have been asked
 	n = given(l, probationPeriod)
 	is.True(n >= 12 && n <= 15)
 
 	l = newFixture(10, map[string]string{"another": "z"})
-	for l.coordinatorFor(l.now, replicaRequest(l.Pool.Get("r"), 0, 0)) == "self" { // until another is the first
+	for l.coordinatorFor(l.now, replicaRequest(l.Pool.Get("r"), 0, 0)) == "self" { // until another instance is the coordinator
 		name := fmt.Sprintf("another%d", l.Members.Size())
 		l.Instances()[name] = registry.Instance{Name: name, Zone: "z"}
 		l.Members.Upsert(name, "z", name)
@@ -207,8 +208,8 @@
 	is.True(n >= 12 && n <= 13)
 }
 
-// TestUnreachableInstancesKeepTheirShare: what instances that do not answer this one may send
-// is not given out here, as long as they have a record.
+// TestUnreachableInstancesKeepTheirShare checks that the share of instances which do not
+// answer this one is not granted here as long as they are registered.
 func TestUnreachableInstancesKeepTheirShare(t *testing.T) {
 	is := is.New(t)
 	l := newFixture(8, map[string]string{"a": "y", "b": "y", "c": "y"})
@@ -225,8 +226,9 @@
 	is.Equal(l.reachableShare(l.now), 1.0)
 }
 
-// TestCoordinatorChoice: one instance of the replica's zone, the same whoever asks; another
-// where that one does not answer; one of another zone where none there does.
+// TestCoordinatorChoice checks that every instance chooses the same coordinator in the
+// replica's zone, another one if that one does not answer, and one in another zone if
+// none in the replica's zone does.
 func TestCoordinatorChoice(t *testing.T) {
 	is := is.New(t)
 	others := map[string]string{"far1": "y", "far2": "y", "near1": "z", "near2": "z"}
@@ -243,7 +245,7 @@
 		is.True(seen[name] > 50)
 	}
 	chosen := first(incarnation)
-	is.Equal(first(pool.Incarnation{Name: "r", Born: "2"}), chosen) // whichever life it is in
+	is.Equal(first(pool.Incarnation{Name: "r", Born: "2"}), chosen) // independent of the incarnation
 	for _, gone := range []string{"near1", "near2"} {
 		l.Members.MarkFailed(l.now, gone)
 	}
@@ -251,11 +253,12 @@
 	l.Permits.Stopping = func() bool { return true }
 	is.Equal(others[first(incarnation)], "y")
 	l.Instances()["far1"] = registry.Instance{Name: "far1", Zone: "y", Processor: 0.8}
-	is.Equal(first(incarnation), "far1") // the larger share of a processor
+	is.Equal(first(incarnation), "far1") // it has the larger share of a processor
 }
 
-// TestUnresponsiveCoordinatorIsSkipped: who can wait asks another instance, and at last this
-// one; who cannot is told at once, so that it goes to another replica.
+// TestUnresponsiveCoordinatorIsSkipped checks that a request which can wait is sent to
+// another instance and in the end decided here, and that a request which cannot wait is
+// denied at once, so that the call goes to another replica.
 func TestUnresponsiveCoordinatorIsSkipped(t *testing.T) {
 	others := map[string]string{}
 	for i := range 20 {
@@ -278,7 +281,7 @@
 	l.HandleReply(l.now, Reply{Token: asked[0].Token, Verdict: Decision{Granted: true}}) // too late
 	is.Equal(len(l.decisions), 0)
 	l.HandleReply(l.now, Reply{Token: again[0].Token, Err: noAnswer})
-	is.Equal(l.granted(), []calls.ID{1}) // by itself
+	is.Equal(l.granted(), []calls.ID{1}) // decided by this instance itself
 	is.Equal(len(l.takeRequests()), 0)
 
 	l.ask(2, 0, 0)
@@ -289,9 +292,9 @@
 	is.Equal(l.decisions[1].Granted, false)
 }
 
-// TestDelayedPermitIsVoid: one that was long on its way, or comes to an instance that
-// slept meanwhile, is none; the time for which it was held where it was asked for counts as
-// none of that.
+// TestDelayedPermitIsVoid checks that a permit is void if it took too long to arrive or
+// the instance was suspended meanwhile. The time for which the request was queued at the
+// coordinator does not count.
 func TestDelayedPermitIsVoid(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -307,7 +310,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
 			l := newFixture(1, map[string]string{"a": "z"})
-			l.Permits.Stopping = func() bool { return true } // so that the other is asked
+			l.Permits.Stopping = func() bool { return true } // so that the other instance is asked
 			l.ask(1, 0, 5*time.Second)
 			asked := l.takeRequests()
 			is.Equal(len(asked), 1)
@@ -317,16 +320,17 @@
 	}
 }
 
-// TestOrdersNeedPermits: an order waits for a permit, before all calls, and uses it up; one
-// that is not used in time is none. Where the replica names no limit, none is needed.
+// TestOrdersNeedPermits checks that an order waits for a permit, before all calls, and
+// uses it up. A permit that is not used in time is void. Orders to a replica without a
+// limit need none.
 func TestOrdersNeedPermits(t *testing.T) {
 	is := is.New(t)
 	l := newFixture(1, nil)
 	is.True(l.TryAcquireForOrder(l.now, "nobody", false))
-	is.True(l.TryAcquireForOrder(l.now, "r", false)) // the token that a bucket begins with
+	is.True(l.TryAcquireForOrder(l.now, "r", false)) // the initial token of the bucket
 	is.True(!l.TryAcquireForOrder(l.now, "r", false))
 	l.ask(1, 0, time.Minute)
-	l.advance(3500 * time.Millisecond) // three tenths of the limit at first
+	l.advance(3500 * time.Millisecond) // probation rate: three tenths of the limit
 	is.Equal(len(l.granted()), 0)
 	is.True(l.TryAcquireForOrder(l.now, "r", false))
 	is.True(!l.TryAcquireForOrder(l.now, "r", false))
@@ -334,13 +338,14 @@
 	l = newFixture(1, nil)
 	is.True(l.TryAcquireForOrder(l.now, "r", false))
 	is.True(!l.TryAcquireForOrder(l.now, "r", false))
-	l.advance(3400*time.Millisecond + permitTTL) // it was there, and was not used
+	l.advance(3400*time.Millisecond + permitTTL) // a permit was available but not used
 	is.True(!l.TryAcquireForOrder(l.now, "r", false))
 	l.Pool.Announce(l.now, "r", pool.Announcement{Service: "s", Address: "r", Zone: "z", Born: "2"})
-	is.True(l.TryAcquireForOrder(l.now, "r", false)) // another life named none
+	is.True(l.TryAcquireForOrder(l.now, "r", false)) // the other incarnation has not named a limit
 }
 
-// TestReleasedPermitIsGranted: one that is not used goes to who waits, here and at a peer.
+// TestReleasedPermitIsGranted checks that a released permit is granted to a queued
+// request, here and at a peer.
 func TestReleasedPermitIsGranted(t *testing.T) {
 	is := is.New(t)
 	l := newFixture(1, nil)
@@ -349,7 +354,7 @@
 	is.Equal(l.granted(), []calls.ID{1})
 	l.Release(l.now, Resource{Replica: incarnation})
 	is.Equal(l.granted(), []calls.ID{1, 2})
-	l.Release(l.now, Resource{Replica: pool.Incarnation{Name: "r", Born: "0"}}) // of a life before
+	l.Release(l.now, Resource{Replica: pool.Incarnation{Name: "r", Born: "0"}}) // an earlier incarnation
 	l.ask(3, 0, 0)
 	is.Equal(len(l.granted()), 2)
 
@@ -361,8 +366,8 @@
 	is.True(asked[0].Request.Unused)
 }
 
-// TestRaisedLimitGrantsQueue: who waits goes on when nothing is held back any more,
-// and a limit that rises is given out at once.
+// TestRaisedLimitGrantsQueue checks that queued requests are granted when the limit is
+// removed, and that a raised limit applies at once.
 func TestRaisedLimitGrantsQueue(t *testing.T) {
 	is := is.New(t)
 	l := newFixture(0, nil)
@@ -381,9 +386,9 @@
 	is.Equal(len(l.granted()), 20)
 }
 
-// TestRetriesAreSharedByFleet: no span of the retry budget has more repeats granted than
-// belong to no instance, however many ask and whenever; one that is not granted is told so at
-// once.
+// TestRetriesAreSharedByFleet checks that in every span of the retry budget at most the
+// shared number of retries is granted, however many requests come and whenever they come,
+// and that a request which is not granted is denied at once.
 func TestRetriesAreSharedByFleet(t *testing.T) {
 	is := is.New(t)
 	l := newFixture(1, nil)
@@ -401,21 +406,22 @@
 		is.True(len(granted) <= 20)
 		l.advance(10 * time.Millisecond)
 		if i%1500 == 0 && i < 4000 {
-			l.advance(15 * time.Second) // nobody asks for a while
+			l.advance(15 * time.Second) // no requests for a while
 		}
 	}
-	is.True(len(granted) >= 9) // the part that comes in each span
+	is.True(len(granted) >= 9) // the part that is refilled in each span
 	l.RequestForRetry(l.now.Add(time.Minute), "another", 1, 0, 0)
-	is.True(l.decisions[len(l.decisions)-1].Granted) // each service has its own
+	is.True(l.decisions[len(l.decisions)-1].Granted) // each service has its own bucket
 }
 
-// TestAdapterOrdersRankBelowCalls: a call that needs one takes two permits, so where
-// permits are short others come first; orders on models and questions come before all.
+// TestAdapterOrdersRankBelowCalls: a call that needs an adapter takes two permits, so
+// where permits are scarce the other calls come first. Orders for models and state
+// queries come before all calls.
 func TestAdapterOrdersRankBelowCalls(t *testing.T) {
 	is := is.New(t)
 	l := newFixture(1, nil)
 	l.endProbation()
-	for l.TryAcquireForOrder(l.now, "r", false) { // what is there
+	for l.TryAcquireForOrder(l.now, "r", false) { // takes the available tokens
 	}
 	is.True(!l.TryAcquireForOrder(l.now, "r", true))
 	l.ask(1, 3, time.Minute)
@@ -424,7 +430,7 @@
 			l.advance(10 * time.Millisecond)
 		}
 	}
-	until(func() bool { return l.TryAcquireForOrder(l.now, "r", false) }) // the question's turn
+	until(func() bool { return l.TryAcquireForOrder(l.now, "r", false) }) // the state query comes first
 	is.Equal(len(l.granted()), 0)
 	until(func() bool { return len(l.granted()) > 0 })
 	is.Equal(l.granted(), []calls.ID{1})
@@ -434,8 +440,9 @@
 	is.True(l.now.Since(served) > 900*time.Millisecond && l.now.Since(served) < 1100*time.Millisecond)
 }
 
-// TestProbationBeforeLimitIsNamed: it gives out the whole at once; one that has just
-// begun, or slept, gives out less for a while.
+// TestProbationBeforeLimitIsNamed checks that an instance which was the coordinator
+// before a replica named a limit grants the whole of the limit at once; one that has just
+// started, or was suspended, grants less for a while.
 func TestProbationBeforeLimitIsNamed(t *testing.T) {
 	part := func(l *fixture) float64 {
 		r := replicaRequest(l.Pool.Get("r"), 0, 0)
@@ -458,7 +465,7 @@
 	is.Equal(part(l), 10*probationShare)
 	l = unnamed()
 	l.advance(probationPeriod + time.Second)
-	l.now = l.now.Add(probationPeriod + time.Second) // asleep
+	l.now = l.now.Add(probationPeriod + time.Second) // suspended
 	l.setLimit(10)
 	is.Equal(part(l), 10*probationShare)
 }
--- a/core/permits/tokens.go
+++ b/core/permits/tokens.go
@@ -7,28 +7,29 @@
 )
 
 const (
-	// burstTime is over how much time of a limit permits may pile up: what waits is served
-	// at ticks, which are apart (docs/design/limits.md).
+	// burstTime is the time whose permits of a limit may accumulate: queued requests are
+	// granted only at ticks, which are some time apart (docs/design/limits.md).
 	burstTime = 200 * time.Millisecond
-	// minBurst is the least that may pile up: with one, what comes while no call waits is
-	// lost, a seventh of small limits (docs/design/limits.md).
+	// minBurst is the least number of permits that may accumulate. With a burst of one,
+	// tokens that arrive while no call waits are lost: a seventh of small limits
+	// (docs/design/limits.md).
 	minBurst = 2
 )
 
-// A tokenBucket is a token bucket. It does not begin full: another instance may have given out
-// permits until now.
+// A tokenBucket starts with few tokens, since another instance may have granted permits
+// until now.
 type tokenBucket struct {
 	available  float64
-	refilledAt clock.Instant // when it was last refilled
-	rate       float64       // a second
+	refilledAt clock.Instant // time of the last refill
+	rate       float64       // tokens per second
 }
 
 func newTokenBucket(now clock.Instant, s quota) tokenBucket {
 	return tokenBucket{available: s.initial, refilledAt: now}
 }
 
-// refill adds what came since the last refill at the rate that held then, and takes over
-// another rate and bound.
+// refill adds the tokens since the last refill at the previous rate, then applies the
+// rate and burst of q.
 func (t *tokenBucket) refill(now clock.Instant, s quota) {
 	if span := now.Since(t.refilledAt); span > 0 {
 		t.available += t.rate * span.Seconds()
@@ -38,7 +39,7 @@
 	t.available = min(t.available, s.burst)
 }
 
-// take takes one token, if there is one.
+// take takes one token and reports whether there was one.
 func (t *tokenBucket) take() bool {
 	if t.available < 1 {
 		return false
@@ -47,10 +48,10 @@
 	return true
 }
 
-// release puts one token back; the next refill drops what is too much.
+// release puts one token back; the next refill drops tokens above the burst.
 func (t *tokenBucket) release() { t.available++ }
 
-// waitFor returns how long it takes waitFor n tokens were there in all, from now on.
+// waitFor returns how long it takes from now until n tokens are available in all.
 func (t *tokenBucket) waitFor(n int) time.Duration {
 	missing := float64(n) - t.available
 	if missing <= 0 {
@@ -60,10 +61,10 @@
 		return maxWait
 	}
 	wait := min(missing/t.rate, maxWait.Seconds()) * float64(time.Second)
-	return max(time.Duration(wait), 1) // a missing part of a token is a wait, however short
+	return max(time.Duration(wait), 1) // even a small missing fraction of a token requires a wait
 }
 
-// maxWait bounds what is told of a wait, so that no span overflows
+// maxWait bounds the reported waits so that no duration overflows
 // (docs/design/limits.md).
 const maxWait = time.Hour
 
--- a/core/permits/tokens_test.go
+++ b/core/permits/tokens_test.go
@@ -14,13 +14,14 @@
 
 var start = clocktest.At(time.Hour)
 
-// quotaOf is the supply of a limit.
+// quotaOf returns the quota of a rate limit.
 func quotaOf(rate float64) quota {
 	return quota{rate: rate, burst: max(minBurst, rate*burstTime.Seconds()), initial: 1}
 }
 
-// TestTokenBucketRate: whatever is asked for, and whenever, no 4 s give out more than the
-// rate and what may pile up; asked for all the time, they give out the rate.
+// TestTokenBucketRate checks that no period of 4 s grants more than the rate and the
+// burst, whenever and however many tokens are taken, and that tokens are granted at all
+// under constant demand.
 func TestTokenBucketRate(t *testing.T) {
 	for _, rate := range []float64{0.2, 0.5, 1, 3, 10, 200} {
 		for seed := range uint64(20) {
@@ -34,7 +35,7 @@
 				for now.Since(start) < time.Minute {
 					now = now.Add(time.Duration(rng.ExpFloat64() * float64(30*time.Millisecond)))
 					if rng.IntN(200) == 0 {
-						now = now.Add(5 * time.Second) // nobody asks for a while
+						now = now.Add(5 * time.Second) // no requests for a while
 					}
 					tokens.refill(now, quotaOf(rate))
 					for tokens.take() {
@@ -52,8 +53,8 @@
 	}
 }
 
-// TestTokenBucketRateChange tables how long requests wait, and what another rate changes:
-// what came until then came at the former one.
+// TestTokenBucketRateChange lists how long requests wait and how a change of the rate
+// applies: the tokens until the change are counted at the previous rate.
 func TestTokenBucketRateChange(t *testing.T) {
 	is := is.New(t)
 	tokens := newTokenBucket(start, quotaOf(2))
@@ -64,13 +65,13 @@
 	is.True(!tokens.take())
 	is.Equal(tokens.interval(), 500*time.Millisecond)
 	tokens.refill(start.Add(250*time.Millisecond), quotaOf(200))
-	is.True(!tokens.take()) // half a token
+	is.True(!tokens.take()) // only half a token is available
 	tokens.release()
 	is.True(tokens.take())
 	tokens.refill(start.Add(time.Hour), quotaOf(0.5))
 	is.True(tokens.take())
 	is.True(tokens.take())
-	is.True(!tokens.take()) // what piled up at the former rate does not stay
+	is.True(!tokens.take()) // the burst of the previous rate does not remain
 	is.Equal(tokens.waitFor(1), 2*time.Second)
 	none := newTokenBucket(start, quotaOf(1))
 	is.Equal(none.waitFor(2), maxWait)
--- a/core/placement/budget.go
+++ b/core/placement/budget.go
@@ -9,30 +9,31 @@
 )
 
 const (
-	// loadBurst is how many loads from the weight store may begin together.
+	// loadBurst is how many loads from the weight store may start at once.
 	loadBurst = 2.0
-	// loadShare is the share of the weight store's rate that is used, so that
-	// loads which begin late do not come to more than the whole.
+	// loadShare is the share of the weight store's rate that is used, so that loads which
+	// start late do not exceed the whole rate.
 	loadShare = 0.9
 )
 
 // A loadBudget is a token bucket of loads from the weight store.
 type loadBudget struct {
 	startedAt  clock.Instant // when this instance became the placer
-	refilledAt clock.Instant // when tokens were last added
+	refilledAt clock.Instant // time of the last refill
 	available  float64
 }
 
 func newLoadBudget(now clock.Instant) loadBudget { return loadBudget{startedAt: now, refilledAt: now} }
 
-// inheritedBudget returns the budget of a placer whose former one gave the task back,
-// with so many loads left, and is at work no more.
+// inheritedBudget returns the budget of a placer whose predecessor handed over its role
+// with available loads left and no longer places models.
 func inheritedBudget(now clock.Instant, available float64, o *option.Options) loadBudget {
 	return loadBudget{startedAt: now.Add(-o.OrderValid), refilledAt: now, available: min(available, loadBurst)}
 }
 
-// remaining returns how many loads may begin at now, less than 0 while none may: as many
-// fewer as would have come in the time for which the former placer may be at work.
+// remaining returns how many loads may start at now. It is negative while the former
+// placer may still be active, by the number of loads that the rate yields in the rest of
+// that time.
 func (b *loadBudget) remaining(now clock.Instant, rate float64, o *option.Options) float64 {
 	wait := o.OrderValid - now.Since(b.startedAt)
 	if wait > 0 {
@@ -41,8 +42,8 @@
 	return b.available
 }
 
-// refill adds the loads that may have begun since the last time, at rate loads a
-// second. While the former placer may still be at work, there are none.
+// refill adds the loads since the last refill at rate loads per second. It adds none
+// while the former placer may still be active.
 func (b *loadBudget) refill(now clock.Instant, rate float64, o *option.Options) {
 	if o.Disable.Rate {
 		b.available = math.MaxInt32
@@ -56,7 +57,7 @@
 	b.refilledAt = now
 }
 
-// take takes one load, and reports whether there was one.
+// take takes one load and reports whether there was one.
 func (b *loadBudget) take() bool {
 	if b.available < 1 {
 		return false
@@ -65,7 +66,7 @@
 	return true
 }
 
-// loadRate returns the weight store's rate for all services, in loads a second.
+// loadRate returns the weight store's rate for all services, in loads per second.
 func (p *Placer) loadRate() float64 {
 	rate := 0.0
 	for _, svc := range p.Config.Document().Services {
@@ -76,8 +77,8 @@
 	return rate
 }
 
-// plannableLoads returns how many loads from the weight store may be planned now:
-// those that may begin, less those that are planned and have not begun.
+// plannableLoads returns how many loads from the weight store may be planned now: the
+// available loads less those that are planned and have not started.
 func (p *Placer) plannableLoads() int {
 	free := math.Floor(p.loads.available)
 	for _, c := range p.changes {
--- a/core/placement/budget_test.go
+++ b/core/placement/budget_test.go
@@ -10,8 +10,8 @@
 	"github.com/birchdrift/birchdrift/core/option"
 )
 
-// TestLoadBudget: a new placer loads nothing while the former one may still be at
-// work; then loads come at the store's rate, and no more than a few at once.
+// TestLoadBudget checks that a new placer loads nothing while the former one may still be
+// active, and that loads then come at the store's rate and in bounded bursts.
 func TestLoadBudget(t *testing.T) {
 	is := is.New(t)
 	now := clocktest.At(time.Hour)
@@ -28,7 +28,7 @@
 	is.Equal(spent(&b), 0)
 	now = now.Add(opt.OrderValid)
 	b.refill(now, rate, &opt)
-	is.Equal(spent(&b), 0) // what passed before does not count
+	is.Equal(spent(&b), 0) // the time before does not count
 	now = now.Add(600 * time.Millisecond)
 	b.refill(now, rate, &opt)
 	is.Equal(spent(&b), 1)
@@ -37,18 +37,18 @@
 	is.Equal(spent(&b), int(loadBurst))
 }
 
-// TestBudgetHandover: what a placer that stops leaves is what the next one begins
-// with, so that both together begin no more loads than one would; what the first still
-// had to wait for counts as loads that it owes.
+// TestBudgetHandover checks that a placer starts with the budget that the former one left
+// when it stopped, so that both together start no more loads than one would. The time
+// that the former one still had to wait is subtracted as loads.
 func TestBudgetHandover(t *testing.T) {
 	now := clocktest.At(time.Hour)
 	opt := option.Default()
 	const rate = 2.0
 	for _, tt := range []struct {
 		name  string
-		begun time.Duration // when the first placer began, before its stop
+		begun time.Duration // how long before its stop the first placer started
 		spent int
-		want  float64 // loads left
+		want  float64 // remaining loads
 	}{
 		{"a full budget", time.Minute, 0, loadBurst},
 		{"one spent", time.Minute, 1, loadBurst - 1},
--- a/core/placement/changes.go
+++ b/core/placement/changes.go
@@ -1,17 +1,17 @@
 package placement
 
-// Which models get another copy, where, and what makes way: a pure function of
-// an Input.
+// The placement plan, a pure function of an Input: which models get another copy, on
+// which engine, and which copies are evicted for it.
 //
-// The work that a model brings is measured in engine time a second. A model
-// whose copies have more than TargetWork to do each gets another one, on the
-// engine that has least to do and can have the model soonest: from its host
-// memory, its disk, or last from the weight store, whose loads are limited and
-// cost. A copy makes way when the others of its model can carry its work.
+// The work of a model is measured in engine seconds per second. A model whose copies have
+// more than TargetWork each gets another copy, on the engine that has the least work and
+// can load the model soonest: from its host memory, from its disk, or last from the
+// weight store, whose loads are limited and costly. A copy is evicted if the other copies
+// of its model can do its work.
 //
-// Invariants: the last copy of a model is never dropped while anybody asks for
-// the model; no engine is given a second change while one is under way; no
-// placement takes more loads from the weight store than its Input allows.
+// Invariants: the last copy of a model is never dropped while there are calls for the
+// model; no engine gets a second change while one is in progress; no plan takes more
+// loads from the weight store than its Input allows.
 
 import (
 	"sort"
@@ -20,110 +20,112 @@
 	"github.com/birchdrift/birchdrift/core/pool"
 )
 
-// Tunables of the placement.
+// Parameters of the placement.
 const (
-	// TargetWork is the work, in engine seconds a second, that one copy of a
-	// model should have at most.
+	// TargetWork is the most work, in engine seconds per second, that one copy of a model
+	// should have.
 	TargetWork = 0.22
-	// minValueRatio is by how much the value of a copy must exceed that of what makes way.
+	// minValueRatio is the least ratio of the value of a copy to the cost of the copies
+	// that are evicted for it.
 	minValueRatio = 1.5
-	// minStoreValue is the least value of a copy that is loaded from the store.
+	// minStoreValue is the least value of a copy that is loaded from the weight store.
 	minStoreValue = 0.12
-	// minCachedValue is the same for one whose weights the engine has at hand.
+	// minCachedValue is the least value of a copy whose weights are on the engine's disk
+	// or in its host memory.
 	minCachedValue = 0.04
-	// callDropCost is the cost of dropping a copy of a model, for each call a
-	// second that it serves: its runs must end first.
+	// callDropCost is the cost of dropping a copy, per call per second that it serves:
+	// its running calls must end first.
 	callDropCost = 0.03
-	// missValue is the value of the first copy of a model for each call a
-	// second that finds none.
+	// missValue is the value of the first copy of a model, per call per second that finds
+	// no copy.
 	missValue = 2.0
-	// unusedValue is the value of the first copy of a model nobody asks for now.
+	// unusedValue is the value of the first copy of a model without calls.
 	unusedValue = 0.06
-	// spareValue is the value of a second copy of a model that has one: it
-	// stands in when the first is lost.
+	// spareValue is the additional value of a second copy of a model: it takes over if
+	// the first is lost.
 	spareValue = 0.01
-	// zoneBonus prefers an engine in a zone that has no copy of the model yet: a
-	// zone may be cut off from the others.
+	// zoneBonus prefers an engine in a zone that has no copy of the model yet: a zone may
+	// be partitioned from the others.
 	zoneBonus = 0.05
-	// maxEngineWork is the work from which an engine is no place for more.
+	// maxEngineWork is the work, in engine seconds per second, above which an engine gets
+	// no further copies.
 	maxEngineWork = 0.75
-	// engineWorkWeight is what the work that an engine has already takes away
-	// from its score.
+	// engineWorkWeight is how much an engine's present work reduces its score.
 	engineWorkWeight = 0.5
-	// lastCachedCost keeps the last copy of a model whose weights no other
-	// engine has at hand.
+	// lastCachedCost protects the last copy of a model whose weights no other engine has
+	// on disk or in host memory.
 	lastCachedCost = 1
 )
 
-// A Model is what is known of a model's weights.
+// A Model describes a model's weights.
 type Model struct {
-	MB int64 // that they take on an engine
+	MB int64 // memory that the weights take on an engine
 }
 
-// A Demand is what callers ask of a model.
+// A Demand is the demand for a model.
 type Demand struct {
-	Work   float64 // engine seconds a second
-	Rate   float64 // calls a second
-	Absent float64 // calls a second that found no copy
+	Work   float64 // engine seconds per second
+	Rate   float64 // calls per second
+	Absent float64 // misses: calls per second that found no copy
 }
 
-// A Copy is a model on an engine.
+// A Copy is a copy of a model on an engine.
 type Copy struct {
 	Model   string
-	Ready   bool          // else it is on its way
-	Leaving bool          // it is on its way out
-	Age     time.Duration // since it became ready
-	// Uncarried says that its engine names a limit which is too small for the calls that ask
-	// for it, so that it does not count.
+	Ready   bool          // false if it is being loaded or unloaded
+	Leaving bool          // it is being unloaded
+	Age     time.Duration // time since it became ready
+	// Uncarried reports that the rate limit of its engine is too small for the calls to
+	// it, so that it does not count as a copy.
 	Uncarried bool
 }
 
-// An Engine is one engine as the placer knows it.
+// An Engine is the placer's view of an engine.
 type Engine struct {
 	Name     string
 	Zone     string
 	FreeMB   int64
 	Copies   []Copy
-	InMemory map[string]bool // models whose weights its host memory has
-	OnDisk   map[string]bool // models whose weights its disk has
-	// Open says that its owner can order a change of models now.
+	InMemory map[string]bool // models with weights in its host memory
+	OnDisk   map[string]bool // models with weights on its disk
+	// Open reports that its owner can order a change of models now.
 	Open bool
-	// Sound says that calls are sent there; copies of others do not count.
+	// Sound reports that calls are sent to the engine. Copies on engines that are not
+	// sound do not count.
 	Sound bool
-	// Limited says that it names how many requests a second it takes: Limit.
+	// Limited reports that the engine names a rate limit: Limit, in requests per second.
 	Limited bool
 	Limit   float64
 }
 
-// An Input is all that a placement depends on.
+// An Input is everything that a placement plan depends on.
 type Input struct {
 	Engines     []Engine
 	Models      map[string]Model
 	Demand      map[string]Demand
-	StoreLoads  int           // loads from the weight store that may begin now
-	MinimumStay time.Duration // least age of a copy that makes way
-	// Blind says that too little was heard of the demand to drop anything for
-	// a model that nobody misses.
+	StoreLoads  int           // loads from the weight store that may start now
+	MinimumStay time.Duration // least age of a copy that may be evicted
+	// Blind reports that the demand has not been observed for long enough to drop copies
+	// for a model without misses.
 	Blind bool
-	// OnlyAbsent has only models placed of which there is no copy and that
-	// somebody asks for.
+	// OnlyAbsent restricts the plan to models that have misses and no copy.
 	OnlyAbsent bool
 }
 
-// A Change is one change of one engine: Drop makes way for Load. Either may be
-// empty.
+// A Change is one change of one engine: Drop is evicted to make room for Load. Either may
+// be empty.
 type Change struct {
 	Engine string
 	Load   string
 	Drop   []string
 	Source pool.WeightSource
-	Value  float64 // of the load, for logs
-	Cost   float64 // of the drops, for logs
-	Work   float64 // that the model brings, for logs
-	Copies int     // of the model before, for logs
+	Value  float64 // value of the load, for logs
+	Cost   float64 // cost of the drops, for logs
+	Work   float64 // work of the model, for logs
+	Copies int     // copies of the model before the change, for logs
 }
 
-// Plan returns the changes to begin now, the most valuable first.
+// Plan returns the changes to start now, the most valuable first.
 func Plan(in Input) []Change {
 	r := newPlanner(in)
 	var changes []Change
@@ -135,20 +137,20 @@
 	return changes
 }
 
-// A planner holds one placement in the making.
+// A planner holds the state of one placement plan.
 type planner struct {
 	in         Input
 	engines    []*engine
-	copies     map[string]int            // that serve, or will
+	copies     map[string]int            // copies that serve calls, or will
 	zoneCopies map[string]map[string]int // copies by model, then by zone
-	cached     map[string]int            // engines that have a model's weights and can be ordered
+	cached     map[string]int            // number of engines that have a model's weights cached and can be sent orders
 	storeLoads int
 }
 
 type engine struct {
 	Engine
 	work     float64
-	changing bool // it has a change in this placement
+	changing bool // the plan has a change for it
 }
 
 func newPlanner(in Input) *planner {
@@ -175,7 +177,8 @@
 	return r
 }
 
-// countCached notes the models whose weights an engine has at hand.
+// countCached counts the models whose weights are on an engine's disk or in its host
+// memory.
 func (r *planner) countCached(e Engine) {
 	if !e.Sound || !e.Open {
 		return
@@ -192,7 +195,7 @@
 	}
 }
 
-// addCopies notes copies of a model that came or went in a zone.
+// addCopies adds n copies of a model in a zone; n may be negative.
 func (r *planner) addCopies(model, zone string, n int) {
 	r.copies[model] += n
 	if r.zoneCopies[model] == nil {
@@ -206,14 +209,14 @@
 	return r.in.Demand[model].Work / float64(max(1, r.copies[model]))
 }
 
-// A candidate is a copy that a model could do with.
+// A candidate is an additional copy of a model.
 type candidate struct {
 	model string
 	value float64
 }
 
-// value returns what copy number n of a model is worth: the work that it takes
-// from the others, and more where there are none or they have too much to do.
+// value returns the value of the nth copy of a model: the work that it takes off the
+// others, and more if there are none or they have too much work.
 func (r *planner) value(model string, n int) float64 {
 	d := r.in.Demand[model]
 	if n <= 1 {
@@ -228,16 +231,16 @@
 	return value
 }
 
-// workCost is the cost of so much work on one copy: it grows faster than the
-// work does, and steeply once there is more than one copy should have.
+// workCost returns the cost of an amount of work on one copy. It grows with the square of
+// the work, so it is steep above TargetWork.
 func workCost(work float64) float64 {
 	x := work / TargetWork
 	return TargetWork * x * x / 2
 }
 
-// candidates returns the copies that would be worth having, the most valuable
-// first; of each model the next one only. What has too little value wherever its
-// weights come from is left out, for each candidate is weighed on every engine.
+// candidates returns the additional copies that are worth considering, the most valuable
+// first and at most one of each model. Copies whose value is too small for any source of
+// weights are left out, since each candidate is evaluated on every engine.
 func (r *planner) candidates() []candidate {
 	var candidates []candidate
 	for name := range r.in.Models {
@@ -263,7 +266,7 @@
 	source pool.WeightSource
 	drop   []string
 	cost   float64
-	score  float64 // value less cost and what the engine's work takes away
+	score  float64 // value less cost and the penalty for the engine's work
 }
 
 func (r *planner) place(c candidate) (Change, bool) {
@@ -287,7 +290,7 @@
 	return change, true
 }
 
-// apply has the placement go on as if the change were done.
+// apply updates the planner as if the change were done.
 func (r *planner) apply(o choice, c candidate) {
 	o.engine.changing = true
 	if o.source == pool.WeightStore {
@@ -299,7 +302,7 @@
 	}
 }
 
-// evaluate returns how a candidate could be placed on an engine, if it pays.
+// evaluate returns how a candidate could be placed on an engine, if it is worth its cost.
 func (r *planner) evaluate(e *engine, c candidate) (choice, bool) {
 	if !e.Open || !e.Sound || e.changing || e.has(c.model) {
 		return choice{}, false
@@ -335,7 +338,7 @@
 	return o, true
 }
 
-// sourceBonus prefers engines that have the weights at hand.
+// sourceBonus prefers engines that have the weights on disk or in host memory.
 var sourceBonus = map[pool.WeightSource]float64{pool.WeightStore: 0, pool.Disk: 0.5, pool.HostMemory: 0.6}
 
 func (e *engine) has(model string) bool {
--- a/core/placement/changes_test.go
+++ b/core/placement/changes_test.go
@@ -8,8 +8,8 @@
 	"github.com/matryer/is"
 )
 
-// newInput returns an input of so many engines and models: every model stands on
-// one engine, some on more, and a few are asked for.
+// newInput returns an input with the given numbers of engines and models. Every model has
+// a copy on one engine, some on more, and some have calls.
 func newInput(engines, models int) Input {
 	in := Input{Models: map[string]Model{}, Demand: map[string]Demand{}, StoreLoads: 2, MinimumStay: time.Second}
 	for i := range models {
@@ -32,8 +32,8 @@
 	return in
 }
 
-// TestLastCachedCopyIsKept: the last copy of a model that nobody asks for makes
-// way only where another engine has its weights at hand.
+// TestLastCachedCopyIsKept checks that the last copy of a model without calls is evicted
+// only if another engine has its weights cached.
 func TestLastCachedCopyIsKept(t *testing.T) {
 	cases := []struct {
 		name      string
@@ -63,7 +63,7 @@
 	}
 }
 
-// BenchmarkChanges measures one placement at three sizes.
+// BenchmarkChanges measures one placement plan at three sizes.
 func BenchmarkChanges(b *testing.B) {
 	for _, size := range []struct{ engines, models int }{{18, 39}, {144, 305}, {850, 1900}} {
 		b.Run(fmt.Sprintf("%d_engines", size.engines), func(b *testing.B) {
--- a/core/placement/demand.go
+++ b/core/placement/demand.go
@@ -7,11 +7,11 @@
 	"github.com/birchdrift/birchdrift/core/demand"
 )
 
-// How the placer hears what callers ask for.
+// How the placer learns the demand.
 
-// DemandFor returns what a peer needs to know to place models, nil if it does
-// not place any: it is the placer, or in a large fleet may stand in for one that
-// does not answer.
+// DemandFor returns this instance's demand if the peer needs it to place models,
+// otherwise nil. The peer needs it if it is the placer or, in a large fleet, may stand in
+// for a placer that does not answer.
 func (p *Placer) DemandFor(now clock.Instant, peer string) []demand.Item {
 	if peer == "" {
 		return nil
@@ -23,8 +23,8 @@
 	return p.OwnDemand.Items(now)
 }
 
-// HandleDemand takes in what a peer's callers ask for. Models are placed at once
-// if they found one nowhere.
+// HandleDemand records the demand of a peer's callers. If it contains misses, models are
+// placed at once.
 func (p *Placer) HandleDemand(now clock.Instant, peer string, items []demand.Item) {
 	p.AllDemand.Report(now, peer, items)
 	if !p.Registry.IsPlacer(now) && !p.PlacerUnreachable(now) {
@@ -35,7 +35,7 @@
 	}
 }
 
-// ReportMiss lets the placer know soon of a call that found its model nowhere.
+// ReportMiss notifies the placer soon of a call that found no copy of its model.
 func (p *Placer) ReportMiss(now clock.Instant) {
 	if !p.missReportedAt.IsZero() && now.Since(p.missReportedAt) < missReportInterval {
 		return
--- a/core/placement/input.go
+++ b/core/placement/input.go
@@ -9,7 +9,7 @@
 	"github.com/birchdrift/birchdrift/core/pool"
 )
 
-// input gathers what the placement of one service's models depends on.
+// input returns the input of the placement plan for one service's models.
 func (p *Placer) input(now clock.Instant, svc config.Service) Input {
 	engines := svc.Announced.Engine
 	in := Input{
@@ -21,7 +21,7 @@
 		OnlyAbsent:  p.localOnly,
 	}
 	if p.localOnly {
-		in.StoreLoads = 0 // the placer alone counts them
+		in.StoreLoads = 0 // only the placer counts them
 	}
 	for _, m := range engines.Models {
 		in.Models[m.Name] = Model{MB: m.MemoryMB}
@@ -38,8 +38,7 @@
 	return in
 }
 
-// markOverLimit marks the copies of a service's models for which the limits that their
-// engines name are too small.
+// markUncarried marks the copies whose calls exceed the rate limits of their engines.
 func (p *Placer) markOverLimit(service string, in Input) {
 	too := overLimitCopies(in, p.overLimit[service])
 	p.overLimit[service] = too
@@ -50,8 +49,8 @@
 	}
 }
 
-// engine returns an engine as it will be once the change under way there is
-// done, so that no later placement asks for the same again.
+// engine returns an engine as it will be once the change in progress there is done, so
+// that a later plan does not request the same change again.
 func (p *Placer) engine(now clock.Instant, r *pool.Replica, facts *config.EnginePool) Engine {
 	e := Engine{
 		Name:   r.Name,
@@ -64,7 +63,7 @@
 	newest := clock.Instant{}
 	for item, phase := range r.Items() {
 		model, adapter := pool.SplitItem(item)
-		m, _ := facts.Model(model) // one that is not configured takes no memory
+		m, _ := facts.Model(model) // a model that is not configured takes no memory
 		if adapter != "" {
 			e.FreeMB -= m.AdapterMB
 			continue
@@ -80,9 +79,9 @@
 		}
 		e.Copies = append(e.Copies, c)
 	}
-	// A load pushes other weights out of the engine's disk and host memory, and
-	// what it announced before does not say which. Taken for at hand, they would
-	// come from the weight store without being counted there.
+	// A load evicts other weights from the engine's disk and host memory, and the last
+	// announcement does not say which. If they were assumed to be cached, they would be
+	// loaded from the weight store without being counted.
 	if !r.AnnouncedAt().Before(newest) {
 		a := r.Announcement()
 		e.InMemory = setOf(a.InMemory)
@@ -93,7 +92,7 @@
 	return e
 }
 
-// withChange returns an engine as if the change were done.
+// withChange returns the engine as if the change were done.
 func withChange(e Engine, c *change) Engine {
 	if c == nil {
 		return e
--- a/core/placement/limited.go
+++ b/core/placement/limited.go
@@ -5,22 +5,23 @@
 	"slices"
 )
 
-// Engines that name a limit: which of their copies it carries.
+// Rate-limited engines: which of their copies the limit is large enough for.
 
-// callShare is the part of a limit that is for calls; the rest is for the orders that
-// their adapters need (docs/design/limits.md).
+// callShare is the share of a limit that is available for calls; the rest is for the
+// orders for the adapters that they need (docs/design/limits.md).
 const callShare = 0.5
 
-// overLimitHysteresis is the part of its limit below which an engine carries a copy again that it
-// did not: what is loaded elsewhere takes demand away, and is not to go at once for that
-// (docs/design/limits.md).
+// overLimitHysteresis is the fraction of the usual threshold below which a copy that was
+// over the limit counts again. A copy on another engine takes part of the demand away,
+// which must not make that copy superfluous at once (docs/design/limits.md).
 const overLimitHysteresis = 0.5
 
-// overLimitCopies returns the copies for which the limits of their engines are too small: the
-// demand for them is met elsewhere, so they do not count. Of an engine's copies those that
-// few calls ask for come first: many rare models are served by a limit that one busy model
-// uses up, and which has copies elsewhere sooner. was says which copies were too much before.
-// Where all engines name a limit nothing is gained by moving models between them.
+// overLimitCopies returns the copies that do not count because the rate limits of their
+// engines are too small for their calls; other engines must serve that demand. The copies
+// of an engine with few calls are given the limit first: it suffices for many rare
+// models, whereas one busy model uses it up and is more likely to have copies elsewhere.
+// was holds the copies that were over the limit before. If every engine is rate-limited,
+// the result is empty, because moving models between them gains nothing.
 func overLimitCopies(in Input, was map[copyKey]bool) map[copyKey]bool {
 	out := map[copyKey]bool{}
 	if !slices.ContainsFunc(in.Engines, func(e Engine) bool { return e.Sound && !e.Limited }) {
@@ -42,7 +43,7 @@
 	return out
 }
 
-// addOverLimit adds an engine's copies that its limit is too small for to out.
+// addOverLimit adds to out the engine's copies that exceed its rate limit.
 func (e Engine) addOverLimit(in Input, copies map[string]int, was, out map[copyKey]bool) {
 	rate := func(c Copy) float64 { return in.Demand[c.Model].Rate / float64(max(1, copies[c.Model])) }
 	held := slices.Clone(e.Copies)
--- a/core/placement/limited_test.go
+++ b/core/placement/limited_test.go
@@ -7,9 +7,9 @@
 	"github.com/matryer/is"
 )
 
-// limitedInput is three engines, of which the first names a limit and alone holds a busy and
-// a rare model; the second has the busy one's weights at hand and a model that nobody asks
-// for.
+// limitedInput returns three engines. The first is rate-limited, unless limit is
+// negative, and alone holds a busy and a rare model; the second has the weights of the
+// busy model on disk and holds a model without calls.
 func limitedInput(limit float64) Input {
 	held := func(models ...string) (copies []Copy) {
 		for _, m := range models {
@@ -35,8 +35,8 @@
 	return in
 }
 
-// planLimited returns the changes of an input whose limits are taken into account, and the copies
-// that are too much for them.
+// planLimited returns the plan for an input with its rate limits applied, and the copies
+// that exceed them.
 func planLimited(in Input, was map[copyKey]bool) ([]Change, map[copyKey]bool) {
 	too := overLimitCopies(in, was)
 	for i, e := range in.Engines {
@@ -47,9 +47,9 @@
 	return Plan(in), too
 }
 
-// TestOverLimitModelIsLoadedElsewhere: a model whose calls a limit does not carry
-// gets a copy at another engine; the engine keeps the rare ones that it does carry. Nothing
-// moves for a limit that the demand does not reach.
+// TestOverLimitModelIsLoadedElsewhere checks that a model whose calls exceed a rate limit
+// gets a copy on another engine, while the limited engine keeps the rare models that its
+// limit allows. Nothing moves if the demand does not reach the limit.
 func TestOverLimitModelIsLoadedElsewhere(t *testing.T) {
 	is := is.New(t)
 	for _, limit := range []float64{-1, 100, 7} {
@@ -66,9 +66,9 @@
 	is.Equal(len(too), 2)
 }
 
-// TestOverLimitCopiesDoNotOscillate: once the model stands elsewhere, half of its calls are less
-// than the limit; its copy at the limited engine does not count again for that, and the one
-// elsewhere stays. Where all engines are limited nothing moves.
+// TestOverLimitCopiesDoNotOscillate: after the model is loaded elsewhere, half of its
+// calls are below the limit. Its copy on the limited engine still does not count, so that
+// the new copy stays. If all engines are limited, nothing moves.
 func TestOverLimitCopiesDoNotOscillate(t *testing.T) {
 	is := is.New(t)
 	in := limitedInput(4)
@@ -79,7 +79,7 @@
 	changes, still := planLimited(in, was)
 	is.Equal(len(changes), 0)
 	is.Equal(still, was)
-	in.Demand["busy"] = Demand{Work: 0.1, Rate: 1.2} // half of the limit with the rare one
+	in.Demand["busy"] = Demand{Work: 0.1, Rate: 1.2} // half of the limit, together with the rare model
 	_, now := planLimited(in, was)
 	is.Equal(len(now), 0)
 
--- a/core/placement/placer.go
+++ b/core/placement/placer.go
@@ -1,14 +1,14 @@
 // Package placement decides which models are loaded on which engines.
 //
-// One instance, the placer, decides for the fleet; the owners of the engines
-// give the orders. Two placers at once can do no harm to an engine, only to the
-// rate of loads from the weight store, so a new one waits with those until the
-// former certainly has stopped. The owners of engines in a zone that is cut off
-// from the placer bring in what their own callers miss, from weights that their
-// engines have at hand.
+// One instance, the placer, decides for the fleet; the owners of the engines send the
+// orders. Two placers at the same time cannot harm an engine, they can only exceed the
+// rate of loads from the weight store. A new placer therefore starts no such loads until
+// the former one has certainly stopped. If a zone is partitioned from the placer, the
+// owners of engines there load the models that their own callers miss, from weights on
+// the engines' disks or in their host memory.
 //
-// Changes is the decision itself; the Placer gathers its input, carries changes
-// through, and counts loads from the weight store.
+// Plan makes the decision itself; the Placer gathers its input, carries out the changes,
+// and counts loads from the weight store.
 package placement
 
 import (
@@ -29,75 +29,77 @@
 )
 
 const (
-	// placementInterval spaces placements, unless a call finds its model nowhere.
+	// placementInterval is the time between two placements, unless a call finds no copy
+	// of its model.
 	placementInterval = 200 * time.Millisecond
 	// minPlacementGap is the least time between two placements even then.
 	minPlacementGap = 40 * time.Millisecond
-	// changeTimeout is how long a change may take before it is given up: the
-	// slowest load of the users' models takes 6.4 s.
+	// changeTimeout is how long a change may take before it is abandoned: the slowest
+	// load of the users' models takes 6.4 s.
 	changeTimeout = 10 * time.Second
-	// orderTimeout is how long a change may go without an order that is carried out: its
-	// engine's owner may have lost the right to order, or the way to the engine: four
-	// tries, and above the time in which owners settle an order whose answer was lost.
+	// orderTimeout is how long a change may go on without an order being carried out: the
+	// engine's owner may have lost the right to send orders or the connection to the
+	// engine. It allows for four attempts and is longer than owners take to resolve an
+	// order whose answer was lost.
 	orderTimeout = 2 * time.Second
-	// engineBackoff is how long an engine for which nobody gave orders is left out:
-	// about the time in which another instance takes it over.
+	// engineBackoff is how long an engine is left out of placements after no owner sent
+	// it orders: about the time in which another instance takes it over.
 	engineBackoff = 3 * time.Second
-	// orderRetryInterval is the least time between two requests for one order.
+	// orderRetryInterval is the least time between two requests for the same order.
 	orderRetryInterval = 400 * time.Millisecond
-	// minCopyAge is the least age of a copy that makes way.
+	// minCopyAge is the least age of a copy that may be evicted.
 	minCopyAge = 3 * time.Second
-	// demandWarmUp is how long a new placer learns the demand before it drops
-	// copies for models that nobody misses.
+	// demandWarmUp is how long a new placer observes the demand before it drops copies
+	// for models without misses.
 	demandWarmUp = 3 * time.Second
-	// missReportInterval is the least time between two words to the placer about models
-	// that calls miss.
+	// missReportInterval is the least time between two notifications of the placer about
+	// misses.
 	missReportInterval = 100 * time.Millisecond
 )
 
-// Deps are what the placer needs of the other modules.
+// Deps holds what a Placer needs from other modules.
 type Deps struct {
 	shared.State
 
-	// Registry says who is the placer, Asks gets orders from owners.
+	// Registry knows the placer; Asks requests orders from the owners of engines.
 	Registry *ownership.Registry
 	Asks     *orderclient.Client
 	Roster   *watchers.Roster
-	// OwnDemand is what this instance's own callers ask for, AllDemand what was heard
-	// from all.
+	// OwnDemand is the demand of this instance's own callers, AllDemand the reported
+	// demand of all instances.
 	OwnDemand *demand.Tracker
 	AllDemand *demand.Totals
 	// Stopping reports whether a planned stop has begun.
 	Stopping func() bool
-	// Tell has an exchange with a peer begun at once, if there is one; NextWatcher
-	// names the instance of a zone whose turn it is, of those that watch.
+	// Tell starts an exchange with a peer at once; p may be nil. NextWatcher returns the
+	// next watcher of a zone in turn.
 	Tell        func(now clock.Instant, p *member.Peer)
 	NextWatcher func(now clock.Instant, zone string) *member.Peer
 }
 
-// A Placer is one instance's part in the placement: idle, unless it is the
-// placer or owns engines that are cut off from the placer.
+// A Placer is one instance's part in the placement. It is idle unless the instance is the
+// placer or owns engines and cannot reach the placer.
 type Placer struct {
 	Deps
 	due            clock.Instant
-	placedAt       clock.Instant // when models were placed last
-	missReportedAt clock.Instant // when the placer was last told of a missed model
+	placedAt       clock.Instant // time of the last placement
+	missReportedAt clock.Instant // when the placer was last notified of a miss
 	active         bool
-	localOnly      bool          // placing for the own engines only, and only what is missed
-	demandSince    clock.Instant // since when callers are known to ask for models
+	localOnly      bool          // placing on the own engines only, and only missed models
+	demandSince    clock.Instant // since when there has been demand
 	loads          loadBudget
-	changes        map[string]*change        // under way, by engine
-	readySince     map[copyKey]clock.Instant // since when a copy is seen ready
+	changes        map[string]*change        // changes in progress, by engine
+	readySince     map[copyKey]clock.Instant // since when a copy has been ready
 	backoffUntil   map[string]clock.Instant  // until when an engine is left out
-	// overLimit are the copies that the limits of their engines were too small for, when
-	// models were placed last; by service.
+	// overLimit holds the copies that exceeded the rate limits of their engines at the
+	// last placement, by service.
 	overLimit map[string]map[copyKey]bool
 }
 
-// A copyKey names a copy of a model on an engine.
+// A copyKey identifies a copy of an item on an engine.
 type copyKey struct{ engine, item string }
 
-// New returns a placer that has placed nothing.
+// New returns an idle placer.
 func New(n Deps) *Placer {
 	return &Placer{
 		Deps: n, changes: map[string]*change{}, readySince: map[copyKey]clock.Instant{}, backoffUntil: map[string]clock.Instant{},
@@ -105,8 +107,8 @@
 	}
 }
 
-// Tick seeks the placer's record while nobody holds it, and places models while
-// this instance does.
+// Tick tries to become the placer while there is none, and places models while this
+// instance is the placer.
 func (p *Placer) Tick(now clock.Instant) {
 	if p.Stopping() || !p.Config.Loaded() {
 		return
@@ -129,8 +131,8 @@
 	p.placeModels(now)
 }
 
-// start begins to place models, for the fleet or for the own engines alone, if
-// that is not what it does already.
+// start starts placing models, for the fleet or for the own engines only, if the placer
+// is not doing that already.
 func (p *Placer) start(now clock.Instant, cutOff bool) {
 	if p.active && p.localOnly == cutOff {
 		return
@@ -146,8 +148,8 @@
 	p.Out.Log(logevent.Placing, "orphan", cutOff, "revision", p.Registry.Placer().Revision)
 }
 
-// LoadsLeft returns how many loads from the weight store this instance could begin now
-// as the placer; without a configuration there is nothing to load.
+// LoadsLeft returns how many loads from the weight store this instance could start now as
+// the placer; without a configuration there is nothing to load.
 func (p *Placer) LoadsLeft(now clock.Instant) float64 {
 	if !p.Config.Loaded() {
 		return 0
@@ -163,14 +165,14 @@
 	return p.Registry.Owned.Len() > 0 && p.Registry.MayOrder(now) && p.placerUnresponsive()
 }
 
-// placerUnresponsive reports whether the placer is another instance that does not
-// answer this one.
+// placerUnresponsive reports whether the placer is another instance that does not answer
+// this one.
 func (p *Placer) placerUnresponsive() bool {
 	peer := p.Members.Get(p.Registry.Placer().Name)
 	return peer != nil && peer.Failing()
 }
 
-// placeModels goes on with the changes under way, then begins new ones.
+// placeModels advances the changes in progress, then starts new ones.
 func (p *Placer) placeModels(now clock.Instant) {
 	p.AllDemand.Report(now, p.Self.Name, p.OwnDemand.Items(now))
 	if len(p.AllDemand.Sum(now)) == 0 {
@@ -196,7 +198,8 @@
 	}
 }
 
-// advance takes the next step of a change, and ends it if there is none.
+// advance requests the next order of a change, or finishes the change if it has an
+// outcome.
 func (p *Placer) advance(now clock.Instant, c *change) {
 	engine := p.engineState(c.Engine)
 	c.observe(now, engine)
@@ -208,11 +211,12 @@
 	if !due {
 		return
 	}
-	// A load is counted where it begins: what makes way may take seconds to go,
-	// and loads that were planned over seconds would begin together.
+	// A load is counted when it starts. The copies to evict may take seconds to unload,
+	// so loads counted when planned could be planned over several seconds and then start
+	// together.
 	if request.Load && c.Source == pool.WeightStore && !c.loadCounted {
 		if !p.loads.take() {
-			c.progressAt = now // it waits for the store's rate
+			c.progressAt = now // the change waits for the weight store's rate
 			return
 		}
 		c.loadCounted = true
@@ -220,7 +224,7 @@
 	p.requestOrder(now, c, request)
 }
 
-// engineState returns what an engine that is changed is known to hold.
+// engineState returns the known state of the engine that a change is for.
 func (p *Placer) engineState(name string) engineState {
 	r := p.Pool.Get(name)
 	if r == nil {
@@ -229,7 +233,7 @@
 	return engineState{incarnation: r.Incarnation(), usable: r.Usable(), phase: r.Phase}
 }
 
-// finish forgets a change that has ended.
+// finish removes a change that has an outcome.
 func (p *Placer) finish(now clock.Instant, c *change, o outcome) {
 	delete(p.changes, c.Engine)
 	if o == notOrdered {
@@ -242,7 +246,7 @@
 	p.Out.Log(logevent.PlacementEnded, fields...)
 }
 
-// requestOrder asks the engine's owner for the order that a change needs next.
+// requestOrder requests the next order of a change from the engine's owner.
 func (p *Placer) requestOrder(now clock.Instant, c *change, r orders.Request) {
 	key := orderclient.Key{Engine: c.Engine, Request: r}
 	if p.Asks.Pending(key) || !p.Asks.CanRequest(now, key) {
@@ -252,7 +256,7 @@
 	p.Asks.Request(now, key)
 }
 
-// trackReady notes since when copies are ready.
+// trackReady records since when copies have been ready.
 func (p *Placer) trackReady(now clock.Instant) {
 	seen := map[copyKey]bool{}
 	for _, r := range p.Pool.All() {
--- a/core/placement/placer_test.go
+++ b/core/placement/placer_test.go
@@ -16,9 +16,9 @@
 	"github.com/birchdrift/birchdrift/core/step"
 )
 
-// TestLoadsAreCountedWhenTheyStart: loads were once counted when they were
-// planned; several that waited for room then began together (CEILING broke on
-// two days in some hundred).
+// TestLoadsAreCountedWhenTheyStart: loads were once counted when they were planned.
+// Several that waited for evictions then started together (the CEILING check failed on
+// two simulated days in some hundred).
 func TestLoadsAreCountedWhenTheyStart(t *testing.T) {
 	is := is.New(t)
 	now := clocktest.At(time.Hour)
--- a/core/placement/progress.go
+++ b/core/placement/progress.go
@@ -6,7 +6,7 @@
 	"github.com/birchdrift/birchdrift/core/pool"
 )
 
-// Changes under way: which order a change needs next, and when it has ended.
+// Changes in progress: which order a change needs next, and when it has ended.
 
 // An outcome says how a change ended.
 type outcome string
@@ -21,24 +21,24 @@
 	notOrdered outcome = "nobody orders the engine"
 )
 
-// A change is a Change under way.
+// A change is a Change in progress.
 type change struct {
 	Change
-	incarnation pool.Incarnation // of its engine, for which it was worked out
+	incarnation pool.Incarnation // incarnation of the engine for which the change was planned
 	startedAt   clock.Instant
-	progressAt  clock.Instant // when its engine last carried out an order of it, or it waited for the store's rate
-	requestedAt clock.Instant // when an order was asked for last; zero: none was yet
+	progressAt  clock.Instant // when the engine last carried out an order of the change, or the change waited for the weight store's rate
+	requestedAt clock.Instant // when an order was last requested; zero if none was
 	loadCounted bool          // its load from the weight store was counted
 }
 
-// An engineState is what decides how a change of an engine goes on.
+// An engineState is the state of an engine that determines how a change proceeds.
 type engineState struct {
 	incarnation pool.Incarnation
-	usable      bool                              // it is known, and not leaving
-	phase       func(model string) pool.ItemPhase // 0: the model is absent
+	usable      bool                              // the engine is known and not leaving
+	phase       func(model string) pool.ItemPhase // 0 if the model is absent
 }
 
-// observe notes whether the engine carries out an order of the change now.
+// observe records progress if the engine carries out an order of the change now.
 func (c *change) observe(now clock.Instant, e engineState) {
 	if e.phase(c.Load) == pool.Loading {
 		c.progressAt = now
@@ -50,16 +50,16 @@
 	}
 }
 
-// outcome returns how the change ended, underWay if it has not. A change that
-// takes longer than any load, or for which no order is carried out, is given up, so
-// that the next placement begins from what the engine holds.
+// outcome returns how the change ended, or running if it has not. A change that takes
+// longer than any load, or for which no order is carried out, is abandoned, so that the
+// next plan starts from what the engine holds.
 func (c *change) outcome(now clock.Instant, e engineState) outcome {
 	switch {
 	case !e.usable:
 		return engineGone
 	case e.incarnation != c.incarnation:
-		// What was ordered is gone. A load begun again under this change would not be
-		// counted against the weight store's rate.
+		// The effect of earlier orders is gone. A load restarted under this change would
+		// not be counted against the weight store's rate.
 		return restarted
 	case now.Since(c.startedAt) > changeTimeout:
 		return timedOut
@@ -72,10 +72,10 @@
 	}
 }
 
-// nextOrder returns the order that the change needs now; due is false while there
-// is none. What must make way is dropped first, one model after the other. An
-// order that shows no effect is asked for again after changeRepeat: it may have
-// been lost with the instance that was asked.
+// nextOrder returns the order that the change needs now; due is false if there is none.
+// Evicted models are dropped first, one after the other. An order without effect is
+// requested again after orderRetryInterval: it may have been lost with the instance that
+// got the request.
 func (c *change) nextOrder(now clock.Instant, e engineState) (request orders.Request, due bool) {
 	if e.phase(c.Load) == pool.Loading {
 		return request, false
--- a/core/placement/progress_test.go
+++ b/core/placement/progress_test.go
@@ -12,9 +12,9 @@
 	"github.com/birchdrift/birchdrift/core/pool"
 )
 
-// TestChangeProgress: what makes way goes first, an order
-// without effect is repeated after a while, and the change ends when the model is
-// there, the engine is not, or it took too long.
+// TestChangeProgress checks that evictions come first, that an order without effect is
+// retried after a while, and that the change ends when the model is ready, the engine is
+// gone, or it took too long.
 func TestChangeProgress(t *testing.T) {
 	now := clocktest.At(time.Hour)
 	ago := func(d time.Duration) clock.Instant { return now.Add(-d) }
--- a/core/placement/room.go
+++ b/core/placement/room.go
@@ -2,9 +2,10 @@
 
 import "sort"
 
-// What makes way for a copy, and what is lost with it.
+// Choosing the copies to evict, and the cost of losing them.
 
-// chooseVictims finds what must make way for a candidate on an engine, the cheapest first.
+// chooseVictims chooses the copies to evict for a candidate on an engine, the cheapest
+// first, and reports whether they make enough room.
 func (r *planner) chooseVictims(o *choice, c candidate) bool {
 	need := r.in.Models[c.model].MB - o.engine.FreeMB
 	if need <= 0 {
@@ -39,9 +40,9 @@
 	return need <= 0
 }
 
-// dropCost returns what is lost with one copy of a model. The last copy of a
-// model that nobody asks for may go only where another engine has its weights
-// at hand, so that it is back soon when somebody does.
+// dropCost returns the cost of dropping one copy of a model. The last copy of a model
+// without calls may be dropped only if another engine has its weights on disk or in host
+// memory, so that it can be loaded quickly when calls come.
 func (r *planner) dropCost(model string) float64 {
 	n := r.copies[model]
 	runs := callDropCost * r.in.Demand[model].Rate / float64(max(1, n))
@@ -49,7 +50,7 @@
 		return r.value(model, n) + runs
 	}
 	cost := r.value(model, 1) + runs
-	if r.cached[model] <= 1 { // the one that drops it keeps a copy too
+	if r.cached[model] <= 1 { // the engine that drops the copy is counted too
 		cost += lastCachedCost
 	}
 	return cost
