--- a/core/orders/observe.go
+++ b/core/orders/observe.go
@@ -86,9 +86,9 @@
 	e.version++
 }
 
-// adapterLoadTime is how long an adapter that another owner ordered is assumed to take to
+// maxAdapterLoadTime is how long an adapter that another owner ordered is assumed to take to
 // load: several times the usual load time of adapters plus the age of the reported state.
-const adapterLoadTime = 300 * time.Millisecond
+const maxAdapterLoadTime = 300 * time.Millisecond
 
 // loadingAdapter returns the state of an adapter that the engine reports as loading. It
 // takes a slot whichever owner ordered it.
@@ -96,7 +96,7 @@
 	h, known := e.items[item]
 	if !known {
 		h.model, h.adapter = pool.SplitItem(item)
-		h.readyAt = now.Add(adapterLoadTime)
+		h.readyAt = now.Add(maxAdapterLoadTime)
 		h.usedAt = now
 	}
 	h.phase = pool.Loading
--- a/core/orders/orders_test.go
+++ b/core/orders/orders_test.go
@@ -223,8 +223,8 @@
 	is.Equal(e.Phase("m/a2"), pool.Loading)
 	is.Equal(e.Check(load("m", "a2")), InProgress)
 	is.Equal(e.Check(load("m", "a3")), NoCapacity)
-	e.Advance(start.Add(adapterLoadTime - 1))
+	e.Advance(start.Add(maxAdapterLoadTime - 1))
 	is.Equal(e.Phase("m/a2"), pool.Loading)
-	e.Advance(start.Add(adapterLoadTime))
+	e.Advance(start.Add(maxAdapterLoadTime))
 	is.Equal(e.Phase("m/a2"), pool.Ready)
 }
