--- a/core/orders/judge.go
+++ b/core/orders/judge.go
@@ -112,7 +112,7 @@
 	if e.loadingAdapters() >= maxLoadingAdapters {
 		return NotNow
 	}
-	if mb > e.FreeMB() || e.usedSlots() >= e.limits.AdapterSlots {
+	if mb > e.FreeMB() || e.usedSlots() >= e.capacity.AdapterSlots {
 		return NoCapacity
 	}
 	return Allowed
@@ -146,7 +146,7 @@
 	if !ok {
 		return 0
 	}
-	free := e.limits.MemoryMB - late
+	free := e.capacity.MemoryMB - late
 	for _, h := range e.items {
 		modelMB, adapterMB, ok := e.sizes(h.model)
 		switch {
--- a/core/orders/orders.go
+++ b/core/orders/orders.go
@@ -84,7 +84,7 @@
 	Address   string
 	Fence     era.Revision
 	From      clock.Instant // no order may be sent before this time
-	limits    Capacity
+	capacity  Capacity
 	sizes     SizeFunc
 	known     bool
 	sequence  uint64
@@ -99,13 +99,13 @@
 func New(name, address string, fence era.Revision, from clock.Instant, limits Capacity, sizes SizeFunc) *Ledger {
 	return &Ledger{
 		Name: name, Address: address, Fence: fence, From: from,
-		limits: limits, sizes: sizes, items: map[string]itemState{},
+		capacity: limits, sizes: sizes, items: map[string]itemState{},
 	}
 }
 
 // Configure applies a newer configuration.
 func (e *Ledger) Configure(limits Capacity, sizes SizeFunc) {
-	e.limits = limits
+	e.capacity = limits
 	e.sizes = sizes
 }
 
