--- a/core/permits/permits_test.go
+++ b/core/permits/permits_test.go
@@ -77,13 +77,13 @@
 // limit.
 func (l *fixture) endProbation() {
 	for range 10 {
-		l.ask(99, 0, 0)
+		l.requestPermit(99, 0, 0)
 		l.advance(500 * time.Millisecond)
 	}
 	l.decisions = nil
 }
 
-func (l *fixture) ask(call calls.ID, rank int, wait time.Duration) {
+func (l *fixture) requestPermit(call calls.ID, rank int, wait time.Duration) {
 	l.RequestForCall(l.now, l.Pool.Get("r"), call, rank, wait, wait > 0)
 }
 
@@ -118,16 +118,16 @@
 	l := newFixture(2, nil)
 	l.endProbation()
 	l.advance(time.Second)
-	l.ask(98, 0, 0) // one of the two accumulated tokens
+	l.requestPermit(98, 0, 0) // one of the two accumulated tokens
 	l.decisions = nil
-	l.ask(1, 1, time.Minute)
+	l.requestPermit(1, 1, time.Minute)
 	is.Equal(l.granted(), []calls.ID{1}) // the queue is empty
-	l.ask(2, 1, time.Minute)
-	l.ask(3, 2, time.Minute)
-	l.ask(4, 1, time.Minute)
-	l.ask(5, 0, time.Minute)
-	l.ask(6, 1, 1900*time.Millisecond) // three are ahead of it, so it would wait 2 s
-	l.ask(7, 1, 1900*time.Millisecond)
+	l.requestPermit(2, 1, time.Minute)
+	l.requestPermit(3, 2, time.Minute)
+	l.requestPermit(4, 1, time.Minute)
+	l.requestPermit(5, 0, time.Minute)
+	l.requestPermit(6, 1, 1900*time.Millisecond) // three are ahead of it, so it would wait 2 s
+	l.requestPermit(7, 1, 1900*time.Millisecond)
 	is.Equal(len(l.decisions), 3)
 	first, second := l.decisions[1], l.decisions[2]
 	is.True(!first.Granted && !second.Granted)
@@ -144,12 +144,12 @@
 	is := is.New(t)
 	l := newFixture(1, nil)
 	l.endProbation()
-	l.ask(98, 0, 0) // takes the available tokens
+	l.requestPermit(98, 0, 0) // takes the available tokens
 	l.decisions = nil
-	l.ask(1, 1, time.Second)
-	l.ask(2, 3, 2500*time.Millisecond)
+	l.requestPermit(1, 1, time.Second)
+	l.requestPermit(2, 3, 2500*time.Millisecond)
 	for id := range calls.ID(4) {
-		l.ask(10+id, 0, time.Minute)
+		l.requestPermit(10+id, 0, time.Minute)
 	}
 	l.advance(6 * time.Second)
 	is.Equal(l.granted()[:4], []calls.ID{10, 11, 12, 13})
@@ -268,7 +268,7 @@
 	is := is.New(t)
 	l := newFixture(1, others)
 	l.Permits.Self.Zone = "z"
-	l.ask(1, 0, time.Second)
+	l.requestPermit(1, 0, time.Second)
 	asked := l.takeRequests()
 	is.Equal(len(asked), 1)
 	is.Equal(asked[0].Request.Word.By, "self")
@@ -284,7 +284,7 @@
 	is.Equal(l.granted(), []calls.ID{1}) // decided by this instance itself
 	is.Equal(len(l.takeRequests()), 0)
 
-	l.ask(2, 0, 0)
+	l.requestPermit(2, 0, 0)
 	asked = l.takeRequests()
 	is.Equal(len(asked), 1)
 	l.HandleReply(l.now, Reply{Token: asked[0].Token, Err: noAnswer})
@@ -311,7 +311,7 @@
 			is := is.New(t)
 			l := newFixture(1, map[string]string{"a": "z"})
 			l.Permits.Stopping = func() bool { return true } // so that the other instance is asked
-			l.ask(1, 0, 5*time.Second)
+			l.requestPermit(1, 0, 5*time.Second)
 			asked := l.takeRequests()
 			is.Equal(len(asked), 1)
 			l.HandleReply(l.now.Add(c.took), Reply{Token: asked[0].Token, Verdict: Decision{Granted: true, Held: c.held}})
@@ -329,7 +329,7 @@
 	is.True(l.TryAcquireForOrder(l.now, "nobody", false))
 	is.True(l.TryAcquireForOrder(l.now, "r", false)) // the initial token of the bucket
 	is.True(!l.TryAcquireForOrder(l.now, "r", false))
-	l.ask(1, 0, time.Minute)
+	l.requestPermit(1, 0, time.Minute)
 	l.advance(3500 * time.Millisecond) // probation rate: three tenths of the limit
 	is.Equal(len(l.granted()), 0)
 	is.True(l.TryAcquireForOrder(l.now, "r", false))
@@ -349,13 +349,13 @@
 func TestReleasedPermitIsGranted(t *testing.T) {
 	is := is.New(t)
 	l := newFixture(1, nil)
-	l.ask(1, 0, 0)
-	l.ask(2, 0, time.Minute)
+	l.requestPermit(1, 0, 0)
+	l.requestPermit(2, 0, time.Minute)
 	is.Equal(l.granted(), []calls.ID{1})
 	l.Release(l.now, Resource{Replica: incarnation})
 	is.Equal(l.granted(), []calls.ID{1, 2})
 	l.Release(l.now, Resource{Replica: pool.Incarnation{Name: "r", Born: "0"}}) // an earlier incarnation
-	l.ask(3, 0, 0)
+	l.requestPermit(3, 0, 0)
 	is.Equal(len(l.granted()), 2)
 
 	l = newFixture(1, map[string]string{"a": "z"})
@@ -373,7 +373,7 @@
 	l := newFixture(0, nil)
 	l.endProbation()
 	for id := range calls.ID(20) {
-		l.ask(id+1, 0, time.Hour)
+		l.requestPermit(id+1, 0, time.Hour)
 	}
 	l.advance(time.Second)
 	is.True(len(l.granted()) <= 1)
@@ -424,7 +424,7 @@
 	for l.TryAcquireForOrder(l.now, "r", false) { // takes the available tokens
 	}
 	is.True(!l.TryAcquireForOrder(l.now, "r", true))
-	l.ask(1, 3, time.Minute)
+	l.requestPermit(1, 3, time.Minute)
 	until := func(may func() bool) {
 		for end := l.now.Add(2 * time.Second); !may() && l.now.Before(end); {
 			l.advance(10 * time.Millisecond)
