--- a/core/orderclient/orderclient.go
+++ b/core/orderclient/orderclient.go
@@ -132,7 +132,7 @@
 	o, _ := a.Owner(key.Engine) // an unknown owner is an unknown member, which is handled below
 	p := a.Members.Get(o.Owner)
 	if p == nil {
-		a.HandleOutcome(now, key, owned.Failed, "its owner is not known")
+		a.HandleOutcome(now, key, owned.Failed, "the owner of the engine is unknown")
 		return
 	}
 	a.Out.Emit(SendRequest{Peer: p.Name, Address: p.Address, Engine: key.Engine, Request: key.Request})
--- a/core/orders/answer.go
+++ b/core/orders/answer.go
@@ -11,91 +11,91 @@
 
 // RecordSent records a request that Check allowed as in flight; the order's Expect is
 // Sequence.
-func (e *Ledger) RecordSent(r Request) {
-	e.inFlight = &r
+func (l *Ledger) RecordSent(r Request) {
+	l.inFlight = &r
 	h := itemState{model: r.Model, adapter: r.Adapter, phase: pool.Loading}
 	if !r.Load {
-		h = e.items[r.Item()]
+		h = l.items[r.Item()]
 		h.phase = pool.Unloading
 		h.unloadMarked = false
 	}
-	e.setItem(r.Item(), h)
+	l.setItem(r.Item(), h)
 }
 
 // RecordAccepted records that the engine carries out the order in flight. adapterTime is
 // the expected time that an adapter takes to load.
-func (e *Ledger) RecordAccepted(now clock.Instant, adapterTime time.Duration) {
-	r := e.inFlight
+func (l *Ledger) RecordAccepted(now clock.Instant, adapterTime time.Duration) {
+	r := l.inFlight
 	if r == nil {
 		return
 	}
-	e.inFlight = nil
-	e.sequence++
+	l.inFlight = nil
+	l.sequence++
 	if r.Adapter == "" {
 		return
 	}
-	h := e.items[r.Item()]
+	h := l.items[r.Item()]
 	if r.Load {
 		h.readyAt = now.Add(adapterTime)
 		h.usedAt = now
 	} else {
 		h.readyAt = now.Add(adapterUnloadTime)
 	}
-	e.setItem(r.Item(), h)
+	l.setItem(r.Item(), h)
 }
 
 // RecordNoChange records that the engine already was in the state that the order in
 // flight asked for, or reached it at once. An adapter that no call uses is unloaded at
 // once, which counts as an accepted order.
-func (e *Ledger) RecordNoChange() {
-	r := e.inFlight
+func (l *Ledger) RecordNoChange() {
+	r := l.inFlight
 	if r == nil {
 		return
 	}
-	e.inFlight = nil
+	l.inFlight = nil
 	if !r.Load {
-		e.removeItem(r.Item())
-		e.sequence++
+		l.removeItem(r.Item())
+		l.sequence++
 		return
 	}
-	h := e.items[r.Item()]
+	h := l.items[r.Item()]
 	h.phase = pool.Ready
-	e.setItem(r.Item(), h)
+	l.setItem(r.Item(), h)
 }
 
 // RecordFailed records that the order in flight was not carried out and never will be: it
 // was not sent, or the engine rejected it.
-func (e *Ledger) RecordFailed() {
-	r := e.inFlight
+func (l *Ledger) RecordFailed() {
+	r := l.inFlight
 	if r == nil {
 		return
 	}
-	e.inFlight = nil
-	h := e.items[r.Item()]
+	l.inFlight = nil
+	h := l.items[r.Item()]
 	if r.Load {
-		e.removeItem(r.Item())
+		l.removeItem(r.Item())
 		return
 	}
 	h.phase = pool.Ready
-	e.setItem(r.Item(), h)
+	l.setItem(r.Item(), h)
 }
 
 // RecordLost records that the answer to the order in flight is lost, and returns the
 // request. The effect of the order stays in the ledger until the engine's state is
 // queried.
-func (e *Ledger) RecordLost() (r Request, ok bool) {
-	if e.inFlight == nil {
+func (l *Ledger) RecordLost() (r Request, ok bool) {
+	if l.inFlight == nil {
 		return r, false
 	}
-	r = *e.inFlight
-	e.inFlight = nil
-	e.uncertain = true
+	r = *l.inFlight
+	l.inFlight = nil
+	l.uncertain = true
 	return r, true
 }
 
 // RecordConflict records that the engine has accepted a different number of orders than
 // the ledger says; its state must be queried.
-func (e *Ledger) RecordConflict() {
-	e.RecordFailed()
-	e.uncertain = true
+func (l *Ledger) RecordConflict() {
+	l.RecordFailed()
+	l.uncertain = true
 }
--- a/core/orders/judge.go
+++ b/core/orders/judge.go
@@ -26,8 +26,8 @@
 )
 
 // otherModelBusy reports whether a model other than item is being loaded or unloaded.
-func (e *Ledger) otherModelBusy(item string) bool {
-	for name, h := range e.items {
+func (l *Ledger) otherModelBusy(item string) bool {
+	for name, h := range l.items {
 		if h.adapter == "" && h.phase != pool.Ready && name != item {
 			return true
 		}
@@ -37,90 +37,90 @@
 
 // MarkUnloading marks a ready model as unloading before the order to unload it is sent,
 // so that no more calls are sent to it. UnmarkUnloading reverts that.
-func (e *Ledger) MarkUnloading(model string) {
-	if h, ok := e.items[model]; ok && h.phase == pool.Ready {
+func (l *Ledger) MarkUnloading(model string) {
+	if h, ok := l.items[model]; ok && h.phase == pool.Ready {
 		h.phase = pool.Unloading
 		h.unloadMarked = true
-		e.setItem(model, h)
+		l.setItem(model, h)
 	}
 }
 
 // UnmarkUnloading reverts a MarkUnloading that was not followed by an order.
-func (e *Ledger) UnmarkUnloading(model string) {
-	if h, ok := e.items[model]; ok && h.unloadMarked {
+func (l *Ledger) UnmarkUnloading(model string) {
+	if h, ok := l.items[model]; ok && h.unloadMarked {
 		h.phase = pool.Ready
 		h.unloadMarked = false
-		e.setItem(model, h)
+		l.setItem(model, h)
 	}
 }
 
 // Check returns what the ledger allows for a request now.
-func (e *Ledger) Check(r Request) CheckResult {
-	if !e.Known() {
+func (l *Ledger) Check(r Request) CheckResult {
+	if !l.Known() {
 		return StateUnknown
 	}
-	h, here := e.items[r.Item()]
+	h, present := l.items[r.Item()]
 	if !r.Load {
-		return e.checkUnload(r, h, here)
+		return l.checkUnload(r, h, present)
 	}
 	switch {
-	case here && h.phase == pool.Ready:
+	case present && h.phase == pool.Ready:
 		return NoChange
-	case here && h.phase == pool.Loading:
+	case present && h.phase == pool.Loading:
 		return InProgress
-	case here, e.inFlight != nil:
+	case present, l.inFlight != nil:
 		return NotNow
 	}
-	modelMB, adapterMB, ok := e.sizes(r.Model)
+	modelMB, adapterMB, ok := l.sizes(r.Model)
 	if !ok {
 		return SizeUnknown
 	}
 	if r.Adapter == "" {
-		return e.checkModel(modelMB)
+		return l.checkModel(modelMB)
 	}
-	return e.checkAdapter(r, adapterMB)
+	return l.checkAdapter(r, adapterMB)
 }
 
-func (e *Ledger) checkUnload(r Request, h itemState, here bool) CheckResult {
+func (l *Ledger) checkUnload(r Request, h itemState, present bool) CheckResult {
 	switch {
-	case !here:
+	case !present:
 		return NotLoaded
 	case h.phase == pool.Unloading && !h.unloadMarked:
 		return InProgress
-	case e.inFlight != nil || e.otherModelBusy(r.Item()) || h.phase == pool.Loading:
+	case l.inFlight != nil || l.otherModelBusy(r.Item()) || h.phase == pool.Loading:
 		return NotNow
 	default:
 		return Allowed
 	}
 }
 
-func (e *Ledger) checkModel(mb int64) CheckResult {
-	if e.Busy() {
+func (l *Ledger) checkModel(mb int64) CheckResult {
+	if l.Busy() {
 		return NotNow
 	}
-	if mb > e.FreeMB() {
+	if mb > l.FreeMB() {
 		return NoCapacity
 	}
 	return Allowed
 }
 
-func (e *Ledger) checkAdapter(r Request, mb int64) CheckResult {
-	model, here := e.items[r.Model]
-	if !here || model.phase != pool.Ready {
+func (l *Ledger) checkAdapter(r Request, mb int64) CheckResult {
+	model, present := l.items[r.Model]
+	if !present || model.phase != pool.Ready {
 		return ModelNotReady
 	}
-	if e.loadingAdapters() >= maxLoadingAdapters {
+	if l.loadingAdapters() >= maxLoadingAdapters {
 		return NotNow
 	}
-	if mb > e.FreeMB() || e.usedSlots() >= e.capacity.AdapterSlots {
+	if mb > l.FreeMB() || l.usedSlots() >= l.capacity.AdapterSlots {
 		return NoCapacity
 	}
 	return Allowed
 }
 
-func (e *Ledger) loadingAdapters() int {
+func (l *Ledger) loadingAdapters() int {
 	n := 0
-	for _, h := range e.items {
+	for _, h := range l.items {
 		if h.adapter != "" && h.phase == pool.Loading {
 			n++
 		}
@@ -130,9 +130,9 @@
 
 // usedSlots returns the adapter slots in use. An adapter whose unload is not confirmed
 // yet still takes its slot.
-func (e *Ledger) usedSlots() int {
-	n := e.delayedSlots()
-	for _, h := range e.items {
+func (l *Ledger) usedSlots() int {
+	n := l.delayedSlots()
+	for _, h := range l.items {
 		if h.adapter != "" {
 			n++
 		}
@@ -141,14 +141,14 @@
 }
 
 // FreeMB returns the memory that no item or delayed order takes, in MB.
-func (e *Ledger) FreeMB() int64 {
-	late, ok := e.delayedMB()
+func (l *Ledger) FreeMB() int64 {
+	delayedMB, ok := l.delayedMB()
 	if !ok {
 		return 0
 	}
-	free := e.capacity.MemoryMB - late
-	for _, h := range e.items {
-		modelMB, adapterMB, ok := e.sizes(h.model)
+	free := l.capacity.MemoryMB - delayedMB
+	for _, h := range l.items {
+		modelMB, adapterMB, ok := l.sizes(h.model)
 		switch {
 		case !ok:
 			return 0 // the size of an item is unknown
@@ -163,20 +163,20 @@
 
 // IdleAdapter returns the least recently used ready adapter, if it has been idle for at
 // least idle.
-func (e *Ledger) IdleAdapter(now clock.Instant, idle time.Duration) (Request, bool) {
+func (l *Ledger) IdleAdapter(now clock.Instant, idle time.Duration) (Request, bool) {
 	var best string
-	for _, item := range e.sortedItems() {
-		h := e.items[item]
+	for _, item := range l.sortedItems() {
+		h := l.items[item]
 		if h.adapter == "" || h.phase != pool.Ready || now.Since(h.usedAt) < idle {
 			continue
 		}
-		if best == "" || h.usedAt.Before(e.items[best].usedAt) {
+		if best == "" || h.usedAt.Before(l.items[best].usedAt) {
 			best = item
 		}
 	}
 	if best == "" {
 		return Request{}, false
 	}
-	h := e.items[best]
+	h := l.items[best]
 	return Request{Model: h.model, Adapter: h.adapter}, true
 }
--- a/core/orders/late.go
+++ b/core/orders/late.go
@@ -26,24 +26,24 @@
 
 // ReserveDelayed reserves the capacity that delayed orders to earlier incarnations of the
 // engine would take.
-func (e *Ledger) ReserveDelayed(late []DelayedOrder) { e.delayed = append(e.delayed, late...) }
+func (l *Ledger) ReserveDelayed(delayed []DelayedOrder) { l.delayed = append(l.delayed, delayed...) }
 
 // expireDelayed drops the delayed orders that can no longer arrive.
-func (e *Ledger) expireDelayed(now clock.Instant) {
-	before := len(e.delayed)
-	e.delayed = slices.DeleteFunc(e.delayed, func(l DelayedOrder) bool { return !now.Before(l.Until) })
-	if len(e.delayed) < before {
-		e.version++
+func (l *Ledger) expireDelayed(now clock.Instant) {
+	before := len(l.delayed)
+	l.delayed = slices.DeleteFunc(l.delayed, func(d DelayedOrder) bool { return !now.Before(d.Until) })
+	if len(l.delayed) < before {
+		l.version++
 	}
 }
 
 // delayedLoads returns the items that delayed orders would load, except those that the
 // engine holds.
-func (e *Ledger) delayedLoads() []Request {
+func (l *Ledger) delayedLoads() []Request {
 	var items []Request
-	for _, l := range e.delayed {
-		if _, here := e.items[l.Request.Item()]; !here && l.Request.Load && !slices.Contains(items, l.Request) {
-			items = append(items, l.Request)
+	for _, d := range l.delayed {
+		if _, present := l.items[d.Request.Item()]; !present && d.Request.Load && !slices.Contains(items, d.Request) {
+			items = append(items, d.Request)
 		}
 	}
 	return items
@@ -51,9 +51,9 @@
 
 // delayedMB returns the memory that delayed orders would take, in MB; ok is false if the
 // size of a model is unknown.
-func (e *Ledger) delayedMB() (mb int64, ok bool) {
-	for _, r := range e.delayedLoads() {
-		modelMB, adapterMB, ok := e.sizes(r.Model)
+func (l *Ledger) delayedMB() (mb int64, ok bool) {
+	for _, r := range l.delayedLoads() {
+		modelMB, adapterMB, ok := l.sizes(r.Model)
 		if !ok {
 			return 0, false
 		}
@@ -67,9 +67,9 @@
 }
 
 // delayedSlots returns the adapter slots that delayed orders would take.
-func (e *Ledger) delayedSlots() int {
+func (l *Ledger) delayedSlots() int {
 	n := 0
-	for _, r := range e.delayedLoads() {
+	for _, r := range l.delayedLoads() {
 		if r.Adapter != "" {
 			n++
 		}
--- a/core/orders/observe.go
+++ b/core/orders/observe.go
@@ -19,71 +19,71 @@
 
 // ObserveState updates the ledger with the engine's reply to a state query. A state that
 // is older than an answered order is ignored.
-func (e *Ledger) ObserveState(now clock.Instant, s State) {
-	if e.inFlight != nil || s.Sequence < e.sequence {
+func (l *Ledger) ObserveState(now clock.Instant, s State) {
+	if l.inFlight != nil || s.Sequence < l.sequence {
 		return
 	}
-	e.replaceItems(now, s)
-	e.known = true
-	e.sequence = s.Sequence
+	l.replaceItems(now, s)
+	l.known = true
+	l.sequence = s.Sequence
 	// A model that is being loaded for another owner takes memory, and the engine does
 	// not say which model it is: nothing may be ordered until it is done.
-	model, _ := e.ModelInTransition()
-	e.uncertain = s.Busy && model == ""
+	model, _ := l.ModelInTransition()
+	l.uncertain = s.Busy && model == ""
 }
 
 // ObserveModels updates the ledger with the models that the engine announces by itself.
 // It does so when an order for a model is done; for adapters its announcements come too
 // late.
-func (e *Ledger) ObserveModels(models []pool.AnnouncedModel) {
-	if !e.known {
+func (l *Ledger) ObserveModels(models []pool.AnnouncedModel) {
+	if !l.known {
 		return
 	}
-	here := make(map[string]bool, len(models))
+	present := make(map[string]bool, len(models))
 	for _, m := range models {
-		here[m.Name] = true
-		if _, held := e.items[m.Name]; !held {
-			e.uncertain = true // an order that was given up took effect late
+		present[m.Name] = true
+		if _, held := l.items[m.Name]; !held {
+			l.uncertain = true // an order that was given up took effect late
 		}
 	}
-	for _, item := range e.sortedItems() {
-		h := e.items[item]
+	for _, item := range l.sortedItems() {
+		h := l.items[item]
 		if h.adapter != "" {
 			continue
 		}
 		switch {
-		case h.phase == pool.Loading && here[item]:
+		case h.phase == pool.Loading && present[item]:
 			h.phase = pool.Ready
-			e.setItem(item, h)
-		case h.phase == pool.Unloading && !here[item]:
-			e.removeModel(item)
+			l.setItem(item, h)
+		case h.phase == pool.Unloading && !present[item]:
+			l.removeModel(item)
 		}
 	}
 }
 
 // replaceItems replaces the items of the ledger by the state, except for a model with an
 // order in progress: the engine does not say which one that is.
-func (e *Ledger) replaceItems(now clock.Instant, s State) {
-	next := make(map[string]itemState, len(e.items))
+func (l *Ledger) replaceItems(now clock.Instant, s State) {
+	items := make(map[string]itemState, len(l.items))
 	for _, m := range s.Models {
-		next[m.Name] = e.readyItem(now, m.Name, "")
+		items[m.Name] = l.readyItem(now, m.Name, "")
 		for _, a := range m.Adapters {
-			next[pool.ItemName(m.Name, a)] = e.readyItem(now, m.Name, a)
+			items[pool.ItemName(m.Name, a)] = l.readyItem(now, m.Name, a)
 		}
 	}
 	for _, item := range s.Coming {
-		if next[item].model == "" {
-			next[item] = e.loadingAdapter(now, item)
+		if items[item].model == "" {
+			items[item] = l.loadingAdapter(now, item)
 		}
 	}
-	for item, old := range e.items {
+	for item, old := range l.items {
 		if !s.Busy || old.adapter != "" || old.phase == pool.Ready {
 			continue
 		}
-		next[item] = old
+		items[item] = old
 	}
-	e.items = next
-	e.version++
+	l.items = items
+	l.version++
 }
 
 // maxAdapterLoadTime is how long an adapter that another owner ordered is assumed to take to
@@ -92,8 +92,8 @@
 
 // loadingAdapter returns the state of an adapter that the engine reports as loading. It
 // takes a slot whichever owner ordered it.
-func (e *Ledger) loadingAdapter(now clock.Instant, item string) itemState {
-	h, known := e.items[item]
+func (l *Ledger) loadingAdapter(now clock.Instant, item string) itemState {
+	h, known := l.items[item]
 	if !known {
 		h.model, h.adapter = pool.SplitItem(item)
 		h.readyAt = now.Add(maxAdapterLoadTime)
@@ -103,8 +103,8 @@
 	return h
 }
 
-func (e *Ledger) readyItem(now clock.Instant, model, adapter string) itemState {
-	h := e.items[pool.ItemName(model, adapter)]
+func (l *Ledger) readyItem(now clock.Instant, model, adapter string) itemState {
+	h := l.items[pool.ItemName(model, adapter)]
 	if h.model == "" {
 		h.usedAt = now
 	}
@@ -115,30 +115,30 @@
 }
 
 // removeModel removes a model and its adapters.
-func (e *Ledger) removeModel(model string) {
-	for item, h := range e.items {
+func (l *Ledger) removeModel(model string) {
+	for item, h := range l.items {
 		if h.model == model {
-			e.removeItem(item)
+			l.removeItem(item)
 		}
 	}
 }
 
 // Advance marks the adapters whose expected load time has passed as ready, expires
 // delayed orders, and reports whether an adapter became ready.
-func (e *Ledger) Advance(now clock.Instant) bool {
-	e.expireDelayed(now)
+func (l *Ledger) Advance(now clock.Instant) bool {
+	l.expireDelayed(now)
 	changed := false
-	for item, h := range e.items {
+	for item, h := range l.items {
 		if h.adapter == "" || h.readyAt.IsZero() || now.Before(h.readyAt) {
 			continue
 		}
 		switch h.phase {
 		case pool.Loading:
 			h.phase = pool.Ready
-			e.setItem(item, h)
+			l.setItem(item, h)
 			changed = true
 		case pool.Unloading:
-			e.uncertain = true
+			l.uncertain = true
 		}
 	}
 	return changed
--- a/core/orders/orders.go
+++ b/core/orders/orders.go
@@ -96,37 +96,37 @@
 }
 
 // New returns the ledger of an engine whose state is not known yet.
-func New(name, address string, fence era.Revision, from clock.Instant, limits Capacity, sizes SizeFunc) *Ledger {
+func New(name, address string, fence era.Revision, from clock.Instant, capacity Capacity, sizes SizeFunc) *Ledger {
 	return &Ledger{
 		Name: name, Address: address, Fence: fence, From: from,
-		capacity: limits, sizes: sizes, items: map[string]itemState{},
+		capacity: capacity, sizes: sizes, items: map[string]itemState{},
 	}
 }
 
 // Configure applies a newer configuration.
-func (e *Ledger) Configure(limits Capacity, sizes SizeFunc) {
-	e.capacity = limits
-	e.sizes = sizes
+func (l *Ledger) Configure(capacity Capacity, sizes SizeFunc) {
+	l.capacity = capacity
+	l.sizes = sizes
 }
 
 // Known reports whether the engine's state is known well enough to send it orders.
-func (e *Ledger) Known() bool { return e.known && !e.uncertain }
+func (l *Ledger) Known() bool { return l.known && !l.uncertain }
 
 // Uncertain reports whether the engine's state must be queried.
-func (e *Ledger) Uncertain() bool { return e.uncertain || !e.known }
+func (l *Ledger) Uncertain() bool { return l.uncertain || !l.known }
 
 // Sequence returns the number of orders that the engine has accepted.
-func (e *Ledger) Sequence() uint64 { return e.sequence }
+func (l *Ledger) Sequence() uint64 { return l.sequence }
 
 // Version returns a number that is incremented with every change of the engine's items.
-func (e *Ledger) Version() uint64 { return e.version }
+func (l *Ledger) Version() uint64 { return l.version }
 
 // InFlight reports whether an order is unanswered.
-func (e *Ledger) InFlight() bool { return e.inFlight != nil }
+func (l *Ledger) InFlight() bool { return l.inFlight != nil }
 
 // Busy reports whether a model is being loaded or unloaded.
-func (e *Ledger) Busy() bool {
-	for _, h := range e.items {
+func (l *Ledger) Busy() bool {
+	for _, h := range l.items {
 		if h.adapter == "" && h.phase != pool.Ready {
 			return true
 		}
@@ -136,8 +136,8 @@
 
 // ModelInTransition returns the model that an order loads or unloads, "" if there is
 // none, and whether it is being loaded.
-func (e *Ledger) ModelInTransition() (model string, loading bool) {
-	for _, h := range e.items {
+func (l *Ledger) ModelInTransition() (model string, loading bool) {
+	for _, h := range l.items {
 		if h.adapter == "" && h.phase != pool.Ready && !h.unloadMarked {
 			return h.model, h.phase == pool.Loading
 		}
@@ -146,22 +146,22 @@
 }
 
 // ModelOrderRunning reports whether an order for a model was accepted and is not done.
-func (e *Ledger) ModelOrderRunning() bool {
-	model, _ := e.ModelInTransition()
-	return model != "" && e.inFlight == nil
+func (l *Ledger) ModelOrderRunning() bool {
+	model, _ := l.ModelInTransition()
+	return model != "" && l.inFlight == nil
 }
 
 // maxLoadingAdapters is how many adapters may be loading on one engine at a time.
 const maxLoadingAdapters = 4
 
-func (e *Ledger) setItem(item string, h itemState) {
-	e.items[item] = h
-	e.version++
+func (l *Ledger) setItem(item string, h itemState) {
+	l.items[item] = h
+	l.version++
 }
 
-func (e *Ledger) removeItem(item string) {
-	delete(e.items, item)
-	e.version++
+func (l *Ledger) removeItem(item string) {
+	delete(l.items, item)
+	l.version++
 }
 
 // adapterUnloadTime is how long an adapter that calls still use may take to unload before
@@ -169,16 +169,16 @@
 const adapterUnloadTime = time.Second
 
 // RecordUse records that a call used an item.
-func (e *Ledger) RecordUse(now clock.Instant, item string) {
-	if h, ok := e.items[item]; ok {
+func (l *Ledger) RecordUse(now clock.Instant, item string) {
+	if h, ok := l.items[item]; ok {
 		h.usedAt = now
-		e.items[item] = h
+		l.items[item] = h
 	}
 }
 
-func (e *Ledger) sortedItems() []string {
-	names := make([]string, 0, len(e.items))
-	for item := range e.items {
+func (l *Ledger) sortedItems() []string {
+	names := make([]string, 0, len(l.items))
+	for item := range l.items {
 		names = append(names, item)
 	}
 	sort.Strings(names)
@@ -186,13 +186,13 @@
 }
 
 // Phase returns the phase of an item, 0 if the engine does not hold it.
-func (e *Ledger) Phase(item string) pool.ItemPhase { return e.items[item].phase }
+func (l *Ledger) Phase(item string) pool.ItemPhase { return l.items[item].phase }
 
 // Items returns the engine's items, sorted by name.
-func (e *Ledger) Items() []pool.Item {
-	items := make([]pool.Item, 0, len(e.items))
-	for _, name := range e.sortedItems() {
-		items = append(items, pool.Item{Name: name, Phase: e.items[name].phase})
+func (l *Ledger) Items() []pool.Item {
+	items := make([]pool.Item, 0, len(l.items))
+	for _, name := range l.sortedItems() {
+		items = append(items, pool.Item{Name: name, Phase: l.items[name].phase})
 	}
 	return items
 }
--- a/core/orders/orders_test.go
+++ b/core/orders/orders_test.go
@@ -22,9 +22,9 @@
 // newLedger returns the ledger of an engine that holds the models and has accepted
 // sequence orders.
 func newLedger(sequence uint64, models ...string) *Ledger {
-	e := New("e", "10.0.0.1:80", 7, start, Capacity{MemoryMB: 3*modelMB + 8, AdapterSlots: 2}, testSizes)
-	e.ObserveState(start, stateOf(sequence, models...))
-	return e
+	l := New("e", "10.0.0.1:80", 7, start, Capacity{MemoryMB: 3*modelMB + 8, AdapterSlots: 2}, testSizes)
+	l.ObserveState(start, stateOf(sequence, models...))
+	return l
 }
 
 func stateOf(sequence uint64, models ...string) State {
@@ -47,76 +47,76 @@
 		ask  Request
 		want CheckResult
 	}{
-		{"nothing known yet", func() *Ledger { return New("e", "a", 1, start, Capacity{}, testSizes) }, load("m", ""), StateUnknown},
+		{"state unknown", func() *Ledger { return New("e", "a", 1, start, Capacity{}, testSizes) }, load("m", ""), StateUnknown},
 		{"room for a model", func() *Ledger { return newLedger(1, "a", "b") }, load("c", ""), Allowed},
 		{"no room for a model", func() *Ledger { return newLedger(1, "a", "b", "c") }, load("d", ""), NoCapacity},
-		{"a model that is there", func() *Ledger { return newLedger(1, "a") }, load("a", ""), NoChange},
-		{"a model nobody can size", func() *Ledger { return newLedger(1) }, load("unknown", ""), SizeUnknown},
-		{"room for a model, which a late order to a former life may take", func() *Ledger {
-			e := newLedger(0, "a", "b")
-			e.ReserveDelayed([]DelayedOrder{NewDelayedOrder(start, load("c", ""))})
-			return e
+		{"a loaded model", func() *Ledger { return newLedger(1, "a") }, load("a", ""), NoChange},
+		{"a model of unknown size", func() *Ledger { return newLedger(1) }, load("unknown", ""), SizeUnknown},
+		{"room that a delayed order to an earlier incarnation may take", func() *Ledger {
+			l := newLedger(0, "a", "b")
+			l.ReserveDelayed([]DelayedOrder{NewDelayedOrder(start, load("c", ""))})
+			return l
 		}, load("d", ""), NoCapacity},
-		{"the same model as the late order's", func() *Ledger {
-			e := newLedger(0, "a", "b", "c")
-			e.ReserveDelayed([]DelayedOrder{NewDelayedOrder(start, load("c", ""))})
-			return e
+		{"a model that is loaded and in a delayed order", func() *Ledger {
+			l := newLedger(0, "a", "b", "c")
+			l.ReserveDelayed([]DelayedOrder{NewDelayedOrder(start, load("c", ""))})
+			return l
 		}, load("a", "x"), Allowed},
-		{"a late order whose time is over", func() *Ledger {
-			e := newLedger(0, "a", "b")
-			e.ReserveDelayed([]DelayedOrder{NewDelayedOrder(start, load("c", ""))})
-			e.Advance(start.Add(MaxOrderDelay))
-			return e
+		{"an expired delayed order", func() *Ledger {
+			l := newLedger(0, "a", "b")
+			l.ReserveDelayed([]DelayedOrder{NewDelayedOrder(start, load("c", ""))})
+			l.Advance(start.Add(MaxOrderDelay))
+			return l
 		}, load("d", ""), Allowed},
-		{"a late order that unloads", func() *Ledger {
-			e := newLedger(0, "a", "b")
-			e.ReserveDelayed([]DelayedOrder{NewDelayedOrder(start, Request{Model: "a"})})
-			return e
+		{"a delayed order to unload", func() *Ledger {
+			l := newLedger(0, "a", "b")
+			l.ReserveDelayed([]DelayedOrder{NewDelayedOrder(start, Request{Model: "a"})})
+			return l
 		}, load("c", ""), Allowed},
-		{"slots for adapters, which late orders may take", func() *Ledger {
-			e := newLedger(0, "a")
-			e.ReserveDelayed([]DelayedOrder{NewDelayedOrder(start, load("a", "y")), NewDelayedOrder(start, load("a", "z")), NewDelayedOrder(start, load("a", "z"))})
-			return e
+		{"adapter slots that delayed orders may take", func() *Ledger {
+			l := newLedger(0, "a")
+			l.ReserveDelayed([]DelayedOrder{NewDelayedOrder(start, load("a", "y")), NewDelayedOrder(start, load("a", "z")), NewDelayedOrder(start, load("a", "z"))})
+			return l
 		}, load("a", "x"), NoCapacity},
 		{"an adapter without its model", func() *Ledger { return newLedger(1, "a") }, load("b", "x"), ModelNotReady},
-		{"an adapter of a model there", func() *Ledger { return newLedger(1, "a") }, load("a", "x"), Allowed},
-		{"while an order is without an answer", func() *Ledger {
-			e := newLedger(1, "a")
-			e.RecordSent(load("a", "x"))
-			return e
+		{"an adapter of a loaded model", func() *Ledger { return newLedger(1, "a") }, load("a", "x"), Allowed},
+		{"an unanswered order", func() *Ledger {
+			l := newLedger(1, "a")
+			l.RecordSent(load("a", "x"))
+			return l
 		}, load("a", "y"), NotNow},
-		{"an adapter on its way", func() *Ledger {
-			e := newLedger(1, "a")
-			e.RecordSent(load("a", "x"))
-			e.RecordAccepted(start, time.Second)
-			return e
+		{"a loading adapter", func() *Ledger {
+			l := newLedger(1, "a")
+			l.RecordSent(load("a", "x"))
+			l.RecordAccepted(start, time.Second)
+			return l
 		}, load("a", "x"), InProgress},
 		{"no slot left", func() *Ledger {
-			e := newLedger(1, "a")
+			l := newLedger(1, "a")
 			for _, x := range []string{"x", "y"} {
-				e.RecordSent(load("a", x))
-				e.RecordAccepted(start, 0)
-				e.Advance(start)
+				l.RecordSent(load("a", x))
+				l.RecordAccepted(start, 0)
+				l.Advance(start)
 			}
-			return e
+			return l
 		}, load("a", "z"), NoCapacity},
-		{"a second model while one is on its way", func() *Ledger {
-			e := newLedger(1, "a")
-			e.RecordSent(load("b", ""))
-			e.RecordAccepted(start, 0)
-			return e
+		{"a second model while one is loading", func() *Ledger {
+			l := newLedger(1, "a")
+			l.RecordSent(load("b", ""))
+			l.RecordAccepted(start, 0)
+			return l
 		}, load("c", ""), NotNow},
 		{"after a lost answer", func() *Ledger {
-			e := newLedger(1, "a")
-			e.RecordSent(load("b", ""))
-			e.RecordLost()
-			return e
+			l := newLedger(1, "a")
+			l.RecordSent(load("b", ""))
+			l.RecordLost()
+			return l
 		}, load("a", "x"), StateUnknown},
-		{"dropping what is not there", func() *Ledger { return newLedger(1, "a") }, Request{Model: "b"}, NotLoaded},
-		{"dropping what is told to be leaving", func() *Ledger {
-			e := newLedger(1, "a")
-			e.MarkUnloading("a")
-			return e
+		{"unloading a model that is not loaded", func() *Ledger { return newLedger(1, "a") }, Request{Model: "b"}, NotLoaded},
+		{"unloading a model marked as unloading", func() *Ledger {
+			l := newLedger(1, "a")
+			l.MarkUnloading("a")
+			return l
 		}, Request{Model: "a"}, Allowed},
 	}
 	for _, c := range cases {
@@ -132,14 +132,14 @@
 // another model once exceeded the engine's memory.
 func TestUnknownLoadingModelBlocksOrders(t *testing.T) {
 	is := is.New(t)
-	e := New("e", "a", 9, start, Capacity{MemoryMB: 3*modelMB + 8, AdapterSlots: 2}, testSizes)
+	l := New("e", "a", 9, start, Capacity{MemoryMB: 3*modelMB + 8, AdapterSlots: 2}, testSizes)
 	busy := stateOf(6, "a", "b")
 	busy.Busy = true
-	e.ObserveState(start, busy)
-	is.Equal(e.Check(load("c", "")), StateUnknown)
-	is.True(e.Uncertain()) // its state must be queried again
-	e.ObserveState(start, stateOf(6, "a", "b", "d"))
-	is.Equal(e.Check(load("c", "")), NoCapacity)
+	l.ObserveState(start, busy)
+	is.Equal(l.Check(load("c", "")), StateUnknown)
+	is.True(l.Uncertain()) // its state must be queried again
+	l.ObserveState(start, stateOf(6, "a", "b", "d"))
+	is.Equal(l.Check(load("c", "")), NoCapacity)
 }
 
 // TestUnansweredOrderIsVoid checks that the effect of an unanswered order stays in the
@@ -147,33 +147,33 @@
 // that the engine reported.
 func TestUnansweredOrderIsVoid(t *testing.T) {
 	is := is.New(t)
-	e := newLedger(4, "a", "b")
-	e.RecordSent(load("c", ""))
-	e.RecordLost()
-	is.Equal(e.FreeMB(), int64(8))    // the unanswered order is counted
-	e.ObserveState(start, stateOf(3)) // older than the last answered order: ignored
-	is.Equal(e.FreeMB(), int64(8))
-	e.ObserveState(start, stateOf(4, "a", "b"))
-	is.Equal(e.Check(load("d", "")), Allowed)
-	is.Equal(e.Sequence(), uint64(4)) // so the lost order is void once this one is accepted
-	e.RecordSent(load("d", ""))
-	e.RecordAccepted(start, 0)
-	is.Equal(e.Sequence(), uint64(5))
+	l := newLedger(4, "a", "b")
+	l.RecordSent(load("c", ""))
+	l.RecordLost()
+	is.Equal(l.FreeMB(), int64(8))    // the unanswered order is counted
+	l.ObserveState(start, stateOf(3)) // older than the last answered order: ignored
+	is.Equal(l.FreeMB(), int64(8))
+	l.ObserveState(start, stateOf(4, "a", "b"))
+	is.Equal(l.Check(load("d", "")), Allowed)
+	is.Equal(l.Sequence(), uint64(4)) // so the lost order is void once this one is accepted
+	l.RecordSent(load("d", ""))
+	l.RecordAccepted(start, 0)
+	is.Equal(l.Sequence(), uint64(5))
 }
 
 // TestAnnouncementCompletesModelOrder: an engine announces a model when its order is
 // done. A model that the ledger does not know shows that an order took effect late.
 func TestAnnouncementCompletesModelOrder(t *testing.T) {
 	is := is.New(t)
-	e := newLedger(1, "a")
-	e.RecordSent(load("b", ""))
-	e.RecordAccepted(start, 0)
-	e.ObserveModels([]pool.AnnouncedModel{{Name: "a"}})
-	is.Equal(e.Phase("b"), pool.Loading)
-	e.ObserveModels([]pool.AnnouncedModel{{Name: "a"}, {Name: "b"}})
-	is.Equal(e.Phase("b"), pool.Ready)
-	e.ObserveModels([]pool.AnnouncedModel{{Name: "a"}, {Name: "b"}, {Name: "z"}})
-	is.True(e.Uncertain())
+	l := newLedger(1, "a")
+	l.RecordSent(load("b", ""))
+	l.RecordAccepted(start, 0)
+	l.ObserveModels([]pool.AnnouncedModel{{Name: "a"}})
+	is.Equal(l.Phase("b"), pool.Loading)
+	l.ObserveModels([]pool.AnnouncedModel{{Name: "a"}, {Name: "b"}})
+	is.Equal(l.Phase("b"), pool.Ready)
+	l.ObserveModels([]pool.AnnouncedModel{{Name: "a"}, {Name: "b"}, {Name: "z"}})
+	is.True(l.Uncertain())
 }
 
 // TestIdleAdapter checks that the least recently used adapter is returned, if it has been
@@ -185,24 +185,24 @@
 		used map[string]time.Duration // time since the last use, by adapter of model a
 		want string
 	}{
-		{"the least lately used", map[string]time.Duration{"x": time.Second, "y": 2 * time.Second}, "y"},
+		{"the least recently used", map[string]time.Duration{"x": time.Second, "y": 2 * time.Second}, "y"},
 		{"one was used just now", map[string]time.Duration{"x": time.Second, "y": 0}, "x"},
 		{"all were used just now", map[string]time.Duration{"x": 0, "y": idle - 1}, ""},
-		{"there is none", nil, ""},
+		{"no adapters", nil, ""},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			e := New("e", "10.0.0.1:80", 7, start, Capacity{MemoryMB: 3 * modelMB, AdapterSlots: 2}, testSizes)
+			l := New("e", "10.0.0.1:80", 7, start, Capacity{MemoryMB: 3 * modelMB, AdapterSlots: 2}, testSizes)
 			model := pool.AnnouncedModel{Name: "a"}
 			for name := range c.used {
 				model.Adapters = append(model.Adapters, name)
 			}
-			e.ObserveState(start.Add(-time.Hour), State{Models: []pool.AnnouncedModel{model}})
+			l.ObserveState(start.Add(-time.Hour), State{Models: []pool.AnnouncedModel{model}})
 			for name, ago := range c.used {
-				e.RecordUse(start.Add(-ago), pool.ItemName("a", name))
+				l.RecordUse(start.Add(-ago), pool.ItemName("a", name))
 			}
-			got, ok := e.IdleAdapter(start, idle)
+			got, ok := l.IdleAdapter(start, idle)
 			is.Equal(ok, c.want != "")
 			is.Equal(got.Adapter, c.want)
 		})
@@ -214,17 +214,17 @@
 // ordered one adapter more than the engine has slots for, and the engine crashed.
 func TestLoadingAdaptersTakeSlots(t *testing.T) {
 	is := is.New(t)
-	e := New("e", "10.0.0.1:80", 7, start, Capacity{MemoryMB: 3*modelMB + 8, AdapterSlots: 2}, testSizes)
-	e.ObserveState(start, State{
+	l := New("e", "10.0.0.1:80", 7, start, Capacity{MemoryMB: 3*modelMB + 8, AdapterSlots: 2}, testSizes)
+	l.ObserveState(start, State{
 		Sequence: 2,
 		Models:   []pool.AnnouncedModel{{Name: "m", Adapters: []string{"a1"}}},
 		Coming:   []string{"m/a2"},
 	})
-	is.Equal(e.Phase("m/a2"), pool.Loading)
-	is.Equal(e.Check(load("m", "a2")), InProgress)
-	is.Equal(e.Check(load("m", "a3")), NoCapacity)
-	e.Advance(start.Add(maxAdapterLoadTime - 1))
-	is.Equal(e.Phase("m/a2"), pool.Loading)
-	e.Advance(start.Add(maxAdapterLoadTime))
-	is.Equal(e.Phase("m/a2"), pool.Ready)
+	is.Equal(l.Phase("m/a2"), pool.Loading)
+	is.Equal(l.Check(load("m", "a2")), InProgress)
+	is.Equal(l.Check(load("m", "a3")), NoCapacity)
+	l.Advance(start.Add(maxAdapterLoadTime - 1))
+	is.Equal(l.Phase("m/a2"), pool.Loading)
+	l.Advance(start.Add(maxAdapterLoadTime))
+	is.Equal(l.Phase("m/a2"), pool.Ready)
 }
--- a/core/owned/late.go
+++ b/core/owned/late.go
@@ -25,18 +25,18 @@
 	if s.delayed == nil {
 		s.delayed = map[string][]delayedOrder{}
 	}
-	recent := slices.DeleteFunc(s.delayed[e.Name], func(l delayedOrder) bool { return !now.Before(l.Until) })
+	recent := slices.DeleteFunc(s.delayed[e.Name], func(d delayedOrder) bool { return !now.Before(d.Until) })
 	s.delayed[e.Name] = append(recent, delayedOrder{DelayedOrder: orders.NewDelayedOrder(now, r), incarnation: e.incarnation})
 }
 
 // delayedOrders returns the orders to earlier incarnations of an engine that may still
 // arrive.
-func (s *Engines) delayedOrders(now clock.Instant, life pool.Incarnation) []orders.DelayedOrder {
-	var late []orders.DelayedOrder
-	for _, l := range s.delayed[life.Name] {
-		if l.incarnation != life && now.Before(l.Until) {
-			late = append(late, l.DelayedOrder)
+func (s *Engines) delayedOrders(now clock.Instant, incarnation pool.Incarnation) []orders.DelayedOrder {
+	var delayed []orders.DelayedOrder
+	for _, d := range s.delayed[incarnation.Name] {
+		if d.incarnation != incarnation && now.Before(d.Until) {
+			delayed = append(delayed, d.DelayedOrder)
 		}
 	}
-	return late
+	return delayed
 }
--- a/core/owned/owned.go
+++ b/core/owned/owned.go
@@ -58,12 +58,12 @@
 	if r == nil {
 		return
 	}
-	limits, sizes, ok := s.capacityOf(r)
+	capacity, sizes, ok := s.capacityOf(r)
 	if !ok {
 		return
 	}
 	e := &Engine{
-		Ledger:      orders.New(r.Name, r.Address, o.Revision, from, limits, sizes),
+		Ledger:      orders.New(r.Name, r.Address, o.Revision, from, capacity, sizes),
 		Settled:     o.FormerOwner == "",
 		incarnation: r.Incarnation(),
 		acquiredAt:  now,
@@ -77,35 +77,35 @@
 	s.queryState(now, e)
 }
 
-// Lose ends the ownership of an engine. Its queued requests are refused with why as the
+// Lose ends the ownership of an engine. Its queued requests are refused with reason as the
 // detail.
-func (s *Engines) Lose(now clock.Instant, name, why string) {
+func (s *Engines) Lose(now clock.Instant, name, reason string) {
 	e := s.engines[name]
 	if e == nil {
 		return
 	}
 	delete(s.engines, name)
 	s.recordDelayed(now, e)
-	s.Out.Log(logevent.EngineLost, "engine", name, "fence", e.Fence, "detail", why)
+	s.Out.Log(logevent.EngineLost, "engine", name, "fence", e.Fence, "detail", reason)
 	for _, q := range e.queue {
-		s.replyAll(now, e, q, Refused, why)
+		s.replyAll(now, e, q, Refused, reason)
 	}
 }
 
 // LoseUnsettled ends the ownership of the engines that may not be sent orders yet because
 // orders of a former owner may still arrive.
-func (s *Engines) LoseUnsettled(now clock.Instant, why string) {
+func (s *Engines) LoseUnsettled(now clock.Instant, reason string) {
 	for _, name := range s.Names() {
 		if e := s.engines[name]; !e.Settled || now.Before(e.From) {
-			s.Lose(now, name, why)
+			s.Lose(now, name, reason)
 		}
 	}
 }
 
 // LoseAll ends every ownership.
-func (s *Engines) LoseAll(now clock.Instant, why string) {
+func (s *Engines) LoseAll(now clock.Instant, reason string) {
 	for _, name := range s.Names() {
-		s.Lose(now, name, why)
+		s.Lose(now, name, reason)
 	}
 }
 
@@ -117,18 +117,18 @@
 		if r == nil {
 			continue
 		}
-		if limits, sizes, ok := s.capacityOf(r); ok {
-			e.Configure(limits, sizes)
+		if capacity, sizes, ok := s.capacityOf(r); ok {
+			e.Configure(capacity, sizes)
 		}
 	}
 }
 
 // capacityOf returns the capacity and the sizes that the configuration gives for an
 // engine's pool.
-func (s *Engines) capacityOf(r *pool.Replica) (limits orders.Capacity, sizes orders.SizeFunc, ok bool) {
+func (s *Engines) capacityOf(r *pool.Replica) (capacity orders.Capacity, sizes orders.SizeFunc, ok bool) {
 	p, ok := s.Config.EnginePool(r.Service)
 	if !ok {
-		return limits, nil, false
+		return capacity, nil, false
 	}
 	return orders.Capacity{MemoryMB: p.MemoryMB, AdapterSlots: p.MaxAdapters}, sizesOf(p), true
 }
@@ -176,7 +176,7 @@
 		e := s.engines[name]
 		r := s.Pool.Get(name)
 		if r == nil || r.Leaving() {
-			s.Lose(now, name, "it is leaving")
+			s.Lose(now, name, "the engine is leaving")
 			continue
 		}
 		if e.incarnation.Born == "" {
@@ -186,7 +186,7 @@
 			// The new incarnation starts its count of orders again and holds nothing. The
 			// ledger of the former one would reject its states as too old and never send
 			// it an order.
-			s.Lose(now, name, "it started again")
+			s.Lose(now, name, "the engine restarted")
 			continue
 		}
 		e.Advance(now)
@@ -226,9 +226,9 @@
 	}
 	e.publishedVersion = e.Version()
 	e.residencyChange++
-	res := pool.Residency{Boot: uint64(e.Fence), Change: e.residencyChange, Born: e.incarnation.Born, Items: e.Items()}
-	if s.Records.AddResidency("", gossip.Residency{Engine: e.Name, Residency: res}) {
-		s.Pool.ObserveResidency(now, e.Name, res)
+	residency := pool.Residency{Boot: uint64(e.Fence), Change: e.residencyChange, Born: e.incarnation.Born, Items: e.Items()}
+	if s.Records.AddResidency("", gossip.Residency{Engine: e.Name, Residency: residency}) {
+		s.Pool.ObserveResidency(now, e.Name, residency)
 		s.Published(now)
 	}
 }
--- a/core/owned/queue.go
+++ b/core/owned/queue.go
@@ -79,13 +79,13 @@
 func (SendOrder) IsAction() {}
 
 // HandleRequest handles a peer's request for an order.
-func (s *Engines) HandleRequest(now clock.Instant, a RequestReceived) {
-	e := s.engines[a.Engine]
+func (s *Engines) HandleRequest(now clock.Instant, r RequestReceived) {
+	e := s.engines[r.Engine]
 	if e == nil {
-		s.Out.Emit(SendReply{Token: a.Token, Outcome: Refused, Detail: "this instance does not order the engine"})
+		s.Out.Emit(SendReply{Token: r.Token, Outcome: Refused, Detail: "this instance does not own the engine"})
 		return
 	}
-	s.enqueue(now, e, a.Request, waiter{token: a.Token})
+	s.enqueue(now, e, r.Request, waiter{token: r.Token})
 }
 
 // Request requests an order to an engine that this instance owns, on behalf of this
@@ -121,16 +121,16 @@
 // processQueue processes the requests queued at an engine: it removes those that are done
 // and sends the next order that may be sent.
 func (s *Engines) processQueue(now clock.Instant, e *Engine) {
-	var rest []queuedRequest
+	var remaining []queuedRequest
 	queue := e.queue
 	e.queue = nil
 	for _, q := range queue {
 		if s.process(now, e, &q) {
 			continue
 		}
-		rest = append(rest, q)
+		remaining = append(remaining, q)
 	}
-	e.queue = append(rest, e.queue...)
+	e.queue = append(remaining, e.queue...)
 }
 
 // process processes one queued request and reports whether it is done.
@@ -150,11 +150,11 @@
 		}
 	case orders.NoCapacity:
 		if q.request.Adapter == "" || !s.evictAdapter(now, e) {
-			s.replyAll(now, e, *q, Refused, "no room")
+			s.replyAll(now, e, *q, Refused, "memory or adapter slots are missing")
 			return true
 		}
 	case orders.ModelNotReady, orders.SizeUnknown:
-		s.replyAll(now, e, *q, Refused, "the model is not there")
+		s.replyAll(now, e, *q, Refused, "the model is not loaded or not configured")
 		return true
 	}
 	if now.Before(q.expiresAt) {
@@ -188,7 +188,7 @@
 }
 
 // unreachableDetail is the detail of refusals for an unreachable engine.
-const unreachableDetail = "nothing answers at the engine"
+const unreachableDetail = "the engine is unreachable"
 
 // down reports whether the engine was unreachable a moment ago.
 func (s *Engines) down(now clock.Instant, e *Engine) bool {
@@ -248,7 +248,7 @@
 		s.Pool.MarkTerminated(e.Name)
 	case orders.AnswerFenced:
 		e.RecordFailed()
-		s.Lose(now, e.Name, "the engine has seen a later fence")
+		s.Lose(now, e.Name, "the engine has seen a higher fence")
 		return
 	case orders.AnswerLost:
 		s.recordDelayed(now, e)
--- a/core/owned/state.go
+++ b/core/owned/state.go
@@ -97,8 +97,8 @@
 	if !ok {
 		return queryInterval
 	}
-	facts, _ := p.Model(model) // an unknown model has no load times
-	return LoadTime(facts, r.Announcement())
+	pooled, _ := p.Model(model) // an unknown model has no load times
+	return LoadTime(pooled, r.Announcement())
 }
 
 // LoadTime returns how long an engine with this announcement takes to load a model. It
--- a/core/permits/coordinator.go
+++ b/core/permits/coordinator.go
@@ -103,25 +103,25 @@
 // processor, then the highest rendezvous score.
 func (v fleetView) coordinatorFor(r Request) string {
 	type rank struct {
-		near      bool
+		sameZone  bool
 		processor float64
 		score     uint64
 	}
 	key := rendezvous.Key(r.Resource.String())
 	var best string
-	var top rank
+	var bestRank rank
 	for _, i := range v.instances {
-		x := rank{i.Zone == r.Zone, i.Processor, rendezvous.Score(key, i.Name)}
-		better := x.score > top.score
+		candidate := rank{i.Zone == r.Zone, i.Processor, rendezvous.Score(key, i.Name)}
+		better := candidate.score > bestRank.score
 		switch {
-		case x.near != top.near:
-			better = x.near
-		case x.processor != top.processor:
-			better = x.processor > top.processor
+		case candidate.sameZone != bestRank.sameZone:
+			better = candidate.sameZone
+		case candidate.processor != bestRank.processor:
+			better = candidate.processor > bestRank.processor
 		}
 		if best == "" || better {
 			best = i.Name
-			top = x
+			bestRank = candidate
 		}
 	}
 	return best
@@ -155,7 +155,7 @@
 // others may be partitioned from it and send to the replica with permits from another
 // coordinator.
 func (p *Permits) reachableShare(now clock.Instant) float64 {
-	all, answering := 1, 1
+	total, reachable := 1, 1
 	for name := range p.Instances() {
 		if name == p.Self.Name {
 			continue
@@ -164,12 +164,12 @@
 		if peer == nil || peer.Leaving {
 			continue // it is just starting or stopping
 		}
-		all++
+		total++
 		if p.isCandidate(now, name) {
-			answering++
+			reachable++
 		}
 	}
-	return float64(answering) / float64(all)
+	return float64(reachable) / float64(total)
 }
 
 // A quota is the amount of a resource that may be granted.
@@ -182,7 +182,7 @@
 
 // quota returns how much of a request's resource all instances together may be granted;
 // bounded is false if the resource has no limit.
-func (c *coordinator) quota(now clock.Instant, r Request) (s quota, bounded bool) {
+func (c *coordinator) quota(now clock.Instant, r Request) (q quota, bounded bool) {
 	if r.Service != "" {
 		// Half of the amount may accumulate and half is refilled in each span, so that no
 		// span grants more than the whole.
@@ -197,19 +197,19 @@
 }
 
 // ownQuota returns the part of a quota that this instance grants.
-func (c *coordinator) ownQuota(now clock.Instant, b *bucket, s quota) quota {
+func (c *coordinator) ownQuota(now clock.Instant, b *bucket, q quota) quota {
 	share := c.p.reachableShare(now)
-	rate := share * s.rate
-	if b.coordinatorSince.IsZero() || now.Since(b.coordinatorSince) < s.probation {
+	rate := share * q.rate
+	if b.coordinatorSince.IsZero() || now.Since(b.coordinatorSince) < q.probation {
 		rate *= probationShare
 	}
-	return quota{rate: rate, burst: max(min(s.burst, minBurst), share*s.burst)}
+	return quota{rate: rate, burst: max(min(q.burst, minBurst), share*q.burst)}
 }
 
 // admit handles a request: it grants, queues or denies it.
 func (c *coordinator) admit(now clock.Instant, w queuedRequest) {
 	w.queuedAt = now
-	s, bounded := c.quota(now, w.request)
+	q, bounded := c.quota(now, w.request)
 	if !bounded {
 		c.reply(now, w, Decision{Granted: true})
 		return
@@ -218,8 +218,8 @@
 		c.reply(now, w, Decision{}) // the others do not know this instance, so it may wrongly believe that it is alone
 		return
 	}
-	b := c.bucket(now, w.request, s)
-	b.tokens.refill(now, c.ownQuota(now, b, s))
+	b := c.bucket(now, w.request, q)
+	b.tokens.refill(now, c.ownQuota(now, b, q))
 	c.grantAvailable(now, b)
 	wait, fits := b.queueWait(w.request.Rank)
 	if !fits || wait > w.request.Wait {
@@ -265,26 +265,26 @@
 	if c.buckets[r.Resource] == nil && c.p.coordinatorFor(now, r) != c.p.Self.Name {
 		return
 	}
-	s, bounded := c.quota(now, r)
+	q, bounded := c.quota(now, r)
 	if !bounded {
 		return
 	}
-	b := c.bucket(now, r, s)
-	b.tokens.refill(now, c.ownQuota(now, b, s))
+	b := c.bucket(now, r, q)
+	b.tokens.refill(now, c.ownQuota(now, b, q))
 }
 
 // bucket returns the bucket of a resource, creating it if necessary, and updates whether
 // this instance is its coordinator.
-func (c *coordinator) bucket(now clock.Instant, r Request, s quota) *bucket {
+func (c *coordinator) bucket(now clock.Instant, r Request, q quota) *bucket {
 	b := c.buckets[r.Resource]
 	if b == nil {
-		b = &bucket{tokens: newTokenBucket(now, s)}
+		b = &bucket{tokens: newTokenBucket(now, q)}
 		c.buckets[r.Resource] = b
 	}
-	switch first := c.p.coordinatorFor(now, r) == c.p.Self.Name; {
-	case !first:
+	switch isCoordinator := c.p.coordinatorFor(now, r) == c.p.Self.Name; {
+	case !isCoordinator:
 		b.coordinatorSince = clock.Instant{}
-	case b.coordinatorSince.IsZero(), now.MaxElapsed(b.lastUsed) > s.probation:
+	case b.coordinatorSince.IsZero(), now.MaxElapsed(b.lastUsed) > q.probation:
 		b.coordinatorSince = c.p.coordinatorSince(now, r)
 	}
 	b.lastUsed = now
@@ -335,24 +335,24 @@
 }
 
 // reply sends a decision to the sender of the request.
-func (c *coordinator) reply(now clock.Instant, w queuedRequest, v Decision) {
+func (c *coordinator) reply(now clock.Instant, w queuedRequest, d Decision) {
 	if w.peerToken != 0 {
 		if r := c.p.Pool.Get(w.request.Replica.Name); r != nil && r.MayBeIncarnation(w.request.Replica.Born) {
-			v.Word = r.LimitReport()
-			v.Word.EventTime = v.Word.ForWire(now)
+			d.Word = r.LimitReport()
+			d.Word.EventTime = d.Word.ForWire(now)
 		}
-		c.p.Out.Emit(SendReply{Token: w.peerToken, Verdict: v})
+		c.p.Out.Emit(SendReply{Token: w.peerToken, Verdict: d})
 		return
 	}
-	if a := c.p.pending[w.localToken]; a != nil {
+	if req := c.p.pending[w.localToken]; req != nil {
 		delete(c.p.pending, w.localToken)
-		c.p.deliver(now, a, v)
+		c.p.deliver(now, req, d)
 	}
 }
 
 // release takes back a permit that was not used.
-func (c *coordinator) release(now clock.Instant, s Resource) {
-	if b := c.buckets[s]; b != nil {
+func (c *coordinator) release(now clock.Instant, r Resource) {
+	if b := c.buckets[r]; b != nil {
 		b.tokens.release()
 		c.grantAvailable(now, b)
 	}
@@ -360,11 +360,11 @@
 
 // tick processes the queues and deletes idle buckets.
 func (c *coordinator) tick(now clock.Instant) {
-	for _, subject := range slices.SortedFunc(maps.Keys(c.buckets), Resource.Compare) {
-		b := c.buckets[subject]
+	for _, resource := range slices.SortedFunc(maps.Keys(c.buckets), Resource.Compare) {
+		b := c.buckets[resource]
 		if len(b.queue) == 0 {
 			if now.Since(b.lastUsed) > bucketIdleTimeout {
-				delete(c.buckets, subject)
+				delete(c.buckets, resource)
 			}
 			continue
 		}
@@ -375,22 +375,22 @@
 // processQueue grants queued requests for which there are tokens, and denies those whose
 // wait has expired because more urgent ones overtook them or the limit fell.
 func (c *coordinator) processQueue(now clock.Instant, b *bucket) {
-	s, bounded := c.quota(now, b.queue[0].request)
+	q, bounded := c.quota(now, b.queue[0].request)
 	if !bounded {
 		c.grantAll(now, b)
 		return
 	}
-	b.tokens.refill(now, c.ownQuota(now, b, s))
+	b.tokens.refill(now, c.ownQuota(now, b, q))
 	c.grantAvailable(now, b)
-	var over []queuedRequest
+	var expired []queuedRequest
 	b.queue = slices.DeleteFunc(b.queue, func(w queuedRequest) bool {
-		late := now.Since(w.queuedAt) > w.request.Wait
-		if late {
-			over = append(over, w)
+		tooLate := now.Since(w.queuedAt) > w.request.Wait
+		if tooLate {
+			expired = append(expired, w)
 		}
-		return late
+		return tooLate
 	})
-	for _, w := range over {
+	for _, w := range expired {
 		c.reply(now, w, c.deny(now, b, w, b.tokens.waitFor(len(b.queue)+1)))
 	}
 }
--- a/core/permits/permits.go
+++ b/core/permits/permits.go
@@ -67,11 +67,11 @@
 }
 
 // String returns the name of the resource for logs.
-func (s Resource) String() string { return cmp.Or(s.Service, s.Replica.Name) }
+func (r Resource) String() string { return cmp.Or(r.Service, r.Replica.Name) }
 
 // Compare orders resources.
-func (s Resource) Compare(other Resource) int {
-	return cmp.Or(cmp.Compare(s.Service, other.Service), s.Replica.Compare(other.Replica))
+func (r Resource) Compare(other Resource) int {
+	return cmp.Or(cmp.Compare(r.Service, other.Service), r.Replica.Compare(other.Replica))
 }
 
 // A Request asks for one permit or releases one.
@@ -148,12 +148,12 @@
 	// Stopping reports whether a planned stop has begun.
 	Stopping func() bool
 	// Told records what a peer knows of a replica's rate limit.
-	Told func(now clock.Instant, from string, life pool.Incarnation, w pool.LimitReport)
+	Told func(now clock.Instant, from string, incarnation pool.Incarnation, report pool.LimitReport)
 	// Repeats returns how many retries of a service's calls belong to no single instance
 	// in each span of the retry budget.
 	Repeats func() (amount float64, span time.Duration)
 	// Decided is called with the decision on a call's request.
-	Decided func(now clock.Instant, call calls.ID, s Resource, v Decision)
+	Decided func(now clock.Instant, call calls.ID, r Resource, d Decision)
 }
 
 // Permits requests the permits that this instance needs and, as coordinator, grants
@@ -258,17 +258,17 @@
 }
 
 // dispatch sends a request to the coordinator of its resource, or handles it here.
-func (p *Permits) dispatch(now clock.Instant, a *pendingRequest) {
+func (p *Permits) dispatch(now clock.Instant, req *pendingRequest) {
 	p.lastToken++
 	token := p.lastToken
-	p.pending[token] = a
-	a.sentAt = now
-	a.peer = p.choosePeer(now, a)
-	if a.peer == "" {
-		p.coordinator.admit(now, queuedRequest{localToken: token, request: a.request})
+	p.pending[token] = req
+	req.sentAt = now
+	req.peer = p.choosePeer(now, req)
+	if req.peer == "" {
+		p.coordinator.admit(now, queuedRequest{localToken: token, request: req.request})
 		return
 	}
-	p.send(now, token, a.peer, a.request)
+	p.send(now, token, req.peer, req.request)
 }
 
 // send sends a request to a peer.
@@ -279,12 +279,12 @@
 
 // choosePeer returns the peer to send the request to, "" if this instance decides by
 // itself.
-func (p *Permits) choosePeer(now clock.Instant, a *pendingRequest) string {
-	if a.attempts >= maxPeerAttempts {
+func (p *Permits) choosePeer(now clock.Instant, req *pendingRequest) string {
+	if req.attempts >= maxPeerAttempts {
 		return ""
 	}
-	if first := p.coordinatorFor(now, a.request); first != p.Self.Name {
-		return first
+	if coordinator := p.coordinatorFor(now, req.request); coordinator != p.Self.Name {
+		return coordinator
 	}
 	return ""
 }
@@ -292,71 +292,71 @@
 // HandleReply handles a peer's reply, or its absence. If there was none, it tries another
 // instance.
 func (p *Permits) HandleReply(now clock.Instant, e Reply) {
-	a := p.pending[e.Token]
-	if a == nil {
+	req := p.pending[e.Token]
+	if req == nil {
 		return
 	}
 	delete(p.pending, e.Token)
 	if e.Err != nil {
-		p.Out.Log(logevent.PermitFailed, "for", a.request.Resource.String(), "peer", a.peer, "error", e.Err.Error())
-		p.backoffUntil[a.peer] = now.Add(peerBackoff)
-		p.retry(now, a)
+		p.Out.Log(logevent.PermitFailed, "for", req.request.Resource.String(), "peer", req.peer, "error", e.Err.Error())
+		p.backoffUntil[req.peer] = now.Add(peerBackoff)
+		p.retry(now, req)
 		return
 	}
-	p.observeLimit(now, a.peer, a.request.Replica, e.Verdict.Word)
-	p.deliver(now, a, e.Verdict)
+	p.observeLimit(now, req.peer, req.request.Replica, e.Verdict.Word)
+	p.deliver(now, req, e.Verdict)
 }
 
 // retry sends the request to another instance, unless its wait has expired: such a call
 // goes to another replica that can serve it.
-func (p *Permits) retry(now clock.Instant, a *pendingRequest) {
-	a.request.Wait -= now.Since(a.sentAt)
-	if a.request.Wait <= 0 {
-		p.deliver(now, a, Decision{Turn: peerBackoff, After: peerBackoff})
+func (p *Permits) retry(now clock.Instant, req *pendingRequest) {
+	req.request.Wait -= now.Since(req.sentAt)
+	if req.request.Wait <= 0 {
+		p.deliver(now, req, Decision{Turn: peerBackoff, After: peerBackoff})
 		return
 	}
-	a.attempts++
-	p.dispatch(now, a)
+	req.attempts++
+	p.dispatch(now, req)
 }
 
 // deliver passes on the decision on a request. A permit that took too long to arrive, for
 // instance because this instance was suspended, is void.
-func (p *Permits) deliver(now clock.Instant, a *pendingRequest, v Decision) {
-	v.Granted = v.Granted && now.MaxElapsed(a.sentAt)-v.Held < permitTTL
-	if r := p.Pool.Get(a.request.Replica.Name); r != nil {
-		r.SetNextSend(now.Add(v.Turn))
+func (p *Permits) deliver(now clock.Instant, req *pendingRequest, d Decision) {
+	d.Granted = d.Granted && now.MaxElapsed(req.sentAt)-d.Held < permitTTL
+	if r := p.Pool.Get(req.request.Replica.Name); r != nil {
+		r.SetNextSend(now.Add(d.Turn))
 	}
-	if a.call != 0 {
-		p.Decided(now, a.call, a.request.Resource, v)
+	if req.call != 0 {
+		p.Decided(now, req.call, req.request.Resource, d)
 		return
 	}
-	o := p.orderPermits[a.order]
+	o := p.orderPermits[req.order]
 	o.pending = false
-	if v.Granted {
+	if d.Granted {
 		o.validUntil = now.Add(permitTTL)
 	}
-	p.orderPermits[a.order] = o
+	p.orderPermits[req.order] = o
 }
 
 // Release gives back a permit that will not be used.
-func (p *Permits) Release(now clock.Instant, s Resource) {
-	request := Request{Resource: s, Unused: true}
-	if r := p.Pool.Get(s.Replica.Name); r != nil {
+func (p *Permits) Release(now clock.Instant, resource Resource) {
+	request := Request{Resource: resource, Unused: true}
+	if r := p.Pool.Get(resource.Replica.Name); r != nil {
 		request.Zone = r.Zone
 	}
-	first := p.coordinatorFor(now, request)
-	if first == p.Self.Name {
-		p.coordinator.release(now, s)
+	coordinator := p.coordinatorFor(now, request)
+	if coordinator == p.Self.Name {
+		p.coordinator.release(now, resource)
 		return
 	}
-	p.send(now, 0, first, request)
+	p.send(now, 0, coordinator, request)
 }
 
 // observeLimit records what a peer knows of a replica's rate limit, if it knows one.
-func (p *Permits) observeLimit(now clock.Instant, from string, life pool.Incarnation, w pool.LimitReport) {
-	if !w.IsZero() {
-		w.EventTime = w.FromWire(now)
-		p.Told(now, from, life, w)
+func (p *Permits) observeLimit(now clock.Instant, from string, incarnation pool.Incarnation, report pool.LimitReport) {
+	if !report.IsZero() {
+		report.EventTime = report.FromWire(now)
+		p.Told(now, from, incarnation, report)
 	}
 }
 
--- a/core/permits/tokens.go
+++ b/core/permits/tokens.go
@@ -24,19 +24,19 @@
 	rate       float64       // tokens per second
 }
 
-func newTokenBucket(now clock.Instant, s quota) tokenBucket {
-	return tokenBucket{available: s.initial, refilledAt: now}
+func newTokenBucket(now clock.Instant, q quota) tokenBucket {
+	return tokenBucket{available: q.initial, refilledAt: now}
 }
 
 // refill adds the tokens since the last refill at the previous rate, then applies the
 // rate and burst of q.
-func (t *tokenBucket) refill(now clock.Instant, s quota) {
+func (t *tokenBucket) refill(now clock.Instant, q quota) {
 	if span := now.Since(t.refilledAt); span > 0 {
 		t.available += t.rate * span.Seconds()
 		t.refilledAt = now
 	}
-	t.rate = s.rate
-	t.available = min(t.available, s.burst)
+	t.rate = q.rate
+	t.available = min(t.available, q.burst)
 }
 
 // take takes one token and reports whether there was one.
--- a/core/placement/budget_test.go
+++ b/core/placement/budget_test.go
@@ -45,18 +45,18 @@
 	opt := option.Default()
 	const rate = 2.0
 	for _, tt := range []struct {
-		name  string
-		begun time.Duration // how long before its stop the first placer started
-		spent int
-		want  float64 // remaining loads
+		name       string
+		startedAgo time.Duration // how long before its stop the first placer started
+		spent      int
+		want       float64 // remaining loads
 	}{
 		{"a full budget", time.Minute, 0, loadBurst},
 		{"one spent", time.Minute, 1, loadBurst - 1},
-		{"while a former one may be at work", 0, 0, -loadShare * rate * opt.OrderValid.Seconds()},
+		{"while a former placer may be active", 0, 0, -loadShare * rate * opt.OrderValid.Seconds()},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
-			first := newLoadBudget(now.Add(-tt.begun))
+			first := newLoadBudget(now.Add(-tt.startedAgo))
 			first.refill(now, rate, &opt)
 			for range tt.spent {
 				is.True(first.take())
--- a/core/placement/changes.go
+++ b/core/placement/changes.go
@@ -127,10 +127,10 @@
 
 // Plan returns the changes to start now, the most valuable first.
 func Plan(in Input) []Change {
-	r := newPlanner(in)
+	p := newPlanner(in)
 	var changes []Change
-	for _, c := range r.candidates() {
-		if change, ok := r.place(c); ok {
+	for _, c := range p.candidates() {
+		if change, ok := p.place(c); ok {
 			changes = append(changes, change)
 		}
 	}
@@ -154,59 +154,59 @@
 }
 
 func newPlanner(in Input) *planner {
-	r := &planner{in: in, copies: map[string]int{}, zoneCopies: map[string]map[string]int{}, cached: map[string]int{}, storeLoads: in.StoreLoads}
+	p := &planner{in: in, copies: map[string]int{}, zoneCopies: map[string]map[string]int{}, cached: map[string]int{}, storeLoads: in.StoreLoads}
 	for _, e := range in.Engines {
-		r.engines = append(r.engines, &engine{Engine: e})
-		r.countCached(e)
+		p.engines = append(p.engines, &engine{Engine: e})
+		p.countCached(e)
 		if !e.Sound {
 			continue
 		}
 		for _, c := range e.Copies {
 			if !c.Leaving && !c.Uncarried {
-				r.addCopies(c.Model, e.Zone, 1)
+				p.addCopies(c.Model, e.Zone, 1)
 			}
 		}
 	}
-	for _, e := range r.engines {
+	for _, e := range p.engines {
 		for _, c := range e.Copies {
 			if !c.Leaving {
-				e.work += r.workPerCopy(c.Model)
+				e.work += p.workPerCopy(c.Model)
 			}
 		}
 	}
-	return r
+	return p
 }
 
 // countCached counts the models whose weights are on an engine's disk or in its host
 // memory.
-func (r *planner) countCached(e Engine) {
+func (p *planner) countCached(e Engine) {
 	if !e.Sound || !e.Open {
 		return
 	}
-	for model, there := range e.OnDisk {
-		if there {
-			r.cached[model]++
+	for model, cached := range e.OnDisk {
+		if cached {
+			p.cached[model]++
 		}
 	}
-	for model, there := range e.InMemory {
-		if there && !e.OnDisk[model] {
-			r.cached[model]++
+	for model, cached := range e.InMemory {
+		if cached && !e.OnDisk[model] {
+			p.cached[model]++
 		}
 	}
 }
 
 // addCopies adds n copies of a model in a zone; n may be negative.
-func (r *planner) addCopies(model, zone string, n int) {
-	r.copies[model] += n
-	if r.zoneCopies[model] == nil {
-		r.zoneCopies[model] = map[string]int{}
+func (p *planner) addCopies(model, zone string, n int) {
+	p.copies[model] += n
+	if p.zoneCopies[model] == nil {
+		p.zoneCopies[model] = map[string]int{}
 	}
-	r.zoneCopies[model][zone] += n
+	p.zoneCopies[model][zone] += n
 }
 
 // workPerCopy returns the work of one copy of a model.
-func (r *planner) workPerCopy(model string) float64 {
-	return r.in.Demand[model].Work / float64(max(1, r.copies[model]))
+func (p *planner) workPerCopy(model string) float64 {
+	return p.in.Demand[model].Work / float64(max(1, p.copies[model]))
 }
 
 // A candidate is an additional copy of a model.
@@ -217,8 +217,8 @@
 
 // value returns the value of the nth copy of a model: the work that it takes off the
 // others, and more if there are none or they have too much work.
-func (r *planner) value(model string, n int) float64 {
-	d := r.in.Demand[model]
+func (p *planner) value(model string, n int) float64 {
+	d := p.in.Demand[model]
 	if n <= 1 {
 		return unusedValue + d.Work + missValue*max(d.Absent, d.Rate)
 	}
@@ -241,13 +241,13 @@
 // candidates returns the additional copies that are worth considering, the most valuable
 // first and at most one of each model. Copies whose value is too small for any source of
 // weights are left out, since each candidate is evaluated on every engine.
-func (r *planner) candidates() []candidate {
+func (p *planner) candidates() []candidate {
 	var candidates []candidate
-	for name := range r.in.Models {
-		if r.in.OnlyAbsent && (r.copies[name] > 0 || r.in.Demand[name].Absent == 0) {
+	for name := range p.in.Models {
+		if p.in.OnlyAbsent && (p.copies[name] > 0 || p.in.Demand[name].Absent == 0) {
 			continue
 		}
-		if value := r.value(name, r.copies[name]+1); value >= minCachedValue || r.copies[name] == 0 {
+		if value := p.value(name, p.copies[name]+1); value >= minCachedValue || p.copies[name] == 0 {
 			candidates = append(candidates, candidate{model: name, value: value})
 		}
 	}
@@ -269,11 +269,11 @@
 	score  float64 // value less cost and the penalty for the engine's work
 }
 
-func (r *planner) place(c candidate) (Change, bool) {
+func (p *planner) place(c candidate) (Change, bool) {
 	var best choice
 	found := false
-	for _, e := range r.engines {
-		o, ok := r.evaluate(e, c)
+	for _, e := range p.engines {
+		o, ok := p.evaluate(e, c)
 		if ok && (!found || o.score > best.score) {
 			best = o
 			found = true
@@ -284,26 +284,26 @@
 	}
 	change := Change{
 		Engine: best.engine.Name, Load: c.model, Drop: best.drop, Source: best.source,
-		Value: c.value, Cost: best.cost, Work: r.in.Demand[c.model].Work, Copies: r.copies[c.model],
+		Value: c.value, Cost: best.cost, Work: p.in.Demand[c.model].Work, Copies: p.copies[c.model],
 	}
-	r.apply(best, c)
+	p.apply(best, c)
 	return change, true
 }
 
 // apply updates the planner as if the change were done.
-func (r *planner) apply(o choice, c candidate) {
+func (p *planner) apply(o choice, c candidate) {
 	o.engine.changing = true
 	if o.source == pool.WeightStore {
-		r.storeLoads--
+		p.storeLoads--
 	}
-	r.addCopies(c.model, o.engine.Zone, 1)
+	p.addCopies(c.model, o.engine.Zone, 1)
 	for _, model := range o.drop {
-		r.addCopies(model, o.engine.Zone, -1)
+		p.addCopies(model, o.engine.Zone, -1)
 	}
 }
 
 // evaluate returns how a candidate could be placed on an engine, if it is worth its cost.
-func (r *planner) evaluate(e *engine, c candidate) (choice, bool) {
+func (p *planner) evaluate(e *engine, c candidate) (choice, bool) {
 	if !e.Open || !e.Sound || e.changing || e.has(c.model) {
 		return choice{}, false
 	}
@@ -311,27 +311,27 @@
 	least := minCachedValue
 	if o.source == pool.WeightStore {
 		least = minStoreValue
-		if r.storeLoads <= 0 {
+		if p.storeLoads <= 0 {
 			return choice{}, false
 		}
 	}
-	first := r.copies[c.model] == 0
+	first := p.copies[c.model] == 0
 	if c.value < least && !first {
 		return choice{}, false
 	}
 	if !first && e.work > maxEngineWork {
 		return choice{}, false
 	}
-	if !r.chooseVictims(&o, c) {
+	if !p.chooseVictims(&o, c) {
 		return choice{}, false
 	}
-	if r.in.Blind && len(o.drop) > 0 && r.in.Demand[c.model].Absent == 0 {
+	if p.in.Blind && len(o.drop) > 0 && p.in.Demand[c.model].Absent == 0 {
 		return choice{}, false
 	}
 	if o.cost > 0 && c.value < minValueRatio*o.cost {
 		return choice{}, false
 	}
-	if r.zoneCopies[c.model][e.Zone] == 0 {
+	if p.zoneCopies[c.model][e.Zone] == 0 {
 		o.score += zoneBonus
 	}
 	o.score += c.value - o.cost - engineWorkWeight*e.work + sourceBonus[o.source]
--- a/core/placement/changes_test.go
+++ b/core/placement/changes_test.go
@@ -40,8 +40,8 @@
 		elsewhere bool
 		want      int
 	}{
-		{"weights at hand nowhere else", false, 0},
-		{"weights at hand elsewhere", true, 1},
+		{"weights cached nowhere else", false, 0},
+		{"weights cached elsewhere", true, 1},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/core/placement/input.go
+++ b/core/placement/input.go
@@ -11,9 +11,9 @@
 
 // input returns the input of the placement plan for one service's models.
 func (p *Placer) input(now clock.Instant, svc config.Service) Input {
-	engines := svc.Announced.Engine
+	enginePool := svc.Announced.Engine
 	in := Input{
-		Models:      make(map[string]Model, len(engines.Models)),
+		Models:      make(map[string]Model, len(enginePool.Models)),
 		Demand:      map[string]Demand{},
 		StoreLoads:  p.plannableLoads(),
 		MinimumStay: minCopyAge,
@@ -23,7 +23,7 @@
 	if p.localOnly {
 		in.StoreLoads = 0 // only the placer counts them
 	}
-	for _, m := range engines.Models {
+	for _, m := range enginePool.Models {
 		in.Models[m.Name] = Model{MB: m.MemoryMB}
 	}
 	for _, d := range p.AllDemand.Sum(now) {
@@ -31,39 +31,39 @@
 	}
 	for _, r := range p.Pool.Serving(svc.Name) {
 		if r.Kind == pool.Engine {
-			in.Engines = append(in.Engines, p.engine(now, r, engines))
+			in.Engines = append(in.Engines, p.engine(now, r, enginePool))
 		}
 	}
 	p.markOverLimit(svc.Name, in)
 	return in
 }
 
-// markUncarried marks the copies whose calls exceed the rate limits of their engines.
+// markOverLimit marks the copies whose calls exceed the rate limits of their engines.
 func (p *Placer) markOverLimit(service string, in Input) {
-	too := overLimitCopies(in, p.overLimit[service])
-	p.overLimit[service] = too
+	overLimit := overLimitCopies(in, p.overLimit[service])
+	p.overLimit[service] = overLimit
 	for _, e := range in.Engines {
 		for i, c := range e.Copies {
-			e.Copies[i].Uncarried = too[copyKey{e.Name, c.Model}]
+			e.Copies[i].Uncarried = overLimit[copyKey{e.Name, c.Model}]
 		}
 	}
 }
 
 // engine returns an engine as it will be once the change in progress there is done, so
 // that a later plan does not request the same change again.
-func (p *Placer) engine(now clock.Instant, r *pool.Replica, facts *config.EnginePool) Engine {
+func (p *Placer) engine(now clock.Instant, r *pool.Replica, enginePool *config.EnginePool) Engine {
 	e := Engine{
 		Name:   r.Name,
 		Zone:   r.Zone,
-		FreeMB: facts.MemoryMB,
+		FreeMB: enginePool.MemoryMB,
 		Sound:  r.Usable() && !r.Vanished() && !r.Ejected(now) && r.RestLeft(now) < pool.LongRest,
 		Open:   p.changes[r.Name] == nil && !now.Before(p.backoffUntil[r.Name]) && p.Asks.OwnerReachable(now, r.Name),
 	}
 	e.Limit, e.Limited = r.RateLimit(now)
-	newest := clock.Instant{}
+	lastReady := clock.Instant{}
 	for item, phase := range r.Items() {
 		model, adapter := pool.SplitItem(item)
-		m, _ := facts.Model(model) // a model that is not configured takes no memory
+		m, _ := enginePool.Model(model) // a model that is not configured takes no memory
 		if adapter != "" {
 			e.FreeMB -= m.AdapterMB
 			continue
@@ -72,7 +72,7 @@
 		c := Copy{Model: model, Ready: phase == pool.Ready, Leaving: phase == pool.Unloading}
 		if since, ok := p.readySince[copyKey{r.Name, item}]; ok {
 			c.Age = now.Since(since)
-			newest = clock.Latest(newest, since)
+			lastReady = clock.Latest(lastReady, since)
 		}
 		if phase != pool.Ready {
 			e.Open = false
@@ -82,7 +82,7 @@
 	// A load evicts other weights from the engine's disk and host memory, and the last
 	// announcement does not say which. If they were assumed to be cached, they would be
 	// loaded from the weight store without being counted.
-	if !r.AnnouncedAt().Before(newest) {
+	if !r.AnnouncedAt().Before(lastReady) {
 		a := r.Announcement()
 		e.InMemory = setOf(a.InMemory)
 		e.OnDisk = setOf(a.OnDisk)
@@ -97,14 +97,14 @@
 	if c == nil {
 		return e
 	}
-	coming := false
-	for i, held := range e.Copies {
-		coming = coming || held.Model == c.Load
-		if slices.Contains(c.Drop, held.Model) {
+	present := false
+	for i, existing := range e.Copies {
+		present = present || existing.Model == c.Load
+		if slices.Contains(c.Drop, existing.Model) {
 			e.Copies[i].Leaving = true
 		}
 	}
-	if !coming {
+	if !present {
 		e.Copies = append(e.Copies, Copy{Model: c.Load})
 	}
 	return e
--- a/core/placement/limited.go
+++ b/core/placement/limited.go
@@ -20,9 +20,9 @@
 // engines are too small for their calls; other engines must serve that demand. The copies
 // of an engine with few calls are given the limit first: it suffices for many rare
 // models, whereas one busy model uses it up and is more likely to have copies elsewhere.
-// was holds the copies that were over the limit before. If every engine is rate-limited,
+// previous holds the copies that were over the limit before. If every engine is rate-limited,
 // the result is empty, because moving models between them gains nothing.
-func overLimitCopies(in Input, was map[copyKey]bool) map[copyKey]bool {
+func overLimitCopies(in Input, previous map[copyKey]bool) map[copyKey]bool {
 	out := map[copyKey]bool{}
 	if !slices.ContainsFunc(in.Engines, func(e Engine) bool { return e.Sound && !e.Limited }) {
 		return out
@@ -37,28 +37,28 @@
 	}
 	for _, e := range in.Engines {
 		if e.Limited && e.Sound {
-			e.addOverLimit(in, copies, was, out)
+			e.addOverLimit(in, copies, previous, out)
 		}
 	}
 	return out
 }
 
 // addOverLimit adds to out the engine's copies that exceed its rate limit.
-func (e Engine) addOverLimit(in Input, copies map[string]int, was, out map[copyKey]bool) {
+func (e Engine) addOverLimit(in Input, copies map[string]int, previous, out map[copyKey]bool) {
 	rate := func(c Copy) float64 { return in.Demand[c.Model].Rate / float64(max(1, copies[c.Model])) }
-	held := slices.Clone(e.Copies)
-	slices.SortFunc(held, func(a, b Copy) int {
+	sorted := slices.Clone(e.Copies)
+	slices.SortFunc(sorted, func(a, b Copy) int {
 		return cmp.Or(cmp.Compare(rate(a), rate(b)), cmp.Compare(a.Model, b.Model))
 	})
-	asked := 0.0
-	for _, c := range held {
-		asked += rate(c)
+	total := 0.0
+	for _, c := range sorted {
+		total += rate(c)
 		key := copyKey{e.Name, c.Model}
-		carries := callShare * e.Limit
-		if was[key] {
-			carries *= overLimitHysteresis
+		threshold := callShare * e.Limit
+		if previous[key] {
+			threshold *= overLimitHysteresis
 		}
-		if asked > carries && rate(c) > 0 {
+		if total > threshold && rate(c) > 0 {
 			out[key] = true
 		}
 	}
--- a/core/placement/limited_test.go
+++ b/core/placement/limited_test.go
@@ -37,14 +37,14 @@
 
 // planLimited returns the plan for an input with its rate limits applied, and the copies
 // that exceed them.
-func planLimited(in Input, was map[copyKey]bool) ([]Change, map[copyKey]bool) {
-	too := overLimitCopies(in, was)
+func planLimited(in Input, previous map[copyKey]bool) ([]Change, map[copyKey]bool) {
+	overLimit := overLimitCopies(in, previous)
 	for i, e := range in.Engines {
 		for k, c := range e.Copies {
-			in.Engines[i].Copies[k].Uncarried = too[copyKey{e.Name, c.Model}]
+			in.Engines[i].Copies[k].Uncarried = overLimit[copyKey{e.Name, c.Model}]
 		}
 	}
-	return Plan(in), too
+	return Plan(in), overLimit
 }
 
 // TestOverLimitModelIsLoadedElsewhere checks that a model whose calls exceed a rate limit
@@ -53,17 +53,17 @@
 func TestOverLimitModelIsLoadedElsewhere(t *testing.T) {
 	is := is.New(t)
 	for _, limit := range []float64{-1, 100, 7} {
-		changes, too := planLimited(limitedInput(limit), nil)
+		changes, overLimit := planLimited(limitedInput(limit), nil)
 		is.Equal(len(changes), 0)
-		is.Equal(len(too), 0)
+		is.Equal(len(overLimit), 0)
 	}
-	changes, too := planLimited(limitedInput(2), nil)
-	is.Equal(too, map[copyKey]bool{{"a", "busy"}: true})
+	changes, overLimit := planLimited(limitedInput(2), nil)
+	is.Equal(overLimit, map[copyKey]bool{{"a", "busy"}: true})
 	is.Equal(len(changes), 1)
 	is.Equal(changes[0].Load, "busy")
 	is.Equal(changes[0].Engine, "b")
-	_, too = planLimited(limitedInput(0.1), nil)
-	is.Equal(len(too), 2)
+	_, overLimit = planLimited(limitedInput(0.1), nil)
+	is.Equal(len(overLimit), 2)
 }
 
 // TestOverLimitCopiesDoNotOscillate: after the model is loaded elsewhere, half of its
@@ -72,15 +72,15 @@
 func TestOverLimitCopiesDoNotOscillate(t *testing.T) {
 	is := is.New(t)
 	in := limitedInput(4)
-	_, was := planLimited(in, nil)
-	is.Equal(len(was), 1)
+	_, previous := planLimited(in, nil)
+	is.Equal(len(previous), 1)
 	in.Engines[1].Copies = append(in.Engines[1].Copies, Copy{Model: "busy", Ready: true, Age: time.Minute})
 	in.Engines[1].FreeMB = 0
-	changes, still := planLimited(in, was)
+	changes, still := planLimited(in, previous)
 	is.Equal(len(changes), 0)
-	is.Equal(still, was)
+	is.Equal(still, previous)
 	in.Demand["busy"] = Demand{Work: 0.1, Rate: 1.2} // half of the limit, together with the rare model
-	_, now := planLimited(in, was)
+	_, now := planLimited(in, previous)
 	is.Equal(len(now), 0)
 
 	in = limitedInput(1)
@@ -88,7 +88,7 @@
 		in.Engines[i].Limited = true
 		in.Engines[i].Limit = 1
 	}
-	changes, too := planLimited(in, nil)
+	changes, overLimit := planLimited(in, nil)
 	is.Equal(len(changes), 0)
-	is.Equal(len(too), 0)
+	is.Equal(len(overLimit), 0)
 }
--- a/core/placement/placer.go
+++ b/core/placement/placer.go
@@ -114,15 +114,15 @@
 		return
 	}
 	p.Registry.ClaimPlacer(now)
-	placing := p.Registry.IsPlacer(now)
-	if !placing && !p.PlacerUnreachable(now) {
+	isPlacer := p.Registry.IsPlacer(now)
+	if !isPlacer && !p.PlacerUnreachable(now) {
 		if p.active {
 			p.active = false
 			p.changes = map[string]*change{}
 		}
 		return
 	}
-	p.start(now, !placing)
+	p.start(now, !isPlacer)
 	if now.Before(p.due) || !p.placedAt.IsZero() && now.Since(p.placedAt) < minPlacementGap {
 		return
 	}
@@ -133,19 +133,19 @@
 
 // start starts placing models, for the fleet or for the own engines only, if the placer
 // is not doing that already.
-func (p *Placer) start(now clock.Instant, cutOff bool) {
-	if p.active && p.localOnly == cutOff {
+func (p *Placer) start(now clock.Instant, localOnly bool) {
+	if p.active && p.localOnly == localOnly {
 		return
 	}
 	p.active = true
-	p.localOnly = cutOff
+	p.localOnly = localOnly
 	p.changes = map[string]*change{}
 	p.loads = newLoadBudget(now)
-	if left, ok := p.Registry.HandedOverLoads(); ok && !cutOff {
+	if left, ok := p.Registry.HandedOverLoads(); ok && !localOnly {
 		p.loads = inheritedBudget(now, left, p.Options)
 	}
 	p.demandSince = now
-	p.Out.Log(logevent.Placing, "orphan", cutOff, "revision", p.Registry.Placer().Revision)
+	p.Out.Log(logevent.Placing, "orphan", localOnly, "revision", p.Registry.Placer().Revision)
 }
 
 // LoadsLeft returns how many loads from the weight store this instance could start now as
@@ -191,9 +191,9 @@
 		for _, c := range Plan(p.input(now, svc)) {
 			p.Out.Log(logevent.Placement, "engine", c.Engine, "load", c.Load, "drop", c.Drop, "source", c.Source.String(),
 				"worth", c.Value, "cost", c.Cost, "work", c.Work, "copies", c.Copies)
-			ch := &change{Change: c, incarnation: p.engineState(c.Engine).incarnation, startedAt: now, progressAt: now}
-			p.changes[c.Engine] = ch
-			p.advance(now, ch)
+			started := &change{Change: c, incarnation: p.engineState(c.Engine).incarnation, startedAt: now, progressAt: now}
+			p.changes[c.Engine] = started
+			p.advance(now, started)
 		}
 	}
 }
--- a/core/placement/placer_test.go
+++ b/core/placement/placer_test.go
@@ -37,16 +37,16 @@
 	}
 	p := New(Deps{State: shared.State{Out: out, Pool: engines}, Asks: a})
 	p.loads.available = 1
-	begun := 0
+	started := 0
 	for _, engine := range []string{"e0", "e1", "e2"} {
 		engines.Announce(now, engine, pool.Announcement{Service: "llm", Address: engine, Zone: "z", Slots: 8, Engine: true})
 		c := &change{Change: Change{Engine: engine, Load: "m11", Source: pool.WeightStore}, incarnation: pool.Incarnation{Name: engine}, startedAt: now, progressAt: now}
 		p.changes[engine] = c
 		p.advance(now, c)
 		if !c.requestedAt.IsZero() {
-			begun++
+			started++
 		}
 	}
-	is.Equal(begun, 1)
+	is.Equal(started, 1)
 	is.Equal(p.plannableLoads(), 0)
 }
--- a/core/placement/progress.go
+++ b/core/placement/progress.go
@@ -16,9 +16,9 @@
 	running    outcome = ""
 	done       outcome = "done"
 	engineGone outcome = "the engine is gone"
-	restarted  outcome = "the engine started again"
-	timedOut   outcome = "it took too long"
-	notOrdered outcome = "nobody orders the engine"
+	restarted  outcome = "the engine restarted"
+	timedOut   outcome = "the change timed out"
+	notOrdered outcome = "no owner sends orders to the engine"
 )
 
 // A change is a Change in progress.
--- a/core/placement/progress_test.go
+++ b/core/placement/progress_test.go
@@ -22,34 +22,34 @@
 	drop := &orders.Request{Model: "old"}
 	load := &orders.Request{Load: true, Model: "new"}
 	for _, tt := range []struct {
-		name    string
-		gone    bool
-		born    string
-		holds   phases
-		begun   clock.Instant
-		movedAt clock.Instant // zero: now
-		askedAt clock.Instant
-		outcome outcome
-		order   *orders.Request
+		name        string
+		gone        bool
+		born        string
+		holds       phases
+		startedAt   clock.Instant
+		progressAt  clock.Instant // zero: now
+		requestedAt clock.Instant
+		outcome     outcome
+		order       *orders.Request
 	}{
-		{name: "first what makes way", holds: phases{"old": pool.Ready}, begun: now, order: drop},
-		{name: "then the load", begun: now, order: load},
-		{name: "the load was asked for", begun: now, askedAt: ago(orderRetryInterval - 1)},
-		{name: "it shows no effect", begun: now, askedAt: ago(orderRetryInterval), order: load},
-		{name: "the load is under way", holds: phases{"new": pool.Loading}, begun: now, askedAt: ago(orderRetryInterval)},
-		{name: "the model is there", holds: phases{"new": pool.Ready}, begun: now, outcome: done},
-		{name: "no order is carried out, at the limit", holds: phases{"old": pool.Ready}, begun: ago(orderTimeout), movedAt: ago(orderTimeout), order: drop},
-		{name: "no order is carried out, above the limit", holds: phases{"old": pool.Ready}, begun: ago(orderTimeout + 1), movedAt: ago(orderTimeout + 1), outcome: notOrdered},
-		{name: "the unload waits for its runs", holds: phases{"old": pool.Unloading}, begun: ago(orderTimeout + 1), movedAt: ago(orderTimeout + 1), order: drop},
-		{name: "the engine is gone", gone: true, begun: now, outcome: engineGone},
-		{name: "the engine started again", born: "2", holds: phases{"old": pool.Ready}, begun: now, outcome: restarted},
-		{name: "at the limit", holds: phases{"old": pool.Ready}, begun: ago(changeTimeout), order: drop},
-		{name: "above the limit", holds: phases{"new": pool.Ready}, begun: ago(changeTimeout + 1), outcome: timedOut},
+		{name: "first the eviction", holds: phases{"old": pool.Ready}, startedAt: now, order: drop},
+		{name: "then the load", startedAt: now, order: load},
+		{name: "the load was requested", startedAt: now, requestedAt: ago(orderRetryInterval - 1)},
+		{name: "the request had no effect", startedAt: now, requestedAt: ago(orderRetryInterval), order: load},
+		{name: "the load is in progress", holds: phases{"new": pool.Loading}, startedAt: now, requestedAt: ago(orderRetryInterval)},
+		{name: "the model is ready", holds: phases{"new": pool.Ready}, startedAt: now, outcome: done},
+		{name: "no order is carried out, at the limit", holds: phases{"old": pool.Ready}, startedAt: ago(orderTimeout), progressAt: ago(orderTimeout), order: drop},
+		{name: "no order is carried out, above the limit", holds: phases{"old": pool.Ready}, startedAt: ago(orderTimeout + 1), progressAt: ago(orderTimeout + 1), outcome: notOrdered},
+		{name: "the unload waits for running calls", holds: phases{"old": pool.Unloading}, startedAt: ago(orderTimeout + 1), progressAt: ago(orderTimeout + 1), order: drop},
+		{name: "the engine is gone", gone: true, startedAt: now, outcome: engineGone},
+		{name: "the engine restarted", born: "2", holds: phases{"old": pool.Ready}, startedAt: now, outcome: restarted},
+		{name: "at the limit", holds: phases{"old": pool.Ready}, startedAt: ago(changeTimeout), order: drop},
+		{name: "above the limit", holds: phases{"new": pool.Ready}, startedAt: ago(changeTimeout + 1), outcome: timedOut},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
-			c := &change{Change: Change{Load: "new", Drop: []string{"old"}}, startedAt: tt.begun, progressAt: tt.movedAt, requestedAt: tt.askedAt}
-			if tt.movedAt.IsZero() {
+			c := &change{Change: Change{Load: "new", Drop: []string{"old"}}, startedAt: tt.startedAt, progressAt: tt.progressAt, requestedAt: tt.requestedAt}
+			if tt.progressAt.IsZero() {
 				c.progressAt = now
 			}
 			e := engineState{incarnation: pool.Incarnation{Born: tt.born}, usable: !tt.gone, phase: func(model string) pool.ItemPhase { return tt.holds[model] }}
--- a/core/placement/room.go
+++ b/core/placement/room.go
@@ -6,8 +6,8 @@
 
 // chooseVictims chooses the copies to evict for a candidate on an engine, the cheapest
 // first, and reports whether they make enough room.
-func (r *planner) chooseVictims(o *choice, c candidate) bool {
-	need := r.in.Models[c.model].MB - o.engine.FreeMB
+func (p *planner) chooseVictims(o *choice, c candidate) bool {
+	need := p.in.Models[c.model].MB - o.engine.FreeMB
 	if need <= 0 {
 		return true
 	}
@@ -18,10 +18,10 @@
 	}
 	var victims []victim
 	for _, c := range o.engine.Copies {
-		if !c.Ready || c.Leaving || c.Age < r.in.MinimumStay {
+		if !c.Ready || c.Leaving || c.Age < p.in.MinimumStay {
 			continue
 		}
-		victims = append(victims, victim{c.Model, r.in.Models[c.Model].MB, r.dropCost(c.Model)})
+		victims = append(victims, victim{c.Model, p.in.Models[c.Model].MB, p.dropCost(c.Model)})
 	}
 	sort.Slice(victims, func(i, j int) bool {
 		if victims[i].cost != victims[j].cost {
@@ -43,14 +43,14 @@
 // dropCost returns the cost of dropping one copy of a model. The last copy of a model
 // without calls may be dropped only if another engine has its weights on disk or in host
 // memory, so that it can be loaded quickly when calls come.
-func (r *planner) dropCost(model string) float64 {
-	n := r.copies[model]
-	runs := callDropCost * r.in.Demand[model].Rate / float64(max(1, n))
+func (p *planner) dropCost(model string) float64 {
+	n := p.copies[model]
+	callCost := callDropCost * p.in.Demand[model].Rate / float64(max(1, n))
 	if n > 1 {
-		return r.value(model, n) + runs
+		return p.value(model, n) + callCost
 	}
-	cost := r.value(model, 1) + runs
-	if r.cached[model] <= 1 { // the engine that drops the copy is counted too
+	cost := p.value(model, 1) + callCost
+	if p.cached[model] <= 1 { // the engine that drops the copy is counted too
 		cost += lastCachedCost
 	}
 	return cost
