--- a/core/orders/answer.go
+++ b/core/orders/answer.go
@@ -13,13 +13,13 @@
 // Sequence.
 func (l *Ledger) RecordSent(r Request) {
 	l.inFlight = &r
-	h := itemState{model: r.Model, adapter: r.Adapter, phase: pool.Loading}
+	it := itemState{model: r.Model, adapter: r.Adapter, phase: pool.Loading}
 	if !r.Load {
-		h = l.items[r.Item()]
-		h.phase = pool.Unloading
-		h.unloadMarked = false
+		it = l.items[r.Item()]
+		it.phase = pool.Unloading
+		it.unloadMarked = false
 	}
-	l.setItem(r.Item(), h)
+	l.setItem(r.Item(), it)
 }
 
 // RecordAccepted records that the engine carries out the order in flight. adapterTime is
@@ -34,14 +34,14 @@
 	if r.Adapter == "" {
 		return
 	}
-	h := l.items[r.Item()]
+	it := l.items[r.Item()]
 	if r.Load {
-		h.readyAt = now.Add(adapterTime)
-		h.usedAt = now
+		it.readyAt = now.Add(adapterTime)
+		it.usedAt = now
 	} else {
-		h.readyAt = now.Add(adapterUnloadTime)
+		it.readyAt = now.Add(adapterUnloadTime)
 	}
-	l.setItem(r.Item(), h)
+	l.setItem(r.Item(), it)
 }
 
 // RecordNoChange records that the engine already was in the state that the order in
@@ -58,9 +58,9 @@
 		l.sequence++
 		return
 	}
-	h := l.items[r.Item()]
-	h.phase = pool.Ready
-	l.setItem(r.Item(), h)
+	it := l.items[r.Item()]
+	it.phase = pool.Ready
+	l.setItem(r.Item(), it)
 }
 
 // RecordFailed records that the order in flight was not carried out and never will be: it
@@ -71,13 +71,13 @@
 		return
 	}
 	l.inFlight = nil
-	h := l.items[r.Item()]
+	it := l.items[r.Item()]
 	if r.Load {
 		l.removeItem(r.Item())
 		return
 	}
-	h.phase = pool.Ready
-	l.setItem(r.Item(), h)
+	it.phase = pool.Ready
+	l.setItem(r.Item(), it)
 }
 
 // RecordLost records that the answer to the order in flight is lost, and returns the
--- a/core/orders/judge.go
+++ b/core/orders/judge.go
@@ -27,8 +27,8 @@
 
 // otherModelBusy reports whether a model other than item is being loaded or unloaded.
 func (l *Ledger) otherModelBusy(item string) bool {
-	for name, h := range l.items {
-		if h.adapter == "" && h.phase != pool.Ready && name != item {
+	for name, it := range l.items {
+		if it.adapter == "" && it.phase != pool.Ready && name != item {
 			return true
 		}
 	}
@@ -38,19 +38,19 @@
 // MarkUnloading marks a ready model as unloading before the order to unload it is sent,
 // so that no more calls are sent to it. UnmarkUnloading reverts that.
 func (l *Ledger) MarkUnloading(model string) {
-	if h, ok := l.items[model]; ok && h.phase == pool.Ready {
-		h.phase = pool.Unloading
-		h.unloadMarked = true
-		l.setItem(model, h)
+	if it, ok := l.items[model]; ok && it.phase == pool.Ready {
+		it.phase = pool.Unloading
+		it.unloadMarked = true
+		l.setItem(model, it)
 	}
 }
 
 // UnmarkUnloading reverts a MarkUnloading that was not followed by an order.
 func (l *Ledger) UnmarkUnloading(model string) {
-	if h, ok := l.items[model]; ok && h.unloadMarked {
-		h.phase = pool.Ready
-		h.unloadMarked = false
-		l.setItem(model, h)
+	if it, ok := l.items[model]; ok && it.unloadMarked {
+		it.phase = pool.Ready
+		it.unloadMarked = false
+		l.setItem(model, it)
 	}
 }
 
@@ -59,14 +59,14 @@
 	if !l.Known() {
 		return StateUnknown
 	}
-	h, present := l.items[r.Item()]
+	it, present := l.items[r.Item()]
 	if !r.Load {
-		return l.checkUnload(r, h, present)
+		return l.checkUnload(r, it, present)
 	}
 	switch {
-	case present && h.phase == pool.Ready:
+	case present && it.phase == pool.Ready:
 		return NoChange
-	case present && h.phase == pool.Loading:
+	case present && it.phase == pool.Loading:
 		return InProgress
 	case present, l.inFlight != nil:
 		return NotNow
@@ -81,13 +81,13 @@
 	return l.checkAdapter(r, adapterMB)
 }
 
-func (l *Ledger) checkUnload(r Request, h itemState, present bool) CheckResult {
+func (l *Ledger) checkUnload(r Request, it itemState, present bool) CheckResult {
 	switch {
 	case !present:
 		return NotLoaded
-	case h.phase == pool.Unloading && !h.unloadMarked:
+	case it.phase == pool.Unloading && !it.unloadMarked:
 		return InProgress
-	case l.inFlight != nil || l.otherModelBusy(r.Item()) || h.phase == pool.Loading:
+	case l.inFlight != nil || l.otherModelBusy(r.Item()) || it.phase == pool.Loading:
 		return NotNow
 	default:
 		return Allowed
@@ -120,8 +120,8 @@
 
 func (l *Ledger) loadingAdapters() int {
 	n := 0
-	for _, h := range l.items {
-		if h.adapter != "" && h.phase == pool.Loading {
+	for _, it := range l.items {
+		if it.adapter != "" && it.phase == pool.Loading {
 			n++
 		}
 	}
@@ -132,8 +132,8 @@
 // yet still takes its slot.
 func (l *Ledger) usedSlots() int {
 	n := l.delayedSlots()
-	for _, h := range l.items {
-		if h.adapter != "" {
+	for _, it := range l.items {
+		if it.adapter != "" {
 			n++
 		}
 	}
@@ -147,12 +147,12 @@
 		return 0
 	}
 	free := l.capacity.MemoryMB - delayedMB
-	for _, h := range l.items {
-		modelMB, adapterMB, ok := l.sizes(h.model)
+	for _, it := range l.items {
+		modelMB, adapterMB, ok := l.sizes(it.model)
 		switch {
 		case !ok:
 			return 0 // the size of an item is unknown
-		case h.adapter == "":
+		case it.adapter == "":
 			free -= modelMB
 		default:
 			free -= adapterMB
@@ -166,17 +166,17 @@
 func (l *Ledger) IdleAdapter(now clock.Instant, idle time.Duration) (Request, bool) {
 	var best string
 	for _, item := range l.sortedItems() {
-		h := l.items[item]
-		if h.adapter == "" || h.phase != pool.Ready || now.Since(h.usedAt) < idle {
+		it := l.items[item]
+		if it.adapter == "" || it.phase != pool.Ready || now.Since(it.usedAt) < idle {
 			continue
 		}
-		if best == "" || h.usedAt.Before(l.items[best].usedAt) {
+		if best == "" || it.usedAt.Before(l.items[best].usedAt) {
 			best = item
 		}
 	}
 	if best == "" {
 		return Request{}, false
 	}
-	h := l.items[best]
-	return Request{Model: h.model, Adapter: h.adapter}, true
+	it := l.items[best]
+	return Request{Model: it.model, Adapter: it.adapter}, true
 }
--- a/core/orders/observe.go
+++ b/core/orders/observe.go
@@ -42,20 +42,20 @@
 	present := make(map[string]bool, len(models))
 	for _, m := range models {
 		present[m.Name] = true
-		if _, held := l.items[m.Name]; !held {
+		if _, known := l.items[m.Name]; !known {
 			l.uncertain = true // an order that was given up took effect late
 		}
 	}
 	for _, item := range l.sortedItems() {
-		h := l.items[item]
-		if h.adapter != "" {
+		it := l.items[item]
+		if it.adapter != "" {
 			continue
 		}
 		switch {
-		case h.phase == pool.Loading && present[item]:
-			h.phase = pool.Ready
-			l.setItem(item, h)
-		case h.phase == pool.Unloading && !present[item]:
+		case it.phase == pool.Loading && present[item]:
+			it.phase = pool.Ready
+			l.setItem(item, it)
+		case it.phase == pool.Unloading && !present[item]:
 			l.removeModel(item)
 		}
 	}
@@ -93,31 +93,31 @@
 // loadingAdapter returns the state of an adapter that the engine reports as loading. It
 // takes a slot whichever owner ordered it.
 func (l *Ledger) loadingAdapter(now clock.Instant, item string) itemState {
-	h, known := l.items[item]
+	it, known := l.items[item]
 	if !known {
-		h.model, h.adapter = pool.SplitItem(item)
-		h.readyAt = now.Add(maxAdapterLoadTime)
-		h.usedAt = now
+		it.model, it.adapter = pool.SplitItem(item)
+		it.readyAt = now.Add(maxAdapterLoadTime)
+		it.usedAt = now
 	}
-	h.phase = pool.Loading
-	return h
+	it.phase = pool.Loading
+	return it
 }
 
 func (l *Ledger) readyItem(now clock.Instant, model, adapter string) itemState {
-	h := l.items[pool.ItemName(model, adapter)]
-	if h.model == "" {
-		h.usedAt = now
+	it := l.items[pool.ItemName(model, adapter)]
+	if it.model == "" {
+		it.usedAt = now
 	}
-	h.model = model
-	h.adapter = adapter
-	h.phase = pool.Ready
-	return h
+	it.model = model
+	it.adapter = adapter
+	it.phase = pool.Ready
+	return it
 }
 
 // removeModel removes a model and its adapters.
 func (l *Ledger) removeModel(model string) {
-	for item, h := range l.items {
-		if h.model == model {
+	for item, it := range l.items {
+		if it.model == model {
 			l.removeItem(item)
 		}
 	}
@@ -128,14 +128,14 @@
 func (l *Ledger) Advance(now clock.Instant) bool {
 	l.expireDelayed(now)
 	changed := false
-	for item, h := range l.items {
-		if h.adapter == "" || h.readyAt.IsZero() || now.Before(h.readyAt) {
+	for item, it := range l.items {
+		if it.adapter == "" || it.readyAt.IsZero() || now.Before(it.readyAt) {
 			continue
 		}
-		switch h.phase {
+		switch it.phase {
 		case pool.Loading:
-			h.phase = pool.Ready
-			l.setItem(item, h)
+			it.phase = pool.Ready
+			l.setItem(item, it)
 			changed = true
 		case pool.Unloading:
 			l.uncertain = true
--- a/core/orders/orders.go
+++ b/core/orders/orders.go
@@ -126,8 +126,8 @@
 
 // Busy reports whether a model is being loaded or unloaded.
 func (l *Ledger) Busy() bool {
-	for _, h := range l.items {
-		if h.adapter == "" && h.phase != pool.Ready {
+	for _, it := range l.items {
+		if it.adapter == "" && it.phase != pool.Ready {
 			return true
 		}
 	}
@@ -137,9 +137,9 @@
 // ModelInTransition returns the model that an order loads or unloads, "" if there is
 // none, and whether it is being loaded.
 func (l *Ledger) ModelInTransition() (model string, loading bool) {
-	for _, h := range l.items {
-		if h.adapter == "" && h.phase != pool.Ready && !h.unloadMarked {
-			return h.model, h.phase == pool.Loading
+	for _, it := range l.items {
+		if it.adapter == "" && it.phase != pool.Ready && !it.unloadMarked {
+			return it.model, it.phase == pool.Loading
 		}
 	}
 	return "", false
@@ -154,8 +154,8 @@
 // maxLoadingAdapters is how many adapters may be loading on one engine at a time.
 const maxLoadingAdapters = 4
 
-func (l *Ledger) setItem(item string, h itemState) {
-	l.items[item] = h
+func (l *Ledger) setItem(item string, it itemState) {
+	l.items[item] = it
 	l.version++
 }
 
@@ -170,9 +170,9 @@
 
 // RecordUse records that a call used an item.
 func (l *Ledger) RecordUse(now clock.Instant, item string) {
-	if h, ok := l.items[item]; ok {
-		h.usedAt = now
-		l.items[item] = h
+	if it, ok := l.items[item]; ok {
+		it.usedAt = now
+		l.items[item] = it
 	}
 }
 
--- a/core/permits/coordinator.go
+++ b/core/permits/coordinator.go
@@ -16,9 +16,9 @@
 	// view, before it grants the whole of a limit. It equals the time window over which
 	// limits are counted (docs/design/limits.md).
 	probationPeriod = 4 * time.Second
-	// probationShare is the share of a limit that an instance grants before that, while
-	// another instance may grant the whole: together with the bursts of both, this stays
-	// below one and a half times the limit (docs/design/limits.md).
+	// probationShare is the share of a limit that an instance grants during probation,
+	// when another instance may grant the whole: together with the bursts of both, this
+	// stays below one and a half times the limit (docs/design/limits.md).
 	probationShare = 0.3
 	// maxQueue bounds the requests queued for one replica: each holds a connection
 	// between instances (docs/design/limits.md).
--- a/core/placement/placer.go
+++ b/core/placement/placer.go
@@ -32,7 +32,7 @@
 	// placementInterval is the time between two placements, unless a call finds no copy
 	// of its model.
 	placementInterval = 200 * time.Millisecond
-	// minPlacementGap is the least time between two placements even then.
+	// minPlacementGap is the least time between two placements, even after misses.
 	minPlacementGap = 40 * time.Millisecond
 	// changeTimeout is how long a change may take before it is abandoned: the slowest
 	// load of the users' models takes 6.4 s.
