--- a/core/orderclient/orderclient.go
+++ b/core/orderclient/orderclient.go
@@ -75,89 +75,89 @@
 }
 
 // CanRequest reports whether an order can be requested now.
-func (a *Client) CanRequest(now clock.Instant, key Key) bool {
-	if at, ok := a.refusedAt[key]; ok {
+func (c *Client) CanRequest(now clock.Instant, key Key) bool {
+	if at, ok := c.refusedAt[key]; ok {
 		if now.Since(at) < refusalBackoff {
 			return false
 		}
-		delete(a.refusedAt, key)
+		delete(c.refusedAt, key)
 	}
-	return a.OwnerReachable(now, key.Engine)
+	return c.OwnerReachable(now, key.Engine)
 }
 
 // OwnerReachable reports whether the owner of the engine is known and has answered
 // lately.
-func (a *Client) OwnerReachable(now clock.Instant, engine string) bool {
-	if e := a.Owned.Get(engine); e != nil {
-		return a.Owned.Orderable(now, e)
+func (c *Client) OwnerReachable(now clock.Instant, engine string) bool {
+	if e := c.Owned.Get(engine); e != nil {
+		return c.Owned.Orderable(now, e)
 	}
-	o, ok := a.Owner(engine)
-	if !ok || o.Owner == "" || o.Owner == a.Self.Name {
+	o, ok := c.Owner(engine)
+	if !ok || o.Owner == "" || o.Owner == c.Self.Name {
 		return false
 	}
-	p := a.Members.Get(o.Owner)
+	p := c.Members.Get(o.Owner)
 	return p != nil && !p.Leaving && !p.Failing()
 }
 
 // Pending reports whether an order was requested and has no outcome yet.
-func (a *Client) Pending(key Key) bool {
-	_, ok := a.pending[key]
+func (c *Client) Pending(key Key) bool {
+	_, ok := c.pending[key]
 	return ok
 }
 
 // Request requests an order.
-func (a *Client) Request(now clock.Instant, key Key) {
-	if a.Pending(key) {
+func (c *Client) Request(now clock.Instant, key Key) {
+	if c.Pending(key) {
 		return
 	}
-	a.pending[key] = nil
-	a.send(now, key)
+	c.pending[key] = nil
+	c.send(now, key)
 }
 
 // RequestForCall requests an order that a call waits for. The call is resumed when the
 // outcome is known, whatever it is.
-func (a *Client) RequestForCall(now clock.Instant, key Key, id calls.ID) {
-	_, underWay := a.pending[key]
-	a.pending[key] = append(a.pending[key], id)
+func (c *Client) RequestForCall(now clock.Instant, key Key, id calls.ID) {
+	_, underWay := c.pending[key]
+	c.pending[key] = append(c.pending[key], id)
 	if !underWay {
-		a.send(now, key)
+		c.send(now, key)
 	}
 }
 
-func (a *Client) send(now clock.Instant, key Key) {
-	if e := a.Owned.Get(key.Engine); e != nil {
-		a.Owned.Request(now, e, key.Request)
+func (c *Client) send(now clock.Instant, key Key) {
+	if e := c.Owned.Get(key.Engine); e != nil {
+		c.Owned.Request(now, e, key.Request)
 		return
 	}
-	o, _ := a.Owner(key.Engine) // an unknown owner is an unknown member, which is handled below
-	p := a.Members.Get(o.Owner)
+	o, _ := c.Owner(key.Engine) // an unknown owner is an unknown member, which is handled below
+	p := c.Members.Get(o.Owner)
 	if p == nil {
-		a.HandleOutcome(now, key, owned.Failed, "the owner of the engine is unknown")
+		c.HandleOutcome(now, key, owned.Failed, "the owner of the engine is unknown")
 		return
 	}
-	a.Out.Emit(SendRequest{Peer: p.Name, Address: p.Address, Engine: key.Engine, Request: key.Request})
+	c.Out.Emit(SendRequest{Peer: p.Name, Address: p.Address, Engine: key.Engine, Request: key.Request})
 }
 
 // HandleReply handles an owner's reply.
-func (a *Client) HandleReply(now clock.Instant, r Reply) {
-	a.HandleOutcome(now, Key{r.Engine, r.Request}, r.Outcome, r.Detail)
+func (c *Client) HandleReply(now clock.Instant, r Reply) {
+	c.HandleOutcome(now, Key{r.Engine, r.Request}, r.Outcome, r.Detail)
 }
 
 // HandleOutcome handles the outcome of a requested order. The calls that wait for it are
 // resumed: they go to the engine or choose another one.
-func (a *Client) HandleOutcome(now clock.Instant, key Key, o owned.Outcome, detail string) {
-	waiting, ok := a.pending[key]
+func (c *Client) HandleOutcome(now clock.Instant, key Key, o owned.Outcome, detail string) {
+	waiting, ok := c.pending[key]
 	if !ok {
 		return
 	}
-	delete(a.pending, key)
+	delete(c.pending, key)
 	if o == owned.Done && key.Request.Load {
-		a.Pool.MarkReady(key.Engine, key.Request.Item())
+		c.Pool.MarkReady(key.Engine, key.Request.Item())
 	}
 	if o == owned.Refused || o == owned.Failed {
-		a.refusedAt[key] = now
+		c.refusedAt[key] = now
 	}
 	for _, id := range waiting {
-		a.Resume(now, id)
+		c.Resume(now, id)
 	}
 }
