--- a/core/orderclient/orderclient.go
+++ b/core/orderclient/orderclient.go
@@ -117,9 +117,9 @@
 // RequestForCall requests an order that a call waits for. The call is resumed when the
 // outcome is known, whatever it is.
 func (c *Client) RequestForCall(now clock.Instant, key Key, id calls.ID) {
-	_, underWay := c.pending[key]
+	_, pending := c.pending[key]
 	c.pending[key] = append(c.pending[key], id)
-	if !underWay {
+	if !pending {
 		c.send(now, key)
 	}
 }
