--- a/core/placement/placer.go
+++ b/core/placement/placer.go
@@ -100,9 +100,9 @@
 type copyKey struct{ engine, item string }
 
 // New returns an idle placer.
-func New(n Deps) *Placer {
+func New(deps Deps) *Placer {
 	return &Placer{
-		Deps: n, changes: map[string]*change{}, readySince: map[copyKey]clock.Instant{}, backoffUntil: map[string]clock.Instant{},
+		Deps: deps, changes: map[string]*change{}, readySince: map[copyKey]clock.Instant{}, backoffUntil: map[string]clock.Instant{},
 		overLimit: map[string]map[copyKey]bool{},
 	}
 }
