--- a/core/permits/permits.go
+++ b/core/permits/permits.go
@@ -193,9 +193,9 @@
 }
 
 // New returns Permits without pending requests.
-func New(n Deps) *Permits {
+func New(deps Deps) *Permits {
 	p := &Permits{
-		Deps: n, pending: map[uint64]*pendingRequest{}, backoffUntil: map[string]clock.Instant{}, orderPermits: map[orderKind]orderPermit{},
+		Deps: deps, pending: map[uint64]*pendingRequest{}, backoffUntil: map[string]clock.Instant{}, orderPermits: map[orderKind]orderPermit{},
 	}
 	p.coordinator = coordinator{p: p, buckets: map[Resource]*bucket{}}
 	return p
