--- a/core/permits/coordinator.go
+++ b/core/permits/coordinator.go
@@ -102,16 +102,16 @@
 // empty. It prefers instances in the replica's zone, then the largest share of a
 // processor, then the highest rendezvous score.
 func (v fleetView) coordinatorFor(r Request) string {
-	type rank struct {
+	type preference struct {
 		sameZone  bool
 		processor float64
 		score     uint64
 	}
 	key := rendezvous.Key(r.Resource.String())
 	var best string
-	var bestRank rank
+	var bestRank preference
 	for _, i := range v.instances {
-		candidate := rank{i.Zone == r.Zone, i.Processor, rendezvous.Score(key, i.Name)}
+		candidate := preference{i.Zone == r.Zone, i.Processor, rendezvous.Score(key, i.Name)}
 		better := candidate.score > bestRank.score
 		switch {
 		case candidate.sameZone != bestRank.sameZone:
