--- a/core/permits/coordinator.go
+++ b/core/permits/coordinator.go
@@ -109,19 +109,19 @@
 	}
 	key := rendezvous.Key(r.Resource.String())
 	var best string
-	var bestRank preference
+	var bestPreference preference
 	for _, i := range v.instances {
 		candidate := preference{i.Zone == r.Zone, i.Processor, rendezvous.Score(key, i.Name)}
-		better := candidate.score > bestRank.score
+		better := candidate.score > bestPreference.score
 		switch {
-		case candidate.sameZone != bestRank.sameZone:
+		case candidate.sameZone != bestPreference.sameZone:
 			better = candidate.sameZone
-		case candidate.processor != bestRank.processor:
-			better = candidate.processor > bestRank.processor
+		case candidate.processor != bestPreference.processor:
+			better = candidate.processor > bestPreference.processor
 		}
 		if best == "" || better {
 			best = i.Name
-			bestRank = candidate
+			bestPreference = candidate
 		}
 	}
 	return best
