--- a/core/placement/budget_test.go
+++ b/core/placement/budget_test.go
@@ -17,7 +17,7 @@
 	now := clocktest.At(time.Hour)
 	opt := option.Default()
 	const rate = 2.0
-	spent := func(b *loadBudget) (n int) {
+	takeAll := func(b *loadBudget) (n int) {
 		for b.take() {
 			n++
 		}
@@ -25,16 +25,16 @@
 	}
 	b := newLoadBudget(now)
 	b.refill(now.Add(opt.OrderValid-1), rate, &opt)
-	is.Equal(spent(&b), 0)
+	is.Equal(takeAll(&b), 0)
 	now = now.Add(opt.OrderValid)
 	b.refill(now, rate, &opt)
-	is.Equal(spent(&b), 0) // the time before does not count
+	is.Equal(takeAll(&b), 0) // the time before does not count
 	now = now.Add(600 * time.Millisecond)
 	b.refill(now, rate, &opt)
-	is.Equal(spent(&b), 1)
+	is.Equal(takeAll(&b), 1)
 	now = now.Add(time.Hour)
 	b.refill(now, rate, &opt)
-	is.Equal(spent(&b), int(loadBurst))
+	is.Equal(takeAll(&b), int(loadBurst))
 }
 
 // TestBudgetHandover checks that a placer starts with the budget that the former one left
