--- a/core/placement/limited_test.go
+++ b/core/placement/limited_test.go
@@ -11,7 +11,7 @@
 // negative, and alone holds a busy and a rare model; the second has the weights of the
 // busy model on disk and holds a model without calls.
 func limitedInput(limit float64) Input {
-	held := func(models ...string) (copies []Copy) {
+	readyCopies := func(models ...string) (copies []Copy) {
 		for _, m := range models {
 			copies = append(copies, Copy{Model: m, Ready: true, Age: time.Minute})
 		}
@@ -23,9 +23,9 @@
 		StoreLoads:  2,
 		MinimumStay: time.Second,
 		Engines: []Engine{
-			{Name: "a", Zone: "z", Open: true, Sound: true, Copies: held("busy", "rare"), OnDisk: map[string]bool{"busy": true, "rare": true}},
-			{Name: "b", Zone: "z", Open: true, Sound: true, FreeMB: 70, Copies: held("idle"), OnDisk: map[string]bool{"busy": true, "rare": true, "idle": true}},
-			{Name: "c", Zone: "z", Open: true, Sound: true, Copies: held("other", "idle"), OnDisk: map[string]bool{"idle": true, "other": true}},
+			{Name: "a", Zone: "z", Open: true, Sound: true, Copies: readyCopies("busy", "rare"), OnDisk: map[string]bool{"busy": true, "rare": true}},
+			{Name: "b", Zone: "z", Open: true, Sound: true, FreeMB: 70, Copies: readyCopies("idle"), OnDisk: map[string]bool{"busy": true, "rare": true, "idle": true}},
+			{Name: "c", Zone: "z", Open: true, Sound: true, Copies: readyCopies("other", "idle"), OnDisk: map[string]bool{"idle": true, "other": true}},
 		},
 	}
 	if limit >= 0 {
