--- a/core/placement/changes.go
+++ b/core/placement/changes.go
@@ -308,15 +308,15 @@
 		return choice{}, false
 	}
 	o := choice{engine: e, source: e.source(c.model)}
-	least := minCachedValue
+	minValue := minCachedValue
 	if o.source == pool.WeightStore {
-		least = minStoreValue
+		minValue = minStoreValue
 		if p.storeLoads <= 0 {
 			return choice{}, false
 		}
 	}
 	first := p.copies[c.model] == 0
-	if c.value < least && !first {
+	if c.value < minValue && !first {
 		return choice{}, false
 	}
 	if !first && e.work > maxEngineWork {
