--- a/core/permits/tokens_test.go
+++ b/core/permits/tokens_test.go
@@ -30,7 +30,7 @@
 				rng := rand.New(rand.NewPCG(seed, 1))
 				tokens := newTokenBucket(start, quotaOf(rate))
 				now := start
-				var given []clock.Instant
+				var granted []clock.Instant
 				greedy := 0
 				for now.Since(start) < time.Minute {
 					now = now.Add(time.Duration(rng.ExpFloat64() * float64(30*time.Millisecond)))
@@ -39,13 +39,13 @@
 					}
 					tokens.refill(now, quotaOf(rate))
 					for tokens.take() {
-						given = append(given, now)
+						granted = append(granted, now)
 						greedy++
 					}
-					for len(given) > 0 && now.Since(given[0]) > 4*time.Second {
-						given = given[1:]
+					for len(granted) > 0 && now.Since(granted[0]) > 4*time.Second {
+						granted = granted[1:]
 					}
-					is.True(float64(len(given)) <= 4*rate+max(minBurst, rate*burstTime.Seconds())+1e-9)
+					is.True(float64(len(granted)) <= 4*rate+max(minBurst, rate*burstTime.Seconds())+1e-9)
 				}
 				is.True(greedy > 0)
 			})
