--- a/core/permits/tokens_test.go
+++ b/core/permits/tokens_test.go
@@ -73,7 +73,7 @@
 	is.True(tokens.take())
 	is.True(!tokens.take()) // the burst of the previous rate does not remain
 	is.Equal(tokens.waitFor(1), 2*time.Second)
-	none := newTokenBucket(start, quotaOf(1))
-	is.Equal(none.waitFor(2), maxWait)
-	is.Equal(none.interval(), maxWait)
+	noRate := newTokenBucket(start, quotaOf(1))
+	is.Equal(noRate.waitFor(2), maxWait)
+	is.Equal(noRate.interval(), maxWait)
 }
