--- a/core/permits/permits_test.go
+++ b/core/permits/permits_test.go
@@ -446,8 +446,8 @@
 func TestProbationBeforeLimitIsNamed(t *testing.T) {
 	ownRate := func(f *fixture) float64 {
 		r := replicaRequest(f.Pool.Get("r"), 0, 0)
-		s, _ := f.coordinator.quota(f.now, r)
-		return f.coordinator.ownQuota(f.now, f.coordinator.bucket(f.now, r, s), s).rate
+		q, _ := f.coordinator.quota(f.now, r)
+		return f.coordinator.ownQuota(f.now, f.coordinator.bucket(f.now, r, q), q).rate
 	}
 	newUnlimited := func() *fixture {
 		f := newFixture(10, nil)
