--- a/core/permits/permits_test.go
+++ b/core/permits/permits_test.go
@@ -47,8 +47,8 @@
 		State:     state,
 		Instances: func() map[string]registry.Instance { return instances },
 		Stopping:  func() bool { return false },
-		Told: func(_ clock.Instant, _ string, _ pool.Incarnation, w pool.LimitReport) {
-			f.limits = append(f.limits, w)
+		Told: func(_ clock.Instant, _ string, _ pool.Incarnation, report pool.LimitReport) {
+			f.limits = append(f.limits, report)
 		},
 		Repeats: func() (float64, time.Duration) { return 20, 10 * time.Second },
 		Decided: func(_ clock.Instant, call calls.ID, _ Resource, v Decision) {
