--- a/core/permits/permits_test.go
+++ b/core/permits/permits_test.go
@@ -51,8 +51,8 @@
 			f.limits = append(f.limits, report)
 		},
 		Repeats: func() (float64, time.Duration) { return 20, 10 * time.Second },
-		Decided: func(_ clock.Instant, call calls.ID, _ Resource, v Decision) {
-			f.decisions = append(f.decisions, callDecision{call, v})
+		Decided: func(_ clock.Instant, call calls.ID, _ Resource, d Decision) {
+			f.decisions = append(f.decisions, callDecision{call, d})
 		},
 	})
 	f.Pool.Announce(start, "r", pool.Announcement{Service: "s", Address: "r", Zone: "z", Born: "1"})
