--- a/core/orders/orders_test.go
+++ b/core/orders/orders_test.go
@@ -42,10 +42,10 @@
 // TestCheck lists what an owner may order in which state.
 func TestCheck(t *testing.T) {
 	cases := []struct {
-		name string
-		make func() *Ledger
-		ask  Request
-		want CheckResult
+		name    string
+		make    func() *Ledger
+		request Request
+		want    CheckResult
 	}{
 		{"state unknown", func() *Ledger { return New("e", "a", 1, start, Capacity{}, testSizes) }, load("m", ""), StateUnknown},
 		{"room for a model", func() *Ledger { return newLedger(1, "a", "b") }, load("c", ""), Allowed},
@@ -122,7 +122,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			is.Equal(c.make().Check(c.ask), c.want)
+			is.Equal(c.make().Check(c.request), c.want)
 		})
 	}
 }
