--- a/core/orderclient/orderclient.go
+++ b/core/orderclient/orderclient.go
@@ -144,7 +144,7 @@
 }
 
 // HandleOutcome handles the outcome of a requested order. The calls that wait for it are
-// resumed: they go to the engine or choose another one.
+// resumed: each goes to the engine or chooses another one.
 func (c *Client) HandleOutcome(now clock.Instant, key Key, o owned.Outcome, detail string) {
 	waiting, ok := c.pending[key]
 	if !ok {
--- a/core/orders/answer.go
+++ b/core/orders/answer.go
@@ -80,9 +80,9 @@
 	l.setItem(r.Item(), it)
 }
 
-// RecordLost records that the answer to the order in flight is lost, and returns the
-// request. The effect of the order stays in the ledger until the engine's state is
-// queried.
+// RecordLost records that the answer to the order in flight is lost, and returns its
+// request; ok is false if no order is in flight. The effect of the order stays in the
+// ledger until the engine's state is queried.
 func (l *Ledger) RecordLost() (r Request, ok bool) {
 	if l.inFlight == nil {
 		return r, false
--- a/core/orders/judge.go
+++ b/core/orders/judge.go
@@ -16,7 +16,7 @@
 const (
 	Allowed       CheckResult = iota + 1 // the order may be sent
 	NoChange                             // the engine already is in the requested state
-	InProgress                           // the engine is already getting there
+	InProgress                           // an earlier order for this is being carried out
 	NotNow                               // an order is unanswered, or the engine is busy
 	NoCapacity                           // memory or adapter slots are missing
 	ModelNotReady                        // the adapter's model is not loaded
@@ -54,7 +54,7 @@
 	}
 }
 
-// Check returns what the ledger allows for a request now.
+// Check reports whether an order for the request may be sent now, and otherwise why not.
 func (l *Ledger) Check(r Request) CheckResult {
 	if !l.Known() {
 		return StateUnknown
@@ -118,6 +118,7 @@
 	return Allowed
 }
 
+// loadingAdapters returns the number of adapters that are being loaded.
 func (l *Ledger) loadingAdapters() int {
 	n := 0
 	for _, it := range l.items {
--- a/core/orders/late.go
+++ b/core/orders/late.go
@@ -7,21 +7,20 @@
 	"github.com/birchdrift/birchdrift/core/clock"
 )
 
-// Orders whose answers were lost before their engine restarted. Within one incarnation
-// the engine's count of orders makes them void, but the count starts again with each
-// incarnation. So an order that arrives late, at the next incarnation, may carry the
-// count that the engine has reached again, although its state is not the one for which
-// the order was computed.
+// Orders whose answers were lost before their engine restarted. While an engine runs, its
+// count of accepted orders makes such an order void. A restart resets the count. An order
+// that was sent to an earlier incarnation and arrives at a later one may therefore match
+// the count again and be carried out, on a state for which it was not computed.
 
 // MaxOrderDelay is how long after it was sent an unanswered order may still be carried
-// out: the platform's description of engines allows up to twelve seconds.
+// out. The platform's description of engines allows for up to twelve seconds.
 const MaxOrderDelay = 13 * time.Second
 
 // A DelayedOrder is an order to an earlier incarnation of an engine that may still
 // arrive.
 type DelayedOrder struct {
 	Request Request
-	Until   clock.Instant
+	Until   clock.Instant // when it can no longer arrive
 }
 
 // ReserveDelayed reserves the capacity that delayed orders to earlier incarnations of the
@@ -49,8 +48,8 @@
 	return items
 }
 
-// delayedMB returns the memory that delayed orders would take, in MB; ok is false if the
-// size of a model is unknown.
+// delayedMB returns the memory that the loads of delayed orders would take, in MB; ok is
+// false if the size of a model is unknown.
 func (l *Ledger) delayedMB() (mb int64, ok bool) {
 	for _, r := range l.delayedLoads() {
 		modelMB, adapterMB, ok := l.sizes(r.Model)
@@ -66,7 +65,7 @@
 	return mb, true
 }
 
-// delayedSlots returns the adapter slots that delayed orders would take.
+// delayedSlots returns the adapter slots that the loads of delayed orders would take.
 func (l *Ledger) delayedSlots() int {
 	n := 0
 	for _, r := range l.delayedLoads() {
--- a/core/orders/observe.go
+++ b/core/orders/observe.go
@@ -11,14 +11,14 @@
 
 // A State is the state that an engine reports.
 type State struct {
-	Sequence uint64
-	Busy     bool // an order for a model is being carried out
+	Sequence uint64 // number of orders that the engine has accepted
+	Busy     bool   // an order for a model is being carried out
 	Models   []pool.AnnouncedModel
 	Coming   []string // item names of the adapters being loaded
 }
 
-// ObserveState updates the ledger with the engine's reply to a state query. A state that
-// is older than an answered order is ignored.
+// ObserveState updates the ledger with the engine's reply to a state query. It ignores a
+// state that is older than an answered order, and every state while an order is in flight.
 func (l *Ledger) ObserveState(now clock.Instant, s State) {
 	if l.inFlight != nil || s.Sequence < l.sequence {
 		return
@@ -26,15 +26,15 @@
 	l.replaceItems(now, s)
 	l.known = true
 	l.sequence = s.Sequence
-	// A model that is being loaded for another owner takes memory, and the engine does
-	// not say which model it is: nothing may be ordered until it is done.
+	// A model that another owner ordered and that is still loading takes memory, and the
+	// engine does not report which model it is: nothing may be ordered until it is done.
 	model, _ := l.ModelInTransition()
 	l.uncertain = s.Busy && model == ""
 }
 
 // ObserveModels updates the ledger with the models that the engine announces by itself.
-// It does so when an order for a model is done; for adapters its announcements come too
-// late.
+// The engine announces its models when an order for a model is done. Its announcements of
+// adapters come too late to be of use.
 func (l *Ledger) ObserveModels(models []pool.AnnouncedModel) {
 	if !l.known {
 		return
@@ -43,7 +43,7 @@
 	for _, m := range models {
 		present[m.Name] = true
 		if _, known := l.items[m.Name]; !known {
-			l.uncertain = true // an order that was given up took effect late
+			l.uncertain = true // an abandoned order took effect late
 		}
 	}
 	for _, item := range l.sortedItems() {
@@ -61,8 +61,8 @@
 	}
 }
 
-// replaceItems replaces the items of the ledger by the state, except for a model with an
-// order in progress: the engine does not say which one that is.
+// replaceItems replaces the items of the ledger with those of the state. It keeps a model
+// with an order in progress, since the engine does not report which model that is.
 func (l *Ledger) replaceItems(now clock.Instant, s State) {
 	items := make(map[string]itemState, len(l.items))
 	for _, m := range s.Models {
@@ -86,8 +86,9 @@
 	l.version++
 }
 
-// maxAdapterLoadTime is how long an adapter that another owner ordered is assumed to take to
-// load: several times the usual load time of adapters plus the age of the reported state.
+// maxAdapterLoadTime is how long an adapter that another owner ordered is assumed to take
+// to load: several times the usual load time of adapters plus the age of the reported
+// state.
 const maxAdapterLoadTime = 300 * time.Millisecond
 
 // loadingAdapter returns the state of an adapter that the engine reports as loading. It
@@ -103,6 +104,8 @@
 	return it
 }
 
+// readyItem returns the state of an item that the engine reports as ready. A new item
+// counts as used now.
 func (l *Ledger) readyItem(now clock.Instant, model, adapter string) itemState {
 	it := l.items[pool.ItemName(model, adapter)]
 	if it.model == "" {
@@ -124,7 +127,8 @@
 }
 
 // Advance marks the adapters whose expected load time has passed as ready, expires
-// delayed orders, and reports whether an adapter became ready.
+// delayed orders, and reports whether an adapter became ready. After the expected unload
+// time of an adapter the engine's state must be queried.
 func (l *Ledger) Advance(now clock.Instant) bool {
 	l.expireDelayed(now)
 	changed := false
--- a/core/orders/orders.go
+++ b/core/orders/orders.go
@@ -21,7 +21,7 @@
 	"github.com/birchdrift/birchdrift/core/pool"
 )
 
-// A Request describes one order.
+// A Request describes one order: to load or to unload an item.
 type Request struct {
 	Load    bool // false for an unload
 	Model   string
@@ -50,7 +50,7 @@
 	// that has accepted a different number refuses this one, so an order whose answer was
 	// lost cannot take effect after a later one.
 	Expect uint64
-	Fence  era.Revision
+	Fence  era.Revision // fencing token: the engine refuses orders with a lower one than it has seen
 }
 
 // An Answer is the engine's answer to an order, or the lack of one.
@@ -82,17 +82,17 @@
 type Ledger struct {
 	Name      string
 	Address   string
-	Fence     era.Revision
+	Fence     era.Revision  // fencing token of the orders
 	From      clock.Instant // no order may be sent before this time
 	capacity  Capacity
 	sizes     SizeFunc
-	known     bool
-	sequence  uint64
+	known     bool   // a state was read
+	sequence  uint64 // number of orders that the engine has accepted
 	items     map[string]itemState
 	inFlight  *Request       // sent and not answered
 	delayed   []DelayedOrder // orders to earlier incarnations that may still arrive
-	uncertain bool           // an answer was lost since the state was last read
-	version   uint64         // incremented with every change of the items
+	uncertain bool           // items may differ from the engine's, for instance after a lost answer
+	version   uint64         // incremented with every change of the items, and when delayed orders expire
 }
 
 // New returns the ledger of an engine whose state is not known yet.
@@ -118,7 +118,8 @@
 // Sequence returns the number of orders that the engine has accepted.
 func (l *Ledger) Sequence() uint64 { return l.sequence }
 
-// Version returns a number that is incremented with every change of the engine's items.
+// Version returns a number that is incremented with every change of the engine's items,
+// and when delayed orders expire.
 func (l *Ledger) Version() uint64 { return l.version }
 
 // InFlight reports whether an order is unanswered.
--- a/core/orders/orders_test.go
+++ b/core/orders/orders_test.go
@@ -39,7 +39,7 @@
 	return Request{Load: true, Model: model, Adapter: adapter}
 }
 
-// TestCheck lists what an owner may order in which state.
+// TestCheck checks which orders are allowed in which states of the ledger.
 func TestCheck(t *testing.T) {
 	cases := []struct {
 		name    string
--- a/core/owned/engine.go
+++ b/core/owned/engine.go
@@ -17,7 +17,7 @@
 	Settled bool
 
 	incarnation      pool.Incarnation // the incarnation that the ledger describes
-	acquiredAt       clock.Instant
+	acquiredAt       clock.Instant    // when this instance became the owner
 	queue            []queuedRequest
 	querying         bool          // a state query is unanswered
 	queryDue         clock.Instant // earliest time of the next state query
--- a/core/owned/owned.go
+++ b/core/owned/owned.go
@@ -28,8 +28,8 @@
 	Pool    *pool.Pool
 	Records *gossip.Set
 	Config  *config.Current
-	// MayOrder reports whether the ownership that this instance gained with a fence is
-	// certainly still its own.
+	// MayOrder reports whether this instance certainly still holds the ownership that it
+	// acquired with a fence.
 	MayOrder func(now clock.Instant, fence era.Revision) bool
 	// Permitted reports whether an order for an adapter or a model, or a state query, may
 	// be sent to an engine now, as far as its rate limit is concerned.
@@ -77,8 +77,8 @@
 	s.queryState(now, e)
 }
 
-// Lose ends the ownership of an engine. Its queued requests are refused with reason as the
-// detail.
+// Lose ends the ownership of an engine and refuses its queued requests; reason is logged
+// and sent to the requesters.
 func (s *Engines) Lose(now clock.Instant, name, reason string) {
 	e := s.engines[name]
 	if e == nil {
@@ -145,14 +145,14 @@
 	return s.MayOrder(now, e.Fence) && e.Settled && !now.Before(e.From) && !s.resting(now, e)
 }
 
-// resting reports whether an engine is in a rest, that is, asked this instance to send it
-// nothing for a while.
+// resting reports whether an engine asked this instance to send it nothing for a while
+// and that time has not passed.
 func (s *Engines) resting(now clock.Instant, e *Engine) bool {
 	r := s.Pool.Get(e.Name)
 	return r != nil && r.Resting(now)
 }
 
-// rateLimited reports whether an engine names a rate limit.
+// rateLimited reports whether an engine has a rate limit.
 func (s *Engines) rateLimited(now clock.Instant, e *Engine) bool {
 	r := s.Pool.Get(e.Name)
 	if r == nil {
@@ -184,8 +184,8 @@
 		}
 		if e.incarnation != r.Incarnation() {
 			// The new incarnation starts its count of orders again and holds nothing. The
-			// ledger of the former one would reject its states as too old and never send
-			// it an order.
+			// ledger of the former one would ignore its states as too old and never allow
+			// an order to it.
 			s.Lose(now, name, "the engine restarted")
 			continue
 		}
--- a/core/owned/queue.go
+++ b/core/owned/queue.go
@@ -55,7 +55,7 @@
 	// SendOrder is the action that sends an order to an engine.
 	SendOrder struct {
 		orders.Order
-		Limited bool // the engine names a rate limit, see calls.Dispatch
+		Limited bool // the engine has a rate limit, see calls.Dispatch
 	}
 	// OrderReply is the event that answers a SendOrder.
 	OrderReply struct {
@@ -94,6 +94,8 @@
 	s.enqueue(now, e, r, waiter{})
 }
 
+// enqueue queues a request at an engine or adds the waiter to the same request in the
+// queue. It refuses the request if the engine may not be sent orders or is unreachable.
 func (s *Engines) enqueue(now clock.Instant, e *Engine, r orders.Request, w waiter) {
 	if !s.Orderable(now, e) {
 		s.reply(now, e, r, w, Refused, "the engine may not be ordered yet")
@@ -118,8 +120,8 @@
 	s.processQueue(now, e)
 }
 
-// processQueue processes the requests queued at an engine: it removes those that are done
-// and sends the next order that may be sent.
+// processQueue processes the requests queued at an engine: it answers and removes those
+// that are done, refused or expired, and sends the next order that may be sent.
 func (s *Engines) processQueue(now clock.Instant, e *Engine) {
 	var remaining []queuedRequest
 	queue := e.queue
@@ -164,7 +166,8 @@
 	return true
 }
 
-// refuse refuses a queued request.
+// refuse refuses a queued request. If that was to unload a model, calls may be sent to the
+// model again.
 func (s *Engines) refuse(now clock.Instant, e *Engine, q queuedRequest, detail string) {
 	if !q.request.Load && q.request.Adapter == "" {
 		e.UnmarkUnloading(q.request.Model)
@@ -190,14 +193,14 @@
 // unreachableDetail is the detail of refusals for an unreachable engine.
 const unreachableDetail = "the engine is unreachable"
 
-// down reports whether the engine was unreachable a moment ago.
+// down reports whether the engine was unreachable recently.
 func (s *Engines) down(now clock.Instant, e *Engine) bool {
 	r := s.Pool.Get(e.Name)
 	return r != nil && r.Down(now)
 }
 
 // evictAdapter orders the unload of the least recently used adapter, and reports whether
-// room can be expected.
+// there may be room for another adapter later.
 func (s *Engines) evictAdapter(now clock.Instant, e *Engine) bool {
 	if e.InFlight() || !e.Known() {
 		return true
@@ -210,6 +213,8 @@
 	return true
 }
 
+// send sends an order to an engine if the ownership and the engine's rate limit allow it
+// now.
 func (s *Engines) send(now clock.Instant, e *Engine, r orders.Request) {
 	if !s.Orderable(now, e) || !s.Permitted(now, e.Name, r.Adapter != "") {
 		return
--- a/core/owned/state.go
+++ b/core/owned/state.go
@@ -13,11 +13,11 @@
 // When and how an engine's state is queried.
 
 const (
-	// queryInterval is the least time between two state queries to one engine: twice the
-	// age that a reported state may have, see maxStateAge.
+	// queryInterval is the least time between two state queries to one engine: about twice
+	// maxStateAge, the age that a reported state may have.
 	queryInterval = 250 * time.Millisecond
 	// maxStateAge is how old a reported state may be when it arrives: the platform's
-	// description of engines says some 100 ms.
+	// description of engines gives about 100 ms.
 	maxStateAge = 120 * time.Millisecond
 )
 
@@ -26,7 +26,7 @@
 	QueryState struct {
 		Engine  string
 		Address string
-		Limited bool // the engine names a rate limit, see calls.Dispatch
+		Limited bool // the engine has a rate limit, see calls.Dispatch
 	}
 	// StateReply is the event that answers a QueryState.
 	StateReply struct {
@@ -72,9 +72,9 @@
 	s.publish(now, e)
 }
 
-// scheduleQuery schedules a state query for the time when the model that the engine loads
-// should be ready: the engine's own announcement comes later and is more expensive to
-// read.
+// scheduleQuery schedules the next state query of an engine that carries out an order for
+// a model: when a loading model should be ready, or after queryInterval for an unload.
+// The engine's own announcement comes later and is more expensive to read.
 func (s *Engines) scheduleQuery(now clock.Instant, e *Engine) {
 	if !e.Busy() {
 		return
--- a/core/permits/coordinator.go
+++ b/core/permits/coordinator.go
@@ -34,14 +34,15 @@
 	buckets map[Resource]*bucket
 }
 
-// A bucket holds the token bucket of one resource and the requests queued for it.
+// A bucket holds the state of one resource: its token bucket and the requests that are
+// queued for permits.
 type bucket struct {
 	tokens   tokenBucket
 	lastUsed clock.Instant // when the bucket was last used
 	// coordinatorSince is when this instance became the coordinator in its own view; zero
 	// if it is not the coordinator.
 	coordinatorSince clock.Instant
-	// lastRetryAt is the latest retry time that was given to a denied caller.
+	// lastRetryAt is the latest retry time of the callers that were denied.
 	lastRetryAt clock.Instant
 	queue       []queuedRequest // in the order in which they are granted
 }
@@ -74,7 +75,7 @@
 }
 
 // dropStaleViews drops the views from before a suspension of this process: they do not
-// show which instance granted permits meanwhile.
+// show which instance granted permits during it.
 func (p *Permits) dropStaleViews(now clock.Instant) {
 	if n := len(p.views); n > 0 && now.MaxElapsed(p.views[n-1].at) > probationPeriod {
 		p.views = nil
@@ -172,7 +173,7 @@
 	return float64(reachable) / float64(total)
 }
 
-// A quota is the amount of a resource that may be granted.
+// A quota says how many permits of a resource may be granted.
 type quota struct {
 	rate      float64       // permits per second
 	burst     float64       // most permits that may accumulate
@@ -180,8 +181,8 @@
 	probation time.Duration // see probationPeriod
 }
 
-// quota returns how much of a request's resource all instances together may be granted;
-// bounded is false if the resource has no limit.
+// quota returns the quota of a request's resource for all instances together; bounded is
+// false if the resource has no limit.
 func (c *coordinator) quota(now clock.Instant, r Request) (q quota, bounded bool) {
 	if r.Service != "" {
 		// Half of the amount may accumulate and half is refilled in each span, so that no
@@ -215,7 +216,7 @@
 		return
 	}
 	if w.request.Service != "" && !c.registered() {
-		c.reply(now, w, Decision{}) // the others do not know this instance, so it may wrongly believe that it is alone
+		c.reply(now, w, Decision{}) // it may wrongly assume that it is the only instance
 		return
 	}
 	b := c.bucket(now, w.request, q)
@@ -273,8 +274,8 @@
 	b.tokens.refill(now, c.ownQuota(now, b, q))
 }
 
-// bucket returns the bucket of a resource, creating it if necessary, and updates whether
-// this instance is its coordinator.
+// bucket returns the bucket of a resource, creating it if necessary, and updates since
+// when this instance has been its coordinator.
 func (c *coordinator) bucket(now clock.Instant, r Request, q quota) *bucket {
 	b := c.buckets[r.Resource]
 	if b == nil {
@@ -323,9 +324,9 @@
 	}
 }
 
-// deny returns the decision that denies a request which would have to wait for wait. The
-// callers of denied requests get retry times one after the other, at the rate at which
-// the replica takes requests.
+// deny returns a denial for a request that would have to wait for the given time. Callers
+// that no other replica can serve get retry times one after the other, at the rate at
+// which the replica takes requests.
 func (c *coordinator) deny(now clock.Instant, b *bucket, w queuedRequest, wait time.Duration) Decision {
 	if !w.request.Alone {
 		return Decision{Turn: wait, After: wait}
--- a/core/permits/permits.go
+++ b/core/permits/permits.go
@@ -36,9 +36,9 @@
 	// permitTTL is how long after it was granted a permit may be used
 	// (docs/design/limits.md).
 	permitTTL = 300 * time.Millisecond
-	// peerBackoff is how long a coordinator that did not answer is skipped, and how long
-	// a replica takes no request of a call that could not reach its coordinator
-	// (docs/design/limits.md).
+	// peerBackoff is how long a coordinator that did not answer is skipped. It is also how
+	// long a call avoids a replica whose coordinator did not answer the call's request in
+	// time (docs/design/limits.md).
 	peerBackoff = 2 * time.Second
 	// prepareInterval is the time between two checks for the resources that this instance
 	// coordinates (docs/design/limits.md).
@@ -77,9 +77,9 @@
 // A Request asks for one permit or releases one.
 type Request struct {
 	Resource
-	Zone string // zone of the replica
-	Rank int    // priority rank, 0 is the most urgent
-	Wait time.Duration
+	Zone string        // zone of the replica
+	Rank int           // priority rank, 0 is the most urgent
+	Wait time.Duration // longest time that the request may be queued
 	// Alone reports that no other replica can serve the call. Its caller is told when to
 	// retry if the request is denied.
 	Alone bool
@@ -179,13 +179,14 @@
 	attempts int    // peers tried before this one
 }
 
-// An orderKind is the orders to one engine that share a rank.
+// An orderKind identifies the orders to one engine that share a rank.
 type orderKind struct {
 	engine  string
 	adapter bool // orders for adapters; otherwise orders for models and state queries
 }
 
-// An orderPermit is the permit for orders that an engine's owner has or has requested.
+// An orderPermit is the permit for one kind of orders that this instance, as the owner of
+// the engine, has or has requested.
 type orderPermit struct {
 	incarnation pool.Incarnation
 	pending     bool
@@ -201,8 +202,8 @@
 	return p
 }
 
-// RequestForCall requests a permit to send a call to a replica and waits at most wait for
-// it; alone says that no other replica can serve the call. Decided is called with the
+// RequestForCall requests a permit to send a call to a replica; the request is queued for
+// at most wait. alone reports that no other replica can serve the call. Decided is called with the
 // decision, possibly before RequestForCall returns.
 func (p *Permits) RequestForCall(now clock.Instant, r *pool.Replica, call calls.ID, rank int, wait time.Duration, alone bool) {
 	request := replicaRequest(r, rank, wait)
@@ -210,12 +211,13 @@
 	p.dispatch(now, &pendingRequest{request: request, call: call})
 }
 
+// replicaRequest returns a request for a permit to send something to a replica.
 func replicaRequest(r *pool.Replica, rank int, wait time.Duration) Request {
 	return Request{Resource: Resource{Replica: r.Incarnation()}, Zone: r.Zone, Rank: min(rank, adapterRank), Wait: max(0, wait), Word: r.LimitReport()}
 }
 
-// RequestForRetry requests a permit to retry a call of a service and waits at most wait
-// for it. Decided is called with the decision, possibly before RequestForRetry returns.
+// RequestForRetry requests a permit to retry a call of a service; the request is queued
+// for at most wait. Decided is called with the decision, possibly before RequestForRetry returns.
 func (p *Permits) RequestForRetry(now clock.Instant, service string, call calls.ID, rank int, wait time.Duration) {
 	request := Request{Resource: Resource{Service: service}, Rank: rank, Wait: max(0, wait)}
 	p.dispatch(now, &pendingRequest{request: request, call: call})
@@ -307,8 +309,8 @@
 	p.deliver(now, req, e.Verdict)
 }
 
-// retry sends the request to another instance, unless its wait has expired: such a call
-// goes to another replica that can serve it.
+// retry sends the request to another instance, unless its wait has expired. A call that
+// another replica can serve waits only as long as that gains time, and then goes there.
 func (p *Permits) retry(now clock.Instant, req *pendingRequest) {
 	req.request.Wait -= now.Since(req.sentAt)
 	if req.request.Wait <= 0 {
--- a/core/permits/permits_test.go
+++ b/core/permits/permits_test.go
@@ -60,7 +60,7 @@
 	return f
 }
 
-// setLimit makes the replica name a limit.
+// setLimit makes the replica report a rate limit.
 func (f *fixture) setLimit(perSecond float64) {
 	f.Pool.ObserveLimit(f.now, "r", f.now, pool.RateLimit{Named: true, PerSecond: perSecond}, "self")
 }
@@ -341,7 +341,7 @@
 	f.advance(3400*time.Millisecond + permitTTL) // a permit was available but not used
 	is.True(!f.TryAcquireForOrder(f.now, "r", false))
 	f.Pool.Announce(f.now, "r", pool.Announcement{Service: "s", Address: "r", Zone: "z", Born: "2"})
-	is.True(f.TryAcquireForOrder(f.now, "r", false)) // the other incarnation has not named a limit
+	is.True(f.TryAcquireForOrder(f.now, "r", false)) // the new incarnation has not reported a limit
 }
 
 // TestReleasedPermitIsGranted checks that a released permit is granted to a queued
@@ -441,7 +441,7 @@
 }
 
 // TestProbationBeforeLimitIsNamed checks that an instance which was the coordinator
-// before a replica named a limit grants the whole of the limit at once; one that has just
+// before a replica reported a limit grants the whole of the limit at once; one that has just
 // started, or was suspended, grants less for a while.
 func TestProbationBeforeLimitIsNamed(t *testing.T) {
 	ownRate := func(f *fixture) float64 {
--- a/core/permits/tokens.go
+++ b/core/permits/tokens.go
@@ -7,8 +7,9 @@
 )
 
 const (
-	// burstTime is the time whose permits of a limit may accumulate: queued requests are
-	// granted only at ticks, which are some time apart (docs/design/limits.md).
+	// burstTime is the time for which the permits of a limit may accumulate. Queued
+	// requests are granted only at ticks, so the permits between two ticks must be kept
+	// (docs/design/limits.md).
 	burstTime = 200 * time.Millisecond
 	// minBurst is the least number of permits that may accumulate. With a burst of one,
 	// tokens that arrive while no call waits are lost: a seventh of small limits
@@ -16,8 +17,8 @@
 	minBurst = 2
 )
 
-// A tokenBucket starts with few tokens, since another instance may have granted permits
-// until now.
+// A tokenBucket is the token bucket of one resource. It does not start full, since another
+// instance may have granted permits until now.
 type tokenBucket struct {
 	available  float64
 	refilledAt clock.Instant // time of the last refill
--- a/core/permits/tokens_test.go
+++ b/core/permits/tokens_test.go
@@ -53,8 +53,8 @@
 	}
 }
 
-// TestTokenBucketRateChange lists how long requests wait and how a change of the rate
-// applies: the tokens until the change are counted at the previous rate.
+// TestTokenBucketRateChange checks how long requests wait, and that after a change of the
+// rate the time until the change still counts at the previous rate.
 func TestTokenBucketRateChange(t *testing.T) {
 	is := is.New(t)
 	tokens := newTokenBucket(start, quotaOf(2))
--- a/core/placement/budget_test.go
+++ b/core/placement/budget_test.go
@@ -10,8 +10,9 @@
 	"github.com/birchdrift/birchdrift/core/option"
 )
 
-// TestLoadBudget checks that a new placer loads nothing while the former one may still be
-// active, and that loads then come at the store's rate and in bounded bursts.
+// TestLoadBudget checks that a new placer starts no loads while the former one may still
+// be active, and that its loads then follow the rate of the weight store and start at most
+// loadBurst at once.
 func TestLoadBudget(t *testing.T) {
 	is := is.New(t)
 	now := clocktest.At(time.Hour)
@@ -28,7 +29,7 @@
 	is.Equal(takeAll(&b), 0)
 	now = now.Add(opt.OrderValid)
 	b.refill(now, rate, &opt)
-	is.Equal(takeAll(&b), 0) // the time before does not count
+	is.Equal(takeAll(&b), 0) // the time for which the former placer may be active yields no loads
 	now = now.Add(600 * time.Millisecond)
 	b.refill(now, rate, &opt)
 	is.Equal(takeAll(&b), 1)
@@ -38,8 +39,9 @@
 }
 
 // TestBudgetHandover checks that a placer starts with the budget that the former one left
-// when it stopped, so that both together start no more loads than one would. The time
-// that the former one still had to wait is subtracted as loads.
+// when it stopped, so that both together start no more loads than one would. A former
+// placer that was itself still waiting for its predecessor hands over a negative budget,
+// by the loads that the rate yields in the rest of that wait.
 func TestBudgetHandover(t *testing.T) {
 	now := clocktest.At(time.Hour)
 	opt := option.Default()
@@ -47,8 +49,8 @@
 	for _, tt := range []struct {
 		name       string
 		startedAgo time.Duration // how long before its stop the first placer started
-		spent      int
-		want       float64 // remaining loads
+		spent      int           // loads that the first placer started
+		want       float64       // remaining loads
 	}{
 		{"a full budget", time.Minute, 0, loadBurst},
 		{"one spent", time.Minute, 1, loadBurst - 1},
--- a/core/placement/changes.go
+++ b/core/placement/changes.go
@@ -75,8 +75,8 @@
 	Ready   bool          // false if it is being loaded or unloaded
 	Leaving bool          // it is being unloaded
 	Age     time.Duration // time since it became ready
-	// Uncarried reports that the rate limit of its engine is too small for the calls to
-	// it, so that it does not count as a copy.
+	// Uncarried reports that the rate limit of the engine is too small for the calls to
+	// this copy, so that it does not count.
 	Uncarried bool
 }
 
@@ -93,7 +93,7 @@
 	// Sound reports that calls are sent to the engine. Copies on engines that are not
 	// sound do not count.
 	Sound bool
-	// Limited reports that the engine names a rate limit: Limit, in requests per second.
+	// Limited reports that the engine has a rate limit: Limit, in requests per second.
 	Limited bool
 	Limit   float64
 }
@@ -260,7 +260,7 @@
 	return candidates
 }
 
-// A choice is one way to place a candidate.
+// A choice is one possible placement of a candidate.
 type choice struct {
 	engine *engine
 	source pool.WeightSource
@@ -269,6 +269,8 @@
 	score  float64 // value less cost and the penalty for the engine's work
 }
 
+// place chooses the engine with the best score for a candidate and plans the change. It
+// returns false if no engine is worth its cost.
 func (p *planner) place(c candidate) (Change, bool) {
 	var best choice
 	found := false
@@ -302,7 +304,8 @@
 	}
 }
 
-// evaluate returns how a candidate could be placed on an engine, if it is worth its cost.
+// evaluate returns the choice to place a candidate on an engine. It returns false if that
+// is not possible or not worth its cost.
 func (p *planner) evaluate(e *engine, c candidate) (choice, bool) {
 	if !e.Open || !e.Sound || e.changing || e.has(c.model) {
 		return choice{}, false
--- a/core/placement/limited.go
+++ b/core/placement/limited.go
@@ -5,23 +5,24 @@
 	"slices"
 )
 
-// Rate-limited engines: which of their copies the limit is large enough for.
+// Which copies on rate-limited engines count for the placement.
 
-// callShare is the share of a limit that is available for calls; the rest is for the
-// orders for the adapters that they need (docs/design/limits.md).
+// callShare is the share of an engine's rate limit that is available for calls. The rest is
+// for the orders that load the adapters of these calls (docs/design/limits.md).
 const callShare = 0.5
 
 // overLimitHysteresis is the fraction of the usual threshold below which a copy that was
-// over the limit counts again. A copy on another engine takes part of the demand away,
-// which must not make that copy superfluous at once (docs/design/limits.md).
+// over the limit counts again. While such a copy does not count, its model is loaded on
+// another engine. The demand that the new copy takes over must not make it superfluous at
+// once (docs/design/limits.md).
 const overLimitHysteresis = 0.5
 
 // overLimitCopies returns the copies that do not count because the rate limits of their
-// engines are too small for their calls; other engines must serve that demand. The copies
-// of an engine with few calls are given the limit first: it suffices for many rare
-// models, whereas one busy model uses it up and is more likely to have copies elsewhere.
-// previous holds the copies that were over the limit before. If every engine is rate-limited,
-// the result is empty, because moving models between them gains nothing.
+// engines are too small for their calls; other engines must serve that demand. An engine's
+// limit goes to its copies with the fewest calls first: it suffices for many rare models,
+// whereas one busy model would use it up and is more likely to have copies elsewhere.
+// previous holds the copies that were over the limit before. If every engine is
+// rate-limited, the result is empty, because moving models between them gains nothing.
 func overLimitCopies(in Input, previous map[copyKey]bool) map[copyKey]bool {
 	out := map[copyKey]bool{}
 	if !slices.ContainsFunc(in.Engines, func(e Engine) bool { return e.Sound && !e.Limited }) {
--- a/core/placement/placer.go
+++ b/core/placement/placer.go
@@ -71,8 +71,8 @@
 	AllDemand *demand.Totals
 	// Stopping reports whether a planned stop has begun.
 	Stopping func() bool
-	// Tell starts an exchange with a peer at once; p may be nil. NextWatcher returns the
-	// next watcher of a zone in turn.
+	// Tell starts an exchange with a peer at once, unless p is nil. NextWatcher returns
+	// the watchers of a zone in rotation.
 	Tell        func(now clock.Instant, p *member.Peer)
 	NextWatcher func(now clock.Instant, zone string) *member.Peer
 }
@@ -85,7 +85,7 @@
 	placedAt       clock.Instant // time of the last placement
 	missReportedAt clock.Instant // when the placer was last notified of a miss
 	active         bool
-	localOnly      bool          // placing on the own engines only, and only missed models
+	localOnly      bool          // placing on the own engines only, and only models with misses
 	demandSince    clock.Instant // since when there has been demand
 	loads          loadBudget
 	changes        map[string]*change        // changes in progress, by engine
@@ -131,8 +131,8 @@
 	p.placeModels(now)
 }
 
-// start starts placing models, for the fleet or for the own engines only, if the placer
-// is not doing that already.
+// start starts the placement of models, for the fleet or, with localOnly, on the own
+// engines only. It does nothing if the placer is already active in this mode.
 func (p *Placer) start(now clock.Instant, localOnly bool) {
 	if p.active && p.localOnly == localOnly {
 		return
