--- a/core/permits/permits.go
+++ b/core/permits/permits.go
@@ -203,8 +203,8 @@
 }
 
 // RequestForCall requests a permit to send a call to a replica; the request is queued for
-// at most wait. alone reports that no other replica can serve the call. Decided is called with the
-// decision, possibly before RequestForCall returns.
+// at most wait. alone reports that no other replica can serve the call. Decided is called
+// with the decision, possibly before RequestForCall returns.
 func (p *Permits) RequestForCall(now clock.Instant, r *pool.Replica, call calls.ID, rank int, wait time.Duration, alone bool) {
 	request := replicaRequest(r, rank, wait)
 	request.Alone = alone
@@ -217,7 +217,8 @@
 }
 
 // RequestForRetry requests a permit to retry a call of a service; the request is queued
-// for at most wait. Decided is called with the decision, possibly before RequestForRetry returns.
+// for at most wait. Decided is called with the decision, possibly before RequestForRetry
+// returns.
 func (p *Permits) RequestForRetry(now clock.Instant, service string, call calls.ID, rank int, wait time.Duration) {
 	request := Request{Resource: Resource{Service: service}, Rank: rank, Wait: max(0, wait)}
 	p.dispatch(now, &pendingRequest{request: request, call: call})
--- a/core/permits/permits_test.go
+++ b/core/permits/permits_test.go
@@ -441,8 +441,8 @@
 }
 
 // TestProbationBeforeLimitIsNamed checks that an instance which was the coordinator
-// before a replica reported a limit grants the whole of the limit at once; one that has just
-// started, or was suspended, grants less for a while.
+// before a replica reported a limit grants the whole of the limit at once. An instance
+// that has just started, or was suspended, grants less for a while.
 func TestProbationBeforeLimitIsNamed(t *testing.T) {
 	ownRate := func(f *fixture) float64 {
 		r := replicaRequest(f.Pool.Get("r"), 0, 0)
