--- a/core/clock/clock.go
+++ b/core/clock/clock.go
@@ -4,7 +4,7 @@
 // An Instant carries two readings. The steady one only goes forward, and counts the time
 // for which the machine sleeps where the system offers such a clock (internal/shell); the
 // wall reading jumps when somebody sets it. Spans are measured by Since, on the steady
-// clock. Code that must not believe in a right that has lapsed asks for Elapsed, which is
+// clock. Code that must not believe in a right that has lapsed asks for MaxElapsed, which is
 // the larger of the two differences, so that it is safe also on a system whose steady
 // clock stands still during a sleep, unless the wall clock is set back meanwhile.
 //
--- a/core/config/parse.go
+++ b/core/config/parse.go
@@ -128,7 +128,7 @@
 }
 
 // Encode returns the document as the platform holds it: gzipped YAML. It fails
-// with ConfigTooLarge above MaxEncoded.
+// with ConfigTooLarge above MaxEncodedBytes.
 func (d Document) Encode() ([]byte, error) {
 	text, err := yaml.Marshal(d)
 	if err != nil {
--- a/core/pool/ratelimit.go
+++ b/core/pool/ratelimit.go
@@ -23,7 +23,7 @@
 	// Limit is what it named. Of one that has ended, PerSecond is what it was.
 	Limit RateLimit
 	By    string // the instance that had the answer
-	// Moment is when that came.
+	// EventTime is when that came.
 	clock.EventTime
 }
 
