--- a/internal/entry/body.go
+++ b/internal/entry/body.go
@@ -44,8 +44,8 @@
 // Streamed reports whether a part of the body can be sent only once.
 func (b *Body) Streamed() bool { return b.rest != nil }
 
-// Spent reports whether the body cannot be sent again.
-func (b *Body) Spent() bool { return b.restRead.Load() }
+// Consumed reports whether the body cannot be sent again.
+func (b *Body) Consumed() bool { return b.restRead.Load() }
 
 // Next returns the body for one attempt.
 func (b *Body) Next(watch *Watchdog) io.ReadCloser {
--- a/internal/entry/fingerprint_test.go
+++ b/internal/entry/fingerprint_test.go
@@ -90,11 +90,11 @@
 			defer watch.Stop()
 			// An attempt that read only the beginning does not use the body up.
 			_, _ = b.Next(watch).Read(make([]byte, 10))
-			is.True(!b.Spent())
+			is.True(!b.Consumed())
 			got, err := io.ReadAll(b.Next(watch))
 			is.NoErr(err)
 			is.Equal(string(got), want)
-			is.Equal(b.Spent(), c.streamed)
+			is.Equal(b.Consumed(), c.streamed)
 		})
 	}
 }
--- a/internal/entry/forward.go
+++ b/internal/entry/forward.go
@@ -252,7 +252,7 @@
 	b.Attempt = d.Attempt
 	b.Phase = progress.Phase()
 	b.Stalled = watch.Fired()
-	b.BodyConsumed = f.body.Spent()
+	b.BodyConsumed = f.body.Consumed()
 	if f.opened {
 		b.Delivered = max(1, f.lastEvent)
 	}
--- a/internal/own/modelapi/plain.go
+++ b/internal/own/modelapi/plain.go
@@ -113,7 +113,7 @@
 		return true
 	}
 	b := calls.AttemptFailed{
-		Attempt: d.Attempt, Phase: progress.Phase(), Stalled: watch.Fired(), BodyConsumed: p.body.Spent(), Detail: err.Error(),
+		Attempt: d.Attempt, Phase: progress.Phase(), Stalled: watch.Fired(), BodyConsumed: p.body.Consumed(), Detail: err.Error(),
 	}
 	var refused *service.RefusedError
 	if errors.As(err, &refused) {
