--- a/internal/entry/body.go
+++ b/internal/entry/body.go
@@ -47,8 +47,8 @@
 // Consumed reports whether the body cannot be sent again.
 func (b *Body) Consumed() bool { return b.restRead.Load() }
 
-// Next returns the body for one attempt.
-func (b *Body) Next(watch *Watchdog) io.ReadCloser {
+// NewReader returns the body for one attempt.
+func (b *Body) NewReader(watch *Watchdog) io.ReadCloser {
 	if !b.Streamed() {
 		return io.NopCloser(bytes.NewReader(b.kept))
 	}
--- a/internal/entry/fingerprint_test.go
+++ b/internal/entry/fingerprint_test.go
@@ -89,9 +89,9 @@
 			watch := NewWatchdog(0, func() {})
 			defer watch.Stop()
 			// An attempt that read only the beginning does not use the body up.
-			_, _ = b.Next(watch).Read(make([]byte, 10))
+			_, _ = b.NewReader(watch).Read(make([]byte, 10))
 			is.True(!b.Consumed())
-			got, err := io.ReadAll(b.Next(watch))
+			got, err := io.ReadAll(b.NewReader(watch))
 			is.NoErr(err)
 			is.Equal(string(got), want)
 			is.Equal(b.Consumed(), c.streamed)
--- a/internal/entry/forward.go
+++ b/internal/entry/forward.go
@@ -225,7 +225,7 @@
 		Method:     f.r.Method,
 		Target:     f.r.RequestURI,
 		Header:     header,
-		Body:       f.body.Next(watch),
+		Body:       f.body.NewReader(watch),
 		Length:     f.r.ContentLength,
 		Repeatable: d.Repeatable,
 	}
--- a/internal/own/modelapi/plain.go
+++ b/internal/own/modelapi/plain.go
@@ -96,7 +96,7 @@
 		Path:       p.call.Path,
 		Query:      p.r.URL.RawQuery,
 		Header:     header,
-		Body:       p.body.Next(watch),
+		Body:       p.body.NewReader(watch),
 		Length:     p.r.ContentLength,
 		Repeatable: d.Repeatable,
 	}
