--- a/internal/entry/body.go
+++ b/internal/entry/body.go
@@ -71,7 +71,7 @@
 	}
 	w.body.restRead.Store(true)
 	n, err := w.body.rest.Read(data)
-	w.watch.Alive()
+	w.watch.Reset()
 	return n, err
 }
 
--- a/internal/entry/forward.go
+++ b/internal/entry/forward.go
@@ -368,7 +368,7 @@
 		if err != nil {
 			return f.broke(s, d, progress, watch, failureOf(err, resp.StatusCode))
 		}
-		watch.Alive()
+		watch.Reset()
 		now := time.Now()
 		if !first {
 			f.pause = max(f.pause, now.Sub(last))
@@ -407,7 +407,7 @@
 func (w watchedReader) Read(data []byte) (int, error) {
 	n, err := w.Reader.Read(data)
 	if n > 0 {
-		w.watch.Alive()
+		w.watch.Reset()
 	}
 	return n, err
 }
--- a/internal/entry/watchdog.go
+++ b/internal/entry/watchdog.go
@@ -23,8 +23,8 @@
 	return w
 }
 
-// Alive notes a sign of life.
-func (w *Watchdog) Alive() { w.timer.Reset(w.span) }
+// Reset notes a sign of life.
+func (w *Watchdog) Reset() { w.timer.Reset(w.span) }
 
 // Fired reports whether the upstream was silent for too long.
 func (w *Watchdog) Fired() bool { return w.fired.Load() }
--- a/internal/own/modelapi/model.go
+++ b/internal/own/modelapi/model.go
@@ -139,7 +139,7 @@
 		if err != nil {
 			return m.broke(d, progress, watch, err), false
 		}
-		watch.Alive()
+		watch.Reset()
 		if m.pieces == 0 {
 			s.AnswerBegan()
 			m.handler.Metrics.First(time.Since(m.begun))
--- a/internal/own/modelapi/plain.go
+++ b/internal/own/modelapi/plain.go
@@ -155,7 +155,7 @@
 	total := 0
 	for {
 		n, err := body.Read(buf)
-		watch.Alive()
+		watch.Reset()
 		if n > 0 {
 			if _, werr := p.w.Write(buf[:n]); werr != nil {
 				return total, werr
