--- a/internal/environment/store.go
+++ b/internal/environment/store.go
@@ -82,8 +82,8 @@
 	AnyEra bool
 }
 
-// OfOneEra reports whether all numbers in the write are of its era.
-func (c Commit) OfOneEra() bool {
+// SingleEra reports whether all numbers in the write are of its era.
+func (c Commit) SingleEra() bool {
 	return !slices.ContainsFunc(c.Conditions, func(x Condition) bool { return x.Revision != 0 && x.Revision.Era() != c.Era }) &&
 		!slices.ContainsFunc(c.Puts, func(x Put) bool { return x.Lease != (era.Lease{}) && x.Lease.Era != c.Era })
 }
