--- a/internal/forward/notice.go
+++ b/internal/forward/notice.go
@@ -19,9 +19,9 @@
 // (docs/design/limits.md).
 const largestRate = 1e6
 
-// Notice reads what a replica says of itself in the head of an answer. What makes no
+// ReadNotice reads what a replica says of itself in the head of an answer. What makes no
 // sense says nothing.
-func (w Wire) Notice(resp *http.Response) pool.Notice {
+func (w Wire) ReadNotice(resp *http.Response) pool.Notice {
 	var n pool.Notice
 	if w.Leaving != "" {
 		// An error leaves false: a word that is not known says nothing.
--- a/internal/forward/notice_test.go
+++ b/internal/forward/notice_test.go
@@ -61,13 +61,13 @@
 					h.Set(name, value)
 				}
 			}
-			is.Equal(wire.Notice(&http.Response{StatusCode: c.status, Header: h}), c.want)
+			is.Equal(wire.ReadNotice(&http.Response{StatusCode: c.status, Header: h}), c.want)
 		})
 	}
 	t.Run("an environment without such headers", func(t *testing.T) {
 		is := is.New(t)
 		h := http.Header{"Leaving": {"1"}, "Retry-After": {"3"}}
-		is.Equal(Wire{}.Notice(&http.Response{StatusCode: 503, Header: h}), pool.Notice{})
+		is.Equal(Wire{}.ReadNotice(&http.Response{StatusCode: 503, Header: h}), pool.Notice{})
 	})
 }
 
@@ -105,9 +105,9 @@
 		for _, status := range []int{200, 404, 421, 500, 503} {
 			t.Run(c.name, func(t *testing.T) {
 				is := is.New(t)
-				is.Equal(wire.Notice(&http.Response{StatusCode: status, Header: http.Header{wire.RateLimit: c.lines}}), pool.Notice{Limit: c.want})
+				is.Equal(wire.ReadNotice(&http.Response{StatusCode: status, Header: http.Header{wire.RateLimit: c.lines}}), pool.Notice{Limit: c.want})
 			})
 		}
 	}
-	is.New(t).Equal(Wire{}.Notice(&http.Response{Header: http.Header{"": {"3"}}}), pool.Notice{}) // an environment without such a header
+	is.New(t).Equal(Wire{}.ReadNotice(&http.Response{Header: http.Header{"": {"3"}}}), pool.Notice{}) // an environment without such a header
 }
