--- a/internal/entry/forward.go
+++ b/internal/entry/forward.go
@@ -38,7 +38,7 @@
 	ctx, span := h.Tracer.Start(h.Tracer.Extract(r.Context(), r.Header), "entry")
 	defer span.End()
 	f := &forwardCall{handler: h, w: w, r: r, begun: begun}
-	req, err := h.Wire.Read(r.Header)
+	req, err := h.Wire.ReadRequest(r.Header)
 	if err == nil {
 		f.body, err = ReadBody(r)
 	}
--- a/internal/forward/wire.go
+++ b/internal/forward/wire.go
@@ -106,8 +106,8 @@
 	maxTokens   = 1 << 24
 )
 
-// Read reads a call's headers. An error names the header that makes no sense.
-func (w Wire) Read(h http.Header) (Request, error) {
+// ReadRequest reads a call's headers. An error names the header that makes no sense.
+func (w Wire) ReadRequest(h http.Header) (Request, error) {
 	r := Request{CallID: h.Get(w.CallID)}
 	r.Model, r.Adapter, _ = strings.Cut(h.Get(w.Model), "/")
 	if v := h.Get(w.Deadline); v != "" {
--- a/internal/forward/wire_test.go
+++ b/internal/forward/wire_test.go
@@ -37,7 +37,7 @@
 			if c.value != "" {
 				h.Set(c.header, c.value)
 			}
-			got, err := Own.Read(h)
+			got, err := Own.ReadRequest(h)
 			is.Equal(err != nil, c.fails)
 			if !c.fails {
 				is.Equal(got, c.want)
