--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -58,8 +58,8 @@
 	Detail  string
 }
 
-// Order asks the peer at address (IP:port) for an order to an engine of its.
-func (c *Client) Order(ctx context.Context, address, from, engine string, r orders.Request) (OrderReply, error) {
+// RequestOrder asks the peer at address (IP:port) for an order to an engine of its.
+func (c *Client) RequestOrder(ctx context.Context, address, from, engine string, r orders.Request) (OrderReply, error) {
 	ctx, err := c.withKey(ctx)
 	if err != nil {
 		return OrderReply{}, err
--- a/internal/shell/actions.go
+++ b/internal/shell/actions.go
@@ -169,7 +169,7 @@
 func (s *Shell) askOrder(ctx context.Context, a orderclient.SendRequest) {
 	ctx, done := context.WithTimeout(ctx, askTime)
 	defer done()
-	reply, err := s.peers.Order(ctx, a.Address, s.self.Name, a.Engine, a.Request)
+	reply, err := s.peers.RequestOrder(ctx, a.Address, s.self.Name, a.Engine, a.Request)
 	if err != nil {
 		reply = peer.OrderReply{Outcome: owned.Failed, Detail: err.Error()}
 	}
