--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -73,9 +73,9 @@
 	return OrderReply{Outcome: owned.Outcome(reply.GetOutcome()), Detail: reply.GetDetail()}, nil
 }
 
-// Permit asks the peer at address (IP:port) for a permit, or gives one back. A caller that
+// RequestPermit asks the peer at address (IP:port) for a permit, or gives one back. A caller that
 // leaves meanwhile is seen by the end of ctx.
-func (c *Client) Permit(ctx context.Context, address, from string, r permits.Request) (permits.Decision, error) {
+func (c *Client) RequestPermit(ctx context.Context, address, from string, r permits.Request) (permits.Decision, error) {
 	ctx, err := c.withKey(ctx)
 	if err != nil {
 		return permits.Decision{}, err
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -97,10 +97,10 @@
 		return verdict, nil
 	}}.Handler("key"))
 	defer server.Close()
-	got, err := NewClient(http.DefaultClient, "key").Permit(context.Background(), server.Listener.Addr().String(), "a", request)
+	got, err := NewClient(http.DefaultClient, "key").RequestPermit(context.Background(), server.Listener.Addr().String(), "a", request)
 	is.NoErr(err)
 	is.Equal(got, verdict)
 	is.Equal(decodeVerdict(encodeVerdict(permits.Decision{})), permits.Decision{}) // nothing is known of a limit
-	_, err = NewClient(http.DefaultClient, "wrong").Permit(context.Background(), server.Listener.Addr().String(), "a", request)
+	_, err = NewClient(http.DefaultClient, "wrong").RequestPermit(context.Background(), server.Listener.Addr().String(), "a", request)
 	is.True(err != nil)
 }
--- a/internal/shell/actions.go
+++ b/internal/shell/actions.go
@@ -183,7 +183,7 @@
 func (s *Shell) askPermit(ctx context.Context, a permits.SendRequest) {
 	ctx, done := context.WithTimeout(ctx, a.Request.Wait+permitTime)
 	defer done()
-	verdict, err := s.peers.Permit(ctx, a.Address, s.self.Name, a.Request)
+	verdict, err := s.peers.RequestPermit(ctx, a.Address, s.self.Name, a.Request)
 	if a.Request.Unused {
 		if err != nil {
 			s.event(logevent.PermitFailed, "for", a.Request.Resource.String(), "peer", a.Peer, "unused", true, "error", err.Error())
