--- a/cmd/birchdrift/main.go
+++ b/cmd/birchdrift/main.go
@@ -72,7 +72,7 @@
 	if err != nil {
 		return cli.Exit(fmt.Sprintf("birchdrift: BD-501 bad_setting: %v", err), exitFailed)
 	}
-	s.Follow(source, file)
+	s.ReloadFrom(source, file)
 	cut, err := s.Run()
 	if err != nil {
 		return cli.Exit(fmt.Sprintf("birchdrift: BD-901 internal: %v", err), exitFailed)
--- a/internal/server/follow.go
+++ b/internal/server/follow.go
@@ -28,9 +28,9 @@
 	}
 }
 
-// Follow has the server take over changes of its settings, which were read from
+// ReloadFrom has the server take over changes of its settings, which were read from
 // source and stood in file.
-func (s *Server) Follow(source settings.Source, file []byte) {
+func (s *Server) ReloadFrom(source settings.Source, file []byte) {
 	s.source = source
 	s.file = file
 }
