--- a/internal/entry/forward.go
+++ b/internal/entry/forward.go
@@ -192,7 +192,7 @@
 	f.own = nil
 	var progress upstream.Progress
 	sent := f.handler.Shell.Now()
-	resp, err := f.handler.Service.Exchange(ctx, f.outgoing(d, watch), &progress)
+	resp, err := f.handler.Service.RoundTrip(ctx, f.outgoing(d, watch), &progress)
 	if err != nil {
 		return f.broke(s, d, &progress, watch, failureOf(err, 0))
 	}
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -53,7 +53,7 @@
 // Send makes one attempt; progress notes how far it came, also on error. The
 // caller closes the answer's body.
 func (c *Client) Send(ctx context.Context, call Call, progress *upstream.Progress) (*http.Response, error) {
-	resp, err := c.Exchange(ctx, call, progress)
+	resp, err := c.RoundTrip(ctx, call, progress)
 	if err != nil {
 		return nil, err
 	}
@@ -69,9 +69,9 @@
 	return resp, nil
 }
 
-// Exchange makes one attempt and returns whatever answer came; reading it is
+// RoundTrip makes one attempt and returns whatever answer came; reading it is
 // the caller's. progress notes how far it came while there was none.
-func (c *Client) Exchange(ctx context.Context, call Call, progress *upstream.Progress) (*http.Response, error) {
+func (c *Client) RoundTrip(ctx context.Context, call Call, progress *upstream.Progress) (*http.Response, error) {
 	req, err := http.NewRequestWithContext(progress.Watch(ctx), call.Method, "http://"+call.Address+"/", call.body())
 	if err != nil {
 		return nil, trace.Wrap(err)
