--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -118,7 +118,7 @@
 		return nil, err
 	}
 	s.wire(enter)
-	if err := set.BoundKept(); err != nil {
+	if err := set.CheckLeaveBound(); err != nil {
 		log.Info(logevent.BoundTooShort.Name(), "event", int(logevent.BoundTooShort), "error", err.Error())
 	}
 	return s, nil
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -185,15 +185,15 @@
 	if s.WatchEvery == 0 && s.WatchWait == 0 {
 		return nil
 	}
-	if err := s.BoundKept(); err != nil {
+	if err := s.CheckLeaveBound(); err != nil {
 		return []*code.Error{code.Errorf(code.BadSetting, "--leave-bound (%s), --watch-every, --watch-wait: %v", Setting{Name: "leave-bound"}.Env(), err)}
 	}
 	return nil
 }
 
-// BoundKept returns an error if the bound for replicas that leave cannot be kept, in a fleet of
+// CheckLeaveBound returns an error if the bound for replicas that leave cannot be kept, in a fleet of
 // either kind.
-func (s Settings) BoundKept() error {
+func (s Settings) CheckLeaveBound() error {
 	if s.Environment != EnvironmentPlatform {
 		return nil
 	}
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -89,6 +89,6 @@
 	for bound, kept := range map[string]bool{"2s": true, "3s": true, "400ms": false} {
 		s, faults := Parse(values(map[string]string{"environment": EnvironmentPlatform, "leave-bound": bound}))
 		is.Equal(faults, nil)
-		is.Equal(s.BoundKept() == nil, kept)
+		is.Equal(s.CheckLeaveBound() == nil, kept)
 	}
 }
