--- a/internal/server/follow.go
+++ b/internal/server/follow.go
@@ -50,7 +50,7 @@
 		case <-signals:
 			s.reload()
 		case <-ticker.C:
-			if data := s.source.Bytes(); data != nil && !bytes.Equal(data, s.file) {
+			if data := s.source.FileContents(); data != nil && !bytes.Equal(data, s.file) {
 				s.reload()
 			}
 		}
--- a/internal/settings/file.go
+++ b/internal/settings/file.go
@@ -38,8 +38,8 @@
 	return set, data, faults
 }
 
-// Bytes returns the file as it is now, nil if there is none.
-func (s Source) Bytes() []byte {
+// FileContents returns the file as it is now, nil if there is none.
+func (s Source) FileContents() []byte {
 	if s.Path == "" {
 		return nil
 	}
