--- a/internal/entry/forward.go
+++ b/internal/entry/forward.go
@@ -205,7 +205,7 @@
 // says nothing is news. It counts whatever becomes of the call.
 func (f *forwardCall) heard(d calls.Dispatch, sent clock.Instant, resp *http.Response) {
 	if n := f.handler.Wire.ReadNotice(resp); d.Limited || !n.IsZero() {
-		f.handler.Shell.Noticed(notice.Received{Replica: d.Replica, Sent: sent, Notice: n})
+		f.handler.Shell.HandleNotice(notice.Received{Replica: d.Replica, Sent: sent, Notice: n})
 	}
 }
 
--- a/internal/shell/shell.go
+++ b/internal/shell/shell.go
@@ -172,8 +172,8 @@
 	}
 }
 
-// Noticed tells the machine what a replica said of itself in an answer.
-func (s *Shell) Noticed(e notice.Received) { s.post(e) }
+// HandleNotice tells the machine what a replica said of itself in an answer.
+func (s *Shell) HandleNotice(e notice.Received) { s.post(e) }
 
 // Exited delivers the machine's Exit after a stop.
 func (s *Shell) Exited() <-chan shutdown.Exit { return s.exited }
