--- a/internal/server/follow.go
+++ b/internal/server/follow.go
@@ -72,6 +72,6 @@
 	}
 	s.level.Set(set.LogLevel)
 	limitMemory(set.MemoryLimit)
-	s.shell.Retune(instance.OptionsChanged{Options: set.Options(), Seeds: set.Seeds})
+	s.shell.ChangeOptions(instance.OptionsChanged{Options: set.Options(), Seeds: set.Seeds})
 	s.log.Info(logevent.SettingsReloaded.Name(), "event", int(logevent.SettingsReloaded), "settings", set.String())
 }
--- a/internal/shell/shell.go
+++ b/internal/shell/shell.go
@@ -178,8 +178,8 @@
 // Exited delivers the machine's Exit after a stop.
 func (s *Shell) Exited() <-chan shutdown.Exit { return s.exited }
 
-// Retune has the machine take over changed tunables.
-func (s *Shell) Retune(r instance.OptionsChanged) { s.post(r) }
+// ChangeOptions has the machine take over changed tunables.
+func (s *Shell) ChangeOptions(r instance.OptionsChanged) { s.post(r) }
 
 // Stop begins a planned stop, or ends one that is under way.
 func (s *Shell) Stop() { s.post(instance.Stop{}) }
