--- a/internal/shell/shell.go
+++ b/internal/shell/shell.go
@@ -258,8 +258,8 @@
 	})
 }
 
-// Take answers an exchange that a peer began.
-func (s *Shell) Take(ctx context.Context, msg gossip.Message) (gossip.Message, error) {
+// HandleExchange answers an exchange that a peer began.
+func (s *Shell) HandleExchange(ctx context.Context, msg gossip.Message) (gossip.Message, error) {
 	reply := make(chan gossip.Message, 1)
 	s.do(func(s *Shell) step.Event {
 		s.nextAsk++
