--- a/internal/shell/actions.go
+++ b/internal/shell/actions.go
@@ -209,8 +209,8 @@
 	}
 }
 
-// TakeOrder answers a peer that asks for an order.
-func (s *Shell) TakeOrder(ctx context.Context, engine string, r orders.Request) (peer.OrderReply, error) {
+// HandleOrderRequest answers a peer that asks for an order.
+func (s *Shell) HandleOrderRequest(ctx context.Context, engine string, r orders.Request) (peer.OrderReply, error) {
 	reply := make(chan peer.OrderReply, 1)
 	s.do(func(s *Shell) step.Event {
 		s.nextAsk++
