--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -167,7 +167,7 @@
 	}
 	handlers := []http.Handler{
 		callers.Routes(),
-		peer.Server{Take: s.shell.HandleExchange, TakeOrder: s.shell.HandleOrderRequest, TakePermit: s.shell.TakePermit}.Handler(s.set.PeerKey),
+		peer.Server{Take: s.shell.HandleExchange, TakeOrder: s.shell.HandleOrderRequest, TakePermit: s.shell.HandlePermitRequest}.Handler(s.set.PeerKey),
 		ops.Handler{Shell: s.shell, Metrics: metrics, Key: s.set.OpsKey}.Routes(),
 	}
 	for i, l := range s.listeners {
--- a/internal/shell/actions.go
+++ b/internal/shell/actions.go
@@ -193,8 +193,8 @@
 	s.post(permits.Reply{Token: a.Token, Verdict: verdict, Err: err})
 }
 
-// TakePermit answers a peer that asks for a permit.
-func (s *Shell) TakePermit(ctx context.Context, from string, r permits.Request) (permits.Decision, error) {
+// HandlePermitRequest answers a peer that asks for a permit.
+func (s *Shell) HandlePermitRequest(ctx context.Context, from string, r permits.Request) (permits.Decision, error) {
 	reply := make(chan permits.Decision, 1)
 	s.do(func(s *Shell) step.Event {
 		s.nextAsk++
