--- a/internal/entry/forward.go
+++ b/internal/entry/forward.go
@@ -186,7 +186,7 @@
 	span.SetAttributes(attribute.String("upstream", d.Replica), attribute.Int("attempt", d.Attempt))
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	s.Interrupt(cancel)
+	s.SetInterrupt(cancel)
 	watch := NewWatchdog(d.Stall, cancel)
 	defer watch.Stop()
 	f.own = nil
--- a/internal/own/modelapi/model.go
+++ b/internal/own/modelapi/model.go
@@ -126,7 +126,7 @@
 func (m *modelCall) stream(ctx context.Context, s shell.Session, d calls.Dispatch, progress *upstream.Progress) (calls.AttemptFailed, bool) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	s.Interrupt(cancel)
+	s.SetInterrupt(cancel)
 	watch := entry.NewWatchdog(d.Stall, cancel)
 	defer watch.Stop()
 	stream, err := m.open(ctx, d, progress)
--- a/internal/own/modelapi/plain.go
+++ b/internal/own/modelapi/plain.go
@@ -71,7 +71,7 @@
 	span.SetAttributes(attribute.String("upstream", d.Replica), attribute.Int("attempt", d.Attempt))
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	s.Interrupt(cancel)
+	s.SetInterrupt(cancel)
 	watch := entry.NewWatchdog(d.Stall, cancel)
 	defer watch.Stop()
 	var progress upstream.Progress
--- a/internal/shell/shell.go
+++ b/internal/shell/shell.go
@@ -232,9 +232,9 @@
 	return Session{ID: call.ID, Actions: box.actions, box: box, shell: s}
 }
 
-// Interrupt sets what is called when the call is finished while an attempt is
+// SetInterrupt sets what is called when the call is finished while an attempt is
 // under way, as a stop does to calls that it cuts off.
-func (c Session) Interrupt(cancel context.CancelFunc) { c.box.interrupt.Store(&cancel) }
+func (c Session) SetInterrupt(cancel context.CancelFunc) { c.box.interrupt.Store(&cancel) }
 
 // AnswerBegan tells the machine that the first piece came.
 func (c Session) AnswerBegan() { c.shell.post(calls.AnswerBegan{ID: c.ID}) }
