--- a/internal/entry/forward.go
+++ b/internal/entry/forward.go
@@ -175,7 +175,7 @@
 // attempt carries out one Dispatch and reports whether the call is over.
 func (f *forwardCall) attempt(ctx context.Context, s shell.Session, d calls.Dispatch) bool {
 	if d.Attempt == 1 {
-		f.handler.Metrics.Queued(time.Since(f.begun))
+		f.handler.Metrics.ObserveQueueTime(time.Since(f.begun))
 	}
 	name := "attempt"
 	if f.opened {
--- a/internal/own/modelapi/model.go
+++ b/internal/own/modelapi/model.go
@@ -66,7 +66,7 @@
 // attempt carries out one Dispatch and reports whether the call is over.
 func (m *modelCall) attempt(ctx context.Context, s shell.Session, d calls.Dispatch) bool {
 	if d.Attempt == 1 && !d.Resume {
-		m.handler.Metrics.Queued(time.Since(m.begun))
+		m.handler.Metrics.ObserveQueueTime(time.Since(m.begun))
 	}
 	if !d.Resume {
 		m.text.Reset()
--- a/internal/own/modelapi/plain.go
+++ b/internal/own/modelapi/plain.go
@@ -65,7 +65,7 @@
 
 // attempt carries out one Dispatch and reports whether the call is over.
 func (p *plainCall) attempt(ctx context.Context, s shell.Session, d calls.Dispatch) bool {
-	p.handler.Metrics.Queued(time.Since(p.begun))
+	p.handler.Metrics.ObserveQueueTime(time.Since(p.begun))
 	ctx, span := p.handler.Tracer.Start(ctx, "attempt", oteltrace.WithSpanKind(oteltrace.SpanKindClient))
 	defer span.End()
 	span.SetAttributes(attribute.String("upstream", d.Replica), attribute.Int("attempt", d.Attempt))
--- a/internal/telemetry/metrics.go
+++ b/internal/telemetry/metrics.go
@@ -80,8 +80,8 @@
 // UnreadHeader counts an answer with a header that nothing here reads.
 func (m *Metrics) UnreadHeader() { m.unreadHeaders.Inc() }
 
-// Queued notes how long a call waited here.
-func (m *Metrics) Queued(d time.Duration) { m.queueTime.Update(d.Seconds()) }
+// ObserveQueueTime notes how long a call waited here.
+func (m *Metrics) ObserveQueueTime(d time.Duration) { m.queueTime.Update(d.Seconds()) }
 
 // First notes the time to a call's first piece.
 func (m *Metrics) First(d time.Duration) { m.firstToken.Update(d.Seconds()) }
