--- a/internal/entry/forward.go
+++ b/internal/entry/forward.go
@@ -377,7 +377,7 @@
 		if first {
 			first = false
 			s.AnswerBegan()
-			f.handler.Metrics.First(time.Since(f.begun))
+			f.handler.Metrics.ObserveFirstToken(time.Since(f.begun))
 			f.open(resp)
 		}
 		if _, err := f.w.Write(event); err != nil {
--- a/internal/own/modelapi/model.go
+++ b/internal/own/modelapi/model.go
@@ -142,7 +142,7 @@
 		watch.Reset()
 		if m.pieces == 0 {
 			s.AnswerBegan()
-			m.handler.Metrics.First(time.Since(m.begun))
+			m.handler.Metrics.ObserveFirstToken(time.Since(m.begun))
 		}
 		m.pieces++
 		if p.End {
--- a/internal/telemetry/metrics.go
+++ b/internal/telemetry/metrics.go
@@ -83,8 +83,8 @@
 // ObserveQueueTime notes how long a call waited here.
 func (m *Metrics) ObserveQueueTime(d time.Duration) { m.queueTime.Update(d.Seconds()) }
 
-// First notes the time to a call's first piece.
-func (m *Metrics) First(d time.Duration) { m.firstToken.Update(d.Seconds()) }
+// ObserveFirstToken notes the time to a call's first piece.
+func (m *Metrics) ObserveFirstToken(d time.Duration) { m.firstToken.Update(d.Seconds()) }
 
 // Between notes the time between two pieces.
 func (m *Metrics) Between(d time.Duration) { m.betweenTokens.Update(d.Seconds()) }
