--- a/internal/own/modelapi/model.go
+++ b/internal/own/modelapi/model.go
@@ -188,7 +188,7 @@
 // pass hands one piece on: to the caller of a stream at once, else to the text.
 func (m *modelCall) pass(d calls.Dispatch, p engine.Piece) {
 	if !m.lastPiece.IsZero() {
-		m.handler.Metrics.Between(time.Since(m.lastPiece))
+		m.handler.Metrics.ObserveTokenGap(time.Since(m.lastPiece))
 	}
 	m.lastPiece = time.Now()
 	if !m.req.Stream {
--- a/internal/telemetry/metrics.go
+++ b/internal/telemetry/metrics.go
@@ -86,8 +86,8 @@
 // ObserveFirstToken notes the time to a call's first piece.
 func (m *Metrics) ObserveFirstToken(d time.Duration) { m.firstToken.Update(d.Seconds()) }
 
-// Between notes the time between two pieces.
-func (m *Metrics) Between(d time.Duration) { m.betweenTokens.Update(d.Seconds()) }
+// ObserveTokenGap notes the time between two pieces.
+func (m *Metrics) ObserveTokenGap(d time.Duration) { m.betweenTokens.Update(d.Seconds()) }
 
 // Answered notes a call's end with its numbered code.
 func (m *Metrics) Answered(code int, d time.Duration) {
