--- a/internal/entry/forward.go
+++ b/internal/entry/forward.go
@@ -125,7 +125,7 @@
 // must be seen as cut, which a normal return would prevent.
 func (f *forwardCall) finish(r code.Refusal) {
 	if f.opened {
-		f.handler.Metrics.Answered(int(r.Code), time.Since(f.begun))
+		f.handler.Metrics.ObserveAnswer(int(r.Code), time.Since(f.begun))
 		panic(http.ErrAbortHandler)
 	}
 	f.refuse(r)
@@ -134,7 +134,7 @@
 // refuse writes a final answer that is not a replica's. A status that promises
 // that the call did not run is given only where that is certain.
 func (f *forwardCall) refuse(r code.Refusal) {
-	f.handler.Metrics.Answered(int(r.Code), time.Since(f.begun))
+	f.handler.Metrics.ObserveAnswer(int(r.Code), time.Since(f.begun))
 	status := code.Lookup(r.Code).HTTP
 	if r.Run != code.NotRun && status == http.StatusServiceUnavailable {
 		status = http.StatusBadGateway
@@ -159,14 +159,14 @@
 
 // relay passes on the replica's own failing answer.
 func (f *forwardCall) relay() {
-	f.handler.Metrics.Answered(int(code.UpstreamRefused), time.Since(f.begun))
+	f.handler.Metrics.ObserveAnswer(int(code.UpstreamRefused), time.Since(f.begun))
 	f.head(f.own.header, f.own.status)
 	_, _ = f.w.Write(f.own.body) // a caller that is gone needs no answer
 }
 
 func (f *forwardCall) gone(s shell.Session) {
 	s.CallerGone()
-	f.handler.Metrics.Answered(int(code.CallerGone), time.Since(f.begun))
+	f.handler.Metrics.ObserveAnswer(int(code.CallerGone), time.Since(f.begun))
 	if f.opened {
 		panic(http.ErrAbortHandler)
 	}
@@ -337,13 +337,13 @@
 		return f.done(s)
 	}
 	f.broke(s, d, progress, watch, failureOf(err, resp.StatusCode))
-	f.handler.Metrics.Answered(int(code.StreamCut), time.Since(f.begun))
+	f.handler.Metrics.ObserveAnswer(int(code.StreamCut), time.Since(f.begun))
 	panic(http.ErrAbortHandler)
 }
 
 func (f *forwardCall) done(s shell.Session) bool {
 	s.Completed(f.pause)
-	f.handler.Metrics.Answered(int(code.OK), time.Since(f.begun))
+	f.handler.Metrics.ObserveAnswer(int(code.OK), time.Since(f.begun))
 	return true
 }
 
--- a/internal/own/modelapi/model.go
+++ b/internal/own/modelapi/model.go
@@ -54,7 +54,7 @@
 		m.handler.refuse(m.w, r, m.begun)
 		return
 	}
-	m.handler.Metrics.Answered(int(r.Code), time.Since(m.begun))
+	m.handler.Metrics.ObserveAnswer(int(r.Code), time.Since(m.begun))
 	data, err := json.Marshal(entry.ErrorOf(r))
 	if err == nil {
 		m.event(data)
@@ -101,7 +101,7 @@
 // be there after all, it must not see a proper end of what was begun.
 func (m *modelCall) gone(s shell.Session) {
 	s.CallerGone()
-	m.handler.Metrics.Answered(int(code.CallerGone), time.Since(m.begun))
+	m.handler.Metrics.ObserveAnswer(int(code.CallerGone), time.Since(m.begun))
 	if m.started {
 		panic(http.ErrAbortHandler)
 	}
@@ -228,7 +228,7 @@
 		entry.WriteJSON(m.w, http.StatusOK, m.form.whole(m.text.String(), p.Reason, m.call.PromptTokens, m.pieces-1))
 	}
 	s.Completed(0)
-	m.handler.Metrics.Answered(int(code.OK), time.Since(m.begun))
+	m.handler.Metrics.ObserveAnswer(int(code.OK), time.Since(m.begun))
 	return calls.AttemptFailed{}, true
 }
 
--- a/internal/own/modelapi/modelapi.go
+++ b/internal/own/modelapi/modelapi.go
@@ -96,7 +96,7 @@
 
 // refuse writes a call's final answer that is not its upstream's.
 func (h *Handler) refuse(w http.ResponseWriter, r code.Refusal, begun time.Time) {
-	h.Metrics.Answered(int(r.Code), time.Since(begun))
+	h.Metrics.ObserveAnswer(int(r.Code), time.Since(begun))
 	if r.RetryAfter > 0 {
 		w.Header().Set("Retry-After", fmt.Sprint(int(math.Ceil(r.RetryAfter.Seconds()))))
 	}
--- a/internal/own/modelapi/plain.go
+++ b/internal/own/modelapi/plain.go
@@ -104,7 +104,7 @@
 
 func (p *plainCall) gone(s shell.Session) {
 	s.CallerGone()
-	p.handler.Metrics.Answered(int(code.CallerGone), time.Since(p.begun))
+	p.handler.Metrics.ObserveAnswer(int(code.CallerGone), time.Since(p.begun))
 }
 
 func (p *plainCall) broke(s shell.Session, d calls.Dispatch, progress *upstream.Progress, watch *entry.Watchdog, err error) bool {
@@ -135,13 +135,13 @@
 	delivered, err := p.copy(resp.Body, watch)
 	if err == nil {
 		s.Completed(0)
-		p.handler.Metrics.Answered(int(code.OK), time.Since(p.begun))
+		p.handler.Metrics.ObserveAnswer(int(code.OK), time.Since(p.begun))
 		return true
 	}
 	// The header is out, so no answer of our own can follow: tell the machine,
 	// take its final answer for the books, and cut the connection.
 	s.AttemptFailed(calls.AttemptFailed{Attempt: d.Attempt, Phase: attempt.Answered, Delivered: max(1, delivered), Detail: err.Error()})
-	p.handler.Metrics.Answered(int(code.StreamCut), time.Since(p.begun))
+	p.handler.Metrics.ObserveAnswer(int(code.StreamCut), time.Since(p.begun))
 	panic(http.ErrAbortHandler)
 }
 
--- a/internal/telemetry/metrics.go
+++ b/internal/telemetry/metrics.go
@@ -89,8 +89,8 @@
 // ObserveTokenGap notes the time between two pieces.
 func (m *Metrics) ObserveTokenGap(d time.Duration) { m.betweenTokens.Update(d.Seconds()) }
 
-// Answered notes a call's end with its numbered code.
-func (m *Metrics) Answered(code int, d time.Duration) {
+// ObserveAnswer notes a call's end with its numbered code.
+func (m *Metrics) ObserveAnswer(code int, d time.Duration) {
 	m.callTime.Update(d.Seconds())
 	m.set.GetOrCreateCounter(fmt.Sprintf(`birchdrift_answers_total{code="%d"}`, code)).Inc()
 }
