--- a/internal/shell/actions.go
+++ b/internal/shell/actions.go
@@ -31,7 +31,7 @@
 // carryOut does what the machine asked for. Whatever can wait on the outside
 // runs in a worker and posts its reply.
 func (s *Shell) carryOut(a step.Action) {
-	s.metrics.Action(a)
+	s.metrics.CountAction(a)
 	switch act := a.(type) {
 	case calls.Dispatch:
 		s.deliver(act.ID, act)
--- a/internal/telemetry/metrics.go
+++ b/internal/telemetry/metrics.go
@@ -95,8 +95,8 @@
 	m.set.GetOrCreateCounter(fmt.Sprintf(`birchdrift_answers_total{code="%d"}`, code)).Inc()
 }
 
-// Action counts what the machine asked for, where that is worth a metric.
-func (m *Metrics) Action(a step.Action) {
+// CountAction counts what the machine asked for, where that is worth a metric.
+func (m *Metrics) CountAction(a step.Action) {
 	switch act := a.(type) {
 	case calls.Dispatch:
 		if act.Forward != nil {
