--- a/internal/shell/shell.go
+++ b/internal/shell/shell.go
@@ -113,7 +113,7 @@
 	}
 	s.environment = join(Host{
 		Self: self, Now: s.Now, Post: s.post, PostConfig: s.postConfig, Config: s.Config,
-		PlatformCalled: metrics.PlatformCall, Event: s.event,
+		PlatformCalled: metrics.CountPlatformCall, Event: s.event,
 	})
 	return s
 }
--- a/internal/telemetry/metrics.go
+++ b/internal/telemetry/metrics.go
@@ -71,8 +71,8 @@
 	{"birchdrift_notes_total{event}", "Log events by number.", "Look the number up in docs/events.md."},
 }
 
-// PlatformCall counts a call to the platform.
-func (m *Metrics) PlatformCall() { m.platformCalls.Inc() }
+// CountPlatformCall counts a call to the platform.
+func (m *Metrics) CountPlatformCall() { m.platformCalls.Inc() }
 
 // LogDropped counts log lines that were dropped.
 func (m *Metrics) LogDropped(lines int) { m.logDropped.Add(lines) }
