--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -106,7 +106,7 @@
 	level := new(slog.LevelVar)
 	level.Set(set.LogLevel)
 	metrics := telemetry.NewMetrics()
-	writer := telemetry.NewLogWriter(logs, metrics.LogDropped)
+	writer := telemetry.NewLogWriter(logs, metrics.CountDroppedLines)
 	log := telemetry.NewLogger(writer, level, set.Name, set.Zone)
 	tracer, err := telemetry.NewTracer(spans, set.Name, set.Zone, set.TraceShare)
 	if err != nil {
--- a/internal/telemetry/metrics.go
+++ b/internal/telemetry/metrics.go
@@ -74,8 +74,8 @@
 // CountPlatformCall counts a call to the platform.
 func (m *Metrics) CountPlatformCall() { m.platformCalls.Inc() }
 
-// LogDropped counts log lines that were dropped.
-func (m *Metrics) LogDropped(lines int) { m.logDropped.Add(lines) }
+// CountDroppedLines counts log lines that were dropped.
+func (m *Metrics) CountDroppedLines(lines int) { m.logDropped.Add(lines) }
 
 // UnreadHeader counts an answer with a header that nothing here reads.
 func (m *Metrics) UnreadHeader() { m.unreadHeaders.Inc() }
