--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -146,7 +146,7 @@
 func (s *Server) wire(enter Enter) {
 	metrics := s.metrics
 	transports := upstream.NewTransports()
-	unread := upstream.NewUnread(s.unreadHeader, metrics.UnreadHeader)
+	unread := upstream.NewUnread(s.unreadHeader, metrics.CountUnreadHeader)
 	environment := enter(s.set, unread.Wrap(transports))
 	unread.Know(environment.Wire.AnswerHeaders())
 	self := member.Identity{
--- a/internal/telemetry/metrics.go
+++ b/internal/telemetry/metrics.go
@@ -77,8 +77,8 @@
 // CountDroppedLines counts log lines that were dropped.
 func (m *Metrics) CountDroppedLines(lines int) { m.logDropped.Add(lines) }
 
-// UnreadHeader counts an answer with a header that nothing here reads.
-func (m *Metrics) UnreadHeader() { m.unreadHeaders.Inc() }
+// CountUnreadHeader counts an answer with a header that nothing here reads.
+func (m *Metrics) CountUnreadHeader() { m.unreadHeaders.Inc() }
 
 // ObserveQueueTime notes how long a call waited here.
 func (m *Metrics) ObserveQueueTime(d time.Duration) { m.queueTime.Update(d.Seconds()) }
