--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -148,7 +148,7 @@
 	transports := upstream.NewTransports()
 	unread := upstream.NewUnread(s.unreadHeader, metrics.CountUnreadHeader)
 	environment := enter(s.set, unread.Wrap(transports))
-	unread.Know(environment.Wire.AnswerHeaders())
+	unread.AddKnown(environment.Wire.AnswerHeaders())
 	self := member.Identity{
 		Name: s.set.Name, Zone: s.set.Zone, Address: s.set.Advertise,
 		Boot: uint64(time.Now().UnixNano()), Seeds: s.set.Seeds, Processor: s.set.Processor,
--- a/internal/upstream/unread.go
+++ b/internal/upstream/unread.go
@@ -47,12 +47,12 @@
 // NewUnread returns one that has seen no answer and knows the standard names.
 func NewUnread(report func(name string), count func()) *Unread {
 	u := &Unread{Report: report, Count: count, known: map[string]bool{}, reported: map[string]bool{}}
-	u.Know(standardHeaders)
+	u.AddKnown(standardHeaders)
 	return u
 }
 
-// Know adds names that are read, or that need no reading.
-func (u *Unread) Know(names []string) {
+// AddKnown adds names that are read, or that need no reading.
+func (u *Unread) AddKnown(names []string) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	for _, name := range names {
--- a/internal/upstream/unread_test.go
+++ b/internal/upstream/unread_test.go
@@ -19,7 +19,7 @@
 	var reported []string
 	counted := 0
 	u := NewUnread(func(name string) { reported = append(reported, name) }, func() { counted++ })
-	u.Know([]string{"server-stamp", ""})
+	u.AddKnown([]string{"server-stamp", ""})
 	address := serveHeads(t, "Date: x\r\nserver-stamp: 1\r\nsome-word: secret\r\n")
 	transports := u.Wrap(NewTransports())
 	for _, transport := range []http.RoundTripper{transports.Reused, transports.Fresh, transports.Abrupt, transports.For(false)} {
