--- a/internal/upstream/unread.go
+++ b/internal/upstream/unread.go
@@ -60,8 +60,8 @@
 	}
 }
 
-// Look goes over the names of an answer's headers.
-func (u *Unread) Look(h http.Header) {
+// Inspect goes over the names of an answer's headers.
+func (u *Unread) Inspect(h http.Header) {
 	found := false
 	for name := range h {
 		if len(name) > unreadLength {
@@ -110,7 +110,7 @@
 func (o observed) RoundTrip(req *http.Request) (*http.Response, error) {
 	resp, err := o.RoundTripper.RoundTrip(req)
 	if err == nil {
-		o.unread.Look(resp.Header)
+		o.unread.Inspect(resp.Header)
 	}
 	return resp, err
 }
--- a/internal/upstream/unread_test.go
+++ b/internal/upstream/unread_test.go
@@ -40,15 +40,15 @@
 	var reported []string
 	counted := 0
 	u := NewUnread(func(name string) { reported = append(reported, name) }, func() { counted++ })
-	u.Look(http.Header{strings.Repeat("N", 5000): {"v"}})
+	u.Inspect(http.Header{strings.Repeat("N", 5000): {"v"}})
 	is.Equal(reported, []string{strings.Repeat("N", unreadLength)})
 	for i := range 10 * unreadNames {
-		u.Look(http.Header{fmt.Sprintf("Name-%d", i): {"v"}})
+		u.Inspect(http.Header{fmt.Sprintf("Name-%d", i): {"v"}})
 	}
 	is.Equal(len(reported), unreadNames)
 	is.Equal(len(u.reported), unreadNames)
 	is.Equal(counted, 10*unreadNames+1)
-	u.Look(http.Header{"Date": {"v"}, "Server-Timing": {"v"}})
+	u.Inspect(http.Header{"Date": {"v"}, "Server-Timing": {"v"}})
 	is.Equal(counted, 10*unreadNames+1)
 }
 
