--- a/internal/own/engine/engine.go
+++ b/internal/own/engine/engine.go
@@ -77,7 +77,7 @@
 }
 
 func (c *Client) open(ctx context.Context, address, path string, body any, id string, offset int, rt http.RoundTripper, header http.Header, progress *upstream.Progress) (*Stream, error) {
-	req, err := newRequest(progress.Watch(ctx), address, path, body)
+	req, err := newRequest(progress.TraceContext(ctx), address, path, body)
 	if err != nil {
 		return nil, err
 	}
@@ -165,7 +165,7 @@
 	out := planner.OrderReply{Engine: o.Engine, Fence: o.Fence, Seq: o.Seq}
 	var progress upstream.Progress
 	wire := OrderRequest{Fence: o.Fence, Seq: o.Seq, Op: o.Op.String(), Item: o.Item, Base: base, MiB: o.MiB}
-	req, err := newRequest(progress.Watch(ctx), address, PathOrders, wire)
+	req, err := newRequest(progress.TraceContext(ctx), address, PathOrders, wire)
 	if err != nil {
 		out.Outcome = planner.OrderNotSent
 		out.Detail = err.Error()
--- a/internal/own/keyvalue/keyvalue.go
+++ b/internal/own/keyvalue/keyvalue.go
@@ -142,7 +142,7 @@
 	if len(query) > 0 {
 		target += "?" + query.Encode()
 	}
-	req, err := http.NewRequestWithContext(progress.Watch(ctx), method, target, bytes.NewReader(body))
+	req, err := http.NewRequestWithContext(progress.TraceContext(ctx), method, target, bytes.NewReader(body))
 	if err != nil {
 		return Value{}, trace.Wrap(err)
 	}
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -72,7 +72,7 @@
 // RoundTrip makes one attempt and returns whatever answer came; reading it is
 // the caller's. progress notes how far it came while there was none.
 func (c *Client) RoundTrip(ctx context.Context, call Call, progress *upstream.Progress) (*http.Response, error) {
-	req, err := http.NewRequestWithContext(progress.Watch(ctx), call.Method, "http://"+call.Address+"/", call.body())
+	req, err := http.NewRequestWithContext(progress.TraceContext(ctx), call.Method, "http://"+call.Address+"/", call.body())
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -117,10 +117,10 @@
 // A Progress says how far one attempt has come. It is safe for concurrent use.
 type Progress struct{ phase atomic.Int32 }
 
-// Watch returns a context under which a request notes its progress in p. From
+// TraceContext returns a context under which a request notes its progress in p. From
 // the moment a connection is handed to the request a byte may leave at any
 // time, so that is where NotSent ends.
-func (p *Progress) Watch(ctx context.Context) context.Context {
+func (p *Progress) TraceContext(ctx context.Context) context.Context {
 	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: func(httptrace.GotConnInfo) { p.Reach(attempt.MaybeSent) },
 	})
