--- a/internal/entry/forward.go
+++ b/internal/entry/forward.go
@@ -268,21 +268,21 @@
 	case reply.Mismatched:
 		b.Detail = "the answer to another call came"
 	case reply.NotRun:
-		progress.Reach(attempt.Refused)
+		progress.Advance(attempt.Refused)
 		b.Detail = fmt.Sprintf("the replica did not run it: status %d", resp.StatusCode)
 	case reply.Invalid:
-		progress.Reach(attempt.Answered)
+		progress.Advance(attempt.Answered)
 		b.Detail = "the answer is not the replica's own"
 	case resp.StatusCode >= http.StatusInternalServerError:
-		progress.Reach(attempt.Answered)
+		progress.Advance(attempt.Answered)
 		f.keep(resp)
 		b.Relayable = f.own != nil
 		b.Detail = fmt.Sprintf("the replica failed: status %d", resp.StatusCode)
 	case d.Forward.Stream && reply.Stream:
-		progress.Reach(attempt.Answered)
+		progress.Advance(attempt.Answered)
 		return f.series(s, d, resp, progress, watch)
 	default:
-		progress.Reach(attempt.Answered)
+		progress.Advance(attempt.Answered)
 		return f.whole(s, d, resp, progress, watch)
 	}
 	return f.broke(s, d, progress, watch, b)
--- a/internal/own/engine/engine.go
+++ b/internal/own/engine/engine.go
@@ -93,7 +93,7 @@
 	if resp.StatusCode != http.StatusOK {
 		return nil, statusError(resp, progress)
 	}
-	progress.Reach(attempt.Answered)
+	progress.Advance(attempt.Answered)
 	return &Stream{id: id, next: offset, body: resp.Body, dec: json.NewDecoder(resp.Body)}, nil
 }
 
@@ -107,10 +107,10 @@
 		Detail:  string(bytes.TrimSpace(detail)),
 	}
 	if e.NotRun {
-		progress.Reach(attempt.Refused)
+		progress.Advance(attempt.Refused)
 		return e
 	}
-	progress.Reach(attempt.Answered)
+	progress.Advance(attempt.Answered)
 	return e
 }
 
--- a/internal/own/engine/engine_test.go
+++ b/internal/own/engine/engine_test.go
@@ -123,7 +123,7 @@
 func TestProgressNeverGoesBack(t *testing.T) {
 	is := is.New(t)
 	var p upstream.Progress
-	p.Reach(attempt.Answered)
-	p.Reach(attempt.MaybeSent)
+	p.Advance(attempt.Answered)
+	p.Advance(attempt.MaybeSent)
 	is.Equal(p.Phase(), attempt.Answered)
 }
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -58,14 +58,14 @@
 		return nil, err
 	}
 	if resp.Header.Get(upstream.HeaderRun) == "not_run" {
-		progress.Reach(attempt.Refused)
+		progress.Advance(attempt.Refused)
 		_ = resp.Body.Close() // its content is not passed on
 		return nil, &RefusedError{
 			Status:  resp.StatusCode,
 			Leaving: resp.Header.Get(upstream.HeaderLeaving) == "true",
 		}
 	}
-	progress.Reach(attempt.Answered)
+	progress.Advance(attempt.Answered)
 	return resp, nil
 }
 
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -122,12 +122,12 @@
 // time, so that is where NotSent ends.
 func (p *Progress) TraceContext(ctx context.Context) context.Context {
 	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
-		GotConn: func(httptrace.GotConnInfo) { p.Reach(attempt.MaybeSent) },
+		GotConn: func(httptrace.GotConnInfo) { p.Advance(attempt.MaybeSent) },
 	})
 }
 
-// Reach notes that the attempt has come as far as phase; it never goes back.
-func (p *Progress) Reach(phase attempt.Phase) {
+// Advance notes that the attempt has come as far as phase; it never goes back.
+func (p *Progress) Advance(phase attempt.Phase) {
 	for {
 		old := p.phase.Load()
 		if int32(phase) <= old || p.phase.CompareAndSwap(old, int32(phase)) {
