--- a/internal/control/ask.go
+++ b/internal/control/ask.go
@@ -15,8 +15,8 @@
 	"github.com/birchdrift/birchdrift/core/own/modelcalls"
 )
 
-// Ask reads the state of the instance whose operations listener is at address.
-func Ask(ctx context.Context, client *http.Client, address string) (instance.Status, error) {
+// FetchStatus reads the state of the instance whose operations listener is at address.
+func FetchStatus(ctx context.Context, client *http.Client, address string) (instance.Status, error) {
 	var st instance.Status
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/status", nil)
 	if err != nil {
--- a/internal/control/command.go
+++ b/internal/control/command.go
@@ -209,7 +209,7 @@
 	httpClient := &http.Client{Timeout: askTimeout}
 	var states []instance.Status
 	for _, address := range strings.Split(list, ",") {
-		st, err := Ask(ctx, httpClient, address)
+		st, err := FetchStatus(ctx, httpClient, address)
 		if err != nil {
 			fmt.Fprintf(cmd.Root().ErrWriter, "birchctl: %s does not answer: %v\n", address, err)
 			continue
--- a/standin/fleet/fleet.go
+++ b/standin/fleet/fleet.go
@@ -218,7 +218,7 @@
 func (i *Instance) Status() (instance.Status, error) {
 	ctx, done := context.WithTimeout(context.Background(), 5*time.Second)
 	defer done()
-	return control.Ask(ctx, http.DefaultClient, i.Operations)
+	return control.FetchStatus(ctx, http.DefaultClient, i.Operations)
 }
 
 // Ready reports whether the instance says that it is ready.
