--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -104,8 +104,8 @@
 	return ErrorBody{Error: errorDetail{Code: int(r.Code), Name: info.Name, Message: message, Run: r.Run}}
 }
 
-// Steps are what a kind of call does at each action of the machine.
-type Steps struct {
+// CallHandlers are what a kind of call does at each action of the machine.
+type CallHandlers struct {
 	// Waited is told after each wait for an action; nil if nobody needs to know.
 	Waited func()
 	// Attempt carries out one Dispatch and reports whether the call is over.
@@ -119,7 +119,7 @@
 }
 
 // Follow does what the machine says until the call is over or its caller gone.
-func Follow(ctx context.Context, s shell.Session, do Steps) {
+func Follow(ctx context.Context, s shell.Session, do CallHandlers) {
 	for {
 		a, ok := await(ctx, s)
 		if do.Waited != nil {
