--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -118,8 +118,8 @@
 	Gone func()
 }
 
-// Follow does what the machine says until the call is over or its caller gone.
-func Follow(ctx context.Context, s shell.Session, do CallHandlers) {
+// HandleActions does what the machine says until the call is over or its caller gone.
+func HandleActions(ctx context.Context, s shell.Session, do CallHandlers) {
 	for {
 		a, ok := await(ctx, s)
 		if do.Waited != nil {
--- a/internal/entry/forward.go
+++ b/internal/entry/forward.go
@@ -112,7 +112,7 @@
 
 func (f *forwardCall) run(ctx context.Context, s shell.Session) {
 	_, queue := f.handler.Tracer.Start(ctx, "queue")
-	Follow(ctx, s, CallHandlers{
+	HandleActions(ctx, s, CallHandlers{
 		Waited:  func() { queue.End() },
 		Attempt: func(d calls.Dispatch) bool { return f.attempt(ctx, s, d) },
 		Finish:  f.finish,
--- a/internal/own/modelapi/model.go
+++ b/internal/own/modelapi/model.go
@@ -40,7 +40,7 @@
 // run does what the machine says until the call has its final answer.
 func (m *modelCall) run(ctx context.Context, s shell.Session) {
 	_, queue := m.handler.Tracer.Start(ctx, "queue")
-	entry.Follow(ctx, s, entry.CallHandlers{
+	entry.HandleActions(ctx, s, entry.CallHandlers{
 		Waited:  func() { queue.End() },
 		Attempt: func(d calls.Dispatch) bool { return m.attempt(ctx, s, d) },
 		Finish:  m.finish,
--- a/internal/own/modelapi/plain.go
+++ b/internal/own/modelapi/plain.go
@@ -56,7 +56,7 @@
 }
 
 func (p *plainCall) run(ctx context.Context, s shell.Session) {
-	entry.Follow(ctx, s, entry.CallHandlers{
+	entry.HandleActions(ctx, s, entry.CallHandlers{
 		Attempt: func(d calls.Dispatch) bool { return p.attempt(ctx, s, d) },
 		Finish:  func(r code.Refusal) { p.handler.refuse(p.w, r, p.begun) },
 		Gone:    func() { p.gone(s) },
