--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -94,8 +94,8 @@
 	Run     code.RunState `json:"run"`
 }
 
-// ErrorOf returns a refusal as it stands on the wire.
-func ErrorOf(r code.Refusal) ErrorBody {
+// NewErrorBody returns a refusal as it stands on the wire.
+func NewErrorBody(r code.Refusal) ErrorBody {
 	info := code.Lookup(r.Code)
 	message := info.Meaning
 	if r.Detail != "" {
--- a/internal/entry/forward.go
+++ b/internal/entry/forward.go
@@ -147,7 +147,7 @@
 		head.Set(f.handler.Wire.RetryAfter, strconv.FormatFloat(r.RetryAfter.Seconds(), 'f', 3, 64))
 	}
 	f.closeIfStopping()
-	WriteJSON(f.w, status, ErrorOf(r))
+	WriteJSON(f.w, status, NewErrorBody(r))
 }
 
 // closeIfStopping asks the caller to open its next connection elsewhere.
--- a/internal/own/modelapi/model.go
+++ b/internal/own/modelapi/model.go
@@ -55,7 +55,7 @@
 		return
 	}
 	m.handler.Metrics.ObserveAnswer(int(r.Code), time.Since(m.begun))
-	data, err := json.Marshal(entry.ErrorOf(r))
+	data, err := json.Marshal(entry.NewErrorBody(r))
 	if err == nil {
 		m.event(data)
 	}
--- a/internal/own/modelapi/modelapi.go
+++ b/internal/own/modelapi/modelapi.go
@@ -108,7 +108,7 @@
 	if r.Code == code.Stopping {
 		w.Header().Set("Connection", "close")
 	}
-	entry.WriteJSON(w, status, entry.ErrorOf(r))
+	entry.WriteJSON(w, status, entry.NewErrorBody(r))
 }
 
 // model serves a chat or completion call.
