--- a/cmd/birchdrift/main.go
+++ b/cmd/birchdrift/main.go
@@ -29,7 +29,7 @@
 var environments = map[string]server.Enter{
 	settings.EnvironmentOwn: server.Own,
 	settings.EnvironmentPlatform: func(set settings.Settings, t upstream.Transports) server.Environment {
-		join := environment.Join(platform.NewStore(set.Platform, t), platform.NewEngines(t))
+		join := environment.NewFactory(platform.NewStore(set.Platform, t), platform.NewEngines(t))
 		return server.Environment{Join: join, Wire: platform.Wire}
 	},
 }
--- a/internal/environment/driver.go
+++ b/internal/environment/driver.go
@@ -32,8 +32,8 @@
 	host    shell.Host
 }
 
-// Join returns what joins a shell to a platform with this store and these engines.
-func Join(store Store, engines Engines) shell.Join {
+// NewFactory returns what joins a shell to a platform with this store and these engines.
+func NewFactory(store Store, engines Engines) shell.Join {
 	return func(h shell.Host) shell.Environment {
 		d := &driver{store: store, engines: engines, host: h}
 		return shell.Environment{CarryOut: d.carryOut, Decode: d.decode}
--- a/internal/server/forward_test.go
+++ b/internal/server/forward_test.go
@@ -222,7 +222,7 @@
 		Decode:     config.Decode,
 	}
 	return func(settings.Settings, upstream.Transports) Environment {
-		return Environment{Join: environment.Join(*store, environment.Engines{}), Wire: forward.Own}
+		return Environment{Join: environment.NewFactory(*store, environment.Engines{}), Wire: forward.Own}
 	}
 }
 
