--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -35,7 +35,7 @@
 	Service *service.Client
 	Metrics *telemetry.Metrics
 	Tracer  *telemetry.Tracer
-	Wire    forward.Wire // how forwarded calls are worded
+	Wire    forward.WireFormat // how forwarded calls are worded
 	// Silence is for how long a caller may send nothing within a body; 0: without limit.
 	Silence time.Duration
 	// Own serves the calls that no route forwards; nil where every call is a
--- a/internal/forward/notice.go
+++ b/internal/forward/notice.go
@@ -21,7 +21,7 @@
 
 // ReadNotice reads what a replica says of itself in the head of an answer. What makes no
 // sense says nothing.
-func (w Wire) ReadNotice(resp *http.Response) pool.Notice {
+func (w WireFormat) ReadNotice(resp *http.Response) pool.Notice {
 	var n pool.Notice
 	if w.Leaving != "" {
 		// An error leaves false: a word that is not known says nothing.
--- a/internal/forward/notice_test.go
+++ b/internal/forward/notice_test.go
@@ -51,7 +51,7 @@
 		{"a date in an answer without one", 503, "", "Thu, 03 Dec 2026 10:00:07 GMT", "", pool.Notice{}},
 		{"a date far off", 503, "", "Thu, 03 Dec 2099 10:00:07 GMT", date, pool.Notice{Rest: longestRest}},
 	}
-	wire := Wire{Leaving: "Leaving", RetryAfter: "Retry-After"}
+	wire := WireFormat{Leaving: "Leaving", RetryAfter: "Retry-After"}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
@@ -67,7 +67,7 @@
 	t.Run("an environment without such headers", func(t *testing.T) {
 		is := is.New(t)
 		h := http.Header{"Leaving": {"1"}, "Retry-After": {"3"}}
-		is.Equal(Wire{}.ReadNotice(&http.Response{StatusCode: 503, Header: h}), pool.Notice{})
+		is.Equal(WireFormat{}.ReadNotice(&http.Response{StatusCode: 503, Header: h}), pool.Notice{})
 	})
 }
 
@@ -100,7 +100,7 @@
 		{"words", []string{"a few"}, unclear},
 		{"a number and words", []string{"3 a second"}, unclear},
 	}
-	wire := Wire{RateLimit: "Limit"}
+	wire := WireFormat{RateLimit: "Limit"}
 	for _, c := range cases {
 		for _, status := range []int{200, 404, 421, 500, 503} {
 			t.Run(c.name, func(t *testing.T) {
@@ -109,5 +109,5 @@
 			})
 		}
 	}
-	is.New(t).Equal(Wire{}.ReadNotice(&http.Response{Header: http.Header{"": {"3"}}}), pool.Notice{}) // an environment without such a header
+	is.New(t).Equal(WireFormat{}.ReadNotice(&http.Response{Header: http.Header{"": {"3"}}}), pool.Notice{}) // an environment without such a header
 }
--- a/internal/forward/wire.go
+++ b/internal/forward/wire.go
@@ -19,9 +19,9 @@
 	"github.com/birchdrift/birchdrift/internal/upstream"
 )
 
-// A Wire names the headers of forwarded calls. An empty name is a header that
+// A WireFormat names the headers of forwarded calls. An empty name is a header that
 // the environment does not have.
-type Wire struct {
+type WireFormat struct {
 	CallID      string // the caller's identity of the call, echoed in answers
 	Deadline    string // milliseconds that the caller will wait, or that are left
 	Model       string // MODEL or MODEL/ADAPTER
@@ -50,13 +50,13 @@
 }
 
 // AnswerHeaders returns the headers of answers that are read, or need not be.
-func (w Wire) AnswerHeaders() []string {
+func (w WireFormat) AnswerHeaders() []string {
 	replicas := []string{w.CallID, w.Signature, w.Incarnation, w.NotRun, w.RetryAfter, w.Leaving, w.RateLimit}
 	return slices.Concat(replicas, w.Unneeded, w.Store)
 }
 
 // Own is the product's own reporting.
-var Own = Wire{
+var Own = WireFormat{
 	CallID:      "Birchdrift-Call",
 	Deadline:    "Birchdrift-Deadline",
 	Model:       "Birchdrift-Model",
@@ -107,7 +107,7 @@
 )
 
 // ReadRequest reads a call's headers. An error names the header that makes no sense.
-func (w Wire) ReadRequest(h http.Header) (Request, error) {
+func (w WireFormat) ReadRequest(h http.Header) (Request, error) {
 	r := Request{CallID: h.Get(w.CallID)}
 	r.Model, r.Adapter, _ = strings.Cut(h.Get(w.Model), "/")
 	if v := h.Get(w.Deadline); v != "" {
@@ -124,7 +124,7 @@
 	return r, nil
 }
 
-func (r *Request) readTokens(w Wire, h http.Header) {
+func (r *Request) readTokens(w WireFormat, h http.Header) {
 	v := h.Get(w.Tokens)
 	if v == "" {
 		return
@@ -179,7 +179,7 @@
 
 // SetHeaders writes an attempt's headers over the caller's, and drops those that a
 // caller may not set.
-func (w Wire) SetHeaders(h http.Header, a Attempt) {
+func (w WireFormat) SetHeaders(h http.Header, a Attempt) {
 	for _, name := range w.Reserved {
 		h.Del(name)
 	}
@@ -212,7 +212,7 @@
 }
 
 // ReadReply reads the head of a replica's answer to the call with this identity.
-func (w Wire) ReadReply(resp *http.Response, callID string) Reply {
+func (w WireFormat) ReadReply(resp *http.Response, callID string) Reply {
 	r := Reply{
 		NotRun:      w.NotRun != "" && resp.Header.Get(w.NotRun) != "",
 		Misdirected: resp.StatusCode == w.Misdirected,
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -72,7 +72,7 @@
 // An Environment is what an instance runs in.
 type Environment struct {
 	Join shell.Join
-	Wire forward.Wire // how forwarded calls are worded
+	Wire forward.WireFormat // how forwarded calls are worded
 	// OwnCalls returns the handler of the product's own interface; nil where
 	// callers are not offered it.
 	OwnCalls func(h *entry.Handler, self member.Identity, maxBody int64) http.Handler
