--- a/internal/forward/wire.go
+++ b/internal/forward/wire.go
@@ -55,8 +55,8 @@
 	return slices.Concat(replicas, w.Unneeded, w.Store)
 }
 
-// Own is the product's own reporting.
-var Own = WireFormat{
+// OwnFormat is the product's own reporting.
+var OwnFormat = WireFormat{
 	CallID:      "Birchdrift-Call",
 	Deadline:    "Birchdrift-Deadline",
 	Model:       "Birchdrift-Model",
--- a/internal/forward/wire_test.go
+++ b/internal/forward/wire_test.go
@@ -16,19 +16,19 @@
 		want                Request
 		fails               bool
 	}{
-		{"nothing", Own.Model, "", Request{}, false},
-		{"a model", Own.Model, "m/a", Request{Model: "m", Adapter: "a"}, false},
-		{"a deadline", Own.Deadline, "1500.5", Request{Deadline: 1500500 * time.Microsecond}, false},
-		{"no deadline", Own.Deadline, "soon", Request{}, true},
-		{"tokens", Own.Tokens, "120,30", Request{PromptTokens: 120, MaxTokens: 30}, false},
-		{"tokens of the prompt alone", Own.Tokens, "120", Request{PromptTokens: 120}, false},
-		{"no tokens", Own.Tokens, "many,30", Request{MaxTokens: 30, Ignored: []string{Own.Tokens}}, false},
-		{"too many tokens", Own.Tokens, "999999999,-1", Request{Ignored: []string{Own.Tokens}}, false},
-		{"a hint", Own.LengthHint, " 17 ", Request{LengthHint: 17}, false},
-		{"no hint", Own.LengthHint, "x", Request{Ignored: []string{Own.LengthHint}}, false},
-		{"parts", Own.Parts, "ff:10, a:2", Request{Parts: []Part{{255, 10}, {10, 2}}}, false},
-		{"parts up to what is none", Own.Parts, "ff:10,zz:2,a:3", Request{Parts: []Part{{255, 10}}, Ignored: []string{Own.Parts}}, false},
-		{"an event", Own.LastEvent, "7", Request{LastEvent: 7}, false},
+		{"nothing", OwnFormat.Model, "", Request{}, false},
+		{"a model", OwnFormat.Model, "m/a", Request{Model: "m", Adapter: "a"}, false},
+		{"a deadline", OwnFormat.Deadline, "1500.5", Request{Deadline: 1500500 * time.Microsecond}, false},
+		{"no deadline", OwnFormat.Deadline, "soon", Request{}, true},
+		{"tokens", OwnFormat.Tokens, "120,30", Request{PromptTokens: 120, MaxTokens: 30}, false},
+		{"tokens of the prompt alone", OwnFormat.Tokens, "120", Request{PromptTokens: 120}, false},
+		{"no tokens", OwnFormat.Tokens, "many,30", Request{MaxTokens: 30, Ignored: []string{OwnFormat.Tokens}}, false},
+		{"too many tokens", OwnFormat.Tokens, "999999999,-1", Request{Ignored: []string{OwnFormat.Tokens}}, false},
+		{"a hint", OwnFormat.LengthHint, " 17 ", Request{LengthHint: 17}, false},
+		{"no hint", OwnFormat.LengthHint, "x", Request{Ignored: []string{OwnFormat.LengthHint}}, false},
+		{"parts", OwnFormat.Parts, "ff:10, a:2", Request{Parts: []Part{{255, 10}, {10, 2}}}, false},
+		{"parts up to what is none", OwnFormat.Parts, "ff:10,zz:2,a:3", Request{Parts: []Part{{255, 10}}, Ignored: []string{OwnFormat.Parts}}, false},
+		{"an event", OwnFormat.LastEvent, "7", Request{LastEvent: 7}, false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -37,7 +37,7 @@
 			if c.value != "" {
 				h.Set(c.header, c.value)
 			}
-			got, err := Own.ReadRequest(h)
+			got, err := OwnFormat.ReadRequest(h)
 			is.Equal(err != nil, c.fails)
 			if !c.fails {
 				is.Equal(got, c.want)
--- a/internal/server/forward_test.go
+++ b/internal/server/forward_test.go
@@ -50,7 +50,7 @@
 	r.mu.Lock()
 	r.seen = append(r.seen, req)
 	r.mu.Unlock()
-	w.Header().Set(forward.Own.CallID, req.Header.Get(forward.Own.CallID))
+	w.Header().Set(forward.OwnFormat.CallID, req.Header.Get(forward.OwnFormat.CallID))
 	r.answer(w, req)
 }
 
@@ -64,14 +64,14 @@
 func ok(body string) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
-		w.Header().Set(forward.Own.Signature, "signed")
+		w.Header().Set(forward.OwnFormat.Signature, "signed")
 		_, _ = io.WriteString(w, body)
 	}
 }
 
 func status(code int) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
-		w.Header().Set(forward.Own.Signature, "signed")
+		w.Header().Set(forward.OwnFormat.Signature, "signed")
 		w.WriteHeader(code)
 		_, _ = io.WriteString(w, "the replica's words")
 	}
@@ -79,7 +79,7 @@
 
 func notRun(code int) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
-		w.Header().Set(forward.Own.NotRun, "1")
+		w.Header().Set(forward.OwnFormat.NotRun, "1")
 		w.WriteHeader(code)
 	}
 }
@@ -87,7 +87,7 @@
 // cut answers with a part of what it promised.
 func cut(w http.ResponseWriter, r *http.Request) {
 	_, _ = io.Copy(io.Discard, r.Body)
-	w.Header().Set(forward.Own.Signature, "signed")
+	w.Header().Set(forward.OwnFormat.Signature, "signed")
 	w.Header().Set("Content-Length", "100")
 	_, _ = io.WriteString(w, "part")
 	panic(http.ErrAbortHandler)
@@ -222,7 +222,7 @@
 		Decode:     config.Decode,
 	}
 	return func(settings.Settings, upstream.Transports) Environment {
-		return Environment{Join: environment.NewFactory(*store, environment.Engines{}), Wire: forward.Own}
+		return Environment{Join: environment.NewFactory(*store, environment.Engines{}), Wire: forward.OwnFormat}
 	}
 }
 
@@ -256,8 +256,8 @@
 		s.t.Fatal(err)
 	}
 	req.Host = host
-	req.Header.Set(forward.Own.CallID, "call-1")
-	req.Header.Set(forward.Own.Deadline, "4000")
+	req.Header.Set(forward.OwnFormat.CallID, "call-1")
+	req.Header.Set(forward.OwnFormat.Deadline, "4000")
 	resp, err := http.DefaultTransport.RoundTrip(req)
 	if err != nil {
 		return outcome{err: err}
@@ -280,7 +280,7 @@
 // second answers well.
 func TestForwardedAnswers(t *testing.T) {
 	foreign := func(w http.ResponseWriter, r *http.Request) {
-		w.Header().Set(forward.Own.CallID, "another")
+		w.Header().Set(forward.OwnFormat.CallID, "another")
 		ok("another's")(w, r)
 	}
 	unsigned := func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "bytes of nobody") }
@@ -336,7 +336,7 @@
 			is.Equal(s.runs(), c.runs)
 			if c.status == 200 {
 				is.Equal(got.body, "good")
-				is.Equal(got.header.Get(forward.Own.Signature), "signed")
+				is.Equal(got.header.Get(forward.OwnFormat.Signature), "signed")
 			}
 			if c.status == 500 || c.status == 404 {
 				is.Equal(got.body, "the replica's words")
@@ -387,7 +387,7 @@
 	is.Equal(seen.Host, "again")
 	is.Equal(seen.Header.Get("X-Odd"), "a,  b")
 	is.Equal(seen.Header.Get("X-Gone"), "")
-	is.Equal(seen.Header.Get(forward.Own.Expect), "r0")
+	is.Equal(seen.Header.Get(forward.OwnFormat.Expect), "r0")
 	for _, added := range []string{"User-Agent", "Accept-Encoding", "X-Forwarded-For"} {
 		is.Equal(seen.Header.Values(added), nil)
 	}
@@ -457,7 +457,7 @@
 		_, _ = io.Copy(io.Discard, r.Body)
 		last := 0
 		_, _ = fmt.Sscan(r.Header.Get("Last-Event-Id"), &last)
-		w.Header().Set(forward.Own.Signature, "signed")
+		w.Header().Set(forward.OwnFormat.Signature, "signed")
 		w.Header().Set("Content-Type", "text/event-stream")
 		w.WriteHeader(http.StatusOK)
 		for n := last + 1; n <= total; n++ {
@@ -517,7 +517,7 @@
 	is := is.New(t)
 	gap := func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
-		w.Header().Set(forward.Own.Signature, "signed")
+		w.Header().Set(forward.OwnFormat.Signature, "signed")
 		w.Header().Set("Content-Type", "text/event-stream")
 		_, _ = io.WriteString(w, "id: 1\ndata: event 1\n\nid: 3\ndata: event 3\n\n")
 	}
--- a/internal/server/gone_test.go
+++ b/internal/server/gone_test.go
@@ -39,8 +39,8 @@
 	streams := func(begun chan<- struct{}, left chan<- time.Time) http.HandlerFunc {
 		return func(w http.ResponseWriter, r *http.Request) {
 			_, _ = io.Copy(io.Discard, r.Body)
-			w.Header().Set(forward.Own.Signature, "signed")
-			w.Header().Set("Content-Type", forward.Own.StreamType)
+			w.Header().Set(forward.OwnFormat.Signature, "signed")
+			w.Header().Set("Content-Type", forward.OwnFormat.StreamType)
 			_, _ = io.WriteString(w, "id: 1\ndata: event 1\n\n")
 			_ = http.NewResponseController(w).Flush()
 			close(begun)
@@ -96,7 +96,7 @@
 			req, err := http.NewRequestWithContext(ctx, "POST", "http://"+s.address+"/x", c.body())
 			is.NoErr(err)
 			req.Host = c.host
-			req.Header.Set(forward.Own.CallID, "call-1")
+			req.Header.Set(forward.OwnFormat.CallID, "call-1")
 			go func() {
 				resp, err := http.DefaultTransport.RoundTrip(req)
 				if err == nil {
--- a/internal/server/notice_test.go
+++ b/internal/server/notice_test.go
@@ -18,7 +18,7 @@
 // leaves has the answers of a replica say that it leaves.
 func leaves(answer http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		w.Header().Set(forward.Own.Leaving, "1")
+		w.Header().Set(forward.OwnFormat.Leaving, "1")
 		answer(w, r)
 	}
 }
@@ -26,7 +26,7 @@
 // rests has the answers of a replica ask for rest.
 func rests(answer http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		w.Header().Set(forward.Own.RetryAfter, "30")
+		w.Header().Set(forward.OwnFormat.RetryAfter, "30")
 		answer(w, r)
 	}
 }
@@ -55,7 +55,7 @@
 // of every status, of streams that go on, and such that are no answer to the call.
 func TestAnyAnswerMaySayThatAReplicaLeaves(t *testing.T) {
 	foreign := func(w http.ResponseWriter, r *http.Request) {
-		w.Header().Set(forward.Own.CallID, "another")
+		w.Header().Set(forward.OwnFormat.CallID, "another")
 		ok("another's")(w, r)
 	}
 	breaksOff := func(w http.ResponseWriter, _ *http.Request) {
@@ -104,8 +104,8 @@
 	over := make(chan struct{})
 	t.Cleanup(func() { close(over) })
 	s := newSite(t, leaves(func(w http.ResponseWriter, r *http.Request) {
-		w.Header().Set(forward.Own.Signature, "signed")
-		w.Header().Set("Content-Type", forward.Own.StreamType)
+		w.Header().Set(forward.OwnFormat.Signature, "signed")
+		w.Header().Set("Content-Type", forward.OwnFormat.StreamType)
 		_, _ = io.WriteString(w, "id: 1\ndata: x\n\n")
 		_ = http.NewResponseController(w).Flush()
 		select {
@@ -117,7 +117,7 @@
 	req, err := http.NewRequestWithContext(ctx, "POST", "http://"+s.address+"/x", strings.NewReader("body"))
 	is.NoErr(err)
 	req.Host = "stream"
-	req.Header.Set(forward.Own.CallID, "call-1")
+	req.Header.Set(forward.OwnFormat.CallID, "call-1")
 	resp, err := http.DefaultTransport.RoundTrip(req)
 	is.NoErr(err)
 	leave()
@@ -153,7 +153,7 @@
 	limits := func(answer http.HandlerFunc, named *atomic.Bool) http.HandlerFunc {
 		return func(w http.ResponseWriter, r *http.Request) {
 			if named.Load() {
-				w.Header().Set(forward.Own.RateLimit, "2")
+				w.Header().Set(forward.OwnFormat.RateLimit, "2")
 			}
 			answer(w, r)
 		}
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -84,7 +84,7 @@
 // Own joins an instance to the product's own environment.
 func Own(set settings.Settings, t upstream.Transports) Environment {
 	engines := engine.NewClient(t)
-	wire := forward.Own
+	wire := forward.OwnFormat
 	wire.Unneeded = append(slices.Clone(wire.Unneeded), keyvalue.HeaderRevision)
 	return Environment{
 		Join: own.Join(keyvalue.NewClient(set.Platform, t), engines),
--- a/internal/server/silence_test.go
+++ b/internal/server/silence_test.go
@@ -63,8 +63,8 @@
 	either := func(w http.ResponseWriter, r *http.Request) {
 		select {
 		case <-first:
-			w.Header().Set(forward.Own.Signature, "signed")
-			w.Header().Set("Content-Type", forward.Own.StreamType)
+			w.Header().Set(forward.OwnFormat.Signature, "signed")
+			w.Header().Set("Content-Type", forward.OwnFormat.StreamType)
 			_, _ = io.WriteString(w, "id: 1\ndata: event 1\n\n")
 			_ = http.NewResponseController(w).Flush()
 			<-silenced
@@ -195,8 +195,8 @@
 	left := make(chan struct{})
 	s := newSite(t, func(w http.ResponseWriter, r *http.Request) {
 		defer close(left)
-		w.Header().Set(forward.Own.Signature, "signed")
-		w.Header().Set("Content-Type", forward.Own.StreamType)
+		w.Header().Set(forward.OwnFormat.Signature, "signed")
+		w.Header().Set("Content-Type", forward.OwnFormat.StreamType)
 		event := "data: " + strings.Repeat("x", 60<<10) + "\n\n"
 		for {
 			if _, err := io.WriteString(w, event); err != nil {
