--- a/internal/forward/events.go
+++ b/internal/forward/events.go
@@ -14,16 +14,16 @@
 // ErrPartial says that a series of events ended within an event.
 var ErrPartial = errors.New("the series of events ended within an event")
 
-// Events reads a series of events one whole event at a time, as it came, its
+// EventReader reads a series of events one whole event at a time, as it came, its
 // closing blank line included.
-type Events struct{ scanner *bufio.Scanner }
+type EventReader struct{ scanner *bufio.Scanner }
 
 // NewEvents reads events from body.
-func NewEvents(body io.Reader) *Events {
+func NewEvents(body io.Reader) *EventReader {
 	s := bufio.NewScanner(body)
 	s.Buffer(make([]byte, 0, 1024), maxEvent)
 	s.Split(splitEvent)
-	return &Events{scanner: s}
+	return &EventReader{scanner: s}
 }
 
 // splitEvent cuts behind each blank line.
@@ -40,7 +40,7 @@
 // Next returns the next event and its number, 0 if it has none. It returns
 // io.EOF after the last whole event of a series that came to its end, and any
 // other error for one that did not. The bytes are valid until the next call.
-func (e *Events) Next() (event []byte, number int, err error) {
+func (e *EventReader) Next() (event []byte, number int, err error) {
 	if !e.scanner.Scan() {
 		if err := e.scanner.Err(); err != nil {
 			return nil, 0, err
