--- a/internal/entry/forward.go
+++ b/internal/entry/forward.go
@@ -350,7 +350,7 @@
 // series passes on a series of events, each as it comes and only whole, so that
 // another replica can go on behind the last one.
 func (f *forwardCall) series(s shell.Session, d calls.Dispatch, resp *http.Response, progress *upstream.Progress, watch *Watchdog) bool {
-	events := forward.NewEvents(resp.Body)
+	events := forward.NewEventReader(resp.Body)
 	flush := http.NewResponseController(f.w)
 	first := true
 	var last time.Time // when the event before came
--- a/internal/forward/events.go
+++ b/internal/forward/events.go
@@ -18,8 +18,8 @@
 // closing blank line included.
 type EventReader struct{ scanner *bufio.Scanner }
 
-// NewEvents reads events from body.
-func NewEvents(body io.Reader) *EventReader {
+// NewEventReader reads events from body.
+func NewEventReader(body io.Reader) *EventReader {
 	s := bufio.NewScanner(body)
 	s.Buffer(make([]byte, 0, 1024), maxEvent)
 	s.Split(splitEvent)
