--- a/internal/entry/forward.go
+++ b/internal/entry/forward.go
@@ -236,7 +236,7 @@
 func failureOf(err error, status int) calls.AttemptFailed {
 	return calls.AttemptFailed{
 		Status:      status,
-		Severed:     upstream.Severed(err) || errors.Is(err, forward.ErrPartial),
+		Severed:     upstream.Severed(err) || errors.Is(err, forward.ErrPartialEvent),
 		Unreachable: upstream.NothingListens(err),
 		Detail:      err.Error(),
 	}
--- a/internal/forward/events.go
+++ b/internal/forward/events.go
@@ -11,8 +11,8 @@
 // maxEvent bounds one event of a series, in bytes.
 const maxEvent = 1 << 20
 
-// ErrPartial says that a series of events ended within an event.
-var ErrPartial = errors.New("the series of events ended within an event")
+// ErrPartialEvent says that a series of events ended within an event.
+var ErrPartialEvent = errors.New("the series of events ended within an event")
 
 // EventReader reads a series of events one whole event at a time, as it came, its
 // closing blank line included.
@@ -32,7 +32,7 @@
 		return i + 2, data[:i+2], nil
 	}
 	if atEOF && len(data) > 0 {
-		return 0, nil, ErrPartial
+		return 0, nil, ErrPartialEvent
 	}
 	return 0, nil, nil
 }
