--- a/internal/forward/wire.go
+++ b/internal/forward/wire.go
@@ -77,8 +77,8 @@
 	Unneeded:    []string{upstream.HeaderRun},
 }
 
-// A Part is one shared part of a prompt.
-type Part struct {
+// A PromptPart is one shared part of a prompt.
+type PromptPart struct {
 	ID     uint64
 	Tokens int
 }
@@ -92,7 +92,7 @@
 	PromptTokens int
 	MaxTokens    int
 	LengthHint   int
-	Parts        []Part
+	Parts        []PromptPart
 	LastEvent    int // 0 if the caller has none
 	// Ignored names the headers that make no sense and count as absent. They
 	// only steer decisions, so the call itself is none the worse for it.
@@ -165,7 +165,7 @@
 			r.ignore(header)
 			return
 		}
-		r.Parts = append(r.Parts, Part{ID: n, Tokens: r.count(header, count)})
+		r.Parts = append(r.Parts, PromptPart{ID: n, Tokens: r.count(header, count)})
 	}
 }
 
--- a/internal/forward/wire_test.go
+++ b/internal/forward/wire_test.go
@@ -26,8 +26,8 @@
 		{"too many tokens", OwnFormat.Tokens, "999999999,-1", Request{Ignored: []string{OwnFormat.Tokens}}, false},
 		{"a hint", OwnFormat.LengthHint, " 17 ", Request{LengthHint: 17}, false},
 		{"no hint", OwnFormat.LengthHint, "x", Request{Ignored: []string{OwnFormat.LengthHint}}, false},
-		{"parts", OwnFormat.Parts, "ff:10, a:2", Request{Parts: []Part{{255, 10}, {10, 2}}}, false},
-		{"parts up to what is none", OwnFormat.Parts, "ff:10,zz:2,a:3", Request{Parts: []Part{{255, 10}}, Ignored: []string{OwnFormat.Parts}}, false},
+		{"parts", OwnFormat.Parts, "ff:10, a:2", Request{Parts: []PromptPart{{255, 10}, {10, 2}}}, false},
+		{"parts up to what is none", OwnFormat.Parts, "ff:10,zz:2,a:3", Request{Parts: []PromptPart{{255, 10}}, Ignored: []string{OwnFormat.Parts}}, false},
 		{"an event", OwnFormat.LastEvent, "7", Request{LastEvent: 7}, false},
 	}
 	for _, c := range cases {
