--- a/internal/entry/forward.go
+++ b/internal/entry/forward.go
@@ -212,7 +212,7 @@
 // outgoing words the call for the replica.
 func (f *forwardCall) outgoing(d calls.Dispatch, watch *Watchdog) service.Call {
 	header := service.EndToEnd(f.r.Header)
-	f.handler.Wire.SetHeaders(header, forward.Attempt{
+	f.handler.Wire.SetHeaders(header, forward.AttemptHeaders{
 		Expect:    d.Replica,
 		Left:      d.Forward.Left,
 		Priority:  d.Forward.Priority,
--- a/internal/forward/wire.go
+++ b/internal/forward/wire.go
@@ -169,8 +169,8 @@
 	}
 }
 
-// An Attempt is what this system adds to a call on its way to a replica.
-type Attempt struct {
+// An AttemptHeaders is what this system adds to a call on its way to a replica.
+type AttemptHeaders struct {
 	Expect    string        // identity of the replica
 	Left      time.Duration // of the caller's deadline; 0 if there is none
 	Priority  int           // -1 leaves the header out
@@ -179,7 +179,7 @@
 
 // SetHeaders writes an attempt's headers over the caller's, and drops those that a
 // caller may not set.
-func (w WireFormat) SetHeaders(h http.Header, a Attempt) {
+func (w WireFormat) SetHeaders(h http.Header, a AttemptHeaders) {
 	for _, name := range w.Reserved {
 		h.Del(name)
 	}
