--- a/cmd/birchdrift/main.go
+++ b/cmd/birchdrift/main.go
@@ -26,7 +26,7 @@
 )
 
 // environments are what an instance can run in, by the setting's value.
-var environments = map[string]server.Enter{
+var environments = map[string]server.EnvironmentFactory{
 	settings.EnvironmentOwn: server.Own,
 	settings.EnvironmentPlatform: func(set settings.Settings, t upstream.Transports) server.Environment {
 		join := environment.NewFactory(platform.NewStore(set.Platform, t), platform.NewEngines(t))
--- a/internal/server/forward_test.go
+++ b/internal/server/forward_test.go
@@ -198,7 +198,7 @@
 }
 
 // memoryStore joins the instance to a store that says one thing and then waits.
-func memoryStore(change environment.Change) Enter {
+func memoryStore(change environment.Change) EnvironmentFactory {
 	first := make(chan environment.Change, 1)
 	first <- change
 	watch := func(ctx context.Context, wait time.Duration) (environment.Change, error) {
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -78,8 +78,8 @@
 	OwnCalls func(h *entry.Handler, self member.Identity, maxBody int64) http.Handler
 }
 
-// An Enter joins an instance to its environment.
-type Enter func(set settings.Settings, t upstream.Transports) Environment
+// An EnvironmentFactory joins an instance to its environment.
+type EnvironmentFactory func(set settings.Settings, t upstream.Transports) Environment
 
 // Own joins an instance to the product's own environment.
 func Own(set settings.Settings, t upstream.Transports) Environment {
@@ -102,7 +102,7 @@
 // New binds the listeners and wires the instance, whose tunables are opt, to the
 // environment that enter joins it to; Run starts it. Logs go to logs, spans to
 // spans.
-func New(set settings.Settings, opt option.Options, enter Enter, logs, spans io.Writer) (*Server, error) {
+func New(set settings.Settings, opt option.Options, enter EnvironmentFactory, logs, spans io.Writer) (*Server, error) {
 	level := new(slog.LevelVar)
 	level.Set(set.LogLevel)
 	metrics := telemetry.NewMetrics()
@@ -143,7 +143,7 @@
 	return nil
 }
 
-func (s *Server) wire(enter Enter) {
+func (s *Server) wire(enter EnvironmentFactory) {
 	metrics := s.metrics
 	transports := upstream.NewTransports()
 	unread := upstream.NewUnread(s.unreadHeader, metrics.CountUnreadHeader)
