--- a/cmd/birchdrift/main.go
+++ b/cmd/birchdrift/main.go
@@ -27,7 +27,7 @@
 
 // environments are what an instance can run in, by the setting's value.
 var environments = map[string]server.EnvironmentFactory{
-	settings.EnvironmentOwn: server.Own,
+	settings.EnvironmentOwn: server.OwnEnvironment,
 	settings.EnvironmentPlatform: func(set settings.Settings, t upstream.Transports) server.Environment {
 		join := environment.NewFactory(platform.NewStore(set.Platform, t), platform.NewEngines(t))
 		return server.Environment{Join: join, Wire: platform.Wire}
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -81,8 +81,8 @@
 // An EnvironmentFactory joins an instance to its environment.
 type EnvironmentFactory func(set settings.Settings, t upstream.Transports) Environment
 
-// Own joins an instance to the product's own environment.
-func Own(set settings.Settings, t upstream.Transports) Environment {
+// OwnEnvironment joins an instance to the product's own environment.
+func OwnEnvironment(set settings.Settings, t upstream.Transports) Environment {
 	engines := engine.NewClient(t)
 	wire := forward.OwnFormat
 	wire.Unneeded = append(slices.Clone(wire.Unneeded), keyvalue.HeaderRevision)
