--- a/internal/entry/forward.go
+++ b/internal/entry/forward.go
@@ -211,7 +211,7 @@
 
 // outgoing words the call for the replica.
 func (f *forwardCall) outgoing(d calls.Dispatch, watch *Watchdog) service.Call {
-	header := service.EndToEnd(f.r.Header)
+	header := service.EndToEndHeaders(f.r.Header)
 	f.handler.Wire.SetHeaders(header, forward.AttemptHeaders{
 		Expect:    d.Replica,
 		Left:      d.Forward.Left,
@@ -300,7 +300,7 @@
 // head writes the head of an answer.
 func (f *forwardCall) head(header http.Header, status int) {
 	out := f.w.Header()
-	for name, values := range service.EndToEnd(header) {
+	for name, values := range service.EndToEndHeaders(header) {
 		out[name] = values
 	}
 	f.closeIfStopping()
--- a/internal/own/modelapi/plain.go
+++ b/internal/own/modelapi/plain.go
@@ -86,7 +86,7 @@
 
 // outgoing words the call for the upstream.
 func (p *plainCall) outgoing(d calls.Dispatch, watch *entry.Watchdog) service.Call {
-	header := service.EndToEnd(p.r.Header)
+	header := service.EndToEndHeaders(p.r.Header)
 	header.Del("Authorization") // the key is this system's, not the upstream's
 	header.Set(upstream.HeaderCall, own.CallName(p.handler.Self, p.call.ID, d.Attempt))
 	p.handler.Tracer.Inject(p.r.Context(), header)
@@ -126,7 +126,7 @@
 
 // pass streams the upstream's answer to the caller.
 func (p *plainCall) pass(s shell.Session, d calls.Dispatch, resp *http.Response, watch *entry.Watchdog) bool {
-	for name, values := range service.EndToEnd(resp.Header) {
+	for name, values := range service.EndToEndHeaders(resp.Header) {
 		p.w.Header()[name] = values
 	}
 	p.w.Header().Set(HeaderInstance, p.handler.Self.Name)
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -129,9 +129,9 @@
 	"Proxy-Authorization", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// EndToEnd returns a copy of the headers without those of one connection, the
+// EndToEndHeaders returns a copy of the headers without those of one connection, the
 // ones that Connection names included.
-func EndToEnd(h http.Header) http.Header {
+func EndToEndHeaders(h http.Header) http.Header {
 	out := h.Clone()
 	for _, line := range h.Values("Connection") {
 		for _, name := range strings.Split(line, ",") {
--- a/internal/service/service_test.go
+++ b/internal/service/service_test.go
@@ -15,7 +15,7 @@
 		"Connection": {"close, X-Private"}, "X-Private": {"1"}, "Upgrade": {"h2c"}, "Te": {"trailers"},
 		"Transfer-Encoding": {"chunked"}, "Keep-Alive": {"5"}, "X-Kept": {"yes"}, "Idempotency-Key": {"k"},
 	}
-	out := EndToEnd(in)
+	out := EndToEndHeaders(in)
 	is.Equal(out, http.Header{"X-Kept": {"yes"}, "Idempotency-Key": {"k"}})
 	is.Equal(in.Get("X-Private"), "1") // the original is untouched
 }
