--- a/cmd/birchdrift/main.go
+++ b/cmd/birchdrift/main.go
@@ -56,7 +56,7 @@
 
 func run(_ context.Context, cmd *cli.Command) error {
 	source := settings.Source{
-		Path: cmd.String(settings.NodeFile),
+		Path: cmd.String(settings.NodeFileFlag),
 		Given: func(name string) (string, bool) {
 			return cmd.String(name), cmd.IsSet(name)
 		},
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -135,16 +135,16 @@
 	EnvironmentPlatform = "platform"
 )
 
-// NodeFile is the flag of the settings file.
-const NodeFile = "node-file"
+// NodeFileFlag is the flag of the settings file.
+const NodeFileFlag = "node-file"
 
 // Flags returns the command-line flags of the table.
 func Flags() []cli.Flag {
 	flags := make([]cli.Flag, 0, len(Table)+1)
 	flags = append(flags, &cli.StringFlag{
-		Name:    NodeFile,
+		Name:    NodeFileFlag,
 		Usage:   "YAML file with settings by their flags' names; a flag or variable goes before it (a path)",
-		Sources: cli.EnvVars(Setting{Name: NodeFile}.Env()),
+		Sources: cli.EnvVars(Setting{Name: NodeFileFlag}.Env()),
 	})
 	for _, s := range Table {
 		flags = append(flags, &cli.StringFlag{
