--- a/internal/environment/driver.go
+++ b/internal/environment/driver.go
@@ -33,7 +33,7 @@
 }
 
 // NewFactory returns what joins a shell to a platform with this store and these engines.
-func NewFactory(store Store, engines Engines) shell.Join {
+func NewFactory(store Store, engines Engines) shell.EnvironmentFactory {
 	return func(h shell.Host) shell.Environment {
 		d := &driver{store: store, engines: engines, host: h}
 		return shell.Environment{CarryOut: d.carryOut, Decode: d.decode}
--- a/internal/own/driver.go
+++ b/internal/own/driver.go
@@ -45,7 +45,7 @@
 }
 
 // Join returns what joins a shell to the product's own environment.
-func Join(p *keyvalue.Client, e *engine.Client) shell.Join {
+func Join(p *keyvalue.Client, e *engine.Client) shell.EnvironmentFactory {
 	return func(h shell.Host) shell.Environment {
 		p.Called = h.PlatformCalled
 		d := &driver{platform: p, engine: e, host: h}
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -71,7 +71,7 @@
 
 // An Environment is what an instance runs in.
 type Environment struct {
-	Join shell.Join
+	Join shell.EnvironmentFactory
 	Wire forward.WireFormat // how forwarded calls are worded
 	// OwnCalls returns the handler of the product's own interface; nil where
 	// callers are not offered it.
--- a/internal/shell/shell.go
+++ b/internal/shell/shell.go
@@ -65,8 +65,8 @@
 	Event func(n logevent.Number, fields ...any)
 }
 
-// A Join joins an environment to a shell.
-type Join func(h Host) Environment
+// A EnvironmentFactory joins an environment to a shell.
+type EnvironmentFactory func(h Host) Environment
 
 // A Shell runs one machine.
 type Shell struct {
@@ -92,7 +92,7 @@
 
 // New returns a shell that lives as long as ctx and is joined to an environment;
 // Run starts it.
-func New(ctx context.Context, self member.Identity, m *instance.Machine, join Join, peers *peer.Client, log logr.Logger, metrics *telemetry.Metrics) *Shell {
+func New(ctx context.Context, self member.Identity, m *instance.Machine, join EnvironmentFactory, peers *peer.Client, log logr.Logger, metrics *telemetry.Metrics) *Shell {
 	s := &Shell{
 		machine: m,
 		self:    self,
