--- a/internal/pages/pages.go
+++ b/internal/pages/pages.go
@@ -91,7 +91,7 @@
 func metricRows() string {
 	var b strings.Builder
 	header(&b, "Metrics", "metric", "meaning", "what to do")
-	for _, r := range telemetry.Rows {
+	for _, r := range telemetry.MetricDocs {
 		row(&b, "`"+r.Name+"`", r.Meaning, r.Action)
 	}
 	b.WriteString("\nMetrics are at `/metrics` on the operations listener, with the process's own beside them.\n")
--- a/internal/telemetry/metrics.go
+++ b/internal/telemetry/metrics.go
@@ -53,8 +53,8 @@
 // A MetricDoc describes one metric for docs/metrics.md.
 type MetricDoc struct{ Name, Meaning, Action string }
 
-// Rows lists the metrics with what to do about them.
-var Rows = []MetricDoc{
+// MetricDocs lists the metrics with what to do about them.
+var MetricDocs = []MetricDoc{
 	{"birchdrift_queue_seconds", "Time a call waited here before it was sent.", "Rising: the zone lacks sequences; see `birchctl status`."},
 	{"birchdrift_first_token_seconds", "Time from a call's arrival to its first piece.", "Above the target for more than 5 in 100: add accelerators or change policies."},
 	{"birchdrift_between_tokens_seconds", "Time between two pieces of one stream.", "Above the target: engines run too many sequences at once."},
