--- a/internal/upstream/unread.go
+++ b/internal/upstream/unread.go
@@ -5,10 +5,10 @@
 	"sync"
 )
 
-// An Unread finds the headers of answers that nothing here reads and no standard names,
+// An UnreadHeaderDetector finds the headers of answers that nothing here reads and no standard names,
 // so that a new word of replicas, or of the platform's store, is seen on the first day
 // on which it comes. It is safe for concurrent use.
-type Unread struct {
+type UnreadHeaderDetector struct {
 	// Report is told of each such name once; values are never told.
 	Report func(name string)
 	// Count is told of each answer that has some.
@@ -45,14 +45,14 @@
 }
 
 // NewUnread returns one that has seen no answer and knows the standard names.
-func NewUnread(report func(name string), count func()) *Unread {
-	u := &Unread{Report: report, Count: count, known: map[string]bool{}, reported: map[string]bool{}}
+func NewUnread(report func(name string), count func()) *UnreadHeaderDetector {
+	u := &UnreadHeaderDetector{Report: report, Count: count, known: map[string]bool{}, reported: map[string]bool{}}
 	u.AddKnown(standardHeaders)
 	return u
 }
 
 // AddKnown adds names that are read, or that need no reading.
-func (u *Unread) AddKnown(names []string) {
+func (u *UnreadHeaderDetector) AddKnown(names []string) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	for _, name := range names {
@@ -61,7 +61,7 @@
 }
 
 // Inspect goes over the names of an answer's headers.
-func (u *Unread) Inspect(h http.Header) {
+func (u *UnreadHeaderDetector) Inspect(h http.Header) {
 	found := false
 	for name := range h {
 		if len(name) > unreadLength {
@@ -77,7 +77,7 @@
 }
 
 // look reports whether nothing reads a name, and tells of it for the first time.
-func (u *Unread) look(name string) bool {
+func (u *UnreadHeaderDetector) look(name string) bool {
 	u.mu.Lock()
 	known := u.known[name]
 	first := !known && !u.reported[name] && len(u.reported) < unreadNames
@@ -92,7 +92,7 @@
 }
 
 // Wrap returns transports whose answers are looked over.
-func (u *Unread) Wrap(t Transports) Transports {
+func (u *UnreadHeaderDetector) Wrap(t Transports) Transports {
 	return Transports{
 		Reused: observed{t.Reused, u},
 		Fresh:  observed{t.Fresh, u},
@@ -103,7 +103,7 @@
 // An observed is a transport whose answers are looked over.
 type observed struct {
 	http.RoundTripper
-	unread *Unread
+	unread *UnreadHeaderDetector
 }
 
 // RoundTrip implements http.RoundTripper.
