--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -146,7 +146,7 @@
 func (s *Server) wire(enter EnvironmentFactory) {
 	metrics := s.metrics
 	transports := upstream.NewTransports()
-	unread := upstream.NewUnread(s.unreadHeader, metrics.CountUnreadHeader)
+	unread := upstream.NewUnreadHeaderDetector(s.unreadHeader, metrics.CountUnreadHeader)
 	environment := enter(s.set, unread.Wrap(transports))
 	unread.AddKnown(environment.Wire.AnswerHeaders())
 	self := member.Identity{
--- a/internal/upstream/unread.go
+++ b/internal/upstream/unread.go
@@ -44,8 +44,8 @@
 	"X-Content-Type-Options", "X-Frame-Options", "X-Powered-By", "X-Xss-Protection",
 }
 
-// NewUnread returns one that has seen no answer and knows the standard names.
-func NewUnread(report func(name string), count func()) *UnreadHeaderDetector {
+// NewUnreadHeaderDetector returns one that has seen no answer and knows the standard names.
+func NewUnreadHeaderDetector(report func(name string), count func()) *UnreadHeaderDetector {
 	u := &UnreadHeaderDetector{Report: report, Count: count, known: map[string]bool{}, reported: map[string]bool{}}
 	u.AddKnown(standardHeaders)
 	return u
--- a/internal/upstream/unread_test.go
+++ b/internal/upstream/unread_test.go
@@ -18,7 +18,7 @@
 	is := is.New(t)
 	var reported []string
 	counted := 0
-	u := NewUnread(func(name string) { reported = append(reported, name) }, func() { counted++ })
+	u := NewUnreadHeaderDetector(func(name string) { reported = append(reported, name) }, func() { counted++ })
 	u.AddKnown([]string{"server-stamp", ""})
 	address := serveHeads(t, "Date: x\r\nserver-stamp: 1\r\nsome-word: secret\r\n")
 	transports := u.Wrap(NewTransports())
@@ -39,7 +39,7 @@
 	is := is.New(t)
 	var reported []string
 	counted := 0
-	u := NewUnread(func(name string) { reported = append(reported, name) }, func() { counted++ })
+	u := NewUnreadHeaderDetector(func(name string) { reported = append(reported, name) }, func() { counted++ })
 	u.Inspect(http.Header{strings.Repeat("N", 5000): {"v"}})
 	is.Equal(reported, []string{strings.Repeat("N", unreadLength)})
 	for i := range 10 * unreadNames {
