--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -150,8 +150,8 @@
 // and that no process listens there.
 func NothingListens(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
 
-// Reach connects to an upstream's address (IP:port) and closes the connection again.
-func Reach(ctx context.Context, address string) error {
+// CheckReachable connects to an upstream's address (IP:port) and closes the connection again.
+func CheckReachable(ctx context.Context, address string) error {
 	conn, err := newDialer().DialContext(ctx, "tcp", address)
 	if err != nil {
 		return err
