--- a/internal/entry/forward.go
+++ b/internal/entry/forward.go
@@ -237,7 +237,7 @@
 	return calls.AttemptFailed{
 		Status:      status,
 		Severed:     upstream.Severed(err) || errors.Is(err, forward.ErrPartialEvent),
-		Unreachable: upstream.NothingListens(err),
+		Unreachable: upstream.ConnectionRefused(err),
 		Detail:      err.Error(),
 	}
 }
--- a/internal/shell/actions.go
+++ b/internal/shell/actions.go
@@ -160,7 +160,7 @@
 // check sees whether a process listens at a replica's address.
 func (s *Shell) check(ctx context.Context, a quarantine.Check) {
 	err := upstream.CheckReachable(ctx, a.Address)
-	s.post(quarantine.Checked{Replica: a.Replica, Ended: upstream.NothingListens(err)})
+	s.post(quarantine.Checked{Replica: a.Replica, Ended: upstream.ConnectionRefused(err)})
 }
 
 // askTime bounds how long the owner of an engine is waited for.
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -146,9 +146,9 @@
 		errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE)
 }
 
-// NothingListens reports whether err says that the machine at the address answered
+// ConnectionRefused reports whether err says that the machine at the address answered
 // and that no process listens there.
-func NothingListens(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
+func ConnectionRefused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
 
 // CheckReachable connects to an upstream's address (IP:port) and closes the connection again.
 func CheckReachable(ctx context.Context, address string) error {
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -74,7 +74,7 @@
 			}
 			is.True(err != nil)
 			is.Equal(Severed(trace.Wrap(err)), c.severed)
-			is.Equal(NothingListens(trace.Wrap(err)), c.nobody)
+			is.Equal(ConnectionRefused(trace.Wrap(err)), c.nobody)
 		})
 	}
 }
