--- a/internal/server/listen.go
+++ b/internal/server/listen.go
@@ -28,7 +28,7 @@
 func listen(address string) (net.Listener, error) {
 	config := net.ListenConfig{
 		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: acceptedIdle, Interval: acceptedEvery, Count: acceptedCount},
-		Control:         upstream.LimitUnacked(acceptedUnacked),
+		Control:         upstream.UserTimeoutControl(acceptedUnacked),
 	}
 	return config.Listen(context.Background(), "tcp", address)
 }
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -62,13 +62,13 @@
 	return &net.Dialer{
 		Timeout:         dialTimeout,
 		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: probeEvery, Interval: probeEvery, Count: probeCount},
-		Control:         LimitUnacked(unackedTime),
+		Control:         UserTimeoutControl(unackedTime),
 	}
 }
 
-// LimitUnacked returns the control function of a dialer or listener whose connections
+// UserTimeoutControl returns the control function of a dialer or listener whose connections
 // end when bytes that were sent stay unacknowledged for so long.
-func LimitUnacked(limit time.Duration) func(network, address string, raw syscall.RawConn) error {
+func UserTimeoutControl(limit time.Duration) func(network, address string, raw syscall.RawConn) error {
 	return func(_, _ string, raw syscall.RawConn) error {
 		var set error
 		err := raw.Control(func(fd uintptr) {
