--- a/internal/own/driver.go
+++ b/internal/own/driver.go
@@ -44,8 +44,8 @@
 	configSeen atomic.Uint64
 }
 
-// Join returns what joins a shell to the product's own environment.
-func Join(p *keyvalue.Client, e *engine.Client) shell.EnvironmentFactory {
+// NewFactory returns what joins a shell to the product's own environment.
+func NewFactory(p *keyvalue.Client, e *engine.Client) shell.EnvironmentFactory {
 	return func(h shell.Host) shell.Environment {
 		p.Called = h.PlatformCalled
 		d := &driver{platform: p, engine: e, host: h}
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -87,7 +87,7 @@
 	wire := forward.OwnFormat
 	wire.Unneeded = append(slices.Clone(wire.Unneeded), keyvalue.HeaderRevision)
 	return Environment{
-		Join: own.Join(keyvalue.NewClient(set.Platform, t), engines),
+		Join: own.NewFactory(keyvalue.NewClient(set.Platform, t), engines),
 		Wire: wire,
 		OwnCalls: func(h *entry.Handler, self member.Identity, maxBody int64) http.Handler {
 			api := &modelapi.Handler{
