--- a/cmd/birchdrift/main.go
+++ b/cmd/birchdrift/main.go
@@ -26,10 +26,10 @@
 )
 
 // environments are what an instance can run in, by the setting's value.
-var environments = map[string]server.Enter{
-	settings.EnvironmentOwn: server.Own,
+var environments = map[string]server.EnvironmentFactory{
+	settings.EnvironmentOwn: server.OwnEnvironment,
 	settings.EnvironmentPlatform: func(set settings.Settings, t upstream.Transports) server.Environment {
-		join := environment.Join(platform.NewStore(set.Platform, t), platform.NewEngines(t))
+		join := environment.NewFactory(platform.NewStore(set.Platform, t), platform.NewEngines(t))
 		return server.Environment{Join: join, Wire: platform.Wire}
 	},
 }
@@ -56,7 +56,7 @@
 
 func run(_ context.Context, cmd *cli.Command) error {
 	source := settings.Source{
-		Path: cmd.String(settings.NodeFile),
+		Path: cmd.String(settings.NodeFileFlag),
 		Given: func(name string) (string, bool) {
 			return cmd.String(name), cmd.IsSet(name)
 		},
@@ -72,7 +72,7 @@
 	if err != nil {
 		return cli.Exit(fmt.Sprintf("birchdrift: BD-501 bad_setting: %v", err), exitFailed)
 	}
-	s.Follow(source, file)
+	s.ReloadFrom(source, file)
 	cut, err := s.Run()
 	if err != nil {
 		return cli.Exit(fmt.Sprintf("birchdrift: BD-901 internal: %v", err), exitFailed)
--- a/internal/entry/body.go
+++ b/internal/entry/body.go
@@ -44,11 +44,11 @@
 // Streamed reports whether a part of the body can be sent only once.
 func (b *Body) Streamed() bool { return b.rest != nil }
 
-// Spent reports whether the body cannot be sent again.
-func (b *Body) Spent() bool { return b.restRead.Load() }
+// Consumed reports whether the body cannot be sent again.
+func (b *Body) Consumed() bool { return b.restRead.Load() }
 
-// Next returns the body for one attempt.
-func (b *Body) Next(watch *Watchdog) io.ReadCloser {
+// NewReader returns the body for one attempt.
+func (b *Body) NewReader(watch *Watchdog) io.ReadCloser {
 	if !b.Streamed() {
 		return io.NopCloser(bytes.NewReader(b.kept))
 	}
@@ -71,7 +71,7 @@
 	}
 	w.body.restRead.Store(true)
 	n, err := w.body.rest.Read(data)
-	w.watch.Alive()
+	w.watch.Reset()
 	return n, err
 }
 
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -35,7 +35,7 @@
 	Service *service.Client
 	Metrics *telemetry.Metrics
 	Tracer  *telemetry.Tracer
-	Wire    forward.Wire // how forwarded calls are worded
+	Wire    forward.WireFormat // how forwarded calls are worded
 	// Silence is for how long a caller may send nothing within a body; 0: without limit.
 	Silence time.Duration
 	// Own serves the calls that no route forwards; nil where every call is a
@@ -94,8 +94,8 @@
 	Run     code.RunState `json:"run"`
 }
 
-// ErrorOf returns a refusal as it stands on the wire.
-func ErrorOf(r code.Refusal) ErrorBody {
+// NewErrorBody returns a refusal as it stands on the wire.
+func NewErrorBody(r code.Refusal) ErrorBody {
 	info := code.Lookup(r.Code)
 	message := info.Meaning
 	if r.Detail != "" {
@@ -104,8 +104,8 @@
 	return ErrorBody{Error: errorDetail{Code: int(r.Code), Name: info.Name, Message: message, Run: r.Run}}
 }
 
-// Steps are what a kind of call does at each action of the machine.
-type Steps struct {
+// CallHandlers are what a kind of call does at each action of the machine.
+type CallHandlers struct {
 	// Waited is told after each wait for an action; nil if nobody needs to know.
 	Waited func()
 	// Attempt carries out one Dispatch and reports whether the call is over.
@@ -118,8 +118,8 @@
 	Gone func()
 }
 
-// Follow does what the machine says until the call is over or its caller gone.
-func Follow(ctx context.Context, s shell.Session, do Steps) {
+// HandleActions does what the machine says until the call is over or its caller gone.
+func HandleActions(ctx context.Context, s shell.Session, do CallHandlers) {
 	for {
 		a, ok := await(ctx, s)
 		if do.Waited != nil {
--- a/internal/entry/fingerprint_test.go
+++ b/internal/entry/fingerprint_test.go
@@ -89,12 +89,12 @@
 			watch := NewWatchdog(0, func() {})
 			defer watch.Stop()
 			// An attempt that read only the beginning does not use the body up.
-			_, _ = b.Next(watch).Read(make([]byte, 10))
-			is.True(!b.Spent())
-			got, err := io.ReadAll(b.Next(watch))
+			_, _ = b.NewReader(watch).Read(make([]byte, 10))
+			is.True(!b.Consumed())
+			got, err := io.ReadAll(b.NewReader(watch))
 			is.NoErr(err)
 			is.Equal(string(got), want)
-			is.Equal(b.Spent(), c.streamed)
+			is.Equal(b.Consumed(), c.streamed)
 		})
 	}
 }
--- a/internal/entry/forward.go
+++ b/internal/entry/forward.go
@@ -38,7 +38,7 @@
 	ctx, span := h.Tracer.Start(h.Tracer.Extract(r.Context(), r.Header), "entry")
 	defer span.End()
 	f := &forwardCall{handler: h, w: w, r: r, begun: begun}
-	req, err := h.Wire.Read(r.Header)
+	req, err := h.Wire.ReadRequest(r.Header)
 	if err == nil {
 		f.body, err = ReadBody(r)
 	}
@@ -112,7 +112,7 @@
 
 func (f *forwardCall) run(ctx context.Context, s shell.Session) {
 	_, queue := f.handler.Tracer.Start(ctx, "queue")
-	Follow(ctx, s, Steps{
+	HandleActions(ctx, s, CallHandlers{
 		Waited:  func() { queue.End() },
 		Attempt: func(d calls.Dispatch) bool { return f.attempt(ctx, s, d) },
 		Finish:  f.finish,
@@ -125,7 +125,7 @@
 // must be seen as cut, which a normal return would prevent.
 func (f *forwardCall) finish(r code.Refusal) {
 	if f.opened {
-		f.handler.Metrics.Answered(int(r.Code), time.Since(f.begun))
+		f.handler.Metrics.ObserveAnswer(int(r.Code), time.Since(f.begun))
 		panic(http.ErrAbortHandler)
 	}
 	f.refuse(r)
@@ -134,7 +134,7 @@
 // refuse writes a final answer that is not a replica's. A status that promises
 // that the call did not run is given only where that is certain.
 func (f *forwardCall) refuse(r code.Refusal) {
-	f.handler.Metrics.Answered(int(r.Code), time.Since(f.begun))
+	f.handler.Metrics.ObserveAnswer(int(r.Code), time.Since(f.begun))
 	status := code.Lookup(r.Code).HTTP
 	if r.Run != code.NotRun && status == http.StatusServiceUnavailable {
 		status = http.StatusBadGateway
@@ -147,7 +147,7 @@
 		head.Set(f.handler.Wire.RetryAfter, strconv.FormatFloat(r.RetryAfter.Seconds(), 'f', 3, 64))
 	}
 	f.closeIfStopping()
-	WriteJSON(f.w, status, ErrorOf(r))
+	WriteJSON(f.w, status, NewErrorBody(r))
 }
 
 // closeIfStopping asks the caller to open its next connection elsewhere.
@@ -159,14 +159,14 @@
 
 // relay passes on the replica's own failing answer.
 func (f *forwardCall) relay() {
-	f.handler.Metrics.Answered(int(code.UpstreamRefused), time.Since(f.begun))
+	f.handler.Metrics.ObserveAnswer(int(code.UpstreamRefused), time.Since(f.begun))
 	f.head(f.own.header, f.own.status)
 	_, _ = f.w.Write(f.own.body) // a caller that is gone needs no answer
 }
 
 func (f *forwardCall) gone(s shell.Session) {
 	s.CallerGone()
-	f.handler.Metrics.Answered(int(code.CallerGone), time.Since(f.begun))
+	f.handler.Metrics.ObserveAnswer(int(code.CallerGone), time.Since(f.begun))
 	if f.opened {
 		panic(http.ErrAbortHandler)
 	}
@@ -175,7 +175,7 @@
 // attempt carries out one Dispatch and reports whether the call is over.
 func (f *forwardCall) attempt(ctx context.Context, s shell.Session, d calls.Dispatch) bool {
 	if d.Attempt == 1 {
-		f.handler.Metrics.Queued(time.Since(f.begun))
+		f.handler.Metrics.ObserveQueueTime(time.Since(f.begun))
 	}
 	name := "attempt"
 	if f.opened {
@@ -186,13 +186,13 @@
 	span.SetAttributes(attribute.String("upstream", d.Replica), attribute.Int("attempt", d.Attempt))
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	s.Interrupt(cancel)
+	s.SetInterrupt(cancel)
 	watch := NewWatchdog(d.Stall, cancel)
 	defer watch.Stop()
 	f.own = nil
 	var progress upstream.Progress
 	sent := f.handler.Shell.Now()
-	resp, err := f.handler.Service.Exchange(ctx, f.outgoing(d, watch), &progress)
+	resp, err := f.handler.Service.RoundTrip(ctx, f.outgoing(d, watch), &progress)
 	if err != nil {
 		return f.broke(s, d, &progress, watch, failureOf(err, 0))
 	}
@@ -204,15 +204,15 @@
 // heard passes on what a replica said of itself in its answer, if anything, or if that it
 // says nothing is news. It counts whatever becomes of the call.
 func (f *forwardCall) heard(d calls.Dispatch, sent clock.Instant, resp *http.Response) {
-	if n := f.handler.Wire.Notice(resp); d.Limited || !n.IsZero() {
-		f.handler.Shell.Noticed(notice.Received{Replica: d.Replica, Sent: sent, Notice: n})
+	if n := f.handler.Wire.ReadNotice(resp); d.Limited || !n.IsZero() {
+		f.handler.Shell.HandleNotice(notice.Received{Replica: d.Replica, Sent: sent, Notice: n})
 	}
 }
 
 // outgoing words the call for the replica.
 func (f *forwardCall) outgoing(d calls.Dispatch, watch *Watchdog) service.Call {
-	header := service.EndToEnd(f.r.Header)
-	f.handler.Wire.SetHeaders(header, forward.Attempt{
+	header := service.EndToEndHeaders(f.r.Header)
+	f.handler.Wire.SetHeaders(header, forward.AttemptHeaders{
 		Expect:    d.Replica,
 		Left:      d.Forward.Left,
 		Priority:  d.Forward.Priority,
@@ -225,7 +225,7 @@
 		Method:     f.r.Method,
 		Target:     f.r.RequestURI,
 		Header:     header,
-		Body:       f.body.Next(watch),
+		Body:       f.body.NewReader(watch),
 		Length:     f.r.ContentLength,
 		Repeatable: d.Repeatable,
 	}
@@ -236,8 +236,8 @@
 func failureOf(err error, status int) calls.AttemptFailed {
 	return calls.AttemptFailed{
 		Status:      status,
-		Severed:     upstream.Severed(err) || errors.Is(err, forward.ErrPartial),
-		Unreachable: upstream.NothingListens(err),
+		Severed:     upstream.Severed(err) || errors.Is(err, forward.ErrPartialEvent),
+		Unreachable: upstream.ConnectionRefused(err),
 		Detail:      err.Error(),
 	}
 }
@@ -252,7 +252,7 @@
 	b.Attempt = d.Attempt
 	b.Phase = progress.Phase()
 	b.Stalled = watch.Fired()
-	b.BodyConsumed = f.body.Spent()
+	b.BodyConsumed = f.body.Consumed()
 	if f.opened {
 		b.Delivered = max(1, f.lastEvent)
 	}
@@ -268,21 +268,21 @@
 	case reply.Mismatched:
 		b.Detail = "the answer to another call came"
 	case reply.NotRun:
-		progress.Reach(attempt.Refused)
+		progress.Advance(attempt.Refused)
 		b.Detail = fmt.Sprintf("the replica did not run it: status %d", resp.StatusCode)
 	case reply.Invalid:
-		progress.Reach(attempt.Answered)
+		progress.Advance(attempt.Answered)
 		b.Detail = "the answer is not the replica's own"
 	case resp.StatusCode >= http.StatusInternalServerError:
-		progress.Reach(attempt.Answered)
+		progress.Advance(attempt.Answered)
 		f.keep(resp)
 		b.Relayable = f.own != nil
 		b.Detail = fmt.Sprintf("the replica failed: status %d", resp.StatusCode)
 	case d.Forward.Stream && reply.Stream:
-		progress.Reach(attempt.Answered)
+		progress.Advance(attempt.Answered)
 		return f.series(s, d, resp, progress, watch)
 	default:
-		progress.Reach(attempt.Answered)
+		progress.Advance(attempt.Answered)
 		return f.whole(s, d, resp, progress, watch)
 	}
 	return f.broke(s, d, progress, watch, b)
@@ -300,7 +300,7 @@
 // head writes the head of an answer.
 func (f *forwardCall) head(header http.Header, status int) {
 	out := f.w.Header()
-	for name, values := range service.EndToEnd(header) {
+	for name, values := range service.EndToEndHeaders(header) {
 		out[name] = values
 	}
 	f.closeIfStopping()
@@ -337,20 +337,20 @@
 		return f.done(s)
 	}
 	f.broke(s, d, progress, watch, failureOf(err, resp.StatusCode))
-	f.handler.Metrics.Answered(int(code.StreamCut), time.Since(f.begun))
+	f.handler.Metrics.ObserveAnswer(int(code.StreamCut), time.Since(f.begun))
 	panic(http.ErrAbortHandler)
 }
 
 func (f *forwardCall) done(s shell.Session) bool {
 	s.Completed(f.pause)
-	f.handler.Metrics.Answered(int(code.OK), time.Since(f.begun))
+	f.handler.Metrics.ObserveAnswer(int(code.OK), time.Since(f.begun))
 	return true
 }
 
 // series passes on a series of events, each as it comes and only whole, so that
 // another replica can go on behind the last one.
 func (f *forwardCall) series(s shell.Session, d calls.Dispatch, resp *http.Response, progress *upstream.Progress, watch *Watchdog) bool {
-	events := forward.NewEvents(resp.Body)
+	events := forward.NewEventReader(resp.Body)
 	flush := http.NewResponseController(f.w)
 	first := true
 	var last time.Time // when the event before came
@@ -368,7 +368,7 @@
 		if err != nil {
 			return f.broke(s, d, progress, watch, failureOf(err, resp.StatusCode))
 		}
-		watch.Alive()
+		watch.Reset()
 		now := time.Now()
 		if !first {
 			f.pause = max(f.pause, now.Sub(last))
@@ -377,7 +377,7 @@
 		if first {
 			first = false
 			s.AnswerBegan()
-			f.handler.Metrics.First(time.Since(f.begun))
+			f.handler.Metrics.ObserveFirstToken(time.Since(f.begun))
 			f.open(resp)
 		}
 		if _, err := f.w.Write(event); err != nil {
@@ -407,7 +407,7 @@
 func (w watchedReader) Read(data []byte) (int, error) {
 	n, err := w.Reader.Read(data)
 	if n > 0 {
-		w.watch.Alive()
+		w.watch.Reset()
 	}
 	return n, err
 }
--- a/internal/forward/events.go
+++ b/internal/forward/events.go
@@ -11,19 +11,19 @@
 // maxEvent bounds one event of a series, in bytes.
 const maxEvent = 1 << 20
 
-// ErrPartial says that a series of events ended within an event.
-var ErrPartial = errors.New("the series of events ended within an event")
+// ErrPartialEvent says that a series of events ended within an event.
+var ErrPartialEvent = errors.New("the series of events ended within an event")
 
-// Events reads a series of events one whole event at a time, as it came, its
+// EventReader reads a series of events one whole event at a time, as it came, its
 // closing blank line included.
-type Events struct{ scanner *bufio.Scanner }
+type EventReader struct{ scanner *bufio.Scanner }
 
-// NewEvents reads events from body.
-func NewEvents(body io.Reader) *Events {
+// NewEventReader reads events from body.
+func NewEventReader(body io.Reader) *EventReader {
 	s := bufio.NewScanner(body)
 	s.Buffer(make([]byte, 0, 1024), maxEvent)
 	s.Split(splitEvent)
-	return &Events{scanner: s}
+	return &EventReader{scanner: s}
 }
 
 // splitEvent cuts behind each blank line.
@@ -32,7 +32,7 @@
 		return i + 2, data[:i+2], nil
 	}
 	if atEOF && len(data) > 0 {
-		return 0, nil, ErrPartial
+		return 0, nil, ErrPartialEvent
 	}
 	return 0, nil, nil
 }
@@ -40,7 +40,7 @@
 // Next returns the next event and its number, 0 if it has none. It returns
 // io.EOF after the last whole event of a series that came to its end, and any
 // other error for one that did not. The bytes are valid until the next call.
-func (e *Events) Next() (event []byte, number int, err error) {
+func (e *EventReader) Next() (event []byte, number int, err error) {
 	if !e.scanner.Scan() {
 		if err := e.scanner.Err(); err != nil {
 			return nil, 0, err
--- a/internal/own/modelapi/model.go
+++ b/internal/own/modelapi/model.go
@@ -40,7 +40,7 @@
 // run does what the machine says until the call has its final answer.
 func (m *modelCall) run(ctx context.Context, s shell.Session) {
 	_, queue := m.handler.Tracer.Start(ctx, "queue")
-	entry.Follow(ctx, s, entry.Steps{
+	entry.HandleActions(ctx, s, entry.CallHandlers{
 		Waited:  func() { queue.End() },
 		Attempt: func(d calls.Dispatch) bool { return m.attempt(ctx, s, d) },
 		Finish:  m.finish,
@@ -54,8 +54,8 @@
 		m.handler.refuse(m.w, r, m.begun)
 		return
 	}
-	m.handler.Metrics.Answered(int(r.Code), time.Since(m.begun))
-	data, err := json.Marshal(entry.ErrorOf(r))
+	m.handler.Metrics.ObserveAnswer(int(r.Code), time.Since(m.begun))
+	data, err := json.Marshal(entry.NewErrorBody(r))
 	if err == nil {
 		m.event(data)
 	}
@@ -66,7 +66,7 @@
 // attempt carries out one Dispatch and reports whether the call is over.
 func (m *modelCall) attempt(ctx context.Context, s shell.Session, d calls.Dispatch) bool {
 	if d.Attempt == 1 && !d.Resume {
-		m.handler.Metrics.Queued(time.Since(m.begun))
+		m.handler.Metrics.ObserveQueueTime(time.Since(m.begun))
 	}
 	if !d.Resume {
 		m.text.Reset()
@@ -101,7 +101,7 @@
 // be there after all, it must not see a proper end of what was begun.
 func (m *modelCall) gone(s shell.Session) {
 	s.CallerGone()
-	m.handler.Metrics.Answered(int(code.CallerGone), time.Since(m.begun))
+	m.handler.Metrics.ObserveAnswer(int(code.CallerGone), time.Since(m.begun))
 	if m.started {
 		panic(http.ErrAbortHandler)
 	}
@@ -126,7 +126,7 @@
 func (m *modelCall) stream(ctx context.Context, s shell.Session, d calls.Dispatch, progress *upstream.Progress) (calls.AttemptFailed, bool) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	s.Interrupt(cancel)
+	s.SetInterrupt(cancel)
 	watch := entry.NewWatchdog(d.Stall, cancel)
 	defer watch.Stop()
 	stream, err := m.open(ctx, d, progress)
@@ -139,10 +139,10 @@
 		if err != nil {
 			return m.broke(d, progress, watch, err), false
 		}
-		watch.Alive()
+		watch.Reset()
 		if m.pieces == 0 {
 			s.AnswerBegan()
-			m.handler.Metrics.First(time.Since(m.begun))
+			m.handler.Metrics.ObserveFirstToken(time.Since(m.begun))
 		}
 		m.pieces++
 		if p.End {
@@ -188,7 +188,7 @@
 // pass hands one piece on: to the caller of a stream at once, else to the text.
 func (m *modelCall) pass(d calls.Dispatch, p engine.Piece) {
 	if !m.lastPiece.IsZero() {
-		m.handler.Metrics.Between(time.Since(m.lastPiece))
+		m.handler.Metrics.ObserveTokenGap(time.Since(m.lastPiece))
 	}
 	m.lastPiece = time.Now()
 	if !m.req.Stream {
@@ -228,7 +228,7 @@
 		entry.WriteJSON(m.w, http.StatusOK, m.form.whole(m.text.String(), p.Reason, m.call.PromptTokens, m.pieces-1))
 	}
 	s.Completed(0)
-	m.handler.Metrics.Answered(int(code.OK), time.Since(m.begun))
+	m.handler.Metrics.ObserveAnswer(int(code.OK), time.Since(m.begun))
 	return calls.AttemptFailed{}, true
 }
 
--- a/internal/own/modelapi/plain.go
+++ b/internal/own/modelapi/plain.go
@@ -56,7 +56,7 @@
 }
 
 func (p *plainCall) run(ctx context.Context, s shell.Session) {
-	entry.Follow(ctx, s, entry.Steps{
+	entry.HandleActions(ctx, s, entry.CallHandlers{
 		Attempt: func(d calls.Dispatch) bool { return p.attempt(ctx, s, d) },
 		Finish:  func(r code.Refusal) { p.handler.refuse(p.w, r, p.begun) },
 		Gone:    func() { p.gone(s) },
@@ -65,13 +65,13 @@
 
 // attempt carries out one Dispatch and reports whether the call is over.
 func (p *plainCall) attempt(ctx context.Context, s shell.Session, d calls.Dispatch) bool {
-	p.handler.Metrics.Queued(time.Since(p.begun))
+	p.handler.Metrics.ObserveQueueTime(time.Since(p.begun))
 	ctx, span := p.handler.Tracer.Start(ctx, "attempt", oteltrace.WithSpanKind(oteltrace.SpanKindClient))
 	defer span.End()
 	span.SetAttributes(attribute.String("upstream", d.Replica), attribute.Int("attempt", d.Attempt))
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	s.Interrupt(cancel)
+	s.SetInterrupt(cancel)
 	watch := entry.NewWatchdog(d.Stall, cancel)
 	defer watch.Stop()
 	var progress upstream.Progress
@@ -86,7 +86,7 @@
 
 // outgoing words the call for the upstream.
 func (p *plainCall) outgoing(d calls.Dispatch, watch *entry.Watchdog) service.Call {
-	header := service.EndToEnd(p.r.Header)
+	header := service.EndToEndHeaders(p.r.Header)
 	header.Del("Authorization") // the key is this system's, not the upstream's
 	header.Set(upstream.HeaderCall, own.CallName(p.handler.Self, p.call.ID, d.Attempt))
 	p.handler.Tracer.Inject(p.r.Context(), header)
@@ -96,7 +96,7 @@
 		Path:       p.call.Path,
 		Query:      p.r.URL.RawQuery,
 		Header:     header,
-		Body:       p.body.Next(watch),
+		Body:       p.body.NewReader(watch),
 		Length:     p.r.ContentLength,
 		Repeatable: d.Repeatable,
 	}
@@ -104,7 +104,7 @@
 
 func (p *plainCall) gone(s shell.Session) {
 	s.CallerGone()
-	p.handler.Metrics.Answered(int(code.CallerGone), time.Since(p.begun))
+	p.handler.Metrics.ObserveAnswer(int(code.CallerGone), time.Since(p.begun))
 }
 
 func (p *plainCall) broke(s shell.Session, d calls.Dispatch, progress *upstream.Progress, watch *entry.Watchdog, err error) bool {
@@ -113,7 +113,7 @@
 		return true
 	}
 	b := calls.AttemptFailed{
-		Attempt: d.Attempt, Phase: progress.Phase(), Stalled: watch.Fired(), BodyConsumed: p.body.Spent(), Detail: err.Error(),
+		Attempt: d.Attempt, Phase: progress.Phase(), Stalled: watch.Fired(), BodyConsumed: p.body.Consumed(), Detail: err.Error(),
 	}
 	var refused *service.RefusedError
 	if errors.As(err, &refused) {
@@ -126,7 +126,7 @@
 
 // pass streams the upstream's answer to the caller.
 func (p *plainCall) pass(s shell.Session, d calls.Dispatch, resp *http.Response, watch *entry.Watchdog) bool {
-	for name, values := range service.EndToEnd(resp.Header) {
+	for name, values := range service.EndToEndHeaders(resp.Header) {
 		p.w.Header()[name] = values
 	}
 	p.w.Header().Set(HeaderInstance, p.handler.Self.Name)
@@ -135,13 +135,13 @@
 	delivered, err := p.copy(resp.Body, watch)
 	if err == nil {
 		s.Completed(0)
-		p.handler.Metrics.Answered(int(code.OK), time.Since(p.begun))
+		p.handler.Metrics.ObserveAnswer(int(code.OK), time.Since(p.begun))
 		return true
 	}
 	// The header is out, so no answer of our own can follow: tell the machine,
 	// take its final answer for the books, and cut the connection.
 	s.AttemptFailed(calls.AttemptFailed{Attempt: d.Attempt, Phase: attempt.Answered, Delivered: max(1, delivered), Detail: err.Error()})
-	p.handler.Metrics.Answered(int(code.StreamCut), time.Since(p.begun))
+	p.handler.Metrics.ObserveAnswer(int(code.StreamCut), time.Since(p.begun))
 	panic(http.ErrAbortHandler)
 }
 
@@ -155,7 +155,7 @@
 	total := 0
 	for {
 		n, err := body.Read(buf)
-		watch.Alive()
+		watch.Reset()
 		if n > 0 {
 			if _, werr := p.w.Write(buf[:n]); werr != nil {
 				return total, werr
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -58,8 +58,8 @@
 	Detail  string
 }
 
-// Order asks the peer at address (IP:port) for an order to an engine of its.
-func (c *Client) Order(ctx context.Context, address, from, engine string, r orders.Request) (OrderReply, error) {
+// RequestOrder asks the peer at address (IP:port) for an order to an engine of its.
+func (c *Client) RequestOrder(ctx context.Context, address, from, engine string, r orders.Request) (OrderReply, error) {
 	ctx, err := c.withKey(ctx)
 	if err != nil {
 		return OrderReply{}, err
@@ -73,9 +73,9 @@
 	return OrderReply{Outcome: owned.Outcome(reply.GetOutcome()), Detail: reply.GetDetail()}, nil
 }
 
-// Permit asks the peer at address (IP:port) for a permit, or gives one back. A caller that
+// RequestPermit asks the peer at address (IP:port) for a permit, or gives one back. A caller that
 // leaves meanwhile is seen by the end of ctx.
-func (c *Client) Permit(ctx context.Context, address, from string, r permits.Request) (permits.Decision, error) {
+func (c *Client) RequestPermit(ctx context.Context, address, from string, r permits.Request) (permits.Decision, error) {
 	ctx, err := c.withKey(ctx)
 	if err != nil {
 		return permits.Decision{}, err
--- a/internal/server/follow.go
+++ b/internal/server/follow.go
@@ -28,9 +28,9 @@
 	}
 }
 
-// Follow has the server take over changes of its settings, which were read from
+// ReloadFrom has the server take over changes of its settings, which were read from
 // source and stood in file.
-func (s *Server) Follow(source settings.Source, file []byte) {
+func (s *Server) ReloadFrom(source settings.Source, file []byte) {
 	s.source = source
 	s.file = file
 }
@@ -50,7 +50,7 @@
 		case <-signals:
 			s.reload()
 		case <-ticker.C:
-			if data := s.source.Bytes(); data != nil && !bytes.Equal(data, s.file) {
+			if data := s.source.FileContents(); data != nil && !bytes.Equal(data, s.file) {
 				s.reload()
 			}
 		}
@@ -72,6 +72,6 @@
 	}
 	s.level.Set(set.LogLevel)
 	limitMemory(set.MemoryLimit)
-	s.shell.Retune(instance.OptionsChanged{Options: set.Options(), Seeds: set.Seeds})
+	s.shell.ChangeOptions(instance.OptionsChanged{Options: set.Options(), Seeds: set.Seeds})
 	s.log.Info(logevent.SettingsReloaded.Name(), "event", int(logevent.SettingsReloaded), "settings", set.String())
 }
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -71,23 +71,23 @@
 
 // An Environment is what an instance runs in.
 type Environment struct {
-	Join shell.Join
-	Wire forward.Wire // how forwarded calls are worded
+	Join shell.EnvironmentFactory
+	Wire forward.WireFormat // how forwarded calls are worded
 	// OwnCalls returns the handler of the product's own interface; nil where
 	// callers are not offered it.
 	OwnCalls func(h *entry.Handler, self member.Identity, maxBody int64) http.Handler
 }
 
-// An Enter joins an instance to its environment.
-type Enter func(set settings.Settings, t upstream.Transports) Environment
+// An EnvironmentFactory joins an instance to its environment.
+type EnvironmentFactory func(set settings.Settings, t upstream.Transports) Environment
 
-// Own joins an instance to the product's own environment.
-func Own(set settings.Settings, t upstream.Transports) Environment {
+// OwnEnvironment joins an instance to the product's own environment.
+func OwnEnvironment(set settings.Settings, t upstream.Transports) Environment {
 	engines := engine.NewClient(t)
-	wire := forward.Own
+	wire := forward.OwnFormat
 	wire.Unneeded = append(slices.Clone(wire.Unneeded), keyvalue.HeaderRevision)
 	return Environment{
-		Join: own.Join(keyvalue.NewClient(set.Platform, t), engines),
+		Join: own.NewFactory(keyvalue.NewClient(set.Platform, t), engines),
 		Wire: wire,
 		OwnCalls: func(h *entry.Handler, self member.Identity, maxBody int64) http.Handler {
 			api := &modelapi.Handler{
@@ -102,11 +102,11 @@
 // New binds the listeners and wires the instance, whose tunables are opt, to the
 // environment that enter joins it to; Run starts it. Logs go to logs, spans to
 // spans.
-func New(set settings.Settings, opt option.Options, enter Enter, logs, spans io.Writer) (*Server, error) {
+func New(set settings.Settings, opt option.Options, enter EnvironmentFactory, logs, spans io.Writer) (*Server, error) {
 	level := new(slog.LevelVar)
 	level.Set(set.LogLevel)
 	metrics := telemetry.NewMetrics()
-	writer := telemetry.NewLogWriter(logs, metrics.LogDropped)
+	writer := telemetry.NewLogWriter(logs, metrics.CountDroppedLines)
 	log := telemetry.NewLogger(writer, level, set.Name, set.Zone)
 	tracer, err := telemetry.NewTracer(spans, set.Name, set.Zone, set.TraceShare)
 	if err != nil {
@@ -118,7 +118,7 @@
 		return nil, err
 	}
 	s.wire(enter)
-	if err := set.BoundKept(); err != nil {
+	if err := set.CheckLeaveBound(); err != nil {
 		log.Info(logevent.BoundTooShort.Name(), "event", int(logevent.BoundTooShort), "error", err.Error())
 	}
 	return s, nil
@@ -143,12 +143,12 @@
 	return nil
 }
 
-func (s *Server) wire(enter Enter) {
+func (s *Server) wire(enter EnvironmentFactory) {
 	metrics := s.metrics
 	transports := upstream.NewTransports()
-	unread := upstream.NewUnread(s.unreadHeader, metrics.UnreadHeader)
+	unread := upstream.NewUnreadHeaderDetector(s.unreadHeader, metrics.CountUnreadHeader)
 	environment := enter(s.set, unread.Wrap(transports))
-	unread.Know(environment.Wire.AnswerHeaders())
+	unread.AddKnown(environment.Wire.AnswerHeaders())
 	self := member.Identity{
 		Name: s.set.Name, Zone: s.set.Zone, Address: s.set.Advertise,
 		Boot: uint64(time.Now().UnixNano()), Seeds: s.set.Seeds, Processor: s.set.Processor,
@@ -167,7 +167,7 @@
 	}
 	handlers := []http.Handler{
 		callers.Routes(),
-		peer.Server{Take: s.shell.Take, TakeOrder: s.shell.TakeOrder, TakePermit: s.shell.TakePermit}.Handler(s.set.PeerKey),
+		peer.Server{Take: s.shell.HandleExchange, TakeOrder: s.shell.HandleOrderRequest, TakePermit: s.shell.HandlePermitRequest}.Handler(s.set.PeerKey),
 		ops.Handler{Shell: s.shell, Metrics: metrics, Key: s.set.OpsKey}.Routes(),
 	}
 	for i, l := range s.listeners {
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -53,26 +53,26 @@
 // Send makes one attempt; progress notes how far it came, also on error. The
 // caller closes the answer's body.
 func (c *Client) Send(ctx context.Context, call Call, progress *upstream.Progress) (*http.Response, error) {
-	resp, err := c.Exchange(ctx, call, progress)
+	resp, err := c.RoundTrip(ctx, call, progress)
 	if err != nil {
 		return nil, err
 	}
 	if resp.Header.Get(upstream.HeaderRun) == "not_run" {
-		progress.Reach(attempt.Refused)
+		progress.Advance(attempt.Refused)
 		_ = resp.Body.Close() // its content is not passed on
 		return nil, &RefusedError{
 			Status:  resp.StatusCode,
 			Leaving: resp.Header.Get(upstream.HeaderLeaving) == "true",
 		}
 	}
-	progress.Reach(attempt.Answered)
+	progress.Advance(attempt.Answered)
 	return resp, nil
 }
 
-// Exchange makes one attempt and returns whatever answer came; reading it is
+// RoundTrip makes one attempt and returns whatever answer came; reading it is
 // the caller's. progress notes how far it came while there was none.
-func (c *Client) Exchange(ctx context.Context, call Call, progress *upstream.Progress) (*http.Response, error) {
-	req, err := http.NewRequestWithContext(progress.Watch(ctx), call.Method, "http://"+call.Address+"/", call.body())
+func (c *Client) RoundTrip(ctx context.Context, call Call, progress *upstream.Progress) (*http.Response, error) {
+	req, err := http.NewRequestWithContext(progress.TraceContext(ctx), call.Method, "http://"+call.Address+"/", call.body())
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
@@ -129,9 +129,9 @@
 	"Proxy-Authorization", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// EndToEnd returns a copy of the headers without those of one connection, the
+// EndToEndHeaders returns a copy of the headers without those of one connection, the
 // ones that Connection names included.
-func EndToEnd(h http.Header) http.Header {
+func EndToEndHeaders(h http.Header) http.Header {
 	out := h.Clone()
 	for _, line := range h.Values("Connection") {
 		for _, name := range strings.Split(line, ",") {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -135,16 +135,16 @@
 	EnvironmentPlatform = "platform"
 )
 
-// NodeFile is the flag of the settings file.
-const NodeFile = "node-file"
+// NodeFileFlag is the flag of the settings file.
+const NodeFileFlag = "node-file"
 
 // Flags returns the command-line flags of the table.
 func Flags() []cli.Flag {
 	flags := make([]cli.Flag, 0, len(Table)+1)
 	flags = append(flags, &cli.StringFlag{
-		Name:    NodeFile,
+		Name:    NodeFileFlag,
 		Usage:   "YAML file with settings by their flags' names; a flag or variable goes before it (a path)",
-		Sources: cli.EnvVars(Setting{Name: NodeFile}.Env()),
+		Sources: cli.EnvVars(Setting{Name: NodeFileFlag}.Env()),
 	})
 	for _, s := range Table {
 		flags = append(flags, &cli.StringFlag{
@@ -185,15 +185,15 @@
 	if s.WatchEvery == 0 && s.WatchWait == 0 {
 		return nil
 	}
-	if err := s.BoundKept(); err != nil {
+	if err := s.CheckLeaveBound(); err != nil {
 		return []*code.Error{code.Errorf(code.BadSetting, "--leave-bound (%s), --watch-every, --watch-wait: %v", Setting{Name: "leave-bound"}.Env(), err)}
 	}
 	return nil
 }
 
-// BoundKept returns an error if the bound for replicas that leave cannot be kept, in a fleet of
+// CheckLeaveBound returns an error if the bound for replicas that leave cannot be kept, in a fleet of
 // either kind.
-func (s Settings) BoundKept() error {
+func (s Settings) CheckLeaveBound() error {
 	if s.Environment != EnvironmentPlatform {
 		return nil
 	}
--- a/internal/shell/actions.go
+++ b/internal/shell/actions.go
@@ -31,7 +31,7 @@
 // carryOut does what the machine asked for. Whatever can wait on the outside
 // runs in a worker and posts its reply.
 func (s *Shell) carryOut(a step.Action) {
-	s.metrics.Action(a)
+	s.metrics.CountAction(a)
 	switch act := a.(type) {
 	case calls.Dispatch:
 		s.deliver(act.ID, act)
@@ -159,8 +159,8 @@
 
 // check sees whether a process listens at a replica's address.
 func (s *Shell) check(ctx context.Context, a quarantine.Check) {
-	err := upstream.Reach(ctx, a.Address)
-	s.post(quarantine.Checked{Replica: a.Replica, Ended: upstream.NothingListens(err)})
+	err := upstream.CheckReachable(ctx, a.Address)
+	s.post(quarantine.Checked{Replica: a.Replica, Ended: upstream.ConnectionRefused(err)})
 }
 
 // askTime bounds how long the owner of an engine is waited for.
@@ -169,7 +169,7 @@
 func (s *Shell) askOrder(ctx context.Context, a orderclient.SendRequest) {
 	ctx, done := context.WithTimeout(ctx, askTime)
 	defer done()
-	reply, err := s.peers.Order(ctx, a.Address, s.self.Name, a.Engine, a.Request)
+	reply, err := s.peers.RequestOrder(ctx, a.Address, s.self.Name, a.Engine, a.Request)
 	if err != nil {
 		reply = peer.OrderReply{Outcome: owned.Failed, Detail: err.Error()}
 	}
@@ -183,7 +183,7 @@
 func (s *Shell) askPermit(ctx context.Context, a permits.SendRequest) {
 	ctx, done := context.WithTimeout(ctx, a.Request.Wait+permitTime)
 	defer done()
-	verdict, err := s.peers.Permit(ctx, a.Address, s.self.Name, a.Request)
+	verdict, err := s.peers.RequestPermit(ctx, a.Address, s.self.Name, a.Request)
 	if a.Request.Unused {
 		if err != nil {
 			s.event(logevent.PermitFailed, "for", a.Request.Resource.String(), "peer", a.Peer, "unused", true, "error", err.Error())
@@ -193,8 +193,8 @@
 	s.post(permits.Reply{Token: a.Token, Verdict: verdict, Err: err})
 }
 
-// TakePermit answers a peer that asks for a permit.
-func (s *Shell) TakePermit(ctx context.Context, from string, r permits.Request) (permits.Decision, error) {
+// HandlePermitRequest answers a peer that asks for a permit.
+func (s *Shell) HandlePermitRequest(ctx context.Context, from string, r permits.Request) (permits.Decision, error) {
 	reply := make(chan permits.Decision, 1)
 	s.do(func(s *Shell) step.Event {
 		s.nextAsk++
@@ -209,8 +209,8 @@
 	}
 }
 
-// TakeOrder answers a peer that asks for an order.
-func (s *Shell) TakeOrder(ctx context.Context, engine string, r orders.Request) (peer.OrderReply, error) {
+// HandleOrderRequest answers a peer that asks for an order.
+func (s *Shell) HandleOrderRequest(ctx context.Context, engine string, r orders.Request) (peer.OrderReply, error) {
 	reply := make(chan peer.OrderReply, 1)
 	s.do(func(s *Shell) step.Event {
 		s.nextAsk++
--- a/internal/shell/shell.go
+++ b/internal/shell/shell.go
@@ -65,8 +65,8 @@
 	Event func(n logevent.Number, fields ...any)
 }
 
-// A Join joins an environment to a shell.
-type Join func(h Host) Environment
+// A EnvironmentFactory joins an environment to a shell.
+type EnvironmentFactory func(h Host) Environment
 
 // A Shell runs one machine.
 type Shell struct {
@@ -92,7 +92,7 @@
 
 // New returns a shell that lives as long as ctx and is joined to an environment;
 // Run starts it.
-func New(ctx context.Context, self member.Identity, m *instance.Machine, join Join, peers *peer.Client, log logr.Logger, metrics *telemetry.Metrics) *Shell {
+func New(ctx context.Context, self member.Identity, m *instance.Machine, join EnvironmentFactory, peers *peer.Client, log logr.Logger, metrics *telemetry.Metrics) *Shell {
 	s := &Shell{
 		machine: m,
 		self:    self,
@@ -113,7 +113,7 @@
 	}
 	s.environment = join(Host{
 		Self: self, Now: s.Now, Post: s.post, PostConfig: s.postConfig, Config: s.Config,
-		PlatformCalled: metrics.PlatformCall, Event: s.event,
+		PlatformCalled: metrics.CountPlatformCall, Event: s.event,
 	})
 	return s
 }
@@ -172,14 +172,14 @@
 	}
 }
 
-// Noticed tells the machine what a replica said of itself in an answer.
-func (s *Shell) Noticed(e notice.Received) { s.post(e) }
+// HandleNotice tells the machine what a replica said of itself in an answer.
+func (s *Shell) HandleNotice(e notice.Received) { s.post(e) }
 
 // Exited delivers the machine's Exit after a stop.
 func (s *Shell) Exited() <-chan shutdown.Exit { return s.exited }
 
-// Retune has the machine take over changed tunables.
-func (s *Shell) Retune(r instance.OptionsChanged) { s.post(r) }
+// ChangeOptions has the machine take over changed tunables.
+func (s *Shell) ChangeOptions(r instance.OptionsChanged) { s.post(r) }
 
 // Stop begins a planned stop, or ends one that is under way.
 func (s *Shell) Stop() { s.post(instance.Stop{}) }
@@ -232,9 +232,9 @@
 	return Session{ID: call.ID, Actions: box.actions, box: box, shell: s}
 }
 
-// Interrupt sets what is called when the call is finished while an attempt is
+// SetInterrupt sets what is called when the call is finished while an attempt is
 // under way, as a stop does to calls that it cuts off.
-func (c Session) Interrupt(cancel context.CancelFunc) { c.box.interrupt.Store(&cancel) }
+func (c Session) SetInterrupt(cancel context.CancelFunc) { c.box.interrupt.Store(&cancel) }
 
 // AnswerBegan tells the machine that the first piece came.
 func (c Session) AnswerBegan() { c.shell.post(calls.AnswerBegan{ID: c.ID}) }
@@ -258,8 +258,8 @@
 	})
 }
 
-// Take answers an exchange that a peer began.
-func (s *Shell) Take(ctx context.Context, msg gossip.Message) (gossip.Message, error) {
+// HandleExchange answers an exchange that a peer began.
+func (s *Shell) HandleExchange(ctx context.Context, msg gossip.Message) (gossip.Message, error) {
 	reply := make(chan gossip.Message, 1)
 	s.do(func(s *Shell) step.Event {
 		s.nextAsk++
--- a/internal/telemetry/metrics.go
+++ b/internal/telemetry/metrics.go
@@ -50,11 +50,11 @@
 	}
 }
 
-// A Row describes one metric for docs/metrics.md.
-type Row struct{ Name, Meaning, Action string }
+// A MetricDoc describes one metric for docs/metrics.md.
+type MetricDoc struct{ Name, Meaning, Action string }
 
-// Rows lists the metrics with what to do about them.
-var Rows = []Row{
+// MetricDocs lists the metrics with what to do about them.
+var MetricDocs = []MetricDoc{
 	{"birchdrift_queue_seconds", "Time a call waited here before it was sent.", "Rising: the zone lacks sequences; see `birchctl status`."},
 	{"birchdrift_first_token_seconds", "Time from a call's arrival to its first piece.", "Above the target for more than 5 in 100: add accelerators or change policies."},
 	{"birchdrift_between_tokens_seconds", "Time between two pieces of one stream.", "Above the target: engines run too many sequences at once."},
@@ -71,32 +71,32 @@
 	{"birchdrift_notes_total{event}", "Log events by number.", "Look the number up in docs/events.md."},
 }
 
-// PlatformCall counts a call to the platform.
-func (m *Metrics) PlatformCall() { m.platformCalls.Inc() }
+// CountPlatformCall counts a call to the platform.
+func (m *Metrics) CountPlatformCall() { m.platformCalls.Inc() }
 
-// LogDropped counts log lines that were dropped.
-func (m *Metrics) LogDropped(lines int) { m.logDropped.Add(lines) }
+// CountDroppedLines counts log lines that were dropped.
+func (m *Metrics) CountDroppedLines(lines int) { m.logDropped.Add(lines) }
 
-// UnreadHeader counts an answer with a header that nothing here reads.
-func (m *Metrics) UnreadHeader() { m.unreadHeaders.Inc() }
+// CountUnreadHeader counts an answer with a header that nothing here reads.
+func (m *Metrics) CountUnreadHeader() { m.unreadHeaders.Inc() }
 
-// Queued notes how long a call waited here.
-func (m *Metrics) Queued(d time.Duration) { m.queueTime.Update(d.Seconds()) }
+// ObserveQueueTime notes how long a call waited here.
+func (m *Metrics) ObserveQueueTime(d time.Duration) { m.queueTime.Update(d.Seconds()) }
 
-// First notes the time to a call's first piece.
-func (m *Metrics) First(d time.Duration) { m.firstToken.Update(d.Seconds()) }
+// ObserveFirstToken notes the time to a call's first piece.
+func (m *Metrics) ObserveFirstToken(d time.Duration) { m.firstToken.Update(d.Seconds()) }
 
-// Between notes the time between two pieces.
-func (m *Metrics) Between(d time.Duration) { m.betweenTokens.Update(d.Seconds()) }
+// ObserveTokenGap notes the time between two pieces.
+func (m *Metrics) ObserveTokenGap(d time.Duration) { m.betweenTokens.Update(d.Seconds()) }
 
-// Answered notes a call's end with its numbered code.
-func (m *Metrics) Answered(code int, d time.Duration) {
+// ObserveAnswer notes a call's end with its numbered code.
+func (m *Metrics) ObserveAnswer(code int, d time.Duration) {
 	m.callTime.Update(d.Seconds())
 	m.set.GetOrCreateCounter(fmt.Sprintf(`birchdrift_answers_total{code="%d"}`, code)).Inc()
 }
 
-// Action counts what the machine asked for, where that is worth a metric.
-func (m *Metrics) Action(a step.Action) {
+// CountAction counts what the machine asked for, where that is worth a metric.
+func (m *Metrics) CountAction(a step.Action) {
 	switch act := a.(type) {
 	case calls.Dispatch:
 		if act.Forward != nil {
--- a/internal/upstream/unread_test.go
+++ b/internal/upstream/unread_test.go
@@ -18,8 +18,8 @@
 	is := is.New(t)
 	var reported []string
 	counted := 0
-	u := NewUnread(func(name string) { reported = append(reported, name) }, func() { counted++ })
-	u.Know([]string{"server-stamp", ""})
+	u := NewUnreadHeaderDetector(func(name string) { reported = append(reported, name) }, func() { counted++ })
+	u.AddKnown([]string{"server-stamp", ""})
 	address := serveHeads(t, "Date: x\r\nserver-stamp: 1\r\nsome-word: secret\r\n")
 	transports := u.Wrap(NewTransports())
 	for _, transport := range []http.RoundTripper{transports.Reused, transports.Fresh, transports.Abrupt, transports.For(false)} {
@@ -39,16 +39,16 @@
 	is := is.New(t)
 	var reported []string
 	counted := 0
-	u := NewUnread(func(name string) { reported = append(reported, name) }, func() { counted++ })
-	u.Look(http.Header{strings.Repeat("N", 5000): {"v"}})
+	u := NewUnreadHeaderDetector(func(name string) { reported = append(reported, name) }, func() { counted++ })
+	u.Inspect(http.Header{strings.Repeat("N", 5000): {"v"}})
 	is.Equal(reported, []string{strings.Repeat("N", unreadLength)})
 	for i := range 10 * unreadNames {
-		u.Look(http.Header{fmt.Sprintf("Name-%d", i): {"v"}})
+		u.Inspect(http.Header{fmt.Sprintf("Name-%d", i): {"v"}})
 	}
 	is.Equal(len(reported), unreadNames)
 	is.Equal(len(u.reported), unreadNames)
 	is.Equal(counted, 10*unreadNames+1)
-	u.Look(http.Header{"Date": {"v"}, "Server-Timing": {"v"}})
+	u.Inspect(http.Header{"Date": {"v"}, "Server-Timing": {"v"}})
 	is.Equal(counted, 10*unreadNames+1)
 }
 
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -62,13 +62,13 @@
 	return &net.Dialer{
 		Timeout:         dialTimeout,
 		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: probeEvery, Interval: probeEvery, Count: probeCount},
-		Control:         LimitUnacked(unackedTime),
+		Control:         UserTimeoutControl(unackedTime),
 	}
 }
 
-// LimitUnacked returns the control function of a dialer or listener whose connections
+// UserTimeoutControl returns the control function of a dialer or listener whose connections
 // end when bytes that were sent stay unacknowledged for so long.
-func LimitUnacked(limit time.Duration) func(network, address string, raw syscall.RawConn) error {
+func UserTimeoutControl(limit time.Duration) func(network, address string, raw syscall.RawConn) error {
 	return func(_, _ string, raw syscall.RawConn) error {
 		var set error
 		err := raw.Control(func(fd uintptr) {
@@ -117,17 +117,17 @@
 // A Progress says how far one attempt has come. It is safe for concurrent use.
 type Progress struct{ phase atomic.Int32 }
 
-// Watch returns a context under which a request notes its progress in p. From
+// TraceContext returns a context under which a request notes its progress in p. From
 // the moment a connection is handed to the request a byte may leave at any
 // time, so that is where NotSent ends.
-func (p *Progress) Watch(ctx context.Context) context.Context {
+func (p *Progress) TraceContext(ctx context.Context) context.Context {
 	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
-		GotConn: func(httptrace.GotConnInfo) { p.Reach(attempt.MaybeSent) },
+		GotConn: func(httptrace.GotConnInfo) { p.Advance(attempt.MaybeSent) },
 	})
 }
 
-// Reach notes that the attempt has come as far as phase; it never goes back.
-func (p *Progress) Reach(phase attempt.Phase) {
+// Advance notes that the attempt has come as far as phase; it never goes back.
+func (p *Progress) Advance(phase attempt.Phase) {
 	for {
 		old := p.phase.Load()
 		if int32(phase) <= old || p.phase.CompareAndSwap(old, int32(phase)) {
@@ -146,12 +146,12 @@
 		errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE)
 }
 
-// NothingListens reports whether err says that the machine at the address answered
+// ConnectionRefused reports whether err says that the machine at the address answered
 // and that no process listens there.
-func NothingListens(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
+func ConnectionRefused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
 
-// Reach connects to an upstream's address (IP:port) and closes the connection again.
-func Reach(ctx context.Context, address string) error {
+// CheckReachable connects to an upstream's address (IP:port) and closes the connection again.
+func CheckReachable(ctx context.Context, address string) error {
 	conn, err := newDialer().DialContext(ctx, "tcp", address)
 	if err != nil {
 		return err
