--- a/core/step/step.go
+++ b/core/step/step.go
@@ -46,10 +46,10 @@
 // Actions returns the actions of this step, valid until the next Reset.
 func (o *Output) Actions() []Action { return o.actions }
 
-// replyLost is how long a reply may be missing before a job is begun anew. A
+// replyTimeout is how long a reply may be missing before a job is begun anew. A
 // driver answers every action, so this only guards against one that lost a
 // reply: chosen above every time limit of a single request.
-const replyLost = time.Minute
+const replyTimeout = time.Minute
 
 // A Job is periodic work with at most one request under way. The zero Job is
 // due at once.
@@ -61,7 +61,7 @@
 
 // Due reports whether the next request is due and none is under way.
 func (j *Job) Due(now clock.Instant) bool {
-	if j.inFlight && now.Since(j.sentAt) < replyLost {
+	if j.inFlight && now.Since(j.sentAt) < replyTimeout {
 		return false
 	}
 	return !now.Before(j.due)
