--- a/core/step/step.go
+++ b/core/step/step.go
@@ -88,13 +88,13 @@
 // SentAt returns when the last request was sent.
 func (j *Job) SentAt() clock.Instant { return j.sentAt }
 
-// jitterShare is how far a jittered time may lie from the given one, as a share of
+// jitterFraction is how far a jittered time may lie from the given one, as a share of
 // it: chosen so that instances that start together have drifted apart after some
 // ten periods.
-const jitterShare = 0.1
+const jitterFraction = 0.1
 
 // Jitter draws a duration within a tenth of d, so that instances that started
 // together do not act together.
 func Jitter(rng *rand.Rand, d time.Duration) time.Duration {
-	return time.Duration((1 - jitterShare + 2*jitterShare*rng.Float64()) * float64(d))
+	return time.Duration((1 - jitterFraction + 2*jitterFraction*rng.Float64()) * float64(d))
 }
