--- a/core/config/document.go
+++ b/core/config/document.go
@@ -173,7 +173,7 @@
 	d.Models = append([]Model(nil), d.Models...)
 	for i := range d.Models {
 		m := &d.Models[i]
-		m.PrefillPerSecond = orInt(m.PrefillPerSecond, DefaultPrefillPerSecond)
+		m.PrefillPerSecond = intOrDefault(m.PrefillPerSecond, DefaultPrefillPerSecond)
 		m.LoadTime = orDuration(m.LoadTime, DefaultLoadTime)
 	}
 	d.Services = append([]Service(nil), d.Services...)
@@ -183,7 +183,7 @@
 		s.Target.BetweenTokens = orDuration(s.Target.BetweenTokens, DefaultBetweenTokens)
 		s.Replicas = append([]Replica(nil), s.Replicas...)
 		for j := range s.Replicas {
-			s.Replicas[j].MaxConcurrent = orInt(s.Replicas[j].MaxConcurrent, DefaultMaxConcurrent)
+			s.Replicas[j].MaxConcurrent = intOrDefault(s.Replicas[j].MaxConcurrent, DefaultMaxConcurrent)
 		}
 	}
 	if d.Residency.MoveCost == 0 {
@@ -193,11 +193,11 @@
 	if d.WeightStore.LoadsPerSecond == 0 {
 		d.WeightStore.LoadsPerSecond = DefaultLoadsPerSecond
 	}
-	d.WeightStore.MaxConcurrentLoads = orInt(d.WeightStore.MaxConcurrentLoads, DefaultMaxConcurrentLoads)
+	d.WeightStore.MaxConcurrentLoads = intOrDefault(d.WeightStore.MaxConcurrentLoads, DefaultMaxConcurrentLoads)
 	return d
 }
 
-func orInt(v, def int) int {
+func intOrDefault(v, def int) int {
 	if v == 0 {
 		return def
 	}
