--- a/core/config/document.go
+++ b/core/config/document.go
@@ -174,13 +174,13 @@
 	for i := range d.Models {
 		m := &d.Models[i]
 		m.PrefillPerSecond = intOrDefault(m.PrefillPerSecond, DefaultPrefillPerSecond)
-		m.LoadTime = orDuration(m.LoadTime, DefaultLoadTime)
+		m.LoadTime = durationOrDefault(m.LoadTime, DefaultLoadTime)
 	}
 	d.Services = append([]Service(nil), d.Services...)
 	for i := range d.Services {
 		s := &d.Services[i]
-		s.Target.FirstToken = orDuration(s.Target.FirstToken, DefaultFirstToken)
-		s.Target.BetweenTokens = orDuration(s.Target.BetweenTokens, DefaultBetweenTokens)
+		s.Target.FirstToken = durationOrDefault(s.Target.FirstToken, DefaultFirstToken)
+		s.Target.BetweenTokens = durationOrDefault(s.Target.BetweenTokens, DefaultBetweenTokens)
 		s.Replicas = append([]Replica(nil), s.Replicas...)
 		for j := range s.Replicas {
 			s.Replicas[j].MaxConcurrent = intOrDefault(s.Replicas[j].MaxConcurrent, DefaultMaxConcurrent)
@@ -189,7 +189,7 @@
 	if d.Residency.MoveCost == 0 {
 		d.Residency.MoveCost = DefaultMoveCost
 	}
-	d.Residency.MinimumStay = orDuration(d.Residency.MinimumStay, DefaultMinimumStay)
+	d.Residency.MinimumStay = durationOrDefault(d.Residency.MinimumStay, DefaultMinimumStay)
 	if d.WeightStore.LoadsPerSecond == 0 {
 		d.WeightStore.LoadsPerSecond = DefaultLoadsPerSecond
 	}
@@ -204,7 +204,7 @@
 	return v
 }
 
-func orDuration(v, def time.Duration) time.Duration {
+func durationOrDefault(v, def time.Duration) time.Duration {
 	if v == 0 {
 		return def
 	}
