--- a/core/config/check.go
+++ b/core/config/check.go
@@ -12,9 +12,9 @@
 
 // Limits that a configuration must keep.
 const (
-	maxName      = 128
-	maxShare     = 1_000_000
-	sha256HexLen = 64
+	maxNameLength = 128
+	maxShare      = 1_000_000
+	sha256HexLen  = 64
 )
 
 var nameRE = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]*$`)
@@ -57,8 +57,8 @@
 // name checks one name and that it is new in seen.
 func (c *checker) name(seen map[string]bool, name string, path ...any) {
 	path = append(append([]any(nil), path...), "name")
-	if len(name) > maxName || !nameRE.MatchString(name) {
-		c.fault(code.ConfigBadValue, fmt.Sprintf("%q is not a name: letters, digits, '.', '_' and '-', at most %d", name, maxName), path...)
+	if len(name) > maxNameLength || !nameRE.MatchString(name) {
+		c.fault(code.ConfigBadValue, fmt.Sprintf("%q is not a name: letters, digits, '.', '_' and '-', at most %d", name, maxNameLength), path...)
 		return
 	}
 	if seen[name] {
