--- a/core/config/parse.go
+++ b/core/config/parse.go
@@ -56,12 +56,12 @@
 	return File{Document: doc, root: &root}, nil
 }
 
-var lineOf = regexp.MustCompile(`line (\d+): `)
+var linePattern = regexp.MustCompile(`line (\d+): `)
 
 // syntaxError turns a message of the YAML library into a numbered error.
 func syntaxError(msg string) *code.Error {
 	e := &code.Error{Code: code.ConfigSyntax, Detail: strings.TrimPrefix(msg, "yaml: ")}
-	if m := lineOf.FindStringSubmatch(msg); m != nil {
+	if m := linePattern.FindStringSubmatch(msg); m != nil {
 		e.Line, _ = strconv.Atoi(m[1])
 		e.Detail = strings.Replace(e.Detail, m[0], "", 1)
 	}
