--- a/core/config/parse.go
+++ b/core/config/parse.go
@@ -82,7 +82,7 @@
 		node = node.Content[0]
 	}
 	for _, step := range path {
-		next := child(node, step)
+		next := childNode(node, step)
 		if next == nil {
 			break
 		}
@@ -91,7 +91,7 @@
 	return node.Line
 }
 
-func child(node *yaml.Node, step any) *yaml.Node {
+func childNode(node *yaml.Node, step any) *yaml.Node {
 	switch s := step.(type) {
 	case int:
 		if node.Kind == yaml.SequenceNode && s < len(node.Content) {
