--- a/core/config/check.go
+++ b/core/config/check.go
@@ -49,7 +49,7 @@
 	c.faults = append(c.faults, &code.Error{
 		Code:   num,
 		Path:   pathString(path...),
-		Line:   c.file.line(path...),
+		Line:   c.file.lineAt(path...),
 		Detail: detail,
 	})
 }
--- a/core/config/parse.go
+++ b/core/config/parse.go
@@ -71,9 +71,9 @@
 	return e
 }
 
-// line returns the line of the node at path, a mix of field names and indices,
+// lineAt returns the lineAt of the node at path, a mix of field names and indices,
 // or of its nearest ancestor that exists.
-func (f File) line(path ...any) int {
+func (f File) lineAt(path ...any) int {
 	node := f.root
 	if node == nil {
 		return 0
