--- a/core/config/check.go
+++ b/core/config/check.go
@@ -45,7 +45,7 @@
 	largest  int64 // memory of the largest engine
 }
 
-func (c *checker) fault(num code.Code, detail string, path ...any) {
+func (c *checker) addFault(num code.Code, detail string, path ...any) {
 	c.faults = append(c.faults, &code.Error{
 		Code:   num,
 		Path:   pathString(path...),
@@ -58,28 +58,28 @@
 func (c *checker) name(seen map[string]bool, name string, path ...any) {
 	path = append(append([]any(nil), path...), "name")
 	if len(name) > maxNameLength || !nameRE.MatchString(name) {
-		c.fault(code.ConfigBadValue, fmt.Sprintf("%q is not a name: letters, digits, '.', '_' and '-', at most %d", name, maxNameLength), path...)
+		c.addFault(code.ConfigBadValue, fmt.Sprintf("%q is not a name: letters, digits, '.', '_' and '-', at most %d", name, maxNameLength), path...)
 		return
 	}
 	if seen[name] {
-		c.fault(code.ConfigDuplicateName, fmt.Sprintf("%q is defined twice", name), path...)
+		c.addFault(code.ConfigDuplicateName, fmt.Sprintf("%q is defined twice", name), path...)
 	}
 	seen[name] = true
 }
 
 func (c *checker) positive(v int64, what string, path ...any) {
 	if v <= 0 {
-		c.fault(code.ConfigBadValue, fmt.Sprintf("%s is %d, at least 1 allowed", what, v), path...)
+		c.addFault(code.ConfigBadValue, fmt.Sprintf("%s is %d, at least 1 allowed", what, v), path...)
 	}
 }
 
 // place checks the address and the zone of an upstream.
 func (c *checker) place(address, zone string, path ...any) {
 	if _, err := netip.ParseAddrPort(address); err != nil {
-		c.fault(code.ConfigBadValue, fmt.Sprintf("%q is not IP:port", address), append(append([]any(nil), path...), "address")...)
+		c.addFault(code.ConfigBadValue, fmt.Sprintf("%q is not IP:port", address), append(append([]any(nil), path...), "address")...)
 	}
 	if !c.zoneSet[zone] {
-		c.fault(code.ConfigDanglingName, fmt.Sprintf("no zone %q", zone), append(append([]any(nil), path...), "zone")...)
+		c.addFault(code.ConfigDanglingName, fmt.Sprintf("no zone %q", zone), append(append([]any(nil), path...), "zone")...)
 	}
 }
 
@@ -89,7 +89,7 @@
 		c.name(c.zoneSet, z.Name, "zones", i)
 	}
 	if len(c.doc.Zones) == 0 {
-		c.fault(code.ConfigBadValue, "at least one zone is needed", "zones")
+		c.addFault(code.ConfigBadValue, "at least one zone is needed", "zones")
 	}
 }
 
@@ -122,7 +122,7 @@
 		c.positive(a.MemoryMiB, "memory_mib", "adapters", i, "memory_mib")
 		base, ok := c.modelSet[a.Model]
 		if !ok {
-			c.fault(code.ConfigDanglingName, fmt.Sprintf("no model %q", a.Model), "adapters", i, "model")
+			c.addFault(code.ConfigDanglingName, fmt.Sprintf("no model %q", a.Model), "adapters", i, "model")
 			continue
 		}
 		c.adapters[a.Name] = a.Model
@@ -132,7 +132,7 @@
 
 func (c *checker) fits(mib int64, path ...any) {
 	if mib > c.largest {
-		c.fault(code.ConfigNeverFits, fmt.Sprintf("%d MiB with its model, the largest engine has %d MiB", mib, c.largest), path...)
+		c.addFault(code.ConfigNeverFits, fmt.Sprintf("%d MiB with its model, the largest engine has %d MiB", mib, c.largest), path...)
 	}
 }
 
@@ -149,11 +149,11 @@
 			{"wait", p.Wait, policy.Duration},
 		} {
 			if err := policy.Validate(e.text, e.kind); err != nil {
-				c.fault(code.ConfigBadPolicy, err.Error(), "policies", i, e.field)
+				c.addFault(code.ConfigBadPolicy, err.Error(), "policies", i, e.field)
 			}
 		}
 		if p.Default.Priority < 0 || p.Default.Priority > policy.MaxPriority {
-			c.fault(code.ConfigBadValue, "0 to 100 allowed", "policies", i, "default", "priority")
+			c.addFault(code.ConfigBadValue, "0 to 100 allowed", "policies", i, "default", "priority")
 		}
 	}
 }
@@ -167,14 +167,14 @@
 	for i, s := range c.doc.Services {
 		c.name(seen, s.Name, "services", i)
 		if !exactlyOne(len(s.Versions) > 0, len(s.Replicas) > 0, s.Announced != nil) {
-			c.fault(code.ConfigBadValue, "a service has versions, replicas or announced replicas, one of the three", "services", i)
+			c.addFault(code.ConfigBadValue, "a service has versions, replicas or announced replicas, one of the three", "services", i)
 		}
 		c.announced(i, s.Announced)
 		if s.Policy != "" && !c.policy[s.Policy] {
-			c.fault(code.ConfigDanglingName, fmt.Sprintf("no policy %q", s.Policy), "services", i, "policy")
+			c.addFault(code.ConfigDanglingName, fmt.Sprintf("no policy %q", s.Policy), "services", i, "policy")
 		}
 		if s.Target.FirstToken < 0 || s.Target.BetweenTokens < 0 {
-			c.fault(code.ConfigBadValue, "targets are positive durations", "services", i, "target")
+			c.addFault(code.ConfigBadValue, "targets are positive durations", "services", i, "target")
 		}
 		c.versions(i, s)
 		for j, r := range s.Replicas {
@@ -191,18 +191,18 @@
 	for j, v := range s.Versions {
 		c.name(seen, v.Name, "services", i, "versions", j)
 		if _, ok := c.modelSet[v.Model]; !ok {
-			c.fault(code.ConfigDanglingName, fmt.Sprintf("no model %q", v.Model), "services", i, "versions", j, "model")
+			c.addFault(code.ConfigDanglingName, fmt.Sprintf("no model %q", v.Model), "services", i, "versions", j, "model")
 		}
 		if base, ok := c.adapters[v.Adapter]; v.Adapter != "" && (!ok || base != v.Model) {
-			c.fault(code.ConfigDanglingName, fmt.Sprintf("no adapter %q on model %q", v.Adapter, v.Model), "services", i, "versions", j, "adapter")
+			c.addFault(code.ConfigDanglingName, fmt.Sprintf("no adapter %q on model %q", v.Adapter, v.Model), "services", i, "versions", j, "adapter")
 		}
 		if v.Share < 0 || v.Share > maxShare {
-			c.fault(code.ConfigBadValue, fmt.Sprintf("share is %d, 0 to %d allowed", v.Share, maxShare), "services", i, "versions", j, "share")
+			c.addFault(code.ConfigBadValue, fmt.Sprintf("share is %d, 0 to %d allowed", v.Share, maxShare), "services", i, "versions", j, "share")
 		}
 		total += v.Share
 	}
 	if len(s.Versions) > 0 && total <= 0 {
-		c.fault(code.ConfigBadValue, "the shares of a service sum to 0", "services", i, "versions")
+		c.addFault(code.ConfigBadValue, "the shares of a service sum to 0", "services", i, "versions")
 	}
 }
 
@@ -215,11 +215,11 @@
 	for i, caller := range c.doc.Callers {
 		c.name(names, caller.Name, "callers", i)
 		if _, err := hex.DecodeString(caller.KeySHA256); err != nil || len(caller.KeySHA256) != sha256HexLen {
-			c.fault(code.ConfigBadValue, "not the hex of a SHA-256", "callers", i, "key_sha256")
+			c.addFault(code.ConfigBadValue, "not the hex of a SHA-256", "callers", i, "key_sha256")
 		}
 		for j, s := range caller.Services {
 			if !services[s] {
-				c.fault(code.ConfigDanglingName, fmt.Sprintf("no service %q", s), "callers", i, "services", j)
+				c.addFault(code.ConfigDanglingName, fmt.Sprintf("no service %q", s), "callers", i, "services", j)
 			}
 		}
 	}
@@ -227,12 +227,12 @@
 
 func (c *checker) steering() {
 	if c.doc.Residency.MoveCost < 0 {
-		c.fault(code.ConfigBadValue, "move_cost is negative", "residency", "move_cost")
+		c.addFault(code.ConfigBadValue, "move_cost is negative", "residency", "move_cost")
 	}
 	if c.doc.Residency.MinimumStay < 0 {
-		c.fault(code.ConfigBadValue, "minimum_stay is negative", "residency", "minimum_stay")
+		c.addFault(code.ConfigBadValue, "minimum_stay is negative", "residency", "minimum_stay")
 	}
 	if c.doc.WeightStore.LoadsPerSecond < 0 || c.doc.WeightStore.MaxConcurrentLoads < 0 {
-		c.fault(code.ConfigBadValue, "limits are positive", "weight_store")
+		c.addFault(code.ConfigBadValue, "limits are positive", "weight_store")
 	}
 }
--- a/core/config/check_forward.go
+++ b/core/config/check_forward.go
@@ -33,7 +33,7 @@
 		c.name(seen, m.Name, path...)
 		c.positive(m.MemoryMB, "memory_mb", append(path, "memory_mb")...)
 		if m.MemoryMB > e.MemoryMB {
-			c.fault(code.ConfigNeverFits, fmt.Sprintf("%d MB, an engine has %d MB", m.MemoryMB, e.MemoryMB), append(path, "memory_mb")...)
+			c.addFault(code.ConfigNeverFits, fmt.Sprintf("%d MB, an engine has %d MB", m.MemoryMB, e.MemoryMB), append(path, "memory_mb")...)
 		}
 	}
 }
@@ -49,23 +49,23 @@
 	for i, f := range c.doc.Forwards {
 		c.name(names, f.Name, "forwards", i)
 		if f.Host == "" {
-			c.fault(code.ConfigBadValue, "a host is needed", "forwards", i, "host")
+			c.addFault(code.ConfigBadValue, "a host is needed", "forwards", i, "host")
 		}
 		if !strings.HasPrefix(f.Prefix, "/") || !strings.HasSuffix(f.Prefix, "/") {
-			c.fault(code.ConfigBadValue, fmt.Sprintf("%q does not begin and end with a slash", f.Prefix), "forwards", i, "prefix")
+			c.addFault(code.ConfigBadValue, fmt.Sprintf("%q does not begin and end with a slash", f.Prefix), "forwards", i, "prefix")
 		}
 		if key := strings.ToLower(f.Host) + f.Prefix; seen[key] {
-			c.fault(code.ConfigDuplicateName, fmt.Sprintf("%s%s is forwarded twice", f.Host, f.Prefix), "forwards", i)
+			c.addFault(code.ConfigDuplicateName, fmt.Sprintf("%s%s is forwarded twice", f.Host, f.Prefix), "forwards", i)
 		} else {
 			seen[key] = true
 		}
 		switch f.Kind {
 		case Repeatable, Once, Stream:
 		default:
-			c.fault(code.ConfigBadValue, fmt.Sprintf("kind is %q, allowed: repeatable, once, stream", f.Kind), "forwards", i, "kind")
+			c.addFault(code.ConfigBadValue, fmt.Sprintf("kind is %q, allowed: repeatable, once, stream", f.Kind), "forwards", i, "kind")
 		}
 		if f.Timeout <= 0 {
-			c.fault(code.ConfigBadValue, "a timeout is needed", "forwards", i, "timeout")
+			c.addFault(code.ConfigBadValue, "a timeout is needed", "forwards", i, "timeout")
 		}
 		c.split(i, f, services)
 	}
@@ -76,16 +76,16 @@
 	for j, s := range f.Split {
 		announced, ok := services[s.Service]
 		if !ok {
-			c.fault(code.ConfigDanglingName, fmt.Sprintf("no service %q", s.Service), "forwards", i, "split", j, "service")
+			c.addFault(code.ConfigDanglingName, fmt.Sprintf("no service %q", s.Service), "forwards", i, "split", j, "service")
 		} else if !announced {
-			c.fault(code.ConfigBadValue, fmt.Sprintf("the replicas of %q do not announce themselves", s.Service), "forwards", i, "split", j, "service")
+			c.addFault(code.ConfigBadValue, fmt.Sprintf("the replicas of %q do not announce themselves", s.Service), "forwards", i, "split", j, "service")
 		}
 		if s.Weight < 0 || s.Weight > maxShare {
-			c.fault(code.ConfigBadValue, fmt.Sprintf("weight is %d, 0 to %d allowed", s.Weight, maxShare), "forwards", i, "split", j, "weight")
+			c.addFault(code.ConfigBadValue, fmt.Sprintf("weight is %d, 0 to %d allowed", s.Weight, maxShare), "forwards", i, "split", j, "weight")
 		}
 		total += s.Weight
 	}
 	if total <= 0 {
-		c.fault(code.ConfigBadValue, "the weights sum to 0", "forwards", i, "split")
+		c.addFault(code.ConfigBadValue, "the weights sum to 0", "forwards", i, "split")
 	}
 }
