--- a/core/config/check.go
+++ b/core/config/check.go
@@ -54,8 +54,8 @@
 	})
 }
 
-// name checks one name and that it is new in seen.
-func (c *checker) name(seen map[string]bool, name string, path ...any) {
+// checkName checks one checkName and that it is new in seen.
+func (c *checker) checkName(seen map[string]bool, name string, path ...any) {
 	path = append(append([]any(nil), path...), "name")
 	if len(name) > maxNameLength || !nameRE.MatchString(name) {
 		c.addFault(code.ConfigBadValue, fmt.Sprintf("%q is not a name: letters, digits, '.', '_' and '-', at most %d", name, maxNameLength), path...)
@@ -86,7 +86,7 @@
 func (c *checker) zones() {
 	c.zoneSet = map[string]bool{}
 	for i, z := range c.doc.Zones {
-		c.name(c.zoneSet, z.Name, "zones", i)
+		c.checkName(c.zoneSet, z.Name, "zones", i)
 	}
 	if len(c.doc.Zones) == 0 {
 		c.addFault(code.ConfigBadValue, "at least one zone is needed", "zones")
@@ -96,7 +96,7 @@
 func (c *checker) engines() {
 	seen := map[string]bool{}
 	for i, e := range c.doc.Engines {
-		c.name(seen, e.Name, "engines", i)
+		c.checkName(seen, e.Name, "engines", i)
 		c.place(e.Address, e.Zone, "engines", i)
 		c.positive(int64(e.Accelerators), "accelerators", "engines", i, "accelerators")
 		c.positive(e.MemoryMiB, "memory_mib", "engines", i, "memory_mib")
@@ -112,13 +112,13 @@
 	c.adapters = map[string]string{}
 	seen := map[string]bool{}
 	for i, m := range c.doc.Models {
-		c.name(seen, m.Name, "models", i)
+		c.checkName(seen, m.Name, "models", i)
 		c.positive(m.MemoryMiB, "memory_mib", "models", i, "memory_mib")
 		c.fits(m.MemoryMiB, "models", i, "memory_mib")
 		c.modelSet[m.Name] = m.MemoryMiB
 	}
 	for i, a := range c.doc.Adapters {
-		c.name(seen, a.Name, "adapters", i)
+		c.checkName(seen, a.Name, "adapters", i)
 		c.positive(a.MemoryMiB, "memory_mib", "adapters", i, "memory_mib")
 		base, ok := c.modelSet[a.Model]
 		if !ok {
@@ -139,7 +139,7 @@
 func (c *checker) policies() {
 	c.policy = map[string]bool{}
 	for i, p := range c.doc.Policies {
-		c.name(c.policy, p.Name, "policies", i)
+		c.checkName(c.policy, p.Name, "policies", i)
 		for _, e := range []struct {
 			field, text string
 			kind        policy.ResultType
@@ -165,7 +165,7 @@
 		replicas[e.Name] = true
 	}
 	for i, s := range c.doc.Services {
-		c.name(seen, s.Name, "services", i)
+		c.checkName(seen, s.Name, "services", i)
 		if !exactlyOne(len(s.Versions) > 0, len(s.Replicas) > 0, s.Announced != nil) {
 			c.addFault(code.ConfigBadValue, "a service has versions, replicas or announced replicas, one of the three", "services", i)
 		}
@@ -178,7 +178,7 @@
 		}
 		c.versions(i, s)
 		for j, r := range s.Replicas {
-			c.name(replicas, r.Name, "services", i, "replicas", j)
+			c.checkName(replicas, r.Name, "services", i, "replicas", j)
 			c.place(r.Address, r.Zone, "services", i, "replicas", j)
 			c.positive(int64(r.MaxConcurrent), "concurrent", "services", i, "replicas", j, "concurrent")
 		}
@@ -189,7 +189,7 @@
 	seen := map[string]bool{}
 	total := 0
 	for j, v := range s.Versions {
-		c.name(seen, v.Name, "services", i, "versions", j)
+		c.checkName(seen, v.Name, "services", i, "versions", j)
 		if _, ok := c.modelSet[v.Model]; !ok {
 			c.addFault(code.ConfigDanglingName, fmt.Sprintf("no model %q", v.Model), "services", i, "versions", j, "model")
 		}
@@ -213,7 +213,7 @@
 		services[s.Name] = true
 	}
 	for i, caller := range c.doc.Callers {
-		c.name(names, caller.Name, "callers", i)
+		c.checkName(names, caller.Name, "callers", i)
 		if _, err := hex.DecodeString(caller.KeySHA256); err != nil || len(caller.KeySHA256) != sha256HexLen {
 			c.addFault(code.ConfigBadValue, "not the hex of a SHA-256", "callers", i, "key_sha256")
 		}
--- a/core/config/check_forward.go
+++ b/core/config/check_forward.go
@@ -30,7 +30,7 @@
 	seen := map[string]bool{}
 	for j, m := range e.Models {
 		path := []any{"services", i, "announced", "engine", "models", j}
-		c.name(seen, m.Name, path...)
+		c.checkName(seen, m.Name, path...)
 		c.positive(m.MemoryMB, "memory_mb", append(path, "memory_mb")...)
 		if m.MemoryMB > e.MemoryMB {
 			c.addFault(code.ConfigNeverFits, fmt.Sprintf("%d MB, an engine has %d MB", m.MemoryMB, e.MemoryMB), append(path, "memory_mb")...)
@@ -47,7 +47,7 @@
 	names := map[string]bool{}
 	seen := map[string]bool{}
 	for i, f := range c.doc.Forwards {
-		c.name(names, f.Name, "forwards", i)
+		c.checkName(names, f.Name, "forwards", i)
 		if f.Host == "" {
 			c.addFault(code.ConfigBadValue, "a host is needed", "forwards", i, "host")
 		}
