--- a/core/config/check.go
+++ b/core/config/check.go
@@ -67,7 +67,7 @@
 	seen[name] = true
 }
 
-func (c *checker) positive(v int64, what string, path ...any) {
+func (c *checker) checkPositive(v int64, what string, path ...any) {
 	if v <= 0 {
 		c.addFault(code.ConfigBadValue, fmt.Sprintf("%s is %d, at least 1 allowed", what, v), path...)
 	}
@@ -98,9 +98,9 @@
 	for i, e := range c.doc.Engines {
 		c.checkName(seen, e.Name, "engines", i)
 		c.place(e.Address, e.Zone, "engines", i)
-		c.positive(int64(e.Accelerators), "accelerators", "engines", i, "accelerators")
-		c.positive(e.MemoryMiB, "memory_mib", "engines", i, "memory_mib")
-		c.positive(int64(e.Sequences), "sequences", "engines", i, "sequences")
+		c.checkPositive(int64(e.Accelerators), "accelerators", "engines", i, "accelerators")
+		c.checkPositive(e.MemoryMiB, "memory_mib", "engines", i, "memory_mib")
+		c.checkPositive(int64(e.Sequences), "sequences", "engines", i, "sequences")
 		c.largest = max(c.largest, e.MemoryMiB)
 	}
 }
@@ -113,13 +113,13 @@
 	seen := map[string]bool{}
 	for i, m := range c.doc.Models {
 		c.checkName(seen, m.Name, "models", i)
-		c.positive(m.MemoryMiB, "memory_mib", "models", i, "memory_mib")
+		c.checkPositive(m.MemoryMiB, "memory_mib", "models", i, "memory_mib")
 		c.fits(m.MemoryMiB, "models", i, "memory_mib")
 		c.modelSet[m.Name] = m.MemoryMiB
 	}
 	for i, a := range c.doc.Adapters {
 		c.checkName(seen, a.Name, "adapters", i)
-		c.positive(a.MemoryMiB, "memory_mib", "adapters", i, "memory_mib")
+		c.checkPositive(a.MemoryMiB, "memory_mib", "adapters", i, "memory_mib")
 		base, ok := c.modelSet[a.Model]
 		if !ok {
 			c.addFault(code.ConfigDanglingName, fmt.Sprintf("no model %q", a.Model), "adapters", i, "model")
@@ -180,7 +180,7 @@
 		for j, r := range s.Replicas {
 			c.checkName(replicas, r.Name, "services", i, "replicas", j)
 			c.place(r.Address, r.Zone, "services", i, "replicas", j)
-			c.positive(int64(r.MaxConcurrent), "concurrent", "services", i, "replicas", j, "concurrent")
+			c.checkPositive(int64(r.MaxConcurrent), "concurrent", "services", i, "replicas", j, "concurrent")
 		}
 	}
 }
--- a/core/config/check_forward.go
+++ b/core/config/check_forward.go
@@ -25,13 +25,13 @@
 		return
 	}
 	e := a.Engine
-	c.positive(int64(e.Sequences), "sequences", "services", i, "announced", "engine", "sequences")
-	c.positive(e.MemoryMB, "memory_mb", "services", i, "announced", "engine", "memory_mb")
+	c.checkPositive(int64(e.Sequences), "sequences", "services", i, "announced", "engine", "sequences")
+	c.checkPositive(e.MemoryMB, "memory_mb", "services", i, "announced", "engine", "memory_mb")
 	seen := map[string]bool{}
 	for j, m := range e.Models {
 		path := []any{"services", i, "announced", "engine", "models", j}
 		c.checkName(seen, m.Name, path...)
-		c.positive(m.MemoryMB, "memory_mb", append(path, "memory_mb")...)
+		c.checkPositive(m.MemoryMB, "memory_mb", append(path, "memory_mb")...)
 		if m.MemoryMB > e.MemoryMB {
 			c.addFault(code.ConfigNeverFits, fmt.Sprintf("%d MB, an engine has %d MB", m.MemoryMB, e.MemoryMB), append(path, "memory_mb")...)
 		}
