--- a/core/config/check.go
+++ b/core/config/check.go
@@ -73,8 +73,8 @@
 	}
 }
 
-// place checks the address and the zone of an upstream.
-func (c *checker) place(address, zone string, path ...any) {
+// checkEndpoint checks the address and the zone of an upstream.
+func (c *checker) checkEndpoint(address, zone string, path ...any) {
 	if _, err := netip.ParseAddrPort(address); err != nil {
 		c.addFault(code.ConfigBadValue, fmt.Sprintf("%q is not IP:port", address), append(append([]any(nil), path...), "address")...)
 	}
@@ -97,7 +97,7 @@
 	seen := map[string]bool{}
 	for i, e := range c.doc.Engines {
 		c.checkName(seen, e.Name, "engines", i)
-		c.place(e.Address, e.Zone, "engines", i)
+		c.checkEndpoint(e.Address, e.Zone, "engines", i)
 		c.checkPositive(int64(e.Accelerators), "accelerators", "engines", i, "accelerators")
 		c.checkPositive(e.MemoryMiB, "memory_mib", "engines", i, "memory_mib")
 		c.checkPositive(int64(e.Sequences), "sequences", "engines", i, "sequences")
@@ -179,7 +179,7 @@
 		c.versions(i, s)
 		for j, r := range s.Replicas {
 			c.checkName(replicas, r.Name, "services", i, "replicas", j)
-			c.place(r.Address, r.Zone, "services", i, "replicas", j)
+			c.checkEndpoint(r.Address, r.Zone, "services", i, "replicas", j)
 			c.checkPositive(int64(r.MaxConcurrent), "concurrent", "services", i, "replicas", j, "concurrent")
 		}
 	}
