--- a/core/config/check.go
+++ b/core/config/check.go
@@ -22,7 +22,7 @@
 // Validate returns every fault of the file; none means it may be applied.
 func (f File) Validate() []*code.Error {
 	c := checker{file: f, doc: f.Document.withDefaults()}
-	c.zones()
+	c.checkZones()
 	c.engines()
 	c.models()
 	c.policies()
@@ -83,7 +83,7 @@
 	}
 }
 
-func (c *checker) zones() {
+func (c *checker) checkZones() {
 	c.zoneSet = map[string]bool{}
 	for i, z := range c.doc.Zones {
 		c.checkName(c.zoneSet, z.Name, "zones", i)
