--- a/core/config/check.go
+++ b/core/config/check.go
@@ -23,7 +23,7 @@
 func (f File) Validate() []*code.Error {
 	c := checker{file: f, doc: f.Document.withDefaults()}
 	c.checkZones()
-	c.engines()
+	c.checkEngines()
 	c.models()
 	c.policies()
 	c.services()
@@ -93,7 +93,7 @@
 	}
 }
 
-func (c *checker) engines() {
+func (c *checker) checkEngines() {
 	seen := map[string]bool{}
 	for i, e := range c.doc.Engines {
 		c.checkName(seen, e.Name, "engines", i)
