--- a/core/config/check.go
+++ b/core/config/check.go
@@ -24,7 +24,7 @@
 	c := checker{file: f, doc: f.Document.withDefaults()}
 	c.checkZones()
 	c.checkEngines()
-	c.models()
+	c.checkModels()
 	c.policies()
 	c.services()
 	c.forwards()
@@ -105,9 +105,9 @@
 	}
 }
 
-// models checks models and adapters, which share one name space because an
+// checkModels checks checkModels and adapters, which share one name space because an
 // engine's memory holds both as items.
-func (c *checker) models() {
+func (c *checker) checkModels() {
 	c.modelSet = map[string]int64{}
 	c.adapters = map[string]string{}
 	seen := map[string]bool{}
