--- a/core/config/check.go
+++ b/core/config/check.go
@@ -114,7 +114,7 @@
 	for i, m := range c.doc.Models {
 		c.checkName(seen, m.Name, "models", i)
 		c.checkPositive(m.MemoryMiB, "memory_mib", "models", i, "memory_mib")
-		c.fits(m.MemoryMiB, "models", i, "memory_mib")
+		c.checkFits(m.MemoryMiB, "models", i, "memory_mib")
 		c.modelSet[m.Name] = m.MemoryMiB
 	}
 	for i, a := range c.doc.Adapters {
@@ -126,11 +126,11 @@
 			continue
 		}
 		c.adapters[a.Name] = a.Model
-		c.fits(base+a.MemoryMiB, "adapters", i, "memory_mib")
+		c.checkFits(base+a.MemoryMiB, "adapters", i, "memory_mib")
 	}
 }
 
-func (c *checker) fits(mib int64, path ...any) {
+func (c *checker) checkFits(mib int64, path ...any) {
 	if mib > c.largest {
 		c.addFault(code.ConfigNeverFits, fmt.Sprintf("%d MiB with its model, the largest engine has %d MiB", mib, c.largest), path...)
 	}
