--- a/core/config/check.go
+++ b/core/config/check.go
@@ -25,7 +25,7 @@
 	c.checkZones()
 	c.checkEngines()
 	c.checkModels()
-	c.policies()
+	c.checkPolicies()
 	c.services()
 	c.forwards()
 	c.callers()
@@ -136,7 +136,7 @@
 	}
 }
 
-func (c *checker) policies() {
+func (c *checker) checkPolicies() {
 	c.policy = map[string]bool{}
 	for i, p := range c.doc.Policies {
 		c.checkName(c.policy, p.Name, "policies", i)
