--- a/core/config/check.go
+++ b/core/config/check.go
@@ -26,7 +26,7 @@
 	c.checkEngines()
 	c.checkModels()
 	c.checkPolicies()
-	c.services()
+	c.checkServices()
 	c.forwards()
 	c.callers()
 	c.steering()
@@ -158,7 +158,7 @@
 	}
 }
 
-func (c *checker) services() {
+func (c *checker) checkServices() {
 	seen := map[string]bool{}
 	replicas := map[string]bool{}
 	for _, e := range c.doc.Engines {
