--- a/core/config/check.go
+++ b/core/config/check.go
@@ -176,7 +176,7 @@
 		if s.Target.FirstToken < 0 || s.Target.BetweenTokens < 0 {
 			c.addFault(code.ConfigBadValue, "targets are positive durations", "services", i, "target")
 		}
-		c.versions(i, s)
+		c.checkVersions(i, s)
 		for j, r := range s.Replicas {
 			c.checkName(replicas, r.Name, "services", i, "replicas", j)
 			c.checkEndpoint(r.Address, r.Zone, "services", i, "replicas", j)
@@ -185,7 +185,7 @@
 	}
 }
 
-func (c *checker) versions(i int, s Service) {
+func (c *checker) checkVersions(i int, s Service) {
 	seen := map[string]bool{}
 	total := 0
 	for j, v := range s.Versions {
