--- a/core/config/check.go
+++ b/core/config/check.go
@@ -28,7 +28,7 @@
 	c.checkPolicies()
 	c.checkServices()
 	c.forwards()
-	c.callers()
+	c.checkCallers()
 	c.steering()
 	return c.faults
 }
@@ -206,7 +206,7 @@
 	}
 }
 
-func (c *checker) callers() {
+func (c *checker) checkCallers() {
 	names := map[string]bool{}
 	services := map[string]bool{}
 	for _, s := range c.doc.Services {
