--- a/core/config/check.go
+++ b/core/config/check.go
@@ -29,7 +29,7 @@
 	c.checkServices()
 	c.forwards()
 	c.checkCallers()
-	c.steering()
+	c.checkPlannerLimits()
 	return c.faults
 }
 
@@ -225,7 +225,7 @@
 	}
 }
 
-func (c *checker) steering() {
+func (c *checker) checkPlannerLimits() {
 	if c.doc.Residency.MoveCost < 0 {
 		c.addFault(code.ConfigBadValue, "move_cost is negative", "residency", "move_cost")
 	}
