--- a/core/config/check.go
+++ b/core/config/check.go
@@ -169,7 +169,7 @@
 		if !exactlyOne(len(s.Versions) > 0, len(s.Replicas) > 0, s.Announced != nil) {
 			c.addFault(code.ConfigBadValue, "a service has versions, replicas or announced replicas, one of the three", "services", i)
 		}
-		c.announced(i, s.Announced)
+		c.checkAnnounced(i, s.Announced)
 		if s.Policy != "" && !c.policy[s.Policy] {
 			c.addFault(code.ConfigDanglingName, fmt.Sprintf("no policy %q", s.Policy), "services", i, "policy")
 		}
--- a/core/config/check_forward.go
+++ b/core/config/check_forward.go
@@ -19,8 +19,8 @@
 	return n == 1
 }
 
-// announced checks what a service says of replicas that announce themselves.
-func (c *checker) announced(i int, a *Announced) {
+// checkAnnounced checks what a service says of replicas that announce themselves.
+func (c *checker) checkAnnounced(i int, a *Announced) {
 	if a == nil || a.Engine == nil {
 		return
 	}
