--- a/core/config/check.go
+++ b/core/config/check.go
@@ -27,7 +27,7 @@
 	c.checkModels()
 	c.checkPolicies()
 	c.checkServices()
-	c.forwards()
+	c.checkForwards()
 	c.checkCallers()
 	c.checkPlannerLimits()
 	return c.faults
--- a/core/config/check_forward.go
+++ b/core/config/check_forward.go
@@ -38,8 +38,8 @@
 	}
 }
 
-// forwards checks where calls are sent; a prefix may stand once for each host.
-func (c *checker) forwards() {
+// checkForwards checks where calls are sent; a prefix may stand once for each host.
+func (c *checker) checkForwards() {
 	services := map[string]bool{}
 	for _, s := range c.doc.Services {
 		services[s.Name] = s.Announced != nil
