--- a/core/config/check_forward.go
+++ b/core/config/check_forward.go
@@ -67,11 +67,11 @@
 		if f.Timeout <= 0 {
 			c.addFault(code.ConfigBadValue, "a timeout is needed", "forwards", i, "timeout")
 		}
-		c.split(i, f, services)
+		c.checkSplit(i, f, services)
 	}
 }
 
-func (c *checker) split(i int, f Forward, services map[string]bool) {
+func (c *checker) checkSplit(i int, f Forward, services map[string]bool) {
 	total := 0
 	for j, s := range f.Split {
 		announced, ok := services[s.Service]
