--- a/core/config/check.go
+++ b/core/config/check.go
@@ -35,14 +35,14 @@
 
 // A checker gathers the faults of one file.
 type checker struct {
-	file     File
-	doc      Document
-	faults   []*code.Error
-	zoneSet  map[string]bool
-	modelSet map[string]int64  // memory by model
-	adapters map[string]string // base model by adapter
-	policy   map[string]bool
-	largest  int64 // memory of the largest engine
+	file      File
+	doc       Document
+	faults    []*code.Error
+	zoneNames map[string]bool
+	modelSet  map[string]int64  // memory by model
+	adapters  map[string]string // base model by adapter
+	policy    map[string]bool
+	largest   int64 // memory of the largest engine
 }
 
 func (c *checker) addFault(num code.Code, detail string, path ...any) {
@@ -78,15 +78,15 @@
 	if _, err := netip.ParseAddrPort(address); err != nil {
 		c.addFault(code.ConfigBadValue, fmt.Sprintf("%q is not IP:port", address), append(append([]any(nil), path...), "address")...)
 	}
-	if !c.zoneSet[zone] {
+	if !c.zoneNames[zone] {
 		c.addFault(code.ConfigDanglingName, fmt.Sprintf("no zone %q", zone), append(append([]any(nil), path...), "zone")...)
 	}
 }
 
 func (c *checker) checkZones() {
-	c.zoneSet = map[string]bool{}
+	c.zoneNames = map[string]bool{}
 	for i, z := range c.doc.Zones {
-		c.checkName(c.zoneSet, z.Name, "zones", i)
+		c.checkName(c.zoneNames, z.Name, "zones", i)
 	}
 	if len(c.doc.Zones) == 0 {
 		c.addFault(code.ConfigBadValue, "at least one zone is needed", "zones")
