--- a/core/config/check.go
+++ b/core/config/check.go
@@ -35,14 +35,14 @@
 
 // A checker gathers the faults of one file.
 type checker struct {
-	file      File
-	doc       Document
-	faults    []*code.Error
-	zoneNames map[string]bool
-	modelSet  map[string]int64  // memory by model
-	adapters  map[string]string // base model by adapter
-	policy    map[string]bool
-	largest   int64 // memory of the largest engine
+	file        File
+	doc         Document
+	faults      []*code.Error
+	zoneNames   map[string]bool
+	modelMemory map[string]int64  // memory by model
+	adapters    map[string]string // base model by adapter
+	policy      map[string]bool
+	largest     int64 // memory of the largest engine
 }
 
 func (c *checker) addFault(num code.Code, detail string, path ...any) {
@@ -108,19 +108,19 @@
 // checkModels checks checkModels and adapters, which share one name space because an
 // engine's memory holds both as items.
 func (c *checker) checkModels() {
-	c.modelSet = map[string]int64{}
+	c.modelMemory = map[string]int64{}
 	c.adapters = map[string]string{}
 	seen := map[string]bool{}
 	for i, m := range c.doc.Models {
 		c.checkName(seen, m.Name, "models", i)
 		c.checkPositive(m.MemoryMiB, "memory_mib", "models", i, "memory_mib")
 		c.checkFits(m.MemoryMiB, "models", i, "memory_mib")
-		c.modelSet[m.Name] = m.MemoryMiB
+		c.modelMemory[m.Name] = m.MemoryMiB
 	}
 	for i, a := range c.doc.Adapters {
 		c.checkName(seen, a.Name, "adapters", i)
 		c.checkPositive(a.MemoryMiB, "memory_mib", "adapters", i, "memory_mib")
-		base, ok := c.modelSet[a.Model]
+		base, ok := c.modelMemory[a.Model]
 		if !ok {
 			c.addFault(code.ConfigDanglingName, fmt.Sprintf("no model %q", a.Model), "adapters", i, "model")
 			continue
@@ -190,7 +190,7 @@
 	total := 0
 	for j, v := range s.Versions {
 		c.checkName(seen, v.Name, "services", i, "versions", j)
-		if _, ok := c.modelSet[v.Model]; !ok {
+		if _, ok := c.modelMemory[v.Model]; !ok {
 			c.addFault(code.ConfigDanglingName, fmt.Sprintf("no model %q", v.Model), "services", i, "versions", j, "model")
 		}
 		if base, ok := c.adapters[v.Adapter]; v.Adapter != "" && (!ok || base != v.Model) {
