--- a/core/config/check.go
+++ b/core/config/check.go
@@ -40,7 +40,7 @@
 	faults      []*code.Error
 	zoneNames   map[string]bool
 	modelMemory map[string]int64  // memory by model
-	adapters    map[string]string // base model by adapter
+	baseModels  map[string]string // base model by adapter
 	policy      map[string]bool
 	largest     int64 // memory of the largest engine
 }
@@ -109,7 +109,7 @@
 // engine's memory holds both as items.
 func (c *checker) checkModels() {
 	c.modelMemory = map[string]int64{}
-	c.adapters = map[string]string{}
+	c.baseModels = map[string]string{}
 	seen := map[string]bool{}
 	for i, m := range c.doc.Models {
 		c.checkName(seen, m.Name, "models", i)
@@ -125,7 +125,7 @@
 			c.addFault(code.ConfigDanglingName, fmt.Sprintf("no model %q", a.Model), "adapters", i, "model")
 			continue
 		}
-		c.adapters[a.Name] = a.Model
+		c.baseModels[a.Name] = a.Model
 		c.checkFits(base+a.MemoryMiB, "adapters", i, "memory_mib")
 	}
 }
@@ -193,7 +193,7 @@
 		if _, ok := c.modelMemory[v.Model]; !ok {
 			c.addFault(code.ConfigDanglingName, fmt.Sprintf("no model %q", v.Model), "services", i, "versions", j, "model")
 		}
-		if base, ok := c.adapters[v.Adapter]; v.Adapter != "" && (!ok || base != v.Model) {
+		if base, ok := c.baseModels[v.Adapter]; v.Adapter != "" && (!ok || base != v.Model) {
 			c.addFault(code.ConfigDanglingName, fmt.Sprintf("no adapter %q on model %q", v.Adapter, v.Model), "services", i, "versions", j, "adapter")
 		}
 		if v.Share < 0 || v.Share > maxShare {
