--- a/core/config/check.go
+++ b/core/config/check.go
@@ -41,7 +41,7 @@
 	zoneNames   map[string]bool
 	modelMemory map[string]int64  // memory by model
 	baseModels  map[string]string // base model by adapter
-	policy      map[string]bool
+	policyNames map[string]bool
 	largest     int64 // memory of the largest engine
 }
 
@@ -137,9 +137,9 @@
 }
 
 func (c *checker) checkPolicies() {
-	c.policy = map[string]bool{}
+	c.policyNames = map[string]bool{}
 	for i, p := range c.doc.Policies {
-		c.checkName(c.policy, p.Name, "policies", i)
+		c.checkName(c.policyNames, p.Name, "policies", i)
 		for _, e := range []struct {
 			field, text string
 			kind        policy.ResultType
@@ -170,7 +170,7 @@
 			c.addFault(code.ConfigBadValue, "a service has versions, replicas or announced replicas, one of the three", "services", i)
 		}
 		c.checkAnnounced(i, s.Announced)
-		if s.Policy != "" && !c.policy[s.Policy] {
+		if s.Policy != "" && !c.policyNames[s.Policy] {
 			c.addFault(code.ConfigDanglingName, fmt.Sprintf("no policy %q", s.Policy), "services", i, "policy")
 		}
 		if s.Target.FirstToken < 0 || s.Target.BetweenTokens < 0 {
