--- a/core/config/check.go
+++ b/core/config/check.go
@@ -35,14 +35,14 @@
 
 // A checker gathers the faults of one file.
 type checker struct {
-	file        File
-	doc         Document
-	faults      []*code.Error
-	zoneNames   map[string]bool
-	modelMemory map[string]int64  // memory by model
-	baseModels  map[string]string // base model by adapter
-	policyNames map[string]bool
-	largest     int64 // memory of the largest engine
+	file            File
+	doc             Document
+	faults          []*code.Error
+	zoneNames       map[string]bool
+	modelMemory     map[string]int64  // memory by model
+	baseModels      map[string]string // base model by adapter
+	policyNames     map[string]bool
+	maxEngineMemory int64 // memory of the largest engine
 }
 
 func (c *checker) addFault(num code.Code, detail string, path ...any) {
@@ -101,7 +101,7 @@
 		c.checkPositive(int64(e.Accelerators), "accelerators", "engines", i, "accelerators")
 		c.checkPositive(e.MemoryMiB, "memory_mib", "engines", i, "memory_mib")
 		c.checkPositive(int64(e.Sequences), "sequences", "engines", i, "sequences")
-		c.largest = max(c.largest, e.MemoryMiB)
+		c.maxEngineMemory = max(c.maxEngineMemory, e.MemoryMiB)
 	}
 }
 
@@ -131,8 +131,8 @@
 }
 
 func (c *checker) checkFits(mib int64, path ...any) {
-	if mib > c.largest {
-		c.addFault(code.ConfigNeverFits, fmt.Sprintf("%d MiB with its model, the largest engine has %d MiB", mib, c.largest), path...)
+	if mib > c.maxEngineMemory {
+		c.addFault(code.ConfigNeverFits, fmt.Sprintf("%d MiB with its model, the largest engine has %d MiB", mib, c.maxEngineMemory), path...)
 	}
 }
 
