--- a/core/config/config_test.go
+++ b/core/config/config_test.go
@@ -11,7 +11,7 @@
 	"github.com/birchdrift/birchdrift/core/code"
 )
 
-const good = `
+const validDocument = `
 zones: [{name: z1, region: sicily}]
 engines:
   - {name: e1, address: "127.0.0.1:1", zone: z1, accelerators: 1, memory_mib: 1000, sequences: 4}
@@ -43,7 +43,7 @@
 
 func TestGoodDocumentIsAccepted(t *testing.T) {
 	is := is.New(t)
-	f := mustParse(t, good)
+	f := mustParse(t, validDocument)
 	is.Equal(len(f.Validate()), 0)
 	f.Document.Revision = 3
 	data, err := f.Document.Encode()
@@ -70,7 +70,7 @@
 
 func TestRoutesOverrideTheirService(t *testing.T) {
 	is := is.New(t)
-	s, err := NewSnapshot(mustParse(t, good).Document)
+	s, err := NewSnapshot(mustParse(t, validDocument).Document)
 	is.NoErr(err)
 	svc, _ := s.Service("stock")
 	is.True(svc.MayRepeat("/levels"))
@@ -107,8 +107,8 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			text := strings.Replace(good, c.old, c.new, 1)
-			is.True(text != good)
+			text := strings.Replace(validDocument, c.old, c.new, 1)
+			is.True(text != validDocument)
 			f, faults := Parse([]byte(text))
 			if len(faults) == 0 {
 				faults = f.Validate()
@@ -157,7 +157,7 @@
 
 // FuzzParse feeds bytes that operators could send.
 func FuzzParse(f *testing.F) {
-	f.Add([]byte(good))
+	f.Add([]byte(validDocument))
 	f.Add([]byte("{"))
 	f.Add([]byte("zones: 3"))
 	f.Fuzz(func(_ *testing.T, data []byte) {
