--- a/core/config/config_test.go
+++ b/core/config/config_test.go
@@ -41,7 +41,7 @@
 	return f
 }
 
-func TestGoodDocumentIsAccepted(t *testing.T) {
+func TestValidDocumentIsAccepted(t *testing.T) {
 	is := is.New(t)
 	f := mustParse(t, validDocument)
 	is.Equal(len(f.Validate()), 0)
