--- a/core/config/config_test.go
+++ b/core/config/config_test.go
@@ -77,9 +77,9 @@
 	is.True(!svc.MayRepeat("/allocations/7"))
 }
 
-// TestFaultsAreNumberedAndPlaced changes one thing of the good document at a
+// TestFaultsHaveCodePathAndLine changes one thing of the good document at a
 // time and expects its code, its path and its line.
-func TestFaultsAreNumberedAndPlaced(t *testing.T) {
+func TestFaultsHaveCodePathAndLine(t *testing.T) {
 	cases := []struct {
 		name, old, new string
 		code           code.Code
