--- a/core/config/config_test.go
+++ b/core/config/config_test.go
@@ -131,9 +131,9 @@
 	}
 }
 
-// TestEncodedSizeAtTheDesignSize measures the stored document and keeps it
+// TestEncodedSizeAtDesignScale measures the stored document and keeps it
 // under the platform's limit.
-func TestEncodedSizeAtTheDesignSize(t *testing.T) {
+func TestEncodedSizeAtDesignScale(t *testing.T) {
 	is := is.New(t)
 	var d Document
 	d.Zones = []Zone{{Name: "z1"}}
