--- a/core/config/config_test.go
+++ b/core/config/config_test.go
@@ -68,7 +68,7 @@
 	is.True(!ok)
 }
 
-func TestRoutesOverrideTheirService(t *testing.T) {
+func TestRoutesOverrideService(t *testing.T) {
 	is := is.New(t)
 	s, err := NewSnapshot(mustParse(t, validDocument).Document)
 	is.NoErr(err)
