--- a/core/clock/clock_test.go
+++ b/core/clock/clock_test.go
@@ -7,9 +7,9 @@
 	"github.com/matryer/is"
 )
 
-// TestElapsed: a lease is old if either clock says so; work is spaced by the
+// TestMaxElapsed: a lease is old if either clock says so; work is spaced by the
 // monotonic clock alone.
-func TestElapsed(t *testing.T) {
+func TestMaxElapsed(t *testing.T) {
 	from := Instant{Mono: time.Hour, Wall: time.Unix(1e9, 0)}
 	for _, tt := range []struct {
 		name    string
