--- a/core/instance/own.go
+++ b/core/instance/own.go
@@ -13,8 +13,8 @@
 	"github.com/birchdrift/birchdrift/core/step"
 )
 
-// prefixMemory is how many blocks of prompts an instance remembers the replicas of.
-const prefixMemory = 8192
+// prefixCacheBlocks is how many blocks of prompts an instance remembers the replicas of.
+const prefixCacheBlocks = 8192
 
 // ownParts are the modules that only the product's own environment needs.
 type ownParts struct {
@@ -28,7 +28,7 @@
 // watches of its key-value service, the zone's planner, and the calls of its own
 // interface.
 func (m *Machine) ownEnvironment(totals *demand.Totals) environment {
-	chooser := choose.NewChooser(prefixMemory)
+	chooser := choose.NewChooser(prefixCacheBlocks)
 	asked := meter.New()
 	p := planner.New(planner.Needs{
 		State:   m.state,
