--- a/core/instance/machine.go
+++ b/core/instance/machine.go
@@ -79,9 +79,9 @@
 	// handle takes in an event that only this environment knows, and reports
 	// whether it did.
 	handle func(now clock.Instant, ev step.Event) bool
-	// tick is periodic work: tickFirst before the exchanges, tickLast after.
-	tickFirst []func(now clock.Instant)
-	tickLast  []func(now clock.Instant)
+	// tick is periodic work: tickBeforeExchanges before the exchanges, tickLast after.
+	tickBeforeExchanges []func(now clock.Instant)
+	tickLast            []func(now clock.Instant)
 	// installed takes over a newer configuration.
 	installed func(now clock.Instant, s *config.Snapshot)
 	// configReplied and listReplied end watches of the platform.
@@ -213,7 +213,7 @@
 	m.quarantine.Tick(now)
 	m.notices.Tick(now)
 	m.permits.Tick(now)
-	for _, tick := range m.env.tickFirst {
+	for _, tick := range m.env.tickBeforeExchanges {
 		tick(now)
 	}
 	m.exchanges.Tick(now)
--- a/core/instance/own.go
+++ b/core/instance/own.go
@@ -51,15 +51,15 @@
 	m.exchanges.NextPeer = p.NextPeer
 	parts := &ownParts{planner: p, calls: h, chooser: chooser, meter: asked}
 	return environment{
-		own:           parts,
-		handle:        func(now clock.Instant, ev step.Event) bool { return m.handleOwn(now, parts, ev) },
-		tickFirst:     []func(now clock.Instant){m.exchanges.TickMesh, w.Tick},
-		tickLast:      []func(now clock.Instant){p.Tick},
-		installed:     func(_ clock.Instant, s *config.Snapshot) { p.Configured(s) },
-		configReplied: w.ConfigReplied,
-		listReplied:   w.ListReplied,
-		handOver:      func(clock.Instant) { p.HandOver() },
-		status:        parts.status,
+		own:                 parts,
+		handle:              func(now clock.Instant, ev step.Event) bool { return m.handleOwn(now, parts, ev) },
+		tickBeforeExchanges: []func(now clock.Instant){m.exchanges.TickMesh, w.Tick},
+		tickLast:            []func(now clock.Instant){p.Tick},
+		installed:           func(_ clock.Instant, s *config.Snapshot) { p.Configured(s) },
+		configReplied:       w.ConfigReplied,
+		listReplied:         w.ListReplied,
+		handOver:            func(clock.Instant) { p.HandOver() },
+		status:              parts.status,
 	}
 }
 
--- a/core/instance/platform.go
+++ b/core/instance/platform.go
@@ -42,7 +42,7 @@
 	return environment{
 		platform: &platformParts{placer: placer, watch: w},
 		handle:   func(now clock.Instant, ev step.Event) bool { return m.handlePlatform(now, w, ev) },
-		tickFirst: []func(now clock.Instant){
+		tickBeforeExchanges: []func(now clock.Instant){
 			o.registry.Tick, o.owned.Tick, placer.Tick, m.exchanges.TickMesh, w.Tick,
 		},
 		installed:     func(clock.Instant, *config.Snapshot) {},
