--- a/core/instance/machine.go
+++ b/core/instance/machine.go
@@ -81,7 +81,7 @@
 	handle func(now clock.Instant, ev step.Event) bool
 	// tick is periodic work: tickBeforeExchanges before the exchanges, tickLast after.
 	tickBeforeExchanges []func(now clock.Instant)
-	tickLast            []func(now clock.Instant)
+	tickAfterExchanges  []func(now clock.Instant)
 	// installed takes over a newer configuration.
 	installed func(now clock.Instant, s *config.Snapshot)
 	// configReplied and listReplied end watches of the platform.
@@ -217,7 +217,7 @@
 		tick(now)
 	}
 	m.exchanges.Tick(now)
-	for _, tick := range m.env.tickLast {
+	for _, tick := range m.env.tickAfterExchanges {
 		tick(now)
 	}
 	m.stop.Tick(now)
--- a/core/instance/own.go
+++ b/core/instance/own.go
@@ -54,7 +54,7 @@
 		own:                 parts,
 		handle:              func(now clock.Instant, ev step.Event) bool { return m.handleOwn(now, parts, ev) },
 		tickBeforeExchanges: []func(now clock.Instant){m.exchanges.TickMesh, w.Tick},
-		tickLast:            []func(now clock.Instant){p.Tick},
+		tickAfterExchanges:  []func(now clock.Instant){p.Tick},
 		installed:           func(_ clock.Instant, s *config.Snapshot) { p.Configured(s) },
 		configReplied:       w.ConfigReplied,
 		listReplied:         w.ListReplied,
