--- a/core/instance/machine.go
+++ b/core/instance/machine.go
@@ -226,7 +226,7 @@
 // The longest times between two steps. Expiries of waiting calls, and tasks that
 // moved to this instance, are noticed within them.
 const (
-	wakeEvery     = 250 * time.Millisecond
+	wakeInterval  = 250 * time.Millisecond
 	wakeEveryBusy = 50 * time.Millisecond // while calls are in progress
 	// wakeEveryOrder is the same while requests wait at an engine: adapters take
 	// some milliseconds.
@@ -241,7 +241,7 @@
 	if m.calls.QueueLen() > 0 || m.permits.Waiting() || m.stop.Started() || m.calls.Len() > 0 && m.state.Config.HasForwards() {
 		return wakeEveryBusy
 	}
-	return wakeEvery
+	return wakeInterval
 }
 
 // Stopping reports whether a planned stop has begun.
