--- a/core/instance/machine.go
+++ b/core/instance/machine.go
@@ -226,8 +226,8 @@
 // The longest times between two steps. Expiries of waiting calls, and tasks that
 // moved to this instance, are noticed within them.
 const (
-	wakeInterval  = 250 * time.Millisecond
-	wakeEveryBusy = 50 * time.Millisecond // while calls are in progress
+	wakeInterval     = 250 * time.Millisecond
+	wakeIntervalBusy = 50 * time.Millisecond // while calls are in progress
 	// wakeEveryOrder is the same while requests wait at an engine: adapters take
 	// some milliseconds.
 	wakeEveryOrder = 4 * time.Millisecond
@@ -239,7 +239,7 @@
 		return wakeEveryOrder
 	}
 	if m.calls.QueueLen() > 0 || m.permits.Waiting() || m.stop.Started() || m.calls.Len() > 0 && m.state.Config.HasForwards() {
-		return wakeEveryBusy
+		return wakeIntervalBusy
 	}
 	return wakeInterval
 }
