--- a/core/instance/machine.go
+++ b/core/instance/machine.go
@@ -228,15 +228,15 @@
 const (
 	wakeInterval     = 250 * time.Millisecond
 	wakeIntervalBusy = 50 * time.Millisecond // while calls are in progress
-	// wakeEveryOrder is the same while requests wait at an engine: adapters take
+	// wakeIntervalOrder is the same while requests wait at an engine: adapters take
 	// some milliseconds.
-	wakeEveryOrder = 4 * time.Millisecond
+	wakeIntervalOrder = 4 * time.Millisecond
 )
 
 // NextWake returns how long the driver may wait before the next Tick.
 func (m *Machine) NextWake() time.Duration {
 	if m.orders.owned.Waiting() {
-		return wakeEveryOrder
+		return wakeIntervalOrder
 	}
 	if m.calls.QueueLen() > 0 || m.permits.Waiting() || m.stop.Started() || m.calls.Len() > 0 && m.state.Config.HasForwards() {
 		return wakeIntervalBusy
