--- a/core/instance/machine.go
+++ b/core/instance/machine.go
@@ -122,7 +122,7 @@
 	case Stop:
 		m.stop.Start(now)
 	case OptionsChanged:
-		m.retune(e)
+		m.updateOptions(e)
 	case Tick:
 	}
 }
@@ -193,9 +193,9 @@
 	return true
 }
 
-// retune takes over tunables that may change while the machine runs. What its
+// updateOptions takes over tunables that may change while the machine runs. What its
 // driver was built with stays.
-func (m *Machine) retune(e OptionsChanged) {
+func (m *Machine) updateOptions(e OptionsChanged) {
 	if e.Options.RetryWindow != m.state.Options.RetryWindow {
 		m.budget.Reset()
 	}
