--- a/core/instance/build.go
+++ b/core/instance/build.go
@@ -27,10 +27,10 @@
 
 // orderParts are the modules that get orders to engines.
 type orderParts struct {
-	roster   *watchers.Roster
-	registry *ownership.Registry
-	owned    *owned.Engines
-	asks     *orderclient.Client
+	roster      *watchers.Roster
+	registry    *ownership.Registry
+	owned       *owned.Engines
+	orderClient *orderclient.Client
 }
 
 // New returns the machine of an instance that knows nothing yet. Its random draws
@@ -87,19 +87,19 @@
 		Stopping: m.stop.Started,
 		TellSoon: func(now clock.Instant) { m.exchanges.TellSoon(now) },
 	})
-	o.asks = orderclient.New()
-	o.asks.Self = m.state.Self
-	o.asks.Out = m.state.Out
-	o.asks.Members = m.state.Members
-	o.asks.Pool = m.state.Pool
-	o.asks.Owned = o.owned
-	o.asks.Owner = o.registry.Owner
-	o.asks.Resume = func(now clock.Instant, id calls.ID) { m.forwarding.OrderDone(now, id) }
+	o.orderClient = orderclient.New()
+	o.orderClient.Self = m.state.Self
+	o.orderClient.Out = m.state.Out
+	o.orderClient.Members = m.state.Members
+	o.orderClient.Pool = m.state.Pool
+	o.orderClient.Owned = o.owned
+	o.orderClient.Owner = o.registry.Owner
+	o.orderClient.Resume = func(now clock.Instant, id calls.ID) { m.forwarding.OrderDone(now, id) }
 	o.roster.Instances = o.registry.Instances
 	o.owned.MayOrder = o.registry.MayOrderWithFence
 	o.owned.Published = func(now clock.Instant) { m.exchanges.TellSoon(now) }
 	o.owned.Answered = func(now clock.Instant, engine string, r orders.Request, outcome owned.Outcome, detail string) {
-		o.asks.HandleOutcome(now, orderclient.Key{Engine: engine, Request: r}, outcome, detail)
+		o.orderClient.HandleOutcome(now, orderclient.Key{Engine: engine, Request: r}, outcome, detail)
 	}
 }
 
@@ -158,7 +158,7 @@
 func (m *Machine) buildForwarding(tracker *demand.Tracker) {
 	m.forwarding = forwarding.New(forwarding.Deps{
 		State: m.state,
-		Calls: m.calls, Budget: m.budget, Asks: m.orders.asks, Roster: m.orders.roster, Demand: tracker,
+		Calls: m.calls, Budget: m.budget, Asks: m.orders.orderClient, Roster: m.orders.roster, Demand: tracker,
 		Quarantine: m.quarantine, Permits: m.permits,
 		ListAge: m.exchanges.StoreAge,
 		Used:    m.orders.owned.RecordUse,
--- a/core/instance/machine.go
+++ b/core/instance/machine.go
@@ -186,7 +186,7 @@
 	case owned.RequestReceived:
 		o.owned.HandleRequest(now, e)
 	case orderclient.Reply:
-		o.asks.HandleReply(now, e)
+		o.orderClient.HandleReply(now, e)
 	default:
 		return false
 	}
--- a/core/instance/platform.go
+++ b/core/instance/platform.go
@@ -25,7 +25,7 @@
 	o := &m.orders
 	placer := placement.New(placement.Deps{
 		State:    m.state,
-		Registry: o.registry, Asks: o.asks, Roster: o.roster, OwnDemand: tracker, AllDemand: totals,
+		Registry: o.registry, Asks: o.orderClient, Roster: o.roster, OwnDemand: tracker, AllDemand: totals,
 		Stopping: m.stop.Started, Tell: m.exchanges.StartWith, NextWatcher: m.exchanges.NextWatcher,
 	})
 	w := watch.New(watch.Deps{
