--- a/core/instance/config.go
+++ b/core/instance/config.go
@@ -30,7 +30,7 @@
 // configReplied takes in a configuration that the platform or a peer sent.
 func (m *Machine) configReplied(now clock.Instant, e ConfigReply) {
 	if e.Source == PlatformSource {
-		m.env.configReplied(now, e.Err)
+		m.env.handleConfigReply(now, e.Err)
 	}
 	if e.Err != nil {
 		if e.Snapshot == nil && e.Encoded != nil {
--- a/core/instance/machine.go
+++ b/core/instance/machine.go
@@ -84,9 +84,9 @@
 	tickAfterExchanges  []func(now clock.Instant)
 	// installed takes over a newer configuration.
 	installed func(now clock.Instant, s *config.Snapshot)
-	// configReplied and listReplied end watches of the platform.
-	configReplied func(now clock.Instant, err error)
-	listReplied   func(now clock.Instant, e listing.Reply)
+	// handleConfigReply and listReplied end watches of the platform.
+	handleConfigReply func(now clock.Instant, err error)
+	listReplied       func(now clock.Instant, e listing.Reply)
 	// handOver gives back what others can take over, at a planned stop.
 	handOver func(now clock.Instant)
 	// status fills in what operators see of this environment's modules.
--- a/core/instance/own.go
+++ b/core/instance/own.go
@@ -56,7 +56,7 @@
 		tickBeforeExchanges: []func(now clock.Instant){m.exchanges.TickMesh, w.Tick},
 		tickAfterExchanges:  []func(now clock.Instant){p.Tick},
 		installed:           func(_ clock.Instant, s *config.Snapshot) { p.Configured(s) },
-		configReplied:       w.ConfigReplied,
+		handleConfigReply:   w.ConfigReplied,
 		listReplied:         w.ListReplied,
 		handOver:            func(clock.Instant) { p.HandOver() },
 		status:              parts.status,
--- a/core/instance/platform.go
+++ b/core/instance/platform.go
@@ -45,8 +45,8 @@
 		tickBeforeExchanges: []func(now clock.Instant){
 			o.registry.Tick, o.owned.Tick, placer.Tick, m.exchanges.TickMesh, w.Tick,
 		},
-		installed:     func(clock.Instant, *config.Snapshot) {},
-		configReplied: func(clock.Instant, error) {}, // watch.Reply ends the one watch
+		installed:         func(clock.Instant, *config.Snapshot) {},
+		handleConfigReply: func(clock.Instant, error) {}, // watch.Reply ends the one watch
 		listReplied: func(now clock.Instant, e listing.Reply) {
 			m.exchanges.ObserveStoreVersion(e.Version)
 			m.listing.HandleReply(now, e)
