--- a/core/instance/machine.go
+++ b/core/instance/machine.go
@@ -86,7 +86,7 @@
 	installed func(now clock.Instant, s *config.Snapshot)
 	// handleConfigReply and listReplied end watches of the platform.
 	handleConfigReply func(now clock.Instant, err error)
-	listReplied       func(now clock.Instant, e listing.Reply)
+	handleListReply   func(now clock.Instant, e listing.Reply)
 	// handOver gives back what others can take over, at a planned stop.
 	handOver func(now clock.Instant)
 	// status fills in what operators see of this environment's modules.
@@ -114,7 +114,7 @@
 	case ConfigReply:
 		m.configReplied(now, e)
 	case listing.Reply:
-		m.env.listReplied(now, e)
+		m.env.handleListReply(now, e)
 	case exchange.Reply:
 		m.exchanges.HandleReply(now, e)
 	case exchange.RequestReceived:
--- a/core/instance/own.go
+++ b/core/instance/own.go
@@ -57,7 +57,7 @@
 		tickAfterExchanges:  []func(now clock.Instant){p.Tick},
 		installed:           func(_ clock.Instant, s *config.Snapshot) { p.Configured(s) },
 		handleConfigReply:   w.ConfigReplied,
-		listReplied:         w.ListReplied,
+		handleListReply:     w.ListReplied,
 		handOver:            func(clock.Instant) { p.HandOver() },
 		status:              parts.status,
 	}
--- a/core/instance/platform.go
+++ b/core/instance/platform.go
@@ -47,7 +47,7 @@
 		},
 		installed:         func(clock.Instant, *config.Snapshot) {},
 		handleConfigReply: func(clock.Instant, error) {}, // watch.Reply ends the one watch
-		listReplied: func(now clock.Instant, e listing.Reply) {
+		handleListReply: func(now clock.Instant, e listing.Reply) {
 			m.exchanges.ObserveStoreVersion(e.Version)
 			m.listing.HandleReply(now, e)
 		},
