--- a/core/instance/config.go
+++ b/core/instance/config.go
@@ -56,7 +56,7 @@
 	m.state.Pool.Apply(s)
 	m.orders.owned.Configure()
 	m.replayRecords(now)
-	m.env.installed(now, s)
+	m.env.configInstalled(now, s)
 	m.exchanges.ConfigInstalled(now)
 	m.state.Out.Log(logevent.ConfigInstalled, "revision", s.Revision(), "source", e.Source)
 	m.state.Out.Emit(ConfigInstalled{Snapshot: s})
--- a/core/instance/machine.go
+++ b/core/instance/machine.go
@@ -82,8 +82,8 @@
 	// tick is periodic work: tickBeforeExchanges before the exchanges, tickLast after.
 	tickBeforeExchanges []func(now clock.Instant)
 	tickAfterExchanges  []func(now clock.Instant)
-	// installed takes over a newer configuration.
-	installed func(now clock.Instant, s *config.Snapshot)
+	// configInstalled takes over a newer configuration.
+	configInstalled func(now clock.Instant, s *config.Snapshot)
 	// handleConfigReply and listReplied end watches of the platform.
 	handleConfigReply func(now clock.Instant, err error)
 	handleListReply   func(now clock.Instant, e listing.Reply)
--- a/core/instance/own.go
+++ b/core/instance/own.go
@@ -55,7 +55,7 @@
 		handle:              func(now clock.Instant, ev step.Event) bool { return m.handleOwn(now, parts, ev) },
 		tickBeforeExchanges: []func(now clock.Instant){m.exchanges.TickMesh, w.Tick},
 		tickAfterExchanges:  []func(now clock.Instant){p.Tick},
-		installed:           func(_ clock.Instant, s *config.Snapshot) { p.Configured(s) },
+		configInstalled:     func(_ clock.Instant, s *config.Snapshot) { p.Configured(s) },
 		handleConfigReply:   w.ConfigReplied,
 		handleListReply:     w.ListReplied,
 		handOver:            func(clock.Instant) { p.HandOver() },
--- a/core/instance/platform.go
+++ b/core/instance/platform.go
@@ -45,7 +45,7 @@
 		tickBeforeExchanges: []func(now clock.Instant){
 			o.registry.Tick, o.owned.Tick, placer.Tick, m.exchanges.TickMesh, w.Tick,
 		},
-		installed:         func(clock.Instant, *config.Snapshot) {},
+		configInstalled:   func(clock.Instant, *config.Snapshot) {},
 		handleConfigReply: func(clock.Instant, error) {}, // watch.Reply ends the one watch
 		handleListReply: func(now clock.Instant, e listing.Reply) {
 			m.exchanges.ObserveStoreVersion(e.Version)
