--- a/core/instance/config.go
+++ b/core/instance/config.go
@@ -27,8 +27,8 @@
 // IsAction implements step.Action.
 func (ConfigInstalled) IsAction() {}
 
-// configReplied takes in a configuration that the platform or a peer sent.
-func (m *Machine) configReplied(now clock.Instant, e ConfigReply) {
+// handleConfigReply takes in a configuration that the platform or a peer sent.
+func (m *Machine) handleConfigReply(now clock.Instant, e ConfigReply) {
 	if e.Source == PlatformSource {
 		m.env.handleConfigReply(now, e.Err)
 	}
--- a/core/instance/machine.go
+++ b/core/instance/machine.go
@@ -112,7 +112,7 @@
 	}
 	switch e := ev.(type) {
 	case ConfigReply:
-		m.configReplied(now, e)
+		m.handleConfigReply(now, e)
 	case listing.Reply:
 		m.env.handleListReply(now, e)
 	case exchange.Reply:
