--- a/core/config/check.go
+++ b/core/config/check.go
@@ -10,16 +10,17 @@
 	"github.com/birchdrift/birchdrift/core/policy"
 )
 
-// Limits that a configuration must keep.
+// Limits on the values of a configuration.
 const (
-	maxNameLength = 128
+	maxNameLength = 128 // bytes
 	maxShare      = 1_000_000
-	sha256HexLen  = 64
+	sha256HexLen  = 64 // hex digits
 )
 
 var nameRE = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]*$`)
 
-// Validate returns every fault of the file; none means it may be applied.
+// Validate returns all faults of the file; if there are none, the file may be
+// applied.
 func (f File) Validate() []*code.Error {
 	c := checker{file: f, doc: f.Document.withDefaults()}
 	c.checkZones()
@@ -33,18 +34,19 @@
 	return c.faults
 }
 
-// A checker gathers the faults of one file.
+// A checker collects the faults of one file.
 type checker struct {
 	file            File
 	doc             Document
 	faults          []*code.Error
 	zoneNames       map[string]bool
-	modelMemory     map[string]int64  // memory by model
+	modelMemory     map[string]int64  // in MiB, by model
 	baseModels      map[string]string // base model by adapter
 	policyNames     map[string]bool
-	maxEngineMemory int64 // memory of the largest engine
+	maxEngineMemory int64 // memory of the largest engine, in MiB
 }
 
+// addFault records a fault at path, with its line.
 func (c *checker) addFault(num code.Code, detail string, path ...any) {
 	c.faults = append(c.faults, &code.Error{
 		Code:   num,
@@ -54,11 +56,12 @@
 	})
 }
 
-// checkName checks one checkName and that it is new in seen.
+// checkName reports a name that is malformed or already in seen, and adds it to
+// seen.
 func (c *checker) checkName(seen map[string]bool, name string, path ...any) {
 	path = append(append([]any(nil), path...), "name")
 	if len(name) > maxNameLength || !nameRE.MatchString(name) {
-		c.addFault(code.ConfigBadValue, fmt.Sprintf("%q is not a name: letters, digits, '.', '_' and '-', at most %d", name, maxNameLength), path...)
+		c.addFault(code.ConfigBadValue, fmt.Sprintf("%q is not a valid name: letters, digits, '.', '_' and '-', at most %d bytes", name, maxNameLength), path...)
 		return
 	}
 	if seen[name] {
@@ -69,17 +72,17 @@
 
 func (c *checker) checkPositive(v int64, what string, path ...any) {
 	if v <= 0 {
-		c.addFault(code.ConfigBadValue, fmt.Sprintf("%s is %d, at least 1 allowed", what, v), path...)
+		c.addFault(code.ConfigBadValue, fmt.Sprintf("%s is %d, must be at least 1", what, v), path...)
 	}
 }
 
 // checkEndpoint checks the address and the zone of an upstream.
 func (c *checker) checkEndpoint(address, zone string, path ...any) {
 	if _, err := netip.ParseAddrPort(address); err != nil {
-		c.addFault(code.ConfigBadValue, fmt.Sprintf("%q is not IP:port", address), append(append([]any(nil), path...), "address")...)
+		c.addFault(code.ConfigBadValue, fmt.Sprintf("address %q is not of the form IP:port", address), append(append([]any(nil), path...), "address")...)
 	}
 	if !c.zoneNames[zone] {
-		c.addFault(code.ConfigDanglingName, fmt.Sprintf("no zone %q", zone), append(append([]any(nil), path...), "zone")...)
+		c.addFault(code.ConfigDanglingName, fmt.Sprintf("zone %q is not defined", zone), append(append([]any(nil), path...), "zone")...)
 	}
 }
 
@@ -89,7 +92,7 @@
 		c.checkName(c.zoneNames, z.Name, "zones", i)
 	}
 	if len(c.doc.Zones) == 0 {
-		c.addFault(code.ConfigBadValue, "at least one zone is needed", "zones")
+		c.addFault(code.ConfigBadValue, "at least one zone is required", "zones")
 	}
 }
 
@@ -105,7 +108,7 @@
 	}
 }
 
-// checkModels checks checkModels and adapters, which share one name space because an
+// checkModels checks models and adapters. They share one namespace because an
 // engine's memory holds both as items.
 func (c *checker) checkModels() {
 	c.modelMemory = map[string]int64{}
@@ -122,7 +125,7 @@
 		c.checkPositive(a.MemoryMiB, "memory_mib", "adapters", i, "memory_mib")
 		base, ok := c.modelMemory[a.Model]
 		if !ok {
-			c.addFault(code.ConfigDanglingName, fmt.Sprintf("no model %q", a.Model), "adapters", i, "model")
+			c.addFault(code.ConfigDanglingName, fmt.Sprintf("model %q is not defined", a.Model), "adapters", i, "model")
 			continue
 		}
 		c.baseModels[a.Name] = a.Model
@@ -130,9 +133,10 @@
 	}
 }
 
+// checkFits reports an item that is larger than the memory of every engine.
 func (c *checker) checkFits(mib int64, path ...any) {
 	if mib > c.maxEngineMemory {
-		c.addFault(code.ConfigNeverFits, fmt.Sprintf("%d MiB with its model, the largest engine has %d MiB", mib, c.maxEngineMemory), path...)
+		c.addFault(code.ConfigNeverFits, fmt.Sprintf("needs %d MiB (an adapter together with its model), but the largest engine has %d MiB", mib, c.maxEngineMemory), path...)
 	}
 }
 
@@ -153,7 +157,7 @@
 			}
 		}
 		if p.Default.Priority < 0 || p.Default.Priority > policy.MaxPriority {
-			c.addFault(code.ConfigBadValue, "0 to 100 allowed", "policies", i, "default", "priority")
+			c.addFault(code.ConfigBadValue, "the priority must be between 0 and 100", "policies", i, "default", "priority")
 		}
 	}
 }
@@ -167,14 +171,14 @@
 	for i, s := range c.doc.Services {
 		c.checkName(seen, s.Name, "services", i)
 		if !exactlyOne(len(s.Versions) > 0, len(s.Replicas) > 0, s.Announced != nil) {
-			c.addFault(code.ConfigBadValue, "a service has versions, replicas or announced replicas, one of the three", "services", i)
+			c.addFault(code.ConfigBadValue, "a service must have exactly one of versions, replicas and announced", "services", i)
 		}
 		c.checkAnnounced(i, s.Announced)
 		if s.Policy != "" && !c.policyNames[s.Policy] {
-			c.addFault(code.ConfigDanglingName, fmt.Sprintf("no policy %q", s.Policy), "services", i, "policy")
+			c.addFault(code.ConfigDanglingName, fmt.Sprintf("policy %q is not defined", s.Policy), "services", i, "policy")
 		}
 		if s.Target.FirstToken < 0 || s.Target.BetweenTokens < 0 {
-			c.addFault(code.ConfigBadValue, "targets are positive durations", "services", i, "target")
+			c.addFault(code.ConfigBadValue, "targets must not be negative", "services", i, "target")
 		}
 		c.checkVersions(i, s)
 		for j, r := range s.Replicas {
@@ -191,18 +195,18 @@
 	for j, v := range s.Versions {
 		c.checkName(seen, v.Name, "services", i, "versions", j)
 		if _, ok := c.modelMemory[v.Model]; !ok {
-			c.addFault(code.ConfigDanglingName, fmt.Sprintf("no model %q", v.Model), "services", i, "versions", j, "model")
+			c.addFault(code.ConfigDanglingName, fmt.Sprintf("model %q is not defined", v.Model), "services", i, "versions", j, "model")
 		}
 		if base, ok := c.baseModels[v.Adapter]; v.Adapter != "" && (!ok || base != v.Model) {
-			c.addFault(code.ConfigDanglingName, fmt.Sprintf("no adapter %q on model %q", v.Adapter, v.Model), "services", i, "versions", j, "adapter")
+			c.addFault(code.ConfigDanglingName, fmt.Sprintf("adapter %q is not defined for model %q", v.Adapter, v.Model), "services", i, "versions", j, "adapter")
 		}
 		if v.Share < 0 || v.Share > maxShare {
-			c.addFault(code.ConfigBadValue, fmt.Sprintf("share is %d, 0 to %d allowed", v.Share, maxShare), "services", i, "versions", j, "share")
+			c.addFault(code.ConfigBadValue, fmt.Sprintf("share is %d, must be between 0 and %d", v.Share, maxShare), "services", i, "versions", j, "share")
 		}
 		total += v.Share
 	}
 	if len(s.Versions) > 0 && total <= 0 {
-		c.addFault(code.ConfigBadValue, "the shares of a service sum to 0", "services", i, "versions")
+		c.addFault(code.ConfigBadValue, "the sum of the shares of a service must be positive", "services", i, "versions")
 	}
 }
 
@@ -215,16 +219,18 @@
 	for i, caller := range c.doc.Callers {
 		c.checkName(names, caller.Name, "callers", i)
 		if _, err := hex.DecodeString(caller.KeySHA256); err != nil || len(caller.KeySHA256) != sha256HexLen {
-			c.addFault(code.ConfigBadValue, "not the hex of a SHA-256", "callers", i, "key_sha256")
+			c.addFault(code.ConfigBadValue, "key_sha256 is not a SHA-256 hash in hex", "callers", i, "key_sha256")
 		}
 		for j, s := range caller.Services {
 			if !services[s] {
-				c.addFault(code.ConfigDanglingName, fmt.Sprintf("no service %q", s), "callers", i, "services", j)
+				c.addFault(code.ConfigDanglingName, fmt.Sprintf("service %q is not defined", s), "callers", i, "services", j)
 			}
 		}
 	}
 }
 
+// checkPlannerLimits checks the parameters of the residency planner and of the
+// weight store.
 func (c *checker) checkPlannerLimits() {
 	if c.doc.Residency.MoveCost < 0 {
 		c.addFault(code.ConfigBadValue, "move_cost is negative", "residency", "move_cost")
@@ -233,6 +239,6 @@
 		c.addFault(code.ConfigBadValue, "minimum_stay is negative", "residency", "minimum_stay")
 	}
 	if c.doc.WeightStore.LoadsPerSecond < 0 || c.doc.WeightStore.MaxConcurrentLoads < 0 {
-		c.addFault(code.ConfigBadValue, "limits are positive", "weight_store")
+		c.addFault(code.ConfigBadValue, "limits must not be negative", "weight_store")
 	}
 }
--- a/core/config/check_forward.go
+++ b/core/config/check_forward.go
@@ -7,8 +7,9 @@
 	"github.com/birchdrift/birchdrift/core/code"
 )
 
-// Checks of forwards and of announced services.
+// Validation of forwards and of announced services.
 
+// exactlyOne reports whether exactly one of the conditions is true.
 func exactlyOne(conditions ...bool) bool {
 	n := 0
 	for _, c := range conditions {
@@ -19,7 +20,8 @@
 	return n == 1
 }
 
-// checkAnnounced checks what a service says of replicas that announce themselves.
+// checkAnnounced checks the engine pool of a service whose replicas announce
+// themselves.
 func (c *checker) checkAnnounced(i int, a *Announced) {
 	if a == nil || a.Engine == nil {
 		return
@@ -33,12 +35,12 @@
 		c.checkName(seen, m.Name, path...)
 		c.checkPositive(m.MemoryMB, "memory_mb", append(path, "memory_mb")...)
 		if m.MemoryMB > e.MemoryMB {
-			c.addFault(code.ConfigNeverFits, fmt.Sprintf("%d MB, an engine has %d MB", m.MemoryMB, e.MemoryMB), append(path, "memory_mb")...)
+			c.addFault(code.ConfigNeverFits, fmt.Sprintf("the model needs %d MB, but an engine has %d MB", m.MemoryMB, e.MemoryMB), append(path, "memory_mb")...)
 		}
 	}
 }
 
-// checkForwards checks where calls are sent; a prefix may stand once for each host.
+// checkForwards checks the forwards. A prefix may occur only once for each host.
 func (c *checker) checkForwards() {
 	services := map[string]bool{}
 	for _, s := range c.doc.Services {
@@ -49,43 +51,44 @@
 	for i, f := range c.doc.Forwards {
 		c.checkName(names, f.Name, "forwards", i)
 		if f.Host == "" {
-			c.addFault(code.ConfigBadValue, "a host is needed", "forwards", i, "host")
+			c.addFault(code.ConfigBadValue, "a host is required", "forwards", i, "host")
 		}
 		if !strings.HasPrefix(f.Prefix, "/") || !strings.HasSuffix(f.Prefix, "/") {
-			c.addFault(code.ConfigBadValue, fmt.Sprintf("%q does not begin and end with a slash", f.Prefix), "forwards", i, "prefix")
+			c.addFault(code.ConfigBadValue, fmt.Sprintf("prefix %q does not begin and end with a slash", f.Prefix), "forwards", i, "prefix")
 		}
 		if key := strings.ToLower(f.Host) + f.Prefix; seen[key] {
-			c.addFault(code.ConfigDuplicateName, fmt.Sprintf("%s%s is forwarded twice", f.Host, f.Prefix), "forwards", i)
+			c.addFault(code.ConfigDuplicateName, fmt.Sprintf("%s%s has more than one forward", f.Host, f.Prefix), "forwards", i)
 		} else {
 			seen[key] = true
 		}
 		switch f.Kind {
 		case Repeatable, Once, Stream:
 		default:
-			c.addFault(code.ConfigBadValue, fmt.Sprintf("kind is %q, allowed: repeatable, once, stream", f.Kind), "forwards", i, "kind")
+			c.addFault(code.ConfigBadValue, fmt.Sprintf("kind is %q, must be repeatable, once or stream", f.Kind), "forwards", i, "kind")
 		}
 		if f.Timeout <= 0 {
-			c.addFault(code.ConfigBadValue, "a timeout is needed", "forwards", i, "timeout")
+			c.addFault(code.ConfigBadValue, "a positive timeout is required", "forwards", i, "timeout")
 		}
 		c.checkSplit(i, f, services)
 	}
 }
 
+// checkSplit checks the services and weights of forward i.
 func (c *checker) checkSplit(i int, f Forward, services map[string]bool) {
 	total := 0
 	for j, s := range f.Split {
 		announced, ok := services[s.Service]
 		if !ok {
-			c.addFault(code.ConfigDanglingName, fmt.Sprintf("no service %q", s.Service), "forwards", i, "split", j, "service")
+			c.addFault(code.ConfigDanglingName, fmt.Sprintf("service %q is not defined", s.Service), "forwards", i, "split", j, "service")
 		} else if !announced {
 			c.addFault(code.ConfigBadValue, fmt.Sprintf("the replicas of %q do not announce themselves", s.Service), "forwards", i, "split", j, "service")
 		}
 		if s.Weight < 0 || s.Weight > maxShare {
-			c.addFault(code.ConfigBadValue, fmt.Sprintf("weight is %d, 0 to %d allowed", s.Weight, maxShare), "forwards", i, "split", j, "weight")
+			c.addFault(code.ConfigBadValue, fmt.Sprintf("weight is %d, must be between 0 and %d", s.Weight, maxShare), "forwards", i, "split", j, "weight")
 		}
 		total += s.Weight
 	}
 	if total <= 0 {
-		c.addFault(code.ConfigBadValue, "the weights sum to 0", "forwards", i, "split")
+		c.addFault(code.ConfigBadValue, "the sum of the weights must be positive", "forwards", i, "split")
 	}
 }
--- a/core/config/config_test.go
+++ b/core/config/config_test.go
@@ -48,9 +48,9 @@
 	f.Document.Revision = 3
 	data, err := f.Document.Encode()
 	is.NoErr(err)
-	back, err := Decode(data)
+	decoded, err := Decode(data)
 	is.NoErr(err)
-	s, err := NewSnapshot(back)
+	s, err := NewSnapshot(decoded)
 	is.NoErr(err)
 	is.Equal(s.Revision(), uint64(3))
 	svc, ok := s.Service("notes")
@@ -77,8 +77,8 @@
 	is.True(!svc.MayRepeat("/allocations/7"))
 }
 
-// TestFaultsHaveCodePathAndLine changes one thing of the good document at a
-// time and expects its code, its path and its line.
+// TestFaultsHaveCodePathAndLine introduces one fault at a time into the valid
+// document and expects its code, path and line to be reported.
 func TestFaultsHaveCodePathAndLine(t *testing.T) {
 	cases := []struct {
 		name, old, new string
@@ -131,8 +131,8 @@
 	}
 }
 
-// TestEncodedSizeAtDesignScale measures the stored document and keeps it
-// under the platform's limit.
+// TestEncodedSizeAtDesignScale checks that the encoded document stays well below
+// the platform's limit for one value.
 func TestEncodedSizeAtDesignScale(t *testing.T) {
 	is := is.New(t)
 	var d Document
@@ -155,7 +155,8 @@
 	is.True(len(data) < MaxEncodedBytes/4) // room to grow without sharding
 }
 
-// FuzzParse feeds bytes that operators could send.
+// FuzzParse checks that Parse and Validate do not panic on arbitrary input, such
+// as operators could send.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(validDocument))
 	f.Add([]byte("{"))
@@ -167,7 +168,8 @@
 	})
 }
 
-// FuzzDecode feeds bytes that a peer or the platform could send.
+// FuzzDecode checks that Decode and NewSnapshot do not panic on arbitrary input,
+// such as a peer or the platform could send.
 func FuzzDecode(f *testing.F) {
 	data, err := Document{Revision: 1}.Encode()
 	if err != nil {
--- a/core/config/document.go
+++ b/core/config/document.go
@@ -1,23 +1,25 @@
 // Package config provides the operators' configuration: one versioned
-// document, its checks, and the immutable Snapshot that every decision reads.
+// document, its validation, and the immutable Snapshot that every decision
+// reads.
 //
-// The idea: an instance never reads half of a change. Parse turns bytes into a
-// Document, Check refuses it with every fault named by path and line, and
-// NewSnapshot indexes it once. From then on the Snapshot is shared without
-// locks and never changes; a new revision is a new Snapshot.
+// An instance never sees a partially applied change. Parse turns bytes into a
+// File that holds a Document, File.Validate reports every fault with its path
+// and line, and NewSnapshot indexes the document once. The Snapshot never
+// changes after that and is shared without locks; a new revision is a new
+// Snapshot.
 //
-// Invariants: a Snapshot's Document passed Check; its revision only rises on
-// any one instance (package revision of the state machine keeps that).
+// Invariants: a Snapshot's Document passed Validate; the revision in force on
+// an instance only increases (core/instance enforces that).
 package config
 
 import "time"
 
-// A Document is the whole of the operators' configuration.
+// A Document is the complete configuration that operators write.
 type Document struct {
-	// Revision counts accepted changes. birchctl writes it; operators leave it out.
+	// Revision counts the accepted changes. birchctl sets it; operators omit it.
 	Revision uint64 `yaml:"revision,omitempty"`
 	// ChangeID identifies the apply that wrote this revision, so that an
-	// operator whose answer was lost can recognise his own change.
+	// operator whose response was lost can recognize their own change.
 	ChangeID    string      `yaml:"change,omitempty"`
 	Zones       []Zone      `yaml:"zones"`
 	Engines     []Engine    `yaml:"engines,omitempty"`
@@ -38,59 +40,63 @@
 	Region string `yaml:"region,omitempty"`
 }
 
-// An Engine is one replica that runs models.
+// An Engine is a replica that runs models.
 type Engine struct {
 	Name         string `yaml:"name"`
 	Address      string `yaml:"address"` // IP:port
 	Zone         string `yaml:"zone"`
-	Domain       string `yaml:"domain,omitempty"` // rack or switch it shares fate with
+	Domain       string `yaml:"domain,omitempty"` // failure domain, such as a rack or a switch
 	Accelerators int    `yaml:"accelerators"`
 	MemoryMiB    int64  `yaml:"memory_mib"`
-	Sequences    int    `yaml:"sequences"` // sequences it runs at once
-	// ChecksFence says whether the engine refuses orders under an old fence.
+	Sequences    int    `yaml:"sequences"` // maximum number of concurrent sequences
+	// ChecksFence reports whether the engine rejects orders with an outdated
+	// fencing token.
 	ChecksFence bool `yaml:"checks_fence,omitempty"`
 }
 
-// A Model is a set of weights an engine can hold.
+// A Model is a set of weights that an engine can hold.
 type Model struct {
 	Name      string `yaml:"name"`
 	MemoryMiB int64  `yaml:"memory_mib"`
-	// PrefillPerSecond is the prompt tokens one engine reads a second.
+	// PrefillPerSecond is the number of prompt tokens that one engine processes
+	// per second.
 	PrefillPerSecond int `yaml:"prefill_per_second,omitempty"`
-	// LoadTime is the usual time to load it at the weight store's full speed.
+	// LoadTime is the usual time to load the model at the weight store's full
+	// speed.
 	LoadTime time.Duration `yaml:"load,omitempty"`
 }
 
-// An Adapter is a small set of weights on top of a model.
+// An Adapter is a small set of weights that is applied to a base model.
 type Adapter struct {
 	Name      string `yaml:"name"`
 	Model     string `yaml:"model"`
 	MemoryMiB int64  `yaml:"memory_mib"`
 }
 
-// A Service is what callers name in a call.
+// A Service is the destination that callers name in a call.
 type Service struct {
 	Name string `yaml:"name"`
-	// Versions share the traffic of a model service.
+	// Versions split the traffic of a model service.
 	Versions []Version `yaml:"versions,omitempty"`
-	// Replicas serve a plain service; such a service has no versions.
+	// Replicas serve a plain service, which has no versions.
 	Replicas []Replica `yaml:"replicas,omitempty"`
-	// Announced is set for a service whose replicas announce themselves; such a
-	// service has neither versions nor replicas and is reached by forwards.
+	// Announced is set for a service whose replicas announce themselves. Such a
+	// service has neither versions nor replicas and is reached through forwards.
 	Announced     *Announced `yaml:"announced,omitempty"`
 	NotRepeatable bool       `yaml:"not_repeatable,omitempty"`
-	// Routes mark paths of a plain service that differ from it.
+	// Routes override NotRepeatable for some paths of a plain service.
 	Routes []Route `yaml:"routes,omitempty"`
 	Target Target  `yaml:"target,omitempty"`
 	Policy string  `yaml:"policy,omitempty"`
 }
 
-// A Version is one model, or one adapter on its model, with a share of traffic.
+// A Version is one model, or one adapter with its base model, that receives a
+// share of a service's traffic.
 type Version struct {
 	Name    string `yaml:"name"`
 	Model   string `yaml:"model"`
 	Adapter string `yaml:"adapter,omitempty"`
-	Share   int    `yaml:"share"` // parts; the shares of a service are summed
+	Share   int    `yaml:"share"` // weight relative to the sum of the service's shares
 }
 
 // A Replica is one process of a plain service.
@@ -99,7 +105,7 @@
 	Address       string `yaml:"address"` // IP:port
 	Zone          string `yaml:"zone"`
 	Domain        string `yaml:"domain,omitempty"`
-	MaxConcurrent int    `yaml:"concurrent,omitempty"` // calls it bears at once; 64 if unset
+	MaxConcurrent int    `yaml:"concurrent,omitempty"` // maximum number of concurrent calls; 64 if unset
 }
 
 // A Route overrides its service for paths that begin with Prefix.
@@ -108,53 +114,56 @@
 	NotRepeatable bool   `yaml:"not_repeatable"`
 }
 
-// A Target is what a service promises its callers; zero fields take the defaults.
+// A Target holds the latency targets of a service; zero fields take the defaults.
 type Target struct {
 	FirstToken    time.Duration `yaml:"first_token,omitempty"`
 	BetweenTokens time.Duration `yaml:"between_tokens,omitempty"`
 }
 
-// A Caller is somebody who may call. With no callers configured, all may.
+// A Caller is a client that may make calls. If no callers are configured, any
+// client may.
 type Caller struct {
 	Name      string   `yaml:"name"`
 	KeySHA256 string   `yaml:"key_sha256"`         // hex of the key's SHA-256
-	Services  []string `yaml:"services,omitempty"` // empty admits to every service
+	Services  []string `yaml:"services,omitempty"` // services that it may call; empty means all
 }
 
-// A Policy is a short program that decides about one call. Each expression is
-// CEL over the variables of package policy; an empty one takes the default.
+// A Policy is a set of expressions that are evaluated for each call. They are
+// written in CEL over the variables of package policy; an empty expression
+// takes the default.
 type Policy struct {
 	Name     string  `yaml:"name"`
-	Priority string  `yaml:"priority,omitempty"` // int, 0 to 100; what matters most is 100
+	Priority string  `yaml:"priority,omitempty"` // int, 0 to 100; 100 is the most important
 	Refuse   string  `yaml:"refuse,omitempty"`   // bool
-	Wait     string  `yaml:"wait,omitempty"`     // duration the first token may be late
+	Wait     string  `yaml:"wait,omitempty"`     // duration by which the first token may be late
 	Default  Verdict `yaml:"default,omitempty"`
 }
 
-// A Verdict is what a policy says of a call; as a Policy's Default it stands in
-// for an expression that fails.
+// A Verdict is the result of a policy for one call. A Policy's Default replaces
+// the result of an expression that fails.
 type Verdict struct {
 	Priority int           `yaml:"priority,omitempty"`
 	Refuse   bool          `yaml:"refuse,omitempty"`
 	Wait     time.Duration `yaml:"wait,omitempty"`
 }
 
-// Residency steers the planner.
+// Residency holds the parameters of the residency planner.
 type Residency struct {
-	// MoveCost is the demand, in target seconds saved, that one move must earn.
-	// Higher means fewer moves; 1 is the default.
+	// MoveCost is the least benefit of one move, in target seconds saved. A
+	// higher cost means fewer moves; the default is 1.
 	MoveCost float64 `yaml:"move_cost,omitempty"`
-	// MinimumStay is how long a model stays resident before it may be dropped.
+	// MinimumStay is the least time a model stays resident before it may be
+	// unloaded.
 	MinimumStay time.Duration `yaml:"minimum_stay,omitempty"`
 }
 
-// WeightStore carries the limits of the store that all zones load from.
+// WeightStore holds the limits of the weight store that all zones load from.
 type WeightStore struct {
 	LoadsPerSecond     float64 `yaml:"loads_per_second,omitempty"`
 	MaxConcurrentLoads int     `yaml:"at_once,omitempty"`
 }
 
-// Defaults of fields that operators may leave out.
+// Defaults of the fields that operators may omit.
 const (
 	DefaultFirstToken         = 400 * time.Millisecond
 	DefaultBetweenTokens      = 75 * time.Millisecond
@@ -168,7 +177,7 @@
 	DefaultPriority           = 50
 )
 
-// withDefaults returns d with unset fields filled in.
+// withDefaults returns a copy of d in which unset fields have their defaults.
 func (d Document) withDefaults() Document {
 	d.Models = append([]Model(nil), d.Models...)
 	for i := range d.Models {
--- a/core/config/forward.go
+++ b/core/config/forward.go
@@ -6,56 +6,60 @@
 	"time"
 )
 
-// A Kind says what may be done with the calls of a forward.
+// A Kind states whether and how the calls of a forward may be retried.
 type Kind string
 
 // The kinds of forward.
 const (
 	// Repeatable calls may run more than once.
 	Repeatable Kind = "repeatable"
-	// Once calls run at most once for each call of a caller.
+	// Once calls run at most once per caller's call, so they are not retried
+	// if an attempt may have run.
 	Once Kind = "once"
-	// Stream calls are answered with a series of events. One that is not
-	// resumable runs at most once.
+	// Stream calls return a stream of events. A call that is not resumable runs
+	// at most once.
 	Stream Kind = "stream"
 )
 
-// A Forward sends the calls for one host and path prefix to services, with
+// A Forward routes the calls for one host and path prefix to services, with
 // method, path, query and body unchanged.
 type Forward struct {
 	Name   string `yaml:"name"`
 	Host   string `yaml:"host"`
 	Prefix string `yaml:"prefix"` // begins and ends with a slash
 	Kind   Kind   `yaml:"kind"`
-	// Resumable says that a broken stream may go on at another replica.
+	// Resumable reports whether a broken stream may be resumed at another
+	// replica.
 	Resumable bool `yaml:"resumable,omitempty"`
-	// Timeout is the longest time one call may be held.
+	// Timeout is the longest time that one call may take.
 	Timeout time.Duration `yaml:"timeout"`
-	// Target is the time within which an answer counts in full: its end, or
-	// the first event of a stream.
+	// Target is the latency target, within which a response counts in full. It
+	// applies to the end of a response, or to the first event of a stream.
 	Target time.Duration `yaml:"target,omitempty"`
-	// MaxEventGap is the longest pause between events that keeps a stream in time.
+	// MaxEventGap is the longest time between two events of a stream that meets
+	// its target.
 	MaxEventGap time.Duration `yaml:"gap,omitempty"`
-	// Priority is the rank of the calls; 0 is the most urgent.
+	// Priority is the priority rank of the calls; 0 is the most urgent.
 	Priority int `yaml:"priority,omitempty"`
-	// MaxAttempts bounds the replicas that one call may go to.
+	// MaxAttempts is the maximum number of replicas that one call may be sent to.
 	MaxAttempts int `yaml:"max_attempts,omitempty"`
-	// Split shares the calls out among services by weight.
+	// Split distributes the calls among services by weight.
 	Split []Share `yaml:"split"`
 }
 
-// A Share is one service's part of a forward's calls.
+// A Share is the weight of one service in a forward's split.
 type Share struct {
 	Service string `yaml:"service"`
 	Weight  int    `yaml:"weight"`
 }
 
-// MayRepeat reports whether a call of the forward may run more than once.
+// MayRepeat reports whether a call of the forward may run more than once, so
+// that it may be retried after an attempt that may have run.
 func (f Forward) MayRepeat() bool {
 	return f.Kind == Repeatable || f.Kind == Stream && f.Resumable
 }
 
-// PickService returns the service for a draw in [0,1), by weight.
+// PickService returns the service for a random draw in [0,1), by weight.
 func (f Forward) PickService(draw float64) string {
 	total := 0
 	for _, s := range f.Split {
@@ -71,22 +75,23 @@
 	return f.Split[len(f.Split)-1].Service
 }
 
-// An Announced service has replicas that announce themselves in the platform's
-// list, rather than being named in the configuration.
+// Announced configures a service whose replicas announce themselves in the
+// platform's list instead of being named in the configuration.
 type Announced struct {
-	// MaxConnections bounds the connections to one replica, over all instances.
+	// MaxConnections is the maximum number of connections to one replica, over
+	// all instances.
 	MaxConnections int `yaml:"max_connections,omitempty"`
 	// Engine is set when the replicas run models.
 	Engine *EnginePool `yaml:"engine,omitempty"`
 }
 
-// An EnginePool says what every engine of an announced service is and which
-// models it may hold.
+// An EnginePool describes the engines of an announced service, which are all
+// alike, and the models that they may hold.
 type EnginePool struct {
-	Sequences      int           `yaml:"sequences"`    // calls one engine runs at once
-	CacheTokens    int           `yaml:"cache_tokens"` // tokens its memory for prompts and answers holds
-	MemoryMB       int64         `yaml:"memory_mb"`    // for weights and adapters together
-	MaxAdapters    int           `yaml:"max_adapters"` // adapters one engine may hold
+	Sequences      int           `yaml:"sequences"`    // maximum number of concurrent calls of one engine
+	CacheTokens    int           `yaml:"cache_tokens"` // capacity of its KV cache, for prompts and responses
+	MemoryMB       int64         `yaml:"memory_mb"`    // for weights and adapters together, of one engine
+	MaxAdapters    int           `yaml:"max_adapters"` // maximum number of adapters that one engine may hold
 	LoadsPerSecond float64       `yaml:"loads_per_second"`
 	Models         []PooledModel `yaml:"models"`
 }
@@ -98,11 +103,11 @@
 	LoadTime     time.Duration `yaml:"load"`      // from the weight store
 	DiskLoadTime time.Duration `yaml:"load_disk"` // from the engine's own disk
 	HostLoadTime time.Duration `yaml:"load_host"` // from the engine's host memory
-	AdapterCount int           `yaml:"adapters"`  // how many there are
+	AdapterCount int           `yaml:"adapters"`  // number of adapters of the model
 	AdapterMB    int64         `yaml:"adapter_mb"`
 }
 
-// Model returns the pool's model with this name.
+// Model returns the pool's model with the given name.
 func (p *EnginePool) Model(name string) (PooledModel, bool) {
 	for _, m := range p.Models {
 		if m.Name == name {
@@ -112,7 +117,8 @@
 	return PooledModel{}, false
 }
 
-// Limits bound what callers of forwards may send.
+// Limits bound the requests that callers of forwards may send, and the time they
+// may take.
 type Limits struct {
 	MaxHeaderBytes int           `yaml:"header_bytes,omitempty"`
 	MaxBodyBytes   int64         `yaml:"body_bytes,omitempty"`
@@ -120,7 +126,7 @@
 	IdleTimeout    time.Duration `yaml:"idle_time,omitempty"`
 }
 
-// forwardTable finds the forward of a call: by host, then by longest prefix.
+// A forwardTable holds the forwards by lower-case host, the longest prefix first.
 type forwardTable map[string][]*Forward
 
 func newForwardTable(forwards []Forward) forwardTable {
@@ -136,8 +142,8 @@
 	return t
 }
 
-// Forward returns the forward for a host, with or without a port, and a raw
-// path: the one whose prefix is longest.
+// Forward returns the forward with the longest prefix that matches a raw path, for
+// a host with or without a port.
 func (s *Snapshot) Forward(host, path string) (*Forward, bool) {
 	if at := strings.LastIndexByte(host, ':'); at >= 0 && !strings.HasSuffix(host, "]") {
 		host = host[:at]
--- a/core/config/parse.go
+++ b/core/config/parse.go
@@ -15,21 +15,24 @@
 	"github.com/birchdrift/birchdrift/core/code"
 )
 
-// MaxEncodedBytes is the largest value the platform's service holds, in bytes.
+// MaxEncodedBytes is the size of the largest value that the platform's
+// key-value service stores, in bytes.
 const MaxEncodedBytes = 1 << 20
 
-// maxDecoded bounds what Decode unpacks, so that a small hostile value cannot
-// fill an instance's memory.
+// maxDecoded is the maximum size in bytes of a configuration that Decode
+// decompresses, so that a small malicious value cannot exhaust an instance's
+// memory.
 const maxDecoded = 16 << 20
 
-// A File is a document as an operator wrote it, with the places of its parts.
+// A File is a document as an operator wrote it, with the line of each of its
+// parts.
 type File struct {
 	Document Document
 	root     *yaml.Node
 }
 
-// Parse reads YAML, or JSON as its subset. Unknown fields and malformed values
-// are errors with their line.
+// Parse parses a configuration in YAML, or in JSON as its subset. It returns an
+// error with its line for each unknown field and malformed value.
 func Parse(data []byte) (File, []*code.Error) {
 	var root yaml.Node
 	if err := yaml.Unmarshal(data, &root); err != nil {
@@ -40,7 +43,7 @@
 	var doc Document
 	err := dec.Decode(&doc)
 	if errors.Is(err, io.EOF) {
-		return File{}, []*code.Error{code.Errorf(code.ConfigSyntax, "the document is empty")}
+		return File{}, []*code.Error{code.Errorf(code.ConfigSyntax, "the configuration document is empty")}
 	}
 	var typeErr *yaml.TypeError
 	if errors.As(err, &typeErr) {
@@ -58,7 +61,7 @@
 
 var linePattern = regexp.MustCompile(`line (\d+): `)
 
-// syntaxError turns a message of the YAML library into a numbered error.
+// syntaxError converts an error message of the YAML library to a numbered error.
 func syntaxError(msg string) *code.Error {
 	e := &code.Error{Code: code.ConfigSyntax, Detail: strings.TrimPrefix(msg, "yaml: ")}
 	if m := linePattern.FindStringSubmatch(msg); m != nil {
@@ -71,8 +74,9 @@
 	return e
 }
 
-// lineAt returns the lineAt of the node at path, a mix of field names and indices,
-// or of its nearest ancestor that exists.
+// lineAt returns the line of the node at path, which consists of field names and
+// indices. If there is no such node, it returns the line of the nearest ancestor
+// that exists.
 func (f File) lineAt(path ...any) int {
 	node := f.root
 	if node == nil {
@@ -110,7 +114,7 @@
 	return nil
 }
 
-// pathString renders a path as "services[2].versions[0].model".
+// pathString formats a path, such as "services[2].versions[0].model".
 func pathString(path ...any) string {
 	var b strings.Builder
 	for _, step := range path {
@@ -127,8 +131,8 @@
 	return b.String()
 }
 
-// Encode returns the document as the platform holds it: gzipped YAML. It fails
-// with ConfigTooLarge above MaxEncodedBytes.
+// Encode returns the document in its stored form, gzipped YAML. It fails with
+// ConfigTooLarge if that is larger than MaxEncodedBytes.
 func (d Document) Encode() ([]byte, error) {
 	text, err := yaml.Marshal(d)
 	if err != nil {
@@ -143,22 +147,22 @@
 		return nil, code.Errorf(code.Internal, "compressing the configuration: %v", err)
 	}
 	if buf.Len() > MaxEncodedBytes {
-		return nil, code.Errorf(code.ConfigTooLarge, "%d bytes encoded, at most %d allowed", buf.Len(), MaxEncodedBytes)
+		return nil, code.Errorf(code.ConfigTooLarge, "the encoded configuration has %d bytes, at most %d are allowed", buf.Len(), MaxEncodedBytes)
 	}
 	return buf.Bytes(), nil
 }
 
-// Decode reads what Encode wrote. Unknown fields are kept out silently here,
-// unlike in Parse: an older instance must go on serving while a newer birchctl
-// writes fields that it does not know.
+// Decode decodes a document that Encode wrote. Unlike Parse, it ignores unknown
+// fields: an older instance must continue to serve when a newer birchctl writes
+// fields that it does not know.
 func Decode(data []byte) (Document, error) {
 	zip, err := gzip.NewReader(bytes.NewReader(data))
 	if err != nil {
-		return Document{}, code.Errorf(code.ConfigSyntax, "not a stored configuration: %v", err)
+		return Document{}, code.Errorf(code.ConfigSyntax, "decompressing the stored configuration: %v", err)
 	}
 	text, err := io.ReadAll(io.LimitReader(zip, maxDecoded))
 	if err != nil {
-		return Document{}, code.Errorf(code.ConfigSyntax, "not a stored configuration: %v", err)
+		return Document{}, code.Errorf(code.ConfigSyntax, "decompressing the stored configuration: %v", err)
 	}
 	var doc Document
 	if err := yaml.Unmarshal(text, &doc); err != nil {
@@ -167,5 +171,5 @@
 	return doc, nil
 }
 
-// YAML returns the document as operators read it.
+// YAML returns the document as YAML text for operators.
 func (d Document) YAML() ([]byte, error) { return yaml.Marshal(d) }
--- a/core/config/snapshot.go
+++ b/core/config/snapshot.go
@@ -10,8 +10,8 @@
 	"github.com/birchdrift/birchdrift/core/policy"
 )
 
-// A Snapshot is one accepted revision, indexed for decisions. It is immutable
-// and safe for concurrent use.
+// A Snapshot is one accepted revision, indexed for lookup. It is immutable and
+// safe for concurrent use.
 type Snapshot struct {
 	doc      Document
 	services map[string]*Service
@@ -24,7 +24,7 @@
 }
 
 // NewSnapshot indexes doc and compiles its policies. The document must have
-// passed Check; an error means that it did not.
+// passed File.Validate; otherwise NewSnapshot may return an error.
 func NewSnapshot(doc Document) (*Snapshot, error) {
 	doc = doc.withDefaults()
 	s := &Snapshot{
@@ -62,7 +62,7 @@
 	return s, nil
 }
 
-// Revision returns the revision; a nil snapshot has revision 0.
+// Revision returns the revision of the document; a nil snapshot has revision 0.
 func (s *Snapshot) Revision() uint64 {
 	if s == nil {
 		return 0
@@ -70,12 +70,13 @@
 	return s.doc.Revision
 }
 
-// Document returns the document with its defaults filled in. The caller must
-// not change what its slices hold.
+// Document returns the document with its defaults filled in. The caller must not
+// modify the contents of its slices.
 func (s *Snapshot) Document() Document { return s.doc }
 
-// Service returns the service that a call names. A model's own name serves as
-// a service of that one model, with default targets and no policy.
+// Service returns the service with the given name. The name of a model that no
+// service has denotes a service of that one model, with default targets and no
+// policy.
 func (s *Snapshot) Service(name string) (Service, bool) {
 	if svc, ok := s.services[name]; ok {
 		return *svc, true
@@ -90,8 +91,8 @@
 	return Service{}, false
 }
 
-// EnginePool returns the engines that announce themselves for a service; ok is
-// false if the service has none, or there is no configuration.
+// EnginePool returns the pool of engines that announce themselves for a service;
+// ok is false if the service has none, or there is no configuration.
 func (s *Snapshot) EnginePool(service string) (p *EnginePool, ok bool) {
 	if s == nil {
 		return nil, false
@@ -103,7 +104,7 @@
 	return svc.Announced.Engine, true
 }
 
-// Model returns the model with this name.
+// Model returns the model with the given name.
 func (s *Snapshot) Model(name string) (Model, bool) {
 	if m, ok := s.models[name]; ok {
 		return *m, true
@@ -111,7 +112,7 @@
 	return Model{}, false
 }
 
-// Engine returns the engine with this name.
+// Engine returns the engine with the given name.
 func (s *Snapshot) Engine(name string) (Engine, bool) {
 	if e, ok := s.engines[name]; ok {
 		return *e, true
@@ -130,7 +131,8 @@
 	return 0
 }
 
-// BaseModel returns the model under an adapter, or "" when item is no adapter.
+// BaseModel returns the base model of an adapter, or "" if item is not an
+// adapter.
 func (s *Snapshot) BaseModel(item string) string {
 	if a, ok := s.adapters[item]; ok {
 		return a.Model
@@ -138,11 +140,11 @@
 	return ""
 }
 
-// Policy returns the program of a service, or nil when it has none.
+// Policy returns the compiled policy with the given name, or nil if there is none.
 func (s *Snapshot) Policy(name string) *policy.Program { return s.policies[name] }
 
-// CallerByKey returns the caller that key belongs to. With no callers
-// configured everybody is let in as the caller "".
+// CallerByKey returns the caller that key belongs to. If no callers are
+// configured, every key is accepted, as the caller "".
 func (s *Snapshot) CallerByKey(key string) (Caller, bool) {
 	if len(s.callers) == 0 {
 		return Caller{}, true
@@ -153,8 +155,8 @@
 	if !ok {
 		return Caller{}, false
 	}
-	// The map look-up compares hashes, which leak nothing of the key; the
-	// constant-time comparison keeps that true should the index change.
+	// The map lookup compares hashes, so its timing reveals nothing about the
+	// key. The constant-time comparison keeps that true if the index changes.
 	same := subtle.ConstantTimeCompare([]byte(strings.ToLower(c.KeySHA256)), []byte(digest)) == 1
 	return *c, same
 }
@@ -172,7 +174,7 @@
 	return false
 }
 
-// PickVersion returns the version for a draw in [0,1), by the shares.
+// PickVersion returns the version for a random draw in [0,1), by share.
 func (s Service) PickVersion(draw float64) Version {
 	total := 0
 	for _, v := range s.Versions {
@@ -188,7 +190,8 @@
 	return s.Versions[len(s.Versions)-1]
 }
 
-// MayRepeat reports whether a call to path of the service may run twice.
+// MayRepeat reports whether a call to a path of the service may run more than
+// once.
 func (s Service) MayRepeat(path string) bool {
 	best := -1
 	repeatable := !s.NotRepeatable
@@ -201,7 +204,8 @@
 	return repeatable
 }
 
-// ServiceNames returns what callers may name, services before bare models, sorted.
+// ServiceNames returns the names that callers may use, of services and of models,
+// sorted.
 func (s *Snapshot) ServiceNames() []string {
 	var names []string
 	for name := range s.services {
@@ -216,13 +220,13 @@
 	return names
 }
 
-// A Current holds the configuration in force on one instance. The modules of its
-// machine share it; only the installation of a newer revision writes it. A
-// Current without a snapshot has revision 0.
+// Current holds the configuration in force on one instance. The modules of its
+// state machine share it, and it changes only when a newer revision is installed.
+// A Current without a snapshot has revision 0.
 type Current struct {
 	*Snapshot
-	Encoded []byte // the snapshot as it came, to be handed to peers
+	Encoded []byte // the snapshot as received, to send to peers
 }
 
-// Loaded reports whether there is a configuration at all.
+// Loaded reports whether a configuration is in force.
 func (c *Current) Loaded() bool { return c.Snapshot != nil }
