--- a/core/code/code.go
+++ b/core/code/code.go
@@ -1,9 +1,9 @@
 // Package code provides the numbered result codes that callers and operators
-// see, with the table that docs/codes.md is generated from.
+// see, and the table from which docs/codes.md is generated.
 //
-// A number is never reused for another meaning. The hundreds say who has to
-// act: 1xx the caller, 2xx capacity, 3xx an upstream, 4xx the platform or the
-// operators' configuration, 5xx this program's settings, 9xx a bug.
+// A number is never reused with another meaning. The first digit tells where the
+// cause lies: 1xx the caller, 2xx capacity, 3xx an upstream, 4xx the platform or
+// the operators' configuration, 5xx the settings of this program, 9xx a bug.
 package code
 
 import (
@@ -11,10 +11,10 @@
 	"time"
 )
 
-// A Code is the number of one result.
+// A Code is the number of a result.
 type Code int
 
-// The result codes. Table holds the meaning and the remedy of each.
+// The result codes. Table describes the meaning and the remedy of each.
 const (
 	OK Code = 0
 
@@ -54,50 +54,50 @@
 	Internal            Code = 901
 )
 
-// An Info describes one code for people.
+// An Info describes one code for callers and operators.
 type Info struct {
 	Code    Code
 	Name    string
-	HTTP    int // status sent to a caller; 0 where no caller sees the code
+	HTTP    int // HTTP status sent to callers; 0 if callers never see the code
 	Meaning string
 	Remedy  string
 }
 
-// Table lists every code in rising order.
+// Table lists all codes in ascending order.
 var Table = []Info{
-	{BadRequest, "bad_request", 400, "The call could not be understood.", "Mend the call; the detail names the field."},
+	{BadRequest, "bad_request", 400, "The call is malformed or has an invalid value.", "Correct the call; the detail names the field."},
 	{UnknownService, "unknown_service", 404, "No service, model or route has this name.", "Compare the name with `GET /v1/models` and the configuration."},
-	{Unauthorized, "unauthorized", 401, "The call carries no key that is known here.", "Send `Authorization: Bearer KEY` with a configured key."},
-	{Forbidden, "forbidden", 403, "The caller's key is known but does not admit to this service.", "Ask the operators to add the service to the caller."},
-	{TooLarge, "too_large", 413, "The call's body is larger than the limit.", "Send less, or ask the operators to raise `--max-body`."},
-	{KeyClaimed, "key_claimed", 409, "Another call with the same idempotency key was accepted earlier; this one did not run.", "Look up the outcome of the earlier call; use a new key for a new action."},
-	{RefusedByPolicy, "refused_by_policy", 429, "The operators' policy refuses this call now.", "Come back after `Retry-After`."},
-	{CallerGone, "caller_gone", 499, "The caller closed its connection before the answer was whole.", "None; the work was cancelled at the upstream."},
-	{Quarantined, "quarantined", 503, "Replicas ended while they ran this request, again and again, so it is not run for now.", "Find what in the request ends the replicas (event 1811 names them); come back after `Retry-After`, or send something else."},
-	{CallerSilent, "caller_silent", 408, "The caller sent nothing of its call's body for too long.", "Send the call again; raise `--header-time` for callers that pause."},
-	{NoCapacity, "no_capacity", 503, "Every replica that could serve the call is at its limit and the waiting line is full.", "Come back after `Retry-After`; add accelerators if it lasts."},
-	{TargetMissed, "target_missed", 503, "The call can no longer meet its target, so it was given up before it ran.", "Come back after `Retry-After`."},
-	{NotResident, "not_resident", 503, "The model is being loaded and will not be ready within the call's target.", "Come back after `Retry-After`."},
-	{Stopping, "stopping", 503, "This instance is stopping and takes no new calls.", "Call again; the balancer picks another instance."},
-	{TimedOut, "timed_out", 504, "The time for which the operators let a call be held has passed.", "The `run` field says whether the call may have run; raise the forward's timeout if it is too short."},
+	{Unauthorized, "unauthorized", 401, "The call has no valid API key.", "Send `Authorization: Bearer KEY` with a configured key."},
+	{Forbidden, "forbidden", 403, "The caller's key is valid but does not permit calls to this service.", "Ask the operators to add the service to the caller."},
+	{TooLarge, "too_large", 413, "The body of the call is larger than the limit.", "Send less, or ask the operators to raise `--max-body`."},
+	{KeyClaimed, "key_claimed", 409, "Another call with the same idempotency key was accepted earlier, so this one did not run.", "Look up the outcome of the earlier call, or use a new key for a new action."},
+	{RefusedByPolicy, "refused_by_policy", 429, "The operators' policy currently rejects this call.", "Retry after the time in `Retry-After`."},
+	{CallerGone, "caller_gone", 499, "The caller closed its connection before the response was complete.", "None; the call was cancelled at the upstream."},
+	{Quarantined, "quarantined", 503, "Replicas repeatedly terminated while they ran this request, so it is quarantined and does not run for now.", "Find out what in the request terminates the replicas (event 1811 names them). Retry after the time in `Retry-After`, or send a different request."},
+	{CallerSilent, "caller_silent", 408, "Reading the body timed out because the caller sent nothing for too long.", "Retry the call; raise `--header-time` for callers that pause."},
+	{NoCapacity, "no_capacity", 503, "Every replica that could serve the call is at its limit and the queue is full.", "Retry after the time in `Retry-After`; add accelerators if it persists."},
+	{TargetMissed, "target_missed", 503, "The call could no longer meet its latency target, so it was dropped before it ran.", "Retry after the time in `Retry-After`."},
+	{NotResident, "not_resident", 503, "The model is being loaded and will not be ready within the call's latency target.", "Retry after the time in `Retry-After`."},
+	{Stopping, "stopping", 503, "This instance is stopping and accepts no new calls.", "Retry; the load balancer picks another instance."},
+	{TimedOut, "timed_out", 504, "The call did not complete within the timeout that the operators configured.", "The `run` field tells whether the call may have run; raise the forward's timeout if it is too short."},
 	{NoReplica, "no_replica", 503, "No live replica can serve this service.", "Check the upstreams with `birchctl status`."},
-	{UpstreamBroke, "upstream_broke", 502, "The upstream failed before any part of the answer was delivered.", "The `run` field says whether the call may have run."},
-	{StreamCut, "stream_cut", 502, "The answer was cut after a part of it was delivered and could not be resumed.", "Discard the part; ask again if the call may be repeated."},
-	{UpstreamRefused, "upstream_refused", 502, "The upstream answered with a refusal.", "The detail carries the upstream's status."},
-	{PlatformDown, "platform_down", 503, "The platform's key-value service did not answer and the call needs it.", "Come back after `Retry-After`."},
-	{NoConfiguration, "no_configuration", 503, "This instance has no configuration yet.", "Check that the platform or a peer can be reached."},
-	{ConfigSyntax, "config_syntax", 400, "The configuration is not well-formed YAML or JSON.", "Mend the line that is named."},
+	{UpstreamBroke, "upstream_broke", 502, "The upstream failed before any part of the response was delivered.", "The `run` field tells whether the call may have run."},
+	{StreamCut, "stream_cut", 502, "The response was interrupted after a part of it was delivered, and could not be resumed.", "Discard the part; retry if the call may run more than once."},
+	{UpstreamRefused, "upstream_refused", 502, "The upstream rejected the call.", "The detail contains the upstream's status."},
+	{PlatformDown, "platform_down", 503, "The call needs the platform's key-value service, which did not respond.", "Retry after the time in `Retry-After`."},
+	{NoConfiguration, "no_configuration", 503, "This instance has not received a configuration yet.", "Check that the platform or a peer can be reached."},
+	{ConfigSyntax, "config_syntax", 400, "The configuration is not well-formed YAML or JSON.", "Correct the line in the message."},
 	{ConfigUnknownField, "config_unknown_field", 400, "The configuration has a field that does not exist.", "Remove or rename the field."},
-	{ConfigDanglingName, "config_dangling_name", 400, "The configuration names something that it does not define.", "Define it or mend the name."},
-	{ConfigDuplicateName, "config_duplicate_name", 400, "Two things in the configuration have the same name.", "Rename one."},
-	{ConfigNeverFits, "config_never_fits", 400, "A model or adapter is larger than every engine that could hold it.", "Use a smaller model or a larger engine."},
-	{ConfigBadValue, "config_bad_value", 400, "A value is out of its allowed range.", "Use a value as the detail allows."},
-	{ConfigBadPolicy, "config_bad_policy", 400, "A policy program does not type-check or costs too much.", "Mend the expression; the detail carries the compiler's words."},
-	{ConfigConflict, "config_conflict", 409, "Another operator changed the configuration first; nothing was changed.", "Read the difference, then apply again on the new revision."},
-	{ConfigTooLarge, "config_too_large", 400, "The encoded configuration exceeds the platform's limit for one value.", "Remove what is unused."},
-	{ConfigUnresolved, "config_unresolved", 503, "The platform's answer was lost and reading back did not tell whether the change took effect.", "Run `birchctl get` before applying again."},
+	{ConfigDanglingName, "config_dangling_name", 400, "The configuration refers to a name that it does not define.", "Define it or correct the name."},
+	{ConfigDuplicateName, "config_duplicate_name", 400, "The configuration defines a name twice.", "Rename one of the two."},
+	{ConfigNeverFits, "config_never_fits", 400, "A model or adapter is larger than the memory of every engine that could hold it.", "Use a smaller model or a larger engine."},
+	{ConfigBadValue, "config_bad_value", 400, "A value is outside its allowed range.", "Use a value that the detail allows."},
+	{ConfigBadPolicy, "config_bad_policy", 400, "A policy expression does not type-check or exceeds the cost limit.", "Correct the expression; the detail contains the compiler's message."},
+	{ConfigConflict, "config_conflict", 409, "Another operator changed the configuration first; this change was not applied.", "Review the difference, then apply again on the new revision."},
+	{ConfigTooLarge, "config_too_large", 400, "The encoded configuration exceeds the platform's limit for one value.", "Remove unused parts."},
+	{ConfigUnresolved, "config_unresolved", 503, "The platform's response was lost, and reading the configuration back did not show whether the change took effect.", "Run `birchctl get` before applying again."},
 	{BadSetting, "bad_setting", 0, "A flag or environment variable has a value that is not allowed.", "The message names the setting, its value and what is allowed."},
-	{BadUsage, "bad_usage", 0, "The command line could not be understood.", "See `--help`."},
+	{BadUsage, "bad_usage", 0, "The command line is invalid.", "See `--help`."},
 	{Internal, "internal", 500, "A bug in birchdrift.", "Report it with the log line."},
 }
 
@@ -109,7 +109,7 @@
 	return m
 }()
 
-// Lookup returns the table's row for c; an unknown code yields Internal's row.
+// Lookup returns the table row of c, or the row of Internal if c is unknown.
 func Lookup(c Code) Info {
 	if info, ok := byCode[c]; ok {
 		return info
@@ -117,17 +117,17 @@
 	return byCode[Internal]
 }
 
-// RunState says whether a call ran, as far as this instance can know.
+// RunState states whether a call ran, as far as this instance can know.
 type RunState string
 
-// The values of Run.
+// The run states.
 const (
-	NotRun     RunState = "not_run" // the call certainly did not run
-	Ran        RunState = "ran"     // the call certainly ran
+	NotRun     RunState = "not_run" // the call did not run
+	Ran        RunState = "ran"     // the call ran
 	MayHaveRun RunState = "unknown" // the call may have run
 )
 
-// An Error is a numbered error.
+// An Error is an error with a result code.
 type Error struct {
 	Code   Code
 	Path   string // dotted path within the offending document, if any
@@ -135,12 +135,12 @@
 	Detail string
 }
 
-// Errorf returns an Error with a formatted detail and no place.
+// Errorf returns an Error with a formatted detail and without a path or line.
 func Errorf(c Code, format string, args ...any) *Error {
 	return &Error{Code: c, Detail: fmt.Sprintf(format, args...)}
 }
 
-// Error implements error as "BD-102 unknown_service: detail".
+// Error implements error. It returns a text such as "BD-102 unknown_service: detail".
 func (e *Error) Error() string {
 	head := fmt.Sprintf("BD-%d %s", e.Code, Lookup(e.Code).Name)
 	if e.Line > 0 {
@@ -152,10 +152,10 @@
 	return head + ": " + e.Detail
 }
 
-// A Refusal is the final answer to a call that is not served.
+// A Refusal is the final response to a call that is not served.
 type Refusal struct {
 	Code       Code
 	Run        RunState
-	RetryAfter time.Duration // 0 where coming back makes no sense
+	RetryAfter time.Duration // 0 if retrying is pointless
 	Detail     string
 }
--- a/core/logevent/logevent.go
+++ b/core/logevent/logevent.go
@@ -1,9 +1,9 @@
-// Package logevent provides the numbered events that the product writes to its
-// log: one line for each decision on a call and for each change of what an
-// instance believes.
+// Package logevent provides the numbered events of the log: one line for each
+// decision about a call and for each change in an instance's view of its
+// environment.
 //
-// Numbers and names are never changed or used again, since operators' searches
-// and alerts rest on them. docs/events.md is generated from Catalogue.
+// Numbers and names are never changed or reused, since operators' searches and
+// alerts depend on them. docs/events.md is generated from Catalogue.
 package logevent
 
 import "fmt"
@@ -11,7 +11,7 @@
 // A Number is the number of one log event.
 type Number int
 
-// The log events. Catalogue holds the meaning and the remedy of each.
+// The log events. Catalogue describes the meaning and the remedy of each.
 const (
 	Started            Number = 1001
 	Stopping           Number = 1002
@@ -80,7 +80,7 @@
 	Bug                Number = 1901
 )
 
-// names are the catalogue's names by number.
+// names maps the number of each event to its name in the catalogue.
 var names = func() map[Number]string {
 	m := make(map[Number]string, len(Catalogue))
 	for _, e := range Catalogue {
@@ -89,7 +89,7 @@
 	return m
 }()
 
-// Name returns the event's name in the catalogue.
+// Name returns the event's name in the catalogue, or event_N for an unknown number.
 func (n Number) Name() string {
 	if name, ok := names[n]; ok {
 		return name
@@ -97,7 +97,7 @@
 	return fmt.Sprintf("event_%d", int(n))
 }
 
-// An Entry describes one log event for people.
+// An Entry describes one log event for operators.
 type Entry struct {
 	Number  Number
 	Name    string
@@ -105,71 +105,71 @@
 	Remedy  string
 }
 
-// Catalogue lists every log event in rising order.
+// Catalogue lists all log events in ascending order of their numbers.
 var Catalogue = []Entry{
 	{Started, "started", "The process started with the settings shown.", "None."},
-	{Stopping, "stopping", "A planned stop began.", "None."},
-	{Stopped, "stopped", "The stop is complete; `cut` counts the calls that it cut off.", "If `cut` is not 0, raise `--stop-limit`."},
+	{Stopping, "stopping", "A planned stop started.", "None."},
+	{Stopped, "stopped", "The planned stop is complete; `cut` is the number of calls that it aborted.", "If `cut` is not 0, raise `--stop-limit`."},
 	{Listening, "listening", "A listener accepts connections.", "None."},
-	{SettingsReloaded, "settings_reloaded", "Changed settings are in force; those that need a restart keep their old value until then.", "None."},
-	{SettingsRefused, "settings_refused", "The changed settings are wrong; the old ones stay in force.", "Mend what the detail names."},
-	{SleepUncounted, "sleep_uncounted", "The system offers no clock that counts the time for which the machine sleeps; rights are judged by the wall clock as well, which may be set back.", "Keep the machine from being suspended, or its wall clock from being set back."},
-	{BoundTooShort, "bound_too_short", "The bound for replicas that leave is shorter than what the waits on the way to it come to at their least; they are kept at that, and listed.", "Ask for a longer bound, or exchange more often (`--exchange-every`)."},
+	{SettingsReloaded, "settings_reloaded", "Changed settings are in force, except those that need a restart, which keep their old value until then.", "None."},
+	{SettingsRefused, "settings_refused", "The changed settings are invalid; the old ones stay in force.", "Correct what the detail names."},
+	{SleepUncounted, "sleep_uncounted", "The system has no clock that includes the time for which the machine is suspended. The expiry of leases is therefore checked against the wall clock as well, which may be set back.", "Keep the machine from being suspended, or its wall clock from being set back."},
+	{BoundTooShort, "bound_too_short", "The bound for leaving replicas is shorter than the sum of the least delays that it consists of. These keep their least values, which are listed.", "Configure a longer bound (`--leave-bound`), or more frequent exchanges (`--exchange-every`)."},
 	{ConfigInstalled, "configuration_installed", "A configuration revision is in force on this instance.", "None."},
-	{OlderConfigIgnored, "older_configuration_ignored", "Somebody offered a revision that is not newer than the one in force.", "None; a burst after a zone heals is usual."},
-	{ConfigFailed, "configuration_failed", "A stored configuration could not be taken over; the one in force stays.", "Apply a good one with `birchctl apply`."},
-	{PlatformDown, "platform_down", "The platform's key-value service does not answer.", "Check the platform. Calls whose models are resident go on."},
-	{PlatformBack, "platform_back", "The platform's key-value service answers again.", "None."},
-	{LeaseGained, "lease_gained", "This instance plans for its zone from now on.", "None."},
-	{LeaseLost, "lease_lost", "Another instance plans for this zone.", "None."},
-	{LeaseInDoubt, "lease_in_doubt", "The lease may have lapsed; only engines that check fences are still ordered.", "Check the platform if it lasts."},
-	{IntentsConflict, "intents_conflict", "Another holder has written the zone's intents; this one stops ordering.", "None."},
-	{Enrolled, "enrolled", "This instance's record stands in the platform's store.", "None."},
-	{EnrolmentLost, "enrolment_lost", "The platform dropped this instance's record; it is written again.", "None; often means that the platform was out of reach for longer than the record's term."},
-	{EngineTaken, "engine_taken", "This instance orders the engine from now on, at the earliest after `wait`.", "None."},
-	{EngineLost, "engine_lost", "This instance no longer orders the engine.", "None."},
-	{NotReturned, "not_returned", "At a planned stop, or after a call that did not run, something could not be given back to the platform; others wait until it lapses.", "Check the platform if it lasts."},
-	{RecordUnreadable, "record_unreadable", "A record in the platform's store cannot be read and is passed over.", "See who wrote the key. A replica's entry that lacks a service, zone, address or state, or has one that is not known, counts too; what was known of the replica stays."},
-	{Watching, "watching", "This instance watches the platform's store from now on, or no longer does (`keeps`), and why.", "None; one that begins again and again hears too late from its peers."},
-	{StoreSteppedBack, "store_stepped_back", "The platform's store came back from an older copy of itself. This instance begins a new lease and claims the `engines` again that it orders; calls go on.", "Ask the platform's operators. See docs/OPERATIONS.md, \"The store came back from an older copy\"."},
-	{ListOld, "list_old", "What this instance knows of the platform's list is older than a sound platform and sound peers would let it be (`age_ms`, `most_ms`), though the platform is not known to be down. Calls go on.", "See whether `platform_down` or `peer_failed` follows; else connections hang. Calls that reach a replica too late after it left have such an age in `call_sent`."},
-	{ListCurrent, "list_current", "The list is as young again as it should be; `oldest_ms` is how old it became.", "None."},
-	{Placing, "placing", "This instance places models from now on.", "None."},
-	{Placement, "placement", "A model is to be loaded on an engine, and others to make way for it.", "None; `worth` and `cost` say why."},
-	{PlacementEnded, "placement_ended", "A placement is done, or was given up.", "None."},
+	{OlderConfigIgnored, "older_configuration_ignored", "The platform or a peer sent a revision older than the one in force; it is ignored.", "None; many at once are normal after a zone reconnects."},
+	{ConfigFailed, "configuration_failed", "A received configuration is invalid and was not installed; the one in force stays.", "Apply a valid one with `birchctl apply`."},
+	{PlatformDown, "platform_down", "The platform's key-value service does not respond.", "Check the platform. Calls whose models are resident are still served."},
+	{PlatformBack, "platform_back", "The platform's key-value service responds again.", "None."},
+	{LeaseGained, "lease_gained", "This instance is now the planner of its zone.", "None."},
+	{LeaseLost, "lease_lost", "Another instance is now the planner of this zone.", "None."},
+	{LeaseInDoubt, "lease_in_doubt", "The lease may have expired; only engines that check fences still receive orders.", "Check the platform if it persists."},
+	{IntentsConflict, "intents_conflict", "Another lease holder wrote the zone's intents; this instance stops sending orders.", "None."},
+	{Enrolled, "enrolled", "This instance's registration is stored in the platform's store.", "None."},
+	{EnrolmentLost, "enrolment_lost", "This instance's registration is missing from the platform's store; it is written again.", "None; usually the platform was unreachable for longer than the term of the registration's lease."},
+	{EngineTaken, "engine_taken", "This instance is now the owner of the engine and sends it orders after `wait` at the earliest.", "None."},
+	{EngineLost, "engine_lost", "This instance is no longer the owner of the engine.", "None."},
+	{NotReturned, "not_returned", "At a planned stop, or after a call that did not run, an ownership, the placer role, a lease or a claim could not be released at the platform; other instances wait until it expires.", "Check the platform if it persists."},
+	{RecordUnreadable, "record_unreadable", "A record in the platform's store is malformed and is ignored.", "Find out who wrote the key. The event is also logged for a replica's entry whose service, zone, address or state is missing or unknown; the instance then keeps what it knew of the replica."},
+	{Watching, "watching", "This instance starts or stops watching the platform's store (`keeps`), with the reason.", "None; an instance that starts repeatedly receives updates from its peers too late."},
+	{StoreSteppedBack, "store_stepped_back", "The platform's store was restored from an older copy. This instance starts a new lease and claims again the `engines` that it owns; calls continue.", "Contact the platform's operators. See docs/OPERATIONS.md, \"The store came back from an older copy\"."},
+	{ListOld, "list_old", "This instance's view of the platform's list is older (`age_ms`) than it can be while the platform and the peers work (`most_ms`), although no outage of the platform has been detected. Calls continue.", "Check whether `platform_down` or `peer_failed` follows; otherwise connections hang. Calls that reach a replica too long after it left have such an age in `call_sent`."},
+	{ListCurrent, "list_current", "The view of the platform's list is up to date again; `oldest_ms` is the greatest age that it reached.", "None."},
+	{Placing, "placing", "This instance is now the placer.", "None."},
+	{Placement, "placement", "The placer decided to load a model on an engine, and to unload others to make room for it.", "None; `worth` and `cost` give the reason."},
+	{PlacementEnded, "placement_ended", "A placement is complete, or was abandoned.", "None."},
 	{Order, "order", "An order was sent to an engine.", "None."},
-	{OrderRefused, "order_refused", "An engine refused an order.", "Read the detail; an engine out of memory that the ledger thought free is a bug."},
-	{OrderLost, "order_lost", "An order's answer is lost; its memory stays booked until the engine's state tells.", "Check the engine if it lasts."},
-	{OrderFenced, "order_fenced", "An engine has seen a later fence than this instance's.", "None; another instance plans for the zone."},
-	{OvercommitAverted, "overcommit_averted", "The plan asked for a step that the ledger refused.", "None; rare lines are usual when state changes under a plan."},
+	{OrderRefused, "order_refused", "An engine rejected an order.", "Read the detail; if the engine is out of memory that is free by the ledger, report a bug."},
+	{OrderLost, "order_lost", "The response to an order was lost; its memory stays booked until the engine's state shows the outcome.", "Check the engine if it persists."},
+	{OrderFenced, "order_fenced", "An engine has seen a newer fence than this instance's.", "None; another instance is the planner of the zone."},
+	{OvercommitAverted, "overcommit_averted", "The ledger rejected a step of the plan.", "None; occasional events are normal when the state changes during planning."},
 	{EngineOrder, "engine_order", "An order was sent to an announced engine.", "None."},
-	{EngineAnswer, "engine_answer", "What came of an order to an announced engine.", "Many that are lost: check the engine."},
-	{EngineState, "engine_state", "An announced engine was asked for its state.", "None."},
-	{OrderRefusedHere, "order_refused_here", "A peer asked for an order that this instance will not give now.", "Read the reason."},
-	{EngineStateFailed, "engine_state_failed", "An announced engine did not say its state; it is asked again.", "Many for one engine: check it."},
-	{UpstreamLeaving, "upstream_leaving", "An upstream is leaving and gets no new work.", "None."},
+	{EngineAnswer, "engine_answer", "The outcome of an order to an announced engine.", "If many are lost, check the engine."},
+	{EngineState, "engine_state", "The state of an announced engine was read.", "None."},
+	{OrderRefusedHere, "order_refused_here", "This instance rejected a request to send an order, usually from a peer.", "Read the detail."},
+	{EngineStateFailed, "engine_state_failed", "Reading the state of an announced engine failed; it is retried.", "If there are many for one engine, check it."},
+	{UpstreamLeaving, "upstream_leaving", "An upstream is leaving and receives no new calls.", "None."},
 	{UpstreamAnnounced, "upstream_announced", "A replica announced itself in the platform's list.", "None."},
-	{UpstreamVanished, "upstream_vanished", "A replica's entry is gone from the platform's list; it is used for a moment more where nothing better is there.", "None; many at once mean that the platform lost its leases."},
-	{UpstreamEnded, "upstream_ended", "A replica ended without a word while it had calls of this instance; they are reported to all instances.", "Many: look for 1811, which names the request that is blamed."},
-	{UpstreamNotice, "upstream_notice", "A replica said of itself in an answer that it leaves, or for how long it wants nothing from this instance.", "None; one that asks for rest again and again is overloaded."},
-	{UpstreamRestarted, "upstream_restarted", "A replica started again under its name, or at another address; calls that were there are settled as after a crash.", "None; again and again: look at what ends it."},
-	{HeaderUnread, "header_unread", "An answer of a replica or of the platform's store had a header that nothing here reads; each name is logged once.", "See what the platform's pages say of it. If it asks something of callers, nothing here does that yet: report it."},
-	{UpstreamLimit, "upstream_limit", "A replica names how many requests a second it takes from all instances together, another number, or none any more (`named`); `by` is the instance that had its answer, `ago_ms` before.", "None; one that names a limit is in need: look at what runs there."},
-	{PeerFailed, "peer_failed", "An exchange with a peer failed.", "Check the network between the instances if it lasts."},
-	{PolicyFailed, "policy_failed", "A policy expression failed at run time; its declared default was used.", "Mend the expression."},
-	{CallFailed, "call_failed", "A call got a final answer that is not its upstream's.", "Look the code up in docs/codes.md."},
-	{CallRetried, "call_retried", "A call was sent to another replica after an attempt broke.", "None; watch the rate."},
-	{CallResumed, "call_resumed", "A broken stream goes on at its offset.", "None; watch the rate."},
-	{CallSent, "call_sent", "A forwarded call was sent to a replica: what was expected of it, from which load and how old its announcement was.", "None."},
-	{CallServed, "call_served", "A forwarded call's answer is whole; how long its parts took.", "None."},
-	{CallWaits, "call_waits", "A forwarded call waits here, for an order or for its model.", "None."},
-	{ProbeFailed, "probe_failed", "An engine did not say in time how busy it is; the call goes by what is known.", "Many: check the engine, or raise `--load-wait`."},
-	{CancelFailed, "cancel_failed", "A replica could not be told to drop a call; it notices the closed connection.", "None; many for one upstream: check it."},
-	{HeaderIgnored, "header_ignored", "A forwarded call's header makes no sense and counts as absent; it only steers decisions.", "Mend the caller that sends it."},
-	{CallNotRepeated, "call_not_repeated", "A forwarded call's attempt failed and it does not go to another replica; `reason` says why.", "Many with the retry budget used up: an upstream is failing."},
-	{RequestQuarantined, "request_quarantined", "A request is not run for `term`, since the replicas named in `upstreams` ended under it.", "Find the calls by their `fingerprint` in 1804, and what in them ends the replicas."},
-	{RequestReleased, "request_released", "A request is run again: it was served, or the ends of replicas are put down to another.", "None."},
-	{QuarantineNotKept, "quarantine_not_kept", "A quarantine could not be written to the platform's store; it is tried again. All instances that run know of it.", "Check the platform if it lasts."},
-	{PermitFailed, "permit_failed", "A peer that gives out the permits of a replica which names a limit did not answer; another one is asked.", "Check the network between the instances if it lasts."},
-	{Bug, "bug", "The program met a state that it holds impossible.", "Report it with the line."},
+	{UpstreamVanished, "upstream_vanished", "A replica's entry is missing from the platform's list; during a grace period the replica is still used if there is no better one.", "None; if there are many at once, the platform lost its leases."},
+	{UpstreamEnded, "upstream_ended", "A replica terminated without announcing it while it ran calls of this instance. The calls are reported to all instances.", "If there are many, look for event 1811, which names the suspected request."},
+	{UpstreamNotice, "upstream_notice", "A replica stated in a response that it is leaving, or for how long this instance must send it nothing (its rest).", "None; a replica that repeatedly asks for a rest is overloaded."},
+	{UpstreamRestarted, "upstream_restarted", "A replica restarted under its name or at another address; its calls are handled as after a crash.", "None; if it is frequent, find out what terminates the replica."},
+	{HeaderUnread, "header_unread", "A response of a replica or of the platform's store has a header that is not supported; each name is logged once.", "Look the header up in the platform's documentation. If it requires something of callers, that is not implemented yet: report it."},
+	{UpstreamLimit, "upstream_limit", "A replica set, changed or withdrew (`named`) its rate limit, the requests per second that it accepts from all instances together; `by` is the instance that received its response, `ago_ms` earlier.", "None; a replica that sets a rate limit is overloaded: check what runs there."},
+	{PeerFailed, "peer_failed", "An exchange with a peer failed.", "Check the network between the instances if it persists."},
+	{PolicyFailed, "policy_failed", "A policy expression failed at run time; the policy's default was used.", "Correct the expression."},
+	{CallFailed, "call_failed", "A call received a final response that is not its upstream's.", "Look the code up in docs/codes.md."},
+	{CallRetried, "call_retried", "A call was retried at another replica after an attempt failed.", "None; monitor the rate."},
+	{CallResumed, "call_resumed", "A broken stream was resumed at its offset.", "None; monitor the rate."},
+	{CallSent, "call_sent", "A forwarded call was sent to a replica, with the expected latency, the load that it is based on, and the age of the replica's announcement.", "None."},
+	{CallServed, "call_served", "The response to a forwarded call is complete, with the durations of its parts.", "None."},
+	{CallWaits, "call_waits", "A forwarded call waits at this instance, for example for an order or for its model; see `for`.", "None."},
+	{ProbeFailed, "probe_failed", "An engine did not respond to a load probe in time; the call is routed by the load known so far.", "If there are many, check the engine, or raise `--load-wait`."},
+	{CancelFailed, "cancel_failed", "A request to a replica to cancel a call failed; the replica notices the closed connection.", "None; if there are many for one upstream, check it."},
+	{HeaderIgnored, "header_ignored", "A header of a forwarded call is invalid and is ignored; it only influences decisions.", "Correct the caller that sends it."},
+	{CallNotRepeated, "call_not_repeated", "An attempt of a forwarded call failed and is not retried at another replica; see `reason`.", "If there are many because the retry budget is used up, an upstream is failing."},
+	{RequestQuarantined, "request_quarantined", "A request is quarantined for `term`, because the replicas named in `upstreams` terminated while they ran it.", "Find the calls by their `fingerprint` in event 1804, and what in them terminates the replicas."},
+	{RequestReleased, "request_released", "A request is no longer quarantined: it was served, or the terminations of the replicas are attributed to another request.", "None."},
+	{QuarantineNotKept, "quarantine_not_kept", "Writing a quarantine to the platform's store failed; it is retried. All running instances know of the quarantine.", "Check the platform if it persists."},
+	{PermitFailed, "permit_failed", "The coordinator of the permits of a rate-limited replica did not respond; another peer is asked.", "Check the network between the instances if it persists."},
+	{Bug, "bug", "The program reached a state that should be impossible.", "Report it with the log line."},
 }
