--- a/core/shared/shared.go
+++ b/core/shared/shared.go
@@ -31,8 +31,8 @@
 	Outage  *outage.Tracker
 }
 
-// maxPlatformBackoff returns after how long the platform is called again at the latest after a failure.
-func maxPlatformBackoff(opt option.Options) time.Duration {
+// maxRetryDelay returns after how long the platform is called again at the latest after a failure.
+func maxRetryDelay(opt option.Options) time.Duration {
 	if opt.Environment == option.Platform {
 		return opt.Bounds.MaxRetryDelay()
 	}
@@ -52,6 +52,6 @@
 		Pool:    pool.New(),
 		Records: gossip.NewSet(),
 		Config:  &config.Current{},
-		Outage:  outage.New(out, maxPlatformBackoff(opt)),
+		Outage:  outage.New(out, maxRetryDelay(opt)),
 	}
 }
