--- a/core/clock/clock_test.go
+++ b/core/clock/clock_test.go
@@ -7,8 +7,8 @@
 	"github.com/matryer/is"
 )
 
-// TestMaxElapsed: a lease is old if either clock says so; work is spaced by the
-// monotonic clock alone.
+// TestMaxElapsed checks that the elapsed time of a lease is the larger of the two
+// clocks', while Since, which periodic work uses, is the monotonic clock's alone.
 func TestMaxElapsed(t *testing.T) {
 	from := Instant{Mono: time.Hour, Wall: time.Unix(1e9, 0)}
 	for _, tt := range []struct {
@@ -17,9 +17,9 @@
 		wall    time.Duration
 		elapsed time.Duration
 	}{
-		{"both went on", time.Second, time.Second, time.Second},
+		{"both clocks advance", time.Second, time.Second, time.Second},
 		{"the machine was suspended", time.Second, time.Minute, time.Minute},
-		{"somebody set the wall clock back", time.Second, -time.Minute, time.Second},
+		{"the wall clock was set back", time.Second, -time.Minute, time.Second},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
--- a/core/clock/clocktest/clocktest.go
+++ b/core/clock/clocktest/clocktest.go
@@ -1,4 +1,4 @@
-// Package clocktest provides instants for tests, which drive their own clock.
+// Package clocktest provides instants for tests that simulate the clock.
 package clocktest
 
 import (
--- a/core/option/option.go
+++ b/core/option/option.go
@@ -1,6 +1,6 @@
-// Package option provides the tunables of an instance's state machine. A driver
-// fills them from settings. The machine keeps one Options, which all its modules
-// read; a change of settings replaces it between two steps.
+// Package option provides the options of an instance's state machine. The driver
+// sets them from the settings. The machine has one Options value, which all its
+// modules read; a change of the settings replaces it between two steps.
 package option
 
 import (
@@ -9,106 +9,112 @@
 	"github.com/birchdrift/birchdrift/core/bounds"
 )
 
-// Options are the tunables of a machine, all in one table. The zero value is not usable; start
+// Options are the options of a state machine. The zero value is not usable; start
 // from Default.
 type Options struct {
-	// LeaseTerm is the term of the planner's lease.
+	// LeaseTerm is the term of the zone planner's lease.
 	LeaseTerm time.Duration
-	// ExchangeEvery spaces the exchanges that this instance begins.
+	// ExchangeEvery is the time between the exchanges that this instance starts.
 	ExchangeEvery time.Duration
-	// ReadEvery spaces the reads of one engine's state; it grows with the
-	// number of engines that this instance reads.
+	// ReadEvery is the time between two reads of one engine's state. It grows
+	// with the number of engines that this instance reads.
 	ReadEvery time.Duration
-	// BusyReadEvery spaces the planner's reads of an engine that is loading or
-	// unloading.
+	// BusyReadEvery is the time between the planner's reads of an engine that is
+	// loading or unloading an item.
 	BusyReadEvery time.Duration
-	// PlanEvery spaces the residency plans.
+	// PlanEvery is the time between residency plans.
 	PlanEvery time.Duration
-	// WatchWait is how long one watch call waits at the platform. On a users' platform, 0 means
-	// that it follows from Bounds.
+	// WatchWait is how long one watch call waits at the platform for a change.
+	// On a users' platform, 0 means that the time is derived from Bounds.
 	WatchWait time.Duration
-	// Stall is how long an upstream may send nothing before its attempt counts
-	// as broken.
+	// Stall is how long an upstream may send nothing before the attempt counts as
+	// failed.
 	Stall time.Duration
-	// MaxWaiting bounds the calls that wait here for a replica.
+	// MaxWaiting is the maximum number of calls that wait at this instance for a
+	// replica.
 	MaxWaiting int
-	// DefaultWait is how late a first token may be when no policy says.
+	// DefaultWait is how late a first token may be if no policy specifies it.
 	DefaultWait time.Duration
-	// ClaimLife is how long a claim of an idempotency key lives.
+	// ClaimLife is the time to live of a claim of an idempotency key.
 	ClaimLife time.Duration
-	// StopDelay is how long a stopping instance goes on taking calls, so that
-	// the balancer has time to see that it is not ready.
+	// StopDelay is how long a stopping instance continues to accept calls, so
+	// that the load balancer has time to notice that it is not ready.
 	StopDelay time.Duration
-	// StopLimit is how long a stopping instance waits for calls to end.
+	// StopLimit is how long a stopping instance waits for its calls to end.
 	StopLimit time.Duration
-	// RetryWindow is the span over which repeats of calls are counted, RetryRatio
-	// the share of a service's calls that they may be, and RetrySlack how many more
-	// all instances together may make.
+	// RetryWindow is the window over which retries are counted. RetryRatio is the
+	// largest ratio of retries to the calls of a service, and RetrySlack is the
+	// number of retries beyond it that all instances together may make.
 	RetryWindow time.Duration
 	RetryRatio  float64
 	RetrySlack  float64
-	// Watchers is how many instances of a zone watch the platform; where it is
-	// watched as one and the fleet is small, all do.
+	// Watchers is the number of instances of a zone that watch the platform. If
+	// one watch covers the whole store and the fleet is small, all instances do.
 	Watchers int
-	// WatchEvery is the least time between two watch calls of one kind, so
-	// that changes that come together are heard together. On a users' platform, 0 means that
-	// it follows from Bounds.
+	// WatchEvery is the least time between two watch calls of one kind, so that
+	// one call returns all changes of a burst. On a users' platform, 0 means that
+	// the time is derived from Bounds.
 	WatchEvery time.Duration
-	// EnrolTerm is the term of the lease on which an instance's record hangs,
-	// KeepEvery the spacing of its renewals.
+	// EnrolTerm is the term of the lease that an instance's registration is
+	// attached to, and KeepEvery is the time between its renewals.
 	EnrolTerm time.Duration
 	KeepEvery time.Duration
-	// OrderValid is how long after its last renewal an owner may give orders.
+	// OrderValid is how long after the last renewal of its lease an owner may send
+	// orders.
 	OrderValid time.Duration
-	// TurnGap is the least time between the orders of two owners of an engine.
+	// TurnGap is the least time between the orders of two successive owners of an
+	// engine.
 	TurnGap time.Duration
-	// AbsentFor is how long an owner's record must have been gone, while the
-	// store answered, before its engines are taken over.
+	// AbsentFor is how long an owner's registration must have been missing, while
+	// the store responded, before its engines are taken over.
 	AbsentFor time.Duration
-	// MeshEvery spaces the exchanges with every peer of a small fleet; 0 means
-	// that there are none.
+	// MeshEvery is the time between the exchanges with every peer of a small
+	// fleet; 0 disables them.
 	MeshEvery time.Duration
-	// ProbeWait is how long a forwarded call waits for engines to say how busy
-	// they are, in a fleet too large to exchange pairwise; 0: it does not ask.
+	// ProbeWait is how long a forwarded call waits for the load probes of engines,
+	// in a fleet that is too large for a full mesh of exchanges; 0 disables probes.
 	ProbeWait time.Duration
-	// Bounds are the times that a platform's users rely on.
+	// Bounds are the time bounds that the users of a platform rely on.
 	Bounds bounds.Bounds
-	// Environment says what the instance runs in. It is read once, when the
-	// machine is put together.
+	// Environment is the environment that the instance runs in. It is read only
+	// when the machine is built.
 	Environment Environment
-	// Disable switches mechanisms off, for tests that show what they prevent.
+	// Disable disables mechanisms, for tests that show which failures they prevent.
 	Disable Disabled
 }
 
-// An Environment says what an instance runs in, and so which parts its machine
-// is put together from.
+// An Environment is the kind of platform that an instance runs on. It determines
+// the modules of its machine.
 type Environment int
 
 // The environments.
 const (
-	// Own is the product's own: a key-value service that answers watches of
-	// single keys, and engines that take orders under a zone planner's lease.
+	// Own is the environment that the product defines itself: a key-value service
+	// with watches of single keys, and engines that receive orders from the planner
+	// of their zone, which holds a lease.
 	Own Environment = iota
-	// Platform is a users' platform that is joined through internal/environment: one
-	// watch of its whole store, and engines that announce themselves and take
-	// orders from an owner.
+	// Platform is a users' platform, connected through internal/environment: one
+	// watch covers its whole store, and engines announce themselves and receive
+	// orders from their owner.
 	Platform
 )
 
-// Disabled names the mechanisms that a test may switch off.
+// Disabled selects the mechanisms that a test disables.
 type Disabled struct {
-	Booking   bool // plan by what engines last reported, without the ledger
-	AtMost    bool // send a call again though it may have run
-	Monotonic bool // take over an older revision
-	Fences    bool // plan by plain reads, without raising fences first
-	TurnWait  bool // order an engine at once after taking it from another owner
-	// HearRegistry has owners order engines though they do not hear of the registry.
+	Booking   bool // plans by the last reported state of engines, without the ledger
+	AtMost    bool // retries a call that may have run
+	Monotonic bool // installs an older revision
+	Fences    bool // plans by plain reads, without raising the engines' fences first
+	TurnWait  bool // sends orders immediately after an owner change
+	// HearRegistry lets owners send orders although their view of the registry is
+	// out of date.
 	HearRegistry bool
-	Rate         bool // load from the weight store without regard to its rate
-	Intents      bool // order engines that check nothing without writing it down
+	Rate         bool // ignores the rate limit of loads from the weight store
+	Intents      bool // does not store intents before orders to engines that check no fences
 }
 
-// PlatformExchangeInterval returns the spacing of exchanges where news of the platform travels by them.
+// PlatformExchangeInterval returns the time between the exchanges by which updates
+// from the platform spread to the instances that do not watch it.
 func (o Options) PlatformExchangeInterval() time.Duration {
 	if o.Environment != Platform {
 		return o.ExchangeEvery
@@ -116,7 +122,7 @@
 	return o.Bounds.ExchangeInterval(o.ExchangeEvery)
 }
 
-// Default returns the product's defaults.
+// Default returns the default options.
 func Default() Options {
 	return Options{
 		LeaseTerm:     10 * time.Second,
--- a/core/shared/shared.go
+++ b/core/shared/shared.go
@@ -1,6 +1,7 @@
-// Package shared provides what the modules of one machine have in common: who the
-// instance is, its tunables and random draws, the output of the step, and the views
-// of its peers, its replicas, the configuration and the platform.
+// Package shared provides the state that the modules of one machine share: the
+// instance's identity, its options and random number generator, the output of the
+// current step, and its view of the peers, the replicas, the configuration and the
+// platform.
 package shared
 
 import (
@@ -16,9 +17,9 @@
 	"github.com/birchdrift/birchdrift/core/step"
 )
 
-// A State is shared by the modules of one machine. Each field has one writer:
-// Options and Config are replaced by core/instance alone, the others are changed
-// through their own methods.
+// State is the state that the modules of one machine share. Each field has one
+// writer: only core/instance replaces the values of Options and Config, and the
+// other fields are changed through their own methods.
 type State struct {
 	Self    member.Identity
 	Options *option.Options
@@ -26,12 +27,13 @@
 	Out     *step.Output
 	Members *member.Table
 	Pool    *pool.Pool
-	Records *gossip.Set // that instances tell each other
+	Records *gossip.Set // the records that instances exchange
 	Config  *config.Current
 	Outage  *outage.Tracker
 }
 
-// maxRetryDelay returns after how long the platform is called again at the latest after a failure.
+// maxRetryDelay returns the longest delay between a failed call to the platform and
+// the next one.
 func maxRetryDelay(opt option.Options) time.Duration {
 	if opt.Environment == option.Platform {
 		return opt.Bounds.MaxRetryDelay()
@@ -39,8 +41,8 @@
 	return outage.DefaultMaxRetryDelay
 }
 
-// New returns the state of an instance that knows nothing yet. Its random draws
-// come from seed.
+// New returns the state of an instance that has not received any information yet.
+// The seed determines its random numbers.
 func New(self member.Identity, opt option.Options, seed uint64) State {
 	out := &step.Output{}
 	return State{
