--- a/core/instance/build.go
+++ b/core/instance/build.go
@@ -25,7 +25,7 @@
 	"github.com/birchdrift/birchdrift/core/watchers"
 )
 
-// orderParts are the modules that get orders to engines.
+// orderParts are the modules that send orders to engines.
 type orderParts struct {
 	roster      *watchers.Roster
 	registry    *ownership.Registry
@@ -33,8 +33,8 @@
 	orderClient *orderclient.Client
 }
 
-// New returns the machine of an instance that knows nothing yet. Its random draws
-// come from seed.
+// New returns the machine of an instance that has not received any information
+// yet. The seed determines its random numbers.
 func New(self member.Identity, opt option.Options, seed uint64) *Machine {
 	m := &Machine{state: shared.New(self, opt, seed)}
 	tracker, totals := demand.NewTracker(), demand.NewTotals()
@@ -65,13 +65,13 @@
 	m.calls.Pool = m.state.Pool
 	m.budget = &retrybudget.Budget{
 		Options: m.state.Options, Members: m.state.Members,
-		Common: m.state.Options.Environment == option.Platform, // instances know of each other by their records
+		Common: m.state.Options.Environment == option.Platform, // instances discover each other through their registrations there
 	}
 	m.stop = &shutdown.Controller{Options: m.state.Options, Out: m.state.Out, Calls: m.calls, HandOver: m.handOver}
 }
 
-// handOver gives back what others can take over, at a planned stop, and tells the
-// peers of the zone.
+// handOver releases what other instances can take over, at a planned stop, and
+// starts an exchange with the peers of the zone.
 func (m *Machine) handOver(now clock.Instant) {
 	m.env.handOver(now)
 	m.exchanges.StartWithZone(now)
@@ -129,8 +129,8 @@
 	m.orders.owned.Permitted = m.permits.TryAcquireForOrder
 }
 
-// buildExchanges builds the exchanges and the list of what is there. What differs
-// between environments is set by them.
+// buildExchanges builds the exchanges and the list of replicas and instances. The
+// functions that differ between environments are set by the environment.
 func (m *Machine) buildExchanges() {
 	m.listing = &listing.List{
 		Options: m.state.Options, Out: m.state.Out, Members: m.state.Members, Pool: m.state.Pool, Records: m.state.Records,
--- a/core/instance/config.go
+++ b/core/instance/config.go
@@ -6,18 +6,19 @@
 	"github.com/birchdrift/birchdrift/core/logevent"
 )
 
-// PlatformSource is the Source of configurations that the platform sent.
+// PlatformSource is the Source of a configuration from the platform.
 const PlatformSource = "platform"
 
 type (
-	// ConfigReply brings a configuration, or ends a watch of it.
+	// ConfigReply is the result of a watch of the configuration, or a configuration
+	// from a peer.
 	ConfigReply struct {
 		Snapshot *config.Snapshot // nil if there is nothing newer
-		Encoded  []byte           // of the snapshot, to pass on to peers
+		Encoded  []byte           // of the snapshot, to send to peers
 		Source   string           // PlatformSource or the peer's name
 		Err      error
 	}
-	// ConfigInstalled is an action: a revision is in force from now on.
+	// ConfigInstalled is the action that reports that a revision is now in force.
 	ConfigInstalled struct{ Snapshot *config.Snapshot }
 )
 
@@ -27,7 +28,7 @@
 // IsAction implements step.Action.
 func (ConfigInstalled) IsAction() {}
 
-// handleConfigReply takes in a configuration that the platform or a peer sent.
+// handleConfigReply handles a configuration that the platform or a peer sent.
 func (m *Machine) handleConfigReply(now clock.Instant, e ConfigReply) {
 	if e.Source == PlatformSource {
 		m.env.handleConfigReply(now, e.Err)
@@ -43,7 +44,7 @@
 	}
 }
 
-// install puts a newer revision in force; an older one changes nothing.
+// install puts a newer revision in force and ignores an older one.
 func (m *Machine) install(now clock.Instant, e ConfigReply) {
 	s := e.Snapshot
 	if s.Revision() <= m.state.Config.Revision() && !m.state.Options.Disable.Monotonic {
@@ -62,8 +63,8 @@
 	m.state.Out.Emit(ConfigInstalled{Snapshot: s})
 }
 
-// replayRecords tells the pool what was heard of upstreams before the revision
-// that defines them.
+// replayRecords applies to the pool the records of upstreams that were received
+// before the revision that defines them.
 func (m *Machine) replayRecords(now clock.Instant) {
 	all := m.state.Records.Since(0, "", true, 0)
 	for _, r := range all.Residencies {
--- a/core/instance/event.go
+++ b/core/instance/event.go
@@ -5,21 +5,21 @@
 	"github.com/birchdrift/birchdrift/core/step"
 )
 
-// An Event is something that happened outside the machine. Each is defined and
-// described in the module that takes it in.
+// An Event is something that happened outside the machine. Each event is defined
+// and documented in the module that handles it.
 type Event = step.Event
 
-// An Action is something that the machine asks its driver to do. Each is defined
-// and described in the module that gives it out.
+// An Action is an operation that the machine requests from its driver. Each action
+// is defined and documented in the module that emits it.
 type Action = step.Action
 
-// The events of the process.
+// The events that the process itself sends.
 type (
-	// Tick says that the time asked for by NextWake has come.
+	// Tick is sent when the time returned by NextWake has passed.
 	Tick struct{}
-	// Stop begins a planned stop; a second one ends it at once.
+	// Stop starts a planned stop; a second Stop ends it immediately.
 	Stop struct{}
-	// OptionsChanged takes over changed tunables and seeds.
+	// OptionsChanged applies changed options and seed peers.
 	OptionsChanged struct {
 		Options option.Options
 		Seeds   []string
--- a/core/instance/machine.go
+++ b/core/instance/machine.go
@@ -1,33 +1,34 @@
-// Package instance puts the state machine of one entry instance together from its
-// modules, and passes events on to them.
+// Package instance builds the state machine of one entry instance from its modules
+// and dispatches events to them.
 //
-// The idea: Step takes the present time and one event and returns the actions
-// that its driver should carry out. The machine reads no clock, starts no
-// goroutine and does no input or output; its random draws come from a seed. A
-// process, a test or a replay drives it alike, and the same events at the same
-// times under the same seed yield the same actions.
+// Step takes the current time and one event, and returns the actions that the
+// driver must execute. The machine reads no clock, starts no goroutine and does no
+// I/O, and a seed determines its random numbers. It is therefore deterministic: in
+// a process, a test or a replay, the same events at the same times with the same
+// seed yield the same actions.
 //
-// Who does what:
+// The modules:
 //   - core/calls, core/forwarding: calls in progress and forwarded calls;
-//   - core/quarantine: requests that are not run, since replicas end under them;
-//   - core/notice: what replicas say of themselves in their answers;
-//   - core/permits: what replicas take that name a limit, over all instances;
-//   - core/watch, core/watchers: who watches the platform, and the watch;
-//   - core/listing: replicas and instances that the platform lists;
-//   - core/exchange: what instances tell each other;
-//   - core/ownership, core/owned, core/orderclient: who orders an engine, its orders,
-//     and orders asked of other owners;
-//   - core/placement: which models are loaded where;
+//   - core/quarantine: requests that are not run because replicas crash under them;
+//   - core/notice: what replicas state about themselves in their responses;
+//   - core/permits: the rate limits of replicas, over all instances;
+//   - core/watch, core/watchers: the watch of the platform, and the choice of the
+//     instances that watch;
+//   - core/listing: the replicas and instances that the platform lists;
+//   - core/exchange: the exchanges of records between instances;
+//   - core/ownership, core/owned, core/orderclient: the owners of engines, the
+//     orders of an owner to its engines, and requests for orders to other owners;
+//   - core/placement: which models are loaded on which engines;
 //   - core/shutdown: the planned stop;
-//   - core/own/...: what only the product's own environment runs.
+//   - core/own/...: the modules of the product's own environment.
 //
 // Invariants:
 //   - every Arrived is followed by exactly one of Finish, or a Dispatch whose
 //     Completed ends the call, or CallerGone;
-//   - a call that may not be repeated is dispatched again only while no earlier
+//   - a call that may run only once is dispatched again only while no earlier
 //     attempt can have run;
-//   - the configuration in force only moves to higher revisions;
-//   - no order is sent whose memory is not booked.
+//   - the revision of the configuration in force only increases;
+//   - no order is sent unless its memory is booked.
 //
 // The machine is not safe for concurrent use: one goroutine owns it.
 package instance
@@ -53,7 +54,7 @@
 	"github.com/birchdrift/birchdrift/core/step"
 )
 
-// A Machine is the state of one entry instance.
+// A Machine is the state machine of one entry instance.
 type Machine struct {
 	state      shared.State
 	calls      *calls.Table
@@ -69,32 +70,34 @@
 	env        environment
 }
 
-// An environment is what differs between the environments that an instance runs
-// in. It is chosen once, by New.
+// An environment holds the functions that depend on the option.Environment of the
+// instance. New chooses it once.
 type environment struct {
-	// Of platform and own one is nil.
+	// Exactly one of platform and own is nil.
 	platform *platformParts
 	own      *ownParts
 
-	// handle takes in an event that only this environment knows, and reports
-	// whether it did.
+	// handle handles an event that is specific to this environment, and reports
+	// whether ev is one.
 	handle func(now clock.Instant, ev step.Event) bool
-	// tick is periodic work: tickBeforeExchanges before the exchanges, tickLast after.
+	// tickBeforeExchanges and tickAfterExchanges do the periodic work that runs
+	// before and after the exchanges.
 	tickBeforeExchanges []func(now clock.Instant)
 	tickAfterExchanges  []func(now clock.Instant)
-	// configInstalled takes over a newer configuration.
+	// configInstalled is called when a newer configuration was installed.
 	configInstalled func(now clock.Instant, s *config.Snapshot)
-	// handleConfigReply and listReplied end watches of the platform.
+	// handleConfigReply and handleListReply handle the results of watches of the
+	// platform.
 	handleConfigReply func(now clock.Instant, err error)
 	handleListReply   func(now clock.Instant, e listing.Reply)
-	// handOver gives back what others can take over, at a planned stop.
+	// handOver releases what other instances can take over, at a planned stop.
 	handOver func(now clock.Instant)
-	// status fills in what operators see of this environment's modules.
+	// status sets the fields of the modules of this environment.
 	status func(now clock.Instant, s *Status)
 }
 
-// Step takes in one event at now and returns what to do, in order. The slice
-// is valid until the next Step.
+// Step handles one event at now and returns the actions to execute, in order. The
+// slice is valid until the next Step.
 func (m *Machine) Step(now clock.Instant, ev step.Event) []step.Action {
 	m.state.Out.Reset()
 	m.handle(now, ev)
@@ -105,7 +108,7 @@
 	return m.state.Out.Actions()
 }
 
-// handle passes an event on to the module that it is for.
+// handle dispatches an event to its module.
 func (m *Machine) handle(now clock.Instant, ev step.Event) {
 	if m.handleCall(now, ev) || m.handleOrder(now, ev) || m.env.handle(now, ev) {
 		return
@@ -127,8 +130,8 @@
 	}
 }
 
-// handleCall takes in events of calls, and reports whether ev is one. A call of the
-// product's own interface is left to the environment.
+// handleCall handles the events of calls, and reports whether ev is one. It leaves
+// calls through the product's own API to the environment.
 func (m *Machine) handleCall(now clock.Instant, ev step.Event) bool {
 	switch e := ev.(type) {
 	case calls.AnswerBegan:
@@ -164,8 +167,8 @@
 	return true
 }
 
-// handleOrder takes in events of engines and of who orders them, and reports
-// whether ev is one.
+// handleOrder handles the events of engines, their owners and their orders, and
+// reports whether ev is one.
 func (m *Machine) handleOrder(now clock.Instant, ev step.Event) bool {
 	o := &m.orders
 	switch e := ev.(type) {
@@ -193,8 +196,8 @@
 	return true
 }
 
-// updateOptions takes over tunables that may change while the machine runs. What its
-// driver was built with stays.
+// updateOptions applies the options that may change while the machine runs. The
+// environment and the disabled mechanisms, with which it was built, do not change.
 func (m *Machine) updateOptions(e OptionsChanged) {
 	if e.Options.RetryWindow != m.state.Options.RetryWindow {
 		m.budget.Reset()
@@ -206,7 +209,7 @@
 	m.exchanges.SetSeeds(e.Seeds)
 }
 
-// tick begins whatever periodic work is due.
+// tick does the periodic work that is due.
 func (m *Machine) tick(now clock.Instant) {
 	m.forwarding.Expire(now)
 	m.listing.Tick(now)
@@ -223,17 +226,17 @@
 	m.stop.Tick(now)
 }
 
-// The longest times between two steps. Expiries of waiting calls, and tasks that
-// moved to this instance, are noticed within them.
+// The maximum time between two steps. The expiry of waiting calls, and tasks that
+// moved to this instance, are detected within it.
 const (
 	wakeInterval     = 250 * time.Millisecond
 	wakeIntervalBusy = 50 * time.Millisecond // while calls are in progress
-	// wakeIntervalOrder is the same while requests wait at an engine: adapters take
-	// some milliseconds.
+	// wakeIntervalOrder is the same while requests for orders wait at an engine. It
+	// is this short because loading an adapter takes only some milliseconds.
 	wakeIntervalOrder = 4 * time.Millisecond
 )
 
-// NextWake returns how long the driver may wait before the next Tick.
+// NextWake returns how long the driver may wait before it sends the next Tick.
 func (m *Machine) NextWake() time.Duration {
 	if m.orders.owned.Waiting() {
 		return wakeIntervalOrder
@@ -244,5 +247,5 @@
 	return wakeInterval
 }
 
-// Stopping reports whether a planned stop has begun.
+// Stopping reports whether a planned stop has started.
 func (m *Machine) Stopping() bool { return m.stop.Started() }
--- a/core/instance/own.go
+++ b/core/instance/own.go
@@ -13,10 +13,11 @@
 	"github.com/birchdrift/birchdrift/core/step"
 )
 
-// prefixCacheBlocks is how many blocks of prompts an instance remembers the replicas of.
+// prefixCacheBlocks is the number of prompt prefix blocks for which an instance
+// remembers the replica that they were sent to.
 const prefixCacheBlocks = 8192
 
-// ownParts are the modules that only the product's own environment needs.
+// ownParts are the modules that only the product's own environment uses.
 type ownParts struct {
 	planner *planner.Planner
 	calls   *modelcalls.Handler
@@ -24,32 +25,32 @@
 	meter   *meter.Meter
 }
 
-// ownEnvironment adds the modules that only the product's own environment needs:
-// watches of its key-value service, the zone's planner, and the calls of its own
-// interface.
+// ownEnvironment builds the modules that only the product's own environment uses:
+// the watches of its key-value service, the zone's planner, and the handler of
+// calls through its own API.
 func (m *Machine) ownEnvironment(totals *demand.Totals) environment {
 	chooser := choose.NewChooser(prefixCacheBlocks)
-	asked := meter.New()
+	demandMeter := meter.New()
 	p := planner.New(planner.Needs{
 		State:   m.state,
-		Chooser: chooser, Meter: asked, Totals: totals,
+		Chooser: chooser, Meter: demandMeter, Totals: totals,
 		Stopping: m.stop.Started, TellSoon: m.exchanges.TellSoon, TellAll: m.exchanges.TellAll, Tell: m.exchanges.StartWith,
 		Leaving: m.exchanges.LogLeaving,
 	})
 	h := modelcalls.New(modelcalls.Needs{
 		State: m.state, Calls: m.calls,
-		Budget: m.budget, Chooser: chooser, Meter: asked, Unmet: p.Unmet,
+		Budget: m.budget, Chooser: chooser, Meter: demandMeter, Unmet: p.Unmet,
 	})
 	w := &kvwatch.Watch{
 		State:   m.state,
 		Listing: m.listing, Exchanges: m.exchanges, Stopping: m.stop.Started,
 	}
-	m.forwarding.Missed = func(clock.Instant) {} // nobody places the models of announced engines here
+	m.forwarding.Missed = func(clock.Instant) {} // this environment has no placer for the models of announced engines
 	m.exchanges.DemandFor = p.DemandFor
 	m.exchanges.DemandHeard = p.DemandHeard
-	m.exchanges.PlatformBrings = func(clock.Instant) bool { return false } // a peer is asked at once
+	m.exchanges.PlatformBrings = func(clock.Instant) bool { return false } // so a newer configuration is requested from a peer immediately
 	m.exchanges.NextPeer = p.NextPeer
-	parts := &ownParts{planner: p, calls: h, chooser: chooser, meter: asked}
+	parts := &ownParts{planner: p, calls: h, chooser: chooser, meter: demandMeter}
 	return environment{
 		own:                 parts,
 		handle:              func(now clock.Instant, ev step.Event) bool { return m.handleOwn(now, parts, ev) },
@@ -63,7 +64,8 @@
 	}
 }
 
-// handleOwn takes in an event that only the product's own environment knows.
+// handleOwn handles an event that occurs only in the product's own environment, and
+// reports whether ev is one.
 func (m *Machine) handleOwn(now clock.Instant, o *ownParts, ev step.Event) bool {
 	switch e := ev.(type) {
 	case calls.Arrived:
--- a/core/instance/platform.go
+++ b/core/instance/platform.go
@@ -13,14 +13,15 @@
 	"github.com/birchdrift/birchdrift/core/watch"
 )
 
-// platformParts are the modules that only a users' platform needs.
+// platformParts are the modules that only a users' platform uses.
 type platformParts struct {
 	placer *placement.Placer
 	watch  *watch.Watch
 }
 
-// platformEnvironment adds the modules that only a users' platform needs: one
-// watch of its store, the owners of engines, and the placer.
+// platformEnvironment builds the modules that only a users' platform uses: one
+// watch of its store, and the placer. It connects them to the ownership registry
+// of engines.
 func (m *Machine) platformEnvironment(tracker *demand.Tracker, totals *demand.Totals) environment {
 	o := &m.orders
 	placer := placement.New(placement.Deps{
@@ -46,7 +47,7 @@
 			o.registry.Tick, o.owned.Tick, placer.Tick, m.exchanges.TickMesh, w.Tick,
 		},
 		configInstalled:   func(clock.Instant, *config.Snapshot) {},
-		handleConfigReply: func(clock.Instant, error) {}, // watch.Reply ends the one watch
+		handleConfigReply: func(clock.Instant, error) {}, // the only watch is ended by watch.Reply
 		handleListReply: func(now clock.Instant, e listing.Reply) {
 			m.exchanges.ObserveStoreVersion(e.Version)
 			m.listing.HandleReply(now, e)
@@ -56,7 +57,8 @@
 	}
 }
 
-// handlePlatform takes in an event that only a users' platform knows.
+// handlePlatform handles an event that is specific to a users' platform, and reports
+// whether ev is one.
 func (m *Machine) handlePlatform(now clock.Instant, w *watch.Watch, ev step.Event) bool {
 	switch e := ev.(type) {
 	case watch.Reply:
@@ -69,9 +71,9 @@
 	return true
 }
 
-// refuseOwnCall refuses a call of the product's own interface, which is not served
-// on a users' platform.
+// refuseOwnCall rejects a call through the product's own API, which is not served on
+// a users' platform.
 func (m *Machine) refuseOwnCall(e calls.Arrived) {
 	c := &calls.Call{Request: e.Call}
-	m.calls.RefuseNew(c, calls.NotRunRefusal(code.UnknownService, "the product's own interface is not served here", 0))
+	m.calls.RefuseNew(c, calls.NotRunRefusal(code.UnknownService, "the product's own API is not served on this platform", 0))
 }
--- a/core/instance/status.go
+++ b/core/instance/status.go
@@ -9,7 +9,7 @@
 	"github.com/birchdrift/birchdrift/core/pool"
 )
 
-// A Status is what an instance says of itself to operators.
+// A Status is the state of an instance as reported to operators.
 type Status struct {
 	Name         string                `json:"name"`
 	Zone         string                `json:"zone"`
@@ -17,7 +17,7 @@
 	Reason       string                `json:"reason,omitempty"` // why it is not ready
 	Revision     uint64                `json:"revision"`
 	PlatformDown bool                  `json:"platform_down"`
-	Planner      string                `json:"planner,omitempty"` // of the zone, as known here
+	Planner      string                `json:"planner,omitempty"` // of the zone, as known to this instance
 	Planning     bool                  `json:"planning"`
 	LeaseValid   bool                  `json:"lease_valid"`
 	Fence        uint64                `json:"fence,omitempty"`
@@ -30,7 +30,7 @@
 	Recent       []modelcalls.Decision `json:"recent,omitempty"`
 }
 
-// A PeerStatus is one peer as known here.
+// A PeerStatus is one peer as known to this instance.
 type PeerStatus struct {
 	Name    string `json:"name"`
 	Zone    string `json:"zone"`
@@ -38,29 +38,29 @@
 	Live    bool   `json:"live"`
 }
 
-// A ReplicaStatus is one upstream as known here.
+// A ReplicaStatus is one upstream as known to this instance.
 type ReplicaStatus struct {
 	Name         string            `json:"name"`
 	Zone         string            `json:"zone"`
 	Address      string            `json:"address"`
 	Leaving      bool              `json:"leaving"`
 	Ejected      bool              `json:"ejected"`
-	RestMS       int64             `json:"rest_ms,omitempty"` // for which it wants nothing from this instance
+	RestMS       int64             `json:"rest_ms,omitempty"` // remaining time for which this instance must send it nothing
 	Limit        *LimitStatus      `json:"limit,omitempty"`
-	InFlight     int               `json:"in_flight"` // of this instance
-	Busy         float64           `json:"busy"`      // 1 is full
+	InFlight     int               `json:"in_flight"` // calls of this instance
+	Busy         float64           `json:"busy"`      // utilization; 1 means full
 	FirstTokenMS float64           `json:"first_token_ms"`
 	Items        map[string]string `json:"items,omitempty"` // phase by item
 	FreeMiB      int64             `json:"free_mib,omitempty"`
 }
 
-// A LimitStatus is the limit that a replica names, as known here.
+// A LimitStatus is the rate limit of a replica, as known to this instance.
 type LimitStatus struct {
-	PerSecond        float64 `json:"per_s"` // that it takes from all instances together
-	By               string  `json:"by"`    // the instance that had its answer
+	PerSecond        float64 `json:"per_s"` // requests that it accepts from all instances together
+	By               string  `json:"by"`    // the instance that received the limit in a response
 	AgeMS            int64   `json:"age_ms"`
-	Withdrawn        bool    `json:"ended"`       // it names none any more; calls come back one after the other
-	GrantedPerSecond float64 `json:"given_per_s"` // what all instances together send there now
+	Withdrawn        bool    `json:"ended"`       // the replica withdrew the limit; calls return to it gradually
+	GrantedPerSecond float64 `json:"given_per_s"` // requests that all instances together may send to it now
 }
 
 // A DemandStatus is the demand for one item at this instance.
@@ -70,7 +70,8 @@
 	Waiting int     `json:"waiting,omitempty"`
 }
 
-// Ready reports whether the balancer should send calls here, and if not, why.
+// Ready reports whether the load balancer should send calls to this instance, and
+// if not, the reason.
 func (m *Machine) Ready() (bool, string) {
 	if m.stop.Started() {
 		return false, "stopping"
@@ -81,7 +82,7 @@
 	return true, ""
 }
 
-// Status returns the machine's state for operators.
+// Status returns the state of the instance for operators.
 func (m *Machine) Status(now clock.Instant) Status {
 	ready, reason := m.Ready()
 	s := Status{
@@ -118,8 +119,8 @@
 		Items:        map[string]string{},
 	}
 	if rate, limited := r.RateLimit(now); limited {
-		w := r.LimitReport()
-		s.Limit = &LimitStatus{PerSecond: w.Limit.PerSecond, By: w.By, AgeMS: now.Since(w.At).Milliseconds(), Withdrawn: !w.Limit.Named, GrantedPerSecond: rate}
+		report := r.LimitReport()
+		s.Limit = &LimitStatus{PerSecond: report.Limit.PerSecond, By: report.By, AgeMS: now.Since(report.At).Milliseconds(), Withdrawn: !report.Limit.Named, GrantedPerSecond: rate}
 	}
 	for _, it := range r.Residency.Items {
 		s.Items[it.Name] = it.Phase.String()
@@ -127,7 +128,7 @@
 	return s
 }
 
-// status fills in what only the product's own environment has.
+// status sets the fields that only the product's own environment has.
 func (o *ownParts) status(now clock.Instant, s *Status) {
 	s.Planner = o.planner.Holder()
 	s.Planning = o.planner.Planning()
