--- a/core/config/document.go
+++ b/core/config/document.go
@@ -124,7 +124,7 @@
 // client may.
 type Caller struct {
 	Name      string   `yaml:"name"`
-	KeySHA256 string   `yaml:"key_sha256"`         // hex of the key's SHA-256
+	KeySHA256 string   `yaml:"key_sha256"`         // SHA-256 hash of the key, in hex
 	Services  []string `yaml:"services,omitempty"` // services that it may call; empty means all
 }
 
--- a/core/config/forward.go
+++ b/core/config/forward.go
@@ -89,7 +89,7 @@
 // alike, and the models that they may hold.
 type EnginePool struct {
 	Sequences      int           `yaml:"sequences"`    // maximum number of concurrent calls of one engine
-	CacheTokens    int           `yaml:"cache_tokens"` // capacity of its KV cache, for prompts and responses
+	CacheTokens    int           `yaml:"cache_tokens"` // capacity of its KV cache in tokens, for prompts and responses
 	MemoryMB       int64         `yaml:"memory_mb"`    // for weights and adapters together, of one engine
 	MaxAdapters    int           `yaml:"max_adapters"` // maximum number of adapters that one engine may hold
 	LoadsPerSecond float64       `yaml:"loads_per_second"`
--- a/core/option/option.go
+++ b/core/option/option.go
@@ -99,7 +99,8 @@
 	Platform
 )
 
-// Disabled selects the mechanisms that a test disables.
+// Disabled selects the mechanisms that a test disables. The comment of each field
+// states what the machine does without the mechanism.
 type Disabled struct {
 	Booking   bool // plans by the last reported state of engines, without the ledger
 	AtMost    bool // retries a call that may have run
