--- a/core/config/config_test.go
+++ b/core/config/config_test.go
@@ -131,8 +131,8 @@
 	}
 }
 
-// TestEncodedSizeAtDesignScale checks that the encoded document stays well below
-// the platform's limit for one value.
+// TestEncodedSizeAtDesignScale logs the size of the encoded document and checks that
+// it stays well below the platform's limit for one value.
 func TestEncodedSizeAtDesignScale(t *testing.T) {
 	is := is.New(t)
 	var d Document
--- a/core/instance/status.go
+++ b/core/instance/status.go
@@ -56,11 +56,11 @@
 
 // A LimitStatus is the rate limit of a replica, as known to this instance.
 type LimitStatus struct {
-	PerSecond        float64 `json:"per_s"` // requests that it accepts from all instances together
+	PerSecond        float64 `json:"per_s"` // requests per second that it accepts from all instances together
 	By               string  `json:"by"`    // the instance that received the limit in a response
 	AgeMS            int64   `json:"age_ms"`
-	Withdrawn        bool    `json:"ended"`       // the replica withdrew the limit; calls return to it gradually
-	GrantedPerSecond float64 `json:"given_per_s"` // requests that all instances together may send to it now
+	Withdrawn        bool    `json:"ended"`       // the replica withdrew the limit; calls return to it one after the other
+	GrantedPerSecond float64 `json:"given_per_s"` // requests per second that all instances together may send to it now
 }
 
 // A DemandStatus is the demand for one item at this instance.
