--- a/core/config/check.go
+++ b/core/config/check.go
@@ -10,136 +10,140 @@
 	"github.com/birchdrift/birchdrift/core/policy"
 )
 
-// Limits that a configuration must keep.
+// Limits on the values of a configuration.
 const (
-	maxName      = 128
-	maxShare     = 1_000_000
-	sha256HexLen = 64
+	maxNameLength = 128 // bytes
+	maxShare      = 1_000_000
+	sha256HexLen  = 64 // hex digits
 )
 
 var nameRE = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]*$`)
 
-// Validate returns every fault of the file; none means it may be applied.
+// Validate returns all faults of the file; if there are none, the file may be
+// applied.
 func (f File) Validate() []*code.Error {
 	c := checker{file: f, doc: f.Document.withDefaults()}
-	c.zones()
-	c.engines()
-	c.models()
-	c.policies()
-	c.services()
-	c.forwards()
-	c.callers()
-	c.steering()
+	c.checkZones()
+	c.checkEngines()
+	c.checkModels()
+	c.checkPolicies()
+	c.checkServices()
+	c.checkForwards()
+	c.checkCallers()
+	c.checkPlannerLimits()
 	return c.faults
 }
 
-// A checker gathers the faults of one file.
+// A checker collects the faults of one file.
 type checker struct {
-	file     File
-	doc      Document
-	faults   []*code.Error
-	zoneSet  map[string]bool
-	modelSet map[string]int64  // memory by model
-	adapters map[string]string // base model by adapter
-	policy   map[string]bool
-	largest  int64 // memory of the largest engine
+	file            File
+	doc             Document
+	faults          []*code.Error
+	zoneNames       map[string]bool
+	modelMemory     map[string]int64  // in MiB, by model
+	baseModels      map[string]string // base model by adapter
+	policyNames     map[string]bool
+	maxEngineMemory int64 // memory of the largest engine, in MiB
 }
 
-func (c *checker) fault(num code.Code, detail string, path ...any) {
+// addFault records a fault at path, with its line.
+func (c *checker) addFault(num code.Code, detail string, path ...any) {
 	c.faults = append(c.faults, &code.Error{
 		Code:   num,
 		Path:   pathString(path...),
-		Line:   c.file.line(path...),
+		Line:   c.file.lineAt(path...),
 		Detail: detail,
 	})
 }
 
-// name checks one name and that it is new in seen.
-func (c *checker) name(seen map[string]bool, name string, path ...any) {
+// checkName reports a name that is malformed or already in seen, and adds it to
+// seen.
+func (c *checker) checkName(seen map[string]bool, name string, path ...any) {
 	path = append(append([]any(nil), path...), "name")
-	if len(name) > maxName || !nameRE.MatchString(name) {
-		c.fault(code.ConfigBadValue, fmt.Sprintf("%q is not a name: letters, digits, '.', '_' and '-', at most %d", name, maxName), path...)
+	if len(name) > maxNameLength || !nameRE.MatchString(name) {
+		c.addFault(code.ConfigBadValue, fmt.Sprintf("%q is not a valid name: letters, digits, '.', '_' and '-', at most %d bytes", name, maxNameLength), path...)
 		return
 	}
 	if seen[name] {
-		c.fault(code.ConfigDuplicateName, fmt.Sprintf("%q is defined twice", name), path...)
+		c.addFault(code.ConfigDuplicateName, fmt.Sprintf("%q is defined twice", name), path...)
 	}
 	seen[name] = true
 }
 
-func (c *checker) positive(v int64, what string, path ...any) {
+func (c *checker) checkPositive(v int64, what string, path ...any) {
 	if v <= 0 {
-		c.fault(code.ConfigBadValue, fmt.Sprintf("%s is %d, at least 1 allowed", what, v), path...)
+		c.addFault(code.ConfigBadValue, fmt.Sprintf("%s is %d, must be at least 1", what, v), path...)
 	}
 }
 
-// place checks the address and the zone of an upstream.
-func (c *checker) place(address, zone string, path ...any) {
+// checkEndpoint checks the address and the zone of an upstream.
+func (c *checker) checkEndpoint(address, zone string, path ...any) {
 	if _, err := netip.ParseAddrPort(address); err != nil {
-		c.fault(code.ConfigBadValue, fmt.Sprintf("%q is not IP:port", address), append(append([]any(nil), path...), "address")...)
+		c.addFault(code.ConfigBadValue, fmt.Sprintf("address %q is not of the form IP:port", address), append(append([]any(nil), path...), "address")...)
 	}
-	if !c.zoneSet[zone] {
-		c.fault(code.ConfigDanglingName, fmt.Sprintf("no zone %q", zone), append(append([]any(nil), path...), "zone")...)
+	if !c.zoneNames[zone] {
+		c.addFault(code.ConfigDanglingName, fmt.Sprintf("zone %q is not defined", zone), append(append([]any(nil), path...), "zone")...)
 	}
 }
 
-func (c *checker) zones() {
-	c.zoneSet = map[string]bool{}
+func (c *checker) checkZones() {
+	c.zoneNames = map[string]bool{}
 	for i, z := range c.doc.Zones {
-		c.name(c.zoneSet, z.Name, "zones", i)
+		c.checkName(c.zoneNames, z.Name, "zones", i)
 	}
 	if len(c.doc.Zones) == 0 {
-		c.fault(code.ConfigBadValue, "at least one zone is needed", "zones")
+		c.addFault(code.ConfigBadValue, "at least one zone is required", "zones")
 	}
 }
 
-func (c *checker) engines() {
+func (c *checker) checkEngines() {
 	seen := map[string]bool{}
 	for i, e := range c.doc.Engines {
-		c.name(seen, e.Name, "engines", i)
-		c.place(e.Address, e.Zone, "engines", i)
-		c.positive(int64(e.Accelerators), "accelerators", "engines", i, "accelerators")
-		c.positive(e.MemoryMiB, "memory_mib", "engines", i, "memory_mib")
-		c.positive(int64(e.Sequences), "sequences", "engines", i, "sequences")
-		c.largest = max(c.largest, e.MemoryMiB)
+		c.checkName(seen, e.Name, "engines", i)
+		c.checkEndpoint(e.Address, e.Zone, "engines", i)
+		c.checkPositive(int64(e.Accelerators), "accelerators", "engines", i, "accelerators")
+		c.checkPositive(e.MemoryMiB, "memory_mib", "engines", i, "memory_mib")
+		c.checkPositive(int64(e.Sequences), "sequences", "engines", i, "sequences")
+		c.maxEngineMemory = max(c.maxEngineMemory, e.MemoryMiB)
 	}
 }
 
-// models checks models and adapters, which share one name space because an
+// checkModels checks models and adapters. They share one namespace because an
 // engine's memory holds both as items.
-func (c *checker) models() {
-	c.modelSet = map[string]int64{}
-	c.adapters = map[string]string{}
+func (c *checker) checkModels() {
+	c.modelMemory = map[string]int64{}
+	c.baseModels = map[string]string{}
 	seen := map[string]bool{}
 	for i, m := range c.doc.Models {
-		c.name(seen, m.Name, "models", i)
-		c.positive(m.MemoryMiB, "memory_mib", "models", i, "memory_mib")
-		c.fits(m.MemoryMiB, "models", i, "memory_mib")
-		c.modelSet[m.Name] = m.MemoryMiB
+		c.checkName(seen, m.Name, "models", i)
+		c.checkPositive(m.MemoryMiB, "memory_mib", "models", i, "memory_mib")
+		c.checkFits(m.MemoryMiB, "models", i, "memory_mib")
+		c.modelMemory[m.Name] = m.MemoryMiB
 	}
 	for i, a := range c.doc.Adapters {
-		c.name(seen, a.Name, "adapters", i)
-		c.positive(a.MemoryMiB, "memory_mib", "adapters", i, "memory_mib")
-		base, ok := c.modelSet[a.Model]
+		c.checkName(seen, a.Name, "adapters", i)
+		c.checkPositive(a.MemoryMiB, "memory_mib", "adapters", i, "memory_mib")
+		base, ok := c.modelMemory[a.Model]
 		if !ok {
-			c.fault(code.ConfigDanglingName, fmt.Sprintf("no model %q", a.Model), "adapters", i, "model")
+			c.addFault(code.ConfigDanglingName, fmt.Sprintf("model %q is not defined", a.Model), "adapters", i, "model")
 			continue
 		}
-		c.adapters[a.Name] = a.Model
-		c.fits(base+a.MemoryMiB, "adapters", i, "memory_mib")
+		c.baseModels[a.Name] = a.Model
+		c.checkFits(base+a.MemoryMiB, "adapters", i, "memory_mib")
 	}
 }
 
-func (c *checker) fits(mib int64, path ...any) {
-	if mib > c.largest {
-		c.fault(code.ConfigNeverFits, fmt.Sprintf("%d MiB with its model, the largest engine has %d MiB", mib, c.largest), path...)
+// checkFits reports an item that is larger than the memory of every engine.
+func (c *checker) checkFits(mib int64, path ...any) {
+	if mib > c.maxEngineMemory {
+		c.addFault(code.ConfigNeverFits, fmt.Sprintf("needs %d MiB (an adapter together with its model), but the largest engine has %d MiB", mib, c.maxEngineMemory), path...)
 	}
 }
 
-func (c *checker) policies() {
-	c.policy = map[string]bool{}
+func (c *checker) checkPolicies() {
+	c.policyNames = map[string]bool{}
 	for i, p := range c.doc.Policies {
-		c.name(c.policy, p.Name, "policies", i)
+		c.checkName(c.policyNames, p.Name, "policies", i)
 		for _, e := range []struct {
 			field, text string
 			kind        policy.ResultType
@@ -149,90 +153,92 @@
 			{"wait", p.Wait, policy.Duration},
 		} {
 			if err := policy.Validate(e.text, e.kind); err != nil {
-				c.fault(code.ConfigBadPolicy, err.Error(), "policies", i, e.field)
+				c.addFault(code.ConfigBadPolicy, err.Error(), "policies", i, e.field)
 			}
 		}
 		if p.Default.Priority < 0 || p.Default.Priority > policy.MaxPriority {
-			c.fault(code.ConfigBadValue, "0 to 100 allowed", "policies", i, "default", "priority")
+			c.addFault(code.ConfigBadValue, "the priority must be between 0 and 100", "policies", i, "default", "priority")
 		}
 	}
 }
 
-func (c *checker) services() {
+func (c *checker) checkServices() {
 	seen := map[string]bool{}
 	replicas := map[string]bool{}
 	for _, e := range c.doc.Engines {
 		replicas[e.Name] = true
 	}
 	for i, s := range c.doc.Services {
-		c.name(seen, s.Name, "services", i)
+		c.checkName(seen, s.Name, "services", i)
 		if !exactlyOne(len(s.Versions) > 0, len(s.Replicas) > 0, s.Announced != nil) {
-			c.fault(code.ConfigBadValue, "a service has versions, replicas or announced replicas, one of the three", "services", i)
+			c.addFault(code.ConfigBadValue, "a service must have exactly one of versions, replicas and announced", "services", i)
 		}
-		c.announced(i, s.Announced)
-		if s.Policy != "" && !c.policy[s.Policy] {
-			c.fault(code.ConfigDanglingName, fmt.Sprintf("no policy %q", s.Policy), "services", i, "policy")
+		c.checkAnnounced(i, s.Announced)
+		if s.Policy != "" && !c.policyNames[s.Policy] {
+			c.addFault(code.ConfigDanglingName, fmt.Sprintf("policy %q is not defined", s.Policy), "services", i, "policy")
 		}
 		if s.Target.FirstToken < 0 || s.Target.BetweenTokens < 0 {
-			c.fault(code.ConfigBadValue, "targets are positive durations", "services", i, "target")
+			c.addFault(code.ConfigBadValue, "targets must not be negative", "services", i, "target")
 		}
-		c.versions(i, s)
+		c.checkVersions(i, s)
 		for j, r := range s.Replicas {
-			c.name(replicas, r.Name, "services", i, "replicas", j)
-			c.place(r.Address, r.Zone, "services", i, "replicas", j)
-			c.positive(int64(r.MaxConcurrent), "concurrent", "services", i, "replicas", j, "concurrent")
+			c.checkName(replicas, r.Name, "services", i, "replicas", j)
+			c.checkEndpoint(r.Address, r.Zone, "services", i, "replicas", j)
+			c.checkPositive(int64(r.MaxConcurrent), "concurrent", "services", i, "replicas", j, "concurrent")
 		}
 	}
 }
 
-func (c *checker) versions(i int, s Service) {
+func (c *checker) checkVersions(i int, s Service) {
 	seen := map[string]bool{}
 	total := 0
 	for j, v := range s.Versions {
-		c.name(seen, v.Name, "services", i, "versions", j)
-		if _, ok := c.modelSet[v.Model]; !ok {
-			c.fault(code.ConfigDanglingName, fmt.Sprintf("no model %q", v.Model), "services", i, "versions", j, "model")
+		c.checkName(seen, v.Name, "services", i, "versions", j)
+		if _, ok := c.modelMemory[v.Model]; !ok {
+			c.addFault(code.ConfigDanglingName, fmt.Sprintf("model %q is not defined", v.Model), "services", i, "versions", j, "model")
 		}
-		if base, ok := c.adapters[v.Adapter]; v.Adapter != "" && (!ok || base != v.Model) {
-			c.fault(code.ConfigDanglingName, fmt.Sprintf("no adapter %q on model %q", v.Adapter, v.Model), "services", i, "versions", j, "adapter")
+		if base, ok := c.baseModels[v.Adapter]; v.Adapter != "" && (!ok || base != v.Model) {
+			c.addFault(code.ConfigDanglingName, fmt.Sprintf("adapter %q is not defined for model %q", v.Adapter, v.Model), "services", i, "versions", j, "adapter")
 		}
 		if v.Share < 0 || v.Share > maxShare {
-			c.fault(code.ConfigBadValue, fmt.Sprintf("share is %d, 0 to %d allowed", v.Share, maxShare), "services", i, "versions", j, "share")
+			c.addFault(code.ConfigBadValue, fmt.Sprintf("share is %d, must be between 0 and %d", v.Share, maxShare), "services", i, "versions", j, "share")
 		}
 		total += v.Share
 	}
 	if len(s.Versions) > 0 && total <= 0 {
-		c.fault(code.ConfigBadValue, "the shares of a service sum to 0", "services", i, "versions")
+		c.addFault(code.ConfigBadValue, "the sum of the shares of a service must be positive", "services", i, "versions")
 	}
 }
 
-func (c *checker) callers() {
+func (c *checker) checkCallers() {
 	names := map[string]bool{}
 	services := map[string]bool{}
 	for _, s := range c.doc.Services {
 		services[s.Name] = true
 	}
 	for i, caller := range c.doc.Callers {
-		c.name(names, caller.Name, "callers", i)
+		c.checkName(names, caller.Name, "callers", i)
 		if _, err := hex.DecodeString(caller.KeySHA256); err != nil || len(caller.KeySHA256) != sha256HexLen {
-			c.fault(code.ConfigBadValue, "not the hex of a SHA-256", "callers", i, "key_sha256")
+			c.addFault(code.ConfigBadValue, "key_sha256 is not a SHA-256 hash in hex", "callers", i, "key_sha256")
 		}
 		for j, s := range caller.Services {
 			if !services[s] {
-				c.fault(code.ConfigDanglingName, fmt.Sprintf("no service %q", s), "callers", i, "services", j)
+				c.addFault(code.ConfigDanglingName, fmt.Sprintf("service %q is not defined", s), "callers", i, "services", j)
 			}
 		}
 	}
 }
 
-func (c *checker) steering() {
+// checkPlannerLimits checks the parameters of the residency planner and of the
+// weight store.
+func (c *checker) checkPlannerLimits() {
 	if c.doc.Residency.MoveCost < 0 {
-		c.fault(code.ConfigBadValue, "move_cost is negative", "residency", "move_cost")
+		c.addFault(code.ConfigBadValue, "move_cost is negative", "residency", "move_cost")
 	}
 	if c.doc.Residency.MinimumStay < 0 {
-		c.fault(code.ConfigBadValue, "minimum_stay is negative", "residency", "minimum_stay")
+		c.addFault(code.ConfigBadValue, "minimum_stay is negative", "residency", "minimum_stay")
 	}
 	if c.doc.WeightStore.LoadsPerSecond < 0 || c.doc.WeightStore.MaxConcurrentLoads < 0 {
-		c.fault(code.ConfigBadValue, "limits are positive", "weight_store")
+		c.addFault(code.ConfigBadValue, "limits must not be negative", "weight_store")
 	}
 }
--- a/core/config/config_test.go
+++ b/core/config/config_test.go
@@ -11,7 +11,7 @@
 	"github.com/birchdrift/birchdrift/core/code"
 )
 
-const good = `
+const validDocument = `
 zones: [{name: z1, region: sicily}]
 engines:
   - {name: e1, address: "127.0.0.1:1", zone: z1, accelerators: 1, memory_mib: 1000, sequences: 4}
@@ -41,16 +41,16 @@
 	return f
 }
 
-func TestGoodDocumentIsAccepted(t *testing.T) {
+func TestValidDocumentIsAccepted(t *testing.T) {
 	is := is.New(t)
-	f := mustParse(t, good)
+	f := mustParse(t, validDocument)
 	is.Equal(len(f.Validate()), 0)
 	f.Document.Revision = 3
 	data, err := f.Document.Encode()
 	is.NoErr(err)
-	back, err := Decode(data)
+	decoded, err := Decode(data)
 	is.NoErr(err)
-	s, err := NewSnapshot(back)
+	s, err := NewSnapshot(decoded)
 	is.NoErr(err)
 	is.Equal(s.Revision(), uint64(3))
 	svc, ok := s.Service("notes")
@@ -68,18 +68,18 @@
 	is.True(!ok)
 }
 
-func TestRoutesOverrideTheirService(t *testing.T) {
+func TestRoutesOverrideService(t *testing.T) {
 	is := is.New(t)
-	s, err := NewSnapshot(mustParse(t, good).Document)
+	s, err := NewSnapshot(mustParse(t, validDocument).Document)
 	is.NoErr(err)
 	svc, _ := s.Service("stock")
 	is.True(svc.MayRepeat("/levels"))
 	is.True(!svc.MayRepeat("/allocations/7"))
 }
 
-// TestFaultsAreNumberedAndPlaced changes one thing of the good document at a
-// time and expects its code, its path and its line.
-func TestFaultsAreNumberedAndPlaced(t *testing.T) {
+// TestFaultsHaveCodePathAndLine introduces one fault at a time into the valid
+// document and expects its code, path and line to be reported.
+func TestFaultsHaveCodePathAndLine(t *testing.T) {
 	cases := []struct {
 		name, old, new string
 		code           code.Code
@@ -107,8 +107,8 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			text := strings.Replace(good, c.old, c.new, 1)
-			is.True(text != good)
+			text := strings.Replace(validDocument, c.old, c.new, 1)
+			is.True(text != validDocument)
 			f, faults := Parse([]byte(text))
 			if len(faults) == 0 {
 				faults = f.Validate()
@@ -131,9 +131,9 @@
 	}
 }
 
-// TestEncodedSizeAtTheDesignSize measures the stored document and keeps it
-// under the platform's limit.
-func TestEncodedSizeAtTheDesignSize(t *testing.T) {
+// TestEncodedSizeAtDesignScale logs the size of the encoded document and checks that
+// it stays well below the platform's limit for one value.
+func TestEncodedSizeAtDesignScale(t *testing.T) {
 	is := is.New(t)
 	var d Document
 	d.Zones = []Zone{{Name: "z1"}}
@@ -155,9 +155,10 @@
 	is.True(len(data) < MaxEncodedBytes/4) // room to grow without sharding
 }
 
-// FuzzParse feeds bytes that operators could send.
+// FuzzParse checks that Parse and Validate do not panic on arbitrary input, such
+// as operators could send.
 func FuzzParse(f *testing.F) {
-	f.Add([]byte(good))
+	f.Add([]byte(validDocument))
 	f.Add([]byte("{"))
 	f.Add([]byte("zones: 3"))
 	f.Fuzz(func(_ *testing.T, data []byte) {
@@ -167,7 +168,8 @@
 	})
 }
 
-// FuzzDecode feeds bytes that a peer or the platform could send.
+// FuzzDecode checks that Decode and NewSnapshot do not panic on arbitrary input,
+// such as a peer or the platform could send.
 func FuzzDecode(f *testing.F) {
 	data, err := Document{Revision: 1}.Encode()
 	if err != nil {
--- a/core/instance/build.go
+++ b/core/instance/build.go
@@ -25,16 +25,16 @@
 	"github.com/birchdrift/birchdrift/core/watchers"
 )
 
-// orderParts are the modules that get orders to engines.
+// orderParts are the modules that send orders to engines.
 type orderParts struct {
-	roster   *watchers.Roster
-	registry *ownership.Registry
-	owned    *owned.Engines
-	asks     *orderclient.Client
+	roster      *watchers.Roster
+	registry    *ownership.Registry
+	owned       *owned.Engines
+	orderClient *orderclient.Client
 }
 
-// New returns the machine of an instance that knows nothing yet. Its random draws
-// come from seed.
+// New returns the machine of an instance that has not received any information
+// yet. The seed determines its random numbers.
 func New(self member.Identity, opt option.Options, seed uint64) *Machine {
 	m := &Machine{state: shared.New(self, opt, seed)}
 	tracker, totals := demand.NewTracker(), demand.NewTotals()
@@ -65,13 +65,13 @@
 	m.calls.Pool = m.state.Pool
 	m.budget = &retrybudget.Budget{
 		Options: m.state.Options, Members: m.state.Members,
-		Common: m.state.Options.Environment == option.Platform, // instances know of each other by their records
+		Common: m.state.Options.Environment == option.Platform, // instances discover each other through their registrations there
 	}
 	m.stop = &shutdown.Controller{Options: m.state.Options, Out: m.state.Out, Calls: m.calls, HandOver: m.handOver}
 }
 
-// handOver gives back what others can take over, at a planned stop, and tells the
-// peers of the zone.
+// handOver releases what other instances can take over, at a planned stop, and
+// starts an exchange with the peers of the zone.
 func (m *Machine) handOver(now clock.Instant) {
 	m.env.handOver(now)
 	m.exchanges.StartWithZone(now)
@@ -87,19 +87,19 @@
 		Stopping: m.stop.Started,
 		TellSoon: func(now clock.Instant) { m.exchanges.TellSoon(now) },
 	})
-	o.asks = orderclient.New()
-	o.asks.Self = m.state.Self
-	o.asks.Out = m.state.Out
-	o.asks.Members = m.state.Members
-	o.asks.Pool = m.state.Pool
-	o.asks.Owned = o.owned
-	o.asks.Owner = o.registry.Owner
-	o.asks.Resume = func(now clock.Instant, id calls.ID) { m.forwarding.OrderDone(now, id) }
+	o.orderClient = orderclient.New()
+	o.orderClient.Self = m.state.Self
+	o.orderClient.Out = m.state.Out
+	o.orderClient.Members = m.state.Members
+	o.orderClient.Pool = m.state.Pool
+	o.orderClient.Owned = o.owned
+	o.orderClient.Owner = o.registry.Owner
+	o.orderClient.Resume = func(now clock.Instant, id calls.ID) { m.forwarding.OrderDone(now, id) }
 	o.roster.Instances = o.registry.Instances
 	o.owned.MayOrder = o.registry.MayOrderWithFence
 	o.owned.Published = func(now clock.Instant) { m.exchanges.TellSoon(now) }
 	o.owned.Answered = func(now clock.Instant, engine string, r orders.Request, outcome owned.Outcome, detail string) {
-		o.asks.HandleOutcome(now, orderclient.Key{Engine: engine, Request: r}, outcome, detail)
+		o.orderClient.HandleOutcome(now, orderclient.Key{Engine: engine, Request: r}, outcome, detail)
 	}
 }
 
@@ -129,8 +129,8 @@
 	m.orders.owned.Permitted = m.permits.TryAcquireForOrder
 }
 
-// buildExchanges builds the exchanges and the list of what is there. What differs
-// between environments is set by them.
+// buildExchanges builds the exchanges and the list of replicas and instances. The
+// functions that differ between environments are set by the environment.
 func (m *Machine) buildExchanges() {
 	m.listing = &listing.List{
 		Options: m.state.Options, Out: m.state.Out, Members: m.state.Members, Pool: m.state.Pool, Records: m.state.Records,
@@ -158,7 +158,7 @@
 func (m *Machine) buildForwarding(tracker *demand.Tracker) {
 	m.forwarding = forwarding.New(forwarding.Deps{
 		State: m.state,
-		Calls: m.calls, Budget: m.budget, Asks: m.orders.asks, Roster: m.orders.roster, Demand: tracker,
+		Calls: m.calls, Budget: m.budget, Asks: m.orders.orderClient, Roster: m.orders.roster, Demand: tracker,
 		Quarantine: m.quarantine, Permits: m.permits,
 		ListAge: m.exchanges.StoreAge,
 		Used:    m.orders.owned.RecordUse,
