--- a/core/era/era.go
+++ b/core/era/era.go
@@ -32,13 +32,13 @@
 // LogValue implements slog.LogValuer.
 func (l Lease) LogValue() slog.Value { return slog.StringValue(l.String()) }
 
-// rawBits is how many bits of a number are the store's own.
-const rawBits = 40
+// revisionBits is how many bits of a number are the store's own.
+const revisionBits = 40
 
 // Bounds of what the store may say, above which nothing is made of its answer. Numbers stay
 // below 2^53, so that whoever reads a fence as a floating-point number reads it whole.
 const (
-	MaxRevision uint64 = 1<<rawBits - 1
+	MaxRevision uint64 = 1<<revisionBits - 1
 	MaxEra      uint64 = 1<<13 - 1 // count of steps back
 )
 
@@ -51,12 +51,12 @@
 	case raw > MaxRevision:
 		panic("era: a revision beyond MaxRevision")
 	default:
-		return Revision(uint64(e)<<rawBits | raw)
+		return Revision(uint64(e)<<revisionBits | raw)
 	}
 }
 
 // Era returns the era in which the number was given out, 0 also for none.
-func (n Revision) Era() Era { return Era(n >> rawBits) }
+func (n Revision) Era() Era { return Era(n >> revisionBits) }
 
 // Raw returns the number as the store knows it.
 func (n Revision) Raw() uint64 { return uint64(n) & MaxRevision }
