--- a/core/era/era.go
+++ b/core/era/era.go
@@ -27,7 +27,7 @@
 }
 
 // String returns the lease for logs, as ERA/ID where the store tells its era.
-func (l Lease) String() string { return inEra(l.Era, l.ID) }
+func (l Lease) String() string { return formatInEra(l.Era, l.ID) }
 
 // LogValue implements slog.LogValuer.
 func (l Lease) LogValue() slog.Value { return slog.StringValue(l.String()) }
@@ -62,9 +62,9 @@
 func (n Revision) Raw() uint64 { return uint64(n) & MaxRevision }
 
 // String returns the number for logs, as ERA/NUMBER where the store tells its era.
-func (n Revision) String() string { return inEra(n.Era(), n.Raw()) }
+func (n Revision) String() string { return formatInEra(n.Era(), n.Raw()) }
 
-func inEra(e Era, raw uint64) string {
+func formatInEra(e Era, raw uint64) string {
 	text := strconv.FormatUint(raw, 10)
 	if e == 0 {
 		return text
