--- a/core/era/era_test.go
+++ b/core/era/era_test.go
@@ -7,8 +7,8 @@
 	"github.com/matryer/is"
 )
 
-// TestNumbersOfALaterEraAreGreater: however the store's own numbers went back.
-func TestNumbersOfALaterEraAreGreater(t *testing.T) {
+// TestRevisionsOrderByEra: however the store's own numbers went back.
+func TestRevisionsOrderByEra(t *testing.T) {
 	is := is.New(t)
 	is.True(Era(0).Revision(7) < Era(0).Revision(8))
 	is.True(Era(0).Revision(MaxRevision) < Era(1).Revision(1))
