--- a/core/era/era_test.go
+++ b/core/era/era_test.go
@@ -17,8 +17,8 @@
 	is.Equal(Era(3).Revision(0), Revision(0)) // none is none in each era
 }
 
-// TestNumbersAreReadBack, also the largest.
-func TestNumbersAreReadBack(t *testing.T) {
+// TestRevisionRoundTrip, also the largest.
+func TestRevisionRoundTrip(t *testing.T) {
 	is := is.New(t)
 	for _, e := range []Era{0, 1, 2, Era(MaxEra)} {
 		for _, raw := range []uint64{1, 41, MaxRevision} {
