--- a/core/era/era_test.go
+++ b/core/era/era_test.go
@@ -32,8 +32,8 @@
 	is.Equal(Era(2).Revision(41).String(), "2/41")
 }
 
-// TestNumbersInLogs: one with an era is a text, for the integer says nothing to a reader.
-func TestNumbersInLogs(t *testing.T) {
+// TestRevisionLogFormat: one with an era is a text, for the integer says nothing to a reader.
+func TestRevisionLogFormat(t *testing.T) {
 	is := is.New(t)
 	for n, want := range map[Revision]string{41: `41`, Era(2).Revision(41): `"2/41"`} {
 		data, err := json.Marshal(n)
