--- a/core/outage/outage.go
+++ b/core/outage/outage.go
@@ -18,7 +18,7 @@
 // Bounds of the time between two calls of one kind after failures, where a platform states no
 // bound from which the longest follows.
 const (
-	firstWait            = 200 * time.Millisecond
+	initialWait          = 200 * time.Millisecond
 	DefaultMaxRetryDelay = 5 * time.Second
 )
 
@@ -35,7 +35,7 @@
 // New returns the tracker of a service that has not been called yet, and is called again at
 // the latest longest after a failure.
 func New(out *step.Output, longest time.Duration) *Tracker {
-	return &Tracker{out: out, backoff: backoff.New(min(firstWait, longest), longest)}
+	return &Tracker{out: out, backoff: backoff.New(min(initialWait, longest), longest)}
 }
 
 // Observe takes in the outcome of one call: nil if the service answered.
