--- a/core/outage/outage.go
+++ b/core/outage/outage.go
@@ -24,12 +24,12 @@
 
 // A Tracker is what one instance knows of the service's availability.
 type Tracker struct {
-	out     *step.Output
-	down    bool
-	since   clock.Instant // when it was first found down
-	backAt  clock.Instant // when it was last found to answer again
-	failed  clock.Instant // when a call failed last
-	backoff backoff.Backoff
+	out       *step.Output
+	down      bool
+	downSince clock.Instant // when it was first found down
+	backAt    clock.Instant // when it was last found to answer again
+	failed    clock.Instant // when a call failed last
+	backoff   backoff.Backoff
 }
 
 // New returns the tracker of a service that has not been called yet, and is called again at
@@ -43,7 +43,7 @@
 	if err == nil {
 		if t.down {
 			t.backAt = now
-			t.out.Log(logevent.PlatformBack, "after", now.Since(t.since).String())
+			t.out.Log(logevent.PlatformBack, "after", now.Since(t.downSince).String())
 		}
 		t.down = false
 		t.backoff = t.backoff.WithSuccess()
@@ -51,7 +51,7 @@
 	}
 	t.failed = now
 	if !t.down {
-		t.since = now
+		t.downSince = now
 		t.out.Log(logevent.PlatformDown, "error", err.Error())
 	}
 	t.down = true
