--- a/core/outage/outage.go
+++ b/core/outage/outage.go
@@ -28,7 +28,7 @@
 	down      bool
 	downSince clock.Instant // when it was first found down
 	backAt    clock.Instant // when it was last found to answer again
-	failed    clock.Instant // when a call failed last
+	failedAt  clock.Instant // when a call failed last
 	backoff   backoff.Backoff
 }
 
@@ -49,7 +49,7 @@
 		t.backoff = t.backoff.WithSuccess()
 		return
 	}
-	t.failed = now
+	t.failedAt = now
 	if !t.down {
 		t.downSince = now
 		t.out.Log(logevent.PlatformDown, "error", err.Error())
@@ -64,7 +64,7 @@
 
 // FailedSince reports whether a call failed at a moment or later.
 func (t *Tracker) FailedSince(at clock.Instant) bool {
-	return !t.failed.IsZero() && !t.failed.Before(at)
+	return !t.failedAt.IsZero() && !t.failedAt.Before(at)
 }
 
 // Down reports whether the last call failed.
