--- a/core/outage/outage_test.go
+++ b/core/outage/outage_test.go
@@ -13,9 +13,9 @@
 	"github.com/birchdrift/birchdrift/core/step"
 )
 
-// TestAnOutageIsLoggedOnce: the first failure and the first answer after it are
+// TestOutageIsLoggedOnce: the first failure and the first answer after it are
 // logged, whoever met them; in between calls are spaced.
-func TestAnOutageIsLoggedOnce(t *testing.T) {
+func TestOutageIsLoggedOnce(t *testing.T) {
 	is := is.New(t)
 	now := clocktest.At(time.Hour)
 	rng := rand.New(rand.NewPCG(1, 1))
