--- a/core/member/member.go
+++ b/core/member/member.go
@@ -38,7 +38,7 @@
 	Zone    string
 	Address string // IP:port of its peers' listener
 	Leaving bool
-	heard   clock.Instant // last time anything came from it
+	heardAt clock.Instant // last time anything came from it
 	failed  clock.Instant // first failure since then
 }
 
@@ -70,7 +70,7 @@
 // MarkHeard notes that something came from the peer at now.
 func (t *Table) MarkHeard(now clock.Instant, name string) {
 	if p := t.peers[name]; p != nil {
-		p.heard = now
+		p.heardAt = now
 		p.failed = clock.Instant{}
 	}
 }
@@ -202,5 +202,5 @@
 
 // HeardWithin reports whether the peer was heard within the span before now.
 func (p *Peer) HeardWithin(now clock.Instant, span time.Duration) bool {
-	return !p.heard.IsZero() && now.Since(p.heard) <= span
+	return !p.heardAt.IsZero() && now.Since(p.heardAt) <= span
 }
