--- a/core/member/member.go
+++ b/core/member/member.go
@@ -34,12 +34,12 @@
 
 // A Peer is another entry instance.
 type Peer struct {
-	Name    string
-	Zone    string
-	Address string // IP:port of its peers' listener
-	Leaving bool
-	heardAt clock.Instant // last time anything came from it
-	failed  clock.Instant // first failure since then
+	Name         string
+	Zone         string
+	Address      string // IP:port of its peers' listener
+	Leaving      bool
+	heardAt      clock.Instant // last time anything came from it
+	failingSince clock.Instant // first failure since then
 }
 
 // A Table is the view of one instance, which is itself a member.
@@ -71,14 +71,14 @@
 func (t *Table) MarkHeard(now clock.Instant, name string) {
 	if p := t.peers[name]; p != nil {
 		p.heardAt = now
-		p.failed = clock.Instant{}
+		p.failingSince = clock.Instant{}
 	}
 }
 
 // MarkFailed notes that an exchange with the peer failed at now.
 func (t *Table) MarkFailed(now clock.Instant, name string) {
-	if p := t.peers[name]; p != nil && p.failed.IsZero() {
-		p.failed = now
+	if p := t.peers[name]; p != nil && p.failingSince.IsZero() {
+		p.failingSince = now
 	}
 }
 
@@ -97,11 +97,11 @@
 	if p.Leaving {
 		return false
 	}
-	return p.failed.IsZero() || now.Since(p.failed) < LivenessTimeout
+	return p.failingSince.IsZero() || now.Since(p.failingSince) < LivenessTimeout
 }
 
 // Failing reports whether the last exchange with the peer failed.
-func (p *Peer) Failing() bool { return !p.failed.IsZero() }
+func (p *Peer) Failing() bool { return !p.failingSince.IsZero() }
 
 // Get returns the peer with this name, nil if unknown.
 func (t *Table) Get(name string) *Peer { return t.peers[name] }
