--- a/core/member/member_test.go
+++ b/core/member/member_test.go
@@ -10,10 +10,10 @@
 	"github.com/birchdrift/birchdrift/core/clock/clocktest"
 )
 
-// TestWhenAPeerCountsAsGone: a peer is failing from the first exchange that
+// TestPeerLiveness: a peer is failing from the first exchange that
 // failed, and tasks pass it over once that lasts; an answer makes it good, and one
 // that is leaving gets no task at all.
-func TestWhenAPeerCountsAsGone(t *testing.T) {
+func TestPeerLiveness(t *testing.T) {
 	start := clocktest.At(time.Hour)
 	for _, tt := range []struct {
 		name    string
