--- a/core/member/member_test.go
+++ b/core/member/member_test.go
@@ -49,9 +49,9 @@
 	}
 }
 
-// TestTasksAreAssignedOnce: of instances that know each other, exactly n find
+// TestAssignedSelectsN: of instances that know each other, exactly n find
 // that a task is theirs; without one of these another takes its place.
-func TestTasksAreAssignedOnce(t *testing.T) {
+func TestAssignedSelectsN(t *testing.T) {
 	is := is.New(t)
 	now := clocktest.At(time.Hour)
 	names := []string{"a", "b", "c", "d", "e"}
