--- a/core/registry/registry.go
+++ b/core/registry/registry.go
@@ -21,11 +21,11 @@
 
 // Keys of the records, below the product's own part of the store.
 const (
-	instancePrefix = "instances/"
-	ownerPrefix    = "owners/"
-	placerKey      = "placer"
-	quarantineKeys = "quarantine/"
-	eraPrefix      = "eras/"
+	instancePrefix   = "instances/"
+	ownerPrefix      = "owners/"
+	placerKey        = "placer"
+	quarantinePrefix = "quarantine/"
+	eraPrefix        = "eras/"
 )
 
 // An Instance is the record of one entry instance.
@@ -146,7 +146,7 @@
 		c.addPlacer(r.Data, r.Revision, r.Gone)
 	case strings.HasPrefix(r.Key, instancePrefix):
 		c.addInstance(strings.TrimPrefix(r.Key, instancePrefix), r.Data, r.Gone)
-	case strings.HasPrefix(r.Key, quarantineKeys):
+	case strings.HasPrefix(r.Key, quarantinePrefix):
 		c.addQuarantine(r.Key, r.Data, r.Gone)
 	case strings.HasPrefix(r.Key, eraPrefix):
 		c.addMark(r)
@@ -187,7 +187,7 @@
 	if gone {
 		return
 	}
-	request, err := strconv.ParseUint(strings.TrimPrefix(key, quarantineKeys), 16, 64)
+	request, err := strconv.ParseUint(strings.TrimPrefix(key, quarantinePrefix), 16, 64)
 	q := Quarantine{Request: crash.Fingerprint(request)}
 	if err != nil || request == 0 || json.Unmarshal(value, &q) != nil {
 		c.Unreadable = append(c.Unreadable, key)
@@ -242,7 +242,7 @@
 func (m EraRecord) Value() Value { return value(m.Key(), m) }
 
 // Value returns the quarantine's record.
-func (q Quarantine) Value() Value { return value(quarantineKeys+q.Request.String(), q) }
+func (q Quarantine) Value() Value { return value(quarantinePrefix+q.Request.String(), q) }
 
 func value(key string, record any) Value {
 	data, err := json.Marshal(record)
--- a/core/registry/registry_test.go
+++ b/core/registry/registry_test.go
@@ -61,8 +61,8 @@
 	is.Equal(ChangeOf([]Record{{Key: v.Key, Data: v.Data, Revision: 1}}), Change{Quarantines: []Quarantine{q}})
 	is.Equal(ChangeOf([]Record{{Key: v.Key, Revision: 2, Gone: true}}), Change{})
 	for _, r := range []Record{
-		{Key: quarantineKeys + "no number", Data: v.Data},
-		{Key: quarantineKeys + "0", Data: v.Data},
+		{Key: quarantinePrefix + "no number", Data: v.Data},
+		{Key: quarantinePrefix + "0", Data: v.Data},
 		{Key: v.Key, Data: []byte("[]")},
 	} {
 		is.Equal(ChangeOf([]Record{r}), Change{Unreadable: []string{r.Key}})
