--- a/core/registry/registry.go
+++ b/core/registry/registry.go
@@ -149,7 +149,7 @@
 	case strings.HasPrefix(r.Key, quarantinePrefix):
 		c.addQuarantine(r.Key, r.Data, r.Gone)
 	case strings.HasPrefix(r.Key, eraPrefix):
-		c.addMark(r)
+		c.addEraRecord(r)
 	case strings.HasPrefix(r.Key, ownerPrefix):
 		c.addOwner(strings.TrimPrefix(r.Key, ownerPrefix), r.Data, r.Revision, r.Gone)
 	}
@@ -196,8 +196,8 @@
 	c.Quarantines = append(c.Quarantines, q)
 }
 
-// addMark reads an era's record. One that went is of an era that is over.
-func (c *Change) addMark(r Record) {
+// addEraRecord reads an era's record. One that went is of an era that is over.
+func (c *Change) addEraRecord(r Record) {
 	if r.Gone {
 		return
 	}
