--- a/core/registry/registry_test.go
+++ b/core/registry/registry_test.go
@@ -8,11 +8,11 @@
 	"github.com/birchdrift/birchdrift/core/era"
 )
 
-// TestTheLaterRecordOfANameCounts: news may bring that a record went and that it
+// TestLastRecordOfAKeyWins: news may bring that a record went and that it
 // was written anew, as after an outage in which the platform dropped every record.
 // Instances that were there again then counted as gone, and took each other's
 // engines again and again.
-func TestTheLaterRecordOfANameCounts(t *testing.T) {
+func TestLastRecordOfAKeyWins(t *testing.T) {
 	written := func(v Value, revision era.Revision) Record {
 		return Record{Key: v.Key, Data: v.Data, Revision: revision}
 	}
