--- a/core/registry/registry_test.go
+++ b/core/registry/registry_test.go
@@ -52,9 +52,9 @@
 	return 1
 }
 
-// TestQuarantinesAreRead: what was written comes back; one that went says nothing, and
+// TestQuarantineRoundTrip: what was written comes back; one that went says nothing, and
 // what makes no sense is named.
-func TestQuarantinesAreRead(t *testing.T) {
+func TestQuarantineRoundTrip(t *testing.T) {
 	is := is.New(t)
 	q := Quarantine{Request: 1<<63 + 5, Replicas: 3}
 	v := q.Value()
