--- a/core/watchers/watchers.go
+++ b/core/watchers/watchers.go
@@ -32,10 +32,10 @@
 // KeyPrefix is the rendezvous key of the watch, before the name of the zone.
 const KeyPrefix = "watch/"
 
-// cacheSpan is how long what was worked out is used again. It was worked out at
+// cacheTTL is how long what was worked out is used again. It was worked out at
 // every step before, which took 8% of a busy instance's time
 // (docs/measurements.md).
-const cacheSpan = 200 * time.Millisecond
+const cacheTTL = 200 * time.Millisecond
 
 // A Roster tells which instances watch. The fields must be set before its use.
 type Roster struct {
@@ -56,7 +56,7 @@
 
 // InZone returns the instances of a zone that keep a watch, the most suited first.
 func (r *Roster) InZone(now clock.Instant, zone string) []string {
-	if r.byZone == nil || now.Since(r.at) >= cacheSpan {
+	if r.byZone == nil || now.Since(r.at) >= cacheTTL {
 		r.at = now
 		r.byZone = map[string][]string{}
 	}
