--- a/core/watchers/watchers.go
+++ b/core/watchers/watchers.go
@@ -44,8 +44,8 @@
 	Members   *member.Table
 	Instances func() map[string]registry.Instance // that have a record, by name
 
-	at     clock.Instant
-	byZone map[string][]string
+	cachedAt clock.Instant
+	byZone   map[string][]string
 }
 
 // FullMesh reports whether the fleet is small enough for every instance to
@@ -56,8 +56,8 @@
 
 // InZone returns the instances of a zone that keep a watch, the most suited first.
 func (r *Roster) InZone(now clock.Instant, zone string) []string {
-	if r.byZone == nil || now.Since(r.at) >= cacheTTL {
-		r.at = now
+	if r.byZone == nil || now.Since(r.cachedAt) >= cacheTTL {
+		r.cachedAt = now
 		r.byZone = map[string][]string{}
 	}
 	names, ok := r.byZone[zone]
