--- a/core/watchers/watchers.go
+++ b/core/watchers/watchers.go
@@ -62,7 +62,7 @@
 	}
 	names, ok := r.byZone[zone]
 	if !ok {
-		names = r.suited(now, zone)
+		names = r.rankedInstances(now, zone)
 		if !r.FullMesh() && len(names) > r.Options.Watchers {
 			names = names[:r.Options.Watchers]
 		}
@@ -76,11 +76,11 @@
 	return slices.Contains(r.InZone(now, r.Self.Zone), r.Self.Name)
 }
 
-// suited returns the instances of a zone that have a record and answer: those
+// rankedInstances returns the instances of a zone that have a record and answer: those
 // with the largest share of a processor first, then by rendezvous hashing. The
 // tasks of a watcher once fell to instances with a fifth of a core, which then
 // lagged behind in everything else.
-func (r *Roster) suited(now clock.Instant, zone string) []string {
+func (r *Roster) rankedInstances(now clock.Instant, zone string) []string {
 	processors := map[string]float64{}
 	if zone == r.Self.Zone {
 		processors[r.Self.Name] = r.Self.Processor
