--- a/core/watch/watch.go
+++ b/core/watch/watch.go
@@ -74,13 +74,13 @@
 
 // A view is what decides whether an instance watches.
 type view struct {
-	alone    bool          // no peer was heard
-	onRoster bool          // it is one of its zone's watchers
-	engines  int           // that it owns
-	placer   bool          // it places models
-	newsAge  time.Duration // of what is known of the store, from whomever
-	silence  time.Duration // the age from which this instance asks the store itself
-	behind   time.Duration // how long peers have had a newer configuration; 0: they have not
+	alone      bool          // no peer was heard
+	onRoster   bool          // it is one of its zone's watchers
+	engines    int           // that it owns
+	placer     bool          // it places models
+	newsAge    time.Duration // of what is known of the store, from whomever
+	maxNewsAge time.Duration // the age from which this instance asks the store itself
+	behind     time.Duration // how long peers have had a newer configuration; 0: they have not
 }
 
 // reason returns why an instance watches. Without a watch an owner could not know
@@ -96,7 +96,7 @@
 		return ownsEngines
 	case v.placer:
 		return placesNow
-	case v.newsAge > v.silence:
+	case v.newsAge > v.maxNewsAge:
 		return newsTooOld
 	case v.behind > MaxConfigLag:
 		return peersAhead
@@ -167,13 +167,13 @@
 	alone := w.Exchanges.Isolated(now)
 	behind, _ := w.Exchanges.ConfigLag(now)
 	return view{
-		alone:    alone,
-		onRoster: !alone && w.Roster.IncludesSelf(now),
-		engines:  w.Registry.Owned.Len(),
-		placer:   w.Registry.HoldsPlacer(),
-		newsAge:  w.Exchanges.StoreAge(now),
-		silence:  w.Options.Bounds.MaxStoreSilence(),
-		behind:   behind,
+		alone:      alone,
+		onRoster:   !alone && w.Roster.IncludesSelf(now),
+		engines:    w.Registry.Owned.Len(),
+		placer:     w.Registry.HoldsPlacer(),
+		newsAge:    w.Exchanges.StoreAge(now),
+		maxNewsAge: w.Options.Bounds.MaxStoreSilence(),
+		behind:     behind,
 	}
 }
 
--- a/core/watch/watch_test.go
+++ b/core/watch/watch_test.go
@@ -10,7 +10,7 @@
 // TestWhoWatches: of what makes an instance watch, the first that holds is named.
 func TestWhoWatches(t *testing.T) {
 	const silence = 2 * time.Second
-	told := view{newsAge: silence, silence: silence, behind: MaxConfigLag}
+	told := view{newsAge: silence, maxNewsAge: silence, behind: MaxConfigLag}
 	for _, tt := range []struct {
 		name string
 		view view
@@ -21,7 +21,7 @@
 		{"on the roster", view{onRoster: true, placer: true}, onRoster},
 		{"an owner", view{engines: 1, placer: true}, ownsEngines},
 		{"the placer", view{placer: true, newsAge: time.Hour}, placesNow},
-		{"its news grew old", view{newsAge: silence + 1, silence: silence, behind: time.Hour}, newsTooOld},
+		{"its news grew old", view{newsAge: silence + 1, maxNewsAge: silence, behind: time.Hour}, newsTooOld},
 		{"peers are ahead", view{behind: MaxConfigLag + 1}, peersAhead},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
