--- a/core/watch/watch.go
+++ b/core/watch/watch.go
@@ -64,7 +64,7 @@
 // The reasons, in the order in which they are looked for.
 const (
 	notNeeded   reason = ""
-	noPeerHeard reason = "no peer was heard"
+	isolated    reason = "no peer was heard"
 	onRoster    reason = "it is one of its zone's watchers"
 	ownsEngines reason = "it owns engines"
 	placesNow   reason = "it places models"
@@ -89,7 +89,7 @@
 func (v view) reason() reason {
 	switch {
 	case v.alone:
-		return noPeerHeard
+		return isolated
 	case v.onRoster:
 		return onRoster
 	case v.engines > 0:
--- a/core/watch/watch_test.go
+++ b/core/watch/watch_test.go
@@ -17,7 +17,7 @@
 		want reason
 	}{
 		{"peers tell it all", told, notNeeded},
-		{"alone", view{alone: true, engines: 1}, noPeerHeard},
+		{"alone", view{alone: true, engines: 1}, isolated},
 		{"on the roster", view{onRoster: true, placer: true}, onRoster},
 		{"an owner", view{engines: 1, placer: true}, ownsEngines},
 		{"the placer", view{placer: true, newsAge: time.Hour}, placesNow},
