--- a/core/watch/watch.go
+++ b/core/watch/watch.go
@@ -67,7 +67,7 @@
 	isolated    reason = "no peer was heard"
 	onRoster    reason = "it is one of its zone's watchers"
 	ownsEngines reason = "it owns engines"
-	placesNow   reason = "it places models"
+	isPlacer    reason = "it places models"
 	newsTooOld  reason = "what peers told it of the store is too old"
 	peersAhead  reason = "peers have had a newer configuration for too long"
 )
@@ -95,7 +95,7 @@
 	case v.engines > 0:
 		return ownsEngines
 	case v.placer:
-		return placesNow
+		return isPlacer
 	case v.newsAge > v.maxNewsAge:
 		return newsTooOld
 	case v.behind > MaxConfigLag:
--- a/core/watch/watch_test.go
+++ b/core/watch/watch_test.go
@@ -20,7 +20,7 @@
 		{"alone", view{alone: true, engines: 1}, isolated},
 		{"on the roster", view{onRoster: true, placer: true}, onRoster},
 		{"an owner", view{engines: 1, placer: true}, ownsEngines},
-		{"the placer", view{placer: true, newsAge: time.Hour}, placesNow},
+		{"the placer", view{placer: true, newsAge: time.Hour}, isPlacer},
 		{"its news grew old", view{newsAge: silence + 1, maxNewsAge: silence, behind: time.Hour}, newsTooOld},
 		{"peers are ahead", view{behind: MaxConfigLag + 1}, peersAhead},
 	} {
