--- a/core/watch/watch.go
+++ b/core/watch/watch.go
@@ -122,7 +122,7 @@
 type Watch struct {
 	Deps
 	calls   map[uint64]call // that were not answered yet
-	last    uint64          // number of the newest call
+	lastID  uint64          // number of the newest call
 	due     clock.Instant   // of the next call, also beside one that hangs
 	reuseAt clock.Instant   // from when on connections that are kept are used again
 	failed  failures
@@ -216,8 +216,8 @@
 // begin calls the store.
 func (w *Watch) begin(now clock.Instant) {
 	parts := w.parts()
-	w.last++
-	b := SendRequest{ID: w.last, Fresh: now.Before(w.reuseAt)}
+	w.lastID++
+	b := SendRequest{ID: w.lastID, Fresh: now.Before(w.reuseAt)}
 	switch {
 	case len(w.calls) > 0: // and none of them was answered in time
 		b.Fresh = true
@@ -231,7 +231,7 @@
 		b.Wait = time.Duration((1 - waitJitter*w.Rand.Float64()) * float64(parts.Wait))
 		w.due = now.Add(b.Wait + parts.Overdue)
 	}
-	w.calls[w.last] = call{sent: now, wait: b.Wait}
+	w.calls[w.lastID] = call{sent: now, wait: b.Wait}
 	w.Out.Emit(b)
 }
 
