--- a/core/watch/watch.go
+++ b/core/watch/watch.go
@@ -121,13 +121,13 @@
 // A Watch is one instance's watch of the store.
 type Watch struct {
 	Deps
-	calls   map[uint64]call // that were not answered yet
-	lastID  uint64          // number of the newest call
-	due     clock.Instant   // of the next call, also beside one that hangs
-	reuseAt clock.Instant   // from when on connections that are kept are used again
-	failed  failures
-	logged  reason // that was logged last
-	old     oldList
+	calls    map[uint64]call // that were not answered yet
+	lastID   uint64          // number of the newest call
+	due      clock.Instant   // of the next call, also beside one that hangs
+	reuseAt  clock.Instant   // from when on connections that are kept are used again
+	failures failures
+	logged   reason // that was logged last
+	old      oldList
 }
 
 // A call is one call of the store.
@@ -205,10 +205,10 @@
 // returnSoon brings the next call forward once the store answers other calls of this instance
 // again.
 func (w *Watch) returnSoon(now clock.Instant) {
-	if w.failed.count == 0 || !w.failed.at.Before(w.Outage.RecoveredAt()) {
+	if w.failures.count == 0 || !w.failures.at.Before(w.Outage.RecoveredAt()) {
 		return
 	}
-	w.failed.at = now
+	w.failures.at = now
 	soon := time.Duration(w.Rand.Float64() * float64(w.parts().Read))
 	w.due = clock.Earliest(w.due, now.Add(soon))
 }
@@ -222,9 +222,9 @@
 	case len(w.calls) > 0: // and none of them was answered in time
 		b.Fresh = true
 		w.reuseAt = now.Add(newConnectionSpan)
-		w.failed.beside = w.failed.beside.WithFailure()
-		w.due = now.Add(w.failed.beside.Delay(w.Rand))
-	case w.failed.count > 0:
+		w.failures.beside = w.failures.beside.WithFailure()
+		w.due = now.Add(w.failures.beside.Delay(w.Rand))
+	case w.failures.count > 0:
 		b.Fresh = true
 		w.due = now.Add(parts.Read)
 	default:
@@ -258,9 +258,9 @@
 // callFailed plans the next call after one that failed. A watch that is cut says nothing of the
 // store, so the first failure is followed by another call at once.
 func (w *Watch) callFailed(now clock.Instant, err error) {
-	w.failed.count++
-	w.failed.at = now
-	if w.failed.count == 1 && !w.Outage.Down() {
+	w.failures.count++
+	w.failures.at = now
+	if w.failures.count == 1 && !w.Outage.Down() {
 		w.due = now
 		return
 	}
@@ -273,7 +273,7 @@
 
 func (w *Watch) resetFailures() {
 	b := w.Options.Bounds
-	w.failed = failures{beside: backoff.New(w.parts().Read, b.MaxRetryDelay())}
+	w.failures = failures{beside: backoff.New(w.parts().Read, b.MaxRetryDelay())}
 }
 
 // answeredAt returns up to when an answer that came at now has everything. One that does not
