--- a/core/watch/watch.go
+++ b/core/watch/watch.go
@@ -121,13 +121,13 @@
 // A Watch is one instance's watch of the store.
 type Watch struct {
 	Deps
-	calls    map[uint64]call // that were not answered yet
-	lastID   uint64          // number of the newest call
-	due      clock.Instant   // of the next call, also beside one that hangs
-	reuseAt  clock.Instant   // from when on connections that are kept are used again
-	failures failures
-	logged   reason // that was logged last
-	old      oldList
+	calls        map[uint64]call // that were not answered yet
+	lastID       uint64          // number of the newest call
+	due          clock.Instant   // of the next call, also beside one that hangs
+	reuseAt      clock.Instant   // from when on connections that are kept are used again
+	failures     failures
+	loggedReason reason // that was logged last
+	old          oldList
 }
 
 // A call is one call of the store.
@@ -305,9 +305,9 @@
 
 // log notes that the instance begins to watch, or no longer does.
 func (w *Watch) log(why reason) {
-	if (why == notNeeded) == (w.logged == notNeeded) {
+	if (why == notNeeded) == (w.loggedReason == notNeeded) {
 		return
 	}
-	w.logged = why
+	w.loggedReason = why
 	w.Out.Log(logevent.Watching, "keeps", why != notNeeded, "reason", string(why))
 }
