--- a/core/watch/watch.go
+++ b/core/watch/watch.go
@@ -127,7 +127,7 @@
 	reuseAt      clock.Instant   // from when on connections that are kept are used again
 	failures     failures
 	loggedReason reason // that was logged last
-	old          oldList
+	staleList    oldList
 }
 
 // A call is one call of the store.
@@ -292,14 +292,14 @@
 	switch {
 	case w.Exchanges.StoreKnownUntil().IsZero():
 	case age > most:
-		if !w.old.noted && !w.Outage.Down() {
-			w.old = oldList{noted: true}
+		if !w.staleList.noted && !w.Outage.Down() {
+			w.staleList = oldList{noted: true}
 			w.Out.Log(logevent.ListOld, "age_ms", age.Milliseconds(), "most_ms", most.Milliseconds())
 		}
-		w.old.oldest = max(w.old.oldest, age)
-	case w.old.noted:
-		w.Out.Log(logevent.ListCurrent, "oldest_ms", w.old.oldest.Milliseconds())
-		w.old = oldList{}
+		w.staleList.oldest = max(w.staleList.oldest, age)
+	case w.staleList.noted:
+		w.Out.Log(logevent.ListCurrent, "oldest_ms", w.staleList.oldest.Milliseconds())
+		w.staleList = oldList{}
 	}
 }
 
