--- a/core/watch/watch.go
+++ b/core/watch/watch.go
@@ -127,7 +127,7 @@
 	reuseAt      clock.Instant   // from when on connections that are kept are used again
 	failures     failures
 	loggedReason reason // that was logged last
-	staleList    oldList
+	staleList    staleListLog
 }
 
 // A call is one call of the store.
@@ -143,8 +143,8 @@
 	beside backoff.Backoff // spaces calls beside others that hang
 }
 
-// An oldList is what was noted of a list that is older than it should be.
-type oldList struct {
+// An staleListLog is what was noted of a list that is older than it should be.
+type staleListLog struct {
 	noted  bool
 	oldest time.Duration
 }
@@ -293,13 +293,13 @@
 	case w.Exchanges.StoreKnownUntil().IsZero():
 	case age > most:
 		if !w.staleList.noted && !w.Outage.Down() {
-			w.staleList = oldList{noted: true}
+			w.staleList = staleListLog{noted: true}
 			w.Out.Log(logevent.ListOld, "age_ms", age.Milliseconds(), "most_ms", most.Milliseconds())
 		}
 		w.staleList.oldest = max(w.staleList.oldest, age)
 	case w.staleList.noted:
 		w.Out.Log(logevent.ListCurrent, "oldest_ms", w.staleList.oldest.Milliseconds())
-		w.staleList = oldList{}
+		w.staleList = staleListLog{}
 	}
 }
 
