--- a/core/watch/watch.go
+++ b/core/watch/watch.go
@@ -145,7 +145,7 @@
 
 // An staleListLog is what was noted of a list that is older than it should be.
 type staleListLog struct {
-	noted  bool
+	logged bool
 	oldest time.Duration
 }
 
@@ -292,12 +292,12 @@
 	switch {
 	case w.Exchanges.StoreKnownUntil().IsZero():
 	case age > most:
-		if !w.staleList.noted && !w.Outage.Down() {
-			w.staleList = staleListLog{noted: true}
+		if !w.staleList.logged && !w.Outage.Down() {
+			w.staleList = staleListLog{logged: true}
 			w.Out.Log(logevent.ListOld, "age_ms", age.Milliseconds(), "most_ms", most.Milliseconds())
 		}
 		w.staleList.oldest = max(w.staleList.oldest, age)
-	case w.staleList.noted:
+	case w.staleList.logged:
 		w.Out.Log(logevent.ListCurrent, "oldest_ms", w.staleList.oldest.Milliseconds())
 		w.staleList = staleListLog{}
 	}
