--- a/core/watch/watch.go
+++ b/core/watch/watch.go
@@ -146,7 +146,7 @@
 // An staleListLog is what was noted of a list that is older than it should be.
 type staleListLog struct {
 	logged bool
-	oldest time.Duration
+	maxAge time.Duration
 }
 
 // parts returns the waits on the way from the store's word to a call.
@@ -296,9 +296,9 @@
 			w.staleList = staleListLog{logged: true}
 			w.Out.Log(logevent.ListOld, "age_ms", age.Milliseconds(), "most_ms", most.Milliseconds())
 		}
-		w.staleList.oldest = max(w.staleList.oldest, age)
+		w.staleList.maxAge = max(w.staleList.maxAge, age)
 	case w.staleList.logged:
-		w.Out.Log(logevent.ListCurrent, "oldest_ms", w.staleList.oldest.Milliseconds())
+		w.Out.Log(logevent.ListCurrent, "oldest_ms", w.staleList.maxAge.Milliseconds())
 		w.staleList = staleListLog{}
 	}
 }
