--- a/core/watch/watch.go
+++ b/core/watch/watch.go
@@ -138,9 +138,9 @@
 
 // A failures is what came of calls since the last one that was answered.
 type failures struct {
-	count  int
-	at     clock.Instant   // when the last one failed
-	beside backoff.Backoff // spaces calls beside others that hang
+	count          int
+	at             clock.Instant   // when the last one failed
+	overlapBackoff backoff.Backoff // spaces calls beside others that hang
 }
 
 // An staleListLog is what was noted of a list that is older than it should be.
@@ -222,8 +222,8 @@
 	case len(w.calls) > 0: // and none of them was answered in time
 		b.Fresh = true
 		w.reuseAt = now.Add(newConnectionSpan)
-		w.failures.beside = w.failures.beside.WithFailure()
-		w.due = now.Add(w.failures.beside.Delay(w.Rand))
+		w.failures.overlapBackoff = w.failures.overlapBackoff.WithFailure()
+		w.due = now.Add(w.failures.overlapBackoff.Delay(w.Rand))
 	case w.failures.count > 0:
 		b.Fresh = true
 		w.due = now.Add(parts.Read)
@@ -273,7 +273,7 @@
 
 func (w *Watch) resetFailures() {
 	b := w.Options.Bounds
-	w.failures = failures{beside: backoff.New(w.parts().Read, b.MaxRetryDelay())}
+	w.failures = failures{overlapBackoff: backoff.New(w.parts().Read, b.MaxRetryDelay())}
 }
 
 // answeredAt returns up to when an answer that came at now has everything. One that does not
