--- a/core/watch/watch.go
+++ b/core/watch/watch.go
@@ -195,16 +195,16 @@
 	if why == notNeeded {
 		return
 	}
-	w.returnSoon(now)
+	w.hastenAfterRecovery(now)
 	if now.Before(w.due) {
 		return
 	}
 	w.begin(now)
 }
 
-// returnSoon brings the next call forward once the store answers other calls of this instance
+// hastenAfterRecovery brings the next call forward once the store answers other calls of this instance
 // again.
-func (w *Watch) returnSoon(now clock.Instant) {
+func (w *Watch) hastenAfterRecovery(now clock.Instant) {
 	if w.failures.count == 0 || !w.failures.at.Before(w.Outage.RecoveredAt()) {
 		return
 	}
