--- a/core/watch/watch.go
+++ b/core/watch/watch.go
@@ -189,7 +189,7 @@
 	if w.Stopping() {
 		return
 	}
-	w.noteAge(now)
+	w.logListAge(now)
 	why := w.view(now).reason()
 	w.log(why)
 	if why == notNeeded {
@@ -285,8 +285,8 @@
 	return clock.Earliest(now, c.sent.Add(c.wait))
 }
 
-// noteAge logs when the list becomes older than it should be, and when that is over.
-func (w *Watch) noteAge(now clock.Instant) {
+// logListAge logs when the list becomes older than it should be, and when that is over.
+func (w *Watch) logListAge(now clock.Instant) {
 	age := w.Exchanges.StoreAge(now)
 	most := max(w.Options.Bounds.Leave/2, w.parts().MaxListAge())
 	switch {
