--- a/core/watch/watch.go
+++ b/core/watch/watch.go
@@ -191,7 +191,7 @@
 	}
 	w.logListAge(now)
 	why := w.view(now).reason()
-	w.log(why)
+	w.logChange(why)
 	if why == notNeeded {
 		return
 	}
@@ -303,8 +303,8 @@
 	}
 }
 
-// log notes that the instance begins to watch, or no longer does.
-func (w *Watch) log(why reason) {
+// logChange notes that the instance begins to watch, or no longer does.
+func (w *Watch) logChange(why reason) {
 	if (why == notNeeded) == (w.loggedReason == notNeeded) {
 		return
 	}
