--- a/core/watch/watch.go
+++ b/core/watch/watch.go
@@ -249,7 +249,7 @@
 	}
 	w.Outage.Observe(now, nil)
 	w.Registry.WatchAnswered(c.sent)
-	w.Exchanges.MarkStoreKnownUntil(answeredAt(now, c, e.Whole))
+	w.Exchanges.MarkStoreKnownUntil(completeUntil(now, c, e.Whole))
 	clear(w.calls)
 	w.resetFailures()
 	w.due = now.Add(w.parts().Pause)
@@ -276,9 +276,9 @@
 	w.failures = failures{overlapBackoff: backoff.New(w.parts().Read, b.MaxRetryDelay())}
 }
 
-// answeredAt returns up to when an answer that came at now has everything. One that does not
+// completeUntil returns up to when an answer that came at now has everything. One that does not
 // have the whole was given when something changed, or when its wait was over.
-func answeredAt(now clock.Instant, c call, whole bool) clock.Instant {
+func completeUntil(now clock.Instant, c call, whole bool) clock.Instant {
 	if whole {
 		return c.sent
 	}
