--- a/core/watch/watch_test.go
+++ b/core/watch/watch_test.go
@@ -7,8 +7,8 @@
 	"github.com/matryer/is"
 )
 
-// TestWhoWatches: of what makes an instance watch, the first that holds is named.
-func TestWhoWatches(t *testing.T) {
+// TestWatchReason: of what makes an instance watch, the first that holds is named.
+func TestWatchReason(t *testing.T) {
 	const silence = 2 * time.Second
 	told := view{newsAge: silence, maxNewsAge: silence, behind: MaxConfigLag}
 	for _, tt := range []struct {
