--- a/core/listing/listing.go
+++ b/core/listing/listing.go
@@ -80,14 +80,14 @@
 		l.add(now, "", entry)
 	}
 	if e.Whole {
-		l.takeMissing(now, e)
+		l.applyMissing(now, e)
 	}
 }
 
-// takeMissing takes in that a whole list no longer has some replicas. They count as leaving at
+// applyMissing takes in that a whole list no longer has some replicas. They count as leaving at
 // once, since the watch may have missed for long that they went, but not after an outage, which
 // may remove entries of sound replicas.
-func (l *List) takeMissing(now clock.Instant, e Reply) {
+func (l *List) applyMissing(now clock.Instant, e Reply) {
 	outage := l.Outage.FailedSince(l.KnownAt())
 	for _, entry := range l.missing(e) {
 		entry.Leaving = !outage
