--- a/core/listing/listing.go
+++ b/core/listing/listing.go
@@ -150,7 +150,7 @@
 func (l *List) applyAnnounced(now clock.Instant, entry gossip.Listed) {
 	if entry.Gone {
 		l.Out.Log(logevent.UpstreamVanished, "upstream", entry.Name, "version", entry.Version)
-		by := l.leavesBy(now)
+		by := l.leaveDeadline(now)
 		if entry.Leaving {
 			by = now
 		}
@@ -160,10 +160,10 @@
 	l.announce(now, entry.Name, *entry.Announced, entry.Version)
 }
 
-// leavesBy returns the deadline by which a replica whose entry went counts as leaving, counted
+// leaveDeadline returns the deadline by which a replica whose entry went counts as leaving, counted
 // from when the list was known last, since the entry may have gone just after that. It is zero
 // after an outage, which may remove entries of sound replicas.
-func (l *List) leavesBy(now clock.Instant) clock.Instant {
+func (l *List) leaveDeadline(now clock.Instant) clock.Instant {
 	known := l.KnownAt()
 	if now.Since(known) > l.Options.Bounds.Leave || l.Outage.FailedSince(known) {
 		return clock.Instant{}
