--- a/core/listing/listing.go
+++ b/core/listing/listing.go
@@ -186,7 +186,7 @@
 	}
 	l.Pool.Announce(now, name, a)
 	if r := l.Pool.Get(name); r != former {
-		l.appeared(now, former, r)
+		l.handleNewIncarnation(now, former, r)
 	}
 	l.Present(now, name)
 	l.Announced(now, name, a.Models)
@@ -209,9 +209,9 @@
 	l.announce(now, e.Replica, a, 0)
 }
 
-// appeared takes in that a life of a replica is known for the first time; former is the
+// handleNewIncarnation takes in that a life of a replica is known for the first time; former is the
 // one before it, nil if there was none.
-func (l *List) appeared(now clock.Instant, former, r *pool.Replica) {
+func (l *List) handleNewIncarnation(now clock.Instant, former, r *pool.Replica) {
 	if former != nil {
 		l.Out.Log(logevent.UpstreamRestarted, "upstream", r.Name, "address", r.Address, "born", r.Incarnation().Born, "former", former.Incarnation().Born)
 		l.Restarted(now, r.Name)
