--- a/core/exchange/rhythm.go
+++ b/core/exchange/rhythm.go
@@ -11,9 +11,9 @@
 // When this instance begins exchanges, and with whom.
 
 const (
-	// newsSpacing is how soon the next neighbour is told when there is news that
+	// newsInterval is how soon the next neighbour is told when there is news that
 	// calls may wait for: what an engine holds, or who is leaving.
-	newsSpacing = 400 * time.Millisecond
+	newsInterval = 400 * time.Millisecond
 	// failingEvery is every how manyth round of the full mesh a peer that does
 	// not answer is tried.
 	failingEvery = 4
@@ -49,7 +49,7 @@
 	every := x.Options.PlatformExchangeInterval()
 	if r.news > 0 {
 		r.news--
-		every = min(every, newsSpacing)
+		every = min(every, newsInterval)
 	}
 	r.due = now.Add(step.Jitter(x.Rand, every))
 	if r.urgent {
@@ -89,7 +89,7 @@
 // neighbours, so that each of them is told.
 func (x *Exchanges) TellSoon(now clock.Instant) {
 	x.rhythm.news = len(x.Members.Neighbours())
-	if due := now.Add(newsSpacing); due.Before(x.rhythm.due) {
+	if due := now.Add(newsInterval); due.Before(x.rhythm.due) {
 		x.rhythm.due = due
 	}
 }
