--- a/core/exchange/rhythm.go
+++ b/core/exchange/rhythm.go
@@ -14,9 +14,9 @@
 	// newsInterval is how soon the next neighbour is told when there is news that
 	// calls may wait for: what an engine holds, or who is leaving.
 	newsInterval = 400 * time.Millisecond
-	// failingEvery is every how manyth round of the full mesh a peer that does
+	// failingPeerRounds is every how manyth round of the full mesh a peer that does
 	// not answer is tried.
-	failingEvery = 4
+	failingPeerRounds = 4
 	// abroadEvery is every how manyth exchange goes to another zone.
 	abroadEvery = 4
 	// alonePeriods is after how many of its own exchange periods without any message
@@ -71,7 +71,7 @@
 	}
 	r.meshDue = now.Add(step.Jitter(x.Rand, x.Options.MeshEvery))
 	for _, p := range x.Members.Peers() {
-		if p.Name > x.Self.Name && (!p.Failing() || r.round%failingEvery == 0) {
+		if p.Name > x.Self.Name && (!p.Failing() || r.round%failingPeerRounds == 0) {
 			x.StartWith(now, p)
 		}
 	}
