--- a/core/exchange/rhythm.go
+++ b/core/exchange/rhythm.go
@@ -17,8 +17,8 @@
 	// failingPeerRounds is every how manyth round of the full mesh a peer that does
 	// not answer is tried.
 	failingPeerRounds = 4
-	// abroadEvery is every how manyth exchange goes to another zone.
-	abroadEvery = 4
+	// crossZoneRounds is every how manyth exchange goes to another zone.
+	crossZoneRounds = 4
 	// alonePeriods is after how many of its own exchange periods without any message
 	// from any peer an instance counts itself as alone.
 	alonePeriods = 5
@@ -147,7 +147,7 @@
 			}
 		}
 	}
-	if round%abroadEvery == 0 {
+	if round%crossZoneRounds == 0 {
 		return member.Random(x.Rand, x.Members.ZonePeers(false))
 	}
 	return nil
