--- a/core/exchange/rhythm.go
+++ b/core/exchange/rhythm.go
@@ -19,9 +19,9 @@
 	failingPeerRounds = 4
 	// crossZoneRounds is every how manyth exchange goes to another zone.
 	crossZoneRounds = 4
-	// alonePeriods is after how many of its own exchange periods without any message
+	// isolationPeriods is after how many of its own exchange periods without any message
 	// from any peer an instance counts itself as alone.
-	alonePeriods = 5
+	isolationPeriods = 5
 )
 
 // A rhythm says when the next exchanges are due.
@@ -96,7 +96,7 @@
 
 // Isolated reports whether no peer was heard for some of the own exchange periods.
 func (x *Exchanges) Isolated(now clock.Instant) bool {
-	return x.Members.HeardWithin(now, alonePeriods*x.Options.ExchangeEvery) == 0
+	return x.Members.HeardWithin(now, isolationPeriods*x.Options.ExchangeEvery) == 0
 }
 
 // burst tells every neighbour, and a peer of another zone, at once.
