--- a/core/exchange/pull.go
+++ b/core/exchange/pull.go
@@ -14,9 +14,9 @@
 	// before another one is asked. Several at once would share a narrow link, and
 	// none would arrive.
 	PullTimeout = 600 * time.Millisecond
-	// pullPatience is how long an instance that watches the platform itself
+	// platformGrace is how long an instance that watches the platform itself
 	// waits for a revision that a peer has, before it asks the peer for it.
-	pullPatience = 600 * time.Millisecond
+	platformGrace = 600 * time.Millisecond
 )
 
 // A pull is what is known of newer revisions, and the request for one.
@@ -61,7 +61,7 @@
 	if x.pull.newest <= x.Config.Revision() || now.Before(x.pull.until) {
 		return
 	}
-	if x.PlatformBrings(now) && now.Before(x.pull.sinceAt.Add(pullPatience)) {
+	if x.PlatformBrings(now) && now.Before(x.pull.sinceAt.Add(platformGrace)) {
 		return // it will come from there, and more cheaply
 	}
 	p := x.furthestAhead()
