--- a/core/exchange/rhythm.go
+++ b/core/exchange/rhythm.go
@@ -24,8 +24,8 @@
 	isolationPeriods = 5
 )
 
-// A rhythm says when the next exchanges are due.
-type rhythm struct {
+// A schedule says when the next exchanges are due.
+type schedule struct {
 	due     clock.Instant
 	meshDue clock.Instant // of the full mesh
 	round   int
