--- a/core/exchange/exchange.go
+++ b/core/exchange/exchange.go
@@ -106,7 +106,7 @@
 type Exchanges struct {
 	Deps
 	seeds    []string // addresses known from settings
-	rhythm   schedule
+	schedule schedule
 	pull     pull
 	peers    map[string]peerState
 	inFlight map[string]bool // exchanges under way, by address
--- a/core/exchange/rhythm.go
+++ b/core/exchange/rhythm.go
@@ -37,7 +37,7 @@
 // Tick begins the exchanges that are due.
 func (x *Exchanges) Tick(now clock.Instant) {
 	x.pullNewer(now)
-	r := &x.rhythm
+	r := &x.schedule
 	if now.Before(r.due) {
 		return
 	}
@@ -65,7 +65,7 @@
 // whose name comes first begins, so that all hear from all, at first hand and
 // within MeshEvery.
 func (x *Exchanges) TickMesh(now clock.Instant) {
-	r := &x.rhythm
+	r := &x.schedule
 	if !x.Roster.FullMesh() || now.Before(r.meshDue) {
 		return
 	}
@@ -81,16 +81,16 @@
 
 // TellAll has the next exchanges begun at once, to spread what is new.
 func (x *Exchanges) TellAll(now clock.Instant) {
-	x.rhythm.urgent = true
-	x.rhythm.due = now
+	x.schedule.urgent = true
+	x.schedule.due = now
 }
 
 // TellSoon brings the next exchange forward for as many turns as there are
 // neighbours, so that each of them is told.
 func (x *Exchanges) TellSoon(now clock.Instant) {
-	x.rhythm.news = len(x.Members.Neighbours())
-	if due := now.Add(newsInterval); due.Before(x.rhythm.due) {
-		x.rhythm.due = due
+	x.schedule.news = len(x.Members.Neighbours())
+	if due := now.Add(newsInterval); due.Before(x.schedule.due) {
+		x.schedule.due = due
 	}
 }
 
@@ -101,7 +101,7 @@
 
 // burst tells every neighbour, and a peer of another zone, at once.
 func (x *Exchanges) burst(now clock.Instant) {
-	x.rhythm.urgent = false
+	x.schedule.urgent = false
 	if x.Roster.FullMesh() {
 		for _, p := range x.Members.Peers() {
 			x.StartWith(now, p)
@@ -116,12 +116,12 @@
 
 // nextPeer returns whom to exchange with in this round.
 func (x *Exchanges) nextPeer(now clock.Instant) *member.Peer {
-	if p := x.NextPeer(now, x.rhythm.round); p != nil {
+	if p := x.NextPeer(now, x.schedule.round); p != nil {
 		return p
 	}
 	if near := x.Members.Neighbours(); len(near) > 0 {
-		x.rhythm.turn++
-		return near[x.rhythm.turn%len(near)]
+		x.schedule.turn++
+		return near[x.schedule.turn%len(near)]
 	}
 	return member.Random(x.Rand, x.Members.ZonePeers(false))
 }
@@ -165,8 +165,8 @@
 	if len(others) == 0 {
 		return nil
 	}
-	x.rhythm.turn++
-	return others[x.rhythm.turn%len(others)]
+	x.schedule.turn++
+	return others[x.schedule.turn%len(others)]
 }
 
 // contactSeeds tries one address from the settings while no peer was heard.
