--- a/core/exchange/rhythm.go
+++ b/core/exchange/rhythm.go
@@ -26,12 +26,12 @@
 
 // A schedule says when the next exchanges are due.
 type schedule struct {
-	due     clock.Instant
-	meshDue clock.Instant // of the full mesh
-	round   int
-	turn    int  // of the neighbours, and of those that watch
-	news    int  // exchanges to space by newsSpacing
-	urgent  bool // tell every neighbour without waiting
+	due       clock.Instant
+	meshDue   clock.Instant // of the full mesh
+	round     int
+	nextIndex int  // of the neighbours, and of those that watch
+	news      int  // exchanges to space by newsSpacing
+	urgent    bool // tell every neighbour without waiting
 }
 
 // Tick begins the exchanges that are due.
@@ -120,8 +120,8 @@
 		return p
 	}
 	if near := x.Members.Neighbours(); len(near) > 0 {
-		x.schedule.turn++
-		return near[x.schedule.turn%len(near)]
+		x.schedule.nextIndex++
+		return near[x.schedule.nextIndex%len(near)]
 	}
 	return member.Random(x.Rand, x.Members.ZonePeers(false))
 }
@@ -165,8 +165,8 @@
 	if len(others) == 0 {
 		return nil
 	}
-	x.schedule.turn++
-	return others[x.schedule.turn%len(others)]
+	x.schedule.nextIndex++
+	return others[x.schedule.nextIndex%len(others)]
 }
 
 // contactSeeds tries one address from the settings while no peer was heard.
