--- a/core/exchange/rhythm.go
+++ b/core/exchange/rhythm.go
@@ -26,12 +26,12 @@
 
 // A schedule says when the next exchanges are due.
 type schedule struct {
-	due       clock.Instant
-	meshDue   clock.Instant // of the full mesh
-	round     int
-	nextIndex int  // of the neighbours, and of those that watch
-	news      int  // exchanges to space by newsSpacing
-	urgent    bool // tell every neighbour without waiting
+	due        clock.Instant
+	meshDue    clock.Instant // of the full mesh
+	round      int
+	nextIndex  int  // of the neighbours, and of those that watch
+	newsRounds int  // exchanges to space by newsSpacing
+	urgent     bool // tell every neighbour without waiting
 }
 
 // Tick begins the exchanges that are due.
@@ -47,8 +47,8 @@
 		return
 	}
 	every := x.Options.PlatformExchangeInterval()
-	if r.news > 0 {
-		r.news--
+	if r.newsRounds > 0 {
+		r.newsRounds--
 		every = min(every, newsInterval)
 	}
 	r.due = now.Add(step.Jitter(x.Rand, every))
@@ -88,7 +88,7 @@
 // TellSoon brings the next exchange forward for as many turns as there are
 // neighbours, so that each of them is told.
 func (x *Exchanges) TellSoon(now clock.Instant) {
-	x.schedule.news = len(x.Members.Neighbours())
+	x.schedule.newsRounds = len(x.Members.Neighbours())
 	if due := now.Add(newsInterval); due.Before(x.schedule.due) {
 		x.schedule.due = due
 	}
