--- a/core/exchange/pull.go
+++ b/core/exchange/pull.go
@@ -21,9 +21,9 @@
 
 // A pull is what is known of newer revisions, and the request for one.
 type pull struct {
-	newest  uint64        // revision that a peer is known to have
-	sinceAt clock.Instant // since when a peer is known to be ahead of this instance
-	until   clock.Instant // until then a peer that was asked is waited for
+	newest      uint64        // revision that a peer is known to have
+	behindSince clock.Instant // since when a peer is known to be ahead of this instance
+	until       clock.Instant // until then a peer that was asked is waited for
 }
 
 // heard takes in that a peer has a revision, while own is in force here.
@@ -32,7 +32,7 @@
 		return
 	}
 	if p.newest <= own {
-		p.sinceAt = now
+		p.behindSince = now
 	}
 	p.newest = revision
 }
@@ -43,13 +43,13 @@
 	if x.pull.newest <= x.Config.Revision() {
 		return 0, false
 	}
-	return now.Since(x.pull.sinceAt), true
+	return now.Since(x.pull.behindSince), true
 }
 
 // ConfigInstalled notes that a newer revision is in force here: it is spread at once,
 // and a still newer one that was announced meanwhile is asked for.
 func (x *Exchanges) ConfigInstalled(now clock.Instant) {
-	x.pull.sinceAt = now
+	x.pull.behindSince = now
 	x.pull.until = clock.Instant{}
 	x.pullNewer(now)
 	x.TellAll(now)
@@ -61,7 +61,7 @@
 	if x.pull.newest <= x.Config.Revision() || now.Before(x.pull.until) {
 		return
 	}
-	if x.PlatformBrings(now) && now.Before(x.pull.sinceAt.Add(platformGrace)) {
+	if x.PlatformBrings(now) && now.Before(x.pull.behindSince.Add(platformGrace)) {
 		return // it will come from there, and more cheaply
 	}
 	p := x.furthestAhead()
