--- a/core/exchange/pull.go
+++ b/core/exchange/pull.go
@@ -23,7 +23,7 @@
 type pull struct {
 	newest      uint64        // revision that a peer is known to have
 	behindSince clock.Instant // since when a peer is known to be ahead of this instance
-	until       clock.Instant // until then a peer that was asked is waited for
+	waitUntil   clock.Instant // until then a peer that was asked is waited for
 }
 
 // heard takes in that a peer has a revision, while own is in force here.
@@ -50,7 +50,7 @@
 // and a still newer one that was announced meanwhile is asked for.
 func (x *Exchanges) ConfigInstalled(now clock.Instant) {
 	x.pull.behindSince = now
-	x.pull.until = clock.Instant{}
+	x.pull.waitUntil = clock.Instant{}
 	x.pullNewer(now)
 	x.TellAll(now)
 }
@@ -58,7 +58,7 @@
 // pullNewer asks a peer that is ahead for its configuration. Only one is asked at
 // a time, since the whole configuration comes back; another, if that one is slow.
 func (x *Exchanges) pullNewer(now clock.Instant) {
-	if x.pull.newest <= x.Config.Revision() || now.Before(x.pull.until) {
+	if x.pull.newest <= x.Config.Revision() || now.Before(x.pull.waitUntil) {
 		return
 	}
 	if x.PlatformBrings(now) && now.Before(x.pull.behindSince.Add(platformGrace)) {
@@ -68,7 +68,7 @@
 	if p == nil {
 		return
 	}
-	x.pull.until = now.Add(PullTimeout)
+	x.pull.waitUntil = now.Add(PullTimeout)
 	x.inFlight[p.Address] = true
 	msg := x.message(now, p.Name)
 	msg.WantConfig = true
