--- a/core/exchange/exchange.go
+++ b/core/exchange/exchange.go
@@ -242,7 +242,7 @@
 	if len(msg.Demand) > 0 {
 		x.DemandHeard(now, msg.From, msg.Demand)
 	}
-	x.pull.heard(now, msg.Revision, x.Config.Revision())
+	x.pull.observe(now, msg.Revision, x.Config.Revision())
 	if len(msg.Config) == 0 {
 		x.pullNewer(now)
 	}
--- a/core/exchange/pull.go
+++ b/core/exchange/pull.go
@@ -26,8 +26,8 @@
 	waitUntil   clock.Instant // until then a peer that was asked is waited for
 }
 
-// heard takes in that a peer has a revision, while own is in force here.
-func (p *pull) heard(now clock.Instant, revision, own uint64) {
+// observe takes in that a peer has a revision, while own is in force here.
+func (p *pull) observe(now clock.Instant, revision, own uint64) {
 	if revision <= p.newest {
 		return
 	}
