--- a/core/exchange/exchange.go
+++ b/core/exchange/exchange.go
@@ -234,7 +234,7 @@
 		state.acked = msg.Ack
 	}
 	x.peers[msg.From] = state
-	x.takeRecords(now, msg.From, msg.Records)
+	x.applyRecords(now, msg.From, msg.Records)
 	if msg.StoreAge > 0 {
 		x.storeAt = clock.Latest(x.storeAt, now.Add(-msg.StoreAge))
 	}
@@ -248,7 +248,7 @@
 	}
 }
 
-func (x *Exchanges) takeRecords(now clock.Instant, from string, r gossip.Records) {
+func (x *Exchanges) applyRecords(now clock.Instant, from string, r gossip.Records) {
 	for _, res := range r.Residencies {
 		if x.Records.AddResidency(from, res) {
 			x.LogLeaving(res)
