--- a/core/exchange/exchange.go
+++ b/core/exchange/exchange.go
@@ -238,7 +238,7 @@
 	if msg.StoreAge > 0 {
 		x.storeAt = clock.Latest(x.storeAt, now.Add(-msg.StoreAge))
 	}
-	x.takeUses(now, msg)
+	x.applyUses(now, msg)
 	if len(msg.Demand) > 0 {
 		x.DemandHeard(now, msg.From, msg.Demand)
 	}
@@ -284,8 +284,8 @@
 	}
 }
 
-// takeUses takes in what a peer has in flight.
-func (x *Exchanges) takeUses(now clock.Instant, msg gossip.Message) {
+// applyUses takes in what a peer has in flight.
+func (x *Exchanges) applyUses(now clock.Instant, msg gossip.Message) {
 	if msg.Uses == nil {
 		return
 	}
