--- a/core/exchange/pull.go
+++ b/core/exchange/pull.go
@@ -64,7 +64,7 @@
 	if x.PlatformBrings(now) && now.Before(x.pull.behindSince.Add(platformGrace)) {
 		return // it will come from there, and more cheaply
 	}
-	p := x.furthestAhead()
+	p := x.pullTarget()
 	if p == nil {
 		return
 	}
@@ -75,10 +75,10 @@
 	x.Out.Emit(SendRequest{Peer: p.Name, Address: p.Address, Message: msg})
 }
 
-// furthestAhead returns the peer to ask for its configuration: one of the own
+// pullTarget returns the peer to ask for its configuration: one of the own
 // zone before others, then the one with the newest revision. Peers that are being
 // asked already or seem not to answer are passed over.
-func (x *Exchanges) furthestAhead() *member.Peer {
+func (x *Exchanges) pullTarget() *member.Peer {
 	var best *member.Peer
 	for _, p := range x.Members.Peers() {
 		if x.peers[p.Name].revision <= x.Config.Revision() || p.Failing() || x.inFlight[p.Address] {
--- a/core/exchange/pull_test.go
+++ b/core/exchange/pull_test.go
@@ -48,7 +48,7 @@
 				}
 			}
 			got := ""
-			if p := x.furthestAhead(); p != nil {
+			if p := x.pullTarget(); p != nil {
 				got = p.Name
 			}
 			is.Equal(got, c.want)
