--- a/core/exchange/pull.go
+++ b/core/exchange/pull.go
@@ -84,15 +84,15 @@
 		if x.peers[p.Name].revision <= x.Config.Revision() || p.Failing() || x.inFlight[p.Address] {
 			continue
 		}
-		if best == nil || x.preferred(p, best) {
+		if best == nil || x.preferToPull(p, best) {
 			best = p
 		}
 	}
 	return best
 }
 
-// preferred reports whether a rather than b is asked for a configuration.
-func (x *Exchanges) preferred(a, b *member.Peer) bool {
+// preferToPull reports whether a rather than b is asked for a configuration.
+func (x *Exchanges) preferToPull(a, b *member.Peer) bool {
 	if near := a.Zone == x.Self.Zone; near != (b.Zone == x.Self.Zone) {
 		return near
 	}
