--- a/core/exchange/pull_test.go
+++ b/core/exchange/pull_test.go
@@ -12,10 +12,10 @@
 	"github.com/birchdrift/birchdrift/core/shared"
 )
 
-// TestWhoIsAskedForAConfiguration: a peer of the own zone before others, then the
+// TestPullTarget: a peer of the own zone before others, then the
 // one with the newest revision; one that does not answer or is being asked is
 // passed over.
-func TestWhoIsAskedForAConfiguration(t *testing.T) {
+func TestPullTarget(t *testing.T) {
 	type peer struct {
 		name, zone string
 		revision   uint64
