--- a/core/ownership/claim.go
+++ b/core/ownership/claim.go
@@ -16,9 +16,9 @@
 // the first order there.
 
 const (
-	// claimEvery spaces the looks for engines to claim, and for the placer's
+	// claimInterval spaces the looks for engines to claim, and for the placer's
 	// record: a third of the time that a lost owner's engines have to wait anyhow.
-	claimEvery = 300 * time.Millisecond
+	claimInterval = 300 * time.Millisecond
 	// claimStep is how long the instance next in rank waits for the one before
 	// it to claim: two looks and a write.
 	claimStep = 700 * time.Millisecond
@@ -42,7 +42,7 @@
 	if now.Before(g.claims.due) {
 		return
 	}
-	g.claims.due = now.Add(step.Jitter(g.Rand, claimEvery))
+	g.claims.due = now.Add(step.Jitter(g.Rand, claimInterval))
 	if !g.era.isRead() || !g.enrolment.held || g.claims.inFlight || !g.Roster.IncludesSelf(now) || !g.MayOrder(now) || !g.Config.Loaded() {
 		return
 	}
--- a/core/ownership/era.go
+++ b/core/ownership/era.go
@@ -173,7 +173,7 @@
 // markWritten takes in what came of the write of an era's record.
 func (g *Registry) markWritten(now clock.Instant, e WriteReply) {
 	g.era.marking = false
-	g.era.markDue = now.Add(claimEvery)
+	g.era.markDue = now.Add(claimInterval)
 	if e.Err != nil {
 		g.Outage.Observe(now, e.Err)
 		return
--- a/core/ownership/placer.go
+++ b/core/ownership/placer.go
@@ -49,7 +49,7 @@
 		!g.era.isRead() || g.steadyAt.IsZero() || !g.Roster.IncludesSelf(now) {
 		return
 	}
-	p.seekDue = now.Add(step.Jitter(g.Rand, claimEvery))
+	p.seekDue = now.Add(step.Jitter(g.Rand, claimInterval))
 	if !g.holdsSinceFormer(now) && !g.placerFree(now) {
 		return
 	}
