--- a/core/ownership/claim.go
+++ b/core/ownership/claim.go
@@ -19,9 +19,9 @@
 	// claimInterval spaces the looks for engines to claim, and for the placer's
 	// record: a third of the time that a lost owner's engines have to wait anyhow.
 	claimInterval = 300 * time.Millisecond
-	// claimStep is how long the instance next in rank waits for the one before
+	// claimRankDelay is how long the instance next in rank waits for the one before
 	// it to claim: two looks and a write.
-	claimStep = 700 * time.Millisecond
+	claimRankDelay = 700 * time.Millisecond
 	// sameOwnerGap is how long an owner waits that takes its own engine again,
 	// whose orders may still be on their way: above the time limit of an order at
 	// the fastest engines, below the gap between two owners.
@@ -95,7 +95,7 @@
 		return claim, false
 	}
 	// Should the instance that ranks first not claim, the next one does.
-	return claim, !now.Before(since.Add(time.Duration(ownerRank(r.Name, r.Zone, g.self(), candidates())) * claimStep))
+	return claim, !now.Before(since.Add(time.Duration(ownerRank(r.Name, r.Zone, g.self(), candidates())) * claimRankDelay))
 }
 
 // An engineView is what is known of who may order an engine.
@@ -137,7 +137,7 @@
 	case v.steadyAt.IsZero():
 		return since, false
 	case !v.owned:
-		return clock.Latest(v.steadyAt.Add(claimStep), v.seenAt), true
+		return clock.Latest(v.steadyAt.Add(claimRankDelay), v.seenAt), true
 	case v.owner == "":
 		return v.learntAt, true
 	case v.ownerThere || v.ownerGone.IsZero():
--- a/core/ownership/era.go
+++ b/core/ownership/era.go
@@ -149,7 +149,7 @@
 	if x.now == 0 || x.mark != nil || x.marking || x.readAt.IsZero() || now.Before(x.markDue) || !g.Roster.IncludesSelf(now) {
 		return
 	}
-	if now.Before(x.readAt.Add(time.Duration(g.PlacerRank(now)) * claimStep)) {
+	if now.Before(x.readAt.Add(time.Duration(g.PlacerRank(now)) * claimRankDelay)) {
 		return
 	}
 	x.marking = true
--- a/core/ownership/placer.go
+++ b/core/ownership/placer.go
@@ -84,7 +84,7 @@
 	if p.record.Name == g.Self.Name {
 		return !g.era.isStale(p.record.Era) || !now.Before(free)
 	}
-	return !now.Before(free.Add(time.Duration(g.PlacerRank(now)) * claimStep))
+	return !now.Before(free.Add(time.Duration(g.PlacerRank(now)) * claimRankDelay))
 }
 
 // HandedOverLoads returns how many loads from the weight store may begin at once, as the
