--- a/core/ownership/enrol.go
+++ b/core/ownership/enrol.go
@@ -15,8 +15,8 @@
 // the first is shorter than a renewal's spacing, the last still allows three tries
 // within the record's term.
 const (
-	enrolBase = 100 * time.Millisecond
-	enrolMax  = time.Second
+	enrolBackoffBase = 100 * time.Millisecond
+	enrolMax         = time.Second
 )
 
 // An enrolment is the lease on which this instance's record hangs.
@@ -31,7 +31,7 @@
 }
 
 func newEnrolment() enrolment {
-	return enrolment{backoff: backoff.New(enrolBase, enrolMax)}
+	return enrolment{backoff: backoff.New(enrolBackoffBase, enrolMax)}
 }
 
 // keepEnrolled renews the lease, or begins one.
