--- a/core/ownership/enrol.go
+++ b/core/ownership/enrol.go
@@ -16,7 +16,7 @@
 // within the record's term.
 const (
 	enrolBackoffBase = 100 * time.Millisecond
-	enrolMax         = time.Second
+	enrolBackoffMax  = time.Second
 )
 
 // An enrolment is the lease on which this instance's record hangs.
@@ -31,7 +31,7 @@
 }
 
 func newEnrolment() enrolment {
-	return enrolment{backoff: backoff.New(enrolBackoffBase, enrolMax)}
+	return enrolment{backoff: backoff.New(enrolBackoffBase, enrolBackoffMax)}
 }
 
 // keepEnrolled renews the lease, or begins one.
