--- a/core/ownership/era.go
+++ b/core/ownership/era.go
@@ -15,8 +15,8 @@
 // to another. What it holds it goes on ordering, and claims again; what others hold by the
 // records that the store still has, they may have held no more.
 
-// enrolApart spaces, over all instances, the new leases after a step back: two writes each.
-const enrolApart = 10 * time.Millisecond
+// reenrolSpacing spaces, over all instances, the new leases after a step back: two writes each.
+const reenrolSpacing = 10 * time.Millisecond
 
 // EraObserved is the event that a call showed in which era the store is.
 type EraObserved struct{ Era era.Era }
@@ -94,7 +94,7 @@
 	g.placer.seekDue = now
 	g.enrolment.due = now
 	if g.Owned.Len() == 0 && !g.placer.held {
-		spread := time.Duration(g.Members.Size()) * enrolApart
+		spread := time.Duration(g.Members.Size()) * reenrolSpacing
 		g.enrolment.due = now.Add(time.Duration(g.Rand.Float64() * float64(spread)))
 	}
 	g.SteppedBack(now)
