--- a/core/ownership/ownership.go
+++ b/core/ownership/ownership.go
@@ -202,8 +202,8 @@
 	watchTooOld   denial = "the last watch that was answered is too old"
 )
 
-// A standing is what decides whether an owner may order.
-type standing struct {
+// A orderEligibility is what decides whether an owner may order.
+type orderEligibility struct {
 	stopping bool
 	keptAt   clock.Instant // when the last renewal that succeeded was sent; zero: never
 	heardAt  clock.Instant // when the last watch that was answered was sent; zero: never
@@ -212,7 +212,7 @@
 // denial returns why an owner may not order at now, valid being how long a renewal
 // and a watch are good for. Both clocks count, so that a machine that was suspended
 // does not order.
-func (s standing) denial(now clock.Instant, valid time.Duration) denial {
+func (s orderEligibility) denial(now clock.Instant, valid time.Duration) denial {
 	switch {
 	case s.stopping:
 		return stopping
@@ -231,7 +231,7 @@
 
 // denial returns why this instance may order no engine now, "" if it may.
 func (g *Registry) denial(now clock.Instant) denial {
-	s := standing{stopping: g.Stopping(), keptAt: g.enrolment.keptAt, heardAt: g.heardAt}
+	s := orderEligibility{stopping: g.Stopping(), keptAt: g.enrolment.keptAt, heardAt: g.heardAt}
 	if g.Options.Disable.HearRegistry {
 		s.heardAt = now
 	}
