--- a/core/ownership/ownership.go
+++ b/core/ownership/ownership.go
@@ -204,9 +204,9 @@
 
 // A orderEligibility is what decides whether an owner may order.
 type orderEligibility struct {
-	stopping bool
-	keptAt   clock.Instant // when the last renewal that succeeded was sent; zero: never
-	heardAt  clock.Instant // when the last watch that was answered was sent; zero: never
+	stopping  bool
+	renewedAt clock.Instant // when the last renewal that succeeded was sent; zero: never
+	heardAt   clock.Instant // when the last watch that was answered was sent; zero: never
 }
 
 // denial returns why an owner may not order at now, valid being how long a renewal
@@ -216,9 +216,9 @@
 	switch {
 	case s.stopping:
 		return stopping
-	case s.keptAt.IsZero():
+	case s.renewedAt.IsZero():
 		return neverRenewed
-	case now.MaxElapsed(s.keptAt) >= valid:
+	case now.MaxElapsed(s.renewedAt) >= valid:
 		return renewalTooOld
 	case s.heardAt.IsZero():
 		return neverHeard
@@ -231,7 +231,7 @@
 
 // denial returns why this instance may order no engine now, "" if it may.
 func (g *Registry) denial(now clock.Instant) denial {
-	s := orderEligibility{stopping: g.Stopping(), keptAt: g.enrolment.keptAt, heardAt: g.heardAt}
+	s := orderEligibility{stopping: g.Stopping(), renewedAt: g.enrolment.keptAt, heardAt: g.heardAt}
 	if g.Options.Disable.HearRegistry {
 		s.heardAt = now
 	}
