--- a/core/ownership/ownership.go
+++ b/core/ownership/ownership.go
@@ -206,7 +206,7 @@
 type orderEligibility struct {
 	stopping  bool
 	renewedAt clock.Instant // when the last renewal that succeeded was sent; zero: never
-	heardAt   clock.Instant // when the last watch that was answered was sent; zero: never
+	watchedAt clock.Instant // when the last watch that was answered was sent; zero: never
 }
 
 // denial returns why an owner may not order at now, valid being how long a renewal
@@ -220,9 +220,9 @@
 		return neverRenewed
 	case now.MaxElapsed(s.renewedAt) >= valid:
 		return renewalTooOld
-	case s.heardAt.IsZero():
+	case s.watchedAt.IsZero():
 		return neverHeard
-	case now.MaxElapsed(s.heardAt) >= valid:
+	case now.MaxElapsed(s.watchedAt) >= valid:
 		return watchTooOld
 	default:
 		return allowed
@@ -231,9 +231,9 @@
 
 // denial returns why this instance may order no engine now, "" if it may.
 func (g *Registry) denial(now clock.Instant) denial {
-	s := orderEligibility{stopping: g.Stopping(), renewedAt: g.enrolment.keptAt, heardAt: g.heardAt}
+	s := orderEligibility{stopping: g.Stopping(), renewedAt: g.enrolment.keptAt, watchedAt: g.heardAt}
 	if g.Options.Disable.HearRegistry {
-		s.heardAt = now
+		s.watchedAt = now
 	}
 	return s.denial(now, g.Options.OrderValid)
 }
