--- a/core/ownership/ownership.go
+++ b/core/ownership/ownership.go
@@ -198,7 +198,7 @@
 	stopping      denial = "this instance stops"
 	neverRenewed  denial = "its record was never renewed"
 	renewalTooOld denial = "the last renewal of its record that was answered is too old"
-	neverHeard    denial = "it never heard of the records from the store"
+	neverWatched  denial = "it never heard of the records from the store"
 	watchTooOld   denial = "the last watch that was answered is too old"
 )
 
@@ -221,7 +221,7 @@
 	case now.MaxElapsed(s.renewedAt) >= valid:
 		return renewalTooOld
 	case s.watchedAt.IsZero():
-		return neverHeard
+		return neverWatched
 	case now.MaxElapsed(s.watchedAt) >= valid:
 		return watchTooOld
 	default:
--- a/core/ownership/ownership_test.go
+++ b/core/ownership/ownership_test.go
@@ -94,7 +94,7 @@
 	}{
 		{"both recent", time.Second, time.Second, false, 0, allowed},
 		{"never renewed", -1, time.Second, false, 0, neverRenewed},
-		{"never heard", time.Second, -1, false, 0, neverHeard},
+		{"never heard", time.Second, -1, false, 0, neverWatched},
 		{"renewed too long ago", valid, 0, false, 0, renewalTooOld},
 		{"heard too long ago", 0, valid, false, 0, watchTooOld},
 		{"just in time", valid - 1, valid - 1, false, 0, allowed},
