--- a/core/ownership/enrol.go
+++ b/core/ownership/enrol.go
@@ -21,13 +21,13 @@
 
 // An enrolment is the lease on which this instance's record hangs.
 type enrolment struct {
-	job     step.Job
-	lease   era.Lease
-	held    bool
-	due     clock.Instant // not before
-	again   bool          // the record went though the lease stands
-	keptAt  clock.Instant // when the last renewal that succeeded was sent
-	backoff backoff.Backoff
+	job           step.Job
+	lease         era.Lease
+	held          bool
+	due           clock.Instant // not before
+	recordDeleted bool          // the record went though the lease stands
+	keptAt        clock.Instant // when the last renewal that succeeded was sent
+	backoff       backoff.Backoff
 }
 
 func newEnrolment() enrolment {
@@ -41,7 +41,7 @@
 		return
 	}
 	l.job.Begin(now)
-	if l.held && !l.again && !g.era.isOver(l.lease) {
+	if l.held && !l.recordDeleted && !g.era.isOver(l.lease) {
 		g.Out.Emit(RenewLease{Lease: l.lease})
 		return
 	}
@@ -59,7 +59,7 @@
 	l := &g.enrolment
 	l.lease = e.Lease
 	l.held = true
-	l.again = false
+	l.recordDeleted = false
 	g.observeEra(now, e.Lease.Era)
 	g.renewed(now, e.Sent)
 	g.Out.Log(logevent.Enrolled, "lease", e.Lease)
