--- a/core/ownership/enrol.go
+++ b/core/ownership/enrol.go
@@ -26,7 +26,7 @@
 	held          bool
 	due           clock.Instant // not before
 	recordDeleted bool          // the record went though the lease stands
-	keptAt        clock.Instant // when the last renewal that succeeded was sent
+	renewedAt     clock.Instant // when the last renewal that succeeded was sent
 	backoff       backoff.Backoff
 }
 
@@ -85,7 +85,7 @@
 
 func (g *Registry) renewed(now, sent clock.Instant) {
 	g.storeAnswered(now)
-	g.enrolment.keptAt = sent
+	g.enrolment.renewedAt = sent
 	g.enrolment.job.End(now.Add(g.keepEvery()))
 }
 
--- a/core/ownership/ownership.go
+++ b/core/ownership/ownership.go
@@ -231,7 +231,7 @@
 
 // denial returns why this instance may order no engine now, "" if it may.
 func (g *Registry) denial(now clock.Instant) denial {
-	s := orderEligibility{stopping: g.Stopping(), renewedAt: g.enrolment.keptAt, watchedAt: g.heardAt}
+	s := orderEligibility{stopping: g.Stopping(), renewedAt: g.enrolment.renewedAt, watchedAt: g.heardAt}
 	if g.Options.Disable.HearRegistry {
 		s.watchedAt = now
 	}
--- a/core/ownership/ownership_test.go
+++ b/core/ownership/ownership_test.go
@@ -108,7 +108,7 @@
 			g := testRegistry(now)
 			g.Stopping = func() bool { return c.stopping }
 			if c.kept >= 0 {
-				g.enrolment.keptAt = now.Add(-c.kept)
+				g.enrolment.renewedAt = now.Add(-c.kept)
 			}
 			if c.heard >= 0 {
 				g.WatchAnswered(now.Add(-c.heard))
