--- a/core/ownership/ownership.go
+++ b/core/ownership/ownership.go
@@ -155,7 +155,7 @@
 	era         storeEra
 	formerMarks []era.Era // eras that are over and whose marks stand
 
-	heardAt   clock.Instant // when the last watch that was answered was sent
+	watchedAt clock.Instant // when the last watch that was answered was sent
 	steadyAt  clock.Instant // since when the store has answered renewals
 	instances map[string]registry.Instance
 	absent    map[string]clock.Instant // since when an instance has no record
@@ -231,7 +231,7 @@
 
 // denial returns why this instance may order no engine now, "" if it may.
 func (g *Registry) denial(now clock.Instant) denial {
-	s := orderEligibility{stopping: g.Stopping(), renewedAt: g.enrolment.renewedAt, watchedAt: g.heardAt}
+	s := orderEligibility{stopping: g.Stopping(), renewedAt: g.enrolment.renewedAt, watchedAt: g.watchedAt}
 	if g.Options.Disable.HearRegistry {
 		s.watchedAt = now
 	}
@@ -252,7 +252,7 @@
 
 // WatchAnswered notes that a watch of the store that was sent at sent was
 // answered.
-func (g *Registry) WatchAnswered(sent clock.Instant) { g.heardAt = sent }
+func (g *Registry) WatchAnswered(sent clock.Instant) { g.watchedAt = sent }
 
 // Instances returns the instances that have a record, by name.
 func (g *Registry) Instances() map[string]registry.Instance { return g.instances }
