--- a/core/ownership/claim.go
+++ b/core/ownership/claim.go
@@ -112,8 +112,8 @@
 // engineView gathers what is known. An owner without a record counts as gone from
 // the first look on at which it has none.
 func (g *Registry) engineView(now clock.Instant, r *pool.Replica, old registry.Ownership, owned bool) engineView {
-	v := engineView{steadyAt: g.steadyAt, seenAt: r.FirstSeenAt(), owned: owned, owner: old.Owner, learntAt: g.learnt[r.Name]}
-	if g.steadyAt.IsZero() || !owned || old.Owner == "" {
+	v := engineView{steadyAt: g.storeUpSince, seenAt: r.FirstSeenAt(), owned: owned, owner: old.Owner, learntAt: g.learnt[r.Name]}
+	if g.storeUpSince.IsZero() || !owned || old.Owner == "" {
 		return v
 	}
 	_, v.ownerThere = g.instances[old.Owner]
--- a/core/ownership/enrol.go
+++ b/core/ownership/enrol.go
@@ -105,14 +105,14 @@
 	g.Outage.Observe(now, err)
 	l.backoff = l.backoff.WithFailure()
 	l.job.End(now.Add(l.backoff.Delay(g.Rand)))
-	g.steadyAt = clock.Instant{}
+	g.storeUpSince = clock.Instant{}
 }
 
 func (g *Registry) storeAnswered(now clock.Instant) {
 	g.Outage.Observe(now, nil)
 	g.enrolment.backoff = g.enrolment.backoff.WithSuccess()
-	if g.steadyAt.IsZero() {
-		g.steadyAt = now
+	if g.storeUpSince.IsZero() {
+		g.storeUpSince = now
 	}
 }
 
--- a/core/ownership/ownership.go
+++ b/core/ownership/ownership.go
@@ -155,12 +155,12 @@
 	era         storeEra
 	formerMarks []era.Era // eras that are over and whose marks stand
 
-	watchedAt clock.Instant // when the last watch that was answered was sent
-	steadyAt  clock.Instant // since when the store has answered renewals
-	instances map[string]registry.Instance
-	absent    map[string]clock.Instant // since when an instance has no record
-	owners    map[string]registry.Ownership
-	learnt    map[string]clock.Instant // when each ownership was learnt
+	watchedAt    clock.Instant // when the last watch that was answered was sent
+	storeUpSince clock.Instant // since when the store has answered renewals
+	instances    map[string]registry.Instance
+	absent       map[string]clock.Instant // since when an instance has no record
+	owners       map[string]registry.Ownership
+	learnt       map[string]clock.Instant // when each ownership was learnt
 }
 
 // New returns the registry of an instance that has heard of no record.
--- a/core/ownership/ownership_test.go
+++ b/core/ownership/ownership_test.go
@@ -134,7 +134,7 @@
 		free    bool
 		since   clock.Instant
 	}{
-		{"the store has not answered for long enough to tell", func(g *Registry) { g.steadyAt = clock.Instant{} }, registry.Ownership{}, false, false, clock.Instant{}},
+		{"the store has not answered for long enough to tell", func(g *Registry) { g.storeUpSince = clock.Instant{} }, registry.Ownership{}, false, false, clock.Instant{}},
 		{"nobody ever owned it", nil, registry.Ownership{}, false, true, now},
 		{"given back", func(g *Registry) { g.learnt["e"] = now.Add(-time.Second) }, registry.Ownership{}, true, true, now.Add(-time.Second)},
 		{"its owner is there", func(g *Registry) { g.instances["a"] = registry.Instance{Name: "a"} }, registry.Ownership{Owner: "a"}, true, false, clock.Instant{}},
@@ -145,7 +145,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
 			g := testRegistry(now)
-			g.steadyAt = long
+			g.storeUpSince = long
 			if c.prepare != nil {
 				c.prepare(g)
 			}
--- a/core/ownership/placer.go
+++ b/core/ownership/placer.go
@@ -46,7 +46,7 @@
 		return
 	}
 	if p.seeking || now.Before(p.seekDue) || !g.enrolment.held || g.era.isOver(g.enrolment.lease) ||
-		!g.era.isRead() || g.steadyAt.IsZero() || !g.Roster.IncludesSelf(now) {
+		!g.era.isRead() || g.storeUpSince.IsZero() || !g.Roster.IncludesSelf(now) {
 		return
 	}
 	p.seekDue = now.Add(step.Jitter(g.Rand, claimInterval))
@@ -76,7 +76,7 @@
 	if p.record.Name != "" && p.record.Name != g.Self.Name {
 		return false
 	}
-	free := clock.Latest(g.steadyAt, p.goneAt)
+	free := clock.Latest(g.storeUpSince, p.goneAt)
 	if !g.era.firstEver() {
 		// Whoever placed models in a former era, and has not written so again, has stopped.
 		free = clock.Latest(free, g.formerEnds())
