--- a/core/ownership/claim.go
+++ b/core/ownership/claim.go
@@ -120,9 +120,9 @@
 	if v.ownerThere {
 		return v
 	}
-	gone, seen := g.absent[old.Owner]
+	gone, seen := g.absentSince[old.Owner]
 	if !seen {
-		g.absent[old.Owner] = now
+		g.absentSince[old.Owner] = now
 	}
 	v.ownerGone = gone
 	return v
--- a/core/ownership/era_test.go
+++ b/core/ownership/era_test.go
@@ -205,7 +205,7 @@
 			b.heardAll(2, record(2, 20, owner(name, 1)))
 			b.enrolled(2)
 			if name == "b" {
-				b.g.absent["b"] = b.now // it has no record of its own any more
+				b.g.absentSince["b"] = b.now // it has no record of its own any more
 			}
 			w, ok := b.claims(5 * time.Second)
 			is.True(ok)
--- a/core/ownership/ownership.go
+++ b/core/ownership/ownership.go
@@ -158,7 +158,7 @@
 	watchedAt    clock.Instant // when the last watch that was answered was sent
 	storeUpSince clock.Instant // since when the store has answered renewals
 	instances    map[string]registry.Instance
-	absent       map[string]clock.Instant // since when an instance has no record
+	absentSince  map[string]clock.Instant // since when an instance has no record
 	owners       map[string]registry.Ownership
 	learnt       map[string]clock.Instant // when each ownership was learnt
 }
@@ -166,12 +166,12 @@
 // New returns the registry of an instance that has heard of no record.
 func New(n Deps) *Registry {
 	return &Registry{
-		Deps:      n,
-		enrolment: newEnrolment(),
-		instances: map[string]registry.Instance{},
-		absent:    map[string]clock.Instant{},
-		owners:    map[string]registry.Ownership{},
-		learnt:    map[string]clock.Instant{},
+		Deps:        n,
+		enrolment:   newEnrolment(),
+		instances:   map[string]registry.Instance{},
+		absentSince: map[string]clock.Instant{},
+		owners:      map[string]registry.Ownership{},
+		learnt:      map[string]clock.Instant{},
 	}
 }
 
@@ -308,7 +308,7 @@
 	}
 	for _, i := range c.Instances {
 		g.instances[i.Name] = i
-		delete(g.absent, i.Name)
+		delete(g.absentSince, i.Name)
 		g.Members.Upsert(i.Name, i.Zone, i.Address)
 	}
 	for _, name := range c.GoneInstances {
@@ -342,8 +342,8 @@
 		g.enrolment.recordDeleted = g.era.stepped
 		return
 	}
-	if _, ok := g.absent[name]; !ok {
-		g.absent[name] = now
+	if _, ok := g.absentSince[name]; !ok {
+		g.absentSince[name] = now
 	}
 }
 
--- a/core/ownership/ownership_test.go
+++ b/core/ownership/ownership_test.go
@@ -139,7 +139,7 @@
 		{"given back", func(g *Registry) { g.learnt["e"] = now.Add(-time.Second) }, registry.Ownership{}, true, true, now.Add(-time.Second)},
 		{"its owner is there", func(g *Registry) { g.instances["a"] = registry.Instance{Name: "a"} }, registry.Ownership{Owner: "a"}, true, false, clock.Instant{}},
 		{"its owner's record was never seen", nil, registry.Ownership{Owner: "a"}, true, false, clock.Instant{}},
-		{"its owner's record went", func(g *Registry) { g.absent["a"] = now.Add(-2 * time.Second) }, registry.Ownership{Owner: "a"}, true, true, now.Add(-2 * time.Second).Add(absent)},
+		{"its owner's record went", func(g *Registry) { g.absentSince["a"] = now.Add(-2 * time.Second) }, registry.Ownership{Owner: "a"}, true, true, now.Add(-2 * time.Second).Add(absent)},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
