--- a/core/ownership/claim.go
+++ b/core/ownership/claim.go
@@ -112,7 +112,7 @@
 // engineView gathers what is known. An owner without a record counts as gone from
 // the first look on at which it has none.
 func (g *Registry) engineView(now clock.Instant, r *pool.Replica, old registry.Ownership, owned bool) engineView {
-	v := engineView{steadyAt: g.storeUpSince, seenAt: r.FirstSeenAt(), owned: owned, owner: old.Owner, learntAt: g.learnt[r.Name]}
+	v := engineView{steadyAt: g.storeUpSince, seenAt: r.FirstSeenAt(), owned: owned, owner: old.Owner, learntAt: g.learntAt[r.Name]}
 	if g.storeUpSince.IsZero() || !owned || old.Owner == "" {
 		return v
 	}
--- a/core/ownership/ownership.go
+++ b/core/ownership/ownership.go
@@ -160,7 +160,7 @@
 	instances    map[string]registry.Instance
 	absentSince  map[string]clock.Instant // since when an instance has no record
 	owners       map[string]registry.Ownership
-	learnt       map[string]clock.Instant // when each ownership was learnt
+	learntAt     map[string]clock.Instant // when each ownership was learnt
 }
 
 // New returns the registry of an instance that has heard of no record.
@@ -171,7 +171,7 @@
 		instances:   map[string]registry.Instance{},
 		absentSince: map[string]clock.Instant{},
 		owners:      map[string]registry.Ownership{},
-		learnt:      map[string]clock.Instant{},
+		learntAt:    map[string]clock.Instant{},
 	}
 }
 
@@ -353,7 +353,7 @@
 		return
 	}
 	g.owners[o.Engine] = o
-	g.learnt[o.Engine] = now
+	g.learntAt[o.Engine] = now
 	switch {
 	case o.Owner == g.Self.Name && o.Boot == g.Self.Boot:
 	case g.era.isStale(o.Era):
--- a/core/ownership/ownership_test.go
+++ b/core/ownership/ownership_test.go
@@ -136,7 +136,7 @@
 	}{
 		{"the store has not answered for long enough to tell", func(g *Registry) { g.storeUpSince = clock.Instant{} }, registry.Ownership{}, false, false, clock.Instant{}},
 		{"nobody ever owned it", nil, registry.Ownership{}, false, true, now},
-		{"given back", func(g *Registry) { g.learnt["e"] = now.Add(-time.Second) }, registry.Ownership{}, true, true, now.Add(-time.Second)},
+		{"given back", func(g *Registry) { g.learntAt["e"] = now.Add(-time.Second) }, registry.Ownership{}, true, true, now.Add(-time.Second)},
 		{"its owner is there", func(g *Registry) { g.instances["a"] = registry.Instance{Name: "a"} }, registry.Ownership{Owner: "a"}, true, false, clock.Instant{}},
 		{"its owner's record was never seen", nil, registry.Ownership{Owner: "a"}, true, false, clock.Instant{}},
 		{"its owner's record went", func(g *Registry) { g.absentSince["a"] = now.Add(-2 * time.Second) }, registry.Ownership{Owner: "a"}, true, true, now.Add(-2 * time.Second).Add(absent)},
