--- a/core/ownership/era.go
+++ b/core/ownership/era.go
@@ -154,12 +154,12 @@
 	}
 	x.marking = true
 	mark := registry.EraRecord{Era: x.now, First: !x.stepped && !g.hasStale()}
-	g.Out.Emit(Write{Write: Txn{Mark: &mark, Former: g.formerMarks}})
+	g.Out.Emit(Write{Write: Txn{Mark: &mark, Former: g.formerEraRecords}})
 }
 
 // hasStale reports whether there are records of a former era.
 func (g *Registry) hasStale() bool {
-	if len(g.formerMarks) > 0 || g.placer.record.Name != "" && g.era.isStale(g.placer.record.Era) {
+	if len(g.formerEraRecords) > 0 || g.placer.record.Name != "" && g.era.isStale(g.placer.record.Era) {
 		return true
 	}
 	for _, o := range g.owners {
@@ -191,8 +191,8 @@
 	switch {
 	case m.Era == g.era.now:
 		g.era.mark = &m
-		g.formerMarks = nil // they went with the write of this one
-	case m.Era < g.era.now && !slices.Contains(g.formerMarks, m.Era):
-		g.formerMarks = append(g.formerMarks, m.Era)
+		g.formerEraRecords = nil // they went with the write of this one
+	case m.Era < g.era.now && !slices.Contains(g.formerEraRecords, m.Era):
+		g.formerEraRecords = append(g.formerEraRecords, m.Era)
 	}
 }
--- a/core/ownership/ownership.go
+++ b/core/ownership/ownership.go
@@ -152,8 +152,8 @@
 	claims    claims
 	placer    placer
 
-	era         storeEra
-	formerMarks []era.Era // eras that are over and whose marks stand
+	era              storeEra
+	formerEraRecords []era.Era // eras that are over and whose marks stand
 
 	watchedAt    clock.Instant // when the last watch that was answered was sent
 	storeUpSince clock.Instant // since when the store has answered renewals
