--- a/core/ownership/enrol.go
+++ b/core/ownership/enrol.go
@@ -34,8 +34,8 @@
 	return enrolment{backoff: backoff.New(enrolBackoffBase, enrolBackoffMax)}
 }
 
-// keepEnrolled renews the lease, or begins one.
-func (g *Registry) keepEnrolled(now clock.Instant) {
+// renewOrEnrol renews the lease, or begins one.
+func (g *Registry) renewOrEnrol(now clock.Instant) {
 	l := &g.enrolment
 	if !l.job.Due(now) || now.Before(l.due) {
 		return
--- a/core/ownership/ownership.go
+++ b/core/ownership/ownership.go
@@ -184,7 +184,7 @@
 		g.loseAll(now, string(why))
 	}
 	g.endFormer(now)
-	g.keepEnrolled(now)
+	g.renewOrEnrol(now)
 	g.markEra(now)
 	g.claim(now)
 }
