--- a/core/ownership/enrol.go
+++ b/core/ownership/enrol.go
@@ -86,12 +86,12 @@
 func (g *Registry) renewed(now, sent clock.Instant) {
 	g.storeAnswered(now)
 	g.enrolment.renewedAt = sent
-	g.enrolment.job.End(now.Add(g.keepEvery()))
+	g.enrolment.job.End(now.Add(g.renewalInterval()))
 }
 
-// keepEvery returns the spacing of renewals. An instance that gives no orders may
+// renewalInterval returns the spacing of renewals. An instance that gives no orders may
 // lose its record for a moment without harm, so it renews half as often.
-func (g *Registry) keepEvery() time.Duration {
+func (g *Registry) renewalInterval() time.Duration {
 	if g.Owned.Len() == 0 && !g.placer.held {
 		return 2 * g.Options.KeepEvery
 	}
--- a/core/ownership/ownership_test.go
+++ b/core/ownership/ownership_test.go
@@ -71,14 +71,14 @@
 	is := is.New(t)
 	now := clocktest.At(time.Hour)
 	g := testRegistry(now)
-	is.Equal(g.keepEvery(), 2*g.Options.KeepEvery)
-	is.True(g.keepEvery() < g.Options.EnrolTerm/2)
+	is.Equal(g.renewalInterval(), 2*g.Options.KeepEvery)
+	is.True(g.renewalInterval() < g.Options.EnrolTerm/2)
 	g.Owned.Acquire(now, registry.Ownership{Engine: "e", Owner: "self", Boot: 1, Revision: 1}, now)
 	is.Equal(g.Owned.Len(), 1)
-	is.Equal(g.keepEvery(), g.Options.KeepEvery)
+	is.Equal(g.renewalInterval(), g.Options.KeepEvery)
 	g.Owned.LoseAll(now, "test")
 	g.placer.held = true
-	is.Equal(g.keepEvery(), g.Options.KeepEvery)
+	is.Equal(g.renewalInterval(), g.Options.KeepEvery)
 }
 
 // TestOwnersFallSilent: an owner may order only while both its last renewal and
