--- a/core/ownership/ownership.go
+++ b/core/ownership/ownership.go
@@ -312,7 +312,7 @@
 		g.Members.Upsert(i.Name, i.Zone, i.Address)
 	}
 	for _, name := range c.GoneInstances {
-		g.instanceGone(now, name)
+		g.applyInstanceDeleted(now, name)
 	}
 	for _, m := range c.Marks {
 		g.takeMark(m)
@@ -335,7 +335,7 @@
 	}
 }
 
-func (g *Registry) instanceGone(now clock.Instant, name string) {
+func (g *Registry) applyInstanceDeleted(now clock.Instant, name string) {
 	delete(g.instances, name)
 	if name == g.Self.Name {
 		// The next renewal will say so, but for a record that hung on another's lease.
