--- a/core/ownership/ownership.go
+++ b/core/ownership/ownership.go
@@ -318,7 +318,7 @@
 		g.takeMark(m)
 	}
 	for _, o := range c.Owners {
-		g.takeOwnership(now, o)
+		g.applyOwnership(now, o)
 	}
 	for _, engine := range c.GoneOwners {
 		delete(g.owners, engine)
@@ -347,8 +347,8 @@
 	}
 }
 
-// takeOwnership takes in one ownership, of whoever wrote it.
-func (g *Registry) takeOwnership(now clock.Instant, o registry.Ownership) {
+// applyOwnership takes in one ownership, of whoever wrote it.
+func (g *Registry) applyOwnership(now clock.Instant, o registry.Ownership) {
 	if old, ok := g.owners[o.Engine]; ok && old.Revision > o.Revision {
 		return
 	}
