--- a/core/ownership/claim.go
+++ b/core/ownership/claim.go
@@ -147,8 +147,8 @@
 	}
 }
 
-// claimsWritten takes in what came of claims.
-func (g *Registry) claimsWritten(now clock.Instant, e WriteReply) {
+// handleClaimReply takes in what came of claims.
+func (g *Registry) handleClaimReply(now clock.Instant, e WriteReply) {
 	g.claims.inFlight = false
 	if e.Err != nil {
 		g.Outage.Observe(now, e.Err)
--- a/core/ownership/ownership.go
+++ b/core/ownership/ownership.go
@@ -383,5 +383,5 @@
 		g.placerWritten(now, e)
 		return
 	}
-	g.claimsWritten(now, e)
+	g.handleClaimReply(now, e)
 }
