--- a/core/ownership/ownership.go
+++ b/core/ownership/ownership.go
@@ -380,7 +380,7 @@
 		g.markWritten(now, e)
 		return
 	case e.Write.Placer != nil:
-		g.placerWritten(now, e)
+		g.handlePlacerReply(now, e)
 		return
 	}
 	g.handleClaimReply(now, e)
--- a/core/ownership/placer.go
+++ b/core/ownership/placer.go
@@ -102,7 +102,7 @@
 	return placerRank(g.self(), g.candidates(now))
 }
 
-func (g *Registry) placerWritten(now clock.Instant, e WriteReply) {
+func (g *Registry) handlePlacerReply(now clock.Instant, e WriteReply) {
 	g.placer.seeking = false
 	if e.Err != nil {
 		g.Outage.Observe(now, e.Err)
