--- a/core/ownership/era.go
+++ b/core/ownership/era.go
@@ -122,7 +122,7 @@
 		}
 	}
 	if g.placer.record.Name != "" && g.era.isFormer(g.placer.record.Revision) {
-		g.takePlacer(now, registry.Placer{})
+		g.applyPlacer(now, registry.Placer{})
 	}
 }
 
--- a/core/ownership/ownership.go
+++ b/core/ownership/ownership.go
@@ -328,10 +328,10 @@
 		g.Quarantined(now, q)
 	}
 	if c.Placer != nil {
-		g.takePlacer(now, *c.Placer)
+		g.applyPlacer(now, *c.Placer)
 	}
 	if c.PlacerGone {
-		g.takePlacer(now, registry.Placer{})
+		g.applyPlacer(now, registry.Placer{})
 	}
 }
 
--- a/core/ownership/placer.go
+++ b/core/ownership/placer.go
@@ -120,8 +120,8 @@
 	g.placer.held = true
 }
 
-// takePlacer takes in who the records say the placer is.
-func (g *Registry) takePlacer(now clock.Instant, p registry.Placer) {
+// applyPlacer takes in who the records say the placer is.
+func (g *Registry) applyPlacer(now clock.Instant, p registry.Placer) {
 	if p.Name == "" {
 		g.placer.goneAt = now
 	}
