--- a/core/ownership/era.go
+++ b/core/ownership/era.go
@@ -141,10 +141,10 @@
 	}
 }
 
-// markEra writes the record of this era where there is none, on which all claims depend. With
+// writeEraRecord writes the record of this era where there is none, on which all claims depend. With
 // it, claims that were meant for a former era and are still on their way cannot be carried
 // out any more. Instances come in the order of their rank.
-func (g *Registry) markEra(now clock.Instant) {
+func (g *Registry) writeEraRecord(now clock.Instant) {
 	x := &g.era
 	if x.now == 0 || x.mark != nil || x.marking || x.readAt.IsZero() || now.Before(x.markDue) || !g.Roster.IncludesSelf(now) {
 		return
--- a/core/ownership/ownership.go
+++ b/core/ownership/ownership.go
@@ -185,7 +185,7 @@
 	}
 	g.endFormer(now)
 	g.renewOrEnrol(now)
-	g.markEra(now)
+	g.writeEraRecord(now)
 	g.claim(now)
 }
 
