--- a/core/ownership/era.go
+++ b/core/ownership/era.go
@@ -170,8 +170,8 @@
 	return false
 }
 
-// markWritten takes in what came of the write of an era's record.
-func (g *Registry) markWritten(now clock.Instant, e WriteReply) {
+// handleEraRecordReply takes in what came of the write of an era's record.
+func (g *Registry) handleEraRecordReply(now clock.Instant, e WriteReply) {
 	g.era.marking = false
 	g.era.markDue = now.Add(claimInterval)
 	if e.Err != nil {
--- a/core/ownership/ownership.go
+++ b/core/ownership/ownership.go
@@ -377,7 +377,7 @@
 func (g *Registry) HandleWriteReply(now clock.Instant, e WriteReply) {
 	switch {
 	case e.Write.Mark != nil:
-		g.markWritten(now, e)
+		g.handleEraRecordReply(now, e)
 		return
 	case e.Write.Placer != nil:
 		g.handlePlacerReply(now, e)
