--- a/core/ownership/era.go
+++ b/core/ownership/era.go
@@ -183,11 +183,11 @@
 	}
 	mark := *e.Write.Mark
 	mark.Revision = e.Revision
-	g.takeMark(mark)
+	g.applyEraRecord(mark)
 }
 
-// takeMark takes in the record of an era.
-func (g *Registry) takeMark(m registry.EraRecord) {
+// applyEraRecord takes in the record of an era.
+func (g *Registry) applyEraRecord(m registry.EraRecord) {
 	switch {
 	case m.Era == g.era.now:
 		g.era.mark = &m
--- a/core/ownership/ownership.go
+++ b/core/ownership/ownership.go
@@ -315,7 +315,7 @@
 		g.applyInstanceDeleted(now, name)
 	}
 	for _, m := range c.Marks {
-		g.takeMark(m)
+		g.applyEraRecord(m)
 	}
 	for _, o := range c.Owners {
 		g.applyOwnership(now, o)
