--- a/core/ownership/era.go
+++ b/core/ownership/era.go
@@ -81,12 +81,12 @@
 	former := *x
 	*x = storeEra{known: true, now: e, since: now, stepped: former.known}
 	if former.known {
-		g.steppedBack(now, former)
+		g.handleRollback(now, former)
 	}
 }
 
-// steppedBack begins a new era.
-func (g *Registry) steppedBack(now clock.Instant, former storeEra) {
+// handleRollback begins a new era.
+func (g *Registry) handleRollback(now clock.Instant, former storeEra) {
 	g.Out.Log(logevent.StoreSteppedBack, "era", uint64(g.era.now), "former", uint64(former.now), "engines", g.Owned.Len())
 	g.era.formerUntil = now.Add(g.Options.OrderValid)
 	g.Owned.LoseUnsettled(now, "the store went back before the orders of a former owner had ended")
