--- a/core/ownership/claim.go
+++ b/core/ownership/claim.go
@@ -183,7 +183,7 @@
 	if g.era.firstEver() {
 		return now
 	}
-	return g.formerEnds().Add(g.Options.TurnGap)
+	return g.formerRightsEnd().Add(g.Options.TurnGap)
 }
 
 // firstOrder returns when an instance may first order an engine that it has just
--- a/core/ownership/era.go
+++ b/core/ownership/era.go
@@ -100,10 +100,10 @@
 	g.SteppedBack(now)
 }
 
-// formerEnds returns from when on nobody orders by a right of a former era any more that was
+// formerRightsEnd returns from when on nobody orders by a right of a former era any more that was
 // not claimed again: whoever had one heard of this era while it was good, at most OrderValid
 // after the store went back, and ends it OrderValid later.
-func (g *Registry) formerEnds() clock.Instant {
+func (g *Registry) formerRightsEnd() clock.Instant {
 	return g.era.since.Add(2*g.Options.OrderValid + turnMargin)
 }
 
--- a/core/ownership/placer.go
+++ b/core/ownership/placer.go
@@ -79,7 +79,7 @@
 	free := clock.Latest(g.storeUpSince, p.goneAt)
 	if !g.era.firstEver() {
 		// Whoever placed models in a former era, and has not written so again, has stopped.
-		free = clock.Latest(free, g.formerEnds())
+		free = clock.Latest(free, g.formerRightsEnd())
 	}
 	if p.record.Name == g.Self.Name {
 		return !g.era.isStale(p.record.Era) || !now.Before(free)
