--- a/core/ownership/era.go
+++ b/core/ownership/era.go
@@ -113,9 +113,9 @@
 	return g.MayOrder(now) && (!g.era.isFormer(fence) || now.Before(g.era.formerUntil))
 }
 
-// dropFormer drops what is known of owners, and of the placer, by records that the whole of a
+// dropFormerRecords drops what is known of owners, and of the placer, by records that the whole of a
 // new era does not have.
-func (g *Registry) dropFormer(now clock.Instant) {
+func (g *Registry) dropFormerRecords(now clock.Instant) {
 	for engine, o := range g.owners {
 		if g.era.isFormer(o.Revision) {
 			delete(g.owners, engine)
--- a/core/ownership/ownership.go
+++ b/core/ownership/ownership.go
@@ -277,7 +277,7 @@
 	g.Merge(now, "", records)
 	if e.Whole && g.era.readAt.IsZero() {
 		g.era.readAt = now
-		g.dropFormer(now)
+		g.dropFormerRecords(now)
 	}
 }
 
