--- a/core/ownership/era.go
+++ b/core/ownership/era.go
@@ -126,8 +126,8 @@
 	}
 }
 
-// endFormer gives up what was gained in a former era and not claimed again in time.
-func (g *Registry) endFormer(now clock.Instant) {
+// loseFormer gives up what was gained in a former era and not claimed again in time.
+func (g *Registry) loseFormer(now clock.Instant) {
 	if !g.era.stepped || now.Before(g.era.formerUntil) {
 		return
 	}
--- a/core/ownership/ownership.go
+++ b/core/ownership/ownership.go
@@ -183,7 +183,7 @@
 	if why := g.denial(now); why != allowed {
 		g.loseAll(now, string(why))
 	}
-	g.endFormer(now)
+	g.loseFormer(now)
 	g.renewOrEnrol(now)
 	g.writeEraRecord(now)
 	g.claim(now)
