--- a/core/ownership/placer.go
+++ b/core/ownership/placer.go
@@ -50,7 +50,7 @@
 		return
 	}
 	p.seekDue = now.Add(step.Jitter(g.Rand, claimInterval))
-	if !g.holdsSinceFormer(now) && !g.placerFree(now) {
+	if !g.isPlacerOfFormerEra(now) && !g.placerFree(now) {
 		return
 	}
 	p.handed = nil
@@ -63,9 +63,9 @@
 	g.Out.Emit(Write{Write: Txn{Placer: &record, Depends: g.era.depends()}, Lease: g.enrolment.lease})
 }
 
-// holdsSinceFormer reports whether this instance places models by a record of a former era of
+// isPlacerOfFormerEra reports whether this instance places models by a record of a former era of
 // the store, which it writes again.
-func (g *Registry) holdsSinceFormer(now clock.Instant) bool {
+func (g *Registry) isPlacerOfFormerEra(now clock.Instant) bool {
 	return g.IsPlacer(now) && g.era.isFormer(g.placer.fence)
 }
 
