--- a/core/ownership/placer.go
+++ b/core/ownership/placer.go
@@ -50,7 +50,7 @@
 		return
 	}
 	p.seekDue = now.Add(step.Jitter(g.Rand, claimInterval))
-	if !g.isPlacerOfFormerEra(now) && !g.placerFree(now) {
+	if !g.isPlacerOfFormerEra(now) && !g.mayClaimPlacer(now) {
 		return
 	}
 	p.handed = nil
@@ -69,9 +69,9 @@
 	return g.IsPlacer(now) && g.era.isFormer(g.placer.fence)
 }
 
-// placerFree reports whether it is this instance's turn to write the placer's record, since
+// mayClaimPlacer reports whether it is this instance's turn to write the placer's record, since
 // nobody places models or it did itself.
-func (g *Registry) placerFree(now clock.Instant) bool {
+func (g *Registry) mayClaimPlacer(now clock.Instant) bool {
 	p := &g.placer
 	if p.record.Name != "" && p.record.Name != g.Self.Name {
 		return false
