--- a/core/ownership/claim.go
+++ b/core/ownership/claim.go
@@ -67,7 +67,7 @@
 // write it now.
 func (g *Registry) claimOf(now clock.Instant, r *pool.Replica, candidates func() []candidate) (claim registry.Ownership, ok bool) {
 	old, owned := g.owners[r.Name]
-	claim = registry.Ownership{Engine: r.Name, Owner: g.Self.Name, Boot: g.Self.Boot, Era: g.era.now, Revision: old.Revision}
+	claim = registry.Ownership{Engine: r.Name, Owner: g.Self.Name, Boot: g.Self.Boot, Era: g.era.current, Revision: old.Revision}
 	if e := g.Owned.Get(r.Name); e != nil {
 		// Once the former owner's orders cannot be on their way any more, the
 		// record is written again without it; and where the store went back.
--- a/core/ownership/enrol.go
+++ b/core/ownership/enrol.go
@@ -125,11 +125,11 @@
 	}
 	var placer *registry.Placer
 	if g.placer.held {
-		placer = &registry.Placer{Loads: loads, Era: g.era.now, Revision: g.placer.record.Revision}
+		placer = &registry.Placer{Loads: loads, Era: g.era.current, Revision: g.placer.record.Revision}
 	}
 	var give []registry.Ownership
 	for _, name := range g.Owned.Names() {
-		o := registry.Ownership{Engine: name, Era: g.era.now, Revision: g.owners[name].Revision}
+		o := registry.Ownership{Engine: name, Era: g.era.current, Revision: g.owners[name].Revision}
 		o.QuietMS = g.Owned.Get(name).SinceLastOrder(now).Milliseconds()
 		give = append(give, o)
 	}
--- a/core/ownership/era.go
+++ b/core/ownership/era.go
@@ -27,7 +27,7 @@
 // A storeEra is what is known of the era in which the store is.
 type storeEra struct {
 	known   bool
-	now     era.Era
+	current era.Era
 	since   clock.Instant // when this instance heard of it
 	readAt  clock.Instant // when the whole was read in it first; zero: it was not
 	mark    *registry.EraRecord
@@ -40,14 +40,14 @@
 }
 
 // isFormer reports whether a number is of an era that is over.
-func (x *storeEra) isFormer(n era.Revision) bool { return n.Era() < x.now }
+func (x *storeEra) isFormer(n era.Revision) bool { return n.Era() < x.current }
 
 // isOver reports whether a lease is of an era that is over.
-func (x *storeEra) isOver(l era.Lease) bool { return l.Era < x.now }
+func (x *storeEra) isOver(l era.Lease) bool { return l.Era < x.current }
 
 // isStale reports whether a record that was meant for an era says nothing certain any more:
 // what was written after it may be lost.
-func (x *storeEra) isStale(meant era.Era) bool { return meant < x.now }
+func (x *storeEra) isStale(meant era.Era) bool { return meant < x.current }
 
 // isRead reports whether claims may be decided on and written: the records of this era are
 // known, and the one stands on which claims depend.
@@ -55,11 +55,11 @@
 	if x.readAt.IsZero() {
 		return false
 	}
-	return x.now == 0 || x.mark != nil
+	return x.current == 0 || x.mark != nil
 }
 
 // firstEver reports whether no record of ours can have been lost with a former era.
-func (x *storeEra) firstEver() bool { return x.now == 0 || x.mark != nil && x.mark.First }
+func (x *storeEra) firstEver() bool { return x.current == 0 || x.mark != nil && x.mark.First }
 
 // depends returns the revision of the record that claims depend on, 0 if they do on none.
 func (x *storeEra) depends() era.Revision {
@@ -75,11 +75,11 @@
 // observeEra takes in that the store is, or was, in an era.
 func (g *Registry) observeEra(now clock.Instant, e era.Era) {
 	x := &g.era
-	if x.known && e <= x.now {
+	if x.known && e <= x.current {
 		return
 	}
 	former := *x
-	*x = storeEra{known: true, now: e, since: now, stepped: former.known}
+	*x = storeEra{known: true, current: e, since: now, stepped: former.known}
 	if former.known {
 		g.handleRollback(now, former)
 	}
@@ -87,7 +87,7 @@
 
 // handleRollback begins a new era.
 func (g *Registry) handleRollback(now clock.Instant, former storeEra) {
-	g.Out.Log(logevent.StoreSteppedBack, "era", uint64(g.era.now), "former", uint64(former.now), "engines", g.Owned.Len())
+	g.Out.Log(logevent.StoreSteppedBack, "era", uint64(g.era.current), "former", uint64(former.current), "engines", g.Owned.Len())
 	g.era.formerUntil = now.Add(g.Options.OrderValid)
 	g.Owned.LoseUnsettled(now, "the store went back before the orders of a former owner had ended")
 	g.claims.due = now
@@ -146,14 +146,14 @@
 // out any more. Instances come in the order of their rank.
 func (g *Registry) writeEraRecord(now clock.Instant) {
 	x := &g.era
-	if x.now == 0 || x.mark != nil || x.marking || x.readAt.IsZero() || now.Before(x.markDue) || !g.Roster.IncludesSelf(now) {
+	if x.current == 0 || x.mark != nil || x.marking || x.readAt.IsZero() || now.Before(x.markDue) || !g.Roster.IncludesSelf(now) {
 		return
 	}
 	if now.Before(x.readAt.Add(time.Duration(g.PlacerRank(now)) * claimRankDelay)) {
 		return
 	}
 	x.marking = true
-	mark := registry.EraRecord{Era: x.now, First: !x.stepped && !g.hasStale()}
+	mark := registry.EraRecord{Era: x.current, First: !x.stepped && !g.hasStale()}
 	g.Out.Emit(Write{Write: Txn{Mark: &mark, Former: g.formerEraRecords}})
 }
 
@@ -178,7 +178,7 @@
 		g.Outage.Observe(now, e.Err)
 		return
 	}
-	if e.Conflict || e.Write.Mark.Era != g.era.now {
+	if e.Conflict || e.Write.Mark.Era != g.era.current {
 		return // the watch brings the one that stands
 	}
 	mark := *e.Write.Mark
@@ -189,10 +189,10 @@
 // applyEraRecord takes in the record of an era.
 func (g *Registry) applyEraRecord(m registry.EraRecord) {
 	switch {
-	case m.Era == g.era.now:
+	case m.Era == g.era.current:
 		g.era.mark = &m
 		g.formerEraRecords = nil // they went with the write of this one
-	case m.Era < g.era.now && !slices.Contains(g.formerEraRecords, m.Era):
+	case m.Era < g.era.current && !slices.Contains(g.formerEraRecords, m.Era):
 		g.formerEraRecords = append(g.formerEraRecords, m.Era)
 	}
 }
--- a/core/ownership/era_test.go
+++ b/core/ownership/era_test.go
@@ -288,7 +288,7 @@
 	_, known := b.g.Owner("e")
 	is.True(!known)
 	b.g.Merge(b.now, "peer", []registry.Record{record(3, 10, owner("c", 3))})
-	is.Equal(b.g.era.now, era.Era(3)) // and one of a later era shows that the store went back
+	is.Equal(b.g.era.current, era.Era(3)) // and one of a later era shows that the store went back
 }
 
 // TestWhatAnInstanceWroteItselfMayBeLost: also where it never heard of it from the store.
--- a/core/ownership/ownership.go
+++ b/core/ownership/ownership.go
@@ -267,7 +267,7 @@
 // HandleWatchUpdate takes in what a watch brought.
 func (g *Registry) HandleWatchUpdate(now clock.Instant, e WatchUpdate) {
 	g.observeEra(now, e.Version.Era())
-	if e.Version.Era() < g.era.now {
+	if e.Version.Era() < g.era.current {
 		return // it was on its way while the store went back
 	}
 	records := e.Records
--- a/core/ownership/placer.go
+++ b/core/ownership/placer.go
@@ -59,7 +59,7 @@
 		p.handed = &given
 	}
 	p.seeking = true
-	record := registry.Placer{Name: g.Self.Name, Boot: g.Self.Boot, Era: g.era.now, Revision: p.record.Revision}
+	record := registry.Placer{Name: g.Self.Name, Boot: g.Self.Boot, Era: g.era.current, Revision: p.record.Revision}
 	g.Out.Emit(Write{Write: Txn{Placer: &record, Depends: g.era.depends()}, Lease: g.enrolment.lease})
 }
 
