--- a/core/ownership/era.go
+++ b/core/ownership/era.go
@@ -30,7 +30,7 @@
 	current era.Era
 	since   clock.Instant // when this instance heard of it
 	readAt  clock.Instant // when the whole was read in it first; zero: it was not
-	mark    *registry.EraRecord
+	record  *registry.EraRecord
 	marking bool          // the mark's write is under way
 	markDue clock.Instant // when it may be written again
 	stepped bool          // this instance was there before
@@ -55,18 +55,18 @@
 	if x.readAt.IsZero() {
 		return false
 	}
-	return x.current == 0 || x.mark != nil
+	return x.current == 0 || x.record != nil
 }
 
 // firstEver reports whether no record of ours can have been lost with a former era.
-func (x *storeEra) firstEver() bool { return x.current == 0 || x.mark != nil && x.mark.First }
+func (x *storeEra) firstEver() bool { return x.current == 0 || x.record != nil && x.record.First }
 
 // depends returns the revision of the record that claims depend on, 0 if they do on none.
 func (x *storeEra) depends() era.Revision {
-	if x.mark == nil {
+	if x.record == nil {
 		return 0
 	}
-	return x.mark.Revision
+	return x.record.Revision
 }
 
 // HandleEraObserved takes in that a call showed the store's era.
@@ -146,7 +146,7 @@
 // out any more. Instances come in the order of their rank.
 func (g *Registry) writeEraRecord(now clock.Instant) {
 	x := &g.era
-	if x.current == 0 || x.mark != nil || x.marking || x.readAt.IsZero() || now.Before(x.markDue) || !g.Roster.IncludesSelf(now) {
+	if x.current == 0 || x.record != nil || x.marking || x.readAt.IsZero() || now.Before(x.markDue) || !g.Roster.IncludesSelf(now) {
 		return
 	}
 	if now.Before(x.readAt.Add(time.Duration(g.PlacerRank(now)) * claimRankDelay)) {
@@ -190,7 +190,7 @@
 func (g *Registry) applyEraRecord(m registry.EraRecord) {
 	switch {
 	case m.Era == g.era.current:
-		g.era.mark = &m
+		g.era.record = &m
 		g.formerEraRecords = nil // they went with the write of this one
 	case m.Era < g.era.current && !slices.Contains(g.formerEraRecords, m.Era):
 		g.formerEraRecords = append(g.formerEraRecords, m.Era)
