--- a/core/ownership/era.go
+++ b/core/ownership/era.go
@@ -26,14 +26,14 @@
 
 // A storeEra is what is known of the era in which the store is.
 type storeEra struct {
-	known   bool
-	current era.Era
-	since   clock.Instant // when this instance heard of it
-	readAt  clock.Instant // when the whole was read in it first; zero: it was not
-	record  *registry.EraRecord
-	writing bool          // the mark's write is under way
-	markDue clock.Instant // when it may be written again
-	stepped bool          // this instance was there before
+	known    bool
+	current  era.Era
+	since    clock.Instant // when this instance heard of it
+	readAt   clock.Instant // when the whole was read in it first; zero: it was not
+	record   *registry.EraRecord
+	writing  bool          // the mark's write is under way
+	writeDue clock.Instant // when it may be written again
+	stepped  bool          // this instance was there before
 	// formerUntil is until when what was gained in former eras may be ordered without being
 	// claimed again.
 	formerUntil clock.Instant
@@ -146,7 +146,7 @@
 // out any more. Instances come in the order of their rank.
 func (g *Registry) writeEraRecord(now clock.Instant) {
 	x := &g.era
-	if x.current == 0 || x.record != nil || x.writing || x.readAt.IsZero() || now.Before(x.markDue) || !g.Roster.IncludesSelf(now) {
+	if x.current == 0 || x.record != nil || x.writing || x.readAt.IsZero() || now.Before(x.writeDue) || !g.Roster.IncludesSelf(now) {
 		return
 	}
 	if now.Before(x.readAt.Add(time.Duration(g.PlacerRank(now)) * claimRankDelay)) {
@@ -173,7 +173,7 @@
 // handleEraRecordReply takes in what came of the write of an era's record.
 func (g *Registry) handleEraRecordReply(now clock.Instant, e WriteReply) {
 	g.era.writing = false
-	g.era.markDue = now.Add(claimInterval)
+	g.era.writeDue = now.Add(claimInterval)
 	if e.Err != nil {
 		g.Outage.Observe(now, e.Err)
 		return
