--- a/core/ownership/era.go
+++ b/core/ownership/era.go
@@ -26,14 +26,14 @@
 
 // A storeEra is what is known of the era in which the store is.
 type storeEra struct {
-	known    bool
-	current  era.Era
-	since    clock.Instant // when this instance heard of it
-	readAt   clock.Instant // when the whole was read in it first; zero: it was not
-	record   *registry.EraRecord
-	writing  bool          // the mark's write is under way
-	writeDue clock.Instant // when it may be written again
-	stepped  bool          // this instance was there before
+	known      bool
+	current    era.Era
+	since      clock.Instant // when this instance heard of it
+	readAt     clock.Instant // when the whole was read in it first; zero: it was not
+	record     *registry.EraRecord
+	writing    bool          // the mark's write is under way
+	writeDue   clock.Instant // when it may be written again
+	rolledBack bool          // this instance was there before
 	// formerUntil is until when what was gained in former eras may be ordered without being
 	// claimed again.
 	formerUntil clock.Instant
@@ -79,7 +79,7 @@
 		return
 	}
 	former := *x
-	*x = storeEra{known: true, current: e, since: now, stepped: former.known}
+	*x = storeEra{known: true, current: e, since: now, rolledBack: former.known}
 	if former.known {
 		g.handleRollback(now, former)
 	}
@@ -128,7 +128,7 @@
 
 // loseFormer gives up what was gained in a former era and not claimed again in time.
 func (g *Registry) loseFormer(now clock.Instant) {
-	if !g.era.stepped || now.Before(g.era.formerUntil) {
+	if !g.era.rolledBack || now.Before(g.era.formerUntil) {
 		return
 	}
 	for _, name := range g.Owned.Names() {
@@ -153,7 +153,7 @@
 		return
 	}
 	x.writing = true
-	mark := registry.EraRecord{Era: x.current, First: !x.stepped && !g.hasStale()}
+	mark := registry.EraRecord{Era: x.current, First: !x.rolledBack && !g.hasStale()}
 	g.Out.Emit(Write{Write: Txn{Mark: &mark, Former: g.formerEraRecords}})
 }
 
--- a/core/ownership/ownership.go
+++ b/core/ownership/ownership.go
@@ -339,7 +339,7 @@
 	delete(g.instances, name)
 	if name == g.Self.Name {
 		// The next renewal will say so, but for a record that hung on another's lease.
-		g.enrolment.recordDeleted = g.era.stepped
+		g.enrolment.recordDeleted = g.era.rolledBack
 		return
 	}
 	if _, ok := g.absentSince[name]; !ok {
