--- a/core/ownership/era.go
+++ b/core/ownership/era.go
@@ -34,9 +34,9 @@
 	writing    bool          // the mark's write is under way
 	writeDue   clock.Instant // when it may be written again
 	rolledBack bool          // this instance was there before
-	// formerUntil is until when what was gained in former eras may be ordered without being
+	// formerValidUntil is until when what was gained in former eras may be ordered without being
 	// claimed again.
-	formerUntil clock.Instant
+	formerValidUntil clock.Instant
 }
 
 // isFormer reports whether a number is of an era that is over.
@@ -88,7 +88,7 @@
 // handleRollback begins a new era.
 func (g *Registry) handleRollback(now clock.Instant, former storeEra) {
 	g.Out.Log(logevent.StoreSteppedBack, "era", uint64(g.era.current), "former", uint64(former.current), "engines", g.Owned.Len())
-	g.era.formerUntil = now.Add(g.Options.OrderValid)
+	g.era.formerValidUntil = now.Add(g.Options.OrderValid)
 	g.Owned.LoseUnsettled(now, "the store went back before the orders of a former owner had ended")
 	g.claims.due = now
 	g.placer.seekDue = now
@@ -110,7 +110,7 @@
 // MayOrderWithFence reports whether this instance may order under a fence: under one that it
 // gained in a former era only until it must have claimed again.
 func (g *Registry) MayOrderWithFence(now clock.Instant, fence era.Revision) bool {
-	return g.MayOrder(now) && (!g.era.isFormer(fence) || now.Before(g.era.formerUntil))
+	return g.MayOrder(now) && (!g.era.isFormer(fence) || now.Before(g.era.formerValidUntil))
 }
 
 // dropFormerRecords drops what is known of owners, and of the placer, by records that the whole of a
@@ -128,7 +128,7 @@
 
 // loseFormer gives up what was gained in a former era and not claimed again in time.
 func (g *Registry) loseFormer(now clock.Instant) {
-	if !g.era.rolledBack || now.Before(g.era.formerUntil) {
+	if !g.era.rolledBack || now.Before(g.era.formerValidUntil) {
 		return
 	}
 	for _, name := range g.Owned.Names() {
