--- a/core/ownership/enrol.go
+++ b/core/ownership/enrol.go
@@ -41,7 +41,7 @@
 		return
 	}
 	l.job.Begin(now)
-	if l.held && !l.recordDeleted && !g.era.isOver(l.lease) {
+	if l.held && !l.recordDeleted && !g.era.isFormerLease(l.lease) {
 		g.Out.Emit(RenewLease{Lease: l.lease})
 		return
 	}
@@ -68,7 +68,7 @@
 // HandleRenewReply takes in what came of a renewal.
 func (g *Registry) HandleRenewReply(now clock.Instant, e RenewReply) {
 	switch {
-	case e.Err != nil && g.era.isOver(e.Lease):
+	case e.Err != nil && g.era.isFormerLease(e.Lease):
 		g.enrolment.job.End(now) // the store went back; a new lease is begun
 	case e.Over:
 		g.Out.Log(logevent.EnrolmentLost, "lease", e.Lease)
--- a/core/ownership/era.go
+++ b/core/ownership/era.go
@@ -42,8 +42,8 @@
 // isFormer reports whether a number is of an era that is over.
 func (x *storeEra) isFormer(n era.Revision) bool { return n.Era() < x.current }
 
-// isOver reports whether a lease is of an era that is over.
-func (x *storeEra) isOver(l era.Lease) bool { return l.Era < x.current }
+// isFormerLease reports whether a lease is of an era that is over.
+func (x *storeEra) isFormerLease(l era.Lease) bool { return l.Era < x.current }
 
 // isStale reports whether a record that was meant for an era says nothing certain any more:
 // what was written after it may be lost.
--- a/core/ownership/placer.go
+++ b/core/ownership/placer.go
@@ -45,7 +45,7 @@
 	if g.IsPlacer(now) && !g.era.isFormer(p.fence) {
 		return
 	}
-	if p.seeking || now.Before(p.seekDue) || !g.enrolment.held || g.era.isOver(g.enrolment.lease) ||
+	if p.seeking || now.Before(p.seekDue) || !g.enrolment.held || g.era.isFormerLease(g.enrolment.lease) ||
 		!g.era.isRead() || g.storeUpSince.IsZero() || !g.Roster.IncludesSelf(now) {
 		return
 	}
