--- a/core/ownership/claim.go
+++ b/core/ownership/claim.go
@@ -43,7 +43,7 @@
 		return
 	}
 	g.claims.due = now.Add(step.Jitter(g.Rand, claimInterval))
-	if !g.era.isRead() || !g.enrolment.held || g.claims.inFlight || !g.Roster.IncludesSelf(now) || !g.MayOrder(now) || !g.Config.Loaded() {
+	if !g.era.isReady() || !g.enrolment.held || g.claims.inFlight || !g.Roster.IncludesSelf(now) || !g.MayOrder(now) || !g.Config.Loaded() {
 		return
 	}
 	var claims []registry.Ownership
--- a/core/ownership/era.go
+++ b/core/ownership/era.go
@@ -49,9 +49,9 @@
 // what was written after it may be lost.
 func (x *storeEra) isStale(meant era.Era) bool { return meant < x.current }
 
-// isRead reports whether claims may be decided on and written: the records of this era are
+// isReady reports whether claims may be decided on and written: the records of this era are
 // known, and the one stands on which claims depend.
-func (x *storeEra) isRead() bool {
+func (x *storeEra) isReady() bool {
 	if x.readAt.IsZero() {
 		return false
 	}
--- a/core/ownership/placer.go
+++ b/core/ownership/placer.go
@@ -46,7 +46,7 @@
 		return
 	}
 	if p.seeking || now.Before(p.seekDue) || !g.enrolment.held || g.era.isFormerLease(g.enrolment.lease) ||
-		!g.era.isRead() || g.storeUpSince.IsZero() || !g.Roster.IncludesSelf(now) {
+		!g.era.isReady() || g.storeUpSince.IsZero() || !g.Roster.IncludesSelf(now) {
 		return
 	}
 	p.seekDue = now.Add(step.Jitter(g.Rand, claimInterval))
