--- a/core/ownership/claim.go
+++ b/core/ownership/claim.go
@@ -60,7 +60,7 @@
 		return
 	}
 	g.claims.inFlight = true
-	g.Out.Emit(Write{Write: Txn{Claim: claims, Depends: g.era.depends()}})
+	g.Out.Emit(Write{Write: Txn{Claim: claims, Depends: g.era.recordRevision()}})
 }
 
 // claimOf returns the claim of an engine; ok says whether this instance is to
--- a/core/ownership/enrol.go
+++ b/core/ownership/enrol.go
@@ -135,5 +135,5 @@
 	}
 	g.Owned.LoseAll(now, "this instance stops")
 	g.enrolment.held = false
-	g.Out.Emit(Resign{Lease: g.enrolment.lease, Give: give, Placer: placer, Depends: g.era.depends()})
+	g.Out.Emit(Resign{Lease: g.enrolment.lease, Give: give, Placer: placer, Depends: g.era.recordRevision()})
 }
--- a/core/ownership/era.go
+++ b/core/ownership/era.go
@@ -61,8 +61,8 @@
 // firstEver reports whether no record of ours can have been lost with a former era.
 func (x *storeEra) firstEver() bool { return x.current == 0 || x.record != nil && x.record.First }
 
-// depends returns the revision of the record that claims depend on, 0 if they do on none.
-func (x *storeEra) depends() era.Revision {
+// recordRevision returns the revision of the record that claims depend on, 0 if they do on none.
+func (x *storeEra) recordRevision() era.Revision {
 	if x.record == nil {
 		return 0
 	}
--- a/core/ownership/placer.go
+++ b/core/ownership/placer.go
@@ -60,7 +60,7 @@
 	}
 	p.seeking = true
 	record := registry.Placer{Name: g.Self.Name, Boot: g.Self.Boot, Era: g.era.current, Revision: p.record.Revision}
-	g.Out.Emit(Write{Write: Txn{Placer: &record, Depends: g.era.depends()}, Lease: g.enrolment.lease})
+	g.Out.Emit(Write{Write: Txn{Placer: &record, Depends: g.era.recordRevision()}, Lease: g.enrolment.lease})
 }
 
 // isPlacerOfFormerEra reports whether this instance places models by a record of a former era of
