--- a/core/ownership/placer.go
+++ b/core/ownership/placer.go
@@ -15,13 +15,13 @@
 // A placer is the placer's record as it is known here, and this instance's part
 // in it. The record hangs on its holder's lease and goes with it.
 type placer struct {
-	record  registry.Placer
-	goneAt  clock.Instant    // when the last one's record went
-	held    bool             // by this instance, by its last write
-	fence   era.Revision     // the revision of that write
-	handed  *registry.Placer // the record by which the one before gave the task back; nil: it did not
-	seeking bool
-	seekDue clock.Instant
+	record    registry.Placer
+	deletedAt clock.Instant    // when the last one's record went
+	held      bool             // by this instance, by its last write
+	fence     era.Revision     // the revision of that write
+	handed    *registry.Placer // the record by which the one before gave the task back; nil: it did not
+	seeking   bool
+	seekDue   clock.Instant
 }
 
 // Placer returns who places models by the newest record known; the name is ""
@@ -76,7 +76,7 @@
 	if p.record.Name != "" && p.record.Name != g.Self.Name {
 		return false
 	}
-	free := clock.Latest(g.storeUpSince, p.goneAt)
+	free := clock.Latest(g.storeUpSince, p.deletedAt)
 	if !g.era.firstEver() {
 		// Whoever placed models in a former era, and has not written so again, has stopped.
 		free = clock.Latest(free, g.formerRightsEnd())
@@ -123,7 +123,7 @@
 // applyPlacer takes in who the records say the placer is.
 func (g *Registry) applyPlacer(now clock.Instant, p registry.Placer) {
 	if p.Name == "" {
-		g.placer.goneAt = now
+		g.placer.deletedAt = now
 	}
 	g.placer.record = p
 	switch {
