--- a/core/ownership/placer.go
+++ b/core/ownership/placer.go
@@ -15,13 +15,13 @@
 // A placer is the placer's record as it is known here, and this instance's part
 // in it. The record hangs on its holder's lease and goes with it.
 type placer struct {
-	record    registry.Placer
-	deletedAt clock.Instant    // when the last one's record went
-	held      bool             // by this instance, by its last write
-	fence     era.Revision     // the revision of that write
-	handed    *registry.Placer // the record by which the one before gave the task back; nil: it did not
-	seeking   bool
-	seekDue   clock.Instant
+	record     registry.Placer
+	deletedAt  clock.Instant    // when the last one's record went
+	held       bool             // by this instance, by its last write
+	fence      era.Revision     // the revision of that write
+	handedOver *registry.Placer // the record by which the one before gave the task back; nil: it did not
+	seeking    bool
+	seekDue    clock.Instant
 }
 
 // Placer returns who places models by the newest record known; the name is ""
@@ -53,10 +53,10 @@
 	if !g.isPlacerOfFormerEra(now) && !g.mayClaimPlacer(now) {
 		return
 	}
-	p.handed = nil
+	p.handedOver = nil
 	if p.record.Name == "" && p.record.Revision != 0 && !g.era.isStale(p.record.Era) {
 		given := p.record
-		p.handed = &given
+		p.handedOver = &given
 	}
 	p.seeking = true
 	record := registry.Placer{Name: g.Self.Name, Boot: g.Self.Boot, Era: g.era.current, Revision: p.record.Revision}
@@ -91,10 +91,10 @@
 // placer before this instance left it; ok is false where it did not give the task back
 // and may still be at work.
 func (g *Registry) HandedOverLoads() (loads float64, ok bool) {
-	if g.placer.handed == nil {
+	if g.placer.handedOver == nil {
 		return 0, false
 	}
-	return g.placer.handed.Loads, true
+	return g.placer.handedOver.Loads, true
 }
 
 // PlacerRank returns how many instances come before this one as the placer.
