--- a/core/ownership/placer.go
+++ b/core/ownership/placer.go
@@ -20,7 +20,7 @@
 	held       bool             // by this instance, by its last write
 	fence      era.Revision     // the revision of that write
 	handedOver *registry.Placer // the record by which the one before gave the task back; nil: it did not
-	seeking    bool
+	claiming   bool
 	seekDue    clock.Instant
 }
 
@@ -45,7 +45,7 @@
 	if g.IsPlacer(now) && !g.era.isFormer(p.fence) {
 		return
 	}
-	if p.seeking || now.Before(p.seekDue) || !g.enrolment.held || g.era.isFormerLease(g.enrolment.lease) ||
+	if p.claiming || now.Before(p.seekDue) || !g.enrolment.held || g.era.isFormerLease(g.enrolment.lease) ||
 		!g.era.isReady() || g.storeUpSince.IsZero() || !g.Roster.IncludesSelf(now) {
 		return
 	}
@@ -58,7 +58,7 @@
 		given := p.record
 		p.handedOver = &given
 	}
-	p.seeking = true
+	p.claiming = true
 	record := registry.Placer{Name: g.Self.Name, Boot: g.Self.Boot, Era: g.era.current, Revision: p.record.Revision}
 	g.Out.Emit(Write{Write: Txn{Placer: &record, Depends: g.era.recordRevision()}, Lease: g.enrolment.lease})
 }
@@ -103,7 +103,7 @@
 }
 
 func (g *Registry) handlePlacerReply(now clock.Instant, e WriteReply) {
-	g.placer.seeking = false
+	g.placer.claiming = false
 	if e.Err != nil {
 		g.Outage.Observe(now, e.Err)
 		return
