--- a/core/ownership/era.go
+++ b/core/ownership/era.go
@@ -91,7 +91,7 @@
 	g.era.formerValidUntil = now.Add(g.Options.OrderValid)
 	g.Owned.LoseUnsettled(now, "the store went back before the orders of a former owner had ended")
 	g.claims.due = now
-	g.placer.seekDue = now
+	g.placer.claimDue = now
 	g.enrolment.due = now
 	if g.Owned.Len() == 0 && !g.placer.held {
 		spread := time.Duration(g.Members.Size()) * reenrolSpacing
--- a/core/ownership/placer.go
+++ b/core/ownership/placer.go
@@ -21,7 +21,7 @@
 	fence      era.Revision     // the revision of that write
 	handedOver *registry.Placer // the record by which the one before gave the task back; nil: it did not
 	claiming   bool
-	seekDue    clock.Instant
+	claimDue   clock.Instant
 }
 
 // Placer returns who places models by the newest record known; the name is ""
@@ -45,11 +45,11 @@
 	if g.IsPlacer(now) && !g.era.isFormer(p.fence) {
 		return
 	}
-	if p.claiming || now.Before(p.seekDue) || !g.enrolment.held || g.era.isFormerLease(g.enrolment.lease) ||
+	if p.claiming || now.Before(p.claimDue) || !g.enrolment.held || g.era.isFormerLease(g.enrolment.lease) ||
 		!g.era.isReady() || g.storeUpSince.IsZero() || !g.Roster.IncludesSelf(now) {
 		return
 	}
-	p.seekDue = now.Add(step.Jitter(g.Rand, claimInterval))
+	p.claimDue = now.Add(step.Jitter(g.Rand, claimInterval))
 	if !g.isPlacerOfFormerEra(now) && !g.mayClaimPlacer(now) {
 		return
 	}
