--- a/core/ownership/claim.go
+++ b/core/ownership/claim.go
@@ -100,19 +100,19 @@
 
 // An engineView is what is known of who may order an engine.
 type engineView struct {
-	steadyAt   clock.Instant // since when the store has answered; zero: it does not
-	seenAt     clock.Instant // when the engine was first announced here
-	owned      bool          // there is a record of its owner
-	owner      string        // "" if it was given back
-	learntAt   clock.Instant // when that record was learnt
-	ownerThere bool          // the owner has a record of its own
-	ownerGone  clock.Instant // since when it has none; zero if it was never seen go
+	storeUpSince clock.Instant // since when the store has answered; zero: it does not
+	seenAt       clock.Instant // when the engine was first announced here
+	owned        bool          // there is a record of its owner
+	owner        string        // "" if it was given back
+	learntAt     clock.Instant // when that record was learnt
+	ownerThere   bool          // the owner has a record of its own
+	ownerGone    clock.Instant // since when it has none; zero if it was never seen go
 }
 
 // engineView gathers what is known. An owner without a record counts as gone from
 // the first look on at which it has none.
 func (g *Registry) engineView(now clock.Instant, r *pool.Replica, old registry.Ownership, owned bool) engineView {
-	v := engineView{steadyAt: g.storeUpSince, seenAt: r.FirstSeenAt(), owned: owned, owner: old.Owner, learntAt: g.learntAt[r.Name]}
+	v := engineView{storeUpSince: g.storeUpSince, seenAt: r.FirstSeenAt(), owned: owned, owner: old.Owner, learntAt: g.learntAt[r.Name]}
 	if g.storeUpSince.IsZero() || !owned || old.Owner == "" {
 		return v
 	}
@@ -134,16 +134,16 @@
 // answered.
 func (v engineView) freeSince(absentFor time.Duration) (since clock.Instant, ok bool) {
 	switch {
-	case v.steadyAt.IsZero():
+	case v.storeUpSince.IsZero():
 		return since, false
 	case !v.owned:
-		return clock.Latest(v.steadyAt.Add(claimRankDelay), v.seenAt), true
+		return clock.Latest(v.storeUpSince.Add(claimRankDelay), v.seenAt), true
 	case v.owner == "":
 		return v.learntAt, true
 	case v.ownerThere || v.ownerGone.IsZero():
 		return since, false
 	default:
-		return clock.Latest(v.ownerGone, v.steadyAt).Add(absentFor), true
+		return clock.Latest(v.ownerGone, v.storeUpSince).Add(absentFor), true
 	}
 }
 
