--- a/core/ownership/claim.go
+++ b/core/ownership/claim.go
@@ -101,7 +101,7 @@
 // An engineView is what is known of who may order an engine.
 type engineView struct {
 	storeUpSince clock.Instant // since when the store has answered; zero: it does not
-	seenAt       clock.Instant // when the engine was first announced here
+	announcedAt  clock.Instant // when the engine was first announced here
 	owned        bool          // there is a record of its owner
 	owner        string        // "" if it was given back
 	learntAt     clock.Instant // when that record was learnt
@@ -112,7 +112,7 @@
 // engineView gathers what is known. An owner without a record counts as gone from
 // the first look on at which it has none.
 func (g *Registry) engineView(now clock.Instant, r *pool.Replica, old registry.Ownership, owned bool) engineView {
-	v := engineView{storeUpSince: g.storeUpSince, seenAt: r.FirstSeenAt(), owned: owned, owner: old.Owner, learntAt: g.learntAt[r.Name]}
+	v := engineView{storeUpSince: g.storeUpSince, announcedAt: r.FirstSeenAt(), owned: owned, owner: old.Owner, learntAt: g.learntAt[r.Name]}
 	if g.storeUpSince.IsZero() || !owned || old.Owner == "" {
 		return v
 	}
@@ -137,7 +137,7 @@
 	case v.storeUpSince.IsZero():
 		return since, false
 	case !v.owned:
-		return clock.Latest(v.storeUpSince.Add(claimRankDelay), v.seenAt), true
+		return clock.Latest(v.storeUpSince.Add(claimRankDelay), v.announcedAt), true
 	case v.owner == "":
 		return v.learntAt, true
 	case v.ownerThere || v.ownerGone.IsZero():
