--- a/core/ownership/claim.go
+++ b/core/ownership/claim.go
@@ -105,7 +105,7 @@
 	owned        bool          // there is a record of its owner
 	owner        string        // "" if it was given back
 	learntAt     clock.Instant // when that record was learnt
-	ownerThere   bool          // the owner has a record of its own
+	ownerPresent bool          // the owner has a record of its own
 	ownerGone    clock.Instant // since when it has none; zero if it was never seen go
 }
 
@@ -116,8 +116,8 @@
 	if g.storeUpSince.IsZero() || !owned || old.Owner == "" {
 		return v
 	}
-	_, v.ownerThere = g.instances[old.Owner]
-	if v.ownerThere {
+	_, v.ownerPresent = g.instances[old.Owner]
+	if v.ownerPresent {
 		return v
 	}
 	gone, seen := g.absentSince[old.Owner]
@@ -140,7 +140,7 @@
 		return clock.Latest(v.storeUpSince.Add(claimRankDelay), v.announcedAt), true
 	case v.owner == "":
 		return v.learntAt, true
-	case v.ownerThere || v.ownerGone.IsZero():
+	case v.ownerPresent || v.ownerGone.IsZero():
 		return since, false
 	default:
 		return clock.Latest(v.ownerGone, v.storeUpSince).Add(absentFor), true
