--- a/core/ownership/claim.go
+++ b/core/ownership/claim.go
@@ -100,13 +100,13 @@
 
 // An engineView is what is known of who may order an engine.
 type engineView struct {
-	storeUpSince clock.Instant // since when the store has answered; zero: it does not
-	announcedAt  clock.Instant // when the engine was first announced here
-	owned        bool          // there is a record of its owner
-	owner        string        // "" if it was given back
-	learntAt     clock.Instant // when that record was learnt
-	ownerPresent bool          // the owner has a record of its own
-	ownerGone    clock.Instant // since when it has none; zero if it was never seen go
+	storeUpSince     clock.Instant // since when the store has answered; zero: it does not
+	announcedAt      clock.Instant // when the engine was first announced here
+	owned            bool          // there is a record of its owner
+	owner            string        // "" if it was given back
+	learntAt         clock.Instant // when that record was learnt
+	ownerPresent     bool          // the owner has a record of its own
+	ownerAbsentSince clock.Instant // since when it has none; zero if it was never seen go
 }
 
 // engineView gathers what is known. An owner without a record counts as gone from
@@ -124,7 +124,7 @@
 	if !seen {
 		g.absentSince[old.Owner] = now
 	}
-	v.ownerGone = gone
+	v.ownerAbsentSince = gone
 	return v
 }
 
@@ -140,10 +140,10 @@
 		return clock.Latest(v.storeUpSince.Add(claimRankDelay), v.announcedAt), true
 	case v.owner == "":
 		return v.learntAt, true
-	case v.ownerPresent || v.ownerGone.IsZero():
+	case v.ownerPresent || v.ownerAbsentSince.IsZero():
 		return since, false
 	default:
-		return clock.Latest(v.ownerGone, v.storeUpSince).Add(absentFor), true
+		return clock.Latest(v.ownerAbsentSince, v.storeUpSince).Add(absentFor), true
 	}
 }
 
