--- a/core/ownership/era_test.go
+++ b/core/ownership/era_test.go
@@ -46,13 +46,13 @@
 // in returns a registry that has enrolled in an era and heard all of its records.
 func in(t *testing.T, e era.Era, records ...registry.Record) *bench {
 	b := newBench(t)
-	b.heardAll(e, records...)
+	b.receiveAll(e, records...)
 	b.enrolled(e)
 	return b
 }
 
-// heardAll has the whole of an era heard: these records, and its mark.
-func (b *bench) heardAll(e era.Era, records ...registry.Record) {
+// receiveAll has the whole of an era heard: these records, and its mark.
+func (b *bench) receiveAll(e era.Era, records ...registry.Record) {
 	mark := registry.EraRecord{Era: e, First: e == 1}
 	records = append(records, record(e, 3, mark.Value()))
 	b.g.HandleWatchUpdate(b.now, WatchUpdate{Records: records, Version: e.Revision(50), Whole: true})
@@ -139,7 +139,7 @@
 			is := is.New(t)
 			b := holding(t)
 			is.True(b.orderable())
-			b.heardAll(2, found...)
+			b.receiveAll(2, found...)
 			is.True(b.orderable())
 			w, ok := b.claims(time.Second)
 			is.True(ok)
@@ -161,7 +161,7 @@
 func TestAHolderLosesToAClaimOfThisEra(t *testing.T) {
 	is := is.New(t)
 	b := holding(t)
-	b.heardAll(2, record(2, 20, owner("b", 2)))
+	b.receiveAll(2, record(2, 20, owner("b", 2)))
 	is.True(b.g.Owned.Get("e") == nil)
 }
 
@@ -170,7 +170,7 @@
 func TestARightOfAFormerEraEnds(t *testing.T) {
 	is := is.New(t)
 	b := holding(t)
-	b.heardAll(2)
+	b.receiveAll(2)
 	b.enrolled(2)
 	w, ok := b.claims(time.Second)
 	is.True(ok)
@@ -191,7 +191,7 @@
 	claim := registry.Ownership{Engine: "e", Owner: "self", Boot: 1, Era: 1, FormerOwner: "b"}
 	b.g.HandleWriteReply(b.now, WriteReply{Write: Txn{Claim: []registry.Ownership{claim}}, Revision: era.Era(1).Revision(40)})
 	is.True(b.g.Owned.Get("e") != nil)
-	b.heardAll(2)
+	b.receiveAll(2)
 	is.True(b.g.Owned.Get("e") == nil)
 }
 
@@ -202,7 +202,7 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			b := in(t, 1)
-			b.heardAll(2, record(2, 20, owner(name, 1)))
+			b.receiveAll(2, record(2, 20, owner(name, 1)))
 			b.enrolled(2)
 			if name == "b" {
 				b.g.absentSince["b"] = b.now // it has no record of its own any more
@@ -240,7 +240,7 @@
 func TestALeaseOfAFormerEraIsNotRenewed(t *testing.T) {
 	is := is.New(t)
 	b := in(t, 1)
-	b.heardAll(2)
+	b.receiveAll(2)
 	b.now = b.now.Add(2 * time.Second)
 	enrols := 0
 	for _, a := range b.tick() {
@@ -266,7 +266,7 @@
 func TestARecordThatHungOnAnothersLeaseIsWrittenAgain(t *testing.T) {
 	is := is.New(t)
 	b := in(t, 1)
-	b.heardAll(2)
+	b.receiveAll(2)
 	b.enrolled(2)
 	key := registry.Instance{Name: "self"}.Value().Key
 	b.g.HandleWatchUpdate(b.now, WatchUpdate{Records: []registry.Record{{Key: key, Revision: era.Era(2).Revision(70), Gone: true}}, Version: era.Era(2).Revision(70)})
@@ -296,7 +296,7 @@
 	is := is.New(t)
 	b := holding(t)
 	b.g.Owned.LoseAll(b.now, "a test")
-	b.heardAll(2)
+	b.receiveAll(2)
 	_, known := b.g.Owner("e")
 	is.True(!known)
 }
@@ -349,7 +349,7 @@
 	b.g.HandleWriteReply(b.now, WriteReply{Write: Txn{Placer: p}, Revision: era.Era(1).Revision(41)})
 	is.True(b.g.IsPlacer(b.now))
 	other := registry.Placer{Name: "b", Boot: 7, Era: 1}.Value()
-	b.heardAll(2, record(2, 20, other))
+	b.receiveAll(2, record(2, 20, other))
 	is.True(b.g.IsPlacer(b.now))
 	is.True(seek() == nil) // not before its new lease
 	b.enrolled(2)
