--- a/core/ownership/era_test.go
+++ b/core/ownership/era_test.go
@@ -47,7 +47,7 @@
 func in(t *testing.T, e era.Era, records ...registry.Record) *bench {
 	b := newBench(t)
 	b.receiveAll(e, records...)
-	b.enrolled(e)
+	b.enrol(e)
 	return b
 }
 
@@ -64,8 +64,8 @@
 	return registry.Record{Key: v.Key, Data: v.Data, Revision: e.Revision(raw)}
 }
 
-// enrolled has the lease and the record of an era written.
-func (b *bench) enrolled(e era.Era) {
+// enrol has the lease and the record of an era written.
+func (b *bench) enrol(e era.Era) {
 	b.g.HandleEnrolReply(b.now, EnrolReply{Sent: b.now, Lease: era.Lease{Era: e, ID: 9}})
 }
 
@@ -148,7 +148,7 @@
 			is.Equal(w.Claim[0].Revision != 0, len(found) > 0)
 			is.Equal(w.Depends, era.Era(2).Revision(3)) // on the mark of this era
 			b.g.HandleWriteReply(b.now, WriteReply{Write: w, Revision: era.Era(2).Revision(60)})
-			b.enrolled(2)
+			b.enrol(2)
 			b.pass(10 * time.Second)
 			b.tick()
 			is.True(b.orderable())
@@ -171,7 +171,7 @@
 	is := is.New(t)
 	b := holding(t)
 	b.receiveAll(2)
-	b.enrolled(2)
+	b.enrol(2)
 	w, ok := b.claims(time.Second)
 	is.True(ok)
 	b.g.HandleWriteReply(b.now, WriteReply{Write: w, Err: errors.New("no answer")})
@@ -203,7 +203,7 @@
 			is := is.New(t)
 			b := in(t, 1)
 			b.receiveAll(2, record(2, 20, owner(name, 1)))
-			b.enrolled(2)
+			b.enrol(2)
 			if name == "b" {
 				b.g.absentSince["b"] = b.now // it has no record of its own any more
 			}
@@ -252,7 +252,7 @@
 		}
 	}
 	is.Equal(enrols, 1)
-	b.enrolled(2)
+	b.enrol(2)
 	b.now = b.now.Add(2 * time.Second)
 	for _, a := range b.tick() {
 		if k, ok := a.(RenewLease); ok {
@@ -267,7 +267,7 @@
 	is := is.New(t)
 	b := in(t, 1)
 	b.receiveAll(2)
-	b.enrolled(2)
+	b.enrol(2)
 	key := registry.Instance{Name: "self"}.Value().Key
 	b.g.HandleWatchUpdate(b.now, WatchUpdate{Records: []registry.Record{{Key: key, Revision: era.Era(2).Revision(70), Gone: true}}, Version: era.Era(2).Revision(70)})
 	b.now = b.now.Add(2 * time.Second)
@@ -308,7 +308,7 @@
 	b := newBench(t)
 	b.g.HandleWatchUpdate(b.now, WatchUpdate{Version: era.Era(2).Revision(50), Whole: true})
 	b.g.WatchAnswered(b.now)
-	b.enrolled(2)
+	b.enrol(2)
 	var mark *registry.EraRecord
 	for range 30 {
 		for _, a := range b.tick() {
@@ -352,7 +352,7 @@
 	b.receiveAll(2, record(2, 20, other))
 	is.True(b.g.IsPlacer(b.now))
 	is.True(seek() == nil) // not before its new lease
-	b.enrolled(2)
+	b.enrol(2)
 	b.pass(time.Second)
 	p = seek()
 	is.True(p != nil)
