--- a/core/ownership/era_test.go
+++ b/core/ownership/era_test.go
@@ -69,8 +69,8 @@
 	b.g.HandleEnrolReply(b.now, EnrolReply{Sent: b.now, Lease: era.Lease{Era: e, ID: 9}})
 }
 
-// pass lets time pass while the store answers watches and renewals.
-func (b *bench) pass(span time.Duration) {
+// advance lets time advance while the store answers watches and renewals.
+func (b *bench) advance(span time.Duration) {
 	for end := b.now.Add(span); b.now.Before(end); {
 		b.now = b.now.Add(100 * time.Millisecond)
 		b.g.WatchAnswered(b.now)
@@ -89,7 +89,7 @@
 
 // claims waits for a write of claims and returns it.
 func (b *bench) claims(most time.Duration) (Txn, bool) {
-	for end := b.now.Add(most); b.now.Before(end); b.pass(100 * time.Millisecond) {
+	for end := b.now.Add(most); b.now.Before(end); b.advance(100 * time.Millisecond) {
 		for _, a := range b.tick() {
 			if w, ok := a.(Write); ok && len(w.Write.Claim) > 0 {
 				return w.Write, true
@@ -110,7 +110,7 @@
 	if b.g.Owned.Get("e") == nil {
 		t.Fatal("e is not owned")
 	}
-	b.pass(time.Second)
+	b.advance(time.Second)
 	return b
 }
 
@@ -149,7 +149,7 @@
 			is.Equal(w.Depends, era.Era(2).Revision(3)) // on the mark of this era
 			b.g.HandleWriteReply(b.now, WriteReply{Write: w, Revision: era.Era(2).Revision(60)})
 			b.enrol(2)
-			b.pass(10 * time.Second)
+			b.advance(10 * time.Second)
 			b.tick()
 			is.True(b.orderable())
 			is.Equal(b.g.Owned.Get("e").Fence, era.Era(2).Revision(60))
@@ -175,9 +175,9 @@
 	w, ok := b.claims(time.Second)
 	is.True(ok)
 	b.g.HandleWriteReply(b.now, WriteReply{Write: w, Err: errors.New("no answer")})
-	b.pass(b.g.Options.OrderValid - 2*time.Second)
+	b.advance(b.g.Options.OrderValid - 2*time.Second)
 	is.True(b.orderable())
-	b.pass(2 * time.Second)
+	b.advance(2 * time.Second)
 	is.True(!b.orderable()) // before any tick
 	b.tick()
 	is.True(b.g.Owned.Get("e") == nil)
@@ -319,7 +319,7 @@
 			is.Equal(len(w.Write.Claim), 0)
 			mark = w.Write.Mark
 		}
-		b.pass(100 * time.Millisecond)
+		b.advance(100 * time.Millisecond)
 	}
 	is.True(mark != nil)
 	is.Equal(mark.Era, era.Era(2))
@@ -343,7 +343,7 @@
 		}
 		return nil
 	}
-	b.pass(time.Second)
+	b.advance(time.Second)
 	p := seek()
 	is.True(p != nil)
 	b.g.HandleWriteReply(b.now, WriteReply{Write: Txn{Placer: p}, Revision: era.Era(1).Revision(41)})
@@ -353,13 +353,13 @@
 	is.True(b.g.IsPlacer(b.now))
 	is.True(seek() == nil) // not before its new lease
 	b.enrol(2)
-	b.pass(time.Second)
+	b.advance(time.Second)
 	p = seek()
 	is.True(p != nil)
 	is.Equal(p.Era, era.Era(2))
 	is.Equal(p.Revision, era.Era(2).Revision(20))
 	b.g.HandleWriteReply(b.now, WriteReply{Write: Txn{Placer: p}, Revision: era.Era(2).Revision(61)})
-	b.pass(option.Default().OrderValid)
+	b.advance(option.Default().OrderValid)
 	b.tick()
 	is.True(b.g.IsPlacer(b.now))
 }
@@ -380,7 +380,7 @@
 				if len(b.g.Out.Actions()) > 0 {
 					break
 				}
-				b.pass(100 * time.Millisecond)
+				b.advance(100 * time.Millisecond)
 			}
 			is.True(len(b.g.Out.Actions()) > 0)
 			is.True(b.now.Since(heard) >= 2*b.g.Options.OrderValid)
