--- a/core/ownership/era_test.go
+++ b/core/ownership/era_test.go
@@ -87,8 +87,8 @@
 	return b.g.Out.Actions()
 }
 
-// claims waits for a write of claims and returns it.
-func (b *bench) claims(most time.Duration) (Txn, bool) {
+// awaitClaims waits for a write of awaitClaims and returns it.
+func (b *bench) awaitClaims(most time.Duration) (Txn, bool) {
 	for end := b.now.Add(most); b.now.Before(end); b.advance(100 * time.Millisecond) {
 		for _, a := range b.tick() {
 			if w, ok := a.(Write); ok && len(w.Write.Claim) > 0 {
@@ -102,7 +102,7 @@
 // holding returns a registry that owns engine e in the first era, with nothing to wait for.
 func holding(t *testing.T) *bench {
 	b := in(t, 1)
-	w, ok := b.claims(5 * time.Second)
+	w, ok := b.awaitClaims(5 * time.Second)
 	if !ok {
 		t.Fatal("nothing was claimed")
 	}
@@ -141,7 +141,7 @@
 			is.True(b.orderable())
 			b.receiveAll(2, found...)
 			is.True(b.orderable())
-			w, ok := b.claims(time.Second)
+			w, ok := b.awaitClaims(time.Second)
 			is.True(ok)
 			is.Equal(w.Claim[0].FormerOwner, "")
 			is.Equal(w.Claim[0].Era, era.Era(2))
@@ -172,7 +172,7 @@
 	b := holding(t)
 	b.receiveAll(2)
 	b.enrol(2)
-	w, ok := b.claims(time.Second)
+	w, ok := b.awaitClaims(time.Second)
 	is.True(ok)
 	b.g.HandleWriteReply(b.now, WriteReply{Write: w, Err: errors.New("no answer")})
 	b.advance(b.g.Options.OrderValid - 2*time.Second)
@@ -207,7 +207,7 @@
 			if name == "b" {
 				b.g.absentSince["b"] = b.now // it has no record of its own any more
 			}
-			w, ok := b.claims(5 * time.Second)
+			w, ok := b.awaitClaims(5 * time.Second)
 			is.True(ok)
 			is.Equal(w.Claim[0].FormerOwner, registry.FormerUnknown)
 			b.g.HandleWriteReply(b.now, WriteReply{Write: w, Revision: era.Era(2).Revision(60)})
@@ -224,7 +224,7 @@
 		is := is.New(t)
 		b := in(t, e)
 		heard := b.now
-		w, ok := b.claims(5 * time.Second)
+		w, ok := b.awaitClaims(5 * time.Second)
 		is.True(ok)
 		b.g.HandleWriteReply(b.now, WriteReply{Write: w, Revision: e.Revision(60)})
 		want := b.now
@@ -324,7 +324,7 @@
 	is.True(mark != nil)
 	is.Equal(mark.Era, era.Era(2))
 	b.g.HandleWriteReply(b.now, WriteReply{Write: Txn{Mark: mark}, Revision: era.Era(2).Revision(51)})
-	w, ok := b.claims(time.Second)
+	w, ok := b.awaitClaims(time.Second)
 	is.True(ok)
 	is.Equal(w.Depends, era.Era(2).Revision(51))
 }
