--- a/core/ownership/era_test.go
+++ b/core/ownership/era_test.go
@@ -43,8 +43,8 @@
 	return b
 }
 
-// in returns a registry that has enrolled in an era and heard all of its records.
-func in(t *testing.T, e era.Era, records ...registry.Record) *bench {
+// newInEra returns a registry that has enrolled newInEra an era and heard all of its records.
+func newInEra(t *testing.T, e era.Era, records ...registry.Record) *bench {
 	b := newBench(t)
 	b.receiveAll(e, records...)
 	b.enrol(e)
@@ -101,7 +101,7 @@
 
 // holding returns a registry that owns engine e in the first era, with nothing to wait for.
 func holding(t *testing.T) *bench {
-	b := in(t, 1)
+	b := newInEra(t, 1)
 	w, ok := b.awaitClaims(5 * time.Second)
 	if !ok {
 		t.Fatal("nothing was claimed")
@@ -187,7 +187,7 @@
 // it may not order any more may be what the store lost.
 func TestWhoWaitsForAFormerOwnerLosesTheEngine(t *testing.T) {
 	is := is.New(t)
-	b := in(t, 1)
+	b := newInEra(t, 1)
 	claim := registry.Ownership{Engine: "e", Owner: "self", Boot: 1, Era: 1, FormerOwner: "b"}
 	b.g.HandleWriteReply(b.now, WriteReply{Write: Txn{Claim: []registry.Ownership{claim}}, Revision: era.Era(1).Revision(40)})
 	is.True(b.g.Owned.Get("e") != nil)
@@ -201,7 +201,7 @@
 	for _, name := range []string{"self", "b", ""} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			b := in(t, 1)
+			b := newInEra(t, 1)
 			b.receiveAll(2, record(2, 20, owner(name, 1)))
 			b.enrol(2)
 			if name == "b" {
@@ -222,7 +222,7 @@
 func TestAnEngineWithoutARecordMayBeHeld(t *testing.T) {
 	for _, e := range []era.Era{1, 2} {
 		is := is.New(t)
-		b := in(t, e)
+		b := newInEra(t, e)
 		heard := b.now
 		w, ok := b.awaitClaims(5 * time.Second)
 		is.True(ok)
@@ -239,7 +239,7 @@
 // TestALeaseOfAFormerEraIsNotRenewed: the store may have given it to another.
 func TestALeaseOfAFormerEraIsNotRenewed(t *testing.T) {
 	is := is.New(t)
-	b := in(t, 1)
+	b := newInEra(t, 1)
 	b.receiveAll(2)
 	b.now = b.now.Add(2 * time.Second)
 	enrols := 0
@@ -265,7 +265,7 @@
 // out late hangs on a lease that the store has given to somebody else.
 func TestARecordThatHungOnAnothersLeaseIsWrittenAgain(t *testing.T) {
 	is := is.New(t)
-	b := in(t, 1)
+	b := newInEra(t, 1)
 	b.receiveAll(2)
 	b.enrol(2)
 	key := registry.Instance{Name: "self"}.Value().Key
@@ -283,7 +283,7 @@
 // TestPeersOfAFormerEraAreNotBelieved: what they tell may have been lost.
 func TestPeersOfAFormerEraAreNotBelieved(t *testing.T) {
 	is := is.New(t)
-	b := in(t, 2)
+	b := newInEra(t, 2)
 	b.g.Merge(b.now, "peer", []registry.Record{record(1, 90, owner("b", 1))})
 	_, known := b.g.Owner("e")
 	is.True(!known)
@@ -332,7 +332,7 @@
 // TestThePlacerGoesOnAndWritesAgain: as a holder of engines does; others wait until it must have.
 func TestThePlacerGoesOnAndWritesAgain(t *testing.T) {
 	is := is.New(t)
-	b := in(t, 1)
+	b := newInEra(t, 1)
 	seek := func() *registry.Placer {
 		b.g.Out.Reset()
 		b.g.ClaimPlacer(b.now)
@@ -372,7 +372,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			b := in(t, 2, records...)
+			b := newInEra(t, 2, records...)
 			heard := b.now
 			for range 200 {
 				b.g.Out.Reset()
