--- a/core/ownership/era_test.go
+++ b/core/ownership/era_test.go
@@ -99,8 +99,8 @@
 	return Txn{}, false
 }
 
-// holding returns a registry that owns engine e in the first era, with nothing to wait for.
-func holding(t *testing.T) *bench {
+// newOwner returns a registry that owns engine e in the first era, with nothing to wait for.
+func newOwner(t *testing.T) *bench {
 	b := newInEra(t, 1)
 	w, ok := b.awaitClaims(5 * time.Second)
 	if !ok {
@@ -137,7 +137,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			b := holding(t)
+			b := newOwner(t)
 			is.True(b.orderable())
 			b.receiveAll(2, found...)
 			is.True(b.orderable())
@@ -160,7 +160,7 @@
 // TestAHolderLosesToAClaimOfThisEra: which only one who may order has written.
 func TestAHolderLosesToAClaimOfThisEra(t *testing.T) {
 	is := is.New(t)
-	b := holding(t)
+	b := newOwner(t)
 	b.receiveAll(2, record(2, 20, owner("b", 2)))
 	is.True(b.g.Owned.Get("e") == nil)
 }
@@ -169,7 +169,7 @@
 // answered.
 func TestARightOfAFormerEraEnds(t *testing.T) {
 	is := is.New(t)
-	b := holding(t)
+	b := newOwner(t)
 	b.receiveAll(2)
 	b.enrol(2)
 	w, ok := b.awaitClaims(time.Second)
@@ -294,7 +294,7 @@
 // TestWhatAnInstanceWroteItselfMayBeLost: also where it never heard of it from the store.
 func TestWhatAnInstanceWroteItselfMayBeLost(t *testing.T) {
 	is := is.New(t)
-	b := holding(t)
+	b := newOwner(t)
 	b.g.Owned.LoseAll(b.now, "a test")
 	b.receiveAll(2)
 	_, known := b.g.Owner("e")
