--- a/core/ownership/era_test.go
+++ b/core/ownership/era_test.go
@@ -120,8 +120,8 @@
 	return e != nil && b.g.Owned.Orderable(b.now, e)
 }
 
-// owner returns the value of the record by which an instance owns e, meant for an era.
-func owner(name string, meant era.Era) registry.Value {
+// ownerRecord returns the value of the record by which an instance owns e, meant for an era.
+func ownerRecord(name string, meant era.Era) registry.Value {
 	return registry.Ownership{Engine: "e", Owner: name, Boot: 7, Era: meant}.Value()
 }
 
@@ -130,9 +130,9 @@
 // it found, with nothing to wait for.
 func TestAHolderGoesOnAndClaimsAgain(t *testing.T) {
 	for name, found := range map[string][]registry.Record{
-		"its own record":        {record(2, 20, owner("self", 1))},
-		"another's":             {record(2, 20, owner("b", 1))},
-		"that it is given back": {record(2, 20, owner("", 1))},
+		"its own record":        {record(2, 20, ownerRecord("self", 1))},
+		"another's":             {record(2, 20, ownerRecord("b", 1))},
+		"that it is given back": {record(2, 20, ownerRecord("", 1))},
 		"none":                  nil,
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -161,7 +161,7 @@
 func TestAHolderLosesToAClaimOfThisEra(t *testing.T) {
 	is := is.New(t)
 	b := newOwner(t)
-	b.receiveAll(2, record(2, 20, owner("b", 2)))
+	b.receiveAll(2, record(2, 20, ownerRecord("b", 2)))
 	is.True(b.g.Owned.Get("e") == nil)
 }
 
@@ -202,7 +202,7 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			b := newInEra(t, 1)
-			b.receiveAll(2, record(2, 20, owner(name, 1)))
+			b.receiveAll(2, record(2, 20, ownerRecord(name, 1)))
 			b.enrol(2)
 			if name == "b" {
 				b.g.absentSince["b"] = b.now // it has no record of its own any more
@@ -284,10 +284,10 @@
 func TestPeersOfAFormerEraAreNotBelieved(t *testing.T) {
 	is := is.New(t)
 	b := newInEra(t, 2)
-	b.g.Merge(b.now, "peer", []registry.Record{record(1, 90, owner("b", 1))})
+	b.g.Merge(b.now, "peer", []registry.Record{record(1, 90, ownerRecord("b", 1))})
 	_, known := b.g.Owner("e")
 	is.True(!known)
-	b.g.Merge(b.now, "peer", []registry.Record{record(3, 10, owner("c", 3))})
+	b.g.Merge(b.now, "peer", []registry.Record{record(3, 10, ownerRecord("c", 3))})
 	is.Equal(b.g.era.current, era.Era(3)) // and one of a later era shows that the store went back
 }
 
