--- a/core/ownership/era_test.go
+++ b/core/ownership/era_test.go
@@ -125,10 +125,10 @@
 	return registry.Ownership{Engine: "e", Owner: name, Boot: 7, Era: meant}.Value()
 }
 
-// TestAHolderGoesOnAndClaimsAgain: whatever the store says of its engine by a record of the
+// TestOwnerKeepsOrderingAndReclaims: whatever the store says of its engine by a record of the
 // former era, or if it says nothing, a holder goes on ordering, and claims it again under what
 // it found, with nothing to wait for.
-func TestAHolderGoesOnAndClaimsAgain(t *testing.T) {
+func TestOwnerKeepsOrderingAndReclaims(t *testing.T) {
 	for name, found := range map[string][]registry.Record{
 		"its own record":        {record(2, 20, ownerRecord("self", 1))},
 		"another's":             {record(2, 20, ownerRecord("b", 1))},
