--- a/core/ownership/era_test.go
+++ b/core/ownership/era_test.go
@@ -157,8 +157,8 @@
 	}
 }
 
-// TestAHolderLosesToAClaimOfThisEra: which only one who may order has written.
-func TestAHolderLosesToAClaimOfThisEra(t *testing.T) {
+// TestOwnerLosesToClaimOfCurrentEra: which only one who may order has written.
+func TestOwnerLosesToClaimOfCurrentEra(t *testing.T) {
 	is := is.New(t)
 	b := newOwner(t)
 	b.receiveAll(2, record(2, 20, ownerRecord("b", 2)))
