--- a/core/ownership/era_test.go
+++ b/core/ownership/era_test.go
@@ -165,9 +165,9 @@
 	is.True(b.g.Owned.Get("e") == nil)
 }
 
-// TestARightOfAFormerEraEnds: unless it is claimed again, though renewals and watches are
+// TestFormerEraOwnershipExpires: unless it is claimed again, though renewals and watches are
 // answered.
-func TestARightOfAFormerEraEnds(t *testing.T) {
+func TestFormerEraOwnershipExpires(t *testing.T) {
 	is := is.New(t)
 	b := newOwner(t)
 	b.receiveAll(2)
