--- a/core/ownership/era_test.go
+++ b/core/ownership/era_test.go
@@ -183,9 +183,9 @@
 	is.True(b.g.Owned.Get("e") == nil)
 }
 
-// TestWhoWaitsForAFormerOwnerLosesTheEngine: the claim by which that one would have heard that
+// TestUnsettledOwnershipIsLostOnRollback: the claim by which that one would have heard that
 // it may not order any more may be what the store lost.
-func TestWhoWaitsForAFormerOwnerLosesTheEngine(t *testing.T) {
+func TestUnsettledOwnershipIsLostOnRollback(t *testing.T) {
 	is := is.New(t)
 	b := newInEra(t, 1)
 	claim := registry.Ownership{Engine: "e", Owner: "self", Boot: 1, Era: 1, FormerOwner: "b"}
