--- a/core/ownership/era_test.go
+++ b/core/ownership/era_test.go
@@ -195,9 +195,9 @@
 	is.True(b.g.Owned.Get("e") == nil)
 }
 
-// TestARecordOfAFormerEraSaysNothingOfWhoOrders: whoever takes the engine, be it in its own
+// TestFormerEraRecordForcesFullWait: whoever takes the engine, be it in its own
 // name, waits as after an owner of whom nothing is known.
-func TestARecordOfAFormerEraSaysNothingOfWhoOrders(t *testing.T) {
+func TestFormerEraRecordForcesFullWait(t *testing.T) {
 	for _, name := range []string{"self", "b", ""} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
