--- a/core/ownership/era_test.go
+++ b/core/ownership/era_test.go
@@ -217,9 +217,9 @@
 	}
 }
 
-// TestAnEngineWithoutARecordMayBeHeld: by someone whose claim was lost. Where no era was before
+// TestMissingRecordForcesWaitAfterRollback: by someone whose claim was lost. Where no era was before
 // there is nobody to wait for.
-func TestAnEngineWithoutARecordMayBeHeld(t *testing.T) {
+func TestMissingRecordForcesWaitAfterRollback(t *testing.T) {
 	for _, e := range []era.Era{1, 2} {
 		is := is.New(t)
 		b := newInEra(t, e)
