--- a/core/ownership/era_test.go
+++ b/core/ownership/era_test.go
@@ -236,8 +236,8 @@
 	}
 }
 
-// TestALeaseOfAFormerEraIsNotRenewed: the store may have given it to another.
-func TestALeaseOfAFormerEraIsNotRenewed(t *testing.T) {
+// TestFormerEraLeaseIsNotRenewed: the store may have given it to another.
+func TestFormerEraLeaseIsNotRenewed(t *testing.T) {
 	is := is.New(t)
 	b := newInEra(t, 1)
 	b.receiveAll(2)
