--- a/core/ownership/era_test.go
+++ b/core/ownership/era_test.go
@@ -261,9 +261,9 @@
 	}
 }
 
-// TestARecordThatHungOnAnothersLeaseIsWrittenAgain: a write of the former era that was carried
+// TestRecordDeletedWithForeignLeaseIsRewritten: a write of the former era that was carried
 // out late hangs on a lease that the store has given to somebody else.
-func TestARecordThatHungOnAnothersLeaseIsWrittenAgain(t *testing.T) {
+func TestRecordDeletedWithForeignLeaseIsRewritten(t *testing.T) {
 	is := is.New(t)
 	b := newInEra(t, 1)
 	b.receiveAll(2)
