--- a/core/ownership/era_test.go
+++ b/core/ownership/era_test.go
@@ -280,8 +280,8 @@
 	is.Equal(enrols, 1)
 }
 
-// TestPeersOfAFormerEraAreNotBelieved: what they tell may have been lost.
-func TestPeersOfAFormerEraAreNotBelieved(t *testing.T) {
+// TestFormerEraPeerRecordsAreIgnored: what they tell may have been lost.
+func TestFormerEraPeerRecordsAreIgnored(t *testing.T) {
 	is := is.New(t)
 	b := newInEra(t, 2)
 	b.g.Merge(b.now, "peer", []registry.Record{record(1, 90, ownerRecord("b", 1))})
