--- a/core/ownership/era_test.go
+++ b/core/ownership/era_test.go
@@ -291,8 +291,8 @@
 	is.Equal(b.g.era.current, era.Era(3)) // and one of a later era shows that the store went back
 }
 
-// TestWhatAnInstanceWroteItselfMayBeLost: also where it never heard of it from the store.
-func TestWhatAnInstanceWroteItselfMayBeLost(t *testing.T) {
+// TestOwnWritesMayBeLostInRollback: also where it never heard of it from the store.
+func TestOwnWritesMayBeLostInRollback(t *testing.T) {
 	is := is.New(t)
 	b := newOwner(t)
 	b.g.Owned.LoseAll(b.now, "a test")
