--- a/core/ownership/era_test.go
+++ b/core/ownership/era_test.go
@@ -301,9 +301,9 @@
 	is.True(!known)
 }
 
-// TestNothingIsClaimedWithoutAMark: a claim that doesn't depend on one may come after the store
+// TestNoClaimWithoutEraRecord: a claim that doesn't depend on one may come after the store
 // went back once more.
-func TestNothingIsClaimedWithoutAMark(t *testing.T) {
+func TestNoClaimWithoutEraRecord(t *testing.T) {
 	is := is.New(t)
 	b := newBench(t)
 	b.g.HandleWatchUpdate(b.now, WatchUpdate{Version: era.Era(2).Revision(50), Whole: true})
