--- a/core/ownership/era_test.go
+++ b/core/ownership/era_test.go
@@ -329,8 +329,8 @@
 	is.Equal(w.Depends, era.Era(2).Revision(51))
 }
 
-// TestThePlacerGoesOnAndWritesAgain: as a holder of engines does; others wait until it must have.
-func TestThePlacerGoesOnAndWritesAgain(t *testing.T) {
+// TestPlacerKeepsPlacingAndReclaims: as a holder of engines does; others wait until it must have.
+func TestPlacerKeepsPlacingAndReclaims(t *testing.T) {
 	is := is.New(t)
 	b := newInEra(t, 1)
 	seek := func() *registry.Placer {
