--- a/core/ownership/era_test.go
+++ b/core/ownership/era_test.go
@@ -364,8 +364,8 @@
 	is.True(b.g.IsPlacer(b.now))
 }
 
-// TestOthersWaitForAFormerPlacer: where there is no record of it, or it is this instance's own.
-func TestOthersWaitForAFormerPlacer(t *testing.T) {
+// TestClaimWaitsForFormerPlacer: where there is no record of it, or it is this instance's own.
+func TestClaimWaitsForFormerPlacer(t *testing.T) {
 	for name, records := range map[string][]registry.Record{
 		"no record":  nil,
 		"its record": {record(2, 20, registry.Placer{Name: "self", Boot: 7, Era: 1}.Value())},
