--- a/core/ownership/rank_test.go
+++ b/core/ownership/rank_test.go
@@ -8,9 +8,9 @@
 	"github.com/birchdrift/birchdrift/core/rendezvous"
 )
 
-// TestOwnersOfTheEnginesZoneComeFirst: and each rank is taken once, so that no two
+// TestOwnerRankPrefersOwnZone: and each rank is taken once, so that no two
 // instances claim an engine at one time.
-func TestOwnersOfTheEnginesZoneComeFirst(t *testing.T) {
+func TestOwnerRankPrefersOwnZone(t *testing.T) {
 	all := []candidate{{name: "a", zone: "z"}, {name: "b", zone: "z"}, {name: "c", zone: "y"}, {name: "d", zone: "y"}}
 	key := rendezvous.Key("e")
 	for _, tt := range []struct {
