--- a/core/ownership/rank_test.go
+++ b/core/ownership/rank_test.go
@@ -37,9 +37,9 @@
 	is.True(ownerRank("e", "z", candidate{name: "late", zone: "x"}, all) >= 2) // after the two of the engine's zone
 }
 
-// TestTheStrongestPlaces: whoever has more of a processor comes first, and each
+// TestPlacerRankPrefersMoreCPU: whoever has more of a processor comes first, and each
 // rank is taken once.
-func TestTheStrongestPlaces(t *testing.T) {
+func TestPlacerRankPrefersMoreCPU(t *testing.T) {
 	is := is.New(t)
 	all := []candidate{{name: "a", processor: 0.2}, {name: "b", processor: 0.9}, {name: "c", processor: 0.2}, {name: "d", processor: 0.5}}
 	byRank := make([]string, len(all))
