--- a/core/ownership/ownership_test.go
+++ b/core/ownership/ownership_test.go
@@ -41,10 +41,10 @@
 	return New(Deps{State: state, Owned: own, Stopping: func() bool { return false }})
 }
 
-// TestQuietEngineIsOrderedSoonerAfterAStop: an engine that is given back waits for
+// TestReleasedEngineWaitsForRestOfTurnGap: an engine that is given back waits for
 // what is left of the turn gap since its last order, not for the whole gap; one
 // whose orders may still be on their way waits for all of it.
-func TestQuietEngineIsOrderedSoonerAfterAStop(t *testing.T) {
+func TestReleasedEngineWaitsForRestOfTurnGap(t *testing.T) {
 	is := is.New(t)
 	now := clocktest.At(time.Hour)
 	g := testRegistry(now)
