--- a/core/ownership/ownership_test.go
+++ b/core/ownership/ownership_test.go
@@ -65,9 +65,9 @@
 	}
 }
 
-// TestRenewalsFollowDuties: only an instance whose record others rely on, to leave
+// TestRenewalInterval: only an instance whose record others rely on, to leave
 // its engines alone, renews it often; each renewal is paid for.
-func TestRenewalsFollowDuties(t *testing.T) {
+func TestRenewalInterval(t *testing.T) {
 	is := is.New(t)
 	now := clocktest.At(time.Hour)
 	g := testRegistry(now)
