--- a/core/ownership/ownership_test.go
+++ b/core/ownership/ownership_test.go
@@ -81,9 +81,9 @@
 	is.Equal(g.renewalInterval(), g.Options.KeepEvery)
 }
 
-// TestOwnersFallSilent: an owner may order only while both its last renewal and
+// TestDenial: an owner may order only while both its last renewal and
 // the last watch that it heard the records through are recent, by both clocks.
-func TestOwnersFallSilent(t *testing.T) {
+func TestDenial(t *testing.T) {
 	valid := option.Default().OrderValid
 	cases := []struct {
 		name         string
