--- a/core/ownership/ownership_test.go
+++ b/core/ownership/ownership_test.go
@@ -120,9 +120,9 @@
 	}
 }
 
-// TestWhenAnEngineIsFree tables since when nobody is to be expected to order an
+// TestFreeSince tables since when nobody is to be expected to order an
 // engine.
-func TestWhenAnEngineIsFree(t *testing.T) {
+func TestFreeSince(t *testing.T) {
 	now := clocktest.At(time.Hour)
 	long := now.Add(-time.Minute)
 	absent := option.Default().AbsentFor
