--- a/core/era/era.go
+++ b/core/era/era.go
@@ -1,9 +1,9 @@
-// Package era provides the numbers that the platform's store gives out, in an order that
-// holds although the store may come back from an older copy of itself.
+// Package era provides revisions and leases of the platform's store that remain
+// ordered and unique when the store is restored from an older copy of itself.
 //
-// The store counts how often it did; that count is its era. Revisions and leases go back
-// with it and are given out again, so a number means something only together with the era
-// in which it was given out (docs/design/eras.md).
+// The store counts these restores; the count is its era. A restore also resets the
+// store's revision and lease counters, so the same numbers are issued again. A number
+// is therefore unique only together with the era that issued it (docs/design/eras.md).
 package era
 
 import (
@@ -11,57 +11,60 @@
 	"strconv"
 )
 
-// An Era counts how often the store came back from an older copy of itself; 0: it does not
-// say.
+// An Era is the number of times the store was restored from an older copy of itself. It is
+// 0 if the store does not report it.
 type Era uint32
 
-// A Revision is a revision that the store gave out in some era. Those of a later era are greater
-// than all of the eras before; 0 is none.
+// A Revision is a revision that the store issued in a certain era. Revisions of a later era
+// are greater than all revisions of earlier eras. The zero Revision means none.
 type Revision uint64
 
-// A Lease is one that the store gave out in some era. Leases have no order, and the store may
-// name them by any number. The zero Lease is none.
+// A Lease identifies a lease that the store issued in a certain era. Leases are not ordered,
+// and the store may choose any number as the ID. The zero Lease means none.
 type Lease struct {
 	Era Era
 	ID  uint64
 }
 
-// String returns the lease for logs, as ERA/ID where the store tells its era.
+// String formats the lease for logs, as ERA/ID if the store reports its era and as ID
+// otherwise.
 func (l Lease) String() string { return formatInEra(l.Era, l.ID) }
 
 // LogValue implements slog.LogValuer.
 func (l Lease) LogValue() slog.Value { return slog.StringValue(l.String()) }
 
-// revisionBits is how many bits of a number are the store's own.
+// revisionBits is the number of low bits of a Revision that hold the store's own revision.
 const revisionBits = 40
 
-// Bounds of what the store may say, above which nothing is made of its answer. Numbers stay
-// below 2^53, so that whoever reads a fence as a floating-point number reads it whole.
+// The largest values accepted from the store; answers with larger ones are ignored. They
+// keep every Revision below 2^53, so that a fence survives being decoded as a floating-point
+// number.
 const (
 	MaxRevision uint64 = 1<<revisionBits - 1
-	MaxEra      uint64 = 1<<13 - 1 // count of steps back
+	MaxEra      uint64 = 1<<13 - 1 // count of restores
 )
 
-// Revision returns the revision that the store gave out as raw in this era. It panics for one
-// beyond MaxRevision, which would be taken for one of another era.
+// Revision returns the revision that the store issued as raw in era e, and 0 if raw is 0. It
+// panics if raw exceeds MaxRevision, since the result would belong to another era.
 func (e Era) Revision(raw uint64) Revision {
 	switch {
 	case raw == 0:
 		return 0
 	case raw > MaxRevision:
-		panic("era: a revision beyond MaxRevision")
+		panic("era: revision exceeds MaxRevision")
 	default:
 		return Revision(uint64(e)<<revisionBits | raw)
 	}
 }
 
-// Era returns the era in which the number was given out, 0 also for none.
+// Era returns the era that issued the revision. It is 0 for the zero Revision.
 func (n Revision) Era() Era { return Era(n >> revisionBits) }
 
-// Raw returns the number as the store knows it.
+// Raw returns the revision as the store numbers it, without the era.
 func (n Revision) Raw() uint64 { return uint64(n) & MaxRevision }
 
-// String returns the number for logs, as ERA/NUMBER where the store tells its era.
+// String formats the revision for logs, as ERA/REVISION if the store reports its era and as
+// REVISION otherwise.
 func (n Revision) String() string { return formatInEra(n.Era(), n.Raw()) }
 
 func formatInEra(e Era, raw uint64) string {
@@ -72,7 +75,8 @@
 	return strconv.FormatUint(uint64(e), 10) + "/" + text
 }
 
-// MarshalJSON writes the number for logs: as the store's own where it tells of no era.
+// MarshalJSON encodes the revision for logs: as an integer if the store reports no era, and
+// otherwise as the string "ERA/REVISION".
 func (n Revision) MarshalJSON() ([]byte, error) {
 	if n.Era() == 0 {
 		return []byte(n.String()), nil
--- a/core/member/member.go
+++ b/core/member/member.go
@@ -1,10 +1,10 @@
-// Package member provides an instance's view of its peers: the other entry
-// instances, learnt from settings, from the platform's list and from exchanges.
+// Package member maintains an instance's view of its peers: the other entry
+// instances, known from settings, from the platform's list and from exchanges.
 //
-// Nobody votes and nothing is agreed on. Every instance works out who does which
-// task, such as watching the platform or reading an engine's state, by rendezvous
-// hashing over its own view. Views may differ for some seconds; then a task is
-// done twice or by a neighbour, which costs calls and harms nothing.
+// There is no voting and no consensus. Every instance computes the assignment of
+// tasks, such as watching the platform or reading an engine's state, by rendezvous
+// hashing over its own view. Views may differ for some seconds. A task is then
+// done twice or by another instance, which costs extra calls but is harmless.
 package member
 
 import (
@@ -16,19 +16,19 @@
 	"github.com/birchdrift/birchdrift/core/rendezvous"
 )
 
-// LivenessTimeout is how long a peer may fail every exchange before it counts as gone where tasks
-// are assigned, though the list still has it.
+// LivenessTimeout is the time for which a peer may fail every exchange before it is assigned
+// no more tasks, even if the list still has it.
 const LivenessTimeout = 10 * time.Second
 
-// An Identity says who an instance is.
+// An Identity describes an instance to its peers.
 type Identity struct {
 	Name    string // unique in the fleet
 	Zone    string
 	Address string // IP:port of its peers' listener
-	Boot    uint64 // rises with every start of the instance
-	// Processor is the share of a core that it may use, 0 if that is not known.
+	Boot    uint64 // increases with every start of the instance
+	// Processor is the CPU quota of the instance in cores, 0 if unknown.
 	Processor float64
-	// Seeds are addresses (IP:port) of peers known from settings.
+	// Seeds are the addresses (IP:port) of peers in the settings.
 	Seeds []string
 }
 
@@ -38,23 +38,25 @@
 	Zone         string
 	Address      string // IP:port of its peers' listener
 	Leaving      bool
-	heardAt      clock.Instant // last time anything came from it
-	failingSince clock.Instant // first failure since then
+	heardAt      clock.Instant // when the last message from it arrived
+	failingSince clock.Instant // when the first exchange after that failed; zero if none did
 }
 
-// A Table is the view of one instance, which is itself a member.
+// A Table holds the view of one instance: its peers, without the instance itself.
 type Table struct {
 	self  string
 	zone  string
 	peers map[string]*Peer
 }
 
-// New returns a table that knows only the instance itself.
+// New returns the table of the instance self, without any peers.
 func New(self, zone string) *Table {
 	return &Table{self: self, zone: zone, peers: map[string]*Peer{}}
 }
 
-// Upsert adds a peer or moves it to another address. Itself is passed over.
+// Upsert adds a peer or updates its zone and address. A changed address replaces the peer's
+// entry and so clears its liveness and leaving state. The instance itself and empty names are
+// ignored.
 func (t *Table) Upsert(name, zone, address string) {
 	if name == t.self || name == "" {
 		return
@@ -67,7 +69,7 @@
 	p.Zone = zone
 }
 
-// MarkHeard notes that something came from the peer at now.
+// MarkHeard records that a message from the peer arrived at now.
 func (t *Table) MarkHeard(now clock.Instant, name string) {
 	if p := t.peers[name]; p != nil {
 		p.heardAt = now
@@ -75,21 +77,22 @@
 	}
 }
 
-// MarkFailed notes that an exchange with the peer failed at now.
+// MarkFailed records that an exchange with the peer failed at now.
 func (t *Table) MarkFailed(now clock.Instant, name string) {
 	if p := t.peers[name]; p != nil && p.failingSince.IsZero() {
 		p.failingSince = now
 	}
 }
 
-// SetLeaving notes that the peer says, or the list says, that it is leaving.
+// SetLeaving records whether the peer is leaving, according to the peer itself or
+// the list.
 func (t *Table) SetLeaving(name string, leaving bool) {
 	if p := t.peers[name]; p != nil {
 		p.Leaving = leaving
 	}
 }
 
-// Remove drops a peer that the list no longer has.
+// Remove removes a peer whose entry was deleted from the list.
 func (t *Table) Remove(name string) { delete(t.peers, name) }
 
 // Live reports whether tasks may be assigned to the peer at now.
@@ -103,10 +106,10 @@
 // Failing reports whether the last exchange with the peer failed.
 func (p *Peer) Failing() bool { return !p.failingSince.IsZero() }
 
-// Get returns the peer with this name, nil if unknown.
+// Get returns the peer with the given name, or nil if it is unknown.
 func (t *Table) Get(name string) *Peer { return t.peers[name] }
 
-// Peers returns every peer that is not leaving, by name.
+// Peers returns every peer that is not leaving, sorted by name.
 func (t *Table) Peers() []*Peer {
 	out := make([]*Peer, 0, len(t.peers))
 	for _, p := range t.peers {
@@ -118,7 +121,8 @@
 	return out
 }
 
-// ZonePeers returns the peers of the table's own zone, or those of other zones.
+// ZonePeers returns the peers of the table's own zone if own is true, and those of all
+// other zones otherwise.
 func (t *Table) ZonePeers(own bool) []*Peer {
 	var out []*Peer
 	for _, p := range t.Peers() {
@@ -129,24 +133,24 @@
 	return out
 }
 
-// Neighbours returns the peers of the zone that this instance begins exchanges
-// with: on the ring of all members by name, those 1, 2, 4, 8 and so on places
-// ahead. News crosses the zone in as many hops as the ring's size has bits,
-// and each pair meets often enough that what it owes each other stays small;
-// with partners drawn at random that would grow with the zone.
+// Neighbours returns the peers of the own zone that this instance starts exchanges
+// with: those 1, 2, 4, 8 and so on places ahead on the ring of all members sorted
+// by name. Updates reach the whole zone in at most log2(ring size) hops, and each
+// pair exchanges often enough that the deltas between them stay small. With
+// randomly chosen partners, the deltas would grow with the size of the zone.
 func (t *Table) Neighbours() []*Peer {
 	ring := t.ZonePeers(true)
 	at := sort.Search(len(ring), func(i int) bool { return ring[i].Name > t.self })
 	var out []*Peer
 	for step := 1; step <= len(ring); step *= 2 {
-		// The instance itself stands between ring[at-1] and ring[at].
+		// The instance itself belongs between ring[at-1] and ring[at].
 		out = append(out, ring[(at+step-1)%len(ring)])
 	}
 	return out
 }
 
-// ZoneUnreachable reports whether instances of the zone are known and none of them
-// answers.
+// ZoneUnreachable reports whether at least one peer of the zone is known and the
+// last exchange with each of them failed.
 func (t *Table) ZoneUnreachable(zone string) bool {
 	known := false
 	for _, p := range t.Peers() {
@@ -161,7 +165,7 @@
 	return known
 }
 
-// Random draws one of the peers, nil if there is none.
+// Random returns a random element of peers, or nil if peers is empty.
 func Random(rng *rand.Rand, peers []*Peer) *Peer {
 	if len(peers) == 0 {
 		return nil
@@ -169,10 +173,11 @@
 	return peers[rng.IntN(len(peers))]
 }
 
-// Size returns how many instances are known, this one included.
+// Size returns the number of known instances, including this one.
 func (t *Table) Size() int { return len(t.peers) + 1 }
 
-// HeardWithin returns how many peers were heard within the span before now.
+// HeardWithin returns the number of peers from which a message arrived within span
+// before now.
 func (t *Table) HeardWithin(now clock.Instant, span time.Duration) int {
 	n := 0
 	for _, p := range t.peers {
@@ -183,8 +188,8 @@
 	return n
 }
 
-// Assigned reports whether the instance is among the n that rendezvous hashing
-// names for a task, of itself and its zone's live peers.
+// Assigned reports whether this instance is among the n instances that rendezvous
+// hashing selects for a task from itself and the live peers of its zone.
 func (t *Table) Assigned(now clock.Instant, task string, n int) bool {
 	key := rendezvous.Key(task)
 	own := rendezvous.Score(key, t.self)
@@ -200,7 +205,7 @@
 	return ahead < n
 }
 
-// HeardWithin reports whether the peer was heard within the span before now.
+// HeardWithin reports whether a message from the peer arrived within span before now.
 func (p *Peer) HeardWithin(now clock.Instant, span time.Duration) bool {
 	return !p.heardAt.IsZero() && now.Since(p.heardAt) <= span
 }
--- a/core/member/member_test.go
+++ b/core/member/member_test.go
@@ -10,26 +10,26 @@
 	"github.com/birchdrift/birchdrift/core/clock/clocktest"
 )
 
-// TestPeerLiveness: a peer is failing from the first exchange that
-// failed, and tasks pass it over once that lasts; an answer makes it good, and one
-// that is leaving gets no task at all.
+// TestPeerLiveness checks that a peer is failing from the first failed exchange on
+// and is assigned no tasks after LivenessTimeout, that an answer resets both, and
+// that a leaving peer is assigned no tasks.
 func TestPeerLiveness(t *testing.T) {
 	start := clocktest.At(time.Hour)
 	for _, tt := range []struct {
 		name    string
-		failed  []time.Duration // when exchanges failed, after start
-		heard   time.Duration   // when it was heard last, after start; 0: never
+		failed  []time.Duration // times of failed exchanges, after start
+		heard   time.Duration   // time of its last message, after start; 0: never
 		leaving bool
 		at      time.Duration
 		failing bool
 		live    bool
 	}{
-		{name: "never tried", live: true},
+		{name: "no exchange yet", live: true},
 		{name: "one exchange failed", failed: []time.Duration{0}, at: LivenessTimeout - 1, failing: true, live: true},
-		{name: "it failed for long", failed: []time.Duration{0}, at: LivenessTimeout, failing: true},
-		{name: "later failures do not begin it anew", failed: []time.Duration{0, LivenessTimeout / 2}, at: LivenessTimeout, failing: true},
-		{name: "it answered", failed: []time.Duration{0}, heard: time.Second, at: LivenessTimeout, live: true},
-		{name: "it is leaving", leaving: true},
+		{name: "failing for the whole timeout", failed: []time.Duration{0}, at: LivenessTimeout, failing: true},
+		{name: "later failures do not restart the timeout", failed: []time.Duration{0, LivenessTimeout / 2}, at: LivenessTimeout, failing: true},
+		{name: "answered after a failure", failed: []time.Duration{0}, heard: time.Second, at: LivenessTimeout, live: true},
+		{name: "leaving", leaving: true},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
@@ -49,8 +49,8 @@
 	}
 }
 
-// TestAssignedSelectsN: of instances that know each other, exactly n find
-// that a task is theirs; without one of these another takes its place.
+// TestAssignedSelectsN checks that of instances that know each other exactly n find
+// a task assigned to them, and that another instance replaces one that is missing.
 func TestAssignedSelectsN(t *testing.T) {
 	is := is.New(t)
 	now := clocktest.At(time.Hour)
@@ -76,14 +76,15 @@
 	}
 }
 
-// TestNeighbours: the partners stand 1, 2, 4 places ahead on the ring of names.
+// TestNeighbours checks that the neighbours are 1, 2 and 4 places ahead on the ring
+// of names, and of the own zone only.
 func TestNeighbours(t *testing.T) {
 	is := is.New(t)
 	table := New("c", "z")
 	for _, name := range []string{"a", "b", "d", "e", "f"} {
 		table.Upsert(name, "z", name)
 	}
-	table.Upsert("abroad", "other", "abroad")
+	table.Upsert("remote", "other", "remote")
 	var got []string
 	for _, p := range table.Neighbours() {
 		got = append(got, p.Name)
--- a/core/outage/outage.go
+++ b/core/outage/outage.go
@@ -1,8 +1,9 @@
-// Package outage tracks whether the platform's service answers an instance, and
-// how long to wait before it is called again.
+// Package outage tracks whether the platform's service answers this instance, and
+// computes the delay before the next call after a failure.
 //
 // All modules that call the service report each outcome to one Tracker, so that
-// an outage is noticed, logged and backed off from once, whoever met it.
+// they share one backoff and an outage is logged only once, whichever module
+// detects it.
 package outage
 
 import (
@@ -15,30 +16,30 @@
 	"github.com/birchdrift/birchdrift/core/step"
 )
 
-// Bounds of the time between two calls of one kind after failures, where a platform states no
-// bound from which the longest follows.
+// Bounds of the delay between two calls of one kind after failures. DefaultMaxRetryDelay
+// applies if the platform states no bound from which the longest delay is derived.
 const (
 	initialWait          = 200 * time.Millisecond
 	DefaultMaxRetryDelay = 5 * time.Second
 )
 
-// A Tracker is what one instance knows of the service's availability.
+// A Tracker holds one instance's view of the service's availability.
 type Tracker struct {
 	out       *step.Output
 	down      bool
-	downSince clock.Instant // when it was first found down
-	backAt    clock.Instant // when it was last found to answer again
-	failedAt  clock.Instant // when a call failed last
+	downSince clock.Instant // when the first failed call of the last outage was observed
+	backAt    clock.Instant // when the last outage ended
+	failedAt  clock.Instant // when a call last failed
 	backoff   backoff.Backoff
 }
 
-// New returns the tracker of a service that has not been called yet, and is called again at
-// the latest longest after a failure.
+// New returns the tracker of a service that has not been called yet. The delay after a
+// failure never exceeds longest.
 func New(out *step.Output, longest time.Duration) *Tracker {
 	return &Tracker{out: out, backoff: backoff.New(min(initialWait, longest), longest)}
 }
 
-// Observe takes in the outcome of one call: nil if the service answered.
+// Observe records the outcome of one call; err is nil if the service answered.
 func (t *Tracker) Observe(now clock.Instant, err error) {
 	if err == nil {
 		if t.down {
@@ -58,11 +59,11 @@
 	t.backoff = t.backoff.WithFailure()
 }
 
-// RecoveredAt returns when the service was last found to answer again after failures, zero if it
-// never was.
+// RecoveredAt returns when the service last answered again after failures. It is zero if
+// that never happened.
 func (t *Tracker) RecoveredAt() clock.Instant { return t.backAt }
 
-// FailedSince reports whether a call failed at a moment or later.
+// FailedSince reports whether a call failed at or after the given time.
 func (t *Tracker) FailedSince(at clock.Instant) bool {
 	return !t.failedAt.IsZero() && !t.failedAt.Before(at)
 }
@@ -70,5 +71,5 @@
 // Down reports whether the last call failed.
 func (t *Tracker) Down() bool { return t.down }
 
-// Wait draws how long to wait before the next call: 0 after a success.
+// Wait returns a randomized delay before the next call. It is 0 after a success.
 func (t *Tracker) Wait(rng *rand.Rand) time.Duration { return t.backoff.Delay(rng) }
--- a/core/outage/outage_test.go
+++ b/core/outage/outage_test.go
@@ -13,8 +13,8 @@
 	"github.com/birchdrift/birchdrift/core/step"
 )
 
-// TestOutageIsLoggedOnce: the first failure and the first answer after it are
-// logged, whoever met them; in between calls are spaced.
+// TestOutageIsLoggedOnce checks that only the first failure and the first answer
+// after it are logged, and that calls are delayed in between.
 func TestOutageIsLoggedOnce(t *testing.T) {
 	is := is.New(t)
 	now := clocktest.At(time.Hour)
