--- a/core/member/member_test.go
+++ b/core/member/member_test.go
@@ -29,7 +29,7 @@
 		{name: "failing for the whole timeout", failed: []time.Duration{0}, at: LivenessTimeout, failing: true},
 		{name: "later failures do not restart the timeout", failed: []time.Duration{0, LivenessTimeout / 2}, at: LivenessTimeout, failing: true},
 		{name: "answered after a failure", failed: []time.Duration{0}, heard: time.Second, at: LivenessTimeout, live: true},
-		{name: "leaving", leaving: true},
+		{name: "peer is leaving", leaving: true},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
@@ -84,7 +84,7 @@
 	for _, name := range []string{"a", "b", "d", "e", "f"} {
 		table.Upsert(name, "z", name)
 	}
-	table.Upsert("remote", "other", "remote")
+	table.Upsert("abroad", "other", "abroad")
 	var got []string
 	for _, p := range table.Neighbours() {
 		got = append(got, p.Name)
