--- a/core/exchange/exchange.go
+++ b/core/exchange/exchange.go
@@ -117,11 +117,11 @@
 
 // A peerState is what a peer said of itself last.
 type peerState struct {
-	boot         uint64
-	stamp        uint64       // of its records, when it said so
-	revision     uint64       // of the configuration in force there
-	storeVersion era.Revision // up to where it heard the platform's store at first hand
-	acked        uint64       // what it confirmed of this instance's records
+	boot          uint64
+	stamp         uint64       // of its records, when it said so
+	revision      uint64       // of the configuration in force there
+	storeRevision era.Revision // up to where it heard the platform's store at first hand
+	acked         uint64       // what it confirmed of this instance's records
 }
 
 // New returns the exchanges of an instance that has heard of nobody.
@@ -185,7 +185,7 @@
 		Stamp:        x.Records.Stamp(),
 		AckBoot:      known.boot,
 		Ack:          known.stamp,
-		Records:      x.Records.Delta(now, known.acked, peer, sameZone, known.storeVersion),
+		Records:      x.Records.Delta(now, known.acked, peer, sameZone, known.storeRevision),
 	}
 	msg.Demand = x.DemandFor(now, peer)
 	if x.Options.MeshEvery > 0 {
@@ -227,7 +227,7 @@
 	x.Members.SetLeaving(msg.From, msg.Leaving)
 	x.Members.MarkHeard(now, msg.From)
 	former := x.peers[msg.From]
-	state := peerState{boot: msg.Boot, stamp: msg.Stamp, revision: msg.Revision, storeVersion: msg.StoreVersion}
+	state := peerState{boot: msg.Boot, stamp: msg.Stamp, revision: msg.Revision, storeRevision: msg.StoreVersion}
 	// What a new boot confirms may have been composed for the boot before it. A
 	// peer that confirms another boot of this instance has nothing of this one.
 	if msg.AckBoot == x.Self.Boot && (former.boot == msg.Boot || former.boot == 0) {
