--- a/core/outage/outage.go
+++ b/core/outage/outage.go
@@ -25,12 +25,12 @@
 
 // A Tracker holds one instance's view of the service's availability.
 type Tracker struct {
-	out       *step.Output
-	down      bool
-	downSince clock.Instant // when the first failed call of the last outage was observed
-	backAt    clock.Instant // when the last outage ended
-	failedAt  clock.Instant // when a call last failed
-	backoff   backoff.Backoff
+	out         *step.Output
+	down        bool
+	downSince   clock.Instant // when the first failed call of the last outage was observed
+	recoveredAt clock.Instant // when the last outage ended
+	failedAt    clock.Instant // when a call last failed
+	backoff     backoff.Backoff
 }
 
 // New returns the tracker of a service that has not been called yet. The delay after a
@@ -43,7 +43,7 @@
 func (t *Tracker) Observe(now clock.Instant, err error) {
 	if err == nil {
 		if t.down {
-			t.backAt = now
+			t.recoveredAt = now
 			t.out.Log(logevent.PlatformBack, "after", now.Since(t.downSince).String())
 		}
 		t.down = false
@@ -61,7 +61,7 @@
 
 // RecoveredAt returns when the service last answered again after failures. It is zero if
 // that never happened.
-func (t *Tracker) RecoveredAt() clock.Instant { return t.backAt }
+func (t *Tracker) RecoveredAt() clock.Instant { return t.recoveredAt }
 
 // FailedSince reports whether a call failed at or after the given time.
 func (t *Tracker) FailedSince(at clock.Instant) bool {
