--- a/core/outage/outage.go
+++ b/core/outage/outage.go
@@ -19,7 +19,7 @@
 // Bounds of the delay between two calls of one kind after failures. DefaultMaxRetryDelay
 // applies if the platform states no bound from which the longest delay is derived.
 const (
-	initialWait          = 200 * time.Millisecond
+	initialRetryDelay    = 200 * time.Millisecond
 	DefaultMaxRetryDelay = 5 * time.Second
 )
 
@@ -36,7 +36,7 @@
 // New returns the tracker of a service that has not been called yet. The delay after a
 // failure never exceeds longest.
 func New(out *step.Output, longest time.Duration) *Tracker {
-	return &Tracker{out: out, backoff: backoff.New(min(initialWait, longest), longest)}
+	return &Tracker{out: out, backoff: backoff.New(min(initialRetryDelay, longest), longest)}
 }
 
 // Observe records the outcome of one call; err is nil if the service answered.
