--- a/core/listing/listing.go
+++ b/core/listing/listing.go
@@ -1,10 +1,10 @@
-// Package listing takes over what the platform lists: entry instances, and
-// replicas that announce themselves or are said to be leaving.
+// Package listing applies the entries of the platform's list: entry instances, and
+// replicas that are announced or reported as leaving.
 //
-// It hands each entry that is news to the modules that keep the state of what is
-// listed: core/member for instances, core/pool for replicas. An entry that went
-// does not end a replica at once, since the platform may lose entries of
-// replicas that live.
+// It passes each new or changed entry to the module that keeps the state of what is
+// listed: core/member for instances, core/pool for replicas. A replica whose entry
+// vanished is not removed at once, since the platform may lose the entries of
+// running replicas.
 package listing
 
 import (
@@ -19,13 +19,14 @@
 	"github.com/birchdrift/birchdrift/core/step"
 )
 
-// Reply is the event that a watch brought entries of the list.
+// Reply is the event that a watch returned entries of the list.
 type Reply struct {
 	Entries []gossip.Listed
 	Version era.Revision
-	Whole   bool // Entries are all that the list has, but for Unreadable
-	// Unreadable are upstreams whose entries make no sense. They say nothing: what was
-	// known of the upstream stays until its entry goes or can be read again.
+	Whole   bool // Entries are the complete list, except for Unreadable
+	// Unreadable names the upstreams whose entries cannot be decoded. Such an entry changes
+	// nothing: the state of the upstream is kept until its entry vanishes or can be decoded
+	// again.
 	Unreadable []string
 	Err        error
 }
@@ -33,19 +34,19 @@
 // IsEvent implements step.Event.
 func (Reply) IsEvent() {}
 
-// SelfReport is the event that a replica said of itself, when it was asked, in which life it
-// is.
+// SelfReport is the event that a replica, queried directly, reported its incarnation and
+// state.
 type SelfReport struct {
 	Replica      string
-	Sent         clock.Instant // when it was asked
+	Sent         clock.Instant // when the query was sent
 	Announcement pool.Announcement
 }
 
 // IsEvent implements step.Event.
 func (SelfReport) IsEvent() {}
 
-// A List is what is known of the platform's list. The fields must be set before
-// its use.
+// A List applies the entries of the platform's list, from watches and from peers.
+// Its exported fields must be set before use.
 type List struct {
 	Options *option.Options
 	Out     *step.Output
@@ -53,27 +54,27 @@
 	Pool    *pool.Pool
 	Records *gossip.Set
 	Outage  *outage.Tracker
-	// KnownAt returns up to when everything in the list is known.
+	// KnownAt returns the time up to which all changes of the list are known.
 	KnownAt func() clock.Instant
-	// Announced is told which models an engine announced that it holds.
+	// Announced is called with the models that an engine announced as loaded.
 	Announced func(now clock.Instant, engine string, models []pool.AnnouncedModel)
-	// Restarted is told of a replica that was announced in another life than before.
+	// Restarted is called when a replica is announced with a new incarnation.
 	Restarted func(now clock.Instant, replica string)
-	// Present is told of each replica that announced itself.
+	// Present is called for each replica that is announced.
 	Present func(now clock.Instant, replica string)
-	// TellSoon is called when an entry was news that peers are to be told of.
+	// TellSoon is called when an entry is new or changed, so that peers receive it soon.
 	TellSoon func(now clock.Instant)
 
 	version era.Revision
 }
 
-// Version returns the version up to which the list is known, at whichever hand.
+// Version returns the list version known so far, from the store or from peers.
 func (l *List) Version() era.Revision { return l.version }
 
-// HandleReply takes in what a watch brought.
+// HandleReply applies the entries that a watch returned.
 func (l *List) HandleReply(now clock.Instant, e Reply) {
 	if e.Version.Era() < l.version.Era() {
-		return // it was on its way while the store went back
+		return // sent before the store was restored from an older copy
 	}
 	l.version = max(l.version, e.Version)
 	for _, entry := range e.Entries {
@@ -84,9 +85,9 @@
 	}
 }
 
-// applyMissing takes in that a whole list no longer has some replicas. They count as leaving at
-// once, since the watch may have missed for long that they went, but not after an outage, which
-// may remove entries of sound replicas.
+// applyMissing handles the replicas that a complete list no longer has. They count as leaving
+// at once, since the watch may have missed their removal long ago. After an outage they do
+// not, since an outage may remove the entries of healthy replicas.
 func (l *List) applyMissing(now clock.Instant, e Reply) {
 	outage := l.Outage.FailedSince(l.KnownAt())
 	for _, entry := range l.missing(e) {
@@ -95,10 +96,10 @@
 	}
 }
 
-// HandlePeerEntry takes in an entry that a peer told of.
+// HandlePeerEntry applies an entry that the peer from sent.
 func (l *List) HandlePeerEntry(now clock.Instant, from string, entry gossip.Listed) {
 	if entry.Version.Era() < l.version.Era() {
-		return // the peer has not heard yet that the store went back
+		return // the peer does not know yet that the store was restored from an older copy
 	}
 	l.add(now, from, entry)
 	l.version = max(l.version, entry.Version)
@@ -111,7 +112,7 @@
 	}
 }
 
-// Apply takes over one entry.
+// Apply applies one entry to the members or to the pool.
 func (l *List) Apply(now clock.Instant, entry gossip.Listed) {
 	switch {
 	case entry.Kind == gossip.Entry:
@@ -140,13 +141,13 @@
 	l.Pool.ObserveListed(entry.Name, true)
 }
 
-// announced reports whether a replica of this name announced itself.
+// announced reports whether the replica of this name has been announced.
 func (l *List) announced(name string) bool {
 	r := l.Pool.Get(name)
 	return r != nil && r.Announced
 }
 
-// applyAnnounced takes over the entry of a replica that announces itself.
+// applyAnnounced applies the entry of an announced replica, or its removal.
 func (l *List) applyAnnounced(now clock.Instant, entry gossip.Listed) {
 	if entry.Gone {
 		l.Out.Log(logevent.UpstreamVanished, "upstream", entry.Name, "version", entry.Version)
@@ -160,9 +161,10 @@
 	l.announce(now, entry.Name, *entry.Announced, entry.Version)
 }
 
-// leaveDeadline returns the deadline by which a replica whose entry went counts as leaving, counted
-// from when the list was known last, since the entry may have gone just after that. It is zero
-// after an outage, which may remove entries of sound replicas.
+// leaveDeadline returns the time from which a replica whose entry vanished counts as leaving.
+// The grace period starts at the time up to which the list was known, since the entry may
+// have vanished just after that. The result is zero if that time is longer ago than the
+// bound Leave, and after an outage, which may remove the entries of healthy replicas.
 func (l *List) leaveDeadline(now clock.Instant) clock.Instant {
 	known := l.KnownAt()
 	if now.Since(known) > l.Options.Bounds.Leave || l.Outage.FailedSince(known) {
@@ -171,12 +173,12 @@
 	return known.Add(l.Options.Bounds.VanishedGracePeriod())
 }
 
-// announce takes over what a replica says of itself; version is that of its entry, 0 if it
-// said so when it was asked.
+// announce applies an announcement of a replica. version is the version of its entry, or 0 if
+// the replica was queried directly.
 func (l *List) announce(now clock.Instant, name string, a pool.Announcement, version era.Revision) {
 	former := l.Pool.Get(name)
 	if former != nil && former.IsPastIncarnation(a.Born) {
-		return // it was written, or came, after the end of that life
+		return // a late announcement of an incarnation that has ended
 	}
 	if former == nil {
 		l.Out.Log(logevent.UpstreamAnnounced, "upstream", name, "service", a.Service, "address", a.Address, "zone", a.Zone, "version", version)
@@ -192,8 +194,9 @@
 	l.Announced(now, name, a.Models)
 }
 
-// HandleSelfReport takes in a life of a replica that is heard of from itself before its entry
-// comes. What it says of a life that is known, its owner's ledger takes in.
+// HandleSelfReport applies a new incarnation that a replica reports itself before its entry
+// arrives. A report of a known incarnation is ignored here, since the ledger of the engine's
+// owner applies it.
 func (l *List) HandleSelfReport(now clock.Instant, e SelfReport) {
 	r := l.Pool.Get(e.Replica)
 	if r == nil || e.Sent.Before(r.FirstSeenAt()) || !r.Restarted(e.Announcement.Born) {
@@ -209,8 +212,8 @@
 	l.announce(now, e.Replica, a, 0)
 }
 
-// handleNewIncarnation takes in that a life of a replica is known for the first time; former is the
-// one before it, nil if there was none.
+// handleNewIncarnation handles the first announcement of an incarnation. former is the
+// previous one, nil if there was none.
 func (l *List) handleNewIncarnation(now clock.Instant, former, r *pool.Replica) {
 	if former != nil {
 		l.Out.Log(logevent.UpstreamRestarted, "upstream", r.Name, "address", r.Address, "born", r.Incarnation().Born, "former", former.Incarnation().Born)
@@ -221,8 +224,8 @@
 	}
 }
 
-// missing returns the announced replicas that a whole list no longer has and that do not count
-// as leaving yet, as entries that are gone.
+// missing returns removed entries for the announced replicas that a complete list no longer
+// has and that are not leaving yet.
 func (l *List) missing(e Reply) []gossip.Listed {
 	has := make(map[string]bool, len(e.Entries))
 	for _, entry := range e.Entries {
@@ -233,7 +236,7 @@
 	}
 	var gone []gossip.Listed
 	for _, r := range l.Pool.All() {
-		newer := l.Records.ListedVersion(r.Name) > e.Version // the list was read beside a watch
+		newer := l.Records.ListedVersion(r.Name) > e.Version // a concurrent watch brought a newer entry
 		if r.Announced && !r.Leaving() && !has[r.Name] && !newer {
 			gone = append(gone, gossip.Listed{Name: r.Name, Kind: gossip.Upstream, Zone: r.Zone, Gone: true, Version: e.Version})
 		}
@@ -241,7 +244,7 @@
 	return gone
 }
 
-// Tick has replicas whose entries went a while ago count as leaving.
+// Tick marks replicas as leaving whose grace period after their entry vanished has ended.
 func (l *List) Tick(now clock.Instant) {
 	for _, name := range l.Pool.ExpireVanished(now, pool.VanishedGracePeriod) {
 		l.Out.Log(logevent.UpstreamLeaving, "upstream", name, "source", "its entry went")
--- a/core/registry/registry.go
+++ b/core/registry/registry.go
@@ -1,13 +1,13 @@
-// Package registry provides the records that instances keep in the platform's
-// store: who is there, who orders which engine, who places models, and which requests
-// are not run.
+// Package registry defines the records that instances keep in the platform's
+// store: the instances, the owner of each engine, the placer, the quarantined requests,
+// and the eras of the store.
 //
-// The idea: a record is a key with a small JSON value. An instance's own record
-// hangs on its lease and goes with it. An ownership outlives its owner, so that
-// whoever takes an engine over knows whose orders may still be on their way.
+// A record is a key with a small JSON value. An instance's own record is attached
+// to its lease and is deleted with it. An ownership record outlives its owner, so
+// that the next owner knows whose orders may still be in flight.
 //
-// Invariant: an ownership changes hands only under the condition that it is
-// still as its taker last read it, so two instances never both hold one.
+// Invariant: an ownership record is overwritten only if its revision is still the
+// one that the new owner last read, so two instances never both own an engine.
 package registry
 
 import (
@@ -19,7 +19,7 @@
 	"github.com/birchdrift/birchdrift/core/era"
 )
 
-// Keys of the records, below the product's own part of the store.
+// Keys of the records, relative to the product's key prefix in the store.
 const (
 	instancePrefix   = "instances/"
 	ownerPrefix      = "owners/"
@@ -34,62 +34,66 @@
 	Zone    string `json:"zone"`
 	Address string `json:"address"` // of its peers' listener
 	Boot    uint64 `json:"boot"`
-	// Processor is the share of a core that the instance may use; tasks go to
-	// the instances that have most.
+	// Processor is the CPU quota of the instance in cores. Instances with a
+	// larger quota are preferred for tasks.
 	Processor float64 `json:"processor,omitempty"`
 }
 
-// An Ownership says which instance orders an engine. An empty owner gave it
-// back and sends no more orders.
+// An Ownership is the record that names the owner of an engine: the only instance
+// that may send it orders. An empty Owner means that the last owner released the
+// engine and sends no more orders.
 type Ownership struct {
 	Engine string `json:"-"`
 	Owner  string `json:"owner"`
-	Boot   uint64 `json:"boot"` // of the owner when it took the engine
-	// FormerOwner is whose orders may still be on their way: the owner before, or
-	// Returned. It is cleared by the owner once they cannot be any more. A
-	// write may take effect without an answer, so an owner that finds its own
-	// name in a record must be able to tell what it has to wait for.
+	Boot   uint64 `json:"boot"` // of the owner when it claimed the engine
+	// FormerOwner names the instance whose orders may still be in flight: the
+	// previous owner, FormerReleased or FormerUnknown. The owner clears it once no
+	// such order can arrive any more. A write may take effect although its reply is
+	// lost, so an owner that finds its own name in a record must be able to tell
+	// from the record how long it has to wait.
 	FormerOwner string `json:"former,omitempty"`
-	// QuietMS is, of an engine that was given back, for how many milliseconds
-	// it had been sent no order then.
+	// QuietMS is the number of milliseconds for which a released engine had been
+	// sent no order when it was released.
 	QuietMS int64 `json:"quiet_ms,omitempty"`
-	// Era is the one of the store that the record was meant for.
+	// Era is the store era that the record was written for.
 	Era      era.Era      `json:"era,omitempty"`
 	Revision era.Revision `json:"-"` // of the record; the fence of its orders
 }
 
-// Formers that are no owner's name.
+// Values of Ownership.FormerOwner that are not the name of an instance.
 const (
-	FormerReleased = "-" // its owner gave the engine back
-	FormerUnknown  = "?" // the store went back, and has lost who owned the engine last
+	FormerReleased = "-" // the previous owner released the engine
+	FormerUnknown  = "?" // the store was restored from an older copy and has lost the last owner
 )
 
-// A Placer says which instance places models. Its record hangs on the lease of
-// that instance. An empty name gave the task back, at a planned stop, and gives no
-// more orders; that record hangs on no lease.
+// A Placer is the record that names the placer, the instance that places models. It
+// is attached to the lease of that instance. An empty Name means that the last placer
+// released the task at a planned stop and requests no more orders; such a record is
+// attached to no lease.
 type Placer struct {
 	Name string `json:"name"`
 	Boot uint64 `json:"boot"`
-	// Loads is, of a task that was given back, how many loads from the weight store
-	// may begin at once; less than 0 while none may.
+	// Loads is, in a released record, the number of loads from the weight store that
+	// may start at once. It is negative if none may start yet.
 	Loads float64 `json:"loads,omitempty"`
-	// Era is the one of the store that the record was meant for.
+	// Era is the store era that the record was written for.
 	Era      era.Era      `json:"era,omitempty"`
 	Revision era.Revision `json:"-"`
 }
 
-// A Quarantine says that a request is not run, since replicas ended under it. Its
-// record hangs on a lease of its own, and goes when the quarantine is over.
+// A Quarantine is the record of a request that is not run because replicas terminated
+// while they were running it. It is attached to a lease of its own and is deleted when
+// the quarantine ends.
 type Quarantine struct {
 	Request  crash.Fingerprint `json:"-"`
-	Replicas int               `json:"replicas"` // that ended
+	Replicas int               `json:"replicas"` // number of replicas that terminated
 }
 
-// An EraRecord stands for one era of the store. Claims depend on it, so none that was meant for
-// another era can be carried out while it stands.
+// An EraRecord is the record of the store's current era. Claims are written on the condition
+// that it is unchanged, so a claim meant for another era cannot take effect while it exists.
 type EraRecord struct {
 	Era era.Era `json:"-"`
-	// First says that no record of ours can have been lost with an era before.
+	// First says that no record of the product can have been lost with an earlier era.
 	First    bool         `json:"first,omitempty"`
 	Revision era.Revision `json:"-"`
 }
@@ -97,19 +101,19 @@
 // Key returns the key of the era's record.
 func (m EraRecord) Key() string { return eraPrefix + strconv.FormatUint(uint64(m.Era), 10) }
 
-// MaxClaims is the most ownerships that one write holds: each is a condition
-// and a value, and stores bound the two together.
+// MaxClaims is the maximum number of ownerships in one write. Each needs a condition
+// and a value, and stores limit the total number of both.
 const MaxClaims = 15
 
-// A Record is one of the registry's values as the store holds it.
+// A Record is a registry record as the store holds it.
 type Record struct {
 	Key      string
 	Data     []byte
-	Revision era.Revision // of its last change; rises over the whole store
-	Gone     bool         // it was there and is not any more
+	Revision era.Revision // of its last change; increases store-wide
+	Gone     bool         // the record was deleted
 }
 
-// A Change is news of the registry.
+// A Change lists what changed in the registry, decoded by kind of record.
 type Change struct {
 	Instances     []Instance
 	GoneInstances []string
@@ -119,13 +123,13 @@
 	PlacerGone    bool
 	Quarantines   []Quarantine
 	Marks         []EraRecord
-	Unreadable    []string // keys of records that cannot be read, and are passed over
+	Unreadable    []string // keys of records that cannot be decoded and are ignored
 }
 
-// ChangeOf returns what records change. Of several with one key the last counts, so
-// they must be in the order of their revisions: news may bring that a record went
-// and that it was written anew. Records of kinds that this version of the program
-// does not know are passed over.
+// ChangeOf decodes records into a Change. Of several records with the same key only the
+// last counts, so records must be sorted by revision: one update may contain both the
+// deletion of a record and its recreation. Records of kinds that this version of the
+// program does not know are ignored.
 func ChangeOf(records []Record) Change {
 	last := make(map[string]int, len(records))
 	for i, r := range records {
@@ -181,8 +185,8 @@
 	c.Instances = append(c.Instances, i)
 }
 
-// addQuarantine reads a quarantine's record. One that went says nothing: each instance
-// knows itself when a quarantine is over.
+// addQuarantine decodes a quarantine's record. Deletions are ignored, since each
+// instance computes the end of a quarantine itself.
 func (c *Change) addQuarantine(key string, value []byte, gone bool) {
 	if gone {
 		return
@@ -196,7 +200,8 @@
 	c.Quarantines = append(c.Quarantines, q)
 }
 
-// addEraRecord reads an era's record. One that went is of an era that is over.
+// addEraRecord decodes an era's record. Deletions are ignored, since only records of
+// former eras are deleted.
 func (c *Change) addEraRecord(r Record) {
 	if r.Gone {
 		return
@@ -223,31 +228,31 @@
 	c.Owners = append(c.Owners, o)
 }
 
-// A Value is a key with the bytes to write there.
+// A Value is a key with the bytes to store under it.
 type Value struct {
 	Key  string
 	Data []byte
 }
 
-// Value returns the instance's record.
+// Value encodes the instance's record.
 func (i Instance) Value() Value { return value(instancePrefix+i.Name, i) }
 
-// Value returns the ownership's record.
+// Value encodes the ownership's record.
 func (o Ownership) Value() Value { return value(ownerPrefix+o.Engine, o) }
 
-// Value returns the placer's record.
+// Value encodes the placer's record.
 func (p Placer) Value() Value { return value(placerKey, p) }
 
-// Value returns the era's record.
+// Value encodes the era's record.
 func (m EraRecord) Value() Value { return value(m.Key(), m) }
 
-// Value returns the quarantine's record.
+// Value encodes the quarantine's record.
 func (q Quarantine) Value() Value { return value(quarantinePrefix+q.Request.String(), q) }
 
 func value(key string, record any) Value {
 	data, err := json.Marshal(record)
 	if err != nil {
-		panic("registry: a record of plain fields cannot be encoded: " + err.Error())
+		panic("registry: cannot encode a record: " + err.Error())
 	}
 	return Value{Key: key, Data: data}
 }
--- a/core/registry/registry_test.go
+++ b/core/registry/registry_test.go
@@ -8,10 +8,10 @@
 	"github.com/birchdrift/birchdrift/core/era"
 )
 
-// TestLastRecordOfAKeyWins: news may bring that a record went and that it
-// was written anew, as after an outage in which the platform dropped every record.
-// Instances that were there again then counted as gone, and took each other's
-// engines again and again.
+// TestLastRecordOfAKeyWins checks that the last of several records with one key
+// counts. One update may contain the deletion of a record and its recreation, as
+// after an outage in which the platform dropped every record. Recreated instances
+// were then treated as absent, and instances kept taking over each other's engines.
 func TestLastRecordOfAKeyWins(t *testing.T) {
 	written := func(v Value, revision era.Revision) Record {
 		return Record{Key: v.Key, Data: v.Data, Revision: revision}
@@ -44,7 +44,7 @@
 	}
 }
 
-// placers returns how many placers a change brings.
+// placers returns the number of placer records in a change.
 func placers(c Change) int {
 	if c.Placer == nil {
 		return 0
@@ -52,8 +52,8 @@
 	return 1
 }
 
-// TestQuarantineRoundTrip: what was written comes back; one that went says nothing, and
-// what makes no sense is named.
+// TestQuarantineRoundTrip checks that an encoded quarantine is decoded unchanged, that
+// its deletion is no change, and that invalid records are listed as unreadable.
 func TestQuarantineRoundTrip(t *testing.T) {
 	is := is.New(t)
 	q := Quarantine{Request: 1<<63 + 5, Replicas: 3}
--- a/core/watchers/watchers.go
+++ b/core/watchers/watchers.go
@@ -1,14 +1,13 @@
-// Package watchers decides which instances of a fleet keep a watch of the
-// platform's store.
+// Package watchers decides which instances of a fleet watch the platform's store.
 //
-// In a small fleet every instance does. In a large one a few instances of each
-// availability zone do and the others hear from them, since a call that waits at
-// the store costs its operators as much as any other. Only instances that watch
-// own engines and place models.
+// In a small fleet every instance does. In a large one only a few instances of
+// each availability zone do, and the others receive updates from them, since a
+// pending watch costs the store's operators as much as any other call. Only
+// instances that watch own engines and place models.
 //
-// Every instance works the Roster out from its own view, without a message.
-// Views may differ for some seconds: then one instance too many watches, or one
-// too few until its peers' news grows old.
+// Every instance computes the Roster from its own view, without messages. Views
+// may differ for some seconds. Then one instance too many watches, or one too
+// few until the updates that the others get from their peers become too old.
 package watchers
 
 import (
@@ -24,37 +23,39 @@
 	"github.com/birchdrift/birchdrift/core/rendezvous"
 )
 
-// FullMeshLimit is how many instances a fleet may have for each to exchange with
-// every other: at 16 instances and four rounds a second each takes part in 60
-// exchanges a second.
+// FullMeshLimit is the largest number of instances at which every instance
+// exchanges with every other. With 16 instances and four rounds a second, each
+// takes part in 60 exchanges a second.
 const FullMeshLimit = 16
 
-// KeyPrefix is the rendezvous key of the watch, before the name of the zone.
+// KeyPrefix, followed by the name of a zone, is the rendezvous key by which the
+// zone's watchers are ranked.
 const KeyPrefix = "watch/"
 
-// cacheTTL is how long what was worked out is used again. It was worked out at
-// every step before, which took 8% of a busy instance's time
-// (docs/measurements.md).
+// cacheTTL is how long the computed watchers are reused. Computing them at every
+// step took 8% of a busy instance's time (docs/measurements.md).
 const cacheTTL = 200 * time.Millisecond
 
-// A Roster tells which instances watch. The fields must be set before its use.
+// A Roster computes which instances watch. Its exported fields must be set before
+// use.
 type Roster struct {
 	Self      member.Identity
 	Options   *option.Options
 	Members   *member.Table
-	Instances func() map[string]registry.Instance // that have a record, by name
+	Instances func() map[string]registry.Instance // instances with a record, by name
 
 	cachedAt clock.Instant
-	byZone   map[string][]string
+	byZone   map[string][]string // cached result of InZone, by zone
 }
 
-// FullMesh reports whether the fleet is small enough for every instance to
-// exchange with every other, and to watch.
+// FullMesh reports whether the fleet is small enough that every instance exchanges
+// with every other, and that every instance watches.
 func (r *Roster) FullMesh() bool {
 	return r.Options.MeshEvery > 0 && r.Members.Size() <= FullMeshLimit
 }
 
-// InZone returns the instances of a zone that keep a watch, the most suited first.
+// InZone returns the names of the instances of a zone that watch, in the order of
+// their rank.
 func (r *Roster) InZone(now clock.Instant, zone string) []string {
 	if r.byZone == nil || now.Since(r.cachedAt) >= cacheTTL {
 		r.cachedAt = now
@@ -71,15 +72,14 @@
 	return names
 }
 
-// IncludesSelf reports whether this instance is one of them.
+// IncludesSelf reports whether this instance is one of the watchers of its zone.
 func (r *Roster) IncludesSelf(now clock.Instant) bool {
 	return slices.Contains(r.InZone(now, r.Self.Zone), r.Self.Name)
 }
 
-// rankedInstances returns the instances of a zone that have a record and answer: those
-// with the largest share of a processor first, then by rendezvous hashing. The
-// tasks of a watcher once fell to instances with a fifth of a core, which then
-// lagged behind in everything else.
+// rankedInstances returns the instances of a zone that have a record and are live,
+// sorted by decreasing CPU quota and then by rendezvous hashing. Instances with a fifth
+// of a core that became watchers lagged behind in all their other work.
 func (r *Roster) rankedInstances(now clock.Instant, zone string) []string {
 	processors := map[string]float64{}
 	if zone == r.Self.Zone {
@@ -105,7 +105,7 @@
 	return names
 }
 
-// Zones returns the zones that have instances, in order.
+// Zones returns the zones that have instances, sorted by name.
 func (r *Roster) Zones() []string {
 	seen := map[string]bool{r.Self.Zone: true}
 	for _, i := range r.Instances() {
