--- a/core/listing/listing.go
+++ b/core/listing/listing.go
@@ -247,6 +247,6 @@
 // Tick marks replicas as leaving whose grace period after their entry vanished has ended.
 func (l *List) Tick(now clock.Instant) {
 	for _, name := range l.Pool.ExpireVanished(now, pool.VanishedGracePeriod) {
-		l.Out.Log(logevent.UpstreamLeaving, "upstream", name, "source", "its entry went")
+		l.Out.Log(logevent.UpstreamLeaving, "upstream", name, "source", "its entry vanished")
 	}
 }
