--- a/core/watch/watch.go
+++ b/core/watch/watch.go
@@ -149,8 +149,8 @@
 	maxAge time.Duration
 }
 
-// parts returns the waits on the way from the store's word to a call.
-func (w *Watch) parts() bounds.Delays {
+// delays returns the waits on the way from the store's word to a call.
+func (w *Watch) delays() bounds.Delays {
 	o := w.Options
 	return o.Bounds.Delays(bounds.Timing{Mesh: w.Roster.FullMesh(), Exchange: o.ExchangeEvery, Pause: o.WatchEvery, Wait: o.WatchWait})
 }
@@ -209,13 +209,13 @@
 		return
 	}
 	w.failures.at = now
-	soon := time.Duration(w.Rand.Float64() * float64(w.parts().Read))
+	soon := time.Duration(w.Rand.Float64() * float64(w.delays().Read))
 	w.due = clock.Earliest(w.due, now.Add(soon))
 }
 
 // begin calls the store.
 func (w *Watch) begin(now clock.Instant) {
-	parts := w.parts()
+	parts := w.delays()
 	w.lastID++
 	b := SendRequest{ID: w.lastID, Fresh: now.Before(w.reuseAt)}
 	switch {
@@ -252,7 +252,7 @@
 	w.Exchanges.MarkStoreKnownUntil(completeUntil(now, c, e.Whole))
 	clear(w.calls)
 	w.resetFailures()
-	w.due = now.Add(w.parts().Pause)
+	w.due = now.Add(w.delays().Pause)
 }
 
 // callFailed plans the next call after one that failed. A watch that is cut says nothing of the
@@ -273,7 +273,7 @@
 
 func (w *Watch) resetFailures() {
 	b := w.Options.Bounds
-	w.failures = failures{overlapBackoff: backoff.New(w.parts().Read, b.MaxRetryDelay())}
+	w.failures = failures{overlapBackoff: backoff.New(w.delays().Read, b.MaxRetryDelay())}
 }
 
 // completeUntil returns up to when an answer that came at now has everything. One that does not
@@ -288,7 +288,7 @@
 // logListAge logs when the list becomes older than it should be, and when that is over.
 func (w *Watch) logListAge(now clock.Instant) {
 	age := w.Exchanges.StoreAge(now)
-	most := max(w.Options.Bounds.Leave/2, w.parts().MaxListAge())
+	most := max(w.Options.Bounds.Leave/2, w.delays().MaxListAge())
 	switch {
 	case w.Exchanges.StoreKnownUntil().IsZero():
 	case age > most:
