--- a/core/watch/watch.go
+++ b/core/watch/watch.go
@@ -26,9 +26,9 @@
 	// MaxConfigLag is how long peers may be ahead of this instance with the
 	// configuration before it asks the store itself.
 	MaxConfigLag = 1200 * time.Millisecond
-	// newConnectionSpan is for how long connections that are kept are not used after a watch hung:
+	// reuseDelay is for how long connections that are kept are not used after a watch hung:
 	// until they have been idle for so long that they were closed.
-	newConnectionSpan = 5 * time.Second
+	reuseDelay = 5 * time.Second
 	// waitJitter is the part of its wait by which a watch may be shorter, so that those of
 	// all instances, which one change ends together, do not hang together.
 	waitJitter = 0.2
@@ -221,7 +221,7 @@
 	switch {
 	case len(w.calls) > 0: // and none of them was answered in time
 		b.Fresh = true
-		w.reuseAt = now.Add(newConnectionSpan)
+		w.reuseAt = now.Add(reuseDelay)
 		w.failures.overlapBackoff = w.failures.overlapBackoff.WithFailure()
 		w.due = now.Add(w.failures.overlapBackoff.Delay(w.Rand))
 	case w.failures.count > 0:
