--- a/core/exchange/exchange.go
+++ b/core/exchange/exchange.go
@@ -29,26 +29,26 @@
 )
 
 type (
-	// SendRequest is an action: begin an exchange with a peer.
+	// SendRequest is the action that starts an exchange with a peer.
 	SendRequest struct {
-		Peer    string // "" when only the address is known
+		Peer    string // "" if only the address is known
 		Address string
 		Message gossip.Message
 	}
-	// Reply is the event that answers a Begin.
+	// Reply is the event that answers a SendRequest.
 	Reply struct {
 		Peer    string
 		Address string
 		Message gossip.Message
 		Err     error
 	}
-	// RequestReceived is the event that a peer began an exchange. It is answered with an
-	// Answer of the same Token.
+	// RequestReceived is the event that a peer started an exchange. It is answered by a
+	// SendReply with the same Token.
 	RequestReceived struct {
 		Token   uint64
 		Message gossip.Message
 	}
-	// SendReply is the action that ends an exchange that a peer began.
+	// SendReply is the action that answers a RequestReceived.
 	SendReply struct {
 		Token   uint64
 		Message gossip.Message
@@ -67,8 +67,8 @@
 // IsEvent implements step.Event.
 func (RequestReceived) IsEvent() {}
 
-// Deps are what exchanges need of the other modules. The functions must be set
-// before the first event.
+// Deps holds the state and the functions of other modules that exchanges use. The
+// functions must be set before the first event.
 type Deps struct {
 	shared.State
 
@@ -76,80 +76,83 @@
 
 	// Stopping reports whether a planned stop has begun.
 	Stopping func() bool
-	// NextPeer returns whom to exchange with in a round, nil to leave it to the
-	// ring of neighbours.
+	// NextPeer returns the peer to exchange with in a round. If it returns nil, a
+	// neighbour on the ring is chosen.
 	NextPeer func(now clock.Instant, round int) *member.Peer
-	// PlatformBrings reports whether this instance will hear of a newer
+	// PlatformBrings reports whether this instance will receive a newer
 	// configuration from the platform itself.
 	PlatformBrings func(now clock.Instant) bool
-	// DemandFor returns the demand that a peer is told of, DemandHeard takes in
-	// what a peer told.
+	// DemandFor returns the demand to report to a peer. DemandHeard handles the
+	// demand that a peer reported.
 	DemandFor   func(now clock.Instant, peer string) []demand.Item
 	DemandHeard func(now clock.Instant, peer string, items []demand.Item)
-	// Listed and Registered take in records; from is who told of them.
+	// Listed and Registered handle records that the peer from sent.
 	Listed     func(now clock.Instant, from string, l gossip.Listed)
 	Registered func(now clock.Instant, from string, records []registry.Record)
-	// Crashed takes in what a peer told of replicas that ended under its calls, or
-	// others' calls, and of requests that were served since.
+	// Crashed handles reports of replicas that terminated while running calls of the
+	// peer or of other instances, and of requests that were served since.
 	Crashed func(now clock.Instant, from string, reports []crash.Report, served []crash.Success)
-	// Leaving takes in which replicas a peer knows to leave by their own word.
+	// Leaving handles the replicas that a peer knows to be leaving because they said
+	// so themselves.
 	Leaving func(now clock.Instant, from string, leaving []gossip.Leaving)
-	// Limits takes in what a peer was told of the limits of replicas.
+	// Limits handles the reports of the rate limits of replicas that a peer knows.
 	Limits func(now clock.Instant, from string, limits []gossip.Limit)
-	// Rests takes in which replicas turned others away, as a peer knows.
+	// Rests handles the rests that replicas asked of other instances, as known to a
+	// peer.
 	Rests func(now clock.Instant, from string, rests []gossip.Rest)
-	// Used notes that an item of an engine is in use.
+	// Used records that an item of an engine is in use.
 	Used func(now clock.Instant, engine, item string)
 }
 
-// Exchanges are one instance's exchanges with its peers.
+// Exchanges manages one instance's exchanges with its peers.
 type Exchanges struct {
 	Deps
-	seeds    []string // addresses known from settings
+	seeds    []string // addresses of peers in the settings
 	schedule schedule
 	pull     pull
 	peers    map[string]peerState
-	inFlight map[string]bool // exchanges under way, by address
+	inFlight map[string]bool // addresses with an exchange in flight
 
-	storeVersion era.Revision  // up to where the platform's store was heard at first hand
-	storeAt      clock.Instant // up to when everything in it is known, by whomever
+	storeVersion era.Revision  // up to which the platform's store was read directly
+	storeAt      clock.Instant // up to which everything in the store is known, directly or from peers
 }
 
-// A peerState is what a peer said of itself last.
+// A peerState is the state that a peer last reported.
 type peerState struct {
 	boot          uint64
-	stamp         uint64       // of its records, when it said so
+	stamp         uint64       // of its records
 	revision      uint64       // of the configuration in force there
-	storeRevision era.Revision // up to where it heard the platform's store at first hand
-	acked         uint64       // what it confirmed of this instance's records
+	storeRevision era.Revision // up to which it has read the platform's store directly
+	acked         uint64       // stamp of this instance's records that it acknowledged
 }
 
-// New returns the exchanges of an instance that has heard of nobody.
+// New returns the Exchanges of an instance that knows no peer's state yet.
 func New(n Deps) *Exchanges {
 	return &Exchanges{Deps: n, seeds: n.Self.Seeds, peers: map[string]peerState{}, inFlight: map[string]bool{}}
 }
 
-// SetSeeds takes over changed addresses of peers known from settings.
+// SetSeeds replaces the addresses of peers from the settings.
 func (x *Exchanges) SetSeeds(seeds []string) { x.seeds = seeds }
 
-// MarkStoreKnownUntil notes that everything in the platform's store up to a moment was heard at first
-// hand.
+// MarkStoreKnownUntil records that everything in the platform's store up to the given time was
+// read directly.
 func (x *Exchanges) MarkStoreKnownUntil(upTo clock.Instant) {
 	x.storeAt = clock.Latest(x.storeAt, upTo)
 }
 
-// ObserveStoreVersion notes up to where the store was heard at first hand.
+// ObserveStoreVersion records the revision up to which the store was read directly.
 func (x *Exchanges) ObserveStoreVersion(version era.Revision) {
 	x.storeVersion = max(x.storeVersion, version)
 }
 
-// StoreKnownUntil returns up to when everything in the store is known, by whomever.
+// StoreKnownUntil returns the time up to which everything in the store is known, directly or
+// from peers.
 func (x *Exchanges) StoreKnownUntil() clock.Instant { return x.storeAt }
 
-// StoreAge returns how old what is known of the store is.
+// StoreAge returns the age of the known store contents.
 func (x *Exchanges) StoreAge(now clock.Instant) time.Duration { return now.Since(x.storeAt) }
 
-// StartWith begins an exchange with a peer, if there is one and none is under way.
+// StartWith starts an exchange with p, unless p is nil or an exchange with it is in flight.
 func (x *Exchanges) StartWith(now clock.Instant, p *member.Peer) {
 	if p == nil || x.inFlight[p.Address] {
 		return
@@ -158,15 +161,15 @@
 	x.Out.Emit(SendRequest{Peer: p.Name, Address: p.Address, Message: x.message(now, p.Name)})
 }
 
-// StartWithZone begins an exchange with each peer of this instance's zone.
+// StartWithZone starts an exchange with each peer of this instance's zone.
 func (x *Exchanges) StartWithZone(now clock.Instant) {
 	for _, p := range x.Members.ZonePeers(true) {
 		x.StartWith(now, p)
 	}
 }
 
-// message composes one side of an exchange with the peer, "" if its name is not
-// known yet.
+// message returns the message for one side of an exchange with the peer. peer is ""
+// if its name is not known yet.
 func (x *Exchanges) message(now clock.Instant, peer string) gossip.Message {
 	known := x.peers[peer]
 	sameZone := false
@@ -194,7 +197,7 @@
 	return msg
 }
 
-// HandleRequest answers an exchange that a peer began.
+// HandleRequest applies the request of a peer and replies to it.
 func (x *Exchanges) HandleRequest(now clock.Instant, e RequestReceived) {
 	x.receive(now, e.Message)
 	reply := x.message(now, e.Message.From)
@@ -204,7 +207,7 @@
 	x.Out.Emit(SendReply{Token: e.Token, Message: reply})
 }
 
-// HandleReply takes in what came of an exchange that this instance began.
+// HandleReply handles the result of an exchange that this instance started.
 func (x *Exchanges) HandleReply(now clock.Instant, e Reply) {
 	delete(x.inFlight, e.Address)
 	if e.Err != nil {
@@ -218,7 +221,7 @@
 	x.receive(now, e.Message)
 }
 
-// receive takes in what a peer said.
+// receive applies the message of a peer.
 func (x *Exchanges) receive(now clock.Instant, msg gossip.Message) {
 	if msg.From == "" || msg.From == x.Self.Name {
 		return
@@ -228,8 +231,9 @@
 	x.Members.MarkHeard(now, msg.From)
 	former := x.peers[msg.From]
 	state := peerState{boot: msg.Boot, stamp: msg.Stamp, revision: msg.Revision, storeRevision: msg.StoreVersion}
-	// What a new boot confirms may have been composed for the boot before it. A
-	// peer that confirms another boot of this instance has nothing of this one.
+	// The first acknowledgement after a restart of the peer may refer to records
+	// that were sent to its previous boot. A peer that acknowledges another boot of
+	// this instance has none of this boot's records.
 	if msg.AckBoot == x.Self.Boot && (former.boot == msg.Boot || former.boot == 0) {
 		state.acked = msg.Ack
 	}
@@ -276,7 +280,7 @@
 	x.Rests(now, from, r.Rests)
 }
 
-// LogLeaving logs that an engine says for the first time that it is leaving.
+// LogLeaving logs an engine's first report that it is leaving.
 func (x *Exchanges) LogLeaving(res gossip.Residency) {
 	r := x.Pool.Get(res.Engine)
 	if r != nil && res.Leaving && !r.Leaving() {
@@ -284,7 +288,7 @@
 	}
 }
 
-// applyUses takes in what a peer has in flight.
+// applyUses applies the calls that a peer has in flight.
 func (x *Exchanges) applyUses(now clock.Instant, msg gossip.Message) {
 	if msg.Uses == nil {
 		return
--- a/core/watch/watch.go
+++ b/core/watch/watch.go
@@ -1,9 +1,10 @@
 // Package watch decides when this instance watches the platform's store, and
-// keeps one watch under way while it does. A watch that hangs is found by a second
-// call beside it, in time for the bounds (core/bounds).
+// keeps one watch in flight while it does. If a watch hangs, a second call is sent
+// in parallel, early enough to meet the bounds (core/bounds).
 //
-// The instances of core/watchers watch. Any other does too while it owns engines
-// or places models, and whenever it would otherwise not hear of changes in time.
+// The instances selected by core/watchers watch. Any other instance also does
+// while it owns engines or places models, and whenever its peers would not tell it
+// of changes in time.
 package watch
 
 import (
@@ -23,31 +24,32 @@
 )
 
 const (
-	// MaxConfigLag is how long peers may be ahead of this instance with the
-	// configuration before it asks the store itself.
+	// MaxConfigLag is how long peers may have a newer configuration than this
+	// instance before it queries the store itself.
 	MaxConfigLag = 1200 * time.Millisecond
-	// reuseDelay is for how long connections that are kept are not used after a watch hung:
-	// until they have been idle for so long that they were closed.
+	// reuseDelay is the time for which pooled connections are not used after a watch hung. By
+	// then they have been idle for so long that they were closed.
 	reuseDelay = 5 * time.Second
-	// waitJitter is the part of its wait by which a watch may be shorter, so that those of
-	// all instances, which one change ends together, do not hang together.
+	// waitJitter is the fraction of its wait by which a watch may be shortened at random. One
+	// change ends the watches of all instances at the same time. The jitter desynchronizes the
+	// following watches, so that they do not all hang at once.
 	waitJitter = 0.2
 )
 
 type (
-	// SendRequest is an action: call the store. It is answered by the Reply of the same ID.
+	// SendRequest is the action that calls the store. A Reply with the same ID answers it.
 	SendRequest struct {
 		ID uint64
-		// Wait is how long to wait for whatever changes; 0: read everything.
+		// Wait is the longest time to wait for a change. 0 reads everything instead.
 		Wait time.Duration
-		// Fresh asks for a connection of its own: those that are kept may hang.
+		// Fresh asks for a new connection, since pooled ones may hang.
 		Fresh bool
 	}
-	// Reply is the event that ends a Begin, after the events for what it
-	// brought.
+	// Reply is the event that ends a SendRequest. It follows the events that carry the
+	// contents of the answer.
 	Reply struct {
 		ID    uint64
-		Whole bool // it brought everything, read after the Begin
+		Whole bool // the answer had the complete contents, read after the SendRequest
 		Err   error
 	}
 )
@@ -61,31 +63,31 @@
 // A reason says why an instance watches the store, "" if it does not.
 type reason string
 
-// The reasons, in the order in which they are looked for.
+// The reasons, in the order in which they are checked.
 const (
 	notNeeded   reason = ""
-	isolated    reason = "no peer was heard"
+	isolated    reason = "no peer was heard recently"
 	onRoster    reason = "it is one of its zone's watchers"
 	ownsEngines reason = "it owns engines"
 	isPlacer    reason = "it places models"
-	newsTooOld  reason = "what peers told it of the store is too old"
+	newsTooOld  reason = "store contents from peers are too old"
 	peersAhead  reason = "peers have had a newer configuration for too long"
 )
 
-// A view is what decides whether an instance watches.
+// A view holds the facts by which an instance decides whether to watch.
 type view struct {
-	alone      bool          // no peer was heard
+	alone      bool          // no peer was heard recently
 	onRoster   bool          // it is one of its zone's watchers
-	engines    int           // that it owns
+	engines    int           // number of engines that it owns
 	placer     bool          // it places models
-	newsAge    time.Duration // of what is known of the store, from whomever
-	maxNewsAge time.Duration // the age from which this instance asks the store itself
-	behind     time.Duration // how long peers have had a newer configuration; 0: they have not
+	newsAge    time.Duration // age of the known store contents, from the store or from peers
+	maxNewsAge time.Duration // age above which this instance queries the store itself
+	behind     time.Duration // how long peers have had a newer configuration; 0: no peer has
 }
 
-// reason returns why an instance watches. Without a watch an owner could not know
-// that it is still one, and an instance that nobody tells of changes must ask for
-// them itself.
+// reason returns why an instance watches. An owner must watch, since otherwise it
+// could not know that it still is the owner. An instance that no peer tells of
+// changes must query the store itself.
 func (v view) reason() reason {
 	switch {
 	case v.alone:
@@ -105,7 +107,7 @@
 	}
 }
 
-// Deps are what a Watch needs of the other modules.
+// Deps holds the state and the functions of other modules that a Watch uses.
 type Deps struct {
 	Options   *option.Options
 	Rand      *rand.Rand
@@ -121,48 +123,48 @@
 // A Watch is one instance's watch of the store.
 type Watch struct {
 	Deps
-	calls        map[uint64]call // that were not answered yet
-	lastID       uint64          // number of the newest call
-	due          clock.Instant   // of the next call, also beside one that hangs
-	reuseAt      clock.Instant   // from when on connections that are kept are used again
+	calls        map[uint64]call // unanswered calls, by ID
+	lastID       uint64          // ID of the newest call
+	due          clock.Instant   // when to start the next call, even if another one hangs
+	reuseAt      clock.Instant   // when pooled connections may be used again
 	failures     failures
-	loggedReason reason // that was logged last
+	loggedReason reason // the reason in the last log line
 	staleList    staleListLog
 }
 
-// A call is one call of the store.
+// A call is one unanswered call of the store.
 type call struct {
 	sent clock.Instant
 	wait time.Duration
 }
 
-// A failures is what came of calls since the last one that was answered.
+// A failures records the failed calls since the last answered one.
 type failures struct {
 	count          int
-	at             clock.Instant   // when the last one failed
-	overlapBackoff backoff.Backoff // spaces calls beside others that hang
+	at             clock.Instant   // when the last call failed
+	overlapBackoff backoff.Backoff // spaces calls that are sent while others hang
 }
 
-// An staleListLog is what was noted of a list that is older than it should be.
+// A staleListLog is the logging state of a list that is older than expected.
 type staleListLog struct {
-	logged bool
-	maxAge time.Duration
+	logged bool          // ListOld was logged
+	maxAge time.Duration // largest age since then
 }
 
-// delays returns the waits on the way from the store's word to a call.
+// delays returns the delays from a change in the store to a call that reflects it.
 func (w *Watch) delays() bounds.Delays {
 	o := w.Options
 	return o.Bounds.Delays(bounds.Timing{Mesh: w.Roster.FullMesh(), Exchange: o.ExchangeEvery, Pause: o.WatchEvery, Wait: o.WatchWait})
 }
 
-// New returns the watch of an instance that has not called the store yet.
+// New returns a Watch that has not called the store yet.
 func New(n Deps) *Watch {
 	w := &Watch{Deps: n, calls: map[uint64]call{}}
 	w.resetFailures()
 	return w
 }
 
-// view gathers what decides now.
+// view returns the current facts.
 func (w *Watch) view(now clock.Instant) view {
 	alone := w.Exchanges.Isolated(now)
 	behind, _ := w.Exchanges.ConfigLag(now)
@@ -177,14 +179,14 @@
 	}
 }
 
-// Active reports whether this instance watches now.
+// Active reports whether this instance currently has a reason to watch.
 func (w *Watch) Active(now clock.Instant) bool { return w.view(now).reason() != notNeeded }
 
-// ReceivesUpdates reports whether this instance hears of changes from the store itself.
+// ReceivesUpdates reports whether this instance watches and the store answers it.
 func (w *Watch) ReceivesUpdates(now clock.Instant) bool { return w.Active(now) && !w.Outage.Down() }
 
-// Tick begins the next call if it is due: another watch, or a read of everything beside a call
-// that hangs or after one that failed.
+// Tick starts the next call if it is due: another watch, or a complete read if a call hangs
+// or failed.
 func (w *Watch) Tick(now clock.Instant) {
 	if w.Stopping() {
 		return
@@ -202,8 +204,8 @@
 	w.begin(now)
 }
 
-// hastenAfterRecovery brings the next call forward once the store answers other calls of this instance
-// again.
+// hastenAfterRecovery brings the next call forward when the store answers other calls of this
+// instance again.
 func (w *Watch) hastenAfterRecovery(now clock.Instant) {
 	if w.failures.count == 0 || !w.failures.at.Before(w.Outage.RecoveredAt()) {
 		return
@@ -213,30 +215,30 @@
 	w.due = clock.Earliest(w.due, now.Add(soon))
 }
 
-// begin calls the store.
+// begin sends the next call to the store.
 func (w *Watch) begin(now clock.Instant) {
-	parts := w.delays()
+	delays := w.delays()
 	w.lastID++
 	b := SendRequest{ID: w.lastID, Fresh: now.Before(w.reuseAt)}
 	switch {
-	case len(w.calls) > 0: // and none of them was answered in time
+	case len(w.calls) > 0: // none of them was answered in time
 		b.Fresh = true
 		w.reuseAt = now.Add(reuseDelay)
 		w.failures.overlapBackoff = w.failures.overlapBackoff.WithFailure()
 		w.due = now.Add(w.failures.overlapBackoff.Delay(w.Rand))
 	case w.failures.count > 0:
 		b.Fresh = true
-		w.due = now.Add(parts.Read)
+		w.due = now.Add(delays.Read)
 	default:
-		b.Wait = time.Duration((1 - waitJitter*w.Rand.Float64()) * float64(parts.Wait))
-		w.due = now.Add(b.Wait + parts.Overdue)
+		b.Wait = time.Duration((1 - waitJitter*w.Rand.Float64()) * float64(delays.Wait))
+		w.due = now.Add(b.Wait + delays.Overdue)
 	}
 	w.calls[w.lastID] = call{sent: now, wait: b.Wait}
 	w.Out.Emit(b)
 }
 
-// HandleReply notes that a call is over. An answer ends the calls beside it too: what they bring
-// later is older, or the same.
+// HandleReply handles the end of a call. An answer also ends all other calls in flight, since
+// their answers would be older or the same.
 func (w *Watch) HandleReply(now clock.Instant, e Reply) {
 	c, ok := w.calls[e.ID]
 	if !ok {
@@ -255,8 +257,9 @@
 	w.due = now.Add(w.delays().Pause)
 }
 
-// callFailed plans the next call after one that failed. A watch that is cut says nothing of the
-// store, so the first failure is followed by another call at once.
+// callFailed schedules the next call after a failed one. The first failure is followed by
+// another call at once, since a watch whose connection broke does not show that the store is
+// down.
 func (w *Watch) callFailed(now clock.Instant, err error) {
 	w.failures.count++
 	w.failures.at = now
@@ -266,7 +269,7 @@
 	}
 	w.Outage.Observe(now, err)
 	if len(w.calls) > 0 {
-		return // another one is under way
+		return // another call is in flight
 	}
 	w.due = now.Add(w.Outage.Wait(w.Rand))
 }
@@ -276,8 +279,10 @@
 	w.failures = failures{overlapBackoff: backoff.New(w.delays().Read, b.MaxRetryDelay())}
 }
 
-// completeUntil returns up to when an answer that came at now has everything. One that does not
-// have the whole was given when something changed, or when its wait was over.
+// completeUntil returns the time up to which an answer that arrived at now contains all
+// changes. A complete read has everything up to the time of the call. The store answers a
+// watch on a change or at the end of its wait, so the answer is complete up to the earlier of
+// its arrival and the end of the wait.
 func completeUntil(now clock.Instant, c call, whole bool) clock.Instant {
 	if whole {
 		return c.sent
@@ -285,7 +290,7 @@
 	return clock.Earliest(now, c.sent.Add(c.wait))
 }
 
-// logListAge logs when the list becomes older than it should be, and when that is over.
+// logListAge logs when the list becomes older than expected, and when it is current again.
 func (w *Watch) logListAge(now clock.Instant) {
 	age := w.Exchanges.StoreAge(now)
 	most := max(w.Options.Bounds.Leave/2, w.delays().MaxListAge())
@@ -303,7 +308,7 @@
 	}
 }
 
-// logChange notes that the instance begins to watch, or no longer does.
+// logChange logs that the instance starts or stops watching.
 func (w *Watch) logChange(why reason) {
 	if (why == notNeeded) == (w.loggedReason == notNeeded) {
 		return
