--- a/core/exchange/exchange.go
+++ b/core/exchange/exchange.go
@@ -1,16 +1,16 @@
-// Package exchange spreads what instances tell each other: records of replicas
-// and of the registry, what each has in flight, the demand of its callers, and
-// which revision of the configuration it has.
+// Package exchange spreads state among instances: records of replicas and of the
+// registry, the calls that each instance has in flight, the demand of its callers,
+// and the revision of its configuration.
 //
-// Each exchange is one request and one answer between two instances, and carries
-// only what became new since the other confirmed (core/share). In a small fleet
-// every instance exchanges with every other (full mesh). In a large one each
-// exchanges with its neighbours on a ring, and with the instances that have news
-// first.
+// Each exchange is one request and one reply between two instances. Each message
+// carries only what changed since the last state that the receiver acknowledged
+// (core/gossip). In a small fleet every instance exchanges with every other (full
+// mesh). In a large one each exchanges with its neighbours on a ring, and with the
+// instances that receive updates first.
 //
-// The package owns the rhythm of the exchanges, what each peer said of itself
-// last, and the pull of a newer configuration. What records mean is for the
-// modules that they are handed to.
+// The package owns the schedule of the exchanges, the last reported state of each
+// peer, and the pull of a newer configuration. It passes the records to other
+// modules, which interpret them.
 package exchange
 
 import (
@@ -231,9 +231,10 @@
 	x.Members.MarkHeard(now, msg.From)
 	former := x.peers[msg.From]
 	state := peerState{boot: msg.Boot, stamp: msg.Stamp, revision: msg.Revision, storeRevision: msg.StoreVersion}
-	// The first acknowledgement after a restart of the peer may refer to records
-	// that were sent to its previous boot. A peer that acknowledges another boot of
-	// this instance has none of this boot's records.
+	// The first acknowledgement after a restart of the peer is ignored: it may be for
+	// a delta that was computed for the previous boot, so that earlier records are
+	// missing. A peer that acknowledges another boot of this instance has none of
+	// this boot's records.
 	if msg.AckBoot == x.Self.Boot && (former.boot == msg.Boot || former.boot == 0) {
 		state.acked = msg.Ack
 	}
--- a/core/exchange/pull.go
+++ b/core/exchange/pull.go
@@ -7,26 +7,26 @@
 	"github.com/birchdrift/birchdrift/core/member"
 )
 
-// Pulling a newer configuration from a peer that has one.
+// This file pulls a newer configuration from a peer that has one.
 
 const (
-	// PullTimeout is how long a peer that was asked for a configuration is waited for
-	// before another one is asked. Several at once would share a narrow link, and
-	// none would arrive.
+	// PullTimeout is how long to wait for the configuration from one peer before
+	// requesting it from another. Several transfers at once over a narrow link would
+	// slow each other down so much that none completes.
 	PullTimeout = 600 * time.Millisecond
-	// platformGrace is how long an instance that watches the platform itself
-	// waits for a revision that a peer has, before it asks the peer for it.
+	// platformGrace is how long an instance that watches the platform itself waits
+	// for a revision that a peer has, before it requests the revision from the peer.
 	platformGrace = 600 * time.Millisecond
 )
 
-// A pull is what is known of newer revisions, and the request for one.
+// A pull is the state of pulling a newer configuration.
 type pull struct {
-	newest      uint64        // revision that a peer is known to have
-	behindSince clock.Instant // since when a peer is known to be ahead of this instance
-	waitUntil   clock.Instant // until then a peer that was asked is waited for
+	newest      uint64        // newest revision that a peer is known to have
+	behindSince clock.Instant // since when a peer is known to have a newer revision than this instance
+	waitUntil   clock.Instant // until when to wait for the answer of the peer asked last
 }
 
-// observe takes in that a peer has a revision, while own is in force here.
+// observe records that a peer has a revision. own is the revision in force here.
 func (p *pull) observe(now clock.Instant, revision, own uint64) {
 	if revision <= p.newest {
 		return
@@ -37,8 +37,8 @@
 	p.newest = revision
 }
 
-// ConfigLag returns for how long a peer has been ahead of this instance; ok is false
-// if none is known to be.
+// ConfigLag returns for how long a peer has had a newer configuration than this instance.
+// ok is false if no peer is known to have one.
 func (x *Exchanges) ConfigLag(now clock.Instant) (span time.Duration, ok bool) {
 	if x.pull.newest <= x.Config.Revision() {
 		return 0, false
@@ -46,8 +46,8 @@
 	return now.Since(x.pull.behindSince), true
 }
 
-// ConfigInstalled notes that a newer revision is in force here: it is spread at once,
-// and a still newer one that was announced meanwhile is asked for.
+// ConfigInstalled handles the installation of a newer revision. It spreads the
+// revision at once, and requests a still newer one that a peer reported meanwhile.
 func (x *Exchanges) ConfigInstalled(now clock.Instant) {
 	x.pull.behindSince = now
 	x.pull.waitUntil = clock.Instant{}
@@ -55,14 +55,15 @@
 	x.TellAll(now)
 }
 
-// pullNewer asks a peer that is ahead for its configuration. Only one is asked at
-// a time, since the whole configuration comes back; another, if that one is slow.
+// pullNewer requests the configuration from a peer that has a newer one. It asks only
+// one peer at a time, since the reply holds the complete configuration, and asks another
+// after PullTimeout.
 func (x *Exchanges) pullNewer(now clock.Instant) {
 	if x.pull.newest <= x.Config.Revision() || now.Before(x.pull.waitUntil) {
 		return
 	}
 	if x.PlatformBrings(now) && now.Before(x.pull.behindSince.Add(platformGrace)) {
-		return // it will come from there, and more cheaply
+		return // the platform delivers it at lower cost
 	}
 	p := x.pullTarget()
 	if p == nil {
@@ -75,9 +76,9 @@
 	x.Out.Emit(SendRequest{Peer: p.Name, Address: p.Address, Message: msg})
 }
 
-// pullTarget returns the peer to ask for its configuration: one of the own
-// zone before others, then the one with the newest revision. Peers that are being
-// asked already or seem not to answer are passed over.
+// pullTarget returns the peer to request a newer configuration from, nil if there is none.
+// It prefers peers of the own zone, and then the newest revision. It skips peers with an
+// exchange in flight and peers whose last exchange failed.
 func (x *Exchanges) pullTarget() *member.Peer {
 	var best *member.Peer
 	for _, p := range x.Members.Peers() {
@@ -91,7 +92,7 @@
 	return best
 }
 
-// preferToPull reports whether a rather than b is asked for a configuration.
+// preferToPull reports whether a is a better pull target than b.
 func (x *Exchanges) preferToPull(a, b *member.Peer) bool {
 	if near := a.Zone == x.Self.Zone; near != (b.Zone == x.Self.Zone) {
 		return near
--- a/core/exchange/pull_test.go
+++ b/core/exchange/pull_test.go
@@ -12,26 +12,25 @@
 	"github.com/birchdrift/birchdrift/core/shared"
 )
 
-// TestPullTarget: a peer of the own zone before others, then the
-// one with the newest revision; one that does not answer or is being asked is
-// passed over.
+// TestPullTarget checks that a peer of the own zone is preferred, and then the newest
+// revision, and that peers that fail or have an exchange in flight are skipped.
 func TestPullTarget(t *testing.T) {
 	type peer struct {
 		name, zone string
 		revision   uint64
 		failing    bool
-		flying     bool
+		inFlight   bool
 	}
 	cases := []struct {
 		name  string
 		peers []peer
 		want  string
 	}{
-		{"nobody is ahead", []peer{{"a", "z", 0, false, false}}, ""},
-		{"the newest", []peer{{"a", "z", 4, false, false}, {"b", "z", 5, false, false}}, "b"},
-		{"the own zone first", []peer{{"a", "y", 5, false, false}, {"b", "z", 4, false, false}}, "b"},
-		{"one that fails is passed over", []peer{{"a", "z", 5, true, false}, {"b", "y", 4, false, false}}, "b"},
-		{"one that is being asked is passed over", []peer{{"a", "z", 5, false, true}, {"b", "y", 4, false, false}}, "b"},
+		{"no peer has a newer revision", []peer{{"a", "z", 0, false, false}}, ""},
+		{"newest revision", []peer{{"a", "z", 4, false, false}, {"b", "z", 5, false, false}}, "b"},
+		{"own zone first", []peer{{"a", "y", 5, false, false}, {"b", "z", 4, false, false}}, "b"},
+		{"failing peer is skipped", []peer{{"a", "z", 5, true, false}, {"b", "y", 4, false, false}}, "b"},
+		{"peer with an exchange in flight is skipped", []peer{{"a", "z", 5, false, true}, {"b", "y", 4, false, false}}, "b"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -42,7 +41,7 @@
 			for _, p := range c.peers {
 				x.Members.Upsert(p.name, p.zone, p.name)
 				x.peers[p.name] = peerState{revision: p.revision}
-				x.inFlight[p.name] = p.flying
+				x.inFlight[p.name] = p.inFlight
 				if p.failing {
 					x.Members.MarkFailed(now, p.name)
 				}
--- a/core/exchange/rhythm.go
+++ b/core/exchange/rhythm.go
@@ -8,33 +8,34 @@
 	"github.com/birchdrift/birchdrift/core/step"
 )
 
-// When this instance begins exchanges, and with whom.
+// This file decides when this instance starts exchanges, and with which peers.
 
 const (
-	// newsInterval is how soon the next neighbour is told when there is news that
-	// calls may wait for: what an engine holds, or who is leaving.
+	// newsInterval is the time between exchanges with successive neighbours while there
+	// are updates that calls may wait for: which items an engine holds, or which replica
+	// is leaving.
 	newsInterval = 400 * time.Millisecond
-	// failingPeerRounds is every how manyth round of the full mesh a peer that does
-	// not answer is tried.
+	// failingPeerRounds is the number of rounds of the full mesh in which a failing peer
+	// is tried once.
 	failingPeerRounds = 4
-	// crossZoneRounds is every how manyth exchange goes to another zone.
+	// crossZoneRounds is the number of rounds of which one goes to a peer of another zone.
 	crossZoneRounds = 4
-	// isolationPeriods is after how many of its own exchange periods without any message
-	// from any peer an instance counts itself as alone.
+	// isolationPeriods is the number of its own exchange periods without a message from
+	// any peer after which an instance counts as isolated.
 	isolationPeriods = 5
 )
 
-// A schedule says when the next exchanges are due.
+// A schedule holds when the next exchanges are due, and with which peers.
 type schedule struct {
 	due        clock.Instant
 	meshDue    clock.Instant // of the full mesh
 	round      int
-	nextIndex  int  // of the neighbours, and of those that watch
-	newsRounds int  // exchanges to space by newsSpacing
-	urgent     bool // tell every neighbour without waiting
+	nextIndex  int  // round-robin position among neighbours or watchers
+	newsRounds int  // number of coming exchanges to space by newsInterval
+	urgent     bool // exchange with every neighbour at once
 }
 
-// Tick begins the exchanges that are due.
+// Tick starts the exchanges that are due.
 func (x *Exchanges) Tick(now clock.Instant) {
 	x.pullNewer(now)
 	r := &x.schedule
@@ -61,9 +62,9 @@
 	x.contactSeeds(now)
 }
 
-// TickMesh begins the exchanges of a full mesh that are due. Of each pair the one
-// whose name comes first begins, so that all hear from all, at first hand and
-// within MeshEvery.
+// TickMesh starts the exchanges of a full mesh that are due. In each pair the instance
+// whose name sorts first starts the exchange, so that every instance hears directly from
+// every other within MeshEvery.
 func (x *Exchanges) TickMesh(now clock.Instant) {
 	r := &x.schedule
 	if !x.Roster.FullMesh() || now.Before(r.meshDue) {
@@ -79,14 +80,14 @@
 	x.Pool.ResetUsed()
 }
 
-// TellAll has the next exchanges begun at once, to spread what is new.
+// TellAll schedules exchanges with all neighbours at once, to spread an update.
 func (x *Exchanges) TellAll(now clock.Instant) {
 	x.schedule.urgent = true
 	x.schedule.due = now
 }
 
-// TellSoon brings the next exchange forward for as many turns as there are
-// neighbours, so that each of them is told.
+// TellSoon brings the next exchanges forward, one for each neighbour, so that all of
+// them receive an update.
 func (x *Exchanges) TellSoon(now clock.Instant) {
 	x.schedule.newsRounds = len(x.Members.Neighbours())
 	if due := now.Add(newsInterval); due.Before(x.schedule.due) {
@@ -94,12 +95,13 @@
 	}
 }
 
-// Isolated reports whether no peer was heard for some of the own exchange periods.
+// Isolated reports whether no message from any peer has arrived for isolationPeriods.
 func (x *Exchanges) Isolated(now clock.Instant) bool {
 	return x.Members.HeardWithin(now, isolationPeriods*x.Options.ExchangeEvery) == 0
 }
 
-// burst tells every neighbour, and a peer of another zone, at once.
+// burst starts exchanges with every neighbour and a random peer of another zone at once,
+// or with every peer in a full mesh.
 func (x *Exchanges) burst(now clock.Instant) {
 	x.schedule.urgent = false
 	if x.Roster.FullMesh() {
@@ -114,7 +116,7 @@
 	x.StartWith(now, member.Random(x.Rand, x.Members.ZonePeers(false)))
 }
 
-// nextPeer returns whom to exchange with in this round.
+// nextPeer returns the peer to exchange with in this round, nil if there is none.
 func (x *Exchanges) nextPeer(now clock.Instant) *member.Peer {
 	if p := x.NextPeer(now, x.schedule.round); p != nil {
 		return p
@@ -126,10 +128,11 @@
 	return member.Random(x.Rand, x.Members.ZonePeers(false))
 }
 
-// NextInLargeFleet returns whom to exchange with in a fleet that is too large for a
-// full mesh and in which few instances watch the platform: every other round one
-// that watches, which has the news first, and in between the placer, which needs
-// the demand, or a peer of another zone. placer is the placer's name.
+// NextInLargeFleet returns the peer to exchange with in a fleet that is too large for a
+// full mesh and in which few instances watch the platform. Every other round it returns
+// a watcher, since watchers receive updates first. In between it returns the placer,
+// which needs the demand, or a peer of another zone. placer is the placer's name. The
+// result is nil if the choice is left to the caller.
 func (x *Exchanges) NextInLargeFleet(now clock.Instant, round int, placer string) *member.Peer {
 	switch round % 4 {
 	case 0, 2:
@@ -153,8 +156,8 @@
 	return nil
 }
 
-// NextWatcher returns the peer of a zone whose turn it is, of those that watch
-// the platform.
+// NextWatcher returns the next of the watchers of a zone in round-robin order, nil if there
+// is none.
 func (x *Exchanges) NextWatcher(now clock.Instant, zone string) *member.Peer {
 	var others []*member.Peer
 	for _, name := range x.Roster.InZone(now, zone) {
@@ -169,7 +172,8 @@
 	return others[x.schedule.nextIndex%len(others)]
 }
 
-// contactSeeds tries one address from the settings while no peer was heard.
+// contactSeeds starts an exchange with a random address from the settings while this
+// instance is isolated.
 func (x *Exchanges) contactSeeds(now clock.Instant) {
 	if len(x.seeds) == 0 || !x.Isolated(now) {
 		return
