--- a/core/exchange/pull_test.go
+++ b/core/exchange/pull_test.go
@@ -19,7 +19,7 @@
 		name, zone string
 		revision   uint64
 		failing    bool
-		inFlight   bool
+		pending    bool
 	}
 	cases := []struct {
 		name  string
@@ -41,7 +41,7 @@
 			for _, p := range c.peers {
 				x.Members.Upsert(p.name, p.zone, p.name)
 				x.peers[p.name] = peerState{revision: p.revision}
-				x.inFlight[p.name] = p.inFlight
+				x.inFlight[p.name] = p.pending
 				if p.failing {
 					x.Members.MarkFailed(now, p.name)
 				}
--- a/core/ownership/claim.go
+++ b/core/ownership/claim.go
@@ -12,29 +12,31 @@
 	"github.com/birchdrift/birchdrift/core/step"
 )
 
-// Claims of engines: who takes an engine that nobody owns, and when it may give
-// the first order there.
+// This file decides which instance claims an engine without an owner, and when the
+// new owner may send the first order.
 
 const (
-	// claimInterval spaces the looks for engines to claim, and for the placer's
-	// record: a third of the time that a lost owner's engines have to wait anyhow.
+	// claimInterval is the time between two checks for engines to claim, and for the
+	// placer's record to claim. It is a third of the time that the engines of a lost
+	// owner have to wait in any case.
 	claimInterval = 300 * time.Millisecond
-	// claimRankDelay is how long the instance next in rank waits for the one before
-	// it to claim: two looks and a write.
+	// claimRankDelay is the time that an instance waits for each instance of higher rank
+	// to claim first. It covers two checks and a write.
 	claimRankDelay = 700 * time.Millisecond
-	// sameOwnerGap is how long an owner waits that takes its own engine again,
-	// whose orders may still be on their way: above the time limit of an order at
-	// the fastest engines, below the gap between two owners.
+	// sameOwnerGap is the time that an owner waits before ordering an engine that it
+	// claimed again itself, since its earlier orders may still be in flight. It is longer
+	// than the time limit of an order at the fastest engines and shorter than the gap
+	// between two owners.
 	sameOwnerGap = 400 * time.Millisecond
-	// turnMargin is added to the gap between the orders of two owners, for the
-	// way of an order and for clocks that run apart.
+	// turnMargin is added to the time gap between the orders of two owners, to allow for
+	// the transmission of an order and for clocks that run at different rates.
 	turnMargin = 300 * time.Millisecond
 )
 
-// A claims is this instance's claiming under way.
+// A claims is the schedule of this instance's claims.
 type claims struct {
 	due      clock.Instant
-	inFlight bool
+	inFlight bool // a write of claims is in flight
 }
 
 // claim claims the engines that this instance should own.
@@ -47,7 +49,7 @@
 		return
 	}
 	var claims []registry.Ownership
-	candidates := sync.OnceValue(func() []candidate { return g.candidates(now) }) // most looks find nothing to claim
+	candidates := sync.OnceValue(func() []candidate { return g.candidates(now) }) // computed lazily: most checks find nothing to claim
 	for _, r := range g.Pool.All() {
 		if !r.Announced || r.Kind != pool.Engine || !r.Usable() || len(claims) == registry.MaxClaims {
 			continue
@@ -63,14 +65,15 @@
 	g.Out.Emit(Write{Write: Txn{Claim: claims, Depends: g.era.recordRevision()}})
 }
 
-// claimOf returns the claim of an engine; ok says whether this instance is to
-// write it now.
+// claimOf returns the claim of an engine. ok reports whether this instance should write
+// it now.
 func (g *Registry) claimOf(now clock.Instant, r *pool.Replica, candidates func() []candidate) (claim registry.Ownership, ok bool) {
 	old, owned := g.owners[r.Name]
 	claim = registry.Ownership{Engine: r.Name, Owner: g.Self.Name, Boot: g.Self.Boot, Era: g.era.current, Revision: old.Revision}
 	if e := g.Owned.Get(r.Name); e != nil {
-		// Once the former owner's orders cannot be on their way any more, the
-		// record is written again without it; and where the store went back.
+		// Rewrite the record without the former owner once none of its orders can be
+		// in flight any more. Also rewrite it after the store was restored from an
+		// older copy.
 		return claim, !e.Settled && !now.Before(e.From) || g.era.isFormer(e.Fence)
 	}
 	stale := owned && g.era.isStale(old.Era)
@@ -94,23 +97,23 @@
 	if !free {
 		return claim, false
 	}
-	// Should the instance that ranks first not claim, the next one does.
+	// If the instance of the highest rank does not claim, the next one does.
 	return claim, !now.Before(since.Add(time.Duration(ownerRank(r.Name, r.Zone, g.self(), candidates())) * claimRankDelay))
 }
 
-// An engineView is what is known of who may order an engine.
+// An engineView holds what is known about the owner of an engine.
 type engineView struct {
 	storeUpSince     clock.Instant // since when the store has answered; zero: it does not
-	announcedAt      clock.Instant // when the engine was first announced here
-	owned            bool          // there is a record of its owner
-	owner            string        // "" if it was given back
-	learntAt         clock.Instant // when that record was learnt
-	ownerPresent     bool          // the owner has a record of its own
-	ownerAbsentSince clock.Instant // since when it has none; zero if it was never seen go
+	announcedAt      clock.Instant // when the engine was first announced to this instance
+	owned            bool          // an ownership record exists
+	owner            string        // "" if it was released
+	learntAt         clock.Instant // when the ownership record was learnt
+	ownerPresent     bool          // the owner's own record exists
+	ownerAbsentSince clock.Instant // since when the owner's record has been missing; zero: unknown
 }
 
-// engineView gathers what is known. An owner without a record counts as gone from
-// the first look on at which it has none.
+// engineView returns what is known about the owner of an engine. An owner without a
+// record counts as absent from the first check that finds the record missing.
 func (g *Registry) engineView(now clock.Instant, r *pool.Replica, old registry.Ownership, owned bool) engineView {
 	v := engineView{storeUpSince: g.storeUpSince, announcedAt: r.FirstSeenAt(), owned: owned, owner: old.Owner, learntAt: g.learntAt[r.Name]}
 	if g.storeUpSince.IsZero() || !owned || old.Owner == "" {
@@ -128,10 +131,10 @@
 	return v
 }
 
-// freeSince returns since when nobody is to be expected to order the engine; ok is
-// false while its owner is there, or may be as far as this instance can tell.
-// absentFor is how long an owner's record must have been gone while the store
-// answered.
+// freeSince returns since when no instance has been expected to order the engine. ok is
+// false while its owner is present, or may be as far as this instance can tell.
+// absentFor is the time for which an owner's record must have been missing while the
+// store answered.
 func (v engineView) freeSince(absentFor time.Duration) (since clock.Instant, ok bool) {
 	switch {
 	case v.storeUpSince.IsZero():
@@ -147,7 +150,7 @@
 	}
 }
 
-// handleClaimReply takes in what came of claims.
+// handleClaimReply handles the result of a write of claims.
 func (g *Registry) handleClaimReply(now clock.Instant, e WriteReply) {
 	g.claims.inFlight = false
 	if e.Err != nil {
@@ -161,7 +164,7 @@
 		first := claim.Revision == 0
 		claim.Revision = e.Revision
 		if g.era.isFormer(e.Revision) {
-			continue // the store went back since
+			continue // the store was restored from an older copy after the write
 		}
 		g.owners[claim.Engine] = claim
 		if own := g.Owned.Get(claim.Engine); own != nil && claim.FormerOwner == "" {
@@ -176,9 +179,9 @@
 	}
 }
 
-// formerHolderEnds returns from when on an engine without a record may be ordered: whoever
-// held it in a former era, by a record that the store has lost, has stopped by then. now if
-// there was no such era.
+// formerHolderEnds returns the time from which an engine without a record may be ordered. By
+// then an instance that owned it in a former era, by a record that the store has lost, has
+// stopped sending orders. The result is now if there was no former era.
 func (g *Registry) formerHolderEnds(now clock.Instant) clock.Instant {
 	if g.era.firstEver() {
 		return now
@@ -186,10 +189,10 @@
 	return g.formerRightsEnd().Add(g.Options.TurnGap)
 }
 
-// firstOrder returns when an instance may first order an engine that it has just
-// claimed: once no order of the former owner can be on its way any more, and the
-// gap between the orders of two owners has passed. first says that nobody ever
-// ordered it.
+// firstOrder returns when an instance may send the first order to an engine that it has
+// just claimed: once no order of the former owner can be in flight any more and the gap
+// between the orders of two owners has passed. first reports that the engine had no
+// ownership record before, so that no instance has ever ordered it.
 func firstOrder(now clock.Instant, claim registry.Ownership, first bool, o *option.Options) clock.Instant {
 	switch {
 	case o.Disable.TurnWait:
--- a/core/ownership/enrol.go
+++ b/core/ownership/enrol.go
@@ -11,22 +11,23 @@
 	"github.com/birchdrift/birchdrift/core/step"
 )
 
-// Bounds of the time between two tries to write or renew this instance's record:
-// the first is shorter than a renewal's spacing, the last still allows three tries
-// within the record's term.
+// Bounds of the retry delay when writing or renewing this instance's record fails. The
+// first delay is shorter than the time between two renewals. The longest still allows
+// three tries within the term of the lease.
 const (
 	enrolBackoffBase = 100 * time.Millisecond
 	enrolBackoffMax  = time.Second
 )
 
-// An enrolment is the lease on which this instance's record hangs.
+// An enrolment is the state of this instance's registration: the lease to which its
+// record is attached.
 type enrolment struct {
 	job           step.Job
 	lease         era.Lease
-	held          bool
-	due           clock.Instant // not before
-	recordDeleted bool          // the record went though the lease stands
-	renewedAt     clock.Instant // when the last renewal that succeeded was sent
+	held          bool          // this instance holds lease
+	due           clock.Instant // earliest time of the next call
+	recordDeleted bool          // the record was deleted although the lease exists
+	renewedAt     clock.Instant // when the last successful renewal was sent
 	backoff       backoff.Backoff
 }
 
@@ -34,7 +35,8 @@
 	return enrolment{backoff: backoff.New(enrolBackoffBase, enrolBackoffMax)}
 }
 
-// renewOrEnrol renews the lease, or begins one.
+// renewOrEnrol renews the lease, or enrols if there is no usable lease or the record was
+// deleted.
 func (g *Registry) renewOrEnrol(now clock.Instant) {
 	l := &g.enrolment
 	if !l.job.Due(now) || now.Before(l.due) {
@@ -50,7 +52,7 @@
 	}})
 }
 
-// HandleEnrolReply takes in what came of Enrol.
+// HandleEnrolReply handles the result of Enrol.
 func (g *Registry) HandleEnrolReply(now clock.Instant, e EnrolReply) {
 	if e.Err != nil {
 		g.renewalFailed(now, e.Err)
@@ -65,15 +67,15 @@
 	g.Out.Log(logevent.Enrolled, "lease", e.Lease)
 }
 
-// HandleRenewReply takes in what came of a renewal.
+// HandleRenewReply handles the result of a renewal.
 func (g *Registry) HandleRenewReply(now clock.Instant, e RenewReply) {
 	switch {
 	case e.Err != nil && g.era.isFormerLease(e.Lease):
-		g.enrolment.job.End(now) // the store went back; a new lease is begun
+		g.enrolment.job.End(now) // the store was restored from an older copy; a new lease follows
 	case e.Over:
 		g.Out.Log(logevent.EnrolmentLost, "lease", e.Lease)
 		g.enrolment.held = false
-		g.loseAll(now, "this instance's record went")
+		g.loseAll(now, "this instance's record was deleted")
 		g.enrolment.job.End(now)
 		g.storeAnswered(now)
 	case e.Err != nil:
@@ -89,8 +91,8 @@
 	g.enrolment.job.End(now.Add(g.renewalInterval()))
 }
 
-// renewalInterval returns the spacing of renewals. An instance that gives no orders may
-// lose its record for a moment without harm, so it renews half as often.
+// renewalInterval returns the time between renewals. An instance that neither owns engines
+// nor is the placer renews half as often, since it may lose its record briefly without harm.
 func (g *Registry) renewalInterval() time.Duration {
 	if g.Owned.Len() == 0 && !g.placer.held {
 		return 2 * g.Options.KeepEvery
@@ -98,8 +100,8 @@
 	return g.Options.KeepEvery
 }
 
-// renewalFailed notes a call that was not answered. What depends on the time for
-// which the store has answered starts anew.
+// renewalFailed handles an unanswered call. It restarts the time for which the store has
+// been answering.
 func (g *Registry) renewalFailed(now clock.Instant, err error) {
 	l := &g.enrolment
 	g.Outage.Observe(now, err)
@@ -116,9 +118,9 @@
 	}
 }
 
-// Resign gives the engines and the placer's task back and ends the lease, at a
-// planned stop. loads is how many loads from the weight store the placer could begin
-// now; it matters only where this instance is that.
+// Resign releases the engines and the placer's task and ends the lease, at a planned
+// stop. loads is the number of loads from the weight store that the placer could start
+// now. It is used only if this instance is the placer.
 func (g *Registry) Resign(now clock.Instant, loads float64) {
 	if !g.enrolment.held {
 		return
--- a/core/ownership/era.go
+++ b/core/ownership/era.go
@@ -10,47 +10,49 @@
 	"github.com/birchdrift/birchdrift/core/registry"
 )
 
-// What this instance does once the store came back from an older copy of itself
-// (docs/design/eras.md). Its lease is of no use any more, since the store may give its number
-// to another. What it holds it goes on ordering, and claims again; what others hold by the
-// records that the store still has, they may have held no more.
-
-// reenrolSpacing spaces, over all instances, the new leases after a step back: two writes each.
+// This file handles a rollback: the store was restored from an older copy of itself, which
+// begins a new era (docs/design/eras.md). This instance's lease becomes useless, since the
+// store may issue the same ID to another instance. The instance keeps ordering the engines
+// that it owns, and claims them again. The ownership records of other instances that the
+// store still has may be outdated: their owners may have lost the engines already.
+
+// reenrolSpacing is the average time between the new leases of all instances after a
+// rollback. Each new lease takes two writes.
 const reenrolSpacing = 10 * time.Millisecond
 
-// EraObserved is the event that a call showed in which era the store is.
+// EraObserved is the event that a call showed the store's era.
 type EraObserved struct{ Era era.Era }
 
 // IsEvent implements step.Event.
 func (EraObserved) IsEvent() {}
 
-// A storeEra is what is known of the era in which the store is.
+// A storeEra holds what is known about the store's current era.
 type storeEra struct {
 	known      bool
 	current    era.Era
-	since      clock.Instant // when this instance heard of it
-	readAt     clock.Instant // when the whole was read in it first; zero: it was not
-	record     *registry.EraRecord
-	writing    bool          // the mark's write is under way
-	writeDue   clock.Instant // when it may be written again
-	rolledBack bool          // this instance was there before
-	// formerValidUntil is until when what was gained in former eras may be ordered without being
-	// claimed again.
+	since      clock.Instant       // when this instance first observed it
+	readAt     clock.Instant       // when all records were first read in it; zero: not yet
+	record     *registry.EraRecord // its era record; nil: not known yet
+	writing    bool                // a write of the era record is in flight
+	writeDue   clock.Instant       // earliest time of the next write of the era record
+	rolledBack bool                // this instance was running in a former era
+	// formerValidUntil is the time until which engines that were claimed in a former era
+	// may be ordered without being claimed again.
 	formerValidUntil clock.Instant
 }
 
-// isFormer reports whether a number is of an era that is over.
+// isFormer reports whether a revision is of a former era.
 func (x *storeEra) isFormer(n era.Revision) bool { return n.Era() < x.current }
 
-// isFormerLease reports whether a lease is of an era that is over.
+// isFormerLease reports whether a lease is of a former era.
 func (x *storeEra) isFormerLease(l era.Lease) bool { return l.Era < x.current }
 
-// isStale reports whether a record that was meant for an era says nothing certain any more:
-// what was written after it may be lost.
+// isStale reports whether a record meant for the given era is no longer reliable, because
+// later writes to it may have been lost.
 func (x *storeEra) isStale(meant era.Era) bool { return meant < x.current }
 
-// isReady reports whether claims may be decided on and written: the records of this era are
-// known, and the one stands on which claims depend.
+// isReady reports whether claims may be decided and written: the records of this era are
+// known, and the era record exists that claims are conditional on.
 func (x *storeEra) isReady() bool {
 	if x.readAt.IsZero() {
 		return false
@@ -58,10 +60,11 @@
 	return x.current == 0 || x.record != nil
 }
 
-// firstEver reports whether no record of ours can have been lost with a former era.
+// firstEver reports whether no record of the product can have been lost with a former era.
 func (x *storeEra) firstEver() bool { return x.current == 0 || x.record != nil && x.record.First }
 
-// recordRevision returns the revision of the record that claims depend on, 0 if they do on none.
+// recordRevision returns the revision of the era record that claims are conditional on, 0 if
+// there is no such condition.
 func (x *storeEra) recordRevision() era.Revision {
 	if x.record == nil {
 		return 0
@@ -69,10 +72,10 @@
 	return x.record.Revision
 }
 
-// HandleEraObserved takes in that a call showed the store's era.
+// HandleEraObserved handles a call that showed the store's era.
 func (g *Registry) HandleEraObserved(now clock.Instant, e EraObserved) { g.observeEra(now, e.Era) }
 
-// observeEra takes in that the store is, or was, in an era.
+// observeEra records that the store is, or has been, in the given era.
 func (g *Registry) observeEra(now clock.Instant, e era.Era) {
 	x := &g.era
 	if x.known && e <= x.current {
@@ -85,11 +88,13 @@
 	}
 }
 
-// handleRollback begins a new era.
+// handleRollback reacts to the start of a new era while this instance is running. It gives
+// up engines that may still receive orders of a former owner, and schedules a new lease and
+// new claims at once. An instance without engines that is not the placer delays its new lease at random.
 func (g *Registry) handleRollback(now clock.Instant, former storeEra) {
 	g.Out.Log(logevent.StoreSteppedBack, "era", uint64(g.era.current), "former", uint64(former.current), "engines", g.Owned.Len())
 	g.era.formerValidUntil = now.Add(g.Options.OrderValid)
-	g.Owned.LoseUnsettled(now, "the store went back before the orders of a former owner had ended")
+	g.Owned.LoseUnsettled(now, "the store was restored from an older copy before the orders of a former owner had ended")
 	g.claims.due = now
 	g.placer.claimDue = now
 	g.enrolment.due = now
@@ -100,21 +105,23 @@
 	g.SteppedBack(now)
 }
 
-// formerRightsEnd returns from when on nobody orders by a right of a former era any more that was
-// not claimed again: whoever had one heard of this era while it was good, at most OrderValid
-// after the store went back, and ends it OrderValid later.
+// formerRightsEnd returns the time from which no instance sends orders by an ownership of a
+// former era that it has not claimed again. Each such owner observed the new era while its
+// ownership was valid, at most OrderValid after the rollback, and gives the ownership up
+// OrderValid after that.
 func (g *Registry) formerRightsEnd() clock.Instant {
 	return g.era.since.Add(2*g.Options.OrderValid + turnMargin)
 }
 
-// MayOrderWithFence reports whether this instance may order under a fence: under one that it
-// gained in a former era only until it must have claimed again.
+// MayOrderWithFence reports whether this instance may send orders with the given fence. A
+// fence of a former era is valid only until formerValidUntil; by then the engine must have
+// been claimed again.
 func (g *Registry) MayOrderWithFence(now clock.Instant, fence era.Revision) bool {
 	return g.MayOrder(now) && (!g.era.isFormer(fence) || now.Before(g.era.formerValidUntil))
 }
 
-// dropFormerRecords drops what is known of owners, and of the placer, by records that the whole of a
-// new era does not have.
+// dropFormerRecords removes the known ownerships and the placer of former eras, whose records
+// are not in the complete set of the new era.
 func (g *Registry) dropFormerRecords(now clock.Instant) {
 	for engine, o := range g.owners {
 		if g.era.isFormer(o.Revision) {
@@ -126,14 +133,15 @@
 	}
 }
 
-// loseFormer gives up what was gained in a former era and not claimed again in time.
+// loseFormer gives up the engines and the placer's task of a former era that were not claimed
+// again in time.
 func (g *Registry) loseFormer(now clock.Instant) {
 	if !g.era.rolledBack || now.Before(g.era.formerValidUntil) {
 		return
 	}
 	for _, name := range g.Owned.Names() {
 		if g.era.isFormer(g.Owned.Get(name).Fence) {
-			g.Owned.Lose(now, name, "it was not claimed again after the store went back")
+			g.Owned.Lose(now, name, "it was not claimed again in time after the store was restored from an older copy")
 		}
 	}
 	if g.era.isFormer(g.placer.fence) {
@@ -141,9 +149,9 @@
 	}
 }
 
-// writeEraRecord writes the record of this era where there is none, on which all claims depend. With
-// it, claims that were meant for a former era and are still on their way cannot be carried
-// out any more. Instances come in the order of their rank.
+// writeEraRecord writes the record of the current era if there is none. All claims are
+// conditional on that record, so delayed claims that were meant for a former era can no
+// longer take effect. Instances try in the order of their rank.
 func (g *Registry) writeEraRecord(now clock.Instant) {
 	x := &g.era
 	if x.current == 0 || x.record != nil || x.writing || x.readAt.IsZero() || now.Before(x.writeDue) || !g.Roster.IncludesSelf(now) {
@@ -157,7 +165,7 @@
 	g.Out.Emit(Write{Write: Txn{Mark: &mark, Former: g.formerEraRecords}})
 }
 
-// hasStale reports whether there are records of a former era.
+// hasStale reports whether any record of a former era is known.
 func (g *Registry) hasStale() bool {
 	if len(g.formerEraRecords) > 0 || g.placer.record.Name != "" && g.era.isStale(g.placer.record.Era) {
 		return true
@@ -170,7 +178,7 @@
 	return false
 }
 
-// handleEraRecordReply takes in what came of the write of an era's record.
+// handleEraRecordReply handles the result of writing the era record.
 func (g *Registry) handleEraRecordReply(now clock.Instant, e WriteReply) {
 	g.era.writing = false
 	g.era.writeDue = now.Add(claimInterval)
@@ -179,19 +187,19 @@
 		return
 	}
 	if e.Conflict || e.Write.Mark.Era != g.era.current {
-		return // the watch brings the one that stands
+		return // the watch returns the record that exists
 	}
 	mark := *e.Write.Mark
 	mark.Revision = e.Revision
 	g.applyEraRecord(mark)
 }
 
-// applyEraRecord takes in the record of an era.
+// applyEraRecord applies an era record.
 func (g *Registry) applyEraRecord(m registry.EraRecord) {
 	switch {
 	case m.Era == g.era.current:
 		g.era.record = &m
-		g.formerEraRecords = nil // they went with the write of this one
+		g.formerEraRecords = nil // they were deleted with the write of this one
 	case m.Era < g.era.current && !slices.Contains(g.formerEraRecords, m.Era):
 		g.formerEraRecords = append(g.formerEraRecords, m.Era)
 	}
--- a/core/ownership/ownership.go
+++ b/core/ownership/ownership.go
@@ -1,18 +1,18 @@
-// Package ownership decides which engines this instance owns, and until when it
-// may order them, by records in the platform's store.
+// Package ownership decides, by records in the platform's store, which engines this
+// instance owns and until when it may send them orders.
 //
-// An owner may give orders for OrderValid after its last renewal, and the last
-// watch through which it heard of the records, were sent. Whoever takes an
-// engine over from another waits that long and TurnGap on top, counted from its
-// claim, since the former owner may not know yet that it lost the engine: the
-// store may drop a record without telling its writer, and only a watch shows
-// that. So only instances that watch the store own engines.
+// An owner may send orders for OrderValid after both its last answered renewal and
+// its last answered watch of the records were sent. An instance that takes an engine
+// over from another waits for OrderValid plus TurnGap after its claim, since the
+// former owner may not know yet that it lost the engine: the store may drop a record
+// without telling its writer, and only a watch shows that. Therefore only instances
+// that watch the store own engines.
 //
-// Ownerships are spread over the instances that watch, so the loss of one leaves
-// most engines ordered. The others hear of the records from their peers, and
-// know by them whom to ask for orders.
+// Ownerships are spread over the instances that watch, so that most engines keep
+// their owner if one instance is lost. All other instances receive the records from
+// their peers, and so know which instance to request orders from.
 //
-// The package also keeps the record of the placer, the one instance that decides
+// The package also maintains the record of the placer, the one instance that decides
 // which models are loaded where (core/placement).
 package ownership
 
@@ -30,8 +30,8 @@
 )
 
 type (
-	// Enrol is an action: begin a lease and write this instance's record under
-	// it.
+	// Enrol is the action that begins a lease and writes this instance's record,
+	// its registration, attached to it.
 	Enrol struct {
 		Term     time.Duration
 		Instance registry.Instance
@@ -42,56 +42,57 @@
 		Lease era.Lease
 		Err   error
 	}
-	// RenewLease is an action: renew the lease.
+	// RenewLease is the action that renews the lease.
 	RenewLease struct{ Lease era.Lease }
-	// RenewReply is the event that answers RenewLease. Over says that the lease
-	// has gone.
+	// RenewReply is the event that answers RenewLease. Over reports that the lease
+	// no longer exists.
 	RenewReply struct {
 		Sent  clock.Instant
 		Lease era.Lease
 		Over  bool
 		Err   error
 	}
-	// Write is an action: write ownerships, or the placer's record under Lease.
+	// Write is the action that writes a Txn to the store. The placer's record is
+	// attached to Lease.
 	Write struct {
 		Write Txn
 		Lease era.Lease
 	}
-	// Txn are what one Write is for.
+	// Txn is what one Write writes, in one transaction: claims, the placer's record
+	// or an era record.
 	Txn struct {
-		Claim  []registry.Ownership // each under the condition of its Revision
-		Placer *registry.Placer
-		Mark   *registry.EraRecord // where there is none
-		Former []era.Era           // whose marks go, with Mark
-		// Depends is the revision of the era's mark, under the condition of which
-		// Claim and Placer are written; 0: under none.
+		Claim  []registry.Ownership // each is written only if the record still has its Revision
+		Placer *registry.Placer     // written only if the record still has its Revision
+		Mark   *registry.EraRecord  // written only if there is no such record
+		Former []era.Era            // former eras whose records are deleted together with writing Mark
+		// Depends is the revision of the era record. Claim and Placer are written only if
+		// the era record still has it. 0 means no such condition.
 		Depends era.Revision
 	}
 	// WriteReply is the event that answers a Write.
 	WriteReply struct {
 		Write    Txn
 		Revision era.Revision
-		Conflict bool // a condition did not hold, or the lease is over
+		Conflict bool // a condition did not hold, or the lease no longer exists
 		Err      error
 	}
-	// WatchUpdate is the event that a watch brought news of the records.
+	// WatchUpdate is the event that a watch returned records.
 	WatchUpdate struct {
 		Records []registry.Record
 		Version era.Revision // of the store
-		Whole   bool         // Records are all that there are
+		Whole   bool         // Records are the complete set
 	}
-	// Resign is an action: write the ownerships that are given back, and the placer's
-	// record if that is, then end
-	// the lease.
+	// Resign is the action that writes the released ownerships, and the placer's record
+	// if this instance is the placer, and then ends the lease.
 	Resign struct {
 		Lease   era.Lease
-		Give    []registry.Ownership
-		Placer  *registry.Placer // nil: this instance is not the placer
-		Depends era.Revision     // as in Txn
+		Give    []registry.Ownership // released ownerships
+		Placer  *registry.Placer     // nil if this instance is not the placer
+		Depends era.Revision         // as in Txn
 	}
 )
 
-// Era returns the era that the records are meant for.
+// Era returns the era that the transaction is meant for.
 func (r Txn) Era() era.Era {
 	switch {
 	case r.Mark != nil:
@@ -129,7 +130,7 @@
 // IsEvent implements step.Event.
 func (WatchUpdate) IsEvent() {}
 
-// Deps are what ownership needs of the other modules.
+// Deps holds the state and the functions of other modules that ownership uses.
 type Deps struct {
 	shared.State
 
@@ -137,15 +138,16 @@
 	Owned  *owned.Engines
 	// Stopping reports whether a planned stop has begun.
 	Stopping func() bool
-	// TellSoon is called when records became known that peers are to be told of.
+	// TellSoon is called when new records are known, so that peers receive them soon.
 	TellSoon func(now clock.Instant)
-	// Quarantined is told of requests that are not run.
+	// Quarantined is called for each record of a quarantined request.
 	Quarantined func(now clock.Instant, q registry.Quarantine)
-	// SteppedBack is called when the store came back from an older copy of itself.
+	// SteppedBack is called when the store was restored from an older copy of itself.
 	SteppedBack func(now clock.Instant)
 }
 
-// A Registry is what an instance knows of the records, and its own part in them.
+// A Registry holds the records known to an instance, and maintains the instance's own
+// record, its claims and the placer's record.
 type Registry struct {
 	Deps
 	enrolment enrolment
@@ -153,17 +155,17 @@
 	placer    placer
 
 	era              storeEra
-	formerEraRecords []era.Era // eras that are over and whose marks stand
-
-	watchedAt    clock.Instant // when the last watch that was answered was sent
-	storeUpSince clock.Instant // since when the store has answered renewals
-	instances    map[string]registry.Instance
-	absentSince  map[string]clock.Instant // since when an instance has no record
-	owners       map[string]registry.Ownership
-	learntAt     map[string]clock.Instant // when each ownership was learnt
+	formerEraRecords []era.Era // former eras whose records still exist
+
+	watchedAt    clock.Instant                 // when the last answered watch was sent
+	storeUpSince clock.Instant                 // since when the store has answered renewals; zero: it does not
+	instances    map[string]registry.Instance  // instances with a record, by name
+	absentSince  map[string]clock.Instant      // since when an instance has had no record, by name
+	owners       map[string]registry.Ownership // newest known ownership, by engine
+	learntAt     map[string]clock.Instant      // when that ownership was learnt, by engine
 }
 
-// New returns the registry of an instance that has heard of no record.
+// New returns a Registry that knows no records yet.
 func New(n Deps) *Registry {
 	return &Registry{
 		Deps:        n,
@@ -175,7 +177,8 @@
 	}
 }
 
-// Tick keeps this instance's record and claims engines.
+// Tick renews this instance's lease, writes the era record if needed, and claims engines.
+// It gives up all engines when this instance may not send orders any more.
 func (g *Registry) Tick(now clock.Instant) {
 	if g.Stopping() {
 		return
@@ -189,29 +192,28 @@
 	g.claim(now)
 }
 
-// A denial says why an owner may not order, "" if it may.
+// A denial is the reason why an owner may not send orders, "" if it may.
 type denial string
 
-// The reasons.
 const (
 	allowed       denial = ""
 	stopping      denial = "this instance stops"
-	neverRenewed  denial = "its record was never renewed"
-	renewalTooOld denial = "the last renewal of its record that was answered is too old"
-	neverWatched  denial = "it never heard of the records from the store"
-	watchTooOld   denial = "the last watch that was answered is too old"
+	neverRenewed  denial = "this instance has never renewed its record"
+	renewalTooOld denial = "the last answered renewal of this instance's record is too old"
+	neverWatched  denial = "this instance has never read the records from the store"
+	watchTooOld   denial = "the last answered watch is too old"
 )
 
-// A orderEligibility is what decides whether an owner may order.
+// An orderEligibility holds the facts that decide whether an owner may send orders.
 type orderEligibility struct {
 	stopping  bool
-	renewedAt clock.Instant // when the last renewal that succeeded was sent; zero: never
-	watchedAt clock.Instant // when the last watch that was answered was sent; zero: never
+	renewedAt clock.Instant // when the last successful renewal was sent; zero: never
+	watchedAt clock.Instant // when the last answered watch was sent; zero: never
 }
 
-// denial returns why an owner may not order at now, valid being how long a renewal
-// and a watch are good for. Both clocks count, so that a machine that was suspended
-// does not order.
+// denial returns why an owner may not send orders at now, "" if it may. A renewal and a
+// watch permit orders for the time valid, measured by the clock, monotonic or wall, that
+// advanced more, so that a machine that was suspended does not send orders.
 func (s orderEligibility) denial(now clock.Instant, valid time.Duration) denial {
 	switch {
 	case s.stopping:
@@ -229,7 +231,7 @@
 	}
 }
 
-// denial returns why this instance may order no engine now, "" if it may.
+// denial returns why this instance may not send orders now, "" if it may.
 func (g *Registry) denial(now clock.Instant) denial {
 	s := orderEligibility{stopping: g.Stopping(), renewedAt: g.enrolment.renewedAt, watchedAt: g.watchedAt}
 	if g.Options.Disable.HearRegistry {
@@ -238,37 +240,34 @@
 	return s.denial(now, g.Options.OrderValid)
 }
 
-// MayOrder reports whether this instance's ownerships are certainly still its
-// own.
+// MayOrder reports whether this instance is certain to still hold its ownerships.
 func (g *Registry) MayOrder(now clock.Instant) bool { return g.denial(now) == allowed }
 
-// loseAll has this instance order nothing any more. Others may have taken its
-// engines and its place as the placer without its knowledge, so it must claim
-// them anew.
+// loseAll gives up all engines and the task of the placer. Other instances may have
+// claimed them without the knowledge of this one, so it must claim them again.
 func (g *Registry) loseAll(now clock.Instant, why string) {
 	g.Owned.LoseAll(now, why)
 	g.placer.held = false
 }
 
-// WatchAnswered notes that a watch of the store that was sent at sent was
-// answered.
+// WatchAnswered records that a watch of the store, sent at the time sent, was answered.
 func (g *Registry) WatchAnswered(sent clock.Instant) { g.watchedAt = sent }
 
-// Instances returns the instances that have a record, by name.
+// Instances returns the instances that have a record, keyed by name. Callers must not
+// change the map.
 func (g *Registry) Instances() map[string]registry.Instance { return g.instances }
 
-// Owner returns who owns an engine by the newest record known; ok is false where
-// there is none.
+// Owner returns the newest known ownership of an engine. ok is false if none is known.
 func (g *Registry) Owner(engine string) (o registry.Ownership, ok bool) {
 	o, ok = g.owners[engine]
 	return o, ok
 }
 
-// HandleWatchUpdate takes in what a watch brought.
+// HandleWatchUpdate applies the records that a watch returned.
 func (g *Registry) HandleWatchUpdate(now clock.Instant, e WatchUpdate) {
 	g.observeEra(now, e.Version.Era())
 	if e.Version.Era() < g.era.current {
-		return // it was on its way while the store went back
+		return // sent before the store was restored from an older copy
 	}
 	records := e.Records
 	if e.Whole {
@@ -281,8 +280,8 @@
 	}
 }
 
-// Merge takes in those of the records that are news; from is the peer that told
-// of them, "" if they were learnt from the store itself.
+// Merge applies those of the records that are newer than the known ones. from is the
+// peer that sent them, "" if they come from the store itself.
 func (g *Registry) Merge(now clock.Instant, from string, records []registry.Record) {
 	var news []registry.Record
 	for _, r := range records {
@@ -290,7 +289,7 @@
 	}
 	for _, r := range records {
 		if g.era.isFormer(r.Revision) {
-			continue // a peer has not heard yet that the store went back
+			continue // a peer does not know yet that the store was restored from an older copy
 		}
 		if g.Records.AddRegistered(from, r) {
 			news = append(news, r)
@@ -322,7 +321,7 @@
 	}
 	for _, engine := range c.GoneOwners {
 		delete(g.owners, engine)
-		g.loseUnlessFormer(now, engine, "its record went")
+		g.loseUnlessFormer(now, engine, "its record was deleted")
 	}
 	for _, q := range c.Quarantines {
 		g.Quarantined(now, q)
@@ -338,7 +337,9 @@
 func (g *Registry) applyInstanceDeleted(now clock.Instant, name string) {
 	delete(g.instances, name)
 	if name == g.Self.Name {
-		// The next renewal will say so, but for a record that hung on another's lease.
+		// The next renewal shows whether the lease still exists. After a restore of the store,
+		// the record may have been attached to another instance's lease and deleted with it,
+		// while this instance's own lease exists.
 		g.enrolment.recordDeleted = g.era.rolledBack
 		return
 	}
@@ -347,7 +348,7 @@
 	}
 }
 
-// applyOwnership takes in one ownership, of whoever wrote it.
+// applyOwnership applies one ownership, which any instance may have written.
 func (g *Registry) applyOwnership(now clock.Instant, o registry.Ownership) {
 	if old, ok := g.owners[o.Engine]; ok && old.Revision > o.Revision {
 		return
@@ -357,14 +358,15 @@
 	switch {
 	case o.Owner == g.Self.Name && o.Boot == g.Self.Boot:
 	case g.era.isStale(o.Era):
-		g.loseUnlessFormer(now, o.Engine, "another instance's record came after this one's")
+		g.loseUnlessFormer(now, o.Engine, "another instance wrote its record later")
 	default:
-		g.Owned.Lose(now, o.Engine, "another instance took it")
+		g.Owned.Lose(now, o.Engine, "another instance claimed it")
 	}
 }
 
-// loseUnlessFormer ends the ownership of an engine but one that was gained in a former era of
-// the store: nobody can have taken that yet, whatever its record says, or if it is gone.
+// loseUnlessFormer ends the ownership of an engine unless it was gained in a former era of
+// the store. No other instance can have claimed such an engine yet, whatever its record says
+// and even if the record was deleted.
 func (g *Registry) loseUnlessFormer(now clock.Instant, engine, why string) {
 	if e := g.Owned.Get(engine); e == nil || g.era.isFormer(e.Fence) {
 		return
@@ -372,8 +374,8 @@
 	g.Owned.Lose(now, engine, why)
 }
 
-// HandleWriteReply takes in what came of a write. After an error, or a condition that did
-// not hold, the watch brings what stands in the store.
+// HandleWriteReply handles the result of a write. After an error or a conflict, the watch
+// returns the records that the store holds.
 func (g *Registry) HandleWriteReply(now clock.Instant, e WriteReply) {
 	switch {
 	case e.Write.Mark != nil:
--- a/core/ownership/placer.go
+++ b/core/ownership/placer.go
@@ -12,34 +12,33 @@
 // placerKey is the rendezvous key of the placer.
 const placerKey = "placer"
 
-// A placer is the placer's record as it is known here, and this instance's part
-// in it. The record hangs on its holder's lease and goes with it.
+// A placer holds the known placer's record and the state of this instance's claim to
+// it. The record is attached to its holder's lease and is deleted with it.
 type placer struct {
 	record     registry.Placer
-	deletedAt  clock.Instant    // when the last one's record went
-	held       bool             // by this instance, by its last write
-	fence      era.Revision     // the revision of that write
-	handedOver *registry.Placer // the record by which the one before gave the task back; nil: it did not
-	claiming   bool
-	claimDue   clock.Instant
+	deletedAt  clock.Instant    // when the last record was released or deleted
+	held       bool             // this instance's last write took the record and still counts
+	fence      era.Revision     // revision of that write
+	handedOver *registry.Placer // the record with which the previous placer released the task; nil: it did not
+	claiming   bool             // a write of the record is in flight
+	claimDue   clock.Instant    // earliest time of the next write
 }
 
-// Placer returns who places models by the newest record known; the name is ""
-// where nobody is known to.
+// Placer returns the newest known placer's record. Its Name is "" if no placer is known.
 func (g *Registry) Placer() registry.Placer { return g.placer.record }
 
-// HoldsPlacer reports whether this instance holds the placer's record, by its
-// last write.
+// HoldsPlacer reports whether this instance holds the placer's record according to
+// its last write.
 func (g *Registry) HoldsPlacer() bool { return g.placer.held }
 
-// IsPlacer reports whether this instance certainly still is the placer.
+// IsPlacer reports whether this instance is certain to still be the placer.
 func (g *Registry) IsPlacer(now clock.Instant) bool {
 	return g.placer.held && g.MayOrderWithFence(now, g.placer.fence)
 }
 
-// ClaimPlacer writes the placer's record where there is none, or where it is this
-// instance's from before it may have lost it, or the store may have. Instances come in the order of
-// their rank, should those before them not write it.
+// ClaimPlacer writes the placer's record if there is none. It also rewrites this
+// instance's own record if the instance, or the store, may have lost it meanwhile.
+// Instances try in the order of their rank, in case those of higher rank do not write it.
 func (g *Registry) ClaimPlacer(now clock.Instant) {
 	p := &g.placer
 	if g.IsPlacer(now) && !g.era.isFormer(p.fence) {
@@ -63,14 +62,14 @@
 	g.Out.Emit(Write{Write: Txn{Placer: &record, Depends: g.era.recordRevision()}, Lease: g.enrolment.lease})
 }
 
-// isPlacerOfFormerEra reports whether this instance places models by a record of a former era of
-// the store, which it writes again.
+// isPlacerOfFormerEra reports whether this instance is the placer by a record of a former
+// era, which it has to write again.
 func (g *Registry) isPlacerOfFormerEra(now clock.Instant) bool {
 	return g.IsPlacer(now) && g.era.isFormer(g.placer.fence)
 }
 
-// mayClaimPlacer reports whether it is this instance's turn to write the placer's record, since
-// nobody places models or it did itself.
+// mayClaimPlacer reports whether this instance may write the placer's record now: no other
+// instance is the placer, and the instances of higher rank had their time to write it.
 func (g *Registry) mayClaimPlacer(now clock.Instant) bool {
 	p := &g.placer
 	if p.record.Name != "" && p.record.Name != g.Self.Name {
@@ -78,7 +77,7 @@
 	}
 	free := clock.Latest(g.storeUpSince, p.deletedAt)
 	if !g.era.firstEver() {
-		// Whoever placed models in a former era, and has not written so again, has stopped.
+		// By then a placer of a former era that has not rewritten its record has stopped.
 		free = clock.Latest(free, g.formerRightsEnd())
 	}
 	if p.record.Name == g.Self.Name {
@@ -87,9 +86,9 @@
 	return !now.Before(free.Add(time.Duration(g.PlacerRank(now)) * claimRankDelay))
 }
 
-// HandedOverLoads returns how many loads from the weight store may begin at once, as the
-// placer before this instance left it; ok is false where it did not give the task back
-// and may still be at work.
+// HandedOverLoads returns the number of loads from the weight store that may start at once,
+// as handed over by the previous placer. ok is false if the previous placer did not release
+// the task and may still be working.
 func (g *Registry) HandedOverLoads() (loads float64, ok bool) {
 	if g.placer.handedOver == nil {
 		return 0, false
@@ -97,7 +96,7 @@
 	return g.placer.handedOver.Loads, true
 }
 
-// PlacerRank returns how many instances come before this one as the placer.
+// PlacerRank returns the number of instances that are preferred to this one as the placer.
 func (g *Registry) PlacerRank(now clock.Instant) int {
 	return placerRank(g.self(), g.candidates(now))
 }
@@ -112,7 +111,7 @@
 		return
 	}
 	if g.era.isFormer(e.Revision) {
-		return // the store went back since
+		return // the store was restored from an older copy after the write
 	}
 	g.placer.record = *e.Write.Placer
 	g.placer.record.Revision = e.Revision
@@ -120,7 +119,7 @@
 	g.placer.held = true
 }
 
-// applyPlacer takes in who the records say the placer is.
+// applyPlacer applies the placer's record p. The zero Placer means that it was deleted.
 func (g *Registry) applyPlacer(now clock.Instant, p registry.Placer) {
 	if p.Name == "" {
 		g.placer.deletedAt = now
@@ -129,7 +128,7 @@
 	switch {
 	case p.Name == g.Self.Name && p.Boot == g.Self.Boot:
 	case g.era.isStale(p.Era) && g.era.isFormer(g.placer.fence):
-		// It may be older than this instance's, which the store has lost.
+		// It may be older than this instance's record, which the store has lost.
 	default:
 		g.placer.held = false
 	}
--- a/core/ownership/rank.go
+++ b/core/ownership/rank.go
@@ -24,8 +24,8 @@
 	return candidate{name: g.Self.Name, zone: g.Self.Zone, processor: g.Self.Processor}
 }
 
-// candidates returns the instances that watch the store, this one among them if it
-// does.
+// candidates returns the instances that watch the store, including this one if it is one
+// of them.
 func (g *Registry) candidates(now clock.Instant) []candidate {
 	var all []candidate
 	for _, zone := range g.Roster.Zones() {
@@ -36,9 +36,9 @@
 	return all
 }
 
-// ownerRank returns how many candidates come before self as the owner of an
-// engine: those of the engine's zone, which reach it when the zone is cut off, then
-// by rendezvous hashing, which spreads the engines.
+// ownerRank returns the number of candidates that are preferred to self as the owner of an
+// engine. Candidates in the engine's zone come first, since they reach it when the zone
+// is partitioned from the others. The rest is rendezvous hashing, which spreads the engines.
 func ownerRank(engine, zone string, self candidate, all []candidate) int {
 	near := func(c candidate) int {
 		if c.zone == zone {
@@ -49,15 +49,15 @@
 	return rank(engine, self, all, func(a, b candidate) int { return near(a) - near(b) })
 }
 
-// placerRank returns how many candidates come before self as the placer: those with
-// more of a processor, then by rendezvous hashing. A placer with a fifth of a core
-// once lagged behind in everything else.
+// placerRank returns the number of candidates that are preferred to self as the placer.
+// Candidates with a larger CPU quota come first, then rendezvous hashing decides. A placer
+// with a fifth of a core lagged behind in all its other work.
 func placerRank(self candidate, all []candidate) int {
 	return rank(placerKey, self, all, func(a, b candidate) int { return cmp.Compare(a.processor, b.processor) })
 }
 
-// rank returns how many candidates come before self: those that compare as more
-// suited, and of those that compare as equal the ones with a higher score for key.
+// rank returns the number of candidates that are preferred to self: those that compare
+// greater, and of those that compare equal the ones with a higher rendezvous score for key.
 func rank(key string, self candidate, all []candidate, compare func(a, b candidate) int) int {
 	hash := rendezvous.Key(key)
 	own := rendezvous.Score(hash, self.name)
