--- a/core/ownership/era_test.go
+++ b/core/ownership/era_test.go
@@ -16,17 +16,18 @@
 	"github.com/birchdrift/birchdrift/core/watchers"
 )
 
-// What an instance does once the store came back from an older copy, mechanism by mechanism:
-// storms rarely meet the few seconds in which each of them decides (docs/design/eras.md).
+// These tests cover each mechanism that handles a store restored from an older copy
+// (docs/design/eras.md). The randomized storm tests rarely hit the few seconds in which each
+// mechanism matters.
 
-// A bench drives one registry by the events that a driver would post.
+// A bench drives one Registry by the events that a driver would post.
 type bench struct {
 	*testing.T
 	g   *Registry
 	now clock.Instant
 }
 
-// newBench returns the registry of an instance that has heard of nothing.
+// newBench returns the bench of an instance that knows no records.
 func newBench(t *testing.T) *bench {
 	b := &bench{T: t, now: clocktest.At(time.Hour)}
 	g := testRegistry(b.now)
@@ -43,7 +44,8 @@
 	return b
 }
 
-// newInEra returns a registry that has enrolled newInEra an era and heard all of its records.
+// newInEra returns the bench of an instance that has enrolled in era e and knows all of its
+// records.
 func newInEra(t *testing.T, e era.Era, records ...registry.Record) *bench {
 	b := newBench(t)
 	b.receiveAll(e, records...)
@@ -51,7 +53,7 @@
 	return b
 }
 
-// receiveAll has the whole of an era heard: these records, and its mark.
+// receiveAll delivers the complete records of an era: the given ones and the era record.
 func (b *bench) receiveAll(e era.Era, records ...registry.Record) {
 	mark := registry.EraRecord{Era: e, First: e == 1}
 	records = append(records, record(e, 3, mark.Value()))
@@ -59,17 +61,17 @@
 	b.g.WatchAnswered(b.now)
 }
 
-// record returns a record as it stands at a revision of an era.
+// record returns v as a record with the given revision of an era.
 func record(e era.Era, raw uint64, v registry.Value) registry.Record {
 	return registry.Record{Key: v.Key, Data: v.Data, Revision: e.Revision(raw)}
 }
 
-// enrol has the lease and the record of an era written.
+// enrol delivers the reply that this instance has a lease of era e.
 func (b *bench) enrol(e era.Era) {
 	b.g.HandleEnrolReply(b.now, EnrolReply{Sent: b.now, Lease: era.Lease{Era: e, ID: 9}})
 }
 
-// advance lets time advance while the store answers watches and renewals.
+// advance advances the time by span while the store answers watches and renewals.
 func (b *bench) advance(span time.Duration) {
 	for end := b.now.Add(span); b.now.Before(end); {
 		b.now = b.now.Add(100 * time.Millisecond)
@@ -80,14 +82,15 @@
 	}
 }
 
-// tick returns what a tick has done.
+// tick runs one tick and returns its actions.
 func (b *bench) tick() []step.Action {
 	b.g.Out.Reset()
 	b.g.Tick(b.now)
 	return b.g.Out.Actions()
 }
 
-// awaitClaims waits for a write of awaitClaims and returns it.
+// awaitClaims advances the time by at most most until claims are written, and returns their
+// transaction.
 func (b *bench) awaitClaims(most time.Duration) (Txn, bool) {
 	for end := b.now.Add(most); b.now.Before(end); b.advance(100 * time.Millisecond) {
 		for _, a := range b.tick() {
@@ -99,7 +102,7 @@
 	return Txn{}, false
 }
 
-// newOwner returns a registry that owns engine e in the first era, with nothing to wait for.
+// newOwner returns the bench of an instance that owns engine e in era 1 and may order it.
 func newOwner(t *testing.T) *bench {
 	b := newInEra(t, 1)
 	w, ok := b.awaitClaims(5 * time.Second)
@@ -120,20 +123,21 @@
 	return e != nil && b.g.Owned.Orderable(b.now, e)
 }
 
-// ownerRecord returns the value of the record by which an instance owns e, meant for an era.
+// ownerRecord returns the ownership record of engine e for the owner name, written for the
+// era meant.
 func ownerRecord(name string, meant era.Era) registry.Value {
 	return registry.Ownership{Engine: "e", Owner: name, Boot: 7, Era: meant}.Value()
 }
 
-// TestOwnerKeepsOrderingAndReclaims: whatever the store says of its engine by a record of the
-// former era, or if it says nothing, a holder goes on ordering, and claims it again under what
-// it found, with nothing to wait for.
+// TestOwnerKeepsOrderingAndReclaims checks that after a restore an owner keeps ordering its
+// engine and claims it again without a wait, whatever former-era record of the engine the
+// store holds, or if it holds none. The claim is conditional on the record found.
 func TestOwnerKeepsOrderingAndReclaims(t *testing.T) {
 	for name, found := range map[string][]registry.Record{
-		"its own record":        {record(2, 20, ownerRecord("self", 1))},
-		"another's":             {record(2, 20, ownerRecord("b", 1))},
-		"that it is given back": {record(2, 20, ownerRecord("", 1))},
-		"none":                  nil,
+		"its own record":    {record(2, 20, ownerRecord("self", 1))},
+		"another's record":  {record(2, 20, ownerRecord("b", 1))},
+		"a released record": {record(2, 20, ownerRecord("", 1))},
+		"no record":         nil,
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -146,7 +150,7 @@
 			is.Equal(w.Claim[0].FormerOwner, "")
 			is.Equal(w.Claim[0].Era, era.Era(2))
 			is.Equal(w.Claim[0].Revision != 0, len(found) > 0)
-			is.Equal(w.Depends, era.Era(2).Revision(3)) // on the mark of this era
+			is.Equal(w.Depends, era.Era(2).Revision(3)) // conditional on this era's record
 			b.g.HandleWriteReply(b.now, WriteReply{Write: w, Revision: era.Era(2).Revision(60)})
 			b.enrol(2)
 			b.advance(10 * time.Second)
@@ -157,7 +161,8 @@
 	}
 }
 
-// TestOwnerLosesToClaimOfCurrentEra: which only one who may order has written.
+// TestOwnerLosesToClaimOfCurrentEra checks that an owner gives its engine up to a claim of
+// the current era, since only an instance that may order the engine writes one.
 func TestOwnerLosesToClaimOfCurrentEra(t *testing.T) {
 	is := is.New(t)
 	b := newOwner(t)
@@ -165,8 +170,8 @@
 	is.True(b.g.Owned.Get("e") == nil)
 }
 
-// TestFormerEraOwnershipExpires: unless it is claimed again, though renewals and watches are
-// answered.
+// TestFormerEraOwnershipExpires checks that an ownership of a former era ends unless it is
+// claimed again, even if renewals and watches are answered.
 func TestFormerEraOwnershipExpires(t *testing.T) {
 	is := is.New(t)
 	b := newOwner(t)
@@ -183,8 +188,9 @@
 	is.True(b.g.Owned.Get("e") == nil)
 }
 
-// TestUnsettledOwnershipIsLostOnRollback: the claim by which that one would have heard that
-// it may not order any more may be what the store lost.
+// TestUnsettledOwnershipIsLostOnRollback checks that an owner that still waits for the orders
+// of a former owner to end loses the engine on a rollback. The store may have lost exactly the
+// claim that would have told the former owner to stop.
 func TestUnsettledOwnershipIsLostOnRollback(t *testing.T) {
 	is := is.New(t)
 	b := newInEra(t, 1)
@@ -195,8 +201,9 @@
 	is.True(b.g.Owned.Get("e") == nil)
 }
 
-// TestFormerEraRecordForcesFullWait: whoever takes the engine, be it in its own
-// name, waits as after an owner of whom nothing is known.
+// TestFormerEraRecordForcesFullWait checks that an instance that claims an engine with a
+// former-era record, even one in its own name, waits as after an unknown owner, since such a
+// record does not show who orders the engine.
 func TestFormerEraRecordForcesFullWait(t *testing.T) {
 	for _, name := range []string{"self", "b", ""} {
 		t.Run(name, func(t *testing.T) {
@@ -205,7 +212,7 @@
 			b.receiveAll(2, record(2, 20, ownerRecord(name, 1)))
 			b.enrol(2)
 			if name == "b" {
-				b.g.absentSince["b"] = b.now // it has no record of its own any more
+				b.g.absentSince["b"] = b.now // b's own record was deleted
 			}
 			w, ok := b.awaitClaims(5 * time.Second)
 			is.True(ok)
@@ -217,8 +224,9 @@
 	}
 }
 
-// TestMissingRecordForcesWaitAfterRollback: by someone whose claim was lost. Where no era was before
-// there is nobody to wait for.
+// TestMissingRecordForcesWaitAfterRollback checks that after a rollback an engine without a
+// record may be owned by an instance whose claim was lost, so its claimant waits for that
+// instance to stop. In the first era there is nothing to wait for.
 func TestMissingRecordForcesWaitAfterRollback(t *testing.T) {
 	for _, e := range []era.Era{1, 2} {
 		is := is.New(t)
@@ -236,7 +244,8 @@
 	}
 }
 
-// TestFormerEraLeaseIsNotRenewed: the store may have given it to another.
+// TestFormerEraLeaseIsNotRenewed checks that a lease of a former era is replaced by a new one,
+// since the store may have issued its ID to another instance.
 func TestFormerEraLeaseIsNotRenewed(t *testing.T) {
 	is := is.New(t)
 	b := newInEra(t, 1)
@@ -246,7 +255,7 @@
 	for _, a := range b.tick() {
 		switch a.(type) {
 		case RenewLease:
-			t.Error("a lease of the former era is renewed")
+			t.Error("a lease of the former era was renewed")
 		case Enrol:
 			enrols++
 		}
@@ -261,8 +270,9 @@
 	}
 }
 
-// TestRecordDeletedWithForeignLeaseIsRewritten: a write of the former era that was carried
-// out late hangs on a lease that the store has given to somebody else.
+// TestRecordDeletedWithForeignLeaseIsRewritten checks that an instance enrols again when its
+// record is deleted although its lease exists. This happens when a delayed write of the former
+// era attaches the record to a lease ID that the store has issued to another instance.
 func TestRecordDeletedWithForeignLeaseIsRewritten(t *testing.T) {
 	is := is.New(t)
 	b := newInEra(t, 1)
@@ -280,7 +290,8 @@
 	is.Equal(enrols, 1)
 }
 
-// TestFormerEraPeerRecordsAreIgnored: what they tell may have been lost.
+// TestFormerEraPeerRecordsAreIgnored checks that records of a former era from a peer are
+// ignored, since the store may have lost them.
 func TestFormerEraPeerRecordsAreIgnored(t *testing.T) {
 	is := is.New(t)
 	b := newInEra(t, 2)
@@ -288,10 +299,11 @@
 	_, known := b.g.Owner("e")
 	is.True(!known)
 	b.g.Merge(b.now, "peer", []registry.Record{record(3, 10, ownerRecord("c", 3))})
-	is.Equal(b.g.era.current, era.Era(3)) // and one of a later era shows that the store went back
+	is.Equal(b.g.era.current, era.Era(3)) // a record of a later era reveals the rollback
 }
 
-// TestOwnWritesMayBeLostInRollback: also where it never heard of it from the store.
+// TestOwnWritesMayBeLostInRollback checks that an ownership that the instance wrote itself is
+// forgotten if the new era does not have it, even if no watch ever returned it.
 func TestOwnWritesMayBeLostInRollback(t *testing.T) {
 	is := is.New(t)
 	b := newOwner(t)
@@ -301,8 +313,9 @@
 	is.True(!known)
 }
 
-// TestNoClaimWithoutEraRecord: a claim that doesn't depend on one may come after the store
-// went back once more.
+// TestNoClaimWithoutEraRecord checks that an instance writes the era record before it claims
+// anything. A claim that is not conditional on the era record could take effect after another
+// rollback.
 func TestNoClaimWithoutEraRecord(t *testing.T) {
 	is := is.New(t)
 	b := newBench(t)
@@ -329,7 +342,9 @@
 	is.Equal(w.Depends, era.Era(2).Revision(51))
 }
 
-// TestPlacerKeepsPlacingAndReclaims: as a holder of engines does; others wait until it must have.
+// TestPlacerKeepsPlacingAndReclaims checks that after a rollback the placer continues and
+// rewrites its record, as an owner of engines does. Other instances wait until it must have
+// done so.
 func TestPlacerKeepsPlacingAndReclaims(t *testing.T) {
 	is := is.New(t)
 	b := newInEra(t, 1)
@@ -351,7 +366,7 @@
 	other := registry.Placer{Name: "b", Boot: 7, Era: 1}.Value()
 	b.receiveAll(2, record(2, 20, other))
 	is.True(b.g.IsPlacer(b.now))
-	is.True(seek() == nil) // not before its new lease
+	is.True(seek() == nil) // not before it has a new lease
 	b.enrol(2)
 	b.advance(time.Second)
 	p = seek()
@@ -364,7 +379,9 @@
 	is.True(b.g.IsPlacer(b.now))
 }
 
-// TestClaimWaitsForFormerPlacer: where there is no record of it, or it is this instance's own.
+// TestClaimWaitsForFormerPlacer checks that an instance that starts after a rollback waits for
+// a placer of the former era to stop before it claims the placer's record, if there is no
+// record or a former-era record in its own name.
 func TestClaimWaitsForFormerPlacer(t *testing.T) {
 	for name, records := range map[string][]registry.Record{
 		"no record":  nil,
--- a/core/ownership/ownership_test.go
+++ b/core/ownership/ownership_test.go
@@ -19,7 +19,7 @@
 	"github.com/birchdrift/birchdrift/core/step"
 )
 
-// testRegistry is the registry of an instance that knows engine e.
+// testRegistry returns the Registry of an instance that knows engine e.
 func testRegistry(now clock.Instant) *Registry {
 	opt := option.Default()
 	out := &step.Output{}
@@ -41,9 +41,10 @@
 	return New(Deps{State: state, Owned: own, Stopping: func() bool { return false }})
 }
 
-// TestReleasedEngineWaitsForRestOfTurnGap: an engine that is given back waits for
-// what is left of the turn gap since its last order, not for the whole gap; one
-// whose orders may still be on their way waits for all of it.
+// TestReleasedEngineWaitsForRestOfTurnGap checks that the first order to a released
+// engine waits only for the rest of the turn gap since the last order of its former
+// owner. If the former owner did not release it, its orders may still be in flight, and
+// the first order waits for OrderValid and the whole gap.
 func TestReleasedEngineWaitsForRestOfTurnGap(t *testing.T) {
 	is := is.New(t)
 	now := clocktest.At(time.Hour)
@@ -65,8 +66,9 @@
 	}
 }
 
-// TestRenewalInterval: only an instance whose record others rely on, to leave
-// its engines alone, renews it often; each renewal is paid for.
+// TestRenewalInterval checks that only an instance that owns engines or is the placer
+// renews often, since others rely on its record to leave its engines alone. Each renewal
+// costs a call.
 func TestRenewalInterval(t *testing.T) {
 	is := is.New(t)
 	now := clocktest.At(time.Hour)
@@ -81,22 +83,22 @@
 	is.Equal(g.renewalInterval(), g.Options.KeepEvery)
 }
 
-// TestDenial: an owner may order only while both its last renewal and
-// the last watch that it heard the records through are recent, by both clocks.
+// TestDenial checks that an owner may send orders only while its last answered renewal and
+// its last answered watch are both recent, by both the monotonic and the wall clock.
 func TestDenial(t *testing.T) {
 	valid := option.Default().OrderValid
 	cases := []struct {
-		name         string
-		kept, heard  time.Duration // ago; negative: never
-		stopping     bool
-		wallClockAdd time.Duration // that the wall clock went ahead of the other
-		want         denial
+		name             string
+		renewed, watched time.Duration // how long ago; negative: never
+		stopping         bool
+		wallClockAhead   time.Duration // by which the wall clock is ahead of the monotonic clock
+		want             denial
 	}{
 		{"both recent", time.Second, time.Second, false, 0, allowed},
 		{"never renewed", -1, time.Second, false, 0, neverRenewed},
-		{"never heard", time.Second, -1, false, 0, neverWatched},
+		{"never watched", time.Second, -1, false, 0, neverWatched},
 		{"renewed too long ago", valid, 0, false, 0, renewalTooOld},
-		{"heard too long ago", 0, valid, false, 0, watchTooOld},
+		{"watched too long ago", 0, valid, false, 0, watchTooOld},
 		{"just in time", valid - 1, valid - 1, false, 0, allowed},
 		{"stopping", 0, 0, true, 0, stopping},
 		{"suspended meanwhile", time.Second, time.Second, false, valid, renewalTooOld},
@@ -107,21 +109,20 @@
 			now := clocktest.At(time.Hour)
 			g := testRegistry(now)
 			g.Stopping = func() bool { return c.stopping }
-			if c.kept >= 0 {
-				g.enrolment.renewedAt = now.Add(-c.kept)
+			if c.renewed >= 0 {
+				g.enrolment.renewedAt = now.Add(-c.renewed)
 			}
-			if c.heard >= 0 {
-				g.WatchAnswered(now.Add(-c.heard))
+			if c.watched >= 0 {
+				g.WatchAnswered(now.Add(-c.watched))
 			}
-			now.Wall = now.Wall.Add(c.wallClockAdd)
+			now.Wall = now.Wall.Add(c.wallClockAhead)
 			is.Equal(g.denial(now), c.want)
 			is.Equal(g.MayOrder(now), c.want == allowed)
 		})
 	}
 }
 
-// TestFreeSince tables since when nobody is to be expected to order an
-// engine.
+// TestFreeSince checks since when no instance is expected to order an engine.
 func TestFreeSince(t *testing.T) {
 	now := clocktest.At(time.Hour)
 	long := now.Add(-time.Minute)
@@ -134,12 +135,12 @@
 		free    bool
 		since   clock.Instant
 	}{
-		{"the store has not answered for long enough to tell", func(g *Registry) { g.storeUpSince = clock.Instant{} }, registry.Ownership{}, false, false, clock.Instant{}},
-		{"nobody ever owned it", nil, registry.Ownership{}, false, true, now},
-		{"given back", func(g *Registry) { g.learntAt["e"] = now.Add(-time.Second) }, registry.Ownership{}, true, true, now.Add(-time.Second)},
-		{"its owner is there", func(g *Registry) { g.instances["a"] = registry.Instance{Name: "a"} }, registry.Ownership{Owner: "a"}, true, false, clock.Instant{}},
-		{"its owner's record was never seen", nil, registry.Ownership{Owner: "a"}, true, false, clock.Instant{}},
-		{"its owner's record went", func(g *Registry) { g.absentSince["a"] = now.Add(-2 * time.Second) }, registry.Ownership{Owner: "a"}, true, true, now.Add(-2 * time.Second).Add(absent)},
+		{"store does not answer yet", func(g *Registry) { g.storeUpSince = clock.Instant{} }, registry.Ownership{}, false, false, clock.Instant{}},
+		{"never owned", nil, registry.Ownership{}, false, true, now},
+		{"owner released it", func(g *Registry) { g.learntAt["e"] = now.Add(-time.Second) }, registry.Ownership{}, true, true, now.Add(-time.Second)},
+		{"owner is present", func(g *Registry) { g.instances["a"] = registry.Instance{Name: "a"} }, registry.Ownership{Owner: "a"}, true, false, clock.Instant{}},
+		{"owner's record was never seen", nil, registry.Ownership{Owner: "a"}, true, false, clock.Instant{}},
+		{"owner's record was deleted", func(g *Registry) { g.absentSince["a"] = now.Add(-2 * time.Second) }, registry.Ownership{Owner: "a"}, true, true, now.Add(-2 * time.Second).Add(absent)},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/core/ownership/rank.go
+++ b/core/ownership/rank.go
@@ -7,16 +7,16 @@
 	"github.com/birchdrift/birchdrift/core/rendezvous"
 )
 
-// Ranks: in which order instances take what nobody holds. Every instance works its
-// own rank out and waits claimStep for each that comes before it, so that usually
-// one of them writes.
+// This file ranks the instances that may claim an engine or the placer's record. Every
+// instance computes its own rank and waits claimRankDelay for each instance of higher
+// rank, so that usually only one of them writes.
 
 // A candidate is an instance that watches the store, and so may own engines and
 // place models.
 type candidate struct {
 	name      string
 	zone      string
-	processor float64 // the share of a core that it may use, 0 if that is not known
+	processor float64 // CPU quota in cores, 0 if unknown
 }
 
 // self returns this instance as a candidate.
@@ -38,7 +38,7 @@
 
 // ownerRank returns the number of candidates that are preferred to self as the owner of an
 // engine. Candidates in the engine's zone come first, since they reach it when the zone
-// is partitioned from the others. The rest is rendezvous hashing, which spreads the engines.
+// is partitioned from the others. Within each group, rendezvous hashing spreads the engines.
 func ownerRank(engine, zone string, self candidate, all []candidate) int {
 	near := func(c candidate) int {
 		if c.zone == zone {
