--- a/core/ownership/era.go
+++ b/core/ownership/era.go
@@ -161,8 +161,8 @@
 		return
 	}
 	x.writing = true
-	mark := registry.EraRecord{Era: x.current, First: !x.rolledBack && !g.hasStale()}
-	g.Out.Emit(Write{Write: Txn{Mark: &mark, Former: g.formerEraRecords}})
+	record := registry.EraRecord{Era: x.current, First: !x.rolledBack && !g.hasStale()}
+	g.Out.Emit(Write{Write: Txn{Mark: &record, Former: g.formerEraRecords}})
 }
 
 // hasStale reports whether any record of a former era is known.
@@ -189,9 +189,9 @@
 	if e.Conflict || e.Write.Mark.Era != g.era.current {
 		return // the watch returns the record that exists
 	}
-	mark := *e.Write.Mark
-	mark.Revision = e.Revision
-	g.applyEraRecord(mark)
+	record := *e.Write.Mark
+	record.Revision = e.Revision
+	g.applyEraRecord(record)
 }
 
 // applyEraRecord applies an era record.
--- a/core/ownership/era_test.go
+++ b/core/ownership/era_test.go
@@ -55,8 +55,8 @@
 
 // receiveAll delivers the complete records of an era: the given ones and the era record.
 func (b *bench) receiveAll(e era.Era, records ...registry.Record) {
-	mark := registry.EraRecord{Era: e, First: e == 1}
-	records = append(records, record(e, 3, mark.Value()))
+	eraRecord := registry.EraRecord{Era: e, First: e == 1}
+	records = append(records, record(e, 3, eraRecord.Value()))
 	b.g.HandleWatchUpdate(b.now, WatchUpdate{Records: records, Version: e.Revision(50), Whole: true})
 	b.g.WatchAnswered(b.now)
 }
@@ -89,10 +89,10 @@
 	return b.g.Out.Actions()
 }
 
-// awaitClaims advances the time by at most most until claims are written, and returns their
+// awaitClaims advances the time by at most limit until claims are written, and returns their
 // transaction.
-func (b *bench) awaitClaims(most time.Duration) (Txn, bool) {
-	for end := b.now.Add(most); b.now.Before(end); b.advance(100 * time.Millisecond) {
+func (b *bench) awaitClaims(limit time.Duration) (Txn, bool) {
+	for end := b.now.Add(limit); b.now.Before(end); b.advance(100 * time.Millisecond) {
 		for _, a := range b.tick() {
 			if w, ok := a.(Write); ok && len(w.Write.Claim) > 0 {
 				return w.Write, true
@@ -135,9 +135,9 @@
 func TestOwnerKeepsOrderingAndReclaims(t *testing.T) {
 	for name, found := range map[string][]registry.Record{
 		"its own record":    {record(2, 20, ownerRecord("self", 1))},
-		"another's record":  {record(2, 20, ownerRecord("b", 1))},
+		"another's":         {record(2, 20, ownerRecord("b", 1))},
 		"a released record": {record(2, 20, ownerRecord("", 1))},
-		"no record":         nil,
+		"none":              nil,
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -231,14 +231,14 @@
 	for _, e := range []era.Era{1, 2} {
 		is := is.New(t)
 		b := newInEra(t, e)
-		heard := b.now
+		start := b.now
 		w, ok := b.awaitClaims(5 * time.Second)
 		is.True(ok)
 		b.g.HandleWriteReply(b.now, WriteReply{Write: w, Revision: e.Revision(60)})
 		want := b.now
 		if e > 1 {
 			o := b.g.Options
-			want = heard.Add(2*o.OrderValid + o.TurnGap + turnMargin)
+			want = start.Add(2*o.OrderValid + o.TurnGap + turnMargin)
 		}
 		is.Equal(b.g.Owned.Get("e").From, want)
 	}
@@ -322,7 +322,7 @@
 	b.g.HandleWatchUpdate(b.now, WatchUpdate{Version: era.Era(2).Revision(50), Whole: true})
 	b.g.WatchAnswered(b.now)
 	b.enrol(2)
-	var mark *registry.EraRecord
+	var eraRecord *registry.EraRecord
 	for range 30 {
 		for _, a := range b.tick() {
 			w, ok := a.(Write)
@@ -330,13 +330,13 @@
 				continue
 			}
 			is.Equal(len(w.Write.Claim), 0)
-			mark = w.Write.Mark
+			eraRecord = w.Write.Mark
 		}
 		b.advance(100 * time.Millisecond)
 	}
-	is.True(mark != nil)
-	is.Equal(mark.Era, era.Era(2))
-	b.g.HandleWriteReply(b.now, WriteReply{Write: Txn{Mark: mark}, Revision: era.Era(2).Revision(51)})
+	is.True(eraRecord != nil)
+	is.Equal(eraRecord.Era, era.Era(2))
+	b.g.HandleWriteReply(b.now, WriteReply{Write: Txn{Mark: eraRecord}, Revision: era.Era(2).Revision(51)})
 	w, ok := b.awaitClaims(time.Second)
 	is.True(ok)
 	is.Equal(w.Depends, era.Era(2).Revision(51))
@@ -384,13 +384,13 @@
 // record or a former-era record in its own name.
 func TestClaimWaitsForFormerPlacer(t *testing.T) {
 	for name, records := range map[string][]registry.Record{
-		"no record":  nil,
+		"none":       nil,
 		"its record": {record(2, 20, registry.Placer{Name: "self", Boot: 7, Era: 1}.Value())},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			b := newInEra(t, 2, records...)
-			heard := b.now
+			start := b.now
 			for range 200 {
 				b.g.Out.Reset()
 				b.g.ClaimPlacer(b.now)
@@ -400,7 +400,7 @@
 				b.advance(100 * time.Millisecond)
 			}
 			is.True(len(b.g.Out.Actions()) > 0)
-			is.True(b.now.Since(heard) >= 2*b.g.Options.OrderValid)
+			is.True(b.now.Since(start) >= 2*b.g.Options.OrderValid)
 		})
 	}
 }
--- a/core/ownership/ownership.go
+++ b/core/ownership/ownership.go
@@ -183,8 +183,8 @@
 	if g.Stopping() {
 		return
 	}
-	if why := g.denial(now); why != allowed {
-		g.loseAll(now, string(why))
+	if reason := g.denial(now); reason != allowed {
+		g.loseAll(now, string(reason))
 	}
 	g.loseFormer(now)
 	g.renewOrEnrol(now)
@@ -245,8 +245,8 @@
 
 // loseAll gives up all engines and the task of the placer. Other instances may have
 // claimed them without the knowledge of this one, so it must claim them again.
-func (g *Registry) loseAll(now clock.Instant, why string) {
-	g.Owned.LoseAll(now, why)
+func (g *Registry) loseAll(now clock.Instant, reason string) {
+	g.Owned.LoseAll(now, reason)
 	g.placer.held = false
 }
 
@@ -367,11 +367,11 @@
 // loseUnlessFormer ends the ownership of an engine unless it was gained in a former era of
 // the store. No other instance can have claimed such an engine yet, whatever its record says
 // and even if the record was deleted.
-func (g *Registry) loseUnlessFormer(now clock.Instant, engine, why string) {
+func (g *Registry) loseUnlessFormer(now clock.Instant, engine, reason string) {
 	if e := g.Owned.Get(engine); e == nil || g.era.isFormer(e.Fence) {
 		return
 	}
-	g.Owned.Lose(now, engine, why)
+	g.Owned.Lose(now, engine, reason)
 }
 
 // HandleWriteReply handles the result of a write. After an error or a conflict, the watch
--- a/core/watch/watch.go
+++ b/core/watch/watch.go
@@ -293,13 +293,13 @@
 // logListAge logs when the list becomes older than expected, and when it is current again.
 func (w *Watch) logListAge(now clock.Instant) {
 	age := w.Exchanges.StoreAge(now)
-	most := max(w.Options.Bounds.Leave/2, w.delays().MaxListAge())
+	limit := max(w.Options.Bounds.Leave/2, w.delays().MaxListAge())
 	switch {
 	case w.Exchanges.StoreKnownUntil().IsZero():
-	case age > most:
+	case age > limit:
 		if !w.staleList.logged && !w.Outage.Down() {
 			w.staleList = staleListLog{logged: true}
-			w.Out.Log(logevent.ListOld, "age_ms", age.Milliseconds(), "most_ms", most.Milliseconds())
+			w.Out.Log(logevent.ListOld, "age_ms", age.Milliseconds(), "most_ms", limit.Milliseconds())
 		}
 		w.staleList.maxAge = max(w.staleList.maxAge, age)
 	case w.staleList.logged:
