--- a/core/watch/watch.go
+++ b/core/watch/watch.go
@@ -80,7 +80,7 @@
 	onRoster   bool          // it is one of its zone's watchers
 	engines    int           // number of engines that it owns
 	placer     bool          // it places models
-	newsAge    time.Duration // age of the known store contents, from the store or from peers
+	storeAge   time.Duration // age of the known store contents, from the store or from peers
 	maxNewsAge time.Duration // age above which this instance queries the store itself
 	behind     time.Duration // how long peers have had a newer configuration; 0: no peer has
 }
@@ -98,7 +98,7 @@
 		return ownsEngines
 	case v.placer:
 		return isPlacer
-	case v.newsAge > v.maxNewsAge:
+	case v.storeAge > v.maxNewsAge:
 		return newsTooOld
 	case v.behind > MaxConfigLag:
 		return peersAhead
@@ -173,7 +173,7 @@
 		onRoster:   !alone && w.Roster.IncludesSelf(now),
 		engines:    w.Registry.Owned.Len(),
 		placer:     w.Registry.HoldsPlacer(),
-		newsAge:    w.Exchanges.StoreAge(now),
+		storeAge:   w.Exchanges.StoreAge(now),
 		maxNewsAge: w.Options.Bounds.MaxStoreSilence(),
 		behind:     behind,
 	}
--- a/core/watch/watch_test.go
+++ b/core/watch/watch_test.go
@@ -10,7 +10,7 @@
 // TestWatchReason checks that the reason for a watch is the first one that applies.
 func TestWatchReason(t *testing.T) {
 	const maxAge = 2 * time.Second
-	current := view{newsAge: maxAge, maxNewsAge: maxAge, behind: MaxConfigLag}
+	current := view{storeAge: maxAge, maxNewsAge: maxAge, behind: MaxConfigLag}
 	for _, tt := range []struct {
 		name string
 		view view
@@ -20,8 +20,8 @@
 		{"alone", view{alone: true, engines: 1}, isolated},
 		{"one of the watchers", view{onRoster: true, placer: true}, onRoster},
 		{"an owner", view{engines: 1, placer: true}, ownsEngines},
-		{"the placer", view{placer: true, newsAge: time.Hour}, isPlacer},
-		{"updates from peers are too old", view{newsAge: maxAge + 1, maxNewsAge: maxAge, behind: time.Hour}, newsTooOld},
+		{"the placer", view{placer: true, storeAge: time.Hour}, isPlacer},
+		{"updates from peers are too old", view{storeAge: maxAge + 1, maxNewsAge: maxAge, behind: time.Hour}, newsTooOld},
 		{"peers have a newer configuration", view{behind: MaxConfigLag + 1}, peersAhead},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
