--- a/core/watch/watch.go
+++ b/core/watch/watch.go
@@ -76,13 +76,13 @@
 
 // A view holds the facts by which an instance decides whether to watch.
 type view struct {
-	alone      bool          // no peer was heard recently
-	onRoster   bool          // it is one of its zone's watchers
-	engines    int           // number of engines that it owns
-	placer     bool          // it places models
-	storeAge   time.Duration // age of the known store contents, from the store or from peers
-	maxNewsAge time.Duration // age above which this instance queries the store itself
-	behind     time.Duration // how long peers have had a newer configuration; 0: no peer has
+	alone       bool          // no peer was heard recently
+	onRoster    bool          // it is one of its zone's watchers
+	engines     int           // number of engines that it owns
+	placer      bool          // it places models
+	storeAge    time.Duration // age of the known store contents, from the store or from peers
+	maxStoreAge time.Duration // age above which this instance queries the store itself
+	behind      time.Duration // how long peers have had a newer configuration; 0: no peer has
 }
 
 // reason returns why an instance watches. An owner must watch, since otherwise it
@@ -98,7 +98,7 @@
 		return ownsEngines
 	case v.placer:
 		return isPlacer
-	case v.storeAge > v.maxNewsAge:
+	case v.storeAge > v.maxStoreAge:
 		return newsTooOld
 	case v.behind > MaxConfigLag:
 		return peersAhead
@@ -169,13 +169,13 @@
 	alone := w.Exchanges.Isolated(now)
 	behind, _ := w.Exchanges.ConfigLag(now)
 	return view{
-		alone:      alone,
-		onRoster:   !alone && w.Roster.IncludesSelf(now),
-		engines:    w.Registry.Owned.Len(),
-		placer:     w.Registry.HoldsPlacer(),
-		storeAge:   w.Exchanges.StoreAge(now),
-		maxNewsAge: w.Options.Bounds.MaxStoreSilence(),
-		behind:     behind,
+		alone:       alone,
+		onRoster:    !alone && w.Roster.IncludesSelf(now),
+		engines:     w.Registry.Owned.Len(),
+		placer:      w.Registry.HoldsPlacer(),
+		storeAge:    w.Exchanges.StoreAge(now),
+		maxStoreAge: w.Options.Bounds.MaxStoreSilence(),
+		behind:      behind,
 	}
 }
 
