--- a/core/watch/watch.go
+++ b/core/watch/watch.go
@@ -70,7 +70,7 @@
 	onRoster    reason = "it is one of its zone's watchers"
 	ownsEngines reason = "it owns engines"
 	isPlacer    reason = "it places models"
-	newsTooOld  reason = "store contents from peers are too old"
+	storeTooOld reason = "store contents from peers are too old"
 	peersAhead  reason = "peers have had a newer configuration for too long"
 )
 
@@ -99,7 +99,7 @@
 	case v.placer:
 		return isPlacer
 	case v.storeAge > v.maxStoreAge:
-		return newsTooOld
+		return storeTooOld
 	case v.behind > MaxConfigLag:
 		return peersAhead
 	default:
--- a/core/watch/watch_test.go
+++ b/core/watch/watch_test.go
@@ -21,7 +21,7 @@
 		{"one of the watchers", view{onRoster: true, placer: true}, onRoster},
 		{"an owner", view{engines: 1, placer: true}, ownsEngines},
 		{"the placer", view{placer: true, storeAge: time.Hour}, isPlacer},
-		{"updates from peers are too old", view{storeAge: maxAge + 1, maxStoreAge: maxAge, behind: time.Hour}, newsTooOld},
+		{"updates from peers are too old", view{storeAge: maxAge + 1, maxStoreAge: maxAge, behind: time.Hour}, storeTooOld},
 		{"peers have a newer configuration", view{behind: MaxConfigLag + 1}, peersAhead},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
