--- a/core/exchange/rhythm.go
+++ b/core/exchange/rhythm.go
@@ -11,10 +11,10 @@
 // This file decides when this instance starts exchanges, and with which peers.
 
 const (
-	// newsInterval is the time between exchanges with successive neighbours while there
+	// updateInterval is the time between exchanges with successive neighbours while there
 	// are updates that calls may wait for: which items an engine holds, or which replica
 	// is leaving.
-	newsInterval = 400 * time.Millisecond
+	updateInterval = 400 * time.Millisecond
 	// failingPeerRounds is the number of rounds of the full mesh in which a failing peer
 	// is tried once.
 	failingPeerRounds = 4
@@ -50,7 +50,7 @@
 	every := x.Options.PlatformExchangeInterval()
 	if r.newsRounds > 0 {
 		r.newsRounds--
-		every = min(every, newsInterval)
+		every = min(every, updateInterval)
 	}
 	r.due = now.Add(step.Jitter(x.Rand, every))
 	if r.urgent {
@@ -90,7 +90,7 @@
 // them receive an update.
 func (x *Exchanges) TellSoon(now clock.Instant) {
 	x.schedule.newsRounds = len(x.Members.Neighbours())
-	if due := now.Add(newsInterval); due.Before(x.schedule.due) {
+	if due := now.Add(updateInterval); due.Before(x.schedule.due) {
 		x.schedule.due = due
 	}
 }
