--- a/core/exchange/rhythm.go
+++ b/core/exchange/rhythm.go
@@ -27,12 +27,12 @@
 
 // A schedule holds when the next exchanges are due, and with which peers.
 type schedule struct {
-	due        clock.Instant
-	meshDue    clock.Instant // of the full mesh
-	round      int
-	nextIndex  int  // round-robin position among neighbours or watchers
-	newsRounds int  // number of coming exchanges to space by newsInterval
-	urgent     bool // exchange with every neighbour at once
+	due          clock.Instant
+	meshDue      clock.Instant // of the full mesh
+	round        int
+	nextIndex    int  // round-robin position among neighbours or watchers
+	updateRounds int  // number of coming exchanges to space by newsInterval
+	urgent       bool // exchange with every neighbour at once
 }
 
 // Tick starts the exchanges that are due.
@@ -48,8 +48,8 @@
 		return
 	}
 	every := x.Options.PlatformExchangeInterval()
-	if r.newsRounds > 0 {
-		r.newsRounds--
+	if r.updateRounds > 0 {
+		r.updateRounds--
 		every = min(every, updateInterval)
 	}
 	r.due = now.Add(step.Jitter(x.Rand, every))
@@ -89,7 +89,7 @@
 // TellSoon brings the next exchanges forward, one for each neighbour, so that all of
 // them receive an update.
 func (x *Exchanges) TellSoon(now clock.Instant) {
-	x.schedule.newsRounds = len(x.Members.Neighbours())
+	x.schedule.updateRounds = len(x.Members.Neighbours())
 	if due := now.Add(updateInterval); due.Before(x.schedule.due) {
 		x.schedule.due = due
 	}
