--- a/core/ownership/claim.go
+++ b/core/ownership/claim.go
@@ -173,16 +173,16 @@
 		}
 		from := firstOrder(now, claim, first, g.Options)
 		if first {
-			from = clock.Latest(from, g.formerHolderEnds(now))
+			from = clock.Latest(from, g.formerOwnerEnd(now))
 		}
 		g.Owned.Acquire(now, claim, from)
 	}
 }
 
-// formerHolderEnds returns the time from which an engine without a record may be ordered. By
+// formerOwnerEnd returns the time from which an engine without a record may be ordered. By
 // then an instance that owned it in a former era, by a record that the store has lost, has
 // stopped sending orders. The result is now if there was no former era.
-func (g *Registry) formerHolderEnds(now clock.Instant) clock.Instant {
+func (g *Registry) formerOwnerEnd(now clock.Instant) clock.Instant {
 	if g.era.firstEver() {
 		return now
 	}
