--- a/core/exchange/rhythm.go
+++ b/core/exchange/rhythm.go
@@ -31,7 +31,7 @@
 	meshDue      clock.Instant // of the full mesh
 	round        int
 	nextIndex    int  // round-robin position among neighbours or watchers
-	updateRounds int  // number of coming exchanges to space by newsInterval
+	updateRounds int  // number of coming exchanges to space by updateInterval
 	urgent       bool // exchange with every neighbour at once
 }
 
--- a/core/ownership/era_test.go
+++ b/core/ownership/era_test.go
@@ -384,7 +384,7 @@
 // record or a former-era record in its own name.
 func TestClaimWaitsForFormerPlacer(t *testing.T) {
 	for name, records := range map[string][]registry.Record{
-		"none":       nil,
+		"no record":  nil,
 		"its record": {record(2, 20, registry.Placer{Name: "self", Boot: 7, Era: 1}.Value())},
 	} {
 		t.Run(name, func(t *testing.T) {
