--- a/core/member/member.go
+++ b/core/member/member.go
@@ -135,7 +135,7 @@
 
 // Neighbours returns the peers of the own zone that this instance starts exchanges
 // with: those 1, 2, 4, 8 and so on places ahead on the ring of all members sorted
-// by name. Updates reach the whole zone in at most log2(ring size) hops, and each
+// by name. Updates reach the whole zone in as many hops as the ring size has bits, and each
 // pair exchanges often enough that the deltas between them stay small. With
 // randomly chosen partners, the deltas would grow with the size of the zone.
 func (t *Table) Neighbours() []*Peer {
