--- a/core/watch/watch.go
+++ b/core/watch/watch.go
@@ -76,7 +76,7 @@
 
 // A view holds the facts by which an instance decides whether to watch.
 type view struct {
-	alone       bool          // no peer was heard recently
+	isolated    bool          // no peer was heard recently
 	onRoster    bool          // it is one of its zone's watchers
 	engines     int           // number of engines that it owns
 	placer      bool          // it places models
@@ -90,7 +90,7 @@
 // changes must query the store itself.
 func (v view) reason() reason {
 	switch {
-	case v.alone:
+	case v.isolated:
 		return isolated
 	case v.onRoster:
 		return onRoster
@@ -169,7 +169,7 @@
 	alone := w.Exchanges.Isolated(now)
 	behind, _ := w.Exchanges.ConfigLag(now)
 	return view{
-		alone:       alone,
+		isolated:    alone,
 		onRoster:    !alone && w.Roster.IncludesSelf(now),
 		engines:     w.Registry.Owned.Len(),
 		placer:      w.Registry.HoldsPlacer(),
--- a/core/watch/watch_test.go
+++ b/core/watch/watch_test.go
@@ -17,7 +17,7 @@
 		want reason
 	}{
 		{"peers provide all updates", current, notNeeded},
-		{"alone", view{alone: true, engines: 1}, isolated},
+		{"alone", view{isolated: true, engines: 1}, isolated},
 		{"one of the watchers", view{onRoster: true, placer: true}, onRoster},
 		{"an owner", view{engines: 1, placer: true}, ownsEngines},
 		{"the placer", view{placer: true, storeAge: time.Hour}, isPlacer},
