--- a/core/watch/watch.go
+++ b/core/watch/watch.go
@@ -82,7 +82,7 @@
 	placer      bool          // it places models
 	storeAge    time.Duration // age of the known store contents, from the store or from peers
 	maxStoreAge time.Duration // age above which this instance queries the store itself
-	behind      time.Duration // how long peers have had a newer configuration; 0: no peer has
+	configLag   time.Duration // how long peers have had a newer configuration; 0: no peer has
 }
 
 // reason returns why an instance watches. An owner must watch, since otherwise it
@@ -100,7 +100,7 @@
 		return isPlacer
 	case v.storeAge > v.maxStoreAge:
 		return storeTooOld
-	case v.behind > MaxConfigLag:
+	case v.configLag > MaxConfigLag:
 		return peersAhead
 	default:
 		return notNeeded
@@ -175,7 +175,7 @@
 		placer:      w.Registry.HoldsPlacer(),
 		storeAge:    w.Exchanges.StoreAge(now),
 		maxStoreAge: w.Options.Bounds.MaxStoreSilence(),
-		behind:      behind,
+		configLag:   behind,
 	}
 }
 
--- a/core/watch/watch_test.go
+++ b/core/watch/watch_test.go
@@ -10,7 +10,7 @@
 // TestWatchReason checks that the reason for a watch is the first one that applies.
 func TestWatchReason(t *testing.T) {
 	const maxAge = 2 * time.Second
-	current := view{storeAge: maxAge, maxStoreAge: maxAge, behind: MaxConfigLag}
+	current := view{storeAge: maxAge, maxStoreAge: maxAge, configLag: MaxConfigLag}
 	for _, tt := range []struct {
 		name string
 		view view
@@ -21,8 +21,8 @@
 		{"one of the watchers", view{onRoster: true, placer: true}, onRoster},
 		{"an owner", view{engines: 1, placer: true}, ownsEngines},
 		{"the placer", view{placer: true, storeAge: time.Hour}, isPlacer},
-		{"updates from peers are too old", view{storeAge: maxAge + 1, maxStoreAge: maxAge, behind: time.Hour}, storeTooOld},
-		{"peers have a newer configuration", view{behind: MaxConfigLag + 1}, peersAhead},
+		{"updates from peers are too old", view{storeAge: maxAge + 1, maxStoreAge: maxAge, configLag: time.Hour}, storeTooOld},
+		{"peers have a newer configuration", view{configLag: MaxConfigLag + 1}, peersAhead},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
