--- a/core/watch/watch.go
+++ b/core/watch/watch.go
@@ -167,7 +167,7 @@
 // view returns the current facts.
 func (w *Watch) view(now clock.Instant) view {
 	alone := w.Exchanges.Isolated(now)
-	behind, _ := w.Exchanges.ConfigLag(now)
+	lag, _ := w.Exchanges.ConfigLag(now)
 	return view{
 		isolated:    alone,
 		onRoster:    !alone && w.Roster.IncludesSelf(now),
@@ -175,7 +175,7 @@
 		placer:      w.Registry.HoldsPlacer(),
 		storeAge:    w.Exchanges.StoreAge(now),
 		maxStoreAge: w.Options.Bounds.MaxStoreSilence(),
-		configLag:   behind,
+		configLag:   lag,
 	}
 }
 
