--- a/core/registry/registry.go
+++ b/core/registry/registry.go
@@ -249,6 +249,8 @@
 // Value encodes the quarantine's record.
 func (q Quarantine) Value() Value { return value(quarantinePrefix+q.Request.String(), q) }
 
+// value encodes record under key. It panics on failure, which cannot happen, since records
+// consist of plain fields only.
 func value(key string, record any) Value {
 	data, err := json.Marshal(record)
 	if err != nil {
