--- a/core/ownership/placer.go
+++ b/core/ownership/placer.go
@@ -15,13 +15,13 @@
 // A placer holds the known placer's record and the state of this instance's claim to
 // it. The record is attached to its holder's lease and is deleted with it.
 type placer struct {
-	record     registry.Placer
-	deletedAt  clock.Instant    // when the last record was released or deleted
-	held       bool             // this instance's last write took the record and still counts
-	fence      era.Revision     // revision of that write
-	handedOver *registry.Placer // the record with which the previous placer released the task; nil: it did not
-	claiming   bool             // a write of the record is in flight
-	claimDue   clock.Instant    // earliest time of the next write
+	record      registry.Placer
+	vacantSince clock.Instant    // when the last record was released or deleted
+	held        bool             // this instance's last write took the record and still counts
+	fence       era.Revision     // revision of that write
+	handedOver  *registry.Placer // the record with which the previous placer released the task; nil: it did not
+	claiming    bool             // a write of the record is in flight
+	claimDue    clock.Instant    // earliest time of the next write
 }
 
 // Placer returns the newest known placer's record. Its Name is "" if no placer is known.
@@ -75,7 +75,7 @@
 	if p.record.Name != "" && p.record.Name != g.Self.Name {
 		return false
 	}
-	free := clock.Latest(g.storeUpSince, p.deletedAt)
+	free := clock.Latest(g.storeUpSince, p.vacantSince)
 	if !g.era.firstEver() {
 		// By then a placer of a former era that has not rewritten its record has stopped.
 		free = clock.Latest(free, g.formerRightsEnd())
@@ -122,7 +122,7 @@
 // applyPlacer applies the placer's record p. The zero Placer means that it was deleted.
 func (g *Registry) applyPlacer(now clock.Instant, p registry.Placer) {
 	if p.Name == "" {
-		g.placer.deletedAt = now
+		g.placer.vacantSince = now
 	}
 	g.placer.record = p
 	switch {
