--- a/core/ownership/claim.go
+++ b/core/ownership/claim.go
@@ -183,7 +183,7 @@
 // then an instance that owned it in a former era, by a record that the store has lost, has
 // stopped sending orders. The result is now if there was no former era.
 func (g *Registry) formerOwnerEnd(now clock.Instant) clock.Instant {
-	if g.era.firstEver() {
+	if g.era.isFirst() {
 		return now
 	}
 	return g.formerRightsEnd().Add(g.Options.TurnGap)
--- a/core/ownership/era.go
+++ b/core/ownership/era.go
@@ -60,8 +60,8 @@
 	return x.current == 0 || x.record != nil
 }
 
-// firstEver reports whether no record of the product can have been lost with a former era.
-func (x *storeEra) firstEver() bool { return x.current == 0 || x.record != nil && x.record.First }
+// isFirst reports whether no record of the product can have been lost with a former era.
+func (x *storeEra) isFirst() bool { return x.current == 0 || x.record != nil && x.record.First }
 
 // recordRevision returns the revision of the era record that claims are conditional on, 0 if
 // there is no such condition.
--- a/core/ownership/placer.go
+++ b/core/ownership/placer.go
@@ -76,7 +76,7 @@
 		return false
 	}
 	free := clock.Latest(g.storeUpSince, p.vacantSince)
-	if !g.era.firstEver() {
+	if !g.era.isFirst() {
 		// By then a placer of a former era that has not rewritten its record has stopped.
 		free = clock.Latest(free, g.formerRightsEnd())
 	}
