--- a/core/ownership/claim.go
+++ b/core/ownership/claim.go
@@ -186,7 +186,7 @@
 	if g.era.isFirst() {
 		return now
 	}
-	return g.formerRightsEnd().Add(g.Options.TurnGap)
+	return g.formerEraExpiry().Add(g.Options.TurnGap)
 }
 
 // firstOrder returns when an instance may send the first order to an engine that it has
--- a/core/ownership/era.go
+++ b/core/ownership/era.go
@@ -105,11 +105,11 @@
 	g.SteppedBack(now)
 }
 
-// formerRightsEnd returns the time from which no instance sends orders by an ownership of a
+// formerEraExpiry returns the time from which no instance sends orders by an ownership of a
 // former era that it has not claimed again. Each such owner observed the new era while its
 // ownership was valid, at most OrderValid after the rollback, and gives the ownership up
 // OrderValid after that.
-func (g *Registry) formerRightsEnd() clock.Instant {
+func (g *Registry) formerEraExpiry() clock.Instant {
 	return g.era.since.Add(2*g.Options.OrderValid + turnMargin)
 }
 
--- a/core/ownership/placer.go
+++ b/core/ownership/placer.go
@@ -78,7 +78,7 @@
 	free := clock.Latest(g.storeUpSince, p.vacantSince)
 	if !g.era.isFirst() {
 		// By then a placer of a former era that has not rewritten its record has stopped.
-		free = clock.Latest(free, g.formerRightsEnd())
+		free = clock.Latest(free, g.formerEraExpiry())
 	}
 	if p.record.Name == g.Self.Name {
 		return !g.era.isStale(p.record.Era) || !now.Before(free)
