--- a/core/ownership/placer.go
+++ b/core/ownership/placer.go
@@ -54,8 +54,8 @@
 	}
 	p.handedOver = nil
 	if p.record.Name == "" && p.record.Revision != 0 && !g.era.isStale(p.record.Era) {
-		given := p.record
-		p.handedOver = &given
+		released := p.record
+		p.handedOver = &released
 	}
 	p.claiming = true
 	record := registry.Placer{Name: g.Self.Name, Boot: g.Self.Boot, Era: g.era.current, Revision: p.record.Revision}
