--- a/core/ownership/enrol.go
+++ b/core/ownership/enrol.go
@@ -129,13 +129,13 @@
 	if g.placer.held {
 		placer = &registry.Placer{Loads: loads, Era: g.era.current, Revision: g.placer.record.Revision}
 	}
-	var give []registry.Ownership
+	var released []registry.Ownership
 	for _, name := range g.Owned.Names() {
 		o := registry.Ownership{Engine: name, Era: g.era.current, Revision: g.owners[name].Revision}
 		o.QuietMS = g.Owned.Get(name).SinceLastOrder(now).Milliseconds()
-		give = append(give, o)
+		released = append(released, o)
 	}
 	g.Owned.LoseAll(now, "this instance stops")
 	g.enrolment.held = false
-	g.Out.Emit(Resign{Lease: g.enrolment.lease, Give: give, Placer: placer, Depends: g.era.recordRevision()})
+	g.Out.Emit(Resign{Lease: g.enrolment.lease, Give: released, Placer: placer, Depends: g.era.recordRevision()})
 }
