--- a/core/ownership/ownership.go
+++ b/core/ownership/ownership.go
@@ -283,7 +283,7 @@
 // Merge applies those of the records that are newer than the known ones. from is the
 // peer that sent them, "" if they come from the store itself.
 func (g *Registry) Merge(now clock.Instant, from string, records []registry.Record) {
-	var news []registry.Record
+	var newer []registry.Record
 	for _, r := range records {
 		g.observeEra(now, r.Revision.Era())
 	}
@@ -292,11 +292,11 @@
 			continue // a peer does not know yet that the store was restored from an older copy
 		}
 		if g.Records.AddRegistered(from, r) {
-			news = append(news, r)
+			newer = append(newer, r)
 		}
 	}
-	if len(news) > 0 {
-		g.apply(now, registry.ChangeOf(news))
+	if len(newer) > 0 {
+		g.apply(now, registry.ChangeOf(newer))
 		g.TellSoon(now)
 	}
 }
