--- a/core/ownership/claim.go
+++ b/core/ownership/claim.go
@@ -123,11 +123,11 @@
 	if v.ownerPresent {
 		return v
 	}
-	gone, seen := g.absentSince[old.Owner]
+	since, seen := g.absentSince[old.Owner]
 	if !seen {
 		g.absentSince[old.Owner] = now
 	}
-	v.ownerAbsentSince = gone
+	v.ownerAbsentSince = since
 	return v
 }
 
