--- a/core/ownership/rank.go
+++ b/core/ownership/rank.go
@@ -40,13 +40,13 @@
 // engine. Candidates in the engine's zone come first, since they reach it when the zone
 // is partitioned from the others. Within each group, rendezvous hashing spreads the engines.
 func ownerRank(engine, zone string, self candidate, all []candidate) int {
-	near := func(c candidate) int {
+	inEngineZone := func(c candidate) int {
 		if c.zone == zone {
 			return 1
 		}
 		return 0
 	}
-	return rank(engine, self, all, func(a, b candidate) int { return near(a) - near(b) })
+	return rank(engine, self, all, func(a, b candidate) int { return inEngineZone(a) - inEngineZone(b) })
 }
 
 // placerRank returns the number of candidates that are preferred to self as the placer.
