--- a/core/ownership/era_test.go
+++ b/core/ownership/era_test.go
@@ -117,8 +117,8 @@
 	return b
 }
 
-// orderable reports whether engine e may be ordered.
-func (b *bench) orderable() bool {
+// mayOrder reports whether engine e may be ordered.
+func (b *bench) mayOrder() bool {
 	e := b.g.Owned.Get("e")
 	return e != nil && b.g.Owned.Orderable(b.now, e)
 }
@@ -142,9 +142,9 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			b := newOwner(t)
-			is.True(b.orderable())
+			is.True(b.mayOrder())
 			b.receiveAll(2, found...)
-			is.True(b.orderable())
+			is.True(b.mayOrder())
 			w, ok := b.awaitClaims(time.Second)
 			is.True(ok)
 			is.Equal(w.Claim[0].FormerOwner, "")
@@ -155,7 +155,7 @@
 			b.enrol(2)
 			b.advance(10 * time.Second)
 			b.tick()
-			is.True(b.orderable())
+			is.True(b.mayOrder())
 			is.Equal(b.g.Owned.Get("e").Fence, era.Era(2).Revision(60))
 		})
 	}
@@ -181,9 +181,9 @@
 	is.True(ok)
 	b.g.HandleWriteReply(b.now, WriteReply{Write: w, Err: errors.New("no answer")})
 	b.advance(b.g.Options.OrderValid - 2*time.Second)
-	is.True(b.orderable())
+	is.True(b.mayOrder())
 	b.advance(2 * time.Second)
-	is.True(!b.orderable()) // before any tick
+	is.True(!b.mayOrder()) // before any tick
 	b.tick()
 	is.True(b.g.Owned.Get("e") == nil)
 }
