--- a/core/ownership/era_test.go
+++ b/core/ownership/era_test.go
@@ -129,10 +129,10 @@
 	return registry.Ownership{Engine: "e", Owner: name, Boot: 7, Era: meant}.Value()
 }
 
-// TestOwnerKeepsOrderingAndReclaims checks that after a restore an owner keeps ordering its
+// TestOwnerKeepsSendingOrdersAndReclaims checks that after a restore an owner keeps ordering its
 // engine and claims it again without a wait, whatever former-era record of the engine the
 // store holds, or if it holds none. The claim is conditional on the record found.
-func TestOwnerKeepsOrderingAndReclaims(t *testing.T) {
+func TestOwnerKeepsSendingOrdersAndReclaims(t *testing.T) {
 	for name, found := range map[string][]registry.Record{
 		"its own record":    {record(2, 20, ownerRecord("self", 1))},
 		"another's":         {record(2, 20, ownerRecord("b", 1))},
