--- a/core/ownership/era_test.go
+++ b/core/ownership/era_test.go
@@ -348,7 +348,7 @@
 func TestPlacerKeepsPlacingAndReclaims(t *testing.T) {
 	is := is.New(t)
 	b := newInEra(t, 1)
-	seek := func() *registry.Placer {
+	claim := func() *registry.Placer {
 		b.g.Out.Reset()
 		b.g.ClaimPlacer(b.now)
 		for _, a := range b.g.Out.Actions() {
@@ -359,17 +359,17 @@
 		return nil
 	}
 	b.advance(time.Second)
-	p := seek()
+	p := claim()
 	is.True(p != nil)
 	b.g.HandleWriteReply(b.now, WriteReply{Write: Txn{Placer: p}, Revision: era.Era(1).Revision(41)})
 	is.True(b.g.IsPlacer(b.now))
 	other := registry.Placer{Name: "b", Boot: 7, Era: 1}.Value()
 	b.receiveAll(2, record(2, 20, other))
 	is.True(b.g.IsPlacer(b.now))
-	is.True(seek() == nil) // not before it has a new lease
+	is.True(claim() == nil) // not before it has a new lease
 	b.enrol(2)
 	b.advance(time.Second)
-	p = seek()
+	p = claim()
 	is.True(p != nil)
 	is.Equal(p.Era, era.Era(2))
 	is.Equal(p.Revision, era.Era(2).Revision(20))
