--- a/core/ownership/ownership_test.go
+++ b/core/ownership/ownership_test.go
@@ -125,7 +125,7 @@
 // TestFreeSince checks since when no instance is expected to order an engine.
 func TestFreeSince(t *testing.T) {
 	now := clocktest.At(time.Hour)
-	long := now.Add(-time.Minute)
+	longAgo := now.Add(-time.Minute)
 	absent := option.Default().AbsentFor
 	cases := []struct {
 		name    string
@@ -146,7 +146,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
 			g := testRegistry(now)
-			g.storeUpSince = long
+			g.storeUpSince = longAgo
 			if c.prepare != nil {
 				c.prepare(g)
 			}
