--- a/core/exchange/rhythm.go
+++ b/core/exchange/rhythm.go
@@ -38,26 +38,26 @@
 // Tick starts the exchanges that are due.
 func (x *Exchanges) Tick(now clock.Instant) {
 	x.pullNewer(now)
-	r := &x.schedule
-	if now.Before(r.due) {
+	s := &x.schedule
+	if now.Before(s.due) {
 		return
 	}
-	if x.Roster.FullMesh() && !r.urgent {
-		r.due = now.Add(step.Jitter(x.Rand, x.Options.ExchangeEvery))
+	if x.Roster.FullMesh() && !s.urgent {
+		s.due = now.Add(step.Jitter(x.Rand, x.Options.ExchangeEvery))
 		x.contactSeeds(now)
 		return
 	}
 	every := x.Options.PlatformExchangeInterval()
-	if r.updateRounds > 0 {
-		r.updateRounds--
+	if s.updateRounds > 0 {
+		s.updateRounds--
 		every = min(every, updateInterval)
 	}
-	r.due = now.Add(step.Jitter(x.Rand, every))
-	if r.urgent {
+	s.due = now.Add(step.Jitter(x.Rand, every))
+	if s.urgent {
 		x.burst(now)
 		return
 	}
-	r.round++
+	s.round++
 	x.StartWith(now, x.nextPeer(now))
 	x.contactSeeds(now)
 }
