--- a/core/exchange/rhythm.go
+++ b/core/exchange/rhythm.go
@@ -47,12 +47,12 @@
 		x.contactSeeds(now)
 		return
 	}
-	every := x.Options.PlatformExchangeInterval()
+	interval := x.Options.PlatformExchangeInterval()
 	if s.updateRounds > 0 {
 		s.updateRounds--
-		every = min(every, updateInterval)
+		interval = min(interval, updateInterval)
 	}
-	s.due = now.Add(step.Jitter(x.Rand, every))
+	s.due = now.Add(step.Jitter(x.Rand, interval))
 	if s.urgent {
 		x.burst(now)
 		return
