--- a/core/exchange/rhythm.go
+++ b/core/exchange/rhythm.go
@@ -66,17 +66,17 @@
 // whose name sorts first starts the exchange, so that every instance hears directly from
 // every other within MeshEvery.
 func (x *Exchanges) TickMesh(now clock.Instant) {
-	r := &x.schedule
-	if !x.Roster.FullMesh() || now.Before(r.meshDue) {
+	s := &x.schedule
+	if !x.Roster.FullMesh() || now.Before(s.meshDue) {
 		return
 	}
-	r.meshDue = now.Add(step.Jitter(x.Rand, x.Options.MeshEvery))
+	s.meshDue = now.Add(step.Jitter(x.Rand, x.Options.MeshEvery))
 	for _, p := range x.Members.Peers() {
-		if p.Name > x.Self.Name && (!p.Failing() || r.round%failingPeerRounds == 0) {
+		if p.Name > x.Self.Name && (!p.Failing() || s.round%failingPeerRounds == 0) {
 			x.StartWith(now, p)
 		}
 	}
-	r.round++
+	s.round++
 	x.Pool.ResetUsed()
 }
 
