--- a/core/exchange/rhythm.go
+++ b/core/exchange/rhythm.go
@@ -121,9 +121,9 @@
 	if p := x.NextPeer(now, x.schedule.round); p != nil {
 		return p
 	}
-	if near := x.Members.Neighbours(); len(near) > 0 {
+	if neighbours := x.Members.Neighbours(); len(neighbours) > 0 {
 		x.schedule.nextIndex++
-		return near[x.schedule.nextIndex%len(near)]
+		return neighbours[x.schedule.nextIndex%len(neighbours)]
 	}
 	return member.Random(x.Rand, x.Members.ZonePeers(false))
 }
