--- a/core/exchange/pull.go
+++ b/core/exchange/pull.go
@@ -94,8 +94,8 @@
 
 // preferToPull reports whether a is a better pull target than b.
 func (x *Exchanges) preferToPull(a, b *member.Peer) bool {
-	if near := a.Zone == x.Self.Zone; near != (b.Zone == x.Self.Zone) {
-		return near
+	if inOwnZone := a.Zone == x.Self.Zone; inOwnZone != (b.Zone == x.Self.Zone) {
+		return inOwnZone
 	}
 	return x.peers[a.Name].revision > x.peers[b.Name].revision
 }
