--- a/core/exchange/rhythm.go
+++ b/core/exchange/rhythm.go
@@ -159,17 +159,17 @@
 // NextWatcher returns the next of the watchers of a zone in round-robin order, nil if there
 // is none.
 func (x *Exchanges) NextWatcher(now clock.Instant, zone string) *member.Peer {
-	var others []*member.Peer
+	var watchers []*member.Peer
 	for _, name := range x.Roster.InZone(now, zone) {
 		if p := x.Members.Get(name); p != nil && !p.Leaving {
-			others = append(others, p)
+			watchers = append(watchers, p)
 		}
 	}
-	if len(others) == 0 {
+	if len(watchers) == 0 {
 		return nil
 	}
 	x.schedule.nextIndex++
-	return others[x.schedule.nextIndex%len(others)]
+	return watchers[x.schedule.nextIndex%len(watchers)]
 }
 
 // contactSeeds starts an exchange with a random address from the settings while this
