--- a/core/watch/watch.go
+++ b/core/watch/watch.go
@@ -219,22 +219,22 @@
 func (w *Watch) begin(now clock.Instant) {
 	delays := w.delays()
 	w.lastID++
-	b := SendRequest{ID: w.lastID, Fresh: now.Before(w.reuseAt)}
+	req := SendRequest{ID: w.lastID, Fresh: now.Before(w.reuseAt)}
 	switch {
 	case len(w.calls) > 0: // none of them was answered in time
-		b.Fresh = true
+		req.Fresh = true
 		w.reuseAt = now.Add(reuseDelay)
 		w.failures.overlapBackoff = w.failures.overlapBackoff.WithFailure()
 		w.due = now.Add(w.failures.overlapBackoff.Delay(w.Rand))
 	case w.failures.count > 0:
-		b.Fresh = true
+		req.Fresh = true
 		w.due = now.Add(delays.Read)
 	default:
-		b.Wait = time.Duration((1 - waitJitter*w.Rand.Float64()) * float64(delays.Wait))
-		w.due = now.Add(b.Wait + delays.Overdue)
+		req.Wait = time.Duration((1 - waitJitter*w.Rand.Float64()) * float64(delays.Wait))
+		w.due = now.Add(req.Wait + delays.Overdue)
 	}
-	w.calls[w.lastID] = call{sent: now, wait: b.Wait}
-	w.Out.Emit(b)
+	w.calls[w.lastID] = call{sent: now, wait: req.Wait}
+	w.Out.Emit(req)
 }
 
 // HandleReply handles the end of a call. An answer also ends all other calls in flight, since
