--- a/core/watch/watch.go
+++ b/core/watch/watch.go
@@ -166,11 +166,11 @@
 
 // view returns the current facts.
 func (w *Watch) view(now clock.Instant) view {
-	alone := w.Exchanges.Isolated(now)
+	isIsolated := w.Exchanges.Isolated(now)
 	lag, _ := w.Exchanges.ConfigLag(now)
 	return view{
-		isolated:    alone,
-		onRoster:    !alone && w.Roster.IncludesSelf(now),
+		isolated:    isIsolated,
+		onRoster:    !isIsolated && w.Roster.IncludesSelf(now),
 		engines:     w.Registry.Owned.Len(),
 		placer:      w.Registry.HoldsPlacer(),
 		storeAge:    w.Exchanges.StoreAge(now),
