--- a/core/watch/watch.go
+++ b/core/watch/watch.go
@@ -211,8 +211,8 @@
 		return
 	}
 	w.failures.at = now
-	soon := time.Duration(w.Rand.Float64() * float64(w.delays().Read))
-	w.due = clock.Earliest(w.due, now.Add(soon))
+	delay := time.Duration(w.Rand.Float64() * float64(w.delays().Read))
+	w.due = clock.Earliest(w.due, now.Add(delay))
 }
 
 // begin sends the next call to the store.
