--- a/core/registry/registry_test.go
+++ b/core/registry/registry_test.go
@@ -32,10 +32,10 @@
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
-			back := ChangeOf([]Record{gone(tt.value, 1), written(tt.value, 2)})
-			is.Equal(len(back.Instances)+len(back.Owners)+placers(back), 1)
-			is.Equal(len(back.GoneInstances)+len(back.GoneOwners), 0)
-			is.True(!back.PlacerGone)
+			recreated := ChangeOf([]Record{gone(tt.value, 1), written(tt.value, 2)})
+			is.Equal(len(recreated.Instances)+len(recreated.Owners)+placers(recreated), 1)
+			is.Equal(len(recreated.GoneInstances)+len(recreated.GoneOwners), 0)
+			is.True(!recreated.PlacerGone)
 
 			lost := ChangeOf([]Record{written(tt.value, 1), gone(tt.value, 2)})
 			is.Equal(len(lost.Instances)+len(lost.Owners)+placers(lost), 0)
