--- a/core/registry/registry_test.go
+++ b/core/registry/registry_test.go
@@ -37,9 +37,9 @@
 			is.Equal(len(recreated.GoneInstances)+len(recreated.GoneOwners), 0)
 			is.True(!recreated.PlacerGone)
 
-			lost := ChangeOf([]Record{written(tt.value, 1), gone(tt.value, 2)})
-			is.Equal(len(lost.Instances)+len(lost.Owners)+placers(lost), 0)
-			is.True(len(lost.GoneInstances)+len(lost.GoneOwners) == 1 || lost.PlacerGone)
+			deleted := ChangeOf([]Record{written(tt.value, 1), gone(tt.value, 2)})
+			is.Equal(len(deleted.Instances)+len(deleted.Owners)+placers(deleted), 0)
+			is.True(len(deleted.GoneInstances)+len(deleted.GoneOwners) == 1 || deleted.PlacerGone)
 		})
 	}
 }
