--- a/core/exchange/exchange.go
+++ b/core/exchange/exchange.go
@@ -92,13 +92,12 @@
 	// Crashed handles reports of replicas that terminated while running calls of the
 	// peer or of other instances, and of requests that were served since.
 	Crashed func(now clock.Instant, from string, reports []crash.Report, served []crash.Success)
-	// Leaving handles the replicas that a peer knows to be leaving because they said
-	// so themselves.
+	// Leaving handles the replicas that a peer knows to be leaving by their own report.
 	Leaving func(now clock.Instant, from string, leaving []gossip.Leaving)
 	// Limits handles the reports of the rate limits of replicas that a peer knows.
 	Limits func(now clock.Instant, from string, limits []gossip.Limit)
-	// Rests handles the rests that replicas asked of other instances, as known to a
-	// peer.
+	// Rests handles the rests known to a peer: for how long a replica asked another
+	// instance to send it nothing (as HTTP Retry-After).
 	Rests func(now clock.Instant, from string, rests []gossip.Rest)
 	// Used records that an item of an engine is in use.
 	Used func(now clock.Instant, engine, item string)
@@ -120,7 +119,7 @@
 // A peerState is the state that a peer last reported.
 type peerState struct {
 	boot          uint64
-	stamp         uint64       // of its records
+	stamp         uint64       // of its records when it sent the report
 	revision      uint64       // of the configuration in force there
 	storeRevision era.Revision // up to which it has read the platform's store directly
 	acked         uint64       // stamp of this instance's records that it acknowledged
--- a/core/exchange/pull.go
+++ b/core/exchange/pull.go
@@ -21,9 +21,9 @@
 
 // A pull is the state of pulling a newer configuration.
 type pull struct {
-	newest      uint64        // newest revision that a peer is known to have
-	behindSince clock.Instant // since when a peer is known to have a newer revision than this instance
-	waitUntil   clock.Instant // until when to wait for the answer of the peer asked last
+	newest      uint64        // newest revision that any peer is known to have
+	behindSince clock.Instant // when a peer was first known to have a newer revision than this instance
+	waitUntil   clock.Instant // deadline for the reply to the last request
 }
 
 // observe records that a peer has a revision. own is the revision in force here.
@@ -37,8 +37,8 @@
 	p.newest = revision
 }
 
-// ConfigLag returns for how long a peer has had a newer configuration than this instance.
-// ok is false if no peer is known to have one.
+// ConfigLag returns how long a peer has been known to have a newer configuration than this
+// instance. ok is false if no peer is known to have one.
 func (x *Exchanges) ConfigLag(now clock.Instant) (span time.Duration, ok bool) {
 	if x.pull.newest <= x.Config.Revision() {
 		return 0, false
@@ -63,7 +63,7 @@
 		return
 	}
 	if x.PlatformBrings(now) && now.Before(x.pull.behindSince.Add(platformGrace)) {
-		return // the platform delivers it at lower cost
+		return // the platform delivers it, which is cheaper than a request to a peer
 	}
 	p := x.pullTarget()
 	if p == nil {
@@ -77,8 +77,8 @@
 }
 
 // pullTarget returns the peer to request a newer configuration from, nil if there is none.
-// It prefers peers of the own zone, and then the newest revision. It skips peers with an
-// exchange in flight and peers whose last exchange failed.
+// It prefers peers in this instance's zone, and among those the newest revision. It skips
+// peers with an exchange in flight and peers whose last exchange failed.
 func (x *Exchanges) pullTarget() *member.Peer {
 	var best *member.Peer
 	for _, p := range x.Members.Peers() {
--- a/core/exchange/pull_test.go
+++ b/core/exchange/pull_test.go
@@ -12,8 +12,8 @@
 	"github.com/birchdrift/birchdrift/core/shared"
 )
 
-// TestPullTarget checks that a peer of the own zone is preferred, and then the newest
-// revision, and that peers that fail or have an exchange in flight are skipped.
+// TestPullTarget checks that a peer in the instance's own zone is preferred, and then the
+// newest revision, and that peers that fail or have an exchange in flight are skipped.
 func TestPullTarget(t *testing.T) {
 	type peer struct {
 		name, zone string
--- a/core/exchange/rhythm.go
+++ b/core/exchange/rhythm.go
@@ -15,24 +15,25 @@
 	// are updates that calls may wait for: which items an engine holds, or which replica
 	// is leaving.
 	updateInterval = 400 * time.Millisecond
-	// failingPeerRounds is the number of rounds of the full mesh in which a failing peer
-	// is tried once.
+	// failingPeerRounds is the interval, in number of rounds of the full mesh, at which an
+	// instance retries a failing peer.
 	failingPeerRounds = 4
-	// crossZoneRounds is the number of rounds of which one goes to a peer of another zone.
+	// crossZoneRounds is the interval, in number of rounds, at which an instance exchanges
+	// with a peer of another zone if neither a watcher nor the placer was chosen.
 	crossZoneRounds = 4
-	// isolationPeriods is the number of its own exchange periods without a message from
-	// any peer after which an instance counts as isolated.
+	// isolationPeriods is the number of exchange periods (ExchangeEvery) without a message
+	// from any peer after which an instance considers itself isolated.
 	isolationPeriods = 5
 )
 
-// A schedule holds when the next exchanges are due, and with which peers.
+// A schedule determines when the next exchanges start, and with which peers.
 type schedule struct {
-	due          clock.Instant
+	due          clock.Instant // of all exchanges except those of the full mesh
 	meshDue      clock.Instant // of the full mesh
-	round        int
-	nextIndex    int  // round-robin position among neighbours or watchers
-	updateRounds int  // number of coming exchanges to space by updateInterval
-	urgent       bool // exchange with every neighbour at once
+	round        int           // number of rounds started
+	nextIndex    int           // round-robin position among neighbours or watchers
+	updateRounds int           // number of coming exchanges to space by updateInterval
+	urgent       bool          // exchange with every neighbour at once
 }
 
 // Tick starts the exchanges that are due.
@@ -77,7 +78,7 @@
 		}
 	}
 	s.round++
-	x.Pool.ResetUsed()
+	x.Pool.ResetUsed() // this round's messages have reported the items used so far
 }
 
 // TellAll schedules exchanges with all neighbours at once, to spread an update.
@@ -95,7 +96,8 @@
 	}
 }
 
-// Isolated reports whether no message from any peer has arrived for isolationPeriods.
+// Isolated reports whether no message from any peer has arrived for isolationPeriods
+// exchange periods.
 func (x *Exchanges) Isolated(now clock.Instant) bool {
 	return x.Members.HeardWithin(now, isolationPeriods*x.Options.ExchangeEvery) == 0
 }
@@ -132,7 +134,7 @@
 // full mesh and in which few instances watch the platform. Every other round it returns
 // a watcher, since watchers receive updates first. In between it returns the placer,
 // which needs the demand, or a peer of another zone. placer is the placer's name. The
-// result is nil if the choice is left to the caller.
+// result is nil if no such peer is known or due; the caller then chooses a neighbour.
 func (x *Exchanges) NextInLargeFleet(now clock.Instant, round int, placer string) *member.Peer {
 	switch round % 4 {
 	case 0, 2:
@@ -156,8 +158,8 @@
 	return nil
 }
 
-// NextWatcher returns the next of the watchers of a zone in round-robin order, nil if there
-// is none.
+// NextWatcher returns the next watcher of a zone in round-robin order, nil if there is none.
+// It skips watchers that are leaving.
 func (x *Exchanges) NextWatcher(now clock.Instant, zone string) *member.Peer {
 	var watchers []*member.Peer
 	for _, name := range x.Roster.InZone(now, zone) {
--- a/core/listing/listing.go
+++ b/core/listing/listing.go
@@ -224,8 +224,8 @@
 	}
 }
 
-// missing returns removed entries for the announced replicas that a complete list no longer
-// has and that are not leaving yet.
+// missing returns an entry marked as Gone for each announced replica that a complete list no
+// longer has and that is not leaving yet.
 func (l *List) missing(e Reply) []gossip.Listed {
 	has := make(map[string]bool, len(e.Entries))
 	for _, entry := range e.Entries {
@@ -244,7 +244,7 @@
 	return gone
 }
 
-// Tick marks replicas as leaving whose grace period after their entry vanished has ended.
+// Tick marks a replica as leaving when the grace period since its entry vanished has ended.
 func (l *List) Tick(now clock.Instant) {
 	for _, name := range l.Pool.ExpireVanished(now, pool.VanishedGracePeriod) {
 		l.Out.Log(logevent.UpstreamLeaving, "upstream", name, "source", "its entry vanished")
--- a/core/member/member.go
+++ b/core/member/member.go
@@ -17,7 +17,7 @@
 )
 
 // LivenessTimeout is the time for which a peer may fail every exchange before it is assigned
-// no more tasks, even if the list still has it.
+// no more tasks, even if the platform's list still has it.
 const LivenessTimeout = 10 * time.Second
 
 // An Identity describes an instance to its peers.
@@ -85,14 +85,14 @@
 }
 
 // SetLeaving records whether the peer is leaving, according to the peer itself or
-// the list.
+// the platform's list.
 func (t *Table) SetLeaving(name string, leaving bool) {
 	if p := t.peers[name]; p != nil {
 		p.Leaving = leaving
 	}
 }
 
-// Remove removes a peer whose entry was deleted from the list.
+// Remove removes a peer whose entry was deleted from the platform's list.
 func (t *Table) Remove(name string) { delete(t.peers, name) }
 
 // Live reports whether tasks may be assigned to the peer at now.
@@ -133,11 +133,11 @@
 	return out
 }
 
-// Neighbours returns the peers of the own zone that this instance starts exchanges
-// with: those 1, 2, 4, 8 and so on places ahead on the ring of all members sorted
-// by name. Updates reach the whole zone in as many hops as the ring size has bits, and each
-// pair exchanges often enough that the deltas between them stay small. With
-// randomly chosen partners, the deltas would grow with the size of the zone.
+// Neighbours returns the peers in this instance's zone that it starts exchanges with:
+// those 1, 2, 4, 8 and so on places ahead on the ring of all members sorted by name.
+// Updates reach the whole zone in as many hops as the ring size has bits, and each pair
+// exchanges often enough that the deltas between them stay small. With randomly chosen
+// partners, the deltas would grow with the size of the zone.
 func (t *Table) Neighbours() []*Peer {
 	ring := t.ZonePeers(true)
 	at := sort.Search(len(ring), func(i int) bool { return ring[i].Name > t.self })
--- a/core/member/member_test.go
+++ b/core/member/member_test.go
@@ -77,7 +77,7 @@
 }
 
 // TestNeighbours checks that the neighbours are 1, 2 and 4 places ahead on the ring
-// of names, and of the own zone only.
+// of names, and only in the instance's own zone.
 func TestNeighbours(t *testing.T) {
 	is := is.New(t)
 	table := New("c", "z")
--- a/core/outage/outage.go
+++ b/core/outage/outage.go
@@ -16,8 +16,9 @@
 	"github.com/birchdrift/birchdrift/core/step"
 )
 
-// Bounds of the delay between two calls of one kind after failures. DefaultMaxRetryDelay
-// applies if the platform states no bound from which the longest delay is derived.
+// Bounds of the delay between two calls for the same purpose after failures.
+// DefaultMaxRetryDelay applies if the platform states no bound from which the longest delay
+// is derived.
 const (
 	initialRetryDelay    = 200 * time.Millisecond
 	DefaultMaxRetryDelay = 5 * time.Second
@@ -26,7 +27,7 @@
 // A Tracker holds one instance's view of the service's availability.
 type Tracker struct {
 	out         *step.Output
-	down        bool
+	down        bool          // the last call failed
 	downSince   clock.Instant // when the first failed call of the last outage was observed
 	recoveredAt clock.Instant // when the last outage ended
 	failedAt    clock.Instant // when a call last failed
--- a/core/ownership/claim.go
+++ b/core/ownership/claim.go
@@ -23,20 +23,20 @@
 	// claimRankDelay is the time that an instance waits for each instance of higher rank
 	// to claim first. It covers two checks and a write.
 	claimRankDelay = 700 * time.Millisecond
-	// sameOwnerGap is the time that an owner waits before ordering an engine that it
-	// claimed again itself, since its earlier orders may still be in flight. It is longer
+	// sameOwnerGap is the time that an owner waits before it sends orders to an engine that
+	// it claimed again itself, since its earlier orders may still be in flight. It is longer
 	// than the time limit of an order at the fastest engines and shorter than the gap
 	// between two owners.
 	sameOwnerGap = 400 * time.Millisecond
-	// turnMargin is added to the time gap between the orders of two owners, to allow for
-	// the transmission of an order and for clocks that run at different rates.
+	// turnMargin is added to TurnGap, the minimum time between the orders of two owners, to
+	// allow for the transmission of an order and for clocks that run at different rates.
 	turnMargin = 300 * time.Millisecond
 )
 
-// A claims is the schedule of this instance's claims.
+// A claims holds the schedule and the state of this instance's claims.
 type claims struct {
-	due      clock.Instant
-	inFlight bool // a write of claims is in flight
+	due      clock.Instant // when to check next for engines to claim
+	inFlight bool          // a write of claims is in flight
 }
 
 // claim claims the engines that this instance should own.
@@ -103,13 +103,13 @@
 
 // An engineView holds what is known about the owner of an engine.
 type engineView struct {
-	storeUpSince     clock.Instant // since when the store has answered; zero: it does not
+	storeUpSince     clock.Instant // when the store began to answer; zero: it does not
 	announcedAt      clock.Instant // when the engine was first announced to this instance
 	owned            bool          // an ownership record exists
 	owner            string        // "" if it was released
 	learntAt         clock.Instant // when the ownership record was learnt
 	ownerPresent     bool          // the owner's own record exists
-	ownerAbsentSince clock.Instant // since when the owner's record has been missing; zero: unknown
+	ownerAbsentSince clock.Instant // when the owner's record was first missing; zero: never observed
 }
 
 // engineView returns what is known about the owner of an engine. An owner without a
@@ -131,8 +131,8 @@
 	return v
 }
 
-// freeSince returns since when no instance has been expected to order the engine. ok is
-// false while its owner is present, or may be as far as this instance can tell.
+// freeSince returns the time since which no instance is expected to send the engine orders.
+// ok is false while its owner is present, or may be as far as this instance can tell.
 // absentFor is the time for which an owner's record must have been missing while the
 // store answered.
 func (v engineView) freeSince(absentFor time.Duration) (since clock.Instant, ok bool) {
@@ -179,9 +179,9 @@
 	}
 }
 
-// formerOwnerEnd returns the time from which an engine without a record may be ordered. By
-// then an instance that owned it in a former era, by a record that the store has lost, has
-// stopped sending orders. The result is now if there was no former era.
+// formerOwnerEnd returns the time from which an engine without a record may be sent orders:
+// an instance that owned it in a former era, by a record that the store has lost, has
+// stopped sending orders before that. The result is now if there was no former era.
 func (g *Registry) formerOwnerEnd(now clock.Instant) clock.Instant {
 	if g.era.isFirst() {
 		return now
@@ -192,7 +192,7 @@
 // firstOrder returns when an instance may send the first order to an engine that it has
 // just claimed: once no order of the former owner can be in flight any more and the gap
 // between the orders of two owners has passed. first reports that the engine had no
-// ownership record before, so that no instance has ever ordered it.
+// ownership record before, so that no instance is known to have sent it orders.
 func firstOrder(now clock.Instant, claim registry.Ownership, first bool, o *option.Options) clock.Instant {
 	switch {
 	case o.Disable.TurnWait:
--- a/core/ownership/era.go
+++ b/core/ownership/era.go
@@ -12,9 +12,9 @@
 
 // This file handles a rollback: the store was restored from an older copy of itself, which
 // begins a new era (docs/design/eras.md). This instance's lease becomes useless, since the
-// store may issue the same ID to another instance. The instance keeps ordering the engines
-// that it owns, and claims them again. The ownership records of other instances that the
-// store still has may be outdated: their owners may have lost the engines already.
+// store may issue the same ID to another instance. The instance keeps sending orders to the
+// engines that it owns, and claims them again. The ownership records of other instances that
+// the store still has may be outdated: their owners may have lost the engines already.
 
 // reenrolSpacing is the average time between the new leases of all instances after a
 // rollback. Each new lease takes two writes.
@@ -28,7 +28,7 @@
 
 // A storeEra holds what is known about the store's current era.
 type storeEra struct {
-	known      bool
+	known      bool // an era was observed
 	current    era.Era
 	since      clock.Instant       // when this instance first observed it
 	readAt     clock.Instant       // when all records were first read in it; zero: not yet
@@ -37,7 +37,7 @@
 	writeDue   clock.Instant       // earliest time of the next write of the era record
 	rolledBack bool                // this instance was running in a former era
 	// formerValidUntil is the time until which engines that were claimed in a former era
-	// may be ordered without being claimed again.
+	// may be sent orders without being claimed again.
 	formerValidUntil clock.Instant
 }
 
@@ -60,7 +60,8 @@
 	return x.current == 0 || x.record != nil
 }
 
-// isFirst reports whether no record of the product can have been lost with a former era.
+// isFirst reports whether no record of the product can have been lost with a former era,
+// since the store reports no era or the era record says so.
 func (x *storeEra) isFirst() bool { return x.current == 0 || x.record != nil && x.record.First }
 
 // recordRevision returns the revision of the era record that claims are conditional on, 0 if
@@ -90,7 +91,8 @@
 
 // handleRollback reacts to the start of a new era while this instance is running. It gives
 // up engines that may still receive orders of a former owner, and schedules a new lease and
-// new claims at once. An instance without engines that is not the placer delays its new lease at random.
+// new claims at once. An instance that neither owns engines nor is the placer delays its new
+// lease at random, to spread the writes.
 func (g *Registry) handleRollback(now clock.Instant, former storeEra) {
 	g.Out.Log(logevent.StoreSteppedBack, "era", uint64(g.era.current), "former", uint64(former.current), "engines", g.Owned.Len())
 	g.era.formerValidUntil = now.Add(g.Options.OrderValid)
@@ -114,8 +116,8 @@
 }
 
 // MayOrderWithFence reports whether this instance may send orders with the given fence. A
-// fence of a former era is valid only until formerValidUntil; by then the engine must have
-// been claimed again.
+// fence of a former era is valid only until formerValidUntil; the engine must be claimed
+// again before that.
 func (g *Registry) MayOrderWithFence(now clock.Instant, fence era.Revision) bool {
 	return g.MayOrder(now) && (!g.era.isFormer(fence) || now.Before(g.era.formerValidUntil))
 }
--- a/core/ownership/era_test.go
+++ b/core/ownership/era_test.go
@@ -117,7 +117,7 @@
 	return b
 }
 
-// mayOrder reports whether engine e may be ordered.
+// mayOrder reports whether the instance may send orders to engine e.
 func (b *bench) mayOrder() bool {
 	e := b.g.Owned.Get("e")
 	return e != nil && b.g.Owned.Orderable(b.now, e)
@@ -129,9 +129,9 @@
 	return registry.Ownership{Engine: "e", Owner: name, Boot: 7, Era: meant}.Value()
 }
 
-// TestOwnerKeepsSendingOrdersAndReclaims checks that after a restore an owner keeps ordering its
-// engine and claims it again without a wait, whatever former-era record of the engine the
-// store holds, or if it holds none. The claim is conditional on the record found.
+// TestOwnerKeepsSendingOrdersAndReclaims checks that after a rollback an owner keeps sending
+// orders to its engine and claims it again without a wait, whatever former-era record of the
+// engine the store holds, or if it holds none. The claim is conditional on the record found.
 func TestOwnerKeepsSendingOrdersAndReclaims(t *testing.T) {
 	for name, found := range map[string][]registry.Record{
 		"its own record":    {record(2, 20, ownerRecord("self", 1))},
--- a/core/ownership/ownership.go
+++ b/core/ownership/ownership.go
@@ -3,10 +3,10 @@
 //
 // An owner may send orders for OrderValid after both its last answered renewal and
 // its last answered watch of the records were sent. An instance that takes an engine
-// over from another waits for OrderValid plus TurnGap after its claim, since the
-// former owner may not know yet that it lost the engine: the store may drop a record
-// without telling its writer, and only a watch shows that. Therefore only instances
-// that watch the store own engines.
+// over from another waits for OrderValid plus TurnGap (the minimum time between the
+// orders of two owners) after its claim, since the former owner may not know yet that
+// it lost the engine: the store may drop a record without telling its writer, and only
+// a watch shows that. Therefore only instances that watch the store own engines.
 //
 // Ownerships are spread over the instances that watch, so that most engines keep
 // their owner if one instance is lost. All other instances receive the records from
@@ -30,8 +30,8 @@
 )
 
 type (
-	// Enrol is the action that begins a lease and writes this instance's record,
-	// its registration, attached to it.
+	// Enrol is the action that begins a lease and writes this instance's record (its
+	// registration) attached to that lease.
 	Enrol struct {
 		Term     time.Duration
 		Instance registry.Instance
@@ -58,8 +58,8 @@
 		Write Txn
 		Lease era.Lease
 	}
-	// Txn is what one Write writes, in one transaction: claims, the placer's record
-	// or an era record.
+	// Txn holds the records that one Write writes in one transaction: claims, the
+	// placer's record or an era record.
 	Txn struct {
 		Claim  []registry.Ownership // each is written only if the record still has its Revision
 		Placer *registry.Placer     // written only if the record still has its Revision
@@ -158,9 +158,9 @@
 	formerEraRecords []era.Era // former eras whose records still exist
 
 	watchedAt    clock.Instant                 // when the last answered watch was sent
-	storeUpSince clock.Instant                 // since when the store has answered renewals; zero: it does not
+	storeUpSince clock.Instant                 // when the store began to answer renewals; zero: it does not answer
 	instances    map[string]registry.Instance  // instances with a record, by name
-	absentSince  map[string]clock.Instant      // since when an instance has had no record, by name
+	absentSince  map[string]clock.Instant      // when an instance was first seen without a record, by name
 	owners       map[string]registry.Ownership // newest known ownership, by engine
 	learntAt     map[string]clock.Instant      // when that ownership was learnt, by engine
 }
@@ -212,8 +212,8 @@
 }
 
 // denial returns why an owner may not send orders at now, "" if it may. A renewal and a
-// watch permit orders for the time valid, measured by the clock, monotonic or wall, that
-// advanced more, so that a machine that was suspended does not send orders.
+// watch each permit orders for the duration valid, measured by whichever of the monotonic
+// and the wall clock advanced more, so that a machine that was suspended sends no orders.
 func (s orderEligibility) denial(now clock.Instant, valid time.Duration) denial {
 	switch {
 	case s.stopping:
@@ -364,7 +364,7 @@
 	}
 }
 
-// loseUnlessFormer ends the ownership of an engine unless it was gained in a former era of
+// loseUnlessFormer ends the ownership of an engine unless it was claimed in a former era of
 // the store. No other instance can have claimed such an engine yet, whatever its record says
 // and even if the record was deleted.
 func (g *Registry) loseUnlessFormer(now clock.Instant, engine, reason string) {
--- a/core/ownership/ownership_test.go
+++ b/core/ownership/ownership_test.go
@@ -42,9 +42,10 @@
 }
 
 // TestReleasedEngineWaitsForRestOfTurnGap checks that the first order to a released
-// engine waits only for the rest of the turn gap since the last order of its former
-// owner. If the former owner did not release it, its orders may still be in flight, and
-// the first order waits for OrderValid and the whole gap.
+// engine waits only for the rest of TurnGap, the minimum time between the orders of two
+// owners, since the last order of its former owner. If the former owner did not release
+// the engine, its orders may still be in flight, and the first order waits for OrderValid
+// and the whole gap.
 func TestReleasedEngineWaitsForRestOfTurnGap(t *testing.T) {
 	is := is.New(t)
 	now := clocktest.At(time.Hour)
@@ -67,7 +68,7 @@
 }
 
 // TestRenewalInterval checks that only an instance that owns engines or is the placer
-// renews often, since others rely on its record to leave its engines alone. Each renewal
+// renews often. Other instances claim its engines if its record is missing. Each renewal
 // costs a call.
 func TestRenewalInterval(t *testing.T) {
 	is := is.New(t)
@@ -122,7 +123,7 @@
 	}
 }
 
-// TestFreeSince checks since when no instance is expected to order an engine.
+// TestFreeSince checks whether an engine is free to be claimed, and from which time.
 func TestFreeSince(t *testing.T) {
 	now := clocktest.At(time.Hour)
 	longAgo := now.Add(-time.Minute)
--- a/core/ownership/placer.go
+++ b/core/ownership/placer.go
@@ -9,17 +9,17 @@
 	"github.com/birchdrift/birchdrift/core/step"
 )
 
-// placerKey is the rendezvous key of the placer.
+// placerKey is the key by which rendezvous hashing ranks the candidates for the placer.
 const placerKey = "placer"
 
 // A placer holds the known placer's record and the state of this instance's claim to
 // it. The record is attached to its holder's lease and is deleted with it.
 type placer struct {
 	record      registry.Placer
-	vacantSince clock.Instant    // when the last record was released or deleted
-	held        bool             // this instance's last write took the record and still counts
+	vacantSince clock.Instant    // when the last placer's record was released or deleted
+	held        bool             // this instance wrote the record and has not lost it since
 	fence       era.Revision     // revision of that write
-	handedOver  *registry.Placer // the record with which the previous placer released the task; nil: it did not
+	handedOver  *registry.Placer // record with which the previous placer released the task; nil: it did not
 	claiming    bool             // a write of the record is in flight
 	claimDue    clock.Instant    // earliest time of the next write
 }
@@ -37,8 +37,9 @@
 }
 
 // ClaimPlacer writes the placer's record if there is none. It also rewrites this
-// instance's own record if the instance, or the store, may have lost it meanwhile.
-// Instances try in the order of their rank, in case those of higher rank do not write it.
+// instance's own record if the instance may no longer be the placer, or if the store may
+// have lost the record in a rollback. Instances try in the order of their rank, so that
+// one writes the record only if those of higher rank do not.
 func (g *Registry) ClaimPlacer(now clock.Instant) {
 	p := &g.placer
 	if g.IsPlacer(now) && !g.era.isFormer(p.fence) {
@@ -77,7 +78,7 @@
 	}
 	free := clock.Latest(g.storeUpSince, p.vacantSince)
 	if !g.era.isFirst() {
-		// By then a placer of a former era that has not rewritten its record has stopped.
+		// A placer of a former era that has not rewritten its record stops by formerEraExpiry.
 		free = clock.Latest(free, g.formerEraExpiry())
 	}
 	if p.record.Name == g.Self.Name {
@@ -126,7 +127,7 @@
 	}
 	g.placer.record = p
 	switch {
-	case p.Name == g.Self.Name && p.Boot == g.Self.Boot:
+	case p.Name == g.Self.Name && p.Boot == g.Self.Boot: // this instance's own record
 	case g.era.isStale(p.Era) && g.era.isFormer(g.placer.fence):
 		// It may be older than this instance's record, which the store has lost.
 	default:
--- a/core/watch/watch.go
+++ b/core/watch/watch.go
@@ -27,8 +27,8 @@
 	// MaxConfigLag is how long peers may have a newer configuration than this
 	// instance before it queries the store itself.
 	MaxConfigLag = 1200 * time.Millisecond
-	// reuseDelay is the time for which pooled connections are not used after a watch hung. By
-	// then they have been idle for so long that they were closed.
+	// reuseDelay is the time for which pooled connections are not used after a watch hung. At
+	// its end they have been idle for so long that they were closed.
 	reuseDelay = 5 * time.Second
 	// waitJitter is the fraction of its wait by which a watch may be shortened at random. One
 	// change ends the watches of all instances at the same time. The jitter desynchronizes the
@@ -151,7 +151,8 @@
 	maxAge time.Duration // largest age since then
 }
 
-// delays returns the delays from a change in the store to a call that reflects it.
+// delays returns the longest delays between a change in the store and the last call that is
+// sent without knowledge of it.
 func (w *Watch) delays() bounds.Delays {
 	o := w.Options
 	return o.Bounds.Delays(bounds.Timing{Mesh: w.Roster.FullMesh(), Exchange: o.ExchangeEvery, Pause: o.WatchEvery, Wait: o.WatchWait})
--- a/core/watchers/watchers.go
+++ b/core/watchers/watchers.go
@@ -6,8 +6,9 @@
 // instances that watch own engines and place models.
 //
 // Every instance computes the Roster from its own view, without messages. Views
-// may differ for some seconds. Then one instance too many watches, or one too
-// few until the updates that the others get from their peers become too old.
+// may differ for some seconds. During that time one instance too many watches, or
+// one too few. In the latter case others start to watch when the updates from their
+// peers become too old (core/watch).
 package watchers
 
 import (
