--- a/core/exchange/pull.go
+++ b/core/exchange/pull.go
@@ -7,94 +7,95 @@
 	"github.com/birchdrift/birchdrift/core/member"
 )
 
-// Pulling a newer configuration from a peer that has one.
+// This file pulls a newer configuration from a peer that has one.
 
 const (
-	// PullTimeout is how long a peer that was asked for a configuration is waited for
-	// before another one is asked. Several at once would share a narrow link, and
-	// none would arrive.
+	// PullTimeout is how long to wait for the configuration from one peer before
+	// requesting it from another. Several transfers at once over a narrow link would
+	// slow each other down so much that none completes.
 	PullTimeout = 600 * time.Millisecond
-	// pullPatience is how long an instance that watches the platform itself
-	// waits for a revision that a peer has, before it asks the peer for it.
-	pullPatience = 600 * time.Millisecond
+	// platformGrace is how long an instance that watches the platform itself waits
+	// for a revision that a peer has, before it requests the revision from the peer.
+	platformGrace = 600 * time.Millisecond
 )
 
-// A pull is what is known of newer revisions, and the request for one.
+// A pull is the state of pulling a newer configuration.
 type pull struct {
-	newest  uint64        // revision that a peer is known to have
-	sinceAt clock.Instant // since when a peer is known to be ahead of this instance
-	until   clock.Instant // until then a peer that was asked is waited for
+	newest      uint64        // newest revision that any peer is known to have
+	behindSince clock.Instant // when a peer was first known to have a newer revision than this instance
+	waitUntil   clock.Instant // deadline for the reply to the last request
 }
 
-// heard takes in that a peer has a revision, while own is in force here.
-func (p *pull) heard(now clock.Instant, revision, own uint64) {
+// observe records that a peer has a revision. own is the revision in force here.
+func (p *pull) observe(now clock.Instant, revision, own uint64) {
 	if revision <= p.newest {
 		return
 	}
 	if p.newest <= own {
-		p.sinceAt = now
+		p.behindSince = now
 	}
 	p.newest = revision
 }
 
-// ConfigLag returns for how long a peer has been ahead of this instance; ok is false
-// if none is known to be.
+// ConfigLag returns how long a peer has been known to have a newer configuration than this
+// instance. ok is false if no peer is known to have one.
 func (x *Exchanges) ConfigLag(now clock.Instant) (span time.Duration, ok bool) {
 	if x.pull.newest <= x.Config.Revision() {
 		return 0, false
 	}
-	return now.Since(x.pull.sinceAt), true
+	return now.Since(x.pull.behindSince), true
 }
 
-// ConfigInstalled notes that a newer revision is in force here: it is spread at once,
-// and a still newer one that was announced meanwhile is asked for.
+// ConfigInstalled handles the installation of a newer revision. It spreads the
+// revision at once, and requests a still newer one that a peer reported meanwhile.
 func (x *Exchanges) ConfigInstalled(now clock.Instant) {
-	x.pull.sinceAt = now
-	x.pull.until = clock.Instant{}
+	x.pull.behindSince = now
+	x.pull.waitUntil = clock.Instant{}
 	x.pullNewer(now)
 	x.TellAll(now)
 }
 
-// pullNewer asks a peer that is ahead for its configuration. Only one is asked at
-// a time, since the whole configuration comes back; another, if that one is slow.
+// pullNewer requests the configuration from a peer that has a newer one. It asks only
+// one peer at a time, since the reply holds the complete configuration, and asks another
+// after PullTimeout.
 func (x *Exchanges) pullNewer(now clock.Instant) {
-	if x.pull.newest <= x.Config.Revision() || now.Before(x.pull.until) {
+	if x.pull.newest <= x.Config.Revision() || now.Before(x.pull.waitUntil) {
 		return
 	}
-	if x.PlatformBrings(now) && now.Before(x.pull.sinceAt.Add(pullPatience)) {
-		return // it will come from there, and more cheaply
+	if x.PlatformBrings(now) && now.Before(x.pull.behindSince.Add(platformGrace)) {
+		return // the platform delivers it, which is cheaper than a request to a peer
 	}
-	p := x.furthestAhead()
+	p := x.pullTarget()
 	if p == nil {
 		return
 	}
-	x.pull.until = now.Add(PullTimeout)
+	x.pull.waitUntil = now.Add(PullTimeout)
 	x.inFlight[p.Address] = true
 	msg := x.message(now, p.Name)
 	msg.WantConfig = true
 	x.Out.Emit(SendRequest{Peer: p.Name, Address: p.Address, Message: msg})
 }
 
-// furthestAhead returns the peer to ask for its configuration: one of the own
-// zone before others, then the one with the newest revision. Peers that are being
-// asked already or seem not to answer are passed over.
-func (x *Exchanges) furthestAhead() *member.Peer {
+// pullTarget returns the peer to request a newer configuration from, nil if there is none.
+// It prefers peers in this instance's zone, and among those the newest revision. It skips
+// peers with an exchange in flight and peers whose last exchange failed.
+func (x *Exchanges) pullTarget() *member.Peer {
 	var best *member.Peer
 	for _, p := range x.Members.Peers() {
 		if x.peers[p.Name].revision <= x.Config.Revision() || p.Failing() || x.inFlight[p.Address] {
 			continue
 		}
-		if best == nil || x.preferred(p, best) {
+		if best == nil || x.preferToPull(p, best) {
 			best = p
 		}
 	}
 	return best
 }
 
-// preferred reports whether a rather than b is asked for a configuration.
-func (x *Exchanges) preferred(a, b *member.Peer) bool {
-	if near := a.Zone == x.Self.Zone; near != (b.Zone == x.Self.Zone) {
-		return near
+// preferToPull reports whether a is a better pull target than b.
+func (x *Exchanges) preferToPull(a, b *member.Peer) bool {
+	if inOwnZone := a.Zone == x.Self.Zone; inOwnZone != (b.Zone == x.Self.Zone) {
+		return inOwnZone
 	}
 	return x.peers[a.Name].revision > x.peers[b.Name].revision
 }
--- a/core/exchange/rhythm.go
+++ b/core/exchange/rhythm.go
@@ -8,100 +8,104 @@
 	"github.com/birchdrift/birchdrift/core/step"
 )
 
-// When this instance begins exchanges, and with whom.
+// This file decides when this instance starts exchanges, and with which peers.
 
 const (
-	// newsSpacing is how soon the next neighbour is told when there is news that
-	// calls may wait for: what an engine holds, or who is leaving.
-	newsSpacing = 400 * time.Millisecond
-	// failingEvery is every how manyth round of the full mesh a peer that does
-	// not answer is tried.
-	failingEvery = 4
-	// abroadEvery is every how manyth exchange goes to another zone.
-	abroadEvery = 4
-	// alonePeriods is after how many of its own exchange periods without any message
-	// from any peer an instance counts itself as alone.
-	alonePeriods = 5
+	// updateInterval is the time between exchanges with successive neighbours while there
+	// are updates that calls may wait for: which items an engine holds, or which replica
+	// is leaving.
+	updateInterval = 400 * time.Millisecond
+	// failingPeerRounds is the interval, in number of rounds of the full mesh, at which an
+	// instance retries a failing peer.
+	failingPeerRounds = 4
+	// crossZoneRounds is the interval, in number of rounds, at which an instance exchanges
+	// with a peer of another zone if neither a watcher nor the placer was chosen.
+	crossZoneRounds = 4
+	// isolationPeriods is the number of exchange periods (ExchangeEvery) without a message
+	// from any peer after which an instance considers itself isolated.
+	isolationPeriods = 5
 )
 
-// A rhythm says when the next exchanges are due.
-type rhythm struct {
-	due     clock.Instant
-	meshDue clock.Instant // of the full mesh
-	round   int
-	turn    int  // of the neighbours, and of those that watch
-	news    int  // exchanges to space by newsSpacing
-	urgent  bool // tell every neighbour without waiting
+// A schedule determines when the next exchanges start, and with which peers.
+type schedule struct {
+	due          clock.Instant // of all exchanges except those of the full mesh
+	meshDue      clock.Instant // of the full mesh
+	round        int           // number of rounds started
+	nextIndex    int           // round-robin position among neighbours or watchers
+	updateRounds int           // number of coming exchanges to space by updateInterval
+	urgent       bool          // exchange with every neighbour at once
 }
 
-// Tick begins the exchanges that are due.
+// Tick starts the exchanges that are due.
 func (x *Exchanges) Tick(now clock.Instant) {
 	x.pullNewer(now)
-	r := &x.rhythm
-	if now.Before(r.due) {
+	s := &x.schedule
+	if now.Before(s.due) {
 		return
 	}
-	if x.Roster.FullMesh() && !r.urgent {
-		r.due = now.Add(step.Jitter(x.Rand, x.Options.ExchangeEvery))
+	if x.Roster.FullMesh() && !s.urgent {
+		s.due = now.Add(step.Jitter(x.Rand, x.Options.ExchangeEvery))
 		x.contactSeeds(now)
 		return
 	}
-	every := x.Options.PlatformExchangeInterval()
-	if r.news > 0 {
-		r.news--
-		every = min(every, newsSpacing)
+	interval := x.Options.PlatformExchangeInterval()
+	if s.updateRounds > 0 {
+		s.updateRounds--
+		interval = min(interval, updateInterval)
 	}
-	r.due = now.Add(step.Jitter(x.Rand, every))
-	if r.urgent {
+	s.due = now.Add(step.Jitter(x.Rand, interval))
+	if s.urgent {
 		x.burst(now)
 		return
 	}
-	r.round++
+	s.round++
 	x.StartWith(now, x.nextPeer(now))
 	x.contactSeeds(now)
 }
 
-// TickMesh begins the exchanges of a full mesh that are due. Of each pair the one
-// whose name comes first begins, so that all hear from all, at first hand and
-// within MeshEvery.
+// TickMesh starts the exchanges of a full mesh that are due. In each pair the instance
+// whose name sorts first starts the exchange, so that every instance hears directly from
+// every other within MeshEvery.
 func (x *Exchanges) TickMesh(now clock.Instant) {
-	r := &x.rhythm
-	if !x.Roster.FullMesh() || now.Before(r.meshDue) {
+	s := &x.schedule
+	if !x.Roster.FullMesh() || now.Before(s.meshDue) {
 		return
 	}
-	r.meshDue = now.Add(step.Jitter(x.Rand, x.Options.MeshEvery))
+	s.meshDue = now.Add(step.Jitter(x.Rand, x.Options.MeshEvery))
 	for _, p := range x.Members.Peers() {
-		if p.Name > x.Self.Name && (!p.Failing() || r.round%failingEvery == 0) {
+		if p.Name > x.Self.Name && (!p.Failing() || s.round%failingPeerRounds == 0) {
 			x.StartWith(now, p)
 		}
 	}
-	r.round++
-	x.Pool.ResetUsed()
+	s.round++
+	x.Pool.ResetUsed() // this round's messages have reported the items used so far
 }
 
-// TellAll has the next exchanges begun at once, to spread what is new.
+// TellAll schedules exchanges with all neighbours at once, to spread an update.
 func (x *Exchanges) TellAll(now clock.Instant) {
-	x.rhythm.urgent = true
-	x.rhythm.due = now
+	x.schedule.urgent = true
+	x.schedule.due = now
 }
 
-// TellSoon brings the next exchange forward for as many turns as there are
-// neighbours, so that each of them is told.
+// TellSoon brings the next exchanges forward, one for each neighbour, so that all of
+// them receive an update.
 func (x *Exchanges) TellSoon(now clock.Instant) {
-	x.rhythm.news = len(x.Members.Neighbours())
-	if due := now.Add(newsSpacing); due.Before(x.rhythm.due) {
-		x.rhythm.due = due
+	x.schedule.updateRounds = len(x.Members.Neighbours())
+	if due := now.Add(updateInterval); due.Before(x.schedule.due) {
+		x.schedule.due = due
 	}
 }
 
-// Isolated reports whether no peer was heard for some of the own exchange periods.
+// Isolated reports whether no message from any peer has arrived for isolationPeriods
+// exchange periods.
 func (x *Exchanges) Isolated(now clock.Instant) bool {
-	return x.Members.HeardWithin(now, alonePeriods*x.Options.ExchangeEvery) == 0
+	return x.Members.HeardWithin(now, isolationPeriods*x.Options.ExchangeEvery) == 0
 }
 
-// burst tells every neighbour, and a peer of another zone, at once.
+// burst starts exchanges with every neighbour and a random peer of another zone at once,
+// or with every peer in a full mesh.
 func (x *Exchanges) burst(now clock.Instant) {
-	x.rhythm.urgent = false
+	x.schedule.urgent = false
 	if x.Roster.FullMesh() {
 		for _, p := range x.Members.Peers() {
 			x.StartWith(now, p)
@@ -114,22 +118,23 @@
 	x.StartWith(now, member.Random(x.Rand, x.Members.ZonePeers(false)))
 }
 
-// nextPeer returns whom to exchange with in this round.
+// nextPeer returns the peer to exchange with in this round, nil if there is none.
 func (x *Exchanges) nextPeer(now clock.Instant) *member.Peer {
-	if p := x.NextPeer(now, x.rhythm.round); p != nil {
+	if p := x.NextPeer(now, x.schedule.round); p != nil {
 		return p
 	}
-	if near := x.Members.Neighbours(); len(near) > 0 {
-		x.rhythm.turn++
-		return near[x.rhythm.turn%len(near)]
+	if neighbours := x.Members.Neighbours(); len(neighbours) > 0 {
+		x.schedule.nextIndex++
+		return neighbours[x.schedule.nextIndex%len(neighbours)]
 	}
 	return member.Random(x.Rand, x.Members.ZonePeers(false))
 }
 
-// NextInLargeFleet returns whom to exchange with in a fleet that is too large for a
-// full mesh and in which few instances watch the platform: every other round one
-// that watches, which has the news first, and in between the placer, which needs
-// the demand, or a peer of another zone. placer is the placer's name.
+// NextInLargeFleet returns the peer to exchange with in a fleet that is too large for a
+// full mesh and in which few instances watch the platform. Every other round it returns
+// a watcher, since watchers receive updates first. In between it returns the placer,
+// which needs the demand, or a peer of another zone. placer is the placer's name. The
+// result is nil if no such peer is known or due; the caller then chooses a neighbour.
 func (x *Exchanges) NextInLargeFleet(now clock.Instant, round int, placer string) *member.Peer {
 	switch round % 4 {
 	case 0, 2:
@@ -147,29 +152,30 @@
 			}
 		}
 	}
-	if round%abroadEvery == 0 {
+	if round%crossZoneRounds == 0 {
 		return member.Random(x.Rand, x.Members.ZonePeers(false))
 	}
 	return nil
 }
 
-// NextWatcher returns the peer of a zone whose turn it is, of those that watch
-// the platform.
+// NextWatcher returns the next watcher of a zone in round-robin order, nil if there is none.
+// It skips watchers that are leaving.
 func (x *Exchanges) NextWatcher(now clock.Instant, zone string) *member.Peer {
-	var others []*member.Peer
+	var watchers []*member.Peer
 	for _, name := range x.Roster.InZone(now, zone) {
 		if p := x.Members.Get(name); p != nil && !p.Leaving {
-			others = append(others, p)
+			watchers = append(watchers, p)
 		}
 	}
-	if len(others) == 0 {
+	if len(watchers) == 0 {
 		return nil
 	}
-	x.rhythm.turn++
-	return others[x.rhythm.turn%len(others)]
+	x.schedule.nextIndex++
+	return watchers[x.schedule.nextIndex%len(watchers)]
 }
 
-// contactSeeds tries one address from the settings while no peer was heard.
+// contactSeeds starts an exchange with a random address from the settings while this
+// instance is isolated.
 func (x *Exchanges) contactSeeds(now clock.Instant) {
 	if len(x.seeds) == 0 || !x.Isolated(now) {
 		return
--- a/core/ownership/claim.go
+++ b/core/ownership/claim.go
@@ -12,29 +12,31 @@
 	"github.com/birchdrift/birchdrift/core/step"
 )
 
-// Claims of engines: who takes an engine that nobody owns, and when it may give
-// the first order there.
+// This file decides which instance claims an engine without an owner, and when the
+// new owner may send the first order.
 
 const (
-	// claimEvery spaces the looks for engines to claim, and for the placer's
-	// record: a third of the time that a lost owner's engines have to wait anyhow.
-	claimEvery = 300 * time.Millisecond
-	// claimStep is how long the instance next in rank waits for the one before
-	// it to claim: two looks and a write.
-	claimStep = 700 * time.Millisecond
-	// sameOwnerGap is how long an owner waits that takes its own engine again,
-	// whose orders may still be on their way: above the time limit of an order at
-	// the fastest engines, below the gap between two owners.
+	// claimInterval is the time between two checks for engines to claim, and for the
+	// placer's record to claim. It is a third of the time that the engines of a lost
+	// owner have to wait in any case.
+	claimInterval = 300 * time.Millisecond
+	// claimRankDelay is the time that an instance waits for each instance of higher rank
+	// to claim first. It covers two checks and a write.
+	claimRankDelay = 700 * time.Millisecond
+	// sameOwnerGap is the time that an owner waits before it sends orders to an engine that
+	// it claimed again itself, since its earlier orders may still be in flight. It is longer
+	// than the time limit of an order at the fastest engines and shorter than the gap
+	// between two owners.
 	sameOwnerGap = 400 * time.Millisecond
-	// turnMargin is added to the gap between the orders of two owners, for the
-	// way of an order and for clocks that run apart.
+	// turnMargin is added to TurnGap, the minimum time between the orders of two owners, to
+	// allow for the transmission of an order and for clocks that run at different rates.
 	turnMargin = 300 * time.Millisecond
 )
 
-// A claims is this instance's claiming under way.
+// A claims holds the schedule and the state of this instance's claims.
 type claims struct {
-	due      clock.Instant
-	inFlight bool
+	due      clock.Instant // when to check next for engines to claim
+	inFlight bool          // a write of claims is in flight
 }
 
 // claim claims the engines that this instance should own.
@@ -42,12 +44,12 @@
 	if now.Before(g.claims.due) {
 		return
 	}
-	g.claims.due = now.Add(step.Jitter(g.Rand, claimEvery))
-	if !g.era.isRead() || !g.enrolment.held || g.claims.inFlight || !g.Roster.IncludesSelf(now) || !g.MayOrder(now) || !g.Config.Loaded() {
+	g.claims.due = now.Add(step.Jitter(g.Rand, claimInterval))
+	if !g.era.isReady() || !g.enrolment.held || g.claims.inFlight || !g.Roster.IncludesSelf(now) || !g.MayOrder(now) || !g.Config.Loaded() {
 		return
 	}
 	var claims []registry.Ownership
-	candidates := sync.OnceValue(func() []candidate { return g.candidates(now) }) // most looks find nothing to claim
+	candidates := sync.OnceValue(func() []candidate { return g.candidates(now) }) // computed lazily: most checks find nothing to claim
 	for _, r := range g.Pool.All() {
 		if !r.Announced || r.Kind != pool.Engine || !r.Usable() || len(claims) == registry.MaxClaims {
 			continue
@@ -60,17 +62,18 @@
 		return
 	}
 	g.claims.inFlight = true
-	g.Out.Emit(Write{Write: Txn{Claim: claims, Depends: g.era.depends()}})
+	g.Out.Emit(Write{Write: Txn{Claim: claims, Depends: g.era.recordRevision()}})
 }
 
-// claimOf returns the claim of an engine; ok says whether this instance is to
-// write it now.
+// claimOf returns the claim of an engine. ok reports whether this instance should write
+// it now.
 func (g *Registry) claimOf(now clock.Instant, r *pool.Replica, candidates func() []candidate) (claim registry.Ownership, ok bool) {
 	old, owned := g.owners[r.Name]
-	claim = registry.Ownership{Engine: r.Name, Owner: g.Self.Name, Boot: g.Self.Boot, Era: g.era.now, Revision: old.Revision}
+	claim = registry.Ownership{Engine: r.Name, Owner: g.Self.Name, Boot: g.Self.Boot, Era: g.era.current, Revision: old.Revision}
 	if e := g.Owned.Get(r.Name); e != nil {
-		// Once the former owner's orders cannot be on their way any more, the
-		// record is written again without it; and where the store went back.
+		// Rewrite the record without the former owner once none of its orders can be
+		// in flight any more. Also rewrite it after the store was restored from an
+		// older copy.
 		return claim, !e.Settled && !now.Before(e.From) || g.era.isFormer(e.Fence)
 	}
 	stale := owned && g.era.isStale(old.Era)
@@ -94,61 +97,61 @@
 	if !free {
 		return claim, false
 	}
-	// Should the instance that ranks first not claim, the next one does.
-	return claim, !now.Before(since.Add(time.Duration(ownerRank(r.Name, r.Zone, g.self(), candidates())) * claimStep))
+	// If the instance of the highest rank does not claim, the next one does.
+	return claim, !now.Before(since.Add(time.Duration(ownerRank(r.Name, r.Zone, g.self(), candidates())) * claimRankDelay))
 }
 
-// An engineView is what is known of who may order an engine.
+// An engineView holds what is known about the owner of an engine.
 type engineView struct {
-	steadyAt   clock.Instant // since when the store has answered; zero: it does not
-	seenAt     clock.Instant // when the engine was first announced here
-	owned      bool          // there is a record of its owner
-	owner      string        // "" if it was given back
-	learntAt   clock.Instant // when that record was learnt
-	ownerThere bool          // the owner has a record of its own
-	ownerGone  clock.Instant // since when it has none; zero if it was never seen go
+	storeUpSince     clock.Instant // when the store began to answer; zero: it does not
+	announcedAt      clock.Instant // when the engine was first announced to this instance
+	owned            bool          // an ownership record exists
+	owner            string        // "" if it was released
+	learntAt         clock.Instant // when the ownership record was learnt
+	ownerPresent     bool          // the owner's own record exists
+	ownerAbsentSince clock.Instant // when the owner's record was first missing; zero: never observed
 }
 
-// engineView gathers what is known. An owner without a record counts as gone from
-// the first look on at which it has none.
+// engineView returns what is known about the owner of an engine. An owner without a
+// record counts as absent from the first check that finds the record missing.
 func (g *Registry) engineView(now clock.Instant, r *pool.Replica, old registry.Ownership, owned bool) engineView {
-	v := engineView{steadyAt: g.steadyAt, seenAt: r.FirstSeenAt(), owned: owned, owner: old.Owner, learntAt: g.learnt[r.Name]}
-	if g.steadyAt.IsZero() || !owned || old.Owner == "" {
+	v := engineView{storeUpSince: g.storeUpSince, announcedAt: r.FirstSeenAt(), owned: owned, owner: old.Owner, learntAt: g.learntAt[r.Name]}
+	if g.storeUpSince.IsZero() || !owned || old.Owner == "" {
 		return v
 	}
-	_, v.ownerThere = g.instances[old.Owner]
-	if v.ownerThere {
+	_, v.ownerPresent = g.instances[old.Owner]
+	if v.ownerPresent {
 		return v
 	}
-	gone, seen := g.absent[old.Owner]
+	since, seen := g.absentSince[old.Owner]
 	if !seen {
-		g.absent[old.Owner] = now
+		g.absentSince[old.Owner] = now
 	}
-	v.ownerGone = gone
+	v.ownerAbsentSince = since
 	return v
 }
 
-// freeSince returns since when nobody is to be expected to order the engine; ok is
-// false while its owner is there, or may be as far as this instance can tell.
-// absentFor is how long an owner's record must have been gone while the store
-// answered.
+// freeSince returns the time since which no instance is expected to send the engine orders.
+// ok is false while its owner is present, or may be as far as this instance can tell.
+// absentFor is the time for which an owner's record must have been missing while the
+// store answered.
 func (v engineView) freeSince(absentFor time.Duration) (since clock.Instant, ok bool) {
 	switch {
-	case v.steadyAt.IsZero():
+	case v.storeUpSince.IsZero():
 		return since, false
 	case !v.owned:
-		return clock.Latest(v.steadyAt.Add(claimStep), v.seenAt), true
+		return clock.Latest(v.storeUpSince.Add(claimRankDelay), v.announcedAt), true
 	case v.owner == "":
 		return v.learntAt, true
-	case v.ownerThere || v.ownerGone.IsZero():
+	case v.ownerPresent || v.ownerAbsentSince.IsZero():
 		return since, false
 	default:
-		return clock.Latest(v.ownerGone, v.steadyAt).Add(absentFor), true
+		return clock.Latest(v.ownerAbsentSince, v.storeUpSince).Add(absentFor), true
 	}
 }
 
-// claimsWritten takes in what came of claims.
-func (g *Registry) claimsWritten(now clock.Instant, e WriteReply) {
+// handleClaimReply handles the result of a write of claims.
+func (g *Registry) handleClaimReply(now clock.Instant, e WriteReply) {
 	g.claims.inFlight = false
 	if e.Err != nil {
 		g.Outage.Observe(now, e.Err)
@@ -161,7 +164,7 @@
 		first := claim.Revision == 0
 		claim.Revision = e.Revision
 		if g.era.isFormer(e.Revision) {
-			continue // the store went back since
+			continue // the store was restored from an older copy after the write
 		}
 		g.owners[claim.Engine] = claim
 		if own := g.Owned.Get(claim.Engine); own != nil && claim.FormerOwner == "" {
@@ -170,26 +173,26 @@
 		}
 		from := firstOrder(now, claim, first, g.Options)
 		if first {
-			from = clock.Latest(from, g.formerHolderEnds(now))
+			from = clock.Latest(from, g.formerOwnerEnd(now))
 		}
 		g.Owned.Acquire(now, claim, from)
 	}
 }
 
-// formerHolderEnds returns from when on an engine without a record may be ordered: whoever
-// held it in a former era, by a record that the store has lost, has stopped by then. now if
-// there was no such era.
-func (g *Registry) formerHolderEnds(now clock.Instant) clock.Instant {
-	if g.era.firstEver() {
+// formerOwnerEnd returns the time from which an engine without a record may be sent orders:
+// an instance that owned it in a former era, by a record that the store has lost, has
+// stopped sending orders before that. The result is now if there was no former era.
+func (g *Registry) formerOwnerEnd(now clock.Instant) clock.Instant {
+	if g.era.isFirst() {
 		return now
 	}
-	return g.formerEnds().Add(g.Options.TurnGap)
+	return g.formerEraExpiry().Add(g.Options.TurnGap)
 }
 
-// firstOrder returns when an instance may first order an engine that it has just
-// claimed: once no order of the former owner can be on its way any more, and the
-// gap between the orders of two owners has passed. first says that nobody ever
-// ordered it.
+// firstOrder returns when an instance may send the first order to an engine that it has
+// just claimed: once no order of the former owner can be in flight any more and the gap
+// between the orders of two owners has passed. first reports that the engine had no
+// ownership record before, so that no instance is known to have sent it orders.
 func firstOrder(now clock.Instant, claim registry.Ownership, first bool, o *option.Options) clock.Instant {
 	switch {
 	case o.Disable.TurnWait:
--- a/core/ownership/era.go
+++ b/core/ownership/era.go
@@ -10,130 +10,140 @@
 	"github.com/birchdrift/birchdrift/core/registry"
 )
 
-// What this instance does once the store came back from an older copy of itself
-// (docs/design/eras.md). Its lease is of no use any more, since the store may give its number
-// to another. What it holds it goes on ordering, and claims again; what others hold by the
-// records that the store still has, they may have held no more.
+// This file handles a rollback: the store was restored from an older copy of itself, which
+// begins a new era (docs/design/eras.md). This instance's lease becomes useless, since the
+// store may issue the same ID to another instance. The instance keeps sending orders to the
+// engines that it owns, and claims them again. The ownership records of other instances that
+// the store still has may be outdated: their owners may have lost the engines already.
 
-// enrolApart spaces, over all instances, the new leases after a step back: two writes each.
-const enrolApart = 10 * time.Millisecond
+// reenrolSpacing is the average time between the new leases of all instances after a
+// rollback. Each new lease takes two writes.
+const reenrolSpacing = 10 * time.Millisecond
 
-// EraObserved is the event that a call showed in which era the store is.
+// EraObserved is the event that a call showed the store's era.
 type EraObserved struct{ Era era.Era }
 
 // IsEvent implements step.Event.
 func (EraObserved) IsEvent() {}
 
-// A storeEra is what is known of the era in which the store is.
+// A storeEra holds what is known about the store's current era.
 type storeEra struct {
-	known   bool
-	now     era.Era
-	since   clock.Instant // when this instance heard of it
-	readAt  clock.Instant // when the whole was read in it first; zero: it was not
-	mark    *registry.EraRecord
-	marking bool          // the mark's write is under way
-	markDue clock.Instant // when it may be written again
-	stepped bool          // this instance was there before
-	// formerUntil is until when what was gained in former eras may be ordered without being
-	// claimed again.
-	formerUntil clock.Instant
+	known      bool // an era was observed
+	current    era.Era
+	since      clock.Instant       // when this instance first observed it
+	readAt     clock.Instant       // when all records were first read in it; zero: not yet
+	record     *registry.EraRecord // its era record; nil: not known yet
+	writing    bool                // a write of the era record is in flight
+	writeDue   clock.Instant       // earliest time of the next write of the era record
+	rolledBack bool                // this instance was running in a former era
+	// formerValidUntil is the time until which engines that were claimed in a former era
+	// may be sent orders without being claimed again.
+	formerValidUntil clock.Instant
 }
 
-// isFormer reports whether a number is of an era that is over.
-func (x *storeEra) isFormer(n era.Revision) bool { return n.Era() < x.now }
+// isFormer reports whether a revision is of a former era.
+func (x *storeEra) isFormer(n era.Revision) bool { return n.Era() < x.current }
 
-// isOver reports whether a lease is of an era that is over.
-func (x *storeEra) isOver(l era.Lease) bool { return l.Era < x.now }
+// isFormerLease reports whether a lease is of a former era.
+func (x *storeEra) isFormerLease(l era.Lease) bool { return l.Era < x.current }
 
-// isStale reports whether a record that was meant for an era says nothing certain any more:
-// what was written after it may be lost.
-func (x *storeEra) isStale(meant era.Era) bool { return meant < x.now }
+// isStale reports whether a record meant for the given era is no longer reliable, because
+// later writes to it may have been lost.
+func (x *storeEra) isStale(meant era.Era) bool { return meant < x.current }
 
-// isRead reports whether claims may be decided on and written: the records of this era are
-// known, and the one stands on which claims depend.
-func (x *storeEra) isRead() bool {
+// isReady reports whether claims may be decided and written: the records of this era are
+// known, and the era record exists that claims are conditional on.
+func (x *storeEra) isReady() bool {
 	if x.readAt.IsZero() {
 		return false
 	}
-	return x.now == 0 || x.mark != nil
+	return x.current == 0 || x.record != nil
 }
 
-// firstEver reports whether no record of ours can have been lost with a former era.
-func (x *storeEra) firstEver() bool { return x.now == 0 || x.mark != nil && x.mark.First }
+// isFirst reports whether no record of the product can have been lost with a former era,
+// since the store reports no era or the era record says so.
+func (x *storeEra) isFirst() bool { return x.current == 0 || x.record != nil && x.record.First }
 
-// depends returns the revision of the record that claims depend on, 0 if they do on none.
-func (x *storeEra) depends() era.Revision {
-	if x.mark == nil {
+// recordRevision returns the revision of the era record that claims are conditional on, 0 if
+// there is no such condition.
+func (x *storeEra) recordRevision() era.Revision {
+	if x.record == nil {
 		return 0
 	}
-	return x.mark.Revision
+	return x.record.Revision
 }
 
-// HandleEraObserved takes in that a call showed the store's era.
+// HandleEraObserved handles a call that showed the store's era.
 func (g *Registry) HandleEraObserved(now clock.Instant, e EraObserved) { g.observeEra(now, e.Era) }
 
-// observeEra takes in that the store is, or was, in an era.
+// observeEra records that the store is, or has been, in the given era.
 func (g *Registry) observeEra(now clock.Instant, e era.Era) {
 	x := &g.era
-	if x.known && e <= x.now {
+	if x.known && e <= x.current {
 		return
 	}
 	former := *x
-	*x = storeEra{known: true, now: e, since: now, stepped: former.known}
+	*x = storeEra{known: true, current: e, since: now, rolledBack: former.known}
 	if former.known {
-		g.steppedBack(now, former)
+		g.handleRollback(now, former)
 	}
 }
 
-// steppedBack begins a new era.
-func (g *Registry) steppedBack(now clock.Instant, former storeEra) {
-	g.Out.Log(logevent.StoreSteppedBack, "era", uint64(g.era.now), "former", uint64(former.now), "engines", g.Owned.Len())
-	g.era.formerUntil = now.Add(g.Options.OrderValid)
-	g.Owned.LoseUnsettled(now, "the store went back before the orders of a former owner had ended")
+// handleRollback reacts to the start of a new era while this instance is running. It gives
+// up engines that may still receive orders of a former owner, and schedules a new lease and
+// new claims at once. An instance that neither owns engines nor is the placer delays its new
+// lease at random, to spread the writes.
+func (g *Registry) handleRollback(now clock.Instant, former storeEra) {
+	g.Out.Log(logevent.StoreSteppedBack, "era", uint64(g.era.current), "former", uint64(former.current), "engines", g.Owned.Len())
+	g.era.formerValidUntil = now.Add(g.Options.OrderValid)
+	g.Owned.LoseUnsettled(now, "the store was restored from an older copy before the orders of a former owner had ended")
 	g.claims.due = now
-	g.placer.seekDue = now
+	g.placer.claimDue = now
 	g.enrolment.due = now
 	if g.Owned.Len() == 0 && !g.placer.held {
-		spread := time.Duration(g.Members.Size()) * enrolApart
+		spread := time.Duration(g.Members.Size()) * reenrolSpacing
 		g.enrolment.due = now.Add(time.Duration(g.Rand.Float64() * float64(spread)))
 	}
 	g.SteppedBack(now)
 }
 
-// formerEnds returns from when on nobody orders by a right of a former era any more that was
-// not claimed again: whoever had one heard of this era while it was good, at most OrderValid
-// after the store went back, and ends it OrderValid later.
-func (g *Registry) formerEnds() clock.Instant {
+// formerEraExpiry returns the time from which no instance sends orders by an ownership of a
+// former era that it has not claimed again. Each such owner observed the new era while its
+// ownership was valid, at most OrderValid after the rollback, and gives the ownership up
+// OrderValid after that.
+func (g *Registry) formerEraExpiry() clock.Instant {
 	return g.era.since.Add(2*g.Options.OrderValid + turnMargin)
 }
 
-// MayOrderWithFence reports whether this instance may order under a fence: under one that it
-// gained in a former era only until it must have claimed again.
+// MayOrderWithFence reports whether this instance may send orders with the given fence. A
+// fence of a former era is valid only until formerValidUntil; the engine must be claimed
+// again before that.
 func (g *Registry) MayOrderWithFence(now clock.Instant, fence era.Revision) bool {
-	return g.MayOrder(now) && (!g.era.isFormer(fence) || now.Before(g.era.formerUntil))
+	return g.MayOrder(now) && (!g.era.isFormer(fence) || now.Before(g.era.formerValidUntil))
 }
 
-// dropFormer drops what is known of owners, and of the placer, by records that the whole of a
-// new era does not have.
-func (g *Registry) dropFormer(now clock.Instant) {
+// dropFormerRecords removes the known ownerships and the placer of former eras, whose records
+// are not in the complete set of the new era.
+func (g *Registry) dropFormerRecords(now clock.Instant) {
 	for engine, o := range g.owners {
 		if g.era.isFormer(o.Revision) {
 			delete(g.owners, engine)
 		}
 	}
 	if g.placer.record.Name != "" && g.era.isFormer(g.placer.record.Revision) {
-		g.takePlacer(now, registry.Placer{})
+		g.applyPlacer(now, registry.Placer{})
 	}
 }
 
-// endFormer gives up what was gained in a former era and not claimed again in time.
-func (g *Registry) endFormer(now clock.Instant) {
-	if !g.era.stepped || now.Before(g.era.formerUntil) {
+// loseFormer gives up the engines and the placer's task of a former era that were not claimed
+// again in time.
+func (g *Registry) loseFormer(now clock.Instant) {
+	if !g.era.rolledBack || now.Before(g.era.formerValidUntil) {
 		return
 	}
 	for _, name := range g.Owned.Names() {
 		if g.era.isFormer(g.Owned.Get(name).Fence) {
-			g.Owned.Lose(now, name, "it was not claimed again after the store went back")
+			g.Owned.Lose(now, name, "it was not claimed again in time after the store was restored from an older copy")
 		}
 	}
 	if g.era.isFormer(g.placer.fence) {
@@ -141,25 +151,25 @@
 	}
 }
 
-// markEra writes the record of this era where there is none, on which all claims depend. With
-// it, claims that were meant for a former era and are still on their way cannot be carried
-// out any more. Instances come in the order of their rank.
-func (g *Registry) markEra(now clock.Instant) {
+// writeEraRecord writes the record of the current era if there is none. All claims are
+// conditional on that record, so delayed claims that were meant for a former era can no
+// longer take effect. Instances try in the order of their rank.
+func (g *Registry) writeEraRecord(now clock.Instant) {
 	x := &g.era
-	if x.now == 0 || x.mark != nil || x.marking || x.readAt.IsZero() || now.Before(x.markDue) || !g.Roster.IncludesSelf(now) {
+	if x.current == 0 || x.record != nil || x.writing || x.readAt.IsZero() || now.Before(x.writeDue) || !g.Roster.IncludesSelf(now) {
 		return
 	}
-	if now.Before(x.readAt.Add(time.Duration(g.PlacerRank(now)) * claimStep)) {
+	if now.Before(x.readAt.Add(time.Duration(g.PlacerRank(now)) * claimRankDelay)) {
 		return
 	}
-	x.marking = true
-	mark := registry.EraRecord{Era: x.now, First: !x.stepped && !g.hasStale()}
-	g.Out.Emit(Write{Write: Txn{Mark: &mark, Former: g.formerMarks}})
+	x.writing = true
+	record := registry.EraRecord{Era: x.current, First: !x.rolledBack && !g.hasStale()}
+	g.Out.Emit(Write{Write: Txn{Mark: &record, Former: g.formerEraRecords}})
 }
 
-// hasStale reports whether there are records of a former era.
+// hasStale reports whether any record of a former era is known.
 func (g *Registry) hasStale() bool {
-	if len(g.formerMarks) > 0 || g.placer.record.Name != "" && g.era.isStale(g.placer.record.Era) {
+	if len(g.formerEraRecords) > 0 || g.placer.record.Name != "" && g.era.isStale(g.placer.record.Era) {
 		return true
 	}
 	for _, o := range g.owners {
@@ -170,29 +180,29 @@
 	return false
 }
 
-// markWritten takes in what came of the write of an era's record.
-func (g *Registry) markWritten(now clock.Instant, e WriteReply) {
-	g.era.marking = false
-	g.era.markDue = now.Add(claimEvery)
+// handleEraRecordReply handles the result of writing the era record.
+func (g *Registry) handleEraRecordReply(now clock.Instant, e WriteReply) {
+	g.era.writing = false
+	g.era.writeDue = now.Add(claimInterval)
 	if e.Err != nil {
 		g.Outage.Observe(now, e.Err)
 		return
 	}
-	if e.Conflict || e.Write.Mark.Era != g.era.now {
-		return // the watch brings the one that stands
+	if e.Conflict || e.Write.Mark.Era != g.era.current {
+		return // the watch returns the record that exists
 	}
-	mark := *e.Write.Mark
-	mark.Revision = e.Revision
-	g.takeMark(mark)
+	record := *e.Write.Mark
+	record.Revision = e.Revision
+	g.applyEraRecord(record)
 }
 
-// takeMark takes in the record of an era.
-func (g *Registry) takeMark(m registry.EraRecord) {
+// applyEraRecord applies an era record.
+func (g *Registry) applyEraRecord(m registry.EraRecord) {
 	switch {
-	case m.Era == g.era.now:
-		g.era.mark = &m
-		g.formerMarks = nil // they went with the write of this one
-	case m.Era < g.era.now && !slices.Contains(g.formerMarks, m.Era):
-		g.formerMarks = append(g.formerMarks, m.Era)
+	case m.Era == g.era.current:
+		g.era.record = &m
+		g.formerEraRecords = nil // they were deleted with the write of this one
+	case m.Era < g.era.current && !slices.Contains(g.formerEraRecords, m.Era):
+		g.formerEraRecords = append(g.formerEraRecords, m.Era)
 	}
 }
--- a/core/ownership/era_test.go
+++ b/core/ownership/era_test.go
@@ -16,17 +16,18 @@
 	"github.com/birchdrift/birchdrift/core/watchers"
 )
 
-// What an instance does once the store came back from an older copy, mechanism by mechanism:
-// storms rarely meet the few seconds in which each of them decides (docs/design/eras.md).
+// These tests cover each mechanism that handles a store restored from an older copy
+// (docs/design/eras.md). The randomized storm tests rarely hit the few seconds in which each
+// mechanism matters.
 
-// A bench drives one registry by the events that a driver would post.
+// A bench drives one Registry by the events that a driver would post.
 type bench struct {
 	*testing.T
 	g   *Registry
 	now clock.Instant
 }
 
-// newBench returns the registry of an instance that has heard of nothing.
+// newBench returns the bench of an instance that knows no records.
 func newBench(t *testing.T) *bench {
 	b := &bench{T: t, now: clocktest.At(time.Hour)}
 	g := testRegistry(b.now)
@@ -43,34 +44,35 @@
 	return b
 }
 
-// in returns a registry that has enrolled in an era and heard all of its records.
-func in(t *testing.T, e era.Era, records ...registry.Record) *bench {
+// newInEra returns the bench of an instance that has enrolled in era e and knows all of its
+// records.
+func newInEra(t *testing.T, e era.Era, records ...registry.Record) *bench {
 	b := newBench(t)
-	b.heardAll(e, records...)
-	b.enrolled(e)
+	b.receiveAll(e, records...)
+	b.enrol(e)
 	return b
 }
 
-// heardAll has the whole of an era heard: these records, and its mark.
-func (b *bench) heardAll(e era.Era, records ...registry.Record) {
-	mark := registry.EraRecord{Era: e, First: e == 1}
-	records = append(records, record(e, 3, mark.Value()))
+// receiveAll delivers the complete records of an era: the given ones and the era record.
+func (b *bench) receiveAll(e era.Era, records ...registry.Record) {
+	eraRecord := registry.EraRecord{Era: e, First: e == 1}
+	records = append(records, record(e, 3, eraRecord.Value()))
 	b.g.HandleWatchUpdate(b.now, WatchUpdate{Records: records, Version: e.Revision(50), Whole: true})
 	b.g.WatchAnswered(b.now)
 }
 
-// record returns a record as it stands at a revision of an era.
+// record returns v as a record with the given revision of an era.
 func record(e era.Era, raw uint64, v registry.Value) registry.Record {
 	return registry.Record{Key: v.Key, Data: v.Data, Revision: e.Revision(raw)}
 }
 
-// enrolled has the lease and the record of an era written.
-func (b *bench) enrolled(e era.Era) {
+// enrol delivers the reply that this instance has a lease of era e.
+func (b *bench) enrol(e era.Era) {
 	b.g.HandleEnrolReply(b.now, EnrolReply{Sent: b.now, Lease: era.Lease{Era: e, ID: 9}})
 }
 
-// pass lets time pass while the store answers watches and renewals.
-func (b *bench) pass(span time.Duration) {
+// advance advances the time by span while the store answers watches and renewals.
+func (b *bench) advance(span time.Duration) {
 	for end := b.now.Add(span); b.now.Before(end); {
 		b.now = b.now.Add(100 * time.Millisecond)
 		b.g.WatchAnswered(b.now)
@@ -80,16 +82,17 @@
 	}
 }
 
-// tick returns what a tick has done.
+// tick runs one tick and returns its actions.
 func (b *bench) tick() []step.Action {
 	b.g.Out.Reset()
 	b.g.Tick(b.now)
 	return b.g.Out.Actions()
 }
 
-// claims waits for a write of claims and returns it.
-func (b *bench) claims(most time.Duration) (Txn, bool) {
-	for end := b.now.Add(most); b.now.Before(end); b.pass(100 * time.Millisecond) {
+// awaitClaims advances the time by at most limit until claims are written, and returns their
+// transaction.
+func (b *bench) awaitClaims(limit time.Duration) (Txn, bool) {
+	for end := b.now.Add(limit); b.now.Before(end); b.advance(100 * time.Millisecond) {
 		for _, a := range b.tick() {
 			if w, ok := a.(Write); ok && len(w.Write.Claim) > 0 {
 				return w.Write, true
@@ -99,10 +102,10 @@
 	return Txn{}, false
 }
 
-// holding returns a registry that owns engine e in the first era, with nothing to wait for.
-func holding(t *testing.T) *bench {
-	b := in(t, 1)
-	w, ok := b.claims(5 * time.Second)
+// newOwner returns the bench of an instance that owns engine e in era 1 and may order it.
+func newOwner(t *testing.T) *bench {
+	b := newInEra(t, 1)
+	w, ok := b.awaitClaims(5 * time.Second)
 	if !ok {
 		t.Fatal("nothing was claimed")
 	}
@@ -110,104 +113,108 @@
 	if b.g.Owned.Get("e") == nil {
 		t.Fatal("e is not owned")
 	}
-	b.pass(time.Second)
+	b.advance(time.Second)
 	return b
 }
 
-// orderable reports whether engine e may be ordered.
-func (b *bench) orderable() bool {
+// mayOrder reports whether the instance may send orders to engine e.
+func (b *bench) mayOrder() bool {
 	e := b.g.Owned.Get("e")
 	return e != nil && b.g.Owned.Orderable(b.now, e)
 }
 
-// owner returns the value of the record by which an instance owns e, meant for an era.
-func owner(name string, meant era.Era) registry.Value {
+// ownerRecord returns the ownership record of engine e for the owner name, written for the
+// era meant.
+func ownerRecord(name string, meant era.Era) registry.Value {
 	return registry.Ownership{Engine: "e", Owner: name, Boot: 7, Era: meant}.Value()
 }
 
-// TestAHolderGoesOnAndClaimsAgain: whatever the store says of its engine by a record of the
-// former era, or if it says nothing, a holder goes on ordering, and claims it again under what
-// it found, with nothing to wait for.
-func TestAHolderGoesOnAndClaimsAgain(t *testing.T) {
+// TestOwnerKeepsSendingOrdersAndReclaims checks that after a rollback an owner keeps sending
+// orders to its engine and claims it again without a wait, whatever former-era record of the
+// engine the store holds, or if it holds none. The claim is conditional on the record found.
+func TestOwnerKeepsSendingOrdersAndReclaims(t *testing.T) {
 	for name, found := range map[string][]registry.Record{
-		"its own record":        {record(2, 20, owner("self", 1))},
-		"another's":             {record(2, 20, owner("b", 1))},
-		"that it is given back": {record(2, 20, owner("", 1))},
-		"none":                  nil,
+		"its own record":    {record(2, 20, ownerRecord("self", 1))},
+		"another's":         {record(2, 20, ownerRecord("b", 1))},
+		"a released record": {record(2, 20, ownerRecord("", 1))},
+		"none":              nil,
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			b := holding(t)
-			is.True(b.orderable())
-			b.heardAll(2, found...)
-			is.True(b.orderable())
-			w, ok := b.claims(time.Second)
+			b := newOwner(t)
+			is.True(b.mayOrder())
+			b.receiveAll(2, found...)
+			is.True(b.mayOrder())
+			w, ok := b.awaitClaims(time.Second)
 			is.True(ok)
 			is.Equal(w.Claim[0].FormerOwner, "")
 			is.Equal(w.Claim[0].Era, era.Era(2))
 			is.Equal(w.Claim[0].Revision != 0, len(found) > 0)
-			is.Equal(w.Depends, era.Era(2).Revision(3)) // on the mark of this era
+			is.Equal(w.Depends, era.Era(2).Revision(3)) // conditional on this era's record
 			b.g.HandleWriteReply(b.now, WriteReply{Write: w, Revision: era.Era(2).Revision(60)})
-			b.enrolled(2)
-			b.pass(10 * time.Second)
+			b.enrol(2)
+			b.advance(10 * time.Second)
 			b.tick()
-			is.True(b.orderable())
+			is.True(b.mayOrder())
 			is.Equal(b.g.Owned.Get("e").Fence, era.Era(2).Revision(60))
 		})
 	}
 }
 
-// TestAHolderLosesToAClaimOfThisEra: which only one who may order has written.
-func TestAHolderLosesToAClaimOfThisEra(t *testing.T) {
+// TestOwnerLosesToClaimOfCurrentEra checks that an owner gives its engine up to a claim of
+// the current era, since only an instance that may order the engine writes one.
+func TestOwnerLosesToClaimOfCurrentEra(t *testing.T) {
 	is := is.New(t)
-	b := holding(t)
-	b.heardAll(2, record(2, 20, owner("b", 2)))
+	b := newOwner(t)
+	b.receiveAll(2, record(2, 20, ownerRecord("b", 2)))
 	is.True(b.g.Owned.Get("e") == nil)
 }
 
-// TestARightOfAFormerEraEnds: unless it is claimed again, though renewals and watches are
-// answered.
-func TestARightOfAFormerEraEnds(t *testing.T) {
+// TestFormerEraOwnershipExpires checks that an ownership of a former era ends unless it is
+// claimed again, even if renewals and watches are answered.
+func TestFormerEraOwnershipExpires(t *testing.T) {
 	is := is.New(t)
-	b := holding(t)
-	b.heardAll(2)
-	b.enrolled(2)
-	w, ok := b.claims(time.Second)
+	b := newOwner(t)
+	b.receiveAll(2)
+	b.enrol(2)
+	w, ok := b.awaitClaims(time.Second)
 	is.True(ok)
 	b.g.HandleWriteReply(b.now, WriteReply{Write: w, Err: errors.New("no answer")})
-	b.pass(b.g.Options.OrderValid - 2*time.Second)
-	is.True(b.orderable())
-	b.pass(2 * time.Second)
-	is.True(!b.orderable()) // before any tick
+	b.advance(b.g.Options.OrderValid - 2*time.Second)
+	is.True(b.mayOrder())
+	b.advance(2 * time.Second)
+	is.True(!b.mayOrder()) // before any tick
 	b.tick()
 	is.True(b.g.Owned.Get("e") == nil)
 }
 
-// TestWhoWaitsForAFormerOwnerLosesTheEngine: the claim by which that one would have heard that
-// it may not order any more may be what the store lost.
-func TestWhoWaitsForAFormerOwnerLosesTheEngine(t *testing.T) {
+// TestUnsettledOwnershipIsLostOnRollback checks that an owner that still waits for the orders
+// of a former owner to end loses the engine on a rollback. The store may have lost exactly the
+// claim that would have told the former owner to stop.
+func TestUnsettledOwnershipIsLostOnRollback(t *testing.T) {
 	is := is.New(t)
-	b := in(t, 1)
+	b := newInEra(t, 1)
 	claim := registry.Ownership{Engine: "e", Owner: "self", Boot: 1, Era: 1, FormerOwner: "b"}
 	b.g.HandleWriteReply(b.now, WriteReply{Write: Txn{Claim: []registry.Ownership{claim}}, Revision: era.Era(1).Revision(40)})
 	is.True(b.g.Owned.Get("e") != nil)
-	b.heardAll(2)
+	b.receiveAll(2)
 	is.True(b.g.Owned.Get("e") == nil)
 }
 
-// TestARecordOfAFormerEraSaysNothingOfWhoOrders: whoever takes the engine, be it in its own
-// name, waits as after an owner of whom nothing is known.
-func TestARecordOfAFormerEraSaysNothingOfWhoOrders(t *testing.T) {
+// TestFormerEraRecordForcesFullWait checks that an instance that claims an engine with a
+// former-era record, even one in its own name, waits as after an unknown owner, since such a
+// record does not show who orders the engine.
+func TestFormerEraRecordForcesFullWait(t *testing.T) {
 	for _, name := range []string{"self", "b", ""} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			b := in(t, 1)
-			b.heardAll(2, record(2, 20, owner(name, 1)))
-			b.enrolled(2)
+			b := newInEra(t, 1)
+			b.receiveAll(2, record(2, 20, ownerRecord(name, 1)))
+			b.enrol(2)
 			if name == "b" {
-				b.g.absent["b"] = b.now // it has no record of its own any more
+				b.g.absentSince["b"] = b.now // b's own record was deleted
 			}
-			w, ok := b.claims(5 * time.Second)
+			w, ok := b.awaitClaims(5 * time.Second)
 			is.True(ok)
 			is.Equal(w.Claim[0].FormerOwner, registry.FormerUnknown)
 			b.g.HandleWriteReply(b.now, WriteReply{Write: w, Revision: era.Era(2).Revision(60)})
@@ -217,42 +224,44 @@
 	}
 }
 
-// TestAnEngineWithoutARecordMayBeHeld: by someone whose claim was lost. Where no era was before
-// there is nobody to wait for.
-func TestAnEngineWithoutARecordMayBeHeld(t *testing.T) {
+// TestMissingRecordForcesWaitAfterRollback checks that after a rollback an engine without a
+// record may be owned by an instance whose claim was lost, so its claimant waits for that
+// instance to stop. In the first era there is nothing to wait for.
+func TestMissingRecordForcesWaitAfterRollback(t *testing.T) {
 	for _, e := range []era.Era{1, 2} {
 		is := is.New(t)
-		b := in(t, e)
-		heard := b.now
-		w, ok := b.claims(5 * time.Second)
+		b := newInEra(t, e)
+		start := b.now
+		w, ok := b.awaitClaims(5 * time.Second)
 		is.True(ok)
 		b.g.HandleWriteReply(b.now, WriteReply{Write: w, Revision: e.Revision(60)})
 		want := b.now
 		if e > 1 {
 			o := b.g.Options
-			want = heard.Add(2*o.OrderValid + o.TurnGap + turnMargin)
+			want = start.Add(2*o.OrderValid + o.TurnGap + turnMargin)
 		}
 		is.Equal(b.g.Owned.Get("e").From, want)
 	}
 }
 
-// TestALeaseOfAFormerEraIsNotRenewed: the store may have given it to another.
-func TestALeaseOfAFormerEraIsNotRenewed(t *testing.T) {
+// TestFormerEraLeaseIsNotRenewed checks that a lease of a former era is replaced by a new one,
+// since the store may have issued its ID to another instance.
+func TestFormerEraLeaseIsNotRenewed(t *testing.T) {
 	is := is.New(t)
-	b := in(t, 1)
-	b.heardAll(2)
+	b := newInEra(t, 1)
+	b.receiveAll(2)
 	b.now = b.now.Add(2 * time.Second)
 	enrols := 0
 	for _, a := range b.tick() {
 		switch a.(type) {
 		case RenewLease:
-			t.Error("a lease of the former era is renewed")
+			t.Error("a lease of the former era was renewed")
 		case Enrol:
 			enrols++
 		}
 	}
 	is.Equal(enrols, 1)
-	b.enrolled(2)
+	b.enrol(2)
 	b.now = b.now.Add(2 * time.Second)
 	for _, a := range b.tick() {
 		if k, ok := a.(RenewLease); ok {
@@ -261,13 +270,14 @@
 	}
 }
 
-// TestARecordThatHungOnAnothersLeaseIsWrittenAgain: a write of the former era that was carried
-// out late hangs on a lease that the store has given to somebody else.
-func TestARecordThatHungOnAnothersLeaseIsWrittenAgain(t *testing.T) {
+// TestRecordDeletedWithForeignLeaseIsRewritten checks that an instance enrols again when its
+// record is deleted although its lease exists. This happens when a delayed write of the former
+// era attaches the record to a lease ID that the store has issued to another instance.
+func TestRecordDeletedWithForeignLeaseIsRewritten(t *testing.T) {
 	is := is.New(t)
-	b := in(t, 1)
-	b.heardAll(2)
-	b.enrolled(2)
+	b := newInEra(t, 1)
+	b.receiveAll(2)
+	b.enrol(2)
 	key := registry.Instance{Name: "self"}.Value().Key
 	b.g.HandleWatchUpdate(b.now, WatchUpdate{Records: []registry.Record{{Key: key, Revision: era.Era(2).Revision(70), Gone: true}}, Version: era.Era(2).Revision(70)})
 	b.now = b.now.Add(2 * time.Second)
@@ -280,36 +290,39 @@
 	is.Equal(enrols, 1)
 }
 
-// TestPeersOfAFormerEraAreNotBelieved: what they tell may have been lost.
-func TestPeersOfAFormerEraAreNotBelieved(t *testing.T) {
+// TestFormerEraPeerRecordsAreIgnored checks that records of a former era from a peer are
+// ignored, since the store may have lost them.
+func TestFormerEraPeerRecordsAreIgnored(t *testing.T) {
 	is := is.New(t)
-	b := in(t, 2)
-	b.g.Merge(b.now, "peer", []registry.Record{record(1, 90, owner("b", 1))})
+	b := newInEra(t, 2)
+	b.g.Merge(b.now, "peer", []registry.Record{record(1, 90, ownerRecord("b", 1))})
 	_, known := b.g.Owner("e")
 	is.True(!known)
-	b.g.Merge(b.now, "peer", []registry.Record{record(3, 10, owner("c", 3))})
-	is.Equal(b.g.era.now, era.Era(3)) // and one of a later era shows that the store went back
+	b.g.Merge(b.now, "peer", []registry.Record{record(3, 10, ownerRecord("c", 3))})
+	is.Equal(b.g.era.current, era.Era(3)) // a record of a later era reveals the rollback
 }
 
-// TestWhatAnInstanceWroteItselfMayBeLost: also where it never heard of it from the store.
-func TestWhatAnInstanceWroteItselfMayBeLost(t *testing.T) {
+// TestOwnWritesMayBeLostInRollback checks that an ownership that the instance wrote itself is
+// forgotten if the new era does not have it, even if no watch ever returned it.
+func TestOwnWritesMayBeLostInRollback(t *testing.T) {
 	is := is.New(t)
-	b := holding(t)
+	b := newOwner(t)
 	b.g.Owned.LoseAll(b.now, "a test")
-	b.heardAll(2)
+	b.receiveAll(2)
 	_, known := b.g.Owner("e")
 	is.True(!known)
 }
 
-// TestNothingIsClaimedWithoutAMark: a claim that doesn't depend on one may come after the store
-// went back once more.
-func TestNothingIsClaimedWithoutAMark(t *testing.T) {
+// TestNoClaimWithoutEraRecord checks that an instance writes the era record before it claims
+// anything. A claim that is not conditional on the era record could take effect after another
+// rollback.
+func TestNoClaimWithoutEraRecord(t *testing.T) {
 	is := is.New(t)
 	b := newBench(t)
 	b.g.HandleWatchUpdate(b.now, WatchUpdate{Version: era.Era(2).Revision(50), Whole: true})
 	b.g.WatchAnswered(b.now)
-	b.enrolled(2)
-	var mark *registry.EraRecord
+	b.enrol(2)
+	var eraRecord *registry.EraRecord
 	for range 30 {
 		for _, a := range b.tick() {
 			w, ok := a.(Write)
@@ -317,23 +330,25 @@
 				continue
 			}
 			is.Equal(len(w.Write.Claim), 0)
-			mark = w.Write.Mark
+			eraRecord = w.Write.Mark
 		}
-		b.pass(100 * time.Millisecond)
+		b.advance(100 * time.Millisecond)
 	}
-	is.True(mark != nil)
-	is.Equal(mark.Era, era.Era(2))
-	b.g.HandleWriteReply(b.now, WriteReply{Write: Txn{Mark: mark}, Revision: era.Era(2).Revision(51)})
-	w, ok := b.claims(time.Second)
+	is.True(eraRecord != nil)
+	is.Equal(eraRecord.Era, era.Era(2))
+	b.g.HandleWriteReply(b.now, WriteReply{Write: Txn{Mark: eraRecord}, Revision: era.Era(2).Revision(51)})
+	w, ok := b.awaitClaims(time.Second)
 	is.True(ok)
 	is.Equal(w.Depends, era.Era(2).Revision(51))
 }
 
-// TestThePlacerGoesOnAndWritesAgain: as a holder of engines does; others wait until it must have.
-func TestThePlacerGoesOnAndWritesAgain(t *testing.T) {
+// TestPlacerKeepsPlacingAndReclaims checks that after a rollback the placer continues and
+// rewrites its record, as an owner of engines does. Other instances wait until it must have
+// done so.
+func TestPlacerKeepsPlacingAndReclaims(t *testing.T) {
 	is := is.New(t)
-	b := in(t, 1)
-	seek := func() *registry.Placer {
+	b := newInEra(t, 1)
+	claim := func() *registry.Placer {
 		b.g.Out.Reset()
 		b.g.ClaimPlacer(b.now)
 		for _, a := range b.g.Out.Actions() {
@@ -343,47 +358,49 @@
 		}
 		return nil
 	}
-	b.pass(time.Second)
-	p := seek()
+	b.advance(time.Second)
+	p := claim()
 	is.True(p != nil)
 	b.g.HandleWriteReply(b.now, WriteReply{Write: Txn{Placer: p}, Revision: era.Era(1).Revision(41)})
 	is.True(b.g.IsPlacer(b.now))
 	other := registry.Placer{Name: "b", Boot: 7, Era: 1}.Value()
-	b.heardAll(2, record(2, 20, other))
+	b.receiveAll(2, record(2, 20, other))
 	is.True(b.g.IsPlacer(b.now))
-	is.True(seek() == nil) // not before its new lease
-	b.enrolled(2)
-	b.pass(time.Second)
-	p = seek()
+	is.True(claim() == nil) // not before it has a new lease
+	b.enrol(2)
+	b.advance(time.Second)
+	p = claim()
 	is.True(p != nil)
 	is.Equal(p.Era, era.Era(2))
 	is.Equal(p.Revision, era.Era(2).Revision(20))
 	b.g.HandleWriteReply(b.now, WriteReply{Write: Txn{Placer: p}, Revision: era.Era(2).Revision(61)})
-	b.pass(option.Default().OrderValid)
+	b.advance(option.Default().OrderValid)
 	b.tick()
 	is.True(b.g.IsPlacer(b.now))
 }
 
-// TestOthersWaitForAFormerPlacer: where there is no record of it, or it is this instance's own.
-func TestOthersWaitForAFormerPlacer(t *testing.T) {
+// TestClaimWaitsForFormerPlacer checks that an instance that starts after a rollback waits for
+// a placer of the former era to stop before it claims the placer's record, if there is no
+// record or a former-era record in its own name.
+func TestClaimWaitsForFormerPlacer(t *testing.T) {
 	for name, records := range map[string][]registry.Record{
 		"no record":  nil,
 		"its record": {record(2, 20, registry.Placer{Name: "self", Boot: 7, Era: 1}.Value())},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			b := in(t, 2, records...)
-			heard := b.now
+			b := newInEra(t, 2, records...)
+			start := b.now
 			for range 200 {
 				b.g.Out.Reset()
 				b.g.ClaimPlacer(b.now)
 				if len(b.g.Out.Actions()) > 0 {
 					break
 				}
-				b.pass(100 * time.Millisecond)
+				b.advance(100 * time.Millisecond)
 			}
 			is.True(len(b.g.Out.Actions()) > 0)
-			is.True(b.now.Since(heard) >= 2*b.g.Options.OrderValid)
+			is.True(b.now.Since(start) >= 2*b.g.Options.OrderValid)
 		})
 	}
 }
--- a/core/ownership/ownership.go
+++ b/core/ownership/ownership.go
@@ -1,18 +1,18 @@
-// Package ownership decides which engines this instance owns, and until when it
-// may order them, by records in the platform's store.
+// Package ownership decides, by records in the platform's store, which engines this
+// instance owns and until when it may send them orders.
 //
-// An owner may give orders for OrderValid after its last renewal, and the last
-// watch through which it heard of the records, were sent. Whoever takes an
-// engine over from another waits that long and TurnGap on top, counted from its
-// claim, since the former owner may not know yet that it lost the engine: the
-// store may drop a record without telling its writer, and only a watch shows
-// that. So only instances that watch the store own engines.
+// An owner may send orders for OrderValid after both its last answered renewal and
+// its last answered watch of the records were sent. An instance that takes an engine
+// over from another waits for OrderValid plus TurnGap (the minimum time between the
+// orders of two owners) after its claim, since the former owner may not know yet that
+// it lost the engine: the store may drop a record without telling its writer, and only
+// a watch shows that. Therefore only instances that watch the store own engines.
 //
-// Ownerships are spread over the instances that watch, so the loss of one leaves
-// most engines ordered. The others hear of the records from their peers, and
-// know by them whom to ask for orders.
+// Ownerships are spread over the instances that watch, so that most engines keep
+// their owner if one instance is lost. All other instances receive the records from
+// their peers, and so know which instance to request orders from.
 //
-// The package also keeps the record of the placer, the one instance that decides
+// The package also maintains the record of the placer, the one instance that decides
 // which models are loaded where (core/placement).
 package ownership
 
@@ -30,8 +30,8 @@
 )
 
 type (
-	// Enrol is an action: begin a lease and write this instance's record under
-	// it.
+	// Enrol is the action that begins a lease and writes this instance's record (its
+	// registration) attached to that lease.
 	Enrol struct {
 		Term     time.Duration
 		Instance registry.Instance
@@ -42,56 +42,57 @@
 		Lease era.Lease
 		Err   error
 	}
-	// RenewLease is an action: renew the lease.
+	// RenewLease is the action that renews the lease.
 	RenewLease struct{ Lease era.Lease }
-	// RenewReply is the event that answers RenewLease. Over says that the lease
-	// has gone.
+	// RenewReply is the event that answers RenewLease. Over reports that the lease
+	// no longer exists.
 	RenewReply struct {
 		Sent  clock.Instant
 		Lease era.Lease
 		Over  bool
 		Err   error
 	}
-	// Write is an action: write ownerships, or the placer's record under Lease.
+	// Write is the action that writes a Txn to the store. The placer's record is
+	// attached to Lease.
 	Write struct {
 		Write Txn
 		Lease era.Lease
 	}
-	// Txn are what one Write is for.
+	// Txn holds the records that one Write writes in one transaction: claims, the
+	// placer's record or an era record.
 	Txn struct {
-		Claim  []registry.Ownership // each under the condition of its Revision
-		Placer *registry.Placer
-		Mark   *registry.EraRecord // where there is none
-		Former []era.Era           // whose marks go, with Mark
-		// Depends is the revision of the era's mark, under the condition of which
-		// Claim and Placer are written; 0: under none.
+		Claim  []registry.Ownership // each is written only if the record still has its Revision
+		Placer *registry.Placer     // written only if the record still has its Revision
+		Mark   *registry.EraRecord  // written only if there is no such record
+		Former []era.Era            // former eras whose records are deleted together with writing Mark
+		// Depends is the revision of the era record. Claim and Placer are written only if
+		// the era record still has it. 0 means no such condition.
 		Depends era.Revision
 	}
 	// WriteReply is the event that answers a Write.
 	WriteReply struct {
 		Write    Txn
 		Revision era.Revision
-		Conflict bool // a condition did not hold, or the lease is over
+		Conflict bool // a condition did not hold, or the lease no longer exists
 		Err      error
 	}
-	// WatchUpdate is the event that a watch brought news of the records.
+	// WatchUpdate is the event that a watch returned records.
 	WatchUpdate struct {
 		Records []registry.Record
 		Version era.Revision // of the store
-		Whole   bool         // Records are all that there are
+		Whole   bool         // Records are the complete set
 	}
-	// Resign is an action: write the ownerships that are given back, and the placer's
-	// record if that is, then end
-	// the lease.
+	// Resign is the action that writes the released ownerships, and the placer's record
+	// if this instance is the placer, and then ends the lease.
 	Resign struct {
 		Lease   era.Lease
-		Give    []registry.Ownership
-		Placer  *registry.Placer // nil: this instance is not the placer
-		Depends era.Revision     // as in Txn
+		Give    []registry.Ownership // released ownerships
+		Placer  *registry.Placer     // nil if this instance is not the placer
+		Depends era.Revision         // as in Txn
 	}
 )
 
-// Era returns the era that the records are meant for.
+// Era returns the era that the transaction is meant for.
 func (r Txn) Era() era.Era {
 	switch {
 	case r.Mark != nil:
@@ -129,7 +130,7 @@
 // IsEvent implements step.Event.
 func (WatchUpdate) IsEvent() {}
 
-// Deps are what ownership needs of the other modules.
+// Deps holds the state and the functions of other modules that ownership uses.
 type Deps struct {
 	shared.State
 
@@ -137,138 +138,136 @@
 	Owned  *owned.Engines
 	// Stopping reports whether a planned stop has begun.
 	Stopping func() bool
-	// TellSoon is called when records became known that peers are to be told of.
+	// TellSoon is called when new records are known, so that peers receive them soon.
 	TellSoon func(now clock.Instant)
-	// Quarantined is told of requests that are not run.
+	// Quarantined is called for each record of a quarantined request.
 	Quarantined func(now clock.Instant, q registry.Quarantine)
-	// SteppedBack is called when the store came back from an older copy of itself.
+	// SteppedBack is called when the store was restored from an older copy of itself.
 	SteppedBack func(now clock.Instant)
 }
 
-// A Registry is what an instance knows of the records, and its own part in them.
+// A Registry holds the records known to an instance, and maintains the instance's own
+// record, its claims and the placer's record.
 type Registry struct {
 	Deps
 	enrolment enrolment
 	claims    claims
 	placer    placer
 
-	era         storeEra
-	formerMarks []era.Era // eras that are over and whose marks stand
+	era              storeEra
+	formerEraRecords []era.Era // former eras whose records still exist
 
-	heardAt   clock.Instant // when the last watch that was answered was sent
-	steadyAt  clock.Instant // since when the store has answered renewals
-	instances map[string]registry.Instance
-	absent    map[string]clock.Instant // since when an instance has no record
-	owners    map[string]registry.Ownership
-	learnt    map[string]clock.Instant // when each ownership was learnt
+	watchedAt    clock.Instant                 // when the last answered watch was sent
+	storeUpSince clock.Instant                 // when the store began to answer renewals; zero: it does not answer
+	instances    map[string]registry.Instance  // instances with a record, by name
+	absentSince  map[string]clock.Instant      // when an instance was first seen without a record, by name
+	owners       map[string]registry.Ownership // newest known ownership, by engine
+	learntAt     map[string]clock.Instant      // when that ownership was learnt, by engine
 }
 
-// New returns the registry of an instance that has heard of no record.
+// New returns a Registry that knows no records yet.
 func New(n Deps) *Registry {
 	return &Registry{
-		Deps:      n,
-		enrolment: newEnrolment(),
-		instances: map[string]registry.Instance{},
-		absent:    map[string]clock.Instant{},
-		owners:    map[string]registry.Ownership{},
-		learnt:    map[string]clock.Instant{},
+		Deps:        n,
+		enrolment:   newEnrolment(),
+		instances:   map[string]registry.Instance{},
+		absentSince: map[string]clock.Instant{},
+		owners:      map[string]registry.Ownership{},
+		learntAt:    map[string]clock.Instant{},
 	}
 }
 
-// Tick keeps this instance's record and claims engines.
+// Tick renews this instance's lease, writes the era record if needed, and claims engines.
+// It gives up all engines when this instance may not send orders any more.
 func (g *Registry) Tick(now clock.Instant) {
 	if g.Stopping() {
 		return
 	}
-	if why := g.denial(now); why != allowed {
-		g.loseAll(now, string(why))
+	if reason := g.denial(now); reason != allowed {
+		g.loseAll(now, string(reason))
 	}
-	g.endFormer(now)
-	g.keepEnrolled(now)
-	g.markEra(now)
+	g.loseFormer(now)
+	g.renewOrEnrol(now)
+	g.writeEraRecord(now)
 	g.claim(now)
 }
 
-// A denial says why an owner may not order, "" if it may.
+// A denial is the reason why an owner may not send orders, "" if it may.
 type denial string
 
-// The reasons.
 const (
 	allowed       denial = ""
 	stopping      denial = "this instance stops"
-	neverRenewed  denial = "its record was never renewed"
-	renewalTooOld denial = "the last renewal of its record that was answered is too old"
-	neverHeard    denial = "it never heard of the records from the store"
-	watchTooOld   denial = "the last watch that was answered is too old"
+	neverRenewed  denial = "this instance has never renewed its record"
+	renewalTooOld denial = "the last answered renewal of this instance's record is too old"
+	neverWatched  denial = "this instance has never read the records from the store"
+	watchTooOld   denial = "the last answered watch is too old"
 )
 
-// A standing is what decides whether an owner may order.
-type standing struct {
-	stopping bool
-	keptAt   clock.Instant // when the last renewal that succeeded was sent; zero: never
-	heardAt  clock.Instant // when the last watch that was answered was sent; zero: never
+// An orderEligibility holds the facts that decide whether an owner may send orders.
+type orderEligibility struct {
+	stopping  bool
+	renewedAt clock.Instant // when the last successful renewal was sent; zero: never
+	watchedAt clock.Instant // when the last answered watch was sent; zero: never
 }
 
-// denial returns why an owner may not order at now, valid being how long a renewal
-// and a watch are good for. Both clocks count, so that a machine that was suspended
-// does not order.
-func (s standing) denial(now clock.Instant, valid time.Duration) denial {
+// denial returns why an owner may not send orders at now, "" if it may. A renewal and a
+// watch each permit orders for the duration valid, measured by whichever of the monotonic
+// and the wall clock advanced more, so that a machine that was suspended sends no orders.
+func (s orderEligibility) denial(now clock.Instant, valid time.Duration) denial {
 	switch {
 	case s.stopping:
 		return stopping
-	case s.keptAt.IsZero():
+	case s.renewedAt.IsZero():
 		return neverRenewed
-	case now.MaxElapsed(s.keptAt) >= valid:
+	case now.MaxElapsed(s.renewedAt) >= valid:
 		return renewalTooOld
-	case s.heardAt.IsZero():
-		return neverHeard
-	case now.MaxElapsed(s.heardAt) >= valid:
+	case s.watchedAt.IsZero():
+		return neverWatched
+	case now.MaxElapsed(s.watchedAt) >= valid:
 		return watchTooOld
 	default:
 		return allowed
 	}
 }
 
-// denial returns why this instance may order no engine now, "" if it may.
+// denial returns why this instance may not send orders now, "" if it may.
 func (g *Registry) denial(now clock.Instant) denial {
-	s := standing{stopping: g.Stopping(), keptAt: g.enrolment.keptAt, heardAt: g.heardAt}
+	s := orderEligibility{stopping: g.Stopping(), renewedAt: g.enrolment.renewedAt, watchedAt: g.watchedAt}
 	if g.Options.Disable.HearRegistry {
-		s.heardAt = now
+		s.watchedAt = now
 	}
 	return s.denial(now, g.Options.OrderValid)
 }
 
-// MayOrder reports whether this instance's ownerships are certainly still its
-// own.
+// MayOrder reports whether this instance is certain to still hold its ownerships.
 func (g *Registry) MayOrder(now clock.Instant) bool { return g.denial(now) == allowed }
 
-// loseAll has this instance order nothing any more. Others may have taken its
-// engines and its place as the placer without its knowledge, so it must claim
-// them anew.
-func (g *Registry) loseAll(now clock.Instant, why string) {
-	g.Owned.LoseAll(now, why)
+// loseAll gives up all engines and the task of the placer. Other instances may have
+// claimed them without the knowledge of this one, so it must claim them again.
+func (g *Registry) loseAll(now clock.Instant, reason string) {
+	g.Owned.LoseAll(now, reason)
 	g.placer.held = false
 }
 
-// WatchAnswered notes that a watch of the store that was sent at sent was
-// answered.
-func (g *Registry) WatchAnswered(sent clock.Instant) { g.heardAt = sent }
+// WatchAnswered records that a watch of the store, sent at the time sent, was answered.
+func (g *Registry) WatchAnswered(sent clock.Instant) { g.watchedAt = sent }
 
-// Instances returns the instances that have a record, by name.
+// Instances returns the instances that have a record, keyed by name. Callers must not
+// change the map.
 func (g *Registry) Instances() map[string]registry.Instance { return g.instances }
 
-// Owner returns who owns an engine by the newest record known; ok is false where
-// there is none.
+// Owner returns the newest known ownership of an engine. ok is false if none is known.
 func (g *Registry) Owner(engine string) (o registry.Ownership, ok bool) {
 	o, ok = g.owners[engine]
 	return o, ok
 }
 
-// HandleWatchUpdate takes in what a watch brought.
+// HandleWatchUpdate applies the records that a watch returned.
 func (g *Registry) HandleWatchUpdate(now clock.Instant, e WatchUpdate) {
 	g.observeEra(now, e.Version.Era())
-	if e.Version.Era() < g.era.now {
-		return // it was on its way while the store went back
+	if e.Version.Era() < g.era.current {
+		return // sent before the store was restored from an older copy
 	}
 	records := e.Records
 	if e.Whole {
@@ -277,27 +276,27 @@
 	g.Merge(now, "", records)
 	if e.Whole && g.era.readAt.IsZero() {
 		g.era.readAt = now
-		g.dropFormer(now)
+		g.dropFormerRecords(now)
 	}
 }
 
-// Merge takes in those of the records that are news; from is the peer that told
-// of them, "" if they were learnt from the store itself.
+// Merge applies those of the records that are newer than the known ones. from is the
+// peer that sent them, "" if they come from the store itself.
 func (g *Registry) Merge(now clock.Instant, from string, records []registry.Record) {
-	var news []registry.Record
+	var newer []registry.Record
 	for _, r := range records {
 		g.observeEra(now, r.Revision.Era())
 	}
 	for _, r := range records {
 		if g.era.isFormer(r.Revision) {
-			continue // a peer has not heard yet that the store went back
+			continue // a peer does not know yet that the store was restored from an older copy
 		}
 		if g.Records.AddRegistered(from, r) {
-			news = append(news, r)
+			newer = append(newer, r)
 		}
 	}
-	if len(news) > 0 {
-		g.apply(now, registry.ChangeOf(news))
+	if len(newer) > 0 {
+		g.apply(now, registry.ChangeOf(newer))
 		g.TellSoon(now)
 	}
 }
@@ -308,80 +307,83 @@
 	}
 	for _, i := range c.Instances {
 		g.instances[i.Name] = i
-		delete(g.absent, i.Name)
+		delete(g.absentSince, i.Name)
 		g.Members.Upsert(i.Name, i.Zone, i.Address)
 	}
 	for _, name := range c.GoneInstances {
-		g.instanceGone(now, name)
+		g.applyInstanceDeleted(now, name)
 	}
 	for _, m := range c.Marks {
-		g.takeMark(m)
+		g.applyEraRecord(m)
 	}
 	for _, o := range c.Owners {
-		g.takeOwnership(now, o)
+		g.applyOwnership(now, o)
 	}
 	for _, engine := range c.GoneOwners {
 		delete(g.owners, engine)
-		g.loseUnlessFormer(now, engine, "its record went")
+		g.loseUnlessFormer(now, engine, "its record was deleted")
 	}
 	for _, q := range c.Quarantines {
 		g.Quarantined(now, q)
 	}
 	if c.Placer != nil {
-		g.takePlacer(now, *c.Placer)
+		g.applyPlacer(now, *c.Placer)
 	}
 	if c.PlacerGone {
-		g.takePlacer(now, registry.Placer{})
+		g.applyPlacer(now, registry.Placer{})
 	}
 }
 
-func (g *Registry) instanceGone(now clock.Instant, name string) {
+func (g *Registry) applyInstanceDeleted(now clock.Instant, name string) {
 	delete(g.instances, name)
 	if name == g.Self.Name {
-		// The next renewal will say so, but for a record that hung on another's lease.
-		g.enrolment.again = g.era.stepped
+		// The next renewal shows whether the lease still exists. After a restore of the store,
+		// the record may have been attached to another instance's lease and deleted with it,
+		// while this instance's own lease exists.
+		g.enrolment.recordDeleted = g.era.rolledBack
 		return
 	}
-	if _, ok := g.absent[name]; !ok {
-		g.absent[name] = now
+	if _, ok := g.absentSince[name]; !ok {
+		g.absentSince[name] = now
 	}
 }
 
-// takeOwnership takes in one ownership, of whoever wrote it.
-func (g *Registry) takeOwnership(now clock.Instant, o registry.Ownership) {
+// applyOwnership applies one ownership, which any instance may have written.
+func (g *Registry) applyOwnership(now clock.Instant, o registry.Ownership) {
 	if old, ok := g.owners[o.Engine]; ok && old.Revision > o.Revision {
 		return
 	}
 	g.owners[o.Engine] = o
-	g.learnt[o.Engine] = now
+	g.learntAt[o.Engine] = now
 	switch {
 	case o.Owner == g.Self.Name && o.Boot == g.Self.Boot:
 	case g.era.isStale(o.Era):
-		g.loseUnlessFormer(now, o.Engine, "another instance's record came after this one's")
+		g.loseUnlessFormer(now, o.Engine, "another instance wrote its record later")
 	default:
-		g.Owned.Lose(now, o.Engine, "another instance took it")
+		g.Owned.Lose(now, o.Engine, "another instance claimed it")
 	}
 }
 
-// loseUnlessFormer ends the ownership of an engine but one that was gained in a former era of
-// the store: nobody can have taken that yet, whatever its record says, or if it is gone.
-func (g *Registry) loseUnlessFormer(now clock.Instant, engine, why string) {
+// loseUnlessFormer ends the ownership of an engine unless it was claimed in a former era of
+// the store. No other instance can have claimed such an engine yet, whatever its record says
+// and even if the record was deleted.
+func (g *Registry) loseUnlessFormer(now clock.Instant, engine, reason string) {
 	if e := g.Owned.Get(engine); e == nil || g.era.isFormer(e.Fence) {
 		return
 	}
-	g.Owned.Lose(now, engine, why)
+	g.Owned.Lose(now, engine, reason)
 }
 
-// HandleWriteReply takes in what came of a write. After an error, or a condition that did
-// not hold, the watch brings what stands in the store.
+// HandleWriteReply handles the result of a write. After an error or a conflict, the watch
+// returns the records that the store holds.
 func (g *Registry) HandleWriteReply(now clock.Instant, e WriteReply) {
 	switch {
 	case e.Write.Mark != nil:
-		g.markWritten(now, e)
+		g.handleEraRecordReply(now, e)
 		return
 	case e.Write.Placer != nil:
-		g.placerWritten(now, e)
+		g.handlePlacerReply(now, e)
 		return
 	}
-	g.claimsWritten(now, e)
+	g.handleClaimReply(now, e)
 }
--- a/core/ownership/rank.go
+++ b/core/ownership/rank.go
@@ -7,16 +7,16 @@
 	"github.com/birchdrift/birchdrift/core/rendezvous"
 )
 
-// Ranks: in which order instances take what nobody holds. Every instance works its
-// own rank out and waits claimStep for each that comes before it, so that usually
-// one of them writes.
+// This file ranks the instances that may claim an engine or the placer's record. Every
+// instance computes its own rank and waits claimRankDelay for each instance of higher
+// rank, so that usually only one of them writes.
 
 // A candidate is an instance that watches the store, and so may own engines and
 // place models.
 type candidate struct {
 	name      string
 	zone      string
-	processor float64 // the share of a core that it may use, 0 if that is not known
+	processor float64 // CPU quota in cores, 0 if unknown
 }
 
 // self returns this instance as a candidate.
@@ -24,8 +24,8 @@
 	return candidate{name: g.Self.Name, zone: g.Self.Zone, processor: g.Self.Processor}
 }
 
-// candidates returns the instances that watch the store, this one among them if it
-// does.
+// candidates returns the instances that watch the store, including this one if it is one
+// of them.
 func (g *Registry) candidates(now clock.Instant) []candidate {
 	var all []candidate
 	for _, zone := range g.Roster.Zones() {
@@ -36,28 +36,28 @@
 	return all
 }
 
-// ownerRank returns how many candidates come before self as the owner of an
-// engine: those of the engine's zone, which reach it when the zone is cut off, then
-// by rendezvous hashing, which spreads the engines.
+// ownerRank returns the number of candidates that are preferred to self as the owner of an
+// engine. Candidates in the engine's zone come first, since they reach it when the zone
+// is partitioned from the others. Within each group, rendezvous hashing spreads the engines.
 func ownerRank(engine, zone string, self candidate, all []candidate) int {
-	near := func(c candidate) int {
+	inEngineZone := func(c candidate) int {
 		if c.zone == zone {
 			return 1
 		}
 		return 0
 	}
-	return rank(engine, self, all, func(a, b candidate) int { return near(a) - near(b) })
+	return rank(engine, self, all, func(a, b candidate) int { return inEngineZone(a) - inEngineZone(b) })
 }
 
-// placerRank returns how many candidates come before self as the placer: those with
-// more of a processor, then by rendezvous hashing. A placer with a fifth of a core
-// once lagged behind in everything else.
+// placerRank returns the number of candidates that are preferred to self as the placer.
+// Candidates with a larger CPU quota come first, then rendezvous hashing decides. A placer
+// with a fifth of a core lagged behind in all its other work.
 func placerRank(self candidate, all []candidate) int {
 	return rank(placerKey, self, all, func(a, b candidate) int { return cmp.Compare(a.processor, b.processor) })
 }
 
-// rank returns how many candidates come before self: those that compare as more
-// suited, and of those that compare as equal the ones with a higher score for key.
+// rank returns the number of candidates that are preferred to self: those that compare
+// greater, and of those that compare equal the ones with a higher rendezvous score for key.
 func rank(key string, self candidate, all []candidate, compare func(a, b candidate) int) int {
 	hash := rendezvous.Key(key)
 	own := rendezvous.Score(hash, self.name)
--- a/core/registry/registry_test.go
+++ b/core/registry/registry_test.go
@@ -8,11 +8,11 @@
 	"github.com/birchdrift/birchdrift/core/era"
 )
 
-// TestTheLaterRecordOfANameCounts: news may bring that a record went and that it
-// was written anew, as after an outage in which the platform dropped every record.
-// Instances that were there again then counted as gone, and took each other's
-// engines again and again.
-func TestTheLaterRecordOfANameCounts(t *testing.T) {
+// TestLastRecordOfAKeyWins checks that the last of several records with one key
+// counts. One update may contain the deletion of a record and its recreation, as
+// after an outage in which the platform dropped every record. Recreated instances
+// were then treated as absent, and instances kept taking over each other's engines.
+func TestLastRecordOfAKeyWins(t *testing.T) {
 	written := func(v Value, revision era.Revision) Record {
 		return Record{Key: v.Key, Data: v.Data, Revision: revision}
 	}
@@ -32,19 +32,19 @@
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
-			back := ChangeOf([]Record{gone(tt.value, 1), written(tt.value, 2)})
-			is.Equal(len(back.Instances)+len(back.Owners)+placers(back), 1)
-			is.Equal(len(back.GoneInstances)+len(back.GoneOwners), 0)
-			is.True(!back.PlacerGone)
+			recreated := ChangeOf([]Record{gone(tt.value, 1), written(tt.value, 2)})
+			is.Equal(len(recreated.Instances)+len(recreated.Owners)+placers(recreated), 1)
+			is.Equal(len(recreated.GoneInstances)+len(recreated.GoneOwners), 0)
+			is.True(!recreated.PlacerGone)
 
-			lost := ChangeOf([]Record{written(tt.value, 1), gone(tt.value, 2)})
-			is.Equal(len(lost.Instances)+len(lost.Owners)+placers(lost), 0)
-			is.True(len(lost.GoneInstances)+len(lost.GoneOwners) == 1 || lost.PlacerGone)
+			deleted := ChangeOf([]Record{written(tt.value, 1), gone(tt.value, 2)})
+			is.Equal(len(deleted.Instances)+len(deleted.Owners)+placers(deleted), 0)
+			is.True(len(deleted.GoneInstances)+len(deleted.GoneOwners) == 1 || deleted.PlacerGone)
 		})
 	}
 }
 
-// placers returns how many placers a change brings.
+// placers returns the number of placer records in a change.
 func placers(c Change) int {
 	if c.Placer == nil {
 		return 0
@@ -52,17 +52,17 @@
 	return 1
 }
 
-// TestQuarantinesAreRead: what was written comes back; one that went says nothing, and
-// what makes no sense is named.
-func TestQuarantinesAreRead(t *testing.T) {
+// TestQuarantineRoundTrip checks that an encoded quarantine is decoded unchanged, that
+// its deletion is no change, and that invalid records are listed as unreadable.
+func TestQuarantineRoundTrip(t *testing.T) {
 	is := is.New(t)
 	q := Quarantine{Request: 1<<63 + 5, Replicas: 3}
 	v := q.Value()
 	is.Equal(ChangeOf([]Record{{Key: v.Key, Data: v.Data, Revision: 1}}), Change{Quarantines: []Quarantine{q}})
 	is.Equal(ChangeOf([]Record{{Key: v.Key, Revision: 2, Gone: true}}), Change{})
 	for _, r := range []Record{
-		{Key: quarantineKeys + "no number", Data: v.Data},
-		{Key: quarantineKeys + "0", Data: v.Data},
+		{Key: quarantinePrefix + "no number", Data: v.Data},
+		{Key: quarantinePrefix + "0", Data: v.Data},
 		{Key: v.Key, Data: []byte("[]")},
 	} {
 		is.Equal(ChangeOf([]Record{r}), Change{Unreadable: []string{r.Key}})
--- a/core/watch/watch_test.go
+++ b/core/watch/watch_test.go
@@ -7,22 +7,22 @@
 	"github.com/matryer/is"
 )
 
-// TestWhoWatches: of what makes an instance watch, the first that holds is named.
-func TestWhoWatches(t *testing.T) {
-	const silence = 2 * time.Second
-	told := view{newsAge: silence, silence: silence, behind: MaxConfigLag}
+// TestWatchReason checks that the reason for a watch is the first one that applies.
+func TestWatchReason(t *testing.T) {
+	const maxAge = 2 * time.Second
+	current := view{storeAge: maxAge, maxStoreAge: maxAge, configLag: MaxConfigLag}
 	for _, tt := range []struct {
 		name string
 		view view
 		want reason
 	}{
-		{"peers tell it all", told, notNeeded},
-		{"alone", view{alone: true, engines: 1}, noPeerHeard},
-		{"on the roster", view{onRoster: true, placer: true}, onRoster},
+		{"peers provide all updates", current, notNeeded},
+		{"alone", view{isolated: true, engines: 1}, isolated},
+		{"one of the watchers", view{onRoster: true, placer: true}, onRoster},
 		{"an owner", view{engines: 1, placer: true}, ownsEngines},
-		{"the placer", view{placer: true, newsAge: time.Hour}, placesNow},
-		{"its news grew old", view{newsAge: silence + 1, silence: silence, behind: time.Hour}, newsTooOld},
-		{"peers are ahead", view{behind: MaxConfigLag + 1}, peersAhead},
+		{"the placer", view{placer: true, storeAge: time.Hour}, isPlacer},
+		{"updates from peers are too old", view{storeAge: maxAge + 1, maxStoreAge: maxAge, configLag: time.Hour}, storeTooOld},
+		{"peers have a newer configuration", view{configLag: MaxConfigLag + 1}, peersAhead},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
