--- a/core/attempt/attempt.go
+++ b/core/attempt/attempt.go
@@ -79,12 +79,12 @@
 
 // WithFailure returns h after an attempt broke in phase p.
 func (h History) WithFailure(p Phase) History {
-	h.run = worse(h.run, p.RunState())
+	h.run = combineRunStates(h.run, p.RunState())
 	return h
 }
 
-// worse returns the statement that promises less: ran, unknown, not run.
-func worse(a, b code.RunState) code.RunState {
+// combineRunStates returns the statement that promises less: ran, unknown, not run.
+func combineRunStates(a, b code.RunState) code.RunState {
 	if a == code.Ran || b == code.Ran {
 		return code.Ran
 	}
