--- a/core/attempt/attempt.go
+++ b/core/attempt/attempt.go
@@ -112,7 +112,7 @@
 	if b.Phase == Ended {
 		return Fail
 	}
-	anew := h.mayStartAnew(b)
+	anew := h.mayRetry(b)
 	// A silent replica is likelier to stay silent than a broken connection is
 	// to break again: leave it if the call can start anew elsewhere.
 	if h.mayResume(b) && !(b.Stalled && anew) {
@@ -128,7 +128,7 @@
 	return b.SameBoot && h.Resumes < MaxResumes && b.Phase != NotSent && b.Phase != Refused
 }
 
-func (h History) mayStartAnew(b Failure) bool {
+func (h History) mayRetry(b Failure) bool {
 	if b.Delivered > 0 || b.Spent {
 		return false
 	}
