--- a/core/attempt/attempt_test.go
+++ b/core/attempt/attempt_test.go
@@ -68,7 +68,7 @@
 	})
 }
 
-func TestNothingStartsAnewAfterAByteWasDelivered(t *testing.T) {
+func TestNoRetryAfterDelivery(t *testing.T) {
 	h := New(true).WithAttempt().WithFailure(Answered)
 	is.New(t).Equal(h.Decide(Failure{Phase: Answered, Delivered: 1}), Fail)
 }
