--- a/core/retrybudget/budget.go
+++ b/core/retrybudget/budget.go
@@ -18,10 +18,10 @@
 	"github.com/birchdrift/birchdrift/core/option"
 )
 
-// leastFleet is how many instances at least share the fixed part of the budget,
+// minFleetSize is how many instances at least share the fixed part of the budget,
 // so that instances which do not know each other yet stay within it: above the 7
 // and 8 instances of the users' sites.
-const leastFleet = 10
+const minFleetSize = 10
 
 const (
 	// ownShare is the part of the fixed number that the instances have for
@@ -73,7 +73,7 @@
 	if b.Common {
 		slack *= ownShare
 	}
-	return slack / float64(max(leastFleet, b.Members.Size()))
+	return slack / float64(max(minFleetSize, b.Members.Size()))
 }
 
 // SharedRetries returns how many repeats of a service's calls belong to no instance, and the span
