--- a/core/retrybudget/budget.go
+++ b/core/retrybudget/budget.go
@@ -24,9 +24,9 @@
 const minFleetSize = 10
 
 const (
-	// ownShare is the part of the fixed number that the instances have for
+	// instanceShare is the part of the fixed number that the instances have for
 	// themselves where they share (docs/design/limits.md).
-	ownShare = 0.5
+	instanceShare = 0.5
 	// commonShare is the part of it that is given out on demand. Others may have
 	// given out as much just before, and a third part of that: with 2.3 times
 	// this the own parts are the whole (docs/design/limits.md).
@@ -71,7 +71,7 @@
 func (b *Budget) slack() float64 {
 	slack := b.Options.RetrySlack
 	if b.Common {
-		slack *= ownShare
+		slack *= instanceShare
 	}
 	return slack / float64(max(minFleetSize, b.Members.Size()))
 }
