--- a/core/retrybudget/budget.go
+++ b/core/retrybudget/budget.go
@@ -27,10 +27,10 @@
 	// instanceShare is the part of the fixed number that the instances have for
 	// themselves where they share (docs/design/limits.md).
 	instanceShare = 0.5
-	// commonShare is the part of it that is given out on demand. Others may have
+	// sharedShare is the part of it that is given out on demand. Others may have
 	// given out as much just before, and a third part of that: with 2.3 times
 	// this the own parts are the whole (docs/design/limits.md).
-	commonShare = 0.21
+	sharedShare = 0.21
 )
 
 // A Budget counts the calls and repeats of each service on one instance. The
@@ -79,7 +79,7 @@
 // SharedRetries returns how many repeats of a service's calls belong to no instance, and the span
 // in which they may be made.
 func (b *Budget) SharedRetries() (repeats float64, span time.Duration) {
-	return commonShare * b.Options.RetrySlack, b.Options.RetryWindow
+	return sharedShare * b.Options.RetrySlack, b.Options.RetryWindow
 }
 
 // Reset forgets what was counted, for a window of another length.
