--- a/core/retrybudget/budget.go
+++ b/core/retrybudget/budget.go
@@ -58,13 +58,13 @@
 	return b.window(service).Allows(now, b.Options.RetryRatio, b.slack())
 }
 
-// scarce is how many repeats are left at an instance when they are kept for calls that fail
+// lowThreshold is how many repeats are left at an instance when they are kept for calls that fail
 // without any fault of what is known here (docs/design/limits.md).
-const scarce = 2
+const lowThreshold = 2
 
 // Low reports whether few repeats of calls of the service are left.
 func (b *Budget) Low(now clock.Instant, service string) bool {
-	return !b.window(service).Allows(now, b.Options.RetryRatio, b.slack()-scarce)
+	return !b.window(service).Allows(now, b.Options.RetryRatio, b.slack()-lowThreshold)
 }
 
 // slack returns this instance's part of the fixed number.
