--- a/core/retrybudget/budget.go
+++ b/core/retrybudget/budget.go
@@ -50,12 +50,12 @@
 // Spend takes one repeat of a call of the service, and reports whether the
 // budget allows it.
 func (b *Budget) Spend(now clock.Instant, service string) bool {
-	return b.window(service).TryRetry(now, b.Options.RetryRatio, b.slack())
+	return b.window(service).TryRetry(now, b.Options.RetryRatio, b.instanceSlack())
 }
 
 // Available reports whether the budget allows a repeat of a call of the service.
 func (b *Budget) Available(now clock.Instant, service string) bool {
-	return b.window(service).Allows(now, b.Options.RetryRatio, b.slack())
+	return b.window(service).Allows(now, b.Options.RetryRatio, b.instanceSlack())
 }
 
 // lowThreshold is how many repeats are left at an instance when they are kept for calls that fail
@@ -64,11 +64,11 @@
 
 // Low reports whether few repeats of calls of the service are left.
 func (b *Budget) Low(now clock.Instant, service string) bool {
-	return !b.window(service).Allows(now, b.Options.RetryRatio, b.slack()-lowThreshold)
+	return !b.window(service).Allows(now, b.Options.RetryRatio, b.instanceSlack()-lowThreshold)
 }
 
-// slack returns this instance's part of the fixed number.
-func (b *Budget) slack() float64 {
+// instanceSlack returns this instance's part of the fixed number.
+func (b *Budget) instanceSlack() float64 {
 	slack := b.Options.RetrySlack
 	if b.Common {
 		slack *= instanceShare
