--- a/core/retrybudget/window.go
+++ b/core/retrybudget/window.go
@@ -17,7 +17,7 @@
 type Window struct {
 	span    time.Duration
 	calls   [slices]int
-	repeats [slices]int
+	retries [slices]int
 	at      int64 // number of the newest slice since the clock's start
 }
 
@@ -32,7 +32,7 @@
 	for steps := min(number-w.at, slices); steps > 0; steps-- {
 		i := (number - steps + 1) % slices
 		w.calls[i] = 0
-		w.repeats[i] = 0
+		w.retries[i] = 0
 	}
 	w.at = max(w.at, number)
 	return int(w.at % slices)
@@ -47,7 +47,7 @@
 	if !w.Allows(now, ratio, slack) {
 		return false
 	}
-	w.repeats[w.advance(now)]++
+	w.retries[w.advance(now)]++
 	return true
 }
 
@@ -59,7 +59,7 @@
 	repeats := 0
 	oldest := (newest + 1) % slices
 	for i := range slices {
-		repeats += w.repeats[i]
+		repeats += w.retries[i]
 		if i != oldest {
 			calls += w.calls[i]
 		}
