--- a/core/retrybudget/window.go
+++ b/core/retrybudget/window.go
@@ -18,7 +18,7 @@
 	span    time.Duration
 	calls   [slices]int
 	retries [slices]int
-	at      int64 // number of the newest slice since the clock's start
+	newest  int64 // number of the newest slice since the clock's start
 }
 
 // NewWindow returns a window over span that has counted nothing.
@@ -29,13 +29,13 @@
 // advance empties the slices that have passed since the last call.
 func (w *Window) advance(now clock.Instant) int {
 	number := int64(now.Mono / w.slice())
-	for steps := min(number-w.at, slices); steps > 0; steps-- {
+	for steps := min(number-w.newest, slices); steps > 0; steps-- {
 		i := (number - steps + 1) % slices
 		w.calls[i] = 0
 		w.retries[i] = 0
 	}
-	w.at = max(w.at, number)
-	return int(w.at % slices)
+	w.newest = max(w.newest, number)
+	return int(w.newest % slices)
 }
 
 // RecordCall counts one call.
