--- a/core/retrybudget/window.go
+++ b/core/retrybudget/window.go
@@ -24,11 +24,11 @@
 // NewWindow returns a window over span that has counted nothing.
 func NewWindow(span time.Duration) *Window { return &Window{span: span} }
 
-func (w *Window) slice() time.Duration { return w.span / slices }
+func (w *Window) bucketSpan() time.Duration { return w.span / slices }
 
 // advance empties the slices that have passed since the last call.
 func (w *Window) advance(now clock.Instant) int {
-	number := int64(now.Mono / w.slice())
+	number := int64(now.Mono / w.bucketSpan())
 	for steps := min(number-w.newest, slices); steps > 0; steps-- {
 		i := (number - steps + 1) % slices
 		w.calls[i] = 0
