--- a/core/backoff/backoff.go
+++ b/core/backoff/backoff.go
@@ -20,7 +20,7 @@
 }
 
 // New returns a backoff without failures.
-func New(base, most time.Duration) Backoff { return Backoff{Base: base, Max: most} }
+func New(base, maxDelay time.Duration) Backoff { return Backoff{Base: base, Max: maxDelay} }
 
 // WithFailure returns b after one more failure.
 func (b Backoff) WithFailure() Backoff {
