--- a/core/calls/queue.go
+++ b/core/calls/queue.go
@@ -20,7 +20,7 @@
 	if c.Phase == Waiting && t.Queued(c) {
 		return
 	}
-	if len(t.queue) >= t.Options.MaxWaiting && !t.displace(c) {
+	if len(t.queue) >= t.Options.MaxWaiting && !t.evictFor(c) {
 		t.Refuse(c, NotRunRefusal(code.NoCapacity, "too many calls wait", t.RetryAfter(0)))
 		return
 	}
@@ -28,8 +28,8 @@
 	t.queue = append(t.queue, c)
 }
 
-// displace refuses the least important waiting call if c matters more.
-func (t *Table) displace(c *Call) bool {
+// evictFor refuses the least important waiting call if c matters more.
+func (t *Table) evictFor(c *Call) bool {
 	var least *Call
 	for _, x := range t.queue {
 		if least == nil || x.Priority < least.Priority {
