--- a/core/calls/table.go
+++ b/core/calls/table.go
@@ -167,12 +167,12 @@
 func (t *Table) AbortAll() int {
 	all := t.All()
 	for _, c := range all {
-		t.cut(c)
+		t.abort(c)
 	}
 	return len(all)
 }
 
-func (t *Table) cut(c *Call) {
+func (t *Table) abort(c *Call) {
 	if c.Phase != Running {
 		t.Refuse(c, NotRunRefusal(code.Stopping, "this instance stopped", MinRetryAfter))
 		return
