--- a/core/limit/limit.go
+++ b/core/limit/limit.go
@@ -4,7 +4,7 @@
 
 const (
 	additiveIncrease = 1.0  // added to a limit for each full turn of good answers
-	shrink           = 0.85 // what a late answer leaves of a limit
+	decreaseFactor   = 0.85 // what a late answer leaves of a limit
 	ceilingTimes     = 4    // a limit never exceeds this many times its start
 )
 
@@ -33,6 +33,6 @@
 
 // WithLate returns c after an answer that came too late because of queueing.
 func (c Concurrency) WithLate() Concurrency {
-	c.limit = max(c.limit*shrink, 1)
+	c.limit = max(c.limit*decreaseFactor, 1)
 	return c
 }
