--- a/core/limit/limit.go
+++ b/core/limit/limit.go
@@ -5,7 +5,7 @@
 const (
 	additiveIncrease = 1.0  // added to a limit for each full turn of good answers
 	decreaseFactor   = 0.85 // what a late answer leaves of a limit
-	ceilingTimes     = 4    // a limit never exceeds this many times its start
+	ceilingFactor    = 4    // a limit never exceeds this many times its start
 )
 
 // A Concurrency is an immutable limit on calls in flight to one replica:
@@ -27,7 +27,7 @@
 
 // WithOnTime returns c after an answer in time.
 func (c Concurrency) WithOnTime() Concurrency {
-	c.limit = min(c.limit+additiveIncrease/c.limit, c.start*ceilingTimes)
+	c.limit = min(c.limit+additiveIncrease/c.limit, c.start*ceilingFactor)
 	return c
 }
 
