--- a/core/limit/limit.go
+++ b/core/limit/limit.go
@@ -12,14 +12,14 @@
 // additive increase after answers in time, multiplicative decrease after late
 // ones.
 type Concurrency struct {
-	limit float64
-	start float64
+	limit   float64
+	initial float64
 }
 
 // NewConcurrency returns a limit that starts at what the replica is configured
 // to run at once.
 func NewConcurrency(start int) Concurrency {
-	return Concurrency{limit: float64(start), start: float64(start)}
+	return Concurrency{limit: float64(start), initial: float64(start)}
 }
 
 // Limit returns the calls allowed in flight, at least 1.
@@ -27,7 +27,7 @@
 
 // WithOnTime returns c after an answer in time.
 func (c Concurrency) WithOnTime() Concurrency {
-	c.limit = min(c.limit+additiveIncrease/c.limit, c.start*ceilingFactor)
+	c.limit = min(c.limit+additiveIncrease/c.limit, c.initial*ceilingFactor)
 	return c
 }
 
