--- a/core/route/forward.go
+++ b/core/route/forward.go
@@ -15,9 +15,9 @@
 
 // Tunables of the choice for forwarded calls.
 const (
-	// crossZone is the way to another zone and back; it also stands for the
+	// crossZoneCost is the way to another zone and back; it also stands for the
 	// price of bytes that cross.
-	crossZone = 4 * time.Millisecond
+	crossZoneCost = 4 * time.Millisecond
 	// perSequence is what one call that runs beside another adds to the time
 	// to its first event.
 	perSequence = 300 * time.Microsecond
@@ -250,7 +250,7 @@
 	load := r.Load(now)
 	e := Estimate{Replica: r, Calls: load.Calls.Sum()}
 	if r.Zone != q.Zone {
-		e.Other += crossZone
+		e.Other += crossZoneCost
 	}
 	if r.Vanished() {
 		e.Other += vanishedCost
