--- a/core/route/forward.go
+++ b/core/route/forward.go
@@ -18,9 +18,9 @@
 	// crossZoneCost is the way to another zone and back; it also stands for the
 	// price of bytes that cross.
 	crossZoneCost = 4 * time.Millisecond
-	// perSequence is what one call that runs beside another adds to the time
+	// perCallCost is what one call that runs beside another adds to the time
 	// to its first event.
-	perSequence = 300 * time.Microsecond
+	perCallCost = 300 * time.Microsecond
 	// headBonus is the share of its prompt's work that the engine which
 	// rendezvous hashing names for a prompt's first part is trusted to save.
 	headBonus = 0.1
@@ -285,7 +285,7 @@
 	e.Reading = load.Prefill.Sum() + e.Prefill
 	e.Other += q.disturbance(e.Reading, e.Calls)
 	e.Ahead = load.Prefill.UpTo(q.Rank) + time.Duration(load.Waiting)*waitingTokens*perToken
-	e.Other += perSequence * time.Duration(e.Calls)
+	e.Other += perCallCost * time.Duration(e.Calls)
 	if excess := load.Calls.UpTo(q.Rank) - r.Concurrent; excess >= 0 {
 		e.Ahead += time.Duration(excess+1) * r.ServiceTime() / time.Duration(max(1, r.Concurrent))
 	}
