--- a/core/route/forward.go
+++ b/core/route/forward.go
@@ -21,9 +21,9 @@
 	// perCallCost is what one call that runs beside another adds to the time
 	// to its first event.
 	perCallCost = 300 * time.Microsecond
-	// headBonus is the share of its prompt's work that the engine which
+	// firstPartDiscount is the share of its prompt's work that the engine which
 	// rendezvous hashing names for a prompt's first part is trusted to save.
-	headBonus = 0.1
+	firstPartDiscount = 0.1
 	// waitingTokens is what a prompt of which only its being there is known is
 	// believed to have left to read.
 	waitingTokens = 2500
@@ -280,7 +280,7 @@
 	perToken := f.PrefillTokenTime(q.Model)
 	e.Prefill = time.Duration(q.Tokens-e.Cached) * perToken
 	if head {
-		e.Prefill -= time.Duration(headBonus * float64(e.Prefill))
+		e.Prefill -= time.Duration(firstPartDiscount * float64(e.Prefill))
 	}
 	e.Reading = load.Prefill.Sum() + e.Prefill
 	e.Other += q.disturbance(e.Reading, e.Calls)
