--- a/core/route/forward.go
+++ b/core/route/forward.go
@@ -24,9 +24,9 @@
 	// firstPartDiscount is the share of its prompt's work that the engine which
 	// rendezvous hashing names for a prompt's first part is trusted to save.
 	firstPartDiscount = 0.1
-	// waitingTokens is what a prompt of which only its being there is known is
+	// queuedCallTokens is what a prompt of which only its being there is known is
 	// believed to have left to read.
-	waitingTokens = 2500
+	queuedCallTokens = 2500
 	// suspectCost is added for each failure in a row.
 	suspectCost = 50 * time.Millisecond
 )
@@ -284,7 +284,7 @@
 	}
 	e.Reading = load.Prefill.Sum() + e.Prefill
 	e.Other += q.disturbance(e.Reading, e.Calls)
-	e.Ahead = load.Prefill.UpTo(q.Rank) + time.Duration(load.Waiting)*waitingTokens*perToken
+	e.Ahead = load.Prefill.UpTo(q.Rank) + time.Duration(load.Waiting)*queuedCallTokens*perToken
 	e.Other += perCallCost * time.Duration(e.Calls)
 	if excess := load.Calls.UpTo(q.Rank) - r.Concurrent; excess >= 0 {
 		e.Ahead += time.Duration(excess+1) * r.ServiceTime() / time.Duration(max(1, r.Concurrent))
