--- a/core/route/forward.go
+++ b/core/route/forward.go
@@ -27,8 +27,8 @@
 	// queuedCallTokens is what a prompt of which only its being there is known is
 	// believed to have left to read.
 	queuedCallTokens = 2500
-	// suspectCost is added for each failure in a row.
-	suspectCost = 50 * time.Millisecond
+	// perFailureCost is added for each failure in a row.
+	perFailureCost = 50 * time.Millisecond
 )
 
 // A Query is what the choice needs to know of one forwarded call.
@@ -259,7 +259,7 @@
 		cost, _ := q.LoadCost(r)
 		e.Other += cost
 	}
-	e.Other += suspectCost * time.Duration(r.Failures())
+	e.Other += perFailureCost * time.Duration(r.Failures())
 	if r.Suspected(now) || r.RejectsPeers(now) {
 		e.Other += suspectedCost
 	}
