--- a/core/route/forward.go
+++ b/core/route/forward.go
@@ -269,7 +269,7 @@
 	if q.TurnCost != nil {
 		e.Turn = q.TurnCost(r)
 	}
-	if late := r.Overdue(now); late > overdueSlack {
+	if late := r.Overdue(now); late > overdueTolerance {
 		e.Other += late
 	}
 	if q.Model.Model == "" {
@@ -316,9 +316,9 @@
 	return time.Duration(harm * float64(running) * float64(streamCost))
 }
 
-// overdueSlack is how late a first event may be before that speaks against its
+// overdueTolerance is how late a first event may be before that speaks against its
 // replica.
-const overdueSlack = 150 * time.Millisecond
+const overdueTolerance = 150 * time.Millisecond
 
 // suspectedCost keeps calls from replicas at which a peer found nothing, or which turned it
 // away.
