--- a/core/route/forward.go
+++ b/core/route/forward.go
@@ -327,9 +327,9 @@
 // vanishedCost keeps calls from replicas whose entries went, where others are.
 const vanishedCost = 500 * time.Millisecond
 
-// fullSlowdown is by which part of its usual time a plain replica is slower when
+// fullSlowdownDivisor is by which part of its usual time a plain replica is slower when
 // it is full: a quarter.
-const fullSlowdown = 4
+const fullSlowdownDivisor = 4
 
 // plain estimates a plain replica: its own usual time, longer in proportion to
 // the calls beyond its slots.
@@ -341,7 +341,7 @@
 		e.Ahead = time.Duration(e.Calls-slots+1) * hold / time.Duration(slots)
 	}
 	// Replicas slow down as they fill.
-	e.Other += time.Duration(e.Calls) * hold / time.Duration(fullSlowdown*slots)
+	e.Other += time.Duration(e.Calls) * hold / time.Duration(fullSlowdownDivisor*slots)
 }
 
 // maxPlainHold bounds what a plain replica's usual time counts for, so that one
