--- a/core/route/forward.go
+++ b/core/route/forward.go
@@ -334,7 +334,7 @@
 // plain estimates a plain replica: its own usual time, longer in proportion to
 // the calls beyond its slots.
 func (e *Estimate) plain(r *pool.Replica) {
-	hold := min(r.ServiceTime(), maxPlainHold)
+	hold := min(r.ServiceTime(), maxPlainServiceTime)
 	slots := max(1, r.Concurrent)
 	e.Prefill = hold
 	if e.Calls >= slots {
@@ -344,6 +344,6 @@
 	e.Other += time.Duration(e.Calls) * hold / time.Duration(fullSlowdownDivisor*slots)
 }
 
-// maxPlainHold bounds what a plain replica's usual time counts for, so that one
+// maxPlainServiceTime bounds what a plain replica's usual time counts for, so that one
 // that was slow once is tried again.
-const maxPlainHold = 300 * time.Millisecond
+const maxPlainServiceTime = 300 * time.Millisecond
