--- a/core/route/forward.go
+++ b/core/route/forward.go
@@ -168,7 +168,7 @@
 	all := f.estimates(now, q, candidates)
 	sort.Slice(all, func(i, j int) bool {
 		a, b := all[i], all[j]
-		if x, y := a.Total()/bestStep, b.Total()/bestStep; x != y {
+		if x, y := a.Total()/estimateResolution, b.Total()/estimateResolution; x != y {
 			return x < y
 		}
 		return rendezvous.Score(q.Salt, a.Replica.Name) > rendezvous.Score(q.Salt, b.Replica.Name)
@@ -176,8 +176,8 @@
 	return all[:min(n, len(all))]
 }
 
-// bestStep is a difference between estimates that means nothing.
-const bestStep = 20 * time.Millisecond
+// estimateResolution is a difference between estimates that means nothing.
+const estimateResolution = 20 * time.Millisecond
 
 // estimates returns the estimates of the candidates that may be sent the call.
 func (f *Router) estimates(now clock.Instant, q Query, candidates []*pool.Replica) (estimates []Estimate) {
