--- a/core/route/forward.go
+++ b/core/route/forward.go
@@ -293,9 +293,9 @@
 }
 
 const (
-	// quietShare is the share of the longest pause that engines may read prompts
+	// minDelayShare is the share of the longest pause that engines may read prompts
 	// without a break before that counts.
-	quietShare = 0.3
+	minDelayShare = 0.3
 	// fullShare is the share from which the streams that run there are believed to be
 	// late.
 	fullShare = 0.8
@@ -312,7 +312,7 @@
 		return 0
 	}
 	share := float64(reading) / float64(q.Gap)
-	harm := min(1, max(0, (share-quietShare)/(fullShare-quietShare)))
+	harm := min(1, max(0, (share-minDelayShare)/(fullShare-minDelayShare)))
 	return time.Duration(harm * float64(running) * float64(streamCost))
 }
 
