--- a/core/route/forward.go
+++ b/core/route/forward.go
@@ -296,9 +296,9 @@
 	// minDelayShare is the share of the longest pause that engines may read prompts
 	// without a break before that counts.
 	minDelayShare = 0.3
-	// fullShare is the share from which the streams that run there are believed to be
+	// maxDelayShare is the share from which the streams that run there are believed to be
 	// late.
-	fullShare = 0.8
+	maxDelayShare = 0.8
 	// streamCost is what one stream made late counts for.
 	streamCost = 10 * time.Millisecond
 )
@@ -312,7 +312,7 @@
 		return 0
 	}
 	share := float64(reading) / float64(q.Gap)
-	harm := min(1, max(0, (share-minDelayShare)/(fullShare-minDelayShare)))
+	harm := min(1, max(0, (share-minDelayShare)/(maxDelayShare-minDelayShare)))
 	return time.Duration(harm * float64(running) * float64(streamCost))
 }
 
