--- a/core/route/forward.go
+++ b/core/route/forward.go
@@ -299,8 +299,8 @@
 	// maxDelayShare is the share from which the streams that run there are believed to be
 	// late.
 	maxDelayShare = 0.8
-	// streamCost is what one stream made late counts for.
-	streamCost = 10 * time.Millisecond
+	// lateStreamCost is what one stream made late counts for.
+	lateStreamCost = 10 * time.Millisecond
 )
 
 // disturbance returns the cost of the pause that reading prompts for so long makes in
@@ -313,7 +313,7 @@
 	}
 	share := float64(reading) / float64(q.Gap)
 	harm := min(1, max(0, (share-minDelayShare)/(maxDelayShare-minDelayShare)))
-	return time.Duration(harm * float64(running) * float64(streamCost))
+	return time.Duration(harm * float64(running) * float64(lateStreamCost))
 }
 
 // overdueTolerance is how late a first event may be before that speaks against its
