--- a/core/route/forward.go
+++ b/core/route/forward.go
@@ -121,8 +121,8 @@
 
 // A lifeCache is what one life of an engine is believed to keep.
 type lifeCache struct {
-	life  pool.Incarnation
-	cache *PrefixCache
+	incarnation pool.Incarnation
+	cache       *PrefixCache
 }
 
 // RecordPrompt notes that a prompt goes to an engine that keeps so many tokens. One that has
@@ -131,14 +131,14 @@
 	c := f.cache(engine)
 	if c == nil {
 		c = NewCache(capacity)
-		f.caches[engine.Name] = lifeCache{life: engine, cache: c}
+		f.caches[engine.Name] = lifeCache{incarnation: engine, cache: c}
 	}
 	c.Add(chain)
 }
 
 // cache returns what an engine is believed to keep, nil if nothing is known of it.
 func (f *Router) cache(engine pool.Incarnation) *PrefixCache {
-	if c := f.caches[engine.Name]; c.life == engine {
+	if c := f.caches[engine.Name]; c.incarnation == engine {
 		return c.cache
 	}
 	return nil
