--- a/core/route/forward.go
+++ b/core/route/forward.go
@@ -74,14 +74,14 @@
 // Router chooses replicas for forwarded calls, and learns how fast models
 // read and what engines keep.
 type Router struct {
-	caches  map[string]lifeCache // by engine
-	speeds  map[string]speed     // of models
-	perSize map[int64]speed      // of models of a size, for those not seen yet
+	caches  map[string]incarnationCache // by engine
+	speeds  map[string]speed            // of models
+	perSize map[int64]speed             // of models of a size, for those not seen yet
 }
 
 // NewRouter returns a chooser that has learnt nothing.
 func NewRouter() *Router {
-	return &Router{caches: map[string]lifeCache{}, speeds: map[string]speed{}, perSize: map[int64]speed{}}
+	return &Router{caches: map[string]incarnationCache{}, speeds: map[string]speed{}, perSize: map[int64]speed{}}
 }
 
 // A ModelSize names a model and the memory that its weights take, in MB.
@@ -119,8 +119,8 @@
 	f.perSize[w.MB] = size.learn(tokens, took)
 }
 
-// A lifeCache is what one life of an engine is believed to keep.
-type lifeCache struct {
+// A incarnationCache is what one life of an engine is believed to keep.
+type incarnationCache struct {
 	incarnation pool.Incarnation
 	cache       *PrefixCache
 }
@@ -131,7 +131,7 @@
 	c := f.cache(engine)
 	if c == nil {
 		c = NewCache(capacity)
-		f.caches[engine.Name] = lifeCache{incarnation: engine, cache: c}
+		f.caches[engine.Name] = incarnationCache{incarnation: engine, cache: c}
 	}
 	c.Add(chain)
 }
