--- a/core/route/forward.go
+++ b/core/route/forward.go
@@ -74,14 +74,14 @@
 // Router chooses replicas for forwarded calls, and learns how fast models
 // read and what engines keep.
 type Router struct {
-	caches  map[string]incarnationCache // by engine
-	speeds  map[string]speed            // of models
-	perSize map[int64]speed             // of models of a size, for those not seen yet
+	caches     map[string]incarnationCache // by engine
+	speeds     map[string]speed            // of models
+	sizeSpeeds map[int64]speed             // of models of a size, for those not seen yet
 }
 
 // NewRouter returns a chooser that has learnt nothing.
 func NewRouter() *Router {
-	return &Router{caches: map[string]incarnationCache{}, speeds: map[string]speed{}, perSize: map[int64]speed{}}
+	return &Router{caches: map[string]incarnationCache{}, speeds: map[string]speed{}, sizeSpeeds: map[int64]speed{}}
 }
 
 // A ModelSize names a model and the memory that its weights take, in MB.
@@ -100,7 +100,7 @@
 	if s, ok := f.speeds[w.Model]; ok {
 		return s
 	}
-	if s, ok := f.perSize[w.MB]; ok {
+	if s, ok := f.sizeSpeeds[w.MB]; ok {
 		return s
 	}
 	return newSpeed()
@@ -112,11 +112,11 @@
 // this instance make others too short.
 func (f *Router) ObserveFirstEvent(w ModelSize, tokens int, took time.Duration) {
 	f.speeds[w.Model] = f.speed(w).learn(tokens, took)
-	size, ok := f.perSize[w.MB]
+	size, ok := f.sizeSpeeds[w.MB]
 	if !ok {
 		size = newSpeed()
 	}
-	f.perSize[w.MB] = size.learn(tokens, took)
+	f.sizeSpeeds[w.MB] = size.learn(tokens, took)
 }
 
 // A incarnationCache is what one life of an engine is believed to keep.
