--- a/core/route/forward.go
+++ b/core/route/forward.go
@@ -181,12 +181,12 @@
 
 // estimates returns the estimates of the candidates that may be sent the call.
 func (f *Router) estimates(now clock.Instant, q Query, candidates []*pool.Replica) (estimates []Estimate) {
-	usable := q.selectable(now, candidates, func(r *pool.Replica) bool { return r.Usable() && !(q.Sure && r.MayReject(now)) })
+	usable := q.eligible(now, candidates, func(r *pool.Replica) bool { return r.Usable() && !(q.Sure && r.MayReject(now)) })
 	if len(usable) == 0 && q.Sure {
-		usable = q.selectable(now, candidates, (*pool.Replica).Usable)
+		usable = q.eligible(now, candidates, (*pool.Replica).Usable)
 	}
 	if len(usable) == 0 {
-		usable = q.selectable(now, candidates, func(r *pool.Replica) bool { return r.LastResort(now) })
+		usable = q.eligible(now, candidates, func(r *pool.Replica) bool { return r.LastResort(now) })
 	}
 	ejected := 0
 	for _, r := range usable {
@@ -207,9 +207,9 @@
 	return estimates
 }
 
-// selectable returns the replicas that the call may go to, of those that may be given
+// eligible returns the replicas that the call may go to, of those that may be given
 // work. One that wants nothing gets nothing, however few others there are.
-func (q Query) selectable(now clock.Instant, candidates []*pool.Replica, may func(r *pool.Replica) bool) []*pool.Replica {
+func (q Query) eligible(now clock.Instant, candidates []*pool.Replica, may func(r *pool.Replica) bool) []*pool.Replica {
 	out := make([]*pool.Replica, 0, len(candidates))
 	for _, r := range candidates {
 		if may(r) && !r.Resting(now) && !r.OnTrial() && !slices.Contains(q.Tried, r.Incarnation()) && q.possible(r) {
