--- a/core/route/forward.go
+++ b/core/route/forward.go
@@ -212,15 +212,15 @@
 func (q Query) eligible(now clock.Instant, candidates []*pool.Replica, may func(r *pool.Replica) bool) []*pool.Replica {
 	out := make([]*pool.Replica, 0, len(candidates))
 	for _, r := range candidates {
-		if may(r) && !r.Resting(now) && !r.OnTrial() && !slices.Contains(q.Tried, r.Incarnation()) && q.possible(r) {
+		if may(r) && !r.Resting(now) && !r.OnTrial() && !slices.Contains(q.Tried, r.Incarnation()) && q.canServe(r) {
 			out = append(out, r)
 		}
 	}
 	return out
 }
 
-// possible reports whether the replica can be made to serve the call.
-func (q Query) possible(r *pool.Replica) bool {
+// canServe reports whether the replica can be made to serve the call.
+func (q Query) canServe(r *pool.Replica) bool {
 	if q.LoadCost == nil {
 		return true
 	}
