--- a/core/route/forward.go
+++ b/core/route/forward.go
@@ -194,7 +194,7 @@
 			ejected++
 		}
 	}
-	head := f.headOwner(q, usable)
+	head := f.firstPartOwner(q, usable)
 	for _, r := range usable {
 		if r.Ejected(now) && ejected < len(usable) {
 			continue
@@ -228,9 +228,9 @@
 	return ok
 }
 
-// headOwner returns the engine that rendezvous hashing names for the prompt's
+// firstPartOwner returns the engine that rendezvous hashing names for the prompt's
 // first part, so that instances agree on where a new part is read first.
-func (f *Router) headOwner(q Query, usable []*pool.Replica) *pool.Replica {
+func (f *Router) firstPartOwner(q Query, usable []*pool.Replica) *pool.Replica {
 	key, ok := q.Chain.First()
 	if !ok {
 		return nil
