--- a/core/route/forward.go
+++ b/core/route/forward.go
@@ -283,7 +283,7 @@
 		e.Prefill -= time.Duration(firstPartDiscount * float64(e.Prefill))
 	}
 	e.Reading = load.Prefill.Sum() + e.Prefill
-	e.Other += q.disturbance(e.Reading, e.Calls)
+	e.Other += q.streamDelayCost(e.Reading, e.Calls)
 	e.Ahead = load.Prefill.UpTo(q.Rank) + time.Duration(load.Waiting)*queuedCallTokens*perToken
 	e.Other += perCallCost * time.Duration(e.Calls)
 	if excess := load.Calls.UpTo(q.Rank) - r.Concurrent; excess >= 0 {
@@ -303,11 +303,11 @@
 	lateStreamCost = 10 * time.Millisecond
 )
 
-// disturbance returns the cost of the pause that reading prompts for so long makes in
+// streamDelayCost returns the cost of the pause that reading prompts for so long makes in
 // the streams that run at an engine. Between two tokens of every stream an engine
 // reads a piece of a prompt, so prompts that follow each other without a break, of
 // whatever rank, stretch the time between events for all streams there.
-func (q Query) disturbance(reading time.Duration, running int) time.Duration {
+func (q Query) streamDelayCost(reading time.Duration, running int) time.Duration {
 	if q.Gap == 0 {
 		return 0
 	}
