--- a/core/route/forward.go
+++ b/core/route/forward.go
@@ -273,7 +273,7 @@
 		e.Other += late
 	}
 	if q.Model.Model == "" {
-		e.plain(r)
+		e.estimatePlain(r)
 		return e
 	}
 	e.Cached = min(f.cache(r.Incarnation()).CachedTokens(q.Chain), q.Tokens)
@@ -331,9 +331,9 @@
 // it is full: a quarter.
 const fullSlowdownDivisor = 4
 
-// plain estimates a plain replica: its own usual time, longer in proportion to
+// estimatePlain estimates a estimatePlain replica: its own usual time, longer in proportion to
 // the calls beyond its slots.
-func (e *Estimate) plain(r *pool.Replica) {
+func (e *Estimate) estimatePlain(r *pool.Replica) {
 	hold := min(r.ServiceTime(), maxPlainServiceTime)
 	slots := max(1, r.Concurrent)
 	e.Prefill = hold
