--- a/core/route/speed.go
+++ b/core/route/speed.go
@@ -12,9 +12,9 @@
 	// defaultTokenTime is how long an engine is believed to read one prompt token
 	// of a model of which no call was seen; see defaultOverhead.
 	defaultTokenTime = 25 * time.Microsecond
-	// leastTokenTime keeps an estimate above zero: below the speed of any engine
+	// minTokenTime keeps an estimate above zero: below the speed of any engine
 	// known.
-	leastTokenTime = 500 * time.Nanosecond
+	minTokenTime = 500 * time.Nanosecond
 	// priorSamples is how many measurements of each end of the line the defaults
 	// weigh as much as.
 	priorSamples = 2
@@ -74,7 +74,7 @@
 		return defaultTokenTime
 	}
 	slope := (s.n*s.xy - s.x*s.y) / spread
-	return max(leastTokenTime, time.Duration(slope*float64(time.Second)))
+	return max(minTokenTime, time.Duration(slope*float64(time.Second)))
 }
 
 // overhead returns what a first event takes beside reading the prompt.
