--- a/core/route/speed.go
+++ b/core/route/speed.go
@@ -21,9 +21,9 @@
 	// priorTokens is the prompt at the far end of the default line: about a prompt
 	// of the users.
 	priorTokens = 1000
-	// forget is what a measurement still counts for after the next one: some thirty
+	// decayFactor is what a measurement still counts for after the next one: some thirty
 	// calls make up an estimate.
-	forget = 0.97
+	decayFactor = 0.97
 	// outlier bounds a measurement to this multiple of what was expected: what
 	// else happens at an engine makes some first events late by any amount.
 	outlier = 1.5
@@ -58,11 +58,11 @@
 	x := float64(tokens)
 	expected := s.overhead() + time.Duration(tokens)*s.tokenTime()
 	y := min(took.Seconds(), outlier*expected.Seconds())
-	s.n *= forget
-	s.x *= forget
-	s.y *= forget
-	s.xx *= forget
-	s.xy *= forget
+	s.n *= decayFactor
+	s.x *= decayFactor
+	s.y *= decayFactor
+	s.xx *= decayFactor
+	s.xy *= decayFactor
 	s.add(x, y, 1)
 	return s
 }
