--- a/core/route/speed.go
+++ b/core/route/speed.go
@@ -24,9 +24,9 @@
 	// decayFactor is what a measurement still counts for after the next one: some thirty
 	// calls make up an estimate.
 	decayFactor = 0.97
-	// outlier bounds a measurement to this multiple of what was expected: what
+	// outlierFactor bounds a measurement to this multiple of what was expected: what
 	// else happens at an engine makes some first events late by any amount.
-	outlier = 1.5
+	outlierFactor = 1.5
 )
 
 // A speed is a straight line through the times to the first event over the prompt
@@ -57,7 +57,7 @@
 func (s speed) learn(tokens int, took time.Duration) speed {
 	x := float64(tokens)
 	expected := s.overhead() + time.Duration(tokens)*s.tokenTime()
-	y := min(took.Seconds(), outlier*expected.Seconds())
+	y := min(took.Seconds(), outlierFactor*expected.Seconds())
 	s.n *= decayFactor
 	s.x *= decayFactor
 	s.y *= decayFactor
