--- a/core/route/forward.go
+++ b/core/route/forward.go
@@ -111,12 +111,12 @@
 // makes some measurements too long, and parts that are kept there unknown to
 // this instance make others too short.
 func (f *Router) ObserveFirstEvent(w ModelSize, tokens int, took time.Duration) {
-	f.speeds[w.Model] = f.speed(w).learn(tokens, took)
+	f.speeds[w.Model] = f.speed(w).withSample(tokens, took)
 	size, ok := f.sizeSpeeds[w.MB]
 	if !ok {
 		size = newSpeed()
 	}
-	f.sizeSpeeds[w.MB] = size.learn(tokens, took)
+	f.sizeSpeeds[w.MB] = size.withSample(tokens, took)
 }
 
 // A incarnationCache is what one life of an engine is believed to keep.
--- a/core/route/speed.go
+++ b/core/route/speed.go
@@ -53,8 +53,8 @@
 	s.xy += weight * x * y
 }
 
-// learn returns the speed with one more measurement.
-func (s speed) learn(tokens int, took time.Duration) speed {
+// withSample returns the speed with one more measurement.
+func (s speed) withSample(tokens int, took time.Duration) speed {
 	x := float64(tokens)
 	expected := s.overhead() + time.Duration(tokens)*s.tokenTime()
 	y := min(took.Seconds(), outlierFactor*expected.Seconds())
