--- a/core/route/forward.go
+++ b/core/route/forward.go
@@ -75,13 +75,13 @@
 // read and what engines keep.
 type Router struct {
 	caches     map[string]incarnationCache // by engine
-	speeds     map[string]speed            // of models
-	sizeSpeeds map[int64]speed             // of models of a size, for those not seen yet
+	speeds     map[string]prefillSpeed     // of models
+	sizeSpeeds map[int64]prefillSpeed      // of models of a size, for those not seen yet
 }
 
 // NewRouter returns a chooser that has learnt nothing.
 func NewRouter() *Router {
-	return &Router{caches: map[string]incarnationCache{}, speeds: map[string]speed{}, sizeSpeeds: map[int64]speed{}}
+	return &Router{caches: map[string]incarnationCache{}, speeds: map[string]prefillSpeed{}, sizeSpeeds: map[int64]prefillSpeed{}}
 }
 
 // A ModelSize names a model and the memory that its weights take, in MB.
@@ -96,7 +96,7 @@
 
 // speed returns what is known of a model's speed: as measured, else as measured of
 // models of its size.
-func (f *Router) speed(w ModelSize) speed {
+func (f *Router) speed(w ModelSize) prefillSpeed {
 	if s, ok := f.speeds[w.Model]; ok {
 		return s
 	}
--- a/core/route/speed.go
+++ b/core/route/speed.go
@@ -29,23 +29,23 @@
 	outlierFactor = 1.5
 )
 
-// A speed is a straight line through the times to the first event over the prompt
+// A prefillSpeed is a straight line through the times to the first event over the prompt
 // tokens read for it, by least squares. What is the same for every prompt must not
 // count as reading: taken for it, a small model's prompts would be believed to take
 // up to ten times as long as they do, and so the queue at its engines.
-type speed struct {
+type prefillSpeed struct {
 	n, x, y, xx, xy float64 // sums over samples; x in tokens, y in seconds
 }
 
 // newSpeed returns a speed that knows the defaults.
-func newSpeed() speed {
-	var s speed
+func newSpeed() prefillSpeed {
+	var s prefillSpeed
 	s.add(0, defaultOverhead.Seconds(), priorSamples)
 	s.add(priorTokens, (defaultOverhead + priorTokens*defaultTokenTime).Seconds(), priorSamples)
 	return s
 }
 
-func (s *speed) add(x, y, weight float64) {
+func (s *prefillSpeed) add(x, y, weight float64) {
 	s.n += weight
 	s.x += weight * x
 	s.y += weight * y
@@ -54,7 +54,7 @@
 }
 
 // withSample returns the speed with one more measurement.
-func (s speed) withSample(tokens int, took time.Duration) speed {
+func (s prefillSpeed) withSample(tokens int, took time.Duration) prefillSpeed {
 	x := float64(tokens)
 	expected := s.overhead() + time.Duration(tokens)*s.tokenTime()
 	y := min(took.Seconds(), outlierFactor*expected.Seconds())
@@ -68,7 +68,7 @@
 }
 
 // tokenTime returns the time to read one prompt token.
-func (s speed) tokenTime() time.Duration {
+func (s prefillSpeed) tokenTime() time.Duration {
 	spread := s.n*s.xx - s.x*s.x
 	if spread <= 0 {
 		return defaultTokenTime
@@ -78,6 +78,6 @@
 }
 
 // overhead returns what a first event takes beside reading the prompt.
-func (s speed) overhead() time.Duration {
+func (s prefillSpeed) overhead() time.Duration {
 	return max(0, time.Duration((s.y-s.tokenTime().Seconds()*s.x)/s.n*float64(time.Second)))
 }
