--- a/core/route/forward.go
+++ b/core/route/forward.go
@@ -103,7 +103,7 @@
 	if s, ok := f.sizeSpeeds[w.MB]; ok {
 		return s
 	}
-	return newSpeed()
+	return newPrefillSpeed()
 }
 
 // ObserveFirstEvent takes in how long a first event took, of a call with so many tokens to
@@ -114,7 +114,7 @@
 	f.speeds[w.Model] = f.speed(w).withSample(tokens, took)
 	size, ok := f.sizeSpeeds[w.MB]
 	if !ok {
-		size = newSpeed()
+		size = newPrefillSpeed()
 	}
 	f.sizeSpeeds[w.MB] = size.withSample(tokens, took)
 }
--- a/core/route/speed.go
+++ b/core/route/speed.go
@@ -37,8 +37,8 @@
 	n, x, y, xx, xy float64 // sums over samples; x in tokens, y in seconds
 }
 
-// newSpeed returns a speed that knows the defaults.
-func newSpeed() prefillSpeed {
+// newPrefillSpeed returns a speed that knows the defaults.
+func newPrefillSpeed() prefillSpeed {
 	var s prefillSpeed
 	s.add(0, defaultOverhead.Seconds(), priorSamples)
 	s.add(priorTokens, (defaultOverhead + priorTokens*defaultTokenTime).Seconds(), priorSamples)
