--- a/core/route/forward_test.go
+++ b/core/route/forward_test.go
@@ -23,8 +23,8 @@
 	return p, p.Get("a"), p.Get("b")
 }
 
-// fail has calls fail at a replica so often that it is ejected.
-func fail(now clock.Instant, r *pool.Replica) {
+// eject has calls eject at a replica so often that it is ejected.
+func eject(now clock.Instant, r *pool.Replica) {
 	for id := uint64(100); !r.Ejected(now); id++ {
 		r.Start(now, id)
 		r.End(now, id, now, true)
@@ -103,11 +103,11 @@
 			a.MarkDown(start)
 		}, "b"},
 		{"the own zone's is ejected", true, func(_ *Router, _ *pool.Pool, a, _ *pool.Replica, _ *Query) {
-			fail(start, a)
+			eject(start, a)
 		}, "b"},
 		{"all are ejected, so none is passed over", true, func(_ *Router, _ *pool.Pool, a, b *pool.Replica, _ *Query) {
-			fail(start, a)
-			fail(start, b)
+			eject(start, a)
+			eject(start, b)
 		}, "a"},
 		{"the own zone's wants nothing", true, func(_ *Router, p *pool.Pool, _, _ *pool.Replica, _ *Query) {
 			p.ObserveNotice(start, "a", start, pool.Notice{Rest: time.Second})
@@ -118,7 +118,7 @@
 		}, ""},
 		{"one wants nothing, and the other is ejected", true, func(_ *Router, p *pool.Pool, _, b *pool.Replica, _ *Query) {
 			p.ObserveNotice(start, "a", start, pool.Notice{Rest: time.Second})
-			fail(start, b)
+			eject(start, b)
 		}, "b"},
 		{"the own zone's wanted nothing until a moment ago", true, func(_ *Router, p *pool.Pool, _, _ *pool.Replica, _ *Query) {
 			p.ObserveNotice(start.Add(-time.Second), "a", start, pool.Notice{Rest: time.Second})
