--- a/core/route/forward_test.go
+++ b/core/route/forward_test.go
@@ -13,9 +13,9 @@
 
 var start = clocktest.At(time.Hour)
 
-// replicas returns two replicas of one service, a in zone z and b in zone y, with
+// twoReplicas returns two twoReplicas of one service, a in zone z and b in zone y, with
 // slots calls at once each.
-func replicas(engine bool, slots int) (p *pool.Pool, a, b *pool.Replica) {
+func twoReplicas(engine bool, slots int) (p *pool.Pool, a, b *pool.Replica) {
 	p = pool.New()
 	for name, zone := range map[string]string{"a": "z", "b": "y"} {
 		p.Announce(start, name, pool.Announcement{Service: "s", Address: name, Zone: zone, Slots: slots, Engine: engine})
@@ -184,7 +184,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			p, a, b := replicas(c.engine, 4)
+			p, a, b := twoReplicas(c.engine, 4)
 			f := NewRouter()
 			q := Query{Zone: "z", Model: weight, Tokens: 3000, Chain: chain}
 			if c.prepare != nil {
