--- a/core/route/speed_test.go
+++ b/core/route/speed_test.go
@@ -7,11 +7,11 @@
 	"github.com/matryer/is"
 )
 
-// TestReadingSpeedIsLearnt: a measured model is estimated by its own speed, one of
+// TestPrefillSpeedEstimate: a measured model is estimated by its own speed, one of
 // the same size by that of others, and one of another size by the default. What a
 // first event takes beside reading does not count as reading, nor does a wait that
 // had another cause.
-func TestReadingSpeedIsLearnt(t *testing.T) {
+func TestPrefillSpeedEstimate(t *testing.T) {
 	for _, tt := range []struct {
 		name     string
 		overhead time.Duration
