--- a/core/policy/policy.go
+++ b/core/policy/policy.go
@@ -52,7 +52,7 @@
 	Wait     time.Duration
 }
 
-var environment = sync.OnceValues(func() (*cel.Env, error) {
+var celEnv = sync.OnceValues(func() (*cel.Env, error) {
 	return cel.NewEnv(
 		cel.Variable("service", cel.StringType),
 		cel.Variable("model", cel.StringType),
@@ -87,7 +87,7 @@
 	if text == "" {
 		return nil, nil
 	}
-	env, err := environment()
+	env, err := celEnv()
 	if err != nil {
 		return nil, fmt.Errorf("building the policy environment: %w", err)
 	}
