--- a/core/forwarding/forwarding.go
+++ b/core/forwarding/forwarding.go
@@ -86,7 +86,7 @@
 	model   string
 	adapter string
 	chain   route.HashChain
-	weight  route.ModelSize
+	size    route.ModelSize
 }
 
 // A progress is what came of the attempts so far.
@@ -187,7 +187,7 @@
 		model:   c.Forward.Model,
 		adapter: c.Forward.Adapter,
 		chain:   route.NewChain(c.Item, c.Forward.Parts),
-		weight:  route.ModelSize{Model: c.Forward.Model, MB: facts.MemoryMB},
+		size:    route.ModelSize{Model: c.Forward.Model, MB: facts.MemoryMB},
 	}
 }
 
@@ -212,7 +212,7 @@
 	if out == 0 {
 		out = c.MaxTokens
 	}
-	read := time.Duration(freshShare * float64(c.PromptTokens) * float64(f.router.PrefillTokenTime(s.target.weight)))
+	read := time.Duration(freshShare * float64(c.PromptTokens) * float64(f.router.PrefillTokenTime(s.target.size)))
 	return read + time.Duration(out)*decodeTime
 }
 
--- a/core/forwarding/place.go
+++ b/core/forwarding/place.go
@@ -93,7 +93,7 @@
 func (f *Forwarder) query(now clock.Instant, c *calls.Call, s *state) route.Query {
 	query := route.Query{
 		Zone:     f.Self.Zone,
-		Model:    s.target.weight,
+		Model:    s.target.size,
 		Tokens:   c.PromptTokens,
 		Rank:     s.route.Priority,
 		Gap:      s.route.MaxEventGap,
