--- a/core/forwarding/forwarding.go
+++ b/core/forwarding/forwarding.go
@@ -66,7 +66,7 @@
 type state struct {
 	route    *config.Forward
 	service  config.Service
-	target   target
+	target   modelRequest
 	progress progress
 	sent     sent
 	fetches  int  // orders that it waited for
@@ -80,9 +80,9 @@
 	notBefore clock.Instant
 }
 
-// A target is what a forwarded call asks of an engine; the zero value is that of
+// A modelRequest is what a forwarded call asks of an engine; the zero value is that of
 // a call to a plain service.
-type target struct {
+type modelRequest struct {
 	model   string
 	adapter string
 	chain   route.HashChain
@@ -183,7 +183,7 @@
 func (f *Forwarder) aim(c *calls.Call, s *state) {
 	c.Item = pool.ItemName(c.Forward.Model, c.Forward.Adapter)
 	facts, _ := s.service.Announced.Engine.Model(c.Forward.Model) // one that is not configured weighs nothing
-	s.target = target{
+	s.target = modelRequest{
 		model:   c.Forward.Model,
 		adapter: c.Forward.Adapter,
 		chain:   route.NewChain(c.Item, c.Forward.Parts),
--- a/core/forwarding/forwarding_test.go
+++ b/core/forwarding/forwarding_test.go
@@ -183,26 +183,26 @@
 func TestCallsThatFindNoReplica(t *testing.T) {
 	cases := []struct {
 		name    string
-		target  target
+		target  modelRequest
 		item    string
 		prepare func(f *Forwarder, c *calls.Call, s *state)
 		waits   bool
 		code    code.Code
 		retry   time.Duration
 	}{
-		{"a plain service", target{}, "", nil, false, code.NoReplica, noReplicaRetryAfter},
-		{"its replicas refused it", target{model: "m"}, "m",
+		{"a plain service", modelRequest{}, "", nil, false, code.NoReplica, noReplicaRetryAfter},
+		{"its replicas refused it", modelRequest{model: "m"}, "m",
 			func(_ *Forwarder, _ *calls.Call, s *state) { s.progress.refusals = 1 }, false, code.NoCapacity, noReplicaRetryAfter},
-		{"a model that loads too slowly", target{model: "m"}, "m", nil, false, code.NotResident, 1250 * time.Millisecond},
-		{"a model that an engine has on its disk", target{model: "m"}, "m",
+		{"a model that loads too slowly", modelRequest{model: "m"}, "m", nil, false, code.NotResident, 1250 * time.Millisecond},
+		{"a model that an engine has on its disk", modelRequest{model: "m"}, "m",
 			func(f *Forwarder, c *calls.Call, _ *state) {
 				c.Target = 2 * time.Second
 				f.Pool.Announce(start, "e", pool.Announcement{Service: "s", Address: "e", Engine: true, OnDisk: []string{"m"}})
 			}, true, 0, 0},
-		{"an adapter whose model is served", target{model: "m", adapter: "a"}, "m/a", func(f *Forwarder, _ *calls.Call, _ *state) {
+		{"an adapter whose model is served", modelRequest{model: "m", adapter: "a"}, "m/a", func(f *Forwarder, _ *calls.Call, _ *state) {
 			f.Pool.Announce(start, "e", pool.Announcement{Service: "s", Address: "e", Engine: true, Models: []pool.AnnouncedModel{{Name: "m"}}})
 		}, true, 0, 0},
-		{"the same, out of patience", target{model: "m", adapter: "a"}, "m/a", func(f *Forwarder, c *calls.Call, _ *state) {
+		{"the same, out of patience", modelRequest{model: "m", adapter: "a"}, "m/a", func(f *Forwarder, c *calls.Call, _ *state) {
 			c.Arrived = start.Add(-c.Target / 2)
 			f.Pool.Announce(start, "e", pool.Announcement{Service: "s", Address: "e", Engine: true, Models: []pool.AnnouncedModel{{Name: "m"}}})
 		}, false, code.NotResident, calls.MinRetryAfter},
@@ -280,7 +280,7 @@
 			call, s := f.testCall(config.Stream, false)
 			call.Phase = calls.Waiting
 			call.Item = "m"
-			s.target = target{model: "m"}
+			s.target = modelRequest{model: "m"}
 			c.prepare(f, call, s)
 			f.noReplica(start, call)
 			refused, _ := finished(f.Out)
@@ -301,7 +301,7 @@
 	call, s := f.testCall(config.Stream, false)
 	call.Item = "m"
 	call.Replica = "a"
-	s.target = target{model: "m"}
+	s.target = modelRequest{model: "m"}
 	r := f.Pool.Get("a")
 	r.Start(start, uint64(call.ID))
 	f.Pool.ObserveNotice(start, "a", start, pool.Notice{Rest: 300 * time.Millisecond})
