--- a/core/forwarding/forwarding.go
+++ b/core/forwarding/forwarding.go
@@ -66,7 +66,7 @@
 type state struct {
 	route    *config.Forward
 	service  config.Service
-	target   modelRequest
+	request  modelRequest
 	progress progress
 	sent     sent
 	fetches  int  // orders that it waited for
@@ -174,7 +174,7 @@
 	}
 	f.Budget.RecordCall(now, name)
 	if c.Item != "" {
-		f.Demand.RecordCall(now, s.target.model, f.workOf(c, s))
+		f.Demand.RecordCall(now, s.request.model, f.workOf(c, s))
 	}
 	return code.Refusal{}, true
 }
@@ -183,7 +183,7 @@
 func (f *Forwarder) aim(c *calls.Call, s *state) {
 	c.Item = pool.ItemName(c.Forward.Model, c.Forward.Adapter)
 	facts, _ := s.service.Announced.Engine.Model(c.Forward.Model) // one that is not configured weighs nothing
-	s.target = modelRequest{
+	s.request = modelRequest{
 		model:   c.Forward.Model,
 		adapter: c.Forward.Adapter,
 		chain:   route.NewChain(c.Item, c.Forward.Parts),
@@ -212,7 +212,7 @@
 	if out == 0 {
 		out = c.MaxTokens
 	}
-	read := time.Duration(freshShare * float64(c.PromptTokens) * float64(f.router.PrefillTokenTime(s.target.size)))
+	read := time.Duration(freshShare * float64(c.PromptTokens) * float64(f.router.PrefillTokenTime(s.request.size)))
 	return read + time.Duration(out)*decodeTime
 }
 
--- a/core/forwarding/forwarding_test.go
+++ b/core/forwarding/forwarding_test.go
@@ -214,7 +214,7 @@
 			call, s := f.testCall(config.Stream, false)
 			call.Phase = calls.Waiting
 			call.Item = c.item
-			s.target = c.target
+			s.request = c.target
 			if c.prepare != nil {
 				c.prepare(f, call, s)
 			}
@@ -270,7 +270,7 @@
 		{"none of them has its model", func(f *Forwarder, c *calls.Call, s *state) {
 			rest(400*time.Millisecond)(f, c, s)
 			c.Item = "n"
-			s.target.model = "n"
+			s.request.model = "n"
 		}, false, code.NotResident, calls.MinRetryAfter},
 	}
 	for _, c := range cases {
@@ -280,7 +280,7 @@
 			call, s := f.testCall(config.Stream, false)
 			call.Phase = calls.Waiting
 			call.Item = "m"
-			s.target = modelRequest{model: "m"}
+			s.request = modelRequest{model: "m"}
 			c.prepare(f, call, s)
 			f.noReplica(start, call)
 			refused, _ := finished(f.Out)
@@ -301,7 +301,7 @@
 	call, s := f.testCall(config.Stream, false)
 	call.Item = "m"
 	call.Replica = "a"
-	s.target = modelRequest{model: "m"}
+	s.request = modelRequest{model: "m"}
 	r := f.Pool.Get("a")
 	r.Start(start, uint64(call.ID))
 	f.Pool.ObserveNotice(start, "a", start, pool.Notice{Rest: 300 * time.Millisecond})
--- a/core/forwarding/permit_test.go
+++ b/core/forwarding/permit_test.go
@@ -34,7 +34,7 @@
 	c.ID = id
 	c.Phase = calls.Waiting
 	c.Item = "m"
-	s.target = modelRequest{model: "m"}
+	s.request = modelRequest{model: "m"}
 	f.Calls.Add(c)
 	return c
 }
--- a/core/forwarding/place.go
+++ b/core/forwarding/place.go
@@ -93,11 +93,11 @@
 func (f *Forwarder) query(now clock.Instant, c *calls.Call, s *state) route.Query {
 	query := route.Query{
 		Zone:     f.Self.Zone,
-		Model:    s.target.size,
+		Model:    s.request.size,
 		Tokens:   c.PromptTokens,
 		Rank:     s.route.Priority,
 		Gap:      s.route.MaxEventGap,
-		Chain:    s.target.chain,
+		Chain:    s.request.chain,
 		Tried:    s.passedOver(now),
 		Sure:     !f.Budget.Available(now, c.Service),
 		Salt:     uint64(c.ID) ^ f.Self.Boot,
@@ -138,7 +138,7 @@
 // adapter; ok is false if it cannot be made to.
 func (f *Forwarder) itemCost(now clock.Instant, c *calls.Call, r *pool.Replica) (cost time.Duration, ok bool) {
 	s := stateOf(c)
-	if r.Refusing(now, c.Item) || r.Phase(s.target.model) != pool.Ready {
+	if r.Refusing(now, c.Item) || r.Phase(s.request.model) != pool.Ready {
 		return 0, false
 	}
 	phase := r.Phase(c.Item)
@@ -159,12 +159,12 @@
 // large fleet that may be seconds old, and an engine that lacks it turns the call away: when
 // few repeats are left, its owner is asked first, and they are kept for what nobody knows.
 func (f *Forwarder) hearsay(now clock.Instant, c *calls.Call, s *state, r *pool.Replica) bool {
-	return s.target.adapter != "" && s.fetches == 0 && !f.Roster.FullMesh() &&
+	return s.request.adapter != "" && s.fetches == 0 && !f.Roster.FullMesh() &&
 		f.Budget.Low(now, c.Service) && f.Asks.CanRequest(now, orderKey(s, r))
 }
 
 func orderKey(s *state, r *pool.Replica) orderclient.Key {
-	return orderclient.Key{Engine: r.Name, Request: orders.Request{Load: true, Model: s.target.model, Adapter: s.target.adapter}}
+	return orderclient.Key{Engine: r.Name, Request: orders.Request{Load: true, Model: s.request.model, Adapter: s.request.adapter}}
 }
 
 // fetch has the call's adapter loaded on an engine.
@@ -190,7 +190,7 @@
 	}
 	e.Replica.StartPrefill(now, uint64(c.ID), pool.Prefill{Rank: s.route.Priority, Work: e.Prefill, Expected: e.Total()})
 	if c.Item != "" {
-		f.router.RecordPrompt(c.Life, s.target.chain, cacheTokens(s))
+		f.router.RecordPrompt(c.Life, s.request.chain, cacheTokens(s))
 		e.Replica.MarkUsed(c.Item)
 		f.Used(now, c.Replica, c.Item)
 	}
@@ -225,8 +225,8 @@
 	}
 	d := c.Dispatch(r, f.Options.Stall)
 	d.Limited = limited(now, r)
-	d.Model = s.target.model
-	d.Adapter = s.target.adapter
+	d.Model = s.request.model
+	d.Adapter = s.request.adapter
 	d.Forward = &calls.ForwardAttempt{
 		ListAge:  f.ListAge(now),
 		Left:     left,
--- a/core/forwarding/wait.go
+++ b/core/forwarding/wait.go
@@ -88,7 +88,7 @@
 		return
 	}
 	a := absence{
-		run: c.History.RunState(), opened: s.progress.opened, item: c.Item, refusals: s.progress.refusals, adapter: s.target.adapter,
+		run: c.History.RunState(), opened: s.progress.opened, item: c.Item, refusals: s.progress.refusals, adapter: s.request.adapter,
 		modelServed: func() bool { return f.modelServed(now, c, s) },
 	}
 	switch a.missing() {
@@ -149,7 +149,7 @@
 // its adapter.
 func (f *Forwarder) modelServed(now clock.Instant, c *calls.Call, s *state) bool {
 	for _, r := range f.Pool.Serving(c.Service) {
-		if r.Usable() && !r.Resting(now) && r.Phase(s.target.model) == pool.Ready {
+		if r.Usable() && !r.Resting(now) && r.Phase(s.request.model) == pool.Ready {
 			return true
 		}
 	}
@@ -171,7 +171,7 @@
 	s := stateOf(c)
 	if !s.missed {
 		s.missed = true
-		f.Demand.RecordMiss(now, s.target.model)
+		f.Demand.RecordMiss(now, s.request.model)
 		f.Missed(now)
 	}
 	eta := f.modelETA(c, s)
@@ -188,7 +188,7 @@
 
 // modelETA estimates when an engine will have the call's model ready.
 func (f *Forwarder) modelETA(c *calls.Call, s *state) time.Duration {
-	facts, ok := s.service.Announced.Engine.Model(s.target.model)
+	facts, ok := s.service.Announced.Engine.Model(s.request.model)
 	if !ok {
 		return calls.MinRetryAfter
 	}
