--- a/core/forwarding/place.go
+++ b/core/forwarding/place.go
@@ -145,7 +145,7 @@
 	if phase == pool.Ready {
 		return 0, true
 	}
-	if phase == pool.Unloading || s.fetches >= maxFetches || !f.Asks.CanRequest(now, orderKey(s, r)) {
+	if phase == pool.Unloading || s.orderWaits >= maxFetches || !f.Asks.CanRequest(now, orderKey(s, r)) {
 		return 0, false
 	}
 	cost = fetchCost + r.RateLimitDelay(now) // the order takes a turn of its own
@@ -159,7 +159,7 @@
 // large fleet that may be seconds old, and an engine that lacks it turns the call away: when
 // few repeats are left, its owner is asked first, and they are kept for what nobody knows.
 func (f *Forwarder) hearsay(now clock.Instant, c *calls.Call, s *state, r *pool.Replica) bool {
-	return s.request.adapter != "" && s.fetches == 0 && !f.Roster.FullMesh() &&
+	return s.request.adapter != "" && s.orderWaits == 0 && !f.Roster.FullMesh() &&
 		f.Budget.Low(now, c.Service) && f.Asks.CanRequest(now, orderKey(s, r))
 }
 
@@ -171,7 +171,7 @@
 func (f *Forwarder) fetch(now clock.Instant, c *calls.Call, r *pool.Replica) {
 	s := stateOf(c)
 	f.Calls.EnterPhase(c, calls.AwaitingOrder)
-	s.fetches++
+	s.orderWaits++
 	f.Out.Log(logevent.CallWaits, "call", c.Forward.Name, "item", c.Item, "for", "an order", "engine", r.Name)
 	f.Asks.RequestForCall(now, orderKey(s, r), c.ID)
 }
