--- a/core/forwarding/wait.go
+++ b/core/forwarding/wait.go
@@ -169,8 +169,8 @@
 // awaitModel has a call wait for its model, or refuses it.
 func (f *Forwarder) awaitModel(now clock.Instant, c *calls.Call) {
 	s := stateOf(c)
-	if !s.missed {
-		s.missed = true
+	if !s.missReported {
+		s.missReported = true
 		f.Demand.RecordMiss(now, s.request.model)
 		f.Missed(now)
 	}
