--- a/core/forwarding/forwarding.go
+++ b/core/forwarding/forwarding.go
@@ -64,17 +64,17 @@
 
 // A state is what a forwarded call has beside what every call has.
 type state struct {
-	route        *config.Forward
-	service      config.Service
-	request      modelRequest
-	progress     progress
-	sent         sent
-	orderWaits   int  // orders that it waited for
-	missReported bool // it found its model on no engine
-	permits      int  // that it asked for
-	denials      []denial
-	failed       *failure // for which it waits for a permit to be repeated; nil: it does not
-	probe        probe
+	route          *config.Forward
+	service        config.Service
+	request        modelRequest
+	progress       progress
+	sent           sent
+	orderWaits     int  // orders that it waited for
+	missReported   bool // it found its model on no engine
+	permitRequests int  // that it asked for
+	denials        []denial
+	failed         *failure // for which it waits for a permit to be repeated; nil: it does not
+	probe          probe
 	// notBefore is when it may be sent, if replicas ended under its request; zero: that
 	// was not looked at yet.
 	notBefore clock.Instant
--- a/core/forwarding/permit.go
+++ b/core/forwarding/permit.go
@@ -41,12 +41,12 @@
 // askPermit has the call wait for a permit to its best replica.
 func (f *Forwarder) askPermit(now clock.Instant, c *calls.Call, q route.Query, best route.Estimate) {
 	s := stateOf(c)
-	if s.permits >= maxPermits {
+	if s.permitRequests >= maxPermits {
 		f.deny(now, s, best.Replica, permits.Decision{Turn: best.Turn, After: best.Turn})
 		f.noReplica(now, c)
 		return
 	}
-	s.permits++
+	s.permitRequests++
 	wait, alone := f.turnWait(now, c, q, best)
 	w := best.Replica.LimitReport()
 	f.Calls.EnterPhase(c, calls.AwaitingPermit)
