--- a/core/forwarding/attempts.go
+++ b/core/forwarding/attempts.go
@@ -90,7 +90,7 @@
 // the budget is used up.
 func (f *Forwarder) askRepeat(now clock.Instant, c *calls.Call, b failure) {
 	s := stateOf(c)
-	s.failed = &b
+	s.pendingRetry = &b
 	f.Calls.EnterPhase(c, calls.AwaitingPermit)
 	f.Permits.RequestForRetry(now, c.Service, c.ID, s.route.Priority, f.patience(now, c))
 }
@@ -98,8 +98,8 @@
 // repeatPermitted takes in what came of that.
 func (f *Forwarder) repeatPermitted(now clock.Instant, c *calls.Call, granted bool) {
 	s := stateOf(c)
-	b := *s.failed
-	s.failed = nil
+	b := *s.pendingRetry
+	s.pendingRetry = nil
 	if granted {
 		f.repeat(now, c, b)
 		return
--- a/core/forwarding/forwarding.go
+++ b/core/forwarding/forwarding.go
@@ -73,7 +73,7 @@
 	missReported   bool // it found its model on no engine
 	permitRequests int  // that it asked for
 	denials        []denial
-	failed         *failure // for which it waits for a permit to be repeated; nil: it does not
+	pendingRetry   *failure // for which it waits for a permit to be repeated; nil: it does not
 	probe          probe
 	// notBefore is when it may be sent, if replicas ended under its request; zero: that
 	// was not looked at yet.
