--- a/core/forwarding/attempts.go
+++ b/core/forwarding/attempts.go
@@ -18,15 +18,15 @@
 // answerBegan takes in the first event of the answer.
 func (f *Forwarder) answerBegan(now clock.Instant, c *calls.Call) {
 	s := stateOf(c)
-	s.sent.firstAt = now
+	s.lastAttempt.firstAt = now
 	s.progress.opened = s.route.Kind == config.Stream
 	r := f.Pool.Get(c.Replica)
 	if r == nil {
 		return
 	}
 	f.Pool.AnswerBegan(now, r, uint64(c.ID))
-	if c.Item != "" && s.sent.alone {
-		f.router.ObserveFirstEvent(s.request.size, s.sent.unread, now.Since(c.Started))
+	if c.Item != "" && s.lastAttempt.alone {
+		f.router.ObserveFirstEvent(s.request.size, s.lastAttempt.unread, now.Since(c.Started))
 	}
 }
 
@@ -35,14 +35,14 @@
 	s := stateOf(c)
 	f.Quarantine.Served(now, c.Forward.Fingerprint)
 	f.Out.Log(logevent.CallServed, "call", c.Forward.Name, "replica", c.Replica, "attempts", c.History.Attempts,
-		"waited_ms", c.Started.Since(c.Arrived).Milliseconds(), "first_ms", s.sent.firstAt.Since(c.Started).Milliseconds(),
+		"waited_ms", c.Started.Since(c.Arrived).Milliseconds(), "first_ms", s.lastAttempt.firstAt.Since(c.Started).Milliseconds(),
 		"pause_ms", e.Pause.Milliseconds(), "total_ms", now.Since(c.Arrived).Milliseconds())
 }
 
 // attemptFailed decides what follows an attempt that did not come to its proper end.
 func (f *Forwarder) attemptFailed(now clock.Instant, c *calls.Call, b calls.AttemptFailed) {
 	s := stateOf(c)
-	if s.sent.crashed {
+	if s.lastAttempt.crashed {
 		b.Severed = true // by the end of its replica, whatever showed that here
 	}
 	f.settleReplica(now, c, b)
@@ -205,7 +205,7 @@
 		if c.Forward == nil || c.Phase != calls.Running || c.Replica != replica {
 			continue
 		}
-		stateOf(c).sent.crashed = true
+		stateOf(c).lastAttempt.crashed = true
 		f.Out.Emit(calls.Interrupt{ID: c.ID})
 	}
 }
--- a/core/forwarding/forwarding.go
+++ b/core/forwarding/forwarding.go
@@ -68,7 +68,7 @@
 	service        config.Service
 	request        modelRequest
 	progress       progress
-	sent           sent
+	lastAttempt    sent
 	orderWaits     int  // orders that it waited for
 	missReported   bool // it found its model on no engine
 	permitRequests int  // that it asked for
