--- a/core/forwarding/attempts.go
+++ b/core/forwarding/attempts.go
@@ -26,7 +26,7 @@
 	}
 	f.Pool.AnswerBegan(now, r, uint64(c.ID))
 	if c.Item != "" && s.lastAttempt.alone {
-		f.router.ObserveFirstEvent(s.request.size, s.lastAttempt.unread, now.Since(c.Started))
+		f.router.ObserveFirstEvent(s.request.size, s.lastAttempt.uncachedTokens, now.Since(c.Started))
 	}
 }
 
--- a/core/forwarding/forwarding.go
+++ b/core/forwarding/forwarding.go
@@ -101,10 +101,10 @@
 
 // A sent is what was expected of the last attempt.
 type sent struct {
-	unread  int           // prompt tokens believed to be read for it
-	alone   bool          // no other prompt was being read there
-	firstAt clock.Instant // when the first event came
-	crashed bool          // the replica has started again since
+	uncachedTokens int           // prompt tokens believed to be read for it
+	alone          bool          // no other prompt was being read there
+	firstAt        clock.Instant // when the first event came
+	crashed        bool          // the replica has started again since
 }
 
 // New returns a forwarder that has seen no call.
