--- a/core/forwarding/attempts.go
+++ b/core/forwarding/attempts.go
@@ -25,7 +25,7 @@
 		return
 	}
 	f.Pool.AnswerBegan(now, r, uint64(c.ID))
-	if c.Item != "" && s.lastAttempt.alone {
+	if c.Item != "" && s.lastAttempt.onlyPrefill {
 		f.router.ObserveFirstEvent(s.request.size, s.lastAttempt.uncachedTokens, now.Since(c.Started))
 	}
 }
--- a/core/forwarding/forwarding.go
+++ b/core/forwarding/forwarding.go
@@ -102,7 +102,7 @@
 // A sent is what was expected of the last attempt.
 type sent struct {
 	uncachedTokens int           // prompt tokens believed to be read for it
-	alone          bool          // no other prompt was being read there
+	onlyPrefill    bool          // no other prompt was being read there
 	firstAt        clock.Instant // when the first event came
 	crashed        bool          // the replica has started again since
 }
--- a/core/forwarding/place.go
+++ b/core/forwarding/place.go
@@ -186,7 +186,7 @@
 	f.Calls.MarkSent(now, c, e.Replica)
 	s.lastAttempt = sent{
 		uncachedTokens: c.PromptTokens - e.Cached,
-		alone:          e.Ahead == 0 && e.Calls <= aloneCalls,
+		onlyPrefill:    e.Ahead == 0 && e.Calls <= aloneCalls,
 	}
 	e.Replica.StartPrefill(now, uint64(c.ID), pool.Prefill{Rank: s.route.Priority, Work: e.Prefill, Expected: e.Total()})
 	if c.Item != "" {
