--- a/core/forwarding/attempts.go
+++ b/core/forwarding/attempts.go
@@ -18,7 +18,7 @@
 // answerBegan takes in the first event of the answer.
 func (f *Forwarder) answerBegan(now clock.Instant, c *calls.Call) {
 	s := stateOf(c)
-	s.lastAttempt.firstAt = now
+	s.lastAttempt.firstEventAt = now
 	s.progress.opened = s.route.Kind == config.Stream
 	r := f.Pool.Get(c.Replica)
 	if r == nil {
@@ -35,7 +35,7 @@
 	s := stateOf(c)
 	f.Quarantine.Served(now, c.Forward.Fingerprint)
 	f.Out.Log(logevent.CallServed, "call", c.Forward.Name, "replica", c.Replica, "attempts", c.History.Attempts,
-		"waited_ms", c.Started.Since(c.Arrived).Milliseconds(), "first_ms", s.lastAttempt.firstAt.Since(c.Started).Milliseconds(),
+		"waited_ms", c.Started.Since(c.Arrived).Milliseconds(), "first_ms", s.lastAttempt.firstEventAt.Since(c.Started).Milliseconds(),
 		"pause_ms", e.Pause.Milliseconds(), "total_ms", now.Since(c.Arrived).Milliseconds())
 }
 
--- a/core/forwarding/forwarding.go
+++ b/core/forwarding/forwarding.go
@@ -103,7 +103,7 @@
 type sent struct {
 	uncachedTokens int           // prompt tokens believed to be read for it
 	onlyPrefill    bool          // no other prompt was being read there
-	firstAt        clock.Instant // when the first event came
+	firstEventAt   clock.Instant // when the first event came
 	crashed        bool          // the replica has started again since
 }
 
