--- a/core/forwarding/attempts.go
+++ b/core/forwarding/attempts.go
@@ -42,7 +42,7 @@
 // attemptFailed decides what follows an attempt that did not come to its proper end.
 func (f *Forwarder) attemptFailed(now clock.Instant, c *calls.Call, b calls.AttemptFailed) {
 	s := stateOf(c)
-	if s.lastAttempt.crashed {
+	if s.lastAttempt.replicaRestarted {
 		b.Severed = true // by the end of its replica, whatever showed that here
 	}
 	f.settleReplica(now, c, b)
@@ -205,7 +205,7 @@
 		if c.Forward == nil || c.Phase != calls.Running || c.Replica != replica {
 			continue
 		}
-		stateOf(c).lastAttempt.crashed = true
+		stateOf(c).lastAttempt.replicaRestarted = true
 		f.Out.Emit(calls.Interrupt{ID: c.ID})
 	}
 }
--- a/core/forwarding/forwarding.go
+++ b/core/forwarding/forwarding.go
@@ -101,10 +101,10 @@
 
 // A sent is what was expected of the last attempt.
 type sent struct {
-	uncachedTokens int           // prompt tokens believed to be read for it
-	onlyPrefill    bool          // no other prompt was being read there
-	firstEventAt   clock.Instant // when the first event came
-	crashed        bool          // the replica has started again since
+	uncachedTokens   int           // prompt tokens believed to be read for it
+	onlyPrefill      bool          // no other prompt was being read there
+	firstEventAt     clock.Instant // when the first event came
+	replicaRestarted bool          // the replica has started again since
 }
 
 // New returns a forwarder that has seen no call.
