--- a/core/forwarding/forwarding.go
+++ b/core/forwarding/forwarding.go
@@ -68,7 +68,7 @@
 	service        config.Service
 	request        modelRequest
 	progress       progress
-	lastAttempt    sent
+	lastAttempt    lastAttempt
 	orderWaits     int  // orders that it waited for
 	missReported   bool // it found its model on no engine
 	permitRequests int  // that it asked for
@@ -99,8 +99,8 @@
 	relayable bool               // the replica's own failing answer can be passed on
 }
 
-// A sent is what was expected of the last attempt.
-type sent struct {
+// A lastAttempt is what was expected of the last attempt.
+type lastAttempt struct {
 	uncachedTokens   int           // prompt tokens believed to be read for it
 	onlyPrefill      bool          // no other prompt was being read there
 	firstEventAt     clock.Instant // when the first event came
--- a/core/forwarding/place.go
+++ b/core/forwarding/place.go
@@ -184,7 +184,7 @@
 func (f *Forwarder) dispatch(now clock.Instant, c *calls.Call, e route.Estimate) {
 	s := stateOf(c)
 	f.Calls.MarkSent(now, c, e.Replica)
-	s.lastAttempt = sent{
+	s.lastAttempt = lastAttempt{
 		uncachedTokens: c.PromptTokens - e.Cached,
 		onlyPrefill:    e.Ahead == 0 && e.Calls <= aloneCalls,
 	}
