--- a/core/forwarding/attempts.go
+++ b/core/forwarding/attempts.go
@@ -128,7 +128,7 @@
 			return
 		}
 	default:
-		p.ran++
+		p.possibleRuns++
 	}
 	p.tried = append(p.tried, replica)
 }
--- a/core/forwarding/forwarding_test.go
+++ b/core/forwarding/forwarding_test.go
@@ -92,7 +92,7 @@
 		{"once, and the replica did not run it", config.Once, false, calls.AttemptFailed{Phase: attempt.Refused}, nil, repeatAllowed},
 		{"its body is gone", config.Repeatable, false, calls.AttemptFailed{Phase: attempt.MaybeSent, BodyConsumed: true}, nil, bodyConsumed},
 		{"all attempts are used", config.Repeatable, false, calls.AttemptFailed{Phase: attempt.MaybeSent},
-			func(_ *calls.Call, s *state) { s.progress.ran = 1 }, attemptsUsed},
+			func(_ *calls.Call, s *state) { s.progress.possibleRuns = 1 }, attemptsUsed},
 		{"refused too often", config.Repeatable, false, calls.AttemptFailed{Phase: attempt.Refused},
 			func(_ *calls.Call, s *state) { s.progress.refusals = maxRefusals - 1 }, refusedTooOften},
 		{"nothing answered too often", config.Repeatable, false, calls.AttemptFailed{Phase: attempt.NotSent},
--- a/core/forwarding/repeat.go
+++ b/core/forwarding/repeat.go
@@ -59,7 +59,7 @@
 		return mayHaveRun
 	case b.BodyConsumed:
 		return bodyConsumed
-	case p.ran >= max(1, s.route.MaxAttempts):
+	case p.possibleRuns >= max(1, s.route.MaxAttempts):
 		return attemptsUsed
 	case p.refusals >= maxRefusals:
 		return refusedTooOften
