--- a/core/forwarding/attempts.go
+++ b/core/forwarding/attempts.go
@@ -19,7 +19,7 @@
 func (f *Forwarder) answerBegan(now clock.Instant, c *calls.Call) {
 	s := stateOf(c)
 	s.lastAttempt.firstEventAt = now
-	s.progress.opened = s.route.Kind == config.Stream
+	s.progress.answerStarted = s.route.Kind == config.Stream
 	r := f.Pool.Get(c.Replica)
 	if r == nil {
 		return
@@ -117,7 +117,7 @@
 // may get it again after that.
 func (p *progress) add(replica pool.Incarnation, b calls.AttemptFailed, rests bool) {
 	p.relayable = b.Relayable
-	p.opened = p.opened || b.Delivered > 0
+	p.answerStarted = p.answerStarted || b.Delivered > 0
 	switch b.Phase {
 	case attempt.NotSent:
 		p.unsent++ // it counts as down for a while, and may be tried again after that
@@ -138,9 +138,9 @@
 func (f *Forwarder) end(c *calls.Call, s *state, status int, detail string) {
 	run := c.History.RunState()
 	switch {
-	case s.progress.relayable && !s.progress.opened:
+	case s.progress.relayable && !s.progress.answerStarted:
 		f.relay(c, status)
-	case s.progress.opened:
+	case s.progress.answerStarted:
 		f.Calls.Refuse(c, code.Refusal{Code: code.StreamCut, Run: run, Detail: detail})
 	case run == code.NotRun:
 		f.Calls.Refuse(c, calls.NotRunRefusal(code.NoCapacity, detail, f.Calls.RetryAfter(0)))
@@ -265,7 +265,7 @@
 	}
 	f.abandon(c)
 	num := code.TimedOut
-	if stateOf(c).progress.opened {
+	if stateOf(c).progress.answerStarted {
 		num = code.StreamCut
 	}
 	f.Calls.Refuse(c, code.Refusal{Code: num, Run: c.History.RunState(), Detail: "the time for which it may be held is over"})
--- a/core/forwarding/forwarding.go
+++ b/core/forwarding/forwarding.go
@@ -91,12 +91,12 @@
 
 // A progress is what came of the attempts so far.
 type progress struct {
-	tried        []pool.Incarnation // replicas that failed it
-	possibleRuns int                // attempts that may have run
-	refusals     int                // replicas that said they did not run it
-	unsent       int                // replicas that it could not be sent to
-	opened       bool               // the head of an answer was passed on
-	relayable    bool               // the replica's own failing answer can be passed on
+	tried         []pool.Incarnation // replicas that failed it
+	possibleRuns  int                // attempts that may have run
+	refusals      int                // replicas that said they did not run it
+	unsent        int                // replicas that it could not be sent to
+	answerStarted bool               // the head of an answer was passed on
+	relayable     bool               // the replica's own failing answer can be passed on
 }
 
 // A lastAttempt is what was expected of the last attempt.
--- a/core/forwarding/forwarding_test.go
+++ b/core/forwarding/forwarding_test.go
@@ -156,7 +156,7 @@
 		run      code.RunState
 	}{
 		{"the replica's own answer is at hand", progress{relayable: true}, attempt.Answered, true, 0, ""},
-		{"a stream that began", progress{opened: true}, attempt.Answered, false, code.StreamCut, code.Ran},
+		{"a stream that began", progress{answerStarted: true}, attempt.Answered, false, code.StreamCut, code.Ran},
 		{"nothing ran", progress{}, attempt.Refused, false, code.NoCapacity, code.NotRun},
 		{"it may have run", progress{}, attempt.MaybeSent, false, code.UpstreamBroke, code.MayHaveRun},
 	}
--- a/core/forwarding/overload.go
+++ b/core/forwarding/overload.go
@@ -93,7 +93,7 @@
 // is sent.
 func (f *Forwarder) shed(now clock.Instant, c *calls.Call, best route.Estimate) bool {
 	s := stateOf(c)
-	if c.Item == "" || c.History.RunState() != code.NotRun || s.progress.opened {
+	if c.Item == "" || c.History.RunState() != code.NotRun || s.progress.answerStarted {
 		return false
 	}
 	p := prospect{
--- a/core/forwarding/permit.go
+++ b/core/forwarding/permit.go
@@ -149,7 +149,7 @@
 		w := r.LimitReport()
 		detail = fmt.Sprintf("%s; %s takes %g a second, as %s heard %v ago", detail, r.Name, w.Limit.PerSecond, w.By, now.Since(w.At).Round(time.Millisecond))
 	}
-	if c.History.RunState() != code.NotRun || s.progress.opened {
+	if c.History.RunState() != code.NotRun || s.progress.answerStarted {
 		f.end(c, s, 0, detail)
 		return true
 	}
--- a/core/forwarding/repeat.go
+++ b/core/forwarding/repeat.go
@@ -53,9 +53,9 @@
 	s := stateOf(c)
 	p := s.progress
 	switch {
-	case p.opened && !(s.route.Kind == config.Stream && s.route.Resumable):
+	case p.answerStarted && !(s.route.Kind == config.Stream && s.route.Resumable):
 		return notResumable
-	case !p.opened && !c.History.Repeatable && c.History.RunState() != code.NotRun:
+	case !p.answerStarted && !c.History.Repeatable && c.History.RunState() != code.NotRun:
 		return mayHaveRun
 	case b.BodyConsumed:
 		return bodyConsumed
--- a/core/forwarding/wait.go
+++ b/core/forwarding/wait.go
@@ -88,7 +88,7 @@
 		return
 	}
 	a := absence{
-		run: c.History.RunState(), opened: s.progress.opened, item: c.Item, refusals: s.progress.refusals, adapter: s.request.adapter,
+		run: c.History.RunState(), opened: s.progress.answerStarted, item: c.Item, refusals: s.progress.refusals, adapter: s.request.adapter,
 		modelServed: func() bool { return f.modelServed(now, c, s) },
 	}
 	switch a.missing() {
@@ -136,7 +136,7 @@
 			f.Out.Log(logevent.CallWaits, "call", c.Forward.Name, "item", c.Item, "for", "the rest of its replicas", "rest_ms", left.Milliseconds())
 		}
 		f.Calls.Enqueue(c)
-	case c.History.RunState() != code.NotRun || s.progress.opened:
+	case c.History.RunState() != code.NotRun || s.progress.answerStarted:
 		f.end(c, s, 0, "the other replicas that could serve it want no calls")
 	case c.Item != "" && left >= pool.LongRest:
 		f.awaitModel(now, c)
