--- a/core/forwarding/attempts.go
+++ b/core/forwarding/attempts.go
@@ -49,7 +49,7 @@
 	c.History = c.History.WithFailure(b.Phase)
 	former := c.Replica
 	c.Replica = ""
-	s.progress.add(c.Life, b, f.rests(now, former))
+	s.progress.record(c.Life, b, f.rests(now, former))
 	switch reason := f.mayRepeat(now, c, b); {
 	case reason == overBudget && f.Budget.Common:
 		f.askRepeat(now, c, failure{b, former})
@@ -113,9 +113,9 @@
 	return r != nil && r.Resting(now)
 }
 
-// add takes in how an attempt at a replica ended. One that turned the call away for a rest
+// record takes in how an attempt at a replica ended. One that turned the call away for a rest
 // may get it again after that.
-func (p *progress) add(replica pool.Incarnation, b calls.AttemptFailed, rests bool) {
+func (p *progress) record(replica pool.Incarnation, b calls.AttemptFailed, rests bool) {
 	p.relayable = b.Relayable
 	p.answerStarted = p.answerStarted || b.Delivered > 0
 	switch b.Phase {
--- a/core/forwarding/forwarding_test.go
+++ b/core/forwarding/forwarding_test.go
@@ -111,7 +111,7 @@
 				c.prepare(call, s)
 			}
 			call.History = call.History.WithAttempt().WithFailure(c.broke.Phase)
-			s.progress.add(pool.Incarnation{Name: "r"}, c.broke, false)
+			s.progress.record(pool.Incarnation{Name: "r"}, c.broke, false)
 			is.Equal(f.mayRepeat(start, call, c.broke), c.want)
 		})
 	}
