--- a/core/forwarding/attempts.go
+++ b/core/forwarding/attempts.go
@@ -56,7 +56,7 @@
 	case reason != repeatAllowed:
 		f.notRepeated(c, failure{b, former}, reason)
 	default:
-		f.repeat(now, c, failure{b, former})
+		f.retry(now, c, failure{b, former})
 	}
 }
 
@@ -66,8 +66,8 @@
 	replica string
 }
 
-// repeat has a call whose attempt failed look for another replica.
-func (f *Forwarder) repeat(now clock.Instant, c *calls.Call, b failure) {
+// retry has a call whose attempt failed look for another replica.
+func (f *Forwarder) retry(now clock.Instant, c *calls.Call, b failure) {
 	s := stateOf(c)
 	f.Out.Log(logevent.CallRetried, "call", c.Forward.Name, "fingerprint", c.Forward.Fingerprint.String(),
 		"replica", b.replica, "severed", b.Severed, "unreachable", b.Unreachable, "status", b.Status, "detail", b.Detail)
@@ -101,7 +101,7 @@
 	b := *s.pendingRetry
 	s.pendingRetry = nil
 	if granted {
-		f.repeat(now, c, b)
+		f.retry(now, c, b)
 		return
 	}
 	f.notRepeated(c, b, overBudget)
