--- a/core/forwarding/attempts.go
+++ b/core/forwarding/attempts.go
@@ -54,7 +54,7 @@
 	case reason == overBudget && f.Budget.Common:
 		f.askRepeat(now, c, failure{b, former})
 	case reason != repeatAllowed:
-		f.notRepeated(c, failure{b, former}, reason)
+		f.endUnretried(c, failure{b, former}, reason)
 	default:
 		f.retry(now, c, failure{b, former})
 	}
@@ -79,8 +79,8 @@
 	f.findReplica(now, c)
 }
 
-// notRepeated ends a call whose attempt failed.
-func (f *Forwarder) notRepeated(c *calls.Call, b failure, reason repeatVerdict) {
+// endUnretried ends a call whose attempt failed.
+func (f *Forwarder) endUnretried(c *calls.Call, b failure, reason repeatVerdict) {
 	f.Out.Log(logevent.CallNotRepeated, "call", c.Forward.Name, "fingerprint", c.Forward.Fingerprint.String(),
 		"replica", b.replica, "severed", b.Severed, "reason", reason.String())
 	f.end(c, stateOf(c), b.Status, b.Detail)
@@ -104,7 +104,7 @@
 		f.retry(now, c, b)
 		return
 	}
-	f.notRepeated(c, b, overBudget)
+	f.endUnretried(c, b, overBudget)
 }
 
 // rests reports whether a replica wants nothing from this instance.
