--- a/core/forwarding/attempts.go
+++ b/core/forwarding/attempts.go
@@ -52,7 +52,7 @@
 	s.progress.record(c.Life, b, f.rests(now, former))
 	switch reason := f.mayRepeat(now, c, b); {
 	case reason == overBudget && f.Budget.Common:
-		f.askRepeat(now, c, failure{b, former})
+		f.requestRetryPermit(now, c, failure{b, former})
 	case reason != repeatAllowed:
 		f.endUnretried(c, failure{b, former}, reason)
 	default:
@@ -86,9 +86,9 @@
 	f.end(c, stateOf(c), b.Status, b.Detail)
 }
 
-// askRepeat has a call wait for a permit to be repeated, since this instance's own part of
+// requestRetryPermit has a call wait for a permit to be repeated, since this instance's own part of
 // the budget is used up.
-func (f *Forwarder) askRepeat(now clock.Instant, c *calls.Call, b failure) {
+func (f *Forwarder) requestRetryPermit(now clock.Instant, c *calls.Call, b failure) {
 	s := stateOf(c)
 	s.pendingRetry = &b
 	f.Calls.EnterPhase(c, calls.AwaitingPermit)
