--- a/core/forwarding/attempts.go
+++ b/core/forwarding/attempts.go
@@ -95,8 +95,8 @@
 	f.Permits.RequestForRetry(now, c.Service, c.ID, s.route.Priority, f.patience(now, c))
 }
 
-// repeatPermitted takes in what came of that.
-func (f *Forwarder) repeatPermitted(now clock.Instant, c *calls.Call, granted bool) {
+// retryPermitDecided takes in what came of that.
+func (f *Forwarder) retryPermitDecided(now clock.Instant, c *calls.Call, granted bool) {
 	s := stateOf(c)
 	b := *s.pendingRetry
 	s.pendingRetry = nil
--- a/core/forwarding/permit.go
+++ b/core/forwarding/permit.go
@@ -87,7 +87,7 @@
 	c.Phase = calls.Waiting
 	switch {
 	case subject.Service != "":
-		f.repeatPermitted(now, c, v.Granted)
+		f.retryPermitDecided(now, c, v.Granted)
 	case !v.Granted:
 		f.deny(now, stateOf(c), f.Pool.Get(subject.Replica.Name), v)
 		f.findReplica(now, c)
