--- a/core/forwarding/attempts.go
+++ b/core/forwarding/attempts.go
@@ -45,7 +45,7 @@
 	if s.lastAttempt.replicaRestarted {
 		b.Severed = true // by the end of its replica, whatever showed that here
 	}
-	f.settleReplica(now, c, b)
+	f.updateReplica(now, c, b)
 	c.History = c.History.WithFailure(b.Phase)
 	former := c.Replica
 	c.Replica = ""
@@ -157,9 +157,9 @@
 	f.Calls.Remove(c)
 }
 
-// settleReplica takes in what an attempt that failed says of its replica. Of one that has
+// updateReplica takes in what an attempt that failed says of its replica. Of one that has
 // started again since it says nothing.
-func (f *Forwarder) settleReplica(now clock.Instant, c *calls.Call, b calls.AttemptFailed) {
+func (f *Forwarder) updateReplica(now clock.Instant, c *calls.Call, b calls.AttemptFailed) {
 	r := f.Pool.Get(c.Replica)
 	switch {
 	case r == nil:
