--- a/core/forwarding/attempts.go
+++ b/core/forwarding/attempts.go
@@ -210,8 +210,8 @@
 	}
 }
 
-// expireEvery spaces the looks for calls whose time is over.
-const expireEvery = 20 * time.Millisecond
+// expireInterval spaces the looks for calls whose time is over.
+const expireInterval = 20 * time.Millisecond
 
 // Expire ends the calls whose time is over, at once, so that nobody is held for
 // nothing.
@@ -219,7 +219,7 @@
 	if now.Before(f.expireDue) {
 		return
 	}
-	f.expireDue = now.Add(expireEvery)
+	f.expireDue = now.Add(expireInterval)
 	for _, c := range f.Calls.Expired(now) {
 		f.expire(c)
 	}
