--- a/core/forwarding/attempts.go
+++ b/core/forwarding/attempts.go
@@ -216,10 +216,10 @@
 // Expire ends the calls whose time is over, at once, so that nobody is held for
 // nothing.
 func (f *Forwarder) Expire(now clock.Instant) {
-	if now.Before(f.expireDue) {
+	if now.Before(f.nextExpire) {
 		return
 	}
-	f.expireDue = now.Add(expireInterval)
+	f.nextExpire = now.Add(expireInterval)
 	for _, c := range f.Calls.Expired(now) {
 		f.expire(c)
 	}
