--- a/core/forwarding/attempts.go
+++ b/core/forwarding/attempts.go
@@ -225,8 +225,8 @@
 	}
 }
 
-// left takes in that a call's caller left while the replica had it.
-func (f *Forwarder) left(now clock.Instant, c *calls.Call, r *pool.Replica) {
+// callerLeft takes in that a call's caller callerLeft while the replica had it.
+func (f *Forwarder) callerLeft(now clock.Instant, c *calls.Call, r *pool.Replica) {
 	f.Quarantine.CallerDisconnected(now, c.Forward.Fingerprint, r)
 }
 
--- a/core/forwarding/forwarding.go
+++ b/core/forwarding/forwarding.go
@@ -115,7 +115,7 @@
 		AnswerBegan:   f.answerBegan,
 		AttemptFailed: f.attemptFailed,
 		Served:        f.served,
-		Left:          f.left,
+		Left:          f.callerLeft,
 		Cancel:        func(*calls.Call, *pool.Replica) {}, // closing the connection is all there is
 		NotRun:        func(*calls.Call) {},
 		LeftQueue:     func(*calls.Call) {},
