--- a/core/forwarding/attempts.go
+++ b/core/forwarding/attempts.go
@@ -230,8 +230,8 @@
 	f.Quarantine.CallerDisconnected(now, c.Forward.Fingerprint, r)
 }
 
-// quarantined returns the refusal of a call whose request is not run for so long.
-func quarantined(left time.Duration) code.Refusal {
+// quarantinedRefusal returns the refusal of a call whose request is not run for so long.
+func quarantinedRefusal(left time.Duration) code.Refusal {
 	return calls.NotRunRefusal(code.Quarantined, "", left)
 }
 
@@ -243,7 +243,7 @@
 			continue
 		}
 		f.abandon(c)
-		f.Calls.Refuse(c, quarantined(left))
+		f.Calls.Refuse(c, quarantinedRefusal(left))
 	}
 }
 
--- a/core/forwarding/forwarding.go
+++ b/core/forwarding/forwarding.go
@@ -156,7 +156,7 @@
 		return calls.NotRunRefusal(code.NoReplica, fmt.Sprintf("no service %q", name), calls.MinRetryAfter), false
 	}
 	if left := f.Quarantine.Remaining(now, c.Forward.Fingerprint); left > 0 {
-		return quarantined(left), false
+		return quarantinedRefusal(left), false
 	}
 	limit := rule.Timeout
 	if d := c.Forward.Deadline; d > 0 && d < limit {
--- a/core/forwarding/place.go
+++ b/core/forwarding/place.go
@@ -21,7 +21,7 @@
 // first, lets it wait for its model, or refuses it.
 func (f *Forwarder) findReplica(now clock.Instant, c *calls.Call) {
 	if left := f.Quarantine.Remaining(now, c.Forward.Fingerprint); left > 0 {
-		f.Calls.Refuse(c, quarantined(left))
+		f.Calls.Refuse(c, quarantinedRefusal(left))
 		return
 	}
 	s := stateOf(c)
