--- a/core/forwarding/forwarding.go
+++ b/core/forwarding/forwarding.go
@@ -170,7 +170,7 @@
 	s := &state{route: rule, service: service}
 	c.State = s
 	if service.Announced.Engine != nil && c.Forward.Model != "" {
-		f.aim(c, s)
+		f.setModel(c, s)
 	}
 	f.Budget.RecordCall(now, name)
 	if c.Item != "" {
@@ -179,8 +179,8 @@
 	return code.Refusal{}, true
 }
 
-// aim fills in what the call asks of an engine.
-func (f *Forwarder) aim(c *calls.Call, s *state) {
+// setModel fills in what the call asks of an engine.
+func (f *Forwarder) setModel(c *calls.Call, s *state) {
 	c.Item = pool.ItemName(c.Forward.Model, c.Forward.Adapter)
 	facts, _ := s.service.Announced.Engine.Model(c.Forward.Model) // one that is not configured weighs nothing
 	s.request = modelRequest{
