--- a/core/forwarding/forwarding.go
+++ b/core/forwarding/forwarding.go
@@ -191,12 +191,12 @@
 	}
 }
 
-// rankStep is the difference in priority between two ranks of routes: ten
+// priorityPerRank is the difference in priority between two ranks of routes: ten
 // ranks fill the range of priorities.
-const rankStep = 10
+const priorityPerRank = 10
 
 // rankPriority turns a route's rank, 0 first, into a policy's priority.
-func rankPriority(rank int) int { return max(0, policy.MaxPriority-rankStep*(rank+1)) }
+func rankPriority(rank int) int { return max(0, policy.MaxPriority-priorityPerRank*(rank+1)) }
 
 const (
 	// decodeTime is the engine time that one token of an answer takes beside
