--- a/core/forwarding/forwarding.go
+++ b/core/forwarding/forwarding.go
@@ -202,8 +202,8 @@
 	// decodeTime is the engine time that one token of an answer takes beside
 	// others.
 	decodeTime = 100 * time.Microsecond
-	// freshShare is the part of a prompt that is believed to be read anew.
-	freshShare = 0.6
+	// uncachedShare is the part of a prompt that is believed to be read anew.
+	uncachedShare = 0.6
 )
 
 // workOf returns the engine time that a call is believed to take.
@@ -212,7 +212,7 @@
 	if out == 0 {
 		out = c.MaxTokens
 	}
-	read := time.Duration(freshShare * float64(c.PromptTokens) * float64(f.router.PrefillTokenTime(s.request.size)))
+	read := time.Duration(uncachedShare * float64(c.PromptTokens) * float64(f.router.PrefillTokenTime(s.request.size)))
 	return read + time.Duration(out)*decodeTime
 }
 
