--- a/core/forwarding/forwarding.go
+++ b/core/forwarding/forwarding.go
@@ -174,7 +174,7 @@
 	}
 	f.Budget.RecordCall(now, name)
 	if c.Item != "" {
-		f.Demand.RecordCall(now, s.request.model, f.workOf(c, s))
+		f.Demand.RecordCall(now, s.request.model, f.estimateWork(c, s))
 	}
 	return code.Refusal{}, true
 }
@@ -206,8 +206,8 @@
 	uncachedShare = 0.6
 )
 
-// workOf returns the engine time that a call is believed to take.
-func (f *Forwarder) workOf(c *calls.Call, s *state) time.Duration {
+// estimateWork returns the engine time that a call is believed to take.
+func (f *Forwarder) estimateWork(c *calls.Call, s *state) time.Duration {
 	out := c.Forward.LengthHint
 	if out == 0 {
 		out = c.MaxTokens
