--- a/core/forwarding/forwarding_test.go
+++ b/core/forwarding/forwarding_test.go
@@ -324,26 +324,26 @@
 	c, s := f.testCall(config.Stream, true)
 	c.Expires = start.Add(time.Minute)
 	c.Forward.Fingerprint = 7
-	is.True(!f.pauses(start, c, s))
+	is.True(!f.mustDelay(start, c, s))
 	for seq := range uint64(crash.MaxCrashes) {
 		report := crash.Report{Observer: "i", Seq: seq, Replica: pool.Incarnation{Name: string(rune('a' + seq))}, Requests: []crash.Fingerprint{7, 8}}
 		f.Quarantine.HandlePeerReports(start, "i", []crash.Report{report}, nil)
 	}
-	is.True(f.pauses(start, c, s))
+	is.True(f.mustDelay(start, c, s))
 	after := start.Add(f.Quarantine.SendDelay(7))
 	c.Phase = calls.Waiting
-	is.True(!f.pauses(after, c, s))
+	is.True(!f.mustDelay(after, c, s))
 	fails := func(b calls.AttemptFailed) {
 		c.Phase = calls.Running
 		f.attemptFailed(after, c, b)
 		c.Phase = calls.Waiting
 	}
 	fails(calls.AttemptFailed{Phase: attempt.NotSent, Unreachable: true})
-	is.True(!f.pauses(after, c, s))
+	is.True(!f.mustDelay(after, c, s))
 	fails(calls.AttemptFailed{Phase: attempt.MaybeSent, Severed: true})
-	is.True(f.pauses(after, c, s))
+	is.True(f.mustDelay(after, c, s))
 	later := after.Add(f.Quarantine.SendDelay(7))
-	is.True(!f.pauses(later, c, s))
+	is.True(!f.mustDelay(later, c, s))
 	f.Calls.Add(&calls.Call{Request: calls.Request{ID: 2, Forward: &calls.ForwardRequest{Fingerprint: 7}}, Phase: calls.Running})
-	is.True(f.pauses(later, c, s))
+	is.True(f.mustDelay(later, c, s))
 }
--- a/core/forwarding/permit.go
+++ b/core/forwarding/permit.go
@@ -104,7 +104,7 @@
 	if r == nil || r.Incarnation() != life || c.Item != "" && r.Phase(c.Item) != pool.Ready {
 		return false
 	}
-	if f.Quarantine.Remaining(now, c.Forward.Fingerprint) > 0 || f.pauses(now, c, s) {
+	if f.Quarantine.Remaining(now, c.Forward.Fingerprint) > 0 || f.mustDelay(now, c, s) {
 		return false
 	}
 	e, ok := f.router.Choose(now, f.query(now, c, s), []*pool.Replica{r})
--- a/core/forwarding/place.go
+++ b/core/forwarding/place.go
@@ -25,7 +25,7 @@
 		return
 	}
 	s := stateOf(c)
-	if f.pauses(now, c, s) {
+	if f.mustDelay(now, c, s) {
 		f.Calls.Enqueue(c)
 		return
 	}
@@ -69,9 +69,9 @@
 	return best[0], true
 }
 
-// pauses reports whether a call is not to be sent yet, since replicas ended under its
+// mustDelay reports whether a call is not to be sent yet, since replicas ended under its
 // request.
-func (f *Forwarder) pauses(now clock.Instant, c *calls.Call, s *state) bool {
+func (f *Forwarder) mustDelay(now clock.Instant, c *calls.Call, s *state) bool {
 	pause := f.Quarantine.SendDelay(c.Forward.Fingerprint)
 	if pause == 0 {
 		return false
