--- a/core/forwarding/place.go
+++ b/core/forwarding/place.go
@@ -80,11 +80,11 @@
 		s.notBefore = now.Add(pause)
 		f.Out.Log(logevent.CallWaits, "call", c.Forward.Name, "for", "other tries of its request, under which replicas ended")
 	}
-	return now.Before(s.notBefore) || f.running(c.Forward.Fingerprint)
+	return now.Before(s.notBefore) || f.requestRunning(c.Forward.Fingerprint)
 }
 
-// running reports whether a call of the request is at a replica.
-func (f *Forwarder) running(request crash.Fingerprint) bool {
+// requestRunning reports whether a call of the request is at a replica.
+func (f *Forwarder) requestRunning(request crash.Fingerprint) bool {
 	return slices.ContainsFunc(f.Calls.All(), func(c *calls.Call) bool {
 		return c.Phase == calls.Running && c.Forward != nil && c.Forward.Fingerprint == request
 	})
