--- a/core/forwarding/place.go
+++ b/core/forwarding/place.go
@@ -45,7 +45,7 @@
 	case !ok:
 		f.noReplica(now, c)
 	case f.shed(now, c, best):
-	case c.Item != "" && best.Replica.Phase(c.Item) != pool.Ready, f.hearsay(now, c, s, best.Replica):
+	case c.Item != "" && best.Replica.Phase(c.Item) != pool.Ready, f.shouldConfirmAdapter(now, c, s, best.Replica):
 		f.fetch(now, c, best.Replica)
 	case limited(now, best.Replica):
 		f.askPermit(now, c, query, best)
@@ -155,10 +155,10 @@
 	return cost, true
 }
 
-// hearsay reports whether an adapter is to be asked for though it is said to be there. In a
+// shouldConfirmAdapter reports whether an adapter is to be asked for though it is said to be there. In a
 // large fleet that may be seconds old, and an engine that lacks it turns the call away: when
 // few repeats are left, its owner is asked first, and they are kept for what nobody knows.
-func (f *Forwarder) hearsay(now clock.Instant, c *calls.Call, s *state, r *pool.Replica) bool {
+func (f *Forwarder) shouldConfirmAdapter(now clock.Instant, c *calls.Call, s *state, r *pool.Replica) bool {
 	return s.request.adapter != "" && s.orderWaits == 0 && !f.Roster.FullMesh() &&
 		f.Budget.Low(now, c.Service) && f.Asks.CanRequest(now, orderKey(s, r))
 }
