--- a/core/forwarding/place.go
+++ b/core/forwarding/place.go
@@ -46,7 +46,7 @@
 		f.noReplica(now, c)
 	case f.shed(now, c, best):
 	case c.Item != "" && best.Replica.Phase(c.Item) != pool.Ready, f.shouldConfirmAdapter(now, c, s, best.Replica):
-		f.fetch(now, c, best.Replica)
+		f.orderAdapter(now, c, best.Replica)
 	case limited(now, best.Replica):
 		f.askPermit(now, c, query, best)
 	default:
@@ -167,8 +167,8 @@
 	return orderclient.Key{Engine: r.Name, Request: orders.Request{Load: true, Model: s.request.model, Adapter: s.request.adapter}}
 }
 
-// fetch has the call's adapter loaded on an engine.
-func (f *Forwarder) fetch(now clock.Instant, c *calls.Call, r *pool.Replica) {
+// orderAdapter has the call's adapter loaded on an engine.
+func (f *Forwarder) orderAdapter(now clock.Instant, c *calls.Call, r *pool.Replica) {
 	s := stateOf(c)
 	f.Calls.EnterPhase(c, calls.AwaitingOrder)
 	s.orderWaits++
