--- a/core/forwarding/place.go
+++ b/core/forwarding/place.go
@@ -125,9 +125,9 @@
 }
 
 const (
-	// fetchCost is what an adapter that is not on an engine costs a call that
+	// adapterLoadCost is what an adapter that is not on an engine costs a call that
 	// goes there: asking, ordering, loading.
-	fetchCost = 25 * time.Millisecond
+	adapterLoadCost = 25 * time.Millisecond
 	// evictCost comes on top where another adapter must make way.
 	evictCost = 25 * time.Millisecond
 	// maxFetches is how many orders one call may wait for.
@@ -148,7 +148,7 @@
 	if phase == pool.Unloading || s.orderWaits >= maxFetches || !f.Asks.CanRequest(now, orderKey(s, r)) {
 		return 0, false
 	}
-	cost = fetchCost + r.RateLimitDelay(now) // the order takes a turn of its own
+	cost = adapterLoadCost + r.RateLimitDelay(now) // the order takes a turn of its own
 	if phase != pool.Loading && r.Adapters() >= s.service.Announced.Engine.MaxAdapters {
 		cost += evictCost
 	}
