--- a/core/forwarding/place.go
+++ b/core/forwarding/place.go
@@ -128,8 +128,8 @@
 	// adapterLoadCost is what an adapter that is not on an engine costs a call that
 	// goes there: asking, ordering, loading.
 	adapterLoadCost = 25 * time.Millisecond
-	// evictCost comes on top where another adapter must make way.
-	evictCost = 25 * time.Millisecond
+	// adapterEvictCost comes on top where another adapter must make way.
+	adapterEvictCost = 25 * time.Millisecond
 	// maxFetches is how many orders one call may wait for.
 	maxFetches = 3
 )
@@ -150,7 +150,7 @@
 	}
 	cost = adapterLoadCost + r.RateLimitDelay(now) // the order takes a turn of its own
 	if phase != pool.Loading && r.Adapters() >= s.service.Announced.Engine.MaxAdapters {
-		cost += evictCost
+		cost += adapterEvictCost
 	}
 	return cost, true
 }
