--- a/core/forwarding/place.go
+++ b/core/forwarding/place.go
@@ -130,8 +130,8 @@
 	adapterLoadCost = 25 * time.Millisecond
 	// adapterEvictCost comes on top where another adapter must make way.
 	adapterEvictCost = 25 * time.Millisecond
-	// maxFetches is how many orders one call may wait for.
-	maxFetches = 3
+	// maxOrderWaits is how many orders one call may wait for.
+	maxOrderWaits = 3
 )
 
 // itemCost returns what it takes until the engine can serve the call's model or
@@ -145,7 +145,7 @@
 	if phase == pool.Ready {
 		return 0, true
 	}
-	if phase == pool.Unloading || s.orderWaits >= maxFetches || !f.Asks.CanRequest(now, orderKey(s, r)) {
+	if phase == pool.Unloading || s.orderWaits >= maxOrderWaits || !f.Asks.CanRequest(now, orderKey(s, r)) {
 		return 0, false
 	}
 	cost = adapterLoadCost + r.RateLimitDelay(now) // the order takes a turn of its own
