--- a/core/forwarding/place.go
+++ b/core/forwarding/place.go
@@ -176,9 +176,9 @@
 	f.Asks.RequestForCall(now, orderKey(s, r), c.ID)
 }
 
-// aloneCalls is how many calls may run at an engine for its reading speed to be
+// maxCallsForSpeedSample is how many calls may run at an engine for its reading speed to be
 // learnt from one more.
-const aloneCalls = 4
+const maxCallsForSpeedSample = 4
 
 // dispatch sends the call to the chosen replica.
 func (f *Forwarder) dispatch(now clock.Instant, c *calls.Call, e route.Estimate) {
@@ -186,7 +186,7 @@
 	f.Calls.MarkSent(now, c, e.Replica)
 	s.lastAttempt = lastAttempt{
 		uncachedTokens: c.PromptTokens - e.Cached,
-		onlyPrefill:    e.Ahead == 0 && e.Calls <= aloneCalls,
+		onlyPrefill:    e.Ahead == 0 && e.Calls <= maxCallsForSpeedSample,
 	}
 	e.Replica.StartPrefill(now, uint64(c.ID), pool.Prefill{Rank: s.route.Priority, Work: e.Prefill, Expected: e.Total()})
 	if c.Item != "" {
