--- a/core/forwarding/place.go
+++ b/core/forwarding/place.go
@@ -199,7 +199,7 @@
 		"replica", c.Replica, "waited_ms", now.Since(c.Arrived).Milliseconds(), "ahead_ms", e.Ahead.Milliseconds(),
 		"prefill_ms", e.Prefill.Milliseconds(), "other_ms", e.Other.Milliseconds(), "cached", e.Cached, "calls_there", e.Calls,
 		"announced_ago_ms", now.Since(e.Replica.AnnouncedAt()).Milliseconds(), "list_age_ms", f.ListAge(now).Milliseconds(), "revision", f.Config.Revision())
-	f.Out.Emit(f.attempt(now, c, e.Replica))
+	f.Out.Emit(f.dispatchAction(now, c, e.Replica))
 }
 
 // cachedShare is the part of an engine's memory for prompts and answers that is
@@ -212,8 +212,8 @@
 	return int(cachedShare * float64(s.service.Announced.Engine.CacheTokens))
 }
 
-// attempt returns the action that sends the call to the replica.
-func (f *Forwarder) attempt(now clock.Instant, c *calls.Call, r *pool.Replica) calls.Dispatch {
+// dispatchAction returns the action that sends the call to the replica.
+func (f *Forwarder) dispatchAction(now clock.Instant, c *calls.Call, r *pool.Replica) calls.Dispatch {
 	s := stateOf(c)
 	left := time.Duration(0)
 	if c.Forward.Deadline > 0 {
