--- a/core/forwarding/place.go
+++ b/core/forwarding/place.go
@@ -202,14 +202,14 @@
 	f.Out.Emit(f.dispatchAction(now, c, e.Replica))
 }
 
-// cachedShare is the part of an engine's memory for prompts and answers that is
+// prefixCacheShare is the part of an engine's memory for prompts and answers that is
 // believed to keep prompts.
-const cachedShare = 0.75
+const prefixCacheShare = 0.75
 
 // cacheTokens returns the prompt tokens that an engine of the call's service is
 // believed to keep.
 func cacheTokens(s *state) int {
-	return int(cachedShare * float64(s.service.Announced.Engine.CacheTokens))
+	return int(prefixCacheShare * float64(s.service.Announced.Engine.CacheTokens))
 }
 
 // dispatchAction returns the action that sends the call to the replica.
