--- a/core/forwarding/place.go
+++ b/core/forwarding/place.go
@@ -190,7 +190,7 @@
 	}
 	e.Replica.StartPrefill(now, uint64(c.ID), pool.Prefill{Rank: s.route.Priority, Work: e.Prefill, Expected: e.Total()})
 	if c.Item != "" {
-		f.router.RecordPrompt(c.Life, s.request.chain, cacheTokens(s))
+		f.router.RecordPrompt(c.Life, s.request.chain, prefixCacheTokens(s))
 		e.Replica.MarkUsed(c.Item)
 		f.Used(now, c.Replica, c.Item)
 	}
@@ -206,9 +206,9 @@
 // believed to keep prompts.
 const prefixCacheShare = 0.75
 
-// cacheTokens returns the prompt tokens that an engine of the call's service is
+// prefixCacheTokens returns the prompt tokens that an engine of the call's service is
 // believed to keep.
-func cacheTokens(s *state) int {
+func prefixCacheTokens(s *state) int {
 	return int(prefixCacheShare * float64(s.service.Announced.Engine.CacheTokens))
 }
 
