--- a/core/forwarding/probe.go
+++ b/core/forwarding/probe.go
@@ -53,7 +53,7 @@
 // A probe is the state of a call that asks engines.
 type probe struct {
 	asked   int // engines that have not answered
-	settled bool
+	decided bool
 	askedAt clock.Instant
 	first   *pool.Replica // where it would have gone without asking; nil: nobody was asked
 }
@@ -62,10 +62,10 @@
 // reports whether the call waits for them.
 func (f *Forwarder) probeEngines(now clock.Instant, c *calls.Call, q route.Query, candidates []*pool.Replica) bool {
 	p := &stateOf(c).probe
-	if p.settled || c.Item == "" || f.Options.ProbeWait == 0 || f.Roster.FullMesh() {
+	if p.decided || c.Item == "" || f.Options.ProbeWait == 0 || f.Roster.FullMesh() {
 		return false
 	}
-	p.settled = true
+	p.decided = true
 	best := f.router.Best(now, q, candidates, probedEngines)
 	if len(best) < 2 || !f.probing.pays() {
 		return false
