--- a/core/forwarding/place.go
+++ b/core/forwarding/place.go
@@ -59,7 +59,7 @@
 // would all take the first. So it is one of those that seem alike, a different one for each
 // call.
 func (f *Forwarder) choose(now clock.Instant, s *state, q route.Query, candidates []*pool.Replica) (route.Estimate, bool) {
-	if q.Model.Model == "" || s.probe.first != nil || f.Roster.FullMesh() {
+	if q.Model.Model == "" || s.probe.initialChoice != nil || f.Roster.FullMesh() {
 		return f.router.Choose(now, q, candidates)
 	}
 	best := f.router.Best(now, q, candidates, 1)
--- a/core/forwarding/probe.go
+++ b/core/forwarding/probe.go
@@ -52,10 +52,10 @@
 
 // A probe is the state of a call that asks engines.
 type probe struct {
-	asked   int // engines that have not answered
-	decided bool
-	askedAt clock.Instant
-	first   *pool.Replica // where it would have gone without asking; nil: nobody was asked
+	asked         int // engines that have not answered
+	decided       bool
+	askedAt       clock.Instant
+	initialChoice *pool.Replica // where it would have gone without asking; nil: nobody was asked
 }
 
 // probeEngines asks the engines that the call may go to how busy they are, and
@@ -70,7 +70,7 @@
 	if len(best) < 2 || !f.probing.pays() {
 		return false
 	}
-	p.first = best[0].Replica
+	p.initialChoice = best[0].Replica
 	p.askedAt = now
 	for _, e := range best {
 		if e.Replica.ReportAge(now) < ProbeMaxAge || limited(now, e.Replica) {
@@ -118,11 +118,11 @@
 // learnProbe takes in what asking was worth for a call, if it asked, whose best engine is
 // known now.
 func (f *Forwarder) learnProbe(now clock.Instant, s *state, q route.Query, best route.Estimate) {
-	first := s.probe.first
+	first := s.probe.initialChoice
 	if first == nil {
 		return
 	}
-	s.probe.first = nil
+	s.probe.initialChoice = nil
 	without := f.router.Estimate(now, q, first)
 	f.probing.learn(max(0, without.Total()-best.Total()), now.Since(s.probe.askedAt))
 }
