--- a/core/forwarding/probe.go
+++ b/core/forwarding/probe.go
@@ -86,8 +86,8 @@
 	return true
 }
 
-// label names a call in logs, "" for one that has ended.
-func label(c *calls.Call) any {
+// callLabel names a call in logs, "" for one that has ended.
+func callLabel(c *calls.Call) any {
 	if c == nil {
 		return ""
 	}
@@ -99,7 +99,7 @@
 func (f *Forwarder) ProbeReplied(now clock.Instant, e ProbeReply) {
 	c := f.Calls.Get(e.Call)
 	if e.Err != nil {
-		f.Out.Log(logevent.ProbeFailed, "engine", e.Engine, "call", label(c), "error", e.Err.Error())
+		f.Out.Log(logevent.ProbeFailed, "engine", e.Engine, "call", callLabel(c), "error", e.Err.Error())
 	} else if r := f.Pool.Get(e.Engine); r != nil && !e.Sent.Before(r.FirstSeenAt()) {
 		r.ObserveReport(now, pool.LoadReport{Queued: e.Queued, Running: e.Running})
 	}
