--- a/core/forwarding/place.go
+++ b/core/forwarding/place.go
@@ -39,7 +39,7 @@
 		best, ok = f.choose(now, s, query, candidates)
 	}
 	if ok {
-		f.learnProbe(now, s, query, best)
+		f.recordProbeBenefit(now, s, query, best)
 	}
 	switch {
 	case !ok:
--- a/core/forwarding/probe.go
+++ b/core/forwarding/probe.go
@@ -115,9 +115,9 @@
 	f.findReplica(now, c)
 }
 
-// learnProbe takes in what asking was worth for a call, if it asked, whose best engine is
+// recordProbeBenefit takes in what asking was worth for a call, if it asked, whose best engine is
 // known now.
-func (f *Forwarder) learnProbe(now clock.Instant, s *state, q route.Query, best route.Estimate) {
+func (f *Forwarder) recordProbeBenefit(now clock.Instant, s *state, q route.Query, best route.Estimate) {
 	first := s.probe.initialChoice
 	if first == nil {
 		return
