--- a/core/forwarding/forwarding.go
+++ b/core/forwarding/forwarding.go
@@ -56,10 +56,10 @@
 // A Forwarder serves forwarded calls.
 type Forwarder struct {
 	Deps
-	kind       calls.Handlers
-	router     *route.Router
-	probing    probing       // whether calls ask engines how busy they are
-	nextExpire clock.Instant // when to look for calls whose time is over
+	kind         calls.Handlers
+	router       *route.Router
+	probeBenefit probing       // whether calls ask engines how busy they are
+	nextExpire   clock.Instant // when to look for calls whose time is over
 }
 
 // A state is what a forwarded call has beside what every call has.
--- a/core/forwarding/probe.go
+++ b/core/forwarding/probe.go
@@ -67,7 +67,7 @@
 	}
 	p.decided = true
 	best := f.router.Best(now, q, candidates, probedEngines)
-	if len(best) < 2 || !f.probing.pays() {
+	if len(best) < 2 || !f.probeBenefit.pays() {
 		return false
 	}
 	p.initialChoice = best[0].Replica
@@ -124,5 +124,5 @@
 	}
 	s.probe.initialChoice = nil
 	without := f.router.Estimate(now, q, first)
-	f.probing.learn(max(0, without.Total()-best.Total()), now.Since(s.probe.askedAt))
+	f.probeBenefit.learn(max(0, without.Total()-best.Total()), now.Since(s.probe.askedAt))
 }
