--- a/core/forwarding/probe.go
+++ b/core/forwarding/probe.go
@@ -67,7 +67,7 @@
 	}
 	p.decided = true
 	best := f.router.Best(now, q, candidates, probedEngines)
-	if len(best) < 2 || !f.probeBenefit.pays() {
+	if len(best) < 2 || !f.probeBenefit.shouldProbe() {
 		return false
 	}
 	p.initialChoice = best[0].Replica
--- a/core/forwarding/probing.go
+++ b/core/forwarding/probing.go
@@ -23,9 +23,9 @@
 	calls int // since it was asked for the first time
 }
 
-// pays reports whether the next call should ask: while asking saves calls more time than
+// shouldProbe reports whether the next call should ask: while asking saves calls more time than
 // it takes them, and now and then otherwise.
-func (p *probing) pays() bool {
+func (p *probing) shouldProbe() bool {
 	p.calls++
 	return !p.known || p.saved > p.took || p.calls%probeSample == 0
 }
--- a/core/forwarding/probing_test.go
+++ b/core/forwarding/probing_test.go
@@ -14,7 +14,7 @@
 	asked := func(p *probing, calls int) int {
 		n := 0
 		for range calls {
-			if p.pays() {
+			if p.shouldProbe() {
 				n++
 			}
 		}
