--- a/core/forwarding/probe.go
+++ b/core/forwarding/probe.go
@@ -124,5 +124,5 @@
 	}
 	s.probe.initialChoice = nil
 	without := f.router.Estimate(now, q, first)
-	f.probeBenefit.learn(max(0, without.Total()-best.Total()), now.Since(s.probe.askedAt))
+	f.probeBenefit.observe(max(0, without.Total()-best.Total()), now.Since(s.probe.askedAt))
 }
--- a/core/forwarding/probing.go
+++ b/core/forwarding/probing.go
@@ -30,8 +30,8 @@
 	return !p.known || p.saved > p.took || p.calls%probeSample == 0
 }
 
-// learn takes in what asking saved a call, and how long it took.
-func (p *probing) learn(saved, took time.Duration) {
+// observe takes in what asking saved a call, and how long it took.
+func (p *probing) observe(saved, took time.Duration) {
 	if !p.known {
 		*p = probing{saved: saved, took: took, known: true, calls: p.calls}
 		return
--- a/core/forwarding/probing_test.go
+++ b/core/forwarding/probing_test.go
@@ -24,17 +24,17 @@
 	p := &probing{}
 	is.Equal(asked(p, 10), 10) // nothing is known yet
 	for range 20 {
-		p.learn(time.Millisecond, took)
+		p.observe(time.Millisecond, took)
 	}
 	is.Equal(asked(p, 10*probeSample), 10)
-	p.learn(200*time.Millisecond, took)
+	p.observe(200*time.Millisecond, took)
 	is.Equal(asked(p, 10), 10)
 	for range 5 {
-		p.learn(12*time.Millisecond, took)
+		p.observe(12*time.Millisecond, took)
 	}
 	is.Equal(asked(p, 10), 10) // it still saves more than it takes
 	for range 40 {
-		p.learn(0, took)
+		p.observe(0, took)
 	}
 	is.Equal(asked(p, 10*probeSample), 10)
 }
