--- a/core/forwarding/forwarding.go
+++ b/core/forwarding/forwarding.go
@@ -58,7 +58,7 @@
 	Deps
 	kind         calls.Handlers
 	router       *route.Router
-	probeBenefit probing       // whether calls ask engines how busy they are
+	probeBenefit probeBenefit  // whether calls ask engines how busy they are
 	nextExpire   clock.Instant // when to look for calls whose time is over
 }
 
--- a/core/forwarding/probing.go
+++ b/core/forwarding/probing.go
@@ -15,8 +15,8 @@
 	probeAlpha = 0.2
 )
 
-// A probing is what asking engines was worth to calls lately.
-type probing struct {
+// A probeBenefit is what asking engines was worth to calls lately.
+type probeBenefit struct {
 	saved time.Duration // mean time that a call was spared by going where engines said
 	took  time.Duration // mean time that asking took
 	known bool
@@ -25,15 +25,15 @@
 
 // shouldProbe reports whether the next call should ask: while asking saves calls more time than
 // it takes them, and now and then otherwise.
-func (p *probing) shouldProbe() bool {
+func (p *probeBenefit) shouldProbe() bool {
 	p.calls++
 	return !p.known || p.saved > p.took || p.calls%probeSample == 0
 }
 
 // observe takes in what asking saved a call, and how long it took.
-func (p *probing) observe(saved, took time.Duration) {
+func (p *probeBenefit) observe(saved, took time.Duration) {
 	if !p.known {
-		*p = probing{saved: saved, took: took, known: true, calls: p.calls}
+		*p = probeBenefit{saved: saved, took: took, known: true, calls: p.calls}
 		return
 	}
 	p.saved += time.Duration(probeAlpha * float64(saved-p.saved))
--- a/core/forwarding/probing_test.go
+++ b/core/forwarding/probing_test.go
@@ -11,7 +11,7 @@
 // and then, until one call was spared a long queue.
 func TestCallsAskWhileThatPays(t *testing.T) {
 	is := is.New(t)
-	asked := func(p *probing, calls int) int {
+	asked := func(p *probeBenefit, calls int) int {
 		n := 0
 		for range calls {
 			if p.shouldProbe() {
@@ -21,7 +21,7 @@
 		return n
 	}
 	const took = 8 * time.Millisecond
-	p := &probing{}
+	p := &probeBenefit{}
 	is.Equal(asked(p, 10), 10) // nothing is known yet
 	for range 20 {
 		p.observe(time.Millisecond, took)
