--- a/core/forwarding/probing.go
+++ b/core/forwarding/probing.go
@@ -7,9 +7,9 @@
 // them more time than it takes.
 
 const (
-	// probeSample is every how manyth call asks while asking does not pay, so that it is
+	// probeSampleInterval is every how manyth call asks while asking does not pay, so that it is
 	// seen when it does again: about one call a second of an instance.
-	probeSample = 8
+	probeSampleInterval = 8
 	// probeAlpha is the weight of a new sample of what asking saves and takes: one
 	// call that was spared a long queue has the next ones ask.
 	probeAlpha = 0.2
@@ -27,7 +27,7 @@
 // it takes them, and now and then otherwise.
 func (p *probeBenefit) shouldProbe() bool {
 	p.calls++
-	return !p.known || p.saved > p.took || p.calls%probeSample == 0
+	return !p.known || p.saved > p.took || p.calls%probeSampleInterval == 0
 }
 
 // observe takes in what asking saved a call, and how long it took.
--- a/core/forwarding/probing_test.go
+++ b/core/forwarding/probing_test.go
@@ -26,7 +26,7 @@
 	for range 20 {
 		p.observe(time.Millisecond, took)
 	}
-	is.Equal(asked(p, 10*probeSample), 10)
+	is.Equal(asked(p, 10*probeSampleInterval), 10)
 	p.observe(200*time.Millisecond, took)
 	is.Equal(asked(p, 10), 10)
 	for range 5 {
@@ -36,5 +36,5 @@
 	for range 40 {
 		p.observe(0, took)
 	}
-	is.Equal(asked(p, 10*probeSample), 10)
+	is.Equal(asked(p, 10*probeSampleInterval), 10)
 }
