--- a/core/forwarding/attempts.go
+++ b/core/forwarding/attempts.go
@@ -80,7 +80,7 @@
 }
 
 // endUnretried ends a call whose attempt failed.
-func (f *Forwarder) endUnretried(c *calls.Call, b failure, reason repeatVerdict) {
+func (f *Forwarder) endUnretried(c *calls.Call, b failure, reason retryVerdict) {
 	f.Out.Log(logevent.CallNotRepeated, "call", c.Forward.Name, "fingerprint", c.Forward.Fingerprint.String(),
 		"replica", b.replica, "severed", b.Severed, "reason", reason.String())
 	f.end(c, stateOf(c), b.Status, b.Detail)
--- a/core/forwarding/forwarding_test.go
+++ b/core/forwarding/forwarding_test.go
@@ -84,7 +84,7 @@
 		resumable bool
 		broke     calls.AttemptFailed
 		prepare   func(c *calls.Call, s *state)
-		want      repeatVerdict
+		want      retryVerdict
 	}{
 		{"harmless to repeat", config.Repeatable, false, calls.AttemptFailed{Phase: attempt.MaybeSent}, nil, repeatAllowed},
 		{"once, and it may have run", config.Once, false, calls.AttemptFailed{Phase: attempt.MaybeSent}, nil, mayHaveRun},
--- a/core/forwarding/repeat.go
+++ b/core/forwarding/repeat.go
@@ -22,23 +22,23 @@
 	leastLeft = 20 * time.Millisecond
 )
 
-// A repeatVerdict says whether a call may be repeated, or why not.
-type repeatVerdict int
+// A retryVerdict says whether a call may be repeated, or why not.
+type retryVerdict int
 
 const (
-	repeatAllowed   repeatVerdict = iota
-	mayHaveRun                    // and its route does not say that this is harmless
-	notResumable                  // the stream has begun
-	bodyConsumed                  // it cannot be sent again
-	attemptsUsed                  // all that its route allows
-	refusedTooOften               // by replicas that did not run it
-	unsentTooOften                // nothing answered at replicas
+	repeatAllowed   retryVerdict = iota
+	mayHaveRun                   // and its route does not say that this is harmless
+	notResumable                 // the stream has begun
+	bodyConsumed                 // it cannot be sent again
+	attemptsUsed                 // all that its route allows
+	refusedTooOften              // by replicas that did not run it
+	unsentTooOften               // nothing answered at replicas
 	noTimeLeft
 	overBudget // the fleet's repeats of the service are used up
 )
 
 // String names the reason for the log.
-func (v repeatVerdict) String() string {
+func (v retryVerdict) String() string {
 	return [...]string{
 		"allowed", "it may have run", "the stream cannot be resumed", "its body cannot be sent again", "all attempts are used",
 		"refused too often", "nothing answered too often", "no time is left", "the retry budget is used up",
@@ -49,7 +49,7 @@
 // replica, and spends the budget for it. A call that may have run is repeated only
 // where its route says that this is harmless; a stream that has begun only where it
 // can be resumed. What never left did not arrive anywhere, so it costs no budget.
-func (f *Forwarder) mayRepeat(now clock.Instant, c *calls.Call, b calls.AttemptFailed) repeatVerdict {
+func (f *Forwarder) mayRepeat(now clock.Instant, c *calls.Call, b calls.AttemptFailed) retryVerdict {
 	s := stateOf(c)
 	p := s.progress
 	switch {
