--- a/core/forwarding/attempts.go
+++ b/core/forwarding/attempts.go
@@ -53,7 +53,7 @@
 	switch reason := f.mayRepeat(now, c, b); {
 	case reason == overBudget && f.Budget.Common:
 		f.requestRetryPermit(now, c, failure{b, former})
-	case reason != repeatAllowed:
+	case reason != retryAllowed:
 		f.endUnretried(c, failure{b, former}, reason)
 	default:
 		f.retry(now, c, failure{b, former})
--- a/core/forwarding/forwarding_test.go
+++ b/core/forwarding/forwarding_test.go
@@ -86,10 +86,10 @@
 		prepare   func(c *calls.Call, s *state)
 		want      retryVerdict
 	}{
-		{"harmless to repeat", config.Repeatable, false, calls.AttemptFailed{Phase: attempt.MaybeSent}, nil, repeatAllowed},
+		{"harmless to repeat", config.Repeatable, false, calls.AttemptFailed{Phase: attempt.MaybeSent}, nil, retryAllowed},
 		{"once, and it may have run", config.Once, false, calls.AttemptFailed{Phase: attempt.MaybeSent}, nil, mayHaveRun},
-		{"once, and it never left", config.Once, false, calls.AttemptFailed{Phase: attempt.NotSent}, nil, repeatAllowed},
-		{"once, and the replica did not run it", config.Once, false, calls.AttemptFailed{Phase: attempt.Refused}, nil, repeatAllowed},
+		{"once, and it never left", config.Once, false, calls.AttemptFailed{Phase: attempt.NotSent}, nil, retryAllowed},
+		{"once, and the replica did not run it", config.Once, false, calls.AttemptFailed{Phase: attempt.Refused}, nil, retryAllowed},
 		{"its body is gone", config.Repeatable, false, calls.AttemptFailed{Phase: attempt.MaybeSent, BodyConsumed: true}, nil, bodyConsumed},
 		{"all attempts are used", config.Repeatable, false, calls.AttemptFailed{Phase: attempt.MaybeSent},
 			func(_ *calls.Call, s *state) { s.progress.possibleRuns = 1 }, attemptsUsed},
@@ -99,7 +99,7 @@
 			func(_ *calls.Call, s *state) { s.progress.unsent = maxUnsent - 1 }, unsentTooOften},
 		{"no time is left", config.Repeatable, false, calls.AttemptFailed{Phase: attempt.MaybeSent},
 			func(c *calls.Call, _ *state) { c.Expires = start.Add(leastLeft) }, noTimeLeft},
-		{"a stream that began and can be resumed", config.Stream, true, calls.AttemptFailed{Phase: attempt.Answered, Delivered: 3}, nil, repeatAllowed},
+		{"a stream that began and can be resumed", config.Stream, true, calls.AttemptFailed{Phase: attempt.Answered, Delivered: 3}, nil, retryAllowed},
 		{"a stream that began and cannot", config.Stream, false, calls.AttemptFailed{Phase: attempt.Answered, Delivered: 3}, nil, notResumable},
 	}
 	for _, c := range cases {
@@ -126,7 +126,7 @@
 	for f.Budget.Spend(start, "s") {
 	}
 	is.Equal(f.mayRepeat(start, call, calls.AttemptFailed{Phase: attempt.MaybeSent}), overBudget)
-	is.Equal(f.mayRepeat(start, call, calls.AttemptFailed{Phase: attempt.NotSent}), repeatAllowed) // it arrived nowhere
+	is.Equal(f.mayRepeat(start, call, calls.AttemptFailed{Phase: attempt.NotSent}), retryAllowed) // it arrived nowhere
 }
 
 // finished returns the refusals, by call, and which calls' own answers were passed
--- a/core/forwarding/repeat.go
+++ b/core/forwarding/repeat.go
@@ -26,7 +26,7 @@
 type retryVerdict int
 
 const (
-	repeatAllowed   retryVerdict = iota
+	retryAllowed    retryVerdict = iota
 	mayHaveRun                   // and its route does not say that this is harmless
 	notResumable                 // the stream has begun
 	bodyConsumed                 // it cannot be sent again
@@ -70,6 +70,6 @@
 	case b.Phase != attempt.NotSent && !f.Budget.Spend(now, c.Service):
 		return overBudget
 	default:
-		return repeatAllowed
+		return retryAllowed
 	}
 }
