--- a/core/forwarding/attempts.go
+++ b/core/forwarding/attempts.go
@@ -50,7 +50,7 @@
 	former := c.Replica
 	c.Replica = ""
 	s.progress.record(c.Life, b, f.rests(now, former))
-	switch reason := f.mayRepeat(now, c, b); {
+	switch reason := f.checkRetry(now, c, b); {
 	case reason == overBudget && f.Budget.Common:
 		f.requestRetryPermit(now, c, failure{b, former})
 	case reason != retryAllowed:
--- a/core/forwarding/forwarding_test.go
+++ b/core/forwarding/forwarding_test.go
@@ -112,7 +112,7 @@
 			}
 			call.History = call.History.WithAttempt().WithFailure(c.broke.Phase)
 			s.progress.record(pool.Incarnation{Name: "r"}, c.broke, false)
-			is.Equal(f.mayRepeat(start, call, c.broke), c.want)
+			is.Equal(f.checkRetry(start, call, c.broke), c.want)
 		})
 	}
 }
@@ -125,8 +125,8 @@
 	call, _ := f.testCall(config.Repeatable, false)
 	for f.Budget.Spend(start, "s") {
 	}
-	is.Equal(f.mayRepeat(start, call, calls.AttemptFailed{Phase: attempt.MaybeSent}), overBudget)
-	is.Equal(f.mayRepeat(start, call, calls.AttemptFailed{Phase: attempt.NotSent}), retryAllowed) // it arrived nowhere
+	is.Equal(f.checkRetry(start, call, calls.AttemptFailed{Phase: attempt.MaybeSent}), overBudget)
+	is.Equal(f.checkRetry(start, call, calls.AttemptFailed{Phase: attempt.NotSent}), retryAllowed) // it arrived nowhere
 }
 
 // finished returns the refusals, by call, and which calls' own answers were passed
--- a/core/forwarding/repeat.go
+++ b/core/forwarding/repeat.go
@@ -45,11 +45,11 @@
 	}[v]
 }
 
-// mayRepeat decides whether a call whose attempt failed with b may go to another
+// checkRetry decides whether a call whose attempt failed with b may go to another
 // replica, and spends the budget for it. A call that may have run is repeated only
 // where its route says that this is harmless; a stream that has begun only where it
 // can be resumed. What never left did not arrive anywhere, so it costs no budget.
-func (f *Forwarder) mayRepeat(now clock.Instant, c *calls.Call, b calls.AttemptFailed) retryVerdict {
+func (f *Forwarder) checkRetry(now clock.Instant, c *calls.Call, b calls.AttemptFailed) retryVerdict {
 	s := stateOf(c)
 	p := s.progress
 	switch {
