--- a/core/forwarding/forwarding_test.go
+++ b/core/forwarding/forwarding_test.go
@@ -98,7 +98,7 @@
 		{"nothing answered too often", config.Repeatable, false, calls.AttemptFailed{Phase: attempt.NotSent},
 			func(_ *calls.Call, s *state) { s.progress.unsent = maxUnsent - 1 }, unsentTooOften},
 		{"no time is left", config.Repeatable, false, calls.AttemptFailed{Phase: attempt.MaybeSent},
-			func(c *calls.Call, _ *state) { c.Expires = start.Add(leastLeft) }, noTimeLeft},
+			func(c *calls.Call, _ *state) { c.Expires = start.Add(minTimeLeft) }, noTimeLeft},
 		{"a stream that began and can be resumed", config.Stream, true, calls.AttemptFailed{Phase: attempt.Answered, Delivered: 3}, nil, retryAllowed},
 		{"a stream that began and cannot", config.Stream, false, calls.AttemptFailed{Phase: attempt.Answered, Delivered: 3}, nil, notResumable},
 	}
--- a/core/forwarding/repeat.go
+++ b/core/forwarding/repeat.go
@@ -18,8 +18,8 @@
 	maxRefusals = 3
 	// maxUnsent is how many replicas it follows at which nothing answers.
 	maxUnsent = 8
-	// leastLeft is the least time for which an attempt is worth making.
-	leastLeft = 20 * time.Millisecond
+	// minTimeLeft is the least time for which an attempt is worth making.
+	minTimeLeft = 20 * time.Millisecond
 )
 
 // A retryVerdict says whether a call may be repeated, or why not.
@@ -65,7 +65,7 @@
 		return refusedTooOften
 	case p.unsent >= maxUnsent:
 		return unsentTooOften
-	case !now.Add(leastLeft).Before(c.Expires):
+	case !now.Add(minTimeLeft).Before(c.Expires):
 		return noTimeLeft
 	case b.Phase != attempt.NotSent && !f.Budget.Spend(now, c.Service):
 		return overBudget
