--- a/core/forwarding/wait.go
+++ b/core/forwarding/wait.go
@@ -21,10 +21,10 @@
 	// come back, at the least: replicas come back, and room comes free, within
 	// moments.
 	noReplicaRetryAfter = 250 * time.Millisecond
-	// adapterExpected is the part of a call's target that an adapter which cannot
+	// adapterWaitShare is the part of a call's target that an adapter which cannot
 	// be ordered now is expected to take, so that the call waits for the rest of
 	// it: slots come free and owners come back within moments, or not soon.
-	adapterExpected = 0.75
+	adapterWaitShare = 0.75
 	// placementTime is what passes before an order is given for a model that is
 	// missed.
 	placementTime = 600 * time.Millisecond
@@ -158,7 +158,7 @@
 
 // awaitAdapter has a call wait for its adapter, or refuses it.
 func (f *Forwarder) awaitAdapter(now clock.Instant, c *calls.Call) {
-	expected := time.Duration(adapterExpected * float64(c.Target))
+	expected := time.Duration(adapterWaitShare * float64(c.Target))
 	if worthWaiting(now.Since(c.Arrived), expected, c.Target) {
 		f.Calls.Enqueue(c)
 		return
