--- a/core/forwarding/wait.go
+++ b/core/forwarding/wait.go
@@ -25,9 +25,9 @@
 	// be ordered now is expected to take, so that the call waits for the rest of
 	// it: slots come free and owners come back within moments, or not soon.
 	adapterWaitShare = 0.75
-	// placementTime is what passes before an order is given for a model that is
+	// placementDelay is what passes before an order is given for a model that is
 	// missed.
-	placementTime = 600 * time.Millisecond
+	placementDelay = 600 * time.Millisecond
 	// restShare is the part of its target within which a call waits for the end of a
 	// rest: the rest of it is for its answer.
 	restShare = 0.5
@@ -198,5 +198,5 @@
 			best = min(best, owned.LoadTime(facts, r.Announcement()))
 		}
 	}
-	return best + placementTime
+	return best + placementDelay
 }
