--- a/core/forwarding/wait.go
+++ b/core/forwarding/wait.go
@@ -28,9 +28,9 @@
 	// placementDelay is what passes before an order is given for a model that is
 	// missed.
 	placementDelay = 600 * time.Millisecond
-	// restShare is the part of its target within which a call waits for the end of a
+	// restWaitShare is the part of its target within which a call waits for the end of a
 	// rest: the rest of it is for its answer.
-	restShare = 0.5
+	restWaitShare = 0.5
 	// retryShare is the part of its remaining time after which a call comes back
 	// at the latest whose model is missing, so that it has time left then.
 	retryShare = 0.25
@@ -131,7 +131,7 @@
 func (f *Forwarder) awaitRest(now clock.Instant, c *calls.Call, left time.Duration) {
 	s := stateOf(c)
 	switch {
-	case worthWaiting(now.Since(c.Arrived), left, time.Duration(restShare*float64(c.Target))):
+	case worthWaiting(now.Since(c.Arrived), left, time.Duration(restWaitShare*float64(c.Target))):
 		if !f.Calls.Queued(c) {
 			f.Out.Log(logevent.CallWaits, "call", c.Forward.Name, "item", c.Item, "for", "the rest of its replicas", "rest_ms", left.Milliseconds())
 		}
