--- a/core/forwarding/wait.go
+++ b/core/forwarding/wait.go
@@ -31,9 +31,9 @@
 	// restWaitShare is the part of its target within which a call waits for the end of a
 	// rest: the rest of it is for its answer.
 	restWaitShare = 0.5
-	// retryShare is the part of its remaining time after which a call comes back
+	// modelRetryShare is the part of its remaining time after which a call comes back
 	// at the latest whose model is missing, so that it has time left then.
-	retryShare = 0.25
+	modelRetryShare = 0.25
 )
 
 // A missing says what a call lacks that no replica can serve now.
@@ -182,7 +182,7 @@
 		f.Calls.Enqueue(c)
 		return
 	}
-	left := time.Duration(retryShare * float64(c.Expires.Since(now)))
+	left := time.Duration(modelRetryShare * float64(c.Expires.Since(now)))
 	f.Calls.Refuse(c, calls.NotRunRefusal(code.NotResident, fmt.Sprintf("%q is not resident", c.Item), min(eta, left)))
 }
 
