--- a/core/forwarding/wait.go
+++ b/core/forwarding/wait.go
@@ -36,15 +36,15 @@
 	modelRetryShare = 0.25
 )
 
-// A missing says what a call lacks that no replica can serve now.
-type missing int
+// A unavailableReason says what a call lacks that no replica can serve now.
+type unavailableReason int
 
 const (
-	furtherAttempt  missing = iota // an attempt may have run, or its answer was begun
-	anyReplica                     // no replica is live
-	willingReplica                 // those that are live refused it
-	loadableAdapter                // its model is served, its adapter cannot be loaded there
-	residentModel                  // its model is resident nowhere
+	furtherAttempt  unavailableReason = iota // an attempt may have run, or its answer was begun
+	anyReplica                               // no replica is live
+	willingReplica                           // those that are live refused it
+	loadableAdapter                          // its model is served, its adapter cannot be loaded there
+	residentModel                            // its model is resident nowhere
 )
 
 // An absence is what is known of a call that no replica can serve now.
@@ -58,7 +58,7 @@
 }
 
 // missing returns what the call lacks.
-func (a absence) missing() missing {
+func (a absence) missing() unavailableReason {
 	switch {
 	case a.run != code.NotRun || a.opened:
 		return furtherAttempt
