--- a/core/forwarding/wait.go
+++ b/core/forwarding/wait.go
@@ -57,8 +57,8 @@
 	modelServed func() bool
 }
 
-// missing returns what the call lacks.
-func (a absence) missing() unavailableReason {
+// reason returns what the call lacks.
+func (a absence) reason() unavailableReason {
 	switch {
 	case a.run != code.NotRun || a.opened:
 		return furtherAttempt
@@ -91,7 +91,7 @@
 		run: c.History.RunState(), opened: s.progress.answerStarted, item: c.Item, refusals: s.progress.refusals, adapter: s.request.adapter,
 		modelServed: func() bool { return f.modelServed(now, c, s) },
 	}
-	switch a.missing() {
+	switch a.reason() {
 	case furtherAttempt:
 		f.end(c, s, 0, "no other replica can serve it")
 	case anyReplica:
