--- a/core/forwarding/wait.go
+++ b/core/forwarding/wait.go
@@ -49,18 +49,18 @@
 
 // An absence is what is known of a call that no replica can serve now.
 type absence struct {
-	run         code.RunState // of its attempts so far
-	opened      bool          // its answer was begun
-	item        string        // "" if it needs none
-	refusals    int           // replicas that said they did not run it
-	adapter     string        // "" if it needs none
-	modelServed func() bool
+	run           code.RunState // of its attempts so far
+	answerStarted bool          // its answer was begun
+	item          string        // "" if it needs none
+	refusals      int           // replicas that said they did not run it
+	adapter       string        // "" if it needs none
+	modelServed   func() bool
 }
 
 // reason returns what the call lacks.
 func (a absence) reason() unavailableReason {
 	switch {
-	case a.run != code.NotRun || a.opened:
+	case a.run != code.NotRun || a.answerStarted:
 		return furtherAttempt
 	case a.item == "":
 		return anyReplica
@@ -88,7 +88,7 @@
 		return
 	}
 	a := absence{
-		run: c.History.RunState(), opened: s.progress.answerStarted, item: c.Item, refusals: s.progress.refusals, adapter: s.request.adapter,
+		run: c.History.RunState(), answerStarted: s.progress.answerStarted, item: c.Item, refusals: s.progress.refusals, adapter: s.request.adapter,
 		modelServed: func() bool { return f.modelServed(now, c, s) },
 	}
 	switch a.reason() {
