--- a/core/forwarding/wait.go
+++ b/core/forwarding/wait.go
@@ -47,8 +47,8 @@
 	residentModel                            // its model is resident nowhere
 )
 
-// An absence is what is known of a call that no replica can serve now.
-type absence struct {
+// An unavailability is what is known of a call that no replica can serve now.
+type unavailability struct {
 	run           code.RunState // of its attempts so far
 	answerStarted bool          // its answer was begun
 	item          string        // "" if it needs none
@@ -58,7 +58,7 @@
 }
 
 // reason returns what the call lacks.
-func (a absence) reason() unavailableReason {
+func (a unavailability) reason() unavailableReason {
 	switch {
 	case a.run != code.NotRun || a.answerStarted:
 		return furtherAttempt
@@ -87,7 +87,7 @@
 	if f.awaitTurn(now, c) {
 		return
 	}
-	a := absence{
+	a := unavailability{
 		run: c.History.RunState(), answerStarted: s.progress.answerStarted, item: c.Item, refusals: s.progress.refusals, adapter: s.request.adapter,
 		modelServed: func() bool { return f.modelServed(now, c, s) },
 	}
