--- a/core/forwarding/wait.go
+++ b/core/forwarding/wait.go
@@ -40,11 +40,11 @@
 type unavailableReason int
 
 const (
-	furtherAttempt  unavailableReason = iota // an attempt may have run, or its answer was begun
-	anyReplica                               // no replica is live
-	willingReplica                           // those that are live refused it
-	loadableAdapter                          // its model is served, its adapter cannot be loaded there
-	residentModel                            // its model is resident nowhere
+	noFurtherAttempt unavailableReason = iota // an attempt may have run, or its answer was begun
+	anyReplica                                // no replica is live
+	willingReplica                            // those that are live refused it
+	loadableAdapter                           // its model is served, its adapter cannot be loaded there
+	residentModel                             // its model is resident nowhere
 )
 
 // An unavailability is what is known of a call that no replica can serve now.
@@ -61,7 +61,7 @@
 func (a unavailability) reason() unavailableReason {
 	switch {
 	case a.run != code.NotRun || a.answerStarted:
-		return furtherAttempt
+		return noFurtherAttempt
 	case a.item == "":
 		return anyReplica
 	case a.refusals > 0:
@@ -92,7 +92,7 @@
 		modelServed: func() bool { return f.modelServed(now, c, s) },
 	}
 	switch a.reason() {
-	case furtherAttempt:
+	case noFurtherAttempt:
 		f.end(c, s, 0, "no other replica can serve it")
 	case anyReplica:
 		f.Calls.Refuse(c, calls.NotRunRefusal(code.NoReplica, "no live replica", noReplicaRetryAfter))
