--- a/core/forwarding/wait.go
+++ b/core/forwarding/wait.go
@@ -41,7 +41,7 @@
 
 const (
 	noFurtherAttempt unavailableReason = iota // an attempt may have run, or its answer was begun
-	anyReplica                                // no replica is live
+	noLiveReplica                             // no replica is live
 	willingReplica                            // those that are live refused it
 	loadableAdapter                           // its model is served, its adapter cannot be loaded there
 	residentModel                             // its model is resident nowhere
@@ -63,7 +63,7 @@
 	case a.run != code.NotRun || a.answerStarted:
 		return noFurtherAttempt
 	case a.item == "":
-		return anyReplica
+		return noLiveReplica
 	case a.refusals > 0:
 		return willingReplica
 	case a.adapter != "" && a.modelServed():
@@ -94,7 +94,7 @@
 	switch a.reason() {
 	case noFurtherAttempt:
 		f.end(c, s, 0, "no other replica can serve it")
-	case anyReplica:
+	case noLiveReplica:
 		f.Calls.Refuse(c, calls.NotRunRefusal(code.NoReplica, "no live replica", noReplicaRetryAfter))
 	case willingReplica:
 		f.Calls.Refuse(c, calls.NotRunRefusal(code.NoCapacity, "its replicas refused it", noReplicaRetryAfter))
