--- a/core/forwarding/wait.go
+++ b/core/forwarding/wait.go
@@ -42,7 +42,7 @@
 const (
 	noFurtherAttempt unavailableReason = iota // an attempt may have run, or its answer was begun
 	noLiveReplica                             // no replica is live
-	willingReplica                            // those that are live refused it
+	allRefused                                // those that are live refused it
 	loadableAdapter                           // its model is served, its adapter cannot be loaded there
 	residentModel                             // its model is resident nowhere
 )
@@ -65,7 +65,7 @@
 	case a.item == "":
 		return noLiveReplica
 	case a.refusals > 0:
-		return willingReplica
+		return allRefused
 	case a.adapter != "" && a.modelServed():
 		return loadableAdapter
 	default:
@@ -96,7 +96,7 @@
 		f.end(c, s, 0, "no other replica can serve it")
 	case noLiveReplica:
 		f.Calls.Refuse(c, calls.NotRunRefusal(code.NoReplica, "no live replica", noReplicaRetryAfter))
-	case willingReplica:
+	case allRefused:
 		f.Calls.Refuse(c, calls.NotRunRefusal(code.NoCapacity, "its replicas refused it", noReplicaRetryAfter))
 	case loadableAdapter:
 		f.awaitAdapter(now, c)
