--- a/core/forwarding/wait.go
+++ b/core/forwarding/wait.go
@@ -40,11 +40,11 @@
 type unavailableReason int
 
 const (
-	noFurtherAttempt unavailableReason = iota // an attempt may have run, or its answer was begun
-	noLiveReplica                             // no replica is live
-	allRefused                                // those that are live refused it
-	loadableAdapter                           // its model is served, its adapter cannot be loaded there
-	residentModel                             // its model is resident nowhere
+	noFurtherAttempt   unavailableReason = iota // an attempt may have run, or its answer was begun
+	noLiveReplica                               // no replica is live
+	allRefused                                  // those that are live refused it
+	adapterNotLoadable                          // its model is served, its adapter cannot be loaded there
+	residentModel                               // its model is resident nowhere
 )
 
 // An unavailability is what is known of a call that no replica can serve now.
@@ -67,7 +67,7 @@
 	case a.refusals > 0:
 		return allRefused
 	case a.adapter != "" && a.modelServed():
-		return loadableAdapter
+		return adapterNotLoadable
 	default:
 		return residentModel
 	}
@@ -98,7 +98,7 @@
 		f.Calls.Refuse(c, calls.NotRunRefusal(code.NoReplica, "no live replica", noReplicaRetryAfter))
 	case allRefused:
 		f.Calls.Refuse(c, calls.NotRunRefusal(code.NoCapacity, "its replicas refused it", noReplicaRetryAfter))
-	case loadableAdapter:
+	case adapterNotLoadable:
 		f.awaitAdapter(now, c)
 	case residentModel:
 		f.awaitModel(now, c)
