--- a/core/forwarding/wait.go
+++ b/core/forwarding/wait.go
@@ -44,7 +44,7 @@
 	noLiveReplica                               // no replica is live
 	allRefused                                  // those that are live refused it
 	adapterNotLoadable                          // its model is served, its adapter cannot be loaded there
-	residentModel                               // its model is resident nowhere
+	modelNotResident                            // its model is resident nowhere
 )
 
 // An unavailability is what is known of a call that no replica can serve now.
@@ -69,7 +69,7 @@
 	case a.adapter != "" && a.modelServed():
 		return adapterNotLoadable
 	default:
-		return residentModel
+		return modelNotResident
 	}
 }
 
@@ -100,7 +100,7 @@
 		f.Calls.Refuse(c, calls.NotRunRefusal(code.NoCapacity, "its replicas refused it", noReplicaRetryAfter))
 	case adapterNotLoadable:
 		f.awaitAdapter(now, c)
-	case residentModel:
+	case modelNotResident:
 		f.awaitModel(now, c)
 	}
 }
