--- a/core/forwarding/forwarding_test.go
+++ b/core/forwarding/forwarding_test.go
@@ -218,7 +218,7 @@
 			if c.prepare != nil {
 				c.prepare(f, call, s)
 			}
-			f.noReplica(start, call)
+			f.handleNoReplica(start, call)
 			refused, _ := finished(f.Out)
 			is.Equal(f.Calls.QueueLen() == 1, c.waits)
 			is.Equal(refused[1].Code, c.code)
@@ -282,7 +282,7 @@
 			call.Item = "m"
 			s.request = modelRequest{model: "m"}
 			c.prepare(f, call, s)
-			f.noReplica(start, call)
+			f.handleNoReplica(start, call)
 			refused, _ := finished(f.Out)
 			is.Equal(f.Calls.QueueLen() == 1, c.waits)
 			is.Equal(refused[1].Code, c.code)
--- a/core/forwarding/permit.go
+++ b/core/forwarding/permit.go
@@ -43,7 +43,7 @@
 	s := stateOf(c)
 	if s.permitRequests >= maxPermits {
 		f.deny(now, s, best.Replica, permits.Decision{Turn: best.Turn, After: best.Turn})
-		f.noReplica(now, c)
+		f.handleNoReplica(now, c)
 		return
 	}
 	s.permitRequests++
--- a/core/forwarding/place.go
+++ b/core/forwarding/place.go
@@ -43,7 +43,7 @@
 	}
 	switch {
 	case !ok:
-		f.noReplica(now, c)
+		f.handleNoReplica(now, c)
 	case f.shed(now, c, best):
 	case c.Item != "" && best.Replica.Phase(c.Item) != pool.Ready, f.shouldConfirmAdapter(now, c, s, best.Replica):
 		f.orderAdapter(now, c, best.Replica)
--- a/core/forwarding/wait.go
+++ b/core/forwarding/wait.go
@@ -77,8 +77,8 @@
 // to take so much longer, can still be in time for its target.
 func worthWaiting(waited, expected, target time.Duration) bool { return waited+expected < target }
 
-// noReplica decides what becomes of a call that no replica can serve now.
-func (f *Forwarder) noReplica(now clock.Instant, c *calls.Call) {
+// handleNoReplica decides what becomes of a call that no replica can serve now.
+func (f *Forwarder) handleNoReplica(now clock.Instant, c *calls.Call) {
 	s := stateOf(c)
 	if left, ok := f.shortestRest(now, c); ok {
 		f.awaitRest(now, c, left)
