--- a/core/forwarding/permit.go
+++ b/core/forwarding/permit.go
@@ -135,9 +135,9 @@
 	return over
 }
 
-// awaitTurn refuses a call whose replicas take no more requests, with when to come back, and
+// refuseRateLimited refuses a call whose replicas take no more requests, with when to come back, and
 // reports whether that is what it lacks. One that may have run is not told that it has not.
-func (f *Forwarder) awaitTurn(now clock.Instant, c *calls.Call) bool {
+func (f *Forwarder) refuseRateLimited(now clock.Instant, c *calls.Call) bool {
 	s := stateOf(c)
 	denied := s.denied(now)
 	if len(denied) == 0 {
--- a/core/forwarding/wait.go
+++ b/core/forwarding/wait.go
@@ -84,7 +84,7 @@
 		f.awaitRest(now, c, left)
 		return
 	}
-	if f.awaitTurn(now, c) {
+	if f.refuseRateLimited(now, c) {
 		return
 	}
 	a := unavailability{
