--- a/core/forwarding/attempts.go
+++ b/core/forwarding/attempts.go
@@ -92,7 +92,7 @@
 	s := stateOf(c)
 	s.pendingRetry = &b
 	f.Calls.EnterPhase(c, calls.AwaitingPermit)
-	f.Permits.RequestForRetry(now, c.Service, c.ID, s.route.Priority, f.patience(now, c))
+	f.Permits.RequestForRetry(now, c.Service, c.ID, s.route.Priority, f.permitTimeout(now, c))
 }
 
 // retryPermitDecided takes in what came of that.
--- a/core/forwarding/permit.go
+++ b/core/forwarding/permit.go
@@ -59,7 +59,7 @@
 // be in time, and no longer than a replica without a limit would take beyond that one; alone
 // says that there is none.
 func (f *Forwarder) turnWait(now clock.Instant, c *calls.Call, q route.Query, best route.Estimate) (wait time.Duration, alone bool) {
-	wait = f.patience(now, c)
+	wait = f.permitTimeout(now, c)
 	free := slices.DeleteFunc(slices.Clone(f.Pool.Serving(c.Service)), func(r *pool.Replica) bool { return limited(now, r) })
 	other, ok := f.router.Choose(now, q, free)
 	if ok {
@@ -68,8 +68,8 @@
 	return max(0, wait), !ok
 }
 
-// patience returns how long the call may wait for a permit and still be in time.
-func (f *Forwarder) patience(now clock.Instant, c *calls.Call) time.Duration {
+// permitTimeout returns how long the call may wait for a permit and still be in time.
+func (f *Forwarder) permitTimeout(now clock.Instant, c *calls.Call) time.Duration {
 	return time.Duration(turnShare*float64(c.Target)) - now.Since(c.Arrived)
 }
 
