--- a/core/forwarding/permit.go
+++ b/core/forwarding/permit.go
@@ -47,7 +47,7 @@
 		return
 	}
 	s.permitRequests++
-	wait, alone := f.turnWait(now, c, q, best)
+	wait, alone := f.permitWait(now, c, q, best)
 	w := best.Replica.LimitReport()
 	f.Calls.EnterPhase(c, calls.AwaitingPermit)
 	f.Out.Log(logevent.CallWaits, "call", c.Forward.Name, "item", c.Item, "for", "a permit", "replica", best.Replica.Name,
@@ -55,10 +55,10 @@
 	f.Permits.RequestForCall(now, best.Replica, c.ID, s.route.Priority, wait, alone)
 }
 
-// turnWait returns how long the call may wait for its turn at a replica: while it can still
+// permitWait returns how long the call may wait for its turn at a replica: while it can still
 // be in time, and no longer than a replica without a limit would take beyond that one; alone
 // says that there is none.
-func (f *Forwarder) turnWait(now clock.Instant, c *calls.Call, q route.Query, best route.Estimate) (wait time.Duration, alone bool) {
+func (f *Forwarder) permitWait(now clock.Instant, c *calls.Call, q route.Query, best route.Estimate) (wait time.Duration, alone bool) {
 	wait = f.permitTimeout(now, c)
 	free := slices.DeleteFunc(slices.Clone(f.Pool.Serving(c.Service)), func(r *pool.Replica) bool { return limited(now, r) })
 	other, ok := f.router.Choose(now, q, free)
