--- a/core/forwarding/permit.go
+++ b/core/forwarding/permit.go
@@ -38,8 +38,8 @@
 	return ok
 }
 
-// askPermit has the call wait for a permit to its best replica.
-func (f *Forwarder) askPermit(now clock.Instant, c *calls.Call, q route.Query, best route.Estimate) {
+// requestPermit has the call wait for a permit to its best replica.
+func (f *Forwarder) requestPermit(now clock.Instant, c *calls.Call, q route.Query, best route.Estimate) {
 	s := stateOf(c)
 	if s.permitRequests >= maxPermits {
 		f.deny(now, s, best.Replica, permits.Decision{Turn: best.Turn, After: best.Turn})
--- a/core/forwarding/place.go
+++ b/core/forwarding/place.go
@@ -48,7 +48,7 @@
 	case c.Item != "" && best.Replica.Phase(c.Item) != pool.Ready, f.shouldConfirmAdapter(now, c, s, best.Replica):
 		f.orderAdapter(now, c, best.Replica)
 	case limited(now, best.Replica):
-		f.askPermit(now, c, query, best)
+		f.requestPermit(now, c, query, best)
 	default:
 		f.dispatch(now, c, best)
 	}
