--- a/core/forwarding/permit.go
+++ b/core/forwarding/permit.go
@@ -32,8 +32,8 @@
 	after time.Duration // when the call's caller should come back for it
 }
 
-// limited reports whether the replica names a limit.
-func limited(now clock.Instant, r *pool.Replica) bool {
+// rateLimited reports whether the replica names a limit.
+func rateLimited(now clock.Instant, r *pool.Replica) bool {
 	_, ok := r.RateLimit(now)
 	return ok
 }
@@ -60,7 +60,7 @@
 // says that there is none.
 func (f *Forwarder) permitWait(now clock.Instant, c *calls.Call, q route.Query, best route.Estimate) (wait time.Duration, alone bool) {
 	wait = f.permitTimeout(now, c)
-	free := slices.DeleteFunc(slices.Clone(f.Pool.Serving(c.Service)), func(r *pool.Replica) bool { return limited(now, r) })
+	free := slices.DeleteFunc(slices.Clone(f.Pool.Serving(c.Service)), func(r *pool.Replica) bool { return rateLimited(now, r) })
 	other, ok := f.router.Choose(now, q, free)
 	if ok {
 		wait = min(wait, other.Total()-(best.Total()-best.Turn))
--- a/core/forwarding/place.go
+++ b/core/forwarding/place.go
@@ -47,7 +47,7 @@
 	case f.shed(now, c, best):
 	case c.Item != "" && best.Replica.Phase(c.Item) != pool.Ready, f.shouldConfirmAdapter(now, c, s, best.Replica):
 		f.orderAdapter(now, c, best.Replica)
-	case limited(now, best.Replica):
+	case rateLimited(now, best.Replica):
 		f.requestPermit(now, c, query, best)
 	default:
 		f.dispatch(now, c, best)
@@ -224,7 +224,7 @@
 		priority = pool.RankOf(s.route.Priority)
 	}
 	d := c.Dispatch(r, f.Options.Stall)
-	d.Limited = limited(now, r)
+	d.Limited = rateLimited(now, r)
 	d.Model = s.request.model
 	d.Adapter = s.request.adapter
 	d.Forward = &calls.ForwardAttempt{
--- a/core/forwarding/probe.go
+++ b/core/forwarding/probe.go
@@ -73,7 +73,7 @@
 	p.initialChoice = best[0].Replica
 	p.askedAt = now
 	for _, e := range best {
-		if e.Replica.ReportAge(now) < ProbeMaxAge || limited(now, e.Replica) {
+		if e.Replica.ReportAge(now) < ProbeMaxAge || rateLimited(now, e.Replica) {
 			continue // one that names a limit is not asked: that would count too
 		}
 		p.asked++
