--- a/core/forwarding/permit.go
+++ b/core/forwarding/permit.go
@@ -27,9 +27,9 @@
 
 // A denial says that a replica takes no request of a call for now.
 type denial struct {
-	life  pool.Incarnation
-	until clock.Instant // when it may take one
-	after time.Duration // when the call's caller should come back for it
+	incarnation pool.Incarnation
+	until       clock.Instant // when it may take one
+	after       time.Duration // when the call's caller should come back for it
 }
 
 // rateLimited reports whether the replica names a limit.
@@ -117,7 +117,7 @@
 // deny notes that a replica, nil if it has gone, takes no request of the call for now.
 func (f *Forwarder) deny(now clock.Instant, s *state, r *pool.Replica, v permits.Decision) {
 	if r != nil {
-		s.denials = append(s.denials, denial{life: r.Incarnation(), until: now.Add(v.Turn), after: v.After})
+		s.denials = append(s.denials, denial{incarnation: r.Incarnation(), until: now.Add(v.Turn), after: v.After})
 	}
 }
 
@@ -130,7 +130,7 @@
 func (s *state) passedOver(now clock.Instant) []pool.Incarnation {
 	over := s.progress.tried
 	for _, d := range s.denied(now) {
-		over = append(slices.Clip(over), d.life)
+		over = append(slices.Clip(over), d.incarnation)
 	}
 	return over
 }
@@ -145,7 +145,7 @@
 	}
 	next := slices.MinFunc(denied, func(a, b denial) int { return int(a.after - b.after) })
 	detail := "the replicas that can serve it take no more requests for now"
-	if r := f.Pool.Get(next.life.Name); r != nil {
+	if r := f.Pool.Get(next.incarnation.Name); r != nil {
 		w := r.LimitReport()
 		detail = fmt.Sprintf("%s; %s takes %g a second, as %s heard %v ago", detail, r.Name, w.Limit.PerSecond, w.By, now.Since(w.At).Round(time.Millisecond))
 	}
