--- a/core/forwarding/permit.go
+++ b/core/forwarding/permit.go
@@ -42,7 +42,7 @@
 func (f *Forwarder) requestPermit(now clock.Instant, c *calls.Call, q route.Query, best route.Estimate) {
 	s := stateOf(c)
 	if s.permitRequests >= maxPermits {
-		f.deny(now, s, best.Replica, permits.Decision{Turn: best.Turn, After: best.Turn})
+		f.recordDenial(now, s, best.Replica, permits.Decision{Turn: best.Turn, After: best.Turn})
 		f.handleNoReplica(now, c)
 		return
 	}
@@ -89,7 +89,7 @@
 	case subject.Service != "":
 		f.retryPermitDecided(now, c, v.Granted)
 	case !v.Granted:
-		f.deny(now, stateOf(c), f.Pool.Get(subject.Replica.Name), v)
+		f.recordDenial(now, stateOf(c), f.Pool.Get(subject.Replica.Name), v)
 		f.findReplica(now, c)
 	case !f.usePermit(now, c, subject.Replica):
 		f.Permits.Release(now, subject)
@@ -114,8 +114,8 @@
 	return ok
 }
 
-// deny notes that a replica, nil if it has gone, takes no request of the call for now.
-func (f *Forwarder) deny(now clock.Instant, s *state, r *pool.Replica, v permits.Decision) {
+// recordDenial notes that a replica, nil if it has gone, takes no request of the call for now.
+func (f *Forwarder) recordDenial(now clock.Instant, s *state, r *pool.Replica, v permits.Decision) {
 	if r != nil {
 		s.denials = append(s.denials, denial{incarnation: r.Incarnation(), until: now.Add(v.Turn), after: v.After})
 	}
