--- a/core/forwarding/permit.go
+++ b/core/forwarding/permit.go
@@ -121,15 +121,15 @@
 	}
 }
 
-// denied returns the replicas that take no request of the call now.
-func (s *state) denied(now clock.Instant) []denial {
+// activeDenials returns the replicas that take no request of the call now.
+func (s *state) activeDenials(now clock.Instant) []denial {
 	return slices.DeleteFunc(slices.Clone(s.denials), func(d denial) bool { return !now.Before(d.until) })
 }
 
 // passedOver returns the replicas that the call does not go to now.
 func (s *state) passedOver(now clock.Instant) []pool.Incarnation {
 	over := s.progress.tried
-	for _, d := range s.denied(now) {
+	for _, d := range s.activeDenials(now) {
 		over = append(slices.Clip(over), d.incarnation)
 	}
 	return over
@@ -139,7 +139,7 @@
 // reports whether that is what it lacks. One that may have run is not told that it has not.
 func (f *Forwarder) refuseRateLimited(now clock.Instant, c *calls.Call) bool {
 	s := stateOf(c)
-	denied := s.denied(now)
+	denied := s.activeDenials(now)
 	if len(denied) == 0 {
 		return false
 	}
