--- a/core/forwarding/permit.go
+++ b/core/forwarding/permit.go
@@ -126,8 +126,8 @@
 	return slices.DeleteFunc(slices.Clone(s.denials), func(d denial) bool { return !now.Before(d.until) })
 }
 
-// passedOver returns the replicas that the call does not go to now.
-func (s *state) passedOver(now clock.Instant) []pool.Incarnation {
+// excludedReplicas returns the replicas that the call does not go to now.
+func (s *state) excludedReplicas(now clock.Instant) []pool.Incarnation {
 	over := s.progress.tried
 	for _, d := range s.activeDenials(now) {
 		over = append(slices.Clip(over), d.incarnation)
--- a/core/forwarding/place.go
+++ b/core/forwarding/place.go
@@ -98,7 +98,7 @@
 		Rank:     s.route.Priority,
 		Gap:      s.route.MaxEventGap,
 		Chain:    s.request.chain,
-		Tried:    s.passedOver(now),
+		Tried:    s.excludedReplicas(now),
 		Sure:     !f.Budget.Available(now, c.Service),
 		Salt:     uint64(c.ID) ^ f.Self.Boot,
 		ZoneCost: f.zoneCost,
