--- a/core/forwarding/permit.go
+++ b/core/forwarding/permit.go
@@ -157,9 +157,9 @@
 	return true
 }
 
-// unheard returns the replicas that named a limit of which nothing was heard for a while: a
+// staleLimits returns the replicas that named a limit of which nothing was heard for a while: a
 // call that goes there shows whether it still holds.
-func (f *Forwarder) unheard(now clock.Instant, c *calls.Call, candidates []*pool.Replica) []*pool.Replica {
+func (f *Forwarder) staleLimits(now clock.Instant, c *calls.Call, candidates []*pool.Replica) []*pool.Replica {
 	var out []*pool.Replica
 	for _, r := range candidates {
 		if r.LimitStale(now) && (c.Item == "" || r.Phase(c.Item) == pool.Ready) {
--- a/core/forwarding/place.go
+++ b/core/forwarding/place.go
@@ -34,7 +34,7 @@
 	if f.probeEngines(now, c, query, candidates) {
 		return
 	}
-	best, ok := f.router.Choose(now, query, f.unheard(now, c, candidates))
+	best, ok := f.router.Choose(now, query, f.staleLimits(now, c, candidates))
 	if !ok {
 		best, ok = f.choose(now, s, query, candidates)
 	}
