--- a/core/forwarding/permit.go
+++ b/core/forwarding/permit.go
@@ -17,9 +17,9 @@
 // Calls to replicas that name a limit: every one needs a permit, whatever it is the try of.
 
 const (
-	// turnShare is the part of its target within which a call waits for its turn at a
+	// permitWaitShare is the part of its target within which a call waits for its turn at a
 	// replica: the rest of it is for its answer (docs/design/limits.md).
-	turnShare = 0.5
+	permitWaitShare = 0.5
 	// maxPermits is how many permits one call asks for: each costs a way to another
 	// instance and back (docs/design/limits.md).
 	maxPermits = 4
@@ -70,7 +70,7 @@
 
 // permitTimeout returns how long the call may wait for a permit and still be in time.
 func (f *Forwarder) permitTimeout(now clock.Instant, c *calls.Call) time.Duration {
-	return time.Duration(turnShare*float64(c.Target)) - now.Since(c.Arrived)
+	return time.Duration(permitWaitShare*float64(c.Target)) - now.Since(c.Arrived)
 }
 
 // PermitDecided takes in what came of a call's request for a permit. A permit that is of no use
