--- a/core/forwarding/permit.go
+++ b/core/forwarding/permit.go
@@ -20,9 +20,9 @@
 	// permitWaitShare is the part of its target within which a call waits for its turn at a
 	// replica: the rest of it is for its answer (docs/design/limits.md).
 	permitWaitShare = 0.5
-	// maxPermits is how many permits one call asks for: each costs a way to another
+	// maxPermitRequests is how many permits one call asks for: each costs a way to another
 	// instance and back (docs/design/limits.md).
-	maxPermits = 4
+	maxPermitRequests = 4
 )
 
 // A denial says that a replica takes no request of a call for now.
@@ -41,7 +41,7 @@
 // requestPermit has the call wait for a permit to its best replica.
 func (f *Forwarder) requestPermit(now clock.Instant, c *calls.Call, q route.Query, best route.Estimate) {
 	s := stateOf(c)
-	if s.permitRequests >= maxPermits {
+	if s.permitRequests >= maxPermitRequests {
 		f.recordDenial(now, s, best.Replica, permits.Decision{Turn: best.Turn, After: best.Turn})
 		f.handleNoReplica(now, c)
 		return
