--- a/core/forwarding/overload.go
+++ b/core/forwarding/overload.go
@@ -36,11 +36,11 @@
 type prospect struct {
 	// expected is the time from the call's arrival to its first event. What speaks against
 	// the engine counts as the time that it may cost.
-	expected   time.Duration
-	target     time.Duration // in which that is due; 0: any time
-	reading    time.Duration // prompts that the engine reads without a break, with the call's own
-	ownPrefill time.Duration // the call's own
-	gap        time.Duration // longest pause that keeps the engine's streams in time; 0: any
+	expected       time.Duration
+	target         time.Duration // in which that is due; 0: any time
+	prefillBacklog time.Duration // prompts that the engine reads without a break, with the call's own
+	ownPrefill     time.Duration // the call's own
+	gap            time.Duration // longest pause that keeps the engine's streams in time; 0: any
 }
 
 // late reports whether the answer would come too late to be of use.
@@ -51,7 +51,7 @@
 // crowded reports whether the call's prompt, behind others, would make the streams late
 // that the engine is sending: a step of all of them waits for each piece of a prompt.
 func (p prospect) crowded() bool {
-	return p.gap > 0 && p.reading > p.gap && float64(p.reading-p.ownPrefill) > crowdedShare*float64(p.gap)
+	return p.gap > 0 && p.prefillBacklog > p.gap && float64(p.prefillBacklog-p.ownPrefill) > crowdedShare*float64(p.gap)
 }
 
 // mayWait reports whether the call can wait for the engine to have read other prompts
@@ -98,11 +98,11 @@
 	}
 	p := prospect{
 		// Whether it can wait for its turn at a replica that names a limit shows there.
-		expected:   now.Since(c.Arrived) + best.Total() - best.Turn,
-		target:     c.Target,
-		reading:    best.Reading,
-		ownPrefill: best.Prefill,
-		gap:        s.route.MaxEventGap,
+		expected:       now.Since(c.Arrived) + best.Total() - best.Turn,
+		target:         c.Target,
+		prefillBacklog: best.Reading,
+		ownPrefill:     best.Prefill,
+		gap:            s.route.MaxEventGap,
 	}
 	switch p.verdict(f.Calls.Queued(c)) {
 	case holdIt:
--- a/core/forwarding/overload_test.go
+++ b/core/forwarding/overload_test.go
@@ -22,15 +22,15 @@
 		p             prospect
 		late, crowded bool
 	}{
-		{"an idle engine", prospect{expected: 30 * ms, target: 400 * ms, reading: 20 * ms, ownPrefill: 20 * ms, gap: 250 * ms}, false, false},
+		{"an idle engine", prospect{expected: 30 * ms, target: 400 * ms, prefillBacklog: 20 * ms, ownPrefill: 20 * ms, gap: 250 * ms}, false, false},
 		{"as late as may be", prospect{expected: 600 * ms, target: 400 * ms}, false, false},
 		{"later", prospect{expected: 600*ms + 1, target: 400 * ms}, true, false},
 		{"no target", prospect{expected: time.Hour}, false, false},
-		{"as much to read as may be", prospect{reading: 250 * ms, ownPrefill: 20 * ms, gap: 250 * ms}, false, false},
-		{"more to read", prospect{reading: 250*ms + 1, ownPrefill: 20 * ms, gap: 250 * ms}, false, true},
-		{"a long prompt almost alone", prospect{reading: 375 * ms, ownPrefill: 300 * ms, gap: 250 * ms}, false, false},
-		{"a long prompt behind others", prospect{reading: 376 * ms, ownPrefill: 300 * ms, gap: 250 * ms}, false, true},
-		{"any pause will do", prospect{reading: time.Hour}, false, false},
+		{"as much to read as may be", prospect{prefillBacklog: 250 * ms, ownPrefill: 20 * ms, gap: 250 * ms}, false, false},
+		{"more to read", prospect{prefillBacklog: 250*ms + 1, ownPrefill: 20 * ms, gap: 250 * ms}, false, true},
+		{"a long prompt almost alone", prospect{prefillBacklog: 375 * ms, ownPrefill: 300 * ms, gap: 250 * ms}, false, false},
+		{"a long prompt behind others", prospect{prefillBacklog: 376 * ms, ownPrefill: 300 * ms, gap: 250 * ms}, false, true},
+		{"any pause will do", prospect{prefillBacklog: time.Hour}, false, false},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
@@ -44,7 +44,7 @@
 // refused, and is sent once it has waited as long as it may.
 func TestWhoWaitsBeforeCrowdedEngines(t *testing.T) {
 	const ms = time.Millisecond
-	crowded := prospect{target: 5 * time.Second, reading: 400 * ms, ownPrefill: 20 * ms, gap: 250 * ms}
+	crowded := prospect{target: 5 * time.Second, prefillBacklog: 400 * ms, ownPrefill: 20 * ms, gap: 250 * ms}
 	for _, tt := range []struct {
 		name     string
 		expected time.Duration
@@ -66,7 +66,7 @@
 	}
 	is := is.New(t)
 	is.Equal(prospect{expected: 100 * ms, target: 400 * ms}.verdict(false), sendIt)
-	is.Equal(prospect{expected: time.Hour, reading: 400 * ms, gap: 250 * ms}.verdict(false), sendIt) // no target
+	is.Equal(prospect{expected: time.Hour, prefillBacklog: 400 * ms, gap: 250 * ms}.verdict(false), sendIt) // no target
 }
 
 // TestOverloadIsRefusedAtOnce: a call that no engine can serve in time is refused as not
