--- a/core/forwarding/overload.go
+++ b/core/forwarding/overload.go
@@ -43,8 +43,8 @@
 	gap            time.Duration // longest pause that keeps the engine's streams in time; 0: any
 }
 
-// late reports whether the answer would come too late to be of use.
-func (p prospect) late() bool {
+// tooLate reports whether the answer would come too tooLate to be of use.
+func (p prospect) tooLate() bool {
 	return p.target > 0 && float64(p.expected) > lateFactor*float64(p.target)
 }
 
@@ -75,7 +75,7 @@
 // a target, which is never late.
 func (p prospect) verdict(waited bool) verdict {
 	switch {
-	case p.late():
+	case p.tooLate():
 		return refuseIt
 	case !p.crowded(), p.target == 0:
 		return sendIt
--- a/core/forwarding/overload_test.go
+++ b/core/forwarding/overload_test.go
@@ -34,7 +34,7 @@
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
-			is.Equal(tt.p.late(), tt.late)
+			is.Equal(tt.p.tooLate(), tt.late)
 			is.Equal(tt.p.crowded(), tt.crowded)
 		})
 	}
