--- a/core/forwarding/overload.go
+++ b/core/forwarding/overload.go
@@ -48,9 +48,9 @@
 	return p.target > 0 && float64(p.expected) > lateFactor*float64(p.target)
 }
 
-// crowded reports whether the call's prompt, behind others, would make the streams late
+// delaysStreams reports whether the call's prompt, behind others, would make the streams late
 // that the engine is sending: a step of all of them waits for each piece of a prompt.
-func (p prospect) crowded() bool {
+func (p prospect) delaysStreams() bool {
 	return p.gap > 0 && p.prefillBacklog > p.gap && float64(p.prefillBacklog-p.ownPrefill) > crowdedShare*float64(p.gap)
 }
 
@@ -77,7 +77,7 @@
 	switch {
 	case p.tooLate():
 		return refuseIt
-	case !p.crowded(), p.target == 0:
+	case !p.delaysStreams(), p.target == 0:
 		return sendIt
 	case p.mayWait():
 		return holdIt
--- a/core/forwarding/overload_test.go
+++ b/core/forwarding/overload_test.go
@@ -35,7 +35,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
 			is.Equal(tt.p.tooLate(), tt.late)
-			is.Equal(tt.p.crowded(), tt.crowded)
+			is.Equal(tt.p.delaysStreams(), tt.crowded)
 		})
 	}
 }
