--- a/core/forwarding/overload.go
+++ b/core/forwarding/overload.go
@@ -70,10 +70,10 @@
 	refuseIt
 )
 
-// verdict decides what becomes of the call; waited says that it was held before. One
+// decide decides what becomes of the call; waited says that it was held before. One
 // that has waited as long as it may is sent if it can be in time, and so is one without
 // a target, which is never late.
-func (p prospect) verdict(waited bool) verdict {
+func (p prospect) decide(waited bool) verdict {
 	switch {
 	case p.tooLate():
 		return refuseIt
@@ -104,7 +104,7 @@
 		ownPrefill:     best.Prefill,
 		gap:            s.route.MaxEventGap,
 	}
-	switch p.verdict(f.Calls.Queued(c)) {
+	switch p.decide(f.Calls.Queued(c)) {
 	case holdIt:
 		f.hold(c)
 	case refuseIt:
--- a/core/forwarding/overload_test.go
+++ b/core/forwarding/overload_test.go
@@ -61,12 +61,12 @@
 			is := is.New(t)
 			p := crowded
 			p.expected = tt.expected
-			is.Equal(p.verdict(tt.waited), tt.want)
+			is.Equal(p.decide(tt.waited), tt.want)
 		})
 	}
 	is := is.New(t)
-	is.Equal(prospect{expected: 100 * ms, target: 400 * ms}.verdict(false), sendIt)
-	is.Equal(prospect{expected: time.Hour, prefillBacklog: 400 * ms, gap: 250 * ms}.verdict(false), sendIt) // no target
+	is.Equal(prospect{expected: 100 * ms, target: 400 * ms}.decide(false), sendIt)
+	is.Equal(prospect{expected: time.Hour, prefillBacklog: 400 * ms, gap: 250 * ms}.decide(false), sendIt) // no target
 }
 
 // TestOverloadIsRefusedAtOnce: a call that no engine can serve in time is refused as not
