--- a/core/forwarding/overload.go
+++ b/core/forwarding/overload.go
@@ -32,8 +32,8 @@
 	holdShare = 0.5
 )
 
-// A prospect is what awaits a call at the best engine for it.
-type prospect struct {
+// A forecast is what awaits a call at the best engine for it.
+type forecast struct {
 	// expected is the time from the call's arrival to its first event. What speaks against
 	// the engine counts as the time that it may cost.
 	expected       time.Duration
@@ -44,19 +44,19 @@
 }
 
 // tooLate reports whether the answer would come too tooLate to be of use.
-func (p prospect) tooLate() bool {
+func (p forecast) tooLate() bool {
 	return p.target > 0 && float64(p.expected) > lateFactor*float64(p.target)
 }
 
 // delaysStreams reports whether the call's prompt, behind others, would make the streams late
 // that the engine is sending: a step of all of them waits for each piece of a prompt.
-func (p prospect) delaysStreams() bool {
+func (p forecast) delaysStreams() bool {
 	return p.gap > 0 && p.prefillBacklog > p.gap && float64(p.prefillBacklog-p.ownPrefill) > crowdedShare*float64(p.gap)
 }
 
 // mayWait reports whether the call can wait for the engine to have read other prompts
 // and still be answered in time.
-func (p prospect) mayWait() bool {
+func (p forecast) mayWait() bool {
 	return float64(p.expected) < holdShare*float64(p.target)
 }
 
@@ -73,7 +73,7 @@
 // decide decides what becomes of the call; waited says that it was held before. One
 // that has waited as long as it may is sent if it can be in time, and so is one without
 // a target, which is never late.
-func (p prospect) decide(waited bool) verdict {
+func (p forecast) decide(waited bool) verdict {
 	switch {
 	case p.tooLate():
 		return refuseIt
@@ -96,7 +96,7 @@
 	if c.Item == "" || c.History.RunState() != code.NotRun || s.progress.answerStarted {
 		return false
 	}
-	p := prospect{
+	p := forecast{
 		// Whether it can wait for its turn at a replica that names a limit shows there.
 		expected:       now.Since(c.Arrived) + best.Total() - best.Turn,
 		target:         c.Target,
--- a/core/forwarding/overload_test.go
+++ b/core/forwarding/overload_test.go
@@ -19,18 +19,18 @@
 	const ms = time.Millisecond
 	for _, tt := range []struct {
 		name          string
-		p             prospect
+		p             forecast
 		late, crowded bool
 	}{
-		{"an idle engine", prospect{expected: 30 * ms, target: 400 * ms, prefillBacklog: 20 * ms, ownPrefill: 20 * ms, gap: 250 * ms}, false, false},
-		{"as late as may be", prospect{expected: 600 * ms, target: 400 * ms}, false, false},
-		{"later", prospect{expected: 600*ms + 1, target: 400 * ms}, true, false},
-		{"no target", prospect{expected: time.Hour}, false, false},
-		{"as much to read as may be", prospect{prefillBacklog: 250 * ms, ownPrefill: 20 * ms, gap: 250 * ms}, false, false},
-		{"more to read", prospect{prefillBacklog: 250*ms + 1, ownPrefill: 20 * ms, gap: 250 * ms}, false, true},
-		{"a long prompt almost alone", prospect{prefillBacklog: 375 * ms, ownPrefill: 300 * ms, gap: 250 * ms}, false, false},
-		{"a long prompt behind others", prospect{prefillBacklog: 376 * ms, ownPrefill: 300 * ms, gap: 250 * ms}, false, true},
-		{"any pause will do", prospect{prefillBacklog: time.Hour}, false, false},
+		{"an idle engine", forecast{expected: 30 * ms, target: 400 * ms, prefillBacklog: 20 * ms, ownPrefill: 20 * ms, gap: 250 * ms}, false, false},
+		{"as late as may be", forecast{expected: 600 * ms, target: 400 * ms}, false, false},
+		{"later", forecast{expected: 600*ms + 1, target: 400 * ms}, true, false},
+		{"no target", forecast{expected: time.Hour}, false, false},
+		{"as much to read as may be", forecast{prefillBacklog: 250 * ms, ownPrefill: 20 * ms, gap: 250 * ms}, false, false},
+		{"more to read", forecast{prefillBacklog: 250*ms + 1, ownPrefill: 20 * ms, gap: 250 * ms}, false, true},
+		{"a long prompt almost alone", forecast{prefillBacklog: 375 * ms, ownPrefill: 300 * ms, gap: 250 * ms}, false, false},
+		{"a long prompt behind others", forecast{prefillBacklog: 376 * ms, ownPrefill: 300 * ms, gap: 250 * ms}, false, true},
+		{"any pause will do", forecast{prefillBacklog: time.Hour}, false, false},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
@@ -44,7 +44,7 @@
 // refused, and is sent once it has waited as long as it may.
 func TestWhoWaitsBeforeCrowdedEngines(t *testing.T) {
 	const ms = time.Millisecond
-	crowded := prospect{target: 5 * time.Second, prefillBacklog: 400 * ms, ownPrefill: 20 * ms, gap: 250 * ms}
+	crowded := forecast{target: 5 * time.Second, prefillBacklog: 400 * ms, ownPrefill: 20 * ms, gap: 250 * ms}
 	for _, tt := range []struct {
 		name     string
 		expected time.Duration
@@ -65,8 +65,8 @@
 		})
 	}
 	is := is.New(t)
-	is.Equal(prospect{expected: 100 * ms, target: 400 * ms}.decide(false), sendIt)
-	is.Equal(prospect{expected: time.Hour, prefillBacklog: 400 * ms, gap: 250 * ms}.decide(false), sendIt) // no target
+	is.Equal(forecast{expected: 100 * ms, target: 400 * ms}.decide(false), sendIt)
+	is.Equal(forecast{expected: time.Hour, prefillBacklog: 400 * ms, gap: 250 * ms}.decide(false), sendIt) // no target
 }
 
 // TestOverloadIsRefusedAtOnce: a call that no engine can serve in time is refused as not
