--- a/core/forwarding/overload.go
+++ b/core/forwarding/overload.go
@@ -60,20 +60,20 @@
 	return float64(p.expected) < holdShare*float64(p.target)
 }
 
-// A verdict says what becomes of a call to overloaded engines.
-type verdict int
+// A sheddingDecision says what becomes of a call to overloaded engines.
+type sheddingDecision int
 
 // The verdicts.
 const (
-	sendIt verdict = iota
-	holdIt         // until the engines have less to read
+	sendIt sheddingDecision = iota
+	holdIt                  // until the engines have less to read
 	refuseIt
 )
 
 // decide decides what becomes of the call; waited says that it was held before. One
 // that has waited as long as it may is sent if it can be in time, and so is one without
 // a target, which is never late.
-func (p forecast) decide(waited bool) verdict {
+func (p forecast) decide(waited bool) sheddingDecision {
 	switch {
 	case p.tooLate():
 		return refuseIt
--- a/core/forwarding/overload_test.go
+++ b/core/forwarding/overload_test.go
@@ -49,7 +49,7 @@
 		name     string
 		expected time.Duration
 		waited   bool
-		want     verdict
+		want     sheddingDecision
 	}{
 		{"time to spare", 2500*ms - 1, false, holdIt},
 		{"still time to spare", 2500*ms - 1, true, holdIt},
