--- a/core/forwarding/overload.go
+++ b/core/forwarding/overload.go
@@ -65,8 +65,8 @@
 
 // The verdicts.
 const (
-	sendIt sheddingDecision = iota
-	holdIt                  // until the engines have less to read
+	sendNow sheddingDecision = iota
+	holdIt                   // until the engines have less to read
 	refuseIt
 )
 
@@ -78,11 +78,11 @@
 	case p.tooLate():
 		return refuseIt
 	case !p.delaysStreams(), p.target == 0:
-		return sendIt
+		return sendNow
 	case p.mayWait():
 		return holdIt
 	case waited:
-		return sendIt
+		return sendNow
 	default:
 		return refuseIt
 	}
--- a/core/forwarding/overload_test.go
+++ b/core/forwarding/overload_test.go
@@ -53,7 +53,7 @@
 	}{
 		{"time to spare", 2500*ms - 1, false, holdIt},
 		{"still time to spare", 2500*ms - 1, true, holdIt},
-		{"none left, after a wait", 2500 * ms, true, sendIt},
+		{"none left, after a wait", 2500 * ms, true, sendNow},
 		{"none from the beginning", 2500 * ms, false, refuseIt},
 		{"too late", 7501 * ms, true, refuseIt},
 	} {
@@ -65,8 +65,8 @@
 		})
 	}
 	is := is.New(t)
-	is.Equal(forecast{expected: 100 * ms, target: 400 * ms}.decide(false), sendIt)
-	is.Equal(forecast{expected: time.Hour, prefillBacklog: 400 * ms, gap: 250 * ms}.decide(false), sendIt) // no target
+	is.Equal(forecast{expected: 100 * ms, target: 400 * ms}.decide(false), sendNow)
+	is.Equal(forecast{expected: time.Hour, prefillBacklog: 400 * ms, gap: 250 * ms}.decide(false), sendNow) // no target
 }
 
 // TestOverloadIsRefusedAtOnce: a call that no engine can serve in time is refused as not
