--- a/core/forwarding/overload.go
+++ b/core/forwarding/overload.go
@@ -65,8 +65,8 @@
 
 // The verdicts.
 const (
-	sendNow sheddingDecision = iota
-	holdIt                   // until the engines have less to read
+	sendNow  sheddingDecision = iota
+	holdBack                  // until the engines have less to read
 	refuseIt
 )
 
@@ -80,7 +80,7 @@
 	case !p.delaysStreams(), p.target == 0:
 		return sendNow
 	case p.mayWait():
-		return holdIt
+		return holdBack
 	case waited:
 		return sendNow
 	default:
@@ -105,7 +105,7 @@
 		gap:            s.route.MaxEventGap,
 	}
 	switch p.decide(f.Calls.Queued(c)) {
-	case holdIt:
+	case holdBack:
 		f.hold(c)
 	case refuseIt:
 		after := max(noReplicaRetryAfter, step.Jitter(f.Rand, best.Total()-best.Turn-c.Target))
--- a/core/forwarding/overload_test.go
+++ b/core/forwarding/overload_test.go
@@ -51,8 +51,8 @@
 		waited   bool
 		want     sheddingDecision
 	}{
-		{"time to spare", 2500*ms - 1, false, holdIt},
-		{"still time to spare", 2500*ms - 1, true, holdIt},
+		{"time to spare", 2500*ms - 1, false, holdBack},
+		{"still time to spare", 2500*ms - 1, true, holdBack},
 		{"none left, after a wait", 2500 * ms, true, sendNow},
 		{"none from the beginning", 2500 * ms, false, refuseIt},
 		{"too late", 7501 * ms, true, refuseIt},
