--- a/core/forwarding/overload.go
+++ b/core/forwarding/overload.go
@@ -67,7 +67,7 @@
 const (
 	sendNow  sheddingDecision = iota
 	holdBack                  // until the engines have less to read
-	refuseIt
+	refuseNow
 )
 
 // decide decides what becomes of the call; waited says that it was held before. One
@@ -76,7 +76,7 @@
 func (p forecast) decide(waited bool) sheddingDecision {
 	switch {
 	case p.tooLate():
-		return refuseIt
+		return refuseNow
 	case !p.delaysStreams(), p.target == 0:
 		return sendNow
 	case p.mayWait():
@@ -84,7 +84,7 @@
 	case waited:
 		return sendNow
 	default:
-		return refuseIt
+		return refuseNow
 	}
 }
 
@@ -107,7 +107,7 @@
 	switch p.decide(f.Calls.Queued(c)) {
 	case holdBack:
 		f.hold(c)
-	case refuseIt:
+	case refuseNow:
 		after := max(noReplicaRetryAfter, step.Jitter(f.Rand, best.Total()-best.Turn-c.Target))
 		f.Calls.Refuse(c, calls.NotRunRefusal(code.TargetMissed, "the engines of its model have too much to read", after))
 	default:
--- a/core/forwarding/overload_test.go
+++ b/core/forwarding/overload_test.go
@@ -54,8 +54,8 @@
 		{"time to spare", 2500*ms - 1, false, holdBack},
 		{"still time to spare", 2500*ms - 1, true, holdBack},
 		{"none left, after a wait", 2500 * ms, true, sendNow},
-		{"none from the beginning", 2500 * ms, false, refuseIt},
-		{"too late", 7501 * ms, true, refuseIt},
+		{"none from the beginning", 2500 * ms, false, refuseNow},
+		{"too late", 7501 * ms, true, refuseNow},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
