--- a/core/forwarding/overload.go
+++ b/core/forwarding/overload.go
@@ -23,9 +23,9 @@
 	// lateFactor is how far beyond its target a call may be expected to be answered and
 	// still be sent: estimates err, mostly upwards.
 	lateFactor = 1.5
-	// crowdedShare is the share of the longest pause allowed that other prompts may take
+	// otherPrefillShare is the share of the longest pause allowed that other prompts may take
 	// at an engine whose streams one more would stretch: a long prompt alone is sent.
-	crowdedShare = 0.3
+	otherPrefillShare = 0.3
 	// holdShare is the part of its target until which a call's first event may be
 	// expected for the call to wait before crowded engines. The rest is for estimates
 	// that err.
@@ -51,7 +51,7 @@
 // delaysStreams reports whether the call's prompt, behind others, would make the streams late
 // that the engine is sending: a step of all of them waits for each piece of a prompt.
 func (p forecast) delaysStreams() bool {
-	return p.gap > 0 && p.prefillBacklog > p.gap && float64(p.prefillBacklog-p.ownPrefill) > crowdedShare*float64(p.gap)
+	return p.gap > 0 && p.prefillBacklog > p.gap && float64(p.prefillBacklog-p.ownPrefill) > otherPrefillShare*float64(p.gap)
 }
 
 // mayWait reports whether the call can wait for the engine to have read other prompts
