--- a/core/forwarding/permit_test.go
+++ b/core/forwarding/permit_test.go
@@ -39,8 +39,8 @@
 	return c
 }
 
-// spend uses up what a replica takes now.
-func (f *Forwarder) spend(now clock.Instant, r *pool.Replica) {
+// exhaustLimit uses up what a replica takes now.
+func (f *Forwarder) exhaustLimit(now clock.Instant, r *pool.Replica) {
 	f.Permits.TryAcquireForOrder(now, r.Name, false)
 }
 
@@ -82,7 +82,7 @@
 	is.Equal(f.dispatches()[1].Replica, "limited")
 	is.True(f.dispatches()[1].Limited)
 	for range 3 {
-		f.spend(start, r)
+		f.exhaustLimit(start, r)
 	}
 	r.SetNextSend(start.Add(time.Minute))
 	f.findReplica(start, f.callFor(2)) // its turn would come later than the free one serves it
@@ -111,7 +111,7 @@
 			is := is.New(t)
 			f := testForwarder(t)
 			r := f.limitedReplica("r", c.limit)
-			f.spend(start, r)
+			f.exhaustLimit(start, r)
 			call := f.callFor(1)
 			c.prepare(call)
 			f.findReplica(start, call)
@@ -139,7 +139,7 @@
 	is := is.New(t)
 	f := testForwarder(t)
 	a, b := f.limitedReplica("a", 1), f.limitedReplica("b", 1)
-	f.spend(start, a)
+	f.exhaustLimit(start, a)
 	a.SetNextSend(start) // not known to this call
 	f.findReplica(start, f.callFor(1))
 	f.findReplica(start, f.callFor(2))
@@ -171,7 +171,7 @@
 			is := is.New(t)
 			f := testForwarder(t)
 			r := f.limitedReplica("r", 9)
-			f.spend(start, r)
+			f.exhaustLimit(start, r)
 			c := f.callFor(1)
 			c.Forward.Fingerprint = crash.Fingerprint(7)
 			f.findReplica(start, c)
