--- a/core/forwarding/forwarding_test.go
+++ b/core/forwarding/forwarding_test.go
@@ -129,9 +129,9 @@
 	is.Equal(f.checkRetry(start, call, calls.AttemptFailed{Phase: attempt.NotSent}), retryAllowed) // it arrived nowhere
 }
 
-// finished returns the refusals, by call, and which calls' own answers were passed
+// finalAnswers returns the refusals, by call, and which calls' own answers were passed
 // on.
-func finished(out *step.Output) (refused map[calls.ID]code.Refusal, relayed []calls.ID) {
+func finalAnswers(out *step.Output) (refused map[calls.ID]code.Refusal, relayed []calls.ID) {
 	refused = map[calls.ID]code.Refusal{}
 	for _, a := range out.Actions() {
 		switch act := a.(type) {
@@ -168,7 +168,7 @@
 			call.History = call.History.WithAttempt().WithFailure(c.phase)
 			s.progress = c.progress
 			f.end(call, s, 0, "detail")
-			refused, relayed := finished(f.Out)
+			refused, relayed := finalAnswers(f.Out)
 			is.Equal(len(relayed) == 1, c.relayed)
 			is.Equal(refused[1].Code, c.code)
 			is.Equal(refused[1].Run, c.run)
@@ -219,7 +219,7 @@
 				c.prepare(f, call, s)
 			}
 			f.handleNoReplica(start, call)
-			refused, _ := finished(f.Out)
+			refused, _ := finalAnswers(f.Out)
 			is.Equal(f.Calls.QueueLen() == 1, c.waits)
 			is.Equal(refused[1].Code, c.code)
 			is.Equal(refused[1].RetryAfter, c.retry)
@@ -283,7 +283,7 @@
 			s.request = modelRequest{model: "m"}
 			c.prepare(f, call, s)
 			f.handleNoReplica(start, call)
-			refused, _ := finished(f.Out)
+			refused, _ := finalAnswers(f.Out)
 			is.Equal(f.Calls.QueueLen() == 1, c.waits)
 			is.Equal(refused[1].Code, c.code)
 			is.Equal(refused[1].RetryAfter, c.retry)
--- a/core/forwarding/overload_test.go
+++ b/core/forwarding/overload_test.go
@@ -95,7 +95,7 @@
 			tt.prepare(c)
 			best := route.Estimate{Replica: &pool.Replica{}, Ahead: 3 * time.Second}
 			is.Equal(f.shed(start, c, best), tt.refused)
-			refused, _ := finished(f.Out)
+			refused, _ := finalAnswers(f.Out)
 			r, ok := refused[c.ID]
 			is.Equal(ok, tt.refused)
 			if ok {
--- a/core/forwarding/permit_test.go
+++ b/core/forwarding/permit_test.go
@@ -115,7 +115,7 @@
 			call := f.callFor(1)
 			c.prepare(call)
 			f.findReplica(start, call)
-			refused, _ := finished(f.Out)
+			refused, _ := finalAnswers(f.Out)
 			is.Equal(call.Phase == calls.AwaitingPermit, c.waits)
 			is.Equal(refused[1].Code, c.code)
 			is.Equal(len(f.dispatches()), 0)
@@ -145,7 +145,7 @@
 	f.findReplica(start, f.callFor(2))
 	is.Equal(len(f.dispatches()), 1)
 	is.Equal(f.dispatches()[1].Replica, "b")
-	refused, _ := finished(f.Out)
+	refused, _ := finalAnswers(f.Out)
 	is.Equal(refused[2].Code, code.NoCapacity)
 	is.Equal(a.Failures()+b.Failures(), 0) // a limit is no failure
 }
