--- a/core/forwarding/forwarding_test.go
+++ b/core/forwarding/forwarding_test.go
@@ -117,9 +117,9 @@
 	}
 }
 
-// TestRepeatsStopAtTheBudget: a repeat that the fleet's budget does not allow is
+// TestRetriesStopAtBudget: a repeat that the fleet's budget does not allow is
 // not made.
-func TestRepeatsStopAtTheBudget(t *testing.T) {
+func TestRetriesStopAtBudget(t *testing.T) {
 	is := is.New(t)
 	f := testForwarder(t)
 	call, _ := f.testCall(config.Repeatable, false)
