--- a/core/forwarding/forwarding_test.go
+++ b/core/forwarding/forwarding_test.go
@@ -76,8 +76,8 @@
 	return c, s
 }
 
-// TestMayRepeat tables when a call whose attempt failed may go to another replica.
-func TestMayRepeat(t *testing.T) {
+// TestCheckRetry tables when a call whose attempt failed may go to another replica.
+func TestCheckRetry(t *testing.T) {
 	cases := []struct {
 		name      string
 		kind      config.Kind
