--- a/core/forwarding/forwarding_test.go
+++ b/core/forwarding/forwarding_test.go
@@ -314,11 +314,11 @@
 	is.Equal(call.Replica, "a")
 }
 
-// TestTriesOfASuspectedRequestPause: one under which replicas ended that another may
+// TestSuspectedRequestIsDelayed: one under which replicas ended that another may
 // explain waits before it is sent, and again after one more connection was severed; not
 // after an attempt that found nobody, which shows nothing new. Nor is it sent while
 // another of its tries runs here.
-func TestTriesOfASuspectedRequestPause(t *testing.T) {
+func TestSuspectedRequestIsDelayed(t *testing.T) {
 	is := is.New(t)
 	f := testForwarder(t)
 	c, s := f.testCall(config.Stream, true)
