--- a/core/forwarding/overload_test.go
+++ b/core/forwarding/overload_test.go
@@ -14,8 +14,8 @@
 	"github.com/birchdrift/birchdrift/core/route"
 )
 
-// TestProspects tables which calls the engines of their model cannot serve well.
-func TestProspects(t *testing.T) {
+// TestForecast tables which calls the engines of their model cannot serve well.
+func TestForecast(t *testing.T) {
 	const ms = time.Millisecond
 	for _, tt := range []struct {
 		name          string
