--- a/core/forwarding/overload_test.go
+++ b/core/forwarding/overload_test.go
@@ -40,9 +40,9 @@
 	}
 }
 
-// TestWhoWaitsBeforeCrowdedEngines: a call with time to spare waits rather than that it is
+// TestSheddingDecision: a call with time to spare waits rather than that it is
 // refused, and is sent once it has waited as long as it may.
-func TestWhoWaitsBeforeCrowdedEngines(t *testing.T) {
+func TestSheddingDecision(t *testing.T) {
 	const ms = time.Millisecond
 	crowded := forecast{target: 5 * time.Second, prefillBacklog: 400 * ms, ownPrefill: 20 * ms, gap: 250 * ms}
 	for _, tt := range []struct {
