--- a/core/forwarding/permit_test.go
+++ b/core/forwarding/permit_test.go
@@ -55,10 +55,10 @@
 	return out
 }
 
-// TestCallsGoWhereNoLimitIs: a call that another replica can serve goes there, also where
+// TestUnlimitedReplicaIsPreferred: a call that another replica can serve goes there, also where
 // the limited one has nothing in flight; it goes to the limited one where the others have
 // more to do than the wait for a turn there, and its answer is listened to.
-func TestCallsGoWhereNoLimitIs(t *testing.T) {
+func TestUnlimitedReplicaIsPreferred(t *testing.T) {
 	is := is.New(t)
 	f := testForwarder(t)
 	f.limitedReplica("limited", 1)
