--- a/core/forwarding/permit_test.go
+++ b/core/forwarding/permit_test.go
@@ -89,10 +89,10 @@
 	is.Equal(f.dispatches()[2].Replica, "free")
 }
 
-// TestWhereOnlyLimitedReplicasServe tables what becomes of a call after what its one replica
+// TestOnlyRateLimitedReplicas tables what becomes of a call after what its one replica
 // takes now is used up: it waits its turn within half of its target, or is refused at once
 // with when to come back, and why.
-func TestWhereOnlyLimitedReplicasServe(t *testing.T) {
+func TestOnlyRateLimitedReplicas(t *testing.T) {
 	cases := []struct {
 		name    string
 		limit   float64
