--- a/core/forwarding/permit_test.go
+++ b/core/forwarding/permit_test.go
@@ -187,9 +187,9 @@
 	}
 }
 
-// TestACallShowsWhetherALimitHolds: after a while in which nothing was heard of a limit, one
+// TestStaleLimitIsCheckedByOneCall: after a while in which nothing was heard of a limit, one
 // call goes there though others could serve it, and no second one before that is answered.
-func TestACallShowsWhetherALimitHolds(t *testing.T) {
+func TestStaleLimitIsCheckedByOneCall(t *testing.T) {
 	is := is.New(t)
 	f := testForwarder(t)
 	f.limitedReplica("limited", 0)
