--- a/core/forwarding/probing_test.go
+++ b/core/forwarding/probing_test.go
@@ -7,9 +7,9 @@
 	"github.com/matryer/is"
 )
 
-// TestCallsAskWhileThatPays: at first, and while asking saves more than it takes; then now
+// TestProbeWhileWorthwhile: at first, and while asking saves more than it takes; then now
 // and then, until one call was spared a long queue.
-func TestCallsAskWhileThatPays(t *testing.T) {
+func TestProbeWhileWorthwhile(t *testing.T) {
 	is := is.New(t)
 	asked := func(p *probeBenefit, calls int) int {
 		n := 0
