--- a/core/attempt/attempt.go
+++ b/core/attempt/attempt.go
@@ -1,31 +1,31 @@
-// Package attempt provides the record of one call's attempts at upstreams, from
-// which the answers "did it run?" and "may it be sent again?" are derived.
+// Package attempt records the attempts of one call at its upstreams and derives
+// from them whether the call ran and whether it may be retried.
 //
-// The idea: an error string never says whether a call ran. What does is how far
-// the bytes had come when the connection broke, so each attempt walks one small
-// state machine (NotSent, MaybeSent, Answered, Ended, or Refused) and everything
-// else is computed from it.
+// An error string does not tell whether a call ran; how much had been sent and
+// received when the connection broke does. Each attempt therefore follows a small
+// state machine (NotSent, MaybeSent, Answered, Ended, or Refused), and the run
+// state and the retry decision are computed from it.
 //
-// Invariants: a phase never goes back; a call that may not be repeated is never
-// sent again once any attempt is past NotSent, unless the upstream itself said
-// that it did not run.
+// Invariants: a phase never goes back; a call that is not repeatable is not sent
+// again once any attempt is past NotSent, unless the upstream itself reported that
+// it did not run the call.
 package attempt
 
 import "github.com/birchdrift/birchdrift/core/code"
 
-// A Phase says how far one attempt has come.
+// A Phase is the progress of one attempt.
 type Phase int
 
 // The phases of an attempt.
 const (
-	NotSent   Phase = iota // no byte has left
-	MaybeSent              // a byte may have left
+	NotSent   Phase = iota // no byte was sent
+	MaybeSent              // a byte may have been sent
 	Answered               // the upstream began to answer
-	Ended                  // the upstream's explicit end arrived
-	Refused                // the upstream said that it did not run the call
+	Ended                  // the upstream's explicit end of the answer arrived
+	Refused                // the upstream reported that it did not run the call
 )
 
-// RunState returns what is known of an attempt that went no further than p.
+// RunState returns the run state of an attempt that got no further than p.
 func (p Phase) RunState() code.RunState {
 	switch p {
 	case NotSent, Refused:
@@ -37,53 +37,56 @@
 	}
 }
 
-// A Decision is what to do after an attempt broke.
+// A Decision is what to do after an attempt failed.
 type Decision int
 
-// The steps.
+// The decisions.
 const (
 	Fail   Decision = iota // give the call its final answer
-	Retry                  // start anew, at any replica
-	Resume                 // go on at the delivered offset, at the same replica
+	Retry                  // send the call again from the start, to any replica
+	Resume                 // continue at the delivered offset, at the same replica
 )
 
-// MaxResumes bounds how often one attempt is resumed, so that a connection
-// that breaks after every piece cannot hold a call for ever.
+// MaxResumes is the number of times that one attempt may be resumed. Without a
+// bound, a connection that breaks after every piece of the answer would keep the
+// call in progress forever.
 const MaxResumes = 16
 
 // A History is the immutable record of one call's attempts.
 type History struct {
 	Repeatable bool
-	run        code.RunState // worst of the attempts that are over
-	Attempts   int           // attempts begun
-	Resumes    int           // resumes of the attempt in progress
+	run        code.RunState // of all failed attempts, combined
+	Attempts   int           // attempts started
+	Resumes    int           // resumes of the current attempt
 }
 
-// New returns the history of a call that was never sent.
+// New returns the history of a call that has not been sent.
 func New(repeatable bool) History {
 	return History{Repeatable: repeatable, run: code.NotRun}
 }
 
-// WithAttempt returns h after an attempt began.
+// WithAttempt returns h after the start of an attempt.
 func (h History) WithAttempt() History {
 	h.Attempts++
 	h.Resumes = 0
 	return h
 }
 
-// WithResume returns h after the attempt in progress was resumed.
+// WithResume returns h after a resume of the current attempt.
 func (h History) WithResume() History {
 	h.Resumes++
 	return h
 }
 
-// WithFailure returns h after an attempt broke in phase p.
+// WithFailure returns h after an attempt failed in phase p.
 func (h History) WithFailure(p Phase) History {
 	h.run = combineRunStates(h.run, p.RunState())
 	return h
 }
 
-// combineRunStates returns the statement that promises less: ran, unknown, not run.
+// combineRunStates returns the run state of a call with attempts in states a and b:
+// the one that rules out the least. Ran takes precedence over MayHaveRun, and
+// MayHaveRun over NotRun.
 func combineRunStates(a, b code.RunState) code.RunState {
 	if a == code.Ran || b == code.Ran {
 		return code.Ran
@@ -94,42 +97,42 @@
 	return code.NotRun
 }
 
-// RunState says whether the call ran, as far as its attempts tell.
+// RunState returns whether the call ran, as far as its failed attempts show.
 func (h History) RunState() code.RunState { return h.run }
 
-// A Failure describes the end of an attempt that was not its proper end.
+// A Failure describes how an attempt ended before its answer was complete.
 type Failure struct {
 	Phase     Phase
 	Delivered int  // tokens or bytes that reached the caller
-	SameBoot  bool // the replica is the same process and can resume
-	Stalled   bool // the replica fell silent, rather than the connection broke
-	Spent     bool // the call's body is gone and cannot be sent again
+	SameBoot  bool // the replica is still the same process and can resume the answer
+	Stalled   bool // the replica stopped sending, but the connection did not break
+	Spent     bool // the call's body was consumed and cannot be sent again
 }
 
-// Decide returns the step after a break; h must already include it. Whether the
-// retry budget allows a Retry is the caller's matter.
-func (h History) Decide(b Failure) Decision {
-	if b.Phase == Ended {
+// Decide returns what to do after failure f, which h must already include. The
+// caller of Decide checks whether the retry budget allows a Retry.
+func (h History) Decide(f Failure) Decision {
+	if f.Phase == Ended {
 		return Fail
 	}
-	anew := h.mayRetry(b)
-	// A silent replica is likelier to stay silent than a broken connection is
-	// to break again: leave it if the call can start anew elsewhere.
-	if h.mayResume(b) && !(b.Stalled && anew) {
+	retryable := h.mayRetry(f)
+	// A stalled replica is more likely to stay stalled than a broken connection is
+	// to break again, so prefer a retry at another replica after a stall.
+	if h.mayResume(f) && !(f.Stalled && retryable) {
 		return Resume
 	}
-	if anew {
+	if retryable {
 		return Retry
 	}
 	return Fail
 }
 
-func (h History) mayResume(b Failure) bool {
-	return b.SameBoot && h.Resumes < MaxResumes && b.Phase != NotSent && b.Phase != Refused
+func (h History) mayResume(f Failure) bool {
+	return f.SameBoot && h.Resumes < MaxResumes && f.Phase != NotSent && f.Phase != Refused
 }
 
-func (h History) mayRetry(b Failure) bool {
-	if b.Delivered > 0 || b.Spent {
+func (h History) mayRetry(f Failure) bool {
+	if f.Delivered > 0 || f.Spent {
 		return false
 	}
 	return h.Repeatable || h.run == code.NotRun
--- a/core/attempt/attempt_test.go
+++ b/core/attempt/attempt_test.go
@@ -10,7 +10,8 @@
 	"github.com/birchdrift/birchdrift/core/code"
 )
 
-// The draws are the same on every run; -rapid.seed=0 draws others.
+// The seed is fixed, so every run draws the same histories; -rapid.seed=0 draws
+// random ones.
 func init() { _ = flag.Set("rapid.seed", "1") }
 
 func TestRunFollowsThePhases(t *testing.T) {
@@ -36,8 +37,8 @@
 	}
 }
 
-// TestNotRepeatableIsNeverSentTwice draws every history of breaks: once an
-// attempt may have run, no step starts a call that may not be repeated anew.
+// TestNotRepeatableIsNeverSentTwice checks with random histories of failures that
+// a call that is not repeatable is not retried once an attempt may have run.
 func TestNotRepeatableIsNeverSentTwice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h := New(false).WithAttempt()
@@ -46,17 +47,17 @@
 			phase := Phase(rapid.IntRange(int(NotSent), int(Refused)).Draw(t, "phase"))
 			h = h.WithFailure(phase)
 			mayHaveRun = mayHaveRun || phase.RunState() != code.NotRun
-			step := h.Decide(Failure{
+			decision := h.Decide(Failure{
 				Phase:     phase,
 				Delivered: rapid.IntRange(0, 1).Draw(t, "delivered"),
 				SameBoot:  rapid.Bool().Draw(t, "same boot"),
 				Stalled:   rapid.Bool().Draw(t, "stalled"),
 				Spent:     rapid.Bool().Draw(t, "spent"),
 			})
-			if step == Retry && mayHaveRun {
-				t.Fatal("sent anew though it may have run")
+			if decision == Retry && mayHaveRun {
+				t.Fatal("retried although an attempt may have run")
 			}
-			switch step {
+			switch decision {
 			case Fail:
 				return
 			case Retry:
--- a/core/backoff/backoff.go
+++ b/core/backoff/backoff.go
@@ -1,6 +1,6 @@
-// Package backoff provides the spacing of repeated attempts: exponential with
-// full jitter, so that a fleet that lost the platform together does not come
-// back to it together.
+// Package backoff provides exponential backoff with full jitter, so that the
+// instances of a fleet that lost the platform at the same time do not all reconnect
+// at the same time.
 package backoff
 
 import (
@@ -8,18 +8,19 @@
 	"time"
 )
 
-// maxDoublings bounds the doublings of Base that are worked out, so that they do
-// not overflow: a Base of 10 ms reaches three hours with it.
+// maxDoublings is the largest number of doublings of Base that is computed; more
+// could overflow. A Base of 10 ms doubled 20 times is almost three hours.
 const maxDoublings = 20
 
-// A Backoff is an immutable count of failures in a row with its bounds.
+// A Backoff is an immutable count of consecutive failures and the bounds of the
+// delay.
 type Backoff struct {
 	Base     time.Duration
 	Max      time.Duration
 	failures int
 }
 
-// New returns a backoff without failures.
+// New returns a backoff with no failures.
 func New(base, maxDelay time.Duration) Backoff { return Backoff{Base: base, Max: maxDelay} }
 
 // WithFailure returns b after one more failure.
@@ -28,14 +29,15 @@
 	return b
 }
 
-// WithSuccess returns b after a success.
+// WithSuccess returns b after a success, with no failures.
 func (b Backoff) WithSuccess() Backoff {
 	b.failures = 0
 	return b
 }
 
-// Delay draws the time until the next attempt: nothing without failures, else
-// uniformly between Base and the ceiling that doubles with each failure.
+// Delay returns a random delay before the next attempt: zero without failures, else
+// uniformly distributed between Base and a ceiling that doubles with each failure,
+// up to Max.
 func (b Backoff) Delay(rng *rand.Rand) time.Duration {
 	if b.failures == 0 {
 		return 0
--- a/core/backoff/backoff_test.go
+++ b/core/backoff/backoff_test.go
@@ -8,9 +8,10 @@
 	"github.com/matryer/is"
 )
 
-// TestWait: no wait without a failure, then between the base and a ceiling that
-// doubles with each failure up to the longest, and none again after a success.
-func TestWait(t *testing.T) {
+// TestDelay checks that the delay is zero without a failure, lies between the base
+// and a ceiling that doubles with each failure up to the longest delay, and is zero
+// again after a success.
+func TestDelay(t *testing.T) {
 	const base, longest = 100 * time.Millisecond, time.Second
 	for _, tt := range []struct {
 		failures int
@@ -34,12 +35,12 @@
 		}
 		var most time.Duration
 		for range 200 {
-			wait := b.Delay(rng)
-			is.True(wait >= tt.least)   // above the base
-			is.True(wait <= tt.ceiling) // below the ceiling
-			most = max(most, wait)
+			delay := b.Delay(rng)
+			is.True(delay >= tt.least)   // not below the base
+			is.True(delay <= tt.ceiling) // not above the ceiling
+			most = max(most, delay)
 		}
-		is.True(most >= tt.ceiling*9/10) // the whole span is drawn from
+		is.True(most >= tt.ceiling*9/10) // delays come from the whole range
 		is.Equal(b.WithSuccess().Delay(rng), time.Duration(0))
 	}
 }
--- a/core/policy/policy.go
+++ b/core/policy/policy.go
@@ -1,11 +1,11 @@
-// Package policy provides the operators' policy programs: three short CEL
-// expressions that give one call its priority, whether it is refused, and how
+// Package policy compiles and evaluates the operators' policy programs: three short
+// CEL expressions that determine a call's priority, whether it is refused, and how
 // late its first token may be.
 //
 // A program is compiled once per configuration revision and evaluated once per
-// call under a cost limit. It can neither loop nor reach anything but its
+// call under a cost limit. It can neither loop nor access anything but its
 // variables. An expression that fails at run time yields the policy's declared
-// default and is counted; a call is never lost to a policy.
+// default and is counted, so a faulty policy never fails a call.
 package policy
 
 import (
@@ -23,10 +23,10 @@
 // costLimit bounds one evaluation, in CEL cost units.
 const costLimit = 10_000
 
-// A ResultType is the type an expression must have.
+// A ResultType is the type that an expression must have.
 type ResultType int
 
-// The kinds of expression.
+// The result types.
 const (
 	Int ResultType = iota
 	Bool
@@ -35,23 +35,24 @@
 
 // An Input holds the variables an expression can read.
 type Input struct {
-	Service       string  // service: the service called
-	Model         string  // model: the model picked for it
+	Service       string  // service: the called service
+	Model         string  // model: the model chosen for the call
 	Caller        string  // caller: the caller's name, "" if callers are not configured
-	PromptTokens  int     // prompt_tokens: estimated tokens of the prompt
-	MaxTokens     int     // max_tokens: tokens the answer may have
-	NotRepeatable bool    // not_repeatable
-	Load          float64 // load: share of the zone's running sequences in use, 0 to 1 and above
+	PromptTokens  int     // prompt_tokens: estimated number of prompt tokens
+	MaxTokens     int     // max_tokens: maximum number of tokens in the answer
+	NotRepeatable bool    // not_repeatable: the call itself says that it must not be retried
+	Load          float64 // load: share of the zone's sequence slots in use; above 1 under overload
 	Hour          int     // hour: hour of the day in UTC, 0 to 23
 }
 
-// A Decision is what a policy says of one call.
+// A Decision is the result of a policy for one call.
 type Decision struct {
 	Priority int
 	Refuse   bool
 	Wait     time.Duration
 }
 
+// celEnv returns the CEL environment, which declares the variables of Input.
 var celEnv = sync.OnceValues(func() (*cel.Env, error) {
 	return cel.NewEnv(
 		cel.Variable("service", cel.StringType),
@@ -65,8 +66,8 @@
 	)
 })
 
-func (k ResultType) celType() *cel.Type {
-	switch k {
+func (t ResultType) celType() *cel.Type {
+	switch t {
 	case Int:
 		return cel.IntType
 	case Bool:
@@ -76,14 +77,16 @@
 	}
 }
 
-// Validate reports why text is not an expression of this kind; "" is valid.
-func Validate(text string, kind ResultType) error {
-	_, err := compile(text, kind)
+// Validate returns an error if text is not an expression of type want. An empty text
+// is valid.
+func Validate(text string, want ResultType) error {
+	_, err := compile(text, want)
 	return err
 }
 
-// compile returns nil without error for an empty expression.
-func compile(text string, kind ResultType) (cel.Program, error) {
+// compile compiles an expression of type want. For an empty text it returns nil and
+// no error.
+func compile(text string, want ResultType) (cel.Program, error) {
 	if text == "" {
 		return nil, nil
 	}
@@ -95,8 +98,8 @@
 	if issues.Err() != nil {
 		return nil, issues.Err()
 	}
-	if want := kind.celType(); !ast.OutputType().IsExactType(want) {
-		return nil, fmt.Errorf("the expression has type %s, %s is needed", ast.OutputType(), want)
+	if celType := want.celType(); !ast.OutputType().IsExactType(celType) {
+		return nil, fmt.Errorf("the expression has type %s, want %s", ast.OutputType(), celType)
 	}
 	return env.Program(ast, cel.CostLimit(costLimit))
 }
@@ -107,8 +110,8 @@
 	fallback               Decision
 }
 
-// Compile compiles the three expressions; an empty one always yields the
-// fallback's value.
+// Compile compiles the three expressions. An empty expression always yields the
+// value of fallback.
 func Compile(priority, refuse, wait string, fallback Decision) (*Program, error) {
 	p := &Program{fallback: fallback}
 	var err error
@@ -124,8 +127,8 @@
 	return p, nil
 }
 
-// Eval returns the verdict and how many expressions failed at run time. A
-// priority outside 0 to MaxPriority is clamped.
+// Eval returns the decision for a call and the number of expressions that failed at
+// run time. A priority outside 0 to MaxPriority is clamped.
 func (p *Program) Eval(in Input) (Decision, int) {
 	vars := map[string]any{
 		"service":        in.Service,
@@ -151,6 +154,8 @@
 	return v, failed
 }
 
+// eval evaluates one expression. The second result is false if the expression is empty or failed; a
+// failure is also counted in *failed.
 func eval[T any](program cel.Program, vars map[string]any, failed *int) (T, bool) {
 	var zero T
 	if program == nil {
--- a/core/retrybudget/budget.go
+++ b/core/retrybudget/budget.go
@@ -1,13 +1,13 @@
-// Package retrybudget bounds how many calls are sent to a second replica, so
-// that repeats cannot make an overload worse.
+// Package retrybudget limits how many calls are retried, so that retries cannot
+// make an overload worse.
 //
-// The budget belongs to the whole fleet and is kept for each service: a share of
-// its calls, and a fixed number on top. Each instance spends its own part
-// without asking anybody: the share of the calls that it took itself, and of the
-// fixed number what is left to each if all instances that it knows of take as
-// much. Where instances can share (core/permits), a part of the fixed number
-// belongs to none of them and is given out on demand: in a large fleet even
-// parts come to less than one repeat, while others need none.
+// The budget applies to the whole fleet and to each service separately: a share of
+// the service's calls plus a fixed number. Each instance spends its own part
+// without coordination: the share of the calls that it received itself, and an
+// equal part of the fixed number among all instances that it knows. Where
+// instances can share (core/permits), a part of the fixed number belongs to no
+// instance and is granted on demand: in a large fleet equal parts come to less than
+// one retry each, while some instances need more and others none.
 package retrybudget
 
 import (
@@ -18,27 +18,28 @@
 	"github.com/birchdrift/birchdrift/core/option"
 )
 
-// minFleetSize is how many instances at least share the fixed part of the budget,
-// so that instances which do not know each other yet stay within it: above the 7
-// and 8 instances of the users' sites.
+// minFleetSize is the least number of instances among which the fixed part of the
+// budget is divided, so that instances which do not know each other yet stay within
+// it. The users' sites have 7 and 8 instances.
 const minFleetSize = 10
 
 const (
-	// instanceShare is the part of the fixed number that the instances have for
-	// themselves where they share (docs/design/limits.md).
+	// instanceShare is the share of the fixed number that is divided among the
+	// instances where the rest is granted on demand (docs/design/limits.md).
 	instanceShare = 0.5
-	// sharedShare is the part of it that is given out on demand. Others may have
-	// given out as much just before, and a third part of that: with 2.3 times
-	// this the own parts are the whole (docs/design/limits.md).
+	// sharedShare is the share of the fixed number that a coordinator grants on
+	// demand. Other coordinators may have granted as much just before, and a third
+	// of that: 2.3 times this share plus instanceShare is the whole fixed number
+	// (docs/design/limits.md).
 	sharedShare = 0.21
 )
 
-// A Budget counts the calls and repeats of each service on one instance. The
-// fields must be set before its use.
+// A Budget counts the calls and retries of each service on one instance. The
+// fields must be set before use.
 type Budget struct {
 	Options *option.Options
 	Members *member.Table
-	// Common says that a part of the fixed number is given out on demand.
+	// Common reports whether a part of the fixed number is granted on demand.
 	Common bool
 
 	windows map[string]*Window
@@ -47,22 +48,23 @@
 // RecordCall counts a call of the service.
 func (b *Budget) RecordCall(now clock.Instant, service string) { b.window(service).RecordCall(now) }
 
-// Spend takes one repeat of a call of the service, and reports whether the
-// budget allows it.
+// Spend records a retry of a call of the service if the budget allows one, and
+// reports whether it does.
 func (b *Budget) Spend(now clock.Instant, service string) bool {
 	return b.window(service).TryRetry(now, b.Options.RetryRatio, b.instanceSlack())
 }
 
-// Available reports whether the budget allows a repeat of a call of the service.
+// Available reports whether the budget allows a retry of a call of the service.
 func (b *Budget) Available(now clock.Instant, service string) bool {
 	return b.window(service).Allows(now, b.Options.RetryRatio, b.instanceSlack())
 }
 
-// lowThreshold is how many repeats are left at an instance when they are kept for calls that fail
-// without any fault of what is known here (docs/design/limits.md).
+// lowThreshold is the number of retries left at an instance below which they are kept
+// for failures that this instance could not have foreseen (docs/design/limits.md).
 const lowThreshold = 2
 
-// Low reports whether few repeats of calls of the service are left.
+// Low reports whether fewer than lowThreshold retries, beside the next one, are left
+// for calls of the service.
 func (b *Budget) Low(now clock.Instant, service string) bool {
 	return !b.window(service).Allows(now, b.Options.RetryRatio, b.instanceSlack()-lowThreshold)
 }
@@ -76,13 +78,13 @@
 	return slack / float64(max(minFleetSize, b.Members.Size()))
 }
 
-// SharedRetries returns how many repeats of a service's calls belong to no instance, and the span
-// in which they may be made.
-func (b *Budget) SharedRetries() (repeats float64, span time.Duration) {
+// SharedRetries returns how many retries of a service's calls belong to no instance,
+// and the time span for which that number holds.
+func (b *Budget) SharedRetries() (retries float64, span time.Duration) {
 	return sharedShare * b.Options.RetrySlack, b.Options.RetryWindow
 }
 
-// Reset forgets what was counted, for a window of another length.
+// Reset discards all counts. It is called when the length of the window changes.
 func (b *Budget) Reset() { b.windows = nil }
 
 func (b *Budget) window(service string) *Window {
--- a/core/retrybudget/budget_test.go
+++ b/core/retrybudget/budget_test.go
@@ -11,23 +11,23 @@
 	"github.com/birchdrift/birchdrift/core/option"
 )
 
-// TestBudget: an instance spends its share of the calls that it took, and of the
-// fixed part what is left to each of the fleet.
+// TestBudget checks that an instance may retry a share of the calls that it received
+// plus its part of the fixed number.
 func TestBudget(t *testing.T) {
 	cases := []struct {
 		name  string
 		calls int
 		peers int
 		want  int
-		// common says that a part of the slack is given out on demand.
+		// common reports whether a part of the slack is granted on demand.
 		common bool
 	}{
-		{"no call yet: its part of the slack, by the least fleet", 0, 0, 5, false},
-		{"a small fleet counts as the least one", 0, 5, 5, false},
-		{"a large fleet leaves less to each", 0, 24, 2, false},
-		{"a share of the calls on top", 100, 0, 25, false},
-		{"a part is given out on demand", 0, 0, 2, true},
-		{"of a large fleet, and a share of the calls", 100, 24, 21, true},
+		{"no calls: part of the slack in a fleet of minimum size", 0, 0, 5, false},
+		{"small fleet: counted as the minimum size", 0, 5, 5, false},
+		{"large fleet: smaller part of the slack", 0, 24, 2, false},
+		{"calls: a share of them in addition", 100, 0, 25, false},
+		{"part of the slack granted on demand", 0, 0, 2, true},
+		{"large fleet, calls, and part granted on demand", 100, 24, 21, true},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -51,10 +51,10 @@
 			}
 			is.Equal(spent, c.want)
 			if c.common && c.peers > 0 {
-				return // less than one repeat is its own
+				return // the instance's own part is less than one retry
 			}
-			is.True(b.Spend(now, "other")) // each service has its own
-			// Once the window has passed, the fixed part is there again.
+			is.True(b.Spend(now, "other")) // each service has a budget of its own
+			// After the length of the window the fixed part is available again.
 			is.True(b.Spend(now.Add(opt.RetryWindow+time.Second), "s"))
 		})
 	}
--- a/core/retrybudget/window.go
+++ b/core/retrybudget/window.go
@@ -6,27 +6,28 @@
 	"github.com/birchdrift/birchdrift/core/clock"
 )
 
-// bucketCount is how many parts a window is counted in. More parts follow the
-// sliding window more closely and cost more memory.
+// bucketCount is the number of buckets of a window. More buckets follow the sliding
+// window more closely and take more memory.
 const bucketCount = 20
 
-// A Window counts calls and repeats over a sliding span and says whether one
-// more repeat stays within a share of the calls plus a fixed number. The oldest
-// slice counts for repeats and not for calls, so the answer errs to the safe
+// A Window counts calls and retries in a sliding time window and decides whether one
+// more retry stays within a share of the calls plus a fixed number. The oldest
+// bucket counts for retries but not for calls, so the decision errs on the safe
 // side.
 type Window struct {
 	span    time.Duration
 	calls   [bucketCount]int
 	retries [bucketCount]int
-	newest  int64 // number of the newest slice since the clock's start
+	newest  int64 // number of the newest bucket, counted from the clock's start
 }
 
-// NewWindow returns a window over span that has counted nothing.
+// NewWindow returns an empty window of length span.
 func NewWindow(span time.Duration) *Window { return &Window{span: span} }
 
 func (w *Window) bucketSpan() time.Duration { return w.span / bucketCount }
 
-// advance empties the slices that have passed since the last call.
+// advance clears the buckets that have expired since the last call and returns the
+// index of the newest bucket.
 func (w *Window) advance(now clock.Instant) int {
 	number := int64(now.Mono / w.bucketSpan())
 	for steps := min(number-w.newest, bucketCount); steps > 0; steps-- {
@@ -41,7 +42,7 @@
 // RecordCall counts one call.
 func (w *Window) RecordCall(now clock.Instant) { w.calls[w.advance(now)]++ }
 
-// TryRetry counts one repeat if it stays within ratio times the calls plus slack,
+// TryRetry counts one retry if it stays within ratio times the calls plus slack,
 // and reports whether it does.
 func (w *Window) TryRetry(now clock.Instant, ratio, slack float64) bool {
 	if !w.Allows(now, ratio, slack) {
@@ -51,18 +52,18 @@
 	return true
 }
 
-// Allows reports whether one more repeat would stay within ratio times the calls plus
+// Allows reports whether one more retry would stay within ratio times the calls plus
 // slack.
 func (w *Window) Allows(now clock.Instant, ratio, slack float64) bool {
 	newest := w.advance(now)
 	calls := 0
-	repeats := 0
+	retries := 0
 	oldest := (newest + 1) % bucketCount
 	for i := range bucketCount {
-		repeats += w.retries[i]
+		retries += w.retries[i]
 		if i != oldest {
 			calls += w.calls[i]
 		}
 	}
-	return float64(repeats+1) <= ratio*float64(calls)+slack
+	return float64(retries+1) <= ratio*float64(calls)+slack
 }
