--- a/core/calls/queue.go
+++ b/core/calls/queue.go
@@ -71,14 +71,14 @@
 
 // PoolChanged reports whether something changed since the last look over the queue
 // that could let a call go on.
-func (t *Table) PoolChanged() bool { return t.Pool.CapacityChanges() != t.lookedAt }
+func (t *Table) PoolChanged() bool { return t.Pool.CapacityChanges() != t.seenChanges }
 
 // RetryQueued looks again for replicas of the calls that wait, in order.
 func (t *Table) RetryQueued(now clock.Instant) {
 	if len(t.queue) == 0 {
 		return
 	}
-	t.lookedAt = t.Pool.CapacityChanges()
+	t.seenChanges = t.Pool.CapacityChanges()
 	var waiting []*Call
 	for _, c := range t.retryOrder(now) {
 		if c.Phase != Waiting || t.calls[c.ID] != c {
--- a/core/calls/table.go
+++ b/core/calls/table.go
@@ -28,9 +28,9 @@
 	// waiting; nil if nobody needs to know.
 	StillWaiting func(now clock.Instant, waiting []*Call)
 
-	calls    map[ID]*Call
-	queue    []*Call
-	lookedAt uint64 // pool.Touched at the last look over the queue
+	calls       map[ID]*Call
+	queue       []*Call
+	seenChanges uint64 // pool.Touched at the last look over the queue
 }
 
 // New returns a table without calls.
