--- a/core/calls/call.go
+++ b/core/calls/call.go
@@ -1,14 +1,14 @@
-// Package calls keeps the calls in progress on one instance: what every call
-// has, the queue of those that wait for a replica, and how each comes to its one
-// final answer.
+// Package calls holds the calls in progress on one instance: their common state,
+// the queue of calls that wait for a replica, and the delivery of exactly one final
+// answer to each.
 //
-// What differs between the kinds of call, forwarded ones (core/forwarding) and
-// those of the product's own interface (core/own/modelcalls), is a Kind: a set
-// of functions that the table calls.
+// There are two kinds of call: forwarded calls (core/forwarding) and calls of the
+// product's own interface (core/own/modelcalls). What differs between them is
+// defined by Handlers, a set of functions that the table calls.
 //
-// Invariants: a call that was taken in gets exactly one of Finish, Relay, or a
-// Dispatch whose Completed ends it, unless its caller leaves; a call waits in the
-// queue exactly while its phase is Waiting and it was put there.
+// Invariants: an admitted call gets exactly one of Finish, Relay, or a Dispatch
+// that ends with Completed, unless its caller disconnects; a call is in the queue
+// only while its phase is Waiting, from Enqueue to Dequeue.
 package calls
 
 import (
@@ -23,94 +23,96 @@
 	"github.com/birchdrift/birchdrift/core/route"
 )
 
-// An ID names one call on one instance.
+// An ID identifies one call on one instance.
 type ID uint64
 
-// A Request is what the machine needs to know of a call that arrives.
+// A Request describes an arriving call to the state machine (core/instance).
 type Request struct {
 	ID             ID
 	Service        string
-	Plain          bool   // under /services/, not a model call
-	Path           string // of a plain call, below the service
+	Plain          bool   // a call under /services/, not a model call
+	Path           string // path of a plain call below the service, or of a forwarded call
 	Key            string // the caller's key, "" if none was sent
 	IdempotencyKey string
-	NotRepeatable  bool // marked so by the call itself
-	Replayable     bool // its body can be sent a second time
+	NotRepeatable  bool // the call itself says that it must not be retried
+	Replayable     bool // the body can be sent a second time
 	PromptTokens   int
 	MaxTokens      int
 	Prefix         choose.Prefix
-	Forward        *ForwardRequest // of a forwarded call; nil for the own interface
+	Forward        *ForwardRequest // nil for calls of the own interface
 }
 
-// A ForwardRequest is what a forwarded call says of itself.
+// A ForwardRequest holds what the request of a forwarded call carries in addition.
 type ForwardRequest struct {
-	Name string // the caller's identity of the call, for logs
-	// Fingerprint is the same for all tries of one request.
+	Name string // the caller's identifier of the call, for logs
+	// Fingerprint identifies the request; it is the same each time that the caller
+	// sends it.
 	Fingerprint crash.Fingerprint
 	Host        string
 	Model       string // "" if the call names none
 	Adapter     string
 	Parts       []route.PromptPart // shared parts of the prompt, in order
-	LengthHint  int
-	Deadline    time.Duration // how long the caller will wait; 0 if it does not say
-	// Ignored are the headers that made no sense and count as absent.
+	LengthHint  int                // expected number of tokens of the answer, 0 if unknown
+	Deadline    time.Duration      // how long the caller waits; 0 if it does not say
+	// Ignored lists the headers that were invalid and are treated as absent.
 	Ignored []string
 }
 
-// A Phase says where a call stands.
+// A Phase is the current phase of a call.
 type Phase int
 
 // The phases.
 const (
 	ClaimingKey    Phase = iota + 1 // its idempotency key is being claimed
-	Waiting                         // it looks for a replica, or waits in the queue
-	Running                         // a replica has it
-	AwaitingOrder                   // it waits for an order that it needs
-	Probing                         // it waits for engines to say how busy they are
-	AwaitingPermit                  // it waits for a permit to go to a replica that names a limit
+	Waiting                         // it is choosing a replica or waits in the queue
+	Running                         // it was sent to a replica
+	AwaitingOrder                   // it waits for an order to load its item
+	Probing                         // it waits for engines to report their load
+	AwaitingPermit                  // it waits for a permit for a rate-limited replica or a retry
 )
 
 // A Call is one call in progress.
 type Call struct {
 	Request
 	Kind  *Handlers
-	State any // the kind's own
+	State any // private to the package that handles this kind of call
 
-	Item     string        // adapter or model that must be ready; "" if it needs none
-	Target   time.Duration // in which its first answer is due, from its arrival
+	Item     string        // model or adapter that must be ready; "" if it needs none
+	Target   time.Duration // latency target: from arrival to the first piece of the answer
 	Priority int           // higher goes first
 	Arrived  clock.Instant
-	Expires  clock.Instant // when it is given up, whatever its phase; zero: never
+	Expires  clock.Instant // when the call is ended, whatever its phase; zero: never
 
 	Phase    Phase
 	History  attempt.History
-	Replica  string           // while running
-	Life     pool.Incarnation // of it, as it was known at the start
-	Started  clock.Instant
-	Answered bool // the first piece of the answer came
+	Replica  string           // name of the replica that runs the call
+	Life     pool.Incarnation // incarnation of Replica when the attempt started
+	Started  clock.Instant    // start of the last attempt
+	Answered bool             // the first piece of the answer arrived
 }
 
-// A Handlers is what differs between kinds of call.
+// A Handlers holds the functions that implement one kind of call.
 type Handlers struct {
-	// FindReplica sends the call to the best replica, has it wait, or refuses it.
+	// FindReplica sends the call to the best replica, queues it, or refuses it.
 	FindReplica func(now clock.Instant, c *Call)
-	// AnswerBegan takes in that the first piece of the answer came.
+	// AnswerBegan is called when the first piece of the answer arrives.
 	AnswerBegan func(now clock.Instant, c *Call)
-	// AttemptFailed decides what follows an attempt that failed.
+	// AttemptFailed retries, resumes or ends a call after a failed attempt.
 	AttemptFailed func(now clock.Instant, c *Call, b AttemptFailed)
-	// Served takes in that the answer is whole.
+	// Served is called when the answer is complete.
 	Served func(now clock.Instant, c *Call, e Completed)
-	// Left is told of a call whose caller left while the replica had it.
+	// Left is called when the caller disconnects while the call runs at r.
 	Left func(now clock.Instant, c *Call, r *pool.Replica)
-	// Cancel has a replica drop what it does for the call.
+	// Cancel makes r stop working on the call.
 	Cancel func(c *Call, r *pool.Replica)
-	// NotRun is told of a call that ends and certainly did not run.
+	// NotRun is called for a call that ends and certainly did not run.
 	NotRun func(c *Call)
-	// LeftQueue is told of a call that does not wait in the queue any more.
+	// LeftQueue is called when the call no longer waits in the queue.
 	LeftQueue func(c *Call)
 }
 
-// Label names the call in logs: by its caller's identity where it has one.
+// Label returns the name of the call in logs: the caller's identifier if there is
+// one, else the call's ID.
 func (c *Call) Label() any {
 	if c.Forward != nil {
 		return c.Forward.Name
@@ -118,8 +120,9 @@
 	return uint64(c.ID)
 }
 
-// Dispatch returns what every sending of the call to a replica says. stall is how
-// long the replica may be silent in its answer.
+// Dispatch returns the action that sends the call to r, without the fields that
+// depend on the kind of call. stall is how long the replica may send nothing during
+// its answer.
 func (c *Call) Dispatch(r *pool.Replica, stall time.Duration) Dispatch {
 	return Dispatch{
 		ID:         c.ID,
@@ -132,16 +135,18 @@
 	}
 }
 
-// Late reports whether the call's target has passed already.
+// Late reports whether the call's latency target has passed.
 func (c *Call) Late(now clock.Instant) bool { return now.Since(c.Arrived) > c.Target }
 
-// NotRunRefusal returns the refusal of a call that certainly did not run.
+// NotRunRefusal returns the refusal of a call that certainly did not run. after is
+// the delay before the caller should retry.
 func NotRunRefusal(c code.Code, detail string, after time.Duration) code.Refusal {
 	return code.Refusal{Code: c, Run: code.NotRun, RetryAfter: after, Detail: detail}
 }
 
-// CheckAdmission returns why no call can be taken in now, whatever it asks for; ok says
-// that calls are taken in. refusing says that the instance stops.
+// CheckAdmission reports whether this instance admits calls at all; if not, it also
+// returns the refusal. refusing means that the instance is stopping, configured that
+// it has a configuration.
 func CheckAdmission(refusing, configured bool) (r code.Refusal, ok bool) {
 	switch {
 	case refusing:
--- a/core/calls/event.go
+++ b/core/calls/event.go
@@ -9,43 +9,43 @@
 
 // The events of calls.
 type (
-	// Arrived begins a call.
+	// Arrived reports that a call arrived.
 	Arrived struct{ Call Request }
-	// AnswerBegan says that the first piece of the answer came.
+	// AnswerBegan reports that the first piece of the answer arrived.
 	AnswerBegan struct{ ID ID }
-	// Completed says that the answer's explicit end was delivered.
+	// Completed reports that the explicit end of the answer was delivered.
 	Completed struct {
 		ID    ID
-		Pause time.Duration // longest between two pieces of the answer
+		Pause time.Duration // longest pause between two pieces of the answer
 	}
-	// AttemptFailed says that an attempt ended otherwise.
+	// AttemptFailed reports that an attempt ended in any way but Completed.
 	AttemptFailed struct {
 		ID        ID
 		Attempt   int
 		Phase     attempt.Phase
 		Delivered int  // pieces or bytes that reached the caller
 		Resumable bool // the replica may still hold the sequence
-		Stalled   bool // the replica fell silent
-		// Severed says that the connection ended before the answer did, by the
-		// replica's doing or by that of its machine.
+		Stalled   bool // the replica stopped sending
+		// Severed means that the replica or its machine closed the connection before
+		// the end of the answer.
 		Severed bool
-		// Unreachable says that the replica's machine answers and that nothing
-		// listens at the replica's address.
+		// Unreachable means that the replica's machine responds but nothing listens at
+		// the replica's address.
 		Unreachable  bool
 		BodyConsumed bool // the call's body cannot be sent again
-		Leaving      bool // the replica said that it is leaving
-		Status       int  // the replica's HTTP status, 0 if none came
-		// Misdirected says that the replica is not the expected one, or does
-		// not hold the model.
+		Leaving      bool // the replica announced that it is leaving
+		Status       int  // the replica's HTTP status, 0 if there was none
+		// Misdirected means that the replica is not the expected one or does not hold
+		// the model.
 		Misdirected bool
 		// Incarnation is the name that the answering replica gave, if any.
 		Incarnation string
-		// Relayable says that the replica's own whole answer, a failure, is at hand
-		// and can be passed on.
+		// Relayable means that the replica answered with a complete error response that
+		// can be passed on to the caller.
 		Relayable bool
 		Detail    string
 	}
-	// CallerGone says that the caller closed its connection.
+	// CallerGone reports that the caller closed its connection.
 	CallerGone struct{ ID ID }
 )
 
@@ -61,31 +61,31 @@
 		Model    string
 		Adapter  string
 		Priority int
-		// Repeatable says that the transport may use a connection on which
-		// it could be led to repeat the call.
+		// Repeatable means that the transport may use a connection on which it might
+		// send the call a second time.
 		Repeatable bool
 		Resume     bool
-		After      time.Duration // wait before sending
-		Stall      time.Duration // silence that counts as broken
+		After      time.Duration // delay before sending
+		Stall      time.Duration // time without data after which the attempt has failed
 		Forward    *ForwardAttempt
-		// Limited says that the replica named a limit: an answer that names none says that
-		// it has ended.
+		// Limited means that the replica had announced a rate limit. An answer that
+		// announces none then means that the limit has ended.
 		Limited bool
 	}
-	// A ForwardAttempt is what a Dispatch of a forwarded call adds.
+	// A ForwardAttempt is what the Dispatch of a forwarded call has in addition.
 	ForwardAttempt struct {
-		ListAge  time.Duration // of the platform's list by which the replica was chosen
-		Left     time.Duration // of the caller's deadline; 0 if there is none
-		Priority int           // -1 if the replica is not to be told
-		Stream   bool          // the answer is a series of events
+		ListAge  time.Duration // age of the platform's list that the choice was based on
+		Left     time.Duration // time left until the caller's deadline; 0 if there is none
+		Priority int           // priority rank sent to the replica; -1 sends none
+		Stream   bool          // the answer is a stream of events
 	}
-	// Interrupt ends the attempt that a call has under way; it is answered as any attempt
-	// that ends, by an AttemptFailed.
+	// Interrupt aborts the current attempt of a call. The attempt ends with an
+	// AttemptFailed as usual.
 	Interrupt struct{ ID ID }
-	// Relay passes on the replica's own failing answer, which the last AttemptFailed
-	// said to be at hand.
+	// Relay passes on the replica's complete error response, which the last
+	// AttemptFailed reported as Relayable.
 	Relay struct{ ID ID }
-	// Finish gives a call its final answer without an upstream's.
+	// Finish ends a call with a refusal by this instance.
 	Finish struct {
 		ID      ID
 		Refusal code.Refusal
--- a/core/calls/queue.go
+++ b/core/calls/queue.go
@@ -11,39 +11,40 @@
 
 // The queue of calls that wait for a replica.
 
-// Queued reports whether the call waits in the queue.
+// Queued reports whether the call is in the queue.
 func (t *Table) Queued(c *Call) bool { return slices.Contains(t.queue, c) }
 
-// Enqueue puts the call into the queue. One that is full refuses the least
-// important call, which may be this one.
+// Enqueue adds the call to the queue. If the queue is full, it refuses the call of
+// the lowest priority, which may be this one.
 func (t *Table) Enqueue(c *Call) {
 	if c.Phase == Waiting && t.Queued(c) {
 		return
 	}
 	if len(t.queue) >= t.Options.MaxWaiting && !t.evictFor(c) {
-		t.Refuse(c, NotRunRefusal(code.NoCapacity, "too many calls wait", t.RetryAfter(0)))
+		t.Refuse(c, NotRunRefusal(code.NoCapacity, "the queue is full", t.RetryAfter(0)))
 		return
 	}
 	c.Phase = Waiting
 	t.queue = append(t.queue, c)
 }
 
-// evictFor refuses the least important waiting call if c matters more.
+// evictFor refuses the queued call of the lowest priority if that is below the
+// priority of c, and reports whether it did.
 func (t *Table) evictFor(c *Call) bool {
-	var least *Call
+	var lowest *Call
 	for _, x := range t.queue {
-		if least == nil || x.Priority < least.Priority {
-			least = x
+		if lowest == nil || x.Priority < lowest.Priority {
+			lowest = x
 		}
 	}
-	if least == nil || least.Priority >= c.Priority {
+	if lowest == nil || lowest.Priority >= c.Priority {
 		return false
 	}
-	t.Refuse(least, NotRunRefusal(code.NoCapacity, "gave way to a more important call", t.RetryAfter(0)))
+	t.Refuse(lowest, NotRunRefusal(code.NoCapacity, "evicted from the queue by a call of higher priority", t.RetryAfter(0)))
 	return true
 }
 
-// Dequeue takes the call out of the queue, if it is there.
+// Dequeue removes the call from the queue, if it is there.
 func (t *Table) Dequeue(c *Call) {
 	if i := slices.Index(t.queue, c); i >= 0 {
 		t.queue = slices.Delete(t.queue, i, i+1)
@@ -51,7 +52,8 @@
 	c.Kind.LeftQueue(c)
 }
 
-// EnterPhase takes the call out of the queue, if it waits there, for another phase.
+// EnterPhase changes the call's phase to next and removes it from the queue, if it is
+// there.
 func (t *Table) EnterPhase(c *Call, next Phase) {
 	if c.Phase == Waiting {
 		t.Dequeue(c)
@@ -59,7 +61,7 @@
 	c.Phase = next
 }
 
-// MarkSent notes that the call goes to a replica, as one more attempt.
+// MarkSent records that the call is sent to r, as a new attempt.
 func (t *Table) MarkSent(now clock.Instant, c *Call, r *pool.Replica) {
 	t.EnterPhase(c, Running)
 	c.History = c.History.WithAttempt()
@@ -69,11 +71,11 @@
 	c.Answered = false
 }
 
-// PoolChanged reports whether something changed since the last look over the queue
-// that could let a call go on.
+// PoolChanged reports whether something changed since the last RetryQueued that could
+// let a queued call proceed.
 func (t *Table) PoolChanged() bool { return t.Pool.CapacityChanges() != t.seenChanges }
 
-// RetryQueued looks again for replicas of the calls that wait, in order.
+// RetryQueued tries again to find a replica for each queued call, in retryOrder.
 func (t *Table) RetryQueued(now clock.Instant) {
 	if len(t.queue) == 0 {
 		return
@@ -82,7 +84,7 @@
 	var waiting []*Call
 	for _, c := range t.retryOrder(now) {
 		if c.Phase != Waiting || t.calls[c.ID] != c {
-			continue // displaced meanwhile
+			continue // evicted in the meantime
 		}
 		c.Kind.FindReplica(now, c)
 		if c.Phase == Waiting {
@@ -94,12 +96,12 @@
 	}
 }
 
-// retryOrder returns the waiting calls in the order in which they are tried: the
-// most important first, then those that can still meet their targets, the newest
-// of them first, then the oldest of the rest. Under overload the oldest of those
-// still in time would each be served just too late; with the newest first useful
-// work fell to 0.80 of what it was instead of 0.54 (docs/own/measurements.md,
-// "Overload").
+// retryOrder returns the queued calls in the order in which they are retried: by
+// descending priority; within a priority, first the calls that can still meet their
+// latency targets, newest first, then the late ones, oldest first. Under overload,
+// serving the oldest call that is still in time would make each call just too late:
+// with the newest first, useful work fell to 0.80 of its level before the overload,
+// with the oldest first to 0.54 (docs/own/measurements.md, "Overload").
 func (t *Table) retryOrder(now clock.Instant) []*Call {
 	queue := slices.Clone(t.queue)
 	late := make(map[*Call]bool, len(queue))
--- a/core/calls/queue_test.go
+++ b/core/calls/queue_test.go
@@ -14,8 +14,7 @@
 	"github.com/birchdrift/birchdrift/core/step"
 )
 
-// testTable is a table whose calls of kind k have them refused, and tried again,
-// by nobody.
+// testTable returns an empty table and handlers for its calls that do nothing.
 func testTable(maxWaiting int) (t *Table, k *Handlers) {
 	opt := option.Default()
 	opt.MaxWaiting = maxWaiting
@@ -39,8 +38,8 @@
 	return c
 }
 
-// TestWaitingCallsAreTriedInOrder: by priority, then those still in time, the
-// newest of them first, then the oldest of the late ones.
+// TestWaitingCallsAreTriedInOrder checks the order of retries: by priority, then calls
+// still in time, newest first, then late calls, oldest first.
 func TestWaitingCallsAreTriedInOrder(t *testing.T) {
 	is := is.New(t)
 	now := clocktest.At(time.Hour)
@@ -59,16 +58,17 @@
 	is.Equal(order, []ID{5, 2, 1, 3, 4, 6})
 }
 
-// TestAFullQueueRefusesTheLeastImportant, which may be the call that comes.
+// TestAFullQueueRefusesTheLeastImportant checks that a full queue refuses the call of
+// the lowest priority, which may be the arriving one.
 func TestAFullQueueRefusesTheLeastImportant(t *testing.T) {
 	cases := []struct {
 		name     string
 		priority int
 		refused  ID
 	}{
-		{"a more important call displaces", 60, 2},
-		{"an equal one is refused", 20, 3},
-		{"a lesser one is refused", 10, 3},
+		{"higher priority: evicts the lowest", 60, 2},
+		{"equal priority: refused", 20, 3},
+		{"lower priority: refused", 10, 3},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/core/calls/table.go
+++ b/core/calls/table.go
@@ -14,41 +14,41 @@
 	"github.com/birchdrift/birchdrift/core/step"
 )
 
-// MinRetryAfter is the least time after which a refused call is told to come
-// back: HTTP's Retry-After of the own interface counts in whole seconds.
+// MinRetryAfter is the shortest Retry-After of a refused call: in the answers of the
+// own interface, HTTP's Retry-After header counts in whole seconds.
 const MinRetryAfter = time.Second
 
-// A Table holds the calls in progress. The fields must be set before its use.
+// A Table holds the calls in progress. The fields must be set before use.
 type Table struct {
 	Options *option.Options
 	Rand    *rand.Rand
 	Out     *step.Output
 	Pool    *pool.Pool
-	// StillWaiting is told after each look over the queue which calls go on
-	// waiting; nil if nobody needs to know.
+	// StillWaiting is called after each RetryQueued with the calls that remain in the
+	// queue; nil if not needed.
 	StillWaiting func(now clock.Instant, waiting []*Call)
 
 	calls       map[ID]*Call
 	queue       []*Call
-	seenChanges uint64 // pool.Touched at the last look over the queue
+	seenChanges uint64 // Pool.CapacityChanges at the last RetryQueued
 }
 
-// New returns a table without calls.
+// New returns an empty table.
 func New() *Table { return &Table{calls: map[ID]*Call{}} }
 
-// Add takes a call in.
+// Add adds a call.
 func (t *Table) Add(c *Call) { t.calls[c.ID] = c }
 
-// Get returns a call, nil if it is not in progress.
+// Get returns the call with the given ID, or nil if it is not in progress.
 func (t *Table) Get(id ID) *Call { return t.calls[id] }
 
-// Len returns how many calls are in progress.
+// Len returns the number of calls in progress.
 func (t *Table) Len() int { return len(t.calls) }
 
-// QueueLen returns how many calls wait in the queue.
+// QueueLen returns the number of calls in the queue.
 func (t *Table) QueueLen() int { return len(t.queue) }
 
-// All returns the calls in progress, by rising ID.
+// All returns the calls in progress in ascending order of ID.
 func (t *Table) All() []*Call {
 	all := make([]*Call, 0, len(t.calls))
 	for _, c := range t.calls {
@@ -58,19 +58,19 @@
 	return all
 }
 
-// Expired returns the calls that are to be given up at now, by rising ID.
+// Expired returns the calls whose time limit has passed, in ascending order of ID.
 func (t *Table) Expired(now clock.Instant) []*Call {
-	var over []*Call
+	var expired []*Call
 	for _, c := range t.calls {
 		if !c.Expires.IsZero() && !now.Before(c.Expires) {
-			over = append(over, c)
+			expired = append(expired, c)
 		}
 	}
-	slices.SortFunc(over, func(a, b *Call) int { return cmp.Compare(a.ID, b.ID) })
-	return over
+	slices.SortFunc(expired, func(a, b *Call) int { return cmp.Compare(a.ID, b.ID) })
+	return expired
 }
 
-// AnswerBegan takes in that the first piece of a call's answer came.
+// AnswerBegan handles the arrival of the first piece of a call's answer.
 func (t *Table) AnswerBegan(now clock.Instant, e AnswerBegan) {
 	c := t.calls[e.ID]
 	if c == nil || c.Phase != Running || c.Answered {
@@ -80,7 +80,7 @@
 	c.Kind.AnswerBegan(now, c)
 }
 
-// Completed takes in that a call's answer is whole.
+// Completed handles the complete delivery of a call's answer.
 func (t *Table) Completed(now clock.Instant, e Completed) {
 	c := t.calls[e.ID]
 	if c == nil {
@@ -93,8 +93,8 @@
 	t.Remove(c)
 }
 
-// AttemptFailed takes in that an attempt failed. A report of an earlier attempt than
-// the last is ignored.
+// AttemptFailed handles a failed attempt. Reports of attempts before the latest are
+// ignored.
 func (t *Table) AttemptFailed(now clock.Instant, e AttemptFailed) {
 	c := t.calls[e.ID]
 	if c == nil || c.Phase != Running || e.Attempt != c.History.Attempts {
@@ -103,7 +103,7 @@
 	c.Kind.AttemptFailed(now, c, e)
 }
 
-// CallerGone takes in that a call's caller is gone.
+// CallerGone handles the disconnection of a call's caller.
 func (t *Table) CallerGone(now clock.Instant, e CallerGone) {
 	c := t.calls[e.ID]
 	if c == nil {
@@ -125,21 +125,22 @@
 	t.Remove(c)
 }
 
-// Remove takes a call out that has its final answer, or needs none.
+// Remove removes a call that has its final answer or needs none.
 func (t *Table) Remove(c *Call) {
 	t.Pool.NoteCapacityChange()
 	delete(t.calls, c.ID)
 }
 
-// RefuseNew gives a call that was not taken in its final answer.
+// RefuseNew ends a call that was not admitted with a refusal.
 func (t *Table) RefuseNew(c *Call, r code.Refusal) {
 	t.Out.Log(logevent.CallFailed, "call", c.Label(), "service", c.Service, "code", int(r.Code), "run", string(r.Run))
 	t.Out.Emit(Finish{ID: c.ID, Refusal: r})
 }
 
-// Refuse gives a call that was taken in its final answer.
+// Refuse ends an admitted call with a refusal. If an earlier attempt of the call ran
+// or may have run, that replaces the run state of r.
 func (t *Table) Refuse(c *Call, r code.Refusal) {
-	// An earlier attempt may have run though the last step did not.
+	// An earlier attempt may have run even if the last one did not.
 	if run := c.History.RunState(); run != code.NotRun {
 		r.Run = run
 	}
@@ -156,14 +157,15 @@
 	t.Pool.NoteCapacityChange()
 }
 
-// RetryAfter returns when a refused call is told to come back: d, spread so that
-// calls refused together do not come back together, and not too soon.
+// RetryAfter returns the Retry-After of a refused call: d with jitter, so that calls
+// refused at the same time are not all retried at the same time, and at least
+// MinRetryAfter.
 func (t *Table) RetryAfter(d time.Duration) time.Duration {
 	return max(step.Jitter(t.Rand, d), MinRetryAfter)
 }
 
-// AbortAll gives every call its final answer because the process ends, and returns
-// how many there were.
+// AbortAll ends every call with a refusal because the process is exiting, and returns
+// the number of calls.
 func (t *Table) AbortAll() int {
 	all := t.All()
 	for _, c := range all {
@@ -172,6 +174,7 @@
 	return len(all)
 }
 
+// abort ends one call because the process is exiting.
 func (t *Table) abort(c *Call) {
 	if c.Phase != Running {
 		t.Refuse(c, NotRunRefusal(code.Stopping, "this instance stopped", MinRetryAfter))
@@ -184,5 +187,5 @@
 	if c.Answered {
 		run = code.Ran
 	}
-	t.Refuse(c, code.Refusal{Code: code.StreamCut, Run: run, Detail: "this instance stopped before the answer was whole"})
+	t.Refuse(c, code.Refusal{Code: code.StreamCut, Run: run, Detail: "this instance stopped before the answer was complete"})
 }
