--- a/core/route/forward.go
+++ b/core/route/forward.go
@@ -130,7 +130,7 @@
 func (f *Router) RecordPrompt(engine pool.Incarnation, chain HashChain, capacity int) {
 	c := f.cache(engine)
 	if c == nil {
-		c = NewCache(capacity)
+		c = NewPrefixCache(capacity)
 		f.caches[engine.Name] = incarnationCache{incarnation: engine, cache: c}
 	}
 	c.Add(chain)
--- a/core/route/parts.go
+++ b/core/route/parts.go
@@ -55,8 +55,8 @@
 	byHash   map[uint64]*list.Element
 }
 
-// NewCache returns an empty cache of so many tokens.
-func NewCache(capacity int) *PrefixCache {
+// NewPrefixCache returns an empty cache of so many tokens.
+func NewPrefixCache(capacity int) *PrefixCache {
 	return &PrefixCache{capacity: capacity, recent: list.New(), byHash: map[uint64]*list.Element{}}
 }
 
