--- a/core/forwarding/forwarding.go
+++ b/core/forwarding/forwarding.go
@@ -186,7 +186,7 @@
 	s.request = modelRequest{
 		model:   c.Forward.Model,
 		adapter: c.Forward.Adapter,
-		chain:   route.NewChain(c.Item, c.Forward.Parts),
+		chain:   route.NewHashChain(c.Item, c.Forward.Parts),
 		size:    route.ModelSize{Model: c.Forward.Model, MB: facts.MemoryMB},
 	}
 }
--- a/core/route/forward_test.go
+++ b/core/route/forward_test.go
@@ -36,7 +36,7 @@
 func TestChoose(t *testing.T) {
 	// Rendezvous hashing names a for the first part, so nothing speaks for b.
 	weight := ModelSize{Model: "m", MB: 70}
-	chain := NewChain("m", []PromptPart{{ID: 3, Tokens: 2000}, {ID: 2, Tokens: 1000}})
+	chain := NewHashChain("m", []PromptPart{{ID: 3, Tokens: 2000}, {ID: 2, Tokens: 1000}})
 	cases := []struct {
 		name    string
 		engine  bool
--- a/core/route/parts.go
+++ b/core/route/parts.go
@@ -24,8 +24,8 @@
 // engine reuses a part only for the same model and after the same parts.
 type HashChain struct{ links []link }
 
-// NewChain returns the chain of a prompt's parts on an item.
-func NewChain(item string, parts []PromptPart) HashChain {
+// NewHashChain returns the chain of a prompt's parts on an item.
+func NewHashChain(item string, parts []PromptPart) HashChain {
 	c := HashChain{links: make([]link, 0, len(parts))}
 	hash := xxhash.Sum64String(item)
 	var buf [16]byte
