--- a/core/route/forward.go
+++ b/core/route/forward.go
@@ -1,6 +1,6 @@
-// Package route provides the choice of the replica that a forwarded call is sent
-// to: the one that should answer it first, by what is known of the calls there,
-// of the prompts that it keeps, and of what must be loaded before.
+// Package route chooses the replica that a forwarded call is sent to: the one that is
+// expected to answer first, given the calls in flight there, its prefix cache, and
+// what must be loaded first.
 package route
 
 import (
@@ -13,73 +13,74 @@
 	"github.com/birchdrift/birchdrift/core/rendezvous"
 )
 
-// Tunables of the choice for forwarded calls.
+// Costs in the estimates for forwarded calls.
 const (
-	// crossZoneCost is the way to another zone and back; it also stands for the
-	// price of bytes that cross.
+	// crossZoneCost is the round-trip time to another zone; it also stands for the
+	// price of cross-zone traffic.
 	crossZoneCost = 4 * time.Millisecond
-	// perCallCost is what one call that runs beside another adds to the time
-	// to its first event.
+	// perCallCost is the time that each call in flight at a replica adds to the time
+	// to the first event.
 	perCallCost = 300 * time.Microsecond
-	// firstPartDiscount is the share of its prompt's work that the engine which
-	// rendezvous hashing names for a prompt's first part is trusted to save.
+	// firstPartDiscount is the share of the prefill work that the engine selected by
+	// rendezvous hashing of a prompt's first part is assumed to save.
 	firstPartDiscount = 0.1
-	// queuedCallTokens is what a prompt of which only its being there is known is
-	// believed to have left to read.
+	// queuedCallTokens is the number of prompt tokens still to be read that is
+	// assumed for a queued call of unknown prompt length.
 	queuedCallTokens = 2500
-	// perFailureCost is added for each failure in a row.
+	// perFailureCost is added for each consecutive failure of the replica.
 	perFailureCost = 50 * time.Millisecond
 )
 
-// A Query is what the choice needs to know of one forwarded call.
+// A Query describes one forwarded call to the router.
 type Query struct {
 	Zone   string             // zone of this instance
 	Model  ModelSize          // the zero value for a plain service
-	Tokens int                // of the prompt
-	Gap    time.Duration      // longest pause between events that keeps a stream in time; 0: any
-	Rank   int                // of urgency, 0 first
+	Tokens int                // number of prompt tokens
+	Gap    time.Duration      // longest acceptable pause between events of a stream; 0: any
+	Rank   int                // priority rank, 0 is the most urgent
 	Chain  HashChain          // of the prompt's parts
-	Tried  []pool.Incarnation // replicas that are passed over: they failed the call, or take none now
-	// Sure passes over replicas that may turn the call away, where there are others: the
-	// call could not be repeated then.
+	Tried  []pool.Incarnation // replicas to exclude: they failed the call, or take none now
+	// Sure excludes replicas that may reject the call if there are others. It is set
+	// when no retry would be possible.
 	Sure bool
-	Salt uint64 // of the call, to tell apart replicas that seem alike
-	// LoadCost returns what must happen at a replica before it can serve the
-	// call, as time; ok is false if it cannot. nil: nothing must.
+	Salt uint64 // orders replicas with similar estimates differently for each call
+	// LoadCost returns the time for what must be loaded at a replica before it can
+	// serve the call; ok is false if the replica cannot serve it. If LoadCost is nil,
+	// nothing must be loaded.
 	LoadCost func(r *pool.Replica) (cost time.Duration, ok bool)
-	// TurnCost returns how long the call would wait for the limit that a replica names; nil:
-	// not at all.
+	// TurnCost returns how long the call would wait because of the replica's rate
+	// limit. If TurnCost is nil, there is no wait.
 	TurnCost func(r *pool.Replica) time.Duration
-	// ZoneCost returns the cost of a zone that seems to be cut off; nil:
-	// nothing is.
+	// ZoneCost returns the cost of a zone that appears to be unreachable. If ZoneCost
+	// is nil, there is none.
 	ZoneCost func(zone string) time.Duration
 }
 
-// A Estimate is the expected time to the answer, or to a stream's first
-// event, on one replica.
+// An Estimate is the expected time to the answer, or to the first event of a stream,
+// at one replica, by its parts.
 type Estimate struct {
 	Replica *pool.Replica
-	Ahead   time.Duration // work that is there already and goes first
-	Prefill time.Duration // work on this call's own prompt
-	Other   time.Duration // way, crowd, slowness
-	Turn    time.Duration // for the limit that the replica names
-	Cached  int           // prompt tokens believed to be kept there
-	Calls   int           // in flight there
-	Reading time.Duration // prompts to be read there without a break, this one too
+	Ahead   time.Duration // work already at the replica that goes first
+	Prefill time.Duration // prefill of this call's own prompt
+	Other   time.Duration // network, calls in flight, loading, and signs of a slow or failing replica
+	Turn    time.Duration // wait for the replica's rate limit
+	Cached  int           // prompt tokens believed to be in the replica's prefix cache
+	Calls   int           // calls in flight at the replica
+	Reading time.Duration // uninterrupted prefill work at the replica, including this call's
 }
 
 // Total returns the expected time.
 func (e Estimate) Total() time.Duration { return e.Ahead + e.Prefill + e.Other + e.Turn }
 
-// Router chooses replicas for forwarded calls, and learns how fast models
-// read and what engines keep.
+// A Router chooses replicas for forwarded calls. It learns the prefill speed of models
+// and tracks the contents of engines' prefix caches.
 type Router struct {
-	caches     map[string]incarnationCache // by engine
-	speeds     map[string]prefillSpeed     // of models
-	sizeSpeeds map[int64]prefillSpeed      // of models of a size, for those not seen yet
+	caches     map[string]incarnationCache // by engine name
+	speeds     map[string]prefillSpeed     // by model name
+	sizeSpeeds map[int64]prefillSpeed      // by model size in MB, for models without measurements
 }
 
-// NewRouter returns a chooser that has learnt nothing.
+// NewRouter returns a router without any measurements.
 func NewRouter() *Router {
 	return &Router{caches: map[string]incarnationCache{}, speeds: map[string]prefillSpeed{}, sizeSpeeds: map[int64]prefillSpeed{}}
 }
@@ -90,64 +91,65 @@
 	MB    int64
 }
 
-// PrefillTokenTime returns how long an engine is believed to read one prompt token of
-// a model: as measured, else as measured of models of its size.
-func (f *Router) PrefillTokenTime(w ModelSize) time.Duration { return f.speed(w).tokenTime() }
+// PrefillTokenTime returns the estimated time for an engine to read one prompt token
+// with the model.
+func (rt *Router) PrefillTokenTime(m ModelSize) time.Duration { return rt.speed(m).tokenTime() }
 
-// speed returns what is known of a model's speed: as measured, else as measured of
-// models of its size.
-func (f *Router) speed(w ModelSize) prefillSpeed {
-	if s, ok := f.speeds[w.Model]; ok {
+// speed returns the prefill speed of a model: as measured, else as measured for models
+// of the same size, else the default.
+func (rt *Router) speed(m ModelSize) prefillSpeed {
+	if s, ok := rt.speeds[m.Model]; ok {
 		return s
 	}
-	if s, ok := f.sizeSpeeds[w.MB]; ok {
+	if s, ok := rt.sizeSpeeds[m.MB]; ok {
 		return s
 	}
 	return newPrefillSpeed()
 }
 
-// ObserveFirstEvent takes in how long a first event took, of a call with so many tokens to
-// read on an engine that had no other prompt to read. What else happens there
-// makes some measurements too long, and parts that are kept there unknown to
-// this instance make others too short.
-func (f *Router) ObserveFirstEvent(w ModelSize, tokens int, took time.Duration) {
-	f.speeds[w.Model] = f.speed(w).withSample(tokens, took)
-	size, ok := f.sizeSpeeds[w.MB]
+// ObserveFirstEvent records the time to the first event of a call whose engine had the
+// given number of prompt tokens to read and no other prompt. Other work at the engine
+// makes some measurements too long, and cached parts that this instance does not know
+// of make others too short.
+func (rt *Router) ObserveFirstEvent(m ModelSize, tokens int, took time.Duration) {
+	rt.speeds[m.Model] = rt.speed(m).withSample(tokens, took)
+	size, ok := rt.sizeSpeeds[m.MB]
 	if !ok {
 		size = newPrefillSpeed()
 	}
-	f.sizeSpeeds[w.MB] = size.withSample(tokens, took)
+	rt.sizeSpeeds[m.MB] = size.withSample(tokens, took)
 }
 
-// A incarnationCache is what one life of an engine is believed to keep.
+// An incarnationCache is the assumed prefix cache of one incarnation of an engine.
 type incarnationCache struct {
 	incarnation pool.Incarnation
 	cache       *PrefixCache
 }
 
-// RecordPrompt notes that a prompt goes to an engine that keeps so many tokens. One that has
-// started again keeps nothing of what was sent before.
-func (f *Router) RecordPrompt(engine pool.Incarnation, chain HashChain, capacity int) {
-	c := f.cache(engine)
+// RecordPrompt records that a prompt is sent to an engine whose prefix cache holds
+// capacity tokens. After a restart of the engine its cache is assumed to be empty.
+func (rt *Router) RecordPrompt(engine pool.Incarnation, chain HashChain, capacity int) {
+	c := rt.cache(engine)
 	if c == nil {
 		c = NewPrefixCache(capacity)
-		f.caches[engine.Name] = incarnationCache{incarnation: engine, cache: c}
+		rt.caches[engine.Name] = incarnationCache{incarnation: engine, cache: c}
 	}
 	c.Add(chain)
 }
 
-// cache returns what an engine is believed to keep, nil if nothing is known of it.
-func (f *Router) cache(engine pool.Incarnation) *PrefixCache {
-	if c := f.caches[engine.Name]; c.incarnation == engine {
+// cache returns the assumed prefix cache of an engine, or nil if nothing was sent to
+// this incarnation.
+func (rt *Router) cache(engine pool.Incarnation) *PrefixCache {
+	if c := rt.caches[engine.Name]; c.incarnation == engine {
 		return c.cache
 	}
 	return nil
 }
 
-// Choose returns the best of the candidates; ok is false when none may be sent
-// the call.
-func (f *Router) Choose(now clock.Instant, q Query, candidates []*pool.Replica) (best Estimate, ok bool) {
-	for _, e := range f.estimates(now, q, candidates) {
+// Choose returns the estimate of the best candidate; ok is false if the call may not be
+// sent to any of them.
+func (rt *Router) Choose(now clock.Instant, q Query, candidates []*pool.Replica) (best Estimate, ok bool) {
+	for _, e := range rt.estimates(now, q, candidates) {
 		if !ok || e.Total() < best.Total() {
 			best = e
 			ok = true
@@ -157,15 +159,15 @@
 }
 
 // Estimate returns the estimate of one replica.
-func (f *Router) Estimate(now clock.Instant, q Query, r *pool.Replica) Estimate {
-	return f.estimate(now, q, r, false)
+func (rt *Router) Estimate(now clock.Instant, q Query, r *pool.Replica) Estimate {
+	return rt.estimate(now, q, r, false)
 }
 
-// Best returns the best of the candidates, n at most. Those that differ by less
-// than bestStep come in an order of the call's own, so that calls of the same kind
-// do not all look at the same ones.
-func (f *Router) Best(now clock.Instant, q Query, candidates []*pool.Replica, n int) []Estimate {
-	all := f.estimates(now, q, candidates)
+// Best returns the estimates of the best candidates, at most n. Candidates whose
+// estimates differ by less than estimateResolution are ordered by the query's Salt, so
+// that calls of the same kind do not all choose the same ones.
+func (rt *Router) Best(now clock.Instant, q Query, candidates []*pool.Replica, n int) []Estimate {
+	all := rt.estimates(now, q, candidates)
 	sort.Slice(all, func(i, j int) bool {
 		a, b := all[i], all[j]
 		if x, y := a.Total()/estimateResolution, b.Total()/estimateResolution; x != y {
@@ -176,11 +178,11 @@
 	return all[:min(n, len(all))]
 }
 
-// estimateResolution is a difference between estimates that means nothing.
+// estimateResolution is the difference below which Best treats estimates as equal.
 const estimateResolution = 20 * time.Millisecond
 
 // estimates returns the estimates of the candidates that may be sent the call.
-func (f *Router) estimates(now clock.Instant, q Query, candidates []*pool.Replica) (estimates []Estimate) {
+func (rt *Router) estimates(now clock.Instant, q Query, candidates []*pool.Replica) (estimates []Estimate) {
 	usable := q.eligible(now, candidates, func(r *pool.Replica) bool { return r.Usable() && !(q.Sure && r.MayReject(now)) })
 	if len(usable) == 0 && q.Sure {
 		usable = q.eligible(now, candidates, (*pool.Replica).Usable)
@@ -194,7 +196,7 @@
 			ejected++
 		}
 	}
-	head := f.firstPartOwner(q, usable)
+	owner := rt.firstPartOwner(q, usable)
 	for _, r := range usable {
 		if r.Ejected(now) && ejected < len(usable) {
 			continue
@@ -202,13 +204,13 @@
 		if r.Down(now) {
 			continue
 		}
-		estimates = append(estimates, f.estimate(now, q, r, r == head))
+		estimates = append(estimates, rt.estimate(now, q, r, r == owner))
 	}
 	return estimates
 }
 
-// eligible returns the replicas that the call may go to, of those that may be given
-// work. One that wants nothing gets nothing, however few others there are.
+// eligible returns the candidates accepted by may that the call may be sent to. A
+// resting replica is excluded even if there is no other.
 func (q Query) eligible(now clock.Instant, candidates []*pool.Replica, may func(r *pool.Replica) bool) []*pool.Replica {
 	out := make([]*pool.Replica, 0, len(candidates))
 	for _, r := range candidates {
@@ -219,7 +221,8 @@
 	return out
 }
 
-// canServe reports whether the replica can be made to serve the call.
+// canServe reports whether the replica can serve the call, if need be after loading
+// what it needs.
 func (q Query) canServe(r *pool.Replica) bool {
 	if q.LoadCost == nil {
 		return true
@@ -228,9 +231,9 @@
 	return ok
 }
 
-// firstPartOwner returns the engine that rendezvous hashing names for the prompt's
-// first part, so that instances agree on where a new part is read first.
-func (f *Router) firstPartOwner(q Query, usable []*pool.Replica) *pool.Replica {
+// firstPartOwner returns the engine that rendezvous hashing selects for the prompt's
+// first part, so that instances agree on which engine reads a new part first.
+func (rt *Router) firstPartOwner(q Query, usable []*pool.Replica) *pool.Replica {
 	key, ok := q.Chain.First()
 	if !ok {
 		return nil
@@ -246,7 +249,9 @@
 	return best
 }
 
-func (f *Router) estimate(now clock.Instant, q Query, r *pool.Replica, head bool) Estimate {
+// estimate returns the estimate of one replica. isFirstPartOwner reports whether r is
+// the firstPartOwner of the call.
+func (rt *Router) estimate(now clock.Instant, q Query, r *pool.Replica, isFirstPartOwner bool) Estimate {
 	load := r.Load(now)
 	e := Estimate{Replica: r, Calls: load.Calls.Sum()}
 	if r.Zone != q.Zone {
@@ -276,10 +281,10 @@
 		e.estimatePlain(r)
 		return e
 	}
-	e.Cached = min(f.cache(r.Incarnation()).CachedTokens(q.Chain), q.Tokens)
-	perToken := f.PrefillTokenTime(q.Model)
+	e.Cached = min(rt.cache(r.Incarnation()).CachedTokens(q.Chain), q.Tokens)
+	perToken := rt.PrefillTokenTime(q.Model)
 	e.Prefill = time.Duration(q.Tokens-e.Cached) * perToken
-	if head {
+	if isFirstPartOwner {
 		e.Prefill -= time.Duration(firstPartDiscount * float64(e.Prefill))
 	}
 	e.Reading = load.Prefill.Sum() + e.Prefill
@@ -293,57 +298,58 @@
 }
 
 const (
-	// minDelayShare is the share of the longest pause that engines may read prompts
-	// without a break before that counts.
+	// minDelayShare is the share of the longest acceptable pause up to which
+	// uninterrupted prefill work at an engine costs nothing.
 	minDelayShare = 0.3
-	// maxDelayShare is the share from which the streams that run there are believed to be
-	// late.
+	// maxDelayShare is the share of the longest acceptable pause from which
+	// uninterrupted prefill work is assumed to make all streams of the engine late.
 	maxDelayShare = 0.8
-	// lateStreamCost is what one stream made late counts for.
+	// lateStreamCost is the cost of each stream that becomes late.
 	lateStreamCost = 10 * time.Millisecond
 )
 
-// streamDelayCost returns the cost of the pause that reading prompts for so long makes in
-// the streams that run at an engine. Between two tokens of every stream an engine
-// reads a piece of a prompt, so prompts that follow each other without a break, of
-// whatever rank, stretch the time between events for all streams there.
+// streamDelayCost returns the cost of the pauses that reading prompts for the given time
+// causes in the streams running at an engine. Between two tokens of each stream, an
+// engine reads a piece of a prompt. Prompts of any rank that follow each other without
+// a break therefore increase the time between events of all streams there.
 func (q Query) streamDelayCost(reading time.Duration, running int) time.Duration {
 	if q.Gap == 0 {
 		return 0
 	}
 	share := float64(reading) / float64(q.Gap)
-	harm := min(1, max(0, (share-minDelayShare)/(maxDelayShare-minDelayShare)))
-	return time.Duration(harm * float64(running) * float64(lateStreamCost))
+	lateShare := min(1, max(0, (share-minDelayShare)/(maxDelayShare-minDelayShare)))
+	return time.Duration(lateShare * float64(running) * float64(lateStreamCost))
 }
 
-// overdueTolerance is how late a first event may be before that speaks against its
-// replica.
+// overdueTolerance is how late a first event may be before its replica is charged for
+// the delay.
 const overdueTolerance = 150 * time.Millisecond
 
-// suspectedCost keeps calls from replicas at which a peer found nothing, or which turned it
-// away.
+// suspectedCost is added for a replica that this instance or a peer found unreachable,
+// or that rejected a peer's call, so that calls go to other replicas.
 const suspectedCost = 200 * time.Millisecond
 
-// vanishedCost keeps calls from replicas whose entries went, where others are.
+// vanishedCost is added for a replica whose entry has vanished from the platform's list,
+// so that calls go to other replicas if there are any.
 const vanishedCost = 500 * time.Millisecond
 
-// fullSlowdownDivisor is by which part of its usual time a plain replica is slower when
-// it is full: a quarter.
+// fullSlowdownDivisor defines how much slower a plain replica is when it is full: by its
+// usual service time divided by this number, a quarter.
 const fullSlowdownDivisor = 4
 
-// estimatePlain estimates a estimatePlain replica: its own usual time, longer in proportion to
-// the calls beyond its slots.
+// estimatePlain fills in the estimate of a plain replica: its usual service time, plus
+// queueing in proportion to the calls in flight beyond its slots.
 func (e *Estimate) estimatePlain(r *pool.Replica) {
-	hold := min(r.ServiceTime(), maxPlainServiceTime)
+	serviceTime := min(r.ServiceTime(), maxPlainServiceTime)
 	slots := max(1, r.Concurrent)
-	e.Prefill = hold
+	e.Prefill = serviceTime
 	if e.Calls >= slots {
-		e.Ahead = time.Duration(e.Calls-slots+1) * hold / time.Duration(slots)
+		e.Ahead = time.Duration(e.Calls-slots+1) * serviceTime / time.Duration(slots)
 	}
-	// Replicas slow down as they fill.
-	e.Other += time.Duration(e.Calls) * hold / time.Duration(fullSlowdownDivisor*slots)
+	// Replicas become slower as they fill up.
+	e.Other += time.Duration(e.Calls) * serviceTime / time.Duration(fullSlowdownDivisor*slots)
 }
 
-// maxPlainServiceTime bounds what a plain replica's usual time counts for, so that one
-// that was slow once is tried again.
+// maxPlainServiceTime caps a plain replica's service time in estimates, so that a
+// replica that was slow once is tried again.
 const maxPlainServiceTime = 300 * time.Millisecond
--- a/core/route/forward_test.go
+++ b/core/route/forward_test.go
@@ -13,8 +13,8 @@
 
 var start = clocktest.At(time.Hour)
 
-// twoReplicas returns two twoReplicas of one service, a in zone z and b in zone y, with
-// slots calls at once each.
+// twoReplicas returns two replicas of one service, a in zone z and b in zone y, with the
+// given number of slots each.
 func twoReplicas(engine bool, slots int) (p *pool.Pool, a, b *pool.Replica) {
 	p = pool.New()
 	for name, zone := range map[string]string{"a": "z", "b": "y"} {
@@ -23,7 +23,7 @@
 	return p, p.Get("a"), p.Get("b")
 }
 
-// eject has calls eject at a replica so often that it is ejected.
+// eject makes calls to a replica fail until it is ejected.
 func eject(now clock.Instant, r *pool.Replica) {
 	for id := uint64(100); !r.Ejected(now); id++ {
 		r.Start(now, id)
@@ -31,119 +31,119 @@
 	}
 }
 
-// TestChoose tables what makes a replica the better one for a call. Without a
-// reason the one of the own zone, a, is.
+// TestChoose checks which of two replicas is chosen: by default a, which is in the
+// instance's own zone, and b where something speaks against a or for b.
 func TestChoose(t *testing.T) {
-	// Rendezvous hashing names a for the first part, so nothing speaks for b.
+	// Rendezvous hashing selects a for the first part, so nothing favors b.
 	weight := ModelSize{Model: "m", MB: 70}
 	chain := NewHashChain("m", []PromptPart{{ID: 3, Tokens: 2000}, {ID: 2, Tokens: 1000}})
 	cases := []struct {
 		name    string
 		engine  bool
-		prepare func(f *Router, p *pool.Pool, a, b *pool.Replica, q *Query)
+		prepare func(router *Router, p *pool.Pool, a, b *pool.Replica, q *Query)
 		want    string // "" for none
 	}{
-		{"the own zone", true, nil, "a"},
-		{"the other keeps the prompt", true, func(f *Router, _ *pool.Pool, _, b *pool.Replica, _ *Query) {
-			f.RecordPrompt(pool.Incarnation{Name: "b"}, chain, 100_000)
+		{"same zone preferred", true, nil, "a"},
+		{"b has the prompt cached", true, func(router *Router, _ *pool.Pool, _, b *pool.Replica, _ *Query) {
+			router.RecordPrompt(pool.Incarnation{Name: "b"}, chain, 100_000)
 		}, "b"},
-		{"the other kept the prompt before it started again", true, func(f *Router, p *pool.Pool, _, b *pool.Replica, _ *Query) {
-			f.RecordPrompt(b.Incarnation(), chain, 100_000)
+		{"b had the prompt cached before it restarted", true, func(router *Router, p *pool.Pool, _, b *pool.Replica, _ *Query) {
+			router.RecordPrompt(b.Incarnation(), chain, 100_000)
 			next := b.Announcement()
 			next.Born = "2"
 			p.Announce(start, "b", next)
 		}, "a"},
-		{"the own zone's is reading a prompt", true, func(_ *Router, _ *pool.Pool, a, _ *pool.Replica, _ *Query) {
+		{"a is reading a prompt", true, func(_ *Router, _ *pool.Pool, a, _ *pool.Replica, _ *Query) {
 			a.StartPrefill(start, 1, pool.Prefill{Work: 300 * time.Millisecond, Expected: 400 * time.Millisecond})
 		}, "b"},
-		{"the own zone's is reading the prompt of a more urgent call", true, func(_ *Router, _ *pool.Pool, a, _ *pool.Replica, q *Query) {
+		{"a is reading the prompt of a more urgent call", true, func(_ *Router, _ *pool.Pool, a, _ *pool.Replica, q *Query) {
 			a.StartPrefill(start, 1, pool.Prefill{Rank: 1, Work: 300 * time.Millisecond, Expected: 400 * time.Millisecond})
 			q.Rank = 2
 		}, "b"},
-		{"the own zone's is reading the prompt of a less urgent call", true, func(_ *Router, _ *pool.Pool, a, _ *pool.Replica, q *Query) {
+		{"a is reading the prompt of a less urgent call", true, func(_ *Router, _ *pool.Pool, a, _ *pool.Replica, q *Query) {
 			a.StartPrefill(start, 1, pool.Prefill{Rank: 2, Work: 300 * time.Millisecond, Expected: 400 * time.Millisecond})
 			q.Rank = 1
 		}, "a"},
-		{"streams run at the own zone's that two more prompts would stretch", true, func(_ *Router, _ *pool.Pool, a, _ *pool.Replica, q *Query) {
+		{"two more prompts would delay the streams at a", true, func(_ *Router, _ *pool.Pool, a, _ *pool.Replica, q *Query) {
 			for id := range uint64(3) {
-				a.Start(start, id) // streams that are sent
+				a.Start(start, id) // streams in progress
 				a.FirstTokenReceived(start, id, false)
 			}
 			a.StartPrefill(start, 9, pool.Prefill{Rank: 5, Work: 200 * time.Millisecond})
 			q.Gap = 250 * time.Millisecond
 		}, "b"},
-		{"streams run there that may pause", true, func(_ *Router, _ *pool.Pool, a, _ *pool.Replica, _ *Query) {
+		{"the streams at a may pause", true, func(_ *Router, _ *pool.Pool, a, _ *pool.Replica, _ *Query) {
 			for id := range uint64(3) {
 				a.Start(start, id)
 				a.FirstTokenReceived(start, id, false)
 			}
 			a.StartPrefill(start, 9, pool.Prefill{Rank: 5, Work: 200 * time.Millisecond})
 		}, "a"},
-		{"calls of its rank fill the own zone's", true, func(_ *Router, _ *pool.Pool, a, _ *pool.Replica, q *Query) {
+		{"a is full of calls of the same rank", true, func(_ *Router, _ *pool.Pool, a, _ *pool.Replica, q *Query) {
 			for id := range uint64(4) {
 				a.StartPrefill(start, id, pool.Prefill{Rank: 1})
 				a.FirstTokenReceived(start, id, false)
 			}
 			q.Rank = 1
 		}, "b"},
-		{"less urgent calls fill the own zone's", true, func(_ *Router, _ *pool.Pool, a, _ *pool.Replica, q *Query) {
+		{"a is full of less urgent calls", true, func(_ *Router, _ *pool.Pool, a, _ *pool.Replica, q *Query) {
 			for id := range uint64(4) {
 				a.StartPrefill(start, id, pool.Prefill{Rank: 2})
 				a.FirstTokenReceived(start, id, false)
 			}
 			q.Rank = 1
 		}, "a"},
-		{"the own zone's failed the call", true, func(_ *Router, _ *pool.Pool, _, _ *pool.Replica, q *Query) {
+		{"a failed the call", true, func(_ *Router, _ *pool.Pool, _, _ *pool.Replica, q *Query) {
 			q.Tried = []pool.Incarnation{{Name: "a"}}
 		}, "b"},
 		{"both failed the call", true, func(_ *Router, _ *pool.Pool, _, _ *pool.Replica, q *Query) {
 			q.Tried = []pool.Incarnation{{Name: "a"}, {Name: "b"}}
 		}, ""},
-		{"nothing answers at the own zone's", true, func(_ *Router, _ *pool.Pool, a, _ *pool.Replica, _ *Query) {
+		{"a is down", true, func(_ *Router, _ *pool.Pool, a, _ *pool.Replica, _ *Query) {
 			a.MarkDown(start)
 		}, "b"},
-		{"the own zone's is ejected", true, func(_ *Router, _ *pool.Pool, a, _ *pool.Replica, _ *Query) {
+		{"a is ejected", true, func(_ *Router, _ *pool.Pool, a, _ *pool.Replica, _ *Query) {
 			eject(start, a)
 		}, "b"},
-		{"all are ejected, so none is passed over", true, func(_ *Router, _ *pool.Pool, a, b *pool.Replica, _ *Query) {
+		{"both are ejected, so neither is skipped", true, func(_ *Router, _ *pool.Pool, a, b *pool.Replica, _ *Query) {
 			eject(start, a)
 			eject(start, b)
 		}, "a"},
-		{"the own zone's wants nothing", true, func(_ *Router, p *pool.Pool, _, _ *pool.Replica, _ *Query) {
+		{"a is resting", true, func(_ *Router, p *pool.Pool, _, _ *pool.Replica, _ *Query) {
 			p.ObserveNotice(start, "a", start, pool.Notice{Rest: time.Second})
 		}, "b"},
-		{"both want nothing", true, func(_ *Router, p *pool.Pool, _, _ *pool.Replica, _ *Query) {
+		{"both are resting", true, func(_ *Router, p *pool.Pool, _, _ *pool.Replica, _ *Query) {
 			p.ObserveNotice(start, "a", start, pool.Notice{Rest: time.Second})
 			p.ObserveNotice(start, "b", start, pool.Notice{Rest: time.Second})
 		}, ""},
-		{"one wants nothing, and the other is ejected", true, func(_ *Router, p *pool.Pool, _, b *pool.Replica, _ *Query) {
+		{"a is resting and b is ejected", true, func(_ *Router, p *pool.Pool, _, b *pool.Replica, _ *Query) {
 			p.ObserveNotice(start, "a", start, pool.Notice{Rest: time.Second})
 			eject(start, b)
 		}, "b"},
-		{"the own zone's wanted nothing until a moment ago", true, func(_ *Router, p *pool.Pool, _, _ *pool.Replica, _ *Query) {
+		{"the rest of a has just ended", true, func(_ *Router, p *pool.Pool, _, _ *pool.Replica, _ *Query) {
 			p.ObserveNotice(start.Add(-time.Second), "a", start, pool.Notice{Rest: time.Second})
 		}, "a"},
-		{"the same, and a call shows whether it takes calls", true, func(_ *Router, p *pool.Pool, a, _ *pool.Replica, _ *Query) {
+		{"the rest of a has just ended and a trial call is in flight", true, func(_ *Router, p *pool.Pool, a, _ *pool.Replica, _ *Query) {
 			p.ObserveNotice(start.Add(-time.Second), "a", start, pool.Notice{Rest: time.Second})
 			a.Start(start, 1)
 		}, "b"},
-		{"the same, for a call that could not be repeated", true, func(_ *Router, p *pool.Pool, _, _ *pool.Replica, q *Query) {
+		{"the rest of a has just ended, for a call without a retry", true, func(_ *Router, p *pool.Pool, _, _ *pool.Replica, q *Query) {
 			p.ObserveNotice(start.Add(-time.Second), "a", start, pool.Notice{Rest: time.Second})
 			q.Sure = true
 		}, "b"},
-		{"the same, of both", true, func(_ *Router, p *pool.Pool, _, _ *pool.Replica, q *Query) {
+		{"the rests of both have just ended, for a call without a retry", true, func(_ *Router, p *pool.Pool, _, _ *pool.Replica, q *Query) {
 			p.ObserveNotice(start.Add(-time.Second), "a", start, pool.Notice{Rest: time.Second})
 			p.ObserveNotice(start.Add(-time.Second), "b", start, pool.Notice{Rest: time.Second})
 			q.Sure = true
 		}, "a"},
-		{"the own zone's said that it leaves", true, func(_ *Router, p *pool.Pool, _, _ *pool.Replica, _ *Query) {
+		{"a said that it is leaving", true, func(_ *Router, p *pool.Pool, _, _ *pool.Replica, _ *Query) {
 			p.ObserveNotice(start, "a", start, pool.Notice{Leaving: true})
 		}, "b"},
-		{"both said a moment ago that they leave", true, func(_ *Router, p *pool.Pool, _, _ *pool.Replica, _ *Query) {
+		{"both said 0.9 s ago that they are leaving", true, func(_ *Router, p *pool.Pool, _, _ *pool.Replica, _ *Query) {
 			p.ObserveNotice(start.Add(-900*time.Millisecond), "a", start, pool.Notice{Leaving: true})
 			p.ObserveNotice(start.Add(-900*time.Millisecond), "b", start, pool.Notice{Leaving: true})
 		}, "a"},
-		{"both said a while ago that they leave", true, func(_ *Router, p *pool.Pool, _, _ *pool.Replica, _ *Query) {
+		{"both said 1 s ago that they are leaving", true, func(_ *Router, p *pool.Pool, _, _ *pool.Replica, _ *Query) {
 			p.ObserveNotice(start.Add(-time.Second), "a", start, pool.Notice{Leaving: true})
 			p.ObserveNotice(start.Add(-time.Second), "b", start, pool.Notice{Leaving: true})
 		}, ""},
@@ -155,15 +155,15 @@
 				p.Announce(start, r.Name, leaving)
 			}
 		}, ""},
-		{"both said that they leave, and another has the address of one", true, func(_ *Router, p *pool.Pool, _, _ *pool.Replica, _ *Query) {
+		{"both said that they are leaving, and a has terminated", true, func(_ *Router, p *pool.Pool, _, _ *pool.Replica, _ *Query) {
 			p.ObserveNotice(start, "a", start, pool.Notice{Leaving: true})
 			p.ObserveNotice(start, "b", start, pool.Notice{Leaving: true})
 			p.MarkTerminated("a")
 		}, "b"},
-		{"the own zone's entry went", true, func(_ *Router, p *pool.Pool, _, _ *pool.Replica, _ *Query) {
+		{"the entry of a has vanished", true, func(_ *Router, p *pool.Pool, _, _ *pool.Replica, _ *Query) {
 			p.MarkVanished(start, "a", clock.Instant{})
 		}, "b"},
-		{"the own zone's must load the item first", true, func(_ *Router, _ *pool.Pool, _, _ *pool.Replica, q *Query) {
+		{"a must load the item first", true, func(_ *Router, _ *pool.Pool, _, _ *pool.Replica, q *Query) {
 			q.LoadCost = func(r *pool.Replica) (time.Duration, bool) {
 				if r.Name == "a" {
 					return 50 * time.Millisecond, true
@@ -171,10 +171,10 @@
 				return 0, true
 			}
 		}, "b"},
-		{"the own zone's cannot load the item", true, func(_ *Router, _ *pool.Pool, _, _ *pool.Replica, q *Query) {
+		{"a cannot load the item", true, func(_ *Router, _ *pool.Pool, _, _ *pool.Replica, q *Query) {
 			q.LoadCost = func(r *pool.Replica) (time.Duration, bool) { return 0, r.Name != "a" }
 		}, "b"},
-		{"a plain replica that is full", false, func(_ *Router, _ *pool.Pool, a, _ *pool.Replica, q *Query) {
+		{"a is a plain replica and full", false, func(_ *Router, _ *pool.Pool, a, _ *pool.Replica, q *Query) {
 			q.Model = ModelSize{}
 			for id := range uint64(4) {
 				a.Start(start, id)
@@ -185,12 +185,12 @@
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
 			p, a, b := twoReplicas(c.engine, 4)
-			f := NewRouter()
+			router := NewRouter()
 			q := Query{Zone: "z", Model: weight, Tokens: 3000, Chain: chain}
 			if c.prepare != nil {
-				c.prepare(f, p, a, b, &q)
+				c.prepare(router, p, a, b, &q)
 			}
-			best, ok := f.Choose(start, q, p.Serving("s"))
+			best, ok := router.Choose(start, q, p.Serving("s"))
 			is.Equal(ok, c.want != "")
 			if ok {
 				is.Equal(best.Replica.Name, c.want)
--- a/core/route/parts.go
+++ b/core/route/parts.go
@@ -7,24 +7,24 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// A PromptPart is one shared part of a prompt, as its caller names it.
+// A PromptPart is one shared part of a prompt, identified by its caller.
 type PromptPart struct {
 	ID     uint64
 	Tokens int
 }
 
-// A link is one part of a chain: its hash covers the model and every part up to
-// and including this one, so that equal hashes mean equal prompts up to there.
+// A link is one part of a chain. Its hash covers the model and all parts up to and
+// including this one, so equal hashes mean equal prompts up to this part.
 type link struct {
 	hash   uint64
-	tokens int // of this part alone
+	tokens int // number of tokens of this part alone
 }
 
-// A HashChain is the hashed form of a prompt's parts on one model or adapter. An
-// engine reuses a part only for the same model and after the same parts.
+// A HashChain holds the chained hashes of a prompt's parts for one model or adapter. An
+// engine reuses a cached part only for the same model and after the same parts.
 type HashChain struct{ links []link }
 
-// NewHashChain returns the chain of a prompt's parts on an item.
+// NewHashChain returns the chain of a prompt's parts for an item (a model or adapter).
 func NewHashChain(item string, parts []PromptPart) HashChain {
 	c := HashChain{links: make([]link, 0, len(parts))}
 	hash := xxhash.Sum64String(item)
@@ -38,7 +38,7 @@
 	return c
 }
 
-// First returns the hash of the first part; ok is false for a chain without parts.
+// First returns the hash of the first part; ok is false if the chain is empty.
 func (c HashChain) First() (hash uint64, ok bool) {
 	if len(c.links) == 0 {
 		return 0, false
@@ -46,21 +46,22 @@
 	return c.links[0].hash, true
 }
 
-// A PrefixCache is what this instance believes one engine's prompt memory to hold:
-// the parts that it sent there last, up to a number of tokens.
+// A PrefixCache is this instance's model of one engine's prefix cache: the parts that
+// it sent there most recently, up to a number of tokens.
 type PrefixCache struct {
 	capacity int
 	tokens   int
-	recent   *list.List // of link, most recent first
+	recent   *list.List // of link, most recently used first
 	byHash   map[uint64]*list.Element
 }
 
-// NewPrefixCache returns an empty cache of so many tokens.
+// NewPrefixCache returns an empty cache with a capacity in tokens.
 func NewPrefixCache(capacity int) *PrefixCache {
 	return &PrefixCache{capacity: capacity, recent: list.New(), byHash: map[uint64]*list.Element{}}
 }
 
-// Add notes that a prompt with this chain was read.
+// Add records that a prompt with this chain was read, and evicts the least recently used
+// parts beyond the capacity.
 func (c *PrefixCache) Add(chain HashChain) {
 	for _, l := range chain.links {
 		if el, ok := c.byHash[l.hash]; ok {
@@ -77,7 +78,8 @@
 	}
 }
 
-// CachedTokens returns the tokens of the chain's leading parts that the cache holds.
+// CachedTokens returns the number of tokens of the chain's leading parts that are in the
+// cache. A nil cache holds nothing.
 func (c *PrefixCache) CachedTokens(chain HashChain) int {
 	if c == nil {
 		return 0
--- a/core/route/speed.go
+++ b/core/route/speed.go
@@ -2,42 +2,42 @@
 
 import "time"
 
-// How fast engines read prompts, as learnt from the first events of calls.
+// The prefill speed of engines, estimated from the times to the first event of calls.
 
 const (
-	// defaultOverhead is what a first event takes beside reading the prompt, before
-	// any was seen: connecting, one step of the engine, the way back. The prior weighs
-	// as much as priorSamples calls.
+	// defaultOverhead is the assumed time to the first event beside reading the prompt
+	// (connecting, one step of the engine, the way back) until there are measurements.
+	// The defaults count as much as priorSamples calls.
 	defaultOverhead = 15 * time.Millisecond
-	// defaultTokenTime is how long an engine is believed to read one prompt token
-	// of a model of which no call was seen; see defaultOverhead.
+	// defaultTokenTime is the assumed time to read one prompt token for a model without
+	// measurements; see defaultOverhead.
 	defaultTokenTime = 25 * time.Microsecond
-	// minTokenTime keeps an estimate above zero: below the speed of any engine
-	// known.
+	// minTokenTime keeps estimates above zero. It is less than the time per token of
+	// any known engine.
 	minTokenTime = 500 * time.Nanosecond
-	// priorSamples is how many measurements of each end of the line the defaults
-	// weigh as much as.
+	// priorSamples is the number of measurements that the defaults count as, at each
+	// end of the default line.
 	priorSamples = 2
-	// priorTokens is the prompt at the far end of the default line: about a prompt
-	// of the users.
+	// priorTokens is the prompt length, in tokens, at the far end of the default line:
+	// about the length of the users' prompts.
 	priorTokens = 1000
-	// decayFactor is what a measurement still counts for after the next one: some thirty
-	// calls make up an estimate.
+	// decayFactor is the factor by which each new measurement reduces the weight of the
+	// earlier ones, so that an estimate rests on about thirty calls.
 	decayFactor = 0.97
-	// outlierFactor bounds a measurement to this multiple of what was expected: what
-	// else happens at an engine makes some first events late by any amount.
+	// outlierFactor caps a measurement at this multiple of the expected value, since
+	// other work at an engine delays some first events by arbitrary amounts.
 	outlierFactor = 1.5
 )
 
-// A prefillSpeed is a straight line through the times to the first event over the prompt
-// tokens read for it, by least squares. What is the same for every prompt must not
-// count as reading: taken for it, a small model's prompts would be believed to take
-// up to ten times as long as they do, and so the queue at its engines.
+// A prefillSpeed is a least-squares line through the times to the first event, as a
+// function of the number of prompt tokens read. The constant part must not count as
+// prefill: otherwise the prefill time of a small model would be overestimated up to ten
+// times, and with it the queue at its engines.
 type prefillSpeed struct {
 	n, x, y, xx, xy float64 // sums over samples; x in tokens, y in seconds
 }
 
-// newPrefillSpeed returns a speed that knows the defaults.
+// newPrefillSpeed returns a speed that holds only the defaults.
 func newPrefillSpeed() prefillSpeed {
 	var s prefillSpeed
 	s.add(0, defaultOverhead.Seconds(), priorSamples)
@@ -45,6 +45,7 @@
 	return s
 }
 
+// add adds a sample of x tokens and y seconds with the given weight.
 func (s *prefillSpeed) add(x, y, weight float64) {
 	s.n += weight
 	s.x += weight * x
@@ -77,7 +78,7 @@
 	return max(minTokenTime, time.Duration(slope*float64(time.Second)))
 }
 
-// overhead returns what a first event takes beside reading the prompt.
+// overhead returns the time to the first event beside reading the prompt.
 func (s prefillSpeed) overhead() time.Duration {
 	return max(0, time.Duration((s.y-s.tokenTime().Seconds()*s.x)/s.n*float64(time.Second)))
 }
--- a/core/route/speed_test.go
+++ b/core/route/speed_test.go
@@ -7,16 +7,16 @@
 	"github.com/matryer/is"
 )
 
-// TestPrefillSpeedEstimate: a measured model is estimated by its own speed, one of
-// the same size by that of others, and one of another size by the default. What a
-// first event takes beside reading does not count as reading, nor does a wait that
-// had another cause.
+// TestPrefillSpeedEstimate checks that a model with measurements is estimated by its own
+// speed, a model of the same size by the speed of the others of that size, and a model
+// of another size by the default. Overhead beside reading must not count as reading, nor
+// must a delay with another cause.
 func TestPrefillSpeedEstimate(t *testing.T) {
 	for _, tt := range []struct {
 		name     string
 		overhead time.Duration
 		perToken time.Duration
-		hiccups  bool // every tenth first event waits for something else
+		hiccups  bool // every tenth first event is delayed by something else
 	}{
 		{name: "a slow model", overhead: 15 * time.Millisecond, perToken: 50 * time.Microsecond},
 		{name: "a fast model", overhead: 18 * time.Millisecond, perToken: 3 * time.Microsecond},
@@ -24,22 +24,22 @@
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
-			f := NewRouter()
+			router := NewRouter()
 			known, same, other := ModelSize{"m", 70}, ModelSize{"n", 70}, ModelSize{"o", 80}
-			is.Equal(f.PrefillTokenTime(known), defaultTokenTime)
+			is.Equal(router.PrefillTokenTime(known), defaultTokenTime)
 			for i := range 60 {
 				tokens := 300 + 37*(i*7%40)
 				took := tt.overhead + time.Duration(tokens)*tt.perToken
 				if tt.hiccups && i%10 == 9 {
 					took += time.Second
 				}
-				f.ObserveFirstEvent(known, tokens, took)
+				router.ObserveFirstEvent(known, tokens, took)
 			}
 			const tolerance = 2 * time.Microsecond
-			is.True(f.PrefillTokenTime(known) > tt.perToken-tolerance)
-			is.True(f.PrefillTokenTime(known) < tt.perToken+tolerance)
-			is.Equal(f.PrefillTokenTime(same), f.PrefillTokenTime(known))
-			is.Equal(f.PrefillTokenTime(other), defaultTokenTime)
+			is.True(router.PrefillTokenTime(known) > tt.perToken-tolerance)
+			is.True(router.PrefillTokenTime(known) < tt.perToken+tolerance)
+			is.Equal(router.PrefillTokenTime(same), router.PrefillTokenTime(known))
+			is.Equal(router.PrefillTokenTime(other), defaultTokenTime)
 		})
 	}
 }
