--- a/core/forwarding/attempts.go
+++ b/core/forwarding/attempts.go
@@ -13,9 +13,9 @@
 	"github.com/birchdrift/birchdrift/core/pool"
 )
 
-// What becomes of a call once it is sent.
+// Handling of calls that were sent to a replica.
 
-// answerBegan takes in the first event of the answer.
+// answerBegan handles the first event of the answer.
 func (f *Forwarder) answerBegan(now clock.Instant, c *calls.Call) {
 	s := stateOf(c)
 	s.lastAttempt.firstEventAt = now
@@ -30,7 +30,7 @@
 	}
 }
 
-// served logs an answer that is whole, and how long its parts took.
+// served logs a complete answer and its timing.
 func (f *Forwarder) served(now clock.Instant, c *calls.Call, e calls.Completed) {
 	s := stateOf(c)
 	f.Quarantine.Served(now, c.Forward.Fingerprint)
@@ -39,11 +39,12 @@
 		"pause_ms", e.Pause.Milliseconds(), "total_ms", now.Since(c.Arrived).Milliseconds())
 }
 
-// attemptFailed decides what follows an attempt that did not come to its proper end.
+// attemptFailed retries or ends a call whose attempt failed, or requests a permit for the
+// retry.
 func (f *Forwarder) attemptFailed(now clock.Instant, c *calls.Call, b calls.AttemptFailed) {
 	s := stateOf(c)
 	if s.lastAttempt.replicaRestarted {
-		b.Severed = true // by the end of its replica, whatever showed that here
+		b.Severed = true // the replica ended, however the attempt failed here
 	}
 	f.updateReplica(now, c, b)
 	c.History = c.History.WithFailure(b.Phase)
@@ -60,13 +61,13 @@
 	}
 }
 
-// A failure is an attempt that failed at a replica.
+// A failure is a failed attempt and the name of its replica.
 type failure struct {
 	calls.AttemptFailed
 	replica string
 }
 
-// retry has a call whose attempt failed look for another replica.
+// retry finds another replica for a call whose attempt failed.
 func (f *Forwarder) retry(now clock.Instant, c *calls.Call, b failure) {
 	s := stateOf(c)
 	f.Out.Log(logevent.CallRetried, "call", c.Forward.Name, "fingerprint", c.Forward.Fingerprint.String(),
@@ -74,20 +75,20 @@
 	c.Phase = calls.Waiting
 	s.probe = probe{}
 	if b.Severed {
-		s.notBefore = clock.Instant{} // the replica may have ended under it
+		s.notBefore = clock.Instant{} // the replica may have crashed under the call
 	}
 	f.findReplica(now, c)
 }
 
-// endUnretried ends a call whose attempt failed.
+// endUnretried ends a call whose attempt failed and logs why it is not retried.
 func (f *Forwarder) endUnretried(c *calls.Call, b failure, reason retryVerdict) {
 	f.Out.Log(logevent.CallNotRepeated, "call", c.Forward.Name, "fingerprint", c.Forward.Fingerprint.String(),
 		"replica", b.replica, "severed", b.Severed, "reason", reason.String())
 	f.end(c, stateOf(c), b.Status, b.Detail)
 }
 
-// requestRetryPermit has a call wait for a permit to be repeated, since this instance's own part of
-// the budget is used up.
+// requestRetryPermit makes a call wait for a permit to be retried, since this instance's
+// own part of the retry budget is used up.
 func (f *Forwarder) requestRetryPermit(now clock.Instant, c *calls.Call, b failure) {
 	s := stateOf(c)
 	s.pendingRetry = &b
@@ -95,7 +96,7 @@
 	f.Permits.RequestForRetry(now, c.Service, c.ID, s.route.Priority, f.permitTimeout(now, c))
 }
 
-// retryPermitDecided takes in what came of that.
+// retryPermitDecided retries the call if the permit was granted, and ends it otherwise.
 func (f *Forwarder) retryPermitDecided(now clock.Instant, c *calls.Call, granted bool) {
 	s := stateOf(c)
 	b := *s.pendingRetry
@@ -107,20 +108,21 @@
 	f.endUnretried(c, b, overBudget)
 }
 
-// rests reports whether a replica wants nothing from this instance.
+// rests reports whether a replica is resting, that is, asked this instance to send it
+// nothing for a while.
 func (f *Forwarder) rests(now clock.Instant, replica string) bool {
 	r := f.Pool.Get(replica)
 	return r != nil && r.Resting(now)
 }
 
-// record takes in how an attempt at a replica ended. One that turned the call away for a rest
-// may get it again after that.
+// record records how an attempt at a replica ended. A replica that refused the call and
+// asked for rest may get the call again after the rest.
 func (p *progress) record(replica pool.Incarnation, b calls.AttemptFailed, rests bool) {
 	p.relayable = b.Relayable
 	p.answerStarted = p.answerStarted || b.Delivered > 0
 	switch b.Phase {
 	case attempt.NotSent:
-		p.unsent++ // it counts as down for a while, and may be tried again after that
+		p.unsent++ // the replica counts as down for a while and may be tried again afterwards
 		return
 	case attempt.Refused:
 		p.refusals++
@@ -133,8 +135,8 @@
 	p.tried = append(p.tried, replica)
 }
 
-// end gives a call whose attempts are over its final answer. status is the HTTP
-// status of the last one, 0 if none came.
+// end gives a call its final answer after its last attempt. status is the HTTP status of
+// that attempt, 0 if there was none.
 func (f *Forwarder) end(c *calls.Call, s *state, status int, detail string) {
 	run := c.History.RunState()
 	switch {
@@ -149,7 +151,7 @@
 	}
 }
 
-// relay passes on the replica's own failing answer.
+// relay passes on the replica's own error response.
 func (f *Forwarder) relay(c *calls.Call, status int) {
 	f.Out.Log(logevent.CallFailed, "call", c.Forward.Name, "service", c.Service, "code", int(code.UpstreamRefused),
 		"run", string(c.History.RunState()), "status", status, "detail", "the replica's own answer")
@@ -157,8 +159,8 @@
 	f.Calls.Remove(c)
 }
 
-// updateReplica takes in what an attempt that failed says of its replica. Of one that has
-// started again since it says nothing.
+// updateReplica updates the state of the replica after a failed attempt. An attempt at an
+// earlier incarnation says nothing about a replica that has restarted since.
 func (f *Forwarder) updateReplica(now clock.Instant, c *calls.Call, b calls.AttemptFailed) {
 	r := f.Pool.Get(c.Replica)
 	switch {
@@ -178,7 +180,7 @@
 		r.MarkRefused(now, c.Item)
 	case b.Phase == attempt.Refused:
 		r.DropCall(uint64(c.ID))
-		if !r.Resting(now) { // else it said itself for how long
+		if !r.Resting(now) { // a resting replica said itself for how long
 			r.MarkRefused(now, c.Item)
 		}
 	case b.Phase == attempt.NotSent:
@@ -188,7 +190,7 @@
 			f.Quarantine.ReplicaEnded(now, r.Incarnation())
 		}
 	case b.Relayable:
-		// The replica works; that it failed a call may lie in the call.
+		// The replica works; the call itself may be the cause of the failure.
 		r.End(now, uint64(c.ID), c.Started, false)
 	default:
 		f.Pool.CallFailed(now, r, uint64(c.ID), c.Started)
@@ -198,8 +200,9 @@
 	}
 }
 
-// ReplicaRestarted takes in that a replica has started again: what was at its former life ended
-// with it. Calls whose connections do not show that would wait there for nothing.
+// ReplicaRestarted interrupts the calls at a replica that has restarted: they ended with
+// its previous incarnation. Calls whose connections do not show that would otherwise wait
+// in vain.
 func (f *Forwarder) ReplicaRestarted(now clock.Instant, replica string) {
 	for _, c := range f.Calls.All() {
 		if c.Forward == nil || c.Phase != calls.Running || c.Replica != replica {
@@ -210,11 +213,11 @@
 	}
 }
 
-// expireInterval spaces the looks for calls whose time is over.
+// expireInterval is the time between two checks for expired calls.
 const expireInterval = 20 * time.Millisecond
 
-// Expire ends the calls whose time is over, at once, so that nobody is held for
-// nothing.
+// Expire ends the expired calls, if a check is due. They get an answer at once, so that
+// no caller waits in vain.
 func (f *Forwarder) Expire(now clock.Instant) {
 	if now.Before(f.nextExpire) {
 		return
@@ -225,18 +228,20 @@
 	}
 }
 
-// callerLeft takes in that a call's caller callerLeft while the replica had it.
+// callerLeft handles a caller that disconnected while its call ran at r.
 func (f *Forwarder) callerLeft(now clock.Instant, c *calls.Call, r *pool.Replica) {
 	f.Quarantine.CallerDisconnected(now, c.Forward.Fingerprint, r)
 }
 
-// quarantinedRefusal returns the refusal of a call whose request is not run for so long.
+// quarantinedRefusal returns the refusal of a call whose request is in quarantine for the
+// given time.
 func quarantinedRefusal(left time.Duration) code.Refusal {
 	return calls.NotRunRefusal(code.Quarantined, "", left)
 }
 
-// RefuseQuarantined ends the calls of a request that is not to be run any more. A replica that has not
-// begun to run one drops it when its connection closes, and is spared so.
+// RefuseQuarantined ends the calls of a request that has been put into quarantine for the
+// given time. A replica that has not begun to run such a call drops it when its connection
+// closes, and so does not crash.
 func (f *Forwarder) RefuseQuarantined(request crash.Fingerprint, left time.Duration) {
 	for _, c := range f.Calls.All() {
 		if c.Forward == nil || c.Forward.Fingerprint != request {
@@ -247,7 +252,8 @@
 	}
 }
 
-// abandon notes that a call's attempt, if one is under way, is not waited for.
+// abandon records that the result of a call's current attempt, if any, is no longer
+// awaited. The call may have run.
 func (f *Forwarder) abandon(c *calls.Call) {
 	if c.Phase != calls.Running {
 		return
@@ -258,9 +264,10 @@
 	c.History = c.History.WithFailure(attempt.MaybeSent)
 }
 
+// expire ends one call whose time limit has passed.
 func (f *Forwarder) expire(c *calls.Call) {
 	if c.Phase != calls.Running {
-		f.Calls.Refuse(c, calls.NotRunRefusal(code.TargetMissed, "it waited until its time was over", f.Calls.RetryAfter(0)))
+		f.Calls.Refuse(c, calls.NotRunRefusal(code.TargetMissed, "the call waited until its time limit", f.Calls.RetryAfter(0)))
 		return
 	}
 	f.abandon(c)
@@ -268,5 +275,5 @@
 	if stateOf(c).progress.answerStarted {
 		num = code.StreamCut
 	}
-	f.Calls.Refuse(c, code.Refusal{Code: num, Run: c.History.RunState(), Detail: "the time for which it may be held is over"})
+	f.Calls.Refuse(c, code.Refusal{Code: num, Run: c.History.RunState(), Detail: "the time limit of the call has passed"})
 }
--- a/core/forwarding/forwarding.go
+++ b/core/forwarding/forwarding.go
@@ -1,14 +1,15 @@
 // Package forwarding serves forwarded calls: those that a route of the
-// configuration sends to the replicas of a service as they came.
+// configuration sends unchanged to the replicas of a service.
 //
-// A call is admitted by its route, sent to the replica that should answer it
-// first (core/route), or waits for its adapter or model; after an attempt that
-// failed it is sent to another replica as far as that is harmless and the retry
-// budget allows; and it ends in time, with an answer that says whether it ran.
+// A call is admitted by its route. It is sent to the replica that is expected to
+// answer it first (core/route), or waits for its adapter or model. After a failed
+// attempt it is retried at another replica if that is safe and the retry budget
+// allows it. It ends within its time limit, with an answer that says whether it
+// ran.
 //
-// The package owns what a forwarded call has beside what every call has
-// (core/calls), and what was learnt of how fast engines read prompts. It relies
-// on core/orderclient for orders and on core/placement to hear of missed models.
+// The package owns the state that forwarded calls have in addition to that of all
+// calls (core/calls), and the measured prefill speeds. It relies on
+// core/orderclient for orders and reports missed models to core/placement.
 package forwarding
 
 import (
@@ -33,7 +34,7 @@
 	"github.com/birchdrift/birchdrift/core/watchers"
 )
 
-// Deps are what forwarding needs of the other modules.
+// Deps holds what a Forwarder needs from other packages.
 type Deps struct {
 	shared.State
 
@@ -42,46 +43,46 @@
 	Asks   *orderclient.Client
 	Roster *watchers.Roster
 	Demand *demand.Tracker
-	// Quarantine knows which requests are not to be run.
+	// Quarantine tracks which requests are in quarantine.
 	Quarantine *quarantine.Tracker
 	Permits    *permits.Permits
-	// Used notes that a call uses an item of an engine.
+	// Used records that a call uses an item of an engine.
 	Used func(now clock.Instant, engine, item string)
-	// ListAge returns how old the platform's list is here.
+	// ListAge returns the age of this instance's copy of the platform's list.
 	ListAge func(now clock.Instant) time.Duration
-	// Missed notes that a call found its model nowhere.
+	// Missed reports a miss: a call that found its model on no engine.
 	Missed func(now clock.Instant)
 }
 
 // A Forwarder serves forwarded calls.
 type Forwarder struct {
 	Deps
-	kind         calls.Handlers
+	handlers     calls.Handlers
 	router       *route.Router
-	probeBenefit probeBenefit  // whether calls ask engines how busy they are
-	nextExpire   clock.Instant // when to look for calls whose time is over
+	probeBenefit probeBenefit  // whether calls probe engines for their load
+	nextExpire   clock.Instant // when to check for expired calls
 }
 
-// A state is what a forwarded call has beside what every call has.
+// A state is the state of a forwarded call in addition to that of every call.
 type state struct {
 	route          *config.Forward
 	service        config.Service
 	request        modelRequest
 	progress       progress
 	lastAttempt    lastAttempt
-	orderWaits     int  // orders that it waited for
-	missReported   bool // it found its model on no engine
-	permitRequests int  // that it asked for
+	orderWaits     int  // number of orders that it waited for
+	missReported   bool // it found its model on no engine, and that was reported
+	permitRequests int  // number of permits that it requested
 	denials        []denial
-	pendingRetry   *failure // for which it waits for a permit to be repeated; nil: it does not
+	pendingRetry   *failure // the failure whose retry awaits a permit; nil: none
 	probe          probe
-	// notBefore is when it may be sent, if replicas ended under its request; zero: that
-	// was not looked at yet.
+	// notBefore is the earliest time at which the call may be sent, if replicas crashed
+	// under its request; zero: not determined yet.
 	notBefore clock.Instant
 }
 
-// A modelRequest is what a forwarded call asks of an engine; the zero value is that of
-// a call to a plain service.
+// A modelRequest describes the model that a forwarded call asks for. It is the zero
+// value for calls to a plain service.
 type modelRequest struct {
 	model   string
 	adapter string
@@ -89,46 +90,47 @@
 	size    route.ModelSize
 }
 
-// A progress is what came of the attempts so far.
+// A progress sums up the results of the attempts so far.
 type progress struct {
-	tried         []pool.Incarnation // replicas that failed it
+	tried         []pool.Incarnation // replicas that failed the call
 	possibleRuns  int                // attempts that may have run
-	refusals      int                // replicas that said they did not run it
-	unsent        int                // replicas that it could not be sent to
+	refusals      int                // replicas that reported that they did not run the call
+	unsent        int                // replicas that the call could not be sent to
 	answerStarted bool               // the head of an answer was passed on
-	relayable     bool               // the replica's own failing answer can be passed on
+	relayable     bool               // the replica's own error response can be passed on
 }
 
-// A lastAttempt is what was expected of the last attempt.
+// A lastAttempt is the state of the last attempt.
 type lastAttempt struct {
-	uncachedTokens   int           // prompt tokens believed to be read for it
-	onlyPrefill      bool          // no other prompt was being read there
-	firstEventAt     clock.Instant // when the first event came
-	replicaRestarted bool          // the replica has started again since
+	uncachedTokens   int           // prompt tokens that the engine is assumed to read
+	onlyPrefill      bool          // the engine was reading no other prompt
+	firstEventAt     clock.Instant // when the first event arrived
+	replicaRestarted bool          // the replica has restarted since
 }
 
-// New returns a forwarder that has seen no call.
-func New(n Deps) *Forwarder {
-	f := &Forwarder{Deps: n, router: route.NewRouter()}
-	f.kind = calls.Handlers{
+// New returns a forwarder without any calls.
+func New(deps Deps) *Forwarder {
+	f := &Forwarder{Deps: deps, router: route.NewRouter()}
+	f.handlers = calls.Handlers{
 		FindReplica:   f.findReplica,
 		AnswerBegan:   f.answerBegan,
 		AttemptFailed: f.attemptFailed,
 		Served:        f.served,
 		Left:          f.callerLeft,
-		Cancel:        func(*calls.Call, *pool.Replica) {}, // closing the connection is all there is
+		Cancel:        func(*calls.Call, *pool.Replica) {}, // closing the connection suffices
 		NotRun:        func(*calls.Call) {},
 		LeftQueue:     func(*calls.Call) {},
 	}
 	return f
 }
 
+// stateOf returns the state of a forwarded call.
 func stateOf(c *calls.Call) *state { return c.State.(*state) }
 
-// Arrive takes a call in, or refuses it. refusing says that this instance takes
-// no more calls since it stops.
+// Arrive admits a new call or refuses it. refusing reports whether this instance is
+// stopping and admits no more calls.
 func (f *Forwarder) Arrive(now clock.Instant, r calls.Request, refusing bool) {
-	c := &calls.Call{Request: r, Kind: &f.kind, Arrived: now, Phase: calls.Waiting}
+	c := &calls.Call{Request: r, Kind: &f.handlers, Arrived: now, Phase: calls.Waiting}
 	if refusal, ok := f.admit(now, c, refusing); !ok {
 		f.Calls.RefuseNew(c, refusal)
 		return
@@ -137,8 +139,8 @@
 	f.findReplica(now, c)
 }
 
-// admit fills in what the configuration says of the call, or returns why it is
-// refused. Nothing has been sent anywhere at this point.
+// admit fills in the call from the configuration, or returns why it is refused.
+// Nothing has been sent to a replica at this point.
 func (f *Forwarder) admit(now clock.Instant, c *calls.Call, refusing bool) (code.Refusal, bool) {
 	if refusal, ok := calls.CheckAdmission(refusing, f.Config.Loaded()); !ok {
 		return refusal, false
@@ -179,10 +181,10 @@
 	return code.Refusal{}, true
 }
 
-// setModel fills in what the call asks of an engine.
+// setModel fills in the model request of the call.
 func (f *Forwarder) setModel(c *calls.Call, s *state) {
 	c.Item = pool.ItemName(c.Forward.Model, c.Forward.Adapter)
-	facts, _ := s.service.Announced.Engine.Model(c.Forward.Model) // one that is not configured weighs nothing
+	facts, _ := s.service.Announced.Engine.Model(c.Forward.Model) // a model that is not configured has size 0
 	s.request = modelRequest{
 		model:   c.Forward.Model,
 		adapter: c.Forward.Adapter,
@@ -191,22 +193,23 @@
 	}
 }
 
-// priorityPerRank is the difference in priority between two ranks of routes: ten
-// ranks fill the range of priorities.
+// priorityPerRank is the difference in priority between adjacent ranks of routes: ten
+// ranks cover the range of priorities.
 const priorityPerRank = 10
 
-// rankPriority turns a route's rank, 0 first, into a policy's priority.
+// rankPriority converts a route's rank, of which 0 is the most urgent, into a priority
+// on the scale of policies.
 func rankPriority(rank int) int { return max(0, policy.MaxPriority-priorityPerRank*(rank+1)) }
 
 const (
-	// decodeTime is the engine time that one token of an answer takes beside
-	// others.
+	// decodeTime is the engine time for one token of an answer while the engine serves
+	// other calls too.
 	decodeTime = 100 * time.Microsecond
-	// uncachedShare is the part of a prompt that is believed to be read anew.
+	// uncachedShare is the share of a prompt that is assumed not to be cached.
 	uncachedShare = 0.6
 )
 
-// estimateWork returns the engine time that a call is believed to take.
+// estimateWork returns the estimated engine time for a call.
 func (f *Forwarder) estimateWork(c *calls.Call, s *state) time.Duration {
 	out := c.Forward.LengthHint
 	if out == 0 {
@@ -216,7 +219,8 @@
 	return read + time.Duration(out)*decodeTime
 }
 
-// OrderDone has a call that waited for an order look for its replica again.
+// OrderDone handles the end of the order that a call waited for: the call chooses its
+// replica again.
 func (f *Forwarder) OrderDone(now clock.Instant, id calls.ID) {
 	if c := f.Calls.Get(id); c != nil && c.Phase == calls.AwaitingOrder {
 		c.Phase = calls.Waiting
--- a/core/forwarding/forwarding_test.go
+++ b/core/forwarding/forwarding_test.go
@@ -69,7 +69,7 @@
 	}
 	c := &calls.Call{
 		Request: calls.Request{ID: 1, Service: "s", Forward: &calls.ForwardRequest{Name: "call"}},
-		Kind:    &f.kind, State: s, Phase: calls.Running, Arrived: start, Target: time.Second, Expires: start.Add(5 * time.Second),
+		Kind:    &f.handlers, State: s, Phase: calls.Running, Arrived: start, Target: time.Second, Expires: start.Add(5 * time.Second),
 		History: attempt.New(s.route.MayRepeat()),
 	}
 	f.Calls.Add(c)
