--- a/core/forwarding/overload.go
+++ b/core/forwarding/overload.go
@@ -11,75 +11,79 @@
 	"github.com/birchdrift/birchdrift/core/step"
 )
 
-// Which calls wait, or are refused at once, since the engines of their model are
+// Load shedding: calls wait or are refused at once while the engines of their model are
 // overloaded.
 //
-// A queue that has grown beyond the target makes every later call late, and the engine
-// spends its time on prompts whose callers leave before the first event. Refusing what
-// cannot be in time keeps the queue at the target: as many calls as the engine can read
-// are then answered in time, and the others come back when the queue should have gone.
+// Once a queue exceeds the latency target, every later call is late, and the engine
+// spends its time on prompts whose callers disconnect before the first event. Refusing
+// calls that cannot be in time keeps the queue at the target: as many calls as the
+// engine can read are then answered in time, and the others are retried when the queue
+// should have drained.
 
 const (
-	// lateFactor is how far beyond its target a call may be expected to be answered and
-	// still be sent: estimates err, mostly upwards.
+	// lateFactor is the multiple of its latency target up to which a call may be expected
+	// to be answered and is still sent. Estimates err, mostly upwards.
 	lateFactor = 1.5
-	// otherPrefillShare is the share of the longest pause allowed that other prompts may take
-	// at an engine whose streams one more would stretch: a long prompt alone is sent.
+	// otherPrefillShare is the share of the longest acceptable pause that other prompts
+	// may take at an engine whose streams another prompt would delay. A long prompt alone
+	// is still sent.
 	otherPrefillShare = 0.3
-	// holdShare is the part of its target until which a call's first event may be
-	// expected for the call to wait before crowded engines. The rest is for estimates
-	// that err.
+	// holdShare is the share of its latency target by which a call's first event must be
+	// expected for the call to wait for engines with a large prefill backlog. The rest
+	// allows for errors of the estimate.
 	holdShare = 0.5
 )
 
-// A forecast is what awaits a call at the best engine for it.
+// A forecast is the expected service of a call at the best engine for it.
 type forecast struct {
-	// expected is the time from the call's arrival to its first event. What speaks against
-	// the engine counts as the time that it may cost.
+	// expected is the time from the call's arrival to its first event. Signs of trouble at
+	// the engine are included as the time that they may cost.
 	expected       time.Duration
-	target         time.Duration // in which that is due; 0: any time
-	prefillBacklog time.Duration // prompts that the engine reads without a break, with the call's own
-	ownPrefill     time.Duration // the call's own
-	gap            time.Duration // longest pause that keeps the engine's streams in time; 0: any
+	target         time.Duration // latency target for the first event; 0: none
+	prefillBacklog time.Duration // uninterrupted prefill work at the engine, including the call's own
+	ownPrefill     time.Duration // prefill work of the call's own prompt
+	gap            time.Duration // longest acceptable pause in the engine's streams; 0: any
 }
 
-// tooLate reports whether the answer would come too tooLate to be of use.
-func (p forecast) tooLate() bool {
-	return p.target > 0 && float64(p.expected) > lateFactor*float64(p.target)
+// tooLate reports whether the answer would come too late to be useful.
+func (fc forecast) tooLate() bool {
+	return fc.target > 0 && float64(fc.expected) > lateFactor*float64(fc.target)
 }
 
-// delaysStreams reports whether the call's prompt, behind others, would make the streams late
-// that the engine is sending: a step of all of them waits for each piece of a prompt.
-func (p forecast) delaysStreams() bool {
-	return p.gap > 0 && p.prefillBacklog > p.gap && float64(p.prefillBacklog-p.ownPrefill) > otherPrefillShare*float64(p.gap)
+// delaysStreams reports whether the call's prompt, queued behind others, would delay the
+// streams that the engine is sending: each step of all streams waits for a piece of a
+// prompt.
+func (fc forecast) delaysStreams() bool {
+	return fc.gap > 0 && fc.prefillBacklog > fc.gap && float64(fc.prefillBacklog-fc.ownPrefill) > otherPrefillShare*float64(fc.gap)
 }
 
-// mayWait reports whether the call can wait for the engine to have read other prompts
-// and still be answered in time.
-func (p forecast) mayWait() bool {
-	return float64(p.expected) < holdShare*float64(p.target)
+// mayWait reports whether the call can wait until the engine has read other prompts and
+// still be answered in time.
+func (fc forecast) mayWait() bool {
+	return float64(fc.expected) < holdShare*float64(fc.target)
 }
 
-// A sheddingDecision says what becomes of a call to overloaded engines.
+// A sheddingDecision says whether a call to overloaded engines is sent, held back or
+// refused.
 type sheddingDecision int
 
-// The verdicts.
+// The decisions.
 const (
 	sendNow  sheddingDecision = iota
-	holdBack                  // until the engines have less to read
+	holdBack                  // until the engines have a smaller prefill backlog
 	refuseNow
 )
 
-// decide decides what becomes of the call; waited says that it was held before. One
-// that has waited as long as it may is sent if it can be in time, and so is one without
-// a target, which is never late.
-func (p forecast) decide(waited bool) sheddingDecision {
+// decide returns the decision for the call; waited reports whether it was held back
+// before. A call that has waited as long as it may is sent if it can be in time. So is a
+// call without a latency target, which is never late.
+func (fc forecast) decide(waited bool) sheddingDecision {
 	switch {
-	case p.tooLate():
+	case fc.tooLate():
 		return refuseNow
-	case !p.delaysStreams(), p.target == 0:
+	case !fc.delaysStreams(), fc.target == 0:
 		return sendNow
-	case p.mayWait():
+	case fc.mayWait():
 		return holdBack
 	case waited:
 		return sendNow
@@ -88,38 +92,38 @@
 	}
 }
 
-// shed holds a call back that would make others late, or refuses one that even the best
-// engine cannot serve in time, and reports whether it did either. One that may have run
-// is sent.
+// shed holds back a call that would make others late, or refuses a call that even the
+// best engine cannot serve in time, and reports whether it did either. A call that may
+// have run is always sent.
 func (f *Forwarder) shed(now clock.Instant, c *calls.Call, best route.Estimate) bool {
 	s := stateOf(c)
 	if c.Item == "" || c.History.RunState() != code.NotRun || s.progress.answerStarted {
 		return false
 	}
-	p := forecast{
-		// Whether it can wait for its turn at a replica that names a limit shows there.
+	fc := forecast{
+		// The wait for a rate limit is left out; requestPermit decides about it.
 		expected:       now.Since(c.Arrived) + best.Total() - best.Turn,
 		target:         c.Target,
 		prefillBacklog: best.Reading,
 		ownPrefill:     best.Prefill,
 		gap:            s.route.MaxEventGap,
 	}
-	switch p.decide(f.Calls.Queued(c)) {
+	switch fc.decide(f.Calls.Queued(c)) {
 	case holdBack:
 		f.hold(c)
 	case refuseNow:
 		after := max(noReplicaRetryAfter, step.Jitter(f.Rand, best.Total()-best.Turn-c.Target))
-		f.Calls.Refuse(c, calls.NotRunRefusal(code.TargetMissed, "the engines of its model have too much to read", after))
+		f.Calls.Refuse(c, calls.NotRunRefusal(code.TargetMissed, "the engines of its model are overloaded with prompts", after))
 	default:
 		return false
 	}
 	return true
 }
 
-// hold has a call wait until the engines of its model have less to read.
+// hold makes a call wait until the engines of its model have a smaller prefill backlog.
 func (f *Forwarder) hold(c *calls.Call) {
 	if !f.Calls.Queued(c) {
-		f.Out.Log(logevent.CallWaits, "call", c.Forward.Name, "item", c.Item, "for", "engines with less to read")
+		f.Out.Log(logevent.CallWaits, "call", c.Forward.Name, "item", c.Item, "for", "engines with a smaller backlog")
 	}
 	f.Calls.Enqueue(c)
 }
--- a/core/forwarding/overload_test.go
+++ b/core/forwarding/overload_test.go
@@ -14,37 +14,38 @@
 	"github.com/birchdrift/birchdrift/core/route"
 )
 
-// TestForecast tables which calls the engines of their model cannot serve well.
+// TestForecast checks when a call would be too late and when it would delay the streams
+// of its engine, at and just beyond each bound.
 func TestForecast(t *testing.T) {
 	const ms = time.Millisecond
 	for _, tt := range []struct {
-		name          string
-		p             forecast
-		late, crowded bool
+		name            string
+		forecast        forecast
+		tooLate, delays bool
 	}{
 		{"an idle engine", forecast{expected: 30 * ms, target: 400 * ms, prefillBacklog: 20 * ms, ownPrefill: 20 * ms, gap: 250 * ms}, false, false},
-		{"as late as may be", forecast{expected: 600 * ms, target: 400 * ms}, false, false},
+		{"latest allowed", forecast{expected: 600 * ms, target: 400 * ms}, false, false},
 		{"later", forecast{expected: 600*ms + 1, target: 400 * ms}, true, false},
 		{"no target", forecast{expected: time.Hour}, false, false},
-		{"as much to read as may be", forecast{prefillBacklog: 250 * ms, ownPrefill: 20 * ms, gap: 250 * ms}, false, false},
-		{"more to read", forecast{prefillBacklog: 250*ms + 1, ownPrefill: 20 * ms, gap: 250 * ms}, false, true},
+		{"largest backlog allowed", forecast{prefillBacklog: 250 * ms, ownPrefill: 20 * ms, gap: 250 * ms}, false, false},
+		{"larger backlog", forecast{prefillBacklog: 250*ms + 1, ownPrefill: 20 * ms, gap: 250 * ms}, false, true},
 		{"a long prompt almost alone", forecast{prefillBacklog: 375 * ms, ownPrefill: 300 * ms, gap: 250 * ms}, false, false},
 		{"a long prompt behind others", forecast{prefillBacklog: 376 * ms, ownPrefill: 300 * ms, gap: 250 * ms}, false, true},
-		{"any pause will do", forecast{prefillBacklog: time.Hour}, false, false},
+		{"any pause allowed", forecast{prefillBacklog: time.Hour}, false, false},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
-			is.Equal(tt.p.tooLate(), tt.late)
-			is.Equal(tt.p.delaysStreams(), tt.crowded)
+			is.Equal(tt.forecast.tooLate(), tt.tooLate)
+			is.Equal(tt.forecast.delaysStreams(), tt.delays)
 		})
 	}
 }
 
-// TestSheddingDecision: a call with time to spare waits rather than that it is
+// TestSheddingDecision checks that a call with time to spare waits instead of being
 // refused, and is sent once it has waited as long as it may.
 func TestSheddingDecision(t *testing.T) {
 	const ms = time.Millisecond
-	crowded := forecast{target: 5 * time.Second, prefillBacklog: 400 * ms, ownPrefill: 20 * ms, gap: 250 * ms}
+	backlogged := forecast{target: 5 * time.Second, prefillBacklog: 400 * ms, ownPrefill: 20 * ms, gap: 250 * ms}
 	for _, tt := range []struct {
 		name     string
 		expected time.Duration
@@ -53,15 +54,15 @@
 	}{
 		{"time to spare", 2500*ms - 1, false, holdBack},
 		{"still time to spare", 2500*ms - 1, true, holdBack},
-		{"none left, after a wait", 2500 * ms, true, sendNow},
-		{"none from the beginning", 2500 * ms, false, refuseNow},
+		{"no time to spare, after a wait", 2500 * ms, true, sendNow},
+		{"no time to spare from the beginning", 2500 * ms, false, refuseNow},
 		{"too late", 7501 * ms, true, refuseNow},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
-			p := crowded
-			p.expected = tt.expected
-			is.Equal(p.decide(tt.waited), tt.want)
+			fc := backlogged
+			fc.expected = tt.expected
+			is.Equal(fc.decide(tt.waited), tt.want)
 		})
 	}
 	is := is.New(t)
@@ -69,9 +70,9 @@
 	is.Equal(forecast{expected: time.Hour, prefillBacklog: 400 * ms, gap: 250 * ms}.decide(false), sendNow) // no target
 }
 
-// TestOverloadIsRefusedAtOnce: a call that no engine can serve in time is refused as not
-// run, with a time to come back; one that may have run is not, and neither is one to a
-// plain service.
+// TestOverloadIsRefusedAtOnce checks that a call that no engine can serve in time is
+// refused as not run, with a Retry-After. A call that may have run is not refused, and
+// neither is a call to a plain service.
 func TestOverloadIsRefusedAtOnce(t *testing.T) {
 	for _, tt := range []struct {
 		name    string
--- a/core/forwarding/permit.go
+++ b/core/forwarding/permit.go
@@ -14,31 +14,33 @@
 	"github.com/birchdrift/birchdrift/core/route"
 )
 
-// Calls to replicas that name a limit: every one needs a permit, whatever it is the try of.
+// Calls to rate-limited replicas: each attempt needs a permit, whether it is the first of
+// its call or a retry.
 
 const (
-	// permitWaitShare is the part of its target within which a call waits for its turn at a
-	// replica: the rest of it is for its answer (docs/design/limits.md).
+	// permitWaitShare is the share of its latency target for which a call waits for a
+	// permit. The rest is for its answer (docs/design/limits.md).
 	permitWaitShare = 0.5
-	// maxPermitRequests is how many permits one call asks for: each costs a way to another
-	// instance and back (docs/design/limits.md).
+	// maxPermitRequests is the number of permits that one call may request. Each request
+	// takes a round trip to another instance (docs/design/limits.md).
 	maxPermitRequests = 4
 )
 
-// A denial says that a replica takes no request of a call for now.
+// A denial records that a rate-limited replica takes no request of a call for now.
 type denial struct {
 	incarnation pool.Incarnation
-	until       clock.Instant // when it may take one
-	after       time.Duration // when the call's caller should come back for it
+	until       clock.Instant // when the replica may take a request
+	after       time.Duration // Retry-After for the caller
 }
 
-// rateLimited reports whether the replica names a limit.
+// rateLimited reports whether a rate limit of the replica is in force.
 func rateLimited(now clock.Instant, r *pool.Replica) bool {
 	_, ok := r.RateLimit(now)
 	return ok
 }
 
-// requestPermit has the call wait for a permit to its best replica.
+// requestPermit makes the call wait for a permit for its best replica. After
+// maxPermitRequests it counts as denied.
 func (f *Forwarder) requestPermit(now clock.Instant, c *calls.Call, q route.Query, best route.Estimate) {
 	s := stateOf(c)
 	if s.permitRequests >= maxPermitRequests {
@@ -55,53 +57,55 @@
 	f.Permits.RequestForCall(now, best.Replica, c.ID, s.route.Priority, wait, alone)
 }
 
-// permitWait returns how long the call may wait for its turn at a replica: while it can still
-// be in time, and no longer than a replica without a limit would take beyond that one; alone
-// says that there is none.
+// permitWait returns how long the call may wait for a permit: only while it can still be
+// in time, and no longer than the additional time that the best replica without a rate
+// limit would take; alone reports whether there is no such replica.
 func (f *Forwarder) permitWait(now clock.Instant, c *calls.Call, q route.Query, best route.Estimate) (wait time.Duration, alone bool) {
 	wait = f.permitTimeout(now, c)
-	free := slices.DeleteFunc(slices.Clone(f.Pool.Serving(c.Service)), func(r *pool.Replica) bool { return rateLimited(now, r) })
-	other, ok := f.router.Choose(now, q, free)
+	unlimited := slices.DeleteFunc(slices.Clone(f.Pool.Serving(c.Service)), func(r *pool.Replica) bool { return rateLimited(now, r) })
+	other, ok := f.router.Choose(now, q, unlimited)
 	if ok {
 		wait = min(wait, other.Total()-(best.Total()-best.Turn))
 	}
 	return max(0, wait), !ok
 }
 
-// permitTimeout returns how long the call may wait for a permit and still be in time.
+// permitTimeout returns how long the call may wait for a permit and still be answered in
+// time.
 func (f *Forwarder) permitTimeout(now clock.Instant, c *calls.Call) time.Duration {
 	return time.Duration(permitWaitShare*float64(c.Target)) - now.Since(c.Arrived)
 }
 
-// PermitDecided takes in what came of a call's request for a permit. A permit that is of no use
-// any more is given back.
-func (f *Forwarder) PermitDecided(now clock.Instant, id calls.ID, subject permits.Resource, v permits.Decision) {
+// PermitDecided handles the decision on a call's permit request: it sends or retries the
+// call, or chooses another replica. A permit that can no longer be used is released.
+func (f *Forwarder) PermitDecided(now clock.Instant, id calls.ID, resource permits.Resource, decision permits.Decision) {
 	c := f.Calls.Get(id)
-	waits := c != nil && c.Phase == calls.AwaitingPermit
-	if !waits {
-		if v.Granted {
-			f.Permits.Release(now, subject)
+	waiting := c != nil && c.Phase == calls.AwaitingPermit
+	if !waiting {
+		if decision.Granted {
+			f.Permits.Release(now, resource)
 		}
 		return
 	}
 	c.Phase = calls.Waiting
 	switch {
-	case subject.Service != "":
-		f.retryPermitDecided(now, c, v.Granted)
-	case !v.Granted:
-		f.recordDenial(now, stateOf(c), f.Pool.Get(subject.Replica.Name), v)
+	case resource.Service != "":
+		f.retryPermitDecided(now, c, decision.Granted)
+	case !decision.Granted:
+		f.recordDenial(now, stateOf(c), f.Pool.Get(resource.Replica.Name), decision)
 		f.findReplica(now, c)
-	case !f.usePermit(now, c, subject.Replica):
-		f.Permits.Release(now, subject)
+	case !f.usePermit(now, c, resource.Replica):
+		f.Permits.Release(now, resource)
 		f.findReplica(now, c)
 	}
 }
 
-// usePermit sends a call to the replica that it has a permit for, if that can still serve it.
-func (f *Forwarder) usePermit(now clock.Instant, c *calls.Call, life pool.Incarnation) bool {
+// usePermit sends a call to the replica that it has a permit for, if the replica can still
+// serve it, and reports whether it did.
+func (f *Forwarder) usePermit(now clock.Instant, c *calls.Call, incarnation pool.Incarnation) bool {
 	s := stateOf(c)
-	r := f.Pool.Get(life.Name)
-	if r == nil || r.Incarnation() != life || c.Item != "" && r.Phase(c.Item) != pool.Ready {
+	r := f.Pool.Get(incarnation.Name)
+	if r == nil || r.Incarnation() != incarnation || c.Item != "" && r.Phase(c.Item) != pool.Ready {
 		return false
 	}
 	if f.Quarantine.Remaining(now, c.Forward.Fingerprint) > 0 || f.mustDelay(now, c, s) {
@@ -114,29 +118,32 @@
 	return ok
 }
 
-// recordDenial notes that a replica, nil if it has gone, takes no request of the call for now.
-func (f *Forwarder) recordDenial(now clock.Instant, s *state, r *pool.Replica, v permits.Decision) {
+// recordDenial records that r takes no request of the call for now. A nil r, for a replica
+// that no longer exists, is ignored.
+func (f *Forwarder) recordDenial(now clock.Instant, s *state, r *pool.Replica, decision permits.Decision) {
 	if r != nil {
-		s.denials = append(s.denials, denial{incarnation: r.Incarnation(), until: now.Add(v.Turn), after: v.After})
+		s.denials = append(s.denials, denial{incarnation: r.Incarnation(), until: now.Add(decision.Turn), after: decision.After})
 	}
 }
 
-// activeDenials returns the replicas that take no request of the call now.
+// activeDenials returns the denials that are still in force.
 func (s *state) activeDenials(now clock.Instant) []denial {
 	return slices.DeleteFunc(slices.Clone(s.denials), func(d denial) bool { return !now.Before(d.until) })
 }
 
-// excludedReplicas returns the replicas that the call does not go to now.
+// excludedReplicas returns the replicas that the call must not be sent to now: those that
+// failed it and those that deny it.
 func (s *state) excludedReplicas(now clock.Instant) []pool.Incarnation {
-	over := s.progress.tried
+	excluded := s.progress.tried
 	for _, d := range s.activeDenials(now) {
-		over = append(slices.Clip(over), d.incarnation)
+		excluded = append(slices.Clip(excluded), d.incarnation)
 	}
-	return over
+	return excluded
 }
 
-// refuseRateLimited refuses a call whose replicas take no more requests, with when to come back, and
-// reports whether that is what it lacks. One that may have run is not told that it has not.
+// refuseRateLimited ends a call whose replicas take no more requests for now, and reports
+// whether that is the reason that the call found no replica. The refusal has a Retry-After
+// and says that the call did not run, unless it may have run.
 func (f *Forwarder) refuseRateLimited(now clock.Instant, c *calls.Call) bool {
 	s := stateOf(c)
 	denied := s.activeDenials(now)
@@ -157,8 +164,8 @@
 	return true
 }
 
-// staleLimits returns the replicas that named a limit of which nothing was heard for a while: a
-// call that goes there shows whether it still holds.
+// staleLimits returns the replicas whose rate limit was not reported for a while. A call
+// sent there shows whether the limit is still in force.
 func (f *Forwarder) staleLimits(now clock.Instant, c *calls.Call, candidates []*pool.Replica) []*pool.Replica {
 	var out []*pool.Replica
 	for _, r := range candidates {
--- a/core/forwarding/place.go
+++ b/core/forwarding/place.go
@@ -15,10 +15,10 @@
 	"github.com/birchdrift/birchdrift/core/route"
 )
 
-// How a call finds its replica.
+// The choice of a call's replica.
 
-// findReplica sends the call to the best replica, has what it needs loaded there
-// first, lets it wait for its model, or refuses it.
+// findReplica sends the call to the best replica, orders what must be loaded there
+// first, makes the call wait, or refuses it.
 func (f *Forwarder) findReplica(now clock.Instant, c *calls.Call) {
 	if left := f.Quarantine.Remaining(now, c.Forward.Fingerprint); left > 0 {
 		f.Calls.Refuse(c, quarantinedRefusal(left))
@@ -54,10 +54,10 @@
 	}
 }
 
-// choose returns the best replica for a call. In a large fleet the estimate of an engine
-// that was not asked leaves out most of what is there, and is the same at all instances: they
-// would all take the first. So it is one of those that seem alike, a different one for each
-// call.
+// choose returns the best replica for a call. In a large fleet, the estimate of an engine
+// that was not probed leaves out most of its load and is the same at all instances, which
+// would therefore all choose the same engine. In that case choose picks one of the engines
+// with similar estimates, a different one for each call.
 func (f *Forwarder) choose(now clock.Instant, s *state, q route.Query, candidates []*pool.Replica) (route.Estimate, bool) {
 	if q.Model.Model == "" || s.probe.initialChoice != nil || f.Roster.FullMesh() {
 		return f.router.Choose(now, q, candidates)
@@ -69,27 +69,28 @@
 	return best[0], true
 }
 
-// mustDelay reports whether a call is not to be sent yet, since replicas ended under its
+// mustDelay reports whether a call must not be sent yet because replicas crashed under its
 // request.
 func (f *Forwarder) mustDelay(now clock.Instant, c *calls.Call, s *state) bool {
-	pause := f.Quarantine.SendDelay(c.Forward.Fingerprint)
-	if pause == 0 {
+	delay := f.Quarantine.SendDelay(c.Forward.Fingerprint)
+	if delay == 0 {
 		return false
 	}
 	if s.notBefore.IsZero() {
-		s.notBefore = now.Add(pause)
-		f.Out.Log(logevent.CallWaits, "call", c.Forward.Name, "for", "other tries of its request, under which replicas ended")
+		s.notBefore = now.Add(delay)
+		f.Out.Log(logevent.CallWaits, "call", c.Forward.Name, "for", "other attempts of its request, under which replicas crashed")
 	}
 	return now.Before(s.notBefore) || f.requestRunning(c.Forward.Fingerprint)
 }
 
-// requestRunning reports whether a call of the request is at a replica.
+// requestRunning reports whether a call of the request is running at a replica.
 func (f *Forwarder) requestRunning(request crash.Fingerprint) bool {
 	return slices.ContainsFunc(f.Calls.All(), func(c *calls.Call) bool {
 		return c.Phase == calls.Running && c.Forward != nil && c.Forward.Fingerprint == request
 	})
 }
 
+// query describes the call to the router.
 func (f *Forwarder) query(now clock.Instant, c *calls.Call, s *state) route.Query {
 	query := route.Query{
 		Zone:     f.Self.Zone,
@@ -110,13 +111,14 @@
 	return query
 }
 
-// silentZoneCost keeps calls from the replicas of a zone none of whose instances
-// answers, where others can serve them: about what a call loses that is sent there
-// and must be sent again.
+// silentZoneCost is added for replicas in a zone in which no instance answers, so that
+// calls go to other zones if they can. It is about the time that a call loses if it is
+// sent there and must be retried.
 const silentZoneCost = 400 * time.Millisecond
 
-// zoneCost returns the cost of a zone that seems to be cut off from this one. In
-// a large fleet silence says little, since few instances are spoken to.
+// zoneCost returns the cost of a zone that appears to be cut off from this instance's
+// zone. In a large fleet it is zero: each instance exchanges with few others, so their
+// silence says little about the zone.
 func (f *Forwarder) zoneCost(zone string) time.Duration {
 	if zone == f.Self.Zone || !f.Roster.FullMesh() || !f.Members.ZoneUnreachable(zone) {
 		return 0
@@ -125,17 +127,17 @@
 }
 
 const (
-	// adapterLoadCost is what an adapter that is not on an engine costs a call that
-	// goes there: asking, ordering, loading.
+	// adapterLoadCost is the time that a call loses at an engine without its adapter:
+	// requesting the order, sending it, and loading the adapter.
 	adapterLoadCost = 25 * time.Millisecond
-	// adapterEvictCost comes on top where another adapter must make way.
+	// adapterEvictCost is added if another adapter must be evicted first.
 	adapterEvictCost = 25 * time.Millisecond
-	// maxOrderWaits is how many orders one call may wait for.
+	// maxOrderWaits is the number of orders that one call may wait for.
 	maxOrderWaits = 3
 )
 
-// itemCost returns what it takes until the engine can serve the call's model or
-// adapter; ok is false if it cannot be made to.
+// itemCost returns the time until the engine can serve the call's model or adapter; ok
+// is false if the engine cannot serve it.
 func (f *Forwarder) itemCost(now clock.Instant, c *calls.Call, r *pool.Replica) (cost time.Duration, ok bool) {
 	s := stateOf(c)
 	if r.Refusing(now, c.Item) || r.Phase(s.request.model) != pool.Ready {
@@ -148,26 +150,29 @@
 	if phase == pool.Unloading || s.orderWaits >= maxOrderWaits || !f.Asks.CanRequest(now, orderKey(s, r)) {
 		return 0, false
 	}
-	cost = adapterLoadCost + r.RateLimitDelay(now) // the order takes a turn of its own
+	cost = adapterLoadCost + r.RateLimitDelay(now) // the order itself counts against the rate limit
 	if phase != pool.Loading && r.Adapters() >= s.service.Announced.Engine.MaxAdapters {
 		cost += adapterEvictCost
 	}
 	return cost, true
 }
 
-// shouldConfirmAdapter reports whether an adapter is to be asked for though it is said to be there. In a
-// large fleet that may be seconds old, and an engine that lacks it turns the call away: when
-// few repeats are left, its owner is asked first, and they are kept for what nobody knows.
+// shouldConfirmAdapter reports whether to order an adapter although it is reported to be
+// loaded. In a large fleet the report may be seconds old, and an engine without the adapter
+// refuses the call. When few retries are left, the engine's owner is therefore asked first,
+// and the retries are kept for failures that cannot be foreseen.
 func (f *Forwarder) shouldConfirmAdapter(now clock.Instant, c *calls.Call, s *state, r *pool.Replica) bool {
 	return s.request.adapter != "" && s.orderWaits == 0 && !f.Roster.FullMesh() &&
 		f.Budget.Low(now, c.Service) && f.Asks.CanRequest(now, orderKey(s, r))
 }
 
+// orderKey returns the key of the order that loads the call's item on r.
 func orderKey(s *state, r *pool.Replica) orderclient.Key {
 	return orderclient.Key{Engine: r.Name, Request: orders.Request{Load: true, Model: s.request.model, Adapter: s.request.adapter}}
 }
 
-// orderAdapter has the call's adapter loaded on an engine.
+// orderAdapter requests an order to load the call's adapter on an engine and makes the call
+// wait for it.
 func (f *Forwarder) orderAdapter(now clock.Instant, c *calls.Call, r *pool.Replica) {
 	s := stateOf(c)
 	f.Calls.EnterPhase(c, calls.AwaitingOrder)
@@ -176,8 +181,8 @@
 	f.Asks.RequestForCall(now, orderKey(s, r), c.ID)
 }
 
-// maxCallsForSpeedSample is how many calls may run at an engine for its reading speed to be
-// learnt from one more.
+// maxCallsForSpeedSample is the number of calls in flight at an engine up to which another
+// call is used to measure its prefill speed.
 const maxCallsForSpeedSample = 4
 
 // dispatch sends the call to the chosen replica.
@@ -202,12 +207,12 @@
 	f.Out.Emit(f.dispatchAction(now, c, e.Replica))
 }
 
-// prefixCacheShare is the part of an engine's memory for prompts and answers that is
-// believed to keep prompts.
+// prefixCacheShare is the share of an engine's memory for prompts and answers that is
+// assumed to hold cached prompts.
 const prefixCacheShare = 0.75
 
-// prefixCacheTokens returns the prompt tokens that an engine of the call's service is
-// believed to keep.
+// prefixCacheTokens returns the number of prompt tokens that an engine of the call's
+// service is assumed to keep in its prefix cache.
 func prefixCacheTokens(s *state) int {
 	return int(prefixCacheShare * float64(s.service.Announced.Engine.CacheTokens))
 }
--- a/core/forwarding/probe.go
+++ b/core/forwarding/probe.go
@@ -10,23 +10,24 @@
 	"github.com/birchdrift/birchdrift/core/route"
 )
 
-// Asking engines how busy they are. In a small fleet instances tell each other
-// what they have in flight. In a large one nobody hears from everybody in time,
-// so a call that could go to several engines first asks the best of them, and
-// goes by what they say: one short round trip against a wait behind prompts that
-// this instance knows nothing of.
+// Load probes of engines. In a small fleet the instances report their calls in flight to
+// each other. In a large fleet not all of these reports arrive in time, so a call that
+// could be sent to several engines first probes the best of them and uses the load that
+// they report. This costs one short round trip but avoids a wait behind prompts that this
+// instance does not know of.
 
 const (
-	// probedEngines is how many engines a call asks: each costs its replica an answer.
+	// probedEngines is the number of engines that a call probes. Each probe costs the
+	// engine an answer.
 	probedEngines = 2
-	// ProbeMaxAge is how old an engine's answer may be for it not to be asked
-	// again: below the age that its figures have anyhow.
+	// ProbeMaxAge is the age up to which an engine's load report is used instead of a new
+	// probe. It is below the age that the reported figures have anyway.
 	ProbeMaxAge = 60 * time.Millisecond
 )
 
 type (
-	// ProbeEngine is an action: ask an engine how busy it is, for a call that may go
-	// there. It is answered after Wait at the latest.
+	// ProbeEngine is an action that asks an engine for its load, on behalf of a call that
+	// may be sent there. It is answered after Wait at the latest.
 	ProbeEngine struct {
 		Call    calls.ID
 		Engine  string
@@ -37,9 +38,9 @@
 	ProbeReply struct {
 		Call    calls.ID
 		Engine  string
-		Sent    clock.Instant // when it was asked
-		Queued  int           // calls without a first event there
-		Running int           // calls with one
+		Sent    clock.Instant // when the probe was sent
+		Queued  int           // calls at the engine without a first event yet
+		Running int           // calls at the engine after their first event
 		Err     error
 	}
 )
@@ -50,16 +51,16 @@
 // IsEvent implements step.Event.
 func (ProbeReply) IsEvent() {}
 
-// A probe is the state of a call that asks engines.
+// A probe is the state of a call's load probes.
 type probe struct {
-	asked         int // engines that have not answered
-	decided       bool
-	askedAt       clock.Instant
-	initialChoice *pool.Replica // where it would have gone without asking; nil: nobody was asked
+	pending       int           // probes without an answer yet
+	decided       bool          // it was decided whether to probe
+	sentAt        clock.Instant // when the probes were sent
+	initialChoice *pool.Replica // the best engine before probing; nil: no probe, or its benefit is recorded
 }
 
-// probeEngines asks the engines that the call may go to how busy they are, and
-// reports whether the call waits for them.
+// probeEngines asks the best engines for the call for their load, if that is worthwhile,
+// and reports whether the call waits for their answers.
 func (f *Forwarder) probeEngines(now clock.Instant, c *calls.Call, q route.Query, candidates []*pool.Replica) bool {
 	p := &stateOf(c).probe
 	if p.decided || c.Item == "" || f.Options.ProbeWait == 0 || f.Roster.FullMesh() {
@@ -71,22 +72,22 @@
 		return false
 	}
 	p.initialChoice = best[0].Replica
-	p.askedAt = now
+	p.sentAt = now
 	for _, e := range best {
 		if e.Replica.ReportAge(now) < ProbeMaxAge || rateLimited(now, e.Replica) {
-			continue // one that names a limit is not asked: that would count too
+			continue // a probe would count against the rate limit
 		}
-		p.asked++
+		p.pending++
 		f.Out.Emit(ProbeEngine{Call: c.ID, Engine: e.Replica.Name, Address: e.Replica.Address, Wait: f.Options.ProbeWait})
 	}
-	if p.asked == 0 {
+	if p.pending == 0 {
 		return false
 	}
 	f.Calls.EnterPhase(c, calls.Probing)
 	return true
 }
 
-// callLabel names a call in logs, "" for one that has ended.
+// callLabel returns the label of a call in logs, or "" if the call has ended.
 func callLabel(c *calls.Call) any {
 	if c == nil {
 		return ""
@@ -94,8 +95,8 @@
 	return c.Label()
 }
 
-// ProbeReplied takes in what an engine says of its load. The call that asked goes
-// on once all have answered.
+// ProbeReplied handles an engine's load report. The call that sent the probe proceeds once
+// all probes are answered.
 func (f *Forwarder) ProbeReplied(now clock.Instant, e ProbeReply) {
 	c := f.Calls.Get(e.Call)
 	if e.Err != nil {
@@ -107,16 +108,16 @@
 		return
 	}
 	p := &stateOf(c).probe
-	p.asked--
-	if p.asked > 0 {
+	p.pending--
+	if p.pending > 0 {
 		return
 	}
 	c.Phase = calls.Waiting
 	f.findReplica(now, c)
 }
 
-// recordProbeBenefit takes in what asking was worth for a call, if it asked, whose best engine is
-// known now.
+// recordProbeBenefit records what probing saved a call, if it probed, now that its best
+// engine is known.
 func (f *Forwarder) recordProbeBenefit(now clock.Instant, s *state, q route.Query, best route.Estimate) {
 	first := s.probe.initialChoice
 	if first == nil {
@@ -124,5 +125,5 @@
 	}
 	s.probe.initialChoice = nil
 	without := f.router.Estimate(now, q, first)
-	f.probeBenefit.observe(max(0, without.Total()-best.Total()), now.Since(s.probe.askedAt))
+	f.probeBenefit.observe(max(0, without.Total()-best.Total()), now.Since(s.probe.sentAt))
 }
--- a/core/forwarding/probing.go
+++ b/core/forwarding/probing.go
@@ -2,35 +2,37 @@
 
 import "time"
 
-// Whether calls ask engines before they choose. On a quiet day what engines say changes
-// little, and each call that asks waits for the answers; so calls ask only while that saves
-// them more time than it takes.
+// Whether calls probe engines before they choose one. Under low load the engines' reports
+// change little, and each call that probes waits for the answers. Calls therefore probe
+// only while that saves more time than it takes.
 
 const (
-	// probeSampleInterval is every how manyth call asks while asking does not pay, so that it is
-	// seen when it does again: about one call a second of an instance.
+	// probeSampleInterval is the number of calls of which one probes while probing is not
+	// worthwhile, to detect when it is again: about one call per second and instance.
 	probeSampleInterval = 8
-	// probeAlpha is the weight of a new sample of what asking saves and takes: one
-	// call that was spared a long queue has the next ones ask.
+	// probeAlpha is the weight of a new sample in the moving averages of the time that
+	// probing saves and takes. It is large enough that one call that avoided a long queue
+	// makes the next calls probe.
 	probeAlpha = 0.2
 )
 
-// A probeBenefit is what asking engines was worth to calls lately.
+// A probeBenefit measures what probing engines has recently saved calls.
 type probeBenefit struct {
-	saved time.Duration // mean time that a call was spared by going where engines said
-	took  time.Duration // mean time that asking took
-	known bool
-	calls int // since it was asked for the first time
+	saved time.Duration // mean time that probing saved a call
+	took  time.Duration // mean time that probing took
+	known bool          // there was a sample
+	calls int           // calls counted by shouldProbe
 }
 
-// shouldProbe reports whether the next call should ask: while asking saves calls more time than
-// it takes them, and now and then otherwise.
+// shouldProbe reports whether the next call should probe: always while probing saves more
+// time than it takes or nothing was measured yet, and once every probeSampleInterval calls
+// otherwise.
 func (p *probeBenefit) shouldProbe() bool {
 	p.calls++
 	return !p.known || p.saved > p.took || p.calls%probeSampleInterval == 0
 }
 
-// observe takes in what asking saved a call, and how long it took.
+// observe records the time that probing saved a call and the time that it took.
 func (p *probeBenefit) observe(saved, took time.Duration) {
 	if !p.known {
 		*p = probeBenefit{saved: saved, took: took, known: true, calls: p.calls}
--- a/core/forwarding/repeat.go
+++ b/core/forwarding/repeat.go
@@ -10,45 +10,47 @@
 	"github.com/birchdrift/birchdrift/core/config"
 )
 
-// When a call whose attempt failed may go to another replica.
+// Whether a call whose attempt failed may be retried at another replica.
 
 const (
-	// maxRefusals is how many replicas that refuse a call it follows; each costs
-	// the budget.
+	// maxRefusals is the number of refusals by replicas after which a call is no longer
+	// retried; each of these retries is charged to the retry budget.
 	maxRefusals = 3
-	// maxUnsent is how many replicas it follows at which nothing answers.
+	// maxUnsent is the number of unreachable replicas after which a call is no longer
+	// retried.
 	maxUnsent = 8
-	// minTimeLeft is the least time for which an attempt is worth making.
+	// minTimeLeft is the shortest remaining time in which a retry is useful.
 	minTimeLeft = 20 * time.Millisecond
 )
 
-// A retryVerdict says whether a call may be repeated, or why not.
+// A retryVerdict says whether a call may be retried, or why not.
 type retryVerdict int
 
 const (
 	retryAllowed    retryVerdict = iota
-	mayHaveRun                   // and its route does not say that this is harmless
-	notResumable                 // the stream has begun
-	bodyConsumed                 // it cannot be sent again
-	attemptsUsed                 // all that its route allows
-	refusedTooOften              // by replicas that did not run it
-	unsentTooOften               // nothing answered at replicas
-	noTimeLeft
-	overBudget // the fleet's repeats of the service are used up
+	mayHaveRun                   // the call may have run and is not repeatable
+	notResumable                 // the answer has begun and cannot be resumed
+	bodyConsumed                 // the body cannot be sent again
+	attemptsUsed                 // the route allows no more attempts
+	refusedTooOften              // maxRefusals replicas refused the call
+	unsentTooOften               // maxUnsent replicas were unreachable
+	noTimeLeft                   // less than minTimeLeft is left
+	overBudget                   // the retry budget of the service is used up
 )
 
-// String names the reason for the log.
+// String returns the verdict as it is logged.
 func (v retryVerdict) String() string {
 	return [...]string{
 		"allowed", "it may have run", "the stream cannot be resumed", "its body cannot be sent again", "all attempts are used",
-		"refused too often", "nothing answered too often", "no time is left", "the retry budget is used up",
+		"too many replicas refused it", "too many replicas were unreachable", "no time is left", "the retry budget is used up",
 	}[v]
 }
 
-// checkRetry decides whether a call whose attempt failed with b may go to another
-// replica, and spends the budget for it. A call that may have run is repeated only
-// where its route says that this is harmless; a stream that has begun only where it
-// can be resumed. What never left did not arrive anywhere, so it costs no budget.
+// checkRetry decides whether a call whose attempt failed with b may be retried at
+// another replica, and charges the retry to the budget. A call that may have run is
+// retried only if its route is repeatable, and a stream that has begun only if it can be
+// resumed. A call of which nothing was sent reached no replica, so its retry is not
+// charged.
 func (f *Forwarder) checkRetry(now clock.Instant, c *calls.Call, b calls.AttemptFailed) retryVerdict {
 	s := stateOf(c)
 	p := s.progress
--- a/core/forwarding/wait.go
+++ b/core/forwarding/wait.go
@@ -13,51 +13,49 @@
 	"github.com/birchdrift/birchdrift/core/pool"
 )
 
-// What a call does that no replica can serve now: wait, or be refused with when
-// to come back.
+// Calls that no replica can serve now: they wait, or are refused with a Retry-After.
 
 const (
-	// noReplicaRetryAfter is when a call that no replica can serve now is told to
-	// come back, at the least: replicas come back, and room comes free, within
-	// moments.
+	// noReplicaRetryAfter is the shortest Retry-After for a call that no replica can
+	// serve now: replicas usually return, and capacity becomes free, within moments.
 	noReplicaRetryAfter = 250 * time.Millisecond
-	// adapterWaitShare is the part of a call's target that an adapter which cannot
-	// be ordered now is expected to take, so that the call waits for the rest of
-	// it: slots come free and owners come back within moments, or not soon.
+	// adapterWaitShare is the share of a call's latency target for which an adapter that
+	// cannot be ordered now is expected to take, so that the call waits for the
+	// remaining share: adapter slots become free and owners return within moments, or
+	// not soon.
 	adapterWaitShare = 0.75
-	// placementDelay is what passes before an order is given for a model that is
-	// missed.
+	// placementDelay is the time until a missed model is ordered.
 	placementDelay = 600 * time.Millisecond
-	// restWaitShare is the part of its target within which a call waits for the end of a
-	// rest: the rest of it is for its answer.
+	// restWaitShare is the share of its latency target for which a call waits for the end
+	// of a replica's rest. The remainder is for its answer.
 	restWaitShare = 0.5
-	// modelRetryShare is the part of its remaining time after which a call comes back
-	// at the latest whose model is missing, so that it has time left then.
+	// modelRetryShare is the share of a call's remaining time that the Retry-After for a
+	// missing model may take at most, so that the retried call has time left.
 	modelRetryShare = 0.25
 )
 
-// A unavailableReason says what a call lacks that no replica can serve now.
+// An unavailableReason says why no replica can serve a call now.
 type unavailableReason int
 
 const (
-	noFurtherAttempt   unavailableReason = iota // an attempt may have run, or its answer was begun
-	noLiveReplica                               // no replica is live
-	allRefused                                  // those that are live refused it
-	adapterNotLoadable                          // its model is served, its adapter cannot be loaded there
-	modelNotResident                            // its model is resident nowhere
+	noFurtherAttempt   unavailableReason = iota // an attempt may have run, or the answer has started
+	noLiveReplica                               // there is no live replica
+	allRefused                                  // the live replicas refused the call
+	adapterNotLoadable                          // the model is served, but the adapter cannot be loaded there
+	modelNotResident                            // the model is not resident on any engine
 )
 
-// An unavailability is what is known of a call that no replica can serve now.
+// An unavailability describes a call that no replica can serve now.
 type unavailability struct {
-	run           code.RunState // of its attempts so far
-	answerStarted bool          // its answer was begun
-	item          string        // "" if it needs none
-	refusals      int           // replicas that said they did not run it
-	adapter       string        // "" if it needs none
-	modelServed   func() bool
+	run           code.RunState // of the call's attempts so far
+	answerStarted bool          // the head of an answer was passed on
+	item          string        // "" if the call needs none
+	refusals      int           // replicas that reported that they did not run the call
+	adapter       string        // "" if the call needs none
+	modelServed   func() bool   // reports whether an engine can serve the call's model
 }
 
-// reason returns what the call lacks.
+// reason returns why no replica can serve the call.
 func (a unavailability) reason() unavailableReason {
 	switch {
 	case a.run != code.NotRun || a.answerStarted:
@@ -73,11 +71,11 @@
 	}
 }
 
-// worthWaiting reports whether a call that has waited so long, for what is expected
-// to take so much longer, can still be in time for its target.
+// worthWaiting reports whether a call that has waited for the given time can still meet
+// its latency target if what it waits for takes the expected time.
 func worthWaiting(waited, expected, target time.Duration) bool { return waited+expected < target }
 
-// handleNoReplica decides what becomes of a call that no replica can serve now.
+// handleNoReplica makes a call that no replica can serve now wait, or ends it.
 func (f *Forwarder) handleNoReplica(now clock.Instant, c *calls.Call) {
 	s := stateOf(c)
 	if left, ok := f.shortestRest(now, c); ok {
@@ -105,8 +103,9 @@
 	}
 }
 
-// shortestRest returns when the first of the replicas that could serve the call will take
-// calls again, of those that want nothing for a while; ok is false if there is none.
+// shortestRest returns the shortest remaining rest of the resting replicas that could serve
+// the call. A replica whose rest has ended but that is on trial counts as resting. ok is
+// false if there is no such replica.
 func (f *Forwarder) shortestRest(now clock.Instant, c *calls.Call) (left time.Duration, ok bool) {
 	s := stateOf(c)
 	for _, r := range f.Pool.Serving(c.Service) {
@@ -114,30 +113,31 @@
 			continue
 		}
 		if c.Item != "" {
-			if _, possible := f.itemCost(now, c, r); !possible {
+			if _, canServe := f.itemCost(now, c, r); !canServe {
 				continue
 			}
 		}
-		if x := r.RestLeft(now); !ok || x < left {
-			left = x
+		if rest := r.RestLeft(now); !ok || rest < left {
+			left = rest
 			ok = true
 		}
 	}
 	return left, ok
 }
 
-// awaitRest has a call wait for the end of a rest, if that is well within its time, or
-// refuses it at once with when that is. One that may have run is not told that it has not.
+// awaitRest makes a call wait for the end of a replica's rest, if that is well within its
+// latency target, or ends it at once. The refusal has the end of the rest as Retry-After
+// and says that the call did not run, unless it may have run.
 func (f *Forwarder) awaitRest(now clock.Instant, c *calls.Call, left time.Duration) {
 	s := stateOf(c)
 	switch {
 	case worthWaiting(now.Since(c.Arrived), left, time.Duration(restWaitShare*float64(c.Target))):
 		if !f.Calls.Queued(c) {
-			f.Out.Log(logevent.CallWaits, "call", c.Forward.Name, "item", c.Item, "for", "the rest of its replicas", "rest_ms", left.Milliseconds())
+			f.Out.Log(logevent.CallWaits, "call", c.Forward.Name, "item", c.Item, "for", "the end of its replicas' rest", "rest_ms", left.Milliseconds())
 		}
 		f.Calls.Enqueue(c)
 	case c.History.RunState() != code.NotRun || s.progress.answerStarted:
-		f.end(c, s, 0, "the other replicas that could serve it want no calls")
+		f.end(c, s, 0, "the other replicas that could serve it are resting")
 	case c.Item != "" && left >= pool.LongRest:
 		f.awaitModel(now, c)
 	default:
@@ -145,8 +145,8 @@
 	}
 }
 
-// modelServed reports whether some engine can serve the call's model, though not
-// its adapter.
+// modelServed reports whether any engine can serve the call's model, even if not its
+// adapter.
 func (f *Forwarder) modelServed(now clock.Instant, c *calls.Call, s *state) bool {
 	for _, r := range f.Pool.Serving(c.Service) {
 		if r.Usable() && !r.Resting(now) && r.Phase(s.request.model) == pool.Ready {
@@ -156,7 +156,7 @@
 	return false
 }
 
-// awaitAdapter has a call wait for its adapter, or refuses it.
+// awaitAdapter makes a call wait for its adapter, or refuses it.
 func (f *Forwarder) awaitAdapter(now clock.Instant, c *calls.Call) {
 	expected := time.Duration(adapterWaitShare * float64(c.Target))
 	if worthWaiting(now.Since(c.Arrived), expected, c.Target) {
@@ -166,7 +166,8 @@
 	f.Calls.Refuse(c, calls.NotRunRefusal(code.NotResident, fmt.Sprintf("%q cannot be loaded where its model is", c.Item), f.Calls.RetryAfter(noReplicaRetryAfter)))
 }
 
-// awaitModel has a call wait for its model, or refuses it.
+// awaitModel reports the miss of a call's model, and makes the call wait for the model or
+// refuses it.
 func (f *Forwarder) awaitModel(now clock.Instant, c *calls.Call) {
 	s := stateOf(c)
 	if !s.missReported {
@@ -186,7 +187,7 @@
 	f.Calls.Refuse(c, calls.NotRunRefusal(code.NotResident, fmt.Sprintf("%q is not resident", c.Item), min(eta, left)))
 }
 
-// modelETA estimates when an engine will have the call's model ready.
+// modelETA returns the estimated time until an engine has the call's model ready.
 func (f *Forwarder) modelETA(c *calls.Call, s *state) time.Duration {
 	facts, ok := s.service.Announced.Engine.Model(s.request.model)
 	if !ok {
