--- a/core/forwarding/permit_test.go
+++ b/core/forwarding/permit_test.go
@@ -150,9 +150,9 @@
 	is.Equal(a.Failures()+b.Failures(), 0) // a limit is no failure
 }
 
-// TestUnusablePermitIsReturned tables what may have happened while a call waited for its turn:
+// TestUnusablePermitIsReleased tables what may have happened while a call waited for its turn:
 // it is not sent, and the next one gets the permit.
-func TestUnusablePermitIsReturned(t *testing.T) {
+func TestUnusablePermitIsReleased(t *testing.T) {
 	for name, happens := range map[string]func(f *Forwarder, c *calls.Call, r *pool.Replica){
 		"its caller left": func(f *Forwarder, c *calls.Call, _ *pool.Replica) {
 			f.Calls.CallerGone(start, calls.CallerGone{ID: c.ID})
