--- a/core/forwarding/forwarding_test.go
+++ b/core/forwarding/forwarding_test.go
@@ -28,7 +28,7 @@
 
 var start = clocktest.At(time.Hour)
 
-// testForwarder serves one engine pool that has model m configured, and no engine.
+// testForwarder returns a forwarder without replicas.
 func testForwarder(t *testing.T) *Forwarder {
 	t.Helper()
 	state := shared.New(member.Identity{Name: "self", Zone: "z"}, option.Default(), 1)
@@ -60,7 +60,8 @@
 	return f
 }
 
-// testCall is a call in progress whose route allows two attempts.
+// testCall adds a running call whose route allows two attempts and whose engine pool has
+// model m configured.
 func (f *Forwarder) testCall(kind config.Kind, resumable bool) (*calls.Call, *state) {
 	engines := &config.EnginePool{Models: []config.PooledModel{{Name: "m", MemoryMB: 70, LoadTime: 4 * time.Second, DiskLoadTime: 800 * time.Millisecond}}}
 	s := &state{
@@ -76,7 +77,7 @@
 	return c, s
 }
 
-// TestCheckRetry tables when a call whose attempt failed may go to another replica.
+// TestCheckRetry checks when a call whose attempt failed may be retried.
 func TestCheckRetry(t *testing.T) {
 	cases := []struct {
 		name      string
@@ -86,21 +87,21 @@
 		prepare   func(c *calls.Call, s *state)
 		want      retryVerdict
 	}{
-		{"harmless to repeat", config.Repeatable, false, calls.AttemptFailed{Phase: attempt.MaybeSent}, nil, retryAllowed},
-		{"once, and it may have run", config.Once, false, calls.AttemptFailed{Phase: attempt.MaybeSent}, nil, mayHaveRun},
-		{"once, and it never left", config.Once, false, calls.AttemptFailed{Phase: attempt.NotSent}, nil, retryAllowed},
-		{"once, and the replica did not run it", config.Once, false, calls.AttemptFailed{Phase: attempt.Refused}, nil, retryAllowed},
-		{"its body is gone", config.Repeatable, false, calls.AttemptFailed{Phase: attempt.MaybeSent, BodyConsumed: true}, nil, bodyConsumed},
-		{"all attempts are used", config.Repeatable, false, calls.AttemptFailed{Phase: attempt.MaybeSent},
+		{"repeatable call", config.Repeatable, false, calls.AttemptFailed{Phase: attempt.MaybeSent}, nil, retryAllowed},
+		{"at most once, may have run", config.Once, false, calls.AttemptFailed{Phase: attempt.MaybeSent}, nil, mayHaveRun},
+		{"at most once, not sent", config.Once, false, calls.AttemptFailed{Phase: attempt.NotSent}, nil, retryAllowed},
+		{"at most once, refused by the replica", config.Once, false, calls.AttemptFailed{Phase: attempt.Refused}, nil, retryAllowed},
+		{"body consumed", config.Repeatable, false, calls.AttemptFailed{Phase: attempt.MaybeSent, BodyConsumed: true}, nil, bodyConsumed},
+		{"no attempts left", config.Repeatable, false, calls.AttemptFailed{Phase: attempt.MaybeSent},
 			func(_ *calls.Call, s *state) { s.progress.possibleRuns = 1 }, attemptsUsed},
 		{"refused too often", config.Repeatable, false, calls.AttemptFailed{Phase: attempt.Refused},
 			func(_ *calls.Call, s *state) { s.progress.refusals = maxRefusals - 1 }, refusedTooOften},
-		{"nothing answered too often", config.Repeatable, false, calls.AttemptFailed{Phase: attempt.NotSent},
+		{"unreachable too often", config.Repeatable, false, calls.AttemptFailed{Phase: attempt.NotSent},
 			func(_ *calls.Call, s *state) { s.progress.unsent = maxUnsent - 1 }, unsentTooOften},
-		{"no time is left", config.Repeatable, false, calls.AttemptFailed{Phase: attempt.MaybeSent},
+		{"no time left", config.Repeatable, false, calls.AttemptFailed{Phase: attempt.MaybeSent},
 			func(c *calls.Call, _ *state) { c.Expires = start.Add(minTimeLeft) }, noTimeLeft},
-		{"a stream that began and can be resumed", config.Stream, true, calls.AttemptFailed{Phase: attempt.Answered, Delivered: 3}, nil, retryAllowed},
-		{"a stream that began and cannot", config.Stream, false, calls.AttemptFailed{Phase: attempt.Answered, Delivered: 3}, nil, notResumable},
+		{"resumable stream that has begun", config.Stream, true, calls.AttemptFailed{Phase: attempt.Answered, Delivered: 3}, nil, retryAllowed},
+		{"other stream that has begun", config.Stream, false, calls.AttemptFailed{Phase: attempt.Answered, Delivered: 3}, nil, notResumable},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -117,8 +118,8 @@
 	}
 }
 
-// TestRetriesStopAtBudget: a repeat that the fleet's budget does not allow is
-// not made.
+// TestRetriesStopAtBudget checks that a call is not retried once the retry budget is used
+// up, unless nothing of it was sent.
 func TestRetriesStopAtBudget(t *testing.T) {
 	is := is.New(t)
 	f := testForwarder(t)
@@ -126,11 +127,11 @@
 	for f.Budget.Spend(start, "s") {
 	}
 	is.Equal(f.checkRetry(start, call, calls.AttemptFailed{Phase: attempt.MaybeSent}), overBudget)
-	is.Equal(f.checkRetry(start, call, calls.AttemptFailed{Phase: attempt.NotSent}), retryAllowed) // it arrived nowhere
+	is.Equal(f.checkRetry(start, call, calls.AttemptFailed{Phase: attempt.NotSent}), retryAllowed) // nothing was sent
 }
 
-// finalAnswers returns the refusals, by call, and which calls' own answers were passed
-// on.
+// finalAnswers returns the refusals by call, and the calls for which the replica's own
+// answer was passed on.
 func finalAnswers(out *step.Output) (refused map[calls.ID]code.Refusal, relayed []calls.ID) {
 	refused = map[calls.ID]code.Refusal{}
 	for _, a := range out.Actions() {
@@ -144,8 +145,8 @@
 	return refused, relayed
 }
 
-// TestFinalAnswers tables which answer a call gets whose attempts are over: one
-// that promises that it did not run only where that is certain.
+// TestFinalAnswers checks the final answer of a call after its last attempt. The answer may
+// say that the call did not run only if that is certain.
 func TestFinalAnswers(t *testing.T) {
 	cases := []struct {
 		name     string
@@ -155,8 +156,8 @@
 		code     code.Code
 		run      code.RunState
 	}{
-		{"the replica's own answer is at hand", progress{relayable: true}, attempt.Answered, true, 0, ""},
-		{"a stream that began", progress{answerStarted: true}, attempt.Answered, false, code.StreamCut, code.Ran},
+		{"error response of the replica", progress{relayable: true}, attempt.Answered, true, 0, ""},
+		{"stream that has begun", progress{answerStarted: true}, attempt.Answered, false, code.StreamCut, code.Ran},
 		{"nothing ran", progress{}, attempt.Refused, false, code.NoCapacity, code.NotRun},
 		{"it may have run", progress{}, attempt.MaybeSent, false, code.UpstreamBroke, code.MayHaveRun},
 	}
@@ -177,9 +178,8 @@
 	}
 }
 
-// TestCallsThatFindNoReplica tables what becomes of a call that no replica can
-// serve: it waits where what it needs can be there in time, or is refused with
-// when to come back.
+// TestCallsThatFindNoReplica checks that a call that no replica can serve waits if what it
+// needs can be ready in time, and is refused with a Retry-After otherwise.
 func TestCallsThatFindNoReplica(t *testing.T) {
 	cases := []struct {
 		name    string
@@ -190,19 +190,19 @@
 		code    code.Code
 		retry   time.Duration
 	}{
-		{"a plain service", modelRequest{}, "", nil, false, code.NoReplica, noReplicaRetryAfter},
-		{"its replicas refused it", modelRequest{model: "m"}, "m",
+		{"plain service", modelRequest{}, "", nil, false, code.NoReplica, noReplicaRetryAfter},
+		{"refused by its replicas", modelRequest{model: "m"}, "m",
 			func(_ *Forwarder, _ *calls.Call, s *state) { s.progress.refusals = 1 }, false, code.NoCapacity, noReplicaRetryAfter},
-		{"a model that loads too slowly", modelRequest{model: "m"}, "m", nil, false, code.NotResident, 1250 * time.Millisecond},
-		{"a model that an engine has on its disk", modelRequest{model: "m"}, "m",
+		{"model loads too slowly", modelRequest{model: "m"}, "m", nil, false, code.NotResident, 1250 * time.Millisecond},
+		{"model on an engine's disk", modelRequest{model: "m"}, "m",
 			func(f *Forwarder, c *calls.Call, _ *state) {
 				c.Target = 2 * time.Second
 				f.Pool.Announce(start, "e", pool.Announcement{Service: "s", Address: "e", Engine: true, OnDisk: []string{"m"}})
 			}, true, 0, 0},
-		{"an adapter whose model is served", modelRequest{model: "m", adapter: "a"}, "m/a", func(f *Forwarder, _ *calls.Call, _ *state) {
+		{"adapter of a served model", modelRequest{model: "m", adapter: "a"}, "m/a", func(f *Forwarder, _ *calls.Call, _ *state) {
 			f.Pool.Announce(start, "e", pool.Announcement{Service: "s", Address: "e", Engine: true, Models: []pool.AnnouncedModel{{Name: "m"}}})
 		}, true, 0, 0},
-		{"the same, out of patience", modelRequest{model: "m", adapter: "a"}, "m/a", func(f *Forwarder, c *calls.Call, _ *state) {
+		{"adapter of a served model, waited too long", modelRequest{model: "m", adapter: "a"}, "m/a", func(f *Forwarder, c *calls.Call, _ *state) {
 			c.Arrived = start.Add(-c.Target / 2)
 			f.Pool.Announce(start, "e", pool.Announcement{Service: "s", Address: "e", Engine: true, Models: []pool.AnnouncedModel{{Name: "m"}}})
 		}, false, code.NotResident, calls.MinRetryAfter},
@@ -227,9 +227,9 @@
 	}
 }
 
-// TestCallsWhoseReplicasRest tables what becomes of a call all of whose replicas want
-// nothing: it waits where the shortest rest ends well within its time, or is told at once
-// when that is.
+// TestCallsWhoseReplicasRest checks that a call whose replicas are all resting waits if the
+// shortest rest ends well within its latency target, and is otherwise refused at once with
+// the end of that rest as Retry-After.
 func TestCallsWhoseReplicasRest(t *testing.T) {
 	rest := func(spans ...time.Duration) func(f *Forwarder, c *calls.Call, s *state) {
 		return func(f *Forwarder, _ *calls.Call, _ *state) {
@@ -247,27 +247,27 @@
 		code    code.Code
 		retry   time.Duration
 	}{
-		{"the shortest ends soon", rest(time.Hour, 400*time.Millisecond, 3*time.Second), true, 0, 0},
-		{"the shortest ends too late to wait", rest(time.Hour, 3*time.Second, 700*time.Millisecond), false, code.NoCapacity, 700 * time.Millisecond},
-		{"it ends soon, and the call has waited long enough", func(f *Forwarder, c *calls.Call, s *state) {
+		{"shortest rest ends soon", rest(time.Hour, 400*time.Millisecond, 3*time.Second), true, 0, 0},
+		{"shortest rest ends too late", rest(time.Hour, 3*time.Second, 700*time.Millisecond), false, code.NoCapacity, 700 * time.Millisecond},
+		{"rest ends soon, but the call has waited too long", func(f *Forwarder, c *calls.Call, s *state) {
 			rest(400*time.Millisecond)(f, c, s)
 			c.Arrived = start.Add(-200 * time.Millisecond)
 		}, false, code.NoCapacity, 400 * time.Millisecond},
-		{"it ends at once, and the call has waited long enough", func(f *Forwarder, c *calls.Call, s *state) {
+		{"rest ends at once, but the call has waited too long", func(f *Forwarder, c *calls.Call, s *state) {
 			rest(20*time.Millisecond)(f, c, s)
 			c.Arrived = start.Add(-500 * time.Millisecond)
 		}, false, code.NoCapacity, noReplicaRetryAfter},
-		{"another call shows whether the replica takes calls", func(f *Forwarder, _ *calls.Call, _ *state) {
+		{"replica on trial with another call", func(f *Forwarder, _ *calls.Call, _ *state) {
 			f.Pool.Announce(start, "a", pool.Announcement{Service: "s", Address: "a", Engine: true, Models: []pool.AnnouncedModel{{Name: "m"}}})
 			f.Pool.ObserveNotice(start.Add(-time.Second), "a", start, pool.Notice{Rest: time.Second})
 			f.Pool.Get("a").Start(start, 99)
 		}, true, 0, 0},
-		{"it may have run", func(f *Forwarder, c *calls.Call, s *state) {
+		{"may have run", func(f *Forwarder, c *calls.Call, s *state) {
 			rest(3*time.Second)(f, c, s)
 			c.History = c.History.WithAttempt().WithFailure(attempt.MaybeSent)
 		}, false, code.UpstreamBroke, 0},
-		{"for so long that its model is loaded elsewhere first", rest(time.Hour), false, code.NotResident, 1250 * time.Millisecond},
-		{"none of them has its model", func(f *Forwarder, c *calls.Call, s *state) {
+		{"rest is longer than loading the model elsewhere", rest(time.Hour), false, code.NotResident, 1250 * time.Millisecond},
+		{"no replica has the model", func(f *Forwarder, c *calls.Call, s *state) {
 			rest(400*time.Millisecond)(f, c, s)
 			c.Item = "n"
 			s.request.model = "n"
@@ -292,8 +292,8 @@
 	}
 }
 
-// TestARefusalForARestIsNoFailure: a replica that turned a call away and asked for rest is
-// not one that failed, nor one that the call passes over for good.
+// TestARefusalForARestIsNoFailure checks that a replica that refuses a call and asks for rest
+// does not count as failed, and that the call may be sent to it again after the rest.
 func TestARefusalForARestIsNoFailure(t *testing.T) {
 	is := is.New(t)
 	f := testForwarder(t)
@@ -314,10 +314,11 @@
 	is.Equal(call.Replica, "a")
 }
 
-// TestSuspectedRequestIsDelayed: one under which replicas ended that another may
-// explain waits before it is sent, and again after one more connection was severed; not
-// after an attempt that found nobody, which shows nothing new. Nor is it sent while
-// another of its tries runs here.
+// TestSuspectedRequestIsDelayed checks that a request under which replicas crashed, where
+// another request may be the cause, is delayed before it is sent, and delayed again after
+// another connection was severed. An attempt at an unreachable replica reveals nothing new
+// and causes no delay. The request is also not sent while another call of it is running on
+// this instance.
 func TestSuspectedRequestIsDelayed(t *testing.T) {
 	is := is.New(t)
 	f := testForwarder(t)
--- a/core/forwarding/permit_test.go
+++ b/core/forwarding/permit_test.go
@@ -17,8 +17,8 @@
 	"github.com/birchdrift/birchdrift/core/pool"
 )
 
-// limitedReplica announces an engine that holds model m and names a limit, if that is not
-// negative.
+// limitedReplica announces an engine that has model m loaded, with a rate limit of perSecond
+// unless that is negative.
 func (f *Forwarder) limitedReplica(name string, perSecond float64) *pool.Replica {
 	f.Pool.Announce(start, name, pool.Announcement{Service: "s", Address: name, Zone: "z", Slots: 8, Engine: true, Models: []pool.AnnouncedModel{{Name: "m"}}})
 	if perSecond >= 0 {
@@ -27,7 +27,7 @@
 	return f.Pool.Get(name)
 }
 
-// callFor adds a call for model m that has just come.
+// callFor adds a newly arrived call for model m.
 func (f *Forwarder) callFor(id calls.ID) *calls.Call {
 	c, s := f.testCall(config.Stream, true)
 	f.Calls.Remove(c)
@@ -39,12 +39,12 @@
 	return c
 }
 
-// exhaustLimit uses up what a replica takes now.
+// exhaustLimit uses the permit for the request that a replica takes now.
 func (f *Forwarder) exhaustLimit(now clock.Instant, r *pool.Replica) {
 	f.Permits.TryAcquireForOrder(now, r.Name, false)
 }
 
-// dispatches returns where calls are sent.
+// dispatches returns the dispatches so far, by call.
 func (f *Forwarder) dispatches() map[calls.ID]calls.Dispatch {
 	out := map[calls.ID]calls.Dispatch{}
 	for _, a := range f.Out.Actions() {
@@ -55,9 +55,10 @@
 	return out
 }
 
-// TestUnlimitedReplicaIsPreferred: a call that another replica can serve goes there, also where
-// the limited one has nothing in flight; it goes to the limited one where the others have
-// more to do than the wait for a turn there, and its answer is listened to.
+// TestUnlimitedReplicaIsPreferred checks that a call is sent to a replica without a rate limit
+// if there is one, even if the limited replica is idle. It is sent to the limited replica if
+// the backlog of the others is longer than the wait for the rate limit, and then the dispatch
+// says that the replica had a limit.
 func TestUnlimitedReplicaIsPreferred(t *testing.T) {
 	is := is.New(t)
 	f := testForwarder(t)
@@ -85,13 +86,13 @@
 		f.exhaustLimit(start, r)
 	}
 	r.SetNextSend(start.Add(time.Minute))
-	f.findReplica(start, f.callFor(2)) // its turn would come later than the free one serves it
+	f.findReplica(start, f.callFor(2)) // the wait for the limit is longer than that for the free replica
 	is.Equal(f.dispatches()[2].Replica, "free")
 }
 
-// TestOnlyRateLimitedReplicas tables what becomes of a call after what its one replica
-// takes now is used up: it waits its turn within half of its target, or is refused at once
-// with when to come back, and why.
+// TestOnlyRateLimitedReplicas checks what happens to a call once the rate limit of its only
+// replica is exhausted: it waits for a permit within half of its latency target, or is
+// refused at once with a Retry-After and the limit as the reason.
 func TestOnlyRateLimitedReplicas(t *testing.T) {
 	cases := []struct {
 		name    string
@@ -100,11 +101,11 @@
 		waits   bool
 		code    code.Code
 	}{
-		{"its turn comes soon", 10, func(*calls.Call) {}, true, 0},
-		{"its turn comes too late", 1, func(*calls.Call) {}, false, code.NoCapacity},
-		{"it has time to spare", 1, func(c *calls.Call) { c.Target = 8 * time.Second }, true, 0},
-		{"it has waited long enough", 10, func(c *calls.Call) { c.Arrived = start.Add(-450 * time.Millisecond) }, false, code.NoCapacity},
-		{"it may have run", 1, func(c *calls.Call) { c.History = c.History.WithAttempt().WithFailure(attempt.MaybeSent) }, false, code.UpstreamBroke},
+		{"permit available soon", 10, func(*calls.Call) {}, true, 0},
+		{"permit available too late", 1, func(*calls.Call) {}, false, code.NoCapacity},
+		{"call has time to spare", 1, func(c *calls.Call) { c.Target = 8 * time.Second }, true, 0},
+		{"call has waited too long", 10, func(c *calls.Call) { c.Arrived = start.Add(-450 * time.Millisecond) }, false, code.NoCapacity},
+		{"call may have run", 1, func(c *calls.Call) { c.History = c.History.WithAttempt().WithFailure(attempt.MaybeSent) }, false, code.UpstreamBroke},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -133,37 +134,37 @@
 	}
 }
 
-// TestAnotherLimitedReplicaIsTried: where one takes no more, a call goes to another one that
-// does.
+// TestAnotherLimitedReplicaIsTried checks that a call denied by one rate-limited replica is
+// sent to another one that still takes requests.
 func TestAnotherLimitedReplicaIsTried(t *testing.T) {
 	is := is.New(t)
 	f := testForwarder(t)
 	a, b := f.limitedReplica("a", 1), f.limitedReplica("b", 1)
 	f.exhaustLimit(start, a)
-	a.SetNextSend(start) // not known to this call
+	a.SetNextSend(start) // this call does not know of the wait
 	f.findReplica(start, f.callFor(1))
 	f.findReplica(start, f.callFor(2))
 	is.Equal(len(f.dispatches()), 1)
 	is.Equal(f.dispatches()[1].Replica, "b")
 	refused, _ := finalAnswers(f.Out)
 	is.Equal(refused[2].Code, code.NoCapacity)
-	is.Equal(a.Failures()+b.Failures(), 0) // a limit is no failure
+	is.Equal(a.Failures()+b.Failures(), 0) // a denial for the rate limit is not a failure
 }
 
-// TestUnusablePermitIsReleased tables what may have happened while a call waited for its turn:
-// it is not sent, and the next one gets the permit.
+// TestUnusablePermitIsReleased checks that a call that can no longer be sent when it gets its
+// permit is not sent, and that the next call gets the permit.
 func TestUnusablePermitIsReleased(t *testing.T) {
 	for name, happens := range map[string]func(f *Forwarder, c *calls.Call, r *pool.Replica){
-		"its caller left": func(f *Forwarder, c *calls.Call, _ *pool.Replica) {
+		"caller disconnected": func(f *Forwarder, c *calls.Call, _ *pool.Replica) {
 			f.Calls.CallerGone(start, calls.CallerGone{ID: c.ID})
 		},
-		"its time is over": func(f *Forwarder, c *calls.Call, _ *pool.Replica) { f.expire(c) },
-		"the replica wants nothing": func(f *Forwarder, _ *calls.Call, _ *pool.Replica) {
+		"call expired": func(f *Forwarder, c *calls.Call, _ *pool.Replica) { f.expire(c) },
+		"replica resting": func(f *Forwarder, _ *calls.Call, _ *pool.Replica) {
 			f.Pool.ObserveNotice(start, "r", start, pool.Notice{Rest: time.Hour})
 		},
-		"the replica leaves": func(f *Forwarder, _ *calls.Call, _ *pool.Replica) { f.Pool.MarkTerminated("r") },
-		"its model went":     func(f *Forwarder, _ *calls.Call, _ *pool.Replica) { f.Pool.MarkAbsent("r", "m") },
-		"its request is not run now": func(f *Forwarder, c *calls.Call, _ *pool.Replica) {
+		"replica terminated": func(f *Forwarder, _ *calls.Call, _ *pool.Replica) { f.Pool.MarkTerminated("r") },
+		"model absent":       func(f *Forwarder, _ *calls.Call, _ *pool.Replica) { f.Pool.MarkAbsent("r", "m") },
+		"request in quarantine": func(f *Forwarder, c *calls.Call, _ *pool.Replica) {
 			f.RefuseQuarantined(c.Forward.Fingerprint, time.Second)
 		},
 	} {
@@ -187,8 +188,9 @@
 	}
 }
 
-// TestStaleLimitIsCheckedByOneCall: after a while in which nothing was heard of a limit, one
-// call goes there though others could serve it, and no second one before that is answered.
+// TestStaleLimitIsCheckedByOneCall checks that after a time without reports of a rate limit,
+// one call is sent to that replica although others could serve it, and no second call before
+// the first is answered.
 func TestStaleLimitIsCheckedByOneCall(t *testing.T) {
 	is := is.New(t)
 	f := testForwarder(t)
@@ -206,7 +208,8 @@
 	is.Equal(f.dispatches()[3].Replica, "free")
 }
 
-// TestLimitedEnginesAreNotProbed: asking an engine how busy it is counts as a request.
+// TestLimitedEnginesAreNotProbed checks that engines with a rate limit are not probed, since a
+// probe counts as a request.
 func TestLimitedEnginesAreNotProbed(t *testing.T) {
 	is := is.New(t)
 	f := testForwarder(t)
