--- a/core/forwarding/attempts.go
+++ b/core/forwarding/attempts.go
@@ -41,23 +41,23 @@
 
 // attemptFailed retries or ends a call whose attempt failed, or requests a permit for the
 // retry.
-func (f *Forwarder) attemptFailed(now clock.Instant, c *calls.Call, b calls.AttemptFailed) {
+func (f *Forwarder) attemptFailed(now clock.Instant, c *calls.Call, e calls.AttemptFailed) {
 	s := stateOf(c)
 	if s.lastAttempt.replicaRestarted {
-		b.Severed = true // the replica ended, however the attempt failed here
+		e.Severed = true // the replica ended, however the attempt failed here
 	}
-	f.updateReplica(now, c, b)
-	c.History = c.History.WithFailure(b.Phase)
+	f.updateReplica(now, c, e)
+	c.History = c.History.WithFailure(e.Phase)
 	former := c.Replica
 	c.Replica = ""
-	s.progress.record(c.Life, b, f.rests(now, former))
-	switch reason := f.checkRetry(now, c, b); {
+	s.progress.record(c.Life, e, f.rests(now, former))
+	switch reason := f.checkRetry(now, c, e); {
 	case reason == overBudget && f.Budget.Common:
-		f.requestRetryPermit(now, c, failure{b, former})
+		f.requestRetryPermit(now, c, failure{e, former})
 	case reason != retryAllowed:
-		f.endUnretried(c, failure{b, former}, reason)
+		f.endUnretried(c, failure{e, former}, reason)
 	default:
-		f.retry(now, c, failure{b, former})
+		f.retry(now, c, failure{e, former})
 	}
 }
 
@@ -68,30 +68,30 @@
 }
 
 // retry finds another replica for a call whose attempt failed.
-func (f *Forwarder) retry(now clock.Instant, c *calls.Call, b failure) {
+func (f *Forwarder) retry(now clock.Instant, c *calls.Call, failed failure) {
 	s := stateOf(c)
 	f.Out.Log(logevent.CallRetried, "call", c.Forward.Name, "fingerprint", c.Forward.Fingerprint.String(),
-		"replica", b.replica, "severed", b.Severed, "unreachable", b.Unreachable, "status", b.Status, "detail", b.Detail)
+		"replica", failed.replica, "severed", failed.Severed, "unreachable", failed.Unreachable, "status", failed.Status, "detail", failed.Detail)
 	c.Phase = calls.Waiting
 	s.probe = probe{}
-	if b.Severed {
+	if failed.Severed {
 		s.notBefore = clock.Instant{} // the replica may have crashed under the call
 	}
 	f.findReplica(now, c)
 }
 
 // endUnretried ends a call whose attempt failed and logs why it is not retried.
-func (f *Forwarder) endUnretried(c *calls.Call, b failure, reason retryVerdict) {
+func (f *Forwarder) endUnretried(c *calls.Call, failed failure, reason retryVerdict) {
 	f.Out.Log(logevent.CallNotRepeated, "call", c.Forward.Name, "fingerprint", c.Forward.Fingerprint.String(),
-		"replica", b.replica, "severed", b.Severed, "reason", reason.String())
-	f.end(c, stateOf(c), b.Status, b.Detail)
+		"replica", failed.replica, "severed", failed.Severed, "reason", reason.String())
+	f.end(c, stateOf(c), failed.Status, failed.Detail)
 }
 
 // requestRetryPermit makes a call wait for a permit to be retried, since this instance's
 // own part of the retry budget is used up.
-func (f *Forwarder) requestRetryPermit(now clock.Instant, c *calls.Call, b failure) {
+func (f *Forwarder) requestRetryPermit(now clock.Instant, c *calls.Call, failed failure) {
 	s := stateOf(c)
-	s.pendingRetry = &b
+	s.pendingRetry = &failed
 	f.Calls.EnterPhase(c, calls.AwaitingPermit)
 	f.Permits.RequestForRetry(now, c.Service, c.ID, s.route.Priority, f.permitTimeout(now, c))
 }
@@ -99,13 +99,13 @@
 // retryPermitDecided retries the call if the permit was granted, and ends it otherwise.
 func (f *Forwarder) retryPermitDecided(now clock.Instant, c *calls.Call, granted bool) {
 	s := stateOf(c)
-	b := *s.pendingRetry
+	failed := *s.pendingRetry
 	s.pendingRetry = nil
 	if granted {
-		f.retry(now, c, b)
+		f.retry(now, c, failed)
 		return
 	}
-	f.endUnretried(c, b, overBudget)
+	f.endUnretried(c, failed, overBudget)
 }
 
 // rests reports whether a replica is resting, that is, asked this instance to send it
@@ -117,10 +117,10 @@
 
 // record records how an attempt at a replica ended. A replica that refused the call and
 // asked for rest may get the call again after the rest.
-func (p *progress) record(replica pool.Incarnation, b calls.AttemptFailed, rests bool) {
-	p.relayable = b.Relayable
-	p.answerStarted = p.answerStarted || b.Delivered > 0
-	switch b.Phase {
+func (p *progress) record(replica pool.Incarnation, e calls.AttemptFailed, rests bool) {
+	p.relayable = e.Relayable
+	p.answerStarted = p.answerStarted || e.Delivered > 0
+	switch e.Phase {
 	case attempt.NotSent:
 		p.unsent++ // the replica counts as down for a while and may be tried again afterwards
 		return
@@ -161,40 +161,40 @@
 
 // updateReplica updates the state of the replica after a failed attempt. An attempt at an
 // earlier incarnation says nothing about a replica that has restarted since.
-func (f *Forwarder) updateReplica(now clock.Instant, c *calls.Call, b calls.AttemptFailed) {
+func (f *Forwarder) updateReplica(now clock.Instant, c *calls.Call, e calls.AttemptFailed) {
 	r := f.Pool.Get(c.Replica)
 	switch {
 	case r == nil:
 	case !r.HasCall(uint64(c.ID)):
-		if b.Severed {
+		if e.Severed {
 			f.Quarantine.SeveredByReplicaEnd(now, c.Forward.Fingerprint, c.Life)
 		}
-	case b.Misdirected && b.Incarnation != "" && b.Incarnation != c.Replica:
+	case e.Misdirected && e.Incarnation != "" && e.Incarnation != c.Replica:
 		r.DropCall(uint64(c.ID))
 		f.Quarantine.ReplicaEnded(now, r.Incarnation())
 		f.Pool.MarkTerminated(c.Replica)
-		f.Out.Log(logevent.UpstreamLeaving, "upstream", c.Replica, "source", "another replica has its address", "now", b.Incarnation)
-	case b.Misdirected:
+		f.Out.Log(logevent.UpstreamLeaving, "upstream", c.Replica, "source", "another replica has its address", "now", e.Incarnation)
+	case e.Misdirected:
 		r.DropCall(uint64(c.ID))
 		f.Pool.MarkAbsent(c.Replica, c.Item)
 		r.MarkRefused(now, c.Item)
-	case b.Phase == attempt.Refused:
+	case e.Phase == attempt.Refused:
 		r.DropCall(uint64(c.ID))
-		if !r.Resting(now) { // a resting replica said itself for how long
+		if !r.Resting(now) { // a resting replica itself said for how long
 			r.MarkRefused(now, c.Item)
 		}
-	case b.Phase == attempt.NotSent:
+	case e.Phase == attempt.NotSent:
 		r.DropCall(uint64(c.ID))
 		r.MarkDown(now)
-		if b.Unreachable {
+		if e.Unreachable {
 			f.Quarantine.ReplicaEnded(now, r.Incarnation())
 		}
-	case b.Relayable:
+	case e.Relayable:
 		// The replica works; the call itself may be the cause of the failure.
 		r.End(now, uint64(c.ID), c.Started, false)
 	default:
 		f.Pool.CallFailed(now, r, uint64(c.ID), c.Started)
-		if b.Severed {
+		if e.Severed {
 			f.Quarantine.Severed(now, c.Forward.Fingerprint, r)
 		}
 	}
@@ -252,8 +252,8 @@
 	}
 }
 
-// abandon records that the result of a call's current attempt, if any, is no longer
-// awaited. The call may have run.
+// abandon stops waiting for the result of a call's current attempt, if there is one, and
+// records that the attempt may have run.
 func (f *Forwarder) abandon(c *calls.Call) {
 	if c.Phase != calls.Running {
 		return
--- a/core/forwarding/permit.go
+++ b/core/forwarding/permit.go
@@ -50,10 +50,10 @@
 	}
 	s.permitRequests++
 	wait, alone := f.permitWait(now, c, q, best)
-	w := best.Replica.LimitReport()
+	report := best.Replica.LimitReport()
 	f.Calls.EnterPhase(c, calls.AwaitingPermit)
 	f.Out.Log(logevent.CallWaits, "call", c.Forward.Name, "item", c.Item, "for", "a permit", "replica", best.Replica.Name,
-		"per_s", w.Limit.PerSecond, "by", w.By, "ago_ms", now.Since(w.At).Milliseconds(), "most_ms", wait.Milliseconds())
+		"per_s", report.Limit.PerSecond, "by", report.By, "ago_ms", now.Since(report.At).Milliseconds(), "most_ms", wait.Milliseconds())
 	f.Permits.RequestForCall(now, best.Replica, c.ID, s.route.Priority, wait, alone)
 }
 
@@ -132,7 +132,7 @@
 }
 
 // excludedReplicas returns the replicas that the call must not be sent to now: those that
-// failed it and those that deny it.
+// failed it and those for which it was denied a permit.
 func (s *state) excludedReplicas(now clock.Instant) []pool.Incarnation {
 	excluded := s.progress.tried
 	for _, d := range s.activeDenials(now) {
@@ -153,8 +153,8 @@
 	next := slices.MinFunc(denied, func(a, b denial) int { return int(a.after - b.after) })
 	detail := "the replicas that can serve it take no more requests for now"
 	if r := f.Pool.Get(next.incarnation.Name); r != nil {
-		w := r.LimitReport()
-		detail = fmt.Sprintf("%s; %s takes %g a second, as %s heard %v ago", detail, r.Name, w.Limit.PerSecond, w.By, now.Since(w.At).Round(time.Millisecond))
+		report := r.LimitReport()
+		detail = fmt.Sprintf("%s; %s takes %g a second, as %s heard %v ago", detail, r.Name, report.Limit.PerSecond, report.By, now.Since(report.At).Round(time.Millisecond))
 	}
 	if c.History.RunState() != code.NotRun || s.progress.answerStarted {
 		f.end(c, s, 0, detail)
--- a/core/forwarding/repeat.go
+++ b/core/forwarding/repeat.go
@@ -46,12 +46,12 @@
 	}[v]
 }
 
-// checkRetry decides whether a call whose attempt failed with b may be retried at
+// checkRetry decides whether a call whose attempt failed with e may be retried at
 // another replica, and charges the retry to the budget. A call that may have run is
 // retried only if its route is repeatable, and a stream that has begun only if it can be
 // resumed. A call of which nothing was sent reached no replica, so its retry is not
 // charged.
-func (f *Forwarder) checkRetry(now clock.Instant, c *calls.Call, b calls.AttemptFailed) retryVerdict {
+func (f *Forwarder) checkRetry(now clock.Instant, c *calls.Call, e calls.AttemptFailed) retryVerdict {
 	s := stateOf(c)
 	p := s.progress
 	switch {
@@ -59,7 +59,7 @@
 		return notResumable
 	case !p.answerStarted && !c.History.Repeatable && c.History.RunState() != code.NotRun:
 		return mayHaveRun
-	case b.BodyConsumed:
+	case e.BodyConsumed:
 		return bodyConsumed
 	case p.possibleRuns >= max(1, s.route.MaxAttempts):
 		return attemptsUsed
@@ -69,7 +69,7 @@
 		return unsentTooOften
 	case !now.Add(minTimeLeft).Before(c.Expires):
 		return noTimeLeft
-	case b.Phase != attempt.NotSent && !f.Budget.Spend(now, c.Service):
+	case e.Phase != attempt.NotSent && !f.Budget.Spend(now, c.Service):
 		return overBudget
 	default:
 		return retryAllowed
--- a/core/forwarding/wait.go
+++ b/core/forwarding/wait.go
@@ -19,10 +19,10 @@
 	// noReplicaRetryAfter is the shortest Retry-After for a call that no replica can
 	// serve now: replicas usually return, and capacity becomes free, within moments.
 	noReplicaRetryAfter = 250 * time.Millisecond
-	// adapterWaitShare is the share of a call's latency target for which an adapter that
-	// cannot be ordered now is expected to take, so that the call waits for the
-	// remaining share: adapter slots become free and owners return within moments, or
-	// not soon.
+	// adapterWaitShare is the time that an adapter which cannot be ordered now is
+	// expected to take, as a share of the call's latency target. The call waits during
+	// the remaining share: adapter slots become free and owners return within moments,
+	// or not soon.
 	adapterWaitShare = 0.75
 	// placementDelay is the time until a missed model is ordered.
 	placementDelay = 600 * time.Millisecond
--- a/core/route/forward.go
+++ b/core/route/forward.go
@@ -209,8 +209,8 @@
 	return estimates
 }
 
-// eligible returns the candidates accepted by may that the call may be sent to. A
-// resting replica is excluded even if there is no other.
+// eligible returns the candidates that the call may be sent to, of those for which may
+// returns true. A resting replica is excluded even if there is no other.
 func (q Query) eligible(now clock.Instant, candidates []*pool.Replica, may func(r *pool.Replica) bool) []*pool.Replica {
 	out := make([]*pool.Replica, 0, len(candidates))
 	for _, r := range candidates {
--- a/core/route/forward_test.go
+++ b/core/route/forward_test.go
@@ -32,7 +32,7 @@
 }
 
 // TestChoose checks which of two replicas is chosen: by default a, which is in the
-// instance's own zone, and b where something speaks against a or for b.
+// instance's own zone, and b if a is worse or b is better for the call.
 func TestChoose(t *testing.T) {
 	// Rendezvous hashing selects a for the first part, so nothing favors b.
 	weight := ModelSize{Model: "m", MB: 70}
