--- a/core/calls/call.go
+++ b/core/calls/call.go
@@ -98,7 +98,7 @@
 	// AnswerBegan is called when the first piece of the answer arrives.
 	AnswerBegan func(now clock.Instant, c *Call)
 	// AttemptFailed retries, resumes or ends a call after a failed attempt.
-	AttemptFailed func(now clock.Instant, c *Call, e AttemptFailed)
+	AttemptFailed func(now clock.Instant, c *Call, f AttemptFailed)
 	// Served is called when the answer is complete.
 	Served func(now clock.Instant, c *Call, e Completed)
 	// Left is called when the caller disconnects while the call runs at r.
--- a/core/forwarding/wait.go
+++ b/core/forwarding/wait.go
@@ -24,7 +24,7 @@
 	// the remaining share: adapter slots become free and owners return within moments,
 	// or not soon.
 	adapterWaitShare = 0.75
-	// placementDelay is the time until a missed model is ordered.
+	// placementDelay is the time from the miss of a model until its load is ordered.
 	placementDelay = 600 * time.Millisecond
 	// restWaitShare is the share of its latency target for which a call waits for the end
 	// of a replica's rest. The remainder is for its answer.
