--- a/core/calls/call.go
+++ b/core/calls/call.go
@@ -91,7 +91,7 @@
 	Answered bool             // the first piece of the answer arrived
 }
 
-// A Handlers holds the functions that implement one kind of call.
+// Handlers holds the functions that implement one kind of call.
 type Handlers struct {
 	// FindReplica sends the call to the best replica, queues it, or refuses it.
 	FindReplica func(now clock.Instant, c *Call)
