--- a/core/route/speed_test.go
+++ b/core/route/speed_test.go
@@ -16,11 +16,11 @@
 		name     string
 		overhead time.Duration
 		perToken time.Duration
-		hiccups  bool // every tenth first event is delayed by something else
+		outliers bool // every tenth first event is delayed by something else
 	}{
 		{name: "a slow model", overhead: 15 * time.Millisecond, perToken: 50 * time.Microsecond},
 		{name: "a fast model", overhead: 18 * time.Millisecond, perToken: 3 * time.Microsecond},
-		{name: "a fast model with hiccups", overhead: 18 * time.Millisecond, perToken: 3 * time.Microsecond, hiccups: true},
+		{name: "a fast model with hiccups", overhead: 18 * time.Millisecond, perToken: 3 * time.Microsecond, outliers: true},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
@@ -30,7 +30,7 @@
 			for i := range 60 {
 				tokens := 300 + 37*(i*7%40)
 				took := tt.overhead + time.Duration(tokens)*tt.perToken
-				if tt.hiccups && i%10 == 9 {
+				if tt.outliers && i%10 == 9 {
 					took += time.Second
 				}
 				router.ObserveFirstEvent(known, tokens, took)
