--- a/core/forwarding/forwarding_test.go
+++ b/core/forwarding/forwarding_test.go
@@ -183,7 +183,7 @@
 func TestCallsThatFindNoReplica(t *testing.T) {
 	cases := []struct {
 		name    string
-		target  modelRequest
+		request modelRequest
 		item    string
 		prepare func(f *Forwarder, c *calls.Call, s *state)
 		waits   bool
@@ -214,7 +214,7 @@
 			call, s := f.testCall(config.Stream, false)
 			call.Phase = calls.Waiting
 			call.Item = c.item
-			s.request = c.target
+			s.request = c.request
 			if c.prepare != nil {
 				c.prepare(f, call, s)
 			}
