--- a/core/forwarding/forwarding.go
+++ b/core/forwarding/forwarding.go
@@ -215,8 +215,8 @@
 	if out == 0 {
 		out = c.MaxTokens
 	}
-	read := time.Duration(uncachedShare * float64(c.PromptTokens) * float64(f.router.PrefillTokenTime(s.request.size)))
-	return read + time.Duration(out)*decodeTime
+	prefill := time.Duration(uncachedShare * float64(c.PromptTokens) * float64(f.router.PrefillTokenTime(s.request.size)))
+	return prefill + time.Duration(out)*decodeTime
 }
 
 // OrderDone handles the end of the order that a call waited for: the call chooses its
