--- a/core/forwarding/forwarding.go
+++ b/core/forwarding/forwarding.go
@@ -211,12 +211,12 @@
 
 // estimateWork returns the estimated engine time for a call.
 func (f *Forwarder) estimateWork(c *calls.Call, s *state) time.Duration {
-	out := c.Forward.LengthHint
-	if out == 0 {
-		out = c.MaxTokens
+	answerTokens := c.Forward.LengthHint
+	if answerTokens == 0 {
+		answerTokens = c.MaxTokens
 	}
 	prefill := time.Duration(uncachedShare * float64(c.PromptTokens) * float64(f.router.PrefillTokenTime(s.request.size)))
-	return prefill + time.Duration(out)*decodeTime
+	return prefill + time.Duration(answerTokens)*decodeTime
 }
 
 // OrderDone handles the end of the order that a call waited for: the call chooses its
