--- a/core/forwarding/attempts.go
+++ b/core/forwarding/attempts.go
@@ -50,7 +50,7 @@
 	c.History = c.History.WithFailure(e.Phase)
 	former := c.Replica
 	c.Replica = ""
-	s.progress.record(c.Life, e, f.rests(now, former))
+	s.progress.record(c.Life, e, f.isResting(now, former))
 	switch reason := f.checkRetry(now, c, e); {
 	case reason == overBudget && f.Budget.Common:
 		f.requestRetryPermit(now, c, failure{e, former})
@@ -108,9 +108,9 @@
 	f.endUnretried(c, failed, overBudget)
 }
 
-// rests reports whether a replica is resting, that is, asked this instance to send it
+// isResting reports whether a replica is resting, that is, asked this instance to send it
 // nothing for a while.
-func (f *Forwarder) rests(now clock.Instant, replica string) bool {
+func (f *Forwarder) isResting(now clock.Instant, replica string) bool {
 	r := f.Pool.Get(replica)
 	return r != nil && r.Resting(now)
 }
