--- a/core/forwarding/attempts.go
+++ b/core/forwarding/attempts.go
@@ -271,9 +271,9 @@
 		return
 	}
 	f.abandon(c)
-	num := code.TimedOut
+	refusalCode := code.TimedOut
 	if stateOf(c).progress.answerStarted {
-		num = code.StreamCut
+		refusalCode = code.StreamCut
 	}
-	f.Calls.Refuse(c, code.Refusal{Code: num, Run: c.History.RunState(), Detail: "the time limit of the call has passed"})
+	f.Calls.Refuse(c, code.Refusal{Code: refusalCode, Run: c.History.RunState(), Detail: "the time limit of the call has passed"})
 }
