--- a/core/forwarding/wait.go
+++ b/core/forwarding/wait.go
@@ -19,11 +19,11 @@
 	// noReplicaRetryAfter is the shortest Retry-After for a call that no replica can
 	// serve now: replicas usually return, and capacity becomes free, within moments.
 	noReplicaRetryAfter = 250 * time.Millisecond
-	// adapterWaitShare is the time that an adapter which cannot be ordered now is
+	// adapterExpectedShare is the time that an adapter which cannot be ordered now is
 	// expected to take, as a share of the call's latency target. The call waits during
 	// the remaining share: adapter slots become free and owners return within moments,
 	// or not soon.
-	adapterWaitShare = 0.75
+	adapterExpectedShare = 0.75
 	// placementDelay is the time from the miss of a model until its load is ordered.
 	placementDelay = 600 * time.Millisecond
 	// restWaitShare is the share of its latency target for which a call waits for the end
@@ -158,7 +158,7 @@
 
 // awaitAdapter makes a call wait for its adapter, or refuses it.
 func (f *Forwarder) awaitAdapter(now clock.Instant, c *calls.Call) {
-	expected := time.Duration(adapterWaitShare * float64(c.Target))
+	expected := time.Duration(adapterExpectedShare * float64(c.Target))
 	if worthWaiting(now.Since(c.Arrived), expected, c.Target) {
 		f.Calls.Enqueue(c)
 		return
