--- a/core/forwarding/wait.go
+++ b/core/forwarding/wait.go
@@ -56,15 +56,15 @@
 }
 
 // reason returns why no replica can serve the call.
-func (a unavailability) reason() unavailableReason {
+func (u unavailability) reason() unavailableReason {
 	switch {
-	case a.run != code.NotRun || a.answerStarted:
+	case u.run != code.NotRun || u.answerStarted:
 		return noFurtherAttempt
-	case a.item == "":
+	case u.item == "":
 		return noLiveReplica
-	case a.refusals > 0:
+	case u.refusals > 0:
 		return allRefused
-	case a.adapter != "" && a.modelServed():
+	case u.adapter != "" && u.modelServed():
 		return adapterNotLoadable
 	default:
 		return modelNotResident
