--- a/core/forwarding/wait.go
+++ b/core/forwarding/wait.go
@@ -85,11 +85,11 @@
 	if f.refuseRateLimited(now, c) {
 		return
 	}
-	a := unavailability{
+	u := unavailability{
 		run: c.History.RunState(), answerStarted: s.progress.answerStarted, item: c.Item, refusals: s.progress.refusals, adapter: s.request.adapter,
 		modelServed: func() bool { return f.modelServed(now, c, s) },
 	}
-	switch a.reason() {
+	switch u.reason() {
 	case noFurtherAttempt:
 		f.end(c, s, 0, "no other replica can serve it")
 	case noLiveReplica:
