--- a/core/forwarding/probe.go
+++ b/core/forwarding/probe.go
@@ -119,11 +119,11 @@
 // recordProbeBenefit records what probing saved a call, if it probed, now that its best
 // engine is known.
 func (f *Forwarder) recordProbeBenefit(now clock.Instant, s *state, q route.Query, best route.Estimate) {
-	first := s.probe.initialChoice
-	if first == nil {
+	initial := s.probe.initialChoice
+	if initial == nil {
 		return
 	}
 	s.probe.initialChoice = nil
-	without := f.router.Estimate(now, q, first)
+	without := f.router.Estimate(now, q, initial)
 	f.probeBenefit.observe(max(0, without.Total()-best.Total()), now.Since(s.probe.sentAt))
 }
