--- a/core/policy/policy.go
+++ b/core/policy/policy.go
@@ -140,18 +140,18 @@
 		"load":           in.Load,
 		"hour":           in.Hour,
 	}
-	v := p.fallback
+	decision := p.fallback
 	failed := 0
 	if out, ok := eval[types.Int](p.priority, vars, &failed); ok {
-		v.Priority = int(min(max(int64(out), 0), MaxPriority))
+		decision.Priority = int(min(max(int64(out), 0), MaxPriority))
 	}
 	if out, ok := eval[types.Bool](p.refuse, vars, &failed); ok {
-		v.Refuse = bool(out)
+		decision.Refuse = bool(out)
 	}
 	if out, ok := eval[types.Duration](p.wait, vars, &failed); ok {
-		v.Wait = max(out.Duration, 0)
+		decision.Wait = max(out.Duration, 0)
 	}
-	return v, failed
+	return decision, failed
 }
 
 // eval evaluates one expression. The second result is false if the expression is empty or failed; a
