--- a/core/forwarding/permit_test.go
+++ b/core/forwarding/permit_test.go
@@ -180,10 +180,10 @@
 			happens(f, c, r)
 			f.Permits.Tick(start.Add(450 * time.Millisecond))
 			is.Equal(len(f.dispatches()), 0)
-			v := permits.Decision{}
-			f.Permits.Decided = func(_ clock.Instant, _ calls.ID, _ permits.Resource, x permits.Decision) { v = x }
+			decision := permits.Decision{}
+			f.Permits.Decided = func(_ clock.Instant, _ calls.ID, _ permits.Resource, x permits.Decision) { decision = x }
 			f.Permits.RequestForCall(start.Add(450*time.Millisecond), r, 2, 0, 0, false)
-			is.True(v.Granted)
+			is.True(decision.Granted)
 		})
 	}
 }
