--- a/core/forwarding/permit_test.go
+++ b/core/forwarding/permit_test.go
@@ -154,7 +154,7 @@
 // TestUnusablePermitIsReleased checks that a call that can no longer be sent when it gets its
 // permit is not sent, and that the next call gets the permit.
 func TestUnusablePermitIsReleased(t *testing.T) {
-	for name, happens := range map[string]func(f *Forwarder, c *calls.Call, r *pool.Replica){
+	for name, event := range map[string]func(f *Forwarder, c *calls.Call, r *pool.Replica){
 		"caller disconnected": func(f *Forwarder, c *calls.Call, _ *pool.Replica) {
 			f.Calls.CallerGone(start, calls.CallerGone{ID: c.ID})
 		},
@@ -177,7 +177,7 @@
 			c.Forward.Fingerprint = crash.Fingerprint(7)
 			f.findReplica(start, c)
 			is.Equal(c.Phase, calls.AwaitingPermit)
-			happens(f, c, r)
+			event(f, c, r)
 			f.Permits.Tick(start.Add(450 * time.Millisecond))
 			is.Equal(len(f.dispatches()), 0)
 			decision := permits.Decision{}
