--- a/core/forwarding/forwarding_test.go
+++ b/core/forwarding/forwarding_test.go
@@ -83,7 +83,7 @@
 		name      string
 		kind      config.Kind
 		resumable bool
-		broke     calls.AttemptFailed
+		failed    calls.AttemptFailed
 		prepare   func(c *calls.Call, s *state)
 		want      retryVerdict
 	}{
@@ -111,9 +111,9 @@
 			if c.prepare != nil {
 				c.prepare(call, s)
 			}
-			call.History = call.History.WithAttempt().WithFailure(c.broke.Phase)
-			s.progress.record(pool.Incarnation{Name: "r"}, c.broke, false)
-			is.Equal(f.checkRetry(start, call, c.broke), c.want)
+			call.History = call.History.WithAttempt().WithFailure(c.failed.Phase)
+			s.progress.record(pool.Incarnation{Name: "r"}, c.failed, false)
+			is.Equal(f.checkRetry(start, call, c.failed), c.want)
 		})
 	}
 }
