--- a/core/forwarding/forwarding_test.go
+++ b/core/forwarding/forwarding_test.go
@@ -334,14 +334,14 @@
 	after := start.Add(f.Quarantine.SendDelay(7))
 	c.Phase = calls.Waiting
 	is.True(!f.mustDelay(after, c, s))
-	fails := func(b calls.AttemptFailed) {
+	failAttempt := func(b calls.AttemptFailed) {
 		c.Phase = calls.Running
 		f.attemptFailed(after, c, b)
 		c.Phase = calls.Waiting
 	}
-	fails(calls.AttemptFailed{Phase: attempt.NotSent, Unreachable: true})
+	failAttempt(calls.AttemptFailed{Phase: attempt.NotSent, Unreachable: true})
 	is.True(!f.mustDelay(after, c, s))
-	fails(calls.AttemptFailed{Phase: attempt.MaybeSent, Severed: true})
+	failAttempt(calls.AttemptFailed{Phase: attempt.MaybeSent, Severed: true})
 	is.True(f.mustDelay(after, c, s))
 	later := after.Add(f.Quarantine.SendDelay(7))
 	is.True(!f.mustDelay(later, c, s))
