--- a/core/calls/queue_test.go
+++ b/core/calls/queue_test.go
@@ -15,7 +15,7 @@
 )
 
 // testTable returns an empty table and handlers for its calls that do nothing.
-func testTable(maxWaiting int) (t *Table, k *Handlers) {
+func testTable(maxWaiting int) (t *Table, h *Handlers) {
 	opt := option.Default()
 	opt.MaxWaiting = maxWaiting
 	t = New()
@@ -23,12 +23,12 @@
 	t.Rand = rand.New(rand.NewPCG(1, 1))
 	t.Out = &step.Output{}
 	t.Pool = pool.New()
-	k = &Handlers{
+	h = &Handlers{
 		FindReplica: func(clock.Instant, *Call) {},
 		NotRun:      func(*Call) {},
 		LeftQueue:   func(*Call) {},
 	}
-	return t, k
+	return t, h
 }
 
 func (t *Table) add(k *Handlers, id ID, priority int, arrived clock.Instant, target time.Duration) *Call {
