--- a/core/calls/queue_test.go
+++ b/core/calls/queue_test.go
@@ -31,8 +31,8 @@
 	return t, h
 }
 
-func (t *Table) add(k *Handlers, id ID, priority int, arrived clock.Instant, target time.Duration) *Call {
-	c := &Call{Request: Request{ID: id}, Kind: k, Priority: priority, Arrived: arrived, Target: target, Phase: Waiting}
+func (t *Table) add(h *Handlers, id ID, priority int, arrived clock.Instant, target time.Duration) *Call {
+	c := &Call{Request: Request{ID: id}, Kind: h, Priority: priority, Arrived: arrived, Target: target, Phase: Waiting}
 	t.Add(c)
 	t.Enqueue(c)
 	return c
