--- a/core/calls/queue_test.go
+++ b/core/calls/queue_test.go
@@ -43,14 +43,14 @@
 func TestWaitingCallsAreTriedInOrder(t *testing.T) {
 	is := is.New(t)
 	now := clocktest.At(time.Hour)
-	table, k := testTable(10)
+	table, h := testTable(10)
 	ago := func(d time.Duration) clock.Instant { return now.Add(-d) }
-	table.add(k, 1, 50, ago(900*time.Millisecond), time.Second)
-	table.add(k, 2, 50, ago(100*time.Millisecond), time.Second)
-	table.add(k, 3, 50, ago(3*time.Second), time.Second)
-	table.add(k, 4, 50, ago(2*time.Second), time.Second)
-	table.add(k, 5, 80, ago(9*time.Second), time.Second)
-	table.add(k, 6, 20, ago(0), time.Second)
+	table.add(h, 1, 50, ago(900*time.Millisecond), time.Second)
+	table.add(h, 2, 50, ago(100*time.Millisecond), time.Second)
+	table.add(h, 3, 50, ago(3*time.Second), time.Second)
+	table.add(h, 4, 50, ago(2*time.Second), time.Second)
+	table.add(h, 5, 80, ago(9*time.Second), time.Second)
+	table.add(h, 6, 20, ago(0), time.Second)
 	var order []ID
 	for _, c := range table.retryOrder(now) {
 		order = append(order, c.ID)
