--- a/core/calls/queue_test.go
+++ b/core/calls/queue_test.go
@@ -74,10 +74,10 @@
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
 			now := clocktest.At(time.Hour)
-			table, k := testTable(2)
-			table.add(k, 1, 50, now, time.Second)
-			table.add(k, 2, 20, now, time.Second)
-			table.add(k, 3, c.priority, now, time.Second)
+			table, h := testTable(2)
+			table.add(h, 1, 50, now, time.Second)
+			table.add(h, 2, 20, now, time.Second)
+			table.add(h, 3, c.priority, now, time.Second)
 			is.Equal(table.QueueLen(), 2)
 			var refused []ID
 			for _, a := range table.Out.Actions() {
