--- a/core/attempt/attempt.go
+++ b/core/attempt/attempt.go
@@ -6,9 +6,9 @@
 // state machine (NotSent, MaybeSent, Answered, Ended, or Refused), and the run
 // state and the retry decision are computed from it.
 //
-// Invariants: a phase never goes back; a call that is not repeatable is not sent
-// again once any attempt is past NotSent, unless the upstream itself reported that
-// it did not run the call.
+// Invariants: the phase of an attempt never goes back; a call that is not repeatable
+// is never sent again once any attempt is past NotSent, unless the upstream itself
+// reported that it did not run the call.
 package attempt
 
 import "github.com/birchdrift/birchdrift/core/code"
@@ -55,7 +55,7 @@
 // A History is the immutable record of one call's attempts.
 type History struct {
 	Repeatable bool
-	run        code.RunState // of all failed attempts, combined
+	run        code.RunState // combined run state of all failed attempts
 	Attempts   int           // attempts started
 	Resumes    int           // resumes of the current attempt
 }
@@ -84,9 +84,9 @@
 	return h
 }
 
-// combineRunStates returns the run state of a call with attempts in states a and b:
-// the one that rules out the least. Ran takes precedence over MayHaveRun, and
-// MayHaveRun over NotRun.
+// combineRunStates returns the run state of a call whose attempts have the run states
+// a and b. Ran takes precedence over MayHaveRun, and MayHaveRun over NotRun, so a call
+// never counts as not run if an attempt of it may have run.
 func combineRunStates(a, b code.RunState) code.RunState {
 	if a == code.Ran || b == code.Ran {
 		return code.Ran
@@ -97,7 +97,7 @@
 	return code.NotRun
 }
 
-// RunState returns whether the call ran, as far as its failed attempts show.
+// RunState returns the combined run state of the call's failed attempts.
 func (h History) RunState() code.RunState { return h.run }
 
 // A Failure describes how an attempt ended before its answer was complete.
@@ -127,10 +127,14 @@
 	return Fail
 }
 
+// mayResume reports whether the current attempt may be resumed at its replica. There is
+// nothing to resume if the replica did not receive the call or refused it.
 func (h History) mayResume(f Failure) bool {
 	return f.SameBoot && h.Resumes < MaxResumes && f.Phase != NotSent && f.Phase != Refused
 }
 
+// mayRetry reports whether the call may be sent again from the start. A call of which
+// the caller has received anything is not started again.
 func (h History) mayRetry(f Failure) bool {
 	if f.Delivered > 0 || f.Spent {
 		return false
--- a/core/backoff/backoff.go
+++ b/core/backoff/backoff.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// maxDoublings is the largest number of doublings of Base that is computed; more
+// maxDoublings bounds the number of doublings of Base that are computed, since more
 // could overflow. A Base of 10 ms doubled 20 times is almost three hours.
 const maxDoublings = 20
 
--- a/core/calls/call.go
+++ b/core/calls/call.go
@@ -32,9 +32,9 @@
 	Service        string
 	Plain          bool   // a call under /services/, not a model call
 	Path           string // path of a plain call below the service, or of a forwarded call
-	Key            string // the caller's key, "" if none was sent
+	Key            string // the key that identifies the caller, "" if none was sent
 	IdempotencyKey string
-	NotRepeatable  bool // the call itself says that it must not be retried
+	NotRepeatable  bool // the caller marked the call as one that must not be retried
 	Replayable     bool // the body can be sent a second time
 	PromptTokens   int
 	MaxTokens      int
--- a/core/calls/event.go
+++ b/core/calls/event.go
@@ -13,18 +13,19 @@
 	Arrived struct{ Call Request }
 	// AnswerBegan reports that the first piece of the answer arrived.
 	AnswerBegan struct{ ID ID }
-	// Completed reports that the explicit end of the answer was delivered.
+	// Completed reports that the explicit end of the answer was delivered to the
+	// caller.
 	Completed struct {
 		ID    ID
-		Pause time.Duration // longest pause between two pieces of the answer
+		Pause time.Duration // longest pause between two consecutive pieces of the answer
 	}
-	// AttemptFailed reports that an attempt ended in any way but Completed.
+	// AttemptFailed reports that an attempt ended without a Completed.
 	AttemptFailed struct {
 		ID        ID
 		Attempt   int
 		Phase     attempt.Phase
 		Delivered int  // pieces or bytes that reached the caller
-		Resumable bool // the replica may still hold the sequence
+		Resumable bool // the replica may still hold the state of the answer and can continue it
 		Stalled   bool // the replica stopped sending
 		// Severed means that the replica or its machine closed the connection before
 		// the end of the answer.
@@ -38,12 +39,13 @@
 		// Misdirected means that the replica is not the expected one or does not hold
 		// the model.
 		Misdirected bool
-		// Incarnation is the name that the answering replica gave, if any.
+		// Incarnation is the replica name in the answer, "" if there is none. It is a
+		// name only, without the start identifier of a pool.Incarnation.
 		Incarnation string
 		// Relayable means that the replica answered with a complete error response that
 		// can be passed on to the caller.
 		Relayable bool
-		Detail    string
+		Detail    string // the cause, for logs and the refusal
 	}
 	// CallerGone reports that the caller closed its connection.
 	CallerGone struct{ ID ID }
@@ -60,27 +62,27 @@
 		Zone     string
 		Model    string
 		Adapter  string
-		Priority int
-		// Repeatable means that the transport may use a connection on which it might
-		// send the call a second time.
+		Priority int // of a call of the own interface; see also ForwardAttempt
+		// Repeatable means that the transport may reuse a connection. If that turns
+		// out to be closed, the transport may send the call a second time by itself.
 		Repeatable bool
-		Resume     bool
-		After      time.Duration // delay before sending
-		Stall      time.Duration // time without data after which the attempt has failed
-		Forward    *ForwardAttempt
+		Resume     bool            // continue the current attempt instead of starting one
+		After      time.Duration   // delay before sending
+		Stall      time.Duration   // time without data after which the attempt has failed
+		Forward    *ForwardAttempt // nil for calls of the own interface
 		// Limited means that the replica had announced a rate limit. An answer that
 		// announces none then means that the limit has ended.
 		Limited bool
 	}
-	// A ForwardAttempt is what the Dispatch of a forwarded call has in addition.
+	// A ForwardAttempt holds the additional fields in the Dispatch of a forwarded call.
 	ForwardAttempt struct {
 		ListAge  time.Duration // age of the platform's list that the choice was based on
 		Left     time.Duration // time left until the caller's deadline; 0 if there is none
 		Priority int           // priority rank sent to the replica; -1 sends none
 		Stream   bool          // the answer is a stream of events
 	}
-	// Interrupt aborts the current attempt of a call. The attempt ends with an
-	// AttemptFailed as usual.
+	// Interrupt aborts the current attempt of a call. It is answered by an
+	// AttemptFailed, like any failed attempt.
 	Interrupt struct{ ID ID }
 	// Relay passes on the replica's complete error response, which the last
 	// AttemptFailed reported as Relayable.
--- a/core/forwarding/attempts.go
+++ b/core/forwarding/attempts.go
@@ -108,8 +108,8 @@
 	f.endUnretried(c, failed, overBudget)
 }
 
-// isResting reports whether a replica is resting, that is, asked this instance to send it
-// nothing for a while.
+// isResting reports whether a replica has asked this instance to send it nothing for a
+// while that has not ended.
 func (f *Forwarder) isResting(now clock.Instant, replica string) bool {
 	r := f.Pool.Get(replica)
 	return r != nil && r.Resting(now)
@@ -202,7 +202,7 @@
 
 // ReplicaRestarted interrupts the calls at a replica that has restarted: they ended with
 // its previous incarnation. Calls whose connections do not show that would otherwise wait
-// in vain.
+// for an answer that cannot come.
 func (f *Forwarder) ReplicaRestarted(now clock.Instant, replica string) {
 	for _, c := range f.Calls.All() {
 		if c.Forward == nil || c.Phase != calls.Running || c.Replica != replica {
@@ -217,7 +217,7 @@
 const expireInterval = 20 * time.Millisecond
 
 // Expire ends the expired calls, if a check is due. They get an answer at once, so that
-// no caller waits in vain.
+// no caller waits for an answer that comes too late.
 func (f *Forwarder) Expire(now clock.Instant) {
 	if now.Before(f.nextExpire) {
 		return
--- a/core/forwarding/overload.go
+++ b/core/forwarding/overload.go
@@ -21,23 +21,24 @@
 // should have drained.
 
 const (
-	// lateFactor is the multiple of its latency target up to which a call may be expected
-	// to be answered and is still sent. Estimates err, mostly upwards.
+	// lateFactor is the multiple of the latency target within which an answer must be
+	// expected for its call to be sent. It is above 1 because estimates are inexact and
+	// mostly too high.
 	lateFactor = 1.5
 	// otherPrefillShare is the share of the longest acceptable pause that other prompts
 	// may take at an engine whose streams another prompt would delay. A long prompt alone
 	// is still sent.
 	otherPrefillShare = 0.3
-	// holdShare is the share of its latency target by which a call's first event must be
-	// expected for the call to wait for engines with a large prefill backlog. The rest
-	// allows for errors of the estimate.
+	// holdShare is the share of the latency target within which the first event must be
+	// expected for a call to wait while engines have a large prefill backlog. The rest of
+	// the target allows for errors of the estimate.
 	holdShare = 0.5
 )
 
 // A forecast is the expected service of a call at the best engine for it.
 type forecast struct {
-	// expected is the time from the call's arrival to its first event. Signs of trouble at
-	// the engine are included as the time that they may cost.
+	// expected is the time from the call's arrival to its first event. Signs that the
+	// engine is slow or failing are included as the time that they may cost.
 	expected       time.Duration
 	target         time.Duration // latency target for the first event; 0: none
 	prefillBacklog time.Duration // uninterrupted prefill work at the engine, including the call's own
--- a/core/forwarding/wait.go
+++ b/core/forwarding/wait.go
@@ -20,9 +20,9 @@
 	// serve now: replicas usually return, and capacity becomes free, within moments.
 	noReplicaRetryAfter = 250 * time.Millisecond
 	// adapterExpectedShare is the time that an adapter which cannot be ordered now is
-	// expected to take, as a share of the call's latency target. The call waits during
-	// the remaining share: adapter slots become free and owners return within moments,
-	// or not soon.
+	// expected to take, as a share of the call's latency target. The call waits only for
+	// the remaining share: adapter slots become free and owners return either within
+	// moments or not soon.
 	adapterExpectedShare = 0.75
 	// placementDelay is the time from the miss of a model until its load is ordered.
 	placementDelay = 600 * time.Millisecond
--- a/core/limit/limit.go
+++ b/core/limit/limit.go
@@ -3,7 +3,7 @@
 package limit
 
 const (
-	additiveIncrease = 1.0  // calls added to a limit after as many answers in time as the limit
+	additiveIncrease = 1.0  // calls added to a limit after a number of answers in time equal to the limit
 	decreaseFactor   = 0.85 // factor applied to a limit after a late answer
 	ceilingFactor    = 4    // a limit never exceeds this many times its initial value
 )
--- a/core/policy/policy.go
+++ b/core/policy/policy.go
@@ -40,16 +40,16 @@
 	Caller        string  // caller: the caller's name, "" if callers are not configured
 	PromptTokens  int     // prompt_tokens: estimated number of prompt tokens
 	MaxTokens     int     // max_tokens: maximum number of tokens in the answer
-	NotRepeatable bool    // not_repeatable: the call itself says that it must not be retried
-	Load          float64 // load: share of the zone's sequence slots in use; above 1 under overload
+	NotRepeatable bool    // not_repeatable: the call must not run more than once
+	Load          float64 // load: sequences running in the zone as a share of its slots: 0 to 1, above 1 under overload
 	Hour          int     // hour: hour of the day in UTC, 0 to 23
 }
 
 // A Decision is the result of a policy for one call.
 type Decision struct {
-	Priority int
-	Refuse   bool
-	Wait     time.Duration
+	Priority int           // 0 to MaxPriority; higher goes first
+	Refuse   bool          // whether the call is refused
+	Wait     time.Duration // how long after the latency target the first token may come
 }
 
 // celEnv returns the CEL environment, which declares the variables of Input.
@@ -77,8 +77,8 @@
 	}
 }
 
-// Validate returns an error if text is not an expression of type want. An empty text
-// is valid.
+// Validate returns an error if text is not a valid expression of type want. An empty
+// text is valid.
 func Validate(text string, want ResultType) error {
 	_, err := compile(text, want)
 	return err
@@ -128,7 +128,8 @@
 }
 
 // Eval returns the decision for a call and the number of expressions that failed at
-// run time. A priority outside 0 to MaxPriority is clamped.
+// run time. A priority outside 0 to MaxPriority is clamped, and a negative wait counts
+// as zero.
 func (p *Program) Eval(in Input) (Decision, int) {
 	vars := map[string]any{
 		"service":        in.Service,
@@ -154,8 +155,8 @@
 	return decision, failed
 }
 
-// eval evaluates one expression. The second result is false if the expression is empty or failed; a
-// failure is also counted in *failed.
+// eval evaluates one expression. It returns false if the expression is empty or failed,
+// and counts a failure in *failed.
 func eval[T any](program cel.Program, vars map[string]any, failed *int) (T, bool) {
 	var zero T
 	if program == nil {
--- a/core/retrybudget/budget.go
+++ b/core/retrybudget/budget.go
@@ -20,7 +20,7 @@
 
 // minFleetSize is the least number of instances among which the fixed part of the
 // budget is divided, so that instances which do not know each other yet stay within
-// it. The users' sites have 7 and 8 instances.
+// it. It is more than the 7 and 8 instances of the users' sites.
 const minFleetSize = 10
 
 const (
@@ -28,9 +28,9 @@
 	// instances where the rest is granted on demand (docs/design/limits.md).
 	instanceShare = 0.5
 	// sharedShare is the share of the fixed number that a coordinator grants on
-	// demand. Other coordinators may have granted as much just before, and a third
-	// of that: 2.3 times this share plus instanceShare is the whole fixed number
-	// (docs/design/limits.md).
+	// demand. Other coordinators may have granted the same share just before, and
+	// another third of it. 2.3 times this share and instanceShare together are
+	// therefore the whole fixed number (docs/design/limits.md).
 	sharedShare = 0.21
 )
 
@@ -63,8 +63,8 @@
 // for failures that this instance could not have foreseen (docs/design/limits.md).
 const lowThreshold = 2
 
-// Low reports whether fewer than lowThreshold retries, beside the next one, are left
-// for calls of the service.
+// Low reports whether fewer than lowThreshold retries of calls of the service would be
+// left after one more retry.
 func (b *Budget) Low(now clock.Instant, service string) bool {
 	return !b.window(service).Allows(now, b.Options.RetryRatio, b.instanceSlack()-lowThreshold)
 }
--- a/core/retrybudget/budget_test.go
+++ b/core/retrybudget/budget_test.go
@@ -12,14 +12,14 @@
 )
 
 // TestBudget checks that an instance may retry a share of the calls that it received
-// plus its part of the fixed number.
+// plus its part of the fixed number of retries, the slack.
 func TestBudget(t *testing.T) {
 	cases := []struct {
 		name  string
 		calls int
 		peers int
 		want  int
-		// common reports whether a part of the slack is granted on demand.
+		// common is Budget.Common: a part of the slack is granted on demand.
 		common bool
 	}{
 		{"no calls: part of the slack in a fleet of minimum size", 0, 0, 5, false},
--- a/core/route/forward.go
+++ b/core/route/forward.go
@@ -178,7 +178,8 @@
 	return all[:min(n, len(all))]
 }
 
-// estimateResolution is the difference below which Best treats estimates as equal.
+// estimateResolution is the difference below which Best treats estimates as equal:
+// smaller differences mean nothing.
 const estimateResolution = 20 * time.Millisecond
 
 // estimates returns the estimates of the candidates that may be sent the call.
--- a/core/route/forward_test.go
+++ b/core/route/forward_test.go
@@ -155,7 +155,7 @@
 				p.Announce(start, r.Name, leaving)
 			}
 		}, ""},
-		{"both said that they are leaving, and a has terminated", true, func(_ *Router, p *pool.Pool, _, _ *pool.Replica, _ *Query) {
+		{"both said that they are leaving, and another replica has the address of a", true, func(_ *Router, p *pool.Pool, _, _ *pool.Replica, _ *Query) {
 			p.ObserveNotice(start, "a", start, pool.Notice{Leaving: true})
 			p.ObserveNotice(start, "b", start, pool.Notice{Leaving: true})
 			p.MarkTerminated("a")
--- a/core/route/speed.go
+++ b/core/route/speed.go
@@ -5,8 +5,9 @@
 // The prefill speed of engines, estimated from the times to the first event of calls.
 
 const (
-	// defaultOverhead is the assumed time to the first event beside reading the prompt
-	// (connecting, one step of the engine, the way back) until there are measurements.
+	// defaultOverhead is the assumed part of the time to the first event that is not
+	// prefill (connecting, one step of the engine, the way back) until there are
+	// measurements.
 	// The defaults count as much as priorSamples calls.
 	defaultOverhead = 15 * time.Millisecond
 	// defaultTokenTime is the assumed time to read one prompt token for a model without
@@ -15,8 +16,8 @@
 	// minTokenTime keeps estimates above zero. It is less than the time per token of
 	// any known engine.
 	minTokenTime = 500 * time.Nanosecond
-	// priorSamples is the number of measurements that the defaults count as, at each
-	// end of the default line.
+	// priorSamples is the number of measurements that each end of the default line
+	// counts as: the line through the default times for 0 and priorTokens tokens.
 	priorSamples = 2
 	// priorTokens is the prompt length, in tokens, at the far end of the default line:
 	// about the length of the users' prompts.
@@ -78,7 +79,7 @@
 	return max(minTokenTime, time.Duration(slope*float64(time.Second)))
 }
 
-// overhead returns the time to the first event beside reading the prompt.
+// overhead returns the part of the time to the first event that is not prefill.
 func (s prefillSpeed) overhead() time.Duration {
 	return max(0, time.Duration((s.y-s.tokenTime().Seconds()*s.x)/s.n*float64(time.Second)))
 }
