--- a/core/forwarding/attempts.go
+++ b/core/forwarding/attempts.go
@@ -13,134 +13,136 @@
 	"github.com/birchdrift/birchdrift/core/pool"
 )
 
-// What becomes of a call once it is sent.
+// Handling of calls that were sent to a replica.
 
-// answerBegan takes in the first event of the answer.
+// answerBegan handles the first event of the answer.
 func (f *Forwarder) answerBegan(now clock.Instant, c *calls.Call) {
 	s := stateOf(c)
-	s.sent.firstAt = now
-	s.progress.opened = s.route.Kind == config.Stream
+	s.lastAttempt.firstEventAt = now
+	s.progress.answerStarted = s.route.Kind == config.Stream
 	r := f.Pool.Get(c.Replica)
 	if r == nil {
 		return
 	}
 	f.Pool.AnswerBegan(now, r, uint64(c.ID))
-	if c.Item != "" && s.sent.alone {
-		f.router.ObserveFirstEvent(s.target.weight, s.sent.unread, now.Since(c.Started))
+	if c.Item != "" && s.lastAttempt.onlyPrefill {
+		f.router.ObserveFirstEvent(s.request.size, s.lastAttempt.uncachedTokens, now.Since(c.Started))
 	}
 }
 
-// served logs an answer that is whole, and how long its parts took.
+// served logs a complete answer and its timing.
 func (f *Forwarder) served(now clock.Instant, c *calls.Call, e calls.Completed) {
 	s := stateOf(c)
 	f.Quarantine.Served(now, c.Forward.Fingerprint)
 	f.Out.Log(logevent.CallServed, "call", c.Forward.Name, "replica", c.Replica, "attempts", c.History.Attempts,
-		"waited_ms", c.Started.Since(c.Arrived).Milliseconds(), "first_ms", s.sent.firstAt.Since(c.Started).Milliseconds(),
+		"waited_ms", c.Started.Since(c.Arrived).Milliseconds(), "first_ms", s.lastAttempt.firstEventAt.Since(c.Started).Milliseconds(),
 		"pause_ms", e.Pause.Milliseconds(), "total_ms", now.Since(c.Arrived).Milliseconds())
 }
 
-// attemptFailed decides what follows an attempt that did not come to its proper end.
-func (f *Forwarder) attemptFailed(now clock.Instant, c *calls.Call, b calls.AttemptFailed) {
+// attemptFailed retries or ends a call whose attempt failed, or requests a permit for the
+// retry.
+func (f *Forwarder) attemptFailed(now clock.Instant, c *calls.Call, e calls.AttemptFailed) {
 	s := stateOf(c)
-	if s.sent.crashed {
-		b.Severed = true // by the end of its replica, whatever showed that here
+	if s.lastAttempt.replicaRestarted {
+		e.Severed = true // the replica ended, however the attempt failed here
 	}
-	f.settleReplica(now, c, b)
-	c.History = c.History.WithFailure(b.Phase)
+	f.updateReplica(now, c, e)
+	c.History = c.History.WithFailure(e.Phase)
 	former := c.Replica
 	c.Replica = ""
-	s.progress.add(c.Life, b, f.rests(now, former))
-	switch reason := f.mayRepeat(now, c, b); {
+	s.progress.record(c.Life, e, f.isResting(now, former))
+	switch reason := f.checkRetry(now, c, e); {
 	case reason == overBudget && f.Budget.Common:
-		f.askRepeat(now, c, failure{b, former})
-	case reason != repeatAllowed:
-		f.notRepeated(c, failure{b, former}, reason)
+		f.requestRetryPermit(now, c, failure{e, former})
+	case reason != retryAllowed:
+		f.endUnretried(c, failure{e, former}, reason)
 	default:
-		f.repeat(now, c, failure{b, former})
+		f.retry(now, c, failure{e, former})
 	}
 }
 
-// A failure is an attempt that failed at a replica.
+// A failure is a failed attempt and the name of its replica.
 type failure struct {
 	calls.AttemptFailed
 	replica string
 }
 
-// repeat has a call whose attempt failed look for another replica.
-func (f *Forwarder) repeat(now clock.Instant, c *calls.Call, b failure) {
+// retry finds another replica for a call whose attempt failed.
+func (f *Forwarder) retry(now clock.Instant, c *calls.Call, failed failure) {
 	s := stateOf(c)
 	f.Out.Log(logevent.CallRetried, "call", c.Forward.Name, "fingerprint", c.Forward.Fingerprint.String(),
-		"replica", b.replica, "severed", b.Severed, "unreachable", b.Unreachable, "status", b.Status, "detail", b.Detail)
+		"replica", failed.replica, "severed", failed.Severed, "unreachable", failed.Unreachable, "status", failed.Status, "detail", failed.Detail)
 	c.Phase = calls.Waiting
 	s.probe = probe{}
-	if b.Severed {
-		s.notBefore = clock.Instant{} // the replica may have ended under it
+	if failed.Severed {
+		s.notBefore = clock.Instant{} // the replica may have crashed under the call
 	}
 	f.findReplica(now, c)
 }
 
-// notRepeated ends a call whose attempt failed.
-func (f *Forwarder) notRepeated(c *calls.Call, b failure, reason repeatVerdict) {
+// endUnretried ends a call whose attempt failed and logs why it is not retried.
+func (f *Forwarder) endUnretried(c *calls.Call, failed failure, reason retryVerdict) {
 	f.Out.Log(logevent.CallNotRepeated, "call", c.Forward.Name, "fingerprint", c.Forward.Fingerprint.String(),
-		"replica", b.replica, "severed", b.Severed, "reason", reason.String())
-	f.end(c, stateOf(c), b.Status, b.Detail)
+		"replica", failed.replica, "severed", failed.Severed, "reason", reason.String())
+	f.end(c, stateOf(c), failed.Status, failed.Detail)
 }
 
-// askRepeat has a call wait for a permit to be repeated, since this instance's own part of
-// the budget is used up.
-func (f *Forwarder) askRepeat(now clock.Instant, c *calls.Call, b failure) {
+// requestRetryPermit makes a call wait for a permit to be retried, since this instance's
+// own part of the retry budget is used up.
+func (f *Forwarder) requestRetryPermit(now clock.Instant, c *calls.Call, failed failure) {
 	s := stateOf(c)
-	s.failed = &b
+	s.pendingRetry = &failed
 	f.Calls.EnterPhase(c, calls.AwaitingPermit)
-	f.Permits.RequestForRetry(now, c.Service, c.ID, s.route.Priority, f.patience(now, c))
+	f.Permits.RequestForRetry(now, c.Service, c.ID, s.route.Priority, f.permitTimeout(now, c))
 }
 
-// repeatPermitted takes in what came of that.
-func (f *Forwarder) repeatPermitted(now clock.Instant, c *calls.Call, granted bool) {
+// retryPermitDecided retries the call if the permit was granted, and ends it otherwise.
+func (f *Forwarder) retryPermitDecided(now clock.Instant, c *calls.Call, granted bool) {
 	s := stateOf(c)
-	b := *s.failed
-	s.failed = nil
+	failed := *s.pendingRetry
+	s.pendingRetry = nil
 	if granted {
-		f.repeat(now, c, b)
+		f.retry(now, c, failed)
 		return
 	}
-	f.notRepeated(c, b, overBudget)
+	f.endUnretried(c, failed, overBudget)
 }
 
-// rests reports whether a replica wants nothing from this instance.
-func (f *Forwarder) rests(now clock.Instant, replica string) bool {
+// isResting reports whether a replica has asked this instance to send it nothing for a
+// while that has not ended.
+func (f *Forwarder) isResting(now clock.Instant, replica string) bool {
 	r := f.Pool.Get(replica)
 	return r != nil && r.Resting(now)
 }
 
-// add takes in how an attempt at a replica ended. One that turned the call away for a rest
-// may get it again after that.
-func (p *progress) add(replica pool.Incarnation, b calls.AttemptFailed, rests bool) {
-	p.relayable = b.Relayable
-	p.opened = p.opened || b.Delivered > 0
-	switch b.Phase {
+// record records how an attempt at a replica ended. A replica that refused the call and
+// asked for rest may get the call again after the rest.
+func (p *progress) record(replica pool.Incarnation, e calls.AttemptFailed, resting bool) {
+	p.relayable = e.Relayable
+	p.answerStarted = p.answerStarted || e.Delivered > 0
+	switch e.Phase {
 	case attempt.NotSent:
-		p.unsent++ // it counts as down for a while, and may be tried again after that
+		p.unsent++ // the replica counts as down for a while and may be tried again afterwards
 		return
 	case attempt.Refused:
 		p.refusals++
-		if rests {
+		if resting {
 			return
 		}
 	default:
-		p.ran++
+		p.possibleRuns++
 	}
 	p.tried = append(p.tried, replica)
 }
 
-// end gives a call whose attempts are over its final answer. status is the HTTP
-// status of the last one, 0 if none came.
+// end gives a call its final answer after its last attempt. status is the HTTP status of
+// that attempt, 0 if there was none.
 func (f *Forwarder) end(c *calls.Call, s *state, status int, detail string) {
 	run := c.History.RunState()
 	switch {
-	case s.progress.relayable && !s.progress.opened:
+	case s.progress.relayable && !s.progress.answerStarted:
 		f.relay(c, status)
-	case s.progress.opened:
+	case s.progress.answerStarted:
 		f.Calls.Refuse(c, code.Refusal{Code: code.StreamCut, Run: run, Detail: detail})
 	case run == code.NotRun:
 		f.Calls.Refuse(c, calls.NotRunRefusal(code.NoCapacity, detail, f.Calls.RetryAfter(0)))
@@ -149,7 +151,7 @@
 	}
 }
 
-// relay passes on the replica's own failing answer.
+// relay passes on the replica's own error response.
 func (f *Forwarder) relay(c *calls.Call, status int) {
 	f.Out.Log(logevent.CallFailed, "call", c.Forward.Name, "service", c.Service, "code", int(code.UpstreamRefused),
 		"run", string(c.History.RunState()), "status", status, "detail", "the replica's own answer")
@@ -157,97 +159,101 @@
 	f.Calls.Remove(c)
 }
 
-// settleReplica takes in what an attempt that failed says of its replica. Of one that has
-// started again since it says nothing.
-func (f *Forwarder) settleReplica(now clock.Instant, c *calls.Call, b calls.AttemptFailed) {
+// updateReplica updates the state of the replica after a failed attempt. An attempt at an
+// earlier incarnation says nothing about a replica that has restarted since.
+func (f *Forwarder) updateReplica(now clock.Instant, c *calls.Call, e calls.AttemptFailed) {
 	r := f.Pool.Get(c.Replica)
 	switch {
 	case r == nil:
 	case !r.HasCall(uint64(c.ID)):
-		if b.Severed {
+		if e.Severed {
 			f.Quarantine.SeveredByReplicaEnd(now, c.Forward.Fingerprint, c.Life)
 		}
-	case b.Misdirected && b.Incarnation != "" && b.Incarnation != c.Replica:
+	case e.Misdirected && e.Incarnation != "" && e.Incarnation != c.Replica:
 		r.DropCall(uint64(c.ID))
 		f.Quarantine.ReplicaEnded(now, r.Incarnation())
 		f.Pool.MarkTerminated(c.Replica)
-		f.Out.Log(logevent.UpstreamLeaving, "upstream", c.Replica, "source", "another replica has its address", "now", b.Incarnation)
-	case b.Misdirected:
+		f.Out.Log(logevent.UpstreamLeaving, "upstream", c.Replica, "source", "another replica has its address", "now", e.Incarnation)
+	case e.Misdirected:
 		r.DropCall(uint64(c.ID))
 		f.Pool.MarkAbsent(c.Replica, c.Item)
 		r.MarkRefused(now, c.Item)
-	case b.Phase == attempt.Refused:
+	case e.Phase == attempt.Refused:
 		r.DropCall(uint64(c.ID))
-		if !r.Resting(now) { // else it said itself for how long
+		if !r.Resting(now) { // a resting replica itself said for how long
 			r.MarkRefused(now, c.Item)
 		}
-	case b.Phase == attempt.NotSent:
+	case e.Phase == attempt.NotSent:
 		r.DropCall(uint64(c.ID))
 		r.MarkDown(now)
-		if b.Unreachable {
+		if e.Unreachable {
 			f.Quarantine.ReplicaEnded(now, r.Incarnation())
 		}
-	case b.Relayable:
-		// The replica works; that it failed a call may lie in the call.
+	case e.Relayable:
+		// The replica works; the call itself may be the cause of the failure.
 		r.End(now, uint64(c.ID), c.Started, false)
 	default:
 		f.Pool.CallFailed(now, r, uint64(c.ID), c.Started)
-		if b.Severed {
+		if e.Severed {
 			f.Quarantine.Severed(now, c.Forward.Fingerprint, r)
 		}
 	}
 }
 
-// ReplicaRestarted takes in that a replica has started again: what was at its former life ended
-// with it. Calls whose connections do not show that would wait there for nothing.
+// ReplicaRestarted interrupts the calls at a replica that has restarted: they ended with
+// its previous incarnation. Calls whose connections do not show that would otherwise wait
+// for an answer that cannot come.
 func (f *Forwarder) ReplicaRestarted(now clock.Instant, replica string) {
 	for _, c := range f.Calls.All() {
 		if c.Forward == nil || c.Phase != calls.Running || c.Replica != replica {
 			continue
 		}
-		stateOf(c).sent.crashed = true
+		stateOf(c).lastAttempt.replicaRestarted = true
 		f.Out.Emit(calls.Interrupt{ID: c.ID})
 	}
 }
 
-// expireEvery spaces the looks for calls whose time is over.
-const expireEvery = 20 * time.Millisecond
+// expireInterval is the time between two checks for expired calls.
+const expireInterval = 20 * time.Millisecond
 
-// Expire ends the calls whose time is over, at once, so that nobody is held for
-// nothing.
+// Expire ends the expired calls, if a check is due. They get an answer at once, so that
+// no caller waits for an answer that comes too late.
 func (f *Forwarder) Expire(now clock.Instant) {
-	if now.Before(f.expireDue) {
+	if now.Before(f.nextExpire) {
 		return
 	}
-	f.expireDue = now.Add(expireEvery)
+	f.nextExpire = now.Add(expireInterval)
 	for _, c := range f.Calls.Expired(now) {
 		f.expire(c)
 	}
 }
 
-// left takes in that a call's caller left while the replica had it.
-func (f *Forwarder) left(now clock.Instant, c *calls.Call, r *pool.Replica) {
+// callerLeft handles a caller that disconnected while its call ran at r.
+func (f *Forwarder) callerLeft(now clock.Instant, c *calls.Call, r *pool.Replica) {
 	f.Quarantine.CallerDisconnected(now, c.Forward.Fingerprint, r)
 }
 
-// quarantined returns the refusal of a call whose request is not run for so long.
-func quarantined(left time.Duration) code.Refusal {
+// quarantinedRefusal returns the refusal of a call whose request is in quarantine for the
+// given time.
+func quarantinedRefusal(left time.Duration) code.Refusal {
 	return calls.NotRunRefusal(code.Quarantined, "", left)
 }
 
-// RefuseQuarantined ends the calls of a request that is not to be run any more. A replica that has not
-// begun to run one drops it when its connection closes, and is spared so.
+// RefuseQuarantined ends the calls of a request that has been put into quarantine for the
+// given time. A replica that has not begun to run such a call drops it when its connection
+// closes, and so does not crash.
 func (f *Forwarder) RefuseQuarantined(request crash.Fingerprint, left time.Duration) {
 	for _, c := range f.Calls.All() {
 		if c.Forward == nil || c.Forward.Fingerprint != request {
 			continue
 		}
 		f.abandon(c)
-		f.Calls.Refuse(c, quarantined(left))
+		f.Calls.Refuse(c, quarantinedRefusal(left))
 	}
 }
 
-// abandon notes that a call's attempt, if one is under way, is not waited for.
+// abandon stops waiting for the result of a call's current attempt, if there is one, and
+// records that the attempt may have run.
 func (f *Forwarder) abandon(c *calls.Call) {
 	if c.Phase != calls.Running {
 		return
@@ -258,15 +264,16 @@
 	c.History = c.History.WithFailure(attempt.MaybeSent)
 }
 
+// expire ends one call whose time limit has passed.
 func (f *Forwarder) expire(c *calls.Call) {
 	if c.Phase != calls.Running {
-		f.Calls.Refuse(c, calls.NotRunRefusal(code.TargetMissed, "it waited until its time was over", f.Calls.RetryAfter(0)))
+		f.Calls.Refuse(c, calls.NotRunRefusal(code.TargetMissed, "the call waited until its time limit", f.Calls.RetryAfter(0)))
 		return
 	}
 	f.abandon(c)
-	num := code.TimedOut
-	if stateOf(c).progress.opened {
-		num = code.StreamCut
+	refusalCode := code.TimedOut
+	if stateOf(c).progress.answerStarted {
+		refusalCode = code.StreamCut
 	}
-	f.Calls.Refuse(c, code.Refusal{Code: num, Run: c.History.RunState(), Detail: "the time for which it may be held is over"})
+	f.Calls.Refuse(c, code.Refusal{Code: refusalCode, Run: c.History.RunState(), Detail: "the time limit of the call has passed"})
 }
--- a/core/forwarding/place.go
+++ b/core/forwarding/place.go
@@ -15,17 +15,17 @@
 	"github.com/birchdrift/birchdrift/core/route"
 )
 
-// How a call finds its replica.
+// The choice of a call's replica.
 
-// findReplica sends the call to the best replica, has what it needs loaded there
-// first, lets it wait for its model, or refuses it.
+// findReplica sends the call to the best replica, orders what must be loaded there
+// first, makes the call wait, or refuses it.
 func (f *Forwarder) findReplica(now clock.Instant, c *calls.Call) {
 	if left := f.Quarantine.Remaining(now, c.Forward.Fingerprint); left > 0 {
-		f.Calls.Refuse(c, quarantined(left))
+		f.Calls.Refuse(c, quarantinedRefusal(left))
 		return
 	}
 	s := stateOf(c)
-	if f.pauses(now, c, s) {
+	if f.mustDelay(now, c, s) {
 		f.Calls.Enqueue(c)
 		return
 	}
@@ -34,32 +34,32 @@
 	if f.probeEngines(now, c, query, candidates) {
 		return
 	}
-	best, ok := f.router.Choose(now, query, f.unheard(now, c, candidates))
+	best, ok := f.router.Choose(now, query, f.staleLimits(now, c, candidates))
 	if !ok {
 		best, ok = f.choose(now, s, query, candidates)
 	}
 	if ok {
-		f.learnProbe(now, s, query, best)
+		f.recordProbeBenefit(now, s, query, best)
 	}
 	switch {
 	case !ok:
-		f.noReplica(now, c)
+		f.handleNoReplica(now, c)
 	case f.shed(now, c, best):
-	case c.Item != "" && best.Replica.Phase(c.Item) != pool.Ready, f.hearsay(now, c, s, best.Replica):
-		f.fetch(now, c, best.Replica)
-	case limited(now, best.Replica):
-		f.askPermit(now, c, query, best)
+	case c.Item != "" && best.Replica.Phase(c.Item) != pool.Ready, f.shouldConfirmAdapter(now, c, s, best.Replica):
+		f.orderAdapter(now, c, best.Replica)
+	case rateLimited(now, best.Replica):
+		f.requestPermit(now, c, query, best)
 	default:
 		f.dispatch(now, c, best)
 	}
 }
 
-// choose returns the best replica for a call. In a large fleet the estimate of an engine
-// that was not asked leaves out most of what is there, and is the same at all instances: they
-// would all take the first. So it is one of those that seem alike, a different one for each
-// call.
+// choose returns the best replica for a call. In a large fleet, the estimate of an engine
+// that was not probed leaves out most of its load and is the same at all instances, which
+// would therefore all choose the same engine. In that case choose picks one of the engines
+// with similar estimates, a different one for each call.
 func (f *Forwarder) choose(now clock.Instant, s *state, q route.Query, candidates []*pool.Replica) (route.Estimate, bool) {
-	if q.Model.Model == "" || s.probe.first != nil || f.Roster.FullMesh() {
+	if q.Model.Model == "" || s.probe.initialChoice != nil || f.Roster.FullMesh() {
 		return f.router.Choose(now, q, candidates)
 	}
 	best := f.router.Best(now, q, candidates, 1)
@@ -69,36 +69,37 @@
 	return best[0], true
 }
 
-// pauses reports whether a call is not to be sent yet, since replicas ended under its
+// mustDelay reports whether a call must not be sent yet because replicas crashed under its
 // request.
-func (f *Forwarder) pauses(now clock.Instant, c *calls.Call, s *state) bool {
-	pause := f.Quarantine.SendDelay(c.Forward.Fingerprint)
-	if pause == 0 {
+func (f *Forwarder) mustDelay(now clock.Instant, c *calls.Call, s *state) bool {
+	delay := f.Quarantine.SendDelay(c.Forward.Fingerprint)
+	if delay == 0 {
 		return false
 	}
 	if s.notBefore.IsZero() {
-		s.notBefore = now.Add(pause)
-		f.Out.Log(logevent.CallWaits, "call", c.Forward.Name, "for", "other tries of its request, under which replicas ended")
+		s.notBefore = now.Add(delay)
+		f.Out.Log(logevent.CallWaits, "call", c.Forward.Name, "for", "other attempts of its request, under which replicas crashed")
 	}
-	return now.Before(s.notBefore) || f.running(c.Forward.Fingerprint)
+	return now.Before(s.notBefore) || f.requestRunning(c.Forward.Fingerprint)
 }
 
-// running reports whether a call of the request is at a replica.
-func (f *Forwarder) running(request crash.Fingerprint) bool {
+// requestRunning reports whether a call of the request is running at a replica.
+func (f *Forwarder) requestRunning(request crash.Fingerprint) bool {
 	return slices.ContainsFunc(f.Calls.All(), func(c *calls.Call) bool {
 		return c.Phase == calls.Running && c.Forward != nil && c.Forward.Fingerprint == request
 	})
 }
 
+// query describes the call to the router.
 func (f *Forwarder) query(now clock.Instant, c *calls.Call, s *state) route.Query {
 	query := route.Query{
 		Zone:     f.Self.Zone,
-		Model:    s.target.weight,
+		Model:    s.request.size,
 		Tokens:   c.PromptTokens,
 		Rank:     s.route.Priority,
 		Gap:      s.route.MaxEventGap,
-		Chain:    s.target.chain,
-		Tried:    s.passedOver(now),
+		Chain:    s.request.chain,
+		Tried:    s.excludedReplicas(now),
 		Sure:     !f.Budget.Available(now, c.Service),
 		Salt:     uint64(c.ID) ^ f.Self.Boot,
 		ZoneCost: f.zoneCost,
@@ -110,13 +111,14 @@
 	return query
 }
 
-// silentZoneCost keeps calls from the replicas of a zone none of whose instances
-// answers, where others can serve them: about what a call loses that is sent there
-// and must be sent again.
+// silentZoneCost is added for replicas in a zone in which no instance answers, so that
+// calls go to other zones if they can. It is about the time that a call loses if it is
+// sent there and must be retried.
 const silentZoneCost = 400 * time.Millisecond
 
-// zoneCost returns the cost of a zone that seems to be cut off from this one. In
-// a large fleet silence says little, since few instances are spoken to.
+// zoneCost returns the cost of a zone that appears to be cut off from this instance's
+// zone. In a large fleet it is zero: each instance exchanges with few others, so their
+// silence says little about the zone.
 func (f *Forwarder) zoneCost(zone string) time.Duration {
 	if zone == f.Self.Zone || !f.Roster.FullMesh() || !f.Members.ZoneUnreachable(zone) {
 		return 0
@@ -125,72 +127,75 @@
 }
 
 const (
-	// fetchCost is what an adapter that is not on an engine costs a call that
-	// goes there: asking, ordering, loading.
-	fetchCost = 25 * time.Millisecond
-	// evictCost comes on top where another adapter must make way.
-	evictCost = 25 * time.Millisecond
-	// maxFetches is how many orders one call may wait for.
-	maxFetches = 3
+	// adapterLoadCost is the time that a call loses at an engine without its adapter:
+	// requesting the order, sending it, and loading the adapter.
+	adapterLoadCost = 25 * time.Millisecond
+	// adapterEvictCost is added if another adapter must be evicted first.
+	adapterEvictCost = 25 * time.Millisecond
+	// maxOrderWaits is the number of orders that one call may wait for.
+	maxOrderWaits = 3
 )
 
-// itemCost returns what it takes until the engine can serve the call's model or
-// adapter; ok is false if it cannot be made to.
+// itemCost returns the time until the engine can serve the call's model or adapter; ok
+// is false if the engine cannot serve it.
 func (f *Forwarder) itemCost(now clock.Instant, c *calls.Call, r *pool.Replica) (cost time.Duration, ok bool) {
 	s := stateOf(c)
-	if r.Refusing(now, c.Item) || r.Phase(s.target.model) != pool.Ready {
+	if r.Refusing(now, c.Item) || r.Phase(s.request.model) != pool.Ready {
 		return 0, false
 	}
 	phase := r.Phase(c.Item)
 	if phase == pool.Ready {
 		return 0, true
 	}
-	if phase == pool.Unloading || s.fetches >= maxFetches || !f.Asks.CanRequest(now, orderKey(s, r)) {
+	if phase == pool.Unloading || s.orderWaits >= maxOrderWaits || !f.Asks.CanRequest(now, orderKey(s, r)) {
 		return 0, false
 	}
-	cost = fetchCost + r.RateLimitDelay(now) // the order takes a turn of its own
+	cost = adapterLoadCost + r.RateLimitDelay(now) // the order itself counts against the rate limit
 	if phase != pool.Loading && r.Adapters() >= s.service.Announced.Engine.MaxAdapters {
-		cost += evictCost
+		cost += adapterEvictCost
 	}
 	return cost, true
 }
 
-// hearsay reports whether an adapter is to be asked for though it is said to be there. In a
-// large fleet that may be seconds old, and an engine that lacks it turns the call away: when
-// few repeats are left, its owner is asked first, and they are kept for what nobody knows.
-func (f *Forwarder) hearsay(now clock.Instant, c *calls.Call, s *state, r *pool.Replica) bool {
-	return s.target.adapter != "" && s.fetches == 0 && !f.Roster.FullMesh() &&
+// shouldConfirmAdapter reports whether to order an adapter although it is reported to be
+// loaded. In a large fleet the report may be seconds old, and an engine without the adapter
+// refuses the call. When few retries are left, the engine's owner is therefore asked first,
+// and the retries are kept for failures that cannot be foreseen.
+func (f *Forwarder) shouldConfirmAdapter(now clock.Instant, c *calls.Call, s *state, r *pool.Replica) bool {
+	return s.request.adapter != "" && s.orderWaits == 0 && !f.Roster.FullMesh() &&
 		f.Budget.Low(now, c.Service) && f.Asks.CanRequest(now, orderKey(s, r))
 }
 
+// orderKey returns the key of the order that loads the call's item on r.
 func orderKey(s *state, r *pool.Replica) orderclient.Key {
-	return orderclient.Key{Engine: r.Name, Request: orders.Request{Load: true, Model: s.target.model, Adapter: s.target.adapter}}
+	return orderclient.Key{Engine: r.Name, Request: orders.Request{Load: true, Model: s.request.model, Adapter: s.request.adapter}}
 }
 
-// fetch has the call's adapter loaded on an engine.
-func (f *Forwarder) fetch(now clock.Instant, c *calls.Call, r *pool.Replica) {
+// orderAdapter requests an order to load the call's adapter on an engine and makes the call
+// wait for it.
+func (f *Forwarder) orderAdapter(now clock.Instant, c *calls.Call, r *pool.Replica) {
 	s := stateOf(c)
 	f.Calls.EnterPhase(c, calls.AwaitingOrder)
-	s.fetches++
+	s.orderWaits++
 	f.Out.Log(logevent.CallWaits, "call", c.Forward.Name, "item", c.Item, "for", "an order", "engine", r.Name)
 	f.Asks.RequestForCall(now, orderKey(s, r), c.ID)
 }
 
-// aloneCalls is how many calls may run at an engine for its reading speed to be
-// learnt from one more.
-const aloneCalls = 4
+// maxCallsForSpeedSample is the number of calls in flight at an engine up to which another
+// call is used to measure its prefill speed.
+const maxCallsForSpeedSample = 4
 
 // dispatch sends the call to the chosen replica.
 func (f *Forwarder) dispatch(now clock.Instant, c *calls.Call, e route.Estimate) {
 	s := stateOf(c)
 	f.Calls.MarkSent(now, c, e.Replica)
-	s.sent = sent{
-		unread: c.PromptTokens - e.Cached,
-		alone:  e.Ahead == 0 && e.Calls <= aloneCalls,
+	s.lastAttempt = lastAttempt{
+		uncachedTokens: c.PromptTokens - e.Cached,
+		onlyPrefill:    e.Ahead == 0 && e.Calls <= maxCallsForSpeedSample,
 	}
 	e.Replica.StartPrefill(now, uint64(c.ID), pool.Prefill{Rank: s.route.Priority, Work: e.Prefill, Expected: e.Total()})
 	if c.Item != "" {
-		f.router.RecordPrompt(c.Life, s.target.chain, cacheTokens(s))
+		f.router.RecordPrompt(c.Life, s.request.chain, prefixCacheTokens(s))
 		e.Replica.MarkUsed(c.Item)
 		f.Used(now, c.Replica, c.Item)
 	}
@@ -199,21 +204,21 @@
 		"replica", c.Replica, "waited_ms", now.Since(c.Arrived).Milliseconds(), "ahead_ms", e.Ahead.Milliseconds(),
 		"prefill_ms", e.Prefill.Milliseconds(), "other_ms", e.Other.Milliseconds(), "cached", e.Cached, "calls_there", e.Calls,
 		"announced_ago_ms", now.Since(e.Replica.AnnouncedAt()).Milliseconds(), "list_age_ms", f.ListAge(now).Milliseconds(), "revision", f.Config.Revision())
-	f.Out.Emit(f.attempt(now, c, e.Replica))
+	f.Out.Emit(f.dispatchAction(now, c, e.Replica))
 }
 
-// cachedShare is the part of an engine's memory for prompts and answers that is
-// believed to keep prompts.
-const cachedShare = 0.75
+// prefixCacheShare is the share of an engine's memory for prompts and answers that is
+// assumed to hold cached prompts.
+const prefixCacheShare = 0.75
 
-// cacheTokens returns the prompt tokens that an engine of the call's service is
-// believed to keep.
-func cacheTokens(s *state) int {
-	return int(cachedShare * float64(s.service.Announced.Engine.CacheTokens))
+// prefixCacheTokens returns the number of prompt tokens that an engine of the call's
+// service is assumed to keep in its prefix cache.
+func prefixCacheTokens(s *state) int {
+	return int(prefixCacheShare * float64(s.service.Announced.Engine.CacheTokens))
 }
 
-// attempt returns the action that sends the call to the replica.
-func (f *Forwarder) attempt(now clock.Instant, c *calls.Call, r *pool.Replica) calls.Dispatch {
+// dispatchAction returns the action that sends the call to the replica.
+func (f *Forwarder) dispatchAction(now clock.Instant, c *calls.Call, r *pool.Replica) calls.Dispatch {
 	s := stateOf(c)
 	left := time.Duration(0)
 	if c.Forward.Deadline > 0 {
@@ -224,9 +229,9 @@
 		priority = pool.RankOf(s.route.Priority)
 	}
 	d := c.Dispatch(r, f.Options.Stall)
-	d.Limited = limited(now, r)
-	d.Model = s.target.model
-	d.Adapter = s.target.adapter
+	d.Limited = rateLimited(now, r)
+	d.Model = s.request.model
+	d.Adapter = s.request.adapter
 	d.Forward = &calls.ForwardAttempt{
 		ListAge:  f.ListAge(now),
 		Left:     left,
--- a/core/forwarding/probing_test.go
+++ b/core/forwarding/probing_test.go
@@ -7,34 +7,35 @@
 	"github.com/matryer/is"
 )
 
-// TestCallsAskWhileThatPays: at first, and while asking saves more than it takes; then now
-// and then, until one call was spared a long queue.
-func TestCallsAskWhileThatPays(t *testing.T) {
+// TestProbeWhileWorthwhile checks that every call probes at first and while probing saves more
+// time than it takes. After that one call in probeSampleInterval probes, until a call avoids a
+// long queue.
+func TestProbeWhileWorthwhile(t *testing.T) {
 	is := is.New(t)
-	asked := func(p *probing, calls int) int {
+	probes := func(p *probeBenefit, calls int) int {
 		n := 0
 		for range calls {
-			if p.pays() {
+			if p.shouldProbe() {
 				n++
 			}
 		}
 		return n
 	}
 	const took = 8 * time.Millisecond
-	p := &probing{}
-	is.Equal(asked(p, 10), 10) // nothing is known yet
+	p := &probeBenefit{}
+	is.Equal(probes(p, 10), 10) // no samples yet
 	for range 20 {
-		p.learn(time.Millisecond, took)
+		p.observe(time.Millisecond, took)
 	}
-	is.Equal(asked(p, 10*probeSample), 10)
-	p.learn(200*time.Millisecond, took)
-	is.Equal(asked(p, 10), 10)
+	is.Equal(probes(p, 10*probeSampleInterval), 10)
+	p.observe(200*time.Millisecond, took)
+	is.Equal(probes(p, 10), 10)
 	for range 5 {
-		p.learn(12*time.Millisecond, took)
+		p.observe(12*time.Millisecond, took)
 	}
-	is.Equal(asked(p, 10), 10) // it still saves more than it takes
+	is.Equal(probes(p, 10), 10) // probing still saves more time than it takes
 	for range 40 {
-		p.learn(0, took)
+		p.observe(0, took)
 	}
-	is.Equal(asked(p, 10*probeSample), 10)
+	is.Equal(probes(p, 10*probeSampleInterval), 10)
 }
--- a/core/route/speed.go
+++ b/core/route/speed.go
@@ -2,50 +2,52 @@
 
 import "time"
 
-// How fast engines read prompts, as learnt from the first events of calls.
+// The prefill speed of engines, estimated from the times to the first event of calls.
 
 const (
-	// defaultOverhead is what a first event takes beside reading the prompt, before
-	// any was seen: connecting, one step of the engine, the way back. The prior weighs
-	// as much as priorSamples calls.
+	// defaultOverhead is the assumed part of the time to the first event that is not
+	// prefill (connecting, one step of the engine, the way back) until there are
+	// measurements.
+	// The defaults count as much as priorSamples calls.
 	defaultOverhead = 15 * time.Millisecond
-	// defaultTokenTime is how long an engine is believed to read one prompt token
-	// of a model of which no call was seen; see defaultOverhead.
+	// defaultTokenTime is the assumed time to read one prompt token for a model without
+	// measurements; see defaultOverhead.
 	defaultTokenTime = 25 * time.Microsecond
-	// leastTokenTime keeps an estimate above zero: below the speed of any engine
-	// known.
-	leastTokenTime = 500 * time.Nanosecond
-	// priorSamples is how many measurements of each end of the line the defaults
-	// weigh as much as.
+	// minTokenTime keeps estimates above zero. It is less than the time per token of
+	// any known engine.
+	minTokenTime = 500 * time.Nanosecond
+	// priorSamples is the number of measurements that each end of the default line
+	// counts as: the line through the default times for 0 and priorTokens tokens.
 	priorSamples = 2
-	// priorTokens is the prompt at the far end of the default line: about a prompt
-	// of the users.
+	// priorTokens is the prompt length, in tokens, at the far end of the default line:
+	// about the length of the users' prompts.
 	priorTokens = 1000
-	// forget is what a measurement still counts for after the next one: some thirty
-	// calls make up an estimate.
-	forget = 0.97
-	// outlier bounds a measurement to this multiple of what was expected: what
-	// else happens at an engine makes some first events late by any amount.
-	outlier = 1.5
+	// decayFactor is the factor by which each new measurement reduces the weight of the
+	// earlier ones, so that an estimate rests on about thirty calls.
+	decayFactor = 0.97
+	// outlierFactor caps a measurement at this multiple of the expected value, since
+	// other work at an engine delays some first events by arbitrary amounts.
+	outlierFactor = 1.5
 )
 
-// A speed is a straight line through the times to the first event over the prompt
-// tokens read for it, by least squares. What is the same for every prompt must not
-// count as reading: taken for it, a small model's prompts would be believed to take
-// up to ten times as long as they do, and so the queue at its engines.
-type speed struct {
+// A prefillSpeed is a least-squares line through the times to the first event, as a
+// function of the number of prompt tokens read. The constant part must not count as
+// prefill: otherwise the prefill time of a small model would be overestimated up to ten
+// times, and with it the queue at its engines.
+type prefillSpeed struct {
 	n, x, y, xx, xy float64 // sums over samples; x in tokens, y in seconds
 }
 
-// newSpeed returns a speed that knows the defaults.
-func newSpeed() speed {
-	var s speed
+// newPrefillSpeed returns a speed that holds only the defaults.
+func newPrefillSpeed() prefillSpeed {
+	var s prefillSpeed
 	s.add(0, defaultOverhead.Seconds(), priorSamples)
 	s.add(priorTokens, (defaultOverhead + priorTokens*defaultTokenTime).Seconds(), priorSamples)
 	return s
 }
 
-func (s *speed) add(x, y, weight float64) {
+// add adds a sample of x tokens and y seconds with the given weight.
+func (s *prefillSpeed) add(x, y, weight float64) {
 	s.n += weight
 	s.x += weight * x
 	s.y += weight * y
@@ -53,31 +55,31 @@
 	s.xy += weight * x * y
 }
 
-// learn returns the speed with one more measurement.
-func (s speed) learn(tokens int, took time.Duration) speed {
+// withSample returns the speed with one more measurement.
+func (s prefillSpeed) withSample(tokens int, took time.Duration) prefillSpeed {
 	x := float64(tokens)
 	expected := s.overhead() + time.Duration(tokens)*s.tokenTime()
-	y := min(took.Seconds(), outlier*expected.Seconds())
-	s.n *= forget
-	s.x *= forget
-	s.y *= forget
-	s.xx *= forget
-	s.xy *= forget
+	y := min(took.Seconds(), outlierFactor*expected.Seconds())
+	s.n *= decayFactor
+	s.x *= decayFactor
+	s.y *= decayFactor
+	s.xx *= decayFactor
+	s.xy *= decayFactor
 	s.add(x, y, 1)
 	return s
 }
 
 // tokenTime returns the time to read one prompt token.
-func (s speed) tokenTime() time.Duration {
+func (s prefillSpeed) tokenTime() time.Duration {
 	spread := s.n*s.xx - s.x*s.x
 	if spread <= 0 {
 		return defaultTokenTime
 	}
 	slope := (s.n*s.xy - s.x*s.y) / spread
-	return max(leastTokenTime, time.Duration(slope*float64(time.Second)))
+	return max(minTokenTime, time.Duration(slope*float64(time.Second)))
 }
 
-// overhead returns what a first event takes beside reading the prompt.
-func (s speed) overhead() time.Duration {
+// overhead returns the part of the time to the first event that is not prefill.
+func (s prefillSpeed) overhead() time.Duration {
 	return max(0, time.Duration((s.y-s.tokenTime().Seconds()*s.x)/s.n*float64(time.Second)))
 }
