--- a/core/pool/pool.go
+++ b/core/pool/pool.go
@@ -44,14 +44,14 @@
 	doc := s.Document()
 	next := make(map[string]*Replica, len(doc.Engines))
 	for _, e := range doc.Engines {
-		p.keep(next, Spec{
+		p.carryOver(next, Spec{
 			Name: e.Name, Address: e.Address, Zone: e.Zone, Domain: e.Domain, Kind: Engine,
 			Concurrent: e.Sequences, MemoryMiB: e.MemoryMiB, ChecksFence: e.ChecksFence,
 		})
 	}
 	for _, svc := range doc.Services {
 		for _, r := range svc.Replicas {
-			p.keep(next, Spec{
+			p.carryOver(next, Spec{
 				Name: r.Name, Address: r.Address, Zone: r.Zone, Domain: r.Domain, Kind: Plain,
 				Service: svc.Name, Concurrent: r.MaxConcurrent,
 			})
@@ -66,7 +66,7 @@
 	p.reindex()
 }
 
-func (p *Pool) keep(next map[string]*Replica, f Spec) {
+func (p *Pool) carryOver(next map[string]*Replica, f Spec) {
 	old, ok := p.replicas[f.Name]
 	if !ok || old.Address != f.Address || old.Kind != f.Kind {
 		next[f.Name] = newReplica(f)
