--- a/core/pool/pool.go
+++ b/core/pool/pool.go
@@ -22,19 +22,19 @@
 // A Pool holds the replicas of one configuration revision and what is known of
 // them, which outlives the revision.
 type Pool struct {
-	replicas map[string]*Replica
-	order    []*Replica            // by name
-	ready    map[string][]*Replica // by item, then by name
-	plain    map[string][]*Replica // by plain or announced service
-	touched  uint64                // rises with every change that could free room
+	replicas  map[string]*Replica
+	order     []*Replica            // by name
+	ready     map[string][]*Replica // by item, then by name
+	byService map[string][]*Replica // by plain or announced service
+	touched   uint64                // rises with every change that could free room
 }
 
 // New returns an empty pool.
 func New() *Pool {
 	return &Pool{
-		replicas: map[string]*Replica{},
-		ready:    map[string][]*Replica{},
-		plain:    map[string][]*Replica{},
+		replicas:  map[string]*Replica{},
+		ready:     map[string][]*Replica{},
+		byService: map[string][]*Replica{},
 	}
 }
 
@@ -79,14 +79,14 @@
 func (p *Pool) reindex() {
 	p.order = p.order[:0]
 	clear(p.ready)
-	clear(p.plain)
+	clear(p.byService)
 	for _, r := range p.replicas {
 		p.order = append(p.order, r)
 	}
 	sort.Slice(p.order, func(i, j int) bool { return p.order[i].Name < p.order[j].Name })
 	for _, r := range p.order {
 		if r.Kind == Plain || r.Announced {
-			p.plain[r.Service] = append(p.plain[r.Service], r)
+			p.byService[r.Service] = append(p.byService[r.Service], r)
 		}
 		for item, phase := range r.items {
 			if phase == Ready {
@@ -108,7 +108,7 @@
 
 // Serving returns the replicas of a plain or announced service, whether usable
 // or not.
-func (p *Pool) Serving(service string) []*Replica { return p.plain[service] }
+func (p *Pool) Serving(service string) []*Replica { return p.byService[service] }
 
 // CapacityChanges rises with every change that could let a waiting call go on.
 func (p *Pool) CapacityChanges() uint64 { return p.touched }
