--- a/core/pool/announced.go
+++ b/core/pool/announced.go
@@ -198,7 +198,7 @@
 	}
 	if r.vanishedAt.IsZero() {
 		r.vanishedAt = now
-		p.touched++
+		p.capacityChanges++
 	}
 }
 
@@ -216,7 +216,7 @@
 		if due && !r.listedLeaving {
 			r.listedLeaving = true
 			left = append(left, name)
-			p.touched++
+			p.capacityChanges++
 		}
 		if age >= forgetSpan && len(r.inFlight) == 0 {
 			delete(p.replicas, name)
@@ -255,7 +255,7 @@
 	}
 	r.saidLeaving = true
 	r.ended = true
-	p.touched++
+	p.capacityChanges++
 }
 
 // staleReport is how much younger than its owner's report an announcement must be to
@@ -325,7 +325,7 @@
 		}
 	}
 	p.reindexItems(r, old)
-	p.touched++
+	p.capacityChanges++
 }
 
 // MarkReady notes that an item is ready on an engine, as reported by whoever had it
@@ -342,5 +342,5 @@
 	}
 	r.items[item] = Ready
 	p.reindexItems(r, old)
-	p.touched++
+	p.capacityChanges++
 }
--- a/core/pool/notice.go
+++ b/core/pool/notice.go
@@ -87,7 +87,7 @@
 		// overtaken each other.
 		r.rest.until = until
 		news.Rest = said.Rest
-		p.touched++
+		p.capacityChanges++
 	}
 	news.Leaving = said.Leaving && p.MarkLeaving(now, name)
 	return news
@@ -102,7 +102,7 @@
 	}
 	r.saidLeaving = true
 	r.leavingAt = now
-	p.touched++
+	p.capacityChanges++
 	return true
 }
 
@@ -114,7 +114,7 @@
 		return false
 	}
 	r.saidLeaving = true
-	p.touched++
+	p.capacityChanges++
 	return true
 }
 
@@ -122,7 +122,7 @@
 func (p *Pool) AnswerBegan(now clock.Instant, r *Replica, call uint64) {
 	if r.rest.trial == call && call != 0 {
 		r.rest = rest{}
-		p.touched++
+		p.capacityChanges++
 	}
 	r.rest.others = clock.Instant{} // whatever it told others, it serves
 	r.FirstTokenReceived(now, call, false)
--- a/core/pool/pool.go
+++ b/core/pool/pool.go
@@ -22,11 +22,11 @@
 // A Pool holds the replicas of one configuration revision and what is known of
 // them, which outlives the revision.
 type Pool struct {
-	replicas  map[string]*Replica
-	order     []*Replica            // by name
-	ready     map[string][]*Replica // by item, then by name
-	byService map[string][]*Replica // by plain or announced service
-	touched   uint64                // rises with every change that could free room
+	replicas        map[string]*Replica
+	order           []*Replica            // by name
+	ready           map[string][]*Replica // by item, then by name
+	byService       map[string][]*Replica // by plain or announced service
+	capacityChanges uint64                // rises with every change that could free room
 }
 
 // New returns an empty pool.
@@ -94,7 +94,7 @@
 			}
 		}
 	}
-	p.touched++
+	p.capacityChanges++
 }
 
 // Get returns the replica with this name, nil if there is none.
@@ -111,10 +111,10 @@
 func (p *Pool) Serving(service string) []*Replica { return p.byService[service] }
 
 // CapacityChanges rises with every change that could let a waiting call go on.
-func (p *Pool) CapacityChanges() uint64 { return p.touched }
+func (p *Pool) CapacityChanges() uint64 { return p.capacityChanges }
 
 // NoteCapacityChange notes such a change that the pool cannot see itself.
-func (p *Pool) NoteCapacityChange() { p.touched++ }
+func (p *Pool) NoteCapacityChange() { p.capacityChanges++ }
 
 // ObserveResidency takes in what an engine said it holds, from whichever way it
 // came, and reports whether that was news.
@@ -141,7 +141,7 @@
 		}
 	}
 	p.reindexItems(r, old)
-	p.touched++
+	p.capacityChanges++
 	return true
 }
 
@@ -199,7 +199,7 @@
 	r.load = load
 	r.loadAt = now
 	r.ownAtRep = len(r.inFlight)
-	p.touched++
+	p.capacityChanges++
 	return true
 }
 
@@ -215,7 +215,7 @@
 	}
 	r.listedLeaving = true
 	r.leavingBoot = max(r.leavingBoot, r.Residency.Boot)
-	p.touched++
+	p.capacityChanges++
 }
 
 // ObserveLeaving takes in the report of somebody else, such as an answer's
--- a/core/pool/ratelimit.go
+++ b/core/pool/ratelimit.go
@@ -110,7 +110,7 @@
 		limit.PerSecond = r.limit.word.Limit.PerSecond
 	}
 	if limit != r.limit.word.Limit {
-		p.touched++
+		p.capacityChanges++
 	}
 	r.limit.word = LimitReport{Limit: limit, By: by, EventTime: clock.EventTime{At: now}}
 	return true
@@ -124,7 +124,7 @@
 		return false
 	}
 	r.limit.word = w
-	p.touched++
+	p.capacityChanges++
 	return true
 }
 
--- a/core/pool/use.go
+++ b/core/pool/use.go
@@ -38,7 +38,7 @@
 		}
 		r.peers[peer] = peerUse{Usage: u, at: now}
 	}
-	p.touched++
+	p.capacityChanges++
 }
 
 // OwnUsage returns what this instance has in flight, by replica.
