--- a/core/pool/pool.go
+++ b/core/pool/pool.go
@@ -23,7 +23,7 @@
 // them, which outlives the revision.
 type Pool struct {
 	replicas        map[string]*Replica
-	order           []*Replica            // by name
+	sorted          []*Replica            // by name
 	ready           map[string][]*Replica // by item, then by name
 	byService       map[string][]*Replica // by plain or announced service
 	capacityChanges uint64                // rises with every change that could free room
@@ -77,14 +77,14 @@
 }
 
 func (p *Pool) reindex() {
-	p.order = p.order[:0]
+	p.sorted = p.sorted[:0]
 	clear(p.ready)
 	clear(p.byService)
 	for _, r := range p.replicas {
-		p.order = append(p.order, r)
+		p.sorted = append(p.sorted, r)
 	}
-	sort.Slice(p.order, func(i, j int) bool { return p.order[i].Name < p.order[j].Name })
-	for _, r := range p.order {
+	sort.Slice(p.sorted, func(i, j int) bool { return p.sorted[i].Name < p.sorted[j].Name })
+	for _, r := range p.sorted {
 		if r.Kind == Plain || r.Announced {
 			p.byService[r.Service] = append(p.byService[r.Service], r)
 		}
@@ -101,7 +101,7 @@
 func (p *Pool) Get(name string) *Replica { return p.replicas[name] }
 
 // All returns the replicas by name. The caller must not change the slice.
-func (p *Pool) All() []*Replica { return p.order }
+func (p *Pool) All() []*Replica { return p.sorted }
 
 // Ready returns the replicas that have item ready, whether usable or not.
 func (p *Pool) Ready(item string) []*Replica { return p.ready[item] }
