--- a/core/pool/announced.go
+++ b/core/pool/announced.go
@@ -110,7 +110,7 @@
 		Service: a.Service, Concurrent: max(1, a.Slots), Announced: true,
 	}
 	if r == nil || r.Address != a.Address || !a.sameLife(r.announced) {
-		p.displace(now, name, a.Address)
+		p.retireAddress(now, name, a.Address)
 		next := newReplica(facts)
 		next.seenAt = now
 		if r != nil {
@@ -172,8 +172,8 @@
 	return a.Born == "" || former.Born == "" || a.Born == former.Born
 }
 
-// displace notes that the replicas known at an address have ended.
-func (p *Pool) displace(now clock.Instant, name, address string) {
+// retireAddress notes that the replicas known at an address have ended.
+func (p *Pool) retireAddress(now clock.Instant, name, address string) {
 	for _, r := range p.replicas {
 		if r.Announced && r.Address == address && r.Name != name {
 			r.listedLeaving = true
