--- a/core/pool/announced.go
+++ b/core/pool/announced.go
@@ -134,7 +134,7 @@
 	if a.Leaving && a.Remaining > 0 {
 		r.endsAt = now.Add(a.Remaining)
 	}
-	p.merge(r)
+	p.mergeItems(r)
 	p.reindex()
 }
 
@@ -262,11 +262,11 @@
 // show that a model which the report has is not there any more.
 const staleReport = 1500 * time.Millisecond
 
-// merge works out what an announced engine holds, from the report of the instance
+// mergeItems works out what an announced engine holds, from the report of the instance
 // that orders it where there is one, else from its announcement. An announcement
 // that is younger than the report tells what became of orders on models; it says
 // nothing of adapters, which engines announce late.
-func (p *Pool) merge(r *Replica) {
+func (p *Pool) mergeItems(r *Replica) {
 	if !r.Announced {
 		return
 	}
--- a/core/pool/pool.go
+++ b/core/pool/pool.go
@@ -133,7 +133,7 @@
 	clear(r.refused)
 	r.reportedAt = now
 	if r.Announced {
-		p.merge(r)
+		p.mergeItems(r)
 	} else {
 		r.items = make(map[string]ItemPhase, len(res.Items))
 		for _, it := range res.Items {
