--- a/core/pool/pool.go
+++ b/core/pool/pool.go
@@ -164,7 +164,7 @@
 func (p *Pool) reindexItems(r *Replica, old map[string]ItemPhase) {
 	for item, phase := range old {
 		if phase == Ready && r.items[item] != Ready {
-			p.ready[item] = without(p.ready[item], r)
+			p.ready[item] = removeReplica(p.ready[item], r)
 		}
 	}
 	for item, phase := range r.items {
@@ -174,7 +174,7 @@
 	}
 }
 
-func without(list []*Replica, r *Replica) []*Replica {
+func removeReplica(list []*Replica, r *Replica) []*Replica {
 	out := make([]*Replica, 0, len(list))
 	for _, x := range list {
 		if x != r {
@@ -185,7 +185,7 @@
 }
 
 func with(list []*Replica, r *Replica) []*Replica {
-	out := append(without(list, r), r)
+	out := append(removeReplica(list, r), r)
 	sort.Slice(out, func(i, j int) bool { return out[i].Name < out[j].Name })
 	return out
 }
