--- a/core/pool/pool.go
+++ b/core/pool/pool.go
@@ -169,7 +169,7 @@
 	}
 	for item, phase := range r.items {
 		if phase == Ready && old[item] != Ready {
-			p.ready[item] = with(p.ready[item], r)
+			p.ready[item] = insertReplica(p.ready[item], r)
 		}
 	}
 }
@@ -184,7 +184,7 @@
 	return out
 }
 
-func with(list []*Replica, r *Replica) []*Replica {
+func insertReplica(list []*Replica, r *Replica) []*Replica {
 	out := append(removeReplica(list, r), r)
 	sort.Slice(out, func(i, j int) bool { return out[i].Name < out[j].Name })
 	return out
