--- a/core/pool/announced.go
+++ b/core/pool/announced.go
@@ -109,7 +109,7 @@
 		Name: name, Address: a.Address, Zone: a.Zone, Kind: kind,
 		Service: a.Service, Concurrent: max(1, a.Slots), Announced: true,
 	}
-	if r == nil || r.Address != a.Address || !a.sameLife(r.announced) {
+	if r == nil || r.Address != a.Address || !a.sameIncarnation(r.announced) {
 		p.retireAddress(now, name, a.Address)
 		next := newReplica(facts)
 		next.seenAt = now
@@ -156,7 +156,7 @@
 func (r *Replica) succeed(former *Replica, a Announcement) {
 	r.rest.until = former.rest.until
 	r.former = former.former
-	if born := former.announced.Born; born != "" && !a.sameLife(former.announced) {
+	if born := former.announced.Born; born != "" && !a.sameIncarnation(former.announced) {
 		r.former = append(slices.Clone(r.former), born)
 		r.former = r.former[max(0, len(r.former)-maxFormer):]
 	}
@@ -167,8 +167,8 @@
 	return born == "" || r.announced.Born == "" || born == r.announced.Born
 }
 
-// sameLife reports whether both announcements may be of the same life of a replica.
-func (a Announcement) sameLife(former Announcement) bool {
+// sameIncarnation reports whether both announcements may be of the same life of a replica.
+func (a Announcement) sameIncarnation(former Announcement) bool {
 	return a.Born == "" || former.Born == "" || a.Born == former.Born
 }
 
