--- a/core/pool/announced.go
+++ b/core/pool/announced.go
@@ -114,7 +114,7 @@
 		next := newReplica(facts)
 		next.seenAt = now
 		if r != nil {
-			next.succeed(r, a)
+			next.inherit(r, a)
 		}
 		r = next
 		p.replicas[name] = r
@@ -152,8 +152,8 @@
 	return r.Announced && !r.MayBeIncarnation(born) && !r.IsPastIncarnation(born)
 }
 
-// succeed takes over what outlives a former life of the replica.
-func (r *Replica) succeed(former *Replica, a Announcement) {
+// inherit takes over what outlives a former life of the replica.
+func (r *Replica) inherit(former *Replica, a Announcement) {
 	r.rest.until = former.rest.until
 	r.former = former.former
 	if born := former.announced.Born; born != "" && !a.sameIncarnation(former.announced) {
