--- a/core/pool/announced.go
+++ b/core/pool/announced.go
@@ -92,8 +92,8 @@
 // sound: when the list's store loses its leases in an outage.
 const VanishedGracePeriod = time.Second
 
-// forgetSpan is how long a replica without an entry is remembered.
-const forgetSpan = 30 * time.Second
+// vanishedRetention is how long a replica without an entry is remembered.
+const vanishedRetention = 30 * time.Second
 
 // Announce takes in an announcement. A replica that restarts has another name, or the same
 // one and another birth; one that appears at an address where another was known takes that
@@ -218,7 +218,7 @@
 			left = append(left, name)
 			p.capacityChanges++
 		}
-		if age >= forgetSpan && len(r.inFlight) == 0 {
+		if age >= vanishedRetention && len(r.inFlight) == 0 {
 			delete(p.replicas, name)
 			gone = true
 		}
--- a/core/pool/replica_test.go
+++ b/core/pool/replica_test.go
@@ -58,10 +58,10 @@
 	is.True(r.Usable())
 	is.Equal(p.ExpireVanished(now.Add(VanishedGracePeriod), VanishedGracePeriod), []string{"r"})
 	is.True(r.Leaving())
-	is.Equal(p.ExpireVanished(now.Add(forgetSpan), VanishedGracePeriod), nil)
+	is.Equal(p.ExpireVanished(now.Add(vanishedRetention), VanishedGracePeriod), nil)
 	is.True(p.Get("r") != nil) // a call runs there
 	r.DropCall(1)
-	p.ExpireVanished(now.Add(forgetSpan), VanishedGracePeriod)
+	p.ExpireVanished(now.Add(vanishedRetention), VanishedGracePeriod)
 	is.True(p.Get("r") == nil)
 }
 
