--- a/core/pool/announced.go
+++ b/core/pool/announced.go
@@ -138,9 +138,9 @@
 	p.reindex()
 }
 
-// maxFormer is how many births of former lives of a replica are remembered: entries come
+// maxPastIncarnations is how many births of former lives of a replica are remembered: entries come
 // late by seconds, and no replica starts so often in that time.
-const maxFormer = 8
+const maxPastIncarnations = 8
 
 // IsPastIncarnation reports whether a birth is that of a life which ended before this one.
 func (r *Replica) IsPastIncarnation(born string) bool {
@@ -158,7 +158,7 @@
 	r.former = former.former
 	if born := former.announced.Born; born != "" && !a.sameIncarnation(former.announced) {
 		r.former = append(slices.Clone(r.former), born)
-		r.former = r.former[max(0, len(r.former)-maxFormer):]
+		r.former = r.former[max(0, len(r.former)-maxPastIncarnations):]
 	}
 }
 
