--- a/core/pool/announced.go
+++ b/core/pool/announced.go
@@ -258,9 +258,9 @@
 	p.capacityChanges++
 }
 
-// staleReport is how much younger than its owner's report an announcement must be to
+// staleReportAge is how much younger than its owner's report an announcement must be to
 // show that a model which the report has is not there any more.
-const staleReport = 1500 * time.Millisecond
+const staleReportAge = 1500 * time.Millisecond
 
 // mergeItems works out what an announced engine holds, from the report of the instance
 // that orders it where there is one, else from its announcement. An announcement
@@ -282,7 +282,7 @@
 	if r.announcedAt.Before(r.reportedAt) {
 		return
 	}
-	old := r.announcedAt.Since(r.reportedAt) >= staleReport
+	old := r.announcedAt.Since(r.reportedAt) >= staleReportAge
 	for item, phase := range r.items {
 		model, adapter := SplitItem(item)
 		_, shown := announced[model]
