--- a/core/pool/notice.go
+++ b/core/pool/notice.go
@@ -18,10 +18,10 @@
 func (n Notice) IsZero() bool { return n == Notice{} }
 
 const (
-	// lastResortSpan is for how long a replica that said itself that it leaves still gets
+	// lastResortPeriod is for how long a replica that said itself that it leaves still gets
 	// calls that no other can serve, where all replicas of a service leave at once: half of
 	// the users' bound for calls after such an answer.
-	lastResortSpan = time.Second
+	lastResortPeriod = time.Second
 	// LongRest is the rest from which a replica counts as no place for a model, so that
 	// the model is loaded elsewhere: above the time of any load.
 	LongRest = 10 * time.Second
@@ -70,7 +70,7 @@
 // LastResort reports whether the replica leaves, by its own word of a moment ago alone,
 // and may get calls that no other can serve.
 func (r *Replica) LastResort(now clock.Instant) bool {
-	return !r.listedLeaving && !r.ended && !r.leavingAt.IsZero() && now.Since(r.leavingAt) < lastResortSpan
+	return !r.listedLeaving && !r.ended && !r.leavingAt.IsZero() && now.Since(r.leavingAt) < lastResortPeriod
 }
 
 // ObserveNotice takes in what a replica said of its leaving and its rest in its answer to what was
