--- a/core/pool/notice.go
+++ b/core/pool/notice.go
@@ -27,10 +27,10 @@
 	LongRest = 10 * time.Second
 )
 
-// A rest is the time for which a replica wants nothing from this instance. After it one
+// A restState is the time for which a replica wants nothing from this instance. After it one
 // call is sent, and others only once that one is answered: calls that waited, at all
 // instances, would else come back together to a replica that may still be full.
-type rest struct {
+type restState struct {
 	until clock.Instant // zero: it did not ask, or has answered a call since
 	trial uint64        // the call that was sent since, 0 if there is none
 	// others is until when it wants nothing from some other instance, as peers told.
@@ -121,7 +121,7 @@
 // AnswerBegan notes that the first piece of the answer to a call came.
 func (p *Pool) AnswerBegan(now clock.Instant, r *Replica, call uint64) {
 	if r.rest.trial == call && call != 0 {
-		r.rest = rest{}
+		r.rest = restState{}
 		p.capacityChanges++
 	}
 	r.rest.others = clock.Instant{} // whatever it told others, it serves
--- a/core/pool/replica.go
+++ b/core/pool/replica.go
@@ -63,7 +63,7 @@
 	health
 	listing
 	leaving
-	rest  rest
+	rest  restState
 	limit limitState
 }
 
