--- a/core/pool/notice.go
+++ b/core/pool/notice.go
@@ -31,8 +31,8 @@
 // call is sent, and others only once that one is answered: calls that waited, at all
 // instances, would else come back together to a replica that may still be full.
 type restState struct {
-	until clock.Instant // zero: it did not ask, or has answered a call since
-	trial uint64        // the call that was sent since, 0 if there is none
+	until     clock.Instant // zero: it did not ask, or has answered a call since
+	trialCall uint64        // the call that was sent since, 0 if there is none
 	// others is until when it wants nothing from some other instance, as peers told.
 	others clock.Instant
 }
@@ -65,7 +65,7 @@
 
 // OnTrial reports whether a call shows at the moment if the replica, whose rest is over,
 // takes calls again.
-func (r *Replica) OnTrial() bool { return r.rest.trial != 0 }
+func (r *Replica) OnTrial() bool { return r.rest.trialCall != 0 }
 
 // LastResort reports whether the replica leaves, by its own word of a moment ago alone,
 // and may get calls that no other can serve.
@@ -120,7 +120,7 @@
 
 // AnswerBegan notes that the first piece of the answer to a call came.
 func (p *Pool) AnswerBegan(now clock.Instant, r *Replica, call uint64) {
-	if r.rest.trial == call && call != 0 {
+	if r.rest.trialCall == call && call != 0 {
 		r.rest = restState{}
 		p.capacityChanges++
 	}
--- a/core/pool/replica.go
+++ b/core/pool/replica.go
@@ -263,7 +263,7 @@
 func (r *Replica) StartPrefill(now clock.Instant, id uint64, p Prefill) {
 	rank := RankOf(p.Rank)
 	if r.waits() && !r.Resting(now) {
-		r.rest.trial = id
+		r.rest.trialCall = id
 	}
 	r.inFlight[id] = rank
 	r.ownCalls[rank]++
@@ -326,8 +326,8 @@
 		delete(r.inFlight, id)
 		r.ownCalls[rank]--
 	}
-	if r.rest.trial == id {
-		r.rest.trial = 0
+	if r.rest.trialCall == id {
+		r.rest.trialCall = 0
 	}
 	r.settle(id)
 }
