--- a/core/pool/notice.go
+++ b/core/pool/notice.go
@@ -33,8 +33,8 @@
 type restState struct {
 	until     clock.Instant // zero: it did not ask, or has answered a call since
 	trialCall uint64        // the call that was sent since, 0 if there is none
-	// others is until when it wants nothing from some other instance, as peers told.
-	others clock.Instant
+	// peersUntil is until when it wants nothing from some other instance, as peers told.
+	peersUntil clock.Instant
 }
 
 // Resting reports whether the replica wants nothing from this instance.
@@ -54,12 +54,12 @@
 
 // RejectsPeers reports whether the replica wants nothing from some other instance. It is
 // between those two; but one that is full turns the next away as well.
-func (r *Replica) RejectsPeers(now clock.Instant) bool { return now.Before(r.rest.others) }
+func (r *Replica) RejectsPeers(now clock.Instant) bool { return now.Before(r.rest.peersUntil) }
 
 // ObservePeerRest notes until when a life of a replica wants nothing from some other instance.
 func (p *Pool) ObservePeerRest(life Incarnation, until clock.Instant) {
 	if r := p.replicas[life.Name]; r != nil && r.MayBeIncarnation(life.Born) {
-		r.rest.others = clock.Latest(r.rest.others, until)
+		r.rest.peersUntil = clock.Latest(r.rest.peersUntil, until)
 	}
 }
 
@@ -124,6 +124,6 @@
 		r.rest = restState{}
 		p.capacityChanges++
 	}
-	r.rest.others = clock.Instant{} // whatever it told others, it serves
+	r.rest.peersUntil = clock.Instant{} // whatever it told others, it serves
 	r.FirstTokenReceived(now, call, false)
 }
