--- a/core/pool/notice.go
+++ b/core/pool/notice.go
@@ -46,11 +46,11 @@
 
 // MayReject reports whether the replica may turn a call away: it wanted nothing from this
 // instance and has not answered a call of it since, or wants nothing from another one.
-func (r *Replica) MayReject(now clock.Instant) bool { return r.waits() || r.RejectsPeers(now) }
+func (r *Replica) MayReject(now clock.Instant) bool { return r.needsTrial() || r.RejectsPeers(now) }
 
-// waits reports whether the replica wanted nothing from this instance and has not answered
+// needsTrial reports whether the replica wanted nothing from this instance and has not answered
 // a call of it since.
-func (r *Replica) waits() bool { return !r.rest.until.IsZero() }
+func (r *Replica) needsTrial() bool { return !r.rest.until.IsZero() }
 
 // RejectsPeers reports whether the replica wants nothing from some other instance. It is
 // between those two; but one that is full turns the next away as well.
--- a/core/pool/replica.go
+++ b/core/pool/replica.go
@@ -262,7 +262,7 @@
 // StartPrefill is Start for a call with a prompt.
 func (r *Replica) StartPrefill(now clock.Instant, id uint64, p Prefill) {
 	rank := RankOf(p.Rank)
-	if r.waits() && !r.Resting(now) {
+	if r.needsTrial() && !r.Resting(now) {
 		r.rest.trialCall = id
 	}
 	r.inFlight[id] = rank
