--- a/core/pool/ratelimit.go
+++ b/core/pool/ratelimit.go
@@ -31,10 +31,10 @@
 func (w LimitReport) IsZero() bool { return w.By == "" }
 
 const (
-	// leastRate is the rate, in requests a second, at which a replica is sent requests
+	// minRate is the rate, in requests a second, at which a replica is sent requests
 	// whatever it names: from one that gets none, nobody would hear that it takes more
 	// (docs/design/limits.md).
-	leastRate = 0.2
+	minRate = 0.2
 	// boundlessRate is the limit, in requests a second, from which on nothing is held back
 	// for it: no replica is sent as many (docs/design/limits.md).
 	boundlessRate = 10_000
@@ -55,7 +55,7 @@
 	case w.IsZero():
 		return 0, false
 	case w.Limit.Named:
-		return max(w.Limit.PerSecond, leastRate), w.Limit.PerSecond < boundlessRate
+		return max(w.Limit.PerSecond, minRate), w.Limit.PerSecond < boundlessRate
 	case since < returnSpan:
 		doublings := max(0, float64(since)/float64(returnDoubling))
 		return max(w.Limit.PerSecond, returnRate) * math.Exp2(doublings), true
--- a/core/pool/ratelimit_test.go
+++ b/core/pool/ratelimit_test.go
@@ -108,8 +108,8 @@
 		limited bool
 	}{
 		{"named", named(3), time.Hour, 3, true},
-		{"none at all: enough to hear of its end", named(0), 0, leastRate, true},
-		{"less than that", named(0.01), 0, leastRate, true},
+		{"none at all: enough to hear of its end", named(0), 0, minRate, true},
+		{"less than that", named(0.01), 0, minRate, true},
 		{"more than anybody sends", named(1e6), 0, 1e6, false},
 		{"ended just now", RateLimit{PerSecond: 4}, 0, 4, true},
 		{"ended a second ago", RateLimit{PerSecond: 4}, time.Second, 8, true},
