--- a/core/pool/ratelimit.go
+++ b/core/pool/ratelimit.go
@@ -35,9 +35,9 @@
 	// whatever it names: from one that gets none, nobody would hear that it takes more
 	// (docs/design/limits.md).
 	minRate = 0.2
-	// boundlessRate is the limit, in requests a second, from which on nothing is held back
+	// unlimitedRate is the limit, in requests a second, from which on nothing is held back
 	// for it: no replica is sent as many (docs/design/limits.md).
-	boundlessRate = 10_000
+	unlimitedRate = 10_000
 	// returnRate is what a replica takes at least, in requests a second, once its limit has
 	// ended (docs/design/limits.md).
 	returnRate = 1
@@ -55,7 +55,7 @@
 	case w.IsZero():
 		return 0, false
 	case w.Limit.Named:
-		return max(w.Limit.PerSecond, minRate), w.Limit.PerSecond < boundlessRate
+		return max(w.Limit.PerSecond, minRate), w.Limit.PerSecond < unlimitedRate
 	case since < returnSpan:
 		doublings := max(0, float64(since)/float64(returnDoubling))
 		return max(w.Limit.PerSecond, returnRate) * math.Exp2(doublings), true
