--- a/core/pool/ratelimit.go
+++ b/core/pool/ratelimit.go
@@ -38,9 +38,9 @@
 	// unlimitedRate is the limit, in requests a second, from which on nothing is held back
 	// for it: no replica is sent as many (docs/design/limits.md).
 	unlimitedRate = 10_000
-	// returnRate is what a replica takes at least, in requests a second, once its limit has
+	// recoveryMinRate is what a replica takes at least, in requests a second, once its limit has
 	// ended (docs/design/limits.md).
-	returnRate = 1
+	recoveryMinRate = 1
 	// returnDoubling is the time in which the requests that it takes then double, so that
 	// not all instances come back to it at once (docs/design/limits.md).
 	returnDoubling = time.Second
@@ -58,7 +58,7 @@
 		return max(w.Limit.PerSecond, minRate), w.Limit.PerSecond < unlimitedRate
 	case since < returnSpan:
 		doublings := max(0, float64(since)/float64(returnDoubling))
-		return max(w.Limit.PerSecond, returnRate) * math.Exp2(doublings), true
+		return max(w.Limit.PerSecond, recoveryMinRate) * math.Exp2(doublings), true
 	default:
 		return 0, false
 	}
--- a/core/pool/ratelimit_test.go
+++ b/core/pool/ratelimit_test.go
@@ -113,7 +113,7 @@
 		{"more than anybody sends", named(1e6), 0, 1e6, false},
 		{"ended just now", RateLimit{PerSecond: 4}, 0, 4, true},
 		{"ended a second ago", RateLimit{PerSecond: 4}, time.Second, 8, true},
-		{"ended, and it was none at all", RateLimit{}, 2 * time.Second, 4 * returnRate, true},
+		{"ended, and it was none at all", RateLimit{}, 2 * time.Second, 4 * recoveryMinRate, true},
 		{"ended long ago", RateLimit{PerSecond: 4}, returnSpan, 0, false},
 	}
 	for _, c := range cases {
