--- a/core/pool/ratelimit.go
+++ b/core/pool/ratelimit.go
@@ -41,9 +41,9 @@
 	// recoveryMinRate is what a replica takes at least, in requests a second, once its limit has
 	// ended (docs/design/limits.md).
 	recoveryMinRate = 1
-	// returnDoubling is the time in which the requests that it takes then double, so that
+	// recoveryDoublingTime is the time in which the requests that it takes then double, so that
 	// not all instances come back to it at once (docs/design/limits.md).
-	returnDoubling = time.Second
+	recoveryDoublingTime = time.Second
 	// returnSpan is how long that lasts (docs/design/limits.md).
 	returnSpan = 6 * time.Second
 )
@@ -57,7 +57,7 @@
 	case w.Limit.Named:
 		return max(w.Limit.PerSecond, minRate), w.Limit.PerSecond < unlimitedRate
 	case since < returnSpan:
-		doublings := max(0, float64(since)/float64(returnDoubling))
+		doublings := max(0, float64(since)/float64(recoveryDoublingTime))
 		return max(w.Limit.PerSecond, recoveryMinRate) * math.Exp2(doublings), true
 	default:
 		return 0, false
