--- a/core/pool/ratelimit.go
+++ b/core/pool/ratelimit.go
@@ -44,8 +44,8 @@
 	// recoveryDoublingTime is the time in which the requests that it takes then double, so that
 	// not all instances come back to it at once (docs/design/limits.md).
 	recoveryDoublingTime = time.Second
-	// returnSpan is how long that lasts (docs/design/limits.md).
-	returnSpan = 6 * time.Second
+	// recoveryPeriod is how long that lasts (docs/design/limits.md).
+	recoveryPeriod = 6 * time.Second
 )
 
 // Rate returns how many requests a second the replica is to get from all instances
@@ -56,7 +56,7 @@
 		return 0, false
 	case w.Limit.Named:
 		return max(w.Limit.PerSecond, minRate), w.Limit.PerSecond < unlimitedRate
-	case since < returnSpan:
+	case since < recoveryPeriod:
 		doublings := max(0, float64(since)/float64(recoveryDoublingTime))
 		return max(w.Limit.PerSecond, recoveryMinRate) * math.Exp2(doublings), true
 	default:
--- a/core/pool/ratelimit_test.go
+++ b/core/pool/ratelimit_test.go
@@ -114,7 +114,7 @@
 		{"ended just now", RateLimit{PerSecond: 4}, 0, 4, true},
 		{"ended a second ago", RateLimit{PerSecond: 4}, time.Second, 8, true},
 		{"ended, and it was none at all", RateLimit{}, 2 * time.Second, 4 * recoveryMinRate, true},
-		{"ended long ago", RateLimit{PerSecond: 4}, returnSpan, 0, false},
+		{"ended long ago", RateLimit{PerSecond: 4}, recoveryPeriod, 0, false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
