--- a/core/pool/ratelimit.go
+++ b/core/pool/ratelimit.go
@@ -142,13 +142,13 @@
 	return max(r.limit.turnAt.Since(now), time.Duration(float64(time.Second)/(2*rate)))
 }
 
-// unheardSpan is for how long nothing need have been heard of a limit for the next request
+// staleLimitAge is for how long nothing need have been heard of a limit for the next request
 // to go to its replica, which shows whether it still holds (docs/design/limits.md).
-const unheardSpan = 5 * time.Second
+const staleLimitAge = 5 * time.Second
 
 // LimitStale reports whether the replica named a limit, nobody has heard of it for a
 // while, and a request may be sent now as far as is known.
 func (r *Replica) LimitStale(now clock.Instant) bool {
 	w := r.limit.word
-	return w.Limit.Named && now.Since(w.At) >= unheardSpan && !now.Before(r.limit.turnAt)
+	return w.Limit.Named && now.Since(w.At) >= staleLimitAge && !now.Before(r.limit.turnAt)
 }
