--- a/core/pool/ratelimit.go
+++ b/core/pool/ratelimit.go
@@ -84,17 +84,17 @@
 }
 
 // LimitReport returns the newest that is known of the replica's limit.
-func (r *Replica) LimitReport() LimitReport { return r.limit.word }
+func (r *Replica) LimitReport() LimitReport { return r.limit.report }
 
 // RateLimit returns how many requests a second the replica is to get from all instances
 // together; limited is false where nothing is held back.
 func (r *Replica) RateLimit(now clock.Instant) (perSecond float64, limited bool) {
-	return r.limit.word.Rate(now)
+	return r.limit.report.Rate(now)
 }
 
 // A limitState is what is known of a replica's limit, and when a request may go there.
 type limitState struct {
-	word   LimitReport
+	report LimitReport
 	turnAt clock.Instant // when the next request may be sent, as was last said
 }
 
@@ -103,16 +103,16 @@
 // something that was sent before this life of the replica was known says nothing.
 func (p *Pool) ObserveLimit(now clock.Instant, name string, sent clock.Instant, limit RateLimit, by string) bool {
 	r := p.replicas[name]
-	if r == nil || sent.Before(r.seenAt) || !r.limit.word.saidLater(limit, sent) {
+	if r == nil || sent.Before(r.seenAt) || !r.limit.report.saidLater(limit, sent) {
 		return false
 	}
 	if !limit.Named {
-		limit.PerSecond = r.limit.word.Limit.PerSecond
+		limit.PerSecond = r.limit.report.Limit.PerSecond
 	}
-	if limit != r.limit.word.Limit {
+	if limit != r.limit.report.Limit {
 		p.capacityChanges++
 	}
-	r.limit.word = LimitReport{Limit: limit, By: by, EventTime: clock.EventTime{At: now}}
+	r.limit.report = LimitReport{Limit: limit, By: by, EventTime: clock.EventTime{At: now}}
 	return true
 }
 
@@ -120,10 +120,10 @@
 // reports whether that is later than what is known.
 func (p *Pool) ObservePeerLimit(life Incarnation, w LimitReport) bool {
 	r := p.replicas[life.Name]
-	if r == nil || !r.MayBeIncarnation(life.Born) || !w.Newer(r.limit.word) {
+	if r == nil || !r.MayBeIncarnation(life.Born) || !w.Newer(r.limit.report) {
 		return false
 	}
-	r.limit.word = w
+	r.limit.report = w
 	p.capacityChanges++
 	return true
 }
@@ -149,6 +149,6 @@
 // LimitStale reports whether the replica named a limit, nobody has heard of it for a
 // while, and a request may be sent now as far as is known.
 func (r *Replica) LimitStale(now clock.Instant) bool {
-	w := r.limit.word
+	w := r.limit.report
 	return w.Limit.Named && now.Since(w.At) >= staleLimitAge && !now.Before(r.limit.turnAt)
 }
