--- a/core/pool/ratelimit.go
+++ b/core/pool/ratelimit.go
@@ -94,8 +94,8 @@
 
 // A limitState is what is known of a replica's limit, and when a request may go there.
 type limitState struct {
-	report LimitReport
-	turnAt clock.Instant // when the next request may be sent, as was last said
+	report     LimitReport
+	nextSendAt clock.Instant // when the next request may be sent, as was last said
 }
 
 // ObserveLimit takes in what a replica said of its limit in its answer to what was sent at
@@ -129,7 +129,7 @@
 }
 
 // SetNextSend notes when the next request may be sent to the replica, as was said now.
-func (r *Replica) SetNextSend(at clock.Instant) { r.limit.turnAt = at }
+func (r *Replica) SetNextSend(at clock.Instant) { r.limit.nextSendAt = at }
 
 // RateLimitDelay returns how long a request to the replica is believed to wait for its limit:
 // until the next one may be sent, as far as that is known, and half the time between two of
@@ -139,7 +139,7 @@
 	if !limited {
 		return 0
 	}
-	return max(r.limit.turnAt.Since(now), time.Duration(float64(time.Second)/(2*rate)))
+	return max(r.limit.nextSendAt.Since(now), time.Duration(float64(time.Second)/(2*rate)))
 }
 
 // staleLimitAge is for how long nothing need have been heard of a limit for the next request
@@ -150,5 +150,5 @@
 // while, and a request may be sent now as far as is known.
 func (r *Replica) LimitStale(now clock.Instant) bool {
 	w := r.limit.report
-	return w.Limit.Named && now.Since(w.At) >= staleLimitAge && !now.Before(r.limit.turnAt)
+	return w.Limit.Named && now.Since(w.At) >= staleLimitAge && !now.Before(r.limit.nextSendAt)
 }
