--- a/core/pool/ratelimit.go
+++ b/core/pool/ratelimit.go
@@ -67,10 +67,10 @@
 // Newer reports whether w is later than another word of the same replica.
 func (w LimitReport) Newer(old LimitReport) bool { return old.At.Before(w.At) }
 
-// saidLater reports whether what an answer says of the limit holds against what is known.
+// supersededBy reports whether what an answer says of the limit holds against what is known.
 // Answers overtake each other, so one that takes back what another said must be to a
 // request that was sent after that came; one that says less counts at once.
-func (w LimitReport) saidLater(limit RateLimit, sent clock.Instant) bool {
+func (w LimitReport) supersededBy(limit RateLimit, sent clock.Instant) bool {
 	switch {
 	case limit.Unclear:
 		return false
@@ -103,7 +103,7 @@
 // something that was sent before this life of the replica was known says nothing.
 func (p *Pool) ObserveLimit(now clock.Instant, name string, sent clock.Instant, limit RateLimit, by string) bool {
 	r := p.replicas[name]
-	if r == nil || sent.Before(r.seenAt) || !r.limit.report.saidLater(limit, sent) {
+	if r == nil || sent.Before(r.seenAt) || !r.limit.report.supersededBy(limit, sent) {
 		return false
 	}
 	if !limit.Named {
