--- a/core/pool/replica.go
+++ b/core/pool/replica.go
@@ -36,8 +36,8 @@
 	ejectAfter = 3               // failures in a row before a replica is ejected
 	ejectBase  = 2 * time.Second // first ejection; doubles with each
 	// ejectMax is the longest ejection.
-	ejectMax   = 60 * time.Second
-	firstAlpha = 0.2 // weight of a new sample that is below the average
+	ejectMax        = 60 * time.Second
+	firstTokenAlpha = 0.2 // weight of a new sample that is below the average
 	// holdAlpha is the weight of a new sample of how long calls occupy a replica.
 	holdAlpha = 0.1
 	// defaultFirst is the time to a first token before any was measured.
@@ -287,7 +287,7 @@
 	if took > r.first {
 		r.first = took
 	} else {
-		r.first = mix(r.first, took, firstAlpha)
+		r.first = mix(r.first, took, firstTokenAlpha)
 	}
 	r.firstAt = now
 	r.failures = 0
