--- a/core/pool/replica.go
+++ b/core/pool/replica.go
@@ -46,9 +46,9 @@
 	defaultHold = time.Second
 	// defaultPlainHold is the same for an announced plain replica.
 	defaultPlainHold = 30 * time.Millisecond
-	// firstHalfLife is after which half of a slow average is forgotten.
-	firstHalfLife = 5 * time.Second
-	loadHalfLife  = 4 * time.Second // after which half of what others had in flight is believed gone
+	// firstTokenHalfLife is after which half of a slow average is forgotten.
+	firstTokenHalfLife = 5 * time.Second
+	loadHalfLife       = 4 * time.Second // after which half of what others had in flight is believed gone
 )
 
 // A Replica is this instance's view of one upstream. Only the goroutine that
@@ -233,7 +233,7 @@
 	if age := now.Since(r.firstAt); first > defaultFirst && age > 0 {
 		// A slow answer is believed less the older it is; without this, a sole
 		// replica that was slow once would never be tried again.
-		first = defaultFirst + time.Duration(float64(first-defaultFirst)*decay(age, firstHalfLife))
+		first = defaultFirst + time.Duration(float64(first-defaultFirst)*decay(age, firstTokenHalfLife))
 	}
 	if len(r.pending) > 0 {
 		first = max(first, now.Since(r.pending[0].since))
