--- a/core/pool/replica.go
+++ b/core/pool/replica.go
@@ -38,8 +38,8 @@
 	// ejectMax is the longest ejection.
 	ejectMax        = 60 * time.Second
 	firstTokenAlpha = 0.2 // weight of a new sample that is below the average
-	// holdAlpha is the weight of a new sample of how long calls occupy a replica.
-	holdAlpha = 0.1
+	// serviceTimeAlpha is the weight of a new sample of how long calls occupy a replica.
+	serviceTimeAlpha = 0.1
 	// defaultFirst is the time to a first token before any was measured.
 	defaultFirst = 50 * time.Millisecond
 	// defaultHold is how long a call is believed to occupy a replica.
@@ -306,7 +306,7 @@
 	}
 	r.leave(id)
 	if !failed {
-		r.hold = mix(r.hold, now.Since(started), holdAlpha)
+		r.hold = mix(r.hold, now.Since(started), serviceTimeAlpha)
 		return
 	}
 	r.failures++
