--- a/core/pool/replica.go
+++ b/core/pool/replica.go
@@ -40,8 +40,8 @@
 	firstTokenAlpha = 0.2 // weight of a new sample that is below the average
 	// serviceTimeAlpha is the weight of a new sample of how long calls occupy a replica.
 	serviceTimeAlpha = 0.1
-	// defaultFirst is the time to a first token before any was measured.
-	defaultFirst = 50 * time.Millisecond
+	// defaultFirstToken is the time to a first token before any was measured.
+	defaultFirstToken = 50 * time.Millisecond
 	// defaultHold is how long a call is believed to occupy a replica.
 	defaultHold = time.Second
 	// defaultPlainHold is the same for an announced plain replica.
@@ -136,7 +136,7 @@
 		Limit:   limit.NewConcurrency(f.Concurrent),
 		items:   map[string]ItemPhase{},
 		refused: map[string]clock.Instant{},
-		usage:   usage{first: defaultFirst, hold: hold, inFlight: map[uint64]int{}},
+		usage:   usage{first: defaultFirstToken, hold: hold, inFlight: map[uint64]int{}},
 	}
 }
 
@@ -230,10 +230,10 @@
 // age is what makes a frozen replica look slow before it has answered at all.
 func (r *Replica) TimeToFirstToken(now clock.Instant) time.Duration {
 	first := r.first
-	if age := now.Since(r.firstAt); first > defaultFirst && age > 0 {
+	if age := now.Since(r.firstAt); first > defaultFirstToken && age > 0 {
 		// A slow answer is believed less the older it is; without this, a sole
 		// replica that was slow once would never be tried again.
-		first = defaultFirst + time.Duration(float64(first-defaultFirst)*decay(age, firstTokenHalfLife))
+		first = defaultFirstToken + time.Duration(float64(first-defaultFirstToken)*decay(age, firstTokenHalfLife))
 	}
 	if len(r.pending) > 0 {
 		first = max(first, now.Since(r.pending[0].since))
