--- a/core/pool/replica.go
+++ b/core/pool/replica.go
@@ -42,8 +42,8 @@
 	serviceTimeAlpha = 0.1
 	// defaultFirstToken is the time to a first token before any was measured.
 	defaultFirstToken = 50 * time.Millisecond
-	// defaultHold is how long a call is believed to occupy a replica.
-	defaultHold = time.Second
+	// defaultServiceTime is how long a call is believed to occupy a replica.
+	defaultServiceTime = time.Second
 	// defaultPlainHold is the same for an announced plain replica.
 	defaultPlainHold = 30 * time.Millisecond
 	// firstTokenHalfLife is after which half of a slow average is forgotten.
@@ -127,7 +127,7 @@
 }
 
 func newReplica(f Spec) *Replica {
-	hold := defaultHold
+	hold := defaultServiceTime
 	if f.Announced && f.Kind == Plain {
 		hold = defaultPlainHold
 	}
