--- a/core/pool/replica.go
+++ b/core/pool/replica.go
@@ -44,8 +44,8 @@
 	defaultFirstToken = 50 * time.Millisecond
 	// defaultServiceTime is how long a call is believed to occupy a replica.
 	defaultServiceTime = time.Second
-	// defaultPlainHold is the same for an announced plain replica.
-	defaultPlainHold = 30 * time.Millisecond
+	// defaultPlainServiceTime is the same for an announced plain replica.
+	defaultPlainServiceTime = 30 * time.Millisecond
 	// firstTokenHalfLife is after which half of a slow average is forgotten.
 	firstTokenHalfLife = 5 * time.Second
 	loadHalfLife       = 4 * time.Second // after which half of what others had in flight is believed gone
@@ -129,7 +129,7 @@
 func newReplica(f Spec) *Replica {
 	hold := defaultServiceTime
 	if f.Announced && f.Kind == Plain {
-		hold = defaultPlainHold
+		hold = defaultPlainServiceTime
 	}
 	return &Replica{
 		Spec:    f,
