--- a/core/pool/replica.go
+++ b/core/pool/replica.go
@@ -59,7 +59,7 @@
 	Limit     limit.Concurrency
 	items     map[string]ItemPhase
 	refused   map[string]clock.Instant // until when an item counts as refused
-	usage
+	activity
 	health
 	listing
 	leaving
@@ -67,9 +67,9 @@
 	limit limitState
 }
 
-// A usage is what runs at a replica: by the own count, by what peers tell, and by
+// A activity is what runs at a replica: by the own count, by what peers tell, and by
 // its own reports.
-type usage struct {
+type activity struct {
 	load     Load
 	loadAt   clock.Instant
 	ownAtRep int // own calls in flight when load was heard
@@ -132,11 +132,11 @@
 		hold = defaultPlainServiceTime
 	}
 	return &Replica{
-		Spec:    f,
-		Limit:   limit.NewConcurrency(f.Concurrent),
-		items:   map[string]ItemPhase{},
-		refused: map[string]clock.Instant{},
-		usage:   usage{first: defaultFirstToken, hold: hold, inFlight: map[uint64]int{}},
+		Spec:     f,
+		Limit:    limit.NewConcurrency(f.Concurrent),
+		items:    map[string]ItemPhase{},
+		refused:  map[string]clock.Instant{},
+		activity: activity{first: defaultFirstToken, hold: hold, inFlight: map[uint64]int{}},
 	}
 }
 
