--- a/core/pool/pool.go
+++ b/core/pool/pool.go
@@ -198,7 +198,7 @@
 	}
 	r.load = load
 	r.loadAt = now
-	r.ownAtRep = len(r.inFlight)
+	r.ownAtLoad = len(r.inFlight)
 	p.capacityChanges++
 	return true
 }
--- a/core/pool/replica.go
+++ b/core/pool/replica.go
@@ -70,9 +70,9 @@
 // A activity is what runs at a replica: by the own count, by what peers tell, and by
 // its own reports.
 type activity struct {
-	load     Load
-	loadAt   clock.Instant
-	ownAtRep int // own calls in flight when load was heard
+	load      Load
+	loadAt    clock.Instant
+	ownAtLoad int // own calls in flight when load was heard
 
 	report   heardReport
 	peers    map[string]peerUse // what other instances have in flight
@@ -217,7 +217,7 @@
 	if r.Announced {
 		return float64(r.Load(now).Calls.Sum())
 	}
-	others := float64(max(0, r.load.Running+r.load.Waiting-r.ownAtRep))
+	others := float64(max(0, r.load.Running+r.load.Waiting-r.ownAtLoad))
 	if !r.loadAt.IsZero() {
 		age := now.Since(r.loadAt)
 		others *= decay(age, loadHalfLife)
