--- a/core/pool/replica.go
+++ b/core/pool/replica.go
@@ -74,15 +74,15 @@
 	loadAt    clock.Instant
 	ownAtLoad int // own calls in flight when load was heard
 
-	report   heardReport
-	peers    map[string]peerUse // what other instances have in flight
-	used     []string           // items that own calls used lately, newest last
-	inFlight map[uint64]int     // ranks of own calls, by call
-	ownCalls ByRank[int]        // how many those are
-	pending  []pendingCall      // own calls whose first token has not come
-	first    time.Duration      // peak EWMA of the time to first token
-	firstAt  clock.Instant
-	hold     time.Duration // EWMA of the time a call occupies the replica
+	report    heardReport
+	peers     map[string]peerUse // what other instances have in flight
+	usedItems []string           // items that own calls used lately, newest last
+	inFlight  map[uint64]int     // ranks of own calls, by call
+	ownCalls  ByRank[int]        // how many those are
+	pending   []pendingCall      // own calls whose first token has not come
+	first     time.Duration      // peak EWMA of the time to first token
+	firstAt   clock.Instant
+	hold      time.Duration // EWMA of the time a call occupies the replica
 }
 
 // A health is what calls at a replica showed.
--- a/core/pool/use.go
+++ b/core/pool/use.go
@@ -45,7 +45,7 @@
 func (p *Pool) OwnUsage(now clock.Instant) map[string]Usage {
 	uses := map[string]Usage{}
 	for name, r := range p.replicas {
-		if len(r.inFlight) > 0 || len(r.used) > 0 || r.Down(now) {
+		if len(r.inFlight) > 0 || len(r.usedItems) > 0 || r.Down(now) {
 			uses[name] = Usage{Calls: r.ownCalls, Prefill: r.ownPrefill(), Items: r.recent(), Down: r.Down(now)}
 		}
 	}
@@ -57,24 +57,24 @@
 
 // MarkUsed notes that an own call uses an item.
 func (r *Replica) MarkUsed(item string) {
-	for i, it := range r.used {
+	for i, it := range r.usedItems {
 		if it == item {
-			r.used = append(r.used[:i], r.used[i+1:]...)
+			r.usedItems = append(r.usedItems[:i], r.usedItems[i+1:]...)
 			break
 		}
 	}
-	r.used = append(r.used, item)
-	if len(r.used) > usedKept {
-		r.used = r.used[1:]
+	r.usedItems = append(r.usedItems, item)
+	if len(r.usedItems) > usedKept {
+		r.usedItems = r.usedItems[1:]
 	}
 }
 
-func (r *Replica) recent() []string { return append([]string(nil), r.used...) }
+func (r *Replica) recent() []string { return append([]string(nil), r.usedItems...) }
 
 // ResetUsed begins the list of used items anew, once peers were told of it.
 func (p *Pool) ResetUsed() {
 	for _, r := range p.replicas {
-		r.used = r.used[:0]
+		r.usedItems = r.usedItems[:0]
 	}
 }
 
