--- a/core/pool/replica.go
+++ b/core/pool/replica.go
@@ -74,15 +74,15 @@
 	loadAt    clock.Instant
 	ownAtLoad int // own calls in flight when load was heard
 
-	report    heardReport
-	peers     map[string]peerUse // what other instances have in flight
-	usedItems []string           // items that own calls used lately, newest last
-	inFlight  map[uint64]int     // ranks of own calls, by call
-	ownCalls  ByRank[int]        // how many those are
-	pending   []pendingCall      // own calls whose first token has not come
-	first     time.Duration      // peak EWMA of the time to first token
-	firstAt   clock.Instant
-	hold      time.Duration // EWMA of the time a call occupies the replica
+	report     heardReport
+	peers      map[string]peerUse // what other instances have in flight
+	usedItems  []string           // items that own calls used lately, newest last
+	inFlight   map[uint64]int     // ranks of own calls, by call
+	ownCalls   ByRank[int]        // how many those are
+	pending    []pendingCall      // own calls whose first token has not come
+	firstToken time.Duration      // peak EWMA of the time to first token
+	firstAt    clock.Instant
+	hold       time.Duration // EWMA of the time a call occupies the replica
 }
 
 // A health is what calls at a replica showed.
@@ -136,7 +136,7 @@
 		Limit:    limit.NewConcurrency(f.Concurrent),
 		items:    map[string]ItemPhase{},
 		refused:  map[string]clock.Instant{},
-		activity: activity{first: defaultFirstToken, hold: hold, inFlight: map[uint64]int{}},
+		activity: activity{firstToken: defaultFirstToken, hold: hold, inFlight: map[uint64]int{}},
 	}
 }
 
@@ -229,7 +229,7 @@
 // age of the oldest own call that still waits for one if that is longer. The
 // age is what makes a frozen replica look slow before it has answered at all.
 func (r *Replica) TimeToFirstToken(now clock.Instant) time.Duration {
-	first := r.first
+	first := r.firstToken
 	if age := now.Since(r.firstAt); first > defaultFirstToken && age > 0 {
 		// A slow answer is believed less the older it is; without this, a sole
 		// replica that was slow once would never be tried again.
@@ -284,10 +284,10 @@
 		return
 	}
 	took := now.Since(since)
-	if took > r.first {
-		r.first = took
+	if took > r.firstToken {
+		r.firstToken = took
 	} else {
-		r.first = mix(r.first, took, firstTokenAlpha)
+		r.firstToken = mix(r.firstToken, took, firstTokenAlpha)
 	}
 	r.firstAt = now
 	r.failures = 0
