--- a/core/pool/replica.go
+++ b/core/pool/replica.go
@@ -74,15 +74,15 @@
 	loadAt    clock.Instant
 	ownAtLoad int // own calls in flight when load was heard
 
-	report     heardReport
-	peers      map[string]peerUse // what other instances have in flight
-	usedItems  []string           // items that own calls used lately, newest last
-	inFlight   map[uint64]int     // ranks of own calls, by call
-	ownCalls   ByRank[int]        // how many those are
-	pending    []pendingCall      // own calls whose first token has not come
-	firstToken time.Duration      // peak EWMA of the time to first token
-	firstAt    clock.Instant
-	hold       time.Duration // EWMA of the time a call occupies the replica
+	report       heardReport
+	peers        map[string]peerUse // what other instances have in flight
+	usedItems    []string           // items that own calls used lately, newest last
+	inFlight     map[uint64]int     // ranks of own calls, by call
+	ownCalls     ByRank[int]        // how many those are
+	pending      []pendingCall      // own calls whose first token has not come
+	firstToken   time.Duration      // peak EWMA of the time to first token
+	firstTokenAt clock.Instant
+	hold         time.Duration // EWMA of the time a call occupies the replica
 }
 
 // A health is what calls at a replica showed.
@@ -230,7 +230,7 @@
 // age is what makes a frozen replica look slow before it has answered at all.
 func (r *Replica) TimeToFirstToken(now clock.Instant) time.Duration {
 	first := r.firstToken
-	if age := now.Since(r.firstAt); first > defaultFirstToken && age > 0 {
+	if age := now.Since(r.firstTokenAt); first > defaultFirstToken && age > 0 {
 		// A slow answer is believed less the older it is; without this, a sole
 		// replica that was slow once would never be tried again.
 		first = defaultFirstToken + time.Duration(float64(first-defaultFirstToken)*decay(age, firstTokenHalfLife))
@@ -289,7 +289,7 @@
 	} else {
 		r.firstToken = mix(r.firstToken, took, firstTokenAlpha)
 	}
-	r.firstAt = now
+	r.firstTokenAt = now
 	r.failures = 0
 	r.ejections = 0
 	if late {
