--- a/core/pool/replica.go
+++ b/core/pool/replica.go
@@ -82,7 +82,7 @@
 	pending      []pendingCall      // own calls whose first token has not come
 	firstToken   time.Duration      // peak EWMA of the time to first token
 	firstTokenAt clock.Instant
-	hold         time.Duration // EWMA of the time a call occupies the replica
+	serviceTime  time.Duration // EWMA of the time a call occupies the replica
 }
 
 // A health is what calls at a replica showed.
@@ -136,7 +136,7 @@
 		Limit:    limit.NewConcurrency(f.Concurrent),
 		items:    map[string]ItemPhase{},
 		refused:  map[string]clock.Instant{},
-		activity: activity{firstToken: defaultFirstToken, hold: hold, inFlight: map[uint64]int{}},
+		activity: activity{firstToken: defaultFirstToken, serviceTime: hold, inFlight: map[uint64]int{}},
 	}
 }
 
@@ -242,7 +242,7 @@
 }
 
 // ServiceTime returns the measured time that a call occupies the replica.
-func (r *Replica) ServiceTime() time.Duration { return r.hold }
+func (r *Replica) ServiceTime() time.Duration { return r.serviceTime }
 
 // Utilization returns the replica's running share at now: 1 is full.
 func (r *Replica) Utilization(now clock.Instant) float64 {
@@ -306,7 +306,7 @@
 	}
 	r.leave(id)
 	if !failed {
-		r.hold = mix(r.hold, now.Since(started), serviceTimeAlpha)
+		r.serviceTime = mix(r.serviceTime, now.Since(started), serviceTimeAlpha)
 		return
 	}
 	r.failures++
