--- a/core/pool/replica.go
+++ b/core/pool/replica.go
@@ -87,7 +87,7 @@
 
 // A health is what calls at a replica showed.
 type health struct {
-	downTo    clock.Instant // until when it counts as down, since nothing answered at its address
+	downUntil clock.Instant // until when it counts as down, since nothing answered at its address
 	failures  int           // in a row
 	ejections int           // in a row
 	ejectedTo clock.Instant
@@ -177,10 +177,10 @@
 const downSpan = 700 * time.Millisecond
 
 // MarkDown notes that nothing answered at the replica's address.
-func (r *Replica) MarkDown(now clock.Instant) { r.downTo = now.Add(downSpan) }
+func (r *Replica) MarkDown(now clock.Instant) { r.downUntil = now.Add(downSpan) }
 
 // Down reports whether nothing answered at the replica's address a moment ago.
-func (r *Replica) Down(now clock.Instant) bool { return now.Before(r.downTo) }
+func (r *Replica) Down(now clock.Instant) bool { return now.Before(r.downUntil) }
 
 // Overdue returns for how long the oldest own call has waited for its first
 // event beyond the work that was ahead of it: a replica that went dark shows so
