--- a/core/pool/pool.go
+++ b/core/pool/pool.go
@@ -156,7 +156,7 @@
 	}
 	r.failures = 0
 	r.ejections = 0
-	r.ejectedTo = clock.Instant{}
+	r.ejectedUntil = clock.Instant{}
 	r.load = Load{}
 	r.loadAt = clock.Instant{}
 }
--- a/core/pool/replica.go
+++ b/core/pool/replica.go
@@ -87,10 +87,10 @@
 
 // A health is what calls at a replica showed.
 type health struct {
-	downUntil clock.Instant // until when it counts as down, since nothing answered at its address
-	failures  int           // in a row
-	ejections int           // in a row
-	ejectedTo clock.Instant
+	downUntil    clock.Instant // until when it counts as down, since nothing answered at its address
+	failures     int           // in a row
+	ejections    int           // in a row
+	ejectedUntil clock.Instant
 }
 
 // A listing is what the platform's list says of a replica that announces itself.
@@ -205,7 +205,7 @@
 func (r *Replica) AnnouncedLeaving() bool { return r.announcedLeaving }
 
 // Ejected reports whether failures keep the replica out of the choice at now.
-func (r *Replica) Ejected(now clock.Instant) bool { return now.Before(r.ejectedTo) }
+func (r *Replica) Ejected(now clock.Instant) bool { return now.Before(r.ejectedUntil) }
 
 // Usable reports whether new work may be sent to the replica.
 func (r *Replica) Usable() bool { return !r.Leaving() }
@@ -334,7 +334,7 @@
 
 func (r *Replica) eject(now clock.Instant) {
 	span := min(ejectBase<<min(r.ejections, 5), ejectMax)
-	r.ejectedTo = now.Add(span)
+	r.ejectedUntil = now.Add(span)
 	r.ejections++
 	r.failures = 0
 }
