--- a/core/pool/announced.go
+++ b/core/pool/announced.go
@@ -126,7 +126,7 @@
 	r.announced = a
 	r.announcedAt = now
 	r.vanishedAt = clock.Instant{}
-	r.leavesBy = clock.Instant{}
+	r.leavingDeadline = clock.Instant{}
 	// An entry that says otherwise later is an older one: it was written late, or comes from
 	// a copy of the store. A replica that said that it leaves ends.
 	r.announcedLeaving = r.announcedLeaving || a.Leaving
@@ -193,8 +193,8 @@
 	if r == nil || !r.Announced {
 		return
 	}
-	if !deadline.IsZero() && (r.leavesBy.IsZero() || deadline.Before(r.leavesBy)) {
-		r.leavesBy = deadline
+	if !deadline.IsZero() && (r.leavingDeadline.IsZero() || deadline.Before(r.leavingDeadline)) {
+		r.leavingDeadline = deadline
 	}
 	if r.vanishedAt.IsZero() {
 		r.vanishedAt = now
@@ -212,7 +212,7 @@
 			continue
 		}
 		age := now.Since(r.vanishedAt)
-		due := age >= span || !r.leavesBy.IsZero() && !now.Before(r.leavesBy)
+		due := age >= span || !r.leavingDeadline.IsZero() && !now.Before(r.leavingDeadline)
 		if due && !r.listedLeaving {
 			r.listedLeaving = true
 			left = append(left, name)
--- a/core/pool/replica.go
+++ b/core/pool/replica.go
@@ -95,14 +95,14 @@
 
 // A listing is what the platform's list says of a replica that announces itself.
 type listing struct {
-	announced   Announcement
-	seenAt      clock.Instant // when it was first announced
-	announcedAt clock.Instant // when it was last announced
-	reportedAt  clock.Instant // when its owner's report was last heard
-	vanishedAt  clock.Instant // when the list lost it; zero while it is listed
-	leavesBy    clock.Instant // when it counts as leaving then at the latest; zero: that is open
-	endsAt      clock.Instant // when it is taken away, if that is known
-	former      []string      // births of its former lives, the latest last
+	announced       Announcement
+	seenAt          clock.Instant // when it was first announced
+	announcedAt     clock.Instant // when it was last announced
+	reportedAt      clock.Instant // when its owner's report was last heard
+	vanishedAt      clock.Instant // when the list lost it; zero while it is listed
+	leavingDeadline clock.Instant // when it counts as leaving then at the latest; zero: that is open
+	endsAt          clock.Instant // when it is taken away, if that is known
+	former          []string      // births of its former lives, the latest last
 }
 
 // A leaving says who called a replica leaving.
