--- a/core/pool/announced.go
+++ b/core/pool/announced.go
@@ -177,7 +177,7 @@
 	for _, r := range p.replicas {
 		if r.Announced && r.Address == address && r.Name != name {
 			r.listedLeaving = true
-			r.saidLeaving = true
+			r.reportedLeaving = true
 			r.ended = true
 			if r.vanishedAt.IsZero() {
 				r.vanishedAt = now
@@ -253,7 +253,7 @@
 	if r == nil {
 		return
 	}
-	r.saidLeaving = true
+	r.reportedLeaving = true
 	r.ended = true
 	p.capacityChanges++
 }
--- a/core/pool/notice.go
+++ b/core/pool/notice.go
@@ -100,7 +100,7 @@
 	if r == nil || r.Leaving() {
 		return false
 	}
-	r.saidLeaving = true
+	r.reportedLeaving = true
 	r.leavingAt = now
 	p.capacityChanges++
 	return true
@@ -113,7 +113,7 @@
 	if r == nil || r.Leaving() {
 		return false
 	}
-	r.saidLeaving = true
+	r.reportedLeaving = true
 	p.capacityChanges++
 	return true
 }
--- a/core/pool/pool.go
+++ b/core/pool/pool.go
@@ -125,7 +125,7 @@
 	}
 	r.rebooted(res.Boot)
 	if res.Leaving {
-		r.saidLeaving = true
+		r.reportedLeaving = true
 		r.leavingBoot = res.Boot
 	}
 	old := r.items
@@ -151,7 +151,7 @@
 		return // an announced replica that restarts has another name
 	}
 	if boot > r.leavingBoot {
-		r.saidLeaving = false
+		r.reportedLeaving = false
 		r.listedLeaving = false
 	}
 	r.failures = 0
@@ -225,7 +225,7 @@
 	if r == nil {
 		return
 	}
-	r.saidLeaving = true
+	r.reportedLeaving = true
 	r.leavingBoot = max(r.leavingBoot, r.Residency.Boot)
 }
 
--- a/core/pool/replica.go
+++ b/core/pool/replica.go
@@ -112,7 +112,7 @@
 	// the entry went.
 	announcedLeaving bool
 	leavingBoot      uint64 // boot that was told to be leaving
-	saidLeaving      bool
+	reportedLeaving  bool
 	leavingAt        clock.Instant // when it said so itself first, if it did
 	ended            bool          // it is not there any more
 }
@@ -199,7 +199,7 @@
 // Leaving reports whether any source said that the replica is leaving. The
 // first source that says so wins; only a later boot takes it back, because the
 // list lags behind the upstream's own report.
-func (r *Replica) Leaving() bool { return r.saidLeaving || r.listedLeaving }
+func (r *Replica) Leaving() bool { return r.reportedLeaving || r.listedLeaving }
 
 // AnnouncedLeaving reports whether an entry of this life said that the replica leaves.
 func (r *Replica) AnnouncedLeaving() bool { return r.announcedLeaving }
