--- a/core/pool/announced.go
+++ b/core/pool/announced.go
@@ -178,7 +178,7 @@
 		if r.Announced && r.Address == address && r.Name != name {
 			r.listedLeaving = true
 			r.reportedLeaving = true
-			r.ended = true
+			r.terminated = true
 			if r.vanishedAt.IsZero() {
 				r.vanishedAt = now
 			}
@@ -254,7 +254,7 @@
 		return
 	}
 	r.reportedLeaving = true
-	r.ended = true
+	r.terminated = true
 	p.capacityChanges++
 }
 
--- a/core/pool/notice.go
+++ b/core/pool/notice.go
@@ -70,7 +70,7 @@
 // LastResort reports whether the replica leaves, by its own word of a moment ago alone,
 // and may get calls that no other can serve.
 func (r *Replica) LastResort(now clock.Instant) bool {
-	return !r.listedLeaving && !r.ended && !r.leavingAt.IsZero() && now.Since(r.leavingAt) < lastResortPeriod
+	return !r.listedLeaving && !r.terminated && !r.leavingAt.IsZero() && now.Since(r.leavingAt) < lastResortPeriod
 }
 
 // ObserveNotice takes in what a replica said of its leaving and its rest in its answer to what was
--- a/core/pool/replica.go
+++ b/core/pool/replica.go
@@ -114,7 +114,7 @@
 	leavingBoot      uint64 // boot that was told to be leaving
 	reportedLeaving  bool
 	leavingAt        clock.Instant // when it said so itself first, if it did
-	ended            bool          // it is not there any more
+	terminated       bool          // it is not there any more
 }
 
 // A pendingCall is one own call in flight without a first token.
