--- a/core/pool/replica.go
+++ b/core/pool/replica.go
@@ -157,12 +157,14 @@
 // Phase returns where item stands on the replica, 0 if it is absent.
 func (r *Replica) Phase(item string) ItemPhase { return r.items[item] }
 
-// refusal is how long a replica that refused an item is not asked for it again,
+// refusalPeriod is how long a replica that refused an item is not asked for it again,
 // unless its residency is heard anew first.
-const refusal = 500 * time.Millisecond
+const refusalPeriod = 500 * time.Millisecond
 
 // MarkRefused notes that the replica refused a call for item as not run.
-func (r *Replica) MarkRefused(now clock.Instant, item string) { r.refused[item] = now.Add(refusal) }
+func (r *Replica) MarkRefused(now clock.Instant, item string) {
+	r.refused[item] = now.Add(refusalPeriod)
+}
 
 // Refusing reports whether the replica refused item a moment ago.
 func (r *Replica) Refusing(now clock.Instant, item string) bool {
