--- a/core/pool/replica.go
+++ b/core/pool/replica.go
@@ -174,12 +174,12 @@
 // Failures returns how many calls in a row the replica failed.
 func (r *Replica) Failures() int { return r.failures }
 
-// downSpan is how long a replica at whose address nothing answered counts as
+// downPeriod is how long a replica at whose address nothing answered counts as
 // down, before it is tried again.
-const downSpan = 700 * time.Millisecond
+const downPeriod = 700 * time.Millisecond
 
 // MarkDown notes that nothing answered at the replica's address.
-func (r *Replica) MarkDown(now clock.Instant) { r.downUntil = now.Add(downSpan) }
+func (r *Replica) MarkDown(now clock.Instant) { r.downUntil = now.Add(downPeriod) }
 
 // Down reports whether nothing answered at the replica's address a moment ago.
 func (r *Replica) Down(now clock.Instant) bool { return now.Before(r.downUntil) }
--- a/core/pool/use.go
+++ b/core/pool/use.go
@@ -106,7 +106,7 @@
 		return true
 	}
 	for _, u := range r.peers {
-		if u.Down && now.Since(u.at) <= downSpan {
+		if u.Down && now.Since(u.at) <= downPeriod {
 			return true
 		}
 	}
