--- a/core/pool/use.go
+++ b/core/pool/use.go
@@ -15,8 +15,8 @@
 	Down    bool                  // nothing answered there a moment ago
 }
 
-// useSpan is how long another instance's report of its calls is believed.
-const useSpan = 3 * time.Second
+// peerUsageTTL is how long another instance's report of its calls is believed.
+const peerUsageTTL = 3 * time.Second
 
 // A peerUse is another instance's Use with the time at which it was heard.
 type peerUse struct {
@@ -91,7 +91,7 @@
 func (r *Replica) others(now clock.Instant) Usage {
 	var sum Usage
 	for _, u := range r.peers {
-		if now.Since(u.at) <= useSpan {
+		if now.Since(u.at) <= peerUsageTTL {
 			sum.Calls.add(u.Calls)
 			sum.Prefill.add(u.Prefill)
 		}
