--- a/core/pool/use.go
+++ b/core/pool/use.go
@@ -117,7 +117,7 @@
 // is still to be done there, of every instance that was heard lately.
 func (r *Replica) Load(now clock.Instant) Usage {
 	u := r.others(now)
-	if r.ReportAge(now) <= reportSpan {
+	if r.ReportAge(now) <= loadReportTTL {
 		u.Calls = ByRank[int]{r.report.running} // of ranks that it does not say
 		u.Prefill = ByRank[time.Duration]{}
 		u.Waiting = r.report.waiting
@@ -136,8 +136,8 @@
 // An engine's report of its load is some 100 ms old when it comes, and is
 // believed for a while.
 const (
-	reportLag  = 100 * time.Millisecond
-	reportSpan = 500 * time.Millisecond
+	reportLag     = 100 * time.Millisecond
+	loadReportTTL = 500 * time.Millisecond
 )
 
 // A heardReport is a Report with what the instance itself had there then.
