--- a/core/pool/use.go
+++ b/core/pool/use.go
@@ -136,7 +136,7 @@
 // An engine's report of its load is some 100 ms old when it comes, and is
 // believed for a while.
 const (
-	reportLag     = 100 * time.Millisecond
+	loadReportLag = 100 * time.Millisecond
 	loadReportTTL = 500 * time.Millisecond
 )
 
@@ -149,7 +149,7 @@
 
 // ObserveReport takes in what an engine says of its load.
 func (r *Replica) ObserveReport(now clock.Instant, said LoadReport) {
-	then := now.Add(-reportLag)
+	then := now.Add(-loadReportLag)
 	waiting := 0
 	for _, c := range r.pending {
 		if c.since.Before(then) {
