--- a/core/pool/use.go
+++ b/core/pool/use.go
@@ -52,8 +52,8 @@
 	return uses
 }
 
-// usedKept bounds the items of one replica that are remembered as used.
-const usedKept = 16
+// maxUsedItems bounds the items of one replica that are remembered as used.
+const maxUsedItems = 16
 
 // MarkUsed notes that an own call uses an item.
 func (r *Replica) MarkUsed(item string) {
@@ -64,7 +64,7 @@
 		}
 	}
 	r.usedItems = append(r.usedItems, item)
-	if len(r.usedItems) > usedKept {
+	if len(r.usedItems) > maxUsedItems {
 		r.usedItems = r.usedItems[1:]
 	}
 }
