--- a/core/pool/replica.go
+++ b/core/pool/replica.go
@@ -75,12 +75,12 @@
 	ownAtLoad int // own calls in flight when load was heard
 
 	report       heardReport
-	peers        map[string]peerUse // what other instances have in flight
-	usedItems    []string           // items that own calls used lately, newest last
-	inFlight     map[uint64]int     // ranks of own calls, by call
-	ownCalls     ByRank[int]        // how many those are
-	pending      []pendingCall      // own calls whose first token has not come
-	firstToken   time.Duration      // peak EWMA of the time to first token
+	peers        map[string]peerUsage // what other instances have in flight
+	usedItems    []string             // items that own calls used lately, newest last
+	inFlight     map[uint64]int       // ranks of own calls, by call
+	ownCalls     ByRank[int]          // how many those are
+	pending      []pendingCall        // own calls whose first token has not come
+	firstToken   time.Duration        // peak EWMA of the time to first token
 	firstTokenAt clock.Instant
 	serviceTime  time.Duration // EWMA of the time a call occupies the replica
 }
--- a/core/pool/use.go
+++ b/core/pool/use.go
@@ -18,8 +18,8 @@
 // peerUsageTTL is how long another instance's report of its calls is believed.
 const peerUsageTTL = 3 * time.Second
 
-// A peerUse is another instance's Use with the time at which it was heard.
-type peerUse struct {
+// A peerUsage is another instance's Use with the time at which it was heard.
+type peerUsage struct {
 	Usage
 	at clock.Instant
 }
@@ -34,9 +34,9 @@
 			continue
 		}
 		if r.peers == nil {
-			r.peers = map[string]peerUse{}
+			r.peers = map[string]peerUsage{}
 		}
-		r.peers[peer] = peerUse{Usage: u, at: now}
+		r.peers[peer] = peerUsage{Usage: u, at: now}
 	}
 	p.capacityChanges++
 }
