--- a/core/pool/replica.go
+++ b/core/pool/replica.go
@@ -74,7 +74,7 @@
 	loadAt    clock.Instant
 	ownAtLoad int // own calls in flight when load was heard
 
-	report       heardReport
+	report       receivedReport
 	peers        map[string]peerUsage // what other instances have in flight
 	usedItems    []string             // items that own calls used lately, newest last
 	inFlight     map[uint64]int       // ranks of own calls, by call
--- a/core/pool/use.go
+++ b/core/pool/use.go
@@ -140,8 +140,8 @@
 	loadReportTTL = 500 * time.Millisecond
 )
 
-// A heardReport is a Report with what the instance itself had there then.
-type heardReport struct {
+// A receivedReport is a Report with what the instance itself had there then.
+type receivedReport struct {
 	at      clock.Instant
 	waiting int // calls of others without a first event
 	running int // other calls
@@ -156,7 +156,7 @@
 			waiting++
 		}
 	}
-	r.report = heardReport{
+	r.report = receivedReport{
 		at:      now,
 		waiting: max(0, said.Queued-waiting),
 		running: max(0, said.Queued+said.Running-len(r.inFlight)),
