--- a/core/pool/replica.go
+++ b/core/pool/replica.go
@@ -306,7 +306,7 @@
 	if !r.HasCall(id) {
 		return // it was at a former life
 	}
-	r.leave(id)
+	r.removeCall(id)
 	if !failed {
 		r.serviceTime = mix(r.serviceTime, now.Since(started), serviceTimeAlpha)
 		return
@@ -319,11 +319,11 @@
 
 // DropCall notes that a call ended for a reason that says nothing of the replica.
 func (r *Replica) DropCall(id uint64) {
-	r.leave(id)
+	r.removeCall(id)
 }
 
-// leave takes an own call out of what is in flight.
-func (r *Replica) leave(id uint64) {
+// removeCall takes an own call out of what is in flight.
+func (r *Replica) removeCall(id uint64) {
 	if rank, ok := r.inFlight[id]; ok {
 		delete(r.inFlight, id)
 		r.ownCalls[rank]--
