--- a/core/pool/replica.go
+++ b/core/pool/replica.go
@@ -281,7 +281,7 @@
 // FirstTokenReceived notes that the call's first token came. late says that it came later
 // than the call's target for a reason that lies in the replica.
 func (r *Replica) FirstTokenReceived(now clock.Instant, id uint64, late bool) {
-	since, ok := r.settle(id)
+	since, ok := r.removePending(id)
 	if !ok {
 		return
 	}
@@ -331,7 +331,7 @@
 	if r.rest.trialCall == id {
 		r.rest.trialCall = 0
 	}
-	r.settle(id)
+	r.removePending(id)
 }
 
 func (r *Replica) eject(now clock.Instant) {
@@ -341,8 +341,8 @@
 	r.failures = 0
 }
 
-// settle takes the call out of the pending ones.
-func (r *Replica) settle(id uint64) (clock.Instant, bool) {
+// removePending takes the call out of the pending ones.
+func (r *Replica) removePending(id uint64) (clock.Instant, bool) {
 	for i, p := range r.pending {
 		if p.id == id {
 			r.pending = append(r.pending[:i], r.pending[i+1:]...)
