--- a/core/pool/use.go
+++ b/core/pool/use.go
@@ -46,7 +46,7 @@
 	uses := map[string]Usage{}
 	for name, r := range p.replicas {
 		if len(r.inFlight) > 0 || len(r.usedItems) > 0 || r.Down(now) {
-			uses[name] = Usage{Calls: r.ownCalls, Prefill: r.ownPrefill(), Items: r.recent(), Down: r.Down(now)}
+			uses[name] = Usage{Calls: r.ownCalls, Prefill: r.ownPrefill(), Items: r.recentItems(), Down: r.Down(now)}
 		}
 	}
 	return uses
@@ -69,7 +69,7 @@
 	}
 }
 
-func (r *Replica) recent() []string { return append([]string(nil), r.usedItems...) }
+func (r *Replica) recentItems() []string { return append([]string(nil), r.usedItems...) }
 
 // ResetUsed begins the list of used items anew, once peers were told of it.
 func (p *Pool) ResetUsed() {
