--- a/core/pool/use.go
+++ b/core/pool/use.go
@@ -87,8 +87,8 @@
 	return work
 }
 
-// others sums what peers have in flight at the replica.
-func (r *Replica) others(now clock.Instant) Usage {
+// peerTotals sums what peers have in flight at the replica.
+func (r *Replica) peerTotals(now clock.Instant) Usage {
 	var sum Usage
 	for _, u := range r.peers {
 		if now.Since(u.at) <= peerUsageTTL {
@@ -116,7 +116,7 @@
 // Load returns the calls in flight at the replica and the work on prompts that
 // is still to be done there, of every instance that was heard lately.
 func (r *Replica) Load(now clock.Instant) Usage {
-	u := r.others(now)
+	u := r.peerTotals(now)
 	if r.ReportAge(now) <= loadReportTTL {
 		u.Calls = ByRank[int]{r.report.running} // of ranks that it does not say
 		u.Prefill = ByRank[time.Duration]{}
