--- a/core/pool/pool.go
+++ b/core/pool/pool.go
@@ -123,7 +123,7 @@
 	if r == nil || !res.Newer(r.Residency) || !r.MayBeIncarnation(res.Born) {
 		return false
 	}
-	r.rebooted(res.Boot)
+	r.resetOnReboot(res.Boot)
 	if res.Leaving {
 		r.reportedLeaving = true
 		r.leavingBoot = res.Boot
@@ -145,8 +145,8 @@
 	return true
 }
 
-// rebooted clears what a later boot takes back.
-func (r *Replica) rebooted(boot uint64) {
+// resetOnReboot clears what a later boot takes back.
+func (r *Replica) resetOnReboot(boot uint64) {
 	if boot <= r.Residency.Boot || r.Announced {
 		return // an announced replica that restarts has another name
 	}
