--- a/core/pool/replica.go
+++ b/core/pool/replica.go
@@ -289,7 +289,7 @@
 	if took > r.firstToken {
 		r.firstToken = took
 	} else {
-		r.firstToken = mix(r.firstToken, took, firstTokenAlpha)
+		r.firstToken = ewma(r.firstToken, took, firstTokenAlpha)
 	}
 	r.firstTokenAt = now
 	r.failures = 0
@@ -308,7 +308,7 @@
 	}
 	r.removeCall(id)
 	if !failed {
-		r.serviceTime = mix(r.serviceTime, now.Since(started), serviceTimeAlpha)
+		r.serviceTime = ewma(r.serviceTime, now.Since(started), serviceTimeAlpha)
 		return
 	}
 	r.failures++
@@ -352,6 +352,6 @@
 	return clock.Instant{}, false
 }
 
-func mix(old, sample time.Duration, alpha float64) time.Duration {
+func ewma(old, sample time.Duration, alpha float64) time.Duration {
 	return time.Duration((1-alpha)*float64(old) + alpha*float64(sample))
 }
