--- a/core/pool/ratelimit_test.go
+++ b/core/pool/ratelimit_test.go
@@ -10,7 +10,7 @@
 	"github.com/birchdrift/birchdrift/core/clock/clocktest"
 )
 
-func named(perSecond float64) RateLimit { return RateLimit{Named: true, PerSecond: perSecond} }
+func namedLimit(perSecond float64) RateLimit { return RateLimit{Named: true, PerSecond: perSecond} }
 
 // TestWhichWordOnALimitHolds tables two answers of a replica that come one after the other,
 // the second at minute one: to a request that was sent before or after the first came.
@@ -28,19 +28,19 @@
 		want RateLimit
 		news bool
 	}{
-		{"its first word", none, named(3), before, named(3), true},
-		{"the same again", named(3), named(3), after, named(3), true},
-		{"the same, overtaken", named(3), named(3), before, named(3), false},
-		{"less", named(3), named(1), after, named(1), true},
-		{"less, overtaken", named(3), named(1), before, named(1), true},
-		{"more", named(3), named(5), after, named(5), true},
-		{"more, overtaken", named(3), named(5), before, named(3), false},
-		{"none any more", named(3), none, after, RateLimit{PerSecond: 3}, true},
-		{"none, overtaken", named(3), none, before, named(3), false},
-		{"what makes no sense", named(3), unclear, after, named(3), false},
+		{"its first word", none, namedLimit(3), before, namedLimit(3), true},
+		{"the same again", namedLimit(3), namedLimit(3), after, namedLimit(3), true},
+		{"the same, overtaken", namedLimit(3), namedLimit(3), before, namedLimit(3), false},
+		{"less", namedLimit(3), namedLimit(1), after, namedLimit(1), true},
+		{"less, overtaken", namedLimit(3), namedLimit(1), before, namedLimit(1), true},
+		{"more", namedLimit(3), namedLimit(5), after, namedLimit(5), true},
+		{"more, overtaken", namedLimit(3), namedLimit(5), before, namedLimit(3), false},
+		{"none any more", namedLimit(3), none, after, RateLimit{PerSecond: 3}, true},
+		{"none, overtaken", namedLimit(3), none, before, namedLimit(3), false},
+		{"what makes no sense", namedLimit(3), unclear, after, namedLimit(3), false},
 		{"what makes no sense, of one that named none", none, unclear, after, none, false},
 		{"none, of one that named none", none, none, after, none, false},
-		{"none at all", named(3), named(0), before, named(0), true},
+		{"none at all", namedLimit(3), namedLimit(0), before, namedLimit(0), true},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -63,15 +63,15 @@
 	start := clocktest.At(time.Hour)
 	p := New()
 	p.Announce(start, "r", Announcement{Service: "s", Address: "r", Born: "1"})
-	is.True(p.ObserveLimit(start, "r", start, named(3), "i"))
+	is.True(p.ObserveLimit(start, "r", start, namedLimit(3), "i"))
 	later := start.Add(time.Second)
 	p.Announce(later, "r", Announcement{Service: "s", Address: "r", Born: "2"})
 	_, limited := p.Get("r").RateLimit(later)
 	is.True(!limited)
-	is.True(!p.ObserveLimit(later, "r", start, named(3), "i"))
-	is.True(!p.ObservePeerLimit(Incarnation{Name: "r", Born: "1"}, LimitReport{Limit: named(3), By: "j", EventTime: clock.EventTime{At: later}}))
-	is.True(p.ObservePeerLimit(Incarnation{Name: "r", Born: "2"}, LimitReport{Limit: named(4), By: "j", EventTime: clock.EventTime{At: later}}))
-	is.True(!p.ObserveLimit(later, "gone", later, named(3), "i"))
+	is.True(!p.ObserveLimit(later, "r", start, namedLimit(3), "i"))
+	is.True(!p.ObservePeerLimit(Incarnation{Name: "r", Born: "1"}, LimitReport{Limit: namedLimit(3), By: "j", EventTime: clock.EventTime{At: later}}))
+	is.True(p.ObservePeerLimit(Incarnation{Name: "r", Born: "2"}, LimitReport{Limit: namedLimit(4), By: "j", EventTime: clock.EventTime{At: later}}))
+	is.True(!p.ObserveLimit(later, "gone", later, namedLimit(3), "i"))
 	// A rest and its leaving are beside it.
 	p.ObserveNotice(later, "r", later, Notice{Rest: time.Second, Leaving: true})
 	r := p.Get("r")
@@ -88,12 +88,12 @@
 	told := func(after time.Duration, l RateLimit) bool {
 		return p.ObservePeerLimit(Incarnation{Name: "r"}, LimitReport{Limit: l, By: "j", EventTime: clock.EventTime{At: start.Add(after)}})
 	}
-	is.True(told(time.Second, named(2)))
-	is.True(!told(time.Second, named(5)))
+	is.True(told(time.Second, namedLimit(2)))
+	is.True(!told(time.Second, namedLimit(5)))
 	is.True(!told(900*time.Millisecond, RateLimit{}))
-	is.True(!p.ObserveLimit(start.Add(2*time.Second), "r", start.Add(900*time.Millisecond), named(5), "i")) // sent before that was said
-	is.True(p.ObserveLimit(start.Add(2*time.Second), "r", start.Add(1100*time.Millisecond), named(5), "i"))
-	is.True(!told(1500*time.Millisecond, named(2)))
+	is.True(!p.ObserveLimit(start.Add(2*time.Second), "r", start.Add(900*time.Millisecond), namedLimit(5), "i")) // sent before that was said
+	is.True(p.ObserveLimit(start.Add(2*time.Second), "r", start.Add(1100*time.Millisecond), namedLimit(5), "i"))
+	is.True(!told(1500*time.Millisecond, namedLimit(2)))
 	is.Equal(p.Get("r").LimitReport().By, "i")
 }
 
@@ -107,10 +107,10 @@
 		want    float64
 		limited bool
 	}{
-		{"named", named(3), time.Hour, 3, true},
-		{"none at all: enough to hear of its end", named(0), 0, minRate, true},
-		{"less than that", named(0.01), 0, minRate, true},
-		{"more than anybody sends", named(1e6), 0, 1e6, false},
+		{"named", namedLimit(3), time.Hour, 3, true},
+		{"none at all: enough to hear of its end", namedLimit(0), 0, minRate, true},
+		{"less than that", namedLimit(0.01), 0, minRate, true},
+		{"more than anybody sends", namedLimit(1e6), 0, 1e6, false},
 		{"ended just now", RateLimit{PerSecond: 4}, 0, 4, true},
 		{"ended a second ago", RateLimit{PerSecond: 4}, time.Second, 8, true},
 		{"ended, and it was none at all", RateLimit{}, 2 * time.Second, 4 * recoveryMinRate, true},
@@ -139,7 +139,7 @@
 	r := p.Get("r")
 	is.Equal(r.RateLimitDelay(now), time.Duration(0))
 	is.True(!r.LimitStale(now.Add(time.Hour)))
-	p.ObserveLimit(now, "r", now, named(2), "i")
+	p.ObserveLimit(now, "r", now, namedLimit(2), "i")
 	is.Equal(r.RateLimitDelay(now), 250*time.Millisecond)
 	r.SetNextSend(now.Add(2 * time.Second))
 	is.Equal(r.RateLimitDelay(now), 2*time.Second)
