--- a/core/pool/notice_test.go
+++ b/core/pool/notice_test.go
@@ -10,9 +10,9 @@
 	"github.com/birchdrift/birchdrift/core/clock/clocktest"
 )
 
-// TestHear tables what counts of what a replica says of itself. It was announced at the
+// TestObserveNotice tables what counts of what a replica says of itself. It was announced at the
 // start and says something a minute later.
-func TestHear(t *testing.T) {
+func TestObserveNotice(t *testing.T) {
 	start := clocktest.At(time.Hour)
 	now := start.Add(time.Minute)
 	leaving := Notice{Leaving: true}
