--- a/core/pool/notice_test.go
+++ b/core/pool/notice_test.go
@@ -63,9 +63,9 @@
 	}
 }
 
-// TestTheListTakesNothingBack: a replica that said that it leaves does so whatever the
+// TestListDoesNotRevokeLeaving: a replica that said that it leaves does so whatever the
 // list says of this life, and serves again in another.
-func TestTheListTakesNothingBack(t *testing.T) {
+func TestListDoesNotRevokeLeaving(t *testing.T) {
 	is := is.New(t)
 	now := clocktest.At(time.Hour)
 	p := New()
