--- a/core/pool/notice_test.go
+++ b/core/pool/notice_test.go
@@ -87,9 +87,9 @@
 	is.True(p.Get("r").Usable())
 }
 
-// TestARestOutlivesItsReplica: a replica that starts again under its name within the rest
+// TestRestSurvivesRestart: a replica that starts again under its name within the rest
 // that it asked for still has it; another one at its address has none.
-func TestARestOutlivesItsReplica(t *testing.T) {
+func TestRestSurvivesRestart(t *testing.T) {
 	is := is.New(t)
 	now := clocktest.At(time.Hour)
 	p := New()
