--- a/core/pool/notice_test.go
+++ b/core/pool/notice_test.go
@@ -103,9 +103,9 @@
 	is.True(!p.Get("other").Resting(now.Add(time.Second)))
 }
 
-// TestOneCallShowsThatARestIsOver: after a rest one call is sent, and others once it is
+// TestTrialCallEndsRest: after a rest one call is sent, and others once it is
 // answered; one that ends without an answer leaves that to the next.
-func TestOneCallShowsThatARestIsOver(t *testing.T) {
+func TestTrialCallEndsRest(t *testing.T) {
 	is := is.New(t)
 	now := clocktest.At(time.Hour)
 	p := New()
