--- a/core/pool/rank_test.go
+++ b/core/pool/rank_test.go
@@ -9,9 +9,9 @@
 	"github.com/birchdrift/birchdrift/core/clock/clocktest"
 )
 
-// TestWorkBeforeACall: a call waits for the work of its own rank and of more urgent
+// TestLoadUpToPriority: a call waits for the work of its own rank and of more urgent
 // ones, of this instance and of its peers; ranks beyond the last count as the last.
-func TestWorkBeforeACall(t *testing.T) {
+func TestLoadUpToPriority(t *testing.T) {
 	is := is.New(t)
 	now := clocktest.At(time.Hour)
 	p := New()
