--- a/core/pool/ratelimit_test.go
+++ b/core/pool/ratelimit_test.go
@@ -12,9 +12,9 @@
 
 func namedLimit(perSecond float64) RateLimit { return RateLimit{Named: true, PerSecond: perSecond} }
 
-// TestWhichWordOnALimitHolds tables two answers of a replica that come one after the other,
+// TestObserveLimitOrder tables two answers of a replica that come one after the other,
 // the second at minute one: to a request that was sent before or after the first came.
-func TestWhichWordOnALimitHolds(t *testing.T) {
+func TestObserveLimitOrder(t *testing.T) {
 	start := clocktest.At(time.Hour)
 	first, second := start.Add(50*time.Second), start.Add(time.Minute)
 	none := RateLimit{}
