--- a/core/pool/ratelimit_test.go
+++ b/core/pool/ratelimit_test.go
@@ -56,9 +56,9 @@
 	}
 }
 
-// TestALimitIsThatOfALife: another life names its own, at the same address or another; what
+// TestLimitBelongsToIncarnation: another life names its own, at the same address or another; what
 // was sent to the life before says nothing.
-func TestALimitIsThatOfALife(t *testing.T) {
+func TestLimitBelongsToIncarnation(t *testing.T) {
 	is := is.New(t)
 	start := clocktest.At(time.Hour)
 	p := New()
