--- a/core/pool/ratelimit_test.go
+++ b/core/pool/ratelimit_test.go
@@ -79,8 +79,8 @@
 	is.True(limited && rate == 4 && r.Resting(later) && r.Leaving())
 }
 
-// TestPeersWordsCount: of an own answer and a peer's the later one holds.
-func TestPeersWordsCount(t *testing.T) {
+// TestNewerLimitReportWins: of an own answer and a peer's the later one holds.
+func TestNewerLimitReportWins(t *testing.T) {
 	is := is.New(t)
 	start := clocktest.At(time.Hour)
 	p := New()
