--- a/core/pool/ratelimit_test.go
+++ b/core/pool/ratelimit_test.go
@@ -97,8 +97,8 @@
 	is.Equal(p.Get("r").LimitReport().By, "i")
 }
 
-// TestWhatALimitLetsThrough tables the rate by what was named and how long ago.
-func TestWhatALimitLetsThrough(t *testing.T) {
+// TestLimitReportRate tables the rate by what was named and how long ago.
+func TestLimitReportRate(t *testing.T) {
 	start := clocktest.At(time.Hour)
 	cases := []struct {
 		name    string
