--- a/core/pool/ratelimit_test.go
+++ b/core/pool/ratelimit_test.go
@@ -129,9 +129,9 @@
 	is.New(t).True(rate == 0 && !limited)
 }
 
-// TestTurns: what a request waits for a limit as far as is known, and when one goes there to
+// TestRateLimitDelayAndStaleness: what a request waits for a limit as far as is known, and when one goes there to
 // hear whether it still holds.
-func TestTurns(t *testing.T) {
+func TestRateLimitDelayAndStaleness(t *testing.T) {
 	is := is.New(t)
 	now := clocktest.At(time.Hour)
 	p := New()
