--- a/core/pool/replica_test.go
+++ b/core/pool/replica_test.go
@@ -10,9 +10,9 @@
 	"github.com/birchdrift/birchdrift/core/clock/clocktest"
 )
 
-// TestReplicasAreEjected: failures in a row eject a replica, for longer each
+// TestEjection: failures in a row eject a replica, for longer each
 // time; an answer in between, or a refusal, does not count as one of them.
-func TestReplicasAreEjected(t *testing.T) {
+func TestEjection(t *testing.T) {
 	is := is.New(t)
 	now := clocktest.At(time.Hour)
 	p := New()
