--- a/core/pool/replica_test.go
+++ b/core/pool/replica_test.go
@@ -43,9 +43,9 @@
 	is.True(!r.Ejected(now.Add(2 * ejectBase)))
 }
 
-// TestEntriesThatWent: a replica whose entry went is used for a moment more, then
+// TestVanishedReplicaExpires: a replica whose entry went is used for a moment more, then
 // counts as leaving, and is forgotten once no call runs there.
-func TestEntriesThatWent(t *testing.T) {
+func TestVanishedReplicaExpires(t *testing.T) {
 	is := is.New(t)
 	now := clocktest.At(time.Hour)
 	p := New()
