--- a/core/pool/replica_test.go
+++ b/core/pool/replica_test.go
@@ -65,9 +65,9 @@
 	is.True(p.Get("r") == nil)
 }
 
-// TestLeavingIsNotTakenBack: an entry that says ready does not take back that the same life of
+// TestLeavingIsNotRevoked: an entry that says ready does not take back that the same life of
 // its replica leaves; one of another life does, and so does one that comes back after it went.
-func TestLeavingIsNotTakenBack(t *testing.T) {
+func TestLeavingIsNotRevoked(t *testing.T) {
 	is := is.New(t)
 	p := New()
 	now := clocktest.At(time.Hour)
