--- a/core/pool/replica_test.go
+++ b/core/pool/replica_test.go
@@ -91,9 +91,9 @@
 	is.True(p.Get("r").Usable())
 }
 
-// TestEntriesThatWentInTime: a replica whose entry went counts as leaving by the moment that
+// TestVanishedDeadline: a replica whose entry went counts as leaving by the moment that
 // leaves calls enough time, also if that is sooner than usual.
-func TestEntriesThatWentInTime(t *testing.T) {
+func TestVanishedDeadline(t *testing.T) {
 	is := is.New(t)
 	now := clocktest.At(time.Hour)
 	p := New()
