--- a/core/notice/notice.go
+++ b/core/notice/notice.go
@@ -26,8 +26,8 @@
 	// asked them for it at the same time: 370 of them, one call each, within 0.6 s of a
 	// rest of 3 s.
 	spreadShare = 0.2
-	// longestSpread bounds that time: no instance is late by more.
-	longestSpread = time.Second
+	// maxSpread bounds that time: no instance is late by more.
+	maxSpread = time.Second
 	// memory is for how long it is known that a life of a replica leaves: longer than any
 	// takes to leave, and than an entry can be gone and come back.
 	memory = 10 * time.Minute
@@ -150,7 +150,7 @@
 // all instances do not come back at once: each has its own place in that time.
 func (n *Tracker) spread(replica string, rest time.Duration) time.Duration {
 	place := float64(rendezvous.Score(rendezvous.Key(replica), n.Self.Name)) / math.MaxUint64
-	return time.Duration(place * min(spreadShare*float64(rest), float64(longestSpread)))
+	return time.Duration(place * min(spreadShare*float64(rest), float64(maxSpread)))
 }
 
 // HandlePeerLeaving takes in that a peer was told of replicas that leave.
