--- a/core/notice/notice.go
+++ b/core/notice/notice.go
@@ -28,9 +28,9 @@
 	spreadShare = 0.2
 	// maxSpread bounds that time: no instance is late by more.
 	maxSpread = time.Second
-	// memory is for how long it is known that a life of a replica leaves: longer than any
+	// retention is for how long it is known that a life of a replica leaves: longer than any
 	// takes to leave, and than an entry can be gone and come back.
-	memory = 10 * time.Minute
+	retention = 10 * time.Minute
 	// pruneEvery spaces the looks for what is too old.
 	pruneEvery = 10 * time.Second
 )
@@ -193,9 +193,9 @@
 		return
 	}
 	n.pruneDue = now.Add(pruneEvery)
-	n.Records.PruneLeaving(now, memory)
+	n.Records.PruneLeaving(now, retention)
 	n.Records.PruneRests(now)
-	n.Records.PruneLimits(now, memory, func(life pool.Incarnation) bool {
+	n.Records.PruneLimits(now, retention, func(life pool.Incarnation) bool {
 		r := n.Pool.Get(life.Name)
 		return r != nil && r.Incarnation() == life
 	})
--- a/core/notice/notice_test.go
+++ b/core/notice/notice_test.go
@@ -69,7 +69,7 @@
 	is.True(n.Pool.Get("r").Leaving())
 	n.HandlePeerLeaving(start, "other", leaving("3"))
 	is.Equal(*told, 3)
-	n.Tick(start.Add(memory + time.Second))
+	n.Tick(start.Add(retention + time.Second))
 	is.True(!n.Records.IsLeaving(pool.Incarnation{Name: "r", Born: "3"}))
 }
 
@@ -157,7 +157,7 @@
 	n.Pool.Announce(start, "r", pool.Announcement{Service: "s", Address: "r", Zone: "z", Born: "2"})
 	n.HandleAnnounced(start, "r")
 	is.Equal(rate(), 7.0)
-	n.Tick(start.Add(memory + time.Second))
+	n.Tick(start.Add(retention + time.Second))
 	_, kept := n.Records.Limit(pool.Incarnation{Name: "r", Born: "2"})
 	is.True(kept) // it is there
 	_, kept = n.Records.Limit(pool.Incarnation{Name: "r", Born: "1"})
