--- a/core/notice/notice.go
+++ b/core/notice/notice.go
@@ -66,7 +66,7 @@
 func (n *Tracker) HandleNotice(now clock.Instant, e Received) {
 	said := e.Notice
 	said.Rest += n.spread(e.Replica, said.Rest)
-	n.heardLimit(now, e)
+	n.observeLimit(now, e)
 	news := n.Pool.ObserveNotice(now, e.Replica, e.Sent, said)
 	if news.IsZero() {
 		return
@@ -85,9 +85,9 @@
 	}
 }
 
-// heardLimit takes in what a replica said of its limit, or that it named none. It is told to
+// observeLimit takes in what a replica said of its limit, or that it named none. It is told to
 // the others, so that they know before they send there.
-func (n *Tracker) heardLimit(now clock.Instant, e Received) {
+func (n *Tracker) observeLimit(now clock.Instant, e Received) {
 	r := n.Pool.Get(e.Replica)
 	if r == nil {
 		return
