--- a/core/notice/notice.go
+++ b/core/notice/notice.go
@@ -65,7 +65,7 @@
 // HandleNotice takes in what a replica said of itself.
 func (n *Tracker) HandleNotice(now clock.Instant, e Received) {
 	said := e.Notice
-	said.Rest += n.spread(e.Replica, said.Rest)
+	said.Rest += n.restSpread(e.Replica, said.Rest)
 	n.observeLimit(now, e)
 	news := n.Pool.ObserveNotice(now, e.Replica, e.Sent, said)
 	if news.IsZero() {
@@ -146,9 +146,9 @@
 	}
 }
 
-// spread returns how much longer than it was asked for this instance's rest is, so that
+// restSpread returns how much longer than it was asked for this instance's rest is, so that
 // all instances do not come back at once: each has its own place in that time.
-func (n *Tracker) spread(replica string, rest time.Duration) time.Duration {
+func (n *Tracker) restSpread(replica string, rest time.Duration) time.Duration {
 	place := float64(rendezvous.Score(rendezvous.Key(replica), n.Self.Name)) / math.MaxUint64
 	return time.Duration(place * min(spreadShare*float64(rest), float64(maxSpread)))
 }
