--- a/core/notice/notice_test.go
+++ b/core/notice/notice_test.go
@@ -18,9 +18,9 @@
 
 var start = clocktest.At(time.Hour)
 
-// testNotices returns the notices of an instance that knows one replica, and how often
+// newTestTracker returns the notices of an instance that knows one replica, and how often
 // peers were to be told.
-func testNotices(name string) (n *Tracker, told *int) {
+func newTestTracker(name string) (n *Tracker, told *int) {
 	told = new(int)
 	n = New(Deps{State: shared.New(member.Identity{Name: name, Zone: "z"}, option.Default(), 1), TellSoon: func(clock.Instant) { *told++ }})
 	n.Pool.Announce(start, "r", pool.Announcement{Service: "s", Address: "r", Zone: "z", Slots: 4, Born: "1"})
@@ -31,7 +31,7 @@
 // told to peers once each, with the life that they hold for.
 func TestLeavingIsToldOnce(t *testing.T) {
 	is := is.New(t)
-	n, told := testNotices("i")
+	n, told := newTestTracker("i")
 	heard := Received{Replica: "r", Sent: start, Notice: pool.Notice{Leaving: true}}
 	rests := Received{Replica: "r", Sent: start, Notice: pool.Notice{Rest: time.Second}}
 	n.HandleNotice(start, rests)
@@ -51,7 +51,7 @@
 // also where that is announced here later, and after the replica was forgotten.
 func TestPeersSayWhoLeaves(t *testing.T) {
 	is := is.New(t)
-	n, told := testNotices("i")
+	n, told := newTestTracker("i")
 	leaving := func(born string) []gossip.Leaving {
 		return []gossip.Leaving{{Incarnation: pool.Incarnation{Name: "r", Born: born}}}
 	}
@@ -85,7 +85,7 @@
 			const instances, parts = 370, 10
 			var in [parts]int
 			for i := range instances {
-				n, _ := testNotices(fmt.Sprintf("i%d", i))
+				n, _ := newTestTracker(fmt.Sprintf("i%d", i))
 				n.HandleNotice(start, Received{Replica: "r", Sent: start, Notice: pool.Notice{Rest: tt.asked}})
 				late := n.Pool.Get("r").RestLeft(start) - tt.asked
 				is.True(late >= 0 && late < tt.window)
@@ -102,7 +102,7 @@
 // says something else, and now and then so that they know how old it is.
 func TestLimitsAreTold(t *testing.T) {
 	is := is.New(t)
-	n, told := testNotices("i")
+	n, told := newTestTracker("i")
 	now := start
 	heard := func(after time.Duration, limit pool.RateLimit) {
 		now = now.Add(after)
@@ -133,7 +133,7 @@
 // told over.
 func TestPeersSayWhatTheLimitIs(t *testing.T) {
 	is := is.New(t)
-	n, told := testNotices("i")
+	n, told := newTestTracker("i")
 	word := func(born string, perSecond float64, ago time.Duration) []gossip.Limit {
 		return []gossip.Limit{{Incarnation: pool.Incarnation{Name: "r", Born: born}, LimitReport: pool.LimitReport{
 			Limit: pool.RateLimit{Named: true, PerSecond: perSecond}, By: "j", EventTime: clock.EventTime{Age: ago},
@@ -168,7 +168,7 @@
 // calls, may turn them away as well, and shows by an answer that it does not.
 func TestRestsOfOthersAreNoRestHere(t *testing.T) {
 	is := is.New(t)
-	n, told := testNotices("i")
+	n, told := newTestTracker("i")
 	r := n.Pool.Get("r")
 	rests := func(born string, left time.Duration) []gossip.Rest {
 		return []gossip.Rest{{Incarnation: pool.Incarnation{Name: "r", Born: born}, Left: left}}
