--- a/core/notice/notice_test.go
+++ b/core/notice/notice_test.go
@@ -177,7 +177,7 @@
 	is.True(!r.RejectsPeers(start))
 	n.HandlePeerRests(start, "peer", rests("1", time.Second))
 	is.True(r.RejectsPeers(start) && r.MayReject(start) && !r.Resting(start))
-	n.HandlePeerRests(start, "other", rests("1", time.Second+restNoise))
+	n.HandlePeerRests(start, "other", rests("1", time.Second+ageError))
 	is.Equal(*told, 2) // the same rest, by another way
 	is.True(!r.MayReject(start.Add(1100 * time.Millisecond)))
 	r.Start(start, 1)
@@ -185,5 +185,5 @@
 	is.True(!r.MayReject(start))
 }
 
-// restNoise is by how much spans differ that travelled.
-const restNoise = 50 * time.Millisecond
+// ageError is by how much spans differ that travelled.
+const ageError = 50 * time.Millisecond
