--- a/core/notice/notice_test.go
+++ b/core/notice/notice_test.go
@@ -27,9 +27,9 @@
 	return n, told
 }
 
-// TestLeavingIsToldOnce: that a replica leaves, and that it turned this instance away, are
+// TestNoticesAreSharedOnce: that a replica leaves, and that it turned this instance away, are
 // told to peers once each, with the life that they hold for.
-func TestLeavingIsToldOnce(t *testing.T) {
+func TestNoticesAreSharedOnce(t *testing.T) {
 	is := is.New(t)
 	n, told := newTestTracker("i")
 	heard := Received{Replica: "r", Sent: start, Notice: pool.Notice{Leaving: true}}
