--- a/core/notice/notice_test.go
+++ b/core/notice/notice_test.go
@@ -47,9 +47,9 @@
 	is.Equal(news[0].Incarnation, pool.Incarnation{Name: "r", Born: "1"})
 }
 
-// TestPeersSayWhoLeaves: what a peer was told counts for the life that it was told of,
+// TestPeerLeavingAppliesToIncarnation: what a peer was told counts for the life that it was told of,
 // also where that is announced here later, and after the replica was forgotten.
-func TestPeersSayWhoLeaves(t *testing.T) {
+func TestPeerLeavingAppliesToIncarnation(t *testing.T) {
 	is := is.New(t)
 	n, told := newTestTracker("i")
 	leaving := func(born string) []gossip.Leaving {
