--- a/core/notice/notice_test.go
+++ b/core/notice/notice_test.go
@@ -73,9 +73,9 @@
 	is.True(!n.Records.IsLeaving(pool.Incarnation{Name: "r", Born: "3"}))
 }
 
-// TestInstancesComeBackInTurn: after rests that were asked for at once, instances come back
+// TestRestsAreSpread: after rests that were asked for at once, instances come back
 // one after the other, none before its time, and all soon after it.
-func TestInstancesComeBackInTurn(t *testing.T) {
+func TestRestsAreSpread(t *testing.T) {
 	for _, tt := range []struct{ asked, window time.Duration }{
 		{3 * time.Second, 600 * time.Millisecond},
 		{time.Hour, time.Second},
