--- a/core/notice/notice_test.go
+++ b/core/notice/notice_test.go
@@ -98,9 +98,9 @@
 	}
 }
 
-// TestLimitsAreTold: what a replica says of its limit is told to peers once, again when it
+// TestLimitsAreShared: what a replica says of its limit is told to peers once, again when it
 // says something else, and now and then so that they know how old it is.
-func TestLimitsAreTold(t *testing.T) {
+func TestLimitsAreShared(t *testing.T) {
 	is := is.New(t)
 	n, told := newTestTracker("i")
 	now := start
