--- a/core/notice/notice_test.go
+++ b/core/notice/notice_test.go
@@ -128,10 +128,10 @@
 	is.Equal(news[0].By, "i")
 }
 
-// TestPeersSayWhatTheLimitIs: what a peer was told counts for the life that it was told of,
+// TestPeerLimitAppliesToIncarnation: what a peer was told counts for the life that it was told of,
 // also where that is announced here later; an own answer that came later stands, and is not
 // told over.
-func TestPeersSayWhatTheLimitIs(t *testing.T) {
+func TestPeerLimitAppliesToIncarnation(t *testing.T) {
 	is := is.New(t)
 	n, told := newTestTracker("i")
 	word := func(born string, perSecond float64, ago time.Duration) []gossip.Limit {
