--- a/core/notice/notice_test.go
+++ b/core/notice/notice_test.go
@@ -164,9 +164,9 @@
 	is.True(!kept)
 }
 
-// TestRestsOfOthersAreNoRestHere: a replica that turned another instance away may be sent
+// TestPeerRestDoesNotBlockCalls: a replica that turned another instance away may be sent
 // calls, may turn them away as well, and shows by an answer that it does not.
-func TestRestsOfOthersAreNoRestHere(t *testing.T) {
+func TestPeerRestDoesNotBlockCalls(t *testing.T) {
 	is := is.New(t)
 	n, told := newTestTracker("i")
 	r := n.Pool.Get("r")
