--- a/core/demand/demand.go
+++ b/core/demand/demand.go
@@ -12,9 +12,9 @@
 	"github.com/birchdrift/birchdrift/core/clock"
 )
 
-// stale is how long another instance's report counts: several of the exchanges
+// reportTTL is how long another instance's report counts: several of the exchanges
 // in which reports come.
-const stale = 30 * time.Second
+const reportTTL = 30 * time.Second
 
 // An Item is the demand for one model or adapter.
 type Item struct {
@@ -59,7 +59,7 @@
 	// the order, and the machine must decide alike on the same events.
 	for _, name := range slices.Sorted(maps.Keys(b.reports)) {
 		r := b.reports[name]
-		if now.Since(r.at) > stale {
+		if now.Since(r.at) > reportTTL {
 			delete(b.reports, name)
 			continue
 		}
