--- a/core/demand/flow.go
+++ b/core/demand/flow.go
@@ -12,8 +12,8 @@
 // copies before calls queue; what was asked for counts longer, so that a model
 // which is asked for now and then keeps a place.
 const (
-	// workSpan is over which the engine time of calls is averaged.
-	workSpan = 2500 * time.Millisecond
+	// workWindow is over which the engine time of calls is averaged.
+	workWindow = 2500 * time.Millisecond
 	// callSpan is over which calls are counted.
 	callSpan = 12 * time.Second
 	// lostSpan is over which calls are counted that found their model nowhere.
@@ -50,7 +50,7 @@
 	if age <= 0 {
 		return
 	}
-	m.work *= math.Exp(-age / float64(workSpan))
+	m.work *= math.Exp(-age / float64(workWindow))
 	m.slow *= math.Exp(-age / float64(callSpan))
 	m.calls *= math.Exp(-age / float64(callSpan))
 	m.absent *= math.Exp(-age / float64(lostSpan))
@@ -85,7 +85,7 @@
 		items = append(items, Item{
 			Name:       name,
 			Rate:       m.calls / callSpan.Seconds(),
-			Concurrent: max(m.work/workSpan.Seconds(), slowShare*m.slow/callSpan.Seconds()),
+			Concurrent: max(m.work/workWindow.Seconds(), slowShare*m.slow/callSpan.Seconds()),
 			Absent:     m.absent / lostSpan.Seconds(),
 		})
 	}
