--- a/core/demand/flow.go
+++ b/core/demand/flow.go
@@ -14,8 +14,8 @@
 const (
 	// workWindow is over which the engine time of calls is averaged.
 	workWindow = 2500 * time.Millisecond
-	// callSpan is over which calls are counted.
-	callSpan = 12 * time.Second
+	// callWindow is over which calls are counted.
+	callWindow = 12 * time.Second
 	// lostSpan is over which calls are counted that found their model nowhere.
 	lostSpan = 2 * time.Second
 )
@@ -51,8 +51,8 @@
 		return
 	}
 	m.work *= math.Exp(-age / float64(workWindow))
-	m.slow *= math.Exp(-age / float64(callSpan))
-	m.calls *= math.Exp(-age / float64(callSpan))
+	m.slow *= math.Exp(-age / float64(callWindow))
+	m.calls *= math.Exp(-age / float64(callWindow))
 	m.absent *= math.Exp(-age / float64(lostSpan))
 	m.at = now
 }
@@ -84,8 +84,8 @@
 		}
 		items = append(items, Item{
 			Name:       name,
-			Rate:       m.calls / callSpan.Seconds(),
-			Concurrent: max(m.work/workWindow.Seconds(), slowShare*m.slow/callSpan.Seconds()),
+			Rate:       m.calls / callWindow.Seconds(),
+			Concurrent: max(m.work/workWindow.Seconds(), slowShare*m.slow/callWindow.Seconds()),
 			Absent:     m.absent / lostSpan.Seconds(),
 		})
 	}
