--- a/core/demand/flow.go
+++ b/core/demand/flow.go
@@ -16,8 +16,8 @@
 	workWindow = 2500 * time.Millisecond
 	// callWindow is over which calls are counted.
 	callWindow = 12 * time.Second
-	// lostSpan is over which calls are counted that found their model nowhere.
-	lostSpan = 2 * time.Second
+	// missWindow is over which calls are counted that found their model nowhere.
+	missWindow = 2 * time.Second
 )
 
 // A Tracker measures what forwarded calls ask of models: engine time, calls, and
@@ -53,7 +53,7 @@
 	m.work *= math.Exp(-age / float64(workWindow))
 	m.slow *= math.Exp(-age / float64(callWindow))
 	m.calls *= math.Exp(-age / float64(callWindow))
-	m.absent *= math.Exp(-age / float64(lostSpan))
+	m.absent *= math.Exp(-age / float64(missWindow))
 	m.at = now
 }
 
@@ -86,7 +86,7 @@
 			Name:       name,
 			Rate:       m.calls / callWindow.Seconds(),
 			Concurrent: max(m.work/workWindow.Seconds(), slowShare*m.slow/callWindow.Seconds()),
-			Absent:     m.absent / lostSpan.Seconds(),
+			Absent:     m.absent / missWindow.Seconds(),
 		})
 	}
 	sort.Slice(items, func(i, j int) bool { return items[i].Name < items[j].Name })
