--- a/core/demand/flow.go
+++ b/core/demand/flow.go
@@ -68,9 +68,9 @@
 // RecordMiss notes that a call found no engine with its model.
 func (f *Tracker) RecordMiss(now clock.Instant, model string) { f.model(now, model).absent++ }
 
-// slowShare is the part of the work over the longer span that counts even when
+// longWindowShare is the part of the work over the longer span that counts even when
 // the shorter one has less.
-const slowShare = 0.4
+const longWindowShare = 0.4
 
 // Items returns what is asked for now, by name. Concurrent is the engine time a
 // second.
@@ -85,7 +85,7 @@
 		items = append(items, Item{
 			Name:       name,
 			Rate:       m.calls / callWindow.Seconds(),
-			Concurrent: max(m.work/workWindow.Seconds(), slowShare*m.slow/callWindow.Seconds()),
+			Concurrent: max(m.work/workWindow.Seconds(), longWindowShare*m.slow/callWindow.Seconds()),
 			Absent:     m.absent / missWindow.Seconds(),
 		})
 	}
