--- a/core/demand/flow.go
+++ b/core/demand/flow.go
@@ -22,9 +22,9 @@
 
 // A Tracker measures what forwarded calls ask of models: engine time, calls, and
 // calls that found the model nowhere.
-type Tracker struct{ models map[string]*flowModel }
+type Tracker struct{ models map[string]*modelDemand }
 
-type flowModel struct {
+type modelDemand struct {
 	at     clock.Instant
 	work   float64 // decayed sums
 	slow   float64
@@ -33,19 +33,19 @@
 }
 
 // NewTracker returns a flow that has seen no call.
-func NewTracker() *Tracker { return &Tracker{models: map[string]*flowModel{}} }
+func NewTracker() *Tracker { return &Tracker{models: map[string]*modelDemand{}} }
 
-func (f *Tracker) model(now clock.Instant, name string) *flowModel {
+func (f *Tracker) model(now clock.Instant, name string) *modelDemand {
 	m := f.models[name]
 	if m == nil {
-		m = &flowModel{at: now}
+		m = &modelDemand{at: now}
 		f.models[name] = m
 	}
 	m.decay(now)
 	return m
 }
 
-func (m *flowModel) decay(now clock.Instant) {
+func (m *modelDemand) decay(now clock.Instant) {
 	age := float64(now.Since(m.at))
 	if age <= 0 {
 		return
