--- a/core/demand/flow.go
+++ b/core/demand/flow.go
@@ -25,11 +25,11 @@
 type Tracker struct{ models map[string]*modelDemand }
 
 type modelDemand struct {
-	at     clock.Instant
-	work   float64 // decayed sums
-	slow   float64
-	calls  float64
-	absent float64
+	at       clock.Instant
+	work     float64 // decayed sums
+	longWork float64
+	calls    float64
+	absent   float64
 }
 
 // NewTracker returns a flow that has seen no call.
@@ -51,7 +51,7 @@
 		return
 	}
 	m.work *= math.Exp(-age / float64(workWindow))
-	m.slow *= math.Exp(-age / float64(callWindow))
+	m.longWork *= math.Exp(-age / float64(callWindow))
 	m.calls *= math.Exp(-age / float64(callWindow))
 	m.absent *= math.Exp(-age / float64(missWindow))
 	m.at = now
@@ -62,7 +62,7 @@
 	m := f.model(now, model)
 	m.calls++
 	m.work += work.Seconds()
-	m.slow += work.Seconds()
+	m.longWork += work.Seconds()
 }
 
 // RecordMiss notes that a call found no engine with its model.
@@ -85,7 +85,7 @@
 		items = append(items, Item{
 			Name:       name,
 			Rate:       m.calls / callWindow.Seconds(),
-			Concurrent: max(m.work/workWindow.Seconds(), longWindowShare*m.slow/callWindow.Seconds()),
+			Concurrent: max(m.work/workWindow.Seconds(), longWindowShare*m.longWork/callWindow.Seconds()),
 			Absent:     m.absent / missWindow.Seconds(),
 		})
 	}
