--- a/core/demand/flow.go
+++ b/core/demand/flow.go
@@ -29,7 +29,7 @@
 	work     float64 // decayed sums
 	longWork float64
 	calls    float64
-	absent   float64
+	misses   float64
 }
 
 // NewTracker returns a flow that has seen no call.
@@ -53,7 +53,7 @@
 	m.work *= math.Exp(-age / float64(workWindow))
 	m.longWork *= math.Exp(-age / float64(callWindow))
 	m.calls *= math.Exp(-age / float64(callWindow))
-	m.absent *= math.Exp(-age / float64(missWindow))
+	m.misses *= math.Exp(-age / float64(missWindow))
 	m.at = now
 }
 
@@ -66,7 +66,7 @@
 }
 
 // RecordMiss notes that a call found no engine with its model.
-func (f *Tracker) RecordMiss(now clock.Instant, model string) { f.model(now, model).absent++ }
+func (f *Tracker) RecordMiss(now clock.Instant, model string) { f.model(now, model).misses++ }
 
 // longWindowShare is the part of the work over the longer span that counts even when
 // the shorter one has less.
@@ -86,7 +86,7 @@
 			Name:       name,
 			Rate:       m.calls / callWindow.Seconds(),
 			Concurrent: max(m.work/workWindow.Seconds(), longWindowShare*m.longWork/callWindow.Seconds()),
-			Absent:     m.absent / missWindow.Seconds(),
+			Absent:     m.misses / missWindow.Seconds(),
 		})
 	}
 	sort.Slice(items, func(i, j int) bool { return items[i].Name < items[j].Name })
