--- a/core/demand/board_test.go
+++ b/core/demand/board_test.go
@@ -10,11 +10,11 @@
 	"github.com/birchdrift/birchdrift/core/clock/clocktest"
 )
 
-// TestSumsDoNotDependOnTheOrderOfReports: the same reports give the same sum to
+// TestSumIsIndependentOfReportOrder: the same reports give the same sum to
 // the last digit, however often and in whatever order they came. They once were
 // added in the order of a map, so that two runs of one machine over the same
 // events logged different figures.
-func TestSumsDoNotDependOnTheOrderOfReports(t *testing.T) {
+func TestSumIsIndependentOfReportOrder(t *testing.T) {
 	is := is.New(t)
 	now := clocktest.At(time.Hour)
 	sum := func(first int) Item {
