--- a/core/gossip/gossip.go
+++ b/core/gossip/gossip.go
@@ -245,13 +245,13 @@
 // AddSuccess stores the record and reports whether it was news. Ages that travelled
 // differ a little, so one that is hardly later is none.
 func (s *Set) AddSuccess(from string, x crash.Success) bool {
-	return put(s, s.successes, x.Request, from, x, func(old crash.Success) bool { return x.At.Since(old.At) > successApart })
+	return put(s, s.successes, x.Request, from, x, func(old crash.Success) bool { return x.At.Since(old.At) > minSuccessGap })
 }
 
-// successApart is the least time between two successes of a request of which the second
+// minSuccessGap is the least time between two successes of a request of which the second
 // is news: above what a message takes, below what a caller needs to try again after a
 // failure.
-const successApart = time.Second
+const minSuccessGap = time.Second
 
 // Crashes returns the reports of replicas that ended under calls, in no order.
 func (s *Set) Crashes() []crash.Report {
--- a/core/gossip/gossip_test.go
+++ b/core/gossip/gossip_test.go
@@ -86,7 +86,7 @@
 		{"another life that leaves", leaving("1"), leaving("2"), true},
 		{"a later success", served(time.Hour), served(2 * time.Hour), true},
 		{"an earlier success", served(2 * time.Hour), served(time.Hour), false},
-		{"a success that aged a little on its way", served(time.Hour), served(time.Hour + successApart/2), false},
+		{"a success that aged a little on its way", served(time.Hour), served(time.Hour + minSuccessGap/2), false},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
