--- a/core/gossip/gossip.go
+++ b/core/gossip/gossip.go
@@ -302,15 +302,15 @@
 	maps.DeleteFunc(s.leaving, func(_ pool.Incarnation, x stamped[Leaving]) bool { return now.MaxElapsed(x.record.At) > age })
 }
 
-// limitApart is how much later a replica must have said the same of its limit again for
+// minLimitGap is how much later a replica must have said the same of its limit again for
 // that to be told, so that peers know how old it is (docs/design/limits.md).
-const limitApart = 2 * time.Second
+const minLimitGap = 2 * time.Second
 
 // AddLimit stores what a life of a replica said of its limit, and reports whether it was
 // news.
 func (s *Set) AddLimit(from string, life pool.Incarnation, w pool.LimitReport) bool {
 	return put(s, s.limits, life, from, Limit{life, w}, func(old Limit) bool {
-		return w.Newer(old.LimitReport) && (w.Limit != old.Limit || w.At.Since(old.At) >= limitApart)
+		return w.Newer(old.LimitReport) && (w.Limit != old.Limit || w.At.Since(old.At) >= minLimitGap)
 	})
 }
 
--- a/core/gossip/gossip_test.go
+++ b/core/gossip/gossip_test.go
@@ -69,7 +69,7 @@
 		{"another limit", limited(1, time.Minute), limited(2, time.Minute+time.Millisecond), true},
 		{"another limit of before", limited(1, time.Minute), limited(2, time.Minute), false},
 		{"the same limit a moment later", limited(1, time.Minute), limited(1, time.Minute+time.Second), false},
-		{"the same limit a while later", limited(1, time.Minute), limited(1, time.Minute+limitApart), true},
+		{"the same limit a while later", limited(1, time.Minute), limited(1, time.Minute+minLimitGap), true},
 		{"a later list", listed(3), listed(4), true},
 		{"the same list", listed(3), listed(3), false},
 		{"a higher fence", holder(1, "a"), holder(2, "b"), true},
