--- a/core/gossip/gossip.go
+++ b/core/gossip/gossip.go
@@ -328,14 +328,14 @@
 	})
 }
 
-// restApart is how much later the end of a rest must be to be told again: ages that travelled
+// minRestGap is how much later the end of a rest must be to be told again: ages that travelled
 // differ a little (docs/design/notices.md).
-const restApart = 300 * time.Millisecond
+const minRestGap = 300 * time.Millisecond
 
 // AddRest stores that a life of a replica wants nothing from some instance until a moment,
 // and reports whether that was news.
 func (s *Set) AddRest(from string, r Rest) bool {
-	return put(s, s.rests, r.Incarnation, from, r, func(old Rest) bool { return r.Until.Since(old.Until) >= restApart })
+	return put(s, s.rests, r.Incarnation, from, r, func(old Rest) bool { return r.Until.Since(old.Until) >= minRestGap })
 }
 
 // PruneRests drops the rests that are over.
