--- a/core/gossip/gossip.go
+++ b/core/gossip/gossip.go
@@ -388,26 +388,26 @@
 // only what changed there after known.
 func (s *Set) Since(stamp uint64, to string, withLoads bool, known era.Revision) Records {
 	var r Records
-	r.Residencies = after(s.residencies, stamp, to)
-	r.Listed = after(s.listed, stamp, to)
-	r.Holders = after(s.holders, stamp, to)
-	r.Registered = after(s.registered, stamp, to)
-	r.Crashes = after(s.crashes, stamp, to)
-	r.Successes = after(s.successes, stamp, to)
-	r.Leaving = after(s.leaving, stamp, to)
-	r.Limits = after(s.limits, stamp, to)
-	r.Rests = after(s.rests, stamp, to)
+	r.Residencies = changedSince(s.residencies, stamp, to)
+	r.Listed = changedSince(s.listed, stamp, to)
+	r.Holders = changedSince(s.holders, stamp, to)
+	r.Registered = changedSince(s.registered, stamp, to)
+	r.Crashes = changedSince(s.crashes, stamp, to)
+	r.Successes = changedSince(s.successes, stamp, to)
+	r.Leaving = changedSince(s.leaving, stamp, to)
+	r.Limits = changedSince(s.limits, stamp, to)
+	r.Rests = changedSince(s.rests, stamp, to)
 	if known > 0 {
 		r.Listed = slices.DeleteFunc(r.Listed, func(l Listed) bool { return l.Version <= known })
 		r.Registered = slices.DeleteFunc(r.Registered, func(g registry.Record) bool { return g.Revision <= known })
 	}
 	if withLoads {
-		r.Loads = after(s.loads, stamp, to)
+		r.Loads = changedSince(s.loads, stamp, to)
 	}
 	return r
 }
 
-func after[K comparable, T any](all map[K]stamped[T], stamp uint64, to string) []T {
+func changedSince[K comparable, T any](all map[K]stamped[T], stamp uint64, to string) []T {
 	var news []stamped[T]
 	for _, x := range all {
 		if x.stamp > stamp && (x.from == "" || x.from != to) {
