--- a/core/gossip/gossip_test.go
+++ b/core/gossip/gossip_test.go
@@ -14,9 +14,9 @@
 	"github.com/birchdrift/birchdrift/core/registry"
 )
 
-// TestOlderRecordsAreNotNews: whatever way and order records arrive in, the newest
+// TestOlderRecordsAreIgnored: whatever way and order records arrive in, the newest
 // by its origin's counters stays.
-func TestOlderRecordsAreNotNews(t *testing.T) {
+func TestOlderRecordsAreIgnored(t *testing.T) {
 	residency := func(boot, change uint64) func(*Set) bool {
 		return func(s *Set) bool {
 			return s.AddResidency("", Residency{Engine: "e", Residency: pool.Residency{Boot: boot, Change: change}})
