--- a/core/gossip/gossip_test.go
+++ b/core/gossip/gossip_test.go
@@ -99,10 +99,10 @@
 	}
 }
 
-// TestAPeerIsSentWhatItLacks: not what it confirmed, not what it told itself, no
+// TestSinceReturnsWhatPeerLacks: not what it confirmed, not what it told itself, no
 // loads if it has no use for them, and of the platform's store only what it did
 // not hear there.
-func TestAPeerIsSentWhatItLacks(t *testing.T) {
+func TestSinceReturnsWhatPeerLacks(t *testing.T) {
 	s := NewSet()
 	s.AddRegistered("", registry.Record{Key: "old", Revision: 1})
 	confirmed := s.Stamp()
