--- a/core/gossip/gossip_test.go
+++ b/core/gossip/gossip_test.go
@@ -149,8 +149,8 @@
 	is.Equal(gone, []registry.Record{{Key: "gone", Revision: 8, Gone: true}})
 }
 
-// TestOldCrashesAreForgotten: by their age, and the oldest where there are too many.
-func TestOldCrashesAreForgotten(t *testing.T) {
+// TestPruneCrashes: by their age, and the oldest where there are too many.
+func TestPruneCrashes(t *testing.T) {
 	is := is.New(t)
 	s := NewSet()
 	now := clocktest.At(time.Hour)
