--- a/core/bounds/bounds.go
+++ b/core/bounds/bounds.go
@@ -30,14 +30,14 @@
 
 // Shares of Leave.
 const (
-	pauseShare    = 0.2  // between two watches
-	pauseFewShare = 0.1  // the same, where few instances watch for all
-	waitShare     = 0.3  // longest wait of one watch
-	overdueShare  = 0.05 // for the answer to a watch whose wait is over
-	readShare     = 0.1  // for a read of the whole list from a sound store
-	sendShare     = 0.05 // for all that is done between the news and the call
-	reserveShare  = 0.05 // that the parts leave over where they can
-	roundShare    = 1. / 6
+	pauseShare        = 0.2  // between two watches
+	pauseRelayedShare = 0.1  // the same, where few instances watch for all
+	waitShare         = 0.3  // longest wait of one watch
+	overdueShare      = 0.05 // for the answer to a watch whose wait is over
+	readShare         = 0.1  // for a read of the whole list from a sound store
+	sendShare         = 0.05 // for all that is done between the news and the call
+	reserveShare      = 0.05 // that the parts leave over where they can
+	roundShare        = 1. / 6
 )
 
 const (
@@ -123,7 +123,7 @@
 		Send:    b.share(sendShare),
 	}
 	if !r.Mesh {
-		p.Pause = b.share(pauseFewShare)
+		p.Pause = b.share(pauseRelayedShare)
 		p.Hop = time.Duration(hopRounds * float64(b.ExchangeInterval(r.Exchange)))
 	}
 	if r.Pause > 0 {
