--- a/core/bounds/bounds.go
+++ b/core/bounds/bounds.go
@@ -41,8 +41,8 @@
 )
 
 const (
-	// leastWait is the shortest wait of a watch that is worth its call.
-	leastWait = 100 * time.Millisecond
+	// minWait is the shortest wait of a watch that is worth its call.
+	minWait = 100 * time.Millisecond
 	// hopRounds is within how many of its rounds of exchanges an instance hears from one
 	// that watches, with their jitter.
 	hopRounds = 2.2
@@ -129,7 +129,7 @@
 	if r.Pause > 0 {
 		p.Pause = r.Pause
 	}
-	p.Wait = min(b.share(waitShare), max(leastWait, b.Leave-b.share(reserveShare)-p.Sum()))
+	p.Wait = min(b.share(waitShare), max(minWait, b.Leave-b.share(reserveShare)-p.Sum()))
 	if r.Wait > 0 {
 		p.Wait = r.Wait
 	}
--- a/core/bounds/bounds_test.go
+++ b/core/bounds/bounds_test.go
@@ -29,7 +29,7 @@
 			p := b.Delays(r)
 			is.True(b.Leave-p.Sum() >= b.Leave/leftOver)
 			is.NoErr(b.Check(r))
-			is.True(p.Wait >= leastWait)
+			is.True(p.Wait >= minWait)
 			// An instance that asks the store itself, since its news is old, is in time too,
 			// and does not do so while all is well.
 			is.True(b.MaxStoreSilence()+p.Read+p.Dial+p.Send <= b.Leave)
