--- a/core/bounds/bounds.go
+++ b/core/bounds/bounds.go
@@ -43,9 +43,9 @@
 const (
 	// minWait is the shortest wait of a watch that is worth its call.
 	minWait = 100 * time.Millisecond
-	// hopRounds is within how many of its rounds of exchanges an instance hears from one
+	// hopIntervals is within how many of its rounds of exchanges an instance hears from one
 	// that watches, with their jitter.
-	hopRounds = 2.2
+	hopIntervals = 2.2
 	// settleShare is the part of Settle after which the store is called again at the latest,
 	// after calls that failed.
 	settleShare = 0.5
@@ -124,7 +124,7 @@
 	}
 	if !r.Mesh {
 		p.Pause = b.share(pauseRelayedShare)
-		p.Hop = time.Duration(hopRounds * float64(b.ExchangeInterval(r.Exchange)))
+		p.Hop = time.Duration(hopIntervals * float64(b.ExchangeInterval(r.Exchange)))
 	}
 	if r.Pause > 0 {
 		p.Pause = r.Pause
