--- a/core/bounds/bounds.go
+++ b/core/bounds/bounds.go
@@ -37,7 +37,7 @@
 	readShare         = 0.1  // for a read of the whole list from a sound store
 	sendShare         = 0.05 // for all that is done between the news and the call
 	reserveShare      = 0.05 // that the parts leave over where they can
-	roundShare        = 1. / 6
+	exchangeShare     = 1. / 6
 )
 
 const (
@@ -147,7 +147,7 @@
 // ExchangeInterval returns the spacing of exchanges where news travels by them: as set, but short enough
 // for Leave.
 func (b Bounds) ExchangeInterval(set time.Duration) time.Duration {
-	return min(set, b.share(roundShare))
+	return min(set, b.share(exchangeShare))
 }
 
 // MaxStoreSilence returns how old the list may be at an instance that hears of it from peers before
