--- a/core/bounds/bounds_test.go
+++ b/core/bounds/bounds_test.go
@@ -16,8 +16,8 @@
 
 const exchange = 500 * time.Millisecond
 
-// leftOver is the part of the bound, one in so many, that the parts leave over.
-const leftOver = 40
+// reserveDivisor is the part of the bound, one in so many, that the parts leave over.
+const reserveDivisor = 40
 
 // TestPartsComeToLessThanTheBound: the waits that were worked out leave something over of the
 // bound, whatever it is and however the fleet hears of news.
@@ -27,7 +27,7 @@
 			is := is.New(t)
 			r := Timing{Mesh: mesh, Exchange: exchange}
 			p := b.Delays(r)
-			is.True(b.Leave-p.Sum() >= b.Leave/leftOver)
+			is.True(b.Leave-p.Sum() >= b.Leave/reserveDivisor)
 			is.NoErr(b.Check(r))
 			is.True(p.Wait >= minWait)
 			// An instance that asks the store itself, since its news is old, is in time too,
