--- a/core/bounds/bounds_test.go
+++ b/core/bounds/bounds_test.go
@@ -19,9 +19,9 @@
 // reserveDivisor is the part of the bound, one in so many, that the parts leave over.
 const reserveDivisor = 40
 
-// TestPartsComeToLessThanTheBound: the waits that were worked out leave something over of the
+// TestDelaysStayWithinBound: the waits that were worked out leave something over of the
 // bound, whatever it is and however the fleet hears of news.
-func TestPartsComeToLessThanTheBound(t *testing.T) {
+func TestDelaysStayWithinBound(t *testing.T) {
 	for _, b := range []Bounds{small, large, {Leave: 10 * time.Second, Settle: 10 * time.Second}} {
 		for _, mesh := range []bool{true, false} {
 			is := is.New(t)
