--- a/core/bounds/bounds_test.go
+++ b/core/bounds/bounds_test.go
@@ -40,8 +40,8 @@
 	}
 }
 
-// TestSettingsThatBreakTheSumAreRefused: the error names the sum and its parts.
-func TestSettingsThatBreakTheSumAreRefused(t *testing.T) {
+// TestCheckRejectsExcessiveDelays: the error names the sum and its parts.
+func TestCheckRejectsExcessiveDelays(t *testing.T) {
 	for _, tt := range []struct {
 		name   string
 		bounds Bounds
