--- a/core/quarantine/evidence.go
+++ b/core/quarantine/evidence.go
@@ -94,8 +94,8 @@
 	return true
 }
 
-// A departure is a call whose caller left while a replica had it.
-type departure struct {
+// A disconnect is a call whose caller left while a replica had it.
+type disconnect struct {
 	request crash.Fingerprint
 	at      clock.Instant
 }
@@ -106,15 +106,15 @@
 	if request == 0 || r.Leaving() {
 		return
 	}
-	recent := slices.DeleteFunc(t.departed[r.Incarnation()], func(d departure) bool { return d.past(now) })
+	recent := slices.DeleteFunc(t.departed[r.Incarnation()], func(d disconnect) bool { return d.past(now) })
 	if len(recent) < maxRequests {
-		recent = append(recent, departure{request: request, at: now})
+		recent = append(recent, disconnect{request: request, at: now})
 	}
 	t.departed[r.Incarnation()] = recent
 }
 
 // past reports whether no end that shows from now on can have come of the departed call.
-func (d departure) past(now clock.Instant) bool { return now.MaxElapsed(d.at) > departedSpan }
+func (d disconnect) past(now clock.Instant) bool { return now.MaxElapsed(d.at) > departedSpan }
 
 // ReplicaEnded notes that a replica's process is not there any more.
 func (t *Tracker) ReplicaEnded(now clock.Instant, replica pool.Incarnation) {
@@ -179,8 +179,8 @@
 }
 
 func (t *Tracker) pruneEvidence(now clock.Instant) {
-	maps.DeleteFunc(t.departed, func(_ pool.Incarnation, left []departure) bool {
-		return !slices.ContainsFunc(left, func(d departure) bool { return now.MaxElapsed(d.at) < endSpan })
+	maps.DeleteFunc(t.departed, func(_ pool.Incarnation, left []disconnect) bool {
+		return !slices.ContainsFunc(left, func(d disconnect) bool { return now.MaxElapsed(d.at) < endSpan })
 	})
 	maps.DeleteFunc(t.evidence, func(_ pool.Incarnation, e *evidence) bool { return now.MaxElapsed(e.at) >= endSpan })
 }
--- a/core/quarantine/quarantine.go
+++ b/core/quarantine/quarantine.go
@@ -77,8 +77,8 @@
 type Tracker struct {
 	Deps
 	evidence map[pool.Incarnation]*evidence
-	departed map[pool.Incarnation][]departure // the oldest first
-	seq      uint64                           // of the last own report
+	departed map[pool.Incarnation][]disconnect // the oldest first
+	seq      uint64                            // of the last own report
 	suspects map[crash.Fingerprint]bool
 	verdicts map[crash.Fingerprint]*verdict
 	records  records
@@ -94,7 +94,7 @@
 	return &Tracker{
 		Deps:     n,
 		evidence: map[pool.Incarnation]*evidence{},
-		departed: map[pool.Incarnation][]departure{},
+		departed: map[pool.Incarnation][]disconnect{},
 		suspects: map[crash.Fingerprint]bool{},
 		verdicts: map[crash.Fingerprint]*verdict{},
 	}
