--- a/core/quarantine/evidence.go
+++ b/core/quarantine/evidence.go
@@ -106,15 +106,15 @@
 	if request == 0 || r.Leaving() {
 		return
 	}
-	recent := slices.DeleteFunc(t.departed[r.Incarnation()], func(d disconnect) bool { return d.past(now) })
+	recent := slices.DeleteFunc(t.departed[r.Incarnation()], func(d disconnect) bool { return d.expired(now) })
 	if len(recent) < maxRequests {
 		recent = append(recent, disconnect{request: request, at: now})
 	}
 	t.departed[r.Incarnation()] = recent
 }
 
-// past reports whether no end that shows from now on can have come of the departed call.
-func (d disconnect) past(now clock.Instant) bool { return now.MaxElapsed(d.at) > departedSpan }
+// expired reports whether no end that shows from now on can have come of the departed call.
+func (d disconnect) expired(now clock.Instant) bool { return now.MaxElapsed(d.at) > departedSpan }
 
 // ReplicaEnded notes that a replica's process is not there any more.
 func (t *Tracker) ReplicaEnded(now clock.Instant, replica pool.Incarnation) {
@@ -124,7 +124,7 @@
 	}
 	e.ended = true
 	for _, d := range t.departed[replica] {
-		if !d.past(e.at) {
+		if !d.expired(e.at) {
 			e.add(d.request)
 		}
 	}
