--- a/core/quarantine/evidence.go
+++ b/core/quarantine/evidence.go
@@ -106,11 +106,11 @@
 	if request == 0 || r.Leaving() {
 		return
 	}
-	recent := slices.DeleteFunc(t.departed[r.Incarnation()], func(d disconnect) bool { return d.expired(now) })
+	recent := slices.DeleteFunc(t.disconnects[r.Incarnation()], func(d disconnect) bool { return d.expired(now) })
 	if len(recent) < maxRequests {
 		recent = append(recent, disconnect{request: request, at: now})
 	}
-	t.departed[r.Incarnation()] = recent
+	t.disconnects[r.Incarnation()] = recent
 }
 
 // expired reports whether no end that shows from now on can have come of the departed call.
@@ -123,7 +123,7 @@
 		return
 	}
 	e.ended = true
-	for _, d := range t.departed[replica] {
+	for _, d := range t.disconnects[replica] {
 		if !d.expired(e.at) {
 			e.add(d.request)
 		}
@@ -179,7 +179,7 @@
 }
 
 func (t *Tracker) pruneEvidence(now clock.Instant) {
-	maps.DeleteFunc(t.departed, func(_ pool.Incarnation, left []disconnect) bool {
+	maps.DeleteFunc(t.disconnects, func(_ pool.Incarnation, left []disconnect) bool {
 		return !slices.ContainsFunc(left, func(d disconnect) bool { return now.MaxElapsed(d.at) < endSpan })
 	})
 	maps.DeleteFunc(t.evidence, func(_ pool.Incarnation, e *evidence) bool { return now.MaxElapsed(e.at) >= endSpan })
--- a/core/quarantine/quarantine.go
+++ b/core/quarantine/quarantine.go
@@ -76,12 +76,12 @@
 // A Tracker knows which requests are not to be run.
 type Tracker struct {
 	Deps
-	evidence map[pool.Incarnation]*evidence
-	departed map[pool.Incarnation][]disconnect // the oldest first
-	seq      uint64                            // of the last own report
-	suspects map[crash.Fingerprint]bool
-	verdicts map[crash.Fingerprint]*verdict
-	records  records
+	evidence    map[pool.Incarnation]*evidence
+	disconnects map[pool.Incarnation][]disconnect // the oldest first
+	seq         uint64                            // of the last own report
+	suspects    map[crash.Fingerprint]bool
+	verdicts    map[crash.Fingerprint]*verdict
+	records     records
 
 	judgeDue clock.Instant // zero: nothing to judge
 	tellDue  clock.Instant // zero: nothing to tell
@@ -92,11 +92,11 @@
 // New returns a tracker that knows of no request.
 func New(n Deps) *Tracker {
 	return &Tracker{
-		Deps:     n,
-		evidence: map[pool.Incarnation]*evidence{},
-		departed: map[pool.Incarnation][]disconnect{},
-		suspects: map[crash.Fingerprint]bool{},
-		verdicts: map[crash.Fingerprint]*verdict{},
+		Deps:        n,
+		evidence:    map[pool.Incarnation]*evidence{},
+		disconnects: map[pool.Incarnation][]disconnect{},
+		suspects:    map[crash.Fingerprint]bool{},
+		verdicts:    map[crash.Fingerprint]*verdict{},
 	}
 }
 
--- a/core/quarantine/quarantine_test.go
+++ b/core/quarantine/quarantine_test.go
@@ -357,9 +357,9 @@
 		b.CallerDisconnected(b.now, n+1, busy)
 		b.now = b.now.Add(time.Millisecond)
 	}
-	is.True(len(b.departed[life("busy")]) <= maxRequests)
+	is.True(len(b.disconnects[life("busy")]) <= maxRequests)
 	b.pass(endSpan + 2*pruneEvery)
-	is.Equal(len(b.departed), 0)
+	is.Equal(len(b.disconnects), 0)
 	is.True(len(b.evidence) <= maxReports)
 	for n := range crash.Fingerprint(2 * maxVerdicts) {
 		b.Restored(b.now, registry.Quarantine{Request: n + 1_000_000, Replicas: 3})
