--- a/core/quarantine/evidence.go
+++ b/core/quarantine/evidence.go
@@ -16,10 +16,10 @@
 // it would leave.
 
 const (
-	// checkAfter is how long after a call was severed the replica is looked for, if no
+	// checkDelay is how long after a call was severed the replica is looked for, if no
 	// other call shows that it is gone: a process that ends closes its connections one
 	// after the other, its listener among them.
-	checkAfter = 30 * time.Millisecond
+	checkDelay = 30 * time.Millisecond
 	// endSpan is how long the calls that one end severs may take to show it: below
 	// the seconds that a replica takes to come back.
 	endSpan = 2 * time.Second
@@ -163,7 +163,7 @@
 func (t *Tracker) check(now clock.Instant) {
 	for _, replica := range slices.SortedFunc(maps.Keys(t.evidence), pool.Incarnation.Compare) {
 		e := t.evidence[replica]
-		if e.ended || e.asked || now.Before(e.at.Add(checkAfter)) {
+		if e.ended || e.asked || now.Before(e.at.Add(checkDelay)) {
 			continue
 		}
 		e.asked = true
--- a/core/quarantine/quarantine_test.go
+++ b/core/quarantine/quarantine_test.go
@@ -97,12 +97,12 @@
 		}, 1},
 		{"severed, and a check finds nobody", func(b *fixture) {
 			b.Severed(b.now, bad, b.replica("r", false))
-			b.pass(2 * checkAfter)
+			b.pass(2 * checkDelay)
 			b.Checked(b.now, Checked{Replica: life("r"), Ended: true})
 		}, 1},
 		{"severed, and a check finds it", func(b *fixture) {
 			b.Severed(b.now, bad, b.replica("r", false))
-			b.pass(2 * checkAfter)
+			b.pass(2 * checkDelay)
 			b.Checked(b.now, Checked{Replica: life("r")})
 		}, 0},
 		{"severed, and nobody knows", func(b *fixture) { b.Severed(b.now, bad, b.replica("r", false)) }, 0},
