--- a/core/quarantine/evidence.go
+++ b/core/quarantine/evidence.go
@@ -20,9 +20,9 @@
 	// other call shows that it is gone: a process that ends closes its connections one
 	// after the other, its listener among them.
 	checkDelay = 30 * time.Millisecond
-	// endSpan is how long the calls that one end severs may take to show it: below
+	// evidenceWindow is how long the calls that one end severs may take to show it: below
 	// the seconds that a replica takes to come back.
-	endSpan = 2 * time.Second
+	evidenceWindow = 2 * time.Second
 	// departedSpan is how long before its replica's end a caller may have left for its call
 	// to count as in flight there: a replica needs a moment to notice, and the end one to
 	// show.
@@ -136,7 +136,7 @@
 // evidenceOf returns the evidence of the end that shows now.
 func (t *Tracker) evidenceOf(now clock.Instant, replica pool.Incarnation) *evidence {
 	e := t.evidence[replica]
-	if e == nil || now.MaxElapsed(e.at) >= endSpan {
+	if e == nil || now.MaxElapsed(e.at) >= evidenceWindow {
 		e = &evidence{at: now}
 		t.evidence[replica] = e
 	}
@@ -180,7 +180,7 @@
 
 func (t *Tracker) pruneEvidence(now clock.Instant) {
 	maps.DeleteFunc(t.disconnects, func(_ pool.Incarnation, left []disconnect) bool {
-		return !slices.ContainsFunc(left, func(d disconnect) bool { return now.MaxElapsed(d.at) < endSpan })
+		return !slices.ContainsFunc(left, func(d disconnect) bool { return now.MaxElapsed(d.at) < evidenceWindow })
 	})
-	maps.DeleteFunc(t.evidence, func(_ pool.Incarnation, e *evidence) bool { return now.MaxElapsed(e.at) >= endSpan })
+	maps.DeleteFunc(t.evidence, func(_ pool.Incarnation, e *evidence) bool { return now.MaxElapsed(e.at) >= evidenceWindow })
 }
--- a/core/quarantine/quarantine_test.go
+++ b/core/quarantine/quarantine_test.go
@@ -113,7 +113,7 @@
 		}, 0},
 		{"it ended long after", func(b *fixture) {
 			b.Severed(b.now, bad, b.replica("r", false))
-			b.pass(2 * endSpan)
+			b.pass(2 * evidenceWindow)
 			b.ReplicaEnded(b.now, life("r"))
 		}, 0},
 		{"its caller had just left", func(b *fixture) {
@@ -358,7 +358,7 @@
 		b.now = b.now.Add(time.Millisecond)
 	}
 	is.True(len(b.disconnects[life("busy")]) <= maxRequests)
-	b.pass(endSpan + 2*pruneEvery)
+	b.pass(evidenceWindow + 2*pruneEvery)
 	is.Equal(len(b.disconnects), 0)
 	is.True(len(b.evidence) <= maxReports)
 	for n := range crash.Fingerprint(2 * maxVerdicts) {
