--- a/core/quarantine/evidence.go
+++ b/core/quarantine/evidence.go
@@ -23,10 +23,10 @@
 	// evidenceWindow is how long the calls that one end severs may take to show it: below
 	// the seconds that a replica takes to come back.
 	evidenceWindow = 2 * time.Second
-	// departedSpan is how long before its replica's end a caller may have left for its call
+	// disconnectWindow is how long before its replica's end a caller may have left for its call
 	// to count as in flight there: a replica needs a moment to notice, and the end one to
 	// show.
-	departedSpan = 500 * time.Millisecond
+	disconnectWindow = 500 * time.Millisecond
 )
 
 type (
@@ -114,7 +114,7 @@
 }
 
 // expired reports whether no end that shows from now on can have come of the departed call.
-func (d disconnect) expired(now clock.Instant) bool { return now.MaxElapsed(d.at) > departedSpan }
+func (d disconnect) expired(now clock.Instant) bool { return now.MaxElapsed(d.at) > disconnectWindow }
 
 // ReplicaEnded notes that a replica's process is not there any more.
 func (t *Tracker) ReplicaEnded(now clock.Instant, replica pool.Incarnation) {
--- a/core/quarantine/quarantine_test.go
+++ b/core/quarantine/quarantine_test.go
@@ -128,7 +128,7 @@
 		}, 1},
 		{"its caller had left long before", func(b *fixture) {
 			b.CallerDisconnected(b.now, bad, b.replica("r", false))
-			b.pass(2 * departedSpan)
+			b.pass(2 * disconnectWindow)
 			b.end("r", 8)
 		}, 1},
 		{"a request that is not known", func(b *fixture) { b.end("r", 0) }, 0},
