--- a/core/quarantine/evidence.go
+++ b/core/quarantine/evidence.go
@@ -50,12 +50,12 @@
 
 // An evidence is what this instance's calls show of one end of a replica.
 type evidence struct {
-	at       clock.Instant // when it showed first
-	address  string
-	requests []crash.Fingerprint // whose calls were in flight; rising
-	ended    bool                // the replica's process is not there any more
-	asked    bool                // a Check was sent
-	seq      uint64              // of the report, 0 before there is one
+	at        clock.Instant // when it showed first
+	address   string
+	requests  []crash.Fingerprint // whose calls were in flight; rising
+	ended     bool                // the replica's process is not there any more
+	checkSent bool                // a Check was sent
+	seq       uint64              // of the report, 0 before there is one
 }
 
 // Severed notes that the connection of a request's call was ended by its replica, or by
@@ -163,10 +163,10 @@
 func (t *Tracker) check(now clock.Instant) {
 	for _, replica := range slices.SortedFunc(maps.Keys(t.evidence), pool.Incarnation.Compare) {
 		e := t.evidence[replica]
-		if e.ended || e.asked || now.Before(e.at.Add(checkDelay)) {
+		if e.ended || e.checkSent || now.Before(e.at.Add(checkDelay)) {
 			continue
 		}
-		e.asked = true
+		e.checkSent = true
 		t.Out.Emit(Check{Replica: replica, Address: e.address})
 	}
 }
