--- a/core/quarantine/evidence.go
+++ b/core/quarantine/evidence.go
@@ -68,7 +68,7 @@
 	e := t.evidenceOf(now, replica)
 	e.address = r.Address
 	if e.add(request) && e.ended {
-		t.report(now, replica, e)
+		t.reportCrash(now, replica, e)
 	}
 }
 
@@ -80,7 +80,7 @@
 	}
 	t.ReplicaEnded(now, replica)
 	if e := t.evidenceOf(now, replica); e.add(request) {
-		t.report(now, replica, e)
+		t.reportCrash(now, replica, e)
 	}
 }
 
@@ -129,7 +129,7 @@
 		}
 	}
 	if len(e.requests) > 0 {
-		t.report(now, replica, e)
+		t.reportCrash(now, replica, e)
 	}
 }
 
@@ -143,8 +143,8 @@
 	return e
 }
 
-// report tells all instances of the requests that were in flight.
-func (t *Tracker) report(now clock.Instant, replica pool.Incarnation, e *evidence) {
+// reportCrash tells all instances of the requests that were in flight.
+func (t *Tracker) reportCrash(now clock.Instant, replica pool.Incarnation, e *evidence) {
 	if e.seq == 0 {
 		t.seq++
 		e.seq = t.seq
