--- a/core/quarantine/evidence.go
+++ b/core/quarantine/evidence.go
@@ -159,8 +159,8 @@
 	t.news(now, true, t.ownSpacing(r))
 }
 
-// check looks for the replicas that severed calls a moment ago.
-func (t *Tracker) check(now clock.Instant) {
+// checkReplicas looks for the replicas that severed calls a moment ago.
+func (t *Tracker) checkReplicas(now clock.Instant) {
 	for _, replica := range slices.SortedFunc(maps.Keys(t.evidence), pool.Incarnation.Compare) {
 		e := t.evidence[replica]
 		if e.ended || e.checkSent || now.Before(e.at.Add(checkDelay)) {
--- a/core/quarantine/quarantine.go
+++ b/core/quarantine/quarantine.go
@@ -163,7 +163,7 @@
 
 // Tick does what is due.
 func (t *Tracker) Tick(now clock.Instant) {
-	t.check(now)
+	t.checkReplicas(now)
 	if due(now, t.judgeDue) {
 		t.judge(now)
 	}
