--- a/core/quarantine/quarantine.go
+++ b/core/quarantine/quarantine.go
@@ -130,8 +130,8 @@
 	}
 }
 
-// ownSpacing is how long after the last telling this instance tells of its own report.
-func (t *Tracker) ownSpacing(r crash.Report) time.Duration {
+// ownReportInterval is how long after the last telling this instance tells of its own report.
+func (t *Tracker) ownReportInterval(r crash.Report) time.Duration {
 	if t.Direct() || t.pressing(r) {
 		return tellEvery
 	}
