--- a/core/quarantine/quarantine.go
+++ b/core/quarantine/quarantine.go
@@ -118,7 +118,7 @@
 		if now.MaxElapsed(r.At) < memory && len(r.Requests) <= maxRequests && t.Records.AddCrash(from, r) {
 			t.suspect(r.Requests)
 			news = true
-			pressing = pressing || t.pressing(r)
+			pressing = pressing || t.urgent(r)
 		}
 	}
 	for _, s := range served {
@@ -132,15 +132,15 @@
 
 // ownReportInterval is how long after the last telling this instance tells of its own report.
 func (t *Tracker) ownReportInterval(r crash.Report) time.Duration {
-	if t.Direct() || t.pressing(r) {
+	if t.Direct() || t.urgent(r) {
 		return tellEvery
 	}
 	return tellEveryLarge
 }
 
-// pressing reports whether a request of the report may be blamed with it. Other news goes
+// urgent reports whether a request of the report may be blamed with it. Other news goes
 // its usual way, with the next exchanges.
-func (t *Tracker) pressing(r crash.Report) bool {
+func (t *Tracker) urgent(r crash.Report) bool {
 	return slices.ContainsFunc(r.Requests, t.suspected)
 }
 
