--- a/core/quarantine/evidence.go
+++ b/core/quarantine/evidence.go
@@ -156,7 +156,7 @@
 		EventTime: clock.EventTime{At: e.at},
 	}
 	t.Records.AddCrash("", r)
-	t.news(now, true, t.ownReportInterval(r))
+	t.scheduleUpdates(now, true, t.ownReportInterval(r))
 }
 
 // checkReplicas looks for the replicas that severed calls a moment ago.
--- a/core/quarantine/quarantine.go
+++ b/core/quarantine/quarantine.go
@@ -106,7 +106,7 @@
 		return
 	}
 	if t.Records.AddSuccess("", crash.Success{Request: request, EventTime: clock.EventTime{At: now}}) {
-		t.news(now, true, tellEvery)
+		t.scheduleUpdates(now, true, tellEvery)
 	}
 }
 
@@ -126,7 +126,7 @@
 		news = t.Records.AddSuccess(from, s) || news
 	}
 	if news {
-		t.news(now, pressing && !t.Direct(), tellEvery)
+		t.scheduleUpdates(now, pressing && !t.Direct(), tellEvery)
 	}
 }
 
@@ -144,9 +144,9 @@
 	return slices.ContainsFunc(r.Requests, t.suspected)
 }
 
-// news has what is new judged once it is settled, and told to others if it must be, at
+// scheduleUpdates has what is new judged once it is settled, and told to others if it must be, at
 // the earliest a spacing after the last telling.
-func (t *Tracker) news(now clock.Instant, tell bool, spacing time.Duration) {
+func (t *Tracker) scheduleUpdates(now clock.Instant, tell bool, spacing time.Duration) {
 	if t.judgeDue.IsZero() {
 		t.judgeDue = now.Add(settle)
 	}
