--- a/core/quarantine/evidence.go
+++ b/core/quarantine/evidence.go
@@ -150,7 +150,7 @@
 		e.seq = t.seq
 		t.Out.Log(logevent.UpstreamEnded, "upstream", replica.Name, "calls", len(e.requests))
 	}
-	t.suspect(e.requests)
+	t.addSuspects(e.requests)
 	r := crash.Report{
 		Observer: t.Self.Name, Boot: t.Self.Boot, Seq: e.seq, Replica: replica, Requests: slices.Clone(e.requests),
 		EventTime: clock.EventTime{At: e.at},
--- a/core/quarantine/quarantine.go
+++ b/core/quarantine/quarantine.go
@@ -116,7 +116,7 @@
 	for _, r := range reports {
 		r.EventTime = r.FromWire(now)
 		if now.MaxElapsed(r.At) < memory && len(r.Requests) <= maxRequests && t.Records.AddCrash(from, r) {
-			t.suspect(r.Requests)
+			t.addSuspects(r.Requests)
 			news = true
 			pressing = pressing || t.urgent(r)
 		}
@@ -155,7 +155,7 @@
 	}
 }
 
-func (t *Tracker) suspect(requests []crash.Fingerprint) {
+func (t *Tracker) addSuspects(requests []crash.Fingerprint) {
 	for _, r := range requests {
 		t.suspects[r] = true
 	}
@@ -186,7 +186,7 @@
 	if t.Records.PruneCrashes(now, memory, maxReports) {
 		clear(t.suspects)
 		for _, r := range t.Records.Crashes() {
-			t.suspect(r.Requests)
+			t.addSuspects(r.Requests)
 		}
 	}
 	t.pruneEvidence(now)
