--- a/core/quarantine/quarantine.go
+++ b/core/quarantine/quarantine.go
@@ -48,9 +48,9 @@
 	// decided is after how long what a call that was sent shows of its replica has been
 	// judged: the call's way and its run, a check and the reports.
 	decided = settle + 200*time.Millisecond
-	// tellEvery spaces the news of replicas that ended: all calls that were severed
+	// shareInterval spaces the news of replicas that ended: all calls that were severed
 	// together are told together, and ten times a second at most.
-	tellEvery = 100 * time.Millisecond
+	shareInterval = 100 * time.Millisecond
 	// tellEveryLarge is the same in a fleet whose instances pass news on to each other,
 	// for ends by which no request may be blamed yet: at tellEvery, exchanges fill links
 	// of 10 Mbit/s while replicas end.
@@ -106,7 +106,7 @@
 		return
 	}
 	if t.Records.AddSuccess("", crash.Success{Request: request, EventTime: clock.EventTime{At: now}}) {
-		t.scheduleUpdates(now, true, tellEvery)
+		t.scheduleUpdates(now, true, shareInterval)
 	}
 }
 
@@ -126,14 +126,14 @@
 		news = t.Records.AddSuccess(from, s) || news
 	}
 	if news {
-		t.scheduleUpdates(now, pressing && !t.Direct(), tellEvery)
+		t.scheduleUpdates(now, pressing && !t.Direct(), shareInterval)
 	}
 }
 
 // ownReportInterval is how long after the last telling this instance tells of its own report.
 func (t *Tracker) ownReportInterval(r crash.Report) time.Duration {
 	if t.Direct() || t.urgent(r) {
-		return tellEvery
+		return shareInterval
 	}
 	return tellEveryLarge
 }
--- a/core/quarantine/quarantine_test.go
+++ b/core/quarantine/quarantine_test.go
@@ -292,7 +292,7 @@
 		b.end(string(rune('b'+n)), bad)
 		b.pass(10 * time.Millisecond)
 	}
-	is.True(b.told <= 2+int(500*time.Millisecond/tellEvery))
+	is.True(b.told <= 2+int(500*time.Millisecond/shareInterval))
 	report := func(seq uint64) []crash.Report {
 		return []crash.Report{{Observer: "j", Seq: seq, Replica: life("x"), Requests: []crash.Fingerprint{8}}}
 	}
@@ -313,7 +313,7 @@
 		b.HandlePeerReports(b.now, "k", []crash.Report{report}, nil)
 		b.pass(10 * time.Millisecond)
 	}
-	b.pass(tellEvery)
+	b.pass(shareInterval)
 	is.True(b.told > before)
 	is.True(b.told <= before+2)
 	b.pass(2 * tellEveryLarge)
