--- a/core/quarantine/quarantine.go
+++ b/core/quarantine/quarantine.go
@@ -51,10 +51,10 @@
 	// shareInterval spaces the news of replicas that ended: all calls that were severed
 	// together are told together, and ten times a second at most.
 	shareInterval = 100 * time.Millisecond
-	// tellEveryLarge is the same in a fleet whose instances pass news on to each other,
+	// relayedShareInterval is the same in a fleet whose instances pass news on to each other,
 	// for ends by which no request may be blamed yet: at tellEvery, exchanges fill links
 	// of 10 Mbit/s while replicas end.
-	tellEveryLarge = time.Second
+	relayedShareInterval = time.Second
 	// pruneEvery spaces the looks for what is too old.
 	pruneEvery = time.Second
 )
@@ -135,7 +135,7 @@
 	if t.Direct() || t.urgent(r) {
 		return shareInterval
 	}
-	return tellEveryLarge
+	return relayedShareInterval
 }
 
 // urgent reports whether a request of the report may be blamed with it. Other news goes
--- a/core/quarantine/quarantine_test.go
+++ b/core/quarantine/quarantine_test.go
@@ -316,7 +316,7 @@
 	b.pass(shareInterval)
 	is.True(b.told > before)
 	is.True(b.told <= before+2)
-	b.pass(2 * tellEveryLarge)
+	b.pass(2 * relayedShareInterval)
 	before = b.told
 	for n := range 20 {
 		b.end("own"+string(rune('a'+n)), crash.Fingerprint(100+n)) // decides on no request
