--- a/core/quarantine/quarantine.go
+++ b/core/quarantine/quarantine.go
@@ -84,7 +84,7 @@
 	records     records
 
 	judgeDue clock.Instant // zero: nothing to judge
-	tellDue  clock.Instant // zero: nothing to tell
+	shareDue clock.Instant // zero: nothing to tell
 	toldAt   clock.Instant
 	pruneDue clock.Instant
 }
@@ -150,8 +150,8 @@
 	if t.judgeDue.IsZero() {
 		t.judgeDue = now.Add(settle)
 	}
-	if due := clock.Latest(now, t.toldAt.Add(spacing)); tell && (t.tellDue.IsZero() || due.Before(t.tellDue)) {
-		t.tellDue = due
+	if due := clock.Latest(now, t.toldAt.Add(spacing)); tell && (t.shareDue.IsZero() || due.Before(t.shareDue)) {
+		t.shareDue = due
 	}
 }
 
@@ -167,8 +167,8 @@
 	if due(now, t.judgeDue) {
 		t.judge(now)
 	}
-	if due(now, t.tellDue) {
-		t.tellDue = clock.Instant{}
+	if due(now, t.shareDue) {
+		t.shareDue = clock.Instant{}
 		t.toldAt = now
 		t.Tell(now)
 	}
