--- a/core/quarantine/quarantine.go
+++ b/core/quarantine/quarantine.go
@@ -85,7 +85,7 @@
 
 	judgeDue clock.Instant // zero: nothing to judge
 	shareDue clock.Instant // zero: nothing to tell
-	toldAt   clock.Instant
+	sharedAt clock.Instant
 	pruneDue clock.Instant
 }
 
@@ -150,7 +150,7 @@
 	if t.judgeDue.IsZero() {
 		t.judgeDue = now.Add(settle)
 	}
-	if due := clock.Latest(now, t.toldAt.Add(spacing)); tell && (t.shareDue.IsZero() || due.Before(t.shareDue)) {
+	if due := clock.Latest(now, t.sharedAt.Add(spacing)); tell && (t.shareDue.IsZero() || due.Before(t.shareDue)) {
 		t.shareDue = due
 	}
 }
@@ -169,7 +169,7 @@
 	}
 	if due(now, t.shareDue) {
 		t.shareDue = clock.Instant{}
-		t.toldAt = now
+		t.sharedAt = now
 		t.Tell(now)
 	}
 	t.record(now)
