--- a/core/quarantine/quarantine.go
+++ b/core/quarantine/quarantine.go
@@ -45,9 +45,9 @@
 	// by chance is blamed where the instance that had the other has not spoken yet:
 	// within the users' three seconds.
 	settle = 400 * time.Millisecond
-	// decided is after how long what a call that was sent shows of its replica has been
+	// verdictDelay is after how long what a call that was sent shows of its replica has been
 	// judged: the call's way and its run, a check and the reports.
-	decided = settle + 200*time.Millisecond
+	verdictDelay = settle + 200*time.Millisecond
 	// shareInterval spaces the news of replicas that ended: all calls that were severed
 	// together are told together, and ten times a second at most.
 	shareInterval = 100 * time.Millisecond
--- a/core/quarantine/quarantine_test.go
+++ b/core/quarantine/quarantine_test.go
@@ -404,8 +404,8 @@
 	}
 	is.Equal(len(pauses), len(names)) // no two at once
 	for pause := range pauses {
-		is.True(pause >= decided)
-		is.True(pause <= turns*decided)
+		is.True(pause >= verdictDelay)
+		is.True(pause <= turns*verdictDelay)
 	}
 }
 
--- a/core/quarantine/verdict.go
+++ b/core/quarantine/verdict.go
@@ -68,7 +68,7 @@
 	if !t.suspected(request) {
 		return 0
 	}
-	return time.Duration(t.turn(request)+1) * decided
+	return time.Duration(t.turn(request)+1) * verdictDelay
 }
 
 // suspected reports whether so many replicas ended under a request since it was last
