--- a/core/quarantine/quarantine.go
+++ b/core/quarantine/quarantine.go
@@ -40,14 +40,14 @@
 	// maxRequests bounds the requests of one report: twice the places of a large engine,
 	// all taken by one instance.
 	maxRequests = 128
-	// settle is how long reports of other instances may take to arrive, a check of
+	// settleTime is how long reports of other instances may take to arrive, a check of
 	// evidence and a few hops included. Judged earlier, a request that was in flight
 	// by chance is blamed where the instance that had the other has not spoken yet:
 	// within the users' three seconds.
-	settle = 400 * time.Millisecond
+	settleTime = 400 * time.Millisecond
 	// verdictDelay is after how long what a call that was sent shows of its replica has been
 	// judged: the call's way and its run, a check and the reports.
-	verdictDelay = settle + 200*time.Millisecond
+	verdictDelay = settleTime + 200*time.Millisecond
 	// shareInterval spaces the news of replicas that ended: all calls that were severed
 	// together are told together, and ten times a second at most.
 	shareInterval = 100 * time.Millisecond
@@ -148,7 +148,7 @@
 // the earliest a spacing after the last telling.
 func (t *Tracker) scheduleUpdates(now clock.Instant, tell bool, spacing time.Duration) {
 	if t.judgeDue.IsZero() {
-		t.judgeDue = now.Add(settle)
+		t.judgeDue = now.Add(settleTime)
 	}
 	if due := clock.Latest(now, t.sharedAt.Add(spacing)); tell && (t.shareDue.IsZero() || due.Before(t.shareDue)) {
 		t.shareDue = due
--- a/core/quarantine/quarantine_test.go
+++ b/core/quarantine/quarantine_test.go
@@ -237,7 +237,7 @@
 			}
 			is.True(b.Remaining(b.now, bad) > 0)
 			c.happens(b)
-			b.pass(2 * settle)
+			b.pass(2 * settleTime)
 			is.Equal(b.Remaining(b.now, bad) == 0, c.released)
 		})
 	}
@@ -271,7 +271,7 @@
 	is.Equal(len(next), 1)
 	is.Equal(next[0].Quarantine.Request, other)
 	b.Served(b.now, bad)
-	is.Equal(only[RemoveVerdict](b.pass(2*settle)), []RemoveVerdict{{Quarantine: registry.Quarantine{Request: bad, Replicas: 4}}})
+	is.Equal(only[RemoveVerdict](b.pass(2*settleTime)), []RemoveVerdict{{Quarantine: registry.Quarantine{Request: bad, Replicas: 4}}})
 
 	late := newFixture()
 	late.Restored(late.now, registry.Quarantine{Request: bad, Replicas: 3})
--- a/core/quarantine/verdict.go
+++ b/core/quarantine/verdict.go
@@ -107,7 +107,7 @@
 // judge blames requests for the ends that were reported, and releases those that
 // another one explains or that were served since.
 func (t *Tracker) judge(now clock.Instant) {
-	settled := now.Add(-settle)
+	settled := now.Add(-settleTime)
 	reports := t.Records.Crashes()
 	cases := crash.Blame(reports, t.Records.LastSuccess, t.limit, settled)
 	blamed := map[crash.Fingerprint]bool{}
@@ -126,7 +126,7 @@
 	}
 	t.judgeDue = clock.Instant{}
 	if slices.ContainsFunc(reports, func(r crash.Report) bool { return settled.Before(r.At) }) {
-		t.judgeDue = now.Add(settle)
+		t.judgeDue = now.Add(settleTime)
 	}
 }
 
