--- a/core/quarantine/quarantine.go
+++ b/core/quarantine/quarantine.go
@@ -30,9 +30,9 @@
 )
 
 const (
-	// memory is how long reports of replicas that ended count: a request that comes back
+	// reportRetention is how long reports of replicas that ended count: a request that comes back
 	// every few minutes is still found.
-	memory = 10 * time.Minute
+	reportRetention = 10 * time.Minute
 	// maxReports bounds the reports that are kept, the newest first; with maxRequests
 	// they take 1 MB at most: in a large fleet each replica that ends is reported by as
 	// many instances as it has places, so sixteen such ends.
@@ -115,7 +115,7 @@
 	news, pressing := false, false
 	for _, r := range reports {
 		r.EventTime = r.FromWire(now)
-		if now.MaxElapsed(r.At) < memory && len(r.Requests) <= maxRequests && t.Records.AddCrash(from, r) {
+		if now.MaxElapsed(r.At) < reportRetention && len(r.Requests) <= maxRequests && t.Records.AddCrash(from, r) {
 			t.addSuspects(r.Requests)
 			news = true
 			pressing = pressing || t.urgent(r)
@@ -183,7 +183,7 @@
 
 // prune forgets what is too old.
 func (t *Tracker) prune(now clock.Instant) {
-	if t.Records.PruneCrashes(now, memory, maxReports) {
+	if t.Records.PruneCrashes(now, reportRetention, maxReports) {
 		clear(t.suspects)
 		for _, r := range t.Records.Crashes() {
 			t.addSuspects(r.Requests)
