--- a/core/quarantine/quarantine.go
+++ b/core/quarantine/quarantine.go
@@ -165,7 +165,7 @@
 func (t *Tracker) Tick(now clock.Instant) {
 	t.checkReplicas(now)
 	if due(now, t.judgeDue) {
-		t.judge(now)
+		t.evaluate(now)
 	}
 	if due(now, t.shareDue) {
 		t.shareDue = clock.Instant{}
--- a/core/quarantine/quarantine_test.go
+++ b/core/quarantine/quarantine_test.go
@@ -375,7 +375,7 @@
 	x.flood(maxReports, 8)
 	b.ReportAllocs()
 	for b.Loop() {
-		x.judge(x.now)
+		x.evaluate(x.now)
 	}
 }
 
--- a/core/quarantine/verdict.go
+++ b/core/quarantine/verdict.go
@@ -104,9 +104,9 @@
 	return crash.MaxCrashes
 }
 
-// judge blames requests for the ends that were reported, and releases those that
+// evaluate blames requests for the ends that were reported, and releases those that
 // another one explains or that were served since.
-func (t *Tracker) judge(now clock.Instant) {
+func (t *Tracker) evaluate(now clock.Instant) {
 	settled := now.Add(-settleTime)
 	reports := t.Records.Crashes()
 	cases := crash.Blame(reports, t.Records.LastSuccess, t.limit, settled)
