--- a/core/quarantine/quarantine.go
+++ b/core/quarantine/quarantine.go
@@ -83,10 +83,10 @@
 	verdicts    map[crash.Fingerprint]*verdict
 	records     records
 
-	judgeDue clock.Instant // zero: nothing to judge
-	shareDue clock.Instant // zero: nothing to tell
-	sharedAt clock.Instant
-	pruneDue clock.Instant
+	evaluateDue clock.Instant // zero: nothing to judge
+	shareDue    clock.Instant // zero: nothing to tell
+	sharedAt    clock.Instant
+	pruneDue    clock.Instant
 }
 
 // New returns a tracker that knows of no request.
@@ -147,8 +147,8 @@
 // scheduleUpdates has what is new judged once it is settled, and told to others if it must be, at
 // the earliest a spacing after the last telling.
 func (t *Tracker) scheduleUpdates(now clock.Instant, tell bool, spacing time.Duration) {
-	if t.judgeDue.IsZero() {
-		t.judgeDue = now.Add(settleTime)
+	if t.evaluateDue.IsZero() {
+		t.evaluateDue = now.Add(settleTime)
 	}
 	if due := clock.Latest(now, t.sharedAt.Add(spacing)); tell && (t.shareDue.IsZero() || due.Before(t.shareDue)) {
 		t.shareDue = due
@@ -164,7 +164,7 @@
 // Tick does what is due.
 func (t *Tracker) Tick(now clock.Instant) {
 	t.checkReplicas(now)
-	if due(now, t.judgeDue) {
+	if due(now, t.evaluateDue) {
 		t.evaluate(now)
 	}
 	if due(now, t.shareDue) {
--- a/core/quarantine/verdict.go
+++ b/core/quarantine/verdict.go
@@ -124,9 +124,9 @@
 			t.release(request)
 		}
 	}
-	t.judgeDue = clock.Instant{}
+	t.evaluateDue = clock.Instant{}
 	if slices.ContainsFunc(reports, func(r crash.Report) bool { return settled.Before(r.At) }) {
-		t.judgeDue = now.Add(settleTime)
+		t.evaluateDue = now.Add(settleTime)
 	}
 }
 
