--- a/core/quarantine/quarantine_test.go
+++ b/core/quarantine/quarantine_test.go
@@ -171,14 +171,14 @@
 		b.pass(time.Second)
 	}
 	is.Equal(b.cut, []crash.Fingerprint{bad})
-	is.True(b.Remaining(b.now, bad) > firstTerm-2*time.Second)
-	is.True(b.Remaining(b.now, bad) <= firstTerm)
-	b.now = b.now.Add(firstTerm)
+	is.True(b.Remaining(b.now, bad) > initialTerm-2*time.Second)
+	is.True(b.Remaining(b.now, bad) <= initialTerm)
+	b.now = b.now.Add(initialTerm)
 	is.Equal(b.Remaining(b.now, bad), time.Duration(0))
 	b.end("d", bad)
 	b.pass(time.Second)
-	is.True(b.Remaining(b.now, bad) > 2*firstTerm-2*time.Second)
-	b.now = b.now.Add(4 * firstTerm)
+	is.True(b.Remaining(b.now, bad) > 2*initialTerm-2*time.Second)
+	b.now = b.now.Add(4 * initialTerm)
 	b.pass(2 * pruneEvery)
 	is.Equal(len(b.verdicts), 0)
 }
@@ -192,7 +192,7 @@
 		b.end(name, bad)
 		b.pass(time.Second)
 	}
-	b.now.Wall = b.now.Wall.Add(firstTerm)
+	b.now.Wall = b.now.Wall.Add(initialTerm)
 	is.Equal(b.Remaining(b.now, bad), time.Duration(0))
 }
 
--- a/core/quarantine/verdict.go
+++ b/core/quarantine/verdict.go
@@ -17,10 +17,10 @@
 // Which requests are not run, and for how long.
 
 const (
-	// firstTerm is how long a request is not run that is blamed for the first time:
+	// initialTerm is how long a request is not run that is blamed for the first time:
 	// replicas may have been mended by then, and a caller that tries again each
 	// second has been refused 600 times.
-	firstTerm = 10 * time.Minute
+	initialTerm = 10 * time.Minute
 	// longestTerm bounds the terms of a request that is blamed again and again, each of
 	// which is twice the one before.
 	longestTerm = 8 * time.Hour
@@ -137,7 +137,7 @@
 		v.judged = true
 		return
 	}
-	next := &verdict{since: now, term: firstTerm, replicas: len(c.Replicas), judged: true}
+	next := &verdict{since: now, term: initialTerm, replicas: len(c.Replicas), judged: true}
 	if v != nil {
 		next.term = min(2*v.term, longestTerm)
 	}
@@ -162,8 +162,8 @@
 	if t.Remaining(now, q.Request) > 0 || t.verdicts[q.Request] != nil {
 		return
 	}
-	t.impose(q.Request, &verdict{since: now, term: firstTerm, replicas: q.Replicas, recorded: true})
-	t.Out.Log(logevent.RequestQuarantined, "fingerprint", q.Request.String(), "source", "the store", "term", firstTerm.String())
+	t.impose(q.Request, &verdict{since: now, term: initialTerm, replicas: q.Replicas, recorded: true})
+	t.Out.Log(logevent.RequestQuarantined, "fingerprint", q.Request.String(), "source", "the store", "term", initialTerm.String())
 }
 
 func (t *Tracker) impose(request crash.Fingerprint, v *verdict) {
