--- a/core/quarantine/verdict.go
+++ b/core/quarantine/verdict.go
@@ -21,9 +21,9 @@
 	// replicas may have been mended by then, and a caller that tries again each
 	// second has been refused 600 times.
 	initialTerm = 10 * time.Minute
-	// longestTerm bounds the terms of a request that is blamed again and again, each of
+	// maxTerm bounds the terms of a request that is blamed again and again, each of
 	// which is twice the one before.
-	longestTerm = 8 * time.Hour
+	maxTerm = 8 * time.Hour
 	// turns is in how many turns the tries of a request are sent that may be blamed soon:
 	// the instances of a small site; in a large fleet several share one.
 	turns = 8
@@ -139,7 +139,7 @@
 	}
 	next := &verdict{since: now, term: initialTerm, replicas: len(c.Replicas), judged: true}
 	if v != nil {
-		next.term = min(2*v.term, longestTerm)
+		next.term = min(2*v.term, maxTerm)
 	}
 	if t.Stored && t.observed(c.Request) {
 		t.records.queue = append(t.records.queue, c.Request)
