--- a/core/quarantine/quarantine_test.go
+++ b/core/quarantine/quarantine_test.go
@@ -261,7 +261,7 @@
 	first := only[StoreVerdict](b.pass(time.Second))
 	is.Equal(len(first), 1)
 	is.Equal(first[0].Quarantine, registry.Quarantine{Request: bad, Replicas: 4})
-	is.True(first[0].Term <= longestLease)
+	is.True(first[0].Term <= maxLeaseTTL)
 	b.VerdictStored(b.now, VerdictStored{Request: bad, Err: errors.New("no answer")})
 	again := only[StoreVerdict](b.pass(2 * recordAgain))
 	is.Equal(len(again), 1)
--- a/core/quarantine/record.go
+++ b/core/quarantine/record.go
@@ -16,9 +16,9 @@
 // all start anew at once would let each request end three more replicas.
 
 const (
-	// longestLease bounds a record's lease: the longest that the users' platform
+	// maxLeaseTTL bounds a record's lease: the longest that the users' platform
 	// grants.
-	longestLease = 10 * time.Minute
+	maxLeaseTTL = 10 * time.Minute
 	// recordAgain is how long a write that failed is put off.
 	recordAgain = time.Second
 )
@@ -69,7 +69,7 @@
 	r.job.Begin(now)
 	t.Out.Emit(StoreVerdict{
 		Quarantine: registry.Quarantine{Request: request, Replicas: v.replicas},
-		Term:       min(v.left(now), longestLease),
+		Term:       min(v.left(now), maxLeaseTTL),
 	})
 }
 
