--- a/core/quarantine/quarantine_test.go
+++ b/core/quarantine/quarantine_test.go
@@ -263,7 +263,7 @@
 	is.Equal(first[0].Quarantine, registry.Quarantine{Request: bad, Replicas: 4})
 	is.True(first[0].Term <= maxLeaseTTL)
 	b.VerdictStored(b.now, VerdictStored{Request: bad, Err: errors.New("no answer")})
-	again := only[StoreVerdict](b.pass(2 * recordAgain))
+	again := only[StoreVerdict](b.pass(2 * recordRetryDelay))
 	is.Equal(len(again), 1)
 	is.Equal(again[0].Quarantine.Request, bad)
 	b.VerdictStored(b.now, VerdictStored{Request: bad})
--- a/core/quarantine/record.go
+++ b/core/quarantine/record.go
@@ -19,8 +19,8 @@
 	// maxLeaseTTL bounds a record's lease: the longest that the users' platform
 	// grants.
 	maxLeaseTTL = 10 * time.Minute
-	// recordAgain is how long a write that failed is put off.
-	recordAgain = time.Second
+	// recordRetryDelay is how long a write that failed is put off.
+	recordRetryDelay = time.Second
 )
 
 type (
@@ -77,7 +77,7 @@
 func (t *Tracker) VerdictStored(now clock.Instant, e VerdictStored) {
 	if e.Err != nil {
 		t.Out.Log(logevent.QuarantineNotKept, "fingerprint", e.Request.String(), "error", e.Err.Error())
-		t.records.job.End(now.Add(step.Jitter(t.Rand, recordAgain)))
+		t.records.job.End(now.Add(step.Jitter(t.Rand, recordRetryDelay)))
 		return
 	}
 	t.records.job.End(now)
