--- a/core/quarantine/quarantine.go
+++ b/core/quarantine/quarantine.go
@@ -172,7 +172,7 @@
 		t.sharedAt = now
 		t.Tell(now)
 	}
-	t.record(now)
+	t.writeNextRecord(now)
 	if !now.Before(t.pruneDue) {
 		t.pruneDue = now.Add(pruneEvery)
 		t.prune(now)
--- a/core/quarantine/record.go
+++ b/core/quarantine/record.go
@@ -55,8 +55,8 @@
 	queue []crash.Fingerprint // whose records are to be written, the oldest verdict first
 }
 
-// record writes the next verdict that is to be.
-func (t *Tracker) record(now clock.Instant) {
+// writeNextRecord writes the next verdict that is to be.
+func (t *Tracker) writeNextRecord(now clock.Instant) {
 	r := &t.records
 	for len(r.queue) > 0 && t.Remaining(now, r.queue[0]) == 0 {
 		r.queue = r.queue[1:] // it does not hold any more
