--- a/core/quarantine/record.go
+++ b/core/quarantine/record.go
@@ -102,8 +102,8 @@
 	}
 }
 
-// unrecord removes the record of a verdict that this instance wrote or read.
-func (t *Tracker) unrecord(v *verdict, request crash.Fingerprint) {
+// removeRecord removes the record of a verdict that this instance wrote or read.
+func (t *Tracker) removeRecord(v *verdict, request crash.Fingerprint) {
 	if v.recorded {
 		t.Out.Emit(RemoveVerdict{Quarantine: registry.Quarantine{Request: request, Replicas: v.replicas}})
 	}
--- a/core/quarantine/verdict.go
+++ b/core/quarantine/verdict.go
@@ -199,7 +199,7 @@
 // release has a request run again.
 func (t *Tracker) release(request crash.Fingerprint) {
 	t.Out.Log(logevent.RequestReleased, "fingerprint", request.String())
-	t.unrecord(t.verdicts[request], request)
+	t.removeRecord(t.verdicts[request], request)
 	delete(t.verdicts, request)
 	t.Pool.NoteCapacityChange()
 }
