--- a/core/quarantine/quarantine_test.go
+++ b/core/quarantine/quarantine_test.go
@@ -405,7 +405,7 @@
 	is.Equal(len(pauses), len(names)) // no two at once
 	for pause := range pauses {
 		is.True(pause >= verdictDelay)
-		is.True(pause <= turns*verdictDelay)
+		is.True(pause <= sendSlots*verdictDelay)
 	}
 }
 
--- a/core/quarantine/verdict.go
+++ b/core/quarantine/verdict.go
@@ -24,9 +24,9 @@
 	// maxTerm bounds the terms of a request that is blamed again and again, each of
 	// which is twice the one before.
 	maxTerm = 8 * time.Hour
-	// turns is in how many turns the tries of a request are sent that may be blamed soon:
+	// sendSlots is in how many sendSlots the tries of a request are sent that may be blamed soon:
 	// the instances of a small site; in a large fleet several share one.
-	turns = 8
+	sendSlots = 8
 	// maxVerdicts bounds the requests that are known, the newest first; they take
 	// 0.1 MB: three replicas end for each.
 	maxVerdicts = 1024
@@ -81,7 +81,7 @@
 }
 
 // turn returns in which turn this instance sends its tries of a request.
-func (t *Tracker) turn(request crash.Fingerprint) int { return t.before(request) % turns }
+func (t *Tracker) turn(request crash.Fingerprint) int { return t.before(request) % sendSlots }
 
 // before returns how many instances come before this one for a request.
 func (t *Tracker) before(request crash.Fingerprint) int {
