--- a/core/quarantine/verdict.go
+++ b/core/quarantine/verdict.go
@@ -68,7 +68,7 @@
 	if !t.suspected(request) {
 		return 0
 	}
-	return time.Duration(t.turn(request)+1) * verdictDelay
+	return time.Duration(t.sendSlot(request)+1) * verdictDelay
 }
 
 // suspected reports whether so many replicas ended under a request since it was last
@@ -80,8 +80,8 @@
 	return len(replicasUnder(request, t.Records.Crashes(), t.Records.LastSuccess(request))) >= crash.MaxCrashes
 }
 
-// turn returns in which turn this instance sends its tries of a request.
-func (t *Tracker) turn(request crash.Fingerprint) int { return t.before(request) % sendSlots }
+// sendSlot returns in which sendSlot this instance sends its tries of a request.
+func (t *Tracker) sendSlot(request crash.Fingerprint) int { return t.before(request) % sendSlots }
 
 // before returns how many instances come before this one for a request.
 func (t *Tracker) before(request crash.Fingerprint) int {
