--- a/core/quarantine/record.go
+++ b/core/quarantine/record.go
@@ -96,7 +96,7 @@
 		if v.left(now) == 0 || slices.Contains(t.records.queue, request) {
 			continue
 		}
-		if v.wrote || v.recorded && t.before(request) == 0 {
+		if v.wrote || v.recorded && t.position(request) == 0 {
 			t.records.queue = append(t.records.queue, request)
 		}
 	}
--- a/core/quarantine/verdict.go
+++ b/core/quarantine/verdict.go
@@ -81,10 +81,10 @@
 }
 
 // sendSlot returns in which sendSlot this instance sends its tries of a request.
-func (t *Tracker) sendSlot(request crash.Fingerprint) int { return t.before(request) % sendSlots }
+func (t *Tracker) sendSlot(request crash.Fingerprint) int { return t.position(request) % sendSlots }
 
-// before returns how many instances come before this one for a request.
-func (t *Tracker) before(request crash.Fingerprint) int {
+// position returns how many instances come position this one for a request.
+func (t *Tracker) position(request crash.Fingerprint) int {
 	key := rendezvous.Key(request.String())
 	own := rendezvous.Score(key, t.Self.Name)
 	before := 0
