--- a/core/quarantine/record.go
+++ b/core/quarantine/record.go
@@ -69,7 +69,7 @@
 	r.job.Begin(now)
 	t.Out.Emit(StoreVerdict{
 		Quarantine: registry.Quarantine{Request: request, Replicas: v.replicas},
-		Term:       min(v.left(now), maxLeaseTTL),
+		Term:       min(v.remaining(now), maxLeaseTTL),
 	})
 }
 
@@ -93,7 +93,7 @@
 func (t *Tracker) SteppedBack(now clock.Instant) {
 	for _, request := range slices.Sorted(maps.Keys(t.verdicts)) {
 		v := t.verdicts[request]
-		if v.left(now) == 0 || slices.Contains(t.records.queue, request) {
+		if v.remaining(now) == 0 || slices.Contains(t.records.queue, request) {
 			continue
 		}
 		if v.wrote || v.recorded && t.position(request) == 0 {
--- a/core/quarantine/verdict.go
+++ b/core/quarantine/verdict.go
@@ -42,8 +42,8 @@
 	recorded bool // this instance wrote its record in the platform's store, or read it there
 }
 
-// left returns for how long the request is not run, 0 if it may be.
-func (v *verdict) left(now clock.Instant) time.Duration {
+// remaining returns for how long the request is not run, 0 if it may be.
+func (v *verdict) remaining(now clock.Instant) time.Duration {
 	if v == nil {
 		return 0
 	}
@@ -56,7 +56,7 @@
 
 // Remaining returns for how long a request is not run, 0 if it may be.
 func (t *Tracker) Remaining(now clock.Instant, request crash.Fingerprint) time.Duration {
-	return t.verdicts[request].left(now)
+	return t.verdicts[request].remaining(now)
 }
 
 // SendDelay returns how long a call of a request waits before it is sent: 0, but for one
@@ -133,7 +133,7 @@
 // blame has a request not run from now on.
 func (t *Tracker) blame(now clock.Instant, c crash.Attribution) {
 	v := t.verdicts[c.Request]
-	if v.left(now) > 0 {
+	if v.remaining(now) > 0 {
 		v.judged = true
 		return
 	}
