--- a/core/quarantine/verdict.go
+++ b/core/quarantine/verdict.go
@@ -144,7 +144,7 @@
 	if t.Stored && t.observed(c.Request) {
 		t.records.queue = append(t.records.queue, c.Request)
 	}
-	t.impose(c.Request, next)
+	t.apply(c.Request, next)
 	t.Out.Log(logevent.RequestQuarantined, "fingerprint", c.Request.String(), "upstreams", names(c.Replicas), "term", next.term.String())
 }
 
@@ -162,11 +162,11 @@
 	if t.Remaining(now, q.Request) > 0 || t.verdicts[q.Request] != nil {
 		return
 	}
-	t.impose(q.Request, &verdict{since: now, term: initialTerm, replicas: q.Replicas, recorded: true})
+	t.apply(q.Request, &verdict{since: now, term: initialTerm, replicas: q.Replicas, recorded: true})
 	t.Out.Log(logevent.RequestQuarantined, "fingerprint", q.Request.String(), "source", "the store", "term", initialTerm.String())
 }
 
-func (t *Tracker) impose(request crash.Fingerprint, v *verdict) {
+func (t *Tracker) apply(request crash.Fingerprint, v *verdict) {
 	t.verdicts[request] = v
 	t.Cut(request, v.term)
 }
