--- a/core/quarantine/verdict.go
+++ b/core/quarantine/verdict.go
@@ -145,11 +145,11 @@
 		t.records.queue = append(t.records.queue, c.Request)
 	}
 	t.apply(c.Request, next)
-	t.Out.Log(logevent.RequestQuarantined, "fingerprint", c.Request.String(), "upstreams", names(c.Replicas), "term", next.term.String())
+	t.Out.Log(logevent.RequestQuarantined, "fingerprint", c.Request.String(), "upstreams", replicaNames(c.Replicas), "term", next.term.String())
 }
 
-// names returns what logs call replicas.
-func names(replicas []pool.Incarnation) []string {
+// replicaNames returns what logs call replicas.
+func replicaNames(replicas []pool.Incarnation) []string {
 	var out []string
 	for _, r := range replicas {
 		out = append(out, r.Name)
