--- a/core/quarantine/verdict.go
+++ b/core/quarantine/verdict.go
@@ -96,8 +96,8 @@
 	return before
 }
 
-// limit returns how many replicas must have ended under a request for it to be blamed.
-func (t *Tracker) limit(request crash.Fingerprint) int {
+// crashLimit returns how many replicas must have ended under a request for it to be blamed.
+func (t *Tracker) crashLimit(request crash.Fingerprint) int {
 	if t.verdicts[request] != nil {
 		return 1
 	}
@@ -109,7 +109,7 @@
 func (t *Tracker) evaluate(now clock.Instant) {
 	settled := now.Add(-settleTime)
 	reports := t.Records.Crashes()
-	cases := crash.Blame(reports, t.Records.LastSuccess, t.limit, settled)
+	cases := crash.Blame(reports, t.Records.LastSuccess, t.crashLimit, settled)
 	blamed := map[crash.Fingerprint]bool{}
 	explained := map[pool.Incarnation]bool{}
 	for _, c := range cases {
