--- a/core/quarantine/quarantine_test.go
+++ b/core/quarantine/quarantine_test.go
@@ -29,10 +29,10 @@
 	cut  []crash.Fingerprint
 }
 
-func newFixture() *fixture { return newFixtureOf("i") }
+func newFixture() *fixture { return newFixtureNamed("i") }
 
-// newFixtureOf returns the tracker of the instance with this name.
-func newFixtureOf(name string) *fixture {
+// newFixtureNamed returns the tracker of the instance with this name.
+func newFixtureNamed(name string) *fixture {
 	b := &fixture{now: clocktest.At(time.Hour)}
 	b.Tracker = New(Deps{
 		State:  shared.New(member.Identity{Name: name, Zone: "z", Boot: 1}, option.Default(), 1),
@@ -386,7 +386,7 @@
 	names := []string{"i", "j", "k", "l"}
 	pauses := map[time.Duration]bool{}
 	for _, self := range names {
-		b := newFixtureOf(self)
+		b := newFixtureNamed(self)
 		for _, other := range names {
 			b.Members.Upsert(other, "z", other)
 		}
@@ -413,7 +413,7 @@
 // one that comes first for the request, should the writer be gone; by no other.
 func TestRecordsAreWrittenAgainOnceTheStoreSteppedBack(t *testing.T) {
 	is := is.New(t)
-	writer := newFixtureOf("writer")
+	writer := newFixtureNamed("writer")
 	for _, name := range []string{"r1", "r2", "r3"} {
 		writer.end(name, bad)
 	}
@@ -426,7 +426,7 @@
 	rewrites := 0
 	names := []string{"i1", "i2", "i3", "i4"}
 	for _, name := range names {
-		reader := newFixtureOf(name)
+		reader := newFixtureNamed(name)
 		for _, peer := range names {
 			reader.Members.Upsert(peer, "z", peer)
 		}
