--- a/core/quarantine/quarantine_test.go
+++ b/core/quarantine/quarantine_test.go
@@ -53,8 +53,8 @@
 // life is the only life of a replica.
 func life(name string) pool.Incarnation { return pool.Incarnation{Name: name} }
 
-// pass lets time go by, with ticks, and returns the actions.
-func (b *fixture) pass(span time.Duration) []step.Action {
+// advance lets time go by, with ticks, and returns the actions.
+func (b *fixture) advance(span time.Duration) []step.Action {
 	b.Out.Reset()
 	for end := b.now.Add(span); b.now.Before(end); b.now = b.now.Add(10 * time.Millisecond) {
 		b.Tick(b.now)
@@ -97,12 +97,12 @@
 		}, 1},
 		{"severed, and a check finds nobody", func(b *fixture) {
 			b.Severed(b.now, bad, b.replica("r", false))
-			b.pass(2 * checkDelay)
+			b.advance(2 * checkDelay)
 			b.Checked(b.now, Checked{Replica: life("r"), Ended: true})
 		}, 1},
 		{"severed, and a check finds it", func(b *fixture) {
 			b.Severed(b.now, bad, b.replica("r", false))
-			b.pass(2 * checkDelay)
+			b.advance(2 * checkDelay)
 			b.Checked(b.now, Checked{Replica: life("r")})
 		}, 0},
 		{"severed, and nobody knows", func(b *fixture) { b.Severed(b.now, bad, b.replica("r", false)) }, 0},
@@ -113,22 +113,22 @@
 		}, 0},
 		{"it ended long after", func(b *fixture) {
 			b.Severed(b.now, bad, b.replica("r", false))
-			b.pass(2 * evidenceWindow)
+			b.advance(2 * evidenceWindow)
 			b.ReplicaEnded(b.now, life("r"))
 		}, 0},
 		{"its caller had just left", func(b *fixture) {
 			b.CallerDisconnected(b.now, bad, b.replica("r", false))
-			b.pass(100 * time.Millisecond)
+			b.advance(100 * time.Millisecond)
 			b.end("r", 8)
 		}, 2},
 		{"its caller had just left, and nothing else was there", func(b *fixture) {
 			b.CallerDisconnected(b.now, bad, b.replica("r", false))
-			b.pass(100 * time.Millisecond)
+			b.advance(100 * time.Millisecond)
 			b.ReplicaEnded(b.now, life("r"))
 		}, 1},
 		{"its caller had left long before", func(b *fixture) {
 			b.CallerDisconnected(b.now, bad, b.replica("r", false))
-			b.pass(2 * disconnectWindow)
+			b.advance(2 * disconnectWindow)
 			b.end("r", 8)
 		}, 1},
 		{"a request that is not known", func(b *fixture) { b.end("r", 0) }, 0},
@@ -157,7 +157,7 @@
 		b.Severed(b.now, request+1, r)
 	}
 	b.end("gone", bad)
-	is.Equal(only[Check](b.pass(time.Second)), []Check{{Replica: life("r"), Address: "r"}})
+	is.Equal(only[Check](b.advance(time.Second)), []Check{{Replica: life("r"), Address: "r"}})
 }
 
 // TestTerms: a request is not run for its term, then again until one more replica ends
@@ -168,7 +168,7 @@
 	for _, name := range []string{"a", "b", "c"} {
 		is.Equal(b.Remaining(b.now, bad), time.Duration(0))
 		b.end(name, bad)
-		b.pass(time.Second)
+		b.advance(time.Second)
 	}
 	is.Equal(b.cut, []crash.Fingerprint{bad})
 	is.True(b.Remaining(b.now, bad) > initialTerm-2*time.Second)
@@ -176,10 +176,10 @@
 	b.now = b.now.Add(initialTerm)
 	is.Equal(b.Remaining(b.now, bad), time.Duration(0))
 	b.end("d", bad)
-	b.pass(time.Second)
+	b.advance(time.Second)
 	is.True(b.Remaining(b.now, bad) > 2*initialTerm-2*time.Second)
 	b.now = b.now.Add(4 * initialTerm)
-	b.pass(2 * pruneEvery)
+	b.advance(2 * pruneEvery)
 	is.Equal(len(b.verdicts), 0)
 }
 
@@ -190,7 +190,7 @@
 	b := newFixture()
 	for _, name := range []string{"a", "b", "c"} {
 		b.end(name, bad)
-		b.pass(time.Second)
+		b.advance(time.Second)
 	}
 	b.now.Wall = b.now.Wall.Add(initialTerm)
 	is.Equal(b.Remaining(b.now, bad), time.Duration(0))
@@ -233,11 +233,11 @@
 			b := newFixture()
 			for _, name := range []string{"a", "b", "c"} {
 				b.end(name, bad)
-				b.pass(time.Second)
+				b.advance(time.Second)
 			}
 			is.True(b.Remaining(b.now, bad) > 0)
 			c.happens(b)
-			b.pass(2 * settleTime)
+			b.advance(2 * settleTime)
 			is.Equal(b.Remaining(b.now, bad) == 0, c.released)
 		})
 	}
@@ -253,31 +253,31 @@
 	for _, name := range []string{"a", "b", "c", "d"} {
 		b.end(name, bad)
 		b.end(name+"'", other)
-		b.pass(10 * time.Millisecond)
+		b.advance(10 * time.Millisecond)
 	}
 	b.Outage.Observe(b.now, errors.New("no answer"))
-	is.Equal(len(only[StoreVerdict](b.pass(time.Second))), 0)
+	is.Equal(len(only[StoreVerdict](b.advance(time.Second))), 0)
 	b.Outage.Observe(b.now, nil)
-	first := only[StoreVerdict](b.pass(time.Second))
+	first := only[StoreVerdict](b.advance(time.Second))
 	is.Equal(len(first), 1)
 	is.Equal(first[0].Quarantine, registry.Quarantine{Request: bad, Replicas: 4})
 	is.True(first[0].Term <= maxLeaseTTL)
 	b.VerdictStored(b.now, VerdictStored{Request: bad, Err: errors.New("no answer")})
-	again := only[StoreVerdict](b.pass(2 * recordRetryDelay))
+	again := only[StoreVerdict](b.advance(2 * recordRetryDelay))
 	is.Equal(len(again), 1)
 	is.Equal(again[0].Quarantine.Request, bad)
 	b.VerdictStored(b.now, VerdictStored{Request: bad})
-	next := only[StoreVerdict](b.pass(time.Second))
+	next := only[StoreVerdict](b.advance(time.Second))
 	is.Equal(len(next), 1)
 	is.Equal(next[0].Quarantine.Request, other)
 	b.Served(b.now, bad)
-	is.Equal(only[RemoveVerdict](b.pass(2*settleTime)), []RemoveVerdict{{Quarantine: registry.Quarantine{Request: bad, Replicas: 4}}})
+	is.Equal(only[RemoveVerdict](b.advance(2*settleTime)), []RemoveVerdict{{Quarantine: registry.Quarantine{Request: bad, Replicas: 4}}})
 
 	late := newFixture()
 	late.Restored(late.now, registry.Quarantine{Request: bad, Replicas: 3})
 	is.Equal(late.cut, []crash.Fingerprint{bad})
 	is.True(late.Remaining(late.now, bad) > 0)
-	is.Equal(len(only[StoreVerdict](late.pass(time.Second))), 0)
+	is.Equal(len(only[StoreVerdict](late.advance(time.Second))), 0)
 }
 
 // TestNewsIsTold: at once, a few times a second at most, and by whoever heard it only
@@ -290,37 +290,37 @@
 	is.Equal(b.told, 1)
 	for n := range 50 {
 		b.end(string(rune('b'+n)), bad)
-		b.pass(10 * time.Millisecond)
+		b.advance(10 * time.Millisecond)
 	}
 	is.True(b.told <= 2+int(500*time.Millisecond/shareInterval))
 	report := func(seq uint64) []crash.Report {
 		return []crash.Report{{Observer: "j", Seq: seq, Replica: life("x"), Requests: []crash.Fingerprint{8}}}
 	}
-	b.pass(time.Second)
+	b.advance(time.Second)
 	before := b.told
 	b.HandlePeerReports(b.now, "j", report(1), nil)
-	b.pass(time.Second)
+	b.advance(time.Second)
 	is.Equal(b.told, before)
 	b.Direct = func() bool { return false }
 	b.HandlePeerReports(b.now, "j", report(1), nil) // no news
-	b.pass(time.Second)
+	b.advance(time.Second)
 	is.Equal(b.told, before)
 	b.HandlePeerReports(b.now, "j", report(2), nil) // too few ends for the next to decide
-	b.pass(time.Second)
+	b.advance(time.Second)
 	is.Equal(b.told, before)
 	for seq := range uint64(4) {
 		report := crash.Report{Observer: "k", Seq: seq, Replica: life(string(rune('p' + seq))), Requests: []crash.Fingerprint{8}}
 		b.HandlePeerReports(b.now, "k", []crash.Report{report}, nil)
-		b.pass(10 * time.Millisecond)
+		b.advance(10 * time.Millisecond)
 	}
-	b.pass(shareInterval)
+	b.advance(shareInterval)
 	is.True(b.told > before)
 	is.True(b.told <= before+2)
-	b.pass(2 * relayedShareInterval)
+	b.advance(2 * relayedShareInterval)
 	before = b.told
 	for n := range 20 {
 		b.end("own"+string(rune('a'+n)), crash.Fingerprint(100+n)) // decides on no request
-		b.pass(10 * time.Millisecond)
+		b.advance(10 * time.Millisecond)
 	}
 	is.True(b.told > before)
 	is.True(b.told <= before+2)
@@ -336,7 +336,7 @@
 			inFlight = append(inFlight, next)
 		}
 		b.end("r"+clock.Instant{}.Add(time.Duration(n)).Mono.String(), inFlight...)
-		b.pass(10 * time.Millisecond)
+		b.advance(10 * time.Millisecond)
 	}
 }
 
@@ -346,7 +346,7 @@
 	is := is.New(t)
 	b := newFixture()
 	b.flood(maxReports+20, maxRequests+20)
-	b.pass(2 * pruneEvery)
+	b.advance(2 * pruneEvery)
 	is.True(len(b.Records.Crashes()) <= maxReports)
 	for _, r := range b.Records.Crashes() {
 		is.True(len(r.Requests) <= maxRequests)
@@ -358,13 +358,13 @@
 		b.now = b.now.Add(time.Millisecond)
 	}
 	is.True(len(b.disconnects[life("busy")]) <= maxRequests)
-	b.pass(evidenceWindow + 2*pruneEvery)
+	b.advance(evidenceWindow + 2*pruneEvery)
 	is.Equal(len(b.disconnects), 0)
 	is.True(len(b.evidence) <= maxReports)
 	for n := range crash.Fingerprint(2 * maxVerdicts) {
 		b.Restored(b.now, registry.Quarantine{Request: n + 1_000_000, Replicas: 3})
 	}
-	b.pass(2 * pruneEvery)
+	b.advance(2 * pruneEvery)
 	is.Equal(len(b.verdicts), maxVerdicts)
 }
 
@@ -417,11 +417,11 @@
 	for _, name := range []string{"r1", "r2", "r3"} {
 		writer.end(name, bad)
 	}
-	is.Equal(len(only[StoreVerdict](writer.pass(2*time.Second))), 1)
+	is.Equal(len(only[StoreVerdict](writer.advance(2*time.Second))), 1)
 	writer.VerdictStored(writer.now, VerdictStored{Request: bad})
-	is.Equal(len(only[StoreVerdict](writer.pass(2*time.Second))), 0)
+	is.Equal(len(only[StoreVerdict](writer.advance(2*time.Second))), 0)
 	writer.SteppedBack(writer.now)
-	is.Equal(len(only[StoreVerdict](writer.pass(2*time.Second))), 1)
+	is.Equal(len(only[StoreVerdict](writer.advance(2*time.Second))), 1)
 
 	rewrites := 0
 	names := []string{"i1", "i2", "i3", "i4"}
@@ -432,7 +432,7 @@
 		}
 		reader.Restored(reader.now, registry.Quarantine{Request: bad, Replicas: 3})
 		reader.SteppedBack(reader.now)
-		rewrites += len(only[StoreVerdict](reader.pass(2 * time.Second)))
+		rewrites += len(only[StoreVerdict](reader.advance(2 * time.Second)))
 	}
 	is.Equal(rewrites, 1)
 }
