--- a/core/quarantine/quarantine_test.go
+++ b/core/quarantine/quarantine_test.go
@@ -62,8 +62,8 @@
 	return b.Out.Actions()
 }
 
-// end has a replica end under requests.
-func (b *fixture) end(name string, requests ...crash.Fingerprint) {
+// crash has a replica crash under requests.
+func (b *fixture) crash(name string, requests ...crash.Fingerprint) {
 	r := b.replica(name, false)
 	for _, request := range requests {
 		b.Severed(b.now, request, r)
@@ -89,7 +89,7 @@
 		happens func(b *fixture)
 		want    int // requests reported
 	}{
-		{"severed, and nothing listens there", func(b *fixture) { b.end("r", bad, 8) }, 2},
+		{"severed, and nothing listens there", func(b *fixture) { b.crash("r", bad, 8) }, 2},
 		{"nothing listens, then severed", func(b *fixture) {
 			r := b.replica("r", false)
 			b.ReplicaEnded(b.now, life("r"))
@@ -119,7 +119,7 @@
 		{"its caller had just left", func(b *fixture) {
 			b.CallerDisconnected(b.now, bad, b.replica("r", false))
 			b.advance(100 * time.Millisecond)
-			b.end("r", 8)
+			b.crash("r", 8)
 		}, 2},
 		{"its caller had just left, and nothing else was there", func(b *fixture) {
 			b.CallerDisconnected(b.now, bad, b.replica("r", false))
@@ -129,9 +129,9 @@
 		{"its caller had left long before", func(b *fixture) {
 			b.CallerDisconnected(b.now, bad, b.replica("r", false))
 			b.advance(2 * disconnectWindow)
-			b.end("r", 8)
+			b.crash("r", 8)
 		}, 1},
-		{"a request that is not known", func(b *fixture) { b.end("r", 0) }, 0},
+		{"a request that is not known", func(b *fixture) { b.crash("r", 0) }, 0},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -156,7 +156,7 @@
 	for request := range crash.Fingerprint(20) {
 		b.Severed(b.now, request+1, r)
 	}
-	b.end("gone", bad)
+	b.crash("gone", bad)
 	is.Equal(only[Check](b.advance(time.Second)), []Check{{Replica: life("r"), Address: "r"}})
 }
 
@@ -167,7 +167,7 @@
 	b := newFixture()
 	for _, name := range []string{"a", "b", "c"} {
 		is.Equal(b.Remaining(b.now, bad), time.Duration(0))
-		b.end(name, bad)
+		b.crash(name, bad)
 		b.advance(time.Second)
 	}
 	is.Equal(b.cut, []crash.Fingerprint{bad})
@@ -175,7 +175,7 @@
 	is.True(b.Remaining(b.now, bad) <= initialTerm)
 	b.now = b.now.Add(initialTerm)
 	is.Equal(b.Remaining(b.now, bad), time.Duration(0))
-	b.end("d", bad)
+	b.crash("d", bad)
 	b.advance(time.Second)
 	is.True(b.Remaining(b.now, bad) > 2*initialTerm-2*time.Second)
 	b.now = b.now.Add(4 * initialTerm)
@@ -189,7 +189,7 @@
 	is := is.New(t)
 	b := newFixture()
 	for _, name := range []string{"a", "b", "c"} {
-		b.end(name, bad)
+		b.crash(name, bad)
 		b.advance(time.Second)
 	}
 	b.now.Wall = b.now.Wall.Add(initialTerm)
@@ -232,7 +232,7 @@
 			is := is.New(t)
 			b := newFixture()
 			for _, name := range []string{"a", "b", "c"} {
-				b.end(name, bad)
+				b.crash(name, bad)
 				b.advance(time.Second)
 			}
 			is.True(b.Remaining(b.now, bad) > 0)
@@ -251,8 +251,8 @@
 	b := newFixture()
 	const other = crash.Fingerprint(9)
 	for _, name := range []string{"a", "b", "c", "d"} {
-		b.end(name, bad)
-		b.end(name+"'", other)
+		b.crash(name, bad)
+		b.crash(name+"'", other)
 		b.advance(10 * time.Millisecond)
 	}
 	b.Outage.Observe(b.now, errors.New("no answer"))
@@ -285,11 +285,11 @@
 func TestNewsIsTold(t *testing.T) {
 	is := is.New(t)
 	b := newFixture()
-	b.end("a", bad)
+	b.crash("a", bad)
 	b.Tick(b.now)
 	is.Equal(b.told, 1)
 	for n := range 50 {
-		b.end(string(rune('b'+n)), bad)
+		b.crash(string(rune('b'+n)), bad)
 		b.advance(10 * time.Millisecond)
 	}
 	is.True(b.told <= 2+int(500*time.Millisecond/shareInterval))
@@ -319,7 +319,7 @@
 	b.advance(2 * relayedShareInterval)
 	before = b.told
 	for n := range 20 {
-		b.end("own"+string(rune('a'+n)), crash.Fingerprint(100+n)) // decides on no request
+		b.crash("own"+string(rune('a'+n)), crash.Fingerprint(100+n)) // decides on no request
 		b.advance(10 * time.Millisecond)
 	}
 	is.True(b.told > before)
@@ -335,7 +335,7 @@
 			next++
 			inFlight = append(inFlight, next)
 		}
-		b.end("r"+clock.Instant{}.Add(time.Duration(n)).Mono.String(), inFlight...)
+		b.crash("r"+clock.Instant{}.Add(time.Duration(n)).Mono.String(), inFlight...)
 		b.advance(10 * time.Millisecond)
 	}
 }
@@ -391,11 +391,11 @@
 			b.Members.Upsert(other, "z", other)
 		}
 		for _, name := range []string{"a", "b"} {
-			b.end(name, bad, 8)
+			b.crash(name, bad, 8)
 		}
 		is.Equal(b.SendDelay(bad), time.Duration(0))
-		b.end("c", bad, 8)
-		b.end("d", 8)
+		b.crash("c", bad, 8)
+		b.crash("d", 8)
 		is.Equal(b.SendDelay(bad), b.SendDelay(bad))
 		is.Equal(b.SendDelay(9), time.Duration(0))
 		pauses[b.SendDelay(bad)] = true
@@ -415,7 +415,7 @@
 	is := is.New(t)
 	writer := newFixtureNamed("writer")
 	for _, name := range []string{"r1", "r2", "r3"} {
-		writer.end(name, bad)
+		writer.crash(name, bad)
 	}
 	is.Equal(len(only[StoreVerdict](writer.advance(2*time.Second))), 1)
 	writer.VerdictStored(writer.now, VerdictStored{Request: bad})
