--- a/core/quarantine/quarantine_test.go
+++ b/core/quarantine/quarantine_test.go
@@ -24,9 +24,9 @@
 // A fixture is a tracker with what it does.
 type fixture struct {
 	*Tracker
-	now  clock.Instant
-	told int
-	cut  []crash.Fingerprint
+	now       clock.Instant
+	exchanges int
+	cut       []crash.Fingerprint
 }
 
 func newFixture() *fixture { return newFixtureNamed("i") }
@@ -37,7 +37,7 @@
 	b.Tracker = New(Deps{
 		State:  shared.New(member.Identity{Name: name, Zone: "z", Boot: 1}, option.Default(), 1),
 		Stored: true,
-		Tell:   func(clock.Instant) { b.told++ },
+		Tell:   func(clock.Instant) { b.exchanges++ },
 		Direct: func() bool { return true },
 		Cut:    func(r crash.Fingerprint, _ time.Duration) { b.cut = append(b.cut, r) },
 	})
@@ -287,43 +287,43 @@
 	b := newFixture()
 	b.crash("a", bad)
 	b.Tick(b.now)
-	is.Equal(b.told, 1)
+	is.Equal(b.exchanges, 1)
 	for n := range 50 {
 		b.crash(string(rune('b'+n)), bad)
 		b.advance(10 * time.Millisecond)
 	}
-	is.True(b.told <= 2+int(500*time.Millisecond/shareInterval))
+	is.True(b.exchanges <= 2+int(500*time.Millisecond/shareInterval))
 	report := func(seq uint64) []crash.Report {
 		return []crash.Report{{Observer: "j", Seq: seq, Replica: life("x"), Requests: []crash.Fingerprint{8}}}
 	}
 	b.advance(time.Second)
-	before := b.told
+	before := b.exchanges
 	b.HandlePeerReports(b.now, "j", report(1), nil)
 	b.advance(time.Second)
-	is.Equal(b.told, before)
+	is.Equal(b.exchanges, before)
 	b.Direct = func() bool { return false }
 	b.HandlePeerReports(b.now, "j", report(1), nil) // no news
 	b.advance(time.Second)
-	is.Equal(b.told, before)
+	is.Equal(b.exchanges, before)
 	b.HandlePeerReports(b.now, "j", report(2), nil) // too few ends for the next to decide
 	b.advance(time.Second)
-	is.Equal(b.told, before)
+	is.Equal(b.exchanges, before)
 	for seq := range uint64(4) {
 		report := crash.Report{Observer: "k", Seq: seq, Replica: life(string(rune('p' + seq))), Requests: []crash.Fingerprint{8}}
 		b.HandlePeerReports(b.now, "k", []crash.Report{report}, nil)
 		b.advance(10 * time.Millisecond)
 	}
 	b.advance(shareInterval)
-	is.True(b.told > before)
-	is.True(b.told <= before+2)
+	is.True(b.exchanges > before)
+	is.True(b.exchanges <= before+2)
 	b.advance(2 * relayedShareInterval)
-	before = b.told
+	before = b.exchanges
 	for n := range 20 {
 		b.crash("own"+string(rune('a'+n)), crash.Fingerprint(100+n)) // decides on no request
 		b.advance(10 * time.Millisecond)
 	}
-	is.True(b.told > before)
-	is.True(b.told <= before+2)
+	is.True(b.exchanges > before)
+	is.True(b.exchanges <= before+2)
 }
 
 // flood has many replicas end, each with so many requests of its own and a bad one.
