--- a/core/quarantine/quarantine_test.go
+++ b/core/quarantine/quarantine_test.go
@@ -26,7 +26,7 @@
 	*Tracker
 	now       clock.Instant
 	exchanges int
-	cut       []crash.Fingerprint
+	cancelled []crash.Fingerprint
 }
 
 func newFixture() *fixture { return newFixtureNamed("i") }
@@ -39,7 +39,7 @@
 		Stored: true,
 		Tell:   func(clock.Instant) { b.exchanges++ },
 		Direct: func() bool { return true },
-		Cut:    func(r crash.Fingerprint, _ time.Duration) { b.cut = append(b.cut, r) },
+		Cut:    func(r crash.Fingerprint, _ time.Duration) { b.cancelled = append(b.cancelled, r) },
 	})
 	return b
 }
@@ -170,7 +170,7 @@
 		b.crash(name, bad)
 		b.advance(time.Second)
 	}
-	is.Equal(b.cut, []crash.Fingerprint{bad})
+	is.Equal(b.cancelled, []crash.Fingerprint{bad})
 	is.True(b.Remaining(b.now, bad) > initialTerm-2*time.Second)
 	is.True(b.Remaining(b.now, bad) <= initialTerm)
 	b.now = b.now.Add(initialTerm)
@@ -275,7 +275,7 @@
 
 	late := newFixture()
 	late.Restored(late.now, registry.Quarantine{Request: bad, Replicas: 3})
-	is.Equal(late.cut, []crash.Fingerprint{bad})
+	is.Equal(late.cancelled, []crash.Fingerprint{bad})
 	is.True(late.Remaining(late.now, bad) > 0)
 	is.Equal(len(only[StoreVerdict](late.advance(time.Second))), 0)
 }
