--- a/core/quarantine/quarantine_test.go
+++ b/core/quarantine/quarantine_test.go
@@ -326,8 +326,8 @@
 	is.True(b.exchanges <= before+2)
 }
 
-// flood has many replicas end, each with so many requests of its own and a bad one.
-func (b *fixture) flood(replicas, requests int) {
+// crashMany has many replicas end, each with so many requests of its own and a bad one.
+func (b *fixture) crashMany(replicas, requests int) {
 	next := crash.Fingerprint(1000)
 	for n := range replicas {
 		inFlight := []crash.Fingerprint{bad + crash.Fingerprint(n/crash.MaxCrashes)}
@@ -345,7 +345,7 @@
 func TestAFloodIsBounded(t *testing.T) {
 	is := is.New(t)
 	b := newFixture()
-	b.flood(maxReports+20, maxRequests+20)
+	b.crashMany(maxReports+20, maxRequests+20)
 	b.advance(2 * pruneEvery)
 	is.True(len(b.Records.Crashes()) <= maxReports)
 	for _, r := range b.Records.Crashes() {
@@ -372,7 +372,7 @@
 // instance of a small site has in flight at a busy engine.
 func BenchmarkJudge(b *testing.B) {
 	x := newFixture()
-	x.flood(maxReports, 8)
+	x.crashMany(maxReports, 8)
 	b.ReportAllocs()
 	for b.Loop() {
 		x.evaluate(x.now)
