--- a/core/quarantine/quarantine_test.go
+++ b/core/quarantine/quarantine_test.go
@@ -50,8 +50,8 @@
 	return b.Pool.Get(name)
 }
 
-// life is the only life of a replica.
-func life(name string) pool.Incarnation { return pool.Incarnation{Name: name} }
+// incarnation is the only incarnation of a replica.
+func incarnation(name string) pool.Incarnation { return pool.Incarnation{Name: name} }
 
 // advance lets time go by, with ticks, and returns the actions.
 func (b *fixture) advance(span time.Duration) []step.Action {
@@ -68,7 +68,7 @@
 	for _, request := range requests {
 		b.Severed(b.now, request, r)
 	}
-	b.ReplicaEnded(b.now, life(name))
+	b.ReplicaEnded(b.now, incarnation(name))
 }
 
 func only[T step.Action](actions []step.Action) []T {
@@ -92,29 +92,29 @@
 		{"severed, and nothing listens there", func(b *fixture) { b.crash("r", bad, 8) }, 2},
 		{"nothing listens, then severed", func(b *fixture) {
 			r := b.replica("r", false)
-			b.ReplicaEnded(b.now, life("r"))
+			b.ReplicaEnded(b.now, incarnation("r"))
 			b.Severed(b.now, bad, r)
 		}, 1},
 		{"severed, and a check finds nobody", func(b *fixture) {
 			b.Severed(b.now, bad, b.replica("r", false))
 			b.advance(2 * checkDelay)
-			b.Checked(b.now, Checked{Replica: life("r"), Ended: true})
+			b.Checked(b.now, Checked{Replica: incarnation("r"), Ended: true})
 		}, 1},
 		{"severed, and a check finds it", func(b *fixture) {
 			b.Severed(b.now, bad, b.replica("r", false))
 			b.advance(2 * checkDelay)
-			b.Checked(b.now, Checked{Replica: life("r")})
+			b.Checked(b.now, Checked{Replica: incarnation("r")})
 		}, 0},
 		{"severed, and nobody knows", func(b *fixture) { b.Severed(b.now, bad, b.replica("r", false)) }, 0},
-		{"nothing listens, and nothing was severed", func(b *fixture) { b.ReplicaEnded(b.now, life("r")) }, 0},
+		{"nothing listens, and nothing was severed", func(b *fixture) { b.ReplicaEnded(b.now, incarnation("r")) }, 0},
 		{"it had said that it leaves", func(b *fixture) {
 			b.Severed(b.now, bad, b.replica("r", true))
-			b.ReplicaEnded(b.now, life("r"))
+			b.ReplicaEnded(b.now, incarnation("r"))
 		}, 0},
 		{"it ended long after", func(b *fixture) {
 			b.Severed(b.now, bad, b.replica("r", false))
 			b.advance(2 * evidenceWindow)
-			b.ReplicaEnded(b.now, life("r"))
+			b.ReplicaEnded(b.now, incarnation("r"))
 		}, 0},
 		{"its caller had just left", func(b *fixture) {
 			b.CallerDisconnected(b.now, bad, b.replica("r", false))
@@ -124,7 +124,7 @@
 		{"its caller had just left, and nothing else was there", func(b *fixture) {
 			b.CallerDisconnected(b.now, bad, b.replica("r", false))
 			b.advance(100 * time.Millisecond)
-			b.ReplicaEnded(b.now, life("r"))
+			b.ReplicaEnded(b.now, incarnation("r"))
 		}, 1},
 		{"its caller had left long before", func(b *fixture) {
 			b.CallerDisconnected(b.now, bad, b.replica("r", false))
@@ -157,7 +157,7 @@
 		b.Severed(b.now, request+1, r)
 	}
 	b.crash("gone", bad)
-	is.Equal(only[Check](b.advance(time.Second)), []Check{{Replica: life("r"), Address: "r"}})
+	is.Equal(only[Check](b.advance(time.Second)), []Check{{Replica: incarnation("r"), Address: "r"}})
 }
 
 // TestTerms: a request is not run for its term, then again until one more replica ends
@@ -212,7 +212,7 @@
 			var late []crash.Report
 			for n, replica := range []string{"a", "b", "c", "d"} {
 				late = append(late, crash.Report{
-					Observer: "j", Seq: uint64(n), Replica: life(replica), Requests: []crash.Fingerprint{8}, EventTime: clock.EventTime{Age: time.Duration(3-n) * time.Second},
+					Observer: "j", Seq: uint64(n), Replica: incarnation(replica), Requests: []crash.Fingerprint{8}, EventTime: clock.EventTime{Age: time.Duration(3-n) * time.Second},
 				})
 			}
 			b.HandlePeerReports(b.now, "j", late, nil)
@@ -221,7 +221,7 @@
 			var late []crash.Report
 			for n, replica := range []string{"a", "b", "c"} {
 				late = append(late, crash.Report{
-					Observer: "j", Seq: uint64(n), Replica: life(replica), Requests: []crash.Fingerprint{8}, EventTime: clock.EventTime{Age: time.Duration(3-n) * time.Second},
+					Observer: "j", Seq: uint64(n), Replica: incarnation(replica), Requests: []crash.Fingerprint{8}, EventTime: clock.EventTime{Age: time.Duration(3-n) * time.Second},
 				})
 			}
 			b.HandlePeerReports(b.now, "j", late, nil)
@@ -294,7 +294,7 @@
 	}
 	is.True(b.exchanges <= 2+int(500*time.Millisecond/shareInterval))
 	report := func(seq uint64) []crash.Report {
-		return []crash.Report{{Observer: "j", Seq: seq, Replica: life("x"), Requests: []crash.Fingerprint{8}}}
+		return []crash.Report{{Observer: "j", Seq: seq, Replica: incarnation("x"), Requests: []crash.Fingerprint{8}}}
 	}
 	b.advance(time.Second)
 	before := b.exchanges
@@ -309,7 +309,7 @@
 	b.advance(time.Second)
 	is.Equal(b.exchanges, before)
 	for seq := range uint64(4) {
-		report := crash.Report{Observer: "k", Seq: seq, Replica: life(string(rune('p' + seq))), Requests: []crash.Fingerprint{8}}
+		report := crash.Report{Observer: "k", Seq: seq, Replica: incarnation(string(rune('p' + seq))), Requests: []crash.Fingerprint{8}}
 		b.HandlePeerReports(b.now, "k", []crash.Report{report}, nil)
 		b.advance(10 * time.Millisecond)
 	}
@@ -357,7 +357,7 @@
 		b.CallerDisconnected(b.now, n+1, busy)
 		b.now = b.now.Add(time.Millisecond)
 	}
-	is.True(len(b.disconnects[life("busy")]) <= maxRequests)
+	is.True(len(b.disconnects[incarnation("busy")]) <= maxRequests)
 	b.advance(evidenceWindow + 2*pruneEvery)
 	is.Equal(len(b.disconnects), 0)
 	is.True(len(b.evidence) <= maxReports)
