--- a/core/quarantine/quarantine_test.go
+++ b/core/quarantine/quarantine_test.go
@@ -71,7 +71,7 @@
 	b.ReplicaEnded(b.now, incarnation(name))
 }
 
-func only[T step.Action](actions []step.Action) []T {
+func actionsOf[T step.Action](actions []step.Action) []T {
 	var out []T
 	for _, a := range actions {
 		if x, ok := a.(T); ok {
@@ -157,7 +157,7 @@
 		b.Severed(b.now, request+1, r)
 	}
 	b.crash("gone", bad)
-	is.Equal(only[Check](b.advance(time.Second)), []Check{{Replica: incarnation("r"), Address: "r"}})
+	is.Equal(actionsOf[Check](b.advance(time.Second)), []Check{{Replica: incarnation("r"), Address: "r"}})
 }
 
 // TestTerms: a request is not run for its term, then again until one more replica ends
@@ -256,28 +256,28 @@
 		b.advance(10 * time.Millisecond)
 	}
 	b.Outage.Observe(b.now, errors.New("no answer"))
-	is.Equal(len(only[StoreVerdict](b.advance(time.Second))), 0)
+	is.Equal(len(actionsOf[StoreVerdict](b.advance(time.Second))), 0)
 	b.Outage.Observe(b.now, nil)
-	first := only[StoreVerdict](b.advance(time.Second))
+	first := actionsOf[StoreVerdict](b.advance(time.Second))
 	is.Equal(len(first), 1)
 	is.Equal(first[0].Quarantine, registry.Quarantine{Request: bad, Replicas: 4})
 	is.True(first[0].Term <= maxLeaseTTL)
 	b.VerdictStored(b.now, VerdictStored{Request: bad, Err: errors.New("no answer")})
-	again := only[StoreVerdict](b.advance(2 * recordRetryDelay))
+	again := actionsOf[StoreVerdict](b.advance(2 * recordRetryDelay))
 	is.Equal(len(again), 1)
 	is.Equal(again[0].Quarantine.Request, bad)
 	b.VerdictStored(b.now, VerdictStored{Request: bad})
-	next := only[StoreVerdict](b.advance(time.Second))
+	next := actionsOf[StoreVerdict](b.advance(time.Second))
 	is.Equal(len(next), 1)
 	is.Equal(next[0].Quarantine.Request, other)
 	b.Served(b.now, bad)
-	is.Equal(only[RemoveVerdict](b.advance(2*settleTime)), []RemoveVerdict{{Quarantine: registry.Quarantine{Request: bad, Replicas: 4}}})
+	is.Equal(actionsOf[RemoveVerdict](b.advance(2*settleTime)), []RemoveVerdict{{Quarantine: registry.Quarantine{Request: bad, Replicas: 4}}})
 
 	late := newFixture()
 	late.Restored(late.now, registry.Quarantine{Request: bad, Replicas: 3})
 	is.Equal(late.cancelled, []crash.Fingerprint{bad})
 	is.True(late.Remaining(late.now, bad) > 0)
-	is.Equal(len(only[StoreVerdict](late.advance(time.Second))), 0)
+	is.Equal(len(actionsOf[StoreVerdict](late.advance(time.Second))), 0)
 }
 
 // TestNewsIsTold: at once, a few times a second at most, and by whoever heard it only
@@ -417,11 +417,11 @@
 	for _, name := range []string{"r1", "r2", "r3"} {
 		writer.crash(name, bad)
 	}
-	is.Equal(len(only[StoreVerdict](writer.advance(2*time.Second))), 1)
+	is.Equal(len(actionsOf[StoreVerdict](writer.advance(2*time.Second))), 1)
 	writer.VerdictStored(writer.now, VerdictStored{Request: bad})
-	is.Equal(len(only[StoreVerdict](writer.advance(2*time.Second))), 0)
+	is.Equal(len(actionsOf[StoreVerdict](writer.advance(2*time.Second))), 0)
 	writer.SteppedBack(writer.now)
-	is.Equal(len(only[StoreVerdict](writer.advance(2*time.Second))), 1)
+	is.Equal(len(actionsOf[StoreVerdict](writer.advance(2*time.Second))), 1)
 
 	rewrites := 0
 	names := []string{"i1", "i2", "i3", "i4"}
@@ -432,7 +432,7 @@
 		}
 		reader.Restored(reader.now, registry.Quarantine{Request: bad, Replicas: 3})
 		reader.SteppedBack(reader.now)
-		rewrites += len(only[StoreVerdict](reader.advance(2 * time.Second)))
+		rewrites += len(actionsOf[StoreVerdict](reader.advance(2 * time.Second)))
 	}
 	is.Equal(rewrites, 1)
 }
