--- a/core/quarantine/quarantine_test.go
+++ b/core/quarantine/quarantine_test.go
@@ -81,9 +81,9 @@
 	return out
 }
 
-// TestWhatCountsAsAnEnd tables what calls show of a replica, and whether it is reported
+// TestCrashEvidence tables what calls show of a replica, and whether it is reported
 // as one that ended under them.
-func TestWhatCountsAsAnEnd(t *testing.T) {
+func TestCrashEvidence(t *testing.T) {
 	cases := []struct {
 		name    string
 		happens func(b *fixture)
