--- a/core/quarantine/quarantine_test.go
+++ b/core/quarantine/quarantine_test.go
@@ -147,9 +147,9 @@
 	}
 }
 
-// TestOneCheckForAllCalls: a replica that severs many calls is looked for once, and not
+// TestOneCheckPerReplica: a replica that severs many calls is looked for once, and not
 // where a call shows that it is gone.
-func TestOneCheckForAllCalls(t *testing.T) {
+func TestOneCheckPerReplica(t *testing.T) {
 	is := is.New(t)
 	b := newFixture()
 	r := b.replica("r", false)
