--- a/core/quarantine/quarantine_test.go
+++ b/core/quarantine/quarantine_test.go
@@ -160,9 +160,9 @@
 	is.Equal(actionsOf[Check](b.advance(time.Second)), []Check{{Replica: incarnation("r"), Address: "r"}})
 }
 
-// TestTerms: a request is not run for its term, then again until one more replica ends
+// TestQuarantineTerms: a request is not run for its term, then again until one more replica ends
 // under it, and for twice as long then; in the end it is forgotten.
-func TestTerms(t *testing.T) {
+func TestQuarantineTerms(t *testing.T) {
 	is := is.New(t)
 	b := newFixture()
 	for _, name := range []string{"a", "b", "c"} {
