--- a/core/quarantine/quarantine_test.go
+++ b/core/quarantine/quarantine_test.go
@@ -183,9 +183,9 @@
 	is.Equal(len(b.verdicts), 0)
 }
 
-// TestSleepCounts: a machine that slept does not refuse a request for longer, though its
+// TestSuspendedTimeCounts: a machine that slept does not refuse a request for longer, though its
 // steady clock stood still.
-func TestSleepCounts(t *testing.T) {
+func TestSuspendedTimeCounts(t *testing.T) {
 	is := is.New(t)
 	b := newFixture()
 	for _, name := range []string{"a", "b", "c"} {
