--- a/core/quarantine/quarantine_test.go
+++ b/core/quarantine/quarantine_test.go
@@ -196,8 +196,8 @@
 	is.Equal(b.Remaining(b.now, bad), time.Duration(0))
 }
 
-// TestReleases tables what has a request run again before its term is over.
-func TestReleases(t *testing.T) {
+// TestEarlyRelease tables what has a request run again before its term is over.
+func TestEarlyRelease(t *testing.T) {
 	cases := []struct {
 		name     string
 		happens  func(b *fixture)
