--- a/core/quarantine/quarantine_test.go
+++ b/core/quarantine/quarantine_test.go
@@ -243,10 +243,10 @@
 	}
 }
 
-// TestRecords: verdicts are written one at a time, again after a failure, and not while
+// TestStoredVerdicts: verdicts are written one at a time, again after a failure, and not while
 // the store is down; one that was read there holds, and is removed when it does not hold
 // any more.
-func TestRecords(t *testing.T) {
+func TestStoredVerdicts(t *testing.T) {
 	is := is.New(t)
 	b := newFixture()
 	const other = crash.Fingerprint(9)
