--- a/core/quarantine/quarantine_test.go
+++ b/core/quarantine/quarantine_test.go
@@ -280,9 +280,9 @@
 	is.Equal(len(actionsOf[StoreVerdict](late.advance(time.Second))), 0)
 }
 
-// TestNewsIsTold: at once, a few times a second at most, and by whoever heard it only
+// TestReportsAreShared: at once, a few times a second at most, and by whoever heard it only
 // where instances do not tell each other directly.
-func TestNewsIsTold(t *testing.T) {
+func TestReportsAreShared(t *testing.T) {
 	is := is.New(t)
 	b := newFixture()
 	b.crash("a", bad)
