--- a/core/quarantine/quarantine_test.go
+++ b/core/quarantine/quarantine_test.go
@@ -340,9 +340,9 @@
 	}
 }
 
-// TestAFloodIsBounded: however many replicas end under however many requests, what is
+// TestMemoryIsBounded: however many replicas end under however many requests, what is
 // remembered stays within its bounds.
-func TestAFloodIsBounded(t *testing.T) {
+func TestMemoryIsBounded(t *testing.T) {
 	is := is.New(t)
 	b := newFixture()
 	b.crashMany(maxReports+20, maxRequests+20)
