--- a/core/quarantine/quarantine_test.go
+++ b/core/quarantine/quarantine_test.go
@@ -368,9 +368,9 @@
 	is.Equal(len(b.verdicts), maxVerdicts)
 }
 
-// BenchmarkJudge measures one judgement of as many reports as are kept, each with what an
+// BenchmarkEvaluate measures one judgement of as many reports as are kept, each with what an
 // instance of a small site has in flight at a busy engine.
-func BenchmarkJudge(b *testing.B) {
+func BenchmarkEvaluate(b *testing.B) {
 	x := newFixture()
 	x.crashMany(maxReports, 8)
 	b.ReportAllocs()
