--- a/core/quarantine/quarantine_test.go
+++ b/core/quarantine/quarantine_test.go
@@ -379,9 +379,9 @@
 	}
 }
 
-// TestTriesTakeTurns: a request under which as many replicas ended as others may explain
+// TestRetriesAreStaggered: a request under which as many replicas ended as others may explain
 // is sent by one instance after the other; any other request is sent at once.
-func TestTriesTakeTurns(t *testing.T) {
+func TestRetriesAreStaggered(t *testing.T) {
 	is := is.New(t)
 	names := []string{"i", "j", "k", "l"}
 	pauses := map[time.Duration]bool{}
