--- a/core/quarantine/quarantine_test.go
+++ b/core/quarantine/quarantine_test.go
@@ -409,9 +409,9 @@
 	}
 }
 
-// TestRecordsAreWrittenAgainOnceTheStoreSteppedBack: by the instance that wrote one, and by the
+// TestVerdictsAreRewrittenAfterStoreRollback: by the instance that wrote one, and by the
 // one that comes first for the request, should the writer be gone; by no other.
-func TestRecordsAreWrittenAgainOnceTheStoreSteppedBack(t *testing.T) {
+func TestVerdictsAreRewrittenAfterStoreRollback(t *testing.T) {
 	is := is.New(t)
 	writer := newFixtureNamed("writer")
 	for _, name := range []string{"r1", "r2", "r3"} {
