--- a/core/crash/blame.go
+++ b/core/crash/blame.go
@@ -14,11 +14,11 @@
 	// MaxCrashes is how many replicas may end under a request before it is blamed: the
 	// users' bound for a request that ends replicas.
 	MaxCrashes = 3
-	// sureLimit is how many replicas may end under a request, whatever else was in flight
+	// certainLimit is how many replicas may end under a request, whatever else was in flight
 	// there, before it is blamed: the usual tries of a caller, two of two attempts each,
 	// bring a request that harms nobody to no more, so one that has as many and comes again
 	// is none.
-	sureLimit = 4
+	certainLimit = 4
 	// chanceSpan is how long before the last end of a request there must have been none
 	// but its own: where replicas end for another reason, three of them may end under any
 	// request: some tries of a caller.
@@ -57,7 +57,7 @@
 		delete(under, request)
 	}
 	for _, request := range slices.Sorted(maps.Keys(under)) {
-		if len(under[request]) >= sureLimit {
+		if len(under[request]) >= certainLimit {
 			blame(request)
 		}
 	}
