--- a/core/crash/blame.go
+++ b/core/crash/blame.go
@@ -19,10 +19,10 @@
 	// bring a request that harms nobody to no more, so one that has as many and comes again
 	// is none.
 	certainLimit = 4
-	// chanceSpan is how long before the last end of a request there must have been none
+	// coincidenceWindow is how long before the last end of a request there must have been none
 	// but its own: where replicas end for another reason, three of them may end under any
 	// request: some tries of a caller.
-	chanceSpan = 10 * time.Second
+	coincidenceWindow = 10 * time.Second
 )
 
 // An end is one life of a replica that ended, as all reports of it tell together. One that
@@ -163,7 +163,7 @@
 	}
 	return slices.ContainsFunc(ends, func(e *end) bool {
 		age := last.Since(e.at)
-		return age >= 0 && age < chanceSpan && !slices.Contains(own, e)
+		return age >= 0 && age < coincidenceWindow && !slices.Contains(own, e)
 	})
 }
 
