--- a/core/crash/blame.go
+++ b/core/crash/blame.go
@@ -25,10 +25,10 @@
 	coincidenceWindow = 10 * time.Second
 )
 
-// An end is one life of a replica that ended, as all reports of it tell together. One that
-// starts again, under whatever name, may end again: counted by names, a request that ends
+// An replicaCrash is one life of a replica that ended, as all reports of it tell together. One that
+// starts again, under whatever name, may replicaCrash again: counted by names, a request that ends
 // two replicas in turn would never be blamed.
-type end struct {
+type replicaCrash struct {
 	replica  pool.Incarnation
 	at       clock.Instant // of the first report
 	requests []Fingerprint // rising
@@ -47,7 +47,7 @@
 func Blame(reports []Report, served func(Fingerprint) clock.Instant, limit func(Fingerprint) int, settled clock.Instant) []Attribution {
 	ends := merge(reports, settled)
 	under := endsUnder(ends, served, limit)
-	explained := map[*end]bool{}
+	explained := map[*replicaCrash]bool{}
 	var cases []Attribution
 	blame := func(request Fingerprint) {
 		cases = append(cases, Attribution{Request: request, Replicas: replicas(under[request])})
@@ -71,12 +71,12 @@
 }
 
 // merge puts the reports of each end together.
-func merge(reports []Report, settled clock.Instant) []*end {
-	byReplica := map[pool.Incarnation]*end{}
+func merge(reports []Report, settled clock.Instant) []*replicaCrash {
+	byReplica := map[pool.Incarnation]*replicaCrash{}
 	for _, r := range reports {
 		e := byReplica[r.Replica]
 		if e == nil {
-			e = &end{replica: r.Replica, at: r.At}
+			e = &replicaCrash{replica: r.Replica, at: r.At}
 			byReplica[r.Replica] = e
 		}
 		if r.At.Before(e.at) {
@@ -84,7 +84,7 @@
 		}
 		e.requests = append(e.requests, r.Requests...)
 	}
-	var ends []*end
+	var ends []*replicaCrash
 	for _, replica := range slices.SortedFunc(maps.Keys(byReplica), pool.Incarnation.Compare) {
 		e := byReplica[replica]
 		if settled.Before(e.at) {
@@ -100,14 +100,14 @@
 // endsUnder returns the ends by request, without those after which the request was
 // served, of the requests with enough ends to be blamed. Nearly all requests have one
 // end, and are left out at once.
-func endsUnder(ends []*end, served func(Fingerprint) clock.Instant, limit func(Fingerprint) int) map[Fingerprint][]*end {
+func endsUnder(ends []*replicaCrash, served func(Fingerprint) clock.Instant, limit func(Fingerprint) int) map[Fingerprint][]*replicaCrash {
 	count := map[Fingerprint]int{}
 	for _, e := range ends {
 		for _, request := range e.requests {
 			count[request]++
 		}
 	}
-	under := map[Fingerprint][]*end{}
+	under := map[Fingerprint][]*replicaCrash{}
 	for _, e := range ends {
 		for _, request := range e.requests {
 			if request != 0 && count[request] >= limit(request) && served(request).Before(e.at) {
@@ -121,11 +121,11 @@
 // strongest returns the request with the most ends that no other explains, if these are
 // enough to blame it. Where others that have as many were in flight at some of the same,
 // or it may have been there by chance, more ends have to tell.
-func strongest(ends []*end, under map[Fingerprint][]*end, explained map[*end]bool, limit func(Fingerprint) int) (Fingerprint, bool) {
-	open := map[Fingerprint][]*end{}
-	at := map[*end][]Fingerprint{}
+func strongest(ends []*replicaCrash, under map[Fingerprint][]*replicaCrash, explained map[*replicaCrash]bool, limit func(Fingerprint) int) (Fingerprint, bool) {
+	open := map[Fingerprint][]*replicaCrash{}
+	at := map[*replicaCrash][]Fingerprint{}
 	for request, ends := range under {
-		left := slices.DeleteFunc(slices.Clone(ends), func(e *end) bool { return explained[e] })
+		left := slices.DeleteFunc(slices.Clone(ends), func(e *replicaCrash) bool { return explained[e] })
 		if len(left) < limit(request) {
 			continue
 		}
@@ -137,11 +137,11 @@
 	byEnds := slices.SortedFunc(maps.Keys(open), func(a, b Fingerprint) int {
 		return cmp.Or(cmp.Compare(len(open[b]), len(open[a])), cmp.Compare(a, b))
 	})
-	disputed := map[*end]bool{}
+	disputed := map[*replicaCrash]bool{}
 	for _, request := range byEnds {
 		own := open[request]
 		switch {
-		case slices.ContainsFunc(own, func(e *end) bool { return disputed[e] }):
+		case slices.ContainsFunc(own, func(e *replicaCrash) bool { return disputed[e] }):
 		case hasRival(request, open, at):
 			for _, e := range own {
 				disputed[e] = true
@@ -156,12 +156,12 @@
 // byChance reports whether, in the time before the last of a request's own ends, there
 // were others, explained or not: where replicas end for another reason, some request may
 // have been at four of them, and be taken for their explanation.
-func byChance(own, ends []*end) bool {
+func byChance(own, ends []*replicaCrash) bool {
 	last := own[0].at
 	for _, e := range own {
 		last = clock.Latest(last, e.at)
 	}
-	return slices.ContainsFunc(ends, func(e *end) bool {
+	return slices.ContainsFunc(ends, func(e *replicaCrash) bool {
 		age := last.Since(e.at)
 		return age >= 0 && age < coincidenceWindow && !slices.Contains(own, e)
 	})
@@ -169,15 +169,15 @@
 
 // hasRival reports whether another request has as many ends, some of them the same. at
 // are the requests of each end.
-func hasRival(request Fingerprint, open map[Fingerprint][]*end, at map[*end][]Fingerprint) bool {
-	return slices.ContainsFunc(open[request], func(e *end) bool {
+func hasRival(request Fingerprint, open map[Fingerprint][]*replicaCrash, at map[*replicaCrash][]Fingerprint) bool {
+	return slices.ContainsFunc(open[request], func(e *replicaCrash) bool {
 		return slices.ContainsFunc(at[e], func(other Fingerprint) bool {
 			return other != request && len(open[other]) == len(open[request])
 		})
 	})
 }
 
-func replicas(ends []*end) []pool.Incarnation {
+func replicas(ends []*replicaCrash) []pool.Incarnation {
 	var out []pool.Incarnation
 	for _, e := range ends {
 		out = append(out, e.replica)
