--- a/core/crash/blame.go
+++ b/core/crash/blame.go
@@ -45,7 +45,7 @@
 // takes for a request. Reports count up to settled only: before that, those of other
 // instances may be missing.
 func Blame(reports []Report, served func(Fingerprint) clock.Instant, limit func(Fingerprint) int, settled clock.Instant) []Attribution {
-	ends := merge(reports, settled)
+	ends := mergeReports(reports, settled)
 	under := endsUnder(ends, served, limit)
 	explained := map[*replicaCrash]bool{}
 	var cases []Attribution
@@ -70,8 +70,8 @@
 	}
 }
 
-// merge puts the reports of each end together.
-func merge(reports []Report, settled clock.Instant) []*replicaCrash {
+// mergeReports puts the reports of each end together.
+func mergeReports(reports []Report, settled clock.Instant) []*replicaCrash {
 	byReplica := map[pool.Incarnation]*replicaCrash{}
 	for _, r := range reports {
 		e := byReplica[r.Replica]
