--- a/core/crash/blame.go
+++ b/core/crash/blame.go
@@ -46,7 +46,7 @@
 // instances may be missing.
 func Blame(reports []Report, served func(Fingerprint) clock.Instant, limit func(Fingerprint) int, settled clock.Instant) []Attribution {
 	ends := mergeReports(reports, settled)
-	under := endsUnder(ends, served, limit)
+	under := crashesByRequest(ends, served, limit)
 	explained := map[*replicaCrash]bool{}
 	var cases []Attribution
 	blame := func(request Fingerprint) {
@@ -97,10 +97,10 @@
 	return ends
 }
 
-// endsUnder returns the ends by request, without those after which the request was
+// crashesByRequest returns the ends by request, without those after which the request was
 // served, of the requests with enough ends to be blamed. Nearly all requests have one
 // end, and are left out at once.
-func endsUnder(ends []*replicaCrash, served func(Fingerprint) clock.Instant, limit func(Fingerprint) int) map[Fingerprint][]*replicaCrash {
+func crashesByRequest(ends []*replicaCrash, served func(Fingerprint) clock.Instant, limit func(Fingerprint) int) map[Fingerprint][]*replicaCrash {
 	count := map[Fingerprint]int{}
 	for _, e := range ends {
 		for _, request := range e.requests {
