--- a/core/crash/blame.go
+++ b/core/crash/blame.go
@@ -62,7 +62,7 @@
 		}
 	}
 	for {
-		request, ok := strongest(ends, under, explained, limit)
+		request, ok := nextBlamed(ends, under, explained, limit)
 		if !ok {
 			return cases
 		}
@@ -118,10 +118,10 @@
 	return under
 }
 
-// strongest returns the request with the most ends that no other explains, if these are
+// nextBlamed returns the request with the most ends that no other explains, if these are
 // enough to blame it. Where others that have as many were in flight at some of the same,
 // or it may have been there by chance, more ends have to tell.
-func strongest(ends []*replicaCrash, under map[Fingerprint][]*replicaCrash, explained map[*replicaCrash]bool, limit func(Fingerprint) int) (Fingerprint, bool) {
+func nextBlamed(ends []*replicaCrash, under map[Fingerprint][]*replicaCrash, explained map[*replicaCrash]bool, limit func(Fingerprint) int) (Fingerprint, bool) {
 	open := map[Fingerprint][]*replicaCrash{}
 	at := map[*replicaCrash][]Fingerprint{}
 	for request, ends := range under {
