--- a/core/crash/blame.go
+++ b/core/crash/blame.go
@@ -146,17 +146,17 @@
 			for _, e := range own {
 				disputed[e] = true
 			}
-		case !byChance(own, ends):
+		case !maybeCoincidence(own, ends):
 			return request, true
 		}
 	}
 	return 0, false
 }
 
-// byChance reports whether, in the time before the last of a request's own ends, there
+// maybeCoincidence reports whether, in the time before the last of a request's own ends, there
 // were others, explained or not: where replicas end for another reason, some request may
 // have been at four of them, and be taken for their explanation.
-func byChance(own, ends []*replicaCrash) bool {
+func maybeCoincidence(own, ends []*replicaCrash) bool {
 	last := own[0].at
 	for _, e := range own {
 		last = clock.Latest(last, e.at)
