--- a/core/crash/blame.go
+++ b/core/crash/blame.go
@@ -50,7 +50,7 @@
 	explained := map[*replicaCrash]bool{}
 	var cases []Attribution
 	blame := func(request Fingerprint) {
-		cases = append(cases, Attribution{Request: request, Replicas: replicas(under[request])})
+		cases = append(cases, Attribution{Request: request, Replicas: replicasOf(under[request])})
 		for _, e := range under[request] {
 			explained[e] = true
 		}
@@ -177,7 +177,7 @@
 	})
 }
 
-func replicas(ends []*replicaCrash) []pool.Incarnation {
+func replicasOf(ends []*replicaCrash) []pool.Incarnation {
 	var out []pool.Incarnation
 	for _, e := range ends {
 		out = append(out, e.replica)
