--- a/core/crash/crash_test.go
+++ b/core/crash/crash_test.go
@@ -15,7 +15,7 @@
 // start is when the first replica ends in these tests; each further one ends 10 s later.
 var start = clocktest.At(time.Hour)
 
-const apart = 10 * time.Second
+const crashInterval = 10 * time.Second
 
 // life is a life of a replica.
 func life(name, born string) pool.Incarnation { return pool.Incarnation{Name: name, Born: born} }
@@ -35,7 +35,7 @@
 	var reports []Report
 	for n, inFlight := range requests {
 		reports = append(reports, Report{
-			Observer: "i", Seq: uint64(n + 1), Replica: life(string(rune('a'+n)), ""), Requests: inFlight, EventTime: clock.EventTime{At: start.Add(time.Duration(n) * apart)},
+			Observer: "i", Seq: uint64(n + 1), Replica: life(string(rune('a'+n)), ""), Requests: inFlight, EventTime: clock.EventTime{At: start.Add(time.Duration(n) * crashInterval)},
 		})
 	}
 	return reports
@@ -90,26 +90,26 @@
 		{"as many, some the same", ended(in{1}, in{1, 9}, in{1, 9}, in{9}), nil, nil, nil},
 		{"together for so long that it is no chance", ended(repeat(4, 1, 2)...), nil, nil, []Fingerprint{1, 2}},
 		{"two, one after the other", ended(in{1, 9}, in{1}, in{1, 8}, in{2, 9}, in{2}, in{2, 8}), nil, nil, []Fingerprint{1, 2}},
-		{"among many that end for another reason", append(ended(in{1}, in{1}, in{1}), others(2*apart, 4)...), nil, nil, nil},
-		{"a fourth among many", append(ended(in{1}, in{1}, in{1}, in{1}), others(3*apart, 4)...), nil, nil, []Fingerprint{1}},
-		{"beside one that ended for another reason", append(ended(in{1}, in{1}, in{1}), others(2*apart, 1)...), nil, nil, nil},
+		{"among many that end for another reason", append(ended(in{1}, in{1}, in{1}), others(2*crashInterval, 4)...), nil, nil, nil},
+		{"a fourth among many", append(ended(in{1}, in{1}, in{1}, in{1}), others(3*crashInterval, 4)...), nil, nil, []Fingerprint{1}},
+		{"beside one that ended for another reason", append(ended(in{1}, in{1}, in{1}), others(2*crashInterval, 1)...), nil, nil, nil},
 		{"long after others that ended", append(ended(in{1}, in{1}, in{1}), others(0, 4)...), nil, nil, []Fingerprint{1}},
 		{"its ends are another's", ended(in{1, 9}, in{1, 9}, in{1, 9}, in{1}, in{1}), nil, nil, []Fingerprint{1}},
-		{"served since", ended(repeat(3, 1)...), map[Fingerprint]clock.Instant{1: start.Add(2 * apart).Add(1)}, nil, nil},
+		{"served since", ended(repeat(3, 1)...), map[Fingerprint]clock.Instant{1: start.Add(2 * crashInterval).Add(1)}, nil, nil},
 		{"served in between", ended(repeat(4, 1)...), map[Fingerprint]clock.Instant{1: start.Add(1)}, nil, []Fingerprint{1}},
 		{"blamed before", ended(in{1}), nil, map[Fingerprint]int{1: 1}, []Fingerprint{1}},
 		{"requests that are not known", ended(repeat(4, 0)...), nil, nil, nil},
 		{"one end in two reports", append(ended(repeat(2, 1)...), Report{
-			Observer: "j", Replica: life("b", ""), Requests: in{1}, EventTime: clock.EventTime{At: start.Add(apart).Add(time.Second)},
+			Observer: "j", Replica: life("b", ""), Requests: in{1}, EventTime: clock.EventTime{At: start.Add(crashInterval).Add(time.Second)},
 		}), nil, nil, nil},
 		{"one end in two reports, of which one comes from an instance that stood still", append(ended(repeat(2, 1)...), Report{
-			Observer: "j", Replica: life("b", ""), Requests: in{1}, EventTime: clock.EventTime{At: start.Add(5 * apart)},
+			Observer: "j", Replica: life("b", ""), Requests: in{1}, EventTime: clock.EventTime{At: start.Add(5 * crashInterval)},
 		}), nil, nil, nil},
 		{"one replica that starts again and again", again(1, repeat(3, 1)...), nil, nil, []Fingerprint{1}},
 		{"two in turn that start again and again", again(2, repeat(6, 1)...), nil, nil, []Fingerprint{1}},
 		{"two in turn, beside another at all of them", again(2, repeat(3, 1, 9)...), nil, nil, nil},
 		{"one life in two reports", append(again(1, repeat(2, 1)...), Report{
-			Observer: "j", Replica: life("a", "1"), Requests: in{1}, EventTime: clock.EventTime{At: start.Add(5 * apart)},
+			Observer: "j", Replica: life("a", "1"), Requests: in{1}, EventTime: clock.EventTime{At: start.Add(5 * crashInterval)},
 		}), nil, nil, nil},
 		{"reports of others complete an end", append(ended(in{9}, in{1, 9}, in{1, 9}, in{1}), Report{
 			Observer: "j", Replica: life("a", ""), Requests: in{1}, EventTime: clock.EventTime{At: start},
