--- a/core/crash/crash_test.go
+++ b/core/crash/crash_test.go
@@ -17,15 +17,15 @@
 
 const crashInterval = 10 * time.Second
 
-// life is a life of a replica.
-func life(name, born string) pool.Incarnation { return pool.Incarnation{Name: name, Born: born} }
+// incarnation is a incarnation of a replica.
+func incarnation(name, born string) pool.Incarnation { return pool.Incarnation{Name: name, Born: born} }
 
 // again are reports like ended's, of so many replicas in turn that start again under their
 // names.
 func again(replicas int, requests ...[]Fingerprint) []Report {
 	reports := ended(requests...)
 	for n := range reports {
-		reports[n].Replica = life(string(rune('a'+n%replicas)), string(rune('0'+n)))
+		reports[n].Replica = incarnation(string(rune('a'+n%replicas)), string(rune('0'+n)))
 	}
 	return reports
 }
@@ -35,7 +35,7 @@
 	var reports []Report
 	for n, inFlight := range requests {
 		reports = append(reports, Report{
-			Observer: "i", Seq: uint64(n + 1), Replica: life(string(rune('a'+n)), ""), Requests: inFlight, EventTime: clock.EventTime{At: start.Add(time.Duration(n) * crashInterval)},
+			Observer: "i", Seq: uint64(n + 1), Replica: incarnation(string(rune('a'+n)), ""), Requests: inFlight, EventTime: clock.EventTime{At: start.Add(time.Duration(n) * crashInterval)},
 		})
 	}
 	return reports
@@ -46,7 +46,7 @@
 	var reports []Report
 	for i := range n {
 		reports = append(reports, Report{
-			Observer: "i", Seq: uint64(100 + i), Replica: life("other"+string(rune('a'+i)), ""), Requests: []Fingerprint{Fingerprint(100 + i)},
+			Observer: "i", Seq: uint64(100 + i), Replica: incarnation("other"+string(rune('a'+i)), ""), Requests: []Fingerprint{Fingerprint(100 + i)},
 			EventTime: clock.EventTime{At: start.Add(until - time.Duration(i)*time.Second)},
 		})
 	}
@@ -100,19 +100,19 @@
 		{"blamed before", ended(in{1}), nil, map[Fingerprint]int{1: 1}, []Fingerprint{1}},
 		{"requests that are not known", ended(repeat(4, 0)...), nil, nil, nil},
 		{"one end in two reports", append(ended(repeat(2, 1)...), Report{
-			Observer: "j", Replica: life("b", ""), Requests: in{1}, EventTime: clock.EventTime{At: start.Add(crashInterval).Add(time.Second)},
+			Observer: "j", Replica: incarnation("b", ""), Requests: in{1}, EventTime: clock.EventTime{At: start.Add(crashInterval).Add(time.Second)},
 		}), nil, nil, nil},
 		{"one end in two reports, of which one comes from an instance that stood still", append(ended(repeat(2, 1)...), Report{
-			Observer: "j", Replica: life("b", ""), Requests: in{1}, EventTime: clock.EventTime{At: start.Add(5 * crashInterval)},
+			Observer: "j", Replica: incarnation("b", ""), Requests: in{1}, EventTime: clock.EventTime{At: start.Add(5 * crashInterval)},
 		}), nil, nil, nil},
 		{"one replica that starts again and again", again(1, repeat(3, 1)...), nil, nil, []Fingerprint{1}},
 		{"two in turn that start again and again", again(2, repeat(6, 1)...), nil, nil, []Fingerprint{1}},
 		{"two in turn, beside another at all of them", again(2, repeat(3, 1, 9)...), nil, nil, nil},
 		{"one life in two reports", append(again(1, repeat(2, 1)...), Report{
-			Observer: "j", Replica: life("a", "1"), Requests: in{1}, EventTime: clock.EventTime{At: start.Add(5 * crashInterval)},
+			Observer: "j", Replica: incarnation("a", "1"), Requests: in{1}, EventTime: clock.EventTime{At: start.Add(5 * crashInterval)},
 		}), nil, nil, nil},
 		{"reports of others complete an end", append(ended(in{9}, in{1, 9}, in{1, 9}, in{1}), Report{
-			Observer: "j", Replica: life("a", ""), Requests: in{1}, EventTime: clock.EventTime{At: start},
+			Observer: "j", Replica: incarnation("a", ""), Requests: in{1}, EventTime: clock.EventTime{At: start},
 		}), nil, nil, []Fingerprint{1}},
 	}
 	for _, c := range cases {
@@ -134,7 +134,7 @@
 	limit := func(Fingerprint) int { return MaxCrashes }
 	third := reports[2].At
 	is.Equal(len(Blame(reports, never, limit, third.Add(-1))), 0)
-	is.Equal(Blame(reports, never, limit, third), []Attribution{{Request: 1, Replicas: []pool.Incarnation{life("a", ""), life("b", ""), life("c", "")}}})
+	is.Equal(Blame(reports, never, limit, third), []Attribution{{Request: 1, Replicas: []pool.Incarnation{incarnation("a", ""), incarnation("b", ""), incarnation("c", "")}}})
 }
 
 // TestAgesTravel: what a message says of the past is as old on arrival as it was when
