--- a/core/crash/crash_test.go
+++ b/core/crash/crash_test.go
@@ -20,9 +20,9 @@
 // incarnation is a incarnation of a replica.
 func incarnation(name, born string) pool.Incarnation { return pool.Incarnation{Name: name, Born: born} }
 
-// again are reports like ended's, of so many replicas in turn that start again under their
+// restartReports are reports like ended's, of so many replicas in turn that start restartReports under their
 // names.
-func again(replicas int, requests ...[]Fingerprint) []Report {
+func restartReports(replicas int, requests ...[]Fingerprint) []Report {
 	reports := ended(requests...)
 	for n := range reports {
 		reports[n].Replica = incarnation(string(rune('a'+n%replicas)), string(rune('0'+n)))
@@ -105,10 +105,10 @@
 		{"one end in two reports, of which one comes from an instance that stood still", append(ended(repeat(2, 1)...), Report{
 			Observer: "j", Replica: incarnation("b", ""), Requests: in{1}, EventTime: clock.EventTime{At: start.Add(5 * crashInterval)},
 		}), nil, nil, nil},
-		{"one replica that starts again and again", again(1, repeat(3, 1)...), nil, nil, []Fingerprint{1}},
-		{"two in turn that start again and again", again(2, repeat(6, 1)...), nil, nil, []Fingerprint{1}},
-		{"two in turn, beside another at all of them", again(2, repeat(3, 1, 9)...), nil, nil, nil},
-		{"one life in two reports", append(again(1, repeat(2, 1)...), Report{
+		{"one replica that starts again and again", restartReports(1, repeat(3, 1)...), nil, nil, []Fingerprint{1}},
+		{"two in turn that start again and again", restartReports(2, repeat(6, 1)...), nil, nil, []Fingerprint{1}},
+		{"two in turn, beside another at all of them", restartReports(2, repeat(3, 1, 9)...), nil, nil, nil},
+		{"one life in two reports", append(restartReports(1, repeat(2, 1)...), Report{
 			Observer: "j", Replica: incarnation("a", "1"), Requests: in{1}, EventTime: clock.EventTime{At: start.Add(5 * crashInterval)},
 		}), nil, nil, nil},
 		{"reports of others complete an end", append(ended(in{9}, in{1, 9}, in{1, 9}, in{1}), Report{
