--- a/core/crash/crash_test.go
+++ b/core/crash/crash_test.go
@@ -23,15 +23,15 @@
 // restartReports are reports like ended's, of so many replicas in turn that start restartReports under their
 // names.
 func restartReports(replicas int, requests ...[]Fingerprint) []Report {
-	reports := ended(requests...)
+	reports := crashReports(requests...)
 	for n := range reports {
 		reports[n].Replica = incarnation(string(rune('a'+n%replicas)), string(rune('0'+n)))
 	}
 	return reports
 }
 
-// ended are the reports of one replica after the other, with what was in flight.
-func ended(requests ...[]Fingerprint) []Report {
+// crashReports are the reports of one replica after the other, with what was in flight.
+func crashReports(requests ...[]Fingerprint) []Report {
 	var reports []Report
 	for n, inFlight := range requests {
 		reports = append(reports, Report{
@@ -82,27 +82,27 @@
 		limits  map[Fingerprint]int
 		want    []Fingerprint
 	}{
-		{"two replicas are too few", ended(repeat(2, 1)...), nil, nil, nil},
-		{"three replicas", ended(in{1, 8}, in{1, 9}, in{1, 7}), nil, nil, []Fingerprint{1}},
-		{"beside another at two of them", ended(in{1, 9}, in{1, 9}, in{1}), nil, nil, []Fingerprint{1}},
-		{"beside another at all of them", ended(repeat(3, 1, 9)...), nil, nil, nil},
-		{"a fourth tells them apart", ended(in{1, 9}, in{1, 9}, in{1, 9}, in{1}), nil, nil, []Fingerprint{1}},
-		{"as many, some the same", ended(in{1}, in{1, 9}, in{1, 9}, in{9}), nil, nil, nil},
-		{"together for so long that it is no chance", ended(repeat(4, 1, 2)...), nil, nil, []Fingerprint{1, 2}},
-		{"two, one after the other", ended(in{1, 9}, in{1}, in{1, 8}, in{2, 9}, in{2}, in{2, 8}), nil, nil, []Fingerprint{1, 2}},
-		{"among many that end for another reason", append(ended(in{1}, in{1}, in{1}), others(2*crashInterval, 4)...), nil, nil, nil},
-		{"a fourth among many", append(ended(in{1}, in{1}, in{1}, in{1}), others(3*crashInterval, 4)...), nil, nil, []Fingerprint{1}},
-		{"beside one that ended for another reason", append(ended(in{1}, in{1}, in{1}), others(2*crashInterval, 1)...), nil, nil, nil},
-		{"long after others that ended", append(ended(in{1}, in{1}, in{1}), others(0, 4)...), nil, nil, []Fingerprint{1}},
-		{"its ends are another's", ended(in{1, 9}, in{1, 9}, in{1, 9}, in{1}, in{1}), nil, nil, []Fingerprint{1}},
-		{"served since", ended(repeat(3, 1)...), map[Fingerprint]clock.Instant{1: start.Add(2 * crashInterval).Add(1)}, nil, nil},
-		{"served in between", ended(repeat(4, 1)...), map[Fingerprint]clock.Instant{1: start.Add(1)}, nil, []Fingerprint{1}},
-		{"blamed before", ended(in{1}), nil, map[Fingerprint]int{1: 1}, []Fingerprint{1}},
-		{"requests that are not known", ended(repeat(4, 0)...), nil, nil, nil},
-		{"one end in two reports", append(ended(repeat(2, 1)...), Report{
+		{"two replicas are too few", crashReports(repeat(2, 1)...), nil, nil, nil},
+		{"three replicas", crashReports(in{1, 8}, in{1, 9}, in{1, 7}), nil, nil, []Fingerprint{1}},
+		{"beside another at two of them", crashReports(in{1, 9}, in{1, 9}, in{1}), nil, nil, []Fingerprint{1}},
+		{"beside another at all of them", crashReports(repeat(3, 1, 9)...), nil, nil, nil},
+		{"a fourth tells them apart", crashReports(in{1, 9}, in{1, 9}, in{1, 9}, in{1}), nil, nil, []Fingerprint{1}},
+		{"as many, some the same", crashReports(in{1}, in{1, 9}, in{1, 9}, in{9}), nil, nil, nil},
+		{"together for so long that it is no chance", crashReports(repeat(4, 1, 2)...), nil, nil, []Fingerprint{1, 2}},
+		{"two, one after the other", crashReports(in{1, 9}, in{1}, in{1, 8}, in{2, 9}, in{2}, in{2, 8}), nil, nil, []Fingerprint{1, 2}},
+		{"among many that end for another reason", append(crashReports(in{1}, in{1}, in{1}), others(2*crashInterval, 4)...), nil, nil, nil},
+		{"a fourth among many", append(crashReports(in{1}, in{1}, in{1}, in{1}), others(3*crashInterval, 4)...), nil, nil, []Fingerprint{1}},
+		{"beside one that ended for another reason", append(crashReports(in{1}, in{1}, in{1}), others(2*crashInterval, 1)...), nil, nil, nil},
+		{"long after others that ended", append(crashReports(in{1}, in{1}, in{1}), others(0, 4)...), nil, nil, []Fingerprint{1}},
+		{"its ends are another's", crashReports(in{1, 9}, in{1, 9}, in{1, 9}, in{1}, in{1}), nil, nil, []Fingerprint{1}},
+		{"served since", crashReports(repeat(3, 1)...), map[Fingerprint]clock.Instant{1: start.Add(2 * crashInterval).Add(1)}, nil, nil},
+		{"served in between", crashReports(repeat(4, 1)...), map[Fingerprint]clock.Instant{1: start.Add(1)}, nil, []Fingerprint{1}},
+		{"blamed before", crashReports(in{1}), nil, map[Fingerprint]int{1: 1}, []Fingerprint{1}},
+		{"requests that are not known", crashReports(repeat(4, 0)...), nil, nil, nil},
+		{"one end in two reports", append(crashReports(repeat(2, 1)...), Report{
 			Observer: "j", Replica: incarnation("b", ""), Requests: in{1}, EventTime: clock.EventTime{At: start.Add(crashInterval).Add(time.Second)},
 		}), nil, nil, nil},
-		{"one end in two reports, of which one comes from an instance that stood still", append(ended(repeat(2, 1)...), Report{
+		{"one end in two reports, of which one comes from an instance that stood still", append(crashReports(repeat(2, 1)...), Report{
 			Observer: "j", Replica: incarnation("b", ""), Requests: in{1}, EventTime: clock.EventTime{At: start.Add(5 * crashInterval)},
 		}), nil, nil, nil},
 		{"one replica that starts again and again", restartReports(1, repeat(3, 1)...), nil, nil, []Fingerprint{1}},
@@ -111,7 +111,7 @@
 		{"one life in two reports", append(restartReports(1, repeat(2, 1)...), Report{
 			Observer: "j", Replica: incarnation("a", "1"), Requests: in{1}, EventTime: clock.EventTime{At: start.Add(5 * crashInterval)},
 		}), nil, nil, nil},
-		{"reports of others complete an end", append(ended(in{9}, in{1, 9}, in{1, 9}, in{1}), Report{
+		{"reports of others complete an end", append(crashReports(in{9}, in{1, 9}, in{1, 9}, in{1}), Report{
 			Observer: "j", Replica: incarnation("a", ""), Requests: in{1}, EventTime: clock.EventTime{At: start},
 		}), nil, nil, []Fingerprint{1}},
 	}
@@ -129,7 +129,7 @@
 // missing, and a request that was there by chance would be blamed.
 func TestReportsCountOnceTheyAreSettled(t *testing.T) {
 	is := is.New(t)
-	reports := ended(slices.Repeat([][]Fingerprint{{1}}, 3)...)
+	reports := crashReports(slices.Repeat([][]Fingerprint{{1}}, 3)...)
 	never := func(Fingerprint) clock.Instant { return clock.Instant{} }
 	limit := func(Fingerprint) int { return MaxCrashes }
 	third := reports[2].At
