--- a/core/crash/crash_test.go
+++ b/core/crash/crash_test.go
@@ -41,8 +41,8 @@
 	return reports
 }
 
-// others are reports of replicas that ended for another reason until so long after start.
-func others(until time.Duration, n int) []Report {
+// unrelatedReports are reports of replicas that ended for another reason until so long after start.
+func unrelatedReports(until time.Duration, n int) []Report {
 	var reports []Report
 	for i := range n {
 		reports = append(reports, Report{
@@ -90,10 +90,10 @@
 		{"as many, some the same", crashReports(in{1}, in{1, 9}, in{1, 9}, in{9}), nil, nil, nil},
 		{"together for so long that it is no chance", crashReports(repeat(4, 1, 2)...), nil, nil, []Fingerprint{1, 2}},
 		{"two, one after the other", crashReports(in{1, 9}, in{1}, in{1, 8}, in{2, 9}, in{2}, in{2, 8}), nil, nil, []Fingerprint{1, 2}},
-		{"among many that end for another reason", append(crashReports(in{1}, in{1}, in{1}), others(2*crashInterval, 4)...), nil, nil, nil},
-		{"a fourth among many", append(crashReports(in{1}, in{1}, in{1}, in{1}), others(3*crashInterval, 4)...), nil, nil, []Fingerprint{1}},
-		{"beside one that ended for another reason", append(crashReports(in{1}, in{1}, in{1}), others(2*crashInterval, 1)...), nil, nil, nil},
-		{"long after others that ended", append(crashReports(in{1}, in{1}, in{1}), others(0, 4)...), nil, nil, []Fingerprint{1}},
+		{"among many that end for another reason", append(crashReports(in{1}, in{1}, in{1}), unrelatedReports(2*crashInterval, 4)...), nil, nil, nil},
+		{"a fourth among many", append(crashReports(in{1}, in{1}, in{1}, in{1}), unrelatedReports(3*crashInterval, 4)...), nil, nil, []Fingerprint{1}},
+		{"beside one that ended for another reason", append(crashReports(in{1}, in{1}, in{1}), unrelatedReports(2*crashInterval, 1)...), nil, nil, nil},
+		{"long after others that ended", append(crashReports(in{1}, in{1}, in{1}), unrelatedReports(0, 4)...), nil, nil, []Fingerprint{1}},
 		{"its ends are another's", crashReports(in{1, 9}, in{1, 9}, in{1, 9}, in{1}, in{1}), nil, nil, []Fingerprint{1}},
 		{"served since", crashReports(repeat(3, 1)...), map[Fingerprint]clock.Instant{1: start.Add(2 * crashInterval).Add(1)}, nil, nil},
 		{"served in between", crashReports(repeat(4, 1)...), map[Fingerprint]clock.Instant{1: start.Add(1)}, nil, []Fingerprint{1}},
