--- a/core/crash/crash_test.go
+++ b/core/crash/crash_test.go
@@ -125,9 +125,9 @@
 	}
 }
 
-// TestReportsCountOnceTheyAreSettled: before that those of other instances may be
+// TestUnsettledReportsAreIgnored: before that those of other instances may be
 // missing, and a request that was there by chance would be blamed.
-func TestReportsCountOnceTheyAreSettled(t *testing.T) {
+func TestUnsettledReportsAreIgnored(t *testing.T) {
 	is := is.New(t)
 	reports := crashReports(slices.Repeat([][]Fingerprint{{1}}, 3)...)
 	never := func(Fingerprint) clock.Instant { return clock.Instant{} }
