--- a/core/crash/crash_test.go
+++ b/core/crash/crash_test.go
@@ -137,9 +137,9 @@
 	is.Equal(Blame(reports, never, limit, third), []Attribution{{Request: 1, Replicas: []pool.Incarnation{incarnation("a", ""), incarnation("b", ""), incarnation("c", "")}}})
 }
 
-// TestAgesTravel: what a message says of the past is as old on arrival as it was when
+// TestMomentsKeepTheirAge: what a message says of the past is as old on arrival as it was when
 // it was sent, by the receiver's own clocks.
-func TestAgesTravel(t *testing.T) {
+func TestMomentsKeepTheirAge(t *testing.T) {
 	is := is.New(t)
 	sent := clock.EventTime{At: start}.ForWire(start.Add(7 * time.Second))
 	is.Equal(sent, clock.EventTime{Age: 7 * time.Second})
