--- a/core/shutdown/shutdown.go
+++ b/core/shutdown/shutdown.go
@@ -27,25 +27,25 @@
 	// can take over, and tells peers.
 	HandOver func(now clock.Instant)
 
-	begun  bool
-	takeTo clock.Instant // calls are taken until then
-	endAt  clock.Instant // calls are cut then
-	exited bool
+	started bool
+	takeTo  clock.Instant // calls are taken until then
+	endAt   clock.Instant // calls are cut then
+	exited  bool
 }
 
 // Started reports whether the stop has begun.
-func (s *Controller) Started() bool { return s.begun }
+func (s *Controller) Started() bool { return s.started }
 
 // Refusing reports whether new calls are refused because of the stop.
-func (s *Controller) Refusing(now clock.Instant) bool { return s.begun && !now.Before(s.takeTo) }
+func (s *Controller) Refusing(now clock.Instant) bool { return s.started && !now.Before(s.takeTo) }
 
 // Start begins the stop. A second one ends it at once.
 func (s *Controller) Start(now clock.Instant) {
-	if s.begun {
+	if s.started {
 		s.endAt = now
 		return
 	}
-	s.begun = true
+	s.started = true
 	s.takeTo = now.Add(s.Options.StopDelay)
 	s.endAt = now.Add(s.Options.StopLimit)
 	s.Out.Log(logevent.Stopping, "calls", s.Calls.Len())
@@ -54,7 +54,7 @@
 
 // Tick exits when every call has ended, or when the limit has come.
 func (s *Controller) Tick(now clock.Instant) {
-	if !s.begun || s.exited {
+	if !s.started || s.exited {
 		return
 	}
 	over := !now.Before(s.endAt)
