--- a/core/shutdown/shutdown.go
+++ b/core/shutdown/shutdown.go
@@ -27,17 +27,17 @@
 	// can take over, and tells peers.
 	HandOver func(now clock.Instant)
 
-	started bool
-	takeTo  clock.Instant // calls are taken until then
-	endAt   clock.Instant // calls are cut then
-	exited  bool
+	started     bool
+	acceptUntil clock.Instant // calls are taken until then
+	endAt       clock.Instant // calls are cut then
+	exited      bool
 }
 
 // Started reports whether the stop has begun.
 func (s *Controller) Started() bool { return s.started }
 
 // Refusing reports whether new calls are refused because of the stop.
-func (s *Controller) Refusing(now clock.Instant) bool { return s.started && !now.Before(s.takeTo) }
+func (s *Controller) Refusing(now clock.Instant) bool { return s.started && !now.Before(s.acceptUntil) }
 
 // Start begins the stop. A second one ends it at once.
 func (s *Controller) Start(now clock.Instant) {
@@ -46,7 +46,7 @@
 		return
 	}
 	s.started = true
-	s.takeTo = now.Add(s.Options.StopDelay)
+	s.acceptUntil = now.Add(s.Options.StopDelay)
 	s.endAt = now.Add(s.Options.StopLimit)
 	s.Out.Log(logevent.Stopping, "calls", s.Calls.Len())
 	s.HandOver(now)
@@ -58,7 +58,7 @@
 		return
 	}
 	over := !now.Before(s.endAt)
-	idle := !now.Before(s.takeTo) && s.Calls.Len() == 0
+	idle := !now.Before(s.acceptUntil) && s.Calls.Len() == 0
 	if over || idle {
 		s.exit()
 	}
