--- a/core/shutdown/shutdown.go
+++ b/core/shutdown/shutdown.go
@@ -29,7 +29,7 @@
 
 	started     bool
 	acceptUntil clock.Instant // calls are taken until then
-	endAt       clock.Instant // calls are cut then
+	deadline    clock.Instant // calls are cut then
 	exited      bool
 }
 
@@ -42,12 +42,12 @@
 // Start begins the stop. A second one ends it at once.
 func (s *Controller) Start(now clock.Instant) {
 	if s.started {
-		s.endAt = now
+		s.deadline = now
 		return
 	}
 	s.started = true
 	s.acceptUntil = now.Add(s.Options.StopDelay)
-	s.endAt = now.Add(s.Options.StopLimit)
+	s.deadline = now.Add(s.Options.StopLimit)
 	s.Out.Log(logevent.Stopping, "calls", s.Calls.Len())
 	s.HandOver(now)
 }
@@ -57,7 +57,7 @@
 	if !s.started || s.exited {
 		return
 	}
-	over := !now.Before(s.endAt)
+	over := !now.Before(s.deadline)
 	idle := !now.Before(s.acceptUntil) && s.Calls.Len() == 0
 	if over || idle {
 		s.exit()
