--- a/core/pool/announced.go
+++ b/core/pool/announced.go
@@ -144,7 +144,7 @@
 
 // IsPastIncarnation reports whether a birth is that of a life which ended before this one.
 func (r *Replica) IsPastIncarnation(born string) bool {
-	return born != "" && slices.Contains(r.former, born)
+	return born != "" && slices.Contains(r.pastStartIDs, born)
 }
 
 // Restarted reports whether a birth is that of a life after the one that is known.
@@ -155,10 +155,10 @@
 // inherit takes over what outlives a former life of the replica.
 func (r *Replica) inherit(former *Replica, a Announcement) {
 	r.rest.until = former.rest.until
-	r.former = former.former
+	r.pastStartIDs = former.pastStartIDs
 	if born := former.announced.Born; born != "" && !a.sameIncarnation(former.announced) {
-		r.former = append(slices.Clone(r.former), born)
-		r.former = r.former[max(0, len(r.former)-maxPastIncarnations):]
+		r.pastStartIDs = append(slices.Clone(r.pastStartIDs), born)
+		r.pastStartIDs = r.pastStartIDs[max(0, len(r.pastStartIDs)-maxPastIncarnations):]
 	}
 }
 
--- a/core/pool/replica.go
+++ b/core/pool/replica.go
@@ -102,7 +102,7 @@
 	vanishedAt      clock.Instant // when the list lost it; zero while it is listed
 	leavingDeadline clock.Instant // when it counts as leaving then at the latest; zero: that is open
 	endsAt          clock.Instant // when it is taken away, if that is known
-	former          []string      // births of its former lives, the latest last
+	pastStartIDs    []string      // births of its former lives, the latest last
 }
 
 // A leaving says who called a replica leaving.
