--- a/core/bounds/bounds.go
+++ b/core/bounds/bounds.go
@@ -1,9 +1,9 @@
-// Package bounds states how soon an instance must act on what its platform's store says, and
-// derives from that the waits on the way from the store to the last call that is sent.
+// Package bounds defines how soon an instance must act on changes in its platform's store, and
+// derives from that the delays on the way from the store to the last call that is sent.
 //
-// Each wait that a piece of news may meet is a part of one sum. A wait that is set by itself
-// can be harmless and the sum too long all the same, so the waits are worked out from the
-// bound, and waits that are set and make the sum too long are refused at the start.
+// Every delay that a change may meet is part of one sum. A delay that is set on its own may be
+// harmless and the sum still too long, so the delays are computed from the bound, and settings
+// that make the sum too long are refused at startup.
 package bounds
 
 import (
@@ -12,99 +12,100 @@
 	"time"
 )
 
-// Bounds are the times that a platform's users rely on.
+// Bounds are the guarantees that a platform's users rely on.
 type Bounds struct {
-	// Leave is the longest time from the store's word that a replica leaves, or from the
-	// end of its entry, to the last call that reaches the replica.
+	// Leave is the longest time from when the store shows a replica as leaving, or its entry
+	// ends, to the last call that reaches the replica.
 	Leave time.Duration
-	// Settle is how long an instance and the store must have been undisturbed for Leave to
-	// bind the instance.
+	// Settle is how long the instance and the store must have run without a fault for Leave to
+	// apply to the instance.
 	Settle time.Duration
 }
 
-// Default returns the bounds where a platform states none.
+// Default returns the bounds used if a platform defines none.
 func Default() Bounds { return Bounds{Leave: 2 * time.Second, Settle: 3 * time.Second} }
 
 // DialTimeout is how long an instance tries to connect to a replica.
 const DialTimeout = 500 * time.Millisecond
 
-// Shares of Leave.
+// Fractions of Leave.
 const (
-	pauseShare        = 0.2  // between two watches
-	pauseRelayedShare = 0.1  // the same, where few instances watch for all
-	waitShare         = 0.3  // longest wait of one watch
-	overdueShare      = 0.05 // for the answer to a watch whose wait is over
-	readShare         = 0.1  // for a read of the whole list from a sound store
-	sendShare         = 0.05 // for all that is done between the news and the call
-	reserveShare      = 0.05 // that the parts leave over where they can
-	exchangeShare     = 1. / 6
+	pauseShare        = 0.2    // pause between two watches
+	pauseRelayedShare = 0.1    // the same, if a few instances watch and relay changes to all
+	waitShare         = 0.3    // longest wait of one watch at the store
+	overdueShare      = 0.05   // for the answer to a watch after its wait has ended
+	readShare         = 0.1    // for a read of the whole list from a healthy store
+	sendShare         = 0.05   // for all processing between the change and the call
+	reserveShare      = 0.05   // left unused by the delays where possible
+	exchangeShare     = 1. / 6 // longest interval of exchanges
 )
 
 const (
-	// minWait is the shortest wait of a watch that is worth its call.
+	// minWait is the shortest wait for which a watch is worth its request.
 	minWait = 100 * time.Millisecond
-	// hopIntervals is within how many of its rounds of exchanges an instance hears from one
-	// that watches, with their jitter.
+	// hopIntervals is within how many of its exchange intervals an instance receives a change
+	// from one that watches, including jitter.
 	hopIntervals = 2.2
-	// settleShare is the part of Settle after which the store is called again at the latest,
-	// after calls that failed.
+	// settleShare is the fraction of Settle that bounds the delay of a retry of a failed call
+	// to the store.
 	settleShare = 0.5
 )
 
-// A Timing is what else the parts depend on.
+// A Timing holds the other inputs of the delays.
 type Timing struct {
-	// Mesh says that each instance watches, and exchanges with each other one.
+	// Mesh reports whether every instance watches, and exchanges with every other one.
 	Mesh bool
-	// Exchange is the spacing of an instance's exchanges.
+	// Exchange is the interval of an instance's exchanges.
 	Exchange time.Duration
-	// Pause and Wait are set by an operator; 0: worked out.
+	// Pause and Wait are the operator's settings; 0: computed.
 	Pause time.Duration
 	Wait  time.Duration
 }
 
-// Delays are the longest waits on the way from the store's word to the last call, one after the
-// other: the news comes just after a watch was answered, the next watch hangs, the whole list is
-// read beside it, a peer hears of it, and a connection to the replica is being made.
+// Delays are the longest delays, one after the other, between a change in the store and the
+// last call: the change happens just after a watch was answered, the next watch hangs, the
+// whole list is read beside it, a peer receives the change, and a connection to the replica is
+// being made.
 type Delays struct {
 	Pause   time.Duration // from one watch to the next
 	Wait    time.Duration // of one watch at the store
-	Overdue time.Duration // until another call is made beside a watch that hangs
+	Overdue time.Duration // until another call is made beside a hanging watch
 	Read    time.Duration // of the whole list
 	Hop     time.Duration // to an instance that does not watch
 	Dial    time.Duration // of a connection to a replica
-	Send    time.Duration // for what is handled, chosen and on its way
+	Send    time.Duration // for processing the change, choosing a replica and sending the call
 }
 
-// Sum returns the longest time from the store's word to the last call.
+// Sum returns the longest time from the change in the store to the last call.
 func (p Delays) Sum() time.Duration {
 	return p.Pause + p.Wait + p.Overdue + p.Read + p.Hop + p.Dial + p.Send
 }
 
-// MaxListAge returns how old the list may be at an instance while a sound store answers it, or
-// those that tell it of the list.
+// MaxListAge returns the greatest age of the list at an instance while a healthy store answers
+// it, or the peers that relay the list to it.
 func (p Delays) MaxListAge() time.Duration { return p.Pause + p.Wait + p.Overdue + p.Hop }
 
-// A Delay is one of them.
+// A Delay is one of the Delays.
 type Delay struct {
 	Name    string
 	Meaning string
 	Longest time.Duration
 }
 
-// All lists the parts, in their order.
+// All returns the delays in their order.
 func (p Delays) All() []Delay {
 	return []Delay{
 		{"pause", "from the answer to a watch to the next one", p.Pause},
 		{"wait", "of one watch at the store", p.Wait},
 		{"overdue", "until a watch without an answer counts as hanging", p.Overdue},
-		{"read", "of the whole list, beside it", p.Read},
-		{"hop", "to an instance that does not watch", p.Hop},
-		{"dial", "of a connection to a replica", p.Dial},
-		{"send", "news handled, call chosen and on its way", p.Send},
+		{"read", "of the whole list, during the watch", p.Read},
+		{"hop", "until an instance that does not watch receives the change", p.Hop},
+		{"dial", "of an attempt to connect to a replica", p.Dial},
+		{"send", "processing the change, choosing a replica and sending the call", p.Send},
 	}
 }
 
-// String lists the parts.
+// String lists the delays with their names.
 func (p Delays) String() string {
 	var words []string
 	for _, part := range p.All() {
@@ -113,7 +114,7 @@
 	return strings.Join(words, ", ")
 }
 
-// Delays works the parts out.
+// Delays computes the delays from the bounds and the timing.
 func (b Bounds) Delays(r Timing) Delays {
 	p := Delays{
 		Pause:   b.share(pauseShare),
@@ -136,34 +137,34 @@
 	return p
 }
 
-// Check returns an error for parts that come to more than the bound.
+// Check returns an error if the sum of the delays exceeds Leave.
 func (b Bounds) Check(r Timing) error {
 	if p := b.Delays(r); p.Sum() > b.Leave {
-		return fmt.Errorf("a replica that leaves could get calls for %v, and %v are allowed: %v", p.Sum(), b.Leave, p)
+		return fmt.Errorf("a leaving replica could get calls for %v, and %v are allowed: %v", p.Sum(), b.Leave, p)
 	}
 	return nil
 }
 
-// ExchangeInterval returns the spacing of exchanges where news travels by them: as set, but short enough
-// for Leave.
+// ExchangeInterval returns the interval of exchanges where they carry changes: as set, but
+// short enough for Leave.
 func (b Bounds) ExchangeInterval(set time.Duration) time.Duration {
 	return min(set, b.share(exchangeShare))
 }
 
-// MaxStoreSilence returns how old the list may be at an instance that hears of it from peers before
-// it asks the store itself.
+// MaxStoreSilence returns the age of the list at which an instance that receives it from peers
+// queries the store itself.
 func (b Bounds) MaxStoreSilence() time.Duration {
 	return b.Leave - b.share(readShare) - b.share(sendShare) - DialTimeout
 }
 
-// VanishedGracePeriod returns for how long a replica may still be used after its entry was last known to
-// stand, if no outage of the store may be why it went.
+// VanishedGracePeriod returns how long a replica may still be used after its entry was last
+// known to exist, if no outage of the store can explain why it vanished.
 func (b Bounds) VanishedGracePeriod() time.Duration {
 	return b.Leave - b.share(sendShare) - DialTimeout
 }
 
-// MaxRetryDelay returns after how long the store is called again at the latest, after calls that
-// failed.
+// MaxRetryDelay returns the longest delay of a retry of a failed call to the store.
 func (b Bounds) MaxRetryDelay() time.Duration { return time.Duration(settleShare * float64(b.Settle)) }
 
+// share returns a fraction of Leave.
 func (b Bounds) share(part float64) time.Duration { return time.Duration(part * float64(b.Leave)) }
--- a/core/bounds/bounds_test.go
+++ b/core/bounds/bounds_test.go
@@ -8,19 +8,21 @@
 	"github.com/matryer/is"
 )
 
-// small and large are the bounds and the spacing of exchanges of the users' deployments.
+// small and large are the bounds of the users' deployments.
 var (
 	small = Bounds{Leave: 2 * time.Second, Settle: 3 * time.Second}
 	large = Bounds{Leave: 3 * time.Second, Settle: 4 * time.Second}
 )
 
+// exchange is the interval of exchanges of the users' deployments.
 const exchange = 500 * time.Millisecond
 
-// reserveDivisor is the part of the bound, one in so many, that the parts leave over.
+// reserveDivisor defines the fraction of the bound that the delays must leave unused: one
+// reserveDivisor-th.
 const reserveDivisor = 40
 
-// TestDelaysStayWithinBound: the waits that were worked out leave something over of the
-// bound, whatever it is and however the fleet hears of news.
+// TestDelaysStayWithinBound checks that the computed delays leave a reserve of the bound, for
+// small and large bounds, and whether instances watch themselves or receive changes from peers.
 func TestDelaysStayWithinBound(t *testing.T) {
 	for _, b := range []Bounds{small, large, {Leave: 10 * time.Second, Settle: 10 * time.Second}} {
 		for _, mesh := range []bool{true, false} {
@@ -30,17 +32,17 @@
 			is.True(b.Leave-p.Sum() >= b.Leave/reserveDivisor)
 			is.NoErr(b.Check(r))
 			is.True(p.Wait >= minWait)
-			// An instance that asks the store itself, since its news is old, is in time too,
-			// and does not do so while all is well.
+			// An instance that queries the store because its list is old meets the bound too,
+			// and does not query it while the store is healthy.
 			is.True(b.MaxStoreSilence()+p.Read+p.Dial+p.Send <= b.Leave)
 			is.True(p.MaxListAge() <= b.MaxStoreSilence())
-			// After an outage the list is there before the bound binds again.
+			// After an outage the list is read before the bound applies again.
 			is.True(b.MaxRetryDelay()+p.Read < b.Settle)
 		}
 	}
 }
 
-// TestCheckRejectsExcessiveDelays: the error names the sum and its parts.
+// TestCheckRejectsExcessiveDelays checks that the error names the sum and its delays.
 func TestCheckRejectsExcessiveDelays(t *testing.T) {
 	for _, tt := range []struct {
 		name   string
--- a/core/crash/blame.go
+++ b/core/crash/blame.go
@@ -11,39 +11,39 @@
 )
 
 const (
-	// MaxCrashes is how many replicas may end under a request before it is blamed: the
-	// users' bound for a request that ends replicas.
+	// MaxCrashes is how many replicas may end under a request before it is blamed: the users'
+	// bound for a request that crashes replicas.
 	MaxCrashes = 3
-	// certainLimit is how many replicas may end under a request, whatever else was in flight
-	// there, before it is blamed: the usual tries of a caller, two of two attempts each,
-	// bring a request that harms nobody to no more, so one that has as many and comes again
-	// is none.
+	// certainLimit is how many replicas may end under a request before it is blamed regardless
+	// of what else was in flight there. The usual tries of a caller, two with two attempts
+	// each, bring a harmless request to no more replicas than that, so a request with as many
+	// crashes that is sent again is not harmless.
 	certainLimit = 4
-	// coincidenceWindow is how long before the last end of a request there must have been none
-	// but its own: where replicas end for another reason, three of them may end under any
-	// request: some tries of a caller.
+	// coincidenceWindow is the time before the last crash of a request in which there must have
+	// been no crashes but its own. If replicas end for another reason, three of them may end
+	// under any request, through a few tries of its caller.
 	coincidenceWindow = 10 * time.Second
 )
 
-// An replicaCrash is one life of a replica that ended, as all reports of it tell together. One that
-// starts again, under whatever name, may replicaCrash again: counted by names, a request that ends
-// two replicas in turn would never be blamed.
+// A replicaCrash is the end of one incarnation of a replica, merged from all reports of it.
+// Crashes are counted by incarnation, since a restarted replica may crash again, under any
+// name: counted by name, a request that crashes two replicas in turn would never be blamed.
 type replicaCrash struct {
 	replica  pool.Incarnation
-	at       clock.Instant // of the first report
-	requests []Fingerprint // rising
+	at       clock.Instant // time of the earliest report
+	requests []Fingerprint // in ascending order
 }
 
-// A Attribution is a request with the replicas that ended under it.
+// An Attribution is a request that is blamed, with the replicas that ended under it.
 type Attribution struct {
 	Request  Fingerprint
 	Replicas []pool.Incarnation
 }
 
-// Blame returns the requests to which the ends of replicas are put down, with those
-// replicas. served is when a request was last served whole; limit is how many ends it
-// takes for a request. Reports count up to settled only: before that, those of other
-// instances may be missing.
+// Blame returns the requests to blame for the crashes in the reports, with the replicas that
+// ended under them. served returns when a request last succeeded; limit returns how many
+// crashes are needed to blame a request. Only reports up to settled count: later ones may be
+// incomplete, because those of other instances may not have arrived.
 func Blame(reports []Report, served func(Fingerprint) clock.Instant, limit func(Fingerprint) int, settled clock.Instant) []Attribution {
 	ends := mergeReports(reports, settled)
 	under := crashesByRequest(ends, served, limit)
@@ -70,7 +70,7 @@
 	}
 }
 
-// mergeReports puts the reports of each end together.
+// mergeReports merges the reports of each crash.
 func mergeReports(reports []Report, settled clock.Instant) []*replicaCrash {
 	byReplica := map[pool.Incarnation]*replicaCrash{}
 	for _, r := range reports {
@@ -97,9 +97,9 @@
 	return ends
 }
 
-// crashesByRequest returns the ends by request, without those after which the request was
-// served, of the requests with enough ends to be blamed. Nearly all requests have one
-// end, and are left out at once.
+// crashesByRequest returns the crashes by request, for the requests with enough crashes to be
+// blamed, without the crashes after which the request succeeded. Nearly all requests have one
+// crash and are skipped early.
 func crashesByRequest(ends []*replicaCrash, served func(Fingerprint) clock.Instant, limit func(Fingerprint) int) map[Fingerprint][]*replicaCrash {
 	count := map[Fingerprint]int{}
 	for _, e := range ends {
@@ -118,9 +118,9 @@
 	return under
 }
 
-// nextBlamed returns the request with the most ends that no other explains, if these are
-// enough to blame it. Where others that have as many were in flight at some of the same,
-// or it may have been there by chance, more ends have to tell.
+// nextBlamed returns the request with the most crashes that no other request explains, if they
+// are enough to blame it. If another request has as many crashes, some of them the same, or if
+// the request may have been there by coincidence, it is not blamed before more crashes decide.
 func nextBlamed(ends []*replicaCrash, under map[Fingerprint][]*replicaCrash, explained map[*replicaCrash]bool, limit func(Fingerprint) int) (Fingerprint, bool) {
 	open := map[Fingerprint][]*replicaCrash{}
 	at := map[*replicaCrash][]Fingerprint{}
@@ -153,9 +153,9 @@
 	return 0, false
 }
 
-// maybeCoincidence reports whether, in the time before the last of a request's own ends, there
-// were others, explained or not: where replicas end for another reason, some request may
-// have been at four of them, and be taken for their explanation.
+// maybeCoincidence reports whether other crashes, explained or not, happened within
+// coincidenceWindow before the last of a request's own crashes. If replicas end for another
+// reason, some request may have been at four of them and appear to explain them.
 func maybeCoincidence(own, ends []*replicaCrash) bool {
 	last := own[0].at
 	for _, e := range own {
@@ -167,8 +167,8 @@
 	})
 }
 
-// hasRival reports whether another request has as many ends, some of them the same. at
-// are the requests of each end.
+// hasRival reports whether another request has as many crashes, some of them the same. at maps
+// each crash to its requests.
 func hasRival(request Fingerprint, open map[Fingerprint][]*replicaCrash, at map[*replicaCrash][]Fingerprint) bool {
 	return slices.ContainsFunc(open[request], func(e *replicaCrash) bool {
 		return slices.ContainsFunc(at[e], func(other Fingerprint) bool {
--- a/core/crash/crash.go
+++ b/core/crash/crash.go
@@ -1,14 +1,14 @@
-// Package crash provides what instances tell each other of replicas that ended under
-// their calls, and which request that is blamed on.
+// Package crash holds the reports that instances exchange about replicas that ended under their
+// calls, and decides which request is to blame.
 //
-// Nobody sees why a replica ended. What is seen is which requests it had in flight, and
-// an engine has dozens. But one that ends the replicas that run it is in flight at all
-// of them, and the others are so by chance: so the request that the most ends have in
-// common explains them, and what they say of the others is explained with them. A
-// request that was served whole afterwards is not one that ends replicas.
+// No instance sees why a replica ended. It only sees which requests it had in flight there, and
+// an engine runs dozens. A request that crashes replicas was in flight at all of them, while
+// the others were there by coincidence. The request that the most crashes have in common
+// therefore explains them, and these crashes no longer count against the other requests. A
+// request that succeeded afterwards does not crash replicas.
 //
-// Each instance reports the requests that it had in flight itself. Reports only grow, so
-// they may arrive in any order, by any way and more than once.
+// Each instance reports the requests that it had in flight itself. Reports only grow, so they
+// may arrive in any order, by any way and more than once.
 package crash
 
 import (
@@ -19,22 +19,22 @@
 	"github.com/birchdrift/birchdrift/core/pool"
 )
 
-// A Fingerprint identifies a request over all its tries, by a digest of what its caller
-// sent: a caller that tries again gives the try another name, and may come to another
-// instance. 0: not known.
+// A Fingerprint identifies a request over all its attempts and retries, by a digest of what its
+// caller sent: a caller that retries uses another request ID, and may reach another instance. 0
+// means unknown.
 type Fingerprint uint64
 
-// String returns the request as logs and keys of the store show it.
+// String returns the fingerprint as used in logs and in keys of the store.
 func (r Fingerprint) String() string { return fmt.Sprintf("%016x", uint64(r)) }
 
-// A Report says which requests one instance had in flight at a replica that ended
-// without a word.
+// A Report lists the requests that one instance had in flight at a replica that ended without
+// having reported itself as leaving.
 type Report struct {
-	Observer string // the instance
-	Boot     uint64 // of the instance
-	Seq      uint64 // rises with each replica that ended under the instance's calls
+	Observer string // the reporting instance
+	Boot     uint64 // of the observer
+	Seq      uint64 // rises with each replica that ended under the observer's calls
 	Replica  pool.Incarnation
-	Requests []Fingerprint // rising
+	Requests []Fingerprint // in ascending order
 	clock.EventTime
 }
 
@@ -44,7 +44,7 @@
 	return found
 }
 
-// A Success says that a request was served whole.
+// A Success records that a request was answered completely.
 type Success struct {
 	Request Fingerprint
 	clock.EventTime
--- a/core/crash/crash_test.go
+++ b/core/crash/crash_test.go
@@ -12,16 +12,17 @@
 	"github.com/birchdrift/birchdrift/core/pool"
 )
 
-// start is when the first replica ends in these tests; each further one ends 10 s later.
+// start is when the first replica ends in these tests; each further one ends crashInterval
+// later.
 var start = clocktest.At(time.Hour)
 
 const crashInterval = 10 * time.Second
 
-// incarnation is a incarnation of a replica.
+// incarnation returns an incarnation of a replica.
 func incarnation(name, born string) pool.Incarnation { return pool.Incarnation{Name: name, Born: born} }
 
-// restartReports are reports like ended's, of so many replicas in turn that start restartReports under their
-// names.
+// restartReports returns reports like crashReports, of a number of replicas that take turns and
+// restart under their names.
 func restartReports(replicas int, requests ...[]Fingerprint) []Report {
 	reports := crashReports(requests...)
 	for n := range reports {
@@ -30,7 +31,7 @@
 	return reports
 }
 
-// crashReports are the reports of one replica after the other, with what was in flight.
+// crashReports returns the reports of one crash after the other, with the requests in flight.
 func crashReports(requests ...[]Fingerprint) []Report {
 	var reports []Report
 	for n, inFlight := range requests {
@@ -41,7 +42,8 @@
 	return reports
 }
 
-// unrelatedReports are reports of replicas that ended for another reason until so long after start.
+// unrelatedReports returns n reports of replicas that ended for another reason, the last of
+// them at until after start.
 func unrelatedReports(until time.Duration, n int) []Report {
 	var reports []Report
 	for i := range n {
@@ -68,8 +70,8 @@
 	return out
 }
 
-// TestBlame tables which requests the ends of replicas are put down to. 1 and 2 are
-// requests that end replicas, the others harm nobody.
+// TestBlame checks which requests are blamed for crashes. Requests 1 and 2 crash replicas, the
+// others are harmless.
 func TestBlame(t *testing.T) {
 	type in = []Fingerprint
 	repeat := func(n int, requests ...Fingerprint) []in {
@@ -84,34 +86,34 @@
 	}{
 		{"two replicas are too few", crashReports(repeat(2, 1)...), nil, nil, nil},
 		{"three replicas", crashReports(in{1, 8}, in{1, 9}, in{1, 7}), nil, nil, []Fingerprint{1}},
-		{"beside another at two of them", crashReports(in{1, 9}, in{1, 9}, in{1}), nil, nil, []Fingerprint{1}},
-		{"beside another at all of them", crashReports(repeat(3, 1, 9)...), nil, nil, nil},
-		{"a fourth tells them apart", crashReports(in{1, 9}, in{1, 9}, in{1, 9}, in{1}), nil, nil, []Fingerprint{1}},
-		{"as many, some the same", crashReports(in{1}, in{1, 9}, in{1, 9}, in{9}), nil, nil, nil},
-		{"together for so long that it is no chance", crashReports(repeat(4, 1, 2)...), nil, nil, []Fingerprint{1, 2}},
-		{"two, one after the other", crashReports(in{1, 9}, in{1}, in{1, 8}, in{2, 9}, in{2}, in{2, 8}), nil, nil, []Fingerprint{1, 2}},
-		{"among many that end for another reason", append(crashReports(in{1}, in{1}, in{1}), unrelatedReports(2*crashInterval, 4)...), nil, nil, nil},
-		{"a fourth among many", append(crashReports(in{1}, in{1}, in{1}, in{1}), unrelatedReports(3*crashInterval, 4)...), nil, nil, []Fingerprint{1}},
-		{"beside one that ended for another reason", append(crashReports(in{1}, in{1}, in{1}), unrelatedReports(2*crashInterval, 1)...), nil, nil, nil},
-		{"long after others that ended", append(crashReports(in{1}, in{1}, in{1}), unrelatedReports(0, 4)...), nil, nil, []Fingerprint{1}},
-		{"its ends are another's", crashReports(in{1, 9}, in{1, 9}, in{1, 9}, in{1}, in{1}), nil, nil, []Fingerprint{1}},
-		{"served since", crashReports(repeat(3, 1)...), map[Fingerprint]clock.Instant{1: start.Add(2 * crashInterval).Add(1)}, nil, nil},
-		{"served in between", crashReports(repeat(4, 1)...), map[Fingerprint]clock.Instant{1: start.Add(1)}, nil, []Fingerprint{1}},
+		{"another request at two of them", crashReports(in{1, 9}, in{1, 9}, in{1}), nil, nil, []Fingerprint{1}},
+		{"another request at all of them", crashReports(repeat(3, 1, 9)...), nil, nil, nil},
+		{"a fourth crash tells the requests apart", crashReports(in{1, 9}, in{1, 9}, in{1, 9}, in{1}), nil, nil, []Fingerprint{1}},
+		{"two requests with as many crashes, some the same", crashReports(in{1}, in{1, 9}, in{1, 9}, in{9}), nil, nil, nil},
+		{"two requests together too often for a coincidence", crashReports(repeat(4, 1, 2)...), nil, nil, []Fingerprint{1, 2}},
+		{"two requests, one after the other", crashReports(in{1, 9}, in{1}, in{1, 8}, in{2, 9}, in{2}, in{2, 8}), nil, nil, []Fingerprint{1, 2}},
+		{"among many unrelated crashes", append(crashReports(in{1}, in{1}, in{1}), unrelatedReports(2*crashInterval, 4)...), nil, nil, nil},
+		{"a fourth crash among many unrelated ones", append(crashReports(in{1}, in{1}, in{1}, in{1}), unrelatedReports(3*crashInterval, 4)...), nil, nil, []Fingerprint{1}},
+		{"with one unrelated crash", append(crashReports(in{1}, in{1}, in{1}), unrelatedReports(2*crashInterval, 1)...), nil, nil, nil},
+		{"long after unrelated crashes", append(crashReports(in{1}, in{1}, in{1}), unrelatedReports(0, 4)...), nil, nil, []Fingerprint{1}},
+		{"its crashes are explained by another request", crashReports(in{1, 9}, in{1, 9}, in{1, 9}, in{1}, in{1}), nil, nil, []Fingerprint{1}},
+		{"succeeded since", crashReports(repeat(3, 1)...), map[Fingerprint]clock.Instant{1: start.Add(2 * crashInterval).Add(1)}, nil, nil},
+		{"succeeded in between", crashReports(repeat(4, 1)...), map[Fingerprint]clock.Instant{1: start.Add(1)}, nil, []Fingerprint{1}},
 		{"blamed before", crashReports(in{1}), nil, map[Fingerprint]int{1: 1}, []Fingerprint{1}},
-		{"requests that are not known", crashReports(repeat(4, 0)...), nil, nil, nil},
-		{"one end in two reports", append(crashReports(repeat(2, 1)...), Report{
+		{"requests without a fingerprint", crashReports(repeat(4, 0)...), nil, nil, nil},
+		{"one crash in two reports", append(crashReports(repeat(2, 1)...), Report{
 			Observer: "j", Replica: incarnation("b", ""), Requests: in{1}, EventTime: clock.EventTime{At: start.Add(crashInterval).Add(time.Second)},
 		}), nil, nil, nil},
-		{"one end in two reports, of which one comes from an instance that stood still", append(crashReports(repeat(2, 1)...), Report{
+		{"one crash in two reports, one of them from an instance that was paused", append(crashReports(repeat(2, 1)...), Report{
 			Observer: "j", Replica: incarnation("b", ""), Requests: in{1}, EventTime: clock.EventTime{At: start.Add(5 * crashInterval)},
 		}), nil, nil, nil},
-		{"one replica that starts again and again", restartReports(1, repeat(3, 1)...), nil, nil, []Fingerprint{1}},
-		{"two in turn that start again and again", restartReports(2, repeat(6, 1)...), nil, nil, []Fingerprint{1}},
-		{"two in turn, beside another at all of them", restartReports(2, repeat(3, 1, 9)...), nil, nil, nil},
-		{"one life in two reports", append(restartReports(1, repeat(2, 1)...), Report{
+		{"one replica that restarts repeatedly", restartReports(1, repeat(3, 1)...), nil, nil, []Fingerprint{1}},
+		{"two replicas that restart in turn", restartReports(2, repeat(6, 1)...), nil, nil, []Fingerprint{1}},
+		{"two replicas that restart in turn, another request at all crashes", restartReports(2, repeat(3, 1, 9)...), nil, nil, nil},
+		{"one incarnation in two reports", append(restartReports(1, repeat(2, 1)...), Report{
 			Observer: "j", Replica: incarnation("a", "1"), Requests: in{1}, EventTime: clock.EventTime{At: start.Add(5 * crashInterval)},
 		}), nil, nil, nil},
-		{"reports of others complete an end", append(crashReports(in{9}, in{1, 9}, in{1, 9}, in{1}), Report{
+		{"another observer's report completes a crash", append(crashReports(in{9}, in{1, 9}, in{1, 9}, in{1}), Report{
 			Observer: "j", Replica: incarnation("a", ""), Requests: in{1}, EventTime: clock.EventTime{At: start},
 		}), nil, nil, []Fingerprint{1}},
 	}
@@ -125,8 +127,9 @@
 	}
 }
 
-// TestUnsettledReportsAreIgnored: before that those of other instances may be
-// missing, and a request that was there by chance would be blamed.
+// TestUnsettledReportsAreIgnored checks that a report counts only once it has settled: before
+// that the reports of other instances may be missing, and a request that was there by
+// coincidence would be blamed.
 func TestUnsettledReportsAreIgnored(t *testing.T) {
 	is := is.New(t)
 	reports := crashReports(slices.Repeat([][]Fingerprint{{1}}, 3)...)
@@ -137,15 +140,15 @@
 	is.Equal(Blame(reports, never, limit, third), []Attribution{{Request: 1, Replicas: []pool.Incarnation{incarnation("a", ""), incarnation("b", ""), incarnation("c", "")}}})
 }
 
-// TestMomentsKeepTheirAge: what a message says of the past is as old on arrival as it was when
-// it was sent, by the receiver's own clocks.
+// TestMomentsKeepTheirAge checks that a moment in a message has the same age on arrival as when
+// it was sent, by the receiver's clocks.
 func TestMomentsKeepTheirAge(t *testing.T) {
 	is := is.New(t)
 	sent := clock.EventTime{At: start}.ForWire(start.Add(7 * time.Second))
 	is.Equal(sent, clock.EventTime{Age: 7 * time.Second})
 	there := clocktest.At(time.Minute)
 	is.Equal(sent.FromWire(there), clock.EventTime{At: there.Add(-7 * time.Second)})
-	// A machine that slept since counts the sleep.
+	// The time for which the machine was suspended counts.
 	asleep := clock.Instant{Mono: start.Mono, Wall: start.Wall.Add(time.Minute)}
 	is.Equal(clock.EventTime{At: start}.ForWire(asleep).Age, time.Minute)
 }
--- a/core/demand/board_test.go
+++ b/core/demand/board_test.go
@@ -10,10 +10,9 @@
 	"github.com/birchdrift/birchdrift/core/clock/clocktest"
 )
 
-// TestSumIsIndependentOfReportOrder: the same reports give the same sum to
-// the last digit, however often and in whatever order they came. They once were
-// added in the order of a map, so that two runs of one machine over the same
-// events logged different figures.
+// TestSumIsIndependentOfReportOrder checks that the same reports give exactly the same sum,
+// regardless of how often and in which order they arrive. They were once added in map order, so
+// that two runs of a state machine over the same events logged different figures.
 func TestSumIsIndependentOfReportOrder(t *testing.T) {
 	is := is.New(t)
 	now := clocktest.At(time.Hour)
--- a/core/demand/demand.go
+++ b/core/demand/demand.go
@@ -1,6 +1,6 @@
-// Package demand provides the measure of how much each model is asked for: by the
-// forwarded calls of this instance (Tracker), and by what every instance reported to
-// the one that decides which models are loaded where (Totals).
+// Package demand measures the demand for each model: from the calls that this instance forwards
+// (Tracker), and from the reports of all instances at the instance that decides which models
+// are loaded where (Totals).
 package demand
 
 import (
@@ -12,23 +12,23 @@
 	"github.com/birchdrift/birchdrift/core/clock"
 )
 
-// reportTTL is how long another instance's report counts: several of the exchanges
-// in which reports come.
+// reportTTL is how long another instance's report counts: several of the exchanges that carry
+// the reports.
 const reportTTL = 30 * time.Second
 
 // An Item is the demand for one model or adapter.
 type Item struct {
 	Name       string
-	Rate       float64       // calls a second
-	Concurrent float64       // sequences that its calls occupy at that rate
-	Weight     float64       // mean weight of its calls by policy; 1 is an ordinary call
-	Waiting    int           // calls that wait for it to become resident
-	Unmet      time.Duration // how long calls have found it not resident, 0 if they do not
-	Idle       time.Duration // since its last call
-	Absent     float64       // calls a second that found it nowhere; of forwarded calls
+	Rate       float64       // calls per second
+	Concurrent float64       // sequences occupied by its calls at that rate
+	Weight     float64       // mean policy weight of its calls; 1 is an ordinary call
+	Waiting    int           // calls waiting for it to become resident
+	Unmet      time.Duration // how long calls have found it not resident, 0 if they find it
+	Idle       time.Duration // time since its last call
+	Absent     float64       // misses per second of forwarded calls: no engine had it
 }
 
-// A Totals sums the demand that the instances of a zone reported to its planner.
+// A Totals sums the demand that the instances of a zone reported to its placer.
 type Totals struct {
 	reports map[string]report // by instance
 }
@@ -38,29 +38,28 @@
 	items []Item
 }
 
-// NewTotals returns a board without reports.
+// NewTotals returns totals without reports.
 func NewTotals() *Totals { return &Totals{reports: map[string]report{}} }
 
-// Report replaces what the instance reported before.
-func (b *Totals) Report(now clock.Instant, instance string, items []Item) {
-	b.reports[instance] = report{at: now, items: items}
+// Report replaces the instance's previous report.
+func (t *Totals) Report(now clock.Instant, instance string, items []Item) {
+	t.reports[instance] = report{at: now, items: items}
 }
 
-// Sum returns the demand of all reports by name; reports that are too old are
-// dropped.
-func (b *Totals) Sum(now clock.Instant) []Item {
-	return b.SumOf(now, func(string) bool { return true })
+// Sum returns the total demand ordered by item name. It drops reports older than reportTTL.
+func (t *Totals) Sum(now clock.Instant) []Item {
+	return t.SumOf(now, func(string) bool { return true })
 }
 
-// SumOf returns the demand that the instances for which keep is true reported.
-func (b *Totals) SumOf(now clock.Instant, keep func(instance string) bool) []Item {
+// SumOf returns the total demand reported by the instances for which keep returns true.
+func (t *Totals) SumOf(now clock.Instant, keep func(instance string) bool) []Item {
 	sums := map[string]Item{}
-	// In the order of their names: sums of floating-point numbers differ with
-	// the order, and the machine must decide alike on the same events.
-	for _, name := range slices.Sorted(maps.Keys(b.reports)) {
-		r := b.reports[name]
+	// Reports are added in the order of the instances' names. Floating-point sums depend on
+	// the order, and the state machine must be deterministic.
+	for _, name := range slices.Sorted(maps.Keys(t.reports)) {
+		r := t.reports[name]
 		if now.Since(r.at) > reportTTL {
-			delete(b.reports, name)
+			delete(t.reports, name)
 			continue
 		}
 		if !keep(name) {
--- a/core/demand/flow.go
+++ b/core/demand/flow.go
@@ -8,38 +8,38 @@
 	"github.com/birchdrift/birchdrift/core/clock"
 )
 
-// Spans of a Tracker. Work is followed quickly, so that a model that rises gets its
-// copies before calls queue; what was asked for counts longer, so that a model
-// which is asked for now and then keeps a place.
+// Averaging windows of a Tracker. The window for work is short, so that a model with rising
+// demand gets copies before calls queue. The window for calls is longer, so that a model
+// that is called occasionally stays loaded.
 const (
-	// workWindow is over which the engine time of calls is averaged.
+	// workWindow is the time constant of the average of the calls' engine time.
 	workWindow = 2500 * time.Millisecond
-	// callWindow is over which calls are counted.
+	// callWindow is the time constant of the count of calls.
 	callWindow = 12 * time.Second
-	// missWindow is over which calls are counted that found their model nowhere.
+	// missWindow is the time constant of the count of calls for which no engine had the model.
 	missWindow = 2 * time.Second
 )
 
-// A Tracker measures what forwarded calls ask of models: engine time, calls, and
-// calls that found the model nowhere.
+// A Tracker measures the demand of forwarded calls by model: engine time, calls, and misses,
+// which are calls for which no engine had the model.
 type Tracker struct{ models map[string]*modelDemand }
 
 type modelDemand struct {
 	at       clock.Instant
-	work     float64 // decayed sums
-	longWork float64
+	work     float64 // exponentially decayed sum over workWindow
+	longWork float64 // the same work over callWindow
 	calls    float64
 	misses   float64
 }
 
-// NewTracker returns a flow that has seen no call.
+// NewTracker returns a tracker without calls.
 func NewTracker() *Tracker { return &Tracker{models: map[string]*modelDemand{}} }
 
-func (f *Tracker) model(now clock.Instant, name string) *modelDemand {
-	m := f.models[name]
+func (t *Tracker) model(now clock.Instant, name string) *modelDemand {
+	m := t.models[name]
 	if m == nil {
 		m = &modelDemand{at: now}
-		f.models[name] = m
+		t.models[name] = m
 	}
 	m.decay(now)
 	return m
@@ -57,29 +57,29 @@
 	m.at = now
 }
 
-// RecordCall notes a call for a model and the engine time that it takes.
-func (f *Tracker) RecordCall(now clock.Instant, model string, work time.Duration) {
-	m := f.model(now, model)
+// RecordCall records a call for a model and the engine time that it takes.
+func (t *Tracker) RecordCall(now clock.Instant, model string, work time.Duration) {
+	m := t.model(now, model)
 	m.calls++
 	m.work += work.Seconds()
 	m.longWork += work.Seconds()
 }
 
-// RecordMiss notes that a call found no engine with its model.
-func (f *Tracker) RecordMiss(now clock.Instant, model string) { f.model(now, model).misses++ }
+// RecordMiss records that no engine had the model of a call.
+func (t *Tracker) RecordMiss(now clock.Instant, model string) { t.model(now, model).misses++ }
 
-// longWindowShare is the part of the work over the longer span that counts even when
-// the shorter one has less.
+// longWindowShare is the fraction of the work rate over callWindow that is reported if the rate
+// over workWindow is lower.
 const longWindowShare = 0.4
 
-// Items returns what is asked for now, by name. Concurrent is the engine time a
+// Items returns the current demand ordered by model name. Concurrent is the engine time per
 // second.
-func (f *Tracker) Items(now clock.Instant) []Item {
+func (t *Tracker) Items(now clock.Instant) []Item {
 	var items []Item
-	for name, m := range f.models {
+	for name, m := range t.models {
 		m.decay(now)
 		if m.calls < 0.02 {
-			delete(f.models, name)
+			delete(t.models, name)
 			continue
 		}
 		items = append(items, Item{
--- a/core/gossip/gossip.go
+++ b/core/gossip/gossip.go
@@ -1,16 +1,14 @@
-// Package share provides what entry instances tell each other: versioned
-// records, the deltas in which they travel, and the set that holds the newest of
-// each.
+// Package gossip holds the records that entry instances exchange: versioned records, the deltas
+// sent to peers, and the set of the newest record of each kind and name.
 //
-// The idea: every record is ordered by its origin's own counters, an engine's
-// boot and change or the list's version, so it does not matter which way or how
-// often it arrives. Each peer is sent only what became new here since it last
-// confirmed; a message that is lost is covered by the next one.
+// Every record is ordered by counters of its origin, such as an engine's boot and change or the
+// version of the list. It therefore does not matter by which way or how often a record arrives.
+// Each peer is sent only the records that became new here since it last confirmed; a lost
+// message is covered by the next one.
 //
-// What travels where: what engines hold, who is leaving and the registry's
-// records go everywhere, for they change rarely and calls are sent across zones
-// by them; loads stay in their zone, for they change all the time and are stale
-// by the time they would have crossed.
+// Residencies, leaving replicas and the registry's records are sent to all instances: they
+// change rarely, and calls are sent to other zones according to them. Loads stay in their zone:
+// they change all the time and would be stale on arrival.
 package gossip
 
 import (
@@ -29,19 +27,19 @@
 	"github.com/birchdrift/birchdrift/core/registry"
 )
 
-// A Residency tells what an engine holds.
+// A Residency is an engine's report of its items.
 type Residency struct {
 	Engine string
 	pool.Residency
 }
 
-// A Load tells how busy an engine is.
+// A Load is an engine's report of its load.
 type Load struct {
 	Engine string
 	pool.Load
 }
 
-// A ListedKind says what a listed instance runs.
+// A ListedKind is what a listed instance runs.
 type ListedKind uint8
 
 // The kinds of listed instance.
@@ -50,47 +48,48 @@
 	Upstream
 )
 
-// A Listed tells what the platform's list says of one instance.
+// A Listed is the platform's list entry of one instance.
 type Listed struct {
 	Name    string
 	Kind    ListedKind
 	Zone    string
-	Address string // of an entry instance's peers' listener
+	Address string // of an entry instance's listener for peers
 	Leaving bool
-	Gone    bool         // the list no longer has it
-	Version era.Revision // of the list, when this was last changed
-	// Announced is what an upstream that announces itself says; nil for others.
+	Gone    bool         // the entry was removed from the list
+	Version era.Revision // of the list at the entry's last change
+	// Announced is the announcement of an upstream that announces itself; nil for others.
 	Announced *pool.Announcement
 }
 
-// A Leaving tells that a life of a replica said that it leaves, in an answer or in its entry.
+// A Leaving records that an incarnation of a replica reported itself as leaving, in a response
+// or in its list entry.
 type Leaving struct {
 	pool.Incarnation
-	At clock.Instant // when this instance heard of it; it does not travel
+	At clock.Instant // when this instance learned of it; not sent to peers
 }
 
-// A Rest tells that a life of a replica turned an instance away and wants nothing from it
-// until a moment, which travels as an age below zero.
+// A Rest records that an incarnation of a replica rejected an instance's call and requested no
+// calls from it until an instant. A message carries the remaining time instead.
 type Rest struct {
 	pool.Incarnation
 	Until clock.Instant
-	Left  time.Duration // in a message
+	Left  time.Duration // remaining time, in a message
 }
 
-// A Limit tells what a life of a replica said last of its limit.
+// A Limit is the newest report of an incarnation's rate limit.
 type Limit struct {
 	pool.Incarnation
 	pool.LimitReport
 }
 
-// A LeaseHolder tells who plans for a zone.
+// A LeaseHolder is the instance that holds the placer lease of a zone.
 type LeaseHolder struct {
 	Zone     string
 	Instance string
 	Fence    uint64
 }
 
-// A Records is a set of records, as a delta or as a whole.
+// Records is a set of records: a delta or all of them.
 type Records struct {
 	Residencies []Residency
 	Loads       []Load
@@ -104,7 +103,7 @@
 	Rests       []Rest
 }
 
-// withAges returns the records as they travel in a message sent at now.
+// withAges returns the records as sent in a message at now, with ages in place of instants.
 func (r Records) withAges(now clock.Instant) Records {
 	for i, c := range r.Crashes {
 		r.Crashes[i].EventTime = c.ForWire(now)
@@ -121,39 +120,39 @@
 	return r
 }
 
-// A Message is one side of an exchange.
+// A Message is the request or the response of an exchange.
 type Message struct {
 	From     string
 	Zone     string
-	Address  string // where the sender takes exchanges
+	Address  string // of the sender's listener for exchanges
 	Boot     uint64 // of the sender
-	Leaving  bool   // the sender is stopping
-	Revision uint64 // of the configuration in force at the sender
-	// StoreAge is how old the newest news of the platform's store is that the
-	// sender has, at first hand or from others.
+	Leaving  bool   // the sender is shutting down
+	Revision uint64 // of the configuration in use at the sender
+	// StoreAge is the age of the sender's newest information about the platform's store,
+	// received from the store or from peers.
 	StoreAge time.Duration
-	// StoreVersion is up to where the sender has heard the platform's store at
-	// first hand, so that it need not be told what changed before.
+	// StoreVersion is the version up to which the sender has read the platform's store itself.
+	// Earlier changes need not be sent to it.
 	StoreVersion era.Revision
-	Stamp        uint64 // of the sender's Set at the time of sending
-	// AckBoot and Ack confirm what the receiver sent: everything up to Ack of
-	// its boot AckBoot is here.
+	Stamp        uint64 // of the sender's Set when the message was sent
+	// AckBoot and Ack confirm the receiver's messages: the sender has everything up to Ack of
+	// the receiver's boot AckBoot.
 	AckBoot uint64
 	Ack     uint64
 	Records Records
-	// Demand is what the sender's callers ask for. It is sent only to whoever
-	// places models by it.
+	// Demand is the demand of the sender's callers. It is sent only to the instance that places
+	// models by it.
 	Demand []demand.Item
-	// Uses is what the sender has in flight, by replica; nil if it does not say.
+	// Uses is the sender's calls in flight by replica; nil if it is not included.
 	Uses map[string]pool.Usage
-	// WantConfig asks for the configuration if the receiver's is newer.
+	// WantConfig requests the configuration if the receiver's is newer.
 	WantConfig bool
-	// Config is the encoded configuration of Revision, if it was asked for.
+	// Config is the encoded configuration of Revision, if it was requested.
 	Config []byte
 }
 
-// A Set holds the newest record of each kind and name, and when it became
-// new here.
+// A Set holds the newest record of each kind and name, with the stamp at which it became new
+// here.
 type Set struct {
 	stamp       uint64
 	residencies map[string]stamped[Residency]
@@ -168,11 +167,11 @@
 	rests       map[pool.Incarnation]stamped[Rest]
 }
 
-// A stamped is a record with the Stamp of the set when it became new here.
+// A stamped is a record with the stamp of the set at which it became new here.
 type stamped[T any] struct {
 	record T
 	stamp  uint64
-	from   string // who told of it; "" if it was learnt at first hand
+	from   string // peer that sent it; "" if received from its origin
 }
 
 // NewSet returns an empty set.
@@ -191,69 +190,70 @@
 	}
 }
 
-// Stamp rises with every record that became new here.
+// Stamp returns the set's stamp, which rises with every record that becomes new here.
 func (s *Set) Stamp() uint64 { return s.stamp }
 
-// put stores the record if there is none of its name, or newer says that it is
-// newer than that one, and reports whether it did.
-func put[K comparable, T any](s *Set, into map[K]stamped[T], name K, from string, rec T, newer func(old T) bool) bool {
-	old, ok := into[name]
+// put stores the record if there is none of its name, or if newer reports that it is newer than
+// that one, and reports whether it did.
+func put[K comparable, T any](s *Set, records map[K]stamped[T], name K, from string, rec T, newer func(old T) bool) bool {
+	old, ok := records[name]
 	if ok && !newer(old.record) {
 		return false
 	}
 	s.stamp++
-	into[name] = stamped[T]{record: rec, stamp: s.stamp, from: from}
+	records[name] = stamped[T]{record: rec, stamp: s.stamp, from: from}
 	return true
 }
 
-// AddResidency stores the record, told by from or learnt at first hand (""), and
-// reports whether it was news.
+// AddResidency stores a record sent by the peer from, or received from its origin if from is
+// "", and reports whether it was new.
 func (s *Set) AddResidency(from string, r Residency) bool {
 	return put(s, s.residencies, r.Engine, from, r, func(old Residency) bool { return r.Newer(old.Residency) })
 }
 
-// AddLoad stores the record and reports whether it was news.
+// AddLoad stores the record and reports whether it was new.
 func (s *Set) AddLoad(from string, l Load) bool {
 	return put(s, s.loads, l.Engine, from, l, func(old Load) bool { return l.Newer(old.Load) })
 }
 
-// AddListed stores the record and reports whether it was news.
+// AddListed stores the record and reports whether it was new.
 func (s *Set) AddListed(from string, l Listed) bool {
 	return put(s, s.listed, l.Name, from, l, func(old Listed) bool {
 		return l.Version > old.Version || l.Version == old.Version && l.Gone && l.Leaving && !old.Leaving
 	})
 }
 
-// AddLeaseHolder stores the record and reports whether it was news.
+// AddLeaseHolder stores the record and reports whether it was new.
 func (s *Set) AddLeaseHolder(from string, h LeaseHolder) bool {
 	return put(s, s.holders, h.Zone, from, h, func(old LeaseHolder) bool {
 		return h.Fence > old.Fence || (h.Fence == old.Fence && h.Instance == "" && old.Instance != "")
 	})
 }
 
-// AddRegistered stores the record and reports whether it was news.
+// AddRegistered stores the record and reports whether it was new.
 func (s *Set) AddRegistered(from string, r registry.Record) bool {
 	return put(s, s.registered, r.Key, from, r, func(old registry.Record) bool { return r.Revision > old.Revision })
 }
 
-// AddCrash stores the report, or what is new in it, and reports whether it was news.
+// AddCrash stores the report, or a newer version of it with more requests, and reports whether
+// it was new.
 func (s *Set) AddCrash(from string, r crash.Report) bool {
 	name := fmt.Sprintf("%s/%d/%d", r.Observer, r.Boot, r.Seq)
 	return put(s, s.crashes, name, from, r, func(old crash.Report) bool { return len(r.Requests) > len(old.Requests) })
 }
 
-// AddSuccess stores the record and reports whether it was news. Ages that travelled
-// differ a little, so one that is hardly later is none.
+// AddSuccess stores the record and reports whether it was new. Ages in messages are imprecise,
+// so a success that is hardly later than the known one is not new.
 func (s *Set) AddSuccess(from string, x crash.Success) bool {
 	return put(s, s.successes, x.Request, from, x, func(old crash.Success) bool { return x.At.Since(old.At) > minSuccessGap })
 }
 
-// minSuccessGap is the least time between two successes of a request of which the second
-// is news: above what a message takes, below what a caller needs to try again after a
+// minSuccessGap is how much later than the known success of a request another one must be to
+// count as new: longer than a message takes, shorter than a caller takes to retry after a
 // failure.
 const minSuccessGap = time.Second
 
-// Crashes returns the reports of replicas that ended under calls, in no order.
+// Crashes returns the crash reports in no particular order.
 func (s *Set) Crashes() []crash.Report {
 	out := make([]crash.Report, 0, len(s.crashes))
 	for _, x := range s.crashes {
@@ -262,12 +262,11 @@
 	return out
 }
 
-// LastSuccess returns when a request was last served whole, as far as records tell.
+// LastSuccess returns when a request last succeeded according to the records.
 func (s *Set) LastSuccess(r crash.Fingerprint) clock.Instant { return s.successes[r].record.At }
 
-// PruneCrashes drops the reports of crashes that are older than age, the oldest beyond
-// the newest keep of them, and the successes that are older than age. It reports whether
-// there were such reports.
+// PruneCrashes removes the crash reports and successes older than age, and all but the newest
+// keep crash reports. It reports whether it removed crash reports.
 func (s *Set) PruneCrashes(now clock.Instant, age time.Duration, keep int) bool {
 	before := len(s.crashes)
 	names := slices.SortedFunc(maps.Keys(s.crashes), func(a, b string) int {
@@ -286,73 +285,72 @@
 	return len(s.crashes) < before
 }
 
-// AddLeaving stores the record and reports whether it was news.
+// AddLeaving stores the record and reports whether it was new.
 func (s *Set) AddLeaving(from string, l Leaving) bool {
 	return put(s, s.leaving, l.Incarnation, from, l, func(Leaving) bool { return false })
 }
 
-// IsLeaving reports whether a life of a replica said that it leaves.
+// IsLeaving reports whether an incarnation of a replica reported itself as leaving.
 func (s *Set) IsLeaving(i pool.Incarnation) bool {
 	_, ok := s.leaving[i]
 	return ok
 }
 
-// PruneLeaving drops the records of replicas that leave which are older than age.
+// PruneLeaving removes the records of leaving replicas older than age.
 func (s *Set) PruneLeaving(now clock.Instant, age time.Duration) {
 	maps.DeleteFunc(s.leaving, func(_ pool.Incarnation, x stamped[Leaving]) bool { return now.MaxElapsed(x.record.At) > age })
 }
 
-// minLimitGap is how much later a replica must have said the same of its limit again for
-// that to be told, so that peers know how old it is (docs/design/limits.md).
+// minLimitGap is how much later than the known report an unchanged limit must be reported to
+// count as new, so that peers know its age (docs/design/limits.md).
 const minLimitGap = 2 * time.Second
 
-// AddLimit stores what a life of a replica said of its limit, and reports whether it was
-// news.
-func (s *Set) AddLimit(from string, life pool.Incarnation, w pool.LimitReport) bool {
-	return put(s, s.limits, life, from, Limit{life, w}, func(old Limit) bool {
+// AddLimit stores a report of an incarnation's rate limit, and reports whether it was new.
+func (s *Set) AddLimit(from string, incarnation pool.Incarnation, w pool.LimitReport) bool {
+	return put(s, s.limits, incarnation, from, Limit{incarnation, w}, func(old Limit) bool {
 		return w.Newer(old.LimitReport) && (w.Limit != old.Limit || w.At.Since(old.At) >= minLimitGap)
 	})
 }
 
-// Limit returns what a life of a replica said last of its limit, as far as records tell.
-func (s *Set) Limit(life pool.Incarnation) (pool.LimitReport, bool) {
-	l, ok := s.limits[life]
+// Limit returns the newest report of an incarnation's rate limit.
+func (s *Set) Limit(incarnation pool.Incarnation) (pool.LimitReport, bool) {
+	l, ok := s.limits[incarnation]
 	return l.record.LimitReport, ok
 }
 
-// PruneLimits drops what was said of limits longer ago than age, but of lives that are
-// there.
-func (s *Set) PruneLimits(now clock.Instant, age time.Duration, there func(pool.Incarnation) bool) {
-	maps.DeleteFunc(s.limits, func(life pool.Incarnation, x stamped[Limit]) bool {
-		return now.MaxElapsed(x.record.At) > age && !there(life)
+// PruneLimits removes the limit reports older than age, except those of incarnations for which
+// running returns true.
+func (s *Set) PruneLimits(now clock.Instant, age time.Duration, running func(pool.Incarnation) bool) {
+	maps.DeleteFunc(s.limits, func(incarnation pool.Incarnation, x stamped[Limit]) bool {
+		return now.MaxElapsed(x.record.At) > age && !running(incarnation)
 	})
 }
 
-// minRestGap is how much later the end of a rest must be to be told again: ages that travelled
-// differ a little (docs/design/notices.md).
+// minRestGap is how much later the end of a rest must be to count as new: ages in messages are
+// imprecise (docs/design/notices.md).
 const minRestGap = 300 * time.Millisecond
 
-// AddRest stores that a life of a replica wants nothing from some instance until a moment,
-// and reports whether that was news.
+// AddRest stores a rest that an incarnation of a replica requested from some instance, and
+// reports whether it was new.
 func (s *Set) AddRest(from string, r Rest) bool {
 	return put(s, s.rests, r.Incarnation, from, r, func(old Rest) bool { return r.Until.Since(old.Until) >= minRestGap })
 }
 
-// PruneRests drops the rests that are over.
+// PruneRests removes the rests that have ended.
 func (s *Set) PruneRests(now clock.Instant) {
 	maps.DeleteFunc(s.rests, func(_ pool.Incarnation, x stamped[Rest]) bool { return !now.Before(x.record.Until) })
 }
 
-// Missing returns the registry's records that a listing of the whole registry at
-// revision at does not have, as records that are gone.
-func (s *Set) Missing(whole []registry.Record, at era.Revision) []registry.Record {
-	here := make(map[string]bool, len(whole))
-	for _, r := range whole {
-		here[r.Key] = true
+// Missing returns, as deleted records, the registry records that are absent from a listing of
+// the whole registry at revision at. Records written after the listing are not included.
+func (s *Set) Missing(listing []registry.Record, at era.Revision) []registry.Record {
+	listed := make(map[string]bool, len(listing))
+	for _, r := range listing {
+		listed[r.Key] = true
 	}
 	var gone []registry.Record
 	for key, old := range s.registered {
-		if !here[key] && !old.record.Gone && old.record.Revision < at {
+		if !listed[key] && !old.record.Gone && old.record.Revision < at {
 			gone = append(gone, registry.Record{Key: key, Revision: at, Gone: true})
 		}
 	}
@@ -360,32 +358,33 @@
 	return gone
 }
 
-// ListedVersion returns the version of the newest entry of a name, 0 if there was none.
+// ListedVersion returns the version of the newest list entry of a name, 0 if there was none.
 func (s *Set) ListedVersion(name string) era.Revision { return s.listed[name].record.Version }
 
-// LeaseHolder returns who plans for the zone, "" if nobody is known to.
+// LeaseHolder returns the holder of a zone's placer lease; its Instance is "" if none is
+// known.
 func (s *Set) LeaseHolder(zone string) LeaseHolder { return s.holders[zone].record }
 
-// Residency returns the newest report of what an engine holds.
+// Residency returns the newest known residency of an engine.
 func (s *Set) Residency(engine string) (Residency, bool) {
 	r, ok := s.residencies[engine]
 	return r.record, ok
 }
 
-// Load returns the newest load known of an engine.
+// Load returns the newest known load of an engine.
 func (s *Set) Load(engine string) (Load, bool) {
 	l, ok := s.loads[engine]
 	return l.record, ok
 }
 
-// Delta returns Since as it travels in a message sent at now.
+// Delta returns the records of Since as sent in a message at now.
 func (s *Set) Delta(now clock.Instant, stamp uint64, to string, withLoads bool, known era.Revision) Records {
 	return s.Since(stamp, to, withLoads, known).withAges(now)
 }
 
-// Since returns the records that became new after stamp, without those that to
-// told of itself; loads only if withLoads. Of what the platform's store holds,
-// only what changed there after known.
+// Since returns the records that became new after stamp, without those that were received from
+// the peer to. Loads are included only if withLoads. Of the records of the platform's store,
+// only those that changed there after version known are included.
 func (s *Set) Since(stamp uint64, to string, withLoads bool, known era.Revision) Records {
 	var r Records
 	r.Residencies = changedSince(s.residencies, stamp, to)
@@ -407,16 +406,18 @@
 	return r
 }
 
+// changedSince returns the records with a later stamp that were not received from the peer to,
+// in the order of their stamps.
 func changedSince[K comparable, T any](all map[K]stamped[T], stamp uint64, to string) []T {
-	var news []stamped[T]
+	var changed []stamped[T]
 	for _, x := range all {
 		if x.stamp > stamp && (x.from == "" || x.from != to) {
-			news = append(news, x)
+			changed = append(changed, x)
 		}
 	}
-	sort.Slice(news, func(i, j int) bool { return news[i].stamp < news[j].stamp })
-	out := make([]T, 0, len(news))
-	for _, x := range news {
+	sort.Slice(changed, func(i, j int) bool { return changed[i].stamp < changed[j].stamp })
+	out := make([]T, 0, len(changed))
+	for _, x := range changed {
 		out = append(out, x.record)
 	}
 	return out
--- a/core/gossip/gossip_test.go
+++ b/core/gossip/gossip_test.go
@@ -14,8 +14,8 @@
 	"github.com/birchdrift/birchdrift/core/registry"
 )
 
-// TestOlderRecordsAreIgnored: whatever way and order records arrive in, the newest
-// by its origin's counters stays.
+// TestOlderRecordsAreIgnored checks that the record with the newest counters of its origin is
+// kept, by whichever way and in whichever order records arrive.
 func TestOlderRecordsAreIgnored(t *testing.T) {
 	residency := func(boot, change uint64) func(*Set) bool {
 		return func(s *Set) bool {
@@ -67,31 +67,31 @@
 		{"a later boot", residency(1, 5), residency(2, 1), true},
 		{"an earlier boot", residency(2, 1), residency(1, 5), false},
 		{"another limit", limited(1, time.Minute), limited(2, time.Minute+time.Millisecond), true},
-		{"another limit of before", limited(1, time.Minute), limited(2, time.Minute), false},
+		{"another limit reported at the same time", limited(1, time.Minute), limited(2, time.Minute), false},
 		{"the same limit a moment later", limited(1, time.Minute), limited(1, time.Minute+time.Second), false},
 		{"the same limit a while later", limited(1, time.Minute), limited(1, time.Minute+minLimitGap), true},
 		{"a later list", listed(3), listed(4), true},
 		{"the same list", listed(3), listed(3), false},
 		{"a higher fence", holder(1, "a"), holder(2, "b"), true},
 		{"a lower fence", holder(2, "b"), holder(1, "a"), false},
-		{"the holder gave its lease back", holder(2, "b"), holder(2, ""), true},
-		{"what was given back is not held again", holder(2, ""), holder(2, "b"), false},
+		{"the holder released its lease", holder(2, "b"), holder(2, ""), true},
+		{"a released lease is not held again", holder(2, ""), holder(2, "b"), false},
 		{"a later revision", registered(1), registered(2), true},
 		{"the same revision", registered(2), registered(2), false},
 		{"another crash", crashed(1, 7), crashed(2, 7), true},
 		{"the same crash", crashed(1, 7), crashed(1, 7), false},
 		{"more requests of a crash", crashed(1, 7), crashed(1, 7, 8), true},
 		{"fewer requests of a crash", crashed(1, 7, 8), crashed(1, 7), false},
-		{"the same life that leaves", leaving("1"), leaving("1"), false},
-		{"another life that leaves", leaving("1"), leaving("2"), true},
+		{"the same leaving incarnation", leaving("1"), leaving("1"), false},
+		{"another leaving incarnation", leaving("1"), leaving("2"), true},
 		{"a later success", served(time.Hour), served(2 * time.Hour), true},
 		{"an earlier success", served(2 * time.Hour), served(time.Hour), false},
-		{"a success that aged a little on its way", served(time.Hour), served(time.Hour + minSuccessGap/2), false},
+		{"a success with an imprecise age", served(time.Hour), served(time.Hour + minSuccessGap/2), false},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
 			s := NewSet()
-			is.True(tt.first(s)) // the first of a name is news
+			is.True(tt.first(s)) // the first record of a name is new
 			stamp := s.Stamp()
 			is.Equal(tt.second(s), tt.news)
 			is.Equal(s.Stamp() > stamp, tt.news)
@@ -99,9 +99,9 @@
 	}
 }
 
-// TestSinceReturnsWhatPeerLacks: not what it confirmed, not what it told itself, no
-// loads if it has no use for them, and of the platform's store only what it did
-// not hear there.
+// TestSinceReturnsWhatPeerLacks checks that a peer is not sent records that it confirmed, that
+// it sent itself, loads if it does not use them, or records of the platform's store that it
+// read there itself.
 func TestSinceReturnsWhatPeerLacks(t *testing.T) {
 	s := NewSet()
 	s.AddRegistered("", registry.Record{Key: "old", Revision: 1})
@@ -119,9 +119,9 @@
 		loads     int
 	}{
 		{"all", 0, true, 0, []string{"old", "heard", "new"}, 1},
-		{"what it did not confirm", confirmed, true, 0, []string{"heard", "new"}, 1},
+		{"records that it did not confirm", confirmed, true, 0, []string{"heard", "new"}, 1},
 		{"it is in another zone", confirmed, false, 0, []string{"heard", "new"}, 0},
-		{"it hears the store itself", confirmed, false, 7, []string{"new"}, 0},
+		{"it reads the store itself", confirmed, false, 7, []string{"new"}, 0},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
@@ -136,8 +136,8 @@
 	}
 }
 
-// TestMissing: what a listing of the whole registry lacks is gone, unless it was
-// written after the listing.
+// TestMissing checks that a record absent from a listing of the whole registry is deleted,
+// unless it was written after the listing.
 func TestMissing(t *testing.T) {
 	is := is.New(t)
 	s := NewSet()
@@ -149,7 +149,8 @@
 	is.Equal(gone, []registry.Record{{Key: "gone", Revision: 8, Gone: true}})
 }
 
-// TestPruneCrashes: by their age, and the oldest where there are too many.
+// TestPruneCrashes checks that crash reports are removed by age, and the oldest if there are
+// too many.
 func TestPruneCrashes(t *testing.T) {
 	is := is.New(t)
 	s := NewSet()
--- a/core/notice/notice.go
+++ b/core/notice/notice.go
@@ -1,12 +1,12 @@
-// Package notice takes in what replicas say of themselves in the heads of their answers:
-// that they leave, for how long they want nothing from this instance, and how many requests
-// a second they take from all instances together. It does not matter what an answer is to: a
-// call, an order or a question for a report.
+// Package notice handles what replicas report about themselves in the headers of their
+// responses: that they are leaving, a rest during which this instance shall send them no calls,
+// and a limit of the requests per second that they accept from all instances together. It does
+// not matter what the response answers: a call, an order or a query for a report.
 //
-// Such a word stands later than what the platform's list says, since it is the replica's
-// own, and the list lags or cannot be written. That a replica leaves, and its limit, are told
-// to all instances, and hold for that life of it; a rest is between the replica and this
-// instance alone.
+// A notice takes precedence over the platform's list, since it comes from the replica itself,
+// and the list may lag or not be writable. That a replica is leaving, and its limit, are sent
+// to all instances and apply to that incarnation. A rest binds only the instance that it was
+// requested from.
 package notice
 
 import (
@@ -22,47 +22,47 @@
 )
 
 const (
-	// spreadShare is the part of a rest over which instances come back to a replica that
-	// asked them for it at the same time: 370 of them, one call each, within 0.6 s of a
-	// rest of 3 s.
+	// spreadShare is the fraction of a rest over which instances return to a replica that
+	// requested the same rest from all of them: 370 instances, with one call each, return
+	// within 0.6 s after a rest of 3 s.
 	spreadShare = 0.2
-	// maxSpread bounds that time: no instance is late by more.
+	// maxSpread bounds that time: no instance returns later than this.
 	maxSpread = time.Second
-	// retention is for how long it is known that a life of a replica leaves: longer than any
-	// takes to leave, and than an entry can be gone and come back.
+	// retention is how long a leaving incarnation is remembered: longer than any replica takes
+	// to leave, and than an entry can be missing and come back.
 	retention = 10 * time.Minute
-	// pruneEvery spaces the looks for what is too old.
+	// pruneEvery is the interval at which old records are removed.
 	pruneEvery = 10 * time.Second
 )
 
-// Received is the event that a replica said something of itself in an answer.
+// Received is the event that a response of a replica had a notice.
 type Received struct {
 	Replica string
-	Sent    clock.Instant // when it was sent what it answers
+	Sent    clock.Instant // when the request was sent
 	Notice  pool.Notice
 }
 
 // IsEvent implements step.Event.
 func (Received) IsEvent() {}
 
-// Deps are what Notices need of the other modules. The functions must be set before the
-// first event.
+// Deps are what a Tracker needs from other modules. The functions must be set before the first
+// event.
 type Deps struct {
 	shared.State
-	// TellSoon is called when there is news that peers are to be told of.
+	// TellSoon is called when there are new records for peers.
 	TellSoon func(now clock.Instant)
 }
 
-// Tracker take in what replicas say of themselves.
+// A Tracker handles the notices of replicas.
 type Tracker struct {
 	Deps
 	pruneDue clock.Instant
 }
 
-// New returns notices of which none was heard.
+// New returns a tracker without notices.
 func New(n Deps) *Tracker { return &Tracker{Deps: n} }
 
-// HandleNotice takes in what a replica said of itself.
+// HandleNotice handles a notice from a replica's response.
 func (n *Tracker) HandleNotice(now clock.Instant, e Received) {
 	said := e.Notice
 	said.Rest += n.restSpread(e.Replica, said.Rest)
@@ -85,8 +85,8 @@
 	}
 }
 
-// observeLimit takes in what a replica said of its limit, or that it named none. It is told to
-// the others, so that they know before they send there.
+// observeLimit handles a replica's limit, or that its response had none. The limit is sent to
+// the other instances, so that they know it before they send requests.
 func (n *Tracker) observeLimit(now clock.Instant, e Received) {
 	r := n.Pool.Get(e.Replica)
 	if r == nil {
@@ -102,7 +102,7 @@
 	}
 }
 
-// logLimit logs what is known of a replica's limit, if it is another one than before.
+// logLimit logs a replica's limit if it changed.
 func (n *Tracker) logLimit(now clock.Instant, r *pool.Replica, former pool.LimitReport) {
 	w := r.LimitReport()
 	if w.Limit == former.Limit {
@@ -112,7 +112,7 @@
 		"by", w.By, "ago_ms", now.Since(w.At).Milliseconds())
 }
 
-// HandlePeerLimits takes in what a peer was told of the limits of replicas.
+// HandlePeerLimits handles the limit reports from a peer.
 func (n *Tracker) HandlePeerLimits(now clock.Instant, from string, limits []gossip.Limit) {
 	for _, l := range limits {
 		l.EventTime = l.FromWire(now)
@@ -120,13 +120,13 @@
 	}
 }
 
-// HandlePeerLimit takes in what a peer was told of the limit of a life of a replica.
+// HandlePeerLimit handles the limit report of an incarnation from a peer.
 func (n *Tracker) HandlePeerLimit(now clock.Instant, from string, life pool.Incarnation, w pool.LimitReport) {
 	r := n.Pool.Get(life.Name)
 	if r != nil && r.MayBeIncarnation(life.Born) {
 		former := r.LimitReport()
 		if !n.Pool.ObservePeerLimit(life, w) {
-			return // this instance heard of it later
+			return // this instance has a newer report
 		}
 		n.logLimit(now, r, former)
 	}
@@ -135,7 +135,7 @@
 	}
 }
 
-// HandlePeerRests takes in which replicas turned others away.
+// HandlePeerRests handles the rests that replicas requested from other instances.
 func (n *Tracker) HandlePeerRests(now clock.Instant, from string, rests []gossip.Rest) {
 	for _, x := range rests {
 		x.Until = now.Add(x.Left)
@@ -146,14 +146,14 @@
 	}
 }
 
-// restSpread returns how much longer than it was asked for this instance's rest is, so that
-// all instances do not come back at once: each has its own place in that time.
+// restSpread returns how much longer than requested this instance's rest is, so that the
+// instances do not all return at once: a hash gives each its own position in that time.
 func (n *Tracker) restSpread(replica string, rest time.Duration) time.Duration {
 	place := float64(rendezvous.Score(rendezvous.Key(replica), n.Self.Name)) / math.MaxUint64
 	return time.Duration(place * min(spreadShare*float64(rest), float64(maxSpread)))
 }
 
-// HandlePeerLeaving takes in that a peer was told of replicas that leave.
+// HandlePeerLeaving handles the leaving replicas reported by a peer.
 func (n *Tracker) HandlePeerLeaving(now clock.Instant, from string, leaving []gossip.Leaving) {
 	for _, l := range leaving {
 		l.At = now
@@ -168,9 +168,9 @@
 	}
 }
 
-// HandleAnnounced has what is known of this life of a replica that was announced hold for it. That an
-// entry says that it leaves is told to all instances, as its own word is: the store may lose that
-// entry, and instances that start then would take the replica for ready.
+// HandleAnnounced applies the known records about an announced incarnation to it. If its entry
+// shows it as leaving, that is sent to all instances, like its own notice: the store may lose
+// the entry, and instances that start afterwards would consider the replica ready.
 func (n *Tracker) HandleAnnounced(now clock.Instant, name string) {
 	r := n.Pool.Get(name)
 	if r == nil {
@@ -187,7 +187,7 @@
 	}
 }
 
-// Tick forgets what is too old.
+// Tick removes old records.
 func (n *Tracker) Tick(now clock.Instant) {
 	if now.Before(n.pruneDue) {
 		return
--- a/core/notice/notice_test.go
+++ b/core/notice/notice_test.go
@@ -18,8 +18,8 @@
 
 var start = clocktest.At(time.Hour)
 
-// newTestTracker returns the notices of an instance that knows one replica, and how often
-// peers were to be told.
+// newTestTracker returns the tracker of an instance that knows one replica, and the number of
+// times that it had records for peers.
 func newTestTracker(name string) (n *Tracker, told *int) {
 	told = new(int)
 	n = New(Deps{State: shared.New(member.Identity{Name: name, Zone: "z"}, option.Default(), 1), TellSoon: func(clock.Instant) { *told++ }})
@@ -27,8 +27,8 @@
 	return n, told
 }
 
-// TestNoticesAreSharedOnce: that a replica leaves, and that it turned this instance away, are
-// told to peers once each, with the life that they hold for.
+// TestNoticesAreSharedOnce checks that a replica's leaving, and a rest that it requested, are
+// sent to peers once each, with the incarnation that they apply to.
 func TestNoticesAreSharedOnce(t *testing.T) {
 	is := is.New(t)
 	n, told := newTestTracker("i")
@@ -47,8 +47,9 @@
 	is.Equal(news[0].Incarnation, pool.Incarnation{Name: "r", Born: "1"})
 }
 
-// TestPeerLeavingAppliesToIncarnation: what a peer was told counts for the life that it was told of,
-// also where that is announced here later, and after the replica was forgotten.
+// TestPeerLeavingAppliesToIncarnation checks that a peer's report of a leaving replica applies
+// only to the reported incarnation, including when that is announced here later and after the
+// replica was removed from the pool.
 func TestPeerLeavingAppliesToIncarnation(t *testing.T) {
 	is := is.New(t)
 	n, told := newTestTracker("i")
@@ -58,7 +59,7 @@
 	n.HandlePeerLeaving(start, "peer", leaving("0"))
 	n.HandlePeerLeaving(start, "peer", leaving("2"))
 	is.True(!n.Pool.Get("r").Leaving())
-	is.Equal(*told, 2) // others may know that life
+	is.Equal(*told, 2) // others may know that incarnation
 	n.Pool.Announce(start, "r", pool.Announcement{Service: "s", Address: "r", Zone: "z", Born: "2"})
 	n.HandleAnnounced(start, "r")
 	is.True(n.Pool.Get("r").Leaving())
@@ -73,8 +74,8 @@
 	is.True(!n.Records.IsLeaving(pool.Incarnation{Name: "r", Born: "3"}))
 }
 
-// TestRestsAreSpread: after rests that were asked for at once, instances come back
-// one after the other, none before its time, and all soon after it.
+// TestRestsAreSpread checks that instances return one after the other after rests that were
+// requested at the same time, none early, and all soon after the rest.
 func TestRestsAreSpread(t *testing.T) {
 	for _, tt := range []struct{ asked, window time.Duration }{
 		{3 * time.Second, 600 * time.Millisecond},
@@ -98,8 +99,8 @@
 	}
 }
 
-// TestLimitsAreShared: what a replica says of its limit is told to peers once, again when it
-// says something else, and now and then so that they know how old it is.
+// TestLimitsAreShared checks that a replica's limit is sent to peers once, again when it
+// changes, and from time to time while it is unchanged, so that peers know its age.
 func TestLimitsAreShared(t *testing.T) {
 	is := is.New(t)
 	n, told := newTestTracker("i")
@@ -128,9 +129,9 @@
 	is.Equal(news[0].By, "i")
 }
 
-// TestPeerLimitAppliesToIncarnation: what a peer was told counts for the life that it was told of,
-// also where that is announced here later; an own answer that came later stands, and is not
-// told over.
+// TestPeerLimitAppliesToIncarnation checks that a peer's limit report applies only to the
+// reported incarnation, including when that is announced here later, and that a newer own
+// report is kept and not sent again.
 func TestPeerLimitAppliesToIncarnation(t *testing.T) {
 	is := is.New(t)
 	n, told := newTestTracker("i")
@@ -159,13 +160,14 @@
 	is.Equal(rate(), 7.0)
 	n.Tick(start.Add(retention + time.Second))
 	_, kept := n.Records.Limit(pool.Incarnation{Name: "r", Born: "2"})
-	is.True(kept) // it is there
+	is.True(kept) // it is still running
 	_, kept = n.Records.Limit(pool.Incarnation{Name: "r", Born: "1"})
 	is.True(!kept)
 }
 
-// TestPeerRestDoesNotBlockCalls: a replica that turned another instance away may be sent
-// calls, may turn them away as well, and shows by an answer that it does not.
+// TestPeerRestDoesNotBlockCalls checks that a replica that requested a rest from another
+// instance may still be sent calls, counts as one that may reject them, and no longer does
+// after an answer.
 func TestPeerRestDoesNotBlockCalls(t *testing.T) {
 	is := is.New(t)
 	n, told := newTestTracker("i")
@@ -178,12 +180,12 @@
 	n.HandlePeerRests(start, "peer", rests("1", time.Second))
 	is.True(r.RejectsPeers(start) && r.MayReject(start) && !r.Resting(start))
 	n.HandlePeerRests(start, "other", rests("1", time.Second+ageError))
-	is.Equal(*told, 2) // the same rest, by another way
+	is.Equal(*told, 2) // the same rest from another peer
 	is.True(!r.MayReject(start.Add(1100 * time.Millisecond)))
 	r.Start(start, 1)
 	n.Pool.AnswerBegan(start, r, 1)
 	is.True(!r.MayReject(start))
 }
 
-// ageError is by how much spans differ that travelled.
+// ageError is how much an age changes in a message.
 const ageError = 50 * time.Millisecond
--- a/core/pool/announced.go
+++ b/core/pool/announced.go
@@ -9,45 +9,45 @@
 	"github.com/birchdrift/birchdrift/core/clock"
 )
 
-// An Announcement is what a replica says of itself in the platform's list.
+// An Announcement is a replica's entry in the platform's list.
 type Announcement struct {
 	Service string
 	Address string // IP:port
 	Zone    string
-	Slots   int  // calls it runs at once
-	Leaving bool // it takes no new work and will end
-	// Remaining is the time left to a replica that is taken away at short
-	// notice, counted from the announcement; 0 if it is not, or not known.
+	Slots   int  // maximum number of concurrent calls
+	Leaving bool // takes no new work and will terminate
+	// Remaining is the time left, counted from the announcement, to a replica that is being
+	// reclaimed at short notice; 0 if it is not, or if the time is unknown.
 	Remaining time.Duration
-	// Born tells the lives of replicas of one name apart; "" if it is not known.
+	// Born distinguishes incarnations of replicas with the same name; "" if unknown.
 	Born     string
-	Engine   bool // it runs models
+	Engine   bool // runs models
 	Models   []AnnouncedModel
-	InMemory []string // models whose copies lie in its host memory
-	OnDisk   []string // models whose copies lie on its disk
+	InMemory []string // models whose weights are cached in its host memory
+	OnDisk   []string // models whose weights are cached on its disk
 }
 
-// An AnnouncedModel is a model that an engine holds ready.
+// An AnnouncedModel is a model that an engine has loaded, with its loaded adapters.
 type AnnouncedModel struct {
 	Name     string
 	Adapters []string
 }
 
-// A WeightSource is where an engine takes the weights of a model from.
+// A WeightSource is where an engine loads the weights of a model from.
 type WeightSource int
 
-// The sources, the slowest first.
+// The weight sources, slowest first.
 const (
-	WeightStore WeightSource = iota // shared by all engines, limited in its rate
-	Disk                            // the engine's own
-	HostMemory                      // the engine's own
+	WeightStore WeightSource = iota // shared by all engines, with a limited rate
+	Disk                            // local to the engine
+	HostMemory                      // local to the engine
 )
 
-// String names the source for logs.
+// String returns the name of the source for logs.
 func (s WeightSource) String() string { return [...]string{"store", "disk", "memory"}[s] }
 
-// SourceOf returns where the engine would take a model's weights from, by what
-// it announced.
+// SourceOf returns where the engine would load the weights of a model from, according to its
+// announcement.
 func (a Announcement) SourceOf(model string) WeightSource {
 	switch {
 	case slices.Contains(a.InMemory, model):
@@ -59,8 +59,8 @@
 	}
 }
 
-// ItemName names an adapter of a model among the items of an engine. Two
-// models may have adapters of the same name.
+// ItemName returns the name of an engine item: the model, or "model/adapter" for an adapter. It
+// includes the model because two models may have adapters of the same name.
 func ItemName(model, adapter string) string {
 	if adapter == "" {
 		return model
@@ -68,14 +68,14 @@
 	return model + "/" + adapter
 }
 
-// SplitItem returns the model and the adapter that an item of an engine names;
-// the adapter is "" for a model itself.
+// SplitItem returns the model and the adapter named by an engine item; the adapter is "" if the
+// item is a model.
 func SplitItem(item string) (model, adapter string) {
 	model, adapter, _ = strings.Cut(item, "/")
 	return model, adapter
 }
 
-// items returns the items that the announcement shows as ready.
+// items returns the items that the announcement reports as ready.
 func (a Announcement) items() map[string]ItemPhase {
 	items := make(map[string]ItemPhase, 4*len(a.Models))
 	for _, m := range a.Models {
@@ -87,31 +87,31 @@
 	return items
 }
 
-// VanishedGracePeriod is how long a replica is still used, where nothing better is there,
-// after its entry went from the list. Entries also go while the replica is
-// sound: when the list's store loses its leases in an outage.
+// VanishedGracePeriod is how long a replica is still used, if no better one is available, after
+// its entry vanished from the list. Entries of healthy replicas vanish too, when the list's
+// store loses its leases in an outage.
 const VanishedGracePeriod = time.Second
 
-// vanishedRetention is how long a replica without an entry is remembered.
+// vanishedRetention is how long a replica is kept in the pool after its entry vanished.
 const vanishedRetention = 30 * time.Second
 
-// Announce takes in an announcement. A replica that restarts has another name, or the same
-// one and another birth; one that appears at an address where another was known takes that
-// one's place. What was known of a former life is gone with it, but for the rest that it
-// asked for: the platform names the replica, not its life, so the stricter reading holds.
+// Announce records an announcement. A restarted replica has another name, or the same name and
+// another value of Born. A replica announced at the address of another one replaces it. State
+// of a previous incarnation is discarded, except for the rest that it requested: the platform
+// identifies the replica, not its incarnation, so the rest may apply to the new one as well.
 func (p *Pool) Announce(now clock.Instant, name string, a Announcement) {
 	r := p.replicas[name]
 	kind := Plain
 	if a.Engine {
 		kind = Engine
 	}
-	facts := Spec{
+	spec := Spec{
 		Name: name, Address: a.Address, Zone: a.Zone, Kind: kind,
 		Service: a.Service, Concurrent: max(1, a.Slots), Announced: true,
 	}
 	if r == nil || r.Address != a.Address || !a.sameIncarnation(r.announced) {
 		p.retireAddress(now, name, a.Address)
-		next := newReplica(facts)
+		next := newReplica(spec)
 		next.seenAt = now
 		if r != nil {
 			next.inherit(r, a)
@@ -122,13 +122,13 @@
 	if a.Born == "" {
 		a.Born = r.announced.Born
 	}
-	r.Spec = facts
+	r.Spec = spec
 	r.announced = a
 	r.announcedAt = now
 	r.vanishedAt = clock.Instant{}
 	r.leavingDeadline = clock.Instant{}
-	// An entry that says otherwise later is an older one: it was written late, or comes from
-	// a copy of the store. A replica that said that it leaves ends.
+	// Leaving is final for an incarnation. A later entry without it is older data: it was
+	// written late or read from a stale copy of the store.
 	r.announcedLeaving = r.announcedLeaving || a.Leaving
 	r.listedLeaving = r.announcedLeaving
 	if a.Leaving && a.Remaining > 0 {
@@ -138,21 +138,22 @@
 	p.reindex()
 }
 
-// maxPastIncarnations is how many births of former lives of a replica are remembered: entries come
-// late by seconds, and no replica starts so often in that time.
+// maxPastIncarnations is the number of past incarnations of a replica whose Born is remembered.
+// Entries arrive late by seconds, and no replica restarts that often within that time.
 const maxPastIncarnations = 8
 
-// IsPastIncarnation reports whether a birth is that of a life which ended before this one.
+// IsPastIncarnation reports whether born belongs to an incarnation that ended before the
+// current one.
 func (r *Replica) IsPastIncarnation(born string) bool {
 	return born != "" && slices.Contains(r.pastStartIDs, born)
 }
 
-// Restarted reports whether a birth is that of a life after the one that is known.
+// Restarted reports whether born belongs to an incarnation after the known one.
 func (r *Replica) Restarted(born string) bool {
 	return r.Announced && !r.MayBeIncarnation(born) && !r.IsPastIncarnation(born)
 }
 
-// inherit takes over what outlives a former life of the replica.
+// inherit copies the state that survives a restart from the previous incarnation.
 func (r *Replica) inherit(former *Replica, a Announcement) {
 	r.rest.until = former.rest.until
 	r.pastStartIDs = former.pastStartIDs
@@ -162,17 +163,18 @@
 	}
 }
 
-// MayBeIncarnation reports whether what is said of the life with this birth may be of this one.
+// MayBeIncarnation reports whether information about the incarnation with this Born may apply
+// to the current one. An unknown Born matches any incarnation.
 func (r *Replica) MayBeIncarnation(born string) bool {
 	return born == "" || r.announced.Born == "" || born == r.announced.Born
 }
 
-// sameIncarnation reports whether both announcements may be of the same life of a replica.
+// sameIncarnation reports whether both announcements may come from the same incarnation.
 func (a Announcement) sameIncarnation(former Announcement) bool {
 	return a.Born == "" || former.Born == "" || a.Born == former.Born
 }
 
-// retireAddress notes that the replicas known at an address have ended.
+// retireAddress marks all other replicas known at an address as terminated.
 func (p *Pool) retireAddress(now clock.Instant, name, address string) {
 	for _, r := range p.replicas {
 		if r.Announced && r.Address == address && r.Name != name {
@@ -186,8 +188,9 @@
 	}
 }
 
-// MarkVanished notes that the list no longer has the replica. It counts as leaving once the span of
-// Expire is over, or at the deadline if that is sooner; a zero deadline is none.
+// MarkVanished records that the replica's entry is missing from the list. The replica counts as
+// leaving after the grace period passed to ExpireVanished, or at the deadline if that is
+// earlier; a zero deadline means none.
 func (p *Pool) MarkVanished(now clock.Instant, name string, deadline clock.Instant) {
 	r := p.replicas[name]
 	if r == nil || !r.Announced {
@@ -202,52 +205,53 @@
 	}
 }
 
-// ExpireVanished has replicas that vanished count as leaving when their time is up, and
-// forgets those that are long gone. It returns the names of the former.
-func (p *Pool) ExpireVanished(now clock.Instant, span time.Duration) []string {
-	var left []string
-	gone := false
+// ExpireVanished marks vanished replicas as leaving once the grace period or their deadline has
+// passed, and returns their names in order. It removes replicas that vanished longer than
+// vanishedRetention ago and have no calls in flight.
+func (p *Pool) ExpireVanished(now clock.Instant, grace time.Duration) []string {
+	var expired []string
+	removed := false
 	for name, r := range p.replicas {
 		if r.vanishedAt.IsZero() {
 			continue
 		}
 		age := now.Since(r.vanishedAt)
-		due := age >= span || !r.leavingDeadline.IsZero() && !now.Before(r.leavingDeadline)
+		due := age >= grace || !r.leavingDeadline.IsZero() && !now.Before(r.leavingDeadline)
 		if due && !r.listedLeaving {
 			r.listedLeaving = true
-			left = append(left, name)
+			expired = append(expired, name)
 			p.capacityChanges++
 		}
 		if age >= vanishedRetention && len(r.inFlight) == 0 {
 			delete(p.replicas, name)
-			gone = true
+			removed = true
 		}
 	}
-	if gone {
+	if removed {
 		p.reindex()
 	}
-	sort.Strings(left)
-	return left
+	sort.Strings(expired)
+	return expired
 }
 
-// Vanished reports whether the list no longer has the replica.
+// Vanished reports whether the replica's entry is missing from the list.
 func (r *Replica) Vanished() bool { return !r.vanishedAt.IsZero() }
 
-// FirstSeenAt returns when the replica was first announced here.
+// FirstSeenAt returns when this instance first received an announcement of this incarnation.
 func (r *Replica) FirstSeenAt() clock.Instant { return r.seenAt }
 
-// EndsAt returns when a replica that is taken away at short notice ends; ok is
-// false where that is not known.
+// EndsAt returns when a replica that is being reclaimed at short notice terminates; ok is false
+// if that is unknown.
 func (r *Replica) EndsAt() (at clock.Instant, ok bool) { return r.endsAt, !r.endsAt.IsZero() }
 
-// Announcement returns what the replica last said of itself in the list.
+// Announcement returns the replica's latest announcement.
 func (r *Replica) Announcement() Announcement { return r.announced }
 
-// AnnouncedAt returns when the replica was last announced.
+// AnnouncedAt returns when the latest announcement was received.
 func (r *Replica) AnnouncedAt() clock.Instant { return r.announcedAt }
 
-// MarkTerminated notes an answer that shows that another replica has the address, or that
-// nothing runs there.
+// MarkTerminated records a response that shows that the replica's process has ended: another
+// replica has its address, or nothing listens there.
 func (p *Pool) MarkTerminated(name string) {
 	r := p.replicas[name]
 	if r == nil {
@@ -258,14 +262,14 @@
 	p.capacityChanges++
 }
 
-// staleReportAge is how much younger than its owner's report an announcement must be to
-// show that a model which the report has is not there any more.
+// staleReportAge is how much newer than the owner's report an announcement must be to show that
+// a model in the report is no longer loaded.
 const staleReportAge = 1500 * time.Millisecond
 
-// mergeItems works out what an announced engine holds, from the report of the instance
-// that orders it where there is one, else from its announcement. An announcement
-// that is younger than the report tells what became of orders on models; it says
-// nothing of adapters, which engines announce late.
+// mergeItems computes the items of an announced engine from the report of the engine's owner if
+// there is one, and from its announcement otherwise. An announcement newer than the report
+// shows the outcome of orders on models. It is not used for adapters, because engines announce
+// them late.
 func (p *Pool) mergeItems(r *Replica) {
 	if !r.Announced {
 		return
@@ -282,25 +286,23 @@
 	if r.announcedAt.Before(r.reportedAt) {
 		return
 	}
-	old := r.announcedAt.Since(r.reportedAt) >= staleReportAge
+	stale := r.announcedAt.Since(r.reportedAt) >= staleReportAge
 	for item, phase := range r.items {
 		model, adapter := SplitItem(item)
 		_, shown := announced[model]
 		switch {
 		case adapter == "" && phase == Loading && shown:
 			r.items[item] = Ready
-		case !shown && (old && phase == Ready || phase == Unloading):
+		case !shown && (stale && phase == Ready || phase == Unloading):
 			delete(r.items, item)
 		}
 	}
 }
 
-// Items returns where each item of the engine stands. The caller must not
-// change the map.
+// Items returns the phase of each item of the engine. The caller must not modify the map.
 func (r *Replica) Items() map[string]ItemPhase { return r.items }
 
-// Adapters returns how many adapters the engine holds, those on their way
-// included.
+// Adapters returns the number of adapters on the engine, including those being loaded.
 func (r *Replica) Adapters() int {
 	n := 0
 	for item := range r.items {
@@ -311,7 +313,7 @@
 	return n
 }
 
-// MarkAbsent notes that the replica itself said that it does not hold the item.
+// MarkAbsent records that the replica itself reported that it does not have the item.
 func (p *Pool) MarkAbsent(name, item string) {
 	r := p.replicas[name]
 	if r == nil || r.items[item] != Ready {
@@ -328,8 +330,8 @@
 	p.capacityChanges++
 }
 
-// MarkReady notes that an item is ready on an engine, as reported by whoever had it
-// loaded.
+// MarkReady records that an item is ready on an engine, as reported by the instance that
+// ordered its load.
 func (p *Pool) MarkReady(name, item string) {
 	r := p.replicas[name]
 	if r == nil || r.items[item] == Ready {
--- a/core/pool/notice.go
+++ b/core/pool/notice.go
@@ -6,95 +6,99 @@
 	"github.com/birchdrift/birchdrift/core/clock"
 )
 
-// A Notice is what a replica says of itself in the head of an answer, whatever the
-// answer is to. The zero value says nothing.
+// A Notice is what a replica reports about itself in the headers of any response. The zero
+// value reports nothing.
 type Notice struct {
-	Leaving bool          // it takes no new work and will end
-	Rest    time.Duration // it wants nothing from this instance for so long
-	Limit   RateLimit     // of what it takes from all instances together
+	Leaving bool          // takes no new work and will terminate
+	Rest    time.Duration // requests no calls from this instance for this long (Retry-After)
+	Limit   RateLimit     // rate limit over all instances together
 }
 
-// IsZero reports whether the replica said nothing of itself.
+// IsZero reports whether the notice is empty.
 func (n Notice) IsZero() bool { return n == Notice{} }
 
 const (
-	// lastResortPeriod is for how long a replica that said itself that it leaves still gets
-	// calls that no other can serve, where all replicas of a service leave at once: half of
-	// the users' bound for calls after such an answer.
+	// lastResortPeriod is how long a replica that reported itself as leaving may still receive
+	// calls that no other replica can serve, because all replicas of a service are leaving at
+	// once. It is half of the users' bound for calls after such a response.
 	lastResortPeriod = time.Second
-	// LongRest is the rest from which a replica counts as no place for a model, so that
-	// the model is loaded elsewhere: above the time of any load.
+	// LongRest is the rest from which a replica counts as unavailable for its models, so that
+	// they are loaded elsewhere. It is longer than any load takes.
 	LongRest = 10 * time.Second
 )
 
-// A restState is the time for which a replica wants nothing from this instance. After it one
-// call is sent, and others only once that one is answered: calls that waited, at all
-// instances, would else come back together to a replica that may still be full.
+// restState tracks the rest that a replica requested. After the rest one trial call is sent,
+// and others only once it has been answered. Otherwise the calls that waited at all instances
+// would reach the replica together while it may still be full.
 type restState struct {
-	until     clock.Instant // zero: it did not ask, or has answered a call since
-	trialCall uint64        // the call that was sent since, 0 if there is none
-	// peersUntil is until when it wants nothing from some other instance, as peers told.
+	until     clock.Instant // end of the rest; zero if none was requested or a call was answered since
+	trialCall uint64        // ID of the trial call in flight, 0 if there is none
+	// peersUntil is the end of the rests that other instances reported.
 	peersUntil clock.Instant
 }
 
-// Resting reports whether the replica wants nothing from this instance.
+// Resting reports whether the replica requested a rest from this instance that has not ended.
 func (r *Replica) Resting(now clock.Instant) bool { return now.Before(r.rest.until) }
 
-// RestLeft returns for how long the replica wants nothing from this instance, 0 if it
-// takes calls.
+// RestLeft returns the remaining time of the rest requested from this instance, 0 if there is
+// none.
 func (r *Replica) RestLeft(now clock.Instant) time.Duration { return max(0, r.rest.until.Since(now)) }
 
-// MayReject reports whether the replica may turn a call away: it wanted nothing from this
-// instance and has not answered a call of it since, or wants nothing from another one.
+// MayReject reports whether the replica may reject the next call: it requested a rest from this
+// instance and has not answered one of its calls since, or it requested one from another
+// instance that has not ended.
 func (r *Replica) MayReject(now clock.Instant) bool { return r.needsTrial() || r.RejectsPeers(now) }
 
-// needsTrial reports whether the replica wanted nothing from this instance and has not answered
-// a call of it since.
+// needsTrial reports whether the replica requested a rest from this instance and has not
+// answered one of its calls since.
 func (r *Replica) needsTrial() bool { return !r.rest.until.IsZero() }
 
-// RejectsPeers reports whether the replica wants nothing from some other instance. It is
-// between those two; but one that is full turns the next away as well.
+// RejectsPeers reports whether a rest that the replica requested from another instance has not
+// ended. The rest does not bind this instance, but a full replica is likely to reject its next
+// call as well.
 func (r *Replica) RejectsPeers(now clock.Instant) bool { return now.Before(r.rest.peersUntil) }
 
-// ObservePeerRest notes until when a life of a replica wants nothing from some other instance.
-func (p *Pool) ObservePeerRest(life Incarnation, until clock.Instant) {
-	if r := p.replicas[life.Name]; r != nil && r.MayBeIncarnation(life.Born) {
+// ObservePeerRest records the end of a rest that an incarnation of a replica requested from
+// another instance.
+func (p *Pool) ObservePeerRest(incarnation Incarnation, until clock.Instant) {
+	if r := p.replicas[incarnation.Name]; r != nil && r.MayBeIncarnation(incarnation.Born) {
 		r.rest.peersUntil = clock.Latest(r.rest.peersUntil, until)
 	}
 }
 
-// OnTrial reports whether a call shows at the moment if the replica, whose rest is over,
-// takes calls again.
+// OnTrial reports whether a trial call is in flight that shows whether the replica takes calls
+// again after its rest.
 func (r *Replica) OnTrial() bool { return r.rest.trialCall != 0 }
 
-// LastResort reports whether the replica leaves, by its own word of a moment ago alone,
-// and may get calls that no other can serve.
+// LastResort reports whether the replica may receive calls that no other replica can serve: it
+// leaves only according to its own recent response, not according to the list.
 func (r *Replica) LastResort(now clock.Instant) bool {
 	return !r.listedLeaving && !r.terminated && !r.leavingAt.IsZero() && now.Since(r.leavingAt) < lastResortPeriod
 }
 
-// ObserveNotice takes in what a replica said of its leaving and its rest in its answer to what was
-// sent at sent, and returns what of it is news. An answer to something that was sent before this life of the
-// replica was known may be one of the life before, and says nothing.
-func (p *Pool) ObserveNotice(now clock.Instant, name string, sent clock.Instant, said Notice) Notice {
+// ObserveNotice records the leaving and rest parts of a notice from the response to a request
+// that was sent at sent, and returns the parts that were new. It ignores a response to a
+// request that was sent before this incarnation was first seen, since the previous one may have
+// sent it.
+func (p *Pool) ObserveNotice(now clock.Instant, name string, sent clock.Instant, n Notice) Notice {
 	r := p.replicas[name]
 	if r == nil || sent.Before(r.seenAt) {
 		return Notice{}
 	}
-	var news Notice
-	if until := now.Add(said.Rest); said.Rest > 0 && r.rest.until.Before(until) {
-		// A shorter span after a longer one takes nothing back: the calls may have
-		// overtaken each other.
+	var changed Notice
+	if until := now.Add(n.Rest); n.Rest > 0 && r.rest.until.Before(until) {
+		// A rest that ends earlier does not replace a longer one: responses may arrive
+		// out of order.
 		r.rest.until = until
-		news.Rest = said.Rest
+		changed.Rest = n.Rest
 		p.capacityChanges++
 	}
-	news.Leaving = said.Leaving && p.MarkLeaving(now, name)
-	return news
+	changed.Leaving = n.Leaving && p.MarkLeaving(now, name)
+	return changed
 }
 
-// MarkLeaving notes that a replica itself said that it leaves, and reports whether that
-// is news.
+// MarkLeaving records that a replica reported itself as leaving, and reports whether that was
+// new.
 func (p *Pool) MarkLeaving(now clock.Instant, name string) bool {
 	r := p.replicas[name]
 	if r == nil || r.Leaving() {
@@ -106,8 +110,9 @@
 	return true
 }
 
-// ObservePeerLeaving notes that a replica leaves as other instances know, and reports whether that is
-// news. It is not used as a last resort then, since it may have been leaving for long.
+// ObservePeerLeaving records another instance's report that a replica is leaving, and reports
+// whether that was new. Such a replica is not used as a last resort, since it may have been
+// leaving for a long time.
 func (p *Pool) ObservePeerLeaving(name string) bool {
 	r := p.replicas[name]
 	if r == nil || r.Leaving() {
@@ -118,12 +123,12 @@
 	return true
 }
 
-// AnswerBegan notes that the first piece of the answer to a call came.
+// AnswerBegan records the first piece of a call's response.
 func (p *Pool) AnswerBegan(now clock.Instant, r *Replica, call uint64) {
 	if r.rest.trialCall == call && call != 0 {
 		r.rest = restState{}
 		p.capacityChanges++
 	}
-	r.rest.peersUntil = clock.Instant{} // whatever it told others, it serves
+	r.rest.peersUntil = clock.Instant{} // it serves calls, even if it rejected peers
 	r.FirstTokenReceived(now, call, false)
 }
--- a/core/pool/notice_test.go
+++ b/core/pool/notice_test.go
@@ -10,8 +10,8 @@
 	"github.com/birchdrift/birchdrift/core/clock/clocktest"
 )
 
-// TestObserveNotice tables what counts of what a replica says of itself. It was announced at the
-// start and says something a minute later.
+// TestObserveNotice checks which parts of a notice take effect. The replica is announced at the
+// start and sends the notice a minute later.
 func TestObserveNotice(t *testing.T) {
 	start := clocktest.At(time.Hour)
 	now := start.Add(time.Minute)
@@ -28,21 +28,21 @@
 		sent    time.Duration // after the start
 		news    Notice
 		leaving bool
-		rest    time.Duration // left after all
+		rest    time.Duration // remaining afterwards
 	}{
-		{"it leaves", nil, leaving, 50 * time.Second, leaving, true, 0},
-		{"it leaves, by an answer of long ago", nil, leaving, 0, leaving, true, 0},
-		{"it leaves, and had said so", func(p *Pool) { p.MarkLeaving(now, "r") }, leaving, 50 * time.Second, Notice{}, true, 0},
-		{"it leaves, and is listed so", func(p *Pool) { a := entry; a.Leaving = true; p.Announce(now, "r", a) }, leaving, 50 * time.Second, Notice{}, true, 0},
-		{"nobody knows it", func(p *Pool) { delete(p.replicas, "r") }, leaving, 50 * time.Second, Notice{}, false, 0},
-		{"the life before said so", func(p *Pool) { p.Announce(now, "r", again) }, Notice{Leaving: true, Rest: time.Second}, 50 * time.Second, Notice{}, false, 0},
-		{"this life says so", func(p *Pool) { p.Announce(start.Add(10*time.Second), "r", again) }, leaving, 50 * time.Second, leaving, true, 0},
-		{"one at another address says so", func(p *Pool) { p.Announce(start.Add(10*time.Second), "r", elsewhere) }, leaving, 50 * time.Second, leaving, true, 0},
-		{"one of an entry without a birth says so", func(p *Pool) { a := entry; a.Born = ""; p.Announce(start.Add(55*time.Second), "r", a) }, leaving, 50 * time.Second, leaving, true, 0},
-		{"it wants rest", nil, Notice{Rest: 3 * time.Second}, 50 * time.Second, Notice{Rest: 3 * time.Second}, false, 3 * time.Second},
+		{"reported as leaving", nil, leaving, 50 * time.Second, leaving, true, 0},
+		{"leaving, in a response to an early request", nil, leaving, 0, leaving, true, 0},
+		{"leaving, reported before", func(p *Pool) { p.MarkLeaving(now, "r") }, leaving, 50 * time.Second, Notice{}, true, 0},
+		{"leaving, listed as such before", func(p *Pool) { a := entry; a.Leaving = true; p.Announce(now, "r", a) }, leaving, 50 * time.Second, Notice{}, true, 0},
+		{"unknown replica", func(p *Pool) { delete(p.replicas, "r") }, leaving, 50 * time.Second, Notice{}, false, 0},
+		{"notice of the previous incarnation", func(p *Pool) { p.Announce(now, "r", again) }, Notice{Leaving: true, Rest: time.Second}, 50 * time.Second, Notice{}, false, 0},
+		{"notice of the current incarnation", func(p *Pool) { p.Announce(start.Add(10*time.Second), "r", again) }, leaving, 50 * time.Second, leaving, true, 0},
+		{"notice of a replica that moved to another address", func(p *Pool) { p.Announce(start.Add(10*time.Second), "r", elsewhere) }, leaving, 50 * time.Second, leaving, true, 0},
+		{"notice of a replica whose entry has no Born", func(p *Pool) { a := entry; a.Born = ""; p.Announce(start.Add(55*time.Second), "r", a) }, leaving, 50 * time.Second, leaving, true, 0},
+		{"rest requested", nil, Notice{Rest: 3 * time.Second}, 50 * time.Second, Notice{Rest: 3 * time.Second}, false, 3 * time.Second},
 		{"a longer rest after a shorter one", func(p *Pool) { p.ObserveNotice(now, "r", now, Notice{Rest: time.Second}) }, Notice{Rest: 3 * time.Second}, 50 * time.Second, Notice{Rest: 3 * time.Second}, false, 3 * time.Second},
 		{"a shorter rest after a longer one", func(p *Pool) { p.ObserveNotice(now, "r", now, Notice{Rest: 5 * time.Second}) }, Notice{Rest: 3 * time.Second}, 50 * time.Second, Notice{}, false, 5 * time.Second},
-		{"it says nothing", nil, Notice{}, 50 * time.Second, Notice{}, false, 0},
+		{"empty notice", nil, Notice{}, 50 * time.Second, Notice{}, false, 0},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -63,8 +63,8 @@
 	}
 }
 
-// TestListDoesNotRevokeLeaving: a replica that said that it leaves does so whatever the
-// list says of this life, and serves again in another.
+// TestListDoesNotRevokeLeaving checks that a replica that reported itself as leaving stays so
+// whatever the list says about this incarnation, and is usable again in another one.
 func TestListDoesNotRevokeLeaving(t *testing.T) {
 	is := is.New(t)
 	now := clocktest.At(time.Hour)
@@ -87,8 +87,8 @@
 	is.True(p.Get("r").Usable())
 }
 
-// TestRestSurvivesRestart: a replica that starts again under its name within the rest
-// that it asked for still has it; another one at its address has none.
+// TestRestSurvivesRestart checks that a replica that restarts under its name during a rest that
+// it requested keeps that rest, and that another replica at its address does not have it.
 func TestRestSurvivesRestart(t *testing.T) {
 	is := is.New(t)
 	now := clocktest.At(time.Hour)
@@ -103,18 +103,18 @@
 	is.True(!p.Get("other").Resting(now.Add(time.Second)))
 }
 
-// TestTrialCallEndsRest: after a rest one call is sent, and others once it is
-// answered; one that ends without an answer leaves that to the next.
+// TestTrialCallEndsRest checks that one call is sent after a rest, and others once it is
+// answered; if it ends without an answer, the next call is the trial.
 func TestTrialCallEndsRest(t *testing.T) {
 	is := is.New(t)
 	now := clocktest.At(time.Hour)
 	p := New()
 	p.Announce(now, "r", Announcement{Service: "s", Address: "r", Zone: "z", Slots: 4})
 	r := p.Get("r")
-	r.Start(now, 1) // it runs there since before
+	r.Start(now, 1) // in flight before the rest
 	p.ObserveNotice(now, "r", now, Notice{Rest: time.Second})
 	p.AnswerBegan(now, r, 1)
-	is.True(r.Resting(now)) // an answer to what was sent before shows nothing
+	is.True(r.Resting(now)) // the answer to an earlier call does not end the rest
 	now = now.Add(time.Second)
 	is.True(!r.Resting(now))
 	is.True(r.MayReject(now) && !r.OnTrial())
@@ -131,5 +131,5 @@
 	touched := p.CapacityChanges()
 	p.AnswerBegan(now, r, 4)
 	is.True(!r.MayReject(now) && !r.OnTrial())
-	is.True(p.CapacityChanges() > touched) // calls that wait look again
+	is.True(p.CapacityChanges() > touched) // wakes waiting calls
 }
--- a/core/pool/pool.go
+++ b/core/pool/pool.go
@@ -1,13 +1,13 @@
-// Package pool provides an entry instance's view of every upstream: what the
-// configuration says of it, what it last said of itself, what the instance has
-// in flight there, and whether it may be given new work.
+// Package pool holds an entry instance's view of every upstream: its configuration, its latest
+// announcement and reports, the instance's calls in flight there, and whether it may receive
+// new work.
 //
-// Invariants: a replica's residency only moves forward in the engine's own
-// order (boot, then change), whichever way the news came; a replica that any
-// source called leaving stays so until it is seen under a later boot; the index
-// by item lists exactly the replicas that have the item ready.
+// Invariants: a replica's residency only moves forward in the engine's own order (boot, then
+// change), regardless of the source of a report; a replica that any source reported as leaving
+// stays so until it is seen under a later boot; the index by item lists exactly the replicas
+// that have the item ready.
 //
-// The pool has no locks. The goroutine that owns the state machine owns it.
+// The pool has no locks. It belongs to the goroutine that runs the state machine.
 package pool
 
 import (
@@ -19,14 +19,14 @@
 	"github.com/birchdrift/birchdrift/core/config"
 )
 
-// A Pool holds the replicas of one configuration revision and what is known of
-// them, which outlives the revision.
+// A Pool holds the replicas of one configuration revision. The state of a replica outlives the
+// revision.
 type Pool struct {
 	replicas        map[string]*Replica
 	sorted          []*Replica            // by name
-	ready           map[string][]*Replica // by item, then by name
-	byService       map[string][]*Replica // by plain or announced service
-	capacityChanges uint64                // rises with every change that could free room
+	ready           map[string][]*Replica // by item; each list is ordered by name
+	byService       map[string][]*Replica // plain or announced replicas by service
+	capacityChanges uint64                // rises with every change that could free capacity
 }
 
 // New returns an empty pool.
@@ -38,8 +38,8 @@
 	}
 }
 
-// Apply takes over the upstreams of a revision. What is known of a replica is
-// kept while its address stays the same; another address is another process.
+// Apply installs the upstreams of a revision. The state of a replica is kept while its address
+// is unchanged; another address means another process.
 func (p *Pool) Apply(s *config.Snapshot) {
 	doc := s.Document()
 	next := make(map[string]*Replica, len(doc.Engines))
@@ -66,16 +66,19 @@
 	p.reindex()
 }
 
-func (p *Pool) carryOver(next map[string]*Replica, f Spec) {
-	old, ok := p.replicas[f.Name]
-	if !ok || old.Address != f.Address || old.Kind != f.Kind {
-		next[f.Name] = newReplica(f)
+// carryOver adds a replica to next. It keeps the state of a known replica with the same address
+// and kind.
+func (p *Pool) carryOver(next map[string]*Replica, spec Spec) {
+	old, ok := p.replicas[spec.Name]
+	if !ok || old.Address != spec.Address || old.Kind != spec.Kind {
+		next[spec.Name] = newReplica(spec)
 		return
 	}
-	old.Spec = f
-	next[f.Name] = old
+	old.Spec = spec
+	next[spec.Name] = old
 }
 
+// reindex rebuilds the order and the indexes of all replicas.
 func (p *Pool) reindex() {
 	p.sorted = p.sorted[:0]
 	clear(p.ready)
@@ -97,27 +100,27 @@
 	p.capacityChanges++
 }
 
-// Get returns the replica with this name, nil if there is none.
+// Get returns the replica with this name, or nil if there is none.
 func (p *Pool) Get(name string) *Replica { return p.replicas[name] }
 
-// All returns the replicas by name. The caller must not change the slice.
+// All returns all replicas ordered by name. The caller must not modify the slice.
 func (p *Pool) All() []*Replica { return p.sorted }
 
-// Ready returns the replicas that have item ready, whether usable or not.
+// Ready returns the replicas that have item ready, whether they are usable or not.
 func (p *Pool) Ready(item string) []*Replica { return p.ready[item] }
 
-// Serving returns the replicas of a plain or announced service, whether usable
-// or not.
+// Serving returns the replicas of a plain or announced service, whether they are usable or not.
 func (p *Pool) Serving(service string) []*Replica { return p.byService[service] }
 
-// CapacityChanges rises with every change that could let a waiting call go on.
+// CapacityChanges returns a counter that rises with every change that could let a waiting call
+// proceed.
 func (p *Pool) CapacityChanges() uint64 { return p.capacityChanges }
 
-// NoteCapacityChange notes such a change that the pool cannot see itself.
+// NoteCapacityChange records a change outside the pool that could let a waiting call proceed.
 func (p *Pool) NoteCapacityChange() { p.capacityChanges++ }
 
-// ObserveResidency takes in what an engine said it holds, from whichever way it
-// came, and reports whether that was news.
+// ObserveResidency records an engine's report of its items, from any source, and reports
+// whether it was new.
 func (p *Pool) ObserveResidency(now clock.Instant, name string, res Residency) bool {
 	r := p.replicas[name]
 	if r == nil || !res.Newer(r.Residency) || !r.MayBeIncarnation(res.Born) {
@@ -145,10 +148,10 @@
 	return true
 }
 
-// resetOnReboot clears what a later boot takes back.
+// resetOnReboot clears the state that does not survive a later boot.
 func (r *Replica) resetOnReboot(boot uint64) {
 	if boot <= r.Residency.Boot || r.Announced {
-		return // an announced replica that restarts has another name
+		return // a restarted announced replica has another name or Born, see Announce
 	}
 	if boot > r.leavingBoot {
 		r.reportedLeaving = false
@@ -161,6 +164,7 @@
 	r.loadAt = clock.Instant{}
 }
 
+// reindexItems updates the index by item after r's items changed from old.
 func (p *Pool) reindexItems(r *Replica, old map[string]ItemPhase) {
 	for item, phase := range old {
 		if phase == Ready && r.items[item] != Ready {
@@ -190,7 +194,7 @@
 	return out
 }
 
-// ObserveLoad takes in a reported load and reports whether it was news.
+// ObserveLoad records a reported load and reports whether it was new.
 func (p *Pool) ObserveLoad(now clock.Instant, name string, load Load) bool {
 	r := p.replicas[name]
 	if r == nil || !load.Newer(r.load) {
@@ -203,11 +207,11 @@
 	return true
 }
 
-// LastLoad returns the load that was last heard of the replica.
+// LastLoad returns the latest reported load of the replica.
 func (r *Replica) LastLoad() Load { return r.load }
 
-// ObserveListed takes in what the platform's list says: leaving, or live. A
-// live entry takes nothing back, because the list lags.
+// ObserveListed records whether the platform's list shows the replica as leaving. An entry
+// without leaving does not revoke an earlier one, because the list lags.
 func (p *Pool) ObserveListed(name string, leaving bool) {
 	r := p.replicas[name]
 	if r == nil || !leaving || r.listedLeaving {
@@ -218,8 +222,8 @@
 	p.capacityChanges++
 }
 
-// ObserveLeaving takes in the report of somebody else, such as an answer's
-// header, that the replica is leaving.
+// ObserveLeaving records a third party's report, such as a response header, that the replica is
+// leaving.
 func (p *Pool) ObserveLeaving(name string) {
 	r := p.replicas[name]
 	if r == nil {
@@ -229,7 +233,7 @@
 	r.leavingBoot = max(r.leavingBoot, r.Residency.Boot)
 }
 
-// CallFailed notes that a call which ran at the replica since started failed there.
+// CallFailed records that a call sent to the replica at started failed there.
 func (p *Pool) CallFailed(now clock.Instant, r *Replica, call uint64, started clock.Instant) {
 	wasEjected := r.Ejected(now)
 	r.End(now, call, started, true)
@@ -238,10 +242,10 @@
 	}
 }
 
-// decay returns the share left after age with the given half-life.
-func decay(age, half time.Duration) float64 {
+// decay returns the fraction that remains after age, given a half-life.
+func decay(age, halfLife time.Duration) float64 {
 	if age <= 0 {
 		return 1
 	}
-	return math.Exp2(-float64(age) / float64(half))
+	return math.Exp2(-float64(age) / float64(halfLife))
 }
--- a/core/pool/rank_test.go
+++ b/core/pool/rank_test.go
@@ -9,8 +9,8 @@
 	"github.com/birchdrift/birchdrift/core/clock/clocktest"
 )
 
-// TestLoadUpToPriority: a call waits for the work of its own rank and of more urgent
-// ones, of this instance and of its peers; ranks beyond the last count as the last.
+// TestLoadUpToPriority checks that a call waits for the work of its own rank and of more urgent
+// ones, of this instance and of its peers, and that ranks beyond the last count as the last.
 func TestLoadUpToPriority(t *testing.T) {
 	is := is.New(t)
 	now := clocktest.At(time.Hour)
@@ -29,12 +29,12 @@
 	is.Equal(r.Load(now).Calls.UpTo(0), 1)
 	is.Equal(r.Load(now).Calls.UpTo(1), 5)
 	is.Equal(r.Load(now).Calls.Sum(), 7)
-	r.FirstTokenReceived(now, 2, false) // its prompt is read
+	r.FirstTokenReceived(now, 2, false) // its prompt has been processed
 	is.Equal(r.Load(now).Prefill.UpTo(2), 3*time.Second)
 	is.Equal(r.Load(now).Calls.UpTo(2), 6)
 	r.DropCall(2)
 	is.Equal(r.Load(now).Calls.UpTo(2), 5)
-	r.DropCall(2) // again, which changes nothing
+	r.DropCall(2) // a second time has no effect
 	is.Equal(r.Load(now).Calls.UpTo(2), 5)
 	is.Equal(r.InFlight(), 2)
 }
--- a/core/pool/ratelimit.go
+++ b/core/pool/ratelimit.go
@@ -7,100 +7,102 @@
 	"github.com/birchdrift/birchdrift/core/clock"
 )
 
-// A RateLimit is what an answer of a replica says of how many requests a second it takes
-// from all instances together. The zero value names no limit.
+// A RateLimit is the rate limit in a replica's response: how many requests per second it
+// accepts from all instances together. The zero value means that the response has none.
 type RateLimit struct {
 	Named     bool
-	PerSecond float64 // 0: none at all
-	// Unclear says that the answer names one which makes no sense. What was named before
-	// holds on then.
+	PerSecond float64 // requests; 0: none are accepted
+	// Unclear reports that the response has a limit that cannot be parsed. The previous limit
+	// stays in force then.
 	Unclear bool
 }
 
-// A LimitReport is the newest that is known of a replica's limit. The zero value says that
-// it never named one.
+// A LimitReport is the newest report of a replica's rate limit by any instance. The zero value
+// means that the replica never sent a limit.
 type LimitReport struct {
-	// Limit is what it named. Of one that has ended, PerSecond is what it was.
+	// Limit is the reported limit. If the limit was lifted, Named is false and PerSecond is its
+	// former value.
 	Limit RateLimit
-	By    string // the instance that had the answer
-	// Moment is when that came.
+	By    string // the instance that received the response
+	// EventTime is when the response arrived.
 	clock.EventTime
 }
 
-// IsZero reports whether the replica never named a limit.
-func (w LimitReport) IsZero() bool { return w.By == "" }
+// IsZero reports whether the replica never sent a limit.
+func (l LimitReport) IsZero() bool { return l.By == "" }
 
 const (
-	// minRate is the rate, in requests a second, at which a replica is sent requests
-	// whatever it names: from one that gets none, nobody would hear that it takes more
+	// minRate is the lowest rate, in requests per second, at which a replica is sent requests,
+	// whatever its limit: if it received none, no instance would learn that it accepts more
 	// (docs/design/limits.md).
 	minRate = 0.2
-	// unlimitedRate is the limit, in requests a second, from which on nothing is held back
-	// for it: no replica is sent as many (docs/design/limits.md).
+	// unlimitedRate is the limit, in requests per second, from which no request is held back:
+	// no replica is sent that many (docs/design/limits.md).
 	unlimitedRate = 10_000
-	// recoveryMinRate is what a replica takes at least, in requests a second, once its limit has
-	// ended (docs/design/limits.md).
+	// recoveryMinRate is the lowest rate, in requests per second, assumed right after a
+	// replica's limit was lifted (docs/design/limits.md).
 	recoveryMinRate = 1
-	// recoveryDoublingTime is the time in which the requests that it takes then double, so that
-	// not all instances come back to it at once (docs/design/limits.md).
+	// recoveryDoublingTime is the time in which that rate doubles, so that the instances do not
+	// return to the replica all at once (docs/design/limits.md).
 	recoveryDoublingTime = time.Second
-	// recoveryPeriod is how long that lasts (docs/design/limits.md).
+	// recoveryPeriod is how long this ramp-up lasts (docs/design/limits.md).
 	recoveryPeriod = 6 * time.Second
 )
 
-// Rate returns how many requests a second the replica is to get from all instances
-// together; limited is false where nothing is held back.
-func (w LimitReport) Rate(now clock.Instant) (perSecond float64, limited bool) {
-	switch since := now.Since(w.At); {
-	case w.IsZero():
+// Rate returns the rate in requests per second that the replica may receive from all instances
+// together; limited is false if no request is held back.
+func (l LimitReport) Rate(now clock.Instant) (perSecond float64, limited bool) {
+	switch since := now.Since(l.At); {
+	case l.IsZero():
 		return 0, false
-	case w.Limit.Named:
-		return max(w.Limit.PerSecond, minRate), w.Limit.PerSecond < unlimitedRate
+	case l.Limit.Named:
+		return max(l.Limit.PerSecond, minRate), l.Limit.PerSecond < unlimitedRate
 	case since < recoveryPeriod:
 		doublings := max(0, float64(since)/float64(recoveryDoublingTime))
-		return max(w.Limit.PerSecond, recoveryMinRate) * math.Exp2(doublings), true
+		return max(l.Limit.PerSecond, recoveryMinRate) * math.Exp2(doublings), true
 	default:
 		return 0, false
 	}
 }
 
-// Newer reports whether w is later than another word of the same replica.
-func (w LimitReport) Newer(old LimitReport) bool { return old.At.Before(w.At) }
+// Newer reports whether l is later than another report for the same replica.
+func (l LimitReport) Newer(old LimitReport) bool { return old.At.Before(l.At) }
 
-// supersededBy reports whether what an answer says of the limit holds against what is known.
-// Answers overtake each other, so one that takes back what another said must be to a
-// request that was sent after that came; one that says less counts at once.
-func (w LimitReport) supersededBy(limit RateLimit, sent clock.Instant) bool {
+// supersededBy reports whether the limit in a response replaces l. Responses may arrive out of
+// order, so a response that raises or lifts the limit must answer a request that was sent after
+// l arrived; a lower limit takes effect at once.
+func (l LimitReport) supersededBy(limit RateLimit, sent clock.Instant) bool {
 	switch {
 	case limit.Unclear:
 		return false
-	case !limit.Named && !w.Limit.Named:
+	case !limit.Named && !l.Limit.Named:
 		return false
-	case limit.Named && (!w.Limit.Named || limit.PerSecond < w.Limit.PerSecond):
+	case limit.Named && (!l.Limit.Named || limit.PerSecond < l.Limit.PerSecond):
 		return true
 	default:
-		return !sent.Before(w.At)
+		return !sent.Before(l.At)
 	}
 }
 
-// LimitReport returns the newest that is known of the replica's limit.
+// LimitReport returns the newest report of the replica's limit.
 func (r *Replica) LimitReport() LimitReport { return r.limit.report }
 
-// RateLimit returns how many requests a second the replica is to get from all instances
-// together; limited is false where nothing is held back.
+// RateLimit returns the rate in requests per second that the replica may receive from all
+// instances together; limited is false if no request is held back.
 func (r *Replica) RateLimit(now clock.Instant) (perSecond float64, limited bool) {
 	return r.limit.report.Rate(now)
 }
 
-// A limitState is what is known of a replica's limit, and when a request may go there.
+// limitState holds the newest report of a replica's limit and when the next request may be
+// sent.
 type limitState struct {
 	report     LimitReport
-	nextSendAt clock.Instant // when the next request may be sent, as was last said
+	nextSendAt clock.Instant // when the next request may be sent, as last set by SetNextSend
 }
 
-// ObserveLimit takes in what a replica said of its limit in its answer to what was sent at
-// sent by the instance by, and reports whether it holds against what was known. An answer to
-// something that was sent before this life of the replica was known says nothing.
+// ObserveLimit records the limit in a response that the instance by received to a request sent
+// at sent, and reports whether it replaced the known one. It ignores responses to requests that
+// were sent before this incarnation was first seen.
 func (p *Pool) ObserveLimit(now clock.Instant, name string, sent clock.Instant, limit RateLimit, by string) bool {
 	r := p.replicas[name]
 	if r == nil || sent.Before(r.seenAt) || !r.limit.report.supersededBy(limit, sent) {
@@ -116,24 +118,24 @@
 	return true
 }
 
-// ObservePeerLimit takes in what another instance heard of the limit of a life of a replica, and
-// reports whether that is later than what is known.
-func (p *Pool) ObservePeerLimit(life Incarnation, w LimitReport) bool {
-	r := p.replicas[life.Name]
-	if r == nil || !r.MayBeIncarnation(life.Born) || !w.Newer(r.limit.report) {
+// ObservePeerLimit records another instance's report of the limit of an incarnation, and
+// reports whether it is newer than the known one.
+func (p *Pool) ObservePeerLimit(incarnation Incarnation, report LimitReport) bool {
+	r := p.replicas[incarnation.Name]
+	if r == nil || !r.MayBeIncarnation(incarnation.Born) || !report.Newer(r.limit.report) {
 		return false
 	}
-	r.limit.report = w
+	r.limit.report = report
 	p.capacityChanges++
 	return true
 }
 
-// SetNextSend notes when the next request may be sent to the replica, as was said now.
+// SetNextSend records when the next request may be sent to the replica.
 func (r *Replica) SetNextSend(at clock.Instant) { r.limit.nextSendAt = at }
 
-// RateLimitDelay returns how long a request to the replica is believed to wait for its limit:
-// until the next one may be sent, as far as that is known, and half the time between two of
-// them at least, since other instances send there too.
+// RateLimitDelay estimates how long a request to the replica waits for its limit: until the
+// next request may be sent, if that is known, and at least half the interval between two
+// requests, since other instances send requests too.
 func (r *Replica) RateLimitDelay(now clock.Instant) time.Duration {
 	rate, limited := r.RateLimit(now)
 	if !limited {
@@ -142,13 +144,13 @@
 	return max(r.limit.nextSendAt.Since(now), time.Duration(float64(time.Second)/(2*rate)))
 }
 
-// staleLimitAge is for how long nothing need have been heard of a limit for the next request
-// to go to its replica, which shows whether it still holds (docs/design/limits.md).
+// staleLimitAge is the age of the newest limit report at which the next request is sent to the
+// replica to check whether the limit still holds (docs/design/limits.md).
 const staleLimitAge = 5 * time.Second
 
-// LimitStale reports whether the replica named a limit, nobody has heard of it for a
-// while, and a request may be sent now as far as is known.
+// LimitStale reports whether the replica has a limit, no instance has reported it for
+// staleLimitAge, and a request may be sent now according to SetNextSend.
 func (r *Replica) LimitStale(now clock.Instant) bool {
-	w := r.limit.report
-	return w.Limit.Named && now.Since(w.At) >= staleLimitAge && !now.Before(r.limit.nextSendAt)
+	report := r.limit.report
+	return report.Limit.Named && now.Since(report.At) >= staleLimitAge && !now.Before(r.limit.nextSendAt)
 }
--- a/core/pool/ratelimit_test.go
+++ b/core/pool/ratelimit_test.go
@@ -12,8 +12,8 @@
 
 func namedLimit(perSecond float64) RateLimit { return RateLimit{Named: true, PerSecond: perSecond} }
 
-// TestObserveLimitOrder tables two answers of a replica that come one after the other,
-// the second at minute one: to a request that was sent before or after the first came.
+// TestObserveLimitOrder checks which of two responses of a replica determines its limit. The
+// second arrives at minute one and answers a request sent before or after the first arrived.
 func TestObserveLimitOrder(t *testing.T) {
 	start := clocktest.At(time.Hour)
 	first, second := start.Add(50*time.Second), start.Add(time.Minute)
@@ -28,19 +28,19 @@
 		want RateLimit
 		news bool
 	}{
-		{"its first word", none, namedLimit(3), before, namedLimit(3), true},
+		{"the first limit", none, namedLimit(3), before, namedLimit(3), true},
 		{"the same again", namedLimit(3), namedLimit(3), after, namedLimit(3), true},
-		{"the same, overtaken", namedLimit(3), namedLimit(3), before, namedLimit(3), false},
+		{"the same, out of order", namedLimit(3), namedLimit(3), before, namedLimit(3), false},
 		{"less", namedLimit(3), namedLimit(1), after, namedLimit(1), true},
-		{"less, overtaken", namedLimit(3), namedLimit(1), before, namedLimit(1), true},
+		{"less, out of order", namedLimit(3), namedLimit(1), before, namedLimit(1), true},
 		{"more", namedLimit(3), namedLimit(5), after, namedLimit(5), true},
-		{"more, overtaken", namedLimit(3), namedLimit(5), before, namedLimit(3), false},
-		{"none any more", namedLimit(3), none, after, RateLimit{PerSecond: 3}, true},
-		{"none, overtaken", namedLimit(3), none, before, namedLimit(3), false},
-		{"what makes no sense", namedLimit(3), unclear, after, namedLimit(3), false},
-		{"what makes no sense, of one that named none", none, unclear, after, none, false},
-		{"none, of one that named none", none, none, after, none, false},
-		{"none at all", namedLimit(3), namedLimit(0), before, namedLimit(0), true},
+		{"more, out of order", namedLimit(3), namedLimit(5), before, namedLimit(3), false},
+		{"limit lifted", namedLimit(3), none, after, RateLimit{PerSecond: 3}, true},
+		{"limit lifted, out of order", namedLimit(3), none, before, namedLimit(3), false},
+		{"not parseable", namedLimit(3), unclear, after, namedLimit(3), false},
+		{"not parseable, without a known limit", none, unclear, after, none, false},
+		{"none, without a known limit", none, none, after, none, false},
+		{"a limit of zero", namedLimit(3), namedLimit(0), before, namedLimit(0), true},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -56,8 +56,9 @@
 	}
 }
 
-// TestLimitBelongsToIncarnation: another life names its own, at the same address or another; what
-// was sent to the life before says nothing.
+// TestLimitBelongsToIncarnation checks that another incarnation has its own limit, at the same
+// address or another one, and that a response to a request to the previous incarnation is
+// ignored.
 func TestLimitBelongsToIncarnation(t *testing.T) {
 	is := is.New(t)
 	start := clocktest.At(time.Hour)
@@ -72,14 +73,15 @@
 	is.True(!p.ObservePeerLimit(Incarnation{Name: "r", Born: "1"}, LimitReport{Limit: namedLimit(3), By: "j", EventTime: clock.EventTime{At: later}}))
 	is.True(p.ObservePeerLimit(Incarnation{Name: "r", Born: "2"}, LimitReport{Limit: namedLimit(4), By: "j", EventTime: clock.EventTime{At: later}}))
 	is.True(!p.ObserveLimit(later, "gone", later, namedLimit(3), "i"))
-	// A rest and its leaving are beside it.
+	// A rest and leaving do not affect the limit.
 	p.ObserveNotice(later, "r", later, Notice{Rest: time.Second, Leaving: true})
 	r := p.Get("r")
 	rate, limited := r.RateLimit(later)
 	is.True(limited && rate == 4 && r.Resting(later) && r.Leaving())
 }
 
-// TestNewerLimitReportWins: of an own answer and a peer's the later one holds.
+// TestNewerLimitReportWins checks that the later one of an own and a peer's limit report is
+// used.
 func TestNewerLimitReportWins(t *testing.T) {
 	is := is.New(t)
 	start := clocktest.At(time.Hour)
@@ -91,13 +93,13 @@
 	is.True(told(time.Second, namedLimit(2)))
 	is.True(!told(time.Second, namedLimit(5)))
 	is.True(!told(900*time.Millisecond, RateLimit{}))
-	is.True(!p.ObserveLimit(start.Add(2*time.Second), "r", start.Add(900*time.Millisecond), namedLimit(5), "i")) // sent before that was said
+	is.True(!p.ObserveLimit(start.Add(2*time.Second), "r", start.Add(900*time.Millisecond), namedLimit(5), "i")) // sent before the known report
 	is.True(p.ObserveLimit(start.Add(2*time.Second), "r", start.Add(1100*time.Millisecond), namedLimit(5), "i"))
 	is.True(!told(1500*time.Millisecond, namedLimit(2)))
 	is.Equal(p.Get("r").LimitReport().By, "i")
 }
 
-// TestLimitReportRate tables the rate by what was named and how long ago.
+// TestLimitReportRate checks the rate by the reported limit and its age.
 func TestLimitReportRate(t *testing.T) {
 	start := clocktest.At(time.Hour)
 	cases := []struct {
@@ -108,19 +110,19 @@
 		limited bool
 	}{
 		{"named", namedLimit(3), time.Hour, 3, true},
-		{"none at all: enough to hear of its end", namedLimit(0), 0, minRate, true},
-		{"less than that", namedLimit(0.01), 0, minRate, true},
-		{"more than anybody sends", namedLimit(1e6), 0, 1e6, false},
-		{"ended just now", RateLimit{PerSecond: 4}, 0, 4, true},
-		{"ended a second ago", RateLimit{PerSecond: 4}, time.Second, 8, true},
-		{"ended, and it was none at all", RateLimit{}, 2 * time.Second, 4 * recoveryMinRate, true},
-		{"ended long ago", RateLimit{PerSecond: 4}, recoveryPeriod, 0, false},
+		{"a limit of zero: enough to learn of its end", namedLimit(0), 0, minRate, true},
+		{"less than the minimum rate", namedLimit(0.01), 0, minRate, true},
+		{"more than any replica is sent", namedLimit(1e6), 0, 1e6, false},
+		{"lifted just now", RateLimit{PerSecond: 4}, 0, 4, true},
+		{"lifted a second ago", RateLimit{PerSecond: 4}, time.Second, 8, true},
+		{"lifted, and was zero", RateLimit{}, 2 * time.Second, 4 * recoveryMinRate, true},
+		{"lifted long ago", RateLimit{PerSecond: 4}, recoveryPeriod, 0, false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			w := LimitReport{Limit: c.limit, By: "i", EventTime: clock.EventTime{At: start}}
-			rate, limited := w.Rate(start.Add(c.age))
+			report := LimitReport{Limit: c.limit, By: "i", EventTime: clock.EventTime{At: start}}
+			rate, limited := report.Rate(start.Add(c.age))
 			is.Equal(rate, c.want)
 			is.Equal(limited, c.limited)
 		})
@@ -129,8 +131,8 @@
 	is.New(t).True(rate == 0 && !limited)
 }
 
-// TestRateLimitDelayAndStaleness: what a request waits for a limit as far as is known, and when one goes there to
-// hear whether it still holds.
+// TestRateLimitDelayAndStaleness checks the expected wait of a request for a limit, and when a
+// request is sent to check whether the limit still holds.
 func TestRateLimitDelayAndStaleness(t *testing.T) {
 	is := is.New(t)
 	now := clocktest.At(time.Hour)
--- a/core/pool/replica.go
+++ b/core/pool/replica.go
@@ -8,7 +8,7 @@
 	"github.com/birchdrift/birchdrift/core/limit"
 )
 
-// A Kind says what a replica runs.
+// A Kind is what a replica runs.
 type Kind uint8
 
 // The kinds of replica.
@@ -17,48 +17,48 @@
 	Plain
 )
 
-// Spec are what the configuration says of a replica.
+// A Spec holds the configured or announced properties of a replica.
 type Spec struct {
 	Name        string
 	Address     string // IP:port
 	Zone        string
 	Domain      string
 	Kind        Kind
-	Service     string // the service of a plain or announced replica
-	Announced   bool   // it announces itself, rather than being configured
-	Concurrent  int    // sequences or calls it runs at once
+	Service     string // service of a plain or announced replica
+	Announced   bool   // announces itself instead of being configured
+	Concurrent  int    // maximum number of concurrent sequences or calls
 	MemoryMiB   int64
 	ChecksFence bool
 }
 
-// Tunables of the health view.
+// Parameters of health tracking.
 const (
-	ejectAfter = 3               // failures in a row before a replica is ejected
-	ejectBase  = 2 * time.Second // first ejection; doubles with each
+	ejectAfter = 3               // consecutive failures before a replica is ejected
+	ejectBase  = 2 * time.Second // duration of the first ejection; doubles with each further one
 	// ejectMax is the longest ejection.
 	ejectMax        = 60 * time.Second
-	firstTokenAlpha = 0.2 // weight of a new sample that is below the average
-	// serviceTimeAlpha is the weight of a new sample of how long calls occupy a replica.
+	firstTokenAlpha = 0.2 // weight of a new sample below the average
+	// serviceTimeAlpha is the weight of a new sample of the service time.
 	serviceTimeAlpha = 0.1
-	// defaultFirstToken is the time to a first token before any was measured.
+	// defaultFirstToken is the time to first token before any was measured.
 	defaultFirstToken = 50 * time.Millisecond
-	// defaultServiceTime is how long a call is believed to occupy a replica.
+	// defaultServiceTime is the assumed time that a call occupies a replica.
 	defaultServiceTime = time.Second
 	// defaultPlainServiceTime is the same for an announced plain replica.
 	defaultPlainServiceTime = 30 * time.Millisecond
-	// firstTokenHalfLife is after which half of a slow average is forgotten.
+	// firstTokenHalfLife is the half-life of the excess of a slow average over the default.
 	firstTokenHalfLife = 5 * time.Second
-	loadHalfLife       = 4 * time.Second // after which half of what others had in flight is believed gone
+	loadHalfLife       = 4 * time.Second // half-life of the calls of others in the last reported load
 )
 
-// A Replica is this instance's view of one upstream. Only the goroutine that
-// owns the state machine touches it.
+// A Replica is this instance's view of one upstream. It is accessed only by the goroutine that
+// owns the state machine.
 type Replica struct {
 	Spec
 	Residency Residency
 	Limit     limit.Concurrency
 	items     map[string]ItemPhase
-	refused   map[string]clock.Instant // until when an item counts as refused
+	refused   map[string]clock.Instant // items that the replica refused, and until when this counts
 	activity
 	health
 	listing
@@ -67,126 +67,126 @@
 	limit limitState
 }
 
-// A activity is what runs at a replica: by the own count, by what peers tell, and by
-// its own reports.
+// activity is the work at a replica, according to this instance's own count, to peers and to
+// the replica's own reports.
 type activity struct {
 	load      Load
 	loadAt    clock.Instant
-	ownAtLoad int // own calls in flight when load was heard
+	ownAtLoad int // own calls in flight when load was received
 
 	report       receivedReport
-	peers        map[string]peerUsage // what other instances have in flight
-	usedItems    []string             // items that own calls used lately, newest last
-	inFlight     map[uint64]int       // ranks of own calls, by call
-	ownCalls     ByRank[int]          // how many those are
-	pending      []pendingCall        // own calls whose first token has not come
+	peers        map[string]peerUsage // calls of other instances in flight, by instance
+	usedItems    []string             // items used recently by own calls, newest last
+	inFlight     map[uint64]int       // ranks of own calls in flight, by call
+	ownCalls     ByRank[int]          // number of own calls in flight
+	pending      []pendingCall        // own calls without a first token, oldest first
 	firstToken   time.Duration        // peak EWMA of the time to first token
 	firstTokenAt clock.Instant
 	serviceTime  time.Duration // EWMA of the time a call occupies the replica
 }
 
-// A health is what calls at a replica showed.
+// health is what the outcomes of calls to a replica showed.
 type health struct {
-	downUntil    clock.Instant // until when it counts as down, since nothing answered at its address
-	failures     int           // in a row
-	ejections    int           // in a row
+	downUntil    clock.Instant // considered down until then, since nothing answered at its address
+	failures     int           // consecutive
+	ejections    int           // consecutive
 	ejectedUntil clock.Instant
 }
 
-// A listing is what the platform's list says of a replica that announces itself.
+// listing is the state of a replica in the platform's list, if it announces itself.
 type listing struct {
 	announced       Announcement
-	seenAt          clock.Instant // when it was first announced
+	seenAt          clock.Instant // when this incarnation was first announced
 	announcedAt     clock.Instant // when it was last announced
-	reportedAt      clock.Instant // when its owner's report was last heard
-	vanishedAt      clock.Instant // when the list lost it; zero while it is listed
-	leavingDeadline clock.Instant // when it counts as leaving then at the latest; zero: that is open
-	endsAt          clock.Instant // when it is taken away, if that is known
-	pastStartIDs    []string      // births of its former lives, the latest last
+	reportedAt      clock.Instant // when its owner's report was last received
+	vanishedAt      clock.Instant // when its entry vanished; zero while it is listed
+	leavingDeadline clock.Instant // when it counts as leaving at the latest after that; zero: no deadline
+	endsAt          clock.Instant // when it is reclaimed, if that is known
+	pastStartIDs    []string      // Born of its past incarnations, latest last
 }
 
-// A leaving says who called a replica leaving.
+// leaving is which sources reported the replica as leaving.
 type leaving struct {
 	listedLeaving bool
-	// announcedLeaving says that an entry of this life said so; listedLeaving is also set when
-	// the entry went.
+	// announcedLeaving means that an entry of this incarnation reported it; listedLeaving is
+	// also set after the entry vanished.
 	announcedLeaving bool
-	leavingBoot      uint64 // boot that was told to be leaving
+	leavingBoot      uint64 // boot that was reported as leaving
 	reportedLeaving  bool
-	leavingAt        clock.Instant // when it said so itself first, if it did
-	terminated       bool          // it is not there any more
+	leavingAt        clock.Instant // when the replica itself first reported it; zero if it did not
+	terminated       bool          // its process has ended
 }
 
-// A pendingCall is one own call in flight without a first token.
+// A pendingCall is an own call in flight without a first token.
 type pendingCall struct {
 	id       uint64
-	rank     int // of urgency, 0 first
+	rank     int // 0 is the most urgent
 	since    clock.Instant
-	prefill  time.Duration // work on its prompt believed to be left
-	expected time.Duration // time believed to pass until its first event
+	prefill  time.Duration // estimated remaining work on its prompt
+	expected time.Duration // estimated time until its first event
 }
 
-func newReplica(f Spec) *Replica {
-	hold := defaultServiceTime
-	if f.Announced && f.Kind == Plain {
-		hold = defaultPlainServiceTime
+func newReplica(spec Spec) *Replica {
+	serviceTime := defaultServiceTime
+	if spec.Announced && spec.Kind == Plain {
+		serviceTime = defaultPlainServiceTime
 	}
 	return &Replica{
-		Spec:     f,
-		Limit:    limit.NewConcurrency(f.Concurrent),
+		Spec:     spec,
+		Limit:    limit.NewConcurrency(spec.Concurrent),
 		items:    map[string]ItemPhase{},
 		refused:  map[string]clock.Instant{},
-		activity: activity{firstToken: defaultFirstToken, serviceTime: hold, inFlight: map[uint64]int{}},
+		activity: activity{firstToken: defaultFirstToken, serviceTime: serviceTime, inFlight: map[uint64]int{}},
 	}
 }
 
-// An Incarnation is one life of a replica: one that restarts may have the same name again.
+// An Incarnation identifies one start of a replica, since a restarted one may have the same
+// name.
 type Incarnation struct {
 	Name string
-	Born string // "" if that is not known
+	Born string // "" if unknown
 }
 
-// Compare orders incarnations by name, then by birth as a text.
+// Compare orders incarnations by name, then by Born as a string.
 func (i Incarnation) Compare(other Incarnation) int {
 	return cmp.Or(cmp.Compare(i.Name, other.Name), cmp.Compare(i.Born, other.Born))
 }
 
-// Incarnation returns which life of the replica this is.
+// Incarnation returns the replica's current incarnation.
 func (r *Replica) Incarnation() Incarnation { return Incarnation{Name: r.Name, Born: r.announced.Born} }
 
-// Phase returns where item stands on the replica, 0 if it is absent.
+// Phase returns the phase of item on the replica, 0 if it is absent.
 func (r *Replica) Phase(item string) ItemPhase { return r.items[item] }
 
-// refusalPeriod is how long a replica that refused an item is not asked for it again,
-// unless its residency is heard anew first.
+// refusalPeriod is how long a replica that refused an item is not sent calls for it, unless its
+// residency is reported again earlier.
 const refusalPeriod = 500 * time.Millisecond
 
-// MarkRefused notes that the replica refused a call for item as not run.
+// MarkRefused records that the replica refused a call because it does not run item.
 func (r *Replica) MarkRefused(now clock.Instant, item string) {
 	r.refused[item] = now.Add(refusalPeriod)
 }
 
-// Refusing reports whether the replica refused item a moment ago.
+// Refusing reports whether the replica refused item within the last refusalPeriod.
 func (r *Replica) Refusing(now clock.Instant, item string) bool {
 	return len(r.refused) > 0 && now.Before(r.refused[item])
 }
 
-// Failures returns how many calls in a row the replica failed.
+// Failures returns the number of consecutive failed calls at the replica.
 func (r *Replica) Failures() int { return r.failures }
 
-// downPeriod is how long a replica at whose address nothing answered counts as
-// down, before it is tried again.
+// downPeriod is how long a replica counts as down after nothing answered at its address, before
+// it is tried again.
 const downPeriod = 700 * time.Millisecond
 
-// MarkDown notes that nothing answered at the replica's address.
+// MarkDown records that nothing answered at the replica's address.
 func (r *Replica) MarkDown(now clock.Instant) { r.downUntil = now.Add(downPeriod) }
 
-// Down reports whether nothing answered at the replica's address a moment ago.
+// Down reports whether nothing answered at the replica's address within the last downPeriod.
 func (r *Replica) Down(now clock.Instant) bool { return now.Before(r.downUntil) }
 
-// Overdue returns for how long the oldest own call has waited for its first
-// event beyond the work that was ahead of it: a replica that went dark shows so
-// before any call to it has failed.
+// Overdue returns how much longer than expected the oldest pending own call has waited for its
+// first event. It shows that a replica no longer responds before any call to it has failed.
 func (r *Replica) Overdue(now clock.Instant) time.Duration {
 	if len(r.pending) == 0 {
 		return 0
@@ -195,26 +195,25 @@
 	return max(0, now.Since(oldest.since)-oldest.expected)
 }
 
-// InFlight returns this instance's own calls in flight.
+// InFlight returns the number of this instance's own calls in flight.
 func (r *Replica) InFlight() int { return len(r.inFlight) }
 
-// Leaving reports whether any source said that the replica is leaving. The
-// first source that says so wins; only a later boot takes it back, because the
-// list lags behind the upstream's own report.
+// Leaving reports whether any source reported the replica as leaving. One source is enough, and
+// only a later boot revokes it, because the list lags behind the upstream's own report.
 func (r *Replica) Leaving() bool { return r.reportedLeaving || r.listedLeaving }
 
-// AnnouncedLeaving reports whether an entry of this life said that the replica leaves.
+// AnnouncedLeaving reports whether an entry of this incarnation showed it as leaving.
 func (r *Replica) AnnouncedLeaving() bool { return r.announcedLeaving }
 
-// Ejected reports whether failures keep the replica out of the choice at now.
+// Ejected reports whether the replica is excluded from selection because of failures.
 func (r *Replica) Ejected(now clock.Instant) bool { return now.Before(r.ejectedUntil) }
 
 // Usable reports whether new work may be sent to the replica.
 func (r *Replica) Usable() bool { return !r.Leaving() }
 
-// ActiveSequences estimates the calls that occupy the replica at now: own calls are
-// known exactly; those of others come from the last reported load, less what
-// was own then, and fade with the report's age.
+// ActiveSequences estimates the calls that occupy the replica at now. Own calls are counted
+// exactly. Those of others are taken from the last reported load, minus the own calls at that
+// time, and decay with the report's age.
 func (r *Replica) ActiveSequences(now clock.Instant) float64 {
 	if r.Announced {
 		return float64(r.Load(now).Calls.Sum())
@@ -227,14 +226,14 @@
 	return float64(len(r.inFlight)) + others
 }
 
-// TimeToFirstToken returns the measured time to first token: the peak EWMA, or the
-// age of the oldest own call that still waits for one if that is longer. The
-// age is what makes a frozen replica look slow before it has answered at all.
+// TimeToFirstToken returns the measured time to first token: the peak EWMA, or the age of the
+// oldest pending own call if that is longer. The age makes a frozen replica look slow before it
+// has answered any call.
 func (r *Replica) TimeToFirstToken(now clock.Instant) time.Duration {
 	first := r.firstToken
 	if age := now.Since(r.firstTokenAt); first > defaultFirstToken && age > 0 {
-		// A slow answer is believed less the older it is; without this, a sole
-		// replica that was slow once would never be tried again.
+		// The excess over the default decays with age. Otherwise a replica that is the
+		// only one and was slow once would never be tried again.
 		first = defaultFirstToken + time.Duration(float64(first-defaultFirstToken)*decay(age, firstTokenHalfLife))
 	}
 	if len(r.pending) > 0 {
@@ -246,19 +245,19 @@
 // ServiceTime returns the measured time that a call occupies the replica.
 func (r *Replica) ServiceTime() time.Duration { return r.serviceTime }
 
-// Utilization returns the replica's running share at now: 1 is full.
+// Utilization returns the fraction of the replica's capacity in use at now: 1 is full.
 func (r *Replica) Utilization(now clock.Instant) float64 {
 	return r.ActiveSequences(now) / float64(max(1, r.Concurrent))
 }
 
-// Start notes that this instance sent the call id to the replica.
+// Start records that this instance sent the call id to the replica.
 func (r *Replica) Start(now clock.Instant, id uint64) { r.StartPrefill(now, id, Prefill{}) }
 
-// A Prefill is what is known of a call whose prompt an engine is to read.
+// A Prefill describes a call whose prompt an engine has to process.
 type Prefill struct {
-	Rank     int           // of urgency, 0 first
-	Work     time.Duration // on its prompt
-	Expected time.Duration // until its first event
+	Rank     int           // 0 is the most urgent
+	Work     time.Duration // estimated time to process the prompt
+	Expected time.Duration // estimated time until the first event
 }
 
 // StartPrefill is Start for a call with a prompt.
@@ -272,14 +271,14 @@
 	r.pending = append(r.pending, pendingCall{id: id, rank: rank, since: now, prefill: p.Work, expected: p.Expected})
 }
 
-// HasCall reports whether the call is known to be in flight at this life of the replica.
+// HasCall reports whether the call is in flight at this incarnation of the replica.
 func (r *Replica) HasCall(id uint64) bool {
 	_, ok := r.inFlight[id]
 	return ok
 }
 
-// FirstTokenReceived notes that the call's first token came. late says that it came later
-// than the call's target for a reason that lies in the replica.
+// FirstTokenReceived records that the call's first token arrived. late means that it missed the
+// call's target for a reason that lies in the replica.
 func (r *Replica) FirstTokenReceived(now clock.Instant, id uint64, late bool) {
 	since, ok := r.removePending(id)
 	if !ok {
@@ -301,10 +300,10 @@
 	r.Limit = r.Limit.WithOnTime()
 }
 
-// End notes that the call no longer occupies the replica.
+// End records that the call no longer occupies the replica.
 func (r *Replica) End(now clock.Instant, id uint64, started clock.Instant, failed bool) {
 	if !r.HasCall(id) {
-		return // it was at a former life
+		return // it was sent to a previous incarnation
 	}
 	r.removeCall(id)
 	if !failed {
@@ -317,12 +316,12 @@
 	}
 }
 
-// DropCall notes that a call ended for a reason that says nothing of the replica.
+// DropCall records the end of a call for a reason that says nothing about the replica's health.
 func (r *Replica) DropCall(id uint64) {
 	r.removeCall(id)
 }
 
-// removeCall takes an own call out of what is in flight.
+// removeCall removes an own call from the calls in flight.
 func (r *Replica) removeCall(id uint64) {
 	if rank, ok := r.inFlight[id]; ok {
 		delete(r.inFlight, id)
@@ -341,7 +340,7 @@
 	r.failures = 0
 }
 
-// removePending takes the call out of the pending ones.
+// removePending removes the call from the pending ones and returns when it was sent.
 func (r *Replica) removePending(id uint64) (clock.Instant, bool) {
 	for i, p := range r.pending {
 		if p.id == id {
--- a/core/pool/replica_test.go
+++ b/core/pool/replica_test.go
@@ -10,8 +10,9 @@
 	"github.com/birchdrift/birchdrift/core/clock/clocktest"
 )
 
-// TestEjection: failures in a row eject a replica, for longer each
-// time; an answer in between, or a refusal, does not count as one of them.
+// TestEjection checks that consecutive failures eject a replica, for longer each time, and that
+// a call that ends without showing anything about the replica does not count as a failure or a
+// success.
 func TestEjection(t *testing.T) {
 	is := is.New(t)
 	now := clocktest.At(time.Hour)
@@ -30,12 +31,12 @@
 	is.True(!r.Ejected(now))
 	id++
 	r.Start(now, id)
-	r.DropCall(id) // says nothing of the replica
+	r.DropCall(id) // neither a success nor a failure
 	is.Equal(r.Failures(), ejectAfter-1)
 	touched := p.CapacityChanges()
 	failed(1)
 	is.True(r.Ejected(now))
-	is.True(p.CapacityChanges() > touched) // calls that wait look again
+	is.True(p.CapacityChanges() > touched) // wakes waiting calls
 	now = now.Add(ejectBase)
 	is.True(!r.Ejected(now))
 	failed(ejectAfter)
@@ -43,8 +44,8 @@
 	is.True(!r.Ejected(now.Add(2 * ejectBase)))
 }
 
-// TestVanishedReplicaExpires: a replica whose entry went is used for a moment more, then
-// counts as leaving, and is forgotten once no call runs there.
+// TestVanishedReplicaExpires checks that a replica whose entry vanished is used for the grace
+// period, then counts as leaving, and is removed once it has no calls in flight.
 func TestVanishedReplicaExpires(t *testing.T) {
 	is := is.New(t)
 	now := clocktest.At(time.Hour)
@@ -59,14 +60,15 @@
 	is.Equal(p.ExpireVanished(now.Add(VanishedGracePeriod), VanishedGracePeriod), []string{"r"})
 	is.True(r.Leaving())
 	is.Equal(p.ExpireVanished(now.Add(vanishedRetention), VanishedGracePeriod), nil)
-	is.True(p.Get("r") != nil) // a call runs there
+	is.True(p.Get("r") != nil) // a call is in flight
 	r.DropCall(1)
 	p.ExpireVanished(now.Add(vanishedRetention), VanishedGracePeriod)
 	is.True(p.Get("r") == nil)
 }
 
-// TestLeavingIsNotRevoked: an entry that says ready does not take back that the same life of
-// its replica leaves; one of another life does, and so does one that comes back after it went.
+// TestLeavingIsNotRevoked checks that an entry without leaving does not revoke the leaving of
+// the same incarnation; an entry of another incarnation does, and so does one that reappears
+// after it vanished.
 func TestLeavingIsNotRevoked(t *testing.T) {
 	is := is.New(t)
 	p := New()
@@ -91,8 +93,9 @@
 	is.True(p.Get("r").Usable())
 }
 
-// TestVanishedDeadline: a replica whose entry went counts as leaving by the moment that
-// leaves calls enough time, also if that is sooner than usual.
+// TestVanishedDeadline checks that a replica whose entry vanished counts as leaving at its
+// deadline, which leaves calls enough time, even if that is earlier than the end of the grace
+// period.
 func TestVanishedDeadline(t *testing.T) {
 	is := is.New(t)
 	now := clocktest.At(time.Hour)
--- a/core/pool/report.go
+++ b/core/pool/report.go
@@ -1,16 +1,16 @@
 package pool
 
-// An ItemPhase says where a model or adapter stands on an engine.
+// An ItemPhase is the phase of a model or adapter on an engine.
 type ItemPhase uint8
 
-// The phases of an item. Memory is taken in every one of them.
+// The phases of an item. It occupies memory in all of them.
 const (
 	Loading ItemPhase = iota + 1
 	Ready
 	Unloading
 )
 
-// String returns the phase as it stands on the wire and in logs.
+// String returns the phase as used on the wire and in logs.
 func (p ItemPhase) String() string {
 	switch p {
 	case Loading:
@@ -30,18 +30,17 @@
 	Phase ItemPhase
 }
 
-// A Residency is what an engine holds, in its own reports. Boot and Change order
-// residencies of one engine: Boot rises with every start, Change with every
-// change since.
+// A Residency is an engine's report of its items. Boot and Change order the residencies of one
+// engine: Boot rises with every start, Change with every change since then.
 type Residency struct {
 	Boot    uint64
 	Change  uint64
 	Leaving bool
-	Born    string // of the engine's life, "" if that is not known or Boot tells it
+	Born    string // of the engine's incarnation; "" if unknown or implied by Boot
 	Items   []Item
 }
 
-// Newer reports whether r was said after other.
+// Newer reports whether r is later than other.
 func (r Residency) Newer(other Residency) bool {
 	if r.Boot != other.Boot {
 		return r.Boot > other.Boot
@@ -49,15 +48,15 @@
 	return r.Change > other.Change
 }
 
-// A Load is how busy an engine said it is. Seq orders loads within one Boot.
+// A Load is an engine's report of its load. Seq orders the loads of one Boot.
 type Load struct {
 	Boot    uint64
 	Seq     uint64
-	Running int // sequences that run
-	Waiting int // sequences that wait in the engine
+	Running int // running sequences
+	Waiting int // sequences queued in the engine
 }
 
-// Newer reports whether l was said after other.
+// Newer reports whether l is later than other.
 func (l Load) Newer(other Load) bool {
 	if l.Boot != other.Boot {
 		return l.Boot > other.Boot
@@ -65,10 +64,10 @@
 	return l.Seq > other.Seq
 }
 
-// A State is everything an engine says of itself at once.
+// A State is an engine's full report of itself.
 type State struct {
 	Residency Residency
 	Load      Load
 	Fence     uint64 // highest fence the engine has seen
-	LastOrder uint64 // last order it carried out under Fence
+	LastOrder uint64 // last order executed under Fence
 }
--- a/core/pool/use.go
+++ b/core/pool/use.go
@@ -9,23 +9,23 @@
 // A Usage is what one instance has in flight at a replica.
 type Usage struct {
 	Calls   ByRank[int]
-	Prefill ByRank[time.Duration] // work on prompts that it believes is still to be done there
-	Waiting int                   // calls without a first event that are not in Prefill
-	Items   []string              // items that its calls used lately
-	Down    bool                  // nothing answered there a moment ago
+	Prefill ByRank[time.Duration] // estimated remaining work on prompts
+	Waiting int                   // calls without a first event that are not counted in Prefill
+	Items   []string              // items used recently by its calls
+	Down    bool                  // nothing answered there within the last downPeriod
 }
 
-// peerUsageTTL is how long another instance's report of its calls is believed.
+// peerUsageTTL is how long another instance's report of its calls is used.
 const peerUsageTTL = 3 * time.Second
 
-// A peerUsage is another instance's Use with the time at which it was heard.
+// A peerUsage is another instance's Usage with the time of its arrival.
 type peerUsage struct {
 	Usage
 	at clock.Instant
 }
 
-// ObservePeerUsage takes in what a peer has in flight, by replica. Replicas that are
-// not named have nothing of it in flight.
+// ObservePeerUsage records a peer's calls in flight by replica. The peer has none at replicas
+// that are not in uses.
 func (p *Pool) ObservePeerUsage(now clock.Instant, peer string, uses map[string]Usage) {
 	for name, r := range p.replicas {
 		u, ok := uses[name]
@@ -41,7 +41,7 @@
 	p.capacityChanges++
 }
 
-// OwnUsage returns what this instance has in flight, by replica.
+// OwnUsage returns this instance's calls in flight by replica.
 func (p *Pool) OwnUsage(now clock.Instant) map[string]Usage {
 	uses := map[string]Usage{}
 	for name, r := range p.replicas {
@@ -52,10 +52,10 @@
 	return uses
 }
 
-// maxUsedItems bounds the items of one replica that are remembered as used.
+// maxUsedItems bounds the number of recently used items recorded per replica.
 const maxUsedItems = 16
 
-// MarkUsed notes that an own call uses an item.
+// MarkUsed records that an own call uses an item.
 func (r *Replica) MarkUsed(item string) {
 	for i, it := range r.usedItems {
 		if it == item {
@@ -69,16 +69,17 @@
 	}
 }
 
+// recentItems returns a copy of the recently used items.
 func (r *Replica) recentItems() []string { return append([]string(nil), r.usedItems...) }
 
-// ResetUsed begins the list of used items anew, once peers were told of it.
+// ResetUsed clears the recently used items after they were sent to peers.
 func (p *Pool) ResetUsed() {
 	for _, r := range p.replicas {
 		r.usedItems = r.usedItems[:0]
 	}
 }
 
-// ownPrefill returns the work on prompts of own calls without a first token.
+// ownPrefill returns the work on the prompts of own calls without a first token.
 func (r *Replica) ownPrefill() ByRank[time.Duration] {
 	var work ByRank[time.Duration]
 	for _, c := range r.pending {
@@ -87,7 +88,7 @@
 	return work
 }
 
-// peerTotals sums what peers have in flight at the replica.
+// peerTotals returns the sum of the peers' calls in flight at the replica.
 func (r *Replica) peerTotals(now clock.Instant) Usage {
 	var sum Usage
 	for _, u := range r.peers {
@@ -99,8 +100,8 @@
 	return sum
 }
 
-// Suspected reports whether this instance, or a peer that was heard a moment ago,
-// found nothing at the replica's address.
+// Suspected reports whether this instance, or a peer within the last downPeriod, found nothing
+// listening at the replica's address.
 func (r *Replica) Suspected(now clock.Instant) bool {
 	if r.Down(now) {
 		return true
@@ -113,12 +114,12 @@
 	return false
 }
 
-// Load returns the calls in flight at the replica and the work on prompts that
-// is still to be done there, of every instance that was heard lately.
+// Load returns the calls in flight at the replica and the remaining work on their prompts, over
+// all instances with a recent report.
 func (r *Replica) Load(now clock.Instant) Usage {
 	u := r.peerTotals(now)
 	if r.ReportAge(now) <= loadReportTTL {
-		u.Calls = ByRank[int]{r.report.running} // of ranks that it does not say
+		u.Calls = ByRank[int]{r.report.running} // the report has no ranks; all count as the most urgent
 		u.Prefill = ByRank[time.Duration]{}
 		u.Waiting = r.report.waiting
 	}
@@ -127,28 +128,27 @@
 	return u
 }
 
-// A LoadReport is what an engine says of the calls there when it is asked.
+// A LoadReport is an engine's answer to a query for its calls.
 type LoadReport struct {
-	Queued  int // without a first event
-	Running int // with one
+	Queued  int // calls without a first event
+	Running int // calls with a first event
 }
 
-// An engine's report of its load is some 100 ms old when it comes, and is
-// believed for a while.
+// An engine's load report is about 100 ms old on arrival, and is used for a while after it.
 const (
 	loadReportLag = 100 * time.Millisecond
 	loadReportTTL = 500 * time.Millisecond
 )
 
-// A receivedReport is a Report with what the instance itself had there then.
+// A receivedReport is a LoadReport without this instance's own calls at that time.
 type receivedReport struct {
 	at      clock.Instant
 	waiting int // calls of others without a first event
-	running int // other calls
+	running int // all calls of others
 }
 
-// ObserveReport takes in what an engine says of its load.
-func (r *Replica) ObserveReport(now clock.Instant, said LoadReport) {
+// ObserveReport records an engine's report of its load.
+func (r *Replica) ObserveReport(now clock.Instant, rep LoadReport) {
 	then := now.Add(-loadReportLag)
 	waiting := 0
 	for _, c := range r.pending {
@@ -158,12 +158,12 @@
 	}
 	r.report = receivedReport{
 		at:      now,
-		waiting: max(0, said.Queued-waiting),
-		running: max(0, said.Queued+said.Running-len(r.inFlight)),
+		waiting: max(0, rep.Queued-waiting),
+		running: max(0, rep.Queued+rep.Running-len(r.inFlight)),
 	}
 }
 
-// ReportAge returns how long ago the replica said how busy it is.
+// ReportAge returns the age of the replica's last load report, or an hour if there is none.
 func (r *Replica) ReportAge(now clock.Instant) time.Duration {
 	if r.report.at.IsZero() {
 		return time.Hour
--- a/core/quarantine/evidence.go
+++ b/core/quarantine/evidence.go
@@ -11,26 +11,26 @@
 	"github.com/birchdrift/birchdrift/core/pool"
 )
 
-// What tells a replica that ended from one that cannot be reached, drops connections or
-// leaves: its machine answers, nothing listens at its address, and it did not say that
-// it would leave.
+// A replica has crashed, rather than being unreachable, dropping connections or leaving, if
+// its machine answers, nothing listens at its address, and it did not report itself as
+// leaving.
 
 const (
-	// checkDelay is how long after a call was severed the replica is looked for, if no
-	// other call shows that it is gone: a process that ends closes its connections one
+	// checkDelay is how long after a severed call the replica is checked, if no other call
+	// shows earlier that its process has ended: a process that ends closes its connections one
 	// after the other, its listener among them.
 	checkDelay = 30 * time.Millisecond
-	// evidenceWindow is how long the calls that one end severs may take to show it: below
-	// the seconds that a replica takes to come back.
+	// evidenceWindow is the time in which the calls severed by one crash must show it: shorter
+	// than the seconds that a replica takes to restart.
 	evidenceWindow = 2 * time.Second
-	// disconnectWindow is how long before its replica's end a caller may have left for its call
-	// to count as in flight there: a replica needs a moment to notice, and the end one to
-	// show.
+	// disconnectWindow is how long before its replica's crash a caller may have disconnected
+	// for its call to still count as in flight there: a replica takes a moment to notice the
+	// disconnect, and the crash takes a moment to show.
 	disconnectWindow = 500 * time.Millisecond
 )
 
 type (
-	// Check is an action: see whether a process listens at a replica's address.
+	// Check is an action: test whether a process listens at a replica's address.
 	Check struct {
 		Replica pool.Incarnation
 		Address string // IP:port
@@ -48,21 +48,21 @@
 // IsEvent implements step.Event.
 func (Checked) IsEvent() {}
 
-// An evidence is what this instance's calls show of one end of a replica.
+// evidence is what this instance's calls show about one crash of a replica.
 type evidence struct {
-	at        clock.Instant // when it showed first
+	at        clock.Instant // time of the first sign
 	address   string
-	requests  []crash.Fingerprint // whose calls were in flight; rising
-	ended     bool                // the replica's process is not there any more
+	requests  []crash.Fingerprint // whose calls were in flight; in ascending order
+	ended     bool                // the replica's process has ended
 	checkSent bool                // a Check was sent
-	seq       uint64              // of the report, 0 before there is one
+	seq       uint64              // of the report, 0 before the first
 }
 
-// Severed notes that the connection of a request's call was ended by its replica, or by
-// the replica's machine, before the answer was whole.
+// Severed records that a request's call was severed by its replica, or by the replica's
+// machine, before the response was complete.
 func (t *Tracker) Severed(now clock.Instant, request crash.Fingerprint, r *pool.Replica) {
 	if request == 0 || r.Leaving() {
-		return // what leaves may end as it likes
+		return // the end of a leaving replica is planned
 	}
 	replica := r.Incarnation()
 	e := t.evidenceOf(now, replica)
@@ -72,8 +72,8 @@
 	}
 }
 
-// SeveredByReplicaEnd notes that a request's call was at a replica which is known to have ended,
-// since its next life is there.
+// SeveredByReplicaEnd records that a request's call was at an incarnation of a replica that is
+// known to have ended, since its next incarnation is running.
 func (t *Tracker) SeveredByReplicaEnd(now clock.Instant, request crash.Fingerprint, replica pool.Incarnation) {
 	if request == 0 {
 		return
@@ -84,7 +84,7 @@
 	}
 }
 
-// add notes that a request was in flight, and reports whether that is new.
+// add records that a request was in flight, and reports whether that is new.
 func (e *evidence) add(request crash.Fingerprint) bool {
 	i, found := slices.BinarySearch(e.requests, request)
 	if found || len(e.requests) == maxRequests {
@@ -94,14 +94,14 @@
 	return true
 }
 
-// A disconnect is a call whose caller left while a replica had it.
+// A disconnect is a call whose caller disconnected while it was in flight at a replica.
 type disconnect struct {
 	request crash.Fingerprint
 	at      clock.Instant
 }
 
-// CallerDisconnected notes that the caller of a request's call left while a replica had it: the
-// replica may end by it all the same.
+// CallerDisconnected records that the caller of a request disconnected while its call was in
+// flight at a replica, which may crash because of it all the same.
 func (t *Tracker) CallerDisconnected(now clock.Instant, request crash.Fingerprint, r *pool.Replica) {
 	if request == 0 || r.Leaving() {
 		return
@@ -113,10 +113,11 @@
 	t.disconnects[r.Incarnation()] = recent
 }
 
-// expired reports whether no end that shows from now on can have come of the departed call.
+// expired reports whether a crash first seen at now can no longer be due to the disconnected
+// call.
 func (d disconnect) expired(now clock.Instant) bool { return now.MaxElapsed(d.at) > disconnectWindow }
 
-// ReplicaEnded notes that a replica's process is not there any more.
+// ReplicaEnded records that a replica's process has ended.
 func (t *Tracker) ReplicaEnded(now clock.Instant, replica pool.Incarnation) {
 	e := t.evidenceOf(now, replica)
 	if e.ended {
@@ -133,7 +134,7 @@
 	}
 }
 
-// evidenceOf returns the evidence of the end that shows now.
+// evidenceOf returns the evidence of the crash that is currently observed.
 func (t *Tracker) evidenceOf(now clock.Instant, replica pool.Incarnation) *evidence {
 	e := t.evidence[replica]
 	if e == nil || now.MaxElapsed(e.at) >= evidenceWindow {
@@ -143,7 +144,7 @@
 	return e
 }
 
-// reportCrash tells all instances of the requests that were in flight.
+// reportCrash reports the requests that were in flight to all instances.
 func (t *Tracker) reportCrash(now clock.Instant, replica pool.Incarnation, e *evidence) {
 	if e.seq == 0 {
 		t.seq++
@@ -159,7 +160,7 @@
 	t.scheduleUpdates(now, true, t.ownReportInterval(r))
 }
 
-// checkReplicas looks for the replicas that severed calls a moment ago.
+// checkReplicas sends a Check for each replica that severed calls checkDelay ago.
 func (t *Tracker) checkReplicas(now clock.Instant) {
 	for _, replica := range slices.SortedFunc(maps.Keys(t.evidence), pool.Incarnation.Compare) {
 		e := t.evidence[replica]
@@ -171,7 +172,7 @@
 	}
 }
 
-// Checked takes in what came of a Check.
+// Checked handles the answer to a Check.
 func (t *Tracker) Checked(now clock.Instant, e Checked) {
 	if e.Ended {
 		t.ReplicaEnded(now, e.Replica)
--- a/core/quarantine/quarantine.go
+++ b/core/quarantine/quarantine.go
@@ -1,22 +1,23 @@
-// Package quarantine keeps requests from running under which replicas end.
+// Package quarantine stops running requests under which replicas crash.
 //
-// A request may end every replica that begins to run it, by a fault that its content
-// brings about. Its caller, who sees a broken connection, sends it again, and the limits
-// of one try do not hold that back: each try has another name, and comes to any
-// instance. So what is known of requests is kept over their tries and shared by all
+// A request may crash every replica that starts to run it, through a fault that its content
+// triggers. Its caller sees a broken connection and retries, and the limits on attempts do not
+// stop that: each retry has another request ID, and may reach any instance. What is known about
+// a request is therefore kept by its fingerprint, over all its tries, and shared by all
 // instances:
 //
-//  1. An instance whose call is severed checks whether the replica's process is still
-//     there (evidence.go). A cut, a broken connection or a planned end is no crash.
-//  2. It reports the requests that it had in flight there to all instances, which each
-//     judge the reports by the same rule (core/crash).
-//  3. A request that is blamed is not run for a while: calls under way are cut, further
-//     tries refused at once (verdict.go).
-//  4. Verdicts are kept in the platform's store as well, for instances that start
-//     later (record.go). All else works without the store.
+//  1. An instance whose call is severed checks whether the replica's process still exists
+//     (evidence.go). An unreachable replica, a broken connection or a planned end is not
+//     a crash.
+//  2. It reports the requests that it had in flight there to all instances, which all evaluate
+//     the reports by the same rule (core/crash).
+//  3. A blamed request is not run for a while: its calls in flight are canceled, further tries
+//     are refused at once (verdict.go).
+//  4. Verdicts are also written to the platform's store, for instances that start later
+//     (record.go). Everything else works without the store.
 //
-// A request that was in flight by chance goes on as any other until its ends are
-// explained by another's, or it is served.
+// A request that was in flight by coincidence runs like any other, until its crashes are
+// explained by another request or it succeeds.
 package quarantine
 
 import (
@@ -30,66 +31,66 @@
 )
 
 const (
-	// reportRetention is how long reports of replicas that ended count: a request that comes back
-	// every few minutes is still found.
+	// reportRetention is how long crash reports count: long enough to detect a request that is
+	// sent every few minutes.
 	reportRetention = 10 * time.Minute
-	// maxReports bounds the reports that are kept, the newest first; with maxRequests
-	// they take 1 MB at most: in a large fleet each replica that ends is reported by as
-	// many instances as it has places, so sixteen such ends.
+	// maxReports bounds the reports that are kept, newest first. With maxRequests they take at
+	// most 1 MB. In a large fleet a crash is reported by as many instances as the replica has
+	// slots, so they cover sixteen such crashes.
 	maxReports = 1024
-	// maxRequests bounds the requests of one report: twice the places of a large engine,
-	// all taken by one instance.
+	// maxRequests bounds the requests in one report: twice the slots of a large engine, all
+	// used by one instance.
 	maxRequests = 128
-	// settleTime is how long reports of other instances may take to arrive, a check of
-	// evidence and a few hops included. Judged earlier, a request that was in flight
-	// by chance is blamed where the instance that had the other has not spoken yet:
-	// within the users' three seconds.
+	// settleTime is how long the reports of other instances may take to arrive, including the
+	// check of the replica and a few hops. If reports were evaluated earlier, a request that
+	// was in flight by coincidence would be blamed while the report with the actual cause is
+	// still on its way. It is within the users' bound of three seconds.
 	settleTime = 400 * time.Millisecond
-	// verdictDelay is after how long what a call that was sent shows of its replica has been
-	// judged: the call's way and its run, a check and the reports.
+	// verdictDelay is the time from sending a call until its effect on the replica has been
+	// evaluated: the call's transmission and run, the check, and the reports.
 	verdictDelay = settleTime + 200*time.Millisecond
-	// shareInterval spaces the news of replicas that ended: all calls that were severed
-	// together are told together, and ten times a second at most.
+	// shareInterval is the minimum interval between exchanges for crash reports: calls that are
+	// severed together are reported together, at most ten times per second.
 	shareInterval = 100 * time.Millisecond
-	// relayedShareInterval is the same in a fleet whose instances pass news on to each other,
-	// for ends by which no request may be blamed yet: at tellEvery, exchanges fill links
-	// of 10 Mbit/s while replicas end.
+	// relayedShareInterval is the same in a fleet whose instances relay reports, for crashes
+	// that do not make any request a suspect yet: at shareInterval, exchanges fill links of 10
+	// Mbit/s while replicas crash.
 	relayedShareInterval = time.Second
-	// pruneEvery spaces the looks for what is too old.
+	// pruneEvery is the interval at which old records are removed.
 	pruneEvery = time.Second
 )
 
-// Deps are what a Tracker needs of the other modules. The functions must be set before
-// the first event.
+// Deps are what a Tracker needs from other modules. The functions must be set before the first
+// event.
 type Deps struct {
 	shared.State
-	// Stored says that the environment has a store for verdicts.
+	// Stored reports whether the environment has a store for verdicts.
 	Stored bool
-	// Tell has all peers, or the neighbours in a large fleet, told at once.
+	// Tell starts an exchange with all peers, or with the neighbours in a large fleet.
 	Tell func(now clock.Instant)
-	// Direct reports whether every instance tells every other itself.
+	// Direct reports whether every instance exchanges with every other one.
 	Direct func() bool
-	// Cut ends the calls of a request that are under way here.
+	// Cut cancels the calls of a request that are in flight at this instance.
 	Cut func(request crash.Fingerprint, left time.Duration)
 }
 
-// A Tracker knows which requests are not to be run.
+// A Tracker tracks which requests are quarantined.
 type Tracker struct {
 	Deps
 	evidence    map[pool.Incarnation]*evidence
-	disconnects map[pool.Incarnation][]disconnect // the oldest first
+	disconnects map[pool.Incarnation][]disconnect // oldest first
 	seq         uint64                            // of the last own report
 	suspects    map[crash.Fingerprint]bool
 	verdicts    map[crash.Fingerprint]*verdict
 	records     records
 
-	evaluateDue clock.Instant // zero: nothing to judge
-	shareDue    clock.Instant // zero: nothing to tell
+	evaluateDue clock.Instant // zero: nothing to evaluate
+	shareDue    clock.Instant // zero: nothing to share
 	sharedAt    clock.Instant
 	pruneDue    clock.Instant
 }
 
-// New returns a tracker that knows of no request.
+// New returns a tracker without reports or verdicts.
 func New(n Deps) *Tracker {
 	return &Tracker{
 		Deps:        n,
@@ -100,7 +101,7 @@
 	}
 }
 
-// Served notes that a request was served whole: replicas did not end by it.
+// Served records that a request succeeded, so replicas did not crash because of it.
 func (t *Tracker) Served(now clock.Instant, request crash.Fingerprint) {
 	if !t.suspects[request] {
 		return
@@ -110,7 +111,7 @@
 	}
 }
 
-// HandlePeerReports takes in what a peer told.
+// HandlePeerReports handles crash reports and successes from a peer.
 func (t *Tracker) HandlePeerReports(now clock.Instant, from string, reports []crash.Report, served []crash.Success) {
 	news, pressing := false, false
 	for _, r := range reports {
@@ -130,7 +131,8 @@
 	}
 }
 
-// ownReportInterval is how long after the last telling this instance tells of its own report.
+// ownReportInterval returns the minimum interval between the last exchange and the one that
+// carries an own report.
 func (t *Tracker) ownReportInterval(r crash.Report) time.Duration {
 	if t.Direct() || t.urgent(r) {
 		return shareInterval
@@ -138,14 +140,14 @@
 	return relayedShareInterval
 }
 
-// urgent reports whether a request of the report may be blamed with it. Other news goes
-// its usual way, with the next exchanges.
+// urgent reports whether a request in the report may be blamed with it. Other reports are sent
+// with the next regular exchanges.
 func (t *Tracker) urgent(r crash.Report) bool {
 	return slices.ContainsFunc(r.Requests, t.suspected)
 }
 
-// scheduleUpdates has what is new judged once it is settled, and told to others if it must be, at
-// the earliest a spacing after the last telling.
+// scheduleUpdates schedules the evaluation of new records after settleTime and, if share is
+// true, an exchange with peers, at the earliest an interval after the last one.
 func (t *Tracker) scheduleUpdates(now clock.Instant, tell bool, spacing time.Duration) {
 	if t.evaluateDue.IsZero() {
 		t.evaluateDue = now.Add(settleTime)
@@ -161,7 +163,7 @@
 	}
 }
 
-// Tick does what is due.
+// Tick performs the work that is due.
 func (t *Tracker) Tick(now clock.Instant) {
 	t.checkReplicas(now)
 	if due(now, t.evaluateDue) {
@@ -181,7 +183,7 @@
 
 func due(now, at clock.Instant) bool { return !at.IsZero() && !now.Before(at) }
 
-// prune forgets what is too old.
+// prune removes old records.
 func (t *Tracker) prune(now clock.Instant) {
 	if t.Records.PruneCrashes(now, reportRetention, maxReports) {
 		clear(t.suspects)
@@ -193,8 +195,8 @@
 	t.pruneVerdicts(now)
 }
 
-// observed reports whether this instance itself had the request in flight at a replica
-// that ended.
+// observed reports whether this instance itself had the request in flight at a replica that
+// ended.
 func (t *Tracker) observed(request crash.Fingerprint) bool {
 	return slices.ContainsFunc(t.Records.Crashes(), func(r crash.Report) bool {
 		return r.Observer == t.Self.Name && r.Has(request)
--- a/core/quarantine/quarantine_test.go
+++ b/core/quarantine/quarantine_test.go
@@ -18,10 +18,10 @@
 	"github.com/birchdrift/birchdrift/core/step"
 )
 
-// bad is the request that ends replicas in these tests.
+// bad is the request that crashes replicas in these tests.
 const bad = crash.Fingerprint(7)
 
-// A fixture is a tracker with what it does.
+// A fixture is a tracker with a record of its effects.
 type fixture struct {
 	*Tracker
 	now       clock.Instant
@@ -44,16 +44,16 @@
 	return b
 }
 
-// replica announces a replica.
+// replica announces a replica and returns it.
 func (b *fixture) replica(name string, leaving bool) *pool.Replica {
 	b.Pool.Announce(b.now, name, pool.Announcement{Service: "s", Address: name, Slots: 1, Leaving: leaving})
 	return b.Pool.Get(name)
 }
 
-// incarnation is the only incarnation of a replica.
+// incarnation returns the only incarnation of a replica.
 func incarnation(name string) pool.Incarnation { return pool.Incarnation{Name: name} }
 
-// advance lets time go by, with ticks, and returns the actions.
+// advance advances the clock by span, with ticks, and returns the actions.
 func (b *fixture) advance(span time.Duration) []step.Action {
 	b.Out.Reset()
 	for end := b.now.Add(span); b.now.Before(end); b.now = b.now.Add(10 * time.Millisecond) {
@@ -62,7 +62,7 @@
 	return b.Out.Actions()
 }
 
-// crash has a replica crash under requests.
+// crash simulates the crash of a replica that runs requests.
 func (b *fixture) crash(name string, requests ...crash.Fingerprint) {
 	r := b.replica(name, false)
 	for _, request := range requests {
@@ -71,6 +71,7 @@
 	b.ReplicaEnded(b.now, incarnation(name))
 }
 
+// actionsOf returns the actions of type T.
 func actionsOf[T step.Action](actions []step.Action) []T {
 	var out []T
 	for _, a := range actions {
@@ -81,57 +82,57 @@
 	return out
 }
 
-// TestCrashEvidence tables what calls show of a replica, and whether it is reported
-// as one that ended under them.
+// TestCrashEvidence checks what this instance's calls to a replica show, and whether it reports
+// the replica as one that ended under them.
 func TestCrashEvidence(t *testing.T) {
 	cases := []struct {
 		name    string
 		happens func(b *fixture)
 		want    int // requests reported
 	}{
-		{"severed, and nothing listens there", func(b *fixture) { b.crash("r", bad, 8) }, 2},
+		{"severed, then nothing listens", func(b *fixture) { b.crash("r", bad, 8) }, 2},
 		{"nothing listens, then severed", func(b *fixture) {
 			r := b.replica("r", false)
 			b.ReplicaEnded(b.now, incarnation("r"))
 			b.Severed(b.now, bad, r)
 		}, 1},
-		{"severed, and a check finds nobody", func(b *fixture) {
+		{"severed, and a check shows that nothing listens", func(b *fixture) {
 			b.Severed(b.now, bad, b.replica("r", false))
 			b.advance(2 * checkDelay)
 			b.Checked(b.now, Checked{Replica: incarnation("r"), Ended: true})
 		}, 1},
-		{"severed, and a check finds it", func(b *fixture) {
+		{"severed, and a check shows that it listens", func(b *fixture) {
 			b.Severed(b.now, bad, b.replica("r", false))
 			b.advance(2 * checkDelay)
 			b.Checked(b.now, Checked{Replica: incarnation("r")})
 		}, 0},
-		{"severed, and nobody knows", func(b *fixture) { b.Severed(b.now, bad, b.replica("r", false)) }, 0},
-		{"nothing listens, and nothing was severed", func(b *fixture) { b.ReplicaEnded(b.now, incarnation("r")) }, 0},
-		{"it had said that it leaves", func(b *fixture) {
+		{"severed, without a check result", func(b *fixture) { b.Severed(b.now, bad, b.replica("r", false)) }, 0},
+		{"nothing listens, and no call was severed", func(b *fixture) { b.ReplicaEnded(b.now, incarnation("r")) }, 0},
+		{"severed by a leaving replica", func(b *fixture) {
 			b.Severed(b.now, bad, b.replica("r", true))
 			b.ReplicaEnded(b.now, incarnation("r"))
 		}, 0},
-		{"it ended long after", func(b *fixture) {
+		{"severed long before nothing listens", func(b *fixture) {
 			b.Severed(b.now, bad, b.replica("r", false))
 			b.advance(2 * evidenceWindow)
 			b.ReplicaEnded(b.now, incarnation("r"))
 		}, 0},
-		{"its caller had just left", func(b *fixture) {
+		{"caller disconnected just before", func(b *fixture) {
 			b.CallerDisconnected(b.now, bad, b.replica("r", false))
 			b.advance(100 * time.Millisecond)
 			b.crash("r", 8)
 		}, 2},
-		{"its caller had just left, and nothing else was there", func(b *fixture) {
+		{"caller disconnected just before, no other calls", func(b *fixture) {
 			b.CallerDisconnected(b.now, bad, b.replica("r", false))
 			b.advance(100 * time.Millisecond)
 			b.ReplicaEnded(b.now, incarnation("r"))
 		}, 1},
-		{"its caller had left long before", func(b *fixture) {
+		{"caller disconnected long before", func(b *fixture) {
 			b.CallerDisconnected(b.now, bad, b.replica("r", false))
 			b.advance(2 * disconnectWindow)
 			b.crash("r", 8)
 		}, 1},
-		{"a request that is not known", func(b *fixture) { b.crash("r", 0) }, 0},
+		{"a request without a fingerprint", func(b *fixture) { b.crash("r", 0) }, 0},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -147,8 +148,8 @@
 	}
 }
 
-// TestOneCheckPerReplica: a replica that severs many calls is looked for once, and not
-// where a call shows that it is gone.
+// TestOneCheckPerReplica checks that a replica that severs many calls is checked once, and not
+// at all if a call shows that its process has ended.
 func TestOneCheckPerReplica(t *testing.T) {
 	is := is.New(t)
 	b := newFixture()
@@ -160,8 +161,9 @@
 	is.Equal(actionsOf[Check](b.advance(time.Second)), []Check{{Replica: incarnation("r"), Address: "r"}})
 }
 
-// TestQuarantineTerms: a request is not run for its term, then again until one more replica ends
-// under it, and for twice as long then; in the end it is forgotten.
+// TestQuarantineTerms checks that a request is quarantined for its term, then runs until one
+// more replica crashes under it, and is quarantined for twice as long then; in the end the
+// verdict is removed.
 func TestQuarantineTerms(t *testing.T) {
 	is := is.New(t)
 	b := newFixture()
@@ -183,8 +185,8 @@
 	is.Equal(len(b.verdicts), 0)
 }
 
-// TestSuspendedTimeCounts: a machine that slept does not refuse a request for longer, though its
-// steady clock stood still.
+// TestSuspendedTimeCounts checks that a machine that was suspended does not refuse a request
+// for longer, though its monotonic clock stood still.
 func TestSuspendedTimeCounts(t *testing.T) {
 	is := is.New(t)
 	b := newFixture()
@@ -196,7 +198,7 @@
 	is.Equal(b.Remaining(b.now, bad), time.Duration(0))
 }
 
-// TestEarlyRelease tables what has a request run again before its term is over.
+// TestEarlyRelease checks what releases a request before its term has passed.
 func TestEarlyRelease(t *testing.T) {
 	cases := []struct {
 		name     string
@@ -204,11 +206,11 @@
 		released bool
 	}{
 		{"nothing", func(*fixture) {}, false},
-		{"a call that was under way is served", func(b *fixture) { b.Served(b.now, bad) }, true},
-		{"another instance served it", func(b *fixture) {
+		{"a call in flight succeeds", func(b *fixture) { b.Served(b.now, bad) }, true},
+		{"it succeeds at another instance", func(b *fixture) {
 			b.HandlePeerReports(b.now, "j", nil, []crash.Success{{Request: bad}})
 		}, true},
-		{"another was in flight there and at more", func(b *fixture) {
+		{"another request was at the same replicas and at more", func(b *fixture) {
 			var late []crash.Report
 			for n, replica := range []string{"a", "b", "c", "d"} {
 				late = append(late, crash.Report{
@@ -217,7 +219,7 @@
 			}
 			b.HandlePeerReports(b.now, "j", late, nil)
 		}, true},
-		{"another was in flight there", func(b *fixture) {
+		{"another request was at the same replicas", func(b *fixture) {
 			var late []crash.Report
 			for n, replica := range []string{"a", "b", "c"} {
 				late = append(late, crash.Report{
@@ -243,9 +245,9 @@
 	}
 }
 
-// TestStoredVerdicts: verdicts are written one at a time, again after a failure, and not while
-// the store is down; one that was read there holds, and is removed when it does not hold
-// any more.
+// TestStoredVerdicts checks that verdicts are written one at a time, again after a failure, and
+// not while the store is down; and that a verdict read from the store applies, and is removed
+// from it when it no longer holds.
 func TestStoredVerdicts(t *testing.T) {
 	is := is.New(t)
 	b := newFixture()
@@ -280,8 +282,9 @@
 	is.Equal(len(actionsOf[StoreVerdict](late.advance(time.Second))), 0)
 }
 
-// TestReportsAreShared: at once, a few times a second at most, and by whoever heard it only
-// where instances do not tell each other directly.
+// TestReportsAreShared checks that reports are sent to peers at once, but only a few times per
+// second, and that reports from peers are sent on only if the instances do not all exchange
+// directly.
 func TestReportsAreShared(t *testing.T) {
 	is := is.New(t)
 	b := newFixture()
@@ -302,10 +305,10 @@
 	b.advance(time.Second)
 	is.Equal(b.exchanges, before)
 	b.Direct = func() bool { return false }
-	b.HandlePeerReports(b.now, "j", report(1), nil) // no news
+	b.HandlePeerReports(b.now, "j", report(1), nil) // already known
 	b.advance(time.Second)
 	is.Equal(b.exchanges, before)
-	b.HandlePeerReports(b.now, "j", report(2), nil) // too few ends for the next to decide
+	b.HandlePeerReports(b.now, "j", report(2), nil) // too few crashes for the next one to decide
 	b.advance(time.Second)
 	is.Equal(b.exchanges, before)
 	for seq := range uint64(4) {
@@ -326,7 +329,8 @@
 	is.True(b.exchanges <= before+2)
 }
 
-// crashMany has many replicas end, each with so many requests of its own and a bad one.
+// crashMany simulates the crashes of many replicas, each with a number of requests of its own
+// and a bad one.
 func (b *fixture) crashMany(replicas, requests int) {
 	next := crash.Fingerprint(1000)
 	for n := range replicas {
@@ -340,8 +344,8 @@
 	}
 }
 
-// TestMemoryIsBounded: however many replicas end under however many requests, what is
-// remembered stays within its bounds.
+// TestMemoryIsBounded checks that the tracker's state stays within its bounds, however many
+// replicas crash under however many requests.
 func TestMemoryIsBounded(t *testing.T) {
 	is := is.New(t)
 	b := newFixture()
@@ -368,8 +372,8 @@
 	is.Equal(len(b.verdicts), maxVerdicts)
 }
 
-// BenchmarkEvaluate measures one judgement of as many reports as are kept, each with what an
-// instance of a small site has in flight at a busy engine.
+// BenchmarkEvaluate measures one evaluation of the maximum number of reports, each with the
+// requests that an instance of a small site has in flight at a busy engine.
 func BenchmarkEvaluate(b *testing.B) {
 	x := newFixture()
 	x.crashMany(maxReports, 8)
@@ -379,8 +383,9 @@
 	}
 }
 
-// TestRetriesAreStaggered: a request under which as many replicas ended as others may explain
-// is sent by one instance after the other; any other request is sent at once.
+// TestRetriesAreStaggered checks that a request under which so many replicas crashed that the
+// next crash decides is sent by one instance after the other, and that any other request is
+// sent at once.
 func TestRetriesAreStaggered(t *testing.T) {
 	is := is.New(t)
 	names := []string{"i", "j", "k", "l"}
@@ -400,17 +405,18 @@
 		is.Equal(b.SendDelay(9), time.Duration(0))
 		pauses[b.SendDelay(bad)] = true
 		b.Served(b.now.Add(time.Millisecond), bad)
-		is.Equal(b.SendDelay(bad), time.Duration(0)) // what is served harms nobody
+		is.Equal(b.SendDelay(bad), time.Duration(0)) // a request that succeeded is harmless
 	}
-	is.Equal(len(pauses), len(names)) // no two at once
+	is.Equal(len(pauses), len(names)) // no two instances at once
 	for pause := range pauses {
 		is.True(pause >= verdictDelay)
 		is.True(pause <= sendSlots*verdictDelay)
 	}
 }
 
-// TestVerdictsAreRewrittenAfterStoreRollback: by the instance that wrote one, and by the
-// one that comes first for the request, should the writer be gone; by no other.
+// TestVerdictsAreRewrittenAfterStoreRollback checks that after the store's history was rolled
+// back a verdict is written again by the instance that wrote it, and by the one that comes
+// first for the request, in case the writer is gone, but by no other.
 func TestVerdictsAreRewrittenAfterStoreRollback(t *testing.T) {
 	is := is.New(t)
 	writer := newFixtureNamed("writer")
