--- a/core/quarantine/record.go
+++ b/core/quarantine/record.go
@@ -12,30 +12,30 @@
 	"github.com/birchdrift/birchdrift/core/step"
 )
 
-// The verdicts' records in the platform's store. Without them a fleet whose instances
-// all start anew at once would let each request end three more replicas.
+// Verdicts are written to the platform's store. Without that, after a restart of all
+// instances at once each quarantined request would crash three more replicas.
 
 const (
-	// maxLeaseTTL bounds a record's lease: the longest that the users' platform
+	// maxLeaseTTL bounds the lease of a stored verdict: the longest that the users' platform
 	// grants.
 	maxLeaseTTL = 10 * time.Minute
-	// recordRetryDelay is how long a write that failed is put off.
+	// recordRetryDelay is the delay before a failed write is retried.
 	recordRetryDelay = time.Second
 )
 
 type (
-	// StoreVerdict is an action: write a verdict, unless it stands in the store already, on a
-	// lease of so long a term.
+	// StoreVerdict is an action: write a verdict to the store, unless it is already there, with
+	// a lease of this term.
 	StoreVerdict struct {
 		Quarantine registry.Quarantine
 		Term       time.Duration
 	}
-	// VerdictStored is the event that answers a Record.
+	// VerdictStored is the event that answers a StoreVerdict.
 	VerdictStored struct {
 		Request crash.Fingerprint
-		Err     error // nil also where the record stood there already
+		Err     error // also nil if the verdict was already there
 	}
-	// RemoveVerdict is an action: remove a verdict that does not hold any more.
+	// RemoveVerdict is an action: remove a verdict that no longer holds from the store.
 	RemoveVerdict struct{ Quarantine registry.Quarantine }
 )
 
@@ -48,18 +48,18 @@
 // IsEvent implements step.Event.
 func (VerdictStored) IsEvent() {}
 
-// records is the writing of records: one at a time, so that many verdicts at once do
-// not use up the store's rate.
+// records is the queue of verdicts to write. They are written one at a time, so that many
+// verdicts at once do not exhaust the store's request rate.
 type records struct {
 	job   step.Job
-	queue []crash.Fingerprint // whose records are to be written, the oldest verdict first
+	queue []crash.Fingerprint // verdicts to write, oldest first
 }
 
-// writeNextRecord writes the next verdict that is to be.
+// writeNextRecord starts to write the next verdict in the queue.
 func (t *Tracker) writeNextRecord(now clock.Instant) {
 	r := &t.records
 	for len(r.queue) > 0 && t.Remaining(now, r.queue[0]) == 0 {
-		r.queue = r.queue[1:] // it does not hold any more
+		r.queue = r.queue[1:] // the verdict no longer holds
 	}
 	if len(r.queue) == 0 || !r.job.Due(now) || t.Outage.Down() {
 		return
@@ -73,7 +73,7 @@
 	})
 }
 
-// VerdictStored takes in what came of a Record.
+// VerdictStored handles the result of a StoreVerdict.
 func (t *Tracker) VerdictStored(now clock.Instant, e VerdictStored) {
 	if e.Err != nil {
 		t.Out.Log(logevent.QuarantineNotKept, "fingerprint", e.Request.String(), "error", e.Err.Error())
@@ -88,8 +88,9 @@
 	}
 }
 
-// SteppedBack has the records written again that the store may have lost: those that this
-// instance wrote, and those for which it comes first, should their writer be gone.
+// SteppedBack queues the verdicts that the store may have lost because its history was rolled
+// back: those that this instance wrote, and those for which it comes first among the instances,
+// in case their writer is gone.
 func (t *Tracker) SteppedBack(now clock.Instant) {
 	for _, request := range slices.Sorted(maps.Keys(t.verdicts)) {
 		v := t.verdicts[request]
@@ -102,7 +103,7 @@
 	}
 }
 
-// removeRecord removes the record of a verdict that this instance wrote or read.
+// removeRecord removes a verdict that this instance wrote or read from the store.
 func (t *Tracker) removeRecord(v *verdict, request crash.Fingerprint) {
 	if v.recorded {
 		t.Out.Emit(RemoveVerdict{Quarantine: registry.Quarantine{Request: request, Replicas: v.replicas}})
--- a/core/quarantine/verdict.go
+++ b/core/quarantine/verdict.go
@@ -14,35 +14,36 @@
 	"github.com/birchdrift/birchdrift/core/rendezvous"
 )
 
-// Which requests are not run, and for how long.
+// This file decides which requests are quarantined, and for how long.
 
 const (
-	// initialTerm is how long a request is not run that is blamed for the first time:
-	// replicas may have been mended by then, and a caller that tries again each
-	// second has been refused 600 times.
+	// initialTerm is how long a request is quarantined when it is blamed for the first time. By
+	// its end the replicas may have been fixed, and a caller that retries every second has been
+	// refused 600 times.
 	initialTerm = 10 * time.Minute
-	// maxTerm bounds the terms of a request that is blamed again and again, each of
-	// which is twice the one before.
+	// maxTerm bounds the terms of a request that is blamed repeatedly, each of which is twice
+	// the one before.
 	maxTerm = 8 * time.Hour
-	// sendSlots is in how many sendSlots the tries of a request are sent that may be blamed soon:
-	// the instances of a small site; in a large fleet several share one.
+	// sendSlots is the number of time slots over which the tries of a suspect request are
+	// staggered: one for each instance of a small site; in a large fleet several instances
+	// share one.
 	sendSlots = 8
-	// maxVerdicts bounds the requests that are known, the newest first; they take
-	// 0.1 MB: three replicas end for each.
+	// maxVerdicts bounds the verdicts that are kept, newest first. They take 0.1 MB, and three
+	// replicas have to crash for each.
 	maxVerdicts = 1024
 )
 
-// A verdict says that a request is not run.
+// A verdict is the decision to quarantine a request.
 type verdict struct {
 	since    clock.Instant
 	term     time.Duration
-	replicas int  // that ended under it
-	judged   bool // by reports that this instance has, or had
-	wrote    bool // this instance wrote its record in the platform's store
-	recorded bool // this instance wrote its record in the platform's store, or read it there
+	replicas int  // number that ended under the request
+	judged   bool // reached from reports that this instance has, or had
+	wrote    bool // this instance wrote it to the platform's store
+	recorded bool // this instance wrote it to the platform's store, or read it there
 }
 
-// remaining returns for how long the request is not run, 0 if it may be.
+// remaining returns how long the request remains quarantined, 0 if it may run.
 func (v *verdict) remaining(now clock.Instant) time.Duration {
 	if v == nil {
 		return 0
@@ -50,20 +51,20 @@
 	return max(0, v.term-now.MaxElapsed(v.since))
 }
 
-// remembered reports whether a request whose term is over is still known: one more
-// replica that ends under it is enough then.
+// remembered reports whether the verdict is kept after its term: until then one more crash
+// under the request is enough to blame it again.
 func (v *verdict) remembered(now clock.Instant) bool { return now.MaxElapsed(v.since) < 2*v.term }
 
-// Remaining returns for how long a request is not run, 0 if it may be.
+// Remaining returns how long a request remains quarantined, 0 if it may run.
 func (t *Tracker) Remaining(now clock.Instant, request crash.Fingerprint) time.Duration {
 	return t.verdicts[request].remaining(now)
 }
 
-// SendDelay returns how long a call of a request waits before it is sent: 0, but for one
-// under which so many replicas ended that the next end decides. Its tries at all
-// instances are sent one after the other then, each after what the one before showed
-// has been judged. A request that harms nobody is late by that; of one that does, one
-// more replica ends instead of one at each instance.
+// SendDelay returns how long a call of a request waits before it is sent. It is 0 unless so
+// many replicas crashed under the request that the next crash decides. In that case all
+// instances send their tries one after the other, each after the effect of the previous one has
+// been evaluated. This delays a harmless request, but a harmful one crashes one more replica
+// instead of one per instance.
 func (t *Tracker) SendDelay(request crash.Fingerprint) time.Duration {
 	if !t.suspected(request) {
 		return 0
@@ -71,8 +72,8 @@
 	return time.Duration(t.sendSlot(request)+1) * verdictDelay
 }
 
-// suspected reports whether so many replicas ended under a request since it was last
-// served that it may be blamed.
+// suspected reports whether enough replicas crashed under a request since its last success for
+// it to be blamed.
 func (t *Tracker) suspected(request crash.Fingerprint) bool {
 	if !t.suspects[request] {
 		return false
@@ -80,10 +81,10 @@
 	return len(replicasUnder(request, t.Records.Crashes(), t.Records.LastSuccess(request))) >= crash.MaxCrashes
 }
 
-// sendSlot returns in which sendSlot this instance sends its tries of a request.
+// sendSlot returns the time slot in which this instance sends its tries of a request.
 func (t *Tracker) sendSlot(request crash.Fingerprint) int { return t.position(request) % sendSlots }
 
-// position returns how many instances come position this one for a request.
+// position returns how many instances come before this one in the hash order for a request.
 func (t *Tracker) position(request crash.Fingerprint) int {
 	key := rendezvous.Key(request.String())
 	own := rendezvous.Score(key, t.Self.Name)
@@ -96,7 +97,7 @@
 	return before
 }
 
-// crashLimit returns how many replicas must have ended under a request for it to be blamed.
+// crashLimit returns how many replicas must have crashed under a request for it to be blamed.
 func (t *Tracker) crashLimit(request crash.Fingerprint) int {
 	if t.verdicts[request] != nil {
 		return 1
@@ -104,8 +105,8 @@
 	return crash.MaxCrashes
 }
 
-// evaluate blames requests for the ends that were reported, and releases those that
-// another one explains or that were served since.
+// evaluate blames requests for the reported crashes, and releases those whose crashes another
+// request explains, or that succeeded since.
 func (t *Tracker) evaluate(now clock.Instant) {
 	settled := now.Add(-settleTime)
 	reports := t.Records.Crashes()
@@ -130,7 +131,7 @@
 	}
 }
 
-// blame has a request not run from now on.
+// blame quarantines a request from now on.
 func (t *Tracker) blame(now clock.Instant, c crash.Attribution) {
 	v := t.verdicts[c.Request]
 	if v.remaining(now) > 0 {
@@ -148,7 +149,7 @@
 	t.Out.Log(logevent.RequestQuarantined, "fingerprint", c.Request.String(), "upstreams", replicaNames(c.Replicas), "term", next.term.String())
 }
 
-// replicaNames returns what logs call replicas.
+// replicaNames returns the names of the replicas for logs.
 func replicaNames(replicas []pool.Incarnation) []string {
 	var out []string
 	for _, r := range replicas {
@@ -157,7 +158,7 @@
 	return out
 }
 
-// Restored takes in a verdict that stands in the platform's store.
+// Restored handles a verdict that was read from the platform's store.
 func (t *Tracker) Restored(now clock.Instant, q registry.Quarantine) {
 	if t.Remaining(now, q.Request) > 0 || t.verdicts[q.Request] != nil {
 		return
@@ -166,14 +167,15 @@
 	t.Out.Log(logevent.RequestQuarantined, "fingerprint", q.Request.String(), "source", "the store", "term", initialTerm.String())
 }
 
+// apply installs a verdict and cancels the request's calls in flight.
 func (t *Tracker) apply(request crash.Fingerprint, v *verdict) {
 	t.verdicts[request] = v
 	t.Cut(request, v.term)
 }
 
-// cleared reports whether a request that is not blamed any more may be run again: it was
-// served since, or others explain the ends of all the replicas that ended under it. That
-// reports were forgotten, or that another request may be to blame as well, clears nobody.
+// cleared reports whether a request that is no longer blamed may run again: it succeeded since
+// the verdict, or other requests explain the crashes of all replicas that ended under it. That
+// reports were pruned, or that another request may be to blame as well, is not enough.
 func (t *Tracker) cleared(request crash.Fingerprint, under []pool.Incarnation, explained map[pool.Incarnation]bool) bool {
 	v := t.verdicts[request]
 	if v.since.Before(t.Records.LastSuccess(request)) {
@@ -183,8 +185,8 @@
 	return v.judged && len(under) >= v.replicas && !unexplained
 }
 
-// replicasUnder returns the replicas that are reported to have ended under a request
-// since an instant, in order, each life of them once.
+// replicasUnder returns the replicas that are reported to have ended under a request after
+// since, in order, each incarnation once.
 func replicasUnder(request crash.Fingerprint, reports []crash.Report, since clock.Instant) []pool.Incarnation {
 	var under []pool.Incarnation
 	for _, r := range reports {
@@ -196,7 +198,7 @@
 	return slices.Compact(under)
 }
 
-// release has a request run again.
+// release ends the quarantine of a request.
 func (t *Tracker) release(request crash.Fingerprint) {
 	t.Out.Log(logevent.RequestReleased, "fingerprint", request.String())
 	t.removeRecord(t.verdicts[request], request)
--- a/core/shutdown/shutdown.go
+++ b/core/shutdown/shutdown.go
@@ -1,7 +1,6 @@
-// Package shutdown carries out a planned stop: the instance is not ready from its
-// beginning on, hands over what others can take, takes calls until the balancer
-// has had time to see that it is not ready, and exits once its calls have ended
-// or its time is over.
+// Package shutdown runs a planned shutdown: the instance is not ready from its start on, hands
+// over what others can take over, accepts calls until the load balancer has had time to see
+// that it is not ready, and exits once its calls have ended or its time limit has passed.
 package shutdown
 
 import (
@@ -12,34 +11,34 @@
 	"github.com/birchdrift/birchdrift/core/step"
 )
 
-// Exit is an action: the stop is complete. Cut counts the calls it cut off.
+// Exit is an action: the shutdown is complete. Cut is the number of calls that were cancelled.
 type Exit struct{ Cut int }
 
 // IsAction implements step.Action.
 func (Exit) IsAction() {}
 
-// A Controller is a planned stop. The fields must be set before its use.
+// A Controller runs a planned shutdown. Its exported fields must be set before its use.
 type Controller struct {
 	Options *option.Options
 	Out     *step.Output
 	Calls   *calls.Table
-	// HandOver is called once, when the stop begins: it gives back what others
-	// can take over, and tells peers.
+	// HandOver is called once, when the shutdown starts: it releases what other instances can
+	// take over, and notifies peers.
 	HandOver func(now clock.Instant)
 
 	started     bool
-	acceptUntil clock.Instant // calls are taken until then
-	deadline    clock.Instant // calls are cut then
+	acceptUntil clock.Instant // calls are refused from then on
+	deadline    clock.Instant // the remaining calls are cancelled then
 	exited      bool
 }
 
-// Started reports whether the stop has begun.
+// Started reports whether the shutdown has started.
 func (s *Controller) Started() bool { return s.started }
 
-// Refusing reports whether new calls are refused because of the stop.
+// Refusing reports whether new calls are refused because of the shutdown.
 func (s *Controller) Refusing(now clock.Instant) bool { return s.started && !now.Before(s.acceptUntil) }
 
-// Start begins the stop. A second one ends it at once.
+// Start starts the shutdown. A second call ends it at once.
 func (s *Controller) Start(now clock.Instant) {
 	if s.started {
 		s.deadline = now
@@ -52,7 +51,7 @@
 	s.HandOver(now)
 }
 
-// Tick exits when every call has ended, or when the limit has come.
+// Tick exits when every call has ended, or when the deadline has passed.
 func (s *Controller) Tick(now clock.Instant) {
 	if !s.started || s.exited {
 		return
--- a/core/shutdown/shutdown_test.go
+++ b/core/shutdown/shutdown_test.go
@@ -14,7 +14,7 @@
 	"github.com/birchdrift/birchdrift/core/step"
 )
 
-// TestStop tables when a stopping instance refuses calls and exits.
+// TestStop checks when an instance that shuts down refuses calls and exits.
 func TestStop(t *testing.T) {
 	const delay, limit = 3 * time.Second, 10 * time.Second
 	cases := []struct {
@@ -27,11 +27,11 @@
 		cut     int
 	}{
 		{"at once", 0, 0, false, false, false, 0},
-		{"while the balancer may not have seen it", delay - 1, 0, false, false, false, 0},
+		{"before the load balancer has seen it", delay - 1, 0, false, false, false, 0},
 		{"idle after the delay", delay, 0, false, true, true, 0},
-		{"a call goes on", delay, 1, false, true, false, 0},
-		{"a call goes on for too long", limit, 1, false, true, true, 1},
-		{"a second stop cuts at once", time.Second, 1, true, false, true, 1},
+		{"a call in flight", delay, 1, false, true, false, 0},
+		{"a call in flight at the deadline", limit, 1, false, true, true, 1},
+		{"a second stop cancels calls at once", time.Second, 1, true, false, true, 1},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
