--- a/core/quarantine/quarantine_test.go
+++ b/core/quarantine/quarantine_test.go
@@ -26,7 +26,7 @@
 	*Tracker
 	now       clock.Instant
 	exchanges int
-	cancelled []crash.Fingerprint
+	canceled  []crash.Fingerprint
 }
 
 func newFixture() *fixture { return newFixtureNamed("i") }
@@ -39,7 +39,7 @@
 		Stored: true,
 		Tell:   func(clock.Instant) { b.exchanges++ },
 		Direct: func() bool { return true },
-		Cut:    func(r crash.Fingerprint, _ time.Duration) { b.cancelled = append(b.cancelled, r) },
+		Cut:    func(r crash.Fingerprint, _ time.Duration) { b.canceled = append(b.canceled, r) },
 	})
 	return b
 }
@@ -172,7 +172,7 @@
 		b.crash(name, bad)
 		b.advance(time.Second)
 	}
-	is.Equal(b.cancelled, []crash.Fingerprint{bad})
+	is.Equal(b.canceled, []crash.Fingerprint{bad})
 	is.True(b.Remaining(b.now, bad) > initialTerm-2*time.Second)
 	is.True(b.Remaining(b.now, bad) <= initialTerm)
 	b.now = b.now.Add(initialTerm)
@@ -277,7 +277,7 @@
 
 	late := newFixture()
 	late.Restored(late.now, registry.Quarantine{Request: bad, Replicas: 3})
-	is.Equal(late.cancelled, []crash.Fingerprint{bad})
+	is.Equal(late.canceled, []crash.Fingerprint{bad})
 	is.True(late.Remaining(late.now, bad) > 0)
 	is.Equal(len(actionsOf[StoreVerdict](late.advance(time.Second))), 0)
 }
