--- a/core/crash/crash_test.go
+++ b/core/crash/crash_test.go
@@ -140,9 +140,9 @@
 	is.Equal(Blame(reports, never, limit, third), []Attribution{{Request: 1, Replicas: []pool.Incarnation{incarnation("a", ""), incarnation("b", ""), incarnation("c", "")}}})
 }
 
-// TestMomentsKeepTheirAge checks that a moment in a message has the same age on arrival as when
+// TestEventTimesKeepTheirAge checks that a moment in a message has the same age on arrival as when
 // it was sent, by the receiver's clocks.
-func TestMomentsKeepTheirAge(t *testing.T) {
+func TestEventTimesKeepTheirAge(t *testing.T) {
 	is := is.New(t)
 	sent := clock.EventTime{At: start}.ForWire(start.Add(7 * time.Second))
 	is.Equal(sent, clock.EventTime{Age: 7 * time.Second})
