--- a/core/bounds/bounds.go
+++ b/core/bounds/bounds.go
@@ -12,12 +12,12 @@
 	"time"
 )
 
-// Bounds are the guarantees that a platform's users rely on.
+// Bounds are the time limits that a platform's users rely on.
 type Bounds struct {
 	// Leave is the longest time from when the store shows a replica as leaving, or its entry
 	// ends, to the last call that reaches the replica.
 	Leave time.Duration
-	// Settle is how long the instance and the store must have run without a fault for Leave to
+	// Settle is how long the instance and the store must have run undisturbed for Leave to
 	// apply to the instance.
 	Settle time.Duration
 }
@@ -64,12 +64,12 @@
 
 // Delays are the longest delays, one after the other, between a change in the store and the
 // last call: the change happens just after a watch was answered, the next watch hangs, the
-// whole list is read beside it, a peer receives the change, and a connection to the replica is
-// being made.
+// whole list is read in parallel, a peer receives the change, and a connection to the replica
+// is being made.
 type Delays struct {
 	Pause   time.Duration // from one watch to the next
 	Wait    time.Duration // of one watch at the store
-	Overdue time.Duration // until another call is made beside a hanging watch
+	Overdue time.Duration // until another call is made in parallel to a hanging watch
 	Read    time.Duration // of the whole list
 	Hop     time.Duration // to an instance that does not watch
 	Dial    time.Duration // of a connection to a replica
@@ -77,13 +77,13 @@
 }
 
 // Sum returns the longest time from the change in the store to the last call.
-func (p Delays) Sum() time.Duration {
-	return p.Pause + p.Wait + p.Overdue + p.Read + p.Hop + p.Dial + p.Send
+func (d Delays) Sum() time.Duration {
+	return d.Pause + d.Wait + d.Overdue + d.Read + d.Hop + d.Dial + d.Send
 }
 
 // MaxListAge returns the greatest age of the list at an instance while a healthy store answers
 // it, or the peers that relay the list to it.
-func (p Delays) MaxListAge() time.Duration { return p.Pause + p.Wait + p.Overdue + p.Hop }
+func (d Delays) MaxListAge() time.Duration { return d.Pause + d.Wait + d.Overdue + d.Hop }
 
 // A Delay is one of the Delays.
 type Delay struct {
@@ -93,62 +93,62 @@
 }
 
 // All returns the delays in their order.
-func (p Delays) All() []Delay {
+func (d Delays) All() []Delay {
 	return []Delay{
-		{"pause", "from the answer to a watch to the next one", p.Pause},
-		{"wait", "of one watch at the store", p.Wait},
-		{"overdue", "until a watch without an answer counts as hanging", p.Overdue},
-		{"read", "of the whole list, during the watch", p.Read},
-		{"hop", "until an instance that does not watch receives the change", p.Hop},
-		{"dial", "of an attempt to connect to a replica", p.Dial},
-		{"send", "processing the change, choosing a replica and sending the call", p.Send},
+		{"pause", "from the answer to a watch to the next one", d.Pause},
+		{"wait", "of one watch at the store", d.Wait},
+		{"overdue", "until a watch without an answer counts as hanging", d.Overdue},
+		{"read", "of the whole list, in parallel to the watch", d.Read},
+		{"hop", "until an instance that does not watch receives the change", d.Hop},
+		{"dial", "of an attempt to connect to a replica", d.Dial},
+		{"send", "processing the change, choosing a replica and sending the call", d.Send},
 	}
 }
 
 // String lists the delays with their names.
-func (p Delays) String() string {
-	var words []string
-	for _, part := range p.All() {
-		words = append(words, fmt.Sprintf("%s %v", part.Name, part.Longest))
+func (d Delays) String() string {
+	var parts []string
+	for _, delay := range d.All() {
+		parts = append(parts, fmt.Sprintf("%s %v", delay.Name, delay.Longest))
 	}
-	return strings.Join(words, ", ")
+	return strings.Join(parts, ", ")
 }
 
 // Delays computes the delays from the bounds and the timing.
-func (b Bounds) Delays(r Timing) Delays {
-	p := Delays{
+func (b Bounds) Delays(t Timing) Delays {
+	d := Delays{
 		Pause:   b.share(pauseShare),
 		Overdue: b.share(overdueShare),
 		Read:    b.share(readShare),
 		Dial:    DialTimeout,
 		Send:    b.share(sendShare),
 	}
-	if !r.Mesh {
-		p.Pause = b.share(pauseRelayedShare)
-		p.Hop = time.Duration(hopIntervals * float64(b.ExchangeInterval(r.Exchange)))
+	if !t.Mesh {
+		d.Pause = b.share(pauseRelayedShare)
+		d.Hop = time.Duration(hopIntervals * float64(b.ExchangeInterval(t.Exchange)))
 	}
-	if r.Pause > 0 {
-		p.Pause = r.Pause
+	if t.Pause > 0 {
+		d.Pause = t.Pause
 	}
-	p.Wait = min(b.share(waitShare), max(minWait, b.Leave-b.share(reserveShare)-p.Sum()))
-	if r.Wait > 0 {
-		p.Wait = r.Wait
+	d.Wait = min(b.share(waitShare), max(minWait, b.Leave-b.share(reserveShare)-d.Sum()))
+	if t.Wait > 0 {
+		d.Wait = t.Wait
 	}
-	return p
+	return d
 }
 
 // Check returns an error if the sum of the delays exceeds Leave.
-func (b Bounds) Check(r Timing) error {
-	if p := b.Delays(r); p.Sum() > b.Leave {
-		return fmt.Errorf("a leaving replica could get calls for %v, and %v are allowed: %v", p.Sum(), b.Leave, p)
+func (b Bounds) Check(t Timing) error {
+	if d := b.Delays(t); d.Sum() > b.Leave {
+		return fmt.Errorf("a leaving replica could get calls for %v, and %v are allowed: %v", d.Sum(), b.Leave, d)
 	}
 	return nil
 }
 
-// ExchangeInterval returns the interval of exchanges where they carry changes: as set, but
-// short enough for Leave.
-func (b Bounds) ExchangeInterval(set time.Duration) time.Duration {
-	return min(set, b.share(exchangeShare))
+// ExchangeInterval returns the interval of exchanges where they carry changes: as configured,
+// but short enough for Leave.
+func (b Bounds) ExchangeInterval(configured time.Duration) time.Duration {
+	return min(configured, b.share(exchangeShare))
 }
 
 // MaxStoreSilence returns the age of the list at which an instance that receives it from peers
@@ -167,4 +167,6 @@
 func (b Bounds) MaxRetryDelay() time.Duration { return time.Duration(settleShare * float64(b.Settle)) }
 
 // share returns a fraction of Leave.
-func (b Bounds) share(part float64) time.Duration { return time.Duration(part * float64(b.Leave)) }
+func (b Bounds) share(fraction float64) time.Duration {
+	return time.Duration(fraction * float64(b.Leave))
+}
--- a/core/bounds/bounds_test.go
+++ b/core/bounds/bounds_test.go
@@ -27,17 +27,17 @@
 	for _, b := range []Bounds{small, large, {Leave: 10 * time.Second, Settle: 10 * time.Second}} {
 		for _, mesh := range []bool{true, false} {
 			is := is.New(t)
-			r := Timing{Mesh: mesh, Exchange: exchange}
-			p := b.Delays(r)
-			is.True(b.Leave-p.Sum() >= b.Leave/reserveDivisor)
-			is.NoErr(b.Check(r))
-			is.True(p.Wait >= minWait)
+			timing := Timing{Mesh: mesh, Exchange: exchange}
+			d := b.Delays(timing)
+			is.True(b.Leave-d.Sum() >= b.Leave/reserveDivisor)
+			is.NoErr(b.Check(timing))
+			is.True(d.Wait >= minWait)
 			// An instance that queries the store because its list is old meets the bound too,
 			// and does not query it while the store is healthy.
-			is.True(b.MaxStoreSilence()+p.Read+p.Dial+p.Send <= b.Leave)
-			is.True(p.MaxListAge() <= b.MaxStoreSilence())
+			is.True(b.MaxStoreSilence()+d.Read+d.Dial+d.Send <= b.Leave)
+			is.True(d.MaxListAge() <= b.MaxStoreSilence())
 			// After an outage the list is read before the bound applies again.
-			is.True(b.MaxRetryDelay()+p.Read < b.Settle)
+			is.True(b.MaxRetryDelay()+d.Read < b.Settle)
 		}
 	}
 }
--- a/core/crash/blame.go
+++ b/core/crash/blame.go
@@ -45,26 +45,26 @@
 // crashes are needed to blame a request. Only reports up to settled count: later ones may be
 // incomplete, because those of other instances may not have arrived.
 func Blame(reports []Report, served func(Fingerprint) clock.Instant, limit func(Fingerprint) int, settled clock.Instant) []Attribution {
-	ends := mergeReports(reports, settled)
-	under := crashesByRequest(ends, served, limit)
+	crashes := mergeReports(reports, settled)
+	byRequest := crashesByRequest(crashes, served, limit)
 	explained := map[*replicaCrash]bool{}
-	var cases []Attribution
+	var attributions []Attribution
 	blame := func(request Fingerprint) {
-		cases = append(cases, Attribution{Request: request, Replicas: replicasOf(under[request])})
-		for _, e := range under[request] {
-			explained[e] = true
+		attributions = append(attributions, Attribution{Request: request, Replicas: replicasOf(byRequest[request])})
+		for _, c := range byRequest[request] {
+			explained[c] = true
 		}
-		delete(under, request)
+		delete(byRequest, request)
 	}
-	for _, request := range slices.Sorted(maps.Keys(under)) {
-		if len(under[request]) >= certainLimit {
+	for _, request := range slices.Sorted(maps.Keys(byRequest)) {
+		if len(byRequest[request]) >= certainLimit {
 			blame(request)
 		}
 	}
 	for {
-		request, ok := nextBlamed(ends, under, explained, limit)
+		request, ok := nextBlamed(crashes, byRequest, explained, limit)
 		if !ok {
-			return cases
+			return attributions
 		}
 		blame(request)
 	}
@@ -74,79 +74,79 @@
 func mergeReports(reports []Report, settled clock.Instant) []*replicaCrash {
 	byReplica := map[pool.Incarnation]*replicaCrash{}
 	for _, r := range reports {
-		e := byReplica[r.Replica]
-		if e == nil {
-			e = &replicaCrash{replica: r.Replica, at: r.At}
-			byReplica[r.Replica] = e
+		c := byReplica[r.Replica]
+		if c == nil {
+			c = &replicaCrash{replica: r.Replica, at: r.At}
+			byReplica[r.Replica] = c
 		}
-		if r.At.Before(e.at) {
-			e.at = r.At
+		if r.At.Before(c.at) {
+			c.at = r.At
 		}
-		e.requests = append(e.requests, r.Requests...)
+		c.requests = append(c.requests, r.Requests...)
 	}
-	var ends []*replicaCrash
+	var crashes []*replicaCrash
 	for _, replica := range slices.SortedFunc(maps.Keys(byReplica), pool.Incarnation.Compare) {
-		e := byReplica[replica]
-		if settled.Before(e.at) {
+		c := byReplica[replica]
+		if settled.Before(c.at) {
 			continue
 		}
-		slices.Sort(e.requests)
-		e.requests = slices.Compact(e.requests)
-		ends = append(ends, e)
+		slices.Sort(c.requests)
+		c.requests = slices.Compact(c.requests)
+		crashes = append(crashes, c)
 	}
-	return ends
+	return crashes
 }
 
 // crashesByRequest returns the crashes by request, for the requests with enough crashes to be
 // blamed, without the crashes after which the request succeeded. Nearly all requests have one
 // crash and are skipped early.
-func crashesByRequest(ends []*replicaCrash, served func(Fingerprint) clock.Instant, limit func(Fingerprint) int) map[Fingerprint][]*replicaCrash {
+func crashesByRequest(crashes []*replicaCrash, served func(Fingerprint) clock.Instant, limit func(Fingerprint) int) map[Fingerprint][]*replicaCrash {
 	count := map[Fingerprint]int{}
-	for _, e := range ends {
-		for _, request := range e.requests {
+	for _, c := range crashes {
+		for _, request := range c.requests {
 			count[request]++
 		}
 	}
-	under := map[Fingerprint][]*replicaCrash{}
-	for _, e := range ends {
-		for _, request := range e.requests {
-			if request != 0 && count[request] >= limit(request) && served(request).Before(e.at) {
-				under[request] = append(under[request], e)
+	byRequest := map[Fingerprint][]*replicaCrash{}
+	for _, c := range crashes {
+		for _, request := range c.requests {
+			if request != 0 && count[request] >= limit(request) && served(request).Before(c.at) {
+				byRequest[request] = append(byRequest[request], c)
 			}
 		}
 	}
-	return under
+	return byRequest
 }
 
 // nextBlamed returns the request with the most crashes that no other request explains, if they
 // are enough to blame it. If another request has as many crashes, some of them the same, or if
 // the request may have been there by coincidence, it is not blamed before more crashes decide.
-func nextBlamed(ends []*replicaCrash, under map[Fingerprint][]*replicaCrash, explained map[*replicaCrash]bool, limit func(Fingerprint) int) (Fingerprint, bool) {
-	open := map[Fingerprint][]*replicaCrash{}
-	at := map[*replicaCrash][]Fingerprint{}
-	for request, ends := range under {
-		left := slices.DeleteFunc(slices.Clone(ends), func(e *replicaCrash) bool { return explained[e] })
-		if len(left) < limit(request) {
+func nextBlamed(crashes []*replicaCrash, byRequest map[Fingerprint][]*replicaCrash, explained map[*replicaCrash]bool, limit func(Fingerprint) int) (Fingerprint, bool) {
+	candidates := map[Fingerprint][]*replicaCrash{}
+	requestsAt := map[*replicaCrash][]Fingerprint{}
+	for request, crashes := range byRequest {
+		unexplained := slices.DeleteFunc(slices.Clone(crashes), func(c *replicaCrash) bool { return explained[c] })
+		if len(unexplained) < limit(request) {
 			continue
 		}
-		open[request] = left
-		for _, e := range left {
-			at[e] = append(at[e], request)
+		candidates[request] = unexplained
+		for _, c := range unexplained {
+			requestsAt[c] = append(requestsAt[c], request)
 		}
 	}
-	byEnds := slices.SortedFunc(maps.Keys(open), func(a, b Fingerprint) int {
-		return cmp.Or(cmp.Compare(len(open[b]), len(open[a])), cmp.Compare(a, b))
+	byCrashes := slices.SortedFunc(maps.Keys(candidates), func(a, b Fingerprint) int {
+		return cmp.Or(cmp.Compare(len(candidates[b]), len(candidates[a])), cmp.Compare(a, b))
 	})
 	disputed := map[*replicaCrash]bool{}
-	for _, request := range byEnds {
-		own := open[request]
+	for _, request := range byCrashes {
+		own := candidates[request]
 		switch {
-		case slices.ContainsFunc(own, func(e *replicaCrash) bool { return disputed[e] }):
-		case hasRival(request, open, at):
-			for _, e := range own {
-				disputed[e] = true
+		case slices.ContainsFunc(own, func(c *replicaCrash) bool { return disputed[c] }):
+		case hasRival(request, candidates, requestsAt):
+			for _, c := range own {
+				disputed[c] = true
 			}
-		case !maybeCoincidence(own, ends):
+		case !maybeCoincidence(own, crashes):
 			return request, true
 		}
 	}
@@ -156,31 +156,32 @@
 // maybeCoincidence reports whether other crashes, explained or not, happened within
 // coincidenceWindow before the last of a request's own crashes. If replicas end for another
 // reason, some request may have been at four of them and appear to explain them.
-func maybeCoincidence(own, ends []*replicaCrash) bool {
+func maybeCoincidence(own, crashes []*replicaCrash) bool {
 	last := own[0].at
-	for _, e := range own {
-		last = clock.Latest(last, e.at)
+	for _, c := range own {
+		last = clock.Latest(last, c.at)
 	}
-	return slices.ContainsFunc(ends, func(e *replicaCrash) bool {
-		age := last.Since(e.at)
-		return age >= 0 && age < coincidenceWindow && !slices.Contains(own, e)
+	return slices.ContainsFunc(crashes, func(c *replicaCrash) bool {
+		age := last.Since(c.at)
+		return age >= 0 && age < coincidenceWindow && !slices.Contains(own, c)
 	})
 }
 
-// hasRival reports whether another request has as many crashes, some of them the same. at maps
-// each crash to its requests.
-func hasRival(request Fingerprint, open map[Fingerprint][]*replicaCrash, at map[*replicaCrash][]Fingerprint) bool {
-	return slices.ContainsFunc(open[request], func(e *replicaCrash) bool {
-		return slices.ContainsFunc(at[e], func(other Fingerprint) bool {
-			return other != request && len(open[other]) == len(open[request])
+// hasRival reports whether another request has as many crashes, some of them the same.
+// requestsAt maps each crash to its requests.
+func hasRival(request Fingerprint, candidates map[Fingerprint][]*replicaCrash, requestsAt map[*replicaCrash][]Fingerprint) bool {
+	return slices.ContainsFunc(candidates[request], func(c *replicaCrash) bool {
+		return slices.ContainsFunc(requestsAt[c], func(other Fingerprint) bool {
+			return other != request && len(candidates[other]) == len(candidates[request])
 		})
 	})
 }
 
-func replicasOf(ends []*replicaCrash) []pool.Incarnation {
+// replicasOf returns the replicas of the crashes.
+func replicasOf(crashes []*replicaCrash) []pool.Incarnation {
 	var out []pool.Incarnation
-	for _, e := range ends {
-		out = append(out, e.replica)
+	for _, c := range crashes {
+		out = append(out, c.replica)
 	}
 	return out
 }
--- a/core/crash/crash.go
+++ b/core/crash/crash.go
@@ -25,7 +25,7 @@
 type Fingerprint uint64
 
 // String returns the fingerprint as used in logs and in keys of the store.
-func (r Fingerprint) String() string { return fmt.Sprintf("%016x", uint64(r)) }
+func (f Fingerprint) String() string { return fmt.Sprintf("%016x", uint64(f)) }
 
 // A Report lists the requests that one instance had in flight at a replica that ended without
 // having reported itself as leaving.
--- a/core/demand/demand.go
+++ b/core/demand/demand.go
@@ -77,6 +77,7 @@
 	return items
 }
 
+// add returns the sum of two demands for the same item; a may be the zero Item.
 func add(a, b Item) Item {
 	total := a.Rate + b.Rate
 	weight := b.Weight
--- a/core/demand/flow.go
+++ b/core/demand/flow.go
@@ -35,6 +35,7 @@
 // NewTracker returns a tracker without calls.
 func NewTracker() *Tracker { return &Tracker{models: map[string]*modelDemand{}} }
 
+// model returns the demand of a model, decayed to now.
 func (t *Tracker) model(now clock.Instant, name string) *modelDemand {
 	m := t.models[name]
 	if m == nil {
--- a/core/gossip/gossip.go
+++ b/core/gossip/gossip.go
@@ -306,9 +306,9 @@
 const minLimitGap = 2 * time.Second
 
 // AddLimit stores a report of an incarnation's rate limit, and reports whether it was new.
-func (s *Set) AddLimit(from string, incarnation pool.Incarnation, w pool.LimitReport) bool {
-	return put(s, s.limits, incarnation, from, Limit{incarnation, w}, func(old Limit) bool {
-		return w.Newer(old.LimitReport) && (w.Limit != old.Limit || w.At.Since(old.At) >= minLimitGap)
+func (s *Set) AddLimit(from string, incarnation pool.Incarnation, report pool.LimitReport) bool {
+	return put(s, s.limits, incarnation, from, Limit{incarnation, report}, func(old Limit) bool {
+		return report.Newer(old.LimitReport) && (report.Limit != old.Limit || report.At.Since(old.At) >= minLimitGap)
 	})
 }
 
--- a/core/notice/notice.go
+++ b/core/notice/notice.go
@@ -60,110 +60,110 @@
 }
 
 // New returns a tracker without notices.
-func New(n Deps) *Tracker { return &Tracker{Deps: n} }
+func New(deps Deps) *Tracker { return &Tracker{Deps: deps} }
 
 // HandleNotice handles a notice from a replica's response.
-func (n *Tracker) HandleNotice(now clock.Instant, e Received) {
-	said := e.Notice
-	said.Rest += n.restSpread(e.Replica, said.Rest)
-	n.observeLimit(now, e)
-	news := n.Pool.ObserveNotice(now, e.Replica, e.Sent, said)
-	if news.IsZero() {
+func (t *Tracker) HandleNotice(now clock.Instant, e Received) {
+	notice := e.Notice
+	notice.Rest += t.restSpread(e.Replica, notice.Rest)
+	t.observeLimit(now, e)
+	changed := t.Pool.ObserveNotice(now, e.Replica, e.Sent, notice)
+	if changed.IsZero() {
 		return
 	}
-	n.Out.Log(logevent.UpstreamNotice, "upstream", e.Replica, "leaving", news.Leaving, "rest_ms", news.Rest.Milliseconds())
-	if r := n.Pool.Get(e.Replica); news.Rest > 0 {
+	t.Out.Log(logevent.UpstreamNotice, "upstream", e.Replica, "leaving", changed.Leaving, "rest_ms", changed.Rest.Milliseconds())
+	if r := t.Pool.Get(e.Replica); changed.Rest > 0 {
 		rest := gossip.Rest{Incarnation: r.Incarnation(), Until: now.Add(e.Notice.Rest)}
-		if n.Records.AddRest("", rest) {
-			n.TellSoon(now)
+		if t.Records.AddRest("", rest) {
+			t.TellSoon(now)
 		}
 	}
-	if news.Leaving {
-		n.Out.Log(logevent.UpstreamLeaving, "upstream", e.Replica, "source", "itself")
-		n.Records.AddLeaving("", gossip.Leaving{Incarnation: n.Pool.Get(e.Replica).Incarnation(), At: now})
-		n.TellSoon(now)
+	if changed.Leaving {
+		t.Out.Log(logevent.UpstreamLeaving, "upstream", e.Replica, "source", "itself")
+		t.Records.AddLeaving("", gossip.Leaving{Incarnation: t.Pool.Get(e.Replica).Incarnation(), At: now})
+		t.TellSoon(now)
 	}
 }
 
 // observeLimit handles a replica's limit, or that its response had none. The limit is sent to
 // the other instances, so that they know it before they send requests.
-func (n *Tracker) observeLimit(now clock.Instant, e Received) {
-	r := n.Pool.Get(e.Replica)
+func (t *Tracker) observeLimit(now clock.Instant, e Received) {
+	r := t.Pool.Get(e.Replica)
 	if r == nil {
 		return
 	}
-	former := r.LimitReport()
-	if !n.Pool.ObserveLimit(now, e.Replica, e.Sent, e.Notice.Limit, n.Self.Name) {
+	old := r.LimitReport()
+	if !t.Pool.ObserveLimit(now, e.Replica, e.Sent, e.Notice.Limit, t.Self.Name) {
 		return
 	}
-	n.logLimit(now, r, former)
-	if n.Records.AddLimit("", r.Incarnation(), r.LimitReport()) {
-		n.TellSoon(now)
+	t.logLimit(now, r, old)
+	if t.Records.AddLimit("", r.Incarnation(), r.LimitReport()) {
+		t.TellSoon(now)
 	}
 }
 
 // logLimit logs a replica's limit if it changed.
-func (n *Tracker) logLimit(now clock.Instant, r *pool.Replica, former pool.LimitReport) {
-	w := r.LimitReport()
-	if w.Limit == former.Limit {
+func (t *Tracker) logLimit(now clock.Instant, r *pool.Replica, old pool.LimitReport) {
+	report := r.LimitReport()
+	if report.Limit == old.Limit {
 		return
 	}
-	n.Out.Log(logevent.UpstreamLimit, "upstream", r.Name, "named", w.Limit.Named, "per_s", w.Limit.PerSecond,
-		"by", w.By, "ago_ms", now.Since(w.At).Milliseconds())
+	t.Out.Log(logevent.UpstreamLimit, "upstream", r.Name, "named", report.Limit.Named, "per_s", report.Limit.PerSecond,
+		"by", report.By, "ago_ms", now.Since(report.At).Milliseconds())
 }
 
 // HandlePeerLimits handles the limit reports from a peer.
-func (n *Tracker) HandlePeerLimits(now clock.Instant, from string, limits []gossip.Limit) {
+func (t *Tracker) HandlePeerLimits(now clock.Instant, from string, limits []gossip.Limit) {
 	for _, l := range limits {
 		l.EventTime = l.FromWire(now)
-		n.HandlePeerLimit(now, from, l.Incarnation, l.LimitReport)
+		t.HandlePeerLimit(now, from, l.Incarnation, l.LimitReport)
 	}
 }
 
 // HandlePeerLimit handles the limit report of an incarnation from a peer.
-func (n *Tracker) HandlePeerLimit(now clock.Instant, from string, life pool.Incarnation, w pool.LimitReport) {
-	r := n.Pool.Get(life.Name)
-	if r != nil && r.MayBeIncarnation(life.Born) {
-		former := r.LimitReport()
-		if !n.Pool.ObservePeerLimit(life, w) {
+func (t *Tracker) HandlePeerLimit(now clock.Instant, from string, incarnation pool.Incarnation, report pool.LimitReport) {
+	r := t.Pool.Get(incarnation.Name)
+	if r != nil && r.MayBeIncarnation(incarnation.Born) {
+		old := r.LimitReport()
+		if !t.Pool.ObservePeerLimit(incarnation, report) {
 			return // this instance has a newer report
 		}
-		n.logLimit(now, r, former)
+		t.logLimit(now, r, old)
 	}
-	if n.Records.AddLimit(from, life, w) {
-		n.TellSoon(now)
+	if t.Records.AddLimit(from, incarnation, report) {
+		t.TellSoon(now)
 	}
 }
 
 // HandlePeerRests handles the rests that replicas requested from other instances.
-func (n *Tracker) HandlePeerRests(now clock.Instant, from string, rests []gossip.Rest) {
+func (t *Tracker) HandlePeerRests(now clock.Instant, from string, rests []gossip.Rest) {
 	for _, x := range rests {
 		x.Until = now.Add(x.Left)
-		if n.Records.AddRest(from, x) {
-			n.Pool.ObservePeerRest(x.Incarnation, x.Until)
-			n.TellSoon(now)
+		if t.Records.AddRest(from, x) {
+			t.Pool.ObservePeerRest(x.Incarnation, x.Until)
+			t.TellSoon(now)
 		}
 	}
 }
 
 // restSpread returns how much longer than requested this instance's rest is, so that the
 // instances do not all return at once: a hash gives each its own position in that time.
-func (n *Tracker) restSpread(replica string, rest time.Duration) time.Duration {
-	place := float64(rendezvous.Score(rendezvous.Key(replica), n.Self.Name)) / math.MaxUint64
-	return time.Duration(place * min(spreadShare*float64(rest), float64(maxSpread)))
+func (t *Tracker) restSpread(replica string, rest time.Duration) time.Duration {
+	position := float64(rendezvous.Score(rendezvous.Key(replica), t.Self.Name)) / math.MaxUint64
+	return time.Duration(position * min(spreadShare*float64(rest), float64(maxSpread)))
 }
 
 // HandlePeerLeaving handles the leaving replicas reported by a peer.
-func (n *Tracker) HandlePeerLeaving(now clock.Instant, from string, leaving []gossip.Leaving) {
+func (t *Tracker) HandlePeerLeaving(now clock.Instant, from string, leaving []gossip.Leaving) {
 	for _, l := range leaving {
 		l.At = now
-		if !n.Records.AddLeaving(from, l) {
+		if !t.Records.AddLeaving(from, l) {
 			continue
 		}
-		n.TellSoon(now)
-		r := n.Pool.Get(l.Name)
-		if r != nil && r.Incarnation() == l.Incarnation && n.Pool.ObservePeerLeaving(l.Name) {
-			n.Out.Log(logevent.UpstreamLeaving, "upstream", l.Name, "source", "a peer", "told", from)
+		t.TellSoon(now)
+		r := t.Pool.Get(l.Name)
+		if r != nil && r.Incarnation() == l.Incarnation && t.Pool.ObservePeerLeaving(l.Name) {
+			t.Out.Log(logevent.UpstreamLeaving, "upstream", l.Name, "source", "a peer", "told", from)
 		}
 	}
 }
@@ -171,32 +171,32 @@
 // HandleAnnounced applies the known records about an announced incarnation to it. If its entry
 // shows it as leaving, that is sent to all instances, like its own notice: the store may lose
 // the entry, and instances that start afterwards would consider the replica ready.
-func (n *Tracker) HandleAnnounced(now clock.Instant, name string) {
-	r := n.Pool.Get(name)
+func (t *Tracker) HandleAnnounced(now clock.Instant, name string) {
+	r := t.Pool.Get(name)
 	if r == nil {
 		return
 	}
-	if n.Records.IsLeaving(r.Incarnation()) && n.Pool.ObservePeerLeaving(name) {
-		n.Out.Log(logevent.UpstreamLeaving, "upstream", name, "source", "a peer")
+	if t.Records.IsLeaving(r.Incarnation()) && t.Pool.ObservePeerLeaving(name) {
+		t.Out.Log(logevent.UpstreamLeaving, "upstream", name, "source", "a peer")
 	}
-	if r.AnnouncedLeaving() && n.Records.AddLeaving("", gossip.Leaving{Incarnation: r.Incarnation(), At: now}) {
-		n.TellSoon(now)
+	if r.AnnouncedLeaving() && t.Records.AddLeaving("", gossip.Leaving{Incarnation: r.Incarnation(), At: now}) {
+		t.TellSoon(now)
 	}
-	if w, ok := n.Records.Limit(r.Incarnation()); ok {
-		n.Pool.ObservePeerLimit(r.Incarnation(), w)
+	if report, ok := t.Records.Limit(r.Incarnation()); ok {
+		t.Pool.ObservePeerLimit(r.Incarnation(), report)
 	}
 }
 
 // Tick removes old records.
-func (n *Tracker) Tick(now clock.Instant) {
-	if now.Before(n.pruneDue) {
+func (t *Tracker) Tick(now clock.Instant) {
+	if now.Before(t.pruneDue) {
 		return
 	}
-	n.pruneDue = now.Add(pruneEvery)
-	n.Records.PruneLeaving(now, retention)
-	n.Records.PruneRests(now)
-	n.Records.PruneLimits(now, retention, func(life pool.Incarnation) bool {
-		r := n.Pool.Get(life.Name)
-		return r != nil && r.Incarnation() == life
+	t.pruneDue = now.Add(pruneEvery)
+	t.Records.PruneLeaving(now, retention)
+	t.Records.PruneRests(now)
+	t.Records.PruneLimits(now, retention, func(incarnation pool.Incarnation) bool {
+		r := t.Pool.Get(incarnation.Name)
+		return r != nil && r.Incarnation() == incarnation
 	})
 }
--- a/core/quarantine/evidence.go
+++ b/core/quarantine/evidence.go
@@ -179,9 +179,10 @@
 	}
 }
 
+// pruneEvidence removes the evidence and the disconnects that are too old to count.
 func (t *Tracker) pruneEvidence(now clock.Instant) {
-	maps.DeleteFunc(t.disconnects, func(_ pool.Incarnation, left []disconnect) bool {
-		return !slices.ContainsFunc(left, func(d disconnect) bool { return now.MaxElapsed(d.at) < evidenceWindow })
+	maps.DeleteFunc(t.disconnects, func(_ pool.Incarnation, calls []disconnect) bool {
+		return !slices.ContainsFunc(calls, func(d disconnect) bool { return now.MaxElapsed(d.at) < evidenceWindow })
 	})
 	maps.DeleteFunc(t.evidence, func(_ pool.Incarnation, e *evidence) bool { return now.MaxElapsed(e.at) >= evidenceWindow })
 }
--- a/core/quarantine/quarantine.go
+++ b/core/quarantine/quarantine.go
@@ -71,7 +71,7 @@
 	// Direct reports whether every instance exchanges with every other one.
 	Direct func() bool
 	// Cut cancels the calls of a request that are in flight at this instance.
-	Cut func(request crash.Fingerprint, left time.Duration)
+	Cut func(request crash.Fingerprint, remaining time.Duration)
 }
 
 // A Tracker tracks which requests are quarantined.
@@ -80,7 +80,7 @@
 	evidence    map[pool.Incarnation]*evidence
 	disconnects map[pool.Incarnation][]disconnect // oldest first
 	seq         uint64                            // of the last own report
-	suspects    map[crash.Fingerprint]bool
+	suspects    map[crash.Fingerprint]bool        // requests in crash reports
 	verdicts    map[crash.Fingerprint]*verdict
 	records     records
 
@@ -91,9 +91,9 @@
 }
 
 // New returns a tracker without reports or verdicts.
-func New(n Deps) *Tracker {
+func New(deps Deps) *Tracker {
 	return &Tracker{
-		Deps:        n,
+		Deps:        deps,
 		evidence:    map[pool.Incarnation]*evidence{},
 		disconnects: map[pool.Incarnation][]disconnect{},
 		suspects:    map[crash.Fingerprint]bool{},
@@ -113,21 +113,21 @@
 
 // HandlePeerReports handles crash reports and successes from a peer.
 func (t *Tracker) HandlePeerReports(now clock.Instant, from string, reports []crash.Report, served []crash.Success) {
-	news, pressing := false, false
+	changed, urgent := false, false
 	for _, r := range reports {
 		r.EventTime = r.FromWire(now)
 		if now.MaxElapsed(r.At) < reportRetention && len(r.Requests) <= maxRequests && t.Records.AddCrash(from, r) {
 			t.addSuspects(r.Requests)
-			news = true
-			pressing = pressing || t.urgent(r)
+			changed = true
+			urgent = urgent || t.urgent(r)
 		}
 	}
 	for _, s := range served {
 		s.EventTime = s.FromWire(now)
-		news = t.Records.AddSuccess(from, s) || news
+		changed = t.Records.AddSuccess(from, s) || changed
 	}
-	if news {
-		t.scheduleUpdates(now, pressing && !t.Direct(), shareInterval)
+	if changed {
+		t.scheduleUpdates(now, urgent && !t.Direct(), shareInterval)
 	}
 }
 
@@ -148,15 +148,16 @@
 
 // scheduleUpdates schedules the evaluation of new records after settleTime and, if share is
 // true, an exchange with peers, at the earliest an interval after the last one.
-func (t *Tracker) scheduleUpdates(now clock.Instant, tell bool, spacing time.Duration) {
+func (t *Tracker) scheduleUpdates(now clock.Instant, share bool, interval time.Duration) {
 	if t.evaluateDue.IsZero() {
 		t.evaluateDue = now.Add(settleTime)
 	}
-	if due := clock.Latest(now, t.sharedAt.Add(spacing)); tell && (t.shareDue.IsZero() || due.Before(t.shareDue)) {
+	if due := clock.Latest(now, t.sharedAt.Add(interval)); share && (t.shareDue.IsZero() || due.Before(t.shareDue)) {
 		t.shareDue = due
 	}
 }
 
+// addSuspects marks the requests of a crash report as possible causes.
 func (t *Tracker) addSuspects(requests []crash.Fingerprint) {
 	for _, r := range requests {
 		t.suspects[r] = true
@@ -181,6 +182,7 @@
 	}
 }
 
+// due reports whether the time at is set and has come.
 func due(now, at clock.Instant) bool { return !at.IsZero() && !now.Before(at) }
 
 // prune removes old records.
--- a/core/quarantine/verdict.go
+++ b/core/quarantine/verdict.go
@@ -110,10 +110,10 @@
 func (t *Tracker) evaluate(now clock.Instant) {
 	settled := now.Add(-settleTime)
 	reports := t.Records.Crashes()
-	cases := crash.Blame(reports, t.Records.LastSuccess, t.crashLimit, settled)
+	attributions := crash.Blame(reports, t.Records.LastSuccess, t.crashLimit, settled)
 	blamed := map[crash.Fingerprint]bool{}
 	explained := map[pool.Incarnation]bool{}
-	for _, c := range cases {
+	for _, c := range attributions {
 		blamed[c.Request] = true
 		t.blame(now, c)
 		for _, replica := range c.Replicas {
@@ -206,6 +206,8 @@
 	t.Pool.NoteCapacityChange()
 }
 
+// pruneVerdicts removes the verdicts that are no longer remembered, and the oldest beyond
+// maxVerdicts.
 func (t *Tracker) pruneVerdicts(now clock.Instant) {
 	maps.DeleteFunc(t.verdicts, func(_ crash.Fingerprint, v *verdict) bool { return !v.remembered(now) })
 	if len(t.verdicts) <= maxVerdicts {
--- a/core/shutdown/shutdown.go
+++ b/core/shutdown/shutdown.go
@@ -11,7 +11,7 @@
 	"github.com/birchdrift/birchdrift/core/step"
 )
 
-// Exit is an action: the shutdown is complete. Cut is the number of calls that were cancelled.
+// Exit is an action: the shutdown is complete. Cut is the number of calls that were canceled.
 type Exit struct{ Cut int }
 
 // IsAction implements step.Action.
@@ -28,44 +28,44 @@
 
 	started     bool
 	acceptUntil clock.Instant // calls are refused from then on
-	deadline    clock.Instant // the remaining calls are cancelled then
+	deadline    clock.Instant // the remaining calls are canceled then
 	exited      bool
 }
 
 // Started reports whether the shutdown has started.
-func (s *Controller) Started() bool { return s.started }
+func (c *Controller) Started() bool { return c.started }
 
 // Refusing reports whether new calls are refused because of the shutdown.
-func (s *Controller) Refusing(now clock.Instant) bool { return s.started && !now.Before(s.acceptUntil) }
+func (c *Controller) Refusing(now clock.Instant) bool { return c.started && !now.Before(c.acceptUntil) }
 
 // Start starts the shutdown. A second call ends it at once.
-func (s *Controller) Start(now clock.Instant) {
-	if s.started {
-		s.deadline = now
+func (c *Controller) Start(now clock.Instant) {
+	if c.started {
+		c.deadline = now
 		return
 	}
-	s.started = true
-	s.acceptUntil = now.Add(s.Options.StopDelay)
-	s.deadline = now.Add(s.Options.StopLimit)
-	s.Out.Log(logevent.Stopping, "calls", s.Calls.Len())
-	s.HandOver(now)
+	c.started = true
+	c.acceptUntil = now.Add(c.Options.StopDelay)
+	c.deadline = now.Add(c.Options.StopLimit)
+	c.Out.Log(logevent.Stopping, "calls", c.Calls.Len())
+	c.HandOver(now)
 }
 
 // Tick exits when every call has ended, or when the deadline has passed.
-func (s *Controller) Tick(now clock.Instant) {
-	if !s.started || s.exited {
+func (c *Controller) Tick(now clock.Instant) {
+	if !c.started || c.exited {
 		return
 	}
-	over := !now.Before(s.deadline)
-	idle := !now.Before(s.acceptUntil) && s.Calls.Len() == 0
+	over := !now.Before(c.deadline)
+	idle := !now.Before(c.acceptUntil) && c.Calls.Len() == 0
 	if over || idle {
-		s.exit()
+		c.exit()
 	}
 }
 
-func (s *Controller) exit() {
-	cut := s.Calls.AbortAll()
-	s.exited = true
-	s.Out.Log(logevent.Stopped, "cut", cut)
-	s.Out.Emit(Exit{Cut: cut})
+func (c *Controller) exit() {
+	cut := c.Calls.AbortAll()
+	c.exited = true
+	c.Out.Log(logevent.Stopped, "cut", cut)
+	c.Out.Emit(Exit{Cut: cut})
 }
