--- a/core/pool/replica.go
+++ b/core/pool/replica.go
@@ -158,13 +158,13 @@
 // Phase returns the phase of item on the replica, 0 if it is absent.
 func (r *Replica) Phase(item string) ItemPhase { return r.items[item] }
 
-// refusalPeriod is how long a replica that refused an item is not sent calls for it, unless its
+// refusalTTL is how long a replica that refused an item is not sent calls for it, unless its
 // residency is reported again earlier.
-const refusalPeriod = 500 * time.Millisecond
+const refusalTTL = 500 * time.Millisecond
 
 // MarkRefused records that the replica refused a call because it does not run item.
 func (r *Replica) MarkRefused(now clock.Instant, item string) {
-	r.refused[item] = now.Add(refusalPeriod)
+	r.refused[item] = now.Add(refusalTTL)
 }
 
 // Refusing reports whether the replica refused item within the last refusalPeriod.
