--- a/core/pool/replica.go
+++ b/core/pool/replica.go
@@ -163,11 +163,9 @@
 const refusalTTL = 500 * time.Millisecond
 
 // MarkRefused records that the replica refused a call because it does not run item.
-func (r *Replica) MarkRefused(now clock.Instant, item string) {
-	r.refused[item] = now.Add(refusalTTL)
-}
+func (r *Replica) MarkRefused(now clock.Instant, item string) { r.refused[item] = now.Add(refusalTTL) }
 
-// Refusing reports whether the replica refused item within the last refusalPeriod.
+// Refusing reports whether the replica refused item within the last refusalTTL.
 func (r *Replica) Refusing(now clock.Instant, item string) bool {
 	return len(r.refused) > 0 && now.Before(r.refused[item])
 }
