--- a/core/gossip/gossip_test.go
+++ b/core/gossip/gossip_test.go
@@ -59,7 +59,7 @@
 		name   string
 		first  func(*Set) bool
 		second func(*Set) bool
-		news   bool
+		added  bool
 	}{
 		{"the same residency", residency(1, 5), residency(1, 5), false},
 		{"a later change", residency(1, 5), residency(1, 6), true},
@@ -93,8 +93,8 @@
 			s := NewSet()
 			is.True(tt.first(s)) // the first record of a name is new
 			stamp := s.Stamp()
-			is.Equal(tt.second(s), tt.news)
-			is.Equal(s.Stamp() > stamp, tt.news)
+			is.Equal(tt.second(s), tt.added)
+			is.Equal(s.Stamp() > stamp, tt.added)
 		})
 	}
 }
--- a/core/pool/notice_test.go
+++ b/core/pool/notice_test.go
@@ -17,16 +17,16 @@
 	now := start.Add(time.Minute)
 	leaving := Notice{Leaving: true}
 	entry := Announcement{Service: "s", Address: "r", Zone: "z", Slots: 4, Born: "1"}
-	again := entry
-	again.Born = "2"
-	elsewhere := entry
-	elsewhere.Address = "other"
+	restarted := entry
+	restarted.Born = "2"
+	moved := entry
+	moved.Address = "other"
 	cases := []struct {
 		name    string
-		do      func(p *Pool)
-		said    Notice
+		setup   func(p *Pool)
+		notice  Notice
 		sent    time.Duration // after the start
-		news    Notice
+		changed Notice
 		leaving bool
 		rest    time.Duration // remaining afterwards
 	}{
@@ -35,9 +35,9 @@
 		{"leaving, reported before", func(p *Pool) { p.MarkLeaving(now, "r") }, leaving, 50 * time.Second, Notice{}, true, 0},
 		{"leaving, listed as such before", func(p *Pool) { a := entry; a.Leaving = true; p.Announce(now, "r", a) }, leaving, 50 * time.Second, Notice{}, true, 0},
 		{"unknown replica", func(p *Pool) { delete(p.replicas, "r") }, leaving, 50 * time.Second, Notice{}, false, 0},
-		{"notice of the previous incarnation", func(p *Pool) { p.Announce(now, "r", again) }, Notice{Leaving: true, Rest: time.Second}, 50 * time.Second, Notice{}, false, 0},
-		{"notice of the current incarnation", func(p *Pool) { p.Announce(start.Add(10*time.Second), "r", again) }, leaving, 50 * time.Second, leaving, true, 0},
-		{"notice of a replica that moved to another address", func(p *Pool) { p.Announce(start.Add(10*time.Second), "r", elsewhere) }, leaving, 50 * time.Second, leaving, true, 0},
+		{"notice of the previous incarnation", func(p *Pool) { p.Announce(now, "r", restarted) }, Notice{Leaving: true, Rest: time.Second}, 50 * time.Second, Notice{}, false, 0},
+		{"notice of the current incarnation", func(p *Pool) { p.Announce(start.Add(10*time.Second), "r", restarted) }, leaving, 50 * time.Second, leaving, true, 0},
+		{"notice of a replica that moved to another address", func(p *Pool) { p.Announce(start.Add(10*time.Second), "r", moved) }, leaving, 50 * time.Second, leaving, true, 0},
 		{"notice of a replica whose entry has no Born", func(p *Pool) { a := entry; a.Born = ""; p.Announce(start.Add(55*time.Second), "r", a) }, leaving, 50 * time.Second, leaving, true, 0},
 		{"rest requested", nil, Notice{Rest: 3 * time.Second}, 50 * time.Second, Notice{Rest: 3 * time.Second}, false, 3 * time.Second},
 		{"a longer rest after a shorter one", func(p *Pool) { p.ObserveNotice(now, "r", now, Notice{Rest: time.Second}) }, Notice{Rest: 3 * time.Second}, 50 * time.Second, Notice{Rest: 3 * time.Second}, false, 3 * time.Second},
@@ -49,10 +49,10 @@
 			is := is.New(t)
 			p := New()
 			p.Announce(start, "r", entry)
-			if c.do != nil {
-				c.do(p)
+			if c.setup != nil {
+				c.setup(p)
 			}
-			is.Equal(p.ObserveNotice(now, "r", start.Add(c.sent), c.said), c.news)
+			is.Equal(p.ObserveNotice(now, "r", start.Add(c.sent), c.notice), c.changed)
 			r := p.Get("r")
 			is.Equal(r != nil && r.Leaving(), c.leaving)
 			if r != nil {
@@ -77,9 +77,9 @@
 	p.MarkVanished(now, "r", clock.Instant{})
 	p.Announce(now, "r", entry)
 	is.True(p.Get("r").Leaving())
-	unborn := entry
-	unborn.Born = ""
-	p.Announce(now, "r", unborn)
+	withoutBorn := entry
+	withoutBorn.Born = ""
+	p.Announce(now, "r", withoutBorn)
 	is.True(p.Get("r").Leaving())
 	is.Equal(p.Get("r").Incarnation(), Incarnation{Name: "r", Born: "1"})
 	entry.Born = "2"
@@ -128,8 +128,8 @@
 	is.True(r.Resting(now))
 	now = now.Add(time.Second)
 	r.Start(now, 4)
-	touched := p.CapacityChanges()
+	changes := p.CapacityChanges()
 	p.AnswerBegan(now, r, 4)
 	is.True(!r.MayReject(now) && !r.OnTrial())
-	is.True(p.CapacityChanges() > touched) // wakes waiting calls
+	is.True(p.CapacityChanges() > changes) // wakes waiting calls
 }
--- a/core/pool/ratelimit_test.go
+++ b/core/pool/ratelimit_test.go
@@ -21,12 +21,12 @@
 	unclear := RateLimit{Unclear: true}
 	before, after := -time.Millisecond, time.Millisecond
 	cases := []struct {
-		name string
-		was  RateLimit
-		said RateLimit
-		sent time.Duration // after the first came
-		want RateLimit
-		news bool
+		name    string
+		known   RateLimit
+		limit   RateLimit
+		sent    time.Duration // after the first came
+		want    RateLimit
+		changed bool
 	}{
 		{"the first limit", none, namedLimit(3), before, namedLimit(3), true},
 		{"the same again", namedLimit(3), namedLimit(3), after, namedLimit(3), true},
@@ -47,10 +47,10 @@
 			is := is.New(t)
 			p := New()
 			p.Announce(start, "r", Announcement{Service: "s", Address: "r"})
-			if c.was != none {
-				is.True(p.ObserveLimit(first, "r", first, c.was, "i"))
+			if c.known != none {
+				is.True(p.ObserveLimit(first, "r", first, c.known, "i"))
 			}
-			is.Equal(p.ObserveLimit(second, "r", first.Add(c.sent), c.said, "j"), c.news)
+			is.Equal(p.ObserveLimit(second, "r", first.Add(c.sent), c.limit, "j"), c.changed)
 			is.Equal(p.Get("r").LimitReport().Limit, c.want)
 		})
 	}
@@ -87,15 +87,15 @@
 	start := clocktest.At(time.Hour)
 	p := New()
 	p.Announce(start, "r", Announcement{Service: "s", Address: "r"})
-	told := func(after time.Duration, l RateLimit) bool {
+	observePeer := func(after time.Duration, l RateLimit) bool {
 		return p.ObservePeerLimit(Incarnation{Name: "r"}, LimitReport{Limit: l, By: "j", EventTime: clock.EventTime{At: start.Add(after)}})
 	}
-	is.True(told(time.Second, namedLimit(2)))
-	is.True(!told(time.Second, namedLimit(5)))
-	is.True(!told(900*time.Millisecond, RateLimit{}))
+	is.True(observePeer(time.Second, namedLimit(2)))
+	is.True(!observePeer(time.Second, namedLimit(5)))
+	is.True(!observePeer(900*time.Millisecond, RateLimit{}))
 	is.True(!p.ObserveLimit(start.Add(2*time.Second), "r", start.Add(900*time.Millisecond), namedLimit(5), "i")) // sent before the known report
 	is.True(p.ObserveLimit(start.Add(2*time.Second), "r", start.Add(1100*time.Millisecond), namedLimit(5), "i"))
-	is.True(!told(1500*time.Millisecond, namedLimit(2)))
+	is.True(!observePeer(1500*time.Millisecond, namedLimit(2)))
 	is.Equal(p.Get("r").LimitReport().By, "i")
 }
 
--- a/core/pool/replica_test.go
+++ b/core/pool/replica_test.go
@@ -33,10 +33,10 @@
 	r.Start(now, id)
 	r.DropCall(id) // neither a success nor a failure
 	is.Equal(r.Failures(), ejectAfter-1)
-	touched := p.CapacityChanges()
+	changes := p.CapacityChanges()
 	failed(1)
 	is.True(r.Ejected(now))
-	is.True(p.CapacityChanges() > touched) // wakes waiting calls
+	is.True(p.CapacityChanges() > changes) // wakes waiting calls
 	now = now.Add(ejectBase)
 	is.True(!r.Ejected(now))
 	failed(ejectAfter)
@@ -73,23 +73,23 @@
 	is := is.New(t)
 	p := New()
 	now := clocktest.At(time.Hour)
-	say := func(born string, leaving bool) {
+	announce := func(born string, leaving bool) {
 		p.Announce(now, "r", Announcement{Service: "s", Address: "r", Zone: "z", Slots: 1, Born: born, Leaving: leaving})
 	}
-	say("1", false)
+	announce("1", false)
 	is.True(p.Get("r").Usable())
-	say("1", true)
-	say("1", false)
+	announce("1", true)
+	announce("1", false)
 	is.True(!p.Get("r").Usable())
 	p.MarkVanished(now, "r", clock.Instant{})
-	say("1", false)
+	announce("1", false)
 	is.True(!p.Get("r").Usable())
-	say("2", false)
+	announce("2", false)
 	is.True(p.Get("r").Usable())
 	p.MarkVanished(now, "r", clock.Instant{})
 	p.ExpireVanished(now.Add(VanishedGracePeriod), VanishedGracePeriod)
 	is.True(!p.Get("r").Usable())
-	say("2", false)
+	announce("2", false)
 	is.True(p.Get("r").Usable())
 }
 
--- a/core/quarantine/quarantine_test.go
+++ b/core/quarantine/quarantine_test.go
@@ -86,9 +86,9 @@
 // the replica as one that ended under them.
 func TestCrashEvidence(t *testing.T) {
 	cases := []struct {
-		name    string
-		happens func(b *fixture)
-		want    int // requests reported
+		name     string
+		simulate func(b *fixture)
+		want     int // requests reported
 	}{
 		{"severed, then nothing listens", func(b *fixture) { b.crash("r", bad, 8) }, 2},
 		{"nothing listens, then severed", func(b *fixture) {
@@ -138,7 +138,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
 			b := newFixture()
-			c.happens(b)
+			c.simulate(b)
 			reported := 0
 			for _, r := range b.Records.Crashes() {
 				reported += len(r.Requests)
@@ -202,7 +202,7 @@
 func TestEarlyRelease(t *testing.T) {
 	cases := []struct {
 		name     string
-		happens  func(b *fixture)
+		simulate func(b *fixture)
 		released bool
 	}{
 		{"nothing", func(*fixture) {}, false},
@@ -238,7 +238,7 @@
 				b.advance(time.Second)
 			}
 			is.True(b.Remaining(b.now, bad) > 0)
-			c.happens(b)
+			c.simulate(b)
 			b.advance(2 * settleTime)
 			is.Equal(b.Remaining(b.now, bad) == 0, c.released)
 		})
@@ -389,7 +389,7 @@
 func TestRetriesAreStaggered(t *testing.T) {
 	is := is.New(t)
 	names := []string{"i", "j", "k", "l"}
-	pauses := map[time.Duration]bool{}
+	delays := map[time.Duration]bool{}
 	for _, self := range names {
 		b := newFixtureNamed(self)
 		for _, other := range names {
@@ -403,14 +403,14 @@
 		b.crash("d", 8)
 		is.Equal(b.SendDelay(bad), b.SendDelay(bad))
 		is.Equal(b.SendDelay(9), time.Duration(0))
-		pauses[b.SendDelay(bad)] = true
+		delays[b.SendDelay(bad)] = true
 		b.Served(b.now.Add(time.Millisecond), bad)
 		is.Equal(b.SendDelay(bad), time.Duration(0)) // a request that succeeded is harmless
 	}
-	is.Equal(len(pauses), len(names)) // no two instances at once
-	for pause := range pauses {
-		is.True(pause >= verdictDelay)
-		is.True(pause <= sendSlots*verdictDelay)
+	is.Equal(len(delays), len(names)) // no two instances at once
+	for delay := range delays {
+		is.True(delay >= verdictDelay)
+		is.True(delay <= sendSlots*verdictDelay)
 	}
 }
 
