--- a/core/crash/crash_test.go
+++ b/core/crash/crash_test.go
@@ -140,8 +140,8 @@
 	is.Equal(Blame(reports, never, limit, third), []Attribution{{Request: 1, Replicas: []pool.Incarnation{incarnation("a", ""), incarnation("b", ""), incarnation("c", "")}}})
 }
 
-// TestEventTimesKeepTheirAge checks that an event time in a message has the same age on arrival as when
-// it was sent, by the receiver's clocks.
+// TestEventTimesKeepTheirAge checks that an event time in a message has the same age on arrival
+// as when it was sent, by the receiver's clocks.
 func TestEventTimesKeepTheirAge(t *testing.T) {
 	is := is.New(t)
 	sent := clock.EventTime{At: start}.ForWire(start.Add(7 * time.Second))
