--- a/core/shutdown/shutdown.go
+++ b/core/shutdown/shutdown.go
@@ -1,6 +1,7 @@
-// Package shutdown runs a planned shutdown: the instance is not ready from its start on, hands
-// over what others can take over, accepts calls until the load balancer has had time to see
-// that it is not ready, and exits once its calls have ended or its time limit has passed.
+// Package shutdown runs a planned shutdown. From its start on, the instance is not ready. It
+// hands over what other instances can take over, accepts calls until the load balancer has had
+// time to see that it is not ready, and exits once its calls have ended or its time limit has
+// passed.
 package shutdown
 
 import (
