--- a/core/crash/crash_test.go
+++ b/core/crash/crash_test.go
@@ -73,9 +73,9 @@
 // TestBlame checks which requests are blamed for crashes. Requests 1 and 2 crash replicas, the
 // others are harmless.
 func TestBlame(t *testing.T) {
-	type in = []Fingerprint
-	repeat := func(n int, requests ...Fingerprint) []in {
-		return slices.Repeat([]in{requests}, n)
+	type inFlight = []Fingerprint
+	repeat := func(n int, requests ...Fingerprint) []inFlight {
+		return slices.Repeat([]inFlight{requests}, n)
 	}
 	cases := []struct {
 		name    string
@@ -85,36 +85,36 @@
 		want    []Fingerprint
 	}{
 		{"two replicas are too few", crashReports(repeat(2, 1)...), nil, nil, nil},
-		{"three replicas", crashReports(in{1, 8}, in{1, 9}, in{1, 7}), nil, nil, []Fingerprint{1}},
-		{"another request at two of them", crashReports(in{1, 9}, in{1, 9}, in{1}), nil, nil, []Fingerprint{1}},
+		{"three replicas", crashReports(inFlight{1, 8}, inFlight{1, 9}, inFlight{1, 7}), nil, nil, []Fingerprint{1}},
+		{"another request at two of them", crashReports(inFlight{1, 9}, inFlight{1, 9}, inFlight{1}), nil, nil, []Fingerprint{1}},
 		{"another request at all of them", crashReports(repeat(3, 1, 9)...), nil, nil, nil},
-		{"a fourth crash tells the requests apart", crashReports(in{1, 9}, in{1, 9}, in{1, 9}, in{1}), nil, nil, []Fingerprint{1}},
-		{"two requests with as many crashes, some the same", crashReports(in{1}, in{1, 9}, in{1, 9}, in{9}), nil, nil, nil},
+		{"a fourth crash tells the requests apart", crashReports(inFlight{1, 9}, inFlight{1, 9}, inFlight{1, 9}, inFlight{1}), nil, nil, []Fingerprint{1}},
+		{"two requests with as many crashes, some the same", crashReports(inFlight{1}, inFlight{1, 9}, inFlight{1, 9}, inFlight{9}), nil, nil, nil},
 		{"two requests together too often for a coincidence", crashReports(repeat(4, 1, 2)...), nil, nil, []Fingerprint{1, 2}},
-		{"two requests, one after the other", crashReports(in{1, 9}, in{1}, in{1, 8}, in{2, 9}, in{2}, in{2, 8}), nil, nil, []Fingerprint{1, 2}},
-		{"among many unrelated crashes", append(crashReports(in{1}, in{1}, in{1}), unrelatedReports(2*crashInterval, 4)...), nil, nil, nil},
-		{"a fourth crash among many unrelated ones", append(crashReports(in{1}, in{1}, in{1}, in{1}), unrelatedReports(3*crashInterval, 4)...), nil, nil, []Fingerprint{1}},
-		{"with one unrelated crash", append(crashReports(in{1}, in{1}, in{1}), unrelatedReports(2*crashInterval, 1)...), nil, nil, nil},
-		{"long after unrelated crashes", append(crashReports(in{1}, in{1}, in{1}), unrelatedReports(0, 4)...), nil, nil, []Fingerprint{1}},
-		{"its crashes are explained by another request", crashReports(in{1, 9}, in{1, 9}, in{1, 9}, in{1}, in{1}), nil, nil, []Fingerprint{1}},
+		{"two requests, one after the other", crashReports(inFlight{1, 9}, inFlight{1}, inFlight{1, 8}, inFlight{2, 9}, inFlight{2}, inFlight{2, 8}), nil, nil, []Fingerprint{1, 2}},
+		{"among many unrelated crashes", append(crashReports(inFlight{1}, inFlight{1}, inFlight{1}), unrelatedReports(2*crashInterval, 4)...), nil, nil, nil},
+		{"a fourth crash among many unrelated ones", append(crashReports(inFlight{1}, inFlight{1}, inFlight{1}, inFlight{1}), unrelatedReports(3*crashInterval, 4)...), nil, nil, []Fingerprint{1}},
+		{"with one unrelated crash", append(crashReports(inFlight{1}, inFlight{1}, inFlight{1}), unrelatedReports(2*crashInterval, 1)...), nil, nil, nil},
+		{"long after unrelated crashes", append(crashReports(inFlight{1}, inFlight{1}, inFlight{1}), unrelatedReports(0, 4)...), nil, nil, []Fingerprint{1}},
+		{"its crashes are explained by another request", crashReports(inFlight{1, 9}, inFlight{1, 9}, inFlight{1, 9}, inFlight{1}, inFlight{1}), nil, nil, []Fingerprint{1}},
 		{"succeeded since", crashReports(repeat(3, 1)...), map[Fingerprint]clock.Instant{1: start.Add(2 * crashInterval).Add(1)}, nil, nil},
 		{"succeeded in between", crashReports(repeat(4, 1)...), map[Fingerprint]clock.Instant{1: start.Add(1)}, nil, []Fingerprint{1}},
-		{"blamed before", crashReports(in{1}), nil, map[Fingerprint]int{1: 1}, []Fingerprint{1}},
+		{"blamed before", crashReports(inFlight{1}), nil, map[Fingerprint]int{1: 1}, []Fingerprint{1}},
 		{"requests without a fingerprint", crashReports(repeat(4, 0)...), nil, nil, nil},
 		{"one crash in two reports", append(crashReports(repeat(2, 1)...), Report{
-			Observer: "j", Replica: incarnation("b", ""), Requests: in{1}, EventTime: clock.EventTime{At: start.Add(crashInterval).Add(time.Second)},
+			Observer: "j", Replica: incarnation("b", ""), Requests: inFlight{1}, EventTime: clock.EventTime{At: start.Add(crashInterval).Add(time.Second)},
 		}), nil, nil, nil},
 		{"one crash in two reports, one of them from an instance that was paused", append(crashReports(repeat(2, 1)...), Report{
-			Observer: "j", Replica: incarnation("b", ""), Requests: in{1}, EventTime: clock.EventTime{At: start.Add(5 * crashInterval)},
+			Observer: "j", Replica: incarnation("b", ""), Requests: inFlight{1}, EventTime: clock.EventTime{At: start.Add(5 * crashInterval)},
 		}), nil, nil, nil},
 		{"one replica that restarts repeatedly", restartReports(1, repeat(3, 1)...), nil, nil, []Fingerprint{1}},
 		{"two replicas that restart in turn", restartReports(2, repeat(6, 1)...), nil, nil, []Fingerprint{1}},
 		{"two replicas that restart in turn, another request at all crashes", restartReports(2, repeat(3, 1, 9)...), nil, nil, nil},
 		{"one incarnation in two reports", append(restartReports(1, repeat(2, 1)...), Report{
-			Observer: "j", Replica: incarnation("a", "1"), Requests: in{1}, EventTime: clock.EventTime{At: start.Add(5 * crashInterval)},
+			Observer: "j", Replica: incarnation("a", "1"), Requests: inFlight{1}, EventTime: clock.EventTime{At: start.Add(5 * crashInterval)},
 		}), nil, nil, nil},
-		{"another observer's report completes a crash", append(crashReports(in{9}, in{1, 9}, in{1, 9}, in{1}), Report{
-			Observer: "j", Replica: incarnation("a", ""), Requests: in{1}, EventTime: clock.EventTime{At: start},
+		{"another observer's report completes a crash", append(crashReports(inFlight{9}, inFlight{1, 9}, inFlight{1, 9}, inFlight{1}), Report{
+			Observer: "j", Replica: incarnation("a", ""), Requests: inFlight{1}, EventTime: clock.EventTime{At: start},
 		}), nil, nil, []Fingerprint{1}},
 	}
 	for _, c := range cases {
