--- a/core/crash/crash_test.go
+++ b/core/crash/crash_test.go
@@ -44,12 +44,12 @@
 
 // unrelatedReports returns n reports of replicas that ended for another reason, the last of
 // them at until after start.
-func unrelatedReports(until time.Duration, n int) []Report {
+func unrelatedReports(last time.Duration, n int) []Report {
 	var reports []Report
 	for i := range n {
 		reports = append(reports, Report{
 			Observer: "i", Seq: uint64(100 + i), Replica: incarnation("other"+string(rune('a'+i)), ""), Requests: []Fingerprint{Fingerprint(100 + i)},
-			EventTime: clock.EventTime{At: start.Add(until - time.Duration(i)*time.Second)},
+			EventTime: clock.EventTime{At: start.Add(last - time.Duration(i)*time.Second)},
 		})
 	}
 	return reports
