--- a/core/crash/crash_test.go
+++ b/core/crash/crash_test.go
@@ -63,8 +63,8 @@
 		return MaxCrashes
 	}
 	var out []Fingerprint
-	for _, c := range Blame(reports, func(r Fingerprint) clock.Instant { return served[r] }, limit, start.Add(time.Hour)) {
-		out = append(out, c.Request)
+	for _, a := range Blame(reports, func(r Fingerprint) clock.Instant { return served[r] }, limit, start.Add(time.Hour)) {
+		out = append(out, a.Request)
 	}
 	slices.Sort(out)
 	return out
