--- a/core/quarantine/verdict.go
+++ b/core/quarantine/verdict.go
@@ -113,10 +113,10 @@
 	attributions := crash.Blame(reports, t.Records.LastSuccess, t.crashLimit, settled)
 	blamed := map[crash.Fingerprint]bool{}
 	explained := map[pool.Incarnation]bool{}
-	for _, c := range attributions {
-		blamed[c.Request] = true
-		t.blame(now, c)
-		for _, replica := range c.Replicas {
+	for _, a := range attributions {
+		blamed[a.Request] = true
+		t.blame(now, a)
+		for _, replica := range a.Replicas {
 			explained[replica] = true
 		}
 	}
