--- a/core/quarantine/verdict.go
+++ b/core/quarantine/verdict.go
@@ -132,21 +132,21 @@
 }
 
 // blame quarantines a request from now on.
-func (t *Tracker) blame(now clock.Instant, c crash.Attribution) {
-	v := t.verdicts[c.Request]
+func (t *Tracker) blame(now clock.Instant, a crash.Attribution) {
+	v := t.verdicts[a.Request]
 	if v.remaining(now) > 0 {
 		v.judged = true
 		return
 	}
-	next := &verdict{since: now, term: initialTerm, replicas: len(c.Replicas), judged: true}
+	next := &verdict{since: now, term: initialTerm, replicas: len(a.Replicas), judged: true}
 	if v != nil {
 		next.term = min(2*v.term, maxTerm)
 	}
-	if t.Stored && t.observed(c.Request) {
-		t.records.queue = append(t.records.queue, c.Request)
+	if t.Stored && t.observed(a.Request) {
+		t.records.queue = append(t.records.queue, a.Request)
 	}
-	t.apply(c.Request, next)
-	t.Out.Log(logevent.RequestQuarantined, "fingerprint", c.Request.String(), "upstreams", replicaNames(c.Replicas), "term", next.term.String())
+	t.apply(a.Request, next)
+	t.Out.Log(logevent.RequestQuarantined, "fingerprint", a.Request.String(), "upstreams", replicaNames(a.Replicas), "term", next.term.String())
 }
 
 // replicaNames returns the names of the replicas for logs.
