--- a/core/demand/board_test.go
+++ b/core/demand/board_test.go
@@ -17,12 +17,12 @@
 	is := is.New(t)
 	now := clocktest.At(time.Hour)
 	sum := func(first int) Item {
-		b := NewTotals()
+		totals := NewTotals()
 		for i := range 16 {
 			n := (first + i) % 16
-			b.Report(now, fmt.Sprintf("i%02d", n), []Item{{Name: "m", Rate: 0.1 * float64(n+1), Concurrent: 1 / float64(n+1)}})
+			totals.Report(now, fmt.Sprintf("i%02d", n), []Item{{Name: "m", Rate: 0.1 * float64(n+1), Concurrent: 1 / float64(n+1)}})
 		}
-		return b.Sum(now)[0]
+		return totals.Sum(now)[0]
 	}
 	want := sum(0)
 	for i := range 200 {
