--- a/core/bounds/bounds.go
+++ b/core/bounds/bounds.go
@@ -167,4 +167,6 @@
 func (b Bounds) MaxRetryDelay() time.Duration { return time.Duration(settleShare * float64(b.Settle)) }
 
 // share returns a fraction of Leave.
-func (b Bounds) share(part float64) time.Duration { return time.Duration(part * float64(b.Leave)) }
+func (b Bounds) share(fraction float64) time.Duration {
+	return time.Duration(fraction * float64(b.Leave))
+}
