--- a/core/shutdown/shutdown.go
+++ b/core/shutdown/shutdown.go
@@ -57,9 +57,9 @@
 	if !c.started || c.exited {
 		return
 	}
-	over := !now.Before(c.deadline)
+	expired := !now.Before(c.deadline)
 	idle := !now.Before(c.acceptUntil) && c.Calls.Len() == 0
-	if over || idle {
+	if expired || idle {
 		c.exit()
 	}
 }
