--- a/core/bounds/bounds_test.go
+++ b/core/bounds/bounds_test.go
@@ -47,7 +47,7 @@
 	for _, tt := range []struct {
 		name   string
 		bounds Bounds
-		rhythm Timing
+		timing Timing
 		want   string
 	}{
 		{"a long wait", small, Timing{Mesh: true, Wait: 1500 * time.Millisecond}, "calls for 2.8s, and 2s are allowed"},
@@ -56,7 +56,7 @@
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
-			err := tt.bounds.Check(tt.rhythm)
+			err := tt.bounds.Check(tt.timing)
 			is.True(err != nil)
 			is.True(strings.Contains(err.Error(), tt.want))
 		})
