--- a/core/notice/notice_test.go
+++ b/core/notice/notice_test.go
@@ -77,18 +77,18 @@
 // TestRestsAreSpread checks that instances return one after the other after rests that were
 // requested at the same time, none early, and all soon after the rest.
 func TestRestsAreSpread(t *testing.T) {
-	for _, tt := range []struct{ asked, window time.Duration }{
+	for _, tt := range []struct{ requested, window time.Duration }{
 		{3 * time.Second, 600 * time.Millisecond},
 		{time.Hour, time.Second},
 	} {
-		t.Run(tt.asked.String(), func(t *testing.T) {
+		t.Run(tt.requested.String(), func(t *testing.T) {
 			is := is.New(t)
 			const instances, parts = 370, 10
 			var in [parts]int
 			for i := range instances {
 				n, _ := newTestTracker(fmt.Sprintf("i%d", i))
-				n.HandleNotice(start, Received{Replica: "r", Sent: start, Notice: pool.Notice{Rest: tt.asked}})
-				late := n.Pool.Get("r").RestLeft(start) - tt.asked
+				n.HandleNotice(start, Received{Replica: "r", Sent: start, Notice: pool.Notice{Rest: tt.requested}})
+				late := n.Pool.Get("r").RestLeft(start) - tt.requested
 				is.True(late >= 0 && late < tt.window)
 				in[late*parts/tt.window]++
 			}
