--- a/core/pool/replica.go
+++ b/core/pool/replica.go
@@ -332,8 +332,8 @@
 }
 
 func (r *Replica) eject(now clock.Instant) {
-	span := min(ejectBase<<min(r.ejections, 5), ejectMax)
-	r.ejectedUntil = now.Add(span)
+	period := min(ejectBase<<min(r.ejections, 5), ejectMax)
+	r.ejectedUntil = now.Add(period)
 	r.ejections++
 	r.failures = 0
 }
