--- a/core/quarantine/verdict.go
+++ b/core/quarantine/verdict.go
@@ -35,12 +35,12 @@
 
 // A verdict is the decision to quarantine a request.
 type verdict struct {
-	since    clock.Instant
-	term     time.Duration
-	replicas int  // number that ended under the request
-	judged   bool // reached from reports that this instance has, or had
-	wrote    bool // this instance wrote it to the platform's store
-	recorded bool // this instance wrote it to the platform's store, or read it there
+	since     clock.Instant
+	term      time.Duration
+	replicas  int  // number that ended under the request
+	evaluated bool // reached from reports that this instance has, or had
+	wrote     bool // this instance wrote it to the platform's store
+	recorded  bool // this instance wrote it to the platform's store, or read it there
 }
 
 // remaining returns how long the request remains quarantined, 0 if it may run.
@@ -135,10 +135,10 @@
 func (t *Tracker) blame(now clock.Instant, a crash.Attribution) {
 	v := t.verdicts[a.Request]
 	if v.remaining(now) > 0 {
-		v.judged = true
+		v.evaluated = true
 		return
 	}
-	next := &verdict{since: now, term: initialTerm, replicas: len(a.Replicas), judged: true}
+	next := &verdict{since: now, term: initialTerm, replicas: len(a.Replicas), evaluated: true}
 	if v != nil {
 		next.term = min(2*v.term, maxTerm)
 	}
@@ -182,7 +182,7 @@
 		return true
 	}
 	unexplained := slices.ContainsFunc(under, func(replica pool.Incarnation) bool { return !explained[replica] })
-	return v.judged && len(under) >= v.replicas && !unexplained
+	return v.evaluated && len(under) >= v.replicas && !unexplained
 }
 
 // replicasUnder returns the replicas that are reported to have ended under a request after
