--- a/core/bounds/bounds.go
+++ b/core/bounds/bounds.go
@@ -51,7 +51,7 @@
 	settleShare = 0.5
 )
 
-// A Timing holds the other inputs of the delays.
+// A Timing holds the inputs of the delays that are not Bounds.
 type Timing struct {
 	// Mesh reports whether every instance watches, and exchanges with every other one.
 	Mesh bool
--- a/core/bounds/bounds_test.go
+++ b/core/bounds/bounds_test.go
@@ -8,21 +8,22 @@
 	"github.com/matryer/is"
 )
 
-// small and large are the bounds of the users' deployments.
+// small and large are the bounds of the users' small and large deployments.
 var (
 	small = Bounds{Leave: 2 * time.Second, Settle: 3 * time.Second}
 	large = Bounds{Leave: 3 * time.Second, Settle: 4 * time.Second}
 )
 
-// exchange is the interval of exchanges of the users' deployments.
+// exchange is the interval between the exchanges of an instance in the users' deployments.
 const exchange = 500 * time.Millisecond
 
-// reserveDivisor defines the fraction of the bound that the delays must leave unused: one
-// reserveDivisor-th.
+// reserveDivisor defines the reserve: the delays must leave Leave/reserveDivisor of the bound
+// unused.
 const reserveDivisor = 40
 
-// TestDelaysStayWithinBound checks that the computed delays leave a reserve of the bound, for
-// small and large bounds, and whether instances watch themselves or receive changes from peers.
+// TestDelaysStayWithinBound checks that the computed delays leave a reserve of the bound. It
+// covers small and large bounds, and fleets in which every instance watches the store or in
+// which some receive changes from peers.
 func TestDelaysStayWithinBound(t *testing.T) {
 	for _, b := range []Bounds{small, large, {Leave: 10 * time.Second, Settle: 10 * time.Second}} {
 		for _, mesh := range []bool{true, false} {
--- a/core/crash/blame.go
+++ b/core/crash/blame.go
@@ -15,13 +15,13 @@
 	// bound for a request that crashes replicas.
 	MaxCrashes = 3
 	// certainLimit is how many replicas may end under a request before it is blamed regardless
-	// of what else was in flight there. The usual tries of a caller, two with two attempts
-	// each, bring a harmless request to no more replicas than that, so a request with as many
-	// crashes that is sent again is not harmless.
+	// of what else was in flight there. A caller usually sends a request twice, with two
+	// attempts each, which bring a harmless request to no more replicas than that. A request
+	// with as many crashes that is sent again is therefore not harmless.
 	certainLimit = 4
 	// coincidenceWindow is the time before the last crash of a request in which there must have
 	// been no crashes but its own. If replicas end for another reason, three of them may end
-	// under any request, through a few tries of its caller.
+	// under any request, if its caller retries it a few times.
 	coincidenceWindow = 10 * time.Second
 )
 
--- a/core/crash/crash.go
+++ b/core/crash/crash.go
@@ -8,7 +8,7 @@
 // request that succeeded afterwards does not crash replicas.
 //
 // Each instance reports the requests that it had in flight itself. Reports only grow, so they
-// may arrive in any order, by any way and more than once.
+// may arrive in any order, from any peer and more than once.
 package crash
 
 import (
--- a/core/crash/crash_test.go
+++ b/core/crash/crash_test.go
@@ -42,8 +42,8 @@
 	return reports
 }
 
-// unrelatedReports returns n reports of replicas that ended for another reason, the last of
-// them at until after start.
+// unrelatedReports returns n reports of replicas that ended for another reason, one second
+// apart, the last of them at start plus last.
 func unrelatedReports(last time.Duration, n int) []Report {
 	var reports []Report
 	for i := range n {
--- a/core/demand/board_test.go
+++ b/core/demand/board_test.go
@@ -11,8 +11,8 @@
 )
 
 // TestSumIsIndependentOfReportOrder checks that the same reports give exactly the same sum,
-// regardless of how often and in which order they arrive. They were once added in map order, so
-// that two runs of a state machine over the same events logged different figures.
+// regardless of how often and in which order they arrive. Reports were once added in map order,
+// so that two runs of the state machine over the same events logged different figures.
 func TestSumIsIndependentOfReportOrder(t *testing.T) {
 	is := is.New(t)
 	now := clocktest.At(time.Hour)
--- a/core/gossip/gossip.go
+++ b/core/gossip/gossip.go
@@ -2,7 +2,7 @@
 // sent to peers, and the set of the newest record of each kind and name.
 //
 // Every record is ordered by counters of its origin, such as an engine's boot and change or the
-// version of the list. It therefore does not matter by which way or how often a record arrives.
+// version of the list. It therefore does not matter from which peer or how often a record arrives.
 // Each peer is sent only the records that became new here since it last confirmed; a lost
 // message is covered by the next one.
 //
--- a/core/gossip/gossip_test.go
+++ b/core/gossip/gossip_test.go
@@ -15,7 +15,7 @@
 )
 
 // TestOlderRecordsAreIgnored checks that the record with the newest counters of its origin is
-// kept, by whichever way and in whichever order records arrive.
+// kept, from whichever peer and in whichever order records arrive.
 func TestOlderRecordsAreIgnored(t *testing.T) {
 	residency := func(boot, change uint64) func(*Set) bool {
 		return func(s *Set) bool {
--- a/core/notice/notice.go
+++ b/core/notice/notice.go
@@ -1,7 +1,7 @@
 // Package notice handles what replicas report about themselves in the headers of their
 // responses: that they are leaving, a rest during which this instance shall send them no calls,
-// and a limit of the requests per second that they accept from all instances together. It does
-// not matter what the response answers: a call, an order or a query for a report.
+// and a limit of the requests per second that they accept from all instances together. Any
+// response may have a notice: that to a call, to an order or to a query for a report.
 //
 // A notice takes precedence over the platform's list, since it comes from the replica itself,
 // and the list may lag or not be writable. That a replica is leaving, and its limit, are sent
@@ -35,7 +35,7 @@
 	pruneEvery = 10 * time.Second
 )
 
-// Received is the event that a response of a replica had a notice.
+// Received is the event that a replica sent a notice in a response.
 type Received struct {
 	Replica string
 	Sent    clock.Instant // when the request was sent
--- a/core/notice/notice_test.go
+++ b/core/notice/notice_test.go
@@ -187,5 +187,5 @@
 	is.True(!r.MayReject(start))
 }
 
-// ageError is how much an age changes in a message.
+// ageError is the error of an age that was received in a message.
 const ageError = 50 * time.Millisecond
--- a/core/pool/notice_test.go
+++ b/core/pool/notice_test.go
@@ -26,14 +26,14 @@
 		setup   func(p *Pool)
 		notice  Notice
 		sent    time.Duration // after the start
-		changed Notice
+		changed Notice        // the parts reported as new
 		leaving bool
 		rest    time.Duration // remaining afterwards
 	}{
 		{"reported as leaving", nil, leaving, 50 * time.Second, leaving, true, 0},
-		{"leaving, in a response to an early request", nil, leaving, 0, leaving, true, 0},
-		{"leaving, reported before", func(p *Pool) { p.MarkLeaving(now, "r") }, leaving, 50 * time.Second, Notice{}, true, 0},
-		{"leaving, listed as such before", func(p *Pool) { a := entry; a.Leaving = true; p.Announce(now, "r", a) }, leaving, 50 * time.Second, Notice{}, true, 0},
+		{"leaving, in the response to a request sent when the replica was first seen", nil, leaving, 0, leaving, true, 0},
+		{"leaving, already reported", func(p *Pool) { p.MarkLeaving(now, "r") }, leaving, 50 * time.Second, Notice{}, true, 0},
+		{"leaving, already listed as leaving", func(p *Pool) { a := entry; a.Leaving = true; p.Announce(now, "r", a) }, leaving, 50 * time.Second, Notice{}, true, 0},
 		{"unknown replica", func(p *Pool) { delete(p.replicas, "r") }, leaving, 50 * time.Second, Notice{}, false, 0},
 		{"notice of the previous incarnation", func(p *Pool) { p.Announce(now, "r", restarted) }, Notice{Leaving: true, Rest: time.Second}, 50 * time.Second, Notice{}, false, 0},
 		{"notice of the current incarnation", func(p *Pool) { p.Announce(start.Add(10*time.Second), "r", restarted) }, leaving, 50 * time.Second, leaving, true, 0},
@@ -103,8 +103,9 @@
 	is.True(!p.Get("other").Resting(now.Add(time.Second)))
 }
 
-// TestTrialCallEndsRest checks that one call is sent after a rest, and others once it is
-// answered; if it ends without an answer, the next call is the trial.
+// TestTrialCallEndsRest checks that the first call after a rest is a trial call, and that the
+// replica may reject calls until a trial call is answered. If a trial call ends without an
+// answer, the next call is the trial.
 func TestTrialCallEndsRest(t *testing.T) {
 	is := is.New(t)
 	now := clocktest.At(time.Hour)
--- a/core/pool/pool.go
+++ b/core/pool/pool.go
@@ -242,7 +242,7 @@
 	}
 }
 
-// decay returns the fraction that remains after age, given a half-life.
+// decay returns the fraction of an amount that remains after age, for a half-life.
 func decay(age, halfLife time.Duration) float64 {
 	if age <= 0 {
 		return 1
--- a/core/pool/ratelimit.go
+++ b/core/pool/ratelimit.go
@@ -10,7 +10,7 @@
 // A RateLimit is the rate limit in a replica's response: how many requests per second it
 // accepts from all instances together. The zero value means that the response has none.
 type RateLimit struct {
-	Named     bool
+	Named     bool    // the response has a limit
 	PerSecond float64 // requests; 0: none are accepted
 	// Unclear reports that the response has a limit that cannot be parsed. The previous limit
 	// stays in force then.
@@ -100,9 +100,9 @@
 	nextSendAt clock.Instant // when the next request may be sent, as last set by SetNextSend
 }
 
-// ObserveLimit records the limit in a response that the instance by received to a request sent
-// at sent, and reports whether it replaced the known one. It ignores responses to requests that
-// were sent before this incarnation was first seen.
+// ObserveLimit records the limit in the response to a request that was sent at sent, and reports
+// whether it replaced the known one. The instance by received the response. ObserveLimit ignores
+// responses to requests that were sent before this incarnation was first seen.
 func (p *Pool) ObserveLimit(now clock.Instant, name string, sent clock.Instant, limit RateLimit, by string) bool {
 	r := p.replicas[name]
 	if r == nil || sent.Before(r.seenAt) || !r.limit.report.supersededBy(limit, sent) {
--- a/core/pool/replica.go
+++ b/core/pool/replica.go
@@ -85,7 +85,7 @@
 	serviceTime  time.Duration // EWMA of the time a call occupies the replica
 }
 
-// health is what the outcomes of calls to a replica showed.
+// health is the state of a replica according to the outcomes of calls to it.
 type health struct {
 	downUntil    clock.Instant // considered down until then, since nothing answered at its address
 	failures     int           // consecutive
@@ -105,7 +105,7 @@
 	pastStartIDs    []string      // Born of its past incarnations, latest last
 }
 
-// leaving is which sources reported the replica as leaving.
+// leaving records which sources reported the replica as leaving.
 type leaving struct {
 	listedLeaving bool
 	// announcedLeaving means that an entry of this incarnation reported it; listedLeaving is
--- a/core/pool/use.go
+++ b/core/pool/use.go
@@ -100,8 +100,8 @@
 	return sum
 }
 
-// Suspected reports whether this instance, or a peer within the last downPeriod, found nothing
-// listening at the replica's address.
+// Suspected reports whether this instance found nothing listening at the replica's address
+// within the last downPeriod, or a peer did according to a report that is not older than that.
 func (r *Replica) Suspected(now clock.Instant) bool {
 	if r.Down(now) {
 		return true
--- a/core/quarantine/evidence.go
+++ b/core/quarantine/evidence.go
@@ -20,8 +20,9 @@
 	// shows earlier that its process has ended: a process that ends closes its connections one
 	// after the other, its listener among them.
 	checkDelay = 30 * time.Millisecond
-	// evidenceWindow is the time in which the calls severed by one crash must show it: shorter
-	// than the seconds that a replica takes to restart.
+	// evidenceWindow is the time from the first sign of a crash within which severed calls and
+	// other signs count as evidence of the same crash: shorter than the seconds that a replica
+	// takes to restart.
 	evidenceWindow = 2 * time.Second
 	// disconnectWindow is how long before its replica's crash a caller may have disconnected
 	// for its call to still count as in flight there: a replica takes a moment to notice the
@@ -52,10 +53,10 @@
 type evidence struct {
 	at        clock.Instant // time of the first sign
 	address   string
-	requests  []crash.Fingerprint // whose calls were in flight; in ascending order
+	requests  []crash.Fingerprint // in flight at the replica; in ascending order
 	ended     bool                // the replica's process has ended
 	checkSent bool                // a Check was sent
-	seq       uint64              // of the report, 0 before the first
+	seq       uint64              // sequence number of the report, 0 if none was sent
 }
 
 // Severed records that a request's call was severed by its replica, or by the replica's
@@ -101,7 +102,7 @@
 }
 
 // CallerDisconnected records that the caller of a request disconnected while its call was in
-// flight at a replica, which may crash because of it all the same.
+// flight at a replica. The replica may still crash because of that request.
 func (t *Tracker) CallerDisconnected(now clock.Instant, request crash.Fingerprint, r *pool.Replica) {
 	if request == 0 || r.Leaving() {
 		return
@@ -134,7 +135,8 @@
 	}
 }
 
-// evidenceOf returns the evidence of the crash that is currently observed.
+// evidenceOf returns the evidence of a replica's current crash. If there is none that began
+// within the last evidenceWindow, it starts a new one.
 func (t *Tracker) evidenceOf(now clock.Instant, replica pool.Incarnation) *evidence {
 	e := t.evidence[replica]
 	if e == nil || now.MaxElapsed(e.at) >= evidenceWindow {
@@ -144,7 +146,8 @@
 	return e
 }
 
-// reportCrash reports the requests that were in flight to all instances.
+// reportCrash sends all instances a report of the requests that were in flight at a replica when
+// it crashed.
 func (t *Tracker) reportCrash(now clock.Instant, replica pool.Incarnation, e *evidence) {
 	if e.seq == 0 {
 		t.seq++
@@ -160,7 +163,8 @@
 	t.scheduleUpdates(now, true, t.ownReportInterval(r))
 }
 
-// checkReplicas sends a Check for each replica that severed calls checkDelay ago.
+// checkReplicas emits one Check for each replica that severed calls, checkDelay after the first
+// of them, unless its process is known to have ended.
 func (t *Tracker) checkReplicas(now clock.Instant) {
 	for _, replica := range slices.SortedFunc(maps.Keys(t.evidence), pool.Incarnation.Compare) {
 		e := t.evidence[replica]
@@ -179,7 +183,8 @@
 	}
 }
 
-// pruneEvidence removes the evidence and the disconnects that are too old to count.
+// pruneEvidence removes the evidence older than evidenceWindow, and the disconnects at replicas
+// that had none within that time.
 func (t *Tracker) pruneEvidence(now clock.Instant) {
 	maps.DeleteFunc(t.disconnects, func(_ pool.Incarnation, calls []disconnect) bool {
 		return !slices.ContainsFunc(calls, func(d disconnect) bool { return now.MaxElapsed(d.at) < evidenceWindow })
--- a/core/quarantine/quarantine.go
+++ b/core/quarantine/quarantine.go
@@ -3,7 +3,7 @@
 // A request may crash every replica that starts to run it, through a fault that its content
 // triggers. Its caller sees a broken connection and retries, and the limits on attempts do not
 // stop that: each retry has another request ID, and may reach any instance. What is known about
-// a request is therefore kept by its fingerprint, over all its tries, and shared by all
+// a request is therefore kept by its fingerprint, over all its retries, and shared by all
 // instances:
 //
 //  1. An instance whose call is severed checks whether the replica's process still exists
@@ -11,8 +11,8 @@
 //     a crash.
 //  2. It reports the requests that it had in flight there to all instances, which all evaluate
 //     the reports by the same rule (core/crash).
-//  3. A blamed request is not run for a while: its calls in flight are canceled, further tries
-//     are refused at once (verdict.go).
+//  3. A blamed request is not run for a while: its calls in flight are canceled, further calls
+//     of it are refused at once (verdict.go).
 //  4. Verdicts are also written to the platform's store, for instances that start later
 //     (record.go). Everything else works without the store.
 //
@@ -53,7 +53,7 @@
 	// severed together are reported together, at most ten times per second.
 	shareInterval = 100 * time.Millisecond
 	// relayedShareInterval is the same in a fleet whose instances relay reports, for crashes
-	// that do not make any request a suspect yet: at shareInterval, exchanges fill links of 10
+	// with which no request may be blamed yet: at shareInterval, exchanges fill links of 10
 	// Mbit/s while replicas crash.
 	relayedShareInterval = time.Second
 	// pruneEvery is the interval at which old records are removed.
--- a/core/quarantine/quarantine_test.go
+++ b/core/quarantine/quarantine_test.go
@@ -322,7 +322,7 @@
 	b.advance(2 * relayedShareInterval)
 	before = b.exchanges
 	for n := range 20 {
-		b.crash("own"+string(rune('a'+n)), crash.Fingerprint(100+n)) // decides on no request
+		b.crash("own"+string(rune('a'+n)), crash.Fingerprint(100+n)) // too few crashes to blame any request
 		b.advance(10 * time.Millisecond)
 	}
 	is.True(b.exchanges > before)
--- a/core/quarantine/verdict.go
+++ b/core/quarantine/verdict.go
@@ -24,12 +24,12 @@
 	// maxTerm bounds the terms of a request that is blamed repeatedly, each of which is twice
 	// the one before.
 	maxTerm = 8 * time.Hour
-	// sendSlots is the number of time slots over which the tries of a suspect request are
-	// staggered: one for each instance of a small site; in a large fleet several instances
-	// share one.
+	// sendSlots is the number of time slots over which the instances stagger their calls of a
+	// suspected request: one for each instance of a small site; in a large fleet several
+	// instances share one.
 	sendSlots = 8
-	// maxVerdicts bounds the verdicts that are kept, newest first. They take 0.1 MB, and three
-	// replicas have to crash for each.
+	// maxVerdicts bounds the verdicts that are kept, newest first. That many take 0.1 MB. Each
+	// requires three replicas to crash.
 	maxVerdicts = 1024
 )
 
@@ -37,10 +37,10 @@
 type verdict struct {
 	since     clock.Instant
 	term      time.Duration
-	replicas  int  // number that ended under the request
-	evaluated bool // reached from reports that this instance has, or had
+	replicas  int  // number of replicas that ended under the request
+	evaluated bool // follows from reports that this instance has, or had
 	wrote     bool // this instance wrote it to the platform's store
-	recorded  bool // this instance wrote it to the platform's store, or read it there
+	recorded  bool // it is in the platform's store: this instance wrote it there or read it there
 }
 
 // remaining returns how long the request remains quarantined, 0 if it may run.
@@ -51,8 +51,8 @@
 	return max(0, v.term-now.MaxElapsed(v.since))
 }
 
-// remembered reports whether the verdict is kept after its term: until then one more crash
-// under the request is enough to blame it again.
+// remembered reports whether the verdict is still kept, which it is for another term after its
+// own. While it is kept, one more crash under the request is enough to blame it again.
 func (v *verdict) remembered(now clock.Instant) bool { return now.MaxElapsed(v.since) < 2*v.term }
 
 // Remaining returns how long a request remains quarantined, 0 if it may run.
@@ -61,10 +61,10 @@
 }
 
 // SendDelay returns how long a call of a request waits before it is sent. It is 0 unless so
-// many replicas crashed under the request that the next crash decides. In that case all
-// instances send their tries one after the other, each after the effect of the previous one has
-// been evaluated. This delays a harmless request, but a harmful one crashes one more replica
-// instead of one per instance.
+// many replicas crashed under the request that the next crash decides whether it is blamed. In
+// that case the instances send their calls of it one after the other, each after the effect of
+// the previous one has been evaluated. This delays a harmless request, but a harmful one crashes
+// one more replica instead of one per instance.
 func (t *Tracker) SendDelay(request crash.Fingerprint) time.Duration {
 	if !t.suspected(request) {
 		return 0
@@ -81,10 +81,11 @@
 	return len(replicasUnder(request, t.Records.Crashes(), t.Records.LastSuccess(request))) >= crash.MaxCrashes
 }
 
-// sendSlot returns the time slot in which this instance sends its tries of a request.
+// sendSlot returns the time slot in which this instance sends its calls of a suspected request.
 func (t *Tracker) sendSlot(request crash.Fingerprint) int { return t.position(request) % sendSlots }
 
-// position returns how many instances come before this one in the hash order for a request.
+// position returns how many instances come before this one in the order of their rendezvous
+// hashing scores for a request.
 func (t *Tracker) position(request crash.Fingerprint) int {
 	key := rendezvous.Key(request.String())
 	own := rendezvous.Score(key, t.Self.Name)
@@ -186,7 +187,7 @@
 }
 
 // replicasUnder returns the replicas that are reported to have ended under a request after
-// since, in order, each incarnation once.
+// since, sorted, each incarnation once.
 func replicasUnder(request crash.Fingerprint, reports []crash.Report, since clock.Instant) []pool.Incarnation {
 	var under []pool.Incarnation
 	for _, r := range reports {
--- a/core/shutdown/shutdown.go
+++ b/core/shutdown/shutdown.go
@@ -1,7 +1,7 @@
-// Package shutdown runs a planned shutdown. From its start on, the instance is not ready. It
-// hands over what other instances can take over, accepts calls until the load balancer has had
-// time to see that it is not ready, and exits once its calls have ended or its time limit has
-// passed.
+// Package shutdown runs a planned shutdown. The instance stops being ready when the shutdown
+// starts. It hands over what other instances can take over, accepts calls until the load balancer
+// has had time to see that it is not ready, and exits once its calls have ended or its time limit
+// has passed.
 package shutdown
 
 import (
--- a/core/shutdown/shutdown_test.go
+++ b/core/shutdown/shutdown_test.go
@@ -19,7 +19,7 @@
 	const delay, limit = 3 * time.Second, 10 * time.Second
 	cases := []struct {
 		name    string
-		after   time.Duration // since the stop began
+		after   time.Duration // since the start of the shutdown
 		calls   int
 		twice   bool
 		refuses bool
