--- a/core/pool/replica_test.go
+++ b/core/pool/replica_test.go
@@ -11,8 +11,9 @@
 )
 
 // TestEjection checks that consecutive failures eject a replica, for longer each time, and that
-// a call that ends without showing anything about the replica does not count as a failure or a
-// success.
+// a call that ends without showing anything about the replica's health, such as a refused one,
+// does not count as a failure or a success. An answer in between does not count as a failure
+// either: it resets the count (see FirstTokenReceived).
 func TestEjection(t *testing.T) {
 	is := is.New(t)
 	now := clocktest.At(time.Hour)
@@ -94,8 +95,8 @@
 }
 
 // TestVanishedDeadline checks that a replica whose entry vanished counts as leaving at its
-// deadline, which leaves calls enough time, even if that is earlier than the end of the grace
-// period.
+// deadline even if that is earlier than the end of the grace period. The deadline is early
+// enough for calls to the replica to stop in time.
 func TestVanishedDeadline(t *testing.T) {
 	is := is.New(t)
 	now := clocktest.At(time.Hour)
