--- a/core/notice/notice_test.go
+++ b/core/notice/notice_test.go
@@ -84,15 +84,15 @@
 		t.Run(tt.requested.String(), func(t *testing.T) {
 			is := is.New(t)
 			const instances, parts = 370, 10
-			var in [parts]int
+			var counts [parts]int
 			for i := range instances {
 				n, _ := newTestTracker(fmt.Sprintf("i%d", i))
 				n.HandleNotice(start, Received{Replica: "r", Sent: start, Notice: pool.Notice{Rest: tt.requested}})
 				late := n.Pool.Get("r").RestLeft(start) - tt.requested
 				is.True(late >= 0 && late < tt.window)
-				in[late*parts/tt.window]++
+				counts[late*parts/tt.window]++
 			}
-			for _, count := range in {
+			for _, count := range counts {
 				is.True(count <= 2*instances/parts)
 			}
 		})
