--- a/core/bounds/bounds_test.go
+++ b/core/bounds/bounds_test.go
@@ -8,44 +8,47 @@
 	"github.com/matryer/is"
 )
 
-// small and large are the bounds and the spacing of exchanges of the users' deployments.
+// small and large are the bounds of the users' small and large deployments.
 var (
 	small = Bounds{Leave: 2 * time.Second, Settle: 3 * time.Second}
 	large = Bounds{Leave: 3 * time.Second, Settle: 4 * time.Second}
 )
 
+// exchange is the interval between the exchanges of an instance in the users' deployments.
 const exchange = 500 * time.Millisecond
 
-// leftOver is the part of the bound, one in so many, that the parts leave over.
-const leftOver = 40
+// reserveDivisor defines the reserve: the delays must leave Leave/reserveDivisor of the bound
+// unused.
+const reserveDivisor = 40
 
-// TestPartsComeToLessThanTheBound: the waits that were worked out leave something over of the
-// bound, whatever it is and however the fleet hears of news.
-func TestPartsComeToLessThanTheBound(t *testing.T) {
+// TestDelaysStayWithinBound checks that the computed delays leave a reserve of the bound. It
+// covers small and large bounds, and fleets in which every instance watches the store or in
+// which some receive changes from peers.
+func TestDelaysStayWithinBound(t *testing.T) {
 	for _, b := range []Bounds{small, large, {Leave: 10 * time.Second, Settle: 10 * time.Second}} {
 		for _, mesh := range []bool{true, false} {
 			is := is.New(t)
-			r := Timing{Mesh: mesh, Exchange: exchange}
-			p := b.Delays(r)
-			is.True(b.Leave-p.Sum() >= b.Leave/leftOver)
-			is.NoErr(b.Check(r))
-			is.True(p.Wait >= leastWait)
-			// An instance that asks the store itself, since its news is old, is in time too,
-			// and does not do so while all is well.
-			is.True(b.MaxStoreSilence()+p.Read+p.Dial+p.Send <= b.Leave)
-			is.True(p.MaxListAge() <= b.MaxStoreSilence())
-			// After an outage the list is there before the bound binds again.
-			is.True(b.MaxRetryDelay()+p.Read < b.Settle)
+			timing := Timing{Mesh: mesh, Exchange: exchange}
+			d := b.Delays(timing)
+			is.True(b.Leave-d.Sum() >= b.Leave/reserveDivisor)
+			is.NoErr(b.Check(timing))
+			is.True(d.Wait >= minWait)
+			// An instance that queries the store because its list is old meets the bound too,
+			// and does not query it while the store is healthy.
+			is.True(b.MaxStoreSilence()+d.Read+d.Dial+d.Send <= b.Leave)
+			is.True(d.MaxListAge() <= b.MaxStoreSilence())
+			// After an outage the list is read before the bound applies again.
+			is.True(b.MaxRetryDelay()+d.Read < b.Settle)
 		}
 	}
 }
 
-// TestSettingsThatBreakTheSumAreRefused: the error names the sum and its parts.
-func TestSettingsThatBreakTheSumAreRefused(t *testing.T) {
+// TestCheckRejectsExcessiveDelays checks that the error names the sum and its delays.
+func TestCheckRejectsExcessiveDelays(t *testing.T) {
 	for _, tt := range []struct {
 		name   string
 		bounds Bounds
-		rhythm Timing
+		timing Timing
 		want   string
 	}{
 		{"a long wait", small, Timing{Mesh: true, Wait: 1500 * time.Millisecond}, "calls for 2.8s, and 2s are allowed"},
@@ -54,7 +57,7 @@
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
-			err := tt.bounds.Check(tt.rhythm)
+			err := tt.bounds.Check(tt.timing)
 			is.True(err != nil)
 			is.True(strings.Contains(err.Error(), tt.want))
 		})
--- a/core/crash/blame.go
+++ b/core/crash/blame.go
@@ -11,176 +11,177 @@
 )
 
 const (
-	// MaxCrashes is how many replicas may end under a request before it is blamed: the
-	// users' bound for a request that ends replicas.
+	// MaxCrashes is how many replicas may end under a request before it is blamed: the users'
+	// bound for a request that crashes replicas.
 	MaxCrashes = 3
-	// sureLimit is how many replicas may end under a request, whatever else was in flight
-	// there, before it is blamed: the usual tries of a caller, two of two attempts each,
-	// bring a request that harms nobody to no more, so one that has as many and comes again
-	// is none.
-	sureLimit = 4
-	// chanceSpan is how long before the last end of a request there must have been none
-	// but its own: where replicas end for another reason, three of them may end under any
-	// request: some tries of a caller.
-	chanceSpan = 10 * time.Second
+	// certainLimit is how many replicas may end under a request before it is blamed regardless
+	// of what else was in flight there. A caller usually sends a request twice, with two
+	// attempts each, which bring a harmless request to no more replicas than that. A request
+	// with as many crashes that is sent again is therefore not harmless.
+	certainLimit = 4
+	// coincidenceWindow is the time before the last crash of a request in which there must have
+	// been no crashes but its own. If replicas end for another reason, three of them may end
+	// under any request, if its caller retries it a few times.
+	coincidenceWindow = 10 * time.Second
 )
 
-// An end is one life of a replica that ended, as all reports of it tell together. One that
-// starts again, under whatever name, may end again: counted by names, a request that ends
-// two replicas in turn would never be blamed.
-type end struct {
+// A replicaCrash is the end of one incarnation of a replica, merged from all reports of it.
+// Crashes are counted by incarnation, since a restarted replica may crash again, under any
+// name: counted by name, a request that crashes two replicas in turn would never be blamed.
+type replicaCrash struct {
 	replica  pool.Incarnation
-	at       clock.Instant // of the first report
-	requests []Fingerprint // rising
+	at       clock.Instant // time of the earliest report
+	requests []Fingerprint // in ascending order
 }
 
-// A Attribution is a request with the replicas that ended under it.
+// An Attribution is a request that is blamed, with the replicas that ended under it.
 type Attribution struct {
 	Request  Fingerprint
 	Replicas []pool.Incarnation
 }
 
-// Blame returns the requests to which the ends of replicas are put down, with those
-// replicas. served is when a request was last served whole; limit is how many ends it
-// takes for a request. Reports count up to settled only: before that, those of other
-// instances may be missing.
+// Blame returns the requests to blame for the crashes in the reports, with the replicas that
+// ended under them. served returns when a request last succeeded; limit returns how many
+// crashes are needed to blame a request. Only reports up to settled count: later ones may be
+// incomplete, because those of other instances may not have arrived.
 func Blame(reports []Report, served func(Fingerprint) clock.Instant, limit func(Fingerprint) int, settled clock.Instant) []Attribution {
-	ends := merge(reports, settled)
-	under := endsUnder(ends, served, limit)
-	explained := map[*end]bool{}
-	var cases []Attribution
+	crashes := mergeReports(reports, settled)
+	byRequest := crashesByRequest(crashes, served, limit)
+	explained := map[*replicaCrash]bool{}
+	var attributions []Attribution
 	blame := func(request Fingerprint) {
-		cases = append(cases, Attribution{Request: request, Replicas: replicas(under[request])})
-		for _, e := range under[request] {
-			explained[e] = true
+		attributions = append(attributions, Attribution{Request: request, Replicas: replicasOf(byRequest[request])})
+		for _, c := range byRequest[request] {
+			explained[c] = true
 		}
-		delete(under, request)
+		delete(byRequest, request)
 	}
-	for _, request := range slices.Sorted(maps.Keys(under)) {
-		if len(under[request]) >= sureLimit {
+	for _, request := range slices.Sorted(maps.Keys(byRequest)) {
+		if len(byRequest[request]) >= certainLimit {
 			blame(request)
 		}
 	}
 	for {
-		request, ok := strongest(ends, under, explained, limit)
+		request, ok := nextBlamed(crashes, byRequest, explained, limit)
 		if !ok {
-			return cases
+			return attributions
 		}
 		blame(request)
 	}
 }
 
-// merge puts the reports of each end together.
-func merge(reports []Report, settled clock.Instant) []*end {
-	byReplica := map[pool.Incarnation]*end{}
+// mergeReports merges the reports of each crash.
+func mergeReports(reports []Report, settled clock.Instant) []*replicaCrash {
+	byReplica := map[pool.Incarnation]*replicaCrash{}
 	for _, r := range reports {
-		e := byReplica[r.Replica]
-		if e == nil {
-			e = &end{replica: r.Replica, at: r.At}
-			byReplica[r.Replica] = e
+		c := byReplica[r.Replica]
+		if c == nil {
+			c = &replicaCrash{replica: r.Replica, at: r.At}
+			byReplica[r.Replica] = c
 		}
-		if r.At.Before(e.at) {
-			e.at = r.At
+		if r.At.Before(c.at) {
+			c.at = r.At
 		}
-		e.requests = append(e.requests, r.Requests...)
+		c.requests = append(c.requests, r.Requests...)
 	}
-	var ends []*end
+	var crashes []*replicaCrash
 	for _, replica := range slices.SortedFunc(maps.Keys(byReplica), pool.Incarnation.Compare) {
-		e := byReplica[replica]
-		if settled.Before(e.at) {
+		c := byReplica[replica]
+		if settled.Before(c.at) {
 			continue
 		}
-		slices.Sort(e.requests)
-		e.requests = slices.Compact(e.requests)
-		ends = append(ends, e)
+		slices.Sort(c.requests)
+		c.requests = slices.Compact(c.requests)
+		crashes = append(crashes, c)
 	}
-	return ends
+	return crashes
 }
 
-// endsUnder returns the ends by request, without those after which the request was
-// served, of the requests with enough ends to be blamed. Nearly all requests have one
-// end, and are left out at once.
-func endsUnder(ends []*end, served func(Fingerprint) clock.Instant, limit func(Fingerprint) int) map[Fingerprint][]*end {
+// crashesByRequest returns the crashes by request, for the requests with enough crashes to be
+// blamed, without the crashes after which the request succeeded. Nearly all requests have one
+// crash and are skipped early.
+func crashesByRequest(crashes []*replicaCrash, served func(Fingerprint) clock.Instant, limit func(Fingerprint) int) map[Fingerprint][]*replicaCrash {
 	count := map[Fingerprint]int{}
-	for _, e := range ends {
-		for _, request := range e.requests {
+	for _, c := range crashes {
+		for _, request := range c.requests {
 			count[request]++
 		}
 	}
-	under := map[Fingerprint][]*end{}
-	for _, e := range ends {
-		for _, request := range e.requests {
-			if request != 0 && count[request] >= limit(request) && served(request).Before(e.at) {
-				under[request] = append(under[request], e)
+	byRequest := map[Fingerprint][]*replicaCrash{}
+	for _, c := range crashes {
+		for _, request := range c.requests {
+			if request != 0 && count[request] >= limit(request) && served(request).Before(c.at) {
+				byRequest[request] = append(byRequest[request], c)
 			}
 		}
 	}
-	return under
+	return byRequest
 }
 
-// strongest returns the request with the most ends that no other explains, if these are
-// enough to blame it. Where others that have as many were in flight at some of the same,
-// or it may have been there by chance, more ends have to tell.
-func strongest(ends []*end, under map[Fingerprint][]*end, explained map[*end]bool, limit func(Fingerprint) int) (Fingerprint, bool) {
-	open := map[Fingerprint][]*end{}
-	at := map[*end][]Fingerprint{}
-	for request, ends := range under {
-		left := slices.DeleteFunc(slices.Clone(ends), func(e *end) bool { return explained[e] })
-		if len(left) < limit(request) {
+// nextBlamed returns the request with the most crashes that no other request explains, if they
+// are enough to blame it. If another request has as many crashes, some of them the same, or if
+// the request may have been there by coincidence, it is not blamed before more crashes decide.
+func nextBlamed(crashes []*replicaCrash, byRequest map[Fingerprint][]*replicaCrash, explained map[*replicaCrash]bool, limit func(Fingerprint) int) (Fingerprint, bool) {
+	candidates := map[Fingerprint][]*replicaCrash{}
+	requestsAt := map[*replicaCrash][]Fingerprint{}
+	for request, crashes := range byRequest {
+		unexplained := slices.DeleteFunc(slices.Clone(crashes), func(c *replicaCrash) bool { return explained[c] })
+		if len(unexplained) < limit(request) {
 			continue
 		}
-		open[request] = left
-		for _, e := range left {
-			at[e] = append(at[e], request)
+		candidates[request] = unexplained
+		for _, c := range unexplained {
+			requestsAt[c] = append(requestsAt[c], request)
 		}
 	}
-	byEnds := slices.SortedFunc(maps.Keys(open), func(a, b Fingerprint) int {
-		return cmp.Or(cmp.Compare(len(open[b]), len(open[a])), cmp.Compare(a, b))
+	byCrashes := slices.SortedFunc(maps.Keys(candidates), func(a, b Fingerprint) int {
+		return cmp.Or(cmp.Compare(len(candidates[b]), len(candidates[a])), cmp.Compare(a, b))
 	})
-	disputed := map[*end]bool{}
-	for _, request := range byEnds {
-		own := open[request]
+	disputed := map[*replicaCrash]bool{}
+	for _, request := range byCrashes {
+		own := candidates[request]
 		switch {
-		case slices.ContainsFunc(own, func(e *end) bool { return disputed[e] }):
-		case hasRival(request, open, at):
-			for _, e := range own {
-				disputed[e] = true
+		case slices.ContainsFunc(own, func(c *replicaCrash) bool { return disputed[c] }):
+		case hasRival(request, candidates, requestsAt):
+			for _, c := range own {
+				disputed[c] = true
 			}
-		case !byChance(own, ends):
+		case !maybeCoincidence(own, crashes):
 			return request, true
 		}
 	}
 	return 0, false
 }
 
-// byChance reports whether, in the time before the last of a request's own ends, there
-// were others, explained or not: where replicas end for another reason, some request may
-// have been at four of them, and be taken for their explanation.
-func byChance(own, ends []*end) bool {
+// maybeCoincidence reports whether other crashes, explained or not, happened within
+// coincidenceWindow before the last of a request's own crashes. If replicas end for another
+// reason, some request may have been at four of them and appear to explain them.
+func maybeCoincidence(own, crashes []*replicaCrash) bool {
 	last := own[0].at
-	for _, e := range own {
-		last = clock.Latest(last, e.at)
+	for _, c := range own {
+		last = clock.Latest(last, c.at)
 	}
-	return slices.ContainsFunc(ends, func(e *end) bool {
-		age := last.Since(e.at)
-		return age >= 0 && age < chanceSpan && !slices.Contains(own, e)
+	return slices.ContainsFunc(crashes, func(c *replicaCrash) bool {
+		age := last.Since(c.at)
+		return age >= 0 && age < coincidenceWindow && !slices.Contains(own, c)
 	})
 }
 
-// hasRival reports whether another request has as many ends, some of them the same. at
-// are the requests of each end.
-func hasRival(request Fingerprint, open map[Fingerprint][]*end, at map[*end][]Fingerprint) bool {
-	return slices.ContainsFunc(open[request], func(e *end) bool {
-		return slices.ContainsFunc(at[e], func(other Fingerprint) bool {
-			return other != request && len(open[other]) == len(open[request])
+// hasRival reports whether another request has as many crashes, some of them the same.
+// requestsAt maps each crash to its requests.
+func hasRival(request Fingerprint, candidates map[Fingerprint][]*replicaCrash, requestsAt map[*replicaCrash][]Fingerprint) bool {
+	return slices.ContainsFunc(candidates[request], func(c *replicaCrash) bool {
+		return slices.ContainsFunc(requestsAt[c], func(other Fingerprint) bool {
+			return other != request && len(candidates[other]) == len(candidates[request])
 		})
 	})
 }
 
-func replicas(ends []*end) []pool.Incarnation {
+// replicasOf returns the replicas of the crashes.
+func replicasOf(crashes []*replicaCrash) []pool.Incarnation {
 	var out []pool.Incarnation
-	for _, e := range ends {
-		out = append(out, e.replica)
+	for _, c := range crashes {
+		out = append(out, c.replica)
 	}
 	return out
 }
--- a/core/crash/crash_test.go
+++ b/core/crash/crash_test.go
@@ -12,42 +12,44 @@
 	"github.com/birchdrift/birchdrift/core/pool"
 )
 
-// start is when the first replica ends in these tests; each further one ends 10 s later.
+// start is when the first replica ends in these tests; each further one ends crashInterval
+// later.
 var start = clocktest.At(time.Hour)
 
-const apart = 10 * time.Second
+const crashInterval = 10 * time.Second
 
-// life is a life of a replica.
-func life(name, born string) pool.Incarnation { return pool.Incarnation{Name: name, Born: born} }
+// incarnation returns an incarnation of a replica.
+func incarnation(name, born string) pool.Incarnation { return pool.Incarnation{Name: name, Born: born} }
 
-// again are reports like ended's, of so many replicas in turn that start again under their
-// names.
-func again(replicas int, requests ...[]Fingerprint) []Report {
-	reports := ended(requests...)
+// restartReports returns reports like crashReports, of a number of replicas that take turns and
+// restart under their names.
+func restartReports(replicas int, requests ...[]Fingerprint) []Report {
+	reports := crashReports(requests...)
 	for n := range reports {
-		reports[n].Replica = life(string(rune('a'+n%replicas)), string(rune('0'+n)))
+		reports[n].Replica = incarnation(string(rune('a'+n%replicas)), string(rune('0'+n)))
 	}
 	return reports
 }
 
-// ended are the reports of one replica after the other, with what was in flight.
-func ended(requests ...[]Fingerprint) []Report {
+// crashReports returns the reports of one crash after the other, with the requests in flight.
+func crashReports(requests ...[]Fingerprint) []Report {
 	var reports []Report
 	for n, inFlight := range requests {
 		reports = append(reports, Report{
-			Observer: "i", Seq: uint64(n + 1), Replica: life(string(rune('a'+n)), ""), Requests: inFlight, EventTime: clock.EventTime{At: start.Add(time.Duration(n) * apart)},
+			Observer: "i", Seq: uint64(n + 1), Replica: incarnation(string(rune('a'+n)), ""), Requests: inFlight, EventTime: clock.EventTime{At: start.Add(time.Duration(n) * crashInterval)},
 		})
 	}
 	return reports
 }
 
-// others are reports of replicas that ended for another reason until so long after start.
-func others(until time.Duration, n int) []Report {
+// unrelatedReports returns n reports of replicas that ended for another reason, one second
+// apart, the last of them at start plus last.
+func unrelatedReports(last time.Duration, n int) []Report {
 	var reports []Report
 	for i := range n {
 		reports = append(reports, Report{
-			Observer: "i", Seq: uint64(100 + i), Replica: life("other"+string(rune('a'+i)), ""), Requests: []Fingerprint{Fingerprint(100 + i)},
-			EventTime: clock.EventTime{At: start.Add(until - time.Duration(i)*time.Second)},
+			Observer: "i", Seq: uint64(100 + i), Replica: incarnation("other"+string(rune('a'+i)), ""), Requests: []Fingerprint{Fingerprint(100 + i)},
+			EventTime: clock.EventTime{At: start.Add(last - time.Duration(i)*time.Second)},
 		})
 	}
 	return reports
@@ -61,19 +63,19 @@
 		return MaxCrashes
 	}
 	var out []Fingerprint
-	for _, c := range Blame(reports, func(r Fingerprint) clock.Instant { return served[r] }, limit, start.Add(time.Hour)) {
-		out = append(out, c.Request)
+	for _, a := range Blame(reports, func(r Fingerprint) clock.Instant { return served[r] }, limit, start.Add(time.Hour)) {
+		out = append(out, a.Request)
 	}
 	slices.Sort(out)
 	return out
 }
 
-// TestBlame tables which requests the ends of replicas are put down to. 1 and 2 are
-// requests that end replicas, the others harm nobody.
+// TestBlame checks which requests are blamed for crashes. Requests 1 and 2 crash replicas, the
+// others are harmless.
 func TestBlame(t *testing.T) {
-	type in = []Fingerprint
-	repeat := func(n int, requests ...Fingerprint) []in {
-		return slices.Repeat([]in{requests}, n)
+	type inFlight = []Fingerprint
+	repeat := func(n int, requests ...Fingerprint) []inFlight {
+		return slices.Repeat([]inFlight{requests}, n)
 	}
 	cases := []struct {
 		name    string
@@ -82,37 +84,37 @@
 		limits  map[Fingerprint]int
 		want    []Fingerprint
 	}{
-		{"two replicas are too few", ended(repeat(2, 1)...), nil, nil, nil},
-		{"three replicas", ended(in{1, 8}, in{1, 9}, in{1, 7}), nil, nil, []Fingerprint{1}},
-		{"beside another at two of them", ended(in{1, 9}, in{1, 9}, in{1}), nil, nil, []Fingerprint{1}},
-		{"beside another at all of them", ended(repeat(3, 1, 9)...), nil, nil, nil},
-		{"a fourth tells them apart", ended(in{1, 9}, in{1, 9}, in{1, 9}, in{1}), nil, nil, []Fingerprint{1}},
-		{"as many, some the same", ended(in{1}, in{1, 9}, in{1, 9}, in{9}), nil, nil, nil},
-		{"together for so long that it is no chance", ended(repeat(4, 1, 2)...), nil, nil, []Fingerprint{1, 2}},
-		{"two, one after the other", ended(in{1, 9}, in{1}, in{1, 8}, in{2, 9}, in{2}, in{2, 8}), nil, nil, []Fingerprint{1, 2}},
-		{"among many that end for another reason", append(ended(in{1}, in{1}, in{1}), others(2*apart, 4)...), nil, nil, nil},
-		{"a fourth among many", append(ended(in{1}, in{1}, in{1}, in{1}), others(3*apart, 4)...), nil, nil, []Fingerprint{1}},
-		{"beside one that ended for another reason", append(ended(in{1}, in{1}, in{1}), others(2*apart, 1)...), nil, nil, nil},
-		{"long after others that ended", append(ended(in{1}, in{1}, in{1}), others(0, 4)...), nil, nil, []Fingerprint{1}},
-		{"its ends are another's", ended(in{1, 9}, in{1, 9}, in{1, 9}, in{1}, in{1}), nil, nil, []Fingerprint{1}},
-		{"served since", ended(repeat(3, 1)...), map[Fingerprint]clock.Instant{1: start.Add(2 * apart).Add(1)}, nil, nil},
-		{"served in between", ended(repeat(4, 1)...), map[Fingerprint]clock.Instant{1: start.Add(1)}, nil, []Fingerprint{1}},
-		{"blamed before", ended(in{1}), nil, map[Fingerprint]int{1: 1}, []Fingerprint{1}},
-		{"requests that are not known", ended(repeat(4, 0)...), nil, nil, nil},
-		{"one end in two reports", append(ended(repeat(2, 1)...), Report{
-			Observer: "j", Replica: life("b", ""), Requests: in{1}, EventTime: clock.EventTime{At: start.Add(apart).Add(time.Second)},
+		{"two replicas are too few", crashReports(repeat(2, 1)...), nil, nil, nil},
+		{"three replicas", crashReports(inFlight{1, 8}, inFlight{1, 9}, inFlight{1, 7}), nil, nil, []Fingerprint{1}},
+		{"another request at two of them", crashReports(inFlight{1, 9}, inFlight{1, 9}, inFlight{1}), nil, nil, []Fingerprint{1}},
+		{"another request at all of them", crashReports(repeat(3, 1, 9)...), nil, nil, nil},
+		{"a fourth crash tells the requests apart", crashReports(inFlight{1, 9}, inFlight{1, 9}, inFlight{1, 9}, inFlight{1}), nil, nil, []Fingerprint{1}},
+		{"two requests with as many crashes, some the same", crashReports(inFlight{1}, inFlight{1, 9}, inFlight{1, 9}, inFlight{9}), nil, nil, nil},
+		{"two requests together too often for a coincidence", crashReports(repeat(4, 1, 2)...), nil, nil, []Fingerprint{1, 2}},
+		{"two requests, one after the other", crashReports(inFlight{1, 9}, inFlight{1}, inFlight{1, 8}, inFlight{2, 9}, inFlight{2}, inFlight{2, 8}), nil, nil, []Fingerprint{1, 2}},
+		{"among many unrelated crashes", append(crashReports(inFlight{1}, inFlight{1}, inFlight{1}), unrelatedReports(2*crashInterval, 4)...), nil, nil, nil},
+		{"a fourth crash among many unrelated ones", append(crashReports(inFlight{1}, inFlight{1}, inFlight{1}, inFlight{1}), unrelatedReports(3*crashInterval, 4)...), nil, nil, []Fingerprint{1}},
+		{"with one unrelated crash", append(crashReports(inFlight{1}, inFlight{1}, inFlight{1}), unrelatedReports(2*crashInterval, 1)...), nil, nil, nil},
+		{"long after unrelated crashes", append(crashReports(inFlight{1}, inFlight{1}, inFlight{1}), unrelatedReports(0, 4)...), nil, nil, []Fingerprint{1}},
+		{"its crashes are explained by another request", crashReports(inFlight{1, 9}, inFlight{1, 9}, inFlight{1, 9}, inFlight{1}, inFlight{1}), nil, nil, []Fingerprint{1}},
+		{"succeeded since", crashReports(repeat(3, 1)...), map[Fingerprint]clock.Instant{1: start.Add(2 * crashInterval).Add(1)}, nil, nil},
+		{"succeeded in between", crashReports(repeat(4, 1)...), map[Fingerprint]clock.Instant{1: start.Add(1)}, nil, []Fingerprint{1}},
+		{"blamed before", crashReports(inFlight{1}), nil, map[Fingerprint]int{1: 1}, []Fingerprint{1}},
+		{"requests without a fingerprint", crashReports(repeat(4, 0)...), nil, nil, nil},
+		{"one crash in two reports", append(crashReports(repeat(2, 1)...), Report{
+			Observer: "j", Replica: incarnation("b", ""), Requests: inFlight{1}, EventTime: clock.EventTime{At: start.Add(crashInterval).Add(time.Second)},
 		}), nil, nil, nil},
-		{"one end in two reports, of which one comes from an instance that stood still", append(ended(repeat(2, 1)...), Report{
-			Observer: "j", Replica: life("b", ""), Requests: in{1}, EventTime: clock.EventTime{At: start.Add(5 * apart)},
+		{"one crash in two reports, one of them from an instance that was paused", append(crashReports(repeat(2, 1)...), Report{
+			Observer: "j", Replica: incarnation("b", ""), Requests: inFlight{1}, EventTime: clock.EventTime{At: start.Add(5 * crashInterval)},
 		}), nil, nil, nil},
-		{"one replica that starts again and again", again(1, repeat(3, 1)...), nil, nil, []Fingerprint{1}},
-		{"two in turn that start again and again", again(2, repeat(6, 1)...), nil, nil, []Fingerprint{1}},
-		{"two in turn, beside another at all of them", again(2, repeat(3, 1, 9)...), nil, nil, nil},
-		{"one life in two reports", append(again(1, repeat(2, 1)...), Report{
-			Observer: "j", Replica: life("a", "1"), Requests: in{1}, EventTime: clock.EventTime{At: start.Add(5 * apart)},
+		{"one replica that restarts repeatedly", restartReports(1, repeat(3, 1)...), nil, nil, []Fingerprint{1}},
+		{"two replicas that restart in turn", restartReports(2, repeat(6, 1)...), nil, nil, []Fingerprint{1}},
+		{"two replicas that restart in turn, another request at all crashes", restartReports(2, repeat(3, 1, 9)...), nil, nil, nil},
+		{"one incarnation in two reports", append(restartReports(1, repeat(2, 1)...), Report{
+			Observer: "j", Replica: incarnation("a", "1"), Requests: inFlight{1}, EventTime: clock.EventTime{At: start.Add(5 * crashInterval)},
 		}), nil, nil, nil},
-		{"reports of others complete an end", append(ended(in{9}, in{1, 9}, in{1, 9}, in{1}), Report{
-			Observer: "j", Replica: life("a", ""), Requests: in{1}, EventTime: clock.EventTime{At: start},
+		{"another observer's report completes a crash", append(crashReports(inFlight{9}, inFlight{1, 9}, inFlight{1, 9}, inFlight{1}), Report{
+			Observer: "j", Replica: incarnation("a", ""), Requests: inFlight{1}, EventTime: clock.EventTime{At: start},
 		}), nil, nil, []Fingerprint{1}},
 	}
 	for _, c := range cases {
@@ -125,27 +127,28 @@
 	}
 }
 
-// TestReportsCountOnceTheyAreSettled: before that those of other instances may be
-// missing, and a request that was there by chance would be blamed.
-func TestReportsCountOnceTheyAreSettled(t *testing.T) {
+// TestUnsettledReportsAreIgnored checks that a report counts only once it has settled: before
+// that the reports of other instances may be missing, and a request that was there by
+// coincidence would be blamed.
+func TestUnsettledReportsAreIgnored(t *testing.T) {
 	is := is.New(t)
-	reports := ended(slices.Repeat([][]Fingerprint{{1}}, 3)...)
+	reports := crashReports(slices.Repeat([][]Fingerprint{{1}}, 3)...)
 	never := func(Fingerprint) clock.Instant { return clock.Instant{} }
 	limit := func(Fingerprint) int { return MaxCrashes }
 	third := reports[2].At
 	is.Equal(len(Blame(reports, never, limit, third.Add(-1))), 0)
-	is.Equal(Blame(reports, never, limit, third), []Attribution{{Request: 1, Replicas: []pool.Incarnation{life("a", ""), life("b", ""), life("c", "")}}})
+	is.Equal(Blame(reports, never, limit, third), []Attribution{{Request: 1, Replicas: []pool.Incarnation{incarnation("a", ""), incarnation("b", ""), incarnation("c", "")}}})
 }
 
-// TestAgesTravel: what a message says of the past is as old on arrival as it was when
-// it was sent, by the receiver's own clocks.
-func TestAgesTravel(t *testing.T) {
+// TestEventTimesKeepTheirAge checks that an event time in a message has the same age on arrival
+// as when it was sent, by the receiver's clocks.
+func TestEventTimesKeepTheirAge(t *testing.T) {
 	is := is.New(t)
 	sent := clock.EventTime{At: start}.ForWire(start.Add(7 * time.Second))
 	is.Equal(sent, clock.EventTime{Age: 7 * time.Second})
 	there := clocktest.At(time.Minute)
 	is.Equal(sent.FromWire(there), clock.EventTime{At: there.Add(-7 * time.Second)})
-	// A machine that slept since counts the sleep.
+	// The time for which the machine was suspended counts.
 	asleep := clock.Instant{Mono: start.Mono, Wall: start.Wall.Add(time.Minute)}
 	is.Equal(clock.EventTime{At: start}.ForWire(asleep).Age, time.Minute)
 }
--- a/core/demand/board_test.go
+++ b/core/demand/board_test.go
@@ -10,20 +10,19 @@
 	"github.com/birchdrift/birchdrift/core/clock/clocktest"
 )
 
-// TestSumsDoNotDependOnTheOrderOfReports: the same reports give the same sum to
-// the last digit, however often and in whatever order they came. They once were
-// added in the order of a map, so that two runs of one machine over the same
-// events logged different figures.
-func TestSumsDoNotDependOnTheOrderOfReports(t *testing.T) {
+// TestSumIsIndependentOfReportOrder checks that the same reports give exactly the same sum,
+// regardless of how often and in which order they arrive. Reports were once added in map order,
+// so that two runs of the state machine over the same events logged different figures.
+func TestSumIsIndependentOfReportOrder(t *testing.T) {
 	is := is.New(t)
 	now := clocktest.At(time.Hour)
 	sum := func(first int) Item {
-		b := NewTotals()
+		totals := NewTotals()
 		for i := range 16 {
 			n := (first + i) % 16
-			b.Report(now, fmt.Sprintf("i%02d", n), []Item{{Name: "m", Rate: 0.1 * float64(n+1), Concurrent: 1 / float64(n+1)}})
+			totals.Report(now, fmt.Sprintf("i%02d", n), []Item{{Name: "m", Rate: 0.1 * float64(n+1), Concurrent: 1 / float64(n+1)}})
 		}
-		return b.Sum(now)[0]
+		return totals.Sum(now)[0]
 	}
 	want := sum(0)
 	for i := range 200 {
--- a/core/demand/flow.go
+++ b/core/demand/flow.go
@@ -8,85 +8,86 @@
 	"github.com/birchdrift/birchdrift/core/clock"
 )
 
-// Spans of a Tracker. Work is followed quickly, so that a model that rises gets its
-// copies before calls queue; what was asked for counts longer, so that a model
-// which is asked for now and then keeps a place.
+// Averaging windows of a Tracker. The window for work is short, so that a model with rising
+// demand gets copies before calls queue. The window for calls is longer, so that a model
+// that is called occasionally stays loaded.
 const (
-	// workSpan is over which the engine time of calls is averaged.
-	workSpan = 2500 * time.Millisecond
-	// callSpan is over which calls are counted.
-	callSpan = 12 * time.Second
-	// lostSpan is over which calls are counted that found their model nowhere.
-	lostSpan = 2 * time.Second
+	// workWindow is the time constant of the average of the calls' engine time.
+	workWindow = 2500 * time.Millisecond
+	// callWindow is the time constant of the count of calls.
+	callWindow = 12 * time.Second
+	// missWindow is the time constant of the count of calls for which no engine had the model.
+	missWindow = 2 * time.Second
 )
 
-// A Tracker measures what forwarded calls ask of models: engine time, calls, and
-// calls that found the model nowhere.
-type Tracker struct{ models map[string]*flowModel }
+// A Tracker measures the demand of forwarded calls by model: engine time, calls, and misses,
+// which are calls for which no engine had the model.
+type Tracker struct{ models map[string]*modelDemand }
 
-type flowModel struct {
-	at     clock.Instant
-	work   float64 // decayed sums
-	slow   float64
-	calls  float64
-	absent float64
+type modelDemand struct {
+	at       clock.Instant
+	work     float64 // exponentially decayed sum over workWindow
+	longWork float64 // the same work over callWindow
+	calls    float64
+	misses   float64
 }
 
-// NewTracker returns a flow that has seen no call.
-func NewTracker() *Tracker { return &Tracker{models: map[string]*flowModel{}} }
+// NewTracker returns a tracker without calls.
+func NewTracker() *Tracker { return &Tracker{models: map[string]*modelDemand{}} }
 
-func (f *Tracker) model(now clock.Instant, name string) *flowModel {
-	m := f.models[name]
+// model returns the demand of a model, decayed to now.
+func (t *Tracker) model(now clock.Instant, name string) *modelDemand {
+	m := t.models[name]
 	if m == nil {
-		m = &flowModel{at: now}
-		f.models[name] = m
+		m = &modelDemand{at: now}
+		t.models[name] = m
 	}
 	m.decay(now)
 	return m
 }
 
-func (m *flowModel) decay(now clock.Instant) {
+func (m *modelDemand) decay(now clock.Instant) {
 	age := float64(now.Since(m.at))
 	if age <= 0 {
 		return
 	}
-	m.work *= math.Exp(-age / float64(workSpan))
-	m.slow *= math.Exp(-age / float64(callSpan))
-	m.calls *= math.Exp(-age / float64(callSpan))
-	m.absent *= math.Exp(-age / float64(lostSpan))
+	m.work *= math.Exp(-age / float64(workWindow))
+	m.longWork *= math.Exp(-age / float64(callWindow))
+	m.calls *= math.Exp(-age / float64(callWindow))
+	m.misses *= math.Exp(-age / float64(missWindow))
 	m.at = now
 }
 
-// RecordCall notes a call for a model and the engine time that it takes.
-func (f *Tracker) RecordCall(now clock.Instant, model string, work time.Duration) {
-	m := f.model(now, model)
+// RecordCall records a call for a model and the engine time that it takes.
+func (t *Tracker) RecordCall(now clock.Instant, model string, work time.Duration) {
+	m := t.model(now, model)
 	m.calls++
 	m.work += work.Seconds()
-	m.slow += work.Seconds()
+	m.longWork += work.Seconds()
 }
 
-// RecordMiss notes that a call found no engine with its model.
-func (f *Tracker) RecordMiss(now clock.Instant, model string) { f.model(now, model).absent++ }
+// RecordMiss records that no engine had the model of a call.
+func (t *Tracker) RecordMiss(now clock.Instant, model string) { t.model(now, model).misses++ }
 
-// slowShare is the part of the work over the longer span that counts even when
-// the shorter one has less.
-const slowShare = 0.4
+// longWindowShare is the fraction of the work rate over callWindow that is reported if the rate
+// over workWindow is lower.
+const longWindowShare = 0.4
 
-// Items returns what is asked for now, by name. Concurrent is the engine time a
+// Items returns the current demand ordered by model name. Concurrent is the engine time per
 // second.
-func (f *Tracker) Items(now clock.Instant) []Item {
+func (t *Tracker) Items(now clock.Instant) []Item {
 	var items []Item
-	for name, m := range f.models {
+	for name, m := range t.models {
 		m.decay(now)
 		if m.calls < 0.02 {
-			delete(f.models, name)
+			delete(t.models, name)
 			continue
 		}
 		items = append(items, Item{
 			Name:       name,
-			Rate:       m.calls / callSpan.Seconds(),
-			Concurrent: max(m.work/workSpan.Seconds(), slowShare*m.slow/callSpan.Seconds()),
-			Absent:     m.absent / lostSpan.Seconds(),
+			Rate:       m.calls / callWindow.Seconds(),
+			Concurrent: max(m.work/workWindow.Seconds(), longWindowShare*m.longWork/callWindow.Seconds()),
+			Absent:     m.misses / missWindow.Seconds(),
 		})
 	}
 	sort.Slice(items, func(i, j int) bool { return items[i].Name < items[j].Name })
--- a/core/notice/notice.go
+++ b/core/notice/notice.go
@@ -1,12 +1,12 @@
-// Package notice takes in what replicas say of themselves in the heads of their answers:
-// that they leave, for how long they want nothing from this instance, and how many requests
-// a second they take from all instances together. It does not matter what an answer is to: a
-// call, an order or a question for a report.
+// Package notice handles what replicas report about themselves in the headers of their
+// responses: that they are leaving, a rest during which this instance shall send them no calls,
+// and a limit of the requests per second that they accept from all instances together. Any
+// response may have a notice: that to a call, to an order or to a query for a report.
 //
-// Such a word stands later than what the platform's list says, since it is the replica's
-// own, and the list lags or cannot be written. That a replica leaves, and its limit, are told
-// to all instances, and hold for that life of it; a rest is between the replica and this
-// instance alone.
+// A notice takes precedence over the platform's list, since it comes from the replica itself,
+// and the list may lag or not be writable. That a replica is leaving, and its limit, are sent
+// to all instances and apply to that incarnation. A rest binds only the instance that it was
+// requested from.
 package notice
 
 import (
@@ -22,181 +22,181 @@
 )
 
 const (
-	// spreadShare is the part of a rest over which instances come back to a replica that
-	// asked them for it at the same time: 370 of them, one call each, within 0.6 s of a
-	// rest of 3 s.
+	// spreadShare is the fraction of a rest over which instances return to a replica that
+	// requested the same rest from all of them: 370 instances, with one call each, return
+	// within 0.6 s after a rest of 3 s.
 	spreadShare = 0.2
-	// longestSpread bounds that time: no instance is late by more.
-	longestSpread = time.Second
-	// memory is for how long it is known that a life of a replica leaves: longer than any
-	// takes to leave, and than an entry can be gone and come back.
-	memory = 10 * time.Minute
-	// pruneEvery spaces the looks for what is too old.
+	// maxSpread bounds that time: no instance returns later than this.
+	maxSpread = time.Second
+	// retention is how long a leaving incarnation is remembered: longer than any replica takes
+	// to leave, and than an entry can be missing and come back.
+	retention = 10 * time.Minute
+	// pruneEvery is the interval at which old records are removed.
 	pruneEvery = 10 * time.Second
 )
 
-// Received is the event that a replica said something of itself in an answer.
+// Received is the event that a replica sent a notice in a response.
 type Received struct {
 	Replica string
-	Sent    clock.Instant // when it was sent what it answers
+	Sent    clock.Instant // when the request was sent
 	Notice  pool.Notice
 }
 
 // IsEvent implements step.Event.
 func (Received) IsEvent() {}
 
-// Deps are what Notices need of the other modules. The functions must be set before the
-// first event.
+// Deps are what a Tracker needs from other modules. The functions must be set before the first
+// event.
 type Deps struct {
 	shared.State
-	// TellSoon is called when there is news that peers are to be told of.
+	// TellSoon is called when there are new records for peers.
 	TellSoon func(now clock.Instant)
 }
 
-// Tracker take in what replicas say of themselves.
+// A Tracker handles the notices of replicas.
 type Tracker struct {
 	Deps
 	pruneDue clock.Instant
 }
 
-// New returns notices of which none was heard.
-func New(n Deps) *Tracker { return &Tracker{Deps: n} }
+// New returns a tracker without notices.
+func New(deps Deps) *Tracker { return &Tracker{Deps: deps} }
 
-// HandleNotice takes in what a replica said of itself.
-func (n *Tracker) HandleNotice(now clock.Instant, e Received) {
-	said := e.Notice
-	said.Rest += n.spread(e.Replica, said.Rest)
-	n.heardLimit(now, e)
-	news := n.Pool.ObserveNotice(now, e.Replica, e.Sent, said)
-	if news.IsZero() {
+// HandleNotice handles a notice from a replica's response.
+func (t *Tracker) HandleNotice(now clock.Instant, e Received) {
+	notice := e.Notice
+	notice.Rest += t.restSpread(e.Replica, notice.Rest)
+	t.observeLimit(now, e)
+	changed := t.Pool.ObserveNotice(now, e.Replica, e.Sent, notice)
+	if changed.IsZero() {
 		return
 	}
-	n.Out.Log(logevent.UpstreamNotice, "upstream", e.Replica, "leaving", news.Leaving, "rest_ms", news.Rest.Milliseconds())
-	if r := n.Pool.Get(e.Replica); news.Rest > 0 {
+	t.Out.Log(logevent.UpstreamNotice, "upstream", e.Replica, "leaving", changed.Leaving, "rest_ms", changed.Rest.Milliseconds())
+	if r := t.Pool.Get(e.Replica); changed.Rest > 0 {
 		rest := gossip.Rest{Incarnation: r.Incarnation(), Until: now.Add(e.Notice.Rest)}
-		if n.Records.AddRest("", rest) {
-			n.TellSoon(now)
+		if t.Records.AddRest("", rest) {
+			t.TellSoon(now)
 		}
 	}
-	if news.Leaving {
-		n.Out.Log(logevent.UpstreamLeaving, "upstream", e.Replica, "source", "itself")
-		n.Records.AddLeaving("", gossip.Leaving{Incarnation: n.Pool.Get(e.Replica).Incarnation(), At: now})
-		n.TellSoon(now)
+	if changed.Leaving {
+		t.Out.Log(logevent.UpstreamLeaving, "upstream", e.Replica, "source", "itself")
+		t.Records.AddLeaving("", gossip.Leaving{Incarnation: t.Pool.Get(e.Replica).Incarnation(), At: now})
+		t.TellSoon(now)
 	}
 }
 
-// heardLimit takes in what a replica said of its limit, or that it named none. It is told to
-// the others, so that they know before they send there.
-func (n *Tracker) heardLimit(now clock.Instant, e Received) {
-	r := n.Pool.Get(e.Replica)
+// observeLimit handles a replica's limit, or that its response had none. The limit is sent to
+// the other instances, so that they know it before they send requests.
+func (t *Tracker) observeLimit(now clock.Instant, e Received) {
+	r := t.Pool.Get(e.Replica)
 	if r == nil {
 		return
 	}
-	former := r.LimitReport()
-	if !n.Pool.ObserveLimit(now, e.Replica, e.Sent, e.Notice.Limit, n.Self.Name) {
+	old := r.LimitReport()
+	if !t.Pool.ObserveLimit(now, e.Replica, e.Sent, e.Notice.Limit, t.Self.Name) {
 		return
 	}
-	n.logLimit(now, r, former)
-	if n.Records.AddLimit("", r.Incarnation(), r.LimitReport()) {
-		n.TellSoon(now)
+	t.logLimit(now, r, old)
+	if t.Records.AddLimit("", r.Incarnation(), r.LimitReport()) {
+		t.TellSoon(now)
 	}
 }
 
-// logLimit logs what is known of a replica's limit, if it is another one than before.
-func (n *Tracker) logLimit(now clock.Instant, r *pool.Replica, former pool.LimitReport) {
-	w := r.LimitReport()
-	if w.Limit == former.Limit {
+// logLimit logs a replica's limit if it changed.
+func (t *Tracker) logLimit(now clock.Instant, r *pool.Replica, old pool.LimitReport) {
+	report := r.LimitReport()
+	if report.Limit == old.Limit {
 		return
 	}
-	n.Out.Log(logevent.UpstreamLimit, "upstream", r.Name, "named", w.Limit.Named, "per_s", w.Limit.PerSecond,
-		"by", w.By, "ago_ms", now.Since(w.At).Milliseconds())
+	t.Out.Log(logevent.UpstreamLimit, "upstream", r.Name, "named", report.Limit.Named, "per_s", report.Limit.PerSecond,
+		"by", report.By, "ago_ms", now.Since(report.At).Milliseconds())
 }
 
-// HandlePeerLimits takes in what a peer was told of the limits of replicas.
-func (n *Tracker) HandlePeerLimits(now clock.Instant, from string, limits []gossip.Limit) {
+// HandlePeerLimits handles the limit reports from a peer.
+func (t *Tracker) HandlePeerLimits(now clock.Instant, from string, limits []gossip.Limit) {
 	for _, l := range limits {
 		l.EventTime = l.FromWire(now)
-		n.HandlePeerLimit(now, from, l.Incarnation, l.LimitReport)
+		t.HandlePeerLimit(now, from, l.Incarnation, l.LimitReport)
 	}
 }
 
-// HandlePeerLimit takes in what a peer was told of the limit of a life of a replica.
-func (n *Tracker) HandlePeerLimit(now clock.Instant, from string, life pool.Incarnation, w pool.LimitReport) {
-	r := n.Pool.Get(life.Name)
-	if r != nil && r.MayBeIncarnation(life.Born) {
-		former := r.LimitReport()
-		if !n.Pool.ObservePeerLimit(life, w) {
-			return // this instance heard of it later
+// HandlePeerLimit handles the limit report of an incarnation from a peer.
+func (t *Tracker) HandlePeerLimit(now clock.Instant, from string, incarnation pool.Incarnation, report pool.LimitReport) {
+	r := t.Pool.Get(incarnation.Name)
+	if r != nil && r.MayBeIncarnation(incarnation.Born) {
+		old := r.LimitReport()
+		if !t.Pool.ObservePeerLimit(incarnation, report) {
+			return // this instance has a newer report
 		}
-		n.logLimit(now, r, former)
+		t.logLimit(now, r, old)
 	}
-	if n.Records.AddLimit(from, life, w) {
-		n.TellSoon(now)
+	if t.Records.AddLimit(from, incarnation, report) {
+		t.TellSoon(now)
 	}
 }
 
-// HandlePeerRests takes in which replicas turned others away.
-func (n *Tracker) HandlePeerRests(now clock.Instant, from string, rests []gossip.Rest) {
+// HandlePeerRests handles the rests that replicas requested from other instances.
+func (t *Tracker) HandlePeerRests(now clock.Instant, from string, rests []gossip.Rest) {
 	for _, x := range rests {
 		x.Until = now.Add(x.Left)
-		if n.Records.AddRest(from, x) {
-			n.Pool.ObservePeerRest(x.Incarnation, x.Until)
-			n.TellSoon(now)
+		if t.Records.AddRest(from, x) {
+			t.Pool.ObservePeerRest(x.Incarnation, x.Until)
+			t.TellSoon(now)
 		}
 	}
 }
 
-// spread returns how much longer than it was asked for this instance's rest is, so that
-// all instances do not come back at once: each has its own place in that time.
-func (n *Tracker) spread(replica string, rest time.Duration) time.Duration {
-	place := float64(rendezvous.Score(rendezvous.Key(replica), n.Self.Name)) / math.MaxUint64
-	return time.Duration(place * min(spreadShare*float64(rest), float64(longestSpread)))
+// restSpread returns how much longer than requested this instance's rest is, so that the
+// instances do not all return at once: a hash gives each its own position in that time.
+func (t *Tracker) restSpread(replica string, rest time.Duration) time.Duration {
+	position := float64(rendezvous.Score(rendezvous.Key(replica), t.Self.Name)) / math.MaxUint64
+	return time.Duration(position * min(spreadShare*float64(rest), float64(maxSpread)))
 }
 
-// HandlePeerLeaving takes in that a peer was told of replicas that leave.
-func (n *Tracker) HandlePeerLeaving(now clock.Instant, from string, leaving []gossip.Leaving) {
+// HandlePeerLeaving handles the leaving replicas reported by a peer.
+func (t *Tracker) HandlePeerLeaving(now clock.Instant, from string, leaving []gossip.Leaving) {
 	for _, l := range leaving {
 		l.At = now
-		if !n.Records.AddLeaving(from, l) {
+		if !t.Records.AddLeaving(from, l) {
 			continue
 		}
-		n.TellSoon(now)
-		r := n.Pool.Get(l.Name)
-		if r != nil && r.Incarnation() == l.Incarnation && n.Pool.ObservePeerLeaving(l.Name) {
-			n.Out.Log(logevent.UpstreamLeaving, "upstream", l.Name, "source", "a peer", "told", from)
+		t.TellSoon(now)
+		r := t.Pool.Get(l.Name)
+		if r != nil && r.Incarnation() == l.Incarnation && t.Pool.ObservePeerLeaving(l.Name) {
+			t.Out.Log(logevent.UpstreamLeaving, "upstream", l.Name, "source", "a peer", "told", from)
 		}
 	}
 }
 
-// HandleAnnounced has what is known of this life of a replica that was announced hold for it. That an
-// entry says that it leaves is told to all instances, as its own word is: the store may lose that
-// entry, and instances that start then would take the replica for ready.
-func (n *Tracker) HandleAnnounced(now clock.Instant, name string) {
-	r := n.Pool.Get(name)
+// HandleAnnounced applies the known records about an announced incarnation to it. If its entry
+// shows it as leaving, that is sent to all instances, like its own notice: the store may lose
+// the entry, and instances that start afterwards would consider the replica ready.
+func (t *Tracker) HandleAnnounced(now clock.Instant, name string) {
+	r := t.Pool.Get(name)
 	if r == nil {
 		return
 	}
-	if n.Records.IsLeaving(r.Incarnation()) && n.Pool.ObservePeerLeaving(name) {
-		n.Out.Log(logevent.UpstreamLeaving, "upstream", name, "source", "a peer")
+	if t.Records.IsLeaving(r.Incarnation()) && t.Pool.ObservePeerLeaving(name) {
+		t.Out.Log(logevent.UpstreamLeaving, "upstream", name, "source", "a peer")
 	}
-	if r.AnnouncedLeaving() && n.Records.AddLeaving("", gossip.Leaving{Incarnation: r.Incarnation(), At: now}) {
-		n.TellSoon(now)
+	if r.AnnouncedLeaving() && t.Records.AddLeaving("", gossip.Leaving{Incarnation: r.Incarnation(), At: now}) {
+		t.TellSoon(now)
 	}
-	if w, ok := n.Records.Limit(r.Incarnation()); ok {
-		n.Pool.ObservePeerLimit(r.Incarnation(), w)
+	if report, ok := t.Records.Limit(r.Incarnation()); ok {
+		t.Pool.ObservePeerLimit(r.Incarnation(), report)
 	}
 }
 
-// Tick forgets what is too old.
-func (n *Tracker) Tick(now clock.Instant) {
-	if now.Before(n.pruneDue) {
+// Tick removes old records.
+func (t *Tracker) Tick(now clock.Instant) {
+	if now.Before(t.pruneDue) {
 		return
 	}
-	n.pruneDue = now.Add(pruneEvery)
-	n.Records.PruneLeaving(now, memory)
-	n.Records.PruneRests(now)
-	n.Records.PruneLimits(now, memory, func(life pool.Incarnation) bool {
-		r := n.Pool.Get(life.Name)
-		return r != nil && r.Incarnation() == life
+	t.pruneDue = now.Add(pruneEvery)
+	t.Records.PruneLeaving(now, retention)
+	t.Records.PruneRests(now)
+	t.Records.PruneLimits(now, retention, func(incarnation pool.Incarnation) bool {
+		r := t.Pool.Get(incarnation.Name)
+		return r != nil && r.Incarnation() == incarnation
 	})
 }
--- a/core/notice/notice_test.go
+++ b/core/notice/notice_test.go
@@ -18,47 +18,48 @@
 
 var start = clocktest.At(time.Hour)
 
-// testNotices returns the notices of an instance that knows one replica, and how often
-// peers were to be told.
-func testNotices(name string) (n *Tracker, told *int) {
-	told = new(int)
-	n = New(Deps{State: shared.New(member.Identity{Name: name, Zone: "z"}, option.Default(), 1), TellSoon: func(clock.Instant) { *told++ }})
+// newTestTracker returns the tracker of an instance that knows one replica, and the number of
+// times that it requested an exchange with peers.
+func newTestTracker(name string) (n *Tracker, shares *int) {
+	shares = new(int)
+	n = New(Deps{State: shared.New(member.Identity{Name: name, Zone: "z"}, option.Default(), 1), TellSoon: func(clock.Instant) { *shares++ }})
 	n.Pool.Announce(start, "r", pool.Announcement{Service: "s", Address: "r", Zone: "z", Slots: 4, Born: "1"})
-	return n, told
+	return n, shares
 }
 
-// TestLeavingIsToldOnce: that a replica leaves, and that it turned this instance away, are
-// told to peers once each, with the life that they hold for.
-func TestLeavingIsToldOnce(t *testing.T) {
+// TestNoticesAreSharedOnce checks that a replica's leaving, and a rest that it requested, are
+// sent to peers once each, with the incarnation that they apply to.
+func TestNoticesAreSharedOnce(t *testing.T) {
 	is := is.New(t)
-	n, told := testNotices("i")
-	heard := Received{Replica: "r", Sent: start, Notice: pool.Notice{Leaving: true}}
-	rests := Received{Replica: "r", Sent: start, Notice: pool.Notice{Rest: time.Second}}
-	n.HandleNotice(start, rests)
-	n.HandleNotice(start, rests)
-	is.Equal(*told, 1)
-	n.HandleNotice(start, heard)
-	n.HandleNotice(start, heard)
-	is.Equal(*told, 2)
+	n, shares := newTestTracker("i")
+	leaving := Received{Replica: "r", Sent: start, Notice: pool.Notice{Leaving: true}}
+	resting := Received{Replica: "r", Sent: start, Notice: pool.Notice{Rest: time.Second}}
+	n.HandleNotice(start, resting)
+	n.HandleNotice(start, resting)
+	is.Equal(*shares, 1)
+	n.HandleNotice(start, leaving)
+	n.HandleNotice(start, leaving)
+	is.Equal(*shares, 2)
 	rest := n.Records.Delta(start.Add(400*time.Millisecond), 0, "peer", false, 0).Rests
 	is.Equal(rest, []gossip.Rest{{Incarnation: pool.Incarnation{Name: "r", Born: "1"}, Left: 600 * time.Millisecond}})
-	news := n.Records.Since(0, "peer", false, 0).Leaving
-	is.Equal(len(news), 1)
-	is.Equal(news[0].Incarnation, pool.Incarnation{Name: "r", Born: "1"})
+	records := n.Records.Since(0, "peer", false, 0).Leaving
+	is.Equal(len(records), 1)
+	is.Equal(records[0].Incarnation, pool.Incarnation{Name: "r", Born: "1"})
 }
 
-// TestPeersSayWhoLeaves: what a peer was told counts for the life that it was told of,
-// also where that is announced here later, and after the replica was forgotten.
-func TestPeersSayWhoLeaves(t *testing.T) {
+// TestPeerLeavingAppliesToIncarnation checks that a peer's report of a leaving replica applies
+// only to the reported incarnation, including when that is announced here later and after the
+// replica was removed from the pool.
+func TestPeerLeavingAppliesToIncarnation(t *testing.T) {
 	is := is.New(t)
-	n, told := testNotices("i")
+	n, shares := newTestTracker("i")
 	leaving := func(born string) []gossip.Leaving {
 		return []gossip.Leaving{{Incarnation: pool.Incarnation{Name: "r", Born: born}}}
 	}
 	n.HandlePeerLeaving(start, "peer", leaving("0"))
 	n.HandlePeerLeaving(start, "peer", leaving("2"))
 	is.True(!n.Pool.Get("r").Leaving())
-	is.Equal(*told, 2) // others may know that life
+	is.Equal(*shares, 2) // others may know that incarnation
 	n.Pool.Announce(start, "r", pool.Announcement{Service: "s", Address: "r", Zone: "z", Born: "2"})
 	n.HandleAnnounced(start, "r")
 	is.True(n.Pool.Get("r").Leaving())
@@ -68,73 +69,73 @@
 	n.HandlePeerLeaving(start, "peer", leaving("3"))
 	is.True(n.Pool.Get("r").Leaving())
 	n.HandlePeerLeaving(start, "other", leaving("3"))
-	is.Equal(*told, 3)
-	n.Tick(start.Add(memory + time.Second))
+	is.Equal(*shares, 3)
+	n.Tick(start.Add(retention + time.Second))
 	is.True(!n.Records.IsLeaving(pool.Incarnation{Name: "r", Born: "3"}))
 }
 
-// TestInstancesComeBackInTurn: after rests that were asked for at once, instances come back
-// one after the other, none before its time, and all soon after it.
-func TestInstancesComeBackInTurn(t *testing.T) {
-	for _, tt := range []struct{ asked, window time.Duration }{
+// TestRestsAreSpread checks that instances return one after the other after rests that were
+// requested at the same time, none early, and all soon after the rest.
+func TestRestsAreSpread(t *testing.T) {
+	for _, tt := range []struct{ requested, window time.Duration }{
 		{3 * time.Second, 600 * time.Millisecond},
 		{time.Hour, time.Second},
 	} {
-		t.Run(tt.asked.String(), func(t *testing.T) {
+		t.Run(tt.requested.String(), func(t *testing.T) {
 			is := is.New(t)
 			const instances, parts = 370, 10
-			var in [parts]int
+			var counts [parts]int
 			for i := range instances {
-				n, _ := testNotices(fmt.Sprintf("i%d", i))
-				n.HandleNotice(start, Received{Replica: "r", Sent: start, Notice: pool.Notice{Rest: tt.asked}})
-				late := n.Pool.Get("r").RestLeft(start) - tt.asked
+				n, _ := newTestTracker(fmt.Sprintf("i%d", i))
+				n.HandleNotice(start, Received{Replica: "r", Sent: start, Notice: pool.Notice{Rest: tt.requested}})
+				late := n.Pool.Get("r").RestLeft(start) - tt.requested
 				is.True(late >= 0 && late < tt.window)
-				in[late*parts/tt.window]++
+				counts[late*parts/tt.window]++
 			}
-			for _, count := range in {
+			for _, count := range counts {
 				is.True(count <= 2*instances/parts)
 			}
 		})
 	}
 }
 
-// TestLimitsAreTold: what a replica says of its limit is told to peers once, again when it
-// says something else, and now and then so that they know how old it is.
-func TestLimitsAreTold(t *testing.T) {
+// TestLimitsAreShared checks that a replica's limit is sent to peers once, again when it
+// changes, and from time to time while it is unchanged, so that peers know its age.
+func TestLimitsAreShared(t *testing.T) {
 	is := is.New(t)
-	n, told := testNotices("i")
+	n, shares := newTestTracker("i")
 	now := start
-	heard := func(after time.Duration, limit pool.RateLimit) {
+	receive := func(after time.Duration, limit pool.RateLimit) {
 		now = now.Add(after)
 		n.HandleNotice(now, Received{Replica: "r", Sent: now, Notice: pool.Notice{Limit: limit}})
 	}
 	three := pool.RateLimit{Named: true, PerSecond: 3}
-	heard(0, pool.RateLimit{})
-	is.Equal(*told, 0)
-	heard(time.Second, three)
-	heard(time.Second, three)
-	is.Equal(*told, 1)
-	heard(2*time.Second, three)
-	is.Equal(*told, 2)
-	heard(time.Second, pool.RateLimit{})
-	is.Equal(*told, 3)
-	heard(time.Second, pool.RateLimit{})
-	is.Equal(*told, 3)
-	news := n.Records.Delta(now, 0, "peer", false, 0).Limits
-	is.Equal(len(news), 1)
-	is.Equal(news[0].Incarnation, pool.Incarnation{Name: "r", Born: "1"})
-	is.Equal(news[0].Age, time.Second)
-	is.Equal(news[0].Limit, pool.RateLimit{PerSecond: 3})
-	is.Equal(news[0].By, "i")
+	receive(0, pool.RateLimit{})
+	is.Equal(*shares, 0)
+	receive(time.Second, three)
+	receive(time.Second, three)
+	is.Equal(*shares, 1)
+	receive(2*time.Second, three)
+	is.Equal(*shares, 2)
+	receive(time.Second, pool.RateLimit{})
+	is.Equal(*shares, 3)
+	receive(time.Second, pool.RateLimit{})
+	is.Equal(*shares, 3)
+	records := n.Records.Delta(now, 0, "peer", false, 0).Limits
+	is.Equal(len(records), 1)
+	is.Equal(records[0].Incarnation, pool.Incarnation{Name: "r", Born: "1"})
+	is.Equal(records[0].Age, time.Second)
+	is.Equal(records[0].Limit, pool.RateLimit{PerSecond: 3})
+	is.Equal(records[0].By, "i")
 }
 
-// TestPeersSayWhatTheLimitIs: what a peer was told counts for the life that it was told of,
-// also where that is announced here later; an own answer that came later stands, and is not
-// told over.
-func TestPeersSayWhatTheLimitIs(t *testing.T) {
+// TestPeerLimitAppliesToIncarnation checks that a peer's limit report applies only to the
+// reported incarnation, including when that is announced here later, and that a newer own
+// report is kept and not sent again.
+func TestPeerLimitAppliesToIncarnation(t *testing.T) {
 	is := is.New(t)
-	n, told := testNotices("i")
-	word := func(born string, perSecond float64, ago time.Duration) []gossip.Limit {
+	n, shares := newTestTracker("i")
+	reports := func(born string, perSecond float64, ago time.Duration) []gossip.Limit {
 		return []gossip.Limit{{Incarnation: pool.Incarnation{Name: "r", Born: born}, LimitReport: pool.LimitReport{
 			Limit: pool.RateLimit{Named: true, PerSecond: perSecond}, By: "j", EventTime: clock.EventTime{Age: ago},
 		}}}
@@ -143,32 +144,33 @@
 		perSecond, _ := n.Pool.Get("r").RateLimit(start)
 		return perSecond
 	}
-	n.HandlePeerLimits(start, "peer", word("0", 9, 0))
+	n.HandlePeerLimits(start, "peer", reports("0", 9, 0))
 	is.Equal(rate(), 0.0)
-	n.HandlePeerLimits(start, "peer", word("1", 2, time.Second))
+	n.HandlePeerLimits(start, "peer", reports("1", 2, time.Second))
 	is.Equal(rate(), 2.0)
-	is.Equal(*told, 2)
+	is.Equal(*shares, 2)
 	n.HandleNotice(start, Received{Replica: "r", Sent: start, Notice: pool.Notice{Limit: pool.RateLimit{Named: true, PerSecond: 5}}})
 	is.Equal(rate(), 5.0)
-	n.HandlePeerLimits(start, "peer", word("1", 1, 500*time.Millisecond))
+	n.HandlePeerLimits(start, "peer", reports("1", 1, 500*time.Millisecond))
 	is.Equal(rate(), 5.0)
 	is.Equal(n.Records.Delta(start, 0, "other", false, 0).Limits[1].Limit.PerSecond, 5.0)
-	n.HandlePeerLimits(start, "peer", word("2", 7, 0))
+	n.HandlePeerLimits(start, "peer", reports("2", 7, 0))
 	n.Pool.Announce(start, "r", pool.Announcement{Service: "s", Address: "r", Zone: "z", Born: "2"})
 	n.HandleAnnounced(start, "r")
 	is.Equal(rate(), 7.0)
-	n.Tick(start.Add(memory + time.Second))
+	n.Tick(start.Add(retention + time.Second))
 	_, kept := n.Records.Limit(pool.Incarnation{Name: "r", Born: "2"})
-	is.True(kept) // it is there
+	is.True(kept) // it is still running
 	_, kept = n.Records.Limit(pool.Incarnation{Name: "r", Born: "1"})
 	is.True(!kept)
 }
 
-// TestRestsOfOthersAreNoRestHere: a replica that turned another instance away may be sent
-// calls, may turn them away as well, and shows by an answer that it does not.
-func TestRestsOfOthersAreNoRestHere(t *testing.T) {
+// TestPeerRestDoesNotBlockCalls checks that a replica that requested a rest from another
+// instance may still be sent calls, counts as one that may reject them, and no longer does
+// after an answer.
+func TestPeerRestDoesNotBlockCalls(t *testing.T) {
 	is := is.New(t)
-	n, told := testNotices("i")
+	n, shares := newTestTracker("i")
 	r := n.Pool.Get("r")
 	rests := func(born string, left time.Duration) []gossip.Rest {
 		return []gossip.Rest{{Incarnation: pool.Incarnation{Name: "r", Born: born}, Left: left}}
@@ -177,13 +179,13 @@
 	is.True(!r.RejectsPeers(start))
 	n.HandlePeerRests(start, "peer", rests("1", time.Second))
 	is.True(r.RejectsPeers(start) && r.MayReject(start) && !r.Resting(start))
-	n.HandlePeerRests(start, "other", rests("1", time.Second+restNoise))
-	is.Equal(*told, 2) // the same rest, by another way
+	n.HandlePeerRests(start, "other", rests("1", time.Second+ageError))
+	is.Equal(*shares, 2) // the same rest from another peer
 	is.True(!r.MayReject(start.Add(1100 * time.Millisecond)))
 	r.Start(start, 1)
 	n.Pool.AnswerBegan(start, r, 1)
 	is.True(!r.MayReject(start))
 }
 
-// restNoise is by how much spans differ that travelled.
-const restNoise = 50 * time.Millisecond
+// ageError is the error of an age that was received in a message.
+const ageError = 50 * time.Millisecond
--- a/core/pool/ratelimit_test.go
+++ b/core/pool/ratelimit_test.go
@@ -10,95 +10,97 @@
 	"github.com/birchdrift/birchdrift/core/clock/clocktest"
 )
 
-func named(perSecond float64) RateLimit { return RateLimit{Named: true, PerSecond: perSecond} }
+func namedLimit(perSecond float64) RateLimit { return RateLimit{Named: true, PerSecond: perSecond} }
 
-// TestWhichWordOnALimitHolds tables two answers of a replica that come one after the other,
-// the second at minute one: to a request that was sent before or after the first came.
-func TestWhichWordOnALimitHolds(t *testing.T) {
+// TestObserveLimitOrder checks which of two responses of a replica determines its limit. The
+// second arrives at minute one and answers a request sent before or after the first arrived.
+func TestObserveLimitOrder(t *testing.T) {
 	start := clocktest.At(time.Hour)
 	first, second := start.Add(50*time.Second), start.Add(time.Minute)
 	none := RateLimit{}
 	unclear := RateLimit{Unclear: true}
 	before, after := -time.Millisecond, time.Millisecond
 	cases := []struct {
-		name string
-		was  RateLimit
-		said RateLimit
-		sent time.Duration // after the first came
-		want RateLimit
-		news bool
+		name    string
+		known   RateLimit
+		limit   RateLimit
+		sent    time.Duration // after the first came
+		want    RateLimit
+		changed bool
 	}{
-		{"its first word", none, named(3), before, named(3), true},
-		{"the same again", named(3), named(3), after, named(3), true},
-		{"the same, overtaken", named(3), named(3), before, named(3), false},
-		{"less", named(3), named(1), after, named(1), true},
-		{"less, overtaken", named(3), named(1), before, named(1), true},
-		{"more", named(3), named(5), after, named(5), true},
-		{"more, overtaken", named(3), named(5), before, named(3), false},
-		{"none any more", named(3), none, after, RateLimit{PerSecond: 3}, true},
-		{"none, overtaken", named(3), none, before, named(3), false},
-		{"what makes no sense", named(3), unclear, after, named(3), false},
-		{"what makes no sense, of one that named none", none, unclear, after, none, false},
-		{"none, of one that named none", none, none, after, none, false},
-		{"none at all", named(3), named(0), before, named(0), true},
+		{"the first limit", none, namedLimit(3), before, namedLimit(3), true},
+		{"the same again", namedLimit(3), namedLimit(3), after, namedLimit(3), true},
+		{"the same, out of order", namedLimit(3), namedLimit(3), before, namedLimit(3), false},
+		{"less", namedLimit(3), namedLimit(1), after, namedLimit(1), true},
+		{"less, out of order", namedLimit(3), namedLimit(1), before, namedLimit(1), true},
+		{"more", namedLimit(3), namedLimit(5), after, namedLimit(5), true},
+		{"more, out of order", namedLimit(3), namedLimit(5), before, namedLimit(3), false},
+		{"limit lifted", namedLimit(3), none, after, RateLimit{PerSecond: 3}, true},
+		{"limit lifted, out of order", namedLimit(3), none, before, namedLimit(3), false},
+		{"not parseable", namedLimit(3), unclear, after, namedLimit(3), false},
+		{"not parseable, without a known limit", none, unclear, after, none, false},
+		{"none, without a known limit", none, none, after, none, false},
+		{"a limit of zero", namedLimit(3), namedLimit(0), before, namedLimit(0), true},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
 			p := New()
 			p.Announce(start, "r", Announcement{Service: "s", Address: "r"})
-			if c.was != none {
-				is.True(p.ObserveLimit(first, "r", first, c.was, "i"))
+			if c.known != none {
+				is.True(p.ObserveLimit(first, "r", first, c.known, "i"))
 			}
-			is.Equal(p.ObserveLimit(second, "r", first.Add(c.sent), c.said, "j"), c.news)
+			is.Equal(p.ObserveLimit(second, "r", first.Add(c.sent), c.limit, "j"), c.changed)
 			is.Equal(p.Get("r").LimitReport().Limit, c.want)
 		})
 	}
 }
 
-// TestALimitIsThatOfALife: another life names its own, at the same address or another; what
-// was sent to the life before says nothing.
-func TestALimitIsThatOfALife(t *testing.T) {
+// TestLimitBelongsToIncarnation checks that another incarnation has its own limit, at the same
+// address or another one, and that a response to a request to the previous incarnation is
+// ignored.
+func TestLimitBelongsToIncarnation(t *testing.T) {
 	is := is.New(t)
 	start := clocktest.At(time.Hour)
 	p := New()
 	p.Announce(start, "r", Announcement{Service: "s", Address: "r", Born: "1"})
-	is.True(p.ObserveLimit(start, "r", start, named(3), "i"))
+	is.True(p.ObserveLimit(start, "r", start, namedLimit(3), "i"))
 	later := start.Add(time.Second)
 	p.Announce(later, "r", Announcement{Service: "s", Address: "r", Born: "2"})
 	_, limited := p.Get("r").RateLimit(later)
 	is.True(!limited)
-	is.True(!p.ObserveLimit(later, "r", start, named(3), "i"))
-	is.True(!p.ObservePeerLimit(Incarnation{Name: "r", Born: "1"}, LimitReport{Limit: named(3), By: "j", EventTime: clock.EventTime{At: later}}))
-	is.True(p.ObservePeerLimit(Incarnation{Name: "r", Born: "2"}, LimitReport{Limit: named(4), By: "j", EventTime: clock.EventTime{At: later}}))
-	is.True(!p.ObserveLimit(later, "gone", later, named(3), "i"))
-	// A rest and its leaving are beside it.
+	is.True(!p.ObserveLimit(later, "r", start, namedLimit(3), "i"))
+	is.True(!p.ObservePeerLimit(Incarnation{Name: "r", Born: "1"}, LimitReport{Limit: namedLimit(3), By: "j", EventTime: clock.EventTime{At: later}}))
+	is.True(p.ObservePeerLimit(Incarnation{Name: "r", Born: "2"}, LimitReport{Limit: namedLimit(4), By: "j", EventTime: clock.EventTime{At: later}}))
+	is.True(!p.ObserveLimit(later, "gone", later, namedLimit(3), "i"))
+	// A rest and leaving do not affect the limit.
 	p.ObserveNotice(later, "r", later, Notice{Rest: time.Second, Leaving: true})
 	r := p.Get("r")
 	rate, limited := r.RateLimit(later)
 	is.True(limited && rate == 4 && r.Resting(later) && r.Leaving())
 }
 
-// TestPeersWordsCount: of an own answer and a peer's the later one holds.
-func TestPeersWordsCount(t *testing.T) {
+// TestNewerLimitReportWins checks that the later one of an own and a peer's limit report is
+// used.
+func TestNewerLimitReportWins(t *testing.T) {
 	is := is.New(t)
 	start := clocktest.At(time.Hour)
 	p := New()
 	p.Announce(start, "r", Announcement{Service: "s", Address: "r"})
-	told := func(after time.Duration, l RateLimit) bool {
+	observePeer := func(after time.Duration, l RateLimit) bool {
 		return p.ObservePeerLimit(Incarnation{Name: "r"}, LimitReport{Limit: l, By: "j", EventTime: clock.EventTime{At: start.Add(after)}})
 	}
-	is.True(told(time.Second, named(2)))
-	is.True(!told(time.Second, named(5)))
-	is.True(!told(900*time.Millisecond, RateLimit{}))
-	is.True(!p.ObserveLimit(start.Add(2*time.Second), "r", start.Add(900*time.Millisecond), named(5), "i")) // sent before that was said
-	is.True(p.ObserveLimit(start.Add(2*time.Second), "r", start.Add(1100*time.Millisecond), named(5), "i"))
-	is.True(!told(1500*time.Millisecond, named(2)))
+	is.True(observePeer(time.Second, namedLimit(2)))
+	is.True(!observePeer(time.Second, namedLimit(5)))
+	is.True(!observePeer(900*time.Millisecond, RateLimit{}))
+	is.True(!p.ObserveLimit(start.Add(2*time.Second), "r", start.Add(900*time.Millisecond), namedLimit(5), "i")) // sent before the known report
+	is.True(p.ObserveLimit(start.Add(2*time.Second), "r", start.Add(1100*time.Millisecond), namedLimit(5), "i"))
+	is.True(!observePeer(1500*time.Millisecond, namedLimit(2)))
 	is.Equal(p.Get("r").LimitReport().By, "i")
 }
 
-// TestWhatALimitLetsThrough tables the rate by what was named and how long ago.
-func TestWhatALimitLetsThrough(t *testing.T) {
+// TestLimitReportRate checks the rate by the reported limit and its age.
+func TestLimitReportRate(t *testing.T) {
 	start := clocktest.At(time.Hour)
 	cases := []struct {
 		name    string
@@ -107,20 +109,20 @@
 		want    float64
 		limited bool
 	}{
-		{"named", named(3), time.Hour, 3, true},
-		{"none at all: enough to hear of its end", named(0), 0, leastRate, true},
-		{"less than that", named(0.01), 0, leastRate, true},
-		{"more than anybody sends", named(1e6), 0, 1e6, false},
-		{"ended just now", RateLimit{PerSecond: 4}, 0, 4, true},
-		{"ended a second ago", RateLimit{PerSecond: 4}, time.Second, 8, true},
-		{"ended, and it was none at all", RateLimit{}, 2 * time.Second, 4 * returnRate, true},
-		{"ended long ago", RateLimit{PerSecond: 4}, returnSpan, 0, false},
+		{"named", namedLimit(3), time.Hour, 3, true},
+		{"a limit of zero: enough to learn of its end", namedLimit(0), 0, minRate, true},
+		{"less than the minimum rate", namedLimit(0.01), 0, minRate, true},
+		{"more than any replica is sent", namedLimit(1e6), 0, 1e6, false},
+		{"lifted just now", RateLimit{PerSecond: 4}, 0, 4, true},
+		{"lifted a second ago", RateLimit{PerSecond: 4}, time.Second, 8, true},
+		{"lifted, and was zero", RateLimit{}, 2 * time.Second, 4 * recoveryMinRate, true},
+		{"lifted long ago", RateLimit{PerSecond: 4}, recoveryPeriod, 0, false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			w := LimitReport{Limit: c.limit, By: "i", EventTime: clock.EventTime{At: start}}
-			rate, limited := w.Rate(start.Add(c.age))
+			report := LimitReport{Limit: c.limit, By: "i", EventTime: clock.EventTime{At: start}}
+			rate, limited := report.Rate(start.Add(c.age))
 			is.Equal(rate, c.want)
 			is.Equal(limited, c.limited)
 		})
@@ -129,9 +131,9 @@
 	is.New(t).True(rate == 0 && !limited)
 }
 
-// TestTurns: what a request waits for a limit as far as is known, and when one goes there to
-// hear whether it still holds.
-func TestTurns(t *testing.T) {
+// TestRateLimitDelayAndStaleness checks the expected wait of a request for a limit, and when a
+// request is sent to check whether the limit still holds.
+func TestRateLimitDelayAndStaleness(t *testing.T) {
 	is := is.New(t)
 	now := clocktest.At(time.Hour)
 	p := New()
@@ -139,14 +141,14 @@
 	r := p.Get("r")
 	is.Equal(r.RateLimitDelay(now), time.Duration(0))
 	is.True(!r.LimitStale(now.Add(time.Hour)))
-	p.ObserveLimit(now, "r", now, named(2), "i")
+	p.ObserveLimit(now, "r", now, namedLimit(2), "i")
 	is.Equal(r.RateLimitDelay(now), 250*time.Millisecond)
 	r.SetNextSend(now.Add(2 * time.Second))
 	is.Equal(r.RateLimitDelay(now), 2*time.Second)
 	is.Equal(r.RateLimitDelay(now.Add(1900*time.Millisecond)), 250*time.Millisecond)
-	is.True(!r.LimitStale(now.Add(unheardSpan - time.Millisecond)))
-	is.True(r.LimitStale(now.Add(unheardSpan)))
-	r.SetNextSend(now.Add(unheardSpan + time.Second))
-	is.True(!r.LimitStale(now.Add(unheardSpan)))
-	is.True(r.LimitStale(now.Add(unheardSpan + time.Second)))
+	is.True(!r.LimitStale(now.Add(staleLimitAge - time.Millisecond)))
+	is.True(r.LimitStale(now.Add(staleLimitAge)))
+	r.SetNextSend(now.Add(staleLimitAge + time.Second))
+	is.True(!r.LimitStale(now.Add(staleLimitAge)))
+	is.True(r.LimitStale(now.Add(staleLimitAge + time.Second)))
 }
--- a/core/pool/replica_test.go
+++ b/core/pool/replica_test.go
@@ -10,9 +10,11 @@
 	"github.com/birchdrift/birchdrift/core/clock/clocktest"
 )
 
-// TestReplicasAreEjected: failures in a row eject a replica, for longer each
-// time; an answer in between, or a refusal, does not count as one of them.
-func TestReplicasAreEjected(t *testing.T) {
+// TestEjection checks that consecutive failures eject a replica, for longer each time, and that
+// a call that ends without showing anything about the replica's health, such as a refused one,
+// does not count as a failure or a success. An answer in between does not count as a failure
+// either: it resets the count (see FirstTokenReceived).
+func TestEjection(t *testing.T) {
 	is := is.New(t)
 	now := clocktest.At(time.Hour)
 	p := New()
@@ -30,12 +32,12 @@
 	is.True(!r.Ejected(now))
 	id++
 	r.Start(now, id)
-	r.DropCall(id) // says nothing of the replica
+	r.DropCall(id) // neither a success nor a failure
 	is.Equal(r.Failures(), ejectAfter-1)
-	touched := p.CapacityChanges()
+	changes := p.CapacityChanges()
 	failed(1)
 	is.True(r.Ejected(now))
-	is.True(p.CapacityChanges() > touched) // calls that wait look again
+	is.True(p.CapacityChanges() > changes) // wakes waiting calls
 	now = now.Add(ejectBase)
 	is.True(!r.Ejected(now))
 	failed(ejectAfter)
@@ -43,9 +45,9 @@
 	is.True(!r.Ejected(now.Add(2 * ejectBase)))
 }
 
-// TestEntriesThatWent: a replica whose entry went is used for a moment more, then
-// counts as leaving, and is forgotten once no call runs there.
-func TestEntriesThatWent(t *testing.T) {
+// TestVanishedReplicaExpires checks that a replica whose entry vanished is used for the grace
+// period, then counts as leaving, and is removed once it has no calls in flight.
+func TestVanishedReplicaExpires(t *testing.T) {
 	is := is.New(t)
 	now := clocktest.At(time.Hour)
 	p := New()
@@ -58,42 +60,44 @@
 	is.True(r.Usable())
 	is.Equal(p.ExpireVanished(now.Add(VanishedGracePeriod), VanishedGracePeriod), []string{"r"})
 	is.True(r.Leaving())
-	is.Equal(p.ExpireVanished(now.Add(forgetSpan), VanishedGracePeriod), nil)
-	is.True(p.Get("r") != nil) // a call runs there
+	is.Equal(p.ExpireVanished(now.Add(vanishedRetention), VanishedGracePeriod), nil)
+	is.True(p.Get("r") != nil) // a call is in flight
 	r.DropCall(1)
-	p.ExpireVanished(now.Add(forgetSpan), VanishedGracePeriod)
+	p.ExpireVanished(now.Add(vanishedRetention), VanishedGracePeriod)
 	is.True(p.Get("r") == nil)
 }
 
-// TestLeavingIsNotTakenBack: an entry that says ready does not take back that the same life of
-// its replica leaves; one of another life does, and so does one that comes back after it went.
-func TestLeavingIsNotTakenBack(t *testing.T) {
+// TestLeavingIsNotRevoked checks that an entry without leaving does not revoke the leaving of
+// the same incarnation; an entry of another incarnation does, and so does one that reappears
+// after it vanished.
+func TestLeavingIsNotRevoked(t *testing.T) {
 	is := is.New(t)
 	p := New()
 	now := clocktest.At(time.Hour)
-	say := func(born string, leaving bool) {
+	announce := func(born string, leaving bool) {
 		p.Announce(now, "r", Announcement{Service: "s", Address: "r", Zone: "z", Slots: 1, Born: born, Leaving: leaving})
 	}
-	say("1", false)
+	announce("1", false)
 	is.True(p.Get("r").Usable())
-	say("1", true)
-	say("1", false)
+	announce("1", true)
+	announce("1", false)
 	is.True(!p.Get("r").Usable())
 	p.MarkVanished(now, "r", clock.Instant{})
-	say("1", false)
+	announce("1", false)
 	is.True(!p.Get("r").Usable())
-	say("2", false)
+	announce("2", false)
 	is.True(p.Get("r").Usable())
 	p.MarkVanished(now, "r", clock.Instant{})
 	p.ExpireVanished(now.Add(VanishedGracePeriod), VanishedGracePeriod)
 	is.True(!p.Get("r").Usable())
-	say("2", false)
+	announce("2", false)
 	is.True(p.Get("r").Usable())
 }
 
-// TestEntriesThatWentInTime: a replica whose entry went counts as leaving by the moment that
-// leaves calls enough time, also if that is sooner than usual.
-func TestEntriesThatWentInTime(t *testing.T) {
+// TestVanishedDeadline checks that a replica whose entry vanished counts as leaving at its
+// deadline even if that is earlier than the end of the grace period. The deadline is early
+// enough for calls to the replica to stop in time.
+func TestVanishedDeadline(t *testing.T) {
 	is := is.New(t)
 	now := clocktest.At(time.Hour)
 	p := New()
--- a/core/quarantine/evidence.go
+++ b/core/quarantine/evidence.go
@@ -11,26 +11,27 @@
 	"github.com/birchdrift/birchdrift/core/pool"
 )
 
-// What tells a replica that ended from one that cannot be reached, drops connections or
-// leaves: its machine answers, nothing listens at its address, and it did not say that
-// it would leave.
+// A replica has crashed, rather than being unreachable, dropping connections or leaving, if
+// its machine answers, nothing listens at its address, and it did not report itself as
+// leaving.
 
 const (
-	// checkAfter is how long after a call was severed the replica is looked for, if no
-	// other call shows that it is gone: a process that ends closes its connections one
+	// checkDelay is how long after a severed call the replica is checked, if no other call
+	// shows earlier that its process has ended: a process that ends closes its connections one
 	// after the other, its listener among them.
-	checkAfter = 30 * time.Millisecond
-	// endSpan is how long the calls that one end severs may take to show it: below
-	// the seconds that a replica takes to come back.
-	endSpan = 2 * time.Second
-	// departedSpan is how long before its replica's end a caller may have left for its call
-	// to count as in flight there: a replica needs a moment to notice, and the end one to
-	// show.
-	departedSpan = 500 * time.Millisecond
+	checkDelay = 30 * time.Millisecond
+	// evidenceWindow is the time from the first sign of a crash within which severed calls and
+	// other signs count as evidence of the same crash: shorter than the seconds that a replica
+	// takes to restart.
+	evidenceWindow = 2 * time.Second
+	// disconnectWindow is how long before its replica's crash a caller may have disconnected
+	// for its call to still count as in flight there: a replica takes a moment to notice the
+	// disconnect, and the crash takes a moment to show.
+	disconnectWindow = 500 * time.Millisecond
 )
 
 type (
-	// Check is an action: see whether a process listens at a replica's address.
+	// Check is an action: test whether a process listens at a replica's address.
 	Check struct {
 		Replica pool.Incarnation
 		Address string // IP:port
@@ -48,43 +49,43 @@
 // IsEvent implements step.Event.
 func (Checked) IsEvent() {}
 
-// An evidence is what this instance's calls show of one end of a replica.
+// evidence is what this instance's calls show about one crash of a replica.
 type evidence struct {
-	at       clock.Instant // when it showed first
-	address  string
-	requests []crash.Fingerprint // whose calls were in flight; rising
-	ended    bool                // the replica's process is not there any more
-	asked    bool                // a Check was sent
-	seq      uint64              // of the report, 0 before there is one
+	at        clock.Instant // time of the first sign
+	address   string
+	requests  []crash.Fingerprint // in flight at the replica; in ascending order
+	ended     bool                // the replica's process has ended
+	checkSent bool                // a Check was sent
+	seq       uint64              // sequence number of the report, 0 if none was sent
 }
 
-// Severed notes that the connection of a request's call was ended by its replica, or by
-// the replica's machine, before the answer was whole.
+// Severed records that a request's call was severed by its replica, or by the replica's
+// machine, before the response was complete.
 func (t *Tracker) Severed(now clock.Instant, request crash.Fingerprint, r *pool.Replica) {
 	if request == 0 || r.Leaving() {
-		return // what leaves may end as it likes
+		return // the end of a leaving replica is planned
 	}
 	replica := r.Incarnation()
 	e := t.evidenceOf(now, replica)
 	e.address = r.Address
 	if e.add(request) && e.ended {
-		t.report(now, replica, e)
+		t.reportCrash(now, replica, e)
 	}
 }
 
-// SeveredByReplicaEnd notes that a request's call was at a replica which is known to have ended,
-// since its next life is there.
+// SeveredByReplicaEnd records that a request's call was at an incarnation of a replica that is
+// known to have ended, since its next incarnation is running.
 func (t *Tracker) SeveredByReplicaEnd(now clock.Instant, request crash.Fingerprint, replica pool.Incarnation) {
 	if request == 0 {
 		return
 	}
 	t.ReplicaEnded(now, replica)
 	if e := t.evidenceOf(now, replica); e.add(request) {
-		t.report(now, replica, e)
+		t.reportCrash(now, replica, e)
 	}
 }
 
-// add notes that a request was in flight, and reports whether that is new.
+// add records that a request was in flight, and reports whether that is new.
 func (e *evidence) add(request crash.Fingerprint) bool {
 	i, found := slices.BinarySearch(e.requests, request)
 	if found || len(e.requests) == maxRequests {
@@ -94,93 +95,99 @@
 	return true
 }
 
-// A departure is a call whose caller left while a replica had it.
-type departure struct {
+// A disconnect is a call whose caller disconnected while it was in flight at a replica.
+type disconnect struct {
 	request crash.Fingerprint
 	at      clock.Instant
 }
 
-// CallerDisconnected notes that the caller of a request's call left while a replica had it: the
-// replica may end by it all the same.
+// CallerDisconnected records that the caller of a request disconnected while its call was in
+// flight at a replica. The replica may still crash because of that request.
 func (t *Tracker) CallerDisconnected(now clock.Instant, request crash.Fingerprint, r *pool.Replica) {
 	if request == 0 || r.Leaving() {
 		return
 	}
-	recent := slices.DeleteFunc(t.departed[r.Incarnation()], func(d departure) bool { return d.past(now) })
+	recent := slices.DeleteFunc(t.disconnects[r.Incarnation()], func(d disconnect) bool { return d.expired(now) })
 	if len(recent) < maxRequests {
-		recent = append(recent, departure{request: request, at: now})
+		recent = append(recent, disconnect{request: request, at: now})
 	}
-	t.departed[r.Incarnation()] = recent
+	t.disconnects[r.Incarnation()] = recent
 }
 
-// past reports whether no end that shows from now on can have come of the departed call.
-func (d departure) past(now clock.Instant) bool { return now.MaxElapsed(d.at) > departedSpan }
+// expired reports whether a crash first seen at now can no longer be due to the disconnected
+// call.
+func (d disconnect) expired(now clock.Instant) bool { return now.MaxElapsed(d.at) > disconnectWindow }
 
-// ReplicaEnded notes that a replica's process is not there any more.
+// ReplicaEnded records that a replica's process has ended.
 func (t *Tracker) ReplicaEnded(now clock.Instant, replica pool.Incarnation) {
 	e := t.evidenceOf(now, replica)
 	if e.ended {
 		return
 	}
 	e.ended = true
-	for _, d := range t.departed[replica] {
-		if !d.past(e.at) {
+	for _, d := range t.disconnects[replica] {
+		if !d.expired(e.at) {
 			e.add(d.request)
 		}
 	}
 	if len(e.requests) > 0 {
-		t.report(now, replica, e)
+		t.reportCrash(now, replica, e)
 	}
 }
 
-// evidenceOf returns the evidence of the end that shows now.
+// evidenceOf returns the evidence of a replica's current crash. If there is none that began
+// within the last evidenceWindow, it starts a new one.
 func (t *Tracker) evidenceOf(now clock.Instant, replica pool.Incarnation) *evidence {
 	e := t.evidence[replica]
-	if e == nil || now.MaxElapsed(e.at) >= endSpan {
+	if e == nil || now.MaxElapsed(e.at) >= evidenceWindow {
 		e = &evidence{at: now}
 		t.evidence[replica] = e
 	}
 	return e
 }
 
-// report tells all instances of the requests that were in flight.
-func (t *Tracker) report(now clock.Instant, replica pool.Incarnation, e *evidence) {
+// reportCrash sends all instances a report of the requests that were in flight at a replica when
+// it crashed.
+func (t *Tracker) reportCrash(now clock.Instant, replica pool.Incarnation, e *evidence) {
 	if e.seq == 0 {
 		t.seq++
 		e.seq = t.seq
 		t.Out.Log(logevent.UpstreamEnded, "upstream", replica.Name, "calls", len(e.requests))
 	}
-	t.suspect(e.requests)
+	t.addSuspects(e.requests)
 	r := crash.Report{
 		Observer: t.Self.Name, Boot: t.Self.Boot, Seq: e.seq, Replica: replica, Requests: slices.Clone(e.requests),
 		EventTime: clock.EventTime{At: e.at},
 	}
 	t.Records.AddCrash("", r)
-	t.news(now, true, t.ownSpacing(r))
+	t.scheduleUpdates(now, true, t.ownReportInterval(r))
 }
 
-// check looks for the replicas that severed calls a moment ago.
-func (t *Tracker) check(now clock.Instant) {
+// checkReplicas emits one Check for each replica that severed calls, checkDelay after the first
+// of them, unless its process is known to have ended.
+func (t *Tracker) checkReplicas(now clock.Instant) {
 	for _, replica := range slices.SortedFunc(maps.Keys(t.evidence), pool.Incarnation.Compare) {
 		e := t.evidence[replica]
-		if e.ended || e.asked || now.Before(e.at.Add(checkAfter)) {
+		if e.ended || e.checkSent || now.Before(e.at.Add(checkDelay)) {
 			continue
 		}
-		e.asked = true
+		e.checkSent = true
 		t.Out.Emit(Check{Replica: replica, Address: e.address})
 	}
 }
 
-// Checked takes in what came of a Check.
+// Checked handles the answer to a Check.
 func (t *Tracker) Checked(now clock.Instant, e Checked) {
 	if e.Ended {
 		t.ReplicaEnded(now, e.Replica)
 	}
 }
 
+// pruneEvidence removes the evidence older than evidenceWindow, and the disconnects at replicas
+// that had none within that time.
 func (t *Tracker) pruneEvidence(now clock.Instant) {
-	maps.DeleteFunc(t.departed, func(_ pool.Incarnation, left []departure) bool {
-		return !slices.ContainsFunc(left, func(d departure) bool { return now.MaxElapsed(d.at) < endSpan })
+	maps.DeleteFunc(t.disconnects, func(_ pool.Incarnation, calls []disconnect) bool {
+		return !slices.ContainsFunc(calls, func(d disconnect) bool { return now.MaxElapsed(d.at) < evidenceWindow })
 	})
-	maps.DeleteFunc(t.evidence, func(_ pool.Incarnation, e *evidence) bool { return now.MaxElapsed(e.at) >= endSpan })
+	maps.DeleteFunc(t.evidence, func(_ pool.Incarnation, e *evidence) bool { return now.MaxElapsed(e.at) >= evidenceWindow })
 }
--- a/core/quarantine/quarantine_test.go
+++ b/core/quarantine/quarantine_test.go
@@ -18,43 +18,43 @@
 	"github.com/birchdrift/birchdrift/core/step"
 )
 
-// bad is the request that ends replicas in these tests.
+// bad is the request that crashes replicas in these tests.
 const bad = crash.Fingerprint(7)
 
-// A fixture is a tracker with what it does.
+// A fixture is a tracker with a record of its effects.
 type fixture struct {
 	*Tracker
-	now  clock.Instant
-	told int
-	cut  []crash.Fingerprint
+	now       clock.Instant
+	exchanges int
+	canceled  []crash.Fingerprint
 }
 
-func newFixture() *fixture { return newFixtureOf("i") }
+func newFixture() *fixture { return newFixtureNamed("i") }
 
-// newFixtureOf returns the tracker of the instance with this name.
-func newFixtureOf(name string) *fixture {
+// newFixtureNamed returns the tracker of the instance with this name.
+func newFixtureNamed(name string) *fixture {
 	b := &fixture{now: clocktest.At(time.Hour)}
 	b.Tracker = New(Deps{
 		State:  shared.New(member.Identity{Name: name, Zone: "z", Boot: 1}, option.Default(), 1),
 		Stored: true,
-		Tell:   func(clock.Instant) { b.told++ },
+		Tell:   func(clock.Instant) { b.exchanges++ },
 		Direct: func() bool { return true },
-		Cut:    func(r crash.Fingerprint, _ time.Duration) { b.cut = append(b.cut, r) },
+		Cut:    func(r crash.Fingerprint, _ time.Duration) { b.canceled = append(b.canceled, r) },
 	})
 	return b
 }
 
-// replica announces a replica.
+// replica announces a replica and returns it.
 func (b *fixture) replica(name string, leaving bool) *pool.Replica {
 	b.Pool.Announce(b.now, name, pool.Announcement{Service: "s", Address: name, Slots: 1, Leaving: leaving})
 	return b.Pool.Get(name)
 }
 
-// life is the only life of a replica.
-func life(name string) pool.Incarnation { return pool.Incarnation{Name: name} }
+// incarnation returns the only incarnation of a replica.
+func incarnation(name string) pool.Incarnation { return pool.Incarnation{Name: name} }
 
-// pass lets time go by, with ticks, and returns the actions.
-func (b *fixture) pass(span time.Duration) []step.Action {
+// advance advances the clock by span, with ticks, and returns the actions.
+func (b *fixture) advance(span time.Duration) []step.Action {
 	b.Out.Reset()
 	for end := b.now.Add(span); b.now.Before(end); b.now = b.now.Add(10 * time.Millisecond) {
 		b.Tick(b.now)
@@ -62,16 +62,17 @@
 	return b.Out.Actions()
 }
 
-// end has a replica end under requests.
-func (b *fixture) end(name string, requests ...crash.Fingerprint) {
+// crash simulates the crash of a replica that runs requests.
+func (b *fixture) crash(name string, requests ...crash.Fingerprint) {
 	r := b.replica(name, false)
 	for _, request := range requests {
 		b.Severed(b.now, request, r)
 	}
-	b.ReplicaEnded(b.now, life(name))
+	b.ReplicaEnded(b.now, incarnation(name))
 }
 
-func only[T step.Action](actions []step.Action) []T {
+// actionsOf returns the actions of type T.
+func actionsOf[T step.Action](actions []step.Action) []T {
 	var out []T
 	for _, a := range actions {
 		if x, ok := a.(T); ok {
@@ -81,63 +82,63 @@
 	return out
 }
 
-// TestWhatCountsAsAnEnd tables what calls show of a replica, and whether it is reported
-// as one that ended under them.
-func TestWhatCountsAsAnEnd(t *testing.T) {
+// TestCrashEvidence checks what this instance's calls to a replica show, and whether it reports
+// the replica as one that ended under them.
+func TestCrashEvidence(t *testing.T) {
 	cases := []struct {
-		name    string
-		happens func(b *fixture)
-		want    int // requests reported
+		name     string
+		simulate func(b *fixture)
+		want     int // requests reported
 	}{
-		{"severed, and nothing listens there", func(b *fixture) { b.end("r", bad, 8) }, 2},
+		{"severed, then nothing listens", func(b *fixture) { b.crash("r", bad, 8) }, 2},
 		{"nothing listens, then severed", func(b *fixture) {
 			r := b.replica("r", false)
-			b.ReplicaEnded(b.now, life("r"))
+			b.ReplicaEnded(b.now, incarnation("r"))
 			b.Severed(b.now, bad, r)
 		}, 1},
-		{"severed, and a check finds nobody", func(b *fixture) {
+		{"severed, and a check shows that nothing listens", func(b *fixture) {
 			b.Severed(b.now, bad, b.replica("r", false))
-			b.pass(2 * checkAfter)
-			b.Checked(b.now, Checked{Replica: life("r"), Ended: true})
+			b.advance(2 * checkDelay)
+			b.Checked(b.now, Checked{Replica: incarnation("r"), Ended: true})
 		}, 1},
-		{"severed, and a check finds it", func(b *fixture) {
+		{"severed, and a check shows that it listens", func(b *fixture) {
 			b.Severed(b.now, bad, b.replica("r", false))
-			b.pass(2 * checkAfter)
-			b.Checked(b.now, Checked{Replica: life("r")})
+			b.advance(2 * checkDelay)
+			b.Checked(b.now, Checked{Replica: incarnation("r")})
 		}, 0},
-		{"severed, and nobody knows", func(b *fixture) { b.Severed(b.now, bad, b.replica("r", false)) }, 0},
-		{"nothing listens, and nothing was severed", func(b *fixture) { b.ReplicaEnded(b.now, life("r")) }, 0},
-		{"it had said that it leaves", func(b *fixture) {
+		{"severed, without a check result", func(b *fixture) { b.Severed(b.now, bad, b.replica("r", false)) }, 0},
+		{"nothing listens, and no call was severed", func(b *fixture) { b.ReplicaEnded(b.now, incarnation("r")) }, 0},
+		{"severed by a leaving replica", func(b *fixture) {
 			b.Severed(b.now, bad, b.replica("r", true))
-			b.ReplicaEnded(b.now, life("r"))
+			b.ReplicaEnded(b.now, incarnation("r"))
 		}, 0},
-		{"it ended long after", func(b *fixture) {
+		{"severed long before nothing listens", func(b *fixture) {
 			b.Severed(b.now, bad, b.replica("r", false))
-			b.pass(2 * endSpan)
-			b.ReplicaEnded(b.now, life("r"))
+			b.advance(2 * evidenceWindow)
+			b.ReplicaEnded(b.now, incarnation("r"))
 		}, 0},
-		{"its caller had just left", func(b *fixture) {
+		{"caller disconnected just before", func(b *fixture) {
 			b.CallerDisconnected(b.now, bad, b.replica("r", false))
-			b.pass(100 * time.Millisecond)
-			b.end("r", 8)
+			b.advance(100 * time.Millisecond)
+			b.crash("r", 8)
 		}, 2},
-		{"its caller had just left, and nothing else was there", func(b *fixture) {
+		{"caller disconnected just before, no other calls", func(b *fixture) {
 			b.CallerDisconnected(b.now, bad, b.replica("r", false))
-			b.pass(100 * time.Millisecond)
-			b.ReplicaEnded(b.now, life("r"))
+			b.advance(100 * time.Millisecond)
+			b.ReplicaEnded(b.now, incarnation("r"))
 		}, 1},
-		{"its caller had left long before", func(b *fixture) {
+		{"caller disconnected long before", func(b *fixture) {
 			b.CallerDisconnected(b.now, bad, b.replica("r", false))
-			b.pass(2 * departedSpan)
-			b.end("r", 8)
+			b.advance(2 * disconnectWindow)
+			b.crash("r", 8)
 		}, 1},
-		{"a request that is not known", func(b *fixture) { b.end("r", 0) }, 0},
+		{"a request without a fingerprint", func(b *fixture) { b.crash("r", 0) }, 0},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
 			b := newFixture()
-			c.happens(b)
+			c.simulate(b)
 			reported := 0
 			for _, r := range b.Records.Crashes() {
 				reported += len(r.Requests)
@@ -147,81 +148,82 @@
 	}
 }
 
-// TestOneCheckForAllCalls: a replica that severs many calls is looked for once, and not
-// where a call shows that it is gone.
-func TestOneCheckForAllCalls(t *testing.T) {
+// TestOneCheckPerReplica checks that a replica that severs many calls is checked once, and not
+// at all if a call shows that its process has ended.
+func TestOneCheckPerReplica(t *testing.T) {
 	is := is.New(t)
 	b := newFixture()
 	r := b.replica("r", false)
 	for request := range crash.Fingerprint(20) {
 		b.Severed(b.now, request+1, r)
 	}
-	b.end("gone", bad)
-	is.Equal(only[Check](b.pass(time.Second)), []Check{{Replica: life("r"), Address: "r"}})
+	b.crash("gone", bad)
+	is.Equal(actionsOf[Check](b.advance(time.Second)), []Check{{Replica: incarnation("r"), Address: "r"}})
 }
 
-// TestTerms: a request is not run for its term, then again until one more replica ends
-// under it, and for twice as long then; in the end it is forgotten.
-func TestTerms(t *testing.T) {
+// TestQuarantineTerms checks that a request is quarantined for its term, then runs until one
+// more replica crashes under it, and is quarantined for twice as long then; in the end the
+// verdict is removed.
+func TestQuarantineTerms(t *testing.T) {
 	is := is.New(t)
 	b := newFixture()
 	for _, name := range []string{"a", "b", "c"} {
 		is.Equal(b.Remaining(b.now, bad), time.Duration(0))
-		b.end(name, bad)
-		b.pass(time.Second)
+		b.crash(name, bad)
+		b.advance(time.Second)
 	}
-	is.Equal(b.cut, []crash.Fingerprint{bad})
-	is.True(b.Remaining(b.now, bad) > firstTerm-2*time.Second)
-	is.True(b.Remaining(b.now, bad) <= firstTerm)
-	b.now = b.now.Add(firstTerm)
+	is.Equal(b.canceled, []crash.Fingerprint{bad})
+	is.True(b.Remaining(b.now, bad) > initialTerm-2*time.Second)
+	is.True(b.Remaining(b.now, bad) <= initialTerm)
+	b.now = b.now.Add(initialTerm)
 	is.Equal(b.Remaining(b.now, bad), time.Duration(0))
-	b.end("d", bad)
-	b.pass(time.Second)
-	is.True(b.Remaining(b.now, bad) > 2*firstTerm-2*time.Second)
-	b.now = b.now.Add(4 * firstTerm)
-	b.pass(2 * pruneEvery)
+	b.crash("d", bad)
+	b.advance(time.Second)
+	is.True(b.Remaining(b.now, bad) > 2*initialTerm-2*time.Second)
+	b.now = b.now.Add(4 * initialTerm)
+	b.advance(2 * pruneEvery)
 	is.Equal(len(b.verdicts), 0)
 }
 
-// TestSleepCounts: a machine that slept does not refuse a request for longer, though its
-// steady clock stood still.
-func TestSleepCounts(t *testing.T) {
+// TestSuspendedTimeCounts checks that a machine that was suspended does not refuse a request
+// for longer, though its monotonic clock stood still.
+func TestSuspendedTimeCounts(t *testing.T) {
 	is := is.New(t)
 	b := newFixture()
 	for _, name := range []string{"a", "b", "c"} {
-		b.end(name, bad)
-		b.pass(time.Second)
+		b.crash(name, bad)
+		b.advance(time.Second)
 	}
-	b.now.Wall = b.now.Wall.Add(firstTerm)
+	b.now.Wall = b.now.Wall.Add(initialTerm)
 	is.Equal(b.Remaining(b.now, bad), time.Duration(0))
 }
 
-// TestReleases tables what has a request run again before its term is over.
-func TestReleases(t *testing.T) {
+// TestEarlyRelease checks what releases a request before its term has passed.
+func TestEarlyRelease(t *testing.T) {
 	cases := []struct {
 		name     string
-		happens  func(b *fixture)
+		simulate func(b *fixture)
 		released bool
 	}{
 		{"nothing", func(*fixture) {}, false},
-		{"a call that was under way is served", func(b *fixture) { b.Served(b.now, bad) }, true},
-		{"another instance served it", func(b *fixture) {
+		{"a call in flight succeeds", func(b *fixture) { b.Served(b.now, bad) }, true},
+		{"it succeeds at another instance", func(b *fixture) {
 			b.HandlePeerReports(b.now, "j", nil, []crash.Success{{Request: bad}})
 		}, true},
-		{"another was in flight there and at more", func(b *fixture) {
+		{"another request was at the same replicas and at more", func(b *fixture) {
 			var late []crash.Report
 			for n, replica := range []string{"a", "b", "c", "d"} {
 				late = append(late, crash.Report{
-					Observer: "j", Seq: uint64(n), Replica: life(replica), Requests: []crash.Fingerprint{8}, EventTime: clock.EventTime{Age: time.Duration(3-n) * time.Second},
+					Observer: "j", Seq: uint64(n), Replica: incarnation(replica), Requests: []crash.Fingerprint{8}, EventTime: clock.EventTime{Age: time.Duration(3-n) * time.Second},
 				})
 			}
 			b.HandlePeerReports(b.now, "j", late, nil)
 		}, true},
-		{"another was in flight there", func(b *fixture) {
+		{"another request was at the same replicas", func(b *fixture) {
 			var late []crash.Report
 			for n, replica := range []string{"a", "b", "c"} {
 				late = append(late, crash.Report{
-					Observer: "j", Seq: uint64(n), Replica: life(replica), Requests: []crash.Fingerprint{8}, EventTime: clock.EventTime{Age: time.Duration(3-n) * time.Second},
+					Observer: "j", Seq: uint64(n), Replica: incarnation(replica), Requests: []crash.Fingerprint{8}, EventTime: clock.EventTime{Age: time.Duration(3-n) * time.Second},
 				})
 			}
 			b.HandlePeerReports(b.now, "j", late, nil)
@@ -232,102 +234,104 @@
 			is := is.New(t)
 			b := newFixture()
 			for _, name := range []string{"a", "b", "c"} {
-				b.end(name, bad)
-				b.pass(time.Second)
+				b.crash(name, bad)
+				b.advance(time.Second)
 			}
 			is.True(b.Remaining(b.now, bad) > 0)
-			c.happens(b)
-			b.pass(2 * settle)
+			c.simulate(b)
+			b.advance(2 * settleTime)
 			is.Equal(b.Remaining(b.now, bad) == 0, c.released)
 		})
 	}
 }
 
-// TestRecords: verdicts are written one at a time, again after a failure, and not while
-// the store is down; one that was read there holds, and is removed when it does not hold
-// any more.
-func TestRecords(t *testing.T) {
+// TestStoredVerdicts checks that verdicts are written one at a time, again after a failure, and
+// not while the store is down; and that a verdict read from the store applies, and is removed
+// from it when it no longer holds.
+func TestStoredVerdicts(t *testing.T) {
 	is := is.New(t)
 	b := newFixture()
 	const other = crash.Fingerprint(9)
 	for _, name := range []string{"a", "b", "c", "d"} {
-		b.end(name, bad)
-		b.end(name+"'", other)
-		b.pass(10 * time.Millisecond)
+		b.crash(name, bad)
+		b.crash(name+"'", other)
+		b.advance(10 * time.Millisecond)
 	}
 	b.Outage.Observe(b.now, errors.New("no answer"))
-	is.Equal(len(only[StoreVerdict](b.pass(time.Second))), 0)
+	is.Equal(len(actionsOf[StoreVerdict](b.advance(time.Second))), 0)
 	b.Outage.Observe(b.now, nil)
-	first := only[StoreVerdict](b.pass(time.Second))
+	first := actionsOf[StoreVerdict](b.advance(time.Second))
 	is.Equal(len(first), 1)
 	is.Equal(first[0].Quarantine, registry.Quarantine{Request: bad, Replicas: 4})
-	is.True(first[0].Term <= longestLease)
+	is.True(first[0].Term <= maxLeaseTTL)
 	b.VerdictStored(b.now, VerdictStored{Request: bad, Err: errors.New("no answer")})
-	again := only[StoreVerdict](b.pass(2 * recordAgain))
+	again := actionsOf[StoreVerdict](b.advance(2 * recordRetryDelay))
 	is.Equal(len(again), 1)
 	is.Equal(again[0].Quarantine.Request, bad)
 	b.VerdictStored(b.now, VerdictStored{Request: bad})
-	next := only[StoreVerdict](b.pass(time.Second))
+	next := actionsOf[StoreVerdict](b.advance(time.Second))
 	is.Equal(len(next), 1)
 	is.Equal(next[0].Quarantine.Request, other)
 	b.Served(b.now, bad)
-	is.Equal(only[RemoveVerdict](b.pass(2*settle)), []RemoveVerdict{{Quarantine: registry.Quarantine{Request: bad, Replicas: 4}}})
+	is.Equal(actionsOf[RemoveVerdict](b.advance(2*settleTime)), []RemoveVerdict{{Quarantine: registry.Quarantine{Request: bad, Replicas: 4}}})
 
 	late := newFixture()
 	late.Restored(late.now, registry.Quarantine{Request: bad, Replicas: 3})
-	is.Equal(late.cut, []crash.Fingerprint{bad})
+	is.Equal(late.canceled, []crash.Fingerprint{bad})
 	is.True(late.Remaining(late.now, bad) > 0)
-	is.Equal(len(only[StoreVerdict](late.pass(time.Second))), 0)
+	is.Equal(len(actionsOf[StoreVerdict](late.advance(time.Second))), 0)
 }
 
-// TestNewsIsTold: at once, a few times a second at most, and by whoever heard it only
-// where instances do not tell each other directly.
-func TestNewsIsTold(t *testing.T) {
+// TestReportsAreShared checks that reports are sent to peers at once, but only a few times per
+// second, and that reports from peers are sent on only if the instances do not all exchange
+// directly.
+func TestReportsAreShared(t *testing.T) {
 	is := is.New(t)
 	b := newFixture()
-	b.end("a", bad)
+	b.crash("a", bad)
 	b.Tick(b.now)
-	is.Equal(b.told, 1)
+	is.Equal(b.exchanges, 1)
 	for n := range 50 {
-		b.end(string(rune('b'+n)), bad)
-		b.pass(10 * time.Millisecond)
+		b.crash(string(rune('b'+n)), bad)
+		b.advance(10 * time.Millisecond)
 	}
-	is.True(b.told <= 2+int(500*time.Millisecond/tellEvery))
+	is.True(b.exchanges <= 2+int(500*time.Millisecond/shareInterval))
 	report := func(seq uint64) []crash.Report {
-		return []crash.Report{{Observer: "j", Seq: seq, Replica: life("x"), Requests: []crash.Fingerprint{8}}}
+		return []crash.Report{{Observer: "j", Seq: seq, Replica: incarnation("x"), Requests: []crash.Fingerprint{8}}}
 	}
-	b.pass(time.Second)
-	before := b.told
+	b.advance(time.Second)
+	before := b.exchanges
 	b.HandlePeerReports(b.now, "j", report(1), nil)
-	b.pass(time.Second)
-	is.Equal(b.told, before)
+	b.advance(time.Second)
+	is.Equal(b.exchanges, before)
 	b.Direct = func() bool { return false }
-	b.HandlePeerReports(b.now, "j", report(1), nil) // no news
-	b.pass(time.Second)
-	is.Equal(b.told, before)
-	b.HandlePeerReports(b.now, "j", report(2), nil) // too few ends for the next to decide
-	b.pass(time.Second)
-	is.Equal(b.told, before)
+	b.HandlePeerReports(b.now, "j", report(1), nil) // already known
+	b.advance(time.Second)
+	is.Equal(b.exchanges, before)
+	b.HandlePeerReports(b.now, "j", report(2), nil) // too few crashes for the next one to decide
+	b.advance(time.Second)
+	is.Equal(b.exchanges, before)
 	for seq := range uint64(4) {
-		report := crash.Report{Observer: "k", Seq: seq, Replica: life(string(rune('p' + seq))), Requests: []crash.Fingerprint{8}}
+		report := crash.Report{Observer: "k", Seq: seq, Replica: incarnation(string(rune('p' + seq))), Requests: []crash.Fingerprint{8}}
 		b.HandlePeerReports(b.now, "k", []crash.Report{report}, nil)
-		b.pass(10 * time.Millisecond)
+		b.advance(10 * time.Millisecond)
 	}
-	b.pass(tellEvery)
-	is.True(b.told > before)
-	is.True(b.told <= before+2)
-	b.pass(2 * tellEveryLarge)
-	before = b.told
+	b.advance(shareInterval)
+	is.True(b.exchanges > before)
+	is.True(b.exchanges <= before+2)
+	b.advance(2 * relayedShareInterval)
+	before = b.exchanges
 	for n := range 20 {
-		b.end("own"+string(rune('a'+n)), crash.Fingerprint(100+n)) // decides on no request
-		b.pass(10 * time.Millisecond)
+		b.crash("own"+string(rune('a'+n)), crash.Fingerprint(100+n)) // too few crashes to blame any request
+		b.advance(10 * time.Millisecond)
 	}
-	is.True(b.told > before)
-	is.True(b.told <= before+2)
+	is.True(b.exchanges > before)
+	is.True(b.exchanges <= before+2)
 }
 
-// flood has many replicas end, each with so many requests of its own and a bad one.
-func (b *fixture) flood(replicas, requests int) {
+// crashMany simulates the crashes of many replicas, each with a number of requests of its own
+// and a bad one.
+func (b *fixture) crashMany(replicas, requests int) {
 	next := crash.Fingerprint(1000)
 	for n := range replicas {
 		inFlight := []crash.Fingerprint{bad + crash.Fingerprint(n/crash.MaxCrashes)}
@@ -335,18 +339,18 @@
 			next++
 			inFlight = append(inFlight, next)
 		}
-		b.end("r"+clock.Instant{}.Add(time.Duration(n)).Mono.String(), inFlight...)
-		b.pass(10 * time.Millisecond)
+		b.crash("r"+clock.Instant{}.Add(time.Duration(n)).Mono.String(), inFlight...)
+		b.advance(10 * time.Millisecond)
 	}
 }
 
-// TestAFloodIsBounded: however many replicas end under however many requests, what is
-// remembered stays within its bounds.
-func TestAFloodIsBounded(t *testing.T) {
+// TestMemoryIsBounded checks that the tracker's state stays within its bounds, however many
+// replicas crash under however many requests.
+func TestMemoryIsBounded(t *testing.T) {
 	is := is.New(t)
 	b := newFixture()
-	b.flood(maxReports+20, maxRequests+20)
-	b.pass(2 * pruneEvery)
+	b.crashMany(maxReports+20, maxRequests+20)
+	b.advance(2 * pruneEvery)
 	is.True(len(b.Records.Crashes()) <= maxReports)
 	for _, r := range b.Records.Crashes() {
 		is.True(len(r.Requests) <= maxRequests)
@@ -357,82 +361,84 @@
 		b.CallerDisconnected(b.now, n+1, busy)
 		b.now = b.now.Add(time.Millisecond)
 	}
-	is.True(len(b.departed[life("busy")]) <= maxRequests)
-	b.pass(endSpan + 2*pruneEvery)
-	is.Equal(len(b.departed), 0)
+	is.True(len(b.disconnects[incarnation("busy")]) <= maxRequests)
+	b.advance(evidenceWindow + 2*pruneEvery)
+	is.Equal(len(b.disconnects), 0)
 	is.True(len(b.evidence) <= maxReports)
 	for n := range crash.Fingerprint(2 * maxVerdicts) {
 		b.Restored(b.now, registry.Quarantine{Request: n + 1_000_000, Replicas: 3})
 	}
-	b.pass(2 * pruneEvery)
+	b.advance(2 * pruneEvery)
 	is.Equal(len(b.verdicts), maxVerdicts)
 }
 
-// BenchmarkJudge measures one judgement of as many reports as are kept, each with what an
-// instance of a small site has in flight at a busy engine.
-func BenchmarkJudge(b *testing.B) {
+// BenchmarkEvaluate measures one evaluation of the maximum number of reports, each with the
+// requests that an instance of a small site has in flight at a busy engine.
+func BenchmarkEvaluate(b *testing.B) {
 	x := newFixture()
-	x.flood(maxReports, 8)
+	x.crashMany(maxReports, 8)
 	b.ReportAllocs()
 	for b.Loop() {
-		x.judge(x.now)
+		x.evaluate(x.now)
 	}
 }
 
-// TestTriesTakeTurns: a request under which as many replicas ended as others may explain
-// is sent by one instance after the other; any other request is sent at once.
-func TestTriesTakeTurns(t *testing.T) {
+// TestRetriesAreStaggered checks that a request under which so many replicas crashed that the
+// next crash decides is sent by one instance after the other, and that any other request is
+// sent at once.
+func TestRetriesAreStaggered(t *testing.T) {
 	is := is.New(t)
 	names := []string{"i", "j", "k", "l"}
-	pauses := map[time.Duration]bool{}
+	delays := map[time.Duration]bool{}
 	for _, self := range names {
-		b := newFixtureOf(self)
+		b := newFixtureNamed(self)
 		for _, other := range names {
 			b.Members.Upsert(other, "z", other)
 		}
 		for _, name := range []string{"a", "b"} {
-			b.end(name, bad, 8)
+			b.crash(name, bad, 8)
 		}
 		is.Equal(b.SendDelay(bad), time.Duration(0))
-		b.end("c", bad, 8)
-		b.end("d", 8)
+		b.crash("c", bad, 8)
+		b.crash("d", 8)
 		is.Equal(b.SendDelay(bad), b.SendDelay(bad))
 		is.Equal(b.SendDelay(9), time.Duration(0))
-		pauses[b.SendDelay(bad)] = true
+		delays[b.SendDelay(bad)] = true
 		b.Served(b.now.Add(time.Millisecond), bad)
-		is.Equal(b.SendDelay(bad), time.Duration(0)) // what is served harms nobody
+		is.Equal(b.SendDelay(bad), time.Duration(0)) // a request that succeeded is harmless
 	}
-	is.Equal(len(pauses), len(names)) // no two at once
-	for pause := range pauses {
-		is.True(pause >= decided)
-		is.True(pause <= turns*decided)
+	is.Equal(len(delays), len(names)) // no two instances at once
+	for delay := range delays {
+		is.True(delay >= verdictDelay)
+		is.True(delay <= sendSlots*verdictDelay)
 	}
 }
 
-// TestRecordsAreWrittenAgainOnceTheStoreSteppedBack: by the instance that wrote one, and by the
-// one that comes first for the request, should the writer be gone; by no other.
-func TestRecordsAreWrittenAgainOnceTheStoreSteppedBack(t *testing.T) {
+// TestVerdictsAreRewrittenAfterStoreRollback checks that after the store's history was rolled
+// back a verdict is written again by the instance that wrote it, and by the one that comes
+// first for the request, in case the writer is gone, but by no other.
+func TestVerdictsAreRewrittenAfterStoreRollback(t *testing.T) {
 	is := is.New(t)
-	writer := newFixtureOf("writer")
+	writer := newFixtureNamed("writer")
 	for _, name := range []string{"r1", "r2", "r3"} {
-		writer.end(name, bad)
+		writer.crash(name, bad)
 	}
-	is.Equal(len(only[StoreVerdict](writer.pass(2*time.Second))), 1)
+	is.Equal(len(actionsOf[StoreVerdict](writer.advance(2*time.Second))), 1)
 	writer.VerdictStored(writer.now, VerdictStored{Request: bad})
-	is.Equal(len(only[StoreVerdict](writer.pass(2*time.Second))), 0)
+	is.Equal(len(actionsOf[StoreVerdict](writer.advance(2*time.Second))), 0)
 	writer.SteppedBack(writer.now)
-	is.Equal(len(only[StoreVerdict](writer.pass(2*time.Second))), 1)
+	is.Equal(len(actionsOf[StoreVerdict](writer.advance(2*time.Second))), 1)
 
 	rewrites := 0
 	names := []string{"i1", "i2", "i3", "i4"}
 	for _, name := range names {
-		reader := newFixtureOf(name)
+		reader := newFixtureNamed(name)
 		for _, peer := range names {
 			reader.Members.Upsert(peer, "z", peer)
 		}
 		reader.Restored(reader.now, registry.Quarantine{Request: bad, Replicas: 3})
 		reader.SteppedBack(reader.now)
-		rewrites += len(only[StoreVerdict](reader.pass(2 * time.Second)))
+		rewrites += len(actionsOf[StoreVerdict](reader.advance(2 * time.Second)))
 	}
 	is.Equal(rewrites, 1)
 }
--- a/core/quarantine/verdict.go
+++ b/core/quarantine/verdict.go
@@ -14,65 +14,66 @@
 	"github.com/birchdrift/birchdrift/core/rendezvous"
 )
 
-// Which requests are not run, and for how long.
+// This file decides which requests are quarantined, and for how long.
 
 const (
-	// firstTerm is how long a request is not run that is blamed for the first time:
-	// replicas may have been mended by then, and a caller that tries again each
-	// second has been refused 600 times.
-	firstTerm = 10 * time.Minute
-	// longestTerm bounds the terms of a request that is blamed again and again, each of
-	// which is twice the one before.
-	longestTerm = 8 * time.Hour
-	// turns is in how many turns the tries of a request are sent that may be blamed soon:
-	// the instances of a small site; in a large fleet several share one.
-	turns = 8
-	// maxVerdicts bounds the requests that are known, the newest first; they take
-	// 0.1 MB: three replicas end for each.
+	// initialTerm is how long a request is quarantined when it is blamed for the first time. By
+	// its end the replicas may have been fixed, and a caller that retries every second has been
+	// refused 600 times.
+	initialTerm = 10 * time.Minute
+	// maxTerm bounds the terms of a request that is blamed repeatedly, each of which is twice
+	// the one before.
+	maxTerm = 8 * time.Hour
+	// sendSlots is the number of time slots over which the instances stagger their calls of a
+	// suspected request: one for each instance of a small site; in a large fleet several
+	// instances share one.
+	sendSlots = 8
+	// maxVerdicts bounds the verdicts that are kept, newest first. That many take 0.1 MB. Each
+	// requires three replicas to crash.
 	maxVerdicts = 1024
 )
 
-// A verdict says that a request is not run.
+// A verdict is the decision to quarantine a request.
 type verdict struct {
-	since    clock.Instant
-	term     time.Duration
-	replicas int  // that ended under it
-	judged   bool // by reports that this instance has, or had
-	wrote    bool // this instance wrote its record in the platform's store
-	recorded bool // this instance wrote its record in the platform's store, or read it there
+	since     clock.Instant
+	term      time.Duration
+	replicas  int  // number of replicas that ended under the request
+	evaluated bool // follows from reports that this instance has, or had
+	wrote     bool // this instance wrote it to the platform's store
+	recorded  bool // it is in the platform's store: this instance wrote it there or read it there
 }
 
-// left returns for how long the request is not run, 0 if it may be.
-func (v *verdict) left(now clock.Instant) time.Duration {
+// remaining returns how long the request remains quarantined, 0 if it may run.
+func (v *verdict) remaining(now clock.Instant) time.Duration {
 	if v == nil {
 		return 0
 	}
 	return max(0, v.term-now.MaxElapsed(v.since))
 }
 
-// remembered reports whether a request whose term is over is still known: one more
-// replica that ends under it is enough then.
+// remembered reports whether the verdict is still kept, which it is for another term after its
+// own. While it is kept, one more crash under the request is enough to blame it again.
 func (v *verdict) remembered(now clock.Instant) bool { return now.MaxElapsed(v.since) < 2*v.term }
 
-// Remaining returns for how long a request is not run, 0 if it may be.
+// Remaining returns how long a request remains quarantined, 0 if it may run.
 func (t *Tracker) Remaining(now clock.Instant, request crash.Fingerprint) time.Duration {
-	return t.verdicts[request].left(now)
+	return t.verdicts[request].remaining(now)
 }
 
-// SendDelay returns how long a call of a request waits before it is sent: 0, but for one
-// under which so many replicas ended that the next end decides. Its tries at all
-// instances are sent one after the other then, each after what the one before showed
-// has been judged. A request that harms nobody is late by that; of one that does, one
-// more replica ends instead of one at each instance.
+// SendDelay returns how long a call of a request waits before it is sent. It is 0 unless so
+// many replicas crashed under the request that the next crash decides whether it is blamed. In
+// that case the instances send their calls of it one after the other, each after the effect of
+// the previous one has been evaluated. This delays a harmless request, but a harmful one crashes
+// one more replica instead of one per instance.
 func (t *Tracker) SendDelay(request crash.Fingerprint) time.Duration {
 	if !t.suspected(request) {
 		return 0
 	}
-	return time.Duration(t.turn(request)+1) * decided
+	return time.Duration(t.sendSlot(request)+1) * verdictDelay
 }
 
-// suspected reports whether so many replicas ended under a request since it was last
-// served that it may be blamed.
+// suspected reports whether enough replicas crashed under a request since its last success for
+// it to be blamed.
 func (t *Tracker) suspected(request crash.Fingerprint) bool {
 	if !t.suspects[request] {
 		return false
@@ -80,11 +81,12 @@
 	return len(replicasUnder(request, t.Records.Crashes(), t.Records.LastSuccess(request))) >= crash.MaxCrashes
 }
 
-// turn returns in which turn this instance sends its tries of a request.
-func (t *Tracker) turn(request crash.Fingerprint) int { return t.before(request) % turns }
+// sendSlot returns the time slot in which this instance sends its calls of a suspected request.
+func (t *Tracker) sendSlot(request crash.Fingerprint) int { return t.position(request) % sendSlots }
 
-// before returns how many instances come before this one for a request.
-func (t *Tracker) before(request crash.Fingerprint) int {
+// position returns how many instances come before this one in the order of their rendezvous
+// hashing scores for a request.
+func (t *Tracker) position(request crash.Fingerprint) int {
 	key := rendezvous.Key(request.String())
 	own := rendezvous.Score(key, t.Self.Name)
 	before := 0
@@ -96,26 +98,26 @@
 	return before
 }
 
-// limit returns how many replicas must have ended under a request for it to be blamed.
-func (t *Tracker) limit(request crash.Fingerprint) int {
+// crashLimit returns how many replicas must have crashed under a request for it to be blamed.
+func (t *Tracker) crashLimit(request crash.Fingerprint) int {
 	if t.verdicts[request] != nil {
 		return 1
 	}
 	return crash.MaxCrashes
 }
 
-// judge blames requests for the ends that were reported, and releases those that
-// another one explains or that were served since.
-func (t *Tracker) judge(now clock.Instant) {
-	settled := now.Add(-settle)
+// evaluate blames requests for the reported crashes, and releases those whose crashes another
+// request explains, or that succeeded since.
+func (t *Tracker) evaluate(now clock.Instant) {
+	settled := now.Add(-settleTime)
 	reports := t.Records.Crashes()
-	cases := crash.Blame(reports, t.Records.LastSuccess, t.limit, settled)
+	attributions := crash.Blame(reports, t.Records.LastSuccess, t.crashLimit, settled)
 	blamed := map[crash.Fingerprint]bool{}
 	explained := map[pool.Incarnation]bool{}
-	for _, c := range cases {
-		blamed[c.Request] = true
-		t.blame(now, c)
-		for _, replica := range c.Replicas {
+	for _, a := range attributions {
+		blamed[a.Request] = true
+		t.blame(now, a)
+		for _, replica := range a.Replicas {
 			explained[replica] = true
 		}
 	}
@@ -124,32 +126,32 @@
 			t.release(request)
 		}
 	}
-	t.judgeDue = clock.Instant{}
+	t.evaluateDue = clock.Instant{}
 	if slices.ContainsFunc(reports, func(r crash.Report) bool { return settled.Before(r.At) }) {
-		t.judgeDue = now.Add(settle)
+		t.evaluateDue = now.Add(settleTime)
 	}
 }
 
-// blame has a request not run from now on.
-func (t *Tracker) blame(now clock.Instant, c crash.Attribution) {
-	v := t.verdicts[c.Request]
-	if v.left(now) > 0 {
-		v.judged = true
+// blame quarantines a request from now on.
+func (t *Tracker) blame(now clock.Instant, a crash.Attribution) {
+	v := t.verdicts[a.Request]
+	if v.remaining(now) > 0 {
+		v.evaluated = true
 		return
 	}
-	next := &verdict{since: now, term: firstTerm, replicas: len(c.Replicas), judged: true}
+	next := &verdict{since: now, term: initialTerm, replicas: len(a.Replicas), evaluated: true}
 	if v != nil {
-		next.term = min(2*v.term, longestTerm)
+		next.term = min(2*v.term, maxTerm)
 	}
-	if t.Stored && t.observed(c.Request) {
-		t.records.queue = append(t.records.queue, c.Request)
+	if t.Stored && t.observed(a.Request) {
+		t.records.queue = append(t.records.queue, a.Request)
 	}
-	t.impose(c.Request, next)
-	t.Out.Log(logevent.RequestQuarantined, "fingerprint", c.Request.String(), "upstreams", names(c.Replicas), "term", next.term.String())
+	t.apply(a.Request, next)
+	t.Out.Log(logevent.RequestQuarantined, "fingerprint", a.Request.String(), "upstreams", replicaNames(a.Replicas), "term", next.term.String())
 }
 
-// names returns what logs call replicas.
-func names(replicas []pool.Incarnation) []string {
+// replicaNames returns the names of the replicas for logs.
+func replicaNames(replicas []pool.Incarnation) []string {
 	var out []string
 	for _, r := range replicas {
 		out = append(out, r.Name)
@@ -157,34 +159,35 @@
 	return out
 }
 
-// Restored takes in a verdict that stands in the platform's store.
+// Restored handles a verdict that was read from the platform's store.
 func (t *Tracker) Restored(now clock.Instant, q registry.Quarantine) {
 	if t.Remaining(now, q.Request) > 0 || t.verdicts[q.Request] != nil {
 		return
 	}
-	t.impose(q.Request, &verdict{since: now, term: firstTerm, replicas: q.Replicas, recorded: true})
-	t.Out.Log(logevent.RequestQuarantined, "fingerprint", q.Request.String(), "source", "the store", "term", firstTerm.String())
+	t.apply(q.Request, &verdict{since: now, term: initialTerm, replicas: q.Replicas, recorded: true})
+	t.Out.Log(logevent.RequestQuarantined, "fingerprint", q.Request.String(), "source", "the store", "term", initialTerm.String())
 }
 
-func (t *Tracker) impose(request crash.Fingerprint, v *verdict) {
+// apply installs a verdict and cancels the request's calls in flight.
+func (t *Tracker) apply(request crash.Fingerprint, v *verdict) {
 	t.verdicts[request] = v
 	t.Cut(request, v.term)
 }
 
-// cleared reports whether a request that is not blamed any more may be run again: it was
-// served since, or others explain the ends of all the replicas that ended under it. That
-// reports were forgotten, or that another request may be to blame as well, clears nobody.
+// cleared reports whether a request that is no longer blamed may run again: it succeeded since
+// the verdict, or other requests explain the crashes of all replicas that ended under it. That
+// reports were pruned, or that another request may be to blame as well, is not enough.
 func (t *Tracker) cleared(request crash.Fingerprint, under []pool.Incarnation, explained map[pool.Incarnation]bool) bool {
 	v := t.verdicts[request]
 	if v.since.Before(t.Records.LastSuccess(request)) {
 		return true
 	}
 	unexplained := slices.ContainsFunc(under, func(replica pool.Incarnation) bool { return !explained[replica] })
-	return v.judged && len(under) >= v.replicas && !unexplained
+	return v.evaluated && len(under) >= v.replicas && !unexplained
 }
 
-// replicasUnder returns the replicas that are reported to have ended under a request
-// since an instant, in order, each life of them once.
+// replicasUnder returns the replicas that are reported to have ended under a request after
+// since, sorted, each incarnation once.
 func replicasUnder(request crash.Fingerprint, reports []crash.Report, since clock.Instant) []pool.Incarnation {
 	var under []pool.Incarnation
 	for _, r := range reports {
@@ -196,14 +199,16 @@
 	return slices.Compact(under)
 }
 
-// release has a request run again.
+// release ends the quarantine of a request.
 func (t *Tracker) release(request crash.Fingerprint) {
 	t.Out.Log(logevent.RequestReleased, "fingerprint", request.String())
-	t.unrecord(t.verdicts[request], request)
+	t.removeRecord(t.verdicts[request], request)
 	delete(t.verdicts, request)
 	t.Pool.NoteCapacityChange()
 }
 
+// pruneVerdicts removes the verdicts that are no longer remembered, and the oldest beyond
+// maxVerdicts.
 func (t *Tracker) pruneVerdicts(now clock.Instant) {
 	maps.DeleteFunc(t.verdicts, func(_ crash.Fingerprint, v *verdict) bool { return !v.remembered(now) })
 	if len(t.verdicts) <= maxVerdicts {
--- a/core/shutdown/shutdown.go
+++ b/core/shutdown/shutdown.go
@@ -1,7 +1,7 @@
-// Package shutdown carries out a planned stop: the instance is not ready from its
-// beginning on, hands over what others can take, takes calls until the balancer
-// has had time to see that it is not ready, and exits once its calls have ended
-// or its time is over.
+// Package shutdown runs a planned shutdown. The instance stops being ready when the shutdown
+// starts. It hands over what other instances can take over, accepts calls until the load balancer
+// has had time to see that it is not ready, and exits once its calls have ended or its time limit
+// has passed.
 package shutdown
 
 import (
@@ -12,61 +12,61 @@
 	"github.com/birchdrift/birchdrift/core/step"
 )
 
-// Exit is an action: the stop is complete. Cut counts the calls it cut off.
+// Exit is an action: the shutdown is complete. Cut is the number of calls that were canceled.
 type Exit struct{ Cut int }
 
 // IsAction implements step.Action.
 func (Exit) IsAction() {}
 
-// A Controller is a planned stop. The fields must be set before its use.
+// A Controller runs a planned shutdown. Its exported fields must be set before its use.
 type Controller struct {
 	Options *option.Options
 	Out     *step.Output
 	Calls   *calls.Table
-	// HandOver is called once, when the stop begins: it gives back what others
-	// can take over, and tells peers.
+	// HandOver is called once, when the shutdown starts: it releases what other instances can
+	// take over, and notifies peers.
 	HandOver func(now clock.Instant)
 
-	begun  bool
-	takeTo clock.Instant // calls are taken until then
-	endAt  clock.Instant // calls are cut then
-	exited bool
+	started     bool
+	acceptUntil clock.Instant // calls are refused from then on
+	deadline    clock.Instant // the remaining calls are canceled then
+	exited      bool
 }
 
-// Started reports whether the stop has begun.
-func (s *Controller) Started() bool { return s.begun }
+// Started reports whether the shutdown has started.
+func (c *Controller) Started() bool { return c.started }
 
-// Refusing reports whether new calls are refused because of the stop.
-func (s *Controller) Refusing(now clock.Instant) bool { return s.begun && !now.Before(s.takeTo) }
+// Refusing reports whether new calls are refused because of the shutdown.
+func (c *Controller) Refusing(now clock.Instant) bool { return c.started && !now.Before(c.acceptUntil) }
 
-// Start begins the stop. A second one ends it at once.
-func (s *Controller) Start(now clock.Instant) {
-	if s.begun {
-		s.endAt = now
+// Start starts the shutdown. A second call ends it at once.
+func (c *Controller) Start(now clock.Instant) {
+	if c.started {
+		c.deadline = now
 		return
 	}
-	s.begun = true
-	s.takeTo = now.Add(s.Options.StopDelay)
-	s.endAt = now.Add(s.Options.StopLimit)
-	s.Out.Log(logevent.Stopping, "calls", s.Calls.Len())
-	s.HandOver(now)
+	c.started = true
+	c.acceptUntil = now.Add(c.Options.StopDelay)
+	c.deadline = now.Add(c.Options.StopLimit)
+	c.Out.Log(logevent.Stopping, "calls", c.Calls.Len())
+	c.HandOver(now)
 }
 
-// Tick exits when every call has ended, or when the limit has come.
-func (s *Controller) Tick(now clock.Instant) {
-	if !s.begun || s.exited {
+// Tick exits when every call has ended, or when the deadline has passed.
+func (c *Controller) Tick(now clock.Instant) {
+	if !c.started || c.exited {
 		return
 	}
-	over := !now.Before(s.endAt)
-	idle := !now.Before(s.takeTo) && s.Calls.Len() == 0
-	if over || idle {
-		s.exit()
+	expired := !now.Before(c.deadline)
+	idle := !now.Before(c.acceptUntil) && c.Calls.Len() == 0
+	if expired || idle {
+		c.exit()
 	}
 }
 
-func (s *Controller) exit() {
-	cut := s.Calls.AbortAll()
-	s.exited = true
-	s.Out.Log(logevent.Stopped, "cut", cut)
-	s.Out.Emit(Exit{Cut: cut})
+func (c *Controller) exit() {
+	cut := c.Calls.AbortAll()
+	c.exited = true
+	c.Out.Log(logevent.Stopped, "cut", cut)
+	c.Out.Emit(Exit{Cut: cut})
 }
