--- a/core/config/check.go
+++ b/core/config/check.go
@@ -82,7 +82,7 @@
 		c.addFault(code.ConfigBadValue, fmt.Sprintf("address %q is not of the form IP:port", address), append(append([]any(nil), path...), "address")...)
 	}
 	if !c.zoneNames[zone] {
-		c.addFault(code.ConfigDanglingName, fmt.Sprintf("zone %q is not defined", zone), append(append([]any(nil), path...), "zone")...)
+		c.addFault(code.ConfigDanglingName, fmt.Sprintf("no zone %q is defined", zone), append(append([]any(nil), path...), "zone")...)
 	}
 }
 
@@ -125,7 +125,7 @@
 		c.checkPositive(a.MemoryMiB, "memory_mib", "adapters", i, "memory_mib")
 		base, ok := c.modelMemory[a.Model]
 		if !ok {
-			c.addFault(code.ConfigDanglingName, fmt.Sprintf("model %q is not defined", a.Model), "adapters", i, "model")
+			c.addFault(code.ConfigDanglingName, fmt.Sprintf("no model %q is defined", a.Model), "adapters", i, "model")
 			continue
 		}
 		c.baseModels[a.Name] = a.Model
@@ -175,7 +175,7 @@
 		}
 		c.checkAnnounced(i, s.Announced)
 		if s.Policy != "" && !c.policyNames[s.Policy] {
-			c.addFault(code.ConfigDanglingName, fmt.Sprintf("policy %q is not defined", s.Policy), "services", i, "policy")
+			c.addFault(code.ConfigDanglingName, fmt.Sprintf("no policy %q is defined", s.Policy), "services", i, "policy")
 		}
 		if s.Target.FirstToken < 0 || s.Target.BetweenTokens < 0 {
 			c.addFault(code.ConfigBadValue, "targets must not be negative", "services", i, "target")
@@ -195,10 +195,10 @@
 	for j, v := range s.Versions {
 		c.checkName(seen, v.Name, "services", i, "versions", j)
 		if _, ok := c.modelMemory[v.Model]; !ok {
-			c.addFault(code.ConfigDanglingName, fmt.Sprintf("model %q is not defined", v.Model), "services", i, "versions", j, "model")
+			c.addFault(code.ConfigDanglingName, fmt.Sprintf("no model %q is defined", v.Model), "services", i, "versions", j, "model")
 		}
 		if base, ok := c.baseModels[v.Adapter]; v.Adapter != "" && (!ok || base != v.Model) {
-			c.addFault(code.ConfigDanglingName, fmt.Sprintf("adapter %q is not defined for model %q", v.Adapter, v.Model), "services", i, "versions", j, "adapter")
+			c.addFault(code.ConfigDanglingName, fmt.Sprintf("no adapter %q is defined for model %q", v.Adapter, v.Model), "services", i, "versions", j, "adapter")
 		}
 		if v.Share < 0 || v.Share > maxShare {
 			c.addFault(code.ConfigBadValue, fmt.Sprintf("share is %d, must be between 0 and %d", v.Share, maxShare), "services", i, "versions", j, "share")
@@ -223,7 +223,7 @@
 		}
 		for j, s := range caller.Services {
 			if !services[s] {
-				c.addFault(code.ConfigDanglingName, fmt.Sprintf("service %q is not defined", s), "callers", i, "services", j)
+				c.addFault(code.ConfigDanglingName, fmt.Sprintf("no service %q is defined", s), "callers", i, "services", j)
 			}
 		}
 	}
--- a/core/config/check_forward.go
+++ b/core/config/check_forward.go
@@ -79,7 +79,7 @@
 	for j, s := range f.Split {
 		announced, ok := services[s.Service]
 		if !ok {
-			c.addFault(code.ConfigDanglingName, fmt.Sprintf("service %q is not defined", s.Service), "forwards", i, "split", j, "service")
+			c.addFault(code.ConfigDanglingName, fmt.Sprintf("no service %q is defined", s.Service), "forwards", i, "split", j, "service")
 		} else if !announced {
 			c.addFault(code.ConfigBadValue, fmt.Sprintf("the replicas of %q do not announce themselves", s.Service), "forwards", i, "split", j, "service")
 		}
--- a/core/instance/platform.go
+++ b/core/instance/platform.go
@@ -75,5 +75,5 @@
 // a users' platform.
 func (m *Machine) refuseOwnCall(e calls.Arrived) {
 	c := &calls.Call{Request: e.Call}
-	m.calls.RefuseNew(c, calls.NotRunRefusal(code.UnknownService, "the product's own API is not served on this platform", 0))
+	m.calls.RefuseNew(c, calls.NotRunRefusal(code.UnknownService, "the product's own interface is not served here", 0))
 }
