--- a/core/clock/clock.go
+++ b/core/clock/clock.go
@@ -1,13 +1,14 @@
 // Package clock provides Instant, the current time that is passed as an argument
 // to all code that makes decisions.
 //
-// An Instant has two readings. The monotonic reading only increases; it includes
-// the time for which the machine is suspended if the system has such a clock
-// (internal/shell). The wall-clock reading jumps when the clock is set. Since
-// measures durations on the monotonic clock. Code that must not rely on an expired
-// lease uses MaxElapsed, the larger of the two differences. It is also safe on a
-// system whose monotonic clock stops during suspension, unless the wall clock is
-// set back in the meantime.
+// An Instant has two readings. The monotonic reading never decreases; internal/shell
+// takes it from a clock that also advances while the machine is suspended, if the
+// system has one. The wall-clock reading jumps when the clock is set.
+//
+// Since measures durations on the monotonic clock. Code that must not rely on an
+// expired lease uses MaxElapsed, the larger of the two differences, so that it is
+// safe even if the monotonic clock stops while the machine is suspended, unless the
+// wall clock is set back in the meantime.
 //
 // Invariant: no package of the core reads a clock itself.
 package clock
@@ -58,19 +59,20 @@
 	return b
 }
 
-// An EventTime is the time at which something happened. On an instance it is At, by
-// the instance's own clocks; in a message between instances it is Age, the time
-// since the event when the message was sent.
+// An EventTime is the time at which something happened. Instances do not share
+// clocks, so a message between them carries the age of the event instead of its
+// instant.
 type EventTime struct {
-	At  Instant
-	Age time.Duration
+	At  Instant       // set on an instance, by its own clocks
+	Age time.Duration // set in a message: the time from the event to the sending
 }
 
-// ForWire converts the receiver to the form used in a message that is sent at now.
+// ForWire returns the time as a message that is sent at now carries it. The age is
+// that of MaxElapsed, or 0 if that is negative.
 func (m EventTime) ForWire(now Instant) EventTime {
 	return EventTime{Age: max(0, now.MaxElapsed(m.At))}
 }
 
-// FromWire converts the receiver, taken from a message that arrived at now, to this
-// instance's clocks. It does not count the time that the message took.
+// FromWire returns the time of a message that arrived at now, by this instance's
+// clocks. It does not account for the time that the message was in transit.
 func (m EventTime) FromWire(now Instant) EventTime { return EventTime{At: now.Add(-m.Age)} }
--- a/core/clock/clock_test.go
+++ b/core/clock/clock_test.go
@@ -7,8 +7,9 @@
 	"github.com/matryer/is"
 )
 
-// TestMaxElapsed checks that the elapsed time of a lease is the larger of the two
-// clocks', while Since, which periodic work uses, is the monotonic clock's alone.
+// TestMaxElapsed checks that MaxElapsed, by which leases expire, returns the larger
+// difference of the two clocks, and that Since, by which periodic work is scheduled,
+// returns that of the monotonic clock.
 func TestMaxElapsed(t *testing.T) {
 	from := Instant{Mono: time.Hour, Wall: time.Unix(1e9, 0)}
 	for _, tt := range []struct {
--- a/core/config/check.go
+++ b/core/config/check.go
@@ -12,9 +12,9 @@
 
 // Limits on the values of a configuration.
 const (
-	maxNameLength = 128 // bytes
-	maxShare      = 1_000_000
-	sha256HexLen  = 64 // hex digits
+	maxNameLength = 128       // bytes
+	maxShare      = 1_000_000 // largest share of a version, and weight of a service in a split
+	sha256HexLen  = 64        // hex digits
 )
 
 var nameRE = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]*$`)
@@ -56,8 +56,8 @@
 	})
 }
 
-// checkName reports a name that is malformed or already in seen, and adds it to
-// seen.
+// checkName records a fault if name is malformed or already in seen. It adds a
+// well-formed name to seen.
 func (c *checker) checkName(seen map[string]bool, name string, path ...any) {
 	path = append(append([]any(nil), path...), "name")
 	if len(name) > maxNameLength || !nameRE.MatchString(name) {
@@ -70,6 +70,7 @@
 	seen[name] = true
 }
 
+// checkPositive records a fault if v, the value of the field what, is less than 1.
 func (c *checker) checkPositive(v int64, what string, path ...any) {
 	if v <= 0 {
 		c.addFault(code.ConfigBadValue, fmt.Sprintf("%s is %d, must be at least 1", what, v), path...)
@@ -133,7 +134,8 @@
 	}
 }
 
-// checkFits reports an item that is larger than the memory of every engine.
+// checkFits records a fault if no engine has mib MiB of memory, the need of a model
+// or of an adapter together with its model.
 func (c *checker) checkFits(mib int64, path ...any) {
 	if mib > c.maxEngineMemory {
 		c.addFault(code.ConfigNeverFits, fmt.Sprintf("needs %d MiB (an adapter together with its model), but the largest engine has %d MiB", mib, c.maxEngineMemory), path...)
@@ -164,7 +166,7 @@
 
 func (c *checker) checkServices() {
 	seen := map[string]bool{}
-	replicas := map[string]bool{}
+	replicas := map[string]bool{} // engines share the namespace of replicas
 	for _, e := range c.doc.Engines {
 		replicas[e.Name] = true
 	}
--- a/core/config/check_forward.go
+++ b/core/config/check_forward.go
@@ -20,7 +20,7 @@
 	return n == 1
 }
 
-// checkAnnounced checks the engine pool of a service whose replicas announce
+// checkAnnounced checks the engine pool of service i if its replicas announce
 // themselves.
 func (c *checker) checkAnnounced(i int, a *Announced) {
 	if a == nil || a.Engine == nil {
@@ -73,7 +73,8 @@
 	}
 }
 
-// checkSplit checks the services and weights of forward i.
+// checkSplit checks the services and weights of forward i. The map services holds,
+// for each defined service, whether its replicas announce themselves.
 func (c *checker) checkSplit(i int, f Forward, services map[string]bool) {
 	total := 0
 	for j, s := range f.Split {
--- a/core/config/document.go
+++ b/core/config/document.go
@@ -149,8 +149,8 @@
 
 // Residency holds the parameters of the residency planner.
 type Residency struct {
-	// MoveCost is the least benefit of one move, in target seconds saved. A
-	// higher cost means fewer moves; the default is 1.
+	// MoveCost is the benefit, in target seconds saved, that the planner requires
+	// of one move. A higher cost means fewer moves; the default is 1.
 	MoveCost float64 `yaml:"move_cost,omitempty"`
 	// MinimumStay is the least time a model stays resident before it may be
 	// unloaded.
--- a/core/config/forward.go
+++ b/core/config/forward.go
@@ -13,8 +13,8 @@
 const (
 	// Repeatable calls may run more than once.
 	Repeatable Kind = "repeatable"
-	// Once calls run at most once per caller's call, so they are not retried
-	// if an attempt may have run.
+	// Once calls run at most once, so they are not retried if an attempt may have
+	// run.
 	Once Kind = "once"
 	// Stream calls return a stream of events. A call that is not resumable runs
 	// at most once.
@@ -33,8 +33,8 @@
 	Resumable bool `yaml:"resumable,omitempty"`
 	// Timeout is the longest time that one call may take.
 	Timeout time.Duration `yaml:"timeout"`
-	// Target is the latency target, within which a response counts in full. It
-	// applies to the end of a response, or to the first event of a stream.
+	// Target is the latency target. A response has its full value if it ends
+	// within this time, or, for a stream, if its first event arrives within it.
 	Target time.Duration `yaml:"target,omitempty"`
 	// MaxEventGap is the longest time between two events of a stream that meets
 	// its target.
--- a/core/config/snapshot.go
+++ b/core/config/snapshot.go
@@ -191,7 +191,7 @@
 }
 
 // MayRepeat reports whether a call to a path of the service may run more than
-// once.
+// once. The route with the longest matching prefix overrides the service.
 func (s Service) MayRepeat(path string) bool {
 	best := -1
 	repeatable := !s.NotRepeatable
--- a/core/instance/event.go
+++ b/core/instance/event.go
@@ -17,7 +17,8 @@
 type (
 	// Tick is sent when the time returned by NextWake has passed.
 	Tick struct{}
-	// Stop starts a planned stop; a second Stop ends it immediately.
+	// Stop starts a planned stop. A second Stop ends it immediately, which aborts
+	// the calls that are still in progress.
 	Stop struct{}
 	// OptionsChanged applies changed options and seed peers.
 	OptionsChanged struct {
--- a/core/instance/machine.go
+++ b/core/instance/machine.go
@@ -23,8 +23,8 @@
 //   - core/own/...: the modules of the product's own environment.
 //
 // Invariants:
-//   - every Arrived is followed by exactly one of Finish, or a Dispatch whose
-//     Completed ends the call, or CallerGone;
+//   - every calls.Arrived is followed by exactly one of these: a calls.Finish, a
+//     calls.Dispatch whose calls.Completed ends the call, or a calls.CallerGone;
 //   - a call that may run only once is dispatched again only while no earlier
 //     attempt can have run;
 //   - the revision of the configuration in force only increases;
--- a/core/instance/platform.go
+++ b/core/instance/platform.go
@@ -47,7 +47,7 @@
 			o.registry.Tick, o.owned.Tick, placer.Tick, m.exchanges.TickMesh, w.Tick,
 		},
 		configInstalled:   func(clock.Instant, *config.Snapshot) {},
-		handleConfigReply: func(clock.Instant, error) {}, // the only watch is ended by watch.Reply
+		handleConfigReply: func(clock.Instant, error) {}, // watch.Reply is the result of the only watch
 		handleListReply: func(now clock.Instant, e listing.Reply) {
 			m.exchanges.ObserveStoreVersion(e.Version)
 			m.listing.HandleReply(now, e)
--- a/core/option/option.go
+++ b/core/option/option.go
@@ -9,15 +9,15 @@
 	"github.com/birchdrift/birchdrift/core/bounds"
 )
 
-// Options are the options of a state machine. The zero value is not usable; start
-// from Default.
+// Options configure a state machine. The zero value is not usable; start from
+// Default.
 type Options struct {
 	// LeaseTerm is the term of the zone planner's lease.
 	LeaseTerm time.Duration
 	// ExchangeEvery is the time between the exchanges that this instance starts.
 	ExchangeEvery time.Duration
-	// ReadEvery is the time between two reads of one engine's state. It grows
-	// with the number of engines that this instance reads.
+	// ReadEvery is the least time between two reads of one engine's state. The
+	// actual time grows with the number of engines that this instance reads.
 	ReadEvery time.Duration
 	// BusyReadEvery is the time between the planner's reads of an engine that is
 	// loading or unloading an item.
--- a/core/step/step.go
+++ b/core/step/step.go
@@ -72,7 +72,8 @@
 	j.sentAt = now
 }
 
-// SetDue sets when the next request is due. A request may be in flight.
+// SetDue sets when the next request is due. It may be called while a request is in
+// flight.
 func (j *Job) SetDue(due clock.Instant) { j.due = due }
 
 // End records that the request has completed and the next one is due at due.
