--- a/core/clock/clock.go
+++ b/core/clock/clock.go
@@ -69,10 +69,10 @@
 
 // ForWire returns the time as a message that is sent at now carries it. The age is
 // that of MaxElapsed, or 0 if that is negative.
-func (m EventTime) ForWire(now Instant) EventTime {
-	return EventTime{Age: max(0, now.MaxElapsed(m.At))}
+func (t EventTime) ForWire(now Instant) EventTime {
+	return EventTime{Age: max(0, now.MaxElapsed(t.At))}
 }
 
 // FromWire returns the time of a message that arrived at now, by this instance's
 // clocks. It does not account for the time that the message was in transit.
-func (m EventTime) FromWire(now Instant) EventTime { return EventTime{At: now.Add(-m.Age)} }
+func (t EventTime) FromWire(now Instant) EventTime { return EventTime{At: now.Add(-t.Age)} }
