--- a/core/config/forward.go
+++ b/core/config/forward.go
@@ -13,8 +13,8 @@
 const (
 	// Repeatable calls may run more than once.
 	Repeatable Kind = "repeatable"
-	// Once calls run at most once, so they are not retried if an attempt may have
-	// run.
+	// Once calls run at most once for each call of a caller, so they are not
+	// retried if an attempt may have run.
 	Once Kind = "once"
 	// Stream calls return a stream of events. A call that is not resumable runs
 	// at most once.
--- a/core/config/snapshot.go
+++ b/core/config/snapshot.go
@@ -24,7 +24,7 @@
 }
 
 // NewSnapshot indexes doc and compiles its policies. The document must have
-// passed File.Validate; otherwise NewSnapshot may return an error.
+// passed File.Validate; an error means that it did not.
 func NewSnapshot(doc Document) (*Snapshot, error) {
 	doc = doc.withDefaults()
 	s := &Snapshot{
--- a/core/logevent/logevent.go
+++ b/core/logevent/logevent.go
@@ -125,7 +125,7 @@
 	{LeaseInDoubt, "lease_in_doubt", "The lease may have expired; only engines that check fences still receive orders.", "Check the platform if it persists."},
 	{IntentsConflict, "intents_conflict", "Another lease holder wrote the zone's intents; this instance stops sending orders.", "None."},
 	{Enrolled, "enrolled", "This instance's registration is stored in the platform's store.", "None."},
-	{EnrolmentLost, "enrolment_lost", "This instance's registration is missing from the platform's store; it is written again.", "None; usually the platform was unreachable for longer than the term of the registration's lease."},
+	{EnrolmentLost, "enrolment_lost", "This instance's registration is missing from the platform's store; it is written again.", "None; often the platform was unreachable for longer than the term of the registration's lease."},
 	{EngineTaken, "engine_taken", "This instance is now the owner of the engine and sends it orders after `wait` at the earliest.", "None."},
 	{EngineLost, "engine_lost", "This instance is no longer the owner of the engine.", "None."},
 	{NotReturned, "not_returned", "At a planned stop, or after a call that did not run, something that is held at the platform (`what`, for example an ownership, a lease or a claim) could not be released; other instances wait until it expires.", "Check the platform if it persists."},
