--- a/core/config/check.go
+++ b/core/config/check.go
@@ -12,9 +12,9 @@
 
 // Limits on the values of a configuration.
 const (
-	maxNameLength = 128 // bytes
-	maxShare      = 1_000_000
-	sha256HexLen  = 64 // hex digits
+	maxNameLength = 128       // bytes
+	maxShare      = 1_000_000 // largest share of a version, and weight of a service in a split
+	sha256HexLen  = 64        // hex digits
 )
 
 var nameRE = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]*$`)
@@ -56,8 +56,8 @@
 	})
 }
 
-// checkName reports a name that is malformed or already in seen, and adds it to
-// seen.
+// checkName records a fault if name is malformed or already in seen. It adds a
+// well-formed name to seen.
 func (c *checker) checkName(seen map[string]bool, name string, path ...any) {
 	path = append(append([]any(nil), path...), "name")
 	if len(name) > maxNameLength || !nameRE.MatchString(name) {
@@ -70,6 +70,7 @@
 	seen[name] = true
 }
 
+// checkPositive records a fault if v, the value of the field what, is less than 1.
 func (c *checker) checkPositive(v int64, what string, path ...any) {
 	if v <= 0 {
 		c.addFault(code.ConfigBadValue, fmt.Sprintf("%s is %d, must be at least 1", what, v), path...)
@@ -82,7 +83,7 @@
 		c.addFault(code.ConfigBadValue, fmt.Sprintf("address %q is not of the form IP:port", address), append(append([]any(nil), path...), "address")...)
 	}
 	if !c.zoneNames[zone] {
-		c.addFault(code.ConfigDanglingName, fmt.Sprintf("zone %q is not defined", zone), append(append([]any(nil), path...), "zone")...)
+		c.addFault(code.ConfigDanglingName, fmt.Sprintf("no zone %q is defined", zone), append(append([]any(nil), path...), "zone")...)
 	}
 }
 
@@ -125,7 +126,7 @@
 		c.checkPositive(a.MemoryMiB, "memory_mib", "adapters", i, "memory_mib")
 		base, ok := c.modelMemory[a.Model]
 		if !ok {
-			c.addFault(code.ConfigDanglingName, fmt.Sprintf("model %q is not defined", a.Model), "adapters", i, "model")
+			c.addFault(code.ConfigDanglingName, fmt.Sprintf("no model %q is defined", a.Model), "adapters", i, "model")
 			continue
 		}
 		c.baseModels[a.Name] = a.Model
@@ -133,7 +134,8 @@
 	}
 }
 
-// checkFits reports an item that is larger than the memory of every engine.
+// checkFits records a fault if no engine has mib MiB of memory, the need of a model
+// or of an adapter together with its model.
 func (c *checker) checkFits(mib int64, path ...any) {
 	if mib > c.maxEngineMemory {
 		c.addFault(code.ConfigNeverFits, fmt.Sprintf("needs %d MiB (an adapter together with its model), but the largest engine has %d MiB", mib, c.maxEngineMemory), path...)
@@ -164,7 +166,7 @@
 
 func (c *checker) checkServices() {
 	seen := map[string]bool{}
-	replicas := map[string]bool{}
+	replicas := map[string]bool{} // engines share the namespace of replicas
 	for _, e := range c.doc.Engines {
 		replicas[e.Name] = true
 	}
@@ -175,7 +177,7 @@
 		}
 		c.checkAnnounced(i, s.Announced)
 		if s.Policy != "" && !c.policyNames[s.Policy] {
-			c.addFault(code.ConfigDanglingName, fmt.Sprintf("policy %q is not defined", s.Policy), "services", i, "policy")
+			c.addFault(code.ConfigDanglingName, fmt.Sprintf("no policy %q is defined", s.Policy), "services", i, "policy")
 		}
 		if s.Target.FirstToken < 0 || s.Target.BetweenTokens < 0 {
 			c.addFault(code.ConfigBadValue, "targets must not be negative", "services", i, "target")
@@ -195,10 +197,10 @@
 	for j, v := range s.Versions {
 		c.checkName(seen, v.Name, "services", i, "versions", j)
 		if _, ok := c.modelMemory[v.Model]; !ok {
-			c.addFault(code.ConfigDanglingName, fmt.Sprintf("model %q is not defined", v.Model), "services", i, "versions", j, "model")
+			c.addFault(code.ConfigDanglingName, fmt.Sprintf("no model %q is defined", v.Model), "services", i, "versions", j, "model")
 		}
 		if base, ok := c.baseModels[v.Adapter]; v.Adapter != "" && (!ok || base != v.Model) {
-			c.addFault(code.ConfigDanglingName, fmt.Sprintf("adapter %q is not defined for model %q", v.Adapter, v.Model), "services", i, "versions", j, "adapter")
+			c.addFault(code.ConfigDanglingName, fmt.Sprintf("no adapter %q is defined for model %q", v.Adapter, v.Model), "services", i, "versions", j, "adapter")
 		}
 		if v.Share < 0 || v.Share > maxShare {
 			c.addFault(code.ConfigBadValue, fmt.Sprintf("share is %d, must be between 0 and %d", v.Share, maxShare), "services", i, "versions", j, "share")
@@ -223,7 +225,7 @@
 		}
 		for j, s := range caller.Services {
 			if !services[s] {
-				c.addFault(code.ConfigDanglingName, fmt.Sprintf("service %q is not defined", s), "callers", i, "services", j)
+				c.addFault(code.ConfigDanglingName, fmt.Sprintf("no service %q is defined", s), "callers", i, "services", j)
 			}
 		}
 	}
--- a/core/config/check_forward.go
+++ b/core/config/check_forward.go
@@ -20,7 +20,7 @@
 	return n == 1
 }
 
-// checkAnnounced checks the engine pool of a service whose replicas announce
+// checkAnnounced checks the engine pool of service i if its replicas announce
 // themselves.
 func (c *checker) checkAnnounced(i int, a *Announced) {
 	if a == nil || a.Engine == nil {
@@ -73,13 +73,14 @@
 	}
 }
 
-// checkSplit checks the services and weights of forward i.
+// checkSplit checks the services and weights of forward i. The map services holds,
+// for each defined service, whether its replicas announce themselves.
 func (c *checker) checkSplit(i int, f Forward, services map[string]bool) {
 	total := 0
 	for j, s := range f.Split {
 		announced, ok := services[s.Service]
 		if !ok {
-			c.addFault(code.ConfigDanglingName, fmt.Sprintf("service %q is not defined", s.Service), "forwards", i, "split", j, "service")
+			c.addFault(code.ConfigDanglingName, fmt.Sprintf("no service %q is defined", s.Service), "forwards", i, "split", j, "service")
 		} else if !announced {
 			c.addFault(code.ConfigBadValue, fmt.Sprintf("the replicas of %q do not announce themselves", s.Service), "forwards", i, "split", j, "service")
 		}
--- a/core/config/snapshot.go
+++ b/core/config/snapshot.go
@@ -24,7 +24,7 @@
 }
 
 // NewSnapshot indexes doc and compiles its policies. The document must have
-// passed File.Validate; otherwise NewSnapshot may return an error.
+// passed File.Validate; an error means that it did not.
 func NewSnapshot(doc Document) (*Snapshot, error) {
 	doc = doc.withDefaults()
 	s := &Snapshot{
@@ -191,7 +191,7 @@
 }
 
 // MayRepeat reports whether a call to a path of the service may run more than
-// once.
+// once. The route with the longest matching prefix overrides the service.
 func (s Service) MayRepeat(path string) bool {
 	best := -1
 	repeatable := !s.NotRepeatable
--- a/core/instance/platform.go
+++ b/core/instance/platform.go
@@ -47,7 +47,7 @@
 			o.registry.Tick, o.owned.Tick, placer.Tick, m.exchanges.TickMesh, w.Tick,
 		},
 		configInstalled:   func(clock.Instant, *config.Snapshot) {},
-		handleConfigReply: func(clock.Instant, error) {}, // the only watch is ended by watch.Reply
+		handleConfigReply: func(clock.Instant, error) {}, // watch.Reply is the result of the only watch
 		handleListReply: func(now clock.Instant, e listing.Reply) {
 			m.exchanges.ObserveStoreVersion(e.Version)
 			m.listing.HandleReply(now, e)
@@ -75,5 +75,5 @@
 // a users' platform.
 func (m *Machine) refuseOwnCall(e calls.Arrived) {
 	c := &calls.Call{Request: e.Call}
-	m.calls.RefuseNew(c, calls.NotRunRefusal(code.UnknownService, "the product's own API is not served on this platform", 0))
+	m.calls.RefuseNew(c, calls.NotRunRefusal(code.UnknownService, "the product's own interface is not served here", 0))
 }
