--- a/core/bounds/bounds.go
+++ b/core/bounds/bounds.go
@@ -140,7 +140,7 @@
 // Check returns an error if the sum of the delays exceeds Leave.
 func (b Bounds) Check(t Timing) error {
 	if d := b.Delays(t); d.Sum() > b.Leave {
-		return fmt.Errorf("a leaving replica could get calls for %v, and %v are allowed: %v", d.Sum(), b.Leave, d)
+		return fmt.Errorf("a replica that leaves could get calls for %v, and %v are allowed: %v", d.Sum(), b.Leave, d)
 	}
 	return nil
 }
--- a/core/calls/queue.go
+++ b/core/calls/queue.go
@@ -21,7 +21,7 @@
 		return
 	}
 	if len(t.queue) >= t.Options.MaxWaiting && !t.evictFor(c) {
-		t.Refuse(c, NotRunRefusal(code.NoCapacity, "the queue is full", t.RetryAfter(0)))
+		t.Refuse(c, NotRunRefusal(code.NoCapacity, "too many calls wait", t.RetryAfter(0)))
 		return
 	}
 	c.Phase = Waiting
@@ -40,7 +40,7 @@
 	if lowest == nil || lowest.Priority >= c.Priority {
 		return false
 	}
-	t.Refuse(lowest, NotRunRefusal(code.NoCapacity, "evicted from the queue by a call of higher priority", t.RetryAfter(0)))
+	t.Refuse(lowest, NotRunRefusal(code.NoCapacity, "gave way to a more important call", t.RetryAfter(0)))
 	return true
 }
 
--- a/core/calls/table.go
+++ b/core/calls/table.go
@@ -187,5 +187,5 @@
 	if c.Answered {
 		run = code.Ran
 	}
-	t.Refuse(c, code.Refusal{Code: code.StreamCut, Run: run, Detail: "this instance stopped before the answer was complete"})
+	t.Refuse(c, code.Refusal{Code: code.StreamCut, Run: run, Detail: "this instance stopped before the answer was whole"})
 }
--- a/core/config/check.go
+++ b/core/config/check.go
@@ -83,7 +83,7 @@
 		c.addFault(code.ConfigBadValue, fmt.Sprintf("address %q is not of the form IP:port", address), append(append([]any(nil), path...), "address")...)
 	}
 	if !c.zoneNames[zone] {
-		c.addFault(code.ConfigDanglingName, fmt.Sprintf("no zone %q is defined", zone), append(append([]any(nil), path...), "zone")...)
+		c.addFault(code.ConfigDanglingName, fmt.Sprintf("no zone %q", zone), append(append([]any(nil), path...), "zone")...)
 	}
 }
 
--- a/core/forwarding/attempts.go
+++ b/core/forwarding/attempts.go
@@ -267,7 +267,7 @@
 // expire ends one call whose time limit has passed.
 func (f *Forwarder) expire(c *calls.Call) {
 	if c.Phase != calls.Running {
-		f.Calls.Refuse(c, calls.NotRunRefusal(code.TargetMissed, "the call waited until its time limit", f.Calls.RetryAfter(0)))
+		f.Calls.Refuse(c, calls.NotRunRefusal(code.TargetMissed, "it waited until its time was over", f.Calls.RetryAfter(0)))
 		return
 	}
 	f.abandon(c)
@@ -275,5 +275,5 @@
 	if stateOf(c).progress.answerStarted {
 		refusalCode = code.StreamCut
 	}
-	f.Calls.Refuse(c, code.Refusal{Code: refusalCode, Run: c.History.RunState(), Detail: "the time limit of the call has passed"})
+	f.Calls.Refuse(c, code.Refusal{Code: refusalCode, Run: c.History.RunState(), Detail: "the time for which it may be held is over"})
 }
--- a/core/forwarding/overload.go
+++ b/core/forwarding/overload.go
@@ -114,7 +114,7 @@
 		f.hold(c)
 	case refuseNow:
 		after := max(noReplicaRetryAfter, step.Jitter(f.Rand, best.Total()-best.Turn-c.Target))
-		f.Calls.Refuse(c, calls.NotRunRefusal(code.TargetMissed, "the engines of its model are overloaded with prompts", after))
+		f.Calls.Refuse(c, calls.NotRunRefusal(code.TargetMissed, "the engines of its model have too much to read", after))
 	default:
 		return false
 	}
--- a/core/forwarding/wait.go
+++ b/core/forwarding/wait.go
@@ -137,7 +137,7 @@
 		}
 		f.Calls.Enqueue(c)
 	case c.History.RunState() != code.NotRun || s.progress.answerStarted:
-		f.end(c, s, 0, "the other replicas that could serve it are resting")
+		f.end(c, s, 0, "the other replicas that could serve it want no calls")
 	case c.Item != "" && left >= pool.LongRest:
 		f.awaitModel(now, c)
 	default:
--- a/core/orderclient/orderclient.go
+++ b/core/orderclient/orderclient.go
@@ -132,7 +132,7 @@
 	o, _ := c.Owner(key.Engine) // an unknown owner is an unknown member, which is handled below
 	p := c.Members.Get(o.Owner)
 	if p == nil {
-		c.HandleOutcome(now, key, owned.Failed, "the owner of the engine is unknown")
+		c.HandleOutcome(now, key, owned.Failed, "its owner is not known")
 		return
 	}
 	c.Out.Emit(SendRequest{Peer: p.Name, Address: p.Address, Engine: key.Engine, Request: key.Request})
--- a/core/owned/owned.go
+++ b/core/owned/owned.go
@@ -176,7 +176,7 @@
 		e := s.engines[name]
 		r := s.Pool.Get(name)
 		if r == nil || r.Leaving() {
-			s.Lose(now, name, "the engine is leaving")
+			s.Lose(now, name, "it is leaving")
 			continue
 		}
 		if e.incarnation.Born == "" {
@@ -186,7 +186,7 @@
 			// The new incarnation starts its count of orders again and holds nothing. The
 			// ledger of the former one would ignore its states as too old and never allow
 			// an order to it.
-			s.Lose(now, name, "the engine restarted")
+			s.Lose(now, name, "it started again")
 			continue
 		}
 		e.Advance(now)
--- a/core/owned/queue.go
+++ b/core/owned/queue.go
@@ -82,7 +82,7 @@
 func (s *Engines) HandleRequest(now clock.Instant, r RequestReceived) {
 	e := s.engines[r.Engine]
 	if e == nil {
-		s.Out.Emit(SendReply{Token: r.Token, Outcome: Refused, Detail: "this instance does not own the engine"})
+		s.Out.Emit(SendReply{Token: r.Token, Outcome: Refused, Detail: "this instance does not order the engine"})
 		return
 	}
 	s.enqueue(now, e, r.Request, waiter{token: r.Token})
@@ -152,11 +152,11 @@
 		}
 	case orders.NoCapacity:
 		if q.request.Adapter == "" || !s.evictAdapter(now, e) {
-			s.replyAll(now, e, *q, Refused, "memory or adapter slots are missing")
+			s.replyAll(now, e, *q, Refused, "no room")
 			return true
 		}
 	case orders.ModelNotReady, orders.SizeUnknown:
-		s.replyAll(now, e, *q, Refused, "the model is not loaded or not configured")
+		s.replyAll(now, e, *q, Refused, "the model is not there")
 		return true
 	}
 	if now.Before(q.expiresAt) {
@@ -191,7 +191,7 @@
 }
 
 // unreachableDetail is the detail of refusals for an unreachable engine.
-const unreachableDetail = "the engine is unreachable"
+const unreachableDetail = "nothing answers at the engine"
 
 // down reports whether the engine was unreachable recently.
 func (s *Engines) down(now clock.Instant, e *Engine) bool {
@@ -253,7 +253,7 @@
 		s.Pool.MarkTerminated(e.Name)
 	case orders.AnswerFenced:
 		e.RecordFailed()
-		s.Lose(now, e.Name, "the engine has seen a higher fence")
+		s.Lose(now, e.Name, "the engine has seen a later fence")
 		return
 	case orders.AnswerLost:
 		s.recordDelayed(now, e)
--- a/core/ownership/enrol.go
+++ b/core/ownership/enrol.go
@@ -75,7 +75,7 @@
 	case e.Over:
 		g.Out.Log(logevent.EnrolmentLost, "lease", e.Lease)
 		g.enrolment.held = false
-		g.loseAll(now, "this instance's record was deleted")
+		g.loseAll(now, "this instance's record went")
 		g.enrolment.job.End(now)
 		g.storeAnswered(now)
 	case e.Err != nil:
--- a/core/ownership/era.go
+++ b/core/ownership/era.go
@@ -96,7 +96,7 @@
 func (g *Registry) handleRollback(now clock.Instant, former storeEra) {
 	g.Out.Log(logevent.StoreSteppedBack, "era", uint64(g.era.current), "former", uint64(former.current), "engines", g.Owned.Len())
 	g.era.formerValidUntil = now.Add(g.Options.OrderValid)
-	g.Owned.LoseUnsettled(now, "the store was restored from an older copy before the orders of a former owner had ended")
+	g.Owned.LoseUnsettled(now, "the store went back before the orders of a former owner had ended")
 	g.claims.due = now
 	g.placer.claimDue = now
 	g.enrolment.due = now
@@ -143,7 +143,7 @@
 	}
 	for _, name := range g.Owned.Names() {
 		if g.era.isFormer(g.Owned.Get(name).Fence) {
-			g.Owned.Lose(now, name, "it was not claimed again in time after the store was restored from an older copy")
+			g.Owned.Lose(now, name, "it was not claimed again after the store went back")
 		}
 	}
 	if g.era.isFormer(g.placer.fence) {
--- a/core/ownership/ownership.go
+++ b/core/ownership/ownership.go
@@ -198,10 +198,10 @@
 const (
 	allowed       denial = ""
 	stopping      denial = "this instance stops"
-	neverRenewed  denial = "this instance has never renewed its record"
-	renewalTooOld denial = "the last answered renewal of this instance's record is too old"
-	neverWatched  denial = "this instance has never read the records from the store"
-	watchTooOld   denial = "the last answered watch is too old"
+	neverRenewed  denial = "its record was never renewed"
+	renewalTooOld denial = "the last renewal of its record that was answered is too old"
+	neverWatched  denial = "it never heard of the records from the store"
+	watchTooOld   denial = "the last watch that was answered is too old"
 )
 
 // An orderEligibility holds the facts that decide whether an owner may send orders.
@@ -321,7 +321,7 @@
 	}
 	for _, engine := range c.GoneOwners {
 		delete(g.owners, engine)
-		g.loseUnlessFormer(now, engine, "its record was deleted")
+		g.loseUnlessFormer(now, engine, "its record went")
 	}
 	for _, q := range c.Quarantines {
 		g.Quarantined(now, q)
@@ -358,9 +358,9 @@
 	switch {
 	case o.Owner == g.Self.Name && o.Boot == g.Self.Boot:
 	case g.era.isStale(o.Era):
-		g.loseUnlessFormer(now, o.Engine, "another instance wrote its record later")
+		g.loseUnlessFormer(now, o.Engine, "another instance's record came after this one's")
 	default:
-		g.Owned.Lose(now, o.Engine, "another instance claimed it")
+		g.Owned.Lose(now, o.Engine, "another instance took it")
 	}
 }
 
