--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -210,8 +210,8 @@
 	return c
 }
 
-// Holds returns the phase of an item, "" if absent.
-func (e *Engine) Holds(name string) string {
+// ItemPhase returns the phase of an item, "" if absent.
+func (e *Engine) ItemPhase(name string) string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if it := e.items[name]; it != nil {
--- a/standin/integration/world_test.go
+++ b/standin/integration/world_test.go
@@ -195,7 +195,7 @@
 // resident waits until a model is ready on an engine.
 func (w *world) resident(engineName, item string) {
 	w.t.Helper()
-	w.await(item+" is ready on "+engineName, func() bool { return w.engines[engineName].Holds(item) == "ready" })
+	w.await(item+" is ready on "+engineName, func() bool { return w.engines[engineName].ItemPhase(item) == "ready" })
 }
 
 // seen waits until an instance knows that a model is ready on an engine.
