--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -130,7 +130,7 @@
 	mux.HandleFunc("POST "+wire.PathOrders, e.frozen(e.orders))
 	mux.HandleFunc("GET /counts", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, e.Counts()) })
 	mux.HandleFunc("POST /fault", e.Faults.Handler())
-	mux.HandleFunc("POST /leave", func(http.ResponseWriter, *http.Request) { e.Leave() })
+	mux.HandleFunc("POST /leave", func(http.ResponseWriter, *http.Request) { e.MarkLeaving() })
 	return mux
 }
 
@@ -166,8 +166,8 @@
 	_ = json.NewEncoder(w).Encode(v) // the caller's connection tells of a failure
 }
 
-// Leave has the engine say that it is leaving and refuse new calls.
-func (e *Engine) Leave() {
+// MarkLeaving has the engine say that it is leaving and refuse new calls.
+func (e *Engine) MarkLeaving() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.leaving = true
