--- a/standin/integration/fleet_test.go
+++ b/standin/integration/fleet_test.go
@@ -89,7 +89,7 @@
 		is.Equal(a.Status, http.StatusOK)
 		is.Equal(a.Upstream, "s2")
 	}
-	is.Equal(len(w.services["s1"].Ledger()), 0)
+	is.Equal(len(w.services["s1"].Executions()), 0)
 }
 
 // TestListedLeavingGetsNoNewWork: the list alone says so, and both instances
@@ -106,13 +106,13 @@
 		})
 	}
 	is.True(time.Since(begun) < 4*time.Second)
-	before := len(w.services["s1"].Ledger())
+	before := len(w.services["s1"].Executions())
 	for i := range 20 {
 		a, err := ins[i%2].Post("/services/stock/x", fmt.Sprint(i), nil)
 		is.NoErr(err)
 		is.Equal(a.Upstream, "s2")
 	}
-	is.Equal(len(w.services["s1"].Ledger()), before)
+	is.Equal(len(w.services["s1"].Executions()), before)
 }
 
 // manyModels is a world of two zones, each with one engine that holds two of
--- a/standin/integration/once_test.go
+++ b/standin/integration/once_test.go
@@ -48,7 +48,7 @@
 func (w *world) ran(text string) int {
 	n := 0
 	for _, s := range w.services {
-		for _, x := range s.Ledger() {
+		for _, x := range s.Executions() {
 			if x.Body == text {
 				n++
 			}
--- a/standin/service/service.go
+++ b/standin/service/service.go
@@ -43,8 +43,8 @@
 // New returns a service with an empty ledger.
 func New(name string) *Service { return &Service{name: name} }
 
-// Ledger returns the calls that ran, in order.
-func (s *Service) Ledger() []Execution {
+// Executions returns the calls that ran, in order.
+func (s *Service) Executions() []Execution {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]Execution(nil), s.ledger...)
@@ -55,7 +55,7 @@
 func (s *Service) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("/", s.serve)
-	mux.HandleFunc("GET /ledger", func(w http.ResponseWriter, _ *http.Request) { _ = json.NewEncoder(w).Encode(s.Ledger()) })
+	mux.HandleFunc("GET /ledger", func(w http.ResponseWriter, _ *http.Request) { _ = json.NewEncoder(w).Encode(s.Executions()) })
 	mux.HandleFunc("POST /fault", s.Faults.Handler())
 	return mux
 }
