--- a/standin/fleet/fleet.go
+++ b/standin/fleet/fleet.go
@@ -23,8 +23,8 @@
 	"github.com/birchdrift/birchdrift/internal/control"
 )
 
-// Patience bounds every wait for a condition.
-const Patience = 30 * time.Second
+// AwaitTimeout bounds every wait for a condition.
+const AwaitTimeout = 30 * time.Second
 
 // poll spaces the looks at a condition.
 const poll = 10 * time.Millisecond
@@ -99,7 +99,7 @@
 
 // AwaitLine returns the first line that holds text.
 func (p *Process) AwaitLine(text string) (string, error) {
-	deadline := time.NewTimer(Patience)
+	deadline := time.NewTimer(AwaitTimeout)
 	defer deadline.Stop()
 	for {
 		all, changed := p.log.snapshot()
@@ -132,7 +132,7 @@
 	select {
 	case <-p.exited:
 		return p.status, nil
-	case <-time.After(Patience):
+	case <-time.After(AwaitTimeout):
 		return 0, fmt.Errorf("%s does not end:\n%s", p.Name, p.Log())
 	}
 }
@@ -204,10 +204,10 @@
 
 // Await looks at a condition until it holds.
 func Await(what string, holds func() bool) error {
-	deadline := time.Now().Add(Patience)
+	deadline := time.Now().Add(AwaitTimeout)
 	for !holds() {
 		if time.Now().After(deadline) {
-			return fmt.Errorf("waited %s in vain: %s", Patience, what)
+			return fmt.Errorf("waited %s in vain: %s", AwaitTimeout, what)
 		}
 		time.Sleep(poll)
 	}
--- a/standin/integration/world_test.go
+++ b/standin/integration/world_test.go
@@ -92,7 +92,7 @@
 }
 
 // fleetPatience bounds a wait at the platform.
-const fleetPatience = fleet.Patience
+const fleetPatience = fleet.AwaitTimeout
 
 // zone adds an availability zone.
 func (w *world) zone(names ...string) {
