--- a/standin/fleet/fleet.go
+++ b/standin/fleet/fleet.go
@@ -231,8 +231,8 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// An Answer is what came back from a call.
-type Answer struct {
+// An Response is what came back from a call.
+type Response struct {
 	Status   int
 	Body     string
 	Instance string
@@ -242,10 +242,10 @@
 }
 
 // Post calls an instance's callers' listener.
-func (i *Instance) Post(path, body string, header http.Header) (Answer, error) {
+func (i *Instance) Post(path, body string, header http.Header) (Response, error) {
 	req, err := http.NewRequest(http.MethodPost, "http://"+i.Callers+path, bytes.NewBufferString(body))
 	if err != nil {
-		return Answer{}, err
+		return Response{}, err
 	}
 	for name, values := range header {
 		req.Header[name] = values
@@ -253,11 +253,11 @@
 	req.Header.Set("Content-Type", "application/json")
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
-		return Answer{}, err
+		return Response{}, err
 	}
 	defer resp.Body.Close()
 	data, err := io.ReadAll(resp.Body)
-	return Answer{
+	return Response{
 		Status: resp.StatusCode, Body: string(data), Header: resp.Header, Err: err,
 		Instance: resp.Header.Get("Birchdrift-Instance"), Upstream: resp.Header.Get("Birchdrift-Upstream"),
 	}, nil
--- a/standin/integration/once_test.go
+++ b/standin/integration/once_test.go
@@ -24,7 +24,7 @@
 	} `json:"error"`
 }
 
-func refusalOf(t *testing.T, a fleet.Answer) refusal {
+func refusalOf(t *testing.T, a fleet.Response) refusal {
 	t.Helper()
 	var r refusal
 	if err := json.Unmarshal([]byte(a.Body), &r); err != nil {
--- a/standin/integration/world_test.go
+++ b/standin/integration/world_test.go
@@ -216,7 +216,7 @@
 }
 
 // chat calls a model service.
-func chat(in *fleet.Instance, model, prompt string, tokens int, stream bool) (fleet.Answer, error) {
+func chat(in *fleet.Instance, model, prompt string, tokens int, stream bool) (fleet.Response, error) {
 	body := fmt.Sprintf(`{"model":%q,"prompt":%q,"max_tokens":%d,"stream":%v}`, model, prompt, tokens, stream)
 	return in.Post("/v1/completions", body, nil)
 }
