--- a/standin/cmd/demo/main.go
+++ b/standin/cmd/demo/main.go
@@ -96,7 +96,7 @@
 	var list []keyvalue.Instance
 	for i, zone := range []string{zoneName(0), zoneName(0), zoneName(1)} {
 		name := fmt.Sprintf("entry-%d", i+1)
-		in, err := fleet.StartInstance(d.bin, fleet.Spec{Name: name, Zone: zone, Platform: d.platform})
+		in, err := fleet.StartInstance(d.bin, fleet.InstanceSpec{Name: name, Zone: zone, Platform: d.platform})
 		if err != nil {
 			return err
 		}
--- a/standin/fleet/fleet.go
+++ b/standin/fleet/fleet.go
@@ -152,8 +152,8 @@
 	Operations string
 }
 
-// A Spec says how to start an entry instance.
-type Spec struct {
+// A InstanceSpec says how to start an entry instance.
+type InstanceSpec struct {
 	Name     string
 	Zone     string
 	Platform string
@@ -162,7 +162,7 @@
 }
 
 // StartInstance starts an entry instance on ports that the kernel chooses.
-func StartInstance(bin string, s Spec) (*Instance, error) {
+func StartInstance(bin string, s InstanceSpec) (*Instance, error) {
 	args := append([]string{
 		"--name", s.Name, "--zone", s.Zone, "--platform", s.Platform,
 		"--listen-callers", "127.0.0.1:0", "--listen-peers", "127.0.0.1:0", "--listen-operations", "127.0.0.1:0",
--- a/standin/integration/world_test.go
+++ b/standin/integration/world_test.go
@@ -151,7 +151,7 @@
 // start starts an entry instance and puts it into the platform's list.
 func (w *world) start(name, zone string, extra ...string) *fleet.Instance {
 	w.t.Helper()
-	in, err := fleet.StartInstance(bin, fleet.Spec{Name: name, Zone: zone, Platform: w.address, Extra: append(append([]string(nil), quick...), extra...)})
+	in, err := fleet.StartInstance(bin, fleet.InstanceSpec{Name: name, Zone: zone, Platform: w.address, Extra: append(append([]string(nil), quick...), extra...)})
 	if err != nil {
 		w.t.Fatal(err)
 	}
