--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -77,7 +77,7 @@
 
 // An Engine is the stand-in. It is safe for concurrent use.
 type Engine struct {
-	Faults fault.Switch[Faults]
+	Faults fault.Injector[Faults]
 	opt    Options
 
 	mu        sync.Mutex
--- a/standin/fault/fault.go
+++ b/standin/fault/fault.go
@@ -26,35 +26,35 @@
 // MarshalJSON implements json.Marshaler.
 func (d Duration) MarshalJSON() ([]byte, error) { return json.Marshal(time.Duration(d).String()) }
 
-// A Switch holds the faults in force of type T. It is safe for concurrent use.
-type Switch[T any] struct {
+// A Injector holds the faults in force of type T. It is safe for concurrent use.
+type Injector[T any] struct {
 	mu     sync.Mutex
 	faults T
 }
 
 // Get returns the faults in force.
-func (s *Switch[T]) Get() T {
+func (s *Injector[T]) Get() T {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.faults
 }
 
 // Set replaces the faults in force.
-func (s *Switch[T]) Set(f T) {
+func (s *Injector[T]) Set(f T) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = f
 }
 
 // Update changes the faults in force.
-func (s *Switch[T]) Update(f func(*T)) {
+func (s *Injector[T]) Update(f func(*T)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	f(&s.faults)
 }
 
 // Handler serves POST /fault.
-func (s *Switch[T]) Handler() http.HandlerFunc {
+func (s *Injector[T]) Handler() http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		var f T
 		if err := json.NewDecoder(r.Body).Decode(&f); err != nil {
--- a/standin/platform/platform.go
+++ b/standin/platform/platform.go
@@ -67,7 +67,7 @@
 
 // A Platform is the stand-in. It is safe for concurrent use.
 type Platform struct {
-	Faults fault.Switch[Faults]
+	Faults fault.Injector[Faults]
 
 	mu       sync.Mutex
 	changed  chan struct{} // closed and replaced with every change
--- a/standin/service/service.go
+++ b/standin/service/service.go
@@ -33,7 +33,7 @@
 
 // A Service is the stand-in. It is safe for concurrent use.
 type Service struct {
-	Faults fault.Switch[Faults]
+	Faults fault.Injector[Faults]
 	name   string
 
 	mu     sync.Mutex
