--- a/standin/engine/orders.go
+++ b/standin/engine/orders.go
@@ -31,13 +31,13 @@
 		}
 	})
 	if late > 0 {
-		fault.Drop(w)
+		fault.DropConnection(w)
 		time.AfterFunc(late, func() { e.carryOut(o) })
 		return
 	}
 	reply := e.carryOut(o)
 	if lost {
-		fault.Drop(w)
+		fault.DropConnection(w)
 		return
 	}
 	writeJSON(w, reply)
--- a/standin/fault/fault.go
+++ b/standin/fault/fault.go
@@ -65,9 +65,9 @@
 	}
 }
 
-// Drop closes the request's connection without an answer, after whatever
+// DropConnection closes the request's connection without an answer, after whatever
 // effect the request had.
-func Drop(w http.ResponseWriter) {
+func DropConnection(w http.ResponseWriter) {
 	conn, _, err := http.NewResponseController(w).Hijack()
 	if err != nil {
 		panic(http.ErrAbortHandler)
--- a/standin/platform/platform.go
+++ b/standin/platform/platform.go
@@ -126,7 +126,7 @@
 func (p *Platform) admit(w http.ResponseWriter, r *http.Request, limiter *rate.Limiter, count *int64) bool {
 	f := p.Faults.Get()
 	if f.Down {
-		fault.Drop(w)
+		fault.DropConnection(w)
 		return false
 	}
 	if f.Slow > 0 {
@@ -175,7 +175,7 @@
 			return
 		}
 		next(discard{}, r)
-		fault.Drop(w)
+		fault.DropConnection(w)
 	}
 }
 
@@ -249,7 +249,7 @@
 		return v.revision > after
 	})
 	if !ok {
-		fault.Drop(w)
+		fault.DropConnection(w)
 		return
 	}
 	w.Header().Set(keyvalue.HeaderRevision, strconv.FormatUint(v.revision, 10))
@@ -367,7 +367,7 @@
 		return len(out.Instances) > 0
 	})
 	if !ok {
-		fault.Drop(w)
+		fault.DropConnection(w)
 		return
 	}
 	sort.Slice(out.Instances, func(i, j int) bool { return out.Instances[i].Version < out.Instances[j].Version })
--- a/standin/service/service.go
+++ b/standin/service/service.go
@@ -89,7 +89,7 @@
 		return
 	}
 	if before {
-		fault.Drop(w)
+		fault.DropConnection(w)
 		return
 	}
 	body, err := io.ReadAll(r.Body)
@@ -101,7 +101,7 @@
 	s.mu.Unlock()
 	time.Sleep(slow)
 	if after {
-		fault.Drop(w)
+		fault.DropConnection(w)
 		return
 	}
 	w.Header().Set("Served-By", s.name)
