--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -390,8 +390,8 @@
 	}
 }
 
-// Text is the piece at offset of a call's answer: it names its call and its
+// PieceText is the piece at offset of a call's answer: it names its call and its
 // place, so that a test can tell whose it is.
-func Text(prompt string, offset int) string {
+func PieceText(prompt string, offset int) string {
 	return strconv.FormatUint(xxhash.Sum64String(prompt)%1e9, 36) + "." + strconv.Itoa(offset) + " "
 }
--- a/standin/engine/sequence.go
+++ b/standin/engine/sequence.go
@@ -206,7 +206,7 @@
 
 // write writes one piece, with others that are not wanted if so told.
 func (e *Engine) write(enc *json.Encoder, s *sequence, offset int, f Faults) {
-	p := wire.Piece{ID: s.req.ID, Offset: offset, Text: Text(s.req.Prompt, offset)}
+	p := wire.Piece{ID: s.req.ID, Offset: offset, Text: PieceText(s.req.Prompt, offset)}
 	if f.Duplicates {
 		_ = enc.Encode(wire.Piece{ID: "another", Offset: offset, Text: "not yours "})
 		if offset > 0 {
--- a/standin/integration/world_test.go
+++ b/standin/integration/world_test.go
@@ -225,7 +225,7 @@
 func want(prompt string, tokens int) string {
 	var b strings.Builder
 	for i := range tokens {
-		b.WriteString(engine.Text(prompt, i))
+		b.WriteString(engine.PieceText(prompt, i))
 	}
 	return b.String()
 }
