--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -77,7 +77,7 @@
 
 // An Engine is the stand-in. It is safe for concurrent use.
 type Engine struct {
-	Faults fault.Switch[Faults]
+	Faults fault.Injector[Faults]
 	opt    Options
 
 	mu        sync.Mutex
@@ -130,7 +130,7 @@
 	mux.HandleFunc("POST "+wire.PathOrders, e.frozen(e.orders))
 	mux.HandleFunc("GET /counts", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, e.Counts()) })
 	mux.HandleFunc("POST /fault", e.Faults.Handler())
-	mux.HandleFunc("POST /leave", func(http.ResponseWriter, *http.Request) { e.Leave() })
+	mux.HandleFunc("POST /leave", func(http.ResponseWriter, *http.Request) { e.MarkLeaving() })
 	return mux
 }
 
@@ -166,8 +166,8 @@
 	_ = json.NewEncoder(w).Encode(v) // the caller's connection tells of a failure
 }
 
-// Leave has the engine say that it is leaving and refuse new calls.
-func (e *Engine) Leave() {
+// MarkLeaving has the engine say that it is leaving and refuse new calls.
+func (e *Engine) MarkLeaving() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.leaving = true
@@ -210,8 +210,8 @@
 	return c
 }
 
-// Holds returns the phase of an item, "" if absent.
-func (e *Engine) Holds(name string) string {
+// ItemPhase returns the phase of an item, "" if absent.
+func (e *Engine) ItemPhase(name string) string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if it := e.items[name]; it != nil {
@@ -390,8 +390,8 @@
 	}
 }
 
-// Text is the piece at offset of a call's answer: it names its call and its
+// PieceText is the piece at offset of a call's answer: it names its call and its
 // place, so that a test can tell whose it is.
-func Text(prompt string, offset int) string {
+func PieceText(prompt string, offset int) string {
 	return strconv.FormatUint(xxhash.Sum64String(prompt)%1e9, 36) + "." + strconv.Itoa(offset) + " "
 }
--- a/standin/fleet/fleet.go
+++ b/standin/fleet/fleet.go
@@ -23,8 +23,8 @@
 	"github.com/birchdrift/birchdrift/internal/control"
 )
 
-// Patience bounds every wait for a condition.
-const Patience = 30 * time.Second
+// AwaitTimeout bounds every wait for a condition.
+const AwaitTimeout = 30 * time.Second
 
 // poll spaces the looks at a condition.
 const poll = 10 * time.Millisecond
@@ -99,7 +99,7 @@
 
 // AwaitLine returns the first line that holds text.
 func (p *Process) AwaitLine(text string) (string, error) {
-	deadline := time.NewTimer(Patience)
+	deadline := time.NewTimer(AwaitTimeout)
 	defer deadline.Stop()
 	for {
 		all, changed := p.log.snapshot()
@@ -132,7 +132,7 @@
 	select {
 	case <-p.exited:
 		return p.status, nil
-	case <-time.After(Patience):
+	case <-time.After(AwaitTimeout):
 		return 0, fmt.Errorf("%s does not end:\n%s", p.Name, p.Log())
 	}
 }
@@ -152,8 +152,8 @@
 	Operations string
 }
 
-// A Spec says how to start an entry instance.
-type Spec struct {
+// A InstanceSpec says how to start an entry instance.
+type InstanceSpec struct {
 	Name     string
 	Zone     string
 	Platform string
@@ -162,7 +162,7 @@
 }
 
 // StartInstance starts an entry instance on ports that the kernel chooses.
-func StartInstance(bin string, s Spec) (*Instance, error) {
+func StartInstance(bin string, s InstanceSpec) (*Instance, error) {
 	args := append([]string{
 		"--name", s.Name, "--zone", s.Zone, "--platform", s.Platform,
 		"--listen-callers", "127.0.0.1:0", "--listen-peers", "127.0.0.1:0", "--listen-operations", "127.0.0.1:0",
@@ -204,10 +204,10 @@
 
 // Await looks at a condition until it holds.
 func Await(what string, holds func() bool) error {
-	deadline := time.Now().Add(Patience)
+	deadline := time.Now().Add(AwaitTimeout)
 	for !holds() {
 		if time.Now().After(deadline) {
-			return fmt.Errorf("waited %s in vain: %s", Patience, what)
+			return fmt.Errorf("waited %s in vain: %s", AwaitTimeout, what)
 		}
 		time.Sleep(poll)
 	}
@@ -231,8 +231,8 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// An Answer is what came back from a call.
-type Answer struct {
+// An Response is what came back from a call.
+type Response struct {
 	Status   int
 	Body     string
 	Instance string
@@ -242,10 +242,10 @@
 }
 
 // Post calls an instance's callers' listener.
-func (i *Instance) Post(path, body string, header http.Header) (Answer, error) {
+func (i *Instance) Post(path, body string, header http.Header) (Response, error) {
 	req, err := http.NewRequest(http.MethodPost, "http://"+i.Callers+path, bytes.NewBufferString(body))
 	if err != nil {
-		return Answer{}, err
+		return Response{}, err
 	}
 	for name, values := range header {
 		req.Header[name] = values
@@ -253,11 +253,11 @@
 	req.Header.Set("Content-Type", "application/json")
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
-		return Answer{}, err
+		return Response{}, err
 	}
 	defer resp.Body.Close()
 	data, err := io.ReadAll(resp.Body)
-	return Answer{
+	return Response{
 		Status: resp.StatusCode, Body: string(data), Header: resp.Header, Err: err,
 		Instance: resp.Header.Get("Birchdrift-Instance"), Upstream: resp.Header.Get("Birchdrift-Upstream"),
 	}, nil
--- a/standin/integration/once_test.go
+++ b/standin/integration/once_test.go
@@ -24,7 +24,7 @@
 	} `json:"error"`
 }
 
-func refusalOf(t *testing.T, a fleet.Answer) refusal {
+func refusalOf(t *testing.T, a fleet.Response) refusal {
 	t.Helper()
 	var r refusal
 	if err := json.Unmarshal([]byte(a.Body), &r); err != nil {
@@ -48,7 +48,7 @@
 func (w *world) ran(text string) int {
 	n := 0
 	for _, s := range w.services {
-		for _, x := range s.Ledger() {
+		for _, x := range s.Executions() {
 			if x.Body == text {
 				n++
 			}
--- a/standin/integration/world_test.go
+++ b/standin/integration/world_test.go
@@ -92,7 +92,7 @@
 }
 
 // fleetPatience bounds a wait at the platform.
-const fleetPatience = fleet.Patience
+const fleetPatience = fleet.AwaitTimeout
 
 // zone adds an availability zone.
 func (w *world) zone(names ...string) {
@@ -151,7 +151,7 @@
 // start starts an entry instance and puts it into the platform's list.
 func (w *world) start(name, zone string, extra ...string) *fleet.Instance {
 	w.t.Helper()
-	in, err := fleet.StartInstance(bin, fleet.Spec{Name: name, Zone: zone, Platform: w.address, Extra: append(append([]string(nil), quick...), extra...)})
+	in, err := fleet.StartInstance(bin, fleet.InstanceSpec{Name: name, Zone: zone, Platform: w.address, Extra: append(append([]string(nil), quick...), extra...)})
 	if err != nil {
 		w.t.Fatal(err)
 	}
@@ -195,7 +195,7 @@
 // resident waits until a model is ready on an engine.
 func (w *world) resident(engineName, item string) {
 	w.t.Helper()
-	w.await(item+" is ready on "+engineName, func() bool { return w.engines[engineName].Holds(item) == "ready" })
+	w.await(item+" is ready on "+engineName, func() bool { return w.engines[engineName].ItemPhase(item) == "ready" })
 }
 
 // seen waits until an instance knows that a model is ready on an engine.
@@ -216,7 +216,7 @@
 }
 
 // chat calls a model service.
-func chat(in *fleet.Instance, model, prompt string, tokens int, stream bool) (fleet.Answer, error) {
+func chat(in *fleet.Instance, model, prompt string, tokens int, stream bool) (fleet.Response, error) {
 	body := fmt.Sprintf(`{"model":%q,"prompt":%q,"max_tokens":%d,"stream":%v}`, model, prompt, tokens, stream)
 	return in.Post("/v1/completions", body, nil)
 }
@@ -225,7 +225,7 @@
 func want(prompt string, tokens int) string {
 	var b strings.Builder
 	for i := range tokens {
-		b.WriteString(engine.Text(prompt, i))
+		b.WriteString(engine.PieceText(prompt, i))
 	}
 	return b.String()
 }
--- a/standin/service/service.go
+++ b/standin/service/service.go
@@ -33,7 +33,7 @@
 
 // A Service is the stand-in. It is safe for concurrent use.
 type Service struct {
-	Faults fault.Switch[Faults]
+	Faults fault.Injector[Faults]
 	name   string
 
 	mu     sync.Mutex
@@ -43,8 +43,8 @@
 // New returns a service with an empty ledger.
 func New(name string) *Service { return &Service{name: name} }
 
-// Ledger returns the calls that ran, in order.
-func (s *Service) Ledger() []Execution {
+// Executions returns the calls that ran, in order.
+func (s *Service) Executions() []Execution {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]Execution(nil), s.ledger...)
@@ -55,7 +55,7 @@
 func (s *Service) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("/", s.serve)
-	mux.HandleFunc("GET /ledger", func(w http.ResponseWriter, _ *http.Request) { _ = json.NewEncoder(w).Encode(s.Ledger()) })
+	mux.HandleFunc("GET /ledger", func(w http.ResponseWriter, _ *http.Request) { _ = json.NewEncoder(w).Encode(s.Executions()) })
 	mux.HandleFunc("POST /fault", s.Faults.Handler())
 	return mux
 }
@@ -89,7 +89,7 @@
 		return
 	}
 	if before {
-		fault.Drop(w)
+		fault.DropConnection(w)
 		return
 	}
 	body, err := io.ReadAll(r.Body)
@@ -101,7 +101,7 @@
 	s.mu.Unlock()
 	time.Sleep(slow)
 	if after {
-		fault.Drop(w)
+		fault.DropConnection(w)
 		return
 	}
 	w.Header().Set("Served-By", s.name)
