--- a/internal/control/command.go
+++ b/internal/control/command.go
@@ -22,8 +22,8 @@
 	"github.com/birchdrift/birchdrift/internal/upstream"
 )
 
-// askTimeout bounds one question to one instance.
-const askTimeout = 3 * time.Second
+// statusTimeout bounds one question to one instance.
+const statusTimeout = 3 * time.Second
 
 // Command returns birchctl's command line.
 func Command() *cli.Command {
@@ -206,7 +206,7 @@
 	if list == "" {
 		return nil, code.Errorf(code.BadSetting, "--operations (%sOPERATIONS) is missing; allowed: IP:port, separated by commas", settings.EnvPrefix)
 	}
-	httpClient := &http.Client{Timeout: askTimeout}
+	httpClient := &http.Client{Timeout: statusTimeout}
 	var states []instance.Status
 	for _, address := range strings.Split(list, ",") {
 		st, err := FetchStatus(ctx, httpClient, address)
