--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -23,8 +23,8 @@
 	"github.com/birchdrift/birchdrift/internal/own/keyvalue"
 )
 
-// applyTries bounds how often an apply whose answer is lost is repeated.
-const applyTries = 5
+// maxApplyAttempts bounds how often an apply whose answer is lost is repeated.
+const maxApplyAttempts = 5
 
 // Stored is the configuration as the platform holds it.
 type Stored struct {
@@ -90,7 +90,7 @@
 // swap writes the value; whenever the answer leaves open what happened, it
 // reads back and goes by what it finds.
 func swap(ctx context.Context, p *keyvalue.Client, doc config.Document, data []byte, stored Stored) (uint64, error) {
-	for range applyTries {
+	for range maxApplyAttempts {
 		_, err := p.Swap(ctx, keyvalue.ConfigKey, data, stored.Revision, 0)
 		if err == nil {
 			return doc.Revision, nil
