--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -84,12 +84,12 @@
 	if err != nil {
 		return 0, err
 	}
-	return swap(ctx, p, doc, data, stored)
+	return compareAndSwap(ctx, p, doc, data, stored)
 }
 
-// swap writes the value; whenever the answer leaves open what happened, it
+// compareAndSwap writes the value; whenever the answer leaves open what happened, it
 // reads back and goes by what it finds.
-func swap(ctx context.Context, p *keyvalue.Client, doc config.Document, data []byte, stored Stored) (uint64, error) {
+func compareAndSwap(ctx context.Context, p *keyvalue.Client, doc config.Document, data []byte, stored Stored) (uint64, error) {
 	for range maxApplyAttempts {
 		_, err := p.Swap(ctx, keyvalue.ConfigKey, data, stored.Revision, 0)
 		if err == nil {
