--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -106,14 +106,14 @@
 			return 0, conflict(doc, now.Document)
 		}
 	}
-	if err := settle(ctx, p, doc, stored); err != nil {
+	if err := resolveOutcome(ctx, p, doc, stored); err != nil {
 		return 0, err
 	}
 	return doc.Revision, nil
 }
 
-// settle says what is known after every try's answer was lost.
-func settle(ctx context.Context, p *keyvalue.Client, doc config.Document, stored Stored) error {
+// resolveOutcome says what is known after every try's answer was lost.
+func resolveOutcome(ctx context.Context, p *keyvalue.Client, doc config.Document, stored Stored) error {
 	now, err := Get(ctx, p)
 	switch {
 	case err != nil:
