--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -142,11 +142,11 @@
 // Diff returns the unified difference between two documents, "" if they say
 // the same. Revision and change are left out.
 func Diff(from, to config.Document) (string, error) {
-	a, err := plain(from)
+	a, err := comparableYAML(from)
 	if err != nil {
 		return "", err
 	}
-	b, err := plain(to)
+	b, err := comparableYAML(to)
 	if err != nil {
 		return "", err
 	}
@@ -159,7 +159,7 @@
 	})
 }
 
-func plain(d config.Document) ([]byte, error) {
+func comparableYAML(d config.Document) ([]byte, error) {
 	d.Revision = 0
 	d.ChangeID = ""
 	return d.YAML()
