--- a/internal/control/command.go
+++ b/internal/control/command.go
@@ -199,9 +199,9 @@
 	return log.Report(cmd.Root().Writer)
 }
 
-// askAll reads the states of the instances that the command names. One that
+// fetchAll reads the states of the instances that the command names. One that
 // does not answer is reported and left out.
-func askAll(ctx context.Context, cmd *cli.Command) ([]instance.Status, error) {
+func fetchAll(ctx context.Context, cmd *cli.Command) ([]instance.Status, error) {
 	list := cmd.String("operations")
 	if list == "" {
 		return nil, code.Errorf(code.BadSetting, "--operations (%sOPERATIONS) is missing; allowed: IP:port, separated by commas", settings.EnvPrefix)
@@ -223,7 +223,7 @@
 }
 
 func runStatus(ctx context.Context, cmd *cli.Command) error {
-	states, err := askAll(ctx, cmd)
+	states, err := fetchAll(ctx, cmd)
 	if err != nil {
 		return err
 	}
@@ -235,7 +235,7 @@
 		if cmd.Args().Len() != 1 {
 			return code.Errorf(code.BadUsage, "one NAME is needed")
 		}
-		states, err := askAll(ctx, cmd)
+		states, err := fetchAll(ctx, cmd)
 		if err != nil {
 			return err
 		}
