--- a/internal/control/command.go
+++ b/internal/control/command.go
@@ -93,7 +93,7 @@
 	return config.Document{}, errors.Join(errs...)
 }
 
-func client(cmd *cli.Command) (*keyvalue.Client, error) {
+func platformClient(cmd *cli.Command) (*keyvalue.Client, error) {
 	address := cmd.String("platform")
 	if address == "" {
 		return nil, code.Errorf(code.BadSetting, "--platform (%sPLATFORM) is missing; allowed: IP:port", settings.EnvPrefix)
@@ -122,7 +122,7 @@
 	if err != nil {
 		return doc, nil, err
 	}
-	p, err := client(cmd)
+	p, err := platformClient(cmd)
 	return doc, p, err
 }
 
@@ -157,7 +157,7 @@
 }
 
 func runGet(ctx context.Context, cmd *cli.Command) error {
-	p, err := client(cmd)
+	p, err := platformClient(cmd)
 	if err != nil {
 		return err
 	}
