--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -79,7 +79,7 @@
 		return 0, conflict(doc, stored.Document)
 	}
 	doc.Revision = stored.Document.Revision + 1
-	doc.ChangeID = newChange()
+	doc.ChangeID = newChangeID()
 	data, err := doc.Encode()
 	if err != nil {
 		return 0, err
@@ -133,7 +133,7 @@
 	return code.Errorf(code.ConfigConflict, "revision %d is in force; what you would change of it:\n%s", theirs.Revision, diff)
 }
 
-func newChange() string {
+func newChangeID() string {
 	var b [8]byte
 	_, _ = rand.Read(b[:]) // never fails; see crypto/rand
 	return hex.EncodeToString(b[:])
