--- a/internal/control/command.go
+++ b/internal/control/command.go
@@ -115,9 +115,9 @@
 	return nil
 }
 
-// fileAndPlatform reads the command's file and reaches for the platform, in
+// readFileAndConnect reads the command's file and reaches for the platform, in
 // this order: a file that is wrong needs no platform to say so.
-func fileAndPlatform(cmd *cli.Command) (config.Document, *keyvalue.Client, error) {
+func readFileAndConnect(cmd *cli.Command) (config.Document, *keyvalue.Client, error) {
 	doc, err := readFile(cmd)
 	if err != nil {
 		return doc, nil, err
@@ -127,7 +127,7 @@
 }
 
 func runDiff(ctx context.Context, cmd *cli.Command) error {
-	doc, p, err := fileAndPlatform(cmd)
+	doc, p, err := readFileAndConnect(cmd)
 	if err != nil {
 		return err
 	}
@@ -144,7 +144,7 @@
 }
 
 func runApply(ctx context.Context, cmd *cli.Command) error {
-	doc, p, err := fileAndPlatform(cmd)
+	doc, p, err := readFileAndConnect(cmd)
 	if err != nil {
 		return err
 	}
