--- a/internal/entry/body.go
+++ b/internal/entry/body.go
@@ -8,10 +8,10 @@
 )
 
 const (
-	// smallBody is the largest body that is kept whole, in bytes, so that it can be
+	// maxBufferedBody is the largest body that is kept whole, in bytes, so that it can be
 	// sent again after an attempt that certainly did not run. Of larger ones the
 	// beginning is kept, and the rest is streamed.
-	smallBody = 256 << 10
+	maxBufferedBody = 256 << 10
 	// largeHead is how much is kept of a body that says that it is larger, in bytes:
 	// enough to tell requests apart: a quarter of smallBody, since many large bodies
 	// may be under way at once.
@@ -29,13 +29,13 @@
 // ReadBody reads a small body whole, and the beginning of a larger one. A body of
 // unknown length is small if it comes to its end in time.
 func ReadBody(r *http.Request) (*Body, error) {
-	if r.ContentLength > smallBody {
+	if r.ContentLength > maxBufferedBody {
 		head, err := io.ReadAll(io.LimitReader(r.Body, largeHead))
 		return &Body{kept: head, rest: r.Body}, err
 	}
-	data, err := io.ReadAll(io.LimitReader(r.Body, smallBody+1))
+	data, err := io.ReadAll(io.LimitReader(r.Body, maxBufferedBody+1))
 	b := &Body{kept: data}
-	if len(data) > smallBody {
+	if len(data) > maxBufferedBody {
 		b.rest = r.Body
 	}
 	return b, err
--- a/internal/entry/fingerprint_test.go
+++ b/internal/entry/fingerprint_test.go
@@ -26,7 +26,7 @@
 		return fingerprint(r, b)
 	}
 	const target = "http://host/path?a=1"
-	large := strings.Repeat("x", smallBody+1)
+	large := strings.Repeat("x", maxBufferedBody+1)
 	cases := []struct {
 		name string
 		one  crash.Fingerprint
@@ -71,9 +71,9 @@
 		{"none", 0, false, false},
 		{"small", 1000, false, false},
 		{"small, in chunks", 1000, true, false},
-		{"as large as is kept", smallBody, true, false},
-		{"large", smallBody + 1, false, true},
-		{"large, in chunks", 3 * smallBody, true, true},
+		{"as large as is kept", maxBufferedBody, true, false},
+		{"large", maxBufferedBody + 1, false, true},
+		{"large, in chunks", 3 * maxBufferedBody, true, true},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
