--- a/internal/entry/body.go
+++ b/internal/entry/body.go
@@ -12,10 +12,10 @@
 	// sent again after an attempt that certainly did not run. Of larger ones the
 	// beginning is kept, and the rest is streamed.
 	maxBufferedBody = 256 << 10
-	// largeHead is how much is kept of a body that says that it is larger, in bytes:
+	// streamedBodyPrefix is how much is kept of a body that says that it is larger, in bytes:
 	// enough to tell requests apart: a quarter of smallBody, since many large bodies
 	// may be under way at once.
-	largeHead = 64 << 10
+	streamedBodyPrefix = 64 << 10
 )
 
 // A Body is the body of a call: kept if it is small, else its beginning is kept and
@@ -30,7 +30,7 @@
 // unknown length is small if it comes to its end in time.
 func ReadBody(r *http.Request) (*Body, error) {
 	if r.ContentLength > maxBufferedBody {
-		head, err := io.ReadAll(io.LimitReader(r.Body, largeHead))
+		head, err := io.ReadAll(io.LimitReader(r.Body, streamedBodyPrefix))
 		return &Body{kept: head, rest: r.Body}, err
 	}
 	data, err := io.ReadAll(io.LimitReader(r.Body, maxBufferedBody+1))
