--- a/internal/entry/bench_test.go
+++ b/internal/entry/bench_test.go
@@ -11,7 +11,7 @@
 func BenchmarkFingerprint(b *testing.B) {
 	body := strings.Repeat("x", 20_000)
 	r := httptest.NewRequest("POST", "http://host/path", strings.NewReader(body))
-	kept := &Body{kept: []byte(body)}
+	kept := &Body{buffered: []byte(body)}
 	b.ReportAllocs()
 	for b.Loop() {
 		fingerprint(r, kept)
--- a/internal/entry/body.go
+++ b/internal/entry/body.go
@@ -21,7 +21,7 @@
 // A Body is the body of a call: kept if it is small, else its beginning is kept and
 // the rest is streamed through once.
 type Body struct {
-	kept     []byte        // the whole, or the beginning
+	buffered []byte        // the whole, or the beginning
 	rest     io.ReadCloser // what follows; nil if kept is the whole
 	restRead atomic.Bool   // a part of rest was read
 }
@@ -31,10 +31,10 @@
 func ReadBody(r *http.Request) (*Body, error) {
 	if r.ContentLength > maxBufferedBody {
 		head, err := io.ReadAll(io.LimitReader(r.Body, streamedBodyPrefix))
-		return &Body{kept: head, rest: r.Body}, err
+		return &Body{buffered: head, rest: r.Body}, err
 	}
 	data, err := io.ReadAll(io.LimitReader(r.Body, maxBufferedBody+1))
-	b := &Body{kept: data}
+	b := &Body{buffered: data}
 	if len(data) > maxBufferedBody {
 		b.rest = r.Body
 	}
@@ -50,9 +50,9 @@
 // NewReader returns the body for one attempt.
 func (b *Body) NewReader(watch *Watchdog) io.ReadCloser {
 	if !b.Streamed() {
-		return io.NopCloser(bytes.NewReader(b.kept))
+		return io.NopCloser(bytes.NewReader(b.buffered))
 	}
-	return &watchedBody{head: bytes.NewReader(b.kept), body: b, watch: watch}
+	return &watchedBody{head: bytes.NewReader(b.buffered), body: b, watch: watch}
 }
 
 // A watchedBody is a streamed body for one attempt. It puts the watchdog off while
--- a/internal/entry/fingerprint.go
+++ b/internal/entry/fingerprint.go
@@ -27,6 +27,6 @@
 	if b.Streamed() {
 		_, _ = io.WriteString(h, strconv.FormatInt(r.ContentLength, 10)+":")
 	}
-	_, _ = h.Write(b.kept)
+	_, _ = h.Write(b.buffered)
 	return crash.Fingerprint(binary.BigEndian.Uint64(h.Sum(nil)))
 }
