--- a/internal/entry/body.go
+++ b/internal/entry/body.go
@@ -21,9 +21,9 @@
 // A Body is the body of a call: kept if it is small, else its beginning is kept and
 // the rest is streamed through once.
 type Body struct {
-	buffered []byte        // the whole, or the beginning
-	rest     io.ReadCloser // what follows; nil if kept is the whole
-	restRead atomic.Bool   // a part of rest was read
+	buffered  []byte        // the whole, or the beginning
+	remainder io.ReadCloser // what follows; nil if kept is the whole
+	restRead  atomic.Bool   // a part of rest was read
 }
 
 // ReadBody reads a small body whole, and the beginning of a larger one. A body of
@@ -31,18 +31,18 @@
 func ReadBody(r *http.Request) (*Body, error) {
 	if r.ContentLength > maxBufferedBody {
 		head, err := io.ReadAll(io.LimitReader(r.Body, streamedBodyPrefix))
-		return &Body{buffered: head, rest: r.Body}, err
+		return &Body{buffered: head, remainder: r.Body}, err
 	}
 	data, err := io.ReadAll(io.LimitReader(r.Body, maxBufferedBody+1))
 	b := &Body{buffered: data}
 	if len(data) > maxBufferedBody {
-		b.rest = r.Body
+		b.remainder = r.Body
 	}
 	return b, err
 }
 
 // Streamed reports whether a part of the body can be sent only once.
-func (b *Body) Streamed() bool { return b.rest != nil }
+func (b *Body) Streamed() bool { return b.remainder != nil }
 
 // Consumed reports whether the body cannot be sent again.
 func (b *Body) Consumed() bool { return b.restRead.Load() }
@@ -70,7 +70,7 @@
 		return w.head.Read(data)
 	}
 	w.body.restRead.Store(true)
-	n, err := w.body.rest.Read(data)
+	n, err := w.body.remainder.Read(data)
 	w.watch.Reset()
 	return n, err
 }
