--- a/internal/entry/body.go
+++ b/internal/entry/body.go
@@ -23,7 +23,7 @@
 type Body struct {
 	buffered  []byte        // the whole, or the beginning
 	remainder io.ReadCloser // what follows; nil if kept is the whole
-	restRead  atomic.Bool   // a part of rest was read
+	consumed  atomic.Bool   // a part of rest was read
 }
 
 // ReadBody reads a small body whole, and the beginning of a larger one. A body of
@@ -45,7 +45,7 @@
 func (b *Body) Streamed() bool { return b.remainder != nil }
 
 // Consumed reports whether the body cannot be sent again.
-func (b *Body) Consumed() bool { return b.restRead.Load() }
+func (b *Body) Consumed() bool { return b.consumed.Load() }
 
 // NewReader returns the body for one attempt.
 func (b *Body) NewReader(watch *Watchdog) io.ReadCloser {
@@ -69,7 +69,7 @@
 	if w.head.Len() > 0 {
 		return w.head.Read(data)
 	}
-	w.body.restRead.Store(true)
+	w.body.consumed.Store(true)
 	n, err := w.body.remainder.Read(data)
 	w.watch.Reset()
 	return n, err
