--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -48,7 +48,7 @@
 // Routes returns the callers' HTTP handler.
 func (h *Handler) Routes() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		limitSilence(w, r, h.Silence)
+		limitBodyIdle(w, r, h.Silence)
 		if h.forwards(r) {
 			h.forward(w, r)
 			return
--- a/internal/entry/silence.go
+++ b/internal/entry/silence.go
@@ -17,8 +17,8 @@
 	deadline func(time.Time) error
 }
 
-// limitSilence has the reads of a request's body fail after so long without a byte.
-func limitSilence(w http.ResponseWriter, r *http.Request, silence time.Duration) {
+// limitBodyIdle has the reads of a request's body fail after so long without a byte.
+func limitBodyIdle(w http.ResponseWriter, r *http.Request, silence time.Duration) {
 	if r.ContentLength == 0 || silence <= 0 {
 		return
 	}
