--- a/internal/entry/silence.go
+++ b/internal/entry/silence.go
@@ -13,7 +13,7 @@
 // its connection and a handler for good.
 type timedBody struct {
 	io.ReadCloser
-	silence  time.Duration // that is allowed
+	timeout  time.Duration // that is allowed
 	deadline func(time.Time) error
 }
 
@@ -22,14 +22,14 @@
 	if r.ContentLength == 0 || silence <= 0 {
 		return
 	}
-	r.Body = &timedBody{ReadCloser: r.Body, silence: silence, deadline: http.NewResponseController(w).SetReadDeadline}
+	r.Body = &timedBody{ReadCloser: r.Body, timeout: silence, deadline: http.NewResponseController(w).SetReadDeadline}
 }
 
 // Read implements io.Reader. The deadline is taken back after each read, since the server
 // reads on behind the body to notice that the caller leaves; not after one that failed by
 // it, so that the server does not wait for the rest either, and closes the connection.
 func (b *timedBody) Read(data []byte) (int, error) {
-	if err := b.deadline(time.Now().Add(b.silence)); err != nil {
+	if err := b.deadline(time.Now().Add(b.timeout)); err != nil {
 		return 0, err
 	}
 	n, err := b.ReadCloser.Read(data)
