--- a/internal/entry/forward.go
+++ b/internal/entry/forward.go
@@ -54,7 +54,7 @@
 
 // badBody returns the code of a call that could not be read.
 func badBody(err error) code.Code {
-	if fellSilent(err) {
+	if readTimedOut(err) {
 		return code.CallerSilent
 	}
 	return code.BadRequest
--- a/internal/entry/silence.go
+++ b/internal/entry/silence.go
@@ -33,7 +33,7 @@
 		return 0, err
 	}
 	n, err := b.ReadCloser.Read(data)
-	if fellSilent(err) {
+	if readTimedOut(err) {
 		return n, err
 	}
 	if failed := b.setDeadline(time.Time{}); failed != nil {
@@ -42,5 +42,5 @@
 	return n, err
 }
 
-// fellSilent reports whether an error says that the caller sent nothing for too long.
-func fellSilent(err error) bool { return errors.Is(err, os.ErrDeadlineExceeded) }
+// readTimedOut reports whether an error says that the caller sent nothing for too long.
+func readTimedOut(err error) bool { return errors.Is(err, os.ErrDeadlineExceeded) }
