--- a/internal/entry/forward.go
+++ b/internal/entry/forward.go
@@ -25,9 +25,9 @@
 	"github.com/birchdrift/birchdrift/internal/upstream"
 )
 
-// smallAnswer is the largest answer, in bytes, that is read whole before any of it is
+// maxBufferedAnswer is the largest answer, in bytes, that is read whole before any of it is
 // passed on, so that one that breaks off can still be asked for elsewhere.
-const smallAnswer = 256 << 10
+const maxBufferedAnswer = 256 << 10
 
 // errSeries says that a series of events has a gap or goes back.
 var errSeries = errors.New("the numbers of the events do not follow each other")
@@ -290,8 +290,8 @@
 
 // keep reads a failing answer whole, if it is small and comes whole.
 func (f *forwardCall) keep(resp *http.Response) {
-	data, err := io.ReadAll(io.LimitReader(resp.Body, smallAnswer+1))
-	if err != nil || len(data) > smallAnswer {
+	data, err := io.ReadAll(io.LimitReader(resp.Body, maxBufferedAnswer+1))
+	if err != nil || len(data) > maxBufferedAnswer {
 		return
 	}
 	f.own = &ownAnswer{status: resp.StatusCode, header: resp.Header, body: data}
@@ -311,12 +311,12 @@
 // whole passes on an answer that is not a series: small ones only once they
 // are here whole.
 func (f *forwardCall) whole(s shell.Session, d calls.Dispatch, resp *http.Response, progress *upstream.Progress, watch *Watchdog) bool {
-	data, err := io.ReadAll(io.LimitReader(resp.Body, smallAnswer))
+	data, err := io.ReadAll(io.LimitReader(resp.Body, maxBufferedAnswer))
 	if err != nil {
 		return f.broke(s, d, progress, watch, failureOf(err, resp.StatusCode))
 	}
 	s.AnswerBegan()
-	if len(data) < smallAnswer && resp.ContentLength < 0 {
+	if len(data) < maxBufferedAnswer && resp.ContentLength < 0 {
 		f.w.Header().Set("Content-Length", strconv.Itoa(len(data)))
 	}
 	f.head(resp.Header, resp.StatusCode)
@@ -324,7 +324,7 @@
 		f.gone(s)
 		return true
 	}
-	if len(data) < smallAnswer {
+	if len(data) < maxBufferedAnswer {
 		return f.done(s)
 	}
 	return f.rest(s, d, resp, progress, watch)
