--- a/internal/entry/forward.go
+++ b/internal/entry/forward.go
@@ -29,8 +29,8 @@
 // passed on, so that one that breaks off can still be asked for elsewhere.
 const maxBufferedAnswer = 256 << 10
 
-// errSeries says that a series of events has a gap or goes back.
-var errSeries = errors.New("the numbers of the events do not follow each other")
+// errEventOrder says that a series of events has a gap or goes back.
+var errEventOrder = errors.New("the numbers of the events do not follow each other")
 
 // forward serves a forwarded call.
 func (h *Handler) forward(w http.ResponseWriter, r *http.Request) {
@@ -363,7 +363,7 @@
 			return f.done(s)
 		}
 		if err == nil && number != 0 && number != f.lastEvent+1 {
-			err = errSeries
+			err = errEventOrder
 		}
 		if err != nil {
 			return f.broke(s, d, progress, watch, failureOf(err, resp.StatusCode))
