--- a/internal/entry/forward.go
+++ b/internal/entry/forward.go
@@ -43,7 +43,7 @@
 		f.body, err = ReadBody(r)
 	}
 	if err != nil {
-		f.refuse(code.Refusal{Code: badBody(err), Run: code.NotRun, Detail: err.Error()})
+		f.refuse(code.Refusal{Code: readErrorCode(err), Run: code.NotRun, Detail: err.Error()})
 		return
 	}
 	f.call = forwardedCall(h.NextID(), r, req, f.body)
@@ -52,8 +52,8 @@
 	f.run(ctx, h.Shell.Begin(f.call))
 }
 
-// badBody returns the code of a call that could not be read.
-func badBody(err error) code.Code {
+// readErrorCode returns the code of a call that could not be read.
+func readErrorCode(err error) code.Code {
 	if readTimedOut(err) {
 		return code.CallerSilent
 	}
