--- a/internal/entry/forward.go
+++ b/internal/entry/forward.go
@@ -46,7 +46,7 @@
 		f.refuse(code.Refusal{Code: readErrorCode(err), Run: code.NotRun, Detail: err.Error()})
 		return
 	}
-	f.call = forwardedCall(h.NextID(), r, req, f.body)
+	f.call = newCallRequest(h.NextID(), r, req, f.body)
 	f.lastEvent = req.LastEvent
 	span.SetAttributes(attribute.String("call", req.CallID))
 	f.run(ctx, h.Shell.Begin(f.call))
@@ -60,8 +60,8 @@
 	return code.BadRequest
 }
 
-// forwardedCall words a request for the machine.
-func forwardedCall(id calls.ID, r *http.Request, req forward.Request, body *Body) calls.Request {
+// newCallRequest words a request for the machine.
+func newCallRequest(id calls.ID, r *http.Request, req forward.Request, body *Body) calls.Request {
 	parts := make([]route.PromptPart, 0, len(req.Parts))
 	for _, p := range req.Parts {
 		parts = append(parts, route.PromptPart(p))
