--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -49,7 +49,7 @@
 func (h *Handler) Routes() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		limitBodyIdle(w, r, h.Silence)
-		if h.forwards(r) {
+		if h.isForwarded(r) {
 			h.forward(w, r)
 			return
 		}
@@ -57,8 +57,8 @@
 	})
 }
 
-// forwards reports whether the call is a forwarded one.
-func (h *Handler) forwards(r *http.Request) bool {
+// isForwarded reports whether the call is a forwarded one.
+func (h *Handler) isForwarded(r *http.Request) bool {
 	if h.Own == nil {
 		return true
 	}
