--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -50,7 +50,7 @@
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		limitBodyIdle(w, r, h.Silence)
 		if h.isForwarded(r) {
-			h.forward(w, r)
+			h.serveForwarded(w, r)
 			return
 		}
 		h.Own.ServeHTTP(w, r)
--- a/internal/entry/forward.go
+++ b/internal/entry/forward.go
@@ -32,8 +32,8 @@
 // errEventOrder says that a series of events has a gap or goes back.
 var errEventOrder = errors.New("the numbers of the events do not follow each other")
 
-// forward serves a forwarded call.
-func (h *Handler) forward(w http.ResponseWriter, r *http.Request) {
+// serveForwarded serves a forwarded call.
+func (h *Handler) serveForwarded(w http.ResponseWriter, r *http.Request) {
 	begun := time.Now()
 	ctx, span := h.Tracer.Start(h.Tracer.Extract(r.Context(), r.Header), "entry")
 	defer span.End()
