--- a/internal/entry/forward.go
+++ b/internal/entry/forward.go
@@ -194,7 +194,7 @@
 	sent := f.handler.Shell.Now()
 	resp, err := f.handler.Service.RoundTrip(ctx, f.outgoing(d, watch), &progress)
 	if err != nil {
-		return f.broke(s, d, &progress, watch, failureOf(err, 0))
+		return f.attemptFailed(s, d, &progress, watch, failureOf(err, 0))
 	}
 	defer resp.Body.Close()
 	f.heard(d, sent, resp)
@@ -242,9 +242,9 @@
 	}
 }
 
-// broke tells the machine how an attempt ended and reports whether the call is
+// attemptFailed tells the machine how an attempt ended and reports whether the call is
 // over, which it only is when the caller is gone.
-func (f *forwardCall) broke(s shell.Session, d calls.Dispatch, progress *upstream.Progress, watch *Watchdog, b calls.AttemptFailed) bool {
+func (f *forwardCall) attemptFailed(s shell.Session, d calls.Dispatch, progress *upstream.Progress, watch *Watchdog, b calls.AttemptFailed) bool {
 	if f.r.Context().Err() != nil {
 		f.gone(s)
 		return true
@@ -285,7 +285,7 @@
 		progress.Advance(attempt.Answered)
 		return f.whole(s, d, resp, progress, watch)
 	}
-	return f.broke(s, d, progress, watch, b)
+	return f.attemptFailed(s, d, progress, watch, b)
 }
 
 // keep reads a failing answer whole, if it is small and comes whole.
@@ -313,7 +313,7 @@
 func (f *forwardCall) whole(s shell.Session, d calls.Dispatch, resp *http.Response, progress *upstream.Progress, watch *Watchdog) bool {
 	data, err := io.ReadAll(io.LimitReader(resp.Body, maxBufferedAnswer))
 	if err != nil {
-		return f.broke(s, d, progress, watch, failureOf(err, resp.StatusCode))
+		return f.attemptFailed(s, d, progress, watch, failureOf(err, resp.StatusCode))
 	}
 	s.AnswerBegan()
 	if len(data) < maxBufferedAnswer && resp.ContentLength < 0 {
@@ -336,7 +336,7 @@
 	if err == nil {
 		return f.done(s)
 	}
-	f.broke(s, d, progress, watch, failureOf(err, resp.StatusCode))
+	f.attemptFailed(s, d, progress, watch, failureOf(err, resp.StatusCode))
 	f.handler.Metrics.ObserveAnswer(int(code.StreamCut), time.Since(f.begun))
 	panic(http.ErrAbortHandler)
 }
@@ -366,7 +366,7 @@
 			err = errEventOrder
 		}
 		if err != nil {
-			return f.broke(s, d, progress, watch, failureOf(err, resp.StatusCode))
+			return f.attemptFailed(s, d, progress, watch, failureOf(err, resp.StatusCode))
 		}
 		watch.Reset()
 		now := time.Now()
