--- a/internal/entry/forward.go
+++ b/internal/entry/forward.go
@@ -117,7 +117,7 @@
 		Attempt: func(d calls.Dispatch) bool { return f.attempt(ctx, s, d) },
 		Finish:  f.finish,
 		Relay:   f.relay,
-		Gone:    func() { f.gone(s) },
+		Gone:    func() { f.callerGone(s) },
 	})
 }
 
@@ -164,7 +164,7 @@
 	_, _ = f.w.Write(f.own.body) // a caller that is gone needs no answer
 }
 
-func (f *forwardCall) gone(s shell.Session) {
+func (f *forwardCall) callerGone(s shell.Session) {
 	s.CallerGone()
 	f.handler.Metrics.ObserveAnswer(int(code.CallerGone), time.Since(f.begun))
 	if f.opened {
@@ -246,7 +246,7 @@
 // over, which it only is when the caller is gone.
 func (f *forwardCall) attemptFailed(s shell.Session, d calls.Dispatch, progress *upstream.Progress, watch *Watchdog, b calls.AttemptFailed) bool {
 	if f.r.Context().Err() != nil {
-		f.gone(s)
+		f.callerGone(s)
 		return true
 	}
 	b.Attempt = d.Attempt
@@ -321,7 +321,7 @@
 	}
 	f.head(resp.Header, resp.StatusCode)
 	if _, err := f.w.Write(data); err != nil {
-		f.gone(s)
+		f.callerGone(s)
 		return true
 	}
 	if len(data) < maxBufferedAnswer {
@@ -381,7 +381,7 @@
 			f.open(resp)
 		}
 		if _, err := f.w.Write(event); err != nil {
-			f.gone(s)
+			f.callerGone(s)
 			return true
 		}
 		_ = flush.Flush() // a caller that is gone shows at the next write
