--- a/internal/entry/forward.go
+++ b/internal/entry/forward.go
@@ -197,13 +197,13 @@
 		return f.attemptFailed(s, d, &progress, watch, failureOf(err, 0))
 	}
 	defer resp.Body.Close()
-	f.heard(d, sent, resp)
+	f.postNotice(d, sent, resp)
 	return f.answer(s, d, resp, &progress, watch)
 }
 
-// heard passes on what a replica said of itself in its answer, if anything, or if that it
+// postNotice passes on what a replica said of itself in its answer, if anything, or if that it
 // says nothing is news. It counts whatever becomes of the call.
-func (f *forwardCall) heard(d calls.Dispatch, sent clock.Instant, resp *http.Response) {
+func (f *forwardCall) postNotice(d calls.Dispatch, sent clock.Instant, resp *http.Response) {
 	if n := f.handler.Wire.ReadNotice(resp); d.Limited || !n.IsZero() {
 		f.handler.Shell.HandleNotice(notice.Received{Replica: d.Replica, Sent: sent, Notice: n})
 	}
