--- a/internal/entry/forward.go
+++ b/internal/entry/forward.go
@@ -275,7 +275,7 @@
 		b.Detail = "the answer is not the replica's own"
 	case resp.StatusCode >= http.StatusInternalServerError:
 		progress.Advance(attempt.Answered)
-		f.keep(resp)
+		f.keepFailedAnswer(resp)
 		b.Relayable = f.own != nil
 		b.Detail = fmt.Sprintf("the replica failed: status %d", resp.StatusCode)
 	case d.Forward.Stream && reply.Stream:
@@ -288,8 +288,8 @@
 	return f.attemptFailed(s, d, progress, watch, b)
 }
 
-// keep reads a failing answer whole, if it is small and comes whole.
-func (f *forwardCall) keep(resp *http.Response) {
+// keepFailedAnswer reads a failing answer whole, if it is small and comes whole.
+func (f *forwardCall) keepFailedAnswer(resp *http.Response) {
 	data, err := io.ReadAll(io.LimitReader(resp.Body, maxBufferedAnswer+1))
 	if err != nil || len(data) > maxBufferedAnswer {
 		return
