--- a/internal/entry/forward.go
+++ b/internal/entry/forward.go
@@ -283,7 +283,7 @@
 		return f.series(s, d, resp, progress, watch)
 	default:
 		progress.Advance(attempt.Answered)
-		return f.whole(s, d, resp, progress, watch)
+		return f.relayWhole(s, d, resp, progress, watch)
 	}
 	return f.attemptFailed(s, d, progress, watch, b)
 }
@@ -308,9 +308,9 @@
 	f.opened = true
 }
 
-// whole passes on an answer that is not a series: small ones only once they
-// are here whole.
-func (f *forwardCall) whole(s shell.Session, d calls.Dispatch, resp *http.Response, progress *upstream.Progress, watch *Watchdog) bool {
+// relayWhole passes on an answer that is not a series: small ones only once they
+// are here relayWhole.
+func (f *forwardCall) relayWhole(s shell.Session, d calls.Dispatch, resp *http.Response, progress *upstream.Progress, watch *Watchdog) bool {
 	data, err := io.ReadAll(io.LimitReader(resp.Body, maxBufferedAnswer))
 	if err != nil {
 		return f.attemptFailed(s, d, progress, watch, failureOf(err, resp.StatusCode))
