--- a/internal/entry/forward.go
+++ b/internal/entry/forward.go
@@ -327,11 +327,11 @@
 	if len(data) < maxBufferedAnswer {
 		return f.done(s)
 	}
-	return f.rest(s, d, resp, progress, watch)
+	return f.relayRemainder(s, d, resp, progress, watch)
 }
 
-// rest passes on what follows the part of a large answer that was kept.
-func (f *forwardCall) rest(s shell.Session, d calls.Dispatch, resp *http.Response, progress *upstream.Progress, watch *Watchdog) bool {
+// relayRemainder passes on what follows the part of a large answer that was kept.
+func (f *forwardCall) relayRemainder(s shell.Session, d calls.Dispatch, resp *http.Response, progress *upstream.Progress, watch *Watchdog) bool {
 	_, err := io.Copy(f.w, watchedReader{resp.Body, watch})
 	if err == nil {
 		return f.done(s)
