--- a/internal/entry/forward.go
+++ b/internal/entry/forward.go
@@ -280,7 +280,7 @@
 		b.Detail = fmt.Sprintf("the replica failed: status %d", resp.StatusCode)
 	case d.Forward.Stream && reply.Stream:
 		progress.Advance(attempt.Answered)
-		return f.series(s, d, resp, progress, watch)
+		return f.relayStream(s, d, resp, progress, watch)
 	default:
 		progress.Advance(attempt.Answered)
 		return f.relayWhole(s, d, resp, progress, watch)
@@ -347,9 +347,9 @@
 	return true
 }
 
-// series passes on a series of events, each as it comes and only whole, so that
+// relayStream passes on a relayStream of events, each as it comes and only whole, so that
 // another replica can go on behind the last one.
-func (f *forwardCall) series(s shell.Session, d calls.Dispatch, resp *http.Response, progress *upstream.Progress, watch *Watchdog) bool {
+func (f *forwardCall) relayStream(s shell.Session, d calls.Dispatch, resp *http.Response, progress *upstream.Progress, watch *Watchdog) bool {
 	events := forward.NewEventReader(resp.Body)
 	flush := http.NewResponseController(f.w)
 	first := true
