--- a/internal/entry/forward.go
+++ b/internal/entry/forward.go
@@ -358,7 +358,7 @@
 		event, number, err := events.Next()
 		if errors.Is(err, io.EOF) {
 			if first {
-				f.open(resp)
+				f.writeStreamHead(resp)
 			}
 			return f.done(s)
 		}
@@ -378,7 +378,7 @@
 			first = false
 			s.AnswerBegan()
 			f.handler.Metrics.ObserveFirstToken(time.Since(f.begun))
-			f.open(resp)
+			f.writeStreamHead(resp)
 		}
 		if _, err := f.w.Write(event); err != nil {
 			f.callerGone(s)
@@ -389,9 +389,9 @@
 	}
 }
 
-// open writes the head of a series, once: a series that goes on at another
+// writeStreamHead writes the head of a series, once: a series that goes on at another
 // replica keeps the head of the first.
-func (f *forwardCall) open(resp *http.Response) {
+func (f *forwardCall) writeStreamHead(resp *http.Response) {
 	if !f.opened {
 		f.head(resp.Header, resp.StatusCode)
 	}
