--- a/internal/entry/forward.go
+++ b/internal/entry/forward.go
@@ -160,7 +160,7 @@
 // relay passes on the replica's own failing answer.
 func (f *forwardCall) relay() {
 	f.handler.Metrics.ObserveAnswer(int(code.UpstreamRefused), time.Since(f.begun))
-	f.head(f.own.header, f.own.status)
+	f.writeHead(f.own.header, f.own.status)
 	_, _ = f.w.Write(f.own.body) // a caller that is gone needs no answer
 }
 
@@ -297,8 +297,8 @@
 	f.own = &ownAnswer{status: resp.StatusCode, header: resp.Header, body: data}
 }
 
-// head writes the head of an answer.
-func (f *forwardCall) head(header http.Header, status int) {
+// writeHead writes the writeHead of an answer.
+func (f *forwardCall) writeHead(header http.Header, status int) {
 	out := f.w.Header()
 	for name, values := range service.EndToEndHeaders(header) {
 		out[name] = values
@@ -319,7 +319,7 @@
 	if len(data) < maxBufferedAnswer && resp.ContentLength < 0 {
 		f.w.Header().Set("Content-Length", strconv.Itoa(len(data)))
 	}
-	f.head(resp.Header, resp.StatusCode)
+	f.writeHead(resp.Header, resp.StatusCode)
 	if _, err := f.w.Write(data); err != nil {
 		f.callerGone(s)
 		return true
@@ -393,7 +393,7 @@
 // replica keeps the head of the first.
 func (f *forwardCall) writeStreamHead(resp *http.Response) {
 	if !f.opened {
-		f.head(resp.Header, resp.StatusCode)
+		f.writeHead(resp.Header, resp.StatusCode)
 	}
 }
 
