--- a/internal/entry/forward.go
+++ b/internal/entry/forward.go
@@ -325,7 +325,7 @@
 		return true
 	}
 	if len(data) < maxBufferedAnswer {
-		return f.done(s)
+		return f.completed(s)
 	}
 	return f.relayRemainder(s, d, resp, progress, watch)
 }
@@ -334,14 +334,14 @@
 func (f *forwardCall) relayRemainder(s shell.Session, d calls.Dispatch, resp *http.Response, progress *upstream.Progress, watch *Watchdog) bool {
 	_, err := io.Copy(f.w, watchedReader{resp.Body, watch})
 	if err == nil {
-		return f.done(s)
+		return f.completed(s)
 	}
 	f.attemptFailed(s, d, progress, watch, failureOf(err, resp.StatusCode))
 	f.handler.Metrics.ObserveAnswer(int(code.StreamCut), time.Since(f.begun))
 	panic(http.ErrAbortHandler)
 }
 
-func (f *forwardCall) done(s shell.Session) bool {
+func (f *forwardCall) completed(s shell.Session) bool {
 	s.Completed(f.pause)
 	f.handler.Metrics.ObserveAnswer(int(code.OK), time.Since(f.begun))
 	return true
@@ -360,7 +360,7 @@
 			if first {
 				f.writeStreamHead(resp)
 			}
-			return f.done(s)
+			return f.completed(s)
 		}
 		if err == nil && number != 0 && number != f.lastEvent+1 {
 			err = errEventOrder
