--- a/internal/entry/forward.go
+++ b/internal/entry/forward.go
@@ -99,7 +99,7 @@
 	opened    bool          // the head of the answer was written
 	lastEvent int           // number of the last event that the caller has
 	pause     time.Duration // longest between two events
-	own       *ownAnswer
+	failed    *ownAnswer
 }
 
 // An ownAnswer is a replica's own failing answer, kept until the machine says
@@ -160,8 +160,8 @@
 // relay passes on the replica's own failing answer.
 func (f *forwardCall) relay() {
 	f.handler.Metrics.ObserveAnswer(int(code.UpstreamRefused), time.Since(f.begun))
-	f.writeHead(f.own.header, f.own.status)
-	_, _ = f.w.Write(f.own.body) // a caller that is gone needs no answer
+	f.writeHead(f.failed.header, f.failed.status)
+	_, _ = f.w.Write(f.failed.body) // a caller that is gone needs no answer
 }
 
 func (f *forwardCall) callerGone(s shell.Session) {
@@ -189,7 +189,7 @@
 	s.SetInterrupt(cancel)
 	watch := NewWatchdog(d.Stall, cancel)
 	defer watch.Stop()
-	f.own = nil
+	f.failed = nil
 	var progress upstream.Progress
 	sent := f.handler.Shell.Now()
 	resp, err := f.handler.Service.RoundTrip(ctx, f.outgoing(d, watch), &progress)
@@ -276,7 +276,7 @@
 	case resp.StatusCode >= http.StatusInternalServerError:
 		progress.Advance(attempt.Answered)
 		f.keepFailedAnswer(resp)
-		b.Relayable = f.own != nil
+		b.Relayable = f.failed != nil
 		b.Detail = fmt.Sprintf("the replica failed: status %d", resp.StatusCode)
 	case d.Forward.Stream && reply.Stream:
 		progress.Advance(attempt.Answered)
@@ -294,7 +294,7 @@
 	if err != nil || len(data) > maxBufferedAnswer {
 		return
 	}
-	f.own = &ownAnswer{status: resp.StatusCode, header: resp.Header, body: data}
+	f.failed = &ownAnswer{status: resp.StatusCode, header: resp.Header, body: data}
 }
 
 // writeHead writes the writeHead of an answer.
