--- a/internal/entry/forward.go
+++ b/internal/entry/forward.go
@@ -96,10 +96,10 @@
 	call    calls.Request
 	begun   time.Time
 
-	opened    bool          // the head of the answer was written
-	lastEvent int           // number of the last event that the caller has
-	pause     time.Duration // longest between two events
-	failed    *ownAnswer
+	headWritten bool          // the head of the answer was written
+	lastEvent   int           // number of the last event that the caller has
+	pause       time.Duration // longest between two events
+	failed      *ownAnswer
 }
 
 // An ownAnswer is a replica's own failing answer, kept until the machine says
@@ -124,7 +124,7 @@
 // finish gives the caller the machine's final answer. An answer that was begun
 // must be seen as cut, which a normal return would prevent.
 func (f *forwardCall) finish(r code.Refusal) {
-	if f.opened {
+	if f.headWritten {
 		f.handler.Metrics.ObserveAnswer(int(r.Code), time.Since(f.begun))
 		panic(http.ErrAbortHandler)
 	}
@@ -167,7 +167,7 @@
 func (f *forwardCall) callerGone(s shell.Session) {
 	s.CallerGone()
 	f.handler.Metrics.ObserveAnswer(int(code.CallerGone), time.Since(f.begun))
-	if f.opened {
+	if f.headWritten {
 		panic(http.ErrAbortHandler)
 	}
 }
@@ -178,7 +178,7 @@
 		f.handler.Metrics.ObserveQueueTime(time.Since(f.begun))
 	}
 	name := "attempt"
-	if f.opened {
+	if f.headWritten {
 		name = "resume"
 	}
 	ctx, span := f.handler.Tracer.Start(ctx, name, oteltrace.WithSpanKind(oteltrace.SpanKindClient))
@@ -253,7 +253,7 @@
 	b.Phase = progress.Phase()
 	b.Stalled = watch.Fired()
 	b.BodyConsumed = f.body.Consumed()
-	if f.opened {
+	if f.headWritten {
 		b.Delivered = max(1, f.lastEvent)
 	}
 	s.AttemptFailed(b)
@@ -305,7 +305,7 @@
 	}
 	f.closeIfStopping()
 	f.w.WriteHeader(status)
-	f.opened = true
+	f.headWritten = true
 }
 
 // relayWhole passes on an answer that is not a series: small ones only once they
@@ -392,7 +392,7 @@
 // writeStreamHead writes the head of a series, once: a series that goes on at another
 // replica keeps the head of the first.
 func (f *forwardCall) writeStreamHead(resp *http.Response) {
-	if !f.opened {
+	if !f.headWritten {
 		f.writeHead(resp.Header, resp.StatusCode)
 	}
 }
