--- a/internal/entry/forward.go
+++ b/internal/entry/forward.go
@@ -96,10 +96,10 @@
 	call    calls.Request
 	begun   time.Time
 
-	headWritten bool          // the head of the answer was written
-	lastEvent   int           // number of the last event that the caller has
-	pause       time.Duration // longest between two events
-	failed      *ownAnswer
+	headWritten  bool          // the head of the answer was written
+	lastEvent    int           // number of the last event that the caller has
+	longestPause time.Duration // longest between two events
+	failed       *ownAnswer
 }
 
 // An ownAnswer is a replica's own failing answer, kept until the machine says
@@ -342,7 +342,7 @@
 }
 
 func (f *forwardCall) completed(s shell.Session) bool {
-	s.Completed(f.pause)
+	s.Completed(f.longestPause)
 	f.handler.Metrics.ObserveAnswer(int(code.OK), time.Since(f.begun))
 	return true
 }
@@ -371,7 +371,7 @@
 		watch.Reset()
 		now := time.Now()
 		if !first {
-			f.pause = max(f.pause, now.Sub(last))
+			f.longestPause = max(f.longestPause, now.Sub(last))
 		}
 		last = now
 		if first {
