--- a/internal/entry/forward.go
+++ b/internal/entry/forward.go
@@ -192,7 +192,7 @@
 	f.failed = nil
 	var progress upstream.Progress
 	sent := f.handler.Shell.Now()
-	resp, err := f.handler.Service.RoundTrip(ctx, f.outgoing(d, watch), &progress)
+	resp, err := f.handler.Service.RoundTrip(ctx, f.outgoingCall(d, watch), &progress)
 	if err != nil {
 		return f.attemptFailed(s, d, &progress, watch, failureOf(err, 0))
 	}
@@ -209,8 +209,8 @@
 	}
 }
 
-// outgoing words the call for the replica.
-func (f *forwardCall) outgoing(d calls.Dispatch, watch *Watchdog) service.Call {
+// outgoingCall words the call for the replica.
+func (f *forwardCall) outgoingCall(d calls.Dispatch, watch *Watchdog) service.Call {
 	header := service.EndToEndHeaders(f.r.Header)
 	f.handler.Wire.SetHeaders(header, forward.AttemptHeaders{
 		Expect:    d.Replica,
