--- a/internal/entry/forward.go
+++ b/internal/entry/forward.go
@@ -116,7 +116,7 @@
 		Waited:  func() { queue.End() },
 		Attempt: func(d calls.Dispatch) bool { return f.attempt(ctx, s, d) },
 		Finish:  f.finish,
-		Relay:   f.relay,
+		Relay:   f.relayFailedAnswer,
 		Gone:    func() { f.callerGone(s) },
 	})
 }
@@ -157,8 +157,8 @@
 	}
 }
 
-// relay passes on the replica's own failing answer.
-func (f *forwardCall) relay() {
+// relayFailedAnswer passes on the replica's own failing answer.
+func (f *forwardCall) relayFailedAnswer() {
 	f.handler.Metrics.ObserveAnswer(int(code.UpstreamRefused), time.Since(f.begun))
 	f.writeHead(f.failed.header, f.failed.status)
 	_, _ = f.w.Write(f.failed.body) // a caller that is gone needs no answer
