--- a/internal/entry/forward.go
+++ b/internal/entry/forward.go
@@ -99,12 +99,12 @@
 	headWritten  bool          // the head of the answer was written
 	lastEvent    int           // number of the last event that the caller has
 	longestPause time.Duration // longest between two events
-	failed       *ownAnswer
+	failed       *failedAnswer
 }
 
-// An ownAnswer is a replica's own failing answer, kept until the machine says
+// An failedAnswer is a replica's own failing answer, kept until the machine says
 // what becomes of the call.
-type ownAnswer struct {
+type failedAnswer struct {
 	status int
 	header http.Header
 	body   []byte
@@ -294,7 +294,7 @@
 	if err != nil || len(data) > maxBufferedAnswer {
 		return
 	}
-	f.failed = &ownAnswer{status: resp.StatusCode, header: resp.Header, body: data}
+	f.failed = &failedAnswer{status: resp.StatusCode, header: resp.Header, body: data}
 }
 
 // writeHead writes the writeHead of an answer.
