--- a/internal/entry/forward.go
+++ b/internal/entry/forward.go
@@ -194,7 +194,7 @@
 	sent := f.handler.Shell.Now()
 	resp, err := f.handler.Service.RoundTrip(ctx, f.outgoingCall(d, watch), &progress)
 	if err != nil {
-		return f.attemptFailed(s, d, &progress, watch, failureOf(err, 0))
+		return f.attemptFailed(s, d, &progress, watch, newAttemptFailed(err, 0))
 	}
 	defer resp.Body.Close()
 	f.postNotice(d, sent, resp)
@@ -231,9 +231,9 @@
 	}
 }
 
-// failureOf words an error of the connection to a replica; status is that of its
+// newAttemptFailed words an error of the connection to a replica; status is that of its
 // answer, 0 if none came.
-func failureOf(err error, status int) calls.AttemptFailed {
+func newAttemptFailed(err error, status int) calls.AttemptFailed {
 	return calls.AttemptFailed{
 		Status:      status,
 		Severed:     upstream.Severed(err) || errors.Is(err, forward.ErrPartialEvent),
@@ -313,7 +313,7 @@
 func (f *forwardCall) relayWhole(s shell.Session, d calls.Dispatch, resp *http.Response, progress *upstream.Progress, watch *Watchdog) bool {
 	data, err := io.ReadAll(io.LimitReader(resp.Body, maxBufferedAnswer))
 	if err != nil {
-		return f.attemptFailed(s, d, progress, watch, failureOf(err, resp.StatusCode))
+		return f.attemptFailed(s, d, progress, watch, newAttemptFailed(err, resp.StatusCode))
 	}
 	s.AnswerBegan()
 	if len(data) < maxBufferedAnswer && resp.ContentLength < 0 {
@@ -336,7 +336,7 @@
 	if err == nil {
 		return f.completed(s)
 	}
-	f.attemptFailed(s, d, progress, watch, failureOf(err, resp.StatusCode))
+	f.attemptFailed(s, d, progress, watch, newAttemptFailed(err, resp.StatusCode))
 	f.handler.Metrics.ObserveAnswer(int(code.StreamCut), time.Since(f.begun))
 	panic(http.ErrAbortHandler)
 }
@@ -366,7 +366,7 @@
 			err = errEventOrder
 		}
 		if err != nil {
-			return f.attemptFailed(s, d, progress, watch, failureOf(err, resp.StatusCode))
+			return f.attemptFailed(s, d, progress, watch, newAttemptFailed(err, resp.StatusCode))
 		}
 		watch.Reset()
 		now := time.Now()
