--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -121,7 +121,7 @@
 // HandleActions does what the machine says until the call is over or its caller gone.
 func HandleActions(ctx context.Context, s shell.Session, do CallHandlers) {
 	for {
-		a, ok := await(ctx, s)
+		a, ok := nextAction(ctx, s)
 		if do.Waited != nil {
 			do.Waited()
 		}
@@ -144,9 +144,9 @@
 	}
 }
 
-// await waits for the machine's next action for a call; ok is false once the
+// nextAction waits for the machine's next action for a call; ok is false once the
 // caller is gone.
-func await(ctx context.Context, s shell.Session) (a step.Action, ok bool) {
+func nextAction(ctx context.Context, s shell.Session) (a step.Action, ok bool) {
 	select {
 	case a := <-s.Actions:
 		return a, true
