--- a/internal/entry/watchdog.go
+++ b/internal/entry/watchdog.go
@@ -8,14 +8,14 @@
 
 // A Watchdog turns an upstream's silence into a broken attempt.
 type Watchdog struct {
-	timer *time.Timer
-	span  time.Duration
-	fired atomic.Bool
+	timer   *time.Timer
+	timeout time.Duration
+	fired   atomic.Bool
 }
 
 // NewWatchdog returns a watchdog that cancels after span without a sign of life.
 func NewWatchdog(span time.Duration, cancel context.CancelFunc) *Watchdog {
-	w := &Watchdog{span: span}
+	w := &Watchdog{timeout: span}
 	w.timer = time.AfterFunc(span, func() {
 		w.fired.Store(true)
 		cancel()
@@ -24,7 +24,7 @@
 }
 
 // Reset notes a sign of life.
-func (w *Watchdog) Reset() { w.timer.Reset(w.span) }
+func (w *Watchdog) Reset() { w.timer.Reset(w.timeout) }
 
 // Fired reports whether the upstream was silent for too long.
 func (w *Watchdog) Fired() bool { return w.fired.Load() }
