--- a/internal/environment/driver.go
+++ b/internal/environment/driver.go
@@ -283,13 +283,13 @@
 func (d *driver) engineOrder(ctx context.Context, a owned.SendOrder) {
 	sent := d.host.Now()
 	answer := d.engines.Order(ctx, d.host.Self.Name, a.Order)
-	d.heard(a.Engine, sent, answer.Notice, a.Limited && answer.Heard)
+	d.postNotice(a.Engine, sent, answer.Notice, a.Limited && answer.Heard)
 	d.host.Post(owned.OrderReply{Engine: a.Engine, Fence: a.Fence, Answer: answer.Answer, Detail: answer.Detail})
 }
 
-// heard passes on what an engine said of itself, if anything, or if that it says nothing is
+// postNotice passes on what an engine said of itself, if anything, or if that it says nothing is
 // news.
-func (d *driver) heard(engine string, sent clock.Instant, n pool.Notice, news bool) {
+func (d *driver) postNotice(engine string, sent clock.Instant, n pool.Notice, news bool) {
 	if news || !n.IsZero() {
 		d.host.Post(notice.Received{Replica: engine, Sent: sent, Notice: n})
 	}
@@ -310,7 +310,7 @@
 	if r.Announcement.Born != "" {
 		d.host.Post(listing.SelfReport{Replica: engine, Sent: sent, Announcement: r.Announcement})
 	}
-	d.heard(engine, sent, r.Notice, limited && r.Heard)
+	d.postNotice(engine, sent, r.Notice, limited && r.Heard)
 }
 
 // askLoad asks an engine how busy it is.
