--- a/internal/environment/driver.go
+++ b/internal/environment/driver.go
@@ -128,7 +128,7 @@
 	v := a.Instance.Value()
 	d.host.PlatformCalled()
 	_, err = d.store.Commit(ctx, Commit{Puts: []Put{{Key: v.Key, Value: v.Data, Lease: lease}}, Era: lease.Era})
-	d.eraHeard(err)
+	d.postEra(err)
 	d.host.Post(ownership.EnrolReply{Sent: sent, Lease: lease, Err: err})
 }
 
@@ -136,7 +136,7 @@
 	sent := d.host.Now()
 	d.host.PlatformCalled()
 	err := d.store.Keep(ctx, a.Lease)
-	d.eraHeard(err)
+	d.postEra(err)
 	over := errors.Is(err, ErrNoLease)
 	d.host.Post(ownership.RenewReply{Sent: sent, Lease: a.Lease, Over: over, Err: err})
 }
@@ -160,8 +160,8 @@
 	}
 }
 
-// eraHeard passes on that the store came back from an older copy, if a call showed so.
-func (d *driver) eraHeard(err error) {
+// postEra passes on that the store came back from an older copy, if a call showed so.
+func (d *driver) postEra(err error) {
 	var former FormerEraError
 	if errors.As(err, &former) {
 		d.host.Post(ownership.EraObserved{Era: former.Now})
@@ -231,7 +231,7 @@
 	d.host.PlatformCalled()
 	var err error
 	reply.Revision, err = d.store.Commit(ctx, registryCommit(a))
-	d.eraHeard(err)
+	d.postEra(err)
 	reply.Conflict = errors.Is(err, ErrConflict) || errors.Is(err, ErrNoLease)
 	if !reply.Conflict {
 		reply.Err = err
