--- a/internal/environment/driver.go
+++ b/internal/environment/driver.go
@@ -298,15 +298,15 @@
 func (d *driver) askEngine(ctx context.Context, a owned.QueryState) {
 	sent := d.host.Now()
 	report, err := d.engines.Report(ctx, a.Address)
-	d.reported(a.Engine, sent, report, a.Limited)
+	d.postReport(a.Engine, sent, report, a.Limited)
 	d.host.Post(owned.StateReply{Engine: a.Engine, Sent: sent, Err: err, State: orders.State{
 		Sequence: report.Sequence, Busy: report.Busy, Models: report.Announcement.Models, Coming: report.Coming,
 	}})
 }
 
-// reported passes on what a report says beside what it was asked for: in which life the
+// postReport passes on what a report says beside what it was asked for: in which life the
 // engine is, then what it says of that.
-func (d *driver) reported(engine string, sent clock.Instant, r EngineReport, limited bool) {
+func (d *driver) postReport(engine string, sent clock.Instant, r EngineReport, limited bool) {
 	if r.Announcement.Born != "" {
 		d.host.Post(listing.SelfReport{Replica: engine, Sent: sent, Announcement: r.Announcement})
 	}
@@ -319,6 +319,6 @@
 	defer done()
 	sent := d.host.Now()
 	report, err := d.engines.Report(ctx, a.Address)
-	d.reported(a.Engine, sent, report, false)
+	d.postReport(a.Engine, sent, report, false)
 	d.host.Post(forwarding.ProbeReply{Call: a.Call, Engine: a.Engine, Sent: sent, Queued: report.Queued, Running: report.Running, Err: err})
 }
