--- a/internal/environment/driver.go
+++ b/internal/environment/driver.go
@@ -58,7 +58,7 @@
 	case ownership.Enrol:
 		return func(ctx context.Context) { d.enrol(ctx, act) }
 	case ownership.RenewLease:
-		return func(ctx context.Context) { d.keepEnrolled(ctx, act) }
+		return func(ctx context.Context) { d.renewLease(ctx, act) }
 	case ownership.Resign:
 		return func(ctx context.Context) { d.resign(ctx, act) }
 	case ownership.Write:
@@ -132,7 +132,7 @@
 	d.host.Post(ownership.EnrolReply{Sent: sent, Lease: lease, Err: err})
 }
 
-func (d *driver) keepEnrolled(ctx context.Context, a ownership.RenewLease) {
+func (d *driver) renewLease(ctx context.Context, a ownership.RenewLease) {
 	sent := d.host.Now()
 	d.host.PlatformCalled()
 	err := d.store.Keep(ctx, a.Lease)
