--- a/internal/environment/driver.go
+++ b/internal/environment/driver.go
@@ -68,7 +68,7 @@
 	case quarantine.RemoveVerdict:
 		return func(ctx context.Context) { d.removeQuarantine(ctx, act) }
 	case owned.SendOrder:
-		return func(ctx context.Context) { d.engineOrder(ctx, act) }
+		return func(ctx context.Context) { d.sendOrder(ctx, act) }
 	case owned.QueryState:
 		return func(ctx context.Context) { d.askEngine(ctx, act) }
 	case forwarding.ProbeEngine:
@@ -280,7 +280,7 @@
 	}
 }
 
-func (d *driver) engineOrder(ctx context.Context, a owned.SendOrder) {
+func (d *driver) sendOrder(ctx context.Context, a owned.SendOrder) {
 	sent := d.host.Now()
 	answer := d.engines.Order(ctx, d.host.Self.Name, a.Order)
 	d.postNotice(a.Engine, sent, answer.Notice, a.Limited && answer.Heard)
