--- a/internal/environment/driver.go
+++ b/internal/environment/driver.go
@@ -70,7 +70,7 @@
 	case owned.SendOrder:
 		return func(ctx context.Context) { d.sendOrder(ctx, act) }
 	case owned.QueryState:
-		return func(ctx context.Context) { d.askEngine(ctx, act) }
+		return func(ctx context.Context) { d.queryState(ctx, act) }
 	case forwarding.ProbeEngine:
 		return func(ctx context.Context) { d.askLoad(ctx, act) }
 	default:
@@ -295,7 +295,7 @@
 	}
 }
 
-func (d *driver) askEngine(ctx context.Context, a owned.QueryState) {
+func (d *driver) queryState(ctx context.Context, a owned.QueryState) {
 	sent := d.host.Now()
 	report, err := d.engines.Report(ctx, a.Address)
 	d.postReport(a.Engine, sent, report, a.Limited)
