--- a/internal/environment/driver.go
+++ b/internal/environment/driver.go
@@ -72,7 +72,7 @@
 	case owned.QueryState:
 		return func(ctx context.Context) { d.queryState(ctx, act) }
 	case forwarding.ProbeEngine:
-		return func(ctx context.Context) { d.askLoad(ctx, act) }
+		return func(ctx context.Context) { d.probeEngine(ctx, act) }
 	default:
 		return nil
 	}
@@ -313,8 +313,8 @@
 	d.postNotice(engine, sent, r.Notice, limited && r.Heard)
 }
 
-// askLoad asks an engine how busy it is.
-func (d *driver) askLoad(ctx context.Context, a forwarding.ProbeEngine) {
+// probeEngine asks an engine how busy it is.
+func (d *driver) probeEngine(ctx context.Context, a forwarding.ProbeEngine) {
 	ctx, done := context.WithTimeout(ctx, a.Wait)
 	defer done()
 	sent := d.host.Now()
