--- a/internal/environment/driver.go
+++ b/internal/environment/driver.go
@@ -64,7 +64,7 @@
 	case ownership.Write:
 		return func(ctx context.Context) { d.writeRegistry(ctx, act) }
 	case quarantine.StoreVerdict:
-		return func(ctx context.Context) { d.recordQuarantine(ctx, act) }
+		return func(ctx context.Context) { d.storeVerdict(ctx, act) }
 	case quarantine.RemoveVerdict:
 		return func(ctx context.Context) { d.removeQuarantine(ctx, act) }
 	case owned.SendOrder:
@@ -239,8 +239,8 @@
 	d.host.Post(reply)
 }
 
-// recordQuarantine writes a verdict under a lease of its own, with which it goes.
-func (d *driver) recordQuarantine(ctx context.Context, a quarantine.StoreVerdict) {
+// storeVerdict writes a verdict under a lease of its own, with which it goes.
+func (d *driver) storeVerdict(ctx context.Context, a quarantine.StoreVerdict) {
 	reply := quarantine.VerdictStored{Request: a.Quarantine.Request}
 	d.host.PlatformCalled()
 	lease, err := d.store.Grant(ctx, a.Term)
