--- a/internal/environment/driver.go
+++ b/internal/environment/driver.go
@@ -66,7 +66,7 @@
 	case quarantine.StoreVerdict:
 		return func(ctx context.Context) { d.storeVerdict(ctx, act) }
 	case quarantine.RemoveVerdict:
-		return func(ctx context.Context) { d.removeQuarantine(ctx, act) }
+		return func(ctx context.Context) { d.removeVerdict(ctx, act) }
 	case owned.SendOrder:
 		return func(ctx context.Context) { d.sendOrder(ctx, act) }
 	case owned.QueryState:
@@ -271,9 +271,9 @@
 	d.host.Post(reply)
 }
 
-// removeQuarantine removes a verdict that does not hold any more. A failure leaves it to
+// removeVerdict removes a verdict that does not hold any more. A failure leaves it to
 // its lease.
-func (d *driver) removeQuarantine(ctx context.Context, a quarantine.RemoveVerdict) {
+func (d *driver) removeVerdict(ctx context.Context, a quarantine.RemoveVerdict) {
 	d.host.PlatformCalled()
 	if _, err := d.store.Commit(ctx, Commit{Removes: []string{a.Quarantine.Value().Key}, AnyEra: true}); err != nil {
 		d.host.Event(logevent.NotReturned, "what", "quarantine", "error", err.Error())
