--- a/internal/environment/driver.go
+++ b/internal/environment/driver.go
@@ -81,7 +81,7 @@
 // watchPlatform waits for whatever changes in the environment's store and
 // posts it as one event for each kind of news.
 func (d *driver) watchPlatform(ctx context.Context, a watch.SendRequest) {
-	change, err := d.change(ctx, a)
+	change, err := d.readChange(ctx, a)
 	if err != nil {
 		d.host.Post(watch.Reply{ID: a.ID, Err: err})
 		return
@@ -104,8 +104,8 @@
 	d.host.Post(watch.Reply{ID: a.ID, Whole: change.Whole})
 }
 
-// change calls the store for what changed.
-func (d *driver) change(ctx context.Context, a watch.SendRequest) (Change, error) {
+// readChange calls the store for what changed.
+func (d *driver) readChange(ctx context.Context, a watch.SendRequest) (Change, error) {
 	switch {
 	case a.Wait == 0:
 		return d.store.Read(ctx)
