--- a/internal/environment/driver.go
+++ b/internal/environment/driver.go
@@ -91,7 +91,7 @@
 		d.host.Event(logevent.RecordUnreadable, "key", key)
 	}
 	if change.Config != nil {
-		d.host.PostConfig(pack(change.Config), instance.PlatformSource)
+		d.host.PostConfig(compress(change.Config), instance.PlatformSource)
 	}
 	if len(change.Listed) > 0 || change.Whole {
 		d.host.Post(listing.Reply{
--- a/internal/environment/pack.go
+++ b/internal/environment/pack.go
@@ -15,8 +15,8 @@
 // maxUnpacked bounds a configuration, in bytes.
 const maxUnpacked = 64 << 20
 
-// pack compresses a configuration as a store holds it.
-func pack(data []byte) []byte {
+// compress compresses a configuration as a store holds it.
+func compress(data []byte) []byte {
 	var buf bytes.Buffer
 	zip := gzip.NewWriter(&buf)
 	// Writes to a buffer cannot fail.
--- a/internal/environment/pack_test.go
+++ b/internal/environment/pack_test.go
@@ -15,7 +15,7 @@
 	is := is.New(t)
 	route := []byte(`{"name":"r","host":"h.example","path_prefix":"/a/b/","timeout_ms":5000},`)
 	stored := bytes.Repeat(route, 2000)
-	packed := pack(stored)
+	packed := compress(stored)
 	is.True(len(packed)*8 < len(stored))
 	var decoded []byte
 	store := Store{Decode: func(data []byte) (config.Document, error) {
