--- a/internal/environment/driver.go
+++ b/internal/environment/driver.go
@@ -42,7 +42,7 @@
 
 // decode reads a configuration as instances hand it to each other.
 func (d *driver) decode(data []byte) (config.Document, error) {
-	stored, err := unpack(data)
+	stored, err := decompress(data)
 	if err != nil {
 		return config.Document{}, err
 	}
--- a/internal/environment/pack.go
+++ b/internal/environment/pack.go
@@ -25,8 +25,8 @@
 	return buf.Bytes()
 }
 
-// unpack undoes pack.
-func unpack(data []byte) ([]byte, error) {
+// decompress undoes pack.
+func decompress(data []byte) ([]byte, error) {
 	zip, err := gzip.NewReader(bytes.NewReader(data))
 	if err != nil {
 		return nil, trace.Wrap(err, "not a packed configuration")
