--- a/internal/environment/pack.go
+++ b/internal/environment/pack.go
@@ -12,8 +12,8 @@
 // instances as the store holds it, compressed: it may have thousands of routes,
 // and links may be narrow.
 
-// maxUnpacked bounds a configuration, in bytes.
-const maxUnpacked = 64 << 20
+// maxDecompressed bounds a configuration, in bytes.
+const maxDecompressed = 64 << 20
 
 // compress compresses a configuration as a store holds it.
 func compress(data []byte) []byte {
@@ -31,6 +31,6 @@
 	if err != nil {
 		return nil, trace.Wrap(err, "not a packed configuration")
 	}
-	out, err := io.ReadAll(io.LimitReader(zip, maxUnpacked))
+	out, err := io.ReadAll(io.LimitReader(zip, maxDecompressed))
 	return out, trace.Wrap(err, "reading a packed configuration")
 }
