--- a/internal/environment/pack_test.go
+++ b/internal/environment/pack_test.go
@@ -9,9 +9,9 @@
 	"github.com/birchdrift/birchdrift/core/config"
 )
 
-// TestConfigurationsTravelPacked: what instances hand each other is much smaller
+// TestConfigurationsTravelCompressed: what instances hand each other is much smaller
 // than what the store holds, and comes out of it the same.
-func TestConfigurationsTravelPacked(t *testing.T) {
+func TestConfigurationsTravelCompressed(t *testing.T) {
 	is := is.New(t)
 	route := []byte(`{"name":"r","host":"h.example","path_prefix":"/a/b/","timeout_ms":5000},`)
 	stored := bytes.Repeat(route, 2000)
