--- a/internal/forward/notice.go
+++ b/internal/forward/notice.go
@@ -11,9 +11,9 @@
 	"github.com/birchdrift/birchdrift/core/pool"
 )
 
-// longestRest bounds for how long a replica may want no calls, so that no span
+// maxRest bounds for how long a replica may want no calls, so that no span
 // overflows: longer than any load lasts.
-const longestRest = 24 * time.Hour
+const maxRest = 24 * time.Hour
 
 // largestRate bounds a limit, in requests a second: more than any replica is sent
 // (docs/design/limits.md).
@@ -74,12 +74,12 @@
 		if err != nil {
 			return 0
 		}
-		return min(max(0, until.Sub(from)), longestRest)
+		return min(max(0, until.Sub(from)), maxRest)
 	}
 	s, err := strconv.ParseFloat(value, 64)
 	tooLarge := errors.Is(err, strconv.ErrRange)
 	if err != nil && !tooLarge || !tooLarge && math.IsInf(s, 0) || math.IsNaN(s) || s <= 0 {
 		return 0
 	}
-	return time.Duration(min(s, longestRest.Seconds()) * float64(time.Second))
+	return time.Duration(min(s, maxRest.Seconds()) * float64(time.Second))
 }
--- a/internal/forward/notice_test.go
+++ b/internal/forward/notice_test.go
@@ -44,12 +44,12 @@
 		{"no number", 503, "", "NaN", "", pool.Notice{}},
 		{"infinite", 503, "", "Inf", "", pool.Notice{}},
 		{"negative without end", 503, "", "-1e999", "", pool.Notice{}},
-		{"a huge span", 503, "", "1e12", "", pool.Notice{Rest: longestRest}},
-		{"a span that overflows", 503, "", "1e999", "", pool.Notice{Rest: longestRest}},
+		{"a huge span", 503, "", "1e12", "", pool.Notice{Rest: maxRest}},
+		{"a span that overflows", 503, "", "1e999", "", pool.Notice{Rest: maxRest}},
 		{"a date", 503, "", "Thu, 03 Dec 2026 10:00:07 GMT", date, pool.Notice{Rest: 7 * time.Second}},
 		{"a date that is over", 503, "", "Thu, 03 Dec 2026 09:00:00 GMT", date, pool.Notice{}},
 		{"a date in an answer without one", 503, "", "Thu, 03 Dec 2026 10:00:07 GMT", "", pool.Notice{}},
-		{"a date far off", 503, "", "Thu, 03 Dec 2099 10:00:07 GMT", date, pool.Notice{Rest: longestRest}},
+		{"a date far off", 503, "", "Thu, 03 Dec 2099 10:00:07 GMT", date, pool.Notice{Rest: maxRest}},
 	}
 	wire := WireFormat{Leaving: "Leaving", RetryAfter: "Retry-After"}
 	for _, c := range cases {
