--- a/internal/forward/notice.go
+++ b/internal/forward/notice.go
@@ -15,9 +15,9 @@
 // overflows: longer than any load lasts.
 const maxRest = 24 * time.Hour
 
-// largestRate bounds a limit, in requests a second: more than any replica is sent
+// maxRate bounds a limit, in requests a second: more than any replica is sent
 // (docs/design/limits.md).
-const largestRate = 1e6
+const maxRate = 1e6
 
 // ReadNotice reads what a replica says of itself in the head of an answer. What makes no
 // sense says nothing.
@@ -49,7 +49,7 @@
 				continue
 			}
 			if !l.Named || rate < l.PerSecond {
-				l.PerSecond = min(rate, largestRate)
+				l.PerSecond = min(rate, maxRate)
 			}
 			l.Named = true
 		}
