--- a/internal/forward/notice.go
+++ b/internal/forward/notice.go
@@ -31,14 +31,14 @@
 		n.Rest = restOf(resp.Header.Get(w.RetryAfter), resp.Header.Get("Date"))
 	}
 	if w.RateLimit != "" {
-		n.Limit = limitOf(resp.Header.Values(w.RateLimit))
+		n.Limit = parseRateLimit(resp.Header.Values(w.RateLimit))
 	}
 	return n
 }
 
-// limitOf returns the limit that header lines name: the smallest, if they name several.
+// parseRateLimit returns the limit that header lines name: the smallest, if they name several.
 // A value that makes no sense names none, and does not say that there is none either.
-func limitOf(lines []string) pool.RateLimit {
+func parseRateLimit(lines []string) pool.RateLimit {
 	var l pool.RateLimit
 	for _, line := range lines {
 		for value := range strings.SplitSeq(line, ",") {
