--- a/internal/forward/notice.go
+++ b/internal/forward/notice.go
@@ -27,7 +27,7 @@
 		// An error leaves false: a word that is not known says nothing.
 		n.Leaving, _ = strconv.ParseBool(strings.TrimSpace(resp.Header.Get(w.Leaving)))
 	}
-	if turnsAway(resp.StatusCode) {
+	if allowsRetryAfter(resp.StatusCode) {
 		n.Rest = restOf(resp.Header.Get(w.RetryAfter), resp.Header.Get("Date"))
 	}
 	if w.RateLimit != "" {
@@ -58,9 +58,9 @@
 	return l
 }
 
-// turnsAway reports whether a replica that answers with the status may say when it wants
+// allowsRetryAfter reports whether a replica that answers with the status may say when it wants
 // calls again.
-func turnsAway(status int) bool {
+func allowsRetryAfter(status int) bool {
 	return status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests
 }
 
