--- a/internal/forward/notice.go
+++ b/internal/forward/notice.go
@@ -28,7 +28,7 @@
 		n.Leaving, _ = strconv.ParseBool(strings.TrimSpace(resp.Header.Get(w.Leaving)))
 	}
 	if allowsRetryAfter(resp.StatusCode) {
-		n.Rest = restOf(resp.Header.Get(w.RetryAfter), resp.Header.Get("Date"))
+		n.Rest = parseRetryAfter(resp.Header.Get(w.RetryAfter), resp.Header.Get("Date"))
 	}
 	if w.RateLimit != "" {
 		n.Limit = parseRateLimit(resp.Header.Values(w.RateLimit))
@@ -64,10 +64,10 @@
 	return status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests
 }
 
-// restOf returns the span that a Retry-After header names, 0 for one that makes no sense:
+// parseRetryAfter returns the span that a Retry-After header names, 0 for one that makes no sense:
 // seconds, with fractions, or a date (RFC 9110, 10.2.3), which counts from that of the
 // answer, since clocks differ.
-func restOf(value, date string) time.Duration {
+func parseRetryAfter(value, date string) time.Duration {
 	value = strings.TrimSpace(value)
 	if until, err := http.ParseTime(value); err == nil {
 		from, err := http.ParseTime(date)
