--- a/internal/forward/wire.go
+++ b/internal/forward/wire.go
@@ -118,8 +118,8 @@
 		r.Deadline = time.Duration(ms * float64(time.Millisecond))
 	}
 	r.readTokens(w, h)
-	r.LengthHint = r.count(w.LengthHint, h.Get(w.LengthHint))
-	r.LastEvent = r.count(w.LastEvent, h.Get(w.LastEvent))
+	r.LengthHint = r.parseCount(w.LengthHint, h.Get(w.LengthHint))
+	r.LastEvent = r.parseCount(w.LastEvent, h.Get(w.LastEvent))
 	r.readParts(w.Parts, h.Get(w.Parts))
 	return r, nil
 }
@@ -130,12 +130,12 @@
 		return
 	}
 	prompt, out, _ := strings.Cut(v, ",")
-	r.PromptTokens = r.count(w.Tokens, prompt)
-	r.MaxTokens = r.count(w.Tokens, out)
+	r.PromptTokens = r.parseCount(w.Tokens, prompt)
+	r.MaxTokens = r.parseCount(w.Tokens, out)
 }
 
-// count reads a number; one that makes no sense counts as absent.
-func (r *Request) count(header, v string) int {
+// parseCount reads a number; one that makes no sense counts as absent.
+func (r *Request) parseCount(header, v string) int {
 	if v == "" {
 		return 0
 	}
@@ -165,7 +165,7 @@
 			r.ignore(header)
 			return
 		}
-		r.Parts = append(r.Parts, PromptPart{ID: n, Tokens: r.count(header, count)})
+		r.Parts = append(r.Parts, PromptPart{ID: n, Tokens: r.parseCount(header, count)})
 	}
 }
 
