--- a/internal/forward/wire.go
+++ b/internal/forward/wire.go
@@ -141,13 +141,13 @@
 	}
 	n, err := strconv.Atoi(strings.TrimSpace(v))
 	if err != nil || n < 0 || n > maxTokens {
-		r.ignore(header)
+		r.addIgnored(header)
 		return 0
 	}
 	return n
 }
 
-func (r *Request) ignore(header string) {
+func (r *Request) addIgnored(header string) {
 	if !slices.Contains(r.Ignored, header) {
 		r.Ignored = append(r.Ignored, header)
 	}
@@ -162,7 +162,7 @@
 		id, count, ok := strings.Cut(strings.TrimSpace(field), ":")
 		n, err := strconv.ParseUint(id, 16, 64)
 		if !ok || err != nil || len(r.Parts) == maxParts {
-			r.ignore(header)
+			r.addIgnored(header)
 			return
 		}
 		r.Parts = append(r.Parts, PromptPart{ID: n, Tokens: r.parseCount(header, count)})
