--- a/internal/forward/events.go
+++ b/internal/forward/events.go
@@ -8,8 +8,8 @@
 	"strconv"
 )
 
-// maxEvent bounds one event of a series, in bytes.
-const maxEvent = 1 << 20
+// maxEventSize bounds one event of a series, in bytes.
+const maxEventSize = 1 << 20
 
 // ErrPartialEvent says that a series of events ended within an event.
 var ErrPartialEvent = errors.New("the series of events ended within an event")
@@ -21,7 +21,7 @@
 // NewEventReader reads events from body.
 func NewEventReader(body io.Reader) *EventReader {
 	s := bufio.NewScanner(body)
-	s.Buffer(make([]byte, 0, 1024), maxEvent)
+	s.Buffer(make([]byte, 0, 1024), maxEventSize)
 	s.Split(splitEvent)
 	return &EventReader{scanner: s}
 }
