--- a/internal/forward/wire.go
+++ b/internal/forward/wire.go
@@ -183,19 +183,19 @@
 	for _, name := range w.Reserved {
 		h.Del(name)
 	}
-	set(h, w.Expect, a.Expect)
+	setHeader(h, w.Expect, a.Expect)
 	if a.Left > 0 {
-		set(h, w.Deadline, strconv.FormatInt(max(1, a.Left.Milliseconds()), 10))
+		setHeader(h, w.Deadline, strconv.FormatInt(max(1, a.Left.Milliseconds()), 10))
 	}
 	if a.Priority >= 0 {
-		set(h, w.Priority, strconv.Itoa(a.Priority))
+		setHeader(h, w.Priority, strconv.Itoa(a.Priority))
 	}
 	if a.LastEvent > 0 {
-		set(h, w.LastEvent, strconv.Itoa(a.LastEvent))
+		setHeader(h, w.LastEvent, strconv.Itoa(a.LastEvent))
 	}
 }
 
-func set(h http.Header, name, value string) {
+func setHeader(h http.Header, name, value string) {
 	if name != "" {
 		h.Set(name, value)
 	}
