--- a/internal/losses/absence.go
+++ b/internal/losses/absence.go
@@ -10,8 +10,8 @@
 // Why a model was not resident when a call asked for it.
 
 type (
-	// A change is one change of an engine's models, from its placement to its end.
-	change struct {
+	// A placement is one placement of an engine's models, from its placement to its end.
+	placement struct {
 		engine  string
 		load    string
 		source  string
@@ -40,7 +40,7 @@
 	key := changeKey{r.Instance, r.Engine}
 	switch {
 	case r.Event == logevent.Placement && isName:
-		c := &change{engine: r.Engine, load: model, source: r.Source, begun: r.Time}
+		c := &placement{engine: r.Engine, load: model, source: r.Source, begun: r.Time}
 		l.changes = append(l.changes, c)
 		l.open[key] = c
 	case r.Event == logevent.PlacementEnded:
@@ -125,8 +125,8 @@
 
 // underWay returns the change that was to bring the model at that time, the one that
 // ended first if there were several, nil if there was none.
-func (l *Log) underWay(model string, at time.Time) *change {
-	var best *change
+func (l *Log) underWay(model string, at time.Time) *placement {
+	var best *placement
 	for _, c := range l.changes {
 		if c.load != model || c.begun.After(at) || !c.ended.IsZero() && c.ended.Before(at) {
 			continue
