--- a/internal/losses/absence.go
+++ b/internal/losses/absence.go
@@ -20,8 +20,8 @@
 		ended   time.Time // zero: the log does not say
 		outcome string
 	}
-	changeKey struct{ instance, engine string }
-	orderKey  struct{ engine, model string }
+	placementKey struct{ instance, engine string }
+	orderKey     struct{ engine, model string }
 
 	// A missedCall is a call refused because its model was not resident.
 	missedCall struct {
@@ -37,7 +37,7 @@
 // takeChange takes in an event of a change.
 func (l *Log) takeChange(r record) {
 	model, isName := r.Load.(string)
-	key := changeKey{r.Instance, r.Engine}
+	key := placementKey{r.Instance, r.Engine}
 	switch {
 	case r.Event == logevent.Placement && isName:
 		c := &placement{engine: r.Engine, load: model, source: r.Source, begun: r.Time}
--- a/internal/losses/record.go
+++ b/internal/losses/record.go
@@ -57,7 +57,7 @@
 	calls    map[string]*call
 	missed   []missedCall
 	changes  []*placement
-	open     map[changeKey]*placement
+	open     map[placementKey]*placement
 	orders   map[orderKey][]time.Time
 	placers  []time.Time // when some instance began to place models for all
 	starts   map[string][]time.Time
@@ -74,7 +74,7 @@
 // Read takes in logs.
 func Read(in io.Reader) (*Log, error) {
 	l := &Log{
-		calls: map[string]*call{}, open: map[changeKey]*placement{}, orders: map[orderKey][]time.Time{}, starts: map[string][]time.Time{},
+		calls: map[string]*call{}, open: map[placementKey]*placement{}, orders: map[orderKey][]time.Time{}, starts: map[string][]time.Time{},
 	}
 	scanner := bufio.NewScanner(in)
 	scanner.Buffer(make([]byte, 0, 64<<10), maxLine)
