--- a/internal/losses/absence.go
+++ b/internal/losses/absence.go
@@ -41,7 +41,7 @@
 	switch {
 	case r.Event == logevent.Placement && isName:
 		c := &placement{engine: r.Engine, load: model, source: r.Source, begun: r.Time}
-		l.changes = append(l.changes, c)
+		l.placements = append(l.placements, c)
 		l.open[key] = c
 	case r.Event == logevent.PlacementEnded:
 		if c := l.open[key]; c != nil {
@@ -80,7 +80,7 @@
 
 // explainMissed finds why each missed model was not there.
 func (l *Log) explainMissed() {
-	for _, c := range l.changes {
+	for _, c := range l.placements {
 		for _, at := range l.orders[orderKey{c.engine, c.load}] {
 			if !at.Before(c.begun) && (c.ended.IsZero() || !at.After(c.ended)) {
 				c.ordered = at
@@ -127,7 +127,7 @@
 // ended first if there were several, nil if there was none.
 func (l *Log) underWay(model string, at time.Time) *placement {
 	var best *placement
-	for _, c := range l.changes {
+	for _, c := range l.placements {
 		if c.load != model || c.begun.After(at) || !c.ended.IsZero() && c.ended.Before(at) {
 			continue
 		}
