--- a/internal/losses/absence.go
+++ b/internal/losses/absence.go
@@ -42,12 +42,12 @@
 	case r.Event == logevent.Placement && isName:
 		c := &placement{engine: r.Engine, load: model, source: r.Source, begun: r.Time}
 		l.placements = append(l.placements, c)
-		l.open[key] = c
+		l.openPlacements[key] = c
 	case r.Event == logevent.PlacementEnded:
-		if c := l.open[key]; c != nil {
+		if c := l.openPlacements[key]; c != nil {
 			c.ended = r.Time
 			c.outcome = r.Detail
-			delete(l.open, key)
+			delete(l.openPlacements, key)
 		}
 	case r.Event == logevent.EngineOrder && r.Load == true:
 		k := orderKey{r.Engine, r.Item}
--- a/internal/losses/record.go
+++ b/internal/losses/record.go
@@ -54,18 +54,18 @@
 
 // A Log is what was read.
 type Log struct {
-	calls      map[string]*call
-	missed     []missedCall
-	placements []*placement
-	open       map[placementKey]*placement
-	orders     map[orderKey][]time.Time
-	placers    []time.Time // when some instance began to place models for all
-	starts     map[string][]time.Time
-	first      time.Time
-	last       time.Time
-	lines      int
-	skipped    int // lines that are no log line of an instance
-	nameless   int // events of calls without a call
+	calls          map[string]*call
+	missed         []missedCall
+	placements     []*placement
+	openPlacements map[placementKey]*placement
+	orders         map[orderKey][]time.Time
+	placers        []time.Time // when some instance began to place models for all
+	starts         map[string][]time.Time
+	first          time.Time
+	last           time.Time
+	lines          int
+	skipped        int // lines that are no log line of an instance
+	nameless       int // events of calls without a call
 }
 
 // errEmpty is returned for a log without one line of an instance.
@@ -74,7 +74,7 @@
 // Read takes in logs.
 func Read(in io.Reader) (*Log, error) {
 	l := &Log{
-		calls: map[string]*call{}, open: map[placementKey]*placement{}, orders: map[orderKey][]time.Time{}, starts: map[string][]time.Time{},
+		calls: map[string]*call{}, openPlacements: map[placementKey]*placement{}, orders: map[orderKey][]time.Time{}, starts: map[string][]time.Time{},
 	}
 	scanner := bufio.NewScanner(in)
 	scanner.Buffer(make([]byte, 0, 64<<10), maxLine)
