--- a/internal/losses/absence.go
+++ b/internal/losses/absence.go
@@ -34,8 +34,8 @@
 // done is the outcome of a change that came to its end.
 const done = "done"
 
-// takeChange takes in an event of a change.
-func (l *Log) takeChange(r record) {
+// addPlacementEvent takes in an event of a change.
+func (l *Log) addPlacementEvent(r record) {
 	model, isName := r.Load.(string)
 	key := placementKey{r.Instance, r.Engine}
 	switch {
--- a/internal/losses/record.go
+++ b/internal/losses/record.go
@@ -120,7 +120,7 @@
 			l.placers = append(l.placers, r.Time)
 		}
 	case logevent.Placement, logevent.PlacementEnded, logevent.EngineOrder:
-		l.takeChange(r)
+		l.addPlacementEvent(r)
 	case logevent.Listening:
 		l.starts[r.Instance] = append(l.starts[r.Instance], r.Time)
 	}
