--- a/internal/losses/call.go
+++ b/internal/losses/call.go
@@ -44,9 +44,9 @@
 	reason   string
 }
 
-// takeCall takes in an event of a call. An attempt at another instance is another
+// addCallEvent takes in an event of a call. An attempt at another instance is another
 // call: callers give each try a name of its own.
-func (l *Log) takeCall(r record) {
+func (l *Log) addCallEvent(r record) {
 	if r.Call == "" {
 		l.nameless++
 		return
--- a/internal/losses/record.go
+++ b/internal/losses/record.go
@@ -114,7 +114,7 @@
 func (l *Log) take(r record) {
 	switch r.Event {
 	case logevent.CallSent, logevent.CallServed, logevent.CallFailed, logevent.CallRetried, logevent.CallWaits:
-		l.takeCall(r)
+		l.addCallEvent(r)
 	case logevent.Placing:
 		if !r.Orphan {
 			l.placers = append(l.placers, r.Time)
