--- a/internal/losses/record.go
+++ b/internal/losses/record.go
@@ -107,11 +107,11 @@
 	if r.Time.After(l.last) {
 		l.last = r.Time
 	}
-	l.take(r)
+	l.addEvent(r)
 }
 
-// take takes in one event.
-func (l *Log) take(r record) {
+// addEvent takes in one event.
+func (l *Log) addEvent(r record) {
 	switch r.Event {
 	case logevent.CallSent, logevent.CallServed, logevent.CallFailed, logevent.CallRetried, logevent.CallWaits:
 		l.addCallEvent(r)
