--- a/internal/losses/record.go
+++ b/internal/losses/record.go
@@ -79,7 +79,7 @@
 	scanner := bufio.NewScanner(in)
 	scanner.Buffer(make([]byte, 0, 64<<10), maxLine)
 	for scanner.Scan() {
-		l.line(scanner.Bytes())
+		l.addLine(scanner.Bytes())
 	}
 	if err := scanner.Err(); err != nil {
 		return nil, fmt.Errorf("line %d: %w", l.lines+l.skipped+1, err)
@@ -91,9 +91,9 @@
 	return l, nil
 }
 
-// line takes in one line. One that is cut, or of another program, is counted and
+// addLine takes in one addLine. One that is cut, or of another program, is counted and
 // passed over.
-func (l *Log) line(text []byte) {
+func (l *Log) addLine(text []byte) {
 	var r record
 	start := bytes.IndexByte(text, '{')
 	if start < 0 || json.Unmarshal(text[start:], &r) != nil || r.Event == 0 || r.Instance == "" || r.Time.IsZero() {
