--- a/internal/losses/call.go
+++ b/internal/losses/call.go
@@ -136,8 +136,8 @@
 	}
 }
 
-// end settles the calls of which the log shows no end.
-func (l *Log) end() {
+// finish settles the calls of which the log shows no finish.
+func (l *Log) finish() {
 	for _, c := range l.calls {
 		if c.fate != unanswered {
 			continue
--- a/internal/losses/record.go
+++ b/internal/losses/record.go
@@ -87,7 +87,7 @@
 	if l.lines == 0 {
 		return nil, fmt.Errorf("%w (%d lines were read)", errEmpty, l.skipped)
 	}
-	l.end()
+	l.finish()
 	return l, nil
 }
 
