--- a/internal/losses/call.go
+++ b/internal/losses/call.go
@@ -71,7 +71,7 @@
 	case logevent.CallServed:
 		c.served(r)
 	case logevent.CallFailed:
-		l.failed(c, r)
+		l.addFailure(c, r)
 	}
 }
 
@@ -105,8 +105,8 @@
 	}
 }
 
-// failed says why a call got no answer of a replica, or a failing one.
-func (l *Log) failed(c *call, r record) {
+// addFailure says why a call got no answer of a replica, or a failing one.
+func (l *Log) addFailure(c *call, r record) {
 	c.reason = code.Lookup(r.Code).Name
 	switch r.Code {
 	case code.UpstreamBroke, code.StreamCut, code.UpstreamRefused, code.TimedOut:
