--- a/internal/losses/absence.go
+++ b/internal/losses/absence.go
@@ -93,7 +93,7 @@
 		if _, ok := since[m.model]; !ok {
 			since[m.model] = m.at
 		}
-		m.call.reason = "not resident: " + l.absence(m.model, m.at, m.at.Sub(since[m.model]))
+		m.call.reason = "not resident: " + l.absenceReason(m.model, m.at, m.at.Sub(since[m.model]))
 	}
 }
 
@@ -101,9 +101,9 @@
 // load it: a message to the placer, and its next look.
 const soonMissed = 300 * time.Millisecond
 
-// absence says why nobody had a model at that time, known being for how long calls had
+// absenceReason says why nobody had a model at that time, known being for how long calls had
 // missed it.
-func (l *Log) absence(model string, at time.Time, known time.Duration) string {
+func (l *Log) absenceReason(model string, at time.Time, known time.Duration) string {
 	c := l.underWay(model, at)
 	switch {
 	case c == nil && !l.placed(at):
