--- a/internal/losses/absence.go
+++ b/internal/losses/absence.go
@@ -104,7 +104,7 @@
 // absenceReason says why nobody had a model at that time, known being for how long calls had
 // missed it.
 func (l *Log) absenceReason(model string, at time.Time, known time.Duration) string {
-	c := l.underWay(model, at)
+	c := l.activePlacement(model, at)
 	switch {
 	case c == nil && !l.placed(at):
 		return "nobody places models"
@@ -123,9 +123,9 @@
 	}
 }
 
-// underWay returns the change that was to bring the model at that time, the one that
+// activePlacement returns the change that was to bring the model at that time, the one that
 // ended first if there were several, nil if there was none.
-func (l *Log) underWay(model string, at time.Time) *placement {
+func (l *Log) activePlacement(model string, at time.Time) *placement {
 	var best *placement
 	for _, c := range l.placements {
 		if c.load != model || c.begun.After(at) || !c.ended.IsZero() && c.ended.Before(at) {
