--- a/internal/losses/absence.go
+++ b/internal/losses/absence.go
@@ -106,7 +106,7 @@
 func (l *Log) absenceReason(model string, at time.Time, known time.Duration) string {
 	c := l.activePlacement(model, at)
 	switch {
-	case c == nil && !l.placed(at):
+	case c == nil && !l.placerActive(at):
 		return "nobody places models"
 	case c == nil && known < soonMissed:
 		return "nobody had asked for it before"
@@ -138,8 +138,8 @@
 	return best
 }
 
-// placed reports whether some instance had begun to place models by then.
-func (l *Log) placed(at time.Time) bool {
+// placerActive reports whether some instance had begun to place models by then.
+func (l *Log) placerActive(at time.Time) bool {
 	for _, began := range l.placers {
 		if !began.After(at) {
 			return true
