--- a/internal/losses/absence.go
+++ b/internal/losses/absence.go
@@ -140,7 +140,7 @@
 
 // placerActive reports whether some instance had begun to place models by then.
 func (l *Log) placerActive(at time.Time) bool {
-	for _, began := range l.placers {
+	for _, began := range l.placerStarts {
 		if !began.After(at) {
 			return true
 		}
--- a/internal/losses/record.go
+++ b/internal/losses/record.go
@@ -59,7 +59,7 @@
 	placements     []*placement
 	openPlacements map[placementKey]*placement
 	orders         map[orderKey][]time.Time
-	placers        []time.Time // when some instance began to place models for all
+	placerStarts   []time.Time // when some instance began to place models for all
 	starts         map[string][]time.Time
 	first          time.Time
 	last           time.Time
@@ -117,7 +117,7 @@
 		l.addCallEvent(r)
 	case logevent.Placing:
 		if !r.Orphan {
-			l.placers = append(l.placers, r.Time)
+			l.placerStarts = append(l.placerStarts, r.Time)
 		}
 	case logevent.Placement, logevent.PlacementEnded, logevent.EngineOrder:
 		l.addPlacementEvent(r)
