--- a/internal/losses/call.go
+++ b/internal/losses/call.go
@@ -48,7 +48,7 @@
 // call: callers give each try a name of its own.
 func (l *Log) addCallEvent(r record) {
 	if r.Call == "" {
-		l.nameless++
+		l.withoutCallID++
 		return
 	}
 	c := l.calls[r.Call]
--- a/internal/losses/losses_test.go
+++ b/internal/losses/losses_test.go
@@ -90,7 +90,7 @@
 	is.NoErr(err)
 	is.Equal(l.lines, 2)
 	is.Equal(l.skipped, 7)
-	is.Equal(l.nameless, 1)
+	is.Equal(l.withoutCallID, 1)
 	is.Equal(len(l.calls), 1)
 
 	for _, empty := range []string{"", "hello\nworld"} {
--- a/internal/losses/record.go
+++ b/internal/losses/record.go
@@ -65,7 +65,7 @@
 	last           time.Time
 	lines          int
 	skipped        int // lines that are no log line of an instance
-	nameless       int // events of calls without a call
+	withoutCallID  int // events of calls without a call
 }
 
 // errEmpty is returned for a log without one line of an instance.
