--- a/internal/losses/absence.go
+++ b/internal/losses/absence.go
@@ -55,9 +55,9 @@
 	}
 }
 
-// missed notes a call that found its model nowhere; the reason is known once the whole
+// addMiss notes a call that found its model nowhere; the reason is known once the whole
 // log is read.
-func (c *call) missed(l *Log, r record) {
+func (c *call) addMiss(l *Log, r record) {
 	model := strings.Trim(firstQuoted(r.Detail), `"`)
 	model, _, _ = strings.Cut(model, "/")
 	if model == "" {
--- a/internal/losses/call.go
+++ b/internal/losses/call.go
@@ -118,7 +118,7 @@
 		c.fate = refused
 	}
 	if r.Code == code.NotResident {
-		c.missed(l, r)
+		c.addMiss(l, r)
 	}
 }
 
