--- a/internal/losses/call.go
+++ b/internal/losses/call.go
@@ -69,14 +69,14 @@
 	case logevent.CallWaits:
 		c.waits = r.For
 	case logevent.CallServed:
-		c.served(r)
+		c.addServed(r)
 	case logevent.CallFailed:
 		l.addFailure(c, r)
 	}
 }
 
-// served says whether a whole answer came in time, and if not, what took longest.
-func (c *call) served(r record) {
+// addServed says whether a whole answer came in time, and if not, what took longest.
+func (c *call) addServed(r record) {
 	waited := time.Duration(r.WaitedMS) * time.Millisecond
 	first := time.Duration(r.FirstMS) * time.Millisecond
 	pause := time.Duration(r.PauseMS) * time.Millisecond
