--- a/internal/losses/call.go
+++ b/internal/losses/call.go
@@ -40,7 +40,7 @@
 	waits    string // what it last waited for, "" if it did not
 	target   time.Duration
 	gap      time.Duration
-	fate     fate
+	outcome  fate
 	reason   string
 }
 
@@ -53,7 +53,7 @@
 	}
 	c := l.calls[r.Call]
 	if c == nil {
-		c = &call{key: r.Call, instance: r.Instance, zone: r.Zone, began: r.Time, fate: unanswered}
+		c = &call{key: r.Call, instance: r.Instance, zone: r.Zone, began: r.Time, outcome: unanswered}
 		l.calls[r.Call] = c
 	}
 	if r.Item != "" {
@@ -80,14 +80,14 @@
 	waited := time.Duration(r.WaitedMS) * time.Millisecond
 	first := time.Duration(r.FirstMS) * time.Millisecond
 	pause := time.Duration(r.PauseMS) * time.Millisecond
-	c.fate = late
+	c.outcome = late
 	switch {
 	case c.target > 0 && waited+first > c.target:
 		c.reason = lateReason(c, waited, first)
 	case c.gap > 0 && pause > c.gap:
 		c.reason = "a pause in the stream"
 	default:
-		c.fate = inTime
+		c.outcome = inTime
 	}
 }
 
@@ -110,12 +110,12 @@
 	c.reason = code.Lookup(r.Code).Name
 	switch r.Code {
 	case code.UpstreamBroke, code.StreamCut, code.UpstreamRefused, code.TimedOut:
-		c.fate = failed
+		c.outcome = failed
 		c.reason += ": " + failure(r)
 	case code.UnknownService, code.Unauthorized, code.Forbidden, code.BadRequest, code.TooLarge:
 		delete(l.calls, r.Call) // nobody owed it an answer
 	default:
-		c.fate = refused
+		c.outcome = refused
 	}
 	if r.Code == code.NotResident {
 		c.addMiss(l, r)
@@ -139,7 +139,7 @@
 // finish settles the calls of which the log shows no finish.
 func (l *Log) finish() {
 	for _, c := range l.calls {
-		if c.fate != unanswered {
+		if c.outcome != unanswered {
 			continue
 		}
 		c.reason = "its caller left"
--- a/internal/losses/report.go
+++ b/internal/losses/report.go
@@ -49,10 +49,10 @@
 
 // label names a call's fate and reason.
 func label(c *call) string {
-	if c.fate == inTime {
-		return c.fate.String()
+	if c.outcome == inTime {
+		return c.outcome.String()
 	}
-	return c.fate.String() + ": " + c.reason
+	return c.outcome.String() + ": " + c.reason
 }
 
 // rankOf names a call's rank; one that was never sent has none in the log.
@@ -82,7 +82,7 @@
 			rows[k] = &row{key: k}
 		}
 		rows[k].total++
-		rows[k].byFate[c.fate]++
+		rows[k].byFate[c.outcome]++
 	}
 	var list []row
 	for _, r := range rows {
@@ -135,7 +135,7 @@
 func bar(calls []*call) string {
 	var n [fates]int
 	for _, c := range calls {
-		n[c.fate]++
+		n[c.outcome]++
 	}
 	var b strings.Builder
 	drawn, sum := 0, 0
