--- a/internal/losses/report.go
+++ b/internal/losses/report.go
@@ -65,13 +65,13 @@
 
 // A row counts the calls that have a key in common, by fate.
 type row struct {
-	key    string
-	total  int
-	byFate [fates]int
+	key       string
+	total     int
+	byOutcome [fates]int
 }
 
 // lost returns how many were not answered in time.
-func (r row) lost() int { return r.total - r.byFate[inTime] }
+func (r row) lost() int { return r.total - r.byOutcome[inTime] }
 
 // countBy counts calls by a key, the most frequent first.
 func countBy(all []*call, key func(c *call) string) []row {
@@ -82,7 +82,7 @@
 			rows[k] = &row{key: k}
 		}
 		rows[k].total++
-		rows[k].byFate[c.outcome]++
+		rows[k].byOutcome[c.outcome]++
 	}
 	var list []row
 	for _, r := range rows {
@@ -101,7 +101,7 @@
 	fmt.Fprintln(w)
 	for _, r := range rows {
 		fmt.Fprintf(w, "%s\t%d", r.key, r.total)
-		for _, n := range r.byFate {
+		for _, n := range r.byOutcome {
 			fmt.Fprintf(w, "\t%d", n)
 		}
 		fmt.Fprintln(w)
@@ -151,7 +151,7 @@
 // mostLost names the most frequent reason for which calls were lost.
 func mostLost(calls []*call) string {
 	for _, r := range countBy(calls, label) {
-		if r.byFate[inTime] == 0 {
+		if r.byOutcome[inTime] == 0 {
 			return fmt.Sprintf("%s (%d)", r.key, r.total)
 		}
 	}
