--- a/internal/losses/report.go
+++ b/internal/losses/report.go
@@ -41,7 +41,7 @@
 	table(w, "RANK", countBy(all, rankOf))
 	models := countBy(all, func(c *call) string { return c.model })
 	models = slices.DeleteFunc(models, func(r row) bool { return r.key == "" })
-	slices.SortStableFunc(models, func(a, b row) int { return cmp.Compare(b.lost(), a.lost()) })
+	slices.SortStableFunc(models, func(a, b row) int { return cmp.Compare(b.notInTime(), a.notInTime()) })
 	table(w, "MODEL, MOST LOST", models[:min(topModels, len(models))])
 	l.windows(w, all)
 	return w.Flush()
@@ -70,8 +70,8 @@
 	byOutcome [fates]int
 }
 
-// lost returns how many were not answered in time.
-func (r row) lost() int { return r.total - r.byOutcome[inTime] }
+// notInTime returns how many were not answered in time.
+func (r row) notInTime() int { return r.total - r.byOutcome[inTime] }
 
 // countBy counts calls by a key, the most frequent first.
 func countBy(all []*call, key func(c *call) string) []row {
