--- a/internal/losses/call.go
+++ b/internal/losses/call.go
@@ -9,12 +9,12 @@
 	"github.com/birchdrift/birchdrift/core/pool"
 )
 
-// A fate is what became of a call for its caller.
-type fate int
+// A outcome is what became of a call for its caller.
+type outcome int
 
 // The fates.
 const (
-	inTime fate = iota
+	inTime outcome = iota
 	late
 	refused    // it did not run
 	failed     // it may have run
@@ -23,7 +23,7 @@
 )
 
 // String names the fate for reports.
-func (f fate) String() string {
+func (f outcome) String() string {
 	return [...]string{"in time", "late", "refused", "failed", "unanswered"}[f]
 }
 
@@ -40,7 +40,7 @@
 	waits    string // what it last waited for, "" if it did not
 	target   time.Duration
 	gap      time.Duration
-	outcome  fate
+	outcome  outcome
 	reason   string
 }
 
