--- a/internal/losses/call.go
+++ b/internal/losses/call.go
@@ -12,14 +12,14 @@
 // A outcome is what became of a call for its caller.
 type outcome int
 
-// The fates.
+// The numOutcomes.
 const (
 	inTime outcome = iota
 	late
-	refused    // it did not run
-	failed     // it may have run
-	unanswered // its caller left, or its instance ended
-	fates      // how many there are
+	refused     // it did not run
+	failed      // it may have run
+	unanswered  // its caller left, or its instance ended
+	numOutcomes // how many there are
 )
 
 // String names the fate for reports.
--- a/internal/losses/report.go
+++ b/internal/losses/report.go
@@ -67,7 +67,7 @@
 type row struct {
 	key       string
 	total     int
-	byOutcome [fates]int
+	byOutcome [numOutcomes]int
 }
 
 // notInTime returns how many were not answered in time.
@@ -95,7 +95,7 @@
 // table prints rows with a column for each fate.
 func table(w io.Writer, head string, rows []row) {
 	fmt.Fprintf(w, "\nBY %s\tCALLS", head)
-	for f := range fates {
+	for f := range numOutcomes {
 		fmt.Fprintf(w, "\t%s", strings.ToUpper(f.String()))
 	}
 	fmt.Fprintln(w)
@@ -124,8 +124,8 @@
 
 // legend explains the signs of a bar.
 func legend() string {
-	parts := make([]string, fates)
-	for f := range fates {
+	parts := make([]string, numOutcomes)
+	for f := range numOutcomes {
 		parts[f] = fmt.Sprintf("%c %s", bars[f], f)
 	}
 	return strings.Join(parts, ", ")
@@ -133,13 +133,13 @@
 
 // bar draws the fates of calls to scale.
 func bar(calls []*call) string {
-	var n [fates]int
+	var n [numOutcomes]int
 	for _, c := range calls {
 		n[c.outcome]++
 	}
 	var b strings.Builder
 	drawn, sum := 0, 0
-	for f := range fates {
+	for f := range numOutcomes {
 		sum += n[f]
 		to := (sum*barWidth + len(calls)/2) / len(calls)
 		b.WriteString(strings.Repeat(string(bars[f]), to-drawn))
