--- a/internal/losses/absence.go
+++ b/internal/losses/absence.go
@@ -97,9 +97,9 @@
 	}
 }
 
-// soonMissed is how long a model may be missed before somebody should have begun to
+// missGracePeriod is how long a model may be missed before somebody should have begun to
 // load it: a message to the placer, and its next look.
-const soonMissed = 300 * time.Millisecond
+const missGracePeriod = 300 * time.Millisecond
 
 // absenceReason says why nobody had a model at that time, known being for how long calls had
 // missed it.
@@ -108,7 +108,7 @@
 	switch {
 	case c == nil && !l.placerActive(at):
 		return "nobody places models"
-	case c == nil && known < soonMissed:
+	case c == nil && known < missGracePeriod:
 		return "nobody had asked for it before"
 	case c == nil:
 		return "no change was begun for it"
