--- a/internal/losses/absence.go
+++ b/internal/losses/absence.go
@@ -31,8 +31,8 @@
 	}
 )
 
-// done is the outcome of a change that came to its end.
-const done = "done"
+// placementDone is the outcome of a change that came to its end.
+const placementDone = "done"
 
 // addPlacementEvent takes in an event of a change.
 func (l *Log) addPlacementEvent(r record) {
@@ -114,7 +114,7 @@
 		return "no change was begun for it"
 	case c.ended.IsZero():
 		return "the placer that began its change is gone"
-	case c.outcome != done:
+	case c.outcome != placementDone:
 		return "its change came to nothing: " + c.outcome
 	case c.ordered.IsZero() || at.Before(c.ordered):
 		return "its load was not ordered yet"
