--- a/internal/losses/call.go
+++ b/internal/losses/call.go
@@ -111,7 +111,7 @@
 	switch r.Code {
 	case code.UpstreamBroke, code.StreamCut, code.UpstreamRefused, code.TimedOut:
 		c.outcome = failed
-		c.reason += ": " + failure(r)
+		c.reason += ": " + failureReason(r)
 	case code.UnknownService, code.Unauthorized, code.Forbidden, code.BadRequest, code.TooLarge:
 		delete(l.calls, r.Call) // nobody owed it an answer
 	default:
@@ -122,8 +122,8 @@
 	}
 }
 
-// failure words what a replica or instance did, without what differs from call to call.
-func failure(r record) string {
+// failureReason words what a replica or instance did, without what differs from call to call.
+func failureReason(r record) string {
 	switch {
 	case strings.Contains(r.Detail, "EOF"), strings.Contains(r.Detail, "reset"), strings.Contains(r.Detail, "refused"):
 		return "the replica broke the connection off"
