--- a/internal/losses/report.go
+++ b/internal/losses/report.go
@@ -38,7 +38,7 @@
 		fmt.Fprintf(w, "%s\t%d\t%.1f%%\n", row.key, row.total, 100*float64(row.total)/float64(max(1, len(all))))
 	}
 	table(w, "ZONE", countBy(all, func(c *call) string { return c.zone }))
-	table(w, "RANK", countBy(all, rankOf))
+	table(w, "RANK", countBy(all, rankLabel))
 	models := countBy(all, func(c *call) string { return c.model })
 	models = slices.DeleteFunc(models, func(r row) bool { return r.key == "" })
 	slices.SortStableFunc(models, func(a, b row) int { return cmp.Compare(b.notInTime(), a.notInTime()) })
@@ -55,8 +55,8 @@
 	return c.outcome.String() + ": " + c.reason
 }
 
-// rankOf names a call's rank; one that was never sent has none in the log.
-func rankOf(c *call) string {
+// rankLabel names a call's rank; one that was never sent has none in the log.
+func rankLabel(c *call) string {
 	if c.sends == 0 {
 		return "never sent"
 	}
