--- a/internal/losses/losses_test.go
+++ b/internal/losses/losses_test.go
@@ -71,7 +71,7 @@
 			is := is.New(t)
 			l, err := Read(strings.NewReader(strings.Join(tt.log, "\n")))
 			is.NoErr(err)
-			is.Equal(label(l.calls["c"]), tt.want)
+			is.Equal(outcomeLabel(l.calls["c"]), tt.want)
 		})
 	}
 }
--- a/internal/losses/report.go
+++ b/internal/losses/report.go
@@ -34,7 +34,7 @@
 	fmt.Fprintf(w, "%d calls in %d lines, %s to %s; %d lines are not of an instance's log\n",
 		len(all), l.lines, l.first.Format(time.TimeOnly), l.last.Format(time.TimeOnly), l.skipped)
 	fmt.Fprintln(w, "\nBY REASON\tCALLS\tSHARE")
-	for _, row := range countBy(all, func(c *call) string { return label(c) }) {
+	for _, row := range countBy(all, func(c *call) string { return outcomeLabel(c) }) {
 		fmt.Fprintf(w, "%s\t%d\t%.1f%%\n", row.key, row.total, 100*float64(row.total)/float64(max(1, len(all))))
 	}
 	table(w, "ZONE", countBy(all, func(c *call) string { return c.zone }))
@@ -47,8 +47,8 @@
 	return w.Flush()
 }
 
-// label names a call's fate and reason.
-func label(c *call) string {
+// outcomeLabel names a call's fate and reason.
+func outcomeLabel(c *call) string {
 	if c.outcome == inTime {
 		return c.outcome.String()
 	}
@@ -150,7 +150,7 @@
 
 // mostLost names the most frequent reason for which calls were lost.
 func mostLost(calls []*call) string {
-	for _, r := range countBy(calls, label) {
+	for _, r := range countBy(calls, outcomeLabel) {
 		if r.byOutcome[inTime] == 0 {
 			return fmt.Sprintf("%s (%d)", r.key, r.total)
 		}
