--- a/internal/losses/report.go
+++ b/internal/losses/report.go
@@ -22,8 +22,8 @@
 	topModels = 10
 )
 
-// bars are the signs of the fates in a window's bar.
-const bars = "#~-x?"
+// barSymbols are the signs of the fates in a window's bar.
+const barSymbols = "#~-x?"
 
 // Report prints where service was lost.
 func (l *Log) Report(out io.Writer) error {
@@ -126,7 +126,7 @@
 func legend() string {
 	parts := make([]string, numOutcomes)
 	for f := range numOutcomes {
-		parts[f] = fmt.Sprintf("%c %s", bars[f], f)
+		parts[f] = fmt.Sprintf("%c %s", barSymbols[f], f)
 	}
 	return strings.Join(parts, ", ")
 }
@@ -142,7 +142,7 @@
 	for f := range numOutcomes {
 		sum += n[f]
 		to := (sum*barWidth + len(calls)/2) / len(calls)
-		b.WriteString(strings.Repeat(string(bars[f]), to-drawn))
+		b.WriteString(strings.Repeat(string(barSymbols[f]), to-drawn))
 		drawn = to
 	}
 	return b.String()
