--- a/internal/losses/report.go
+++ b/internal/losses/report.go
@@ -118,7 +118,7 @@
 	}
 	for _, n := range slices.Sorted(maps.Keys(byWindow)) {
 		calls := byWindow[n]
-		fmt.Fprintf(w, "%v\t%d\t%s\t%s\n", time.Duration(n)*window, len(calls), bar(calls), mostLost(calls))
+		fmt.Fprintf(w, "%v\t%d\t%s\t%s\n", time.Duration(n)*window, len(calls), bar(calls), mainLossReason(calls))
 	}
 }
 
@@ -148,8 +148,8 @@
 	return b.String()
 }
 
-// mostLost names the most frequent reason for which calls were lost.
-func mostLost(calls []*call) string {
+// mainLossReason names the most frequent reason for which calls were lost.
+func mainLossReason(calls []*call) string {
 	for _, r := range countBy(calls, outcomeLabel) {
 		if r.byOutcome[inTime] == 0 {
 			return fmt.Sprintf("%s (%d)", r.key, r.total)
