--- a/internal/losses/losses_test.go
+++ b/internal/losses/losses_test.go
@@ -97,7 +97,7 @@
 		_, err := Read(strings.NewReader(empty))
 		is.True(err != nil)
 	}
-	_, err = Read(strings.NewReader(good + "\n" + strings.Repeat("x", maxLine+1)))
+	_, err = Read(strings.NewReader(good + "\n" + strings.Repeat("x", maxLineSize+1)))
 	is.True(err != nil) // and names the line
 	is.True(strings.Contains(err.Error(), "line 2"))
 }
--- a/internal/losses/record.go
+++ b/internal/losses/record.go
@@ -19,8 +19,8 @@
 	"github.com/birchdrift/birchdrift/core/logevent"
 )
 
-// maxLine bounds one line of a log: far above any that is written.
-const maxLine = 1 << 20
+// maxLineSize bounds one line of a log: far above any that is written.
+const maxLineSize = 1 << 20
 
 // A record is one line of a log: the fields of every event that matters here.
 type record struct {
@@ -77,7 +77,7 @@
 		calls: map[string]*call{}, openPlacements: map[placementKey]*placement{}, orders: map[orderKey][]time.Time{}, starts: map[string][]time.Time{},
 	}
 	scanner := bufio.NewScanner(in)
-	scanner.Buffer(make([]byte, 0, 64<<10), maxLine)
+	scanner.Buffer(make([]byte, 0, 64<<10), maxLineSize)
 	for scanner.Scan() {
 		l.addLine(scanner.Bytes())
 	}
