--- a/internal/losses/losses_test.go
+++ b/internal/losses/losses_test.go
@@ -13,8 +13,8 @@
 
 var start = time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 
-// at writes a line of instance i's log, so long after the start.
-func at(after time.Duration, event logevent.Number, fields string) string {
+// logLine writes a line of instance i's log, so long after the start.
+func logLine(after time.Duration, event logevent.Number, fields string) string {
 	return fmt.Sprintf(`{"time":%q,"instance":"i","zone":"z","event":%d,%s}`, start.Add(after).Format(time.RFC3339Nano), event, fields)
 }
 
@@ -25,46 +25,46 @@
 
 // TestReasons tables logs with known causes, and the reason that each gives the call.
 func TestReasons(t *testing.T) {
-	placing := at(0, logevent.Placing, `"orphan":false`)
-	placed := at(time.Second, logevent.Placement, `"engine":"e","load":"m","source":"disk"`)
+	placing := logLine(0, logevent.Placing, `"orphan":false`)
+	placed := logLine(time.Second, logevent.Placement, `"engine":"e","load":"m","source":"disk"`)
 	ended := func(after time.Duration, detail string) string {
-		return at(after, logevent.PlacementEnded, fmt.Sprintf(`"engine":"e","load":"m","detail":%q`, detail))
+		return logLine(after, logevent.PlacementEnded, fmt.Sprintf(`"engine":"e","load":"m","detail":%q`, detail))
 	}
-	ordered := at(2*time.Second, logevent.EngineOrder, `"engine":"e","load":true,"item":"m"`)
-	other := at(time.Second, logevent.CallFailed, `"call":"before","code":203,"detail":"\"m\" is not resident"`)
+	ordered := logLine(2*time.Second, logevent.EngineOrder, `"engine":"e","load":true,"item":"m"`)
+	other := logLine(time.Second, logevent.CallFailed, `"call":"before","code":203,"detail":"\"m\" is not resident"`)
 	for _, tt := range []struct {
 		name string
 		log  []string
 		want string
 	}{
-		{"in time", []string{at(0, logevent.CallSent, sent), at(1, logevent.CallServed, `"call":"c","waited_ms":100,"first_ms":300,"pause_ms":250`)}, "in time"},
-		{"a queue", []string{at(0, logevent.CallSent, sent), at(1, logevent.CallServed, `"call":"c","waited_ms":0,"first_ms":401`)}, "late: the queue at the engine"},
-		{"a pause", []string{at(0, logevent.CallSent, sent), at(1, logevent.CallServed, `"call":"c","first_ms":100,"pause_ms":251`)}, "late: a pause in the stream"},
+		{"in time", []string{logLine(0, logevent.CallSent, sent), logLine(1, logevent.CallServed, `"call":"c","waited_ms":100,"first_ms":300,"pause_ms":250`)}, "in time"},
+		{"a queue", []string{logLine(0, logevent.CallSent, sent), logLine(1, logevent.CallServed, `"call":"c","waited_ms":0,"first_ms":401`)}, "late: the queue at the engine"},
+		{"a pause", []string{logLine(0, logevent.CallSent, sent), logLine(1, logevent.CallServed, `"call":"c","first_ms":100,"pause_ms":251`)}, "late: a pause in the stream"},
 		{"a second attempt", []string{
-			at(0, logevent.CallSent, sent), at(1, logevent.CallRetried, `"call":"c"`), at(2, logevent.CallSent, sent),
-			at(3, logevent.CallServed, `"call":"c","waited_ms":500,"first_ms":10`),
+			logLine(0, logevent.CallSent, sent), logLine(1, logevent.CallRetried, `"call":"c"`), logLine(2, logevent.CallSent, sent),
+			logLine(3, logevent.CallServed, `"call":"c","waited_ms":500,"first_ms":10`),
 		}, "late: sent again after a failure"},
 		{"an order", []string{
-			at(0, logevent.CallWaits, `"call":"c","for":"an order"`), at(1, logevent.CallSent, sent),
-			at(2, logevent.CallServed, `"call":"c","waited_ms":500,"first_ms":10`),
+			logLine(0, logevent.CallWaits, `"call":"c","for":"an order"`), logLine(1, logevent.CallSent, sent),
+			logLine(2, logevent.CallServed, `"call":"c","waited_ms":500,"first_ms":10`),
 		}, "late: waited for an order"},
-		{"the replica died", []string{at(0, logevent.CallSent, sent), at(1, logevent.CallFailed, `"call":"c","code":303,"detail":"unexpected EOF"`)},
+		{"the replica died", []string{logLine(0, logevent.CallSent, sent), logLine(1, logevent.CallFailed, `"call":"c","code":303,"detail":"unexpected EOF"`)},
 			"failed: stream_cut: the replica broke the connection off"},
-		{"the caller left", []string{at(0, logevent.CallSent, sent)}, "unanswered: its caller left"},
-		{"the instance died", []string{at(0, logevent.CallSent, sent), at(time.Second, logevent.Listening, `"callers":"x"`)},
+		{"the caller left", []string{logLine(0, logevent.CallSent, sent)}, "unanswered: its caller left"},
+		{"the instance died", []string{logLine(0, logevent.CallSent, sent), logLine(time.Second, logevent.Listening, `"callers":"x"`)},
 			"unanswered: its caller left, or its instance ended"},
-		{"an adapter", []string{at(0, logevent.CallFailed, `"call":"c","code":203,"detail":"\"m/a\" cannot be loaded where its model is"`)},
+		{"an adapter", []string{logLine(0, logevent.CallFailed, `"call":"c","code":203,"detail":"\"m/a\" cannot be loaded where its model is"`)},
 			"refused: its adapter cannot be loaded where its model is"},
-		{"no placer", []string{at(0, logevent.CallFailed, missing)}, "refused: not resident: nobody places models"},
-		{"just missed", []string{placing, at(time.Second, logevent.CallFailed, missing)}, "refused: not resident: nobody had asked for it before"},
-		{"known and no change", []string{placing, other, at(2*time.Second, logevent.CallFailed, missing)}, "refused: not resident: no change was begun for it"},
-		{"not ordered", []string{placing, placed, at(1500*time.Millisecond, logevent.CallFailed, missing), ordered, ended(3*time.Second, placementDone)},
+		{"no placer", []string{logLine(0, logevent.CallFailed, missing)}, "refused: not resident: nobody places models"},
+		{"just missed", []string{placing, logLine(time.Second, logevent.CallFailed, missing)}, "refused: not resident: nobody had asked for it before"},
+		{"known and no change", []string{placing, other, logLine(2*time.Second, logevent.CallFailed, missing)}, "refused: not resident: no change was begun for it"},
+		{"not ordered", []string{placing, placed, logLine(1500*time.Millisecond, logevent.CallFailed, missing), ordered, ended(3*time.Second, placementDone)},
 			"refused: not resident: its load was not ordered yet"},
-		{"loading", []string{placing, placed, ordered, at(2500*time.Millisecond, logevent.CallFailed, missing), ended(3*time.Second, placementDone)},
+		{"loading", []string{placing, placed, ordered, logLine(2500*time.Millisecond, logevent.CallFailed, missing), ended(3*time.Second, placementDone)},
 			"refused: not resident: loading from disk"},
-		{"in vain", []string{placing, placed, at(2*time.Second, logevent.CallFailed, missing), ended(3*time.Second, "the engine is gone")},
+		{"in vain", []string{placing, placed, logLine(2*time.Second, logevent.CallFailed, missing), ended(3*time.Second, "the engine is gone")},
 			"refused: not resident: its change came to nothing: the engine is gone"},
-		{"the placer died", []string{placing, placed, at(2*time.Second, logevent.CallFailed, missing)},
+		{"the placer died", []string{placing, placed, logLine(2*time.Second, logevent.CallFailed, missing)},
 			"refused: not resident: the placer that began its change is gone"},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
@@ -80,11 +80,11 @@
 // a log without any is an error.
 func TestWrongInput(t *testing.T) {
 	is := is.New(t)
-	good := at(0, logevent.CallSent, sent)
+	good := logLine(0, logevent.CallSent, sent)
 	lines := []string{
 		"", "hello", "{", good[:len(good)/2], `{"time":"yesterday"}`, `{"event":1804}`, `[1,2]`,
 		"  12.5 host-1 " + good, // behind what a collector writes
-		at(0, logevent.CallSent, `"attempt":1`),
+		logLine(0, logevent.CallSent, `"attempt":1`),
 	}
 	l, err := Read(strings.NewReader(strings.Join(lines, "\n")))
 	is.NoErr(err)
@@ -110,11 +110,11 @@
 	for i := range 10 {
 		call := fmt.Sprintf(`"call":"s%d"`, i)
 		lines = append(lines,
-			at(time.Second, logevent.CallSent, strings.Replace(sent, `"call":"c"`, call, 1)),
-			at(2*time.Second, logevent.CallServed, call+`,"first_ms":10`))
+			logLine(time.Second, logevent.CallSent, strings.Replace(sent, `"call":"c"`, call, 1)),
+			logLine(2*time.Second, logevent.CallServed, call+`,"first_ms":10`))
 	}
 	for i := range 30 {
-		lines = append(lines, at(3*time.Second, logevent.CallFailed, fmt.Sprintf(`"call":"f%d","item":"m","code":202`, i)))
+		lines = append(lines, logLine(3*time.Second, logevent.CallFailed, fmt.Sprintf(`"call":"f%d","item":"m","code":202`, i)))
 	}
 	l, err := Read(strings.NewReader(strings.Join(lines, "\n")))
 	is.NoErr(err)
