--- a/internal/losses/losses_test.go
+++ b/internal/losses/losses_test.go
@@ -19,8 +19,8 @@
 }
 
 const (
-	sent    = `"call":"c","item":"m/a","attempt":1,"rank":1,"target_ms":400,"gap_ms":250,"replica":"r"`
-	missing = `"call":"c","code":203,"detail":"\"m\" is not resident"`
+	sentFields = `"call":"c","item":"m/a","attempt":1,"rank":1,"target_ms":400,"gap_ms":250,"replica":"r"`
+	missing    = `"call":"c","code":203,"detail":"\"m\" is not resident"`
 )
 
 // TestReasons tables logs with known causes, and the reason that each gives the call.
@@ -37,21 +37,21 @@
 		log  []string
 		want string
 	}{
-		{"in time", []string{logLine(0, logevent.CallSent, sent), logLine(1, logevent.CallServed, `"call":"c","waited_ms":100,"first_ms":300,"pause_ms":250`)}, "in time"},
-		{"a queue", []string{logLine(0, logevent.CallSent, sent), logLine(1, logevent.CallServed, `"call":"c","waited_ms":0,"first_ms":401`)}, "late: the queue at the engine"},
-		{"a pause", []string{logLine(0, logevent.CallSent, sent), logLine(1, logevent.CallServed, `"call":"c","first_ms":100,"pause_ms":251`)}, "late: a pause in the stream"},
+		{"in time", []string{logLine(0, logevent.CallSent, sentFields), logLine(1, logevent.CallServed, `"call":"c","waited_ms":100,"first_ms":300,"pause_ms":250`)}, "in time"},
+		{"a queue", []string{logLine(0, logevent.CallSent, sentFields), logLine(1, logevent.CallServed, `"call":"c","waited_ms":0,"first_ms":401`)}, "late: the queue at the engine"},
+		{"a pause", []string{logLine(0, logevent.CallSent, sentFields), logLine(1, logevent.CallServed, `"call":"c","first_ms":100,"pause_ms":251`)}, "late: a pause in the stream"},
 		{"a second attempt", []string{
-			logLine(0, logevent.CallSent, sent), logLine(1, logevent.CallRetried, `"call":"c"`), logLine(2, logevent.CallSent, sent),
+			logLine(0, logevent.CallSent, sentFields), logLine(1, logevent.CallRetried, `"call":"c"`), logLine(2, logevent.CallSent, sentFields),
 			logLine(3, logevent.CallServed, `"call":"c","waited_ms":500,"first_ms":10`),
 		}, "late: sent again after a failure"},
 		{"an order", []string{
-			logLine(0, logevent.CallWaits, `"call":"c","for":"an order"`), logLine(1, logevent.CallSent, sent),
+			logLine(0, logevent.CallWaits, `"call":"c","for":"an order"`), logLine(1, logevent.CallSent, sentFields),
 			logLine(2, logevent.CallServed, `"call":"c","waited_ms":500,"first_ms":10`),
 		}, "late: waited for an order"},
-		{"the replica died", []string{logLine(0, logevent.CallSent, sent), logLine(1, logevent.CallFailed, `"call":"c","code":303,"detail":"unexpected EOF"`)},
+		{"the replica died", []string{logLine(0, logevent.CallSent, sentFields), logLine(1, logevent.CallFailed, `"call":"c","code":303,"detail":"unexpected EOF"`)},
 			"failed: stream_cut: the replica broke the connection off"},
-		{"the caller left", []string{logLine(0, logevent.CallSent, sent)}, "unanswered: its caller left"},
-		{"the instance died", []string{logLine(0, logevent.CallSent, sent), logLine(time.Second, logevent.Listening, `"callers":"x"`)},
+		{"the caller left", []string{logLine(0, logevent.CallSent, sentFields)}, "unanswered: its caller left"},
+		{"the instance died", []string{logLine(0, logevent.CallSent, sentFields), logLine(time.Second, logevent.Listening, `"callers":"x"`)},
 			"unanswered: its caller left, or its instance ended"},
 		{"an adapter", []string{logLine(0, logevent.CallFailed, `"call":"c","code":203,"detail":"\"m/a\" cannot be loaded where its model is"`)},
 			"refused: its adapter cannot be loaded where its model is"},
@@ -80,7 +80,7 @@
 // a log without any is an error.
 func TestWrongInput(t *testing.T) {
 	is := is.New(t)
-	good := logLine(0, logevent.CallSent, sent)
+	good := logLine(0, logevent.CallSent, sentFields)
 	lines := []string{
 		"", "hello", "{", good[:len(good)/2], `{"time":"yesterday"}`, `{"event":1804}`, `[1,2]`,
 		"  12.5 host-1 " + good, // behind what a collector writes
@@ -110,7 +110,7 @@
 	for i := range 10 {
 		call := fmt.Sprintf(`"call":"s%d"`, i)
 		lines = append(lines,
-			logLine(time.Second, logevent.CallSent, strings.Replace(sent, `"call":"c"`, call, 1)),
+			logLine(time.Second, logevent.CallSent, strings.Replace(sentFields, `"call":"c"`, call, 1)),
 			logLine(2*time.Second, logevent.CallServed, call+`,"first_ms":10`))
 	}
 	for i := range 30 {
