--- a/internal/losses/losses_test.go
+++ b/internal/losses/losses_test.go
@@ -20,7 +20,7 @@
 
 const (
 	sentFields = `"call":"c","item":"m/a","attempt":1,"rank":1,"target_ms":400,"gap_ms":250,"replica":"r"`
-	missing    = `"call":"c","code":203,"detail":"\"m\" is not resident"`
+	missFields = `"call":"c","code":203,"detail":"\"m\" is not resident"`
 )
 
 // TestReasons tables logs with known causes, and the reason that each gives the call.
@@ -55,16 +55,16 @@
 			"unanswered: its caller left, or its instance ended"},
 		{"an adapter", []string{logLine(0, logevent.CallFailed, `"call":"c","code":203,"detail":"\"m/a\" cannot be loaded where its model is"`)},
 			"refused: its adapter cannot be loaded where its model is"},
-		{"no placer", []string{logLine(0, logevent.CallFailed, missing)}, "refused: not resident: nobody places models"},
-		{"just missed", []string{placing, logLine(time.Second, logevent.CallFailed, missing)}, "refused: not resident: nobody had asked for it before"},
-		{"known and no change", []string{placing, other, logLine(2*time.Second, logevent.CallFailed, missing)}, "refused: not resident: no change was begun for it"},
-		{"not ordered", []string{placing, placed, logLine(1500*time.Millisecond, logevent.CallFailed, missing), ordered, ended(3*time.Second, placementDone)},
+		{"no placer", []string{logLine(0, logevent.CallFailed, missFields)}, "refused: not resident: nobody places models"},
+		{"just missed", []string{placing, logLine(time.Second, logevent.CallFailed, missFields)}, "refused: not resident: nobody had asked for it before"},
+		{"known and no change", []string{placing, other, logLine(2*time.Second, logevent.CallFailed, missFields)}, "refused: not resident: no change was begun for it"},
+		{"not ordered", []string{placing, placed, logLine(1500*time.Millisecond, logevent.CallFailed, missFields), ordered, ended(3*time.Second, placementDone)},
 			"refused: not resident: its load was not ordered yet"},
-		{"loading", []string{placing, placed, ordered, logLine(2500*time.Millisecond, logevent.CallFailed, missing), ended(3*time.Second, placementDone)},
+		{"loading", []string{placing, placed, ordered, logLine(2500*time.Millisecond, logevent.CallFailed, missFields), ended(3*time.Second, placementDone)},
 			"refused: not resident: loading from disk"},
-		{"in vain", []string{placing, placed, logLine(2*time.Second, logevent.CallFailed, missing), ended(3*time.Second, "the engine is gone")},
+		{"in vain", []string{placing, placed, logLine(2*time.Second, logevent.CallFailed, missFields), ended(3*time.Second, "the engine is gone")},
 			"refused: not resident: its change came to nothing: the engine is gone"},
-		{"the placer died", []string{placing, placed, logLine(2*time.Second, logevent.CallFailed, missing)},
+		{"the placer died", []string{placing, placed, logLine(2*time.Second, logevent.CallFailed, missFields)},
 			"refused: not resident: the placer that began its change is gone"},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
