--- a/internal/pages/constants_test.go
+++ b/internal/pages/constants_test.go
@@ -55,7 +55,7 @@
 	var b strings.Builder
 	header(&b, "Constants", "package", "constant", "value", "what it is")
 	for _, c := range all {
-		row(&b, c.pkg, "`"+c.name+"`", "`"+c.value+"`", c.meaning)
+		writeRow(&b, c.pkg, "`"+c.name+"`", "`"+c.value+"`", c.meaning)
 	}
 	b.WriteString("\nWhere figures come from stands in the commits that set them and in\n" +
 		"[CAPACITY.md](../CAPACITY.md). What operators may change is a setting\n" +
--- a/internal/pages/pages.go
+++ b/internal/pages/pages.go
@@ -29,8 +29,8 @@
 	}
 }
 
-// row writes one row of a table; bars within a cell are escaped.
-func row(b *strings.Builder, cells ...string) {
+// writeRow writes one writeRow of a table; bars within a cell are escaped.
+func writeRow(b *strings.Builder, cells ...string) {
 	for _, c := range cells {
 		fmt.Fprintf(b, "| %s ", strings.ReplaceAll(c, "|", `\|`))
 	}
@@ -39,12 +39,12 @@
 
 func header(b *strings.Builder, title string, columns ...string) {
 	b.WriteString("# " + title + "\n" + generated)
-	row(b, columns...)
+	writeRow(b, columns...)
 	rule := make([]string, len(columns))
 	for i := range rule {
 		rule[i] = "---"
 	}
-	row(b, rule...)
+	writeRow(b, rule...)
 }
 
 func codes() string {
@@ -55,7 +55,7 @@
 		if c.HTTP != 0 {
 			status = fmt.Sprint(c.HTTP)
 		}
-		row(&b, fmt.Sprint(int(c.Code)), c.Name, status, c.Meaning, c.Remedy)
+		writeRow(&b, fmt.Sprint(int(c.Code)), c.Name, status, c.Meaning, c.Remedy)
 	}
 	b.WriteString("\nAn error answer to a caller is JSON: `error.code`, `error.name`, `error.message` and\n" +
 		"`error.run`: `not_run` (it certainly did not run), `ran`, or `unknown` (it may have run).\n" +
@@ -67,7 +67,7 @@
 	var b strings.Builder
 	header(&b, "Log events", "event", "name", "meaning", "remedy")
 	for _, e := range logevent.Catalogue {
-		row(&b, fmt.Sprint(int(e.Number)), e.Name, e.Meaning, e.Remedy)
+		writeRow(&b, fmt.Sprint(int(e.Number)), e.Name, e.Meaning, e.Remedy)
 	}
 	b.WriteString("\nLogs are JSON lines on standard output; each carries `event`, `instance` and `zone`.\n")
 	return b.String()
@@ -81,7 +81,7 @@
 		if s.Default == "" {
 			def = "none"
 		}
-		row(&b, "`--"+s.Name+"`", "`"+s.Env()+"`", def, s.Allowed, s.Meaning)
+		writeRow(&b, "`--"+s.Name+"`", "`"+s.Env()+"`", def, s.Allowed, s.Meaning)
 	}
 	b.WriteString("\nEvery fault is reported at the start, all at once, with status 2. Secrets are best\n" +
 		"given as variables; they appear in no log and no status.\n")
@@ -92,7 +92,7 @@
 	var b strings.Builder
 	header(&b, "Metrics", "metric", "meaning", "what to do")
 	for _, r := range telemetry.MetricDocs {
-		row(&b, "`"+r.Name+"`", r.Meaning, r.Action)
+		writeRow(&b, "`"+r.Name+"`", r.Meaning, r.Action)
 	}
 	b.WriteString("\nMetrics are at `/metrics` on the operations listener, with the process's own beside them.\n")
 	return b.String()
@@ -127,7 +127,7 @@
 		for _, p := range parts {
 			cells = append(cells, p.All()[i].Longest.String())
 		}
-		row(&b, cells...)
+		writeRow(&b, cells...)
 	}
 	sum := []string{"**sum**", "from the store's word that a replica leaves, or its entry's end, to the last call there"}
 	bound := []string{"**bound**", "`--leave-bound`"}
@@ -142,7 +142,7 @@
 		again = append(again, fmt.Sprintf("%v of %v", c.bounds.MaxRetryDelay(), c.bounds.Settle))
 	}
 	for _, cells := range [][]string{sum, bound, silence, unlisted, again} {
-		row(&b, cells...)
+		writeRow(&b, cells...)
 	}
 	b.WriteString("\nEach part is at its longest in the sum. `core/bounds` works them out from the bound; waits\n" +
 		"that are set and make the sum too long are refused at the start, with this list; a bound that is\n" +
