--- a/internal/pages/constants_test.go
+++ b/internal/pages/constants_test.go
@@ -53,7 +53,7 @@
 		}
 	}
 	var b strings.Builder
-	header(&b, "Constants", "package", "constant", "value", "what it is")
+	writeHeader(&b, "Constants", "package", "constant", "value", "what it is")
 	for _, c := range all {
 		writeRow(&b, c.pkg, "`"+c.name+"`", "`"+c.value+"`", c.meaning)
 	}
--- a/internal/pages/pages.go
+++ b/internal/pages/pages.go
@@ -37,7 +37,7 @@
 	b.WriteString("|\n")
 }
 
-func header(b *strings.Builder, title string, columns ...string) {
+func writeHeader(b *strings.Builder, title string, columns ...string) {
 	b.WriteString("# " + title + "\n" + generated)
 	writeRow(b, columns...)
 	rule := make([]string, len(columns))
@@ -49,7 +49,7 @@
 
 func codes() string {
 	var b strings.Builder
-	header(&b, "Result codes", "code", "name", "HTTP status", "meaning", "remedy")
+	writeHeader(&b, "Result codes", "code", "name", "HTTP status", "meaning", "remedy")
 	for _, c := range code.Table {
 		status := "none: no caller sees it"
 		if c.HTTP != 0 {
@@ -65,7 +65,7 @@
 
 func events() string {
 	var b strings.Builder
-	header(&b, "Log events", "event", "name", "meaning", "remedy")
+	writeHeader(&b, "Log events", "event", "name", "meaning", "remedy")
 	for _, e := range logevent.Catalogue {
 		writeRow(&b, fmt.Sprint(int(e.Number)), e.Name, e.Meaning, e.Remedy)
 	}
@@ -75,7 +75,7 @@
 
 func processSettings() string {
 	var b strings.Builder
-	header(&b, "Process settings of `birchdrift`", "flag", "variable", "default", "allowed", "meaning")
+	writeHeader(&b, "Process settings of `birchdrift`", "flag", "variable", "default", "allowed", "meaning")
 	for _, s := range settings.Table {
 		def := "`" + s.Default + "`"
 		if s.Default == "" {
@@ -90,7 +90,7 @@
 
 func metricRows() string {
 	var b strings.Builder
-	header(&b, "Metrics", "metric", "meaning", "what to do")
+	writeHeader(&b, "Metrics", "metric", "meaning", "what to do")
 	for _, r := range telemetry.MetricDocs {
 		writeRow(&b, "`"+r.Name+"`", r.Meaning, r.Action)
 	}
@@ -121,7 +121,7 @@
 		columns = append(columns, c.name)
 		parts = append(parts, c.bounds.Delays(bounds.Timing{Mesh: c.mesh, Exchange: exchangeEvery}))
 	}
-	header(&b, "Budgets", columns...)
+	writeHeader(&b, "Budgets", columns...)
 	for i, part := range parts[0].All() {
 		cells := []string{part.Name, part.Meaning}
 		for _, p := range parts {
