--- a/internal/pages/pages.go
+++ b/internal/pages/pages.go
@@ -20,7 +20,7 @@
 // All returns every generated page by its file name under docs.
 func All() map[string]string {
 	return map[string]string{
-		"codes.md":    codes(),
+		"codes.md":    codesPage(),
 		"events.md":   events(),
 		"settings.md": processSettings(),
 		"metrics.md":  metricRows(),
@@ -47,7 +47,7 @@
 	writeRow(b, rule...)
 }
 
-func codes() string {
+func codesPage() string {
 	var b strings.Builder
 	writeHeader(&b, "Result codes", "code", "name", "HTTP status", "meaning", "remedy")
 	for _, c := range code.Table {
