--- a/internal/pages/pages.go
+++ b/internal/pages/pages.go
@@ -21,7 +21,7 @@
 func All() map[string]string {
 	return map[string]string{
 		"codes.md":    codesPage(),
-		"events.md":   events(),
+		"events.md":   eventsPage(),
 		"settings.md": processSettings(),
 		"metrics.md":  metricRows(),
 
@@ -63,7 +63,7 @@
 	return b.String()
 }
 
-func events() string {
+func eventsPage() string {
 	var b strings.Builder
 	writeHeader(&b, "Log events", "event", "name", "meaning", "remedy")
 	for _, e := range logevent.Catalogue {
