--- a/internal/pages/pages.go
+++ b/internal/pages/pages.go
@@ -22,7 +22,7 @@
 	return map[string]string{
 		"codes.md":    codesPage(),
 		"events.md":   eventsPage(),
-		"settings.md": processSettings(),
+		"settings.md": settingsPage(),
 		"metrics.md":  metricRows(),
 
 		filepath.Join("design", "budgets.md"): budgets(),
@@ -73,7 +73,7 @@
 	return b.String()
 }
 
-func processSettings() string {
+func settingsPage() string {
 	var b strings.Builder
 	writeHeader(&b, "Process settings of `birchdrift`", "flag", "variable", "default", "allowed", "meaning")
 	for _, s := range settings.Table {
