--- a/internal/pages/pages.go
+++ b/internal/pages/pages.go
@@ -23,7 +23,7 @@
 		"codes.md":    codesPage(),
 		"events.md":   eventsPage(),
 		"settings.md": settingsPage(),
-		"metrics.md":  metricRows(),
+		"metrics.md":  metricsPage(),
 
 		filepath.Join("design", "budgets.md"): budgets(),
 	}
@@ -88,7 +88,7 @@
 	return b.String()
 }
 
-func metricRows() string {
+func metricsPage() string {
 	var b strings.Builder
 	writeHeader(&b, "Metrics", "metric", "meaning", "what to do")
 	for _, r := range telemetry.MetricDocs {
