--- a/internal/pages/pages.go
+++ b/internal/pages/pages.go
@@ -25,7 +25,7 @@
 		"settings.md": settingsPage(),
 		"metrics.md":  metricsPage(),
 
-		filepath.Join("design", "budgets.md"): budgets(),
+		filepath.Join("design", "budgets.md"): budgetsPage(),
 	}
 }
 
@@ -113,7 +113,7 @@
 	{"46 and 370 instances", bounds.Bounds{Leave: 3 * time.Second, Settle: 4 * time.Second}, false},
 }
 
-func budgets() string {
+func budgetsPage() string {
 	var b strings.Builder
 	columns := []string{"part", "what it is"}
 	var parts []bounds.Delays
