--- a/internal/pages/pages.go
+++ b/internal/pages/pages.go
@@ -105,8 +105,8 @@
 	mesh   bool
 }
 
-// exchangeEvery is the setting exchange-every of the users' deployments.
-const exchangeEvery = 500 * time.Millisecond
+// exchangeInterval is the setting exchange-every of the users' deployments.
+const exchangeInterval = 500 * time.Millisecond
 
 var budgetCases = []budgetCase{
 	{"8 instances", bounds.Bounds{Leave: 2 * time.Second, Settle: 3 * time.Second}, true},
@@ -119,7 +119,7 @@
 	var parts []bounds.Delays
 	for _, c := range budgetCases {
 		columns = append(columns, c.name)
-		parts = append(parts, c.bounds.Delays(bounds.Timing{Mesh: c.mesh, Exchange: exchangeEvery}))
+		parts = append(parts, c.bounds.Delays(bounds.Timing{Mesh: c.mesh, Exchange: exchangeInterval}))
 	}
 	writeHeader(&b, "Budgets", columns...)
 	for i, part := range parts[0].All() {
