--- a/internal/pages/constants_test.go
+++ b/internal/pages/constants_test.go
@@ -24,13 +24,13 @@
 	meaning string
 }
 
-// unit finds, in a constant's name or comment, what it counts.
-var unit = regexp.MustCompile(`(?i)(second|minute|hour|time|span|wait|byte|KiB|MiB|\bMB\b|bit|share|part|portion|weight|factor|ratio|multiple|times|percent|cost|value|price|bonus|rate|rank|priority|step|count|number|how many|how often|how much|every|most|least|max|min|limit|bound|length|size|width|slices|ranks|tokens?|calls?|requests?|replicas?|engines?|instances?|peers|orders?|attempts?|failures|tries|turns|samples|lines|keys|records|reports|routes|prompts?|models?|entries|events|watch|log|probes?|refusals|adapters|load|sequences|copies|concurrent|mode|port|code)`)
+// unitPattern finds, in a constant's name or comment, what it counts.
+var unitPattern = regexp.MustCompile(`(?i)(second|minute|hour|time|span|wait|byte|KiB|MiB|\bMB\b|bit|share|part|portion|weight|factor|ratio|multiple|times|percent|cost|value|price|bonus|rate|rank|priority|step|count|number|how many|how often|how much|every|most|least|max|min|limit|bound|length|size|width|slices|ranks|tokens?|calls?|requests?|replicas?|engines?|instances?|peers|orders?|attempts?|failures|tries|turns|samples|lines|keys|records|reports|routes|prompts?|models?|entries|events|watch|log|probes?|refusals|adapters|load|sequences|copies|concurrent|mode|port|code)`)
 
 // documented reports whether a constant's unit is plain: by its type, its name or its
 // comment.
 func (c constant) documented() bool {
-	return strings.Contains(c.value, "time.") || unit.MatchString(c.name) || unit.MatchString(c.meaning)
+	return strings.Contains(c.value, "time.") || unitPattern.MatchString(c.name) || unitPattern.MatchString(c.meaning)
 }
 
 // tuning finds words on where a figure comes from, which are for commits and
