--- a/internal/pages/constants_test.go
+++ b/internal/pages/constants_test.go
@@ -33,9 +33,9 @@
 	return strings.Contains(c.value, "time.") || unitPattern.MatchString(c.name) || unitPattern.MatchString(c.meaning)
 }
 
-// tuning finds words on where a figure comes from, which are for commits and
+// tuningPattern finds words on where a figure comes from, which are for commits and
 // docs/CAPACITY.md.
-var tuning = regexp.MustCompile(`(?i)not\s+measured|set\s+in\s+[0-9a-f]{7}|first\s+version|standard\s+error`)
+var tuningPattern = regexp.MustCompile(`(?i)not\s+measured|set\s+in\s+[0-9a-f]{7}|first\s+version|standard\s+error`)
 
 // TestConstantsAreDocumented: each numeric constant has a name and a unit, no comment tells
 // where its figure comes from, and docs/design/constants.md lists them all.
@@ -48,7 +48,7 @@
 		if !c.documented() {
 			t.Errorf("%s.%s = %s: neither its type nor its name nor its comment has a unit: %q", c.pkg, c.name, c.value, c.meaning)
 		}
-		if tuning.MatchString(c.meaning) {
+		if tuningPattern.MatchString(c.meaning) {
 			t.Errorf("%s.%s: its comment tells of its tuning: %q", c.pkg, c.name, c.meaning)
 		}
 	}
