--- a/internal/pages/constants_test.go
+++ b/internal/pages/constants_test.go
@@ -27,9 +27,9 @@
 // unitPattern finds, in a constant's name or comment, what it counts.
 var unitPattern = regexp.MustCompile(`(?i)(second|minute|hour|time|span|wait|byte|KiB|MiB|\bMB\b|bit|share|part|portion|weight|factor|ratio|multiple|times|percent|cost|value|price|bonus|rate|rank|priority|step|count|number|how many|how often|how much|every|most|least|max|min|limit|bound|length|size|width|slices|ranks|tokens?|calls?|requests?|replicas?|engines?|instances?|peers|orders?|attempts?|failures|tries|turns|samples|lines|keys|records|reports|routes|prompts?|models?|entries|events|watch|log|probes?|refusals|adapters|load|sequences|copies|concurrent|mode|port|code)`)
 
-// documented reports whether a constant's unit is plain: by its type, its name or its
+// hasUnit reports whether a constant's unit is plain: by its type, its name or its
 // comment.
-func (c constant) documented() bool {
+func (c constant) hasUnit() bool {
 	return strings.Contains(c.value, "time.") || unitPattern.MatchString(c.name) || unitPattern.MatchString(c.meaning)
 }
 
@@ -45,7 +45,7 @@
 		t.Fatalf("only %d constants were found", len(all))
 	}
 	for _, c := range all {
-		if !c.documented() {
+		if !c.hasUnit() {
 			t.Errorf("%s.%s = %s: neither its type nor its name nor its comment has a unit: %q", c.pkg, c.name, c.value, c.meaning)
 		}
 		if tuningPattern.MatchString(c.meaning) {
