--- a/internal/pages/constants_test.go
+++ b/internal/pages/constants_test.go
@@ -114,7 +114,7 @@
 	var out []constant
 	for _, spec := range g.Specs {
 		v := spec.(*ast.ValueSpec)
-		if v.Type != nil || len(v.Values) != 1 || !numeric(v.Values[0]) {
+		if v.Type != nil || len(v.Values) != 1 || !isNumeric(v.Values[0]) {
 			continue
 		}
 		var value bytes.Buffer
@@ -131,8 +131,8 @@
 	return out
 }
 
-// numeric reports whether an expression is a number and no enumeration.
-func numeric(e ast.Expr) bool {
+// isNumeric reports whether an expression is a number and no enumeration.
+func isNumeric(e ast.Expr) bool {
 	number, iota := false, false
 	ast.Inspect(e, func(n ast.Node) bool {
 		if lit, ok := n.(*ast.BasicLit); ok && (lit.Kind == token.INT || lit.Kind == token.FLOAT) {
