--- a/internal/peer/convert.go
+++ b/internal/peer/convert.go
@@ -98,14 +98,14 @@
 		out.Successes = append(out.Successes, &peerpb.Success{Request: uint64(s.Request), AgeMs: milliseconds(s.Age)})
 	}
 	for _, l := range records.Leaving {
-		out.LeavingReplicas = append(out.LeavingReplicas, encodeLife(l.Incarnation))
+		out.LeavingReplicas = append(out.LeavingReplicas, encodeIncarnation(l.Incarnation))
 	}
 	for _, r := range records.Rests {
-		out.Rests = append(out.Rests, &peerpb.Rest{Replica: encodeLife(r.Incarnation), LeftMs: milliseconds(r.Left)})
+		out.Rests = append(out.Rests, &peerpb.Rest{Replica: encodeIncarnation(r.Incarnation), LeftMs: milliseconds(r.Left)})
 	}
 	for _, l := range records.Limits {
 		limit := encodeLimit(l.LimitReport)
-		limit.Replica = encodeLife(l.Incarnation)
+		limit.Replica = encodeIncarnation(l.Incarnation)
 		out.Limits = append(out.Limits, limit)
 	}
 	for _, h := range records.Holders {
@@ -113,7 +113,7 @@
 	}
 }
 
-func encodeLife(i pool.Incarnation) *peerpb.Incarnation {
+func encodeIncarnation(i pool.Incarnation) *peerpb.Incarnation {
 	return &peerpb.Incarnation{Name: i.Name, Born: i.Born}
 }
 
@@ -140,7 +140,7 @@
 
 func encodePermitRequest(from string, r permits.Request) *peerpb.PermitRequest {
 	return &peerpb.PermitRequest{
-		From: from, Replica: encodeLife(r.Replica), Service: r.Service, Alone: r.Alone, Zone: r.Zone, Rank: int32(r.Rank), WithinMs: milliseconds(r.Wait),
+		From: from, Replica: encodeIncarnation(r.Replica), Service: r.Service, Alone: r.Alone, Zone: r.Zone, Rank: int32(r.Rank), WithinMs: milliseconds(r.Wait),
 		Unused: r.Unused, Limit: encodeLimit(r.Word),
 	}
 }
