--- a/internal/peer/convert.go
+++ b/internal/peer/convert.go
@@ -117,7 +117,7 @@
 	return &peerpb.Incarnation{Name: i.Name, Born: i.Born}
 }
 
-func decodeLife(i *peerpb.Incarnation) pool.Incarnation {
+func decodeIncarnation(i *peerpb.Incarnation) pool.Incarnation {
 	return pool.Incarnation{Name: i.GetName(), Born: i.GetBorn()}
 }
 
@@ -147,7 +147,7 @@
 
 func decodePermitRequest(r *peerpb.PermitRequest) permits.Request {
 	return permits.Request{
-		Resource: permits.Resource{Replica: decodeLife(r.GetReplica()), Service: r.GetService()}, Alone: r.GetAlone(), Zone: r.GetZone(), Rank: int(r.GetRank()), Wait: span(r.GetWithinMs()),
+		Resource: permits.Resource{Replica: decodeIncarnation(r.GetReplica()), Service: r.GetService()}, Alone: r.GetAlone(), Zone: r.GetZone(), Rank: int(r.GetRank()), Wait: span(r.GetWithinMs()),
 		Unused: r.GetUnused(), Word: decodeLimit(r.GetLimit()),
 	}
 }
@@ -302,13 +302,13 @@
 		})
 	}
 	for _, l := range m.GetLeavingReplicas() {
-		out.Leaving = append(out.Leaving, gossip.Leaving{Incarnation: decodeLife(l)})
+		out.Leaving = append(out.Leaving, gossip.Leaving{Incarnation: decodeIncarnation(l)})
 	}
 	for _, r := range m.GetRests() {
-		out.Rests = append(out.Rests, gossip.Rest{Incarnation: decodeLife(r.GetReplica()), Left: span(r.GetLeftMs())})
+		out.Rests = append(out.Rests, gossip.Rest{Incarnation: decodeIncarnation(r.GetReplica()), Left: span(r.GetLeftMs())})
 	}
 	for _, l := range m.GetLimits() {
-		out.Limits = append(out.Limits, gossip.Limit{Incarnation: decodeLife(l.GetReplica()), LimitReport: decodeLimit(l)})
+		out.Limits = append(out.Limits, gossip.Limit{Incarnation: decodeIncarnation(l.GetReplica()), LimitReport: decodeLimit(l)})
 	}
 	for _, h := range m.GetHolders() {
 		out.Holders = append(out.Holders, gossip.LeaseHolder{
