--- a/internal/peer/convert.go
+++ b/internal/peer/convert.go
@@ -152,7 +152,7 @@
 	}
 }
 
-func encodeVerdict(v permits.Decision) *peerpb.PermitReply {
+func encodeDecision(v permits.Decision) *peerpb.PermitReply {
 	return &peerpb.PermitReply{
 		Granted: v.Granted, HeldMs: milliseconds(v.Held), TurnMs: milliseconds(v.Turn), AfterMs: milliseconds(v.After),
 		Limit: encodeLimit(v.Word),
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -128,7 +128,7 @@
 	if err != nil {
 		return nil, twirp.NewError(twirp.Unavailable, err.Error())
 	}
-	return encodeVerdict(v), nil
+	return encodeDecision(v), nil
 }
 
 // Order implements the generated service.
