--- a/internal/peer/convert.go
+++ b/internal/peer/convert.go
@@ -159,7 +159,7 @@
 	}
 }
 
-func decodeVerdict(r *peerpb.PermitReply) permits.Decision {
+func decodeDecision(r *peerpb.PermitReply) permits.Decision {
 	return permits.Decision{
 		Granted: r.GetGranted(), Held: span(r.GetHeldMs()), Turn: span(r.GetTurnMs()), After: span(r.GetAfterMs()),
 		Word: decodeLimit(r.GetLimit()),
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -84,7 +84,7 @@
 	if err != nil {
 		return permits.Decision{}, trace.Wrap(err, "asking %s for a permit", address)
 	}
-	return decodeVerdict(reply), nil
+	return decodeDecision(reply), nil
 }
 
 // withKey returns a context under which calls show the instances' key.
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -100,7 +100,7 @@
 	got, err := NewClient(http.DefaultClient, "key").RequestPermit(context.Background(), server.Listener.Addr().String(), "a", request)
 	is.NoErr(err)
 	is.Equal(got, verdict)
-	is.Equal(decodeVerdict(encodeDecision(permits.Decision{})), permits.Decision{}) // nothing is known of a limit
+	is.Equal(decodeDecision(encodeDecision(permits.Decision{})), permits.Decision{}) // nothing is known of a limit
 	_, err = NewClient(http.DefaultClient, "wrong").RequestPermit(context.Background(), server.Listener.Addr().String(), "a", request)
 	is.True(err != nil)
 }
