--- a/internal/peer/convert.go
+++ b/internal/peer/convert.go
@@ -147,7 +147,7 @@
 
 func decodePermitRequest(r *peerpb.PermitRequest) permits.Request {
 	return permits.Request{
-		Resource: permits.Resource{Replica: decodeIncarnation(r.GetReplica()), Service: r.GetService()}, Alone: r.GetAlone(), Zone: r.GetZone(), Rank: int(r.GetRank()), Wait: span(r.GetWithinMs()),
+		Resource: permits.Resource{Replica: decodeIncarnation(r.GetReplica()), Service: r.GetService()}, Alone: r.GetAlone(), Zone: r.GetZone(), Rank: int(r.GetRank()), Wait: fromMilliseconds(r.GetWithinMs()),
 		Unused: r.GetUnused(), Word: decodeLimit(r.GetLimit()),
 	}
 }
@@ -161,13 +161,13 @@
 
 func decodeDecision(r *peerpb.PermitReply) permits.Decision {
 	return permits.Decision{
-		Granted: r.GetGranted(), Held: span(r.GetHeldMs()), Turn: span(r.GetTurnMs()), After: span(r.GetAfterMs()),
+		Granted: r.GetGranted(), Held: fromMilliseconds(r.GetHeldMs()), Turn: fromMilliseconds(r.GetTurnMs()), After: fromMilliseconds(r.GetAfterMs()),
 		Word: decodeLimit(r.GetLimit()),
 	}
 }
 
-// span returns a span of so many milliseconds.
-func span(ms uint32) time.Duration { return time.Duration(ms) * time.Millisecond }
+// fromMilliseconds returns a fromMilliseconds of so many milliseconds.
+func fromMilliseconds(ms uint32) time.Duration { return time.Duration(ms) * time.Millisecond }
 
 func encodeCrash(c crash.Report) *peerpb.Crash {
 	out := &peerpb.Crash{Observer: c.Observer, Boot: c.Boot, Seq: c.Seq, Replica: c.Replica.Name, Born: c.Replica.Born, AgeMs: milliseconds(c.Age)}
@@ -190,7 +190,7 @@
 }
 
 // age returns a moment of so many milliseconds ago.
-func age(ms uint32) clock.EventTime { return clock.EventTime{Age: span(ms)} }
+func age(ms uint32) clock.EventTime { return clock.EventTime{Age: fromMilliseconds(ms)} }
 
 // milliseconds returns a span as it travels; one that is too long counts as the
 // longest.
@@ -305,7 +305,7 @@
 		out.Leaving = append(out.Leaving, gossip.Leaving{Incarnation: decodeIncarnation(l)})
 	}
 	for _, r := range m.GetRests() {
-		out.Rests = append(out.Rests, gossip.Rest{Incarnation: decodeIncarnation(r.GetReplica()), Left: span(r.GetLeftMs())})
+		out.Rests = append(out.Rests, gossip.Rest{Incarnation: decodeIncarnation(r.GetReplica()), Left: fromMilliseconds(r.GetLeftMs())})
 	}
 	for _, l := range m.GetLimits() {
 		out.Limits = append(out.Limits, gossip.Limit{Incarnation: decodeIncarnation(l.GetReplica()), LimitReport: decodeLimit(l)})
