--- a/internal/peer/convert.go
+++ b/internal/peer/convert.go
@@ -30,7 +30,7 @@
 		Ack:          m.Ack,
 		WantConfig:   m.WantConfig,
 		Config:       m.Config,
-		StoreAgeMs:   milliseconds(m.StoreAge),
+		StoreAgeMs:   toMilliseconds(m.StoreAge),
 		StoreVersion: uint64(m.StoreVersion),
 	}
 	encodeRecords(m.Records, out)
@@ -95,13 +95,13 @@
 		out.Crashes = append(out.Crashes, encodeCrash(c))
 	}
 	for _, s := range records.Successes {
-		out.Successes = append(out.Successes, &peerpb.Success{Request: uint64(s.Request), AgeMs: milliseconds(s.Age)})
+		out.Successes = append(out.Successes, &peerpb.Success{Request: uint64(s.Request), AgeMs: toMilliseconds(s.Age)})
 	}
 	for _, l := range records.Leaving {
 		out.LeavingReplicas = append(out.LeavingReplicas, encodeIncarnation(l.Incarnation))
 	}
 	for _, r := range records.Rests {
-		out.Rests = append(out.Rests, &peerpb.Rest{Replica: encodeIncarnation(r.Incarnation), LeftMs: milliseconds(r.Left)})
+		out.Rests = append(out.Rests, &peerpb.Rest{Replica: encodeIncarnation(r.Incarnation), LeftMs: toMilliseconds(r.Left)})
 	}
 	for _, l := range records.Limits {
 		limit := encodeLimit(l.LimitReport)
@@ -126,7 +126,7 @@
 	if w.IsZero() {
 		return nil
 	}
-	return &peerpb.RateLimit{Named: w.Limit.Named, PerSecond: w.Limit.PerSecond, By: w.By, AgeMs: milliseconds(w.Age)}
+	return &peerpb.RateLimit{Named: w.Limit.Named, PerSecond: w.Limit.PerSecond, By: w.By, AgeMs: toMilliseconds(w.Age)}
 }
 
 func decodeLimit(l *peerpb.RateLimit) pool.LimitReport {
@@ -140,7 +140,7 @@
 
 func encodePermitRequest(from string, r permits.Request) *peerpb.PermitRequest {
 	return &peerpb.PermitRequest{
-		From: from, Replica: encodeIncarnation(r.Replica), Service: r.Service, Alone: r.Alone, Zone: r.Zone, Rank: int32(r.Rank), WithinMs: milliseconds(r.Wait),
+		From: from, Replica: encodeIncarnation(r.Replica), Service: r.Service, Alone: r.Alone, Zone: r.Zone, Rank: int32(r.Rank), WithinMs: toMilliseconds(r.Wait),
 		Unused: r.Unused, Limit: encodeLimit(r.Word),
 	}
 }
@@ -154,7 +154,7 @@
 
 func encodeDecision(v permits.Decision) *peerpb.PermitReply {
 	return &peerpb.PermitReply{
-		Granted: v.Granted, HeldMs: milliseconds(v.Held), TurnMs: milliseconds(v.Turn), AfterMs: milliseconds(v.After),
+		Granted: v.Granted, HeldMs: toMilliseconds(v.Held), TurnMs: toMilliseconds(v.Turn), AfterMs: toMilliseconds(v.After),
 		Limit: encodeLimit(v.Word),
 	}
 }
@@ -170,7 +170,7 @@
 func fromMilliseconds(ms uint32) time.Duration { return time.Duration(ms) * time.Millisecond }
 
 func encodeCrash(c crash.Report) *peerpb.Crash {
-	out := &peerpb.Crash{Observer: c.Observer, Boot: c.Boot, Seq: c.Seq, Replica: c.Replica.Name, Born: c.Replica.Born, AgeMs: milliseconds(c.Age)}
+	out := &peerpb.Crash{Observer: c.Observer, Boot: c.Boot, Seq: c.Seq, Replica: c.Replica.Name, Born: c.Replica.Born, AgeMs: toMilliseconds(c.Age)}
 	for _, r := range c.Requests {
 		out.Requests = append(out.Requests, uint64(r))
 	}
@@ -192,9 +192,9 @@
 // age returns a moment of so many milliseconds ago.
 func age(ms uint32) clock.EventTime { return clock.EventTime{Age: fromMilliseconds(ms)} }
 
-// milliseconds returns a span as it travels; one that is too long counts as the
+// toMilliseconds returns a span as it travels; one that is too long counts as the
 // longest.
-func milliseconds(d time.Duration) uint32 { return uint32(min(d.Milliseconds(), math.MaxUint32)) }
+func toMilliseconds(d time.Duration) uint32 { return uint32(min(d.Milliseconds(), math.MaxUint32)) }
 
 func encodeAnnounced(a *pool.Announcement) *peerpb.Announced {
 	if a == nil {
