--- a/internal/peer/convert.go
+++ b/internal/peer/convert.go
@@ -134,7 +134,7 @@
 		return pool.LimitReport{}
 	}
 	return pool.LimitReport{
-		Limit: pool.RateLimit{Named: l.GetNamed(), PerSecond: l.GetPerSecond()}, By: l.GetBy(), EventTime: age(l.GetAgeMs()),
+		Limit: pool.RateLimit{Named: l.GetNamed(), PerSecond: l.GetPerSecond()}, By: l.GetBy(), EventTime: eventTimeOfAge(l.GetAgeMs()),
 	}
 }
 
@@ -180,7 +180,7 @@
 func decodeCrash(c *peerpb.Crash) crash.Report {
 	out := crash.Report{
 		Observer: c.GetObserver(), Boot: c.GetBoot(), Seq: c.GetSeq(), Replica: pool.Incarnation{Name: c.GetReplica(), Born: c.GetBorn()},
-		EventTime: age(c.GetAgeMs()),
+		EventTime: eventTimeOfAge(c.GetAgeMs()),
 	}
 	for _, r := range c.GetRequests() {
 		out.Requests = append(out.Requests, crash.Fingerprint(r))
@@ -189,8 +189,8 @@
 	return out
 }
 
-// age returns a moment of so many milliseconds ago.
-func age(ms uint32) clock.EventTime { return clock.EventTime{Age: fromMilliseconds(ms)} }
+// eventTimeOfAge returns a moment of so many milliseconds ago.
+func eventTimeOfAge(ms uint32) clock.EventTime { return clock.EventTime{Age: fromMilliseconds(ms)} }
 
 // toMilliseconds returns a span as it travels; one that is too long counts as the
 // longest.
@@ -298,7 +298,7 @@
 	}
 	for _, s := range m.GetSuccesses() {
 		out.Successes = append(out.Successes, crash.Success{
-			Request: crash.Fingerprint(s.GetRequest()), EventTime: age(s.GetAgeMs()),
+			Request: crash.Fingerprint(s.GetRequest()), EventTime: eventTimeOfAge(s.GetAgeMs()),
 		})
 	}
 	for _, l := range m.GetLeavingReplicas() {
