--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -153,8 +153,8 @@
 	return encode(reply), nil
 }
 
-// maxMessage bounds a message: a configuration and every record of a fleet.
-const maxMessage = 8 << 20
+// maxMessageSize bounds a message: a configuration and every record of a fleet.
+const maxMessageSize = 8 << 20
 
 // Handler returns the HTTP handler of the peers' listener.
 func (s Server) Handler(key string) http.Handler {
@@ -164,7 +164,7 @@
 			http.Error(w, "wrong peer key", http.StatusUnauthorized)
 			return
 		}
-		r.Body = http.MaxBytesReader(w, r.Body, maxMessage)
+		r.Body = http.MaxBytesReader(w, r.Body, maxMessageSize)
 		next.ServeHTTP(w, r)
 	})
 }
