--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -18,8 +18,8 @@
 	"github.com/birchdrift/birchdrift/core/registry"
 )
 
-// full has every field set, so that one that the wire loses shows.
-func full() gossip.Message {
+// fullMessage has every field set, so that one that the wire loses shows.
+func fullMessage() gossip.Message {
 	return gossip.Message{
 		From: "a", Zone: "z", Address: "127.0.0.1:1", Boot: 1, Leaving: true, Revision: 2, Stamp: 3, AckBoot: 4, Ack: 5,
 		StoreAge: 16 * time.Millisecond, StoreVersion: 17,
@@ -60,7 +60,7 @@
 }
 
 func TestWireLosesNothing(t *testing.T) {
-	is.New(t).Equal(decode(encode(full())), full())
+	is.New(t).Equal(decode(encode(fullMessage())), fullMessage())
 }
 
 func TestExchangeNeedsTheSharedKey(t *testing.T) {
@@ -73,10 +73,10 @@
 	defer server.Close()
 	address := server.Listener.Addr().String()
 	for key, ok := range map[string]bool{"right": true, "wrong": false, "": false} {
-		reply, err := NewClient(http.DefaultClient, key).Exchange(context.Background(), address, full())
+		reply, err := NewClient(http.DefaultClient, key).Exchange(context.Background(), address, fullMessage())
 		is.Equal(err == nil, ok)
 		if ok {
-			is.Equal(reply, full())
+			is.Equal(reply, fullMessage())
 		}
 	}
 	is.Equal(taken, 1)
