--- a/internal/server/follow.go
+++ b/internal/server/follow.go
@@ -13,9 +13,9 @@
 	"github.com/birchdrift/birchdrift/internal/settings"
 )
 
-// followEvery spaces the looks at the settings file, which may change without a
+// settingsPollInterval spaces the looks at the settings file, which may change without a
 // signal.
-const followEvery = 2 * time.Second
+const settingsPollInterval = 2 * time.Second
 
 // memoryShare is the part of the memory limit that the runtime aims at; the rest
 // is for what it does not count.
@@ -41,7 +41,7 @@
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGHUP)
 	defer signal.Stop(signals)
-	ticker := time.NewTicker(followEvery)
+	ticker := time.NewTicker(settingsPollInterval)
 	defer ticker.Stop()
 	for {
 		select {
