--- a/internal/server/follow.go
+++ b/internal/server/follow.go
@@ -17,14 +17,14 @@
 // signal.
 const settingsPollInterval = 2 * time.Second
 
-// memoryShare is the part of the memory limit that the runtime aims at; the rest
+// memoryLimitShare is the part of the memory limit that the runtime aims at; the rest
 // is for what it does not count.
-const memoryShare = 0.8
+const memoryLimitShare = 0.8
 
 // limitMemory has the runtime collect more eagerly near the limit, in MiB.
 func limitMemory(mib int64) {
 	if mib > 0 {
-		debug.SetMemoryLimit(int64(memoryShare * float64(mib<<20)))
+		debug.SetMemoryLimit(int64(memoryLimitShare * float64(mib<<20)))
 	}
 }
 
