--- a/internal/server/follow.go
+++ b/internal/server/follow.go
@@ -35,9 +35,9 @@
 	s.file = file
 }
 
-// follow takes over changed settings until the server ends: at SIGHUP, and when
+// watchSettings takes over changed settings until the server ends: at SIGHUP, and when
 // the file is seen to have changed.
-func (s *Server) follow() error {
+func (s *Server) watchSettings() error {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGHUP)
 	defer signal.Stop(signals)
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -196,7 +196,7 @@
 func (s *Server) Run() (int, error) {
 	var group errgroup.Group
 	group.Go(s.shell.Run)
-	group.Go(s.follow)
+	group.Go(s.watchSettings)
 	callers, peers, operations := s.Addresses()
 	s.log.Info("listening", "event", int(logevent.Listening), "callers", callers, "peers", peers, "operations", operations)
 	for _, l := range s.listeners {
