--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -43,8 +43,8 @@
 // maxHeader bounds a request's header, in bytes.
 const maxHeader = 64 << 10
 
-// closeTime bounds how long listeners may take to close after the last call.
-const closeTime = 5 * time.Second
+// shutdownTimeout bounds how long listeners may take to close after the last call.
+const shutdownTimeout = 5 * time.Second
 
 // A Server is one entry instance.
 type Server struct {
@@ -231,7 +231,7 @@
 // close takes the listeners down. Handlers whose calls were cut still have
 // their final answer to write, so connections get a moment.
 func (s *Server) close() {
-	ctx, done := context.WithTimeout(context.Background(), closeTime)
+	ctx, done := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer done()
 	for _, l := range s.listeners {
 		if err := l.http.Shutdown(ctx); err != nil {
