--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -40,8 +40,8 @@
 	"github.com/birchdrift/birchdrift/internal/upstream"
 )
 
-// maxHeader bounds a request's header, in bytes.
-const maxHeader = 64 << 10
+// maxHeaderBytes bounds a request's header, in bytes.
+const maxHeaderBytes = 64 << 10
 
 // shutdownTimeout bounds how long listeners may take to close after the last call.
 const shutdownTimeout = 5 * time.Second
@@ -175,7 +175,7 @@
 			Handler:           handlers[i],
 			ReadHeaderTimeout: s.set.HeaderTime,
 			IdleTimeout:       s.set.IdleTime,
-			MaxHeaderBytes:    maxHeader,
+			MaxHeaderBytes:    maxHeaderBytes,
 		}
 	}
 }
