--- a/internal/server/listen.go
+++ b/internal/server/listen.go
@@ -10,12 +10,12 @@
 
 // Bounds of connections that others open.
 const (
-	// acceptedIdle and acceptedEvery are when a connection on which nothing comes is
+	// keepAliveIdle and acceptedEvery are when a connection on which nothing comes is
 	// probed first, and how often then; acceptedCount is after how many probes without
 	// an answer it is closed: 11 s after its other end went silent. Without them, one
 	// that never answers again holds its descriptor for 2.5 minutes: a caller's
 	// connection may rest for long, and is probed seldom.
-	acceptedIdle  = 5 * time.Second
+	keepAliveIdle = 5 * time.Second
 	acceptedEvery = 2 * time.Second
 	acceptedCount = 3
 	// acceptedUnacked is the time for which sent bytes may stay unacknowledged, or a
@@ -27,7 +27,7 @@
 // any message.
 func listen(address string) (net.Listener, error) {
 	config := net.ListenConfig{
-		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: acceptedIdle, Interval: acceptedEvery, Count: acceptedCount},
+		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: keepAliveIdle, Interval: acceptedEvery, Count: acceptedCount},
 		Control:         upstream.UserTimeoutControl(acceptedUnacked),
 	}
 	return config.Listen(context.Background(), "tcp", address)
--- a/internal/server/listen_test.go
+++ b/internal/server/listen_test.go
@@ -29,7 +29,7 @@
 		return value
 	}
 	is.Equal(option(unix.SOL_SOCKET, unix.SO_KEEPALIVE), 1)
-	is.Equal(option(unix.IPPROTO_TCP, unix.TCP_KEEPIDLE), int(acceptedIdle.Seconds()))
+	is.Equal(option(unix.IPPROTO_TCP, unix.TCP_KEEPIDLE), int(keepAliveIdle.Seconds()))
 	is.Equal(option(unix.IPPROTO_TCP, unix.TCP_KEEPINTVL), int(acceptedEvery.Seconds()))
 	is.Equal(option(unix.IPPROTO_TCP, unix.TCP_KEEPCNT), acceptedCount)
 	is.Equal(option(unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT), int(acceptedUnacked.Milliseconds()))
