--- a/internal/server/listen.go
+++ b/internal/server/listen.go
@@ -17,7 +17,7 @@
 	// connection may rest for long, and is probed seldom.
 	keepAliveIdle     = 5 * time.Second
 	keepAliveInterval = 2 * time.Second
-	acceptedCount     = 3
+	keepAliveCount    = 3
 	// acceptedUnacked is the time for which sent bytes may stay unacknowledged, or a
 	// caller may read none of them: above the pauses of a slow reader.
 	acceptedUnacked = 15 * time.Second
@@ -27,7 +27,7 @@
 // any message.
 func listen(address string) (net.Listener, error) {
 	config := net.ListenConfig{
-		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: acceptedCount},
+		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveCount},
 		Control:         upstream.UserTimeoutControl(acceptedUnacked),
 	}
 	return config.Listen(context.Background(), "tcp", address)
--- a/internal/server/listen_test.go
+++ b/internal/server/listen_test.go
@@ -31,6 +31,6 @@
 	is.Equal(option(unix.SOL_SOCKET, unix.SO_KEEPALIVE), 1)
 	is.Equal(option(unix.IPPROTO_TCP, unix.TCP_KEEPIDLE), int(keepAliveIdle.Seconds()))
 	is.Equal(option(unix.IPPROTO_TCP, unix.TCP_KEEPINTVL), int(keepAliveInterval.Seconds()))
-	is.Equal(option(unix.IPPROTO_TCP, unix.TCP_KEEPCNT), acceptedCount)
+	is.Equal(option(unix.IPPROTO_TCP, unix.TCP_KEEPCNT), keepAliveCount)
 	is.Equal(option(unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT), int(acceptedUnacked.Milliseconds()))
 }
