--- a/internal/server/listen.go
+++ b/internal/server/listen.go
@@ -18,9 +18,9 @@
 	keepAliveIdle     = 5 * time.Second
 	keepAliveInterval = 2 * time.Second
 	keepAliveCount    = 3
-	// acceptedUnacked is the time for which sent bytes may stay unacknowledged, or a
+	// unackedTimeout is the time for which sent bytes may stay unacknowledged, or a
 	// caller may read none of them: above the pauses of a slow reader.
-	acceptedUnacked = 15 * time.Second
+	unackedTimeout = 15 * time.Second
 )
 
 // listen binds a listener whose connections notice that their other end is gone without
@@ -28,7 +28,7 @@
 func listen(address string) (net.Listener, error) {
 	config := net.ListenConfig{
 		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveCount},
-		Control:         upstream.UserTimeoutControl(acceptedUnacked),
+		Control:         upstream.UserTimeoutControl(unackedTimeout),
 	}
 	return config.Listen(context.Background(), "tcp", address)
 }
--- a/internal/server/listen_test.go
+++ b/internal/server/listen_test.go
@@ -32,5 +32,5 @@
 	is.Equal(option(unix.IPPROTO_TCP, unix.TCP_KEEPIDLE), int(keepAliveIdle.Seconds()))
 	is.Equal(option(unix.IPPROTO_TCP, unix.TCP_KEEPINTVL), int(keepAliveInterval.Seconds()))
 	is.Equal(option(unix.IPPROTO_TCP, unix.TCP_KEEPCNT), keepAliveCount)
-	is.Equal(option(unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT), int(acceptedUnacked.Milliseconds()))
+	is.Equal(option(unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT), int(unackedTimeout.Milliseconds()))
 }
--- a/internal/server/silence_test.go
+++ b/internal/server/silence_test.go
@@ -215,7 +215,7 @@
 	is.NoErr(err)
 	select {
 	case <-left:
-	case <-time.After(acceptedUnacked + 10*time.Second):
+	case <-time.After(unackedTimeout + 10*time.Second):
 		t.Fatal("the replica is still at work")
 	}
 }
