--- a/internal/server/forward_test.go
+++ b/internal/server/forward_test.go
@@ -249,7 +249,7 @@
 	err    error // of reading the body
 }
 
-func (s *site) call(method, host, path, body string) outcome {
+func (s *site) send(method, host, path, body string) outcome {
 	s.t.Helper()
 	req, err := http.NewRequest(method, "http://"+s.address+path, strings.NewReader(body))
 	if err != nil {
@@ -330,7 +330,7 @@
 				}
 			}
 			s = newSite(t, either, either)
-			got := s.call("POST", c.host, "/x", "body")
+			got := s.send("POST", c.host, "/x", "body")
 			is.NoErr(got.err)
 			is.Equal(got.status, c.status)
 			is.Equal(s.runs(), c.runs)
@@ -350,7 +350,7 @@
 func TestARefusalEverywhereSaysWhenToComeBack(t *testing.T) {
 	is := is.New(t)
 	s := newSite(t, notRun(503), notRun(503))
-	got := s.call("POST", "once", "/x", "body")
+	got := s.send("POST", "once", "/x", "body")
 	is.Equal(got.status, 503)
 	is.True(got.header.Get("Retry-After") != "")
 }
@@ -362,7 +362,7 @@
 	s := newSite(t, ok("good"), ok("good"))
 	s.replicas[0].server.Close()
 	for range 6 {
-		is.Equal(s.call("POST", "once", "/x", "body").status, 200)
+		is.Equal(s.send("POST", "once", "/x", "body").status, 200)
 	}
 	is.Equal(s.replicas[1].runs(), 6)
 }
@@ -397,8 +397,8 @@
 // that a path does not exist.
 func TestNoConfigurationIsNotNotFound(t *testing.T) {
 	is := is.New(t)
-	is.Equal(newSite(t).call("GET", "again", "/x", "").status, 503)
-	is.Equal(newSite(t, ok("good")).call("GET", "nowhere", "/x", "").status, 404)
+	is.Equal(newSite(t).send("GET", "again", "/x", "").status, 503)
+	is.Equal(newSite(t, ok("good")).send("GET", "nowhere", "/x", "").status, 404)
 }
 
 // TestTheTimeoutEndsACall: at the forward's timeout the caller has an answer,
@@ -412,7 +412,7 @@
 		close(left)
 	})
 	begun := time.Now()
-	is.Equal(s.call("GET", "short", "/x", "").status, 504)
+	is.Equal(s.send("GET", "short", "/x", "").status, 504)
 	is.True(time.Since(begun) < 2*time.Second)
 	within(t, left)
 }
@@ -496,7 +496,7 @@
 		}
 	}
 	s := newSite(t, either, either)
-	got := s.call("POST", "stream", "/x", "body")
+	got := s.send("POST", "stream", "/x", "body")
 	is.NoErr(got.err)
 	is.Equal(got.body, wholeSeries(9))
 	is.Equal(s.runs(), 2)
@@ -506,7 +506,7 @@
 func TestASeriesThatCannotGoOnIsSeenAsCut(t *testing.T) {
 	is := is.New(t)
 	s := newSite(t, series(9, 4), series(9, 4))
-	got := s.call("POST", "brief", "/x", "body")
+	got := s.send("POST", "brief", "/x", "body")
 	is.True(got.err != nil)
 	is.Equal(got.body, wholeSeries(3))
 	is.Equal(s.runs(), 1)
@@ -521,7 +521,7 @@
 		w.Header().Set("Content-Type", "text/event-stream")
 		_, _ = io.WriteString(w, "id: 1\ndata: event 1\n\nid: 3\ndata: event 3\n\n")
 	}
-	got := newSite(t, gap).call("POST", "brief", "/x", "body")
+	got := newSite(t, gap).send("POST", "brief", "/x", "body")
 	is.True(got.err != nil)
 	is.Equal(got.body, wholeSeries(1))
 }
@@ -549,7 +549,7 @@
 	}
 	s := newSite(t, early)
 	for range 3 {
-		got := s.call("POST", "again", "/x", strings.Repeat("b", length))
+		got := s.send("POST", "again", "/x", strings.Repeat("b", length))
 		is.NoErr(got.err)
 		is.Equal(got.body, "early")
 	}
@@ -569,7 +569,7 @@
 		_ = buf.Flush()
 		_ = conn.Close()
 	})
-	got := s.call("POST", "once", "/x", "body")
+	got := s.send("POST", "once", "/x", "body")
 	is.NoErr(got.err)
 	is.Equal(got.body, "unframed")
 }
--- a/internal/server/notice_test.go
+++ b/internal/server/notice_test.go
@@ -82,7 +82,7 @@
 			t.Parallel()
 			is := is.New(t)
 			s := newSite(t, leaves(c.answer))
-			s.call("POST", c.host, "/x", "body")
+			s.send("POST", c.host, "/x", "body")
 			_, heard := s.upstreams(func(u instance.ReplicaStatus) bool { return u.Leaving })
 			is.True(heard)
 		})
@@ -90,7 +90,7 @@
 	t.Run("a success that does not say so", func(t *testing.T) {
 		is := is.New(t)
 		s := newSite(t, ok("good"))
-		is.Equal(s.call("POST", "again", "/x", "body").status, 200)
+		is.Equal(s.send("POST", "again", "/x", "body").status, 200)
 		st, err := s.server.shell.Status(context.Background())
 		is.NoErr(err)
 		is.True(!st.Upstreams[0].Leaving)
@@ -132,7 +132,7 @@
 	is := is.New(t)
 	s := newSite(t, rests(notRun(503)), rests(notRun(503)), rests(ok("good")))
 	for range 12 {
-		is.Equal(s.call("POST", "once", "/x", "body").status, 200)
+		is.Equal(s.send("POST", "once", "/x", "body").status, 200)
 	}
 	for i, r := range s.replicas {
 		if i == 2 {
@@ -175,19 +175,19 @@
 			var named atomic.Bool
 			named.Store(true)
 			s := newSite(t, limits(c.answer, &named))
-			s.call("POST", c.host, "/x", "body")
+			s.send("POST", c.host, "/x", "body")
 			_, heard := s.upstreams(func(u instance.ReplicaStatus) bool { return u.Limit != nil && u.Limit.PerSecond == 2 })
 			is.True(heard)
 			began := time.Now()
 			before := s.replicas[0].runs()
 			for time.Since(began) < 2*time.Second {
-				s.call("POST", c.host, "/x", "body")
+				s.send("POST", c.host, "/x", "body")
 				time.Sleep(5 * time.Millisecond)
 			}
 			is.True(s.replicas[0].runs()-before <= 5)
 			named.Store(false)
 			_, ended := s.upstreams(func(u instance.ReplicaStatus) bool {
-				s.call("POST", c.host, "/x", "body")
+				s.send("POST", c.host, "/x", "body")
 				return u.Limit != nil && u.Limit.Withdrawn
 			})
 			is.True(ended)
--- a/internal/server/silence_test.go
+++ b/internal/server/silence_test.go
@@ -40,11 +40,11 @@
 			is := is.New(t)
 			s := newSiteOf(t, map[string]string{"stall": stall.String()}, true, ok("good"), ok("good"))
 			for range 6 {
-				is.Equal(s.call("POST", c.host, "/x", "body").status, 200)
+				is.Equal(s.send("POST", c.host, "/x", "body").status, 200)
 			}
 			s.silence()
 			begun := time.Now()
-			got := s.call("POST", c.host, "/x", "body")
+			got := s.send("POST", c.host, "/x", "body")
 			is.Equal(got.status, 200)
 			is.Equal(got.body, "good")
 			is.True(time.Since(begun) < c.limit+silenceSlack)
@@ -85,7 +85,7 @@
 		close(silenced)
 	}()
 	begun := time.Now()
-	got := s.call("POST", "stream", "/x", "body")
+	got := s.send("POST", "stream", "/x", "body")
 	is.NoErr(got.err)
 	is.Equal(got.body, wholeSeries(4))
 	is.True(time.Since(begun) < stall+silenceSlack)
--- a/internal/server/unread_test.go
+++ b/internal/server/unread_test.go
@@ -15,7 +15,7 @@
 	count := func(answer http.HandlerFunc) string {
 		s := newSite(t, answer)
 		for range 3 {
-			s.call("POST", "again", "/x", "body")
+			s.send("POST", "again", "/x", "body")
 		}
 		var metrics bytes.Buffer
 		s.server.metrics.Write(&metrics)
