--- a/internal/server/forward_test.go
+++ b/internal/server/forward_test.go
@@ -267,7 +267,7 @@
 	return outcome{status: resp.StatusCode, header: resp.Header, body: string(data), err: err}
 }
 
-func (s *site) runs() int {
+func (s *site) requests() int {
 	n := 0
 	for _, r := range s.replicas {
 		n += r.runs()
@@ -333,7 +333,7 @@
 			got := s.send("POST", c.host, "/x", "body")
 			is.NoErr(got.err)
 			is.Equal(got.status, c.status)
-			is.Equal(s.runs(), c.runs)
+			is.Equal(s.requests(), c.runs)
 			if c.status == 200 {
 				is.Equal(got.body, "good")
 				is.Equal(got.header.Get(forward.OwnFormat.Signature), "signed")
@@ -499,7 +499,7 @@
 	got := s.send("POST", "stream", "/x", "body")
 	is.NoErr(got.err)
 	is.Equal(got.body, wholeSeries(9))
-	is.Equal(s.runs(), 2)
+	is.Equal(s.requests(), 2)
 }
 
 // TestASeriesThatCannotGoOnIsSeenAsCut: its caller must not take it for whole.
@@ -509,7 +509,7 @@
 	got := s.send("POST", "brief", "/x", "body")
 	is.True(got.err != nil)
 	is.Equal(got.body, wholeSeries(3))
-	is.Equal(s.runs(), 1)
+	is.Equal(s.requests(), 1)
 }
 
 // TestEventsOutOfOrderAreNotPassedOn: a gap ends the attempt.
--- a/internal/server/gone_test.go
+++ b/internal/server/gone_test.go
@@ -115,7 +115,7 @@
 				t.Fatal("the replica is still at work")
 			}
 			time.Sleep(2 * goneLimit)
-			is.Equal(s.runs(), c.runs)
+			is.Equal(s.requests(), c.runs)
 		})
 	}
 }
--- a/internal/server/silence_test.go
+++ b/internal/server/silence_test.go
@@ -77,7 +77,7 @@
 	}
 	s := newSiteOf(t, map[string]string{"stall": stall.String()}, true, either, either)
 	go func() {
-		for s.runs() == 0 {
+		for s.requests() == 0 {
 			time.Sleep(time.Millisecond)
 		}
 		time.Sleep(100 * time.Millisecond)
