--- a/internal/server/forward_test.go
+++ b/internal/server/forward_test.go
@@ -54,7 +54,7 @@
 	r.answer(w, req)
 }
 
-func (r *replica) runs() int {
+func (r *replica) requests() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return len(r.seen)
@@ -270,7 +270,7 @@
 func (s *site) requests() int {
 	n := 0
 	for _, r := range s.replicas {
-		n += r.runs()
+		n += r.requests()
 	}
 	return n
 }
@@ -364,7 +364,7 @@
 	for range 6 {
 		is.Equal(s.send("POST", "once", "/x", "body").status, 200)
 	}
-	is.Equal(s.replicas[1].runs(), 6)
+	is.Equal(s.replicas[1].requests(), 6)
 }
 
 // TestRequestsTravelUnchanged: path and query byte for byte, the headers but for
--- a/internal/server/notice_test.go
+++ b/internal/server/notice_test.go
@@ -136,14 +136,14 @@
 	}
 	for i, r := range s.replicas {
 		if i == 2 {
-			is.Equal(r.runs(), 12)
+			is.Equal(r.requests(), 12)
 			continue
 		}
-		is.True(r.runs() <= 1)
+		is.True(r.requests() <= 1)
 	}
 	how, _ := s.upstreams(func(u instance.ReplicaStatus) bool { return true })
 	for i, u := range how {
-		is.Equal(u.RestMS > 0, i < 2 && s.replicas[i].runs() == 1)
+		is.Equal(u.RestMS > 0, i < 2 && s.replicas[i].requests() == 1)
 	}
 }
 
@@ -179,12 +179,12 @@
 			_, heard := s.upstreams(func(u instance.ReplicaStatus) bool { return u.Limit != nil && u.Limit.PerSecond == 2 })
 			is.True(heard)
 			began := time.Now()
-			before := s.replicas[0].runs()
+			before := s.replicas[0].requests()
 			for time.Since(began) < 2*time.Second {
 				s.send("POST", c.host, "/x", "body")
 				time.Sleep(5 * time.Millisecond)
 			}
-			is.True(s.replicas[0].runs()-before <= 5)
+			is.True(s.replicas[0].requests()-before <= 5)
 			named.Store(false)
 			_, ended := s.upstreams(func(u instance.ReplicaStatus) bool {
 				s.send("POST", c.host, "/x", "body")
