--- a/internal/server/silence_test.go
+++ b/internal/server/silence_test.go
@@ -19,8 +19,8 @@
 // silenceSlack is by how much a busy machine may be late.
 const silenceSlack = 3 * time.Second
 
-// silence has the connections to replicas that are open go silent for good.
-func (s *site) silence() {
+// silenceReplicas has the connections to replicas that are open go silent for good.
+func (s *site) silenceReplicas() {
 	for _, r := range s.replicas {
 		r.proxy.Silence()
 	}
@@ -42,7 +42,7 @@
 			for range 6 {
 				is.Equal(s.send("POST", c.host, "/x", "body").status, 200)
 			}
-			s.silence()
+			s.silenceReplicas()
 			begun := time.Now()
 			got := s.send("POST", c.host, "/x", "body")
 			is.Equal(got.status, 200)
@@ -81,7 +81,7 @@
 			time.Sleep(time.Millisecond)
 		}
 		time.Sleep(100 * time.Millisecond)
-		s.silence()
+		s.silenceReplicas()
 		close(silenced)
 	}()
 	begun := time.Now()
