--- a/internal/server/silence_test.go
+++ b/internal/server/silence_test.go
@@ -116,8 +116,8 @@
 	is.True(time.Since(begun) < 4*time.Second+silenceSlack)
 }
 
-// caller opens a connection to the site's callers' listener.
-func (s *site) caller() net.Conn {
+// dial opens a connection to the site's callers' listener.
+func (s *site) dial() net.Conn {
 	s.t.Helper()
 	conn, err := net.Dial("tcp", s.address)
 	if err != nil {
@@ -159,7 +159,7 @@
 						ok("good")(w, r)
 					}
 				})
-			conn := s.caller()
+			conn := s.dial()
 			_, err := io.WriteString(conn, c.says)
 			is.NoErr(err)
 			is.True(closedWithin(conn, limit+silenceSlack))
@@ -174,7 +174,7 @@
 	is := is.New(t)
 	const limit = 500 * time.Millisecond
 	s := newSiteOf(t, map[string]string{"header-time": limit.String()}, false, ok("good"))
-	conn := s.caller()
+	conn := s.dial()
 	_, err := io.WriteString(conn, "POST /x HTTP/1.1\r\nHost: once\r\nBirchdrift-Call: c\r\nContent-Length: 10\r\n\r\n")
 	is.NoErr(err)
 	for range 10 {
