--- a/internal/server/forward_test.go
+++ b/internal/server/forward_test.go
@@ -179,7 +179,7 @@
 		server.shell.Stop()
 		<-done
 	})
-	s.await(len(answers) > 0)
+	s.awaitReady(len(answers) > 0)
 	return s
 }
 
@@ -226,9 +226,9 @@
 	}
 }
 
-// await waits until the instance is ready, if it can become so, and knows its
+// awaitReady waits until the instance is ready, if it can become so, and knows its
 // replicas.
-func (s *site) await(ready bool) {
+func (s *site) awaitReady(ready bool) {
 	s.t.Helper()
 	deadline := time.Now().Add(10 * time.Second)
 	for time.Now().Before(deadline) {
