--- a/internal/server/notice_test.go
+++ b/internal/server/notice_test.go
@@ -31,9 +31,9 @@
 	}
 }
 
-// upstreams returns what the instance knows of its replicas once any of them is seen,
+// awaitUpstream returns what the instance knows of its replicas once any of them is seen,
 // which it must be within some seconds.
-func (s *site) upstreams(seen func(instance.ReplicaStatus) bool) (how []instance.ReplicaStatus, ok bool) {
+func (s *site) awaitUpstream(seen func(instance.ReplicaStatus) bool) (how []instance.ReplicaStatus, ok bool) {
 	s.t.Helper()
 	deadline := time.Now().Add(5 * time.Second)
 	for time.Now().Before(deadline) {
@@ -83,7 +83,7 @@
 			is := is.New(t)
 			s := newSite(t, leaves(c.answer))
 			s.send("POST", c.host, "/x", "body")
-			_, heard := s.upstreams(func(u instance.ReplicaStatus) bool { return u.Leaving })
+			_, heard := s.awaitUpstream(func(u instance.ReplicaStatus) bool { return u.Leaving })
 			is.True(heard)
 		})
 	}
@@ -122,7 +122,7 @@
 	is.NoErr(err)
 	leave()
 	_ = resp.Body.Close()
-	_, heard := s.upstreams(func(u instance.ReplicaStatus) bool { return u.Leaving })
+	_, heard := s.awaitUpstream(func(u instance.ReplicaStatus) bool { return u.Leaving })
 	is.True(heard)
 }
 
@@ -141,7 +141,7 @@
 		}
 		is.True(r.requests() <= 1)
 	}
-	how, _ := s.upstreams(func(u instance.ReplicaStatus) bool { return true })
+	how, _ := s.awaitUpstream(func(u instance.ReplicaStatus) bool { return true })
 	for i, u := range how {
 		is.Equal(u.RestMS > 0, i < 2 && s.replicas[i].requests() == 1)
 	}
@@ -176,7 +176,7 @@
 			named.Store(true)
 			s := newSite(t, limits(c.answer, &named))
 			s.send("POST", c.host, "/x", "body")
-			_, heard := s.upstreams(func(u instance.ReplicaStatus) bool { return u.Limit != nil && u.Limit.PerSecond == 2 })
+			_, heard := s.awaitUpstream(func(u instance.ReplicaStatus) bool { return u.Limit != nil && u.Limit.PerSecond == 2 })
 			is.True(heard)
 			began := time.Now()
 			before := s.replicas[0].requests()
@@ -186,7 +186,7 @@
 			}
 			is.True(s.replicas[0].requests()-before <= 5)
 			named.Store(false)
-			_, ended := s.upstreams(func(u instance.ReplicaStatus) bool {
+			_, ended := s.awaitUpstream(func(u instance.ReplicaStatus) bool {
 				s.send("POST", c.host, "/x", "body")
 				return u.Limit != nil && u.Limit.Withdrawn
 			})
