--- a/internal/server/forward_test.go
+++ b/internal/server/forward_test.go
@@ -26,9 +26,9 @@
 	"github.com/birchdrift/birchdrift/internal/upstream/proxytest"
 )
 
-// A site is one instance of the real server between callers and fake replicas,
+// A testInstance is one instance of the real server between callers and fake replicas,
 // joined to a store in memory through the seams.
-type site struct {
+type testInstance struct {
 	t        *testing.T
 	server   *Server
 	address  string // of the callers' listener
@@ -122,17 +122,17 @@
 
 // newSite starts an instance before replicas with these answers. With none, its
 // store has no configuration either.
-func newSite(t *testing.T, answers ...http.HandlerFunc) *site {
+func newSite(t *testing.T, answers ...http.HandlerFunc) *testInstance {
 	t.Helper()
 	return newSiteOf(t, nil, false, answers...)
 }
 
 // newSiteOf is newSite with some settings that differ, and replicas that stand behind
 // proxies if proxied.
-func newSiteOf(t *testing.T, differ map[string]string, proxied bool, answers ...http.HandlerFunc) *site {
+func newSiteOf(t *testing.T, differ map[string]string, proxied bool, answers ...http.HandlerFunc) *testInstance {
 	t.Helper()
 	is := is.New(t)
-	s := &site{t: t}
+	s := &testInstance{t: t}
 	change := environment.Change{Whole: true, Version: 5}
 	for i, answer := range answers {
 		r := &replica{name: fmt.Sprintf("r%d", i), answer: answer}
@@ -228,7 +228,7 @@
 
 // awaitReady waits until the instance is ready, if it can become so, and knows its
 // replicas.
-func (s *site) awaitReady(ready bool) {
+func (s *testInstance) awaitReady(ready bool) {
 	s.t.Helper()
 	deadline := time.Now().Add(10 * time.Second)
 	for time.Now().Before(deadline) {
@@ -249,7 +249,7 @@
 	err    error // of reading the body
 }
 
-func (s *site) send(method, host, path, body string) outcome {
+func (s *testInstance) send(method, host, path, body string) outcome {
 	s.t.Helper()
 	req, err := http.NewRequest(method, "http://"+s.address+path, strings.NewReader(body))
 	if err != nil {
@@ -267,7 +267,7 @@
 	return outcome{status: resp.StatusCode, header: resp.Header, body: string(data), err: err}
 }
 
-func (s *site) requests() int {
+func (s *testInstance) requests() int {
 	n := 0
 	for _, r := range s.replicas {
 		n += r.requests()
@@ -317,7 +317,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			is := is.New(t)
-			var s *site
+			var s *testInstance
 			taken := make(chan struct{}, 1)
 			taken <- struct{}{}
 			// Whichever replica is asked first does what the case says.
--- a/internal/server/notice_test.go
+++ b/internal/server/notice_test.go
@@ -33,7 +33,7 @@
 
 // awaitUpstream returns what the instance knows of its replicas once any of them is seen,
 // which it must be within some seconds.
-func (s *site) awaitUpstream(seen func(instance.ReplicaStatus) bool) (how []instance.ReplicaStatus, ok bool) {
+func (s *testInstance) awaitUpstream(seen func(instance.ReplicaStatus) bool) (how []instance.ReplicaStatus, ok bool) {
 	s.t.Helper()
 	deadline := time.Now().Add(5 * time.Second)
 	for time.Now().Before(deadline) {
--- a/internal/server/silence_test.go
+++ b/internal/server/silence_test.go
@@ -20,7 +20,7 @@
 const silenceSlack = 3 * time.Second
 
 // silenceReplicas has the connections to replicas that are open go silent for good.
-func (s *site) silenceReplicas() {
+func (s *testInstance) silenceReplicas() {
 	for _, r := range s.replicas {
 		r.proxy.Silence()
 	}
@@ -117,7 +117,7 @@
 }
 
 // dial opens a connection to the site's callers' listener.
-func (s *site) dial() net.Conn {
+func (s *testInstance) dial() net.Conn {
 	s.t.Helper()
 	conn, err := net.Dial("tcp", s.address)
 	if err != nil {
