--- a/internal/server/forward_test.go
+++ b/internal/server/forward_test.go
@@ -120,9 +120,9 @@
 	return doc
 }
 
-// newSite starts an instance before replicas with these answers. With none, its
+// newTestInstance starts an instance before replicas with these answers. With none, its
 // store has no configuration either.
-func newSite(t *testing.T, answers ...http.HandlerFunc) *testInstance {
+func newTestInstance(t *testing.T, answers ...http.HandlerFunc) *testInstance {
 	t.Helper()
 	return newSiteOf(t, nil, false, answers...)
 }
@@ -329,7 +329,7 @@
 					ok("good")(w, r)
 				}
 			}
-			s = newSite(t, either, either)
+			s = newTestInstance(t, either, either)
 			got := s.send("POST", c.host, "/x", "body")
 			is.NoErr(got.err)
 			is.Equal(got.status, c.status)
@@ -349,7 +349,7 @@
 // run the call; the caller is promised that, and told when to come back.
 func TestARefusalEverywhereSaysWhenToComeBack(t *testing.T) {
 	is := is.New(t)
-	s := newSite(t, notRun(503), notRun(503))
+	s := newTestInstance(t, notRun(503), notRun(503))
 	got := s.send("POST", "once", "/x", "body")
 	is.Equal(got.status, 503)
 	is.True(got.header.Get("Retry-After") != "")
@@ -359,7 +359,7 @@
 // where it may run only once.
 func TestADeadReplicaIsNoPromiseBroken(t *testing.T) {
 	is := is.New(t)
-	s := newSite(t, ok("good"), ok("good"))
+	s := newTestInstance(t, ok("good"), ok("good"))
 	s.replicas[0].server.Close()
 	for range 6 {
 		is.Equal(s.send("POST", "once", "/x", "body").status, 200)
@@ -371,7 +371,7 @@
 // those of one connection, nothing added that the caller did not send.
 func TestRequestsTravelUnchanged(t *testing.T) {
 	is := is.New(t)
-	s := newSite(t, ok("good"))
+	s := newTestInstance(t, ok("good"))
 	conn, err := net.Dial("tcp", s.address)
 	is.NoErr(err)
 	defer conn.Close()
@@ -397,8 +397,8 @@
 // that a path does not exist.
 func TestNoConfigurationIsNotNotFound(t *testing.T) {
 	is := is.New(t)
-	is.Equal(newSite(t).send("GET", "again", "/x", "").status, 503)
-	is.Equal(newSite(t, ok("good")).send("GET", "nowhere", "/x", "").status, 404)
+	is.Equal(newTestInstance(t).send("GET", "again", "/x", "").status, 503)
+	is.Equal(newTestInstance(t, ok("good")).send("GET", "nowhere", "/x", "").status, 404)
 }
 
 // TestTheTimeoutEndsACall: at the forward's timeout the caller has an answer,
@@ -406,7 +406,7 @@
 func TestTheTimeoutEndsACall(t *testing.T) {
 	is := is.New(t)
 	left := make(chan struct{})
-	s := newSite(t, func(_ http.ResponseWriter, r *http.Request) {
+	s := newTestInstance(t, func(_ http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		<-r.Context().Done()
 		close(left)
@@ -431,7 +431,7 @@
 	is := is.New(t)
 	begun := make(chan struct{})
 	left := make(chan struct{})
-	s := newSite(t, func(_ http.ResponseWriter, r *http.Request) {
+	s := newTestInstance(t, func(_ http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		close(begun)
 		<-r.Context().Done()
@@ -495,7 +495,7 @@
 			series(9, 0)(w, r)
 		}
 	}
-	s := newSite(t, either, either)
+	s := newTestInstance(t, either, either)
 	got := s.send("POST", "stream", "/x", "body")
 	is.NoErr(got.err)
 	is.Equal(got.body, wholeSeries(9))
@@ -505,7 +505,7 @@
 // TestASeriesThatCannotGoOnIsSeenAsCut: its caller must not take it for whole.
 func TestASeriesThatCannotGoOnIsSeenAsCut(t *testing.T) {
 	is := is.New(t)
-	s := newSite(t, series(9, 4), series(9, 4))
+	s := newTestInstance(t, series(9, 4), series(9, 4))
 	got := s.send("POST", "brief", "/x", "body")
 	is.True(got.err != nil)
 	is.Equal(got.body, wholeSeries(3))
@@ -521,7 +521,7 @@
 		w.Header().Set("Content-Type", "text/event-stream")
 		_, _ = io.WriteString(w, "id: 1\ndata: event 1\n\nid: 3\ndata: event 3\n\n")
 	}
-	got := newSite(t, gap).send("POST", "brief", "/x", "body")
+	got := newTestInstance(t, gap).send("POST", "brief", "/x", "body")
 	is.True(got.err != nil)
 	is.Equal(got.body, wholeSeries(1))
 }
@@ -547,7 +547,7 @@
 			wrong <- "other bytes stand where the rest of the body is due"
 		}
 	}
-	s := newSite(t, early)
+	s := newTestInstance(t, early)
 	for range 3 {
 		got := s.send("POST", "again", "/x", strings.Repeat("b", length))
 		is.NoErr(got.err)
@@ -559,7 +559,7 @@
 // TestAnAnswerWithoutALengthIsWhole: it ends with its connection.
 func TestAnAnswerWithoutALengthIsWhole(t *testing.T) {
 	is := is.New(t)
-	s := newSite(t, func(w http.ResponseWriter, r *http.Request) {
+	s := newTestInstance(t, func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		conn, buf, err := http.NewResponseController(w).Hijack()
 		if err != nil {
--- a/internal/server/gone_test.go
+++ b/internal/server/gone_test.go
@@ -90,7 +90,7 @@
 					then(w, r)
 				}
 			}
-			s := newSite(t, either, either, either)
+			s := newTestInstance(t, either, either, either)
 			ctx, leave := context.WithCancel(context.Background())
 			defer leave()
 			req, err := http.NewRequestWithContext(ctx, "POST", "http://"+s.address+"/x", c.body())
@@ -138,7 +138,7 @@
 func TestAReadyInstanceTakesConnections(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	s := newSite(t, ok("good"), ok("good"))
+	s := newTestInstance(t, ok("good"), ok("good"))
 	_, _, operations := s.server.Addresses()
 	for range 200 { // newSite has waited for it; a ready answer is what the balancer goes by
 		resp, err := http.Get("http://" + operations + "/readyz")
--- a/internal/server/notice_test.go
+++ b/internal/server/notice_test.go
@@ -81,7 +81,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			is := is.New(t)
-			s := newSite(t, leaves(c.answer))
+			s := newTestInstance(t, leaves(c.answer))
 			s.send("POST", c.host, "/x", "body")
 			_, heard := s.awaitUpstream(func(u instance.ReplicaStatus) bool { return u.Leaving })
 			is.True(heard)
@@ -89,7 +89,7 @@
 	}
 	t.Run("a success that does not say so", func(t *testing.T) {
 		is := is.New(t)
-		s := newSite(t, ok("good"))
+		s := newTestInstance(t, ok("good"))
 		is.Equal(s.send("POST", "again", "/x", "body").status, 200)
 		st, err := s.server.shell.Status(context.Background())
 		is.NoErr(err)
@@ -103,7 +103,7 @@
 	is := is.New(t)
 	over := make(chan struct{})
 	t.Cleanup(func() { close(over) })
-	s := newSite(t, leaves(func(w http.ResponseWriter, r *http.Request) {
+	s := newTestInstance(t, leaves(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set(forward.OwnFormat.Signature, "signed")
 		w.Header().Set("Content-Type", forward.OwnFormat.StreamType)
 		_, _ = io.WriteString(w, "id: 1\ndata: x\n\n")
@@ -130,7 +130,7 @@
 // after it pass the first over; an answer that turns nothing away asks for none.
 func TestAReplicaThatTurnsACallAwayMayAskForRest(t *testing.T) {
 	is := is.New(t)
-	s := newSite(t, rests(notRun(503)), rests(notRun(503)), rests(ok("good")))
+	s := newTestInstance(t, rests(notRun(503)), rests(notRun(503)), rests(ok("good")))
 	for range 12 {
 		is.Equal(s.send("POST", "once", "/x", "body").status, 200)
 	}
@@ -174,7 +174,7 @@
 			is := is.New(t)
 			var named atomic.Bool
 			named.Store(true)
-			s := newSite(t, limits(c.answer, &named))
+			s := newTestInstance(t, limits(c.answer, &named))
 			s.send("POST", c.host, "/x", "body")
 			_, heard := s.awaitUpstream(func(u instance.ReplicaStatus) bool { return u.Limit != nil && u.Limit.PerSecond == 2 })
 			is.True(heard)
--- a/internal/server/silence_test.go
+++ b/internal/server/silence_test.go
@@ -97,7 +97,7 @@
 func TestAReplicaThatReadsNothingIsLeft(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	s := newSite(t, func(w http.ResponseWriter, r *http.Request) {
+	s := newTestInstance(t, func(w http.ResponseWriter, r *http.Request) {
 		// It takes the head, and nothing of the body.
 		conn, _, err := http.NewResponseController(w).Hijack()
 		if err != nil {
@@ -193,7 +193,7 @@
 	t.Parallel()
 	is := is.New(t)
 	left := make(chan struct{})
-	s := newSite(t, func(w http.ResponseWriter, r *http.Request) {
+	s := newTestInstance(t, func(w http.ResponseWriter, r *http.Request) {
 		defer close(left)
 		w.Header().Set(forward.OwnFormat.Signature, "signed")
 		w.Header().Set("Content-Type", forward.OwnFormat.StreamType)
--- a/internal/server/unread_test.go
+++ b/internal/server/unread_test.go
@@ -13,7 +13,7 @@
 // is counted, and the known ones are not.
 func TestAWordThatNobodyReadsIsSeen(t *testing.T) {
 	count := func(answer http.HandlerFunc) string {
-		s := newSite(t, answer)
+		s := newTestInstance(t, answer)
 		for range 3 {
 			s.send("POST", "again", "/x", "body")
 		}
