--- a/internal/server/forward_test.go
+++ b/internal/server/forward_test.go
@@ -124,12 +124,12 @@
 // store has no configuration either.
 func newTestInstance(t *testing.T, answers ...http.HandlerFunc) *testInstance {
 	t.Helper()
-	return newSiteOf(t, nil, false, answers...)
+	return newTestInstanceWith(t, nil, false, answers...)
 }
 
-// newSiteOf is newSite with some settings that differ, and replicas that stand behind
+// newTestInstanceWith is newSite with some settings that differ, and replicas that stand behind
 // proxies if proxied.
-func newSiteOf(t *testing.T, differ map[string]string, proxied bool, answers ...http.HandlerFunc) *testInstance {
+func newTestInstanceWith(t *testing.T, differ map[string]string, proxied bool, answers ...http.HandlerFunc) *testInstance {
 	t.Helper()
 	is := is.New(t)
 	s := &testInstance{t: t}
--- a/internal/server/silence_test.go
+++ b/internal/server/silence_test.go
@@ -38,7 +38,7 @@
 		t.Run(c.host, func(t *testing.T) {
 			t.Parallel()
 			is := is.New(t)
-			s := newSiteOf(t, map[string]string{"stall": stall.String()}, true, ok("good"), ok("good"))
+			s := newTestInstanceWith(t, map[string]string{"stall": stall.String()}, true, ok("good"), ok("good"))
 			for range 6 {
 				is.Equal(s.send("POST", c.host, "/x", "body").status, 200)
 			}
@@ -75,7 +75,7 @@
 			series(4, 0)(w, r)
 		}
 	}
-	s := newSiteOf(t, map[string]string{"stall": stall.String()}, true, either, either)
+	s := newTestInstanceWith(t, map[string]string{"stall": stall.String()}, true, either, either)
 	go func() {
 		for s.requests() == 0 {
 			time.Sleep(time.Millisecond)
@@ -153,7 +153,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			is := is.New(t)
-			s := newSiteOf(t, map[string]string{"header-time": limit.String(), "idle-time": limit.String()}, false,
+			s := newTestInstanceWith(t, map[string]string{"header-time": limit.String(), "idle-time": limit.String()}, false,
 				func(w http.ResponseWriter, r *http.Request) {
 					if _, err := io.Copy(io.Discard, r.Body); err == nil {
 						ok("good")(w, r)
@@ -173,7 +173,7 @@
 	t.Parallel()
 	is := is.New(t)
 	const limit = 500 * time.Millisecond
-	s := newSiteOf(t, map[string]string{"header-time": limit.String()}, false, ok("good"))
+	s := newTestInstanceWith(t, map[string]string{"header-time": limit.String()}, false, ok("good"))
 	conn := s.dial()
 	_, err := io.WriteString(conn, "POST /x HTTP/1.1\r\nHost: once\r\nBirchdrift-Call: c\r\nContent-Length: 10\r\n\r\n")
 	is.NoErr(err)
