--- a/internal/server/forward_test.go
+++ b/internal/server/forward_test.go
@@ -414,10 +414,10 @@
 	begun := time.Now()
 	is.Equal(s.send("GET", "short", "/x", "").status, 504)
 	is.True(time.Since(begun) < 2*time.Second)
-	within(t, left)
+	awaitClosed(t, left)
 }
 
-func within(t *testing.T, done <-chan struct{}) {
+func awaitClosed(t *testing.T, done <-chan struct{}) {
 	t.Helper()
 	select {
 	case <-done:
@@ -447,7 +447,7 @@
 	}()
 	_, err = http.DefaultTransport.RoundTrip(req)
 	is.True(err != nil)
-	within(t, left)
+	awaitClosed(t, left)
 }
 
 // series answers with events from the number behind the one the caller has; it
--- a/internal/server/gone_test.go
+++ b/internal/server/gone_test.go
@@ -104,7 +104,7 @@
 					_ = resp.Body.Close()
 				}
 			}()
-			within(t, begun)
+			awaitClosed(t, begun)
 			time.Sleep(50 * time.Millisecond)
 			gone := time.Now()
 			leave()
