--- a/internal/server/gone_test.go
+++ b/internal/server/gone_test.go
@@ -15,9 +15,9 @@
 )
 
 const (
-	// goneLimit is how long a replica may go on after its caller has left: the users'
+	// cancelLimit is how long a replica may go on after its caller has left: the users'
 	// bound.
-	goneLimit = 500 * time.Millisecond
+	cancelLimit = 500 * time.Millisecond
 	// goneSlack is by how much a busy machine may be late.
 	goneSlack = 2 * time.Second
 )
@@ -110,11 +110,11 @@
 			leave()
 			select {
 			case at := <-left:
-				is.True(at.Sub(gone) < goneLimit+goneSlack)
+				is.True(at.Sub(gone) < cancelLimit+goneSlack)
 			case <-time.After(10 * time.Second):
 				t.Fatal("the replica is still at work")
 			}
-			time.Sleep(2 * goneLimit)
+			time.Sleep(2 * cancelLimit)
 			is.Equal(s.requests(), c.runs)
 		})
 	}
