--- a/internal/server/gone_test.go
+++ b/internal/server/gone_test.go
@@ -18,8 +18,8 @@
 	// cancelLimit is how long a replica may go on after its caller has left: the users'
 	// bound.
 	cancelLimit = 500 * time.Millisecond
-	// goneSlack is by how much a busy machine may be late.
-	goneSlack = 2 * time.Second
+	// cancelSlack is by how much a busy machine may be late.
+	cancelSlack = 2 * time.Second
 )
 
 // TestACallerWhoLeavesFreesItsReplicaInTime tables what a replica may be doing for a
@@ -110,7 +110,7 @@
 			leave()
 			select {
 			case at := <-left:
-				is.True(at.Sub(gone) < cancelLimit+goneSlack)
+				is.True(at.Sub(gone) < cancelLimit+cancelSlack)
 			case <-time.After(10 * time.Second):
 				t.Fatal("the replica is still at work")
 			}
