--- a/internal/server/gone_test.go
+++ b/internal/server/gone_test.go
@@ -69,7 +69,7 @@
 		{"it runs the call after another failed it", "again", small, status(500), hang, 2},
 		{"it goes on with a stream that broke off", "stream", small, series(9, 4), hang, 2},
 		{"it streams", "stream", small, nil, streams, 1},
-		{"it reads a long body", "once", func() io.Reader { return io.LimitReader(slowly{}, 64<<20) }, nil, reads, 1},
+		{"it reads a long body", "once", func() io.Reader { return io.LimitReader(slowBody{}, 64<<20) }, nil, reads, 1},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -120,11 +120,11 @@
 	}
 }
 
-// slowly is a body that comes bit by bit.
-type slowly struct{}
+// slowBody is a body that comes bit by bit.
+type slowBody struct{}
 
 // Read implements io.Reader.
-func (slowly) Read(data []byte) (int, error) {
+func (slowBody) Read(data []byte) (int, error) {
 	time.Sleep(time.Millisecond)
 	n := min(len(data), 8<<10)
 	for i := range n {
