--- a/internal/server/notice_test.go
+++ b/internal/server/notice_test.go
@@ -15,8 +15,8 @@
 	"github.com/birchdrift/birchdrift/internal/forward"
 )
 
-// leaves has the answers of a replica say that it leaves.
-func leaves(answer http.HandlerFunc) http.HandlerFunc {
+// withLeaving has the answers of a replica say that it withLeaving.
+func withLeaving(answer http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set(forward.OwnFormat.Leaving, "1")
 		answer(w, r)
@@ -81,7 +81,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			is := is.New(t)
-			s := newTestInstance(t, leaves(c.answer))
+			s := newTestInstance(t, withLeaving(c.answer))
 			s.send("POST", c.host, "/x", "body")
 			_, heard := s.awaitUpstream(func(u instance.ReplicaStatus) bool { return u.Leaving })
 			is.True(heard)
@@ -103,7 +103,7 @@
 	is := is.New(t)
 	over := make(chan struct{})
 	t.Cleanup(func() { close(over) })
-	s := newTestInstance(t, leaves(func(w http.ResponseWriter, r *http.Request) {
+	s := newTestInstance(t, withLeaving(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set(forward.OwnFormat.Signature, "signed")
 		w.Header().Set("Content-Type", forward.OwnFormat.StreamType)
 		_, _ = io.WriteString(w, "id: 1\ndata: x\n\n")
--- a/internal/server/unread_test.go
+++ b/internal/server/unread_test.go
@@ -27,7 +27,7 @@
 		return "no such metric"
 	}
 	is := is.New(t)
-	is.Equal(count(leaves(ok("good"))), "0")
+	is.Equal(count(withLeaving(ok("good"))), "0")
 	is.Equal(count(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Server-Mood", "good")
 		ok("good")(w, r)
