--- a/internal/server/notice_test.go
+++ b/internal/server/notice_test.go
@@ -23,8 +23,8 @@
 	}
 }
 
-// rests has the answers of a replica ask for rest.
-func rests(answer http.HandlerFunc) http.HandlerFunc {
+// withRest has the answers of a replica ask for rest.
+func withRest(answer http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set(forward.OwnFormat.RetryAfter, "30")
 		answer(w, r)
@@ -130,7 +130,7 @@
 // after it pass the first over; an answer that turns nothing away asks for none.
 func TestAReplicaThatTurnsACallAwayMayAskForRest(t *testing.T) {
 	is := is.New(t)
-	s := newTestInstance(t, rests(notRun(503)), rests(notRun(503)), rests(ok("good")))
+	s := newTestInstance(t, withRest(notRun(503)), withRest(notRun(503)), withRest(ok("good")))
 	for range 12 {
 		is.Equal(s.send("POST", "once", "/x", "body").status, 200)
 	}
