--- a/internal/server/forward_test.go
+++ b/internal/server/forward_test.go
@@ -241,15 +241,15 @@
 	s.t.Fatal("the instance did not become ready")
 }
 
-// An outcome is what a caller saw.
-type outcome struct {
+// An callResult is what a caller saw.
+type callResult struct {
 	status int
 	header http.Header
 	body   string
 	err    error // of reading the body
 }
 
-func (s *testInstance) send(method, host, path, body string) outcome {
+func (s *testInstance) send(method, host, path, body string) callResult {
 	s.t.Helper()
 	req, err := http.NewRequest(method, "http://"+s.address+path, strings.NewReader(body))
 	if err != nil {
@@ -260,11 +260,11 @@
 	req.Header.Set(forward.OwnFormat.Deadline, "4000")
 	resp, err := http.DefaultTransport.RoundTrip(req)
 	if err != nil {
-		return outcome{err: err}
+		return callResult{err: err}
 	}
 	defer resp.Body.Close()
 	data, err := io.ReadAll(resp.Body)
-	return outcome{status: resp.StatusCode, header: resp.Header, body: string(data), err: err}
+	return callResult{status: resp.StatusCode, header: resp.Header, body: string(data), err: err}
 }
 
 func (s *testInstance) requests() int {
