--- a/internal/server/forward_test.go
+++ b/internal/server/forward_test.go
@@ -450,9 +450,9 @@
 	awaitClosed(t, left)
 }
 
-// series answers with events from the number behind the one the caller has; it
+// eventStream answers with events from the number behind the one the caller has; it
 // breaks off in the middle of event number cutAt, if that is not 0.
-func series(total, cutAt int) http.HandlerFunc {
+func eventStream(total, cutAt int) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		last := 0
@@ -490,9 +490,9 @@
 	either := func(w http.ResponseWriter, r *http.Request) {
 		select {
 		case <-first:
-			series(9, 4)(w, r)
+			eventStream(9, 4)(w, r)
 		default:
-			series(9, 0)(w, r)
+			eventStream(9, 0)(w, r)
 		}
 	}
 	s := newTestInstance(t, either, either)
@@ -505,7 +505,7 @@
 // TestASeriesThatCannotGoOnIsSeenAsCut: its caller must not take it for whole.
 func TestASeriesThatCannotGoOnIsSeenAsCut(t *testing.T) {
 	is := is.New(t)
-	s := newTestInstance(t, series(9, 4), series(9, 4))
+	s := newTestInstance(t, eventStream(9, 4), eventStream(9, 4))
 	got := s.send("POST", "brief", "/x", "body")
 	is.True(got.err != nil)
 	is.Equal(got.body, wholeSeries(3))
--- a/internal/server/silence_test.go
+++ b/internal/server/silence_test.go
@@ -72,7 +72,7 @@
 			_ = http.NewResponseController(w).Flush()
 			<-r.Context().Done()
 		default:
-			series(4, 0)(w, r)
+			eventStream(4, 0)(w, r)
 		}
 	}
 	s := newTestInstanceWith(t, map[string]string{"stall": stall.String()}, true, either, either)
