--- a/internal/server/forward_test.go
+++ b/internal/server/forward_test.go
@@ -473,7 +473,7 @@
 	}
 }
 
-func wholeSeries(total int) string {
+func wholeStream(total int) string {
 	var b strings.Builder
 	for n := 1; n <= total; n++ {
 		fmt.Fprintf(&b, "id: %d\ndata: event %d\n\n", n, n)
@@ -498,7 +498,7 @@
 	s := newTestInstance(t, either, either)
 	got := s.send("POST", "stream", "/x", "body")
 	is.NoErr(got.err)
-	is.Equal(got.body, wholeSeries(9))
+	is.Equal(got.body, wholeStream(9))
 	is.Equal(s.requests(), 2)
 }
 
@@ -508,7 +508,7 @@
 	s := newTestInstance(t, eventStream(9, 4), eventStream(9, 4))
 	got := s.send("POST", "brief", "/x", "body")
 	is.True(got.err != nil)
-	is.Equal(got.body, wholeSeries(3))
+	is.Equal(got.body, wholeStream(3))
 	is.Equal(s.requests(), 1)
 }
 
@@ -523,7 +523,7 @@
 	}
 	got := newTestInstance(t, gap).send("POST", "brief", "/x", "body")
 	is.True(got.err != nil)
-	is.Equal(got.body, wholeSeries(1))
+	is.Equal(got.body, wholeStream(1))
 }
 
 // TestAnEarlyAnswerIsPassedOn: a replica may answer before it has read a long
--- a/internal/server/silence_test.go
+++ b/internal/server/silence_test.go
@@ -87,7 +87,7 @@
 	begun := time.Now()
 	got := s.send("POST", "stream", "/x", "body")
 	is.NoErr(got.err)
-	is.Equal(got.body, wholeSeries(4))
+	is.Equal(got.body, wholeStream(4))
 	is.True(time.Since(begun) < stall+silenceSlack)
 }
 
