--- a/internal/server/forward_test.go
+++ b/internal/server/forward_test.go
@@ -84,8 +84,8 @@
 	}
 }
 
-// cut answers with a part of what it promised.
-func cut(w http.ResponseWriter, r *http.Request) {
+// cutAnswer answers with a part of what it promised.
+func cutAnswer(w http.ResponseWriter, r *http.Request) {
 	_, _ = io.Copy(io.Discard, r.Body)
 	w.Header().Set(forward.OwnFormat.Signature, "signed")
 	w.Header().Set("Content-Length", "100")
@@ -297,8 +297,8 @@
 	}{
 		{"good", ok("good"), "again", 200, 1},
 		{"good, at most once", ok("good"), "once", 200, 1},
-		{"cut", cut, "again", 200, 2},
-		{"cut, at most once", cut, "once", 502, 1},
+		{"cut", cutAnswer, "again", 200, 2},
+		{"cut, at most once", cutAnswer, "once", 502, 1},
 		{"dropped", drop, "again", 200, 2},
 		{"dropped, at most once", drop, "once", 502, 1},
 		{"another call's answer", foreign, "again", 200, 2},
