--- a/internal/server/forward_test.go
+++ b/internal/server/forward_test.go
@@ -93,8 +93,8 @@
 	panic(http.ErrAbortHandler)
 }
 
-// drop closes the connection without an answer.
-func drop(w http.ResponseWriter, r *http.Request) {
+// dropConnection closes the connection without an answer.
+func dropConnection(w http.ResponseWriter, r *http.Request) {
 	_, _ = io.Copy(io.Discard, r.Body)
 	panic(http.ErrAbortHandler)
 }
@@ -299,8 +299,8 @@
 		{"good, at most once", ok("good"), "once", 200, 1},
 		{"cut", cutAnswer, "again", 200, 2},
 		{"cut, at most once", cutAnswer, "once", 502, 1},
-		{"dropped", drop, "again", 200, 2},
-		{"dropped, at most once", drop, "once", 502, 1},
+		{"dropped", dropConnection, "again", 200, 2},
+		{"dropped, at most once", dropConnection, "once", 502, 1},
 		{"another call's answer", foreign, "again", 200, 2},
 		{"another call's answer, at most once", foreign, "once", 502, 1},
 		{"no signature", unsigned, "again", 200, 2},
