--- a/internal/server/forward_test.go
+++ b/internal/server/forward_test.go
@@ -60,8 +60,8 @@
 	return len(r.seen)
 }
 
-// ok answers with the replica's signature and a body.
-func ok(body string) http.HandlerFunc {
+// answerOK answers with the replica's signature and a body.
+func answerOK(body string) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		w.Header().Set(forward.OwnFormat.Signature, "signed")
@@ -281,12 +281,12 @@
 func TestForwardedAnswers(t *testing.T) {
 	foreign := func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set(forward.OwnFormat.CallID, "another")
-		ok("another's")(w, r)
+		answerOK("another's")(w, r)
 	}
 	unsigned := func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "bytes of nobody") }
 	encoded := func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Content-Encoding", "gzip")
-		ok("squeezed")(w, r)
+		answerOK("squeezed")(w, r)
 	}
 	cases := []struct {
 		name   string
@@ -295,8 +295,8 @@
 		status int
 		runs   int // arrivals at both replicas
 	}{
-		{"good", ok("good"), "again", 200, 1},
-		{"good, at most once", ok("good"), "once", 200, 1},
+		{"good", answerOK("good"), "again", 200, 1},
+		{"good, at most once", answerOK("good"), "once", 200, 1},
 		{"cut", cutAnswer, "again", 200, 2},
 		{"cut, at most once", cutAnswer, "once", 502, 1},
 		{"dropped", dropConnection, "again", 200, 2},
@@ -326,7 +326,7 @@
 				case <-taken:
 					c.first(w, r)
 				default:
-					ok("good")(w, r)
+					answerOK("good")(w, r)
 				}
 			}
 			s = newTestInstance(t, either, either)
@@ -359,7 +359,7 @@
 // where it may run only once.
 func TestADeadReplicaIsNoPromiseBroken(t *testing.T) {
 	is := is.New(t)
-	s := newTestInstance(t, ok("good"), ok("good"))
+	s := newTestInstance(t, answerOK("good"), answerOK("good"))
 	s.replicas[0].server.Close()
 	for range 6 {
 		is.Equal(s.send("POST", "once", "/x", "body").status, 200)
@@ -371,7 +371,7 @@
 // those of one connection, nothing added that the caller did not send.
 func TestRequestsTravelUnchanged(t *testing.T) {
 	is := is.New(t)
-	s := newTestInstance(t, ok("good"))
+	s := newTestInstance(t, answerOK("good"))
 	conn, err := net.Dial("tcp", s.address)
 	is.NoErr(err)
 	defer conn.Close()
@@ -398,7 +398,7 @@
 func TestNoConfigurationIsNotNotFound(t *testing.T) {
 	is := is.New(t)
 	is.Equal(newTestInstance(t).send("GET", "again", "/x", "").status, 503)
-	is.Equal(newTestInstance(t, ok("good")).send("GET", "nowhere", "/x", "").status, 404)
+	is.Equal(newTestInstance(t, answerOK("good")).send("GET", "nowhere", "/x", "").status, 404)
 }
 
 // TestTheTimeoutEndsACall: at the forward's timeout the caller has an answer,
--- a/internal/server/gone_test.go
+++ b/internal/server/gone_test.go
@@ -138,7 +138,7 @@
 func TestAReadyInstanceTakesConnections(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	s := newTestInstance(t, ok("good"), ok("good"))
+	s := newTestInstance(t, answerOK("good"), answerOK("good"))
 	_, _, operations := s.server.Addresses()
 	for range 200 { // newSite has waited for it; a ready answer is what the balancer goes by
 		resp, err := http.Get("http://" + operations + "/readyz")
--- a/internal/server/notice_test.go
+++ b/internal/server/notice_test.go
@@ -56,7 +56,7 @@
 func TestAnyAnswerMaySayThatAReplicaLeaves(t *testing.T) {
 	foreign := func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set(forward.OwnFormat.CallID, "another")
-		ok("another's")(w, r)
+		answerOK("another's")(w, r)
 	}
 	breaksOff := func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Length", "100")
@@ -69,7 +69,7 @@
 		host   string
 		answer http.HandlerFunc
 	}{
-		{"a success", "again", ok("good")},
+		{"a success", "again", answerOK("good")},
 		{"a failure", "once", status(500)},
 		{"a refusal of its own", "once", status(404)},
 		{"it did not run the call", "once", notRun(503)},
@@ -89,7 +89,7 @@
 	}
 	t.Run("a success that does not say so", func(t *testing.T) {
 		is := is.New(t)
-		s := newTestInstance(t, ok("good"))
+		s := newTestInstance(t, answerOK("good"))
 		is.Equal(s.send("POST", "again", "/x", "body").status, 200)
 		st, err := s.server.shell.Status(context.Background())
 		is.NoErr(err)
@@ -130,7 +130,7 @@
 // after it pass the first over; an answer that turns nothing away asks for none.
 func TestAReplicaThatTurnsACallAwayMayAskForRest(t *testing.T) {
 	is := is.New(t)
-	s := newTestInstance(t, withRest(notRun(503)), withRest(notRun(503)), withRest(ok("good")))
+	s := newTestInstance(t, withRest(notRun(503)), withRest(notRun(503)), withRest(answerOK("good")))
 	for range 12 {
 		is.Equal(s.send("POST", "once", "/x", "body").status, 200)
 	}
@@ -163,7 +163,7 @@
 		host   string
 		answer http.HandlerFunc
 	}{
-		{"a success", "again", ok("good")},
+		{"a success", "again", answerOK("good")},
 		{"a failure", "once", status(500)},
 		{"a refusal of its own", "once", status(404)},
 		{"it did not run the call", "once", notRun(503)},
--- a/internal/server/silence_test.go
+++ b/internal/server/silence_test.go
@@ -38,7 +38,7 @@
 		t.Run(c.host, func(t *testing.T) {
 			t.Parallel()
 			is := is.New(t)
-			s := newTestInstanceWith(t, map[string]string{"stall": stall.String()}, true, ok("good"), ok("good"))
+			s := newTestInstanceWith(t, map[string]string{"stall": stall.String()}, true, answerOK("good"), answerOK("good"))
 			for range 6 {
 				is.Equal(s.send("POST", c.host, "/x", "body").status, 200)
 			}
@@ -156,7 +156,7 @@
 			s := newTestInstanceWith(t, map[string]string{"header-time": limit.String(), "idle-time": limit.String()}, false,
 				func(w http.ResponseWriter, r *http.Request) {
 					if _, err := io.Copy(io.Discard, r.Body); err == nil {
-						ok("good")(w, r)
+						answerOK("good")(w, r)
 					}
 				})
 			conn := s.dial()
@@ -173,7 +173,7 @@
 	t.Parallel()
 	is := is.New(t)
 	const limit = 500 * time.Millisecond
-	s := newTestInstanceWith(t, map[string]string{"header-time": limit.String()}, false, ok("good"))
+	s := newTestInstanceWith(t, map[string]string{"header-time": limit.String()}, false, answerOK("good"))
 	conn := s.dial()
 	_, err := io.WriteString(conn, "POST /x HTTP/1.1\r\nHost: once\r\nBirchdrift-Call: c\r\nContent-Length: 10\r\n\r\n")
 	is.NoErr(err)
--- a/internal/server/unread_test.go
+++ b/internal/server/unread_test.go
@@ -27,9 +27,9 @@
 		return "no such metric"
 	}
 	is := is.New(t)
-	is.Equal(count(withLeaving(ok("good"))), "0")
+	is.Equal(count(withLeaving(answerOK("good"))), "0")
 	is.Equal(count(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Server-Mood", "good")
-		ok("good")(w, r)
+		answerOK("good")(w, r)
 	}), "3")
 }
