--- a/internal/server/forward_test.go
+++ b/internal/server/forward_test.go
@@ -69,7 +69,7 @@
 	}
 }
 
-func status(code int) http.HandlerFunc {
+func answerStatus(code int) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set(forward.OwnFormat.Signature, "signed")
 		w.WriteHeader(code)
@@ -309,9 +309,9 @@
 		{"not run", notRun(503), "again", 200, 2},
 		{"not run, at most once", notRun(503), "once", 200, 2},
 		{"misdirected, at most once", notRun(421), "once", 200, 2},
-		{"its own failure", status(500), "again", 200, 2},
-		{"its own failure, at most once", status(500), "once", 500, 1},
-		{"its own refusal", status(404), "again", 404, 1},
+		{"its own failure", answerStatus(500), "again", 200, 2},
+		{"its own failure, at most once", answerStatus(500), "once", 500, 1},
+		{"its own refusal", answerStatus(404), "again", 404, 1},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/server/gone_test.go
+++ b/internal/server/gone_test.go
@@ -66,7 +66,7 @@
 		runs  int
 	}{
 		{"it runs the call", "once", small, nil, hang, 1},
-		{"it runs the call after another failed it", "again", small, status(500), hang, 2},
+		{"it runs the call after another failed it", "again", small, answerStatus(500), hang, 2},
 		{"it goes on with a stream that broke off", "stream", small, eventStream(9, 4), hang, 2},
 		{"it streams", "stream", small, nil, streams, 1},
 		{"it reads a long body", "once", func() io.Reader { return io.LimitReader(slowBody{}, 64<<20) }, nil, reads, 1},
--- a/internal/server/notice_test.go
+++ b/internal/server/notice_test.go
@@ -70,8 +70,8 @@
 		answer http.HandlerFunc
 	}{
 		{"a success", "again", answerOK("good")},
-		{"a failure", "once", status(500)},
-		{"a refusal of its own", "once", status(404)},
+		{"a failure", "once", answerStatus(500)},
+		{"a refusal of its own", "once", answerStatus(404)},
 		{"it did not run the call", "once", notRun(503)},
 		{"it is not the one expected", "once", notRun(421)},
 		{"the answer to another call", "once", foreign},
@@ -164,8 +164,8 @@
 		answer http.HandlerFunc
 	}{
 		{"a success", "again", answerOK("good")},
-		{"a failure", "once", status(500)},
-		{"a refusal of its own", "once", status(404)},
+		{"a failure", "once", answerStatus(500)},
+		{"a refusal of its own", "once", answerStatus(404)},
 		{"it did not run the call", "once", notRun(503)},
 	}
 	for _, c := range cases {
