--- a/internal/server/forward_test.go
+++ b/internal/server/forward_test.go
@@ -77,7 +77,7 @@
 	}
 }
 
-func notRun(code int) http.HandlerFunc {
+func answerNotRun(code int) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set(forward.OwnFormat.NotRun, "1")
 		w.WriteHeader(code)
@@ -306,9 +306,9 @@
 		{"no signature", unsigned, "again", 200, 2},
 		{"no signature, at most once", unsigned, "once", 502, 1},
 		{"an encoded body", encoded, "again", 200, 2},
-		{"not run", notRun(503), "again", 200, 2},
-		{"not run, at most once", notRun(503), "once", 200, 2},
-		{"misdirected, at most once", notRun(421), "once", 200, 2},
+		{"not run", answerNotRun(503), "again", 200, 2},
+		{"not run, at most once", answerNotRun(503), "once", 200, 2},
+		{"misdirected, at most once", answerNotRun(421), "once", 200, 2},
 		{"its own failure", answerStatus(500), "again", 200, 2},
 		{"its own failure, at most once", answerStatus(500), "once", 500, 1},
 		{"its own refusal", answerStatus(404), "again", 404, 1},
@@ -349,7 +349,7 @@
 // run the call; the caller is promised that, and told when to come back.
 func TestARefusalEverywhereSaysWhenToComeBack(t *testing.T) {
 	is := is.New(t)
-	s := newTestInstance(t, notRun(503), notRun(503))
+	s := newTestInstance(t, answerNotRun(503), answerNotRun(503))
 	got := s.send("POST", "once", "/x", "body")
 	is.Equal(got.status, 503)
 	is.True(got.header.Get("Retry-After") != "")
--- a/internal/server/notice_test.go
+++ b/internal/server/notice_test.go
@@ -72,8 +72,8 @@
 		{"a success", "again", answerOK("good")},
 		{"a failure", "once", answerStatus(500)},
 		{"a refusal of its own", "once", answerStatus(404)},
-		{"it did not run the call", "once", notRun(503)},
-		{"it is not the one expected", "once", notRun(421)},
+		{"it did not run the call", "once", answerNotRun(503)},
+		{"it is not the one expected", "once", answerNotRun(421)},
 		{"the answer to another call", "once", foreign},
 		{"one that breaks off", "once", breaksOff},
 	}
@@ -130,7 +130,7 @@
 // after it pass the first over; an answer that turns nothing away asks for none.
 func TestAReplicaThatTurnsACallAwayMayAskForRest(t *testing.T) {
 	is := is.New(t)
-	s := newTestInstance(t, withRest(notRun(503)), withRest(notRun(503)), withRest(answerOK("good")))
+	s := newTestInstance(t, withRest(answerNotRun(503)), withRest(answerNotRun(503)), withRest(answerOK("good")))
 	for range 12 {
 		is.Equal(s.send("POST", "once", "/x", "body").status, 200)
 	}
@@ -166,7 +166,7 @@
 		{"a success", "again", answerOK("good")},
 		{"a failure", "once", answerStatus(500)},
 		{"a refusal of its own", "once", answerStatus(404)},
-		{"it did not run the call", "once", notRun(503)},
+		{"it did not run the call", "once", answerNotRun(503)},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
