--- a/internal/server/unread_test.go
+++ b/internal/server/unread_test.go
@@ -9,9 +9,9 @@
 	"github.com/matryer/is"
 )
 
-// TestAWordThatNobodyReadsIsSeen: a header of a replica's answers that nothing here reads
+// TestUnreadHeadersAreCounted: a header of a replica's answers that nothing here reads
 // is counted, and the known ones are not.
-func TestAWordThatNobodyReadsIsSeen(t *testing.T) {
+func TestUnreadHeadersAreCounted(t *testing.T) {
 	count := func(answer http.HandlerFunc) string {
 		s := newTestInstance(t, answer)
 		for range 3 {
