--- a/internal/server/forward_test.go
+++ b/internal/server/forward_test.go
@@ -355,9 +355,9 @@
 	is.True(got.header.Get("Retry-After") != "")
 }
 
-// TestADeadReplicaIsNoPromiseBroken: a call that never left goes elsewhere, also
+// TestCallsToDeadReplicasGoElsewhere: a call that never left goes elsewhere, also
 // where it may run only once.
-func TestADeadReplicaIsNoPromiseBroken(t *testing.T) {
+func TestCallsToDeadReplicasGoElsewhere(t *testing.T) {
 	is := is.New(t)
 	s := newTestInstance(t, answerOK("good"), answerOK("good"))
 	s.replicas[0].server.Close()
