--- a/internal/server/forward_test.go
+++ b/internal/server/forward_test.go
@@ -345,9 +345,9 @@
 	}
 }
 
-// TestARefusalEverywhereSaysWhenToComeBack: all replicas say that they did not
+// TestRefusalByAllReplicasSetsRetryAfter: all replicas say that they did not
 // run the call; the caller is promised that, and told when to come back.
-func TestARefusalEverywhereSaysWhenToComeBack(t *testing.T) {
+func TestRefusalByAllReplicasSetsRetryAfter(t *testing.T) {
 	is := is.New(t)
 	s := newTestInstance(t, answerNotRun(503), answerNotRun(503))
 	got := s.send("POST", "once", "/x", "body")
