--- a/internal/server/forward_test.go
+++ b/internal/server/forward_test.go
@@ -502,8 +502,8 @@
 	is.Equal(s.requests(), 2)
 }
 
-// TestASeriesThatCannotGoOnIsSeenAsCut: its caller must not take it for whole.
-func TestASeriesThatCannotGoOnIsSeenAsCut(t *testing.T) {
+// TestUnresumableStreamIsSeenAsCut: its caller must not take it for whole.
+func TestUnresumableStreamIsSeenAsCut(t *testing.T) {
 	is := is.New(t)
 	s := newTestInstance(t, eventStream(9, 4), eventStream(9, 4))
 	got := s.send("POST", "brief", "/x", "body")
