--- a/internal/server/forward_test.go
+++ b/internal/server/forward_test.go
@@ -481,9 +481,9 @@
 	return b.String()
 }
 
-// TestABrokenSeriesGoesOnElsewhere: one answer with every event once, though
+// TestBrokenStreamResumesElsewhere: one answer with every event once, though
 // the first replica broke off in the middle of one.
-func TestABrokenSeriesGoesOnElsewhere(t *testing.T) {
+func TestBrokenStreamResumesElsewhere(t *testing.T) {
 	is := is.New(t)
 	first := make(chan struct{}, 1)
 	first <- struct{}{}
