--- a/internal/server/silence_test.go
+++ b/internal/server/silence_test.go
@@ -91,10 +91,10 @@
 	is.True(time.Since(begun) < stall+silenceSlack)
 }
 
-// TestAReplicaThatReadsNothingIsLeft: bytes of a request that a replica does not take for
+// TestReplicaThatReadsNothingIsAbandoned: bytes of a request that a replica does not take for
 // some seconds end the attempt, and a call that was not sent whole is no reason to wait
 // until its time is over.
-func TestAReplicaThatReadsNothingIsLeft(t *testing.T) {
+func TestReplicaThatReadsNothingIsAbandoned(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	s := newTestInstance(t, func(w http.ResponseWriter, r *http.Request) {
