--- a/internal/server/silence_test.go
+++ b/internal/server/silence_test.go
@@ -135,9 +135,9 @@
 	return !(errors.As(err, &timeout) && timeout.Timeout())
 }
 
-// TestSilentCallersAreGivenUp tables where a caller may fall silent, and that its
+// TestSilentCallersAreDisconnected tables where a caller may fall silent, and that its
 // connection is closed within the time that the settings say.
-func TestSilentCallersAreGivenUp(t *testing.T) {
+func TestSilentCallersAreDisconnected(t *testing.T) {
 	const limit = 400 * time.Millisecond
 	cases := []struct {
 		name string
