--- a/internal/server/silence_test.go
+++ b/internal/server/silence_test.go
@@ -167,9 +167,9 @@
 	}
 }
 
-// TestASlowCallerIsWaitedFor: one that sends its body bit by bit is not given up, however
+// TestSlowCallerIsNotDisconnected: one that sends its body bit by bit is not given up, however
 // long it takes in all.
-func TestASlowCallerIsWaitedFor(t *testing.T) {
+func TestSlowCallerIsNotDisconnected(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	const limit = 500 * time.Millisecond
