--- a/internal/server/silence_test.go
+++ b/internal/server/silence_test.go
@@ -52,9 +52,9 @@
 	}
 }
 
-// TestAStreamThatFallsSilentGoesOnElsewhere: the events that are missing come from another
+// TestSilentStreamResumesElsewhere: the events that are missing come from another
 // replica, each once.
-func TestAStreamThatFallsSilentGoesOnElsewhere(t *testing.T) {
+func TestSilentStreamResumesElsewhere(t *testing.T) {
 	is := is.New(t)
 	const stall = 400 * time.Millisecond
 	silenced := make(chan struct{})
