--- a/internal/server/notice_test.go
+++ b/internal/server/notice_test.go
@@ -126,9 +126,9 @@
 	is.True(heard)
 }
 
-// TestAReplicaThatTurnsACallAwayMayAskForRest: the call goes to another one, and those
+// TestRefusingReplicaMayAskForRest: the call goes to another one, and those
 // after it pass the first over; an answer that turns nothing away asks for none.
-func TestAReplicaThatTurnsACallAwayMayAskForRest(t *testing.T) {
+func TestRefusingReplicaMayAskForRest(t *testing.T) {
 	is := is.New(t)
 	s := newTestInstance(t, withRest(answerNotRun(503)), withRest(answerNotRun(503)), withRest(answerOK("good")))
 	for range 12 {
