--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -123,8 +123,8 @@
 	return http.NoBody
 }
 
-// hopByHop are the headers that end at each connection (RFC 9110, 7.6.1).
-var hopByHop = []string{
+// hopByHopHeaders are the headers that end at each connection (RFC 9110, 7.6.1).
+var hopByHopHeaders = []string{
 	"Connection", "Proxy-Connection", "Keep-Alive", "Proxy-Authenticate",
 	"Proxy-Authorization", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
@@ -138,7 +138,7 @@
 			out.Del(strings.TrimSpace(name))
 		}
 	}
-	for _, name := range hopByHop {
+	for _, name := range hopByHopHeaders {
 		out.Del(name)
 	}
 	return out
