--- a/internal/settings/file.go
+++ b/internal/settings/file.go
@@ -8,8 +8,8 @@
 	"github.com/birchdrift/birchdrift/core/code"
 )
 
-// maxFile bounds the settings file, in bytes.
-const maxFile = 1 << 20
+// maxFileSize bounds the settings file, in bytes.
+const maxFileSize = 1 << 20
 
 // A Source is where settings come from: flags and variables that were given,
 // then the settings file, then the defaults.
@@ -44,7 +44,7 @@
 		return nil
 	}
 	data, err := os.ReadFile(s.Path)
-	if err != nil || len(data) > maxFile {
+	if err != nil || len(data) > maxFileSize {
 		return nil
 	}
 	return data
@@ -58,8 +58,8 @@
 	if err != nil {
 		return nil, nil, code.Errorf(code.BadSetting, "the settings file: %v", err)
 	}
-	if len(data) > maxFile {
-		return data, nil, code.Errorf(code.BadSetting, "the settings file %s has %d bytes, at most %d allowed", s.Path, len(data), maxFile)
+	if len(data) > maxFileSize {
+		return data, nil, code.Errorf(code.BadSetting, "the settings file %s has %d bytes, at most %d allowed", s.Path, len(data), maxFileSize)
 	}
 	var fields map[string]yaml.Node
 	if err := yaml.Unmarshal(data, &fields); err != nil {
