--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -82,9 +82,9 @@
 	}
 }
 
-// TestABoundThatCannotBeKeptIsTold: a platform's bound is no fault of the settings, so the instance
+// TestBoundThatCannotBeKeptIsReported: a platform's bound is no fault of the settings, so the instance
 // starts, and says so.
-func TestABoundThatCannotBeKeptIsTold(t *testing.T) {
+func TestBoundThatCannotBeKeptIsReported(t *testing.T) {
 	is := is.New(t)
 	for bound, kept := range map[string]bool{"2s": true, "3s": true, "400ms": false} {
 		s, faults := Parse(values(map[string]string{"environment": EnvironmentPlatform, "leave-bound": bound}))
