--- a/internal/shell/shell.go
+++ b/internal/shell/shell.go
@@ -34,9 +34,9 @@
 // eventQueue is how many events may wait for the machine.
 const eventQueue = 4096
 
-// mailbox is how many actions may wait for one call's handler. The machine
+// mailboxSize is how many actions may wait for one call's handler. The machine
 // gives a call one action at a time and waits for its outcome.
-const mailbox = 4
+const mailboxSize = 4
 
 // An Environment carries out what depends on the environment that an instance
 // runs in.
@@ -224,7 +224,7 @@
 
 // Begin brings a call to the machine.
 func (s *Shell) Begin(call calls.Request) Session {
-	box := &callBox{actions: make(chan step.Action, mailbox)}
+	box := &callBox{actions: make(chan step.Action, mailboxSize)}
 	s.do(func(s *Shell) step.Event {
 		s.calls[call.ID] = box
 		return calls.Arrived{Call: call}
