--- a/internal/shell/shell.go
+++ b/internal/shell/shell.go
@@ -31,8 +31,8 @@
 	"github.com/birchdrift/birchdrift/internal/telemetry"
 )
 
-// eventQueue is how many events may wait for the machine.
-const eventQueue = 4096
+// eventQueueSize is how many events may wait for the machine.
+const eventQueueSize = 4096
 
 // mailboxSize is how many actions may wait for one call's handler. The machine
 // gives a call one action at a time and waits for its outcome.
@@ -100,7 +100,7 @@
 		log:     log,
 		metrics: metrics,
 		clocks:  newClocks(),
-		events:  make(chan func(*Shell) step.Event, eventQueue),
+		events:  make(chan func(*Shell) step.Event, eventQueueSize),
 		calls:   map[calls.ID]*callBox{},
 		asks:    map[uint64]chan gossip.Message{},
 		orders:  map[uint64]chan peer.OrderReply{},
