--- a/internal/shell/actions.go
+++ b/internal/shell/actions.go
@@ -47,9 +47,9 @@
 	case exchange.SendRequest:
 		s.work(func(ctx context.Context) { s.exchange(ctx, act) })
 	case exchange.SendReply:
-		if reply, ok := s.asks[act.Token]; ok {
+		if reply, ok := s.exchangeReplies[act.Token]; ok {
 			reply <- act.Message
-			delete(s.asks, act.Token)
+			delete(s.exchangeReplies, act.Token)
 		}
 	case quarantine.Check:
 		s.work(func(ctx context.Context) { s.check(ctx, act) })
--- a/internal/shell/shell.go
+++ b/internal/shell/shell.go
@@ -78,35 +78,35 @@
 	metrics     *telemetry.Metrics
 	clocks      *clocks
 
-	events   chan func(*Shell) step.Event
-	calls    map[calls.ID]*callBox
-	asks     map[uint64]chan gossip.Message
-	orders   map[uint64]chan peer.OrderReply
-	permits  map[uint64]chan permits.Decision
-	nextAsk  uint64
-	workers  sync.WaitGroup
-	exited   chan shutdown.Exit
-	ctx      context.Context
-	snapshot snapshotCell
+	events          chan func(*Shell) step.Event
+	calls           map[calls.ID]*callBox
+	exchangeReplies map[uint64]chan gossip.Message
+	orders          map[uint64]chan peer.OrderReply
+	permits         map[uint64]chan permits.Decision
+	nextAsk         uint64
+	workers         sync.WaitGroup
+	exited          chan shutdown.Exit
+	ctx             context.Context
+	snapshot        snapshotCell
 }
 
 // New returns a shell that lives as long as ctx and is joined to an environment;
 // Run starts it.
 func New(ctx context.Context, self member.Identity, m *instance.Machine, join EnvironmentFactory, peers *peer.Client, log logr.Logger, metrics *telemetry.Metrics) *Shell {
 	s := &Shell{
-		machine: m,
-		self:    self,
-		peers:   peers,
-		log:     log,
-		metrics: metrics,
-		clocks:  newClocks(),
-		events:  make(chan func(*Shell) step.Event, eventQueueSize),
-		calls:   map[calls.ID]*callBox{},
-		asks:    map[uint64]chan gossip.Message{},
-		orders:  map[uint64]chan peer.OrderReply{},
-		permits: map[uint64]chan permits.Decision{},
-		exited:  make(chan shutdown.Exit, 1),
-		ctx:     ctx,
+		machine:         m,
+		self:            self,
+		peers:           peers,
+		log:             log,
+		metrics:         metrics,
+		clocks:          newClocks(),
+		events:          make(chan func(*Shell) step.Event, eventQueueSize),
+		calls:           map[calls.ID]*callBox{},
+		exchangeReplies: map[uint64]chan gossip.Message{},
+		orders:          map[uint64]chan peer.OrderReply{},
+		permits:         map[uint64]chan permits.Decision{},
+		exited:          make(chan shutdown.Exit, 1),
+		ctx:             ctx,
 	}
 	if !s.clocks.counting() {
 		s.event(logevent.SleepUncounted)
@@ -263,7 +263,7 @@
 	reply := make(chan gossip.Message, 1)
 	s.do(func(s *Shell) step.Event {
 		s.nextAsk++
-		s.asks[s.nextAsk] = reply
+		s.exchangeReplies[s.nextAsk] = reply
 		return exchange.RequestReceived{Token: s.nextAsk, Message: msg}
 	})
 	s.decodeConfig(msg)
