--- a/internal/shell/actions.go
+++ b/internal/shell/actions.go
@@ -63,9 +63,9 @@
 			delete(s.permits, act.Token)
 		}
 	case owned.SendReply:
-		if reply, ok := s.orders[act.Token]; ok {
+		if reply, ok := s.orderReplies[act.Token]; ok {
 			reply <- peer.OrderReply{Outcome: act.Outcome, Detail: act.Detail}
-			delete(s.orders, act.Token)
+			delete(s.orderReplies, act.Token)
 		}
 	case instance.ConfigInstalled:
 		s.snapshot.install = act.Snapshot
@@ -214,7 +214,7 @@
 	reply := make(chan peer.OrderReply, 1)
 	s.do(func(s *Shell) step.Event {
 		s.nextAsk++
-		s.orders[s.nextAsk] = reply
+		s.orderReplies[s.nextAsk] = reply
 		return owned.RequestReceived{Token: s.nextAsk, Engine: engine, Request: r}
 	})
 	select {
--- a/internal/shell/shell.go
+++ b/internal/shell/shell.go
@@ -81,7 +81,7 @@
 	events          chan func(*Shell) step.Event
 	calls           map[calls.ID]*callBox
 	exchangeReplies map[uint64]chan gossip.Message
-	orders          map[uint64]chan peer.OrderReply
+	orderReplies    map[uint64]chan peer.OrderReply
 	permits         map[uint64]chan permits.Decision
 	nextAsk         uint64
 	workers         sync.WaitGroup
@@ -103,7 +103,7 @@
 		events:          make(chan func(*Shell) step.Event, eventQueueSize),
 		calls:           map[calls.ID]*callBox{},
 		exchangeReplies: map[uint64]chan gossip.Message{},
-		orders:          map[uint64]chan peer.OrderReply{},
+		orderReplies:    map[uint64]chan peer.OrderReply{},
 		permits:         map[uint64]chan permits.Decision{},
 		exited:          make(chan shutdown.Exit, 1),
 		ctx:             ctx,
