--- a/internal/shell/actions.go
+++ b/internal/shell/actions.go
@@ -58,9 +58,9 @@
 	case permits.SendRequest:
 		s.work(func(ctx context.Context) { s.askPermit(ctx, act) })
 	case permits.SendReply:
-		if reply, ok := s.permits[act.Token]; ok {
+		if reply, ok := s.permitReplies[act.Token]; ok {
 			reply <- act.Verdict
-			delete(s.permits, act.Token)
+			delete(s.permitReplies, act.Token)
 		}
 	case owned.SendReply:
 		if reply, ok := s.orderReplies[act.Token]; ok {
@@ -198,7 +198,7 @@
 	reply := make(chan permits.Decision, 1)
 	s.do(func(s *Shell) step.Event {
 		s.nextAsk++
-		s.permits[s.nextAsk] = reply
+		s.permitReplies[s.nextAsk] = reply
 		return permits.RequestReceived{Token: s.nextAsk, From: from, Request: r}
 	})
 	select {
--- a/internal/shell/shell.go
+++ b/internal/shell/shell.go
@@ -82,7 +82,7 @@
 	calls           map[calls.ID]*callBox
 	exchangeReplies map[uint64]chan gossip.Message
 	orderReplies    map[uint64]chan peer.OrderReply
-	permits         map[uint64]chan permits.Decision
+	permitReplies   map[uint64]chan permits.Decision
 	nextAsk         uint64
 	workers         sync.WaitGroup
 	exited          chan shutdown.Exit
@@ -104,7 +104,7 @@
 		calls:           map[calls.ID]*callBox{},
 		exchangeReplies: map[uint64]chan gossip.Message{},
 		orderReplies:    map[uint64]chan peer.OrderReply{},
-		permits:         map[uint64]chan permits.Decision{},
+		permitReplies:   map[uint64]chan permits.Decision{},
 		exited:          make(chan shutdown.Exit, 1),
 		ctx:             ctx,
 	}
