--- a/internal/shell/actions.go
+++ b/internal/shell/actions.go
@@ -197,9 +197,9 @@
 func (s *Shell) HandlePermitRequest(ctx context.Context, from string, r permits.Request) (permits.Decision, error) {
 	reply := make(chan permits.Decision, 1)
 	s.do(func(s *Shell) step.Event {
-		s.nextAsk++
-		s.permitReplies[s.nextAsk] = reply
-		return permits.RequestReceived{Token: s.nextAsk, From: from, Request: r}
+		s.lastToken++
+		s.permitReplies[s.lastToken] = reply
+		return permits.RequestReceived{Token: s.lastToken, From: from, Request: r}
 	})
 	select {
 	case v := <-reply:
@@ -213,9 +213,9 @@
 func (s *Shell) HandleOrderRequest(ctx context.Context, engine string, r orders.Request) (peer.OrderReply, error) {
 	reply := make(chan peer.OrderReply, 1)
 	s.do(func(s *Shell) step.Event {
-		s.nextAsk++
-		s.orderReplies[s.nextAsk] = reply
-		return owned.RequestReceived{Token: s.nextAsk, Engine: engine, Request: r}
+		s.lastToken++
+		s.orderReplies[s.lastToken] = reply
+		return owned.RequestReceived{Token: s.lastToken, Engine: engine, Request: r}
 	})
 	select {
 	case out := <-reply:
--- a/internal/shell/shell.go
+++ b/internal/shell/shell.go
@@ -83,7 +83,7 @@
 	exchangeReplies map[uint64]chan gossip.Message
 	orderReplies    map[uint64]chan peer.OrderReply
 	permitReplies   map[uint64]chan permits.Decision
-	nextAsk         uint64
+	lastToken       uint64
 	workers         sync.WaitGroup
 	exited          chan shutdown.Exit
 	ctx             context.Context
@@ -262,9 +262,9 @@
 func (s *Shell) HandleExchange(ctx context.Context, msg gossip.Message) (gossip.Message, error) {
 	reply := make(chan gossip.Message, 1)
 	s.do(func(s *Shell) step.Event {
-		s.nextAsk++
-		s.exchangeReplies[s.nextAsk] = reply
-		return exchange.RequestReceived{Token: s.nextAsk, Message: msg}
+		s.lastToken++
+		s.exchangeReplies[s.lastToken] = reply
+		return exchange.RequestReceived{Token: s.lastToken, Message: msg}
 	})
 	s.decodeConfig(msg)
 	select {
