--- a/internal/shell/shell.go
+++ b/internal/shell/shell.go
@@ -87,7 +87,7 @@
 	workers         sync.WaitGroup
 	exited          chan shutdown.Exit
 	ctx             context.Context
-	snapshot        snapshotCell
+	published       snapshotCell
 }
 
 // New returns a shell that lives as long as ctx and is joined to an environment;
@@ -155,7 +155,7 @@
 	for _, a := range s.machine.Step(s.Now(), ev) {
 		s.carryOut(a)
 	}
-	s.snapshot.publish(s.machine)
+	s.published.publish(s.machine)
 }
 
 // post hands an event to the machine's goroutine.
@@ -185,13 +185,13 @@
 func (s *Shell) Stop() { s.post(instance.Stop{}) }
 
 // Config returns the configuration in force, nil if there is none.
-func (s *Shell) Config() *config.Snapshot { return s.snapshot.config() }
+func (s *Shell) Config() *config.Snapshot { return s.published.config() }
 
 // Ready reports whether the balancer should send calls here, and if not, why.
-func (s *Shell) Ready() (bool, string) { return s.snapshot.ready() }
+func (s *Shell) Ready() (bool, string) { return s.published.ready() }
 
 // Stopping reports whether a planned stop has begun.
-func (s *Shell) Stopping() bool { return s.snapshot.stopping() }
+func (s *Shell) Stopping() bool { return s.published.stopping() }
 
 // Status asks the machine for its state.
 func (s *Shell) Status(ctx context.Context) (instance.Status, error) {
