--- a/internal/shell/actions.go
+++ b/internal/shell/actions.go
@@ -45,18 +45,18 @@
 		s.deliver(act.ID, act)
 		delete(s.calls, act.ID)
 	case exchange.SendRequest:
-		s.work(func(ctx context.Context) { s.exchange(ctx, act) })
+		s.startWorker(func(ctx context.Context) { s.exchange(ctx, act) })
 	case exchange.SendReply:
 		if reply, ok := s.exchangeReplies[act.Token]; ok {
 			reply <- act.Message
 			delete(s.exchangeReplies, act.Token)
 		}
 	case quarantine.Check:
-		s.work(func(ctx context.Context) { s.check(ctx, act) })
+		s.startWorker(func(ctx context.Context) { s.check(ctx, act) })
 	case orderclient.SendRequest:
-		s.work(func(ctx context.Context) { s.askOrder(ctx, act) })
+		s.startWorker(func(ctx context.Context) { s.askOrder(ctx, act) })
 	case permits.SendRequest:
-		s.work(func(ctx context.Context) { s.askPermit(ctx, act) })
+		s.startWorker(func(ctx context.Context) { s.askPermit(ctx, act) })
 	case permits.SendReply:
 		if reply, ok := s.permitReplies[act.Token]; ok {
 			reply <- act.Verdict
@@ -75,12 +75,12 @@
 		s.exited <- act
 	default:
 		if work := s.environment.CarryOut(a); work != nil {
-			s.work(work)
+			s.startWorker(work)
 		}
 	}
 }
 
-func (s *Shell) work(f func(ctx context.Context)) {
+func (s *Shell) startWorker(f func(ctx context.Context)) {
 	s.workers.Go(func() { f(s.ctx) })
 }
 
@@ -140,7 +140,7 @@
 	if len(msg.Config) == 0 || msg.Revision <= s.Config().Revision() {
 		return
 	}
-	s.work(func(context.Context) { s.postConfig(msg.Config, msg.From) })
+	s.startWorker(func(context.Context) { s.postConfig(msg.Config, msg.From) })
 }
 
 func (s *Shell) exchange(ctx context.Context, a exchange.SendRequest) {
