--- a/internal/shell/actions.go
+++ b/internal/shell/actions.go
@@ -196,7 +196,7 @@
 // HandlePermitRequest answers a peer that asks for a permit.
 func (s *Shell) HandlePermitRequest(ctx context.Context, from string, r permits.Request) (permits.Decision, error) {
 	reply := make(chan permits.Decision, 1)
-	s.do(func(s *Shell) step.Event {
+	s.submit(func(s *Shell) step.Event {
 		s.lastToken++
 		s.permitReplies[s.lastToken] = reply
 		return permits.RequestReceived{Token: s.lastToken, From: from, Request: r}
@@ -212,7 +212,7 @@
 // HandleOrderRequest answers a peer that asks for an order.
 func (s *Shell) HandleOrderRequest(ctx context.Context, engine string, r orders.Request) (peer.OrderReply, error) {
 	reply := make(chan peer.OrderReply, 1)
-	s.do(func(s *Shell) step.Event {
+	s.submit(func(s *Shell) step.Event {
 		s.lastToken++
 		s.orderReplies[s.lastToken] = reply
 		return owned.RequestReceived{Token: s.lastToken, Engine: engine, Request: r}
--- a/internal/shell/shell.go
+++ b/internal/shell/shell.go
@@ -160,12 +160,12 @@
 
 // post hands an event to the machine's goroutine.
 func (s *Shell) post(ev step.Event) {
-	s.do(func(*Shell) step.Event { return ev })
+	s.submit(func(*Shell) step.Event { return ev })
 }
 
-// do runs f on the machine's goroutine; the event it returns, if any, is
+// submit runs f on the machine's goroutine; the event it returns, if any, is
 // stepped. Nothing happens once the shell has ended.
-func (s *Shell) do(f func(*Shell) step.Event) {
+func (s *Shell) submit(f func(*Shell) step.Event) {
 	select {
 	case s.events <- f:
 	case <-s.ctx.Done():
@@ -196,7 +196,7 @@
 // Status asks the machine for its state.
 func (s *Shell) Status(ctx context.Context) (instance.Status, error) {
 	reply := make(chan instance.Status, 1)
-	s.do(func(s *Shell) step.Event {
+	s.submit(func(s *Shell) step.Event {
 		reply <- s.machine.Status(s.Now())
 		return nil
 	})
@@ -225,7 +225,7 @@
 // Begin brings a call to the machine.
 func (s *Shell) Begin(call calls.Request) Session {
 	box := &callBox{actions: make(chan step.Action, mailboxSize)}
-	s.do(func(s *Shell) step.Event {
+	s.submit(func(s *Shell) step.Event {
 		s.calls[call.ID] = box
 		return calls.Arrived{Call: call}
 	})
@@ -252,7 +252,7 @@
 }
 
 func (c Session) end(ev step.Event) {
-	c.shell.do(func(s *Shell) step.Event {
+	c.shell.submit(func(s *Shell) step.Event {
 		delete(s.calls, c.ID)
 		return ev
 	})
@@ -261,7 +261,7 @@
 // HandleExchange answers an exchange that a peer began.
 func (s *Shell) HandleExchange(ctx context.Context, msg gossip.Message) (gossip.Message, error) {
 	reply := make(chan gossip.Message, 1)
-	s.do(func(s *Shell) step.Event {
+	s.submit(func(s *Shell) step.Event {
 		s.lastToken++
 		s.exchangeReplies[s.lastToken] = reply
 		return exchange.RequestReceived{Token: s.lastToken, Message: msg}
