--- a/internal/shell/actions.go
+++ b/internal/shell/actions.go
@@ -52,7 +52,7 @@
 			delete(s.exchangeReplies, act.Token)
 		}
 	case quarantine.Check:
-		s.startWorker(func(ctx context.Context) { s.check(ctx, act) })
+		s.startWorker(func(ctx context.Context) { s.checkReplica(ctx, act) })
 	case orderclient.SendRequest:
 		s.startWorker(func(ctx context.Context) { s.askOrder(ctx, act) })
 	case permits.SendRequest:
@@ -157,8 +157,8 @@
 	s.post(exchange.Reply{Peer: a.Peer, Address: a.Address, Message: reply, Err: err})
 }
 
-// check sees whether a process listens at a replica's address.
-func (s *Shell) check(ctx context.Context, a quarantine.Check) {
+// checkReplica sees whether a process listens at a replica's address.
+func (s *Shell) checkReplica(ctx context.Context, a quarantine.Check) {
 	err := upstream.CheckReachable(ctx, a.Address)
 	s.post(quarantine.Checked{Replica: a.Replica, Ended: upstream.ConnectionRefused(err)})
 }
