--- a/internal/shell/actions.go
+++ b/internal/shell/actions.go
@@ -54,7 +54,7 @@
 	case quarantine.Check:
 		s.startWorker(func(ctx context.Context) { s.checkReplica(ctx, act) })
 	case orderclient.SendRequest:
-		s.startWorker(func(ctx context.Context) { s.askOrder(ctx, act) })
+		s.startWorker(func(ctx context.Context) { s.requestOrder(ctx, act) })
 	case permits.SendRequest:
 		s.startWorker(func(ctx context.Context) { s.askPermit(ctx, act) })
 	case permits.SendReply:
@@ -166,7 +166,7 @@
 // askTime bounds how long the owner of an engine is waited for.
 const askTime = time.Second
 
-func (s *Shell) askOrder(ctx context.Context, a orderclient.SendRequest) {
+func (s *Shell) requestOrder(ctx context.Context, a orderclient.SendRequest) {
 	ctx, done := context.WithTimeout(ctx, askTime)
 	defer done()
 	reply, err := s.peers.RequestOrder(ctx, a.Address, s.self.Name, a.Engine, a.Request)
