--- a/internal/shell/actions.go
+++ b/internal/shell/actions.go
@@ -56,7 +56,7 @@
 	case orderclient.SendRequest:
 		s.startWorker(func(ctx context.Context) { s.requestOrder(ctx, act) })
 	case permits.SendRequest:
-		s.startWorker(func(ctx context.Context) { s.askPermit(ctx, act) })
+		s.startWorker(func(ctx context.Context) { s.requestPermit(ctx, act) })
 	case permits.SendReply:
 		if reply, ok := s.permitReplies[act.Token]; ok {
 			reply <- act.Verdict
@@ -180,7 +180,7 @@
 // there (docs/design/limits.md).
 const permitTime = 200 * time.Millisecond
 
-func (s *Shell) askPermit(ctx context.Context, a permits.SendRequest) {
+func (s *Shell) requestPermit(ctx context.Context, a permits.SendRequest) {
 	ctx, done := context.WithTimeout(ctx, a.Request.Wait+permitTime)
 	defer done()
 	verdict, err := s.peers.RequestPermit(ctx, a.Address, s.self.Name, a.Request)
