--- a/internal/shell/shell.go
+++ b/internal/shell/shell.go
@@ -79,7 +79,7 @@
 	clocks      *clocks
 
 	events          chan func(*Shell) step.Event
-	calls           map[calls.ID]*callBox
+	calls           map[calls.ID]*callMailbox
 	exchangeReplies map[uint64]chan gossip.Message
 	orderReplies    map[uint64]chan peer.OrderReply
 	permitReplies   map[uint64]chan permits.Decision
@@ -101,7 +101,7 @@
 		metrics:         metrics,
 		clocks:          newClocks(),
 		events:          make(chan func(*Shell) step.Event, eventQueueSize),
-		calls:           map[calls.ID]*callBox{},
+		calls:           map[calls.ID]*callMailbox{},
 		exchangeReplies: map[uint64]chan gossip.Message{},
 		orderReplies:    map[uint64]chan peer.OrderReply{},
 		permitReplies:   map[uint64]chan permits.Decision{},
@@ -208,8 +208,8 @@
 	}
 }
 
-// A callBox is the shell's side of one call.
-type callBox struct {
+// A callMailbox is the shell's side of one call.
+type callMailbox struct {
 	actions   chan step.Action
 	interrupt atomic.Pointer[context.CancelFunc]
 }
@@ -218,13 +218,13 @@
 type Session struct {
 	ID      calls.ID
 	Actions <-chan step.Action // Dispatch or Finish
-	box     *callBox
+	box     *callMailbox
 	shell   *Shell
 }
 
 // Begin brings a call to the machine.
 func (s *Shell) Begin(call calls.Request) Session {
-	box := &callBox{actions: make(chan step.Action, mailboxSize)}
+	box := &callMailbox{actions: make(chan step.Action, mailboxSize)}
 	s.submit(func(s *Shell) step.Event {
 		s.calls[call.ID] = box
 		return calls.Arrived{Call: call}
