--- a/internal/shell/shell.go
+++ b/internal/shell/shell.go
@@ -218,7 +218,7 @@
 type Session struct {
 	ID      calls.ID
 	Actions <-chan step.Action // Dispatch or Finish
-	box     *callMailbox
+	mailbox *callMailbox
 	shell   *Shell
 }
 
@@ -229,12 +229,12 @@
 		s.calls[call.ID] = box
 		return calls.Arrived{Call: call}
 	})
-	return Session{ID: call.ID, Actions: box.actions, box: box, shell: s}
+	return Session{ID: call.ID, Actions: box.actions, mailbox: box, shell: s}
 }
 
 // SetInterrupt sets what is called when the call is finished while an attempt is
 // under way, as a stop does to calls that it cuts off.
-func (c Session) SetInterrupt(cancel context.CancelFunc) { c.box.interrupt.Store(&cancel) }
+func (c Session) SetInterrupt(cancel context.CancelFunc) { c.mailbox.interrupt.Store(&cancel) }
 
 // AnswerBegan tells the machine that the first piece came.
 func (c Session) AnswerBegan() { c.shell.post(calls.AnswerBegan{ID: c.ID}) }
