--- a/internal/shell/actions.go
+++ b/internal/shell/actions.go
@@ -163,11 +163,11 @@
 	s.post(quarantine.Checked{Replica: a.Replica, Ended: upstream.ConnectionRefused(err)})
 }
 
-// askTime bounds how long the owner of an engine is waited for.
-const askTime = time.Second
+// orderTimeout bounds how long the owner of an engine is waited for.
+const orderTimeout = time.Second
 
 func (s *Shell) requestOrder(ctx context.Context, a orderclient.SendRequest) {
-	ctx, done := context.WithTimeout(ctx, askTime)
+	ctx, done := context.WithTimeout(ctx, orderTimeout)
 	defer done()
 	reply, err := s.peers.RequestOrder(ctx, a.Address, s.self.Name, a.Engine, a.Request)
 	if err != nil {
