--- a/internal/shell/actions.go
+++ b/internal/shell/actions.go
@@ -176,12 +176,12 @@
 	s.post(orderclient.Reply{Engine: a.Engine, Request: a.Request, Outcome: reply.Outcome, Detail: reply.Detail})
 }
 
-// permitTime bounds how long a peer is waited for beyond the time that the request may wait
+// permitTimeout bounds how long a peer is waited for beyond the time that the request may wait
 // there (docs/design/limits.md).
-const permitTime = 200 * time.Millisecond
+const permitTimeout = 200 * time.Millisecond
 
 func (s *Shell) requestPermit(ctx context.Context, a permits.SendRequest) {
-	ctx, done := context.WithTimeout(ctx, a.Request.Wait+permitTime)
+	ctx, done := context.WithTimeout(ctx, a.Request.Wait+permitTimeout)
 	defer done()
 	verdict, err := s.peers.RequestPermit(ctx, a.Address, s.self.Name, a.Request)
 	if a.Request.Unused {
