--- a/internal/shell/clocks.go
+++ b/internal/shell/clocks.go
@@ -8,9 +8,9 @@
 	"github.com/birchdrift/birchdrift/core/clock"
 )
 
-// firstReading is what the steady clock shows at the start, so that no instant is zero:
+// initialMono is what the steady clock shows at the start, so that no instant is zero:
 // any time would do.
-const firstReading = time.Second
+const initialMono = time.Second
 
 // clocks reads the machine's clocks.
 type clocks struct {
@@ -44,7 +44,7 @@
 			mono = since - c.booted
 		}
 	}
-	return clock.Instant{Mono: mono + firstReading, Wall: t.Round(0)}
+	return clock.Instant{Mono: mono + initialMono, Wall: t.Round(0)}
 }
 
 // sinceBoot returns the time since the machine started, its sleep included.
--- a/internal/shell/shell_test.go
+++ b/internal/shell/shell_test.go
@@ -136,11 +136,11 @@
 	booted, err := sinceBoot()
 	is.NoErr(err)
 	slept := &clocks{start: time.Now(), booted: booted, boot: func() (time.Duration, error) { return booted + time.Hour, nil }}
-	is.Equal(slept.now().Mono, time.Hour+firstReading)
+	is.Equal(slept.now().Mono, time.Hour+initialMono)
 
 	without := &clocks{start: time.Now()}
 	is.True(!without.counting())
-	is.True(without.now().Mono >= firstReading)
+	is.True(without.now().Mono >= initialMono)
 	is.True(without.now().Mono < time.Minute)
 }
 
