--- a/internal/shell/clocks.go
+++ b/internal/shell/clocks.go
@@ -29,8 +29,8 @@
 	return c
 }
 
-// counting reports whether the steady reading counts the time that the machine sleeps.
-func (c *clocks) counting() bool { return c.boot != nil }
+// countsSleep reports whether the steady reading counts the time that the machine sleeps.
+func (c *clocks) countsSleep() bool { return c.boot != nil }
 
 // now reads both clocks. The steady one goes on while the machine sleeps, unlike Go's own,
 // where the system offers such a clock: rights that lapse meanwhile have lapsed on
@@ -39,7 +39,7 @@
 func (c *clocks) now() clock.Instant {
 	t := time.Now()
 	mono := t.Sub(c.start)
-	if c.counting() {
+	if c.countsSleep() {
 		if since, err := c.boot(); err == nil {
 			mono = since - c.booted
 		}
--- a/internal/shell/shell.go
+++ b/internal/shell/shell.go
@@ -108,7 +108,7 @@
 		exited:          make(chan shutdown.Exit, 1),
 		ctx:             ctx,
 	}
-	if !s.clocks.counting() {
+	if !s.clocks.countsSleep() {
 		s.event(logevent.SleepUncounted)
 	}
 	s.environment = join(Host{
--- a/internal/shell/shell_test.go
+++ b/internal/shell/shell_test.go
@@ -126,7 +126,7 @@
 func TestSleepIsCounted(t *testing.T) {
 	is := is.New(t)
 	c := newClocks()
-	is.True(c.counting())
+	is.True(c.countsSleep())
 	before := c.now()
 	time.Sleep(20 * time.Millisecond)
 	after := c.now()
@@ -139,7 +139,7 @@
 	is.Equal(slept.now().Mono, time.Hour+initialMono)
 
 	without := &clocks{start: time.Now()}
-	is.True(!without.counting())
+	is.True(!without.countsSleep())
 	is.True(without.now().Mono >= initialMono)
 	is.True(without.now().Mono < time.Minute)
 }
