--- a/internal/shell/clocks.go
+++ b/internal/shell/clocks.go
@@ -14,9 +14,9 @@
 
 // clocks reads the machine's clocks.
 type clocks struct {
-	start  time.Time                     // of the process
-	booted time.Duration                 // what sinceBoot returned then
-	boot   func() (time.Duration, error) // sinceBoot, a seam for tests
+	start      time.Time                     // of the process
+	bootOffset time.Duration                 // what sinceBoot returned then
+	boot       func() (time.Duration, error) // sinceBoot, a seam for tests
 }
 
 func newClocks() *clocks {
@@ -25,7 +25,7 @@
 	if err != nil {
 		c.boot = nil
 	}
-	c.booted = booted
+	c.bootOffset = booted
 	return c
 }
 
@@ -41,7 +41,7 @@
 	mono := t.Sub(c.start)
 	if c.countsSleep() {
 		if since, err := c.boot(); err == nil {
-			mono = since - c.booted
+			mono = since - c.bootOffset
 		}
 	}
 	return clock.Instant{Mono: mono + initialMono, Wall: t.Round(0)}
