--- a/internal/shell/clocks.go
+++ b/internal/shell/clocks.go
@@ -14,23 +14,23 @@
 
 // clocks reads the machine's clocks.
 type clocks struct {
-	start      time.Time                     // of the process
-	bootOffset time.Duration                 // what sinceBoot returned then
-	boot       func() (time.Duration, error) // sinceBoot, a seam for tests
+	start         time.Time                     // of the process
+	bootOffset    time.Duration                 // what sinceBoot returned then
+	readSinceBoot func() (time.Duration, error) // sinceBoot, a seam for tests
 }
 
 func newClocks() *clocks {
-	c := &clocks{start: time.Now(), boot: sinceBoot}
-	booted, err := c.boot()
+	c := &clocks{start: time.Now(), readSinceBoot: sinceBoot}
+	booted, err := c.readSinceBoot()
 	if err != nil {
-		c.boot = nil
+		c.readSinceBoot = nil
 	}
 	c.bootOffset = booted
 	return c
 }
 
 // countsSleep reports whether the steady reading counts the time that the machine sleeps.
-func (c *clocks) countsSleep() bool { return c.boot != nil }
+func (c *clocks) countsSleep() bool { return c.readSinceBoot != nil }
 
 // now reads both clocks. The steady one goes on while the machine sleeps, unlike Go's own,
 // where the system offers such a clock: rights that lapse meanwhile have lapsed on
@@ -40,7 +40,7 @@
 	t := time.Now()
 	mono := t.Sub(c.start)
 	if c.countsSleep() {
-		if since, err := c.boot(); err == nil {
+		if since, err := c.readSinceBoot(); err == nil {
 			mono = since - c.bootOffset
 		}
 	}
--- a/internal/shell/shell_test.go
+++ b/internal/shell/shell_test.go
@@ -135,7 +135,7 @@
 
 	booted, err := sinceBoot()
 	is.NoErr(err)
-	slept := &clocks{start: time.Now(), bootOffset: booted, boot: func() (time.Duration, error) { return booted + time.Hour, nil }}
+	slept := &clocks{start: time.Now(), bootOffset: booted, readSinceBoot: func() (time.Duration, error) { return booted + time.Hour, nil }}
 	is.Equal(slept.now().Mono, time.Hour+initialMono)
 
 	without := &clocks{start: time.Now()}
