--- a/internal/shell/snapshot.go
+++ b/internal/shell/snapshot.go
@@ -9,10 +9,10 @@
 
 // A view is what handlers may read without asking the machine. It is immutable.
 type view struct {
-	config *config.Snapshot
-	ready  bool
-	reason string
-	stops  bool // a planned stop has begun
+	config   *config.Snapshot
+	ready    bool
+	reason   string
+	stopping bool // a planned stop has begun
 }
 
 // A snapshotCell holds the latest view.
@@ -24,10 +24,10 @@
 func (c *snapshotCell) publish(m *instance.Machine) {
 	ready, reason := m.Ready()
 	old := c.current.Load()
-	if old != nil && old.ready == ready && old.reason == reason && old.stops == m.Stopping() && old.config == c.install {
+	if old != nil && old.ready == ready && old.reason == reason && old.stopping == m.Stopping() && old.config == c.install {
 		return
 	}
-	c.current.Store(&view{config: c.install, ready: ready, reason: reason, stops: m.Stopping()})
+	c.current.Store(&view{config: c.install, ready: ready, reason: reason, stopping: m.Stopping()})
 }
 
 func (c *snapshotCell) config() *config.Snapshot {
@@ -46,5 +46,5 @@
 
 func (c *snapshotCell) stopping() bool {
 	v := c.current.Load()
-	return v != nil && v.stops
+	return v != nil && v.stopping
 }
