--- a/internal/shell/actions.go
+++ b/internal/shell/actions.go
@@ -68,7 +68,7 @@
 			delete(s.orderReplies, act.Token)
 		}
 	case instance.ConfigInstalled:
-		s.published.install = act.Snapshot
+		s.published.installed = act.Snapshot
 	case step.Log:
 		s.event(act.Event, act.Fields...)
 	case shutdown.Exit:
--- a/internal/shell/snapshot.go
+++ b/internal/shell/snapshot.go
@@ -17,17 +17,17 @@
 
 // A snapshotCell holds the latest view.
 type snapshotCell struct {
-	current atomic.Pointer[view]
-	install *config.Snapshot // written on the machine's goroutine only
+	current   atomic.Pointer[view]
+	installed *config.Snapshot // written on the machine's goroutine only
 }
 
 func (c *snapshotCell) publish(m *instance.Machine) {
 	ready, reason := m.Ready()
 	old := c.current.Load()
-	if old != nil && old.ready == ready && old.reason == reason && old.stopping == m.Stopping() && old.config == c.install {
+	if old != nil && old.ready == ready && old.reason == reason && old.stopping == m.Stopping() && old.config == c.installed {
 		return
 	}
-	c.current.Store(&view{config: c.install, ready: ready, reason: reason, stopping: m.Stopping()})
+	c.current.Store(&view{config: c.installed, ready: ready, reason: reason, stopping: m.Stopping()})
 }
 
 func (c *snapshotCell) config() *config.Snapshot {
