--- a/internal/shell/snapshot.go
+++ b/internal/shell/snapshot.go
@@ -15,13 +15,13 @@
 	stopping bool // a planned stop has begun
 }
 
-// A snapshotCell holds the latest view.
-type snapshotCell struct {
+// A viewCell holds the latest view.
+type viewCell struct {
 	current   atomic.Pointer[view]
 	installed *config.Snapshot // written on the machine's goroutine only
 }
 
-func (c *snapshotCell) publish(m *instance.Machine) {
+func (c *viewCell) publish(m *instance.Machine) {
 	ready, reason := m.Ready()
 	old := c.current.Load()
 	if old != nil && old.ready == ready && old.reason == reason && old.stopping == m.Stopping() && old.config == c.installed {
@@ -30,21 +30,21 @@
 	c.current.Store(&view{config: c.installed, ready: ready, reason: reason, stopping: m.Stopping()})
 }
 
-func (c *snapshotCell) config() *config.Snapshot {
+func (c *viewCell) config() *config.Snapshot {
 	if v := c.current.Load(); v != nil {
 		return v.config
 	}
 	return nil
 }
 
-func (c *snapshotCell) ready() (bool, string) {
+func (c *viewCell) ready() (bool, string) {
 	if v := c.current.Load(); v != nil {
 		return v.ready, v.reason
 	}
 	return false, "starting"
 }
 
-func (c *snapshotCell) stopping() bool {
+func (c *viewCell) stopping() bool {
 	v := c.current.Load()
 	return v != nil && v.stopping
 }
