--- a/internal/shell/shell_test.go
+++ b/internal/shell/shell_test.go
@@ -30,8 +30,8 @@
 	"github.com/birchdrift/birchdrift/internal/upstream/proxytest"
 )
 
-// nobody returns an address at which nobody listens.
-func nobody(t *testing.T) string {
+// unusedAddress returns an address at which unusedAddress listens.
+func unusedAddress(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -110,7 +110,7 @@
 	defer goleak.VerifyNone(t, goleak.IgnoreCurrent())
 	t.Run("call", func(t *testing.T) {
 		is := is.New(t)
-		s := running(t, nobody(t))
+		s := running(t, unusedAddress(t))
 		call := s.Begin(calls.Request{ID: 1, Service: "x"})
 		finish, ok := (<-call.Actions).(calls.Finish)
 		is.True(ok)
