--- a/internal/shell/shell_test.go
+++ b/internal/shell/shell_test.go
@@ -41,8 +41,8 @@
 	return l.Addr().String()
 }
 
-// nowhere is an environment that fails every request.
-func nowhere(h Host) Environment {
+// failingEnvironment is an environment that fails every request.
+func failingEnvironment(h Host) Environment {
 	return Environment{
 		CarryOut: func(a step.Action) func(ctx context.Context) {
 			switch a.(type) {
@@ -69,7 +69,7 @@
 	transports := upstream.NewTransports()
 	peers := peer.NewClient(&http.Client{Transport: transports.Reused}, "")
 	ctx, cancel := context.WithCancel(context.Background())
-	s := New(ctx, self, instance.New(self, opt, 1), nowhere, peers, logr.Discard(), telemetry.NewMetrics())
+	s := New(ctx, self, instance.New(self, opt, 1), failingEnvironment, peers, logr.Discard(), telemetry.NewMetrics())
 	ended := make(chan error, 1)
 	go func() { ended <- s.Run() }()
 	t.Cleanup(func() {
