--- a/internal/shell/shell_test.go
+++ b/internal/shell/shell_test.go
@@ -59,9 +59,9 @@
 	}
 }
 
-// running returns a shell under way whose platform is down and whose only
+// startShell returns a shell under way whose platform is down and whose only
 // peer is at seed.
-func running(t *testing.T, seed string) *Shell {
+func startShell(t *testing.T, seed string) *Shell {
 	t.Helper()
 	opt := option.Default()
 	opt.ExchangeEvery = 20 * time.Millisecond
@@ -93,7 +93,7 @@
 		return gossip.Message{}, nil
 	}}.Handler(""))
 	defer other.Close()
-	s := running(t, other.Listener.Addr().String())
+	s := startShell(t, other.Listener.Addr().String())
 	deadline := time.Now().Add(10 * time.Second)
 	for exchanges.Load() < 10 {
 		if time.Now().After(deadline) {
@@ -110,7 +110,7 @@
 	defer goleak.VerifyNone(t, goleak.IgnoreCurrent())
 	t.Run("call", func(t *testing.T) {
 		is := is.New(t)
-		s := running(t, unusedAddress(t))
+		s := startShell(t, unusedAddress(t))
 		call := s.Begin(calls.Request{ID: 1, Service: "x"})
 		finish, ok := (<-call.Actions).(calls.Finish)
 		is.True(ok)
@@ -167,7 +167,7 @@
 	}}.Handler(""))
 	defer other.Close()
 	proxy := proxytest.New(t, other.Listener.Addr().String())
-	running(t, proxy.Address())
+	startShell(t, proxy.Address())
 	await := func(n int64) {
 		t.Helper()
 		deadline := time.Now().Add(exchangeTimeout + 5*time.Second)
