--- a/internal/shell/shell_test.go
+++ b/internal/shell/shell_test.go
@@ -82,10 +82,10 @@
 	return s
 }
 
-// TestQuestionsDoNotPutOffTicks: a state page that is polled without pause must
+// TestStatusRequestsDoNotDelayTicks: a state page that is polled without pause must
 // not keep the machine from its periodic work. Each question once reset the
 // timer, and no tick came for as long as the questions did.
-func TestQuestionsDoNotPutOffTicks(t *testing.T) {
+func TestStatusRequestsDoNotDelayTicks(t *testing.T) {
 	is := is.New(t)
 	var exchanges atomic.Int64
 	other := httptest.NewServer(peer.Server{Take: func(_ context.Context, msg gossip.Message) (gossip.Message, error) {
