--- a/internal/telemetry/writer.go
+++ b/internal/telemetry/writer.go
@@ -8,9 +8,9 @@
 
 // Bounds of buffered logs.
 const (
-	logBuffer  = 256 << 10 // bytes that may wait to be written
-	flushEvery = 100 * time.Millisecond
-	maxPerSec  = 400 // lines a second on average; twice as many for a second
+	logBufferSize = 256 << 10 // bytes that may wait to be written
+	flushEvery    = 100 * time.Millisecond
+	maxPerSec     = 400 // lines a second on average; twice as many for a second
 )
 
 // A LogWriter buffers log lines and writes them in batches, so that nobody who
@@ -42,7 +42,7 @@
 // Write takes one line. It never blocks and never fails.
 func (w *LogWriter) Write(line []byte) (int, error) {
 	w.mu.Lock()
-	kept := w.allowed(time.Now()) && len(w.waiting)+len(line) <= logBuffer
+	kept := w.allowed(time.Now()) && len(w.waiting)+len(line) <= logBufferSize
 	if kept {
 		w.waiting = append(w.waiting, line...)
 	}
