--- a/internal/telemetry/writer.go
+++ b/internal/telemetry/writer.go
@@ -9,7 +9,7 @@
 // Bounds of buffered logs.
 const (
 	logBufferSize = 256 << 10 // bytes that may wait to be written
-	flushEvery    = 100 * time.Millisecond
+	flushInterval = 100 * time.Millisecond
 	maxPerSec     = 400 // lines a second on average; twice as many for a second
 )
 
@@ -66,7 +66,7 @@
 
 func (w *LogWriter) run() {
 	defer close(w.done)
-	ticker := time.NewTicker(flushEvery)
+	ticker := time.NewTicker(flushInterval)
 	defer ticker.Stop()
 	for {
 		select {
