--- a/internal/telemetry/writer.go
+++ b/internal/telemetry/writer.go
@@ -8,9 +8,9 @@
 
 // Bounds of buffered logs.
 const (
-	logBufferSize = 256 << 10 // bytes that may wait to be written
-	flushInterval = 100 * time.Millisecond
-	maxPerSec     = 400 // lines a second on average; twice as many for a second
+	logBufferSize     = 256 << 10 // bytes that may wait to be written
+	flushInterval     = 100 * time.Millisecond
+	maxLinesPerSecond = 400 // lines a second on average; twice as many for a second
 )
 
 // A LogWriter buffers log lines and writes them in batches, so that nobody who
@@ -32,7 +32,7 @@
 // NewLogWriter returns a writer to out; dropped counts what is lost.
 func NewLogWriter(out io.Writer, dropped func(lines int)) *LogWriter {
 	w := &LogWriter{
-		out: out, dropped: dropped, tokens: 2 * maxPerSec, at: time.Now(),
+		out: out, dropped: dropped, tokens: 2 * maxLinesPerSecond, at: time.Now(),
 		closed: make(chan struct{}), done: make(chan struct{}),
 	}
 	go w.run()
@@ -55,7 +55,7 @@
 
 // allowed spends one line of the rate.
 func (w *LogWriter) allowed(now time.Time) bool {
-	w.tokens = min(w.tokens+maxPerSec*now.Sub(w.at).Seconds(), 2*maxPerSec)
+	w.tokens = min(w.tokens+maxLinesPerSecond*now.Sub(w.at).Seconds(), 2*maxLinesPerSecond)
 	w.at = now
 	if w.tokens < 1 {
 		return false
--- a/internal/telemetry/writer_test.go
+++ b/internal/telemetry/writer_test.go
@@ -39,6 +39,6 @@
 	w.Close()
 	kept := strings.Count(out.buf.String(), "\n")
 	is.Equal(kept+dropped, lines)
-	is.True(dropped > 0)         // bounded
-	is.True(kept >= 2*maxPerSec) // a burst is kept
+	is.True(dropped > 0)                 // bounded
+	is.True(kept >= 2*maxLinesPerSecond) // a burst is kept
 }
