--- a/internal/telemetry/writer.go
+++ b/internal/telemetry/writer.go
@@ -20,19 +20,19 @@
 	out     io.Writer
 	dropped func(lines int)
 
-	mu      sync.Mutex
-	waiting []byte
-	spare   []byte
-	tokens  float64
-	at      time.Time
-	closed  chan struct{}
-	done    chan struct{}
+	mu         sync.Mutex
+	waiting    []byte
+	spare      []byte
+	tokens     float64
+	refilledAt time.Time
+	closed     chan struct{}
+	done       chan struct{}
 }
 
 // NewLogWriter returns a writer to out; dropped counts what is lost.
 func NewLogWriter(out io.Writer, dropped func(lines int)) *LogWriter {
 	w := &LogWriter{
-		out: out, dropped: dropped, tokens: 2 * maxLinesPerSecond, at: time.Now(),
+		out: out, dropped: dropped, tokens: 2 * maxLinesPerSecond, refilledAt: time.Now(),
 		closed: make(chan struct{}), done: make(chan struct{}),
 	}
 	go w.run()
@@ -55,8 +55,8 @@
 
 // allowed spends one line of the rate.
 func (w *LogWriter) allowed(now time.Time) bool {
-	w.tokens = min(w.tokens+maxLinesPerSecond*now.Sub(w.at).Seconds(), 2*maxLinesPerSecond)
-	w.at = now
+	w.tokens = min(w.tokens+maxLinesPerSecond*now.Sub(w.refilledAt).Seconds(), 2*maxLinesPerSecond)
+	w.refilledAt = now
 	if w.tokens < 1 {
 		return false
 	}
