--- a/internal/telemetry/writer.go
+++ b/internal/telemetry/writer.go
@@ -21,7 +21,7 @@
 	dropped func(lines int)
 
 	mu         sync.Mutex
-	waiting    []byte
+	buffer     []byte
 	spare      []byte
 	tokens     float64
 	refilledAt time.Time
@@ -42,9 +42,9 @@
 // Write takes one line. It never blocks and never fails.
 func (w *LogWriter) Write(line []byte) (int, error) {
 	w.mu.Lock()
-	kept := w.allowed(time.Now()) && len(w.waiting)+len(line) <= logBufferSize
+	kept := w.allowed(time.Now()) && len(w.buffer)+len(line) <= logBufferSize
 	if kept {
-		w.waiting = append(w.waiting, line...)
+		w.buffer = append(w.buffer, line...)
 	}
 	w.mu.Unlock()
 	if !kept {
@@ -81,8 +81,8 @@
 
 func (w *LogWriter) flush() {
 	w.mu.Lock()
-	batch := w.waiting
-	w.waiting = w.spare[:0]
+	batch := w.buffer
+	w.buffer = w.spare[:0]
 	w.mu.Unlock()
 	if len(batch) > 0 {
 		_, _ = w.out.Write(batch) // there is nowhere to report that logs cannot be written
