--- a/internal/telemetry/writer.go
+++ b/internal/telemetry/writer.go
@@ -42,7 +42,7 @@
 // Write takes one line. It never blocks and never fails.
 func (w *LogWriter) Write(line []byte) (int, error) {
 	w.mu.Lock()
-	kept := w.allowed(time.Now()) && len(w.buffer)+len(line) <= logBufferSize
+	kept := w.takeToken(time.Now()) && len(w.buffer)+len(line) <= logBufferSize
 	if kept {
 		w.buffer = append(w.buffer, line...)
 	}
@@ -53,8 +53,8 @@
 	return len(line), nil
 }
 
-// allowed spends one line of the rate.
-func (w *LogWriter) allowed(now time.Time) bool {
+// takeToken spends one line of the rate.
+func (w *LogWriter) takeToken(now time.Time) bool {
 	w.tokens = min(w.tokens+maxLinesPerSecond*now.Sub(w.refilledAt).Seconds(), 2*maxLinesPerSecond)
 	w.refilledAt = now
 	if w.tokens < 1 {
