--- a/internal/telemetry/metrics.go
+++ b/internal/telemetry/metrics.go
@@ -105,11 +105,11 @@
 	case planner.SendOrder:
 		m.set.GetOrCreateCounter(fmt.Sprintf(`birchdrift_orders_total{op="%s"}`, act.Order.Op)).Inc()
 	case step.Log:
-		m.note(act.Event)
+		m.countEvent(act.Event)
 	}
 }
 
-func (m *Metrics) note(n logevent.Number) {
+func (m *Metrics) countEvent(n logevent.Number) {
 	m.set.GetOrCreateCounter(fmt.Sprintf(`birchdrift_notes_total{event="%d"}`, n)).Inc()
 	switch n {
 	case logevent.CallRetried:
