--- a/internal/telemetry/metrics.go
+++ b/internal/telemetry/metrics.go
@@ -17,36 +17,36 @@
 
 // Metrics are the measures of one instance. They are safe for concurrent use.
 type Metrics struct {
-	set           *metrics.Set
-	platformCalls *metrics.Counter
-	queueTime     *metrics.Histogram
-	firstToken    *metrics.Histogram
-	betweenTokens *metrics.Histogram
-	callTime      *metrics.Histogram
-	retries       *metrics.Counter
-	resumes       *metrics.Counter
-	policyFails   *metrics.Counter
-	logDropped    *metrics.Counter
-	unreadHeaders *metrics.Counter
-	listAge       *metrics.Histogram
+	set            *metrics.Set
+	platformCalls  *metrics.Counter
+	queueTime      *metrics.Histogram
+	firstToken     *metrics.Histogram
+	betweenTokens  *metrics.Histogram
+	callTime       *metrics.Histogram
+	retries        *metrics.Counter
+	resumes        *metrics.Counter
+	policyFailures *metrics.Counter
+	logDropped     *metrics.Counter
+	unreadHeaders  *metrics.Counter
+	listAge        *metrics.Histogram
 }
 
 // NewMetrics returns measures that have counted nothing.
 func NewMetrics() *Metrics {
 	set := metrics.NewSet()
 	return &Metrics{
-		set:           set,
-		platformCalls: set.NewCounter("birchdrift_platform_calls_total"),
-		queueTime:     set.NewHistogram("birchdrift_queue_seconds"),
-		firstToken:    set.NewHistogram("birchdrift_first_token_seconds"),
-		betweenTokens: set.NewHistogram("birchdrift_between_tokens_seconds"),
-		callTime:      set.NewHistogram("birchdrift_call_seconds"),
-		retries:       set.NewCounter("birchdrift_retries_total"),
-		resumes:       set.NewCounter("birchdrift_resumes_total"),
-		policyFails:   set.NewCounter("birchdrift_policy_failures_total"),
-		logDropped:    set.NewCounter("birchdrift_log_lines_dropped_total"),
-		unreadHeaders: set.NewCounter("birchdrift_unread_headers_total"),
-		listAge:       set.NewHistogram("birchdrift_list_age_seconds"),
+		set:            set,
+		platformCalls:  set.NewCounter("birchdrift_platform_calls_total"),
+		queueTime:      set.NewHistogram("birchdrift_queue_seconds"),
+		firstToken:     set.NewHistogram("birchdrift_first_token_seconds"),
+		betweenTokens:  set.NewHistogram("birchdrift_between_tokens_seconds"),
+		callTime:       set.NewHistogram("birchdrift_call_seconds"),
+		retries:        set.NewCounter("birchdrift_retries_total"),
+		resumes:        set.NewCounter("birchdrift_resumes_total"),
+		policyFailures: set.NewCounter("birchdrift_policy_failures_total"),
+		logDropped:     set.NewCounter("birchdrift_log_lines_dropped_total"),
+		unreadHeaders:  set.NewCounter("birchdrift_unread_headers_total"),
+		listAge:        set.NewHistogram("birchdrift_list_age_seconds"),
 	}
 }
 
@@ -117,7 +117,7 @@
 	case logevent.CallResumed:
 		m.resumes.Inc()
 	case logevent.PolicyFailed:
-		m.policyFails.Inc()
+		m.policyFailures.Inc()
 	}
 }
 
