--- a/internal/telemetry/writer_test.go
+++ b/internal/telemetry/writer_test.go
@@ -9,14 +9,14 @@
 	"github.com/matryer/is"
 )
 
-// A stuckWriter blocks until it is let go.
-type stuckWriter struct {
+// A blockedWriter blocks until it is let go.
+type blockedWriter struct {
 	mu  sync.Mutex
 	buf bytes.Buffer
 }
 
 // Write implements io.Writer.
-func (w *stuckWriter) Write(data []byte) (int, error) {
+func (w *blockedWriter) Write(data []byte) (int, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.buf.Write(data)
@@ -26,7 +26,7 @@
 // kept or counted as dropped, and whoever logs goes on.
 func TestLogsNeverBlock(t *testing.T) {
 	is := is.New(t)
-	out := &stuckWriter{}
+	out := &blockedWriter{}
 	dropped := 0
 	w := NewLogWriter(out, func(n int) { dropped += n })
 	out.mu.Lock()
