--- a/internal/upstream/unread.go
+++ b/internal/upstream/unread.go
@@ -20,9 +20,9 @@
 }
 
 const (
-	// unreadNames bounds how many names are reported, so that names which differ from
+	// maxUnreadNames bounds how many names are reported, so that names which differ from
 	// answer to answer fill no log: docs/OPERATIONS.md.
-	unreadNames = 32
+	maxUnreadNames = 32
 	// unreadLength bounds a reported name, in bytes: docs/OPERATIONS.md.
 	unreadLength = 64
 )
@@ -80,7 +80,7 @@
 func (u *UnreadHeaderDetector) look(name string) bool {
 	u.mu.Lock()
 	known := u.known[name]
-	first := !known && !u.reported[name] && len(u.reported) < unreadNames
+	first := !known && !u.reported[name] && len(u.reported) < maxUnreadNames
 	if first {
 		u.reported[name] = true
 	}
--- a/internal/upstream/unread_test.go
+++ b/internal/upstream/unread_test.go
@@ -42,14 +42,14 @@
 	u := NewUnreadHeaderDetector(func(name string) { reported = append(reported, name) }, func() { counted++ })
 	u.Inspect(http.Header{strings.Repeat("N", 5000): {"v"}})
 	is.Equal(reported, []string{strings.Repeat("N", unreadLength)})
-	for i := range 10 * unreadNames {
+	for i := range 10 * maxUnreadNames {
 		u.Inspect(http.Header{fmt.Sprintf("Name-%d", i): {"v"}})
 	}
-	is.Equal(len(reported), unreadNames)
-	is.Equal(len(u.reported), unreadNames)
-	is.Equal(counted, 10*unreadNames+1)
+	is.Equal(len(reported), maxUnreadNames)
+	is.Equal(len(u.reported), maxUnreadNames)
+	is.Equal(counted, 10*maxUnreadNames+1)
 	u.Inspect(http.Header{"Date": {"v"}, "Server-Timing": {"v"}})
-	is.Equal(counted, 10*unreadNames+1)
+	is.Equal(counted, 10*maxUnreadNames+1)
 }
 
 // serveHeads answers every request with these header lines.
