--- a/internal/upstream/unread.go
+++ b/internal/upstream/unread.go
@@ -23,8 +23,8 @@
 	// maxUnreadNames bounds how many names are reported, so that names which differ from
 	// answer to answer fill no log: docs/OPERATIONS.md.
 	maxUnreadNames = 32
-	// unreadLength bounds a reported name, in bytes: docs/OPERATIONS.md.
-	unreadLength = 64
+	// maxUnreadNameLength bounds a reported name, in bytes: docs/OPERATIONS.md.
+	maxUnreadNameLength = 64
 )
 
 // standardHeaders are names of answers' headers that standards give a meaning, or that
@@ -64,8 +64,8 @@
 func (u *UnreadHeaderDetector) Inspect(h http.Header) {
 	found := false
 	for name := range h {
-		if len(name) > unreadLength {
-			name = name[:unreadLength]
+		if len(name) > maxUnreadNameLength {
+			name = name[:maxUnreadNameLength]
 		}
 		if u.look(name) {
 			found = true
--- a/internal/upstream/unread_test.go
+++ b/internal/upstream/unread_test.go
@@ -41,7 +41,7 @@
 	counted := 0
 	u := NewUnreadHeaderDetector(func(name string) { reported = append(reported, name) }, func() { counted++ })
 	u.Inspect(http.Header{strings.Repeat("N", 5000): {"v"}})
-	is.Equal(reported, []string{strings.Repeat("N", unreadLength)})
+	is.Equal(reported, []string{strings.Repeat("N", maxUnreadNameLength)})
 	for i := range 10 * maxUnreadNames {
 		u.Inspect(http.Header{fmt.Sprintf("Name-%d", i): {"v"}})
 	}
