--- a/internal/upstream/unread.go
+++ b/internal/upstream/unread.go
@@ -67,7 +67,7 @@
 		if len(name) > maxUnreadNameLength {
 			name = name[:maxUnreadNameLength]
 		}
-		if u.look(name) {
+		if u.inspectName(name) {
 			found = true
 		}
 	}
@@ -76,8 +76,8 @@
 	}
 }
 
-// look reports whether nothing reads a name, and tells of it for the first time.
-func (u *UnreadHeaderDetector) look(name string) bool {
+// inspectName reports whether nothing reads a name, and tells of it for the first time.
+func (u *UnreadHeaderDetector) inspectName(name string) bool {
 	u.mu.Lock()
 	known := u.known[name]
 	first := !known && !u.reported[name] && len(u.reported) < maxUnreadNames
