--- a/internal/upstream/unread.go
+++ b/internal/upstream/unread.go
@@ -103,14 +103,14 @@
 // An observed is a transport whose answers are looked over.
 type observed struct {
 	http.RoundTripper
-	unread *UnreadHeaderDetector
+	detector *UnreadHeaderDetector
 }
 
 // RoundTrip implements http.RoundTripper.
 func (o observed) RoundTrip(req *http.Request) (*http.Response, error) {
 	resp, err := o.RoundTripper.RoundTrip(req)
 	if err == nil {
-		o.unread.Inspect(resp.Header)
+		o.detector.Inspect(resp.Header)
 	}
 	return resp, err
 }
