--- a/internal/upstream/unread.go
+++ b/internal/upstream/unread.go
@@ -94,20 +94,20 @@
 // Wrap returns transports whose answers are looked over.
 func (u *UnreadHeaderDetector) Wrap(t Transports) Transports {
 	return Transports{
-		Reused: observed{t.Reused, u},
-		Fresh:  observed{t.Fresh, u},
-		Abrupt: observed{t.Abrupt, u},
+		Reused: inspectedTransport{t.Reused, u},
+		Fresh:  inspectedTransport{t.Fresh, u},
+		Abrupt: inspectedTransport{t.Abrupt, u},
 	}
 }
 
-// An observed is a transport whose answers are looked over.
-type observed struct {
+// An inspectedTransport is a transport whose answers are looked over.
+type inspectedTransport struct {
 	http.RoundTripper
 	detector *UnreadHeaderDetector
 }
 
 // RoundTrip implements http.RoundTripper.
-func (o observed) RoundTrip(req *http.Request) (*http.Response, error) {
+func (o inspectedTransport) RoundTrip(req *http.Request) (*http.Response, error) {
 	resp, err := o.RoundTripper.RoundTrip(req)
 	if err == nil {
 		o.detector.Inspect(resp.Header)
