--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -29,12 +29,12 @@
 
 // Bounds of connections to upstreams.
 const (
-	dialTimeout = bounds.DialTimeout
-	idleTimeout = 4 * time.Second // below what upstreams keep idle connections for
-	idlePerHost = 64
-	probeEvery  = time.Second // probes of a connection on which nothing comes
-	probeCount  = 3
-	unackedTime = 3 * time.Second // time for which sent bytes may stay unacknowledged
+	dialTimeout       = bounds.DialTimeout
+	idleTimeout       = 4 * time.Second // below what upstreams keep idle connections for
+	idlePerHost       = 64
+	keepAliveInterval = time.Second // probes of a connection on which nothing comes
+	probeCount        = 3
+	unackedTime       = 3 * time.Second // time for which sent bytes may stay unacknowledged
 )
 
 // Transports are the two ways to an upstream.
@@ -61,7 +61,7 @@
 func newDialer() *net.Dialer {
 	return &net.Dialer{
 		Timeout:         dialTimeout,
-		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: probeEvery, Interval: probeEvery, Count: probeCount},
+		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: keepAliveInterval, Interval: keepAliveInterval, Count: probeCount},
 		Control:         UserTimeoutControl(unackedTime),
 	}
 }
