--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -33,7 +33,7 @@
 	idleTimeout       = 4 * time.Second // below what upstreams keep idle connections for
 	idlePerHost       = 64
 	keepAliveInterval = time.Second // probes of a connection on which nothing comes
-	probeCount        = 3
+	keepAliveCount    = 3
 	unackedTime       = 3 * time.Second // time for which sent bytes may stay unacknowledged
 )
 
@@ -61,7 +61,7 @@
 func newDialer() *net.Dialer {
 	return &net.Dialer{
 		Timeout:         dialTimeout,
-		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: keepAliveInterval, Interval: keepAliveInterval, Count: probeCount},
+		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: keepAliveInterval, Interval: keepAliveInterval, Count: keepAliveCount},
 		Control:         UserTimeoutControl(unackedTime),
 	}
 }
