--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -34,7 +34,7 @@
 	idlePerHost       = 64
 	keepAliveInterval = time.Second // probes of a connection on which nothing comes
 	keepAliveCount    = 3
-	unackedTime       = 3 * time.Second // time for which sent bytes may stay unacknowledged
+	unackedTimeout    = 3 * time.Second // time for which sent bytes may stay unacknowledged
 )
 
 // Transports are the two ways to an upstream.
@@ -62,7 +62,7 @@
 	return &net.Dialer{
 		Timeout:         dialTimeout,
 		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: keepAliveInterval, Interval: keepAliveInterval, Count: keepAliveCount},
-		Control:         UserTimeoutControl(unackedTime),
+		Control:         UserTimeoutControl(unackedTimeout),
 	}
 }
 
