--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -31,7 +31,7 @@
 const (
 	dialTimeout       = bounds.DialTimeout
 	idleTimeout       = 4 * time.Second // below what upstreams keep idle connections for
-	idlePerHost       = 64
+	maxIdlePerHost    = 64
 	keepAliveInterval = time.Second // probes of a connection on which nothing comes
 	keepAliveCount    = 3
 	unackedTimeout    = 3 * time.Second // time for which sent bytes may stay unacknowledged
@@ -99,7 +99,7 @@
 		DialContext:         dial,
 		DisableKeepAlives:   fresh,
 		DisableCompression:  true,
-		MaxIdleConnsPerHost: idlePerHost,
+		MaxIdleConnsPerHost: maxIdlePerHost,
 		IdleConnTimeout:     idleTimeout,
 		// A non-nil empty map is how net/http is told to leave HTTP/2 off.
 		TLSNextProto: map[string]func(string, *tls.Conn) http.RoundTripper{},
