--- a/internal/upstream/unread_test.go
+++ b/internal/upstream/unread_test.go
@@ -20,7 +20,7 @@
 	counted := 0
 	u := NewUnreadHeaderDetector(func(name string) { reported = append(reported, name) }, func() { counted++ })
 	u.AddKnown([]string{"server-stamp", ""})
-	address := serveHeads(t, "Date: x\r\nserver-stamp: 1\r\nsome-word: secret\r\n")
+	address := serveHeaders(t, "Date: x\r\nserver-stamp: 1\r\nsome-word: secret\r\n")
 	transports := u.Wrap(NewTransports())
 	for _, transport := range []http.RoundTripper{transports.Reused, transports.Fresh, transports.Abrupt, transports.For(false)} {
 		req, err := http.NewRequest(http.MethodGet, "http://"+address+"/", nil)
@@ -52,8 +52,8 @@
 	is.Equal(counted, 10*maxUnreadNames+1)
 }
 
-// serveHeads answers every request with these header lines.
-func serveHeads(t *testing.T, lines string) string {
+// serveHeaders answers every request with these header lines.
+func serveHeaders(t *testing.T, lines string) string {
 	t.Helper()
 	return serve(t, func(c *net.TCPConn) {
 		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\n"+lines+"Content-Length: 0\r\nConnection: close\r\n\r\n")
