--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -33,9 +33,9 @@
 	return l.Addr().String()
 }
 
-// TestHowAnAttemptEnds tables what is told of an attempt by the error of its
+// TestConnectionErrors tables what is told of an attempt by the error of its
 // connection: a replica that ended it, nobody at its address, or silence.
-func TestHowAnAttemptEnds(t *testing.T) {
+func TestConnectionErrors(t *testing.T) {
 	closed, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
