--- a/internal/shell/snapshot.go
+++ b/internal/shell/snapshot.go
@@ -9,10 +9,10 @@
 
 // A view is what handlers may read without asking the machine. It is immutable.
 type view struct {
-	config   *config.Snapshot
-	ready    bool
-	reason   string
-	stopping bool // a planned stop has begun
+	config    *config.Snapshot
+	ready     bool
+	reason    string
+	stopBegun bool // a planned stop has begun
 }
 
 // A viewCell holds the latest view.
@@ -24,10 +24,10 @@
 func (c *viewCell) publish(m *instance.Machine) {
 	ready, reason := m.Ready()
 	old := c.current.Load()
-	if old != nil && old.ready == ready && old.reason == reason && old.stopping == m.Stopping() && old.config == c.installed {
+	if old != nil && old.ready == ready && old.reason == reason && old.stopBegun == m.Stopping() && old.config == c.installed {
 		return
 	}
-	c.current.Store(&view{config: c.installed, ready: ready, reason: reason, stopping: m.Stopping()})
+	c.current.Store(&view{config: c.installed, ready: ready, reason: reason, stopBegun: m.Stopping()})
 }
 
 func (c *viewCell) config() *config.Snapshot {
@@ -46,5 +46,5 @@
 
 func (c *viewCell) stopping() bool {
 	v := c.current.Load()
-	return v != nil && v.stopping
+	return v != nil && v.stopBegun
 }
