--- a/internal/shell/snapshot.go
+++ b/internal/shell/snapshot.go
@@ -7,8 +7,8 @@
 	"github.com/birchdrift/birchdrift/core/instance"
 )
 
-// A view is what handlers may read without asking the machine. It is immutable.
-type view struct {
+// A publishedState is what handlers may read without asking the machine. It is immutable.
+type publishedState struct {
 	config    *config.Snapshot
 	ready     bool
 	reason    string
@@ -17,7 +17,7 @@
 
 // A viewCell holds the latest view.
 type viewCell struct {
-	current   atomic.Pointer[view]
+	current   atomic.Pointer[publishedState]
 	installed *config.Snapshot // written on the machine's goroutine only
 }
 
@@ -27,7 +27,7 @@
 	if old != nil && old.ready == ready && old.reason == reason && old.stopBegun == m.Stopping() && old.config == c.installed {
 		return
 	}
-	c.current.Store(&view{config: c.installed, ready: ready, reason: reason, stopBegun: m.Stopping()})
+	c.current.Store(&publishedState{config: c.installed, ready: ready, reason: reason, stopBegun: m.Stopping()})
 }
 
 func (c *viewCell) config() *config.Snapshot {
