--- a/internal/control/ask.go
+++ b/internal/control/ask.go
@@ -15,7 +15,7 @@
 	"github.com/birchdrift/birchdrift/core/own/modelcalls"
 )
 
-// FetchStatus reads the state of the instance whose operations listener is at address.
+// FetchStatus returns the status of the instance whose operations listener is at address.
 func FetchStatus(ctx context.Context, client *http.Client, address string) (instance.Status, error) {
 	var st instance.Status
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/status", nil)
@@ -33,7 +33,7 @@
 	return st, trace.Wrap(json.NewDecoder(resp.Body).Decode(&st))
 }
 
-// PrintStatus writes the states of instances for people.
+// PrintStatus writes the statuses of instances to w as text tables.
 func PrintStatus(w io.Writer, states []instance.Status) error {
 	t := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(t, "INSTANCE\tZONE\tREADY\tREVISION\tPLANNER\tPLATFORM\tCALLS\tWAITING\tLOADS\tUNLOADS")
@@ -55,7 +55,7 @@
 	if err := t.Flush(); err != nil || len(states) == 0 {
 		return trace.Wrap(err)
 	}
-	fmt.Fprintf(w, "\nupstreams as %s sees them:\n", states[0].Name)
+	fmt.Fprintf(w, "\nupstreams as seen by %s:\n", states[0].Name)
 	fmt.Fprintln(t, "UPSTREAM\tZONE\tSTATE\tBUSY\tFIRST TOKEN\tITEMS")
 	for _, u := range states[0].Upstreams {
 		fmt.Fprintf(t, "%s\t%s\t%s\t%.2f\t%.0f ms\t%d\n", u.Name, u.Zone, upstreamState(u), u.Busy, u.FirstTokenMS, len(u.Items))
@@ -74,10 +74,11 @@
 	}
 }
 
-// ExplainItem writes where a model or adapter is resident, and why not.
+// ExplainItem writes, as each instance sees it, on which upstreams a model or adapter is
+// resident, and what bears on loading it: its demand and the free memory of engines.
 func ExplainItem(w io.Writer, item string, states []instance.Status) {
 	for _, s := range states {
-		fmt.Fprintf(w, "as %s (%s) sees it:\n", s.Name, s.Zone)
+		fmt.Fprintf(w, "as seen by %s (%s):\n", s.Name, s.Zone)
 		found := false
 		for _, u := range s.Upstreams {
 			if phase, ok := u.Items[item]; ok {
@@ -86,7 +87,7 @@
 			}
 		}
 		if !found {
-			fmt.Fprintln(w, "  resident nowhere")
+			fmt.Fprintln(w, "  not resident on any upstream")
 		}
 		explainDemand(w, item, s)
 	}
@@ -95,7 +96,7 @@
 func explainDemand(w io.Writer, item string, s instance.Status) {
 	for _, d := range s.Demand {
 		if d.Item == item {
-			fmt.Fprintf(w, "  asked for %.3f times a second here; %d calls wait\n", d.Rate, d.Waiting)
+			fmt.Fprintf(w, "  demand here: %.3f calls per second; %d calls waiting\n", d.Rate, d.Waiting)
 		}
 	}
 	if s.Planning {
@@ -107,7 +108,7 @@
 	}
 }
 
-// ExplainService writes the latest choices made for a service or model.
+// ExplainService writes the latest routing decisions for a service or model.
 func ExplainService(w io.Writer, name string, states []instance.Status) {
 	for _, s := range states {
 		recent := append([]modelcalls.Decision(nil), s.Recent...)
--- a/internal/control/command.go
+++ b/internal/control/command.go
@@ -22,10 +22,10 @@
 	"github.com/birchdrift/birchdrift/internal/upstream"
 )
 
-// statusTimeout bounds one question to one instance.
+// statusTimeout bounds one status request to one instance.
 const statusTimeout = 3 * time.Second
 
-// Command returns birchctl's command line.
+// Command returns the command tree of birchctl.
 func Command() *cli.Command {
 	platformFlag := &cli.StringFlag{
 		Name: "platform", Usage: "the platform's key-value service (IP:port)",
@@ -43,13 +43,13 @@
 			{Name: "diff", Usage: "show what applying a file would change", ArgsUsage: "FILE", Flags: []cli.Flag{platformFlag}, Action: runDiff},
 			{Name: "apply", Usage: "put a configuration file in force", ArgsUsage: "FILE", Flags: []cli.Flag{platformFlag}, Action: runApply},
 			{Name: "get", Usage: "print the configuration in force", Flags: []cli.Flag{platformFlag}, Action: runGet},
-			{Name: "losses", Usage: "say from instances' logs where service was lost, and why", ArgsUsage: "[FILE ...] (standard input without one)", Action: runLosses},
+			{Name: "losses", Usage: "report from instances' logs which calls were late, refused or failed, and why", ArgsUsage: "[FILE ...] (standard input without one)", Action: runLosses},
 			{Name: "status", Usage: "show the state of instances", Flags: []cli.Flag{operationsFlag}, Action: runStatus},
 			{
-				Name: "explain", Usage: "say why a model is resident or not, or why calls went where they went",
+				Name: "explain", Usage: "explain why a model is resident or not, or how calls were routed",
 				Commands: []*cli.Command{
-					{Name: "model", Usage: "where a model or adapter is and why", ArgsUsage: "NAME", Flags: []cli.Flag{operationsFlag}, Action: runExplain(ExplainItem)},
-					{Name: "calls", Usage: "the latest choices for a service or model", ArgsUsage: "NAME", Flags: []cli.Flag{operationsFlag}, Action: runExplain(ExplainService)},
+					{Name: "model", Usage: "where a model or adapter is resident and why", ArgsUsage: "NAME", Flags: []cli.Flag{operationsFlag}, Action: runExplain(ExplainItem)},
+					{Name: "calls", Usage: "the latest routing decisions for a service or model", ArgsUsage: "NAME", Flags: []cli.Flag{operationsFlag}, Action: runExplain(ExplainService)},
 				},
 			},
 		},
@@ -72,10 +72,10 @@
 	return nil
 }
 
-// readFile reads and checks the file that the command names.
+// readFile reads and validates the configuration file named on the command line.
 func readFile(cmd *cli.Command) (config.Document, error) {
 	if cmd.Args().Len() != 1 {
-		return config.Document{}, code.Errorf(code.BadUsage, "one FILE is needed")
+		return config.Document{}, code.Errorf(code.BadUsage, "exactly one FILE is required")
 	}
 	name := cmd.Args().First()
 	data, err := os.ReadFile(name)
@@ -115,8 +115,8 @@
 	return nil
 }
 
-// readFileAndConnect reads the command's file and reaches for the platform, in
-// this order: a file that is wrong needs no platform to say so.
+// readFileAndConnect reads the configuration file and then returns a client of the
+// platform, in this order so that an invalid file is reported even without a platform.
 func readFileAndConnect(cmd *cli.Command) (config.Document, *keyvalue.Client, error) {
 	doc, err := readFile(cmd)
 	if err != nil {
@@ -166,7 +166,7 @@
 		return err
 	}
 	if stored.Revision == 0 {
-		return code.Errorf(code.NoConfiguration, "none was applied yet")
+		return code.Errorf(code.NoConfiguration, "no configuration has been applied yet")
 	}
 	data, err := stored.Document.YAML()
 	if err != nil {
@@ -176,8 +176,8 @@
 	return err
 }
 
-// runLosses reads logs of instances, from files or from standard input, and reports
-// where service was lost.
+// runLosses reads instances' logs from files or standard input and reports which calls
+// were late, refused, failed or unanswered.
 func runLosses(_ context.Context, cmd *cli.Command) error {
 	in := cmd.Root().Reader
 	var files []io.Reader
@@ -199,8 +199,8 @@
 	return log.Report(cmd.Root().Writer)
 }
 
-// fetchAll reads the states of the instances that the command names. One that
-// does not answer is reported and left out.
+// fetchAll returns the statuses of the instances named on the command line. An
+// instance that does not answer is reported on standard error and left out.
 func fetchAll(ctx context.Context, cmd *cli.Command) ([]instance.Status, error) {
 	list := cmd.String("operations")
 	if list == "" {
@@ -233,7 +233,7 @@
 func runExplain(explain func(io.Writer, string, []instance.Status)) cli.ActionFunc {
 	return func(ctx context.Context, cmd *cli.Command) error {
 		if cmd.Args().Len() != 1 {
-			return code.Errorf(code.BadUsage, "one NAME is needed")
+			return code.Errorf(code.BadUsage, "exactly one NAME is required")
 		}
 		states, err := fetchAll(ctx, cmd)
 		if err != nil {
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -1,10 +1,11 @@
-// Package control provides what birchctl does: checking, comparing, reading and
-// applying the operators' configuration, and asking instances for their state.
+// Package control implements the commands of birchctl: validating, comparing,
+// reading and applying the operators' configuration, and querying the state of
+// instances.
 //
-// The idea of apply: the document carries the identity of the change that wrote
-// it, so that an operator whose answer was lost can tell from the platform's
-// value whether his own change took effect. Of operators who race, exactly one
-// compare-and-swap succeeds; the others see what differs and a numbered code.
+// A stored document carries the ID of the change that wrote it. An operator whose
+// answer was lost can therefore tell from the stored value whether the change took
+// effect. Of several operators who apply at once, exactly one compare-and-swap
+// succeeds; the others get a numbered code and a diff.
 package control
 
 import (
@@ -23,16 +24,16 @@
 	"github.com/birchdrift/birchdrift/internal/own/keyvalue"
 )
 
-// maxApplyAttempts bounds how often an apply whose answer is lost is repeated.
+// maxApplyAttempts is the number of times an apply is attempted when its answer is lost.
 const maxApplyAttempts = 5
 
-// Stored is the configuration as the platform holds it.
+// Stored is the configuration stored by the platform.
 type Stored struct {
 	Document config.Document
-	Revision uint64 // of the platform's value; 0 if there is none
+	Revision uint64 // revision of the stored value; 0 if there is none
 }
 
-// Validate parses and checks a file.
+// Validate parses and validates a configuration file and returns all its faults.
 func Validate(data []byte) (config.Document, []*code.Error) {
 	file, faults := config.Parse(data)
 	if len(faults) > 0 {
@@ -51,7 +52,7 @@
 	return file.Document, nil
 }
 
-// Get reads the stored configuration.
+// Get returns the stored configuration, or the zero Stored if there is none.
 func Get(ctx context.Context, p *keyvalue.Client) (Stored, error) {
 	v, err := p.Get(ctx, keyvalue.ConfigKey, 0, 0)
 	if err != nil {
@@ -67,9 +68,9 @@
 	return Stored{Document: doc, Revision: v.Revision}, nil
 }
 
-// Apply makes doc the configuration in force and returns its revision. A doc
-// that carries a revision is applied only on top of that very revision; one
-// without is applied on top of whatever is stored when Apply begins.
+// Apply puts doc in force and returns its revision. A doc with a revision is
+// applied only if that revision is the stored one; a doc without a revision
+// replaces whatever is stored when Apply begins.
 func Apply(ctx context.Context, p *keyvalue.Client, doc config.Document) (uint64, error) {
 	stored, err := Get(ctx, p)
 	if err != nil {
@@ -87,8 +88,8 @@
 	return compareAndSwap(ctx, p, doc, data, stored)
 }
 
-// compareAndSwap writes the value; whenever the answer leaves open what happened, it
-// reads back and goes by what it finds.
+// compareAndSwap writes the value. After an error, which may hide a successful write,
+// it reads the value back and decides by the change ID and revision that it finds.
 func compareAndSwap(ctx context.Context, p *keyvalue.Client, doc config.Document, data []byte, stored Stored) (uint64, error) {
 	for range maxApplyAttempts {
 		_, err := p.Swap(ctx, keyvalue.ConfigKey, data, stored.Revision, 0)
@@ -97,7 +98,7 @@
 		}
 		now, err := Get(ctx, p)
 		if err != nil {
-			continue // the next swap can do no harm: it expects the same revision
+			continue // retrying is safe: the next swap expects the same revision
 		}
 		if now.Document.ChangeID == doc.ChangeID {
 			return doc.Revision, nil
@@ -112,7 +113,8 @@
 	return doc.Revision, nil
 }
 
-// resolveOutcome says what is known after every try's answer was lost.
+// resolveOutcome reads the stored value once more after the answers of all attempts
+// were lost. It returns nil if doc is in force and an error otherwise.
 func resolveOutcome(ctx context.Context, p *keyvalue.Client, doc config.Document, stored Stored) error {
 	now, err := Get(ctx, p)
 	switch {
@@ -121,7 +123,7 @@
 	case now.Document.ChangeID == doc.ChangeID:
 		return nil
 	default:
-		return code.Errorf(code.ConfigUnresolved, "change %s is not in force now, yet may still arrive", doc.ChangeID)
+		return code.Errorf(code.ConfigUnresolved, "change %s is not in force, but a delayed write may still apply it", doc.ChangeID)
 	}
 }
 
@@ -130,17 +132,17 @@
 	if err != nil {
 		diff = err.Error()
 	}
-	return code.Errorf(code.ConfigConflict, "revision %d is in force; what you would change of it:\n%s", theirs.Revision, diff)
+	return code.Errorf(code.ConfigConflict, "revision %d is in force; your file would change it as follows:\n%s", theirs.Revision, diff)
 }
 
 func newChangeID() string {
 	var b [8]byte
-	_, _ = rand.Read(b[:]) // never fails; see crypto/rand
+	_, _ = rand.Read(b[:]) // never returns an error; see crypto/rand
 	return hex.EncodeToString(b[:])
 }
 
-// Diff returns the unified difference between two documents, "" if they say
-// the same. Revision and change are left out.
+// Diff returns the unified diff between two documents, or "" if they are equal.
+// It ignores their revisions and change IDs.
 func Diff(from, to config.Document) (string, error) {
 	a, err := comparableYAML(from)
 	if err != nil {
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -8,7 +8,7 @@
 	"github.com/matryer/is"
 )
 
-// TestExamplesAreValid keeps the operators' examples as the checks want them.
+// TestExamplesAreValid checks that every example configuration passes validation.
 func TestExamplesAreValid(t *testing.T) {
 	is := is.New(t)
 	names, err := filepath.Glob("../../examples/*.yaml")
--- a/internal/entry/bench_test.go
+++ b/internal/entry/bench_test.go
@@ -6,14 +6,14 @@
 	"testing"
 )
 
-// BenchmarkFingerprint measures what telling requests apart costs a call with the body
-// of a long prompt.
+// BenchmarkFingerprint measures the fingerprint of a request whose body holds a long
+// prompt.
 func BenchmarkFingerprint(b *testing.B) {
 	body := strings.Repeat("x", 20_000)
 	r := httptest.NewRequest("POST", "http://host/path", strings.NewReader(body))
-	kept := &Body{buffered: []byte(body)}
+	buffered := &Body{buffered: []byte(body)}
 	b.ReportAllocs()
 	for b.Loop() {
-		fingerprint(r, kept)
+		fingerprint(r, buffered)
 	}
 }
--- a/internal/entry/body.go
+++ b/internal/entry/body.go
@@ -8,26 +8,26 @@
 )
 
 const (
-	// maxBufferedBody is the largest body that is kept whole, in bytes, so that it can be
-	// sent again after an attempt that certainly did not run. Of larger ones the
-	// beginning is kept, and the rest is streamed.
+	// maxBufferedBody is the largest body, in bytes, that is buffered whole, so that it
+	// can be sent again after an attempt that certainly did not run. Of a larger body
+	// only the beginning is buffered and the remainder is streamed.
 	maxBufferedBody = 256 << 10
-	// streamedBodyPrefix is how much is kept of a body that says that it is larger, in bytes:
-	// enough to tell requests apart: a quarter of smallBody, since many large bodies
-	// may be under way at once.
+	// streamedBodyPrefix is the number of bytes that are buffered of a body whose
+	// Content-Length exceeds maxBufferedBody: enough to tell requests apart, and a
+	// quarter of maxBufferedBody, since many large bodies may be in flight at once.
 	streamedBodyPrefix = 64 << 10
 )
 
-// A Body is the body of a call: kept if it is small, else its beginning is kept and
-// the rest is streamed through once.
+// A Body is the body of a call. A small body is buffered whole; of a larger one the
+// beginning is buffered and the remainder can be streamed once.
 type Body struct {
-	buffered  []byte        // the whole, or the beginning
-	remainder io.ReadCloser // what follows; nil if kept is the whole
-	consumed  atomic.Bool   // a part of rest was read
+	buffered  []byte        // the whole body, or its beginning
+	remainder io.ReadCloser // the bytes after buffered; nil if buffered is the whole body
+	consumed  atomic.Bool   // whether some of remainder was read
 }
 
-// ReadBody reads a small body whole, and the beginning of a larger one. A body of
-// unknown length is small if it comes to its end in time.
+// ReadBody reads a small body whole and the beginning of a larger one. A body of
+// unknown length is small if it ends within maxBufferedBody bytes.
 func ReadBody(r *http.Request) (*Body, error) {
 	if r.ContentLength > maxBufferedBody {
 		head, err := io.ReadAll(io.LimitReader(r.Body, streamedBodyPrefix))
@@ -41,13 +41,15 @@
 	return b, err
 }
 
-// Streamed reports whether a part of the body can be sent only once.
+// Streamed reports whether part of the body is not buffered and can be sent only once.
 func (b *Body) Streamed() bool { return b.remainder != nil }
 
-// Consumed reports whether the body cannot be sent again.
+// Consumed reports whether the body cannot be sent again because part of its remainder
+// was read.
 func (b *Body) Consumed() bool { return b.consumed.Load() }
 
-// NewReader returns the body for one attempt.
+// NewReader returns a reader of the body for one attempt. Reads of the remainder reset
+// the watchdog.
 func (b *Body) NewReader(watch *Watchdog) io.ReadCloser {
 	if !b.Streamed() {
 		return io.NopCloser(bytes.NewReader(b.buffered))
@@ -55,9 +57,9 @@
 	return &watchedBody{head: bytes.NewReader(b.buffered), body: b, watch: watch}
 }
 
-// A watchedBody is a streamed body for one attempt. It puts the watchdog off while
-// the caller is still sending. It leaves the caller's body open: an attempt that
-// read none of the rest may be followed by another.
+// A watchedBody reads a streamed body for one attempt and resets the watchdog while the
+// caller is still sending. Close leaves the caller's body open, since an attempt that
+// read none of the remainder may be followed by another.
 type watchedBody struct {
 	head  *bytes.Reader
 	body  *Body
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -1,15 +1,14 @@
-// Package entry serves callers: it takes in forwarded calls, and hands those of
-// the product's own interface on to package modelapi.
+// Package entry serves callers: it handles forwarded calls itself and passes calls
+// of the product's own interface to package modelapi.
 //
-// A handler decides nothing. It reads the call, brings it to the machine
-// through package shell, and then does what the machine says, one action at a
-// time, until the call has its final answer: Dispatch sends an attempt, Finish
-// refuses.
+// A handler makes no decisions. It reads the call, submits it to the state machine
+// through package shell, and carries out the machine's actions one at a time until
+// the call has its final answer: Dispatch sends an attempt, Finish refuses the call.
 //
-// Invariants: a caller gets the whole answer or can tell that it has not: a
-// handler never returns normally from a cut answer, because net/http would end
-// the chunked body properly and the cut would look like an end; it aborts the
-// connection, after an error event where the answer is an event stream.
+// Invariant: a caller either gets the whole answer or can tell that it did not. A
+// handler therefore never returns normally from a truncated answer, because net/http
+// would end the chunked body properly and the answer would look complete. Instead it
+// aborts the connection, after an error event if the answer is an event stream.
 package entry
 
 import (
@@ -35,17 +34,17 @@
 	Service *service.Client
 	Metrics *telemetry.Metrics
 	Tracer  *telemetry.Tracer
-	Wire    forward.WireFormat // how forwarded calls are worded
-	// Silence is for how long a caller may send nothing within a body; 0: without limit.
+	Wire    forward.WireFormat // headers of forwarded calls
+	// Silence is the time for which a caller may send nothing within a body; 0 means no
+	// limit.
 	Silence time.Duration
-	// Own serves the calls that no route forwards; nil where every call is a
-	// forwarded one.
+	// Own serves the calls that no route forwards; nil if every call is forwarded.
 	Own http.Handler
 
 	lastID atomic.Uint64
 }
 
-// Routes returns the callers' HTTP handler.
+// Routes returns the HTTP handler of the callers' listener.
 func (h *Handler) Routes() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		limitBodyIdle(w, r, h.Silence)
@@ -57,7 +56,7 @@
 	})
 }
 
-// isForwarded reports whether the call is a forwarded one.
+// isForwarded reports whether the request belongs to a forwarded call.
 func (h *Handler) isForwarded(r *http.Request) bool {
 	if h.Own == nil {
 		return true
@@ -71,18 +70,18 @@
 	return ok
 }
 
-// NextID returns an identity for a call.
+// NextID returns a new call ID.
 func (h *Handler) NextID() calls.ID { return calls.ID(h.lastID.Add(1)) }
 
-// WriteJSON writes an answer of this system's own.
+// WriteJSON writes v as a JSON answer with the given status.
 func WriteJSON(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	// The caller may be gone, which its own connection tells it.
+	// A caller that has disconnected needs no answer.
 	_ = json.NewEncoder(w).Encode(v)
 }
 
-// An ErrorBody is a refusal on the wire.
+// An ErrorBody is the JSON body of a refusal.
 type ErrorBody struct {
 	Error errorDetail `json:"error"`
 }
@@ -94,7 +93,7 @@
 	Run     code.RunState `json:"run"`
 }
 
-// NewErrorBody returns a refusal as it stands on the wire.
+// NewErrorBody returns the JSON body of a refusal.
 func NewErrorBody(r code.Refusal) ErrorBody {
 	info := code.Lookup(r.Code)
 	message := info.Meaning
@@ -104,21 +103,23 @@
 	return ErrorBody{Error: errorDetail{Code: int(r.Code), Name: info.Name, Message: message, Run: r.Run}}
 }
 
-// CallHandlers are what a kind of call does at each action of the machine.
+// CallHandlers are the callbacks by which one kind of call carries out the state
+// machine's actions.
 type CallHandlers struct {
-	// Waited is told after each wait for an action; nil if nobody needs to know.
+	// Waited, if not nil, is called after each wait for an action.
 	Waited func()
-	// Attempt carries out one Dispatch and reports whether the call is over.
+	// Attempt carries out one Dispatch and reports whether the call has ended.
 	Attempt func(d calls.Dispatch) bool
-	// Finish gives the caller the machine's final answer, Relay the replica's own
-	// failing one; Relay is nil where the machine never asks for it.
+	// Finish sends the caller a refusal as the final answer, Relay the replica's own
+	// failed answer. Relay is nil if the machine never requests it.
 	Finish func(r code.Refusal)
 	Relay  func()
-	// Gone deals with a caller that is gone.
+	// Gone handles a caller that has disconnected.
 	Gone func()
 }
 
-// HandleActions does what the machine says until the call is over or its caller gone.
+// HandleActions carries out the machine's actions until the call ends or its caller
+// disconnects.
 func HandleActions(ctx context.Context, s shell.Session, do CallHandlers) {
 	for {
 		a, ok := nextAction(ctx, s)
@@ -144,8 +145,8 @@
 	}
 }
 
-// nextAction waits for the machine's next action for a call; ok is false once the
-// caller is gone.
+// nextAction waits for the machine's next action for a call; ok is false if the
+// caller disconnected first.
 func nextAction(ctx context.Context, s shell.Session) (a step.Action, ok bool) {
 	select {
 	case a := <-s.Actions:
--- a/internal/entry/fingerprint.go
+++ b/internal/entry/fingerprint.go
@@ -10,18 +10,18 @@
 	"github.com/birchdrift/birchdrift/core/crash"
 )
 
-// fingerprint returns what identifies a request over all its tries, at whichever
-// instance: the method, the host, the path with its query, the caller's
-// credentials and the body. The other headers are left out: callers set their
-// identities, deadlines and guesses anew with each try. Of a body that is streamed
-// the beginning counts, and its length where that is stated.
+// fingerprint returns a hash that is the same for all retries of a request by its
+// caller, at any instance. It covers the method, the host, the path with its query,
+// the caller's credentials and the body. Other headers are left out because callers
+// set call IDs, deadlines and length hints anew with each retry. Of a streamed body it
+// covers the beginning and the Content-Length, if stated.
 //
-// A caller without credentials is not told from others by its address, since one
-// that comes again may come through another gateway.
+// Callers without credentials are not distinguished by address, since a retry may come
+// through another gateway.
 func fingerprint(r *http.Request, b *Body) crash.Fingerprint {
 	h := sha256.New()
 	for _, part := range []string{r.Method, r.Host, r.RequestURI, r.Header.Get("Authorization")} {
-		// A hash takes whatever is written to it.
+		// Writes to a hash never fail.
 		_, _ = io.WriteString(h, strconv.Itoa(len(part))+":"+part)
 	}
 	if b.Streamed() {
--- a/internal/entry/fingerprint_test.go
+++ b/internal/entry/fingerprint_test.go
@@ -12,7 +12,7 @@
 	"github.com/birchdrift/birchdrift/core/crash"
 )
 
-// TestFingerprint tables which tries are the same request.
+// TestFingerprint checks which differences between two requests change the fingerprint.
 func TestFingerprint(t *testing.T) {
 	of := func(method, target, body string, change func(r *http.Request)) crash.Fingerprint {
 		r := httptest.NewRequest(method, target, strings.NewReader(body))
@@ -33,7 +33,7 @@
 		two  crash.Fingerprint
 		same bool
 	}{
-		{"another name, deadline and address", of("POST", target, "body", nil), of("POST", target, "body", func(r *http.Request) {
+		{"another call ID, deadline and address", of("POST", target, "body", nil), of("POST", target, "body", func(r *http.Request) {
 			r.Header.Set("Birchdrift-Call", "2")
 			r.Header.Set("Birchdrift-Deadline", "100")
 			r.RemoteAddr = "10.0.0.9:1"
@@ -46,7 +46,7 @@
 			r.Header.Set("Authorization", "Bearer other")
 		}), false},
 		{"another body", of("POST", target, "body", nil), of("POST", target, "bodY", nil), false},
-		{"parts that move", of("POST", "http://host/ab", "c", nil), of("POST", "http://host/a", "bc", nil), false},
+		{"bytes moved from the path to the body", of("POST", "http://host/ab", "c", nil), of("POST", "http://host/a", "bc", nil), false},
 		{"a large body, another length", of("POST", target, large, nil), of("POST", target, large+"x", nil), false},
 		{"a large body, another beginning", of("POST", target, large, nil), of("POST", target, "y"+large[1:], nil), false},
 	}
@@ -59,8 +59,8 @@
 	}
 }
 
-// TestBodies: whatever its length and framing, each attempt sends the whole body, and
-// one that can be sent again says so.
+// TestBodies checks, for bodies of several lengths and framings, that an attempt sends
+// the whole body and that Consumed reports whether it can be sent again.
 func TestBodies(t *testing.T) {
 	cases := []struct {
 		name     string
@@ -71,7 +71,7 @@
 		{"none", 0, false, false},
 		{"small", 1000, false, false},
 		{"small, in chunks", 1000, true, false},
-		{"as large as is kept", maxBufferedBody, true, false},
+		{"as large as is buffered", maxBufferedBody, true, false},
 		{"large", maxBufferedBody + 1, false, true},
 		{"large, in chunks", 3 * maxBufferedBody, true, true},
 	}
@@ -88,7 +88,7 @@
 			is.Equal(b.Streamed(), c.streamed)
 			watch := NewWatchdog(0, func() {})
 			defer watch.Stop()
-			// An attempt that read only the beginning does not use the body up.
+			// An attempt that read only the buffered beginning does not consume the body.
 			_, _ = b.NewReader(watch).Read(make([]byte, 10))
 			is.True(!b.Consumed())
 			got, err := io.ReadAll(b.NewReader(watch))
--- a/internal/entry/silence.go
+++ b/internal/entry/silence.go
@@ -8,16 +8,17 @@
 	"time"
 )
 
-// A timedBody is a caller's body whose reads fail once the caller has sent nothing for a
-// while. A caller may take any time for the whole, but one that has gone silent would hold
-// its connection and a handler for good.
+// A timedBody is a caller's body whose reads fail after the caller has sent nothing for
+// the timeout. The whole body may take any time, but a silent caller would hold its
+// connection and a handler forever.
 type timedBody struct {
 	io.ReadCloser
-	timeout     time.Duration // that is allowed
+	timeout     time.Duration // longest time without a byte
 	setDeadline func(time.Time) error
 }
 
-// limitBodyIdle has the reads of a request's body fail after so long without a byte.
+// limitBodyIdle replaces the request's body by one whose reads fail after silence without
+// a byte. It does nothing if silence is 0 or the request has no body.
 func limitBodyIdle(w http.ResponseWriter, r *http.Request, silence time.Duration) {
 	if r.ContentLength == 0 || silence <= 0 {
 		return
@@ -25,9 +26,10 @@
 	r.Body = &timedBody{ReadCloser: r.Body, timeout: silence, setDeadline: http.NewResponseController(w).SetReadDeadline}
 }
 
-// Read implements io.Reader. The deadline is taken back after each read, since the server
-// reads on behind the body to notice that the caller leaves; not after one that failed by
-// it, so that the server does not wait for the rest either, and closes the connection.
+// Read implements io.Reader. It clears the deadline after each read, since net/http reads
+// on after the body to notice that the caller disconnects. After a read that timed out
+// the deadline stays, so that net/http does not wait for the remainder of the body either
+// and closes the connection.
 func (b *timedBody) Read(data []byte) (int, error) {
 	if err := b.setDeadline(time.Now().Add(b.timeout)); err != nil {
 		return 0, err
@@ -42,5 +44,5 @@
 	return n, err
 }
 
-// readTimedOut reports whether an error says that the caller sent nothing for too long.
+// readTimedOut reports whether err means that the caller sent nothing for too long.
 func readTimedOut(err error) bool { return errors.Is(err, os.ErrDeadlineExceeded) }
--- a/internal/entry/watchdog.go
+++ b/internal/entry/watchdog.go
@@ -6,28 +6,29 @@
 	"time"
 )
 
-// A Watchdog turns an upstream's silence into a broken attempt.
+// A Watchdog cancels an attempt if nothing is received or sent for its timeout.
 type Watchdog struct {
 	timer   *time.Timer
 	timeout time.Duration
 	fired   atomic.Bool
 }
 
-// NewWatchdog returns a watchdog that cancels after span without a sign of life.
-func NewWatchdog(span time.Duration, cancel context.CancelFunc) *Watchdog {
-	w := &Watchdog{timeout: span}
-	w.timer = time.AfterFunc(span, func() {
+// NewWatchdog returns a running watchdog that calls cancel when timeout passes without a
+// Reset.
+func NewWatchdog(timeout time.Duration, cancel context.CancelFunc) *Watchdog {
+	w := &Watchdog{timeout: timeout}
+	w.timer = time.AfterFunc(timeout, func() {
 		w.fired.Store(true)
 		cancel()
 	})
 	return w
 }
 
-// Reset notes a sign of life.
+// Reset restarts the timeout.
 func (w *Watchdog) Reset() { w.timer.Reset(w.timeout) }
 
-// Fired reports whether the upstream was silent for too long.
+// Fired reports whether the timeout passed and the attempt was canceled.
 func (w *Watchdog) Fired() bool { return w.fired.Load() }
 
-// Stop ends the watch.
+// Stop stops the watchdog.
 func (w *Watchdog) Stop() { w.timer.Stop() }
