--- a/internal/entry/forward.go
+++ b/internal/entry/forward.go
@@ -25,14 +25,14 @@
 	"github.com/birchdrift/birchdrift/internal/upstream"
 )
 
-// maxBufferedAnswer is the largest answer, in bytes, that is read whole before any of it is
-// passed on, so that one that breaks off can still be asked for elsewhere.
+// maxBufferedAnswer is the largest answer, in bytes, that is read whole before any of it
+// is passed on, so that a call whose answer is truncated can still be retried elsewhere.
 const maxBufferedAnswer = 256 << 10
 
-// errEventOrder says that a series of events has a gap or goes back.
-var errEventOrder = errors.New("the numbers of the events do not follow each other")
+// errEventOrder is returned for an event stream whose event numbers have a gap or repeat.
+var errEventOrder = errors.New("the event numbers are not consecutive")
 
-// serveForwarded serves a forwarded call.
+// serveForwarded handles a forwarded call until it has its final answer.
 func (h *Handler) serveForwarded(w http.ResponseWriter, r *http.Request) {
 	begun := time.Now()
 	ctx, span := h.Tracer.Start(h.Tracer.Extract(r.Context(), r.Header), "entry")
@@ -52,7 +52,7 @@
 	f.run(ctx, h.Shell.Begin(f.call))
 }
 
-// readErrorCode returns the code of a call that could not be read.
+// readErrorCode returns the code of a call whose headers or body could not be read.
 func readErrorCode(err error) code.Code {
 	if readTimedOut(err) {
 		return code.CallerSilent
@@ -60,7 +60,7 @@
 	return code.BadRequest
 }
 
-// newCallRequest words a request for the machine.
+// newCallRequest converts an HTTP request to the state machine's form.
 func newCallRequest(id calls.ID, r *http.Request, req forward.Request, body *Body) calls.Request {
 	parts := make([]route.PromptPart, 0, len(req.Parts))
 	for _, p := range req.Parts {
@@ -96,14 +96,14 @@
 	call    calls.Request
 	begun   time.Time
 
-	headWritten  bool          // the head of the answer was written
+	headWritten  bool          // status and headers of the answer were written
 	lastEvent    int           // number of the last event that the caller has
-	longestPause time.Duration // longest between two events
+	longestPause time.Duration // longest time between two events
 	failed       *failedAnswer
 }
 
-// An failedAnswer is a replica's own failing answer, kept until the machine says
-// what becomes of the call.
+// A failedAnswer is a replica's own answer with an error status, kept until the machine
+// decides whether the call is retried or the answer is relayed.
 type failedAnswer struct {
 	status int
 	header http.Header
@@ -121,8 +121,8 @@
 	})
 }
 
-// finish gives the caller the machine's final answer. An answer that was begun
-// must be seen as cut, which a normal return would prevent.
+// finish ends the call with the machine's refusal. If an answer has already begun it
+// aborts the connection, since a normal return would make the answer look complete.
 func (f *forwardCall) finish(r code.Refusal) {
 	if f.headWritten {
 		f.handler.Metrics.ObserveAnswer(int(r.Code), time.Since(f.begun))
@@ -131,8 +131,8 @@
 	f.refuse(r)
 }
 
-// refuse writes a final answer that is not a replica's. A status that promises
-// that the call did not run is given only where that is certain.
+// refuse writes a final answer that is not a replica's. It uses a status which promises
+// that the call did not run (503) only if that is certain.
 func (f *forwardCall) refuse(r code.Refusal) {
 	f.handler.Metrics.ObserveAnswer(int(r.Code), time.Since(f.begun))
 	status := code.Lookup(r.Code).HTTP
@@ -150,18 +150,19 @@
 	WriteJSON(f.w, status, NewErrorBody(r))
 }
 
-// closeIfStopping asks the caller to open its next connection elsewhere.
+// closeIfStopping asks the caller to close this connection if the instance is stopping,
+// so that it opens its next one to another instance.
 func (f *forwardCall) closeIfStopping() {
 	if f.handler.Shell.Stopping() {
 		f.w.Header().Set("Connection", "close")
 	}
 }
 
-// relayFailedAnswer passes on the replica's own failing answer.
+// relayFailedAnswer passes on the replica's own failed answer.
 func (f *forwardCall) relayFailedAnswer() {
 	f.handler.Metrics.ObserveAnswer(int(code.UpstreamRefused), time.Since(f.begun))
 	f.writeHead(f.failed.header, f.failed.status)
-	_, _ = f.w.Write(f.failed.body) // a caller that is gone needs no answer
+	_, _ = f.w.Write(f.failed.body) // a caller that has disconnected needs no answer
 }
 
 func (f *forwardCall) callerGone(s shell.Session) {
@@ -172,7 +173,7 @@
 	}
 }
 
-// attempt carries out one Dispatch and reports whether the call is over.
+// attempt carries out one Dispatch and reports whether the call has ended.
 func (f *forwardCall) attempt(ctx context.Context, s shell.Session, d calls.Dispatch) bool {
 	if d.Attempt == 1 {
 		f.handler.Metrics.ObserveQueueTime(time.Since(f.begun))
@@ -201,15 +202,16 @@
 	return f.answer(s, d, resp, &progress, watch)
 }
 
-// postNotice passes on what a replica said of itself in its answer, if anything, or if that it
-// says nothing is news. It counts whatever becomes of the call.
+// postNotice tells the machine what a replica said about itself in the headers of its
+// answer. An answer that says nothing is passed on only if the replica had a rate limit,
+// which then may have ended. The notice counts whatever the outcome of the call.
 func (f *forwardCall) postNotice(d calls.Dispatch, sent clock.Instant, resp *http.Response) {
 	if n := f.handler.Wire.ReadNotice(resp); d.Limited || !n.IsZero() {
 		f.handler.Shell.HandleNotice(notice.Received{Replica: d.Replica, Sent: sent, Notice: n})
 	}
 }
 
-// outgoingCall words the call for the replica.
+// outgoingCall returns the call to send to the replica.
 func (f *forwardCall) outgoingCall(d calls.Dispatch, watch *Watchdog) service.Call {
 	header := service.EndToEndHeaders(f.r.Header)
 	f.handler.Wire.SetHeaders(header, forward.AttemptHeaders{
@@ -231,8 +233,8 @@
 	}
 }
 
-// newAttemptFailed words an error of the connection to a replica; status is that of its
-// answer, 0 if none came.
+// newAttemptFailed converts an error of the connection to a replica; status is that of
+// the answer, or 0 if none came.
 func newAttemptFailed(err error, status int) calls.AttemptFailed {
 	return calls.AttemptFailed{
 		Status:      status,
@@ -242,8 +244,8 @@
 	}
 }
 
-// attemptFailed tells the machine how an attempt ended and reports whether the call is
-// over, which it only is when the caller is gone.
+// attemptFailed tells the machine how an attempt failed and reports whether the call has
+// ended, which is so only if the caller has disconnected.
 func (f *forwardCall) attemptFailed(s shell.Session, d calls.Dispatch, progress *upstream.Progress, watch *Watchdog, b calls.AttemptFailed) bool {
 	if f.r.Context().Err() != nil {
 		f.callerGone(s)
@@ -260,19 +262,20 @@
 	return false
 }
 
-// answer deals with the head of a replica's answer.
+// answer handles status and headers of a replica's answer and then passes the answer on
+// or reports the attempt as failed. It reports whether the call has ended.
 func (f *forwardCall) answer(s shell.Session, d calls.Dispatch, resp *http.Response, progress *upstream.Progress, watch *Watchdog) bool {
 	reply := f.handler.Wire.ReadReply(resp, f.call.Forward.Name)
 	b := calls.AttemptFailed{Status: resp.StatusCode, Misdirected: reply.Misdirected, Incarnation: reply.Incarnation}
 	switch {
 	case reply.Mismatched:
-		b.Detail = "the answer to another call came"
+		b.Detail = "the answer belongs to another call"
 	case reply.NotRun:
 		progress.Advance(attempt.Refused)
-		b.Detail = fmt.Sprintf("the replica did not run it: status %d", resp.StatusCode)
+		b.Detail = fmt.Sprintf("the replica did not run the call: status %d", resp.StatusCode)
 	case reply.Invalid:
 		progress.Advance(attempt.Answered)
-		b.Detail = "the answer is not the replica's own"
+		b.Detail = "the answer lacks the signature or the call ID, or its body is encoded"
 	case resp.StatusCode >= http.StatusInternalServerError:
 		progress.Advance(attempt.Answered)
 		f.keepFailedAnswer(resp)
@@ -288,7 +291,8 @@
 	return f.attemptFailed(s, d, progress, watch, b)
 }
 
-// keepFailedAnswer reads a failing answer whole, if it is small and comes whole.
+// keepFailedAnswer keeps a failed answer for relaying if it is complete and no larger
+// than maxBufferedAnswer.
 func (f *forwardCall) keepFailedAnswer(resp *http.Response) {
 	data, err := io.ReadAll(io.LimitReader(resp.Body, maxBufferedAnswer+1))
 	if err != nil || len(data) > maxBufferedAnswer {
@@ -297,7 +301,7 @@
 	f.failed = &failedAnswer{status: resp.StatusCode, header: resp.Header, body: data}
 }
 
-// writeHead writes the writeHead of an answer.
+// writeHead writes the status and the end-to-end headers of an answer.
 func (f *forwardCall) writeHead(header http.Header, status int) {
 	out := f.w.Header()
 	for name, values := range service.EndToEndHeaders(header) {
@@ -308,8 +312,8 @@
 	f.headWritten = true
 }
 
-// relayWhole passes on an answer that is not a series: small ones only once they
-// are here relayWhole.
+// relayWhole passes on an answer that is not an event stream. A small answer is read
+// whole first.
 func (f *forwardCall) relayWhole(s shell.Session, d calls.Dispatch, resp *http.Response, progress *upstream.Progress, watch *Watchdog) bool {
 	data, err := io.ReadAll(io.LimitReader(resp.Body, maxBufferedAnswer))
 	if err != nil {
@@ -330,7 +334,7 @@
 	return f.relayRemainder(s, d, resp, progress, watch)
 }
 
-// relayRemainder passes on what follows the part of a large answer that was kept.
+// relayRemainder passes on the part of a large answer after the buffered beginning.
 func (f *forwardCall) relayRemainder(s shell.Session, d calls.Dispatch, resp *http.Response, progress *upstream.Progress, watch *Watchdog) bool {
 	_, err := io.Copy(f.w, watchedReader{resp.Body, watch})
 	if err == nil {
@@ -347,13 +351,13 @@
 	return true
 }
 
-// relayStream passes on a relayStream of events, each as it comes and only whole, so that
-// another replica can go on behind the last one.
+// relayStream passes on an event stream. It writes each event as it arrives and only whole
+// events, so that another replica can resume after the last one.
 func (f *forwardCall) relayStream(s shell.Session, d calls.Dispatch, resp *http.Response, progress *upstream.Progress, watch *Watchdog) bool {
 	events := forward.NewEventReader(resp.Body)
 	flush := http.NewResponseController(f.w)
 	first := true
-	var last time.Time // when the event before came
+	var last time.Time // when the previous event arrived
 	for {
 		event, number, err := events.Next()
 		if errors.Is(err, io.EOF) {
@@ -384,20 +388,20 @@
 			f.callerGone(s)
 			return true
 		}
-		_ = flush.Flush() // a caller that is gone shows at the next write
+		_ = flush.Flush() // if the caller has disconnected, the next write fails
 		f.lastEvent = max(number, f.lastEvent)
 	}
 }
 
-// writeStreamHead writes the head of a series, once: a series that goes on at another
-// replica keeps the head of the first.
+// writeStreamHead writes status and headers of an event stream once. A stream that resumes
+// at another replica keeps those of the first.
 func (f *forwardCall) writeStreamHead(resp *http.Response) {
 	if !f.headWritten {
 		f.writeHead(resp.Header, resp.StatusCode)
 	}
 }
 
-// A watchedReader puts the watchdog off with every part that comes.
+// A watchedReader resets the watchdog whenever bytes arrive.
 type watchedReader struct {
 	io.Reader
 	watch *Watchdog
--- a/internal/entry/silence.go
+++ b/internal/entry/silence.go
@@ -17,13 +17,13 @@
 	setDeadline func(time.Time) error
 }
 
-// limitBodyIdle replaces the request's body by one whose reads fail after silence without
-// a byte. It does nothing if silence is 0 or the request has no body.
-func limitBodyIdle(w http.ResponseWriter, r *http.Request, silence time.Duration) {
-	if r.ContentLength == 0 || silence <= 0 {
+// limitBodyIdle makes reads of the request's body fail after timeout without a byte. It
+// does nothing if timeout is 0 or the request has no body.
+func limitBodyIdle(w http.ResponseWriter, r *http.Request, timeout time.Duration) {
+	if r.ContentLength == 0 || timeout <= 0 {
 		return
 	}
-	r.Body = &timedBody{ReadCloser: r.Body, timeout: silence, setDeadline: http.NewResponseController(w).SetReadDeadline}
+	r.Body = &timedBody{ReadCloser: r.Body, timeout: timeout, setDeadline: http.NewResponseController(w).SetReadDeadline}
 }
 
 // Read implements io.Reader. It clears the deadline after each read, since net/http reads
--- a/internal/entry/watchdog.go
+++ b/internal/entry/watchdog.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// A Watchdog cancels an attempt if nothing is received or sent for its timeout.
+// A Watchdog cancels an attempt whose upstream is silent for longer than the timeout.
 type Watchdog struct {
 	timer   *time.Timer
 	timeout time.Duration
