--- a/internal/environment/driver.go
+++ b/internal/environment/driver.go
@@ -168,9 +168,9 @@
 	}
 }
 
-// commitIfMark returns a write of an era that is carried out only while the era's mark stands at
+// commitInEra returns a write of an era that is carried out only while the era's mark stands at
 // a revision; 0: whether or not there is one.
-func commitIfMark(in era.Era, mark era.Revision) Commit {
+func commitInEra(in era.Era, mark era.Revision) Commit {
 	c := Commit{Era: in}
 	if mark != 0 {
 		c.Conditions = append(c.Conditions, Condition{Key: registry.EraRecord{Era: in}.Key(), Revision: mark})
@@ -180,7 +180,7 @@
 
 // claimCommit returns the write of claims, all of one era.
 func claimCommit(claims []registry.Ownership, mark era.Revision) Commit {
-	c := commitIfMark(claims[0].Era, mark)
+	c := commitInEra(claims[0].Era, mark)
 	for _, o := range claims {
 		v := o.Value()
 		c.Conditions = append(c.Conditions, Condition{Key: v.Key, Revision: o.Revision})
@@ -193,7 +193,7 @@
 // unless that is 0.
 func placerCommit(p registry.Placer, lease era.Lease, mark era.Revision) Commit {
 	v := p.Value()
-	c := commitIfMark(p.Era, mark)
+	c := commitInEra(p.Era, mark)
 	c.Conditions = append(c.Conditions, Condition{Key: v.Key, Revision: p.Revision})
 	c.Puts = []Put{{Key: v.Key, Value: v.Data, Lease: lease}}
 	return c
