--- a/internal/environment/driver.go
+++ b/internal/environment/driver.go
@@ -199,8 +199,8 @@
 	return c
 }
 
-// markCommit returns the write of an era's mark, with which those of former eras go.
-func markCommit(m registry.EraRecord, former []era.Era) Commit {
+// eraRecordCommit returns the write of an era's mark, with which those of former eras go.
+func eraRecordCommit(m registry.EraRecord, former []era.Era) Commit {
 	v := m.Value()
 	c := Commit{
 		Conditions: []Condition{{Key: v.Key}},
@@ -218,7 +218,7 @@
 	w := a.Write
 	switch {
 	case w.Mark != nil:
-		return markCommit(*w.Mark, w.Former)
+		return eraRecordCommit(*w.Mark, w.Former)
 	case w.Placer != nil:
 		return placerCommit(*w.Placer, a.Lease, w.Depends)
 	default:
