--- a/internal/environment/driver.go
+++ b/internal/environment/driver.go
@@ -170,10 +170,10 @@
 
 // commitInEra returns a write of an era that is carried out only while the era's mark stands at
 // a revision; 0: whether or not there is one.
-func commitInEra(in era.Era, mark era.Revision) Commit {
+func commitInEra(in era.Era, recordRevision era.Revision) Commit {
 	c := Commit{Era: in}
-	if mark != 0 {
-		c.Conditions = append(c.Conditions, Condition{Key: registry.EraRecord{Era: in}.Key(), Revision: mark})
+	if recordRevision != 0 {
+		c.Conditions = append(c.Conditions, Condition{Key: registry.EraRecord{Era: in}.Key(), Revision: recordRevision})
 	}
 	return c
 }
