--- a/internal/environment/driver.go
+++ b/internal/environment/driver.go
@@ -179,8 +179,8 @@
 }
 
 // claimCommit returns the write of claims, all of one era.
-func claimCommit(claims []registry.Ownership, mark era.Revision) Commit {
-	c := commitInEra(claims[0].Era, mark)
+func claimCommit(claims []registry.Ownership, recordRevision era.Revision) Commit {
+	c := commitInEra(claims[0].Era, recordRevision)
 	for _, o := range claims {
 		v := o.Value()
 		c.Conditions = append(c.Conditions, Condition{Key: v.Key, Revision: o.Revision})
