--- a/internal/environment/driver.go
+++ b/internal/environment/driver.go
@@ -191,9 +191,9 @@
 
 // placerCommit returns the write of the placer's record, which hangs on the lease
 // unless that is 0.
-func placerCommit(p registry.Placer, lease era.Lease, mark era.Revision) Commit {
+func placerCommit(p registry.Placer, lease era.Lease, recordRevision era.Revision) Commit {
 	v := p.Value()
-	c := commitInEra(p.Era, mark)
+	c := commitInEra(p.Era, recordRevision)
 	c.Conditions = append(c.Conditions, Condition{Key: v.Key, Revision: p.Revision})
 	c.Puts = []Put{{Key: v.Key, Value: v.Data, Lease: lease}}
 	return c
