--- a/internal/environment/driver.go
+++ b/internal/environment/driver.go
@@ -24,7 +24,7 @@
 	"github.com/birchdrift/birchdrift/internal/shell"
 )
 
-// A driver carries out the machine's actions through a platform's store and
+// A driver carries out the state machine's actions through a platform's store and
 // engines.
 type driver struct {
 	store   Store
@@ -32,7 +32,7 @@
 	host    shell.Host
 }
 
-// NewFactory returns what joins a shell to a platform with this store and these engines.
+// NewFactory returns a factory of environments that use this store and these engines.
 func NewFactory(store Store, engines Engines) shell.EnvironmentFactory {
 	return func(h shell.Host) shell.Environment {
 		d := &driver{store: store, engines: engines, host: h}
@@ -40,7 +40,7 @@
 	}
 }
 
-// decode reads a configuration as instances hand it to each other.
+// decode reads a configuration in the compressed form that instances exchange.
 func (d *driver) decode(data []byte) (config.Document, error) {
 	stored, err := decompress(data)
 	if err != nil {
@@ -49,8 +49,8 @@
 	return d.store.Decode(stored)
 }
 
-// carryOut returns the work that carries an action out, nil for an action that is
-// not this environment's.
+// carryOut returns the function that carries out an action, or nil if the action does
+// not concern the environment.
 func (d *driver) carryOut(a step.Action) func(ctx context.Context) {
 	switch act := a.(type) {
 	case watch.SendRequest:
@@ -78,8 +78,8 @@
 	}
 }
 
-// watchPlatform waits for whatever changes in the environment's store and
-// posts it as one event for each kind of news.
+// watchPlatform waits for changes in the environment's store and posts one event for
+// each kind of change, then the reply to the watch.
 func (d *driver) watchPlatform(ctx context.Context, a watch.SendRequest) {
 	change, err := d.readChange(ctx, a)
 	if err != nil {
@@ -104,7 +104,7 @@
 	d.host.Post(watch.Reply{ID: a.ID, Whole: change.Whole})
 }
 
-// readChange calls the store for what changed.
+// readChange reads the whole store or waits for changes, as the request says.
 func (d *driver) readChange(ctx context.Context, a watch.SendRequest) (Change, error) {
 	switch {
 	case a.Wait == 0:
@@ -116,7 +116,7 @@
 	}
 }
 
-// enrol begins a lease and writes the instance's record under it.
+// enrol acquires a lease and writes the instance's registration under it.
 func (d *driver) enrol(ctx context.Context, a ownership.Enrol) {
 	sent := d.host.Now()
 	d.host.PlatformCalled()
@@ -141,9 +141,9 @@
 	d.host.Post(ownership.RenewReply{Sent: sent, Lease: a.Lease, Over: over, Err: err})
 }
 
-// resign gives ownerships back, then ends the lease. What is not given back is
-// taken over when the lease is over, so a failure costs others that time and is
-// not tried again: the process ends.
+// resign releases the ownerships and the placer's record and then ends the lease. A
+// failure is not retried, since the process is about to end: what was not released is
+// taken over when the lease expires, and others lose only that time.
 func (d *driver) resign(ctx context.Context, a ownership.Resign) {
 	for chunk := range slices.Chunk(a.Give, registry.MaxClaims) {
 		if _, err := d.store.Commit(ctx, claimCommit(chunk, a.Depends)); err != nil {
@@ -160,7 +160,8 @@
 	}
 }
 
-// postEra passes on that the store came back from an older copy, if a call showed so.
+// postEra tells the machine the store's new era if err says that the store's history was
+// rolled back.
 func (d *driver) postEra(err error) {
 	var former FormerEraError
 	if errors.As(err, &former) {
@@ -168,8 +169,8 @@
 	}
 }
 
-// commitInEra returns a write of an era that is carried out only while the era's mark stands at
-// a revision; 0: whether or not there is one.
+// commitInEra returns an empty commit of an era that is carried out only if the era's
+// record has the given revision; 0 means that the record is not checked.
 func commitInEra(in era.Era, recordRevision era.Revision) Commit {
 	c := Commit{Era: in}
 	if recordRevision != 0 {
@@ -178,7 +179,7 @@
 	return c
 }
 
-// claimCommit returns the write of claims, all of one era.
+// claimCommit returns the commit that writes claims, which are all of one era.
 func claimCommit(claims []registry.Ownership, recordRevision era.Revision) Commit {
 	c := commitInEra(claims[0].Era, recordRevision)
 	for _, o := range claims {
@@ -189,7 +190,7 @@
 	return c
 }
 
-// placerCommit returns the write of the placer's record, which hangs on the lease
+// placerCommit returns the commit that writes the placer's record, attached to the lease
 // unless that is 0.
 func placerCommit(p registry.Placer, lease era.Lease, recordRevision era.Revision) Commit {
 	v := p.Value()
@@ -199,7 +200,8 @@
 	return c
 }
 
-// eraRecordCommit returns the write of an era's mark, with which those of former eras go.
+// eraRecordCommit returns the commit that writes an era's record and removes those of
+// former eras.
 func eraRecordCommit(m registry.EraRecord, former []era.Era) Commit {
 	v := m.Value()
 	c := Commit{
@@ -213,7 +215,7 @@
 	return c
 }
 
-// registryCommit returns the write of some of the registry's records.
+// registryCommit returns the commit that carries out a write of registry records.
 func registryCommit(a ownership.Write) Commit {
 	w := a.Write
 	switch {
@@ -239,7 +241,8 @@
 	d.host.Post(reply)
 }
 
-// storeVerdict writes a verdict under a lease of its own, with which it goes.
+// storeVerdict writes a verdict under a lease of its own, so that it expires with the
+// lease.
 func (d *driver) storeVerdict(ctx context.Context, a quarantine.StoreVerdict) {
 	reply := quarantine.VerdictStored{Request: a.Quarantine.Request}
 	d.host.PlatformCalled()
@@ -260,7 +263,7 @@
 		d.host.Post(reply)
 		return
 	}
-	// The lease is of no use then; one that is not given back goes with its term.
+	// The lease is not needed; if ending it fails, it expires after its term.
 	d.host.PlatformCalled()
 	if end := d.store.End(ctx, lease); end != nil {
 		d.host.Event(logevent.NotReturned, "what", "lease", "error", end.Error())
@@ -271,8 +274,8 @@
 	d.host.Post(reply)
 }
 
-// removeVerdict removes a verdict that does not hold any more. A failure leaves it to
-// its lease.
+// removeVerdict removes a verdict that no longer holds. If that fails, the verdict
+// expires with its lease.
 func (d *driver) removeVerdict(ctx context.Context, a quarantine.RemoveVerdict) {
 	d.host.PlatformCalled()
 	if _, err := d.store.Commit(ctx, Commit{Removes: []string{a.Quarantine.Value().Key}, AnyEra: true}); err != nil {
@@ -287,10 +290,11 @@
 	d.host.Post(owned.OrderReply{Engine: a.Engine, Fence: a.Fence, Answer: answer.Answer, Detail: answer.Detail})
 }
 
-// postNotice passes on what an engine said of itself, if anything, or if that it says nothing is
-// news.
-func (d *driver) postNotice(engine string, sent clock.Instant, n pool.Notice, news bool) {
-	if news || !n.IsZero() {
+// postNotice tells the machine what an engine said about itself. An empty notice is
+// passed on only if always is set, which is so if the engine had a rate limit, which
+// then may have ended.
+func (d *driver) postNotice(engine string, sent clock.Instant, n pool.Notice, always bool) {
+	if always || !n.IsZero() {
 		d.host.Post(notice.Received{Replica: engine, Sent: sent, Notice: n})
 	}
 }
@@ -304,8 +308,8 @@
 	}})
 }
 
-// postReport passes on what a report says beside what it was asked for: in which life the
-// engine is, then what it says of that.
+// postReport tells the machine what a report says beyond what was requested: first the
+// engine's announcement with its incarnation, then its notice about that incarnation.
 func (d *driver) postReport(engine string, sent clock.Instant, r EngineReport, limited bool) {
 	if r.Announcement.Born != "" {
 		d.host.Post(listing.SelfReport{Replica: engine, Sent: sent, Announcement: r.Announcement})
@@ -313,7 +317,7 @@
 	d.postNotice(engine, sent, r.Notice, limited && r.Heard)
 }
 
-// probeEngine asks an engine how busy it is.
+// probeEngine reads how many requests an engine has queued and running.
 func (d *driver) probeEngine(ctx context.Context, a forwarding.ProbeEngine) {
 	ctx, done := context.WithTimeout(ctx, a.Wait)
 	defer done()
--- a/internal/environment/engines.go
+++ b/internal/environment/engines.go
@@ -7,33 +7,33 @@
 	"github.com/birchdrift/birchdrift/core/pool"
 )
 
-// An EngineReport is what an engine says of itself when it is asked.
+// An EngineReport is an engine's answer to a request for its state.
 type EngineReport struct {
 	Announcement pool.Announcement
-	Sequence     uint64   // orders that it has taken
-	Busy         bool     // an order on a model is under way
-	Coming       []string // adapters on their way, as items
+	Sequence     uint64   // number of orders that it has accepted
+	Busy         bool     // an order for a model is in progress
+	Coming       []string // items of the adapters that are being loaded
 	Queued       int
 	Running      int
-	// Heard says that an answer came. Notice is what its head said, also that of an answer
-	// that is no report.
+	// Heard says that an answer came. Notice is what its headers said, even if the answer
+	// is not a report.
 	Heard  bool
 	Notice pool.Notice
 }
 
-// An OrderAnswer is what came of an order.
+// An OrderAnswer is the result of an order.
 type OrderAnswer struct {
 	Answer orders.Answer
-	Detail string // explains it
-	// Heard says that an answer came. Notice is what its head said.
+	Detail string // explains Answer
+	// Heard says that an answer came. Notice is what its headers said.
 	Heard  bool
 	Notice pool.Notice
 }
 
 // Engines are the environment's engines.
 type Engines struct {
-	// Order gives an engine an order in the name of holder.
+	// Order sends an order to an engine in the name of holder.
 	Order func(ctx context.Context, holder string, o orders.Order) OrderAnswer
-	// Report asks an engine what it says of itself. Notice is valid on error too.
+	// Report requests an engine's state. Heard and Notice are valid on error too.
 	Report func(ctx context.Context, address string) (EngineReport, error)
 }
--- a/internal/environment/store.go
+++ b/internal/environment/store.go
@@ -1,11 +1,11 @@
-// Package environment joins an instance to a platform other than the product's
-// own: a store that is watched and written under conditions, and engines that
-// announce themselves and take orders.
+// Package environment connects an instance to a platform other than the product's
+// own: a store that supports watches and conditional writes, and engines that
+// announce themselves and accept orders.
 //
-// Store and Engines are structs of function fields with the product's own types
-// on both sides; package platform fills them in. A Driver carries out, through
-// them, what the state machine asks for. Nothing here decides, and the machine
-// never learns which platform it runs on.
+// Store and Engines are structs of functions in terms of the product's own types;
+// package platform provides them. A driver uses them to carry out the actions of the
+// state machine. This package makes no decisions, and the machine does not know on
+// which platform it runs.
 package environment
 
 import (
@@ -21,68 +21,69 @@
 	"github.com/birchdrift/birchdrift/core/registry"
 )
 
-// Errors of a store that say for certain what became of a call. After any
-// other error a write may have taken effect, or may do so yet.
+// Errors of a store after which it is certain that a write did not happen. After any
+// other error a write may have taken effect, or may still take effect.
 var (
-	// ErrConflict says that a condition did not hold; nothing was written.
-	ErrConflict = errors.New("the condition of the write does not hold")
-	// ErrNoLease says that the lease is over; nothing was written.
-	ErrNoLease = errors.New("the lease is over")
-	// ErrRefused says that the store did not carry the call out.
+	// ErrConflict means that a condition did not hold; nothing was written.
+	ErrConflict = errors.New("a condition of the write does not hold")
+	// ErrNoLease means that the lease has expired or ended; nothing was written.
+	ErrNoLease = errors.New("the lease does not exist any more")
+	// ErrRefused means that the store rejected the call without carrying it out.
 	ErrRefused = errors.New("the store refused the call")
 )
 
-// A FormerEraError is a call of a store that has come back from an older copy of itself
-// since the numbers were given out that the call is made with, or its answer was on its way
-// meanwhile. It may have been carried out, also in the era that is now, for which it wasn't
-// meant; or it wasn't sent at all.
+// A FormerEraError is returned for a call whose revisions or leases belong to a former era
+// of the store, or whose answer was in transit while the store's history was rolled back.
+// The call may have been carried out, possibly in the current era, for which it was not
+// meant, or it may not have been sent at all.
 type FormerEraError struct{ Now era.Era }
 
 // Error implements error.
 func (e FormerEraError) Error() string {
-	return fmt.Sprintf("the store came back from an older copy: its era is now %d", e.Now)
+	return fmt.Sprintf("the store's history was rolled back: its era is now %d", e.Now)
 }
 
-// A Change is what a watch brought.
+// A Change is the result of a watch.
 type Change struct {
-	Config  []byte // the newest configuration as the store holds it; nil if it did not change
+	Config  []byte // the latest configuration as the store holds it; nil if it did not change
 	Listed  []gossip.Listed
 	Records []registry.Record // the product's own values
-	// Unreadable are keys whose values make no sense, and are passed over;
-	// UnreadableReplicas are the names of the replicas among them, of which nothing is
-	// said then.
+	// Unreadable are the keys whose values cannot be parsed and are ignored.
+	// UnreadableReplicas are the names of the replicas among them; Listed has no entry
+	// for these.
 	Unreadable         []string
 	UnreadableReplicas []string
-	Whole              bool // Listed and Records are all that there is
+	Whole              bool // Listed and Records are complete, not only what changed
 	Version            era.Revision
 }
 
-// A Condition holds while a key's last change is Revision; 0: while there is no
-// such key.
+// A Condition holds if the revision of a key's last change is Revision; 0 means that
+// there must be no such key.
 type Condition struct {
 	Key      string
 	Revision era.Revision
 }
 
-// A Put writes one value; with a lease it goes when the lease does.
+// A Put writes one value. If it has a lease, the value is removed when the lease ends.
 type Put struct {
 	Key   string
 	Value []byte
 	Lease era.Lease
 }
 
-// A Commit is a write of several keys that is carried out whole or not at all.
+// A Commit is an atomic write of several keys.
 type Commit struct {
 	Conditions []Condition
 	Puts       []Put
 	Removes    []string
-	// Era is the one that the write is meant for, and of which its numbers are; AnyEra says
-	// that it makes sense in each, and has no numbers.
+	// Era is the era that the write is meant for and to which its revisions and leases
+	// belong. AnyEra says that the write is valid in every era; it then has no revisions
+	// or leases.
 	Era    era.Era
 	AnyEra bool
 }
 
-// SingleEra reports whether all numbers in the write are of its era.
+// SingleEra reports whether all revisions and leases in the write belong to its era.
 func (c Commit) SingleEra() bool {
 	return !slices.ContainsFunc(c.Conditions, func(x Condition) bool { return x.Revision != 0 && x.Revision.Era() != c.Era }) &&
 		!slices.ContainsFunc(c.Puts, func(x Put) bool { return x.Lease != (era.Lease{}) && x.Lease.Era != c.Era })
@@ -90,22 +91,22 @@
 
 // A Store is the environment's store.
 type Store struct {
-	// Watch returns what changed since its last return, or the whole the first
-	// time and whenever the store has forgotten in between. It waits at most
-	// wait for a change.
+	// Watch returns what changed since its last return. The first time, and whenever
+	// the store no longer has the history in between, it returns the whole content. It
+	// waits at most wait for a change.
 	Watch func(ctx context.Context, wait time.Duration) (Change, error)
-	// WatchFresh does the same over a connection that was never used before.
+	// WatchFresh does the same over a new connection.
 	WatchFresh func(ctx context.Context, wait time.Duration) (Change, error)
-	// Read returns the whole, over a connection that was never used before. It may
-	// be called beside a watch.
+	// Read returns the whole content, over a new connection. It may be called
+	// concurrently with a watch.
 	Read func(ctx context.Context) (Change, error)
-	// Grant begins a lease.
+	// Grant creates a lease.
 	Grant func(ctx context.Context, term time.Duration) (lease era.Lease, err error)
 	// Keep renews a lease.
 	Keep func(ctx context.Context, lease era.Lease) error
-	// End gives a lease back.
+	// End ends a lease before its term.
 	End func(ctx context.Context, lease era.Lease) error
-	// Commit writes; it returns the revision of the write.
+	// Commit carries out a write and returns its revision.
 	Commit func(ctx context.Context, c Commit) (revision era.Revision, err error)
 	// Decode reads a configuration as the store holds it.
 	Decode func(data []byte) (config.Document, error)
