--- a/internal/forward/events.go
+++ b/internal/forward/events.go
@@ -8,17 +8,17 @@
 	"strconv"
 )
 
-// maxEventSize bounds one event of a series, in bytes.
+// maxEventSize is the largest size of one event of a stream, in bytes.
 const maxEventSize = 1 << 20
 
-// ErrPartialEvent says that a series of events ended within an event.
-var ErrPartialEvent = errors.New("the series of events ended within an event")
+// ErrPartialEvent means that an event stream ended within an event.
+var ErrPartialEvent = errors.New("the event stream ended within an event")
 
-// EventReader reads a series of events one whole event at a time, as it came, its
-// closing blank line included.
+// EventReader reads an event stream one whole event at a time. It returns the bytes of
+// each event unchanged, with the blank line that ends it.
 type EventReader struct{ scanner *bufio.Scanner }
 
-// NewEventReader reads events from body.
+// NewEventReader returns a reader of the events in body.
 func NewEventReader(body io.Reader) *EventReader {
 	s := bufio.NewScanner(body)
 	s.Buffer(make([]byte, 0, 1024), maxEventSize)
@@ -26,7 +26,7 @@
 	return &EventReader{scanner: s}
 }
 
-// splitEvent cuts behind each blank line.
+// splitEvent is a bufio.SplitFunc that splits after each blank line.
 func splitEvent(data []byte, atEOF bool) (advance int, token []byte, err error) {
 	if i := bytes.Index(data, []byte("\n\n")); i >= 0 {
 		return i + 2, data[:i+2], nil
@@ -37,9 +37,9 @@
 	return 0, nil, nil
 }
 
-// Next returns the next event and its number, 0 if it has none. It returns
-// io.EOF after the last whole event of a series that came to its end, and any
-// other error for one that did not. The bytes are valid until the next call.
+// Next returns the next event and its number, or 0 if it has none. It returns
+// io.EOF if the stream ended after a whole event, and any other error if it was
+// truncated. The bytes are valid until the next call.
 func (e *EventReader) Next() (event []byte, number int, err error) {
 	if !e.scanner.Scan() {
 		if err := e.scanner.Err(); err != nil {
@@ -51,7 +51,7 @@
 	return event, eventNumber(event), nil
 }
 
-// eventNumber returns the number in an event's id field, 0 if there is none.
+// eventNumber returns the number in an event's id field, or 0 if there is none.
 func eventNumber(event []byte) int {
 	for line := range bytes.Lines(event) {
 		value, ok := bytes.CutPrefix(line, []byte("id:"))
--- a/internal/forward/notice.go
+++ b/internal/forward/notice.go
@@ -11,20 +11,20 @@
 	"github.com/birchdrift/birchdrift/core/pool"
 )
 
-// maxRest bounds for how long a replica may want no calls, so that no span
-// overflows: longer than any load lasts.
+// maxRest is the longest time for which a replica may ask for no calls. It is longer
+// than any load takes and keeps durations from overflowing.
 const maxRest = 24 * time.Hour
 
-// maxRate bounds a limit, in requests a second: more than any replica is sent
-// (docs/design/limits.md).
+// maxRate is the largest rate limit, in requests per second: more than any replica is
+// sent (docs/design/limits.md).
 const maxRate = 1e6
 
-// ReadNotice reads what a replica says of itself in the head of an answer. What makes no
-// sense says nothing.
+// ReadNotice returns what a replica says about itself in the headers of an answer. It
+// ignores values that cannot be parsed.
 func (w WireFormat) ReadNotice(resp *http.Response) pool.Notice {
 	var n pool.Notice
 	if w.Leaving != "" {
-		// An error leaves false: a word that is not known says nothing.
+		// On an error ParseBool returns false: an unknown word is ignored.
 		n.Leaving, _ = strconv.ParseBool(strings.TrimSpace(resp.Header.Get(w.Leaving)))
 	}
 	if allowsRetryAfter(resp.StatusCode) {
@@ -36,8 +36,9 @@
 	return n
 }
 
-// parseRateLimit returns the limit that header lines name: the smallest, if they name several.
-// A value that makes no sense names none, and does not say that there is none either.
+// parseRateLimit returns the rate limit in header lines: the smallest, if there are several.
+// Values that cannot be parsed are ignored. If there are only such values the limit is
+// Unclear: neither stated nor withdrawn.
 func parseRateLimit(lines []string) pool.RateLimit {
 	var l pool.RateLimit
 	for _, line := range lines {
@@ -58,15 +59,15 @@
 	return l
 }
 
-// allowsRetryAfter reports whether a replica that answers with the status may say when it wants
-// calls again.
+// allowsRetryAfter reports whether Retry-After is read from an answer with the status: a
+// replica that refuses calls may say when it accepts them again.
 func allowsRetryAfter(status int) bool {
 	return status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests
 }
 
-// parseRetryAfter returns the span that a Retry-After header names, 0 for one that makes no sense:
-// seconds, with fractions, or a date (RFC 9110, 10.2.3), which counts from that of the
-// answer, since clocks differ.
+// parseRetryAfter returns the delay in a Retry-After header, or 0 if it cannot be parsed.
+// The value is a number of seconds, with fractions, or a date (RFC 9110, 10.2.3). A date
+// is compared with the Date header of the answer, since clocks differ.
 func parseRetryAfter(value, date string) time.Duration {
 	value = strings.TrimSpace(value)
 	if until, err := http.ParseTime(value); err == nil {
--- a/internal/forward/wire.go
+++ b/internal/forward/wire.go
@@ -1,11 +1,11 @@
-// Package forward provides the wording of forwarded calls: which headers carry
-// a call's identity, its deadline and what it asks of a model, and how a
-// replica's answer is read.
+// Package forward provides the wire format of forwarded calls: which headers carry
+// a call's ID, its deadline and its requirements on a model, and how a replica's
+// answer is read.
 //
-// The idea: a forwarded call's method, path, query and body stay as they are,
-// so all that this system reads and adds stands in headers. A Wire names them.
-// Own is the product's own naming; an environment with other names supplies a
-// Wire of its own, and nothing else changes.
+// A forwarded call's method, path, query and body are passed on unchanged, so
+// everything that this system reads or adds is in headers. A WireFormat names them.
+// OwnFormat is that of the product itself; an environment with other names supplies
+// its own WireFormat, and nothing else changes.
 package forward
 
 import (
@@ -22,40 +22,41 @@
 // A WireFormat names the headers of forwarded calls. An empty name is a header that
 // the environment does not have.
 type WireFormat struct {
-	CallID      string // the caller's identity of the call, echoed in answers
+	CallID      string // the caller's ID of the call, echoed in answers
 	Deadline    string // milliseconds that the caller will wait, or that are left
 	Model       string // MODEL or MODEL/ADAPTER
-	Tokens      string // PROMPT,MOST-OUT
-	Parts       string // ID:TOKENS by commas; IDs in hex
-	LengthHint  string // the caller's guess of the tokens out
+	Tokens      string // PROMPT,MAX-OUTPUT token counts
+	Parts       string // ID:TOKENS, separated by commas; IDs in hex
+	LengthHint  string // the caller's estimate of the output tokens
 	LastEvent   string // number of the last event that the caller has
 	Signature   string // a replica's signature on its answer
 	Expect      string // identity of the replica that must answer
-	Incarnation string // identity of the replica that did answer
+	Incarnation string // identity of the replica that answered
 	NotRun      string // a replica's statement that it did not run the call
-	Priority    string // 0 to 9, 0 first
-	RetryAfter  string // seconds, with fractions; of this system's refusals and of replicas'
-	Leaving     string // a replica's statement that it leaves
-	RateLimit   string // requests a second that a replica takes from all instances together
+	Priority    string // 0 to 9; 0 is the most urgent
+	RetryAfter  string // seconds, with fractions; in refusals by this system and by replicas
+	Leaving     string // a replica's statement that it is leaving
+	RateLimit   string // requests per second that a replica accepts from all instances together
 	Misdirected int    // status of a replica that is not the expected one
-	StreamType  string // content type of a series of events
+	StreamType  string // content type of an event stream
 	// Reserved are request headers that only this system may set. A replica
 	// acts on them, so a caller's are not passed on.
 	Reserved []string
-	// Unneeded are headers of answers that need no reading here: others read them, or
-	// what they say is of no use.
+	// Unneeded are answer headers that this package does not read: other code reads them
+	// or they are of no use.
 	Unneeded []string
-	// Store are the headers of the store's answers that its client reads.
+	// Store are the headers in the store's answers that its client reads.
 	Store []string
 }
 
-// AnswerHeaders returns the headers of answers that are read, or need not be.
+// AnswerHeaders returns the names of the answer headers that are read or known to be
+// unneeded.
 func (w WireFormat) AnswerHeaders() []string {
 	replicas := []string{w.CallID, w.Signature, w.Incarnation, w.NotRun, w.RetryAfter, w.Leaving, w.RateLimit}
 	return slices.Concat(replicas, w.Unneeded, w.Store)
 }
 
-// OwnFormat is the product's own reporting.
+// OwnFormat is the wire format of the product's own environment.
 var OwnFormat = WireFormat{
 	CallID:      "Birchdrift-Call",
 	Deadline:    "Birchdrift-Deadline",
@@ -83,7 +84,7 @@
 	Tokens int
 }
 
-// A Request is what the headers of a call say.
+// A Request holds the parsed headers of a call.
 type Request struct {
 	CallID       string
 	Deadline     time.Duration // 0 if none was given
@@ -94,26 +95,28 @@
 	LengthHint   int
 	Parts        []PromptPart
 	LastEvent    int // 0 if the caller has none
-	// Ignored names the headers that make no sense and count as absent. They
-	// only steer decisions, so the call itself is none the worse for it.
+	// Ignored names the headers that cannot be parsed and count as absent. They only
+	// influence decisions, so the call is served without them.
 	Ignored []string
 }
 
-// Bounds of what a header may hold.
+// Limits of the values of headers: the deadline, the number of prompt parts and the
+// number of tokens.
 const (
 	maxDeadline = 24 * time.Hour
 	maxParts    = 64
 	maxTokens   = 1 << 24
 )
 
-// ReadRequest reads a call's headers. An error names the header that makes no sense.
+// ReadRequest parses a call's headers. It fails only for an invalid deadline; the error
+// names the header.
 func (w WireFormat) ReadRequest(h http.Header) (Request, error) {
 	r := Request{CallID: h.Get(w.CallID)}
 	r.Model, r.Adapter, _ = strings.Cut(h.Get(w.Model), "/")
 	if v := h.Get(w.Deadline); v != "" {
 		ms, err := strconv.ParseFloat(v, 64)
 		if err != nil || ms < 0 || ms > float64(maxDeadline/time.Millisecond) {
-			return r, fmt.Errorf("header %s: %q is no number of milliseconds", w.Deadline, v)
+			return r, fmt.Errorf("header %s: %q is not a valid number of milliseconds", w.Deadline, v)
 		}
 		r.Deadline = time.Duration(ms * float64(time.Millisecond))
 	}
@@ -134,7 +137,8 @@
 	r.MaxTokens = r.parseCount(w.Tokens, out)
 }
 
-// parseCount reads a number; one that makes no sense counts as absent.
+// parseCount parses a count. An invalid one counts as absent: it returns 0 and adds the
+// header to the ignored ones.
 func (r *Request) parseCount(header, v string) int {
 	if v == "" {
 		return 0
@@ -153,7 +157,7 @@
 	}
 }
 
-// readParts reads the shared parts of a prompt, as far as they make sense.
+// readParts parses the shared parts of a prompt up to the first invalid one.
 func (r *Request) readParts(header, v string) {
 	if v == "" {
 		return
@@ -169,16 +173,17 @@
 	}
 }
 
-// An AttemptHeaders is what this system adds to a call on its way to a replica.
+// AttemptHeaders are the values of the headers that this system adds to a call before it
+// sends it to a replica.
 type AttemptHeaders struct {
 	Expect    string        // identity of the replica
-	Left      time.Duration // of the caller's deadline; 0 if there is none
+	Left      time.Duration // time until the caller's deadline; 0 if there is none
 	Priority  int           // -1 leaves the header out
 	LastEvent int           // number of the last event that was delivered, 0 if none
 }
 
-// SetHeaders writes an attempt's headers over the caller's, and drops those that a
-// caller may not set.
+// SetHeaders replaces the caller's headers by those of an attempt and removes the ones
+// that a caller may not set.
 func (w WireFormat) SetHeaders(h http.Header, a AttemptHeaders) {
 	for _, name := range w.Reserved {
 		h.Del(name)
@@ -201,17 +206,17 @@
 	}
 }
 
-// A Reply is what the head of a replica's answer says.
+// A Reply holds what status and headers of a replica's answer say.
 type Reply struct {
 	NotRun      bool // the replica did not run the call and never will
-	Misdirected bool // another replica has the address, or the model is not there
+	Misdirected bool // another replica has the address, or the model is not loaded there
 	Incarnation string
-	Mismatched  bool // it answers another call
-	Invalid     bool // it is not an answer that may be passed on
-	Stream      bool // it is a series of events
+	Mismatched  bool // the answer belongs to another call
+	Invalid     bool // the answer must not be passed on
+	Stream      bool // the answer is an event stream
 }
 
-// ReadReply reads the head of a replica's answer to the call with this identity.
+// ReadReply reads status and headers of a replica's answer to the call with this ID.
 func (w WireFormat) ReadReply(resp *http.Response, callID string) Reply {
 	r := Reply{
 		NotRun:      w.NotRun != "" && resp.Header.Get(w.NotRun) != "",
--- a/internal/forward/wire_test.go
+++ b/internal/forward/wire_test.go
@@ -8,8 +8,8 @@
 	"github.com/matryer/is"
 )
 
-// TestHeadersAreRead: what makes no sense counts as absent and is named; only a
-// deadline that makes no sense refuses the call.
+// TestHeadersAreRead checks that an invalid header counts as absent and is listed as
+// ignored, and that only an invalid deadline is an error.
 func TestHeadersAreRead(t *testing.T) {
 	cases := []struct {
 		name, header, value string
@@ -19,15 +19,15 @@
 		{"nothing", OwnFormat.Model, "", Request{}, false},
 		{"a model", OwnFormat.Model, "m/a", Request{Model: "m", Adapter: "a"}, false},
 		{"a deadline", OwnFormat.Deadline, "1500.5", Request{Deadline: 1500500 * time.Microsecond}, false},
-		{"no deadline", OwnFormat.Deadline, "soon", Request{}, true},
+		{"an invalid deadline", OwnFormat.Deadline, "soon", Request{}, true},
 		{"tokens", OwnFormat.Tokens, "120,30", Request{PromptTokens: 120, MaxTokens: 30}, false},
 		{"tokens of the prompt alone", OwnFormat.Tokens, "120", Request{PromptTokens: 120}, false},
-		{"no tokens", OwnFormat.Tokens, "many,30", Request{MaxTokens: 30, Ignored: []string{OwnFormat.Tokens}}, false},
+		{"an invalid number of tokens", OwnFormat.Tokens, "many,30", Request{MaxTokens: 30, Ignored: []string{OwnFormat.Tokens}}, false},
 		{"too many tokens", OwnFormat.Tokens, "999999999,-1", Request{Ignored: []string{OwnFormat.Tokens}}, false},
 		{"a hint", OwnFormat.LengthHint, " 17 ", Request{LengthHint: 17}, false},
-		{"no hint", OwnFormat.LengthHint, "x", Request{Ignored: []string{OwnFormat.LengthHint}}, false},
+		{"an invalid hint", OwnFormat.LengthHint, "x", Request{Ignored: []string{OwnFormat.LengthHint}}, false},
 		{"parts", OwnFormat.Parts, "ff:10, a:2", Request{Parts: []PromptPart{{255, 10}, {10, 2}}}, false},
-		{"parts up to what is none", OwnFormat.Parts, "ff:10,zz:2,a:3", Request{Parts: []PromptPart{{255, 10}}, Ignored: []string{OwnFormat.Parts}}, false},
+		{"parts up to an invalid one", OwnFormat.Parts, "ff:10,zz:2,a:3", Request{Parts: []PromptPart{{255, 10}}, Ignored: []string{OwnFormat.Parts}}, false},
 		{"an event", OwnFormat.LastEvent, "7", Request{LastEvent: 7}, false},
 	}
 	for _, c := range cases {
