--- a/internal/forward/notice_test.go
+++ b/internal/forward/notice_test.go
@@ -28,7 +28,7 @@
 		{"misdirected to a leaving replica", 421, "true", "", "", pool.Notice{Leaving: true}},
 		{"a replica that is not leaving", 200, "0", "", "", pool.Notice{}},
 		{"an unknown word", 200, "soon", "", "", pool.Notice{}},
-		{"refused", 503, "", "3", "", pool.Notice{Rest: 3 * time.Second}},
+		{"refused with a number of seconds", 503, "", "3", "", pool.Notice{Rest: 3 * time.Second}},
 		{"refused by a leaving replica", 503, "1", "3", "", pool.Notice{Leaving: true, Rest: 3 * time.Second}},
 		{"too many requests", 429, "", "3", "", pool.Notice{Rest: 3 * time.Second}},
 		{"refused without Retry-After", 503, "", "", "", pool.Notice{}},
@@ -37,7 +37,7 @@
 		{"a fraction", 503, "", "0.25", "", pool.Notice{Rest: 250 * time.Millisecond}},
 		{"an exponent", 503, "", "2e-1", "", pool.Notice{Rest: 200 * time.Millisecond}},
 		{"blanks", 503, "", " 1.5 ", "", pool.Notice{Rest: 1500 * time.Millisecond}},
-		{"zero", 503, "", "0", "", pool.Notice{}},
+		{"the number zero", 503, "", "0", "", pool.Notice{}},
 		{"a negative number", 503, "", "-3", "", pool.Notice{}},
 		{"words", 503, "", "in a while", "", pool.Notice{}},
 		{"a number and words", 503, "", "3 s", "", pool.Notice{}},
@@ -82,7 +82,7 @@
 		want  pool.RateLimit
 	}{
 		{"nothing", nil, pool.RateLimit{}},
-		{"zero", []string{"0"}, named(0)},
+		{"the number zero", []string{"0"}, named(0)},
 		{"a fraction", []string{"0.5"}, named(0.5)},
 		{"a number", []string{"12"}, named(12)},
 		{"an exponent", []string{"1e3"}, named(1000)},
--- a/internal/losses/absence.go
+++ b/internal/losses/absence.go
@@ -7,17 +7,18 @@
 	"github.com/birchdrift/birchdrift/core/logevent"
 )
 
-// Why a model was not resident when a call asked for it.
+// This file finds the reasons why a model was not resident when a call needed it.
 
 type (
-	// A placement is one placement of an engine's models, from its placement to its end.
+	// A placement is the loading of one model on an engine, from the placer's decision to
+	// its end.
 	placement struct {
 		engine  string
 		load    string
 		source  string
 		begun   time.Time
-		ordered time.Time // when its load was ordered; zero: it was not
-		ended   time.Time // zero: the log does not say
+		ordered time.Time // when its load was ordered; zero if it was not
+		ended   time.Time // zero if the log does not show its end
 		outcome string
 	}
 	placementKey struct{ instance, engine string }
@@ -31,22 +32,22 @@
 	}
 )
 
-// placementDone is the outcome of a change that came to its end.
+// placementDone is the outcome of a placement that succeeded.
 const placementDone = "done"
 
-// addPlacementEvent takes in an event of a change.
+// addPlacementEvent adds an event of a placement or an order to the log.
 func (l *Log) addPlacementEvent(r record) {
 	model, isName := r.Load.(string)
 	key := placementKey{r.Instance, r.Engine}
 	switch {
 	case r.Event == logevent.Placement && isName:
-		c := &placement{engine: r.Engine, load: model, source: r.Source, begun: r.Time}
-		l.placements = append(l.placements, c)
-		l.openPlacements[key] = c
+		p := &placement{engine: r.Engine, load: model, source: r.Source, begun: r.Time}
+		l.placements = append(l.placements, p)
+		l.openPlacements[key] = p
 	case r.Event == logevent.PlacementEnded:
-		if c := l.openPlacements[key]; c != nil {
-			c.ended = r.Time
-			c.outcome = r.Detail
+		if p := l.openPlacements[key]; p != nil {
+			p.ended = r.Time
+			p.outcome = r.Detail
 			delete(l.openPlacements, key)
 		}
 	case r.Event == logevent.EngineOrder && r.Load == true:
@@ -55,8 +56,8 @@
 	}
 }
 
-// addMiss notes a call that found its model nowhere; the reason is known once the whole
-// log is read.
+// addMiss records a call whose model was not resident. Unless its adapter was the cause,
+// the reason is found after the whole log has been read.
 func (c *call) addMiss(l *Log, r record) {
 	model := strings.Trim(firstQuoted(r.Detail), `"`)
 	model, _, _ = strings.Cut(model, "/")
@@ -71,19 +72,19 @@
 	l.missed = append(l.missed, missedCall{call: c, model: model, at: r.Time})
 }
 
-// firstQuoted returns the first part of the text between double quotes.
+// firstQuoted returns the first substring between double quotes, without them.
 func firstQuoted(text string) string {
 	_, rest, _ := strings.Cut(text, `"`)
 	quoted, _, _ := strings.Cut(rest, `"`)
 	return quoted
 }
 
-// explainMissed finds why each missed model was not there.
+// explainMissed sets the reason of every call whose model was not resident.
 func (l *Log) explainMissed() {
-	for _, c := range l.placements {
-		for _, at := range l.orders[orderKey{c.engine, c.load}] {
-			if !at.Before(c.begun) && (c.ended.IsZero() || !at.After(c.ended)) {
-				c.ordered = at
+	for _, p := range l.placements {
+		for _, at := range l.orders[orderKey{p.engine, p.load}] {
+			if !at.Before(p.begun) && (p.ended.IsZero() || !at.After(p.ended)) {
+				p.ordered = at
 				break
 			}
 		}
@@ -97,48 +98,48 @@
 	}
 }
 
-// missGracePeriod is how long a model may be missed before somebody should have begun to
-// load it: a message to the placer, and its next look.
+// missGracePeriod is the time from the first call for a model that is not resident to the
+// start of its placement: a message to the placer, and the placer's next check.
 const missGracePeriod = 300 * time.Millisecond
 
-// absenceReason says why nobody had a model at that time, known being for how long calls had
-// missed it.
+// absenceReason returns why no engine had a model at that time; known is the time since
+// the first call that missed it.
 func (l *Log) absenceReason(model string, at time.Time, known time.Duration) string {
-	c := l.activePlacement(model, at)
+	p := l.activePlacement(model, at)
 	switch {
-	case c == nil && !l.placerActive(at):
-		return "nobody places models"
-	case c == nil && known < missGracePeriod:
-		return "nobody had asked for it before"
-	case c == nil:
+	case p == nil && !l.placerActive(at):
+		return "no instance places models"
+	case p == nil && known < missGracePeriod:
+		return "it was not requested before"
+	case p == nil:
 		return "no change was begun for it"
-	case c.ended.IsZero():
+	case p.ended.IsZero():
 		return "the placer that began its change is gone"
-	case c.outcome != placementDone:
-		return "its change came to nothing: " + c.outcome
-	case c.ordered.IsZero() || at.Before(c.ordered):
+	case p.outcome != placementDone:
+		return "its change came to nothing: " + p.outcome
+	case p.ordered.IsZero() || at.Before(p.ordered):
 		return "its load was not ordered yet"
 	default:
-		return "loading from " + c.source
+		return "loading from " + p.source
 	}
 }
 
-// activePlacement returns the change that was to bring the model at that time, the one that
-// ended first if there were several, nil if there was none.
+// activePlacement returns the placement of a model that was in progress at that time, the
+// first to end if there were several, or nil if there was none.
 func (l *Log) activePlacement(model string, at time.Time) *placement {
 	var best *placement
-	for _, c := range l.placements {
-		if c.load != model || c.begun.After(at) || !c.ended.IsZero() && c.ended.Before(at) {
+	for _, p := range l.placements {
+		if p.load != model || p.begun.After(at) || !p.ended.IsZero() && p.ended.Before(at) {
 			continue
 		}
-		if best == nil || best.ended.IsZero() || !c.ended.IsZero() && c.ended.Before(best.ended) {
-			best = c
+		if best == nil || best.ended.IsZero() || !p.ended.IsZero() && p.ended.Before(best.ended) {
+			best = p
 		}
 	}
 	return best
 }
 
-// placerActive reports whether some instance had begun to place models by then.
+// placerActive reports whether some instance had become the placer by that time.
 func (l *Log) placerActive(at time.Time) bool {
 	for _, began := range l.placerStarts {
 		if !began.After(at) {
--- a/internal/losses/call.go
+++ b/internal/losses/call.go
@@ -9,25 +9,25 @@
 	"github.com/birchdrift/birchdrift/core/pool"
 )
 
-// A outcome is what became of a call for its caller.
+// An outcome is the result of a call as its caller saw it.
 type outcome int
 
-// The numOutcomes.
+// The outcomes.
 const (
 	inTime outcome = iota
 	late
-	refused     // it did not run
-	failed      // it may have run
-	unanswered  // its caller left, or its instance ended
-	numOutcomes // how many there are
+	refused     // the call did not run
+	failed      // the call may have run
+	unanswered  // the caller disconnected, or the instance ended
+	numOutcomes // number of outcomes
 )
 
-// String names the fate for reports.
+// String returns the outcome's name in reports.
 func (f outcome) String() string {
 	return [...]string{"in time", "late", "refused", "failed", "unanswered"}[f]
 }
 
-// A call is what the log says of one call.
+// A call holds what the log says about one call.
 type call struct {
 	key      string
 	instance string
@@ -37,15 +37,15 @@
 	began    time.Time
 	ended    time.Time
 	sends    int
-	waits    string // what it last waited for, "" if it did not
+	waits    string // what it last waited for; "" if it did not wait
 	target   time.Duration
 	gap      time.Duration
 	outcome  outcome
 	reason   string
 }
 
-// addCallEvent takes in an event of a call. An attempt at another instance is another
-// call: callers give each try a name of its own.
+// addCallEvent adds an event of a call to the log. A caller's retry at another instance
+// counts as another call, since callers give each retry its own call ID.
 func (l *Log) addCallEvent(r record) {
 	if r.Call == "" {
 		l.withoutCallID++
@@ -75,7 +75,8 @@
 	}
 }
 
-// addServed says whether a whole answer came in time, and if not, what took longest.
+// addServed sets the outcome of a call that got a whole answer: whether it was in time and,
+// if it was late, the reason.
 func (c *call) addServed(r record) {
 	waited := time.Duration(r.WaitedMS) * time.Millisecond
 	first := time.Duration(r.FirstMS) * time.Millisecond
@@ -91,13 +92,13 @@
 	}
 }
 
-// lateReason says where most of the time to the first event went.
+// lateReason returns what took most of the time to the first event.
 func lateReason(c *call, waited, first time.Duration) string {
 	switch {
 	case first >= waited:
 		return "the queue at the engine"
 	case c.sends > 1:
-		return "sent again after a failure"
+		return "retried after a failure"
 	case c.waits != "":
 		return "waited for " + c.waits
 	default:
@@ -105,7 +106,7 @@
 	}
 }
 
-// addFailure says why a call got no answer of a replica, or a failing one.
+// addFailure sets outcome and reason of a call that got no answer or a failed one.
 func (l *Log) addFailure(c *call, r record) {
 	c.reason = code.Lookup(r.Code).Name
 	switch r.Code {
@@ -113,7 +114,7 @@
 		c.outcome = failed
 		c.reason += ": " + failureReason(r)
 	case code.UnknownService, code.Unauthorized, code.Forbidden, code.BadRequest, code.TooLarge:
-		delete(l.calls, r.Call) // nobody owed it an answer
+		delete(l.calls, r.Call) // the caller's own fault, so it is not a loss
 	default:
 		c.outcome = refused
 	}
@@ -122,13 +123,14 @@
 	}
 }
 
-// failureReason words what a replica or instance did, without what differs from call to call.
+// failureReason returns a reason that is the same for all failures of one kind: it leaves
+// out what differs from call to call, such as addresses.
 func failureReason(r record) string {
 	switch {
 	case strings.Contains(r.Detail, "EOF"), strings.Contains(r.Detail, "reset"), strings.Contains(r.Detail, "refused"):
-		return "the replica broke the connection off"
+		return "the replica closed the connection"
 	case strings.Contains(r.Detail, "timeout"), strings.Contains(r.Detail, "deadline"):
-		return "the replica fell silent"
+		return "the replica timed out"
 	case strings.Contains(r.Detail, "read "), strings.Contains(r.Detail, "write "):
 		return "the connection failed"
 	default:
@@ -136,7 +138,8 @@
 	}
 }
 
-// finish settles the calls of which the log shows no finish.
+// finish sets the reasons of the calls whose end the log does not show and of those whose
+// model was not resident.
 func (l *Log) finish() {
 	for _, c := range l.calls {
 		if c.outcome != unanswered {
--- a/internal/losses/losses_test.go
+++ b/internal/losses/losses_test.go
@@ -13,7 +13,7 @@
 
 var start = time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 
-// logLine writes a line of instance i's log, so long after the start.
+// logLine returns a line of instance i's log, written at the given time after start.
 func logLine(after time.Duration, event logevent.Number, fields string) string {
 	return fmt.Sprintf(`{"time":%q,"instance":"i","zone":"z","event":%d,%s}`, start.Add(after).Format(time.RFC3339Nano), event, fields)
 }
@@ -23,7 +23,7 @@
 	missFields = `"call":"c","code":203,"detail":"\"m\" is not resident"`
 )
 
-// TestReasons tables logs with known causes, and the reason that each gives the call.
+// TestReasons checks, for logs with known causes, the outcome and reason of a call.
 func TestReasons(t *testing.T) {
 	placing := logLine(0, logevent.Placing, `"orphan":false`)
 	placed := logLine(time.Second, logevent.Placement, `"engine":"e","load":"m","source":"disk"`)
@@ -43,26 +43,26 @@
 		{"a second attempt", []string{
 			logLine(0, logevent.CallSent, sentFields), logLine(1, logevent.CallRetried, `"call":"c"`), logLine(2, logevent.CallSent, sentFields),
 			logLine(3, logevent.CallServed, `"call":"c","waited_ms":500,"first_ms":10`),
-		}, "late: sent again after a failure"},
+		}, "late: retried after a failure"},
 		{"an order", []string{
 			logLine(0, logevent.CallWaits, `"call":"c","for":"an order"`), logLine(1, logevent.CallSent, sentFields),
 			logLine(2, logevent.CallServed, `"call":"c","waited_ms":500,"first_ms":10`),
 		}, "late: waited for an order"},
 		{"the replica died", []string{logLine(0, logevent.CallSent, sentFields), logLine(1, logevent.CallFailed, `"call":"c","code":303,"detail":"unexpected EOF"`)},
-			"failed: stream_cut: the replica broke the connection off"},
+			"failed: stream_cut: the replica closed the connection"},
 		{"the caller left", []string{logLine(0, logevent.CallSent, sentFields)}, "unanswered: its caller left"},
 		{"the instance died", []string{logLine(0, logevent.CallSent, sentFields), logLine(time.Second, logevent.Listening, `"callers":"x"`)},
 			"unanswered: its caller left, or its instance ended"},
 		{"an adapter", []string{logLine(0, logevent.CallFailed, `"call":"c","code":203,"detail":"\"m/a\" cannot be loaded where its model is"`)},
 			"refused: its adapter cannot be loaded where its model is"},
-		{"no placer", []string{logLine(0, logevent.CallFailed, missFields)}, "refused: not resident: nobody places models"},
-		{"just missed", []string{placing, logLine(time.Second, logevent.CallFailed, missFields)}, "refused: not resident: nobody had asked for it before"},
-		{"known and no change", []string{placing, other, logLine(2*time.Second, logevent.CallFailed, missFields)}, "refused: not resident: no change was begun for it"},
+		{"no placer", []string{logLine(0, logevent.CallFailed, missFields)}, "refused: not resident: no instance places models"},
+		{"the first request", []string{placing, logLine(time.Second, logevent.CallFailed, missFields)}, "refused: not resident: it was not requested before"},
+		{"requested before, without a placement", []string{placing, other, logLine(2*time.Second, logevent.CallFailed, missFields)}, "refused: not resident: no change was begun for it"},
 		{"not ordered", []string{placing, placed, logLine(1500*time.Millisecond, logevent.CallFailed, missFields), ordered, ended(3*time.Second, placementDone)},
 			"refused: not resident: its load was not ordered yet"},
 		{"loading", []string{placing, placed, ordered, logLine(2500*time.Millisecond, logevent.CallFailed, missFields), ended(3*time.Second, placementDone)},
 			"refused: not resident: loading from disk"},
-		{"in vain", []string{placing, placed, logLine(2*time.Second, logevent.CallFailed, missFields), ended(3*time.Second, "the engine is gone")},
+		{"a failed placement", []string{placing, placed, logLine(2*time.Second, logevent.CallFailed, missFields), ended(3*time.Second, "the engine is gone")},
 			"refused: not resident: its change came to nothing: the engine is gone"},
 		{"the placer died", []string{placing, placed, logLine(2*time.Second, logevent.CallFailed, missFields)},
 			"refused: not resident: the placer that began its change is gone"},
@@ -76,14 +76,14 @@
 	}
 }
 
-// TestWrongInput: lines that are not of an instance's log are counted and passed over,
-// a log without any is an error.
+// TestWrongInput checks that lines which are not of an instance's log are counted and
+// skipped, and that input without any line of an instance's log is an error.
 func TestWrongInput(t *testing.T) {
 	is := is.New(t)
 	good := logLine(0, logevent.CallSent, sentFields)
 	lines := []string{
 		"", "hello", "{", good[:len(good)/2], `{"time":"yesterday"}`, `{"event":1804}`, `[1,2]`,
-		"  12.5 host-1 " + good, // behind what a collector writes
+		"  12.5 host-1 " + good, // with a collector's prefix
 		logLine(0, logevent.CallSent, `"attempt":1`),
 	}
 	l, err := Read(strings.NewReader(strings.Join(lines, "\n")))
@@ -102,8 +102,8 @@
 	is.True(strings.Contains(err.Error(), "line 2"))
 }
 
-// TestReport: each call is counted once in each table, and a window names what most was
-// lost by.
+// TestReport checks that each call is counted once in each table and that a window shows
+// its most frequent reason for losses.
 func TestReport(t *testing.T) {
 	is := is.New(t)
 	var lines []string
--- a/internal/losses/record.go
+++ b/internal/losses/record.go
@@ -1,9 +1,9 @@
-// Package losses says from the instances' logs where service was lost: which calls
-// were late, refused or failed, when, in which zone, for which model, and why.
+// Package losses reports from the instances' logs which calls were late, refused, failed
+// or unanswered, when, in which zone, for which model, and why.
 //
-// The logs are JSON lines as instances write them, of one instance or of many, in the
-// order in which they were written; what a log collector puts before the JSON is
-// passed over. Read takes them in, and Report prints what they say.
+// The logs are the JSON lines of one or more instances in the order in which they were
+// written. Text that a log collector puts before the JSON of a line is ignored. Read
+// parses the logs, and Report prints the report.
 package losses
 
 import (
@@ -19,17 +19,18 @@
 	"github.com/birchdrift/birchdrift/core/logevent"
 )
 
-// maxLineSize bounds one line of a log: far above any that is written.
+// maxLineSize is the largest size of one line of a log, in bytes: far above any that
+// instances write.
 const maxLineSize = 1 << 20
 
-// A record is one line of a log: the fields of every event that matters here.
+// A record is one line of a log. Its fields are those of all events that the report uses.
 type record struct {
 	Time     time.Time       `json:"time"`
 	Event    logevent.Number `json:"event"`
 	Instance string          `json:"instance"`
 	Zone     string          `json:"zone"`
 
-	// Of events of calls.
+	// Fields of events of calls.
 	Call     string    `json:"call"`
 	Item     string    `json:"item"`
 	For      string    `json:"for"`
@@ -45,33 +46,33 @@
 	Code     code.Code `json:"code"`
 	Detail   string    `json:"detail"`
 
-	// Of events of models' changes and orders.
+	// Fields of events of placements and orders.
 	Engine string `json:"engine"`
-	Load   any    `json:"load"` // a model's name, or whether an order loads
+	Load   any    `json:"load"` // model name in a placement; in an order, whether it is a load
 	Source string `json:"source"`
 	Orphan bool   `json:"orphan"`
 }
 
-// A Log is what was read.
+// A Log holds the calls and placements of the logs that were read.
 type Log struct {
 	calls          map[string]*call
 	missed         []missedCall
 	placements     []*placement
 	openPlacements map[placementKey]*placement
 	orders         map[orderKey][]time.Time
-	placerStarts   []time.Time // when some instance began to place models for all
+	placerStarts   []time.Time // when some instance became the placer
 	starts         map[string][]time.Time
 	first          time.Time
 	last           time.Time
 	lines          int
-	skipped        int // lines that are no log line of an instance
-	withoutCallID  int // events of calls without a call
+	skipped        int // lines that are not of an instance's log
+	withoutCallID  int // events of calls that have no call ID
 }
 
-// errEmpty is returned for a log without one line of an instance.
+// errEmpty is returned if no line is of an instance's log.
 var errEmpty = errors.New("no line of an instance's log")
 
-// Read takes in logs.
+// Read parses logs. It fails if a line is too long or no line is of an instance's log.
 func Read(in io.Reader) (*Log, error) {
 	l := &Log{
 		calls: map[string]*call{}, openPlacements: map[placementKey]*placement{}, orders: map[orderKey][]time.Time{}, starts: map[string][]time.Time{},
@@ -91,8 +92,8 @@
 	return l, nil
 }
 
-// addLine takes in one addLine. One that is cut, or of another program, is counted and
-// passed over.
+// addLine adds one line to the log. A line that is truncated or of another program is
+// counted as skipped.
 func (l *Log) addLine(text []byte) {
 	var r record
 	start := bytes.IndexByte(text, '{')
@@ -110,7 +111,7 @@
 	l.addEvent(r)
 }
 
-// addEvent takes in one event.
+// addEvent adds one event to the log.
 func (l *Log) addEvent(r record) {
 	switch r.Event {
 	case logevent.CallSent, logevent.CallServed, logevent.CallFailed, logevent.CallRetried, logevent.CallWaits:
--- a/internal/losses/report.go
+++ b/internal/losses/report.go
@@ -12,20 +12,20 @@
 )
 
 const (
-	// window is the span of one row of the time table: short enough to tell one
-	// trouble from the next.
+	// window is the time covered by one row of the time table: short enough to
+	// distinguish one disturbance from the next.
 	window = 2 * time.Second
-	// barWidth is how many signs stand for all calls of a window: it fits into 80
-	// columns.
+	// barWidth is the number of characters of a bar, which stands for all calls of a
+	// window, so that a row fits into 80 columns.
 	barWidth = 40
-	// topModels is how many models are listed.
+	// topModels is the number of models that are listed.
 	topModels = 10
 )
 
-// barSymbols are the signs of the fates in a window's bar.
+// barSymbols are the characters of the outcomes in a window's bar, in their order.
 const barSymbols = "#~-x?"
 
-// Report prints where service was lost.
+// Report writes the tables of calls by reason, zone, rank, model and time window.
 func (l *Log) Report(out io.Writer) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	all := slices.SortedFunc(maps.Values(l.calls), func(a, b *call) int {
@@ -47,7 +47,7 @@
 	return w.Flush()
 }
 
-// outcomeLabel names a call's fate and reason.
+// outcomeLabel returns a call's outcome and, unless it was in time, its reason.
 func outcomeLabel(c *call) string {
 	if c.outcome == inTime {
 		return c.outcome.String()
@@ -55,7 +55,7 @@
 	return c.outcome.String() + ": " + c.reason
 }
 
-// rankLabel names a call's rank; one that was never sent has none in the log.
+// rankLabel returns a call's rank. The log has no rank of a call that was never sent.
 func rankLabel(c *call) string {
 	if c.sends == 0 {
 		return "never sent"
@@ -63,17 +63,17 @@
 	return fmt.Sprint(c.rank)
 }
 
-// A row counts the calls that have a key in common, by fate.
+// A row counts the calls with one key by outcome.
 type row struct {
 	key       string
 	total     int
 	byOutcome [numOutcomes]int
 }
 
-// notInTime returns how many were not answered in time.
+// notInTime returns the number of calls that were not answered in time.
 func (r row) notInTime() int { return r.total - r.byOutcome[inTime] }
 
-// countBy counts calls by a key, the most frequent first.
+// countBy counts calls by key and returns the rows with the most calls first.
 func countBy(all []*call, key func(c *call) string) []row {
 	rows := map[string]*row{}
 	for _, c := range all {
@@ -92,7 +92,7 @@
 	return list
 }
 
-// table prints rows with a column for each fate.
+// table writes rows with a column for each outcome.
 func table(w io.Writer, head string, rows []row) {
 	fmt.Fprintf(w, "\nBY %s\tCALLS", head)
 	for f := range numOutcomes {
@@ -108,7 +108,7 @@
 	}
 }
 
-// windows prints a bar for each span of time, and what was lost there most.
+// windows writes a bar for each time window with the most frequent reason for losses in it.
 func (l *Log) windows(w io.Writer, all []*call) {
 	fmt.Fprintf(w, "\nBY WINDOW\tCALLS\t%s\tMOST LOST BY\n", legend())
 	byWindow := map[int][]*call{}
@@ -122,7 +122,7 @@
 	}
 }
 
-// legend explains the signs of a bar.
+// legend explains the characters of a bar.
 func legend() string {
 	parts := make([]string, numOutcomes)
 	for f := range numOutcomes {
@@ -131,7 +131,7 @@
 	return strings.Join(parts, ", ")
 }
 
-// bar draws the fates of calls to scale.
+// bar returns a bar in which each outcome's length is its share of the calls.
 func bar(calls []*call) string {
 	var n [numOutcomes]int
 	for _, c := range calls {
@@ -148,7 +148,8 @@
 	return b.String()
 }
 
-// mainLossReason names the most frequent reason for which calls were lost.
+// mainLossReason returns the most frequent reason for which calls were not answered in
+// time, with its count.
 func mainLossReason(calls []*call) string {
 	for _, r := range countBy(calls, outcomeLabel) {
 		if r.byOutcome[inTime] == 0 {
--- a/internal/ops/ops.go
+++ b/internal/ops/ops.go
@@ -1,6 +1,6 @@
-// Package ops provides the operations listener: health, readiness, metrics,
-// and the state page. Reading is open to whoever reaches the listener; the one
-// changing call, stop, needs the operations key.
+// Package ops provides the handler of the operations listener: health, readiness,
+// metrics and status. Reads need no authentication; stop, the only call that changes
+// something, needs the operations key.
 package ops
 
 import (
@@ -13,14 +13,14 @@
 	"github.com/birchdrift/birchdrift/internal/telemetry"
 )
 
-// HeaderKey carries the operations key.
+// HeaderKey is the request header that carries the operations key.
 const HeaderKey = "Birchdrift-Operations-Key"
 
-// A Handler serves operators and the balancer.
+// A Handler serves operators and the load balancer.
 type Handler struct {
 	Shell   *shell.Shell
 	Metrics *telemetry.Metrics
-	Key     string // "" switches changing calls off
+	Key     string // operations key; "" disables stop
 }
 
 // Routes returns the operations listener's HTTP handler.
@@ -49,7 +49,7 @@
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(st) // the operator's connection tells of a failure
+	_ = json.NewEncoder(w).Encode(st) // an operator that has disconnected needs no answer
 }
 
 func (h Handler) stop(w http.ResponseWriter, r *http.Request) {
