--- a/internal/pages/constants_test.go
+++ b/internal/pages/constants_test.go
@@ -15,7 +15,7 @@
 	"testing"
 )
 
-// A constant is a numeric constant of the code: a timeout, limit, weight or
+// A constant is a numeric constant of the code, such as a timeout, limit, weight or
 // threshold.
 type constant struct {
 	pkg     string
@@ -24,32 +24,31 @@
 	meaning string
 }
 
-// unitPattern finds, in a constant's name or comment, what it counts.
+// unitPattern matches words that say what a constant counts or measures.
 var unitPattern = regexp.MustCompile(`(?i)(second|minute|hour|time|span|wait|byte|KiB|MiB|\bMB\b|bit|share|part|portion|weight|factor|ratio|multiple|times|percent|cost|value|price|bonus|rate|rank|priority|step|count|number|how many|how often|how much|every|most|least|max|min|limit|bound|length|size|width|slices|ranks|tokens?|calls?|requests?|replicas?|engines?|instances?|peers|orders?|attempts?|failures|tries|turns|samples|lines|keys|records|reports|routes|prompts?|models?|entries|events|watch|log|probes?|refusals|adapters|load|sequences|copies|concurrent|mode|port|code)`)
 
-// hasUnit reports whether a constant's unit is plain: by its type, its name or its
-// comment.
+// hasUnit reports whether a constant's type, name or comment states its unit.
 func (c constant) hasUnit() bool {
 	return strings.Contains(c.value, "time.") || unitPattern.MatchString(c.name) || unitPattern.MatchString(c.meaning)
 }
 
-// tuningPattern finds words on where a figure comes from, which are for commits and
-// docs/CAPACITY.md.
+// tuningPattern matches statements of how a value was found, which belong into commits
+// and docs/CAPACITY.md.
 var tuningPattern = regexp.MustCompile(`(?i)not\s+measured|set\s+in\s+[0-9a-f]{7}|first\s+version|standard\s+error`)
 
-// TestConstantsAreDocumented: each numeric constant has a name and a unit, no comment tells
-// where its figure comes from, and docs/design/constants.md lists them all.
+// TestConstantsAreDocumented checks that each numeric constant has a unit, that no comment
+// says how its value was found, and that docs/design/constants.md lists all constants.
 func TestConstantsAreDocumented(t *testing.T) {
 	all := constants(t)
 	if len(all) < 150 {
-		t.Fatalf("only %d constants were found", len(all))
+		t.Fatalf("found only %d constants", len(all))
 	}
 	for _, c := range all {
 		if !c.hasUnit() {
-			t.Errorf("%s.%s = %s: neither its type nor its name nor its comment has a unit: %q", c.pkg, c.name, c.value, c.meaning)
+			t.Errorf("%s.%s = %s: neither type nor name nor comment states a unit: %q", c.pkg, c.name, c.value, c.meaning)
 		}
 		if tuningPattern.MatchString(c.meaning) {
-			t.Errorf("%s.%s: its comment tells of its tuning: %q", c.pkg, c.name, c.meaning)
+			t.Errorf("%s.%s: the comment says how the value was tuned: %q", c.pkg, c.name, c.meaning)
 		}
 	}
 	var b strings.Builder
@@ -76,7 +75,7 @@
 	}
 }
 
-// constants returns the numeric constants of the product, by package and name.
+// constants returns the numeric constants of the product, sorted by package and name.
 func constants(t *testing.T) []constant {
 	t.Helper()
 	var all []constant
@@ -108,8 +107,8 @@
 	return all
 }
 
-// constantsOf returns the numeric constants of one declaration. Those with a type
-// of their own, such as enumerations, are none.
+// constantsOf returns the numeric constants of one declaration. Constants with an
+// explicit type, such as enumerations, are left out.
 func constantsOf(fset *token.FileSet, pkg string, g *ast.GenDecl) []constant {
 	var out []constant
 	for _, spec := range g.Specs {
@@ -119,7 +118,7 @@
 		}
 		var value bytes.Buffer
 		if err := printer.Fprint(&value, fset, v.Values[0]); err != nil {
-			continue // it cannot fail into a buffer
+			continue // printing into a buffer does not fail
 		}
 		parts := []string{v.Doc.Text(), v.Comment.Text()}
 		if v.Doc == nil {
@@ -131,7 +130,7 @@
 	return out
 }
 
-// isNumeric reports whether an expression is a number and no enumeration.
+// isNumeric reports whether an expression is a number and not part of an enumeration.
 func isNumeric(e ast.Expr) bool {
 	number, iota := false, false
 	ast.Inspect(e, func(n ast.Node) bool {
--- a/internal/pages/decisions_test.go
+++ b/internal/pages/decisions_test.go
@@ -10,8 +10,8 @@
 	"github.com/birchdrift/birchdrift/core/logevent"
 )
 
-// TestDecisionsNameWhatExists: every function, constant, log event and test that
-// docs/design/decisions.md names exists.
+// TestDecisionsNameWhatExists checks that every function, constant, log event and test
+// named in docs/design/decisions.md exists.
 func TestDecisionsNameWhatExists(t *testing.T) {
 	page, err := os.ReadFile(filepath.Join(docs, "design", "decisions.md"))
 	if err != nil {
@@ -37,13 +37,13 @@
 		rows++
 		for _, w := range word.FindAllStringSubmatch(cells[2], -1) {
 			if !definedIn(t, w[1]) {
-				t.Errorf("there is no function %s", w[1])
+				t.Errorf("function %s does not exist", w[1])
 			}
 		}
 		for _, cell := range []string{cells[4], cells[6]} {
 			for _, w := range word.FindAllStringSubmatch(cell, -1) {
 				if !known[w[1]] {
-					t.Errorf("nothing is called %s", w[1])
+					t.Errorf("no test, log event or constant is named %s", w[1])
 				}
 			}
 		}
@@ -59,8 +59,8 @@
 	}
 }
 
-// definedIn reports whether a package of core/ defines the function or method
-// that package.name names.
+// definedIn reports whether a package of core/ defines the function or method with the
+// qualified name package.name.
 func definedIn(t *testing.T, qualified string) bool {
 	t.Helper()
 	pkg, name, ok := strings.Cut(qualified, ".")
--- a/internal/pages/pages.go
+++ b/internal/pages/pages.go
@@ -1,5 +1,5 @@
-// Package pages provides the documentation pages that are generated from the
-// code's own tables, so that page and code cannot differ.
+// Package pages generates documentation pages from tables in the code, so that the
+// pages cannot differ from the code.
 package pages
 
 import (
@@ -17,7 +17,7 @@
 
 const generated = "\nThis page is generated from the code by `make docs`; a test fails when they differ.\n\n"
 
-// All returns every generated page by its file name under docs.
+// All returns every generated page, keyed by its file name under docs.
 func All() map[string]string {
 	return map[string]string{
 		"codes.md":    codesPage(),
@@ -29,7 +29,7 @@
 	}
 }
 
-// writeRow writes one writeRow of a table; bars within a cell are escaped.
+// writeRow writes one row of a Markdown table and escapes vertical bars in cells.
 func writeRow(b *strings.Builder, cells ...string) {
 	for _, c := range cells {
 		fmt.Fprintf(b, "| %s ", strings.ReplaceAll(c, "|", `\|`))
@@ -59,7 +59,7 @@
 	}
 	b.WriteString("\nAn error answer to a caller is JSON: `error.code`, `error.name`, `error.message` and\n" +
 		"`error.run`: `not_run` (it certainly did not run), `ran`, or `unknown` (it may have run).\n" +
-		"`Retry-After` is there where coming back makes sense.\n")
+		"`Retry-After` is set if a retry makes sense.\n")
 	return b.String()
 }
 
@@ -83,8 +83,8 @@
 		}
 		writeRow(&b, "`--"+s.Name+"`", "`"+s.Env()+"`", def, s.Allowed, s.Meaning)
 	}
-	b.WriteString("\nEvery fault is reported at the start, all at once, with status 2. Secrets are best\n" +
-		"given as variables; they appear in no log and no status.\n")
+	b.WriteString("\nAll faults are reported together at the start, with exit status 2. Secrets are best\n" +
+		"given as environment variables; they appear in no log and no status.\n")
 	return b.String()
 }
 
@@ -94,18 +94,18 @@
 	for _, r := range telemetry.MetricDocs {
 		writeRow(&b, "`"+r.Name+"`", r.Meaning, r.Action)
 	}
-	b.WriteString("\nMetrics are at `/metrics` on the operations listener, with the process's own beside them.\n")
+	b.WriteString("\nMetrics are at `/metrics` on the operations listener, together with those of the process.\n")
 	return b.String()
 }
 
-// A budgetCase is a fleet for which docs/design/budgets.md adds the waits up.
+// A budgetCase is a kind of fleet for which docs/design/budgets.md adds up the delays.
 type budgetCase struct {
 	name   string
 	bounds bounds.Bounds
 	mesh   bool
 }
 
-// exchangeInterval is the setting exchange-every of the users' deployments.
+// exchangeInterval is the value of the setting exchange-every in the users' deployments.
 const exchangeInterval = 500 * time.Millisecond
 
 var budgetCases = []budgetCase{
@@ -129,11 +129,11 @@
 		}
 		writeRow(&b, cells...)
 	}
-	sum := []string{"**sum**", "from the store's word that a replica leaves, or its entry's end, to the last call there"}
+	sum := []string{"**sum**", "from the store's change that a replica is leaving, or the end of its entry, to the last call sent there"}
 	bound := []string{"**bound**", "`--leave-bound`"}
-	silence := []string{"age of the list", "from which an instance that does not watch asks the store itself"}
-	unlisted := []string{"entry gone", "since it was last known to stand, until the replica counts as leaving"}
-	again := []string{"after an outage", "until the store is called again at the latest, of `--settle-time`"}
+	silence := []string{"age of the list", "at which an instance that does not watch reads the store itself"}
+	unlisted := []string{"entry gone", "from when it was last known to exist until the replica counts as leaving"}
+	again := []string{"after an outage", "longest delay until the store is called again, as part of `--settle-time`"}
 	for i, c := range budgetCases {
 		sum = append(sum, parts[i].Sum().String())
 		bound = append(bound, c.bounds.Leave.String())
@@ -144,9 +144,9 @@
 	for _, cells := range [][]string{sum, bound, silence, unlisted, again} {
 		writeRow(&b, cells...)
 	}
-	b.WriteString("\nEach part is at its longest in the sum. `core/bounds` works them out from the bound; waits\n" +
-		"that are set and make the sum too long are refused at the start, with this list; a bound that is\n" +
-		"shorter than the least of them is logged (1008). A configuration comes\n" +
-		"by the same watch; only the bound for replicas that leave is added up yet.\n")
+	b.WriteString("\nThe sum takes each part at its longest. `core/bounds` derives the parts from the bound. Waits\n" +
+		"that are set and make the sum exceed the bound are refused at the start, with this list; a bound\n" +
+		"that is too short for the shortest waits is logged (1008). A configuration arrives by the same\n" +
+		"watch; only the bound for leaving replicas is added up so far.\n")
 	return b.String()
 }
--- a/internal/pages/pages_test.go
+++ b/internal/pages/pages_test.go
@@ -18,7 +18,7 @@
 
 const docs = "../../docs"
 
-// TestPagesAreCurrent compares each generated page with its file.
+// TestPagesAreCurrent checks that each generated page is equal to its file.
 func TestPagesAreCurrent(t *testing.T) {
 	for name, text := range All() {
 		path := filepath.Join(docs, name)
@@ -38,7 +38,8 @@
 	}
 }
 
-// TestTablesAreInOrder: numbers rise and none stands twice.
+// TestTablesAreInOrder checks that the numbers of codes and events are strictly
+// increasing.
 func TestTablesAreInOrder(t *testing.T) {
 	is := is.New(t)
 	for i := 1; i < len(code.Table); i++ {
@@ -49,7 +50,7 @@
 	}
 }
 
-// TestProofsNameRealTests: every test that docs/proofs.md names exists.
+// TestProofsNameRealTests checks that every test named in docs/proofs.md exists.
 func TestProofsNameRealTests(t *testing.T) {
 	page, err := os.ReadFile(filepath.Join(docs, "proofs.md"))
 	if err != nil {
@@ -58,7 +59,7 @@
 	defined := definedTests(t)
 	names := regexp.MustCompile("`((?:Test|Fuzz)[A-Za-z]+)`").FindAllStringSubmatch(string(page), -1)
 	if len(names) < 30 {
-		t.Fatalf("only %d tests are named", len(names))
+		t.Fatalf("found only %d names of tests", len(names))
 	}
 	for _, n := range names {
 		if !defined[n[1]] {
