--- a/internal/pages/pages.go
+++ b/internal/pages/pages.go
@@ -133,15 +133,15 @@
 	bound := []string{"**bound**", "`--leave-bound`"}
 	silence := []string{"age of the list", "at which an instance that does not watch reads the store itself"}
 	unlisted := []string{"entry gone", "from when it was last known to exist until the replica counts as leaving"}
-	again := []string{"after an outage", "longest delay until the store is called again, as part of `--settle-time`"}
+	retryDelay := []string{"after an outage", "longest delay until the store is called again, as part of `--settle-time`"}
 	for i, c := range budgetCases {
 		sum = append(sum, parts[i].Sum().String())
 		bound = append(bound, c.bounds.Leave.String())
 		silence = append(silence, c.bounds.MaxStoreSilence().String())
 		unlisted = append(unlisted, c.bounds.VanishedGracePeriod().String())
-		again = append(again, fmt.Sprintf("%v of %v", c.bounds.MaxRetryDelay(), c.bounds.Settle))
+		retryDelay = append(retryDelay, fmt.Sprintf("%v of %v", c.bounds.MaxRetryDelay(), c.bounds.Settle))
 	}
-	for _, cells := range [][]string{sum, bound, silence, unlisted, again} {
+	for _, cells := range [][]string{sum, bound, silence, unlisted, retryDelay} {
 		writeRow(&b, cells...)
 	}
 	b.WriteString("\nThe sum takes each part at its longest. `core/bounds` derives the parts from the bound. Waits\n" +
