--- a/internal/pages/pages.go
+++ b/internal/pages/pages.go
@@ -132,16 +132,16 @@
 	sum := []string{"**sum**", "from the store's change that a replica is leaving, or the end of its entry, to the last call sent there"}
 	bound := []string{"**bound**", "`--leave-bound`"}
 	maxSilence := []string{"age of the list", "at which an instance that does not watch reads the store itself"}
-	unlisted := []string{"entry gone", "from when it was last known to exist until the replica counts as leaving"}
+	gracePeriod := []string{"entry gone", "from when it was last known to exist until the replica counts as leaving"}
 	retryDelay := []string{"after an outage", "longest delay until the store is called again, as part of `--settle-time`"}
 	for i, c := range budgetCases {
 		sum = append(sum, parts[i].Sum().String())
 		bound = append(bound, c.bounds.Leave.String())
 		maxSilence = append(maxSilence, c.bounds.MaxStoreSilence().String())
-		unlisted = append(unlisted, c.bounds.VanishedGracePeriod().String())
+		gracePeriod = append(gracePeriod, c.bounds.VanishedGracePeriod().String())
 		retryDelay = append(retryDelay, fmt.Sprintf("%v of %v", c.bounds.MaxRetryDelay(), c.bounds.Settle))
 	}
-	for _, cells := range [][]string{sum, bound, maxSilence, unlisted, retryDelay} {
+	for _, cells := range [][]string{sum, bound, maxSilence, gracePeriod, retryDelay} {
 		writeRow(&b, cells...)
 	}
 	b.WriteString("\nThe sum takes each part at its longest. `core/bounds` derives the parts from the bound. Waits\n" +
