--- a/internal/peer/convert.go
+++ b/internal/peer/convert.go
@@ -16,7 +16,7 @@
 	"github.com/birchdrift/birchdrift/internal/peer/peerpb"
 )
 
-// encode turns the core's message into the wire's.
+// encode converts a message to its wire form.
 func encode(m gossip.Message) *peerpb.Message {
 	out := &peerpb.Message{
 		From:         m.From,
@@ -49,7 +49,8 @@
 	return out
 }
 
-// encodeByRank returns amounts by rank in a unit, up to the last rank that has some.
+// encodeByRank returns amounts by rank as multiples of unit, up to the last rank whose
+// amount is not 0.
 func encodeByRank[T int | time.Duration](amounts pool.ByRank[T], unit T) []uint32 {
 	var out []uint32
 	for rank, amount := range amounts {
@@ -62,8 +63,8 @@
 	return out
 }
 
-// decodeByRank returns the amounts by rank; ranks that this version does not know
-// count as the last.
+// decodeByRank converts amounts by rank from multiples of unit. Ranks that this version
+// does not know count as the last one.
 func decodeByRank[T int | time.Duration](in []uint32, unit T) pool.ByRank[T] {
 	var amounts pool.ByRank[T]
 	for rank, amount := range in {
@@ -72,7 +73,7 @@
 	return amounts
 }
 
-// encodeRecords adds the records to the message.
+// encodeRecords appends the records to the wire message out.
 func encodeRecords(records gossip.Records, out *peerpb.Message) {
 	for _, r := range records.Registered {
 		out.Registered = append(out.Registered, &peerpb.Registered{Key: r.Key, Data: r.Data, Revision: uint64(r.Revision), Gone: r.Gone})
@@ -121,12 +122,13 @@
 	return pool.Incarnation{Name: i.GetName(), Born: i.GetBorn()}
 }
 
-// encodeLimit words what is known of a replica's limit, nil if it never named one.
-func encodeLimit(w pool.LimitReport) *peerpb.RateLimit {
-	if w.IsZero() {
+// encodeLimit converts a limit report; it returns nil for the zero report of a replica
+// that never named a limit.
+func encodeLimit(r pool.LimitReport) *peerpb.RateLimit {
+	if r.IsZero() {
 		return nil
 	}
-	return &peerpb.RateLimit{Named: w.Limit.Named, PerSecond: w.Limit.PerSecond, By: w.By, AgeMs: toMilliseconds(w.Age)}
+	return &peerpb.RateLimit{Named: r.Limit.Named, PerSecond: r.Limit.PerSecond, By: r.By, AgeMs: toMilliseconds(r.Age)}
 }
 
 func decodeLimit(l *peerpb.RateLimit) pool.LimitReport {
@@ -152,10 +154,10 @@
 	}
 }
 
-func encodeDecision(v permits.Decision) *peerpb.PermitReply {
+func encodeDecision(d permits.Decision) *peerpb.PermitReply {
 	return &peerpb.PermitReply{
-		Granted: v.Granted, HeldMs: toMilliseconds(v.Held), TurnMs: toMilliseconds(v.Turn), AfterMs: toMilliseconds(v.After),
-		Limit: encodeLimit(v.Word),
+		Granted: d.Granted, HeldMs: toMilliseconds(d.Held), TurnMs: toMilliseconds(d.Turn), AfterMs: toMilliseconds(d.After),
+		Limit: encodeLimit(d.Word),
 	}
 }
 
@@ -166,7 +168,7 @@
 	}
 }
 
-// fromMilliseconds returns a fromMilliseconds of so many milliseconds.
+// fromMilliseconds returns a duration of ms milliseconds.
 func fromMilliseconds(ms uint32) time.Duration { return time.Duration(ms) * time.Millisecond }
 
 func encodeCrash(c crash.Report) *peerpb.Crash {
@@ -185,15 +187,14 @@
 	for _, r := range c.GetRequests() {
 		out.Requests = append(out.Requests, crash.Fingerprint(r))
 	}
-	slices.Sort(out.Requests) // they are looked up as such, whoever sent them
+	slices.Sort(out.Requests) // lookups need them sorted, and a peer may not have done so
 	return out
 }
 
-// eventTimeOfAge returns a moment of so many milliseconds ago.
+// eventTimeOfAge returns the time of an event that happened ms milliseconds ago.
 func eventTimeOfAge(ms uint32) clock.EventTime { return clock.EventTime{Age: fromMilliseconds(ms)} }
 
-// toMilliseconds returns a span as it travels; one that is too long counts as the
-// longest.
+// toMilliseconds returns a duration in milliseconds, limited to the largest uint32.
 func toMilliseconds(d time.Duration) uint32 { return uint32(min(d.Milliseconds(), math.MaxUint32)) }
 
 func encodeAnnounced(a *pool.Announcement) *peerpb.Announced {
@@ -234,7 +235,7 @@
 	return out
 }
 
-// decode turns the wire's message into the core's.
+// decode converts a message from its wire form.
 func decode(m *peerpb.Message) gossip.Message {
 	out := gossip.Message{
 		From:         m.GetFrom(),
@@ -271,7 +272,7 @@
 	return out
 }
 
-// decodeRecords returns the message's records.
+// decodeRecords converts the records of a wire message.
 func decodeRecords(m *peerpb.Message) gossip.Records {
 	var out gossip.Records
 	for _, r := range m.GetRegistered() {
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -1,9 +1,10 @@
-// Package peer provides the exchanges between entry instances over twirp.
+// Package peer implements the calls between entry instances over Twirp: gossip
+// exchanges, order requests and permit requests.
 //
-// It only moves messages: what they say and when they are sent is decided by
-// core/instance. Both sides show the shared key of the instances, compared in
-// constant time; without a key configured everybody who reaches the listener
-// is let in.
+// It only transports messages; package core/instance decides what they say and when
+// they are sent. A client sends the shared key of the instances, which the server
+// compares in constant time. If no key is configured, every client that reaches the
+// listener is accepted.
 package peer
 
 import (
@@ -22,10 +23,10 @@
 	"github.com/birchdrift/birchdrift/internal/peer/peerpb"
 )
 
-// keyHeader carries the instances' shared key.
+// keyHeader is the request header that carries the instances' shared key.
 const keyHeader = "Birchdrift-Peer-Key"
 
-// A Client begins exchanges.
+// A Client calls other instances.
 type Client struct {
 	http *http.Client
 	key  string
@@ -34,12 +35,12 @@
 	clients map[string]peerpb.Peer // by address
 }
 
-// NewClient returns a client that shows key to its peers.
+// NewClient returns a client that sends key to its peers.
 func NewClient(client *http.Client, key string) *Client {
 	return &Client{http: client, key: key, clients: map[string]peerpb.Peer{}}
 }
 
-// Exchange sends msg to the peer at address (IP:port) and returns its side.
+// Exchange sends msg to the peer at address (IP:port) and returns the peer's message.
 func (c *Client) Exchange(ctx context.Context, address string, msg gossip.Message) (gossip.Message, error) {
 	ctx, err := c.withKey(ctx)
 	if err != nil {
@@ -52,13 +53,14 @@
 	return decode(reply), nil
 }
 
-// An OrderReply is what the owner of an engine answers.
+// An OrderReply is the answer of an engine's owner to an order request.
 type OrderReply struct {
 	Outcome owned.Outcome
 	Detail  string
 }
 
-// RequestOrder asks the peer at address (IP:port) for an order to an engine of its.
+// RequestOrder requests an order to an engine from its owner, the peer at address
+// (IP:port).
 func (c *Client) RequestOrder(ctx context.Context, address, from, engine string, r orders.Request) (OrderReply, error) {
 	ctx, err := c.withKey(ctx)
 	if err != nil {
@@ -68,13 +70,13 @@
 		From: from, Engine: engine, Load: r.Load, Model: r.Model, Adapter: r.Adapter,
 	})
 	if err != nil {
-		return OrderReply{}, trace.Wrap(err, "asking %s for an order", address)
+		return OrderReply{}, trace.Wrap(err, "requesting an order from %s", address)
 	}
 	return OrderReply{Outcome: owned.Outcome(reply.GetOutcome()), Detail: reply.GetDetail()}, nil
 }
 
-// RequestPermit asks the peer at address (IP:port) for a permit, or gives one back. A caller that
-// leaves meanwhile is seen by the end of ctx.
+// RequestPermit requests a permit from the peer at address (IP:port), or releases one. If
+// the call no longer needs it, canceling ctx tells the peer so.
 func (c *Client) RequestPermit(ctx context.Context, address, from string, r permits.Request) (permits.Decision, error) {
 	ctx, err := c.withKey(ctx)
 	if err != nil {
@@ -82,12 +84,12 @@
 	}
 	reply, err := c.client(address).Permit(ctx, encodePermitRequest(from, r))
 	if err != nil {
-		return permits.Decision{}, trace.Wrap(err, "asking %s for a permit", address)
+		return permits.Decision{}, trace.Wrap(err, "requesting a permit from %s", address)
 	}
 	return decodeDecision(reply), nil
 }
 
-// withKey returns a context under which calls show the instances' key.
+// withKey returns a context whose calls carry the instances' key.
 func (c *Client) withKey(ctx context.Context) (context.Context, error) {
 	if c.key == "" {
 		return ctx, nil
@@ -109,32 +111,32 @@
 	return p
 }
 
-// A Server takes exchanges that peers begin.
+// A Server handles the calls of peers.
 type Server struct {
-	// Take answers one message.
+	// Take answers one exchange.
 	Take func(ctx context.Context, msg gossip.Message) (gossip.Message, error)
-	// TakeOrder answers a question for an order; nil refuses every one.
+	// TakeOrder answers an order request; if nil, all are refused.
 	TakeOrder func(ctx context.Context, engine string, r orders.Request) (OrderReply, error)
-	// TakePermit answers a question for a permit; nil refuses every one.
+	// TakePermit answers a permit request; if nil, all are refused.
 	TakePermit func(ctx context.Context, from string, r permits.Request) (permits.Decision, error)
 }
 
 // Permit implements the generated service.
 func (s Server) Permit(ctx context.Context, in *peerpb.PermitRequest) (*peerpb.PermitReply, error) {
 	if s.TakePermit == nil {
-		return nil, twirp.NewError(twirp.Unimplemented, "no permits are given out here")
+		return nil, twirp.NewError(twirp.Unimplemented, "this instance grants no permits")
 	}
-	v, err := s.TakePermit(ctx, in.GetFrom(), decodePermitRequest(in))
+	decision, err := s.TakePermit(ctx, in.GetFrom(), decodePermitRequest(in))
 	if err != nil {
 		return nil, twirp.NewError(twirp.Unavailable, err.Error())
 	}
-	return encodeDecision(v), nil
+	return encodeDecision(decision), nil
 }
 
 // Order implements the generated service.
 func (s Server) Order(ctx context.Context, in *peerpb.OrderRequest) (*peerpb.OrderReply, error) {
 	if s.TakeOrder == nil {
-		return nil, twirp.NewError(twirp.Unimplemented, "no orders are taken here")
+		return nil, twirp.NewError(twirp.Unimplemented, "this instance accepts no order requests")
 	}
 	r := orders.Request{Load: in.GetLoad(), Model: in.GetModel(), Adapter: in.GetAdapter()}
 	reply, err := s.TakeOrder(ctx, in.GetEngine(), r)
@@ -153,10 +155,12 @@
 	return encode(reply), nil
 }
 
-// maxMessageSize bounds a message: a configuration and every record of a fleet.
+// maxMessageSize is the largest size of a message in bytes: enough for a configuration and
+// every record of a fleet.
 const maxMessageSize = 8 << 20
 
-// Handler returns the HTTP handler of the peers' listener.
+// Handler returns the HTTP handler of the peers' listener. Calls must carry key, unless it
+// is "".
 func (s Server) Handler(key string) http.Handler {
 	next := peerpb.NewPeerServer(s)
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -18,7 +18,8 @@
 	"github.com/birchdrift/birchdrift/core/registry"
 )
 
-// fullMessage has every field set, so that one that the wire loses shows.
+// fullMessage returns a message with every field set, so that a test sees if the conversion
+// loses one.
 func fullMessage() gossip.Message {
 	return gossip.Message{
 		From: "a", Zone: "z", Address: "127.0.0.1:1", Boot: 1, Leaving: true, Revision: 2, Stamp: 3, AckBoot: 4, Ack: 5,
@@ -82,25 +83,24 @@
 	is.Equal(taken, 1)
 }
 
-// TestPermitsTravelWhole: what is asked for a permit and what is answered arrive as they
-// were sent.
+// TestPermitsTravelWhole checks that permit requests and replies arrive as they were sent.
 func TestPermitsTravelWhole(t *testing.T) {
 	is := is.New(t)
-	word := pool.LimitReport{Limit: pool.RateLimit{Named: true, PerSecond: 0.25}, By: "b", EventTime: clock.EventTime{Age: 3 * time.Millisecond}}
+	report := pool.LimitReport{Limit: pool.RateLimit{Named: true, PerSecond: 0.25}, By: "b", EventTime: clock.EventTime{Age: 3 * time.Millisecond}}
 	request := permits.Request{
-		Resource: permits.Resource{Replica: pool.Incarnation{Name: "e", Born: "1"}, Service: "s"}, Alone: true, Zone: "z", Rank: -1, Wait: 4 * time.Second, Unused: true, Word: word,
+		Resource: permits.Resource{Replica: pool.Incarnation{Name: "e", Born: "1"}, Service: "s"}, Alone: true, Zone: "z", Rank: -1, Wait: 4 * time.Second, Unused: true, Word: report,
 	}
-	verdict := permits.Decision{Granted: true, Held: 5 * time.Millisecond, Turn: 6 * time.Millisecond, After: 7 * time.Millisecond, Word: word}
+	decision := permits.Decision{Granted: true, Held: 5 * time.Millisecond, Turn: 6 * time.Millisecond, After: 7 * time.Millisecond, Word: report}
 	server := httptest.NewServer(Server{TakePermit: func(_ context.Context, from string, r permits.Request) (permits.Decision, error) {
 		is.Equal(from, "a")
 		is.Equal(r, request)
-		return verdict, nil
+		return decision, nil
 	}}.Handler("key"))
 	defer server.Close()
 	got, err := NewClient(http.DefaultClient, "key").RequestPermit(context.Background(), server.Listener.Addr().String(), "a", request)
 	is.NoErr(err)
-	is.Equal(got, verdict)
-	is.Equal(decodeDecision(encodeDecision(permits.Decision{})), permits.Decision{}) // nothing is known of a limit
+	is.Equal(got, decision)
+	is.Equal(decodeDecision(encodeDecision(permits.Decision{})), permits.Decision{}) // no limit is known
 	_, err = NewClient(http.DefaultClient, "wrong").RequestPermit(context.Background(), server.Listener.Addr().String(), "a", request)
 	is.True(err != nil)
 }
