--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -1,5 +1,5 @@
-// Package service provides the adapter for plain services: one HTTP call out,
-// its answer's body left open for streaming.
+// Package service sends HTTP calls to plain services and returns their answers with
+// the body left open for streaming.
 package service
 
 import (
@@ -19,18 +19,18 @@
 // A Client sends calls to plain services.
 type Client struct{ transports upstream.Transports }
 
-// NewClient returns a client over the transports.
+// NewClient returns a client that uses the given transports.
 func NewClient(t upstream.Transports) *Client { return &Client{transports: t} }
 
-// A Call is one call on its way out.
+// A Call is an outgoing call.
 type Call struct {
 	Address string // IP:port
-	Host    string // of the caller's request; "" for the address
+	Host    string // Host header of the caller's request; "" for the address
 	Method  string
 	Path    string
-	Query   string // raw
-	// Target is the caller's request target, byte for byte. It stands in for
-	// Path and Query where it is set.
+	Query   string // encoded, without "?"
+	// Target is the caller's request target, byte for byte. If set, it replaces Path
+	// and Query.
 	Target     string
 	Header     http.Header
 	Body       io.ReadCloser
@@ -38,8 +38,8 @@
 	Repeatable bool
 }
 
-// A RefusedError says that the upstream itself said that it did not run the
-// call and never will.
+// A RefusedError means that the upstream stated that it did not run the call and never
+// will.
 type RefusedError struct {
 	Status  int
 	Leaving bool
@@ -47,11 +47,12 @@
 
 // Error implements error.
 func (e *RefusedError) Error() string {
-	return fmt.Sprintf("the upstream answered %d and says that it did not run the call", e.Status)
+	return fmt.Sprintf("the upstream answered %d and stated that it did not run the call", e.Status)
 }
 
-// Send makes one attempt; progress notes how far it came, also on error. The
-// caller closes the answer's body.
+// Send makes one attempt and records its phase in progress, also on error. It returns a
+// RefusedError if the upstream did not run the call. The caller must close the answer's
+// body.
 func (c *Client) Send(ctx context.Context, call Call, progress *upstream.Progress) (*http.Response, error) {
 	resp, err := c.RoundTrip(ctx, call, progress)
 	if err != nil {
@@ -69,8 +70,8 @@
 	return resp, nil
 }
 
-// RoundTrip makes one attempt and returns whatever answer came; reading it is
-// the caller's. progress notes how far it came while there was none.
+// RoundTrip makes one attempt and returns the answer, whatever it is. The caller must
+// interpret it and close its body. Up to the answer, progress records the phase.
 func (c *Client) RoundTrip(ctx context.Context, call Call, progress *upstream.Progress) (*http.Response, error) {
 	req, err := http.NewRequestWithContext(progress.TraceContext(ctx), call.Method, "http://"+call.Address+"/", call.body())
 	if err != nil {
@@ -80,7 +81,7 @@
 	req.Host = call.Host
 	req.Header = call.Header
 	if _, named := req.Header["User-Agent"]; !named {
-		req.Header["User-Agent"] = []string{""} // or net/http adds one of its own
+		req.Header["User-Agent"] = []string{""} // keeps net/http from adding its own
 	}
 	req.ContentLength = call.Length
 	req.GetBody = nil
@@ -91,7 +92,7 @@
 	return resp, nil
 }
 
-// url returns where the call goes, with the caller's own spelling of the path.
+// url returns the call's URL, with the caller's own encoding of the path.
 func (c Call) url() *url.URL {
 	u := &url.URL{Scheme: "http", Host: c.Address, Path: c.Path, RawQuery: c.Query}
 	if c.Target == "" {
@@ -101,7 +102,7 @@
 	u.RawQuery = query
 	u.ForceQuery = asked
 	if strings.HasPrefix(path, "//") {
-		// An opaque part that begins so would be taken for a host.
+		// net/http would take an opaque part that begins with // for a host.
 		u.Path, _ = url.PathUnescape(path) // checked when the request was read
 		u.RawPath = path
 		return u
@@ -110,8 +111,8 @@
 	return u
 }
 
-// body returns the body to send. A method that usually has none must not be
-// given http.NoBody: net/http takes that for leave to send the request again.
+// body returns the body to send. For methods that usually have no body it avoids
+// http.NoBody, because net/http would then consider the request safe to retry.
 func (c Call) body() io.ReadCloser {
 	if c.Length != 0 {
 		return c.Body
@@ -123,14 +124,14 @@
 	return http.NoBody
 }
 
-// hopByHopHeaders are the headers that end at each connection (RFC 9110, 7.6.1).
+// hopByHopHeaders are the headers that apply to a single connection only (RFC 9110, 7.6.1).
 var hopByHopHeaders = []string{
 	"Connection", "Proxy-Connection", "Keep-Alive", "Proxy-Authenticate",
 	"Proxy-Authorization", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// EndToEndHeaders returns a copy of the headers without those of one connection, the
-// ones that Connection names included.
+// EndToEndHeaders returns a copy of h without the hop-by-hop headers, which include those
+// that the Connection header names.
 func EndToEndHeaders(h http.Header) http.Header {
 	out := h.Clone()
 	for _, line := range h.Values("Connection") {
--- a/internal/service/service_test.go
+++ b/internal/service/service_test.go
@@ -7,8 +7,8 @@
 	"github.com/matryer/is"
 )
 
-// TestHopByHopHeadersEndHere: those of the standard, and those that the
-// Connection header names.
+// TestHopByHopHeadersEndHere checks that EndToEndHeaders removes the standard hop-by-hop
+// headers and those that the Connection header names.
 func TestHopByHopHeadersEndHere(t *testing.T) {
 	is := is.New(t)
 	in := http.Header{
@@ -17,5 +17,5 @@
 	}
 	out := EndToEndHeaders(in)
 	is.Equal(out, http.Header{"X-Kept": {"yes"}, "Idempotency-Key": {"k"}})
-	is.Equal(in.Get("X-Private"), "1") // the original is untouched
+	is.Equal(in.Get("X-Private"), "1") // the original is unchanged
 }
