--- a/internal/server/follow.go
+++ b/internal/server/follow.go
@@ -13,30 +13,31 @@
 	"github.com/birchdrift/birchdrift/internal/settings"
 )
 
-// settingsPollInterval spaces the looks at the settings file, which may change without a
-// signal.
+// settingsPollInterval is the time between two reads of the settings file, which may
+// change without a signal.
 const settingsPollInterval = 2 * time.Second
 
-// memoryLimitShare is the part of the memory limit that the runtime aims at; the rest
-// is for what it does not count.
+// memoryLimitShare is the share of the memory limit that is set as the Go runtime's limit.
+// The remainder is for memory that the runtime does not count.
 const memoryLimitShare = 0.8
 
-// limitMemory has the runtime collect more eagerly near the limit, in MiB.
+// limitMemory sets the runtime's soft memory limit, near which it collects garbage more
+// often, from a limit in MiB; 0 sets none.
 func limitMemory(mib int64) {
 	if mib > 0 {
 		debug.SetMemoryLimit(int64(memoryLimitShare * float64(mib<<20)))
 	}
 }
 
-// ReloadFrom has the server take over changes of its settings, which were read from
-// source and stood in file.
+// ReloadFrom makes the server apply later changes of its settings from source; file is the
+// content of the settings file from which the current ones were read.
 func (s *Server) ReloadFrom(source settings.Source, file []byte) {
 	s.source = source
 	s.file = file
 }
 
-// watchSettings takes over changed settings until the server ends: at SIGHUP, and when
-// the file is seen to have changed.
+// watchSettings reloads the settings on SIGHUP and whenever the settings file has changed,
+// until the server ends.
 func (s *Server) watchSettings() error {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGHUP)
@@ -57,7 +58,8 @@
 	}
 }
 
-// reload reads the settings again. Wrong ones change nothing.
+// reload reads the settings and applies them. Invalid settings are logged and change
+// nothing.
 func (s *Server) reload() {
 	if s.source.Given == nil {
 		return
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -1,6 +1,5 @@
-// Package server provides one entry instance as a process: it wires the
-// adapters, the shell and the three listeners together and takes them down
-// again in order.
+// Package server runs one entry instance as a process: it connects the upstream
+// clients, the shell and the three listeners and shuts them down in order.
 package server
 
 import (
@@ -40,10 +39,10 @@
 	"github.com/birchdrift/birchdrift/internal/upstream"
 )
 
-// maxHeaderBytes bounds a request's header, in bytes.
+// maxHeaderBytes is the largest size of a request's headers, in bytes.
 const maxHeaderBytes = 64 << 10
 
-// shutdownTimeout bounds how long listeners may take to close after the last call.
+// shutdownTimeout is the time that listeners may take to close after the last call.
 const shutdownTimeout = 5 * time.Second
 
 // A Server is one entry instance.
@@ -58,30 +57,30 @@
 	metrics   *telemetry.Metrics
 	logs      *telemetry.LogWriter
 	source    settings.Source
-	file      []byte // of the settings in force
+	file      []byte // content of the settings file when it was last read
 	ctx       context.Context
 	cancel    context.CancelFunc
 }
 
-// A listener is one bound listener with its server.
+// A listener is one open listener with its HTTP server.
 type listener struct {
 	net  net.Listener
 	http *http.Server
 }
 
-// An Environment is what an instance runs in.
+// An Environment connects an instance to the platform that it runs on.
 type Environment struct {
 	Join shell.EnvironmentFactory
-	Wire forward.WireFormat // how forwarded calls are worded
-	// OwnCalls returns the handler of the product's own interface; nil where
-	// callers are not offered it.
+	Wire forward.WireFormat // headers of forwarded calls
+	// OwnCalls returns the handler of the product's own interface; nil if callers are
+	// not offered it.
 	OwnCalls func(h *entry.Handler, self member.Identity, maxBody int64) http.Handler
 }
 
-// An EnvironmentFactory joins an instance to its environment.
+// An EnvironmentFactory returns the environment for the given settings.
 type EnvironmentFactory func(set settings.Settings, t upstream.Transports) Environment
 
-// OwnEnvironment joins an instance to the product's own environment.
+// OwnEnvironment is the EnvironmentFactory of the product's own environment.
 func OwnEnvironment(set settings.Settings, t upstream.Transports) Environment {
 	engines := engine.NewClient(t)
 	wire := forward.OwnFormat
@@ -99,10 +98,10 @@
 	}
 }
 
-// New binds the listeners and wires the instance, whose tunables are opt, to the
-// environment that enter joins it to; Run starts it. Logs go to logs, spans to
-// spans.
-func New(set settings.Settings, opt option.Options, enter EnvironmentFactory, logs, spans io.Writer) (*Server, error) {
+// New opens the listeners and returns a server of an instance with the options opt in the
+// environment that newEnvironment returns; Run starts it. Log lines are written to logs,
+// trace spans to spans.
+func New(set settings.Settings, opt option.Options, newEnvironment EnvironmentFactory, logs, spans io.Writer) (*Server, error) {
 	level := new(slog.LevelVar)
 	level.Set(set.LogLevel)
 	metrics := telemetry.NewMetrics()
@@ -117,7 +116,7 @@
 	if err := s.bind(); err != nil {
 		return nil, err
 	}
-	s.wire(enter)
+	s.wire(newEnvironment)
 	if err := set.CheckLeaveBound(); err != nil {
 		log.Info(logevent.BoundTooShort.Name(), "event", int(logevent.BoundTooShort), "error", err.Error())
 	}
@@ -131,7 +130,7 @@
 		bound, err := listen(l.address)
 		if err != nil {
 			for _, open := range s.listeners {
-				_ = open.net.Close() // the process ends anyhow
+				_ = open.net.Close() // the process is about to end
 			}
 			return trace.Wrap(err, "listening for %s", l.name)
 		}
@@ -143,11 +142,11 @@
 	return nil
 }
 
-func (s *Server) wire(enter EnvironmentFactory) {
+func (s *Server) wire(newEnvironment EnvironmentFactory) {
 	metrics := s.metrics
 	transports := upstream.NewTransports()
 	unread := upstream.NewUnreadHeaderDetector(s.unreadHeader, metrics.CountUnreadHeader)
-	environment := enter(s.set, unread.Wrap(transports))
+	environment := newEnvironment(s.set, unread.Wrap(transports))
 	unread.AddKnown(environment.Wire.AnswerHeaders())
 	self := member.Identity{
 		Name: s.set.Name, Zone: s.set.Zone, Address: s.set.Advertise,
@@ -180,19 +179,18 @@
 	}
 }
 
-// unreadHeader logs a header of an answer that nothing here reads.
+// unreadHeader logs the name of an answer header that the instance does not read.
 func (s *Server) unreadHeader(name string) {
 	s.log.Info(logevent.HeaderUnread.Name(), "event", int(logevent.HeaderUnread), "name", name)
 }
 
-// Addresses returns the bound addresses of the callers', peers' and
-// operations listeners.
+// Addresses returns the addresses of the callers', peers' and operations listeners.
 func (s *Server) Addresses() (callers, peers, operations string) {
 	return s.listeners[0].net.Addr().String(), s.listeners[1].net.Addr().String(), s.listeners[2].net.Addr().String()
 }
 
-// Run serves until a planned stop is complete. SIGTERM or SIGINT begins the
-// stop, a second one ends it at once. It returns how many calls were cut off.
+// Run serves until a planned stop is complete. SIGTERM or SIGINT begins the stop and a
+// second one ends it at once. It returns the number of calls that were cut off.
 func (s *Server) Run() (int, error) {
 	var group errgroup.Group
 	group.Go(s.shell.Run)
@@ -228,16 +226,16 @@
 	}
 }
 
-// close takes the listeners down. Handlers whose calls were cut still have
-// their final answer to write, so connections get a moment.
+// close shuts the listeners down. Handlers whose calls were cut off still have to write
+// their final answers, so connections get up to shutdownTimeout.
 func (s *Server) close() {
 	ctx, done := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer done()
 	for _, l := range s.listeners {
 		if err := l.http.Shutdown(ctx); err != nil {
-			_ = l.http.Close() // what is left had its moment
+			_ = l.http.Close() // the remaining connections used up their time
 		}
 	}
 	s.cancel()
-	_ = s.tracer.Stop(ctx) // spans that cannot be written are lost with the process
+	_ = s.tracer.Stop(ctx) // spans that cannot be written are lost
 }
