--- a/internal/server/notice_test.go
+++ b/internal/server/notice_test.go
@@ -23,8 +23,8 @@
 	}
 }
 
-// withRest has the answers of a replica ask for rest.
-func withRest(answer http.HandlerFunc) http.HandlerFunc {
+// withRetryAfter has the answers of a replica ask for rest.
+func withRetryAfter(answer http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set(forward.OwnFormat.RetryAfter, "30")
 		answer(w, r)
@@ -130,7 +130,7 @@
 // after it pass the first over; an answer that turns nothing away asks for none.
 func TestRefusingReplicaMayAskForRest(t *testing.T) {
 	is := is.New(t)
-	s := newTestInstance(t, withRest(answerNotRun(503)), withRest(answerNotRun(503)), withRest(answerOK("good")))
+	s := newTestInstance(t, withRetryAfter(answerNotRun(503)), withRetryAfter(answerNotRun(503)), withRetryAfter(answerOK("good")))
 	for range 12 {
 		is.Equal(s.send("POST", "once", "/x", "body").status, 200)
 	}
