--- a/internal/server/forward_test.go
+++ b/internal/server/forward_test.go
@@ -129,7 +129,7 @@
 
 // newTestInstanceWith is newSite with some settings that differ, and replicas that stand behind
 // proxies if proxied.
-func newTestInstanceWith(t *testing.T, differ map[string]string, proxied bool, answers ...http.HandlerFunc) *testInstance {
+func newTestInstanceWith(t *testing.T, overrides map[string]string, proxied bool, answers ...http.HandlerFunc) *testInstance {
 	t.Helper()
 	is := is.New(t)
 	s := &testInstance{t: t}
@@ -155,7 +155,7 @@
 		change.Config = data
 	}
 	set, faults := settings.Parse(func(name string) string {
-		if value, ok := differ[name]; ok {
+		if value, ok := overrides[name]; ok {
 			return value
 		}
 		return map[string]string{
