--- a/internal/server/forward_test.go
+++ b/internal/server/forward_test.go
@@ -165,7 +165,7 @@
 		}[name] + defaultOf(name)
 	})
 	is.Equal(len(faults), 0)
-	server, err := New(set, set.Options(), memoryStore(change), io.Discard, nil)
+	server, err := New(set, set.Options(), newMemoryEnvironment(change), io.Discard, nil)
 	is.NoErr(err)
 	s.server = server
 	s.address, _, _ = server.Addresses()
@@ -197,8 +197,8 @@
 	return ""
 }
 
-// memoryStore joins the instance to a store that says one thing and then waits.
-func memoryStore(change environment.Change) EnvironmentFactory {
+// newMemoryEnvironment joins the instance to a store that says one thing and then waits.
+func newMemoryEnvironment(change environment.Change) EnvironmentFactory {
 	first := make(chan environment.Change, 1)
 	first <- change
 	watch := func(ctx context.Context, wait time.Duration) (environment.Change, error) {
