--- a/internal/server/forward_test.go
+++ b/internal/server/forward_test.go
@@ -26,20 +26,20 @@
 	"github.com/birchdrift/birchdrift/internal/upstream/proxytest"
 )
 
-// A testInstance is one instance of the real server between callers and fake replicas,
-// joined to a store in memory through the seams.
+// A testInstance is one instance of the real server between callers and fake replicas.
+// Its environment has an in-memory store.
 type testInstance struct {
 	t        *testing.T
 	server   *Server
-	address  string // of the callers' listener
+	address  string // address of the callers' listener
 	replicas []*replica
 }
 
-// A replica is a fake replica; its answers are one function each.
+// A replica is a fake replica, whose answers are written by one function.
 type replica struct {
 	name   string
 	server *httptest.Server
-	proxy  *proxytest.Proxy // before it, if there is one
+	proxy  *proxytest.Proxy // in front of server; nil if there is none
 	mu     sync.Mutex
 	seen   []*http.Request
 	answer http.HandlerFunc
@@ -73,7 +73,7 @@
 	return func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set(forward.OwnFormat.Signature, "signed")
 		w.WriteHeader(code)
-		_, _ = io.WriteString(w, "the replica's words")
+		_, _ = io.WriteString(w, "the replica's own answer")
 	}
 }
 
@@ -84,7 +84,7 @@
 	}
 }
 
-// cutAnswer answers with a part of what it promised.
+// cutAnswer sends less than its Content-Length and aborts the connection.
 func cutAnswer(w http.ResponseWriter, r *http.Request) {
 	_, _ = io.Copy(io.Discard, r.Body)
 	w.Header().Set(forward.OwnFormat.Signature, "signed")
@@ -99,7 +99,8 @@
 	panic(http.ErrAbortHandler)
 }
 
-// testDocument forwards three hosts, one of each kind, to one service.
+// testDocument returns a configuration that forwards hosts of each kind, with different
+// timeouts and numbers of attempts, to one service.
 func testDocument() config.Document {
 	doc := config.Document{
 		Revision: 3,
@@ -120,15 +121,15 @@
 	return doc
 }
 
-// newTestInstance starts an instance before replicas with these answers. With none, its
-// store has no configuration either.
+// newTestInstance starts an instance in front of one replica for each of the answers.
+// Without answers its store has no configuration either.
 func newTestInstance(t *testing.T, answers ...http.HandlerFunc) *testInstance {
 	t.Helper()
 	return newTestInstanceWith(t, nil, false, answers...)
 }
 
-// newTestInstanceWith is newSite with some settings that differ, and replicas that stand behind
-// proxies if proxied.
+// newTestInstanceWith is newTestInstance with overrides of settings and, if proxied, with
+// a proxy in front of each replica.
 func newTestInstanceWith(t *testing.T, overrides map[string]string, proxied bool, answers ...http.HandlerFunc) *testInstance {
 	t.Helper()
 	is := is.New(t)
@@ -183,7 +184,7 @@
 	return s
 }
 
-// defaultOf returns the default of a setting that newSite does not give.
+// defaultOf returns the default of a setting that newTestInstanceWith does not set.
 func defaultOf(name string) string {
 	switch name {
 	case "name", "zone", "platform", "environment", "listen-callers", "listen-peers", "listen-operations", "log-level", "stop-delay":
@@ -226,8 +227,8 @@
 	}
 }
 
-// awaitReady waits until the instance is ready, if it can become so, and knows its
-// replicas.
+// awaitReady waits until the instance answers and, if ready, until it is ready and knows
+// its replicas.
 func (s *testInstance) awaitReady(ready bool) {
 	s.t.Helper()
 	deadline := time.Now().Add(10 * time.Second)
@@ -241,12 +242,12 @@
 	s.t.Fatal("the instance did not become ready")
 }
 
-// An callResult is what a caller saw.
+// A callResult is what a caller received.
 type callResult struct {
 	status int
 	header http.Header
 	body   string
-	err    error // of reading the body
+	err    error // error of the call or of reading the body
 }
 
 func (s *testInstance) send(method, host, path, body string) callResult {
@@ -275,15 +276,15 @@
 	return n
 }
 
-// TestForwardedAnswers tables what replicas may do with a call that is not a
-// stream, and what its caller then gets. Whatever the first replica does, the
-// second answers well.
+// TestForwardedAnswers checks, for calls that are not streams, what the caller gets and
+// how often the call is sent for each behavior of the first replica. The second
+// replica's answer is always good.
 func TestForwardedAnswers(t *testing.T) {
 	foreign := func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set(forward.OwnFormat.CallID, "another")
-		answerOK("another's")(w, r)
+		answerOK("another call's answer")(w, r)
 	}
-	unsigned := func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "bytes of nobody") }
+	unsigned := func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "an answer without signature") }
 	encoded := func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Content-Encoding", "gzip")
 		answerOK("squeezed")(w, r)
@@ -293,7 +294,7 @@
 		first  http.HandlerFunc
 		host   string
 		status int
-		runs   int // arrivals at both replicas
+		runs   int // requests received by both replicas
 	}{
 		{"good", answerOK("good"), "again", 200, 1},
 		{"good, at most once", answerOK("good"), "once", 200, 1},
@@ -320,7 +321,7 @@
 			var s *testInstance
 			taken := make(chan struct{}, 1)
 			taken <- struct{}{}
-			// Whichever replica is asked first does what the case says.
+			// The replica that gets the first request answers as the case says.
 			either := func(w http.ResponseWriter, r *http.Request) {
 				select {
 				case <-taken:
@@ -339,14 +340,14 @@
 				is.Equal(got.header.Get(forward.OwnFormat.Signature), "signed")
 			}
 			if c.status == 500 || c.status == 404 {
-				is.Equal(got.body, "the replica's words")
+				is.Equal(got.body, "the replica's own answer")
 			}
 		})
 	}
 }
 
-// TestRefusalByAllReplicasSetsRetryAfter: all replicas say that they did not
-// run the call; the caller is promised that, and told when to come back.
+// TestRefusalByAllReplicasSetsRetryAfter checks that a call which all replicas refused
+// without running it is answered with status 503 and Retry-After.
 func TestRefusalByAllReplicasSetsRetryAfter(t *testing.T) {
 	is := is.New(t)
 	s := newTestInstance(t, answerNotRun(503), answerNotRun(503))
@@ -355,8 +356,8 @@
 	is.True(got.header.Get("Retry-After") != "")
 }
 
-// TestCallsToDeadReplicasGoElsewhere: a call that never left goes elsewhere, also
-// where it may run only once.
+// TestCallsToDeadReplicasGoElsewhere checks that a call that could not be sent goes to
+// another replica even if it may run at most once.
 func TestCallsToDeadReplicasGoElsewhere(t *testing.T) {
 	is := is.New(t)
 	s := newTestInstance(t, answerOK("good"), answerOK("good"))
@@ -367,8 +368,9 @@
 	is.Equal(s.replicas[1].requests(), 6)
 }
 
-// TestRequestsTravelUnchanged: path and query byte for byte, the headers but for
-// those of one connection, nothing added that the caller did not send.
+// TestRequestsTravelUnchanged checks that path and query are forwarded byte for byte, all
+// end-to-end headers unchanged, and that headers which the caller did not send, such as
+// User-Agent, are not added.
 func TestRequestsTravelUnchanged(t *testing.T) {
 	is := is.New(t)
 	s := newTestInstance(t, answerOK("good"))
@@ -393,16 +395,16 @@
 	}
 }
 
-// TestNoConfigurationIsNotNotFound: an instance that knows nothing must not say
-// that a path does not exist.
+// TestNoConfigurationIsNotNotFound checks that an instance without a configuration
+// answers 503 and not that a path does not exist.
 func TestNoConfigurationIsNotNotFound(t *testing.T) {
 	is := is.New(t)
 	is.Equal(newTestInstance(t).send("GET", "again", "/x", "").status, 503)
 	is.Equal(newTestInstance(t, answerOK("good")).send("GET", "nowhere", "/x", "").status, 404)
 }
 
-// TestTheTimeoutEndsACall: at the forward's timeout the caller has an answer,
-// and the replica is left.
+// TestTheTimeoutEndsACall checks that the caller gets an answer at the route's timeout
+// and that the call at the replica is canceled.
 func TestTheTimeoutEndsACall(t *testing.T) {
 	is := is.New(t)
 	left := make(chan struct{})
@@ -422,11 +424,12 @@
 	select {
 	case <-done:
 	case <-time.After(5 * time.Second):
-		t.Fatal("it did not happen in time")
+		t.Fatal("the channel was not closed within 5 s")
 	}
 }
 
-// TestACallerWhoLeavesFreesTheReplica: its connection is closed at once.
+// TestACallerWhoLeavesFreesTheReplica checks that the connection to the replica is closed
+// when the caller disconnects.
 func TestACallerWhoLeavesFreesTheReplica(t *testing.T) {
 	is := is.New(t)
 	begun := make(chan struct{})
@@ -450,8 +453,8 @@
 	awaitClosed(t, left)
 }
 
-// eventStream answers with events from the number behind the one the caller has; it
-// breaks off in the middle of event number cutAt, if that is not 0.
+// eventStream answers with the events after the one given by Last-Event-Id, up to number
+// total. If cutAt is not 0 it aborts the connection in the middle of event cutAt.
 func eventStream(total, cutAt int) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
@@ -481,8 +484,8 @@
 	return b.String()
 }
 
-// TestBrokenStreamResumesElsewhere: one answer with every event once, though
-// the first replica broke off in the middle of one.
+// TestBrokenStreamResumesElsewhere checks that the caller gets every event once although
+// the first replica's stream broke in the middle of an event.
 func TestBrokenStreamResumesElsewhere(t *testing.T) {
 	is := is.New(t)
 	first := make(chan struct{}, 1)
@@ -502,7 +505,8 @@
 	is.Equal(s.requests(), 2)
 }
 
-// TestUnresumableStreamIsSeenAsCut: its caller must not take it for whole.
+// TestUnresumableStreamIsSeenAsCut checks that the caller of a broken stream that cannot
+// be resumed gets an error, so that it does not take the stream for complete.
 func TestUnresumableStreamIsSeenAsCut(t *testing.T) {
 	is := is.New(t)
 	s := newTestInstance(t, eventStream(9, 4), eventStream(9, 4))
@@ -512,7 +516,8 @@
 	is.Equal(s.requests(), 1)
 }
 
-// TestEventsOutOfOrderAreNotPassedOn: a gap ends the attempt.
+// TestEventsOutOfOrderAreNotPassedOn checks that a gap in the event numbers fails the
+// attempt.
 func TestEventsOutOfOrderAreNotPassedOn(t *testing.T) {
 	is := is.New(t)
 	gap := func(w http.ResponseWriter, r *http.Request) {
@@ -526,9 +531,9 @@
 	is.Equal(got.body, wholeStream(1))
 }
 
-// TestAnEarlyAnswerIsPassedOn: a replica may answer before it has read a long
-// body, and read on later; what comes then must be the rest of that body, or
-// nothing, and never another request.
+// TestAnEarlyAnswerIsPassedOn checks an answer that a replica sends before it has read a
+// long body. If the replica reads on, it must get the remainder of that body or nothing,
+// and never another request on the same connection.
 func TestAnEarlyAnswerIsPassedOn(t *testing.T) {
 	is := is.New(t)
 	const length = 2 << 20
@@ -544,7 +549,7 @@
 		_ = buf.Flush()
 		data, _ := io.ReadAll(io.LimitReader(buf, length))
 		if strings.Trim(string(data), "b") != "" {
-			wrong <- "other bytes stand where the rest of the body is due"
+			wrong <- "received other bytes than the remainder of the body"
 		}
 	}
 	s := newTestInstance(t, early)
@@ -556,7 +561,8 @@
 	is.Equal(len(wrong), 0)
 }
 
-// TestAnAnswerWithoutALengthIsWhole: it ends with its connection.
+// TestAnAnswerWithoutALengthIsWhole checks that an answer without Content-Length, which
+// ends with its connection, is passed on whole.
 func TestAnAnswerWithoutALengthIsWhole(t *testing.T) {
 	is := is.New(t)
 	s := newTestInstance(t, func(w http.ResponseWriter, r *http.Request) {
--- a/internal/server/gone_test.go
+++ b/internal/server/gone_test.go
@@ -15,18 +15,18 @@
 )
 
 const (
-	// cancelLimit is how long a replica may go on after its caller has left: the users'
-	// bound.
+	// cancelLimit is the longest time for which a replica may keep running a call after
+	// its caller has disconnected, as the users require.
 	cancelLimit = 500 * time.Millisecond
-	// cancelSlack is by how much a busy machine may be late.
+	// cancelSlack is added for delays on a busy machine.
 	cancelSlack = 2 * time.Second
 )
 
-// TestACallerWhoLeavesFreesItsReplicaInTime tables what a replica may be doing for a
-// caller that leaves: its connection is closed in time, and no other replica is sent the
-// call.
+// TestACallerWhoLeavesFreesItsReplicaInTime checks, for several states of a call at a
+// replica, that the connection to the replica is closed in time after the caller
+// disconnects and that the call is not sent to another replica.
 func TestACallerWhoLeavesFreesItsReplicaInTime(t *testing.T) {
-	// hang keeps a call until its connection is closed.
+	// hang does not answer a call until its connection is closed.
 	hang := func(begun chan<- struct{}, left chan<- time.Time) http.HandlerFunc {
 		var once sync.Once
 		return func(_ http.ResponseWriter, r *http.Request) {
@@ -61,13 +61,13 @@
 		name  string
 		host  string
 		body  func() io.Reader
-		first http.HandlerFunc // what the first replica does; nil: the same as the second
+		first http.HandlerFunc // the first replica's answer; nil if it is as the second's
 		then  func(begun chan<- struct{}, left chan<- time.Time) http.HandlerFunc
 		runs  int
 	}{
 		{"it runs the call", "once", small, nil, hang, 1},
 		{"it runs the call after another failed it", "again", small, answerStatus(500), hang, 2},
-		{"it goes on with a stream that broke off", "stream", small, eventStream(9, 4), hang, 2},
+		{"it resumes a broken stream", "stream", small, eventStream(9, 4), hang, 2},
 		{"it streams", "stream", small, nil, streams, 1},
 		{"it reads a long body", "once", func() io.Reader { return io.LimitReader(slowBody{}, 64<<20) }, nil, reads, 1},
 	}
@@ -112,7 +112,7 @@
 			case at := <-left:
 				is.True(at.Sub(gone) < cancelLimit+cancelSlack)
 			case <-time.After(10 * time.Second):
-				t.Fatal("the replica is still at work")
+				t.Fatal("the call at the replica was not canceled")
 			}
 			time.Sleep(2 * cancelLimit)
 			is.Equal(s.requests(), c.runs)
@@ -120,7 +120,7 @@
 	}
 }
 
-// slowBody is a body that comes bit by bit.
+// slowBody is an endless body that arrives slowly in small pieces.
 type slowBody struct{}
 
 // Read implements io.Reader.
@@ -133,14 +133,14 @@
 	return n, nil
 }
 
-// TestAReadyInstanceTakesConnections: from its first ready answer on, an instance answers
-// callers, however many come at once.
+// TestAReadyInstanceTakesConnections checks that an instance answers callers from its first
+// ready answer on, even if 300 of them connect at once.
 func TestAReadyInstanceTakesConnections(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	s := newTestInstance(t, answerOK("good"), answerOK("good"))
 	_, _, operations := s.server.Addresses()
-	for range 200 { // newSite has waited for it; a ready answer is what the balancer goes by
+	for range 200 { // the load balancer relies on a ready answer, so wait for one
 		resp, err := http.Get("http://" + operations + "/readyz")
 		is.NoErr(err)
 		_ = resp.Body.Close()
--- a/internal/server/listen_test.go
+++ b/internal/server/listen_test.go
@@ -8,8 +8,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// TestAcceptedConnectionsNoticeSilence: the system probes connections that callers and
-// peers opened, and ends those that do not acknowledge, as the limits say.
+// TestAcceptedConnectionsNoticeSilence checks that accepted connections have the
+// keep-alive and user-timeout socket options set to the limits, so that the kernel closes
+// those whose other end does not acknowledge.
 func TestAcceptedConnectionsNoticeSilence(t *testing.T) {
 	is := is.New(t)
 	l, err := listen("127.0.0.1:0")
--- a/internal/server/notice_test.go
+++ b/internal/server/notice_test.go
@@ -15,7 +15,7 @@
 	"github.com/birchdrift/birchdrift/internal/forward"
 )
 
-// withLeaving has the answers of a replica say that it withLeaving.
+// withLeaving adds the header by which a replica says that it is leaving to an answer.
 func withLeaving(answer http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set(forward.OwnFormat.Leaving, "1")
@@ -31,8 +31,8 @@
 	}
 }
 
-// awaitUpstream returns what the instance knows of its replicas once any of them is seen,
-// which it must be within some seconds.
+// awaitUpstream waits up to 5 s until seen returns true for any of the replicas and returns
+// the status of all; ok is false if that did not happen in time.
 func (s *testInstance) awaitUpstream(seen func(instance.ReplicaStatus) bool) (how []instance.ReplicaStatus, ok bool) {
 	s.t.Helper()
 	deadline := time.Now().Add(5 * time.Second)
@@ -51,12 +51,12 @@
 	return nil, false
 }
 
-// TestAnyAnswerMaySayThatAReplicaLeaves tables the answers whose heads are read for it:
-// of every status, of streams that go on, and such that are no answer to the call.
+// TestAnyAnswerMaySayThatAReplicaLeaves checks that the header is read from answers of any
+// status, from truncated ones and from answers to another call.
 func TestAnyAnswerMaySayThatAReplicaLeaves(t *testing.T) {
 	foreign := func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set(forward.OwnFormat.CallID, "another")
-		answerOK("another's")(w, r)
+		answerOK("another call's answer")(w, r)
 	}
 	breaksOff := func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Length", "100")
@@ -75,7 +75,7 @@
 		{"it did not run the call", "once", answerNotRun(503)},
 		{"it is not the one expected", "once", answerNotRun(421)},
 		{"the answer to another call", "once", foreign},
-		{"one that breaks off", "once", breaksOff},
+		{"a truncated answer", "once", breaksOff},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -97,8 +97,8 @@
 	})
 }
 
-// TestANoticeOutlivesItsCall: what a replica says in the head of a stream counts at once,
-// and also where the caller leaves before the stream has ended.
+// TestANoticeOutlivesItsCall checks that a notice in the headers of a stream takes effect
+// at once, even if the caller disconnects before the stream ends.
 func TestANoticeOutlivesItsCall(t *testing.T) {
 	is := is.New(t)
 	over := make(chan struct{})
@@ -126,8 +126,9 @@
 	is.True(heard)
 }
 
-// TestRefusingReplicaMayAskForRest: the call goes to another one, and those
-// after it pass the first over; an answer that turns nothing away asks for none.
+// TestRefusingReplicaMayAskForRest checks that a call refused with Retry-After goes to
+// another replica, that later calls avoid the first one, and that Retry-After in an answer
+// which refuses nothing has no effect.
 func TestRefusingReplicaMayAskForRest(t *testing.T) {
 	is := is.New(t)
 	s := newTestInstance(t, withRetryAfter(answerNotRun(503)), withRetryAfter(answerNotRun(503)), withRetryAfter(answerOK("good")))
@@ -147,8 +148,8 @@
 	}
 }
 
-// TestAnyAnswerMayNameALimit: a limit is heard from answers of every kind, is kept to by
-// calls that follow, and ends with an answer that names none.
+// TestAnyAnswerMayNameALimit checks that a rate limit is read from answers of every kind,
+// limits the calls that follow, and ends with an answer that names none.
 func TestAnyAnswerMayNameALimit(t *testing.T) {
 	limits := func(answer http.HandlerFunc, named *atomic.Bool) http.HandlerFunc {
 		return func(w http.ResponseWriter, r *http.Request) {
--- a/internal/server/silence_test.go
+++ b/internal/server/silence_test.go
@@ -16,19 +16,19 @@
 	"github.com/birchdrift/birchdrift/internal/upstream/proxytest"
 )
 
-// silenceSlack is by how much a busy machine may be late.
+// silenceSlack is added to time limits for delays on a busy machine.
 const silenceSlack = 3 * time.Second
 
-// silenceReplicas has the connections to replicas that are open go silent for good.
+// silenceReplicas makes the open connections to replicas go silent permanently.
 func (s *testInstance) silenceReplicas() {
 	for _, r := range s.replicas {
 		r.proxy.Silence()
 	}
 }
 
-// TestCallsOnSilentConnectionsGoElsewhere: a connection to a replica that was kept and has
-// gone silent is given up after the silence that is allowed, and a call that may be
-// repeated is served over another; one that may run only once is never sent on a kept one.
+// TestCallsOnSilentConnectionsGoElsewhere checks that an idle connection which has gone
+// silent is abandoned after the stall setting and a repeatable call is retried over another
+// connection. A call that may run only once is never sent on a reused connection.
 func TestCallsOnSilentConnectionsGoElsewhere(t *testing.T) {
 	const stall = 400 * time.Millisecond
 	for _, c := range []struct {
@@ -52,8 +52,8 @@
 	}
 }
 
-// TestSilentStreamResumesElsewhere: the events that are missing come from another
-// replica, each once.
+// TestSilentStreamResumesElsewhere checks that another replica supplies the events that are
+// missing after a stream went silent, each once.
 func TestSilentStreamResumesElsewhere(t *testing.T) {
 	is := is.New(t)
 	const stall = 400 * time.Millisecond
@@ -91,14 +91,13 @@
 	is.True(time.Since(begun) < stall+silenceSlack)
 }
 
-// TestReplicaThatReadsNothingIsAbandoned: bytes of a request that a replica does not take for
-// some seconds end the attempt, and a call that was not sent whole is no reason to wait
-// until its time is over.
+// TestReplicaThatReadsNothingIsAbandoned checks that an attempt ends when a replica does not
+// read the request for some seconds, rather than at the call's timeout.
 func TestReplicaThatReadsNothingIsAbandoned(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	s := newTestInstance(t, func(w http.ResponseWriter, r *http.Request) {
-		// It takes the head, and nothing of the body.
+		// Read the headers and nothing of the body.
 		conn, _, err := http.NewResponseController(w).Hijack()
 		if err != nil {
 			return
@@ -112,11 +111,11 @@
 	resp, err := http.DefaultTransport.RoundTrip(req)
 	is.NoErr(err)
 	defer resp.Body.Close()
-	is.Equal(resp.StatusCode, 502) // it may have run
+	is.Equal(resp.StatusCode, 502) // the call may have run
 	is.True(time.Since(begun) < 4*time.Second+silenceSlack)
 }
 
-// dial opens a connection to the site's callers' listener.
+// dial opens a connection to the instance's callers' listener.
 func (s *testInstance) dial() net.Conn {
 	s.t.Helper()
 	conn, err := net.Dial("tcp", s.address)
@@ -127,16 +126,16 @@
 	return conn
 }
 
-// closedWithin reports whether the other end of a connection closes it within a span.
-func closedWithin(conn net.Conn, span time.Duration) bool {
-	_ = conn.SetReadDeadline(time.Now().Add(span))
+// closedWithin reports whether the other end closes the connection within limit.
+func closedWithin(conn net.Conn, limit time.Duration) bool {
+	_ = conn.SetReadDeadline(time.Now().Add(limit))
 	_, err := io.Copy(io.Discard, conn)
 	var timeout net.Error
 	return !(errors.As(err, &timeout) && timeout.Timeout())
 }
 
-// TestSilentCallersAreDisconnected tables where a caller may fall silent, and that its
-// connection is closed within the time that the settings say.
+// TestSilentCallersAreDisconnected checks, for each place in a request where a caller may go
+// silent, that its connection is closed within the time that the settings allow.
 func TestSilentCallersAreDisconnected(t *testing.T) {
 	const limit = 400 * time.Millisecond
 	cases := []struct {
@@ -167,8 +166,8 @@
 	}
 }
 
-// TestSlowCallerIsNotDisconnected: one that sends its body bit by bit is not given up, however
-// long it takes in all.
+// TestSlowCallerIsNotDisconnected checks that a caller which sends its body slowly in small
+// pieces is served, however long the whole body takes.
 func TestSlowCallerIsNotDisconnected(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -187,8 +186,8 @@
 	is.Equal(resp.StatusCode, 200)
 }
 
-// TestACallerThatReadsNothingFreesItsReplica: a stream whose caller takes nothing of it is
-// ended after the time for which sent bytes may wait, and its replica is left.
+// TestACallerThatReadsNothingFreesItsReplica checks that a stream whose caller reads nothing
+// ends after unackedTimeout and the call at its replica is canceled.
 func TestACallerThatReadsNothingFreesItsReplica(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -216,6 +215,6 @@
 	select {
 	case <-left:
 	case <-time.After(unackedTimeout + 10*time.Second):
-		t.Fatal("the replica is still at work")
+		t.Fatal("the call at the replica was not canceled")
 	}
 }
--- a/internal/server/unread_test.go
+++ b/internal/server/unread_test.go
@@ -9,8 +9,8 @@
 	"github.com/matryer/is"
 )
 
-// TestUnreadHeadersAreCounted: a header of a replica's answers that nothing here reads
-// is counted, and the known ones are not.
+// TestUnreadHeadersAreCounted checks that an answer with a header that the instance does not
+// read is counted, and that known headers are not.
 func TestUnreadHeadersAreCounted(t *testing.T) {
 	count := func(answer http.HandlerFunc) string {
 		s := newTestInstance(t, answer)
