--- a/internal/server/forward_test.go
+++ b/internal/server/forward_test.go
@@ -198,7 +198,8 @@
 	return ""
 }
 
-// newMemoryEnvironment joins the instance to a store that says one thing and then waits.
+// newMemoryEnvironment returns a factory of an environment whose store returns change to
+// the first watch and reports no changes afterwards.
 func newMemoryEnvironment(change environment.Change) EnvironmentFactory {
 	first := make(chan environment.Change, 1)
 	first <- change
@@ -282,7 +283,7 @@
 func TestForwardedAnswers(t *testing.T) {
 	foreign := func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set(forward.OwnFormat.CallID, "another")
-		answerOK("another call's answer")(w, r)
+		answerOK("another's")(w, r)
 	}
 	unsigned := func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "an answer without signature") }
 	encoded := func(w http.ResponseWriter, r *http.Request) {
--- a/internal/server/notice_test.go
+++ b/internal/server/notice_test.go
@@ -23,7 +23,7 @@
 	}
 }
 
-// withRetryAfter has the answers of a replica ask for rest.
+// withRetryAfter adds the header by which a replica asks for rest to an answer.
 func withRetryAfter(answer http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set(forward.OwnFormat.RetryAfter, "30")
@@ -56,7 +56,7 @@
 func TestAnyAnswerMaySayThatAReplicaLeaves(t *testing.T) {
 	foreign := func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set(forward.OwnFormat.CallID, "another")
-		answerOK("another call's answer")(w, r)
+		answerOK("another's")(w, r)
 	}
 	breaksOff := func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Length", "100")
--- a/internal/settings/file.go
+++ b/internal/settings/file.go
@@ -8,19 +8,19 @@
 	"github.com/birchdrift/birchdrift/core/code"
 )
 
-// maxFileSize bounds the settings file, in bytes.
+// maxFileSize is the largest size of the settings file, in bytes.
 const maxFileSize = 1 << 20
 
-// A Source is where settings come from: flags and variables that were given,
-// then the settings file, then the defaults.
+// A Source reads settings, in this order of precedence, from flags and environment
+// variables, from the settings file, and from the defaults.
 type Source struct {
-	Path  string // of the settings file, "" for none
-	Given func(name string) (value string, ok bool)
+	Path  string                                    // path of the settings file; "" for none
+	Given func(name string) (value string, ok bool) // value of a flag or variable that was set
 }
 
-// Read reads the file and checks every setting; it returns all faults and the
-// file's bytes. Names that the file has and the table has not are passed over:
-// an older program must start with a newer file.
+// Read reads the file and checks every setting; it returns the settings, the file's
+// content and all faults. It ignores names in the file that are not in Table, so that
+// an older program starts with a newer file.
 func (s Source) Read() (Settings, []byte, []*code.Error) {
 	data, values, fault := s.readFile()
 	if fault != nil {
@@ -38,7 +38,8 @@
 	return set, data, faults
 }
 
-// FileContents returns the file as it is now, nil if there is none.
+// FileContents returns the current content of the file, or nil if there is no file, or
+// it cannot be read or is too large.
 func (s Source) FileContents() []byte {
 	if s.Path == "" {
 		return nil
@@ -56,14 +57,14 @@
 	}
 	data, err := os.ReadFile(s.Path)
 	if err != nil {
-		return nil, nil, code.Errorf(code.BadSetting, "the settings file: %v", err)
+		return nil, nil, code.Errorf(code.BadSetting, "cannot read the settings file: %v", err)
 	}
 	if len(data) > maxFileSize {
-		return data, nil, code.Errorf(code.BadSetting, "the settings file %s has %d bytes, at most %d allowed", s.Path, len(data), maxFileSize)
+		return data, nil, code.Errorf(code.BadSetting, "the settings file %s has %d bytes; at most %d are allowed", s.Path, len(data), maxFileSize)
 	}
 	var fields map[string]yaml.Node
 	if err := yaml.Unmarshal(data, &fields); err != nil {
-		return data, nil, code.Errorf(code.BadSetting, "the settings file %s: %v", s.Path, err)
+		return data, nil, code.Errorf(code.BadSetting, "cannot parse the settings file %s: %v", s.Path, err)
 	}
 	values := make(map[string]string, len(fields))
 	for name, node := range fields {
@@ -74,7 +75,7 @@
 	return data, values, nil
 }
 
-// defaults are the settings' defaults by name.
+// defaults are the default values of the settings by name.
 var defaults = func() map[string]string {
 	m := make(map[string]string, len(Table))
 	for _, row := range Table {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,10 +1,10 @@
-// Package settings provides the process settings of an entry instance: one
-// typed table from which the flags, the environment variables, the checks and
-// docs/settings.md all come.
+// Package settings defines the process settings of an entry instance in one table,
+// from which the flags, the environment variables, the validation and
+// docs/settings.md are derived.
 //
-// Every fault is reported at once, with the setting's name, its value and what
-// is allowed, so that an operator mends a start-up in one go. Secrets are never
-// shown.
+// All faults are reported together, each with the setting's name, its value and the
+// allowed values, so that an operator can correct them in one go. Values of secrets
+// are never shown.
 package settings
 
 import (
@@ -24,10 +24,10 @@
 	"github.com/birchdrift/birchdrift/core/option"
 )
 
-// EnvPrefix begins every environment variable.
+// EnvPrefix is the prefix of the settings' environment variables.
 const EnvPrefix = "BIRCHDRIFT_"
 
-// Settings are the checked settings of one process.
+// Settings are the validated settings of one process. Table describes each of them.
 type Settings struct {
 	Name        string
 	Zone        string
@@ -59,7 +59,7 @@
 	Watchers    int
 	WatchEvery  time.Duration
 	WatchWait   time.Duration
-	MemoryLimit int64 // MiB; 0: none
+	MemoryLimit int64 // MiB; 0 means no limit
 	Processor   float64
 	MeshEvery   time.Duration
 	LoadWait    time.Duration
@@ -68,17 +68,17 @@
 	SettleTime  time.Duration
 }
 
-// A Setting is one row of the table.
+// A Setting describes one setting.
 type Setting struct {
-	Name    string // of the flag; the variable is derived from it
+	Name    string // name of the flag, from which that of the variable is derived
 	Default string
-	Allowed string // in words
+	Allowed string // description of the allowed values
 	Meaning string
 	Secret  bool
-	set     func(s *Settings, value string) bool // false if the value is not allowed
+	set     func(s *Settings, value string) bool // returns false if the value is not allowed
 }
 
-// Env returns the setting's environment variable.
+// Env returns the name of the setting's environment variable.
 func (s Setting) Env() string {
 	return EnvPrefix + strings.ToUpper(strings.ReplaceAll(s.Name, "-", "_"))
 }
@@ -95,55 +95,55 @@
 	{"listen-callers", "127.0.0.1:8080", allowedAddress, "Listener for callers.", false, address(func(s *Settings) *string { return &s.Callers })},
 	{"listen-peers", "127.0.0.1:8081", allowedAddress, "Listener for the other entry instances.", false, address(func(s *Settings) *string { return &s.Peers })},
 	{"listen-operations", "127.0.0.1:8082", allowedAddress, "Listener for health, readiness, metrics and status.", false, address(func(s *Settings) *string { return &s.Operations })},
-	{"advertise-peers", "", allowedAddress + "; empty: the address that was bound", "Address at which other entry instances reach the peers' listener.", false, optional(address(func(s *Settings) *string { return &s.Advertise }))},
+	{"advertise-peers", "", allowedAddress + "; empty: the address of the listener", "Address at which other entry instances reach the peers' listener.", false, optional(address(func(s *Settings) *string { return &s.Advertise }))},
 	{"platform", "", allowedAddress, "The platform's key-value service.", false, address(func(s *Settings) *string { return &s.Platform })},
-	{"seed-peers", "", "IP:port, separated by commas", "Peers to ask while the platform's list is not known.", false, seeds},
-	{"peer-key", "", "any text", "Key that entry instances show each other.", true, text(func(s *Settings) *string { return &s.PeerKey })},
-	{"operations-key", "", "any text", "Key that changing calls on the operations listener must show; empty switches those calls off.", true, text(func(s *Settings) *string { return &s.OpsKey })},
-	{"log-level", "info", "debug, info, warn or error", "Least level of log lines.", false, level},
+	{"seed-peers", "", "IP:port, separated by commas", "Peers to contact while the platform's list is not known.", false, seeds},
+	{"peer-key", "", "any text", "Shared key with which entry instances authenticate to each other.", true, text(func(s *Settings) *string { return &s.PeerKey })},
+	{"operations-key", "", "any text", "Key that calls which change something on the operations listener must carry; empty disables those calls.", true, text(func(s *Settings) *string { return &s.OpsKey })},
+	{"log-level", "info", "debug, info, warn or error", "Lowest level of log lines that are written.", false, level},
 	{"trace-share", "0", "0 to 1", "Share of calls whose spans are written to standard output.", false, number(func(s *Settings) *float64 { return &s.TraceShare }, 0, 1)},
 	{"max-body", "4194304", "1024 to 1073741824", "Largest body of a model call, in bytes.", false, integer(func(s *Settings) *int64 { return &s.MaxBody }, 1024, 1<<30)},
-	{"header-time", "10s", "100ms to 24h", "Time a caller may take to send a request's header, or send nothing within its body.", false, duration(func(s *Settings) *time.Duration { return &s.HeaderTime }, 100*time.Millisecond)},
-	{"idle-time", "2m", "100ms to 24h", "Time a caller's connection may be idle.", false, duration(func(s *Settings) *time.Duration { return &s.IdleTime }, 100*time.Millisecond)},
-	{"stall", "10s", "100ms to 24h", "Silence of an upstream after which an attempt counts as broken.", false, duration(func(s *Settings) *time.Duration { return &s.Stall }, 100*time.Millisecond)},
-	{"max-waiting", "512", "1 to 100000", "Calls that may wait here for a replica.", false, count(func(s *Settings) *int { return &s.MaxWaiting }, 1, 100000)},
-	{"default-wait", "10s", "0s to 24h", "How late a first token may be where no policy says.", false, duration(func(s *Settings) *time.Duration { return &s.DefaultWait }, 0)},
-	{"stop-delay", "3s", "0s to 24h", "Time a stopping instance goes on taking calls, for the balancer to notice.", false, duration(func(s *Settings) *time.Duration { return &s.StopDelay }, 0)},
-	{"stop-limit", "10m", "0s to 24h", "Time after which a stop cuts off the calls that are left.", false, duration(func(s *Settings) *time.Duration { return &s.StopLimit }, 0)},
+	{"header-time", "10s", "100ms to 24h", "Time that a caller may take to send a request's headers, or for which it may send nothing within the body.", false, duration(func(s *Settings) *time.Duration { return &s.HeaderTime }, 100*time.Millisecond)},
+	{"idle-time", "2m", "100ms to 24h", "Time for which a caller's connection may be idle.", false, duration(func(s *Settings) *time.Duration { return &s.IdleTime }, 100*time.Millisecond)},
+	{"stall", "10s", "100ms to 24h", "Time without any byte from an upstream after which an attempt counts as failed.", false, duration(func(s *Settings) *time.Duration { return &s.Stall }, 100*time.Millisecond)},
+	{"max-waiting", "512", "1 to 100000", "Largest number of calls that may wait in this instance for a replica.", false, count(func(s *Settings) *int { return &s.MaxWaiting }, 1, 100000)},
+	{"default-wait", "10s", "0s to 24h", "Longest time to the first token if no policy states one.", false, duration(func(s *Settings) *time.Duration { return &s.DefaultWait }, 0)},
+	{"stop-delay", "3s", "0s to 24h", "Time for which a stopping instance still accepts calls, until the load balancer notices.", false, duration(func(s *Settings) *time.Duration { return &s.StopDelay }, 0)},
+	{"stop-limit", "10m", "0s to 24h", "Time after which a stop cuts off the remaining calls.", false, duration(func(s *Settings) *time.Duration { return &s.StopLimit }, 0)},
 	{"lease-term", "10s", "500ms to 24h", "Term of the zone planner's lease.", false, duration(func(s *Settings) *time.Duration { return &s.LeaseTerm }, 500*time.Millisecond)},
-	{"exchange-every", "2s", "50ms to 24h", "Spacing of the exchanges with peers.", false, duration(func(s *Settings) *time.Duration { return &s.Exchange }, 50*time.Millisecond)},
-	{"read-every", "1s", "50ms to 24h", "Spacing of the reads of one engine's state.", false, duration(func(s *Settings) *time.Duration { return &s.ReadEvery }, 50*time.Millisecond)},
-	{"environment", EnvironmentOwn, "own or platform", "What the instance runs in: the product's own interfaces, or the users' platform.", false, oneOf(func(s *Settings) *string { return &s.Environment }, EnvironmentOwn, EnvironmentPlatform)},
-	{"retry-ratio", "0.2", "0 to 10", "Repeats of calls, as a share of a service's calls within the window.", false, number(func(s *Settings) *float64 { return &s.RetryRatio }, 0, 10)},
-	{"retry-window", "10s", "100ms to 24h", "Span over which repeats of calls are counted.", false, duration(func(s *Settings) *time.Duration { return &s.RetryWindow }, 100*time.Millisecond)},
-	{"retry-slack", "50", "0 to 1000000", "Repeats of a service's calls that all instances together may make beyond the share.", false, number(func(s *Settings) *float64 { return &s.RetrySlack }, 0, 1e6)},
-	{"watchers", "2", "1 to 1000", "Instances of a zone that watch the platform; the others hear from them. On the users' platform all do in a fleet of up to 16.", false, count(func(s *Settings) *int { return &s.Watchers }, 1, 1000)},
-	{"watch-wait", "0s", "0s to 24h", "How long one watch call waits at the platform for a change; 0: as follows from `--leave-bound` on the users' platform, 25s in the product's own environment.", false, duration(func(s *Settings) *time.Duration { return &s.WatchWait }, 0)},
-	{"watch-every", "0s", "0s to 24h", "Least time between two watch calls, so that changes that come together are heard together; 0: as follows from `--leave-bound` on the users' platform, none in the product's own environment.", false, duration(func(s *Settings) *time.Duration { return &s.WatchEvery }, 0)},
-	{"mesh-every", "0s", "0s to 24h", "Spacing of the exchanges with every peer of a small fleet; 0 for none.", false, duration(func(s *Settings) *time.Duration { return &s.MeshEvery }, 0)},
-	{"load-wait", "0s", "0s to 1s", "How long a forwarded call waits for announced engines to say how busy they are, in a fleet too large to exchange pairwise; 0: it does not ask.", false, atMost(time.Second, duration(func(s *Settings) *time.Duration { return &s.LoadWait }, 0), func(s *Settings) time.Duration { return s.LoadWait })},
-	{"turn-gap", "3s", "0s to 24h", "Least time between the orders of two instances to one announced engine.", false, duration(func(s *Settings) *time.Duration { return &s.TurnGap }, 0)},
-	{"leave-bound", "2s", "100ms to 24h", "Longest time from the platform's word that a replica leaves to the last call that reaches it. How often the platform is watched follows from it.", false, duration(func(s *Settings) *time.Duration { return &s.LeaveBound }, 100*time.Millisecond)},
-	{"settle-time", "3s", "100ms to 24h", "How long nothing must have been disturbed for that bound to hold. How soon the platform is called again after an outage follows from it.", false, duration(func(s *Settings) *time.Duration { return &s.SettleTime }, 100*time.Millisecond)},
-	{"processor", "1", "0 to 1024", "Cores, or the share of one, that the process may use. Duties for the fleet go to the instances that have most.", false, number(func(s *Settings) *float64 { return &s.Processor }, 0, 1024)},
-	{"memory-limit", "0", "0 to 1048576", "Memory in MiB that the process should stay within; 0 sets no limit.", false, integer(func(s *Settings) *int64 { return &s.MemoryLimit }, 0, 1<<20)},
+	{"exchange-every", "2s", "50ms to 24h", "Time between exchanges with peers.", false, duration(func(s *Settings) *time.Duration { return &s.Exchange }, 50*time.Millisecond)},
+	{"read-every", "1s", "50ms to 24h", "Time between reads of one engine's state.", false, duration(func(s *Settings) *time.Duration { return &s.ReadEvery }, 50*time.Millisecond)},
+	{"environment", EnvironmentOwn, "own or platform", "Environment of the instance: the product's own interfaces, or the users' platform.", false, oneOf(func(s *Settings) *string { return &s.Environment }, EnvironmentOwn, EnvironmentPlatform)},
+	{"retry-ratio", "0.2", "0 to 10", "Retries of calls that are allowed, as a share of a service's calls within the window.", false, number(func(s *Settings) *float64 { return &s.RetryRatio }, 0, 10)},
+	{"retry-window", "10s", "100ms to 24h", "Time window over which retries of calls are counted.", false, duration(func(s *Settings) *time.Duration { return &s.RetryWindow }, 100*time.Millisecond)},
+	{"retry-slack", "50", "0 to 1000000", "Retries of a service's calls that all instances together may make beyond the share.", false, number(func(s *Settings) *float64 { return &s.RetrySlack }, 0, 1e6)},
+	{"watchers", "2", "1 to 1000", "Number of instances of a zone that watch the platform; the others learn changes from them. On the users' platform all instances watch in a fleet of up to 16.", false, count(func(s *Settings) *int { return &s.Watchers }, 1, 1000)},
+	{"watch-wait", "0s", "0s to 24h", "How long one watch call waits at the platform for a change; 0: derived from `--leave-bound` on the users' platform, 25s in the product's own environment.", false, duration(func(s *Settings) *time.Duration { return &s.WatchWait }, 0)},
+	{"watch-every", "0s", "0s to 24h", "Shortest time between two watch calls, so that changes that happen together arrive together; 0: derived from `--leave-bound` on the users' platform, none in the product's own environment.", false, duration(func(s *Settings) *time.Duration { return &s.WatchEvery }, 0)},
+	{"mesh-every", "0s", "0s to 24h", "Time between exchanges with every peer of a small fleet; 0 for none.", false, duration(func(s *Settings) *time.Duration { return &s.MeshEvery }, 0)},
+	{"load-wait", "0s", "0s to 1s", "How long a forwarded call waits for announced engines to report their load, in a fleet too large to exchange pairwise; 0: it does not request it.", false, atMost(time.Second, duration(func(s *Settings) *time.Duration { return &s.LoadWait }, 0), func(s *Settings) time.Duration { return s.LoadWait })},
+	{"turn-gap", "3s", "0s to 24h", "Shortest time between the orders of two instances to one announced engine.", false, duration(func(s *Settings) *time.Duration { return &s.TurnGap }, 0)},
+	{"leave-bound", "2s", "100ms to 24h", "Longest time from the platform's change that a replica is leaving to the last call that reaches it. How often the platform is watched is derived from it.", false, duration(func(s *Settings) *time.Duration { return &s.LeaveBound }, 100*time.Millisecond)},
+	{"settle-time", "3s", "100ms to 24h", "How long the instance and the platform must have been undisturbed for that bound to hold. How soon the platform is called again after an outage is derived from it.", false, duration(func(s *Settings) *time.Duration { return &s.SettleTime }, 100*time.Millisecond)},
+	{"processor", "1", "0 to 1024", "Number of cores, or share of one, that the process may use. Instances with the most take on tasks for the fleet.", false, number(func(s *Settings) *float64 { return &s.Processor }, 0, 1024)},
+	{"memory-limit", "0", "0 to 1048576", "Memory in MiB that the process should not exceed; 0 sets no limit.", false, integer(func(s *Settings) *int64 { return &s.MemoryLimit }, 0, 1<<20)},
 }
 
-// The environments.
+// Values of the setting environment.
 const (
 	EnvironmentOwn      = "own"
 	EnvironmentPlatform = "platform"
 )
 
-// NodeFileFlag is the flag of the settings file.
+// NodeFileFlag is the name of the flag with the path of the settings file.
 const NodeFileFlag = "node-file"
 
-// Flags returns the command-line flags of the table.
+// Flags returns the command-line flags of the settings in Table and of the settings file.
 func Flags() []cli.Flag {
 	flags := make([]cli.Flag, 0, len(Table)+1)
 	flags = append(flags, &cli.StringFlag{
 		Name:    NodeFileFlag,
-		Usage:   "YAML file with settings by their flags' names; a flag or variable goes before it (a path)",
+		Usage:   "YAML file with settings by the names of their flags; flags and variables take precedence (a path)",
 		Sources: cli.EnvVars(Setting{Name: NodeFileFlag}.Env()),
 	})
 	for _, s := range Table {
@@ -158,7 +158,7 @@
 	return flags
 }
 
-// Parse checks every setting and returns all faults.
+// Parse parses and validates the values of all settings and returns all faults.
 func Parse(value func(name string) string) (Settings, []*code.Error) {
 	var s Settings
 	var faults []*code.Error
@@ -179,8 +179,8 @@
 	return s, faults
 }
 
-// checkBounds returns an error for waits that were set and by which replicas that leave could
-// get calls for too long.
+// checkBounds returns a fault if an operator set watch times with which a leaving replica
+// could get calls for longer than the leave bound.
 func (s Settings) checkBounds() []*code.Error {
 	if s.WatchEvery == 0 && s.WatchWait == 0 {
 		return nil
@@ -191,8 +191,8 @@
 	return nil
 }
 
-// CheckLeaveBound returns an error if the bound for replicas that leave cannot be kept, in a fleet of
-// either kind.
+// CheckLeaveBound returns an error if the bound for leaving replicas cannot be kept in a
+// fleet with or without a full mesh of exchanges.
 func (s Settings) CheckLeaveBound() error {
 	if s.Environment != EnvironmentPlatform {
 		return nil
@@ -210,7 +210,7 @@
 	return bounds.Bounds{Leave: s.LeaveBound, Settle: s.SettleTime}
 }
 
-// Options returns the machine's tunables.
+// Options returns the state machine's options.
 func (s Settings) Options() option.Options {
 	opt := option.Default()
 	opt.Stall = s.Stall
@@ -284,7 +284,7 @@
 
 func level(s *Settings, v string) bool { return s.LogLevel.UnmarshalText([]byte(v)) == nil }
 
-// atMost bounds what another setter took in.
+// atMost adds an upper limit to the duration that another setter accepted.
 func atMost(most time.Duration, set setter, get func(*Settings) time.Duration) setter {
 	return func(s *Settings, v string) bool { return set(s, v) && get(s) <= most }
 }
@@ -328,7 +328,7 @@
 	}
 }
 
-// String returns the settings as they are logged, without secrets.
+// String returns the main settings for the log, without secrets.
 func (s Settings) String() string {
 	return fmt.Sprintf("callers=%s peers=%s operations=%s platform=%s", s.Callers, s.Peers, s.Operations, s.Platform)
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -50,13 +50,13 @@
 	is.True(!strings.Contains(s.String(), "hush"))
 }
 
-// TestSettingsThatBreakABoundAreRefused: settings each of which is allowed, and by which
-// together a replica that leaves could get calls for too long.
+// TestSettingsThatBreakABoundAreRefused checks that watch times which are allowed one by one
+// are refused if together they would let a leaving replica get calls for too long.
 func TestSettingsThatBreakABoundAreRefused(t *testing.T) {
 	for _, tt := range []struct {
 		name    string
 		changed map[string]string
-		want    string // of the error; "": there is none
+		want    string // part of the error; "" if there must be none
 	}{
 		{"the defaults", nil, ""},
 		{"a longer bound", map[string]string{"leave-bound": "3s", "watch-wait": "400ms"}, ""},
@@ -82,8 +82,9 @@
 	}
 }
 
-// TestBoundThatCannotBeKeptIsReported: a platform's bound is no fault of the settings, so the instance
-// starts, and says so.
+// TestBoundThatCannotBeKeptIsReported checks that a leave bound which is too short to be kept
+// is not a fault of the settings, since the platform states it: the instance starts, and
+// CheckLeaveBound returns an error that it logs.
 func TestBoundThatCannotBeKeptIsReported(t *testing.T) {
 	is := is.New(t)
 	for bound, kept := range map[string]bool{"2s": true, "3s": true, "400ms": false} {
