--- a/internal/shell/shell.go
+++ b/internal/shell/shell.go
@@ -87,7 +87,7 @@
 	workers         sync.WaitGroup
 	exited          chan shutdown.Exit
 	ctx             context.Context
-	published       viewCell
+	published       stateCell
 }
 
 // New returns a shell that lives as long as ctx and is joined to an environment;
--- a/internal/shell/snapshot.go
+++ b/internal/shell/snapshot.go
@@ -15,13 +15,13 @@
 	stopBegun bool // a planned stop has begun
 }
 
-// A viewCell holds the latest view.
-type viewCell struct {
+// A stateCell holds the latest view.
+type stateCell struct {
 	current   atomic.Pointer[publishedState]
 	installed *config.Snapshot // written on the machine's goroutine only
 }
 
-func (c *viewCell) publish(m *instance.Machine) {
+func (c *stateCell) publish(m *instance.Machine) {
 	ready, reason := m.Ready()
 	old := c.current.Load()
 	if old != nil && old.ready == ready && old.reason == reason && old.stopBegun == m.Stopping() && old.config == c.installed {
@@ -30,21 +30,21 @@
 	c.current.Store(&publishedState{config: c.installed, ready: ready, reason: reason, stopBegun: m.Stopping()})
 }
 
-func (c *viewCell) config() *config.Snapshot {
+func (c *stateCell) config() *config.Snapshot {
 	if v := c.current.Load(); v != nil {
 		return v.config
 	}
 	return nil
 }
 
-func (c *viewCell) ready() (bool, string) {
+func (c *stateCell) ready() (bool, string) {
 	if v := c.current.Load(); v != nil {
 		return v.ready, v.reason
 	}
 	return false, "starting"
 }
 
-func (c *viewCell) stopping() bool {
+func (c *stateCell) stopping() bool {
 	v := c.current.Load()
 	return v != nil && v.stopBegun
 }
