--- a/internal/shell/actions.go
+++ b/internal/shell/actions.go
@@ -22,14 +22,14 @@
 	"github.com/birchdrift/birchdrift/internal/upstream"
 )
 
-// Time limits of single requests to peers.
+// Timeouts of single exchanges with peers.
 const (
 	exchangeTimeout = 800 * time.Millisecond
-	pullTimeout     = 3 * time.Second // of an exchange that brings a configuration
+	pullTimeout     = 3 * time.Second // timeout of an exchange that fetches a configuration
 )
 
-// carryOut does what the machine asked for. Whatever can wait on the outside
-// runs in a worker and posts its reply.
+// carryOut carries out an action of the machine. Work that may block on other processes
+// runs in its own goroutine and posts its reply.
 func (s *Shell) carryOut(a step.Action) {
 	s.metrics.CountAction(a)
 	switch act := a.(type) {
@@ -87,7 +87,7 @@
 func (s *Shell) deliver(id calls.ID, a step.Action) {
 	box, ok := s.calls[id]
 	if !ok {
-		return // its handler has ended
+		return // the call's handler has returned
 	}
 	select {
 	case box.actions <- a:
@@ -96,7 +96,7 @@
 	}
 }
 
-// interrupt ends the attempt that the call may have under way.
+// interrupt cancels the attempt that the call may have in flight.
 func (s *Shell) interrupt(id calls.ID) {
 	if box, ok := s.calls[id]; ok {
 		if cancel := box.interrupt.Load(); cancel != nil {
@@ -105,8 +105,8 @@
 	}
 }
 
-// postConfig indexes a configuration off the machine's goroutine, which would
-// stand still for it, and posts it.
+// postConfig decodes and indexes a configuration and posts it. It must not run on the
+// machine's goroutine, which it would block.
 func (s *Shell) postConfig(data []byte, source string) {
 	snapshot, err := s.loadConfig(data)
 	if err != nil {
@@ -115,16 +115,16 @@
 		return
 	}
 	s.post(instance.ConfigReply{Snapshot: snapshot, Encoded: data, Source: source})
-	// Decoding a large configuration leaves several times its size behind,
-	// and a small instance that is idle would keep that for minutes. Changes
-	// are rare, so a collection for each costs next to nothing.
+	// Decoding a large configuration leaves garbage of several times its size, which
+	// a small idle instance would keep for minutes. Changes are rare, so a forced
+	// collection for each costs little.
 	if len(data) > largeConfig {
 		debug.FreeOSMemory()
 	}
 }
 
-// largeConfig is the size of an encoded configuration, in bytes, from which the
-// memory that its decoding leaves behind is worth a collection.
+// largeConfig is the size of an encoded configuration, in bytes, above which its decoding
+// is followed by a forced garbage collection.
 const largeConfig = 128 << 10
 
 func (s *Shell) loadConfig(data []byte) (*config.Snapshot, error) {
@@ -135,7 +135,8 @@
 	return config.NewSnapshot(doc)
 }
 
-// decodeConfig takes in the configuration that a peer's message carries.
+// decodeConfig decodes and posts the configuration in a peer's message, if it is newer
+// than the one in force.
 func (s *Shell) decodeConfig(msg gossip.Message) {
 	if len(msg.Config) == 0 || msg.Revision <= s.Config().Revision() {
 		return
@@ -157,13 +158,13 @@
 	s.post(exchange.Reply{Peer: a.Peer, Address: a.Address, Message: reply, Err: err})
 }
 
-// checkReplica sees whether a process listens at a replica's address.
+// checkReplica checks whether a process listens at a replica's address.
 func (s *Shell) checkReplica(ctx context.Context, a quarantine.Check) {
 	err := upstream.CheckReachable(ctx, a.Address)
 	s.post(quarantine.Checked{Replica: a.Replica, Ended: upstream.ConnectionRefused(err)})
 }
 
-// orderTimeout bounds how long the owner of an engine is waited for.
+// orderTimeout is the timeout of an order request to the owner of an engine.
 const orderTimeout = time.Second
 
 func (s *Shell) requestOrder(ctx context.Context, a orderclient.SendRequest) {
@@ -176,24 +177,24 @@
 	s.post(orderclient.Reply{Engine: a.Engine, Request: a.Request, Outcome: reply.Outcome, Detail: reply.Detail})
 }
 
-// permitTimeout bounds how long a peer is waited for beyond the time that the request may wait
-// there (docs/design/limits.md).
+// permitTimeout is the time to wait for a peer's reply to a permit request, in addition to
+// the time that the request may wait at the peer (docs/design/limits.md).
 const permitTimeout = 200 * time.Millisecond
 
 func (s *Shell) requestPermit(ctx context.Context, a permits.SendRequest) {
 	ctx, done := context.WithTimeout(ctx, a.Request.Wait+permitTimeout)
 	defer done()
-	verdict, err := s.peers.RequestPermit(ctx, a.Address, s.self.Name, a.Request)
+	decision, err := s.peers.RequestPermit(ctx, a.Address, s.self.Name, a.Request)
 	if a.Request.Unused {
 		if err != nil {
 			s.event(logevent.PermitFailed, "for", a.Request.Resource.String(), "peer", a.Peer, "unused", true, "error", err.Error())
 		}
 		return
 	}
-	s.post(permits.Reply{Token: a.Token, Verdict: verdict, Err: err})
+	s.post(permits.Reply{Token: a.Token, Verdict: decision, Err: err})
 }
 
-// HandlePermitRequest answers a peer that asks for a permit.
+// HandlePermitRequest answers a peer's permit request.
 func (s *Shell) HandlePermitRequest(ctx context.Context, from string, r permits.Request) (permits.Decision, error) {
 	reply := make(chan permits.Decision, 1)
 	s.submit(func(s *Shell) step.Event {
@@ -209,7 +210,7 @@
 	}
 }
 
-// HandleOrderRequest answers a peer that asks for an order.
+// HandleOrderRequest answers a peer's order request.
 func (s *Shell) HandleOrderRequest(ctx context.Context, engine string, r orders.Request) (peer.OrderReply, error) {
 	reply := make(chan peer.OrderReply, 1)
 	s.submit(func(s *Shell) step.Event {
--- a/internal/shell/clocks.go
+++ b/internal/shell/clocks.go
@@ -8,15 +8,15 @@
 	"github.com/birchdrift/birchdrift/core/clock"
 )
 
-// initialMono is what the steady clock shows at the start, so that no instant is zero:
-// any time would do.
+// initialMono is the time that the monotonic clock shows at the start, so that no instant is
+// zero. Any other positive time would do.
 const initialMono = time.Second
 
-// clocks reads the machine's clocks.
+// clocks reads the computer's monotonic and wall clocks.
 type clocks struct {
-	start         time.Time                     // of the process
-	bootOffset    time.Duration                 // what sinceBoot returned then
-	readSinceBoot func() (time.Duration, error) // sinceBoot, a seam for tests
+	start         time.Time                     // start of the process
+	bootOffset    time.Duration                 // time since boot at the start
+	readSinceBoot func() (time.Duration, error) // sinceBoot, which tests replace; nil if it fails
 }
 
 func newClocks() *clocks {
@@ -29,13 +29,14 @@
 	return c
 }
 
-// countsSleep reports whether the steady reading counts the time that the machine sleeps.
+// countsSleep reports whether the monotonic clock counts the time during which the computer
+// is suspended.
 func (c *clocks) countsSleep() bool { return c.readSinceBoot != nil }
 
-// now reads both clocks. The steady one goes on while the machine sleeps, unlike Go's own,
-// where the system offers such a clock: rights that lapse meanwhile have lapsed on
-// waking, also if somebody set the wall clock back. The wall reading is stripped of Go's
-// monotonic one, or the two could never differ.
+// now reads both clocks. If the system offers such a clock, the monotonic one, unlike Go's,
+// advances while the computer is suspended: leases that expired meanwhile have expired on
+// resume, even if the wall clock was set back. Go's monotonic reading is stripped from the
+// wall time, since otherwise the two could never differ.
 func (c *clocks) now() clock.Instant {
 	t := time.Now()
 	mono := t.Sub(c.start)
@@ -47,7 +48,7 @@
 	return clock.Instant{Mono: mono + initialMono, Wall: t.Round(0)}
 }
 
-// sinceBoot returns the time since the machine started, its sleep included.
+// sinceBoot returns the time since the computer booted, including time suspended.
 func sinceBoot() (time.Duration, error) {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
--- a/internal/shell/shell.go
+++ b/internal/shell/shell.go
@@ -1,10 +1,11 @@
-// Package shell provides the process round the state machine of core/instance:
-// the goroutine that owns it, the clock, and the workers that carry out its
-// actions. It decides nothing.
+// Package shell runs the state machine of package core/instance in a process: it
+// provides the goroutine that owns the machine, the clock, and the workers that
+// carry out its actions. It is an imperative shell around a functional core and
+// makes no decisions itself.
 //
-// Invariants: only Run's goroutine touches the machine; every action that has
-// a reply gets exactly one, also on error; a call's actions reach its handler
-// in the order in which the machine gave them.
+// Invariants: only Run's goroutine accesses the machine; every action that has a
+// reply gets exactly one, also on error; a call's actions reach its handler in the
+// order in which the machine returned them.
 package shell
 
 import (
@@ -31,44 +32,45 @@
 	"github.com/birchdrift/birchdrift/internal/telemetry"
 )
 
-// eventQueueSize is how many events may wait for the machine.
+// eventQueueSize is the number of events that may wait for the machine.
 const eventQueueSize = 4096
 
-// mailboxSize is how many actions may wait for one call's handler. The machine
-// gives a call one action at a time and waits for its outcome.
+// mailboxSize is the number of actions that may wait for one call's handler. The
+// machine returns one action for a call at a time and waits for its outcome, so a
+// full mailbox is a bug.
 const mailboxSize = 4
 
-// An Environment carries out what depends on the environment that an instance
-// runs in.
+// An Environment carries out the actions that depend on the platform that an instance
+// runs on.
 type Environment struct {
-	// CarryOut returns the work that carries an action out, nil for an action
-	// that is not the environment's. The work posts the action's reply.
+	// CarryOut returns a function that carries out an action and posts its reply, or
+	// nil if the action does not concern the environment.
 	CarryOut func(a step.Action) func(ctx context.Context)
-	// Decode reads a configuration as instances hand it to each other.
+	// Decode decodes a configuration in the form in which instances exchange it.
 	Decode func(data []byte) (config.Document, error)
 }
 
-// A Host is what an environment is given of the shell.
+// A Host is the part of the shell that an environment uses.
 type Host struct {
 	Self member.Identity
 	// Now reads both clocks.
 	Now func() clock.Instant
 	// Post hands an event to the machine.
 	Post func(ev step.Event)
-	// PostConfig decodes a configuration that came from source and posts it.
+	// PostConfig decodes a configuration received from source and posts it.
 	PostConfig func(data []byte, source string)
 	// Config returns the configuration in force, nil if there is none.
 	Config func() *config.Snapshot
 	// PlatformCalled counts a call to the platform.
 	PlatformCalled func()
-	// Event writes a numbered line to the log.
+	// Event logs a numbered event.
 	Event func(n logevent.Number, fields ...any)
 }
 
-// A EnvironmentFactory joins an environment to a shell.
+// An EnvironmentFactory returns the environment that uses the given host.
 type EnvironmentFactory func(h Host) Environment
 
-// A Shell runs one machine.
+// A Shell runs one state machine.
 type Shell struct {
 	machine     *instance.Machine
 	self        member.Identity
@@ -90,9 +92,9 @@
 	published       stateCell
 }
 
-// New returns a shell that lives as long as ctx and is joined to an environment;
-// Run starts it.
-func New(ctx context.Context, self member.Identity, m *instance.Machine, join EnvironmentFactory, peers *peer.Client, log logr.Logger, metrics *telemetry.Metrics) *Shell {
+// New returns a shell that runs m until ctx is canceled, in the environment that
+// newEnvironment returns. Run starts it.
+func New(ctx context.Context, self member.Identity, m *instance.Machine, newEnvironment EnvironmentFactory, peers *peer.Client, log logr.Logger, metrics *telemetry.Metrics) *Shell {
 	s := &Shell{
 		machine:         m,
 		self:            self,
@@ -111,14 +113,14 @@
 	if !s.clocks.countsSleep() {
 		s.event(logevent.SleepUncounted)
 	}
-	s.environment = join(Host{
+	s.environment = newEnvironment(Host{
 		Self: self, Now: s.Now, Post: s.post, PostConfig: s.postConfig, Config: s.Config,
 		PlatformCalled: metrics.CountPlatformCall, Event: s.event,
 	})
 	return s
 }
 
-// event writes a numbered line to the log.
+// event logs a numbered event.
 func (s *Shell) event(n logevent.Number, fields ...any) {
 	s.log.Info(n.Name(), append([]any{"event", int(n)}, fields...)...)
 }
@@ -126,7 +128,7 @@
 // Now reads both clocks.
 func (s *Shell) Now() clock.Instant { return s.clocks.now() }
 
-// Run owns the machine until the shell's context ends, then waits for the
+// Run steps the machine until the shell's context is canceled, then waits for the
 // workers.
 func (s *Shell) Run() error {
 	timer := time.NewTimer(0)
@@ -139,8 +141,8 @@
 		case do := <-s.events:
 			ev := do(s)
 			if ev == nil {
-				// Not a step: the timer must run on, or frequent questions
-				// would put off every tick.
+				// The machine did not step, so the timer is not reset:
+				// otherwise frequent status requests would delay every tick.
 				continue
 			}
 			s.step(ev)
@@ -158,13 +160,13 @@
 	s.published.publish(s.machine)
 }
 
-// post hands an event to the machine's goroutine.
+// post submits an event to the machine's goroutine.
 func (s *Shell) post(ev step.Event) {
 	s.submit(func(*Shell) step.Event { return ev })
 }
 
-// submit runs f on the machine's goroutine; the event it returns, if any, is
-// stepped. Nothing happens once the shell has ended.
+// submit runs f on the machine's goroutine and steps the machine with the event that f
+// returns, unless it is nil. It does nothing after the shell has ended.
 func (s *Shell) submit(f func(*Shell) step.Event) {
 	select {
 	case s.events <- f:
@@ -172,28 +174,29 @@
 	}
 }
 
-// HandleNotice tells the machine what a replica said of itself in an answer.
+// HandleNotice tells the machine what a replica said about itself in an answer.
 func (s *Shell) HandleNotice(e notice.Received) { s.post(e) }
 
-// Exited delivers the machine's Exit after a stop.
+// Exited returns a channel that delivers the machine's Exit after a stop.
 func (s *Shell) Exited() <-chan shutdown.Exit { return s.exited }
 
-// ChangeOptions has the machine take over changed tunables.
+// ChangeOptions passes changed options to the machine.
 func (s *Shell) ChangeOptions(r instance.OptionsChanged) { s.post(r) }
 
-// Stop begins a planned stop, or ends one that is under way.
+// Stop begins a planned stop. If one is in progress, it ends it at once.
 func (s *Shell) Stop() { s.post(instance.Stop{}) }
 
-// Config returns the configuration in force, nil if there is none.
+// Config returns the configuration in force, or nil if there is none.
 func (s *Shell) Config() *config.Snapshot { return s.published.config() }
 
-// Ready reports whether the balancer should send calls here, and if not, why.
+// Ready reports whether the load balancer should send calls to this instance, and if
+// not, why.
 func (s *Shell) Ready() (bool, string) { return s.published.ready() }
 
 // Stopping reports whether a planned stop has begun.
 func (s *Shell) Stopping() bool { return s.published.stopping() }
 
-// Status asks the machine for its state.
+// Status returns the machine's status.
 func (s *Shell) Status(ctx context.Context) (instance.Status, error) {
 	reply := make(chan instance.Status, 1)
 	s.submit(func(s *Shell) step.Event {
@@ -217,12 +220,12 @@
 // A Session is the handler's side of one call.
 type Session struct {
 	ID      calls.ID
-	Actions <-chan step.Action // Dispatch or Finish
+	Actions <-chan step.Action // Dispatch, Finish or Relay
 	mailbox *callMailbox
 	shell   *Shell
 }
 
-// Begin brings a call to the machine.
+// Begin submits a call to the machine and returns its session.
 func (s *Shell) Begin(call calls.Request) Session {
 	box := &callMailbox{actions: make(chan step.Action, mailboxSize)}
 	s.submit(func(s *Shell) step.Event {
@@ -232,20 +235,23 @@
 	return Session{ID: call.ID, Actions: box.actions, mailbox: box, shell: s}
 }
 
-// SetInterrupt sets what is called when the call is finished while an attempt is
-// under way, as a stop does to calls that it cuts off.
+// SetInterrupt sets the function that cancels the attempt in flight. It is called if the
+// call ends during the attempt, as when a stop cuts the call off.
 func (c Session) SetInterrupt(cancel context.CancelFunc) { c.mailbox.interrupt.Store(&cancel) }
 
-// AnswerBegan tells the machine that the first piece came.
+// AnswerBegan tells the machine that the first piece of the answer arrived.
 func (c Session) AnswerBegan() { c.shell.post(calls.AnswerBegan{ID: c.ID}) }
 
-// Completed tells the machine that the answer is whole.
-func (c Session) Completed(pause time.Duration) { c.end(calls.Completed{ID: c.ID, Pause: pause}) }
+// Completed tells the machine that the answer is complete; longestPause is the longest
+// time between two of its pieces.
+func (c Session) Completed(longestPause time.Duration) {
+	c.end(calls.Completed{ID: c.ID, Pause: longestPause})
+}
 
-// CallerGone tells the machine that the caller is gone.
+// CallerGone tells the machine that the caller disconnected.
 func (c Session) CallerGone() { c.end(calls.CallerGone{ID: c.ID}) }
 
-// AttemptFailed tells the machine that an attempt broke.
+// AttemptFailed tells the machine that an attempt failed.
 func (c Session) AttemptFailed(b calls.AttemptFailed) {
 	b.ID = c.ID
 	c.shell.post(b)
@@ -258,7 +264,7 @@
 	})
 }
 
-// HandleExchange answers an exchange that a peer began.
+// HandleExchange answers an exchange started by a peer.
 func (s *Shell) HandleExchange(ctx context.Context, msg gossip.Message) (gossip.Message, error) {
 	reply := make(chan gossip.Message, 1)
 	s.submit(func(s *Shell) step.Event {
--- a/internal/shell/shell_test.go
+++ b/internal/shell/shell_test.go
@@ -30,7 +30,7 @@
 	"github.com/birchdrift/birchdrift/internal/upstream/proxytest"
 )
 
-// unusedAddress returns an address at which unusedAddress listens.
+// unusedAddress returns an address at which no process listens.
 func unusedAddress(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -41,17 +41,17 @@
 	return l.Addr().String()
 }
 
-// failingEnvironment is an environment that fails every request.
+// failingEnvironment returns an environment that fails every request.
 func failingEnvironment(h Host) Environment {
 	return Environment{
 		CarryOut: func(a step.Action) func(ctx context.Context) {
 			switch a.(type) {
 			case kvwatch.Config:
 				return func(context.Context) {
-					h.Post(instance.ConfigReply{Source: instance.PlatformSource, Err: errors.New("nobody there")})
+					h.Post(instance.ConfigReply{Source: instance.PlatformSource, Err: errors.New("no platform")})
 				}
 			case kvwatch.List:
-				return func(context.Context) { h.Post(listing.Reply{Err: errors.New("nobody there")}) }
+				return func(context.Context) { h.Post(listing.Reply{Err: errors.New("no platform")}) }
 			}
 			return nil
 		},
@@ -59,8 +59,8 @@
 	}
 }
 
-// startShell returns a shell under way whose platform is down and whose only
-// peer is at seed.
+// startShell returns a running shell whose platform is down and whose only peer is at
+// seed.
 func startShell(t *testing.T, seed string) *Shell {
 	t.Helper()
 	opt := option.Default()
@@ -82,9 +82,9 @@
 	return s
 }
 
-// TestStatusRequestsDoNotDelayTicks: a state page that is polled without pause must
-// not keep the machine from its periodic work. Each question once reset the
-// timer, and no tick came for as long as the questions did.
+// TestStatusRequestsDoNotDelayTicks guards against a fault in which each status request
+// reset the timer, so that no tick came and the machine did no periodic work while the
+// status page was polled without pause.
 func TestStatusRequestsDoNotDelayTicks(t *testing.T) {
 	is := is.New(t)
 	var exchanges atomic.Int64
@@ -97,15 +97,15 @@
 	deadline := time.Now().Add(10 * time.Second)
 	for exchanges.Load() < 10 {
 		if time.Now().After(deadline) {
-			t.Fatalf("%d exchanges in 10 s of questions", exchanges.Load())
+			t.Fatalf("%d exchanges in 10 s of status requests", exchanges.Load())
 		}
 		_, err := s.Status(context.Background())
 		is.NoErr(err)
 	}
 }
 
-// TestCallWithoutConfigurationIsRefused through the whole of Begin and Finish,
-// and nothing is left running afterwards.
+// TestCallWithoutConfigurationIsRefused checks that a call is refused with no_configuration
+// through Begin and a Finish action, and that no goroutine is left running afterwards.
 func TestCallWithoutConfigurationIsRefused(t *testing.T) {
 	defer goleak.VerifyNone(t, goleak.IgnoreCurrent())
 	t.Run("call", func(t *testing.T) {
@@ -121,8 +121,8 @@
 	})
 }
 
-// TestSleepIsCounted: the steady reading goes on with the time since the machine started,
-// whatever Go's own clock says, and falls back on that where there is no such clock.
+// TestSleepIsCounted checks that the monotonic clock follows the time since boot, whatever
+// Go's own clock says, and falls back to Go's clock if the system has no such clock.
 func TestSleepIsCounted(t *testing.T) {
 	is := is.New(t)
 	c := newClocks()
@@ -144,9 +144,9 @@
 	is.True(without.now().Mono < time.Minute)
 }
 
-// TestWallReadingHasNoMonotonicPart: with Go's own monotonic reading left in,
-// the two clocks of an Instant could never differ, and a suspended machine
-// would go on believing in its lease.
+// TestWallReadingHasNoMonotonicPart guards against leaving Go's monotonic reading in the
+// wall time: the two clocks of an Instant could then never differ, and an instance would
+// still consider its lease valid after its computer was suspended.
 func TestWallReadingHasNoMonotonicPart(t *testing.T) {
 	is := is.New(t)
 	s := &Shell{clocks: newClocks()}
@@ -156,8 +156,8 @@
 	is.Equal(later.MaxElapsed(now), time.Hour)
 }
 
-// TestSilentConnectionsToPeers: an exchange on a connection that went silent fails within
-// its limit, and a later one goes over another.
+// TestSilentConnectionsToPeers checks that an exchange on a connection that went silent
+// fails within its timeout and that a later one uses another connection.
 func TestSilentConnectionsToPeers(t *testing.T) {
 	is := is.New(t)
 	var exchanges atomic.Int64
--- a/internal/shell/snapshot.go
+++ b/internal/shell/snapshot.go
@@ -7,7 +7,8 @@
 	"github.com/birchdrift/birchdrift/core/instance"
 )
 
-// A publishedState is what handlers may read without asking the machine. It is immutable.
+// A publishedState is the part of the machine's state that handlers may read from any
+// goroutine. It is immutable.
 type publishedState struct {
 	config    *config.Snapshot
 	ready     bool
@@ -15,7 +16,7 @@
 	stopBegun bool // a planned stop has begun
 }
 
-// A stateCell holds the latest view.
+// A stateCell holds the latest publishedState.
 type stateCell struct {
 	current   atomic.Pointer[publishedState]
 	installed *config.Snapshot // written on the machine's goroutine only
