--- a/internal/shell/shell.go
+++ b/internal/shell/shell.go
@@ -244,9 +244,7 @@
 
 // Completed tells the machine that the answer is complete; longestPause is the longest
 // time between two of its pieces.
-func (c Session) Completed(longestPause time.Duration) {
-	c.end(calls.Completed{ID: c.ID, Pause: longestPause})
-}
+func (c Session) Completed(longestPause time.Duration) { c.end(calls.Completed{ID: c.ID, Pause: longestPause}) }
 
 // CallerGone tells the machine that the caller disconnected.
 func (c Session) CallerGone() { c.end(calls.CallerGone{ID: c.ID}) }
--- a/internal/telemetry/log.go
+++ b/internal/telemetry/log.go
@@ -7,7 +7,7 @@
 	"github.com/go-logr/logr"
 )
 
-// NewLogger returns a logger of JSON lines with the instance's name on each.
+// NewLogger returns a logger that writes JSON lines, each with the instance's name and zone.
 func NewLogger(w io.Writer, level slog.Leveler, instance, zone string) logr.Logger {
 	handler := slog.NewJSONHandler(w, &slog.HandlerOptions{Level: level})
 	return logr.FromSlogHandler(handler).WithValues("instance", instance, "zone", zone)
--- a/internal/telemetry/metrics.go
+++ b/internal/telemetry/metrics.go
@@ -1,5 +1,5 @@
-// Package telemetry provides what an instance shows of itself: metrics, traces
-// with a span for each hop, and structured logs of numbered events.
+// Package telemetry provides an instance's metrics, traces with a span for each hop,
+// and structured logs of numbered events.
 package telemetry
 
 import (
@@ -15,7 +15,7 @@
 	"github.com/birchdrift/birchdrift/core/step"
 )
 
-// Metrics are the measures of one instance. They are safe for concurrent use.
+// Metrics holds the metrics of one instance. It is safe for concurrent use.
 type Metrics struct {
 	set            *metrics.Set
 	platformCalls  *metrics.Counter
@@ -31,7 +31,7 @@
 	listAge        *metrics.Histogram
 }
 
-// NewMetrics returns measures that have counted nothing.
+// NewMetrics returns metrics without any observations.
 func NewMetrics() *Metrics {
 	set := metrics.NewSet()
 	return &Metrics{
@@ -50,24 +50,24 @@
 	}
 }
 
-// A MetricDoc describes one metric for docs/metrics.md.
+// A MetricDoc documents one metric in docs/metrics.md.
 type MetricDoc struct{ Name, Meaning, Action string }
 
-// MetricDocs lists the metrics with what to do about them.
+// MetricDocs documents the metrics and what operators should do about them.
 var MetricDocs = []MetricDoc{
-	{"birchdrift_queue_seconds", "Time a call waited here before it was sent.", "Rising: the zone lacks sequences; see `birchctl status`."},
-	{"birchdrift_first_token_seconds", "Time from a call's arrival to its first piece.", "Above the target for more than 5 in 100: add accelerators or change policies."},
+	{"birchdrift_queue_seconds", "Time that a call waited in this instance before it was sent.", "Rising: the zone lacks sequences; see `birchctl status`."},
+	{"birchdrift_first_token_seconds", "Time from a call's arrival to the first piece of its answer.", "Above the target for more than 5 in 100: add accelerators or change policies."},
 	{"birchdrift_between_tokens_seconds", "Time between two pieces of one stream.", "Above the target: engines run too many sequences at once."},
 	{"birchdrift_call_seconds", "Time from a call's arrival to its end.", "None by itself."},
 	{"birchdrift_answers_total{code}", "Final answers by numbered code; 0 is success.", "Look the code up in docs/codes.md."},
-	{"birchdrift_retries_total", "Attempts repeated at another replica.", "More than a few in 100 calls: an upstream is failing."},
-	{"birchdrift_resumes_total", "Streams resumed at their offset.", "Rising: connections to upstreams break."},
-	{"birchdrift_policy_failures_total", "Calls for which a policy expression failed.", "Mend the policy; event 1701 names it."},
+	{"birchdrift_retries_total", "Calls retried at another replica.", "More than a few in 100 calls: an upstream is failing."},
+	{"birchdrift_resumes_total", "Streams that were resumed at their offset.", "Rising: connections to upstreams break."},
+	{"birchdrift_policy_failures_total", "Calls for which a policy expression failed.", "Correct the policy; event 1701 names it."},
 	{"birchdrift_platform_calls_total", "Calls made to the platform's key-value service.", "Compare with its rates."},
-	{"birchdrift_orders_total{op}", "Orders sent to engines.", "Loads and unloads are the moves."},
-	{"birchdrift_log_lines_dropped_total", "Log lines dropped because they came faster than they may be written.", "Rising: set `--log-level` to warn, or look at what fails so often."},
-	{"birchdrift_unread_headers_total", "Answers of replicas and of the platform's store with a header that nothing here reads.", "Look for event 1507, which names it: the platform may have a new word."},
-	{"birchdrift_list_age_seconds", "How old the platform's list was here when a call was sent by it.", "Near `--leave-bound`: replicas that leave may get calls. See event 1319."},
+	{"birchdrift_orders_total{op}", "Orders sent to engines.", "Loads and unloads are the changes of models."},
+	{"birchdrift_log_lines_dropped_total", "Log lines dropped because they exceeded the rate limit of the log.", "Rising: set `--log-level` to warn, or find out what fails so often."},
+	{"birchdrift_unread_headers_total", "Answers of replicas and of the platform's store with a header that the instance does not read.", "Look for event 1507, which names it: the platform may have a new header."},
+	{"birchdrift_list_age_seconds", "Age of this instance's copy of the platform's list when a call was sent according to it.", "Near `--leave-bound`: leaving replicas may get calls. See event 1319."},
 	{"birchdrift_notes_total{event}", "Log events by number.", "Look the number up in docs/events.md."},
 }
 
@@ -77,25 +77,25 @@
 // CountDroppedLines counts log lines that were dropped.
 func (m *Metrics) CountDroppedLines(lines int) { m.logDropped.Add(lines) }
 
-// CountUnreadHeader counts an answer with a header that nothing here reads.
+// CountUnreadHeader counts an answer with a header that the instance does not read.
 func (m *Metrics) CountUnreadHeader() { m.unreadHeaders.Inc() }
 
-// ObserveQueueTime notes how long a call waited here.
+// ObserveQueueTime records how long a call waited in this instance.
 func (m *Metrics) ObserveQueueTime(d time.Duration) { m.queueTime.Update(d.Seconds()) }
 
-// ObserveFirstToken notes the time to a call's first piece.
+// ObserveFirstToken records the time from a call's arrival to the first piece of its answer.
 func (m *Metrics) ObserveFirstToken(d time.Duration) { m.firstToken.Update(d.Seconds()) }
 
-// ObserveTokenGap notes the time between two pieces.
+// ObserveTokenGap records the time between two pieces of an answer.
 func (m *Metrics) ObserveTokenGap(d time.Duration) { m.betweenTokens.Update(d.Seconds()) }
 
-// ObserveAnswer notes a call's end with its numbered code.
+// ObserveAnswer records the end of a call with its numbered code and its duration.
 func (m *Metrics) ObserveAnswer(code int, d time.Duration) {
 	m.callTime.Update(d.Seconds())
 	m.set.GetOrCreateCounter(fmt.Sprintf(`birchdrift_answers_total{code="%d"}`, code)).Inc()
 }
 
-// CountAction counts what the machine asked for, where that is worth a metric.
+// CountAction updates the metrics that depend on the state machine's actions.
 func (m *Metrics) CountAction(a step.Action) {
 	switch act := a.(type) {
 	case calls.Dispatch:
@@ -121,7 +121,7 @@
 	}
 }
 
-// Write writes every metric in Prometheus text form.
+// Write writes all metrics, including those of the process, in Prometheus text format.
 func (m *Metrics) Write(w io.Writer) {
 	m.set.WritePrometheus(w)
 	metrics.WriteProcessMetrics(w)
--- a/internal/telemetry/trace.go
+++ b/internal/telemetry/trace.go
@@ -16,16 +16,16 @@
 	"go.opentelemetry.io/otel/attribute"
 )
 
-// A Tracer makes the spans of one instance and carries their context in W3C
-// headers.
+// A Tracer creates the spans of one instance and propagates their context in W3C Trace
+// Context headers.
 type Tracer struct {
 	oteltrace.Tracer
 	propagator propagation.TraceContext
 	stop       func(context.Context) error
 }
 
-// NewTracer returns a tracer that writes the given share of traces to out as
-// JSON lines, or one that makes no spans when out is nil or the share is 0.
+// NewTracer returns a tracer that writes the given share of traces to out as JSON
+// lines, or one that creates no spans if out is nil or the share is 0.
 func NewTracer(out io.Writer, instance, zone string, share float64) (*Tracer, error) {
 	if out == nil || share <= 0 {
 		return &Tracer{
@@ -49,15 +49,15 @@
 	return &Tracer{Tracer: provider.Tracer("birchdrift"), stop: provider.Shutdown}, nil
 }
 
-// Extract returns ctx with the span context that the headers carry.
+// Extract returns ctx with the span context in the headers.
 func (t *Tracer) Extract(ctx context.Context, h http.Header) context.Context {
 	return t.propagator.Extract(ctx, propagation.HeaderCarrier(h))
 }
 
-// Inject puts the span context of ctx into the headers.
+// Inject writes the span context of ctx into the headers.
 func (t *Tracer) Inject(ctx context.Context, h http.Header) {
 	t.propagator.Inject(ctx, propagation.HeaderCarrier(h))
 }
 
-// Stop writes out the spans that are left.
+// Stop writes the remaining spans and stops the tracer.
 func (t *Tracer) Stop(ctx context.Context) error { return t.stop(ctx) }
--- a/internal/telemetry/writer.go
+++ b/internal/telemetry/writer.go
@@ -6,16 +6,16 @@
 	"time"
 )
 
-// Bounds of buffered logs.
+// Limits of the log's buffer, flush interval and rate.
 const (
 	logBufferSize     = 256 << 10 // bytes that may wait to be written
 	flushInterval     = 100 * time.Millisecond
-	maxLinesPerSecond = 400 // lines a second on average; twice as many for a second
+	maxLinesPerSecond = 400 // lines per second on average; a burst may have twice as many
 )
 
-// A LogWriter buffers log lines and writes them in batches, so that nobody who
-// logs ever waits for the output. Lines beyond the buffer, or beyond the rate
-// for long, are dropped and counted.
+// A LogWriter buffers log lines and writes them in batches, so that logging never waits
+// for the output. Lines that exceed the buffer or the rate limit, a token bucket, are
+// dropped and counted.
 type LogWriter struct {
 	out     io.Writer
 	dropped func(lines int)
@@ -29,7 +29,8 @@
 	done       chan struct{}
 }
 
-// NewLogWriter returns a writer to out; dropped counts what is lost.
+// NewLogWriter returns a running LogWriter to out; dropped is called with the number of
+// lines that are dropped.
 func NewLogWriter(out io.Writer, dropped func(lines int)) *LogWriter {
 	w := &LogWriter{
 		out: out, dropped: dropped, tokens: 2 * maxLinesPerSecond, refilledAt: time.Now(),
@@ -39,7 +40,7 @@
 	return w
 }
 
-// Write takes one line. It never blocks and never fails.
+// Write buffers or drops one line. It never waits for the output and never fails.
 func (w *LogWriter) Write(line []byte) (int, error) {
 	w.mu.Lock()
 	kept := w.takeToken(time.Now()) && len(w.buffer)+len(line) <= logBufferSize
@@ -53,7 +54,7 @@
 	return len(line), nil
 }
 
-// takeToken spends one line of the rate.
+// takeToken takes one token from the token bucket and reports whether there was one.
 func (w *LogWriter) takeToken(now time.Time) bool {
 	w.tokens = min(w.tokens+maxLinesPerSecond*now.Sub(w.refilledAt).Seconds(), 2*maxLinesPerSecond)
 	w.refilledAt = now
@@ -85,14 +86,14 @@
 	w.buffer = w.spare[:0]
 	w.mu.Unlock()
 	if len(batch) > 0 {
-		_, _ = w.out.Write(batch) // there is nowhere to report that logs cannot be written
+		_, _ = w.out.Write(batch) // a failure to write the log cannot be reported anywhere
 	}
 	w.mu.Lock()
 	w.spare = batch[:0]
 	w.mu.Unlock()
 }
 
-// Close writes what waits and ends the writer.
+// Close writes the buffered lines and stops the writer.
 func (w *LogWriter) Close() {
 	close(w.closed)
 	<-w.done
--- a/internal/telemetry/writer_test.go
+++ b/internal/telemetry/writer_test.go
@@ -9,7 +9,7 @@
 	"github.com/matryer/is"
 )
 
-// A blockedWriter blocks until it is let go.
+// A blockedWriter blocks writes while its mutex is locked.
 type blockedWriter struct {
 	mu  sync.Mutex
 	buf bytes.Buffer
@@ -22,8 +22,8 @@
 	return w.buf.Write(data)
 }
 
-// TestLogsNeverBlock: with an output that takes nothing, every line is either
-// kept or counted as dropped, and whoever logs goes on.
+// TestLogsNeverBlock checks that logging does not block while the output does, and that
+// every line is either written or counted as dropped.
 func TestLogsNeverBlock(t *testing.T) {
 	is := is.New(t)
 	out := &blockedWriter{}
@@ -39,6 +39,6 @@
 	w.Close()
 	kept := strings.Count(out.buf.String(), "\n")
 	is.Equal(kept+dropped, lines)
-	is.True(dropped > 0)                 // bounded
+	is.True(dropped > 0)                 // the buffer is bounded
 	is.True(kept >= 2*maxLinesPerSecond) // a burst is kept
 }
--- a/internal/upstream/proxytest/proxytest.go
+++ b/internal/upstream/proxytest/proxytest.go
@@ -1,5 +1,5 @@
-// Package proxytest provides a proxy on the loopback for tests whose open connections can
-// be made to go silent: what is sent on them is taken and lost, and nothing comes back.
+// Package proxytest provides a loopback proxy for tests. Its open connections can be made
+// silent: bytes sent on them are accepted and discarded, and nothing is returned.
 package proxytest
 
 import (
@@ -10,18 +10,18 @@
 	"testing"
 )
 
-// A Proxy passes connections on to a target.
+// A Proxy forwards connections to a target.
 type Proxy struct {
 	listener net.Listener
 	target   string // IP:port
 
 	mu       sync.Mutex
-	open     []*atomic.Bool // of each connection: whether it is silent
+	open     []*atomic.Bool // for each connection, whether it is silent
 	conns    []net.Conn
 	accepted int
 }
 
-// New returns a proxy before target that lives as long as the test.
+// New starts a proxy in front of target (IP:port) that runs until the test ends.
 func New(t *testing.T, target string) *Proxy {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -34,10 +34,10 @@
 	return p
 }
 
-// Address returns where the proxy listens.
+// Address returns the address (IP:port) on which the proxy listens.
 func (p *Proxy) Address() string { return p.listener.Addr().String() }
 
-// Silence has all open connections go silent for good. New ones work.
+// Silence makes all open connections silent permanently. New connections work.
 func (p *Proxy) Silence() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -46,7 +46,7 @@
 	}
 }
 
-// Accepted returns how many connections were opened.
+// Accepted returns the number of connections that were opened.
 func (p *Proxy) Accepted() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -75,13 +75,13 @@
 	}
 }
 
-// pass copies what comes from one end to the other until the connection is silent.
+// pass copies bytes from one connection to another until the connection is made silent.
 func pass(from, to net.Conn, silent *atomic.Bool) {
 	buf := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(buf)
 		if silent.Load() {
-			_, _ = io.Copy(io.Discard, from) // taken and lost
+			_, _ = io.Copy(io.Discard, from) // accept and discard
 			return
 		}
 		if n > 0 {
--- a/internal/upstream/unread.go
+++ b/internal/upstream/unread.go
@@ -5,13 +5,13 @@
 	"sync"
 )
 
-// An UnreadHeaderDetector finds the headers of answers that nothing here reads and no standard names,
-// so that a new word of replicas, or of the platform's store, is seen on the first day
-// on which it comes. It is safe for concurrent use.
+// An UnreadHeaderDetector finds answer headers that the instance does not read and that are
+// not standard, so that a new header of replicas or of the platform's store is noticed on
+// the first day on which it is used. It is safe for concurrent use.
 type UnreadHeaderDetector struct {
-	// Report is told of each such name once; values are never told.
+	// Report is called once with each such name; values are never reported.
 	Report func(name string)
-	// Count is told of each answer that has some.
+	// Count is called for each answer that has such headers.
 	Count func()
 
 	mu       sync.Mutex
@@ -20,15 +20,16 @@
 }
 
 const (
-	// maxUnreadNames bounds how many names are reported, so that names which differ from
-	// answer to answer fill no log: docs/OPERATIONS.md.
+	// maxUnreadNames is the largest number of names that are reported, so that names which
+	// differ from answer to answer do not fill the log; see docs/OPERATIONS.md.
 	maxUnreadNames = 32
-	// maxUnreadNameLength bounds a reported name, in bytes: docs/OPERATIONS.md.
+	// maxUnreadNameLength is the length in bytes to which reported names are truncated; see
+	// docs/OPERATIONS.md.
 	maxUnreadNameLength = 64
 )
 
-// standardHeaders are names of answers' headers that standards give a meaning, or that
-// servers, proxies and browsers use among themselves.
+// standardHeaders are the names of answer headers that are defined by standards or in common
+// use by servers, proxies and browsers.
 var standardHeaders = []string{
 	"Accept-Ch", "Accept-Patch", "Accept-Post", "Accept-Ranges", "Access-Control-Allow-Credentials",
 	"Access-Control-Allow-Headers", "Access-Control-Allow-Methods", "Access-Control-Allow-Origin",
@@ -44,14 +45,14 @@
 	"X-Content-Type-Options", "X-Frame-Options", "X-Powered-By", "X-Xss-Protection",
 }
 
-// NewUnreadHeaderDetector returns one that has seen no answer and knows the standard names.
+// NewUnreadHeaderDetector returns a detector that knows the standard headers.
 func NewUnreadHeaderDetector(report func(name string), count func()) *UnreadHeaderDetector {
 	u := &UnreadHeaderDetector{Report: report, Count: count, known: map[string]bool{}, reported: map[string]bool{}}
 	u.AddKnown(standardHeaders)
 	return u
 }
 
-// AddKnown adds names that are read, or that need no reading.
+// AddKnown adds names of headers that are read or known to be unneeded.
 func (u *UnreadHeaderDetector) AddKnown(names []string) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -60,7 +61,7 @@
 	}
 }
 
-// Inspect goes over the names of an answer's headers.
+// Inspect checks the names of an answer's headers.
 func (u *UnreadHeaderDetector) Inspect(h http.Header) {
 	found := false
 	for name := range h {
@@ -76,7 +77,7 @@
 	}
 }
 
-// inspectName reports whether nothing reads a name, and tells of it for the first time.
+// inspectName reports whether a name is unread, and calls Report the first time it sees it.
 func (u *UnreadHeaderDetector) inspectName(name string) bool {
 	u.mu.Lock()
 	known := u.known[name]
@@ -91,7 +92,7 @@
 	return !known
 }
 
-// Wrap returns transports whose answers are looked over.
+// Wrap returns transports whose answers are inspected.
 func (u *UnreadHeaderDetector) Wrap(t Transports) Transports {
 	return Transports{
 		Reused: inspectedTransport{t.Reused, u},
@@ -100,7 +101,7 @@
 	}
 }
 
-// An inspectedTransport is a transport whose answers are looked over.
+// An inspectedTransport is a transport whose answers are inspected by the detector.
 type inspectedTransport struct {
 	http.RoundTripper
 	detector *UnreadHeaderDetector
--- a/internal/upstream/unread_test.go
+++ b/internal/upstream/unread_test.go
@@ -11,9 +11,9 @@
 	"github.com/matryer/is"
 )
 
-// TestUnreadHeadersAreReportedOnce: a name that nothing reads is reported once, without
-// its value, however it is spelt and however often it comes; standard and known ones are
-// not.
+// TestUnreadHeadersAreReportedOnce checks that an unread header is reported once, without its
+// value, whatever its case and on whichever transport, and that standard and known headers
+// are not reported.
 func TestUnreadHeadersAreReportedOnce(t *testing.T) {
 	is := is.New(t)
 	var reported []string
@@ -33,8 +33,8 @@
 	is.Equal(counted, 4)
 }
 
-// TestUnreadHeadersAreBounded: names that differ from answer to answer, or are long, fill
-// neither the log nor memory.
+// TestUnreadHeadersAreBounded checks that the number and the length of reported names are
+// bounded, so that they fill neither the log nor memory.
 func TestUnreadHeadersAreBounded(t *testing.T) {
 	is := is.New(t)
 	var reported []string
@@ -52,7 +52,8 @@
 	is.Equal(counted, 10*maxUnreadNames+1)
 }
 
-// serveHeaders answers every request with these header lines.
+// serveHeaders starts a server that answers every request with the given header lines and
+// returns its address.
 func serveHeaders(t *testing.T, lines string) string {
 	t.Helper()
 	return serve(t, func(c *net.TCPConn) {
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -1,12 +1,11 @@
-// Package upstream provides what the adapters for engines and plain services
-// share: HTTP transports that never send a call twice on their own, and the
-// knowledge of how far an attempt's bytes had come when it broke.
+// Package upstream provides what the clients of engines and of plain services share:
+// HTTP transports that never retry a call on their own, and a record of how far an
+// attempt had progressed when it failed.
 //
-// The subtle case: net/http repeats a request by itself when a reused
-// connection turns out to be closed, and takes an Idempotency-Key header for
-// leave to do so with any method. A call that must not run twice therefore
-// goes over a connection that was never used before, where net/http never
-// repeats. HTTP/2 has repeats of its own and is switched off.
+// net/http itself retries a request if a reused connection turns out to be closed, and
+// does so for any method if the request has an Idempotency-Key header. A call that must
+// not run twice is therefore sent over a new connection, on which net/http never
+// retries. HTTP/2 has retries of its own and is disabled.
 package upstream
 
 import (
@@ -27,26 +26,26 @@
 	"github.com/birchdrift/birchdrift/core/bounds"
 )
 
-// Bounds of connections to upstreams.
+// TCP and idle limits of connections to upstreams: times and counts.
 const (
 	dialTimeout       = bounds.DialTimeout
-	idleTimeout       = 4 * time.Second // below what upstreams keep idle connections for
+	idleTimeout       = 4 * time.Second // shorter than upstreams keep idle connections
 	maxIdlePerHost    = 64
-	keepAliveInterval = time.Second // probes of a connection on which nothing comes
+	keepAliveInterval = time.Second // time between probes of a connection without received bytes
 	keepAliveCount    = 3
 	unackedTimeout    = 3 * time.Second // time for which sent bytes may stay unacknowledged
 )
 
-// Transports are the two ways to an upstream.
+// Transports are the HTTP transports to upstreams.
 type Transports struct {
-	Reused http.RoundTripper // keeps connections; for calls that may be repeated
-	Fresh  http.RoundTripper // a connection for each call; for those that may not
-	// Abrupt is Fresh whose connections are reset when they are closed, so
-	// that bytes which a cut link holds up are lost and do not arrive later.
+	Reused http.RoundTripper // reuses connections; for calls that may be retried
+	Fresh  http.RoundTripper // opens a connection for each call; for calls that may not
+	// Abrupt is like Fresh, but resets its connections when it closes them, so that
+	// bytes held up by a broken link are discarded and do not arrive later.
 	Abrupt http.RoundTripper
 }
 
-// NewTransports returns transports that speak HTTP/1.1 only.
+// NewTransports returns transports that use HTTP/1.1 only.
 func NewTransports() Transports {
 	dialer := newDialer()
 	return Transports{
@@ -56,8 +55,8 @@
 	}
 }
 
-// newDialer returns a dialer whose connections notice within seconds that the
-// other end is gone without any message.
+// newDialer returns a dialer whose connections detect within seconds that the other
+// end vanished without closing the connection.
 func newDialer() *net.Dialer {
 	return &net.Dialer{
 		Timeout:         dialTimeout,
@@ -66,8 +65,8 @@
 	}
 }
 
-// UserTimeoutControl returns the control function of a dialer or listener whose connections
-// end when bytes that were sent stay unacknowledged for so long.
+// UserTimeoutControl returns a Control function for a dialer or listener that sets
+// TCP_USER_TIMEOUT: a connection fails if sent bytes stay unacknowledged for limit.
 func UserTimeoutControl(limit time.Duration) func(network, address string, raw syscall.RawConn) error {
 	return func(_, _ string, raw syscall.RawConn) error {
 		var set error
@@ -80,7 +79,7 @@
 
 type dialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
-// dialAbrupt dials connections that are reset when they are closed.
+// dialAbrupt returns a dial function whose connections are reset when they are closed.
 func dialAbrupt(d *net.Dialer) dialFunc {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		conn, err := d.DialContext(ctx, network, address)
@@ -101,12 +100,12 @@
 		DisableCompression:  true,
 		MaxIdleConnsPerHost: maxIdlePerHost,
 		IdleConnTimeout:     idleTimeout,
-		// A non-nil empty map is how net/http is told to leave HTTP/2 off.
+		// A non-nil empty map disables HTTP/2 in net/http.
 		TLSNextProto: map[string]func(string, *tls.Conn) http.RoundTripper{},
 	}
 }
 
-// For returns the transport for a call.
+// For returns the transport for a call: Reused if it is repeatable, otherwise Fresh.
 func (t Transports) For(repeatable bool) http.RoundTripper {
 	if repeatable {
 		return t.Reused
@@ -114,19 +113,19 @@
 	return t.Fresh
 }
 
-// A Progress says how far one attempt has come. It is safe for concurrent use.
+// A Progress records the phase of one attempt. It is safe for concurrent use.
 type Progress struct{ phase atomic.Int32 }
 
-// TraceContext returns a context under which a request notes its progress in p. From
-// the moment a connection is handed to the request a byte may leave at any
-// time, so that is where NotSent ends.
+// TraceContext returns a context with which a request records its progress in p. The
+// phase NotSent ends when the request gets a connection, since from then on bytes may
+// be sent at any time.
 func (p *Progress) TraceContext(ctx context.Context) context.Context {
 	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: func(httptrace.GotConnInfo) { p.Advance(attempt.MaybeSent) },
 	})
 }
 
-// Advance notes that the attempt has come as far as phase; it never goes back.
+// Advance records that the attempt has reached phase. It never moves to an earlier phase.
 func (p *Progress) Advance(phase attempt.Phase) {
 	for {
 		old := p.phase.Load()
@@ -136,21 +135,22 @@
 	}
 }
 
-// Phase returns how far the attempt has come.
+// Phase returns the phase that the attempt has reached.
 func (p *Progress) Phase() attempt.Phase { return attempt.Phase(p.phase.Load()) }
 
-// Severed reports whether err says that the other end of a connection ended it,
-// rather than that nothing came for too long.
+// Severed reports whether err means that the other end closed or reset the connection,
+// as opposed to a timeout.
 func Severed(err error) bool {
 	return errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) ||
 		errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE)
 }
 
-// ConnectionRefused reports whether err says that the machine at the address answered
-// and that no process listens there.
+// ConnectionRefused reports whether err means that the computer at the address answered
+// that no process listens there.
 func ConnectionRefused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
 
-// CheckReachable connects to an upstream's address (IP:port) and closes the connection again.
+// CheckReachable connects to an upstream's address (IP:port) and closes the connection. It
+// returns the error of connecting.
 func CheckReachable(ctx context.Context, address string) error {
 	conn, err := newDialer().DialContext(ctx, "tcp", address)
 	if err != nil {
@@ -160,13 +160,13 @@
 	return nil
 }
 
-// Headers by which upstreams speak about themselves and their answers.
+// Headers of upstreams of the product's own environment.
 const (
 	// HeaderRun is "not_run" on an answer of an upstream that did not run the
 	// call and never will.
 	HeaderRun = "Birchdrift-Run"
 	// HeaderLeaving is "true" on answers of an upstream that is leaving.
 	HeaderLeaving = "Birchdrift-Leaving"
-	// HeaderCall carries the call's identity to the upstream.
+	// HeaderCall carries the call ID to the upstream.
 	HeaderCall = "Birchdrift-Call"
 )
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -12,7 +12,7 @@
 	"github.com/matryer/is"
 )
 
-// serve answers connections at a port of its own with answer, and returns the address.
+// serve starts a server that handles each connection with answer and returns its address.
 func serve(t *testing.T, answer func(c *net.TCPConn)) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -33,8 +33,8 @@
 	return l.Addr().String()
 }
 
-// TestConnectionErrors tables what is told of an attempt by the error of its
-// connection: a replica that ended it, nobody at its address, or silence.
+// TestConnectionErrors checks how errors of connections are classified: closed or reset by
+// the other end, refused because no process listens, or neither if nothing arrives.
 func TestConnectionErrors(t *testing.T) {
 	closed, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -52,7 +52,7 @@
 		{"closed without an answer", serve(t, func(c *net.TCPConn) { _ = c.Close() }), true, false},
 		{"closed in the middle", serve(t, func(c *net.TCPConn) { _, _ = io.WriteString(c, half); _ = c.Close() }), true, false},
 		{"reset", serve(t, func(c *net.TCPConn) { _ = c.SetLinger(0); _ = c.Close() }), true, false},
-		{"nobody there", closed.Addr().String(), false, true},
+		{"no process listens", closed.Addr().String(), false, true},
 		{silence, serve(t, func(*net.TCPConn) {}), false, false},
 	}
 	transports := NewTransports()
