--- a/internal/shell/shell.go
+++ b/internal/shell/shell.go
@@ -242,9 +242,9 @@
 // AnswerBegan tells the machine that the first piece of the answer arrived.
 func (c Session) AnswerBegan() { c.shell.post(calls.AnswerBegan{ID: c.ID}) }
 
-// Completed tells the machine that the answer is complete; longestPause is the longest
-// time between two of its pieces.
-func (c Session) Completed(longestPause time.Duration) { c.end(calls.Completed{ID: c.ID, Pause: longestPause}) }
+// Completed tells the machine that the answer is complete; pause is the longest time
+// between two of its pieces.
+func (c Session) Completed(pause time.Duration) { c.end(calls.Completed{ID: c.ID, Pause: pause}) }
 
 // CallerGone tells the machine that the caller disconnected.
 func (c Session) CallerGone() { c.end(calls.CallerGone{ID: c.ID}) }
