--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -120,25 +120,25 @@
 
 // HandleActions carries out the machine's actions until the call ends or its caller
 // disconnects.
-func HandleActions(ctx context.Context, s shell.Session, do CallHandlers) {
+func HandleActions(ctx context.Context, s shell.Session, handlers CallHandlers) {
 	for {
 		a, ok := nextAction(ctx, s)
-		if do.Waited != nil {
-			do.Waited()
+		if handlers.Waited != nil {
+			handlers.Waited()
 		}
 		if !ok {
-			do.Gone()
+			handlers.Gone()
 			return
 		}
 		switch act := a.(type) {
 		case calls.Finish:
-			do.Finish(act.Refusal)
+			handlers.Finish(act.Refusal)
 			return
 		case calls.Relay:
-			do.Relay()
+			handlers.Relay()
 			return
 		case calls.Dispatch:
-			if do.Attempt(act) {
+			if handlers.Attempt(act) {
 				return
 			}
 		}
--- a/internal/environment/driver.go
+++ b/internal/environment/driver.go
@@ -319,8 +319,8 @@
 
 // probeEngine reads how many requests an engine has queued and running.
 func (d *driver) probeEngine(ctx context.Context, a forwarding.ProbeEngine) {
-	ctx, done := context.WithTimeout(ctx, a.Wait)
-	defer done()
+	ctx, cancel := context.WithTimeout(ctx, a.Wait)
+	defer cancel()
 	sent := d.host.Now()
 	report, err := d.engines.Report(ctx, a.Address)
 	d.postReport(a.Engine, sent, report, false)
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -66,9 +66,9 @@
 
 func TestExchangeNeedsTheSharedKey(t *testing.T) {
 	is := is.New(t)
-	taken := 0
+	handled := 0
 	server := httptest.NewServer(Server{Take: func(_ context.Context, msg gossip.Message) (gossip.Message, error) {
-		taken++
+		handled++
 		return msg, nil
 	}}.Handler("right"))
 	defer server.Close()
@@ -80,7 +80,7 @@
 			is.Equal(reply, fullMessage())
 		}
 	}
-	is.Equal(taken, 1)
+	is.Equal(handled, 1)
 }
 
 // TestPermitsTravelWhole checks that permit requests and replies arrive as they were sent.
--- a/internal/server/forward_test.go
+++ b/internal/server/forward_test.go
@@ -122,7 +122,7 @@
 }
 
 // newTestInstance starts an instance in front of one replica for each of the answers.
-// Without answers its store has no configuration either.
+// Without answers its store has no configuration handler.
 func newTestInstance(t *testing.T, answers ...http.HandlerFunc) *testInstance {
 	t.Helper()
 	return newTestInstanceWith(t, nil, false, answers...)
@@ -320,18 +320,18 @@
 			t.Parallel()
 			is := is.New(t)
 			var s *testInstance
-			taken := make(chan struct{}, 1)
-			taken <- struct{}{}
+			firstRequest := make(chan struct{}, 1)
+			firstRequest <- struct{}{}
 			// The replica that gets the first request answers as the case says.
-			either := func(w http.ResponseWriter, r *http.Request) {
+			handler := func(w http.ResponseWriter, r *http.Request) {
 				select {
-				case <-taken:
+				case <-firstRequest:
 					c.first(w, r)
 				default:
 					answerOK("good")(w, r)
 				}
 			}
-			s = newTestInstance(t, either, either)
+			s = newTestInstance(t, handler, handler)
 			got := s.send("POST", c.host, "/x", "body")
 			is.NoErr(got.err)
 			is.Equal(got.status, c.status)
@@ -408,16 +408,16 @@
 // and that the call at the replica is canceled.
 func TestTheTimeoutEndsACall(t *testing.T) {
 	is := is.New(t)
-	left := make(chan struct{})
+	canceled := make(chan struct{})
 	s := newTestInstance(t, func(_ http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		<-r.Context().Done()
-		close(left)
+		close(canceled)
 	})
-	begun := time.Now()
+	start := time.Now()
 	is.Equal(s.send("GET", "short", "/x", "").status, 504)
-	is.True(time.Since(begun) < 2*time.Second)
-	awaitClosed(t, left)
+	is.True(time.Since(start) < 2*time.Second)
+	awaitClosed(t, canceled)
 }
 
 func awaitClosed(t *testing.T, done <-chan struct{}) {
@@ -433,25 +433,25 @@
 // when the caller disconnects.
 func TestACallerWhoLeavesFreesTheReplica(t *testing.T) {
 	is := is.New(t)
-	begun := make(chan struct{})
-	left := make(chan struct{})
+	started := make(chan struct{})
+	canceled := make(chan struct{})
 	s := newTestInstance(t, func(_ http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
-		close(begun)
+		close(started)
 		<-r.Context().Done()
-		close(left)
+		close(canceled)
 	})
-	ctx, leave := context.WithCancel(context.Background())
+	ctx, cancel := context.WithCancel(context.Background())
 	req, err := http.NewRequestWithContext(ctx, "POST", "http://"+s.address+"/x", strings.NewReader("body"))
 	is.NoErr(err)
 	req.Host = "once"
 	go func() {
-		<-begun
-		leave()
+		<-started
+		cancel()
 	}()
 	_, err = http.DefaultTransport.RoundTrip(req)
 	is.True(err != nil)
-	awaitClosed(t, left)
+	awaitClosed(t, canceled)
 }
 
 // eventStream answers with the events after the one given by Last-Event-Id, up to number
@@ -491,7 +491,7 @@
 	is := is.New(t)
 	first := make(chan struct{}, 1)
 	first <- struct{}{}
-	either := func(w http.ResponseWriter, r *http.Request) {
+	handler := func(w http.ResponseWriter, r *http.Request) {
 		select {
 		case <-first:
 			eventStream(9, 4)(w, r)
@@ -499,7 +499,7 @@
 			eventStream(9, 0)(w, r)
 		}
 	}
-	s := newTestInstance(t, either, either)
+	s := newTestInstance(t, handler, handler)
 	got := s.send("POST", "stream", "/x", "body")
 	is.NoErr(got.err)
 	is.Equal(got.body, wholeStream(9))
--- a/internal/server/gone_test.go
+++ b/internal/server/gone_test.go
@@ -27,33 +27,33 @@
 // disconnects and that the call is not sent to another replica.
 func TestACallerWhoLeavesFreesItsReplicaInTime(t *testing.T) {
 	// hang does not answer a call until its connection is closed.
-	hang := func(begun chan<- struct{}, left chan<- time.Time) http.HandlerFunc {
+	hang := func(started chan<- struct{}, canceled chan<- time.Time) http.HandlerFunc {
 		var once sync.Once
 		return func(_ http.ResponseWriter, r *http.Request) {
 			_, _ = io.Copy(io.Discard, r.Body)
-			once.Do(func() { close(begun) })
+			once.Do(func() { close(started) })
 			<-r.Context().Done()
-			left <- time.Now()
+			canceled <- time.Now()
 		}
 	}
-	streams := func(begun chan<- struct{}, left chan<- time.Time) http.HandlerFunc {
+	streams := func(started chan<- struct{}, canceled chan<- time.Time) http.HandlerFunc {
 		return func(w http.ResponseWriter, r *http.Request) {
 			_, _ = io.Copy(io.Discard, r.Body)
 			w.Header().Set(forward.OwnFormat.Signature, "signed")
 			w.Header().Set("Content-Type", forward.OwnFormat.StreamType)
 			_, _ = io.WriteString(w, "id: 1\ndata: event 1\n\n")
 			_ = http.NewResponseController(w).Flush()
-			close(begun)
+			close(started)
 			<-r.Context().Done()
-			left <- time.Now()
+			canceled <- time.Now()
 		}
 	}
-	reads := func(begun chan<- struct{}, left chan<- time.Time) http.HandlerFunc {
+	reads := func(started chan<- struct{}, canceled chan<- time.Time) http.HandlerFunc {
 		return func(_ http.ResponseWriter, r *http.Request) {
 			_, _ = io.CopyN(io.Discard, r.Body, 64<<10)
-			close(begun)
+			close(started)
 			_, _ = io.Copy(io.Discard, r.Body)
-			left <- time.Now()
+			canceled <- time.Now()
 		}
 	}
 	small := func() io.Reader { return strings.NewReader("body") }
@@ -62,7 +62,7 @@
 		host  string
 		body  func() io.Reader
 		first http.HandlerFunc // the first replica's answer; nil if it is as the second's
-		then  func(begun chan<- struct{}, left chan<- time.Time) http.HandlerFunc
+		later func(started chan<- struct{}, canceled chan<- time.Time) http.HandlerFunc
 		runs  int
 	}{
 		{"it runs the call", "once", small, nil, hang, 1},
@@ -75,24 +75,24 @@
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			is := is.New(t)
-			begun := make(chan struct{})
-			left := make(chan time.Time, 4)
-			taken := make(chan struct{}, 1)
+			started := make(chan struct{})
+			canceled := make(chan time.Time, 4)
+			firstRequest := make(chan struct{}, 1)
 			if c.first != nil {
-				taken <- struct{}{}
+				firstRequest <- struct{}{}
 			}
-			then := c.then(begun, left)
-			either := func(w http.ResponseWriter, r *http.Request) {
+			later := c.later(started, canceled)
+			handler := func(w http.ResponseWriter, r *http.Request) {
 				select {
-				case <-taken:
+				case <-firstRequest:
 					c.first(w, r)
 				default:
-					then(w, r)
+					later(w, r)
 				}
 			}
-			s := newTestInstance(t, either, either, either)
-			ctx, leave := context.WithCancel(context.Background())
-			defer leave()
+			s := newTestInstance(t, handler, handler, handler)
+			ctx, cancel := context.WithCancel(context.Background())
+			defer cancel()
 			req, err := http.NewRequestWithContext(ctx, "POST", "http://"+s.address+"/x", c.body())
 			is.NoErr(err)
 			req.Host = c.host
@@ -104,13 +104,13 @@
 					_ = resp.Body.Close()
 				}
 			}()
-			awaitClosed(t, begun)
+			awaitClosed(t, started)
 			time.Sleep(50 * time.Millisecond)
-			gone := time.Now()
-			leave()
+			disconnected := time.Now()
+			cancel()
 			select {
-			case at := <-left:
-				is.True(at.Sub(gone) < cancelLimit+cancelSlack)
+			case at := <-canceled:
+				is.True(at.Sub(disconnected) < cancelLimit+cancelSlack)
 			case <-time.After(10 * time.Second):
 				t.Fatal("the call at the replica was not canceled")
 			}
@@ -152,7 +152,7 @@
 	const callers = 300
 	var wait sync.WaitGroup
 	answered := make(chan int, callers)
-	begun := time.Now()
+	start := time.Now()
 	for range callers {
 		wait.Go(func() {
 			req, err := http.NewRequest("POST", "http://"+s.address+"/x", strings.NewReader("body"))
@@ -175,5 +175,5 @@
 	for status := range answered {
 		is.True(status == http.StatusOK || status == http.StatusServiceUnavailable)
 	}
-	is.True(time.Since(begun) < 10*time.Second)
+	is.True(time.Since(start) < 10*time.Second)
 }
--- a/internal/server/notice_test.go
+++ b/internal/server/notice_test.go
@@ -33,7 +33,7 @@
 
 // awaitUpstream waits up to 5 s until seen returns true for any of the replicas and returns
 // the status of all; ok is false if that did not happen in time.
-func (s *testInstance) awaitUpstream(seen func(instance.ReplicaStatus) bool) (how []instance.ReplicaStatus, ok bool) {
+func (s *testInstance) awaitUpstream(seen func(instance.ReplicaStatus) bool) (statuses []instance.ReplicaStatus, ok bool) {
 	s.t.Helper()
 	deadline := time.Now().Add(5 * time.Second)
 	for time.Now().Before(deadline) {
@@ -83,8 +83,8 @@
 			is := is.New(t)
 			s := newTestInstance(t, withLeaving(c.answer))
 			s.send("POST", c.host, "/x", "body")
-			_, heard := s.awaitUpstream(func(u instance.ReplicaStatus) bool { return u.Leaving })
-			is.True(heard)
+			_, found := s.awaitUpstream(func(u instance.ReplicaStatus) bool { return u.Leaving })
+			is.True(found)
 		})
 	}
 	t.Run("a success that does not say so", func(t *testing.T) {
@@ -101,29 +101,29 @@
 // at once, even if the caller disconnects before the stream ends.
 func TestANoticeOutlivesItsCall(t *testing.T) {
 	is := is.New(t)
-	over := make(chan struct{})
-	t.Cleanup(func() { close(over) })
+	ended := make(chan struct{})
+	t.Cleanup(func() { close(ended) })
 	s := newTestInstance(t, withLeaving(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set(forward.OwnFormat.Signature, "signed")
 		w.Header().Set("Content-Type", forward.OwnFormat.StreamType)
 		_, _ = io.WriteString(w, "id: 1\ndata: x\n\n")
 		_ = http.NewResponseController(w).Flush()
 		select {
-		case <-over:
+		case <-ended:
 		case <-r.Context().Done():
 		}
 	}))
-	ctx, leave := context.WithCancel(context.Background())
+	ctx, cancel := context.WithCancel(context.Background())
 	req, err := http.NewRequestWithContext(ctx, "POST", "http://"+s.address+"/x", strings.NewReader("body"))
 	is.NoErr(err)
 	req.Host = "stream"
 	req.Header.Set(forward.OwnFormat.CallID, "call-1")
 	resp, err := http.DefaultTransport.RoundTrip(req)
 	is.NoErr(err)
-	leave()
+	cancel()
 	_ = resp.Body.Close()
-	_, heard := s.awaitUpstream(func(u instance.ReplicaStatus) bool { return u.Leaving })
-	is.True(heard)
+	_, found := s.awaitUpstream(func(u instance.ReplicaStatus) bool { return u.Leaving })
+	is.True(found)
 }
 
 // TestRefusingReplicaMayAskForRest checks that a call refused with Retry-After goes to
@@ -142,8 +142,8 @@
 		}
 		is.True(r.requests() <= 1)
 	}
-	how, _ := s.awaitUpstream(func(u instance.ReplicaStatus) bool { return true })
-	for i, u := range how {
+	statuses, _ := s.awaitUpstream(func(u instance.ReplicaStatus) bool { return true })
+	for i, u := range statuses {
 		is.Equal(u.RestMS > 0, i < 2 && s.replicas[i].requests() == 1)
 	}
 }
@@ -177,11 +177,11 @@
 			named.Store(true)
 			s := newTestInstance(t, limits(c.answer, &named))
 			s.send("POST", c.host, "/x", "body")
-			_, heard := s.awaitUpstream(func(u instance.ReplicaStatus) bool { return u.Limit != nil && u.Limit.PerSecond == 2 })
-			is.True(heard)
-			began := time.Now()
+			_, found := s.awaitUpstream(func(u instance.ReplicaStatus) bool { return u.Limit != nil && u.Limit.PerSecond == 2 })
+			is.True(found)
+			start := time.Now()
 			before := s.replicas[0].requests()
-			for time.Since(began) < 2*time.Second {
+			for time.Since(start) < 2*time.Second {
 				s.send("POST", c.host, "/x", "body")
 				time.Sleep(5 * time.Millisecond)
 			}
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -229,8 +229,8 @@
 // close shuts the listeners down. Handlers whose calls were cut off still have to write
 // their final answers, so connections get up to shutdownTimeout.
 func (s *Server) close() {
-	ctx, done := context.WithTimeout(context.Background(), shutdownTimeout)
-	defer done()
+	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
+	defer cancel()
 	for _, l := range s.listeners {
 		if err := l.http.Shutdown(ctx); err != nil {
 			_ = l.http.Close() // the remaining connections used up their time
--- a/internal/server/silence_test.go
+++ b/internal/server/silence_test.go
@@ -43,11 +43,11 @@
 				is.Equal(s.send("POST", c.host, "/x", "body").status, 200)
 			}
 			s.silenceReplicas()
-			begun := time.Now()
+			start := time.Now()
 			got := s.send("POST", c.host, "/x", "body")
 			is.Equal(got.status, 200)
 			is.Equal(got.body, "good")
-			is.True(time.Since(begun) < c.limit+silenceSlack)
+			is.True(time.Since(start) < c.limit+silenceSlack)
 		})
 	}
 }
@@ -60,7 +60,7 @@
 	silenced := make(chan struct{})
 	first := make(chan struct{}, 1)
 	first <- struct{}{}
-	either := func(w http.ResponseWriter, r *http.Request) {
+	handler := func(w http.ResponseWriter, r *http.Request) {
 		select {
 		case <-first:
 			w.Header().Set(forward.OwnFormat.Signature, "signed")
@@ -75,7 +75,7 @@
 			eventStream(4, 0)(w, r)
 		}
 	}
-	s := newTestInstanceWith(t, map[string]string{"stall": stall.String()}, true, either, either)
+	s := newTestInstanceWith(t, map[string]string{"stall": stall.String()}, true, handler, handler)
 	go func() {
 		for s.requests() == 0 {
 			time.Sleep(time.Millisecond)
@@ -84,11 +84,11 @@
 		s.silenceReplicas()
 		close(silenced)
 	}()
-	begun := time.Now()
+	start := time.Now()
 	got := s.send("POST", "stream", "/x", "body")
 	is.NoErr(got.err)
 	is.Equal(got.body, wholeStream(4))
-	is.True(time.Since(begun) < stall+silenceSlack)
+	is.True(time.Since(start) < stall+silenceSlack)
 }
 
 // TestReplicaThatReadsNothingIsAbandoned checks that an attempt ends when a replica does not
@@ -107,12 +107,12 @@
 	req, err := http.NewRequest("POST", "http://"+s.address+"/x", strings.NewReader(strings.Repeat("b", 32<<20)))
 	is.NoErr(err)
 	req.Host = "long"
-	begun := time.Now()
+	start := time.Now()
 	resp, err := http.DefaultTransport.RoundTrip(req)
 	is.NoErr(err)
 	defer resp.Body.Close()
 	is.Equal(resp.StatusCode, 502) // the call may have run
-	is.True(time.Since(begun) < 4*time.Second+silenceSlack)
+	is.True(time.Since(start) < 4*time.Second+silenceSlack)
 }
 
 // dial opens a connection to the instance's callers' listener.
@@ -191,9 +191,9 @@
 func TestACallerThatReadsNothingFreesItsReplica(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	left := make(chan struct{})
+	canceled := make(chan struct{})
 	s := newTestInstance(t, func(w http.ResponseWriter, r *http.Request) {
-		defer close(left)
+		defer close(canceled)
 		w.Header().Set(forward.OwnFormat.Signature, "signed")
 		w.Header().Set("Content-Type", forward.OwnFormat.StreamType)
 		event := "data: " + strings.Repeat("x", 60<<10) + "\n\n"
@@ -213,7 +213,7 @@
 	_, err = io.WriteString(conn, "POST /x HTTP/1.1\r\nHost: long\r\nBirchdrift-Call: c\r\nContent-Length: 0\r\n\r\n")
 	is.NoErr(err)
 	select {
-	case <-left:
+	case <-canceled:
 	case <-time.After(unackedTimeout + 10*time.Second):
 		t.Fatal("the call at the replica was not canceled")
 	}
--- a/internal/shell/actions.go
+++ b/internal/shell/actions.go
@@ -149,8 +149,8 @@
 	if a.Message.WantConfig {
 		limit = pullTimeout
 	}
-	ctx, done := context.WithTimeout(ctx, limit)
-	defer done()
+	ctx, cancel := context.WithTimeout(ctx, limit)
+	defer cancel()
 	reply, err := s.peers.Exchange(ctx, a.Address, a.Message)
 	if err == nil {
 		s.decodeConfig(reply)
@@ -168,8 +168,8 @@
 const orderTimeout = time.Second
 
 func (s *Shell) requestOrder(ctx context.Context, a orderclient.SendRequest) {
-	ctx, done := context.WithTimeout(ctx, orderTimeout)
-	defer done()
+	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
+	defer cancel()
 	reply, err := s.peers.RequestOrder(ctx, a.Address, s.self.Name, a.Engine, a.Request)
 	if err != nil {
 		reply = peer.OrderReply{Outcome: owned.Failed, Detail: err.Error()}
@@ -182,8 +182,8 @@
 const permitTimeout = 200 * time.Millisecond
 
 func (s *Shell) requestPermit(ctx context.Context, a permits.SendRequest) {
-	ctx, done := context.WithTimeout(ctx, a.Request.Wait+permitTimeout)
-	defer done()
+	ctx, cancel := context.WithTimeout(ctx, a.Request.Wait+permitTimeout)
+	defer cancel()
 	decision, err := s.peers.RequestPermit(ctx, a.Address, s.self.Name, a.Request)
 	if a.Request.Unused {
 		if err != nil {
--- a/internal/shell/shell.go
+++ b/internal/shell/shell.go
@@ -138,8 +138,8 @@
 		select {
 		case <-s.ctx.Done():
 			return nil
-		case do := <-s.events:
-			ev := do(s)
+		case f := <-s.events:
+			ev := f(s)
 			if ev == nil {
 				// The machine did not step, so the timer is not reset:
 				// otherwise frequent status requests would delay every tick.
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -47,7 +47,7 @@
 		name    string
 		address string
 		severed bool
-		nobody  bool
+		refused bool
 	}{
 		{"closed without an answer", serve(t, func(c *net.TCPConn) { _ = c.Close() }), true, false},
 		{"closed in the middle", serve(t, func(c *net.TCPConn) { _, _ = io.WriteString(c, half); _ = c.Close() }), true, false},
@@ -63,8 +63,8 @@
 			if c.name == silence {
 				limit = 300 * time.Millisecond
 			}
-			ctx, done := context.WithTimeout(context.Background(), limit)
-			defer done()
+			ctx, cancel := context.WithTimeout(context.Background(), limit)
+			defer cancel()
 			req, err := http.NewRequestWithContext(ctx, "POST", "http://"+c.address+"/", nil)
 			is.NoErr(err)
 			resp, err := transports.Fresh.RoundTrip(req)
@@ -74,7 +74,7 @@
 			}
 			is.True(err != nil)
 			is.Equal(Severed(trace.Wrap(err)), c.severed)
-			is.Equal(ConnectionRefused(trace.Wrap(err)), c.nobody)
+			is.Equal(ConnectionRefused(trace.Wrap(err)), c.refused)
 		})
 	}
 }
