--- a/internal/entry/forward.go
+++ b/internal/entry/forward.go
@@ -37,7 +37,7 @@
 	begun := time.Now()
 	ctx, span := h.Tracer.Start(h.Tracer.Extract(r.Context(), r.Header), "entry")
 	defer span.End()
-	f := &forwardCall{handler: h, w: w, r: r, begun: begun}
+	f := &forwardCall{handler: h, w: w, r: r, start: begun}
 	req, err := h.Wire.ReadRequest(r.Header)
 	if err == nil {
 		f.body, err = ReadBody(r)
@@ -94,7 +94,7 @@
 	r       *http.Request
 	body    *Body
 	call    calls.Request
-	begun   time.Time
+	start   time.Time
 
 	headWritten  bool          // status and headers of the answer were written
 	lastEvent    int           // number of the last event that the caller has
@@ -125,7 +125,7 @@
 // aborts the connection, since a normal return would make the answer look complete.
 func (f *forwardCall) finish(r code.Refusal) {
 	if f.headWritten {
-		f.handler.Metrics.ObserveAnswer(int(r.Code), time.Since(f.begun))
+		f.handler.Metrics.ObserveAnswer(int(r.Code), time.Since(f.start))
 		panic(http.ErrAbortHandler)
 	}
 	f.refuse(r)
@@ -134,7 +134,7 @@
 // refuse writes a final answer that is not a replica's. It uses a status which promises
 // that the call did not run (503) only if that is certain.
 func (f *forwardCall) refuse(r code.Refusal) {
-	f.handler.Metrics.ObserveAnswer(int(r.Code), time.Since(f.begun))
+	f.handler.Metrics.ObserveAnswer(int(r.Code), time.Since(f.start))
 	status := code.Lookup(r.Code).HTTP
 	if r.Run != code.NotRun && status == http.StatusServiceUnavailable {
 		status = http.StatusBadGateway
@@ -160,14 +160,14 @@
 
 // relayFailedAnswer passes on the replica's own failed answer.
 func (f *forwardCall) relayFailedAnswer() {
-	f.handler.Metrics.ObserveAnswer(int(code.UpstreamRefused), time.Since(f.begun))
+	f.handler.Metrics.ObserveAnswer(int(code.UpstreamRefused), time.Since(f.start))
 	f.writeHead(f.failed.header, f.failed.status)
 	_, _ = f.w.Write(f.failed.body) // a caller that has disconnected needs no answer
 }
 
 func (f *forwardCall) callerGone(s shell.Session) {
 	s.CallerGone()
-	f.handler.Metrics.ObserveAnswer(int(code.CallerGone), time.Since(f.begun))
+	f.handler.Metrics.ObserveAnswer(int(code.CallerGone), time.Since(f.start))
 	if f.headWritten {
 		panic(http.ErrAbortHandler)
 	}
@@ -176,7 +176,7 @@
 // attempt carries out one Dispatch and reports whether the call has ended.
 func (f *forwardCall) attempt(ctx context.Context, s shell.Session, d calls.Dispatch) bool {
 	if d.Attempt == 1 {
-		f.handler.Metrics.ObserveQueueTime(time.Since(f.begun))
+		f.handler.Metrics.ObserveQueueTime(time.Since(f.start))
 	}
 	name := "attempt"
 	if f.headWritten {
@@ -341,13 +341,13 @@
 		return f.completed(s)
 	}
 	f.attemptFailed(s, d, progress, watch, newAttemptFailed(err, resp.StatusCode))
-	f.handler.Metrics.ObserveAnswer(int(code.StreamCut), time.Since(f.begun))
+	f.handler.Metrics.ObserveAnswer(int(code.StreamCut), time.Since(f.start))
 	panic(http.ErrAbortHandler)
 }
 
 func (f *forwardCall) completed(s shell.Session) bool {
 	s.Completed(f.longestPause)
-	f.handler.Metrics.ObserveAnswer(int(code.OK), time.Since(f.begun))
+	f.handler.Metrics.ObserveAnswer(int(code.OK), time.Since(f.start))
 	return true
 }
 
@@ -381,7 +381,7 @@
 		if first {
 			first = false
 			s.AnswerBegan()
-			f.handler.Metrics.ObserveFirstToken(time.Since(f.begun))
+			f.handler.Metrics.ObserveFirstToken(time.Since(f.start))
 			f.writeStreamHead(resp)
 		}
 		if _, err := f.w.Write(event); err != nil {
