--- a/internal/entry/forward.go
+++ b/internal/entry/forward.go
@@ -246,19 +246,19 @@
 
 // attemptFailed tells the machine how an attempt failed and reports whether the call has
 // ended, which is so only if the caller has disconnected.
-func (f *forwardCall) attemptFailed(s shell.Session, d calls.Dispatch, progress *upstream.Progress, watch *Watchdog, b calls.AttemptFailed) bool {
+func (f *forwardCall) attemptFailed(s shell.Session, d calls.Dispatch, progress *upstream.Progress, watch *Watchdog, failure calls.AttemptFailed) bool {
 	if f.r.Context().Err() != nil {
 		f.callerGone(s)
 		return true
 	}
-	b.Attempt = d.Attempt
-	b.Phase = progress.Phase()
-	b.Stalled = watch.Fired()
-	b.BodyConsumed = f.body.Consumed()
+	failure.Attempt = d.Attempt
+	failure.Phase = progress.Phase()
+	failure.Stalled = watch.Fired()
+	failure.BodyConsumed = f.body.Consumed()
 	if f.headWritten {
-		b.Delivered = max(1, f.lastEvent)
+		failure.Delivered = max(1, f.lastEvent)
 	}
-	s.AttemptFailed(b)
+	s.AttemptFailed(failure)
 	return false
 }
 
