--- a/internal/entry/forward.go
+++ b/internal/entry/forward.go
@@ -266,21 +266,21 @@
 // or reports the attempt as failed. It reports whether the call has ended.
 func (f *forwardCall) answer(s shell.Session, d calls.Dispatch, resp *http.Response, progress *upstream.Progress, watch *Watchdog) bool {
 	reply := f.handler.Wire.ReadReply(resp, f.call.Forward.Name)
-	b := calls.AttemptFailed{Status: resp.StatusCode, Misdirected: reply.Misdirected, Incarnation: reply.Incarnation}
+	failure := calls.AttemptFailed{Status: resp.StatusCode, Misdirected: reply.Misdirected, Incarnation: reply.Incarnation}
 	switch {
 	case reply.Mismatched:
-		b.Detail = "the answer belongs to another call"
+		failure.Detail = "the answer belongs to another call"
 	case reply.NotRun:
 		progress.Advance(attempt.Refused)
-		b.Detail = fmt.Sprintf("the replica did not run the call: status %d", resp.StatusCode)
+		failure.Detail = fmt.Sprintf("the replica did not run the call: status %d", resp.StatusCode)
 	case reply.Invalid:
 		progress.Advance(attempt.Answered)
-		b.Detail = "the answer lacks the signature or the call ID, or its body is encoded"
+		failure.Detail = "the answer lacks the signature or the call ID, or its body is encoded"
 	case resp.StatusCode >= http.StatusInternalServerError:
 		progress.Advance(attempt.Answered)
 		f.keepFailedAnswer(resp)
-		b.Relayable = f.failed != nil
-		b.Detail = fmt.Sprintf("the replica failed: status %d", resp.StatusCode)
+		failure.Relayable = f.failed != nil
+		failure.Detail = fmt.Sprintf("the replica failed: status %d", resp.StatusCode)
 	case d.Forward.Stream && reply.Stream:
 		progress.Advance(attempt.Answered)
 		return f.relayStream(s, d, resp, progress, watch)
@@ -288,7 +288,7 @@
 		progress.Advance(attempt.Answered)
 		return f.relayWhole(s, d, resp, progress, watch)
 	}
-	return f.attemptFailed(s, d, progress, watch, b)
+	return f.attemptFailed(s, d, progress, watch, failure)
 }
 
 // keepFailedAnswer keeps a failed answer for relaying if it is complete and no larger
