--- a/internal/shell/shell.go
+++ b/internal/shell/shell.go
@@ -250,9 +250,9 @@
 func (c Session) CallerGone() { c.end(calls.CallerGone{ID: c.ID}) }
 
 // AttemptFailed tells the machine that an attempt failed.
-func (c Session) AttemptFailed(b calls.AttemptFailed) {
-	b.ID = c.ID
-	c.shell.post(b)
+func (c Session) AttemptFailed(failure calls.AttemptFailed) {
+	failure.ID = c.ID
+	c.shell.post(failure)
 }
 
 func (c Session) end(ev step.Event) {
