--- a/internal/entry/body.go
+++ b/internal/entry/body.go
@@ -54,16 +54,16 @@
 	if !b.Streamed() {
 		return io.NopCloser(bytes.NewReader(b.buffered))
 	}
-	return &watchedBody{head: bytes.NewReader(b.buffered), body: b, watch: watch}
+	return &watchedBody{head: bytes.NewReader(b.buffered), body: b, watchdog: watch}
 }
 
 // A watchedBody reads a streamed body for one attempt and resets the watchdog while the
 // caller is still sending. Close leaves the caller's body open, since an attempt that
 // read none of the remainder may be followed by another.
 type watchedBody struct {
-	head  *bytes.Reader
-	body  *Body
-	watch *Watchdog
+	head     *bytes.Reader
+	body     *Body
+	watchdog *Watchdog
 }
 
 // Read implements io.Reader.
@@ -73,7 +73,7 @@
 	}
 	w.body.consumed.Store(true)
 	n, err := w.body.remainder.Read(data)
-	w.watch.Reset()
+	w.watchdog.Reset()
 	return n, err
 }
 
