--- a/internal/entry/forward.go
+++ b/internal/entry/forward.go
@@ -404,14 +404,14 @@
 // A watchedReader resets the watchdog whenever bytes arrive.
 type watchedReader struct {
 	io.Reader
-	watch *Watchdog
+	watchdog *Watchdog
 }
 
 // Read implements io.Reader.
 func (w watchedReader) Read(data []byte) (int, error) {
 	n, err := w.Reader.Read(data)
 	if n > 0 {
-		w.watch.Reset()
+		w.watchdog.Reset()
 	}
 	return n, err
 }
