--- a/internal/entry/body.go
+++ b/internal/entry/body.go
@@ -50,11 +50,11 @@
 
 // NewReader returns a reader of the body for one attempt. Reads of the remainder reset
 // the watchdog.
-func (b *Body) NewReader(watch *Watchdog) io.ReadCloser {
+func (b *Body) NewReader(watchdog *Watchdog) io.ReadCloser {
 	if !b.Streamed() {
 		return io.NopCloser(bytes.NewReader(b.buffered))
 	}
-	return &watchedBody{head: bytes.NewReader(b.buffered), body: b, watchdog: watch}
+	return &watchedBody{head: bytes.NewReader(b.buffered), body: b, watchdog: watchdog}
 }
 
 // A watchedBody reads a streamed body for one attempt and resets the watchdog while the
--- a/internal/entry/forward.go
+++ b/internal/entry/forward.go
@@ -188,18 +188,18 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	s.SetInterrupt(cancel)
-	watch := NewWatchdog(d.Stall, cancel)
-	defer watch.Stop()
+	watchdog := NewWatchdog(d.Stall, cancel)
+	defer watchdog.Stop()
 	f.failed = nil
 	var progress upstream.Progress
 	sent := f.handler.Shell.Now()
-	resp, err := f.handler.Service.RoundTrip(ctx, f.outgoingCall(d, watch), &progress)
+	resp, err := f.handler.Service.RoundTrip(ctx, f.outgoingCall(d, watchdog), &progress)
 	if err != nil {
-		return f.attemptFailed(s, d, &progress, watch, newAttemptFailed(err, 0))
+		return f.attemptFailed(s, d, &progress, watchdog, newAttemptFailed(err, 0))
 	}
 	defer resp.Body.Close()
 	f.postNotice(d, sent, resp)
-	return f.answer(s, d, resp, &progress, watch)
+	return f.answer(s, d, resp, &progress, watchdog)
 }
 
 // postNotice tells the machine what a replica said about itself in the headers of its
@@ -212,7 +212,7 @@
 }
 
 // outgoingCall returns the call to send to the replica.
-func (f *forwardCall) outgoingCall(d calls.Dispatch, watch *Watchdog) service.Call {
+func (f *forwardCall) outgoingCall(d calls.Dispatch, watchdog *Watchdog) service.Call {
 	header := service.EndToEndHeaders(f.r.Header)
 	f.handler.Wire.SetHeaders(header, forward.AttemptHeaders{
 		Expect:    d.Replica,
@@ -227,7 +227,7 @@
 		Method:     f.r.Method,
 		Target:     f.r.RequestURI,
 		Header:     header,
-		Body:       f.body.NewReader(watch),
+		Body:       f.body.NewReader(watchdog),
 		Length:     f.r.ContentLength,
 		Repeatable: d.Repeatable,
 	}
@@ -246,14 +246,14 @@
 
 // attemptFailed tells the machine how an attempt failed and reports whether the call has
 // ended, which is so only if the caller has disconnected.
-func (f *forwardCall) attemptFailed(s shell.Session, d calls.Dispatch, progress *upstream.Progress, watch *Watchdog, failure calls.AttemptFailed) bool {
+func (f *forwardCall) attemptFailed(s shell.Session, d calls.Dispatch, progress *upstream.Progress, watchdog *Watchdog, failure calls.AttemptFailed) bool {
 	if f.r.Context().Err() != nil {
 		f.callerGone(s)
 		return true
 	}
 	failure.Attempt = d.Attempt
 	failure.Phase = progress.Phase()
-	failure.Stalled = watch.Fired()
+	failure.Stalled = watchdog.Fired()
 	failure.BodyConsumed = f.body.Consumed()
 	if f.headWritten {
 		failure.Delivered = max(1, f.lastEvent)
@@ -264,7 +264,7 @@
 
 // answer handles status and headers of a replica's answer and then passes the answer on
 // or reports the attempt as failed. It reports whether the call has ended.
-func (f *forwardCall) answer(s shell.Session, d calls.Dispatch, resp *http.Response, progress *upstream.Progress, watch *Watchdog) bool {
+func (f *forwardCall) answer(s shell.Session, d calls.Dispatch, resp *http.Response, progress *upstream.Progress, watchdog *Watchdog) bool {
 	reply := f.handler.Wire.ReadReply(resp, f.call.Forward.Name)
 	failure := calls.AttemptFailed{Status: resp.StatusCode, Misdirected: reply.Misdirected, Incarnation: reply.Incarnation}
 	switch {
@@ -283,12 +283,12 @@
 		failure.Detail = fmt.Sprintf("the replica failed: status %d", resp.StatusCode)
 	case d.Forward.Stream && reply.Stream:
 		progress.Advance(attempt.Answered)
-		return f.relayStream(s, d, resp, progress, watch)
+		return f.relayStream(s, d, resp, progress, watchdog)
 	default:
 		progress.Advance(attempt.Answered)
-		return f.relayWhole(s, d, resp, progress, watch)
+		return f.relayWhole(s, d, resp, progress, watchdog)
 	}
-	return f.attemptFailed(s, d, progress, watch, failure)
+	return f.attemptFailed(s, d, progress, watchdog, failure)
 }
 
 // keepFailedAnswer keeps a failed answer for relaying if it is complete and no larger
@@ -314,10 +314,10 @@
 
 // relayWhole passes on an answer that is not an event stream. A small answer is read
 // whole first.
-func (f *forwardCall) relayWhole(s shell.Session, d calls.Dispatch, resp *http.Response, progress *upstream.Progress, watch *Watchdog) bool {
+func (f *forwardCall) relayWhole(s shell.Session, d calls.Dispatch, resp *http.Response, progress *upstream.Progress, watchdog *Watchdog) bool {
 	data, err := io.ReadAll(io.LimitReader(resp.Body, maxBufferedAnswer))
 	if err != nil {
-		return f.attemptFailed(s, d, progress, watch, newAttemptFailed(err, resp.StatusCode))
+		return f.attemptFailed(s, d, progress, watchdog, newAttemptFailed(err, resp.StatusCode))
 	}
 	s.AnswerBegan()
 	if len(data) < maxBufferedAnswer && resp.ContentLength < 0 {
@@ -331,16 +331,16 @@
 	if len(data) < maxBufferedAnswer {
 		return f.completed(s)
 	}
-	return f.relayRemainder(s, d, resp, progress, watch)
+	return f.relayRemainder(s, d, resp, progress, watchdog)
 }
 
 // relayRemainder passes on the part of a large answer after the buffered beginning.
-func (f *forwardCall) relayRemainder(s shell.Session, d calls.Dispatch, resp *http.Response, progress *upstream.Progress, watch *Watchdog) bool {
-	_, err := io.Copy(f.w, watchedReader{resp.Body, watch})
+func (f *forwardCall) relayRemainder(s shell.Session, d calls.Dispatch, resp *http.Response, progress *upstream.Progress, watchdog *Watchdog) bool {
+	_, err := io.Copy(f.w, watchedReader{resp.Body, watchdog})
 	if err == nil {
 		return f.completed(s)
 	}
-	f.attemptFailed(s, d, progress, watch, newAttemptFailed(err, resp.StatusCode))
+	f.attemptFailed(s, d, progress, watchdog, newAttemptFailed(err, resp.StatusCode))
 	f.handler.Metrics.ObserveAnswer(int(code.StreamCut), time.Since(f.start))
 	panic(http.ErrAbortHandler)
 }
@@ -353,7 +353,7 @@
 
 // relayStream passes on an event stream. It writes each event as it arrives and only whole
 // events, so that another replica can resume after the last one.
-func (f *forwardCall) relayStream(s shell.Session, d calls.Dispatch, resp *http.Response, progress *upstream.Progress, watch *Watchdog) bool {
+func (f *forwardCall) relayStream(s shell.Session, d calls.Dispatch, resp *http.Response, progress *upstream.Progress, watchdog *Watchdog) bool {
 	events := forward.NewEventReader(resp.Body)
 	flush := http.NewResponseController(f.w)
 	first := true
@@ -370,9 +370,9 @@
 			err = errEventOrder
 		}
 		if err != nil {
-			return f.attemptFailed(s, d, progress, watch, newAttemptFailed(err, resp.StatusCode))
+			return f.attemptFailed(s, d, progress, watchdog, newAttemptFailed(err, resp.StatusCode))
 		}
-		watch.Reset()
+		watchdog.Reset()
 		now := time.Now()
 		if !first {
 			f.longestPause = max(f.longestPause, now.Sub(last))
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -75,8 +75,8 @@
 	return OrderReply{Outcome: owned.Outcome(reply.GetOutcome()), Detail: reply.GetDetail()}, nil
 }
 
-// RequestPermit requests a permit from the peer at address (IP:port), or releases one. If
-// the call no longer needs it, canceling ctx tells the peer so.
+// RequestPermit requests a permit from the peer at address (IP:port), or releases an unused
+// one. The peer notices that the requester has stopped waiting when ctx is canceled.
 func (c *Client) RequestPermit(ctx context.Context, address, from string, r permits.Request) (permits.Decision, error) {
 	ctx, err := c.withKey(ctx)
 	if err != nil {
