--- a/internal/control/ask.go
+++ b/internal/control/ask.go
@@ -55,7 +55,7 @@
 	if err := t.Flush(); err != nil || len(states) == 0 {
 		return trace.Wrap(err)
 	}
-	fmt.Fprintf(w, "\nupstreams as seen by %s:\n", states[0].Name)
+	fmt.Fprintf(w, "\nupstreams as %s sees them:\n", states[0].Name)
 	fmt.Fprintln(t, "UPSTREAM\tZONE\tSTATE\tBUSY\tFIRST TOKEN\tITEMS")
 	for _, u := range states[0].Upstreams {
 		fmt.Fprintf(t, "%s\t%s\t%s\t%.2f\t%.0f ms\t%d\n", u.Name, u.Zone, upstreamState(u), u.Busy, u.FirstTokenMS, len(u.Items))
--- a/internal/entry/forward.go
+++ b/internal/entry/forward.go
@@ -30,7 +30,7 @@
 const maxBufferedAnswer = 256 << 10
 
 // errEventOrder is returned for an event stream whose event numbers have a gap or repeat.
-var errEventOrder = errors.New("the event numbers are not consecutive")
+var errEventOrder = errors.New("the numbers of the events do not follow each other")
 
 // serveForwarded handles a forwarded call until it has its final answer.
 func (h *Handler) serveForwarded(w http.ResponseWriter, r *http.Request) {
@@ -269,13 +269,13 @@
 	failure := calls.AttemptFailed{Status: resp.StatusCode, Misdirected: reply.Misdirected, Incarnation: reply.Incarnation}
 	switch {
 	case reply.Mismatched:
-		failure.Detail = "the answer belongs to another call"
+		failure.Detail = "the answer to another call came"
 	case reply.NotRun:
 		progress.Advance(attempt.Refused)
-		failure.Detail = fmt.Sprintf("the replica did not run the call: status %d", resp.StatusCode)
+		failure.Detail = fmt.Sprintf("the replica did not run it: status %d", resp.StatusCode)
 	case reply.Invalid:
 		progress.Advance(attempt.Answered)
-		failure.Detail = "the answer lacks the signature or the call ID, or its body is encoded"
+		failure.Detail = "the answer is not the replica's own"
 	case resp.StatusCode >= http.StatusInternalServerError:
 		progress.Advance(attempt.Answered)
 		f.keepFailedAnswer(resp)
--- a/internal/forward/events.go
+++ b/internal/forward/events.go
@@ -12,7 +12,7 @@
 const maxEventSize = 1 << 20
 
 // ErrPartialEvent means that an event stream ended within an event.
-var ErrPartialEvent = errors.New("the event stream ended within an event")
+var ErrPartialEvent = errors.New("the series of events ended within an event")
 
 // EventReader reads an event stream one whole event at a time. It returns the bytes of
 // each event unchanged, with the blank line that ends it.
--- a/internal/forward/wire.go
+++ b/internal/forward/wire.go
@@ -116,7 +116,7 @@
 	if v := h.Get(w.Deadline); v != "" {
 		ms, err := strconv.ParseFloat(v, 64)
 		if err != nil || ms < 0 || ms > float64(maxDeadline/time.Millisecond) {
-			return r, fmt.Errorf("header %s: %q is not a valid number of milliseconds", w.Deadline, v)
+			return r, fmt.Errorf("header %s: %q is no number of milliseconds", w.Deadline, v)
 		}
 		r.Deadline = time.Duration(ms * float64(time.Millisecond))
 	}
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -124,7 +124,7 @@
 // Permit implements the generated service.
 func (s Server) Permit(ctx context.Context, in *peerpb.PermitRequest) (*peerpb.PermitReply, error) {
 	if s.TakePermit == nil {
-		return nil, twirp.NewError(twirp.Unimplemented, "this instance grants no permits")
+		return nil, twirp.NewError(twirp.Unimplemented, "no permits are given out here")
 	}
 	decision, err := s.TakePermit(ctx, in.GetFrom(), decodePermitRequest(in))
 	if err != nil {
@@ -136,7 +136,7 @@
 // Order implements the generated service.
 func (s Server) Order(ctx context.Context, in *peerpb.OrderRequest) (*peerpb.OrderReply, error) {
 	if s.TakeOrder == nil {
-		return nil, twirp.NewError(twirp.Unimplemented, "this instance accepts no order requests")
+		return nil, twirp.NewError(twirp.Unimplemented, "no orders are taken here")
 	}
 	r := orders.Request{Load: in.GetLoad(), Model: in.GetModel(), Adapter: in.GetAdapter()}
 	reply, err := s.TakeOrder(ctx, in.GetEngine(), r)
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -47,7 +47,7 @@
 
 // Error implements error.
 func (e *RefusedError) Error() string {
-	return fmt.Sprintf("the upstream answered %d and stated that it did not run the call", e.Status)
+	return fmt.Sprintf("the upstream answered %d and says that it did not run the call", e.Status)
 }
 
 // Send makes one attempt and records its phase in progress, also on error. It returns a
