--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -24,7 +24,8 @@
 	"github.com/birchdrift/birchdrift/internal/own/keyvalue"
 )
 
-// maxApplyAttempts is the number of times an apply is attempted when its answer is lost.
+// maxApplyAttempts is the largest number of attempts to write a configuration while the
+// answers are lost.
 const maxApplyAttempts = 5
 
 // Stored is the configuration stored by the platform.
--- a/internal/entry/forward.go
+++ b/internal/entry/forward.go
@@ -202,9 +202,9 @@
 	return f.answer(s, d, resp, &progress, watchdog)
 }
 
-// postNotice tells the machine what a replica said about itself in the headers of its
-// answer. An answer that says nothing is passed on only if the replica had a rate limit,
-// which then may have ended. The notice counts whatever the outcome of the call.
+// postNotice passes to the machine what a replica reported about itself in the headers of
+// its answer. An empty notice is passed on only if the replica had a rate limit, which
+// then may have ended. The notice counts whatever the outcome of the call.
 func (f *forwardCall) postNotice(d calls.Dispatch, sent clock.Instant, resp *http.Response) {
 	if n := f.handler.Wire.ReadNotice(resp); d.Limited || !n.IsZero() {
 		f.handler.Shell.HandleNotice(notice.Received{Replica: d.Replica, Sent: sent, Notice: n})
--- a/internal/environment/driver.go
+++ b/internal/environment/driver.go
@@ -104,7 +104,7 @@
 	d.host.Post(watch.Reply{ID: a.ID, Whole: change.Whole})
 }
 
-// readChange reads the whole store or waits for changes, as the request says.
+// readChange reads the whole store or waits for changes, depending on the request.
 func (d *driver) readChange(ctx context.Context, a watch.SendRequest) (Change, error) {
 	switch {
 	case a.Wait == 0:
@@ -290,8 +290,8 @@
 	d.host.Post(owned.OrderReply{Engine: a.Engine, Fence: a.Fence, Answer: answer.Answer, Detail: answer.Detail})
 }
 
-// postNotice tells the machine what an engine said about itself. An empty notice is
-// passed on only if always is set, which is so if the engine had a rate limit, which
+// postNotice passes to the machine what an engine reported about itself. An empty notice
+// is passed on only if always is set, which is so if the engine had a rate limit, which
 // then may have ended.
 func (d *driver) postNotice(engine string, sent clock.Instant, n pool.Notice, always bool) {
 	if always || !n.IsZero() {
@@ -308,7 +308,7 @@
 	}})
 }
 
-// postReport tells the machine what a report says beyond what was requested: first the
+// postReport passes to the machine what a report has beyond the requested state: first the
 // engine's announcement with its incarnation, then its notice about that incarnation.
 func (d *driver) postReport(engine string, sent clock.Instant, r EngineReport, limited bool) {
 	if r.Announcement.Born != "" {
--- a/internal/environment/engines.go
+++ b/internal/environment/engines.go
@@ -15,8 +15,8 @@
 	Coming       []string // items of the adapters that are being loaded
 	Queued       int
 	Running      int
-	// Heard says that an answer came. Notice is what its headers said, even if the answer
-	// is not a report.
+	// Heard reports whether an answer arrived. Notice is the notice in its headers, even if
+	// the answer is not a report.
 	Heard  bool
 	Notice pool.Notice
 }
@@ -25,7 +25,7 @@
 type OrderAnswer struct {
 	Answer orders.Answer
 	Detail string // explains Answer
-	// Heard says that an answer came. Notice is what its headers said.
+	// Heard reports whether an answer arrived. Notice is the notice in its headers.
 	Heard  bool
 	Notice pool.Notice
 }
--- a/internal/forward/notice.go
+++ b/internal/forward/notice.go
@@ -19,7 +19,7 @@
 // sent (docs/design/limits.md).
 const maxRate = 1e6
 
-// ReadNotice returns what a replica says about itself in the headers of an answer. It
+// ReadNotice returns what a replica reports about itself in the headers of an answer. It
 // ignores values that cannot be parsed.
 func (w WireFormat) ReadNotice(resp *http.Response) pool.Notice {
 	var n pool.Notice
--- a/internal/forward/wire.go
+++ b/internal/forward/wire.go
@@ -206,7 +206,7 @@
 	}
 }
 
-// A Reply holds what status and headers of a replica's answer say.
+// A Reply holds the information in the status and headers of a replica's answer.
 type Reply struct {
 	NotRun      bool // the replica did not run the call and never will
 	Misdirected bool // another replica has the address, or the model is not loaded there
--- a/internal/losses/absence.go
+++ b/internal/losses/absence.go
@@ -98,8 +98,9 @@
 	}
 }
 
-// missGracePeriod is the time from the first call for a model that is not resident to the
-// start of its placement: a message to the placer, and the placer's next check.
+// missGracePeriod is the longest time that the start of a placement should take after the
+// first call for a model that is not resident: a message to the placer, and the placer's
+// next check.
 const missGracePeriod = 300 * time.Millisecond
 
 // absenceReason returns why no engine had a model at that time; known is the time since
--- a/internal/losses/call.go
+++ b/internal/losses/call.go
@@ -37,9 +37,9 @@
 	began    time.Time
 	ended    time.Time
 	sends    int
-	waits    string // what it last waited for; "" if it did not wait
-	target   time.Duration
-	gap      time.Duration
+	waits    string        // what it last waited for; "" if it did not wait
+	target   time.Duration // longest allowed time to the first event; 0 if there is none
+	gap      time.Duration // longest allowed time between two events; 0 if there is none
 	outcome  outcome
 	reason   string
 }
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -1,8 +1,8 @@
 // Package peer implements the calls between entry instances over Twirp: gossip
 // exchanges, order requests and permit requests.
 //
-// It only transports messages; package core/instance decides what they say and when
-// they are sent. A client sends the shared key of the instances, which the server
+// It only transports messages; package core/instance decides what they contain and
+// when they are sent. A client sends the shared key of the instances, which the server
 // compares in constant time. If no key is configured, every client that reaches the
 // listener is accepted.
 package peer
--- a/internal/server/forward_test.go
+++ b/internal/server/forward_test.go
@@ -122,7 +122,7 @@
 }
 
 // newTestInstance starts an instance in front of one replica for each of the answers.
-// Without answers its store has no configuration handler.
+// Without answers its store has no configuration either.
 func newTestInstance(t *testing.T, answers ...http.HandlerFunc) *testInstance {
 	t.Helper()
 	return newTestInstanceWith(t, nil, false, answers...)
@@ -507,7 +507,7 @@
 }
 
 // TestUnresumableStreamIsSeenAsCut checks that the caller of a broken stream that cannot
-// be resumed gets an error, so that it does not take the stream for complete.
+// be resumed gets an error, so that it does not mistake the stream for a complete one.
 func TestUnresumableStreamIsSeenAsCut(t *testing.T) {
 	is := is.New(t)
 	s := newTestInstance(t, eventStream(9, 4), eventStream(9, 4))
--- a/internal/server/gone_test.go
+++ b/internal/server/gone_test.go
@@ -140,7 +140,7 @@
 	is := is.New(t)
 	s := newTestInstance(t, answerOK("good"), answerOK("good"))
 	_, _, operations := s.server.Addresses()
-	for range 200 { // the load balancer relies on a ready answer, so wait for one
+	for range 200 { // newTestInstance waited until ready, but the load balancer relies on this answer
 		resp, err := http.Get("http://" + operations + "/readyz")
 		is.NoErr(err)
 		_ = resp.Body.Close()
--- a/internal/server/notice_test.go
+++ b/internal/server/notice_test.go
@@ -15,7 +15,7 @@
 	"github.com/birchdrift/birchdrift/internal/forward"
 )
 
-// withLeaving adds the header by which a replica says that it is leaving to an answer.
+// withLeaving adds to an answer the header with which a replica states that it is leaving.
 func withLeaving(answer http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set(forward.OwnFormat.Leaving, "1")
@@ -23,7 +23,7 @@
 	}
 }
 
-// withRetryAfter adds the header by which a replica asks for rest to an answer.
+// withRetryAfter adds to an answer the header with which a replica asks for rest.
 func withRetryAfter(answer http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set(forward.OwnFormat.RetryAfter, "30")
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -63,7 +63,7 @@
 		{"watches that wait long", map[string]string{"watch-wait": "1500ms"}, "could get calls for 2.8s, and 2s are allowed"},
 		{"long pauses between watches", map[string]string{"watch-every": "1s"}, "could get calls for 2"},
 		{"a bound that is too short for the waits that were set", map[string]string{"leave-bound": "1s", "watch-wait": "300ms"}, "and 1s are allowed"},
-		{"a bound shorter than a connection takes, which is the platform's", map[string]string{"leave-bound": "400ms"}, ""},
+		{"a bound shorter than connecting takes, which the platform sets", map[string]string{"leave-bound": "400ms"}, ""},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
--- a/internal/shell/shell.go
+++ b/internal/shell/shell.go
@@ -3,9 +3,9 @@
 // carry out its actions. It is an imperative shell around a functional core and
 // makes no decisions itself.
 //
-// Invariants: only Run's goroutine accesses the machine; every action that has a
-// reply gets exactly one, also on error; a call's actions reach its handler in the
-// order in which the machine returned them.
+// Invariants: only Run's goroutine accesses the machine; for every action
+// that has a reply, exactly one reply event is posted, also on error; a call's actions
+// reach its handler in the order in which the machine returned them.
 package shell
 
 import (
@@ -80,12 +80,12 @@
 	metrics     *telemetry.Metrics
 	clocks      *clocks
 
-	events          chan func(*Shell) step.Event
+	events          chan func(*Shell) step.Event // run on Run's goroutine; see submit
 	calls           map[calls.ID]*callMailbox
-	exchangeReplies map[uint64]chan gossip.Message
+	exchangeReplies map[uint64]chan gossip.Message // waiting peers' requests by token
 	orderReplies    map[uint64]chan peer.OrderReply
 	permitReplies   map[uint64]chan permits.Decision
-	lastToken       uint64
+	lastToken       uint64 // token of the latest request of a peer
 	workers         sync.WaitGroup
 	exited          chan shutdown.Exit
 	ctx             context.Context
@@ -174,7 +174,7 @@
 	}
 }
 
-// HandleNotice tells the machine what a replica said about itself in an answer.
+// HandleNotice passes to the machine what a replica reported about itself in an answer.
 func (s *Shell) HandleNotice(e notice.Received) { s.post(e) }
 
 // Exited returns a channel that delivers the machine's Exit after a stop.
@@ -183,7 +183,7 @@
 // ChangeOptions passes changed options to the machine.
 func (s *Shell) ChangeOptions(r instance.OptionsChanged) { s.post(r) }
 
-// Stop begins a planned stop. If one is in progress, it ends it at once.
+// Stop begins a planned stop. A second call ends the stop at once.
 func (s *Shell) Stop() { s.post(instance.Stop{}) }
 
 // Config returns the configuration in force, or nil if there is none.
--- a/internal/upstream/proxytest/proxytest.go
+++ b/internal/upstream/proxytest/proxytest.go
@@ -46,7 +46,7 @@
 	}
 }
 
-// Accepted returns the number of connections that were opened.
+// Accepted returns the number of connections that the proxy has accepted.
 func (p *Proxy) Accepted() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -75,7 +75,7 @@
 	}
 }
 
-// pass copies bytes from one connection to another until the connection is made silent.
+// pass copies bytes from one connection to another until silent is set.
 func pass(from, to net.Conn, silent *atomic.Bool) {
 	buf := make([]byte, 32<<10)
 	for {
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -33,8 +33,9 @@
 	return l.Addr().String()
 }
 
-// TestConnectionErrors checks how errors of connections are classified: closed or reset by
-// the other end, refused because no process listens, or neither if nothing arrives.
+// TestConnectionErrors checks how Severed and ConnectionRefused classify the errors of
+// connections: closed or reset by the other end, refused because no process listens, or
+// neither if nothing arrives before the timeout.
 func TestConnectionErrors(t *testing.T) {
 	closed, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -50,7 +51,7 @@
 		refused bool
 	}{
 		{"closed without an answer", serve(t, func(c *net.TCPConn) { _ = c.Close() }), true, false},
-		{"closed in the middle", serve(t, func(c *net.TCPConn) { _, _ = io.WriteString(c, half); _ = c.Close() }), true, false},
+		{"closed within the answer", serve(t, func(c *net.TCPConn) { _, _ = io.WriteString(c, half); _ = c.Close() }), true, false},
 		{"reset", serve(t, func(c *net.TCPConn) { _ = c.SetLinger(0); _ = c.Close() }), true, false},
 		{"no process listens", closed.Addr().String(), false, true},
 		{silence, serve(t, func(*net.TCPConn) {}), false, false},
