--- a/internal/entry/forward.go
+++ b/internal/entry/forward.go
@@ -34,10 +34,10 @@
 
 // serveForwarded handles a forwarded call until it has its final answer.
 func (h *Handler) serveForwarded(w http.ResponseWriter, r *http.Request) {
-	begun := time.Now()
+	start := time.Now()
 	ctx, span := h.Tracer.Start(h.Tracer.Extract(r.Context(), r.Header), "entry")
 	defer span.End()
-	f := &forwardCall{handler: h, w: w, r: r, start: begun}
+	f := &forwardCall{handler: h, w: w, r: r, start: start}
 	req, err := h.Wire.ReadRequest(r.Header)
 	if err == nil {
 		f.body, err = ReadBody(r)
