--- a/internal/shell/shell.go
+++ b/internal/shell/shell.go
@@ -227,12 +227,12 @@
 
 // Begin submits a call to the machine and returns its session.
 func (s *Shell) Begin(call calls.Request) Session {
-	box := &callMailbox{actions: make(chan step.Action, mailboxSize)}
+	mailbox := &callMailbox{actions: make(chan step.Action, mailboxSize)}
 	s.submit(func(s *Shell) step.Event {
-		s.calls[call.ID] = box
+		s.calls[call.ID] = mailbox
 		return calls.Arrived{Call: call}
 	})
-	return Session{ID: call.ID, Actions: box.actions, mailbox: box, shell: s}
+	return Session{ID: call.ID, Actions: mailbox.actions, mailbox: mailbox, shell: s}
 }
 
 // SetInterrupt sets the function that cancels the attempt in flight. It is called if the
