--- a/internal/shell/actions.go
+++ b/internal/shell/actions.go
@@ -85,12 +85,12 @@
 }
 
 func (s *Shell) deliver(id calls.ID, a step.Action) {
-	box, ok := s.calls[id]
+	mailbox, ok := s.calls[id]
 	if !ok {
 		return // the call's handler has returned
 	}
 	select {
-	case box.actions <- a:
+	case mailbox.actions <- a:
 	default:
 		s.log.Error(nil, "bug", "event", int(logevent.Bug), "detail", "a call's mailbox is full", "call", uint64(id))
 	}
