--- a/internal/shell/actions.go
+++ b/internal/shell/actions.go
@@ -98,8 +98,8 @@
 
 // interrupt cancels the attempt that the call may have in flight.
 func (s *Shell) interrupt(id calls.ID) {
-	if box, ok := s.calls[id]; ok {
-		if cancel := box.interrupt.Load(); cancel != nil {
+	if mailbox, ok := s.calls[id]; ok {
+		if cancel := mailbox.interrupt.Load(); cancel != nil {
 			(*cancel)()
 		}
 	}
