--- a/internal/upstream/proxytest/proxytest.go
+++ b/internal/upstream/proxytest/proxytest.go
@@ -16,7 +16,7 @@
 	target   string // IP:port
 
 	mu       sync.Mutex
-	open     []*atomic.Bool // for each connection, whether it is silent
+	silenced []*atomic.Bool // for each connection, whether it is silent
 	conns    []net.Conn
 	accepted int
 }
@@ -41,7 +41,7 @@
 func (p *Proxy) Silence() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, silent := range p.open {
+	for _, silent := range p.silenced {
 		silent.Store(true)
 	}
 }
@@ -67,7 +67,7 @@
 		silent := new(atomic.Bool)
 		p.mu.Lock()
 		p.accepted++
-		p.open = append(p.open, silent)
+		p.silenced = append(p.silenced, silent)
 		p.conns = append(p.conns, from, to)
 		p.mu.Unlock()
 		go pass(from, to, silent)
