--- a/internal/upstream/proxytest/proxytest.go
+++ b/internal/upstream/proxytest/proxytest.go
@@ -70,13 +70,13 @@
 		p.silenced = append(p.silenced, silent)
 		p.conns = append(p.conns, from, to)
 		p.mu.Unlock()
-		go pass(from, to, silent)
-		go pass(to, from, silent)
+		go copyUntilSilent(from, to, silent)
+		go copyUntilSilent(to, from, silent)
 	}
 }
 
-// pass copies bytes from one connection to another until silent is set.
-func pass(from, to net.Conn, silent *atomic.Bool) {
+// copyUntilSilent copies bytes from one connection to another until silent is set.
+func copyUntilSilent(from, to net.Conn, silent *atomic.Bool) {
 	buf := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(buf)
