--- a/internal/upstream/proxytest/proxytest.go
+++ b/internal/upstream/proxytest/proxytest.go
@@ -55,23 +55,23 @@
 
 func (p *Proxy) serve() {
 	for {
-		from, err := p.listener.Accept()
+		client, err := p.listener.Accept()
 		if err != nil {
 			return
 		}
 		to, err := net.Dial("tcp", p.target)
 		if err != nil {
-			_ = from.Close()
+			_ = client.Close()
 			continue
 		}
 		silent := new(atomic.Bool)
 		p.mu.Lock()
 		p.accepted++
 		p.silenced = append(p.silenced, silent)
-		p.conns = append(p.conns, from, to)
+		p.conns = append(p.conns, client, to)
 		p.mu.Unlock()
-		go copyUntilSilent(from, to, silent)
-		go copyUntilSilent(to, from, silent)
+		go copyUntilSilent(client, to, silent)
+		go copyUntilSilent(to, client, silent)
 	}
 }
 
