--- a/internal/upstream/proxytest/proxytest.go
+++ b/internal/upstream/proxytest/proxytest.go
@@ -59,7 +59,7 @@
 		if err != nil {
 			return
 		}
-		to, err := net.Dial("tcp", p.target)
+		server, err := net.Dial("tcp", p.target)
 		if err != nil {
 			_ = client.Close()
 			continue
@@ -68,10 +68,10 @@
 		p.mu.Lock()
 		p.accepted++
 		p.silenced = append(p.silenced, silent)
-		p.conns = append(p.conns, client, to)
+		p.conns = append(p.conns, client, server)
 		p.mu.Unlock()
-		go copyUntilSilent(client, to, silent)
-		go copyUntilSilent(to, client, silent)
+		go copyUntilSilent(client, server, silent)
+		go copyUntilSilent(server, client, silent)
 	}
 }
 
