--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -80,7 +80,7 @@
 	req.URL = call.url()
 	req.Host = call.Host
 	req.Header = call.Header
-	if _, named := req.Header["User-Agent"]; !named {
+	if _, hasUserAgent := req.Header["User-Agent"]; !hasUserAgent {
 		req.Header["User-Agent"] = []string{""} // keeps net/http from adding its own
 	}
 	req.ContentLength = call.Length
