--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -98,9 +98,9 @@
 	if c.Target == "" {
 		return u
 	}
-	path, query, asked := strings.Cut(c.Target, "?")
+	path, query, hasQuery := strings.Cut(c.Target, "?")
 	u.RawQuery = query
-	u.ForceQuery = asked
+	u.ForceQuery = hasQuery
 	if strings.HasPrefix(path, "//") {
 		// net/http would take an opaque part that begins with // for a host.
 		u.Path, _ = url.PathUnescape(path) // checked when the request was read
