--- a/internal/losses/call.go
+++ b/internal/losses/call.go
@@ -23,8 +23,8 @@
 )
 
 // String returns the outcome's name in reports.
-func (f outcome) String() string {
-	return [...]string{"in time", "late", "refused", "failed", "unanswered"}[f]
+func (o outcome) String() string {
+	return [...]string{"in time", "late", "refused", "failed", "unanswered"}[o]
 }
 
 // A call holds what the log says about one call.
