--- a/internal/losses/report.go
+++ b/internal/losses/report.go
@@ -95,8 +95,8 @@
 // table writes rows with a column for each outcome.
 func table(w io.Writer, head string, rows []row) {
 	fmt.Fprintf(w, "\nBY %s\tCALLS", head)
-	for f := range numOutcomes {
-		fmt.Fprintf(w, "\t%s", strings.ToUpper(f.String()))
+	for o := range numOutcomes {
+		fmt.Fprintf(w, "\t%s", strings.ToUpper(o.String()))
 	}
 	fmt.Fprintln(w)
 	for _, r := range rows {
