--- a/internal/losses/report.go
+++ b/internal/losses/report.go
@@ -125,8 +125,8 @@
 // legend explains the characters of a bar.
 func legend() string {
 	parts := make([]string, numOutcomes)
-	for f := range numOutcomes {
-		parts[f] = fmt.Sprintf("%c %s", barSymbols[f], f)
+	for o := range numOutcomes {
+		parts[o] = fmt.Sprintf("%c %s", barSymbols[o], o)
 	}
 	return strings.Join(parts, ", ")
 }
