--- a/internal/losses/report.go
+++ b/internal/losses/report.go
@@ -139,10 +139,10 @@
 	}
 	var b strings.Builder
 	drawn, sum := 0, 0
-	for f := range numOutcomes {
-		sum += n[f]
+	for o := range numOutcomes {
+		sum += n[o]
 		to := (sum*barWidth + len(calls)/2) / len(calls)
-		b.WriteString(strings.Repeat(string(barSymbols[f]), to-drawn))
+		b.WriteString(strings.Repeat(string(barSymbols[o]), to-drawn))
 		drawn = to
 	}
 	return b.String()
