--- a/internal/server/notice_test.go
+++ b/internal/server/notice_test.go
@@ -58,7 +58,7 @@
 		w.Header().Set(forward.OwnFormat.CallID, "another")
 		answerOK("another's")(w, r)
 	}
-	breaksOff := func(w http.ResponseWriter, _ *http.Request) {
+	truncated := func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Length", "100")
 		_, _ = io.WriteString(w, "part")
 		_ = http.NewResponseController(w).Flush()
@@ -75,7 +75,7 @@
 		{"it did not run the call", "once", answerNotRun(503)},
 		{"it is not the one expected", "once", answerNotRun(421)},
 		{"the answer to another call", "once", foreign},
-		{"a truncated answer", "once", breaksOff},
+		{"a truncated answer", "once", truncated},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
