--- a/internal/server/silence_test.go
+++ b/internal/server/silence_test.go
@@ -139,8 +139,8 @@
 func TestSilentCallersAreDisconnected(t *testing.T) {
 	const limit = 400 * time.Millisecond
 	cases := []struct {
-		name string
-		says string
+		name    string
+		request string
 	}{
 		{"in the head of a request", "POST /x HTTP/1.1\r\nHost: once\r\n"},
 		{"in a small body", "POST /x HTTP/1.1\r\nHost: once\r\nContent-Length: 10\r\n\r\nhalf"},
@@ -159,7 +159,7 @@
 					}
 				})
 			conn := s.dial()
-			_, err := io.WriteString(conn, c.says)
+			_, err := io.WriteString(conn, c.request)
 			is.NoErr(err)
 			is.True(closedWithin(conn, limit+silenceSlack))
 		})
