--- a/internal/shell/shell.go
+++ b/internal/shell/shell.go
@@ -82,10 +82,10 @@
 
 	events          chan func(*Shell) step.Event // run on Run's goroutine; see submit
 	calls           map[calls.ID]*callMailbox
-	exchangeReplies map[uint64]chan gossip.Message // waiting peers' requests by token
+	exchangeReplies map[uint64]chan gossip.Message // replies that peers wait for, by token
 	orderReplies    map[uint64]chan peer.OrderReply
 	permitReplies   map[uint64]chan permits.Decision
-	lastToken       uint64 // token of the latest request of a peer
+	lastToken       uint64 // token of the latest request from a peer
 	workers         sync.WaitGroup
 	exited          chan shutdown.Exit
 	ctx             context.Context
