--- a/internal/entry/body.go
+++ b/internal/entry/body.go
@@ -8,60 +8,62 @@
 )
 
 const (
-	// smallBody is the largest body that is kept whole, in bytes, so that it can be
-	// sent again after an attempt that certainly did not run. Of larger ones the
-	// beginning is kept, and the rest is streamed.
-	smallBody = 256 << 10
-	// largeHead is how much is kept of a body that says that it is larger, in bytes:
-	// enough to tell requests apart: a quarter of smallBody, since many large bodies
-	// may be under way at once.
-	largeHead = 64 << 10
+	// maxBufferedBody is the largest body, in bytes, that is buffered whole, so that it
+	// can be sent again after an attempt that certainly did not run. Of a larger body
+	// only the beginning is buffered and the remainder is streamed.
+	maxBufferedBody = 256 << 10
+	// streamedBodyPrefix is the number of bytes that are buffered of a body whose
+	// Content-Length exceeds maxBufferedBody: enough to tell requests apart, and a
+	// quarter of maxBufferedBody, since many large bodies may be in flight at once.
+	streamedBodyPrefix = 64 << 10
 )
 
-// A Body is the body of a call: kept if it is small, else its beginning is kept and
-// the rest is streamed through once.
+// A Body is the body of a call. A small body is buffered whole; of a larger one the
+// beginning is buffered and the remainder can be streamed once.
 type Body struct {
-	kept     []byte        // the whole, or the beginning
-	rest     io.ReadCloser // what follows; nil if kept is the whole
-	restRead atomic.Bool   // a part of rest was read
+	buffered  []byte        // the whole body, or its beginning
+	remainder io.ReadCloser // the bytes after buffered; nil if buffered is the whole body
+	consumed  atomic.Bool   // whether some of remainder was read
 }
 
-// ReadBody reads a small body whole, and the beginning of a larger one. A body of
-// unknown length is small if it comes to its end in time.
+// ReadBody reads a small body whole and the beginning of a larger one. A body of
+// unknown length is small if it ends within maxBufferedBody bytes.
 func ReadBody(r *http.Request) (*Body, error) {
-	if r.ContentLength > smallBody {
-		head, err := io.ReadAll(io.LimitReader(r.Body, largeHead))
-		return &Body{kept: head, rest: r.Body}, err
+	if r.ContentLength > maxBufferedBody {
+		head, err := io.ReadAll(io.LimitReader(r.Body, streamedBodyPrefix))
+		return &Body{buffered: head, remainder: r.Body}, err
 	}
-	data, err := io.ReadAll(io.LimitReader(r.Body, smallBody+1))
-	b := &Body{kept: data}
-	if len(data) > smallBody {
-		b.rest = r.Body
+	data, err := io.ReadAll(io.LimitReader(r.Body, maxBufferedBody+1))
+	b := &Body{buffered: data}
+	if len(data) > maxBufferedBody {
+		b.remainder = r.Body
 	}
 	return b, err
 }
 
-// Streamed reports whether a part of the body can be sent only once.
-func (b *Body) Streamed() bool { return b.rest != nil }
+// Streamed reports whether part of the body is not buffered and can be sent only once.
+func (b *Body) Streamed() bool { return b.remainder != nil }
 
-// Consumed reports whether the body cannot be sent again.
-func (b *Body) Consumed() bool { return b.restRead.Load() }
+// Consumed reports whether the body cannot be sent again because part of its remainder
+// was read.
+func (b *Body) Consumed() bool { return b.consumed.Load() }
 
-// NewReader returns the body for one attempt.
-func (b *Body) NewReader(watch *Watchdog) io.ReadCloser {
+// NewReader returns a reader of the body for one attempt. Reads of the remainder reset
+// the watchdog.
+func (b *Body) NewReader(watchdog *Watchdog) io.ReadCloser {
 	if !b.Streamed() {
-		return io.NopCloser(bytes.NewReader(b.kept))
+		return io.NopCloser(bytes.NewReader(b.buffered))
 	}
-	return &watchedBody{head: bytes.NewReader(b.kept), body: b, watch: watch}
+	return &watchedBody{head: bytes.NewReader(b.buffered), body: b, watchdog: watchdog}
 }
 
-// A watchedBody is a streamed body for one attempt. It puts the watchdog off while
-// the caller is still sending. It leaves the caller's body open: an attempt that
-// read none of the rest may be followed by another.
+// A watchedBody reads a streamed body for one attempt and resets the watchdog while the
+// caller is still sending. Close leaves the caller's body open, since an attempt that
+// read none of the remainder may be followed by another.
 type watchedBody struct {
-	head  *bytes.Reader
-	body  *Body
-	watch *Watchdog
+	head     *bytes.Reader
+	body     *Body
+	watchdog *Watchdog
 }
 
 // Read implements io.Reader.
@@ -69,9 +71,9 @@
 	if w.head.Len() > 0 {
 		return w.head.Read(data)
 	}
-	w.body.restRead.Store(true)
-	n, err := w.body.rest.Read(data)
-	w.watch.Reset()
+	w.body.consumed.Store(true)
+	n, err := w.body.remainder.Read(data)
+	w.watchdog.Reset()
 	return n, err
 }
 
--- a/internal/losses/report.go
+++ b/internal/losses/report.go
@@ -12,20 +12,20 @@
 )
 
 const (
-	// window is the span of one row of the time table: short enough to tell one
-	// trouble from the next.
+	// window is the time covered by one row of the time table: short enough to
+	// distinguish one disturbance from the next.
 	window = 2 * time.Second
-	// barWidth is how many signs stand for all calls of a window: it fits into 80
-	// columns.
+	// barWidth is the number of characters of a bar, which stands for all calls of a
+	// window, so that a row fits into 80 columns.
 	barWidth = 40
-	// topModels is how many models are listed.
+	// topModels is the number of models that are listed.
 	topModels = 10
 )
 
-// bars are the signs of the fates in a window's bar.
-const bars = "#~-x?"
+// barSymbols are the characters of the outcomes in a window's bar, in their order.
+const barSymbols = "#~-x?"
 
-// Report prints where service was lost.
+// Report writes the tables of calls by reason, zone, rank, model and time window.
 func (l *Log) Report(out io.Writer) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	all := slices.SortedFunc(maps.Values(l.calls), func(a, b *call) int {
@@ -34,46 +34,46 @@
 	fmt.Fprintf(w, "%d calls in %d lines, %s to %s; %d lines are not of an instance's log\n",
 		len(all), l.lines, l.first.Format(time.TimeOnly), l.last.Format(time.TimeOnly), l.skipped)
 	fmt.Fprintln(w, "\nBY REASON\tCALLS\tSHARE")
-	for _, row := range countBy(all, func(c *call) string { return label(c) }) {
+	for _, row := range countBy(all, func(c *call) string { return outcomeLabel(c) }) {
 		fmt.Fprintf(w, "%s\t%d\t%.1f%%\n", row.key, row.total, 100*float64(row.total)/float64(max(1, len(all))))
 	}
 	table(w, "ZONE", countBy(all, func(c *call) string { return c.zone }))
-	table(w, "RANK", countBy(all, rankOf))
+	table(w, "RANK", countBy(all, rankLabel))
 	models := countBy(all, func(c *call) string { return c.model })
 	models = slices.DeleteFunc(models, func(r row) bool { return r.key == "" })
-	slices.SortStableFunc(models, func(a, b row) int { return cmp.Compare(b.lost(), a.lost()) })
+	slices.SortStableFunc(models, func(a, b row) int { return cmp.Compare(b.notInTime(), a.notInTime()) })
 	table(w, "MODEL, MOST LOST", models[:min(topModels, len(models))])
 	l.windows(w, all)
 	return w.Flush()
 }
 
-// label names a call's fate and reason.
-func label(c *call) string {
-	if c.fate == inTime {
-		return c.fate.String()
+// outcomeLabel returns a call's outcome and, unless it was in time, its reason.
+func outcomeLabel(c *call) string {
+	if c.outcome == inTime {
+		return c.outcome.String()
 	}
-	return c.fate.String() + ": " + c.reason
+	return c.outcome.String() + ": " + c.reason
 }
 
-// rankOf names a call's rank; one that was never sent has none in the log.
-func rankOf(c *call) string {
+// rankLabel returns a call's rank. The log has no rank of a call that was never sent.
+func rankLabel(c *call) string {
 	if c.sends == 0 {
 		return "never sent"
 	}
 	return fmt.Sprint(c.rank)
 }
 
-// A row counts the calls that have a key in common, by fate.
+// A row counts the calls with one key by outcome.
 type row struct {
-	key    string
-	total  int
-	byFate [fates]int
+	key       string
+	total     int
+	byOutcome [numOutcomes]int
 }
 
-// lost returns how many were not answered in time.
-func (r row) lost() int { return r.total - r.byFate[inTime] }
+// notInTime returns the number of calls that were not answered in time.
+func (r row) notInTime() int { return r.total - r.byOutcome[inTime] }
 
-// countBy counts calls by a key, the most frequent first.
+// countBy counts calls by key and returns the rows with the most calls first.
 func countBy(all []*call, key func(c *call) string) []row {
 	rows := map[string]*row{}
 	for _, c := range all {
@@ -82,7 +82,7 @@
 			rows[k] = &row{key: k}
 		}
 		rows[k].total++
-		rows[k].byFate[c.fate]++
+		rows[k].byOutcome[c.outcome]++
 	}
 	var list []row
 	for _, r := range rows {
@@ -92,23 +92,23 @@
 	return list
 }
 
-// table prints rows with a column for each fate.
+// table writes rows with a column for each outcome.
 func table(w io.Writer, head string, rows []row) {
 	fmt.Fprintf(w, "\nBY %s\tCALLS", head)
-	for f := range fates {
-		fmt.Fprintf(w, "\t%s", strings.ToUpper(f.String()))
+	for o := range numOutcomes {
+		fmt.Fprintf(w, "\t%s", strings.ToUpper(o.String()))
 	}
 	fmt.Fprintln(w)
 	for _, r := range rows {
 		fmt.Fprintf(w, "%s\t%d", r.key, r.total)
-		for _, n := range r.byFate {
+		for _, n := range r.byOutcome {
 			fmt.Fprintf(w, "\t%d", n)
 		}
 		fmt.Fprintln(w)
 	}
 }
 
-// windows prints a bar for each span of time, and what was lost there most.
+// windows writes a bar for each time window with the most frequent reason for losses in it.
 func (l *Log) windows(w io.Writer, all []*call) {
 	fmt.Fprintf(w, "\nBY WINDOW\tCALLS\t%s\tMOST LOST BY\n", legend())
 	byWindow := map[int][]*call{}
@@ -118,40 +118,41 @@
 	}
 	for _, n := range slices.Sorted(maps.Keys(byWindow)) {
 		calls := byWindow[n]
-		fmt.Fprintf(w, "%v\t%d\t%s\t%s\n", time.Duration(n)*window, len(calls), bar(calls), mostLost(calls))
+		fmt.Fprintf(w, "%v\t%d\t%s\t%s\n", time.Duration(n)*window, len(calls), bar(calls), mainLossReason(calls))
 	}
 }
 
-// legend explains the signs of a bar.
+// legend explains the characters of a bar.
 func legend() string {
-	parts := make([]string, fates)
-	for f := range fates {
-		parts[f] = fmt.Sprintf("%c %s", bars[f], f)
+	parts := make([]string, numOutcomes)
+	for o := range numOutcomes {
+		parts[o] = fmt.Sprintf("%c %s", barSymbols[o], o)
 	}
 	return strings.Join(parts, ", ")
 }
 
-// bar draws the fates of calls to scale.
+// bar returns a bar in which each outcome's length is its share of the calls.
 func bar(calls []*call) string {
-	var n [fates]int
+	var n [numOutcomes]int
 	for _, c := range calls {
-		n[c.fate]++
+		n[c.outcome]++
 	}
 	var b strings.Builder
 	drawn, sum := 0, 0
-	for f := range fates {
-		sum += n[f]
+	for o := range numOutcomes {
+		sum += n[o]
 		to := (sum*barWidth + len(calls)/2) / len(calls)
-		b.WriteString(strings.Repeat(string(bars[f]), to-drawn))
+		b.WriteString(strings.Repeat(string(barSymbols[o]), to-drawn))
 		drawn = to
 	}
 	return b.String()
 }
 
-// mostLost names the most frequent reason for which calls were lost.
-func mostLost(calls []*call) string {
-	for _, r := range countBy(calls, label) {
-		if r.byFate[inTime] == 0 {
+// mainLossReason returns the most frequent reason for which calls were not answered in
+// time, with its count.
+func mainLossReason(calls []*call) string {
+	for _, r := range countBy(calls, outcomeLabel) {
+		if r.byOutcome[inTime] == 0 {
 			return fmt.Sprintf("%s (%d)", r.key, r.total)
 		}
 	}
--- a/internal/peer/convert.go
+++ b/internal/peer/convert.go
@@ -16,7 +16,7 @@
 	"github.com/birchdrift/birchdrift/internal/peer/peerpb"
 )
 
-// encode turns the core's message into the wire's.
+// encode converts a message to its wire form.
 func encode(m gossip.Message) *peerpb.Message {
 	out := &peerpb.Message{
 		From:         m.From,
@@ -30,7 +30,7 @@
 		Ack:          m.Ack,
 		WantConfig:   m.WantConfig,
 		Config:       m.Config,
-		StoreAgeMs:   milliseconds(m.StoreAge),
+		StoreAgeMs:   toMilliseconds(m.StoreAge),
 		StoreVersion: uint64(m.StoreVersion),
 	}
 	encodeRecords(m.Records, out)
@@ -49,7 +49,8 @@
 	return out
 }
 
-// encodeByRank returns amounts by rank in a unit, up to the last rank that has some.
+// encodeByRank returns amounts by rank as multiples of unit, up to the last rank whose
+// amount is not 0.
 func encodeByRank[T int | time.Duration](amounts pool.ByRank[T], unit T) []uint32 {
 	var out []uint32
 	for rank, amount := range amounts {
@@ -62,8 +63,8 @@
 	return out
 }
 
-// decodeByRank returns the amounts by rank; ranks that this version does not know
-// count as the last.
+// decodeByRank converts amounts by rank from multiples of unit. Ranks that this version
+// does not know count as the last one.
 func decodeByRank[T int | time.Duration](in []uint32, unit T) pool.ByRank[T] {
 	var amounts pool.ByRank[T]
 	for rank, amount := range in {
@@ -72,7 +73,7 @@
 	return amounts
 }
 
-// encodeRecords adds the records to the message.
+// encodeRecords appends the records to the wire message out.
 func encodeRecords(records gossip.Records, out *peerpb.Message) {
 	for _, r := range records.Registered {
 		out.Registered = append(out.Registered, &peerpb.Registered{Key: r.Key, Data: r.Data, Revision: uint64(r.Revision), Gone: r.Gone})
@@ -95,17 +96,17 @@
 		out.Crashes = append(out.Crashes, encodeCrash(c))
 	}
 	for _, s := range records.Successes {
-		out.Successes = append(out.Successes, &peerpb.Success{Request: uint64(s.Request), AgeMs: milliseconds(s.Age)})
+		out.Successes = append(out.Successes, &peerpb.Success{Request: uint64(s.Request), AgeMs: toMilliseconds(s.Age)})
 	}
 	for _, l := range records.Leaving {
-		out.LeavingReplicas = append(out.LeavingReplicas, encodeLife(l.Incarnation))
+		out.LeavingReplicas = append(out.LeavingReplicas, encodeIncarnation(l.Incarnation))
 	}
 	for _, r := range records.Rests {
-		out.Rests = append(out.Rests, &peerpb.Rest{Replica: encodeLife(r.Incarnation), LeftMs: milliseconds(r.Left)})
+		out.Rests = append(out.Rests, &peerpb.Rest{Replica: encodeIncarnation(r.Incarnation), LeftMs: toMilliseconds(r.Left)})
 	}
 	for _, l := range records.Limits {
 		limit := encodeLimit(l.LimitReport)
-		limit.Replica = encodeLife(l.Incarnation)
+		limit.Replica = encodeIncarnation(l.Incarnation)
 		out.Limits = append(out.Limits, limit)
 	}
 	for _, h := range records.Holders {
@@ -113,20 +114,21 @@
 	}
 }
 
-func encodeLife(i pool.Incarnation) *peerpb.Incarnation {
+func encodeIncarnation(i pool.Incarnation) *peerpb.Incarnation {
 	return &peerpb.Incarnation{Name: i.Name, Born: i.Born}
 }
 
-func decodeLife(i *peerpb.Incarnation) pool.Incarnation {
+func decodeIncarnation(i *peerpb.Incarnation) pool.Incarnation {
 	return pool.Incarnation{Name: i.GetName(), Born: i.GetBorn()}
 }
 
-// encodeLimit words what is known of a replica's limit, nil if it never named one.
-func encodeLimit(w pool.LimitReport) *peerpb.RateLimit {
-	if w.IsZero() {
+// encodeLimit converts a limit report; it returns nil for the zero report of a replica
+// that never named a limit.
+func encodeLimit(r pool.LimitReport) *peerpb.RateLimit {
+	if r.IsZero() {
 		return nil
 	}
-	return &peerpb.RateLimit{Named: w.Limit.Named, PerSecond: w.Limit.PerSecond, By: w.By, AgeMs: milliseconds(w.Age)}
+	return &peerpb.RateLimit{Named: r.Limit.Named, PerSecond: r.Limit.PerSecond, By: r.By, AgeMs: toMilliseconds(r.Age)}
 }
 
 func decodeLimit(l *peerpb.RateLimit) pool.LimitReport {
@@ -134,43 +136,43 @@
 		return pool.LimitReport{}
 	}
 	return pool.LimitReport{
-		Limit: pool.RateLimit{Named: l.GetNamed(), PerSecond: l.GetPerSecond()}, By: l.GetBy(), EventTime: age(l.GetAgeMs()),
+		Limit: pool.RateLimit{Named: l.GetNamed(), PerSecond: l.GetPerSecond()}, By: l.GetBy(), EventTime: eventTimeOfAge(l.GetAgeMs()),
 	}
 }
 
 func encodePermitRequest(from string, r permits.Request) *peerpb.PermitRequest {
 	return &peerpb.PermitRequest{
-		From: from, Replica: encodeLife(r.Replica), Service: r.Service, Alone: r.Alone, Zone: r.Zone, Rank: int32(r.Rank), WithinMs: milliseconds(r.Wait),
+		From: from, Replica: encodeIncarnation(r.Replica), Service: r.Service, Alone: r.Alone, Zone: r.Zone, Rank: int32(r.Rank), WithinMs: toMilliseconds(r.Wait),
 		Unused: r.Unused, Limit: encodeLimit(r.Word),
 	}
 }
 
 func decodePermitRequest(r *peerpb.PermitRequest) permits.Request {
 	return permits.Request{
-		Resource: permits.Resource{Replica: decodeLife(r.GetReplica()), Service: r.GetService()}, Alone: r.GetAlone(), Zone: r.GetZone(), Rank: int(r.GetRank()), Wait: span(r.GetWithinMs()),
+		Resource: permits.Resource{Replica: decodeIncarnation(r.GetReplica()), Service: r.GetService()}, Alone: r.GetAlone(), Zone: r.GetZone(), Rank: int(r.GetRank()), Wait: fromMilliseconds(r.GetWithinMs()),
 		Unused: r.GetUnused(), Word: decodeLimit(r.GetLimit()),
 	}
 }
 
-func encodeVerdict(v permits.Decision) *peerpb.PermitReply {
+func encodeDecision(d permits.Decision) *peerpb.PermitReply {
 	return &peerpb.PermitReply{
-		Granted: v.Granted, HeldMs: milliseconds(v.Held), TurnMs: milliseconds(v.Turn), AfterMs: milliseconds(v.After),
-		Limit: encodeLimit(v.Word),
+		Granted: d.Granted, HeldMs: toMilliseconds(d.Held), TurnMs: toMilliseconds(d.Turn), AfterMs: toMilliseconds(d.After),
+		Limit: encodeLimit(d.Word),
 	}
 }
 
-func decodeVerdict(r *peerpb.PermitReply) permits.Decision {
+func decodeDecision(r *peerpb.PermitReply) permits.Decision {
 	return permits.Decision{
-		Granted: r.GetGranted(), Held: span(r.GetHeldMs()), Turn: span(r.GetTurnMs()), After: span(r.GetAfterMs()),
+		Granted: r.GetGranted(), Held: fromMilliseconds(r.GetHeldMs()), Turn: fromMilliseconds(r.GetTurnMs()), After: fromMilliseconds(r.GetAfterMs()),
 		Word: decodeLimit(r.GetLimit()),
 	}
 }
 
-// span returns a span of so many milliseconds.
-func span(ms uint32) time.Duration { return time.Duration(ms) * time.Millisecond }
+// fromMilliseconds returns a duration of ms milliseconds.
+func fromMilliseconds(ms uint32) time.Duration { return time.Duration(ms) * time.Millisecond }
 
 func encodeCrash(c crash.Report) *peerpb.Crash {
-	out := &peerpb.Crash{Observer: c.Observer, Boot: c.Boot, Seq: c.Seq, Replica: c.Replica.Name, Born: c.Replica.Born, AgeMs: milliseconds(c.Age)}
+	out := &peerpb.Crash{Observer: c.Observer, Boot: c.Boot, Seq: c.Seq, Replica: c.Replica.Name, Born: c.Replica.Born, AgeMs: toMilliseconds(c.Age)}
 	for _, r := range c.Requests {
 		out.Requests = append(out.Requests, uint64(r))
 	}
@@ -180,21 +182,20 @@
 func decodeCrash(c *peerpb.Crash) crash.Report {
 	out := crash.Report{
 		Observer: c.GetObserver(), Boot: c.GetBoot(), Seq: c.GetSeq(), Replica: pool.Incarnation{Name: c.GetReplica(), Born: c.GetBorn()},
-		EventTime: age(c.GetAgeMs()),
+		EventTime: eventTimeOfAge(c.GetAgeMs()),
 	}
 	for _, r := range c.GetRequests() {
 		out.Requests = append(out.Requests, crash.Fingerprint(r))
 	}
-	slices.Sort(out.Requests) // they are looked up as such, whoever sent them
+	slices.Sort(out.Requests) // lookups need them sorted, and a peer may not have done so
 	return out
 }
 
-// age returns a moment of so many milliseconds ago.
-func age(ms uint32) clock.EventTime { return clock.EventTime{Age: span(ms)} }
+// eventTimeOfAge returns the time of an event that happened ms milliseconds ago.
+func eventTimeOfAge(ms uint32) clock.EventTime { return clock.EventTime{Age: fromMilliseconds(ms)} }
 
-// milliseconds returns a span as it travels; one that is too long counts as the
-// longest.
-func milliseconds(d time.Duration) uint32 { return uint32(min(d.Milliseconds(), math.MaxUint32)) }
+// toMilliseconds returns a duration in milliseconds, limited to the largest uint32.
+func toMilliseconds(d time.Duration) uint32 { return uint32(min(d.Milliseconds(), math.MaxUint32)) }
 
 func encodeAnnounced(a *pool.Announcement) *peerpb.Announced {
 	if a == nil {
@@ -234,7 +235,7 @@
 	return out
 }
 
-// decode turns the wire's message into the core's.
+// decode converts a message from its wire form.
 func decode(m *peerpb.Message) gossip.Message {
 	out := gossip.Message{
 		From:         m.GetFrom(),
@@ -271,7 +272,7 @@
 	return out
 }
 
-// decodeRecords returns the message's records.
+// decodeRecords converts the records of a wire message.
 func decodeRecords(m *peerpb.Message) gossip.Records {
 	var out gossip.Records
 	for _, r := range m.GetRegistered() {
@@ -298,17 +299,17 @@
 	}
 	for _, s := range m.GetSuccesses() {
 		out.Successes = append(out.Successes, crash.Success{
-			Request: crash.Fingerprint(s.GetRequest()), EventTime: age(s.GetAgeMs()),
+			Request: crash.Fingerprint(s.GetRequest()), EventTime: eventTimeOfAge(s.GetAgeMs()),
 		})
 	}
 	for _, l := range m.GetLeavingReplicas() {
-		out.Leaving = append(out.Leaving, gossip.Leaving{Incarnation: decodeLife(l)})
+		out.Leaving = append(out.Leaving, gossip.Leaving{Incarnation: decodeIncarnation(l)})
 	}
 	for _, r := range m.GetRests() {
-		out.Rests = append(out.Rests, gossip.Rest{Incarnation: decodeLife(r.GetReplica()), Left: span(r.GetLeftMs())})
+		out.Rests = append(out.Rests, gossip.Rest{Incarnation: decodeIncarnation(r.GetReplica()), Left: fromMilliseconds(r.GetLeftMs())})
 	}
 	for _, l := range m.GetLimits() {
-		out.Limits = append(out.Limits, gossip.Limit{Incarnation: decodeLife(l.GetReplica()), LimitReport: decodeLimit(l)})
+		out.Limits = append(out.Limits, gossip.Limit{Incarnation: decodeIncarnation(l.GetReplica()), LimitReport: decodeLimit(l)})
 	}
 	for _, h := range m.GetHolders() {
 		out.Holders = append(out.Holders, gossip.LeaseHolder{
--- a/internal/server/forward_test.go
+++ b/internal/server/forward_test.go
@@ -26,20 +26,20 @@
 	"github.com/birchdrift/birchdrift/internal/upstream/proxytest"
 )
 
-// A site is one instance of the real server between callers and fake replicas,
-// joined to a store in memory through the seams.
-type site struct {
+// A testInstance is one instance of the real server between callers and fake replicas.
+// Its environment has an in-memory store.
+type testInstance struct {
 	t        *testing.T
 	server   *Server
-	address  string // of the callers' listener
+	address  string // address of the callers' listener
 	replicas []*replica
 }
 
-// A replica is a fake replica; its answers are one function each.
+// A replica is a fake replica, whose answers are written by one function.
 type replica struct {
 	name   string
 	server *httptest.Server
-	proxy  *proxytest.Proxy // before it, if there is one
+	proxy  *proxytest.Proxy // in front of server; nil if there is none
 	mu     sync.Mutex
 	seen   []*http.Request
 	answer http.HandlerFunc
@@ -54,14 +54,14 @@
 	r.answer(w, req)
 }
 
-func (r *replica) runs() int {
+func (r *replica) requests() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return len(r.seen)
 }
 
-// ok answers with the replica's signature and a body.
-func ok(body string) http.HandlerFunc {
+// answerOK answers with the replica's signature and a body.
+func answerOK(body string) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		w.Header().Set(forward.OwnFormat.Signature, "signed")
@@ -69,23 +69,23 @@
 	}
 }
 
-func status(code int) http.HandlerFunc {
+func answerStatus(code int) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set(forward.OwnFormat.Signature, "signed")
 		w.WriteHeader(code)
-		_, _ = io.WriteString(w, "the replica's words")
+		_, _ = io.WriteString(w, "the replica's own answer")
 	}
 }
 
-func notRun(code int) http.HandlerFunc {
+func answerNotRun(code int) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set(forward.OwnFormat.NotRun, "1")
 		w.WriteHeader(code)
 	}
 }
 
-// cut answers with a part of what it promised.
-func cut(w http.ResponseWriter, r *http.Request) {
+// cutAnswer sends less than its Content-Length and aborts the connection.
+func cutAnswer(w http.ResponseWriter, r *http.Request) {
 	_, _ = io.Copy(io.Discard, r.Body)
 	w.Header().Set(forward.OwnFormat.Signature, "signed")
 	w.Header().Set("Content-Length", "100")
@@ -93,13 +93,14 @@
 	panic(http.ErrAbortHandler)
 }
 
-// drop closes the connection without an answer.
-func drop(w http.ResponseWriter, r *http.Request) {
+// dropConnection closes the connection without an answer.
+func dropConnection(w http.ResponseWriter, r *http.Request) {
 	_, _ = io.Copy(io.Discard, r.Body)
 	panic(http.ErrAbortHandler)
 }
 
-// testDocument forwards three hosts, one of each kind, to one service.
+// testDocument returns a configuration that forwards hosts of each kind, with different
+// timeouts and numbers of attempts, to one service.
 func testDocument() config.Document {
 	doc := config.Document{
 		Revision: 3,
@@ -120,19 +121,19 @@
 	return doc
 }
 
-// newSite starts an instance before replicas with these answers. With none, its
-// store has no configuration either.
-func newSite(t *testing.T, answers ...http.HandlerFunc) *site {
+// newTestInstance starts an instance in front of one replica for each of the answers.
+// Without answers its store has no configuration either.
+func newTestInstance(t *testing.T, answers ...http.HandlerFunc) *testInstance {
 	t.Helper()
-	return newSiteOf(t, nil, false, answers...)
+	return newTestInstanceWith(t, nil, false, answers...)
 }
 
-// newSiteOf is newSite with some settings that differ, and replicas that stand behind
-// proxies if proxied.
-func newSiteOf(t *testing.T, differ map[string]string, proxied bool, answers ...http.HandlerFunc) *site {
+// newTestInstanceWith is newTestInstance with overrides of settings and, if proxied, with
+// a proxy in front of each replica.
+func newTestInstanceWith(t *testing.T, overrides map[string]string, proxied bool, answers ...http.HandlerFunc) *testInstance {
 	t.Helper()
 	is := is.New(t)
-	s := &site{t: t}
+	s := &testInstance{t: t}
 	change := environment.Change{Whole: true, Version: 5}
 	for i, answer := range answers {
 		r := &replica{name: fmt.Sprintf("r%d", i), answer: answer}
@@ -155,7 +156,7 @@
 		change.Config = data
 	}
 	set, faults := settings.Parse(func(name string) string {
-		if value, ok := differ[name]; ok {
+		if value, ok := overrides[name]; ok {
 			return value
 		}
 		return map[string]string{
@@ -165,7 +166,7 @@
 		}[name] + defaultOf(name)
 	})
 	is.Equal(len(faults), 0)
-	server, err := New(set, set.Options(), memoryStore(change), io.Discard, nil)
+	server, err := New(set, set.Options(), newMemoryEnvironment(change), io.Discard, nil)
 	is.NoErr(err)
 	s.server = server
 	s.address, _, _ = server.Addresses()
@@ -179,11 +180,11 @@
 		server.shell.Stop()
 		<-done
 	})
-	s.await(len(answers) > 0)
+	s.awaitReady(len(answers) > 0)
 	return s
 }
 
-// defaultOf returns the default of a setting that newSite does not give.
+// defaultOf returns the default of a setting that newTestInstanceWith does not set.
 func defaultOf(name string) string {
 	switch name {
 	case "name", "zone", "platform", "environment", "listen-callers", "listen-peers", "listen-operations", "log-level", "stop-delay":
@@ -197,8 +198,9 @@
 	return ""
 }
 
-// memoryStore joins the instance to a store that says one thing and then waits.
-func memoryStore(change environment.Change) EnvironmentFactory {
+// newMemoryEnvironment returns a factory of an environment whose store returns change to
+// the first watch and reports no changes afterwards.
+func newMemoryEnvironment(change environment.Change) EnvironmentFactory {
 	first := make(chan environment.Change, 1)
 	first <- change
 	watch := func(ctx context.Context, wait time.Duration) (environment.Change, error) {
@@ -226,9 +228,9 @@
 	}
 }
 
-// await waits until the instance is ready, if it can become so, and knows its
-// replicas.
-func (s *site) await(ready bool) {
+// awaitReady waits until the instance answers and, if ready, until it is ready and knows
+// its replicas.
+func (s *testInstance) awaitReady(ready bool) {
 	s.t.Helper()
 	deadline := time.Now().Add(10 * time.Second)
 	for time.Now().Before(deadline) {
@@ -241,15 +243,15 @@
 	s.t.Fatal("the instance did not become ready")
 }
 
-// An outcome is what a caller saw.
-type outcome struct {
+// A callResult is what a caller received.
+type callResult struct {
 	status int
 	header http.Header
 	body   string
-	err    error // of reading the body
+	err    error // error of the call or of reading the body
 }
 
-func (s *site) call(method, host, path, body string) outcome {
+func (s *testInstance) send(method, host, path, body string) callResult {
 	s.t.Helper()
 	req, err := http.NewRequest(method, "http://"+s.address+path, strings.NewReader(body))
 	if err != nil {
@@ -260,118 +262,119 @@
 	req.Header.Set(forward.OwnFormat.Deadline, "4000")
 	resp, err := http.DefaultTransport.RoundTrip(req)
 	if err != nil {
-		return outcome{err: err}
+		return callResult{err: err}
 	}
 	defer resp.Body.Close()
 	data, err := io.ReadAll(resp.Body)
-	return outcome{status: resp.StatusCode, header: resp.Header, body: string(data), err: err}
+	return callResult{status: resp.StatusCode, header: resp.Header, body: string(data), err: err}
 }
 
-func (s *site) runs() int {
+func (s *testInstance) requests() int {
 	n := 0
 	for _, r := range s.replicas {
-		n += r.runs()
+		n += r.requests()
 	}
 	return n
 }
 
-// TestForwardedAnswers tables what replicas may do with a call that is not a
-// stream, and what its caller then gets. Whatever the first replica does, the
-// second answers well.
+// TestForwardedAnswers checks, for calls that are not streams, what the caller gets and
+// how often the call is sent for each behavior of the first replica. The second
+// replica's answer is always good.
 func TestForwardedAnswers(t *testing.T) {
 	foreign := func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set(forward.OwnFormat.CallID, "another")
-		ok("another's")(w, r)
+		answerOK("another's")(w, r)
 	}
-	unsigned := func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "bytes of nobody") }
+	unsigned := func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "an answer without signature") }
 	encoded := func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Content-Encoding", "gzip")
-		ok("squeezed")(w, r)
+		answerOK("squeezed")(w, r)
 	}
 	cases := []struct {
 		name   string
 		first  http.HandlerFunc
 		host   string
 		status int
-		runs   int // arrivals at both replicas
+		runs   int // requests received by both replicas
 	}{
-		{"good", ok("good"), "again", 200, 1},
-		{"good, at most once", ok("good"), "once", 200, 1},
-		{"cut", cut, "again", 200, 2},
-		{"cut, at most once", cut, "once", 502, 1},
-		{"dropped", drop, "again", 200, 2},
-		{"dropped, at most once", drop, "once", 502, 1},
+		{"good", answerOK("good"), "again", 200, 1},
+		{"good, at most once", answerOK("good"), "once", 200, 1},
+		{"cut", cutAnswer, "again", 200, 2},
+		{"cut, at most once", cutAnswer, "once", 502, 1},
+		{"dropped", dropConnection, "again", 200, 2},
+		{"dropped, at most once", dropConnection, "once", 502, 1},
 		{"another call's answer", foreign, "again", 200, 2},
 		{"another call's answer, at most once", foreign, "once", 502, 1},
 		{"no signature", unsigned, "again", 200, 2},
 		{"no signature, at most once", unsigned, "once", 502, 1},
 		{"an encoded body", encoded, "again", 200, 2},
-		{"not run", notRun(503), "again", 200, 2},
-		{"not run, at most once", notRun(503), "once", 200, 2},
-		{"misdirected, at most once", notRun(421), "once", 200, 2},
-		{"its own failure", status(500), "again", 200, 2},
-		{"its own failure, at most once", status(500), "once", 500, 1},
-		{"its own refusal", status(404), "again", 404, 1},
+		{"not run", answerNotRun(503), "again", 200, 2},
+		{"not run, at most once", answerNotRun(503), "once", 200, 2},
+		{"misdirected, at most once", answerNotRun(421), "once", 200, 2},
+		{"its own failure", answerStatus(500), "again", 200, 2},
+		{"its own failure, at most once", answerStatus(500), "once", 500, 1},
+		{"its own refusal", answerStatus(404), "again", 404, 1},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			is := is.New(t)
-			var s *site
-			taken := make(chan struct{}, 1)
-			taken <- struct{}{}
-			// Whichever replica is asked first does what the case says.
-			either := func(w http.ResponseWriter, r *http.Request) {
+			var s *testInstance
+			firstRequest := make(chan struct{}, 1)
+			firstRequest <- struct{}{}
+			// The replica that gets the first request answers as the case says.
+			handler := func(w http.ResponseWriter, r *http.Request) {
 				select {
-				case <-taken:
+				case <-firstRequest:
 					c.first(w, r)
 				default:
-					ok("good")(w, r)
+					answerOK("good")(w, r)
 				}
 			}
-			s = newSite(t, either, either)
-			got := s.call("POST", c.host, "/x", "body")
+			s = newTestInstance(t, handler, handler)
+			got := s.send("POST", c.host, "/x", "body")
 			is.NoErr(got.err)
 			is.Equal(got.status, c.status)
-			is.Equal(s.runs(), c.runs)
+			is.Equal(s.requests(), c.runs)
 			if c.status == 200 {
 				is.Equal(got.body, "good")
 				is.Equal(got.header.Get(forward.OwnFormat.Signature), "signed")
 			}
 			if c.status == 500 || c.status == 404 {
-				is.Equal(got.body, "the replica's words")
+				is.Equal(got.body, "the replica's own answer")
 			}
 		})
 	}
 }
 
-// TestARefusalEverywhereSaysWhenToComeBack: all replicas say that they did not
-// run the call; the caller is promised that, and told when to come back.
-func TestARefusalEverywhereSaysWhenToComeBack(t *testing.T) {
+// TestRefusalByAllReplicasSetsRetryAfter checks that a call which all replicas refused
+// without running it is answered with status 503 and Retry-After.
+func TestRefusalByAllReplicasSetsRetryAfter(t *testing.T) {
 	is := is.New(t)
-	s := newSite(t, notRun(503), notRun(503))
-	got := s.call("POST", "once", "/x", "body")
+	s := newTestInstance(t, answerNotRun(503), answerNotRun(503))
+	got := s.send("POST", "once", "/x", "body")
 	is.Equal(got.status, 503)
 	is.True(got.header.Get("Retry-After") != "")
 }
 
-// TestADeadReplicaIsNoPromiseBroken: a call that never left goes elsewhere, also
-// where it may run only once.
-func TestADeadReplicaIsNoPromiseBroken(t *testing.T) {
+// TestCallsToDeadReplicasGoElsewhere checks that a call that could not be sent goes to
+// another replica even if it may run at most once.
+func TestCallsToDeadReplicasGoElsewhere(t *testing.T) {
 	is := is.New(t)
-	s := newSite(t, ok("good"), ok("good"))
+	s := newTestInstance(t, answerOK("good"), answerOK("good"))
 	s.replicas[0].server.Close()
 	for range 6 {
-		is.Equal(s.call("POST", "once", "/x", "body").status, 200)
+		is.Equal(s.send("POST", "once", "/x", "body").status, 200)
 	}
-	is.Equal(s.replicas[1].runs(), 6)
+	is.Equal(s.replicas[1].requests(), 6)
 }
 
-// TestRequestsTravelUnchanged: path and query byte for byte, the headers but for
-// those of one connection, nothing added that the caller did not send.
+// TestRequestsTravelUnchanged checks that path and query are forwarded byte for byte, all
+// end-to-end headers unchanged, and that headers which the caller did not send, such as
+// User-Agent, are not added.
 func TestRequestsTravelUnchanged(t *testing.T) {
 	is := is.New(t)
-	s := newSite(t, ok("good"))
+	s := newTestInstance(t, answerOK("good"))
 	conn, err := net.Dial("tcp", s.address)
 	is.NoErr(err)
 	defer conn.Close()
@@ -393,66 +396,67 @@
 	}
 }
 
-// TestNoConfigurationIsNotNotFound: an instance that knows nothing must not say
-// that a path does not exist.
+// TestNoConfigurationIsNotNotFound checks that an instance without a configuration
+// answers 503 and not that a path does not exist.
 func TestNoConfigurationIsNotNotFound(t *testing.T) {
 	is := is.New(t)
-	is.Equal(newSite(t).call("GET", "again", "/x", "").status, 503)
-	is.Equal(newSite(t, ok("good")).call("GET", "nowhere", "/x", "").status, 404)
+	is.Equal(newTestInstance(t).send("GET", "again", "/x", "").status, 503)
+	is.Equal(newTestInstance(t, answerOK("good")).send("GET", "nowhere", "/x", "").status, 404)
 }
 
-// TestTheTimeoutEndsACall: at the forward's timeout the caller has an answer,
-// and the replica is left.
+// TestTheTimeoutEndsACall checks that the caller gets an answer at the route's timeout
+// and that the call at the replica is canceled.
 func TestTheTimeoutEndsACall(t *testing.T) {
 	is := is.New(t)
-	left := make(chan struct{})
-	s := newSite(t, func(_ http.ResponseWriter, r *http.Request) {
+	canceled := make(chan struct{})
+	s := newTestInstance(t, func(_ http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		<-r.Context().Done()
-		close(left)
+		close(canceled)
 	})
-	begun := time.Now()
-	is.Equal(s.call("GET", "short", "/x", "").status, 504)
-	is.True(time.Since(begun) < 2*time.Second)
-	within(t, left)
+	start := time.Now()
+	is.Equal(s.send("GET", "short", "/x", "").status, 504)
+	is.True(time.Since(start) < 2*time.Second)
+	awaitClosed(t, canceled)
 }
 
-func within(t *testing.T, done <-chan struct{}) {
+func awaitClosed(t *testing.T, done <-chan struct{}) {
 	t.Helper()
 	select {
 	case <-done:
 	case <-time.After(5 * time.Second):
-		t.Fatal("it did not happen in time")
+		t.Fatal("the channel was not closed within 5 s")
 	}
 }
 
-// TestACallerWhoLeavesFreesTheReplica: its connection is closed at once.
+// TestACallerWhoLeavesFreesTheReplica checks that the connection to the replica is closed
+// when the caller disconnects.
 func TestACallerWhoLeavesFreesTheReplica(t *testing.T) {
 	is := is.New(t)
-	begun := make(chan struct{})
-	left := make(chan struct{})
-	s := newSite(t, func(_ http.ResponseWriter, r *http.Request) {
+	started := make(chan struct{})
+	canceled := make(chan struct{})
+	s := newTestInstance(t, func(_ http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
-		close(begun)
+		close(started)
 		<-r.Context().Done()
-		close(left)
+		close(canceled)
 	})
-	ctx, leave := context.WithCancel(context.Background())
+	ctx, cancel := context.WithCancel(context.Background())
 	req, err := http.NewRequestWithContext(ctx, "POST", "http://"+s.address+"/x", strings.NewReader("body"))
 	is.NoErr(err)
 	req.Host = "once"
 	go func() {
-		<-begun
-		leave()
+		<-started
+		cancel()
 	}()
 	_, err = http.DefaultTransport.RoundTrip(req)
 	is.True(err != nil)
-	within(t, left)
+	awaitClosed(t, canceled)
 }
 
-// series answers with events from the number behind the one the caller has; it
-// breaks off in the middle of event number cutAt, if that is not 0.
-func series(total, cutAt int) http.HandlerFunc {
+// eventStream answers with the events after the one given by Last-Event-Id, up to number
+// total. If cutAt is not 0 it aborts the connection in the middle of event cutAt.
+func eventStream(total, cutAt int) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		last := 0
@@ -473,7 +477,7 @@
 	}
 }
 
-func wholeSeries(total int) string {
+func wholeStream(total int) string {
 	var b strings.Builder
 	for n := 1; n <= total; n++ {
 		fmt.Fprintf(&b, "id: %d\ndata: event %d\n\n", n, n)
@@ -481,38 +485,40 @@
 	return b.String()
 }
 
-// TestABrokenSeriesGoesOnElsewhere: one answer with every event once, though
-// the first replica broke off in the middle of one.
-func TestABrokenSeriesGoesOnElsewhere(t *testing.T) {
+// TestBrokenStreamResumesElsewhere checks that the caller gets every event once although
+// the first replica's stream broke in the middle of an event.
+func TestBrokenStreamResumesElsewhere(t *testing.T) {
 	is := is.New(t)
 	first := make(chan struct{}, 1)
 	first <- struct{}{}
-	either := func(w http.ResponseWriter, r *http.Request) {
+	handler := func(w http.ResponseWriter, r *http.Request) {
 		select {
 		case <-first:
-			series(9, 4)(w, r)
+			eventStream(9, 4)(w, r)
 		default:
-			series(9, 0)(w, r)
+			eventStream(9, 0)(w, r)
 		}
 	}
-	s := newSite(t, either, either)
-	got := s.call("POST", "stream", "/x", "body")
+	s := newTestInstance(t, handler, handler)
+	got := s.send("POST", "stream", "/x", "body")
 	is.NoErr(got.err)
-	is.Equal(got.body, wholeSeries(9))
-	is.Equal(s.runs(), 2)
+	is.Equal(got.body, wholeStream(9))
+	is.Equal(s.requests(), 2)
 }
 
-// TestASeriesThatCannotGoOnIsSeenAsCut: its caller must not take it for whole.
-func TestASeriesThatCannotGoOnIsSeenAsCut(t *testing.T) {
+// TestUnresumableStreamIsSeenAsCut checks that the caller of a broken stream that cannot
+// be resumed gets an error, so that it does not mistake the stream for a complete one.
+func TestUnresumableStreamIsSeenAsCut(t *testing.T) {
 	is := is.New(t)
-	s := newSite(t, series(9, 4), series(9, 4))
-	got := s.call("POST", "brief", "/x", "body")
+	s := newTestInstance(t, eventStream(9, 4), eventStream(9, 4))
+	got := s.send("POST", "brief", "/x", "body")
 	is.True(got.err != nil)
-	is.Equal(got.body, wholeSeries(3))
-	is.Equal(s.runs(), 1)
+	is.Equal(got.body, wholeStream(3))
+	is.Equal(s.requests(), 1)
 }
 
-// TestEventsOutOfOrderAreNotPassedOn: a gap ends the attempt.
+// TestEventsOutOfOrderAreNotPassedOn checks that a gap in the event numbers fails the
+// attempt.
 func TestEventsOutOfOrderAreNotPassedOn(t *testing.T) {
 	is := is.New(t)
 	gap := func(w http.ResponseWriter, r *http.Request) {
@@ -521,14 +527,14 @@
 		w.Header().Set("Content-Type", "text/event-stream")
 		_, _ = io.WriteString(w, "id: 1\ndata: event 1\n\nid: 3\ndata: event 3\n\n")
 	}
-	got := newSite(t, gap).call("POST", "brief", "/x", "body")
+	got := newTestInstance(t, gap).send("POST", "brief", "/x", "body")
 	is.True(got.err != nil)
-	is.Equal(got.body, wholeSeries(1))
+	is.Equal(got.body, wholeStream(1))
 }
 
-// TestAnEarlyAnswerIsPassedOn: a replica may answer before it has read a long
-// body, and read on later; what comes then must be the rest of that body, or
-// nothing, and never another request.
+// TestAnEarlyAnswerIsPassedOn checks an answer that a replica sends before it has read a
+// long body. If the replica reads on, it must get the remainder of that body or nothing,
+// and never another request on the same connection.
 func TestAnEarlyAnswerIsPassedOn(t *testing.T) {
 	is := is.New(t)
 	const length = 2 << 20
@@ -544,22 +550,23 @@
 		_ = buf.Flush()
 		data, _ := io.ReadAll(io.LimitReader(buf, length))
 		if strings.Trim(string(data), "b") != "" {
-			wrong <- "other bytes stand where the rest of the body is due"
+			wrong <- "received other bytes than the remainder of the body"
 		}
 	}
-	s := newSite(t, early)
+	s := newTestInstance(t, early)
 	for range 3 {
-		got := s.call("POST", "again", "/x", strings.Repeat("b", length))
+		got := s.send("POST", "again", "/x", strings.Repeat("b", length))
 		is.NoErr(got.err)
 		is.Equal(got.body, "early")
 	}
 	is.Equal(len(wrong), 0)
 }
 
-// TestAnAnswerWithoutALengthIsWhole: it ends with its connection.
+// TestAnAnswerWithoutALengthIsWhole checks that an answer without Content-Length, which
+// ends with its connection, is passed on whole.
 func TestAnAnswerWithoutALengthIsWhole(t *testing.T) {
 	is := is.New(t)
-	s := newSite(t, func(w http.ResponseWriter, r *http.Request) {
+	s := newTestInstance(t, func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		conn, buf, err := http.NewResponseController(w).Hijack()
 		if err != nil {
@@ -569,7 +576,7 @@
 		_ = buf.Flush()
 		_ = conn.Close()
 	})
-	got := s.call("POST", "once", "/x", "body")
+	got := s.send("POST", "once", "/x", "body")
 	is.NoErr(got.err)
 	is.Equal(got.body, "unframed")
 }
--- a/internal/server/gone_test.go
+++ b/internal/server/gone_test.go
@@ -15,45 +15,45 @@
 )
 
 const (
-	// goneLimit is how long a replica may go on after its caller has left: the users'
-	// bound.
-	goneLimit = 500 * time.Millisecond
-	// goneSlack is by how much a busy machine may be late.
-	goneSlack = 2 * time.Second
+	// cancelLimit is the longest time for which a replica may keep running a call after
+	// its caller has disconnected, as the users require.
+	cancelLimit = 500 * time.Millisecond
+	// cancelSlack is added for delays on a busy machine.
+	cancelSlack = 2 * time.Second
 )
 
-// TestACallerWhoLeavesFreesItsReplicaInTime tables what a replica may be doing for a
-// caller that leaves: its connection is closed in time, and no other replica is sent the
-// call.
+// TestACallerWhoLeavesFreesItsReplicaInTime checks, for several states of a call at a
+// replica, that the connection to the replica is closed in time after the caller
+// disconnects and that the call is not sent to another replica.
 func TestACallerWhoLeavesFreesItsReplicaInTime(t *testing.T) {
-	// hang keeps a call until its connection is closed.
-	hang := func(begun chan<- struct{}, left chan<- time.Time) http.HandlerFunc {
+	// hang does not answer a call until its connection is closed.
+	hang := func(started chan<- struct{}, canceled chan<- time.Time) http.HandlerFunc {
 		var once sync.Once
 		return func(_ http.ResponseWriter, r *http.Request) {
 			_, _ = io.Copy(io.Discard, r.Body)
-			once.Do(func() { close(begun) })
+			once.Do(func() { close(started) })
 			<-r.Context().Done()
-			left <- time.Now()
+			canceled <- time.Now()
 		}
 	}
-	streams := func(begun chan<- struct{}, left chan<- time.Time) http.HandlerFunc {
+	streams := func(started chan<- struct{}, canceled chan<- time.Time) http.HandlerFunc {
 		return func(w http.ResponseWriter, r *http.Request) {
 			_, _ = io.Copy(io.Discard, r.Body)
 			w.Header().Set(forward.OwnFormat.Signature, "signed")
 			w.Header().Set("Content-Type", forward.OwnFormat.StreamType)
 			_, _ = io.WriteString(w, "id: 1\ndata: event 1\n\n")
 			_ = http.NewResponseController(w).Flush()
-			close(begun)
+			close(started)
 			<-r.Context().Done()
-			left <- time.Now()
+			canceled <- time.Now()
 		}
 	}
-	reads := func(begun chan<- struct{}, left chan<- time.Time) http.HandlerFunc {
+	reads := func(started chan<- struct{}, canceled chan<- time.Time) http.HandlerFunc {
 		return func(_ http.ResponseWriter, r *http.Request) {
 			_, _ = io.CopyN(io.Discard, r.Body, 64<<10)
-			close(begun)
+			close(started)
 			_, _ = io.Copy(io.Discard, r.Body)
-			left <- time.Now()
+			canceled <- time.Now()
 		}
 	}
 	small := func() io.Reader { return strings.NewReader("body") }
@@ -61,38 +61,38 @@
 		name  string
 		host  string
 		body  func() io.Reader
-		first http.HandlerFunc // what the first replica does; nil: the same as the second
-		then  func(begun chan<- struct{}, left chan<- time.Time) http.HandlerFunc
+		first http.HandlerFunc // the first replica's answer; nil if it is as the second's
+		later func(started chan<- struct{}, canceled chan<- time.Time) http.HandlerFunc
 		runs  int
 	}{
 		{"it runs the call", "once", small, nil, hang, 1},
-		{"it runs the call after another failed it", "again", small, status(500), hang, 2},
-		{"it goes on with a stream that broke off", "stream", small, series(9, 4), hang, 2},
+		{"it runs the call after another failed it", "again", small, answerStatus(500), hang, 2},
+		{"it resumes a broken stream", "stream", small, eventStream(9, 4), hang, 2},
 		{"it streams", "stream", small, nil, streams, 1},
-		{"it reads a long body", "once", func() io.Reader { return io.LimitReader(slowly{}, 64<<20) }, nil, reads, 1},
+		{"it reads a long body", "once", func() io.Reader { return io.LimitReader(slowBody{}, 64<<20) }, nil, reads, 1},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			is := is.New(t)
-			begun := make(chan struct{})
-			left := make(chan time.Time, 4)
-			taken := make(chan struct{}, 1)
+			started := make(chan struct{})
+			canceled := make(chan time.Time, 4)
+			firstRequest := make(chan struct{}, 1)
 			if c.first != nil {
-				taken <- struct{}{}
+				firstRequest <- struct{}{}
 			}
-			then := c.then(begun, left)
-			either := func(w http.ResponseWriter, r *http.Request) {
+			later := c.later(started, canceled)
+			handler := func(w http.ResponseWriter, r *http.Request) {
 				select {
-				case <-taken:
+				case <-firstRequest:
 					c.first(w, r)
 				default:
-					then(w, r)
+					later(w, r)
 				}
 			}
-			s := newSite(t, either, either, either)
-			ctx, leave := context.WithCancel(context.Background())
-			defer leave()
+			s := newTestInstance(t, handler, handler, handler)
+			ctx, cancel := context.WithCancel(context.Background())
+			defer cancel()
 			req, err := http.NewRequestWithContext(ctx, "POST", "http://"+s.address+"/x", c.body())
 			is.NoErr(err)
 			req.Host = c.host
@@ -104,27 +104,27 @@
 					_ = resp.Body.Close()
 				}
 			}()
-			within(t, begun)
+			awaitClosed(t, started)
 			time.Sleep(50 * time.Millisecond)
-			gone := time.Now()
-			leave()
+			disconnected := time.Now()
+			cancel()
 			select {
-			case at := <-left:
-				is.True(at.Sub(gone) < goneLimit+goneSlack)
+			case at := <-canceled:
+				is.True(at.Sub(disconnected) < cancelLimit+cancelSlack)
 			case <-time.After(10 * time.Second):
-				t.Fatal("the replica is still at work")
+				t.Fatal("the call at the replica was not canceled")
 			}
-			time.Sleep(2 * goneLimit)
-			is.Equal(s.runs(), c.runs)
+			time.Sleep(2 * cancelLimit)
+			is.Equal(s.requests(), c.runs)
 		})
 	}
 }
 
-// slowly is a body that comes bit by bit.
-type slowly struct{}
+// slowBody is an endless body that arrives slowly in small pieces.
+type slowBody struct{}
 
 // Read implements io.Reader.
-func (slowly) Read(data []byte) (int, error) {
+func (slowBody) Read(data []byte) (int, error) {
 	time.Sleep(time.Millisecond)
 	n := min(len(data), 8<<10)
 	for i := range n {
@@ -133,14 +133,14 @@
 	return n, nil
 }
 
-// TestAReadyInstanceTakesConnections: from its first ready answer on, an instance answers
-// callers, however many come at once.
+// TestAReadyInstanceTakesConnections checks that an instance answers callers from its first
+// ready answer on, even if 300 of them connect at once.
 func TestAReadyInstanceTakesConnections(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	s := newSite(t, ok("good"), ok("good"))
+	s := newTestInstance(t, answerOK("good"), answerOK("good"))
 	_, _, operations := s.server.Addresses()
-	for range 200 { // newSite has waited for it; a ready answer is what the balancer goes by
+	for range 200 { // newTestInstance waited until ready, but the load balancer relies on this answer
 		resp, err := http.Get("http://" + operations + "/readyz")
 		is.NoErr(err)
 		_ = resp.Body.Close()
@@ -152,7 +152,7 @@
 	const callers = 300
 	var wait sync.WaitGroup
 	answered := make(chan int, callers)
-	begun := time.Now()
+	start := time.Now()
 	for range callers {
 		wait.Go(func() {
 			req, err := http.NewRequest("POST", "http://"+s.address+"/x", strings.NewReader("body"))
@@ -175,5 +175,5 @@
 	for status := range answered {
 		is.True(status == http.StatusOK || status == http.StatusServiceUnavailable)
 	}
-	is.True(time.Since(begun) < 10*time.Second)
+	is.True(time.Since(start) < 10*time.Second)
 }
--- a/internal/server/silence_test.go
+++ b/internal/server/silence_test.go
@@ -16,19 +16,19 @@
 	"github.com/birchdrift/birchdrift/internal/upstream/proxytest"
 )
 
-// silenceSlack is by how much a busy machine may be late.
+// silenceSlack is added to time limits for delays on a busy machine.
 const silenceSlack = 3 * time.Second
 
-// silence has the connections to replicas that are open go silent for good.
-func (s *site) silence() {
+// silenceReplicas makes the open connections to replicas go silent permanently.
+func (s *testInstance) silenceReplicas() {
 	for _, r := range s.replicas {
 		r.proxy.Silence()
 	}
 }
 
-// TestCallsOnSilentConnectionsGoElsewhere: a connection to a replica that was kept and has
-// gone silent is given up after the silence that is allowed, and a call that may be
-// repeated is served over another; one that may run only once is never sent on a kept one.
+// TestCallsOnSilentConnectionsGoElsewhere checks that an idle connection which has gone
+// silent is abandoned after the stall setting and a repeatable call is retried over another
+// connection. A call that may run only once is never sent on a reused connection.
 func TestCallsOnSilentConnectionsGoElsewhere(t *testing.T) {
 	const stall = 400 * time.Millisecond
 	for _, c := range []struct {
@@ -38,29 +38,29 @@
 		t.Run(c.host, func(t *testing.T) {
 			t.Parallel()
 			is := is.New(t)
-			s := newSiteOf(t, map[string]string{"stall": stall.String()}, true, ok("good"), ok("good"))
+			s := newTestInstanceWith(t, map[string]string{"stall": stall.String()}, true, answerOK("good"), answerOK("good"))
 			for range 6 {
-				is.Equal(s.call("POST", c.host, "/x", "body").status, 200)
+				is.Equal(s.send("POST", c.host, "/x", "body").status, 200)
 			}
-			s.silence()
-			begun := time.Now()
-			got := s.call("POST", c.host, "/x", "body")
+			s.silenceReplicas()
+			start := time.Now()
+			got := s.send("POST", c.host, "/x", "body")
 			is.Equal(got.status, 200)
 			is.Equal(got.body, "good")
-			is.True(time.Since(begun) < c.limit+silenceSlack)
+			is.True(time.Since(start) < c.limit+silenceSlack)
 		})
 	}
 }
 
-// TestAStreamThatFallsSilentGoesOnElsewhere: the events that are missing come from another
-// replica, each once.
-func TestAStreamThatFallsSilentGoesOnElsewhere(t *testing.T) {
+// TestSilentStreamResumesElsewhere checks that another replica supplies the events that are
+// missing after a stream went silent, each once.
+func TestSilentStreamResumesElsewhere(t *testing.T) {
 	is := is.New(t)
 	const stall = 400 * time.Millisecond
 	silenced := make(chan struct{})
 	first := make(chan struct{}, 1)
 	first <- struct{}{}
-	either := func(w http.ResponseWriter, r *http.Request) {
+	handler := func(w http.ResponseWriter, r *http.Request) {
 		select {
 		case <-first:
 			w.Header().Set(forward.OwnFormat.Signature, "signed")
@@ -72,33 +72,32 @@
 			_ = http.NewResponseController(w).Flush()
 			<-r.Context().Done()
 		default:
-			series(4, 0)(w, r)
+			eventStream(4, 0)(w, r)
 		}
 	}
-	s := newSiteOf(t, map[string]string{"stall": stall.String()}, true, either, either)
+	s := newTestInstanceWith(t, map[string]string{"stall": stall.String()}, true, handler, handler)
 	go func() {
-		for s.runs() == 0 {
+		for s.requests() == 0 {
 			time.Sleep(time.Millisecond)
 		}
 		time.Sleep(100 * time.Millisecond)
-		s.silence()
+		s.silenceReplicas()
 		close(silenced)
 	}()
-	begun := time.Now()
-	got := s.call("POST", "stream", "/x", "body")
+	start := time.Now()
+	got := s.send("POST", "stream", "/x", "body")
 	is.NoErr(got.err)
-	is.Equal(got.body, wholeSeries(4))
-	is.True(time.Since(begun) < stall+silenceSlack)
+	is.Equal(got.body, wholeStream(4))
+	is.True(time.Since(start) < stall+silenceSlack)
 }
 
-// TestAReplicaThatReadsNothingIsLeft: bytes of a request that a replica does not take for
-// some seconds end the attempt, and a call that was not sent whole is no reason to wait
-// until its time is over.
-func TestAReplicaThatReadsNothingIsLeft(t *testing.T) {
+// TestReplicaThatReadsNothingIsAbandoned checks that an attempt ends when a replica does not
+// read the request for some seconds, rather than at the call's timeout.
+func TestReplicaThatReadsNothingIsAbandoned(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	s := newSite(t, func(w http.ResponseWriter, r *http.Request) {
-		// It takes the head, and nothing of the body.
+	s := newTestInstance(t, func(w http.ResponseWriter, r *http.Request) {
+		// Read the headers and nothing of the body.
 		conn, _, err := http.NewResponseController(w).Hijack()
 		if err != nil {
 			return
@@ -108,16 +107,16 @@
 	req, err := http.NewRequest("POST", "http://"+s.address+"/x", strings.NewReader(strings.Repeat("b", 32<<20)))
 	is.NoErr(err)
 	req.Host = "long"
-	begun := time.Now()
+	start := time.Now()
 	resp, err := http.DefaultTransport.RoundTrip(req)
 	is.NoErr(err)
 	defer resp.Body.Close()
-	is.Equal(resp.StatusCode, 502) // it may have run
-	is.True(time.Since(begun) < 4*time.Second+silenceSlack)
+	is.Equal(resp.StatusCode, 502) // the call may have run
+	is.True(time.Since(start) < 4*time.Second+silenceSlack)
 }
 
-// caller opens a connection to the site's callers' listener.
-func (s *site) caller() net.Conn {
+// dial opens a connection to the instance's callers' listener.
+func (s *testInstance) dial() net.Conn {
 	s.t.Helper()
 	conn, err := net.Dial("tcp", s.address)
 	if err != nil {
@@ -127,21 +126,21 @@
 	return conn
 }
 
-// closedWithin reports whether the other end of a connection closes it within a span.
-func closedWithin(conn net.Conn, span time.Duration) bool {
-	_ = conn.SetReadDeadline(time.Now().Add(span))
+// closedWithin reports whether the other end closes the connection within limit.
+func closedWithin(conn net.Conn, limit time.Duration) bool {
+	_ = conn.SetReadDeadline(time.Now().Add(limit))
 	_, err := io.Copy(io.Discard, conn)
 	var timeout net.Error
 	return !(errors.As(err, &timeout) && timeout.Timeout())
 }
 
-// TestSilentCallersAreGivenUp tables where a caller may fall silent, and that its
-// connection is closed within the time that the settings say.
-func TestSilentCallersAreGivenUp(t *testing.T) {
+// TestSilentCallersAreDisconnected checks, for each place in a request where a caller may go
+// silent, that its connection is closed within the time that the settings allow.
+func TestSilentCallersAreDisconnected(t *testing.T) {
 	const limit = 400 * time.Millisecond
 	cases := []struct {
-		name string
-		says string
+		name    string
+		request string
 	}{
 		{"in the head of a request", "POST /x HTTP/1.1\r\nHost: once\r\n"},
 		{"in a small body", "POST /x HTTP/1.1\r\nHost: once\r\nContent-Length: 10\r\n\r\nhalf"},
@@ -153,28 +152,28 @@
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			is := is.New(t)
-			s := newSiteOf(t, map[string]string{"header-time": limit.String(), "idle-time": limit.String()}, false,
+			s := newTestInstanceWith(t, map[string]string{"header-time": limit.String(), "idle-time": limit.String()}, false,
 				func(w http.ResponseWriter, r *http.Request) {
 					if _, err := io.Copy(io.Discard, r.Body); err == nil {
-						ok("good")(w, r)
+						answerOK("good")(w, r)
 					}
 				})
-			conn := s.caller()
-			_, err := io.WriteString(conn, c.says)
+			conn := s.dial()
+			_, err := io.WriteString(conn, c.request)
 			is.NoErr(err)
 			is.True(closedWithin(conn, limit+silenceSlack))
 		})
 	}
 }
 
-// TestASlowCallerIsWaitedFor: one that sends its body bit by bit is not given up, however
-// long it takes in all.
-func TestASlowCallerIsWaitedFor(t *testing.T) {
+// TestSlowCallerIsNotDisconnected checks that a caller which sends its body slowly in small
+// pieces is served, however long the whole body takes.
+func TestSlowCallerIsNotDisconnected(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	const limit = 500 * time.Millisecond
-	s := newSiteOf(t, map[string]string{"header-time": limit.String()}, false, ok("good"))
-	conn := s.caller()
+	s := newTestInstanceWith(t, map[string]string{"header-time": limit.String()}, false, answerOK("good"))
+	conn := s.dial()
 	_, err := io.WriteString(conn, "POST /x HTTP/1.1\r\nHost: once\r\nBirchdrift-Call: c\r\nContent-Length: 10\r\n\r\n")
 	is.NoErr(err)
 	for range 10 {
@@ -187,14 +186,14 @@
 	is.Equal(resp.StatusCode, 200)
 }
 
-// TestACallerThatReadsNothingFreesItsReplica: a stream whose caller takes nothing of it is
-// ended after the time for which sent bytes may wait, and its replica is left.
+// TestACallerThatReadsNothingFreesItsReplica checks that a stream whose caller reads nothing
+// ends after unackedTimeout and the call at its replica is canceled.
 func TestACallerThatReadsNothingFreesItsReplica(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	left := make(chan struct{})
-	s := newSite(t, func(w http.ResponseWriter, r *http.Request) {
-		defer close(left)
+	canceled := make(chan struct{})
+	s := newTestInstance(t, func(w http.ResponseWriter, r *http.Request) {
+		defer close(canceled)
 		w.Header().Set(forward.OwnFormat.Signature, "signed")
 		w.Header().Set("Content-Type", forward.OwnFormat.StreamType)
 		event := "data: " + strings.Repeat("x", 60<<10) + "\n\n"
@@ -214,8 +213,8 @@
 	_, err = io.WriteString(conn, "POST /x HTTP/1.1\r\nHost: long\r\nBirchdrift-Call: c\r\nContent-Length: 0\r\n\r\n")
 	is.NoErr(err)
 	select {
-	case <-left:
-	case <-time.After(acceptedUnacked + 10*time.Second):
-		t.Fatal("the replica is still at work")
+	case <-canceled:
+	case <-time.After(unackedTimeout + 10*time.Second):
+		t.Fatal("the call at the replica was not canceled")
 	}
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -50,20 +50,20 @@
 	is.True(!strings.Contains(s.String(), "hush"))
 }
 
-// TestSettingsThatBreakABoundAreRefused: settings each of which is allowed, and by which
-// together a replica that leaves could get calls for too long.
+// TestSettingsThatBreakABoundAreRefused checks that watch times which are allowed one by one
+// are refused if together they would let a leaving replica get calls for too long.
 func TestSettingsThatBreakABoundAreRefused(t *testing.T) {
 	for _, tt := range []struct {
 		name    string
 		changed map[string]string
-		want    string // of the error; "": there is none
+		want    string // part of the error; "" if there must be none
 	}{
 		{"the defaults", nil, ""},
 		{"a longer bound", map[string]string{"leave-bound": "3s", "watch-wait": "400ms"}, ""},
 		{"watches that wait long", map[string]string{"watch-wait": "1500ms"}, "could get calls for 2.8s, and 2s are allowed"},
 		{"long pauses between watches", map[string]string{"watch-every": "1s"}, "could get calls for 2"},
 		{"a bound that is too short for the waits that were set", map[string]string{"leave-bound": "1s", "watch-wait": "300ms"}, "and 1s are allowed"},
-		{"a bound shorter than a connection takes, which is the platform's", map[string]string{"leave-bound": "400ms"}, ""},
+		{"a bound shorter than connecting takes, which the platform sets", map[string]string{"leave-bound": "400ms"}, ""},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
@@ -82,9 +82,10 @@
 	}
 }
 
-// TestABoundThatCannotBeKeptIsTold: a platform's bound is no fault of the settings, so the instance
-// starts, and says so.
-func TestABoundThatCannotBeKeptIsTold(t *testing.T) {
+// TestBoundThatCannotBeKeptIsReported checks that a leave bound which is too short to be kept
+// is not a fault of the settings, since the platform states it: the instance starts, and
+// CheckLeaveBound returns an error that it logs.
+func TestBoundThatCannotBeKeptIsReported(t *testing.T) {
 	is := is.New(t)
 	for bound, kept := range map[string]bool{"2s": true, "3s": true, "400ms": false} {
 		s, faults := Parse(values(map[string]string{"environment": EnvironmentPlatform, "leave-bound": bound}))
--- a/internal/shell/shell_test.go
+++ b/internal/shell/shell_test.go
@@ -30,8 +30,8 @@
 	"github.com/birchdrift/birchdrift/internal/upstream/proxytest"
 )
 
-// nobody returns an address at which nobody listens.
-func nobody(t *testing.T) string {
+// unusedAddress returns an address at which no process listens.
+func unusedAddress(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -41,17 +41,17 @@
 	return l.Addr().String()
 }
 
-// nowhere is an environment that fails every request.
-func nowhere(h Host) Environment {
+// failingEnvironment returns an environment that fails every request.
+func failingEnvironment(h Host) Environment {
 	return Environment{
 		CarryOut: func(a step.Action) func(ctx context.Context) {
 			switch a.(type) {
 			case kvwatch.Config:
 				return func(context.Context) {
-					h.Post(instance.ConfigReply{Source: instance.PlatformSource, Err: errors.New("nobody there")})
+					h.Post(instance.ConfigReply{Source: instance.PlatformSource, Err: errors.New("no platform")})
 				}
 			case kvwatch.List:
-				return func(context.Context) { h.Post(listing.Reply{Err: errors.New("nobody there")}) }
+				return func(context.Context) { h.Post(listing.Reply{Err: errors.New("no platform")}) }
 			}
 			return nil
 		},
@@ -59,9 +59,9 @@
 	}
 }
 
-// running returns a shell under way whose platform is down and whose only
-// peer is at seed.
-func running(t *testing.T, seed string) *Shell {
+// startShell returns a running shell whose platform is down and whose only peer is at
+// seed.
+func startShell(t *testing.T, seed string) *Shell {
 	t.Helper()
 	opt := option.Default()
 	opt.ExchangeEvery = 20 * time.Millisecond
@@ -69,7 +69,7 @@
 	transports := upstream.NewTransports()
 	peers := peer.NewClient(&http.Client{Transport: transports.Reused}, "")
 	ctx, cancel := context.WithCancel(context.Background())
-	s := New(ctx, self, instance.New(self, opt, 1), nowhere, peers, logr.Discard(), telemetry.NewMetrics())
+	s := New(ctx, self, instance.New(self, opt, 1), failingEnvironment, peers, logr.Discard(), telemetry.NewMetrics())
 	ended := make(chan error, 1)
 	go func() { ended <- s.Run() }()
 	t.Cleanup(func() {
@@ -82,10 +82,10 @@
 	return s
 }
 
-// TestQuestionsDoNotPutOffTicks: a state page that is polled without pause must
-// not keep the machine from its periodic work. Each question once reset the
-// timer, and no tick came for as long as the questions did.
-func TestQuestionsDoNotPutOffTicks(t *testing.T) {
+// TestStatusRequestsDoNotDelayTicks guards against a fault in which each status request
+// reset the timer, so that no tick came and the machine did no periodic work while the
+// status page was polled without pause.
+func TestStatusRequestsDoNotDelayTicks(t *testing.T) {
 	is := is.New(t)
 	var exchanges atomic.Int64
 	other := httptest.NewServer(peer.Server{Take: func(_ context.Context, msg gossip.Message) (gossip.Message, error) {
@@ -93,24 +93,24 @@
 		return gossip.Message{}, nil
 	}}.Handler(""))
 	defer other.Close()
-	s := running(t, other.Listener.Addr().String())
+	s := startShell(t, other.Listener.Addr().String())
 	deadline := time.Now().Add(10 * time.Second)
 	for exchanges.Load() < 10 {
 		if time.Now().After(deadline) {
-			t.Fatalf("%d exchanges in 10 s of questions", exchanges.Load())
+			t.Fatalf("%d exchanges in 10 s of status requests", exchanges.Load())
 		}
 		_, err := s.Status(context.Background())
 		is.NoErr(err)
 	}
 }
 
-// TestCallWithoutConfigurationIsRefused through the whole of Begin and Finish,
-// and nothing is left running afterwards.
+// TestCallWithoutConfigurationIsRefused checks that a call is refused with no_configuration
+// through Begin and a Finish action, and that no goroutine is left running afterwards.
 func TestCallWithoutConfigurationIsRefused(t *testing.T) {
 	defer goleak.VerifyNone(t, goleak.IgnoreCurrent())
 	t.Run("call", func(t *testing.T) {
 		is := is.New(t)
-		s := running(t, nobody(t))
+		s := startShell(t, unusedAddress(t))
 		call := s.Begin(calls.Request{ID: 1, Service: "x"})
 		finish, ok := (<-call.Actions).(calls.Finish)
 		is.True(ok)
@@ -121,12 +121,12 @@
 	})
 }
 
-// TestSleepIsCounted: the steady reading goes on with the time since the machine started,
-// whatever Go's own clock says, and falls back on that where there is no such clock.
+// TestSleepIsCounted checks that the monotonic clock follows the time since boot, whatever
+// Go's own clock says, and falls back to Go's clock if the system has no such clock.
 func TestSleepIsCounted(t *testing.T) {
 	is := is.New(t)
 	c := newClocks()
-	is.True(c.counting())
+	is.True(c.countsSleep())
 	before := c.now()
 	time.Sleep(20 * time.Millisecond)
 	after := c.now()
@@ -135,18 +135,18 @@
 
 	booted, err := sinceBoot()
 	is.NoErr(err)
-	slept := &clocks{start: time.Now(), booted: booted, boot: func() (time.Duration, error) { return booted + time.Hour, nil }}
-	is.Equal(slept.now().Mono, time.Hour+firstReading)
+	slept := &clocks{start: time.Now(), bootOffset: booted, readSinceBoot: func() (time.Duration, error) { return booted + time.Hour, nil }}
+	is.Equal(slept.now().Mono, time.Hour+initialMono)
 
 	without := &clocks{start: time.Now()}
-	is.True(!without.counting())
-	is.True(without.now().Mono >= firstReading)
+	is.True(!without.countsSleep())
+	is.True(without.now().Mono >= initialMono)
 	is.True(without.now().Mono < time.Minute)
 }
 
-// TestWallReadingHasNoMonotonicPart: with Go's own monotonic reading left in,
-// the two clocks of an Instant could never differ, and a suspended machine
-// would go on believing in its lease.
+// TestWallReadingHasNoMonotonicPart guards against leaving Go's monotonic reading in the
+// wall time: the two clocks of an Instant could then never differ, and an instance would
+// still consider its lease valid after its computer was suspended.
 func TestWallReadingHasNoMonotonicPart(t *testing.T) {
 	is := is.New(t)
 	s := &Shell{clocks: newClocks()}
@@ -156,8 +156,8 @@
 	is.Equal(later.MaxElapsed(now), time.Hour)
 }
 
-// TestSilentConnectionsToPeers: an exchange on a connection that went silent fails within
-// its limit, and a later one goes over another.
+// TestSilentConnectionsToPeers checks that an exchange on a connection that went silent
+// fails within its timeout and that a later one uses another connection.
 func TestSilentConnectionsToPeers(t *testing.T) {
 	is := is.New(t)
 	var exchanges atomic.Int64
@@ -167,7 +167,7 @@
 	}}.Handler(""))
 	defer other.Close()
 	proxy := proxytest.New(t, other.Listener.Addr().String())
-	running(t, proxy.Address())
+	startShell(t, proxy.Address())
 	await := func(n int64) {
 		t.Helper()
 		deadline := time.Now().Add(exchangeTimeout + 5*time.Second)
--- a/internal/telemetry/writer_test.go
+++ b/internal/telemetry/writer_test.go
@@ -9,24 +9,24 @@
 	"github.com/matryer/is"
 )
 
-// A stuckWriter blocks until it is let go.
-type stuckWriter struct {
+// A blockedWriter blocks writes while its mutex is locked.
+type blockedWriter struct {
 	mu  sync.Mutex
 	buf bytes.Buffer
 }
 
 // Write implements io.Writer.
-func (w *stuckWriter) Write(data []byte) (int, error) {
+func (w *blockedWriter) Write(data []byte) (int, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.buf.Write(data)
 }
 
-// TestLogsNeverBlock: with an output that takes nothing, every line is either
-// kept or counted as dropped, and whoever logs goes on.
+// TestLogsNeverBlock checks that logging does not block while the output does, and that
+// every line is either written or counted as dropped.
 func TestLogsNeverBlock(t *testing.T) {
 	is := is.New(t)
-	out := &stuckWriter{}
+	out := &blockedWriter{}
 	dropped := 0
 	w := NewLogWriter(out, func(n int) { dropped += n })
 	out.mu.Lock()
@@ -39,6 +39,6 @@
 	w.Close()
 	kept := strings.Count(out.buf.String(), "\n")
 	is.Equal(kept+dropped, lines)
-	is.True(dropped > 0)         // bounded
-	is.True(kept >= 2*maxPerSec) // a burst is kept
+	is.True(dropped > 0)                 // the buffer is bounded
+	is.True(kept >= 2*maxLinesPerSecond) // a burst is kept
 }
--- a/internal/upstream/unread_test.go
+++ b/internal/upstream/unread_test.go
@@ -11,16 +11,16 @@
 	"github.com/matryer/is"
 )
 
-// TestUnreadHeadersAreReportedOnce: a name that nothing reads is reported once, without
-// its value, however it is spelt and however often it comes; standard and known ones are
-// not.
+// TestUnreadHeadersAreReportedOnce checks that an unread header is reported once, without its
+// value, whatever its case and on whichever transport, and that standard and known headers
+// are not reported.
 func TestUnreadHeadersAreReportedOnce(t *testing.T) {
 	is := is.New(t)
 	var reported []string
 	counted := 0
 	u := NewUnreadHeaderDetector(func(name string) { reported = append(reported, name) }, func() { counted++ })
 	u.AddKnown([]string{"server-stamp", ""})
-	address := serveHeads(t, "Date: x\r\nserver-stamp: 1\r\nsome-word: secret\r\n")
+	address := serveHeaders(t, "Date: x\r\nserver-stamp: 1\r\nsome-word: secret\r\n")
 	transports := u.Wrap(NewTransports())
 	for _, transport := range []http.RoundTripper{transports.Reused, transports.Fresh, transports.Abrupt, transports.For(false)} {
 		req, err := http.NewRequest(http.MethodGet, "http://"+address+"/", nil)
@@ -33,27 +33,28 @@
 	is.Equal(counted, 4)
 }
 
-// TestUnreadHeadersAreBounded: names that differ from answer to answer, or are long, fill
-// neither the log nor memory.
+// TestUnreadHeadersAreBounded checks that the number and the length of reported names are
+// bounded, so that they fill neither the log nor memory.
 func TestUnreadHeadersAreBounded(t *testing.T) {
 	is := is.New(t)
 	var reported []string
 	counted := 0
 	u := NewUnreadHeaderDetector(func(name string) { reported = append(reported, name) }, func() { counted++ })
 	u.Inspect(http.Header{strings.Repeat("N", 5000): {"v"}})
-	is.Equal(reported, []string{strings.Repeat("N", unreadLength)})
-	for i := range 10 * unreadNames {
+	is.Equal(reported, []string{strings.Repeat("N", maxUnreadNameLength)})
+	for i := range 10 * maxUnreadNames {
 		u.Inspect(http.Header{fmt.Sprintf("Name-%d", i): {"v"}})
 	}
-	is.Equal(len(reported), unreadNames)
-	is.Equal(len(u.reported), unreadNames)
-	is.Equal(counted, 10*unreadNames+1)
+	is.Equal(len(reported), maxUnreadNames)
+	is.Equal(len(u.reported), maxUnreadNames)
+	is.Equal(counted, 10*maxUnreadNames+1)
 	u.Inspect(http.Header{"Date": {"v"}, "Server-Timing": {"v"}})
-	is.Equal(counted, 10*unreadNames+1)
+	is.Equal(counted, 10*maxUnreadNames+1)
 }
 
-// serveHeads answers every request with these header lines.
-func serveHeads(t *testing.T, lines string) string {
+// serveHeaders starts a server that answers every request with the given header lines and
+// returns its address.
+func serveHeaders(t *testing.T, lines string) string {
 	t.Helper()
 	return serve(t, func(c *net.TCPConn) {
 		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\n"+lines+"Content-Length: 0\r\nConnection: close\r\n\r\n")
