--- a/internal/entry/forward.go
+++ b/internal/entry/forward.go
@@ -25,43 +25,43 @@
 	"github.com/birchdrift/birchdrift/internal/upstream"
 )
 
-// smallAnswer is the largest answer, in bytes, that is read whole before any of it is
-// passed on, so that one that breaks off can still be asked for elsewhere.
-const smallAnswer = 256 << 10
+// maxBufferedAnswer is the largest answer, in bytes, that is read whole before any of it
+// is passed on, so that a call whose answer is truncated can still be retried elsewhere.
+const maxBufferedAnswer = 256 << 10
 
-// errSeries says that a series of events has a gap or goes back.
-var errSeries = errors.New("the numbers of the events do not follow each other")
+// errEventOrder is returned for an event stream whose event numbers have a gap or repeat.
+var errEventOrder = errors.New("the numbers of the events do not follow each other")
 
-// forward serves a forwarded call.
-func (h *Handler) forward(w http.ResponseWriter, r *http.Request) {
-	begun := time.Now()
+// serveForwarded handles a forwarded call until it has its final answer.
+func (h *Handler) serveForwarded(w http.ResponseWriter, r *http.Request) {
+	start := time.Now()
 	ctx, span := h.Tracer.Start(h.Tracer.Extract(r.Context(), r.Header), "entry")
 	defer span.End()
-	f := &forwardCall{handler: h, w: w, r: r, begun: begun}
+	f := &forwardCall{handler: h, w: w, r: r, start: start}
 	req, err := h.Wire.ReadRequest(r.Header)
 	if err == nil {
 		f.body, err = ReadBody(r)
 	}
 	if err != nil {
-		f.refuse(code.Refusal{Code: badBody(err), Run: code.NotRun, Detail: err.Error()})
+		f.refuse(code.Refusal{Code: readErrorCode(err), Run: code.NotRun, Detail: err.Error()})
 		return
 	}
-	f.call = forwardedCall(h.NextID(), r, req, f.body)
+	f.call = newCallRequest(h.NextID(), r, req, f.body)
 	f.lastEvent = req.LastEvent
 	span.SetAttributes(attribute.String("call", req.CallID))
 	f.run(ctx, h.Shell.Begin(f.call))
 }
 
-// badBody returns the code of a call that could not be read.
-func badBody(err error) code.Code {
-	if fellSilent(err) {
+// readErrorCode returns the code of a call whose headers or body could not be read.
+func readErrorCode(err error) code.Code {
+	if readTimedOut(err) {
 		return code.CallerSilent
 	}
 	return code.BadRequest
 }
 
-// forwardedCall words a request for the machine.
-func forwardedCall(id calls.ID, r *http.Request, req forward.Request, body *Body) calls.Request {
+// newCallRequest converts an HTTP request to the state machine's form.
+func newCallRequest(id calls.ID, r *http.Request, req forward.Request, body *Body) calls.Request {
 	parts := make([]route.PromptPart, 0, len(req.Parts))
 	for _, p := range req.Parts {
 		parts = append(parts, route.PromptPart(p))
@@ -94,17 +94,17 @@
 	r       *http.Request
 	body    *Body
 	call    calls.Request
-	begun   time.Time
+	start   time.Time
 
-	opened    bool          // the head of the answer was written
-	lastEvent int           // number of the last event that the caller has
-	pause     time.Duration // longest between two events
-	own       *ownAnswer
+	headWritten  bool          // status and headers of the answer were written
+	lastEvent    int           // number of the last event that the caller has
+	longestPause time.Duration // longest time between two events
+	failed       *failedAnswer
 }
 
-// An ownAnswer is a replica's own failing answer, kept until the machine says
-// what becomes of the call.
-type ownAnswer struct {
+// A failedAnswer is a replica's own answer with an error status, kept until the machine
+// decides whether the call is retried or the answer is relayed.
+type failedAnswer struct {
 	status int
 	header http.Header
 	body   []byte
@@ -116,25 +116,25 @@
 		Waited:  func() { queue.End() },
 		Attempt: func(d calls.Dispatch) bool { return f.attempt(ctx, s, d) },
 		Finish:  f.finish,
-		Relay:   f.relay,
-		Gone:    func() { f.gone(s) },
+		Relay:   f.relayFailedAnswer,
+		Gone:    func() { f.callerGone(s) },
 	})
 }
 
-// finish gives the caller the machine's final answer. An answer that was begun
-// must be seen as cut, which a normal return would prevent.
+// finish ends the call with the machine's refusal. If an answer has already begun it
+// aborts the connection, since a normal return would make the answer look complete.
 func (f *forwardCall) finish(r code.Refusal) {
-	if f.opened {
-		f.handler.Metrics.ObserveAnswer(int(r.Code), time.Since(f.begun))
+	if f.headWritten {
+		f.handler.Metrics.ObserveAnswer(int(r.Code), time.Since(f.start))
 		panic(http.ErrAbortHandler)
 	}
 	f.refuse(r)
 }
 
-// refuse writes a final answer that is not a replica's. A status that promises
-// that the call did not run is given only where that is certain.
+// refuse writes a final answer that is not a replica's. It uses a status which promises
+// that the call did not run (503) only if that is certain.
 func (f *forwardCall) refuse(r code.Refusal) {
-	f.handler.Metrics.ObserveAnswer(int(r.Code), time.Since(f.begun))
+	f.handler.Metrics.ObserveAnswer(int(r.Code), time.Since(f.start))
 	status := code.Lookup(r.Code).HTTP
 	if r.Run != code.NotRun && status == http.StatusServiceUnavailable {
 		status = http.StatusBadGateway
@@ -150,35 +150,36 @@
 	WriteJSON(f.w, status, NewErrorBody(r))
 }
 
-// closeIfStopping asks the caller to open its next connection elsewhere.
+// closeIfStopping asks the caller to close this connection if the instance is stopping,
+// so that it opens its next one to another instance.
 func (f *forwardCall) closeIfStopping() {
 	if f.handler.Shell.Stopping() {
 		f.w.Header().Set("Connection", "close")
 	}
 }
 
-// relay passes on the replica's own failing answer.
-func (f *forwardCall) relay() {
-	f.handler.Metrics.ObserveAnswer(int(code.UpstreamRefused), time.Since(f.begun))
-	f.head(f.own.header, f.own.status)
-	_, _ = f.w.Write(f.own.body) // a caller that is gone needs no answer
+// relayFailedAnswer passes on the replica's own failed answer.
+func (f *forwardCall) relayFailedAnswer() {
+	f.handler.Metrics.ObserveAnswer(int(code.UpstreamRefused), time.Since(f.start))
+	f.writeHead(f.failed.header, f.failed.status)
+	_, _ = f.w.Write(f.failed.body) // a caller that has disconnected needs no answer
 }
 
-func (f *forwardCall) gone(s shell.Session) {
+func (f *forwardCall) callerGone(s shell.Session) {
 	s.CallerGone()
-	f.handler.Metrics.ObserveAnswer(int(code.CallerGone), time.Since(f.begun))
-	if f.opened {
+	f.handler.Metrics.ObserveAnswer(int(code.CallerGone), time.Since(f.start))
+	if f.headWritten {
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// attempt carries out one Dispatch and reports whether the call is over.
+// attempt carries out one Dispatch and reports whether the call has ended.
 func (f *forwardCall) attempt(ctx context.Context, s shell.Session, d calls.Dispatch) bool {
 	if d.Attempt == 1 {
-		f.handler.Metrics.ObserveQueueTime(time.Since(f.begun))
+		f.handler.Metrics.ObserveQueueTime(time.Since(f.start))
 	}
 	name := "attempt"
-	if f.opened {
+	if f.headWritten {
 		name = "resume"
 	}
 	ctx, span := f.handler.Tracer.Start(ctx, name, oteltrace.WithSpanKind(oteltrace.SpanKindClient))
@@ -187,30 +188,31 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	s.SetInterrupt(cancel)
-	watch := NewWatchdog(d.Stall, cancel)
-	defer watch.Stop()
-	f.own = nil
+	watchdog := NewWatchdog(d.Stall, cancel)
+	defer watchdog.Stop()
+	f.failed = nil
 	var progress upstream.Progress
 	sent := f.handler.Shell.Now()
-	resp, err := f.handler.Service.RoundTrip(ctx, f.outgoing(d, watch), &progress)
+	resp, err := f.handler.Service.RoundTrip(ctx, f.outgoingCall(d, watchdog), &progress)
 	if err != nil {
-		return f.broke(s, d, &progress, watch, failureOf(err, 0))
+		return f.attemptFailed(s, d, &progress, watchdog, newAttemptFailed(err, 0))
 	}
 	defer resp.Body.Close()
-	f.heard(d, sent, resp)
-	return f.answer(s, d, resp, &progress, watch)
+	f.postNotice(d, sent, resp)
+	return f.answer(s, d, resp, &progress, watchdog)
 }
 
-// heard passes on what a replica said of itself in its answer, if anything, or if that it
-// says nothing is news. It counts whatever becomes of the call.
-func (f *forwardCall) heard(d calls.Dispatch, sent clock.Instant, resp *http.Response) {
+// postNotice passes to the machine what a replica reported about itself in the headers of
+// its answer. An empty notice is passed on only if the replica had a rate limit, which
+// then may have ended. The notice counts whatever the outcome of the call.
+func (f *forwardCall) postNotice(d calls.Dispatch, sent clock.Instant, resp *http.Response) {
 	if n := f.handler.Wire.ReadNotice(resp); d.Limited || !n.IsZero() {
 		f.handler.Shell.HandleNotice(notice.Received{Replica: d.Replica, Sent: sent, Notice: n})
 	}
 }
 
-// outgoing words the call for the replica.
-func (f *forwardCall) outgoing(d calls.Dispatch, watch *Watchdog) service.Call {
+// outgoingCall returns the call to send to the replica.
+func (f *forwardCall) outgoingCall(d calls.Dispatch, watchdog *Watchdog) service.Call {
 	header := service.EndToEndHeaders(f.r.Header)
 	f.handler.Wire.SetHeaders(header, forward.AttemptHeaders{
 		Expect:    d.Replica,
@@ -225,15 +227,15 @@
 		Method:     f.r.Method,
 		Target:     f.r.RequestURI,
 		Header:     header,
-		Body:       f.body.NewReader(watch),
+		Body:       f.body.NewReader(watchdog),
 		Length:     f.r.ContentLength,
 		Repeatable: d.Repeatable,
 	}
 }
 
-// failureOf words an error of the connection to a replica; status is that of its
-// answer, 0 if none came.
-func failureOf(err error, status int) calls.AttemptFailed {
+// newAttemptFailed converts an error of the connection to a replica; status is that of
+// the answer, or 0 if none came.
+func newAttemptFailed(err error, status int) calls.AttemptFailed {
 	return calls.AttemptFailed{
 		Status:      status,
 		Severed:     upstream.Severed(err) || errors.Is(err, forward.ErrPartialEvent),
@@ -242,172 +244,174 @@
 	}
 }
 
-// broke tells the machine how an attempt ended and reports whether the call is
-// over, which it only is when the caller is gone.
-func (f *forwardCall) broke(s shell.Session, d calls.Dispatch, progress *upstream.Progress, watch *Watchdog, b calls.AttemptFailed) bool {
+// attemptFailed tells the machine how an attempt failed and reports whether the call has
+// ended, which is so only if the caller has disconnected.
+func (f *forwardCall) attemptFailed(s shell.Session, d calls.Dispatch, progress *upstream.Progress, watchdog *Watchdog, failure calls.AttemptFailed) bool {
 	if f.r.Context().Err() != nil {
-		f.gone(s)
+		f.callerGone(s)
 		return true
 	}
-	b.Attempt = d.Attempt
-	b.Phase = progress.Phase()
-	b.Stalled = watch.Fired()
-	b.BodyConsumed = f.body.Consumed()
-	if f.opened {
-		b.Delivered = max(1, f.lastEvent)
+	failure.Attempt = d.Attempt
+	failure.Phase = progress.Phase()
+	failure.Stalled = watchdog.Fired()
+	failure.BodyConsumed = f.body.Consumed()
+	if f.headWritten {
+		failure.Delivered = max(1, f.lastEvent)
 	}
-	s.AttemptFailed(b)
+	s.AttemptFailed(failure)
 	return false
 }
 
-// answer deals with the head of a replica's answer.
-func (f *forwardCall) answer(s shell.Session, d calls.Dispatch, resp *http.Response, progress *upstream.Progress, watch *Watchdog) bool {
+// answer handles status and headers of a replica's answer and then passes the answer on
+// or reports the attempt as failed. It reports whether the call has ended.
+func (f *forwardCall) answer(s shell.Session, d calls.Dispatch, resp *http.Response, progress *upstream.Progress, watchdog *Watchdog) bool {
 	reply := f.handler.Wire.ReadReply(resp, f.call.Forward.Name)
-	b := calls.AttemptFailed{Status: resp.StatusCode, Misdirected: reply.Misdirected, Incarnation: reply.Incarnation}
+	failure := calls.AttemptFailed{Status: resp.StatusCode, Misdirected: reply.Misdirected, Incarnation: reply.Incarnation}
 	switch {
 	case reply.Mismatched:
-		b.Detail = "the answer to another call came"
+		failure.Detail = "the answer to another call came"
 	case reply.NotRun:
 		progress.Advance(attempt.Refused)
-		b.Detail = fmt.Sprintf("the replica did not run it: status %d", resp.StatusCode)
+		failure.Detail = fmt.Sprintf("the replica did not run it: status %d", resp.StatusCode)
 	case reply.Invalid:
 		progress.Advance(attempt.Answered)
-		b.Detail = "the answer is not the replica's own"
+		failure.Detail = "the answer is not the replica's own"
 	case resp.StatusCode >= http.StatusInternalServerError:
 		progress.Advance(attempt.Answered)
-		f.keep(resp)
-		b.Relayable = f.own != nil
-		b.Detail = fmt.Sprintf("the replica failed: status %d", resp.StatusCode)
+		f.keepFailedAnswer(resp)
+		failure.Relayable = f.failed != nil
+		failure.Detail = fmt.Sprintf("the replica failed: status %d", resp.StatusCode)
 	case d.Forward.Stream && reply.Stream:
 		progress.Advance(attempt.Answered)
-		return f.series(s, d, resp, progress, watch)
+		return f.relayStream(s, d, resp, progress, watchdog)
 	default:
 		progress.Advance(attempt.Answered)
-		return f.whole(s, d, resp, progress, watch)
+		return f.relayWhole(s, d, resp, progress, watchdog)
 	}
-	return f.broke(s, d, progress, watch, b)
+	return f.attemptFailed(s, d, progress, watchdog, failure)
 }
 
-// keep reads a failing answer whole, if it is small and comes whole.
-func (f *forwardCall) keep(resp *http.Response) {
-	data, err := io.ReadAll(io.LimitReader(resp.Body, smallAnswer+1))
-	if err != nil || len(data) > smallAnswer {
+// keepFailedAnswer keeps a failed answer for relaying if it is complete and no larger
+// than maxBufferedAnswer.
+func (f *forwardCall) keepFailedAnswer(resp *http.Response) {
+	data, err := io.ReadAll(io.LimitReader(resp.Body, maxBufferedAnswer+1))
+	if err != nil || len(data) > maxBufferedAnswer {
 		return
 	}
-	f.own = &ownAnswer{status: resp.StatusCode, header: resp.Header, body: data}
+	f.failed = &failedAnswer{status: resp.StatusCode, header: resp.Header, body: data}
 }
 
-// head writes the head of an answer.
-func (f *forwardCall) head(header http.Header, status int) {
+// writeHead writes the status and the end-to-end headers of an answer.
+func (f *forwardCall) writeHead(header http.Header, status int) {
 	out := f.w.Header()
 	for name, values := range service.EndToEndHeaders(header) {
 		out[name] = values
 	}
 	f.closeIfStopping()
 	f.w.WriteHeader(status)
-	f.opened = true
+	f.headWritten = true
 }
 
-// whole passes on an answer that is not a series: small ones only once they
-// are here whole.
-func (f *forwardCall) whole(s shell.Session, d calls.Dispatch, resp *http.Response, progress *upstream.Progress, watch *Watchdog) bool {
-	data, err := io.ReadAll(io.LimitReader(resp.Body, smallAnswer))
+// relayWhole passes on an answer that is not an event stream. A small answer is read
+// whole first.
+func (f *forwardCall) relayWhole(s shell.Session, d calls.Dispatch, resp *http.Response, progress *upstream.Progress, watchdog *Watchdog) bool {
+	data, err := io.ReadAll(io.LimitReader(resp.Body, maxBufferedAnswer))
 	if err != nil {
-		return f.broke(s, d, progress, watch, failureOf(err, resp.StatusCode))
+		return f.attemptFailed(s, d, progress, watchdog, newAttemptFailed(err, resp.StatusCode))
 	}
 	s.AnswerBegan()
-	if len(data) < smallAnswer && resp.ContentLength < 0 {
+	if len(data) < maxBufferedAnswer && resp.ContentLength < 0 {
 		f.w.Header().Set("Content-Length", strconv.Itoa(len(data)))
 	}
-	f.head(resp.Header, resp.StatusCode)
+	f.writeHead(resp.Header, resp.StatusCode)
 	if _, err := f.w.Write(data); err != nil {
-		f.gone(s)
+		f.callerGone(s)
 		return true
 	}
-	if len(data) < smallAnswer {
-		return f.done(s)
+	if len(data) < maxBufferedAnswer {
+		return f.completed(s)
 	}
-	return f.rest(s, d, resp, progress, watch)
+	return f.relayRemainder(s, d, resp, progress, watchdog)
 }
 
-// rest passes on what follows the part of a large answer that was kept.
-func (f *forwardCall) rest(s shell.Session, d calls.Dispatch, resp *http.Response, progress *upstream.Progress, watch *Watchdog) bool {
-	_, err := io.Copy(f.w, watchedReader{resp.Body, watch})
+// relayRemainder passes on the part of a large answer after the buffered beginning.
+func (f *forwardCall) relayRemainder(s shell.Session, d calls.Dispatch, resp *http.Response, progress *upstream.Progress, watchdog *Watchdog) bool {
+	_, err := io.Copy(f.w, watchedReader{resp.Body, watchdog})
 	if err == nil {
-		return f.done(s)
+		return f.completed(s)
 	}
-	f.broke(s, d, progress, watch, failureOf(err, resp.StatusCode))
-	f.handler.Metrics.ObserveAnswer(int(code.StreamCut), time.Since(f.begun))
+	f.attemptFailed(s, d, progress, watchdog, newAttemptFailed(err, resp.StatusCode))
+	f.handler.Metrics.ObserveAnswer(int(code.StreamCut), time.Since(f.start))
 	panic(http.ErrAbortHandler)
 }
 
-func (f *forwardCall) done(s shell.Session) bool {
-	s.Completed(f.pause)
-	f.handler.Metrics.ObserveAnswer(int(code.OK), time.Since(f.begun))
+func (f *forwardCall) completed(s shell.Session) bool {
+	s.Completed(f.longestPause)
+	f.handler.Metrics.ObserveAnswer(int(code.OK), time.Since(f.start))
 	return true
 }
 
-// series passes on a series of events, each as it comes and only whole, so that
-// another replica can go on behind the last one.
-func (f *forwardCall) series(s shell.Session, d calls.Dispatch, resp *http.Response, progress *upstream.Progress, watch *Watchdog) bool {
+// relayStream passes on an event stream. It writes each event as it arrives and only whole
+// events, so that another replica can resume after the last one.
+func (f *forwardCall) relayStream(s shell.Session, d calls.Dispatch, resp *http.Response, progress *upstream.Progress, watchdog *Watchdog) bool {
 	events := forward.NewEventReader(resp.Body)
 	flush := http.NewResponseController(f.w)
 	first := true
-	var last time.Time // when the event before came
+	var last time.Time // when the previous event arrived
 	for {
 		event, number, err := events.Next()
 		if errors.Is(err, io.EOF) {
 			if first {
-				f.open(resp)
+				f.writeStreamHead(resp)
 			}
-			return f.done(s)
+			return f.completed(s)
 		}
 		if err == nil && number != 0 && number != f.lastEvent+1 {
-			err = errSeries
+			err = errEventOrder
 		}
 		if err != nil {
-			return f.broke(s, d, progress, watch, failureOf(err, resp.StatusCode))
+			return f.attemptFailed(s, d, progress, watchdog, newAttemptFailed(err, resp.StatusCode))
 		}
-		watch.Reset()
+		watchdog.Reset()
 		now := time.Now()
 		if !first {
-			f.pause = max(f.pause, now.Sub(last))
+			f.longestPause = max(f.longestPause, now.Sub(last))
 		}
 		last = now
 		if first {
 			first = false
 			s.AnswerBegan()
-			f.handler.Metrics.ObserveFirstToken(time.Since(f.begun))
-			f.open(resp)
+			f.handler.Metrics.ObserveFirstToken(time.Since(f.start))
+			f.writeStreamHead(resp)
 		}
 		if _, err := f.w.Write(event); err != nil {
-			f.gone(s)
+			f.callerGone(s)
 			return true
 		}
-		_ = flush.Flush() // a caller that is gone shows at the next write
+		_ = flush.Flush() // if the caller has disconnected, the next write fails
 		f.lastEvent = max(number, f.lastEvent)
 	}
 }
 
-// open writes the head of a series, once: a series that goes on at another
-// replica keeps the head of the first.
-func (f *forwardCall) open(resp *http.Response) {
-	if !f.opened {
-		f.head(resp.Header, resp.StatusCode)
+// writeStreamHead writes status and headers of an event stream once. A stream that resumes
+// at another replica keeps those of the first.
+func (f *forwardCall) writeStreamHead(resp *http.Response) {
+	if !f.headWritten {
+		f.writeHead(resp.Header, resp.StatusCode)
 	}
 }
 
-// A watchedReader puts the watchdog off with every part that comes.
+// A watchedReader resets the watchdog whenever bytes arrive.
 type watchedReader struct {
 	io.Reader
-	watch *Watchdog
+	watchdog *Watchdog
 }
 
 // Read implements io.Reader.
 func (w watchedReader) Read(data []byte) (int, error) {
 	n, err := w.Reader.Read(data)
 	if n > 0 {
-		w.watch.Reset()
+		w.watchdog.Reset()
 	}
 	return n, err
 }
--- a/internal/environment/driver.go
+++ b/internal/environment/driver.go
@@ -24,7 +24,7 @@
 	"github.com/birchdrift/birchdrift/internal/shell"
 )
 
-// A driver carries out the machine's actions through a platform's store and
+// A driver carries out the state machine's actions through a platform's store and
 // engines.
 type driver struct {
 	store   Store
@@ -32,7 +32,7 @@
 	host    shell.Host
 }
 
-// NewFactory returns what joins a shell to a platform with this store and these engines.
+// NewFactory returns a factory of environments that use this store and these engines.
 func NewFactory(store Store, engines Engines) shell.EnvironmentFactory {
 	return func(h shell.Host) shell.Environment {
 		d := &driver{store: store, engines: engines, host: h}
@@ -40,17 +40,17 @@
 	}
 }
 
-// decode reads a configuration as instances hand it to each other.
+// decode reads a configuration in the compressed form that instances exchange.
 func (d *driver) decode(data []byte) (config.Document, error) {
-	stored, err := unpack(data)
+	stored, err := decompress(data)
 	if err != nil {
 		return config.Document{}, err
 	}
 	return d.store.Decode(stored)
 }
 
-// carryOut returns the work that carries an action out, nil for an action that is
-// not this environment's.
+// carryOut returns the function that carries out an action, or nil if the action does
+// not concern the environment.
 func (d *driver) carryOut(a step.Action) func(ctx context.Context) {
 	switch act := a.(type) {
 	case watch.SendRequest:
@@ -58,30 +58,30 @@
 	case ownership.Enrol:
 		return func(ctx context.Context) { d.enrol(ctx, act) }
 	case ownership.RenewLease:
-		return func(ctx context.Context) { d.keepEnrolled(ctx, act) }
+		return func(ctx context.Context) { d.renewLease(ctx, act) }
 	case ownership.Resign:
 		return func(ctx context.Context) { d.resign(ctx, act) }
 	case ownership.Write:
 		return func(ctx context.Context) { d.writeRegistry(ctx, act) }
 	case quarantine.StoreVerdict:
-		return func(ctx context.Context) { d.recordQuarantine(ctx, act) }
+		return func(ctx context.Context) { d.storeVerdict(ctx, act) }
 	case quarantine.RemoveVerdict:
-		return func(ctx context.Context) { d.removeQuarantine(ctx, act) }
+		return func(ctx context.Context) { d.removeVerdict(ctx, act) }
 	case owned.SendOrder:
-		return func(ctx context.Context) { d.engineOrder(ctx, act) }
+		return func(ctx context.Context) { d.sendOrder(ctx, act) }
 	case owned.QueryState:
-		return func(ctx context.Context) { d.askEngine(ctx, act) }
+		return func(ctx context.Context) { d.queryState(ctx, act) }
 	case forwarding.ProbeEngine:
-		return func(ctx context.Context) { d.askLoad(ctx, act) }
+		return func(ctx context.Context) { d.probeEngine(ctx, act) }
 	default:
 		return nil
 	}
 }
 
-// watchPlatform waits for whatever changes in the environment's store and
-// posts it as one event for each kind of news.
+// watchPlatform waits for changes in the environment's store and posts one event for
+// each kind of change, then the reply to the watch.
 func (d *driver) watchPlatform(ctx context.Context, a watch.SendRequest) {
-	change, err := d.change(ctx, a)
+	change, err := d.readChange(ctx, a)
 	if err != nil {
 		d.host.Post(watch.Reply{ID: a.ID, Err: err})
 		return
@@ -91,7 +91,7 @@
 		d.host.Event(logevent.RecordUnreadable, "key", key)
 	}
 	if change.Config != nil {
-		d.host.PostConfig(pack(change.Config), instance.PlatformSource)
+		d.host.PostConfig(compress(change.Config), instance.PlatformSource)
 	}
 	if len(change.Listed) > 0 || change.Whole {
 		d.host.Post(listing.Reply{
@@ -104,8 +104,8 @@
 	d.host.Post(watch.Reply{ID: a.ID, Whole: change.Whole})
 }
 
-// change calls the store for what changed.
-func (d *driver) change(ctx context.Context, a watch.SendRequest) (Change, error) {
+// readChange reads the whole store or waits for changes, depending on the request.
+func (d *driver) readChange(ctx context.Context, a watch.SendRequest) (Change, error) {
 	switch {
 	case a.Wait == 0:
 		return d.store.Read(ctx)
@@ -116,7 +116,7 @@
 	}
 }
 
-// enrol begins a lease and writes the instance's record under it.
+// enrol acquires a lease and writes the instance's registration under it.
 func (d *driver) enrol(ctx context.Context, a ownership.Enrol) {
 	sent := d.host.Now()
 	d.host.PlatformCalled()
@@ -128,22 +128,22 @@
 	v := a.Instance.Value()
 	d.host.PlatformCalled()
 	_, err = d.store.Commit(ctx, Commit{Puts: []Put{{Key: v.Key, Value: v.Data, Lease: lease}}, Era: lease.Era})
-	d.eraHeard(err)
+	d.postEra(err)
 	d.host.Post(ownership.EnrolReply{Sent: sent, Lease: lease, Err: err})
 }
 
-func (d *driver) keepEnrolled(ctx context.Context, a ownership.RenewLease) {
+func (d *driver) renewLease(ctx context.Context, a ownership.RenewLease) {
 	sent := d.host.Now()
 	d.host.PlatformCalled()
 	err := d.store.Keep(ctx, a.Lease)
-	d.eraHeard(err)
+	d.postEra(err)
 	over := errors.Is(err, ErrNoLease)
 	d.host.Post(ownership.RenewReply{Sent: sent, Lease: a.Lease, Over: over, Err: err})
 }
 
-// resign gives ownerships back, then ends the lease. What is not given back is
-// taken over when the lease is over, so a failure costs others that time and is
-// not tried again: the process ends.
+// resign releases the ownerships and the placer's record and then ends the lease. A
+// failure is not retried, since the process is about to end: what was not released is
+// taken over when the lease expires, and others lose only that time.
 func (d *driver) resign(ctx context.Context, a ownership.Resign) {
 	for chunk := range slices.Chunk(a.Give, registry.MaxClaims) {
 		if _, err := d.store.Commit(ctx, claimCommit(chunk, a.Depends)); err != nil {
@@ -160,27 +160,28 @@
 	}
 }
 
-// eraHeard passes on that the store came back from an older copy, if a call showed so.
-func (d *driver) eraHeard(err error) {
+// postEra tells the machine the store's new era if err says that the store's history was
+// rolled back.
+func (d *driver) postEra(err error) {
 	var former FormerEraError
 	if errors.As(err, &former) {
 		d.host.Post(ownership.EraObserved{Era: former.Now})
 	}
 }
 
-// dependingOn returns a write of an era that is carried out only while the era's mark stands at
-// a revision; 0: whether or not there is one.
-func dependingOn(in era.Era, mark era.Revision) Commit {
+// commitInEra returns an empty commit of an era that is carried out only if the era's
+// record has the given revision; 0 means that the record is not checked.
+func commitInEra(in era.Era, recordRevision era.Revision) Commit {
 	c := Commit{Era: in}
-	if mark != 0 {
-		c.Conditions = append(c.Conditions, Condition{Key: registry.EraRecord{Era: in}.Key(), Revision: mark})
+	if recordRevision != 0 {
+		c.Conditions = append(c.Conditions, Condition{Key: registry.EraRecord{Era: in}.Key(), Revision: recordRevision})
 	}
 	return c
 }
 
-// claimCommit returns the write of claims, all of one era.
-func claimCommit(claims []registry.Ownership, mark era.Revision) Commit {
-	c := dependingOn(claims[0].Era, mark)
+// claimCommit returns the commit that writes claims, which are all of one era.
+func claimCommit(claims []registry.Ownership, recordRevision era.Revision) Commit {
+	c := commitInEra(claims[0].Era, recordRevision)
 	for _, o := range claims {
 		v := o.Value()
 		c.Conditions = append(c.Conditions, Condition{Key: v.Key, Revision: o.Revision})
@@ -189,18 +190,19 @@
 	return c
 }
 
-// placerCommit returns the write of the placer's record, which hangs on the lease
+// placerCommit returns the commit that writes the placer's record, attached to the lease
 // unless that is 0.
-func placerCommit(p registry.Placer, lease era.Lease, mark era.Revision) Commit {
+func placerCommit(p registry.Placer, lease era.Lease, recordRevision era.Revision) Commit {
 	v := p.Value()
-	c := dependingOn(p.Era, mark)
+	c := commitInEra(p.Era, recordRevision)
 	c.Conditions = append(c.Conditions, Condition{Key: v.Key, Revision: p.Revision})
 	c.Puts = []Put{{Key: v.Key, Value: v.Data, Lease: lease}}
 	return c
 }
 
-// markCommit returns the write of an era's mark, with which those of former eras go.
-func markCommit(m registry.EraRecord, former []era.Era) Commit {
+// eraRecordCommit returns the commit that writes an era's record and removes those of
+// former eras.
+func eraRecordCommit(m registry.EraRecord, former []era.Era) Commit {
 	v := m.Value()
 	c := Commit{
 		Conditions: []Condition{{Key: v.Key}},
@@ -213,12 +215,12 @@
 	return c
 }
 
-// registryCommit returns the write of some of the registry's records.
+// registryCommit returns the commit that carries out a write of registry records.
 func registryCommit(a ownership.Write) Commit {
 	w := a.Write
 	switch {
 	case w.Mark != nil:
-		return markCommit(*w.Mark, w.Former)
+		return eraRecordCommit(*w.Mark, w.Former)
 	case w.Placer != nil:
 		return placerCommit(*w.Placer, a.Lease, w.Depends)
 	default:
@@ -231,7 +233,7 @@
 	d.host.PlatformCalled()
 	var err error
 	reply.Revision, err = d.store.Commit(ctx, registryCommit(a))
-	d.eraHeard(err)
+	d.postEra(err)
 	reply.Conflict = errors.Is(err, ErrConflict) || errors.Is(err, ErrNoLease)
 	if !reply.Conflict {
 		reply.Err = err
@@ -239,8 +241,9 @@
 	d.host.Post(reply)
 }
 
-// recordQuarantine writes a verdict under a lease of its own, with which it goes.
-func (d *driver) recordQuarantine(ctx context.Context, a quarantine.StoreVerdict) {
+// storeVerdict writes a verdict under a lease of its own, so that it expires with the
+// lease.
+func (d *driver) storeVerdict(ctx context.Context, a quarantine.StoreVerdict) {
 	reply := quarantine.VerdictStored{Request: a.Quarantine.Request}
 	d.host.PlatformCalled()
 	lease, err := d.store.Grant(ctx, a.Term)
@@ -260,7 +263,7 @@
 		d.host.Post(reply)
 		return
 	}
-	// The lease is of no use then; one that is not given back goes with its term.
+	// The lease is not needed; if ending it fails, it expires after its term.
 	d.host.PlatformCalled()
 	if end := d.store.End(ctx, lease); end != nil {
 		d.host.Event(logevent.NotReturned, "what", "lease", "error", end.Error())
@@ -271,54 +274,55 @@
 	d.host.Post(reply)
 }
 
-// removeQuarantine removes a verdict that does not hold any more. A failure leaves it to
-// its lease.
-func (d *driver) removeQuarantine(ctx context.Context, a quarantine.RemoveVerdict) {
+// removeVerdict removes a verdict that no longer holds. If that fails, the verdict
+// expires with its lease.
+func (d *driver) removeVerdict(ctx context.Context, a quarantine.RemoveVerdict) {
 	d.host.PlatformCalled()
 	if _, err := d.store.Commit(ctx, Commit{Removes: []string{a.Quarantine.Value().Key}, AnyEra: true}); err != nil {
 		d.host.Event(logevent.NotReturned, "what", "quarantine", "error", err.Error())
 	}
 }
 
-func (d *driver) engineOrder(ctx context.Context, a owned.SendOrder) {
+func (d *driver) sendOrder(ctx context.Context, a owned.SendOrder) {
 	sent := d.host.Now()
 	answer := d.engines.Order(ctx, d.host.Self.Name, a.Order)
-	d.heard(a.Engine, sent, answer.Notice, a.Limited && answer.Heard)
+	d.postNotice(a.Engine, sent, answer.Notice, a.Limited && answer.Heard)
 	d.host.Post(owned.OrderReply{Engine: a.Engine, Fence: a.Fence, Answer: answer.Answer, Detail: answer.Detail})
 }
 
-// heard passes on what an engine said of itself, if anything, or if that it says nothing is
-// news.
-func (d *driver) heard(engine string, sent clock.Instant, n pool.Notice, news bool) {
-	if news || !n.IsZero() {
+// postNotice passes to the machine what an engine reported about itself. An empty notice
+// is passed on only if always is set, which is so if the engine had a rate limit, which
+// then may have ended.
+func (d *driver) postNotice(engine string, sent clock.Instant, n pool.Notice, always bool) {
+	if always || !n.IsZero() {
 		d.host.Post(notice.Received{Replica: engine, Sent: sent, Notice: n})
 	}
 }
 
-func (d *driver) askEngine(ctx context.Context, a owned.QueryState) {
+func (d *driver) queryState(ctx context.Context, a owned.QueryState) {
 	sent := d.host.Now()
 	report, err := d.engines.Report(ctx, a.Address)
-	d.reported(a.Engine, sent, report, a.Limited)
+	d.postReport(a.Engine, sent, report, a.Limited)
 	d.host.Post(owned.StateReply{Engine: a.Engine, Sent: sent, Err: err, State: orders.State{
 		Sequence: report.Sequence, Busy: report.Busy, Models: report.Announcement.Models, Coming: report.Coming,
 	}})
 }
 
-// reported passes on what a report says beside what it was asked for: in which life the
-// engine is, then what it says of that.
-func (d *driver) reported(engine string, sent clock.Instant, r EngineReport, limited bool) {
+// postReport passes to the machine what a report has beyond the requested state: first the
+// engine's announcement with its incarnation, then its notice about that incarnation.
+func (d *driver) postReport(engine string, sent clock.Instant, r EngineReport, limited bool) {
 	if r.Announcement.Born != "" {
 		d.host.Post(listing.SelfReport{Replica: engine, Sent: sent, Announcement: r.Announcement})
 	}
-	d.heard(engine, sent, r.Notice, limited && r.Heard)
+	d.postNotice(engine, sent, r.Notice, limited && r.Heard)
 }
 
-// askLoad asks an engine how busy it is.
-func (d *driver) askLoad(ctx context.Context, a forwarding.ProbeEngine) {
-	ctx, done := context.WithTimeout(ctx, a.Wait)
-	defer done()
+// probeEngine reads how many requests an engine has queued and running.
+func (d *driver) probeEngine(ctx context.Context, a forwarding.ProbeEngine) {
+	ctx, cancel := context.WithTimeout(ctx, a.Wait)
+	defer cancel()
 	sent := d.host.Now()
 	report, err := d.engines.Report(ctx, a.Address)
-	d.reported(a.Engine, sent, report, false)
+	d.postReport(a.Engine, sent, report, false)
 	d.host.Post(forwarding.ProbeReply{Call: a.Call, Engine: a.Engine, Sent: sent, Queued: report.Queued, Running: report.Running, Err: err})
 }
--- a/internal/losses/call.go
+++ b/internal/losses/call.go
@@ -9,25 +9,25 @@
 	"github.com/birchdrift/birchdrift/core/pool"
 )
 
-// A fate is what became of a call for its caller.
-type fate int
+// An outcome is the result of a call as its caller saw it.
+type outcome int
 
-// The fates.
+// The outcomes.
 const (
-	inTime fate = iota
+	inTime outcome = iota
 	late
-	refused    // it did not run
-	failed     // it may have run
-	unanswered // its caller left, or its instance ended
-	fates      // how many there are
+	refused     // the call did not run
+	failed      // the call may have run
+	unanswered  // the caller disconnected, or the instance ended
+	numOutcomes // number of outcomes
 )
 
-// String names the fate for reports.
-func (f fate) String() string {
-	return [...]string{"in time", "late", "refused", "failed", "unanswered"}[f]
+// String returns the outcome's name in reports.
+func (o outcome) String() string {
+	return [...]string{"in time", "late", "refused", "failed", "unanswered"}[o]
 }
 
-// A call is what the log says of one call.
+// A call holds what the log says about one call.
 type call struct {
 	key      string
 	instance string
@@ -37,23 +37,23 @@
 	began    time.Time
 	ended    time.Time
 	sends    int
-	waits    string // what it last waited for, "" if it did not
-	target   time.Duration
-	gap      time.Duration
-	fate     fate
+	waits    string        // what it last waited for; "" if it did not wait
+	target   time.Duration // longest allowed time to the first event; 0 if there is none
+	gap      time.Duration // longest allowed time between two events; 0 if there is none
+	outcome  outcome
 	reason   string
 }
 
-// takeCall takes in an event of a call. An attempt at another instance is another
-// call: callers give each try a name of its own.
-func (l *Log) takeCall(r record) {
+// addCallEvent adds an event of a call to the log. A caller's retry at another instance
+// counts as another call, since callers give each retry its own call ID.
+func (l *Log) addCallEvent(r record) {
 	if r.Call == "" {
-		l.nameless++
+		l.withoutCallID++
 		return
 	}
 	c := l.calls[r.Call]
 	if c == nil {
-		c = &call{key: r.Call, instance: r.Instance, zone: r.Zone, began: r.Time, fate: unanswered}
+		c = &call{key: r.Call, instance: r.Instance, zone: r.Zone, began: r.Time, outcome: unanswered}
 		l.calls[r.Call] = c
 	}
 	if r.Item != "" {
@@ -69,35 +69,36 @@
 	case logevent.CallWaits:
 		c.waits = r.For
 	case logevent.CallServed:
-		c.served(r)
+		c.addServed(r)
 	case logevent.CallFailed:
-		l.failed(c, r)
+		l.addFailure(c, r)
 	}
 }
 
-// served says whether a whole answer came in time, and if not, what took longest.
-func (c *call) served(r record) {
+// addServed sets the outcome of a call that got a whole answer: whether it was in time and,
+// if it was late, the reason.
+func (c *call) addServed(r record) {
 	waited := time.Duration(r.WaitedMS) * time.Millisecond
 	first := time.Duration(r.FirstMS) * time.Millisecond
 	pause := time.Duration(r.PauseMS) * time.Millisecond
-	c.fate = late
+	c.outcome = late
 	switch {
 	case c.target > 0 && waited+first > c.target:
 		c.reason = lateReason(c, waited, first)
 	case c.gap > 0 && pause > c.gap:
 		c.reason = "a pause in the stream"
 	default:
-		c.fate = inTime
+		c.outcome = inTime
 	}
 }
 
-// lateReason says where most of the time to the first event went.
+// lateReason returns what took most of the time to the first event.
 func lateReason(c *call, waited, first time.Duration) string {
 	switch {
 	case first >= waited:
 		return "the queue at the engine"
 	case c.sends > 1:
-		return "sent again after a failure"
+		return "retried after a failure"
 	case c.waits != "":
 		return "waited for " + c.waits
 	default:
@@ -105,30 +106,31 @@
 	}
 }
 
-// failed says why a call got no answer of a replica, or a failing one.
-func (l *Log) failed(c *call, r record) {
+// addFailure sets outcome and reason of a call that got no answer or a failed one.
+func (l *Log) addFailure(c *call, r record) {
 	c.reason = code.Lookup(r.Code).Name
 	switch r.Code {
 	case code.UpstreamBroke, code.StreamCut, code.UpstreamRefused, code.TimedOut:
-		c.fate = failed
-		c.reason += ": " + failure(r)
+		c.outcome = failed
+		c.reason += ": " + failureReason(r)
 	case code.UnknownService, code.Unauthorized, code.Forbidden, code.BadRequest, code.TooLarge:
-		delete(l.calls, r.Call) // nobody owed it an answer
+		delete(l.calls, r.Call) // the caller's own fault, so it is not a loss
 	default:
-		c.fate = refused
+		c.outcome = refused
 	}
 	if r.Code == code.NotResident {
-		c.missed(l, r)
+		c.addMiss(l, r)
 	}
 }
 
-// failure words what a replica or instance did, without what differs from call to call.
-func failure(r record) string {
+// failureReason returns a reason that is the same for all failures of one kind: it leaves
+// out what differs from call to call, such as addresses.
+func failureReason(r record) string {
 	switch {
 	case strings.Contains(r.Detail, "EOF"), strings.Contains(r.Detail, "reset"), strings.Contains(r.Detail, "refused"):
-		return "the replica broke the connection off"
+		return "the replica closed the connection"
 	case strings.Contains(r.Detail, "timeout"), strings.Contains(r.Detail, "deadline"):
-		return "the replica fell silent"
+		return "the replica timed out"
 	case strings.Contains(r.Detail, "read "), strings.Contains(r.Detail, "write "):
 		return "the connection failed"
 	default:
@@ -136,10 +138,11 @@
 	}
 }
 
-// end settles the calls of which the log shows no end.
-func (l *Log) end() {
+// finish sets the reasons of the calls whose end the log does not show and of those whose
+// model was not resident.
+func (l *Log) finish() {
 	for _, c := range l.calls {
-		if c.fate != unanswered {
+		if c.outcome != unanswered {
 			continue
 		}
 		c.reason = "its caller left"
--- a/internal/pages/pages.go
+++ b/internal/pages/pages.go
@@ -1,5 +1,5 @@
-// Package pages provides the documentation pages that are generated from the
-// code's own tables, so that page and code cannot differ.
+// Package pages generates documentation pages from tables in the code, so that the
+// pages cannot differ from the code.
 package pages
 
 import (
@@ -17,136 +17,136 @@
 
 const generated = "\nThis page is generated from the code by `make docs`; a test fails when they differ.\n\n"
 
-// All returns every generated page by its file name under docs.
+// All returns every generated page, keyed by its file name under docs.
 func All() map[string]string {
 	return map[string]string{
-		"codes.md":    codes(),
-		"events.md":   events(),
-		"settings.md": processSettings(),
-		"metrics.md":  metricRows(),
+		"codes.md":    codesPage(),
+		"events.md":   eventsPage(),
+		"settings.md": settingsPage(),
+		"metrics.md":  metricsPage(),
 
-		filepath.Join("design", "budgets.md"): budgets(),
+		filepath.Join("design", "budgets.md"): budgetsPage(),
 	}
 }
 
-// row writes one row of a table; bars within a cell are escaped.
-func row(b *strings.Builder, cells ...string) {
+// writeRow writes one row of a Markdown table and escapes vertical bars in cells.
+func writeRow(b *strings.Builder, cells ...string) {
 	for _, c := range cells {
 		fmt.Fprintf(b, "| %s ", strings.ReplaceAll(c, "|", `\|`))
 	}
 	b.WriteString("|\n")
 }
 
-func header(b *strings.Builder, title string, columns ...string) {
+func writeHeader(b *strings.Builder, title string, columns ...string) {
 	b.WriteString("# " + title + "\n" + generated)
-	row(b, columns...)
+	writeRow(b, columns...)
 	rule := make([]string, len(columns))
 	for i := range rule {
 		rule[i] = "---"
 	}
-	row(b, rule...)
+	writeRow(b, rule...)
 }
 
-func codes() string {
+func codesPage() string {
 	var b strings.Builder
-	header(&b, "Result codes", "code", "name", "HTTP status", "meaning", "remedy")
+	writeHeader(&b, "Result codes", "code", "name", "HTTP status", "meaning", "remedy")
 	for _, c := range code.Table {
 		status := "none: no caller sees it"
 		if c.HTTP != 0 {
 			status = fmt.Sprint(c.HTTP)
 		}
-		row(&b, fmt.Sprint(int(c.Code)), c.Name, status, c.Meaning, c.Remedy)
+		writeRow(&b, fmt.Sprint(int(c.Code)), c.Name, status, c.Meaning, c.Remedy)
 	}
 	b.WriteString("\nAn error answer to a caller is JSON: `error.code`, `error.name`, `error.message` and\n" +
 		"`error.run`: `not_run` (it certainly did not run), `ran`, or `unknown` (it may have run).\n" +
-		"`Retry-After` is there where coming back makes sense.\n")
+		"`Retry-After` is set if a retry makes sense.\n")
 	return b.String()
 }
 
-func events() string {
+func eventsPage() string {
 	var b strings.Builder
-	header(&b, "Log events", "event", "name", "meaning", "remedy")
+	writeHeader(&b, "Log events", "event", "name", "meaning", "remedy")
 	for _, e := range logevent.Catalogue {
-		row(&b, fmt.Sprint(int(e.Number)), e.Name, e.Meaning, e.Remedy)
+		writeRow(&b, fmt.Sprint(int(e.Number)), e.Name, e.Meaning, e.Remedy)
 	}
 	b.WriteString("\nLogs are JSON lines on standard output; each carries `event`, `instance` and `zone`.\n")
 	return b.String()
 }
 
-func processSettings() string {
+func settingsPage() string {
 	var b strings.Builder
-	header(&b, "Process settings of `birchdrift`", "flag", "variable", "default", "allowed", "meaning")
+	writeHeader(&b, "Process settings of `birchdrift`", "flag", "variable", "default", "allowed", "meaning")
 	for _, s := range settings.Table {
 		def := "`" + s.Default + "`"
 		if s.Default == "" {
 			def = "none"
 		}
-		row(&b, "`--"+s.Name+"`", "`"+s.Env()+"`", def, s.Allowed, s.Meaning)
+		writeRow(&b, "`--"+s.Name+"`", "`"+s.Env()+"`", def, s.Allowed, s.Meaning)
 	}
-	b.WriteString("\nEvery fault is reported at the start, all at once, with status 2. Secrets are best\n" +
-		"given as variables; they appear in no log and no status.\n")
+	b.WriteString("\nAll faults are reported together at the start, with exit status 2. Secrets are best\n" +
+		"given as environment variables; they appear in no log and no status.\n")
 	return b.String()
 }
 
-func metricRows() string {
+func metricsPage() string {
 	var b strings.Builder
-	header(&b, "Metrics", "metric", "meaning", "what to do")
+	writeHeader(&b, "Metrics", "metric", "meaning", "what to do")
 	for _, r := range telemetry.MetricDocs {
-		row(&b, "`"+r.Name+"`", r.Meaning, r.Action)
+		writeRow(&b, "`"+r.Name+"`", r.Meaning, r.Action)
 	}
-	b.WriteString("\nMetrics are at `/metrics` on the operations listener, with the process's own beside them.\n")
+	b.WriteString("\nMetrics are at `/metrics` on the operations listener, together with those of the process.\n")
 	return b.String()
 }
 
-// A budgetCase is a fleet for which docs/design/budgets.md adds the waits up.
+// A budgetCase is a kind of fleet for which docs/design/budgets.md adds up the delays.
 type budgetCase struct {
 	name   string
 	bounds bounds.Bounds
 	mesh   bool
 }
 
-// exchangeEvery is the setting exchange-every of the users' deployments.
-const exchangeEvery = 500 * time.Millisecond
+// exchangeInterval is the value of the setting exchange-every in the users' deployments.
+const exchangeInterval = 500 * time.Millisecond
 
 var budgetCases = []budgetCase{
 	{"8 instances", bounds.Bounds{Leave: 2 * time.Second, Settle: 3 * time.Second}, true},
 	{"46 and 370 instances", bounds.Bounds{Leave: 3 * time.Second, Settle: 4 * time.Second}, false},
 }
 
-func budgets() string {
+func budgetsPage() string {
 	var b strings.Builder
 	columns := []string{"part", "what it is"}
 	var parts []bounds.Delays
 	for _, c := range budgetCases {
 		columns = append(columns, c.name)
-		parts = append(parts, c.bounds.Delays(bounds.Timing{Mesh: c.mesh, Exchange: exchangeEvery}))
+		parts = append(parts, c.bounds.Delays(bounds.Timing{Mesh: c.mesh, Exchange: exchangeInterval}))
 	}
-	header(&b, "Budgets", columns...)
+	writeHeader(&b, "Budgets", columns...)
 	for i, part := range parts[0].All() {
 		cells := []string{part.Name, part.Meaning}
 		for _, p := range parts {
 			cells = append(cells, p.All()[i].Longest.String())
 		}
-		row(&b, cells...)
+		writeRow(&b, cells...)
 	}
-	sum := []string{"**sum**", "from the store's word that a replica leaves, or its entry's end, to the last call there"}
+	sum := []string{"**sum**", "from the store's change that a replica is leaving, or the end of its entry, to the last call sent there"}
 	bound := []string{"**bound**", "`--leave-bound`"}
-	silence := []string{"age of the list", "from which an instance that does not watch asks the store itself"}
-	unlisted := []string{"entry gone", "since it was last known to stand, until the replica counts as leaving"}
-	again := []string{"after an outage", "until the store is called again at the latest, of `--settle-time`"}
+	maxSilence := []string{"age of the list", "at which an instance that does not watch reads the store itself"}
+	gracePeriod := []string{"entry gone", "from when it was last known to exist until the replica counts as leaving"}
+	retryDelay := []string{"after an outage", "longest delay until the store is called again, as part of `--settle-time`"}
 	for i, c := range budgetCases {
 		sum = append(sum, parts[i].Sum().String())
 		bound = append(bound, c.bounds.Leave.String())
-		silence = append(silence, c.bounds.MaxStoreSilence().String())
-		unlisted = append(unlisted, c.bounds.VanishedGracePeriod().String())
-		again = append(again, fmt.Sprintf("%v of %v", c.bounds.MaxRetryDelay(), c.bounds.Settle))
+		maxSilence = append(maxSilence, c.bounds.MaxStoreSilence().String())
+		gracePeriod = append(gracePeriod, c.bounds.VanishedGracePeriod().String())
+		retryDelay = append(retryDelay, fmt.Sprintf("%v of %v", c.bounds.MaxRetryDelay(), c.bounds.Settle))
 	}
-	for _, cells := range [][]string{sum, bound, silence, unlisted, again} {
-		row(&b, cells...)
+	for _, cells := range [][]string{sum, bound, maxSilence, gracePeriod, retryDelay} {
+		writeRow(&b, cells...)
 	}
-	b.WriteString("\nEach part is at its longest in the sum. `core/bounds` works them out from the bound; waits\n" +
-		"that are set and make the sum too long are refused at the start, with this list; a bound that is\n" +
-		"shorter than the least of them is logged (1008). A configuration comes\n" +
-		"by the same watch; only the bound for replicas that leave is added up yet.\n")
+	b.WriteString("\nThe sum takes each part at its longest. `core/bounds` derives the parts from the bound. Waits\n" +
+		"that are set and make the sum exceed the bound are refused at the start, with this list; a bound\n" +
+		"that is too short for the shortest waits is logged (1008). A configuration arrives by the same\n" +
+		"watch; only the bound for leaving replicas is added up so far.\n")
 	return b.String()
 }
--- a/internal/server/listen_test.go
+++ b/internal/server/listen_test.go
@@ -8,8 +8,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// TestAcceptedConnectionsNoticeSilence: the system probes connections that callers and
-// peers opened, and ends those that do not acknowledge, as the limits say.
+// TestAcceptedConnectionsNoticeSilence checks that accepted connections have the
+// keep-alive and user-timeout socket options set to the limits, so that the kernel closes
+// those whose other end does not acknowledge.
 func TestAcceptedConnectionsNoticeSilence(t *testing.T) {
 	is := is.New(t)
 	l, err := listen("127.0.0.1:0")
@@ -29,8 +30,8 @@
 		return value
 	}
 	is.Equal(option(unix.SOL_SOCKET, unix.SO_KEEPALIVE), 1)
-	is.Equal(option(unix.IPPROTO_TCP, unix.TCP_KEEPIDLE), int(acceptedIdle.Seconds()))
-	is.Equal(option(unix.IPPROTO_TCP, unix.TCP_KEEPINTVL), int(acceptedEvery.Seconds()))
-	is.Equal(option(unix.IPPROTO_TCP, unix.TCP_KEEPCNT), acceptedCount)
-	is.Equal(option(unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT), int(acceptedUnacked.Milliseconds()))
+	is.Equal(option(unix.IPPROTO_TCP, unix.TCP_KEEPIDLE), int(keepAliveIdle.Seconds()))
+	is.Equal(option(unix.IPPROTO_TCP, unix.TCP_KEEPINTVL), int(keepAliveInterval.Seconds()))
+	is.Equal(option(unix.IPPROTO_TCP, unix.TCP_KEEPCNT), keepAliveCount)
+	is.Equal(option(unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT), int(unackedTimeout.Milliseconds()))
 }
--- a/internal/server/notice_test.go
+++ b/internal/server/notice_test.go
@@ -15,25 +15,25 @@
 	"github.com/birchdrift/birchdrift/internal/forward"
 )
 
-// leaves has the answers of a replica say that it leaves.
-func leaves(answer http.HandlerFunc) http.HandlerFunc {
+// withLeaving adds to an answer the header with which a replica states that it is leaving.
+func withLeaving(answer http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set(forward.OwnFormat.Leaving, "1")
 		answer(w, r)
 	}
 }
 
-// rests has the answers of a replica ask for rest.
-func rests(answer http.HandlerFunc) http.HandlerFunc {
+// withRetryAfter adds to an answer the header with which a replica asks for rest.
+func withRetryAfter(answer http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set(forward.OwnFormat.RetryAfter, "30")
 		answer(w, r)
 	}
 }
 
-// upstreams returns what the instance knows of its replicas once any of them is seen,
-// which it must be within some seconds.
-func (s *site) upstreams(seen func(instance.ReplicaStatus) bool) (how []instance.ReplicaStatus, ok bool) {
+// awaitUpstream waits up to 5 s until seen returns true for any of the replicas and returns
+// the status of all; ok is false if that did not happen in time.
+func (s *testInstance) awaitUpstream(seen func(instance.ReplicaStatus) bool) (statuses []instance.ReplicaStatus, ok bool) {
 	s.t.Helper()
 	deadline := time.Now().Add(5 * time.Second)
 	for time.Now().Before(deadline) {
@@ -51,14 +51,14 @@
 	return nil, false
 }
 
-// TestAnyAnswerMaySayThatAReplicaLeaves tables the answers whose heads are read for it:
-// of every status, of streams that go on, and such that are no answer to the call.
+// TestAnyAnswerMaySayThatAReplicaLeaves checks that the header is read from answers of any
+// status, from truncated ones and from answers to another call.
 func TestAnyAnswerMaySayThatAReplicaLeaves(t *testing.T) {
 	foreign := func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set(forward.OwnFormat.CallID, "another")
-		ok("another's")(w, r)
+		answerOK("another's")(w, r)
 	}
-	breaksOff := func(w http.ResponseWriter, _ *http.Request) {
+	truncated := func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Length", "100")
 		_, _ = io.WriteString(w, "part")
 		_ = http.NewResponseController(w).Flush()
@@ -69,86 +69,87 @@
 		host   string
 		answer http.HandlerFunc
 	}{
-		{"a success", "again", ok("good")},
-		{"a failure", "once", status(500)},
-		{"a refusal of its own", "once", status(404)},
-		{"it did not run the call", "once", notRun(503)},
-		{"it is not the one expected", "once", notRun(421)},
+		{"a success", "again", answerOK("good")},
+		{"a failure", "once", answerStatus(500)},
+		{"a refusal of its own", "once", answerStatus(404)},
+		{"it did not run the call", "once", answerNotRun(503)},
+		{"it is not the one expected", "once", answerNotRun(421)},
 		{"the answer to another call", "once", foreign},
-		{"one that breaks off", "once", breaksOff},
+		{"a truncated answer", "once", truncated},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			is := is.New(t)
-			s := newSite(t, leaves(c.answer))
-			s.call("POST", c.host, "/x", "body")
-			_, heard := s.upstreams(func(u instance.ReplicaStatus) bool { return u.Leaving })
-			is.True(heard)
+			s := newTestInstance(t, withLeaving(c.answer))
+			s.send("POST", c.host, "/x", "body")
+			_, found := s.awaitUpstream(func(u instance.ReplicaStatus) bool { return u.Leaving })
+			is.True(found)
 		})
 	}
 	t.Run("a success that does not say so", func(t *testing.T) {
 		is := is.New(t)
-		s := newSite(t, ok("good"))
-		is.Equal(s.call("POST", "again", "/x", "body").status, 200)
+		s := newTestInstance(t, answerOK("good"))
+		is.Equal(s.send("POST", "again", "/x", "body").status, 200)
 		st, err := s.server.shell.Status(context.Background())
 		is.NoErr(err)
 		is.True(!st.Upstreams[0].Leaving)
 	})
 }
 
-// TestANoticeOutlivesItsCall: what a replica says in the head of a stream counts at once,
-// and also where the caller leaves before the stream has ended.
+// TestANoticeOutlivesItsCall checks that a notice in the headers of a stream takes effect
+// at once, even if the caller disconnects before the stream ends.
 func TestANoticeOutlivesItsCall(t *testing.T) {
 	is := is.New(t)
-	over := make(chan struct{})
-	t.Cleanup(func() { close(over) })
-	s := newSite(t, leaves(func(w http.ResponseWriter, r *http.Request) {
+	ended := make(chan struct{})
+	t.Cleanup(func() { close(ended) })
+	s := newTestInstance(t, withLeaving(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set(forward.OwnFormat.Signature, "signed")
 		w.Header().Set("Content-Type", forward.OwnFormat.StreamType)
 		_, _ = io.WriteString(w, "id: 1\ndata: x\n\n")
 		_ = http.NewResponseController(w).Flush()
 		select {
-		case <-over:
+		case <-ended:
 		case <-r.Context().Done():
 		}
 	}))
-	ctx, leave := context.WithCancel(context.Background())
+	ctx, cancel := context.WithCancel(context.Background())
 	req, err := http.NewRequestWithContext(ctx, "POST", "http://"+s.address+"/x", strings.NewReader("body"))
 	is.NoErr(err)
 	req.Host = "stream"
 	req.Header.Set(forward.OwnFormat.CallID, "call-1")
 	resp, err := http.DefaultTransport.RoundTrip(req)
 	is.NoErr(err)
-	leave()
+	cancel()
 	_ = resp.Body.Close()
-	_, heard := s.upstreams(func(u instance.ReplicaStatus) bool { return u.Leaving })
-	is.True(heard)
+	_, found := s.awaitUpstream(func(u instance.ReplicaStatus) bool { return u.Leaving })
+	is.True(found)
 }
 
-// TestAReplicaThatTurnsACallAwayMayAskForRest: the call goes to another one, and those
-// after it pass the first over; an answer that turns nothing away asks for none.
-func TestAReplicaThatTurnsACallAwayMayAskForRest(t *testing.T) {
+// TestRefusingReplicaMayAskForRest checks that a call refused with Retry-After goes to
+// another replica, that later calls avoid the first one, and that Retry-After in an answer
+// which refuses nothing has no effect.
+func TestRefusingReplicaMayAskForRest(t *testing.T) {
 	is := is.New(t)
-	s := newSite(t, rests(notRun(503)), rests(notRun(503)), rests(ok("good")))
+	s := newTestInstance(t, withRetryAfter(answerNotRun(503)), withRetryAfter(answerNotRun(503)), withRetryAfter(answerOK("good")))
 	for range 12 {
-		is.Equal(s.call("POST", "once", "/x", "body").status, 200)
+		is.Equal(s.send("POST", "once", "/x", "body").status, 200)
 	}
 	for i, r := range s.replicas {
 		if i == 2 {
-			is.Equal(r.runs(), 12)
+			is.Equal(r.requests(), 12)
 			continue
 		}
-		is.True(r.runs() <= 1)
+		is.True(r.requests() <= 1)
 	}
-	how, _ := s.upstreams(func(u instance.ReplicaStatus) bool { return true })
-	for i, u := range how {
-		is.Equal(u.RestMS > 0, i < 2 && s.replicas[i].runs() == 1)
+	statuses, _ := s.awaitUpstream(func(u instance.ReplicaStatus) bool { return true })
+	for i, u := range statuses {
+		is.Equal(u.RestMS > 0, i < 2 && s.replicas[i].requests() == 1)
 	}
 }
 
-// TestAnyAnswerMayNameALimit: a limit is heard from answers of every kind, is kept to by
-// calls that follow, and ends with an answer that names none.
+// TestAnyAnswerMayNameALimit checks that a rate limit is read from answers of every kind,
+// limits the calls that follow, and ends with an answer that names none.
 func TestAnyAnswerMayNameALimit(t *testing.T) {
 	limits := func(answer http.HandlerFunc, named *atomic.Bool) http.HandlerFunc {
 		return func(w http.ResponseWriter, r *http.Request) {
@@ -163,10 +164,10 @@
 		host   string
 		answer http.HandlerFunc
 	}{
-		{"a success", "again", ok("good")},
-		{"a failure", "once", status(500)},
-		{"a refusal of its own", "once", status(404)},
-		{"it did not run the call", "once", notRun(503)},
+		{"a success", "again", answerOK("good")},
+		{"a failure", "once", answerStatus(500)},
+		{"a refusal of its own", "once", answerStatus(404)},
+		{"it did not run the call", "once", answerNotRun(503)},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -174,20 +175,20 @@
 			is := is.New(t)
 			var named atomic.Bool
 			named.Store(true)
-			s := newSite(t, limits(c.answer, &named))
-			s.call("POST", c.host, "/x", "body")
-			_, heard := s.upstreams(func(u instance.ReplicaStatus) bool { return u.Limit != nil && u.Limit.PerSecond == 2 })
-			is.True(heard)
-			began := time.Now()
-			before := s.replicas[0].runs()
-			for time.Since(began) < 2*time.Second {
-				s.call("POST", c.host, "/x", "body")
+			s := newTestInstance(t, limits(c.answer, &named))
+			s.send("POST", c.host, "/x", "body")
+			_, found := s.awaitUpstream(func(u instance.ReplicaStatus) bool { return u.Limit != nil && u.Limit.PerSecond == 2 })
+			is.True(found)
+			start := time.Now()
+			before := s.replicas[0].requests()
+			for time.Since(start) < 2*time.Second {
+				s.send("POST", c.host, "/x", "body")
 				time.Sleep(5 * time.Millisecond)
 			}
-			is.True(s.replicas[0].runs()-before <= 5)
+			is.True(s.replicas[0].requests()-before <= 5)
 			named.Store(false)
-			_, ended := s.upstreams(func(u instance.ReplicaStatus) bool {
-				s.call("POST", c.host, "/x", "body")
+			_, ended := s.awaitUpstream(func(u instance.ReplicaStatus) bool {
+				s.send("POST", c.host, "/x", "body")
 				return u.Limit != nil && u.Limit.Withdrawn
 			})
 			is.True(ended)
--- a/internal/server/unread_test.go
+++ b/internal/server/unread_test.go
@@ -9,13 +9,13 @@
 	"github.com/matryer/is"
 )
 
-// TestAWordThatNobodyReadsIsSeen: a header of a replica's answers that nothing here reads
-// is counted, and the known ones are not.
-func TestAWordThatNobodyReadsIsSeen(t *testing.T) {
+// TestUnreadHeadersAreCounted checks that an answer with a header that the instance does not
+// read is counted, and that known headers are not.
+func TestUnreadHeadersAreCounted(t *testing.T) {
 	count := func(answer http.HandlerFunc) string {
-		s := newSite(t, answer)
+		s := newTestInstance(t, answer)
 		for range 3 {
-			s.call("POST", "again", "/x", "body")
+			s.send("POST", "again", "/x", "body")
 		}
 		var metrics bytes.Buffer
 		s.server.metrics.Write(&metrics)
@@ -27,9 +27,9 @@
 		return "no such metric"
 	}
 	is := is.New(t)
-	is.Equal(count(leaves(ok("good"))), "0")
+	is.Equal(count(withLeaving(answerOK("good"))), "0")
 	is.Equal(count(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Server-Mood", "good")
-		ok("good")(w, r)
+		answerOK("good")(w, r)
 	}), "3")
 }
--- a/internal/shell/actions.go
+++ b/internal/shell/actions.go
@@ -22,14 +22,14 @@
 	"github.com/birchdrift/birchdrift/internal/upstream"
 )
 
-// Time limits of single requests to peers.
+// Timeouts of single exchanges with peers.
 const (
 	exchangeTimeout = 800 * time.Millisecond
-	pullTimeout     = 3 * time.Second // of an exchange that brings a configuration
+	pullTimeout     = 3 * time.Second // timeout of an exchange that fetches a configuration
 )
 
-// carryOut does what the machine asked for. Whatever can wait on the outside
-// runs in a worker and posts its reply.
+// carryOut carries out an action of the machine. Work that may block on other processes
+// runs in its own goroutine and posts its reply.
 func (s *Shell) carryOut(a step.Action) {
 	s.metrics.CountAction(a)
 	switch act := a.(type) {
@@ -45,68 +45,68 @@
 		s.deliver(act.ID, act)
 		delete(s.calls, act.ID)
 	case exchange.SendRequest:
-		s.work(func(ctx context.Context) { s.exchange(ctx, act) })
+		s.startWorker(func(ctx context.Context) { s.exchange(ctx, act) })
 	case exchange.SendReply:
-		if reply, ok := s.asks[act.Token]; ok {
+		if reply, ok := s.exchangeReplies[act.Token]; ok {
 			reply <- act.Message
-			delete(s.asks, act.Token)
+			delete(s.exchangeReplies, act.Token)
 		}
 	case quarantine.Check:
-		s.work(func(ctx context.Context) { s.check(ctx, act) })
+		s.startWorker(func(ctx context.Context) { s.checkReplica(ctx, act) })
 	case orderclient.SendRequest:
-		s.work(func(ctx context.Context) { s.askOrder(ctx, act) })
+		s.startWorker(func(ctx context.Context) { s.requestOrder(ctx, act) })
 	case permits.SendRequest:
-		s.work(func(ctx context.Context) { s.askPermit(ctx, act) })
+		s.startWorker(func(ctx context.Context) { s.requestPermit(ctx, act) })
 	case permits.SendReply:
-		if reply, ok := s.permits[act.Token]; ok {
+		if reply, ok := s.permitReplies[act.Token]; ok {
 			reply <- act.Verdict
-			delete(s.permits, act.Token)
+			delete(s.permitReplies, act.Token)
 		}
 	case owned.SendReply:
-		if reply, ok := s.orders[act.Token]; ok {
+		if reply, ok := s.orderReplies[act.Token]; ok {
 			reply <- peer.OrderReply{Outcome: act.Outcome, Detail: act.Detail}
-			delete(s.orders, act.Token)
+			delete(s.orderReplies, act.Token)
 		}
 	case instance.ConfigInstalled:
-		s.snapshot.install = act.Snapshot
+		s.published.installed = act.Snapshot
 	case step.Log:
 		s.event(act.Event, act.Fields...)
 	case shutdown.Exit:
 		s.exited <- act
 	default:
 		if work := s.environment.CarryOut(a); work != nil {
-			s.work(work)
+			s.startWorker(work)
 		}
 	}
 }
 
-func (s *Shell) work(f func(ctx context.Context)) {
+func (s *Shell) startWorker(f func(ctx context.Context)) {
 	s.workers.Go(func() { f(s.ctx) })
 }
 
 func (s *Shell) deliver(id calls.ID, a step.Action) {
-	box, ok := s.calls[id]
+	mailbox, ok := s.calls[id]
 	if !ok {
-		return // its handler has ended
+		return // the call's handler has returned
 	}
 	select {
-	case box.actions <- a:
+	case mailbox.actions <- a:
 	default:
 		s.log.Error(nil, "bug", "event", int(logevent.Bug), "detail", "a call's mailbox is full", "call", uint64(id))
 	}
 }
 
-// interrupt ends the attempt that the call may have under way.
+// interrupt cancels the attempt that the call may have in flight.
 func (s *Shell) interrupt(id calls.ID) {
-	if box, ok := s.calls[id]; ok {
-		if cancel := box.interrupt.Load(); cancel != nil {
+	if mailbox, ok := s.calls[id]; ok {
+		if cancel := mailbox.interrupt.Load(); cancel != nil {
 			(*cancel)()
 		}
 	}
 }
 
-// postConfig indexes a configuration off the machine's goroutine, which would
-// stand still for it, and posts it.
+// postConfig decodes and indexes a configuration and posts it. It must not run on the
+// machine's goroutine, which it would block.
 func (s *Shell) postConfig(data []byte, source string) {
 	snapshot, err := s.loadConfig(data)
 	if err != nil {
@@ -115,16 +115,16 @@
 		return
 	}
 	s.post(instance.ConfigReply{Snapshot: snapshot, Encoded: data, Source: source})
-	// Decoding a large configuration leaves several times its size behind,
-	// and a small instance that is idle would keep that for minutes. Changes
-	// are rare, so a collection for each costs next to nothing.
+	// Decoding a large configuration leaves garbage of several times its size, which
+	// a small idle instance would keep for minutes. Changes are rare, so a forced
+	// collection for each costs little.
 	if len(data) > largeConfig {
 		debug.FreeOSMemory()
 	}
 }
 
-// largeConfig is the size of an encoded configuration, in bytes, from which the
-// memory that its decoding leaves behind is worth a collection.
+// largeConfig is the size of an encoded configuration, in bytes, above which its decoding
+// is followed by a forced garbage collection.
 const largeConfig = 128 << 10
 
 func (s *Shell) loadConfig(data []byte) (*config.Snapshot, error) {
@@ -135,12 +135,13 @@
 	return config.NewSnapshot(doc)
 }
 
-// decodeConfig takes in the configuration that a peer's message carries.
+// decodeConfig decodes and posts the configuration in a peer's message, if it is newer
+// than the one in force.
 func (s *Shell) decodeConfig(msg gossip.Message) {
 	if len(msg.Config) == 0 || msg.Revision <= s.Config().Revision() {
 		return
 	}
-	s.work(func(context.Context) { s.postConfig(msg.Config, msg.From) })
+	s.startWorker(func(context.Context) { s.postConfig(msg.Config, msg.From) })
 }
 
 func (s *Shell) exchange(ctx context.Context, a exchange.SendRequest) {
@@ -148,8 +149,8 @@
 	if a.Message.WantConfig {
 		limit = pullTimeout
 	}
-	ctx, done := context.WithTimeout(ctx, limit)
-	defer done()
+	ctx, cancel := context.WithTimeout(ctx, limit)
+	defer cancel()
 	reply, err := s.peers.Exchange(ctx, a.Address, a.Message)
 	if err == nil {
 		s.decodeConfig(reply)
@@ -157,18 +158,18 @@
 	s.post(exchange.Reply{Peer: a.Peer, Address: a.Address, Message: reply, Err: err})
 }
 
-// check sees whether a process listens at a replica's address.
-func (s *Shell) check(ctx context.Context, a quarantine.Check) {
+// checkReplica checks whether a process listens at a replica's address.
+func (s *Shell) checkReplica(ctx context.Context, a quarantine.Check) {
 	err := upstream.CheckReachable(ctx, a.Address)
 	s.post(quarantine.Checked{Replica: a.Replica, Ended: upstream.ConnectionRefused(err)})
 }
 
-// askTime bounds how long the owner of an engine is waited for.
-const askTime = time.Second
+// orderTimeout is the timeout of an order request to the owner of an engine.
+const orderTimeout = time.Second
 
-func (s *Shell) askOrder(ctx context.Context, a orderclient.SendRequest) {
-	ctx, done := context.WithTimeout(ctx, askTime)
-	defer done()
+func (s *Shell) requestOrder(ctx context.Context, a orderclient.SendRequest) {
+	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
+	defer cancel()
 	reply, err := s.peers.RequestOrder(ctx, a.Address, s.self.Name, a.Engine, a.Request)
 	if err != nil {
 		reply = peer.OrderReply{Outcome: owned.Failed, Detail: err.Error()}
@@ -176,30 +177,30 @@
 	s.post(orderclient.Reply{Engine: a.Engine, Request: a.Request, Outcome: reply.Outcome, Detail: reply.Detail})
 }
 
-// permitTime bounds how long a peer is waited for beyond the time that the request may wait
-// there (docs/design/limits.md).
-const permitTime = 200 * time.Millisecond
+// permitTimeout is the time to wait for a peer's reply to a permit request, in addition to
+// the time that the request may wait at the peer (docs/design/limits.md).
+const permitTimeout = 200 * time.Millisecond
 
-func (s *Shell) askPermit(ctx context.Context, a permits.SendRequest) {
-	ctx, done := context.WithTimeout(ctx, a.Request.Wait+permitTime)
-	defer done()
-	verdict, err := s.peers.RequestPermit(ctx, a.Address, s.self.Name, a.Request)
+func (s *Shell) requestPermit(ctx context.Context, a permits.SendRequest) {
+	ctx, cancel := context.WithTimeout(ctx, a.Request.Wait+permitTimeout)
+	defer cancel()
+	decision, err := s.peers.RequestPermit(ctx, a.Address, s.self.Name, a.Request)
 	if a.Request.Unused {
 		if err != nil {
 			s.event(logevent.PermitFailed, "for", a.Request.Resource.String(), "peer", a.Peer, "unused", true, "error", err.Error())
 		}
 		return
 	}
-	s.post(permits.Reply{Token: a.Token, Verdict: verdict, Err: err})
+	s.post(permits.Reply{Token: a.Token, Verdict: decision, Err: err})
 }
 
-// HandlePermitRequest answers a peer that asks for a permit.
+// HandlePermitRequest answers a peer's permit request.
 func (s *Shell) HandlePermitRequest(ctx context.Context, from string, r permits.Request) (permits.Decision, error) {
 	reply := make(chan permits.Decision, 1)
-	s.do(func(s *Shell) step.Event {
-		s.nextAsk++
-		s.permits[s.nextAsk] = reply
-		return permits.RequestReceived{Token: s.nextAsk, From: from, Request: r}
+	s.submit(func(s *Shell) step.Event {
+		s.lastToken++
+		s.permitReplies[s.lastToken] = reply
+		return permits.RequestReceived{Token: s.lastToken, From: from, Request: r}
 	})
 	select {
 	case v := <-reply:
@@ -209,13 +210,13 @@
 	}
 }
 
-// HandleOrderRequest answers a peer that asks for an order.
+// HandleOrderRequest answers a peer's order request.
 func (s *Shell) HandleOrderRequest(ctx context.Context, engine string, r orders.Request) (peer.OrderReply, error) {
 	reply := make(chan peer.OrderReply, 1)
-	s.do(func(s *Shell) step.Event {
-		s.nextAsk++
-		s.orders[s.nextAsk] = reply
-		return owned.RequestReceived{Token: s.nextAsk, Engine: engine, Request: r}
+	s.submit(func(s *Shell) step.Event {
+		s.lastToken++
+		s.orderReplies[s.lastToken] = reply
+		return owned.RequestReceived{Token: s.lastToken, Engine: engine, Request: r}
 	})
 	select {
 	case out := <-reply:
--- a/internal/shell/snapshot.go
+++ b/internal/shell/snapshot.go
@@ -7,44 +7,45 @@
 	"github.com/birchdrift/birchdrift/core/instance"
 )
 
-// A view is what handlers may read without asking the machine. It is immutable.
-type view struct {
-	config *config.Snapshot
-	ready  bool
-	reason string
-	stops  bool // a planned stop has begun
+// A publishedState is the part of the machine's state that handlers may read from any
+// goroutine. It is immutable.
+type publishedState struct {
+	config    *config.Snapshot
+	ready     bool
+	reason    string
+	stopBegun bool // a planned stop has begun
 }
 
-// A snapshotCell holds the latest view.
-type snapshotCell struct {
-	current atomic.Pointer[view]
-	install *config.Snapshot // written on the machine's goroutine only
+// A stateCell holds the latest publishedState.
+type stateCell struct {
+	current   atomic.Pointer[publishedState]
+	installed *config.Snapshot // written on the machine's goroutine only
 }
 
-func (c *snapshotCell) publish(m *instance.Machine) {
+func (c *stateCell) publish(m *instance.Machine) {
 	ready, reason := m.Ready()
 	old := c.current.Load()
-	if old != nil && old.ready == ready && old.reason == reason && old.stops == m.Stopping() && old.config == c.install {
+	if old != nil && old.ready == ready && old.reason == reason && old.stopBegun == m.Stopping() && old.config == c.installed {
 		return
 	}
-	c.current.Store(&view{config: c.install, ready: ready, reason: reason, stops: m.Stopping()})
+	c.current.Store(&publishedState{config: c.installed, ready: ready, reason: reason, stopBegun: m.Stopping()})
 }
 
-func (c *snapshotCell) config() *config.Snapshot {
+func (c *stateCell) config() *config.Snapshot {
 	if v := c.current.Load(); v != nil {
 		return v.config
 	}
 	return nil
 }
 
-func (c *snapshotCell) ready() (bool, string) {
+func (c *stateCell) ready() (bool, string) {
 	if v := c.current.Load(); v != nil {
 		return v.ready, v.reason
 	}
 	return false, "starting"
 }
 
-func (c *snapshotCell) stopping() bool {
+func (c *stateCell) stopping() bool {
 	v := c.current.Load()
-	return v != nil && v.stops
+	return v != nil && v.stopBegun
 }
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -12,7 +12,7 @@
 	"github.com/matryer/is"
 )
 
-// serve answers connections at a port of its own with answer, and returns the address.
+// serve starts a server that handles each connection with answer and returns its address.
 func serve(t *testing.T, answer func(c *net.TCPConn)) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -33,9 +33,10 @@
 	return l.Addr().String()
 }
 
-// TestHowAnAttemptEnds tables what is told of an attempt by the error of its
-// connection: a replica that ended it, nobody at its address, or silence.
-func TestHowAnAttemptEnds(t *testing.T) {
+// TestConnectionErrors checks how Severed and ConnectionRefused classify the errors of
+// connections: closed or reset by the other end, refused because no process listens, or
+// neither if nothing arrives before the timeout.
+func TestConnectionErrors(t *testing.T) {
 	closed, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -47,12 +48,12 @@
 		name    string
 		address string
 		severed bool
-		nobody  bool
+		refused bool
 	}{
 		{"closed without an answer", serve(t, func(c *net.TCPConn) { _ = c.Close() }), true, false},
-		{"closed in the middle", serve(t, func(c *net.TCPConn) { _, _ = io.WriteString(c, half); _ = c.Close() }), true, false},
+		{"closed within the answer", serve(t, func(c *net.TCPConn) { _, _ = io.WriteString(c, half); _ = c.Close() }), true, false},
 		{"reset", serve(t, func(c *net.TCPConn) { _ = c.SetLinger(0); _ = c.Close() }), true, false},
-		{"nobody there", closed.Addr().String(), false, true},
+		{"no process listens", closed.Addr().String(), false, true},
 		{silence, serve(t, func(*net.TCPConn) {}), false, false},
 	}
 	transports := NewTransports()
@@ -63,8 +64,8 @@
 			if c.name == silence {
 				limit = 300 * time.Millisecond
 			}
-			ctx, done := context.WithTimeout(context.Background(), limit)
-			defer done()
+			ctx, cancel := context.WithTimeout(context.Background(), limit)
+			defer cancel()
 			req, err := http.NewRequestWithContext(ctx, "POST", "http://"+c.address+"/", nil)
 			is.NoErr(err)
 			resp, err := transports.Fresh.RoundTrip(req)
@@ -74,7 +75,7 @@
 			}
 			is.True(err != nil)
 			is.Equal(Severed(trace.Wrap(err)), c.severed)
-			is.Equal(ConnectionRefused(trace.Wrap(err)), c.nobody)
+			is.Equal(ConnectionRefused(trace.Wrap(err)), c.refused)
 		})
 	}
 }
