--- a/core/own/book/book.go
+++ b/core/own/book/book.go
@@ -93,8 +93,8 @@
 	}
 }
 
-// Known reports whether the engine's state was read since its fence was raised.
-func (e *Engine) Known() bool { return e.read }
+// StateKnown reports whether the engine's state was read since its fence was raised.
+func (e *Engine) StateKnown() bool { return e.read }
 
 // Boot returns the boot under which the state was last read.
 func (e *Engine) Boot() uint64 { return e.boot }
--- a/core/own/planner/input.go
+++ b/core/own/planner/input.go
@@ -103,7 +103,7 @@
 		Sequences: r.Concurrent,
 		Free:      l.Free(),
 		Capacity:  r.MemoryMiB,
-		Usable:    l.Known() && r.Usable() && p.mayOrder(now, r),
+		Usable:    l.StateKnown() && r.Usable() && p.mayOrder(now, r),
 	}
 	if p.Options.Disable.Booking {
 		e.Free = p.reportedFree(r)
--- a/core/own/planner/orders.go
+++ b/core/own/planner/orders.go
@@ -23,7 +23,7 @@
 		if s.Fence > p.fence {
 			p.Out.Log(logevent.OrderFenced, "engine", r.Name, "fence", s.Fence)
 			p.loseLease(logevent.LeaseLost)
-		} else if l.Known() && s.Residency.Boot > l.Boot() {
+		} else if l.StateKnown() && s.Residency.Boot > l.Boot() {
 			// It restarted and forgot the fence: raise it anew first.
 			p.ledgers[r.Name] = l.Restarted()
 			p.raises[r.Name] = &raise{backoff: backoff.New(readBase, readMax)}
@@ -70,7 +70,7 @@
 			continue
 		}
 		ra := p.raises[r.Name]
-		if now.Before(ra.due) || (l.Known() && len(l.Unconfirmed()) == 0) {
+		if now.Before(ra.due) || (l.StateKnown() && len(l.Unconfirmed()) == 0) {
 			continue
 		}
 		ra.backoff = ra.backoff.WithFailure()
--- a/core/own/planner/read.go
+++ b/core/own/planner/read.go
@@ -70,7 +70,7 @@
 // reads those that it waits for.
 func (p *Planner) isReader(now clock.Instant, r *pool.Replica) bool {
 	if p.Planning() {
-		if l := p.ledgers[r.Name]; l != nil && l.Known() && l.Busy() {
+		if l := p.ledgers[r.Name]; l != nil && l.StateKnown() && l.Busy() {
 			return true
 		}
 	}
