--- a/core/own/book/book.go
+++ b/core/own/book/book.go
@@ -99,8 +99,8 @@
 // Boot returns the boot under which the state was last read.
 func (e *Engine) Boot() uint64 { return e.boot }
 
-// Free returns the memory that no item holds or is booked for, in MiB.
-func (e *Engine) Free() int64 {
+// FreeMiB returns the memory that no item holds or is booked for, in MiB.
+func (e *Engine) FreeMiB() int64 {
 	if !e.read {
 		return 0
 	}
@@ -168,7 +168,7 @@
 func (e *Engine) Book(o Order) bool {
 	switch o.Op {
 	case Load:
-		if !e.read || e.Holds(o.Item) || o.MiB > e.Free() {
+		if !e.read || e.Holds(o.Item) || o.MiB > e.FreeMiB() {
 			return false
 		}
 		e.entries[o.Item] = entry{mib: o.MiB}
--- a/core/own/book/book_test.go
+++ b/core/own/book/book_test.go
@@ -27,7 +27,7 @@
 func TestNothingIsFreeBeforeTheStateIsRead(t *testing.T) {
 	is := is.New(t)
 	e := NewEngine("e", 1000, true)
-	is.Equal(e.Free(), int64(0))
+	is.Equal(e.FreeMiB(), int64(0))
 	is.True(!e.Book(Order{Seq: 1, Op: Load, Item: "a", MiB: 400}))
 }
 
@@ -40,7 +40,7 @@
 	is.True(e.Book(Order{Fence: 7, Seq: 2, Op: Load, Item: "a", MiB: 400}))
 	e.Observe(state(1, 6, 7, 2, pool.Item{Name: "a", Phase: pool.Loading}), 7, 2, size)
 	e.Observe(state(1, 5, 7, 1), 7, 0, size) // the late one
-	is.Equal(e.Free(), int64(600))
+	is.Equal(e.FreeMiB(), int64(600))
 }
 
 // TestLostLoadStaysBooked until the engine's state settles it.
@@ -53,14 +53,14 @@
 			is.True(e.Book(Order{Fence: 7, Seq: 2, Op: Load, Item: "a", MiB: 400}))
 			e.Lost(2)
 			e.Observe(state(1, 1, 7, 1), 7, 0, size) // does not tell
-			is.Equal(e.Free(), int64(600))
+			is.Equal(e.FreeMiB(), int64(600))
 			// A later order was carried out: an engine that checks refuses
 			// the lost one from now on; one that does not may still take it.
 			e.Observe(state(1, 2, 7, 3), 7, 0, size)
 			if checks {
-				is.Equal(e.Free(), int64(1000))
+				is.Equal(e.FreeMiB(), int64(1000))
 			} else {
-				is.Equal(e.Free(), int64(600))
+				is.Equal(e.FreeMiB(), int64(600))
 			}
 		})
 	}
@@ -78,7 +78,7 @@
 	is.True(e.Pinned("a"))
 	is.True(!e.Book(Order{Fence: 7, Seq: 2, Op: Unload, Item: "a"}))
 	e.Observe(state(2, 0, 0, 0), 7, 0, size) // it restarted
-	is.Equal(e.Free(), int64(1000))
+	is.Equal(e.FreeMiB(), int64(1000))
 }
 
 // TestFreeIsNeverMoreThanAnyOutcomeLeaves draws orders, losses, late arrivals,
@@ -90,7 +90,7 @@
 		steps := rapid.IntRange(1, 60).Draw(t, "steps")
 		for range steps {
 			m.act(t)
-			if free, real := m.ledger.Free(), m.capacity-m.used()-m.pending(); free > real {
+			if free, real := m.ledger.FreeMiB(), m.capacity-m.used()-m.pending(); free > real {
 				t.Fatalf("the ledger says %d free, %d may be", free, real)
 			}
 		}
--- a/core/own/planner/planner.go
+++ b/core/own/planner/planner.go
@@ -158,7 +158,7 @@
 // ledger; 0 if it has none.
 func (p *Planner) FreeMiB(engine string) int64 {
 	if l := p.ledgers[engine]; l != nil {
-		return l.Free()
+		return l.FreeMiB()
 	}
 	return 0
 }
