--- a/core/own/book/book.go
+++ b/core/own/book/book.go
@@ -163,9 +163,9 @@
 	return orders
 }
 
-// Book books an order's memory. It reports false, and books nothing, when the
+// Reserve books an order's memory. It reports false, and books nothing, when the
 // order could overcommit the engine or would unload what is pinned or absent.
-func (e *Engine) Book(o Order) bool {
+func (e *Engine) Reserve(o Order) bool {
 	switch o.Op {
 	case Load:
 		if !e.read || e.Holds(o.Item) || o.MiB > e.FreeMiB() {
--- a/core/own/book/book_test.go
+++ b/core/own/book/book_test.go
@@ -28,7 +28,7 @@
 	is := is.New(t)
 	e := NewEngine("e", 1000, true)
 	is.Equal(e.FreeMiB(), int64(0))
-	is.True(!e.Book(Order{Seq: 1, Op: Load, Item: "a", MiB: 400}))
+	is.True(!e.Reserve(Order{Seq: 1, Op: Load, Item: "a", MiB: 400}))
 }
 
 // TestStaleStateFreesNothing: a state read before an order, and delivered after
@@ -37,7 +37,7 @@
 	is := is.New(t)
 	e := NewEngine("e", 1000, true)
 	e.Observe(state(1, 5, 7, 1), 7, 0, size)
-	is.True(e.Book(Order{Fence: 7, Seq: 2, Op: Load, Item: "a", MiB: 400}))
+	is.True(e.Reserve(Order{Fence: 7, Seq: 2, Op: Load, Item: "a", MiB: 400}))
 	e.Observe(state(1, 6, 7, 2, pool.Item{Name: "a", Phase: pool.Loading}), 7, 2, size)
 	e.Observe(state(1, 5, 7, 1), 7, 0, size) // the late one
 	is.Equal(e.FreeMiB(), int64(600))
@@ -50,7 +50,7 @@
 			is := is.New(t)
 			e := NewEngine("e", 1000, checks)
 			e.Observe(state(1, 1, 7, 1), 7, 0, size)
-			is.True(e.Book(Order{Fence: 7, Seq: 2, Op: Load, Item: "a", MiB: 400}))
+			is.True(e.Reserve(Order{Fence: 7, Seq: 2, Op: Load, Item: "a", MiB: 400}))
 			e.Lost(2)
 			e.Observe(state(1, 1, 7, 1), 7, 0, size) // does not tell
 			is.Equal(e.FreeMiB(), int64(600))
@@ -72,11 +72,11 @@
 	is := is.New(t)
 	e := NewEngine("e", 1000, false)
 	e.Observe(state(1, 1, 0, 0), 7, 0, size)
-	is.True(e.Book(Order{Fence: 7, Seq: 1, Op: Load, Item: "a", MiB: 400}))
+	is.True(e.Reserve(Order{Fence: 7, Seq: 1, Op: Load, Item: "a", MiB: 400}))
 	e.Lost(1)
 	e.Observe(state(1, 2, 0, 0, pool.Item{Name: "a", Phase: pool.Ready}), 7, 0, size)
 	is.True(e.Pinned("a"))
-	is.True(!e.Book(Order{Fence: 7, Seq: 2, Op: Unload, Item: "a"}))
+	is.True(!e.Reserve(Order{Fence: 7, Seq: 2, Op: Unload, Item: "a"}))
 	e.Observe(state(2, 0, 0, 0), 7, 0, size) // it restarted
 	is.Equal(e.FreeMiB(), int64(1000))
 }
@@ -180,7 +180,7 @@
 func (m *model) send(o Order) {
 	m.seq++
 	o.Fence, o.Seq = 7, m.seq
-	if m.ledger.Book(o) {
+	if m.ledger.Reserve(o) {
 		m.onTheWay = append(m.onTheWay, o)
 	}
 }
--- a/core/own/planner/orders.go
+++ b/core/own/planner/orders.go
@@ -76,7 +76,7 @@
 		ra.backoff = ra.backoff.WithFailure()
 		ra.due = now.Add(ra.backoff.Delay(p.Rand))
 		o := book.Order{Engine: r.Name, Fence: p.fence, Seq: p.nextSeq(), Op: book.Raise}
-		l.Book(o)
+		l.Reserve(o)
 		p.Out.Emit(SendOrder{Address: r.Address, Order: o})
 	}
 }
@@ -89,7 +89,7 @@
 		return
 	}
 	o := book.Order{Engine: s.Engine, Fence: p.fence, Seq: p.nextSeq(), Op: s.Op, Item: s.Item, MiB: s.MiB}
-	if !l.Book(o) && !p.Options.Disable.Booking {
+	if !l.Reserve(o) && !p.Options.Disable.Booking {
 		p.Out.Log(logevent.OvercommitAverted, "engine", s.Engine, "op", s.Op.String(), "item", s.Item)
 		return
 	}
