--- a/core/own/book/book.go
+++ b/core/own/book/book.go
@@ -182,9 +182,9 @@
 	return true
 }
 
-// Inherit counts an order of an earlier holder as outstanding and unconfirmed, as a
+// AddInherited counts an order of an earlier holder as outstanding and unconfirmed, as a
 // new holder does for every intent that it finds.
-func (e *Engine) Inherit(o Order) {
+func (e *Engine) AddInherited(o Order) {
 	if o.Op == Load && !e.Holds(o.Item) {
 		e.entries[o.Item] = entry{mib: o.MiB}
 	}
--- a/core/own/planner/intents.go
+++ b/core/own/planner/intents.go
@@ -94,7 +94,7 @@
 		in.owned = true
 		for _, i := range in.list {
 			if l := p.ledgers[i.Engine]; l != nil {
-				l.Inherit(i.order(now))
+				l.AddInherited(i.order(now))
 			}
 		}
 	}
