--- a/core/own/book/book.go
+++ b/core/own/book/book.go
@@ -191,8 +191,8 @@
 	e.open[o.Seq] = outstanding{order: o, unconfirmed: true}
 }
 
-// NotSent notes that an order certainly never left; its booking is undone.
-func (e *Engine) NotSent(seq uint64) {
+// MarkNotSent notes that an order certainly never left; its booking is undone.
+func (e *Engine) MarkNotSent(seq uint64) {
 	o, ok := e.open[seq]
 	if !ok {
 		return
@@ -213,7 +213,7 @@
 
 // Refused notes that the engine answered that it did not and will not carry
 // out an order.
-func (e *Engine) Refused(seq uint64) { e.NotSent(seq) }
+func (e *Engine) Refused(seq uint64) { e.MarkNotSent(seq) }
 
 // Observe takes in a state that the engine gave under the holder's fence.
 // answered is the order that the state answers, 0 for a plain read. size gives
--- a/core/own/planner/intents.go
+++ b/core/own/planner/intents.go
@@ -118,7 +118,7 @@
 			rest = append(rest, o)
 		case r == nil || l == nil || !p.mayOrder(now, r):
 			if l != nil {
-				l.NotSent(o.Seq)
+				l.MarkNotSent(o.Seq)
 			}
 		default:
 			p.send(o, r)
--- a/core/own/planner/orders.go
+++ b/core/own/planner/orders.go
@@ -139,7 +139,7 @@
 		p.Out.Log(logevent.OrderFenced, "engine", e.Engine, "seq", e.Seq)
 		p.loseLease(logevent.LeaseLost)
 	case OrderNotSent:
-		l.NotSent(e.Seq)
+		l.MarkNotSent(e.Seq)
 	case OrderLost:
 		p.Out.Log(logevent.OrderLost, "engine", e.Engine, "seq", e.Seq, "detail", e.Detail)
 		l.Lost(e.Seq)
