--- a/core/own/book/book.go
+++ b/core/own/book/book.go
@@ -203,8 +203,8 @@
 	}
 }
 
-// Lost notes that an order's answer is lost.
-func (e *Engine) Lost(seq uint64) {
+// MarkLost notes that an order's answer is lost.
+func (e *Engine) MarkLost(seq uint64) {
 	if o, ok := e.open[seq]; ok {
 		o.unconfirmed = true
 		e.open[seq] = o
--- a/core/own/book/book_test.go
+++ b/core/own/book/book_test.go
@@ -51,7 +51,7 @@
 			e := NewEngine("e", 1000, checks)
 			e.Observe(state(1, 1, 7, 1), 7, 0, size)
 			is.True(e.Reserve(Order{Fence: 7, Seq: 2, Op: Load, Item: "a", MiB: 400}))
-			e.Lost(2)
+			e.MarkLost(2)
 			e.Observe(state(1, 1, 7, 1), 7, 0, size) // does not tell
 			is.Equal(e.FreeMiB(), int64(600))
 			// A later order was carried out: an engine that checks refuses
@@ -73,7 +73,7 @@
 	e := NewEngine("e", 1000, false)
 	e.Observe(state(1, 1, 0, 0), 7, 0, size)
 	is.True(e.Reserve(Order{Fence: 7, Seq: 1, Op: Load, Item: "a", MiB: 400}))
-	e.Lost(1)
+	e.MarkLost(1)
 	e.Observe(state(1, 2, 0, 0, pool.Item{Name: "a", Phase: pool.Ready}), 7, 0, size)
 	is.True(e.Pinned("a"))
 	is.True(!e.Reserve(Order{Fence: 7, Seq: 2, Op: Unload, Item: "a"}))
@@ -159,7 +159,7 @@
 		}
 	case "lose":
 		for _, o := range m.onTheWay {
-			m.ledger.Lost(o.Seq)
+			m.ledger.MarkLost(o.Seq)
 		}
 	case "read":
 		m.old = append(m.old, m.state())
@@ -204,7 +204,7 @@
 		m.ledger.Observe(m.state(), 7, o.Seq, size)
 		return
 	}
-	m.ledger.Lost(o.Seq)
+	m.ledger.MarkLost(o.Seq)
 }
 
 func (m *model) apply(o Order) {
--- a/core/own/planner/orders.go
+++ b/core/own/planner/orders.go
@@ -142,7 +142,7 @@
 		l.MarkNotSent(e.Seq)
 	case OrderLost:
 		p.Out.Log(logevent.OrderLost, "engine", e.Engine, "seq", e.Seq, "detail", e.Detail)
-		l.Lost(e.Seq)
+		l.MarkLost(e.Seq)
 		if ra := p.raises[e.Engine]; ra != nil {
 			ra.due = now
 		}
