--- a/core/own/book/book.go
+++ b/core/own/book/book.go
@@ -211,9 +211,9 @@
 	}
 }
 
-// Refused notes that the engine answered that it did not and will not carry
+// MarkRefused notes that the engine answered that it did not and will not carry
 // out an order.
-func (e *Engine) Refused(seq uint64) { e.MarkNotSent(seq) }
+func (e *Engine) MarkRefused(seq uint64) { e.MarkNotSent(seq) }
 
 // Observe takes in a state that the engine gave under the holder's fence.
 // answered is the order that the state answers, 0 for a plain read. size gives
--- a/core/own/book/book_test.go
+++ b/core/own/book/book_test.go
@@ -194,7 +194,7 @@
 	}
 	if m.checks && o.Seq <= m.last {
 		if answered {
-			m.ledger.Refused(o.Seq)
+			m.ledger.MarkRefused(o.Seq)
 		}
 		return
 	}
--- a/core/own/planner/orders.go
+++ b/core/own/planner/orders.go
@@ -132,7 +132,7 @@
 		if op != book.Raise {
 			p.Out.Log(logevent.OrderRefused, "engine", e.Engine, "seq", e.Seq, "detail", e.Detail)
 		}
-		l.Refused(e.Seq)
+		l.MarkRefused(e.Seq)
 		p.observe(now, e.Engine, e.State)
 		p.settle(now, l, e.State, e.Seq)
 	case OrderFenced:
