--- a/core/own/book/book.go
+++ b/core/own/book/book.go
@@ -325,8 +325,8 @@
 // Name returns the engine's name.
 func (e *Engine) Name() string { return e.name }
 
-// Op returns what the order asked for, while it is open.
-func (e *Engine) Op(seq uint64) (Op, bool) {
+// OpenOp returns what the order asked for, while it is open.
+func (e *Engine) OpenOp(seq uint64) (Op, bool) {
 	o, ok := e.open[seq]
 	return o.order.Op, ok
 }
--- a/core/own/planner/orders.go
+++ b/core/own/planner/orders.go
@@ -119,7 +119,7 @@
 	if l == nil || e.Fence != p.fence {
 		return
 	}
-	op, _ := l.Op(e.Seq)
+	op, _ := l.OpenOp(e.Seq)
 	switch e.Outcome {
 	case OrderDone:
 		p.count(op)
