--- a/core/own/book/book.go
+++ b/core/own/book/book.go
@@ -337,8 +337,8 @@
 	return ok
 }
 
-// LoadsUnderWay counts the loads that take from the weight store now.
-func (e *Engine) LoadsUnderWay() int {
+// LoadsInProgress counts the loads that take from the weight store now.
+func (e *Engine) LoadsInProgress() int {
 	n := 0
 	for item, en := range e.entries {
 		if en.phase == pool.Loading || (en.phase == 0 && e.openLoad(item)) {
--- a/core/own/planner/input.go
+++ b/core/own/planner/input.go
@@ -204,7 +204,7 @@
 	atOnce := max(1, int(math.Floor(float64(w.MaxConcurrentLoads)*share)))
 	loading := 0
 	for _, l := range p.ledgers {
-		loading += l.LoadsUnderWay()
+		loading += l.LoadsInProgress()
 	}
 	return max(0, min(int(b.tokens), atOnce-loading))
 }
