--- a/core/own/book/book.go
+++ b/core/own/book/book.go
@@ -348,10 +348,10 @@
 	return n
 }
 
-// Restarted returns the ledger to begin with after the engine restarted and
+// AfterRestart returns the ledger to begin with after the engine restarted and
 // forgot its fence: nothing is free until the fence is raised again, and
 // orders that are still under way stay open.
-func (e *Engine) Restarted() *Engine {
+func (e *Engine) AfterRestart() *Engine {
 	next := NewEngine(e.name, e.capacity, e.checks)
 	for seq, o := range e.open {
 		if o.order.Op == Load {
--- a/core/own/planner/orders.go
+++ b/core/own/planner/orders.go
@@ -25,7 +25,7 @@
 			p.loseLease(logevent.LeaseLost)
 		} else if l.StateKnown() && s.Residency.Boot > l.Boot() {
 			// It restarted and forgot the fence: raise it anew first.
-			p.ledgers[r.Name] = l.Restarted()
+			p.ledgers[r.Name] = l.AfterRestart()
 			p.raises[r.Name] = &raise{backoff: backoff.New(readBase, readMax)}
 		}
 		return
