--- a/core/own/choose/choose.go
+++ b/core/own/choose/choose.go
@@ -72,8 +72,8 @@
 // NewChooser returns a chooser that remembers up to size prefix blocks.
 func NewChooser(size int) *Chooser { return &Chooser{memory: NewMemory(size)} }
 
-// Sent notes that a call with this prefix was sent to the replica.
-func (c *Chooser) Sent(p Prefix, replica string) { c.memory.Add(p, replica) }
+// RecordSent notes that a call with this prefix was sent to the replica.
+func (c *Chooser) RecordSent(p Prefix, replica string) { c.memory.Add(p, replica) }
 
 // Choose returns the best estimate among the candidates. ok is false when none
 // may be sent new work. An estimate without Room is returned when every
--- a/core/own/modelcalls/place.go
+++ b/core/own/modelcalls/place.go
@@ -74,7 +74,7 @@
 func (h *Handler) dispatch(now clock.Instant, c *calls.Call, e choose.Estimate) {
 	h.Calls.MarkSent(now, c, e.Replica)
 	if c.Item != "" {
-		h.Chooser.Sent(c.Prefix, e.Replica.Name)
+		h.Chooser.RecordSent(c.Prefix, e.Replica.Name)
 	}
 	e.Replica.Start(now, uint64(c.ID))
 	h.recent.add(now, c, e)
