--- a/core/own/choose/choose.go
+++ b/core/own/choose/choose.go
@@ -185,5 +185,5 @@
 	return best
 }
 
-// Restarted notes that the replica restarted and its prefix cache is empty.
-func (c *Chooser) Restarted(replica string) { c.memory.Drop(replica) }
+// HandleRestart notes that the replica restarted and its prefix cache is empty.
+func (c *Chooser) HandleRestart(replica string) { c.memory.Drop(replica) }
--- a/core/own/planner/read.go
+++ b/core/own/planner/read.go
@@ -115,7 +115,7 @@
 	if p.Records.AddResidency("", res) {
 		p.Leaving(res)
 		if r := p.Pool.Get(engine); r != nil && s.Residency.Boot > r.Residency.Boot {
-			p.Chooser.Restarted(engine)
+			p.Chooser.HandleRestart(engine)
 		}
 		p.Pool.ObserveResidency(now, engine, s.Residency)
 		p.TellSoon(now)
