--- a/core/own/choose/choose.go
+++ b/core/own/choose/choose.go
@@ -73,7 +73,7 @@
 func NewChooser(size int) *Chooser { return &Chooser{memory: NewMemory(size)} }
 
 // RecordSent notes that a call with this prefix was sent to the replica.
-func (c *Chooser) RecordSent(p Prefix, replica string) { c.memory.Add(p, replica) }
+func (c *Chooser) RecordSent(p Prefix, replica string) { c.memory.Record(p, replica) }
 
 // Choose returns the best estimate among the candidates. ok is false when none
 // may be sent new work. An estimate without Room is returned when every
--- a/core/own/choose/prefix.go
+++ b/core/own/choose/prefix.go
@@ -53,8 +53,8 @@
 	return &Memory{size: size, recent: list.New(), byHash: map[uint64]*list.Element{}}
 }
 
-// Add notes that the blocks of p are on the replica now.
-func (m *Memory) Add(p Prefix, replica string) {
+// Record notes that the blocks of p are on the replica now.
+func (m *Memory) Record(p Prefix, replica string) {
 	for _, h := range p.blocks {
 		if el, ok := m.byHash[h]; ok {
 			el.Value = memoryEntry{hash: h, replica: replica}
