--- a/core/own/choose/choose.go
+++ b/core/own/choose/choose.go
@@ -186,4 +186,4 @@
 }
 
 // HandleRestart notes that the replica restarted and its prefix cache is empty.
-func (c *Chooser) HandleRestart(replica string) { c.memory.Drop(replica) }
+func (c *Chooser) HandleRestart(replica string) { c.memory.RemoveReplica(replica) }
--- a/core/own/choose/prefix.go
+++ b/core/own/choose/prefix.go
@@ -81,8 +81,8 @@
 	return "", 0
 }
 
-// Drop forgets blocks believed to be on the replica, after it restarted.
-func (m *Memory) Drop(replica string) {
+// RemoveReplica forgets blocks believed to be on the replica, after it restarted.
+func (m *Memory) RemoveReplica(replica string) {
 	for el := m.recent.Front(); el != nil; {
 		next := el.Next()
 		if entry := el.Value.(memoryEntry); entry.replica == replica {
