--- a/core/instance/own.go
+++ b/core/instance/own.go
@@ -57,7 +57,7 @@
 		tickBeforeExchanges: []func(now clock.Instant){m.exchanges.TickMesh, w.Tick},
 		tickAfterExchanges:  []func(now clock.Instant){p.Tick},
 		configInstalled:     func(_ clock.Instant, s *config.Snapshot) { p.Configured(s) },
-		handleConfigReply:   w.ConfigReplied,
+		handleConfigReply:   w.HandleConfigReply,
 		handleListReply:     w.ListReplied,
 		handOver:            func(clock.Instant) { p.HandOver() },
 		status:              parts.status,
--- a/core/own/kvwatch/watch.go
+++ b/core/own/kvwatch/watch.go
@@ -68,8 +68,8 @@
 	}
 }
 
-// ConfigReplied notes that a watch of the configuration is over.
-func (w *Watch) ConfigReplied(now clock.Instant, err error) {
+// HandleConfigReply notes that a watch of the configuration is over.
+func (w *Watch) HandleConfigReply(now clock.Instant, err error) {
 	w.Outage.Observe(now, err)
 	w.config.End(w.next(now))
 }
