--- a/core/instance/own.go
+++ b/core/instance/own.go
@@ -58,7 +58,7 @@
 		tickAfterExchanges:  []func(now clock.Instant){p.Tick},
 		configInstalled:     func(_ clock.Instant, s *config.Snapshot) { p.Configured(s) },
 		handleConfigReply:   w.HandleConfigReply,
-		handleListReply:     w.ListReplied,
+		handleListReply:     w.HandleListReply,
 		handOver:            func(clock.Instant) { p.HandOver() },
 		status:              parts.status,
 	}
--- a/core/own/kvwatch/watch.go
+++ b/core/own/kvwatch/watch.go
@@ -74,8 +74,8 @@
 	w.config.End(w.next(now))
 }
 
-// ListReplied takes in what a watch of the list brought.
-func (w *Watch) ListReplied(now clock.Instant, e listing.Reply) {
+// HandleListReply takes in what a watch of the list brought.
+func (w *Watch) HandleListReply(now clock.Instant, e listing.Reply) {
 	w.Outage.Observe(now, e.Err)
 	if e.Err == nil {
 		w.Exchanges.MarkStoreKnownUntil(w.list.SentAt())
