--- a/core/own/meter/meter.go
+++ b/core/own/meter/meter.go
@@ -50,8 +50,8 @@
 	unmetMemory = 15 * time.Second // an unmet item counts as such this long after its last call
 )
 
-// Call notes one call for item with the given weight.
-func (m *Meter) Call(now clock.Instant, item string, weight float64) {
+// RecordCall notes one call for item with the given weight.
+func (m *Meter) RecordCall(now clock.Instant, item string, weight float64) {
 	it := m.items[item]
 	if it == nil {
 		it = &meterItem{weight: weight, hold: defaultHold, at: now, begun: now}
--- a/core/own/modelcalls/modelcalls.go
+++ b/core/own/modelcalls/modelcalls.go
@@ -172,9 +172,9 @@
 	c.Priority = s.verdict.Priority
 	if c.Item != "" {
 		weight := float64(s.verdict.Priority) / neutralPriority
-		h.Meter.Call(now, c.Item, weight)
+		h.Meter.RecordCall(now, c.Item, weight)
 		if c.Item != s.version.Model {
-			h.Meter.Call(now, s.version.Model, weight)
+			h.Meter.RecordCall(now, s.version.Model, weight)
 		}
 	}
 	if s.verdict.Refuse {
