--- a/core/own/meter/meter.go
+++ b/core/own/meter/meter.go
@@ -64,8 +64,8 @@
 	it.weight += ewma * (weight - it.weight)
 }
 
-// Held notes how long a call for item occupied its replica.
-func (m *Meter) Held(item string, d time.Duration) {
+// RecordHoldTime notes how long a call for item occupied its replica.
+func (m *Meter) RecordHoldTime(item string, d time.Duration) {
 	if it := m.items[item]; it != nil {
 		it.hold += ewma * (d.Seconds() - it.hold)
 	}
--- a/core/own/modelcalls/attempts.go
+++ b/core/own/modelcalls/attempts.go
@@ -47,8 +47,8 @@
 		return
 	}
 	held := now.Since(c.Started)
-	h.Meter.Held(c.Item, held)
-	h.Meter.Held(stateOf(c).version.Model, held)
+	h.Meter.RecordHoldTime(c.Item, held)
+	h.Meter.RecordHoldTime(stateOf(c).version.Model, held)
 }
 
 // attemptFailed decides what follows an attempt that did not come to its proper end.
