--- a/core/own/meter/meter.go
+++ b/core/own/meter/meter.go
@@ -71,8 +71,8 @@
 	}
 }
 
-// Unmet notes that a call found item not resident.
-func (m *Meter) Unmet(now clock.Instant, item string) {
+// MarkUnmet notes that a call found item not resident.
+func (m *Meter) MarkUnmet(now clock.Instant, item string) {
 	it := m.items[item]
 	if it == nil {
 		return
--- a/core/own/modelcalls/attempts.go
+++ b/core/own/modelcalls/attempts.go
@@ -89,7 +89,7 @@
 		return
 	}
 	if e.Phase == attempt.NotSent && c.Item != "" {
-		h.Meter.Unmet(now, c.Item) // resident, but not within reach
+		h.Meter.MarkUnmet(now, c.Item) // resident, but not within reach
 	}
 	h.Pool.CallFailed(now, r, uint64(c.ID), c.Started)
 }
--- a/core/own/modelcalls/place.go
+++ b/core/own/modelcalls/place.go
@@ -62,7 +62,7 @@
 		h.Calls.Refuse(c, calls.NotRunRefusal(code.NoReplica, "no live replica", h.Calls.RetryAfter(0)))
 		return
 	}
-	h.Meter.Unmet(now, c.Item)
+	h.Meter.MarkUnmet(now, c.Item)
 	h.Unmet(now)
 	if s.load > h.allowance(now, c)+now.Since(c.Arrived) || h.allowance(now, c) <= 0 {
 		h.Calls.Refuse(c, calls.NotRunRefusal(code.NotResident, fmt.Sprintf("%q is not resident", c.Item), h.Calls.RetryAfter(s.load)))
