--- a/core/own/meter/meter.go
+++ b/core/own/meter/meter.go
@@ -83,8 +83,8 @@
 	it.lastUnmet = now
 }
 
-// Met notes that item is resident.
-func (m *Meter) Met(item string) {
+// MarkMet notes that item is resident.
+func (m *Meter) MarkMet(item string) {
 	if it := m.items[item]; it != nil {
 		it.unmet = clock.Instant{}
 	}
--- a/core/own/modelcalls/attempts.go
+++ b/core/own/modelcalls/attempts.go
@@ -34,7 +34,7 @@
 
 func (h *Handler) answerBegan(now clock.Instant, c *calls.Call) {
 	if c.Item != "" {
-		h.Meter.Met(c.Item)
+		h.Meter.MarkMet(c.Item)
 	}
 	if r := h.Pool.Get(c.Replica); r != nil {
 		late := now.Since(c.Started) > c.Target
