--- a/core/own/meter/meter.go
+++ b/core/own/meter/meter.go
@@ -90,8 +90,8 @@
 	}
 }
 
-// Waiting sets the calls that wait for item.
-func (m *Meter) Waiting(item string, n int) {
+// SetWaiting sets the calls that wait for item.
+func (m *Meter) SetWaiting(item string, n int) {
 	if it := m.items[item]; it != nil {
 		it.waiting = n
 	}
--- a/core/own/modelcalls/place.go
+++ b/core/own/modelcalls/place.go
@@ -102,12 +102,12 @@
 		}
 	}
 	for item, n := range absent {
-		h.Meter.Waiting(item, n)
+		h.Meter.SetWaiting(item, n)
 	}
 }
 
 func (h *Handler) leftQueue(c *calls.Call) {
 	if c.Item != "" {
-		h.Meter.Waiting(c.Item, 0)
+		h.Meter.SetWaiting(c.Item, 0)
 	}
 }
