--- a/core/own/meter/meter.go
+++ b/core/own/meter/meter.go
@@ -131,8 +131,8 @@
 	return w.Seconds() * (1 - math.Exp(-float64(age)/float64(w)))
 }
 
-// Items returns the demand at now by name, and drops what is no longer asked for.
-func (m *Meter) Items(now clock.Instant) []demand.Item {
+// Demand returns the demand at now by name, and drops what is no longer asked for.
+func (m *Meter) Demand(now clock.Instant) []demand.Item {
 	var items []demand.Item
 	for name, it := range m.items {
 		it.decay(now)
--- a/core/own/planner/demand.go
+++ b/core/own/planner/demand.go
@@ -59,7 +59,7 @@
 		return nil
 	}
 	if other.Zone == p.Self.Zone {
-		return p.Meter.Items(now)
+		return p.Meter.Demand(now)
 	}
 	if !p.Planning() {
 		return nil
--- a/core/own/planner/planner.go
+++ b/core/own/planner/planner.go
@@ -297,7 +297,7 @@
 		return
 	}
 	p.planDue = now.Add(step.Jitter(p.Rand, p.Options.PlanEvery))
-	p.Totals.Report(now, p.Self.Name, p.Meter.Items(now))
+	p.Totals.Report(now, p.Self.Name, p.Meter.Demand(now))
 	p.rereadDue(now)
 	p.tellLeaders(now)
 	p.raiseFences(now)
