--- a/core/instance/own.go
+++ b/core/instance/own.go
@@ -71,7 +71,7 @@
 	case calls.Arrived:
 		o.calls.Arrive(now, e.Call, m.stop.Refusing(now))
 	case modelcalls.ClaimReply:
-		o.calls.ClaimReplied(now, e)
+		o.calls.HandleClaimReply(now, e)
 	case planner.LeaseReply:
 		o.planner.LeaseReplied(now, e)
 	case planner.IntentsReply:
--- a/core/own/modelcalls/claims.go
+++ b/core/own/modelcalls/claims.go
@@ -85,8 +85,8 @@
 	h.Out.Emit(Claim{ID: c.ID, Key: s.claimKey, Life: h.Options.ClaimLife})
 }
 
-// ClaimReplied takes in what came of a claim, or of reading one back.
-func (h *Handler) ClaimReplied(now clock.Instant, e ClaimReply) {
+// HandleClaimReply takes in what came of a claim, or of reading one back.
+func (h *Handler) HandleClaimReply(now clock.Instant, e ClaimReply) {
 	c := h.Calls.Get(e.ID)
 	if c == nil || c.Phase != calls.ClaimingKey {
 		return
