--- a/core/instance/status.go
+++ b/core/instance/status.go
@@ -134,7 +134,7 @@
 	s.Planning = o.planner.Planning()
 	s.LeaseValid, s.Fence = o.planner.Lease(now)
 	s.Moves = o.planner.Moves()
-	s.Recent = o.calls.Recent()
+	s.Recent = o.calls.RecentDecisions()
 	for i := range s.Upstreams {
 		s.Upstreams[i].FreeMiB = o.planner.FreeMiB(s.Upstreams[i].Name)
 	}
--- a/core/own/modelcalls/decisions.go
+++ b/core/own/modelcalls/decisions.go
@@ -58,5 +58,5 @@
 
 func millis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// Recent returns the latest choices.
-func (h *Handler) Recent() []Decision { return h.recent.ring }
+// RecentDecisions returns the latest choices.
+func (h *Handler) RecentDecisions() []Decision { return h.recent.ring }
