--- a/core/instance/own.go
+++ b/core/instance/own.go
@@ -56,7 +56,7 @@
 		handle:              func(now clock.Instant, ev step.Event) bool { return m.handleOwn(now, parts, ev) },
 		tickBeforeExchanges: []func(now clock.Instant){m.exchanges.TickMesh, w.Tick},
 		tickAfterExchanges:  []func(now clock.Instant){p.Tick},
-		configInstalled:     func(_ clock.Instant, s *config.Snapshot) { p.Configured(s) },
+		configInstalled:     func(_ clock.Instant, s *config.Snapshot) { p.ApplyConfig(s) },
 		handleConfigReply:   w.HandleConfigReply,
 		handleListReply:     w.HandleListReply,
 		handOver:            func(clock.Instant) { p.HandOver() },
--- a/core/own/planner/planner.go
+++ b/core/own/planner/planner.go
@@ -129,8 +129,8 @@
 	}
 }
 
-// Configured takes over a newer configuration.
-func (p *Planner) Configured(s *config.Snapshot) {
+// ApplyConfig takes over a newer configuration.
+func (p *Planner) ApplyConfig(s *config.Snapshot) {
 	p.zones = newZoneView(s, p.Self.Zone)
 	p.sync()
 }
