--- a/core/instance/own.go
+++ b/core/instance/own.go
@@ -73,7 +73,7 @@
 	case modelcalls.ClaimReply:
 		o.calls.HandleClaimReply(now, e)
 	case planner.LeaseReply:
-		o.planner.LeaseReplied(now, e)
+		o.planner.HandleLeaseReply(now, e)
 	case planner.IntentsReply:
 		o.planner.IntentsReplied(now, e)
 	case planner.StateReply:
--- a/core/own/planner/planner.go
+++ b/core/own/planner/planner.go
@@ -218,8 +218,8 @@
 	p.doubtNoted = doubt
 }
 
-// LeaseReplied takes in what came of seeking the lease.
-func (p *Planner) LeaseReplied(now clock.Instant, e LeaseReply) {
+// HandleLeaseReply takes in what came of seeking the lease.
+func (p *Planner) HandleLeaseReply(now clock.Instant, e LeaseReply) {
 	p.Outage.Observe(now, e.Err)
 	if e.Err != nil {
 		p.job.End(now.Add(p.Outage.Wait(p.Rand)))
