--- a/core/instance/own.go
+++ b/core/instance/own.go
@@ -75,7 +75,7 @@
 	case planner.LeaseReply:
 		o.planner.HandleLeaseReply(now, e)
 	case planner.IntentsReply:
-		o.planner.IntentsReplied(now, e)
+		o.planner.HandleIntentsReply(now, e)
 	case planner.StateReply:
 		o.planner.StateReplied(now, e)
 	case planner.OrderReply:
--- a/core/own/planner/intents.go
+++ b/core/own/planner/intents.go
@@ -20,8 +20,8 @@
 	return book.Order{Engine: i.Engine, Op: book.Op(i.Op), Item: i.Item, MiB: i.MiB, Seq: i.Seq, Fence: i.Fence}
 }
 
-// IntentsReplied takes in the read at a take-over or a write of the list.
-func (p *Planner) IntentsReplied(now clock.Instant, e IntentsReply) {
+// HandleIntentsReply takes in the read at a take-over or a write of the list.
+func (p *Planner) HandleIntentsReply(now clock.Instant, e IntentsReply) {
 	p.intents.flying = false
 	p.Outage.Observe(now, e.Err)
 	if !p.Planning() {
