--- a/core/instance/own.go
+++ b/core/instance/own.go
@@ -77,7 +77,7 @@
 	case planner.IntentsReply:
 		o.planner.HandleIntentsReply(now, e)
 	case planner.StateReply:
-		o.planner.StateReplied(now, e)
+		o.planner.HandleStateReply(now, e)
 	case planner.OrderReply:
 		o.planner.OrderReplied(now, e)
 	default:
--- a/core/own/planner/read.go
+++ b/core/own/planner/read.go
@@ -93,8 +93,8 @@
 	return rd
 }
 
-// StateReplied takes in what an engine said of its state.
-func (p *Planner) StateReplied(now clock.Instant, e StateReply) {
+// HandleStateReply takes in what an engine said of its state.
+func (p *Planner) HandleStateReply(now clock.Instant, e StateReply) {
 	rd := p.reader(e.Engine)
 	if e.Err != nil {
 		rd.backoff = rd.backoff.WithFailure()
