--- a/core/instance/own.go
+++ b/core/instance/own.go
@@ -79,7 +79,7 @@
 	case planner.StateReply:
 		o.planner.HandleStateReply(now, e)
 	case planner.OrderReply:
-		o.planner.OrderReplied(now, e)
+		o.planner.HandleOrderReply(now, e)
 	default:
 		return false
 	}
--- a/core/own/planner/orders.go
+++ b/core/own/planner/orders.go
@@ -113,8 +113,8 @@
 	p.Out.Emit(SendOrder{Address: r.Address, Order: o})
 }
 
-// OrderReplied takes in what came of an order.
-func (p *Planner) OrderReplied(now clock.Instant, e OrderReply) {
+// HandleOrderReply takes in what came of an order.
+func (p *Planner) HandleOrderReply(now clock.Instant, e OrderReply) {
 	l := p.ledgers[e.Engine]
 	if l == nil || e.Fence != p.fence {
 		return
