--- a/core/instance/own.go
+++ b/core/instance/own.go
@@ -47,7 +47,7 @@
 	}
 	m.forwarding.Missed = func(clock.Instant) {} // this environment has no placer for the models of announced engines
 	m.exchanges.DemandFor = p.DemandFor
-	m.exchanges.DemandHeard = p.DemandHeard
+	m.exchanges.DemandHeard = p.HandleDemand
 	m.exchanges.PlatformBrings = func(clock.Instant) bool { return false } // so a newer configuration is requested from a peer immediately
 	m.exchanges.NextPeer = p.NextPeer
 	parts := &ownParts{planner: p, calls: h, chooser: chooser, meter: demandMeter}
--- a/core/own/planner/demand.go
+++ b/core/own/planner/demand.go
@@ -92,9 +92,9 @@
 	return items
 }
 
-// DemandHeard takes in what a peer's callers ask for. The next plan is made at
+// HandleDemand takes in what a peer's callers ask for. The next plan is made at
 // once if they wait.
-func (p *Planner) DemandHeard(now clock.Instant, peer string, items []demand.Item) {
+func (p *Planner) HandleDemand(now clock.Instant, peer string, items []demand.Item) {
 	p.Totals.Report(now, peer, items)
 	for _, it := range items {
 		if it.Unmet > 0 && p.Planning() {
