--- a/core/instance/status.go
+++ b/core/instance/status.go
@@ -133,7 +133,7 @@
 	s.Planner = o.planner.Holder()
 	s.Planning = o.planner.Planning()
 	s.LeaseValid, s.Fence = o.planner.Lease(now)
-	s.Moves = o.planner.Moves()
+	s.Moves = o.planner.OrderCounts()
 	s.Recent = o.calls.RecentDecisions()
 	for i := range s.Upstreams {
 		s.Upstreams[i].FreeMiB = o.planner.FreeMiB(s.Upstreams[i].Name)
--- a/core/own/planner/planner.go
+++ b/core/own/planner/planner.go
@@ -151,8 +151,8 @@
 	return p.lease.Valid(now), p.lease.Fence()
 }
 
-// Moves returns the orders that engines have taken from this instance.
-func (p *Planner) Moves() Moves { return p.moves }
+// OrderCounts returns the orders that engines have taken from this instance.
+func (p *Planner) OrderCounts() Moves { return p.moves }
 
 // FreeMiB returns the memory of an engine that nothing holds, by this planner's
 // ledger; 0 if it has none.
