--- a/core/instance/own.go
+++ b/core/instance/own.go
@@ -59,7 +59,7 @@
 		configInstalled:     func(_ clock.Instant, s *config.Snapshot) { p.ApplyConfig(s) },
 		handleConfigReply:   w.HandleConfigReply,
 		handleListReply:     w.HandleListReply,
-		handOver:            func(clock.Instant) { p.HandOver() },
+		handOver:            func(clock.Instant) { p.ReleaseLease() },
 		status:              parts.status,
 	}
 }
--- a/core/own/planner/planner.go
+++ b/core/own/planner/planner.go
@@ -163,8 +163,8 @@
 	return 0
 }
 
-// HandOver gives the lease back, at a planned stop.
-func (p *Planner) HandOver() {
+// ReleaseLease gives the lease back, at a planned stop.
+func (p *Planner) ReleaseLease() {
 	if !p.lease.Held() {
 		return
 	}
