--- a/core/instance/own.go
+++ b/core/instance/own.go
@@ -39,7 +39,7 @@
 	})
 	h := modelcalls.New(modelcalls.Needs{
 		State: m.state, Calls: m.calls,
-		Budget: m.budget, Chooser: chooser, Meter: demandMeter, Unmet: p.Unmet,
+		Budget: m.budget, Chooser: chooser, Meter: demandMeter, Unmet: p.ReportUnmet,
 	})
 	w := &kvwatch.Watch{
 		State:   m.state,
--- a/core/own/planner/demand.go
+++ b/core/own/planner/demand.go
@@ -15,8 +15,8 @@
 // call for a cold model would wait for the planner's turn in the rhythm.
 const tellEvery = 500 * time.Millisecond
 
-// Unmet lets the zone's planner know of an unmet demand soon.
-func (p *Planner) Unmet(now clock.Instant) {
+// ReportUnmet lets the zone's planner know of an unmet demand soon.
+func (p *Planner) ReportUnmet(now clock.Instant) {
 	if !p.toldAt.IsZero() && now.Since(p.toldAt) < tellEvery {
 		return
 	}
