--- a/core/own/planner/planner.go
+++ b/core/own/planner/planner.go
@@ -142,8 +142,8 @@
 	p.plan(now)
 }
 
-// Holder returns who plans for this instance's zone, as far as is known.
-func (p *Planner) Holder() string { return p.Records.LeaseHolder(p.Self.Zone).Instance }
+// LeaseHolder returns who plans for this instance's zone, as far as is known.
+func (p *Planner) LeaseHolder() string { return p.Records.LeaseHolder(p.Self.Zone).Instance }
 
 // Lease returns whether the lease certainly is held, and the fence of its last
 // grant.
