--- a/core/instance/promises_test.go
+++ b/core/instance/promises_test.go
@@ -240,7 +240,7 @@
 		for former == nil {
 			w.run(time.Millisecond)
 			for _, n := range w.nodes {
-				if n.id.Zone == "z1" && n.m.env.own.planner.Planning() {
+				if n.id.Zone == "z1" && n.m.env.own.planner.IsPlanner() {
 					former = n
 				}
 			}
@@ -495,7 +495,7 @@
 	w.run(15 * time.Second)
 	holder := ""
 	for _, name := range w.names[:2] {
-		if w.nodes[name].m.env.own.planner.Planning() {
+		if w.nodes[name].m.env.own.planner.IsPlanner() {
 			holder = name
 		}
 	}
@@ -507,7 +507,7 @@
 	begun := w.now
 	planned := func() bool {
 		for _, name := range w.names[:2] {
-			if name != holder && w.nodes[name].m.env.own.planner.Planning() {
+			if name != holder && w.nodes[name].m.env.own.planner.IsPlanner() {
 				return true
 			}
 		}
--- a/core/instance/status.go
+++ b/core/instance/status.go
@@ -131,7 +131,7 @@
 // status sets the fields that only the product's own environment has.
 func (o *ownParts) status(now clock.Instant, s *Status) {
 	s.Planner = o.planner.LeaseHolder()
-	s.Planning = o.planner.Planning()
+	s.Planning = o.planner.IsPlanner()
 	s.LeaseValid, s.Fence = o.planner.Lease(now)
 	s.Moves = o.planner.OrderCounts()
 	s.Recent = o.calls.RecentDecisions()
--- a/core/own/planner/demand.go
+++ b/core/own/planner/demand.go
@@ -21,7 +21,7 @@
 		return
 	}
 	p.toldAt = now
-	if p.Planning() {
+	if p.IsPlanner() {
 		p.planDue = now
 		return
 	}
@@ -61,7 +61,7 @@
 	if other.Zone == p.Self.Zone {
 		return p.Meter.Demand(now)
 	}
-	if !p.Planning() {
+	if !p.IsPlanner() {
 		return nil
 	}
 	return p.borrowed(now, other.Zone)
@@ -97,7 +97,7 @@
 func (p *Planner) HandleDemand(now clock.Instant, peer string, items []demand.Item) {
 	p.Totals.Report(now, peer, items)
 	for _, it := range items {
-		if it.Unmet > 0 && p.Planning() {
+		if it.Unmet > 0 && p.IsPlanner() {
 			p.planDue = now
 			return
 		}
@@ -133,7 +133,7 @@
 // tell them which of their models its zone lives on.
 func (p *Planner) abroad() *member.Peer {
 	others := p.Members.ZonePeers(false)
-	if p.Planning() {
+	if p.IsPlanner() {
 		var planners []*member.Peer
 		for _, peer := range others {
 			if p.Records.LeaseHolder(peer.Zone).Instance == peer.Name {
--- a/core/own/planner/intents.go
+++ b/core/own/planner/intents.go
@@ -24,7 +24,7 @@
 func (p *Planner) HandleIntentsReply(now clock.Instant, e IntentsReply) {
 	p.intents.flying = false
 	p.Outage.Observe(now, e.Err)
-	if !p.Planning() {
+	if !p.IsPlanner() {
 		return
 	}
 	switch {
--- a/core/own/planner/planner.go
+++ b/core/own/planner/planner.go
@@ -175,16 +175,16 @@
 	p.Out.Emit(ReleaseLease{Fence: fence})
 }
 
-// Planning reports whether this instance plans for its zone: it was granted
+// IsPlanner reports whether this instance plans for its zone: it was granted
 // the lease and nobody has said that another holds it since.
-func (p *Planner) Planning() bool { return p.lease.Held() && p.fence != 0 }
+func (p *Planner) IsPlanner() bool { return p.lease.Held() && p.fence != 0 }
 
 // mayOrder reports whether the engine may be sent orders. One that checks
 // fences arbitrates by itself: whoever holds a later lease has raised its
 // fence first. One that does not is only ordered while the lease certainly is
 // held and the zone's intents are this holder's.
 func (p *Planner) mayOrder(now clock.Instant, r *pool.Replica) bool {
-	if !p.Planning() || p.Stopping() {
+	if !p.IsPlanner() || p.Stopping() {
 		return false
 	}
 	if r.ChecksFence {
@@ -293,7 +293,7 @@
 // planDue raises fences that are not raised yet, settles what is unconfirmed, then
 // orders what the plan asks for.
 func (p *Planner) plan(now clock.Instant) {
-	if !p.Planning() || p.Stopping() || now.Before(p.planDue) {
+	if !p.IsPlanner() || p.Stopping() || now.Before(p.planDue) {
 		return
 	}
 	p.planDue = now.Add(step.Jitter(p.Rand, p.Options.PlanEvery))
--- a/core/own/planner/read.go
+++ b/core/own/planner/read.go
@@ -69,7 +69,7 @@
 // isReader reports whether the engine is this instance's to read. A planner also
 // reads those that it waits for.
 func (p *Planner) isReader(now clock.Instant, r *pool.Replica) bool {
-	if p.Planning() {
+	if p.IsPlanner() {
 		if l := p.ledgers[r.Name]; l != nil && l.StateKnown() && l.Busy() {
 			return true
 		}
@@ -78,7 +78,7 @@
 }
 
 func (p *Planner) readEvery(r *pool.Replica, every time.Duration) time.Duration {
-	if l := p.ledgers[r.Name]; p.Planning() && l != nil && l.Busy() {
+	if l := p.ledgers[r.Name]; p.IsPlanner() && l != nil && l.Busy() {
 		return p.Options.BusyReadEvery
 	}
 	return every
