--- a/internal/own/engine/engine.go
+++ b/internal/own/engine/engine.go
@@ -159,9 +159,9 @@
 	return s.decode(), nil
 }
 
-// Order gives the engine an order. base is the model of an adapter. The order
+// SendOrder gives the engine an order. base is the model of an adapter. The order
 // goes over a fresh connection, so that it cannot be repeated underneath.
-func (c *Client) Order(ctx context.Context, address string, o book.Order, base string) planner.OrderReply {
+func (c *Client) SendOrder(ctx context.Context, address string, o book.Order, base string) planner.OrderReply {
 	out := planner.OrderReply{Engine: o.Engine, Fence: o.Fence, Seq: o.Seq}
 	var progress upstream.Progress
 	wire := OrderRequest{Fence: o.Fence, Seq: o.Seq, Op: o.Op.String(), Item: o.Item, Base: base, MiB: o.MiB}
