--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -93,7 +93,7 @@
 // it reads the value back and decides by the change ID and revision that it finds.
 func compareAndSwap(ctx context.Context, p *keyvalue.Client, doc config.Document, data []byte, stored Stored) (uint64, error) {
 	for range maxApplyAttempts {
-		_, err := p.Swap(ctx, keyvalue.ConfigKey, data, stored.Revision, 0)
+		_, err := p.CompareAndSwap(ctx, keyvalue.ConfigKey, data, stored.Revision, 0)
 		if err == nil {
 			return doc.Revision, nil
 		}
--- a/internal/own/driver.go
+++ b/internal/own/driver.go
@@ -108,7 +108,7 @@
 func (d *driver) claim(ctx context.Context, a modelcalls.Claim) {
 	ctx, done := context.WithTimeout(ctx, claimTimeout)
 	defer done()
-	_, err := d.platform.Swap(ctx, a.Key, d.claimValue(a.ID), 0, a.Life)
+	_, err := d.platform.CompareAndSwap(ctx, a.Key, d.claimValue(a.ID), 0, a.Life)
 	d.host.Post(modelcalls.ClaimReply{ID: a.ID, Outcome: claimOutcome(err)})
 }
 
@@ -213,7 +213,7 @@
 	reply := planner.IntentsReply{Intents: a.Intents}
 	data, err := json.Marshal(a.Intents)
 	if err == nil {
-		reply.Revision, err = d.platform.Swap(ctx, keyvalue.IntentsKey(d.host.Self.Zone), data, a.Revision, 0)
+		reply.Revision, err = d.platform.CompareAndSwap(ctx, keyvalue.IntentsKey(d.host.Self.Zone), data, a.Revision, 0)
 	}
 	reply.Conflict = errors.Is(err, keyvalue.ErrConflict)
 	if !reply.Conflict {
--- a/internal/own/keyvalue/keyvalue.go
+++ b/internal/own/keyvalue/keyvalue.go
@@ -69,9 +69,9 @@
 	return c.call(ctx, http.MethodGet, PathValue+key, query, nil, wait)
 }
 
-// Swap writes a value if its revision is still expect (0: if there is none)
+// CompareAndSwap writes a value if its revision is still expect (0: if there is none)
 // and returns the new revision. ttl drops the value after that time; 0 keeps it.
-func (c *Client) Swap(ctx context.Context, key string, data []byte, expect uint64, ttl time.Duration) (uint64, error) {
+func (c *Client) CompareAndSwap(ctx context.Context, key string, data []byte, expect uint64, ttl time.Duration) (uint64, error) {
 	query := url.Values{"expect": {strconv.FormatUint(expect, 10)}}
 	if ttl > 0 {
 		query.Set("ttl", ttl.String())
--- a/standin/integration/contract_test.go
+++ b/standin/integration/contract_test.go
@@ -42,11 +42,11 @@
 				w.usePlatform(platform.New(limits))
 			}
 			ctx := context.Background()
-			first, err := w.client().Swap(ctx, "k", []byte("old"), 0, 0)
+			first, err := w.client().CompareAndSwap(ctx, "k", []byte("old"), 0, 0)
 			is.NoErr(err)
 			is.Equal(first, uint64(1))
 			w.platform.Faults.Set(c.faults)
-			_, err = w.client().Swap(ctx, "k", []byte("new"), c.expect, 0)
+			_, err = w.client().CompareAndSwap(ctx, "k", []byte("new"), c.expect, 0)
 			switch {
 			case c.anyErr:
 				is.True(err != nil)
@@ -67,7 +67,7 @@
 // TestPlatformNobodyListens: only then is a request certainly not sent.
 func TestPlatformNobodyListens(t *testing.T) {
 	is := is.New(t)
-	_, err := keyvalue.NewClient("127.0.0.1:1", transports()).Swap(context.Background(), "k", nil, 0, 0)
+	_, err := keyvalue.NewClient("127.0.0.1:1", transports()).CompareAndSwap(context.Background(), "k", nil, 0, 0)
 	is.True(errors.Is(err, keyvalue.ErrNotSent))
 }
 
@@ -76,7 +76,7 @@
 	is := is.New(t)
 	w := newWorld(t)
 	ctx := context.Background()
-	revision, err := w.client().Swap(ctx, "k", []byte("a"), 0, 0)
+	revision, err := w.client().CompareAndSwap(ctx, "k", []byte("a"), 0, 0)
 	is.NoErr(err)
 	v, err := w.client().Get(ctx, "k", revision, 50*time.Millisecond)
 	is.NoErr(err)
@@ -87,7 +87,7 @@
 		v, _ := w.client().Get(ctx, "k", revision, fleetPatience)
 		woken <- v
 	}()
-	_, err = w.client().Swap(ctx, "k", []byte("b"), revision, 0)
+	_, err = w.client().CompareAndSwap(ctx, "k", []byte("b"), revision, 0)
 	is.NoErr(err)
 	is.Equal(string((<-woken).Data), "b")
 }
