--- a/internal/own/driver.go
+++ b/internal/own/driver.go
@@ -187,7 +187,7 @@
 
 func (d *driver) seekLease(ctx context.Context, a planner.SeekLease) {
 	sent := d.host.Now()
-	reply, err := d.platform.Lease(ctx, keyvalue.LeaseName(d.host.Self.Zone), keyvalue.LeaseRequest{
+	reply, err := d.platform.RequestLease(ctx, keyvalue.LeaseName(d.host.Self.Zone), keyvalue.LeaseRequest{
 		Holder: d.holder(), TermMS: a.Term.Milliseconds(), Renew: a.Renew,
 	})
 	d.host.Post(planner.LeaseReply{Sent: sent, Granted: reply.Granted, Fence: reply.Fence, Err: err})
--- a/internal/own/keyvalue/keyvalue.go
+++ b/internal/own/keyvalue/keyvalue.go
@@ -87,8 +87,8 @@
 	return err
 }
 
-// Lease asks for a lease or renews it.
-func (c *Client) Lease(ctx context.Context, name string, req LeaseRequest) (LeaseReply, error) {
+// RequestLease asks for a lease or renews it.
+func (c *Client) RequestLease(ctx context.Context, name string, req LeaseRequest) (LeaseReply, error) {
 	data, err := json.Marshal(req)
 	if err != nil {
 		return LeaseReply{}, trace.Wrap(err)
