--- a/internal/own/keyvalue/keyvalue.go
+++ b/internal/own/keyvalue/keyvalue.go
@@ -104,8 +104,8 @@
 	return reply, nil
 }
 
-// Release gives a lease back if fence is still its grant.
-func (c *Client) Release(ctx context.Context, name string, fence uint64) error {
+// ReleaseLease gives a lease back if fence is still its grant.
+func (c *Client) ReleaseLease(ctx context.Context, name string, fence uint64) error {
 	query := url.Values{"fence": {strconv.FormatUint(fence, 10)}}
 	_, err := c.call(ctx, http.MethodDelete, PathLease+name, query, nil, 0)
 	return err
