--- a/core/own/book/book.go
+++ b/core/own/book/book.go
@@ -69,8 +69,8 @@
 	pinned bool
 }
 
-// An Engine is the ledger of one engine's memory.
-type Engine struct {
+// An Ledger is the ledger of one engine's memory.
+type Ledger struct {
 	name     string
 	capacity int64
 	checks   bool
@@ -83,8 +83,8 @@
 
 // NewEngine returns the ledger of an engine whose state is unknown; nothing is
 // free in it.
-func NewEngine(name string, capacityMiB int64, checksFence bool) *Engine {
-	return &Engine{
+func NewEngine(name string, capacityMiB int64, checksFence bool) *Ledger {
+	return &Ledger{
 		name:     name,
 		capacity: capacityMiB,
 		checks:   checksFence,
@@ -94,20 +94,20 @@
 }
 
 // StateKnown reports whether the engine's state was read since its fence was raised.
-func (e *Engine) StateKnown() bool { return e.read }
+func (e *Ledger) StateKnown() bool { return e.read }
 
 // Boot returns the boot under which the state was last read.
-func (e *Engine) Boot() uint64 { return e.boot }
+func (e *Ledger) Boot() uint64 { return e.boot }
 
 // FreeMiB returns the memory that no item holds or is booked for, in MiB.
-func (e *Engine) FreeMiB() int64 {
+func (e *Ledger) FreeMiB() int64 {
 	if !e.read {
 		return 0
 	}
 	return e.capacity - e.used()
 }
 
-func (e *Engine) used() int64 {
+func (e *Ledger) used() int64 {
 	var sum int64
 	for _, en := range e.entries {
 		sum += en.mib
@@ -116,19 +116,19 @@
 }
 
 // Holds reports whether the item holds or is booked for memory.
-func (e *Engine) Holds(item string) bool {
+func (e *Ledger) Holds(item string) bool {
 	_, ok := e.entries[item]
 	return ok
 }
 
 // Phase returns where the item stands; 0 while it is absent or only booked.
-func (e *Engine) Phase(item string) pool.ItemPhase { return e.entries[item].phase }
+func (e *Ledger) Phase(item string) pool.ItemPhase { return e.entries[item].phase }
 
 // Pinned reports whether the item must not be unloaded under this boot.
-func (e *Engine) Pinned(item string) bool { return e.entries[item].pinned }
+func (e *Ledger) Pinned(item string) bool { return e.entries[item].pinned }
 
 // Items returns the items that hold or are booked for memory, sorted.
-func (e *Engine) Items() []string {
+func (e *Ledger) Items() []string {
 	items := make([]string, 0, len(e.entries))
 	for item := range e.entries {
 		items = append(items, item)
@@ -139,7 +139,7 @@
 
 // Busy reports whether an order is without an answer or an item is on its way
 // in or out.
-func (e *Engine) Busy() bool {
+func (e *Ledger) Busy() bool {
 	if len(e.open) > 0 {
 		return true
 	}
@@ -152,7 +152,7 @@
 }
 
 // Unconfirmed returns the orders whose answers are lost, by rising Seq.
-func (e *Engine) Unconfirmed() []Order {
+func (e *Ledger) Unconfirmed() []Order {
 	var orders []Order
 	for _, o := range e.open {
 		if o.unconfirmed {
@@ -165,7 +165,7 @@
 
 // Reserve books an order's memory. It reports false, and books nothing, when the
 // order could overcommit the engine or would unload what is pinned or absent.
-func (e *Engine) Reserve(o Order) bool {
+func (e *Ledger) Reserve(o Order) bool {
 	switch o.Op {
 	case Load:
 		if !e.read || e.Holds(o.Item) || o.MiB > e.FreeMiB() {
@@ -184,7 +184,7 @@
 
 // AddInherited counts an order of an earlier holder as outstanding and unconfirmed, as a
 // new holder does for every intent that it finds.
-func (e *Engine) AddInherited(o Order) {
+func (e *Ledger) AddInherited(o Order) {
 	if o.Op == Load && !e.Holds(o.Item) {
 		e.entries[o.Item] = entry{mib: o.MiB}
 	}
@@ -192,7 +192,7 @@
 }
 
 // MarkNotSent notes that an order certainly never left; its booking is undone.
-func (e *Engine) MarkNotSent(seq uint64) {
+func (e *Ledger) MarkNotSent(seq uint64) {
 	o, ok := e.open[seq]
 	if !ok {
 		return
@@ -204,7 +204,7 @@
 }
 
 // MarkLost notes that an order's answer is lost.
-func (e *Engine) MarkLost(seq uint64) {
+func (e *Ledger) MarkLost(seq uint64) {
 	if o, ok := e.open[seq]; ok {
 		o.unconfirmed = true
 		e.open[seq] = o
@@ -213,12 +213,12 @@
 
 // MarkRefused notes that the engine answered that it did not and will not carry
 // out an order.
-func (e *Engine) MarkRefused(seq uint64) { e.MarkNotSent(seq) }
+func (e *Ledger) MarkRefused(seq uint64) { e.MarkNotSent(seq) }
 
 // Observe takes in a state that the engine gave under the holder's fence.
 // answered is the order that the state answers, 0 for a plain read. size gives
 // an item's memory in MiB.
-func (e *Engine) Observe(s pool.State, fence, answered uint64, size func(string) int64) {
+func (e *Ledger) Observe(s pool.State, fence, answered uint64, size func(string) int64) {
 	if e.stale(s) {
 		delete(e.open, answered)
 		return
@@ -236,7 +236,7 @@
 // state may lack an item that an answered order has added since, and taking it
 // in would free memory that is in use. An answer that comes late still closes
 // its order, through Refused or a later state.
-func (e *Engine) stale(s pool.State) bool {
+func (e *Ledger) stale(s pool.State) bool {
 	if !e.read {
 		return false
 	}
@@ -248,7 +248,7 @@
 
 // rebooted drops what only the former process could have done. Orders that are
 // still under way may reach the new process, so they stay open.
-func (e *Engine) rebooted(boot uint64) {
+func (e *Ledger) rebooted(boot uint64) {
 	e.boot = boot
 	for item, en := range e.entries {
 		if !e.openLoad(item) {
@@ -260,7 +260,7 @@
 }
 
 // settle closes the orders whose outcome the state tells.
-func (e *Engine) settle(s pool.State, fence, answered uint64) {
+func (e *Ledger) settle(s pool.State, fence, answered uint64) {
 	shown := make(map[string]bool, len(s.Residency.Items))
 	for _, it := range s.Residency.Items {
 		shown[it.Name] = true
@@ -285,14 +285,14 @@
 	}
 }
 
-func (e *Engine) pin(item string) {
+func (e *Ledger) pin(item string) {
 	en := e.entries[item]
 	en.pinned = true
 	e.entries[item] = en
 }
 
 // rebuild takes the state's items as the truth, plus what open loads may add.
-func (e *Engine) rebuild(s pool.State, size func(string) int64) {
+func (e *Ledger) rebuild(s pool.State, size func(string) int64) {
 	next := make(map[string]entry, len(s.Residency.Items))
 	for _, it := range s.Residency.Items {
 		old := e.entries[it.Name]
@@ -313,7 +313,7 @@
 	e.entries = next
 }
 
-func (e *Engine) openLoad(item string) bool {
+func (e *Ledger) openLoad(item string) bool {
 	for _, o := range e.open {
 		if o.order.Op == Load && o.order.Item == item {
 			return true
@@ -323,22 +323,22 @@
 }
 
 // Name returns the engine's name.
-func (e *Engine) Name() string { return e.name }
+func (e *Ledger) Name() string { return e.name }
 
 // OpenOp returns what the order asked for, while it is open.
-func (e *Engine) OpenOp(seq uint64) (Op, bool) {
+func (e *Ledger) OpenOp(seq uint64) (Op, bool) {
 	o, ok := e.open[seq]
 	return o.order.Op, ok
 }
 
 // IsOpen reports whether the order has no outcome yet.
-func (e *Engine) IsOpen(seq uint64) bool {
+func (e *Ledger) IsOpen(seq uint64) bool {
 	_, ok := e.open[seq]
 	return ok
 }
 
 // LoadsInProgress counts the loads that take from the weight store now.
-func (e *Engine) LoadsInProgress() int {
+func (e *Ledger) LoadsInProgress() int {
 	n := 0
 	for item, en := range e.entries {
 		if en.phase == pool.Loading || (en.phase == 0 && e.openLoad(item)) {
@@ -351,7 +351,7 @@
 // AfterRestart returns the ledger to begin with after the engine restarted and
 // forgot its fence: nothing is free until the fence is raised again, and
 // orders that are still under way stay open.
-func (e *Engine) AfterRestart() *Engine {
+func (e *Ledger) AfterRestart() *Ledger {
 	next := NewEngine(e.name, e.capacity, e.checks)
 	for seq, o := range e.open {
 		if o.order.Op == Load {
--- a/core/own/book/book_test.go
+++ b/core/own/book/book_test.go
@@ -99,7 +99,7 @@
 
 // A model is a real engine's memory with orders still on their way to it.
 type model struct {
-	ledger   *Engine
+	ledger   *Ledger
 	checks   bool
 	capacity int64
 	boot     uint64
--- a/core/own/planner/orders.go
+++ b/core/own/planner/orders.go
@@ -14,7 +14,7 @@
 // settle takes an engine's state into its ledger. A state of an engine that
 // checks fences counts only under this holder's fence: before that, another
 // holder's orders could still change what it says.
-func (p *Planner) settle(now clock.Instant, l *book.Engine, s pool.State, answered uint64) {
+func (p *Planner) settle(now clock.Instant, l *book.Ledger, s pool.State, answered uint64) {
 	r := p.Pool.Get(l.Name())
 	if r == nil {
 		return
--- a/core/own/planner/planner.go
+++ b/core/own/planner/planner.go
@@ -74,14 +74,14 @@
 type tenure struct {
 	fence   uint64 // under which the ledgers were begun; 0 if none were
 	seq     uint64 // of the last order
-	ledgers map[string]*book.Engine
+	ledgers map[string]*book.Ledger
 	raises  map[string]*raise
 	intents intentView
 	loads   loadBudget
 }
 
 func newTenure() tenure {
-	return tenure{ledgers: map[string]*book.Engine{}, raises: map[string]*raise{}}
+	return tenure{ledgers: map[string]*book.Ledger{}, raises: map[string]*raise{}}
 }
 
 // A placement is an item on an engine.
