--- a/core/own/book/book.go
+++ b/core/own/book/book.go
@@ -29,9 +29,9 @@
 
 // The operations.
 const (
-	Load   Op = iota + 1 // load an item
-	Unload               // drain an item, then drop it
-	Raise                // raise the fence; changes nothing else
+	Load       Op = iota + 1 // load an item
+	Unload                   // drain an item, then drop it
+	RaiseFence               // raise the fence; changes nothing else
 )
 
 // String returns the operation as it stands on the wire and in logs.
--- a/core/own/book/book_test.go
+++ b/core/own/book/book_test.go
@@ -151,7 +151,7 @@
 	case "unload":
 		m.send(Order{Op: Unload, Item: item})
 	case "raise":
-		m.send(Order{Op: Raise})
+		m.send(Order{Op: RaiseFence})
 	case "arrive":
 		if len(m.onTheWay) > 0 {
 			i := rapid.IntRange(0, len(m.onTheWay)-1).Draw(t, "which")
--- a/core/own/planner/orders.go
+++ b/core/own/planner/orders.go
@@ -75,7 +75,7 @@
 		}
 		ra.backoff = ra.backoff.WithFailure()
 		ra.due = now.Add(ra.backoff.Delay(p.Rand))
-		o := book.Order{Engine: r.Name, Fence: p.fence, Seq: p.nextSeq(), Op: book.Raise}
+		o := book.Order{Engine: r.Name, Fence: p.fence, Seq: p.nextSeq(), Op: book.RaiseFence}
 		l.Reserve(o)
 		p.Out.Emit(SendOrder{Address: r.Address, Order: o})
 	}
@@ -129,7 +129,7 @@
 		p.observe(now, e.Engine, e.State)
 		p.settle(now, l, e.State, e.Seq)
 	case OrderRefused:
-		if op != book.Raise {
+		if op != book.RaiseFence {
 			p.Out.Log(logevent.OrderRefused, "engine", e.Engine, "seq", e.Seq, "detail", e.Detail)
 		}
 		l.MarkRefused(e.Seq)
