--- a/core/own/choose/choose.go
+++ b/core/own/choose/choose.go
@@ -66,7 +66,7 @@
 
 // A Chooser remembers where prefixes were sent and makes choices.
 type Chooser struct {
-	memory *Memory
+	memory *PrefixIndex
 }
 
 // NewChooser returns a chooser that remembers up to size prefix blocks.
--- a/core/own/choose/prefix.go
+++ b/core/own/choose/prefix.go
@@ -36,8 +36,8 @@
 // Tokens returns the tokens that the prefix covers.
 func (p Prefix) Tokens() int { return len(p.blocks) * blockTokens }
 
-// A Memory is a bounded, least-recently-used memory of where blocks were sent.
-type Memory struct {
+// A PrefixIndex is a bounded, least-recently-used memory of where blocks were sent.
+type PrefixIndex struct {
 	size   int
 	recent *list.List // of memoryEntry, most recent first
 	byHash map[uint64]*list.Element
@@ -49,12 +49,12 @@
 }
 
 // NewMemory returns a memory of up to size blocks.
-func NewMemory(size int) *Memory {
-	return &Memory{size: size, recent: list.New(), byHash: map[uint64]*list.Element{}}
+func NewMemory(size int) *PrefixIndex {
+	return &PrefixIndex{size: size, recent: list.New(), byHash: map[uint64]*list.Element{}}
 }
 
 // Record notes that the blocks of p are on the replica now.
-func (m *Memory) Record(p Prefix, replica string) {
+func (m *PrefixIndex) Record(p Prefix, replica string) {
 	for _, h := range p.blocks {
 		if el, ok := m.byHash[h]; ok {
 			el.Value = memoryEntry{hash: h, replica: replica}
@@ -72,7 +72,7 @@
 
 // Find returns the replica that holds the longest known part of p, and the
 // tokens of that part.
-func (m *Memory) Find(p Prefix) (replica string, tokens int) {
+func (m *PrefixIndex) Find(p Prefix) (replica string, tokens int) {
 	for i := len(p.blocks) - 1; i >= 0; i-- {
 		if el, ok := m.byHash[p.blocks[i]]; ok {
 			return el.Value.(memoryEntry).replica, (i + 1) * blockTokens
@@ -82,7 +82,7 @@
 }
 
 // RemoveReplica forgets blocks believed to be on the replica, after it restarted.
-func (m *Memory) RemoveReplica(replica string) {
+func (m *PrefixIndex) RemoveReplica(replica string) {
 	for el := m.recent.Front(); el != nil; {
 		next := el.Next()
 		if entry := el.Value.(memoryEntry); entry.replica == replica {
