--- a/core/own/choose/choose.go
+++ b/core/own/choose/choose.go
@@ -70,7 +70,7 @@
 }
 
 // NewChooser returns a chooser that remembers up to size prefix blocks.
-func NewChooser(size int) *Chooser { return &Chooser{memory: NewMemory(size)} }
+func NewChooser(size int) *Chooser { return &Chooser{memory: NewPrefixIndex(size)} }
 
 // RecordSent notes that a call with this prefix was sent to the replica.
 func (c *Chooser) RecordSent(p Prefix, replica string) { c.memory.Record(p, replica) }
--- a/core/own/choose/prefix.go
+++ b/core/own/choose/prefix.go
@@ -48,8 +48,8 @@
 	replica string
 }
 
-// NewMemory returns a memory of up to size blocks.
-func NewMemory(size int) *PrefixIndex {
+// NewPrefixIndex returns a memory of up to size blocks.
+func NewPrefixIndex(size int) *PrefixIndex {
 	return &PrefixIndex{size: size, recent: list.New(), byHash: map[uint64]*list.Element{}}
 }
 
