--- a/core/instance/world_test.go
+++ b/core/instance/world_test.go
@@ -318,7 +318,7 @@
 	switch act := a.(type) {
 	case ConfigInstalled:
 		w.noteInstall(n, act)
-	case kvwatch.Config:
+	case kvwatch.WatchConfig:
 		w.watchConfig(n, act)
 	case kvwatch.List:
 		w.watchList(n, act)
@@ -356,7 +356,7 @@
 	w.install[n.id.Name] = a.Snapshot.Revision()
 }
 
-func (w *world) watchConfig(n *node, a kvwatch.Config) {
+func (w *world) watchConfig(n *node, a kvwatch.WatchConfig) {
 	w.platform.calls++
 	w.send(n, w.platformUp(n), func() func() {
 		v := w.platform.values["config"]
--- a/core/own/kvwatch/watch.go
+++ b/core/own/kvwatch/watch.go
@@ -17,8 +17,8 @@
 )
 
 type (
-	// Config is an action: wait for a configuration newer than Have.
-	Config struct {
+	// WatchConfig is an action: wait for a configuration newer than Have.
+	WatchConfig struct {
 		Have uint64
 		Wait time.Duration
 	}
@@ -30,7 +30,7 @@
 )
 
 // IsAction implements step.Action.
-func (Config) IsAction() {}
+func (WatchConfig) IsAction() {}
 
 // IsAction implements step.Action.
 func (List) IsAction() {}
@@ -60,7 +60,7 @@
 	}
 	if w.config.Due(now) {
 		w.config.Begin(now)
-		w.Out.Emit(Config{Have: w.Config.Revision(), Wait: w.Options.WatchWait})
+		w.Out.Emit(WatchConfig{Have: w.Config.Revision(), Wait: w.Options.WatchWait})
 	}
 	if w.list.Due(now) {
 		w.list.Begin(now)
--- a/internal/own/driver.go
+++ b/internal/own/driver.go
@@ -70,7 +70,7 @@
 		return func(ctx context.Context) { d.readClaim(ctx, act) }
 	case modelcalls.ReleaseClaim:
 		return func(ctx context.Context) { d.releaseClaim(ctx, act) }
-	case kvwatch.Config:
+	case kvwatch.WatchConfig:
 		return func(ctx context.Context) { d.watchConfig(ctx, act) }
 	case kvwatch.List:
 		return func(ctx context.Context) { d.watchList(ctx, act) }
@@ -160,7 +160,7 @@
 // watchConfig waits for a configuration newer than the one had. The platform
 // orders values by its own revisions, which this shell remembers; the document
 // carries the revision that decides.
-func (d *driver) watchConfig(ctx context.Context, a kvwatch.Config) {
+func (d *driver) watchConfig(ctx context.Context, a kvwatch.WatchConfig) {
 	after := d.configSeen.Load()
 	if a.Have == 0 {
 		after = 0
--- a/internal/shell/shell_test.go
+++ b/internal/shell/shell_test.go
@@ -46,7 +46,7 @@
 	return Environment{
 		CarryOut: func(a step.Action) func(ctx context.Context) {
 			switch a.(type) {
-			case kvwatch.Config:
+			case kvwatch.WatchConfig:
 				return func(context.Context) {
 					h.Post(instance.ConfigReply{Source: instance.PlatformSource, Err: errors.New("no platform")})
 				}
