--- a/core/instance/world_test.go
+++ b/core/instance/world_test.go
@@ -320,7 +320,7 @@
 		w.noteInstall(n, act)
 	case kvwatch.WatchConfig:
 		w.watchConfig(n, act)
-	case kvwatch.List:
+	case kvwatch.WatchList:
 		w.watchList(n, act)
 	case planner.SeekLease:
 		w.seekLease(n, act)
@@ -380,7 +380,7 @@
 	return ConfigReply{Snapshot: s, Encoded: encoded, Source: source}
 }
 
-func (w *world) watchList(n *node, a kvwatch.List) {
+func (w *world) watchList(n *node, a kvwatch.WatchList) {
 	w.platform.calls++
 	w.send(n, w.platformUp(n), func() func() {
 		var news []gossip.Listed
--- a/core/own/kvwatch/watch.go
+++ b/core/own/kvwatch/watch.go
@@ -22,8 +22,8 @@
 		Have uint64
 		Wait time.Duration
 	}
-	// List is an action: wait for what changed in the list since Since.
-	List struct {
+	// WatchList is an action: wait for what changed in the list since Since.
+	WatchList struct {
 		Since uint64
 		Wait  time.Duration
 	}
@@ -33,7 +33,7 @@
 func (WatchConfig) IsAction() {}
 
 // IsAction implements step.Action.
-func (List) IsAction() {}
+func (WatchList) IsAction() {}
 
 // A Watch is one instance's watches. The fields must be set before its use.
 type Watch struct {
@@ -64,7 +64,7 @@
 	}
 	if w.list.Due(now) {
 		w.list.Begin(now)
-		w.Out.Emit(List{Since: w.Listing.Version().Raw(), Wait: w.Options.WatchWait})
+		w.Out.Emit(WatchList{Since: w.Listing.Version().Raw(), Wait: w.Options.WatchWait})
 	}
 }
 
--- a/internal/own/driver.go
+++ b/internal/own/driver.go
@@ -72,7 +72,7 @@
 		return func(ctx context.Context) { d.releaseClaim(ctx, act) }
 	case kvwatch.WatchConfig:
 		return func(ctx context.Context) { d.watchConfig(ctx, act) }
-	case kvwatch.List:
+	case kvwatch.WatchList:
 		return func(ctx context.Context) { d.watchList(ctx, act) }
 	case planner.SeekLease:
 		return func(ctx context.Context) { d.seekLease(ctx, act) }
@@ -178,7 +178,7 @@
 	d.host.PostConfig(v.Data, instance.PlatformSource)
 }
 
-func (d *driver) watchList(ctx context.Context, a kvwatch.List) {
+func (d *driver) watchList(ctx context.Context, a kvwatch.WatchList) {
 	entries, version, err := d.platform.Instances(ctx, a.Since, a.Wait)
 	d.host.Post(listing.Reply{Entries: entries, Version: era.Revision(version), Err: err})
 }
--- a/internal/shell/shell_test.go
+++ b/internal/shell/shell_test.go
@@ -50,7 +50,7 @@
 				return func(context.Context) {
 					h.Post(instance.ConfigReply{Source: instance.PlatformSource, Err: errors.New("no platform")})
 				}
-			case kvwatch.List:
+			case kvwatch.WatchList:
 				return func(context.Context) { h.Post(listing.Reply{Err: errors.New("no platform")}) }
 			}
 			return nil
