--- a/core/own/lease/lease.go
+++ b/core/own/lease/lease.go
@@ -17,8 +17,8 @@
 	"github.com/birchdrift/birchdrift/core/clock"
 )
 
-// Margin is the share of the term that is given up for clock drift.
-const Margin = 0.1
+// DriftMargin is the share of the term that is given up for clock drift.
+const DriftMargin = 0.1
 
 // A Lease is an immutable view of one lease.
 type Lease struct {
@@ -58,7 +58,7 @@
 	if !l.held {
 		return false
 	}
-	usable := l.Term - time.Duration(Margin*float64(l.Term))
+	usable := l.Term - time.Duration(DriftMargin*float64(l.Term))
 	return now.MaxElapsed(l.sent) < usable
 }
 
