--- a/core/instance/own.go
+++ b/core/instance/own.go
@@ -37,7 +37,7 @@
 		Stopping: m.stop.Started, TellSoon: m.exchanges.TellSoon, TellAll: m.exchanges.TellAll, Tell: m.exchanges.StartWith,
 		Leaving: m.exchanges.LogLeaving,
 	})
-	h := modelcalls.New(modelcalls.Needs{
+	h := modelcalls.New(modelcalls.Deps{
 		State: m.state, Calls: m.calls,
 		Budget: m.budget, Chooser: chooser, Meter: demandMeter, Unmet: p.ReportUnmet,
 	})
--- a/core/own/modelcalls/modelcalls.go
+++ b/core/own/modelcalls/modelcalls.go
@@ -33,8 +33,8 @@
 	neutralPriority = 50.0
 )
 
-// Needs are what the handler needs of the other modules.
-type Needs struct {
+// Deps are what the handler needs of the other modules.
+type Deps struct {
 	shared.State
 
 	Calls   *calls.Table
@@ -47,7 +47,7 @@
 
 // A Handler serves calls of the own interface.
 type Handler struct {
-	Needs
+	Deps
 	kind   calls.Handlers
 	able   []*pool.Replica // what candidates returned last
 	recent decisions
@@ -69,8 +69,8 @@
 func stateOf(c *calls.Call) *state { return c.State.(*state) }
 
 // New returns a handler that has seen no call.
-func New(n Needs) *Handler {
-	h := &Handler{Needs: n}
+func New(n Deps) *Handler {
+	h := &Handler{Deps: n}
 	h.kind = calls.Handlers{
 		FindReplica:   h.findReplica,
 		AnswerBegan:   h.answerBegan,
