--- a/core/own/modelcalls/attempts.go
+++ b/core/own/modelcalls/attempts.go
@@ -13,8 +13,8 @@
 
 // What becomes of a call once it is sent: its attempts and its end.
 
-// Cancel is an action: tell a replica to drop a call's sequence.
-type Cancel struct {
+// CancelSequence is an action: tell a replica to drop a call's sequence.
+type CancelSequence struct {
 	ID      calls.ID
 	Attempt int
 	Replica string
@@ -22,14 +22,14 @@
 }
 
 // IsAction implements step.Action.
-func (Cancel) IsAction() {}
+func (CancelSequence) IsAction() {}
 
 // cancel tells an engine to drop the call's sequence; a plain service has none.
 func (h *Handler) cancel(c *calls.Call, r *pool.Replica) {
 	if c.Plain {
 		return // closing the connection is all there is
 	}
-	h.Out.Emit(Cancel{ID: c.ID, Attempt: c.History.Attempts, Replica: r.Name, Address: r.Address})
+	h.Out.Emit(CancelSequence{ID: c.ID, Attempt: c.History.Attempts, Replica: r.Name, Address: r.Address})
 }
 
 func (h *Handler) answerBegan(now clock.Instant, c *calls.Call) {
--- a/internal/own/driver.go
+++ b/internal/own/driver.go
@@ -62,7 +62,7 @@
 // not this environment's.
 func (d *driver) carryOut(a step.Action) func(ctx context.Context) {
 	switch act := a.(type) {
-	case modelcalls.Cancel:
+	case modelcalls.CancelSequence:
 		return func(ctx context.Context) { d.cancel(ctx, act) }
 	case modelcalls.Claim:
 		return func(ctx context.Context) { d.claim(ctx, act) }
@@ -91,7 +91,7 @@
 	}
 }
 
-func (d *driver) cancel(ctx context.Context, a modelcalls.Cancel) {
+func (d *driver) cancel(ctx context.Context, a modelcalls.CancelSequence) {
 	ctx, done := context.WithTimeout(ctx, engineTimeout)
 	defer done()
 	// Closing the stream cancels as well; this only frees the sequence sooner, so
