--- a/core/own/plan/plan.go
+++ b/core/own/plan/plan.go
@@ -25,9 +25,9 @@
 const (
 	// Horizon is how far ahead a copy's value is counted.
 	Horizon = 60 * time.Second
-	// Starving is how long an item may be unmet before it goes ahead of all else, whatever its
+	// StarvationThreshold is how long an item may be unmet before it goes ahead of all else, whatever its
 	// value; the stated bound of reachability builds on it.
-	Starving = 6 * time.Second
+	StarvationThreshold = 6 * time.Second
 	// hysteresis is the factor by which a new copy must exceed the value of what it replaces.
 	hysteresis = 1.3
 	// fill is the share of an engine's sequences that one copy should use.
@@ -236,7 +236,7 @@
 			continue
 		}
 		if have == 0 && (d.Rate > 0 || p.in.Assigned[name]) {
-			missing = append(missing, missingCopy{item: name, value: p.value(name, 1, remote), starving: d.Unmet > Starving && remote == 0})
+			missing = append(missing, missingCopy{item: name, value: p.value(name, 1, remote), starving: d.Unmet > StarvationThreshold && remote == 0})
 			continue
 		}
 		if have > 0 && float64(have+remote) < math.Ceil(p.needed(name)) {
