--- a/core/own/plan/plan.go
+++ b/core/own/plan/plan.go
@@ -23,8 +23,8 @@
 
 // Tunables of the plan.
 const (
-	// Horizon is how far ahead a copy's value is counted.
-	Horizon = 60 * time.Second
+	// DemandHorizon is how far ahead a copy's value is counted.
+	DemandHorizon = 60 * time.Second
 	// StarvationThreshold is how long an item may be unmet before it goes ahead of all else, whatever its
 	// value; the stated bound of reachability builds on it.
 	StarvationThreshold = 6 * time.Second
@@ -189,7 +189,7 @@
 		}
 		return p.idleValue(item, n)
 	}
-	calls := d.Weight * (d.Rate*Horizon.Seconds() + float64(d.Waiting))
+	calls := d.Weight * (d.Rate*DemandHorizon.Seconds() + float64(d.Waiting))
 	if n == 1 && remote == 0 {
 		return calls + unmetValue*d.Unmet.Seconds()
 	}
