--- a/core/instance/own.go
+++ b/core/instance/own.go
@@ -31,7 +31,7 @@
 func (m *Machine) ownEnvironment(totals *demand.Totals) environment {
 	chooser := choose.NewChooser(prefixCacheBlocks)
 	demandMeter := meter.New()
-	p := planner.New(planner.Needs{
+	p := planner.New(planner.Deps{
 		State:   m.state,
 		Chooser: chooser, Meter: demandMeter, Totals: totals,
 		Stopping: m.stop.Started, TellSoon: m.exchanges.TellSoon, TellAll: m.exchanges.TellAll, Tell: m.exchanges.StartWith,
--- a/core/own/planner/planner.go
+++ b/core/own/planner/planner.go
@@ -33,8 +33,8 @@
 // candidates is how many instances of a zone seek its planner's lease.
 const candidates = 2
 
-// Needs are what the planner needs of the other modules.
-type Needs struct {
+// Deps are what the planner needs of the other modules.
+type Deps struct {
 	shared.State
 
 	Chooser *choose.Chooser
@@ -54,7 +54,7 @@
 
 // A Planner is one instance's part in the planning for its zone.
 type Planner struct {
-	Needs
+	Deps
 	lease lease.Lease
 	job   step.Job // seeking and renewing the lease
 	zones zoneView
@@ -119,9 +119,9 @@
 }
 
 // New returns the planner of an instance that does not hold the lease.
-func New(n Needs) *Planner {
+func New(n Deps) *Planner {
 	return &Planner{
-		Needs:  n,
+		Deps:   n,
 		lease:  lease.New(n.Options.LeaseTerm),
 		tenure: newTenure(),
 		reads:  newReads(),
