--- a/core/instance/status.go
+++ b/core/instance/status.go
@@ -23,7 +23,7 @@
 	Fence        uint64                `json:"fence,omitempty"`
 	Calls        int                   `json:"calls"`
 	Waiting      int                   `json:"waiting"`
-	Moves        planner.Moves         `json:"moves"`
+	Moves        planner.OrderCounts   `json:"moves"`
 	Peers        []PeerStatus          `json:"peers,omitempty"`
 	Upstreams    []ReplicaStatus       `json:"upstreams,omitempty"`
 	Demand       []DemandStatus        `json:"demand,omitempty"`
--- a/core/own/planner/planner.go
+++ b/core/own/planner/planner.go
@@ -65,7 +65,7 @@
 	since      map[placement]clock.Instant // when a placement was first seen
 	starvedAt  clock.Instant               // when room was last made for a starving item
 	doubtNoted bool
-	moves      Moves
+	moves      OrderCounts
 	toldAt     clock.Instant // when the planner was last told of an unmet demand
 	ledAt      clock.Instant // when other zones' planners were last told of it
 }
@@ -94,8 +94,8 @@
 	due     clock.Instant
 }
 
-// Moves counts the orders that engines have taken.
-type Moves struct {
+// OrderCounts counts the orders that engines have taken.
+type OrderCounts struct {
 	Loads   int
 	Unloads int
 }
@@ -152,7 +152,7 @@
 }
 
 // OrderCounts returns the orders that engines have taken from this instance.
-func (p *Planner) OrderCounts() Moves { return p.moves }
+func (p *Planner) OrderCounts() OrderCounts { return p.moves }
 
 // FreeMiB returns the memory of an engine that nothing holds, by this planner's
 // ledger; 0 if it has none.
