--- a/core/instance/world_test.go
+++ b/core/instance/world_test.go
@@ -322,7 +322,7 @@
 		w.watchConfig(n, act)
 	case kvwatch.WatchList:
 		w.watchList(n, act)
-	case planner.SeekLease:
+	case planner.RequestLease:
 		w.seekLease(n, act)
 	case planner.ReleaseLease:
 		w.send(n, w.platformUp(n), func() func() {
@@ -401,7 +401,7 @@
 	}, func(bool) { w.step(n, listing.Reply{Err: errLost}) })
 }
 
-func (w *world) seekLease(n *node, a planner.SeekLease) {
+func (w *world) seekLease(n *node, a planner.RequestLease) {
 	sent := n.clock(w.now)
 	holder := fmt.Sprintf("%s/%d", n.id.Name, n.id.Boot)
 	w.platform.calls++
--- a/core/own/planner/event.go
+++ b/core/own/planner/event.go
@@ -44,8 +44,8 @@
 
 // The planner's actions.
 type (
-	// SeekLease asks for, or renews, the planner's lease.
-	SeekLease struct {
+	// RequestLease asks for, or renews, the planner's lease.
+	RequestLease struct {
 		Term  time.Duration
 		Renew uint64 // fence of the grant to renew, 0 to ask anew
 	}
@@ -112,7 +112,7 @@
 func (OrderReply) IsEvent() {}
 
 // IsAction implements step.Action.
-func (SeekLease) IsAction() {}
+func (RequestLease) IsAction() {}
 
 // IsAction implements step.Action.
 func (ReleaseLease) IsAction() {}
--- a/core/own/planner/planner.go
+++ b/core/own/planner/planner.go
@@ -202,11 +202,11 @@
 		p.noteDoubt(now)
 		if p.lease.RenewDue(now) {
 			p.job.Begin(now)
-			p.Out.Emit(SeekLease{Term: p.Options.LeaseTerm, Renew: p.lease.Fence()})
+			p.Out.Emit(RequestLease{Term: p.Options.LeaseTerm, Renew: p.lease.Fence()})
 		}
 	case p.Members.Assigned(now, "plan/"+p.Self.Zone, candidates):
 		p.job.Begin(now)
-		p.Out.Emit(SeekLease{Term: p.Options.LeaseTerm})
+		p.Out.Emit(RequestLease{Term: p.Options.LeaseTerm})
 	}
 }
 
--- a/internal/own/driver.go
+++ b/internal/own/driver.go
@@ -74,7 +74,7 @@
 		return func(ctx context.Context) { d.watchConfig(ctx, act) }
 	case kvwatch.WatchList:
 		return func(ctx context.Context) { d.watchList(ctx, act) }
-	case planner.SeekLease:
+	case planner.RequestLease:
 		return func(ctx context.Context) { d.seekLease(ctx, act) }
 	case planner.ReleaseLease:
 		return func(ctx context.Context) { d.releaseLease(ctx, act) }
@@ -185,7 +185,7 @@
 
 func (d *driver) holder() string { return fmt.Sprintf("%s/%x", d.host.Self.Name, d.host.Self.Boot) }
 
-func (d *driver) seekLease(ctx context.Context, a planner.SeekLease) {
+func (d *driver) seekLease(ctx context.Context, a planner.RequestLease) {
 	sent := d.host.Now()
 	reply, err := d.platform.RequestLease(ctx, keyvalue.LeaseName(d.host.Self.Zone), keyvalue.LeaseRequest{
 		Holder: d.holder(), TermMS: a.Term.Milliseconds(), Renew: a.Renew,
