--- a/core/instance/world_engine_test.go
+++ b/core/instance/world_engine_test.go
@@ -64,7 +64,7 @@
 	case book.Unload:
 		it := e.items[o.Item]
 		if it == nil || it.phase == pool.Unloading {
-			return planner.OrderDone
+			return planner.OrderAccepted
 		}
 		it.phase = pool.Unloading
 		e.change++
@@ -76,12 +76,12 @@
 			}
 		})
 	}
-	return planner.OrderDone
+	return planner.OrderAccepted
 }
 
 func (w *world) load(e *fakeEngine, o book.Order) planner.OrderOutcome {
 	if e.items[o.Item] != nil {
-		return planner.OrderDone
+		return planner.OrderAccepted
 	}
 	var used int64
 	for _, it := range e.items {
@@ -102,7 +102,7 @@
 			e.change++
 		}
 	})
-	return planner.OrderDone
+	return planner.OrderAccepted
 }
 
 func (e *fakeEngine) state() pool.State {
--- a/core/own/planner/event.go
+++ b/core/own/planner/event.go
@@ -75,11 +75,11 @@
 
 // The outcomes of an order.
 const (
-	OrderDone    OrderOutcome = iota + 1 // the engine carries it out
-	OrderRefused                         // the engine will not carry it out
-	OrderFenced                          // the engine has seen a later fence
-	OrderNotSent                         // it certainly never left
-	OrderLost                            // its answer is lost
+	OrderAccepted OrderOutcome = iota + 1 // the engine carries it out
+	OrderRefused                          // the engine will not carry it out
+	OrderFenced                           // the engine has seen a later fence
+	OrderNotSent                          // it certainly never left
+	OrderLost                             // its answer is lost
 )
 
 // An Intent is one order written to the platform before it is sent, because
--- a/core/own/planner/orders.go
+++ b/core/own/planner/orders.go
@@ -121,7 +121,7 @@
 	}
 	op, _ := l.OpenOp(e.Seq)
 	switch e.Outcome {
-	case OrderDone:
+	case OrderAccepted:
 		p.count(op)
 		if ra := p.raises[e.Engine]; ra != nil {
 			ra.backoff = ra.backoff.WithSuccess()
--- a/internal/own/engine/engine.go
+++ b/internal/own/engine/engine.go
@@ -191,7 +191,7 @@
 	out.State = reply.State.decode()
 	out.Detail = reply.Detail
 	out.Outcome = map[string]planner.OrderOutcome{
-		ResultDone:    planner.OrderDone,
+		ResultDone:    planner.OrderAccepted,
 		ResultRefused: planner.OrderRefused,
 		ResultFenced:  planner.OrderFenced,
 	}[reply.Result]
--- a/internal/own/engine/engine_test.go
+++ b/internal/own/engine/engine_test.go
@@ -90,7 +90,7 @@
 		do   http.HandlerFunc
 		want planner.OrderOutcome
 	}{
-		{"done", func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, `{"result":"done"}`) }, planner.OrderDone},
+		{"done", func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, `{"result":"done"}`) }, planner.OrderAccepted},
 		{"refused", func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, `{"result":"refused"}`) }, planner.OrderRefused},
 		{"fenced", func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, `{"result":"fenced"}`) }, planner.OrderFenced},
 		{"a word we do not know", func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, `{"result":"maybe"}`) }, planner.OrderLost},
