--- a/internal/own/engine/engine.go
+++ b/internal/own/engine/engine.go
@@ -30,8 +30,8 @@
 
 // Errors of a stream.
 var (
-	// ErrCut says that the stream stopped without its explicit end.
-	ErrCut = errors.New("the stream stopped without its end")
+	// ErrTruncated says that the stream stopped without its explicit end.
+	ErrTruncated = errors.New("the stream stopped without its end")
 	// ErrGap says that a piece is missing.
 	ErrGap = errors.New("a piece of the stream is missing")
 )
@@ -120,7 +120,7 @@
 	for {
 		var p Piece
 		if err := s.dec.Decode(&p); err != nil {
-			return Piece{}, ErrCut
+			return Piece{}, ErrTruncated
 		}
 		if p.ID != s.id || p.Offset < s.next {
 			continue
--- a/internal/own/engine/engine_test.go
+++ b/internal/own/engine/engine_test.go
@@ -37,10 +37,10 @@
 		{"another's", 0, `{"id":"b","o":0,"t":"z"}{"id":"a","o":0,"t":"x"}{"id":"b","o":1,"end":true}{"id":"a","o":1,"end":true}`, "x", nil},
 		{"late after a resume", 2, `{"id":"a","o":1,"t":"y"}{"id":"a","o":2,"t":"z"}{"id":"a","o":3,"end":true}`, "z", nil},
 		{"a gap", 0, `{"id":"a","o":0,"t":"x"}{"id":"a","o":2,"t":"z"}`, "x", ErrGap},
-		{"cut", 0, `{"id":"a","o":0,"t":"x"}`, "x", ErrCut},
-		{"cut in a piece", 0, `{"id":"a","o":0,"t":"x"}{"id":"a","o":1,"t`, "x", ErrCut},
-		{"nothing", 0, ``, "", ErrCut},
-		{"not JSON", 0, `<html>`, "", ErrCut},
+		{"cut", 0, `{"id":"a","o":0,"t":"x"}`, "x", ErrTruncated},
+		{"cut in a piece", 0, `{"id":"a","o":0,"t":"x"}{"id":"a","o":1,"t`, "x", ErrTruncated},
+		{"nothing", 0, ``, "", ErrTruncated},
+		{"not JSON", 0, `<html>`, "", ErrTruncated},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
