--- a/internal/own/engine/engine.go
+++ b/internal/own/engine/engine.go
@@ -32,8 +32,8 @@
 var (
 	// ErrTruncated says that the stream stopped without its explicit end.
 	ErrTruncated = errors.New("the stream stopped without its end")
-	// ErrGap says that a piece is missing.
-	ErrGap = errors.New("a piece of the stream is missing")
+	// ErrMissingPiece says that a piece is missing.
+	ErrMissingPiece = errors.New("a piece of the stream is missing")
 )
 
 // A StatusError is an answer that is not a stream.
@@ -126,7 +126,7 @@
 			continue
 		}
 		if p.Offset > s.next {
-			return Piece{}, ErrGap
+			return Piece{}, ErrMissingPiece
 		}
 		s.next++
 		return p, nil
--- a/internal/own/engine/engine_test.go
+++ b/internal/own/engine/engine_test.go
@@ -36,7 +36,7 @@
 		{"doubled", 0, `{"id":"a","o":0,"t":"x"}{"id":"a","o":0,"t":"x"}{"id":"a","o":1,"end":true}`, "x", nil},
 		{"another's", 0, `{"id":"b","o":0,"t":"z"}{"id":"a","o":0,"t":"x"}{"id":"b","o":1,"end":true}{"id":"a","o":1,"end":true}`, "x", nil},
 		{"late after a resume", 2, `{"id":"a","o":1,"t":"y"}{"id":"a","o":2,"t":"z"}{"id":"a","o":3,"end":true}`, "z", nil},
-		{"a gap", 0, `{"id":"a","o":0,"t":"x"}{"id":"a","o":2,"t":"z"}`, "x", ErrGap},
+		{"a gap", 0, `{"id":"a","o":0,"t":"x"}{"id":"a","o":2,"t":"z"}`, "x", ErrMissingPiece},
 		{"cut", 0, `{"id":"a","o":0,"t":"x"}`, "x", ErrTruncated},
 		{"cut in a piece", 0, `{"id":"a","o":0,"t":"x"}{"id":"a","o":1,"t`, "x", ErrTruncated},
 		{"nothing", 0, ``, "", ErrTruncated},
