--- a/internal/own/driver.go
+++ b/internal/own/driver.go
@@ -53,8 +53,8 @@
 	}
 }
 
-// CallName is the identity of one attempt of a call outside this instance.
-func CallName(self member.Identity, id calls.ID, attempt int) string {
+// AttemptID is the identity of one attempt of a call outside this instance.
+func AttemptID(self member.Identity, id calls.ID, attempt int) string {
 	return fmt.Sprintf("%s-%x-%d-%d", self.Name, self.Boot, id, attempt)
 }
 
@@ -96,7 +96,7 @@
 	defer done()
 	// Closing the stream cancels as well; this only frees the sequence sooner, so
 	// a failure needs no second try.
-	if err := d.engine.Cancel(ctx, a.Address, CallName(d.host.Self, a.ID, a.Attempt)); err != nil {
+	if err := d.engine.Cancel(ctx, a.Address, AttemptID(d.host.Self, a.ID, a.Attempt)); err != nil {
 		d.host.Event(logevent.CancelFailed, "call", uint64(a.ID), "upstream", a.Replica, "error", err.Error())
 	}
 }
--- a/internal/own/modelapi/model.go
+++ b/internal/own/modelapi/model.go
@@ -155,7 +155,7 @@
 func (m *modelCall) open(ctx context.Context, d calls.Dispatch, progress *upstream.Progress) (*engine.Stream, error) {
 	header := http.Header{}
 	m.handler.Tracer.Inject(ctx, header)
-	id := own.CallName(m.handler.Self, m.call.ID, d.Attempt)
+	id := own.AttemptID(m.handler.Self, m.call.ID, d.Attempt)
 	if d.Resume {
 		return m.handler.Engine.Resume(ctx, d.Address, engine.ResumeRequest{ID: id, Offset: m.pieces}, header, progress)
 	}
--- a/internal/own/modelapi/plain.go
+++ b/internal/own/modelapi/plain.go
@@ -88,7 +88,7 @@
 func (p *plainCall) outgoing(d calls.Dispatch, watch *entry.Watchdog) service.Call {
 	header := service.EndToEndHeaders(p.r.Header)
 	header.Del("Authorization") // the key is this system's, not the upstream's
-	header.Set(upstream.HeaderCall, own.CallName(p.handler.Self, p.call.ID, d.Attempt))
+	header.Set(upstream.HeaderCall, own.AttemptID(p.handler.Self, p.call.ID, d.Attempt))
 	p.handler.Tracer.Inject(p.r.Context(), header)
 	return service.Call{
 		Address:    d.Address,
