--- a/core/own/lease/lease.go
+++ b/core/own/lease/lease.go
@@ -22,10 +22,10 @@
 
 // A Lease is an immutable view of one lease.
 type Lease struct {
-	Term  time.Duration
-	fence uint64
-	sent  clock.Instant // when the last request that was granted was sent
-	held  bool
+	Term   time.Duration
+	fence  uint64
+	sentAt clock.Instant // when the last request that was granted was sent
+	held   bool
 }
 
 // New returns a lease that is not held.
@@ -37,11 +37,11 @@
 	if fence < l.fence {
 		return l
 	}
-	if l.held && fence == l.fence && sent.Before(l.sent) {
+	if l.held && fence == l.fence && sent.Before(l.sentAt) {
 		return l
 	}
 	l.fence = fence
-	l.sent = sent
+	l.sentAt = sent
 	l.held = true
 	return l
 }
@@ -59,7 +59,7 @@
 		return false
 	}
 	usable := l.Term - time.Duration(DriftMargin*float64(l.Term))
-	return now.MaxElapsed(l.sent) < usable
+	return now.MaxElapsed(l.sentAt) < usable
 }
 
 // Held reports whether the lease was granted and never known to be lost; it may
@@ -72,5 +72,5 @@
 
 // RenewDue reports whether a third of the term has passed since the last grant.
 func (l Lease) RenewDue(now clock.Instant) bool {
-	return l.held && now.MaxElapsed(l.sent) >= l.Term/3
+	return l.held && now.MaxElapsed(l.sentAt) >= l.Term/3
 }
