--- a/core/own/lease/lease_test.go
+++ b/core/own/lease/lease_test.go
@@ -15,9 +15,9 @@
 // The draws are the same on every run; -rapid.seed=0 draws others.
 func init() { _ = flag.Set("rapid.seed", "1") }
 
-// TestSuspendedMachineDoesNotBelieve: the monotonic clock stood still while
+// TestLeaseInvalidAfterSuspend: the monotonic clock stood still while
 // the wall clock went on.
-func TestSuspendedMachineDoesNotBelieve(t *testing.T) {
+func TestLeaseInvalidAfterSuspend(t *testing.T) {
 	is := is.New(t)
 	sent := clocktest.At(time.Hour)
 	l := New(10*time.Second).WithGrant(3, sent)
