--- a/core/own/lease/lease_test.go
+++ b/core/own/lease/lease_test.go
@@ -27,8 +27,8 @@
 	is.True(!l.Valid(woken))
 }
 
-// TestTimeCountsFromTheRequest: an answer that came late adds no time.
-func TestTimeCountsFromTheRequest(t *testing.T) {
+// TestTermCountsFromRequest: an answer that came late adds no time.
+func TestTermCountsFromRequest(t *testing.T) {
 	is := is.New(t)
 	sent := clocktest.At(time.Hour)
 	l := New(10*time.Second).WithGrant(3, sent)
