--- a/core/own/book/book.go
+++ b/core/own/book/book.go
@@ -71,25 +71,25 @@
 
 // An Ledger is the ledger of one engine's memory.
 type Ledger struct {
-	name     string
-	capacity int64
-	checks   bool
-	boot     uint64
-	change   uint64 // of the newest state taken in under boot
-	read     bool   // state was read since the fence was raised
-	entries  map[string]entry
-	open     map[uint64]outstanding // by Seq
+	name        string
+	capacity    int64
+	checksFence bool
+	boot        uint64
+	change      uint64 // of the newest state taken in under boot
+	read        bool   // state was read since the fence was raised
+	entries     map[string]entry
+	open        map[uint64]outstanding // by Seq
 }
 
 // NewEngine returns the ledger of an engine whose state is unknown; nothing is
 // free in it.
 func NewEngine(name string, capacityMiB int64, checksFence bool) *Ledger {
 	return &Ledger{
-		name:     name,
-		capacity: capacityMiB,
-		checks:   checksFence,
-		entries:  map[string]entry{},
-		open:     map[uint64]outstanding{},
+		name:        name,
+		capacity:    capacityMiB,
+		checksFence: checksFence,
+		entries:     map[string]entry{},
+		open:        map[uint64]outstanding{},
 	}
 }
 
@@ -269,10 +269,10 @@
 		switch {
 		case seq == answered:
 			delete(e.open, seq)
-			if o.unconfirmed && !e.checks && o.order.Op == Load {
+			if o.unconfirmed && !e.checksFence && o.order.Op == Load {
 				e.pin(o.order.Item) // an earlier sending may still arrive
 			}
-		case e.checks:
+		case e.checksFence:
 			if s.Fence > o.order.Fence || (s.Fence == fence && o.order.Fence == fence && s.LastOrder >= seq) {
 				delete(e.open, seq)
 			}
@@ -352,7 +352,7 @@
 // forgot its fence: nothing is free until the fence is raised again, and
 // orders that are still under way stay open.
 func (e *Ledger) AfterRestart() *Ledger {
-	next := NewEngine(e.name, e.capacity, e.checks)
+	next := NewEngine(e.name, e.capacity, e.checksFence)
 	for seq, o := range e.open {
 		if o.order.Op == Load {
 			next.entries[o.order.Item] = entry{mib: o.order.MiB}
