--- a/core/own/book/book.go
+++ b/core/own/book/book.go
@@ -76,7 +76,7 @@
 	checksFence bool
 	boot        uint64
 	change      uint64 // of the newest state taken in under boot
-	read        bool   // state was read since the fence was raised
+	stateKnown  bool   // state was read since the fence was raised
 	entries     map[string]entry
 	open        map[uint64]outstanding // by Seq
 }
@@ -94,14 +94,14 @@
 }
 
 // StateKnown reports whether the engine's state was read since its fence was raised.
-func (e *Ledger) StateKnown() bool { return e.read }
+func (e *Ledger) StateKnown() bool { return e.stateKnown }
 
 // Boot returns the boot under which the state was last read.
 func (e *Ledger) Boot() uint64 { return e.boot }
 
 // FreeMiB returns the memory that no item holds or is booked for, in MiB.
 func (e *Ledger) FreeMiB() int64 {
-	if !e.read {
+	if !e.stateKnown {
 		return 0
 	}
 	return e.capacity - e.used()
@@ -168,13 +168,13 @@
 func (e *Ledger) Reserve(o Order) bool {
 	switch o.Op {
 	case Load:
-		if !e.read || e.Holds(o.Item) || o.MiB > e.FreeMiB() {
+		if !e.stateKnown || e.Holds(o.Item) || o.MiB > e.FreeMiB() {
 			return false
 		}
 		e.entries[o.Item] = entry{mib: o.MiB}
 	case Unload:
 		en, ok := e.entries[o.Item]
-		if !e.read || !ok || en.pinned || en.phase != pool.Ready {
+		if !e.stateKnown || !ok || en.pinned || en.phase != pool.Ready {
 			return false
 		}
 	}
@@ -228,7 +228,7 @@
 	}
 	e.change = s.Residency.Change
 	e.settle(s, fence, answered)
-	e.read = true
+	e.stateKnown = true
 	e.rebuild(s, size)
 }
 
@@ -237,7 +237,7 @@
 // in would free memory that is in use. An answer that comes late still closes
 // its order, through Refused or a later state.
 func (e *Ledger) stale(s pool.State) bool {
-	if !e.read {
+	if !e.stateKnown {
 		return false
 	}
 	if s.Residency.Boot != e.boot {
