--- a/core/own/book/book.go
+++ b/core/own/book/book.go
@@ -75,7 +75,7 @@
 	capacity    int64
 	checksFence bool
 	boot        uint64
-	change      uint64 // of the newest state taken in under boot
+	lastChange  uint64 // of the newest state taken in under boot
 	stateKnown  bool   // state was read since the fence was raised
 	entries     map[string]entry
 	open        map[uint64]outstanding // by Seq
@@ -226,7 +226,7 @@
 	if s.Residency.Boot > e.boot {
 		e.rebooted(s.Residency.Boot)
 	}
-	e.change = s.Residency.Change
+	e.lastChange = s.Residency.Change
 	e.settle(s, fence, answered)
 	e.stateKnown = true
 	e.rebuild(s, size)
@@ -243,7 +243,7 @@
 	if s.Residency.Boot != e.boot {
 		return s.Residency.Boot < e.boot
 	}
-	return s.Residency.Change < e.change
+	return s.Residency.Change < e.lastChange
 }
 
 // rebooted drops what only the former process could have done. Orders that are
