--- a/core/own/book/book.go
+++ b/core/own/book/book.go
@@ -104,10 +104,10 @@
 	if !e.stateKnown {
 		return 0
 	}
-	return e.capacity - e.used()
+	return e.capacity - e.usedMiB()
 }
 
-func (e *Ledger) used() int64 {
+func (e *Ledger) usedMiB() int64 {
 	var sum int64
 	for _, en := range e.entries {
 		sum += en.mib
