--- a/core/own/book/book.go
+++ b/core/own/book/book.go
@@ -219,7 +219,7 @@
 // answered is the order that the state answers, 0 for a plain read. size gives
 // an item's memory in MiB.
 func (e *Ledger) Observe(s pool.State, fence, answered uint64, size func(string) int64) {
-	if e.stale(s) {
+	if e.isStale(s) {
 		delete(e.open, answered)
 		return
 	}
@@ -232,11 +232,11 @@
 	e.rebuild(s, size)
 }
 
-// stale reports whether the state is older than one taken in before. Such a
+// isStale reports whether the state is older than one taken in before. Such a
 // state may lack an item that an answered order has added since, and taking it
 // in would free memory that is in use. An answer that comes late still closes
 // its order, through Refused or a later state.
-func (e *Ledger) stale(s pool.State) bool {
+func (e *Ledger) isStale(s pool.State) bool {
 	if !e.stateKnown {
 		return false
 	}
