--- a/core/own/book/book.go
+++ b/core/own/book/book.go
@@ -224,7 +224,7 @@
 		return
 	}
 	if s.Residency.Boot > e.boot {
-		e.rebooted(s.Residency.Boot)
+		e.dropForReboot(s.Residency.Boot)
 	}
 	e.lastChange = s.Residency.Change
 	e.settle(s, fence, answered)
@@ -246,9 +246,9 @@
 	return s.Residency.Change < e.lastChange
 }
 
-// rebooted drops what only the former process could have done. Orders that are
+// dropForReboot drops what only the former process could have done. Orders that are
 // still under way may reach the new process, so they stay open.
-func (e *Ledger) rebooted(boot uint64) {
+func (e *Ledger) dropForReboot(boot uint64) {
 	e.boot = boot
 	for item, en := range e.entries {
 		if !e.openLoad(item) {
