--- a/core/own/book/book.go
+++ b/core/own/book/book.go
@@ -227,7 +227,7 @@
 		e.dropForReboot(s.Residency.Boot)
 	}
 	e.lastChange = s.Residency.Change
-	e.settle(s, fence, answered)
+	e.closeSettled(s, fence, answered)
 	e.stateKnown = true
 	e.rebuild(s, size)
 }
@@ -259,8 +259,8 @@
 	}
 }
 
-// settle closes the orders whose outcome the state tells.
-func (e *Ledger) settle(s pool.State, fence, answered uint64) {
+// closeSettled closes the orders whose outcome the state tells.
+func (e *Ledger) closeSettled(s pool.State, fence, answered uint64) {
 	shown := make(map[string]bool, len(s.Residency.Items))
 	for _, it := range s.Residency.Items {
 		shown[it.Name] = true
