--- a/core/own/book/book.go
+++ b/core/own/book/book.go
@@ -229,7 +229,7 @@
 	e.lastChange = s.Residency.Change
 	e.closeSettled(s, fence, answered)
 	e.stateKnown = true
-	e.rebuild(s, size)
+	e.rebuildEntries(s, size)
 }
 
 // isStale reports whether the state is older than one taken in before. Such a
@@ -291,8 +291,8 @@
 	e.entries[item] = en
 }
 
-// rebuild takes the state's items as the truth, plus what open loads may add.
-func (e *Ledger) rebuild(s pool.State, size func(string) int64) {
+// rebuildEntries takes the state's items as the truth, plus what open loads may add.
+func (e *Ledger) rebuildEntries(s pool.State, size func(string) int64) {
 	next := make(map[string]entry, len(s.Residency.Items))
 	for _, it := range s.Residency.Items {
 		old := e.entries[it.Name]
