--- a/core/own/book/book.go
+++ b/core/own/book/book.go
@@ -198,7 +198,7 @@
 		return
 	}
 	delete(e.open, seq)
-	if o.order.Op == Load && e.entries[o.order.Item].phase == 0 && !e.openLoad(o.order.Item) {
+	if o.order.Op == Load && e.entries[o.order.Item].phase == 0 && !e.hasOpenLoad(o.order.Item) {
 		delete(e.entries, o.order.Item)
 	}
 }
@@ -251,7 +251,7 @@
 func (e *Ledger) dropForReboot(boot uint64) {
 	e.boot = boot
 	for item, en := range e.entries {
-		if !e.openLoad(item) {
+		if !e.hasOpenLoad(item) {
 			delete(e.entries, item)
 			continue
 		}
@@ -306,14 +306,14 @@
 		if _, shown := next[item]; shown {
 			continue
 		}
-		if e.openLoad(item) || old.pinned {
+		if e.hasOpenLoad(item) || old.pinned {
 			next[item] = entry{mib: old.mib, pinned: old.pinned}
 		}
 	}
 	e.entries = next
 }
 
-func (e *Ledger) openLoad(item string) bool {
+func (e *Ledger) hasOpenLoad(item string) bool {
 	for _, o := range e.open {
 		if o.order.Op == Load && o.order.Item == item {
 			return true
@@ -341,7 +341,7 @@
 func (e *Ledger) LoadsInProgress() int {
 	n := 0
 	for item, en := range e.entries {
-		if en.phase == pool.Loading || (en.phase == 0 && e.openLoad(item)) {
+		if en.phase == pool.Loading || (en.phase == 0 && e.hasOpenLoad(item)) {
 			n++
 		}
 	}
