--- a/core/own/book/book_test.go
+++ b/core/own/book/book_test.go
@@ -97,8 +97,8 @@
 	})
 }
 
-// A model is a real engine's memory with orders still on their way to it.
-type model struct {
+// A engineModel is a real engine's memory with orders still on their way to it.
+type engineModel struct {
 	ledger   *Ledger
 	checks   bool
 	capacity int64
@@ -111,18 +111,18 @@
 	old      []pool.State // states read and not yet delivered
 }
 
-func newModel(checks bool) *model {
-	m := &model{checks: checks, capacity: 1000, boot: 1, items: map[string]pool.ItemPhase{}}
+func newModel(checks bool) *engineModel {
+	m := &engineModel{checks: checks, capacity: 1000, boot: 1, items: map[string]pool.ItemPhase{}}
 	m.ledger = NewEngine("e", m.capacity, checks)
 	m.ledger.Observe(m.state(), 7, 0, size)
 	return m
 }
 
-func (m *model) used() int64 { return int64(len(m.items)) * 400 }
+func (m *engineModel) used() int64 { return int64(len(m.items)) * 400 }
 
 // pending is what loads on their way would still take: each item once, and
 // none that the engine would refuse for its sequence.
-func (m *model) pending() int64 {
+func (m *engineModel) pending() int64 {
 	seen := map[string]bool{}
 	var sum int64
 	for _, o := range m.onTheWay {
@@ -135,7 +135,7 @@
 	return sum
 }
 
-func (m *model) state() pool.State {
+func (m *engineModel) state() pool.State {
 	s := state(m.boot, m.change, 7, m.last)
 	for name, phase := range m.items {
 		s.Residency.Items = append(s.Residency.Items, pool.Item{Name: name, Phase: phase})
@@ -143,7 +143,7 @@
 	return s
 }
 
-func (m *model) act(t *rapid.T) {
+func (m *engineModel) act(t *rapid.T) {
 	item := rapid.SampledFrom([]string{"a", "b", "c", "d"}).Draw(t, "item")
 	switch rapid.SampledFrom([]string{"load", "unload", "arrive", "read", "deliver", "drained", "raise", "lose"}).Draw(t, "act") {
 	case "load":
@@ -177,7 +177,7 @@
 	}
 }
 
-func (m *model) send(o Order) {
+func (m *engineModel) send(o Order) {
 	m.seq++
 	o.Fence, o.Seq = 7, m.seq
 	if m.ledger.Reserve(o) {
@@ -187,7 +187,7 @@
 
 // arrive has an order take effect; without an answer it stays open and, where
 // nothing is checked, may arrive once more.
-func (m *model) arrive(i int, answered bool) {
+func (m *engineModel) arrive(i int, answered bool) {
 	o := m.onTheWay[i]
 	if answered || m.checks {
 		m.onTheWay = append(m.onTheWay[:i], m.onTheWay[i+1:]...)
@@ -207,7 +207,7 @@
 	m.ledger.MarkLost(o.Seq)
 }
 
-func (m *model) apply(o Order) {
+func (m *engineModel) apply(o Order) {
 	phase := m.items[o.Item]
 	switch {
 	case o.Op == Load && phase == 0:
