--- a/core/own/book/book_test.go
+++ b/core/own/book/book_test.go
@@ -86,7 +86,7 @@
 // checks that what the ledger calls free always is.
 func TestFreeIsNeverMoreThanAnyOutcomeLeaves(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := newModel(rapid.Bool().Draw(t, "checks"))
+		m := newEngineModel(rapid.Bool().Draw(t, "checks"))
 		steps := rapid.IntRange(1, 60).Draw(t, "steps")
 		for range steps {
 			m.act(t)
@@ -111,7 +111,7 @@
 	old      []pool.State // states read and not yet delivered
 }
 
-func newModel(checks bool) *engineModel {
+func newEngineModel(checks bool) *engineModel {
 	m := &engineModel{checks: checks, capacity: 1000, boot: 1, items: map[string]pool.ItemPhase{}}
 	m.ledger = NewEngine("e", m.capacity, checks)
 	m.ledger.Observe(m.state(), 7, 0, size)
