--- a/core/own/book/book_test.go
+++ b/core/own/book/book_test.go
@@ -107,7 +107,7 @@
 	last     uint64
 	seq      uint64
 	items    map[string]pool.ItemPhase
-	onTheWay []Order
+	inFlight []Order
 	old      []pool.State // states read and not yet delivered
 }
 
@@ -125,7 +125,7 @@
 func (m *engineModel) pending() int64 {
 	seen := map[string]bool{}
 	var sum int64
-	for _, o := range m.onTheWay {
+	for _, o := range m.inFlight {
 		if _, here := m.items[o.Item]; o.Op != Load || here || seen[o.Item] || (m.checks && o.Seq <= m.last) {
 			continue
 		}
@@ -153,12 +153,12 @@
 	case "raise":
 		m.send(Order{Op: RaiseFence})
 	case "arrive":
-		if len(m.onTheWay) > 0 {
-			i := rapid.IntRange(0, len(m.onTheWay)-1).Draw(t, "which")
+		if len(m.inFlight) > 0 {
+			i := rapid.IntRange(0, len(m.inFlight)-1).Draw(t, "which")
 			m.arrive(i, rapid.Bool().Draw(t, "answered"))
 		}
 	case "lose":
-		for _, o := range m.onTheWay {
+		for _, o := range m.inFlight {
 			m.ledger.MarkLost(o.Seq)
 		}
 	case "read":
@@ -181,16 +181,16 @@
 	m.seq++
 	o.Fence, o.Seq = 7, m.seq
 	if m.ledger.Reserve(o) {
-		m.onTheWay = append(m.onTheWay, o)
+		m.inFlight = append(m.inFlight, o)
 	}
 }
 
 // arrive has an order take effect; without an answer it stays open and, where
 // nothing is checked, may arrive once more.
 func (m *engineModel) arrive(i int, answered bool) {
-	o := m.onTheWay[i]
+	o := m.inFlight[i]
 	if answered || m.checks {
-		m.onTheWay = append(m.onTheWay[:i], m.onTheWay[i+1:]...)
+		m.inFlight = append(m.inFlight[:i], m.inFlight[i+1:]...)
 	}
 	if m.checks && o.Seq <= m.last {
 		if answered {
