--- a/core/own/book/book_test.go
+++ b/core/own/book/book_test.go
@@ -99,16 +99,16 @@
 
 // A engineModel is a real engine's memory with orders still on their way to it.
 type engineModel struct {
-	ledger   *Ledger
-	checks   bool
-	capacity int64
-	boot     uint64
-	change   uint64
-	last     uint64
-	seq      uint64
-	items    map[string]pool.ItemPhase
-	inFlight []Order
-	old      []pool.State // states read and not yet delivered
+	ledger      *Ledger
+	checks      bool
+	capacity    int64
+	boot        uint64
+	change      uint64
+	last        uint64
+	seq         uint64
+	items       map[string]pool.ItemPhase
+	inFlight    []Order
+	undelivered []pool.State // states read and not yet delivered
 }
 
 func newEngineModel(checks bool) *engineModel {
@@ -162,12 +162,12 @@
 			m.ledger.MarkLost(o.Seq)
 		}
 	case "read":
-		m.old = append(m.old, m.state())
+		m.undelivered = append(m.undelivered, m.state())
 	case "deliver":
-		if len(m.old) > 0 {
-			i := rapid.IntRange(0, len(m.old)-1).Draw(t, "which")
-			m.ledger.Observe(m.old[i], 7, 0, size)
-			m.old = append(m.old[:i], m.old[i+1:]...)
+		if len(m.undelivered) > 0 {
+			i := rapid.IntRange(0, len(m.undelivered)-1).Draw(t, "which")
+			m.ledger.Observe(m.undelivered[i], 7, 0, size)
+			m.undelivered = append(m.undelivered[:i], m.undelivered[i+1:]...)
 		}
 	case "drained":
 		if m.items[item] == pool.Unloading {
