--- a/core/own/book/book_test.go
+++ b/core/own/book/book_test.go
@@ -90,7 +90,7 @@
 		steps := rapid.IntRange(1, 60).Draw(t, "steps")
 		for range steps {
 			m.act(t)
-			if free, real := m.ledger.FreeMiB(), m.capacity-m.used()-m.pending(); free > real {
+			if free, real := m.ledger.FreeMiB(), m.capacity-m.usedMiB()-m.pending(); free > real {
 				t.Fatalf("the ledger says %d free, %d may be", free, real)
 			}
 		}
@@ -118,7 +118,7 @@
 	return m
 }
 
-func (m *engineModel) used() int64 { return int64(len(m.items)) * 400 }
+func (m *engineModel) usedMiB() int64 { return int64(len(m.items)) * 400 }
 
 // pending is what loads on their way would still take: each item once, and
 // none that the engine would refuse for its sequence.
