--- a/core/own/book/book_test.go
+++ b/core/own/book/book_test.go
@@ -90,7 +90,7 @@
 		steps := rapid.IntRange(1, 60).Draw(t, "steps")
 		for range steps {
 			m.act(t)
-			if free, real := m.ledger.FreeMiB(), m.capacity-m.usedMiB()-m.pending(); free > real {
+			if free, real := m.ledger.FreeMiB(), m.capacity-m.usedMiB()-m.pendingMiB(); free > real {
 				t.Fatalf("the ledger says %d free, %d may be", free, real)
 			}
 		}
@@ -120,9 +120,9 @@
 
 func (m *engineModel) usedMiB() int64 { return int64(len(m.items)) * 400 }
 
-// pending is what loads on their way would still take: each item once, and
+// pendingMiB is what loads on their way would still take: each item once, and
 // none that the engine would refuse for its sequence.
-func (m *engineModel) pending() int64 {
+func (m *engineModel) pendingMiB() int64 {
 	seen := map[string]bool{}
 	var sum int64
 	for _, o := range m.inFlight {
