--- a/core/own/book/book_test.go
+++ b/core/own/book/book_test.go
@@ -89,7 +89,7 @@
 		m := newEngineModel(rapid.Bool().Draw(t, "checks"))
 		steps := rapid.IntRange(1, 60).Draw(t, "steps")
 		for range steps {
-			m.act(t)
+			m.step(t)
 			if free, real := m.ledger.FreeMiB(), m.capacity-m.usedMiB()-m.pendingMiB(); free > real {
 				t.Fatalf("the ledger says %d free, %d may be", free, real)
 			}
@@ -143,7 +143,7 @@
 	return s
 }
 
-func (m *engineModel) act(t *rapid.T) {
+func (m *engineModel) step(t *rapid.T) {
 	item := rapid.SampledFrom([]string{"a", "b", "c", "d"}).Draw(t, "item")
 	switch rapid.SampledFrom([]string{"load", "unload", "arrive", "read", "deliver", "drained", "raise", "lose"}).Draw(t, "act") {
 	case "load":
