--- a/core/own/book/book_test.go
+++ b/core/own/book/book_test.go
@@ -104,7 +104,7 @@
 	capacity    int64
 	boot        uint64
 	change      uint64
-	last        uint64
+	lastOrder   uint64
 	seq         uint64
 	items       map[string]pool.ItemPhase
 	inFlight    []Order
@@ -126,7 +126,7 @@
 	seen := map[string]bool{}
 	var sum int64
 	for _, o := range m.inFlight {
-		if _, here := m.items[o.Item]; o.Op != Load || here || seen[o.Item] || (m.checks && o.Seq <= m.last) {
+		if _, here := m.items[o.Item]; o.Op != Load || here || seen[o.Item] || (m.checks && o.Seq <= m.lastOrder) {
 			continue
 		}
 		seen[o.Item] = true
@@ -136,7 +136,7 @@
 }
 
 func (m *engineModel) state() pool.State {
-	s := state(m.boot, m.change, 7, m.last)
+	s := state(m.boot, m.change, 7, m.lastOrder)
 	for name, phase := range m.items {
 		s.Residency.Items = append(s.Residency.Items, pool.Item{Name: name, Phase: phase})
 	}
@@ -192,13 +192,13 @@
 	if answered || m.checks {
 		m.inFlight = append(m.inFlight[:i], m.inFlight[i+1:]...)
 	}
-	if m.checks && o.Seq <= m.last {
+	if m.checks && o.Seq <= m.lastOrder {
 		if answered {
 			m.ledger.MarkRefused(o.Seq)
 		}
 		return
 	}
-	m.last = max(m.last, o.Seq)
+	m.lastOrder = max(m.lastOrder, o.Seq)
 	m.apply(o)
 	if answered {
 		m.ledger.Observe(m.state(), 7, o.Seq, size)
