--- a/core/own/book/book_test.go
+++ b/core/own/book/book_test.go
@@ -100,7 +100,7 @@
 // A engineModel is a real engine's memory with orders still on their way to it.
 type engineModel struct {
 	ledger      *Ledger
-	checks      bool
+	checksFence bool
 	capacity    int64
 	boot        uint64
 	change      uint64
@@ -112,7 +112,7 @@
 }
 
 func newEngineModel(checks bool) *engineModel {
-	m := &engineModel{checks: checks, capacity: 1000, boot: 1, items: map[string]pool.ItemPhase{}}
+	m := &engineModel{checksFence: checks, capacity: 1000, boot: 1, items: map[string]pool.ItemPhase{}}
 	m.ledger = NewEngine("e", m.capacity, checks)
 	m.ledger.Observe(m.state(), 7, 0, size)
 	return m
@@ -126,7 +126,7 @@
 	seen := map[string]bool{}
 	var sum int64
 	for _, o := range m.inFlight {
-		if _, here := m.items[o.Item]; o.Op != Load || here || seen[o.Item] || (m.checks && o.Seq <= m.lastOrder) {
+		if _, here := m.items[o.Item]; o.Op != Load || here || seen[o.Item] || (m.checksFence && o.Seq <= m.lastOrder) {
 			continue
 		}
 		seen[o.Item] = true
@@ -189,10 +189,10 @@
 // nothing is checked, may arrive once more.
 func (m *engineModel) arrive(i int, answered bool) {
 	o := m.inFlight[i]
-	if answered || m.checks {
+	if answered || m.checksFence {
 		m.inFlight = append(m.inFlight[:i], m.inFlight[i+1:]...)
 	}
-	if m.checks && o.Seq <= m.lastOrder {
+	if m.checksFence && o.Seq <= m.lastOrder {
 		if answered {
 			m.ledger.MarkRefused(o.Seq)
 		}
