--- a/core/own/choose/choose.go
+++ b/core/own/choose/choose.go
@@ -25,7 +25,7 @@
 
 // Tunables of the choice.
 const (
-	sameRegion = 2 * time.Millisecond // way to another zone and back
+	crossZoneRoundTrip = 2 * time.Millisecond // way to another zone and back
 	// crowd is what one sequence that runs beside a call costs it, as a share
 	// of the measured hold time at a full replica: batches slow each other.
 	crowd = 0.15
@@ -142,7 +142,7 @@
 		e.Prefill = time.Duration(float64(q.PromptTokens) / float64(q.PrefillRate) * float64(time.Second))
 	}
 	if r.Zone != q.Zone {
-		e.Network = sameRegion
+		e.Network = crossZoneRoundTrip
 	}
 	if first := r.TimeToFirstToken(now); first > e.Queue+e.Prefill {
 		e.Slow = first - e.Queue - e.Prefill
