--- a/core/own/choose/choose.go
+++ b/core/own/choose/choose.go
@@ -26,9 +26,9 @@
 // Tunables of the choice.
 const (
 	crossZoneRoundTrip = 2 * time.Millisecond // way to another zone and back
-	// crowd is what one sequence that runs beside a call costs it, as a share
+	// batchSlowdown is what one sequence that runs beside a call costs it, as a share
 	// of the measured hold time at a full replica: batches slow each other.
-	crowd = 0.15
+	batchSlowdown = 0.15
 	// queueSlack is the share of a replica's sequences that may wait inside it
 	// before calls wait here instead, where a better place can still be found.
 	queueSlack = 0.25
@@ -137,7 +137,7 @@
 	if n >= slots {
 		e.Queue = time.Duration((n - slots + 1) / slots * float64(r.ServiceTime()))
 	}
-	e.Queue += time.Duration(crowd * min(n/slots, 1) * float64(min(r.ServiceTime(), time.Second)))
+	e.Queue += time.Duration(batchSlowdown * min(n/slots, 1) * float64(min(r.ServiceTime(), time.Second)))
 	if q.PrefillRate > 0 {
 		e.Prefill = time.Duration(float64(q.PromptTokens) / float64(q.PrefillRate) * float64(time.Second))
 	}
