--- a/core/own/choose/choose.go
+++ b/core/own/choose/choose.go
@@ -29,9 +29,9 @@
 	// batchSlowdown is what one sequence that runs beside a call costs it, as a share
 	// of the measured hold time at a full replica: batches slow each other.
 	batchSlowdown = 0.15
-	// queueSlack is the share of a replica's sequences that may wait inside it
+	// replicaQueueShare is the share of a replica's sequences that may wait inside it
 	// before calls wait here instead, where a better place can still be found.
-	queueSlack = 0.25
+	replicaQueueShare = 0.25
 	// ejectedShare is the share of candidates that may be passed over for
 	// their failures.
 	ejectedShare = 1.0 / 3
@@ -147,7 +147,7 @@
 	if first := r.TimeToFirstToken(now); first > e.Queue+e.Prefill {
 		e.Slow = first - e.Queue - e.Prefill
 	}
-	e.Room = n < slots*(1+queueSlack) && r.InFlight() < r.Limit.Limit()
+	e.Room = n < slots*(1+replicaQueueShare) && r.InFlight() < r.Limit.Limit()
 	return e
 }
 
