--- a/core/own/choose/choose.go
+++ b/core/own/choose/choose.go
@@ -32,9 +32,9 @@
 	// replicaQueueShare is the share of a replica's sequences that may wait inside it
 	// before calls wait here instead, where a better place can still be found.
 	replicaQueueShare = 0.25
-	// ejectedShare is the share of candidates that may be passed over for
+	// maxEjectedShare is the share of candidates that may be passed over for
 	// their failures.
-	ejectedShare = 1.0 / 3
+	maxEjectedShare = 1.0 / 3
 	// affinityBonus is the share of a prefix's prefill that the replica which
 	// rendezvous hashing names is trusted to save, when this instance has no
 	// memory of the prefix itself.
@@ -127,7 +127,7 @@
 		}
 	}
 	// One ejected of two candidates is over a third, yet leaves a healthy one.
-	return ejected > 0 && ejected < usable && (ejected == 1 || float64(ejected) <= ejectedShare*float64(usable))
+	return ejected > 0 && ejected < usable && (ejected == 1 || float64(ejected) <= maxEjectedShare*float64(usable))
 }
 
 func estimate(now clock.Instant, q Query, r *pool.Replica) Estimate {
