--- a/core/own/choose/choose.go
+++ b/core/own/choose/choose.go
@@ -35,10 +35,10 @@
 	// maxEjectedShare is the share of candidates that may be passed over for
 	// their failures.
 	maxEjectedShare = 1.0 / 3
-	// affinityBonus is the share of a prefix's prefill that the replica which
+	// affinityCachedShare is the share of a prefix's prefill that the replica which
 	// rendezvous hashing names is trusted to save, when this instance has no
 	// memory of the prefix itself.
-	affinityBonus = 0.25
+	affinityCachedShare = 0.25
 )
 
 // A Query is what the choice needs to know of one call.
@@ -160,7 +160,7 @@
 	case remembered:
 		e.Cached = min(tokens, q.PromptTokens)
 	case preferred && tokens == 0:
-		e.Cached = int(affinityBonus * float64(min(q.Prefix.Tokens(), q.PromptTokens)))
+		e.Cached = int(affinityCachedShare * float64(min(q.Prefix.Tokens(), q.PromptTokens)))
 	}
 	e.Prefill -= time.Duration(float64(e.Cached) * perToken)
 }
