--- a/core/own/choose/choose.go
+++ b/core/own/choose/choose.go
@@ -80,7 +80,7 @@
 // candidate is full: the call has to wait, and the estimate says about how long.
 func (c *Chooser) Choose(now clock.Instant, q Query, candidates []*pool.Replica) (best Estimate, ok bool) {
 	spare := c.mayEject(now, candidates)
-	preferred := prefer(q.Prefix, candidates)
+	preferred := preferredReplica(q.Prefix, candidates)
 	cachedOn, cached := c.memory.Find(q.Prefix)
 	for _, r := range candidates {
 		if !r.Usable() {
@@ -165,9 +165,9 @@
 	e.Prefill -= time.Duration(float64(e.Cached) * perToken)
 }
 
-// prefer returns the usable replica that rendezvous hashing names for a prefix,
+// preferredReplica returns the usable replica that rendezvous hashing names for a prefix,
 // so that instances which never met agree on where a new prefix goes.
-func prefer(p Prefix, candidates []*pool.Replica) *pool.Replica {
+func preferredReplica(p Prefix, candidates []*pool.Replica) *pool.Replica {
 	if len(p.blocks) == 0 {
 		return nil
 	}
