--- a/core/own/choose/choose.go
+++ b/core/own/choose/choose.go
@@ -66,14 +66,14 @@
 
 // A Chooser remembers where prefixes were sent and makes choices.
 type Chooser struct {
-	memory *PrefixIndex
+	prefixes *PrefixIndex
 }
 
 // NewChooser returns a chooser that remembers up to size prefix blocks.
-func NewChooser(size int) *Chooser { return &Chooser{memory: NewPrefixIndex(size)} }
+func NewChooser(size int) *Chooser { return &Chooser{prefixes: NewPrefixIndex(size)} }
 
 // RecordSent notes that a call with this prefix was sent to the replica.
-func (c *Chooser) RecordSent(p Prefix, replica string) { c.memory.Record(p, replica) }
+func (c *Chooser) RecordSent(p Prefix, replica string) { c.prefixes.Record(p, replica) }
 
 // Choose returns the best estimate among the candidates. ok is false when none
 // may be sent new work. An estimate without Room is returned when every
@@ -81,7 +81,7 @@
 func (c *Chooser) Choose(now clock.Instant, q Query, candidates []*pool.Replica) (best Estimate, ok bool) {
 	spare := c.mayEject(now, candidates)
 	preferred := preferredReplica(q.Prefix, candidates)
-	cachedOn, cached := c.memory.Find(q.Prefix)
+	cachedOn, cached := c.prefixes.Find(q.Prefix)
 	for _, r := range candidates {
 		if !r.Usable() {
 			continue
@@ -186,4 +186,4 @@
 }
 
 // HandleRestart notes that the replica restarted and its prefix cache is empty.
-func (c *Chooser) HandleRestart(replica string) { c.memory.RemoveReplica(replica) }
+func (c *Chooser) HandleRestart(replica string) { c.prefixes.RemoveReplica(replica) }
