--- a/core/own/choose/prefix.go
+++ b/core/own/choose/prefix.go
@@ -39,7 +39,7 @@
 // A PrefixIndex is a bounded, least-recently-used memory of where blocks were sent.
 type PrefixIndex struct {
 	size   int
-	recent *list.List // of memoryEntry, most recent first
+	lru    *list.List // of memoryEntry, most recent first
 	byHash map[uint64]*list.Element
 }
 
@@ -50,7 +50,7 @@
 
 // NewPrefixIndex returns a memory of up to size blocks.
 func NewPrefixIndex(size int) *PrefixIndex {
-	return &PrefixIndex{size: size, recent: list.New(), byHash: map[uint64]*list.Element{}}
+	return &PrefixIndex{size: size, lru: list.New(), byHash: map[uint64]*list.Element{}}
 }
 
 // Record notes that the blocks of p are on the replica now.
@@ -58,14 +58,14 @@
 	for _, h := range p.blocks {
 		if el, ok := m.byHash[h]; ok {
 			el.Value = memoryEntry{hash: h, replica: replica}
-			m.recent.MoveToFront(el)
+			m.lru.MoveToFront(el)
 			continue
 		}
-		m.byHash[h] = m.recent.PushFront(memoryEntry{hash: h, replica: replica})
-		if m.recent.Len() > m.size {
-			last := m.recent.Back()
+		m.byHash[h] = m.lru.PushFront(memoryEntry{hash: h, replica: replica})
+		if m.lru.Len() > m.size {
+			last := m.lru.Back()
 			delete(m.byHash, last.Value.(memoryEntry).hash)
-			m.recent.Remove(last)
+			m.lru.Remove(last)
 		}
 	}
 }
@@ -83,11 +83,11 @@
 
 // RemoveReplica forgets blocks believed to be on the replica, after it restarted.
 func (m *PrefixIndex) RemoveReplica(replica string) {
-	for el := m.recent.Front(); el != nil; {
+	for el := m.lru.Front(); el != nil; {
 		next := el.Next()
 		if entry := el.Value.(memoryEntry); entry.replica == replica {
 			delete(m.byHash, entry.hash)
-			m.recent.Remove(el)
+			m.lru.Remove(el)
 		}
 		el = next
 	}
