--- a/core/own/choose/prefix.go
+++ b/core/own/choose/prefix.go
@@ -43,7 +43,7 @@
 	byHash map[uint64]*list.Element
 }
 
-type memoryEntry struct {
+type indexEntry struct {
 	hash    uint64
 	replica string
 }
@@ -57,14 +57,14 @@
 func (m *PrefixIndex) Record(p Prefix, replica string) {
 	for _, h := range p.blocks {
 		if el, ok := m.byHash[h]; ok {
-			el.Value = memoryEntry{hash: h, replica: replica}
+			el.Value = indexEntry{hash: h, replica: replica}
 			m.lru.MoveToFront(el)
 			continue
 		}
-		m.byHash[h] = m.lru.PushFront(memoryEntry{hash: h, replica: replica})
+		m.byHash[h] = m.lru.PushFront(indexEntry{hash: h, replica: replica})
 		if m.lru.Len() > m.size {
 			last := m.lru.Back()
-			delete(m.byHash, last.Value.(memoryEntry).hash)
+			delete(m.byHash, last.Value.(indexEntry).hash)
 			m.lru.Remove(last)
 		}
 	}
@@ -75,7 +75,7 @@
 func (m *PrefixIndex) Find(p Prefix) (replica string, tokens int) {
 	for i := len(p.blocks) - 1; i >= 0; i-- {
 		if el, ok := m.byHash[p.blocks[i]]; ok {
-			return el.Value.(memoryEntry).replica, (i + 1) * blockTokens
+			return el.Value.(indexEntry).replica, (i + 1) * blockTokens
 		}
 	}
 	return "", 0
@@ -85,7 +85,7 @@
 func (m *PrefixIndex) RemoveReplica(replica string) {
 	for el := m.lru.Front(); el != nil; {
 		next := el.Next()
-		if entry := el.Value.(memoryEntry); entry.replica == replica {
+		if entry := el.Value.(indexEntry); entry.replica == replica {
 			delete(m.byHash, entry.hash)
 			m.lru.Remove(el)
 		}
