--- a/core/own/kvwatch/watch.go
+++ b/core/own/kvwatch/watch.go
@@ -48,14 +48,14 @@
 	list   step.Job
 }
 
-// keeps reports whether this instance watches now.
-func (w *Watch) keeps(now clock.Instant) bool {
+// isWatcher reports whether this instance watches now.
+func (w *Watch) isWatcher(now clock.Instant) bool {
 	return w.Exchanges.Isolated(now) || w.Members.Assigned(now, watchers.KeyPrefix+w.Self.Zone, w.Options.Watchers)
 }
 
 // Tick begins the watches that are due.
 func (w *Watch) Tick(now clock.Instant) {
-	if w.Stopping() || !w.keeps(now) {
+	if w.Stopping() || !w.isWatcher(now) {
 		return
 	}
 	if w.config.Due(now) {
