--- a/core/own/kvwatch/watch.go
+++ b/core/own/kvwatch/watch.go
@@ -71,7 +71,7 @@
 // HandleConfigReply notes that a watch of the configuration is over.
 func (w *Watch) HandleConfigReply(now clock.Instant, err error) {
 	w.Outage.Observe(now, err)
-	w.config.End(w.next(now))
+	w.config.End(w.nextStart(now))
 }
 
 // HandleListReply takes in what a watch of the list brought.
@@ -80,13 +80,13 @@
 	if e.Err == nil {
 		w.Exchanges.MarkStoreKnownUntil(w.list.SentAt())
 	}
-	w.list.End(w.next(now))
+	w.list.End(w.nextStart(now))
 	if e.Err == nil {
 		w.Listing.HandleReply(now, e)
 	}
 }
 
-// next returns when the next watch of one kind may begin.
-func (w *Watch) next(now clock.Instant) clock.Instant {
+// nextStart returns when the nextStart watch of one kind may begin.
+func (w *Watch) nextStart(now clock.Instant) clock.Instant {
 	return now.Add(max(w.Options.WatchEvery, w.Outage.Wait(w.Rand)))
 }
