--- a/core/own/meter/meter.go
+++ b/core/own/meter/meter.go
@@ -16,8 +16,8 @@
 
 // Windows of the rates.
 const (
-	short = 10 * time.Second
-	long  = 120 * time.Second
+	shortWindow = 10 * time.Second
+	long        = 120 * time.Second
 	// forget is the rate, in calls a second, below which an item is dropped.
 	forget = 1e-4
 )
@@ -102,7 +102,7 @@
 	if age <= 0 {
 		return
 	}
-	it.short *= math.Exp(-float64(age) / float64(short))
+	it.short *= math.Exp(-float64(age) / float64(shortWindow))
 	it.long *= math.Exp(-float64(age) / float64(long))
 	it.at = now
 }
@@ -119,8 +119,8 @@
 func (it *meterItem) rate(now clock.Instant) float64 {
 	age := max(now.Since(it.begun), leastAge)
 	steady := it.long / window(long, age)
-	recent := it.short / window(short, age)
-	if math.Abs(recent-steady) > chance*math.Sqrt(max(recent, steady)/short.Seconds()) {
+	recent := it.short / window(shortWindow, age)
+	if math.Abs(recent-steady) > chance*math.Sqrt(max(recent, steady)/shortWindow.Seconds()) {
 		return recent
 	}
 	return steady
