--- a/core/own/meter/meter.go
+++ b/core/own/meter/meter.go
@@ -17,7 +17,7 @@
 // Windows of the rates.
 const (
 	shortWindow = 10 * time.Second
-	long        = 120 * time.Second
+	longWindow  = 120 * time.Second
 	// forget is the rate, in calls a second, below which an item is dropped.
 	forget = 1e-4
 )
@@ -103,7 +103,7 @@
 		return
 	}
 	it.short *= math.Exp(-float64(age) / float64(shortWindow))
-	it.long *= math.Exp(-float64(age) / float64(long))
+	it.long *= math.Exp(-float64(age) / float64(longWindow))
 	it.at = now
 }
 
@@ -118,7 +118,7 @@
 // been known.
 func (it *meterItem) rate(now clock.Instant) float64 {
 	age := max(now.Since(it.begun), leastAge)
-	steady := it.long / window(long, age)
+	steady := it.long / window(longWindow, age)
 	recent := it.short / window(shortWindow, age)
 	if math.Abs(recent-steady) > chance*math.Sqrt(max(recent, steady)/shortWindow.Seconds()) {
 		return recent
