--- a/core/own/meter/meter.go
+++ b/core/own/meter/meter.go
@@ -18,8 +18,8 @@
 const (
 	shortWindow = 10 * time.Second
 	longWindow  = 120 * time.Second
-	// forget is the rate, in calls a second, below which an item is dropped.
-	forget = 1e-4
+	// minRate is the rate, in calls a second, below which an item is dropped.
+	minRate = 1e-4
 )
 
 // A Meter measures the calls of one instance.
@@ -137,7 +137,7 @@
 	for name, it := range m.items {
 		it.decay(now)
 		rate := it.rate(now)
-		if rate < forget && it.waiting == 0 {
+		if rate < minRate && it.waiting == 0 {
 			delete(m.items, name)
 			continue
 		}
