--- a/core/own/meter/meter.go
+++ b/core/own/meter/meter.go
@@ -43,8 +43,8 @@
 func New() *Meter { return &Meter{items: map[string]*meterItem{}} }
 
 const (
-	// ewma is the weight of a new sample in a moving average.
-	ewma = 0.1
+	// ewmaWeight is the weight of a new sample in a moving average.
+	ewmaWeight = 0.1
 	// defaultHold is how long, in seconds, a call is believed to occupy its replica.
 	defaultHold = 1.0
 	unmetMemory = 15 * time.Second // an unmet item counts as such this long after its last call
@@ -61,13 +61,13 @@
 	it.last = now
 	it.short++
 	it.long++
-	it.weight += ewma * (weight - it.weight)
+	it.weight += ewmaWeight * (weight - it.weight)
 }
 
 // RecordHoldTime notes how long a call for item occupied its replica.
 func (m *Meter) RecordHoldTime(item string, d time.Duration) {
 	if it := m.items[item]; it != nil {
-		it.hold += ewma * (d.Seconds() - it.hold)
+		it.hold += ewmaWeight * (d.Seconds() - it.hold)
 	}
 }
 
