--- a/core/own/meter/meter.go
+++ b/core/own/meter/meter.go
@@ -45,16 +45,16 @@
 const (
 	// ewmaWeight is the weight of a new sample in a moving average.
 	ewmaWeight = 0.1
-	// defaultHold is how long, in seconds, a call is believed to occupy its replica.
-	defaultHold = 1.0
-	unmetMemory = 15 * time.Second // an unmet item counts as such this long after its last call
+	// defaultHoldTime is how long, in seconds, a call is believed to occupy its replica.
+	defaultHoldTime = 1.0
+	unmetMemory     = 15 * time.Second // an unmet item counts as such this long after its last call
 )
 
 // RecordCall notes one call for item with the given weight.
 func (m *Meter) RecordCall(now clock.Instant, item string, weight float64) {
 	it := m.items[item]
 	if it == nil {
-		it = &meterItem{weight: weight, hold: defaultHold, at: now, begun: now}
+		it = &meterItem{weight: weight, hold: defaultHoldTime, at: now, begun: now}
 		m.items[item] = it
 	}
 	it.decay(now)
