--- a/core/own/meter/meter.go
+++ b/core/own/meter/meter.go
@@ -47,7 +47,7 @@
 	ewmaWeight = 0.1
 	// defaultHoldTime is how long, in seconds, a call is believed to occupy its replica.
 	defaultHoldTime = 1.0
-	unmetMemory     = 15 * time.Second // an unmet item counts as such this long after its last call
+	unmetTimeout    = 15 * time.Second // an unmet item counts as such this long after its last call
 )
 
 // RecordCall notes one call for item with the given weight.
@@ -142,7 +142,7 @@
 			continue
 		}
 		out := demand.Item{Name: name, Rate: rate, Concurrent: rate * it.hold, Weight: it.weight, Waiting: it.waiting, Idle: now.Since(it.last)}
-		if !it.unmet.IsZero() && now.Since(it.lastUnmet) < unmetMemory {
+		if !it.unmet.IsZero() && now.Since(it.lastUnmet) < unmetTimeout {
 			out.Unmet = max(now.Since(it.unmet), 1)
 		}
 		items = append(items, out)
