--- a/core/own/meter/meter.go
+++ b/core/own/meter/meter.go
@@ -107,9 +107,9 @@
 	it.at = now
 }
 
-// chance is how many standard deviations of a Poisson count the short rate may
+// shiftThreshold is how many standard deviations of a Poisson count the short rate may
 // differ from the long one before demand is held to have moved.
-const chance = 2.5
+const shiftThreshold = 2.5
 
 // leastAge keeps the first call of an item from counting as a flood.
 const leastAge = 5 * time.Second
@@ -120,7 +120,7 @@
 	age := max(now.Since(it.begun), leastAge)
 	steady := it.long / window(longWindow, age)
 	recent := it.short / window(shortWindow, age)
-	if math.Abs(recent-steady) > chance*math.Sqrt(max(recent, steady)/shortWindow.Seconds()) {
+	if math.Abs(recent-steady) > shiftThreshold*math.Sqrt(max(recent, steady)/shortWindow.Seconds()) {
 		return recent
 	}
 	return steady
