--- a/core/own/meter/meter.go
+++ b/core/own/meter/meter.go
@@ -111,13 +111,13 @@
 // differ from the long one before demand is held to have moved.
 const shiftThreshold = 2.5
 
-// leastAge keeps the first call of an item from counting as a flood.
-const leastAge = 5 * time.Second
+// minAge keeps the first call of an item from counting as a flood.
+const minAge = 5 * time.Second
 
 // rate returns the calls a second, corrected for how short a time the item has
 // been known.
 func (it *meterItem) rate(now clock.Instant) float64 {
-	age := max(now.Since(it.begun), leastAge)
+	age := max(now.Since(it.begun), minAge)
 	steady := it.long / window(longWindow, age)
 	recent := it.short / window(shortWindow, age)
 	if math.Abs(recent-steady) > shiftThreshold*math.Sqrt(max(recent, steady)/shortWindow.Seconds()) {
