--- a/core/own/meter/meter.go
+++ b/core/own/meter/meter.go
@@ -118,16 +118,16 @@
 // been known.
 func (it *meterItem) rate(now clock.Instant) float64 {
 	age := max(now.Since(it.begun), minAge)
-	steady := it.long / window(longWindow, age)
-	recent := it.short / window(shortWindow, age)
+	steady := it.long / effectiveWindow(longWindow, age)
+	recent := it.short / effectiveWindow(shortWindow, age)
 	if math.Abs(recent-steady) > shiftThreshold*math.Sqrt(max(recent, steady)/shortWindow.Seconds()) {
 		return recent
 	}
 	return steady
 }
 
-// window returns the seconds that a decayed count stands for at an age.
-func window(w, age time.Duration) float64 {
+// effectiveWindow returns the seconds that a decayed count stands for at an age.
+func effectiveWindow(w, age time.Duration) float64 {
 	return w.Seconds() * (1 - math.Exp(-float64(age)/float64(w)))
 }
 
