--- a/core/own/meter/meter.go
+++ b/core/own/meter/meter.go
@@ -30,7 +30,7 @@
 type meterItem struct {
 	short, long float64       // decayed counts
 	weight      float64       // EWMA
-	hold        float64       // EWMA, seconds
+	holdTime    float64       // EWMA, seconds
 	begun       clock.Instant // of the first call
 	at          clock.Instant // of the last decay
 	last        clock.Instant // of the last call
@@ -54,7 +54,7 @@
 func (m *Meter) RecordCall(now clock.Instant, item string, weight float64) {
 	it := m.items[item]
 	if it == nil {
-		it = &meterItem{weight: weight, hold: defaultHoldTime, at: now, begun: now}
+		it = &meterItem{weight: weight, holdTime: defaultHoldTime, at: now, begun: now}
 		m.items[item] = it
 	}
 	it.decay(now)
@@ -67,7 +67,7 @@
 // RecordHoldTime notes how long a call for item occupied its replica.
 func (m *Meter) RecordHoldTime(item string, d time.Duration) {
 	if it := m.items[item]; it != nil {
-		it.hold += ewmaWeight * (d.Seconds() - it.hold)
+		it.holdTime += ewmaWeight * (d.Seconds() - it.holdTime)
 	}
 }
 
@@ -141,7 +141,7 @@
 			delete(m.items, name)
 			continue
 		}
-		out := demand.Item{Name: name, Rate: rate, Concurrent: rate * it.hold, Weight: it.weight, Waiting: it.waiting, Idle: now.Since(it.last)}
+		out := demand.Item{Name: name, Rate: rate, Concurrent: rate * it.holdTime, Weight: it.weight, Waiting: it.waiting, Idle: now.Since(it.last)}
 		if !it.unmet.IsZero() && now.Since(it.lastUnmet) < unmetTimeout {
 			out.Unmet = max(now.Since(it.unmet), 1)
 		}
