--- a/core/own/meter/meter.go
+++ b/core/own/meter/meter.go
@@ -31,7 +31,7 @@
 	short, long float64       // decayed counts
 	weight      float64       // EWMA
 	holdTime    float64       // EWMA, seconds
-	begun       clock.Instant // of the first call
+	firstCall   clock.Instant // of the first call
 	at          clock.Instant // of the last decay
 	last        clock.Instant // of the last call
 	waiting     int
@@ -54,7 +54,7 @@
 func (m *Meter) RecordCall(now clock.Instant, item string, weight float64) {
 	it := m.items[item]
 	if it == nil {
-		it = &meterItem{weight: weight, holdTime: defaultHoldTime, at: now, begun: now}
+		it = &meterItem{weight: weight, holdTime: defaultHoldTime, at: now, firstCall: now}
 		m.items[item] = it
 	}
 	it.decay(now)
@@ -117,7 +117,7 @@
 // rate returns the calls a second, corrected for how short a time the item has
 // been known.
 func (it *meterItem) rate(now clock.Instant) float64 {
-	age := max(now.Since(it.begun), minAge)
+	age := max(now.Since(it.firstCall), minAge)
 	steady := it.long / effectiveWindow(longWindow, age)
 	recent := it.short / effectiveWindow(shortWindow, age)
 	if math.Abs(recent-steady) > shiftThreshold*math.Sqrt(max(recent, steady)/shortWindow.Seconds()) {
