--- a/core/own/meter/meter.go
+++ b/core/own/meter/meter.go
@@ -32,7 +32,7 @@
 	weight      float64       // EWMA
 	holdTime    float64       // EWMA, seconds
 	firstCall   clock.Instant // of the first call
-	at          clock.Instant // of the last decay
+	decayedAt   clock.Instant // of the last decay
 	last        clock.Instant // of the last call
 	waiting     int
 	unmet       clock.Instant // zero while met
@@ -54,7 +54,7 @@
 func (m *Meter) RecordCall(now clock.Instant, item string, weight float64) {
 	it := m.items[item]
 	if it == nil {
-		it = &meterItem{weight: weight, holdTime: defaultHoldTime, at: now, firstCall: now}
+		it = &meterItem{weight: weight, holdTime: defaultHoldTime, decayedAt: now, firstCall: now}
 		m.items[item] = it
 	}
 	it.decay(now)
@@ -98,13 +98,13 @@
 }
 
 func (it *meterItem) decay(now clock.Instant) {
-	age := now.Since(it.at)
+	age := now.Since(it.decayedAt)
 	if age <= 0 {
 		return
 	}
 	it.short *= math.Exp(-float64(age) / float64(shortWindow))
 	it.long *= math.Exp(-float64(age) / float64(longWindow))
-	it.at = now
+	it.decayedAt = now
 }
 
 // shiftThreshold is how many standard deviations of a Poisson count the short rate may
