--- a/core/own/meter/meter.go
+++ b/core/own/meter/meter.go
@@ -33,7 +33,7 @@
 	holdTime    float64       // EWMA, seconds
 	firstCall   clock.Instant // of the first call
 	decayedAt   clock.Instant // of the last decay
-	last        clock.Instant // of the last call
+	lastCall    clock.Instant // of the last call
 	waiting     int
 	unmet       clock.Instant // zero while met
 	lastUnmet   clock.Instant
@@ -58,7 +58,7 @@
 		m.items[item] = it
 	}
 	it.decay(now)
-	it.last = now
+	it.lastCall = now
 	it.short++
 	it.long++
 	it.weight += ewmaWeight * (weight - it.weight)
@@ -141,7 +141,7 @@
 			delete(m.items, name)
 			continue
 		}
-		out := demand.Item{Name: name, Rate: rate, Concurrent: rate * it.holdTime, Weight: it.weight, Waiting: it.waiting, Idle: now.Since(it.last)}
+		out := demand.Item{Name: name, Rate: rate, Concurrent: rate * it.holdTime, Weight: it.weight, Waiting: it.waiting, Idle: now.Since(it.lastCall)}
 		if !it.unmet.IsZero() && now.Since(it.lastUnmet) < unmetTimeout {
 			out.Unmet = max(now.Since(it.unmet), 1)
 		}
