--- a/core/own/meter/meter.go
+++ b/core/own/meter/meter.go
@@ -35,7 +35,7 @@
 	decayedAt   clock.Instant // of the last decay
 	lastCall    clock.Instant // of the last call
 	waiting     int
-	unmet       clock.Instant // zero while met
+	unmetSince  clock.Instant // zero while met
 	lastUnmet   clock.Instant
 }
 
@@ -77,8 +77,8 @@
 	if it == nil {
 		return
 	}
-	if it.unmet.IsZero() {
-		it.unmet = now
+	if it.unmetSince.IsZero() {
+		it.unmetSince = now
 	}
 	it.lastUnmet = now
 }
@@ -86,7 +86,7 @@
 // MarkMet notes that item is resident.
 func (m *Meter) MarkMet(item string) {
 	if it := m.items[item]; it != nil {
-		it.unmet = clock.Instant{}
+		it.unmetSince = clock.Instant{}
 	}
 }
 
@@ -142,8 +142,8 @@
 			continue
 		}
 		out := demand.Item{Name: name, Rate: rate, Concurrent: rate * it.holdTime, Weight: it.weight, Waiting: it.waiting, Idle: now.Since(it.lastCall)}
-		if !it.unmet.IsZero() && now.Since(it.lastUnmet) < unmetTimeout {
-			out.Unmet = max(now.Since(it.unmet), 1)
+		if !it.unmetSince.IsZero() && now.Since(it.lastUnmet) < unmetTimeout {
+			out.Unmet = max(now.Since(it.unmetSince), 1)
 		}
 		items = append(items, out)
 	}
