--- a/core/own/modelcalls/modelcalls.go
+++ b/core/own/modelcalls/modelcalls.go
@@ -48,9 +48,9 @@
 // A Handler serves calls of the own interface.
 type Handler struct {
 	Deps
-	kind   calls.Handlers
-	able   []*pool.Replica // what candidates returned last
-	recent decisions
+	kind         calls.Handlers
+	candidateBuf []*pool.Replica // what candidates returned last
+	recent       decisions
 }
 
 // A state is what a call of the own interface has beside what every call has.
--- a/core/own/modelcalls/place.go
+++ b/core/own/modelcalls/place.go
@@ -20,16 +20,16 @@
 	if c.Plain {
 		return h.Pool.Serving(s.service.Name)
 	}
-	h.able = h.able[:0]
+	h.candidateBuf = h.candidateBuf[:0]
 	for _, r := range h.Pool.Ready(c.Item) {
 		// An adapter is through long before its model, which is what an
 		// engine that is asked then refuses for; and what has just refused an
 		// item answers fastest, so it would draw every call if it counted.
 		if r.Phase(s.version.Model) == pool.Ready && !r.Refusing(now, c.Item) {
-			h.able = append(h.able, r)
+			h.candidateBuf = append(h.candidateBuf, r)
 		}
 	}
-	return h.able
+	return h.candidateBuf
 }
 
 // findReplica sends the call to the best replica, or lets it wait, or refuses it.
