--- a/core/own/modelcalls/modelcalls.go
+++ b/core/own/modelcalls/modelcalls.go
@@ -48,7 +48,7 @@
 // A Handler serves calls of the own interface.
 type Handler struct {
 	Deps
-	kind         calls.Handlers
+	handlers     calls.Handlers
 	candidateBuf []*pool.Replica // what candidates returned last
 	recent       decisions
 }
@@ -71,7 +71,7 @@
 // New returns a handler that has seen no call.
 func New(n Deps) *Handler {
 	h := &Handler{Deps: n}
-	h.kind = calls.Handlers{
+	h.handlers = calls.Handlers{
 		FindReplica:   h.findReplica,
 		AnswerBegan:   h.answerBegan,
 		AttemptFailed: h.attemptFailed,
@@ -88,7 +88,7 @@
 // Arrive takes a call in, or refuses it. refusing says that this instance takes
 // no more calls since it stops.
 func (h *Handler) Arrive(now clock.Instant, r calls.Request, refusing bool) {
-	c := &calls.Call{Request: r, Kind: &h.kind, State: &state{}, Arrived: now, Phase: calls.Waiting}
+	c := &calls.Call{Request: r, Kind: &h.handlers, State: &state{}, Arrived: now, Phase: calls.Waiting}
 	if refusal, ok := h.admit(now, c, refusing); !ok {
 		h.Calls.RefuseNew(c, refusal)
 		return
--- a/core/own/modelcalls/place.go
+++ b/core/own/modelcalls/place.go
@@ -97,7 +97,7 @@
 func (h *Handler) stillWaiting(now clock.Instant, waiting []*calls.Call) {
 	absent := map[string]int{}
 	for _, c := range waiting {
-		if c.Kind == &h.kind && c.Item != "" && len(h.candidates(now, c)) == 0 {
+		if c.Kind == &h.handlers && c.Item != "" && len(h.candidates(now, c)) == 0 {
 			absent[c.Item]++
 		}
 	}
