--- a/core/own/modelcalls/modelcalls.go
+++ b/core/own/modelcalls/modelcalls.go
@@ -58,7 +58,7 @@
 	service     config.Service
 	version     config.Version
 	prefillRate int // tokens a second
-	load        time.Duration
+	loadTime    time.Duration
 	caller      string
 	verdict     policy.Decision
 	failedOn    string // replica that failed it last
@@ -145,7 +145,7 @@
 	}
 	if model, ok := h.Config.Model(s.version.Model); ok {
 		s.prefillRate = model.PrefillPerSecond
-		s.load = model.LoadTime
+		s.loadTime = model.LoadTime
 	}
 }
 
--- a/core/own/modelcalls/place.go
+++ b/core/own/modelcalls/place.go
@@ -64,8 +64,8 @@
 	}
 	h.Meter.MarkUnmet(now, c.Item)
 	h.Unmet(now)
-	if s.load > h.allowance(now, c)+now.Since(c.Arrived) || h.allowance(now, c) <= 0 {
-		h.Calls.Refuse(c, calls.NotRunRefusal(code.NotResident, fmt.Sprintf("%q is not resident", c.Item), h.Calls.RetryAfter(s.load)))
+	if s.loadTime > h.allowance(now, c)+now.Since(c.Arrived) || h.allowance(now, c) <= 0 {
+		h.Calls.Refuse(c, calls.NotRunRefusal(code.NotResident, fmt.Sprintf("%q is not resident", c.Item), h.Calls.RetryAfter(s.loadTime)))
 		return
 	}
 	h.Calls.Enqueue(c)
