--- a/core/own/modelcalls/modelcalls.go
+++ b/core/own/modelcalls/modelcalls.go
@@ -60,7 +60,7 @@
 	prefillRate int // tokens a second
 	loadTime    time.Duration
 	caller      string
-	verdict     policy.Decision
+	decision    policy.Decision
 	failedOn    string // replica that failed it last
 	claimKey    string
 	claims      int // claim requests sent
@@ -152,7 +152,7 @@
 // applyPolicy asks the service's policy about the call.
 func (h *Handler) applyPolicy(now clock.Instant, c *calls.Call) (code.Refusal, bool) {
 	s := stateOf(c)
-	s.verdict = policy.Decision{Priority: config.DefaultPriority, Wait: h.Options.DefaultWait}
+	s.decision = policy.Decision{Priority: config.DefaultPriority, Wait: h.Options.DefaultWait}
 	if program := h.Config.Policy(s.service.Policy); program != nil {
 		verdict, failed := program.Eval(policy.Input{
 			Service:       s.service.Name,
@@ -164,20 +164,20 @@
 			Load:          h.zoneLoad(now),
 			Hour:          now.Wall.UTC().Hour(),
 		})
-		s.verdict = verdict
+		s.decision = verdict
 		if failed > 0 {
 			h.Out.Log(logevent.PolicyFailed, "policy", s.service.Policy, "expressions", failed)
 		}
 	}
-	c.Priority = s.verdict.Priority
+	c.Priority = s.decision.Priority
 	if c.Item != "" {
-		weight := float64(s.verdict.Priority) / neutralPriority
+		weight := float64(s.decision.Priority) / neutralPriority
 		h.Meter.RecordCall(now, c.Item, weight)
 		if c.Item != s.version.Model {
 			h.Meter.RecordCall(now, s.version.Model, weight)
 		}
 	}
-	if s.verdict.Refuse {
+	if s.decision.Refuse {
 		return calls.NotRunRefusal(code.RefusedByPolicy, fmt.Sprintf("policy %q", s.service.Policy), calls.MinRetryAfter), false
 	}
 	return code.Refusal{}, true
@@ -201,5 +201,5 @@
 // allowance returns how long the call may still wait for its first token.
 func (h *Handler) allowance(now clock.Instant, c *calls.Call) time.Duration {
 	s := stateOf(c)
-	return s.service.Target.FirstToken + s.verdict.Wait - now.Since(c.Arrived)
+	return s.service.Target.FirstToken + s.decision.Wait - now.Since(c.Arrived)
 }
--- a/core/own/modelcalls/place.go
+++ b/core/own/modelcalls/place.go
@@ -86,7 +86,7 @@
 	d := c.Dispatch(r, h.Options.Stall)
 	d.Model = s.version.Model
 	d.Adapter = s.version.Adapter
-	d.Priority = s.verdict.Priority
+	d.Priority = s.decision.Priority
 	d.Resume = resume
 	d.After = after
 	return d
