--- a/core/own/modelcalls/attempts.go
+++ b/core/own/modelcalls/attempts.go
@@ -116,7 +116,7 @@
 	}
 	h.Out.Log(logevent.CallRetried, "call", uint64(c.ID), "replica", c.Replica, "detail", e.Detail)
 	h.abandon(c, e)
-	s.failedOn = c.Replica
+	s.failedReplica = c.Replica
 	c.Replica = ""
 	c.Phase = calls.Waiting
 	if e.Phase == attempt.Refused && c.History.Attempts >= maxRefusals {
--- a/core/own/modelcalls/modelcalls.go
+++ b/core/own/modelcalls/modelcalls.go
@@ -55,15 +55,15 @@
 
 // A state is what a call of the own interface has beside what every call has.
 type state struct {
-	service     config.Service
-	version     config.Version
-	prefillRate int // tokens a second
-	loadTime    time.Duration
-	caller      string
-	decision    policy.Decision
-	failedOn    string // replica that failed it last
-	claimKey    string
-	claims      int // claim requests sent
+	service       config.Service
+	version       config.Version
+	prefillRate   int // tokens a second
+	loadTime      time.Duration
+	caller        string
+	decision      policy.Decision
+	failedReplica string // replica that failed it last
+	claimKey      string
+	claims        int // claim requests sent
 }
 
 func stateOf(c *calls.Call) *state { return c.State.(*state) }
--- a/core/own/modelcalls/place.go
+++ b/core/own/modelcalls/place.go
@@ -40,7 +40,7 @@
 		PromptTokens: c.PromptTokens,
 		PrefillRate:  s.prefillRate,
 		Prefix:       c.Prefix,
-		Exclude:      s.failedOn,
+		Exclude:      s.failedReplica,
 	}
 	best, ok := h.Chooser.Choose(now, q, h.candidates(now, c))
 	switch {
