--- a/core/own/modelcalls/claims.go
+++ b/core/own/modelcalls/claims.go
@@ -81,7 +81,7 @@
 		return
 	}
 	c.Phase = calls.ClaimingKey
-	s.claims++
+	s.claimRequests++
 	h.Out.Emit(Claim{ID: c.ID, Key: s.claimKey, Life: h.Options.ClaimLife})
 }
 
@@ -109,11 +109,11 @@
 // readBack finds out whether a claim whose answer was lost took effect.
 func (h *Handler) readBack(c *calls.Call) {
 	s := stateOf(c)
-	if s.claims >= claimTries {
+	if s.claimRequests >= claimTries {
 		h.giveUpClaim(c)
 		return
 	}
-	s.claims++
+	s.claimRequests++
 	h.Out.Emit(ReadClaim{ID: c.ID, Key: s.claimKey})
 }
 
@@ -121,7 +121,7 @@
 // do no harm: it carries the same value, so reading back recognises it.
 func (h *Handler) claimAgain(c *calls.Call) {
 	s := stateOf(c)
-	if s.claims >= claimTries {
+	if s.claimRequests >= claimTries {
 		h.giveUpClaim(c)
 		return
 	}
@@ -136,7 +136,7 @@
 // that the caller may come back with the same key.
 func (h *Handler) releaseClaim(c *calls.Call) {
 	s := stateOf(c)
-	if s.claimKey == "" || s.claims == 0 {
+	if s.claimKey == "" || s.claimRequests == 0 {
 		return
 	}
 	h.Out.Emit(ReleaseClaim{ID: c.ID, Key: s.claimKey})
--- a/core/own/modelcalls/modelcalls.go
+++ b/core/own/modelcalls/modelcalls.go
@@ -63,7 +63,7 @@
 	decision      policy.Decision
 	failedReplica string // replica that failed it last
 	claimKey      string
-	claims        int // claim requests sent
+	claimRequests int // claim requests sent
 }
 
 func stateOf(c *calls.Call) *state { return c.State.(*state) }
