--- a/core/own/modelcalls/modelcalls.go
+++ b/core/own/modelcalls/modelcalls.go
@@ -123,12 +123,12 @@
 	s.caller = caller.Name
 	s.service = svc
 	c.Target = svc.Target.FirstToken
-	h.attach(c)
+	h.resolveVersion(c)
 	return h.applyPolicy(now, c)
 }
 
-// attach picks the version and works out whether the call may be repeated.
-func (h *Handler) attach(c *calls.Call) {
+// resolveVersion picks the version and works out whether the call may be repeated.
+func (h *Handler) resolveVersion(c *calls.Call) {
 	s := stateOf(c)
 	repeatable := s.service.MayRepeat(c.Path) && !c.NotRepeatable
 	if !repeatable && c.IdempotencyKey != "" {
