--- a/core/own/modelcalls/modelcalls.go
+++ b/core/own/modelcalls/modelcalls.go
@@ -198,8 +198,8 @@
 	return used / all
 }
 
-// allowance returns how long the call may still wait for its first token.
-func (h *Handler) allowance(now clock.Instant, c *calls.Call) time.Duration {
+// remainingWait returns how long the call may still wait for its first token.
+func (h *Handler) remainingWait(now clock.Instant, c *calls.Call) time.Duration {
 	s := stateOf(c)
 	return s.service.Target.FirstToken + s.decision.Wait - now.Since(c.Arrived)
 }
--- a/core/own/modelcalls/place.go
+++ b/core/own/modelcalls/place.go
@@ -48,7 +48,7 @@
 		h.noReplica(now, c)
 	case best.Room:
 		h.dispatch(now, c, best)
-	case best.Queue > h.allowance(now, c):
+	case best.Queue > h.remainingWait(now, c):
 		h.Calls.Refuse(c, calls.NotRunRefusal(code.NoCapacity, "every replica is full", h.Calls.RetryAfter(best.Queue)))
 	default:
 		h.Calls.Enqueue(c)
@@ -64,7 +64,7 @@
 	}
 	h.Meter.MarkUnmet(now, c.Item)
 	h.Unmet(now)
-	if s.loadTime > h.allowance(now, c)+now.Since(c.Arrived) || h.allowance(now, c) <= 0 {
+	if s.loadTime > h.remainingWait(now, c)+now.Since(c.Arrived) || h.remainingWait(now, c) <= 0 {
 		h.Calls.Refuse(c, calls.NotRunRefusal(code.NotResident, fmt.Sprintf("%q is not resident", c.Item), h.Calls.RetryAfter(s.loadTime)))
 		return
 	}
