--- a/core/own/modelcalls/attempts.go
+++ b/core/own/modelcalls/attempts.go
@@ -53,7 +53,7 @@
 
 // attemptFailed decides what follows an attempt that did not come to its proper end.
 func (h *Handler) attemptFailed(now clock.Instant, c *calls.Call, e calls.AttemptFailed) {
-	h.settleReplica(now, c, e)
+	h.updateReplica(now, c, e)
 	c.History = c.History.WithFailure(e.Phase)
 	next := c.History.Decide(attempt.Failure{
 		Phase: e.Phase, Delivered: e.Delivered, SameBoot: e.Resumable, Stalled: e.Stalled, Spent: e.BodyConsumed,
@@ -71,8 +71,8 @@
 	}
 }
 
-// settleReplica takes in what an attempt that failed says of its replica.
-func (h *Handler) settleReplica(now clock.Instant, c *calls.Call, e calls.AttemptFailed) {
+// updateReplica takes in what an attempt that failed says of its replica.
+func (h *Handler) updateReplica(now clock.Instant, c *calls.Call, e calls.AttemptFailed) {
 	if e.Leaving {
 		h.Pool.ObserveLeaving(c.Replica)
 		h.Out.Log(logevent.UpstreamLeaving, "upstream", c.Replica, "source", "answer")
