--- a/core/own/modelcalls/attempts.go
+++ b/core/own/modelcalls/attempts.go
@@ -115,7 +115,7 @@
 		}
 	}
 	h.Out.Log(logevent.CallRetried, "call", uint64(c.ID), "replica", c.Replica, "detail", e.Detail)
-	h.abandon(c, e)
+	h.cancelFailedAttempt(c, e)
 	s.failedReplica = c.Replica
 	c.Replica = ""
 	c.Phase = calls.Waiting
@@ -126,8 +126,8 @@
 	h.findReplica(now, c)
 }
 
-// abandon frees the sequence that a broken attempt may have left behind.
-func (h *Handler) abandon(c *calls.Call, e calls.AttemptFailed) {
+// cancelFailedAttempt frees the sequence that a broken attempt may have left behind.
+func (h *Handler) cancelFailedAttempt(c *calls.Call, e calls.AttemptFailed) {
 	r := h.Pool.Get(c.Replica)
 	if r == nil || e.Phase == attempt.NotSent || e.Phase == attempt.Refused {
 		return
