--- a/core/own/modelcalls/claims.go
+++ b/core/own/modelcalls/claims.go
@@ -102,7 +102,7 @@
 	case ClaimUnknown:
 		h.readBack(c)
 	case ClaimAbsent, ClaimNotSent:
-		h.claimAgain(c)
+		h.retryClaim(c)
 	}
 }
 
@@ -117,9 +117,9 @@
 	h.Out.Emit(ReadClaim{ID: c.ID, Key: s.claimKey})
 }
 
-// claimAgain repeats the claim. A first request that is still on its way can
+// retryClaim repeats the claim. A first request that is still on its way can
 // do no harm: it carries the same value, so reading back recognises it.
-func (h *Handler) claimAgain(c *calls.Call) {
+func (h *Handler) retryClaim(c *calls.Call) {
 	s := stateOf(c)
 	if s.claimRequests >= claimTries {
 		h.giveUpClaim(c)
