--- a/core/own/modelcalls/claims.go
+++ b/core/own/modelcalls/claims.go
@@ -100,14 +100,14 @@
 		s.claimKey = "" // another's; not ours to release
 		h.Calls.Refuse(c, calls.NotRunRefusal(code.KeyClaimed, "another call with this key was accepted earlier", 0))
 	case ClaimUnknown:
-		h.readBack(c)
+		h.readClaim(c)
 	case ClaimAbsent, ClaimNotSent:
 		h.retryClaim(c)
 	}
 }
 
-// readBack finds out whether a claim whose answer was lost took effect.
-func (h *Handler) readBack(c *calls.Call) {
+// readClaim finds out whether a claim whose answer was lost took effect.
+func (h *Handler) readClaim(c *calls.Call) {
 	s := stateOf(c)
 	if s.claimRequests >= claimTries {
 		h.giveUpClaim(c)
