--- a/core/own/modelcalls/decisions.go
+++ b/core/own/modelcalls/decisions.go
@@ -59,4 +59,4 @@
 func millis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
 // RecentDecisions returns the latest choices.
-func (h *Handler) RecentDecisions() []Decision { return h.recent.ring }
+func (h *Handler) RecentDecisions() []Decision { return h.decisions.ring }
--- a/core/own/modelcalls/place.go
+++ b/core/own/modelcalls/place.go
@@ -77,7 +77,7 @@
 		h.Chooser.RecordSent(c.Prefix, e.Replica.Name)
 	}
 	e.Replica.Start(now, uint64(c.ID))
-	h.recent.add(now, c, e)
+	h.decisions.add(now, c, e)
 	h.Out.Emit(h.dispatchAction(c, e.Replica, false, 0))
 }
 
