--- a/core/own/modelcalls/decisions.go
+++ b/core/own/modelcalls/decisions.go
@@ -24,8 +24,8 @@
 	WaitedMS float64   `json:"waited_ms"`
 }
 
-// decisions is a ring of the latest choices.
-type decisions struct {
+// decisionRing is a ring of the latest choices.
+type decisionRing struct {
 	ring []Decision
 	next int
 }
@@ -33,7 +33,7 @@
 // decisionsKept is how many choices are kept for operators.
 const decisionsKept = 256
 
-func (d *decisions) add(now clock.Instant, c *calls.Call, e choose.Estimate) {
+func (d *decisionRing) add(now clock.Instant, c *calls.Call, e choose.Estimate) {
 	x := Decision{
 		At:       now.Wall,
 		Call:     uint64(c.ID),
--- a/core/own/modelcalls/modelcalls.go
+++ b/core/own/modelcalls/modelcalls.go
@@ -50,7 +50,7 @@
 	Deps
 	handlers     calls.Handlers
 	candidateBuf []*pool.Replica // what candidates returned last
-	decisions    decisions
+	decisions    decisionRing
 }
 
 // A state is what a call of the own interface has beside what every call has.
