--- a/core/own/modelcalls/decisions.go
+++ b/core/own/modelcalls/decisions.go
@@ -30,8 +30,8 @@
 	next int
 }
 
-// decisionsKept is how many choices are kept for operators.
-const decisionsKept = 256
+// maxDecisions is how many choices are kept for operators.
+const maxDecisions = 256
 
 func (d *decisionRing) add(now clock.Instant, c *calls.Call, e choose.Estimate) {
 	x := Decision{
@@ -48,12 +48,12 @@
 		Cached:   e.Cached,
 		WaitedMS: millis(now.Since(c.Arrived)),
 	}
-	if len(d.ring) < decisionsKept {
+	if len(d.ring) < maxDecisions {
 		d.ring = append(d.ring, x)
 		return
 	}
 	d.ring[d.next] = x
-	d.next = (d.next + 1) % decisionsKept
+	d.next = (d.next + 1) % maxDecisions
 }
 
 func millis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
