--- a/core/own/modelcalls/claims.go
+++ b/core/own/modelcalls/claims.go
@@ -60,8 +60,8 @@
 // IsEvent implements step.Event.
 func (ClaimReply) IsEvent() {}
 
-// claimTries is how many requests are sent for one claim before it is given up.
-const claimTries = 6
+// maxClaimRequests is how many requests are sent for one claim before it is given up.
+const maxClaimRequests = 6
 
 // claimKey names the claim of a caller's idempotency key for one service. The
 // parts are hashed with their lengths fixed by the separator, which no name
@@ -109,7 +109,7 @@
 // readClaim finds out whether a claim whose answer was lost took effect.
 func (h *Handler) readClaim(c *calls.Call) {
 	s := stateOf(c)
-	if s.claimRequests >= claimTries {
+	if s.claimRequests >= maxClaimRequests {
 		h.giveUpClaim(c)
 		return
 	}
@@ -121,7 +121,7 @@
 // do no harm: it carries the same value, so reading back recognises it.
 func (h *Handler) retryClaim(c *calls.Call) {
 	s := stateOf(c)
-	if s.claimRequests >= claimTries {
+	if s.claimRequests >= maxClaimRequests {
 		h.giveUpClaim(c)
 		return
 	}
