--- a/core/own/modelcalls/attempts.go
+++ b/core/own/modelcalls/attempts.go
@@ -103,7 +103,7 @@
 	c.History = c.History.WithResume()
 	r.Start(now, uint64(c.ID))
 	h.Out.Log(logevent.CallResumed, "call", uint64(c.ID), "replica", c.Replica)
-	h.Out.Emit(h.dispatchAction(c, r, true, resumePause*time.Duration(c.History.Resumes-1)))
+	h.Out.Emit(h.dispatchAction(c, r, true, resumeInterval*time.Duration(c.History.Resumes-1)))
 }
 
 func (h *Handler) retry(now clock.Instant, c *calls.Call, e calls.AttemptFailed) {
--- a/core/own/modelcalls/modelcalls.go
+++ b/core/own/modelcalls/modelcalls.go
@@ -27,8 +27,8 @@
 )
 
 const (
-	// resumePause spaces the resumes of one broken stream.
-	resumePause = 50 * time.Millisecond
+	// resumeInterval spaces the resumes of one broken stream.
+	resumeInterval = 50 * time.Millisecond
 	// neutralPriority is the priority at which a call's weight is 1.
 	neutralPriority = 50.0
 )
