--- a/core/own/modelcalls/attempts.go
+++ b/core/own/modelcalls/attempts.go
@@ -32,7 +32,7 @@
 	h.Out.Emit(CancelSequence{ID: c.ID, Attempt: c.History.Attempts, Replica: r.Name, Address: r.Address})
 }
 
-func (h *Handler) answerBegan(now clock.Instant, c *calls.Call) {
+func (h *Handler) handleAnswerBegan(now clock.Instant, c *calls.Call) {
 	if c.Item != "" {
 		h.Meter.MarkMet(c.Item)
 	}
--- a/core/own/modelcalls/modelcalls.go
+++ b/core/own/modelcalls/modelcalls.go
@@ -73,7 +73,7 @@
 	h := &Handler{Deps: n}
 	h.handlers = calls.Handlers{
 		FindReplica:   h.findReplica,
-		AnswerBegan:   h.answerBegan,
+		AnswerBegan:   h.handleAnswerBegan,
 		AttemptFailed: h.attemptFailed,
 		Served:        h.served,
 		Left:          func(clock.Instant, *calls.Call, *pool.Replica) {},
