--- a/core/own/modelcalls/attempts.go
+++ b/core/own/modelcalls/attempts.go
@@ -42,7 +42,7 @@
 	}
 }
 
-func (h *Handler) served(now clock.Instant, c *calls.Call, _ calls.Completed) {
+func (h *Handler) handleCompleted(now clock.Instant, c *calls.Call, _ calls.Completed) {
 	if c.Item == "" {
 		return
 	}
--- a/core/own/modelcalls/modelcalls.go
+++ b/core/own/modelcalls/modelcalls.go
@@ -75,7 +75,7 @@
 		FindReplica:   h.findReplica,
 		AnswerBegan:   h.handleAnswerBegan,
 		AttemptFailed: h.attemptFailed,
-		Served:        h.served,
+		Served:        h.handleCompleted,
 		Left:          func(clock.Instant, *calls.Call, *pool.Replica) {},
 		Cancel:        h.cancel,
 		NotRun:        h.releaseClaim,
