--- a/core/own/modelcalls/attempts.go
+++ b/core/own/modelcalls/attempts.go
@@ -51,8 +51,8 @@
 	h.Meter.RecordHoldTime(stateOf(c).version.Model, held)
 }
 
-// attemptFailed decides what follows an attempt that did not come to its proper end.
-func (h *Handler) attemptFailed(now clock.Instant, c *calls.Call, e calls.AttemptFailed) {
+// handleAttemptFailed decides what follows an attempt that did not come to its proper end.
+func (h *Handler) handleAttemptFailed(now clock.Instant, c *calls.Call, e calls.AttemptFailed) {
 	h.updateReplica(now, c, e)
 	c.History = c.History.WithFailure(e.Phase)
 	next := c.History.Decide(attempt.Failure{
--- a/core/own/modelcalls/modelcalls.go
+++ b/core/own/modelcalls/modelcalls.go
@@ -74,7 +74,7 @@
 	h.handlers = calls.Handlers{
 		FindReplica:   h.findReplica,
 		AnswerBegan:   h.handleAnswerBegan,
-		AttemptFailed: h.attemptFailed,
+		AttemptFailed: h.handleAttemptFailed,
 		Served:        h.handleCompleted,
 		Left:          func(clock.Instant, *calls.Call, *pool.Replica) {},
 		Cancel:        h.cancel,
