--- a/core/own/modelcalls/modelcalls.go
+++ b/core/own/modelcalls/modelcalls.go
@@ -79,7 +79,7 @@
 		Left:          func(clock.Instant, *calls.Call, *pool.Replica) {},
 		Cancel:        h.cancel,
 		NotRun:        h.releaseClaim,
-		LeftQueue:     h.leftQueue,
+		LeftQueue:     h.handleLeftQueue,
 	}
 	n.Calls.StillWaiting = h.stillWaiting
 	return h
--- a/core/own/modelcalls/place.go
+++ b/core/own/modelcalls/place.go
@@ -106,7 +106,7 @@
 	}
 }
 
-func (h *Handler) leftQueue(c *calls.Call) {
+func (h *Handler) handleLeftQueue(c *calls.Call) {
 	if c.Item != "" {
 		h.Meter.SetWaiting(c.Item, 0)
 	}
