--- a/core/own/modelcalls/modelcalls.go
+++ b/core/own/modelcalls/modelcalls.go
@@ -81,7 +81,7 @@
 		NotRun:        h.releaseClaim,
 		LeftQueue:     h.handleLeftQueue,
 	}
-	n.Calls.StillWaiting = h.stillWaiting
+	n.Calls.StillWaiting = h.countWaiting
 	return h
 }
 
--- a/core/own/modelcalls/place.go
+++ b/core/own/modelcalls/place.go
@@ -92,9 +92,9 @@
 	return d
 }
 
-// stillWaiting counts the calls that go on waiting for an item that no replica
+// countWaiting counts the calls that go on waiting for an item that no replica
 // has, by which the planner makes room.
-func (h *Handler) stillWaiting(now clock.Instant, waiting []*calls.Call) {
+func (h *Handler) countWaiting(now clock.Instant, waiting []*calls.Call) {
 	absent := map[string]int{}
 	for _, c := range waiting {
 		if c.Kind == &h.handlers && c.Item != "" && len(h.candidates(now, c)) == 0 {
