--- a/core/own/modelcalls/place.go
+++ b/core/own/modelcalls/place.go
@@ -45,7 +45,7 @@
 	best, ok := h.Chooser.Choose(now, q, h.candidates(now, c))
 	switch {
 	case !ok:
-		h.noReplica(now, c)
+		h.handleNoReplica(now, c)
 	case best.Room:
 		h.dispatch(now, c, best)
 	case best.Queue > h.remainingWait(now, c):
@@ -55,8 +55,8 @@
 	}
 }
 
-// noReplica deals with a call that no usable replica can serve.
-func (h *Handler) noReplica(now clock.Instant, c *calls.Call) {
+// handleNoReplica deals with a call that no usable replica can serve.
+func (h *Handler) handleNoReplica(now clock.Instant, c *calls.Call) {
 	s := stateOf(c)
 	if c.Plain {
 		h.Calls.Refuse(c, calls.NotRunRefusal(code.NoReplica, "no live replica", h.Calls.RetryAfter(0)))
