--- a/core/own/plan/plan.go
+++ b/core/own/plan/plan.go
@@ -30,8 +30,8 @@
 	StarvationThreshold = 6 * time.Second
 	// hysteresis is the factor by which a new copy must exceed the value of what it replaces.
 	hysteresis = 1.3
-	// fill is the share of an engine's sequences that one copy should use.
-	fill = 0.7
+	// targetUtilization is the share of an engine's sequences that one copy should use.
+	targetUtilization = 0.7
 	// spareValue is the value left to a copy beyond those that demand needs.
 	spareValue = 0.02
 	// remoteValue is the share of its value left when another zone has a copy: the
@@ -219,7 +219,7 @@
 	for _, e := range p.engines {
 		sequences = max(sequences, e.Sequences)
 	}
-	return d.Concurrent / (fill * float64(sequences))
+	return d.Concurrent / (targetUtilization * float64(sequences))
 }
 
 // missing returns the missing copies, the most valuable first.
