--- a/core/own/plan/plan.go
+++ b/core/own/plan/plan.go
@@ -43,8 +43,8 @@
 	// assignedValue is the value of an item nobody asks for, in the zone that it is
 	// assigned to.
 	assignedValue = 0.05
-	// unmetValue is added for each second that calls have found it absent.
-	unmetValue = 0.5
+	// unmetValuePerSecond is added for each second that calls have found it absent.
+	unmetValuePerSecond = 0.5
 )
 
 // An Item is a model or adapter that may be placed.
@@ -191,7 +191,7 @@
 	}
 	calls := d.Weight * (d.Rate*DemandHorizon.Seconds() + float64(d.Waiting))
 	if n == 1 && remote == 0 {
-		return calls + unmetValue*d.Unmet.Seconds()
+		return calls + unmetValuePerSecond*d.Unmet.Seconds()
 	}
 	others := float64(n - 1 + remote)
 	needed := p.needed(item)
