--- a/core/own/plan/place.go
+++ b/core/own/plan/place.go
@@ -45,10 +45,10 @@
 
 func (p *planner) load(o option, w missingCopy) {
 	for _, it := range o.load {
-		if p.loads <= 0 {
+		if p.loadsLeft <= 0 {
 			return
 		}
-		p.loads--
+		p.loadsLeft--
 		o.engine.Free -= it.MiB
 		o.engine.here[it.Name] = &Resident{Name: it.Name}
 		p.copies[it.Name]++
@@ -72,7 +72,7 @@
 		}
 		p.steps = append(p.steps, Step{Op: book.Unload, Engine: o.engine.Name, Item: v.Name, MiB: it.MiB, Starving: w.forced})
 	}
-	p.loads-- // the load this makes room for
+	p.loadsLeft-- // the load this makes room for
 	for _, it := range o.load {
 		o.engine.Free -= it.MiB
 		o.engine.here[it.Name] = &Resident{Name: it.Name}
--- a/core/own/plan/plan.go
+++ b/core/own/plan/plan.go
@@ -111,7 +111,7 @@
 func Steps(in Input) []Step {
 	p := newPlanner(in)
 	for _, w := range p.missing() {
-		if p.loads <= 0 {
+		if p.loadsLeft <= 0 {
 			break
 		}
 		p.place(w)
@@ -130,13 +130,13 @@
 
 // A planner holds one plan in the making.
 type planner struct {
-	in      Input
-	demand  map[string]demand.Item
-	copies  map[string]int
-	engines []*engine
-	steps   []Step
-	loads   int
-	starved bool // room is being made for a starving item
+	in        Input
+	demand    map[string]demand.Item
+	copies    map[string]int
+	engines   []*engine
+	steps     []Step
+	loadsLeft int
+	starved   bool // room is being made for a starving item
 }
 
 // An engine is an Engine as the plan has changed it so far.
@@ -149,10 +149,10 @@
 
 func newPlanner(in Input) *planner {
 	p := &planner{
-		in:     in,
-		demand: make(map[string]demand.Item, len(in.Demand)),
-		copies: map[string]int{},
-		loads:  in.Loads,
+		in:        in,
+		demand:    make(map[string]demand.Item, len(in.Demand)),
+		copies:    map[string]int{},
+		loadsLeft: in.Loads,
 	}
 	for _, d := range in.Demand {
 		p.demand[d.Name] = d
