--- a/core/own/plan/place.go
+++ b/core/own/plan/place.go
@@ -30,10 +30,10 @@
 	if len(best.victims) > 0 && !pays {
 		// One at a time: what starves and does not pay is what few ask for,
 		// and it may take the place of one popular item, not of many.
-		if !w.starving || p.starved || !p.in.Starve {
+		if !w.starving || p.starvingServed || !p.in.Starve {
 			return
 		}
-		p.starved = true
+		p.starvingServed = true
 		w.forced = true
 	}
 	if len(best.victims) > 0 {
--- a/core/own/plan/plan.go
+++ b/core/own/plan/plan.go
@@ -130,13 +130,13 @@
 
 // A planner holds one plan in the making.
 type planner struct {
-	in        Input
-	demand    map[string]demand.Item
-	copies    map[string]int
-	engines   []*engine
-	steps     []Step
-	loadsLeft int
-	starved   bool // room is being made for a starving item
+	in             Input
+	demand         map[string]demand.Item
+	copies         map[string]int
+	engines        []*engine
+	steps          []Step
+	loadsLeft      int
+	starvingServed bool // room is being made for a starving item
 }
 
 // An engine is an Engine as the plan has changed it so far.
