--- a/core/own/plan/place.go
+++ b/core/own/plan/place.go
@@ -50,7 +50,7 @@
 		}
 		p.loadsLeft--
 		o.engine.Free -= it.MiB
-		o.engine.here[it.Name] = &Resident{Name: it.Name}
+		o.engine.residents[it.Name] = &Resident{Name: it.Name}
 		p.copies[it.Name]++
 		if it.Base != "" {
 			o.engine.children[it.Base]++
@@ -65,7 +65,7 @@
 	for _, v := range o.victims {
 		it := p.in.Items[v.Name]
 		o.engine.leaving += it.MiB
-		delete(o.engine.here, v.Name)
+		delete(o.engine.residents, v.Name)
 		p.copies[v.Name]--
 		if it.Base != "" {
 			o.engine.children[it.Base]--
@@ -75,7 +75,7 @@
 	p.loadsLeft-- // the load this makes room for
 	for _, it := range o.load {
 		o.engine.Free -= it.MiB
-		o.engine.here[it.Name] = &Resident{Name: it.Name}
+		o.engine.residents[it.Name] = &Resident{Name: it.Name}
 		p.copies[it.Name]++
 	}
 }
@@ -119,13 +119,13 @@
 
 // option returns how the missing copy could be placed on e, if it can.
 func (p *planner) option(e *engine, w missingCopy) (option, bool) {
-	if _, here := e.here[w.item]; here {
+	if _, here := e.residents[w.item]; here {
 		return option{}, false
 	}
 	o := option{engine: e, spread: p.spread(e, w.item)}
 	it := p.in.Items[w.item]
 	if it.Base != "" {
-		base, here := e.here[it.Base]
+		base, here := e.residents[it.Base]
 		if here && base.Since == 0 && !base.Settled {
 			// The base is on its way in; its adapters follow it.
 			here = true
@@ -152,7 +152,7 @@
 func (p *planner) spread(e *engine, item string) int {
 	n := 0
 	for _, other := range p.engines {
-		if _, here := other.here[item]; here && other.Domain == e.Domain {
+		if _, here := other.residents[item]; here && other.Domain == e.Domain {
 			n++
 		}
 	}
@@ -178,7 +178,7 @@
 // withVictims adds the cheapest residents whose dropping frees enough.
 func (p *planner) withVictims(o option, keep string, need int64, w missingCopy) (option, bool) {
 	var candidates []victim
-	for name, r := range o.engine.here {
+	for name, r := range o.engine.residents {
 		if name == keep || p.in.Items[name].Base != "" && p.in.Items[name].Base != keep {
 			continue // an adapter goes with its model, unless the model stays
 		}
@@ -218,7 +218,7 @@
 func (p *planner) group(e *engine, r *Resident) []Resident {
 	var group []Resident
 	if e.children[r.Name] > 0 {
-		for name, other := range e.here {
+		for name, other := range e.residents {
 			if p.in.Items[name].Base == r.Name {
 				group = append(group, *other)
 			}
--- a/core/own/plan/plan.go
+++ b/core/own/plan/plan.go
@@ -142,9 +142,9 @@
 // An engine is an Engine as the plan has changed it so far.
 type engine struct {
 	Engine
-	here     map[string]*Resident
-	children map[string]int // adapters present, by model
-	leaving  int64          // MiB that planned unloads will free
+	residents map[string]*Resident
+	children  map[string]int // adapters present, by model
+	leaving   int64          // MiB that planned unloads will free
 }
 
 func newPlanner(in Input) *planner {
@@ -167,10 +167,10 @@
 }
 
 func (p *planner) newEngine(e Engine) *engine {
-	out := &engine{Engine: e, here: map[string]*Resident{}, children: map[string]int{}}
+	out := &engine{Engine: e, residents: map[string]*Resident{}, children: map[string]int{}}
 	for i := range e.Residents {
 		r := &e.Residents[i]
-		out.here[r.Name] = r
+		out.residents[r.Name] = r
 		p.copies[r.Name]++
 		if base := p.in.Items[r.Name].Base; base != "" {
 			out.children[base]++
