--- a/core/own/plan/place.go
+++ b/core/own/plan/place.go
@@ -53,7 +53,7 @@
 		o.engine.residents[it.Name] = &Resident{Name: it.Name}
 		p.copies[it.Name]++
 		if it.Base != "" {
-			o.engine.children[it.Base]++
+			o.engine.adapters[it.Base]++
 		}
 		p.steps = append(p.steps, Step{Op: book.Load, Engine: o.engine.Name, Item: it.Name, MiB: it.MiB})
 	}
@@ -68,7 +68,7 @@
 		delete(o.engine.residents, v.Name)
 		p.copies[v.Name]--
 		if it.Base != "" {
-			o.engine.children[it.Base]--
+			o.engine.adapters[it.Base]--
 		}
 		p.steps = append(p.steps, Step{Op: book.Unload, Engine: o.engine.Name, Item: v.Name, MiB: it.MiB, Starving: w.forced})
 	}
@@ -217,7 +217,7 @@
 // group returns the adapters of a model on the engine, then the model.
 func (p *planner) group(e *engine, r *Resident) []Resident {
 	var group []Resident
-	if e.children[r.Name] > 0 {
+	if e.adapters[r.Name] > 0 {
 		for name, other := range e.residents {
 			if p.in.Items[name].Base == r.Name {
 				group = append(group, *other)
--- a/core/own/plan/plan.go
+++ b/core/own/plan/plan.go
@@ -143,7 +143,7 @@
 type engine struct {
 	Engine
 	residents map[string]*Resident
-	children  map[string]int // adapters present, by model
+	adapters  map[string]int // adapters present, by model
 	leaving   int64          // MiB that planned unloads will free
 }
 
@@ -167,13 +167,13 @@
 }
 
 func (p *planner) newEngine(e Engine) *engine {
-	out := &engine{Engine: e, residents: map[string]*Resident{}, children: map[string]int{}}
+	out := &engine{Engine: e, residents: map[string]*Resident{}, adapters: map[string]int{}}
 	for i := range e.Residents {
 		r := &e.Residents[i]
 		out.residents[r.Name] = r
 		p.copies[r.Name]++
 		if base := p.in.Items[r.Name].Base; base != "" {
-			out.children[base]++
+			out.adapters[base]++
 		}
 	}
 	return out
