--- a/core/own/plan/place.go
+++ b/core/own/plan/place.go
@@ -64,7 +64,7 @@
 func (p *planner) drop(o option, w missingCopy) {
 	for _, v := range o.victims {
 		it := p.in.Items[v.Name]
-		o.engine.leaving += it.MiB
+		o.engine.freeingMiB += it.MiB
 		delete(o.engine.residents, v.Name)
 		p.copies[v.Name]--
 		if it.Base != "" {
@@ -142,7 +142,7 @@
 	if need <= e.Free {
 		return o, true
 	}
-	if need > e.Capacity || e.leaving > 0 {
+	if need > e.Capacity || e.freeingMiB > 0 {
 		return option{}, false
 	}
 	return p.withVictims(o, it.Base, need-e.Free, w)
--- a/core/own/plan/plan.go
+++ b/core/own/plan/plan.go
@@ -142,9 +142,9 @@
 // An engine is an Engine as the plan has changed it so far.
 type engine struct {
 	Engine
-	residents map[string]*Resident
-	adapters  map[string]int // adapters present, by model
-	leaving   int64          // MiB that planned unloads will free
+	residents  map[string]*Resident
+	adapters   map[string]int // adapters present, by model
+	freeingMiB int64          // MiB that planned unloads will free
 }
 
 func newPlanner(in Input) *planner {
