--- a/core/own/plan/plan.go
+++ b/core/own/plan/plan.go
@@ -110,7 +110,7 @@
 // unloads first and is asked for again once the room is there.
 func Steps(in Input) []Step {
 	p := newPlanner(in)
-	for _, w := range p.missing() {
+	for _, w := range p.missingCopies() {
 		if p.loadsLeft <= 0 {
 			break
 		}
@@ -222,8 +222,8 @@
 	return d.Concurrent / (targetUtilization * float64(sequences))
 }
 
-// missing returns the missing copies, the most valuable first.
-func (p *planner) missing() []missingCopy {
+// missingCopies returns the missingCopies copies, the most valuable first.
+func (p *planner) missingCopies() []missingCopy {
 	var missing []missingCopy
 	for name, it := range p.in.Items {
 		if it.MiB <= 0 {
