--- a/core/own/plan/plan.go
+++ b/core/own/plan/plan.go
@@ -194,7 +194,7 @@
 		return calls + unmetValuePerSecond*d.Unmet.Seconds()
 	}
 	others := float64(n - 1 + remote)
-	needed := p.needed(item)
+	needed := p.neededCopies(item)
 	if others < needed {
 		// The share of the demand that the other copies cannot carry.
 		return calls * min(1, (needed-others)/needed)
@@ -212,8 +212,8 @@
 	return 0
 }
 
-// needed returns how many copies the demand fills, as a fraction.
-func (p *planner) needed(item string) float64 {
+// neededCopies returns how many copies the demand fills, as a fraction.
+func (p *planner) neededCopies(item string) float64 {
 	d := p.demand[item]
 	sequences := 1
 	for _, e := range p.engines {
@@ -239,7 +239,7 @@
 			missing = append(missing, missingCopy{item: name, value: p.value(name, 1, remote), starving: d.Unmet > StarvationThreshold && remote == 0})
 			continue
 		}
-		if have > 0 && float64(have+remote) < math.Ceil(p.needed(name)) {
+		if have > 0 && float64(have+remote) < math.Ceil(p.neededCopies(name)) {
 			missing = append(missing, missingCopy{item: name, value: p.value(name, have+1, remote)})
 			continue
 		}
