--- a/core/own/plan/place.go
+++ b/core/own/plan/place.go
@@ -188,7 +188,7 @@
 		for _, g := range group {
 			droppable = droppable && g.Settled && g.Since >= p.stay(w)
 			c.mib += p.in.Items[g.Name].MiB
-			c.value += p.value(g.Name, p.copies[g.Name], p.in.Covered[g.Name])
+			c.value += p.copyValue(g.Name, p.copies[g.Name], p.in.Covered[g.Name])
 		}
 		if droppable {
 			candidates = append(candidates, c)
--- a/core/own/plan/plan.go
+++ b/core/own/plan/plan.go
@@ -179,9 +179,9 @@
 	return out
 }
 
-// value returns what the copy number n of an item (1 for the first) gains in
+// copyValue returns what the copy number n of an item (1 for the first) gains in
 // this zone when so many copies elsewhere can be relied on.
-func (p *planner) value(item string, n, remote int) float64 {
+func (p *planner) copyValue(item string, n, remote int) float64 {
 	d, asked := p.demand[item]
 	if !asked {
 		if remote > 0 {
@@ -236,14 +236,14 @@
 			continue
 		}
 		if have == 0 && (d.Rate > 0 || p.in.Assigned[name]) {
-			missing = append(missing, missingCopy{item: name, value: p.value(name, 1, remote), starving: d.Unmet > StarvationThreshold && remote == 0})
+			missing = append(missing, missingCopy{item: name, value: p.copyValue(name, 1, remote), starving: d.Unmet > StarvationThreshold && remote == 0})
 			continue
 		}
 		if have > 0 && float64(have+remote) < math.Ceil(p.neededCopies(name)) {
-			missing = append(missing, missingCopy{item: name, value: p.value(name, have+1, remote)})
+			missing = append(missing, missingCopy{item: name, value: p.copyValue(name, have+1, remote)})
 			continue
 		}
-		if value := p.value(name, have+1, remote); have == 1 && remote == 0 && value > p.in.MoveCost {
+		if value := p.copyValue(name, have+1, remote); have == 1 && remote == 0 && value > p.in.MoveCost {
 			missing = append(missing, missingCopy{item: name, value: value, spare: true})
 		}
 	}
