--- a/core/own/plan/plan.go
+++ b/core/own/plan/plan.go
@@ -232,7 +232,7 @@
 		have := p.copies[name]
 		remote := p.in.Elsewhere[name]
 		d := p.demand[name]
-		if have == 0 && remote == 0 && !p.leads(name) {
+		if have == 0 && remote == 0 && !p.placesFirstCopy(name) {
 			continue
 		}
 		if have == 0 && (d.Rate > 0 || p.in.Assigned[name]) {
@@ -263,4 +263,4 @@
 	return missing
 }
 
-func (p *planner) leads(item string) bool { return p.in.Leads == nil || p.in.Leads(item) }
+func (p *planner) placesFirstCopy(item string) bool { return p.in.Leads == nil || p.in.Leads(item) }
