--- a/core/own/plan/place.go
+++ b/core/own/plan/place.go
@@ -186,7 +186,7 @@
 		c := victim{group: group}
 		droppable := true
 		for _, g := range group {
-			droppable = droppable && g.Settled && g.Since >= p.stay(w)
+			droppable = droppable && g.Settled && g.Since >= p.minStay(w)
 			c.mib += p.in.Items[g.Name].MiB
 			c.value += p.copyValue(g.Name, p.copies[g.Name], p.in.Covered[g.Name])
 		}
@@ -206,8 +206,8 @@
 	return o, need <= 0
 }
 
-// stay returns how long an item must have been there to be dropped for w.
-func (p *planner) stay(w missingCopy) time.Duration {
+// minStay returns how long an item must have been there to be dropped for w.
+func (p *planner) minStay(w missingCopy) time.Duration {
 	if w.starving {
 		return min(starvingStay, p.in.MinimumStay)
 	}
