--- a/core/own/plan/place.go
+++ b/core/own/plan/place.go
@@ -37,7 +37,7 @@
 		w.forced = true
 	}
 	if len(best.victims) > 0 {
-		p.drop(best, w)
+		p.unload(best, w)
 		return
 	}
 	p.load(best, w)
@@ -59,9 +59,9 @@
 	}
 }
 
-// drop gives the unloads; the loads follow in a later plan, when the engine
+// unload gives the unloads; the loads follow in a later plan, when the engine
 // says that the memory is free. The room is kept from less valuable copies until then.
-func (p *planner) drop(o option, w missingCopy) {
+func (p *planner) unload(o option, w missingCopy) {
 	for _, v := range o.victims {
 		it := p.in.Items[v.Name]
 		o.engine.freeingMiB += it.MiB
