--- a/core/own/plan/place.go
+++ b/core/own/plan/place.go
@@ -34,7 +34,7 @@
 			return
 		}
 		p.starvingServed = true
-		w.forced = true
+		w.ignoresCost = true
 	}
 	if len(best.victims) > 0 {
 		p.unload(best, w)
@@ -70,7 +70,7 @@
 		if it.Base != "" {
 			o.engine.adapters[it.Base]--
 		}
-		p.steps = append(p.steps, Step{Op: book.Unload, Engine: o.engine.Name, Item: v.Name, MiB: it.MiB, Starving: w.forced})
+		p.steps = append(p.steps, Step{Op: book.Unload, Engine: o.engine.Name, Item: v.Name, MiB: it.MiB, Starving: w.ignoresCost})
 	}
 	p.loadsLeft-- // the load this makes room for
 	for _, it := range o.load {
--- a/core/own/plan/plan.go
+++ b/core/own/plan/plan.go
@@ -121,11 +121,11 @@
 
 // A missingCopy is a copy that is to be placed.
 type missingCopy struct {
-	item     string
-	value    float64
-	starving bool
-	forced   bool // room is made for it though that does not pay
-	spare    bool // a second copy against the loss of the first, where there is room
+	item        string
+	value       float64
+	starving    bool
+	ignoresCost bool // room is made for it though that does not pay
+	spare       bool // a second copy against the loss of the first, where there is room
 }
 
 // A planner holds one plan in the making.
