--- a/core/own/plan/place.go
+++ b/core/own/plan/place.go
@@ -23,7 +23,7 @@
 		return
 	}
 	moves := float64(len(best.load) + len(best.victims))
-	if w.spare && len(best.victims) > 0 {
+	if w.optional && len(best.victims) > 0 {
 		return
 	}
 	pays := w.value > hysteresis*best.cost+p.in.MoveCost*moves
--- a/core/own/plan/plan.go
+++ b/core/own/plan/plan.go
@@ -125,7 +125,7 @@
 	value       float64
 	starving    bool
 	ignoresCost bool // room is made for it though that does not pay
-	spare       bool // a second copy against the loss of the first, where there is room
+	optional    bool // a second copy against the loss of the first, where there is room
 }
 
 // A planner holds one plan in the making.
@@ -244,7 +244,7 @@
 			continue
 		}
 		if value := p.copyValue(name, have+1, remote); have == 1 && remote == 0 && value > p.in.MoveCost {
-			missing = append(missing, missingCopy{item: name, value: value, spare: true})
+			missing = append(missing, missingCopy{item: name, value: value, optional: true})
 		}
 	}
 	sort.Slice(missing, func(i, j int) bool {
@@ -252,8 +252,8 @@
 		if a.starving != b.starving {
 			return a.starving
 		}
-		if a.spare != b.spare {
-			return b.spare
+		if a.optional != b.optional {
+			return b.optional
 		}
 		if a.value != b.value {
 			return a.value > b.value
