--- a/core/own/plan/place.go
+++ b/core/own/plan/place.go
@@ -10,7 +10,7 @@
 // An option is one way to place a missing copy.
 type option struct {
 	engine  *engine
-	load    []Item     // base first
+	loads   []Item     // base first
 	victims []Resident // adapters before their models
 	cost    float64    // value of what is dropped
 	spread  int        // copies in the same failure domain
@@ -22,7 +22,7 @@
 	if !ok {
 		return
 	}
-	moves := float64(len(best.load) + len(best.victims))
+	moves := float64(len(best.loads) + len(best.victims))
 	if w.optional && len(best.victims) > 0 {
 		return
 	}
@@ -44,7 +44,7 @@
 }
 
 func (p *planner) load(o option, w missingCopy) {
-	for _, it := range o.load {
+	for _, it := range o.loads {
 		if p.loadsLeft <= 0 {
 			return
 		}
@@ -73,7 +73,7 @@
 		p.steps = append(p.steps, Step{Op: book.Unload, Engine: o.engine.Name, Item: v.Name, MiB: it.MiB, Starving: w.ignoresCost})
 	}
 	p.loadsLeft-- // the load this makes room for
-	for _, it := range o.load {
+	for _, it := range o.loads {
 		o.engine.Free -= it.MiB
 		o.engine.residents[it.Name] = &Resident{Name: it.Name}
 		p.copies[it.Name]++
@@ -105,8 +105,8 @@
 	if o.cost != than.cost {
 		return o.cost < than.cost
 	}
-	if len(o.load) != len(than.load) {
-		return len(o.load) < len(than.load)
+	if len(o.loads) != len(than.loads) {
+		return len(o.loads) < len(than.loads)
 	}
 	if o.spread != than.spread {
 		return o.spread < than.spread
@@ -131,12 +131,12 @@
 			here = true
 		}
 		if !here {
-			o.load = append(o.load, p.in.Items[it.Base])
+			o.loads = append(o.loads, p.in.Items[it.Base])
 		}
 	}
-	o.load = append(o.load, it)
+	o.loads = append(o.loads, it)
 	var need int64
-	for _, l := range o.load {
+	for _, l := range o.loads {
 		need += l.MiB
 	}
 	if need <= e.Free {
