--- a/core/own/plan/place.go
+++ b/core/own/plan/place.go
@@ -9,11 +9,11 @@
 
 // An option is one way to place a missing copy.
 type option struct {
-	engine  *engine
-	loads   []Item     // base first
-	victims []Resident // adapters before their models
-	cost    float64    // value of what is dropped
-	spread  int        // copies in the same failure domain
+	engine     *engine
+	loads      []Item     // base first
+	victims    []Resident // adapters before their models
+	cost       float64    // value of what is dropped
+	sameDomain int        // copies in the same failure domain
 }
 
 // place gives the orders for the best option that pays.
@@ -108,8 +108,8 @@
 	if len(o.loads) != len(than.loads) {
 		return len(o.loads) < len(than.loads)
 	}
-	if o.spread != than.spread {
-		return o.spread < than.spread
+	if o.sameDomain != than.sameDomain {
+		return o.sameDomain < than.sameDomain
 	}
 	if o.engine.Free != than.engine.Free {
 		return o.engine.Free > than.engine.Free
@@ -122,7 +122,7 @@
 	if _, here := e.residents[w.item]; here {
 		return option{}, false
 	}
-	o := option{engine: e, spread: p.spread(e, w.item)}
+	o := option{engine: e, sameDomain: p.spread(e, w.item)}
 	it := p.in.Items[w.item]
 	if it.Base != "" {
 		base, here := e.residents[it.Base]
