--- a/core/own/plan/place.go
+++ b/core/own/plan/place.go
@@ -122,7 +122,7 @@
 	if _, here := e.residents[w.item]; here {
 		return option{}, false
 	}
-	o := option{engine: e, sameDomain: p.spread(e, w.item)}
+	o := option{engine: e, sameDomain: p.copiesInDomain(e, w.item)}
 	it := p.in.Items[w.item]
 	if it.Base != "" {
 		base, here := e.residents[it.Base]
@@ -148,8 +148,8 @@
 	return p.withVictims(o, it.Base, need-e.Free, w)
 }
 
-// spread counts the copies of item on engines that share e's failure domain.
-func (p *planner) spread(e *engine, item string) int {
+// copiesInDomain counts the copies of item on engines that share e's failure domain.
+func (p *planner) copiesInDomain(e *engine, item string) int {
 	n := 0
 	for _, other := range p.engines {
 		if _, here := other.residents[item]; here && other.Domain == e.Domain {
