--- a/core/own/plan/place.go
+++ b/core/own/plan/place.go
@@ -84,7 +84,7 @@
 	var best option
 	found := false
 	for _, e := range p.engines {
-		o, ok := p.option(e, w)
+		o, ok := p.optionOn(e, w)
 		if !ok {
 			continue
 		}
@@ -117,8 +117,8 @@
 	return o.engine.Name < than.engine.Name
 }
 
-// option returns how the missing copy could be placed on e, if it can.
-func (p *planner) option(e *engine, w missingCopy) (option, bool) {
+// optionOn returns how the missing copy could be placed on e, if it can.
+func (p *planner) optionOn(e *engine, w missingCopy) (option, bool) {
 	if _, here := e.residents[w.item]; here {
 		return option{}, false
 	}
