--- a/core/own/planner/planner.go
+++ b/core/own/planner/planner.go
@@ -132,7 +132,7 @@
 // ApplyConfig takes over a newer configuration.
 func (p *Planner) ApplyConfig(s *config.Snapshot) {
 	p.zones = newZoneView(s, p.Self.Zone)
-	p.sync()
+	p.syncLedgers()
 }
 
 // Tick reads engines that are due, keeps the lease, and plans.
@@ -256,13 +256,13 @@
 	p.Out.Log(logevent.LeaseGained, "fence", p.fence)
 	p.Records.AddLeaseHolder("", gossip.LeaseHolder{Zone: p.Self.Zone, Instance: p.Self.Name, Fence: p.fence})
 	p.TellAll(now)
-	p.sync()
+	p.syncLedgers()
 	p.intents.flying = true
 	p.Out.Emit(ReadIntents{})
 }
 
-// sync gives every engine of the zone a ledger.
-func (p *Planner) sync() {
+// syncLedgers gives every engine of the zone a ledger.
+func (p *Planner) syncLedgers() {
 	if p.fence == 0 {
 		return
 	}
