--- a/core/own/planner/orders.go
+++ b/core/own/planner/orders.go
@@ -11,10 +11,10 @@
 
 // Orders to the engines of the zone, and the ledgers that they are booked in.
 
-// settle takes an engine's state into its ledger. A state of an engine that
+// applyState takes an engine's state into its ledger. A state of an engine that
 // checks fences counts only under this holder's fence: before that, another
 // holder's orders could still change what it says.
-func (p *Planner) settle(now clock.Instant, l *book.Ledger, s pool.State, answered uint64) {
+func (p *Planner) applyState(now clock.Instant, l *book.Ledger, s pool.State, answered uint64) {
 	r := p.Pool.Get(l.Name())
 	if r == nil {
 		return
@@ -127,14 +127,14 @@
 			ra.backoff = ra.backoff.WithSuccess()
 		}
 		p.observe(now, e.Engine, e.State)
-		p.settle(now, l, e.State, e.Seq)
+		p.applyState(now, l, e.State, e.Seq)
 	case OrderRefused:
 		if op != book.RaiseFence {
 			p.Out.Log(logevent.OrderRefused, "engine", e.Engine, "seq", e.Seq, "detail", e.Detail)
 		}
 		l.MarkRefused(e.Seq)
 		p.observe(now, e.Engine, e.State)
-		p.settle(now, l, e.State, e.Seq)
+		p.applyState(now, l, e.State, e.Seq)
 	case OrderFenced:
 		p.Out.Log(logevent.OrderFenced, "engine", e.Engine, "seq", e.Seq)
 		p.loseLease(logevent.LeaseLost)
--- a/core/own/planner/read.go
+++ b/core/own/planner/read.go
@@ -105,7 +105,7 @@
 	rd.EndKeepDue()
 	p.observe(now, e.Engine, e.State)
 	if l := p.ledgers[e.Engine]; l != nil {
-		p.settle(now, l, e.State, 0)
+		p.applyState(now, l, e.State, 0)
 	}
 }
 
