--- a/core/own/planner/planner.go
+++ b/core/own/planner/planner.go
@@ -232,7 +232,7 @@
 	}
 	p.lease = p.lease.WithGrant(e.Fence, e.Sent)
 	if p.fence != p.lease.Fence() {
-		p.takeOver(now)
+		p.startTenure(now)
 	}
 }
 
@@ -246,9 +246,9 @@
 
 func (p *Planner) abandon() { p.tenure = newTenure() }
 
-// takeOver begins to plan under a new fence: ledgers in which nothing is free
+// startTenure begins to plan under a new fence: ledgers in which nothing is free
 // until each engine's fence is raised and its state read.
-func (p *Planner) takeOver(now clock.Instant) {
+func (p *Planner) startTenure(now clock.Instant) {
 	p.abandon()
 	p.fence = p.lease.Fence()
 	p.seq = 0
