--- a/core/own/planner/planner.go
+++ b/core/own/planner/planner.go
@@ -171,7 +171,7 @@
 	fence := p.lease.Fence()
 	p.Records.AddLeaseHolder("", gossip.LeaseHolder{Zone: p.Self.Zone, Fence: fence})
 	p.lease = p.lease.WithLoss()
-	p.abandon()
+	p.endTenure()
 	p.Out.Emit(ReleaseLease{Fence: fence})
 }
 
@@ -241,15 +241,15 @@
 		p.Out.Log(why, "fence", p.lease.Fence())
 	}
 	p.lease = p.lease.WithLoss()
-	p.abandon()
+	p.endTenure()
 }
 
-func (p *Planner) abandon() { p.tenure = newTenure() }
+func (p *Planner) endTenure() { p.tenure = newTenure() }
 
 // startTenure begins to plan under a new fence: ledgers in which nothing is free
 // until each engine's fence is raised and its state read.
 func (p *Planner) startTenure(now clock.Instant) {
-	p.abandon()
+	p.endTenure()
 	p.fence = p.lease.Fence()
 	p.seq = 0
 	p.loads = loadBudget{at: now}
