--- a/core/own/planner/orders.go
+++ b/core/own/planner/orders.go
@@ -81,8 +81,8 @@
 	}
 }
 
-// order books a planned step and sends it, or queues it behind its intent.
-func (p *Planner) order(now clock.Instant, s plan.Step) {
+// executeStep books a planned step and sends it, or queues it behind its intent.
+func (p *Planner) executeStep(now clock.Instant, s plan.Step) {
 	r := p.Pool.Get(s.Engine)
 	l := p.ledgers[s.Engine]
 	if r == nil || l == nil || !p.mayOrder(now, r) {
--- a/core/own/planner/planner.go
+++ b/core/own/planner/planner.go
@@ -303,7 +303,7 @@
 	p.raiseFences(now)
 	p.resendUnconfirmed(now)
 	for _, s := range plan.Steps(p.planInput(now)) {
-		p.order(now, s)
+		p.executeStep(now, s)
 	}
 	p.flushIntents()
 }
