--- a/core/own/planner/orders.go
+++ b/core/own/planner/orders.go
@@ -122,7 +122,7 @@
 	op, _ := l.OpenOp(e.Seq)
 	switch e.Outcome {
 	case OrderAccepted:
-		p.count(op)
+		p.countOrder(op)
 		if ra := p.raises[e.Engine]; ra != nil {
 			ra.backoff = ra.backoff.WithSuccess()
 		}
@@ -150,7 +150,7 @@
 	p.settleIntents()
 }
 
-func (p *Planner) count(op book.Op) {
+func (p *Planner) countOrder(op book.Op) {
 	switch op {
 	case book.Load:
 		p.moves.Loads++
