--- a/core/own/planner/orders.go
+++ b/core/own/planner/orders.go
@@ -34,11 +34,11 @@
 		return
 	}
 	l.Observe(s, p.fence, answered, p.Config.ItemMemoryMiB)
-	p.trackSince(now, r.Name, s.Residency)
+	p.trackResidents(now, r.Name, s.Residency)
 	p.settleIntents()
 }
 
-func (p *Planner) trackSince(now clock.Instant, engine string, res pool.Residency) {
+func (p *Planner) trackResidents(now clock.Instant, engine string, res pool.Residency) {
 	for _, it := range res.Items {
 		key := placement{engine, it.Name}
 		if _, ok := p.since[key]; !ok {
