--- a/core/own/planner/input.go
+++ b/core/own/planner/input.go
@@ -110,7 +110,7 @@
 	}
 	for _, item := range l.Items() {
 		res := plan.Resident{Name: item, Settled: l.Phase(item) == pool.Ready && !l.Pinned(item)}
-		if since, ok := p.since[placement{r.Name, item}]; ok {
+		if since, ok := p.residentSince[placement{r.Name, item}]; ok {
 			res.Since = now.Since(since)
 		}
 		e.Residents = append(e.Residents, res)
--- a/core/own/planner/orders.go
+++ b/core/own/planner/orders.go
@@ -41,13 +41,13 @@
 func (p *Planner) trackResidents(now clock.Instant, engine string, res pool.Residency) {
 	for _, it := range res.Items {
 		key := placement{engine, it.Name}
-		if _, ok := p.since[key]; !ok {
-			p.since[key] = now
+		if _, ok := p.residentSince[key]; !ok {
+			p.residentSince[key] = now
 		}
 	}
-	for key := range p.since {
+	for key := range p.residentSince {
 		if key.engine == engine && !holds(res, key.item) {
-			delete(p.since, key)
+			delete(p.residentSince, key)
 		}
 	}
 }
