--- a/core/own/planner/input.go
+++ b/core/own/planner/input.go
@@ -86,7 +86,7 @@
 	zones := p.planningZones(now)
 	in.Leads = func(item string) bool { return p.leader(zones, item) == p.Self.Zone }
 	period := time.Duration(doc.Residency.MoveCost * float64(starvePeriod))
-	in.Starve = p.starvedAt.IsZero() || now.Since(p.starvedAt) >= period
+	in.Starve = p.starvingServedAt.IsZero() || now.Since(p.starvingServedAt) >= period
 	for _, r := range p.Pool.All() {
 		if l := p.ledgers[r.Name]; l != nil {
 			in.Engines = append(in.Engines, p.planEngine(now, r))
--- a/core/own/planner/orders.go
+++ b/core/own/planner/orders.go
@@ -97,7 +97,7 @@
 		p.loads.tokens--
 	}
 	if s.Starving {
-		p.starvedAt = now
+		p.starvingServedAt = now
 	}
 	if r.ChecksFence || p.Options.Disable.Intents {
 		p.send(o, r)
--- a/core/own/planner/planner.go
+++ b/core/own/planner/planner.go
@@ -61,13 +61,13 @@
 	tenure
 	reads reads
 
-	planDue       clock.Instant
-	residentSince map[placement]clock.Instant // when a placement was first seen
-	starvedAt     clock.Instant               // when room was last made for a starving item
-	doubtNoted    bool
-	moves         OrderCounts
-	toldAt        clock.Instant // when the planner was last told of an unmet demand
-	ledAt         clock.Instant // when other zones' planners were last told of it
+	planDue          clock.Instant
+	residentSince    map[placement]clock.Instant // when a placement was first seen
+	starvingServedAt clock.Instant               // when room was last made for a starving item
+	doubtNoted       bool
+	moves            OrderCounts
+	toldAt           clock.Instant // when the planner was last told of an unmet demand
+	ledAt            clock.Instant // when other zones' planners were last told of it
 }
 
 // A tenure is the work under one grant of the lease; it ends with it.
