--- a/core/own/planner/demand.go
+++ b/core/own/planner/demand.go
@@ -17,10 +17,10 @@
 
 // ReportUnmet lets the zone's planner know of an unmet demand soon.
 func (p *Planner) ReportUnmet(now clock.Instant) {
-	if !p.toldAt.IsZero() && now.Since(p.toldAt) < tellEvery {
+	if !p.unmetReportedAt.IsZero() && now.Since(p.unmetReportedAt) < tellEvery {
 		return
 	}
-	p.toldAt = now
+	p.unmetReportedAt = now
 	if p.IsPlanner() {
 		p.planDue = now
 		return
--- a/core/own/planner/planner.go
+++ b/core/own/planner/planner.go
@@ -66,7 +66,7 @@
 	starvingServedAt clock.Instant               // when room was last made for a starving item
 	doubtNoted       bool
 	moves            OrderCounts
-	toldAt           clock.Instant // when the planner was last told of an unmet demand
+	unmetReportedAt  clock.Instant // when the planner was last told of an unmet demand
 	ledAt            clock.Instant // when other zones' planners were last told of it
 }
 
