--- a/core/own/planner/demand.go
+++ b/core/own/planner/demand.go
@@ -31,7 +31,7 @@
 // tellLeaders has a planner tell the planners of other zones of unmet demand
 // for items whose first copy is theirs to place.
 func (p *Planner) tellLeaders(now clock.Instant) {
-	if !p.ledAt.IsZero() && now.Since(p.ledAt) < tellEvery {
+	if !p.zonesNotifiedAt.IsZero() && now.Since(p.zonesNotifiedAt) < tellEvery {
 		return
 	}
 	zones := p.planningZones(now)
@@ -45,7 +45,7 @@
 			continue
 		}
 		told[zone] = true
-		p.ledAt = now
+		p.zonesNotifiedAt = now
 		p.Tell(now, p.Members.Get(p.Records.LeaseHolder(zone).Instance))
 	}
 }
--- a/core/own/planner/planner.go
+++ b/core/own/planner/planner.go
@@ -67,7 +67,7 @@
 	doubtNoted       bool
 	moves            OrderCounts
 	unmetReportedAt  clock.Instant // when the planner was last told of an unmet demand
-	ledAt            clock.Instant // when other zones' planners were last told of it
+	zonesNotifiedAt  clock.Instant // when other zones' planners were last told of it
 }
 
 // A tenure is the work under one grant of the lease; it ends with it.
