--- a/core/own/planner/orders.go
+++ b/core/own/planner/orders.go
@@ -153,8 +153,8 @@
 func (p *Planner) countOrder(op book.Op) {
 	switch op {
 	case book.Load:
-		p.moves.Loads++
+		p.orderCounts.Loads++
 	case book.Unload:
-		p.moves.Unloads++
+		p.orderCounts.Unloads++
 	}
 }
--- a/core/own/planner/planner.go
+++ b/core/own/planner/planner.go
@@ -65,7 +65,7 @@
 	residentSince    map[placement]clock.Instant // when a placement was first seen
 	starvingServedAt clock.Instant               // when room was last made for a starving item
 	doubtNoted       bool
-	moves            OrderCounts
+	orderCounts      OrderCounts
 	unmetReportedAt  clock.Instant // when the planner was last told of an unmet demand
 	zonesNotifiedAt  clock.Instant // when other zones' planners were last told of it
 }
@@ -152,7 +152,7 @@
 }
 
 // OrderCounts returns the orders that engines have taken from this instance.
-func (p *Planner) OrderCounts() OrderCounts { return p.moves }
+func (p *Planner) OrderCounts() OrderCounts { return p.orderCounts }
 
 // FreeMiB returns the memory of an engine that nothing holds, by this planner's
 // ledger; 0 if it has none.
