--- a/core/own/planner/demand.go
+++ b/core/own/planner/demand.go
@@ -28,9 +28,9 @@
 	p.Tell(now, p.Members.Get(p.Records.LeaseHolder(p.Self.Zone).Instance))
 }
 
-// tellLeaders has a planner tell the planners of other zones of unmet demand
+// notifyFirstCopyZones has a planner tell the planners of other zones of unmet demand
 // for items whose first copy is theirs to place.
-func (p *Planner) tellLeaders(now clock.Instant) {
+func (p *Planner) notifyFirstCopyZones(now clock.Instant) {
 	if !p.zonesNotifiedAt.IsZero() && now.Since(p.zonesNotifiedAt) < tellEvery {
 		return
 	}
--- a/core/own/planner/planner.go
+++ b/core/own/planner/planner.go
@@ -299,7 +299,7 @@
 	p.planDue = now.Add(step.Jitter(p.Rand, p.Options.PlanEvery))
 	p.Totals.Report(now, p.Self.Name, p.Meter.Demand(now))
 	p.rereadDue(now)
-	p.tellLeaders(now)
+	p.notifyFirstCopyZones(now)
 	p.raiseFences(now)
 	p.resendUnconfirmed(now)
 	for _, s := range plan.Steps(p.planInput(now)) {
