--- a/core/own/planner/demand.go
+++ b/core/own/planner/demand.go
@@ -40,7 +40,7 @@
 		if it.Unmet == 0 || len(p.Pool.Ready(it.Name)) > 0 {
 			continue
 		}
-		zone := p.leader(zones, it.Name)
+		zone := p.firstCopyZone(zones, it.Name)
 		if told[zone] {
 			continue
 		}
@@ -85,7 +85,7 @@
 			here = here || r.Zone == p.Self.Zone
 			there = there || r.Zone == zone
 		}
-		if !here && (there || p.leader(zones, it.Name) == zone) {
+		if !here && (there || p.firstCopyZone(zones, it.Name) == zone) {
 			items = append(items, it)
 		}
 	}
--- a/core/own/planner/input.go
+++ b/core/own/planner/input.go
@@ -84,7 +84,7 @@
 	}
 	in.Elsewhere, in.Covered = p.elsewhere(now)
 	zones := p.planningZones(now)
-	in.Leads = func(item string) bool { return p.leader(zones, item) == p.Self.Zone }
+	in.Leads = func(item string) bool { return p.firstCopyZone(zones, item) == p.Self.Zone }
 	period := time.Duration(doc.Residency.MoveCost * float64(starvePeriod))
 	in.Starve = p.starvingServedAt.IsZero() || now.Since(p.starvingServedAt) >= period
 	for _, r := range p.Pool.All() {
@@ -144,9 +144,9 @@
 	return zones
 }
 
-// leader returns the zone that places the first copy of an item. An adapter
+// firstCopyZone returns the zone that places the first copy of an item. An adapter
 // goes where its model does.
-func (p *Planner) leader(zones []string, item string) string {
+func (p *Planner) firstCopyZone(zones []string, item string) string {
 	if base := p.zones.items[item].Base; base != "" {
 		item = base
 	}
