--- a/core/own/planner/demand.go
+++ b/core/own/planner/demand.go
@@ -117,7 +117,7 @@
 // it to the ring of neighbours.
 func (p *Planner) NextPeer(_ clock.Instant, round int) *member.Peer {
 	if round%abroadEvery == 0 {
-		if peer := p.abroad(); peer != nil {
+		if peer := p.otherZonePeer(); peer != nil {
 			return peer
 		}
 	}
@@ -129,9 +129,9 @@
 	return nil
 }
 
-// abroad draws a peer of another zone. A planner draws other zones' planners, to
+// otherZonePeer draws a peer of another zone. A planner draws other zones' planners, to
 // tell them which of their models its zone lives on.
-func (p *Planner) abroad() *member.Peer {
+func (p *Planner) otherZonePeer() *member.Peer {
 	others := p.Members.ZonePeers(false)
 	if p.IsPlanner() {
 		var planners []*member.Peer
