--- a/core/own/planner/demand.go
+++ b/core/own/planner/demand.go
@@ -64,12 +64,12 @@
 	if !p.IsPlanner() {
 		return nil
 	}
-	return p.borrowed(now, other.Zone)
+	return p.demandOnZone(now, other.Zone)
 }
 
-// borrowed returns the zone's demand for items that it has not and that the
+// demandOnZone returns the zone's demand for items that it has not and that the
 // other zone has ready, or is to place.
-func (p *Planner) borrowed(now clock.Instant, zone string) []demand.Item {
+func (p *Planner) demandOnZone(now clock.Instant, zone string) []demand.Item {
 	var items []demand.Item
 	zones := p.planningZones(now)
 	// Only what this zone's own callers ask for: what other planners reported
