--- a/core/own/planner/input.go
+++ b/core/own/planner/input.go
@@ -82,7 +82,7 @@
 		MinimumStay: doc.Residency.MinimumStay,
 		Loads:       p.loadsAllowed(now, doc.WeightStore),
 	}
-	in.Elsewhere, in.Covered = p.elsewhere(now)
+	in.Elsewhere, in.Covered = p.remoteCopies(now)
 	zones := p.planningZones(now)
 	in.Leads = func(item string) bool { return p.firstCopyZone(zones, item) == p.Self.Zone }
 	period := time.Duration(doc.Residency.MoveCost * float64(starvePeriod))
@@ -153,9 +153,9 @@
 	return assignedZone(zones, item)
 }
 
-// elsewhere counts the copies ready in other zones that were heard lately, and
+// remoteCopies counts the copies ready in other zones that were heard lately, and
 // those of them in zones that rendezvous hashing puts before this one.
-func (p *Planner) elsewhere(now clock.Instant) (all, covered map[string]int) {
+func (p *Planner) remoteCopies(now clock.Instant) (all, covered map[string]int) {
 	all = map[string]int{}
 	covered = map[string]int{}
 	reachable := map[string]bool{}
