--- a/core/own/planner/input.go
+++ b/core/own/planner/input.go
@@ -80,7 +80,7 @@
 		Assigned:    p.zones.assigned,
 		MoveCost:    doc.Residency.MoveCost,
 		MinimumStay: doc.Residency.MinimumStay,
-		Loads:       p.loadsAllowed(now, doc.WeightStore),
+		Loads:       p.allowedLoads(now, doc.WeightStore),
 	}
 	in.Elsewhere, in.Covered = p.remoteCopies(now)
 	zones := p.planningZones(now)
@@ -192,10 +192,10 @@
 // copies no longer count.
 const zoneSilence = 8
 
-// loadsAllowed returns how many loads may begin now by this zone's guaranteed
+// allowedLoads returns how many loads may begin now by this zone's guaranteed
 // share of the weight store, in rate and in loads at once. The share is
 // known without a message, so it holds while the zone is cut off.
-func (p *Planner) loadsAllowed(now clock.Instant, w config.WeightStore) int {
+func (p *Planner) allowedLoads(now clock.Instant, w config.WeightStore) int {
 	b := &p.loads
 	share := 1 / float64(max(1, len(p.zones.zones)))
 	rate := w.LoadsPerSecond * share
