--- a/core/own/planner/planner.go
+++ b/core/own/planner/planner.go
@@ -199,7 +199,7 @@
 	}
 	switch {
 	case p.lease.Held():
-		p.noteDoubt(now)
+		p.logDoubt(now)
 		if p.lease.RenewDue(now) {
 			p.job.Begin(now)
 			p.Out.Emit(RequestLease{Term: p.Options.LeaseTerm, Renew: p.lease.Fence()})
@@ -210,7 +210,7 @@
 	}
 }
 
-func (p *Planner) noteDoubt(now clock.Instant) {
+func (p *Planner) logDoubt(now clock.Instant) {
 	doubt := !p.lease.Valid(now)
 	if doubt && !p.doubtNoted {
 		p.Out.Log(logevent.LeaseInDoubt, "fence", p.lease.Fence())
