--- a/core/own/planner/planner.go
+++ b/core/own/planner/planner.go
@@ -64,7 +64,7 @@
 	planDue          clock.Instant
 	residentSince    map[placement]clock.Instant // when a placement was first seen
 	starvingServedAt clock.Instant               // when room was last made for a starving item
-	doubtNoted       bool
+	doubtLogged      bool
 	orderCounts      OrderCounts
 	unmetReportedAt  clock.Instant // when the planner was last told of an unmet demand
 	zonesNotifiedAt  clock.Instant // when other zones' planners were last told of it
@@ -212,10 +212,10 @@
 
 func (p *Planner) logDoubt(now clock.Instant) {
 	doubt := !p.lease.Valid(now)
-	if doubt && !p.doubtNoted {
+	if doubt && !p.doubtLogged {
 		p.Out.Log(logevent.LeaseInDoubt, "fence", p.lease.Fence())
 	}
-	p.doubtNoted = doubt
+	p.doubtLogged = doubt
 }
 
 // HandleLeaseReply takes in what came of seeking the lease.
