--- a/core/own/planner/planner.go
+++ b/core/own/planner/planner.go
@@ -138,7 +138,7 @@
 // Tick reads engines that are due, keeps the lease, and plans.
 func (p *Planner) Tick(now clock.Instant) {
 	p.readDue(now)
-	p.leaseDue(now)
+	p.maintainLease(now)
 	p.plan(now)
 }
 
@@ -193,7 +193,7 @@
 	return p.Options.Disable.Intents || p.lease.Valid(now) && p.intents.owned
 }
 
-func (p *Planner) leaseDue(now clock.Instant) {
+func (p *Planner) maintainLease(now clock.Instant) {
 	if p.Stopping() || len(p.zones.zones) == 0 || !p.job.Due(now) {
 		return
 	}
