--- a/core/own/planner/intents.go
+++ b/core/own/planner/intents.go
@@ -48,10 +48,10 @@
 	in := &p.intents
 	in.reread = true
 	in.due = due
-	p.rereadDue(now)
+	p.rereadIntentsIfDue(now)
 }
 
-func (p *Planner) rereadDue(now clock.Instant) {
+func (p *Planner) rereadIntentsIfDue(now clock.Instant) {
 	in := &p.intents
 	if !in.reread || in.flying || now.Before(in.due) {
 		return
--- a/core/own/planner/planner.go
+++ b/core/own/planner/planner.go
@@ -298,7 +298,7 @@
 	}
 	p.planDue = now.Add(step.Jitter(p.Rand, p.Options.PlanEvery))
 	p.Totals.Report(now, p.Self.Name, p.Meter.Demand(now))
-	p.rereadDue(now)
+	p.rereadIntentsIfDue(now)
 	p.notifyFirstCopyZones(now)
 	p.raiseFences(now)
 	p.resendUnconfirmed(now)
