--- a/core/own/planner/planner.go
+++ b/core/own/planner/planner.go
@@ -137,7 +137,7 @@
 
 // Tick reads engines that are due, keeps the lease, and plans.
 func (p *Planner) Tick(now clock.Instant) {
-	p.readDue(now)
+	p.readEnginesIfDue(now)
 	p.maintainLease(now)
 	p.plan(now)
 }
--- a/core/own/planner/read.go
+++ b/core/own/planner/read.go
@@ -42,8 +42,8 @@
 // call steps the machine, and a look costs in proportion to the engines.
 const scanEvery = 50 * time.Millisecond
 
-// readDue asks the engines whose state is this instance's to read.
-func (p *Planner) readDue(now clock.Instant) {
+// readEnginesIfDue asks the engines whose state is this instance's to read.
+func (p *Planner) readEnginesIfDue(now clock.Instant) {
 	if !p.Config.Loaded() || now.Before(p.reads.scanDue) {
 		return
 	}
