--- a/core/own/planner/read.go
+++ b/core/own/planner/read.go
@@ -61,7 +61,7 @@
 			continue
 		}
 		rd.Begin(now)
-		rd.SetDue(now.Add(step.Jitter(p.Rand, p.readEvery(r, every))))
+		rd.SetDue(now.Add(step.Jitter(p.Rand, p.readInterval(r, every))))
 		p.Out.Emit(ReadState{Engine: r.Name, Address: r.Address})
 	}
 }
@@ -77,7 +77,7 @@
 	return p.Members.Assigned(now, "read/"+r.Name, readersPerEngine)
 }
 
-func (p *Planner) readEvery(r *pool.Replica, every time.Duration) time.Duration {
+func (p *Planner) readInterval(r *pool.Replica, every time.Duration) time.Duration {
 	if l := p.ledgers[r.Name]; p.IsPlanner() && l != nil && l.Busy() {
 		return p.Options.BusyReadEvery
 	}
