--- a/core/own/planner/intents.go
+++ b/core/own/planner/intents.go
@@ -37,7 +37,7 @@
 		// has landed. The fence in the value tells which.
 		p.rereadIntents(now, now)
 	case e.Read:
-		p.intentsRead(e)
+		p.handleIntentsRead(e)
 	default:
 		p.intentsWritten(now, e)
 	}
@@ -61,9 +61,9 @@
 	p.Out.Emit(ReadIntents{})
 }
 
-// intentsRead takes over what an earlier holder left, or finds out what came
+// handleIntentsRead takes over what an earlier holder left, or finds out what came
 // of an own write.
-func (p *Planner) intentsRead(e IntentsReply) {
+func (p *Planner) handleIntentsRead(e IntentsReply) {
 	in := &p.intents
 	if e.Intents.Fence > p.fence {
 		p.loseLease(logevent.IntentsConflict)
