--- a/core/own/planner/intents.go
+++ b/core/own/planner/intents.go
@@ -39,7 +39,7 @@
 	case e.Read:
 		p.handleIntentsRead(e)
 	default:
-		p.intentsWritten(now, e)
+		p.handleIntentsWritten(now, e)
 	}
 }
 
@@ -87,7 +87,7 @@
 	}
 }
 
-func (p *Planner) intentsWritten(now clock.Instant, e IntentsReply) {
+func (p *Planner) handleIntentsWritten(now clock.Instant, e IntentsReply) {
 	in := &p.intents
 	in.revision = e.Revision
 	if !in.owned {
