--- a/core/own/planner/input.go
+++ b/core/own/planner/input.go
@@ -75,9 +75,9 @@
 func (p *Planner) planInput(now clock.Instant) plan.Input {
 	doc := p.Config.Document()
 	in := plan.Input{
-		Items:       p.zones.items,
+		Items:       p.zone.items,
 		Demand:      p.Totals.Sum(now),
-		Assigned:    p.zones.assigned,
+		Assigned:    p.zone.assigned,
 		MoveCost:    doc.Residency.MoveCost,
 		MinimumStay: doc.Residency.MinimumStay,
 		Loads:       p.allowedLoads(now, doc.WeightStore),
@@ -136,7 +136,7 @@
 // for, this one included.
 func (p *Planner) planningZones(now clock.Instant) []string {
 	var zones []string
-	for _, z := range p.zones.zones {
+	for _, z := range p.zone.zones {
 		if z == p.Self.Zone || p.Records.LeaseHolder(z).Instance != "" && p.zoneReachable(now, z) {
 			zones = append(zones, z)
 		}
@@ -147,7 +147,7 @@
 // firstCopyZone returns the zone that places the first copy of an item. An adapter
 // goes where its model does.
 func (p *Planner) firstCopyZone(zones []string, item string) string {
-	if base := p.zones.items[item].Base; base != "" {
+	if base := p.zone.items[item].Base; base != "" {
 		item = base
 	}
 	return assignedZone(zones, item)
@@ -162,7 +162,7 @@
 	for _, z := range p.Config.Document().Zones {
 		reachable[z.Name] = p.zoneReachable(now, z.Name)
 	}
-	for name := range p.zones.items {
+	for name := range p.zone.items {
 		key := rendezvous.Key(name)
 		own := rendezvous.Score(key, p.Self.Zone)
 		for _, r := range p.Pool.Ready(name) {
@@ -197,7 +197,7 @@
 // known without a message, so it holds while the zone is cut off.
 func (p *Planner) allowedLoads(now clock.Instant, w config.WeightStore) int {
 	b := &p.loads
-	share := 1 / float64(max(1, len(p.zones.zones)))
+	share := 1 / float64(max(1, len(p.zone.zones)))
 	rate := w.LoadsPerSecond * share
 	b.tokens = min(b.tokens+rate*now.Since(b.at).Seconds(), max(1, rate))
 	b.at = now
--- a/core/own/planner/planner.go
+++ b/core/own/planner/planner.go
@@ -57,7 +57,7 @@
 	Deps
 	lease lease.Lease
 	job   step.Job // seeking and renewing the lease
-	zones zoneView
+	zone  zoneView
 	tenure
 	reads reads
 
@@ -131,7 +131,7 @@
 
 // ApplyConfig takes over a newer configuration.
 func (p *Planner) ApplyConfig(s *config.Snapshot) {
-	p.zones = newZoneView(s, p.Self.Zone)
+	p.zone = newZoneView(s, p.Self.Zone)
 	p.syncLedgers()
 }
 
@@ -194,7 +194,7 @@
 }
 
 func (p *Planner) maintainLease(now clock.Instant) {
-	if p.Stopping() || len(p.zones.zones) == 0 || !p.job.Due(now) {
+	if p.Stopping() || len(p.zone.zones) == 0 || !p.job.Due(now) {
 		return
 	}
 	switch {
