--- a/core/own/planner/intents.go
+++ b/core/own/planner/intents.go
@@ -22,7 +22,7 @@
 
 // HandleIntentsReply takes in the read at a take-over or a write of the list.
 func (p *Planner) HandleIntentsReply(now clock.Instant, e IntentsReply) {
-	p.intents.flying = false
+	p.intents.inFlight = false
 	p.Outage.Observe(now, e.Err)
 	if !p.IsPlanner() {
 		return
@@ -53,11 +53,11 @@
 
 func (p *Planner) rereadIntentsIfDue(now clock.Instant) {
 	in := &p.intents
-	if !in.reread || in.flying || now.Before(in.due) {
+	if !in.reread || in.inFlight || now.Before(in.due) {
 		return
 	}
 	in.reread = false
-	in.flying = true
+	in.inFlight = true
 	p.Out.Emit(ReadIntents{})
 }
 
@@ -172,10 +172,10 @@
 // orders cost one write.
 func (p *Planner) flushIntents() {
 	in := &p.intents
-	if in.flying || in.reread || !in.dirty || p.fence == 0 {
+	if in.inFlight || in.reread || !in.dirty || p.fence == 0 {
 		return
 	}
-	in.flying = true
+	in.inFlight = true
 	in.dirty = false
 	list := append([]Intent(nil), in.list...)
 	p.Out.Emit(WriteIntents{Intents: Intents{Fence: p.fence, Intents: list}, Revision: in.revision})
--- a/core/own/planner/planner.go
+++ b/core/own/planner/planner.go
@@ -105,7 +105,7 @@
 	owned    bool // they were read and rewritten under this fence
 	revision uint64
 	list     []Intent
-	flying   bool
+	inFlight bool
 	reread   bool // the value must be read before it is written again
 	due      clock.Instant
 	dirty    bool // list differs from what the platform holds
@@ -257,7 +257,7 @@
 	p.Records.AddLeaseHolder("", gossip.LeaseHolder{Zone: p.Self.Zone, Instance: p.Self.Name, Fence: p.fence})
 	p.TellAll(now)
 	p.syncLedgers()
-	p.intents.flying = true
+	p.intents.inFlight = true
 	p.Out.Emit(ReadIntents{})
 }
 
