--- a/core/own/planner/intents.go
+++ b/core/own/planner/intents.go
@@ -136,7 +136,7 @@
 		if l == nil || r.ChecksFence || !p.mayOrder(now, r) {
 			continue
 		}
-		ra := p.raises[r.Name]
+		ra := p.retries[r.Name]
 		unconfirmed := l.Unconfirmed()
 		if len(unconfirmed) == 0 || now.Before(ra.due) {
 			continue
--- a/core/own/planner/orders.go
+++ b/core/own/planner/orders.go
@@ -26,7 +26,7 @@
 		} else if l.StateKnown() && s.Residency.Boot > l.Boot() {
 			// It restarted and forgot the fence: raise it anew first.
 			p.ledgers[r.Name] = l.AfterRestart()
-			p.raises[r.Name] = &raise{backoff: backoff.New(readBase, readMax)}
+			p.retries[r.Name] = &raise{backoff: backoff.New(readBase, readMax)}
 		}
 		return
 	}
@@ -69,7 +69,7 @@
 		if l == nil || !r.ChecksFence || p.Options.Disable.Fences {
 			continue
 		}
-		ra := p.raises[r.Name]
+		ra := p.retries[r.Name]
 		if now.Before(ra.due) || (l.StateKnown() && len(l.Unconfirmed()) == 0) {
 			continue
 		}
@@ -123,7 +123,7 @@
 	switch e.Outcome {
 	case OrderAccepted:
 		p.countOrder(op)
-		if ra := p.raises[e.Engine]; ra != nil {
+		if ra := p.retries[e.Engine]; ra != nil {
 			ra.backoff = ra.backoff.WithSuccess()
 		}
 		p.observe(now, e.Engine, e.State)
@@ -143,7 +143,7 @@
 	case OrderLost:
 		p.Out.Log(logevent.OrderLost, "engine", e.Engine, "seq", e.Seq, "detail", e.Detail)
 		l.MarkLost(e.Seq)
-		if ra := p.raises[e.Engine]; ra != nil {
+		if ra := p.retries[e.Engine]; ra != nil {
 			ra.due = now
 		}
 	}
--- a/core/own/planner/planner.go
+++ b/core/own/planner/planner.go
@@ -75,13 +75,13 @@
 	fence   uint64 // under which the ledgers were begun; 0 if none were
 	seq     uint64 // of the last order
 	ledgers map[string]*book.Ledger
-	raises  map[string]*raise
+	retries map[string]*raise
 	intents intentView
 	loads   loadBudget
 }
 
 func newTenure() tenure {
-	return tenure{ledgers: map[string]*book.Ledger{}, raises: map[string]*raise{}}
+	return tenure{ledgers: map[string]*book.Ledger{}, retries: map[string]*raise{}}
 }
 
 // A placement is an item on an engine.
@@ -274,13 +274,13 @@
 		live[r.Name] = true
 		if p.ledgers[r.Name] == nil {
 			p.ledgers[r.Name] = book.NewEngine(r.Name, r.MemoryMiB, r.ChecksFence)
-			p.raises[r.Name] = &raise{backoff: backoff.New(readBase, readMax)}
+			p.retries[r.Name] = &raise{backoff: backoff.New(readBase, readMax)}
 		}
 	}
 	for name := range p.ledgers {
 		if !live[name] {
 			delete(p.ledgers, name)
-			delete(p.raises, name)
+			delete(p.retries, name)
 		}
 	}
 }
