--- a/core/own/planner/planner.go
+++ b/core/own/planner/planner.go
@@ -75,21 +75,21 @@
 	fence   uint64 // under which the ledgers were begun; 0 if none were
 	seq     uint64 // of the last order
 	ledgers map[string]*book.Ledger
-	retries map[string]*raise
+	retries map[string]*orderRetry
 	intents intentView
 	loads   loadBudget
 }
 
 func newTenure() tenure {
-	return tenure{ledgers: map[string]*book.Ledger{}, retries: map[string]*raise{}}
+	return tenure{ledgers: map[string]*book.Ledger{}, retries: map[string]*orderRetry{}}
 }
 
 // A placement is an item on an engine.
 type placement struct{ engine, item string }
 
-// A raise spaces what one engine must be sent again and again until it answers:
+// A orderRetry spaces what one engine must be sent again and again until it answers:
 // the fence before it is planned for, and orders whose answers are lost.
-type raise struct {
+type orderRetry struct {
 	backoff backoff.Backoff
 	due     clock.Instant
 }
@@ -274,7 +274,7 @@
 		live[r.Name] = true
 		if p.ledgers[r.Name] == nil {
 			p.ledgers[r.Name] = book.NewEngine(r.Name, r.MemoryMiB, r.ChecksFence)
-			p.retries[r.Name] = &raise{backoff: backoff.New(readBase, readMax)}
+			p.retries[r.Name] = &orderRetry{backoff: backoff.New(readBase, readMax)}
 		}
 	}
 	for name := range p.ledgers {
