--- a/core/own/planner/input.go
+++ b/core/own/planner/input.go
@@ -199,8 +199,8 @@
 	b := &p.loads
 	share := 1 / float64(max(1, len(p.zone.zones)))
 	rate := w.LoadsPerSecond * share
-	b.tokens = min(b.tokens+rate*now.Since(b.at).Seconds(), max(1, rate))
-	b.at = now
+	b.tokens = min(b.tokens+rate*now.Since(b.refilledAt).Seconds(), max(1, rate))
+	b.refilledAt = now
 	atOnce := max(1, int(math.Floor(float64(w.MaxConcurrentLoads)*share)))
 	loading := 0
 	for _, l := range p.ledgers {
--- a/core/own/planner/planner.go
+++ b/core/own/planner/planner.go
@@ -114,8 +114,8 @@
 
 // A loadBudget spaces loads by the zone's share of the weight store.
 type loadBudget struct {
-	tokens float64
-	at     clock.Instant
+	tokens     float64
+	refilledAt clock.Instant
 }
 
 // New returns the planner of an instance that does not hold the lease.
@@ -252,7 +252,7 @@
 	p.endTenure()
 	p.fence = p.lease.Fence()
 	p.seq = 0
-	p.loads = loadBudget{at: now}
+	p.loads = loadBudget{refilledAt: now}
 	p.Out.Log(logevent.LeaseGained, "fence", p.fence)
 	p.Records.AddLeaseHolder("", gossip.LeaseHolder{Zone: p.Self.Zone, Instance: p.Self.Name, Fence: p.fence})
 	p.TellAll(now)
