--- a/core/own/planner/planner.go
+++ b/core/own/planner/planner.go
@@ -30,8 +30,8 @@
 	"github.com/birchdrift/birchdrift/core/step"
 )
 
-// candidates is how many instances of a zone seek its planner's lease.
-const candidates = 2
+// leaseCandidates is how many instances of a zone seek its planner's lease.
+const leaseCandidates = 2
 
 // Deps are what the planner needs of the other modules.
 type Deps struct {
@@ -204,7 +204,7 @@
 			p.job.Begin(now)
 			p.Out.Emit(RequestLease{Term: p.Options.LeaseTerm, Renew: p.lease.Fence()})
 		}
-	case p.Members.Assigned(now, "plan/"+p.Self.Zone, candidates):
+	case p.Members.Assigned(now, "plan/"+p.Self.Zone, leaseCandidates):
 		p.job.Begin(now)
 		p.Out.Emit(RequestLease{Term: p.Options.LeaseTerm})
 	}
