--- a/core/own/planner/input.go
+++ b/core/own/planner/input.go
@@ -85,7 +85,7 @@
 	in.Elsewhere, in.Covered = p.remoteCopies(now)
 	zones := p.planningZones(now)
 	in.Leads = func(item string) bool { return p.firstCopyZone(zones, item) == p.Self.Zone }
-	period := time.Duration(doc.Residency.MoveCost * float64(starvePeriod))
+	period := time.Duration(doc.Residency.MoveCost * float64(starvationInterval))
 	in.Starve = p.starvingServedAt.IsZero() || now.Since(p.starvingServedAt) >= period
 	for _, r := range p.Pool.All() {
 		if l := p.ledgers[r.Name]; l != nil {
@@ -128,9 +128,9 @@
 	return free
 }
 
-// starvePeriod is how often, at a move cost of 1, a zone makes room for an item
+// starvationInterval is how often, at a move cost of 1, a zone makes room for an item
 // that nobody would make room for for its value.
-const starvePeriod = 15 * time.Second
+const starvationInterval = 15 * time.Second
 
 // planningZones returns the zones with engines that somebody is known to plan
 // for, this one included.
