--- a/core/own/planner/input.go
+++ b/core/own/planner/input.go
@@ -181,16 +181,16 @@
 // zoneReachable reports whether any instance of the zone was heard lately.
 func (p *Planner) zoneReachable(now clock.Instant, zone string) bool {
 	for _, peer := range p.Members.Peers() {
-		if peer.Zone == zone && peer.HeardWithin(now, zoneSilence*p.Options.ExchangeEvery) {
+		if peer.Zone == zone && peer.HeardWithin(now, maxSilentExchanges*p.Options.ExchangeEvery) {
 			return true
 		}
 	}
 	return false
 }
 
-// zoneSilence is how many exchange periods a zone may be silent before its
+// maxSilentExchanges is how many exchange periods a zone may be silent before its
 // copies no longer count.
-const zoneSilence = 8
+const maxSilentExchanges = 8
 
 // allowedLoads returns how many loads may begin now by this zone's guaranteed
 // share of the weight store, in rate and in loads at once. The share is
