--- a/core/own/planner/demand.go
+++ b/core/own/planner/demand.go
@@ -11,13 +11,13 @@
 // How planners hear of demand: from the instances of their zone, and from the
 // planners of zones that live on their copies.
 
-// tellEvery spaces the words to the planner about unmet demand. Without them a
+// unmetReportInterval spaces the words to the planner about unmet demand. Without them a
 // call for a cold model would wait for the planner's turn in the rhythm.
-const tellEvery = 500 * time.Millisecond
+const unmetReportInterval = 500 * time.Millisecond
 
 // ReportUnmet lets the zone's planner know of an unmet demand soon.
 func (p *Planner) ReportUnmet(now clock.Instant) {
-	if !p.unmetReportedAt.IsZero() && now.Since(p.unmetReportedAt) < tellEvery {
+	if !p.unmetReportedAt.IsZero() && now.Since(p.unmetReportedAt) < unmetReportInterval {
 		return
 	}
 	p.unmetReportedAt = now
@@ -31,7 +31,7 @@
 // notifyFirstCopyZones has a planner tell the planners of other zones of unmet demand
 // for items whose first copy is theirs to place.
 func (p *Planner) notifyFirstCopyZones(now clock.Instant) {
-	if !p.zonesNotifiedAt.IsZero() && now.Since(p.zonesNotifiedAt) < tellEvery {
+	if !p.zonesNotifiedAt.IsZero() && now.Since(p.zonesNotifiedAt) < unmetReportInterval {
 		return
 	}
 	zones := p.planningZones(now)
