--- a/core/own/planner/demand.go
+++ b/core/own/planner/demand.go
@@ -105,8 +105,8 @@
 }
 
 const (
-	// abroadEvery is every how manyth exchange goes to another zone.
-	abroadEvery = 4
+	// otherZoneRounds is every how manyth exchange goes to another zone.
+	otherZoneRounds = 4
 	// plannerEvery is every how manyth exchange goes to the zone's planner,
 	// which needs the demand.
 	plannerEvery = 2
@@ -116,7 +116,7 @@
 // the planner of the zone, and, as a planner, those of other zones; nil to leave
 // it to the ring of neighbours.
 func (p *Planner) NextPeer(_ clock.Instant, round int) *member.Peer {
-	if round%abroadEvery == 0 {
+	if round%otherZoneRounds == 0 {
 		if peer := p.otherZonePeer(); peer != nil {
 			return peer
 		}
