--- a/core/own/planner/demand.go
+++ b/core/own/planner/demand.go
@@ -107,9 +107,9 @@
 const (
 	// otherZoneRounds is every how manyth exchange goes to another zone.
 	otherZoneRounds = 4
-	// plannerEvery is every how manyth exchange goes to the zone's planner,
+	// plannerRounds is every how manyth exchange goes to the zone's planner,
 	// which needs the demand.
-	plannerEvery = 2
+	plannerRounds = 2
 )
 
 // NextPeer returns whom this instance exchanges with in a round: every so often
@@ -121,7 +121,7 @@
 			return peer
 		}
 	}
-	if round%plannerEvery == 1 {
+	if round%plannerRounds == 1 {
 		if peer := p.Members.Get(p.Records.LeaseHolder(p.Self.Zone).Instance); peer != nil && !peer.Leaving {
 			return peer
 		}
