--- a/core/own/planner/read.go
+++ b/core/own/planner/read.go
@@ -14,9 +14,9 @@
 // the rest hear from them.
 const readersPerEngine = 2
 
-// readSpacing is how much time the reads of one instance keep between each
+// minReadSpacing is how much time the reads of one instance keep between each
 // other on average, however many engines it reads.
-const readSpacing = 500 * time.Millisecond
+const minReadSpacing = 500 * time.Millisecond
 
 // Bounds of the spacing of reads of an engine that does not answer.
 const (
@@ -54,7 +54,7 @@
 			mine = append(mine, r)
 		}
 	}
-	every := max(p.Options.ReadEvery, time.Duration(len(mine))*readSpacing)
+	every := max(p.Options.ReadEvery, time.Duration(len(mine))*minReadSpacing)
 	for _, r := range mine {
 		rd := p.reader(r.Name)
 		if !rd.Due(now) {
