--- a/core/own/planner/read.go
+++ b/core/own/planner/read.go
@@ -38,16 +38,16 @@
 	backoff backoff.Backoff
 }
 
-// scanEvery spaces the looks over all engines for reads that are due. Every
+// scanInterval spaces the looks over all engines for reads that are due. Every
 // call steps the machine, and a look costs in proportion to the engines.
-const scanEvery = 50 * time.Millisecond
+const scanInterval = 50 * time.Millisecond
 
 // readEnginesIfDue asks the engines whose state is this instance's to read.
 func (p *Planner) readEnginesIfDue(now clock.Instant) {
 	if !p.Config.Loaded() || now.Before(p.reads.scanDue) {
 		return
 	}
-	p.reads.scanDue = now.Add(scanEvery)
+	p.reads.scanDue = now.Add(scanInterval)
 	var mine []*pool.Replica
 	for _, r := range p.Pool.All() {
 		if r.Kind == pool.Engine && !r.Announced && r.Zone == p.Self.Zone && p.isReader(now, r) {
