--- a/core/own/planner/orders.go
+++ b/core/own/planner/orders.go
@@ -26,7 +26,7 @@
 		} else if l.StateKnown() && s.Residency.Boot > l.Boot() {
 			// It restarted and forgot the fence: raise it anew first.
 			p.ledgers[r.Name] = l.AfterRestart()
-			p.retries[r.Name] = &orderRetry{backoff: backoff.New(readBackoffBase, readMax)}
+			p.retries[r.Name] = &orderRetry{backoff: backoff.New(readBackoffBase, readBackoffMax)}
 		}
 		return
 	}
--- a/core/own/planner/planner.go
+++ b/core/own/planner/planner.go
@@ -274,7 +274,7 @@
 		live[r.Name] = true
 		if p.ledgers[r.Name] == nil {
 			p.ledgers[r.Name] = book.NewEngine(r.Name, r.MemoryMiB, r.ChecksFence)
-			p.retries[r.Name] = &orderRetry{backoff: backoff.New(readBackoffBase, readMax)}
+			p.retries[r.Name] = &orderRetry{backoff: backoff.New(readBackoffBase, readBackoffMax)}
 		}
 	}
 	for name := range p.ledgers {
--- a/core/own/planner/read.go
+++ b/core/own/planner/read.go
@@ -21,7 +21,7 @@
 // Bounds of the spacing of reads of an engine that does not answer.
 const (
 	readBackoffBase = 500 * time.Millisecond
-	readMax         = 5 * time.Second
+	readBackoffMax  = 5 * time.Second
 )
 
 // A reads is this instance's part in reading the engines' states.
@@ -87,7 +87,7 @@
 func (p *Planner) reader(engine string) *reader {
 	rd := p.reads.readers[engine]
 	if rd == nil {
-		rd = &reader{backoff: backoff.New(readBackoffBase, readMax)}
+		rd = &reader{backoff: backoff.New(readBackoffBase, readBackoffMax)}
 		p.reads.readers[engine] = rd
 	}
 	return rd
