--- a/core/own/planner/read.go
+++ b/core/own/planner/read.go
@@ -26,14 +26,14 @@
 
 // A reads is this instance's part in reading the engines' states.
 type reads struct {
-	readers map[string]*reader
+	readers map[string]*engineReader
 	scanDue clock.Instant // when to look for reads that are due
 }
 
-func newReads() reads { return reads{readers: map[string]*reader{}} }
+func newReads() reads { return reads{readers: map[string]*engineReader{}} }
 
-// A reader is the task of reading one engine.
-type reader struct {
+// A engineReader is the task of reading one engine.
+type engineReader struct {
 	step.Job
 	backoff backoff.Backoff
 }
@@ -84,10 +84,10 @@
 	return every
 }
 
-func (p *Planner) reader(engine string) *reader {
+func (p *Planner) reader(engine string) *engineReader {
 	rd := p.reads.readers[engine]
 	if rd == nil {
-		rd = &reader{backoff: backoff.New(readBackoffBase, readBackoffMax)}
+		rd = &engineReader{backoff: backoff.New(readBackoffBase, readBackoffMax)}
 		p.reads.readers[engine] = rd
 	}
 	return rd
