--- a/core/own/planner/read.go
+++ b/core/own/planner/read.go
@@ -56,7 +56,7 @@
 	}
 	every := max(p.Options.ReadEvery, time.Duration(len(mine))*minReadSpacing)
 	for _, r := range mine {
-		rd := p.reader(r.Name)
+		rd := p.readerOf(r.Name)
 		if !rd.Due(now) {
 			continue
 		}
@@ -84,7 +84,7 @@
 	return every
 }
 
-func (p *Planner) reader(engine string) *engineReader {
+func (p *Planner) readerOf(engine string) *engineReader {
 	rd := p.reads.readers[engine]
 	if rd == nil {
 		rd = &engineReader{backoff: backoff.New(readBackoffBase, readBackoffMax)}
@@ -95,7 +95,7 @@
 
 // HandleStateReply takes in what an engine said of its state.
 func (p *Planner) HandleStateReply(now clock.Instant, e StateReply) {
-	rd := p.reader(e.Engine)
+	rd := p.readerOf(e.Engine)
 	if e.Err != nil {
 		rd.backoff = rd.backoff.WithFailure()
 		rd.End(now.Add(rd.backoff.Delay(p.Rand)))
