--- a/core/own/planner/orders.go
+++ b/core/own/planner/orders.go
@@ -46,13 +46,13 @@
 		}
 	}
 	for key := range p.residentSince {
-		if key.engine == engine && !holds(res, key.item) {
+		if key.engine == engine && !hasItem(res, key.item) {
 			delete(p.residentSince, key)
 		}
 	}
 }
 
-func holds(res pool.Residency, item string) bool {
+func hasItem(res pool.Residency, item string) bool {
 	for _, it := range res.Items {
 		if it.Name == item {
 			return true
