--- a/internal/own/driver.go
+++ b/internal/own/driver.go
@@ -40,8 +40,8 @@
 	platform *keyvalue.Client
 	engine   *engine.Client
 	host     shell.Host
-	// configSeen is the service's revision of the configuration last read.
-	configSeen atomic.Uint64
+	// configRevision is the service's revision of the configuration last read.
+	configRevision atomic.Uint64
 }
 
 // NewFactory returns what joins a shell to the product's own environment.
@@ -161,7 +161,7 @@
 // orders values by its own revisions, which this shell remembers; the document
 // carries the revision that decides.
 func (d *driver) watchConfig(ctx context.Context, a kvwatch.WatchConfig) {
-	after := d.configSeen.Load()
+	after := d.configRevision.Load()
 	if a.Have == 0 {
 		after = 0
 	}
@@ -174,7 +174,7 @@
 		d.host.Post(instance.ConfigReply{Source: instance.PlatformSource})
 		return
 	}
-	d.configSeen.Store(v.Revision)
+	d.configRevision.Store(v.Revision)
 	d.host.PostConfig(v.Data, instance.PlatformSource)
 }
 
