--- a/internal/own/driver.go
+++ b/internal/own/driver.go
@@ -183,12 +183,12 @@
 	d.host.Post(listing.Reply{Entries: entries, Version: era.Revision(version), Err: err})
 }
 
-func (d *driver) holder() string { return fmt.Sprintf("%s/%x", d.host.Self.Name, d.host.Self.Boot) }
+func (d *driver) holderName() string { return fmt.Sprintf("%s/%x", d.host.Self.Name, d.host.Self.Boot) }
 
 func (d *driver) seekLease(ctx context.Context, a planner.RequestLease) {
 	sent := d.host.Now()
 	reply, err := d.platform.RequestLease(ctx, keyvalue.LeaseName(d.host.Self.Zone), keyvalue.LeaseRequest{
-		Holder: d.holder(), TermMS: a.Term.Milliseconds(), Renew: a.Renew,
+		Holder: d.holderName(), TermMS: a.Term.Milliseconds(), Renew: a.Renew,
 	})
 	d.host.Post(planner.LeaseReply{Sent: sent, Granted: reply.Granted, Fence: reply.Fence, Err: err})
 }
