--- a/internal/own/engine/engine.go
+++ b/internal/own/engine/engine.go
@@ -25,8 +25,8 @@
 	"github.com/birchdrift/birchdrift/internal/upstream"
 )
 
-// maxReply bounds replies that are read whole, in bytes.
-const maxReply = 1 << 20
+// maxReplyBytes bounds replies that are read whole, in bytes.
+const maxReplyBytes = 1 << 20
 
 // Errors of a stream.
 var (
@@ -234,7 +234,7 @@
 	if into == nil {
 		return nil
 	}
-	return trace.Wrap(json.NewDecoder(io.LimitReader(resp.Body, maxReply)).Decode(into))
+	return trace.Wrap(json.NewDecoder(io.LimitReader(resp.Body, maxReplyBytes)).Decode(into))
 }
 
 var phases = map[string]pool.ItemPhase{
