--- a/internal/own/engine/engine.go
+++ b/internal/own/engine/engine.go
@@ -237,7 +237,7 @@
 	return trace.Wrap(json.NewDecoder(io.LimitReader(resp.Body, maxReplyBytes)).Decode(into))
 }
 
-var phases = map[string]pool.ItemPhase{
+var phaseByName = map[string]pool.ItemPhase{
 	"loading":   pool.Loading,
 	"ready":     pool.Ready,
 	"unloading": pool.Unloading,
@@ -251,7 +251,7 @@
 		LastOrder: s.LastOrder,
 	}
 	for _, it := range s.Items {
-		phase, ok := phases[it.Phase]
+		phase, ok := phaseByName[it.Phase]
 		if !ok {
 			phase = pool.Loading // unknown to us, yet it takes memory and serves nothing
 		}
