--- a/internal/own/keyvalue/keyvalue.go
+++ b/internal/own/keyvalue/keyvalue.go
@@ -155,10 +155,10 @@
 		return Value{}, trace.Wrap(err)
 	}
 	defer resp.Body.Close()
-	return readAnswer(resp)
+	return readResponse(resp)
 }
 
-func readAnswer(resp *http.Response) (Value, error) {
+func readResponse(resp *http.Response) (Value, error) {
 	data, err := io.ReadAll(io.LimitReader(resp.Body, 4*config.MaxEncodedBytes))
 	if err != nil {
 		return Value{}, trace.Wrap(err)
