--- a/internal/own/modelapi/openai.go
+++ b/internal/own/modelapi/openai.go
@@ -31,7 +31,7 @@
 // Bounds of a model call.
 const (
 	defaultMaxTokens = 256
-	mostMaxTokens    = 131072
+	maxTokensLimit   = 131072
 )
 
 // parseRequest checks a model call and returns it with its prompt as text.
@@ -52,8 +52,8 @@
 	if req.MaxTokens == 0 {
 		req.MaxTokens = defaultMaxTokens
 	}
-	if req.MaxTokens < 0 || req.MaxTokens > mostMaxTokens {
-		return req, "", code.Errorf(code.BadRequest, "max_tokens is %d, 1 to %d allowed", req.MaxTokens, mostMaxTokens)
+	if req.MaxTokens < 0 || req.MaxTokens > maxTokensLimit {
+		return req, "", code.Errorf(code.BadRequest, "max_tokens is %d, 1 to %d allowed", req.MaxTokens, maxTokensLimit)
 	}
 	prompt, err := req.prompt(chat)
 	return req, prompt, err
