--- a/internal/own/modelapi/plain.go
+++ b/internal/own/modelapi/plain.go
@@ -145,13 +145,13 @@
 	panic(http.ErrAbortHandler)
 }
 
-// copyBuffer is how much of an answer is read at a time, in bytes.
-const copyBuffer = 32 << 10
+// copyBufferBytes is how much of an answer is read at a time, in bytes.
+const copyBufferBytes = 32 << 10
 
 // copy passes the body on, each part as it comes.
 func (p *plainCall) copy(body io.Reader, watch *entry.Watchdog) (int, error) {
 	flush := http.NewResponseController(p.w)
-	buf := make([]byte, copyBuffer)
+	buf := make([]byte, copyBufferBytes)
 	total := 0
 	for {
 		n, err := body.Read(buf)
