--- a/internal/own/modelapi/model.go
+++ b/internal/own/modelapi/model.go
@@ -30,11 +30,11 @@
 	call    calls.Request
 	form    form
 
-	text      strings.Builder // of the attempt in progress, for whole answers
-	pieces    int             // had of the attempt in progress
-	delivered int             // that reached the caller
-	started   bool            // the answer's header was written
-	lastPiece time.Time
+	text           strings.Builder // of the attempt in progress, for whole answers
+	piecesReceived int             // had of the attempt in progress
+	delivered      int             // that reached the caller
+	started        bool            // the answer's header was written
+	lastPiece      time.Time
 }
 
 // run does what the machine says until the call has its final answer.
@@ -70,7 +70,7 @@
 	}
 	if !d.Resume {
 		m.text.Reset()
-		m.pieces = 0
+		m.piecesReceived = 0
 	}
 	if !pause(ctx, d.After) {
 		m.gone(s)
@@ -140,11 +140,11 @@
 			return m.broke(d, progress, watch, err), false
 		}
 		watch.Reset()
-		if m.pieces == 0 {
+		if m.piecesReceived == 0 {
 			s.AnswerBegan()
 			m.handler.Metrics.ObserveFirstToken(time.Since(m.begun))
 		}
-		m.pieces++
+		m.piecesReceived++
 		if p.End {
 			return m.end(s, d, p)
 		}
@@ -157,7 +157,7 @@
 	m.handler.Tracer.Inject(ctx, header)
 	id := own.AttemptID(m.handler.Self, m.call.ID, d.Attempt)
 	if d.Resume {
-		return m.handler.Engine.Resume(ctx, d.Address, engine.ResumeRequest{ID: id, Offset: m.pieces}, header, progress)
+		return m.handler.Engine.Resume(ctx, d.Address, engine.ResumeRequest{ID: id, Offset: m.piecesReceived}, header, progress)
 	}
 	req := engine.GenerateRequest{
 		ID: id, Model: d.Model, Adapter: d.Adapter, Prompt: m.prompt, MaxTokens: m.req.MaxTokens, Priority: d.Priority,
@@ -225,7 +225,7 @@
 		m.event([]byte("[DONE]"))
 	} else {
 		m.mark(d)
-		entry.WriteJSON(m.w, http.StatusOK, m.form.whole(m.text.String(), p.Reason, m.call.PromptTokens, m.pieces-1))
+		entry.WriteJSON(m.w, http.StatusOK, m.form.whole(m.text.String(), p.Reason, m.call.PromptTokens, m.piecesReceived-1))
 	}
 	s.Completed(0)
 	m.handler.Metrics.ObserveAnswer(int(code.OK), time.Since(m.begun))
