--- a/internal/own/modelapi/model.go
+++ b/internal/own/modelapi/model.go
@@ -30,11 +30,11 @@
 	call    calls.Request
 	form    form
 
-	text           strings.Builder // of the attempt in progress, for whole answers
-	piecesReceived int             // had of the attempt in progress
-	delivered      int             // that reached the caller
-	started        bool            // the answer's header was written
-	lastPiece      time.Time
+	text            strings.Builder // of the attempt in progress, for whole answers
+	piecesReceived  int             // had of the attempt in progress
+	piecesDelivered int             // that reached the caller
+	started         bool            // the answer's header was written
+	lastPiece       time.Time
 }
 
 // run does what the machine says until the call has its final answer.
@@ -171,7 +171,7 @@
 	b := calls.AttemptFailed{
 		Attempt:   d.Attempt,
 		Phase:     progress.Phase(),
-		Delivered: m.delivered,
+		Delivered: m.piecesDelivered,
 		Resumable: true,
 		Stalled:   watch.Fired(),
 		Detail:    err.Error(),
@@ -197,7 +197,7 @@
 	}
 	m.begin(d)
 	m.chunk(m.form.chunk(p.Text, nil))
-	m.delivered++
+	m.piecesDelivered++
 }
 
 // begin writes the header of an event stream.
