--- a/internal/own/modelapi/model.go
+++ b/internal/own/modelapi/model.go
@@ -33,7 +33,7 @@
 	text            strings.Builder // of the attempt in progress, for whole answers
 	piecesReceived  int             // had of the attempt in progress
 	piecesDelivered int             // that reached the caller
-	started         bool            // the answer's header was written
+	headerWritten   bool            // the answer's header was written
 	lastPiece       time.Time
 }
 
@@ -50,7 +50,7 @@
 
 // finish gives the caller the machine's final answer.
 func (m *modelCall) finish(r code.Refusal) {
-	if !m.started {
+	if !m.headerWritten {
 		m.handler.refuse(m.w, r, m.begun)
 		return
 	}
@@ -102,7 +102,7 @@
 func (m *modelCall) gone(s shell.Session) {
 	s.CallerGone()
 	m.handler.Metrics.ObserveAnswer(int(code.CallerGone), time.Since(m.begun))
-	if m.started {
+	if m.headerWritten {
 		panic(http.ErrAbortHandler)
 	}
 }
@@ -202,10 +202,10 @@
 
 // begin writes the header of an event stream.
 func (m *modelCall) begin(d calls.Dispatch) {
-	if m.started {
+	if m.headerWritten {
 		return
 	}
-	m.started = true
+	m.headerWritten = true
 	m.mark(d)
 	m.w.Header().Set("Content-Type", "text/event-stream")
 	m.w.Header().Set("Cache-Control", "no-cache")
