--- a/internal/own/modelapi/model.go
+++ b/internal/own/modelapi/model.go
@@ -22,13 +22,13 @@
 
 // A modelCall is one chat or completion call in progress.
 type modelCall struct {
-	handler *Handler
-	w       http.ResponseWriter
-	req     modelRequest
-	prompt  string
-	begun   time.Time
-	call    calls.Request
-	form    form
+	handler   *Handler
+	w         http.ResponseWriter
+	req       modelRequest
+	prompt    string
+	startedAt time.Time
+	call      calls.Request
+	form      form
 
 	text            strings.Builder // of the attempt in progress, for whole answers
 	piecesReceived  int             // had of the attempt in progress
@@ -51,10 +51,10 @@
 // finish gives the caller the machine's final answer.
 func (m *modelCall) finish(r code.Refusal) {
 	if !m.headerWritten {
-		m.handler.refuse(m.w, r, m.begun)
+		m.handler.refuse(m.w, r, m.startedAt)
 		return
 	}
-	m.handler.Metrics.ObserveAnswer(int(r.Code), time.Since(m.begun))
+	m.handler.Metrics.ObserveAnswer(int(r.Code), time.Since(m.startedAt))
 	data, err := json.Marshal(entry.NewErrorBody(r))
 	if err == nil {
 		m.event(data)
@@ -66,7 +66,7 @@
 // attempt carries out one Dispatch and reports whether the call is over.
 func (m *modelCall) attempt(ctx context.Context, s shell.Session, d calls.Dispatch) bool {
 	if d.Attempt == 1 && !d.Resume {
-		m.handler.Metrics.ObserveQueueTime(time.Since(m.begun))
+		m.handler.Metrics.ObserveQueueTime(time.Since(m.startedAt))
 	}
 	if !d.Resume {
 		m.text.Reset()
@@ -101,7 +101,7 @@
 // be there after all, it must not see a proper end of what was begun.
 func (m *modelCall) gone(s shell.Session) {
 	s.CallerGone()
-	m.handler.Metrics.ObserveAnswer(int(code.CallerGone), time.Since(m.begun))
+	m.handler.Metrics.ObserveAnswer(int(code.CallerGone), time.Since(m.startedAt))
 	if m.headerWritten {
 		panic(http.ErrAbortHandler)
 	}
@@ -142,7 +142,7 @@
 		watch.Reset()
 		if m.piecesReceived == 0 {
 			s.AnswerBegan()
-			m.handler.Metrics.ObserveFirstToken(time.Since(m.begun))
+			m.handler.Metrics.ObserveFirstToken(time.Since(m.startedAt))
 		}
 		m.piecesReceived++
 		if p.End {
@@ -228,7 +228,7 @@
 		entry.WriteJSON(m.w, http.StatusOK, m.form.whole(m.text.String(), p.Reason, m.call.PromptTokens, m.piecesReceived-1))
 	}
 	s.Completed(0)
-	m.handler.Metrics.ObserveAnswer(int(code.OK), time.Since(m.begun))
+	m.handler.Metrics.ObserveAnswer(int(code.OK), time.Since(m.startedAt))
 	return calls.AttemptFailed{}, true
 }
 
