--- a/internal/own/modelapi/plain.go
+++ b/internal/own/modelapi/plain.go
@@ -41,31 +41,31 @@
 		Replayable:     !body.Streamed(),
 	}
 	span.SetAttributes(attribute.String("service", call.Service), attribute.Int64("call", int64(call.ID)))
-	p := &plainCall{handler: h, w: w, r: r, body: body, call: call, begun: begun}
+	p := &plainCall{handler: h, w: w, r: r, body: body, call: call, startedAt: begun}
 	p.run(ctx, h.Shell.Begin(call))
 }
 
 // A plainCall is one call to a plain service in progress.
 type plainCall struct {
-	handler *Handler
-	w       http.ResponseWriter
-	r       *http.Request
-	body    *entry.Body
-	call    calls.Request
-	begun   time.Time
+	handler   *Handler
+	w         http.ResponseWriter
+	r         *http.Request
+	body      *entry.Body
+	call      calls.Request
+	startedAt time.Time
 }
 
 func (p *plainCall) run(ctx context.Context, s shell.Session) {
 	entry.HandleActions(ctx, s, entry.CallHandlers{
 		Attempt: func(d calls.Dispatch) bool { return p.attempt(ctx, s, d) },
-		Finish:  func(r code.Refusal) { p.handler.refuse(p.w, r, p.begun) },
+		Finish:  func(r code.Refusal) { p.handler.refuse(p.w, r, p.startedAt) },
 		Gone:    func() { p.gone(s) },
 	})
 }
 
 // attempt carries out one Dispatch and reports whether the call is over.
 func (p *plainCall) attempt(ctx context.Context, s shell.Session, d calls.Dispatch) bool {
-	p.handler.Metrics.ObserveQueueTime(time.Since(p.begun))
+	p.handler.Metrics.ObserveQueueTime(time.Since(p.startedAt))
 	ctx, span := p.handler.Tracer.Start(ctx, "attempt", oteltrace.WithSpanKind(oteltrace.SpanKindClient))
 	defer span.End()
 	span.SetAttributes(attribute.String("upstream", d.Replica), attribute.Int("attempt", d.Attempt))
@@ -104,7 +104,7 @@
 
 func (p *plainCall) gone(s shell.Session) {
 	s.CallerGone()
-	p.handler.Metrics.ObserveAnswer(int(code.CallerGone), time.Since(p.begun))
+	p.handler.Metrics.ObserveAnswer(int(code.CallerGone), time.Since(p.startedAt))
 }
 
 func (p *plainCall) broke(s shell.Session, d calls.Dispatch, progress *upstream.Progress, watch *entry.Watchdog, err error) bool {
@@ -135,13 +135,13 @@
 	delivered, err := p.copy(resp.Body, watch)
 	if err == nil {
 		s.Completed(0)
-		p.handler.Metrics.ObserveAnswer(int(code.OK), time.Since(p.begun))
+		p.handler.Metrics.ObserveAnswer(int(code.OK), time.Since(p.startedAt))
 		return true
 	}
 	// The header is out, so no answer of our own can follow: tell the machine,
 	// take its final answer for the books, and cut the connection.
 	s.AttemptFailed(calls.AttemptFailed{Attempt: d.Attempt, Phase: attempt.Answered, Delivered: max(1, delivered), Detail: err.Error()})
-	p.handler.Metrics.ObserveAnswer(int(code.StreamCut), time.Since(p.begun))
+	p.handler.Metrics.ObserveAnswer(int(code.StreamCut), time.Since(p.startedAt))
 	panic(http.ErrAbortHandler)
 }
 
