--- a/internal/own/modelapi/model.go
+++ b/internal/own/modelapi/model.go
@@ -131,13 +131,13 @@
 	defer watch.Stop()
 	stream, err := m.open(ctx, d, progress)
 	if err != nil {
-		return m.broke(d, progress, watch, err), false
+		return m.failure(d, progress, watch, err), false
 	}
 	defer stream.Close()
 	for {
 		p, err := stream.Next()
 		if err != nil {
-			return m.broke(d, progress, watch, err), false
+			return m.failure(d, progress, watch, err), false
 		}
 		watch.Reset()
 		if m.piecesReceived == 0 {
@@ -165,9 +165,9 @@
 	return m.handler.Engine.Generate(ctx, d.Address, req, d.Repeatable, header, progress)
 }
 
-// broke words how an attempt broke. Only facts go in; what follows is the
+// failure words how an attempt failure. Only facts go in; what follows is the
 // machine's to say.
-func (m *modelCall) broke(d calls.Dispatch, progress *upstream.Progress, watch *entry.Watchdog, err error) calls.AttemptFailed {
+func (m *modelCall) failure(d calls.Dispatch, progress *upstream.Progress, watch *entry.Watchdog, err error) calls.AttemptFailed {
 	b := calls.AttemptFailed{
 		Attempt:   d.Attempt,
 		Phase:     progress.Phase(),
