--- a/internal/own/modelapi/model.go
+++ b/internal/own/modelapi/model.go
@@ -44,7 +44,7 @@
 		Waited:  func() { queue.End() },
 		Attempt: func(d calls.Dispatch) bool { return m.attempt(ctx, s, d) },
 		Finish:  m.finish,
-		Gone:    func() { m.gone(s) },
+		Gone:    func() { m.handleCallerGone(s) },
 	})
 }
 
@@ -73,7 +73,7 @@
 		m.piecesReceived = 0
 	}
 	if !pause(ctx, d.After) {
-		m.gone(s)
+		m.handleCallerGone(s)
 		return true
 	}
 	name := "attempt"
@@ -90,16 +90,16 @@
 	}
 	span.SetAttributes(attribute.String("broke", broke.Detail))
 	if ctx.Err() != nil {
-		m.gone(s)
+		m.handleCallerGone(s)
 		return true
 	}
 	s.AttemptFailed(broke)
 	return false
 }
 
-// gone deals with a caller that closed its connection. Should the connection
+// handleCallerGone deals with a caller that closed its connection. Should the connection
 // be there after all, it must not see a proper end of what was begun.
-func (m *modelCall) gone(s shell.Session) {
+func (m *modelCall) handleCallerGone(s shell.Session) {
 	s.CallerGone()
 	m.handler.Metrics.ObserveAnswer(int(code.CallerGone), time.Since(m.startedAt))
 	if m.headerWritten {
