--- a/internal/own/modelapi/plain.go
+++ b/internal/own/modelapi/plain.go
@@ -59,7 +59,7 @@
 	entry.HandleActions(ctx, s, entry.CallHandlers{
 		Attempt: func(d calls.Dispatch) bool { return p.attempt(ctx, s, d) },
 		Finish:  func(r code.Refusal) { p.handler.refuse(p.w, r, p.startedAt) },
-		Gone:    func() { p.gone(s) },
+		Gone:    func() { p.handleCallerGone(s) },
 	})
 }
 
@@ -102,14 +102,14 @@
 	}
 }
 
-func (p *plainCall) gone(s shell.Session) {
+func (p *plainCall) handleCallerGone(s shell.Session) {
 	s.CallerGone()
 	p.handler.Metrics.ObserveAnswer(int(code.CallerGone), time.Since(p.startedAt))
 }
 
 func (p *plainCall) broke(s shell.Session, d calls.Dispatch, progress *upstream.Progress, watch *entry.Watchdog, err error) bool {
 	if p.r.Context().Err() != nil {
-		p.gone(s)
+		p.handleCallerGone(s)
 		return true
 	}
 	b := calls.AttemptFailed{
