--- a/internal/own/modelapi/plain.go
+++ b/internal/own/modelapi/plain.go
@@ -77,7 +77,7 @@
 	var progress upstream.Progress
 	resp, err := p.handler.Service.Send(ctx, p.outgoing(d, watch), &progress)
 	if err != nil {
-		return p.broke(s, d, &progress, watch, err)
+		return p.handleFailure(s, d, &progress, watch, err)
 	}
 	defer resp.Body.Close()
 	s.AnswerBegan()
@@ -107,7 +107,7 @@
 	p.handler.Metrics.ObserveAnswer(int(code.CallerGone), time.Since(p.startedAt))
 }
 
-func (p *plainCall) broke(s shell.Session, d calls.Dispatch, progress *upstream.Progress, watch *entry.Watchdog, err error) bool {
+func (p *plainCall) handleFailure(s shell.Session, d calls.Dispatch, progress *upstream.Progress, watch *entry.Watchdog, err error) bool {
 	if p.r.Context().Err() != nil {
 		p.handleCallerGone(s)
 		return true
