--- a/internal/own/modelapi/model.go
+++ b/internal/own/modelapi/model.go
@@ -148,7 +148,7 @@
 		if p.End {
 			return m.end(s, d, p)
 		}
-		m.pass(d, p)
+		m.deliver(d, p)
 	}
 }
 
@@ -185,8 +185,8 @@
 	return b
 }
 
-// pass hands one piece on: to the caller of a stream at once, else to the text.
-func (m *modelCall) pass(d calls.Dispatch, p engine.Piece) {
+// deliver hands one piece on: to the caller of a stream at once, else to the text.
+func (m *modelCall) deliver(d calls.Dispatch, p engine.Piece) {
 	if !m.lastPiece.IsZero() {
 		m.handler.Metrics.ObserveTokenGap(time.Since(m.lastPiece))
 	}
