--- a/internal/own/modelapi/plain.go
+++ b/internal/own/modelapi/plain.go
@@ -81,7 +81,7 @@
 	}
 	defer resp.Body.Close()
 	s.AnswerBegan()
-	return p.pass(s, d, resp, watch)
+	return p.forward(s, d, resp, watch)
 }
 
 // outgoing words the call for the upstream.
@@ -124,8 +124,8 @@
 	return false
 }
 
-// pass streams the upstream's answer to the caller.
-func (p *plainCall) pass(s shell.Session, d calls.Dispatch, resp *http.Response, watch *entry.Watchdog) bool {
+// forward streams the upstream's answer to the caller.
+func (p *plainCall) forward(s shell.Session, d calls.Dispatch, resp *http.Response, watch *entry.Watchdog) bool {
 	for name, values := range service.EndToEndHeaders(resp.Header) {
 		p.w.Header()[name] = values
 	}
