--- a/internal/own/modelapi/model.go
+++ b/internal/own/modelapi/model.go
@@ -195,13 +195,13 @@
 		m.text.WriteString(p.Text)
 		return
 	}
-	m.begin(d)
+	m.writeHeader(d)
 	m.chunk(m.form.chunk(p.Text, nil))
 	m.piecesDelivered++
 }
 
-// begin writes the header of an event stream.
-func (m *modelCall) begin(d calls.Dispatch) {
+// writeHeader writes the header of an event stream.
+func (m *modelCall) writeHeader(d calls.Dispatch) {
 	if m.headerWritten {
 		return
 	}
@@ -220,7 +220,7 @@
 // end ends the answer properly.
 func (m *modelCall) end(s shell.Session, d calls.Dispatch, p engine.Piece) (calls.AttemptFailed, bool) {
 	if m.req.Stream {
-		m.begin(d)
+		m.writeHeader(d)
 		m.chunk(m.form.chunk("", &p.Reason))
 		m.event([]byte("[DONE]"))
 	} else {
