--- a/internal/own/modelapi/model.go
+++ b/internal/own/modelapi/model.go
@@ -206,13 +206,13 @@
 		return
 	}
 	m.headerWritten = true
-	m.mark(d)
+	m.setHeaders(d)
 	m.w.Header().Set("Content-Type", "text/event-stream")
 	m.w.Header().Set("Cache-Control", "no-cache")
 	m.w.WriteHeader(http.StatusOK)
 }
 
-func (m *modelCall) mark(d calls.Dispatch) {
+func (m *modelCall) setHeaders(d calls.Dispatch) {
 	m.w.Header().Set(HeaderInstance, m.handler.Self.Name)
 	m.w.Header().Set(HeaderUpstream, d.Replica)
 }
@@ -224,7 +224,7 @@
 		m.chunk(m.form.chunk("", &p.Reason))
 		m.event([]byte("[DONE]"))
 	} else {
-		m.mark(d)
+		m.setHeaders(d)
 		entry.WriteJSON(m.w, http.StatusOK, m.form.whole(m.text.String(), p.Reason, m.call.PromptTokens, m.piecesReceived-1))
 	}
 	s.Completed(0)
