--- a/internal/own/modelapi/model.go
+++ b/internal/own/modelapi/model.go
@@ -146,7 +146,7 @@
 		}
 		m.piecesReceived++
 		if p.End {
-			return m.end(s, d, p)
+			return m.finishAnswer(s, d, p)
 		}
 		m.deliver(d, p)
 	}
@@ -217,8 +217,8 @@
 	m.w.Header().Set(HeaderUpstream, d.Replica)
 }
 
-// end ends the answer properly.
-func (m *modelCall) end(s shell.Session, d calls.Dispatch, p engine.Piece) (calls.AttemptFailed, bool) {
+// finishAnswer ends the answer properly.
+func (m *modelCall) finishAnswer(s shell.Session, d calls.Dispatch, p engine.Piece) (calls.AttemptFailed, bool) {
 	if m.req.Stream {
 		m.writeHeader(d)
 		m.chunk(m.form.chunk("", &p.Reason))
