--- a/internal/own/modelapi/model.go
+++ b/internal/own/modelapi/model.go
@@ -196,7 +196,7 @@
 		return
 	}
 	m.writeHeader(d)
-	m.chunk(m.form.chunk(p.Text, nil))
+	m.writeChunk(m.form.chunk(p.Text, nil))
 	m.piecesDelivered++
 }
 
@@ -221,7 +221,7 @@
 func (m *modelCall) finishAnswer(s shell.Session, d calls.Dispatch, p engine.Piece) (calls.AttemptFailed, bool) {
 	if m.req.Stream {
 		m.writeHeader(d)
-		m.chunk(m.form.chunk("", &p.Reason))
+		m.writeChunk(m.form.chunk("", &p.Reason))
 		m.event([]byte("[DONE]"))
 	} else {
 		m.setHeaders(d)
@@ -232,7 +232,7 @@
 	return calls.AttemptFailed{}, true
 }
 
-func (m *modelCall) chunk(a answer) {
+func (m *modelCall) writeChunk(a answer) {
 	data, err := json.Marshal(a)
 	if err != nil {
 		panic(http.ErrAbortHandler) // impossible for these types; never a proper end
