--- a/internal/own/modelapi/model.go
+++ b/internal/own/modelapi/model.go
@@ -57,7 +57,7 @@
 	m.handler.Metrics.ObserveAnswer(int(r.Code), time.Since(m.startedAt))
 	data, err := json.Marshal(entry.NewErrorBody(r))
 	if err == nil {
-		m.event(data)
+		m.writeEvent(data)
 	}
 	// A normal return would end the body properly; the caller must see a cut.
 	panic(http.ErrAbortHandler)
@@ -222,7 +222,7 @@
 	if m.req.Stream {
 		m.writeHeader(d)
 		m.writeChunk(m.form.chunk("", &p.Reason))
-		m.event([]byte("[DONE]"))
+		m.writeEvent([]byte("[DONE]"))
 	} else {
 		m.setHeaders(d)
 		entry.WriteJSON(m.w, http.StatusOK, m.form.whole(m.text.String(), p.Reason, m.call.PromptTokens, m.piecesReceived-1))
@@ -237,12 +237,12 @@
 	if err != nil {
 		panic(http.ErrAbortHandler) // impossible for these types; never a proper end
 	}
-	m.event(data)
+	m.writeEvent(data)
 }
 
-// event writes one server-sent event. A write error means that the caller is
+// writeEvent writes one server-sent writeEvent. A write error means that the caller is
 // gone, which the request's context tells as well.
-func (m *modelCall) event(data []byte) {
+func (m *modelCall) writeEvent(data []byte) {
 	_, _ = m.w.Write([]byte("data: "))
 	_, _ = m.w.Write(data)
 	_, _ = m.w.Write([]byte("\n\n"))
