--- a/internal/own/modelapi/plain.go
+++ b/internal/own/modelapi/plain.go
@@ -75,7 +75,7 @@
 	watch := entry.NewWatchdog(d.Stall, cancel)
 	defer watch.Stop()
 	var progress upstream.Progress
-	resp, err := p.handler.Service.Send(ctx, p.outgoing(d, watch), &progress)
+	resp, err := p.handler.Service.Send(ctx, p.upstreamCall(d, watch), &progress)
 	if err != nil {
 		return p.handleFailure(s, d, &progress, watch, err)
 	}
@@ -84,8 +84,8 @@
 	return p.forward(s, d, resp, watch)
 }
 
-// outgoing words the call for the upstream.
-func (p *plainCall) outgoing(d calls.Dispatch, watch *entry.Watchdog) service.Call {
+// upstreamCall words the call for the upstream.
+func (p *plainCall) upstreamCall(d calls.Dispatch, watch *entry.Watchdog) service.Call {
 	header := service.EndToEndHeaders(p.r.Header)
 	header.Del("Authorization") // the key is this system's, not the upstream's
 	header.Set(upstream.HeaderCall, own.AttemptID(p.handler.Self, p.call.ID, d.Attempt))
