--- a/internal/own/modelapi/model.go
+++ b/internal/own/modelapi/model.go
@@ -28,7 +28,7 @@
 	prompt    string
 	startedAt time.Time
 	call      calls.Request
-	form      form
+	form      answerFormat
 
 	text            strings.Builder // of the attempt in progress, for whole answers
 	piecesReceived  int             // had of the attempt in progress
--- a/internal/own/modelapi/modelapi.go
+++ b/internal/own/modelapi/modelapi.go
@@ -140,7 +140,7 @@
 	span.SetAttributes(attribute.String("service", req.Model), attribute.Int64("call", int64(call.ID)))
 	m := &modelCall{
 		handler: h, w: w, req: req, prompt: prompt, startedAt: begun, call: call,
-		form: form{chat: chat, id: fmt.Sprintf("%s-%d", h.Self.Name, call.ID), model: req.Model, created: begun},
+		form: answerFormat{chat: chat, id: fmt.Sprintf("%s-%d", h.Self.Name, call.ID), model: req.Model, created: begun},
 	}
 	m.run(ctx, h.Shell.Begin(call))
 }
--- a/internal/own/modelapi/openai.go
+++ b/internal/own/modelapi/openai.go
@@ -139,15 +139,15 @@
 	TotalTokens      int `json:"total_tokens"`
 }
 
-// A form knows how one kind of call words its answers.
-type form struct {
+// A answerFormat knows how one kind of call words its answers.
+type answerFormat struct {
 	chat    bool
 	id      string
 	model   string
 	created time.Time
 }
 
-func (f form) chunk(text string, finish *string) answer {
+func (f answerFormat) chunk(text string, finish *string) answer {
 	c := choice{FinishReason: finish}
 	if f.chat {
 		c.Delta = &turn{Content: text}
@@ -161,7 +161,7 @@
 	return answer{ID: f.id, Object: object, Created: f.created.Unix(), Model: f.model, Choices: []choice{c}}
 }
 
-func (f form) whole(text string, finish string, promptTokens, tokens int) answer {
+func (f answerFormat) whole(text string, finish string, promptTokens, tokens int) answer {
 	c := choice{FinishReason: &finish}
 	object := "text_completion"
 	if f.chat {
