--- a/internal/own/modelapi/openai.go
+++ b/internal/own/modelapi/openai.go
@@ -61,7 +61,7 @@
 
 func (r modelRequest) prompt(chat bool) (string, *code.Error) {
 	if !chat {
-		text, ok := textOf(r.Prompt)
+		text, ok := parseText(r.Prompt)
 		if !ok {
 			return "", code.Errorf(code.BadRequest, "prompt is missing or not a text")
 		}
@@ -72,7 +72,7 @@
 	}
 	var b strings.Builder
 	for i, m := range r.Messages {
-		text, ok := textOf(m.Content)
+		text, ok := parseText(m.Content)
 		if !ok {
 			return "", code.Errorf(code.BadRequest, "messages[%d].content is not a text", i)
 		}
@@ -84,8 +84,8 @@
 	return b.String(), nil
 }
 
-// textOf reads a text, or a list of text parts.
-func textOf(raw json.RawMessage) (string, bool) {
+// parseText reads a text, or a list of text parts.
+func parseText(raw json.RawMessage) (string, bool) {
 	var s string
 	if json.Unmarshal(raw, &s) == nil {
 		return s, true
