--- a/internal/own/modelapi/openai.go
+++ b/internal/own/modelapi/openai.go
@@ -110,14 +110,14 @@
 // A choice is one alternative of an answer; there is always just one.
 type choice struct {
 	Index        int     `json:"index"`
-	Message      *turn   `json:"message,omitempty"`
-	Delta        *turn   `json:"delta,omitempty"`
+	Message      *reply  `json:"message,omitempty"`
+	Delta        *reply  `json:"delta,omitempty"`
 	Text         *string `json:"text,omitempty"`
 	FinishReason *string `json:"finish_reason"`
 }
 
-// A turn is what the model says.
-type turn struct {
+// A reply is what the model says.
+type reply struct {
 	Role    string `json:"role,omitempty"`
 	Content string `json:"content"`
 }
@@ -150,7 +150,7 @@
 func (f answerFormat) chunk(text string, finish *string) answer {
 	c := choice{FinishReason: finish}
 	if f.chat {
-		c.Delta = &turn{Content: text}
+		c.Delta = &reply{Content: text}
 	} else {
 		c.Text = &text
 	}
@@ -166,7 +166,7 @@
 	object := "text_completion"
 	if f.chat {
 		object = "chat.completion"
-		c.Message = &turn{Role: "assistant", Content: text}
+		c.Message = &reply{Role: "assistant", Content: text}
 	} else {
 		c.Text = &text
 	}
