--- a/internal/own/modelapi/modelapi.go
+++ b/internal/own/modelapi/modelapi.go
@@ -52,8 +52,8 @@
 // Routes returns the HTTP handler of the own interface.
 func (h *Handler) Routes() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST /v1/chat/completions", func(w http.ResponseWriter, r *http.Request) { h.model(w, r, true) })
-	mux.HandleFunc("POST /v1/completions", func(w http.ResponseWriter, r *http.Request) { h.model(w, r, false) })
+	mux.HandleFunc("POST /v1/chat/completions", func(w http.ResponseWriter, r *http.Request) { h.serveModel(w, r, true) })
+	mux.HandleFunc("POST /v1/completions", func(w http.ResponseWriter, r *http.Request) { h.serveModel(w, r, false) })
 	mux.HandleFunc("GET /v1/models", h.models)
 	mux.HandleFunc("/services/{name}/{path...}", h.plain)
 	mux.HandleFunc("/services/{name}", h.plain)
@@ -111,8 +111,8 @@
 	entry.WriteJSON(w, status, entry.NewErrorBody(r))
 }
 
-// model serves a chat or completion call.
-func (h *Handler) model(w http.ResponseWriter, r *http.Request, chat bool) {
+// serveModel serves a chat or completion call.
+func (h *Handler) serveModel(w http.ResponseWriter, r *http.Request, chat bool) {
 	begun := time.Now()
 	ctx, span := h.Tracer.Start(h.Tracer.Extract(r.Context(), r.Header), "entry")
 	defer span.End()
