--- a/internal/own/modelapi/modelapi.go
+++ b/internal/own/modelapi/modelapi.go
@@ -55,8 +55,8 @@
 	mux.HandleFunc("POST /v1/chat/completions", func(w http.ResponseWriter, r *http.Request) { h.serveModel(w, r, true) })
 	mux.HandleFunc("POST /v1/completions", func(w http.ResponseWriter, r *http.Request) { h.serveModel(w, r, false) })
 	mux.HandleFunc("GET /v1/models", h.models)
-	mux.HandleFunc("/services/{name}/{path...}", h.plain)
-	mux.HandleFunc("/services/{name}", h.plain)
+	mux.HandleFunc("/services/{name}/{path...}", h.servePlain)
+	mux.HandleFunc("/services/{name}", h.servePlain)
 	mux.HandleFunc("/", func(w http.ResponseWriter, r *http.Request) {
 		h.refuse(w, code.Refusal{Code: code.UnknownService, Run: code.NotRun, Detail: "no such path: " + r.URL.Path}, time.Now())
 	})
--- a/internal/own/modelapi/plain.go
+++ b/internal/own/modelapi/plain.go
@@ -20,8 +20,8 @@
 	"github.com/birchdrift/birchdrift/internal/upstream"
 )
 
-// plain serves a call to a plain service.
-func (h *Handler) plain(w http.ResponseWriter, r *http.Request) {
+// servePlain serves a call to a servePlain service.
+func (h *Handler) servePlain(w http.ResponseWriter, r *http.Request) {
 	begun := time.Now()
 	ctx, span := h.Tracer.Start(h.Tracer.Extract(r.Context(), r.Header), "entry")
 	defer span.End()
