--- a/internal/own/modelapi/modelapi.go
+++ b/internal/own/modelapi/modelapi.go
@@ -54,7 +54,7 @@
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /v1/chat/completions", func(w http.ResponseWriter, r *http.Request) { h.serveModel(w, r, true) })
 	mux.HandleFunc("POST /v1/completions", func(w http.ResponseWriter, r *http.Request) { h.serveModel(w, r, false) })
-	mux.HandleFunc("GET /v1/models", h.models)
+	mux.HandleFunc("GET /v1/models", h.listModels)
 	mux.HandleFunc("/services/{name}/{path...}", h.servePlain)
 	mux.HandleFunc("/services/{name}", h.servePlain)
 	mux.HandleFunc("/", func(w http.ResponseWriter, r *http.Request) {
@@ -72,7 +72,7 @@
 	return strings.EqualFold(r.Header.Get(HeaderNotRepeatable), "true")
 }
 
-func (h *Handler) models(w http.ResponseWriter, r *http.Request) {
+func (h *Handler) listModels(w http.ResponseWriter, r *http.Request) {
 	begun := time.Now()
 	cfg := h.Shell.Config()
 	if cfg == nil {
