--- a/internal/own/modelapi/modelapi.go
+++ b/internal/own/modelapi/modelapi.go
@@ -63,8 +63,8 @@
 	return mux
 }
 
-// key returns the caller's key.
-func key(r *http.Request) string {
+// callerKey returns the caller's callerKey.
+func callerKey(r *http.Request) string {
 	return strings.TrimPrefix(r.Header.Get("Authorization"), "Bearer ")
 }
 
@@ -79,7 +79,7 @@
 		h.refuse(w, code.Refusal{Code: code.NoConfiguration, Run: code.NotRun, RetryAfter: time.Second}, begun)
 		return
 	}
-	caller, known := cfg.CallerByKey(key(r))
+	caller, known := cfg.CallerByKey(callerKey(r))
 	if !known {
 		h.refuse(w, code.Refusal{Code: code.Unauthorized, Run: code.NotRun}, begun)
 		return
@@ -129,7 +129,7 @@
 	call := calls.Request{
 		ID:             h.NextID(),
 		Service:        req.Model,
-		Key:            key(r),
+		Key:            callerKey(r),
 		IdempotencyKey: r.Header.Get(HeaderIdempotency),
 		NotRepeatable:  notRepeatable(r),
 		Replayable:     true,
--- a/internal/own/modelapi/plain.go
+++ b/internal/own/modelapi/plain.go
@@ -35,7 +35,7 @@
 		Service:        r.PathValue("name"),
 		Plain:          true,
 		Path:           "/" + r.PathValue("path"),
-		Key:            key(r),
+		Key:            callerKey(r),
 		IdempotencyKey: r.Header.Get(HeaderIdempotency),
 		NotRepeatable:  notRepeatable(r),
 		Replayable:     !body.Streamed(),
