--- a/internal/own/engine/engine_test.go
+++ b/internal/own/engine/engine_test.go
@@ -23,8 +23,8 @@
 	return &Stream{id: id, next: next, body: io.NopCloser(nil), dec: json.NewDecoder(bytes.NewReader(body))}
 }
 
-// TestStreamHandsOutItsOwnPiecesOnceInOrder tables what a connection may bring.
-func TestStreamHandsOutItsOwnPiecesOnceInOrder(t *testing.T) {
+// TestStreamReturnsOwnPiecesOnceInOrder tables what a connection may bring.
+func TestStreamReturnsOwnPiecesOnceInOrder(t *testing.T) {
 	cases := []struct {
 		name  string
 		from  int
