--- a/internal/own/engine/engine_test.go
+++ b/internal/own/engine/engine_test.go
@@ -119,8 +119,8 @@
 	})
 }
 
-// TestProgressNeverGoesBack: a late note cannot make a call look less sent.
-func TestProgressNeverGoesBack(t *testing.T) {
+// TestProgressNeverRegresses: a late note cannot make a call look less sent.
+func TestProgressNeverRegresses(t *testing.T) {
 	is := is.New(t)
 	var p upstream.Progress
 	p.Advance(attempt.Answered)
