--- a/core/own/book/book.go
+++ b/core/own/book/book.go
@@ -1,21 +1,22 @@
-// Package book provides the ledger by which the planner of an availability zone
-// never overcommits accelerator memory.
+// Package book provides the ledger of an engine's accelerator memory. With it the planner
+// of an availability zone never overcommits that memory.
 //
-// The idea: memory is booked before an order is sent and freed only on the
-// engine's own report that the item is gone. An order whose answer is missing
-// counts as both done and not done: a load keeps its memory booked, an unload
-// keeps the item's memory taken.
+// Memory is reserved before an order is sent and freed only when the engine itself
+// reports that the item is gone. An order whose answer is lost counts as both carried out
+// and not carried out: a load keeps its memory reserved, and an unload leaves the item's
+// memory counted as used.
 //
-// How an unanswered order is settled depends on the engine. One that checks
-// fences carries out orders in rising order only, so a state that shows a later
-// order settles every earlier one. One that does not check may carry out a late
-// order at any time, so an unanswered load stays booked until the engine shows
-// the item, and from then on the item is pinned: it is not unloaded under this
-// boot, because a late duplicate could load it again behind the ledger's back.
+// How an unanswered order is settled depends on the engine. An engine that checks fences
+// carries out orders in ascending order only, so a state that shows a later order settles
+// every earlier one. An engine that does not check fences may carry out a delayed order
+// at any time. An unanswered load therefore stays reserved until the engine shows the
+// item. From then on the item is pinned: it is not unloaded for as long as the engine has
+// the same boot, because a delayed duplicate of the order could load it again without the
+// ledger's knowledge.
 //
-// Invariants: Free never exceeds what the engine has free under any outcome of
-// the outstanding orders; an engine whose state was not read since its fence
-// was raised has nothing free.
+// Invariants: FreeMiB never exceeds the memory that the engine has free under any outcome
+// of the outstanding orders. An engine whose state was not read since its fence was
+// raised has no free memory.
 package book
 
 import (
@@ -24,17 +25,17 @@
 	"github.com/birchdrift/birchdrift/core/pool"
 )
 
-// An Op is what an order asks of an engine.
+// An Op is the operation that an order requests from an engine.
 type Op uint8
 
 // The operations.
 const (
 	Load       Op = iota + 1 // load an item
-	Unload                   // drain an item, then drop it
+	Unload                   // drain an item, then remove it from memory
 	RaiseFence               // raise the fence; changes nothing else
 )
 
-// String returns the operation as it stands on the wire and in logs.
+// String returns the operation as written on the wire and in logs.
 func (o Op) String() string {
 	switch o {
 	case Load:
@@ -46,43 +47,43 @@
 	}
 }
 
-// An Order is one instruction to one engine.
+// An Order is an instruction to one engine.
 type Order struct {
 	Engine string
 	Fence  uint64
-	Seq    uint64 // rises with every order of one fence
+	Seq    uint64 // rises with every order under one fence
 	Op     Op
 	Item   string
 	MiB    int64
 }
 
-// An outstanding order has no answer yet.
+// An outstanding order has no settled outcome yet.
 type outstanding struct {
 	order       Order
 	unconfirmed bool // the answer is lost; the order may arrive at any time
 }
 
-// An entry is one item's hold on an engine's memory.
+// An entry is the memory that one item uses or is reserved for on an engine.
 type entry struct {
 	mib    int64
-	phase  pool.ItemPhase // as the engine last said; 0 while only booked
-	pinned bool
+	phase  pool.ItemPhase // as the engine last reported; 0 while the memory is only reserved
+	pinned bool           // must not be unloaded under this boot
 }
 
-// An Ledger is the ledger of one engine's memory.
+// A Ledger records how the memory of one engine is used and reserved.
 type Ledger struct {
 	name        string
 	capacity    int64
-	checksFence bool
-	boot        uint64
-	lastChange  uint64 // of the newest state taken in under boot
-	stateKnown  bool   // state was read since the fence was raised
+	checksFence bool   // the engine checks the fences of orders
+	boot        uint64 // of the newest state observed
+	lastChange  uint64 // change number of the newest state observed under boot
+	stateKnown  bool   // the state was read since the fence was raised
 	entries     map[string]entry
-	open        map[uint64]outstanding // by Seq
+	open        map[uint64]outstanding // orders without a settled outcome, by Seq
 }
 
-// NewEngine returns the ledger of an engine whose state is unknown; nothing is
-// free in it.
+// NewEngine returns the ledger of an engine whose state is unknown. It has no free memory
+// until a state is observed.
 func NewEngine(name string, capacityMiB int64, checksFence bool) *Ledger {
 	return &Ledger{
 		name:        name,
@@ -99,7 +100,8 @@
 // Boot returns the boot under which the state was last read.
 func (e *Ledger) Boot() uint64 { return e.boot }
 
-// FreeMiB returns the memory that no item holds or is booked for, in MiB.
+// FreeMiB returns the memory in MiB that no item uses or is reserved for; 0 while the
+// state is unknown.
 func (e *Ledger) FreeMiB() int64 {
 	if !e.stateKnown {
 		return 0
@@ -115,19 +117,19 @@
 	return sum
 }
 
-// Holds reports whether the item holds or is booked for memory.
+// Holds reports whether the item uses memory or has memory reserved.
 func (e *Ledger) Holds(item string) bool {
 	_, ok := e.entries[item]
 	return ok
 }
 
-// Phase returns where the item stands; 0 while it is absent or only booked.
+// Phase returns the item's phase; 0 if it is absent or its memory is only reserved.
 func (e *Ledger) Phase(item string) pool.ItemPhase { return e.entries[item].phase }
 
 // Pinned reports whether the item must not be unloaded under this boot.
 func (e *Ledger) Pinned(item string) bool { return e.entries[item].pinned }
 
-// Items returns the items that hold or are booked for memory, sorted.
+// Items returns the items that use memory or have memory reserved, sorted by name.
 func (e *Ledger) Items() []string {
 	items := make([]string, 0, len(e.entries))
 	for item := range e.entries {
@@ -137,8 +139,7 @@
 	return items
 }
 
-// Busy reports whether an order is without an answer or an item is on its way
-// in or out.
+// Busy reports whether an order is still open or an item is being loaded or unloaded.
 func (e *Ledger) Busy() bool {
 	if len(e.open) > 0 {
 		return true
@@ -151,7 +152,7 @@
 	return false
 }
 
-// Unconfirmed returns the orders whose answers are lost, by rising Seq.
+// Unconfirmed returns the orders whose answers are lost, in ascending order of Seq.
 func (e *Ledger) Unconfirmed() []Order {
 	var orders []Order
 	for _, o := range e.open {
@@ -163,8 +164,9 @@
 	return orders
 }
 
-// Reserve books an order's memory. It reports false, and books nothing, when the
-// order could overcommit the engine or would unload what is pinned or absent.
+// Reserve records an order that is about to be sent and reserves its memory. It returns
+// false and records nothing if the order could overcommit the engine, if the item to load
+// already has memory, or if the item to unload is pinned or not ready.
 func (e *Ledger) Reserve(o Order) bool {
 	switch o.Op {
 	case Load:
@@ -182,8 +184,8 @@
 	return true
 }
 
-// AddInherited counts an order of an earlier holder as outstanding and unconfirmed, as a
-// new holder does for every intent that it finds.
+// AddInherited records an order of an earlier lease holder as outstanding and
+// unconfirmed. A new holder does this for every intent that it finds.
 func (e *Ledger) AddInherited(o Order) {
 	if o.Op == Load && !e.Holds(o.Item) {
 		e.entries[o.Item] = entry{mib: o.MiB}
@@ -191,7 +193,7 @@
 	e.open[o.Seq] = outstanding{order: o, unconfirmed: true}
 }
 
-// MarkNotSent notes that an order certainly never left; its booking is undone.
+// MarkNotSent records that an order was certainly not sent and undoes its reservation.
 func (e *Ledger) MarkNotSent(seq uint64) {
 	o, ok := e.open[seq]
 	if !ok {
@@ -203,7 +205,7 @@
 	}
 }
 
-// MarkLost notes that an order's answer is lost.
+// MarkLost records that the answer to an order is lost.
 func (e *Ledger) MarkLost(seq uint64) {
 	if o, ok := e.open[seq]; ok {
 		o.unconfirmed = true
@@ -211,13 +213,13 @@
 	}
 }
 
-// MarkRefused notes that the engine answered that it did not and will not carry
-// out an order.
+// MarkRefused records the engine's answer that it did not and will not carry out an
+// order.
 func (e *Ledger) MarkRefused(seq uint64) { e.MarkNotSent(seq) }
 
-// Observe takes in a state that the engine gave under the holder's fence.
-// answered is the order that the state answers, 0 for a plain read. size gives
-// an item's memory in MiB.
+// Observe updates the ledger with a state that the engine reported under the holder's
+// fence. answered is the Seq of the order that the state answers, or 0 for a plain read.
+// size returns an item's memory in MiB.
 func (e *Ledger) Observe(s pool.State, fence, answered uint64, size func(string) int64) {
 	if e.isStale(s) {
 		delete(e.open, answered)
@@ -232,10 +234,10 @@
 	e.rebuildEntries(s, size)
 }
 
-// isStale reports whether the state is older than one taken in before. Such a
-// state may lack an item that an answered order has added since, and taking it
-// in would free memory that is in use. An answer that comes late still closes
-// its order, through Refused or a later state.
+// isStale reports whether the state is older than one observed before. Such a state may
+// lack an item that an answered order has loaded since, and applying it would free memory
+// that is in use. A late answer still closes its order, through MarkRefused or a later
+// state.
 func (e *Ledger) isStale(s pool.State) bool {
 	if !e.stateKnown {
 		return false
@@ -246,8 +248,8 @@
 	return s.Residency.Change < e.lastChange
 }
 
-// dropForReboot drops what only the former process could have done. Orders that are
-// still under way may reach the new process, so they stay open.
+// dropForReboot removes the items of the engine's former process. Orders that are still
+// in flight may reach the new process, so they stay open and keep their memory reserved.
 func (e *Ledger) dropForReboot(boot uint64) {
 	e.boot = boot
 	for item, en := range e.entries {
@@ -259,7 +261,7 @@
 	}
 }
 
-// closeSettled closes the orders whose outcome the state tells.
+// closeSettled closes the orders whose outcome the state shows.
 func (e *Ledger) closeSettled(s pool.State, fence, answered uint64) {
 	shown := make(map[string]bool, len(s.Residency.Items))
 	for _, it := range s.Residency.Items {
@@ -270,7 +272,7 @@
 		case seq == answered:
 			delete(e.open, seq)
 			if o.unconfirmed && !e.checksFence && o.order.Op == Load {
-				e.pin(o.order.Item) // an earlier sending may still arrive
+				e.pin(o.order.Item) // an earlier attempt of the order may still arrive
 			}
 		case e.checksFence:
 			if s.Fence > o.order.Fence || (s.Fence == fence && o.order.Fence == fence && s.LastOrder >= seq) {
@@ -291,7 +293,8 @@
 	e.entries[item] = en
 }
 
-// rebuildEntries takes the state's items as the truth, plus what open loads may add.
+// rebuildEntries replaces the entries by the state's items, and keeps those of open loads
+// and of pinned items that the state does not show.
 func (e *Ledger) rebuildEntries(s pool.State, size func(string) int64) {
 	next := make(map[string]entry, len(s.Residency.Items))
 	for _, it := range s.Residency.Items {
@@ -325,19 +328,19 @@
 // Name returns the engine's name.
 func (e *Ledger) Name() string { return e.name }
 
-// OpenOp returns what the order asked for, while it is open.
+// OpenOp returns the operation of an order, and whether the order is still open.
 func (e *Ledger) OpenOp(seq uint64) (Op, bool) {
 	o, ok := e.open[seq]
 	return o.order.Op, ok
 }
 
-// IsOpen reports whether the order has no outcome yet.
+// IsOpen reports whether the order has no settled outcome yet.
 func (e *Ledger) IsOpen(seq uint64) bool {
 	_, ok := e.open[seq]
 	return ok
 }
 
-// LoadsInProgress counts the loads that take from the weight store now.
+// LoadsInProgress returns the number of loads that read from the weight store now.
 func (e *Ledger) LoadsInProgress() int {
 	n := 0
 	for item, en := range e.entries {
@@ -348,9 +351,9 @@
 	return n
 }
 
-// AfterRestart returns the ledger to begin with after the engine restarted and
-// forgot its fence: nothing is free until the fence is raised again, and
-// orders that are still under way stay open.
+// AfterRestart returns the ledger to use after the engine restarted and lost its fence.
+// No memory is free until the fence is raised again, and orders that are still in flight
+// stay open.
 func (e *Ledger) AfterRestart() *Ledger {
 	next := NewEngine(e.name, e.capacity, e.checksFence)
 	for seq, o := range e.open {
--- a/core/own/book/book_test.go
+++ b/core/own/book/book_test.go
@@ -11,7 +11,7 @@
 	"github.com/birchdrift/birchdrift/core/pool"
 )
 
-// The draws are the same on every run; -rapid.seed=0 draws others.
+// The random draws are the same in every run; -rapid.seed=0 selects different ones.
 func init() { _ = flag.Set("rapid.seed", "1") }
 
 func size(string) int64 { return 400 }
@@ -23,7 +23,8 @@
 	}
 }
 
-// TestNothingIsFreeBeforeTheStateIsRead: a new holder knows nothing yet.
+// TestNothingIsFreeBeforeTheStateIsRead checks that a new holder cannot reserve memory on
+// an engine whose state it has not read.
 func TestNothingIsFreeBeforeTheStateIsRead(t *testing.T) {
 	is := is.New(t)
 	e := NewEngine("e", 1000, true)
@@ -31,19 +32,21 @@
 	is.True(!e.Reserve(Order{Seq: 1, Op: Load, Item: "a", MiB: 400}))
 }
 
-// TestStaleStateFreesNothing: a state read before an order, and delivered after
-// its answer, does not show the item; taking it in would free booked memory.
+// TestStaleStateFreesNothing checks that a state that was read before an order, and
+// delivered after the order's answer, is ignored. It does not show the loaded item, so
+// applying it would free reserved memory.
 func TestStaleStateFreesNothing(t *testing.T) {
 	is := is.New(t)
 	e := NewEngine("e", 1000, true)
 	e.Observe(state(1, 5, 7, 1), 7, 0, size)
 	is.True(e.Reserve(Order{Fence: 7, Seq: 2, Op: Load, Item: "a", MiB: 400}))
 	e.Observe(state(1, 6, 7, 2, pool.Item{Name: "a", Phase: pool.Loading}), 7, 2, size)
-	e.Observe(state(1, 5, 7, 1), 7, 0, size) // the late one
+	e.Observe(state(1, 5, 7, 1), 7, 0, size) // the stale state
 	is.Equal(e.FreeMiB(), int64(600))
 }
 
-// TestLostLoadStaysBooked until the engine's state settles it.
+// TestLostLoadStaysBooked checks that the memory of a load whose answer is lost stays
+// reserved until the engine's state settles the order.
 func TestLostLoadStaysBooked(t *testing.T) {
 	for _, checks := range []bool{true, false} {
 		t.Run(fmt.Sprint(checks), func(t *testing.T) {
@@ -52,10 +55,10 @@
 			e.Observe(state(1, 1, 7, 1), 7, 0, size)
 			is.True(e.Reserve(Order{Fence: 7, Seq: 2, Op: Load, Item: "a", MiB: 400}))
 			e.MarkLost(2)
-			e.Observe(state(1, 1, 7, 1), 7, 0, size) // does not tell
+			e.Observe(state(1, 1, 7, 1), 7, 0, size) // does not settle the order
 			is.Equal(e.FreeMiB(), int64(600))
-			// A later order was carried out: an engine that checks refuses
-			// the lost one from now on; one that does not may still take it.
+			// A later order was carried out. An engine that checks fences refuses the
+			// lost order from now on; one that does not may still carry it out.
 			e.Observe(state(1, 2, 7, 3), 7, 0, size)
 			if checks {
 				is.Equal(e.FreeMiB(), int64(1000))
@@ -66,8 +69,8 @@
 	}
 }
 
-// TestDuplicateLoadPinsItsItem: where nothing is checked, an item whose load
-// may arrive twice is not unloaded under this boot.
+// TestDuplicateLoadPinsItsItem checks that on an engine that does not check fences, an
+// item whose load order may arrive twice is not unloaded under the same boot.
 func TestDuplicateLoadPinsItsItem(t *testing.T) {
 	is := is.New(t)
 	e := NewEngine("e", 1000, false)
@@ -77,13 +80,14 @@
 	e.Observe(state(1, 2, 0, 0, pool.Item{Name: "a", Phase: pool.Ready}), 7, 0, size)
 	is.True(e.Pinned("a"))
 	is.True(!e.Reserve(Order{Fence: 7, Seq: 2, Op: Unload, Item: "a"}))
-	e.Observe(state(2, 0, 0, 0), 7, 0, size) // it restarted
+	e.Observe(state(2, 0, 0, 0), 7, 0, size) // the engine restarted
 	is.Equal(e.FreeMiB(), int64(1000))
 }
 
-// TestFreeIsNeverMoreThanAnyOutcomeLeaves draws orders, losses, late arrivals,
-// restarts and reads against an engine that really carries orders out, and
-// checks that what the ledger calls free always is.
+// TestFreeIsNeverMoreThanAnyOutcomeLeaves draws orders, lost answers, late arrivals and
+// delayed reads, and applies them to a model of an engine that carries out the orders.
+// The free memory in the ledger must never exceed what the engine has free under any
+// outcome.
 func TestFreeIsNeverMoreThanAnyOutcomeLeaves(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newEngineModel(rapid.Bool().Draw(t, "checks"))
@@ -91,13 +95,13 @@
 		for range steps {
 			m.step(t)
 			if free, real := m.ledger.FreeMiB(), m.capacity-m.usedMiB()-m.pendingMiB(); free > real {
-				t.Fatalf("the ledger says %d free, %d may be", free, real)
+				t.Fatalf("the ledger reports %d MiB free, but only %d MiB are certain to be free", free, real)
 			}
 		}
 	})
 }
 
-// A engineModel is a real engine's memory with orders still on their way to it.
+// An engineModel is the memory of a simulated engine and the orders in flight to it.
 type engineModel struct {
 	ledger      *Ledger
 	checksFence bool
@@ -120,8 +124,9 @@
 
 func (m *engineModel) usedMiB() int64 { return int64(len(m.items)) * 400 }
 
-// pendingMiB is what loads on their way would still take: each item once, and
-// none that the engine would refuse for its sequence.
+// pendingMiB returns the memory in MiB that the loads in flight would still use. Each
+// item counts once, and loads that the engine would refuse because of their sequence
+// number do not count.
 func (m *engineModel) pendingMiB() int64 {
 	seen := map[string]bool{}
 	var sum int64
@@ -185,8 +190,8 @@
 	}
 }
 
-// arrive has an order take effect; without an answer it stays open and, where
-// nothing is checked, may arrive once more.
+// arrive delivers an order to the engine. Without an answer the order stays open and, if
+// the engine does not check fences, may arrive once more.
 func (m *engineModel) arrive(i int, answered bool) {
 	o := m.inFlight[i]
 	if answered || m.checksFence {
--- a/core/own/choose/choose.go
+++ b/core/own/choose/choose.go
@@ -1,18 +1,16 @@
-// Package choose provides the choice of the replica that a call of the product's
-// own interface is sent to. Only the product's own environment runs it; forwarded
-// calls are chosen for in core/route.
+// Package choose selects the replica for a call of the product's own interface. Only the
+// product's own environment uses it; core/route selects the replicas of forwarded calls.
 //
-// The idea: each candidate gets an expected time to first token, made of the
-// wait behind the sequences ahead, the prefill of the prompt tokens that are
-// not in its prefix cache, the way there, and how slow it has lately been; the
-// lowest wins. Prefix affinity therefore needs no rule of its own: a cached
-// prefix makes a replica cheaper by exactly the prefill that it saves, and a
-// queue makes it dearer.
+// For each candidate the chooser estimates the time to first token, as the sum of the
+// queueing behind the active sequences, the prefill of the prompt tokens that are not in
+// the replica's prefix cache, the network round trip, and the time by which the replica
+// was recently slower than that. The lowest estimate wins. Prefix affinity needs no rule
+// of its own: a cached prefix lowers the estimate by exactly the prefill that it saves,
+// and a queue raises it.
 //
-// Invariants: a replica that is leaving is never chosen; ejected replicas are
-// passed over unless more than a third of the candidates are ejected, since
-// then the cause is likelier to be on this side; ejected replicas of other
-// zones are always passed over.
+// Invariants: a replica that is leaving is never chosen. Ejected replicas are excluded
+// unless more than a third of the candidates are ejected, since the cause is then more
+// likely to be on this side. Ejected replicas of other zones are always excluded.
 package choose
 
 import (
@@ -23,61 +21,63 @@
 	"github.com/birchdrift/birchdrift/core/rendezvous"
 )
 
-// Tunables of the choice.
+// Parameters of the estimates.
 const (
-	crossZoneRoundTrip = 2 * time.Millisecond // way to another zone and back
-	// batchSlowdown is what one sequence that runs beside a call costs it, as a share
-	// of the measured hold time at a full replica: batches slow each other.
+	crossZoneRoundTrip = 2 * time.Millisecond // network round trip to another zone
+	// batchSlowdown is the time that the other sequences of a full replica add to a call,
+	// as a share of the measured hold time: the sequences of a batch slow each other
+	// down.
 	batchSlowdown = 0.15
-	// replicaQueueShare is the share of a replica's sequences that may wait inside it
-	// before calls wait here instead, where a better place can still be found.
+	// replicaQueueShare is the number of sequences, as a share of a replica's sequences,
+	// that may queue inside the replica. Further calls wait at this instance, where a
+	// better replica may still be found for them.
 	replicaQueueShare = 0.25
-	// maxEjectedShare is the share of candidates that may be passed over for
-	// their failures.
+	// maxEjectedShare is the largest share of the candidates that may be excluded because
+	// of their failures.
 	maxEjectedShare = 1.0 / 3
-	// affinityCachedShare is the share of a prefix's prefill that the replica which
-	// rendezvous hashing names is trusted to save, when this instance has no
-	// memory of the prefix itself.
+	// affinityCachedShare is the share of a prefix that is assumed to be cached on the
+	// replica that rendezvous hashing selects, when this instance has no record of the
+	// prefix.
 	affinityCachedShare = 0.25
 )
 
-// A Query is what the choice needs to know of one call.
+// A Query describes one call for the choice.
 type Query struct {
 	Zone         string // zone of this instance
 	PromptTokens int
 	PrefillRate  int // tokens a second
 	Prefix       Prefix
-	Exclude      string // replica that just failed the call, passed over if another can serve
+	Exclude      string // replica that just failed the call; used only if no other can serve
 }
 
-// An Estimate is the expected time to first token on one replica, in parts.
+// An Estimate is the expected time to first token on one replica, by component.
 type Estimate struct {
 	Replica *pool.Replica
 	Queue   time.Duration
 	Prefill time.Duration
 	Network time.Duration
-	Slow    time.Duration // how much longer than expected it lately took
-	Cached  int           // prompt tokens believed to be in its prefix cache
-	Room    bool          // it may be sent another call now
+	Slow    time.Duration // how much slower than expected the replica recently was
+	Cached  int           // prompt tokens expected in the replica's prefix cache
+	Room    bool          // the replica may be sent another call now
 }
 
 // Total returns the expected time to first token.
 func (e Estimate) Total() time.Duration { return e.Queue + e.Prefill + e.Network + e.Slow }
 
-// A Chooser remembers where prefixes were sent and makes choices.
+// A Chooser selects replicas and records where prefixes were sent.
 type Chooser struct {
 	prefixes *PrefixIndex
 }
 
-// NewChooser returns a chooser that remembers up to size prefix blocks.
+// NewChooser returns a chooser that records up to size prefix blocks.
 func NewChooser(size int) *Chooser { return &Chooser{prefixes: NewPrefixIndex(size)} }
 
-// RecordSent notes that a call with this prefix was sent to the replica.
+// RecordSent records that a call with prefix p was sent to the replica.
 func (c *Chooser) RecordSent(p Prefix, replica string) { c.prefixes.Record(p, replica) }
 
-// Choose returns the best estimate among the candidates. ok is false when none
-// may be sent new work. An estimate without Room is returned when every
-// candidate is full: the call has to wait, and the estimate says about how long.
+// Choose returns the best estimate among the candidates. ok is false if no candidate may
+// be sent new work. If every candidate is full, the estimate returned has Room false: the
+// call has to wait, approximately for the estimate's Queue.
 func (c *Chooser) Choose(now clock.Instant, q Query, candidates []*pool.Replica) (best Estimate, ok bool) {
 	spare := c.mayEject(now, candidates)
 	preferred := preferredReplica(q.Prefix, candidates)
@@ -86,8 +86,8 @@
 		if !r.Usable() {
 			continue
 		}
-		// A zone that is cut off fails every replica in it: waiting for a load
-		// in this one beats trying them again before their time is up.
+		// If a zone is cut off, all its replicas fail. Waiting for a load in this zone is
+		// then better than trying them again before their ejection ends.
 		if r.Ejected(now) && (spare || r.Zone != q.Zone) {
 			continue
 		}
@@ -101,8 +101,8 @@
 	return best, ok
 }
 
-// better orders estimates: another replica than the one that just failed,
-// then room, then the expected time to first token.
+// better reports whether a is preferred to b: first a replica other than the one that
+// just failed the call, then one with room, then the lower expected time to first token.
 func better(q Query, a, b Estimate) bool {
 	if q.Exclude != "" && (a.Replica.Name == q.Exclude) != (b.Replica.Name == q.Exclude) {
 		return b.Replica.Name == q.Exclude
@@ -113,7 +113,7 @@
 	return a.Total() < b.Total()
 }
 
-// mayEject reports whether few enough candidates are ejected to pass them over.
+// mayEject reports whether few enough candidates are ejected to exclude them.
 func (c *Chooser) mayEject(now clock.Instant, candidates []*pool.Replica) bool {
 	ejected := 0
 	usable := 0
@@ -126,7 +126,7 @@
 			ejected++
 		}
 	}
-	// One ejected of two candidates is over a third, yet leaves a healthy one.
+	// One ejected of two candidates is more than a third, but leaves a healthy one.
 	return ejected > 0 && ejected < usable && (ejected == 1 || float64(ejected) <= maxEjectedShare*float64(usable))
 }
 
@@ -165,8 +165,9 @@
 	e.Prefill -= time.Duration(float64(e.Cached) * perToken)
 }
 
-// preferredReplica returns the usable replica that rendezvous hashing names for a prefix,
-// so that instances which never met agree on where a new prefix goes.
+// preferredReplica returns the usable replica that rendezvous hashing selects for a
+// prefix, so that instances agree without communication on where a new prefix is sent. It
+// returns nil for an empty prefix.
 func preferredReplica(p Prefix, candidates []*pool.Replica) *pool.Replica {
 	if len(p.blocks) == 0 {
 		return nil
@@ -185,5 +186,5 @@
 	return best
 }
 
-// HandleRestart notes that the replica restarted and its prefix cache is empty.
+// HandleRestart records that the replica restarted, so that its prefix cache is empty.
 func (c *Chooser) HandleRestart(replica string) { c.prefixes.RemoveReplica(replica) }
--- a/core/own/choose/prefix.go
+++ b/core/own/choose/prefix.go
@@ -6,22 +6,22 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Sizes of a prefix.
+// Sizes of prefixes.
 const (
-	blockBytes  = 1024 // bytes of prompt in one block
+	blockBytes  = 1024 // bytes of prompt per block
 	blockTokens = blockBytes / BytesPerToken
 	maxBlocks   = 16
-	// BytesPerToken is the rule of thumb by which prompts are sized before any
-	// tokenizer has seen them.
+	// BytesPerToken is the approximate number of bytes per token, used to estimate the
+	// length of prompts that no tokenizer has processed yet.
 	BytesPerToken = 4
 )
 
-// A Prefix is the chain of hashes of a prompt's leading blocks: block i's hash
-// covers blocks 0 to i, so that equal hashes mean equal prompts up to there.
+// A Prefix is the chain of hashes of a prompt's leading blocks. The hash of block i
+// covers blocks 0 to i, so that equal hashes mean equal prompts up to that block.
 type Prefix struct{ blocks []uint64 }
 
-// NewPrefix returns the prefix of a prompt for the given model; a prompt
-// shorter than one block has none.
+// NewPrefix returns the prefix of a prompt for the given model. The prefix of a prompt
+// shorter than one block is empty.
 func NewPrefix(model, prompt string) Prefix {
 	var p Prefix
 	h := xxhash.New()
@@ -33,13 +33,14 @@
 	return p
 }
 
-// Tokens returns the tokens that the prefix covers.
+// Tokens returns the approximate number of tokens that the prefix covers.
 func (p Prefix) Tokens() int { return len(p.blocks) * blockTokens }
 
-// A PrefixIndex is a bounded, least-recently-used memory of where blocks were sent.
+// A PrefixIndex records to which replica each prompt block was last sent. It is bounded
+// and evicts the least recently used blocks.
 type PrefixIndex struct {
 	size   int
-	lru    *list.List // of memoryEntry, most recent first
+	lru    *list.List // of indexEntry, most recently used first
 	byHash map[uint64]*list.Element
 }
 
@@ -48,12 +49,12 @@
 	replica string
 }
 
-// NewPrefixIndex returns a memory of up to size blocks.
+// NewPrefixIndex returns an index of up to size blocks.
 func NewPrefixIndex(size int) *PrefixIndex {
 	return &PrefixIndex{size: size, lru: list.New(), byHash: map[uint64]*list.Element{}}
 }
 
-// Record notes that the blocks of p are on the replica now.
+// Record records that the blocks of p are on the replica.
 func (m *PrefixIndex) Record(p Prefix, replica string) {
 	for _, h := range p.blocks {
 		if el, ok := m.byHash[h]; ok {
@@ -70,8 +71,8 @@
 	}
 }
 
-// Find returns the replica that holds the longest known part of p, and the
-// tokens of that part.
+// Find returns the replica that has the longest recorded part of p, and the number of
+// tokens of that part. It returns "" and 0 if no part of p is recorded.
 func (m *PrefixIndex) Find(p Prefix) (replica string, tokens int) {
 	for i := len(p.blocks) - 1; i >= 0; i-- {
 		if el, ok := m.byHash[p.blocks[i]]; ok {
@@ -81,7 +82,7 @@
 	return "", 0
 }
 
-// RemoveReplica forgets blocks believed to be on the replica, after it restarted.
+// RemoveReplica removes the blocks recorded for a replica, after it restarted.
 func (m *PrefixIndex) RemoveReplica(replica string) {
 	for el := m.lru.Front(); el != nil; {
 		next := el.Next()
--- a/core/own/kvwatch/watch.go
+++ b/core/own/kvwatch/watch.go
@@ -1,8 +1,8 @@
-// Package kvwatch keeps the watches of the product's own key-value service: one of
-// the configuration and one of the list of instances. Two instances of each zone
-// keep them, and the others hear from those.
+// Package kvwatch runs the watches of the product's own key-value service: one of the
+// configuration and one of the list of instances. Two instances of each zone run them,
+// and the others receive the changes from those.
 //
-// On the users' platform core/watch is used in its place.
+// On the users' platform core/watch is used instead.
 package kvwatch
 
 import (
@@ -17,12 +17,12 @@
 )
 
 type (
-	// WatchConfig is an action: wait for a configuration newer than Have.
+	// WatchConfig is an action: wait for a configuration newer than revision Have.
 	WatchConfig struct {
 		Have uint64
 		Wait time.Duration
 	}
-	// WatchList is an action: wait for what changed in the list since Since.
+	// WatchList is an action: wait for changes of the list after version Since.
 	WatchList struct {
 		Since uint64
 		Wait  time.Duration
@@ -35,7 +35,7 @@
 // IsAction implements step.Action.
 func (WatchList) IsAction() {}
 
-// A Watch is one instance's watches. The fields must be set before its use.
+// A Watch runs the watches of one instance. The exported fields must be set before use.
 type Watch struct {
 	shared.State
 
@@ -48,12 +48,12 @@
 	list   step.Job
 }
 
-// isWatcher reports whether this instance watches now.
+// isWatcher reports whether this instance runs watches now.
 func (w *Watch) isWatcher(now clock.Instant) bool {
 	return w.Exchanges.Isolated(now) || w.Members.Assigned(now, watchers.KeyPrefix+w.Self.Zone, w.Options.Watchers)
 }
 
-// Tick begins the watches that are due.
+// Tick starts the watches that are due.
 func (w *Watch) Tick(now clock.Instant) {
 	if w.Stopping() || !w.isWatcher(now) {
 		return
@@ -68,13 +68,13 @@
 	}
 }
 
-// HandleConfigReply notes that a watch of the configuration is over.
+// HandleConfigReply records that a watch of the configuration has ended.
 func (w *Watch) HandleConfigReply(now clock.Instant, err error) {
 	w.Outage.Observe(now, err)
 	w.config.End(w.nextStart(now))
 }
 
-// HandleListReply takes in what a watch of the list brought.
+// HandleListReply handles the reply to a watch of the list.
 func (w *Watch) HandleListReply(now clock.Instant, e listing.Reply) {
 	w.Outage.Observe(now, e.Err)
 	if e.Err == nil {
@@ -86,7 +86,7 @@
 	}
 }
 
-// nextStart returns when the nextStart watch of one kind may begin.
+// nextStart returns the earliest time of the next watch of the same kind.
 func (w *Watch) nextStart(now clock.Instant) clock.Instant {
 	return now.Add(max(w.Options.WatchEvery, w.Outage.Wait(w.Rand)))
 }
--- a/core/own/lease/lease.go
+++ b/core/own/lease/lease.go
@@ -1,14 +1,14 @@
-// Package lease provides the holder's own view of a lease in the platform's
-// service.
+// Package lease provides the holder's view of a lease that the platform's key-value
+// service granted.
 //
-// The idea: a holder may believe in its lease only for as long as the platform
-// certainly does. Time is therefore counted from when the request that gained
-// or renewed it was sent, not from when the answer came; on the clock that ran
-// further, so that a suspended machine does not wake up believing; and less a
-// margin for clocks that run at different speeds.
+// A holder treats its lease as valid only while the platform is certain to do so. The
+// term is therefore counted from the time at which the request that acquired or renewed
+// the lease was sent, not from the arrival of the reply. It is counted on the clock that
+// advanced further, so that a machine that was suspended does not treat an expired lease
+// as valid. A margin is subtracted for clocks that run at different rates.
 //
-// Invariant: Valid(now) implies that no other holder has been granted the lease
-// by an instant as late as now, as long as clocks drift by less than Margin.
+// Invariant: Valid(now) implies that no other holder has been granted the lease by any
+// instant up to now, as long as the clocks' rates differ by less than DriftMargin.
 package lease
 
 import (
@@ -17,22 +17,23 @@
 	"github.com/birchdrift/birchdrift/core/clock"
 )
 
-// DriftMargin is the share of the term that is given up for clock drift.
+// DriftMargin is the fraction of the term that is subtracted to allow for clock drift.
 const DriftMargin = 0.1
 
 // A Lease is an immutable view of one lease.
 type Lease struct {
 	Term   time.Duration
 	fence  uint64
-	sentAt clock.Instant // when the last request that was granted was sent
+	sentAt clock.Instant // when the latest request that was granted was sent
 	held   bool
 }
 
 // New returns a lease that is not held.
 func New(term time.Duration) Lease { return Lease{Term: term} }
 
-// WithGrant returns l after a request sent at sent was granted under fence. A
-// grant under an older fence is stale and changes nothing.
+// WithGrant returns l after a request that was sent at sent was granted with the given
+// fence. A grant with an older fence, or an earlier one of the same fence, is stale and
+// changes nothing.
 func (l Lease) WithGrant(fence uint64, sent clock.Instant) Lease {
 	if fence < l.fence {
 		return l
@@ -46,14 +47,14 @@
 	return l
 }
 
-// WithLoss returns l after the platform said that another holds it, or after it
-// was released.
+// WithLoss returns l after the platform reported that another instance holds the lease,
+// or after the lease was released.
 func (l Lease) WithLoss() Lease {
 	l.held = false
 	return l
 }
 
-// Valid reports whether the lease is certainly still held at now.
+// Valid reports whether the lease is certain to be held at now.
 func (l Lease) Valid(now clock.Instant) bool {
 	if !l.held {
 		return false
@@ -62,15 +63,16 @@
 	return now.MaxElapsed(l.sentAt) < usable
 }
 
-// Held reports whether the lease was granted and never known to be lost; it may
-// have lapsed.
+// Held reports whether the lease was granted and has not been reported lost since. It may
+// have expired.
 func (l Lease) Held() bool { return l.held }
 
-// Fence returns the fence of the last grant, which outlives the lease: engines
-// that check fences refuse it as soon as a later holder has raised theirs.
+// Fence returns the fence of the latest grant. It remains set after the lease has ended:
+// engines that check fences reject it as soon as a later holder has raised theirs.
 func (l Lease) Fence() uint64 { return l.fence }
 
-// RenewDue reports whether a third of the term has passed since the last grant.
+// RenewDue reports whether the lease is held and a third of its term has passed since the
+// latest grant.
 func (l Lease) RenewDue(now clock.Instant) bool {
 	return l.held && now.MaxElapsed(l.sentAt) >= l.Term/3
 }
--- a/core/own/lease/lease_test.go
+++ b/core/own/lease/lease_test.go
@@ -12,11 +12,11 @@
 	"github.com/birchdrift/birchdrift/core/clock/clocktest"
 )
 
-// The draws are the same on every run; -rapid.seed=0 draws others.
+// The random draws are the same in every run; -rapid.seed=0 selects different ones.
 func init() { _ = flag.Set("rapid.seed", "1") }
 
-// TestLeaseInvalidAfterSuspend: the monotonic clock stood still while
-// the wall clock went on.
+// TestLeaseInvalidAfterSuspend checks that the lease expires by the wall clock when the
+// monotonic clock stood still because the machine was suspended.
 func TestLeaseInvalidAfterSuspend(t *testing.T) {
 	is := is.New(t)
 	sent := clocktest.At(time.Hour)
@@ -27,7 +27,8 @@
 	is.True(!l.Valid(woken))
 }
 
-// TestTermCountsFromRequest: an answer that came late adds no time.
+// TestTermCountsFromRequest checks that the term starts when the request is sent, so that
+// a late reply does not extend the lease.
 func TestTermCountsFromRequest(t *testing.T) {
 	is := is.New(t)
 	sent := clocktest.At(time.Hour)
@@ -35,8 +36,8 @@
 	is.True(!l.Valid(sent.Add(9 * time.Second)))
 }
 
-// TestOnlyOneHolderAtATime draws grants, renewals, lost answers and clock
-// jumps over two holders and a platform; both must never believe at once.
+// TestOnlyOneHolderAtATime draws grants, renewals, lost replies and suspends for two
+// holders of one platform lease. At no time may both treat the lease as valid.
 func TestOnlyOneHolderAtATime(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const term = 10 * time.Second
@@ -45,7 +46,7 @@
 		holder := -1
 		var expires time.Duration
 		views := []Lease{New(term), New(term)}
-		lag := make([]time.Duration, 2) // how far a monotonic clock is behind
+		lag := make([]time.Duration, 2) // how far each monotonic clock lags behind
 		at := func(i int) clock.Instant {
 			c := clocktest.At(now)
 			c.Mono -= lag[i]
@@ -77,7 +78,7 @@
 				lag[i] += d
 			}
 			if views[0].Valid(at(0)) && views[1].Valid(at(1)) {
-				t.Fatal("two holders believe at once")
+				t.Fatal("two holders treat the lease as valid at the same time")
 			}
 		}
 	})
--- a/core/own/meter/meter.go
+++ b/core/own/meter/meter.go
@@ -1,8 +1,8 @@
-// Package meter measures how much this instance's callers ask for each model and
-// adapter, in the product's own environment. Rates are exponentially weighted
-// over a short and a long window. The long one counts, for it is steady, until
-// the short one differs from it by more than chance explains: then demand has
-// moved, and the short one counts.
+// Package meter measures the demand of this instance's callers for each model and adapter
+// in the product's own environment. Rates are exponentially weighted over a short and a
+// long window. The rate of the long window is used because it is steadier, until the rate
+// of the short window differs from it by more than random variation explains: demand has
+// then shifted, and the rate of the short window is used.
 package meter
 
 import (
@@ -18,11 +18,11 @@
 const (
 	shortWindow = 10 * time.Second
 	longWindow  = 120 * time.Second
-	// minRate is the rate, in calls a second, below which an item is dropped.
+	// minRate is the rate in calls per second below which an item is dropped.
 	minRate = 1e-4
 )
 
-// A Meter measures the calls of one instance.
+// A Meter measures the demand of the calls at one instance.
 type Meter struct {
 	items map[string]*meterItem
 }
@@ -31,26 +31,27 @@
 	short, long float64       // decayed counts
 	weight      float64       // EWMA
 	holdTime    float64       // EWMA, seconds
-	firstCall   clock.Instant // of the first call
-	decayedAt   clock.Instant // of the last decay
-	lastCall    clock.Instant // of the last call
+	firstCall   clock.Instant // time of the first call
+	decayedAt   clock.Instant // time of the last decay
+	lastCall    clock.Instant // time of the last call
 	waiting     int
 	unmetSince  clock.Instant // zero while met
 	lastUnmet   clock.Instant
 }
 
-// New returns a meter that has seen no call.
+// New returns a meter that has recorded no call.
 func New() *Meter { return &Meter{items: map[string]*meterItem{}} }
 
 const (
 	// ewmaWeight is the weight of a new sample in a moving average.
 	ewmaWeight = 0.1
-	// defaultHoldTime is how long, in seconds, a call is believed to occupy its replica.
+	// defaultHoldTime is the time in seconds for which a call is assumed to occupy its
+	// replica until one was measured.
 	defaultHoldTime = 1.0
-	unmetTimeout    = 15 * time.Second // an unmet item counts as such this long after its last call
+	unmetTimeout    = 15 * time.Second // time after its last unmet call for which an item still counts as unmet
 )
 
-// RecordCall notes one call for item with the given weight.
+// RecordCall records one call for item with the given weight.
 func (m *Meter) RecordCall(now clock.Instant, item string, weight float64) {
 	it := m.items[item]
 	if it == nil {
@@ -64,14 +65,14 @@
 	it.weight += ewmaWeight * (weight - it.weight)
 }
 
-// RecordHoldTime notes how long a call for item occupied its replica.
+// RecordHoldTime records how long a call for item occupied its replica.
 func (m *Meter) RecordHoldTime(item string, d time.Duration) {
 	if it := m.items[item]; it != nil {
 		it.holdTime += ewmaWeight * (d.Seconds() - it.holdTime)
 	}
 }
 
-// MarkUnmet notes that a call found item not resident.
+// MarkUnmet records that a call found no copy of item.
 func (m *Meter) MarkUnmet(now clock.Instant, item string) {
 	it := m.items[item]
 	if it == nil {
@@ -83,14 +84,14 @@
 	it.lastUnmet = now
 }
 
-// MarkMet notes that item is resident.
+// MarkMet records that a copy of item serves calls.
 func (m *Meter) MarkMet(item string) {
 	if it := m.items[item]; it != nil {
 		it.unmetSince = clock.Instant{}
 	}
 }
 
-// SetWaiting sets the calls that wait for item.
+// SetWaiting sets the number of calls that wait for item.
 func (m *Meter) SetWaiting(item string, n int) {
 	if it := m.items[item]; it != nil {
 		it.waiting = n
@@ -107,15 +108,16 @@
 	it.decayedAt = now
 }
 
-// shiftThreshold is how many standard deviations of a Poisson count the short rate may
-// differ from the long one before demand is held to have moved.
+// shiftThreshold is the number of standard deviations of a Poisson count by which the
+// short rate may differ from the long one before demand counts as shifted.
 const shiftThreshold = 2.5
 
-// minAge keeps the first call of an item from counting as a flood.
+// minAge is the minimum age used for a rate, so that the first call of an item does not
+// count as a burst.
 const minAge = 5 * time.Second
 
-// rate returns the calls a second, corrected for how short a time the item has
-// been known.
+// rate returns the calls per second, corrected for items that have been known for less
+// than a window.
 func (it *meterItem) rate(now clock.Instant) float64 {
 	age := max(now.Since(it.firstCall), minAge)
 	steady := it.long / effectiveWindow(longWindow, age)
@@ -126,12 +128,14 @@
 	return steady
 }
 
-// effectiveWindow returns the seconds that a decayed count stands for at an age.
+// effectiveWindow returns the seconds that the decayed count of window w covers for an
+// item of the given age.
 func effectiveWindow(w, age time.Duration) float64 {
 	return w.Seconds() * (1 - math.Exp(-float64(age)/float64(w)))
 }
 
-// Demand returns the demand at now by name, and drops what is no longer asked for.
+// Demand returns the demand at now, sorted by name, and drops the items that are no
+// longer in demand.
 func (m *Meter) Demand(now clock.Instant) []demand.Item {
 	var items []demand.Item
 	for name, it := range m.items {
--- a/core/own/modelcalls/attempts.go
+++ b/core/own/modelcalls/attempts.go
@@ -11,9 +11,9 @@
 	"github.com/birchdrift/birchdrift/core/pool"
 )
 
-// What becomes of a call once it is sent: its attempts and its end.
+// This file handles the attempts of a call and its end.
 
-// CancelSequence is an action: tell a replica to drop a call's sequence.
+// CancelSequence is an action: tell a replica to cancel a call's sequence.
 type CancelSequence struct {
 	ID      calls.ID
 	Attempt int
@@ -24,10 +24,10 @@
 // IsAction implements step.Action.
 func (CancelSequence) IsAction() {}
 
-// cancel tells an engine to drop the call's sequence; a plain service has none.
+// cancel tells an engine to cancel the call's sequence. A plain service has no sequences.
 func (h *Handler) cancel(c *calls.Call, r *pool.Replica) {
 	if c.Plain {
-		return // closing the connection is all there is
+		return // closing the connection is sufficient
 	}
 	h.Out.Emit(CancelSequence{ID: c.ID, Attempt: c.History.Attempts, Replica: r.Name, Address: r.Address})
 }
@@ -51,7 +51,8 @@
 	h.Meter.RecordHoldTime(stateOf(c).version.Model, held)
 }
 
-// handleAttemptFailed decides what follows an attempt that did not come to its proper end.
+// handleAttemptFailed decides whether a call is resumed, retried or failed after a failed
+// attempt.
 func (h *Handler) handleAttemptFailed(now clock.Instant, c *calls.Call, e calls.AttemptFailed) {
 	h.updateReplica(now, c, e)
 	c.History = c.History.WithFailure(e.Phase)
@@ -71,7 +72,7 @@
 	}
 }
 
-// updateReplica takes in what an attempt that failed says of its replica.
+// updateReplica records what a failed attempt reveals about its replica.
 func (h *Handler) updateReplica(now clock.Instant, c *calls.Call, e calls.AttemptFailed) {
 	if e.Leaving {
 		h.Pool.ObserveLeaving(c.Replica)
@@ -89,7 +90,7 @@
 		return
 	}
 	if e.Phase == attempt.NotSent && c.Item != "" {
-		h.Meter.MarkUnmet(now, c.Item) // resident, but not within reach
+		h.Meter.MarkUnmet(now, c.Item) // resident, but unreachable
 	}
 	h.Pool.CallFailed(now, r, uint64(c.ID), c.Started)
 }
@@ -126,7 +127,8 @@
 	h.findReplica(now, c)
 }
 
-// cancelFailedAttempt frees the sequence that a broken attempt may have left behind.
+// cancelFailedAttempt cancels the sequence that a failed attempt may have left at its
+// replica.
 func (h *Handler) cancelFailedAttempt(c *calls.Call, e calls.AttemptFailed) {
 	r := h.Pool.Get(c.Replica)
 	if r == nil || e.Phase == attempt.NotSent || e.Phase == attempt.Refused {
@@ -135,7 +137,8 @@
 	h.cancel(c, r)
 }
 
-// maxRefusals bounds how often a call follows refusals from replica to replica.
+// maxRefusals is the number of attempts after which a call that was refused again is not
+// retried.
 const maxRefusals = 6
 
 func (h *Handler) fail(c *calls.Call, e calls.AttemptFailed) {
--- a/core/own/modelcalls/claims.go
+++ b/core/own/modelcalls/claims.go
@@ -11,16 +11,16 @@
 	"github.com/birchdrift/birchdrift/core/outage"
 )
 
-// A ClaimOutcome is what came of a claim.
+// A ClaimOutcome is the outcome of a claim request.
 type ClaimOutcome int
 
 // The outcomes of a claim.
 const (
 	ClaimWon     ClaimOutcome = iota + 1 // this call holds the claim
 	ClaimLost                            // another call holds it
-	ClaimAbsent                          // reading back found none
+	ClaimAbsent                          // reading it back found no claim
 	ClaimUnknown                         // the answer was lost
-	ClaimNotSent                         // the request certainly never left
+	ClaimNotSent                         // the request was certainly not sent
 )
 
 type (
@@ -35,8 +35,7 @@
 		ID  calls.ID
 		Key string
 	}
-	// ReleaseClaim is an action: give up a claim whose call certainly did not
-	// run.
+	// ReleaseClaim is an action: release the claim of a call that certainly did not run.
 	ReleaseClaim struct {
 		ID  calls.ID
 		Key string
@@ -60,20 +59,21 @@
 // IsEvent implements step.Event.
 func (ClaimReply) IsEvent() {}
 
-// maxClaimRequests is how many requests are sent for one claim before it is given up.
+// maxClaimRequests is the number of requests sent for one claim before the call is
+// refused.
 const maxClaimRequests = 6
 
-// claimKey names the claim of a caller's idempotency key for one service. The
-// parts are hashed with their lengths fixed by the separator, which no name
-// and no header value can hold.
+// claimKey returns the store key of the claim for a caller's idempotency key and a
+// service. The parts are hashed with a separator that no name and no header value can
+// contain, so that different parts never give the same input.
 func claimKey(caller, service, key string) string {
 	sum := sha256.Sum256([]byte(caller + "\x00" + service + "\x00" + key))
 	return "claim/" + hex.EncodeToString(sum[:])
 }
 
-// claim asks the platform for the call's idempotency key. While the platform
-// is known to be down the call is refused at once: it has not run, and holding
-// it would help nobody.
+// claim requests the call's idempotency key from the platform. If the platform is known
+// to be down, the call is refused immediately: it has not run, and there is no benefit in
+// holding it.
 func (h *Handler) claim(c *calls.Call) {
 	s := stateOf(c)
 	if h.Outage.Down() {
@@ -85,7 +85,7 @@
 	h.Out.Emit(Claim{ID: c.ID, Key: s.claimKey, Life: h.Options.ClaimLife})
 }
 
-// HandleClaimReply takes in what came of a claim, or of reading one back.
+// HandleClaimReply handles the reply to a Claim or a ReadClaim.
 func (h *Handler) HandleClaimReply(now clock.Instant, e ClaimReply) {
 	c := h.Calls.Get(e.ID)
 	if c == nil || c.Phase != calls.ClaimingKey {
@@ -97,7 +97,7 @@
 		c.Phase = calls.Waiting
 		h.findReplica(now, c)
 	case ClaimLost:
-		s.claimKey = "" // another's; not ours to release
+		s.claimKey = "" // held by another call, so it must not be released
 		h.Calls.Refuse(c, calls.NotRunRefusal(code.KeyClaimed, "another call with this key was accepted earlier", 0))
 	case ClaimUnknown:
 		h.readClaim(c)
@@ -106,7 +106,8 @@
 	}
 }
 
-// readClaim finds out whether a claim whose answer was lost took effect.
+// readClaim reads the claim back to find out whether a request whose answer was lost took
+// effect.
 func (h *Handler) readClaim(c *calls.Call) {
 	s := stateOf(c)
 	if s.claimRequests >= maxClaimRequests {
@@ -117,8 +118,8 @@
 	h.Out.Emit(ReadClaim{ID: c.ID, Key: s.claimKey})
 }
 
-// retryClaim repeats the claim. A first request that is still on its way can
-// do no harm: it carries the same value, so reading back recognises it.
+// retryClaim sends the claim again. An earlier request that is still in flight does no
+// harm: it writes the same value, so reading it back recognizes it.
 func (h *Handler) retryClaim(c *calls.Call) {
 	s := stateOf(c)
 	if s.claimRequests >= maxClaimRequests {
@@ -132,8 +133,8 @@
 	h.Calls.Refuse(c, calls.NotRunRefusal(code.PlatformDown, "the idempotency key could not be claimed", h.Calls.RetryAfter(outage.DefaultMaxRetryDelay)))
 }
 
-// releaseClaim gives up the claim of a call that certainly did not run, so
-// that the caller may come back with the same key.
+// releaseClaim releases the claim of a call that certainly did not run, so that the
+// caller may use the same key again.
 func (h *Handler) releaseClaim(c *calls.Call) {
 	s := stateOf(c)
 	if s.claimKey == "" || s.claimRequests == 0 {
--- a/core/own/modelcalls/decisions.go
+++ b/core/own/modelcalls/decisions.go
@@ -24,13 +24,13 @@
 	WaitedMS float64   `json:"waited_ms"`
 }
 
-// decisionRing is a ring of the latest choices.
+// A decisionRing is a ring buffer of the latest decisions.
 type decisionRing struct {
 	ring []Decision
 	next int
 }
 
-// maxDecisions is how many choices are kept for operators.
+// maxDecisions is the number of decisions that are kept for operators.
 const maxDecisions = 256
 
 func (d *decisionRing) add(now clock.Instant, c *calls.Call, e choose.Estimate) {
@@ -58,5 +58,5 @@
 
 func millis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// RecentDecisions returns the latest choices.
+// RecentDecisions returns the latest decisions.
 func (h *Handler) RecentDecisions() []Decision { return h.decisions.ring }
--- a/core/own/modelcalls/modelcalls.go
+++ b/core/own/modelcalls/modelcalls.go
@@ -1,11 +1,10 @@
-// Package modelcalls serves the calls of the product's own interface: chat and
-// completion calls of a service's model, and calls under /services/. Only the
-// product's own environment runs it; forwarded calls are served by
-// core/forwarding.
+// Package modelcalls serves the calls of the product's own interface: chat and completion
+// calls of a service's model, and calls under /services/. Only the product's own
+// environment uses it; core/forwarding serves forwarded calls.
 //
-// A call is admitted by its caller's key and the service's policy, may claim an
-// idempotency key, goes to the replica that should answer it first, and is
-// resumed or sent again where that is harmless.
+// A call is admitted according to its caller's key and the service's policy. It may claim
+// an idempotency key. It is sent to the replica with the lowest expected time to first
+// token, and resumed or retried after a failure if that cannot do harm.
 package modelcalls
 
 import (
@@ -27,13 +26,14 @@
 )
 
 const (
-	// resumeInterval spaces the resumes of one broken stream.
+	// resumeInterval is the time added to the delay before each further resume of one
+	// broken stream.
 	resumeInterval = 50 * time.Millisecond
 	// neutralPriority is the priority at which a call's weight is 1.
 	neutralPriority = 50.0
 )
 
-// Deps are what the handler needs of the other modules.
+// Deps are the modules and functions that the handler needs.
 type Deps struct {
 	shared.State
 
@@ -41,34 +41,34 @@
 	Budget  *retrybudget.Budget
 	Chooser *choose.Chooser
 	Meter   *meter.Meter
-	// Unmet is called when a call found its item resident nowhere.
+	// Unmet is called when no usable replica has a call's item ready.
 	Unmet func(now clock.Instant)
 }
 
-// A Handler serves calls of the own interface.
+// A Handler serves calls of the product's own interface.
 type Handler struct {
 	Deps
 	handlers     calls.Handlers
-	candidateBuf []*pool.Replica // what candidates returned last
+	candidateBuf []*pool.Replica // buffer of the slice that candidates returns
 	decisions    decisionRing
 }
 
-// A state is what a call of the own interface has beside what every call has.
+// A state holds the fields of a call that are specific to the product's own interface.
 type state struct {
 	service       config.Service
 	version       config.Version
-	prefillRate   int // tokens a second
+	prefillRate   int // tokens per second
 	loadTime      time.Duration
 	caller        string
 	decision      policy.Decision
-	failedReplica string // replica that failed it last
-	claimKey      string
-	claimRequests int // claim requests sent
+	failedReplica string // replica on which the call last failed
+	claimKey      string // store key of the call's claim; "" if it has none
+	claimRequests int    // number of claim requests sent
 }
 
 func stateOf(c *calls.Call) *state { return c.State.(*state) }
 
-// New returns a handler that has seen no call.
+// New returns a handler without calls.
 func New(n Deps) *Handler {
 	h := &Handler{Deps: n}
 	h.handlers = calls.Handlers{
@@ -85,8 +85,8 @@
 	return h
 }
 
-// Arrive takes a call in, or refuses it. refusing says that this instance takes
-// no more calls since it stops.
+// Arrive admits a new call or refuses it. refusing reports whether this instance is
+// stopping and accepts no more calls.
 func (h *Handler) Arrive(now clock.Instant, r calls.Request, refusing bool) {
 	c := &calls.Call{Request: r, Kind: &h.handlers, State: &state{}, Arrived: now, Phase: calls.Waiting}
 	if refusal, ok := h.admit(now, c, refusing); !ok {
@@ -102,8 +102,8 @@
 	h.findReplica(now, c)
 }
 
-// admit fills in what the configuration and the policy say of the call, or
-// returns why it is refused. Nothing has been sent anywhere at this point.
+// admit fills in the call's settings from the configuration and the policy. If the call
+// is not admitted, it returns the refusal and false. Nothing has been sent at this point.
 func (h *Handler) admit(now clock.Instant, c *calls.Call, refusing bool) (code.Refusal, bool) {
 	if refusal, ok := calls.CheckAdmission(refusing, h.Config.Loaded()); !ok {
 		return refusal, false
@@ -127,7 +127,8 @@
 	return h.applyPolicy(now, c)
 }
 
-// resolveVersion picks the version and works out whether the call may be repeated.
+// resolveVersion selects the service's version for the call and determines whether the
+// call is repeatable.
 func (h *Handler) resolveVersion(c *calls.Call) {
 	s := stateOf(c)
 	repeatable := s.service.MayRepeat(c.Path) && !c.NotRepeatable
@@ -149,7 +150,8 @@
 	}
 }
 
-// applyPolicy asks the service's policy about the call.
+// applyPolicy evaluates the service's policy for the call and records the call's demand.
+// If the policy refuses the call, it returns the refusal and false.
 func (h *Handler) applyPolicy(now clock.Instant, c *calls.Call) (code.Refusal, bool) {
 	s := stateOf(c)
 	s.decision = policy.Decision{Priority: config.DefaultPriority, Wait: h.Options.DefaultWait}
@@ -183,7 +185,7 @@
 	return code.Refusal{}, true
 }
 
-// zoneLoad returns the share of the zone's sequences in use.
+// zoneLoad returns the share of the sequences of the zone's engines that are in use.
 func (h *Handler) zoneLoad(now clock.Instant) float64 {
 	var used, all float64
 	for _, r := range h.Pool.All() {
--- a/core/own/modelcalls/place.go
+++ b/core/own/modelcalls/place.go
@@ -11,10 +11,10 @@
 	"github.com/birchdrift/birchdrift/core/pool"
 )
 
-// How a call that was taken in finds its replica, or waits for one.
+// This file selects the replica of an admitted call, or queues the call.
 
-// candidates returns the replicas that can serve the call. The slice is valid
-// until the next call of candidates.
+// candidates returns the replicas that can serve the call. The slice is valid until the
+// next call of candidates.
 func (h *Handler) candidates(now clock.Instant, c *calls.Call) []*pool.Replica {
 	s := stateOf(c)
 	if c.Plain {
@@ -22,9 +22,9 @@
 	}
 	h.candidateBuf = h.candidateBuf[:0]
 	for _, r := range h.Pool.Ready(c.Item) {
-		// An adapter is through long before its model, which is what an
-		// engine that is asked then refuses for; and what has just refused an
-		// item answers fastest, so it would draw every call if it counted.
+		// An adapter is loaded long before its model, and the engine refuses calls until
+		// the model is ready too. A replica that has just refused the item is excluded as
+		// well: refusals are the fastest answers, so it would attract every call.
 		if r.Phase(s.version.Model) == pool.Ready && !r.Refusing(now, c.Item) {
 			h.candidateBuf = append(h.candidateBuf, r)
 		}
@@ -32,7 +32,7 @@
 	return h.candidateBuf
 }
 
-// findReplica sends the call to the best replica, or lets it wait, or refuses it.
+// findReplica sends the call to the best replica, queues it, or refuses it.
 func (h *Handler) findReplica(now clock.Instant, c *calls.Call) {
 	s := stateOf(c)
 	q := choose.Query{
@@ -55,7 +55,7 @@
 	}
 }
 
-// handleNoReplica deals with a call that no usable replica can serve.
+// handleNoReplica queues or refuses a call that no usable replica can serve.
 func (h *Handler) handleNoReplica(now clock.Instant, c *calls.Call) {
 	s := stateOf(c)
 	if c.Plain {
@@ -92,8 +92,8 @@
 	return d
 }
 
-// countWaiting counts the calls that go on waiting for an item that no replica
-// has, by which the planner makes room.
+// countWaiting counts the waiting calls whose item no replica has ready. The planner uses
+// the numbers to decide for which items to free memory.
 func (h *Handler) countWaiting(now clock.Instant, waiting []*calls.Call) {
 	absent := map[string]int{}
 	for _, c := range waiting {
--- a/core/own/plan/place.go
+++ b/core/own/plan/place.go
@@ -10,13 +10,13 @@
 // An option is one way to place a missing copy.
 type option struct {
 	engine     *engine
-	loads      []Item     // base first
-	victims    []Resident // adapters before their models
-	cost       float64    // value of what is dropped
-	sameDomain int        // copies in the same failure domain
+	loads      []Item     // items to load, base model first
+	victims    []Resident // items to unload, adapters before their models
+	cost       float64    // total value of the items to unload
+	sameDomain int        // number of copies in the same failure domain
 }
 
-// place gives the orders for the best option that pays.
+// place adds the steps of the best option, if its value justifies its cost.
 func (p *planner) place(w missingCopy) {
 	best, ok := p.bestOption(w)
 	if !ok {
@@ -28,8 +28,9 @@
 	}
 	pays := w.value > hysteresis*best.cost+p.in.MoveCost*moves
 	if len(best.victims) > 0 && !pays {
-		// One at a time: what starves and does not pay is what few ask for,
-		// and it may take the place of one popular item, not of many.
+		// Only one such item is served at a time. An item that is starving although its
+		// value justifies no unload has little demand; it may replace one popular item,
+		// but not many.
 		if !w.starving || p.starvingServed || !p.in.Starve {
 			return
 		}
@@ -43,6 +44,7 @@
 	p.load(best, w)
 }
 
+// load adds the loads of an option that needs no unloads.
 func (p *planner) load(o option, w missingCopy) {
 	for _, it := range o.loads {
 		if p.loadsLeft <= 0 {
@@ -59,8 +61,9 @@
 	}
 }
 
-// unload gives the unloads; the loads follow in a later plan, when the engine
-// says that the memory is free. The room is kept from less valuable copies until then.
+// unload adds the unloads of an option. The loads follow in a later plan, when the engine
+// reports that the memory is free. Until then the memory is not available to less
+// valuable copies.
 func (p *planner) unload(o option, w missingCopy) {
 	for _, v := range o.victims {
 		it := p.in.Items[v.Name]
@@ -72,7 +75,7 @@
 		}
 		p.steps = append(p.steps, Step{Op: book.Unload, Engine: o.engine.Name, Item: v.Name, MiB: it.MiB, Starving: w.ignoresCost})
 	}
-	p.loadsLeft-- // the load this makes room for
+	p.loadsLeft-- // reserved for the load that follows
 	for _, it := range o.loads {
 		o.engine.Free -= it.MiB
 		o.engine.residents[it.Name] = &Resident{Name: it.Name}
@@ -80,6 +83,7 @@
 	}
 }
 
+// bestOption returns the best way to place the missing copy, if there is one.
 func (p *planner) bestOption(w missingCopy) (option, bool) {
 	var best option
 	found := false
@@ -96,8 +100,9 @@
 	return best, found
 }
 
-// better prefers what drops less, then other failure domains, then the engine
-// with more left over, then the name.
+// better reports whether o is preferred to than: it unloads less value, needs fewer
+// loads, has fewer copies in its failure domain, leaves more memory free, or has the
+// lower engine name, in this order.
 func (o option) better(than option) bool {
 	if len(o.victims) == 0 != (len(than.victims) == 0) {
 		return len(o.victims) == 0
@@ -117,7 +122,7 @@
 	return o.engine.Name < than.engine.Name
 }
 
-// optionOn returns how the missing copy could be placed on e, if it can.
+// optionOn returns how the missing copy could be placed on e, if that is possible.
 func (p *planner) optionOn(e *engine, w missingCopy) (option, bool) {
 	if _, here := e.residents[w.item]; here {
 		return option{}, false
@@ -127,7 +132,7 @@
 	if it.Base != "" {
 		base, here := e.residents[it.Base]
 		if here && base.Since == 0 && !base.Settled {
-			// The base is on its way in; its adapters follow it.
+			// The base model is being loaded; its adapters are loaded after it.
 			here = true
 		}
 		if !here {
@@ -148,7 +153,7 @@
 	return p.withVictims(o, it.Base, need-e.Free, w)
 }
 
-// copiesInDomain counts the copies of item on engines that share e's failure domain.
+// copiesInDomain counts the copies of item on engines in the same failure domain as e.
 func (p *planner) copiesInDomain(e *engine, item string) int {
 	n := 0
 	for _, other := range p.engines {
@@ -159,14 +164,14 @@
 	return n
 }
 
-// A victim is what could make way together.
+// A victim is a group of items that can only be unloaded together.
 type victim struct {
 	group []Resident // a model with its adapters, or one adapter
 	mib   int64
 	value float64
 }
 
-// before orders victims by their value for the memory that they take.
+// before orders victims by value per memory, the lowest first.
 func (v victim) before(w victim) bool {
 	a, b := v.value/float64(v.mib), w.value/float64(w.mib)
 	if a != b {
@@ -175,12 +180,13 @@
 	return v.group[len(v.group)-1].Name < w.group[len(w.group)-1].Name
 }
 
-// withVictims adds the cheapest residents whose dropping frees enough.
+// withVictims adds to o the residents with the lowest value per memory whose unloading
+// frees need MiB. It never unloads the model keep.
 func (p *planner) withVictims(o option, keep string, need int64, w missingCopy) (option, bool) {
 	var candidates []victim
 	for name, r := range o.engine.residents {
 		if name == keep || p.in.Items[name].Base != "" && p.in.Items[name].Base != keep {
-			continue // an adapter goes with its model, unless the model stays
+			continue // unloaded with its model, unless the model is kept
 		}
 		group := p.group(o.engine, r)
 		c := victim{group: group}
@@ -206,7 +212,7 @@
 	return o, need <= 0
 }
 
-// minStay returns how long an item must have been there to be dropped for w.
+// minStay returns how long an item must have been resident to be unloaded for w.
 func (p *planner) minStay(w missingCopy) time.Duration {
 	if w.starving {
 		return min(starvingStay, p.in.MinimumStay)
@@ -214,7 +220,7 @@
 	return p.in.MinimumStay
 }
 
-// group returns the adapters of a model on the engine, then the model.
+// group returns the adapters of a model on the engine, followed by the model.
 func (p *planner) group(e *engine, r *Resident) []Resident {
 	var group []Resident
 	if e.adapters[r.Name] > 0 {
--- a/core/own/plan/plan.go
+++ b/core/own/plan/plan.go
@@ -1,15 +1,17 @@
-// Package plan provides the residency plan of one availability zone: which
-// models and adapters should be loaded on, or dropped from, which engine.
+// Package plan computes the residency plan of one availability zone: which models and
+// adapters should be loaded on, or unloaded from, which engine.
 //
-// The idea: a copy of an item is worth the calls that would miss their target
-// without it over a horizon, weighted by policy. A step is taken only when what
-// it gains exceeds what it drops, by a margin, plus the cost that operators set
-// for a move. Noise therefore moves nothing, and a demand that has nowhere to
-// go grows in value the longer it is unmet, so nothing starves.
+// The value of a copy of an item is the number of calls within a horizon that would miss
+// their latency target without the copy, weighted by policy. A step is taken only if the
+// value that it adds exceeds the value of what it unloads by a margin, plus the move cost
+// that operators configure. Small fluctuations in demand therefore move nothing. The
+// value of demand that no copy serves grows with the time for which it is unmet, so that
+// no item starves.
 //
-// Invariants: Steps never asks for more memory than an engine has free; it
-// drops an adapter before its model; it drops no item within its minimum stay,
-// or a shorter one when another has been unmet for longer than Starving.
+// Invariants: Steps never requests more memory than an engine has free. It unloads an
+// adapter before its model. It unloads no item before its minimum stay has passed; a
+// shorter stay applies if another item has been unmet for longer than
+// StarvationThreshold.
 package plan
 
 import (
@@ -21,47 +23,52 @@
 	"github.com/birchdrift/birchdrift/core/own/book"
 )
 
-// Tunables of the plan.
+// Parameters of the plan.
 const (
-	// DemandHorizon is how far ahead a copy's value is counted.
+	// DemandHorizon is the time over which the value of a copy is counted.
 	DemandHorizon = 60 * time.Second
-	// StarvationThreshold is how long an item may be unmet before it goes ahead of all else, whatever its
-	// value; the stated bound of reachability builds on it.
+	// StarvationThreshold is the time after which an unmet item takes precedence over all
+	// others, whatever its value. The documented bound on the time until a model is
+	// reachable depends on it.
 	StarvationThreshold = 6 * time.Second
-	// hysteresis is the factor by which a new copy must exceed the value of what it replaces.
+	// hysteresis is the factor by which the value of a new copy must exceed the value of
+	// the copies that it replaces.
 	hysteresis = 1.3
 	// targetUtilization is the share of an engine's sequences that one copy should use.
 	targetUtilization = 0.7
-	// spareValue is the value left to a copy beyond those that demand needs.
+	// spareValue is the share of its value that a copy keeps beyond those that the demand
+	// needs.
 	spareValue = 0.02
-	// remoteValue is the share of its value left when another zone has a copy: the
-	// way there costs a millisecond or two of a target of hundreds.
+	// remoteValue is the share of its value that a copy keeps if another zone has one: a
+	// call to another zone takes a millisecond or two longer, of a latency target of
+	// hundreds.
 	remoteValue = 0.02
-	// starvingStay is how long even an item dropped for a starving one stays,
-	// so that the calls that waited for it are served.
+	// starvingStay is the minimum time for which an item stays resident even when it is
+	// unloaded for a starving one, so that the calls that waited for it are served.
 	starvingStay = 4 * time.Second
-	// assignedValue is the value of an item nobody asks for, in the zone that it is
+	// assignedValue is the value of an item without demand in the zone that it is
 	// assigned to.
 	assignedValue = 0.05
-	// unmetValuePerSecond is added for each second that calls have found it absent.
+	// unmetValuePerSecond is the value added for each second for which calls have found
+	// no copy of the item.
 	unmetValuePerSecond = 0.5
 )
 
-// An Item is a model or adapter that may be placed.
+// An Item is a model or an adapter that may be placed.
 type Item struct {
 	Name string
-	Base string // model of an adapter, "" for a model
+	Base string // the adapter's model; "" for a model
 	MiB  int64
 }
 
 // A Resident is an item on an engine.
 type Resident struct {
 	Name    string
-	Since   time.Duration // how long it has been there
-	Settled bool          // ready and free to be dropped
+	Since   time.Duration // how long it has been resident
+	Settled bool          // ready, and may be unloaded
 }
 
-// An Engine is one engine of the zone, as the ledger has it.
+// An Engine is an engine of the zone as recorded in its ledger.
 type Engine struct {
 	Name      string
 	Domain    string
@@ -69,45 +76,46 @@
 	Free      int64 // MiB
 	Capacity  int64 // MiB
 	Residents []Resident
-	Usable    bool // not leaving, state known
+	Usable    bool // not leaving, state known, and orders may be sent to it
 }
 
-// An Input is all that a plan depends on.
+// An Input is everything that a plan depends on.
 type Input struct {
 	Engines []Engine
 	Items   map[string]Item
 	Demand  []demand.Item
-	// Elsewhere counts the copies ready in other zones that can be reached.
+	// Elsewhere counts the ready copies in other zones that are reachable.
 	Elsewhere map[string]int
-	// Covered counts those of them in zones that come before this one for the
-	// item. A copy here may be dropped on the strength of these only: of two
-	// zones that each have a copy, at most one may rely on the other's.
+	// Covered counts those copies in Elsewhere whose zones rank before this one for the
+	// item. Only these allow a copy here to be unloaded: of two zones with a copy each,
+	// at most one may rely on the copy of the other.
 	Covered map[string]int
-	// Assigned holds the items that this zone should hold though nobody asks.
+	// Assigned holds the items that this zone keeps resident without demand.
 	Assigned map[string]bool
-	// Leads reports whether a first copy of the item is this zone's to place,
-	// of all zones that can be reached. nil means every item is.
+	// Leads reports whether this zone, among all reachable zones, places the first copy
+	// of the item. If it is nil, this zone does so for every item.
 	Leads func(item string) bool
-	// Starve says that room may be made for one starving item now.
+	// Starve reports whether memory may be freed now for one starving item whatever that
+	// costs.
 	Starve      bool
 	MoveCost    float64
 	MinimumStay time.Duration
-	Loads       int // loads that may be begun now
+	Loads       int // how many loads may start now
 }
 
-// A Step is one order that the plan asks for.
+// A Step is one order that the plan requests.
 type Step struct {
 	Op     book.Op
 	Engine string
 	Item   string
 	MiB    int64
-	// Starving says that the step makes room for a starving item, whatever
-	// that costs.
+	// Starving reports that the step frees memory for a starving item whatever that
+	// costs.
 	Starving bool
 }
 
-// Steps returns the orders to give now. A load that needs room yields the
-// unloads first and is asked for again once the room is there.
+// Steps returns the orders to send now. For a load that needs memory to be freed it
+// returns the unloads; a later plan returns the load when the memory is free.
 func Steps(in Input) []Step {
 	p := newPlanner(in)
 	for _, w := range p.missingCopies() {
@@ -119,32 +127,32 @@
 	return p.steps
 }
 
-// A missingCopy is a copy that is to be placed.
+// A missingCopy is a copy that should be placed.
 type missingCopy struct {
 	item        string
 	value       float64
 	starving    bool
-	ignoresCost bool // room is made for it though that does not pay
-	optional    bool // a second copy against the loss of the first, where there is room
+	ignoresCost bool // other items are unloaded for it although its value does not justify that
+	optional    bool // a second copy in case the first is lost, placed only in free memory
 }
 
-// A planner holds one plan in the making.
+// A planner computes one plan.
 type planner struct {
 	in             Input
 	demand         map[string]demand.Item
 	copies         map[string]int
 	engines        []*engine
 	steps          []Step
-	loadsLeft      int
-	starvingServed bool // room is being made for a starving item
+	loadsLeft      int  // loads that may still start
+	starvingServed bool // memory is being freed for a starving item
 }
 
-// An engine is an Engine as the plan has changed it so far.
+// An engine is an Engine with the changes of the plan so far applied.
 type engine struct {
 	Engine
 	residents  map[string]*Resident
-	adapters   map[string]int // adapters present, by model
-	freeingMiB int64          // MiB that planned unloads will free
+	adapters   map[string]int // number of resident adapters, by model
+	freeingMiB int64          // memory that the planned unloads will free
 }
 
 func newPlanner(in Input) *planner {
@@ -179,8 +187,8 @@
 	return out
 }
 
-// copyValue returns what the copy number n of an item (1 for the first) gains in
-// this zone when so many copies elsewhere can be relied on.
+// copyValue returns the value that the n-th copy of an item (1 for the first) adds in
+// this zone if it can rely on remote copies in other zones.
 func (p *planner) copyValue(item string, n, remote int) float64 {
 	d, asked := p.demand[item]
 	if !asked {
@@ -196,7 +204,7 @@
 	others := float64(n - 1 + remote)
 	needed := p.neededCopies(item)
 	if others < needed {
-		// The share of the demand that the other copies cannot carry.
+		// The share of the demand that the other copies cannot serve.
 		return calls * min(1, (needed-others)/needed)
 	}
 	if n == 1 {
@@ -205,6 +213,7 @@
 	return spareValue * calls
 }
 
+// idleValue returns the value of the n-th copy of an item without demand.
 func (p *planner) idleValue(item string, n int) float64 {
 	if n == 1 && p.in.Assigned[item] {
 		return assignedValue
@@ -212,7 +221,7 @@
 	return 0
 }
 
-// neededCopies returns how many copies the demand fills, as a fraction.
+// neededCopies returns the number of copies that the demand requires, as a fraction.
 func (p *planner) neededCopies(item string) float64 {
 	d := p.demand[item]
 	sequences := 1
@@ -222,7 +231,8 @@
 	return d.Concurrent / (targetUtilization * float64(sequences))
 }
 
-// missingCopies returns the missingCopies copies, the most valuable first.
+// missingCopies returns the copies to place, in descending order of priority: first those
+// of starving items, last the optional ones, and by value within each group.
 func (p *planner) missingCopies() []missingCopy {
 	var missing []missingCopy
 	for name, it := range p.in.Items {
@@ -263,4 +273,5 @@
 	return missing
 }
 
+// placesFirstCopy reports whether this zone places the first copy of the item.
 func (p *planner) placesFirstCopy(item string) bool { return p.in.Leads == nil || p.in.Leads(item) }
--- a/core/own/plan/plan_test.go
+++ b/core/own/plan/plan_test.go
@@ -10,7 +10,8 @@
 	"github.com/birchdrift/birchdrift/core/own/book"
 )
 
-// input is one engine with room for two models, both of which are resident.
+// input returns the input for one engine that has space for two models, both of which are
+// resident.
 func input(demands ...demand.Item) Input {
 	return Input{
 		Items: map[string]Item{"a": {Name: "a", MiB: 10}, "b": {Name: "b", MiB: 10}, "c": {Name: "c", MiB: 10}},
@@ -38,8 +39,8 @@
 		{"much more takes the place of the least", input(asked("a", 1, 0), asked("b", 0.5, 0), asked("c", 3, 0)), nil, "unload b"},
 		{"a higher move cost moves nothing", input(asked("a", 1, 0), asked("b", 0.5, 0), asked("c", 3, 0)), func(in *Input) { in.MoveCost = 200 }, ""},
 		{"not within the minimum stay", input(asked("a", 9, 0), asked("b", 0.5, 0), asked("c", 3, 0)), func(in *Input) { in.Engines[0].Residents[1].Since = time.Second }, ""},
-		// One that starves and pays does not have to wait for its turn among
-		// those that starve and do not: it once did.
+		// A starving item whose value justifies the unload need not wait for Starve,
+		// which only limits starving items whose value does not. It once had to wait.
 		{"starving and worth it", input(asked("a", 1, 0), asked("b", 0.5, 0), asked("c", 3, time.Minute)), nil, "unload b"},
 		{"starving, not worth it, not its turn", input(asked("a", 9, 0), asked("b", 9, 0), asked("c", 0.1, 7*time.Second)), nil, ""},
 		{"starving, not worth it, its turn", input(asked("a", 9, 0), asked("b", 8, 0), asked("c", 0.1, 7*time.Second)), func(in *Input) { in.Starve = true }, "unload b"},
@@ -66,8 +67,8 @@
 	}
 }
 
-// TestAdaptersGoBeforeTheirModel: an engine refuses to drop a model that an
-// adapter is on.
+// TestAdaptersGoBeforeTheirModel checks that adapters are unloaded before their model,
+// since an engine refuses to unload a model with adapters.
 func TestAdaptersGoBeforeTheirModel(t *testing.T) {
 	is := is.New(t)
 	in := input(asked("a", 9, 0), asked("b", 0.1, 0), asked("c", 3, 0))
--- a/core/own/planner/demand.go
+++ b/core/own/planner/demand.go
@@ -8,14 +8,15 @@
 	"github.com/birchdrift/birchdrift/core/member"
 )
 
-// How planners hear of demand: from the instances of their zone, and from the
-// planners of zones that live on their copies.
+// This file carries demand to planners: from the instances of their zone, and from the
+// planners of other zones that use their copies.
 
-// unmetReportInterval spaces the words to the planner about unmet demand. Without them a
-// call for a cold model would wait for the planner's turn in the rhythm.
+// unmetReportInterval is the minimum time between two reports of unmet demand to a
+// planner. Without these reports a call for a model that is not loaded would wait for the
+// next periodic exchange with the planner.
 const unmetReportInterval = 500 * time.Millisecond
 
-// ReportUnmet lets the zone's planner know of an unmet demand soon.
+// ReportUnmet reports to the zone's planner soon that there is unmet demand.
 func (p *Planner) ReportUnmet(now clock.Instant) {
 	if !p.unmetReportedAt.IsZero() && now.Since(p.unmetReportedAt) < unmetReportInterval {
 		return
@@ -28,8 +29,8 @@
 	p.Tell(now, p.Members.Get(p.Records.LeaseHolder(p.Self.Zone).Instance))
 }
 
-// notifyFirstCopyZones has a planner tell the planners of other zones of unmet demand
-// for items whose first copy is theirs to place.
+// notifyFirstCopyZones reports unmet demand to the planners of the other zones that place
+// the first copies of the items.
 func (p *Planner) notifyFirstCopyZones(now clock.Instant) {
 	if !p.zonesNotifiedAt.IsZero() && now.Since(p.zonesNotifiedAt) < unmetReportInterval {
 		return
@@ -50,9 +51,9 @@
 	}
 }
 
-// DemandFor returns what the peer's planning needs to know: this instance's
-// demand if it plans for this zone; what this zone lives on elsewhere if both
-// are planners.
+// DemandFor returns the demand that the peer needs for planning. If the peer plans for
+// this zone, it is the demand at this instance. If both are planners of different zones,
+// it is the part of this zone's demand that the other zone serves.
 func (p *Planner) DemandFor(now clock.Instant, peer string) []demand.Item {
 	other := p.Members.Get(peer)
 	if other == nil || p.Records.LeaseHolder(other.Zone).Instance != peer {
@@ -67,13 +68,13 @@
 	return p.demandOnZone(now, other.Zone)
 }
 
-// demandOnZone returns the zone's demand for items that it has not and that the
-// other zone has ready, or is to place.
+// demandOnZone returns this zone's demand for items that have no copy here and of which
+// the other zone has a ready copy or places the first one.
 func (p *Planner) demandOnZone(now clock.Instant, zone string) []demand.Item {
 	var items []demand.Item
 	zones := p.planningZones(now)
-	// Only what this zone's own callers ask for: what other planners reported
-	// here must not come back to them as more demand.
+	// Only demand of this zone's own callers counts. Demand that other planners reported
+	// here must not be reported back to them as additional demand.
 	own := p.Totals.SumOf(now, func(name string) bool {
 		other := p.Members.Get(name)
 		return name == p.Self.Name || other != nil && other.Zone == p.Self.Zone
@@ -92,8 +93,8 @@
 	return items
 }
 
-// HandleDemand takes in what a peer's callers ask for. The next plan is made at
-// once if they wait.
+// HandleDemand records the demand that a peer reported. If it includes unmet demand, the
+// next plan is made immediately.
 func (p *Planner) HandleDemand(now clock.Instant, peer string, items []demand.Item) {
 	p.Totals.Report(now, peer, items)
 	for _, it := range items {
@@ -105,16 +106,17 @@
 }
 
 const (
-	// otherZoneRounds is every how manyth exchange goes to another zone.
+	// otherZoneRounds is the number of rounds of which one exchange goes to another zone.
 	otherZoneRounds = 4
-	// plannerRounds is every how manyth exchange goes to the zone's planner,
-	// which needs the demand.
+	// plannerRounds is the number of rounds of which one exchange goes to the zone's
+	// planner, which needs the demand.
 	plannerRounds = 2
 )
 
-// NextPeer returns whom this instance exchanges with in a round: every so often
-// the planner of the zone, and, as a planner, those of other zones; nil to leave
-// it to the ring of neighbours.
+// NextPeer returns the peer for this instance's exchange in a round: in fixed rounds a
+// peer of another zone (for a planner, that zone's planner) or the zone's planner. It
+// returns nil in all other rounds, or if there is no such peer; the exchange then goes to
+// a neighbor in the ring.
 func (p *Planner) NextPeer(_ clock.Instant, round int) *member.Peer {
 	if round%otherZoneRounds == 0 {
 		if peer := p.otherZonePeer(); peer != nil {
@@ -129,8 +131,8 @@
 	return nil
 }
 
-// otherZonePeer draws a peer of another zone. A planner draws other zones' planners, to
-// tell them which of their models its zone lives on.
+// otherZonePeer returns a random peer of another zone. A planner prefers the planners of
+// other zones, to report to them which of their models its zone uses.
 func (p *Planner) otherZonePeer() *member.Peer {
 	others := p.Members.ZonePeers(false)
 	if p.IsPlanner() {
--- a/core/own/planner/event.go
+++ b/core/own/planner/event.go
@@ -10,7 +10,7 @@
 
 // The planner's events.
 type (
-	// LeaseReply answers a SeekLease.
+	// LeaseReply answers a RequestLease.
 	LeaseReply struct {
 		Sent    clock.Instant // when the request was sent
 		Granted bool
@@ -19,9 +19,9 @@
 	}
 	// IntentsReply answers a ReadIntents or a WriteIntents.
 	IntentsReply struct {
-		Read     bool // it answers a ReadIntents
+		Read     bool // the reply answers a ReadIntents
 		Intents  Intents
-		Revision uint64 // of the key, for the next compare-and-swap
+		Revision uint64 // of the value, for the next compare-and-swap
 		Conflict bool
 		Err      error
 	}
@@ -31,59 +31,59 @@
 		State  pool.State
 		Err    error
 	}
-	// OrderReply answers an Order.
+	// OrderReply answers a SendOrder.
 	OrderReply struct {
 		Engine  string
 		Fence   uint64
 		Seq     uint64
 		Outcome OrderOutcome
-		State   pool.State // valid with OrderDone and OrderRefused
+		State   pool.State // valid with OrderAccepted and OrderRefused
 		Detail  string
 	}
 )
 
 // The planner's actions.
 type (
-	// RequestLease asks for, or renews, the planner's lease.
+	// RequestLease requests the planner lease, or renews it.
 	RequestLease struct {
 		Term  time.Duration
-		Renew uint64 // fence of the grant to renew, 0 to ask anew
+		Renew uint64 // fence of the grant to renew, 0 for a new request
 	}
-	// ReleaseLease gives the planner's lease back.
+	// ReleaseLease releases the planner lease.
 	ReleaseLease struct{ Fence uint64 }
 	// ReadIntents reads the zone's outstanding intents.
 	ReadIntents struct{}
-	// WriteIntents replaces them if they are still at Revision.
+	// WriteIntents replaces the zone's intents if they are still at Revision.
 	WriteIntents struct {
 		Intents  Intents
 		Revision uint64
 	}
-	// ReadState asks an engine for its state.
+	// ReadState reads the state of an engine.
 	ReadState struct {
 		Engine  string
 		Address string
 	}
-	// SendOrder gives an engine an order.
+	// SendOrder sends an order to an engine.
 	SendOrder struct {
 		Address string
 		Order   book.Order
 	}
 )
 
-// An OrderOutcome is what came of an order.
+// An OrderOutcome is the outcome of sending an order.
 type OrderOutcome int
 
 // The outcomes of an order.
 const (
 	OrderAccepted OrderOutcome = iota + 1 // the engine carries it out
-	OrderRefused                          // the engine will not carry it out
+	OrderRefused                          // the engine did not and will not carry it out
 	OrderFenced                           // the engine has seen a later fence
-	OrderNotSent                          // it certainly never left
+	OrderNotSent                          // it certainly was not sent
 	OrderLost                             // its answer is lost
 )
 
-// An Intent is one order written to the platform before it is sent, because
-// its engine does not check who orders it.
+// An Intent is an order that is written to the platform before it is sent, because its
+// engine does not check fences.
 type Intent struct {
 	Engine string `json:"engine"`
 	Op     uint8  `json:"op"`
@@ -93,9 +93,9 @@
 	Fence  uint64 `json:"fence"`
 }
 
-// Intents is the platform's value that holds a zone's outstanding intents.
+// Intents is the platform's value with the outstanding intents of a zone.
 type Intents struct {
-	Fence   uint64   `json:"fence"` // of the holder that wrote it
+	Fence   uint64   `json:"fence"` // of the lease holder that wrote it
 	Intents []Intent `json:"intents,omitempty"`
 }
 
--- a/core/own/planner/input.go
+++ b/core/own/planner/input.go
@@ -11,15 +11,16 @@
 	"github.com/birchdrift/birchdrift/core/rendezvous"
 )
 
-// A zoneView holds what a plan needs of a revision, worked out once.
+// A zoneView holds what planning needs from one configuration revision, precomputed.
 type zoneView struct {
 	items    map[string]plan.Item
-	assigned map[string]bool // items that this zone holds though nobody asks
-	zones    []string        // those with engines
+	assigned map[string]bool // items that this zone keeps resident without demand
+	zones    []string        // the zones with engines
 }
 
-// newZoneView assigns each model to a zone by rendezvous hashing, so that zones
-// agree without a message which of them keeps a model that nobody asks for. An adapter lives with its model.
+// newZoneView assigns each model to a zone by rendezvous hashing, so that zones agree
+// without messages on which of them keeps a model that has no demand. An adapter is
+// assigned with its model.
 func newZoneView(s *config.Snapshot, zone string) zoneView {
 	doc := s.Document()
 	zones := engineZones(doc)
@@ -42,7 +43,7 @@
 	return h
 }
 
-// engineZones returns the zones that have engines, in the document's order.
+// engineZones returns the zones that have engines, in the order of the document.
 func engineZones(doc config.Document) []string {
 	has := map[string]bool{}
 	for _, e := range doc.Engines {
@@ -57,7 +58,7 @@
 	return zones
 }
 
-// assignedZone returns the zone that keeps a model that nobody asks for.
+// assignedZone returns the zone that keeps a model that has no demand.
 func assignedZone(zones []string, model string) string {
 	key := rendezvous.Key(model)
 	best := ""
@@ -71,7 +72,7 @@
 	return best
 }
 
-// planInput gathers what the plan depends on at this moment.
+// planInput returns the input for a plan at now.
 func (p *Planner) planInput(now clock.Instant) plan.Input {
 	doc := p.Config.Document()
 	in := plan.Input{
@@ -95,6 +96,7 @@
 	return in
 }
 
+// planEngine returns the planning input for an engine that has a ledger.
 func (p *Planner) planEngine(now clock.Instant, r *pool.Replica) plan.Engine {
 	l := p.ledgers[r.Name]
 	e := plan.Engine{
@@ -118,8 +120,8 @@
 	return e
 }
 
-// reportedFree is what is free by the engine's last report alone. Only tests
-// that show why that is not enough use it.
+// reportedFree returns the free memory in MiB by the engine's last report alone. Only
+// tests use it, to show that this is not enough.
 func (p *Planner) reportedFree(r *pool.Replica) int64 {
 	free := r.MemoryMiB
 	for _, it := range r.Residency.Items {
@@ -128,12 +130,12 @@
 	return free
 }
 
-// starvationInterval is how often, at a move cost of 1, a zone makes room for an item
-// that nobody would make room for for its value.
+// starvationInterval is the time, at a move cost of 1, between two occasions on which a
+// zone frees memory for a starving item whose value alone would not justify it.
 const starvationInterval = 15 * time.Second
 
-// planningZones returns the zones with engines that somebody is known to plan
-// for, this one included.
+// planningZones returns the zones with engines that are known to have a planner, and
+// always this one.
 func (p *Planner) planningZones(now clock.Instant) []string {
 	var zones []string
 	for _, z := range p.zone.zones {
@@ -144,8 +146,8 @@
 	return zones
 }
 
-// firstCopyZone returns the zone that places the first copy of an item. An adapter
-// goes where its model does.
+// firstCopyZone returns the zone that places the first copy of an item. For an adapter it
+// is the zone of its model.
 func (p *Planner) firstCopyZone(zones []string, item string) string {
 	if base := p.zone.items[item].Base; base != "" {
 		item = base
@@ -153,8 +155,8 @@
 	return assignedZone(zones, item)
 }
 
-// remoteCopies counts the copies ready in other zones that were heard lately, and
-// those of them in zones that rendezvous hashing puts before this one.
+// remoteCopies counts the ready copies in other zones from which a message was received
+// recently, and those of them in zones that rendezvous hashing ranks before this one.
 func (p *Planner) remoteCopies(now clock.Instant) (all, covered map[string]int) {
 	all = map[string]int{}
 	covered = map[string]int{}
@@ -178,7 +180,8 @@
 	return all, covered
 }
 
-// zoneReachable reports whether any instance of the zone was heard lately.
+// zoneReachable reports whether a message from any instance of the zone was received
+// recently.
 func (p *Planner) zoneReachable(now clock.Instant, zone string) bool {
 	for _, peer := range p.Members.Peers() {
 		if peer.Zone == zone && peer.HeardWithin(now, maxSilentExchanges*p.Options.ExchangeEvery) {
@@ -188,13 +191,13 @@
 	return false
 }
 
-// maxSilentExchanges is how many exchange periods a zone may be silent before its
-// copies no longer count.
+// maxSilentExchanges is the number of exchange periods without a message from a zone
+// after which its copies no longer count.
 const maxSilentExchanges = 8
 
-// allowedLoads returns how many loads may begin now by this zone's guaranteed
-// share of the weight store, in rate and in loads at once. The share is
-// known without a message, so it holds while the zone is cut off.
+// allowedLoads returns how many loads may start now within this zone's guaranteed share
+// of the weight store, both in rate and in concurrent loads. The share is known without a
+// message, so it also holds while the zone is cut off.
 func (p *Planner) allowedLoads(now clock.Instant, w config.WeightStore) int {
 	b := &p.loads
 	share := 1 / float64(max(1, len(p.zone.zones)))
--- a/core/own/planner/intents.go
+++ b/core/own/planner/intents.go
@@ -6,11 +6,11 @@
 	"github.com/birchdrift/birchdrift/core/own/book"
 )
 
-// Intents keep a zone safe whose engines do not check who orders them. Every
-// order to such an engine stands in the platform's value before it is sent. A
-// new holder rewrites that value by compare-and-swap before it reads anything:
-// from then on the former holder's writes fail, so it can send nothing that
-// the new one has not seen.
+// Intents protect a zone whose engines do not check fences. Every
+// order to such an engine is written to the platform's value before it is sent. A
+// new lease holder rewrites that value by compare-and-swap before it reads any state:
+// from then on the former holder's writes fail, so it cannot send any order that
+// the new holder has not seen.
 
 func intentOf(o book.Order) Intent {
 	return Intent{Engine: o.Engine, Op: uint8(o.Op), Item: o.Item, MiB: o.MiB, Seq: o.Seq, Fence: o.Fence}
@@ -20,7 +20,7 @@
 	return book.Order{Engine: i.Engine, Op: book.Op(i.Op), Item: i.Item, MiB: i.MiB, Seq: i.Seq, Fence: i.Fence}
 }
 
-// HandleIntentsReply takes in the read at a take-over or a write of the list.
+// HandleIntentsReply handles the reply to a read or a write of the intents.
 func (p *Planner) HandleIntentsReply(now clock.Instant, e IntentsReply) {
 	p.intents.inFlight = false
 	p.Outage.Observe(now, e.Err)
@@ -29,12 +29,12 @@
 	}
 	switch {
 	case e.Err != nil:
-		// A lost answer may have taken effect. Reading back tells; until then
-		// nothing is sent that waits for it.
+		// A write whose answer is lost may have taken effect. Reading the value shows
+		// whether it did; until then no order that waits for the write is sent.
 		p.rereadIntents(now, now.Add(p.Outage.Wait(p.Rand)))
 	case e.Conflict:
-		// Either a later holder wrote, or an own write whose answer was lost
-		// has landed. The fence in the value tells which.
+		// Either a later holder wrote the value, or an earlier write of this instance
+		// whose answer was lost took effect. The fence in the value shows which.
 		p.rereadIntents(now, now)
 	case e.Read:
 		p.handleIntentsRead(e)
@@ -43,7 +43,7 @@
 	}
 }
 
-// rereadIntents has the zone's intents read again at due.
+// rereadIntents schedules a read of the zone's intents at due.
 func (p *Planner) rereadIntents(now clock.Instant, due clock.Instant) {
 	in := &p.intents
 	in.reread = true
@@ -61,8 +61,8 @@
 	p.Out.Emit(ReadIntents{})
 }
 
-// handleIntentsRead takes over what an earlier holder left, or finds out what came
-// of an own write.
+// handleIntentsRead takes over the intents of an earlier holder, or finds out whether
+// this instance's own write took effect.
 func (p *Planner) handleIntentsRead(e IntentsReply) {
 	in := &p.intents
 	if e.Intents.Fence > p.fence {
@@ -78,8 +78,8 @@
 	p.flushIntents()
 }
 
-// renumber gives inherited intents sequence numbers of this fence, so that
-// they cannot be taken for orders of its own.
+// renumber gives inherited intents sequence numbers and the fence of this tenure, so that
+// they cannot be confused with orders of the tenure itself.
 func (p *Planner) renumber() {
 	for i := range p.intents.list {
 		p.intents.list[i].Seq = p.nextSeq()
@@ -102,7 +102,7 @@
 	p.flushIntents()
 }
 
-// sendQueued sends the orders whose intents the platform now holds.
+// sendQueued sends the queued orders whose intents the platform now holds.
 func (p *Planner) sendQueued(now clock.Instant, written Intents) {
 	in := &p.intents
 	stands := make(map[uint64]bool, len(written.Intents))
@@ -127,9 +127,9 @@
 	in.queued = rest
 }
 
-// resendUnconfirmed sends orders whose answers are lost again, to engines that check
-// nothing: both operations may be repeated, and only a state that shows their
-// effect, or an answer, settles them.
+// resendUnconfirmed resends orders whose answers are lost to engines that do not check
+// fences. Both operations may be repeated, and only an answer, or a state that shows the
+// effect, settles them.
 func (p *Planner) resendUnconfirmed(now clock.Instant) {
 	for _, r := range p.Pool.All() {
 		l := p.ledgers[r.Name]
@@ -149,7 +149,7 @@
 	}
 }
 
-// settleIntents drops the intents whose orders are settled.
+// settleIntents removes the intents whose orders are settled.
 func (p *Planner) settleIntents() {
 	in := &p.intents
 	if !in.owned {
@@ -167,9 +167,9 @@
 	}
 }
 
-// flushIntents writes the list if it changed and no write is under way. Lists
-// that only shrank wait for the next order, up to the next plan, so that most
-// orders cost one write.
+// flushIntents writes the list if it changed and no read or write is pending. Removing an
+// intent causes no write by itself: the shorter list is written with the next order, at
+// the latest by the next plan, so that most orders cost one write.
 func (p *Planner) flushIntents() {
 	in := &p.intents
 	if in.inFlight || in.reread || !in.dirty || p.fence == 0 {
--- a/core/own/planner/orders.go
+++ b/core/own/planner/orders.go
@@ -9,11 +9,12 @@
 	"github.com/birchdrift/birchdrift/core/pool"
 )
 
-// Orders to the engines of the zone, and the ledgers that they are booked in.
+// This file sends the orders to the engines of the zone and keeps the ledgers of their memory.
 
-// applyState takes an engine's state into its ledger. A state of an engine that
-// checks fences counts only under this holder's fence: before that, another
-// holder's orders could still change what it says.
+// applyState applies an engine's state to its ledger. answered is the Seq of the order
+// that the state answers, or 0. A state of an engine that checks fences is applied only
+// if it shows this holder's fence: before that, orders of another holder could still
+// change the state.
 func (p *Planner) applyState(now clock.Instant, l *book.Ledger, s pool.State, answered uint64) {
 	r := p.Pool.Get(l.Name())
 	if r == nil {
@@ -24,7 +25,7 @@
 			p.Out.Log(logevent.OrderFenced, "engine", r.Name, "fence", s.Fence)
 			p.loseLease(logevent.LeaseLost)
 		} else if l.StateKnown() && s.Residency.Boot > l.Boot() {
-			// It restarted and forgot the fence: raise it anew first.
+			// The engine restarted and lost its fence, which must be raised again first.
 			p.ledgers[r.Name] = l.AfterRestart()
 			p.retries[r.Name] = &orderRetry{backoff: backoff.New(readBackoffBase, readBackoffMax)}
 		}
@@ -61,8 +62,8 @@
 	return false
 }
 
-// raiseFences gives the fence to engines that have not confirmed it, and asks
-// those with unconfirmed orders, which settles them.
+// raiseFences sends the fence to engines that have not confirmed it, and to those with
+// unconfirmed orders, which the engine's answer settles.
 func (p *Planner) raiseFences(now clock.Instant) {
 	for _, r := range p.Pool.All() {
 		l := p.ledgers[r.Name]
@@ -81,7 +82,8 @@
 	}
 }
 
-// executeStep books a planned step and sends it, or queues it behind its intent.
+// executeStep reserves memory for a step of the plan and sends its order, or queues the
+// order until its intent is written.
 func (p *Planner) executeStep(now clock.Instant, s plan.Step) {
 	r := p.Pool.Get(s.Engine)
 	l := p.ledgers[s.Engine]
@@ -113,7 +115,7 @@
 	p.Out.Emit(SendOrder{Address: r.Address, Order: o})
 }
 
-// HandleOrderReply takes in what came of an order.
+// HandleOrderReply handles the outcome of an order.
 func (p *Planner) HandleOrderReply(now clock.Instant, e OrderReply) {
 	l := p.ledgers[e.Engine]
 	if l == nil || e.Fence != p.fence {
--- a/core/own/planner/planner.go
+++ b/core/own/planner/planner.go
@@ -1,14 +1,14 @@
-// Package planner decides which models and adapters are resident on the engines of
-// one availability zone, in the product's own environment.
+// Package planner decides which models and adapters are resident on the engines of one
+// availability zone, in the product's own environment.
 //
-// One instance of a zone, the holder of the zone's lease, plans for it and orders
-// its engines. It keeps a ledger of each engine's memory (core/own/book), in
-// which nothing is free until the engine's fence was raised and its state read.
-// Engines that do not check fences are ordered only after the order stands as an
-// intent in the platform's service. Every instance also takes part in reading the
-// engines' states.
+// One instance of a zone, the holder of the zone's lease, plans for the zone and sends
+// orders to its engines. It keeps a ledger of each engine's memory (core/own/book). The
+// ledger has no free memory until the engine's fence was raised and its state read. An
+// order to an engine that does not check fences is sent only after it was written to the
+// platform's service as an intent. Every instance also takes part in reading the states
+// of the engines.
 //
-// On the users' platform nothing of this runs: see core/ownership, core/owned and
+// On the users' platform nothing of this package runs: see core/ownership, core/owned and
 // core/placement.
 package planner
 
@@ -30,10 +30,10 @@
 	"github.com/birchdrift/birchdrift/core/step"
 )
 
-// leaseCandidates is how many instances of a zone seek its planner's lease.
+// leaseCandidates is the number of instances of a zone that request its planner lease.
 const leaseCandidates = 2
 
-// Deps are what the planner needs of the other modules.
+// Deps are the modules and functions that the planner needs.
 type Deps struct {
 	shared.State
 
@@ -42,38 +42,38 @@
 	Totals  *demand.Totals
 	// Stopping reports whether a planned stop has begun.
 	Stopping func() bool
-	// TellSoon has the next exchanges begun soon, TellAll at once; Tell begins one
-	// with a peer, if there is one.
+	// TellSoon starts the next exchanges soon and TellAll starts them immediately. Tell
+	// starts an exchange with p unless p is nil.
 	TellSoon func(now clock.Instant)
 	TellAll  func(now clock.Instant)
 	Tell     func(now clock.Instant, p *member.Peer)
-	// Leaving is told of each engine that says for the first time that it is
-	// leaving.
+	// Leaving is called with each new residency record, before the record is applied, and
+	// logs an engine's first report that it is leaving.
 	Leaving func(r gossip.Residency)
 }
 
-// A Planner is one instance's part in the planning for its zone.
+// A Planner is one instance's part in planning for its zone.
 type Planner struct {
 	Deps
 	lease lease.Lease
-	job   step.Job // seeking and renewing the lease
+	job   step.Job // requesting and renewing the lease
 	zone  zoneView
 	tenure
 	reads reads
 
 	planDue          clock.Instant
 	residentSince    map[placement]clock.Instant // when a placement was first seen
-	starvingServedAt clock.Instant               // when room was last made for a starving item
+	starvingServedAt clock.Instant               // when memory was last freed for a starving item
 	doubtLogged      bool
 	orderCounts      OrderCounts
-	unmetReportedAt  clock.Instant // when the planner was last told of an unmet demand
-	zonesNotifiedAt  clock.Instant // when other zones' planners were last told of it
+	unmetReportedAt  clock.Instant // when unmet demand was last reported to the zone's planner
+	zonesNotifiedAt  clock.Instant // when unmet demand was last reported to other zones' planners
 }
 
-// A tenure is the work under one grant of the lease; it ends with it.
+// A tenure is the state that belongs to one grant of the lease and is discarded with it.
 type tenure struct {
-	fence   uint64 // under which the ledgers were begun; 0 if none were
-	seq     uint64 // of the last order
+	fence   uint64 // fence of the grant; 0 if this instance does not plan
+	seq     uint64 // sequence number of the last order
 	ledgers map[string]*book.Ledger
 	retries map[string]*orderRetry
 	intents intentView
@@ -87,32 +87,33 @@
 // A placement is an item on an engine.
 type placement struct{ engine, item string }
 
-// A orderRetry spaces what one engine must be sent again and again until it answers:
-// the fence before it is planned for, and orders whose answers are lost.
+// An orderRetry spaces what must be sent to one engine repeatedly until it answers: the
+// fence, before the engine is planned for, and orders whose answers are lost.
 type orderRetry struct {
 	backoff backoff.Backoff
 	due     clock.Instant
 }
 
-// OrderCounts counts the orders that engines have taken.
+// OrderCounts counts the orders that engines have accepted.
 type OrderCounts struct {
 	Loads   int
 	Unloads int
 }
 
-// An intentView is the holder's copy of the zone's outstanding intents.
+// An intentView is the lease holder's copy of the zone's outstanding intents.
 type intentView struct {
-	owned    bool // they were read and rewritten under this fence
+	owned    bool // the intents were read and rewritten under this fence
 	revision uint64
 	list     []Intent
-	inFlight bool
-	reread   bool // the value must be read before it is written again
-	due      clock.Instant
-	dirty    bool // list differs from what the platform holds
-	queued   []book.Order
+	inFlight bool          // a read or write of the intents is in flight
+	reread   bool          // the intents must be read again before they are written
+	due      clock.Instant // earliest time of that read
+	dirty    bool          // list differs from the platform's value
+	queued   []book.Order  // orders that wait until their intents are written
 }
 
-// A loadBudget spaces loads by the zone's share of the weight store.
+// A loadBudget is a token bucket for loads, filled at the zone's share of the weight
+// store's rate.
 type loadBudget struct {
 	tokens     float64
 	refilledAt clock.Instant
@@ -129,33 +130,35 @@
 	}
 }
 
-// ApplyConfig takes over a newer configuration.
+// ApplyConfig applies a newer configuration.
 func (p *Planner) ApplyConfig(s *config.Snapshot) {
 	p.zone = newZoneView(s, p.Self.Zone)
 	p.syncLedgers()
 }
 
-// Tick reads engines that are due, keeps the lease, and plans.
+// Tick reads the engines that are due, requests or renews the lease, and plans.
 func (p *Planner) Tick(now clock.Instant) {
 	p.readEnginesIfDue(now)
 	p.maintainLease(now)
 	p.plan(now)
 }
 
-// LeaseHolder returns who plans for this instance's zone, as far as is known.
+// LeaseHolder returns the name of the instance that plans for this instance's zone, or ""
+// if it is unknown.
 func (p *Planner) LeaseHolder() string { return p.Records.LeaseHolder(p.Self.Zone).Instance }
 
-// Lease returns whether the lease certainly is held, and the fence of its last
-// grant.
+// Lease reports whether the lease is certain to be held, and returns the fence of its
+// latest grant.
 func (p *Planner) Lease(now clock.Instant) (valid bool, fence uint64) {
 	return p.lease.Valid(now), p.lease.Fence()
 }
 
-// OrderCounts returns the orders that engines have taken from this instance.
+// OrderCounts returns the numbers of orders from this instance that engines have
+// accepted.
 func (p *Planner) OrderCounts() OrderCounts { return p.orderCounts }
 
-// FreeMiB returns the memory of an engine that nothing holds, by this planner's
-// ledger; 0 if it has none.
+// FreeMiB returns an engine's free memory in MiB by this planner's ledger; 0 if it has no
+// ledger of the engine.
 func (p *Planner) FreeMiB(engine string) int64 {
 	if l := p.ledgers[engine]; l != nil {
 		return l.FreeMiB()
@@ -163,7 +166,7 @@
 	return 0
 }
 
-// ReleaseLease gives the lease back, at a planned stop.
+// ReleaseLease releases the lease, if held, at a planned stop.
 func (p *Planner) ReleaseLease() {
 	if !p.lease.Held() {
 		return
@@ -175,14 +178,14 @@
 	p.Out.Emit(ReleaseLease{Fence: fence})
 }
 
-// IsPlanner reports whether this instance plans for its zone: it was granted
-// the lease and nobody has said that another holds it since.
+// IsPlanner reports whether this instance plans for its zone: it was granted the lease,
+// and no report since has said that another instance holds it.
 func (p *Planner) IsPlanner() bool { return p.lease.Held() && p.fence != 0 }
 
-// mayOrder reports whether the engine may be sent orders. One that checks
-// fences arbitrates by itself: whoever holds a later lease has raised its
-// fence first. One that does not is only ordered while the lease certainly is
-// held and the zone's intents are this holder's.
+// mayOrder reports whether orders may be sent to the engine. An engine that checks fences
+// arbitrates by itself, since the holder of a later lease has raised its fence first. An
+// engine that does not check fences is sent orders only while the lease is certain to be
+// held and the zone's intents were taken over by this holder.
 func (p *Planner) mayOrder(now clock.Instant, r *pool.Replica) bool {
 	if !p.IsPlanner() || p.Stopping() {
 		return false
@@ -193,6 +196,7 @@
 	return p.Options.Disable.Intents || p.lease.Valid(now) && p.intents.owned
 }
 
+// maintainLease requests or renews the lease when that is due.
 func (p *Planner) maintainLease(now clock.Instant) {
 	if p.Stopping() || len(p.zone.zones) == 0 || !p.job.Due(now) {
 		return
@@ -218,7 +222,7 @@
 	p.doubtLogged = doubt
 }
 
-// HandleLeaseReply takes in what came of seeking the lease.
+// HandleLeaseReply handles the reply to a RequestLease.
 func (p *Planner) HandleLeaseReply(now clock.Instant, e LeaseReply) {
 	p.Outage.Observe(now, e.Err)
 	if e.Err != nil {
@@ -236,6 +240,7 @@
 	}
 }
 
+// loseLease ends the tenure and logs event why if the lease was held.
 func (p *Planner) loseLease(why logevent.Number) {
 	if p.lease.Held() {
 		p.Out.Log(why, "fence", p.lease.Fence())
@@ -246,8 +251,8 @@
 
 func (p *Planner) endTenure() { p.tenure = newTenure() }
 
-// startTenure begins to plan under a new fence: ledgers in which nothing is free
-// until each engine's fence is raised and its state read.
+// startTenure starts planning under a new fence. No memory is free in the ledgers until
+// each engine's fence was raised and its state read.
 func (p *Planner) startTenure(now clock.Instant) {
 	p.endTenure()
 	p.fence = p.lease.Fence()
@@ -261,7 +266,8 @@
 	p.Out.Emit(ReadIntents{})
 }
 
-// syncLedgers gives every engine of the zone a ledger.
+// syncLedgers creates ledgers for the engines of the zone that have none, and drops those
+// of engines that are no longer configured.
 func (p *Planner) syncLedgers() {
 	if p.fence == 0 {
 		return
@@ -290,8 +296,8 @@
 	return p.seq
 }
 
-// planDue raises fences that are not raised yet, settles what is unconfirmed, then
-// orders what the plan asks for.
+// plan raises the fences that are not raised yet, resends unconfirmed orders, and then
+// sends the orders of a new plan.
 func (p *Planner) plan(now clock.Instant) {
 	if !p.IsPlanner() || p.Stopping() || now.Before(p.planDue) {
 		return
--- a/core/own/planner/read.go
+++ b/core/own/planner/read.go
@@ -10,39 +10,41 @@
 	"github.com/birchdrift/birchdrift/core/step"
 )
 
-// readersPerEngine is how many instances of its zone read one engine's state;
-// the rest hear from them.
+// readersPerEngine is the number of instances of a zone that read one engine's state. The
+// other instances receive the state from them.
 const readersPerEngine = 2
 
-// minReadSpacing is how much time the reads of one instance keep between each
-// other on average, however many engines it reads.
+// minReadSpacing is the minimum average time between two reads by one instance,
+// regardless of how many engines it reads.
 const minReadSpacing = 500 * time.Millisecond
 
-// Bounds of the spacing of reads of an engine that does not answer.
+// Bounds of the retry delay when reading an engine's state fails.
 const (
 	readBackoffBase = 500 * time.Millisecond
 	readBackoffMax  = 5 * time.Second
 )
 
-// A reads is this instance's part in reading the engines' states.
+// A reads is this instance's part in reading the states of the engines.
 type reads struct {
 	readers map[string]*engineReader
-	scanDue clock.Instant // when to look for reads that are due
+	scanDue clock.Instant // time of the next scan for reads that are due
 }
 
 func newReads() reads { return reads{readers: map[string]*engineReader{}} }
 
-// A engineReader is the task of reading one engine.
+// An engineReader is the task of reading one engine's state.
 type engineReader struct {
 	step.Job
 	backoff backoff.Backoff
 }
 
-// scanInterval spaces the looks over all engines for reads that are due. Every
-// call steps the machine, and a look costs in proportion to the engines.
+// scanInterval is the time between two scans of all engines for reads that are due. The
+// planner is called for every event of the instance, and a scan takes time in proportion
+// to the number of engines.
 const scanInterval = 50 * time.Millisecond
 
-// readEnginesIfDue asks the engines whose state is this instance's to read.
+// readEnginesIfDue reads the states of the engines that this instance is assigned to and
+// whose reads are due.
 func (p *Planner) readEnginesIfDue(now clock.Instant) {
 	if !p.Config.Loaded() || now.Before(p.reads.scanDue) {
 		return
@@ -66,8 +68,8 @@
 	}
 }
 
-// isReader reports whether the engine is this instance's to read. A planner also
-// reads those that it waits for.
+// isReader reports whether this instance reads the engine's state. The planner also reads
+// engines whose orders it waits for.
 func (p *Planner) isReader(now clock.Instant, r *pool.Replica) bool {
 	if p.IsPlanner() {
 		if l := p.ledgers[r.Name]; l != nil && l.StateKnown() && l.Busy() {
@@ -93,7 +95,7 @@
 	return rd
 }
 
-// HandleStateReply takes in what an engine said of its state.
+// HandleStateReply handles the reply to a ReadState.
 func (p *Planner) HandleStateReply(now clock.Instant, e StateReply) {
 	rd := p.readerOf(e.Engine)
 	if e.Err != nil {
@@ -109,7 +111,7 @@
 	}
 }
 
-// observe takes in an engine's own report and makes it known to peers.
+// observe records a state that an engine reported and publishes it to peers.
 func (p *Planner) observe(now clock.Instant, engine string, s pool.State) {
 	res := gossip.Residency{Engine: engine, Residency: s.Residency}
 	if p.Records.AddResidency("", res) {
@@ -123,8 +125,9 @@
 	p.observeLoad(now, engine, s.Load)
 }
 
-// observeLoad takes in a load. Peers are told only of a change that could
-// sway a choice; the rest is noise that would fill the exchanges.
+// observeLoad records a load that an engine reported. Only a change that could affect the
+// choice of a replica is published to peers, since smaller changes would fill the
+// exchanges.
 func (p *Planner) observeLoad(now clock.Instant, engine string, load pool.Load) {
 	r := p.Pool.Get(engine)
 	if r == nil {
--- a/internal/own/driver.go
+++ b/internal/own/driver.go
@@ -1,6 +1,6 @@
-// Package own joins an instance to the product's own environment: a small
-// key-value service (package keyvalue) and engines with a protocol of the
-// product's own (package engine).
+// Package own connects an instance to the product's own environment: a small key-value
+// service (package keyvalue) and engines with the product's own protocol (package
+// engine).
 package own
 
 import (
@@ -27,24 +27,24 @@
 	"github.com/birchdrift/birchdrift/internal/shell"
 )
 
-// Time limits of single requests: some hundred times what an answer takes on
-// loopback.
+// Time limits of single requests: several hundred times what a reply takes on the
+// loopback interface.
 const (
 	engineTimeout = 2 * time.Second
 	claimTimeout  = time.Second
 )
 
-// A driver carries out the machine's actions through the key-value service and
-// the engines.
+// A driver carries out the state machine's actions through the key-value service and the
+// engines.
 type driver struct {
 	platform *keyvalue.Client
 	engine   *engine.Client
 	host     shell.Host
-	// configRevision is the service's revision of the configuration last read.
+	// configRevision is the service's revision of the configuration that was last read.
 	configRevision atomic.Uint64
 }
 
-// NewFactory returns what joins a shell to the product's own environment.
+// NewFactory returns a function that connects a shell to the product's own environment.
 func NewFactory(p *keyvalue.Client, e *engine.Client) shell.EnvironmentFactory {
 	return func(h shell.Host) shell.Environment {
 		p.Called = h.PlatformCalled
@@ -53,13 +53,13 @@
 	}
 }
 
-// AttemptID is the identity of one attempt of a call outside this instance.
+// AttemptID returns the identifier of one attempt of a call, unique among all instances.
 func AttemptID(self member.Identity, id calls.ID, attempt int) string {
 	return fmt.Sprintf("%s-%x-%d-%d", self.Name, self.Boot, id, attempt)
 }
 
-// carryOut returns the work that carries an action out, nil for an action that is
-// not this environment's.
+// carryOut returns the function that carries out an action, or nil if the action does not
+// belong to this environment.
 func (d *driver) carryOut(a step.Action) func(ctx context.Context) {
 	switch act := a.(type) {
 	case modelcalls.CancelSequence:
@@ -94,8 +94,8 @@
 func (d *driver) cancel(ctx context.Context, a modelcalls.CancelSequence) {
 	ctx, done := context.WithTimeout(ctx, engineTimeout)
 	defer done()
-	// Closing the stream cancels as well; this only frees the sequence sooner, so
-	// a failure needs no second try.
+	// Closing the stream cancels the sequence as well. This request only frees it sooner,
+	// so a failure is not retried.
 	if err := d.engine.Cancel(ctx, a.Address, AttemptID(d.host.Self, a.ID, a.Attempt)); err != nil {
 		d.host.Event(logevent.CancelFailed, "call", uint64(a.ID), "upstream", a.Replica, "error", err.Error())
 	}
@@ -117,8 +117,8 @@
 	case err == nil:
 		return modelcalls.ClaimWon
 	case errors.Is(err, keyvalue.ErrConflict):
-		// The first of two requests whose answer was lost conflicts with the
-		// second, so a conflict alone does not say that another won.
+		// If the answer to a first request was lost, a second request conflicts with the
+		// first, so a conflict alone does not show that another call holds the claim.
 		return modelcalls.ClaimUnknown
 	case errors.Is(err, keyvalue.ErrNotSent):
 		return modelcalls.ClaimNotSent
@@ -143,8 +143,8 @@
 	d.host.Post(modelcalls.ClaimReply{ID: a.ID, Outcome: outcome})
 }
 
-// releaseClaim drops the claim if it is this call's. It is best effort: a claim
-// that stays refuses its key until it expires, and runs nothing.
+// releaseClaim deletes the claim if it belongs to this call. It is best effort: a claim
+// that remains causes its key to be refused until it expires, and nothing is run for it.
 func (d *driver) releaseClaim(ctx context.Context, a modelcalls.ReleaseClaim) {
 	ctx, done := context.WithTimeout(ctx, claimTimeout)
 	defer done()
@@ -157,9 +157,9 @@
 	}
 }
 
-// watchConfig waits for a configuration newer than the one had. The platform
-// orders values by its own revisions, which this shell remembers; the document
-// carries the revision that decides.
+// watchConfig waits for a configuration newer than the current one. The platform orders
+// values by its own revisions, of which this driver remembers the last one read. Which
+// configuration is newer is decided by the revision in the document.
 func (d *driver) watchConfig(ctx context.Context, a kvwatch.WatchConfig) {
 	after := d.configRevision.Load()
 	if a.Have == 0 {
@@ -194,7 +194,7 @@
 }
 
 func (d *driver) releaseLease(ctx context.Context, a planner.ReleaseLease) {
-	// A lease that is not released lapses.
+	// A lease that is not released expires.
 	if err := d.platform.ReleaseLease(ctx, keyvalue.LeaseName(d.host.Self.Zone), a.Fence); err != nil {
 		d.host.Event(logevent.NotReturned, "what", "planner's lease", "error", err.Error())
 	}
--- a/internal/own/engine/engine.go
+++ b/internal/own/engine/engine.go
@@ -1,10 +1,10 @@
-// Package engine provides the adapter for model engines: streams of tokens,
-// cancel and resume, fenced orders, and the engine's own state.
+// Package engine provides the client of model engines: token streams, cancel and resume,
+// fenced orders, and the engine's own state.
 //
-// The idea: a stream's pieces carry the identity of their call and their
-// position, and the last one says that it is the last. A Stream hands out the
-// pieces of its own call, each once and in order, and nothing else, whatever
-// the connection delivers; only an explicit end is an end.
+// The pieces of a stream carry the identifier of their call and their position, and the
+// last piece is marked as the last. A Stream returns the pieces of its own call, each
+// once and in order, and nothing else, whatever the connection delivers. Only the
+// explicit end marker ends an answer.
 package engine
 
 import (
@@ -25,21 +25,21 @@
 	"github.com/birchdrift/birchdrift/internal/upstream"
 )
 
-// maxReplyBytes bounds replies that are read whole, in bytes.
+// maxReplyBytes is the maximum size in bytes of a reply that is read whole.
 const maxReplyBytes = 1 << 20
 
 // Errors of a stream.
 var (
 	// ErrTruncated says that the stream stopped without its explicit end.
 	ErrTruncated = errors.New("the stream stopped without its end")
-	// ErrMissingPiece says that a piece is missing.
+	// ErrMissingPiece says that a piece of the stream is missing.
 	ErrMissingPiece = errors.New("a piece of the stream is missing")
 )
 
-// A StatusError is an answer that is not a stream.
+// A StatusError is an HTTP error response in place of a stream.
 type StatusError struct {
 	Status  int
-	NotRun  bool // the engine's own report that it did not and will not run it
+	NotRun  bool // the engine reports that it did not and will not run the call
 	Leaving bool
 	Detail  string
 }
@@ -47,18 +47,18 @@
 // Error implements error.
 func (e *StatusError) Error() string { return fmt.Sprintf("status %d: %s", e.Status, e.Detail) }
 
-// A Client speaks to engines by address.
+// A Client sends requests to engines by address.
 type Client struct {
 	transports upstream.Transports
 	control    *http.Client
 }
 
-// NewClient returns a client over the transports.
+// NewClient returns a client that uses the transports.
 func NewClient(t upstream.Transports) *Client {
 	return &Client{transports: t, control: &http.Client{Transport: t.Reused}}
 }
 
-// A Stream is the answer to one call.
+// A Stream is the stream of pieces that answers one call.
 type Stream struct {
 	id   string
 	next int
@@ -66,12 +66,12 @@
 	dec  *json.Decoder
 }
 
-// Generate begins a call; progress notes how far it came, also on error.
+// Generate starts a call. progress records how far the request got, also on error.
 func (c *Client) Generate(ctx context.Context, address string, req GenerateRequest, repeatable bool, header http.Header, progress *upstream.Progress) (*Stream, error) {
 	return c.open(ctx, address, PathGenerate, req, req.ID, 0, c.transports.For(repeatable), header, progress)
 }
 
-// Resume goes on with a call after the pieces already had.
+// Resume continues a call after the pieces already received.
 func (c *Client) Resume(ctx context.Context, address string, req ResumeRequest, header http.Header, progress *upstream.Progress) (*Stream, error) {
 	return c.open(ctx, address, PathResume, req, req.ID, req.Offset, c.transports.Reused, header, progress)
 }
@@ -84,7 +84,7 @@
 	for name, values := range header {
 		req.Header[name] = values
 	}
-	// Without GetBody net/http cannot send the body a second time by itself.
+	// Without GetBody net/http cannot resend the body on its own.
 	req.GetBody = nil
 	resp, err := rt.RoundTrip(req)
 	if err != nil {
@@ -99,7 +99,7 @@
 
 func statusError(resp *http.Response, progress *upstream.Progress) error {
 	defer resp.Body.Close()
-	detail, _ := io.ReadAll(io.LimitReader(resp.Body, 1024)) // best effort: it only explains
+	detail, _ := io.ReadAll(io.LimitReader(resp.Body, 1024)) // best effort: it only explains the error
 	e := &StatusError{
 		Status:  resp.StatusCode,
 		NotRun:  resp.Header.Get(upstream.HeaderRun) == "not_run",
@@ -114,8 +114,8 @@
 	return e
 }
 
-// Next returns the next piece of the call. Pieces of other calls and pieces
-// had before are dropped. After the piece with End set it must not be called.
+// Next returns the next piece of the call. It drops pieces of other calls and pieces
+// received before. It must not be called after it has returned the piece with End set.
 func (s *Stream) Next() (Piece, error) {
 	for {
 		var p Piece
@@ -133,15 +133,15 @@
 	}
 }
 
-// Close ends the stream early or after its end.
-func (s *Stream) Close() { _ = s.body.Close() } // nothing is left to lose
+// Close closes the stream, before or after its end.
+func (s *Stream) Close() { _ = s.body.Close() } // the error has no consequence
 
-// Cancel tells the engine to drop a call's sequence.
+// Cancel tells the engine to cancel a call's sequence.
 func (c *Client) Cancel(ctx context.Context, address, id string) error {
 	return c.post(ctx, address, PathCancel, CancelRequest{ID: id}, nil)
 }
 
-// State asks the engine for its state.
+// State reads the engine's state.
 func (c *Client) State(ctx context.Context, address string) (pool.State, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+PathState, nil)
 	if err != nil {
@@ -159,8 +159,8 @@
 	return s.decode(), nil
 }
 
-// SendOrder gives the engine an order. base is the model of an adapter. The order
-// goes over a fresh connection, so that it cannot be repeated underneath.
+// SendOrder sends an order to the engine. base is the model of an adapter. The order is
+// sent over a new connection, so that the transport cannot resend it.
 func (c *Client) SendOrder(ctx context.Context, address string, o book.Order, base string) planner.OrderReply {
 	out := planner.OrderReply{Engine: o.Engine, Fence: o.Fence, Seq: o.Seq}
 	var progress upstream.Progress
@@ -253,7 +253,7 @@
 	for _, it := range s.Items {
 		phase, ok := phaseByName[it.Phase]
 		if !ok {
-			phase = pool.Loading // unknown to us, yet it takes memory and serves nothing
+			phase = pool.Loading // an unknown phase: the item uses memory but serves no calls
 		}
 		out.Residency.Items = append(out.Residency.Items, pool.Item{Name: it.Name, Phase: phase})
 	}
--- a/internal/own/engine/engine_test.go
+++ b/internal/own/engine/engine_test.go
@@ -23,7 +23,8 @@
 	return &Stream{id: id, next: next, body: io.NopCloser(nil), dec: json.NewDecoder(bytes.NewReader(body))}
 }
 
-// TestStreamReturnsOwnPiecesOnceInOrder tables what a connection may bring.
+// TestStreamReturnsOwnPiecesOnceInOrder checks the pieces returned for what a connection
+// may deliver: duplicates, pieces of other calls, gaps and truncated streams.
 func TestStreamReturnsOwnPiecesOnceInOrder(t *testing.T) {
 	cases := []struct {
 		name  string
@@ -64,8 +65,8 @@
 	}
 }
 
-// FuzzStream feeds bytes that an engine could send: never a piece of another
-// call, never one out of order.
+// FuzzStream feeds arbitrary bytes as an engine's response and checks that no piece of
+// another call and no piece out of order is returned.
 func FuzzStream(f *testing.F) {
 	f.Add([]byte(`{"id":"a","o":0,"t":"x"}{"id":"a","o":1,"end":true}`))
 	f.Add([]byte(`{"id":"b","o":0}{"id":"a","o":5}`))
@@ -77,13 +78,14 @@
 				return
 			}
 			if p.ID != "a" || p.Offset != want {
-				t.Fatalf("piece %+v where %d was due", p, want)
+				t.Fatalf("got piece %+v, want offset %d", p, want)
 			}
 		}
 	})
 }
 
-// TestOrderOutcomes tables what an engine may do with an order.
+// TestOrderOutcomes checks the outcome reported for each answer that an engine may give
+// to an order.
 func TestOrderOutcomes(t *testing.T) {
 	cases := []struct {
 		name string
@@ -119,7 +121,8 @@
 	})
 }
 
-// TestProgressNeverRegresses: a late note cannot make a call look less sent.
+// TestProgressNeverRegresses checks that a late update cannot move a call back to an
+// earlier phase.
 func TestProgressNeverRegresses(t *testing.T) {
 	is := is.New(t)
 	var p upstream.Progress
--- a/internal/own/engine/wire.go
+++ b/internal/own/engine/wire.go
@@ -1,6 +1,6 @@
 package engine
 
-// Paths of an engine's interface.
+// Paths of an engine's API.
 const (
 	PathGenerate = "/engine/generate"
 	PathResume   = "/engine/resume"
@@ -9,9 +9,9 @@
 	PathOrders   = "/engine/orders"
 )
 
-// A GenerateRequest asks for tokens.
+// A GenerateRequest starts a call for tokens.
 type GenerateRequest struct {
-	ID        string `json:"id"` // of the attempt, unique in the fleet
+	ID        string `json:"id"` // of the attempt, unique among all instances
 	Model     string `json:"model"`
 	Adapter   string `json:"adapter,omitempty"`
 	Prompt    string `json:"prompt"`
@@ -19,19 +19,19 @@
 	Priority  int    `json:"priority"`
 }
 
-// A ResumeRequest asks for the rest of a stream.
+// A ResumeRequest requests the rest of a stream.
 type ResumeRequest struct {
 	ID     string `json:"id"`
-	Offset int    `json:"offset"` // pieces already had
+	Offset int    `json:"offset"` // number of pieces already received
 }
 
-// A CancelRequest gives up a sequence.
+// A CancelRequest cancels a sequence.
 type CancelRequest struct {
 	ID string `json:"id"`
 }
 
-// A Piece is one line of a stream. The last one has End set; a stream that
-// stops without it was cut.
+// A Piece is one line of a stream. The last piece has End set; a stream that stops
+// without it was truncated.
 type Piece struct {
 	ID     string `json:"id"`
 	Offset int    `json:"o"` // position of this piece, from 0
@@ -57,14 +57,14 @@
 	ResultFenced  = "fenced"
 )
 
-// An OrderReply answers an order with the state after it.
+// An OrderReply answers an order with the engine's state after it.
 type OrderReply struct {
 	Result string `json:"result"`
 	Detail string `json:"detail,omitempty"`
 	State  State  `json:"state"`
 }
 
-// A State is what an engine says of itself.
+// A State is an engine's report of its own state.
 type State struct {
 	Boot      uint64 `json:"boot"`
 	Change    uint64 `json:"change"`
--- a/internal/own/keyvalue/keyvalue.go
+++ b/internal/own/keyvalue/keyvalue.go
@@ -1,11 +1,11 @@
-// Package keyvalue provides the adapter for the platform's small key-value
-// service: compare-and-swap, leases, watches and the list of instances.
+// Package keyvalue provides the client of the platform's small key-value service:
+// compare-and-swap, leases, watches and the list of instances.
 //
-// Every method is one call and counts as one against the platform's rates; a
-// watch that waits counts as one too. An error says whether the request
-// certainly never left (ErrNotSent), was refused for its expectation
-// (ErrConflict), or may have taken effect (anything else): after the last the
-// caller reads back before it goes on.
+// Every method makes one call, which counts as one against the platform's rate limits; a
+// watch that waits counts as one too. The error says whether the request certainly was
+// not sent (ErrNotSent), failed because the value was not at the expected revision
+// (ErrConflict), or may have taken effect (any other error). In the last case the caller
+// must read the value back before it continues.
 package keyvalue
 
 import (
@@ -27,39 +27,39 @@
 	"github.com/birchdrift/birchdrift/internal/upstream"
 )
 
-// Errors that say for certain what became of a request.
+// Errors that say with certainty that a request took no effect.
 var (
 	// ErrConflict says that the value was not at the expected revision.
 	ErrConflict = errors.New("the value is not at the expected revision")
-	// ErrNotSent says that the request certainly never left.
+	// ErrNotSent says that the request was certainly not sent.
 	ErrNotSent = errors.New("the request was not sent")
 )
 
-// callTimeout bounds one call beyond what it asks the platform to wait.
+// callTimeout is the time limit of one call, in addition to the time that the call asks
+// the platform to wait.
 const callTimeout = 2 * time.Second
 
 // A Client calls the platform at one address.
 type Client struct {
 	base   string
 	http   *http.Client
-	Called func() // counts calls; may be nil
+	Called func() // called once per call, for counting; may be nil
 }
 
-// NewClient returns a client of the platform at address (IP:port). It keeps no
-// connection for writes, since net/http may repeat those on a reused one.
+// NewClient returns a client of the platform at address (IP:port). net/http may resend a
+// write on a reused connection; call clears GetBody to prevent that.
 func NewClient(address string, t upstream.Transports) *Client {
 	return &Client{base: "http://" + address, http: &http.Client{Transport: t.Reused}}
 }
 
-// A Value is a value with its revision; revision 0 means there is none.
+// A Value is a value with its revision. Revision 0 means that there is no value.
 type Value struct {
 	Data     []byte
 	Revision uint64
 }
 
-// Get returns a value. With wait set it returns as soon as the revision is
-// above after; when the wait is over without that, it returns the revision
-// alone.
+// Get returns a value. With wait set it returns as soon as the revision is above after;
+// if that does not happen within wait, it returns the revision alone.
 func (c *Client) Get(ctx context.Context, key string, after uint64, wait time.Duration) (Value, error) {
 	query := url.Values{}
 	if wait > 0 {
@@ -69,8 +69,9 @@
 	return c.call(ctx, http.MethodGet, PathValue+key, query, nil, wait)
 }
 
-// CompareAndSwap writes a value if its revision is still expect (0: if there is none)
-// and returns the new revision. ttl drops the value after that time; 0 keeps it.
+// CompareAndSwap writes a value if its revision is still expect (0: if there is no value)
+// and returns the new revision. The value expires after ttl; 0 means that it does not
+// expire.
 func (c *Client) CompareAndSwap(ctx context.Context, key string, data []byte, expect uint64, ttl time.Duration) (uint64, error) {
 	query := url.Values{"expect": {strconv.FormatUint(expect, 10)}}
 	if ttl > 0 {
@@ -80,14 +81,14 @@
 	return v.Revision, err
 }
 
-// Delete drops a value if its revision is still expect.
+// Delete deletes a value if its revision is still expect.
 func (c *Client) Delete(ctx context.Context, key string, expect uint64) error {
 	query := url.Values{"expect": {strconv.FormatUint(expect, 10)}}
 	_, err := c.call(ctx, http.MethodDelete, PathValue+key, query, nil, 0)
 	return err
 }
 
-// RequestLease asks for a lease or renews it.
+// RequestLease requests a lease or renews it.
 func (c *Client) RequestLease(ctx context.Context, name string, req LeaseRequest) (LeaseReply, error) {
 	data, err := json.Marshal(req)
 	if err != nil {
@@ -104,15 +105,15 @@
 	return reply, nil
 }
 
-// ReleaseLease gives a lease back if fence is still its grant.
+// ReleaseLease releases a lease if fence is still the fence of its grant.
 func (c *Client) ReleaseLease(ctx context.Context, name string, fence uint64) error {
 	query := url.Values{"fence": {strconv.FormatUint(fence, 10)}}
 	_, err := c.call(ctx, http.MethodDelete, PathLease+name, query, nil, 0)
 	return err
 }
 
-// Instances returns what changed in the list since a version, waiting for a
-// change if there is none.
+// Instances returns the changes of the list after version since, and the list's version.
+// It waits up to wait for a change if there is none.
 func (c *Client) Instances(ctx context.Context, since uint64, wait time.Duration) ([]gossip.Listed, uint64, error) {
 	query := url.Values{"since": {strconv.FormatUint(since, 10)}, "wait": {wait.String()}}
 	v, err := c.call(ctx, http.MethodGet, PathInstances, query, nil, wait)
@@ -130,7 +131,7 @@
 	return entries, list.Version, nil
 }
 
-// call makes one request and reads its answer whole.
+// call sends one request and reads the whole response.
 func (c *Client) call(ctx context.Context, method, path string, query url.Values, body []byte, wait time.Duration) (Value, error) {
 	if c.Called != nil {
 		c.Called()
--- a/internal/own/keyvalue/wire.go
+++ b/internal/own/keyvalue/wire.go
@@ -5,20 +5,20 @@
 	"github.com/birchdrift/birchdrift/core/gossip"
 )
 
-// Paths of the platform's interface.
+// Paths of the platform's API.
 const (
 	PathValue     = "/v1/kv/"       // + key: GET (with after, wait), PUT (with expect, ttl), DELETE (with expect)
 	PathLease     = "/v1/leases/"   // + name: POST, DELETE
 	PathInstances = "/v1/instances" // GET (with since, wait)
 )
 
-// Headers of the platform's answers.
+// Headers of the platform's responses.
 const (
-	// HeaderRevision carries the revision of a value: 0 where there is none.
+	// HeaderRevision carries the revision of a value; 0 if there is no value.
 	HeaderRevision = "Platform-Revision"
 )
 
-// A LeaseRequest asks for a lease, or renews it.
+// A LeaseRequest requests a lease, or renews it.
 type LeaseRequest struct {
 	Holder string `json:"holder"`
 	TermMS int64  `json:"term_ms"`
@@ -42,7 +42,7 @@
 	Version uint64 `json:"version"`
 }
 
-// An InstanceList is what changed in the list since a version.
+// An InstanceList is the changes of the list after a version.
 type InstanceList struct {
 	Version   uint64     `json:"version"`
 	Instances []Instance `json:"instances"`
