--- a/core/own/book/book.go
+++ b/core/own/book/book.go
@@ -82,9 +82,9 @@
 	open        map[uint64]outstanding // orders without a settled outcome, by Seq
 }
 
-// NewEngine returns the ledger of an engine whose state is unknown. It has no free memory
+// NewLedger returns the ledger of an engine whose state is unknown. It has no free memory
 // until a state is observed.
-func NewEngine(name string, capacityMiB int64, checksFence bool) *Ledger {
+func NewLedger(name string, capacityMiB int64, checksFence bool) *Ledger {
 	return &Ledger{
 		name:        name,
 		capacity:    capacityMiB,
@@ -355,7 +355,7 @@
 // No memory is free until the fence is raised again, and orders that are still in flight
 // stay open.
 func (e *Ledger) AfterRestart() *Ledger {
-	next := NewEngine(e.name, e.capacity, e.checksFence)
+	next := NewLedger(e.name, e.capacity, e.checksFence)
 	for seq, o := range e.open {
 		if o.order.Op == Load {
 			next.entries[o.order.Item] = entry{mib: o.order.MiB}
--- a/core/own/book/book_test.go
+++ b/core/own/book/book_test.go
@@ -27,7 +27,7 @@
 // an engine whose state it has not read.
 func TestNothingIsFreeBeforeTheStateIsRead(t *testing.T) {
 	is := is.New(t)
-	e := NewEngine("e", 1000, true)
+	e := NewLedger("e", 1000, true)
 	is.Equal(e.FreeMiB(), int64(0))
 	is.True(!e.Reserve(Order{Seq: 1, Op: Load, Item: "a", MiB: 400}))
 }
@@ -37,7 +37,7 @@
 // applying it would free reserved memory.
 func TestStaleStateFreesNothing(t *testing.T) {
 	is := is.New(t)
-	e := NewEngine("e", 1000, true)
+	e := NewLedger("e", 1000, true)
 	e.Observe(state(1, 5, 7, 1), 7, 0, size)
 	is.True(e.Reserve(Order{Fence: 7, Seq: 2, Op: Load, Item: "a", MiB: 400}))
 	e.Observe(state(1, 6, 7, 2, pool.Item{Name: "a", Phase: pool.Loading}), 7, 2, size)
@@ -51,7 +51,7 @@
 	for _, checks := range []bool{true, false} {
 		t.Run(fmt.Sprint(checks), func(t *testing.T) {
 			is := is.New(t)
-			e := NewEngine("e", 1000, checks)
+			e := NewLedger("e", 1000, checks)
 			e.Observe(state(1, 1, 7, 1), 7, 0, size)
 			is.True(e.Reserve(Order{Fence: 7, Seq: 2, Op: Load, Item: "a", MiB: 400}))
 			e.MarkLost(2)
@@ -73,7 +73,7 @@
 // item whose load order may arrive twice is not unloaded under the same boot.
 func TestDuplicateLoadPinsItsItem(t *testing.T) {
 	is := is.New(t)
-	e := NewEngine("e", 1000, false)
+	e := NewLedger("e", 1000, false)
 	e.Observe(state(1, 1, 0, 0), 7, 0, size)
 	is.True(e.Reserve(Order{Fence: 7, Seq: 1, Op: Load, Item: "a", MiB: 400}))
 	e.MarkLost(1)
@@ -117,7 +117,7 @@
 
 func newEngineModel(checks bool) *engineModel {
 	m := &engineModel{checksFence: checks, capacity: 1000, boot: 1, items: map[string]pool.ItemPhase{}}
-	m.ledger = NewEngine("e", m.capacity, checks)
+	m.ledger = NewLedger("e", m.capacity, checks)
 	m.ledger.Observe(m.state(), 7, 0, size)
 	return m
 }
--- a/core/own/planner/planner.go
+++ b/core/own/planner/planner.go
@@ -279,7 +279,7 @@
 		}
 		live[r.Name] = true
 		if p.ledgers[r.Name] == nil {
-			p.ledgers[r.Name] = book.NewEngine(r.Name, r.MemoryMiB, r.ChecksFence)
+			p.ledgers[r.Name] = book.NewLedger(r.Name, r.MemoryMiB, r.ChecksFence)
 			p.retries[r.Name] = &orderRetry{backoff: backoff.New(readBackoffBase, readBackoffMax)}
 		}
 	}
