--- a/core/own/book/book_test.go
+++ b/core/own/book/book_test.go
@@ -45,9 +45,9 @@
 	is.Equal(e.FreeMiB(), int64(600))
 }
 
-// TestLostLoadStaysBooked checks that the memory of a load whose answer is lost stays
+// TestLostLoadStaysReserved checks that the memory of a load whose answer is lost stays
 // reserved until the engine's state settles the order.
-func TestLostLoadStaysBooked(t *testing.T) {
+func TestLostLoadStaysReserved(t *testing.T) {
 	for _, checks := range []bool{true, false} {
 		t.Run(fmt.Sprint(checks), func(t *testing.T) {
 			is := is.New(t)
