--- a/core/own/modelcalls/decisions.go
+++ b/core/own/modelcalls/decisions.go
@@ -26,8 +26,8 @@
 
 // A decisionRing is a ring buffer of the latest decisions.
 type decisionRing struct {
-	ring []Decision
-	next int
+	entries []Decision
+	next    int
 }
 
 // maxDecisions is the number of decisions that are kept for operators.
@@ -48,15 +48,15 @@
 		Cached:   e.Cached,
 		WaitedMS: millis(now.Since(c.Arrived)),
 	}
-	if len(d.ring) < maxDecisions {
-		d.ring = append(d.ring, x)
+	if len(d.entries) < maxDecisions {
+		d.entries = append(d.entries, x)
 		return
 	}
-	d.ring[d.next] = x
+	d.entries[d.next] = x
 	d.next = (d.next + 1) % maxDecisions
 }
 
 func millis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
 // RecentDecisions returns the latest decisions.
-func (h *Handler) RecentDecisions() []Decision { return h.decisions.ring }
+func (h *Handler) RecentDecisions() []Decision { return h.decisions.entries }
