--- a/core/own/plan/place.go
+++ b/core/own/plan/place.go
@@ -35,7 +35,7 @@
 			return
 		}
 		p.starvingServed = true
-		w.ignoresCost = true
+		w.atAnyCost = true
 	}
 	if len(best.victims) > 0 {
 		p.unload(best, w)
@@ -73,7 +73,7 @@
 		if it.Base != "" {
 			o.engine.adapters[it.Base]--
 		}
-		p.steps = append(p.steps, Step{Op: book.Unload, Engine: o.engine.Name, Item: v.Name, MiB: it.MiB, Starving: w.ignoresCost})
+		p.steps = append(p.steps, Step{Op: book.Unload, Engine: o.engine.Name, Item: v.Name, MiB: it.MiB, Starving: w.atAnyCost})
 	}
 	p.loadsLeft-- // reserved for the load that follows
 	for _, it := range o.loads {
--- a/core/own/plan/plan.go
+++ b/core/own/plan/plan.go
@@ -129,11 +129,11 @@
 
 // A missingCopy is a copy that should be placed.
 type missingCopy struct {
-	item        string
-	value       float64
-	starving    bool
-	ignoresCost bool // other items are unloaded for it although its value does not justify that
-	optional    bool // a second copy in case the first is lost, placed only in free memory
+	item      string
+	value     float64
+	starving  bool
+	atAnyCost bool // other items are unloaded for it although its value does not justify that
+	optional  bool // a second copy in case the first is lost, placed only in free memory
 }
 
 // A planner computes one plan.
