--- a/core/own/book/book.go
+++ b/core/own/book/book.go
@@ -95,44 +95,44 @@
 }
 
 // StateKnown reports whether the engine's state was read since its fence was raised.
-func (e *Ledger) StateKnown() bool { return e.stateKnown }
+func (l *Ledger) StateKnown() bool { return l.stateKnown }
 
 // Boot returns the boot under which the state was last read.
-func (e *Ledger) Boot() uint64 { return e.boot }
+func (l *Ledger) Boot() uint64 { return l.boot }
 
 // FreeMiB returns the memory in MiB that no item uses or is reserved for; 0 while the
 // state is unknown.
-func (e *Ledger) FreeMiB() int64 {
-	if !e.stateKnown {
+func (l *Ledger) FreeMiB() int64 {
+	if !l.stateKnown {
 		return 0
 	}
-	return e.capacity - e.usedMiB()
+	return l.capacity - l.usedMiB()
 }
 
-func (e *Ledger) usedMiB() int64 {
+func (l *Ledger) usedMiB() int64 {
 	var sum int64
-	for _, en := range e.entries {
+	for _, en := range l.entries {
 		sum += en.mib
 	}
 	return sum
 }
 
 // Holds reports whether the item uses memory or has memory reserved.
-func (e *Ledger) Holds(item string) bool {
-	_, ok := e.entries[item]
+func (l *Ledger) Holds(item string) bool {
+	_, ok := l.entries[item]
 	return ok
 }
 
 // Phase returns the item's phase; 0 if it is absent or its memory is only reserved.
-func (e *Ledger) Phase(item string) pool.ItemPhase { return e.entries[item].phase }
+func (l *Ledger) Phase(item string) pool.ItemPhase { return l.entries[item].phase }
 
 // Pinned reports whether the item must not be unloaded under this boot.
-func (e *Ledger) Pinned(item string) bool { return e.entries[item].pinned }
+func (l *Ledger) Pinned(item string) bool { return l.entries[item].pinned }
 
 // Items returns the items that use memory or have memory reserved, sorted by name.
-func (e *Ledger) Items() []string {
-	items := make([]string, 0, len(e.entries))
-	for item := range e.entries {
+func (l *Ledger) Items() []string {
+	items := make([]string, 0, len(l.entries))
+	for item := range l.entries {
 		items = append(items, item)
 	}
 	sort.Strings(items)
@@ -140,11 +140,11 @@
 }
 
 // Busy reports whether an order is still open or an item is being loaded or unloaded.
-func (e *Ledger) Busy() bool {
-	if len(e.open) > 0 {
+func (l *Ledger) Busy() bool {
+	if len(l.open) > 0 {
 		return true
 	}
-	for _, en := range e.entries {
+	for _, en := range l.entries {
 		if en.phase == pool.Loading || en.phase == pool.Unloading {
 			return true
 		}
@@ -153,9 +153,9 @@
 }
 
 // Unconfirmed returns the orders whose answers are lost, in ascending order of Seq.
-func (e *Ledger) Unconfirmed() []Order {
+func (l *Ledger) Unconfirmed() []Order {
 	var orders []Order
-	for _, o := range e.open {
+	for _, o := range l.open {
 		if o.unconfirmed {
 			orders = append(orders, o.order)
 		}
@@ -167,157 +167,157 @@
 // Reserve records an order that is about to be sent and reserves its memory. It returns
 // false and records nothing if the order could overcommit the engine, if the item to load
 // already has memory, or if the item to unload is pinned or not ready.
-func (e *Ledger) Reserve(o Order) bool {
+func (l *Ledger) Reserve(o Order) bool {
 	switch o.Op {
 	case Load:
-		if !e.stateKnown || e.Holds(o.Item) || o.MiB > e.FreeMiB() {
+		if !l.stateKnown || l.Holds(o.Item) || o.MiB > l.FreeMiB() {
 			return false
 		}
-		e.entries[o.Item] = entry{mib: o.MiB}
+		l.entries[o.Item] = entry{mib: o.MiB}
 	case Unload:
-		en, ok := e.entries[o.Item]
-		if !e.stateKnown || !ok || en.pinned || en.phase != pool.Ready {
+		en, ok := l.entries[o.Item]
+		if !l.stateKnown || !ok || en.pinned || en.phase != pool.Ready {
 			return false
 		}
 	}
-	e.open[o.Seq] = outstanding{order: o}
+	l.open[o.Seq] = outstanding{order: o}
 	return true
 }
 
 // AddInherited records an order of an earlier lease holder as outstanding and
 // unconfirmed. A new holder does this for every intent that it finds.
-func (e *Ledger) AddInherited(o Order) {
-	if o.Op == Load && !e.Holds(o.Item) {
-		e.entries[o.Item] = entry{mib: o.MiB}
+func (l *Ledger) AddInherited(o Order) {
+	if o.Op == Load && !l.Holds(o.Item) {
+		l.entries[o.Item] = entry{mib: o.MiB}
 	}
-	e.open[o.Seq] = outstanding{order: o, unconfirmed: true}
+	l.open[o.Seq] = outstanding{order: o, unconfirmed: true}
 }
 
 // MarkNotSent records that an order was certainly not sent and undoes its reservation.
-func (e *Ledger) MarkNotSent(seq uint64) {
-	o, ok := e.open[seq]
+func (l *Ledger) MarkNotSent(seq uint64) {
+	o, ok := l.open[seq]
 	if !ok {
 		return
 	}
-	delete(e.open, seq)
-	if o.order.Op == Load && e.entries[o.order.Item].phase == 0 && !e.hasOpenLoad(o.order.Item) {
-		delete(e.entries, o.order.Item)
+	delete(l.open, seq)
+	if o.order.Op == Load && l.entries[o.order.Item].phase == 0 && !l.hasOpenLoad(o.order.Item) {
+		delete(l.entries, o.order.Item)
 	}
 }
 
 // MarkLost records that the answer to an order is lost.
-func (e *Ledger) MarkLost(seq uint64) {
-	if o, ok := e.open[seq]; ok {
+func (l *Ledger) MarkLost(seq uint64) {
+	if o, ok := l.open[seq]; ok {
 		o.unconfirmed = true
-		e.open[seq] = o
+		l.open[seq] = o
 	}
 }
 
 // MarkRefused records the engine's answer that it did not and will not carry out an
 // order.
-func (e *Ledger) MarkRefused(seq uint64) { e.MarkNotSent(seq) }
+func (l *Ledger) MarkRefused(seq uint64) { l.MarkNotSent(seq) }
 
 // Observe updates the ledger with a state that the engine reported under the holder's
 // fence. answered is the Seq of the order that the state answers, or 0 for a plain read.
 // size returns an item's memory in MiB.
-func (e *Ledger) Observe(s pool.State, fence, answered uint64, size func(string) int64) {
-	if e.isStale(s) {
-		delete(e.open, answered)
+func (l *Ledger) Observe(s pool.State, fence, answered uint64, size func(string) int64) {
+	if l.isStale(s) {
+		delete(l.open, answered)
 		return
 	}
-	if s.Residency.Boot > e.boot {
-		e.dropForReboot(s.Residency.Boot)
+	if s.Residency.Boot > l.boot {
+		l.dropForReboot(s.Residency.Boot)
 	}
-	e.lastChange = s.Residency.Change
-	e.closeSettled(s, fence, answered)
-	e.stateKnown = true
-	e.rebuildEntries(s, size)
+	l.lastChange = s.Residency.Change
+	l.closeSettled(s, fence, answered)
+	l.stateKnown = true
+	l.rebuildEntries(s, size)
 }
 
 // isStale reports whether the state is older than one observed before. Such a state may
 // lack an item that an answered order has loaded since, and applying it would free memory
 // that is in use. A late answer still closes its order, through MarkRefused or a later
 // state.
-func (e *Ledger) isStale(s pool.State) bool {
-	if !e.stateKnown {
+func (l *Ledger) isStale(s pool.State) bool {
+	if !l.stateKnown {
 		return false
 	}
-	if s.Residency.Boot != e.boot {
-		return s.Residency.Boot < e.boot
+	if s.Residency.Boot != l.boot {
+		return s.Residency.Boot < l.boot
 	}
-	return s.Residency.Change < e.lastChange
+	return s.Residency.Change < l.lastChange
 }
 
 // dropForReboot removes the items of the engine's former process. Orders that are still
 // in flight may reach the new process, so they stay open and keep their memory reserved.
-func (e *Ledger) dropForReboot(boot uint64) {
-	e.boot = boot
-	for item, en := range e.entries {
-		if !e.hasOpenLoad(item) {
-			delete(e.entries, item)
+func (l *Ledger) dropForReboot(boot uint64) {
+	l.boot = boot
+	for item, en := range l.entries {
+		if !l.hasOpenLoad(item) {
+			delete(l.entries, item)
 			continue
 		}
-		e.entries[item] = entry{mib: en.mib}
+		l.entries[item] = entry{mib: en.mib}
 	}
 }
 
 // closeSettled closes the orders whose outcome the state shows.
-func (e *Ledger) closeSettled(s pool.State, fence, answered uint64) {
+func (l *Ledger) closeSettled(s pool.State, fence, answered uint64) {
 	shown := make(map[string]bool, len(s.Residency.Items))
 	for _, it := range s.Residency.Items {
 		shown[it.Name] = true
 	}
-	for seq, o := range e.open {
+	for seq, o := range l.open {
 		switch {
 		case seq == answered:
-			delete(e.open, seq)
-			if o.unconfirmed && !e.checksFence && o.order.Op == Load {
-				e.pin(o.order.Item) // an earlier attempt of the order may still arrive
+			delete(l.open, seq)
+			if o.unconfirmed && !l.checksFence && o.order.Op == Load {
+				l.pin(o.order.Item) // an earlier attempt of the order may still arrive
 			}
-		case e.checksFence:
+		case l.checksFence:
 			if s.Fence > o.order.Fence || (s.Fence == fence && o.order.Fence == fence && s.LastOrder >= seq) {
-				delete(e.open, seq)
+				delete(l.open, seq)
 			}
 		case o.unconfirmed && o.order.Op == Load && shown[o.order.Item]:
-			delete(e.open, seq)
-			e.pin(o.order.Item)
+			delete(l.open, seq)
+			l.pin(o.order.Item)
 		case o.unconfirmed && o.order.Op == Unload && !shown[o.order.Item]:
-			delete(e.open, seq)
+			delete(l.open, seq)
 		}
 	}
 }
 
-func (e *Ledger) pin(item string) {
-	en := e.entries[item]
+func (l *Ledger) pin(item string) {
+	en := l.entries[item]
 	en.pinned = true
-	e.entries[item] = en
+	l.entries[item] = en
 }
 
 // rebuildEntries replaces the entries by the state's items, and keeps those of open loads
 // and of pinned items that the state does not show.
-func (e *Ledger) rebuildEntries(s pool.State, size func(string) int64) {
+func (l *Ledger) rebuildEntries(s pool.State, size func(string) int64) {
 	next := make(map[string]entry, len(s.Residency.Items))
 	for _, it := range s.Residency.Items {
-		old := e.entries[it.Name]
+		old := l.entries[it.Name]
 		mib := old.mib
 		if mib == 0 {
 			mib = size(it.Name)
 		}
 		next[it.Name] = entry{mib: mib, phase: it.Phase, pinned: old.pinned}
 	}
-	for item, old := range e.entries {
+	for item, old := range l.entries {
 		if _, shown := next[item]; shown {
 			continue
 		}
-		if e.hasOpenLoad(item) || old.pinned {
+		if l.hasOpenLoad(item) || old.pinned {
 			next[item] = entry{mib: old.mib, pinned: old.pinned}
 		}
 	}
-	e.entries = next
+	l.entries = next
 }
 
-func (e *Ledger) hasOpenLoad(item string) bool {
-	for _, o := range e.open {
+func (l *Ledger) hasOpenLoad(item string) bool {
+	for _, o := range l.open {
 		if o.order.Op == Load && o.order.Item == item {
 			return true
 		}
@@ -326,25 +326,25 @@
 }
 
 // Name returns the engine's name.
-func (e *Ledger) Name() string { return e.name }
+func (l *Ledger) Name() string { return l.name }
 
 // OpenOp returns the operation of an order, and whether the order is still open.
-func (e *Ledger) OpenOp(seq uint64) (Op, bool) {
-	o, ok := e.open[seq]
+func (l *Ledger) OpenOp(seq uint64) (Op, bool) {
+	o, ok := l.open[seq]
 	return o.order.Op, ok
 }
 
 // IsOpen reports whether the order has no settled outcome yet.
-func (e *Ledger) IsOpen(seq uint64) bool {
-	_, ok := e.open[seq]
+func (l *Ledger) IsOpen(seq uint64) bool {
+	_, ok := l.open[seq]
 	return ok
 }
 
 // LoadsInProgress returns the number of loads that read from the weight store now.
-func (e *Ledger) LoadsInProgress() int {
+func (l *Ledger) LoadsInProgress() int {
 	n := 0
-	for item, en := range e.entries {
-		if en.phase == pool.Loading || (en.phase == 0 && e.hasOpenLoad(item)) {
+	for item, en := range l.entries {
+		if en.phase == pool.Loading || (en.phase == 0 && l.hasOpenLoad(item)) {
 			n++
 		}
 	}
@@ -354,9 +354,9 @@
 // AfterRestart returns the ledger to use after the engine restarted and lost its fence.
 // No memory is free until the fence is raised again, and orders that are still in flight
 // stay open.
-func (e *Ledger) AfterRestart() *Ledger {
-	next := NewLedger(e.name, e.capacity, e.checksFence)
-	for seq, o := range e.open {
+func (l *Ledger) AfterRestart() *Ledger {
+	next := NewLedger(l.name, l.capacity, l.checksFence)
+	for seq, o := range l.open {
 		if o.order.Op == Load {
 			next.entries[o.order.Item] = entry{mib: o.order.MiB}
 		}
--- a/core/own/choose/choose.go
+++ b/core/own/choose/choose.go
@@ -173,14 +173,14 @@
 		return nil
 	}
 	var best *pool.Replica
-	var top uint64
+	var bestScore uint64
 	for _, r := range candidates {
 		if !r.Usable() {
 			continue
 		}
-		if score := rendezvous.Score(p.blocks[0], r.Name); best == nil || score > top {
+		if score := rendezvous.Score(p.blocks[0], r.Name); best == nil || score > bestScore {
 			best = r
-			top = score
+			bestScore = score
 		}
 	}
 	return best
--- a/core/own/choose/prefix.go
+++ b/core/own/choose/prefix.go
@@ -55,27 +55,27 @@
 }
 
 // Record records that the blocks of p are on the replica.
-func (m *PrefixIndex) Record(p Prefix, replica string) {
+func (x *PrefixIndex) Record(p Prefix, replica string) {
 	for _, h := range p.blocks {
-		if el, ok := m.byHash[h]; ok {
+		if el, ok := x.byHash[h]; ok {
 			el.Value = indexEntry{hash: h, replica: replica}
-			m.lru.MoveToFront(el)
+			x.lru.MoveToFront(el)
 			continue
 		}
-		m.byHash[h] = m.lru.PushFront(indexEntry{hash: h, replica: replica})
-		if m.lru.Len() > m.size {
-			last := m.lru.Back()
-			delete(m.byHash, last.Value.(indexEntry).hash)
-			m.lru.Remove(last)
+		x.byHash[h] = x.lru.PushFront(indexEntry{hash: h, replica: replica})
+		if x.lru.Len() > x.size {
+			last := x.lru.Back()
+			delete(x.byHash, last.Value.(indexEntry).hash)
+			x.lru.Remove(last)
 		}
 	}
 }
 
 // Find returns the replica that has the longest recorded part of p, and the number of
 // tokens of that part. It returns "" and 0 if no part of p is recorded.
-func (m *PrefixIndex) Find(p Prefix) (replica string, tokens int) {
+func (x *PrefixIndex) Find(p Prefix) (replica string, tokens int) {
 	for i := len(p.blocks) - 1; i >= 0; i-- {
-		if el, ok := m.byHash[p.blocks[i]]; ok {
+		if el, ok := x.byHash[p.blocks[i]]; ok {
 			return el.Value.(indexEntry).replica, (i + 1) * blockTokens
 		}
 	}
@@ -83,12 +83,12 @@
 }
 
 // RemoveReplica removes the blocks recorded for a replica, after it restarted.
-func (m *PrefixIndex) RemoveReplica(replica string) {
-	for el := m.lru.Front(); el != nil; {
+func (x *PrefixIndex) RemoveReplica(replica string) {
+	for el := x.lru.Front(); el != nil; {
 		next := el.Next()
 		if entry := el.Value.(indexEntry); entry.replica == replica {
-			delete(m.byHash, entry.hash)
-			m.lru.Remove(el)
+			delete(x.byHash, entry.hash)
+			x.lru.Remove(el)
 		}
 		el = next
 	}
--- a/core/own/lease/lease.go
+++ b/core/own/lease/lease.go
@@ -17,7 +17,7 @@
 	"github.com/birchdrift/birchdrift/core/clock"
 )
 
-// DriftMargin is the fraction of the term that is subtracted to allow for clock drift.
+// DriftMargin is the share of the term that is subtracted to allow for clock drift.
 const DriftMargin = 0.1
 
 // A Lease is an immutable view of one lease.
--- a/core/own/meter/meter.go
+++ b/core/own/meter/meter.go
@@ -28,7 +28,7 @@
 }
 
 type meterItem struct {
-	short, long float64       // decayed counts
+	short, long float64       // decayed numbers of calls
 	weight      float64       // EWMA
 	holdTime    float64       // EWMA, seconds
 	firstCall   clock.Instant // time of the first call
@@ -36,7 +36,7 @@
 	lastCall    clock.Instant // time of the last call
 	waiting     int
 	unmetSince  clock.Instant // zero while met
-	lastUnmet   clock.Instant
+	lastUnmet   clock.Instant // time of the last unmet call
 }
 
 // New returns a meter that has recorded no call.
--- a/core/own/plan/place.go
+++ b/core/own/plan/place.go
@@ -17,35 +17,35 @@
 }
 
 // place adds the steps of the best option, if its value justifies its cost.
-func (p *planner) place(w missingCopy) {
-	best, ok := p.bestOption(w)
+func (p *planner) place(m missingCopy) {
+	best, ok := p.bestOption(m)
 	if !ok {
 		return
 	}
 	moves := float64(len(best.loads) + len(best.victims))
-	if w.optional && len(best.victims) > 0 {
+	if m.optional && len(best.victims) > 0 {
 		return
 	}
-	pays := w.value > hysteresis*best.cost+p.in.MoveCost*moves
+	pays := m.value > hysteresis*best.cost+p.in.MoveCost*moves
 	if len(best.victims) > 0 && !pays {
 		// Only one such item is served at a time. An item that is starving although its
 		// value justifies no unload has little demand; it may replace one popular item,
 		// but not many.
-		if !w.starving || p.starvingServed || !p.in.Starve {
+		if !m.starving || p.starvingServed || !p.in.Starve {
 			return
 		}
 		p.starvingServed = true
-		w.atAnyCost = true
+		m.atAnyCost = true
 	}
 	if len(best.victims) > 0 {
-		p.unload(best, w)
+		p.unload(best, m)
 		return
 	}
-	p.load(best, w)
+	p.load(best, m)
 }
 
 // load adds the loads of an option that needs no unloads.
-func (p *planner) load(o option, w missingCopy) {
+func (p *planner) load(o option, m missingCopy) {
 	for _, it := range o.loads {
 		if p.loadsLeft <= 0 {
 			return
@@ -64,7 +64,7 @@
 // unload adds the unloads of an option. The loads follow in a later plan, when the engine
 // reports that the memory is free. Until then the memory is not available to less
 // valuable copies.
-func (p *planner) unload(o option, w missingCopy) {
+func (p *planner) unload(o option, m missingCopy) {
 	for _, v := range o.victims {
 		it := p.in.Items[v.Name]
 		o.engine.freeingMiB += it.MiB
@@ -73,7 +73,7 @@
 		if it.Base != "" {
 			o.engine.adapters[it.Base]--
 		}
-		p.steps = append(p.steps, Step{Op: book.Unload, Engine: o.engine.Name, Item: v.Name, MiB: it.MiB, Starving: w.atAnyCost})
+		p.steps = append(p.steps, Step{Op: book.Unload, Engine: o.engine.Name, Item: v.Name, MiB: it.MiB, Starving: m.atAnyCost})
 	}
 	p.loadsLeft-- // reserved for the load that follows
 	for _, it := range o.loads {
@@ -84,11 +84,11 @@
 }
 
 // bestOption returns the best way to place the missing copy, if there is one.
-func (p *planner) bestOption(w missingCopy) (option, bool) {
+func (p *planner) bestOption(m missingCopy) (option, bool) {
 	var best option
 	found := false
 	for _, e := range p.engines {
-		o, ok := p.optionOn(e, w)
+		o, ok := p.optionOn(e, m)
 		if !ok {
 			continue
 		}
@@ -123,12 +123,12 @@
 }
 
 // optionOn returns how the missing copy could be placed on e, if that is possible.
-func (p *planner) optionOn(e *engine, w missingCopy) (option, bool) {
-	if _, here := e.residents[w.item]; here {
+func (p *planner) optionOn(e *engine, m missingCopy) (option, bool) {
+	if _, here := e.residents[m.item]; here {
 		return option{}, false
 	}
-	o := option{engine: e, sameDomain: p.copiesInDomain(e, w.item)}
-	it := p.in.Items[w.item]
+	o := option{engine: e, sameDomain: p.copiesInDomain(e, m.item)}
+	it := p.in.Items[m.item]
 	if it.Base != "" {
 		base, here := e.residents[it.Base]
 		if here && base.Since == 0 && !base.Settled {
@@ -150,7 +150,7 @@
 	if need > e.Capacity || e.freeingMiB > 0 {
 		return option{}, false
 	}
-	return p.withVictims(o, it.Base, need-e.Free, w)
+	return p.withVictims(o, it.Base, need-e.Free, m)
 }
 
 // copiesInDomain counts the copies of item on engines in the same failure domain as e.
@@ -172,17 +172,17 @@
 }
 
 // before orders victims by value per memory, the lowest first.
-func (v victim) before(w victim) bool {
-	a, b := v.value/float64(v.mib), w.value/float64(w.mib)
+func (v victim) before(other victim) bool {
+	a, b := v.value/float64(v.mib), other.value/float64(other.mib)
 	if a != b {
 		return a < b
 	}
-	return v.group[len(v.group)-1].Name < w.group[len(w.group)-1].Name
+	return v.group[len(v.group)-1].Name < other.group[len(other.group)-1].Name
 }
 
 // withVictims adds to o the residents with the lowest value per memory whose unloading
 // frees need MiB. It never unloads the model keep.
-func (p *planner) withVictims(o option, keep string, need int64, w missingCopy) (option, bool) {
+func (p *planner) withVictims(o option, keep string, need int64, m missingCopy) (option, bool) {
 	var candidates []victim
 	for name, r := range o.engine.residents {
 		if name == keep || p.in.Items[name].Base != "" && p.in.Items[name].Base != keep {
@@ -192,7 +192,7 @@
 		c := victim{group: group}
 		droppable := true
 		for _, g := range group {
-			droppable = droppable && g.Settled && g.Since >= p.minStay(w)
+			droppable = droppable && g.Settled && g.Since >= p.minStay(m)
 			c.mib += p.in.Items[g.Name].MiB
 			c.value += p.copyValue(g.Name, p.copies[g.Name], p.in.Covered[g.Name])
 		}
@@ -212,9 +212,9 @@
 	return o, need <= 0
 }
 
-// minStay returns how long an item must have been resident to be unloaded for w.
-func (p *planner) minStay(w missingCopy) time.Duration {
-	if w.starving {
+// minStay returns how long an item must have been resident to be unloaded for m.
+func (p *planner) minStay(m missingCopy) time.Duration {
+	if m.starving {
 		return min(starvingStay, p.in.MinimumStay)
 	}
 	return p.in.MinimumStay
--- a/core/own/plan/plan.go
+++ b/core/own/plan/plan.go
@@ -118,11 +118,11 @@
 // returns the unloads; a later plan returns the load when the memory is free.
 func Steps(in Input) []Step {
 	p := newPlanner(in)
-	for _, w := range p.missingCopies() {
+	for _, m := range p.missingCopies() {
 		if p.loadsLeft <= 0 {
 			break
 		}
-		p.place(w)
+		p.place(m)
 	}
 	return p.steps
 }
--- a/core/own/planner/demand.go
+++ b/core/own/planner/demand.go
@@ -36,16 +36,16 @@
 		return
 	}
 	zones := p.planningZones(now)
-	told := map[string]bool{p.Self.Zone: true}
+	notified := map[string]bool{p.Self.Zone: true}
 	for _, it := range p.Totals.Sum(now) {
 		if it.Unmet == 0 || len(p.Pool.Ready(it.Name)) > 0 {
 			continue
 		}
 		zone := p.firstCopyZone(zones, it.Name)
-		if told[zone] {
+		if notified[zone] {
 			continue
 		}
-		told[zone] = true
+		notified[zone] = true
 		p.zonesNotifiedAt = now
 		p.Tell(now, p.Members.Get(p.Records.LeaseHolder(zone).Instance))
 	}
--- a/core/own/planner/input.go
+++ b/core/own/planner/input.go
@@ -24,7 +24,7 @@
 func newZoneView(s *config.Snapshot, zone string) zoneView {
 	doc := s.Document()
 	zones := engineZones(doc)
-	h := zoneView{items: map[string]plan.Item{}, assigned: map[string]bool{}, zones: zones}
+	v := zoneView{items: map[string]plan.Item{}, assigned: map[string]bool{}, zones: zones}
 	attached := map[string]bool{}
 	for _, svc := range doc.Services {
 		for _, v := range svc.Versions {
@@ -33,25 +33,25 @@
 		}
 	}
 	for _, model := range doc.Models {
-		h.items[model.Name] = plan.Item{Name: model.Name, MiB: model.MemoryMiB}
-		h.assigned[model.Name] = attached[model.Name] && assignedZone(zones, model.Name) == zone
+		v.items[model.Name] = plan.Item{Name: model.Name, MiB: model.MemoryMiB}
+		v.assigned[model.Name] = attached[model.Name] && assignedZone(zones, model.Name) == zone
 	}
 	for _, a := range doc.Adapters {
-		h.items[a.Name] = plan.Item{Name: a.Name, Base: a.Model, MiB: a.MemoryMiB}
-		h.assigned[a.Name] = attached[a.Name] && assignedZone(zones, a.Model) == zone
+		v.items[a.Name] = plan.Item{Name: a.Name, Base: a.Model, MiB: a.MemoryMiB}
+		v.assigned[a.Name] = attached[a.Name] && assignedZone(zones, a.Model) == zone
 	}
-	return h
+	return v
 }
 
 // engineZones returns the zones that have engines, in the order of the document.
 func engineZones(doc config.Document) []string {
-	has := map[string]bool{}
+	hasEngine := map[string]bool{}
 	for _, e := range doc.Engines {
-		has[e.Zone] = true
+		hasEngine[e.Zone] = true
 	}
 	var zones []string
 	for _, z := range doc.Zones {
-		if has[z.Name] {
+		if hasEngine[z.Name] {
 			zones = append(zones, z.Name)
 		}
 	}
@@ -62,11 +62,11 @@
 func assignedZone(zones []string, model string) string {
 	key := rendezvous.Key(model)
 	best := ""
-	var top uint64
+	var bestScore uint64
 	for _, z := range zones {
-		if score := rendezvous.Score(key, z); best == "" || score > top {
+		if score := rendezvous.Score(key, z); best == "" || score > bestScore {
 			best = z
-			top = score
+			bestScore = score
 		}
 	}
 	return best
--- a/core/own/planner/intents.go
+++ b/core/own/planner/intents.go
@@ -105,17 +105,17 @@
 // sendQueued sends the queued orders whose intents the platform now holds.
 func (p *Planner) sendQueued(now clock.Instant, written Intents) {
 	in := &p.intents
-	stands := make(map[uint64]bool, len(written.Intents))
+	isWritten := make(map[uint64]bool, len(written.Intents))
 	for _, i := range written.Intents {
-		stands[i.Seq] = true
+		isWritten[i.Seq] = true
 	}
-	var rest []book.Order
+	var remaining []book.Order
 	for _, o := range in.queued {
 		r := p.Pool.Get(o.Engine)
 		l := p.ledgers[o.Engine]
 		switch {
-		case !stands[o.Seq]:
-			rest = append(rest, o)
+		case !isWritten[o.Seq]:
+			remaining = append(remaining, o)
 		case r == nil || l == nil || !p.mayOrder(now, r):
 			if l != nil {
 				l.MarkNotSent(o.Seq)
@@ -124,7 +124,7 @@
 			p.send(o, r)
 		}
 	}
-	in.queued = rest
+	in.queued = remaining
 }
 
 // resendUnconfirmed resends orders whose answers are lost to engines that do not check
@@ -136,13 +136,13 @@
 		if l == nil || r.ChecksFence || !p.mayOrder(now, r) {
 			continue
 		}
-		ra := p.retries[r.Name]
+		retry := p.retries[r.Name]
 		unconfirmed := l.Unconfirmed()
-		if len(unconfirmed) == 0 || now.Before(ra.due) {
+		if len(unconfirmed) == 0 || now.Before(retry.due) {
 			continue
 		}
-		ra.backoff = ra.backoff.WithFailure()
-		ra.due = now.Add(ra.backoff.Delay(p.Rand))
+		retry.backoff = retry.backoff.WithFailure()
+		retry.due = now.Add(retry.backoff.Delay(p.Rand))
 		for _, o := range unconfirmed {
 			p.send(o, r)
 		}
@@ -155,14 +155,14 @@
 	if !in.owned {
 		return
 	}
-	var rest []Intent
+	var remaining []Intent
 	for _, i := range in.list {
 		if l := p.ledgers[i.Engine]; l != nil && l.IsOpen(i.Seq) {
-			rest = append(rest, i)
+			remaining = append(remaining, i)
 		}
 	}
-	if len(rest) != len(in.list) {
-		in.list = rest
+	if len(remaining) != len(in.list) {
+		in.list = remaining
 		in.dirty = true
 	}
 }
--- a/core/own/planner/orders.go
+++ b/core/own/planner/orders.go
@@ -70,12 +70,12 @@
 		if l == nil || !r.ChecksFence || p.Options.Disable.Fences {
 			continue
 		}
-		ra := p.retries[r.Name]
-		if now.Before(ra.due) || (l.StateKnown() && len(l.Unconfirmed()) == 0) {
+		retry := p.retries[r.Name]
+		if now.Before(retry.due) || (l.StateKnown() && len(l.Unconfirmed()) == 0) {
 			continue
 		}
-		ra.backoff = ra.backoff.WithFailure()
-		ra.due = now.Add(ra.backoff.Delay(p.Rand))
+		retry.backoff = retry.backoff.WithFailure()
+		retry.due = now.Add(retry.backoff.Delay(p.Rand))
 		o := book.Order{Engine: r.Name, Fence: p.fence, Seq: p.nextSeq(), Op: book.RaiseFence}
 		l.Reserve(o)
 		p.Out.Emit(SendOrder{Address: r.Address, Order: o})
@@ -125,8 +125,8 @@
 	switch e.Outcome {
 	case OrderAccepted:
 		p.countOrder(op)
-		if ra := p.retries[e.Engine]; ra != nil {
-			ra.backoff = ra.backoff.WithSuccess()
+		if retry := p.retries[e.Engine]; retry != nil {
+			retry.backoff = retry.backoff.WithSuccess()
 		}
 		p.observe(now, e.Engine, e.State)
 		p.applyState(now, l, e.State, e.Seq)
@@ -145,8 +145,8 @@
 	case OrderLost:
 		p.Out.Log(logevent.OrderLost, "engine", e.Engine, "seq", e.Seq, "detail", e.Detail)
 		l.MarkLost(e.Seq)
-		if ra := p.retries[e.Engine]; ra != nil {
-			ra.due = now
+		if retry := p.retries[e.Engine]; retry != nil {
+			retry.due = now
 		}
 	}
 	p.settleIntents()
--- a/core/own/planner/planner.go
+++ b/core/own/planner/planner.go
@@ -215,11 +215,11 @@
 }
 
 func (p *Planner) logDoubt(now clock.Instant) {
-	doubt := !p.lease.Valid(now)
-	if doubt && !p.doubtLogged {
+	inDoubt := !p.lease.Valid(now)
+	if inDoubt && !p.doubtLogged {
 		p.Out.Log(logevent.LeaseInDoubt, "fence", p.lease.Fence())
 	}
-	p.doubtLogged = doubt
+	p.doubtLogged = inDoubt
 }
 
 // HandleLeaseReply handles the reply to a RequestLease.
@@ -240,10 +240,10 @@
 	}
 }
 
-// loseLease ends the tenure and logs event why if the lease was held.
-func (p *Planner) loseLease(why logevent.Number) {
+// loseLease ends the tenure and logs event if the lease was held.
+func (p *Planner) loseLease(event logevent.Number) {
 	if p.lease.Held() {
-		p.Out.Log(why, "fence", p.lease.Fence())
+		p.Out.Log(event, "fence", p.lease.Fence())
 	}
 	p.lease = p.lease.WithLoss()
 	p.endTenure()
@@ -272,19 +272,19 @@
 	if p.fence == 0 {
 		return
 	}
-	live := map[string]bool{}
+	configured := map[string]bool{}
 	for _, r := range p.Pool.All() {
 		if r.Kind != pool.Engine || r.Announced || r.Zone != p.Self.Zone {
 			continue
 		}
-		live[r.Name] = true
+		configured[r.Name] = true
 		if p.ledgers[r.Name] == nil {
 			p.ledgers[r.Name] = book.NewLedger(r.Name, r.MemoryMiB, r.ChecksFence)
 			p.retries[r.Name] = &orderRetry{backoff: backoff.New(readBackoffBase, readBackoffMax)}
 		}
 	}
 	for name := range p.ledgers {
-		if !live[name] {
+		if !configured[name] {
 			delete(p.ledgers, name)
 			delete(p.retries, name)
 		}
--- a/core/own/planner/read.go
+++ b/core/own/planner/read.go
@@ -50,14 +50,14 @@
 		return
 	}
 	p.reads.scanDue = now.Add(scanInterval)
-	var mine []*pool.Replica
+	var assigned []*pool.Replica
 	for _, r := range p.Pool.All() {
 		if r.Kind == pool.Engine && !r.Announced && r.Zone == p.Self.Zone && p.isReader(now, r) {
-			mine = append(mine, r)
+			assigned = append(assigned, r)
 		}
 	}
-	every := max(p.Options.ReadEvery, time.Duration(len(mine))*minReadSpacing)
-	for _, r := range mine {
+	every := max(p.Options.ReadEvery, time.Duration(len(assigned))*minReadSpacing)
+	for _, r := range assigned {
 		rd := p.readerOf(r.Name)
 		if !rd.Due(now) {
 			continue
@@ -69,7 +69,7 @@
 }
 
 // isReader reports whether this instance reads the engine's state. The planner also reads
-// engines whose orders it waits for.
+// the engines that have open orders or are loading or unloading items.
 func (p *Planner) isReader(now clock.Instant, r *pool.Replica) bool {
 	if p.IsPlanner() {
 		if l := p.ledgers[r.Name]; l != nil && l.StateKnown() && l.Busy() {
@@ -134,12 +134,12 @@
 		return
 	}
 	p.Pool.ObserveLoad(now, engine, load)
-	told, ok := p.Records.Load(engine)
-	change := load.Running + load.Waiting - told.Running - told.Waiting
+	published, ok := p.Records.Load(engine)
+	change := load.Running + load.Waiting - published.Running - published.Waiting
 	if change < 0 {
 		change = -change
 	}
-	if !ok || told.Boot != load.Boot || change >= max(1, r.Concurrent/8) {
+	if !ok || published.Boot != load.Boot || change >= max(1, r.Concurrent/8) {
 		p.Records.AddLoad("", gossip.Load{Engine: engine, Load: load})
 	}
 }
--- a/internal/own/driver.go
+++ b/internal/own/driver.go
@@ -92,8 +92,8 @@
 }
 
 func (d *driver) cancel(ctx context.Context, a modelcalls.CancelSequence) {
-	ctx, done := context.WithTimeout(ctx, engineTimeout)
-	defer done()
+	ctx, cancel := context.WithTimeout(ctx, engineTimeout)
+	defer cancel()
 	// Closing the stream cancels the sequence as well. This request only frees it sooner,
 	// so a failure is not retried.
 	if err := d.engine.Cancel(ctx, a.Address, AttemptID(d.host.Self, a.ID, a.Attempt)); err != nil {
@@ -106,8 +106,8 @@
 }
 
 func (d *driver) claim(ctx context.Context, a modelcalls.Claim) {
-	ctx, done := context.WithTimeout(ctx, claimTimeout)
-	defer done()
+	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
+	defer cancel()
 	_, err := d.platform.CompareAndSwap(ctx, a.Key, d.claimValue(a.ID), 0, a.Life)
 	d.host.Post(modelcalls.ClaimReply{ID: a.ID, Outcome: claimOutcome(err)})
 }
@@ -128,8 +128,8 @@
 }
 
 func (d *driver) readClaim(ctx context.Context, a modelcalls.ReadClaim) {
-	ctx, done := context.WithTimeout(ctx, claimTimeout)
-	defer done()
+	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
+	defer cancel()
 	v, err := d.platform.Get(ctx, a.Key, 0, 0)
 	outcome := modelcalls.ClaimLost
 	switch {
@@ -146,8 +146,8 @@
 // releaseClaim deletes the claim if it belongs to this call. It is best effort: a claim
 // that remains causes its key to be refused until it expires, and nothing is run for it.
 func (d *driver) releaseClaim(ctx context.Context, a modelcalls.ReleaseClaim) {
-	ctx, done := context.WithTimeout(ctx, claimTimeout)
-	defer done()
+	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
+	defer cancel()
 	v, err := d.platform.Get(ctx, a.Key, 0, 0)
 	if err == nil && string(v.Data) == string(d.claimValue(a.ID)) {
 		err = d.platform.Delete(ctx, a.Key, v.Revision)
@@ -223,15 +223,15 @@
 }
 
 func (d *driver) readState(ctx context.Context, a planner.ReadState) {
-	ctx, done := context.WithTimeout(ctx, engineTimeout)
-	defer done()
+	ctx, cancel := context.WithTimeout(ctx, engineTimeout)
+	defer cancel()
 	state, err := d.engine.State(ctx, a.Address)
 	d.host.Post(planner.StateReply{Engine: a.Engine, State: state, Err: err})
 }
 
 func (d *driver) sendOrder(ctx context.Context, a planner.SendOrder) {
-	ctx, done := context.WithTimeout(ctx, engineTimeout)
-	defer done()
+	ctx, cancel := context.WithTimeout(ctx, engineTimeout)
+	defer cancel()
 	base := ""
 	if cfg := d.host.Config(); cfg != nil {
 		base = cfg.BaseModel(a.Order.Item)
--- a/internal/own/modelapi/model.go
+++ b/internal/own/modelapi/model.go
@@ -30,14 +30,14 @@
 	call      calls.Request
 	form      answerFormat
 
-	text            strings.Builder // of the attempt in progress, for whole answers
-	piecesReceived  int             // had of the attempt in progress
-	piecesDelivered int             // that reached the caller
-	headerWritten   bool            // the answer's header was written
+	text            strings.Builder // received in the current attempt, for answers that are not streamed
+	piecesReceived  int             // in the current attempt
+	piecesDelivered int             // written to the caller
+	headerWritten   bool            // the answer's HTTP header was written
 	lastPiece       time.Time
 }
 
-// run does what the machine says until the call has its final answer.
+// run carries out the state machine's actions until the call has its final answer.
 func (m *modelCall) run(ctx context.Context, s shell.Session) {
 	_, queue := m.handler.Tracer.Start(ctx, "queue")
 	entry.HandleActions(ctx, s, entry.CallHandlers{
@@ -48,7 +48,7 @@
 	})
 }
 
-// finish gives the caller the machine's final answer.
+// finish writes the state machine's final answer to the caller.
 func (m *modelCall) finish(r code.Refusal) {
 	if !m.headerWritten {
 		m.handler.refuse(m.w, r, m.startedAt)
@@ -59,11 +59,12 @@
 	if err == nil {
 		m.writeEvent(data)
 	}
-	// A normal return would end the body properly; the caller must see a cut.
+	// A normal return would end the body as if it were complete; the caller must see that
+	// it was cut off.
 	panic(http.ErrAbortHandler)
 }
 
-// attempt carries out one Dispatch and reports whether the call is over.
+// attempt carries out one Dispatch and reports whether the call has ended.
 func (m *modelCall) attempt(ctx context.Context, s shell.Session, d calls.Dispatch) bool {
 	if d.Attempt == 1 && !d.Resume {
 		m.handler.Metrics.ObserveQueueTime(time.Since(m.startedAt))
@@ -84,21 +85,22 @@
 	defer span.End()
 	span.SetAttributes(attribute.String("upstream", d.Replica), attribute.Int("attempt", d.Attempt))
 	var progress upstream.Progress
-	broke, over := m.stream(ctx, s, d, &progress)
-	if over {
+	failure, ended := m.stream(ctx, s, d, &progress)
+	if ended {
 		return true
 	}
-	span.SetAttributes(attribute.String("broke", broke.Detail))
+	span.SetAttributes(attribute.String("broke", failure.Detail))
 	if ctx.Err() != nil {
 		m.handleCallerGone(s)
 		return true
 	}
-	s.AttemptFailed(broke)
+	s.AttemptFailed(failure)
 	return false
 }
 
-// handleCallerGone deals with a caller that closed its connection. Should the connection
-// be there after all, it must not see a proper end of what was begun.
+// handleCallerGone handles a caller that closed its connection. If the connection is open
+// after all, it is aborted, so that an answer that was started does not appear to be
+// complete.
 func (m *modelCall) handleCallerGone(s shell.Session) {
 	s.CallerGone()
 	m.handler.Metrics.ObserveAnswer(int(code.CallerGone), time.Since(m.startedAt))
@@ -121,25 +123,25 @@
 	}
 }
 
-// stream sends the attempt and passes its pieces on. It returns over when the
-// answer is whole, else how the attempt broke.
+// stream sends the attempt and delivers its pieces. It returns true if the answer is
+// complete, or else false and how the attempt failed.
 func (m *modelCall) stream(ctx context.Context, s shell.Session, d calls.Dispatch, progress *upstream.Progress) (calls.AttemptFailed, bool) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	s.SetInterrupt(cancel)
-	watch := entry.NewWatchdog(d.Stall, cancel)
-	defer watch.Stop()
+	watchdog := entry.NewWatchdog(d.Stall, cancel)
+	defer watchdog.Stop()
 	stream, err := m.open(ctx, d, progress)
 	if err != nil {
-		return m.failure(d, progress, watch, err), false
+		return m.failure(d, progress, watchdog, err), false
 	}
 	defer stream.Close()
 	for {
 		p, err := stream.Next()
 		if err != nil {
-			return m.failure(d, progress, watch, err), false
+			return m.failure(d, progress, watchdog, err), false
 		}
-		watch.Reset()
+		watchdog.Reset()
 		if m.piecesReceived == 0 {
 			s.AnswerBegan()
 			m.handler.Metrics.ObserveFirstToken(time.Since(m.startedAt))
@@ -165,15 +167,15 @@
 	return m.handler.Engine.Generate(ctx, d.Address, req, d.Repeatable, header, progress)
 }
 
-// failure words how an attempt failure. Only facts go in; what follows is the
-// machine's to say.
-func (m *modelCall) failure(d calls.Dispatch, progress *upstream.Progress, watch *entry.Watchdog, err error) calls.AttemptFailed {
+// failure describes how an attempt failed. It states only facts; the state machine
+// decides what follows.
+func (m *modelCall) failure(d calls.Dispatch, progress *upstream.Progress, watchdog *entry.Watchdog, err error) calls.AttemptFailed {
 	b := calls.AttemptFailed{
 		Attempt:   d.Attempt,
 		Phase:     progress.Phase(),
 		Delivered: m.piecesDelivered,
 		Resumable: true,
-		Stalled:   watch.Fired(),
+		Stalled:   watchdog.Fired(),
 		Detail:    err.Error(),
 	}
 	var status *engine.StatusError
@@ -185,7 +187,8 @@
 	return b
 }
 
-// deliver hands one piece on: to the caller of a stream at once, else to the text.
+// deliver writes a piece of a streamed answer to the caller immediately, and adds a piece
+// of any other answer to the text.
 func (m *modelCall) deliver(d calls.Dispatch, p engine.Piece) {
 	if !m.lastPiece.IsZero() {
 		m.handler.Metrics.ObserveTokenGap(time.Since(m.lastPiece))
@@ -200,7 +203,7 @@
 	m.piecesDelivered++
 }
 
-// writeHeader writes the header of an event stream.
+// writeHeader writes the header of an event stream, unless it was written before.
 func (m *modelCall) writeHeader(d calls.Dispatch) {
 	if m.headerWritten {
 		return
@@ -217,7 +220,7 @@
 	m.w.Header().Set(HeaderUpstream, d.Replica)
 }
 
-// finishAnswer ends the answer properly.
+// finishAnswer writes the end of a complete answer.
 func (m *modelCall) finishAnswer(s shell.Session, d calls.Dispatch, p engine.Piece) (calls.AttemptFailed, bool) {
 	if m.req.Stream {
 		m.writeHeader(d)
@@ -235,13 +238,13 @@
 func (m *modelCall) writeChunk(a answer) {
 	data, err := json.Marshal(a)
 	if err != nil {
-		panic(http.ErrAbortHandler) // impossible for these types; never a proper end
+		panic(http.ErrAbortHandler) // impossible for these types, but the answer must not appear to be complete
 	}
 	m.writeEvent(data)
 }
 
-// writeEvent writes one server-sent writeEvent. A write error means that the caller is
-// gone, which the request's context tells as well.
+// writeEvent writes one server-sent event. A write error is ignored: it means that the
+// caller has disconnected, which also cancels the request's context.
 func (m *modelCall) writeEvent(data []byte) {
 	_, _ = m.w.Write([]byte("data: "))
 	_, _ = m.w.Write(data)
--- a/internal/own/modelapi/modelapi.go
+++ b/internal/own/modelapi/modelapi.go
@@ -1,6 +1,6 @@
-// Package modelapi serves the product's own interface to callers: OpenAI-compatible
-// model calls, and calls of plain services under /services/. Only the product's
-// own environment has it; forwarded calls are served by package entry.
+// Package modelapi serves the product's own interface to callers: OpenAI-compatible model
+// calls, and calls to plain services under /services/. Only the product's own environment
+// has it; package entry serves forwarded calls.
 package modelapi
 
 import (
@@ -24,11 +24,12 @@
 	"github.com/birchdrift/birchdrift/internal/telemetry"
 )
 
-// Headers of callers.
+// Headers of calls and their answers.
 const (
-	// HeaderNotRepeatable marks a call as not repeatable with "true".
+	// HeaderNotRepeatable marks a call as not repeatable if its value is "true".
 	HeaderNotRepeatable = "Birchdrift-Not-Repeatable"
-	// HeaderIdempotency carries the caller's key for a call that runs at most once.
+	// HeaderIdempotency carries the caller's idempotency key, for a call that runs at
+	// most once.
 	HeaderIdempotency = "Idempotency-Key"
 	// HeaderInstance names the instance that answered.
 	HeaderInstance = "Birchdrift-Instance"
@@ -36,7 +37,7 @@
 	HeaderUpstream = "Birchdrift-Upstream"
 )
 
-// A Handler serves callers of the own interface.
+// A Handler serves the callers of the product's own interface.
 type Handler struct {
 	Shell   *shell.Shell
 	Engine  *engine.Client
@@ -45,11 +46,11 @@
 	Tracer  *telemetry.Tracer
 	Self    member.Identity
 	MaxBody int64
-	// NextID returns an identity for a call, different from those of all others.
+	// NextID returns an identifier that no other call has.
 	NextID func() calls.ID
 }
 
-// Routes returns the HTTP handler of the own interface.
+// Routes returns the HTTP handler of the product's own interface.
 func (h *Handler) Routes() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /v1/chat/completions", func(w http.ResponseWriter, r *http.Request) { h.serveModel(w, r, true) })
@@ -63,7 +64,7 @@
 	return mux
 }
 
-// callerKey returns the caller's callerKey.
+// callerKey returns the caller's API key.
 func callerKey(r *http.Request) string {
 	return strings.TrimPrefix(r.Header.Get("Authorization"), "Bearer ")
 }
@@ -73,15 +74,15 @@
 }
 
 func (h *Handler) listModels(w http.ResponseWriter, r *http.Request) {
-	begun := time.Now()
+	start := time.Now()
 	cfg := h.Shell.Config()
 	if cfg == nil {
-		h.refuse(w, code.Refusal{Code: code.NoConfiguration, Run: code.NotRun, RetryAfter: time.Second}, begun)
+		h.refuse(w, code.Refusal{Code: code.NoConfiguration, Run: code.NotRun, RetryAfter: time.Second}, start)
 		return
 	}
 	caller, known := cfg.CallerByKey(callerKey(r))
 	if !known {
-		h.refuse(w, code.Refusal{Code: code.Unauthorized, Run: code.NotRun}, begun)
+		h.refuse(w, code.Refusal{Code: code.Unauthorized, Run: code.NotRun}, start)
 		return
 	}
 	list := modelList{Object: "list", Data: []modelInfo{}}
@@ -94,9 +95,9 @@
 	entry.WriteJSON(w, http.StatusOK, list)
 }
 
-// refuse writes a call's final answer that is not its upstream's.
-func (h *Handler) refuse(w http.ResponseWriter, r code.Refusal, begun time.Time) {
-	h.Metrics.ObserveAnswer(int(r.Code), time.Since(begun))
+// refuse writes the final answer of a call that no upstream answered.
+func (h *Handler) refuse(w http.ResponseWriter, r code.Refusal, start time.Time) {
+	h.Metrics.ObserveAnswer(int(r.Code), time.Since(start))
 	if r.RetryAfter > 0 {
 		w.Header().Set("Retry-After", fmt.Sprint(int(math.Ceil(r.RetryAfter.Seconds()))))
 	}
@@ -113,17 +114,17 @@
 
 // serveModel serves a chat or completion call.
 func (h *Handler) serveModel(w http.ResponseWriter, r *http.Request, chat bool) {
-	begun := time.Now()
+	start := time.Now()
 	ctx, span := h.Tracer.Start(h.Tracer.Extract(r.Context(), r.Header), "entry")
 	defer span.End()
 	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, h.MaxBody))
 	if err != nil {
-		h.refuse(w, code.Refusal{Code: code.TooLarge, Run: code.NotRun, Detail: err.Error()}, begun)
+		h.refuse(w, code.Refusal{Code: code.TooLarge, Run: code.NotRun, Detail: err.Error()}, start)
 		return
 	}
 	req, prompt, fault := parseRequest(data, chat)
 	if fault != nil {
-		h.refuse(w, code.Refusal{Code: fault.Code, Run: code.NotRun, Detail: fault.Detail}, begun)
+		h.refuse(w, code.Refusal{Code: fault.Code, Run: code.NotRun, Detail: fault.Detail}, start)
 		return
 	}
 	call := calls.Request{
@@ -139,8 +140,8 @@
 	}
 	span.SetAttributes(attribute.String("service", req.Model), attribute.Int64("call", int64(call.ID)))
 	m := &modelCall{
-		handler: h, w: w, req: req, prompt: prompt, startedAt: begun, call: call,
-		form: answerFormat{chat: chat, id: fmt.Sprintf("%s-%d", h.Self.Name, call.ID), model: req.Model, created: begun},
+		handler: h, w: w, req: req, prompt: prompt, startedAt: start, call: call,
+		form: answerFormat{chat: chat, id: fmt.Sprintf("%s-%d", h.Self.Name, call.ID), model: req.Model, created: start},
 	}
 	m.run(ctx, h.Shell.Begin(call))
 }
--- a/internal/own/modelapi/modelapi_test.go
+++ b/internal/own/modelapi/modelapi_test.go
@@ -43,7 +43,7 @@
 	}
 }
 
-// FuzzParseRequest feeds bytes that a caller could send.
+// FuzzParseRequest feeds arbitrary bytes as a caller's request body.
 func FuzzParseRequest(f *testing.F) {
 	f.Add([]byte(`{"model":"m","messages":[{"role":"user","content":"hi"}]}`), true)
 	f.Add([]byte(`{"model":"m","prompt":["a"]}`), false)
--- a/internal/own/modelapi/openai.go
+++ b/internal/own/modelapi/openai.go
@@ -8,16 +8,16 @@
 	"github.com/birchdrift/birchdrift/core/code"
 )
 
-// The wire types follow the OpenAI-compatible chat and completion calls, as
-// far as the engines serve them.
+// The wire types follow the OpenAI-compatible chat and completion API, as
+// far as the engines support it.
 
-// A message is one turn of a chat.
+// A message is one message of a chat.
 type message struct {
 	Role    string          `json:"role"`
 	Content json.RawMessage `json:"content"`
 }
 
-// A modelRequest is a chat or a completion call.
+// A modelRequest is the body of a chat or completion call.
 type modelRequest struct {
 	Model               string          `json:"model"`
 	Messages            []message       `json:"messages"`
@@ -28,13 +28,14 @@
 	N                   int             `json:"n"`
 }
 
-// Bounds of a model call.
+// Token limits of a model call.
 const (
 	defaultMaxTokens = 256
 	maxTokensLimit   = 131072
 )
 
-// parseRequest checks a model call and returns it with its prompt as text.
+// parseRequest parses and checks the body of a model call and returns it with its prompt
+// as text.
 func parseRequest(data []byte, chat bool) (modelRequest, string, *code.Error) {
 	var req modelRequest
 	if err := json.Unmarshal(data, &req); err != nil {
@@ -59,6 +60,7 @@
 	return req, prompt, err
 }
 
+// prompt returns the prompt of a chat or completion call as text.
 func (r modelRequest) prompt(chat bool) (string, *code.Error) {
 	if !chat {
 		text, ok := parseText(r.Prompt)
@@ -84,7 +86,8 @@
 	return b.String(), nil
 }
 
-// parseText reads a text, or a list of text parts.
+// parseText parses a JSON string or a list of text parts. It returns false for anything
+// else.
 func parseText(raw json.RawMessage) (string, bool) {
 	var s string
 	if json.Unmarshal(raw, &s) == nil {
@@ -107,7 +110,7 @@
 	return b.String(), true
 }
 
-// A choice is one alternative of an answer; there is always just one.
+// A choice is one alternative of an answer; there is always exactly one.
 type choice struct {
 	Index        int     `json:"index"`
 	Message      *reply  `json:"message,omitempty"`
@@ -116,13 +119,13 @@
 	FinishReason *string `json:"finish_reason"`
 }
 
-// A reply is what the model says.
+// A reply is the text that the model generated.
 type reply struct {
 	Role    string `json:"role,omitempty"`
 	Content string `json:"content"`
 }
 
-// An answer is a whole answer or one chunk of a stream.
+// An answer is a complete answer or one chunk of a stream.
 type answer struct {
 	ID      string   `json:"id"`
 	Object  string   `json:"object"`
@@ -132,14 +135,14 @@
 	Usage   *usage   `json:"usage,omitempty"`
 }
 
-// usage counts tokens; the prompt's are an estimate.
+// usage counts tokens; the number of prompt tokens is an estimate.
 type usage struct {
 	PromptTokens     int `json:"prompt_tokens"`
 	CompletionTokens int `json:"completion_tokens"`
 	TotalTokens      int `json:"total_tokens"`
 }
 
-// A answerFormat knows how one kind of call words its answers.
+// An answerFormat builds the answers of one call in the format of its kind.
 type answerFormat struct {
 	chat    bool
 	id      string
--- a/internal/own/modelapi/plain.go
+++ b/internal/own/modelapi/plain.go
@@ -20,14 +20,14 @@
 	"github.com/birchdrift/birchdrift/internal/upstream"
 )
 
-// servePlain serves a call to a servePlain service.
+// servePlain serves a call to a plain service.
 func (h *Handler) servePlain(w http.ResponseWriter, r *http.Request) {
-	begun := time.Now()
+	start := time.Now()
 	ctx, span := h.Tracer.Start(h.Tracer.Extract(r.Context(), r.Header), "entry")
 	defer span.End()
 	body, err := entry.ReadBody(r)
 	if err != nil {
-		h.refuse(w, code.Refusal{Code: code.BadRequest, Run: code.NotRun, Detail: err.Error()}, begun)
+		h.refuse(w, code.Refusal{Code: code.BadRequest, Run: code.NotRun, Detail: err.Error()}, start)
 		return
 	}
 	call := calls.Request{
@@ -41,7 +41,7 @@
 		Replayable:     !body.Streamed(),
 	}
 	span.SetAttributes(attribute.String("service", call.Service), attribute.Int64("call", int64(call.ID)))
-	p := &plainCall{handler: h, w: w, r: r, body: body, call: call, startedAt: begun}
+	p := &plainCall{handler: h, w: w, r: r, body: body, call: call, startedAt: start}
 	p.run(ctx, h.Shell.Begin(call))
 }
 
@@ -63,7 +63,7 @@
 	})
 }
 
-// attempt carries out one Dispatch and reports whether the call is over.
+// attempt carries out one Dispatch and reports whether the call has ended.
 func (p *plainCall) attempt(ctx context.Context, s shell.Session, d calls.Dispatch) bool {
 	p.handler.Metrics.ObserveQueueTime(time.Since(p.startedAt))
 	ctx, span := p.handler.Tracer.Start(ctx, "attempt", oteltrace.WithSpanKind(oteltrace.SpanKindClient))
@@ -72,22 +72,22 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	s.SetInterrupt(cancel)
-	watch := entry.NewWatchdog(d.Stall, cancel)
-	defer watch.Stop()
+	watchdog := entry.NewWatchdog(d.Stall, cancel)
+	defer watchdog.Stop()
 	var progress upstream.Progress
-	resp, err := p.handler.Service.Send(ctx, p.upstreamCall(d, watch), &progress)
+	resp, err := p.handler.Service.Send(ctx, p.upstreamCall(d, watchdog), &progress)
 	if err != nil {
-		return p.handleFailure(s, d, &progress, watch, err)
+		return p.handleFailure(s, d, &progress, watchdog, err)
 	}
 	defer resp.Body.Close()
 	s.AnswerBegan()
-	return p.forward(s, d, resp, watch)
+	return p.forward(s, d, resp, watchdog)
 }
 
-// upstreamCall words the call for the upstream.
-func (p *plainCall) upstreamCall(d calls.Dispatch, watch *entry.Watchdog) service.Call {
+// upstreamCall returns the call to send to the upstream.
+func (p *plainCall) upstreamCall(d calls.Dispatch, watchdog *entry.Watchdog) service.Call {
 	header := service.EndToEndHeaders(p.r.Header)
-	header.Del("Authorization") // the key is this system's, not the upstream's
+	header.Del("Authorization") // the key is meant for this system, not for the upstream
 	header.Set(upstream.HeaderCall, own.AttemptID(p.handler.Self, p.call.ID, d.Attempt))
 	p.handler.Tracer.Inject(p.r.Context(), header)
 	return service.Call{
@@ -96,7 +96,7 @@
 		Path:       p.call.Path,
 		Query:      p.r.URL.RawQuery,
 		Header:     header,
-		Body:       p.body.NewReader(watch),
+		Body:       p.body.NewReader(watchdog),
 		Length:     p.r.ContentLength,
 		Repeatable: d.Repeatable,
 	}
@@ -107,13 +107,15 @@
 	p.handler.Metrics.ObserveAnswer(int(code.CallerGone), time.Since(p.startedAt))
 }
 
-func (p *plainCall) handleFailure(s shell.Session, d calls.Dispatch, progress *upstream.Progress, watch *entry.Watchdog, err error) bool {
+// handleFailure reports a failed attempt to the state machine, or that the caller has
+// disconnected. It reports whether the call has ended.
+func (p *plainCall) handleFailure(s shell.Session, d calls.Dispatch, progress *upstream.Progress, watchdog *entry.Watchdog, err error) bool {
 	if p.r.Context().Err() != nil {
 		p.handleCallerGone(s)
 		return true
 	}
 	b := calls.AttemptFailed{
-		Attempt: d.Attempt, Phase: progress.Phase(), Stalled: watch.Fired(), BodyConsumed: p.body.Consumed(), Detail: err.Error(),
+		Attempt: d.Attempt, Phase: progress.Phase(), Stalled: watchdog.Fired(), BodyConsumed: p.body.Consumed(), Detail: err.Error(),
 	}
 	var refused *service.RefusedError
 	if errors.As(err, &refused) {
@@ -125,43 +127,44 @@
 }
 
 // forward streams the upstream's answer to the caller.
-func (p *plainCall) forward(s shell.Session, d calls.Dispatch, resp *http.Response, watch *entry.Watchdog) bool {
+func (p *plainCall) forward(s shell.Session, d calls.Dispatch, resp *http.Response, watchdog *entry.Watchdog) bool {
 	for name, values := range service.EndToEndHeaders(resp.Header) {
 		p.w.Header()[name] = values
 	}
 	p.w.Header().Set(HeaderInstance, p.handler.Self.Name)
 	p.w.Header().Set(HeaderUpstream, d.Replica)
 	p.w.WriteHeader(resp.StatusCode)
-	delivered, err := p.copy(resp.Body, watch)
+	delivered, err := p.copy(resp.Body, watchdog)
 	if err == nil {
 		s.Completed(0)
 		p.handler.Metrics.ObserveAnswer(int(code.OK), time.Since(p.startedAt))
 		return true
 	}
-	// The header is out, so no answer of our own can follow: tell the machine,
-	// take its final answer for the books, and cut the connection.
+	// The header was written, so no other answer can follow: report the failure to the
+	// state machine, record the call as a cut stream, and abort the connection.
 	s.AttemptFailed(calls.AttemptFailed{Attempt: d.Attempt, Phase: attempt.Answered, Delivered: max(1, delivered), Detail: err.Error()})
 	p.handler.Metrics.ObserveAnswer(int(code.StreamCut), time.Since(p.startedAt))
 	panic(http.ErrAbortHandler)
 }
 
-// copyBufferBytes is how much of an answer is read at a time, in bytes.
+// copyBufferBytes is the number of bytes of an answer that are read at once.
 const copyBufferBytes = 32 << 10
 
-// copy passes the body on, each part as it comes.
-func (p *plainCall) copy(body io.Reader, watch *entry.Watchdog) (int, error) {
+// copy writes the body to the caller, each part as soon as it is received, and returns
+// the number of bytes written.
+func (p *plainCall) copy(body io.Reader, watchdog *entry.Watchdog) (int, error) {
 	flush := http.NewResponseController(p.w)
 	buf := make([]byte, copyBufferBytes)
 	total := 0
 	for {
 		n, err := body.Read(buf)
-		watch.Reset()
+		watchdog.Reset()
 		if n > 0 {
 			if _, werr := p.w.Write(buf[:n]); werr != nil {
 				return total, werr
 			}
 			total += n
-			_ = flush.Flush() // a caller that is gone shows at the next write
+			_ = flush.Flush() // if the caller has disconnected, the next write fails
 		}
 		if errors.Is(err, io.EOF) {
 			return total, nil
