--- a/core/instance/status.go
+++ b/core/instance/status.go
@@ -138,7 +138,7 @@
 	for i := range s.Upstreams {
 		s.Upstreams[i].FreeMiB = o.planner.FreeMiB(s.Upstreams[i].Name)
 	}
-	for _, d := range o.meter.Demand(now) {
+	for _, d := range o.meter.CurrentDemand(now) {
 		s.Demand = append(s.Demand, DemandStatus{Item: d.Name, Rate: d.Rate, Waiting: d.Waiting})
 	}
 }
--- a/core/own/meter/meter.go
+++ b/core/own/meter/meter.go
@@ -134,9 +134,9 @@
 	return w.Seconds() * (1 - math.Exp(-float64(age)/float64(w)))
 }
 
-// Demand returns the demand at now, sorted by name, and drops the items that are no
+// CurrentDemand returns the demand at now, sorted by name, and drops the items that are no
 // longer in demand.
-func (m *Meter) Demand(now clock.Instant) []demand.Item {
+func (m *Meter) CurrentDemand(now clock.Instant) []demand.Item {
 	var items []demand.Item
 	for name, it := range m.items {
 		it.decay(now)
--- a/core/own/planner/demand.go
+++ b/core/own/planner/demand.go
@@ -60,7 +60,7 @@
 		return nil
 	}
 	if other.Zone == p.Self.Zone {
-		return p.Meter.Demand(now)
+		return p.Meter.CurrentDemand(now)
 	}
 	if !p.IsPlanner() {
 		return nil
--- a/core/own/planner/planner.go
+++ b/core/own/planner/planner.go
@@ -303,7 +303,7 @@
 		return
 	}
 	p.planDue = now.Add(step.Jitter(p.Rand, p.Options.PlanEvery))
-	p.Totals.Report(now, p.Self.Name, p.Meter.Demand(now))
+	p.Totals.Report(now, p.Self.Name, p.Meter.CurrentDemand(now))
 	p.rereadIntentsIfDue(now)
 	p.notifyFirstCopyZones(now)
 	p.raiseFences(now)
