--- a/core/own/book/book.go
+++ b/core/own/book/book.go
@@ -100,9 +100,9 @@
 // Boot returns the boot under which the state was last read.
 func (l *Ledger) Boot() uint64 { return l.boot }
 
-// FreeMiB returns the memory in MiB that no item uses or is reserved for; 0 while the
+// AvailableMiB returns the memory in MiB that no item uses or is reserved for; 0 while the
 // state is unknown.
-func (l *Ledger) FreeMiB() int64 {
+func (l *Ledger) AvailableMiB() int64 {
 	if !l.stateKnown {
 		return 0
 	}
@@ -170,7 +170,7 @@
 func (l *Ledger) Reserve(o Order) bool {
 	switch o.Op {
 	case Load:
-		if !l.stateKnown || l.Holds(o.Item) || o.MiB > l.FreeMiB() {
+		if !l.stateKnown || l.Holds(o.Item) || o.MiB > l.AvailableMiB() {
 			return false
 		}
 		l.entries[o.Item] = entry{mib: o.MiB}
--- a/core/own/book/book_test.go
+++ b/core/own/book/book_test.go
@@ -28,7 +28,7 @@
 func TestNothingIsFreeBeforeTheStateIsRead(t *testing.T) {
 	is := is.New(t)
 	e := NewLedger("e", 1000, true)
-	is.Equal(e.FreeMiB(), int64(0))
+	is.Equal(e.AvailableMiB(), int64(0))
 	is.True(!e.Reserve(Order{Seq: 1, Op: Load, Item: "a", MiB: 400}))
 }
 
@@ -42,7 +42,7 @@
 	is.True(e.Reserve(Order{Fence: 7, Seq: 2, Op: Load, Item: "a", MiB: 400}))
 	e.Observe(state(1, 6, 7, 2, pool.Item{Name: "a", Phase: pool.Loading}), 7, 2, size)
 	e.Observe(state(1, 5, 7, 1), 7, 0, size) // the stale state
-	is.Equal(e.FreeMiB(), int64(600))
+	is.Equal(e.AvailableMiB(), int64(600))
 }
 
 // TestLostLoadStaysReserved checks that the memory of a load whose answer is lost stays
@@ -56,14 +56,14 @@
 			is.True(e.Reserve(Order{Fence: 7, Seq: 2, Op: Load, Item: "a", MiB: 400}))
 			e.MarkLost(2)
 			e.Observe(state(1, 1, 7, 1), 7, 0, size) // does not settle the order
-			is.Equal(e.FreeMiB(), int64(600))
+			is.Equal(e.AvailableMiB(), int64(600))
 			// A later order was carried out. An engine that checks fences refuses the
 			// lost order from now on; one that does not may still carry it out.
 			e.Observe(state(1, 2, 7, 3), 7, 0, size)
 			if checks {
-				is.Equal(e.FreeMiB(), int64(1000))
+				is.Equal(e.AvailableMiB(), int64(1000))
 			} else {
-				is.Equal(e.FreeMiB(), int64(600))
+				is.Equal(e.AvailableMiB(), int64(600))
 			}
 		})
 	}
@@ -81,7 +81,7 @@
 	is.True(e.Pinned("a"))
 	is.True(!e.Reserve(Order{Fence: 7, Seq: 2, Op: Unload, Item: "a"}))
 	e.Observe(state(2, 0, 0, 0), 7, 0, size) // the engine restarted
-	is.Equal(e.FreeMiB(), int64(1000))
+	is.Equal(e.AvailableMiB(), int64(1000))
 }
 
 // TestFreeIsNeverMoreThanAnyOutcomeLeaves draws orders, lost answers, late arrivals and
@@ -94,7 +94,7 @@
 		steps := rapid.IntRange(1, 60).Draw(t, "steps")
 		for range steps {
 			m.step(t)
-			if free, real := m.ledger.FreeMiB(), m.capacity-m.usedMiB()-m.pendingMiB(); free > real {
+			if free, real := m.ledger.AvailableMiB(), m.capacity-m.usedMiB()-m.pendingMiB(); free > real {
 				t.Fatalf("the ledger reports %d MiB free, but only %d MiB are certain to be free", free, real)
 			}
 		}
--- a/core/own/planner/input.go
+++ b/core/own/planner/input.go
@@ -103,7 +103,7 @@
 		Name:      r.Name,
 		Domain:    r.Domain,
 		Sequences: r.Concurrent,
-		Free:      l.FreeMiB(),
+		Free:      l.AvailableMiB(),
 		Capacity:  r.MemoryMiB,
 		Usable:    l.StateKnown() && r.Usable() && p.mayOrder(now, r),
 	}
--- a/core/own/planner/planner.go
+++ b/core/own/planner/planner.go
@@ -161,7 +161,7 @@
 // ledger of the engine.
 func (p *Planner) FreeMiB(engine string) int64 {
 	if l := p.ledgers[engine]; l != nil {
-		return l.FreeMiB()
+		return l.AvailableMiB()
 	}
 	return 0
 }
