--- a/core/instance/status.go
+++ b/core/instance/status.go
@@ -130,7 +130,7 @@
 
 // status sets the fields that only the product's own environment has.
 func (o *ownParts) status(now clock.Instant, s *Status) {
-	s.Planner = o.planner.LeaseHolder()
+	s.Planner = o.planner.ZonePlanner()
 	s.Planning = o.planner.IsPlanner()
 	s.LeaseValid, s.Fence = o.planner.Lease(now)
 	s.Moves = o.planner.OrderCounts()
--- a/core/own/planner/planner.go
+++ b/core/own/planner/planner.go
@@ -143,9 +143,9 @@
 	p.plan(now)
 }
 
-// LeaseHolder returns the name of the instance that plans for this instance's zone, or ""
+// ZonePlanner returns the name of the instance that plans for this instance's zone, or ""
 // if it is unknown.
-func (p *Planner) LeaseHolder() string { return p.Records.LeaseHolder(p.Self.Zone).Instance }
+func (p *Planner) ZonePlanner() string { return p.Records.LeaseHolder(p.Self.Zone).Instance }
 
 // Lease reports whether the lease is certain to be held, and returns the fence of its
 // latest grant.
