--- a/internal/own/driver.go
+++ b/internal/own/driver.go
@@ -195,7 +195,7 @@
 
 func (d *driver) releaseLease(ctx context.Context, a planner.ReleaseLease) {
 	// A lease that is not released expires.
-	if err := d.platform.ReleaseLease(ctx, keyvalue.LeaseName(d.host.Self.Zone), a.Fence); err != nil {
+	if err := d.platform.Release(ctx, keyvalue.LeaseName(d.host.Self.Zone), a.Fence); err != nil {
 		d.host.Event(logevent.NotReturned, "what", "planner's lease", "error", err.Error())
 	}
 }
--- a/internal/own/keyvalue/keyvalue.go
+++ b/internal/own/keyvalue/keyvalue.go
@@ -105,8 +105,8 @@
 	return reply, nil
 }
 
-// ReleaseLease releases a lease if fence is still the fence of its grant.
-func (c *Client) ReleaseLease(ctx context.Context, name string, fence uint64) error {
+// Release releases a lease if fence is still the fence of its grant.
+func (c *Client) Release(ctx context.Context, name string, fence uint64) error {
 	query := url.Values{"fence": {strconv.FormatUint(fence, 10)}}
 	_, err := c.call(ctx, http.MethodDelete, PathLease+name, query, nil, 0)
 	return err
--- a/standin/integration/contract_test.go
+++ b/standin/integration/contract_test.go
@@ -107,7 +107,7 @@
 	is.True(a.Granted)
 	is.True(!ask("b", time.Minute, 0).Granted)
 	is.True(ask("a", time.Minute, a.Fence).Granted)
-	is.NoErr(w.client().ReleaseLease(ctx, "planner/z", a.Fence))
+	is.NoErr(w.client().Release(ctx, "planner/z", a.Fence))
 	b := ask("b", time.Millisecond, 0)
 	is.True(b.Granted && b.Fence > a.Fence)
 	is.True(!ask("a", time.Minute, a.Fence).Granted) // an old grant cannot be renewed
