--- a/internal/own/driver.go
+++ b/internal/own/driver.go
@@ -187,7 +187,7 @@
 
 func (d *driver) seekLease(ctx context.Context, a planner.RequestLease) {
 	sent := d.host.Now()
-	reply, err := d.platform.RequestLease(ctx, keyvalue.LeaseName(d.host.Self.Zone), keyvalue.LeaseRequest{
+	reply, err := d.platform.AcquireLease(ctx, keyvalue.LeaseName(d.host.Self.Zone), keyvalue.LeaseRequest{
 		Holder: d.holderName(), TermMS: a.Term.Milliseconds(), Renew: a.Renew,
 	})
 	d.host.Post(planner.LeaseReply{Sent: sent, Granted: reply.Granted, Fence: reply.Fence, Err: err})
--- a/internal/own/keyvalue/keyvalue.go
+++ b/internal/own/keyvalue/keyvalue.go
@@ -88,8 +88,8 @@
 	return err
 }
 
-// RequestLease requests a lease or renews it.
-func (c *Client) RequestLease(ctx context.Context, name string, req LeaseRequest) (LeaseReply, error) {
+// AcquireLease requests a lease or renews it.
+func (c *Client) AcquireLease(ctx context.Context, name string, req LeaseRequest) (LeaseReply, error) {
 	data, err := json.Marshal(req)
 	if err != nil {
 		return LeaseReply{}, trace.Wrap(err)
--- a/standin/integration/contract_test.go
+++ b/standin/integration/contract_test.go
@@ -99,7 +99,7 @@
 	w := newWorld(t)
 	ctx := context.Background()
 	ask := func(holder string, term time.Duration, renew uint64) keyvalue.LeaseReply {
-		r, err := w.client().RequestLease(ctx, "planner/z", keyvalue.LeaseRequest{Holder: holder, TermMS: term.Milliseconds(), Renew: renew})
+		r, err := w.client().AcquireLease(ctx, "planner/z", keyvalue.LeaseRequest{Holder: holder, TermMS: term.Milliseconds(), Renew: renew})
 		is.NoErr(err)
 		return r
 	}
