--- a/internal/own/driver.go
+++ b/internal/own/driver.go
@@ -236,5 +236,5 @@
 	if cfg := d.host.Config(); cfg != nil {
 		base = cfg.BaseModel(a.Order.Item)
 	}
-	d.host.Post(d.engine.SendOrder(ctx, a.Address, a.Order, base))
+	d.host.Post(d.engine.SubmitOrder(ctx, a.Address, a.Order, base))
 }
--- a/internal/own/engine/engine.go
+++ b/internal/own/engine/engine.go
@@ -159,9 +159,9 @@
 	return s.decode(), nil
 }
 
-// SendOrder sends an order to the engine. base is the model of an adapter. The order is
+// SubmitOrder sends an order to the engine. base is the model of an adapter. The order is
 // sent over a new connection, so that the transport cannot resend it.
-func (c *Client) SendOrder(ctx context.Context, address string, o book.Order, base string) planner.OrderReply {
+func (c *Client) SubmitOrder(ctx context.Context, address string, o book.Order, base string) planner.OrderReply {
 	out := planner.OrderReply{Engine: o.Engine, Fence: o.Fence, Seq: o.Seq}
 	var progress upstream.Progress
 	wire := OrderRequest{Fence: o.Fence, Seq: o.Seq, Op: o.Op.String(), Item: o.Item, Base: base, MiB: o.MiB}
--- a/internal/own/engine/engine_test.go
+++ b/internal/own/engine/engine_test.go
@@ -104,7 +104,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			server := httptest.NewServer(c.do)
 			defer server.Close()
-			reply := NewClient(upstream.NewTransports()).SendOrder(context.Background(), server.Listener.Addr().String(), book.Order{Engine: "e", Seq: 4}, "")
+			reply := NewClient(upstream.NewTransports()).SubmitOrder(context.Background(), server.Listener.Addr().String(), book.Order{Engine: "e", Seq: 4}, "")
 			is := is.New(t)
 			is.Equal(reply.Outcome, c.want)
 			is.Equal(reply.Seq, uint64(4))
@@ -116,7 +116,7 @@
 		is.NoErr(err)
 		address := l.Addr().String()
 		is.NoErr(l.Close())
-		reply := NewClient(upstream.NewTransports()).SendOrder(context.Background(), address, book.Order{Engine: "e"}, "")
+		reply := NewClient(upstream.NewTransports()).SubmitOrder(context.Background(), address, book.Order{Engine: "e"}, "")
 		is.Equal(reply.Outcome, planner.OrderNotSent)
 	})
 }
