--- a/core/own/book/book.go
+++ b/core/own/book/book.go
@@ -14,7 +14,7 @@
 // the same boot, because a delayed duplicate of the order could load it again without the
 // ledger's knowledge.
 //
-// Invariants: FreeMiB never exceeds the memory that the engine has free under any outcome
+// Invariants: AvailableMiB never exceeds the memory that the engine has free under any outcome
 // of the outstanding orders. An engine whose state was not read since its fence was
 // raised has no free memory.
 package book
--- a/core/own/planner/input.go
+++ b/core/own/planner/input.go
@@ -24,7 +24,7 @@
 func newZoneView(s *config.Snapshot, zone string) zoneView {
 	doc := s.Document()
 	zones := engineZones(doc)
-	v := zoneView{items: map[string]plan.Item{}, assigned: map[string]bool{}, zones: zones}
+	view := zoneView{items: map[string]plan.Item{}, assigned: map[string]bool{}, zones: zones}
 	attached := map[string]bool{}
 	for _, svc := range doc.Services {
 		for _, v := range svc.Versions {
@@ -33,14 +33,14 @@
 		}
 	}
 	for _, model := range doc.Models {
-		v.items[model.Name] = plan.Item{Name: model.Name, MiB: model.MemoryMiB}
-		v.assigned[model.Name] = attached[model.Name] && assignedZone(zones, model.Name) == zone
+		view.items[model.Name] = plan.Item{Name: model.Name, MiB: model.MemoryMiB}
+		view.assigned[model.Name] = attached[model.Name] && assignedZone(zones, model.Name) == zone
 	}
 	for _, a := range doc.Adapters {
-		v.items[a.Name] = plan.Item{Name: a.Name, Base: a.Model, MiB: a.MemoryMiB}
-		v.assigned[a.Name] = attached[a.Name] && assignedZone(zones, a.Model) == zone
+		view.items[a.Name] = plan.Item{Name: a.Name, Base: a.Model, MiB: a.MemoryMiB}
+		view.assigned[a.Name] = attached[a.Name] && assignedZone(zones, a.Model) == zone
 	}
-	return v
+	return view
 }
 
 // engineZones returns the zones that have engines, in the order of the document.
