--- a/core/own/choose/choose.go
+++ b/core/own/choose/choose.go
@@ -45,7 +45,7 @@
 type Query struct {
 	Zone         string // zone of this instance
 	PromptTokens int
-	PrefillRate  int // tokens a second
+	PrefillRate  int // tokens per second
 	Prefix       Prefix
 	Exclude      string // replica that just failed the call; used only if no other can serve
 }
@@ -79,7 +79,7 @@
 // be sent new work. If every candidate is full, the estimate returned has Room false: the
 // call has to wait, approximately for the estimate's Queue.
 func (c *Chooser) Choose(now clock.Instant, q Query, candidates []*pool.Replica) (best Estimate, ok bool) {
-	spare := c.mayEject(now, candidates)
+	mayEject := c.mayEject(now, candidates)
 	preferred := preferredReplica(q.Prefix, candidates)
 	cachedOn, cached := c.prefixes.Find(q.Prefix)
 	for _, r := range candidates {
@@ -88,7 +88,7 @@
 		}
 		// If a zone is cut off, all its replicas fail. Waiting for a load in this zone is
 		// then better than trying them again before their ejection ends.
-		if r.Ejected(now) && (spare || r.Zone != q.Zone) {
+		if r.Ejected(now) && (mayEject || r.Zone != q.Zone) {
 			continue
 		}
 		e := estimate(now, q, r)
--- a/core/own/modelcalls/modelcalls.go
+++ b/core/own/modelcalls/modelcalls.go
@@ -156,7 +156,7 @@
 	s := stateOf(c)
 	s.decision = policy.Decision{Priority: config.DefaultPriority, Wait: h.Options.DefaultWait}
 	if program := h.Config.Policy(s.service.Policy); program != nil {
-		verdict, failed := program.Eval(policy.Input{
+		decision, failed := program.Eval(policy.Input{
 			Service:       s.service.Name,
 			Model:         s.version.Model,
 			Caller:        s.caller,
@@ -166,7 +166,7 @@
 			Load:          h.zoneLoad(now),
 			Hour:          now.Wall.UTC().Hour(),
 		})
-		s.decision = verdict
+		s.decision = decision
 		if failed > 0 {
 			h.Out.Log(logevent.PolicyFailed, "policy", s.service.Policy, "expressions", failed)
 		}
--- a/core/own/plan/plan.go
+++ b/core/own/plan/plan.go
@@ -41,7 +41,7 @@
 	spareValue = 0.02
 	// remoteValue is the share of its value that a copy keeps if another zone has one: a
 	// call to another zone takes a millisecond or two longer, of a latency target of
-	// hundreds.
+	// hundreds of milliseconds.
 	remoteValue = 0.02
 	// starvingStay is the minimum time for which an item stays resident even when it is
 	// unloaded for a starving one, so that the calls that waited for it are served.
--- a/core/own/plan/plan_test.go
+++ b/core/own/plan/plan_test.go
@@ -35,20 +35,20 @@
 		want   string // "op item" of each step
 	}{
 		{"equal demand moves nothing", input(asked("a", 1, 0), asked("b", 1, 0), asked("c", 1, 0)), nil, ""},
-		{"a little more moves nothing", input(asked("a", 1, 0), asked("b", 1, 0), asked("c", 1.2, 0)), nil, ""},
-		{"much more takes the place of the least", input(asked("a", 1, 0), asked("b", 0.5, 0), asked("c", 3, 0)), nil, "unload b"},
+		{"slightly more demand moves nothing", input(asked("a", 1, 0), asked("b", 1, 0), asked("c", 1.2, 0)), nil, ""},
+		{"much more demand replaces the item with the least", input(asked("a", 1, 0), asked("b", 0.5, 0), asked("c", 3, 0)), nil, "unload b"},
 		{"a higher move cost moves nothing", input(asked("a", 1, 0), asked("b", 0.5, 0), asked("c", 3, 0)), func(in *Input) { in.MoveCost = 200 }, ""},
 		{"not within the minimum stay", input(asked("a", 9, 0), asked("b", 0.5, 0), asked("c", 3, 0)), func(in *Input) { in.Engines[0].Residents[1].Since = time.Second }, ""},
 		// A starving item whose value justifies the unload need not wait for Starve,
 		// which only limits starving items whose value does not. It once had to wait.
-		{"starving and worth it", input(asked("a", 1, 0), asked("b", 0.5, 0), asked("c", 3, time.Minute)), nil, "unload b"},
-		{"starving, not worth it, not its turn", input(asked("a", 9, 0), asked("b", 9, 0), asked("c", 0.1, 7*time.Second)), nil, ""},
-		{"starving, not worth it, its turn", input(asked("a", 9, 0), asked("b", 8, 0), asked("c", 0.1, 7*time.Second)), func(in *Input) { in.Starve = true }, "unload b"},
-		{"another zone leads it", input(asked("a", 1, 0), asked("b", 0.5, 0), asked("c", 3, 0)), func(in *Input) { in.Leads = func(string) bool { return false } }, ""},
-		{"another zone has it", input(asked("a", 1, 0), asked("b", 0.5, 0), asked("c", 3, 0)), func(in *Input) { in.Elsewhere = map[string]int{"c": 1} }, ""},
+		{"starving and worth the cost", input(asked("a", 1, 0), asked("b", 0.5, 0), asked("c", 3, time.Minute)), nil, "unload b"},
+		{"starving, not worth the cost, Starve not set", input(asked("a", 9, 0), asked("b", 9, 0), asked("c", 0.1, 7*time.Second)), nil, ""},
+		{"starving, not worth the cost, Starve set", input(asked("a", 9, 0), asked("b", 8, 0), asked("c", 0.1, 7*time.Second)), func(in *Input) { in.Starve = true }, "unload b"},
+		{"another zone places the first copy", input(asked("a", 1, 0), asked("b", 0.5, 0), asked("c", 3, 0)), func(in *Input) { in.Leads = func(string) bool { return false } }, ""},
+		{"another zone has a copy", input(asked("a", 1, 0), asked("b", 0.5, 0), asked("c", 3, 0)), func(in *Input) { in.Elsewhere = map[string]int{"c": 1} }, ""},
 		{"no loads allowed", input(asked("a", 1, 0), asked("b", 0.5, 0), asked("c", 3, 0)), func(in *Input) { in.Loads = 0 }, ""},
-		{"room is used without dropping", input(asked("c", 0.1, 0)), func(in *Input) { in.Engines[0].Capacity, in.Engines[0].Free = 30, 10 }, "load c"},
-		{"a leaving engine is left alone", input(asked("c", 9, 0)), func(in *Input) { in.Engines[0].Usable = false }, ""},
+		{"free memory is used without unloading", input(asked("c", 0.1, 0)), func(in *Input) { in.Engines[0].Capacity, in.Engines[0].Free = 30, 10 }, "load c"},
+		{"a leaving engine gets no orders", input(asked("c", 9, 0)), func(in *Input) { in.Engines[0].Usable = false }, ""},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/core/own/planner/read.go
+++ b/core/own/planner/read.go
@@ -56,14 +56,14 @@
 			assigned = append(assigned, r)
 		}
 	}
-	every := max(p.Options.ReadEvery, time.Duration(len(assigned))*minReadSpacing)
+	interval := max(p.Options.ReadEvery, time.Duration(len(assigned))*minReadSpacing)
 	for _, r := range assigned {
 		rd := p.readerOf(r.Name)
 		if !rd.Due(now) {
 			continue
 		}
 		rd.Begin(now)
-		rd.SetDue(now.Add(step.Jitter(p.Rand, p.readInterval(r, every))))
+		rd.SetDue(now.Add(step.Jitter(p.Rand, p.readInterval(r, interval))))
 		p.Out.Emit(ReadState{Engine: r.Name, Address: r.Address})
 	}
 }
@@ -79,11 +79,13 @@
 	return p.Members.Assigned(now, "read/"+r.Name, readersPerEngine)
 }
 
-func (p *Planner) readInterval(r *pool.Replica, every time.Duration) time.Duration {
+// readInterval returns the time between two reads of the engine: a shorter one than normal
+// while its planner waits for orders to be carried out.
+func (p *Planner) readInterval(r *pool.Replica, normal time.Duration) time.Duration {
 	if l := p.ledgers[r.Name]; p.IsPlanner() && l != nil && l.Busy() {
 		return p.Options.BusyReadEvery
 	}
-	return every
+	return normal
 }
 
 func (p *Planner) readerOf(engine string) *engineReader {
--- a/internal/own/engine/engine_test.go
+++ b/internal/own/engine/engine_test.go
@@ -36,7 +36,7 @@
 		{"whole", 0, `{"id":"a","o":0,"t":"x"}{"id":"a","o":1,"t":"y"}{"id":"a","o":2,"end":true}`, "xy", nil},
 		{"doubled", 0, `{"id":"a","o":0,"t":"x"}{"id":"a","o":0,"t":"x"}{"id":"a","o":1,"end":true}`, "x", nil},
 		{"another's", 0, `{"id":"b","o":0,"t":"z"}{"id":"a","o":0,"t":"x"}{"id":"b","o":1,"end":true}{"id":"a","o":1,"end":true}`, "x", nil},
-		{"late after a resume", 2, `{"id":"a","o":1,"t":"y"}{"id":"a","o":2,"t":"z"}{"id":"a","o":3,"end":true}`, "z", nil},
+		{"late piece after a resume", 2, `{"id":"a","o":1,"t":"y"}{"id":"a","o":2,"t":"z"}{"id":"a","o":3,"end":true}`, "z", nil},
 		{"a gap", 0, `{"id":"a","o":0,"t":"x"}{"id":"a","o":2,"t":"z"}`, "x", ErrMissingPiece},
 		{"cut", 0, `{"id":"a","o":0,"t":"x"}`, "x", ErrTruncated},
 		{"cut in a piece", 0, `{"id":"a","o":0,"t":"x"}{"id":"a","o":1,"t`, "x", ErrTruncated},
@@ -95,7 +95,7 @@
 		{"done", func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, `{"result":"done"}`) }, planner.OrderAccepted},
 		{"refused", func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, `{"result":"refused"}`) }, planner.OrderRefused},
 		{"fenced", func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, `{"result":"fenced"}`) }, planner.OrderFenced},
-		{"a word we do not know", func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, `{"result":"maybe"}`) }, planner.OrderLost},
+		{"an unknown result", func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, `{"result":"maybe"}`) }, planner.OrderLost},
 		{"an error page", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusInternalServerError) }, planner.OrderLost},
 		{"no answer", func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }, planner.OrderLost},
 		{"half an answer", func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, `{"result":`) }, planner.OrderLost},
@@ -110,7 +110,7 @@
 			is.Equal(reply.Seq, uint64(4))
 		})
 	}
-	t.Run("nobody listens", func(t *testing.T) {
+	t.Run("connection refused", func(t *testing.T) {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		is := is.New(t)
 		is.NoErr(err)
