--- a/internal/own/modelapi/model.go
+++ b/internal/own/modelapi/model.go
@@ -28,7 +28,7 @@
 	prompt    string
 	startedAt time.Time
 	call      calls.Request
-	form      answerFormat
+	format    answerFormat
 
 	text            strings.Builder // received in the current attempt, for answers that are not streamed
 	piecesReceived  int             // in the current attempt
@@ -199,7 +199,7 @@
 		return
 	}
 	m.writeHeader(d)
-	m.writeChunk(m.form.chunk(p.Text, nil))
+	m.writeChunk(m.format.chunk(p.Text, nil))
 	m.piecesDelivered++
 }
 
@@ -224,11 +224,11 @@
 func (m *modelCall) finishAnswer(s shell.Session, d calls.Dispatch, p engine.Piece) (calls.AttemptFailed, bool) {
 	if m.req.Stream {
 		m.writeHeader(d)
-		m.writeChunk(m.form.chunk("", &p.Reason))
+		m.writeChunk(m.format.chunk("", &p.Reason))
 		m.writeEvent([]byte("[DONE]"))
 	} else {
 		m.setHeaders(d)
-		entry.WriteJSON(m.w, http.StatusOK, m.form.whole(m.text.String(), p.Reason, m.call.PromptTokens, m.piecesReceived-1))
+		entry.WriteJSON(m.w, http.StatusOK, m.format.whole(m.text.String(), p.Reason, m.call.PromptTokens, m.piecesReceived-1))
 	}
 	s.Completed(0)
 	m.handler.Metrics.ObserveAnswer(int(code.OK), time.Since(m.startedAt))
--- a/internal/own/modelapi/modelapi.go
+++ b/internal/own/modelapi/modelapi.go
@@ -141,7 +141,7 @@
 	span.SetAttributes(attribute.String("service", req.Model), attribute.Int64("call", int64(call.ID)))
 	m := &modelCall{
 		handler: h, w: w, req: req, prompt: prompt, startedAt: start, call: call,
-		form: answerFormat{chat: chat, id: fmt.Sprintf("%s-%d", h.Self.Name, call.ID), model: req.Model, created: start},
+		format: answerFormat{chat: chat, id: fmt.Sprintf("%s-%d", h.Self.Name, call.ID), model: req.Model, created: start},
 	}
 	m.run(ctx, h.Shell.Begin(call))
 }
