--- a/internal/own/modelapi/model.go
+++ b/internal/own/modelapi/model.go
@@ -228,7 +228,7 @@
 		m.writeEvent([]byte("[DONE]"))
 	} else {
 		m.setHeaders(d)
-		entry.WriteJSON(m.w, http.StatusOK, m.format.whole(m.text.String(), p.Reason, m.call.PromptTokens, m.piecesReceived-1))
+		entry.WriteJSON(m.w, http.StatusOK, m.format.complete(m.text.String(), p.Reason, m.call.PromptTokens, m.piecesReceived-1))
 	}
 	s.Completed(0)
 	m.handler.Metrics.ObserveAnswer(int(code.OK), time.Since(m.startedAt))
--- a/internal/own/modelapi/openai.go
+++ b/internal/own/modelapi/openai.go
@@ -164,7 +164,7 @@
 	return answer{ID: f.id, Object: object, Created: f.created.Unix(), Model: f.model, Choices: []choice{c}}
 }
 
-func (f answerFormat) whole(text string, finish string, promptTokens, tokens int) answer {
+func (f answerFormat) complete(text string, finish string, promptTokens, tokens int) answer {
 	c := choice{FinishReason: &finish}
 	object := "text_completion"
 	if f.chat {
