--- a/standin/fleet/fleet.go
+++ b/standin/fleet/fleet.go
@@ -26,8 +26,8 @@
 // AwaitTimeout bounds every wait for a condition.
 const AwaitTimeout = 30 * time.Second
 
-// poll spaces the looks at a condition.
-const poll = 10 * time.Millisecond
+// pollInterval spaces the looks at a condition.
+const pollInterval = 10 * time.Millisecond
 
 // Build compiles the programs into dir. module is the repository's root.
 func Build(module, dir string) error {
@@ -209,7 +209,7 @@
 		if time.Now().After(deadline) {
 			return fmt.Errorf("waited %s in vain: %s", AwaitTimeout, what)
 		}
-		time.Sleep(poll)
+		time.Sleep(pollInterval)
 	}
 	return nil
 }
