--- a/standin/fleet/fleet.go
+++ b/standin/fleet/fleet.go
@@ -45,19 +45,19 @@
 type Process struct {
 	Name   string
 	cmd    *exec.Cmd
-	log    *lines
+	log    *outputLog
 	exited chan struct{}
 	status int
 }
 
-// lines gathers a program's output and lets others wait for a line.
-type lines struct {
+// outputLog gathers a program's output and lets others wait for a line.
+type outputLog struct {
 	mu      sync.Mutex
 	all     []string
 	changed chan struct{}
 }
 
-func (l *lines) add(line string) {
+func (l *outputLog) add(line string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.all = append(l.all, line)
@@ -65,7 +65,7 @@
 	l.changed = make(chan struct{})
 }
 
-func (l *lines) snapshot() ([]string, chan struct{}) {
+func (l *outputLog) snapshot() ([]string, chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return append([]string(nil), l.all...), l.changed
@@ -74,7 +74,7 @@
 // Start starts a program; its output is kept line by line.
 func Start(name, path string, args ...string) (*Process, error) {
 	p := &Process{Name: name, cmd: exec.Command(path, args...), exited: make(chan struct{})}
-	p.log = &lines{changed: make(chan struct{})}
+	p.log = &outputLog{changed: make(chan struct{})}
 	reader, writer := io.Pipe()
 	p.cmd.Stdout = writer
 	p.cmd.Stderr = writer
