--- a/standin/fleet/fleet.go
+++ b/standin/fleet/fleet.go
@@ -53,14 +53,14 @@
 // outputLog gathers a program's output and lets others wait for a line.
 type outputLog struct {
 	mu      sync.Mutex
-	all     []string
+	lines   []string
 	changed chan struct{}
 }
 
 func (l *outputLog) add(line string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.all = append(l.all, line)
+	l.lines = append(l.lines, line)
 	close(l.changed)
 	l.changed = make(chan struct{})
 }
@@ -68,7 +68,7 @@
 func (l *outputLog) snapshot() ([]string, chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return append([]string(nil), l.all...), l.changed
+	return append([]string(nil), l.lines...), l.changed
 }
 
 // Start starts a program; its output is kept line by line.
