--- a/standin/platform/platform.go
+++ b/standin/platform/platform.go
@@ -78,7 +78,7 @@
 	counts   Counts
 	reads    *rate.Limiter
 	writes   *rate.Limiter
-	weights  *weights
+	weights  *weightStore
 }
 
 // New returns an empty platform.
--- a/standin/platform/weights.go
+++ b/standin/platform/weights.go
@@ -8,9 +8,9 @@
 	"golang.org/x/time/rate"
 )
 
-// weights is the weight store: so many loads begun a second, and so many at
+// weightStore is the weight store: so many loads begun a second, and so many at
 // once at full speed; more share that speed.
-type weights struct {
+type weightStore struct {
 	begin  *rate.Limiter
 	atOnce int
 
@@ -18,15 +18,15 @@
 	active int
 }
 
-func newWeights(l Limits) *weights {
-	return &weights{begin: rate.NewLimiter(rate.Limit(l.LoadsPerSecond), 1), atOnce: l.LoadsAtOnce}
+func newWeights(l Limits) *weightStore {
+	return &weightStore{begin: rate.NewLimiter(rate.Limit(l.LoadsPerSecond), 1), atOnce: l.LoadsAtOnce}
 }
 
 // slice is how often the speed of a load is looked at anew.
 const slice = 20 * time.Millisecond
 
 // load answers when a load that takes `time` at full speed is through.
-func (s *weights) load(_ http.ResponseWriter, r *http.Request) {
+func (s *weightStore) load(_ http.ResponseWriter, r *http.Request) {
 	if s.begin.Wait(r.Context()) != nil {
 		return
 	}
@@ -43,13 +43,13 @@
 	}
 }
 
-func (s *weights) add(n int) {
+func (s *weightStore) add(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.active += n
 }
 
-func (s *weights) speed() float64 {
+func (s *weightStore) speed() float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.active <= s.atOnce {
