--- a/standin/platform/weights.go
+++ b/standin/platform/weights.go
@@ -11,15 +11,15 @@
 // weightStore is the weight store: so many loads begun a second, and so many at
 // once at full speed; more share that speed.
 type weightStore struct {
-	begin  *rate.Limiter
-	atOnce int
+	startLimiter *rate.Limiter
+	atOnce       int
 
 	mu     sync.Mutex
 	active int
 }
 
 func newWeights(l Limits) *weightStore {
-	return &weightStore{begin: rate.NewLimiter(rate.Limit(l.LoadsPerSecond), 1), atOnce: l.LoadsAtOnce}
+	return &weightStore{startLimiter: rate.NewLimiter(rate.Limit(l.LoadsPerSecond), 1), atOnce: l.LoadsAtOnce}
 }
 
 // slice is how often the speed of a load is looked at anew.
@@ -27,7 +27,7 @@
 
 // load answers when a load that takes `time` at full speed is through.
 func (s *weightStore) load(_ http.ResponseWriter, r *http.Request) {
-	if s.begin.Wait(r.Context()) != nil {
+	if s.startLimiter.Wait(r.Context()) != nil {
 		return
 	}
 	left := durationParam(r, "time")
