--- a/standin/platform/weights.go
+++ b/standin/platform/weights.go
@@ -12,14 +12,14 @@
 // once at full speed; more share that speed.
 type weightStore struct {
 	startLimiter *rate.Limiter
-	atOnce       int
+	maxFullSpeed int
 
 	mu     sync.Mutex
 	active int
 }
 
 func newWeights(l Limits) *weightStore {
-	return &weightStore{startLimiter: rate.NewLimiter(rate.Limit(l.LoadsPerSecond), 1), atOnce: l.LoadsAtOnce}
+	return &weightStore{startLimiter: rate.NewLimiter(rate.Limit(l.LoadsPerSecond), 1), maxFullSpeed: l.LoadsAtOnce}
 }
 
 // slice is how often the speed of a load is looked at anew.
@@ -52,8 +52,8 @@
 func (s *weightStore) speed() float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.active <= s.atOnce {
+	if s.active <= s.maxFullSpeed {
 		return 1
 	}
-	return float64(s.atOnce) / float64(s.active)
+	return float64(s.maxFullSpeed) / float64(s.active)
 }
