--- a/standin/platform/weights.go
+++ b/standin/platform/weights.go
@@ -22,8 +22,8 @@
 	return &weightStore{startLimiter: rate.NewLimiter(rate.Limit(l.LoadsPerSecond), 1), maxFullSpeed: l.LoadsAtOnce}
 }
 
-// slice is how often the speed of a load is looked at anew.
-const slice = 20 * time.Millisecond
+// loadTick is how often the speed of a load is looked at anew.
+const loadTick = 20 * time.Millisecond
 
 // load answers when a load that takes `time` at full speed is through.
 func (s *weightStore) load(_ http.ResponseWriter, r *http.Request) {
@@ -35,8 +35,8 @@
 	defer s.add(-1)
 	for left > 0 {
 		select {
-		case <-time.After(slice):
-			left -= time.Duration(float64(slice) * s.speed())
+		case <-time.After(loadTick):
+			left -= time.Duration(float64(loadTick) * s.speed())
 		case <-r.Context().Done():
 			return
 		}
