--- a/standin/platform/platform.go
+++ b/standin/platform/platform.go
@@ -174,17 +174,17 @@
 			next(w, r)
 			return
 		}
-		next(discard{}, r)
+		next(discardWriter{}, r)
 		fault.DropConnection(w)
 	}
 }
 
-// discard swallows an answer that is to be lost.
-type discard struct{}
+// discardWriter swallows an answer that is to be lost.
+type discardWriter struct{}
 
-func (discard) Header() http.Header            { return http.Header{} }
-func (discard) Write(data []byte) (int, error) { return len(data), nil }
-func (discard) WriteHeader(int)                {}
+func (discardWriter) Header() http.Header            { return http.Header{} }
+func (discardWriter) Write(data []byte) (int, error) { return len(data), nil }
+func (discardWriter) WriteHeader(int)                {}
 
 // bump notes a change; p.mu is held.
 func (p *Platform) bump() uint64 {
