--- a/standin/platform/platform.go
+++ b/standin/platform/platform.go
@@ -186,8 +186,8 @@
 func (discardWriter) Write(data []byte) (int, error) { return len(data), nil }
 func (discardWriter) WriteHeader(int)                {}
 
-// bump notes a change; p.mu is held.
-func (p *Platform) bump() uint64 {
+// nextRevision notes a change; p.mu is held.
+func (p *Platform) nextRevision() uint64 {
 	p.revision++
 	close(p.changed)
 	p.changed = make(chan struct{})
@@ -277,7 +277,7 @@
 		w.WriteHeader(http.StatusConflict)
 		return
 	}
-	v := value{data: data, revision: p.bump()}
+	v := value{data: data, revision: p.nextRevision()}
 	if ttl := durationParam(r, "ttl"); ttl > 0 {
 		v.expires = time.Now().Add(ttl)
 	}
@@ -294,7 +294,7 @@
 		return
 	}
 	delete(p.values, key)
-	p.bump()
+	p.nextRevision()
 }
 
 func (p *Platform) acquire(w http.ResponseWriter, r *http.Request) {
@@ -314,7 +314,7 @@
 	case !free && l.holder == req.Holder && (req.Renew == 0 || req.Renew == l.fence):
 		l.expires = now.Add(term)
 	case free && req.Renew == 0:
-		l = lease{holder: req.Holder, fence: p.bump(), expires: now.Add(term)}
+		l = lease{holder: req.Holder, fence: p.nextRevision(), expires: now.Add(term)}
 	default:
 		reply(w, 0, keyvalue.LeaseReply{Fence: l.fence, Holder: l.holder})
 		return
@@ -337,7 +337,7 @@
 func (p *Platform) SetInstance(i keyvalue.Instance) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	i.Version = p.bump()
+	i.Version = p.nextRevision()
 	lag := time.Duration(p.Faults.Get().ListLag)
 	p.list[i.Name] = listed{Instance: i, visible: time.Now().Add(lag)}
 }
