--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -123,19 +123,19 @@
 // Handler returns the engine's HTTP interface.
 func (e *Engine) Handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST "+wire.PathGenerate, e.frozen(e.generate))
-	mux.HandleFunc("POST "+wire.PathResume, e.frozen(e.resume))
-	mux.HandleFunc("POST "+wire.PathCancel, e.frozen(e.cancel))
-	mux.HandleFunc("GET "+wire.PathState, e.frozen(e.state))
-	mux.HandleFunc("POST "+wire.PathOrders, e.frozen(e.orders))
+	mux.HandleFunc("POST "+wire.PathGenerate, e.holdWhileFrozen(e.generate))
+	mux.HandleFunc("POST "+wire.PathResume, e.holdWhileFrozen(e.resume))
+	mux.HandleFunc("POST "+wire.PathCancel, e.holdWhileFrozen(e.cancel))
+	mux.HandleFunc("GET "+wire.PathState, e.holdWhileFrozen(e.state))
+	mux.HandleFunc("POST "+wire.PathOrders, e.holdWhileFrozen(e.orders))
 	mux.HandleFunc("GET /counts", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, e.Counts()) })
 	mux.HandleFunc("POST /fault", e.Faults.Handler())
 	mux.HandleFunc("POST /leave", func(http.ResponseWriter, *http.Request) { e.MarkLeaving() })
 	return mux
 }
 
-// frozen holds requests for as long as the engine is frozen.
-func (e *Engine) frozen(next http.HandlerFunc) http.HandlerFunc {
+// holdWhileFrozen holds requests for as long as the engine is holdWhileFrozen.
+func (e *Engine) holdWhileFrozen(next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if !e.thaw(r.Context().Done()) {
 			return
