--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -137,7 +137,7 @@
 // holdWhileFrozen holds requests for as long as the engine is holdWhileFrozen.
 func (e *Engine) holdWhileFrozen(next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		if !e.thaw(r.Context().Done()) {
+		if !e.waitUntilThawed(r.Context().Done()) {
 			return
 		}
 		next(w, r)
@@ -147,8 +147,8 @@
 // frozenPoll is how often a frozen engine looks whether it still is.
 const frozenPoll = 5 * time.Millisecond
 
-// thaw waits until the engine is not frozen; false if gone comes first.
-func (e *Engine) thaw(gone <-chan struct{}) bool {
+// waitUntilThawed waits until the engine is not frozen; false if gone comes first.
+func (e *Engine) waitUntilThawed(gone <-chan struct{}) bool {
 	for e.Faults.Get().Freeze {
 		select {
 		case <-time.After(frozenPoll):
--- a/standin/engine/sequence.go
+++ b/standin/engine/sequence.go
@@ -64,7 +64,7 @@
 		return
 	}
 	for i := 0; i < s.req.MaxTokens; i++ {
-		if !s.sleep(e.tokenTime()) || !e.thaw(s.halt) {
+		if !s.sleep(e.tokenTime()) || !e.waitUntilThawed(s.halt) {
 			return
 		}
 		e.generated.Add(1)
