--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -144,14 +144,14 @@
 	}
 }
 
-// frozenPoll is how often a frozen engine looks whether it still is.
-const frozenPoll = 5 * time.Millisecond
+// frozenPollInterval is how often a frozen engine looks whether it still is.
+const frozenPollInterval = 5 * time.Millisecond
 
 // waitUntilThawed waits until the engine is not frozen; false if gone comes first.
 func (e *Engine) waitUntilThawed(gone <-chan struct{}) bool {
 	for e.Faults.Get().Freeze {
 		select {
-		case <-time.After(frozenPoll):
+		case <-time.After(frozenPollInterval):
 		case <-gone:
 			return false
 		case <-e.closed:
