--- a/standin/engine/orders.go
+++ b/standin/engine/orders.go
@@ -152,8 +152,8 @@
 	return wire.ResultDone, ""
 }
 
-// drainPoll is how often a draining item's sequences are counted.
-const drainPoll = 10 * time.Millisecond
+// drainPollInterval is how often a draining item's sequences are counted.
+const drainPollInterval = 10 * time.Millisecond
 
 // drain drops the item when its last sequence has ended.
 func (e *Engine) drain(name string, it *item) {
@@ -173,7 +173,7 @@
 		}
 		e.mu.Unlock()
 		select {
-		case <-time.After(drainPoll):
+		case <-time.After(drainPollInterval):
 		case <-e.closed:
 			return
 		}
