--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -278,7 +278,7 @@
 		e.refuse(w, http.StatusBadRequest, false, err.Error())
 		return
 	}
-	s, status, detail := e.begin(req)
+	s, status, detail := e.admit(req)
 	if s == nil {
 		e.refuse(w, status, status == http.StatusServiceUnavailable, detail)
 		return
@@ -287,8 +287,8 @@
 	e.stream(w, r, s, 0)
 }
 
-// begin takes a call in, or says why not.
-func (e *Engine) begin(req wire.GenerateRequest) (*sequence, int, string) {
+// admit takes a call in, or says why not.
+func (e *Engine) admit(req wire.GenerateRequest) (*sequence, int, string) {
 	f := e.Faults.Get()
 	e.mu.Lock()
 	defer e.mu.Unlock()
