--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -80,23 +80,23 @@
 	Faults fault.Injector[Faults]
 	opt    Options
 
-	mu        sync.Mutex
-	boot      uint64
-	change    uint64
-	seq       uint64
-	fence     uint64
-	lastOrder uint64
-	leaving   bool
-	items     map[string]*item
-	calls     map[string]*sequence
-	running   int
-	waiting   []*sequence
-	cache     map[uint64]uint64 // last use by block
-	clock     uint64
-	counts    Counts
-	lagged    []loadSample
-	closed    chan struct{}
-	generated atomic.Int64
+	mu          sync.Mutex
+	boot        uint64
+	change      uint64
+	seq         uint64
+	fence       uint64
+	lastOrder   uint64
+	leaving     bool
+	items       map[string]*item
+	calls       map[string]*sequence
+	running     int
+	waiting     []*sequence
+	cache       map[uint64]uint64 // last use by block
+	clock       uint64
+	counts      Counts
+	loadSamples []loadSample
+	closed      chan struct{}
+	generated   atomic.Int64
 }
 
 type loadSample struct {
@@ -254,11 +254,11 @@
 // reportedLoad is the load as it was LoadLag ago.
 func (e *Engine) reportedLoad() (running, waiting int) {
 	now := time.Now()
-	e.lagged = append(e.lagged, loadSample{now, e.running, len(e.waiting)})
-	for len(e.lagged) > 1 && now.Sub(e.lagged[1].at) >= e.opt.LoadLag {
-		e.lagged = e.lagged[1:]
+	e.loadSamples = append(e.loadSamples, loadSample{now, e.running, len(e.waiting)})
+	for len(e.loadSamples) > 1 && now.Sub(e.loadSamples[1].at) >= e.opt.LoadLag {
+		e.loadSamples = e.loadSamples[1:]
 	}
-	return e.lagged[0].running, e.lagged[0].waiting
+	return e.loadSamples[0].running, e.loadSamples[0].waiting
 }
 
 func (e *Engine) state(w http.ResponseWriter, _ *http.Request) { writeJSON(w, e.State()) }
