--- a/standin/engine/orders.go
+++ b/standin/engine/orders.go
@@ -32,10 +32,10 @@
 	})
 	if late > 0 {
 		fault.DropConnection(w)
-		time.AfterFunc(late, func() { e.carryOut(o) })
+		time.AfterFunc(late, func() { e.execute(o) })
 		return
 	}
-	reply := e.carryOut(o)
+	reply := e.execute(o)
 	if lost {
 		fault.DropConnection(w)
 		return
@@ -43,8 +43,8 @@
 	writeJSON(w, reply)
 }
 
-// carryOut does what an order says, unless it may not.
-func (e *Engine) carryOut(o wire.OrderRequest) wire.OrderReply {
+// execute does what an order says, unless it may not.
+func (e *Engine) execute(o wire.OrderRequest) wire.OrderReply {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	result, detail := e.check(o)
