--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -194,7 +194,7 @@
 	defer e.mu.Unlock()
 	e.items[name] = &item{phase: "ready", base: base, mib: mib}
 	e.change++
-	e.notePeak()
+	e.updatePeak()
 }
 
 // Counts returns what the engine did so far.
@@ -228,7 +228,7 @@
 	return sum
 }
 
-func (e *Engine) notePeak() { e.counts.PeakMiB = max(e.counts.PeakMiB, e.used()) }
+func (e *Engine) updatePeak() { e.counts.PeakMiB = max(e.counts.PeakMiB, e.used()) }
 
 // State returns what the engine says of itself.
 func (e *Engine) State() wire.State {
--- a/standin/engine/orders.go
+++ b/standin/engine/orders.go
@@ -96,7 +96,7 @@
 	e.items[o.Item] = it
 	e.change++
 	e.counts.Loads++
-	e.notePeak()
+	e.updatePeak()
 	go e.finishLoad(o.Item, it)
 	return wire.ResultDone, ""
 }
