--- a/standin/engine/sequence.go
+++ b/standin/engine/sequence.go
@@ -134,12 +134,12 @@
 	case <-s.halt:
 	case <-e.closed:
 	}
-	return e.leaveWaiting(s)
+	return e.cancelWaiting(s)
 }
 
-// leaveWaiting takes s out of the line; if its slot came at the same moment,
+// cancelWaiting takes s out of the line; if its slot came at the same moment,
 // the slot goes on to the next.
-func (e *Engine) leaveWaiting(s *sequence) bool {
+func (e *Engine) cancelWaiting(s *sequence) bool {
 	e.mu.Lock()
 	for i, w := range e.waiting {
 		if w == s {
