--- a/standin/engine/sequence.go
+++ b/standin/engine/sequence.go
@@ -17,14 +17,14 @@
 	items  []string
 	slot   chan struct{} // closed when it may run
 
-	mu      sync.Mutex
-	made    int // pieces made
-	ended   bool
-	stopped string        // why it was stopped early
-	changed chan struct{} // closed and replaced with every change
-	readers int
-	halt    chan struct{}
-	once    sync.Once
+	mu        sync.Mutex
+	generated int // pieces made
+	ended     bool
+	stopped   string        // why it was stopped early
+	changed   chan struct{} // closed and replaced with every change
+	readers   int
+	halt      chan struct{}
+	once      sync.Once
 }
 
 func newSequence(e *Engine, req wire.GenerateRequest, items []string) *sequence {
@@ -68,7 +68,7 @@
 			return
 		}
 		e.generated.Add(1)
-		s.update(func() { s.made++ })
+		s.update(func() { s.generated++ })
 	}
 	s.update(func() { s.ended = true })
 }
@@ -175,7 +175,7 @@
 	sent := 0
 	for {
 		s.mu.Lock()
-		made, ended, stopped, changed := s.made, s.ended, s.stopped, s.changed
+		made, ended, stopped, changed := s.generated, s.ended, s.stopped, s.changed
 		s.mu.Unlock()
 		f := e.Faults.Get()
 		for ; offset < made; offset++ {
