--- a/standin/engine/sequence.go
+++ b/standin/engine/sequence.go
@@ -17,14 +17,14 @@
 	items  []string
 	slot   chan struct{} // closed when it may run
 
-	mu        sync.Mutex
-	generated int // pieces made
-	ended     bool
-	stopped   string        // why it was stopped early
-	changed   chan struct{} // closed and replaced with every change
-	readers   int
-	halt      chan struct{}
-	once      sync.Once
+	mu         sync.Mutex
+	generated  int // pieces made
+	ended      bool
+	stopReason string        // why it was stopped early
+	changed    chan struct{} // closed and replaced with every change
+	readers    int
+	halt       chan struct{}
+	once       sync.Once
 }
 
 func newSequence(e *Engine, req wire.GenerateRequest, items []string) *sequence {
@@ -37,7 +37,7 @@
 // stop ends the sequence early.
 func (s *sequence) stop(why string) {
 	s.once.Do(func() { close(s.halt) })
-	s.update(func() { s.stopped = why })
+	s.update(func() { s.stopReason = why })
 }
 
 func (s *sequence) update(f func()) {
@@ -175,7 +175,7 @@
 	sent := 0
 	for {
 		s.mu.Lock()
-		made, ended, stopped, changed := s.generated, s.ended, s.stopped, s.changed
+		made, ended, stopped, changed := s.generated, s.ended, s.stopReason, s.changed
 		s.mu.Unlock()
 		f := e.Faults.Get()
 		for ; offset < made; offset++ {
