--- a/standin/engine/sequence.go
+++ b/standin/engine/sequence.go
@@ -17,26 +17,26 @@
 	items  []string
 	slot   chan struct{} // closed when it may run
 
-	mu         sync.Mutex
-	generated  int // pieces made
-	ended      bool
-	stopReason string        // why it was stopped early
-	changed    chan struct{} // closed and replaced with every change
-	readers    int
-	halt       chan struct{}
-	once       sync.Once
+	mu            sync.Mutex
+	generated     int // pieces made
+	ended         bool
+	stopReason    string        // why it was stopped early
+	changed       chan struct{} // closed and replaced with every change
+	readers       int
+	stopRequested chan struct{}
+	once          sync.Once
 }
 
 func newSequence(e *Engine, req wire.GenerateRequest, items []string) *sequence {
 	return &sequence{
 		engine: e, req: req, items: items,
-		slot: make(chan struct{}), changed: make(chan struct{}), halt: make(chan struct{}),
+		slot: make(chan struct{}), changed: make(chan struct{}), stopRequested: make(chan struct{}),
 	}
 }
 
 // stop ends the sequence early.
 func (s *sequence) stop(why string) {
-	s.once.Do(func() { close(s.halt) })
+	s.once.Do(func() { close(s.stopRequested) })
 	s.update(func() { s.stopReason = why })
 }
 
@@ -64,7 +64,7 @@
 		return
 	}
 	for i := 0; i < s.req.MaxTokens; i++ {
-		if !s.sleep(e.tokenTime()) || !e.waitUntilThawed(s.halt) {
+		if !s.sleep(e.tokenTime()) || !e.waitUntilThawed(s.stopRequested) {
 			return
 		}
 		e.generated.Add(1)
@@ -82,7 +82,7 @@
 	select {
 	case <-timer.C:
 		return true
-	case <-s.halt:
+	case <-s.stopRequested:
 		return false
 	case <-s.engine.closed:
 		return false
@@ -131,7 +131,7 @@
 	select {
 	case <-s.slot:
 		return true
-	case <-s.halt:
+	case <-s.stopRequested:
 	case <-e.closed:
 	}
 	return e.cancelWaiting(s)
