--- a/standin/engine/sequence.go
+++ b/standin/engine/sequence.go
@@ -168,8 +168,8 @@
 // stream writes the pieces from offset on as they are made.
 func (e *Engine) stream(w http.ResponseWriter, r *http.Request, s *sequence, offset int) {
 	w.Header().Set("Content-Type", "application/x-ndjson")
-	s.attach(1)
-	defer s.attach(-1)
+	s.addReaders(1)
+	defer s.addReaders(-1)
 	enc := json.NewEncoder(w)
 	flush := http.NewResponseController(w)
 	sent := 0
@@ -217,9 +217,9 @@
 	_ = enc.Encode(p)
 }
 
-// attach counts the connections that read the sequence; one that nobody reads
+// addReaders counts the connections that read the sequence; one that nobody reads
 // for Linger is dropped.
-func (s *sequence) attach(n int) {
+func (s *sequence) addReaders(n int) {
 	s.mu.Lock()
 	s.readers += n
 	alone := s.readers == 0 && !s.ended
