--- a/standin/service/service.go
+++ b/standin/service/service.go
@@ -60,8 +60,8 @@
 	return mux
 }
 
-// spend takes one of n if there is one.
-func spend(n *int) bool {
+// takeOne takes one of n if there is one.
+func takeOne(n *int) bool {
 	if *n <= 0 {
 		return false
 	}
@@ -74,10 +74,10 @@
 	var slow time.Duration
 	s.Faults.Update(func(f *Faults) {
 		leaving = f.Leaving
-		refuse = leaving || spend(&f.Refuse)
-		before = !refuse && spend(&f.DropBefore)
-		after = !refuse && !before && spend(&f.DropAfter)
-		cut = !refuse && !before && !after && spend(&f.CutBody)
+		refuse = leaving || takeOne(&f.Refuse)
+		before = !refuse && takeOne(&f.DropBefore)
+		after = !refuse && !before && takeOne(&f.DropAfter)
+		cut = !refuse && !before && !after && takeOne(&f.CutBody)
 		slow = time.Duration(f.Slow)
 	})
 	if refuse {
