--- a/standin/cmd/demo/main.go
+++ b/standin/cmd/demo/main.go
@@ -46,7 +46,7 @@
 	}
 	d := &demo{bin: filepath.Join(root, "bin"), addresses: map[string]string{}}
 	defer d.stop()
-	for _, step := range []func() error{d.startStandins, d.startInstances, d.apply, d.calls, d.status, d.plannedStop} {
+	for _, step := range []func() error{d.startStandins, d.startInstances, d.apply, d.sendCalls, d.status, d.plannedStop} {
 		if err := step(); err != nil {
 			return err
 		}
@@ -143,7 +143,7 @@
 	return nil
 }
 
-func (d *demo) calls() error {
+func (d *demo) sendCalls() error {
 	service := serviceName(0)
 	plain := fmt.Sprintf(`{"model":%q,"max_tokens":8,"messages":[{"role":"user","content":"Which crates go to the parish?"}]}`, service)
 	if err := d.show("plain call", d.instances[0], "/v1/chat/completions", plain, nil); err != nil {
