--- a/standin/cmd/demo/main.go
+++ b/standin/cmd/demo/main.go
@@ -146,15 +146,15 @@
 func (d *demo) sendCalls() error {
 	service := serviceName(0)
 	plain := fmt.Sprintf(`{"model":%q,"max_tokens":8,"messages":[{"role":"user","content":"Which crates go to the parish?"}]}`, service)
-	if err := d.show("plain call", d.instances[0], "/v1/chat/completions", plain, nil); err != nil {
+	if err := d.callAndPrint("plain call", d.instances[0], "/v1/chat/completions", plain, nil); err != nil {
 		return err
 	}
 	stream := strings.Replace(plain, `{"model"`, `{"stream":true,"model"`, 1)
-	if err := d.show("stream", d.instances[2], "/v1/chat/completions", stream, nil); err != nil {
+	if err := d.callAndPrint("stream", d.instances[2], "/v1/chat/completions", stream, nil); err != nil {
 		return err
 	}
 	once := http.Header{"Idempotency-Key": {"allocation-17"}}
-	if err := d.show("not repeatable", d.instances[1], "/services/stock/allocations", `{"crates":3}`, once); err != nil {
+	if err := d.callAndPrint("not repeatable", d.instances[1], "/services/stock/allocations", `{"crates":3}`, once); err != nil {
 		return err
 	}
 	again, err := d.instances[2].Post("/services/stock/allocations", `{"crates":3}`, once)
@@ -168,7 +168,7 @@
 	return nil
 }
 
-func (d *demo) show(what string, in *fleet.Instance, path, body string, header http.Header) error {
+func (d *demo) callAndPrint(what string, in *fleet.Instance, path, body string, header http.Header) error {
 	begun := time.Now()
 	a, err := in.Post(path, body, header)
 	if err != nil {
