--- a/standin/cmd/demo/main.go
+++ b/standin/cmd/demo/main.go
@@ -60,7 +60,7 @@
 	}
 }
 
-func (d *demo) standin(name string, args ...string) error {
+func (d *demo) startStandin(name string, args ...string) error {
 	p, address, err := fleet.StartStandin(d.bin, name, args...)
 	if err != nil {
 		return err
@@ -71,20 +71,20 @@
 }
 
 func (d *demo) startStandins() error {
-	if err := d.standin("platform", "platform"); err != nil {
+	if err := d.startStandin("platform", "platform"); err != nil {
 		return err
 	}
 	d.platform = d.addresses["platform"]
 	for i := range engines {
 		name := engineName(i)
-		err := d.standin(name, "engine", "--name", name, "--memory-mib", strconv.Itoa(engineMiB), "--weight-store", d.platform)
+		err := d.startStandin(name, "engine", "--name", name, "--memory-mib", strconv.Itoa(engineMiB), "--weight-store", d.platform)
 		if err != nil {
 			return err
 		}
 	}
 	for i := range replicas {
 		name := replicaName(i)
-		if err := d.standin(name, "service", "--name", name); err != nil {
+		if err := d.startStandin(name, "service", "--name", name); err != nil {
 			return err
 		}
 	}
