--- a/standin/cmd/demo/main.go
+++ b/standin/cmd/demo/main.go
@@ -46,7 +46,7 @@
 	}
 	d := &demo{bin: filepath.Join(root, "bin"), addresses: map[string]string{}}
 	defer d.stop()
-	for _, step := range []func() error{d.startStandins, d.startInstances, d.apply, d.sendCalls, d.status, d.plannedStop} {
+	for _, step := range []func() error{d.startStandins, d.startInstances, d.apply, d.sendCalls, d.printStatus, d.plannedStop} {
 		if err := step(); err != nil {
 			return err
 		}
@@ -181,7 +181,7 @@
 	return nil
 }
 
-func (d *demo) status() error {
+func (d *demo) printStatus() error {
 	var list []string
 	for _, in := range d.instances {
 		list = append(list, in.Operations)
