--- a/standin/cmd/demo/main.go
+++ b/standin/cmd/demo/main.go
@@ -104,12 +104,12 @@
 		d.instances = append(d.instances, in)
 		list = append(list, keyvalue.Instance{Name: name, Kind: keyvalue.KindEntry, Zone: zone, Address: in.Peers, State: keyvalue.StateLive})
 	}
-	return d.announce(list)
+	return d.registerInstances(list)
 }
 
-// announce puts the instances into the platform's list, as the platform does
+// registerInstances puts the instances into the platform's list, as the platform does
 // by itself for instances that it starts.
-func (d *demo) announce(list []keyvalue.Instance) error {
+func (d *demo) registerInstances(list []keyvalue.Instance) error {
 	body := &strings.Builder{}
 	if err := writeJSON(body, list); err != nil {
 		return err
