--- a/standin/integration/answers_test.go
+++ b/standin/integration/answers_test.go
@@ -64,7 +64,7 @@
 }
 
 // oneEngine is a world with one model on one engine and one instance.
-func oneEngine(t *testing.T, change func(*engine.Options)) (*world, *fleet.Instance, *engine.Engine) {
+func oneEngine(t *testing.T, change func(*engine.Options)) (*testbed, *fleet.Instance, *engine.Engine) {
 	w := newWorld(t)
 	w.zone("z1")
 	e := w.engine("e1", "z1", change)
--- a/standin/integration/fleet_test.go
+++ b/standin/integration/fleet_test.go
@@ -117,7 +117,7 @@
 
 // manyModels is a world of two zones, each with one engine that holds two of
 // the six models, and two instances.
-func manyModels(t *testing.T, checks bool) *world {
+func manyModels(t *testing.T, checks bool) *testbed {
 	w := newWorld(t)
 	w.zone("z1", "z2")
 	for i := range 2 {
@@ -138,7 +138,7 @@
 }
 
 // mustNotOvercommit checks each engine's own count.
-func (w *world) mustNotOvercommit() {
+func (w *testbed) mustNotOvercommit() {
 	w.t.Helper()
 	for name, e := range w.engines {
 		if c := e.Counts(); c.Overcommits > 0 {
@@ -148,7 +148,7 @@
 }
 
 // churn asks for one model after the other until the time is up.
-func (w *world) churn(d time.Duration, ins ...*fleet.Instance) (served, failed int) {
+func (w *testbed) churn(d time.Duration, ins ...*fleet.Instance) (served, failed int) {
 	deadline := time.Now().Add(d)
 	for i := 0; time.Now().Before(deadline); i++ {
 		a, err := chat(ins[i%len(ins)], fmt.Sprintf("svc-m%d", i/10%6+1), "x", 2, false)
--- a/standin/integration/once_test.go
+++ b/standin/integration/once_test.go
@@ -34,7 +34,7 @@
 }
 
 // twoReplicas is a world with a plain service of two replicas and two instances.
-func twoReplicas(t *testing.T) (*world, []*fleet.Instance) {
+func twoReplicas(t *testing.T) (*testbed, []*fleet.Instance) {
 	w := newWorld(t)
 	w.zone("z1")
 	w.plain("stock", "s1", "z1")
@@ -45,7 +45,7 @@
 }
 
 // ran counts the executions of calls whose body is text.
-func (w *world) ran(text string) int {
+func (w *testbed) ran(text string) int {
 	n := 0
 	for _, s := range w.services {
 		for _, x := range s.Executions() {
@@ -58,7 +58,7 @@
 }
 
 // faults sets the faults of every replica.
-func (w *world) serviceFaults(f service.Faults) {
+func (w *testbed) serviceFaults(f service.Faults) {
 	for _, s := range w.services {
 		s.Faults.Set(f)
 	}
--- a/standin/integration/world_test.go
+++ b/standin/integration/world_test.go
@@ -44,8 +44,8 @@
 	}())
 }
 
-// A world is the stand-ins, in this process, and the instances, in their own.
-type world struct {
+// A testbed is the stand-ins, in this process, and the instances, in their own.
+type testbed struct {
 	t         *testing.T
 	platform  *platform.Platform
 	address   string // of the platform
@@ -56,9 +56,9 @@
 	doc       config.Document
 }
 
-func newWorld(t *testing.T) *world {
+func newWorld(t *testing.T) *testbed {
 	t.Helper()
-	w := &world{
+	w := &testbed{
 		t: t, platform: platform.New(platform.DefaultLimits()),
 		engines: map[string]*engine.Engine{}, services: map[string]*service.Service{},
 		servers: map[string]*httptest.Server{}, instances: map[string]*fleet.Instance{},
@@ -81,7 +81,7 @@
 }
 
 // usePlatform has the world talk to p from now on.
-func (w *world) usePlatform(p *platform.Platform) {
+func (w *testbed) usePlatform(p *platform.Platform) {
 	w.platform = p
 	server := httptest.NewServer(p.Handler())
 	w.address = server.Listener.Addr().String()
@@ -95,14 +95,14 @@
 const fleetPatience = fleet.AwaitTimeout
 
 // zone adds an availability zone.
-func (w *world) zone(names ...string) {
+func (w *testbed) zone(names ...string) {
 	for _, name := range names {
 		w.doc.Zones = append(w.doc.Zones, config.Zone{Name: name})
 	}
 }
 
 // engine adds an engine; change may alter its options.
-func (w *world) engine(name, zone string, change func(*engine.Options)) *engine.Engine {
+func (w *testbed) engine(name, zone string, change func(*engine.Options)) *engine.Engine {
 	opt := engine.DefaultOptions(name)
 	opt.TokenTime = 0
 	opt.MiBPerSecond = 0
@@ -120,7 +120,7 @@
 }
 
 // model adds a model with a service of its own, "svc-" before the name.
-func (w *world) model(name string, mib int64) {
+func (w *testbed) model(name string, mib int64) {
 	w.doc.Models = append(w.doc.Models, config.Model{Name: name, MemoryMiB: mib, PrefillPerSecond: 100000, LoadTime: 100_000_000})
 	w.doc.Services = append(w.doc.Services, config.Service{
 		Name: "svc-" + name, Versions: []config.Version{{Name: "v1", Model: name, Share: 1}},
@@ -128,7 +128,7 @@
 }
 
 // plain adds a replica to a plain service.
-func (w *world) plain(svc, name, zone string) *service.Service {
+func (w *testbed) plain(svc, name, zone string) *service.Service {
 	s := service.New(name)
 	w.services[name] = s
 	w.servers[name] = httptest.NewServer(s.Handler())
@@ -149,7 +149,7 @@
 var quick = []string{"--lease-term", "2s", "--exchange-every", "200ms", "--read-every", "100ms", "--stall", "3s", "--stop-delay", "200ms"}
 
 // start starts an entry instance and puts it into the platform's list.
-func (w *world) start(name, zone string, extra ...string) *fleet.Instance {
+func (w *testbed) start(name, zone string, extra ...string) *fleet.Instance {
 	w.t.Helper()
 	in, err := fleet.StartInstance(bin, fleet.InstanceSpec{Name: name, Zone: zone, Platform: w.address, Extra: append(append([]string(nil), quick...), extra...)})
 	if err != nil {
@@ -167,10 +167,10 @@
 
 func transports() upstream.Transports { return upstream.NewTransports() }
 
-func (w *world) client() *keyvalue.Client { return keyvalue.NewClient(w.address, transports()) }
+func (w *testbed) client() *keyvalue.Client { return keyvalue.NewClient(w.address, transports()) }
 
 // apply puts the document in force and waits until every instance has it.
-func (w *world) apply() uint64 {
+func (w *testbed) apply() uint64 {
 	w.t.Helper()
 	revision, err := control.Apply(context.Background(), w.client(), w.doc)
 	if err != nil {
@@ -185,7 +185,7 @@
 	return revision
 }
 
-func (w *world) await(what string, holds func() bool) {
+func (w *testbed) await(what string, holds func() bool) {
 	w.t.Helper()
 	if err := fleet.Await(what, holds); err != nil {
 		w.t.Fatal(err)
@@ -193,13 +193,13 @@
 }
 
 // resident waits until a model is ready on an engine.
-func (w *world) resident(engineName, item string) {
+func (w *testbed) resident(engineName, item string) {
 	w.t.Helper()
 	w.await(item+" is ready on "+engineName, func() bool { return w.engines[engineName].ItemPhase(item) == "ready" })
 }
 
 // seen waits until an instance knows that a model is ready on an engine.
-func (w *world) seen(in *fleet.Instance, engineName, item string) {
+func (w *testbed) seen(in *fleet.Instance, engineName, item string) {
 	w.t.Helper()
 	w.await(in.Name+" sees "+item, func() bool {
 		st, err := in.Status()
@@ -231,7 +231,7 @@
 }
 
 // ctl runs birchctl and returns its status and output.
-func (w *world) ctl(args ...string) (int, string) {
+func (w *testbed) ctl(args ...string) (int, string) {
 	w.t.Helper()
 	p, err := fleet.Start("birchctl", filepath.Join(bin, "birchctl"), args...)
 	if err != nil {
@@ -245,7 +245,7 @@
 }
 
 // write puts text into a file of the test's own.
-func (w *world) write(name, text string) string {
+func (w *testbed) write(name, text string) string {
 	w.t.Helper()
 	path := filepath.Join(w.t.TempDir(), name)
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
