--- a/standin/integration/answers_test.go
+++ b/standin/integration/answers_test.go
@@ -65,7 +65,7 @@
 
 // oneEngine is a world with one model on one engine and one instance.
 func oneEngine(t *testing.T, change func(*engine.Options)) (*testbed, *fleet.Instance, *engine.Engine) {
-	w := newWorld(t)
+	w := newTestbed(t)
 	w.zone("z1")
 	e := w.engine("e1", "z1", change)
 	w.model("m1", 1000)
@@ -152,7 +152,7 @@
 // call starts again elsewhere and is whole.
 func TestNothingDeliveredStartsAnew(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t)
+	w := newTestbed(t)
 	w.zone("z1")
 	slow := func(o *engine.Options) { o.TokenTime = 10 * time.Millisecond }
 	w.engine("e1", "z1", slow)
@@ -202,7 +202,7 @@
 // and no caller is left waiting for ever.
 func TestFrozenEngineIsLeft(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t)
+	w := newTestbed(t)
 	w.zone("z1")
 	w.engine("e1", "z1", nil)
 	w.engine("e2", "z1", nil)
--- a/standin/integration/contract_test.go
+++ b/standin/integration/contract_test.go
@@ -35,7 +35,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			w := newWorld(t)
+			w := newTestbed(t)
 			if c.limits != nil {
 				limits := platform.DefaultLimits()
 				c.limits(&limits)
@@ -74,7 +74,7 @@
 // TestPlatformWatch wakes on a change, and ends without one when its time is up.
 func TestPlatformWatch(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t)
+	w := newTestbed(t)
 	ctx := context.Background()
 	revision, err := w.client().Swap(ctx, "k", []byte("a"), 0, 0)
 	is.NoErr(err)
@@ -96,7 +96,7 @@
 // that lapses or is given back can be had by another.
 func TestPlatformLease(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t)
+	w := newTestbed(t)
 	ctx := context.Background()
 	ask := func(holder string, term time.Duration, renew uint64) keyvalue.LeaseReply {
 		r, err := w.client().Lease(ctx, "planner/z", keyvalue.LeaseRequest{Holder: holder, TermMS: term.Milliseconds(), Renew: renew})
@@ -117,7 +117,7 @@
 // TestPlatformListLags: the list shows a change only after its lag.
 func TestPlatformListLags(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t)
+	w := newTestbed(t)
 	w.platform.Faults.Set(platform.Faults{ListLag: fault.Duration(time.Hour)})
 	w.platform.SetInstance(keyvalue.Instance{Name: "x", Kind: keyvalue.KindEntry, State: keyvalue.StateLive})
 	list, version, err := w.client().Instances(context.Background(), 0, 0)
--- a/standin/integration/errors_test.go
+++ b/standin/integration/errors_test.go
@@ -41,7 +41,7 @@
 // and the revision in force stays.
 func TestWrongConfigurationChangesNothing(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t)
+	w := newTestbed(t)
 	good := w.write("good.yaml", sample)
 	status, out := w.ctl("apply", "--platform", w.address, good)
 	is.Equal(status, 0)
@@ -66,7 +66,7 @@
 // TestPlatformDownGivesOneNumberedError to the operator.
 func TestPlatformDownGivesOneNumberedError(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t)
+	w := newTestbed(t)
 	w.platform.Faults.Set(platform.Faults{Down: true})
 	status, out := w.ctl("apply", "--platform", w.address, w.write("good.yaml", sample))
 	is.Equal(status, 1)
@@ -77,7 +77,7 @@
 // TestDeadUpstreamGivesOneNumberedError to the caller, at once.
 func TestDeadUpstreamGivesOneNumberedError(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t)
+	w := newTestbed(t)
 	in := w.start("entry-1", "z1")
 	status, _ := w.ctl("apply", "--platform", w.address, w.write("good.yaml", sample))
 	is.Equal(status, 0)
@@ -111,7 +111,7 @@
 // TestCallersAreLetInByKey: only configured keys, only to their services.
 func TestCallersAreLetInByKey(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t)
+	w := newTestbed(t)
 	in := w.start("entry-1", "z1")
 	// The hash is that of the key "foo".
 	text := sample + "callers:\n  - {name: desk, key_sha256: 2c26b46b68ffc68ff99b453c1d30413413422d706483bfa0f98a5e886266e7ae, services: [stock]}\n"
--- a/standin/integration/fleet_test.go
+++ b/standin/integration/fleet_test.go
@@ -118,7 +118,7 @@
 // manyModels is a world of two zones, each with one engine that holds two of
 // the six models, and two instances.
 func manyModels(t *testing.T, checks bool) *testbed {
-	w := newWorld(t)
+	w := newTestbed(t)
 	w.zone("z1", "z2")
 	for i := range 2 {
 		w.engine(fmt.Sprintf("e%d", i+1), fmt.Sprintf("z%d", i+1), func(o *engine.Options) {
@@ -266,7 +266,7 @@
 // TestUnreadyWithoutPlatformSaysWhy: nobody to ask, so not ready, with the reason.
 func TestUnreadyWithoutPlatformSaysWhy(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t)
+	w := newTestbed(t)
 	w.platform.Faults.Set(platform.Faults{Down: true})
 	in := w.start("entry-1", "z1")
 	resp, err := http.Get("http://" + in.Operations + "/readyz")
--- a/standin/integration/revision_test.go
+++ b/standin/integration/revision_test.go
@@ -13,7 +13,7 @@
 // rhythm, which is set to a minute here.
 func TestRevisionSpreadsWithoutWaiting(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t)
+	w := newTestbed(t)
 	w.zone("z1")
 	w.plain("stock", "s1", "z1")
 	for i := range 6 {
--- a/standin/integration/world_test.go
+++ b/standin/integration/world_test.go
@@ -56,7 +56,7 @@
 	doc       config.Document
 }
 
-func newWorld(t *testing.T) *testbed {
+func newTestbed(t *testing.T) *testbed {
 	t.Helper()
 	w := &testbed{
 		t: t, platform: platform.New(platform.DefaultLimits()),
