--- a/standin/integration/answers_test.go
+++ b/standin/integration/answers_test.go
@@ -66,7 +66,7 @@
 // oneEngine is a world with one model on one engine and one instance.
 func oneEngine(t *testing.T, change func(*engine.Options)) (*testbed, *fleet.Instance, *engine.Engine) {
 	w := newTestbed(t)
-	w.zone("z1")
+	w.addZones("z1")
 	e := w.engine("e1", "z1", change)
 	w.model("m1", 1000)
 	in := w.start("entry-1", "z1")
@@ -153,7 +153,7 @@
 func TestNothingDeliveredStartsAnew(t *testing.T) {
 	is := is.New(t)
 	w := newTestbed(t)
-	w.zone("z1")
+	w.addZones("z1")
 	slow := func(o *engine.Options) { o.TokenTime = 10 * time.Millisecond }
 	w.engine("e1", "z1", slow)
 	w.engine("e2", "z1", slow)
@@ -203,7 +203,7 @@
 func TestFrozenEngineIsLeft(t *testing.T) {
 	is := is.New(t)
 	w := newTestbed(t)
-	w.zone("z1")
+	w.addZones("z1")
 	w.engine("e1", "z1", nil)
 	w.engine("e2", "z1", nil)
 	w.model("m1", 1000)
--- a/standin/integration/fleet_test.go
+++ b/standin/integration/fleet_test.go
@@ -119,7 +119,7 @@
 // the six models, and two instances.
 func manyModels(t *testing.T, checks bool) *testbed {
 	w := newTestbed(t)
-	w.zone("z1", "z2")
+	w.addZones("z1", "z2")
 	for i := range 2 {
 		w.engine(fmt.Sprintf("e%d", i+1), fmt.Sprintf("z%d", i+1), func(o *engine.Options) {
 			o.MemoryMiB = 2500
--- a/standin/integration/once_test.go
+++ b/standin/integration/once_test.go
@@ -36,7 +36,7 @@
 // twoReplicas is a world with a plain service of two replicas and two instances.
 func twoReplicas(t *testing.T) (*testbed, []*fleet.Instance) {
 	w := newTestbed(t)
-	w.zone("z1")
+	w.addZones("z1")
 	w.plain("stock", "s1", "z1")
 	w.plain("stock", "s2", "z1")
 	ins := []*fleet.Instance{w.start("entry-1", "z1"), w.start("entry-2", "z1")}
--- a/standin/integration/world_test.go
+++ b/standin/integration/world_test.go
@@ -94,8 +94,8 @@
 // fleetPatience bounds a wait at the platform.
 const fleetPatience = fleet.AwaitTimeout
 
-// zone adds an availability zone.
-func (w *testbed) zone(names ...string) {
+// addZones adds an availability addZones.
+func (w *testbed) addZones(names ...string) {
 	for _, name := range names {
 		w.doc.Zones = append(w.doc.Zones, config.Zone{Name: name})
 	}
