--- a/standin/integration/answers_test.go
+++ b/standin/integration/answers_test.go
@@ -67,7 +67,7 @@
 func oneEngine(t *testing.T, change func(*engine.Options)) (*testbed, *fleet.Instance, *engine.Engine) {
 	w := newTestbed(t)
 	w.addZones("z1")
-	e := w.engine("e1", "z1", change)
+	e := w.addEngine("e1", "z1", change)
 	w.model("m1", 1000)
 	in := w.start("entry-1", "z1")
 	w.apply()
@@ -155,8 +155,8 @@
 	w := newTestbed(t)
 	w.addZones("z1")
 	slow := func(o *engine.Options) { o.TokenTime = 10 * time.Millisecond }
-	w.engine("e1", "z1", slow)
-	w.engine("e2", "z1", slow)
+	w.addEngine("e1", "z1", slow)
+	w.addEngine("e2", "z1", slow)
 	w.model("m1", 1000)
 	for _, e := range w.engines {
 		e.Preload("m1", "", 1000)
@@ -204,8 +204,8 @@
 	is := is.New(t)
 	w := newTestbed(t)
 	w.addZones("z1")
-	w.engine("e1", "z1", nil)
-	w.engine("e2", "z1", nil)
+	w.addEngine("e1", "z1", nil)
+	w.addEngine("e2", "z1", nil)
 	w.model("m1", 1000)
 	for _, e := range w.engines {
 		e.Preload("m1", "", 1000)
--- a/standin/integration/fleet_test.go
+++ b/standin/integration/fleet_test.go
@@ -121,7 +121,7 @@
 	w := newTestbed(t)
 	w.addZones("z1", "z2")
 	for i := range 2 {
-		w.engine(fmt.Sprintf("e%d", i+1), fmt.Sprintf("z%d", i+1), func(o *engine.Options) {
+		w.addEngine(fmt.Sprintf("e%d", i+1), fmt.Sprintf("z%d", i+1), func(o *engine.Options) {
 			o.MemoryMiB = 2500
 			o.ChecksFence = checks
 			o.MiBPerSecond = 5000
--- a/standin/integration/world_test.go
+++ b/standin/integration/world_test.go
@@ -101,8 +101,8 @@
 	}
 }
 
-// engine adds an engine; change may alter its options.
-func (w *testbed) engine(name, zone string, change func(*engine.Options)) *engine.Engine {
+// addEngine adds an addEngine; change may alter its options.
+func (w *testbed) addEngine(name, zone string, change func(*engine.Options)) *engine.Engine {
 	opt := engine.DefaultOptions(name)
 	opt.TokenTime = 0
 	opt.MiBPerSecond = 0
