--- a/standin/integration/answers_test.go
+++ b/standin/integration/answers_test.go
@@ -68,7 +68,7 @@
 	w := newTestbed(t)
 	w.addZones("z1")
 	e := w.addEngine("e1", "z1", change)
-	w.model("m1", 1000)
+	w.addModel("m1", 1000)
 	in := w.start("entry-1", "z1")
 	w.apply()
 	w.resident("e1", "m1")
@@ -157,7 +157,7 @@
 	slow := func(o *engine.Options) { o.TokenTime = 10 * time.Millisecond }
 	w.addEngine("e1", "z1", slow)
 	w.addEngine("e2", "z1", slow)
-	w.model("m1", 1000)
+	w.addModel("m1", 1000)
 	for _, e := range w.engines {
 		e.Preload("m1", "", 1000)
 	}
@@ -206,7 +206,7 @@
 	w.addZones("z1")
 	w.addEngine("e1", "z1", nil)
 	w.addEngine("e2", "z1", nil)
-	w.model("m1", 1000)
+	w.addModel("m1", 1000)
 	for _, e := range w.engines {
 		e.Preload("m1", "", 1000)
 	}
--- a/standin/integration/fleet_test.go
+++ b/standin/integration/fleet_test.go
@@ -128,7 +128,7 @@
 		})
 	}
 	for i := range 6 {
-		w.model(fmt.Sprintf("m%d", i+1), 1000)
+		w.addModel(fmt.Sprintf("m%d", i+1), 1000)
 	}
 	w.doc.Residency.MinimumStay = 300 * time.Millisecond
 	w.doc.Residency.MoveCost = 0.01
--- a/standin/integration/world_test.go
+++ b/standin/integration/world_test.go
@@ -119,8 +119,8 @@
 	return e
 }
 
-// model adds a model with a service of its own, "svc-" before the name.
-func (w *testbed) model(name string, mib int64) {
+// addModel adds a addModel with a service of its own, "svc-" before the name.
+func (w *testbed) addModel(name string, mib int64) {
 	w.doc.Models = append(w.doc.Models, config.Model{Name: name, MemoryMiB: mib, PrefillPerSecond: 100000, LoadTime: 100_000_000})
 	w.doc.Services = append(w.doc.Services, config.Service{
 		Name: "svc-" + name, Versions: []config.Version{{Name: "v1", Model: name, Share: 1}},
