--- a/standin/integration/once_test.go
+++ b/standin/integration/once_test.go
@@ -37,8 +37,8 @@
 func twoReplicas(t *testing.T) (*testbed, []*fleet.Instance) {
 	w := newTestbed(t)
 	w.addZones("z1")
-	w.plain("stock", "s1", "z1")
-	w.plain("stock", "s2", "z1")
+	w.addReplica("stock", "s1", "z1")
+	w.addReplica("stock", "s2", "z1")
 	ins := []*fleet.Instance{w.start("entry-1", "z1"), w.start("entry-2", "z1")}
 	w.apply()
 	return w, ins
--- a/standin/integration/revision_test.go
+++ b/standin/integration/revision_test.go
@@ -15,7 +15,7 @@
 	is := is.New(t)
 	w := newTestbed(t)
 	w.addZones("z1")
-	w.plain("stock", "s1", "z1")
+	w.addReplica("stock", "s1", "z1")
 	for i := range 6 {
 		w.start(fmt.Sprintf("entry-%d", i+1), "z1", "--exchange-every", "2s")
 	}
--- a/standin/integration/world_test.go
+++ b/standin/integration/world_test.go
@@ -127,8 +127,8 @@
 	})
 }
 
-// plain adds a replica to a plain service.
-func (w *testbed) plain(svc, name, zone string) *service.Service {
+// addReplica adds a replica to a addReplica service.
+func (w *testbed) addReplica(svc, name, zone string) *service.Service {
 	s := service.New(name)
 	w.services[name] = s
 	w.servers[name] = httptest.NewServer(s.Handler())
