--- a/standin/integration/answers_test.go
+++ b/standin/integration/answers_test.go
@@ -69,7 +69,7 @@
 	w.addZones("z1")
 	e := w.addEngine("e1", "z1", change)
 	w.addModel("m1", 1000)
-	in := w.start("entry-1", "z1")
+	in := w.startInstance("entry-1", "z1")
 	w.apply()
 	w.resident("e1", "m1")
 	w.seen(in, "e1", "m1")
@@ -161,7 +161,7 @@
 	for _, e := range w.engines {
 		e.Preload("m1", "", 1000)
 	}
-	in := w.start("entry-1", "z1")
+	in := w.startInstance("entry-1", "z1")
 	w.apply()
 	w.seen(in, "e1", "m1")
 	w.seen(in, "e2", "m1")
@@ -210,7 +210,7 @@
 	for _, e := range w.engines {
 		e.Preload("m1", "", 1000)
 	}
-	in := w.start("entry-1", "z1", "--stall", "500ms")
+	in := w.startInstance("entry-1", "z1", "--stall", "500ms")
 	w.apply()
 	w.seen(in, "e1", "m1")
 	w.seen(in, "e2", "m1")
--- a/standin/integration/errors_test.go
+++ b/standin/integration/errors_test.go
@@ -78,7 +78,7 @@
 func TestDeadUpstreamGivesOneNumberedError(t *testing.T) {
 	is := is.New(t)
 	w := newTestbed(t)
-	in := w.start("entry-1", "z1")
+	in := w.startInstance("entry-1", "z1")
 	status, _ := w.ctl("apply", "--platform", w.address, w.write("good.yaml", sample))
 	is.Equal(status, 0)
 	w.await("ready", in.Ready)
@@ -112,7 +112,7 @@
 func TestCallersAreLetInByKey(t *testing.T) {
 	is := is.New(t)
 	w := newTestbed(t)
-	in := w.start("entry-1", "z1")
+	in := w.startInstance("entry-1", "z1")
 	// The hash is that of the key "foo".
 	text := sample + "callers:\n  - {name: desk, key_sha256: 2c26b46b68ffc68ff99b453c1d30413413422d706483bfa0f98a5e886266e7ae, services: [stock]}\n"
 	status, _ := w.ctl("apply", "--platform", w.address, w.write("keys.yaml", text))
--- a/standin/integration/fleet_test.go
+++ b/standin/integration/fleet_test.go
@@ -171,8 +171,8 @@
 			is := is.New(t)
 			w := manyModels(t, checks)
 			ins := []*fleet.Instance{
-				w.start("entry-1", "z1"), w.start("entry-2", "z1"),
-				w.start("entry-3", "z2"), w.start("entry-4", "z2"),
+				w.startInstance("entry-1", "z1"), w.startInstance("entry-2", "z1"),
+				w.startInstance("entry-3", "z2"), w.startInstance("entry-4", "z2"),
 			}
 			w.apply()
 			var group errgroup.Group
@@ -228,8 +228,8 @@
 func TestColdModelsAreReached(t *testing.T) {
 	is := is.New(t)
 	w := manyModels(t, true)
-	in := w.start("entry-1", "z1")
-	w.start("entry-2", "z2")
+	in := w.startInstance("entry-1", "z1")
+	w.startInstance("entry-2", "z2")
 	w.apply()
 	var group errgroup.Group
 	for i := range 6 {
@@ -250,10 +250,10 @@
 func TestPlatformOutageCostsNoCall(t *testing.T) {
 	is := is.New(t)
 	w, in, _ := oneEngine(t, nil)
-	in2 := w.start("entry-2", "z1")
+	in2 := w.startInstance("entry-2", "z1")
 	w.seen(in2, "e1", "m1")
 	w.platform.Faults.Set(platform.Faults{Down: true})
-	fresh := w.start("entry-3", "z1", "--seed-peers", in.Peers)
+	fresh := w.startInstance("entry-3", "z1", "--seed-peers", in.Peers)
 	w.await("the new instance starts from its peers", fresh.Ready)
 	w.seen(fresh, "e1", "m1")
 	for i := range 60 {
@@ -268,7 +268,7 @@
 	is := is.New(t)
 	w := newTestbed(t)
 	w.platform.Faults.Set(platform.Faults{Down: true})
-	in := w.start("entry-1", "z1")
+	in := w.startInstance("entry-1", "z1")
 	resp, err := http.Get("http://" + in.Operations + "/readyz")
 	is.NoErr(err)
 	data, err := io.ReadAll(resp.Body)
@@ -338,7 +338,7 @@
 	revision := w.apply()
 	w.platform.Faults.Set(platform.Faults{Down: true})
 	ins[1].Kill()
-	again := w.start("entry-2", "z1", "--seed-peers", ins[0].Peers)
+	again := w.startInstance("entry-2", "z1", "--seed-peers", ins[0].Peers)
 	w.await("it has the revision", func() bool {
 		st, err := again.Status()
 		return err == nil && st.Revision == revision
--- a/standin/integration/once_test.go
+++ b/standin/integration/once_test.go
@@ -39,7 +39,7 @@
 	w.addZones("z1")
 	w.addReplica("stock", "s1", "z1")
 	w.addReplica("stock", "s2", "z1")
-	ins := []*fleet.Instance{w.start("entry-1", "z1"), w.start("entry-2", "z1")}
+	ins := []*fleet.Instance{w.startInstance("entry-1", "z1"), w.startInstance("entry-2", "z1")}
 	w.apply()
 	return w, ins
 }
--- a/standin/integration/revision_test.go
+++ b/standin/integration/revision_test.go
@@ -17,7 +17,7 @@
 	w.addZones("z1")
 	w.addReplica("stock", "s1", "z1")
 	for i := range 6 {
-		w.start(fmt.Sprintf("entry-%d", i+1), "z1", "--exchange-every", "2s")
+		w.startInstance(fmt.Sprintf("entry-%d", i+1), "z1", "--exchange-every", "2s")
 	}
 	w.apply()
 	// Peers must know of each other before they can tell each other.
