--- a/standin/integration/answers_test.go
+++ b/standin/integration/answers_test.go
@@ -71,7 +71,7 @@
 	w.addModel("m1", 1000)
 	in := w.startInstance("entry-1", "z1")
 	w.apply()
-	w.resident("e1", "m1")
+	w.awaitReadyOn("e1", "m1")
 	w.seen(in, "e1", "m1")
 	return w, in, e
 }
--- a/standin/integration/world_test.go
+++ b/standin/integration/world_test.go
@@ -192,8 +192,8 @@
 	}
 }
 
-// resident waits until a model is ready on an engine.
-func (w *testbed) resident(engineName, item string) {
+// awaitReadyOn waits until a model is ready on an engine.
+func (w *testbed) awaitReadyOn(engineName, item string) {
 	w.t.Helper()
 	w.await(item+" is ready on "+engineName, func() bool { return w.engines[engineName].ItemPhase(item) == "ready" })
 }
