--- a/standin/integration/answers_test.go
+++ b/standin/integration/answers_test.go
@@ -72,7 +72,7 @@
 	in := w.startInstance("entry-1", "z1")
 	w.apply()
 	w.awaitReadyOn("e1", "m1")
-	w.seen(in, "e1", "m1")
+	w.awaitSeenBy(in, "e1", "m1")
 	return w, in, e
 }
 
@@ -163,8 +163,8 @@
 	}
 	in := w.startInstance("entry-1", "z1")
 	w.apply()
-	w.seen(in, "e1", "m1")
-	w.seen(in, "e2", "m1")
+	w.awaitSeenBy(in, "e1", "m1")
+	w.awaitSeenBy(in, "e2", "m1")
 	var group errgroup.Group
 	for i := range 8 {
 		group.Go(func() error {
@@ -212,8 +212,8 @@
 	}
 	in := w.startInstance("entry-1", "z1", "--stall", "500ms")
 	w.apply()
-	w.seen(in, "e1", "m1")
-	w.seen(in, "e2", "m1")
+	w.awaitSeenBy(in, "e1", "m1")
+	w.awaitSeenBy(in, "e2", "m1")
 	w.engines["e1"].Faults.Set(engine.Faults{Freeze: true})
 	var group errgroup.Group
 	for i := range 20 {
--- a/standin/integration/world_test.go
+++ b/standin/integration/world_test.go
@@ -198,8 +198,8 @@
 	w.await(item+" is ready on "+engineName, func() bool { return w.engines[engineName].ItemPhase(item) == "ready" })
 }
 
-// seen waits until an instance knows that a model is ready on an engine.
-func (w *testbed) seen(in *fleet.Instance, engineName, item string) {
+// awaitSeenBy waits until an instance knows that a model is ready on an engine.
+func (w *testbed) awaitSeenBy(in *fleet.Instance, engineName, item string) {
 	w.t.Helper()
 	w.await(in.Name+" sees "+item, func() bool {
 		st, err := in.Status()
