--- a/standin/integration/world_test.go
+++ b/standin/integration/world_test.go
@@ -230,8 +230,8 @@
 	return b.String()
 }
 
-// ctl runs birchctl and returns its status and output.
-func (w *testbed) ctl(args ...string) (int, string) {
+// runBirchctl runs birchctl and returns its status and output.
+func (w *testbed) runBirchctl(args ...string) (int, string) {
 	w.t.Helper()
 	p, err := fleet.Start("birchctl", filepath.Join(bin, "birchctl"), args...)
 	if err != nil {
