--- a/standin/integration/world_test.go
+++ b/standin/integration/world_test.go
@@ -244,8 +244,8 @@
 	return status, p.Log()
 }
 
-// write puts text into a file of the test's own.
-func (w *testbed) write(name, text string) string {
+// writeFile puts text into a file of the test's own.
+func (w *testbed) writeFile(name, text string) string {
 	w.t.Helper()
 	path := filepath.Join(w.t.TempDir(), name)
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
