--- a/standin/integration/once_test.go
+++ b/standin/integration/once_test.go
@@ -44,8 +44,8 @@
 	return w, ins
 }
 
-// ran counts the executions of calls whose body is text.
-func (w *testbed) ran(text string) int {
+// executionCount counts the executions of calls whose body is text.
+func (w *testbed) executionCount(text string) int {
 	n := 0
 	for _, s := range w.services {
 		for _, x := range s.Executions() {
@@ -88,7 +88,7 @@
 			body := fmt.Sprintf("case %d", i)
 			a, err := ins[0].Post("/services/stock/allocate", body, c.header)
 			is.NoErr(err)
-			is.Equal(w.ran(body), c.ran)
+			is.Equal(w.executionCount(body), c.ran)
 			if c.run == "" {
 				is.Equal(a.Status, http.StatusOK)
 				return
@@ -141,7 +141,7 @@
 			resp, err := http.DefaultClient.Do(req)
 			is.NoErr(err)
 			is.NoErr(resp.Body.Close())
-			is.True(w.ran(body) <= 1)
+			is.True(w.executionCount(body) <= 1)
 		}
 	}
 }
@@ -166,7 +166,7 @@
 				})
 			}
 			is.NoErr(group.Wait())
-			is.Equal(w.ran("envelope 9"), 1)
+			is.Equal(w.executionCount("envelope 9"), 1)
 			served := 0
 			for _, s := range statuses {
 				if s == http.StatusOK {
@@ -198,11 +198,11 @@
 	is.Equal(r.Error.Run, "not_run")
 	is.True(a.Header.Get("Retry-After") != "")
 	is.True(time.Since(begun) < 2*time.Second)
-	is.Equal(w.ran("keyed"), 0)
+	is.Equal(w.executionCount("keyed"), 0)
 	a, err = ins[0].Post("/services/stock/x", "no key", once)
 	is.NoErr(err)
 	is.Equal(a.Status, http.StatusOK)
-	is.Equal(w.ran("no key"), 1)
+	is.Equal(w.executionCount("no key"), 1)
 }
 
 // TestKeyCanBeUsedAgainAfterNotRun: a call that certainly did not run gives
@@ -220,5 +220,5 @@
 	a, err = ins[1].Post("/services/stock/x", "again", key)
 	is.NoErr(err)
 	is.Equal(a.Status, http.StatusOK)
-	is.Equal(w.ran("again"), 1)
+	is.Equal(w.executionCount("again"), 1)
 }
