--- a/standin/integration/once_test.go
+++ b/standin/integration/once_test.go
@@ -58,7 +58,7 @@
 }
 
 // faults sets the faults of every replica.
-func (w *testbed) serviceFaults(f service.Faults) {
+func (w *testbed) setServiceFaults(f service.Faults) {
 	for _, s := range w.services {
 		s.Faults.Set(f)
 	}
@@ -84,7 +84,7 @@
 	for i, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			w.serviceFaults(c.faults)
+			w.setServiceFaults(c.faults)
 			body := fmt.Sprintf("case %d", i)
 			a, err := ins[0].Post("/services/stock/allocate", body, c.header)
 			is.NoErr(err)
@@ -118,7 +118,7 @@
 func TestCutBodyIsSeenAsCut(t *testing.T) {
 	is := is.New(t)
 	w, ins := twoReplicas(t)
-	w.serviceFaults(service.Faults{CutBody: 1})
+	w.setServiceFaults(service.Faults{CutBody: 1})
 	a, err := ins[0].Post("/services/stock/x", strings.Repeat("long ", 1000), nil)
 	is.NoErr(err)
 	is.True(a.Err != nil) // reading the body must fail
@@ -132,7 +132,7 @@
 	is := is.New(t)
 	w, ins := twoReplicas(t)
 	for i := range 30 {
-		w.serviceFaults(service.Faults{DropAfter: i % 2}) // every other one breaks after it ran
+		w.setServiceFaults(service.Faults{DropAfter: i % 2}) // every other one breaks after it ran
 		for _, method := range []string{http.MethodPost, http.MethodGet} {
 			body := fmt.Sprintf("%s %d", method, i)
 			req, err := http.NewRequest(method, "http://"+ins[0].Callers+"/services/stock/once/"+fmt.Sprint(i), strings.NewReader(body))
@@ -211,11 +211,11 @@
 	is := is.New(t)
 	w, ins := twoReplicas(t)
 	key := http.Header{"Idempotency-Key": {"again"}, "Birchdrift-Not-Repeatable": {"true"}}
-	w.serviceFaults(service.Faults{Refuse: 100})
+	w.setServiceFaults(service.Faults{Refuse: 100})
 	a, err := ins[0].Post("/services/stock/x", "again", key)
 	is.NoErr(err)
 	is.Equal(refusalOf(t, a).Error.Run, "not_run")
-	w.serviceFaults(service.Faults{})
+	w.setServiceFaults(service.Faults{})
 	w.await("the claim is given back", func() bool { return len(w.platform.Keys("claim/")) == 0 })
 	a, err = ins[1].Post("/services/stock/x", "again", key)
 	is.NoErr(err)
