--- a/standin/integration/fleet_test.go
+++ b/standin/integration/fleet_test.go
@@ -147,8 +147,8 @@
 	}
 }
 
-// churn asks for one model after the other until the time is up.
-func (w *testbed) churn(d time.Duration, ins ...*fleet.Instance) (served, failed int) {
+// callModelsInTurn asks for one model after the other until the time is up.
+func (w *testbed) callModelsInTurn(d time.Duration, ins ...*fleet.Instance) (served, failed int) {
 	deadline := time.Now().Add(d)
 	for i := 0; time.Now().Before(deadline); i++ {
 		a, err := chat(ins[i%len(ins)], fmt.Sprintf("svc-m%d", i/10%6+1), "x", 2, false)
@@ -177,7 +177,7 @@
 			w.apply()
 			var group errgroup.Group
 			group.Go(func() error {
-				w.churn(14*time.Second, ins[1], ins[3])
+				w.callModelsInTurn(14*time.Second, ins[1], ins[3])
 				return nil
 			})
 			orderFaults := engine.Faults{OrderLost: 2, OrderLate: 2, LateBy: 200_000_000}
