--- a/standin/integration/world_test.go
+++ b/standin/integration/world_test.go
@@ -145,13 +145,13 @@
 	return s
 }
 
-// quick are settings under which what takes seconds takes tenths of them.
-var quick = []string{"--lease-term", "2s", "--exchange-every", "200ms", "--read-every", "100ms", "--stall", "3s", "--stop-delay", "200ms"}
+// fastSettings are settings under which what takes seconds takes tenths of them.
+var fastSettings = []string{"--lease-term", "2s", "--exchange-every", "200ms", "--read-every", "100ms", "--stall", "3s", "--stop-delay", "200ms"}
 
 // startInstance starts an entry instance and puts it into the platform's list.
 func (w *testbed) startInstance(name, zone string, extra ...string) *fleet.Instance {
 	w.t.Helper()
-	in, err := fleet.StartInstance(bin, fleet.InstanceSpec{Name: name, Zone: zone, Platform: w.address, Extra: append(append([]string(nil), quick...), extra...)})
+	in, err := fleet.StartInstance(bin, fleet.InstanceSpec{Name: name, Zone: zone, Platform: w.address, Extra: append(append([]string(nil), fastSettings...), extra...)})
 	if err != nil {
 		w.t.Fatal(err)
 	}
