--- a/standin/integration/fleet_test.go
+++ b/standin/integration/fleet_test.go
@@ -84,7 +84,7 @@
 	w, ins := twoReplicas(t)
 	w.services["s1"].Faults.Set(service.Faults{Leaving: true})
 	for i := range 20 {
-		a, err := ins[0].Post("/services/stock/x", fmt.Sprint(i), once)
+		a, err := ins[0].Post("/services/stock/x", fmt.Sprint(i), notRepeatable)
 		is.NoErr(err)
 		is.Equal(a.Status, http.StatusOK)
 		is.Equal(a.Upstream, "s2")
--- a/standin/integration/once_test.go
+++ b/standin/integration/once_test.go
@@ -75,11 +75,11 @@
 		run    string // "" if the call succeeds
 		ran    int
 	}{
-		{"refused by every replica", service.Faults{Refuse: 100}, once, "not_run", 0},
-		{"dropped before it ran", service.Faults{DropBefore: 1}, once, "unknown", 0},
-		{"dropped after it ran", service.Faults{DropAfter: 1}, once, "unknown", 1},
-		{"refused once, then served", service.Faults{Refuse: 1}, once, "", 1},
-		{"no fault", service.Faults{}, once, "", 1},
+		{"refused by every replica", service.Faults{Refuse: 100}, notRepeatable, "not_run", 0},
+		{"dropped before it ran", service.Faults{DropBefore: 1}, notRepeatable, "unknown", 0},
+		{"dropped after it ran", service.Faults{DropAfter: 1}, notRepeatable, "unknown", 1},
+		{"refused once, then served", service.Faults{Refuse: 1}, notRepeatable, "", 1},
+		{"no fault", service.Faults{}, notRepeatable, "", 1},
 	}
 	for i, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -107,7 +107,7 @@
 		w.servers[name].CloseClientConnections()
 		w.servers[name].Close()
 	}
-	a, err := ins[0].Post("/services/stock/once", "nobody", once)
+	a, err := ins[0].Post("/services/stock/once", "nobody", notRepeatable)
 	is.NoErr(err)
 	is.Equal(refusalOf(t, a).Error.Run, "not_run")
 	is.True(a.Header.Get("Retry-After") != "")
@@ -199,7 +199,7 @@
 	is.True(a.Header.Get("Retry-After") != "")
 	is.True(time.Since(begun) < 2*time.Second)
 	is.Equal(w.executionCount("keyed"), 0)
-	a, err = ins[0].Post("/services/stock/x", "no key", once)
+	a, err = ins[0].Post("/services/stock/x", "no key", notRepeatable)
 	is.NoErr(err)
 	is.Equal(a.Status, http.StatusOK)
 	is.Equal(w.executionCount("no key"), 1)
--- a/standin/integration/world_test.go
+++ b/standin/integration/world_test.go
@@ -254,4 +254,4 @@
 	return path
 }
 
-var once = http.Header{"Birchdrift-Not-Repeatable": {"true"}}
+var notRepeatable = http.Header{"Birchdrift-Not-Repeatable": {"true"}}
