--- a/standin/integration/answers_test.go
+++ b/standin/integration/answers_test.go
@@ -84,7 +84,7 @@
 	is.Equal(a.Status, http.StatusOK)
 	is.Equal(a.Instance, "entry-1")
 	is.Equal(a.Upstream, "e1")
-	is.True(strings.Contains(a.Body, want("which crates", 20)))
+	is.True(strings.Contains(a.Body, wantText("which crates", 20)))
 }
 
 // TestInterleavedStreamsAreWhole: hundreds of streams of distinct content at
@@ -106,7 +106,7 @@
 			if err != nil {
 				return err
 			}
-			if !s.ended || s.cut || s.failed != 0 || s.text != want(prompt, tokens) {
+			if !s.ended || s.cut || s.failed != 0 || s.text != wantText(prompt, tokens) {
 				return fmt.Errorf("stream %d: %+v", i, s)
 			}
 			return nil
@@ -173,7 +173,7 @@
 			if err != nil {
 				return err
 			}
-			if a.Status != http.StatusOK || !strings.Contains(a.Body, want(prompt, 60)) {
+			if a.Status != http.StatusOK || !strings.Contains(a.Body, wantText(prompt, 60)) {
 				return fmt.Errorf("call %d: %d %s", i, a.Status, a.Body)
 			}
 			return nil
--- a/standin/integration/world_test.go
+++ b/standin/integration/world_test.go
@@ -221,8 +221,8 @@
 	return in.Post("/v1/completions", body, nil)
 }
 
-// want is the text that the stand-in engine answers with.
-func want(prompt string, tokens int) string {
+// wantText is the text that the stand-in engine answers with.
+func wantText(prompt string, tokens int) string {
 	var b strings.Builder
 	for i := range tokens {
 		b.WriteString(engine.PieceText(prompt, i))
