--- a/standin/integration/answers_test.go
+++ b/standin/integration/answers_test.go
@@ -17,8 +17,8 @@
 	"github.com/birchdrift/birchdrift/standin/fleet"
 )
 
-// A chunk is what a test needs of one event of a stream.
-type chunk struct {
+// A streamEvent is what a test needs of one event of a stream.
+type streamEvent struct {
 	Choices []struct {
 		Text         string  `json:"text"`
 		FinishReason *string `json:"finish_reason"`
@@ -50,7 +50,7 @@
 			s.ended = true
 			continue
 		}
-		var c chunk
+		var c streamEvent
 		if err := json.Unmarshal([]byte(data), &c); err != nil {
 			return s, err
 		}
