--- a/standin/integration/answers_test.go
+++ b/standin/integration/answers_test.go
@@ -29,16 +29,16 @@
 	} `json:"error"`
 }
 
-// A streamed answer as its caller can tell it.
-type streamed struct {
+// A streamResult answer as its caller can tell it.
+type streamResult struct {
 	text   string
 	ended  bool // "[DONE]" came
 	failed int  // code of the error event, 0 if none came
 	cut    bool // the connection was cut rather than ended
 }
 
-func readStream(body string, err error) (streamed, error) {
-	var s streamed
+func readStream(body string, err error) (streamResult, error) {
+	var s streamResult
 	s.cut = err != nil
 	scanner := bufio.NewScanner(strings.NewReader(body))
 	for scanner.Scan() {
