--- a/standin/integration/fleet_test.go
+++ b/standin/integration/fleet_test.go
@@ -194,7 +194,7 @@
 			})
 			is.NoErr(ins[0].Signal(syscall.SIGSTOP))
 			is.NoErr(ins[2].Signal(syscall.SIGSTOP))
-			w.await("a successor plans", func() bool { return planner(ins[1]) && planner(ins[3]) })
+			w.await("a successor plans", func() bool { return isPlanner(ins[1]) && isPlanner(ins[3]) })
 			w.platform.Faults.Set(platform.Faults{Down: true})
 			is.NoErr(ins[0].Signal(syscall.SIGCONT))
 			is.NoErr(ins[2].Signal(syscall.SIGCONT))
@@ -218,7 +218,7 @@
 	}
 }
 
-func planner(in *fleet.Instance) bool {
+func isPlanner(in *fleet.Instance) bool {
 	st, err := in.Status()
 	return err == nil && st.Planning
 }
