--- a/standin/integration/contract_test.go
+++ b/standin/integration/contract_test.go
@@ -84,7 +84,7 @@
 	is.Equal(len(v.Data), 0) // nothing new, so nothing sent
 	woken := make(chan keyvalue.Value, 1)
 	go func() {
-		v, _ := w.client().Get(ctx, "k", revision, fleetPatience)
+		v, _ := w.client().Get(ctx, "k", revision, watchWait)
 		woken <- v
 	}()
 	_, err = w.client().Swap(ctx, "k", []byte("b"), revision, 0)
@@ -126,7 +126,7 @@
 	is.Equal(version, uint64(0))
 	w.platform.Faults.Set(platform.Faults{})
 	w.platform.SetInstance(keyvalue.Instance{Name: "y", Kind: keyvalue.KindEntry, State: keyvalue.StateLeaving})
-	list, _, err = w.client().Instances(context.Background(), 0, fleetPatience)
+	list, _, err = w.client().Instances(context.Background(), 0, watchWait)
 	is.NoErr(err)
 	is.Equal(len(list), 1)
 	is.True(list[0].Leaving)
--- a/standin/integration/world_test.go
+++ b/standin/integration/world_test.go
@@ -91,8 +91,8 @@
 	})
 }
 
-// fleetPatience bounds a wait at the platform.
-const fleetPatience = fleet.AwaitTimeout
+// watchWait bounds a wait at the platform.
+const watchWait = fleet.AwaitTimeout
 
 // addZones adds an availability addZones.
 func (w *testbed) addZones(names ...string) {
