--- a/standin/integration/errors_test.go
+++ b/standin/integration/errors_test.go
@@ -12,7 +12,7 @@
 	"github.com/birchdrift/birchdrift/standin/platform"
 )
 
-const sample = `
+const sampleConfig = `
 zones: [{name: z1}]
 services:
   - name: stock
@@ -42,11 +42,11 @@
 func TestWrongConfigurationChangesNothing(t *testing.T) {
 	is := is.New(t)
 	w := newTestbed(t)
-	good := w.writeFile("good.yaml", sample)
+	good := w.writeFile("good.yaml", sampleConfig)
 	status, out := w.runBirchctl("apply", "--platform", w.address, good)
 	is.Equal(status, 0)
 	is.Equal(strings.TrimSpace(out), "revision 1 accepted")
-	bad := w.writeFile("bad.yaml", strings.Replace(sample, "zone: z1}]\n", "zone: z7}]\n", 1))
+	bad := w.writeFile("bad.yaml", strings.Replace(sampleConfig, "zone: z1}]\n", "zone: z7}]\n", 1))
 	status, out = w.runBirchctl("apply", "--platform", w.address, bad)
 	is.Equal(status, 1)
 	is.True(strings.Contains(out, `BD-413 config_dangling_name: line 5: services[0].replicas[0].zone: no zone "z7"`))
@@ -57,7 +57,7 @@
 	status, out = w.runBirchctl("validate", good)
 	is.Equal(status, 0)
 	is.True(strings.HasPrefix(out, "valid: 1 services"))
-	changed := w.writeFile("changed.yaml", strings.Replace(sample, "127.0.0.1:1", "127.0.0.1:2", 1))
+	changed := w.writeFile("changed.yaml", strings.Replace(sampleConfig, "127.0.0.1:1", "127.0.0.1:2", 1))
 	status, out = w.runBirchctl("diff", "--platform", w.address, changed)
 	is.Equal(status, 0)
 	is.True(strings.Contains(out, "-          address: 127.0.0.1:1") && strings.Contains(out, "+          address: 127.0.0.1:2"))
@@ -68,7 +68,7 @@
 	is := is.New(t)
 	w := newTestbed(t)
 	w.platform.Faults.Set(platform.Faults{Down: true})
-	status, out := w.runBirchctl("apply", "--platform", w.address, w.writeFile("good.yaml", sample))
+	status, out := w.runBirchctl("apply", "--platform", w.address, w.writeFile("good.yaml", sampleConfig))
 	is.Equal(status, 1)
 	is.Equal(strings.Count(out, "BD-"), 1)
 	is.True(strings.Contains(out, "BD-401 platform_down"))
@@ -79,7 +79,7 @@
 	is := is.New(t)
 	w := newTestbed(t)
 	in := w.startInstance("entry-1", "z1")
-	status, _ := w.runBirchctl("apply", "--platform", w.address, w.writeFile("good.yaml", sample))
+	status, _ := w.runBirchctl("apply", "--platform", w.address, w.writeFile("good.yaml", sampleConfig))
 	is.Equal(status, 0)
 	w.await("ready", in.Ready)
 	a, err := in.Post("/services/stock/x", "", nil)
@@ -114,7 +114,7 @@
 	w := newTestbed(t)
 	in := w.startInstance("entry-1", "z1")
 	// The hash is that of the key "foo".
-	text := sample + "callers:\n  - {name: desk, key_sha256: 2c26b46b68ffc68ff99b453c1d30413413422d706483bfa0f98a5e886266e7ae, services: [stock]}\n"
+	text := sampleConfig + "callers:\n  - {name: desk, key_sha256: 2c26b46b68ffc68ff99b453c1d30413413422d706483bfa0f98a5e886266e7ae, services: [stock]}\n"
 	status, _ := w.runBirchctl("apply", "--platform", w.address, w.writeFile("keys.yaml", text))
 	is.Equal(status, 0)
 	w.await("ready", in.Ready)
