--- a/standin/integration/once_test.go
+++ b/standin/integration/once_test.go
@@ -16,17 +16,17 @@
 	"github.com/birchdrift/birchdrift/standin/service"
 )
 
-// A refusal is what a test needs of an error answer.
-type refusal struct {
+// A errorReply is what a test needs of an error answer.
+type errorReply struct {
 	Error struct {
 		Code int    `json:"code"`
 		Run  string `json:"run"`
 	} `json:"error"`
 }
 
-func refusalOf(t *testing.T, a fleet.Response) refusal {
+func refusalOf(t *testing.T, a fleet.Response) errorReply {
 	t.Helper()
-	var r refusal
+	var r errorReply
 	if err := json.Unmarshal([]byte(a.Body), &r); err != nil {
 		t.Fatalf("%d %q: %v", a.Status, a.Body, err)
 	}
