--- a/standin/integration/errors_test.go
+++ b/standin/integration/errors_test.go
@@ -85,7 +85,7 @@
 	a, err := in.Post("/services/stock/x", "", nil)
 	is.NoErr(err)
 	is.Equal(a.Status, http.StatusBadGateway)
-	r := refusalOf(t, a)
+	r := parseError(t, a)
 	is.Equal(r.Error.Code, 302)
 	is.Equal(r.Error.Run, "not_run")
 }
--- a/standin/integration/fleet_test.go
+++ b/standin/integration/fleet_test.go
@@ -278,7 +278,7 @@
 	is.True(strings.Contains(string(data), "no configuration"))
 	a, err := chat(in, "svc-m1", "x", 2, false)
 	is.NoErr(err)
-	is.Equal(refusalOf(t, a).Error.Code, 402)
+	is.Equal(parseError(t, a).Error.Code, 402)
 }
 
 // TestRacingOperators: of ten who apply on the same revision exactly one wins;
--- a/standin/integration/once_test.go
+++ b/standin/integration/once_test.go
@@ -24,7 +24,7 @@
 	} `json:"error"`
 }
 
-func refusalOf(t *testing.T, a fleet.Response) errorReply {
+func parseError(t *testing.T, a fleet.Response) errorReply {
 	t.Helper()
 	var r errorReply
 	if err := json.Unmarshal([]byte(a.Body), &r); err != nil {
@@ -93,7 +93,7 @@
 				is.Equal(a.Status, http.StatusOK)
 				return
 			}
-			is.Equal(refusalOf(t, a).Error.Run, c.run)
+			is.Equal(parseError(t, a).Error.Run, c.run)
 		})
 	}
 }
@@ -109,7 +109,7 @@
 	}
 	a, err := ins[0].Post("/services/stock/once", "nobody", notRepeatable)
 	is.NoErr(err)
-	is.Equal(refusalOf(t, a).Error.Run, "not_run")
+	is.Equal(parseError(t, a).Error.Run, "not_run")
 	is.True(a.Header.Get("Retry-After") != "")
 }
 
@@ -193,7 +193,7 @@
 	key := http.Header{"Idempotency-Key": {"k"}, "Birchdrift-Not-Repeatable": {"true"}}
 	a, err := ins[0].Post("/services/stock/x", "keyed", key)
 	is.NoErr(err)
-	r := refusalOf(t, a)
+	r := parseError(t, a)
 	is.Equal(r.Error.Code, 401) // platform_down
 	is.Equal(r.Error.Run, "not_run")
 	is.True(a.Header.Get("Retry-After") != "")
@@ -214,7 +214,7 @@
 	w.setServiceFaults(service.Faults{Refuse: 100})
 	a, err := ins[0].Post("/services/stock/x", "again", key)
 	is.NoErr(err)
-	is.Equal(refusalOf(t, a).Error.Run, "not_run")
+	is.Equal(parseError(t, a).Error.Run, "not_run")
 	w.setServiceFaults(service.Faults{})
 	w.await("the claim is given back", func() bool { return len(w.platform.Keys("claim/")) == 0 })
 	a, err = ins[1].Post("/services/stock/x", "again", key)
