--- a/standin/integration/answers_test.go
+++ b/standin/integration/answers_test.go
@@ -198,9 +198,9 @@
 	w.await("the sequence is freed", func() bool { return e.Counts().Cancelled == 1 && e.State().Running == 0 })
 }
 
-// TestFrozenEngineIsLeft: calls that a frozen engine holds go on elsewhere,
+// TestCallsMoveOffFrozenEngine: calls that a frozen engine holds go on elsewhere,
 // and no caller is left waiting for ever.
-func TestFrozenEngineIsLeft(t *testing.T) {
+func TestCallsMoveOffFrozenEngine(t *testing.T) {
 	is := is.New(t)
 	w := newTestbed(t)
 	w.addZones("z1")
