--- a/standin/integration/answers_test.go
+++ b/standin/integration/answers_test.go
@@ -148,9 +148,9 @@
 	is.Equal(s.failed, 303) // stream_cut
 }
 
-// TestNothingDeliveredStartsAnew: when nothing was delivered yet, a repeatable
+// TestUndeliveredCallIsRetriedElsewhere: when nothing was delivered yet, a repeatable
 // call starts again elsewhere and is whole.
-func TestNothingDeliveredStartsAnew(t *testing.T) {
+func TestUndeliveredCallIsRetriedElsewhere(t *testing.T) {
 	is := is.New(t)
 	w := newTestbed(t)
 	w.addZones("z1")
