--- a/standin/integration/contract_test.go
+++ b/standin/integration/contract_test.go
@@ -64,8 +64,8 @@
 	}
 }
 
-// TestPlatformNobodyListens: only then is a request certainly not sent.
-func TestPlatformNobodyListens(t *testing.T) {
+// TestPlatformConnectionRefused: only then is a request certainly not sent.
+func TestPlatformConnectionRefused(t *testing.T) {
 	is := is.New(t)
 	_, err := keyvalue.NewClient("127.0.0.1:1", transports()).Swap(context.Background(), "k", nil, 0, 0)
 	is.True(errors.Is(err, keyvalue.ErrNotSent))
