--- a/standin/integration/errors_test.go
+++ b/standin/integration/errors_test.go
@@ -108,8 +108,8 @@
 	is.True(strings.Contains(out, "e1, attempt 1"))
 }
 
-// TestCallersAreLetInByKey: only configured keys, only to their services.
-func TestCallersAreLetInByKey(t *testing.T) {
+// TestCallersAuthenticateByKey: only configured keys, only to their services.
+func TestCallersAuthenticateByKey(t *testing.T) {
 	is := is.New(t)
 	w := newTestbed(t)
 	in := w.startInstance("entry-1", "z1")
