--- a/standin/integration/once_test.go
+++ b/standin/integration/once_test.go
@@ -64,9 +64,9 @@
 	}
 }
 
-// TestRunFieldIsTrue breaks the connection at every point and compares what
+// TestRunFieldMatchesExecutions breaks the connection at every point and compares what
 // the caller is told with the upstream's own ledger.
-func TestRunFieldIsTrue(t *testing.T) {
+func TestRunFieldMatchesExecutions(t *testing.T) {
 	w, ins := twoReplicas(t)
 	cases := []struct {
 		name   string
