--- a/cmd/birchctl/main.go
+++ b/cmd/birchctl/main.go
@@ -1,4 +1,4 @@
-// Command birchctl is the operators' tool: it checks, compares, applies and
+// Command birchctl is the operators' tool: it validates, diffs, applies and
 // prints the configuration, and shows and explains the state of instances.
 package main
 
--- a/cmd/birchdrift/main.go
+++ b/cmd/birchdrift/main.go
@@ -1,6 +1,6 @@
-// Command birchdrift is an entry instance: it serves callers, exchanges state
-// with its peers, and plans for its availability zone while it holds that
-// zone's lease.
+// Command birchdrift runs an entry instance: it serves callers, exchanges state
+// with its peers, and places models for its availability zone while it holds
+// that zone's lease.
 package main
 
 import (
@@ -25,7 +25,8 @@
 	exitCut    = 3
 )
 
-// environments are what an instance can run in, by the setting's value.
+// environments maps the values of the environment setting to the environments that an
+// instance can run in.
 var environments = map[string]server.EnvironmentFactory{
 	settings.EnvironmentOwn: server.OwnEnvironment,
 	settings.EnvironmentPlatform: func(set settings.Settings, t upstream.Transports) server.Environment {
@@ -38,9 +39,9 @@
 	cmd := &cli.Command{
 		Name:  "birchdrift",
 		Usage: "serve many models on fewer accelerators: one entry instance",
-		Description: "Every setting is a flag and an environment variable. A wrong one is\n" +
-			"reported with what is allowed, all of them at once, with status 2.\n" +
-			"SIGTERM begins a planned stop; a second one ends it at once (status 3 if calls were cut).",
+		Description: "Every setting is a flag and an environment variable. All invalid settings are\n" +
+			"reported together, each with its allowed values, and the exit status is 2.\n" +
+			"SIGTERM starts a planned stop; a second one stops at once (status 3 if calls were cut off).",
 		Flags:  settings.Flags(),
 		Action: run,
 	}
