--- a/standin/engine/sequence.go
+++ b/standin/engine/sequence.go
@@ -18,7 +18,7 @@
 	slot   chan struct{} // closed when it may run
 
 	mu            sync.Mutex
-	generated     int // pieces made
+	pieceCount    int // pieces made
 	ended         bool
 	stopReason    string        // why it was stopped early
 	changed       chan struct{} // closed and replaced with every change
@@ -68,7 +68,7 @@
 			return
 		}
 		e.generated.Add(1)
-		s.update(func() { s.generated++ })
+		s.update(func() { s.pieceCount++ })
 	}
 	s.update(func() { s.ended = true })
 }
@@ -175,7 +175,7 @@
 	sent := 0
 	for {
 		s.mu.Lock()
-		made, ended, stopped, changed := s.generated, s.ended, s.stopReason, s.changed
+		made, ended, stopped, changed := s.pieceCount, s.ended, s.stopReason, s.changed
 		s.mu.Unlock()
 		f := e.Faults.Get()
 		for ; offset < made; offset++ {
