--- a/standin/cmd/demo/config.go
+++ b/standin/cmd/demo/config.go
@@ -7,16 +7,16 @@
 	"github.com/birchdrift/birchdrift/core/config"
 )
 
-// The size of the demonstration's configuration. It has twice as many models
-// as the engines hold at a time, so some are loaded only when they are called.
+// The size of the demonstration's configuration. It has 35 models, and the
+// engines have room for 24 at a time, so some are loaded only when they are called.
 const (
 	zones    = 2
 	engines  = 6
 	replicas = 2 // of the plain service
 	models   = 35
 	adapters = 100
-	// modelMiB and adapterMiB are what a model and an adapter take, and
-	// engineMiB is room for four models with eight adapters each.
+	// modelMiB and adapterMiB are the sizes of a model and an adapter.
+	// engineMiB holds four models with eight adapters each.
 	modelMiB   = 8 << 10
 	adapterMiB = 128
 	engineMiB  = 4 * (modelMiB + 8*adapterMiB)
@@ -68,8 +68,8 @@
 	return d
 }
 
-// plainService returns the service that is no model: allocations may run at
-// most once.
+// plainService returns a service without a model; its allocations must run at most
+// once.
 func plainService(addresses map[string]string) config.Service {
 	svc := config.Service{
 		Name:   "stock",
--- a/standin/cmd/demo/main.go
+++ b/standin/cmd/demo/main.go
@@ -1,8 +1,8 @@
-// Command demo shows the whole path on one machine: a platform, engines, a
-// plain service and three entry instances in two availability zones, each a
-// process of its own. It applies a configuration, sends a plain call, a stream
-// and a call that must not be repeated, shows the state, and stops everything
-// that it started.
+// Command demo runs the whole system on one machine: a platform, engines, a plain
+// service and three entry instances in two availability zones, each as a separate
+// process. It applies a configuration, sends a plain call, a streaming call and a
+// call that must not be retried, shows the state, and stops everything that it
+// started.
 package main
 
 import (
@@ -27,10 +27,10 @@
 		fmt.Fprintln(os.Stderr, "demo:", err)
 		os.Exit(1)
 	}
-	fmt.Println("demo: everything answered as it should")
+	fmt.Println("demo: all calls succeeded as expected")
 }
 
-// A demo is the processes under way.
+// A demo holds the running processes.
 type demo struct {
 	bin       string
 	platform  string
@@ -88,7 +88,7 @@
 			return err
 		}
 	}
-	fmt.Printf("demo: %d stand-ins are up\n", len(d.processes))
+	fmt.Printf("demo: started %d stand-ins\n", len(d.processes))
 	return nil
 }
 
@@ -107,8 +107,8 @@
 	return d.registerInstances(list)
 }
 
-// registerInstances puts the instances into the platform's list, as the platform does
-// by itself for instances that it starts.
+// registerInstances adds the instances to the platform's list, as the platform itself
+// does for instances that it starts.
 func (d *demo) registerInstances(list []keyvalue.Instance) error {
 	body := &strings.Builder{}
 	if err := writeJSON(body, list); err != nil {
@@ -163,7 +163,7 @@
 	}
 	fmt.Printf("demo: the same key through %s: %d %s\n", again.Instance, again.Status, strings.TrimSpace(again.Body))
 	if again.Status != http.StatusConflict {
-		return fmt.Errorf("the second call with one key got %d", again.Status)
+		return fmt.Errorf("second call with the same idempotency key: status %d, want 409", again.Status)
 	}
 	return nil
 }
@@ -193,7 +193,7 @@
 	code, err := ctl.Wait()
 	fmt.Println(ctl.Log())
 	if err == nil && code != 0 {
-		err = fmt.Errorf("birchctl status ended with %d", code)
+		err = fmt.Errorf("birchctl status exited with status %d", code)
 	}
 	return err
 }
--- a/standin/cmd/demo/stop.go
+++ b/standin/cmd/demo/stop.go
@@ -7,7 +7,7 @@
 	"syscall"
 )
 
-// plannedStop stops the entry instances as a platform would.
+// plannedStop stops the entry instances with SIGTERM, as a platform would.
 func (d *demo) plannedStop() error {
 	for _, in := range d.instances {
 		if err := in.Signal(syscall.SIGTERM); err != nil {
--- a/standin/cmd/standin/main.go
+++ b/standin/cmd/standin/main.go
@@ -1,6 +1,6 @@
-// Command standin runs one stand-in for the systems round birchdrift: the
-// platform, a model engine or a plain service. It is for demonstrations and
-// tests only.
+// Command standin runs a stand-in for one of the systems around birchdrift: the
+// platform, a model engine or a plain service. It is for demonstrations and tests
+// only.
 package main
 
 import (
@@ -26,7 +26,7 @@
 		Commands: []*cli.Command{
 			{Name: "platform", Usage: "values, leases, watches, instance list, weight store", Flags: append([]cli.Flag{listen}, platformFlags()...), Action: runPlatform},
 			{Name: "engine", Usage: "a model engine", Flags: append([]cli.Flag{listen}, engineFlags()...), Action: runEngine},
-			{Name: "service", Usage: "a plain service with a ledger", Flags: []cli.Flag{listen, &cli.StringFlag{Name: "name", Value: "service"}}, Action: runService},
+			{Name: "service", Usage: "a plain service that records its calls", Flags: []cli.Flag{listen, &cli.StringFlag{Name: "name", Value: "service"}}, Action: runService},
 		},
 	}
 	if err := cmd.Run(context.Background(), os.Args); err != nil {
@@ -38,10 +38,10 @@
 func platformFlags() []cli.Flag {
 	d := platform.DefaultLimits()
 	return []cli.Flag{
-		&cli.FloatFlag{Name: "writes", Value: d.WritesPerSecond, Usage: "writes a second"},
-		&cli.FloatFlag{Name: "reads", Value: d.ReadsPerSecond, Usage: "reads a second"},
-		&cli.FloatFlag{Name: "loads", Value: d.LoadsPerSecond, Usage: "weight loads begun a second"},
-		&cli.IntFlag{Name: "loads-at-once", Value: d.LoadsAtOnce, Usage: "weight loads at once at full speed"},
+		&cli.FloatFlag{Name: "writes", Value: d.WritesPerSecond, Usage: "writes per second"},
+		&cli.FloatFlag{Name: "reads", Value: d.ReadsPerSecond, Usage: "reads per second"},
+		&cli.FloatFlag{Name: "loads", Value: d.LoadsPerSecond, Usage: "weight loads started per second"},
+		&cli.IntFlag{Name: "loads-at-once", Value: d.LoadsAtOnce, Usage: "concurrent weight loads at full speed"},
 	}
 }
 
@@ -53,9 +53,9 @@
 		&cli.IntFlag{Name: "sequences", Value: d.Sequences},
 		&cli.BoolFlag{Name: "checks-fence", Value: d.ChecksFence},
 		&cli.DurationFlag{Name: "token-time", Value: d.TokenTime},
-		&cli.IntFlag{Name: "prefill", Value: d.PrefillPerSecond, Usage: "prompt tokens a second"},
+		&cli.IntFlag{Name: "prefill", Value: d.PrefillPerSecond, Usage: "prompt tokens per second"},
 		&cli.IntFlag{Name: "cache-blocks", Value: d.CacheBlocks},
-		&cli.Int64Flag{Name: "load-mib", Value: d.MiBPerSecond, Usage: "MiB loaded a second"},
+		&cli.Int64Flag{Name: "load-mib", Value: d.MiBPerSecond, Usage: "MiB loaded per second"},
 		&cli.DurationFlag{Name: "load-lag", Value: d.LoadLag},
 		&cli.StringFlag{Name: "weight-store", Usage: "IP:port of the platform stand-in"},
 	}
--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -1,6 +1,6 @@
 // Package engine provides a small stand-in for a model engine: continuous
 // batching with a bounded number of sequences, a prefix cache of limited size,
-// accelerator memory that it refuses loudly to overcommit, fenced orders, and
+// accelerator memory with logged refusals of overcommitment, fenced orders, and
 // streams that can be resumed and cancelled.
 package engine
 
@@ -21,22 +21,22 @@
 	"github.com/birchdrift/birchdrift/standin/fault"
 )
 
-// Options shape one engine.
+// Options configure an engine.
 type Options struct {
 	Name             string
 	MemoryMiB        int64
 	Sequences        int
 	ChecksFence      bool
-	TokenTime        time.Duration // between tokens of a sequence that runs alone
+	TokenTime        time.Duration // time between tokens of a sequence that runs alone
 	PrefillPerSecond int           // prompt tokens; 0 is instant
-	CacheBlocks      int           // prefix blocks remembered
+	CacheBlocks      int           // capacity of the prefix cache, in blocks
 	MiBPerSecond     int64         // load speed; 0 is instant
 	WeightStore      string        // IP:port of the platform stand-in, "" for none
-	LoadLag          time.Duration // how old reported loads are
-	Linger           time.Duration // how long a sequence outlives its connection
+	LoadLag          time.Duration // age of reported loads
+	Linger           time.Duration // time for which a sequence outlives its connection
 }
 
-// DefaultOptions returns a small quick engine.
+// DefaultOptions returns the options of a small, fast engine.
 func DefaultOptions(name string) Options {
 	return Options{
 		Name: name, MemoryMiB: 40 << 10, Sequences: 8, ChecksFence: true,
@@ -45,21 +45,21 @@
 	}
 }
 
-// Faults are the ways in which the stand-in misbehaves.
+// Faults are the faults that the stand-in simulates.
 type Faults struct {
-	CutEvery   int            `json:"cut_every"`  // cut each stream's connection after so many pieces
-	Freeze     bool           `json:"freeze"`     // answer nothing and generate nothing
+	CutEvery   int            `json:"cut_every"`  // cut each stream's connection after this many pieces
+	Freeze     bool           `json:"freeze"`     // send no replies and generate nothing
 	Slow       fault.Duration `json:"slow"`       // added to the time to first token
-	OrderLost  int            `json:"order_lost"` // drop the answers of the next n orders after their effect
-	OrderLate  int            `json:"order_late"` // carry out the next n orders late, after dropping their connections
-	LateBy     fault.Duration `json:"late_by"`    // how late
-	Duplicates bool           `json:"duplicates"` // send pieces twice and pieces of other calls between
+	OrderLost  int            `json:"order_lost"` // drop the replies to the next n orders after their effect
+	OrderLate  int            `json:"order_late"` // delay the next n orders by LateBy, after dropping their connections
+	LateBy     fault.Duration `json:"late_by"`    // delay of OrderLate
+	Duplicates bool           `json:"duplicates"` // send pieces twice, with pieces of other calls in between
 	Refuse     bool           `json:"refuse"`     // refuse calls as not run
 }
 
-// Counts are what the stand-in did.
+// Counts are the stand-in's counters.
 type Counts struct {
-	Executed    map[string]int `json:"executed"` // by call, how often it was begun
+	Executed    map[string]int `json:"executed"` // number of starts by call
 	Overcommits int            `json:"overcommits"`
 	Loads       int            `json:"loads"`
 	Unloads     int            `json:"unloads"`
@@ -75,7 +75,7 @@
 	refs  int // sequences that use it
 }
 
-// An Engine is the stand-in. It is safe for concurrent use.
+// An Engine is a stand-in for a model engine. It is safe for concurrent use.
 type Engine struct {
 	Faults fault.Injector[Faults]
 	opt    Options
@@ -91,7 +91,7 @@
 	calls       map[string]*sequence
 	running     int
 	waiting     []*sequence
-	cache       map[uint64]uint64 // last use by block
+	cache       map[uint64]uint64 // last use by block, as a count of uses
 	clock       uint64
 	counts      Counts
 	loadSamples []loadSample
@@ -117,7 +117,7 @@
 	}
 }
 
-// Close ends every sequence.
+// Close stops every sequence.
 func (e *Engine) Close() { close(e.closed) }
 
 // Handler returns the engine's HTTP interface.
@@ -134,7 +134,7 @@
 	return mux
 }
 
-// holdWhileFrozen holds requests for as long as the engine is holdWhileFrozen.
+// holdWhileFrozen delays requests while the engine is frozen.
 func (e *Engine) holdWhileFrozen(next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if !e.waitUntilThawed(r.Context().Done()) {
@@ -144,10 +144,11 @@
 	}
 }
 
-// frozenPollInterval is how often a frozen engine looks whether it still is.
+// frozenPollInterval is the time between checks of whether the engine is still frozen.
 const frozenPollInterval = 5 * time.Millisecond
 
-// waitUntilThawed waits until the engine is not frozen; false if gone comes first.
+// waitUntilThawed waits until the engine is not frozen. It returns false if gone is closed
+// or the engine closes first.
 func (e *Engine) waitUntilThawed(gone <-chan struct{}) bool {
 	for e.Faults.Get().Freeze {
 		select {
@@ -163,10 +164,10 @@
 
 func writeJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(v) // the caller's connection tells of a failure
+	_ = json.NewEncoder(w).Encode(v) // the caller sees a failed write as a broken connection
 }
 
-// MarkLeaving has the engine say that it is leaving and refuse new calls.
+// MarkLeaving makes the engine report that it is leaving and refuse new calls.
 func (e *Engine) MarkLeaving() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -174,7 +175,7 @@
 	e.change++
 }
 
-// Restart empties the engine as a new process would be, under a later boot.
+// Restart resets the engine to the state of a new process, with a later boot number.
 func (e *Engine) Restart() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -188,7 +189,7 @@
 	e.cache = map[uint64]uint64{}
 }
 
-// Preload puts items into memory, ready, as if loaded before.
+// Preload puts an item into memory in the ready phase, as if loaded before.
 func (e *Engine) Preload(name, base string, mib int64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -197,7 +198,7 @@
 	e.updatePeak()
 }
 
-// Counts returns what the engine did so far.
+// Counts returns a copy of the counters.
 func (e *Engine) Counts() Counts {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -230,7 +231,7 @@
 
 func (e *Engine) updatePeak() { e.counts.PeakMiB = max(e.counts.PeakMiB, e.used()) }
 
-// State returns what the engine says of itself.
+// State returns the state that the engine reports.
 func (e *Engine) State() wire.State {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -251,7 +252,7 @@
 	return s
 }
 
-// reportedLoad is the load as it was LoadLag ago.
+// reportedLoad returns the load as it was LoadLag ago.
 func (e *Engine) reportedLoad() (running, waiting int) {
 	now := time.Now()
 	e.loadSamples = append(e.loadSamples, loadSample{now, e.running, len(e.waiting)})
@@ -263,7 +264,7 @@
 
 func (e *Engine) state(w http.ResponseWriter, _ *http.Request) { writeJSON(w, e.State()) }
 
-// refuse says that a call did not run and never will.
+// refuse replies that a call did not run and never will.
 func (e *Engine) refuse(w http.ResponseWriter, status int, leaving bool, detail string) {
 	w.Header().Set(upstream.HeaderRun, "not_run")
 	if leaving {
@@ -287,7 +288,8 @@
 	e.stream(w, r, s, 0)
 }
 
-// admit takes a call in, or says why not.
+// admit creates the sequence of a call. If the call is refused, it returns nil with the
+// status and the reason.
 func (e *Engine) admit(req wire.GenerateRequest) (*sequence, int, string) {
 	f := e.Faults.Get()
 	e.mu.Lock()
@@ -351,8 +353,8 @@
 	}
 }
 
-// prefill returns the time to read the prompt, less what the cache holds, and
-// puts the prompt's blocks into the cache; e.mu is held.
+// prefill returns the time to prefill the part of the prompt that is not cached and adds
+// the prompt's blocks to the cache. e.mu must be held.
 func (e *Engine) prefill(model, prompt string) time.Duration {
 	const block = 1024
 	if e.opt.PrefillPerSecond == 0 {
@@ -390,8 +392,8 @@
 	}
 }
 
-// PieceText is the piece at offset of a call's answer: it names its call and its
-// place, so that a test can tell whose it is.
+// PieceText returns the text of the piece at offset of the answer to prompt. It identifies
+// the prompt and the offset, so that a test can tell which call a piece belongs to.
 func PieceText(prompt string, offset int) string {
 	return strconv.FormatUint(xxhash.Sum64String(prompt)%1e9, 36) + "." + strconv.Itoa(offset) + " "
 }
--- a/standin/engine/orders.go
+++ b/standin/engine/orders.go
@@ -12,7 +12,7 @@
 	"github.com/birchdrift/birchdrift/standin/fault"
 )
 
-// orders takes one order, or misbehaves with it as told.
+// orders handles one order, subject to the faults that concern orders.
 func (e *Engine) orders(w http.ResponseWriter, r *http.Request) {
 	var o wire.OrderRequest
 	if err := json.NewDecoder(r.Body).Decode(&o); err != nil {
@@ -43,7 +43,7 @@
 	writeJSON(w, reply)
 }
 
-// execute does what an order says, unless it may not.
+// execute carries out an order if its fence and sequence allow it.
 func (e *Engine) execute(o wire.OrderRequest) wire.OrderReply {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -54,7 +54,8 @@
 	return wire.OrderReply{Result: result, Detail: detail, State: e.stateLocked()}
 }
 
-// check compares fence and sequence, if this engine does.
+// check compares the order's fence and sequence with the latest ones, if this engine
+// checks fences.
 func (e *Engine) check(o wire.OrderRequest) (string, string) {
 	if !e.opt.ChecksFence {
 		return wire.ResultDone, ""
@@ -87,9 +88,10 @@
 		return wire.ResultDone, "already there"
 	}
 	if e.used()+o.MiB > e.opt.MemoryMiB {
-		// The promise that matters most was nearly broken: say so loudly.
+		// The owner must never overcommit memory, which is its most important guarantee,
+		// so make the attempt conspicuous.
 		e.counts.Overcommits++
-		log.Printf("engine %s: OVERCOMMIT: %d MiB used, %d MiB asked for, %d MiB there are", e.opt.Name, e.used(), o.MiB, e.opt.MemoryMiB)
+		log.Printf("engine %s: OVERCOMMIT: %d MiB used, %d MiB requested, %d MiB capacity", e.opt.Name, e.used(), o.MiB, e.opt.MemoryMiB)
 		return wire.ResultRefused, "out of memory"
 	}
 	it := &item{phase: "loading", base: o.Base, mib: o.MiB}
@@ -101,7 +103,7 @@
 	return wire.ResultDone, ""
 }
 
-// finishLoad takes the time that loading takes.
+// finishLoad waits for the load time of an item and then marks it ready.
 func (e *Engine) finishLoad(name string, it *item) {
 	var d time.Duration
 	if e.opt.MiBPerSecond > 0 {
@@ -116,7 +118,8 @@
 	}
 }
 
-// fetch waits for the weight store, or for as long as it would take.
+// fetch waits until the weight store has served a load of duration d. Without a weight
+// store, or if the call to it fails, it waits for d itself.
 func (e *Engine) fetch(d time.Duration) {
 	if e.opt.WeightStore != "" {
 		target := "http://" + e.opt.WeightStore + "/weights/load?time=" + url.QueryEscape(d.String())
@@ -152,10 +155,10 @@
 	return wire.ResultDone, ""
 }
 
-// drainPollInterval is how often a draining item's sequences are counted.
+// drainPollInterval is the time between checks of a draining item's sequences.
 const drainPollInterval = 10 * time.Millisecond
 
-// drain drops the item when its last sequence has ended.
+// drain removes an item once its last sequence has ended and no adapter uses it.
 func (e *Engine) drain(name string, it *item) {
 	for {
 		e.mu.Lock()
--- a/standin/engine/sequence.go
+++ b/standin/engine/sequence.go
@@ -10,7 +10,7 @@
 	wire "github.com/birchdrift/birchdrift/internal/own/engine"
 )
 
-// A sequence is one call that the engine runs.
+// A sequence is a call that the engine runs or holds in its queue.
 type sequence struct {
 	engine *Engine
 	req    wire.GenerateRequest
@@ -18,9 +18,9 @@
 	slot   chan struct{} // closed when it may run
 
 	mu            sync.Mutex
-	pieceCount    int // pieces made
+	pieceCount    int // pieces generated so far
 	ended         bool
-	stopReason    string        // why it was stopped early
+	stopReason    string        // why it was stopped early, "" if it was not
 	changed       chan struct{} // closed and replaced with every change
 	readers       int
 	stopRequested chan struct{}
@@ -48,8 +48,8 @@
 	s.changed = make(chan struct{})
 }
 
-// run makes the pieces: wait for a slot, read the prompt, then one token after
-// the other.
+// run generates the pieces: it waits for a slot, prefills the prompt and then
+// generates one token at a time.
 func (s *sequence) run() {
 	e := s.engine
 	defer s.release()
@@ -89,8 +89,8 @@
 	}
 }
 
-// release gives back what the sequence used. What it made stays for Linger, so
-// that a cut stream can still be resumed.
+// release releases the sequence's items. The sequence itself is kept for Linger, so
+// that a cut stream can be resumed.
 func (s *sequence) release() {
 	e := s.engine
 	e.mu.Lock()
@@ -109,7 +109,8 @@
 	})
 }
 
-// tokenTime grows with the batch: at a full one a token takes half as long again.
+// tokenTime returns the time to generate a token. It grows with the batch: with a full
+// batch it is 1.5 times Options.TokenTime.
 func (e *Engine) tokenTime() time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -117,7 +118,8 @@
 	return time.Duration(float64(e.opt.TokenTime) * (1 + 0.5*share))
 }
 
-// takeSlot waits for one of the engine's sequences, the highest priority first.
+// takeSlot waits for one of the engine's slots, which go to the highest priority first.
+// It returns false if the sequence is stopped or the engine closes.
 func (e *Engine) takeSlot(s *sequence) bool {
 	e.mu.Lock()
 	if e.running < e.opt.Sequences {
@@ -137,8 +139,8 @@
 	return e.cancelWaiting(s)
 }
 
-// cancelWaiting takes s out of the line; if its slot came at the same moment,
-// the slot goes on to the next.
+// cancelWaiting removes s from the queue. If s got a slot at the same moment, the slot
+// passes to the next sequence.
 func (e *Engine) cancelWaiting(s *sequence) bool {
 	e.mu.Lock()
 	for i, w := range e.waiting {
@@ -165,7 +167,7 @@
 	close(next.slot)
 }
 
-// stream writes the pieces from offset on as they are made.
+// stream writes the pieces from offset on as they are generated.
 func (e *Engine) stream(w http.ResponseWriter, r *http.Request, s *sequence, offset int) {
 	w.Header().Set("Content-Type", "application/x-ndjson")
 	s.addReaders(1)
@@ -204,7 +206,8 @@
 	}
 }
 
-// write writes one piece, with others that are not wanted if so told.
+// write writes one piece, with duplicate and foreign pieces around it if
+// Faults.Duplicates is set.
 func (e *Engine) write(enc *json.Encoder, s *sequence, offset int, f Faults) {
 	p := wire.Piece{ID: s.req.ID, Offset: offset, Text: PieceText(s.req.Prompt, offset)}
 	if f.Duplicates {
@@ -217,8 +220,8 @@
 	_ = enc.Encode(p)
 }
 
-// addReaders counts the connections that read the sequence; one that nobody reads
-// for Linger is dropped.
+// addReaders adds n to the number of connections that read the sequence. A sequence
+// without readers is stopped after Linger if it still has none.
 func (s *sequence) addReaders(n int) {
 	s.mu.Lock()
 	s.readers += n
--- a/standin/fault/fault.go
+++ b/standin/fault/fault.go
@@ -1,5 +1,5 @@
-// Package fault provides what the stand-ins share for misbehaving on request:
-// a JSON body posted to /fault replaces the faults in force.
+// Package fault provides fault injection for the stand-ins: a JSON body posted to
+// /fault replaces the active faults.
 package fault
 
 import (
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// A Duration is a time.Duration in JSON as "150ms".
+// A Duration is a time.Duration that is encoded in JSON as a string such as "150ms".
 type Duration time.Duration
 
 // UnmarshalJSON implements json.Unmarshaler.
@@ -26,27 +26,28 @@
 // MarshalJSON implements json.Marshaler.
 func (d Duration) MarshalJSON() ([]byte, error) { return json.Marshal(time.Duration(d).String()) }
 
-// A Injector holds the faults in force of type T. It is safe for concurrent use.
+// An Injector holds the active faults of a stand-in, of type T. It is safe for concurrent
+// use.
 type Injector[T any] struct {
 	mu     sync.Mutex
 	faults T
 }
 
-// Get returns the faults in force.
+// Get returns the active faults.
 func (s *Injector[T]) Get() T {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.faults
 }
 
-// Set replaces the faults in force.
+// Set replaces the active faults.
 func (s *Injector[T]) Set(f T) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = f
 }
 
-// Update changes the faults in force.
+// Update calls f, under a lock, to change the active faults.
 func (s *Injector[T]) Update(f func(*T)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -65,8 +66,8 @@
 	}
 }
 
-// DropConnection closes the request's connection without an answer, after whatever
-// effect the request had.
+// DropConnection closes the request's connection without a reply. It does not undo any
+// effect of the request.
 func DropConnection(w http.ResponseWriter) {
 	conn, _, err := http.NewResponseController(w).Hijack()
 	if err != nil {
--- a/standin/fleet/fleet.go
+++ b/standin/fleet/fleet.go
@@ -1,6 +1,6 @@
-// Package fleet provides entry instances as separate processes round the
-// stand-ins, for the demonstration, the integration tests and the load
-// program. It is a launcher, not a model of anything.
+// Package fleet starts entry instances and stand-ins as separate processes, for
+// the demonstration, the integration tests and the load program. It only launches
+// and calls them.
 package fleet
 
 import (
@@ -23,13 +23,13 @@
 	"github.com/birchdrift/birchdrift/internal/control"
 )
 
-// AwaitTimeout bounds every wait for a condition.
+// AwaitTimeout is the time limit of every wait for a condition.
 const AwaitTimeout = 30 * time.Second
 
-// pollInterval spaces the looks at a condition.
+// pollInterval is the time between checks of a condition.
 const pollInterval = 10 * time.Millisecond
 
-// Build compiles the programs into dir. module is the repository's root.
+// Build compiles the programs into dir. module is the root of the repository.
 func Build(module, dir string) error {
 	for _, b := range []struct{ in, pkg string }{{module, "./cmd/..."}, {filepath.Join(module, "standin"), "./cmd/..."}} {
 		cmd := exec.Command("go", "build", "-o", dir+string(filepath.Separator), b.pkg)
@@ -41,7 +41,7 @@
 	return nil
 }
 
-// A Process is one program under way.
+// A Process is a running program.
 type Process struct {
 	Name   string
 	cmd    *exec.Cmd
@@ -50,7 +50,7 @@
 	status int
 }
 
-// outputLog gathers a program's output and lets others wait for a line.
+// outputLog collects a program's output and signals each new line.
 type outputLog struct {
 	mu      sync.Mutex
 	lines   []string
@@ -71,7 +71,7 @@
 	return append([]string(nil), l.lines...), l.changed
 }
 
-// Start starts a program; its output is kept line by line.
+// Start starts a program and records its output line by line.
 func Start(name, path string, args ...string) (*Process, error) {
 	p := &Process{Name: name, cmd: exec.Command(path, args...), exited: make(chan struct{})}
 	p.log = &outputLog{changed: make(chan struct{})}
@@ -89,7 +89,7 @@
 		}
 	}()
 	go func() {
-		_ = p.cmd.Wait() // the status says what the error would
+		_ = p.cmd.Wait() // the exit status has the same information
 		_ = writer.Close()
 		p.status = p.cmd.ProcessState.ExitCode()
 		close(p.exited)
@@ -97,7 +97,7 @@
 	return p, nil
 }
 
-// AwaitLine returns the first line that holds text.
+// AwaitLine waits for a line of output that contains text and returns the first one.
 func (p *Process) AwaitLine(text string) (string, error) {
 	deadline := time.NewTimer(AwaitTimeout)
 	defer deadline.Stop()
@@ -118,13 +118,13 @@
 	}
 }
 
-// Log returns what the program has written.
+// Log returns the program's output so far.
 func (p *Process) Log() string {
 	all, _ := p.log.snapshot()
 	return strings.Join(all, "\n")
 }
 
-// Signal sends a signal to this very process.
+// Signal sends a signal to the process.
 func (p *Process) Signal(s syscall.Signal) error { return p.cmd.Process.Signal(s) }
 
 // Wait waits for the program's end and returns its exit status.
@@ -133,17 +133,17 @@
 	case <-p.exited:
 		return p.status, nil
 	case <-time.After(AwaitTimeout):
-		return 0, fmt.Errorf("%s does not end:\n%s", p.Name, p.Log())
+		return 0, fmt.Errorf("%s did not exit in time:\n%s", p.Name, p.Log())
 	}
 }
 
-// Kill ends the program at once and waits for it.
+// Kill kills the program and waits for its end.
 func (p *Process) Kill() {
 	_ = p.cmd.Process.Kill() // it may have ended already
 	<-p.exited
 }
 
-// An Instance is an entry instance under way.
+// An Instance is a running entry instance.
 type Instance struct {
 	*Process
 	Zone       string
@@ -152,16 +152,16 @@
 	Operations string
 }
 
-// A InstanceSpec says how to start an entry instance.
+// An InstanceSpec specifies how to start an entry instance.
 type InstanceSpec struct {
 	Name     string
 	Zone     string
 	Platform string
 	Extra    []string // further flags
-	Program  string   // another program with the product's flags; "" is the product
+	Program  string   // another program with the flags of birchdrift; "" runs birchdrift
 }
 
-// StartInstance starts an entry instance on ports that the kernel chooses.
+// StartInstance starts an entry instance that listens on ports chosen by the kernel.
 func StartInstance(bin string, s InstanceSpec) (*Instance, error) {
 	args := append([]string{
 		"--name", s.Name, "--zone", s.Zone, "--platform", s.Platform,
@@ -188,7 +188,7 @@
 	return &Instance{Process: p, Zone: s.Zone, Callers: where.Callers, Peers: where.Peers, Operations: where.Operations}, nil
 }
 
-// StartStandin starts a stand-in process and returns its address.
+// StartStandin starts a stand-in process and returns the process and its address.
 func StartStandin(bin, name string, args ...string) (*Process, string, error) {
 	p, err := Start(name, filepath.Join(bin, "standin"), args...)
 	if err != nil {
@@ -202,26 +202,26 @@
 	return p, line[strings.LastIndex(line, " ")+1:], nil
 }
 
-// Await looks at a condition until it holds.
+// Await polls a condition until it holds. It returns an error after AwaitTimeout.
 func Await(what string, holds func() bool) error {
 	deadline := time.Now().Add(AwaitTimeout)
 	for !holds() {
 		if time.Now().After(deadline) {
-			return fmt.Errorf("waited %s in vain: %s", AwaitTimeout, what)
+			return fmt.Errorf("condition not met within %s: %s", AwaitTimeout, what)
 		}
 		time.Sleep(pollInterval)
 	}
 	return nil
 }
 
-// Status reads the instance's state.
+// Status fetches the instance's state from its operations listener.
 func (i *Instance) Status() (instance.Status, error) {
 	ctx, done := context.WithTimeout(context.Background(), 5*time.Second)
 	defer done()
 	return control.FetchStatus(ctx, http.DefaultClient, i.Operations)
 }
 
-// Ready reports whether the instance says that it is ready.
+// Ready reports whether the instance replies that it is ready.
 func (i *Instance) Ready() bool {
 	resp, err := http.Get("http://" + i.Operations + "/readyz")
 	if err != nil {
@@ -231,17 +231,17 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// An Response is what came back from a call.
+// A Response is the response to a call.
 type Response struct {
 	Status   int
 	Body     string
 	Instance string
 	Upstream string
 	Header   http.Header
-	Err      error // the body was cut
+	Err      error // set if the body was cut off
 }
 
-// Post calls an instance's callers' listener.
+// Post sends a POST request to the instance's listener for callers.
 func (i *Instance) Post(path, body string, header http.Header) (Response, error) {
 	req, err := http.NewRequest(http.MethodPost, "http://"+i.Callers+path, bytes.NewBufferString(body))
 	if err != nil {
@@ -263,7 +263,8 @@
 	}, nil
 }
 
-// Root finds the repository's root from the working directory upwards.
+// Root returns the root of the repository: the closest directory with a go.work file, from
+// the working directory upwards.
 func Root() (string, error) {
 	dir, err := os.Getwd()
 	if err != nil {
--- a/standin/platform/platform.go
+++ b/standin/platform/platform.go
@@ -1,5 +1,5 @@
-// Package platform provides a small stand-in for the platform's service:
-// values with compare-and-swap and watches, leases with fences, the list of
+// Package platform provides a small stand-in for the platform's service: values
+// with compare-and-swap and watches, leases with fencing tokens, the list of
 // instances, and the rate-limited weight store.
 package platform
 
@@ -22,15 +22,15 @@
 // maxValue is the largest value, in bytes.
 const maxValue = 1 << 20
 
-// Faults are the ways in which the stand-in misbehaves.
+// Faults are the faults that the stand-in simulates.
 type Faults struct {
 	Down    bool           `json:"down"`     // every connection is dropped before any effect
 	Slow    fault.Duration `json:"slow"`     // added to every call
-	Lost    int            `json:"lost"`     // drop the answers of the next n changes after their effect
+	Lost    int            `json:"lost"`     // drop the replies to the next n changes after their effect
 	ListLag fault.Duration `json:"list_lag"` // the list shows changes this much later
 }
 
-// Limits are the platform's rates.
+// Limits are the platform's rate limits.
 type Limits struct {
 	WritesPerSecond float64
 	ReadsPerSecond  float64
@@ -38,12 +38,12 @@
 	LoadsAtOnce     int
 }
 
-// DefaultLimits are the rates that the users state.
+// DefaultLimits returns the rate limits that the users state.
 func DefaultLimits() Limits {
 	return Limits{WritesPerSecond: 300, ReadsPerSecond: 2000, LoadsPerSecond: 2, LoadsAtOnce: 8}
 }
 
-// Counts are the calls that the stand-in took.
+// Counts are the numbers of calls that the stand-in received.
 type Counts struct {
 	Reads, Writes, Limited int64
 }
@@ -65,7 +65,7 @@
 	visible time.Time
 }
 
-// A Platform is the stand-in. It is safe for concurrent use.
+// A Platform is a stand-in for the platform. It is safe for concurrent use.
 type Platform struct {
 	Faults fault.Injector[Faults]
 
@@ -110,7 +110,7 @@
 	return mux
 }
 
-// Counts returns the calls taken so far.
+// Counts returns the numbers of calls received so far.
 func (p *Platform) Counts() Counts {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -119,10 +119,11 @@
 
 func reply(w http.ResponseWriter, revision uint64, v any) {
 	w.Header().Set(keyvalue.HeaderRevision, strconv.FormatUint(revision, 10))
-	_ = json.NewEncoder(w).Encode(v) // the caller's connection tells of a failure
+	_ = json.NewEncoder(w).Encode(v) // the caller sees a failed write as a broken connection
 }
 
-// admit applies faults and rates that come before any effect.
+// admit applies the faults and rate limits that take effect before a call does. It reports
+// whether the call may proceed.
 func (p *Platform) admit(w http.ResponseWriter, r *http.Request, limiter *rate.Limiter, count *int64) bool {
 	f := p.Faults.Get()
 	if f.Down {
@@ -157,7 +158,7 @@
 	}
 }
 
-// write also loses answers after the effect.
+// write is like read for changes; it also drops replies after the effect (Faults.Lost).
 func (p *Platform) write(next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if !p.admit(w, r, p.writes, &p.counts.Writes) {
@@ -179,14 +180,15 @@
 	}
 }
 
-// discardWriter swallows an answer that is to be lost.
+// discardWriter discards a reply that is to be lost.
 type discardWriter struct{}
 
 func (discardWriter) Header() http.Header            { return http.Header{} }
 func (discardWriter) Write(data []byte) (int, error) { return len(data), nil }
 func (discardWriter) WriteHeader(int)                {}
 
-// nextRevision notes a change; p.mu is held.
+// nextRevision records a change, wakes its waiters and returns its revision. p.mu must be
+// held.
 func (p *Platform) nextRevision() uint64 {
 	p.revision++
 	close(p.changed)
@@ -194,7 +196,7 @@
 	return p.revision
 }
 
-// lookup returns a value that has not expired; p.mu is held.
+// lookup returns the value of a key, or the zero value if it has expired. p.mu must be held.
 func (p *Platform) lookup(key string) value {
 	v := p.values[key]
 	if !v.expires.IsZero() && time.Now().After(v.expires) {
@@ -214,8 +216,8 @@
 	return d
 }
 
-// waitFor calls look, which is told to hold p.mu, until it is satisfied, the
-// wait is over, the platform goes down or the caller is gone.
+// waitFor calls look, with p.mu held, until it returns true or wait has passed. It returns
+// false if the platform goes down or the caller disconnects first.
 func (p *Platform) waitFor(r *http.Request, wait time.Duration, look func() bool) bool {
 	deadline := time.NewTimer(wait)
 	defer deadline.Stop()
@@ -229,7 +231,7 @@
 		}
 		select {
 		case <-changed:
-		case <-time.After(50 * time.Millisecond): // list lag and faults show without a change
+		case <-time.After(50 * time.Millisecond): // the end of a list lag, and faults, are not signaled as changes
 			if p.Faults.Get().Down {
 				return false
 			}
@@ -261,7 +263,7 @@
 		w.WriteHeader(http.StatusNotModified)
 		return
 	}
-	_, _ = w.Write(v.data) // the caller's connection tells of a failure
+	_, _ = w.Write(v.data) // the caller sees a failed write as a broken connection
 }
 
 func (p *Platform) put(w http.ResponseWriter, r *http.Request) {
@@ -333,7 +335,7 @@
 	}
 }
 
-// SetInstance puts one entry into the list.
+// SetInstance adds or replaces one entry of the list.
 func (p *Platform) SetInstance(i keyvalue.Instance) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/standin/platform/weights.go
+++ b/standin/platform/weights.go
@@ -8,8 +8,8 @@
 	"golang.org/x/time/rate"
 )
 
-// weightStore is the weight store: so many loads begun a second, and so many at
-// once at full speed; more share that speed.
+// weightStore simulates the weight store. It limits the rate at which loads start.
+// maxFullSpeed concurrent loads run at full speed; more share that throughput.
 type weightStore struct {
 	startLimiter *rate.Limiter
 	maxFullSpeed int
@@ -22,10 +22,10 @@
 	return &weightStore{startLimiter: rate.NewLimiter(rate.Limit(l.LoadsPerSecond), 1), maxFullSpeed: l.LoadsAtOnce}
 }
 
-// loadTick is how often the speed of a load is looked at anew.
+// loadTick is the interval at which the speed of a load is updated.
 const loadTick = 20 * time.Millisecond
 
-// load answers when a load that takes `time` at full speed is through.
+// load replies when a load that takes `time` at full speed has finished.
 func (s *weightStore) load(_ http.ResponseWriter, r *http.Request) {
 	if s.startLimiter.Wait(r.Context()) != nil {
 		return
--- a/standin/service/service.go
+++ b/standin/service/service.go
@@ -1,5 +1,5 @@
-// Package service provides a small stand-in for a plain service, with a ledger
-// of the calls that it executed.
+// Package service provides a small stand-in for a plain service. It records the calls
+// that it executed.
 package service
 
 import (
@@ -13,14 +13,14 @@
 	"github.com/birchdrift/birchdrift/standin/fault"
 )
 
-// Faults are the ways in which the stand-in misbehaves.
+// Faults are the faults that the stand-in simulates.
 type Faults struct {
 	DropBefore int            `json:"drop_before"` // drop the connection of the next n calls before they run
-	DropAfter  int            `json:"drop_after"`  // drop it after they ran
-	CutBody    int            `json:"cut_body"`    // cut the answers of the next n calls halfway
+	DropAfter  int            `json:"drop_after"`  // drop the connection of the next n calls after they ran
+	CutBody    int            `json:"cut_body"`    // cut the replies to the next n calls halfway
 	Slow       fault.Duration `json:"slow"`        // added to every call
 	Refuse     int            `json:"refuse"`      // refuse the next n calls as not run
-	Leaving    bool           `json:"leaving"`     // refuse every call as not run, leaving
+	Leaving    bool           `json:"leaving"`     // refuse every call as not run and report leaving
 }
 
 // An Execution is one call that ran.
@@ -31,7 +31,7 @@
 	Call   string `json:"call"` // identity given by the entry instance
 }
 
-// A Service is the stand-in. It is safe for concurrent use.
+// A Service is a stand-in for a plain service. It is safe for concurrent use.
 type Service struct {
 	Faults fault.Injector[Faults]
 	name   string
@@ -40,18 +40,18 @@
 	ledger []Execution
 }
 
-// New returns a service with an empty ledger.
+// New returns a service that has executed no calls.
 func New(name string) *Service { return &Service{name: name} }
 
-// Executions returns the calls that ran, in order.
+// Executions returns a copy of the record of calls that ran, in order.
 func (s *Service) Executions() []Execution {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]Execution(nil), s.ledger...)
 }
 
-// Handler returns the service's HTTP interface: every path echoes the body,
-// but /ledger and /fault.
+// Handler returns the service's HTTP interface: every path except /ledger and /fault
+// echoes the body.
 func (s *Service) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("/", s.serve)
@@ -60,7 +60,7 @@
 	return mux
 }
 
-// takeOne takes one of n if there is one.
+// takeOne decrements n if it is positive and reports whether it did.
 func takeOne(n *int) bool {
 	if *n <= 0 {
 		return false
@@ -94,7 +94,7 @@
 	}
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
-		return // the call never was whole
+		return // the request was incomplete, so the call does not run
 	}
 	s.mu.Lock()
 	s.ledger = append(s.ledger, Execution{Method: r.Method, Path: r.URL.Path, Body: string(body), Call: r.Header.Get(upstream.HeaderCall)})
@@ -111,5 +111,5 @@
 		_ = http.NewResponseController(w).Flush()
 		panic(http.ErrAbortHandler)
 	}
-	_, _ = w.Write(answer) // the caller's connection tells of a failure
+	_, _ = w.Write(answer) // the caller sees a failed write as a broken connection
 }
