--- a/standin/integration/answers_test.go
+++ b/standin/integration/answers_test.go
@@ -17,7 +17,7 @@
 	"github.com/birchdrift/birchdrift/standin/fleet"
 )
 
-// A streamEvent is what a test needs of one event of a stream.
+// A streamEvent holds the fields of a stream's event that the tests check.
 type streamEvent struct {
 	Choices []struct {
 		Text         string  `json:"text"`
@@ -29,12 +29,12 @@
 	} `json:"error"`
 }
 
-// A streamResult answer as its caller can tell it.
+// A streamResult is a streamed answer as its caller sees it.
 type streamResult struct {
 	text   string
 	ended  bool // "[DONE]" came
 	failed int  // code of the error event, 0 if none came
-	cut    bool // the connection was cut rather than ended
+	cut    bool // the connection was cut instead of closed normally
 }
 
 func readStream(body string, err error) (streamResult, error) {
@@ -63,7 +63,7 @@
 	return s, nil
 }
 
-// oneEngine is a world with one model on one engine and one instance.
+// oneEngine returns a testbed with one model on one engine and one instance.
 func oneEngine(t *testing.T, change func(*engine.Options)) (*testbed, *fleet.Instance, *engine.Engine) {
 	w := newTestbed(t)
 	w.addZones("z1")
@@ -87,9 +87,9 @@
 	is.True(strings.Contains(a.Body, wantText("which crates", 20)))
 }
 
-// TestInterleavedStreamsAreWhole: hundreds of streams of distinct content at
-// once, each cut at the engine again and again, with late, doubled and foreign
-// pieces between; every caller gets all of its own answer and nothing else.
+// TestInterleavedStreamsAreWhole runs 300 concurrent streams of distinct content. The
+// engine cuts each of them after every 13 pieces and adds late, duplicate and foreign
+// pieces. Every caller must get its own complete answer and nothing else.
 func TestInterleavedStreamsAreWhole(t *testing.T) {
 	_, in, e := oneEngine(t, func(o *engine.Options) { o.Sequences = 400 })
 	const streams, tokens = 300, 40
@@ -117,7 +117,7 @@
 	}
 	for call, n := range e.Counts().Executed {
 		if n != 1 {
-			t.Fatalf("call %s was begun %d times: a resume must not run it again", call, n)
+			t.Fatalf("call %s was started %d times: a resume must not run it again", call, n)
 		}
 	}
 	st, err := in.Status()
@@ -126,9 +126,9 @@
 	}
 }
 
-// TestCutThatCannotResumeIsSeenAsCut: when the engine's process is lost after
-// a part was delivered, the caller sees an error event and a cut connection,
-// never an end.
+// TestCutThatCannotResumeIsSeenAsCut checks that the caller sees an error event and a cut
+// connection, never a normal end, if the engine process is lost after part of the answer
+// was delivered.
 func TestCutThatCannotResumeIsSeenAsCut(t *testing.T) {
 	is := is.New(t)
 	_, in, e := oneEngine(t, func(o *engine.Options) { o.TokenTime = 20 * time.Millisecond })
@@ -148,8 +148,8 @@
 	is.Equal(s.failed, 303) // stream_cut
 }
 
-// TestUndeliveredCallIsRetriedElsewhere: when nothing was delivered yet, a repeatable
-// call starts again elsewhere and is whole.
+// TestUndeliveredCallIsRetriedElsewhere checks that a repeatable call of which nothing was
+// delivered is retried on another engine and served completely.
 func TestUndeliveredCallIsRetriedElsewhere(t *testing.T) {
 	is := is.New(t)
 	w := newTestbed(t)
@@ -184,8 +184,8 @@
 	is.NoErr(group.Wait())
 }
 
-// TestCallerThatGoesAwayFreesItsSequence: the engine drops the sequence of a
-// caller that closed its connection.
+// TestCallerThatGoesAwayFreesItsSequence checks that the sequence of a caller that closed
+// its connection is cancelled at the engine.
 func TestCallerThatGoesAwayFreesItsSequence(t *testing.T) {
 	is := is.New(t)
 	w, in, e := oneEngine(t, func(o *engine.Options) { o.TokenTime = 20 * time.Millisecond; o.Linger = time.Hour })
@@ -198,8 +198,8 @@
 	w.await("the sequence is freed", func() bool { return e.Counts().Cancelled == 1 && e.State().Running == 0 })
 }
 
-// TestCallsMoveOffFrozenEngine: calls that a frozen engine holds go on elsewhere,
-// and no caller is left waiting for ever.
+// TestCallsMoveOffFrozenEngine checks that calls held by a frozen engine are served
+// elsewhere, so that no caller waits forever.
 func TestCallsMoveOffFrozenEngine(t *testing.T) {
 	is := is.New(t)
 	w := newTestbed(t)
--- a/standin/integration/contract_test.go
+++ b/standin/integration/contract_test.go
@@ -13,24 +13,24 @@
 	"github.com/birchdrift/birchdrift/standin/platform"
 )
 
-// TestPlatformContract runs the adapter against the stand-in, with its faults
-// in a table: what a swap says became of it, and what is stored afterwards.
+// TestPlatformContract runs the key-value client against the stand-in with a table of
+// faults. It checks the result of a swap and the value stored afterwards.
 func TestPlatformContract(t *testing.T) {
 	cases := []struct {
 		name     string
 		faults   platform.Faults
 		limits   func(*platform.Limits)
 		expect   uint64 // revision that the swap expects; the value's is 1
-		err      error  // that the swap must be; nil: it must succeed
-		anyErr   bool   // it must fail, and not say that it was not sent
+		err      error  // expected error of the swap; nil: it must succeed
+		anyErr   bool   // the swap must fail with an error other than ErrNotSent
 		inEffect bool
 	}{
-		{"in order", platform.Faults{}, nil, 1, nil, false, true},
-		{"another was faster", platform.Faults{}, nil, 0, keyvalue.ErrConflict, false, false},
-		{"answer lost after the effect", platform.Faults{Lost: 1}, nil, 1, nil, true, true},
+		{"no fault", platform.Faults{}, nil, 1, nil, false, true},
+		{"concurrent write", platform.Faults{}, nil, 0, keyvalue.ErrConflict, false, false},
+		{"reply lost after the effect", platform.Faults{Lost: 1}, nil, 1, nil, true, true},
 		{"down", platform.Faults{Down: true}, nil, 1, nil, true, false},
 		{"slow", platform.Faults{Slow: fault.Duration(50 * time.Millisecond)}, nil, 1, nil, false, true},
-		{"over its rate", platform.Faults{}, func(l *platform.Limits) { l.WritesPerSecond = 1 }, 1, nil, true, false},
+		{"over the rate limit", platform.Faults{}, func(l *platform.Limits) { l.WritesPerSecond = 1 }, 1, nil, true, false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -50,7 +50,7 @@
 			switch {
 			case c.anyErr:
 				is.True(err != nil)
-				is.True(!errors.Is(err, keyvalue.ErrNotSent)) // a byte had left
+				is.True(!errors.Is(err, keyvalue.ErrNotSent)) // part of the request had been sent
 			case c.err != nil:
 				is.True(errors.Is(err, c.err))
 			default:
@@ -64,14 +64,16 @@
 	}
 }
 
-// TestPlatformConnectionRefused: only then is a request certainly not sent.
+// TestPlatformConnectionRefused checks that a refused connection is reported as
+// ErrNotSent. Only then is a request certainly not sent.
 func TestPlatformConnectionRefused(t *testing.T) {
 	is := is.New(t)
 	_, err := keyvalue.NewClient("127.0.0.1:1", transports()).Swap(context.Background(), "k", nil, 0, 0)
 	is.True(errors.Is(err, keyvalue.ErrNotSent))
 }
 
-// TestPlatformWatch wakes on a change, and ends without one when its time is up.
+// TestPlatformWatch checks that a watch returns on a change, and without one when its
+// wait has passed.
 func TestPlatformWatch(t *testing.T) {
 	is := is.New(t)
 	w := newTestbed(t)
@@ -81,7 +83,7 @@
 	v, err := w.client().Get(ctx, "k", revision, 50*time.Millisecond)
 	is.NoErr(err)
 	is.Equal(v.Revision, revision)
-	is.Equal(len(v.Data), 0) // nothing new, so nothing sent
+	is.Equal(len(v.Data), 0) // no change, so no data
 	woken := make(chan keyvalue.Value, 1)
 	go func() {
 		v, _ := w.client().Get(ctx, "k", revision, watchWait)
@@ -92,8 +94,8 @@
 	is.Equal(string((<-woken).Data), "b")
 }
 
-// TestPlatformLease: one holder at a time, fences that only rise, and a lease
-// that lapses or is given back can be had by another.
+// TestPlatformLease checks that a lease has one holder at a time, that fencing tokens only
+// rise, and that a lease that expired or was released can be granted to another holder.
 func TestPlatformLease(t *testing.T) {
 	is := is.New(t)
 	w := newTestbed(t)
@@ -111,10 +113,10 @@
 	b := ask("b", time.Millisecond, 0)
 	is.True(b.Granted && b.Fence > a.Fence)
 	is.True(!ask("a", time.Minute, a.Fence).Granted) // an old grant cannot be renewed
-	w.await("b's lease lapses", func() bool { return ask("c", time.Minute, 0).Granted })
+	w.await("b's lease expires", func() bool { return ask("c", time.Minute, 0).Granted })
 }
 
-// TestPlatformListLags: the list shows a change only after its lag.
+// TestPlatformListLags checks that the list shows a change only after the list lag.
 func TestPlatformListLags(t *testing.T) {
 	is := is.New(t)
 	w := newTestbed(t)
--- a/standin/integration/errors_test.go
+++ b/standin/integration/errors_test.go
@@ -19,7 +19,8 @@
     replicas: [{name: s1, address: "127.0.0.1:1", zone: z1}]
 `
 
-// TestWrongSettingsGiveNumberedErrors: every fault at once, status 2.
+// TestWrongSettingsGiveNumberedErrors checks that all invalid settings are reported at
+// once, with their codes, and that the exit status is 2.
 func TestWrongSettingsGiveNumberedErrors(t *testing.T) {
 	is := is.New(t)
 	p, err := fleet.Start("birchdrift", filepath.Join(bin, "birchdrift"), "--name", "x", "--zone", "z1", "--platform", "platform:1", "--stall", "never")
@@ -37,8 +38,8 @@
 	is.True(strings.Contains(p.Log(), "BD-502 bad_usage"))
 }
 
-// TestWrongConfigurationChangesNothing: the fault has its code, path and line,
-// and the revision in force stays.
+// TestWrongConfigurationChangesNothing checks that an invalid configuration is rejected
+// with the code, line and path of the fault and that the current revision stays.
 func TestWrongConfigurationChangesNothing(t *testing.T) {
 	is := is.New(t)
 	w := newTestbed(t)
@@ -63,7 +64,8 @@
 	is.True(strings.Contains(out, "-          address: 127.0.0.1:1") && strings.Contains(out, "+          address: 127.0.0.1:2"))
 }
 
-// TestPlatformDownGivesOneNumberedError to the operator.
+// TestPlatformDownGivesOneNumberedError checks that an operator's command reports an
+// outage of the platform with one numbered error.
 func TestPlatformDownGivesOneNumberedError(t *testing.T) {
 	is := is.New(t)
 	w := newTestbed(t)
@@ -74,7 +76,8 @@
 	is.True(strings.Contains(out, "BD-401 platform_down"))
 }
 
-// TestDeadUpstreamGivesOneNumberedError to the caller, at once.
+// TestDeadUpstreamGivesOneNumberedError checks that a caller gets one numbered error if
+// the upstream's address does not accept connections.
 func TestDeadUpstreamGivesOneNumberedError(t *testing.T) {
 	is := is.New(t)
 	w := newTestbed(t)
@@ -90,7 +93,8 @@
 	is.Equal(r.Error.Run, "not_run")
 }
 
-// TestStatusAndExplainSayWhy shows an operator where things are.
+// TestStatusAndExplainSayWhy checks that the status and explain commands show where models
+// are ready and where calls were sent.
 func TestStatusAndExplainSayWhy(t *testing.T) {
 	is := is.New(t)
 	w, in, _ := oneEngine(t, nil)
@@ -108,7 +112,8 @@
 	is.True(strings.Contains(out, "e1, attempt 1"))
 }
 
-// TestCallersAuthenticateByKey: only configured keys, only to their services.
+// TestCallersAuthenticateByKey checks that only configured keys are admitted, and only to
+// their services.
 func TestCallersAuthenticateByKey(t *testing.T) {
 	is := is.New(t)
 	w := newTestbed(t)
--- a/standin/integration/fleet_test.go
+++ b/standin/integration/fleet_test.go
@@ -23,8 +23,9 @@
 	"github.com/birchdrift/birchdrift/standin/service"
 )
 
-// TestPlannedStopCutsNothing: calls in progress when SIGTERM comes are served
-// whole, those that come before the balancer noticed too, and the status is 0.
+// TestPlannedStopCutsNothing checks that calls in progress at SIGTERM, and calls that
+// arrive before the load balancer notices, are served completely, and that the exit
+// status is 0.
 func TestPlannedStopCutsNothing(t *testing.T) {
 	is := is.New(t)
 	w, in, e := oneEngine(t, func(o *engine.Options) { o.TokenTime = 10 * time.Millisecond; o.Sequences = 100 })
@@ -45,7 +46,7 @@
 	w.await("the calls run", func() bool { return e.State().Running == 20 })
 	is.NoErr(in.Signal(syscall.SIGTERM))
 	w.await("readiness falls", func() bool { return !in.Ready() })
-	group.Go(call(20)) // the balancer has not noticed yet
+	group.Go(call(20)) // arrives before the load balancer notices
 	is.NoErr(group.Wait())
 	status, err := in.Wait()
 	is.NoErr(err)
@@ -53,8 +54,8 @@
 	is.True(strings.Contains(in.Log(), `"cut":0`))
 }
 
-// TestSecondSignalSaysWhatWasCut: a second signal ends the stop at once, with
-// a status of its own and the number of calls.
+// TestSecondSignalSaysWhatWasCut checks that a second signal stops at once, with exit
+// status 3 and the number of cut calls in the log.
 func TestSecondSignalSaysWhatWasCut(t *testing.T) {
 	is := is.New(t)
 	w, in, e := oneEngine(t, func(o *engine.Options) { o.TokenTime = 50 * time.Millisecond })
@@ -74,11 +75,11 @@
 	is.NoErr(err)
 	is.Equal(status, 3)
 	is.True(strings.Contains(in.Log(), `"cut":1`))
-	is.True(<-cut != nil) // the caller saw a cut, not an end
+	is.True(<-cut != nil) // the caller sees a cut, not a normal end
 }
 
-// TestLeavingServiceGetsNoNewWork: one that says that it is leaving, in a
-// refusal, gets nothing after that, and no call is lost.
+// TestLeavingServiceGetsNoNewWork checks that a replica that reports in a refusal that it
+// is leaving gets no more calls and that no call is lost.
 func TestLeavingServiceGetsNoNewWork(t *testing.T) {
 	is := is.New(t)
 	w, ins := twoReplicas(t)
@@ -92,15 +93,15 @@
 	is.Equal(len(w.services["s1"].Executions()), 0)
 }
 
-// TestListedLeavingGetsNoNewWork: the list alone says so, and both instances
-// hear of it within seconds.
+// TestListedLeavingGetsNoNewWork checks that both instances learn within seconds from the
+// list alone that a replica is leaving, and send it no more calls.
 func TestListedLeavingGetsNoNewWork(t *testing.T) {
 	is := is.New(t)
 	w, ins := twoReplicas(t)
 	w.platform.SetInstance(keyvalue.Instance{Name: "s1", Kind: keyvalue.KindUpstream, Zone: "z1", State: keyvalue.StateLeaving})
 	begun := time.Now()
 	for _, in := range ins {
-		w.await(in.Name+" knows", func() bool {
+		w.await(in.Name+" knows that s1 is leaving", func() bool {
 			st, err := in.Status()
 			return err == nil && st.Upstreams[0].Name == "s1" && st.Upstreams[0].Leaving
 		})
@@ -115,8 +116,8 @@
 	is.Equal(len(w.services["s1"].Executions()), before)
 }
 
-// manyModels is a world of two zones, each with one engine that holds two of
-// the six models, and two instances.
+// manyModels returns a testbed of two zones, each with one engine that holds two of the
+// six models. It starts no instances.
 func manyModels(t *testing.T, checks bool) *testbed {
 	w := newTestbed(t)
 	w.addZones("z1", "z2")
@@ -137,7 +138,7 @@
 	return w
 }
 
-// mustNotOvercommit checks each engine's own count.
+// mustNotOvercommit fails the test if an engine counted an overcommitment.
 func (w *testbed) mustNotOvercommit() {
 	w.t.Helper()
 	for name, e := range w.engines {
@@ -147,7 +148,7 @@
 	}
 }
 
-// callModelsInTurn asks for one model after the other until the time is up.
+// callModelsInTurn calls one model after the other for a duration.
 func (w *testbed) callModelsInTurn(d time.Duration, ins ...*fleet.Instance) (served, failed int) {
 	deadline := time.Now().Add(d)
 	for i := 0; time.Now().Before(deadline); i++ {
@@ -161,9 +162,9 @@
 	return served, failed
 }
 
-// TestMemoryHoldsWhilePlannersDie kills and freezes planners, loses and delays
-// orders and takes the platform down while models change all the time. Engines
-// refuse overcommitment loudly, and none must have had to.
+// TestMemoryHoldsWhilePlannersDie kills and freezes placers, loses and delays orders and
+// takes the platform down while the called models keep changing. Engines count and refuse
+// overcommitments, and none may have occurred.
 func TestMemoryHoldsWhilePlannersDie(t *testing.T) {
 	for _, checks := range []bool{true, false} {
 		t.Run(fmt.Sprintf("checks=%v", checks), func(t *testing.T) {
@@ -184,7 +185,7 @@
 			for _, e := range w.engines {
 				e.Faults.Set(orderFaults)
 			}
-			w.await("orders to each engine meet their faults", func() bool {
+			w.await("each engine has applied order faults", func() bool {
 				for _, e := range w.engines {
 					if e.Faults.Get() == orderFaults {
 						return false
@@ -194,7 +195,7 @@
 			})
 			is.NoErr(ins[0].Signal(syscall.SIGSTOP))
 			is.NoErr(ins[2].Signal(syscall.SIGSTOP))
-			w.await("a successor plans", func() bool { return isPlanner(ins[1]) && isPlanner(ins[3]) })
+			w.await("a successor is placer in each zone", func() bool { return isPlanner(ins[1]) && isPlanner(ins[3]) })
 			w.platform.Faults.Set(platform.Faults{Down: true})
 			is.NoErr(ins[0].Signal(syscall.SIGCONT))
 			is.NoErr(ins[2].Signal(syscall.SIGCONT))
@@ -211,7 +212,7 @@
 			w.mustNotOvercommit()
 			for name, e := range w.engines {
 				if e.Counts().Loads < 2 {
-					t.Fatalf("%s was never full: this proves nothing", name)
+					t.Fatalf("%s was never full, so the test proves nothing", name)
 				}
 			}
 		})
@@ -223,8 +224,8 @@
 	return err == nil && st.Planning
 }
 
-// TestColdModelsAreReached: six models are asked for where four fit; each is
-// served within the stated bound, and a caller is never left hanging.
+// TestColdModelsAreReached calls six models where four fit. Each must be served within
+// the stated bound, and no caller may be left waiting forever.
 func TestColdModelsAreReached(t *testing.T) {
 	is := is.New(t)
 	w := manyModels(t, true)
@@ -245,8 +246,8 @@
 	w.mustNotOvercommit()
 }
 
-// TestPlatformOutageCostsNoCall: with the platform down, resident models are
-// served through every instance, also one that was replaced meanwhile.
+// TestPlatformOutageCostsNoCall checks that, while the platform is down, resident models
+// are served through every instance, including one started during the outage.
 func TestPlatformOutageCostsNoCall(t *testing.T) {
 	is := is.New(t)
 	w, in, _ := oneEngine(t, nil)
@@ -263,7 +264,8 @@
 	}
 }
 
-// TestUnreadyWithoutPlatformSaysWhy: nobody to ask, so not ready, with the reason.
+// TestUnreadyWithoutPlatformSaysWhy checks that an instance with neither platform nor
+// peers reports that it is not ready, with the reason.
 func TestUnreadyWithoutPlatformSaysWhy(t *testing.T) {
 	is := is.New(t)
 	w := newTestbed(t)
@@ -281,8 +283,8 @@
 	is.Equal(parseError(t, a).Error.Code, 402)
 }
 
-// TestRacingOperators: of ten who apply on the same revision exactly one wins;
-// the others get the numbered conflict with the difference.
+// TestRacingOperators checks that of ten concurrent applies on the same revision exactly
+// one succeeds, and that the others get a numbered conflict with the difference.
 func TestRacingOperators(t *testing.T) {
 	is := is.New(t)
 	w, _ := twoReplicas(t)
@@ -315,7 +317,8 @@
 	is.Equal(won, 1)
 }
 
-// TestApplyWhoseAnswerIsLost finds out that its own change took effect.
+// TestApplyWhoseAnswerIsLost checks that an apply whose reply is lost finds out that its
+// own change took effect.
 func TestApplyWhoseAnswerIsLost(t *testing.T) {
 	is := is.New(t)
 	w, _ := twoReplicas(t)
@@ -330,8 +333,8 @@
 	is.Equal(stored.Document.Residency.MoveCost, 7.0)
 }
 
-// TestConfigurationSurvivesRestartAndOutage: an instance that restarts while
-// the platform is down never falls behind what its peers have.
+// TestConfigurationSurvivesRestartAndOutage checks that an instance that restarts while
+// the platform is down gets the latest revision from its peers.
 func TestConfigurationSurvivesRestartAndOutage(t *testing.T) {
 	is := is.New(t)
 	w, ins := twoReplicas(t)
--- a/standin/integration/once_test.go
+++ b/standin/integration/once_test.go
@@ -16,7 +16,7 @@
 	"github.com/birchdrift/birchdrift/standin/service"
 )
 
-// A errorReply is what a test needs of an error answer.
+// An errorReply holds the fields of an error body that the tests check.
 type errorReply struct {
 	Error struct {
 		Code int    `json:"code"`
@@ -33,7 +33,7 @@
 	return r
 }
 
-// twoReplicas is a world with a plain service of two replicas and two instances.
+// twoReplicas returns a testbed with a plain service of two replicas and two instances.
 func twoReplicas(t *testing.T) (*testbed, []*fleet.Instance) {
 	w := newTestbed(t)
 	w.addZones("z1")
@@ -44,7 +44,7 @@
 	return w, ins
 }
 
-// executionCount counts the executions of calls whose body is text.
+// executionCount returns the number of executed calls whose body is text.
 func (w *testbed) executionCount(text string) int {
 	n := 0
 	for _, s := range w.services {
@@ -57,15 +57,15 @@
 	return n
 }
 
-// faults sets the faults of every replica.
+// setServiceFaults sets the faults of every replica.
 func (w *testbed) setServiceFaults(f service.Faults) {
 	for _, s := range w.services {
 		s.Faults.Set(f)
 	}
 }
 
-// TestRunFieldMatchesExecutions breaks the connection at every point and compares what
-// the caller is told with the upstream's own ledger.
+// TestRunFieldMatchesExecutions breaks the connection at every point and compares the run
+// field of the error with the upstream's own record of executed calls.
 func TestRunFieldMatchesExecutions(t *testing.T) {
 	w, ins := twoReplicas(t)
 	cases := []struct {
@@ -98,8 +98,8 @@
 	}
 }
 
-// TestConnectionRefusedIsNotRun: nobody listens, so the call certainly did not
-// run, and the answer says when to come back.
+// TestConnectionRefusedIsNotRun checks that a call whose connection is refused is
+// reported as not run, with Retry-After.
 func TestConnectionRefusedIsNotRun(t *testing.T) {
 	is := is.New(t)
 	w, ins := twoReplicas(t)
@@ -113,8 +113,8 @@
 	is.True(a.Header.Get("Retry-After") != "")
 }
 
-// TestCutBodyIsSeenAsCut: an upstream's answer that is cut halfway reaches the
-// caller as cut, never as whole.
+// TestCutBodyIsSeenAsCut checks that the caller sees an upstream's response that is cut
+// halfway as cut, never as complete.
 func TestCutBodyIsSeenAsCut(t *testing.T) {
 	is := is.New(t)
 	w, ins := twoReplicas(t)
@@ -124,15 +124,15 @@
 	is.True(a.Err != nil) // reading the body must fail
 }
 
-// TestTransportDoesNotRepeat: net/http would by itself repeat a call whose
-// reused connection breaks, above all with an Idempotency-Key header. Calls
-// that may not be repeated are sent many times over broken connections; the
-// ledger shows none twice.
+// TestTransportDoesNotRepeat guards against automatic retries by net/http, which retries
+// a call whose reused connection breaks, above all if it has an Idempotency-Key header.
+// Many calls that must not be retried are sent over breaking connections; none may be
+// executed twice.
 func TestTransportDoesNotRepeat(t *testing.T) {
 	is := is.New(t)
 	w, ins := twoReplicas(t)
 	for i := range 30 {
-		w.setServiceFaults(service.Faults{DropAfter: i % 2}) // every other one breaks after it ran
+		w.setServiceFaults(service.Faults{DropAfter: i % 2}) // the connection of every other call breaks after it ran
 		for _, method := range []string{http.MethodPost, http.MethodGet} {
 			body := fmt.Sprintf("%s %d", method, i)
 			req, err := http.NewRequest(method, "http://"+ins[0].Callers+"/services/stock/once/"+fmt.Sprint(i), strings.NewReader(body))
@@ -146,9 +146,9 @@
 	}
 }
 
-// TestSameKeyThroughTwoInstancesRunsOnce: many callers, two instances, one
-// key: one runs, the others are told so; then also with the platform's answers
-// lost after their effect.
+// TestSameKeyThroughTwoInstancesRunsOnce sends many calls with one idempotency key through
+// two instances, also with the platform's replies lost after their effect. Exactly one
+// call must run and be served.
 func TestSameKeyThroughTwoInstancesRunsOnce(t *testing.T) {
 	for _, lost := range []int{0, 1, 2} {
 		t.Run(fmt.Sprintf("lost=%d", lost), func(t *testing.T) {
@@ -173,19 +173,19 @@
 					served++
 				}
 			}
-			is.Equal(served, 1) // the one that ran had its answer
+			is.Equal(served, 1) // the call that ran got its response
 		})
 	}
 }
 
-// TestClaimWithPlatformDownIsNotRunAtOnce: without the platform a keyed call
-// is refused as not run, soon, with when to come back; one without a key that
-// may not be repeated is served.
+// TestClaimWithPlatformDownIsNotRunAtOnce checks that, while the platform is down, a call
+// with an idempotency key is refused as not run within 2 s, with Retry-After, and that a
+// non-repeatable call without a key is served.
 func TestClaimWithPlatformDownIsNotRunAtOnce(t *testing.T) {
 	is := is.New(t)
 	w, ins := twoReplicas(t)
 	w.platform.Faults.Set(platform.Faults{Down: true})
-	w.await("the instance notices", func() bool {
+	w.await("the instance notices the outage", func() bool {
 		st, err := ins[0].Status()
 		return err == nil && st.PlatformDown
 	})
@@ -205,8 +205,8 @@
 	is.Equal(w.executionCount("no key"), 1)
 }
 
-// TestKeyCanBeUsedAgainAfterNotRun: a call that certainly did not run gives
-// its key back.
+// TestKeyCanBeUsedAgainAfterNotRun checks that a call that certainly did not run
+// releases its idempotency key.
 func TestKeyCanBeUsedAgainAfterNotRun(t *testing.T) {
 	is := is.New(t)
 	w, ins := twoReplicas(t)
@@ -216,7 +216,7 @@
 	is.NoErr(err)
 	is.Equal(parseError(t, a).Error.Run, "not_run")
 	w.setServiceFaults(service.Faults{})
-	w.await("the claim is given back", func() bool { return len(w.platform.Keys("claim/")) == 0 })
+	w.await("the claim is released", func() bool { return len(w.platform.Keys("claim/")) == 0 })
 	a, err = ins[1].Post("/services/stock/x", "again", key)
 	is.NoErr(err)
 	is.Equal(a.Status, http.StatusOK)
--- a/standin/integration/revision_test.go
+++ b/standin/integration/revision_test.go
@@ -8,9 +8,9 @@
 	"github.com/matryer/is"
 )
 
-// TestRevisionSpreadsWithoutWaiting: instances that do not watch the platform
-// are told by those that do, at once, not at the next turn of the exchanges'
-// rhythm, which is set to a minute here.
+// TestRevisionSpreadsWithoutWaiting checks that instances that watch the platform pass a
+// new revision on to the others at once, instead of with the next periodic exchange
+// (every 2 s here).
 func TestRevisionSpreadsWithoutWaiting(t *testing.T) {
 	is := is.New(t)
 	w := newTestbed(t)
@@ -20,7 +20,7 @@
 		w.startInstance(fmt.Sprintf("entry-%d", i+1), "z1", "--exchange-every", "2s")
 	}
 	w.apply()
-	// Peers must know of each other before they can tell each other.
+	// Peers must know each other before they can exchange revisions.
 	for _, in := range w.instances {
 		w.await(in.Name+" knows its peers", func() bool {
 			st, err := in.Status()
--- a/standin/integration/world_test.go
+++ b/standin/integration/world_test.go
@@ -1,4 +1,4 @@
-// Package integration drives the real program, as separate processes, against
+// Package integration tests the real program, run as separate processes, against
 // the stand-ins.
 package integration
 
@@ -22,7 +22,7 @@
 	"github.com/birchdrift/birchdrift/standin/service"
 )
 
-// bin holds the programs, built once.
+// bin is the directory of the programs, which are built once.
 var bin string
 
 func TestMain(m *testing.M) {
@@ -44,7 +44,8 @@
 	}())
 }
 
-// A testbed is the stand-ins, in this process, and the instances, in their own.
+// A testbed holds the stand-ins, which run in this process, and the instances, which run
+// as separate processes.
 type testbed struct {
 	t         *testing.T
 	platform  *platform.Platform
@@ -65,7 +66,7 @@
 	}
 	w.usePlatform(w.platform)
 	w.doc.Residency = config.Residency{MinimumStay: config.DefaultMinimumStay}
-	t.Cleanup(func() { // runs before the platform's: it was added later
+	t.Cleanup(func() { // runs before the platform's cleanup, which was registered first
 		for _, in := range w.instances {
 			in.Kill()
 		}
@@ -80,7 +81,7 @@
 	return w
 }
 
-// usePlatform has the world talk to p from now on.
+// usePlatform replaces the testbed's platform by p.
 func (w *testbed) usePlatform(p *platform.Platform) {
 	w.platform = p
 	server := httptest.NewServer(p.Handler())
@@ -91,17 +92,17 @@
 	})
 }
 
-// watchWait bounds a wait at the platform.
+// watchWait is the time limit of a watch at the platform.
 const watchWait = fleet.AwaitTimeout
 
-// addZones adds an availability addZones.
+// addZones adds availability zones.
 func (w *testbed) addZones(names ...string) {
 	for _, name := range names {
 		w.doc.Zones = append(w.doc.Zones, config.Zone{Name: name})
 	}
 }
 
-// addEngine adds an addEngine; change may alter its options.
+// addEngine adds an engine; change may alter its options.
 func (w *testbed) addEngine(name, zone string, change func(*engine.Options)) *engine.Engine {
 	opt := engine.DefaultOptions(name)
 	opt.TokenTime = 0
@@ -119,7 +120,7 @@
 	return e
 }
 
-// addModel adds a addModel with a service of its own, "svc-" before the name.
+// addModel adds a model with its own service, named "svc-" and the model's name.
 func (w *testbed) addModel(name string, mib int64) {
 	w.doc.Models = append(w.doc.Models, config.Model{Name: name, MemoryMiB: mib, PrefillPerSecond: 100000, LoadTime: 100_000_000})
 	w.doc.Services = append(w.doc.Services, config.Service{
@@ -127,7 +128,7 @@
 	})
 }
 
-// addReplica adds a replica to a addReplica service.
+// addReplica adds a replica to a plain service.
 func (w *testbed) addReplica(svc, name, zone string) *service.Service {
 	s := service.New(name)
 	w.services[name] = s
@@ -145,10 +146,11 @@
 	return s
 }
 
-// fastSettings are settings under which what takes seconds takes tenths of them.
+// fastSettings are flags with shorter intervals and timeouts than the defaults, so that
+// tests take less time.
 var fastSettings = []string{"--lease-term", "2s", "--exchange-every", "200ms", "--read-every", "100ms", "--stall", "3s", "--stop-delay", "200ms"}
 
-// startInstance starts an entry instance and puts it into the platform's list.
+// startInstance starts an entry instance and adds it to the platform's list.
 func (w *testbed) startInstance(name, zone string, extra ...string) *fleet.Instance {
 	w.t.Helper()
 	in, err := fleet.StartInstance(bin, fleet.InstanceSpec{Name: name, Zone: zone, Platform: w.address, Extra: append(append([]string(nil), fastSettings...), extra...)})
@@ -169,7 +171,7 @@
 
 func (w *testbed) client() *keyvalue.Client { return keyvalue.NewClient(w.address, transports()) }
 
-// apply puts the document in force and waits until every instance has it.
+// apply applies the document and waits until every instance has its revision.
 func (w *testbed) apply() uint64 {
 	w.t.Helper()
 	revision, err := control.Apply(context.Background(), w.client(), w.doc)
@@ -192,13 +194,13 @@
 	}
 }
 
-// awaitReadyOn waits until a model is ready on an engine.
+// awaitReadyOn waits until an item is ready on an engine.
 func (w *testbed) awaitReadyOn(engineName, item string) {
 	w.t.Helper()
 	w.await(item+" is ready on "+engineName, func() bool { return w.engines[engineName].ItemPhase(item) == "ready" })
 }
 
-// awaitSeenBy waits until an instance knows that a model is ready on an engine.
+// awaitSeenBy waits until an instance knows that an item is ready on an engine.
 func (w *testbed) awaitSeenBy(in *fleet.Instance, engineName, item string) {
 	w.t.Helper()
 	w.await(in.Name+" sees "+item, func() bool {
@@ -215,13 +217,13 @@
 	})
 }
 
-// chat calls a model service.
+// chat sends a completion request to a model service.
 func chat(in *fleet.Instance, model, prompt string, tokens int, stream bool) (fleet.Response, error) {
 	body := fmt.Sprintf(`{"model":%q,"prompt":%q,"max_tokens":%d,"stream":%v}`, model, prompt, tokens, stream)
 	return in.Post("/v1/completions", body, nil)
 }
 
-// wantText is the text that the stand-in engine answers with.
+// wantText returns the text with which the stand-in engine answers a prompt.
 func wantText(prompt string, tokens int) string {
 	var b strings.Builder
 	for i := range tokens {
@@ -230,7 +232,7 @@
 	return b.String()
 }
 
-// runBirchctl runs birchctl and returns its status and output.
+// runBirchctl runs birchctl and returns its exit status and output.
 func (w *testbed) runBirchctl(args ...string) (int, string) {
 	w.t.Helper()
 	p, err := fleet.Start("birchctl", filepath.Join(bin, "birchctl"), args...)
@@ -244,7 +246,7 @@
 	return status, p.Log()
 }
 
-// writeFile puts text into a file of the test's own.
+// writeFile writes text to a file in a temporary directory of the test and returns its path.
 func (w *testbed) writeFile(name, text string) string {
 	w.t.Helper()
 	path := filepath.Join(w.t.TempDir(), name)
