--- a/deploy/days/play.sh
+++ b/deploy/days/play.sh
@@ -1,12 +1,13 @@
 #!/usr/bin/env bash
-# Plays every day of this folder on a site and prints a table of what came of
-# each: its name, the share of requests served, and the rules that broke.
+# Plays the days in this folder (fault scenarios) on a site and prints a table with one
+# line a day: its name, the share of requests served and the rules that it broke.
 #
 #   deploy/days/play.sh BENCH SITE [PATTERN]
 #
-# BENCH is the users' bench program, SITE a site file. JOBS days are played at a
-# time (4 unless set), each with the seed SEED where that is set. Days name classes,
-# services and zones by their place (@c0, @s0, @z0), so that they fit every site.
+# BENCH is the users' bench program, SITE a site file, and PATTERN a shell pattern of the
+# names of the days to play. JOBS days (default 4) run concurrently, each with the seed
+# SEED if that is set. Days refer to classes, services and zones by index (@c0, @s0, @z0),
+# so that they work on every site.
 set -euo pipefail
 bench=$(realpath "$1")
 site=$(realpath "$2")
