--- a/standin/engine/sequence.go
+++ b/standin/engine/sequence.go
@@ -235,7 +235,7 @@
 		alone := s.readers == 0 && !s.ended
 		s.mu.Unlock()
 		if alone {
-			s.stop("nobody reads")
+			s.stop("no readers left")
 		}
 	})
 }
