--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -1,6 +1,6 @@
 // Package engine provides a small stand-in for a model engine: continuous
 // batching with a bounded number of sequences, a prefix cache of limited size,
-// accelerator memory that it refuses loudly to overcommit, fenced orders, and
+// accelerator memory with logged refusals of overcommitment, fenced orders, and
 // streams that can be resumed and cancelled.
 package engine
 
@@ -21,22 +21,22 @@
 	"github.com/birchdrift/birchdrift/standin/fault"
 )
 
-// Options shape one engine.
+// Options configure an engine.
 type Options struct {
 	Name             string
 	MemoryMiB        int64
 	Sequences        int
 	ChecksFence      bool
-	TokenTime        time.Duration // between tokens of a sequence that runs alone
+	TokenTime        time.Duration // time between tokens of a sequence that runs alone
 	PrefillPerSecond int           // prompt tokens; 0 is instant
-	CacheBlocks      int           // prefix blocks remembered
+	CacheBlocks      int           // capacity of the prefix cache, in blocks
 	MiBPerSecond     int64         // load speed; 0 is instant
 	WeightStore      string        // IP:port of the platform stand-in, "" for none
-	LoadLag          time.Duration // how old reported loads are
-	Linger           time.Duration // how long a sequence outlives its connection
+	LoadLag          time.Duration // age of reported loads
+	Linger           time.Duration // time for which a sequence outlives its connection
 }
 
-// DefaultOptions returns a small quick engine.
+// DefaultOptions returns the options of a small, fast engine.
 func DefaultOptions(name string) Options {
 	return Options{
 		Name: name, MemoryMiB: 40 << 10, Sequences: 8, ChecksFence: true,
@@ -45,21 +45,21 @@
 	}
 }
 
-// Faults are the ways in which the stand-in misbehaves.
+// Faults are the faults that the stand-in simulates.
 type Faults struct {
-	CutEvery   int            `json:"cut_every"`  // cut each stream's connection after so many pieces
-	Freeze     bool           `json:"freeze"`     // answer nothing and generate nothing
+	CutEvery   int            `json:"cut_every"`  // cut each stream's connection after this many pieces
+	Freeze     bool           `json:"freeze"`     // send no replies and generate nothing
 	Slow       fault.Duration `json:"slow"`       // added to the time to first token
-	OrderLost  int            `json:"order_lost"` // drop the answers of the next n orders after their effect
-	OrderLate  int            `json:"order_late"` // carry out the next n orders late, after dropping their connections
-	LateBy     fault.Duration `json:"late_by"`    // how late
-	Duplicates bool           `json:"duplicates"` // send pieces twice and pieces of other calls between
+	OrderLost  int            `json:"order_lost"` // drop the replies to the next n orders after their effect
+	OrderLate  int            `json:"order_late"` // delay the next n orders by LateBy, after dropping their connections
+	LateBy     fault.Duration `json:"late_by"`    // delay of OrderLate
+	Duplicates bool           `json:"duplicates"` // send pieces twice, with pieces of other calls in between
 	Refuse     bool           `json:"refuse"`     // refuse calls as not run
 }
 
-// Counts are what the stand-in did.
+// Counts are the stand-in's counters.
 type Counts struct {
-	Executed    map[string]int `json:"executed"` // by call, how often it was begun
+	Executed    map[string]int `json:"executed"` // number of starts by call
 	Overcommits int            `json:"overcommits"`
 	Loads       int            `json:"loads"`
 	Unloads     int            `json:"unloads"`
@@ -75,28 +75,28 @@
 	refs  int // sequences that use it
 }
 
-// An Engine is the stand-in. It is safe for concurrent use.
+// An Engine is a stand-in for a model engine. It is safe for concurrent use.
 type Engine struct {
 	Faults fault.Injector[Faults]
 	opt    Options
 
-	mu        sync.Mutex
-	boot      uint64
-	change    uint64
-	seq       uint64
-	fence     uint64
-	lastOrder uint64
-	leaving   bool
-	items     map[string]*item
-	calls     map[string]*sequence
-	running   int
-	waiting   []*sequence
-	cache     map[uint64]uint64 // last use by block
-	clock     uint64
-	counts    Counts
-	lagged    []loadSample
-	closed    chan struct{}
-	generated atomic.Int64
+	mu          sync.Mutex
+	boot        uint64
+	change      uint64
+	seq         uint64
+	fence       uint64
+	lastOrder   uint64
+	leaving     bool
+	items       map[string]*item
+	calls       map[string]*sequence
+	running     int
+	waiting     []*sequence
+	cache       map[uint64]uint64 // last use by block, as a count of uses
+	clock       uint64
+	counts      Counts
+	loadSamples []loadSample
+	closed      chan struct{}
+	generated   atomic.Int64
 }
 
 type loadSample struct {
@@ -117,41 +117,42 @@
 	}
 }
 
-// Close ends every sequence.
+// Close stops every sequence.
 func (e *Engine) Close() { close(e.closed) }
 
 // Handler returns the engine's HTTP interface.
 func (e *Engine) Handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST "+wire.PathGenerate, e.frozen(e.generate))
-	mux.HandleFunc("POST "+wire.PathResume, e.frozen(e.resume))
-	mux.HandleFunc("POST "+wire.PathCancel, e.frozen(e.cancel))
-	mux.HandleFunc("GET "+wire.PathState, e.frozen(e.state))
-	mux.HandleFunc("POST "+wire.PathOrders, e.frozen(e.orders))
+	mux.HandleFunc("POST "+wire.PathGenerate, e.holdWhileFrozen(e.generate))
+	mux.HandleFunc("POST "+wire.PathResume, e.holdWhileFrozen(e.resume))
+	mux.HandleFunc("POST "+wire.PathCancel, e.holdWhileFrozen(e.cancel))
+	mux.HandleFunc("GET "+wire.PathState, e.holdWhileFrozen(e.state))
+	mux.HandleFunc("POST "+wire.PathOrders, e.holdWhileFrozen(e.orders))
 	mux.HandleFunc("GET /counts", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, e.Counts()) })
 	mux.HandleFunc("POST /fault", e.Faults.Handler())
 	mux.HandleFunc("POST /leave", func(http.ResponseWriter, *http.Request) { e.MarkLeaving() })
 	return mux
 }
 
-// frozen holds requests for as long as the engine is frozen.
-func (e *Engine) frozen(next http.HandlerFunc) http.HandlerFunc {
+// holdWhileFrozen delays requests while the engine is frozen.
+func (e *Engine) holdWhileFrozen(next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		if !e.thaw(r.Context().Done()) {
+		if !e.waitUntilThawed(r.Context().Done()) {
 			return
 		}
 		next(w, r)
 	}
 }
 
-// frozenPoll is how often a frozen engine looks whether it still is.
-const frozenPoll = 5 * time.Millisecond
+// frozenPollInterval is the time between checks of whether the engine is still frozen.
+const frozenPollInterval = 5 * time.Millisecond
 
-// thaw waits until the engine is not frozen; false if gone comes first.
-func (e *Engine) thaw(gone <-chan struct{}) bool {
+// waitUntilThawed waits until the engine is not frozen. It returns false if gone is closed
+// or the engine closes first.
+func (e *Engine) waitUntilThawed(gone <-chan struct{}) bool {
 	for e.Faults.Get().Freeze {
 		select {
-		case <-time.After(frozenPoll):
+		case <-time.After(frozenPollInterval):
 		case <-gone:
 			return false
 		case <-e.closed:
@@ -163,10 +164,10 @@
 
 func writeJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(v) // the caller's connection tells of a failure
+	_ = json.NewEncoder(w).Encode(v) // the caller sees a failed write as a broken connection
 }
 
-// MarkLeaving has the engine say that it is leaving and refuse new calls.
+// MarkLeaving makes the engine report that it is leaving and refuse new calls.
 func (e *Engine) MarkLeaving() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -174,7 +175,7 @@
 	e.change++
 }
 
-// Restart empties the engine as a new process would be, under a later boot.
+// Restart resets the engine to the state of a new process, with a later boot number.
 func (e *Engine) Restart() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -188,16 +189,16 @@
 	e.cache = map[uint64]uint64{}
 }
 
-// Preload puts items into memory, ready, as if loaded before.
+// Preload puts an item into memory in the ready phase, as if loaded before.
 func (e *Engine) Preload(name, base string, mib int64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.items[name] = &item{phase: "ready", base: base, mib: mib}
 	e.change++
-	e.notePeak()
+	e.updatePeak()
 }
 
-// Counts returns what the engine did so far.
+// Counts returns a copy of the counters.
 func (e *Engine) Counts() Counts {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -228,9 +229,9 @@
 	return sum
 }
 
-func (e *Engine) notePeak() { e.counts.PeakMiB = max(e.counts.PeakMiB, e.used()) }
+func (e *Engine) updatePeak() { e.counts.PeakMiB = max(e.counts.PeakMiB, e.used()) }
 
-// State returns what the engine says of itself.
+// State returns the state that the engine reports.
 func (e *Engine) State() wire.State {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -251,19 +252,19 @@
 	return s
 }
 
-// reportedLoad is the load as it was LoadLag ago.
+// reportedLoad returns the load as it was LoadLag ago.
 func (e *Engine) reportedLoad() (running, waiting int) {
 	now := time.Now()
-	e.lagged = append(e.lagged, loadSample{now, e.running, len(e.waiting)})
-	for len(e.lagged) > 1 && now.Sub(e.lagged[1].at) >= e.opt.LoadLag {
-		e.lagged = e.lagged[1:]
+	e.loadSamples = append(e.loadSamples, loadSample{now, e.running, len(e.waiting)})
+	for len(e.loadSamples) > 1 && now.Sub(e.loadSamples[1].at) >= e.opt.LoadLag {
+		e.loadSamples = e.loadSamples[1:]
 	}
-	return e.lagged[0].running, e.lagged[0].waiting
+	return e.loadSamples[0].running, e.loadSamples[0].waiting
 }
 
 func (e *Engine) state(w http.ResponseWriter, _ *http.Request) { writeJSON(w, e.State()) }
 
-// refuse says that a call did not run and never will.
+// refuse replies that a call did not run and never will.
 func (e *Engine) refuse(w http.ResponseWriter, status int, leaving bool, detail string) {
 	w.Header().Set(upstream.HeaderRun, "not_run")
 	if leaving {
@@ -278,7 +279,7 @@
 		e.refuse(w, http.StatusBadRequest, false, err.Error())
 		return
 	}
-	s, status, detail := e.begin(req)
+	s, status, detail := e.admit(req)
 	if s == nil {
 		e.refuse(w, status, status == http.StatusServiceUnavailable, detail)
 		return
@@ -287,8 +288,9 @@
 	e.stream(w, r, s, 0)
 }
 
-// begin takes a call in, or says why not.
-func (e *Engine) begin(req wire.GenerateRequest) (*sequence, int, string) {
+// admit creates the sequence of a call. If the call is refused, it returns nil with the
+// status and the reason.
+func (e *Engine) admit(req wire.GenerateRequest) (*sequence, int, string) {
 	f := e.Faults.Get()
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -351,8 +353,8 @@
 	}
 }
 
-// prefill returns the time to read the prompt, less what the cache holds, and
-// puts the prompt's blocks into the cache; e.mu is held.
+// prefill returns the time to prefill the part of the prompt that is not cached and adds
+// the prompt's blocks to the cache. e.mu must be held.
 func (e *Engine) prefill(model, prompt string) time.Duration {
 	const block = 1024
 	if e.opt.PrefillPerSecond == 0 {
@@ -390,8 +392,8 @@
 	}
 }
 
-// PieceText is the piece at offset of a call's answer: it names its call and its
-// place, so that a test can tell whose it is.
+// PieceText returns the text of the piece at offset of the answer to prompt. It identifies
+// the prompt and the offset, so that a test can tell which call a piece belongs to.
 func PieceText(prompt string, offset int) string {
 	return strconv.FormatUint(xxhash.Sum64String(prompt)%1e9, 36) + "." + strconv.Itoa(offset) + " "
 }
--- a/standin/engine/sequence.go
+++ b/standin/engine/sequence.go
@@ -10,34 +10,34 @@
 	wire "github.com/birchdrift/birchdrift/internal/own/engine"
 )
 
-// A sequence is one call that the engine runs.
+// A sequence is a call that the engine runs or holds in its queue.
 type sequence struct {
 	engine *Engine
 	req    wire.GenerateRequest
 	items  []string
 	slot   chan struct{} // closed when it may run
 
-	mu      sync.Mutex
-	made    int // pieces made
-	ended   bool
-	stopped string        // why it was stopped early
-	changed chan struct{} // closed and replaced with every change
-	readers int
-	halt    chan struct{}
-	once    sync.Once
+	mu            sync.Mutex
+	pieceCount    int // pieces generated so far
+	ended         bool
+	stopReason    string        // why it was stopped early, "" if it was not
+	changed       chan struct{} // closed and replaced with every change
+	readers       int
+	stopRequested chan struct{}
+	once          sync.Once
 }
 
 func newSequence(e *Engine, req wire.GenerateRequest, items []string) *sequence {
 	return &sequence{
 		engine: e, req: req, items: items,
-		slot: make(chan struct{}), changed: make(chan struct{}), halt: make(chan struct{}),
+		slot: make(chan struct{}), changed: make(chan struct{}), stopRequested: make(chan struct{}),
 	}
 }
 
 // stop ends the sequence early.
 func (s *sequence) stop(why string) {
-	s.once.Do(func() { close(s.halt) })
-	s.update(func() { s.stopped = why })
+	s.once.Do(func() { close(s.stopRequested) })
+	s.update(func() { s.stopReason = why })
 }
 
 func (s *sequence) update(f func()) {
@@ -48,8 +48,8 @@
 	s.changed = make(chan struct{})
 }
 
-// run makes the pieces: wait for a slot, read the prompt, then one token after
-// the other.
+// run generates the pieces: it waits for a slot, prefills the prompt and then
+// generates one token at a time.
 func (s *sequence) run() {
 	e := s.engine
 	defer s.release()
@@ -64,11 +64,11 @@
 		return
 	}
 	for i := 0; i < s.req.MaxTokens; i++ {
-		if !s.sleep(e.tokenTime()) || !e.thaw(s.halt) {
+		if !s.sleep(e.tokenTime()) || !e.waitUntilThawed(s.stopRequested) {
 			return
 		}
 		e.generated.Add(1)
-		s.update(func() { s.made++ })
+		s.update(func() { s.pieceCount++ })
 	}
 	s.update(func() { s.ended = true })
 }
@@ -82,15 +82,15 @@
 	select {
 	case <-timer.C:
 		return true
-	case <-s.halt:
+	case <-s.stopRequested:
 		return false
 	case <-s.engine.closed:
 		return false
 	}
 }
 
-// release gives back what the sequence used. What it made stays for Linger, so
-// that a cut stream can still be resumed.
+// release releases the sequence's items. The sequence itself is kept for Linger, so
+// that a cut stream can be resumed.
 func (s *sequence) release() {
 	e := s.engine
 	e.mu.Lock()
@@ -109,7 +109,8 @@
 	})
 }
 
-// tokenTime grows with the batch: at a full one a token takes half as long again.
+// tokenTime returns the time to generate a token. It grows with the batch: with a full
+// batch it is 1.5 times Options.TokenTime.
 func (e *Engine) tokenTime() time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -117,7 +118,8 @@
 	return time.Duration(float64(e.opt.TokenTime) * (1 + 0.5*share))
 }
 
-// takeSlot waits for one of the engine's sequences, the highest priority first.
+// takeSlot waits for one of the engine's slots, which go to the highest priority first.
+// It returns false if the sequence is stopped or the engine closes.
 func (e *Engine) takeSlot(s *sequence) bool {
 	e.mu.Lock()
 	if e.running < e.opt.Sequences {
@@ -131,15 +133,15 @@
 	select {
 	case <-s.slot:
 		return true
-	case <-s.halt:
+	case <-s.stopRequested:
 	case <-e.closed:
 	}
-	return e.leaveWaiting(s)
+	return e.cancelWaiting(s)
 }
 
-// leaveWaiting takes s out of the line; if its slot came at the same moment,
-// the slot goes on to the next.
-func (e *Engine) leaveWaiting(s *sequence) bool {
+// cancelWaiting removes s from the queue. If s got a slot at the same moment, the slot
+// passes to the next sequence.
+func (e *Engine) cancelWaiting(s *sequence) bool {
 	e.mu.Lock()
 	for i, w := range e.waiting {
 		if w == s {
@@ -165,17 +167,17 @@
 	close(next.slot)
 }
 
-// stream writes the pieces from offset on as they are made.
+// stream writes the pieces from offset on as they are generated.
 func (e *Engine) stream(w http.ResponseWriter, r *http.Request, s *sequence, offset int) {
 	w.Header().Set("Content-Type", "application/x-ndjson")
-	s.attach(1)
-	defer s.attach(-1)
+	s.addReaders(1)
+	defer s.addReaders(-1)
 	enc := json.NewEncoder(w)
 	flush := http.NewResponseController(w)
 	sent := 0
 	for {
 		s.mu.Lock()
-		made, ended, stopped, changed := s.made, s.ended, s.stopped, s.changed
+		made, ended, stopped, changed := s.pieceCount, s.ended, s.stopReason, s.changed
 		s.mu.Unlock()
 		f := e.Faults.Get()
 		for ; offset < made; offset++ {
@@ -204,7 +206,8 @@
 	}
 }
 
-// write writes one piece, with others that are not wanted if so told.
+// write writes one piece, with duplicate and foreign pieces around it if
+// Faults.Duplicates is set.
 func (e *Engine) write(enc *json.Encoder, s *sequence, offset int, f Faults) {
 	p := wire.Piece{ID: s.req.ID, Offset: offset, Text: PieceText(s.req.Prompt, offset)}
 	if f.Duplicates {
@@ -217,9 +220,9 @@
 	_ = enc.Encode(p)
 }
 
-// attach counts the connections that read the sequence; one that nobody reads
-// for Linger is dropped.
-func (s *sequence) attach(n int) {
+// addReaders adds n to the number of connections that read the sequence. A sequence
+// without readers is stopped after Linger if it still has none.
+func (s *sequence) addReaders(n int) {
 	s.mu.Lock()
 	s.readers += n
 	alone := s.readers == 0 && !s.ended
@@ -232,7 +235,7 @@
 		alone := s.readers == 0 && !s.ended
 		s.mu.Unlock()
 		if alone {
-			s.stop("nobody reads")
+			s.stop("no readers left")
 		}
 	})
 }
--- a/standin/integration/answers_test.go
+++ b/standin/integration/answers_test.go
@@ -17,8 +17,8 @@
 	"github.com/birchdrift/birchdrift/standin/fleet"
 )
 
-// A chunk is what a test needs of one event of a stream.
-type chunk struct {
+// A streamEvent holds the fields of a stream's event that the tests check.
+type streamEvent struct {
 	Choices []struct {
 		Text         string  `json:"text"`
 		FinishReason *string `json:"finish_reason"`
@@ -29,16 +29,16 @@
 	} `json:"error"`
 }
 
-// A streamed answer as its caller can tell it.
-type streamed struct {
+// A streamResult is a streamed answer as its caller sees it.
+type streamResult struct {
 	text   string
 	ended  bool // "[DONE]" came
 	failed int  // code of the error event, 0 if none came
-	cut    bool // the connection was cut rather than ended
+	cut    bool // the connection was cut instead of closed normally
 }
 
-func readStream(body string, err error) (streamed, error) {
-	var s streamed
+func readStream(body string, err error) (streamResult, error) {
+	var s streamResult
 	s.cut = err != nil
 	scanner := bufio.NewScanner(strings.NewReader(body))
 	for scanner.Scan() {
@@ -50,7 +50,7 @@
 			s.ended = true
 			continue
 		}
-		var c chunk
+		var c streamEvent
 		if err := json.Unmarshal([]byte(data), &c); err != nil {
 			return s, err
 		}
@@ -63,16 +63,16 @@
 	return s, nil
 }
 
-// oneEngine is a world with one model on one engine and one instance.
-func oneEngine(t *testing.T, change func(*engine.Options)) (*world, *fleet.Instance, *engine.Engine) {
-	w := newWorld(t)
-	w.zone("z1")
-	e := w.engine("e1", "z1", change)
-	w.model("m1", 1000)
-	in := w.start("entry-1", "z1")
+// oneEngine returns a testbed with one model on one engine and one instance.
+func oneEngine(t *testing.T, change func(*engine.Options)) (*testbed, *fleet.Instance, *engine.Engine) {
+	w := newTestbed(t)
+	w.addZones("z1")
+	e := w.addEngine("e1", "z1", change)
+	w.addModel("m1", 1000)
+	in := w.startInstance("entry-1", "z1")
 	w.apply()
-	w.resident("e1", "m1")
-	w.seen(in, "e1", "m1")
+	w.awaitReadyOn("e1", "m1")
+	w.awaitSeenBy(in, "e1", "m1")
 	return w, in, e
 }
 
@@ -84,12 +84,12 @@
 	is.Equal(a.Status, http.StatusOK)
 	is.Equal(a.Instance, "entry-1")
 	is.Equal(a.Upstream, "e1")
-	is.True(strings.Contains(a.Body, want("which crates", 20)))
+	is.True(strings.Contains(a.Body, wantText("which crates", 20)))
 }
 
-// TestInterleavedStreamsAreWhole: hundreds of streams of distinct content at
-// once, each cut at the engine again and again, with late, doubled and foreign
-// pieces between; every caller gets all of its own answer and nothing else.
+// TestInterleavedStreamsAreWhole runs 300 concurrent streams of distinct content. The
+// engine cuts each of them after every 13 pieces and adds late, duplicate and foreign
+// pieces. Every caller must get its own complete answer and nothing else.
 func TestInterleavedStreamsAreWhole(t *testing.T) {
 	_, in, e := oneEngine(t, func(o *engine.Options) { o.Sequences = 400 })
 	const streams, tokens = 300, 40
@@ -106,7 +106,7 @@
 			if err != nil {
 				return err
 			}
-			if !s.ended || s.cut || s.failed != 0 || s.text != want(prompt, tokens) {
+			if !s.ended || s.cut || s.failed != 0 || s.text != wantText(prompt, tokens) {
 				return fmt.Errorf("stream %d: %+v", i, s)
 			}
 			return nil
@@ -117,7 +117,7 @@
 	}
 	for call, n := range e.Counts().Executed {
 		if n != 1 {
-			t.Fatalf("call %s was begun %d times: a resume must not run it again", call, n)
+			t.Fatalf("call %s was started %d times: a resume must not run it again", call, n)
 		}
 	}
 	st, err := in.Status()
@@ -126,9 +126,9 @@
 	}
 }
 
-// TestCutThatCannotResumeIsSeenAsCut: when the engine's process is lost after
-// a part was delivered, the caller sees an error event and a cut connection,
-// never an end.
+// TestCutThatCannotResumeIsSeenAsCut checks that the caller sees an error event and a cut
+// connection, never a normal end, if the engine process is lost after part of the answer
+// was delivered.
 func TestCutThatCannotResumeIsSeenAsCut(t *testing.T) {
 	is := is.New(t)
 	_, in, e := oneEngine(t, func(o *engine.Options) { o.TokenTime = 20 * time.Millisecond })
@@ -148,23 +148,23 @@
 	is.Equal(s.failed, 303) // stream_cut
 }
 
-// TestNothingDeliveredStartsAnew: when nothing was delivered yet, a repeatable
-// call starts again elsewhere and is whole.
-func TestNothingDeliveredStartsAnew(t *testing.T) {
+// TestUndeliveredCallIsRetriedElsewhere checks that a repeatable call of which nothing was
+// delivered is retried on another engine and served completely.
+func TestUndeliveredCallIsRetriedElsewhere(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t)
-	w.zone("z1")
+	w := newTestbed(t)
+	w.addZones("z1")
 	slow := func(o *engine.Options) { o.TokenTime = 10 * time.Millisecond }
-	w.engine("e1", "z1", slow)
-	w.engine("e2", "z1", slow)
-	w.model("m1", 1000)
+	w.addEngine("e1", "z1", slow)
+	w.addEngine("e2", "z1", slow)
+	w.addModel("m1", 1000)
 	for _, e := range w.engines {
 		e.Preload("m1", "", 1000)
 	}
-	in := w.start("entry-1", "z1")
+	in := w.startInstance("entry-1", "z1")
 	w.apply()
-	w.seen(in, "e1", "m1")
-	w.seen(in, "e2", "m1")
+	w.awaitSeenBy(in, "e1", "m1")
+	w.awaitSeenBy(in, "e2", "m1")
 	var group errgroup.Group
 	for i := range 8 {
 		group.Go(func() error {
@@ -173,7 +173,7 @@
 			if err != nil {
 				return err
 			}
-			if a.Status != http.StatusOK || !strings.Contains(a.Body, want(prompt, 60)) {
+			if a.Status != http.StatusOK || !strings.Contains(a.Body, wantText(prompt, 60)) {
 				return fmt.Errorf("call %d: %d %s", i, a.Status, a.Body)
 			}
 			return nil
@@ -184,8 +184,8 @@
 	is.NoErr(group.Wait())
 }
 
-// TestCallerThatGoesAwayFreesItsSequence: the engine drops the sequence of a
-// caller that closed its connection.
+// TestCallerThatGoesAwayFreesItsSequence checks that the sequence of a caller that closed
+// its connection is cancelled at the engine.
 func TestCallerThatGoesAwayFreesItsSequence(t *testing.T) {
 	is := is.New(t)
 	w, in, e := oneEngine(t, func(o *engine.Options) { o.TokenTime = 20 * time.Millisecond; o.Linger = time.Hour })
@@ -198,22 +198,22 @@
 	w.await("the sequence is freed", func() bool { return e.Counts().Cancelled == 1 && e.State().Running == 0 })
 }
 
-// TestFrozenEngineIsLeft: calls that a frozen engine holds go on elsewhere,
-// and no caller is left waiting for ever.
-func TestFrozenEngineIsLeft(t *testing.T) {
+// TestCallsMoveOffFrozenEngine checks that calls held by a frozen engine are served
+// elsewhere, so that no caller waits forever.
+func TestCallsMoveOffFrozenEngine(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t)
-	w.zone("z1")
-	w.engine("e1", "z1", nil)
-	w.engine("e2", "z1", nil)
-	w.model("m1", 1000)
+	w := newTestbed(t)
+	w.addZones("z1")
+	w.addEngine("e1", "z1", nil)
+	w.addEngine("e2", "z1", nil)
+	w.addModel("m1", 1000)
 	for _, e := range w.engines {
 		e.Preload("m1", "", 1000)
 	}
-	in := w.start("entry-1", "z1", "--stall", "500ms")
+	in := w.startInstance("entry-1", "z1", "--stall", "500ms")
 	w.apply()
-	w.seen(in, "e1", "m1")
-	w.seen(in, "e2", "m1")
+	w.awaitSeenBy(in, "e1", "m1")
+	w.awaitSeenBy(in, "e2", "m1")
 	w.engines["e1"].Faults.Set(engine.Faults{Freeze: true})
 	var group errgroup.Group
 	for i := range 20 {
--- a/standin/integration/world_test.go
+++ b/standin/integration/world_test.go
@@ -1,4 +1,4 @@
-// Package integration drives the real program, as separate processes, against
+// Package integration tests the real program, run as separate processes, against
 // the stand-ins.
 package integration
 
@@ -22,7 +22,7 @@
 	"github.com/birchdrift/birchdrift/standin/service"
 )
 
-// bin holds the programs, built once.
+// bin is the directory of the programs, which are built once.
 var bin string
 
 func TestMain(m *testing.M) {
@@ -44,8 +44,9 @@
 	}())
 }
 
-// A world is the stand-ins, in this process, and the instances, in their own.
-type world struct {
+// A testbed holds the stand-ins, which run in this process, and the instances, which run
+// as separate processes.
+type testbed struct {
 	t         *testing.T
 	platform  *platform.Platform
 	address   string // of the platform
@@ -56,16 +57,16 @@
 	doc       config.Document
 }
 
-func newWorld(t *testing.T) *world {
+func newTestbed(t *testing.T) *testbed {
 	t.Helper()
-	w := &world{
+	w := &testbed{
 		t: t, platform: platform.New(platform.DefaultLimits()),
 		engines: map[string]*engine.Engine{}, services: map[string]*service.Service{},
 		servers: map[string]*httptest.Server{}, instances: map[string]*fleet.Instance{},
 	}
 	w.usePlatform(w.platform)
 	w.doc.Residency = config.Residency{MinimumStay: config.DefaultMinimumStay}
-	t.Cleanup(func() { // runs before the platform's: it was added later
+	t.Cleanup(func() { // runs before the platform's cleanup, which was registered first
 		for _, in := range w.instances {
 			in.Kill()
 		}
@@ -80,8 +81,8 @@
 	return w
 }
 
-// usePlatform has the world talk to p from now on.
-func (w *world) usePlatform(p *platform.Platform) {
+// usePlatform replaces the testbed's platform by p.
+func (w *testbed) usePlatform(p *platform.Platform) {
 	w.platform = p
 	server := httptest.NewServer(p.Handler())
 	w.address = server.Listener.Addr().String()
@@ -91,18 +92,18 @@
 	})
 }
 
-// fleetPatience bounds a wait at the platform.
-const fleetPatience = fleet.AwaitTimeout
+// watchWait is the time limit of a watch at the platform.
+const watchWait = fleet.AwaitTimeout
 
-// zone adds an availability zone.
-func (w *world) zone(names ...string) {
+// addZones adds availability zones.
+func (w *testbed) addZones(names ...string) {
 	for _, name := range names {
 		w.doc.Zones = append(w.doc.Zones, config.Zone{Name: name})
 	}
 }
 
-// engine adds an engine; change may alter its options.
-func (w *world) engine(name, zone string, change func(*engine.Options)) *engine.Engine {
+// addEngine adds an engine; change may alter its options.
+func (w *testbed) addEngine(name, zone string, change func(*engine.Options)) *engine.Engine {
 	opt := engine.DefaultOptions(name)
 	opt.TokenTime = 0
 	opt.MiBPerSecond = 0
@@ -119,16 +120,16 @@
 	return e
 }
 
-// model adds a model with a service of its own, "svc-" before the name.
-func (w *world) model(name string, mib int64) {
+// addModel adds a model with its own service, named "svc-" and the model's name.
+func (w *testbed) addModel(name string, mib int64) {
 	w.doc.Models = append(w.doc.Models, config.Model{Name: name, MemoryMiB: mib, PrefillPerSecond: 100000, LoadTime: 100_000_000})
 	w.doc.Services = append(w.doc.Services, config.Service{
 		Name: "svc-" + name, Versions: []config.Version{{Name: "v1", Model: name, Share: 1}},
 	})
 }
 
-// plain adds a replica to a plain service.
-func (w *world) plain(svc, name, zone string) *service.Service {
+// addReplica adds a replica to a plain service.
+func (w *testbed) addReplica(svc, name, zone string) *service.Service {
 	s := service.New(name)
 	w.services[name] = s
 	w.servers[name] = httptest.NewServer(s.Handler())
@@ -145,13 +146,14 @@
 	return s
 }
 
-// quick are settings under which what takes seconds takes tenths of them.
-var quick = []string{"--lease-term", "2s", "--exchange-every", "200ms", "--read-every", "100ms", "--stall", "3s", "--stop-delay", "200ms"}
+// fastSettings are flags with shorter intervals and timeouts than the defaults, so that
+// tests take less time.
+var fastSettings = []string{"--lease-term", "2s", "--exchange-every", "200ms", "--read-every", "100ms", "--stall", "3s", "--stop-delay", "200ms"}
 
-// start starts an entry instance and puts it into the platform's list.
-func (w *world) start(name, zone string, extra ...string) *fleet.Instance {
+// startInstance starts an entry instance and adds it to the platform's list.
+func (w *testbed) startInstance(name, zone string, extra ...string) *fleet.Instance {
 	w.t.Helper()
-	in, err := fleet.StartInstance(bin, fleet.InstanceSpec{Name: name, Zone: zone, Platform: w.address, Extra: append(append([]string(nil), quick...), extra...)})
+	in, err := fleet.StartInstance(bin, fleet.InstanceSpec{Name: name, Zone: zone, Platform: w.address, Extra: append(append([]string(nil), fastSettings...), extra...)})
 	if err != nil {
 		w.t.Fatal(err)
 	}
@@ -167,10 +169,10 @@
 
 func transports() upstream.Transports { return upstream.NewTransports() }
 
-func (w *world) client() *keyvalue.Client { return keyvalue.NewClient(w.address, transports()) }
+func (w *testbed) client() *keyvalue.Client { return keyvalue.NewClient(w.address, transports()) }
 
-// apply puts the document in force and waits until every instance has it.
-func (w *world) apply() uint64 {
+// apply applies the document and waits until every instance has its revision.
+func (w *testbed) apply() uint64 {
 	w.t.Helper()
 	revision, err := control.Apply(context.Background(), w.client(), w.doc)
 	if err != nil {
@@ -185,21 +187,21 @@
 	return revision
 }
 
-func (w *world) await(what string, holds func() bool) {
+func (w *testbed) await(what string, holds func() bool) {
 	w.t.Helper()
 	if err := fleet.Await(what, holds); err != nil {
 		w.t.Fatal(err)
 	}
 }
 
-// resident waits until a model is ready on an engine.
-func (w *world) resident(engineName, item string) {
+// awaitReadyOn waits until an item is ready on an engine.
+func (w *testbed) awaitReadyOn(engineName, item string) {
 	w.t.Helper()
 	w.await(item+" is ready on "+engineName, func() bool { return w.engines[engineName].ItemPhase(item) == "ready" })
 }
 
-// seen waits until an instance knows that a model is ready on an engine.
-func (w *world) seen(in *fleet.Instance, engineName, item string) {
+// awaitSeenBy waits until an instance knows that an item is ready on an engine.
+func (w *testbed) awaitSeenBy(in *fleet.Instance, engineName, item string) {
 	w.t.Helper()
 	w.await(in.Name+" sees "+item, func() bool {
 		st, err := in.Status()
@@ -215,14 +217,14 @@
 	})
 }
 
-// chat calls a model service.
+// chat sends a completion request to a model service.
 func chat(in *fleet.Instance, model, prompt string, tokens int, stream bool) (fleet.Response, error) {
 	body := fmt.Sprintf(`{"model":%q,"prompt":%q,"max_tokens":%d,"stream":%v}`, model, prompt, tokens, stream)
 	return in.Post("/v1/completions", body, nil)
 }
 
-// want is the text that the stand-in engine answers with.
-func want(prompt string, tokens int) string {
+// wantText returns the text with which the stand-in engine answers a prompt.
+func wantText(prompt string, tokens int) string {
 	var b strings.Builder
 	for i := range tokens {
 		b.WriteString(engine.PieceText(prompt, i))
@@ -230,8 +232,8 @@
 	return b.String()
 }
 
-// ctl runs birchctl and returns its status and output.
-func (w *world) ctl(args ...string) (int, string) {
+// runBirchctl runs birchctl and returns its exit status and output.
+func (w *testbed) runBirchctl(args ...string) (int, string) {
 	w.t.Helper()
 	p, err := fleet.Start("birchctl", filepath.Join(bin, "birchctl"), args...)
 	if err != nil {
@@ -244,8 +246,8 @@
 	return status, p.Log()
 }
 
-// write puts text into a file of the test's own.
-func (w *world) write(name, text string) string {
+// writeFile writes text to a file in a temporary directory of the test and returns its path.
+func (w *testbed) writeFile(name, text string) string {
 	w.t.Helper()
 	path := filepath.Join(w.t.TempDir(), name)
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -254,4 +256,4 @@
 	return path
 }
 
-var once = http.Header{"Birchdrift-Not-Repeatable": {"true"}}
+var notRepeatable = http.Header{"Birchdrift-Not-Repeatable": {"true"}}
