--- a/core/instance/own.go
+++ b/core/instance/own.go
@@ -31,15 +31,15 @@
 func (m *Machine) ownEnvironment(totals *demand.Totals) environment {
 	chooser := choose.NewChooser(prefixCacheBlocks)
 	demandMeter := meter.New()
-	p := planner.New(planner.Needs{
+	p := planner.New(planner.Deps{
 		State:   m.state,
 		Chooser: chooser, Meter: demandMeter, Totals: totals,
 		Stopping: m.stop.Started, TellSoon: m.exchanges.TellSoon, TellAll: m.exchanges.TellAll, Tell: m.exchanges.StartWith,
 		Leaving: m.exchanges.LogLeaving,
 	})
-	h := modelcalls.New(modelcalls.Needs{
+	h := modelcalls.New(modelcalls.Deps{
 		State: m.state, Calls: m.calls,
-		Budget: m.budget, Chooser: chooser, Meter: demandMeter, Unmet: p.Unmet,
+		Budget: m.budget, Chooser: chooser, Meter: demandMeter, Unmet: p.ReportUnmet,
 	})
 	w := &kvwatch.Watch{
 		State:   m.state,
@@ -47,7 +47,7 @@
 	}
 	m.forwarding.Missed = func(clock.Instant) {} // this environment has no placer for the models of announced engines
 	m.exchanges.DemandFor = p.DemandFor
-	m.exchanges.DemandHeard = p.DemandHeard
+	m.exchanges.DemandHeard = p.HandleDemand
 	m.exchanges.PlatformBrings = func(clock.Instant) bool { return false } // so a newer configuration is requested from a peer immediately
 	m.exchanges.NextPeer = p.NextPeer
 	parts := &ownParts{planner: p, calls: h, chooser: chooser, meter: demandMeter}
@@ -56,10 +56,10 @@
 		handle:              func(now clock.Instant, ev step.Event) bool { return m.handleOwn(now, parts, ev) },
 		tickBeforeExchanges: []func(now clock.Instant){m.exchanges.TickMesh, w.Tick},
 		tickAfterExchanges:  []func(now clock.Instant){p.Tick},
-		configInstalled:     func(_ clock.Instant, s *config.Snapshot) { p.Configured(s) },
-		handleConfigReply:   w.ConfigReplied,
-		handleListReply:     w.ListReplied,
-		handOver:            func(clock.Instant) { p.HandOver() },
+		configInstalled:     func(_ clock.Instant, s *config.Snapshot) { p.ApplyConfig(s) },
+		handleConfigReply:   w.HandleConfigReply,
+		handleListReply:     w.HandleListReply,
+		handOver:            func(clock.Instant) { p.ReleaseLease() },
 		status:              parts.status,
 	}
 }
@@ -71,15 +71,15 @@
 	case calls.Arrived:
 		o.calls.Arrive(now, e.Call, m.stop.Refusing(now))
 	case modelcalls.ClaimReply:
-		o.calls.ClaimReplied(now, e)
+		o.calls.HandleClaimReply(now, e)
 	case planner.LeaseReply:
-		o.planner.LeaseReplied(now, e)
+		o.planner.HandleLeaseReply(now, e)
 	case planner.IntentsReply:
-		o.planner.IntentsReplied(now, e)
+		o.planner.HandleIntentsReply(now, e)
 	case planner.StateReply:
-		o.planner.StateReplied(now, e)
+		o.planner.HandleStateReply(now, e)
 	case planner.OrderReply:
-		o.planner.OrderReplied(now, e)
+		o.planner.HandleOrderReply(now, e)
 	default:
 		return false
 	}
--- a/core/instance/status.go
+++ b/core/instance/status.go
@@ -23,7 +23,7 @@
 	Fence        uint64                `json:"fence,omitempty"`
 	Calls        int                   `json:"calls"`
 	Waiting      int                   `json:"waiting"`
-	Moves        planner.Moves         `json:"moves"`
+	Moves        planner.OrderCounts   `json:"moves"`
 	Peers        []PeerStatus          `json:"peers,omitempty"`
 	Upstreams    []ReplicaStatus       `json:"upstreams,omitempty"`
 	Demand       []DemandStatus        `json:"demand,omitempty"`
@@ -130,15 +130,15 @@
 
 // status sets the fields that only the product's own environment has.
 func (o *ownParts) status(now clock.Instant, s *Status) {
-	s.Planner = o.planner.Holder()
-	s.Planning = o.planner.Planning()
+	s.Planner = o.planner.ZonePlanner()
+	s.Planning = o.planner.IsPlanner()
 	s.LeaseValid, s.Fence = o.planner.Lease(now)
-	s.Moves = o.planner.Moves()
-	s.Recent = o.calls.Recent()
+	s.Moves = o.planner.OrderCounts()
+	s.Recent = o.calls.RecentDecisions()
 	for i := range s.Upstreams {
 		s.Upstreams[i].FreeMiB = o.planner.FreeMiB(s.Upstreams[i].Name)
 	}
-	for _, d := range o.meter.Items(now) {
+	for _, d := range o.meter.CurrentDemand(now) {
 		s.Demand = append(s.Demand, DemandStatus{Item: d.Name, Rate: d.Rate, Waiting: d.Waiting})
 	}
 }
--- a/core/instance/world_test.go
+++ b/core/instance/world_test.go
@@ -318,11 +318,11 @@
 	switch act := a.(type) {
 	case ConfigInstalled:
 		w.noteInstall(n, act)
-	case kvwatch.Config:
+	case kvwatch.WatchConfig:
 		w.watchConfig(n, act)
-	case kvwatch.List:
+	case kvwatch.WatchList:
 		w.watchList(n, act)
-	case planner.SeekLease:
+	case planner.RequestLease:
 		w.seekLease(n, act)
 	case planner.ReleaseLease:
 		w.send(n, w.platformUp(n), func() func() {
@@ -356,7 +356,7 @@
 	w.install[n.id.Name] = a.Snapshot.Revision()
 }
 
-func (w *world) watchConfig(n *node, a kvwatch.Config) {
+func (w *world) watchConfig(n *node, a kvwatch.WatchConfig) {
 	w.platform.calls++
 	w.send(n, w.platformUp(n), func() func() {
 		v := w.platform.values["config"]
@@ -380,7 +380,7 @@
 	return ConfigReply{Snapshot: s, Encoded: encoded, Source: source}
 }
 
-func (w *world) watchList(n *node, a kvwatch.List) {
+func (w *world) watchList(n *node, a kvwatch.WatchList) {
 	w.platform.calls++
 	w.send(n, w.platformUp(n), func() func() {
 		var news []gossip.Listed
@@ -401,7 +401,7 @@
 	}, func(bool) { w.step(n, listing.Reply{Err: errLost}) })
 }
 
-func (w *world) seekLease(n *node, a planner.SeekLease) {
+func (w *world) seekLease(n *node, a planner.RequestLease) {
 	sent := n.clock(w.now)
 	holder := fmt.Sprintf("%s/%d", n.id.Name, n.id.Boot)
 	w.platform.calls++
--- a/core/own/book/book_test.go
+++ b/core/own/book/book_test.go
@@ -11,7 +11,7 @@
 	"github.com/birchdrift/birchdrift/core/pool"
 )
 
-// The draws are the same on every run; -rapid.seed=0 draws others.
+// The random draws are the same in every run; -rapid.seed=0 selects different ones.
 func init() { _ = flag.Set("rapid.seed", "1") }
 
 func size(string) int64 { return 400 }
@@ -23,110 +23,115 @@
 	}
 }
 
-// TestNothingIsFreeBeforeTheStateIsRead: a new holder knows nothing yet.
+// TestNothingIsFreeBeforeTheStateIsRead checks that a new holder cannot reserve memory on
+// an engine whose state it has not read.
 func TestNothingIsFreeBeforeTheStateIsRead(t *testing.T) {
 	is := is.New(t)
-	e := NewEngine("e", 1000, true)
-	is.Equal(e.Free(), int64(0))
-	is.True(!e.Book(Order{Seq: 1, Op: Load, Item: "a", MiB: 400}))
+	e := NewLedger("e", 1000, true)
+	is.Equal(e.AvailableMiB(), int64(0))
+	is.True(!e.Reserve(Order{Seq: 1, Op: Load, Item: "a", MiB: 400}))
 }
 
-// TestStaleStateFreesNothing: a state read before an order, and delivered after
-// its answer, does not show the item; taking it in would free booked memory.
+// TestStaleStateFreesNothing checks that a state that was read before an order, and
+// delivered after the order's answer, is ignored. It does not show the loaded item, so
+// applying it would free reserved memory.
 func TestStaleStateFreesNothing(t *testing.T) {
 	is := is.New(t)
-	e := NewEngine("e", 1000, true)
+	e := NewLedger("e", 1000, true)
 	e.Observe(state(1, 5, 7, 1), 7, 0, size)
-	is.True(e.Book(Order{Fence: 7, Seq: 2, Op: Load, Item: "a", MiB: 400}))
+	is.True(e.Reserve(Order{Fence: 7, Seq: 2, Op: Load, Item: "a", MiB: 400}))
 	e.Observe(state(1, 6, 7, 2, pool.Item{Name: "a", Phase: pool.Loading}), 7, 2, size)
-	e.Observe(state(1, 5, 7, 1), 7, 0, size) // the late one
-	is.Equal(e.Free(), int64(600))
+	e.Observe(state(1, 5, 7, 1), 7, 0, size) // the stale state
+	is.Equal(e.AvailableMiB(), int64(600))
 }
 
-// TestLostLoadStaysBooked until the engine's state settles it.
-func TestLostLoadStaysBooked(t *testing.T) {
+// TestLostLoadStaysReserved checks that the memory of a load whose answer is lost stays
+// reserved until the engine's state settles the order.
+func TestLostLoadStaysReserved(t *testing.T) {
 	for _, checks := range []bool{true, false} {
 		t.Run(fmt.Sprint(checks), func(t *testing.T) {
 			is := is.New(t)
-			e := NewEngine("e", 1000, checks)
+			e := NewLedger("e", 1000, checks)
 			e.Observe(state(1, 1, 7, 1), 7, 0, size)
-			is.True(e.Book(Order{Fence: 7, Seq: 2, Op: Load, Item: "a", MiB: 400}))
-			e.Lost(2)
-			e.Observe(state(1, 1, 7, 1), 7, 0, size) // does not tell
-			is.Equal(e.Free(), int64(600))
-			// A later order was carried out: an engine that checks refuses
-			// the lost one from now on; one that does not may still take it.
+			is.True(e.Reserve(Order{Fence: 7, Seq: 2, Op: Load, Item: "a", MiB: 400}))
+			e.MarkLost(2)
+			e.Observe(state(1, 1, 7, 1), 7, 0, size) // does not settle the order
+			is.Equal(e.AvailableMiB(), int64(600))
+			// A later order was carried out. An engine that checks fences refuses the
+			// lost order from now on; one that does not may still carry it out.
 			e.Observe(state(1, 2, 7, 3), 7, 0, size)
 			if checks {
-				is.Equal(e.Free(), int64(1000))
+				is.Equal(e.AvailableMiB(), int64(1000))
 			} else {
-				is.Equal(e.Free(), int64(600))
+				is.Equal(e.AvailableMiB(), int64(600))
 			}
 		})
 	}
 }
 
-// TestDuplicateLoadPinsItsItem: where nothing is checked, an item whose load
-// may arrive twice is not unloaded under this boot.
+// TestDuplicateLoadPinsItsItem checks that on an engine that does not check fences, an
+// item whose load order may arrive twice is not unloaded under the same boot.
 func TestDuplicateLoadPinsItsItem(t *testing.T) {
 	is := is.New(t)
-	e := NewEngine("e", 1000, false)
+	e := NewLedger("e", 1000, false)
 	e.Observe(state(1, 1, 0, 0), 7, 0, size)
-	is.True(e.Book(Order{Fence: 7, Seq: 1, Op: Load, Item: "a", MiB: 400}))
-	e.Lost(1)
+	is.True(e.Reserve(Order{Fence: 7, Seq: 1, Op: Load, Item: "a", MiB: 400}))
+	e.MarkLost(1)
 	e.Observe(state(1, 2, 0, 0, pool.Item{Name: "a", Phase: pool.Ready}), 7, 0, size)
 	is.True(e.Pinned("a"))
-	is.True(!e.Book(Order{Fence: 7, Seq: 2, Op: Unload, Item: "a"}))
-	e.Observe(state(2, 0, 0, 0), 7, 0, size) // it restarted
-	is.Equal(e.Free(), int64(1000))
+	is.True(!e.Reserve(Order{Fence: 7, Seq: 2, Op: Unload, Item: "a"}))
+	e.Observe(state(2, 0, 0, 0), 7, 0, size) // the engine restarted
+	is.Equal(e.AvailableMiB(), int64(1000))
 }
 
-// TestFreeIsNeverMoreThanAnyOutcomeLeaves draws orders, losses, late arrivals,
-// restarts and reads against an engine that really carries orders out, and
-// checks that what the ledger calls free always is.
+// TestFreeIsNeverMoreThanAnyOutcomeLeaves draws orders, lost answers, late arrivals and
+// delayed reads, and applies them to a model of an engine that carries out the orders.
+// The free memory in the ledger must never exceed what the engine has free under any
+// outcome.
 func TestFreeIsNeverMoreThanAnyOutcomeLeaves(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := newModel(rapid.Bool().Draw(t, "checks"))
+		m := newEngineModel(rapid.Bool().Draw(t, "checks"))
 		steps := rapid.IntRange(1, 60).Draw(t, "steps")
 		for range steps {
-			m.act(t)
-			if free, real := m.ledger.Free(), m.capacity-m.used()-m.pending(); free > real {
-				t.Fatalf("the ledger says %d free, %d may be", free, real)
+			m.step(t)
+			if free, real := m.ledger.AvailableMiB(), m.capacity-m.usedMiB()-m.pendingMiB(); free > real {
+				t.Fatalf("the ledger reports %d MiB free, but only %d MiB are certain to be free", free, real)
 			}
 		}
 	})
 }
 
-// A model is a real engine's memory with orders still on their way to it.
-type model struct {
-	ledger   *Engine
-	checks   bool
-	capacity int64
-	boot     uint64
-	change   uint64
-	last     uint64
-	seq      uint64
-	items    map[string]pool.ItemPhase
-	onTheWay []Order
-	old      []pool.State // states read and not yet delivered
+// An engineModel is the memory of a simulated engine and the orders in flight to it.
+type engineModel struct {
+	ledger      *Ledger
+	checksFence bool
+	capacity    int64
+	boot        uint64
+	change      uint64
+	lastOrder   uint64
+	seq         uint64
+	items       map[string]pool.ItemPhase
+	inFlight    []Order
+	undelivered []pool.State // states read and not yet delivered
 }
 
-func newModel(checks bool) *model {
-	m := &model{checks: checks, capacity: 1000, boot: 1, items: map[string]pool.ItemPhase{}}
-	m.ledger = NewEngine("e", m.capacity, checks)
+func newEngineModel(checks bool) *engineModel {
+	m := &engineModel{checksFence: checks, capacity: 1000, boot: 1, items: map[string]pool.ItemPhase{}}
+	m.ledger = NewLedger("e", m.capacity, checks)
 	m.ledger.Observe(m.state(), 7, 0, size)
 	return m
 }
 
-func (m *model) used() int64 { return int64(len(m.items)) * 400 }
+func (m *engineModel) usedMiB() int64 { return int64(len(m.items)) * 400 }
 
-// pending is what loads on their way would still take: each item once, and
-// none that the engine would refuse for its sequence.
-func (m *model) pending() int64 {
+// pendingMiB returns the memory in MiB that the loads in flight would still use. Each
+// item counts once, and loads that the engine would refuse because of their sequence
+// number do not count.
+func (m *engineModel) pendingMiB() int64 {
 	seen := map[string]bool{}
 	var sum int64
-	for _, o := range m.onTheWay {
-		if _, here := m.items[o.Item]; o.Op != Load || here || seen[o.Item] || (m.checks && o.Seq <= m.last) {
+	for _, o := range m.inFlight {
+		if _, here := m.items[o.Item]; o.Op != Load || here || seen[o.Item] || (m.checksFence && o.Seq <= m.lastOrder) {
 			continue
 		}
 		seen[o.Item] = true
@@ -135,15 +140,15 @@
 	return sum
 }
 
-func (m *model) state() pool.State {
-	s := state(m.boot, m.change, 7, m.last)
+func (m *engineModel) state() pool.State {
+	s := state(m.boot, m.change, 7, m.lastOrder)
 	for name, phase := range m.items {
 		s.Residency.Items = append(s.Residency.Items, pool.Item{Name: name, Phase: phase})
 	}
 	return s
 }
 
-func (m *model) act(t *rapid.T) {
+func (m *engineModel) step(t *rapid.T) {
 	item := rapid.SampledFrom([]string{"a", "b", "c", "d"}).Draw(t, "item")
 	switch rapid.SampledFrom([]string{"load", "unload", "arrive", "read", "deliver", "drained", "raise", "lose"}).Draw(t, "act") {
 	case "load":
@@ -151,23 +156,23 @@
 	case "unload":
 		m.send(Order{Op: Unload, Item: item})
 	case "raise":
-		m.send(Order{Op: Raise})
+		m.send(Order{Op: RaiseFence})
 	case "arrive":
-		if len(m.onTheWay) > 0 {
-			i := rapid.IntRange(0, len(m.onTheWay)-1).Draw(t, "which")
+		if len(m.inFlight) > 0 {
+			i := rapid.IntRange(0, len(m.inFlight)-1).Draw(t, "which")
 			m.arrive(i, rapid.Bool().Draw(t, "answered"))
 		}
 	case "lose":
-		for _, o := range m.onTheWay {
-			m.ledger.Lost(o.Seq)
+		for _, o := range m.inFlight {
+			m.ledger.MarkLost(o.Seq)
 		}
 	case "read":
-		m.old = append(m.old, m.state())
+		m.undelivered = append(m.undelivered, m.state())
 	case "deliver":
-		if len(m.old) > 0 {
-			i := rapid.IntRange(0, len(m.old)-1).Draw(t, "which")
-			m.ledger.Observe(m.old[i], 7, 0, size)
-			m.old = append(m.old[:i], m.old[i+1:]...)
+		if len(m.undelivered) > 0 {
+			i := rapid.IntRange(0, len(m.undelivered)-1).Draw(t, "which")
+			m.ledger.Observe(m.undelivered[i], 7, 0, size)
+			m.undelivered = append(m.undelivered[:i], m.undelivered[i+1:]...)
 		}
 	case "drained":
 		if m.items[item] == pool.Unloading {
@@ -177,37 +182,37 @@
 	}
 }
 
-func (m *model) send(o Order) {
+func (m *engineModel) send(o Order) {
 	m.seq++
 	o.Fence, o.Seq = 7, m.seq
-	if m.ledger.Book(o) {
-		m.onTheWay = append(m.onTheWay, o)
+	if m.ledger.Reserve(o) {
+		m.inFlight = append(m.inFlight, o)
 	}
 }
 
-// arrive has an order take effect; without an answer it stays open and, where
-// nothing is checked, may arrive once more.
-func (m *model) arrive(i int, answered bool) {
-	o := m.onTheWay[i]
-	if answered || m.checks {
-		m.onTheWay = append(m.onTheWay[:i], m.onTheWay[i+1:]...)
+// arrive delivers an order to the engine. Without an answer the order stays open and, if
+// the engine does not check fences, may arrive once more.
+func (m *engineModel) arrive(i int, answered bool) {
+	o := m.inFlight[i]
+	if answered || m.checksFence {
+		m.inFlight = append(m.inFlight[:i], m.inFlight[i+1:]...)
 	}
-	if m.checks && o.Seq <= m.last {
+	if m.checksFence && o.Seq <= m.lastOrder {
 		if answered {
-			m.ledger.Refused(o.Seq)
+			m.ledger.MarkRefused(o.Seq)
 		}
 		return
 	}
-	m.last = max(m.last, o.Seq)
+	m.lastOrder = max(m.lastOrder, o.Seq)
 	m.apply(o)
 	if answered {
 		m.ledger.Observe(m.state(), 7, o.Seq, size)
 		return
 	}
-	m.ledger.Lost(o.Seq)
+	m.ledger.MarkLost(o.Seq)
 }
 
-func (m *model) apply(o Order) {
+func (m *engineModel) apply(o Order) {
 	phase := m.items[o.Item]
 	switch {
 	case o.Op == Load && phase == 0:
--- a/core/own/choose/prefix.go
+++ b/core/own/choose/prefix.go
@@ -6,22 +6,22 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Sizes of a prefix.
+// Sizes of prefixes.
 const (
-	blockBytes  = 1024 // bytes of prompt in one block
+	blockBytes  = 1024 // bytes of prompt per block
 	blockTokens = blockBytes / BytesPerToken
 	maxBlocks   = 16
-	// BytesPerToken is the rule of thumb by which prompts are sized before any
-	// tokenizer has seen them.
+	// BytesPerToken is the approximate number of bytes per token, used to estimate the
+	// length of prompts that no tokenizer has processed yet.
 	BytesPerToken = 4
 )
 
-// A Prefix is the chain of hashes of a prompt's leading blocks: block i's hash
-// covers blocks 0 to i, so that equal hashes mean equal prompts up to there.
+// A Prefix is the chain of hashes of a prompt's leading blocks. The hash of block i
+// covers blocks 0 to i, so that equal hashes mean equal prompts up to that block.
 type Prefix struct{ blocks []uint64 }
 
-// NewPrefix returns the prefix of a prompt for the given model; a prompt
-// shorter than one block has none.
+// NewPrefix returns the prefix of a prompt for the given model. The prefix of a prompt
+// shorter than one block is empty.
 func NewPrefix(model, prompt string) Prefix {
 	var p Prefix
 	h := xxhash.New()
@@ -33,61 +33,62 @@
 	return p
 }
 
-// Tokens returns the tokens that the prefix covers.
+// Tokens returns the approximate number of tokens that the prefix covers.
 func (p Prefix) Tokens() int { return len(p.blocks) * blockTokens }
 
-// A Memory is a bounded, least-recently-used memory of where blocks were sent.
-type Memory struct {
+// A PrefixIndex records to which replica each prompt block was last sent. It is bounded
+// and evicts the least recently used blocks.
+type PrefixIndex struct {
 	size   int
-	recent *list.List // of memoryEntry, most recent first
+	lru    *list.List // of indexEntry, most recently used first
 	byHash map[uint64]*list.Element
 }
 
-type memoryEntry struct {
+type indexEntry struct {
 	hash    uint64
 	replica string
 }
 
-// NewMemory returns a memory of up to size blocks.
-func NewMemory(size int) *Memory {
-	return &Memory{size: size, recent: list.New(), byHash: map[uint64]*list.Element{}}
+// NewPrefixIndex returns an index of up to size blocks.
+func NewPrefixIndex(size int) *PrefixIndex {
+	return &PrefixIndex{size: size, lru: list.New(), byHash: map[uint64]*list.Element{}}
 }
 
-// Add notes that the blocks of p are on the replica now.
-func (m *Memory) Add(p Prefix, replica string) {
+// Record records that the blocks of p are on the replica.
+func (x *PrefixIndex) Record(p Prefix, replica string) {
 	for _, h := range p.blocks {
-		if el, ok := m.byHash[h]; ok {
-			el.Value = memoryEntry{hash: h, replica: replica}
-			m.recent.MoveToFront(el)
+		if el, ok := x.byHash[h]; ok {
+			el.Value = indexEntry{hash: h, replica: replica}
+			x.lru.MoveToFront(el)
 			continue
 		}
-		m.byHash[h] = m.recent.PushFront(memoryEntry{hash: h, replica: replica})
-		if m.recent.Len() > m.size {
-			last := m.recent.Back()
-			delete(m.byHash, last.Value.(memoryEntry).hash)
-			m.recent.Remove(last)
+		x.byHash[h] = x.lru.PushFront(indexEntry{hash: h, replica: replica})
+		if x.lru.Len() > x.size {
+			last := x.lru.Back()
+			delete(x.byHash, last.Value.(indexEntry).hash)
+			x.lru.Remove(last)
 		}
 	}
 }
 
-// Find returns the replica that holds the longest known part of p, and the
-// tokens of that part.
-func (m *Memory) Find(p Prefix) (replica string, tokens int) {
+// Find returns the replica that has the longest recorded part of p, and the number of
+// tokens of that part. It returns "" and 0 if no part of p is recorded.
+func (x *PrefixIndex) Find(p Prefix) (replica string, tokens int) {
 	for i := len(p.blocks) - 1; i >= 0; i-- {
-		if el, ok := m.byHash[p.blocks[i]]; ok {
-			return el.Value.(memoryEntry).replica, (i + 1) * blockTokens
+		if el, ok := x.byHash[p.blocks[i]]; ok {
+			return el.Value.(indexEntry).replica, (i + 1) * blockTokens
 		}
 	}
 	return "", 0
 }
 
-// Drop forgets blocks believed to be on the replica, after it restarted.
-func (m *Memory) Drop(replica string) {
-	for el := m.recent.Front(); el != nil; {
+// RemoveReplica removes the blocks recorded for a replica, after it restarted.
+func (x *PrefixIndex) RemoveReplica(replica string) {
+	for el := x.lru.Front(); el != nil; {
 		next := el.Next()
-		if entry := el.Value.(memoryEntry); entry.replica == replica {
-			delete(m.byHash, entry.hash)
-			m.recent.Remove(el)
+		if entry := el.Value.(indexEntry); entry.replica == replica {
+			delete(x.byHash, entry.hash)
+			x.lru.Remove(el)
 		}
 		el = next
 	}
--- a/core/own/kvwatch/watch.go
+++ b/core/own/kvwatch/watch.go
@@ -1,8 +1,8 @@
-// Package kvwatch keeps the watches of the product's own key-value service: one of
-// the configuration and one of the list of instances. Two instances of each zone
-// keep them, and the others hear from those.
+// Package kvwatch runs the watches of the product's own key-value service: one of the
+// configuration and one of the list of instances. Two instances of each zone run them,
+// and the others receive the changes from those.
 //
-// On the users' platform core/watch is used in its place.
+// On the users' platform core/watch is used instead.
 package kvwatch
 
 import (
@@ -17,25 +17,25 @@
 )
 
 type (
-	// Config is an action: wait for a configuration newer than Have.
-	Config struct {
+	// WatchConfig is an action: wait for a configuration newer than revision Have.
+	WatchConfig struct {
 		Have uint64
 		Wait time.Duration
 	}
-	// List is an action: wait for what changed in the list since Since.
-	List struct {
+	// WatchList is an action: wait for changes of the list after version Since.
+	WatchList struct {
 		Since uint64
 		Wait  time.Duration
 	}
 )
 
 // IsAction implements step.Action.
-func (Config) IsAction() {}
+func (WatchConfig) IsAction() {}
 
 // IsAction implements step.Action.
-func (List) IsAction() {}
+func (WatchList) IsAction() {}
 
-// A Watch is one instance's watches. The fields must be set before its use.
+// A Watch runs the watches of one instance. The exported fields must be set before use.
 type Watch struct {
 	shared.State
 
@@ -48,45 +48,45 @@
 	list   step.Job
 }
 
-// keeps reports whether this instance watches now.
-func (w *Watch) keeps(now clock.Instant) bool {
+// isWatcher reports whether this instance runs watches now.
+func (w *Watch) isWatcher(now clock.Instant) bool {
 	return w.Exchanges.Isolated(now) || w.Members.Assigned(now, watchers.KeyPrefix+w.Self.Zone, w.Options.Watchers)
 }
 
-// Tick begins the watches that are due.
+// Tick starts the watches that are due.
 func (w *Watch) Tick(now clock.Instant) {
-	if w.Stopping() || !w.keeps(now) {
+	if w.Stopping() || !w.isWatcher(now) {
 		return
 	}
 	if w.config.Due(now) {
 		w.config.Begin(now)
-		w.Out.Emit(Config{Have: w.Config.Revision(), Wait: w.Options.WatchWait})
+		w.Out.Emit(WatchConfig{Have: w.Config.Revision(), Wait: w.Options.WatchWait})
 	}
 	if w.list.Due(now) {
 		w.list.Begin(now)
-		w.Out.Emit(List{Since: w.Listing.Version().Raw(), Wait: w.Options.WatchWait})
+		w.Out.Emit(WatchList{Since: w.Listing.Version().Raw(), Wait: w.Options.WatchWait})
 	}
 }
 
-// ConfigReplied notes that a watch of the configuration is over.
-func (w *Watch) ConfigReplied(now clock.Instant, err error) {
+// HandleConfigReply records that a watch of the configuration has ended.
+func (w *Watch) HandleConfigReply(now clock.Instant, err error) {
 	w.Outage.Observe(now, err)
-	w.config.End(w.next(now))
+	w.config.End(w.nextStart(now))
 }
 
-// ListReplied takes in what a watch of the list brought.
-func (w *Watch) ListReplied(now clock.Instant, e listing.Reply) {
+// HandleListReply handles the reply to a watch of the list.
+func (w *Watch) HandleListReply(now clock.Instant, e listing.Reply) {
 	w.Outage.Observe(now, e.Err)
 	if e.Err == nil {
 		w.Exchanges.MarkStoreKnownUntil(w.list.SentAt())
 	}
-	w.list.End(w.next(now))
+	w.list.End(w.nextStart(now))
 	if e.Err == nil {
 		w.Listing.HandleReply(now, e)
 	}
 }
 
-// next returns when the next watch of one kind may begin.
-func (w *Watch) next(now clock.Instant) clock.Instant {
+// nextStart returns the earliest time of the next watch of the same kind.
+func (w *Watch) nextStart(now clock.Instant) clock.Instant {
 	return now.Add(max(w.Options.WatchEvery, w.Outage.Wait(w.Rand)))
 }
--- a/core/own/meter/meter.go
+++ b/core/own/meter/meter.go
@@ -1,8 +1,8 @@
-// Package meter measures how much this instance's callers ask for each model and
-// adapter, in the product's own environment. Rates are exponentially weighted
-// over a short and a long window. The long one counts, for it is steady, until
-// the short one differs from it by more than chance explains: then demand has
-// moved, and the short one counts.
+// Package meter measures the demand of this instance's callers for each model and adapter
+// in the product's own environment. Rates are exponentially weighted over a short and a
+// long window. The rate of the long window is used because it is steadier, until the rate
+// of the short window differs from it by more than random variation explains: demand has
+// then shifted, and the rate of the short window is used.
 package meter
 
 import (
@@ -16,134 +16,138 @@
 
 // Windows of the rates.
 const (
-	short = 10 * time.Second
-	long  = 120 * time.Second
-	// forget is the rate, in calls a second, below which an item is dropped.
-	forget = 1e-4
+	shortWindow = 10 * time.Second
+	longWindow  = 120 * time.Second
+	// minRate is the rate in calls per second below which an item is dropped.
+	minRate = 1e-4
 )
 
-// A Meter measures the calls of one instance.
+// A Meter measures the demand of the calls at one instance.
 type Meter struct {
 	items map[string]*meterItem
 }
 
 type meterItem struct {
-	short, long float64       // decayed counts
+	short, long float64       // decayed numbers of calls
 	weight      float64       // EWMA
-	hold        float64       // EWMA, seconds
-	begun       clock.Instant // of the first call
-	at          clock.Instant // of the last decay
-	last        clock.Instant // of the last call
+	holdTime    float64       // EWMA, seconds
+	firstCall   clock.Instant // time of the first call
+	decayedAt   clock.Instant // time of the last decay
+	lastCall    clock.Instant // time of the last call
 	waiting     int
-	unmet       clock.Instant // zero while met
-	lastUnmet   clock.Instant
+	unmetSince  clock.Instant // zero while met
+	lastUnmet   clock.Instant // time of the last unmet call
 }
 
-// New returns a meter that has seen no call.
+// New returns a meter that has recorded no call.
 func New() *Meter { return &Meter{items: map[string]*meterItem{}} }
 
 const (
-	// ewma is the weight of a new sample in a moving average.
-	ewma = 0.1
-	// defaultHold is how long, in seconds, a call is believed to occupy its replica.
-	defaultHold = 1.0
-	unmetMemory = 15 * time.Second // an unmet item counts as such this long after its last call
+	// ewmaWeight is the weight of a new sample in a moving average.
+	ewmaWeight = 0.1
+	// defaultHoldTime is the time in seconds for which a call is assumed to occupy its
+	// replica until one was measured.
+	defaultHoldTime = 1.0
+	unmetTimeout    = 15 * time.Second // time after its last unmet call for which an item still counts as unmet
 )
 
-// Call notes one call for item with the given weight.
-func (m *Meter) Call(now clock.Instant, item string, weight float64) {
+// RecordCall records one call for item with the given weight.
+func (m *Meter) RecordCall(now clock.Instant, item string, weight float64) {
 	it := m.items[item]
 	if it == nil {
-		it = &meterItem{weight: weight, hold: defaultHold, at: now, begun: now}
+		it = &meterItem{weight: weight, holdTime: defaultHoldTime, decayedAt: now, firstCall: now}
 		m.items[item] = it
 	}
 	it.decay(now)
-	it.last = now
+	it.lastCall = now
 	it.short++
 	it.long++
-	it.weight += ewma * (weight - it.weight)
+	it.weight += ewmaWeight * (weight - it.weight)
 }
 
-// Held notes how long a call for item occupied its replica.
-func (m *Meter) Held(item string, d time.Duration) {
+// RecordHoldTime records how long a call for item occupied its replica.
+func (m *Meter) RecordHoldTime(item string, d time.Duration) {
 	if it := m.items[item]; it != nil {
-		it.hold += ewma * (d.Seconds() - it.hold)
+		it.holdTime += ewmaWeight * (d.Seconds() - it.holdTime)
 	}
 }
 
-// Unmet notes that a call found item not resident.
-func (m *Meter) Unmet(now clock.Instant, item string) {
+// MarkUnmet records that a call found no copy of item.
+func (m *Meter) MarkUnmet(now clock.Instant, item string) {
 	it := m.items[item]
 	if it == nil {
 		return
 	}
-	if it.unmet.IsZero() {
-		it.unmet = now
+	if it.unmetSince.IsZero() {
+		it.unmetSince = now
 	}
 	it.lastUnmet = now
 }
 
-// Met notes that item is resident.
-func (m *Meter) Met(item string) {
+// MarkMet records that a copy of item serves calls.
+func (m *Meter) MarkMet(item string) {
 	if it := m.items[item]; it != nil {
-		it.unmet = clock.Instant{}
+		it.unmetSince = clock.Instant{}
 	}
 }
 
-// Waiting sets the calls that wait for item.
-func (m *Meter) Waiting(item string, n int) {
+// SetWaiting sets the number of calls that wait for item.
+func (m *Meter) SetWaiting(item string, n int) {
 	if it := m.items[item]; it != nil {
 		it.waiting = n
 	}
 }
 
 func (it *meterItem) decay(now clock.Instant) {
-	age := now.Since(it.at)
+	age := now.Since(it.decayedAt)
 	if age <= 0 {
 		return
 	}
-	it.short *= math.Exp(-float64(age) / float64(short))
-	it.long *= math.Exp(-float64(age) / float64(long))
-	it.at = now
+	it.short *= math.Exp(-float64(age) / float64(shortWindow))
+	it.long *= math.Exp(-float64(age) / float64(longWindow))
+	it.decayedAt = now
 }
 
-// chance is how many standard deviations of a Poisson count the short rate may
-// differ from the long one before demand is held to have moved.
-const chance = 2.5
+// shiftThreshold is the number of standard deviations of a Poisson count by which the
+// short rate may differ from the long one before demand counts as shifted.
+const shiftThreshold = 2.5
 
-// leastAge keeps the first call of an item from counting as a flood.
-const leastAge = 5 * time.Second
+// minAge is the minimum age used for a rate, so that the first call of an item does not
+// count as a burst.
+const minAge = 5 * time.Second
 
-// rate returns the calls a second, corrected for how short a time the item has
-// been known.
+// rate returns the calls per second, corrected for items that have been known for less
+// than a window.
 func (it *meterItem) rate(now clock.Instant) float64 {
-	age := max(now.Since(it.begun), leastAge)
-	steady := it.long / window(long, age)
-	recent := it.short / window(short, age)
-	if math.Abs(recent-steady) > chance*math.Sqrt(max(recent, steady)/short.Seconds()) {
+	age := max(now.Since(it.firstCall), minAge)
+	steady := it.long / effectiveWindow(longWindow, age)
+	recent := it.short / effectiveWindow(shortWindow, age)
+	if math.Abs(recent-steady) > shiftThreshold*math.Sqrt(max(recent, steady)/shortWindow.Seconds()) {
 		return recent
 	}
 	return steady
 }
 
-// window returns the seconds that a decayed count stands for at an age.
-func window(w, age time.Duration) float64 {
+// effectiveWindow returns the seconds that the decayed count of window w covers for an
+// item of the given age.
+func effectiveWindow(w, age time.Duration) float64 {
 	return w.Seconds() * (1 - math.Exp(-float64(age)/float64(w)))
 }
 
-// Items returns the demand at now by name, and drops what is no longer asked for.
-func (m *Meter) Items(now clock.Instant) []demand.Item {
+// CurrentDemand returns the demand at now, sorted by name, and drops the items that are no
+// longer in demand.
+func (m *Meter) CurrentDemand(now clock.Instant) []demand.Item {
 	var items []demand.Item
 	for name, it := range m.items {
 		it.decay(now)
 		rate := it.rate(now)
-		if rate < forget && it.waiting == 0 {
+		if rate < minRate && it.waiting == 0 {
 			delete(m.items, name)
 			continue
 		}
-		out := demand.Item{Name: name, Rate: rate, Concurrent: rate * it.hold, Weight: it.weight, Waiting: it.waiting, Idle: now.Since(it.last)}
-		if !it.unmet.IsZero() && now.Since(it.lastUnmet) < unmetMemory {
-			out.Unmet = max(now.Since(it.unmet), 1)
+		out := demand.Item{Name: name, Rate: rate, Concurrent: rate * it.holdTime, Weight: it.weight, Waiting: it.waiting, Idle: now.Since(it.lastCall)}
+		if !it.unmetSince.IsZero() && now.Since(it.lastUnmet) < unmetTimeout {
+			out.Unmet = max(now.Since(it.unmetSince), 1)
 		}
 		items = append(items, out)
 	}
--- a/core/own/modelcalls/attempts.go
+++ b/core/own/modelcalls/attempts.go
@@ -11,10 +11,10 @@
 	"github.com/birchdrift/birchdrift/core/pool"
 )
 
-// What becomes of a call once it is sent: its attempts and its end.
+// This file handles the attempts of a call and its end.
 
-// Cancel is an action: tell a replica to drop a call's sequence.
-type Cancel struct {
+// CancelSequence is an action: tell a replica to cancel a call's sequence.
+type CancelSequence struct {
 	ID      calls.ID
 	Attempt int
 	Replica string
@@ -22,19 +22,19 @@
 }
 
 // IsAction implements step.Action.
-func (Cancel) IsAction() {}
+func (CancelSequence) IsAction() {}
 
-// cancel tells an engine to drop the call's sequence; a plain service has none.
+// cancel tells an engine to cancel the call's sequence. A plain service has no sequences.
 func (h *Handler) cancel(c *calls.Call, r *pool.Replica) {
 	if c.Plain {
-		return // closing the connection is all there is
+		return // closing the connection is sufficient
 	}
-	h.Out.Emit(Cancel{ID: c.ID, Attempt: c.History.Attempts, Replica: r.Name, Address: r.Address})
+	h.Out.Emit(CancelSequence{ID: c.ID, Attempt: c.History.Attempts, Replica: r.Name, Address: r.Address})
 }
 
-func (h *Handler) answerBegan(now clock.Instant, c *calls.Call) {
+func (h *Handler) handleAnswerBegan(now clock.Instant, c *calls.Call) {
 	if c.Item != "" {
-		h.Meter.Met(c.Item)
+		h.Meter.MarkMet(c.Item)
 	}
 	if r := h.Pool.Get(c.Replica); r != nil {
 		late := now.Since(c.Started) > c.Target
@@ -42,18 +42,19 @@
 	}
 }
 
-func (h *Handler) served(now clock.Instant, c *calls.Call, _ calls.Completed) {
+func (h *Handler) handleCompleted(now clock.Instant, c *calls.Call, _ calls.Completed) {
 	if c.Item == "" {
 		return
 	}
 	held := now.Since(c.Started)
-	h.Meter.Held(c.Item, held)
-	h.Meter.Held(stateOf(c).version.Model, held)
+	h.Meter.RecordHoldTime(c.Item, held)
+	h.Meter.RecordHoldTime(stateOf(c).version.Model, held)
 }
 
-// attemptFailed decides what follows an attempt that did not come to its proper end.
-func (h *Handler) attemptFailed(now clock.Instant, c *calls.Call, e calls.AttemptFailed) {
-	h.settleReplica(now, c, e)
+// handleAttemptFailed decides whether a call is resumed, retried or failed after a failed
+// attempt.
+func (h *Handler) handleAttemptFailed(now clock.Instant, c *calls.Call, e calls.AttemptFailed) {
+	h.updateReplica(now, c, e)
 	c.History = c.History.WithFailure(e.Phase)
 	next := c.History.Decide(attempt.Failure{
 		Phase: e.Phase, Delivered: e.Delivered, SameBoot: e.Resumable, Stalled: e.Stalled, Spent: e.BodyConsumed,
@@ -71,8 +72,8 @@
 	}
 }
 
-// settleReplica takes in what an attempt that failed says of its replica.
-func (h *Handler) settleReplica(now clock.Instant, c *calls.Call, e calls.AttemptFailed) {
+// updateReplica records what a failed attempt reveals about its replica.
+func (h *Handler) updateReplica(now clock.Instant, c *calls.Call, e calls.AttemptFailed) {
 	if e.Leaving {
 		h.Pool.ObserveLeaving(c.Replica)
 		h.Out.Log(logevent.UpstreamLeaving, "upstream", c.Replica, "source", "answer")
@@ -89,7 +90,7 @@
 		return
 	}
 	if e.Phase == attempt.NotSent && c.Item != "" {
-		h.Meter.Unmet(now, c.Item) // resident, but not within reach
+		h.Meter.MarkUnmet(now, c.Item) // resident, but unreachable
 	}
 	h.Pool.CallFailed(now, r, uint64(c.ID), c.Started)
 }
@@ -103,7 +104,7 @@
 	c.History = c.History.WithResume()
 	r.Start(now, uint64(c.ID))
 	h.Out.Log(logevent.CallResumed, "call", uint64(c.ID), "replica", c.Replica)
-	h.Out.Emit(h.dispatchAction(c, r, true, resumePause*time.Duration(c.History.Resumes-1)))
+	h.Out.Emit(h.dispatchAction(c, r, true, resumeInterval*time.Duration(c.History.Resumes-1)))
 }
 
 func (h *Handler) retry(now clock.Instant, c *calls.Call, e calls.AttemptFailed) {
@@ -115,8 +116,8 @@
 		}
 	}
 	h.Out.Log(logevent.CallRetried, "call", uint64(c.ID), "replica", c.Replica, "detail", e.Detail)
-	h.abandon(c, e)
-	s.failedOn = c.Replica
+	h.cancelFailedAttempt(c, e)
+	s.failedReplica = c.Replica
 	c.Replica = ""
 	c.Phase = calls.Waiting
 	if e.Phase == attempt.Refused && c.History.Attempts >= maxRefusals {
@@ -126,8 +127,9 @@
 	h.findReplica(now, c)
 }
 
-// abandon frees the sequence that a broken attempt may have left behind.
-func (h *Handler) abandon(c *calls.Call, e calls.AttemptFailed) {
+// cancelFailedAttempt cancels the sequence that a failed attempt may have left at its
+// replica.
+func (h *Handler) cancelFailedAttempt(c *calls.Call, e calls.AttemptFailed) {
 	r := h.Pool.Get(c.Replica)
 	if r == nil || e.Phase == attempt.NotSent || e.Phase == attempt.Refused {
 		return
@@ -135,7 +137,8 @@
 	h.cancel(c, r)
 }
 
-// maxRefusals bounds how often a call follows refusals from replica to replica.
+// maxRefusals is the number of attempts after which a call that was refused again is not
+// retried.
 const maxRefusals = 6
 
 func (h *Handler) fail(c *calls.Call, e calls.AttemptFailed) {
--- a/core/own/modelcalls/decisions.go
+++ b/core/own/modelcalls/decisions.go
@@ -24,16 +24,16 @@
 	WaitedMS float64   `json:"waited_ms"`
 }
 
-// decisions is a ring of the latest choices.
-type decisions struct {
-	ring []Decision
-	next int
+// A decisionRing is a ring buffer of the latest decisions.
+type decisionRing struct {
+	entries []Decision
+	next    int
 }
 
-// decisionsKept is how many choices are kept for operators.
-const decisionsKept = 256
+// maxDecisions is the number of decisions that are kept for operators.
+const maxDecisions = 256
 
-func (d *decisions) add(now clock.Instant, c *calls.Call, e choose.Estimate) {
+func (d *decisionRing) add(now clock.Instant, c *calls.Call, e choose.Estimate) {
 	x := Decision{
 		At:       now.Wall,
 		Call:     uint64(c.ID),
@@ -48,15 +48,15 @@
 		Cached:   e.Cached,
 		WaitedMS: millis(now.Since(c.Arrived)),
 	}
-	if len(d.ring) < decisionsKept {
-		d.ring = append(d.ring, x)
+	if len(d.entries) < maxDecisions {
+		d.entries = append(d.entries, x)
 		return
 	}
-	d.ring[d.next] = x
-	d.next = (d.next + 1) % decisionsKept
+	d.entries[d.next] = x
+	d.next = (d.next + 1) % maxDecisions
 }
 
 func millis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// Recent returns the latest choices.
-func (h *Handler) Recent() []Decision { return h.recent.ring }
+// RecentDecisions returns the latest decisions.
+func (h *Handler) RecentDecisions() []Decision { return h.decisions.entries }
--- a/core/own/modelcalls/modelcalls.go
+++ b/core/own/modelcalls/modelcalls.go
@@ -1,11 +1,10 @@
-// Package modelcalls serves the calls of the product's own interface: chat and
-// completion calls of a service's model, and calls under /services/. Only the
-// product's own environment runs it; forwarded calls are served by
-// core/forwarding.
+// Package modelcalls serves the calls of the product's own interface: chat and completion
+// calls of a service's model, and calls under /services/. Only the product's own
+// environment uses it; core/forwarding serves forwarded calls.
 //
-// A call is admitted by its caller's key and the service's policy, may claim an
-// idempotency key, goes to the replica that should answer it first, and is
-// resumed or sent again where that is harmless.
+// A call is admitted according to its caller's key and the service's policy. It may claim
+// an idempotency key. It is sent to the replica with the lowest expected time to first
+// token, and resumed or retried after a failure if that cannot do harm.
 package modelcalls
 
 import (
@@ -27,68 +26,69 @@
 )
 
 const (
-	// resumePause spaces the resumes of one broken stream.
-	resumePause = 50 * time.Millisecond
+	// resumeInterval is the time added to the delay before each further resume of one
+	// broken stream.
+	resumeInterval = 50 * time.Millisecond
 	// neutralPriority is the priority at which a call's weight is 1.
 	neutralPriority = 50.0
 )
 
-// Needs are what the handler needs of the other modules.
-type Needs struct {
+// Deps are the modules and functions that the handler needs.
+type Deps struct {
 	shared.State
 
 	Calls   *calls.Table
 	Budget  *retrybudget.Budget
 	Chooser *choose.Chooser
 	Meter   *meter.Meter
-	// Unmet is called when a call found its item resident nowhere.
+	// Unmet is called when no usable replica has a call's item ready.
 	Unmet func(now clock.Instant)
 }
 
-// A Handler serves calls of the own interface.
+// A Handler serves calls of the product's own interface.
 type Handler struct {
-	Needs
-	kind   calls.Handlers
-	able   []*pool.Replica // what candidates returned last
-	recent decisions
+	Deps
+	handlers     calls.Handlers
+	candidateBuf []*pool.Replica // buffer of the slice that candidates returns
+	decisions    decisionRing
 }
 
-// A state is what a call of the own interface has beside what every call has.
+// A state holds the fields of a call that are specific to the product's own interface.
 type state struct {
-	service     config.Service
-	version     config.Version
-	prefillRate int // tokens a second
-	load        time.Duration
-	caller      string
-	verdict     policy.Decision
-	failedOn    string // replica that failed it last
-	claimKey    string
-	claims      int // claim requests sent
+	service       config.Service
+	version       config.Version
+	prefillRate   int // tokens per second
+	loadTime      time.Duration
+	caller        string
+	decision      policy.Decision
+	failedReplica string // replica on which the call last failed
+	claimKey      string // store key of the call's claim; "" if it has none
+	claimRequests int    // number of claim requests sent
 }
 
 func stateOf(c *calls.Call) *state { return c.State.(*state) }
 
-// New returns a handler that has seen no call.
-func New(n Needs) *Handler {
-	h := &Handler{Needs: n}
-	h.kind = calls.Handlers{
+// New returns a handler without calls.
+func New(n Deps) *Handler {
+	h := &Handler{Deps: n}
+	h.handlers = calls.Handlers{
 		FindReplica:   h.findReplica,
-		AnswerBegan:   h.answerBegan,
-		AttemptFailed: h.attemptFailed,
-		Served:        h.served,
+		AnswerBegan:   h.handleAnswerBegan,
+		AttemptFailed: h.handleAttemptFailed,
+		Served:        h.handleCompleted,
 		Left:          func(clock.Instant, *calls.Call, *pool.Replica) {},
 		Cancel:        h.cancel,
 		NotRun:        h.releaseClaim,
-		LeftQueue:     h.leftQueue,
+		LeftQueue:     h.handleLeftQueue,
 	}
-	n.Calls.StillWaiting = h.stillWaiting
+	n.Calls.StillWaiting = h.countWaiting
 	return h
 }
 
-// Arrive takes a call in, or refuses it. refusing says that this instance takes
-// no more calls since it stops.
+// Arrive admits a new call or refuses it. refusing reports whether this instance is
+// stopping and accepts no more calls.
 func (h *Handler) Arrive(now clock.Instant, r calls.Request, refusing bool) {
-	c := &calls.Call{Request: r, Kind: &h.kind, State: &state{}, Arrived: now, Phase: calls.Waiting}
+	c := &calls.Call{Request: r, Kind: &h.handlers, State: &state{}, Arrived: now, Phase: calls.Waiting}
 	if refusal, ok := h.admit(now, c, refusing); !ok {
 		h.Calls.RefuseNew(c, refusal)
 		return
@@ -102,8 +102,8 @@
 	h.findReplica(now, c)
 }
 
-// admit fills in what the configuration and the policy say of the call, or
-// returns why it is refused. Nothing has been sent anywhere at this point.
+// admit fills in the call's settings from the configuration and the policy. If the call
+// is not admitted, it returns the refusal and false. Nothing has been sent at this point.
 func (h *Handler) admit(now clock.Instant, c *calls.Call, refusing bool) (code.Refusal, bool) {
 	if refusal, ok := calls.CheckAdmission(refusing, h.Config.Loaded()); !ok {
 		return refusal, false
@@ -123,12 +123,13 @@
 	s.caller = caller.Name
 	s.service = svc
 	c.Target = svc.Target.FirstToken
-	h.attach(c)
+	h.resolveVersion(c)
 	return h.applyPolicy(now, c)
 }
 
-// attach picks the version and works out whether the call may be repeated.
-func (h *Handler) attach(c *calls.Call) {
+// resolveVersion selects the service's version for the call and determines whether the
+// call is repeatable.
+func (h *Handler) resolveVersion(c *calls.Call) {
 	s := stateOf(c)
 	repeatable := s.service.MayRepeat(c.Path) && !c.NotRepeatable
 	if !repeatable && c.IdempotencyKey != "" {
@@ -145,16 +146,17 @@
 	}
 	if model, ok := h.Config.Model(s.version.Model); ok {
 		s.prefillRate = model.PrefillPerSecond
-		s.load = model.LoadTime
+		s.loadTime = model.LoadTime
 	}
 }
 
-// applyPolicy asks the service's policy about the call.
+// applyPolicy evaluates the service's policy for the call and records the call's demand.
+// If the policy refuses the call, it returns the refusal and false.
 func (h *Handler) applyPolicy(now clock.Instant, c *calls.Call) (code.Refusal, bool) {
 	s := stateOf(c)
-	s.verdict = policy.Decision{Priority: config.DefaultPriority, Wait: h.Options.DefaultWait}
+	s.decision = policy.Decision{Priority: config.DefaultPriority, Wait: h.Options.DefaultWait}
 	if program := h.Config.Policy(s.service.Policy); program != nil {
-		verdict, failed := program.Eval(policy.Input{
+		decision, failed := program.Eval(policy.Input{
 			Service:       s.service.Name,
 			Model:         s.version.Model,
 			Caller:        s.caller,
@@ -164,26 +166,26 @@
 			Load:          h.zoneLoad(now),
 			Hour:          now.Wall.UTC().Hour(),
 		})
-		s.verdict = verdict
+		s.decision = decision
 		if failed > 0 {
 			h.Out.Log(logevent.PolicyFailed, "policy", s.service.Policy, "expressions", failed)
 		}
 	}
-	c.Priority = s.verdict.Priority
+	c.Priority = s.decision.Priority
 	if c.Item != "" {
-		weight := float64(s.verdict.Priority) / neutralPriority
-		h.Meter.Call(now, c.Item, weight)
+		weight := float64(s.decision.Priority) / neutralPriority
+		h.Meter.RecordCall(now, c.Item, weight)
 		if c.Item != s.version.Model {
-			h.Meter.Call(now, s.version.Model, weight)
+			h.Meter.RecordCall(now, s.version.Model, weight)
 		}
 	}
-	if s.verdict.Refuse {
+	if s.decision.Refuse {
 		return calls.NotRunRefusal(code.RefusedByPolicy, fmt.Sprintf("policy %q", s.service.Policy), calls.MinRetryAfter), false
 	}
 	return code.Refusal{}, true
 }
 
-// zoneLoad returns the share of the zone's sequences in use.
+// zoneLoad returns the share of the sequences of the zone's engines that are in use.
 func (h *Handler) zoneLoad(now clock.Instant) float64 {
 	var used, all float64
 	for _, r := range h.Pool.All() {
@@ -198,8 +200,8 @@
 	return used / all
 }
 
-// allowance returns how long the call may still wait for its first token.
-func (h *Handler) allowance(now clock.Instant, c *calls.Call) time.Duration {
+// remainingWait returns how long the call may still wait for its first token.
+func (h *Handler) remainingWait(now clock.Instant, c *calls.Call) time.Duration {
 	s := stateOf(c)
-	return s.service.Target.FirstToken + s.verdict.Wait - now.Since(c.Arrived)
+	return s.service.Target.FirstToken + s.decision.Wait - now.Since(c.Arrived)
 }
--- a/core/own/modelcalls/place.go
+++ b/core/own/modelcalls/place.go
@@ -11,28 +11,28 @@
 	"github.com/birchdrift/birchdrift/core/pool"
 )
 
-// How a call that was taken in finds its replica, or waits for one.
+// This file selects the replica of an admitted call, or queues the call.
 
-// candidates returns the replicas that can serve the call. The slice is valid
-// until the next call of candidates.
+// candidates returns the replicas that can serve the call. The slice is valid until the
+// next call of candidates.
 func (h *Handler) candidates(now clock.Instant, c *calls.Call) []*pool.Replica {
 	s := stateOf(c)
 	if c.Plain {
 		return h.Pool.Serving(s.service.Name)
 	}
-	h.able = h.able[:0]
+	h.candidateBuf = h.candidateBuf[:0]
 	for _, r := range h.Pool.Ready(c.Item) {
-		// An adapter is through long before its model, which is what an
-		// engine that is asked then refuses for; and what has just refused an
-		// item answers fastest, so it would draw every call if it counted.
+		// An adapter is loaded long before its model, and the engine refuses calls until
+		// the model is ready too. A replica that has just refused the item is excluded as
+		// well: refusals are the fastest answers, so it would attract every call.
 		if r.Phase(s.version.Model) == pool.Ready && !r.Refusing(now, c.Item) {
-			h.able = append(h.able, r)
+			h.candidateBuf = append(h.candidateBuf, r)
 		}
 	}
-	return h.able
+	return h.candidateBuf
 }
 
-// findReplica sends the call to the best replica, or lets it wait, or refuses it.
+// findReplica sends the call to the best replica, queues it, or refuses it.
 func (h *Handler) findReplica(now clock.Instant, c *calls.Call) {
 	s := stateOf(c)
 	q := choose.Query{
@@ -40,32 +40,32 @@
 		PromptTokens: c.PromptTokens,
 		PrefillRate:  s.prefillRate,
 		Prefix:       c.Prefix,
-		Exclude:      s.failedOn,
+		Exclude:      s.failedReplica,
 	}
 	best, ok := h.Chooser.Choose(now, q, h.candidates(now, c))
 	switch {
 	case !ok:
-		h.noReplica(now, c)
+		h.handleNoReplica(now, c)
 	case best.Room:
 		h.dispatch(now, c, best)
-	case best.Queue > h.allowance(now, c):
+	case best.Queue > h.remainingWait(now, c):
 		h.Calls.Refuse(c, calls.NotRunRefusal(code.NoCapacity, "every replica is full", h.Calls.RetryAfter(best.Queue)))
 	default:
 		h.Calls.Enqueue(c)
 	}
 }
 
-// noReplica deals with a call that no usable replica can serve.
-func (h *Handler) noReplica(now clock.Instant, c *calls.Call) {
+// handleNoReplica queues or refuses a call that no usable replica can serve.
+func (h *Handler) handleNoReplica(now clock.Instant, c *calls.Call) {
 	s := stateOf(c)
 	if c.Plain {
 		h.Calls.Refuse(c, calls.NotRunRefusal(code.NoReplica, "no live replica", h.Calls.RetryAfter(0)))
 		return
 	}
-	h.Meter.Unmet(now, c.Item)
+	h.Meter.MarkUnmet(now, c.Item)
 	h.Unmet(now)
-	if s.load > h.allowance(now, c)+now.Since(c.Arrived) || h.allowance(now, c) <= 0 {
-		h.Calls.Refuse(c, calls.NotRunRefusal(code.NotResident, fmt.Sprintf("%q is not resident", c.Item), h.Calls.RetryAfter(s.load)))
+	if s.loadTime > h.remainingWait(now, c)+now.Since(c.Arrived) || h.remainingWait(now, c) <= 0 {
+		h.Calls.Refuse(c, calls.NotRunRefusal(code.NotResident, fmt.Sprintf("%q is not resident", c.Item), h.Calls.RetryAfter(s.loadTime)))
 		return
 	}
 	h.Calls.Enqueue(c)
@@ -74,10 +74,10 @@
 func (h *Handler) dispatch(now clock.Instant, c *calls.Call, e choose.Estimate) {
 	h.Calls.MarkSent(now, c, e.Replica)
 	if c.Item != "" {
-		h.Chooser.Sent(c.Prefix, e.Replica.Name)
+		h.Chooser.RecordSent(c.Prefix, e.Replica.Name)
 	}
 	e.Replica.Start(now, uint64(c.ID))
-	h.recent.add(now, c, e)
+	h.decisions.add(now, c, e)
 	h.Out.Emit(h.dispatchAction(c, e.Replica, false, 0))
 }
 
@@ -86,28 +86,28 @@
 	d := c.Dispatch(r, h.Options.Stall)
 	d.Model = s.version.Model
 	d.Adapter = s.version.Adapter
-	d.Priority = s.verdict.Priority
+	d.Priority = s.decision.Priority
 	d.Resume = resume
 	d.After = after
 	return d
 }
 
-// stillWaiting counts the calls that go on waiting for an item that no replica
-// has, by which the planner makes room.
-func (h *Handler) stillWaiting(now clock.Instant, waiting []*calls.Call) {
+// countWaiting counts the waiting calls whose item no replica has ready. The planner uses
+// the numbers to decide for which items to free memory.
+func (h *Handler) countWaiting(now clock.Instant, waiting []*calls.Call) {
 	absent := map[string]int{}
 	for _, c := range waiting {
-		if c.Kind == &h.kind && c.Item != "" && len(h.candidates(now, c)) == 0 {
+		if c.Kind == &h.handlers && c.Item != "" && len(h.candidates(now, c)) == 0 {
 			absent[c.Item]++
 		}
 	}
 	for item, n := range absent {
-		h.Meter.Waiting(item, n)
+		h.Meter.SetWaiting(item, n)
 	}
 }
 
-func (h *Handler) leftQueue(c *calls.Call) {
+func (h *Handler) handleLeftQueue(c *calls.Call) {
 	if c.Item != "" {
-		h.Meter.Waiting(c.Item, 0)
+		h.Meter.SetWaiting(c.Item, 0)
 	}
 }
--- a/core/own/planner/demand.go
+++ b/core/own/planner/demand.go
@@ -8,72 +8,73 @@
 	"github.com/birchdrift/birchdrift/core/member"
 )
 
-// How planners hear of demand: from the instances of their zone, and from the
-// planners of zones that live on their copies.
+// This file carries demand to planners: from the instances of their zone, and from the
+// planners of other zones that use their copies.
 
-// tellEvery spaces the words to the planner about unmet demand. Without them a
-// call for a cold model would wait for the planner's turn in the rhythm.
-const tellEvery = 500 * time.Millisecond
+// unmetReportInterval is the minimum time between two reports of unmet demand to a
+// planner. Without these reports a call for a model that is not loaded would wait for the
+// next periodic exchange with the planner.
+const unmetReportInterval = 500 * time.Millisecond
 
-// Unmet lets the zone's planner know of an unmet demand soon.
-func (p *Planner) Unmet(now clock.Instant) {
-	if !p.toldAt.IsZero() && now.Since(p.toldAt) < tellEvery {
+// ReportUnmet reports to the zone's planner soon that there is unmet demand.
+func (p *Planner) ReportUnmet(now clock.Instant) {
+	if !p.unmetReportedAt.IsZero() && now.Since(p.unmetReportedAt) < unmetReportInterval {
 		return
 	}
-	p.toldAt = now
-	if p.Planning() {
+	p.unmetReportedAt = now
+	if p.IsPlanner() {
 		p.planDue = now
 		return
 	}
 	p.Tell(now, p.Members.Get(p.Records.LeaseHolder(p.Self.Zone).Instance))
 }
 
-// tellLeaders has a planner tell the planners of other zones of unmet demand
-// for items whose first copy is theirs to place.
-func (p *Planner) tellLeaders(now clock.Instant) {
-	if !p.ledAt.IsZero() && now.Since(p.ledAt) < tellEvery {
+// notifyFirstCopyZones reports unmet demand to the planners of the other zones that place
+// the first copies of the items.
+func (p *Planner) notifyFirstCopyZones(now clock.Instant) {
+	if !p.zonesNotifiedAt.IsZero() && now.Since(p.zonesNotifiedAt) < unmetReportInterval {
 		return
 	}
 	zones := p.planningZones(now)
-	told := map[string]bool{p.Self.Zone: true}
+	notified := map[string]bool{p.Self.Zone: true}
 	for _, it := range p.Totals.Sum(now) {
 		if it.Unmet == 0 || len(p.Pool.Ready(it.Name)) > 0 {
 			continue
 		}
-		zone := p.leader(zones, it.Name)
-		if told[zone] {
+		zone := p.firstCopyZone(zones, it.Name)
+		if notified[zone] {
 			continue
 		}
-		told[zone] = true
-		p.ledAt = now
+		notified[zone] = true
+		p.zonesNotifiedAt = now
 		p.Tell(now, p.Members.Get(p.Records.LeaseHolder(zone).Instance))
 	}
 }
 
-// DemandFor returns what the peer's planning needs to know: this instance's
-// demand if it plans for this zone; what this zone lives on elsewhere if both
-// are planners.
+// DemandFor returns the demand that the peer needs for planning. If the peer plans for
+// this zone, it is the demand at this instance. If both are planners of different zones,
+// it is the part of this zone's demand that the other zone serves.
 func (p *Planner) DemandFor(now clock.Instant, peer string) []demand.Item {
 	other := p.Members.Get(peer)
 	if other == nil || p.Records.LeaseHolder(other.Zone).Instance != peer {
 		return nil
 	}
 	if other.Zone == p.Self.Zone {
-		return p.Meter.Items(now)
+		return p.Meter.CurrentDemand(now)
 	}
-	if !p.Planning() {
+	if !p.IsPlanner() {
 		return nil
 	}
-	return p.borrowed(now, other.Zone)
+	return p.demandOnZone(now, other.Zone)
 }
 
-// borrowed returns the zone's demand for items that it has not and that the
-// other zone has ready, or is to place.
-func (p *Planner) borrowed(now clock.Instant, zone string) []demand.Item {
+// demandOnZone returns this zone's demand for items that have no copy here and of which
+// the other zone has a ready copy or places the first one.
+func (p *Planner) demandOnZone(now clock.Instant, zone string) []demand.Item {
 	var items []demand.Item
 	zones := p.planningZones(now)
-	// Only what this zone's own callers ask for: what other planners reported
-	// here must not come back to them as more demand.
+	// Only demand of this zone's own callers counts. Demand that other planners reported
+	// here must not be reported back to them as additional demand.
 	own := p.Totals.SumOf(now, func(name string) bool {
 		other := p.Members.Get(name)
 		return name == p.Self.Name || other != nil && other.Zone == p.Self.Zone
@@ -85,19 +86,19 @@
 			here = here || r.Zone == p.Self.Zone
 			there = there || r.Zone == zone
 		}
-		if !here && (there || p.leader(zones, it.Name) == zone) {
+		if !here && (there || p.firstCopyZone(zones, it.Name) == zone) {
 			items = append(items, it)
 		}
 	}
 	return items
 }
 
-// DemandHeard takes in what a peer's callers ask for. The next plan is made at
-// once if they wait.
-func (p *Planner) DemandHeard(now clock.Instant, peer string, items []demand.Item) {
+// HandleDemand records the demand that a peer reported. If it includes unmet demand, the
+// next plan is made immediately.
+func (p *Planner) HandleDemand(now clock.Instant, peer string, items []demand.Item) {
 	p.Totals.Report(now, peer, items)
 	for _, it := range items {
-		if it.Unmet > 0 && p.Planning() {
+		if it.Unmet > 0 && p.IsPlanner() {
 			p.planDue = now
 			return
 		}
@@ -105,23 +106,24 @@
 }
 
 const (
-	// abroadEvery is every how manyth exchange goes to another zone.
-	abroadEvery = 4
-	// plannerEvery is every how manyth exchange goes to the zone's planner,
-	// which needs the demand.
-	plannerEvery = 2
+	// otherZoneRounds is the number of rounds of which one exchange goes to another zone.
+	otherZoneRounds = 4
+	// plannerRounds is the number of rounds of which one exchange goes to the zone's
+	// planner, which needs the demand.
+	plannerRounds = 2
 )
 
-// NextPeer returns whom this instance exchanges with in a round: every so often
-// the planner of the zone, and, as a planner, those of other zones; nil to leave
-// it to the ring of neighbours.
+// NextPeer returns the peer for this instance's exchange in a round: in fixed rounds a
+// peer of another zone (for a planner, that zone's planner) or the zone's planner. It
+// returns nil in all other rounds, or if there is no such peer; the exchange then goes to
+// a neighbor in the ring.
 func (p *Planner) NextPeer(_ clock.Instant, round int) *member.Peer {
-	if round%abroadEvery == 0 {
-		if peer := p.abroad(); peer != nil {
+	if round%otherZoneRounds == 0 {
+		if peer := p.otherZonePeer(); peer != nil {
 			return peer
 		}
 	}
-	if round%plannerEvery == 1 {
+	if round%plannerRounds == 1 {
 		if peer := p.Members.Get(p.Records.LeaseHolder(p.Self.Zone).Instance); peer != nil && !peer.Leaving {
 			return peer
 		}
@@ -129,11 +131,11 @@
 	return nil
 }
 
-// abroad draws a peer of another zone. A planner draws other zones' planners, to
-// tell them which of their models its zone lives on.
-func (p *Planner) abroad() *member.Peer {
+// otherZonePeer returns a random peer of another zone. A planner prefers the planners of
+// other zones, to report to them which of their models its zone uses.
+func (p *Planner) otherZonePeer() *member.Peer {
 	others := p.Members.ZonePeers(false)
-	if p.Planning() {
+	if p.IsPlanner() {
 		var planners []*member.Peer
 		for _, peer := range others {
 			if p.Records.LeaseHolder(peer.Zone).Instance == peer.Name {
--- a/core/own/planner/input.go
+++ b/core/own/planner/input.go
@@ -11,19 +11,20 @@
 	"github.com/birchdrift/birchdrift/core/rendezvous"
 )
 
-// A zoneView holds what a plan needs of a revision, worked out once.
+// A zoneView holds what planning needs from one configuration revision, precomputed.
 type zoneView struct {
 	items    map[string]plan.Item
-	assigned map[string]bool // items that this zone holds though nobody asks
-	zones    []string        // those with engines
+	assigned map[string]bool // items that this zone keeps resident without demand
+	zones    []string        // the zones with engines
 }
 
-// newZoneView assigns each model to a zone by rendezvous hashing, so that zones
-// agree without a message which of them keeps a model that nobody asks for. An adapter lives with its model.
+// newZoneView assigns each model to a zone by rendezvous hashing, so that zones agree
+// without messages on which of them keeps a model that has no demand. An adapter is
+// assigned with its model.
 func newZoneView(s *config.Snapshot, zone string) zoneView {
 	doc := s.Document()
 	zones := engineZones(doc)
-	h := zoneView{items: map[string]plan.Item{}, assigned: map[string]bool{}, zones: zones}
+	view := zoneView{items: map[string]plan.Item{}, assigned: map[string]bool{}, zones: zones}
 	attached := map[string]bool{}
 	for _, svc := range doc.Services {
 		for _, v := range svc.Versions {
@@ -32,61 +33,61 @@
 		}
 	}
 	for _, model := range doc.Models {
-		h.items[model.Name] = plan.Item{Name: model.Name, MiB: model.MemoryMiB}
-		h.assigned[model.Name] = attached[model.Name] && assignedZone(zones, model.Name) == zone
+		view.items[model.Name] = plan.Item{Name: model.Name, MiB: model.MemoryMiB}
+		view.assigned[model.Name] = attached[model.Name] && assignedZone(zones, model.Name) == zone
 	}
 	for _, a := range doc.Adapters {
-		h.items[a.Name] = plan.Item{Name: a.Name, Base: a.Model, MiB: a.MemoryMiB}
-		h.assigned[a.Name] = attached[a.Name] && assignedZone(zones, a.Model) == zone
+		view.items[a.Name] = plan.Item{Name: a.Name, Base: a.Model, MiB: a.MemoryMiB}
+		view.assigned[a.Name] = attached[a.Name] && assignedZone(zones, a.Model) == zone
 	}
-	return h
+	return view
 }
 
-// engineZones returns the zones that have engines, in the document's order.
+// engineZones returns the zones that have engines, in the order of the document.
 func engineZones(doc config.Document) []string {
-	has := map[string]bool{}
+	hasEngine := map[string]bool{}
 	for _, e := range doc.Engines {
-		has[e.Zone] = true
+		hasEngine[e.Zone] = true
 	}
 	var zones []string
 	for _, z := range doc.Zones {
-		if has[z.Name] {
+		if hasEngine[z.Name] {
 			zones = append(zones, z.Name)
 		}
 	}
 	return zones
 }
 
-// assignedZone returns the zone that keeps a model that nobody asks for.
+// assignedZone returns the zone that keeps a model that has no demand.
 func assignedZone(zones []string, model string) string {
 	key := rendezvous.Key(model)
 	best := ""
-	var top uint64
+	var bestScore uint64
 	for _, z := range zones {
-		if score := rendezvous.Score(key, z); best == "" || score > top {
+		if score := rendezvous.Score(key, z); best == "" || score > bestScore {
 			best = z
-			top = score
+			bestScore = score
 		}
 	}
 	return best
 }
 
-// planInput gathers what the plan depends on at this moment.
+// planInput returns the input for a plan at now.
 func (p *Planner) planInput(now clock.Instant) plan.Input {
 	doc := p.Config.Document()
 	in := plan.Input{
-		Items:       p.zones.items,
+		Items:       p.zone.items,
 		Demand:      p.Totals.Sum(now),
-		Assigned:    p.zones.assigned,
+		Assigned:    p.zone.assigned,
 		MoveCost:    doc.Residency.MoveCost,
 		MinimumStay: doc.Residency.MinimumStay,
-		Loads:       p.loadsAllowed(now, doc.WeightStore),
+		Loads:       p.allowedLoads(now, doc.WeightStore),
 	}
-	in.Elsewhere, in.Covered = p.elsewhere(now)
+	in.Elsewhere, in.Covered = p.remoteCopies(now)
 	zones := p.planningZones(now)
-	in.Leads = func(item string) bool { return p.leader(zones, item) == p.Self.Zone }
-	period := time.Duration(doc.Residency.MoveCost * float64(starvePeriod))
-	in.Starve = p.starvedAt.IsZero() || now.Since(p.starvedAt) >= period
+	in.Leads = func(item string) bool { return p.firstCopyZone(zones, item) == p.Self.Zone }
+	period := time.Duration(doc.Residency.MoveCost * float64(starvationInterval))
+	in.Starve = p.starvingServedAt.IsZero() || now.Since(p.starvingServedAt) >= period
 	for _, r := range p.Pool.All() {
 		if l := p.ledgers[r.Name]; l != nil {
 			in.Engines = append(in.Engines, p.planEngine(now, r))
@@ -95,22 +96,23 @@
 	return in
 }
 
+// planEngine returns the planning input for an engine that has a ledger.
 func (p *Planner) planEngine(now clock.Instant, r *pool.Replica) plan.Engine {
 	l := p.ledgers[r.Name]
 	e := plan.Engine{
 		Name:      r.Name,
 		Domain:    r.Domain,
 		Sequences: r.Concurrent,
-		Free:      l.Free(),
+		Free:      l.AvailableMiB(),
 		Capacity:  r.MemoryMiB,
-		Usable:    l.Known() && r.Usable() && p.mayOrder(now, r),
+		Usable:    l.StateKnown() && r.Usable() && p.mayOrder(now, r),
 	}
 	if p.Options.Disable.Booking {
 		e.Free = p.reportedFree(r)
 	}
 	for _, item := range l.Items() {
 		res := plan.Resident{Name: item, Settled: l.Phase(item) == pool.Ready && !l.Pinned(item)}
-		if since, ok := p.since[placement{r.Name, item}]; ok {
+		if since, ok := p.residentSince[placement{r.Name, item}]; ok {
 			res.Since = now.Since(since)
 		}
 		e.Residents = append(e.Residents, res)
@@ -118,8 +120,8 @@
 	return e
 }
 
-// reportedFree is what is free by the engine's last report alone. Only tests
-// that show why that is not enough use it.
+// reportedFree returns the free memory in MiB by the engine's last report alone. Only
+// tests use it, to show that this is not enough.
 func (p *Planner) reportedFree(r *pool.Replica) int64 {
 	free := r.MemoryMiB
 	for _, it := range r.Residency.Items {
@@ -128,15 +130,15 @@
 	return free
 }
 
-// starvePeriod is how often, at a move cost of 1, a zone makes room for an item
-// that nobody would make room for for its value.
-const starvePeriod = 15 * time.Second
+// starvationInterval is the time, at a move cost of 1, between two occasions on which a
+// zone frees memory for a starving item whose value alone would not justify it.
+const starvationInterval = 15 * time.Second
 
-// planningZones returns the zones with engines that somebody is known to plan
-// for, this one included.
+// planningZones returns the zones with engines that are known to have a planner, and
+// always this one.
 func (p *Planner) planningZones(now clock.Instant) []string {
 	var zones []string
-	for _, z := range p.zones.zones {
+	for _, z := range p.zone.zones {
 		if z == p.Self.Zone || p.Records.LeaseHolder(z).Instance != "" && p.zoneReachable(now, z) {
 			zones = append(zones, z)
 		}
@@ -144,25 +146,25 @@
 	return zones
 }
 
-// leader returns the zone that places the first copy of an item. An adapter
-// goes where its model does.
-func (p *Planner) leader(zones []string, item string) string {
-	if base := p.zones.items[item].Base; base != "" {
+// firstCopyZone returns the zone that places the first copy of an item. For an adapter it
+// is the zone of its model.
+func (p *Planner) firstCopyZone(zones []string, item string) string {
+	if base := p.zone.items[item].Base; base != "" {
 		item = base
 	}
 	return assignedZone(zones, item)
 }
 
-// elsewhere counts the copies ready in other zones that were heard lately, and
-// those of them in zones that rendezvous hashing puts before this one.
-func (p *Planner) elsewhere(now clock.Instant) (all, covered map[string]int) {
+// remoteCopies counts the ready copies in other zones from which a message was received
+// recently, and those of them in zones that rendezvous hashing ranks before this one.
+func (p *Planner) remoteCopies(now clock.Instant) (all, covered map[string]int) {
 	all = map[string]int{}
 	covered = map[string]int{}
 	reachable := map[string]bool{}
 	for _, z := range p.Config.Document().Zones {
 		reachable[z.Name] = p.zoneReachable(now, z.Name)
 	}
-	for name := range p.zones.items {
+	for name := range p.zone.items {
 		key := rendezvous.Key(name)
 		own := rendezvous.Score(key, p.Self.Zone)
 		for _, r := range p.Pool.Ready(name) {
@@ -178,33 +180,34 @@
 	return all, covered
 }
 
-// zoneReachable reports whether any instance of the zone was heard lately.
+// zoneReachable reports whether a message from any instance of the zone was received
+// recently.
 func (p *Planner) zoneReachable(now clock.Instant, zone string) bool {
 	for _, peer := range p.Members.Peers() {
-		if peer.Zone == zone && peer.HeardWithin(now, zoneSilence*p.Options.ExchangeEvery) {
+		if peer.Zone == zone && peer.HeardWithin(now, maxSilentExchanges*p.Options.ExchangeEvery) {
 			return true
 		}
 	}
 	return false
 }
 
-// zoneSilence is how many exchange periods a zone may be silent before its
-// copies no longer count.
-const zoneSilence = 8
+// maxSilentExchanges is the number of exchange periods without a message from a zone
+// after which its copies no longer count.
+const maxSilentExchanges = 8
 
-// loadsAllowed returns how many loads may begin now by this zone's guaranteed
-// share of the weight store, in rate and in loads at once. The share is
-// known without a message, so it holds while the zone is cut off.
-func (p *Planner) loadsAllowed(now clock.Instant, w config.WeightStore) int {
+// allowedLoads returns how many loads may start now within this zone's guaranteed share
+// of the weight store, both in rate and in concurrent loads. The share is known without a
+// message, so it also holds while the zone is cut off.
+func (p *Planner) allowedLoads(now clock.Instant, w config.WeightStore) int {
 	b := &p.loads
-	share := 1 / float64(max(1, len(p.zones.zones)))
+	share := 1 / float64(max(1, len(p.zone.zones)))
 	rate := w.LoadsPerSecond * share
-	b.tokens = min(b.tokens+rate*now.Since(b.at).Seconds(), max(1, rate))
-	b.at = now
+	b.tokens = min(b.tokens+rate*now.Since(b.refilledAt).Seconds(), max(1, rate))
+	b.refilledAt = now
 	atOnce := max(1, int(math.Floor(float64(w.MaxConcurrentLoads)*share)))
 	loading := 0
 	for _, l := range p.ledgers {
-		loading += l.LoadsUnderWay()
+		loading += l.LoadsInProgress()
 	}
 	return max(0, min(int(b.tokens), atOnce-loading))
 }
--- a/core/own/planner/intents.go
+++ b/core/own/planner/intents.go
@@ -6,11 +6,11 @@
 	"github.com/birchdrift/birchdrift/core/own/book"
 )
 
-// Intents keep a zone safe whose engines do not check who orders them. Every
-// order to such an engine stands in the platform's value before it is sent. A
-// new holder rewrites that value by compare-and-swap before it reads anything:
-// from then on the former holder's writes fail, so it can send nothing that
-// the new one has not seen.
+// Intents protect a zone whose engines do not check fences. Every
+// order to such an engine is written to the platform's value before it is sent. A
+// new lease holder rewrites that value by compare-and-swap before it reads any state:
+// from then on the former holder's writes fail, so it cannot send any order that
+// the new holder has not seen.
 
 func intentOf(o book.Order) Intent {
 	return Intent{Engine: o.Engine, Op: uint8(o.Op), Item: o.Item, MiB: o.MiB, Seq: o.Seq, Fence: o.Fence}
@@ -20,50 +20,50 @@
 	return book.Order{Engine: i.Engine, Op: book.Op(i.Op), Item: i.Item, MiB: i.MiB, Seq: i.Seq, Fence: i.Fence}
 }
 
-// IntentsReplied takes in the read at a take-over or a write of the list.
-func (p *Planner) IntentsReplied(now clock.Instant, e IntentsReply) {
-	p.intents.flying = false
+// HandleIntentsReply handles the reply to a read or a write of the intents.
+func (p *Planner) HandleIntentsReply(now clock.Instant, e IntentsReply) {
+	p.intents.inFlight = false
 	p.Outage.Observe(now, e.Err)
-	if !p.Planning() {
+	if !p.IsPlanner() {
 		return
 	}
 	switch {
 	case e.Err != nil:
-		// A lost answer may have taken effect. Reading back tells; until then
-		// nothing is sent that waits for it.
+		// A write whose answer is lost may have taken effect. Reading the value shows
+		// whether it did; until then no order that waits for the write is sent.
 		p.rereadIntents(now, now.Add(p.Outage.Wait(p.Rand)))
 	case e.Conflict:
-		// Either a later holder wrote, or an own write whose answer was lost
-		// has landed. The fence in the value tells which.
+		// Either a later holder wrote the value, or an earlier write of this instance
+		// whose answer was lost took effect. The fence in the value shows which.
 		p.rereadIntents(now, now)
 	case e.Read:
-		p.intentsRead(e)
+		p.handleIntentsRead(e)
 	default:
-		p.intentsWritten(now, e)
+		p.handleIntentsWritten(now, e)
 	}
 }
 
-// rereadIntents has the zone's intents read again at due.
+// rereadIntents schedules a read of the zone's intents at due.
 func (p *Planner) rereadIntents(now clock.Instant, due clock.Instant) {
 	in := &p.intents
 	in.reread = true
 	in.due = due
-	p.rereadDue(now)
+	p.rereadIntentsIfDue(now)
 }
 
-func (p *Planner) rereadDue(now clock.Instant) {
+func (p *Planner) rereadIntentsIfDue(now clock.Instant) {
 	in := &p.intents
-	if !in.reread || in.flying || now.Before(in.due) {
+	if !in.reread || in.inFlight || now.Before(in.due) {
 		return
 	}
 	in.reread = false
-	in.flying = true
+	in.inFlight = true
 	p.Out.Emit(ReadIntents{})
 }
 
-// intentsRead takes over what an earlier holder left, or finds out what came
-// of an own write.
-func (p *Planner) intentsRead(e IntentsReply) {
+// handleIntentsRead takes over the intents of an earlier holder, or finds out whether
+// this instance's own write took effect.
+func (p *Planner) handleIntentsRead(e IntentsReply) {
 	in := &p.intents
 	if e.Intents.Fence > p.fence {
 		p.loseLease(logevent.IntentsConflict)
@@ -78,8 +78,8 @@
 	p.flushIntents()
 }
 
-// renumber gives inherited intents sequence numbers of this fence, so that
-// they cannot be taken for orders of its own.
+// renumber gives inherited intents sequence numbers and the fence of this tenure, so that
+// they cannot be confused with orders of the tenure itself.
 func (p *Planner) renumber() {
 	for i := range p.intents.list {
 		p.intents.list[i].Seq = p.nextSeq()
@@ -87,14 +87,14 @@
 	}
 }
 
-func (p *Planner) intentsWritten(now clock.Instant, e IntentsReply) {
+func (p *Planner) handleIntentsWritten(now clock.Instant, e IntentsReply) {
 	in := &p.intents
 	in.revision = e.Revision
 	if !in.owned {
 		in.owned = true
 		for _, i := range in.list {
 			if l := p.ledgers[i.Engine]; l != nil {
-				l.Inherit(i.order(now))
+				l.AddInherited(i.order(now))
 			}
 		}
 	}
@@ -102,80 +102,80 @@
 	p.flushIntents()
 }
 
-// sendQueued sends the orders whose intents the platform now holds.
+// sendQueued sends the queued orders whose intents the platform now holds.
 func (p *Planner) sendQueued(now clock.Instant, written Intents) {
 	in := &p.intents
-	stands := make(map[uint64]bool, len(written.Intents))
+	isWritten := make(map[uint64]bool, len(written.Intents))
 	for _, i := range written.Intents {
-		stands[i.Seq] = true
+		isWritten[i.Seq] = true
 	}
-	var rest []book.Order
+	var remaining []book.Order
 	for _, o := range in.queued {
 		r := p.Pool.Get(o.Engine)
 		l := p.ledgers[o.Engine]
 		switch {
-		case !stands[o.Seq]:
-			rest = append(rest, o)
+		case !isWritten[o.Seq]:
+			remaining = append(remaining, o)
 		case r == nil || l == nil || !p.mayOrder(now, r):
 			if l != nil {
-				l.NotSent(o.Seq)
+				l.MarkNotSent(o.Seq)
 			}
 		default:
 			p.send(o, r)
 		}
 	}
-	in.queued = rest
+	in.queued = remaining
 }
 
-// resendUnconfirmed sends orders whose answers are lost again, to engines that check
-// nothing: both operations may be repeated, and only a state that shows their
-// effect, or an answer, settles them.
+// resendUnconfirmed resends orders whose answers are lost to engines that do not check
+// fences. Both operations may be repeated, and only an answer, or a state that shows the
+// effect, settles them.
 func (p *Planner) resendUnconfirmed(now clock.Instant) {
 	for _, r := range p.Pool.All() {
 		l := p.ledgers[r.Name]
 		if l == nil || r.ChecksFence || !p.mayOrder(now, r) {
 			continue
 		}
-		ra := p.raises[r.Name]
+		retry := p.retries[r.Name]
 		unconfirmed := l.Unconfirmed()
-		if len(unconfirmed) == 0 || now.Before(ra.due) {
+		if len(unconfirmed) == 0 || now.Before(retry.due) {
 			continue
 		}
-		ra.backoff = ra.backoff.WithFailure()
-		ra.due = now.Add(ra.backoff.Delay(p.Rand))
+		retry.backoff = retry.backoff.WithFailure()
+		retry.due = now.Add(retry.backoff.Delay(p.Rand))
 		for _, o := range unconfirmed {
 			p.send(o, r)
 		}
 	}
 }
 
-// settleIntents drops the intents whose orders are settled.
+// settleIntents removes the intents whose orders are settled.
 func (p *Planner) settleIntents() {
 	in := &p.intents
 	if !in.owned {
 		return
 	}
-	var rest []Intent
+	var remaining []Intent
 	for _, i := range in.list {
 		if l := p.ledgers[i.Engine]; l != nil && l.IsOpen(i.Seq) {
-			rest = append(rest, i)
+			remaining = append(remaining, i)
 		}
 	}
-	if len(rest) != len(in.list) {
-		in.list = rest
+	if len(remaining) != len(in.list) {
+		in.list = remaining
 		in.dirty = true
 	}
 }
 
-// flushIntents writes the list if it changed and no write is under way. Lists
-// that only shrank wait for the next order, up to the next plan, so that most
-// orders cost one write.
+// flushIntents writes the list if it changed and no read or write is pending. Removing an
+// intent causes no write by itself: the shorter list is written with the next order, at
+// the latest by the next plan, so that most orders cost one write.
 func (p *Planner) flushIntents() {
 	in := &p.intents
-	if in.flying || in.reread || !in.dirty || p.fence == 0 {
+	if in.inFlight || in.reread || !in.dirty || p.fence == 0 {
 		return
 	}
-	in.flying = true
+	in.inFlight = true
 	in.dirty = false
 	list := append([]Intent(nil), in.list...)
 	p.Out.Emit(WriteIntents{Intents: Intents{Fence: p.fence, Intents: list}, Revision: in.revision})
--- a/core/own/planner/orders.go
+++ b/core/own/planner/orders.go
@@ -9,12 +9,13 @@
 	"github.com/birchdrift/birchdrift/core/pool"
 )
 
-// Orders to the engines of the zone, and the ledgers that they are booked in.
+// This file sends the orders to the engines of the zone and keeps the ledgers of their memory.
 
-// settle takes an engine's state into its ledger. A state of an engine that
-// checks fences counts only under this holder's fence: before that, another
-// holder's orders could still change what it says.
-func (p *Planner) settle(now clock.Instant, l *book.Engine, s pool.State, answered uint64) {
+// applyState applies an engine's state to its ledger. answered is the Seq of the order
+// that the state answers, or 0. A state of an engine that checks fences is applied only
+// if it shows this holder's fence: before that, orders of another holder could still
+// change the state.
+func (p *Planner) applyState(now clock.Instant, l *book.Ledger, s pool.State, answered uint64) {
 	r := p.Pool.Get(l.Name())
 	if r == nil {
 		return
@@ -23,10 +24,10 @@
 		if s.Fence > p.fence {
 			p.Out.Log(logevent.OrderFenced, "engine", r.Name, "fence", s.Fence)
 			p.loseLease(logevent.LeaseLost)
-		} else if l.Known() && s.Residency.Boot > l.Boot() {
-			// It restarted and forgot the fence: raise it anew first.
-			p.ledgers[r.Name] = l.Restarted()
-			p.raises[r.Name] = &raise{backoff: backoff.New(readBase, readMax)}
+		} else if l.StateKnown() && s.Residency.Boot > l.Boot() {
+			// The engine restarted and lost its fence, which must be raised again first.
+			p.ledgers[r.Name] = l.AfterRestart()
+			p.retries[r.Name] = &orderRetry{backoff: backoff.New(readBackoffBase, readBackoffMax)}
 		}
 		return
 	}
@@ -34,25 +35,25 @@
 		return
 	}
 	l.Observe(s, p.fence, answered, p.Config.ItemMemoryMiB)
-	p.trackSince(now, r.Name, s.Residency)
+	p.trackResidents(now, r.Name, s.Residency)
 	p.settleIntents()
 }
 
-func (p *Planner) trackSince(now clock.Instant, engine string, res pool.Residency) {
+func (p *Planner) trackResidents(now clock.Instant, engine string, res pool.Residency) {
 	for _, it := range res.Items {
 		key := placement{engine, it.Name}
-		if _, ok := p.since[key]; !ok {
-			p.since[key] = now
+		if _, ok := p.residentSince[key]; !ok {
+			p.residentSince[key] = now
 		}
 	}
-	for key := range p.since {
-		if key.engine == engine && !holds(res, key.item) {
-			delete(p.since, key)
+	for key := range p.residentSince {
+		if key.engine == engine && !hasItem(res, key.item) {
+			delete(p.residentSince, key)
 		}
 	}
 }
 
-func holds(res pool.Residency, item string) bool {
+func hasItem(res pool.Residency, item string) bool {
 	for _, it := range res.Items {
 		if it.Name == item {
 			return true
@@ -61,35 +62,36 @@
 	return false
 }
 
-// raiseFences gives the fence to engines that have not confirmed it, and asks
-// those with unconfirmed orders, which settles them.
+// raiseFences sends the fence to engines that have not confirmed it, and to those with
+// unconfirmed orders, which the engine's answer settles.
 func (p *Planner) raiseFences(now clock.Instant) {
 	for _, r := range p.Pool.All() {
 		l := p.ledgers[r.Name]
 		if l == nil || !r.ChecksFence || p.Options.Disable.Fences {
 			continue
 		}
-		ra := p.raises[r.Name]
-		if now.Before(ra.due) || (l.Known() && len(l.Unconfirmed()) == 0) {
+		retry := p.retries[r.Name]
+		if now.Before(retry.due) || (l.StateKnown() && len(l.Unconfirmed()) == 0) {
 			continue
 		}
-		ra.backoff = ra.backoff.WithFailure()
-		ra.due = now.Add(ra.backoff.Delay(p.Rand))
-		o := book.Order{Engine: r.Name, Fence: p.fence, Seq: p.nextSeq(), Op: book.Raise}
-		l.Book(o)
+		retry.backoff = retry.backoff.WithFailure()
+		retry.due = now.Add(retry.backoff.Delay(p.Rand))
+		o := book.Order{Engine: r.Name, Fence: p.fence, Seq: p.nextSeq(), Op: book.RaiseFence}
+		l.Reserve(o)
 		p.Out.Emit(SendOrder{Address: r.Address, Order: o})
 	}
 }
 
-// order books a planned step and sends it, or queues it behind its intent.
-func (p *Planner) order(now clock.Instant, s plan.Step) {
+// executeStep reserves memory for a step of the plan and sends its order, or queues the
+// order until its intent is written.
+func (p *Planner) executeStep(now clock.Instant, s plan.Step) {
 	r := p.Pool.Get(s.Engine)
 	l := p.ledgers[s.Engine]
 	if r == nil || l == nil || !p.mayOrder(now, r) {
 		return
 	}
 	o := book.Order{Engine: s.Engine, Fence: p.fence, Seq: p.nextSeq(), Op: s.Op, Item: s.Item, MiB: s.MiB}
-	if !l.Book(o) && !p.Options.Disable.Booking {
+	if !l.Reserve(o) && !p.Options.Disable.Booking {
 		p.Out.Log(logevent.OvercommitAverted, "engine", s.Engine, "op", s.Op.String(), "item", s.Item)
 		return
 	}
@@ -97,7 +99,7 @@
 		p.loads.tokens--
 	}
 	if s.Starving {
-		p.starvedAt = now
+		p.starvingServedAt = now
 	}
 	if r.ChecksFence || p.Options.Disable.Intents {
 		p.send(o, r)
@@ -113,48 +115,48 @@
 	p.Out.Emit(SendOrder{Address: r.Address, Order: o})
 }
 
-// OrderReplied takes in what came of an order.
-func (p *Planner) OrderReplied(now clock.Instant, e OrderReply) {
+// HandleOrderReply handles the outcome of an order.
+func (p *Planner) HandleOrderReply(now clock.Instant, e OrderReply) {
 	l := p.ledgers[e.Engine]
 	if l == nil || e.Fence != p.fence {
 		return
 	}
-	op, _ := l.Op(e.Seq)
+	op, _ := l.OpenOp(e.Seq)
 	switch e.Outcome {
-	case OrderDone:
-		p.count(op)
-		if ra := p.raises[e.Engine]; ra != nil {
-			ra.backoff = ra.backoff.WithSuccess()
+	case OrderAccepted:
+		p.countOrder(op)
+		if retry := p.retries[e.Engine]; retry != nil {
+			retry.backoff = retry.backoff.WithSuccess()
 		}
 		p.observe(now, e.Engine, e.State)
-		p.settle(now, l, e.State, e.Seq)
+		p.applyState(now, l, e.State, e.Seq)
 	case OrderRefused:
-		if op != book.Raise {
+		if op != book.RaiseFence {
 			p.Out.Log(logevent.OrderRefused, "engine", e.Engine, "seq", e.Seq, "detail", e.Detail)
 		}
-		l.Refused(e.Seq)
+		l.MarkRefused(e.Seq)
 		p.observe(now, e.Engine, e.State)
-		p.settle(now, l, e.State, e.Seq)
+		p.applyState(now, l, e.State, e.Seq)
 	case OrderFenced:
 		p.Out.Log(logevent.OrderFenced, "engine", e.Engine, "seq", e.Seq)
 		p.loseLease(logevent.LeaseLost)
 	case OrderNotSent:
-		l.NotSent(e.Seq)
+		l.MarkNotSent(e.Seq)
 	case OrderLost:
 		p.Out.Log(logevent.OrderLost, "engine", e.Engine, "seq", e.Seq, "detail", e.Detail)
-		l.Lost(e.Seq)
-		if ra := p.raises[e.Engine]; ra != nil {
-			ra.due = now
+		l.MarkLost(e.Seq)
+		if retry := p.retries[e.Engine]; retry != nil {
+			retry.due = now
 		}
 	}
 	p.settleIntents()
 }
 
-func (p *Planner) count(op book.Op) {
+func (p *Planner) countOrder(op book.Op) {
 	switch op {
 	case book.Load:
-		p.moves.Loads++
+		p.orderCounts.Loads++
 	case book.Unload:
-		p.moves.Unloads++
+		p.orderCounts.Unloads++
 	}
 }
--- a/core/own/planner/read.go
+++ b/core/own/planner/read.go
@@ -10,92 +10,96 @@
 	"github.com/birchdrift/birchdrift/core/step"
 )
 
-// readersPerEngine is how many instances of its zone read one engine's state;
-// the rest hear from them.
+// readersPerEngine is the number of instances of a zone that read one engine's state. The
+// other instances receive the state from them.
 const readersPerEngine = 2
 
-// readSpacing is how much time the reads of one instance keep between each
-// other on average, however many engines it reads.
-const readSpacing = 500 * time.Millisecond
+// minReadSpacing is the minimum average time between two reads by one instance,
+// regardless of how many engines it reads.
+const minReadSpacing = 500 * time.Millisecond
 
-// Bounds of the spacing of reads of an engine that does not answer.
+// Bounds of the retry delay when reading an engine's state fails.
 const (
-	readBase = 500 * time.Millisecond
-	readMax  = 5 * time.Second
+	readBackoffBase = 500 * time.Millisecond
+	readBackoffMax  = 5 * time.Second
 )
 
-// A reads is this instance's part in reading the engines' states.
+// A reads is this instance's part in reading the states of the engines.
 type reads struct {
-	readers map[string]*reader
-	scanDue clock.Instant // when to look for reads that are due
+	readers map[string]*engineReader
+	scanDue clock.Instant // time of the next scan for reads that are due
 }
 
-func newReads() reads { return reads{readers: map[string]*reader{}} }
+func newReads() reads { return reads{readers: map[string]*engineReader{}} }
 
-// A reader is the task of reading one engine.
-type reader struct {
+// An engineReader is the task of reading one engine's state.
+type engineReader struct {
 	step.Job
 	backoff backoff.Backoff
 }
 
-// scanEvery spaces the looks over all engines for reads that are due. Every
-// call steps the machine, and a look costs in proportion to the engines.
-const scanEvery = 50 * time.Millisecond
+// scanInterval is the time between two scans of all engines for reads that are due. The
+// planner is called for every event of the instance, and a scan takes time in proportion
+// to the number of engines.
+const scanInterval = 50 * time.Millisecond
 
-// readDue asks the engines whose state is this instance's to read.
-func (p *Planner) readDue(now clock.Instant) {
+// readEnginesIfDue reads the states of the engines that this instance is assigned to and
+// whose reads are due.
+func (p *Planner) readEnginesIfDue(now clock.Instant) {
 	if !p.Config.Loaded() || now.Before(p.reads.scanDue) {
 		return
 	}
-	p.reads.scanDue = now.Add(scanEvery)
-	var mine []*pool.Replica
+	p.reads.scanDue = now.Add(scanInterval)
+	var assigned []*pool.Replica
 	for _, r := range p.Pool.All() {
 		if r.Kind == pool.Engine && !r.Announced && r.Zone == p.Self.Zone && p.isReader(now, r) {
-			mine = append(mine, r)
+			assigned = append(assigned, r)
 		}
 	}
-	every := max(p.Options.ReadEvery, time.Duration(len(mine))*readSpacing)
-	for _, r := range mine {
-		rd := p.reader(r.Name)
+	interval := max(p.Options.ReadEvery, time.Duration(len(assigned))*minReadSpacing)
+	for _, r := range assigned {
+		rd := p.readerOf(r.Name)
 		if !rd.Due(now) {
 			continue
 		}
 		rd.Begin(now)
-		rd.SetDue(now.Add(step.Jitter(p.Rand, p.readEvery(r, every))))
+		rd.SetDue(now.Add(step.Jitter(p.Rand, p.readInterval(r, interval))))
 		p.Out.Emit(ReadState{Engine: r.Name, Address: r.Address})
 	}
 }
 
-// isReader reports whether the engine is this instance's to read. A planner also
-// reads those that it waits for.
+// isReader reports whether this instance reads the engine's state. The planner also reads
+// the engines that have open orders or are loading or unloading items.
 func (p *Planner) isReader(now clock.Instant, r *pool.Replica) bool {
-	if p.Planning() {
-		if l := p.ledgers[r.Name]; l != nil && l.Known() && l.Busy() {
+	if p.IsPlanner() {
+		if l := p.ledgers[r.Name]; l != nil && l.StateKnown() && l.Busy() {
 			return true
 		}
 	}
 	return p.Members.Assigned(now, "read/"+r.Name, readersPerEngine)
 }
 
-func (p *Planner) readEvery(r *pool.Replica, every time.Duration) time.Duration {
-	if l := p.ledgers[r.Name]; p.Planning() && l != nil && l.Busy() {
+// readInterval returns the time between two reads of the engine: a shorter one than normal
+// while its planner waits for orders to be carried out.
+func (p *Planner) readInterval(r *pool.Replica, normal time.Duration) time.Duration {
+	if l := p.ledgers[r.Name]; p.IsPlanner() && l != nil && l.Busy() {
 		return p.Options.BusyReadEvery
 	}
-	return every
+	return normal
 }
 
-func (p *Planner) reader(engine string) *reader {
+func (p *Planner) readerOf(engine string) *engineReader {
 	rd := p.reads.readers[engine]
 	if rd == nil {
-		rd = &reader{backoff: backoff.New(readBase, readMax)}
+		rd = &engineReader{backoff: backoff.New(readBackoffBase, readBackoffMax)}
 		p.reads.readers[engine] = rd
 	}
 	return rd
 }
 
-// StateReplied takes in what an engine said of its state.
-func (p *Planner) StateReplied(now clock.Instant, e StateReply) {
-	rd := p.reader(e.Engine)
+// HandleStateReply handles the reply to a ReadState.
+func (p *Planner) HandleStateReply(now clock.Instant, e StateReply) {
+	rd := p.readerOf(e.Engine)
 	if e.Err != nil {
 		rd.backoff = rd.backoff.WithFailure()
 		rd.End(now.Add(rd.backoff.Delay(p.Rand)))
@@ -105,17 +109,17 @@
 	rd.EndKeepDue()
 	p.observe(now, e.Engine, e.State)
 	if l := p.ledgers[e.Engine]; l != nil {
-		p.settle(now, l, e.State, 0)
+		p.applyState(now, l, e.State, 0)
 	}
 }
 
-// observe takes in an engine's own report and makes it known to peers.
+// observe records a state that an engine reported and publishes it to peers.
 func (p *Planner) observe(now clock.Instant, engine string, s pool.State) {
 	res := gossip.Residency{Engine: engine, Residency: s.Residency}
 	if p.Records.AddResidency("", res) {
 		p.Leaving(res)
 		if r := p.Pool.Get(engine); r != nil && s.Residency.Boot > r.Residency.Boot {
-			p.Chooser.Restarted(engine)
+			p.Chooser.HandleRestart(engine)
 		}
 		p.Pool.ObserveResidency(now, engine, s.Residency)
 		p.TellSoon(now)
@@ -123,20 +127,21 @@
 	p.observeLoad(now, engine, s.Load)
 }
 
-// observeLoad takes in a load. Peers are told only of a change that could
-// sway a choice; the rest is noise that would fill the exchanges.
+// observeLoad records a load that an engine reported. Only a change that could affect the
+// choice of a replica is published to peers, since smaller changes would fill the
+// exchanges.
 func (p *Planner) observeLoad(now clock.Instant, engine string, load pool.Load) {
 	r := p.Pool.Get(engine)
 	if r == nil {
 		return
 	}
 	p.Pool.ObserveLoad(now, engine, load)
-	told, ok := p.Records.Load(engine)
-	change := load.Running + load.Waiting - told.Running - told.Waiting
+	published, ok := p.Records.Load(engine)
+	change := load.Running + load.Waiting - published.Running - published.Waiting
 	if change < 0 {
 		change = -change
 	}
-	if !ok || told.Boot != load.Boot || change >= max(1, r.Concurrent/8) {
+	if !ok || published.Boot != load.Boot || change >= max(1, r.Concurrent/8) {
 		p.Records.AddLoad("", gossip.Load{Engine: engine, Load: load})
 	}
 }
--- a/internal/own/driver.go
+++ b/internal/own/driver.go
@@ -1,6 +1,6 @@
-// Package own joins an instance to the product's own environment: a small
-// key-value service (package keyvalue) and engines with a protocol of the
-// product's own (package engine).
+// Package own connects an instance to the product's own environment: a small key-value
+// service (package keyvalue) and engines with the product's own protocol (package
+// engine).
 package own
 
 import (
@@ -27,24 +27,24 @@
 	"github.com/birchdrift/birchdrift/internal/shell"
 )
 
-// Time limits of single requests: some hundred times what an answer takes on
-// loopback.
+// Time limits of single requests: several hundred times what a reply takes on the
+// loopback interface.
 const (
 	engineTimeout = 2 * time.Second
 	claimTimeout  = time.Second
 )
 
-// A driver carries out the machine's actions through the key-value service and
-// the engines.
+// A driver carries out the state machine's actions through the key-value service and the
+// engines.
 type driver struct {
 	platform *keyvalue.Client
 	engine   *engine.Client
 	host     shell.Host
-	// configSeen is the service's revision of the configuration last read.
-	configSeen atomic.Uint64
+	// configRevision is the service's revision of the configuration that was last read.
+	configRevision atomic.Uint64
 }
 
-// NewFactory returns what joins a shell to the product's own environment.
+// NewFactory returns a function that connects a shell to the product's own environment.
 func NewFactory(p *keyvalue.Client, e *engine.Client) shell.EnvironmentFactory {
 	return func(h shell.Host) shell.Environment {
 		p.Called = h.PlatformCalled
@@ -53,16 +53,16 @@
 	}
 }
 
-// CallName is the identity of one attempt of a call outside this instance.
-func CallName(self member.Identity, id calls.ID, attempt int) string {
+// AttemptID returns the identifier of one attempt of a call, unique among all instances.
+func AttemptID(self member.Identity, id calls.ID, attempt int) string {
 	return fmt.Sprintf("%s-%x-%d-%d", self.Name, self.Boot, id, attempt)
 }
 
-// carryOut returns the work that carries an action out, nil for an action that is
-// not this environment's.
+// carryOut returns the function that carries out an action, or nil if the action does not
+// belong to this environment.
 func (d *driver) carryOut(a step.Action) func(ctx context.Context) {
 	switch act := a.(type) {
-	case modelcalls.Cancel:
+	case modelcalls.CancelSequence:
 		return func(ctx context.Context) { d.cancel(ctx, act) }
 	case modelcalls.Claim:
 		return func(ctx context.Context) { d.claim(ctx, act) }
@@ -70,11 +70,11 @@
 		return func(ctx context.Context) { d.readClaim(ctx, act) }
 	case modelcalls.ReleaseClaim:
 		return func(ctx context.Context) { d.releaseClaim(ctx, act) }
-	case kvwatch.Config:
+	case kvwatch.WatchConfig:
 		return func(ctx context.Context) { d.watchConfig(ctx, act) }
-	case kvwatch.List:
+	case kvwatch.WatchList:
 		return func(ctx context.Context) { d.watchList(ctx, act) }
-	case planner.SeekLease:
+	case planner.RequestLease:
 		return func(ctx context.Context) { d.seekLease(ctx, act) }
 	case planner.ReleaseLease:
 		return func(ctx context.Context) { d.releaseLease(ctx, act) }
@@ -91,12 +91,12 @@
 	}
 }
 
-func (d *driver) cancel(ctx context.Context, a modelcalls.Cancel) {
-	ctx, done := context.WithTimeout(ctx, engineTimeout)
-	defer done()
-	// Closing the stream cancels as well; this only frees the sequence sooner, so
-	// a failure needs no second try.
-	if err := d.engine.Cancel(ctx, a.Address, CallName(d.host.Self, a.ID, a.Attempt)); err != nil {
+func (d *driver) cancel(ctx context.Context, a modelcalls.CancelSequence) {
+	ctx, cancel := context.WithTimeout(ctx, engineTimeout)
+	defer cancel()
+	// Closing the stream cancels the sequence as well. This request only frees it sooner,
+	// so a failure is not retried.
+	if err := d.engine.Cancel(ctx, a.Address, AttemptID(d.host.Self, a.ID, a.Attempt)); err != nil {
 		d.host.Event(logevent.CancelFailed, "call", uint64(a.ID), "upstream", a.Replica, "error", err.Error())
 	}
 }
@@ -106,9 +106,9 @@
 }
 
 func (d *driver) claim(ctx context.Context, a modelcalls.Claim) {
-	ctx, done := context.WithTimeout(ctx, claimTimeout)
-	defer done()
-	_, err := d.platform.Swap(ctx, a.Key, d.claimValue(a.ID), 0, a.Life)
+	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
+	defer cancel()
+	_, err := d.platform.CompareAndSwap(ctx, a.Key, d.claimValue(a.ID), 0, a.Life)
 	d.host.Post(modelcalls.ClaimReply{ID: a.ID, Outcome: claimOutcome(err)})
 }
 
@@ -117,8 +117,8 @@
 	case err == nil:
 		return modelcalls.ClaimWon
 	case errors.Is(err, keyvalue.ErrConflict):
-		// The first of two requests whose answer was lost conflicts with the
-		// second, so a conflict alone does not say that another won.
+		// If the answer to a first request was lost, a second request conflicts with the
+		// first, so a conflict alone does not show that another call holds the claim.
 		return modelcalls.ClaimUnknown
 	case errors.Is(err, keyvalue.ErrNotSent):
 		return modelcalls.ClaimNotSent
@@ -128,8 +128,8 @@
 }
 
 func (d *driver) readClaim(ctx context.Context, a modelcalls.ReadClaim) {
-	ctx, done := context.WithTimeout(ctx, claimTimeout)
-	defer done()
+	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
+	defer cancel()
 	v, err := d.platform.Get(ctx, a.Key, 0, 0)
 	outcome := modelcalls.ClaimLost
 	switch {
@@ -143,11 +143,11 @@
 	d.host.Post(modelcalls.ClaimReply{ID: a.ID, Outcome: outcome})
 }
 
-// releaseClaim drops the claim if it is this call's. It is best effort: a claim
-// that stays refuses its key until it expires, and runs nothing.
+// releaseClaim deletes the claim if it belongs to this call. It is best effort: a claim
+// that remains causes its key to be refused until it expires, and nothing is run for it.
 func (d *driver) releaseClaim(ctx context.Context, a modelcalls.ReleaseClaim) {
-	ctx, done := context.WithTimeout(ctx, claimTimeout)
-	defer done()
+	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
+	defer cancel()
 	v, err := d.platform.Get(ctx, a.Key, 0, 0)
 	if err == nil && string(v.Data) == string(d.claimValue(a.ID)) {
 		err = d.platform.Delete(ctx, a.Key, v.Revision)
@@ -157,11 +157,11 @@
 	}
 }
 
-// watchConfig waits for a configuration newer than the one had. The platform
-// orders values by its own revisions, which this shell remembers; the document
-// carries the revision that decides.
-func (d *driver) watchConfig(ctx context.Context, a kvwatch.Config) {
-	after := d.configSeen.Load()
+// watchConfig waits for a configuration newer than the current one. The platform orders
+// values by its own revisions, of which this driver remembers the last one read. Which
+// configuration is newer is decided by the revision in the document.
+func (d *driver) watchConfig(ctx context.Context, a kvwatch.WatchConfig) {
+	after := d.configRevision.Load()
 	if a.Have == 0 {
 		after = 0
 	}
@@ -174,27 +174,27 @@
 		d.host.Post(instance.ConfigReply{Source: instance.PlatformSource})
 		return
 	}
-	d.configSeen.Store(v.Revision)
+	d.configRevision.Store(v.Revision)
 	d.host.PostConfig(v.Data, instance.PlatformSource)
 }
 
-func (d *driver) watchList(ctx context.Context, a kvwatch.List) {
+func (d *driver) watchList(ctx context.Context, a kvwatch.WatchList) {
 	entries, version, err := d.platform.Instances(ctx, a.Since, a.Wait)
 	d.host.Post(listing.Reply{Entries: entries, Version: era.Revision(version), Err: err})
 }
 
-func (d *driver) holder() string { return fmt.Sprintf("%s/%x", d.host.Self.Name, d.host.Self.Boot) }
+func (d *driver) holderName() string { return fmt.Sprintf("%s/%x", d.host.Self.Name, d.host.Self.Boot) }
 
-func (d *driver) seekLease(ctx context.Context, a planner.SeekLease) {
+func (d *driver) seekLease(ctx context.Context, a planner.RequestLease) {
 	sent := d.host.Now()
-	reply, err := d.platform.Lease(ctx, keyvalue.LeaseName(d.host.Self.Zone), keyvalue.LeaseRequest{
-		Holder: d.holder(), TermMS: a.Term.Milliseconds(), Renew: a.Renew,
+	reply, err := d.platform.AcquireLease(ctx, keyvalue.LeaseName(d.host.Self.Zone), keyvalue.LeaseRequest{
+		Holder: d.holderName(), TermMS: a.Term.Milliseconds(), Renew: a.Renew,
 	})
 	d.host.Post(planner.LeaseReply{Sent: sent, Granted: reply.Granted, Fence: reply.Fence, Err: err})
 }
 
 func (d *driver) releaseLease(ctx context.Context, a planner.ReleaseLease) {
-	// A lease that is not released lapses.
+	// A lease that is not released expires.
 	if err := d.platform.Release(ctx, keyvalue.LeaseName(d.host.Self.Zone), a.Fence); err != nil {
 		d.host.Event(logevent.NotReturned, "what", "planner's lease", "error", err.Error())
 	}
@@ -213,7 +213,7 @@
 	reply := planner.IntentsReply{Intents: a.Intents}
 	data, err := json.Marshal(a.Intents)
 	if err == nil {
-		reply.Revision, err = d.platform.Swap(ctx, keyvalue.IntentsKey(d.host.Self.Zone), data, a.Revision, 0)
+		reply.Revision, err = d.platform.CompareAndSwap(ctx, keyvalue.IntentsKey(d.host.Self.Zone), data, a.Revision, 0)
 	}
 	reply.Conflict = errors.Is(err, keyvalue.ErrConflict)
 	if !reply.Conflict {
@@ -223,18 +223,18 @@
 }
 
 func (d *driver) readState(ctx context.Context, a planner.ReadState) {
-	ctx, done := context.WithTimeout(ctx, engineTimeout)
-	defer done()
+	ctx, cancel := context.WithTimeout(ctx, engineTimeout)
+	defer cancel()
 	state, err := d.engine.State(ctx, a.Address)
 	d.host.Post(planner.StateReply{Engine: a.Engine, State: state, Err: err})
 }
 
 func (d *driver) sendOrder(ctx context.Context, a planner.SendOrder) {
-	ctx, done := context.WithTimeout(ctx, engineTimeout)
-	defer done()
+	ctx, cancel := context.WithTimeout(ctx, engineTimeout)
+	defer cancel()
 	base := ""
 	if cfg := d.host.Config(); cfg != nil {
 		base = cfg.BaseModel(a.Order.Item)
 	}
-	d.host.Post(d.engine.Order(ctx, a.Address, a.Order, base))
+	d.host.Post(d.engine.SubmitOrder(ctx, a.Address, a.Order, base))
 }
--- a/internal/own/engine/engine_test.go
+++ b/internal/own/engine/engine_test.go
@@ -23,8 +23,9 @@
 	return &Stream{id: id, next: next, body: io.NopCloser(nil), dec: json.NewDecoder(bytes.NewReader(body))}
 }
 
-// TestStreamHandsOutItsOwnPiecesOnceInOrder tables what a connection may bring.
-func TestStreamHandsOutItsOwnPiecesOnceInOrder(t *testing.T) {
+// TestStreamReturnsOwnPiecesOnceInOrder checks the pieces returned for what a connection
+// may deliver: duplicates, pieces of other calls, gaps and truncated streams.
+func TestStreamReturnsOwnPiecesOnceInOrder(t *testing.T) {
 	cases := []struct {
 		name  string
 		from  int
@@ -35,12 +36,12 @@
 		{"whole", 0, `{"id":"a","o":0,"t":"x"}{"id":"a","o":1,"t":"y"}{"id":"a","o":2,"end":true}`, "xy", nil},
 		{"doubled", 0, `{"id":"a","o":0,"t":"x"}{"id":"a","o":0,"t":"x"}{"id":"a","o":1,"end":true}`, "x", nil},
 		{"another's", 0, `{"id":"b","o":0,"t":"z"}{"id":"a","o":0,"t":"x"}{"id":"b","o":1,"end":true}{"id":"a","o":1,"end":true}`, "x", nil},
-		{"late after a resume", 2, `{"id":"a","o":1,"t":"y"}{"id":"a","o":2,"t":"z"}{"id":"a","o":3,"end":true}`, "z", nil},
-		{"a gap", 0, `{"id":"a","o":0,"t":"x"}{"id":"a","o":2,"t":"z"}`, "x", ErrGap},
-		{"cut", 0, `{"id":"a","o":0,"t":"x"}`, "x", ErrCut},
-		{"cut in a piece", 0, `{"id":"a","o":0,"t":"x"}{"id":"a","o":1,"t`, "x", ErrCut},
-		{"nothing", 0, ``, "", ErrCut},
-		{"not JSON", 0, `<html>`, "", ErrCut},
+		{"late piece after a resume", 2, `{"id":"a","o":1,"t":"y"}{"id":"a","o":2,"t":"z"}{"id":"a","o":3,"end":true}`, "z", nil},
+		{"a gap", 0, `{"id":"a","o":0,"t":"x"}{"id":"a","o":2,"t":"z"}`, "x", ErrMissingPiece},
+		{"cut", 0, `{"id":"a","o":0,"t":"x"}`, "x", ErrTruncated},
+		{"cut in a piece", 0, `{"id":"a","o":0,"t":"x"}{"id":"a","o":1,"t`, "x", ErrTruncated},
+		{"nothing", 0, ``, "", ErrTruncated},
+		{"not JSON", 0, `<html>`, "", ErrTruncated},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -64,8 +65,8 @@
 	}
 }
 
-// FuzzStream feeds bytes that an engine could send: never a piece of another
-// call, never one out of order.
+// FuzzStream feeds arbitrary bytes as an engine's response and checks that no piece of
+// another call and no piece out of order is returned.
 func FuzzStream(f *testing.F) {
 	f.Add([]byte(`{"id":"a","o":0,"t":"x"}{"id":"a","o":1,"end":true}`))
 	f.Add([]byte(`{"id":"b","o":0}{"id":"a","o":5}`))
@@ -77,23 +78,24 @@
 				return
 			}
 			if p.ID != "a" || p.Offset != want {
-				t.Fatalf("piece %+v where %d was due", p, want)
+				t.Fatalf("got piece %+v, want offset %d", p, want)
 			}
 		}
 	})
 }
 
-// TestOrderOutcomes tables what an engine may do with an order.
+// TestOrderOutcomes checks the outcome reported for each answer that an engine may give
+// to an order.
 func TestOrderOutcomes(t *testing.T) {
 	cases := []struct {
 		name string
 		do   http.HandlerFunc
 		want planner.OrderOutcome
 	}{
-		{"done", func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, `{"result":"done"}`) }, planner.OrderDone},
+		{"done", func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, `{"result":"done"}`) }, planner.OrderAccepted},
 		{"refused", func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, `{"result":"refused"}`) }, planner.OrderRefused},
 		{"fenced", func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, `{"result":"fenced"}`) }, planner.OrderFenced},
-		{"a word we do not know", func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, `{"result":"maybe"}`) }, planner.OrderLost},
+		{"an unknown result", func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, `{"result":"maybe"}`) }, planner.OrderLost},
 		{"an error page", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusInternalServerError) }, planner.OrderLost},
 		{"no answer", func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }, planner.OrderLost},
 		{"half an answer", func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, `{"result":`) }, planner.OrderLost},
@@ -102,25 +104,26 @@
 		t.Run(c.name, func(t *testing.T) {
 			server := httptest.NewServer(c.do)
 			defer server.Close()
-			reply := NewClient(upstream.NewTransports()).Order(context.Background(), server.Listener.Addr().String(), book.Order{Engine: "e", Seq: 4}, "")
+			reply := NewClient(upstream.NewTransports()).SubmitOrder(context.Background(), server.Listener.Addr().String(), book.Order{Engine: "e", Seq: 4}, "")
 			is := is.New(t)
 			is.Equal(reply.Outcome, c.want)
 			is.Equal(reply.Seq, uint64(4))
 		})
 	}
-	t.Run("nobody listens", func(t *testing.T) {
+	t.Run("connection refused", func(t *testing.T) {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		is := is.New(t)
 		is.NoErr(err)
 		address := l.Addr().String()
 		is.NoErr(l.Close())
-		reply := NewClient(upstream.NewTransports()).Order(context.Background(), address, book.Order{Engine: "e"}, "")
+		reply := NewClient(upstream.NewTransports()).SubmitOrder(context.Background(), address, book.Order{Engine: "e"}, "")
 		is.Equal(reply.Outcome, planner.OrderNotSent)
 	})
 }
 
-// TestProgressNeverGoesBack: a late note cannot make a call look less sent.
-func TestProgressNeverGoesBack(t *testing.T) {
+// TestProgressNeverRegresses checks that a late update cannot move a call back to an
+// earlier phase.
+func TestProgressNeverRegresses(t *testing.T) {
 	is := is.New(t)
 	var p upstream.Progress
 	p.Advance(attempt.Answered)
--- a/internal/own/modelapi/model.go
+++ b/internal/own/modelapi/model.go
@@ -22,58 +22,59 @@
 
 // A modelCall is one chat or completion call in progress.
 type modelCall struct {
-	handler *Handler
-	w       http.ResponseWriter
-	req     modelRequest
-	prompt  string
-	begun   time.Time
-	call    calls.Request
-	form    form
-
-	text      strings.Builder // of the attempt in progress, for whole answers
-	pieces    int             // had of the attempt in progress
-	delivered int             // that reached the caller
-	started   bool            // the answer's header was written
-	lastPiece time.Time
+	handler   *Handler
+	w         http.ResponseWriter
+	req       modelRequest
+	prompt    string
+	startedAt time.Time
+	call      calls.Request
+	format    answerFormat
+
+	text            strings.Builder // received in the current attempt, for answers that are not streamed
+	piecesReceived  int             // in the current attempt
+	piecesDelivered int             // written to the caller
+	headerWritten   bool            // the answer's HTTP header was written
+	lastPiece       time.Time
 }
 
-// run does what the machine says until the call has its final answer.
+// run carries out the state machine's actions until the call has its final answer.
 func (m *modelCall) run(ctx context.Context, s shell.Session) {
 	_, queue := m.handler.Tracer.Start(ctx, "queue")
 	entry.HandleActions(ctx, s, entry.CallHandlers{
 		Waited:  func() { queue.End() },
 		Attempt: func(d calls.Dispatch) bool { return m.attempt(ctx, s, d) },
 		Finish:  m.finish,
-		Gone:    func() { m.gone(s) },
+		Gone:    func() { m.handleCallerGone(s) },
 	})
 }
 
-// finish gives the caller the machine's final answer.
+// finish writes the state machine's final answer to the caller.
 func (m *modelCall) finish(r code.Refusal) {
-	if !m.started {
-		m.handler.refuse(m.w, r, m.begun)
+	if !m.headerWritten {
+		m.handler.refuse(m.w, r, m.startedAt)
 		return
 	}
-	m.handler.Metrics.ObserveAnswer(int(r.Code), time.Since(m.begun))
+	m.handler.Metrics.ObserveAnswer(int(r.Code), time.Since(m.startedAt))
 	data, err := json.Marshal(entry.NewErrorBody(r))
 	if err == nil {
-		m.event(data)
+		m.writeEvent(data)
 	}
-	// A normal return would end the body properly; the caller must see a cut.
+	// A normal return would end the body as if it were complete; the caller must see that
+	// it was cut off.
 	panic(http.ErrAbortHandler)
 }
 
-// attempt carries out one Dispatch and reports whether the call is over.
+// attempt carries out one Dispatch and reports whether the call has ended.
 func (m *modelCall) attempt(ctx context.Context, s shell.Session, d calls.Dispatch) bool {
 	if d.Attempt == 1 && !d.Resume {
-		m.handler.Metrics.ObserveQueueTime(time.Since(m.begun))
+		m.handler.Metrics.ObserveQueueTime(time.Since(m.startedAt))
 	}
 	if !d.Resume {
 		m.text.Reset()
-		m.pieces = 0
+		m.piecesReceived = 0
 	}
 	if !pause(ctx, d.After) {
-		m.gone(s)
+		m.handleCallerGone(s)
 		return true
 	}
 	name := "attempt"
@@ -84,25 +85,26 @@
 	defer span.End()
 	span.SetAttributes(attribute.String("upstream", d.Replica), attribute.Int("attempt", d.Attempt))
 	var progress upstream.Progress
-	broke, over := m.stream(ctx, s, d, &progress)
-	if over {
+	failure, ended := m.stream(ctx, s, d, &progress)
+	if ended {
 		return true
 	}
-	span.SetAttributes(attribute.String("broke", broke.Detail))
+	span.SetAttributes(attribute.String("broke", failure.Detail))
 	if ctx.Err() != nil {
-		m.gone(s)
+		m.handleCallerGone(s)
 		return true
 	}
-	s.AttemptFailed(broke)
+	s.AttemptFailed(failure)
 	return false
 }
 
-// gone deals with a caller that closed its connection. Should the connection
-// be there after all, it must not see a proper end of what was begun.
-func (m *modelCall) gone(s shell.Session) {
+// handleCallerGone handles a caller that closed its connection. If the connection is open
+// after all, it is aborted, so that an answer that was started does not appear to be
+// complete.
+func (m *modelCall) handleCallerGone(s shell.Session) {
 	s.CallerGone()
-	m.handler.Metrics.ObserveAnswer(int(code.CallerGone), time.Since(m.begun))
-	if m.started {
+	m.handler.Metrics.ObserveAnswer(int(code.CallerGone), time.Since(m.startedAt))
+	if m.headerWritten {
 		panic(http.ErrAbortHandler)
 	}
 }
@@ -121,43 +123,43 @@
 	}
 }
 
-// stream sends the attempt and passes its pieces on. It returns over when the
-// answer is whole, else how the attempt broke.
+// stream sends the attempt and delivers its pieces. It returns true if the answer is
+// complete, or else false and how the attempt failed.
 func (m *modelCall) stream(ctx context.Context, s shell.Session, d calls.Dispatch, progress *upstream.Progress) (calls.AttemptFailed, bool) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	s.SetInterrupt(cancel)
-	watch := entry.NewWatchdog(d.Stall, cancel)
-	defer watch.Stop()
+	watchdog := entry.NewWatchdog(d.Stall, cancel)
+	defer watchdog.Stop()
 	stream, err := m.open(ctx, d, progress)
 	if err != nil {
-		return m.broke(d, progress, watch, err), false
+		return m.failure(d, progress, watchdog, err), false
 	}
 	defer stream.Close()
 	for {
 		p, err := stream.Next()
 		if err != nil {
-			return m.broke(d, progress, watch, err), false
+			return m.failure(d, progress, watchdog, err), false
 		}
-		watch.Reset()
-		if m.pieces == 0 {
+		watchdog.Reset()
+		if m.piecesReceived == 0 {
 			s.AnswerBegan()
-			m.handler.Metrics.ObserveFirstToken(time.Since(m.begun))
+			m.handler.Metrics.ObserveFirstToken(time.Since(m.startedAt))
 		}
-		m.pieces++
+		m.piecesReceived++
 		if p.End {
-			return m.end(s, d, p)
+			return m.finishAnswer(s, d, p)
 		}
-		m.pass(d, p)
+		m.deliver(d, p)
 	}
 }
 
 func (m *modelCall) open(ctx context.Context, d calls.Dispatch, progress *upstream.Progress) (*engine.Stream, error) {
 	header := http.Header{}
 	m.handler.Tracer.Inject(ctx, header)
-	id := own.CallName(m.handler.Self, m.call.ID, d.Attempt)
+	id := own.AttemptID(m.handler.Self, m.call.ID, d.Attempt)
 	if d.Resume {
-		return m.handler.Engine.Resume(ctx, d.Address, engine.ResumeRequest{ID: id, Offset: m.pieces}, header, progress)
+		return m.handler.Engine.Resume(ctx, d.Address, engine.ResumeRequest{ID: id, Offset: m.piecesReceived}, header, progress)
 	}
 	req := engine.GenerateRequest{
 		ID: id, Model: d.Model, Adapter: d.Adapter, Prompt: m.prompt, MaxTokens: m.req.MaxTokens, Priority: d.Priority,
@@ -165,15 +167,15 @@
 	return m.handler.Engine.Generate(ctx, d.Address, req, d.Repeatable, header, progress)
 }
 
-// broke words how an attempt broke. Only facts go in; what follows is the
-// machine's to say.
-func (m *modelCall) broke(d calls.Dispatch, progress *upstream.Progress, watch *entry.Watchdog, err error) calls.AttemptFailed {
+// failure describes how an attempt failed. It states only facts; the state machine
+// decides what follows.
+func (m *modelCall) failure(d calls.Dispatch, progress *upstream.Progress, watchdog *entry.Watchdog, err error) calls.AttemptFailed {
 	b := calls.AttemptFailed{
 		Attempt:   d.Attempt,
 		Phase:     progress.Phase(),
-		Delivered: m.delivered,
+		Delivered: m.piecesDelivered,
 		Resumable: true,
-		Stalled:   watch.Fired(),
+		Stalled:   watchdog.Fired(),
 		Detail:    err.Error(),
 	}
 	var status *engine.StatusError
@@ -185,8 +187,9 @@
 	return b
 }
 
-// pass hands one piece on: to the caller of a stream at once, else to the text.
-func (m *modelCall) pass(d calls.Dispatch, p engine.Piece) {
+// deliver writes a piece of a streamed answer to the caller immediately, and adds a piece
+// of any other answer to the text.
+func (m *modelCall) deliver(d calls.Dispatch, p engine.Piece) {
 	if !m.lastPiece.IsZero() {
 		m.handler.Metrics.ObserveTokenGap(time.Since(m.lastPiece))
 	}
@@ -195,54 +198,54 @@
 		m.text.WriteString(p.Text)
 		return
 	}
-	m.begin(d)
-	m.chunk(m.form.chunk(p.Text, nil))
-	m.delivered++
+	m.writeHeader(d)
+	m.writeChunk(m.format.chunk(p.Text, nil))
+	m.piecesDelivered++
 }
 
-// begin writes the header of an event stream.
-func (m *modelCall) begin(d calls.Dispatch) {
-	if m.started {
+// writeHeader writes the header of an event stream, unless it was written before.
+func (m *modelCall) writeHeader(d calls.Dispatch) {
+	if m.headerWritten {
 		return
 	}
-	m.started = true
-	m.mark(d)
+	m.headerWritten = true
+	m.setHeaders(d)
 	m.w.Header().Set("Content-Type", "text/event-stream")
 	m.w.Header().Set("Cache-Control", "no-cache")
 	m.w.WriteHeader(http.StatusOK)
 }
 
-func (m *modelCall) mark(d calls.Dispatch) {
+func (m *modelCall) setHeaders(d calls.Dispatch) {
 	m.w.Header().Set(HeaderInstance, m.handler.Self.Name)
 	m.w.Header().Set(HeaderUpstream, d.Replica)
 }
 
-// end ends the answer properly.
-func (m *modelCall) end(s shell.Session, d calls.Dispatch, p engine.Piece) (calls.AttemptFailed, bool) {
+// finishAnswer writes the end of a complete answer.
+func (m *modelCall) finishAnswer(s shell.Session, d calls.Dispatch, p engine.Piece) (calls.AttemptFailed, bool) {
 	if m.req.Stream {
-		m.begin(d)
-		m.chunk(m.form.chunk("", &p.Reason))
-		m.event([]byte("[DONE]"))
+		m.writeHeader(d)
+		m.writeChunk(m.format.chunk("", &p.Reason))
+		m.writeEvent([]byte("[DONE]"))
 	} else {
-		m.mark(d)
-		entry.WriteJSON(m.w, http.StatusOK, m.form.whole(m.text.String(), p.Reason, m.call.PromptTokens, m.pieces-1))
+		m.setHeaders(d)
+		entry.WriteJSON(m.w, http.StatusOK, m.format.complete(m.text.String(), p.Reason, m.call.PromptTokens, m.piecesReceived-1))
 	}
 	s.Completed(0)
-	m.handler.Metrics.ObserveAnswer(int(code.OK), time.Since(m.begun))
+	m.handler.Metrics.ObserveAnswer(int(code.OK), time.Since(m.startedAt))
 	return calls.AttemptFailed{}, true
 }
 
-func (m *modelCall) chunk(a answer) {
+func (m *modelCall) writeChunk(a answer) {
 	data, err := json.Marshal(a)
 	if err != nil {
-		panic(http.ErrAbortHandler) // impossible for these types; never a proper end
+		panic(http.ErrAbortHandler) // impossible for these types, but the answer must not appear to be complete
 	}
-	m.event(data)
+	m.writeEvent(data)
 }
 
-// event writes one server-sent event. A write error means that the caller is
-// gone, which the request's context tells as well.
-func (m *modelCall) event(data []byte) {
+// writeEvent writes one server-sent event. A write error is ignored: it means that the
+// caller has disconnected, which also cancels the request's context.
+func (m *modelCall) writeEvent(data []byte) {
 	_, _ = m.w.Write([]byte("data: "))
 	_, _ = m.w.Write(data)
 	_, _ = m.w.Write([]byte("\n\n"))
--- a/internal/own/modelapi/openai.go
+++ b/internal/own/modelapi/openai.go
@@ -8,16 +8,16 @@
 	"github.com/birchdrift/birchdrift/core/code"
 )
 
-// The wire types follow the OpenAI-compatible chat and completion calls, as
-// far as the engines serve them.
+// The wire types follow the OpenAI-compatible chat and completion API, as
+// far as the engines support it.
 
-// A message is one turn of a chat.
+// A message is one message of a chat.
 type message struct {
 	Role    string          `json:"role"`
 	Content json.RawMessage `json:"content"`
 }
 
-// A modelRequest is a chat or a completion call.
+// A modelRequest is the body of a chat or completion call.
 type modelRequest struct {
 	Model               string          `json:"model"`
 	Messages            []message       `json:"messages"`
@@ -28,13 +28,14 @@
 	N                   int             `json:"n"`
 }
 
-// Bounds of a model call.
+// Token limits of a model call.
 const (
 	defaultMaxTokens = 256
-	mostMaxTokens    = 131072
+	maxTokensLimit   = 131072
 )
 
-// parseRequest checks a model call and returns it with its prompt as text.
+// parseRequest parses and checks the body of a model call and returns it with its prompt
+// as text.
 func parseRequest(data []byte, chat bool) (modelRequest, string, *code.Error) {
 	var req modelRequest
 	if err := json.Unmarshal(data, &req); err != nil {
@@ -52,16 +53,17 @@
 	if req.MaxTokens == 0 {
 		req.MaxTokens = defaultMaxTokens
 	}
-	if req.MaxTokens < 0 || req.MaxTokens > mostMaxTokens {
-		return req, "", code.Errorf(code.BadRequest, "max_tokens is %d, 1 to %d allowed", req.MaxTokens, mostMaxTokens)
+	if req.MaxTokens < 0 || req.MaxTokens > maxTokensLimit {
+		return req, "", code.Errorf(code.BadRequest, "max_tokens is %d, 1 to %d allowed", req.MaxTokens, maxTokensLimit)
 	}
 	prompt, err := req.prompt(chat)
 	return req, prompt, err
 }
 
+// prompt returns the prompt of a chat or completion call as text.
 func (r modelRequest) prompt(chat bool) (string, *code.Error) {
 	if !chat {
-		text, ok := textOf(r.Prompt)
+		text, ok := parseText(r.Prompt)
 		if !ok {
 			return "", code.Errorf(code.BadRequest, "prompt is missing or not a text")
 		}
@@ -72,7 +74,7 @@
 	}
 	var b strings.Builder
 	for i, m := range r.Messages {
-		text, ok := textOf(m.Content)
+		text, ok := parseText(m.Content)
 		if !ok {
 			return "", code.Errorf(code.BadRequest, "messages[%d].content is not a text", i)
 		}
@@ -84,8 +86,9 @@
 	return b.String(), nil
 }
 
-// textOf reads a text, or a list of text parts.
-func textOf(raw json.RawMessage) (string, bool) {
+// parseText parses a JSON string or a list of text parts. It returns false for anything
+// else.
+func parseText(raw json.RawMessage) (string, bool) {
 	var s string
 	if json.Unmarshal(raw, &s) == nil {
 		return s, true
@@ -107,22 +110,22 @@
 	return b.String(), true
 }
 
-// A choice is one alternative of an answer; there is always just one.
+// A choice is one alternative of an answer; there is always exactly one.
 type choice struct {
 	Index        int     `json:"index"`
-	Message      *turn   `json:"message,omitempty"`
-	Delta        *turn   `json:"delta,omitempty"`
+	Message      *reply  `json:"message,omitempty"`
+	Delta        *reply  `json:"delta,omitempty"`
 	Text         *string `json:"text,omitempty"`
 	FinishReason *string `json:"finish_reason"`
 }
 
-// A turn is what the model says.
-type turn struct {
+// A reply is the text that the model generated.
+type reply struct {
 	Role    string `json:"role,omitempty"`
 	Content string `json:"content"`
 }
 
-// An answer is a whole answer or one chunk of a stream.
+// An answer is a complete answer or one chunk of a stream.
 type answer struct {
 	ID      string   `json:"id"`
 	Object  string   `json:"object"`
@@ -132,25 +135,25 @@
 	Usage   *usage   `json:"usage,omitempty"`
 }
 
-// usage counts tokens; the prompt's are an estimate.
+// usage counts tokens; the number of prompt tokens is an estimate.
 type usage struct {
 	PromptTokens     int `json:"prompt_tokens"`
 	CompletionTokens int `json:"completion_tokens"`
 	TotalTokens      int `json:"total_tokens"`
 }
 
-// A form knows how one kind of call words its answers.
-type form struct {
+// An answerFormat builds the answers of one call in the format of its kind.
+type answerFormat struct {
 	chat    bool
 	id      string
 	model   string
 	created time.Time
 }
 
-func (f form) chunk(text string, finish *string) answer {
+func (f answerFormat) chunk(text string, finish *string) answer {
 	c := choice{FinishReason: finish}
 	if f.chat {
-		c.Delta = &turn{Content: text}
+		c.Delta = &reply{Content: text}
 	} else {
 		c.Text = &text
 	}
@@ -161,12 +164,12 @@
 	return answer{ID: f.id, Object: object, Created: f.created.Unix(), Model: f.model, Choices: []choice{c}}
 }
 
-func (f form) whole(text string, finish string, promptTokens, tokens int) answer {
+func (f answerFormat) complete(text string, finish string, promptTokens, tokens int) answer {
 	c := choice{FinishReason: &finish}
 	object := "text_completion"
 	if f.chat {
 		object = "chat.completion"
-		c.Message = &turn{Role: "assistant", Content: text}
+		c.Message = &reply{Role: "assistant", Content: text}
 	} else {
 		c.Text = &text
 	}
--- a/internal/own/modelapi/plain.go
+++ b/internal/own/modelapi/plain.go
@@ -20,14 +20,14 @@
 	"github.com/birchdrift/birchdrift/internal/upstream"
 )
 
-// plain serves a call to a plain service.
-func (h *Handler) plain(w http.ResponseWriter, r *http.Request) {
-	begun := time.Now()
+// servePlain serves a call to a plain service.
+func (h *Handler) servePlain(w http.ResponseWriter, r *http.Request) {
+	start := time.Now()
 	ctx, span := h.Tracer.Start(h.Tracer.Extract(r.Context(), r.Header), "entry")
 	defer span.End()
 	body, err := entry.ReadBody(r)
 	if err != nil {
-		h.refuse(w, code.Refusal{Code: code.BadRequest, Run: code.NotRun, Detail: err.Error()}, begun)
+		h.refuse(w, code.Refusal{Code: code.BadRequest, Run: code.NotRun, Detail: err.Error()}, start)
 		return
 	}
 	call := calls.Request{
@@ -35,60 +35,60 @@
 		Service:        r.PathValue("name"),
 		Plain:          true,
 		Path:           "/" + r.PathValue("path"),
-		Key:            key(r),
+		Key:            callerKey(r),
 		IdempotencyKey: r.Header.Get(HeaderIdempotency),
 		NotRepeatable:  notRepeatable(r),
 		Replayable:     !body.Streamed(),
 	}
 	span.SetAttributes(attribute.String("service", call.Service), attribute.Int64("call", int64(call.ID)))
-	p := &plainCall{handler: h, w: w, r: r, body: body, call: call, begun: begun}
+	p := &plainCall{handler: h, w: w, r: r, body: body, call: call, startedAt: start}
 	p.run(ctx, h.Shell.Begin(call))
 }
 
 // A plainCall is one call to a plain service in progress.
 type plainCall struct {
-	handler *Handler
-	w       http.ResponseWriter
-	r       *http.Request
-	body    *entry.Body
-	call    calls.Request
-	begun   time.Time
+	handler   *Handler
+	w         http.ResponseWriter
+	r         *http.Request
+	body      *entry.Body
+	call      calls.Request
+	startedAt time.Time
 }
 
 func (p *plainCall) run(ctx context.Context, s shell.Session) {
 	entry.HandleActions(ctx, s, entry.CallHandlers{
 		Attempt: func(d calls.Dispatch) bool { return p.attempt(ctx, s, d) },
-		Finish:  func(r code.Refusal) { p.handler.refuse(p.w, r, p.begun) },
-		Gone:    func() { p.gone(s) },
+		Finish:  func(r code.Refusal) { p.handler.refuse(p.w, r, p.startedAt) },
+		Gone:    func() { p.handleCallerGone(s) },
 	})
 }
 
-// attempt carries out one Dispatch and reports whether the call is over.
+// attempt carries out one Dispatch and reports whether the call has ended.
 func (p *plainCall) attempt(ctx context.Context, s shell.Session, d calls.Dispatch) bool {
-	p.handler.Metrics.ObserveQueueTime(time.Since(p.begun))
+	p.handler.Metrics.ObserveQueueTime(time.Since(p.startedAt))
 	ctx, span := p.handler.Tracer.Start(ctx, "attempt", oteltrace.WithSpanKind(oteltrace.SpanKindClient))
 	defer span.End()
 	span.SetAttributes(attribute.String("upstream", d.Replica), attribute.Int("attempt", d.Attempt))
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	s.SetInterrupt(cancel)
-	watch := entry.NewWatchdog(d.Stall, cancel)
-	defer watch.Stop()
+	watchdog := entry.NewWatchdog(d.Stall, cancel)
+	defer watchdog.Stop()
 	var progress upstream.Progress
-	resp, err := p.handler.Service.Send(ctx, p.outgoing(d, watch), &progress)
+	resp, err := p.handler.Service.Send(ctx, p.upstreamCall(d, watchdog), &progress)
 	if err != nil {
-		return p.broke(s, d, &progress, watch, err)
+		return p.handleFailure(s, d, &progress, watchdog, err)
 	}
 	defer resp.Body.Close()
 	s.AnswerBegan()
-	return p.pass(s, d, resp, watch)
+	return p.forward(s, d, resp, watchdog)
 }
 
-// outgoing words the call for the upstream.
-func (p *plainCall) outgoing(d calls.Dispatch, watch *entry.Watchdog) service.Call {
+// upstreamCall returns the call to send to the upstream.
+func (p *plainCall) upstreamCall(d calls.Dispatch, watchdog *entry.Watchdog) service.Call {
 	header := service.EndToEndHeaders(p.r.Header)
-	header.Del("Authorization") // the key is this system's, not the upstream's
-	header.Set(upstream.HeaderCall, own.CallName(p.handler.Self, p.call.ID, d.Attempt))
+	header.Del("Authorization") // the key is meant for this system, not for the upstream
+	header.Set(upstream.HeaderCall, own.AttemptID(p.handler.Self, p.call.ID, d.Attempt))
 	p.handler.Tracer.Inject(p.r.Context(), header)
 	return service.Call{
 		Address:    d.Address,
@@ -96,24 +96,26 @@
 		Path:       p.call.Path,
 		Query:      p.r.URL.RawQuery,
 		Header:     header,
-		Body:       p.body.NewReader(watch),
+		Body:       p.body.NewReader(watchdog),
 		Length:     p.r.ContentLength,
 		Repeatable: d.Repeatable,
 	}
 }
 
-func (p *plainCall) gone(s shell.Session) {
+func (p *plainCall) handleCallerGone(s shell.Session) {
 	s.CallerGone()
-	p.handler.Metrics.ObserveAnswer(int(code.CallerGone), time.Since(p.begun))
+	p.handler.Metrics.ObserveAnswer(int(code.CallerGone), time.Since(p.startedAt))
 }
 
-func (p *plainCall) broke(s shell.Session, d calls.Dispatch, progress *upstream.Progress, watch *entry.Watchdog, err error) bool {
+// handleFailure reports a failed attempt to the state machine, or that the caller has
+// disconnected. It reports whether the call has ended.
+func (p *plainCall) handleFailure(s shell.Session, d calls.Dispatch, progress *upstream.Progress, watchdog *entry.Watchdog, err error) bool {
 	if p.r.Context().Err() != nil {
-		p.gone(s)
+		p.handleCallerGone(s)
 		return true
 	}
 	b := calls.AttemptFailed{
-		Attempt: d.Attempt, Phase: progress.Phase(), Stalled: watch.Fired(), BodyConsumed: p.body.Consumed(), Detail: err.Error(),
+		Attempt: d.Attempt, Phase: progress.Phase(), Stalled: watchdog.Fired(), BodyConsumed: p.body.Consumed(), Detail: err.Error(),
 	}
 	var refused *service.RefusedError
 	if errors.As(err, &refused) {
@@ -124,44 +126,45 @@
 	return false
 }
 
-// pass streams the upstream's answer to the caller.
-func (p *plainCall) pass(s shell.Session, d calls.Dispatch, resp *http.Response, watch *entry.Watchdog) bool {
+// forward streams the upstream's answer to the caller.
+func (p *plainCall) forward(s shell.Session, d calls.Dispatch, resp *http.Response, watchdog *entry.Watchdog) bool {
 	for name, values := range service.EndToEndHeaders(resp.Header) {
 		p.w.Header()[name] = values
 	}
 	p.w.Header().Set(HeaderInstance, p.handler.Self.Name)
 	p.w.Header().Set(HeaderUpstream, d.Replica)
 	p.w.WriteHeader(resp.StatusCode)
-	delivered, err := p.copy(resp.Body, watch)
+	delivered, err := p.copy(resp.Body, watchdog)
 	if err == nil {
 		s.Completed(0)
-		p.handler.Metrics.ObserveAnswer(int(code.OK), time.Since(p.begun))
+		p.handler.Metrics.ObserveAnswer(int(code.OK), time.Since(p.startedAt))
 		return true
 	}
-	// The header is out, so no answer of our own can follow: tell the machine,
-	// take its final answer for the books, and cut the connection.
+	// The header was written, so no other answer can follow: report the failure to the
+	// state machine, record the call as a cut stream, and abort the connection.
 	s.AttemptFailed(calls.AttemptFailed{Attempt: d.Attempt, Phase: attempt.Answered, Delivered: max(1, delivered), Detail: err.Error()})
-	p.handler.Metrics.ObserveAnswer(int(code.StreamCut), time.Since(p.begun))
+	p.handler.Metrics.ObserveAnswer(int(code.StreamCut), time.Since(p.startedAt))
 	panic(http.ErrAbortHandler)
 }
 
-// copyBuffer is how much of an answer is read at a time, in bytes.
-const copyBuffer = 32 << 10
+// copyBufferBytes is the number of bytes of an answer that are read at once.
+const copyBufferBytes = 32 << 10
 
-// copy passes the body on, each part as it comes.
-func (p *plainCall) copy(body io.Reader, watch *entry.Watchdog) (int, error) {
+// copy writes the body to the caller, each part as soon as it is received, and returns
+// the number of bytes written.
+func (p *plainCall) copy(body io.Reader, watchdog *entry.Watchdog) (int, error) {
 	flush := http.NewResponseController(p.w)
-	buf := make([]byte, copyBuffer)
+	buf := make([]byte, copyBufferBytes)
 	total := 0
 	for {
 		n, err := body.Read(buf)
-		watch.Reset()
+		watchdog.Reset()
 		if n > 0 {
 			if _, werr := p.w.Write(buf[:n]); werr != nil {
 				return total, werr
 			}
 			total += n
-			_ = flush.Flush() // a caller that is gone shows at the next write
+			_ = flush.Flush() // if the caller has disconnected, the next write fails
 		}
 		if errors.Is(err, io.EOF) {
 			return total, nil
--- a/internal/shell/shell_test.go
+++ b/internal/shell/shell_test.go
@@ -46,11 +46,11 @@
 	return Environment{
 		CarryOut: func(a step.Action) func(ctx context.Context) {
 			switch a.(type) {
-			case kvwatch.Config:
+			case kvwatch.WatchConfig:
 				return func(context.Context) {
 					h.Post(instance.ConfigReply{Source: instance.PlatformSource, Err: errors.New("no platform")})
 				}
-			case kvwatch.List:
+			case kvwatch.WatchList:
 				return func(context.Context) { h.Post(listing.Reply{Err: errors.New("no platform")}) }
 			}
 			return nil
--- a/standin/cmd/demo/main.go
+++ b/standin/cmd/demo/main.go
@@ -1,8 +1,8 @@
-// Command demo shows the whole path on one machine: a platform, engines, a
-// plain service and three entry instances in two availability zones, each a
-// process of its own. It applies a configuration, sends a plain call, a stream
-// and a call that must not be repeated, shows the state, and stops everything
-// that it started.
+// Command demo runs the whole system on one machine: a platform, engines, a plain
+// service and three entry instances in two availability zones, each as a separate
+// process. It applies a configuration, sends a plain call, a streaming call and a
+// call that must not be retried, shows the state, and stops everything that it
+// started.
 package main
 
 import (
@@ -27,10 +27,10 @@
 		fmt.Fprintln(os.Stderr, "demo:", err)
 		os.Exit(1)
 	}
-	fmt.Println("demo: everything answered as it should")
+	fmt.Println("demo: all calls succeeded as expected")
 }
 
-// A demo is the processes under way.
+// A demo holds the running processes.
 type demo struct {
 	bin       string
 	platform  string
@@ -46,7 +46,7 @@
 	}
 	d := &demo{bin: filepath.Join(root, "bin"), addresses: map[string]string{}}
 	defer d.stop()
-	for _, step := range []func() error{d.startStandins, d.startInstances, d.apply, d.calls, d.status, d.plannedStop} {
+	for _, step := range []func() error{d.startStandins, d.startInstances, d.apply, d.sendCalls, d.printStatus, d.plannedStop} {
 		if err := step(); err != nil {
 			return err
 		}
@@ -60,7 +60,7 @@
 	}
 }
 
-func (d *demo) standin(name string, args ...string) error {
+func (d *demo) startStandin(name string, args ...string) error {
 	p, address, err := fleet.StartStandin(d.bin, name, args...)
 	if err != nil {
 		return err
@@ -71,24 +71,24 @@
 }
 
 func (d *demo) startStandins() error {
-	if err := d.standin("platform", "platform"); err != nil {
+	if err := d.startStandin("platform", "platform"); err != nil {
 		return err
 	}
 	d.platform = d.addresses["platform"]
 	for i := range engines {
 		name := engineName(i)
-		err := d.standin(name, "engine", "--name", name, "--memory-mib", strconv.Itoa(engineMiB), "--weight-store", d.platform)
+		err := d.startStandin(name, "engine", "--name", name, "--memory-mib", strconv.Itoa(engineMiB), "--weight-store", d.platform)
 		if err != nil {
 			return err
 		}
 	}
 	for i := range replicas {
 		name := replicaName(i)
-		if err := d.standin(name, "service", "--name", name); err != nil {
+		if err := d.startStandin(name, "service", "--name", name); err != nil {
 			return err
 		}
 	}
-	fmt.Printf("demo: %d stand-ins are up\n", len(d.processes))
+	fmt.Printf("demo: started %d stand-ins\n", len(d.processes))
 	return nil
 }
 
@@ -104,12 +104,12 @@
 		d.instances = append(d.instances, in)
 		list = append(list, keyvalue.Instance{Name: name, Kind: keyvalue.KindEntry, Zone: zone, Address: in.Peers, State: keyvalue.StateLive})
 	}
-	return d.announce(list)
+	return d.registerInstances(list)
 }
 
-// announce puts the instances into the platform's list, as the platform does
-// by itself for instances that it starts.
-func (d *demo) announce(list []keyvalue.Instance) error {
+// registerInstances adds the instances to the platform's list, as the platform itself
+// does for instances that it starts.
+func (d *demo) registerInstances(list []keyvalue.Instance) error {
 	body := &strings.Builder{}
 	if err := writeJSON(body, list); err != nil {
 		return err
@@ -143,18 +143,18 @@
 	return nil
 }
 
-func (d *demo) calls() error {
+func (d *demo) sendCalls() error {
 	service := serviceName(0)
 	plain := fmt.Sprintf(`{"model":%q,"max_tokens":8,"messages":[{"role":"user","content":"Which crates go to the parish?"}]}`, service)
-	if err := d.show("plain call", d.instances[0], "/v1/chat/completions", plain, nil); err != nil {
+	if err := d.callAndPrint("plain call", d.instances[0], "/v1/chat/completions", plain, nil); err != nil {
 		return err
 	}
 	stream := strings.Replace(plain, `{"model"`, `{"stream":true,"model"`, 1)
-	if err := d.show("stream", d.instances[2], "/v1/chat/completions", stream, nil); err != nil {
+	if err := d.callAndPrint("stream", d.instances[2], "/v1/chat/completions", stream, nil); err != nil {
 		return err
 	}
 	once := http.Header{"Idempotency-Key": {"allocation-17"}}
-	if err := d.show("not repeatable", d.instances[1], "/services/stock/allocations", `{"crates":3}`, once); err != nil {
+	if err := d.callAndPrint("not repeatable", d.instances[1], "/services/stock/allocations", `{"crates":3}`, once); err != nil {
 		return err
 	}
 	again, err := d.instances[2].Post("/services/stock/allocations", `{"crates":3}`, once)
@@ -163,12 +163,12 @@
 	}
 	fmt.Printf("demo: the same key through %s: %d %s\n", again.Instance, again.Status, strings.TrimSpace(again.Body))
 	if again.Status != http.StatusConflict {
-		return fmt.Errorf("the second call with one key got %d", again.Status)
+		return fmt.Errorf("second call with the same idempotency key: status %d, want 409", again.Status)
 	}
 	return nil
 }
 
-func (d *demo) show(what string, in *fleet.Instance, path, body string, header http.Header) error {
+func (d *demo) callAndPrint(what string, in *fleet.Instance, path, body string, header http.Header) error {
 	begun := time.Now()
 	a, err := in.Post(path, body, header)
 	if err != nil {
@@ -181,7 +181,7 @@
 	return nil
 }
 
-func (d *demo) status() error {
+func (d *demo) printStatus() error {
 	var list []string
 	for _, in := range d.instances {
 		list = append(list, in.Operations)
@@ -193,7 +193,7 @@
 	code, err := ctl.Wait()
 	fmt.Println(ctl.Log())
 	if err == nil && code != 0 {
-		err = fmt.Errorf("birchctl status ended with %d", code)
+		err = fmt.Errorf("birchctl status exited with status %d", code)
 	}
 	return err
 }
--- a/standin/integration/contract_test.go
+++ b/standin/integration/contract_test.go
@@ -13,44 +13,44 @@
 	"github.com/birchdrift/birchdrift/standin/platform"
 )
 
-// TestPlatformContract runs the adapter against the stand-in, with its faults
-// in a table: what a swap says became of it, and what is stored afterwards.
+// TestPlatformContract runs the key-value client against the stand-in with a table of
+// faults. It checks the result of a swap and the value stored afterwards.
 func TestPlatformContract(t *testing.T) {
 	cases := []struct {
 		name     string
 		faults   platform.Faults
 		limits   func(*platform.Limits)
 		expect   uint64 // revision that the swap expects; the value's is 1
-		err      error  // that the swap must be; nil: it must succeed
-		anyErr   bool   // it must fail, and not say that it was not sent
+		err      error  // expected error of the swap; nil: it must succeed
+		anyErr   bool   // the swap must fail with an error other than ErrNotSent
 		inEffect bool
 	}{
-		{"in order", platform.Faults{}, nil, 1, nil, false, true},
-		{"another was faster", platform.Faults{}, nil, 0, keyvalue.ErrConflict, false, false},
-		{"answer lost after the effect", platform.Faults{Lost: 1}, nil, 1, nil, true, true},
+		{"no fault", platform.Faults{}, nil, 1, nil, false, true},
+		{"concurrent write", platform.Faults{}, nil, 0, keyvalue.ErrConflict, false, false},
+		{"reply lost after the effect", platform.Faults{Lost: 1}, nil, 1, nil, true, true},
 		{"down", platform.Faults{Down: true}, nil, 1, nil, true, false},
 		{"slow", platform.Faults{Slow: fault.Duration(50 * time.Millisecond)}, nil, 1, nil, false, true},
-		{"over its rate", platform.Faults{}, func(l *platform.Limits) { l.WritesPerSecond = 1 }, 1, nil, true, false},
+		{"over the rate limit", platform.Faults{}, func(l *platform.Limits) { l.WritesPerSecond = 1 }, 1, nil, true, false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			w := newWorld(t)
+			w := newTestbed(t)
 			if c.limits != nil {
 				limits := platform.DefaultLimits()
 				c.limits(&limits)
 				w.usePlatform(platform.New(limits))
 			}
 			ctx := context.Background()
-			first, err := w.client().Swap(ctx, "k", []byte("old"), 0, 0)
+			first, err := w.client().CompareAndSwap(ctx, "k", []byte("old"), 0, 0)
 			is.NoErr(err)
 			is.Equal(first, uint64(1))
 			w.platform.Faults.Set(c.faults)
-			_, err = w.client().Swap(ctx, "k", []byte("new"), c.expect, 0)
+			_, err = w.client().CompareAndSwap(ctx, "k", []byte("new"), c.expect, 0)
 			switch {
 			case c.anyErr:
 				is.True(err != nil)
-				is.True(!errors.Is(err, keyvalue.ErrNotSent)) // a byte had left
+				is.True(!errors.Is(err, keyvalue.ErrNotSent)) // part of the request had been sent
 			case c.err != nil:
 				is.True(errors.Is(err, c.err))
 			default:
@@ -64,42 +64,44 @@
 	}
 }
 
-// TestPlatformNobodyListens: only then is a request certainly not sent.
-func TestPlatformNobodyListens(t *testing.T) {
+// TestPlatformConnectionRefused checks that a refused connection is reported as
+// ErrNotSent. Only then is a request certainly not sent.
+func TestPlatformConnectionRefused(t *testing.T) {
 	is := is.New(t)
-	_, err := keyvalue.NewClient("127.0.0.1:1", transports()).Swap(context.Background(), "k", nil, 0, 0)
+	_, err := keyvalue.NewClient("127.0.0.1:1", transports()).CompareAndSwap(context.Background(), "k", nil, 0, 0)
 	is.True(errors.Is(err, keyvalue.ErrNotSent))
 }
 
-// TestPlatformWatch wakes on a change, and ends without one when its time is up.
+// TestPlatformWatch checks that a watch returns on a change, and without one when its
+// wait has passed.
 func TestPlatformWatch(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t)
+	w := newTestbed(t)
 	ctx := context.Background()
-	revision, err := w.client().Swap(ctx, "k", []byte("a"), 0, 0)
+	revision, err := w.client().CompareAndSwap(ctx, "k", []byte("a"), 0, 0)
 	is.NoErr(err)
 	v, err := w.client().Get(ctx, "k", revision, 50*time.Millisecond)
 	is.NoErr(err)
 	is.Equal(v.Revision, revision)
-	is.Equal(len(v.Data), 0) // nothing new, so nothing sent
+	is.Equal(len(v.Data), 0) // no change, so no data
 	woken := make(chan keyvalue.Value, 1)
 	go func() {
-		v, _ := w.client().Get(ctx, "k", revision, fleetPatience)
+		v, _ := w.client().Get(ctx, "k", revision, watchWait)
 		woken <- v
 	}()
-	_, err = w.client().Swap(ctx, "k", []byte("b"), revision, 0)
+	_, err = w.client().CompareAndSwap(ctx, "k", []byte("b"), revision, 0)
 	is.NoErr(err)
 	is.Equal(string((<-woken).Data), "b")
 }
 
-// TestPlatformLease: one holder at a time, fences that only rise, and a lease
-// that lapses or is given back can be had by another.
+// TestPlatformLease checks that a lease has one holder at a time, that fencing tokens only
+// rise, and that a lease that expired or was released can be granted to another holder.
 func TestPlatformLease(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t)
+	w := newTestbed(t)
 	ctx := context.Background()
 	ask := func(holder string, term time.Duration, renew uint64) keyvalue.LeaseReply {
-		r, err := w.client().Lease(ctx, "planner/z", keyvalue.LeaseRequest{Holder: holder, TermMS: term.Milliseconds(), Renew: renew})
+		r, err := w.client().AcquireLease(ctx, "planner/z", keyvalue.LeaseRequest{Holder: holder, TermMS: term.Milliseconds(), Renew: renew})
 		is.NoErr(err)
 		return r
 	}
@@ -111,13 +113,13 @@
 	b := ask("b", time.Millisecond, 0)
 	is.True(b.Granted && b.Fence > a.Fence)
 	is.True(!ask("a", time.Minute, a.Fence).Granted) // an old grant cannot be renewed
-	w.await("b's lease lapses", func() bool { return ask("c", time.Minute, 0).Granted })
+	w.await("b's lease expires", func() bool { return ask("c", time.Minute, 0).Granted })
 }
 
-// TestPlatformListLags: the list shows a change only after its lag.
+// TestPlatformListLags checks that the list shows a change only after the list lag.
 func TestPlatformListLags(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t)
+	w := newTestbed(t)
 	w.platform.Faults.Set(platform.Faults{ListLag: fault.Duration(time.Hour)})
 	w.platform.SetInstance(keyvalue.Instance{Name: "x", Kind: keyvalue.KindEntry, State: keyvalue.StateLive})
 	list, version, err := w.client().Instances(context.Background(), 0, 0)
@@ -126,7 +128,7 @@
 	is.Equal(version, uint64(0))
 	w.platform.Faults.Set(platform.Faults{})
 	w.platform.SetInstance(keyvalue.Instance{Name: "y", Kind: keyvalue.KindEntry, State: keyvalue.StateLeaving})
-	list, _, err = w.client().Instances(context.Background(), 0, fleetPatience)
+	list, _, err = w.client().Instances(context.Background(), 0, watchWait)
 	is.NoErr(err)
 	is.Equal(len(list), 1)
 	is.True(list[0].Leaving)
--- a/standin/platform/weights.go
+++ b/standin/platform/weights.go
@@ -8,26 +8,26 @@
 	"golang.org/x/time/rate"
 )
 
-// weights is the weight store: so many loads begun a second, and so many at
-// once at full speed; more share that speed.
-type weights struct {
-	begin  *rate.Limiter
-	atOnce int
+// weightStore simulates the weight store. It limits the rate at which loads start.
+// maxFullSpeed concurrent loads run at full speed; more share that throughput.
+type weightStore struct {
+	startLimiter *rate.Limiter
+	maxFullSpeed int
 
 	mu     sync.Mutex
 	active int
 }
 
-func newWeights(l Limits) *weights {
-	return &weights{begin: rate.NewLimiter(rate.Limit(l.LoadsPerSecond), 1), atOnce: l.LoadsAtOnce}
+func newWeights(l Limits) *weightStore {
+	return &weightStore{startLimiter: rate.NewLimiter(rate.Limit(l.LoadsPerSecond), 1), maxFullSpeed: l.LoadsAtOnce}
 }
 
-// slice is how often the speed of a load is looked at anew.
-const slice = 20 * time.Millisecond
+// loadTick is the interval at which the speed of a load is updated.
+const loadTick = 20 * time.Millisecond
 
-// load answers when a load that takes `time` at full speed is through.
-func (s *weights) load(_ http.ResponseWriter, r *http.Request) {
-	if s.begin.Wait(r.Context()) != nil {
+// load replies when a load that takes `time` at full speed has finished.
+func (s *weightStore) load(_ http.ResponseWriter, r *http.Request) {
+	if s.startLimiter.Wait(r.Context()) != nil {
 		return
 	}
 	left := durationParam(r, "time")
@@ -35,25 +35,25 @@
 	defer s.add(-1)
 	for left > 0 {
 		select {
-		case <-time.After(slice):
-			left -= time.Duration(float64(slice) * s.speed())
+		case <-time.After(loadTick):
+			left -= time.Duration(float64(loadTick) * s.speed())
 		case <-r.Context().Done():
 			return
 		}
 	}
 }
 
-func (s *weights) add(n int) {
+func (s *weightStore) add(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.active += n
 }
 
-func (s *weights) speed() float64 {
+func (s *weightStore) speed() float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.active <= s.atOnce {
+	if s.active <= s.maxFullSpeed {
 		return 1
 	}
-	return float64(s.atOnce) / float64(s.active)
+	return float64(s.maxFullSpeed) / float64(s.active)
 }
