--- a/core/instance/promises_test.go
+++ b/core/instance/promises_test.go
@@ -170,8 +170,8 @@
 			t.Run(fmt.Sprintf("%s/checks=%v", s.name, checks), func(t *testing.T) {
 				for seed := range *stormSeeds {
 					w := runStorm(t, s, checks, seed, nil)
-					if len(w.broken) > 0 {
-						t.Fatalf("seed %d: %d promises broken, first:\n%s", seed, len(w.broken), strings.Join(w.broken[:min(5, len(w.broken))], "\n"))
+					if len(w.violations) > 0 {
+						t.Fatalf("seed %d: %d promises broken, first:\n%s", seed, len(w.violations), strings.Join(w.violations[:min(5, len(w.violations))], "\n"))
 					}
 					w.mustHaveWorked(t, seed)
 				}
@@ -216,8 +216,8 @@
 			for _, s := range storms {
 				for seed := range uint64(searchSeeds) {
 					w := runStorm(t, s, c.checks, seed, c.off)
-					if strings.Contains(strings.Join(w.broken, "\n"), c.finds) {
-						t.Logf("%s, seed %d: %s", s.name, seed, w.broken[0])
+					if strings.Contains(strings.Join(w.violations, "\n"), c.finds) {
+						t.Logf("%s, seed %d: %s", s.name, seed, w.violations[0])
 						return
 					}
 				}
@@ -264,8 +264,8 @@
 		if !arrived {
 			t.Fatal("the successor never ordered anything")
 		}
-		if found := strings.Contains(strings.Join(w.broken, "\n"), "overcommit"); found != off {
-			t.Fatalf("fences off: %v; broken promises: %v", off, w.broken)
+		if found := strings.Contains(strings.Join(w.violations, "\n"), "overcommit"); found != off {
+			t.Fatalf("fences off: %v; broken promises: %v", off, w.violations)
 		}
 	}
 }
@@ -352,8 +352,8 @@
 		n := w.nodes[w.names[0]]
 		w.step(n, w.configReply(old, PlatformSource))
 		w.step(n, w.configReply(old, "a peer that is behind"))
-		if found := len(w.broken) > 0; found != off {
-			t.Fatalf("check off: %v, broken promises: %v", off, w.broken)
+		if found := len(w.violations) > 0; found != off {
+			t.Fatalf("check off: %v, broken promises: %v", off, w.violations)
 		}
 	}
 }
@@ -372,8 +372,8 @@
 		e.change++
 		before := len(w.calls)
 		w.run(15 * time.Second)
-		if len(w.broken) > 0 {
-			t.Fatalf("%v", w.broken)
+		if len(w.violations) > 0 {
+			t.Fatalf("%v", w.violations)
 		}
 		if len(w.calls)-before < 100 {
 			t.Fatal("no traffic after the engine left")
@@ -471,8 +471,8 @@
 				})
 			}
 			w.run(reachBound)
-			if len(w.broken) > 0 {
-				t.Fatal(w.broken[0])
+			if len(w.violations) > 0 {
+				t.Fatal(w.violations[0])
 			}
 			if len(served) != 8 {
 				t.Fatalf("only %d of 8 models were reached within %v: %v", len(served), reachBound, served)
--- a/core/instance/world_test.go
+++ b/core/instance/world_test.go
@@ -32,21 +32,21 @@
 // carries out their actions against small fakes and checks the promises. It is
 // a focused test of the logic, not a model of a fleet.
 type world struct {
-	t        *testing.T
-	rng      *rand.Rand
-	now      time.Duration
-	queue    eventQueue
-	order    uint64
-	opt      option.Options
-	doc      config.Document
-	platform fakePlatform
-	engines  map[string]*fakeEngine
-	nodes    map[string]*node
-	names    []string
-	faults   worldFaults
-	calls    map[string]*worldCall // by instance and id
-	broken   []string              // promises seen broken
-	install  map[string]uint64
+	t          *testing.T
+	rng        *rand.Rand
+	now        time.Duration
+	queue      eventQueue
+	order      uint64
+	opt        option.Options
+	doc        config.Document
+	platform   fakePlatform
+	engines    map[string]*fakeEngine
+	nodes      map[string]*node
+	names      []string
+	faults     worldFaults
+	calls      map[string]*worldCall // by instance and id
+	violations []string              // promises seen broken
+	install    map[string]uint64
 	// beforeOrder is called when an order reaches its engine, before it is
 	// carried out; may be nil.
 	beforeOrder func(n *node, e *fakeEngine, o book.Order)
@@ -301,7 +301,7 @@
 }
 
 func (w *world) breach(format string, args ...any) {
-	w.broken = append(w.broken, fmt.Sprintf("%v: ", w.now-worldStart)+fmt.Sprintf(format, args...))
+	w.violations = append(w.violations, fmt.Sprintf("%v: ", w.now-worldStart)+fmt.Sprintf(format, args...))
 }
 
 var errLost = errors.New("lost")
