--- a/core/instance/announced_world_test.go
+++ b/core/instance/announced_world_test.go
@@ -45,26 +45,26 @@
 // that announce themselves, with faults by seed, and checks after every order
 // what must hold of orders. It knows nothing of how machines decide.
 type fleet struct {
-	rng     *rand.Rand
-	now     time.Duration
-	queue   eventQueue
-	order   uint64
-	opt     option.Options
-	doc     config.Document
-	store   fleetStore
-	copies  []fleetCopy     // of the store, the newest last
-	writes  []time.Duration // when the store was written to
-	called  []time.Duration // when the store was called; once for each page
-	engines map[string]*fleetEngine
-	members map[string]*fleetMember
-	names   []string
-	broken  []string
-	loads   []time.Duration // when loads from the weight store began
-	served  int
-	refused int
-	orders  int
-	claims  int // most ownerships in one write
-	watches int
+	rng        *rand.Rand
+	now        time.Duration
+	queue      eventQueue
+	order      uint64
+	opt        option.Options
+	doc        config.Document
+	store      fleetStore
+	copies     []fleetCopy     // of the store, the newest last
+	writes     []time.Duration // when the store was written to
+	called     []time.Duration // when the store was called; once for each page
+	engines    map[string]*fleetEngine
+	members    map[string]*fleetMember
+	names      []string
+	violations []string
+	loads      []time.Duration // when loads from the weight store began
+	served     int
+	refused    int
+	orders     int
+	claims     int // most ownerships in one write
+	watches    int
 	// engineCount is how many engines there are.
 	engineCount int
 	late        float64 // share of orders without an answer, carried out seconds later
@@ -274,7 +274,7 @@
 }
 
 func (f *fleet) fault(format string, args ...any) {
-	f.broken = append(f.broken, fmt.Sprintf("%v: ", f.now)+fmt.Sprintf(format, args...))
+	f.violations = append(f.violations, fmt.Sprintf("%v: ", f.now)+fmt.Sprintf(format, args...))
 }
 
 // start begins a new process on a member's machine.
@@ -1256,7 +1256,7 @@
 				f.callers(40 * time.Millisecond)
 				s.do(f)
 				f.run(45 * time.Second)
-				for _, b := range f.broken {
+				for _, b := range f.violations {
 					t.Errorf("seed %d: %s", seed, b)
 				}
 				if f.orders == 0 || f.served*2 < f.refused {
@@ -1276,7 +1276,7 @@
 	f.run(5 * time.Second)
 	f.callers(40 * time.Millisecond)
 	f.run(40 * time.Second)
-	is.Equal(f.broken, nil)
+	is.Equal(f.violations, nil)
 	is.True(len(f.loads) >= 8)
 	is.True(f.served > f.refused)
 }
@@ -1312,7 +1312,7 @@
 			return func() { f.start(n.id.Name) }
 		})
 		f.run(30 * time.Second)
-		is.Equal(f.broken, nil)
+		is.Equal(f.violations, nil)
 		is.True(stopped >= 5)
 		is.True(len(f.loads) >= 8) // half of what the rate allows; without handing over there were 2
 	}
@@ -1378,7 +1378,7 @@
 	is.True(owners >= 2)
 	is.True(owners <= 4*f.opt.Watchers)
 	is.True(watching <= 4*f.opt.Watchers)
-	is.Equal(f.broken, nil)
+	is.Equal(f.violations, nil)
 	is.True(f.served > 4*f.refused)
 }
 
@@ -1403,7 +1403,7 @@
 				f := largeFleet(uint64(seed+1), c.disable)
 				f.deafOwners()
 				f.run(30 * time.Second)
-				broken += len(f.broken)
+				broken += len(f.violations)
 			}
 			is.Equal(broken > 0, c.broken)
 		})
@@ -1446,7 +1446,7 @@
 					f.callers(40 * time.Millisecond)
 					s.do(f)
 					f.run(45 * time.Second)
-					if len(f.broken) > 0 {
+					if len(f.violations) > 0 {
 						return
 					}
 				}
--- a/core/instance/ceiling_test.go
+++ b/core/instance/ceiling_test.go
@@ -87,7 +87,7 @@
 				f.callers(40 * time.Millisecond)
 				s.do(f)
 				f.run(45 * time.Second)
-				for _, b := range f.broken {
+				for _, b := range f.violations {
 					t.Errorf("seed %d: %s", seed, b)
 				}
 				if len(f.loads) == 0 {
--- a/core/instance/crash_test.go
+++ b/core/instance/crash_test.go
@@ -305,7 +305,7 @@
 			t.Errorf("request %v reached engines %d times later than %v after the third had ended; %d ended in all", request, late, labContact, len(at))
 		}
 	}
-	for _, b := range l.f.broken {
+	for _, b := range l.f.violations {
 		t.Error(b)
 	}
 }
--- a/core/instance/leaving_test.go
+++ b/core/instance/leaving_test.go
@@ -416,7 +416,7 @@
 	if len(l.late) > 0 {
 		t.Errorf("seed %d: %d calls too late; %s", seed+1, len(l.late), l.late[0])
 	}
-	for _, b := range l.f.broken[:min(3, len(l.f.broken))] {
+	for _, b := range l.f.violations[:min(3, len(l.f.violations))] {
 		t.Errorf("seed %d: %s", seed+1, b)
 	}
 	t.Logf("seed %d: oldest list at a send %v, %d engines left, %.3f of calls served", seed+1, l.oldest.Round(time.Millisecond), l.left,
--- a/core/instance/limit_test.go
+++ b/core/instance/limit_test.go
@@ -300,7 +300,7 @@
 	for _, lost := range l.lost[:min(3, len(l.lost))] {
 		t.Errorf("seed %d: %d calls lost; %s", seed, len(l.lost), lost)
 	}
-	for _, b := range l.f.broken {
+	for _, b := range l.f.violations {
 		t.Errorf("seed %d: %s", seed, b)
 	}
 	for _, a := range l.refused {
--- a/core/instance/lives_test.go
+++ b/core/instance/lives_test.go
@@ -58,7 +58,7 @@
 		is.True(e.models["m0"])
 		is.Equal(f.askOwner(e, orders.Request{Load: true, Model: "m0", Adapter: "a9"}), owned.Done)
 		is.True(e.took["m0/a9"]) // it may have made way for one that calls ask for since
-		is.Equal(f.broken, nil)
+		is.Equal(f.violations, nil)
 	}
 }
 
@@ -117,7 +117,7 @@
 					return func() {}
 				})
 				f.run(45 * time.Second)
-				for _, b := range f.broken {
+				for _, b := range f.violations {
 					t.Errorf("seed %d: %s", seed, b)
 				}
 				if f.orders == 0 || f.served == 0 {
--- a/core/instance/notice_test.go
+++ b/core/instance/notice_test.go
@@ -332,7 +332,7 @@
 				for _, lost := range l.lost[:min(3, len(l.lost))] {
 					t.Errorf("seed %d: %d calls lost; %s", seed, len(l.lost), lost)
 				}
-				for _, b := range f.broken {
+				for _, b := range f.violations {
 					t.Errorf("seed %d: %s", seed, b)
 				}
 				if len(l.told) == 0 || f.served == 0 {
@@ -369,7 +369,7 @@
 		}
 		f.run(4 * time.Second)
 		is.True(l.served[e] > 10)
-		is.Equal(f.broken, nil)
+		is.Equal(f.violations, nil)
 	}
 }
 
@@ -399,7 +399,7 @@
 				f.run(8 * time.Second)
 				is.Equal(l.late, 0)
 				is.True(l.mostInARest() <= noticeMost)
-				is.Equal(f.broken, nil)
+				is.Equal(f.violations, nil)
 			}
 		})
 	}
--- a/core/instance/stepback_test.go
+++ b/core/instance/stepback_test.go
@@ -223,7 +223,7 @@
 			if took, wrong := f.settle(aim); wrong != "" {
 				t.Errorf("seed %d, back by %v: after %v %s", seed+1, span, took, wrong)
 			}
-			for _, b := range f.broken {
+			for _, b := range f.violations {
 				t.Errorf("seed %d, back by %v: %s", seed+1, span, b)
 			}
 		}
@@ -334,7 +334,7 @@
 			t.Parallel()
 			for seed := range seeds {
 				f := stepStorm(uint64(seed+1), s)
-				for _, b := range f.broken {
+				for _, b := range f.violations {
 					t.Errorf("seed %d: %s", seed+1, b)
 				}
 				if f.orders == 0 || f.served*2 < f.refused {
@@ -371,8 +371,8 @@
 		took, wrong := f.settle(aim)
 		most := busiestSecond(f.writes)
 		t.Logf("%d instances, %d engines: as before after %v, at most %d writes in a second", size.members, size.engines, took, most)
-		if wrong != "" || most > writesPerSecond || len(f.broken) > 0 {
-			t.Errorf("%d instances: %s, %d writes in a second, %v", size.members, wrong, most, f.broken)
+		if wrong != "" || most > writesPerSecond || len(f.violations) > 0 {
+			t.Errorf("%d instances: %s, %d writes in a second, %v", size.members, wrong, most, f.violations)
 		}
 	}
 }
