--- a/core/instance/world_calls_test.go
+++ b/core/instance/world_calls_test.go
@@ -76,7 +76,7 @@
 	c.dispatched++
 	e := w.engines[a.Replica]
 	if e != nil && e.leaving && w.now-e.leftAt > leavingBound {
-		w.breach("%s was sent work %v after it began to leave", e.name, w.now-e.leftAt)
+		w.reportViolation("%s was sent work %v after it began to leave", e.name, w.now-e.leftAt)
 	}
 	if !w.engineUp(n, a.Zone)() {
 		w.after(100*time.Millisecond, func() { w.step(n, calls.AttemptFailed{ID: a.ID, Attempt: a.Attempt, Phase: attempt.NotSent}) })
@@ -138,7 +138,7 @@
 	}
 	c.executed++
 	if c.notRepeatable && c.executed > 1 {
-		w.breach("call %s ran %d times", c.id, c.executed)
+		w.reportViolation("call %s ran %d times", c.id, c.executed)
 	}
 	if c.key == "" {
 		return
@@ -150,7 +150,7 @@
 		}
 	}
 	if total > 1 {
-		w.breach("key %q ran %d times", c.key, total)
+		w.reportViolation("key %q ran %d times", c.key, total)
 	}
 }
 
@@ -160,11 +160,11 @@
 		return
 	}
 	if c.answered || c.refusal != nil {
-		w.breach("call %s was answered twice", c.id)
+		w.reportViolation("call %s was answered twice", c.id)
 	}
 	refusal := a.Refusal
 	c.refusal = &refusal
 	if refusal.Run == code.NotRun && c.executed > 0 {
-		w.breach("call %s is said not to have run (code %d), yet it ran", c.id, refusal.Code)
+		w.reportViolation("call %s is said not to have run (code %d), yet it ran", c.id, refusal.Code)
 	}
 }
--- a/core/instance/world_engine_test.go
+++ b/core/instance/world_engine_test.go
@@ -89,7 +89,7 @@
 	}
 	if used+o.MiB > e.capacity {
 		e.overs++
-		w.breach("%s: overcommit: %d MiB used, %d asked for, %d there are", e.name, used, o.MiB, e.capacity)
+		w.reportViolation("%s: overcommit: %d MiB used, %d asked for, %d there are", e.name, used, o.MiB, e.capacity)
 		return planner.OrderRefused
 	}
 	it := &fakeItem{phase: pool.Loading, mib: o.MiB}
--- a/core/instance/world_test.go
+++ b/core/instance/world_test.go
@@ -300,7 +300,7 @@
 	})
 }
 
-func (w *world) breach(format string, args ...any) {
+func (w *world) reportViolation(format string, args ...any) {
 	w.violations = append(w.violations, fmt.Sprintf("%v: ", w.now-worldStart)+fmt.Sprintf(format, args...))
 }
 
@@ -351,7 +351,7 @@
 func (w *world) noteInstall(n *node, a ConfigInstalled) {
 	old := w.install[n.id.Name]
 	if a.Snapshot.Revision() < old {
-		w.breach("%s went from revision %d to %d", n.id.Name, old, a.Snapshot.Revision())
+		w.reportViolation("%s went from revision %d to %d", n.id.Name, old, a.Snapshot.Revision())
 	}
 	w.install[n.id.Name] = a.Snapshot.Revision()
 }
