--- a/core/instance/announced_world_test.go
+++ b/core/instance/announced_world_test.go
@@ -273,7 +273,7 @@
 	f.now = end
 }
 
-func (f *fleet) fault(format string, args ...any) {
+func (f *fleet) recordViolation(format string, args ...any) {
 	f.violations = append(f.violations, fmt.Sprintf("%v: ", f.now)+fmt.Sprintf(format, args...))
 }
 
@@ -891,10 +891,10 @@
 func (f *fleet) checkHolder(holder string, a owned.SendOrder) {
 	e := f.engines[a.Engine]
 	if e.holder != "" && e.holder != holder && f.now-e.heldAt < f.opt.TurnGap {
-		f.fault("%s ordered %s %v after %s", holder, e.name, f.now-e.heldAt, e.holder)
+		f.recordViolation("%s ordered %s %v after %s", holder, e.name, f.now-e.heldAt, e.holder)
 	}
 	if a.Fence < e.fence || a.Fence == e.fence && e.holder != holder && e.holder != "" {
-		f.fault("%s ordered %s under fence %v after %v of %s", holder, e.name, a.Fence, e.fence, e.holder)
+		f.recordViolation("%s ordered %s under fence %v after %v of %s", holder, e.name, a.Fence, e.fence, e.holder)
 	}
 	e.holder = holder
 	e.heldAt = f.now
@@ -928,7 +928,7 @@
 			}
 			e.took[adapter] = true
 			if len(e.adapters) > 2 {
-				f.fault("%s holds %d adapters", e.name, len(e.adapters))
+				f.recordViolation("%s holds %d adapters", e.name, len(e.adapters))
 			}
 		} else {
 			delete(e.adapters, adapter)
@@ -948,7 +948,7 @@
 		return orders.AnswerAccepted
 	}
 	if len(e.models)+1 > 3 {
-		f.fault("%s was ordered to load more than it holds", e.name)
+		f.recordViolation("%s was ordered to load more than it holds", e.name)
 	}
 	e.pending = model
 	took := 4 * time.Second
@@ -1004,7 +1004,7 @@
 		}
 	}
 	if most := fleetRate*5*1.1 + 3; float64(n) > most {
-		f.fault("%d loads from the store within %v", n, window)
+		f.recordViolation("%d loads from the store within %v", n, window)
 	}
 }
 
--- a/core/instance/crash_test.go
+++ b/core/instance/crash_test.go
@@ -254,12 +254,12 @@
 	}
 	fingerprint := c.request.Forward.Fingerprint
 	if a.Refusal.Run == code.NotRun && c.ran {
-		l.f.fault("call %d is said not to have run, yet it ran", a.ID)
+		l.f.recordViolation("call %d is said not to have run, yet it ran", a.ID)
 	}
 	if a.Refusal.Code == codeQuarantined {
 		l.refused[fingerprint]++
 		if !c.poison {
-			l.f.fault("call %d was refused though it harmed nobody", a.ID)
+			l.f.recordViolation("call %d was refused though it harmed nobody", a.ID)
 		}
 	}
 	if c.again {
