--- a/core/instance/promises_test.go
+++ b/core/instance/promises_test.go
@@ -294,7 +294,7 @@
 	w := newWorld(t, 1, doc, 12, quickOptions())
 	w.run(10 * time.Second)
 	for _, name := range w.names {
-		is.Equal(w.install[name], uint64(1)) // the first revision is everywhere
+		is.Equal(w.installed[name], uint64(1)) // the first revision is everywhere
 	}
 	w.apply(doc)
 	begun := w.now
@@ -308,7 +308,7 @@
 func (w *world) slowest() uint64 {
 	least := ^uint64(0)
 	for _, name := range w.names {
-		least = min(least, w.install[name])
+		least = min(least, w.installed[name])
 	}
 	return least
 }
@@ -325,7 +325,7 @@
 	w.run(5 * time.Second)
 	ready, _ := w.nodes[w.names[1]].m.Ready()
 	is.True(ready)
-	is.Equal(w.install[w.names[1]], uint64(1))
+	is.Equal(w.installed[w.names[1]], uint64(1))
 
 	alone := newWorld(t, 1, smallDocument(true), 1, quickOptions())
 	alone.faults.platform = true
--- a/core/instance/world_test.go
+++ b/core/instance/world_test.go
@@ -46,7 +46,7 @@
 	faults     worldFaults
 	calls      map[string]*worldCall // by instance and id
 	violations []string              // promises seen broken
-	install    map[string]uint64
+	installed  map[string]uint64
 	// beforeOrder is called when an order reaches its engine, before it is
 	// carried out; may be nil.
 	beforeOrder func(n *node, e *fakeEngine, o book.Order)
@@ -160,7 +160,7 @@
 		t: t, rng: rand.New(rand.NewPCG(seed, 1)), now: worldStart, opt: opt, doc: doc,
 		platform: fakePlatform{values: map[string]fakeValue{}, leases: map[string]*fakeLease{}},
 		engines:  map[string]*fakeEngine{}, nodes: map[string]*node{},
-		calls: map[string]*worldCall{}, install: map[string]uint64{},
+		calls: map[string]*worldCall{}, installed: map[string]uint64{},
 		faults: worldFaults{delay: 5 * time.Millisecond, cut: map[string]bool{}},
 	}
 	for _, e := range doc.Engines {
@@ -190,7 +190,7 @@
 	id := member.Identity{Name: name, Zone: zone, Address: name, Boot: uint64(incarn), Seeds: w.names[:1]}
 	n := &node{id: id, m: New(id, w.opt, seed+uint64(len(name))+uint64(incarn)<<32), incarn: incarn}
 	w.nodes[name] = n
-	delete(w.install, name)
+	delete(w.installed, name)
 	w.after(0, func() { w.tick(n) })
 }
 
@@ -349,11 +349,11 @@
 }
 
 func (w *world) noteInstall(n *node, a ConfigInstalled) {
-	old := w.install[n.id.Name]
+	old := w.installed[n.id.Name]
 	if a.Snapshot.Revision() < old {
 		w.reportViolation("%s went from revision %d to %d", n.id.Name, old, a.Snapshot.Revision())
 	}
-	w.install[n.id.Name] = a.Snapshot.Revision()
+	w.installed[n.id.Name] = a.Snapshot.Revision()
 }
 
 func (w *world) watchConfig(n *node, a kvwatch.Config) {
