--- a/core/instance/promises_test.go
+++ b/core/instance/promises_test.go
@@ -69,8 +69,8 @@
 
 var storms = []storm{
 	{"calm", func(*world) {}},
-	{"messages lost", func(w *world) { w.faults.loss = 0.2 }},
-	{"orders lost, then late", func(w *world) { w.faults.loss = 0.3; w.faults.late = 8 * time.Second }},
+	{"messages lost", func(w *world) { w.faults.lossRate = 0.2 }},
+	{"orders lost, then late", func(w *world) { w.faults.lossRate = 0.3; w.faults.late = 8 * time.Second }},
 	{"engines restart", func(w *world) {
 		for i, e := range w.doc.Engines {
 			w.after(time.Duration(7+5*i)*time.Second, func() { w.engines[e.Name].restart() })
@@ -92,7 +92,7 @@
 		w.after(20*time.Second, func() { w.faults.cut["z1"] = false })
 	}},
 	{"freezes while orders are late", func(w *world) {
-		w.faults.loss = 0.2
+		w.faults.lossRate = 0.2
 		w.faults.late = 5 * time.Second
 		w.freezeAll(false)
 	}},
--- a/core/instance/world_test.go
+++ b/core/instance/world_test.go
@@ -54,7 +54,7 @@
 
 // worldFaults are the faults in force.
 type worldFaults struct {
-	loss     float64       // share of requests or answers lost
+	lossRate float64       // share of requests or answers lost
 	delay    time.Duration // most that a message takes
 	late     time.Duration // how late a lost order may still arrive
 	platform bool          // the platform is down
@@ -268,7 +268,7 @@
 	return time.Duration(w.rng.Int64N(int64(w.faults.delay))) + 1
 }
 
-func (w *world) lost() bool { return w.rng.Float64() < w.faults.loss }
+func (w *world) lost() bool { return w.rng.Float64() < w.faults.lossRate }
 
 // send carries a request to a place and its answer back; either may be lost.
 // effect runs at the far end, reply at the node. fail runs at the node when
