--- a/core/instance/world_test.go
+++ b/core/instance/world_test.go
@@ -54,12 +54,12 @@
 
 // worldFaults are the faults in force.
 type worldFaults struct {
-	lossRate float64       // share of requests or answers lost
-	delay    time.Duration // most that a message takes
-	late     time.Duration // how late a lost order may still arrive
-	platform bool          // the platform is down
-	cut      map[string]bool
-	breaks   float64 // share of calls whose connection breaks somewhere
+	lossRate   float64       // share of requests or answers lost
+	maxLatency time.Duration // most that a message takes
+	late       time.Duration // how late a lost order may still arrive
+	platform   bool          // the platform is down
+	cut        map[string]bool
+	breaks     float64 // share of calls whose connection breaks somewhere
 }
 
 // A node is one machine with its own clocks.
@@ -161,7 +161,7 @@
 		platform: fakePlatform{values: map[string]fakeValue{}, leases: map[string]*fakeLease{}},
 		engines:  map[string]*fakeEngine{}, nodes: map[string]*node{},
 		calls: map[string]*worldCall{}, installed: map[string]uint64{},
-		faults: worldFaults{delay: 5 * time.Millisecond, cut: map[string]bool{}},
+		faults: worldFaults{maxLatency: 5 * time.Millisecond, cut: map[string]bool{}},
 	}
 	for _, e := range doc.Engines {
 		w.engines[e.Name] = &fakeEngine{name: e.Name, capacity: e.MemoryMiB, checks: e.ChecksFence, boot: 1, items: map[string]*fakeItem{}}
@@ -265,7 +265,7 @@
 }
 
 func (w *world) latency() time.Duration {
-	return time.Duration(w.rng.Int64N(int64(w.faults.delay))) + 1
+	return time.Duration(w.rng.Int64N(int64(w.faults.maxLatency))) + 1
 }
 
 func (w *world) lost() bool { return w.rng.Float64() < w.faults.lossRate }
