--- a/core/instance/promises_test.go
+++ b/core/instance/promises_test.go
@@ -70,7 +70,7 @@
 var storms = []storm{
 	{"calm", func(*world) {}},
 	{"messages lost", func(w *world) { w.faults.lossRate = 0.2 }},
-	{"orders lost, then late", func(w *world) { w.faults.lossRate = 0.3; w.faults.late = 8 * time.Second }},
+	{"orders lost, then late", func(w *world) { w.faults.lossRate = 0.3; w.faults.maxLateDelay = 8 * time.Second }},
 	{"engines restart", func(w *world) {
 		for i, e := range w.doc.Engines {
 			w.after(time.Duration(7+5*i)*time.Second, func() { w.engines[e.Name].restart() })
@@ -93,7 +93,7 @@
 	}},
 	{"freezes while orders are late", func(w *world) {
 		w.faults.lossRate = 0.2
-		w.faults.late = 5 * time.Second
+		w.faults.maxLateDelay = 5 * time.Second
 		w.freezeAll(false)
 	}},
 	{"suspensions while the platform is down", func(w *world) {
--- a/core/instance/world_test.go
+++ b/core/instance/world_test.go
@@ -54,12 +54,12 @@
 
 // worldFaults are the faults in force.
 type worldFaults struct {
-	lossRate   float64       // share of requests or answers lost
-	maxLatency time.Duration // most that a message takes
-	late       time.Duration // how late a lost order may still arrive
-	platform   bool          // the platform is down
-	cut        map[string]bool
-	breaks     float64 // share of calls whose connection breaks somewhere
+	lossRate     float64       // share of requests or answers lost
+	maxLatency   time.Duration // most that a message takes
+	maxLateDelay time.Duration // how late a lost order may still arrive
+	platform     bool          // the platform is down
+	cut          map[string]bool
+	breaks       float64 // share of calls whose connection breaks somewhere
 }
 
 // A node is one machine with its own clocks.
@@ -285,8 +285,8 @@
 	}
 	if w.lost() {
 		w.after(timeout, func() { fail(false) })
-		if w.faults.late > 0 {
-			w.after(time.Duration(w.rng.Int64N(int64(w.faults.late))), func() { effect() })
+		if w.faults.maxLateDelay > 0 {
+			w.after(time.Duration(w.rng.Int64N(int64(w.faults.maxLateDelay))), func() { effect() })
 		}
 		return
 	}
