--- a/core/instance/promises_test.go
+++ b/core/instance/promises_test.go
@@ -84,8 +84,8 @@
 	{"planners freeze", func(w *world) { w.freezeAll(false) }},
 	{"machines are suspended", func(w *world) { w.freezeAll(true) }},
 	{"platform down", func(w *world) {
-		w.after(6*time.Second, func() { w.faults.platform = true })
-		w.after(20*time.Second, func() { w.faults.platform = false })
+		w.after(6*time.Second, func() { w.faults.platformDown = true })
+		w.after(20*time.Second, func() { w.faults.platformDown = false })
 	}},
 	{"zone cut off", func(w *world) {
 		w.after(6*time.Second, func() { w.faults.cut["z1"] = true })
@@ -97,8 +97,8 @@
 		w.freezeAll(false)
 	}},
 	{"suspensions while the platform is down", func(w *world) {
-		w.after(6*time.Second, func() { w.faults.platform = true })
-		w.after(20*time.Second, func() { w.faults.platform = false })
+		w.after(6*time.Second, func() { w.faults.platformDown = true })
+		w.after(20*time.Second, func() { w.faults.platformDown = false })
 		w.freezeAll(true)
 	}},
 }
@@ -320,7 +320,7 @@
 	is := is.New(t)
 	w := newWorld(t, 1, smallDocument(true), 2, quickOptions())
 	w.run(5 * time.Second)
-	w.faults.platform = true
+	w.faults.platformDown = true
 	w.kill(w.names[1])
 	w.run(5 * time.Second)
 	ready, _ := w.nodes[w.names[1]].m.Ready()
@@ -328,7 +328,7 @@
 	is.Equal(w.installed[w.names[1]], uint64(1))
 
 	alone := newWorld(t, 1, smallDocument(true), 1, quickOptions())
-	alone.faults.platform = true
+	alone.faults.platformDown = true
 	alone.faults.cut["z1"] = true
 	alone.run(5 * time.Second)
 	ready, reason := alone.nodes[alone.names[0]].m.Ready()
@@ -413,7 +413,7 @@
 	is := is.New(t)
 	w := newWorld(t, 4, smallDocument(true), 2, quickOptions())
 	w.warm("model-1", 10*time.Second)
-	w.faults.platform = true
+	w.faults.platformDown = true
 	before := w.platform.calls
 	const outage = 10 * time.Minute
 	id := calls.ID(1 << 20)
--- a/core/instance/world_test.go
+++ b/core/instance/world_test.go
@@ -57,7 +57,7 @@
 	lossRate     float64       // share of requests or answers lost
 	maxLatency   time.Duration // most that a message takes
 	maxLateDelay time.Duration // how late a lost order may still arrive
-	platform     bool          // the platform is down
+	platformDown bool          // the platform is down
 	cut          map[string]bool
 	breaks       float64 // share of calls whose connection breaks somewhere
 }
@@ -307,7 +307,7 @@
 var errLost = errors.New("lost")
 
 func (w *world) platformUp(n *node) func() bool {
-	return func() bool { return !w.faults.platform && !w.faults.cut[n.id.Zone] }
+	return func() bool { return !w.faults.platformDown && !w.faults.cut[n.id.Zone] }
 }
 
 func (w *world) engineUp(n *node, zone string) func() bool {
