--- a/core/instance/promises_test.go
+++ b/core/instance/promises_test.go
@@ -88,8 +88,8 @@
 		w.after(20*time.Second, func() { w.faults.platformDown = false })
 	}},
 	{"zone cut off", func(w *world) {
-		w.after(6*time.Second, func() { w.faults.cut["z1"] = true })
-		w.after(20*time.Second, func() { w.faults.cut["z1"] = false })
+		w.after(6*time.Second, func() { w.faults.cutZones["z1"] = true })
+		w.after(20*time.Second, func() { w.faults.cutZones["z1"] = false })
 	}},
 	{"freezes while orders are late", func(w *world) {
 		w.faults.lossRate = 0.2
@@ -329,7 +329,7 @@
 
 	alone := newWorld(t, 1, smallDocument(true), 1, quickOptions())
 	alone.faults.platformDown = true
-	alone.faults.cut["z1"] = true
+	alone.faults.cutZones["z1"] = true
 	alone.run(5 * time.Second)
 	ready, reason := alone.nodes[alone.names[0]].m.Ready()
 	is.True(!ready)
@@ -453,7 +453,7 @@
 			w := newWorld(t, 5, smallDocument(true), 2, quickOptions())
 			w.run(8 * time.Second)
 			if cut {
-				w.faults.cut["z1"] = true
+				w.faults.cutZones["z1"] = true
 			}
 			served := map[string]time.Duration{}
 			begun := w.now
--- a/core/instance/world_test.go
+++ b/core/instance/world_test.go
@@ -58,7 +58,7 @@
 	maxLatency   time.Duration // most that a message takes
 	maxLateDelay time.Duration // how late a lost order may still arrive
 	platformDown bool          // the platform is down
-	cut          map[string]bool
+	cutZones     map[string]bool
 	breaks       float64 // share of calls whose connection breaks somewhere
 }
 
@@ -161,7 +161,7 @@
 		platform: fakePlatform{values: map[string]fakeValue{}, leases: map[string]*fakeLease{}},
 		engines:  map[string]*fakeEngine{}, nodes: map[string]*node{},
 		calls: map[string]*worldCall{}, installed: map[string]uint64{},
-		faults: worldFaults{maxLatency: 5 * time.Millisecond, cut: map[string]bool{}},
+		faults: worldFaults{maxLatency: 5 * time.Millisecond, cutZones: map[string]bool{}},
 	}
 	for _, e := range doc.Engines {
 		w.engines[e.Name] = &fakeEngine{name: e.Name, capacity: e.MemoryMiB, checks: e.ChecksFence, boot: 1, items: map[string]*fakeItem{}}
@@ -307,11 +307,11 @@
 var errLost = errors.New("lost")
 
 func (w *world) platformUp(n *node) func() bool {
-	return func() bool { return !w.faults.platformDown && !w.faults.cut[n.id.Zone] }
+	return func() bool { return !w.faults.platformDown && !w.faults.cutZones[n.id.Zone] }
 }
 
 func (w *world) engineUp(n *node, zone string) func() bool {
-	return func() bool { return zone == n.id.Zone || !w.faults.cut[n.id.Zone] && !w.faults.cut[zone] }
+	return func() bool { return zone == n.id.Zone || !w.faults.cutZones[n.id.Zone] && !w.faults.cutZones[zone] }
 }
 
 func (w *world) carryOut(n *node, a step.Action) {
@@ -449,7 +449,7 @@
 func (w *world) exchange(n *node, a exchange.SendRequest) {
 	peer := w.nodes[a.Address]
 	up := func() bool {
-		return peer != nil && !peer.dead && !peer.paused && (peer.id.Zone == n.id.Zone || !w.faults.cut[n.id.Zone] && !w.faults.cut[peer.id.Zone])
+		return peer != nil && !peer.dead && !peer.paused && (peer.id.Zone == n.id.Zone || !w.faults.cutZones[n.id.Zone] && !w.faults.cutZones[peer.id.Zone])
 	}
 	failed := func(bool) { w.step(n, exchange.Reply{Peer: a.Peer, Address: a.Address, Err: errLost}) }
 	w.send(n, up, func() func() {
