--- a/core/instance/promises_test.go
+++ b/core/instance/promises_test.go
@@ -148,7 +148,7 @@
 		change(&opt)
 	}
 	w := newWorld(t, seed, smallDocument(checks), 2, opt)
-	w.faults.breaks = 0.1
+	w.faults.breakRate = 0.1
 	s.begin(w)
 	w.traffic(stormTime - 15*time.Second)
 	w.run(stormTime)
--- a/core/instance/world_calls_test.go
+++ b/core/instance/world_calls_test.go
@@ -93,7 +93,7 @@
 		w.step(n, calls.AttemptFailed{ID: a.ID, Attempt: a.Attempt, Phase: attempt.Refused, Leaving: e.leaving, Status: 503})
 		return
 	}
-	if w.rng.Float64() >= w.faults.breaks {
+	if w.rng.Float64() >= w.faults.breakRate {
 		w.execute(c, a)
 		w.step(n, calls.AnswerBegan{ID: a.ID})
 		w.after(w.latency(), func() {
--- a/core/instance/world_test.go
+++ b/core/instance/world_test.go
@@ -59,7 +59,7 @@
 	maxLateDelay time.Duration // how late a lost order may still arrive
 	platformDown bool          // the platform is down
 	cutZones     map[string]bool
-	breaks       float64 // share of calls whose connection breaks somewhere
+	breakRate    float64 // share of calls whose connection breaks somewhere
 }
 
 // A node is one machine with its own clocks.
