--- a/core/instance/announced_world_test.go
+++ b/core/instance/announced_world_test.go
@@ -83,9 +83,9 @@
 	tokens int
 	// steady has members read a steady clock that stands still while they sleep.
 	steady bool
-	// cut are zones without a way to other zones and to the store.
-	cut    map[string]bool
-	logged map[logevent.Number]int
+	// cutZones are zones without a way to other zones and to the store.
+	cutZones map[string]bool
+	logged   map[logevent.Number]int
 	// leaves is which engines leave, and what reaches them after that; nil: none.
 	leaves *leaveLab
 }
@@ -522,7 +522,7 @@
 		reply(fleetWay, failed(errors.New("a number of a former era")))
 		return
 	}
-	if n.noStore || f.cut[n.id.Zone] {
+	if n.noStore || f.cutZones[n.id.Zone] {
 		reply(time.Second, failed(errLost))
 		return
 	}
@@ -770,10 +770,10 @@
 	case w.hung:
 		fails(w.limit, "no answer")
 		return
-	case w.cut, f.store.closed && !n.noStore && !n.deaf && !f.cut[n.id.Zone]:
+	case w.cut, f.store.closed && !n.noStore && !n.deaf && !f.cutZones[n.id.Zone]:
 		fails(f.now, "refused")
 		return
-	case n.noStore || n.deaf || f.store.down || f.cut[n.id.Zone]:
+	case n.noStore || n.deaf || f.store.down || f.cutZones[n.id.Zone]:
 		fails(w.limit, "no answer")
 		return
 	}
@@ -1064,7 +1064,7 @@
 }
 
 // severed reports whether there is no way between two zones.
-func (f *fleet) severed(a, b string) bool { return a != b && (f.cut[a] || f.cut[b]) }
+func (f *fleet) severed(a, b string) bool { return a != b && (f.cutZones[a] || f.cutZones[b]) }
 
 // callers has calls come, for models that demand moves over as time goes by.
 func (f *fleet) callers(every time.Duration) {
--- a/core/instance/ceiling_test.go
+++ b/core/instance/ceiling_test.go
@@ -40,8 +40,8 @@
 			return func() { n.noStore = false }
 		})},
 		{"its zone is cut off", placers(6*time.Second, 5*time.Second, func(f *fleet, n *fleetMember) func() {
-			f.cut = map[string]bool{n.id.Zone: true}
-			return func() { f.cut = nil }
+			f.cutZones = map[string]bool{n.id.Zone: true}
+			return func() { f.cutZones = nil }
 		})},
 		{"it is deaf", placers(6*time.Second, 5*time.Second, func(_ *fleet, n *fleetMember) func() {
 			n.deaf = true
--- a/core/instance/crash_test.go
+++ b/core/instance/crash_test.go
@@ -337,9 +337,9 @@
 	{"the store down", 8, 64, 1, 250 * time.Millisecond, func(l *crashLab) { l.f.store.down = true }},
 	{"a large fleet, the store down", 2 * watchers.FullMeshLimit, 64, 1, 200 * time.Millisecond, func(l *crashLab) { l.f.store.down = true }},
 	{"a zone cut off for a while", 8, 32, 1, 250 * time.Millisecond, func(l *crashLab) {
-		l.f.cut = map[string]bool{"z1": true}
+		l.f.cutZones = map[string]bool{"z1": true}
 		l.calm = l.f.now + 8*time.Second
-		l.f.at(8*time.Second, func() { l.f.cut = nil })
+		l.f.at(8*time.Second, func() { l.f.cutZones = nil })
 	}},
 	{"instances killed in turn", 8, 16, 1, 250 * time.Millisecond, func(l *crashLab) {
 		next := 0
@@ -446,8 +446,8 @@
 	{"connections break", func(l *crashLab) { l.severs = 0.6 }},
 	{"zones are cut off", func(l *crashLab) {
 		l.f.again(6*time.Second, 2*time.Second, func() func() {
-			l.f.cut = map[string]bool{"z1": true}
-			return func() { l.f.cut = nil }
+			l.f.cutZones = map[string]bool{"z1": true}
+			return func() { l.f.cutZones = nil }
 		})
 	}},
 }
--- a/core/instance/leaving_test.go
+++ b/core/instance/leaving_test.go
@@ -75,7 +75,7 @@
 	}
 	for _, name := range f.names {
 		n := f.members[name]
-		if n.dead || n.frozen || n.noStore || n.deaf || f.cut[n.id.Zone] || n.boot != l.boots[name] {
+		if n.dead || n.frozen || n.noStore || n.deaf || f.cutZones[n.id.Zone] || n.boot != l.boots[name] {
 			l.memberBad[name] = f.now
 			l.boots[name] = n.boot
 		}
@@ -345,11 +345,11 @@
 		})
 	}},
 	{"a zone is cut off", func(l *leaveLab) {
-		l.f.cut = map[string]bool{}
+		l.f.cutZones = map[string]bool{}
 		l.every(1700*time.Millisecond, l.anyLeave)
 		l.f.again(10*time.Second, 4*time.Second, func() func() {
-			l.f.cut["z1"] = true
-			return func() { delete(l.f.cut, "z1") }
+			l.f.cutZones["z1"] = true
+			return func() { delete(l.f.cutZones, "z1") }
 		})
 	}},
 }
--- a/core/instance/limit_test.go
+++ b/core/instance/limit_test.go
@@ -372,9 +372,9 @@
 	}},
 	{"a zone is cut off", 8, func(l *limitLab) {
 		l.f.again(7*time.Second, 4*time.Second, func() func() {
-			l.f.cut = map[string]bool{"z1": true}
+			l.f.cutZones = map[string]bool{"z1": true}
 			return func() {
-				l.f.cut = nil
+				l.f.cutZones = nil
 				l.healed = l.f.now
 			}
 		})
--- a/core/instance/repeats_test.go
+++ b/core/instance/repeats_test.go
@@ -88,8 +88,8 @@
 		}},
 		{"a zone is cut off", 8, func(f *fleet) {
 			f.again(7*time.Second, 4*time.Second, func() func() {
-				f.cut = map[string]bool{"z1": true}
-				return func() { f.cut = nil }
+				f.cutZones = map[string]bool{"z1": true}
+				return func() { f.cutZones = nil }
 			})
 		}},
 		{"the store is down", 8, func(f *fleet) { f.store.down = true }},
--- a/core/instance/stepback_test.go
+++ b/core/instance/stepback_test.go
@@ -288,11 +288,11 @@
 	}},
 	{"a zone is cut off, answers are lost", func(f *fleet) {
 		f.lost = 0.2
-		f.cut = map[string]bool{}
+		f.cutZones = map[string]bool{}
 		f.steps(8 * time.Second)
 		f.again(10*time.Second, 5*time.Second, func() func() {
-			f.cut["z1"] = true
-			return func() { delete(f.cut, "z1") }
+			f.cutZones["z1"] = true
+			return func() { delete(f.cutZones, "z1") }
 		})
 	}},
 	{"members stop and start", func(f *fleet) {
