--- a/core/instance/world_test.go
+++ b/core/instance/world_test.go
@@ -64,13 +64,13 @@
 
 // A node is one machine with its own clocks.
 type node struct {
-	m       *Machine
-	id      member.Identity
-	dead    bool
-	paused  bool
-	monoLag time.Duration // by how much its monotonic clock is behind
-	held    []func()
-	incarn  int
+	m           *Machine
+	id          member.Identity
+	dead        bool
+	paused      bool
+	monoLag     time.Duration // by how much its monotonic clock is behind
+	held        []func()
+	incarnation int
 }
 
 // A worldCall is one caller's call and what became of it.
@@ -185,10 +185,10 @@
 func (w *world) start(name, zone string, seed uint64) {
 	incarn := 1
 	if old := w.nodes[name]; old != nil {
-		incarn = old.incarn + 1
+		incarn = old.incarnation + 1
 	}
 	id := member.Identity{Name: name, Zone: zone, Address: name, Boot: uint64(incarn), Seeds: w.names[:1]}
-	n := &node{id: id, m: New(id, w.opt, seed+uint64(len(name))+uint64(incarn)<<32), incarn: incarn}
+	n := &node{id: id, m: New(id, w.opt, seed+uint64(len(name))+uint64(incarn)<<32), incarnation: incarn}
 	w.nodes[name] = n
 	delete(w.installed, name)
 	w.after(0, func() { w.tick(n) })
