--- a/core/instance/world_test.go
+++ b/core/instance/world_test.go
@@ -69,7 +69,7 @@
 	dead        bool
 	paused      bool
 	monoLag     time.Duration // by how much its monotonic clock is behind
-	held        []func()
+	deferred    []func()
 	incarnation int
 }
 
@@ -237,7 +237,7 @@
 		return
 	}
 	if n.paused {
-		n.held = append(n.held, func() { w.step(n, ev) })
+		n.deferred = append(n.deferred, func() { w.step(n, ev) })
 		return
 	}
 	actions := append([]step.Action(nil), n.m.Step(n.clock(w.now), ev)...)
@@ -256,8 +256,8 @@
 		if suspend {
 			n.monoLag += d
 		}
-		held := n.held
-		n.held = nil
+		held := n.deferred
+		n.deferred = nil
 		for _, f := range held {
 			f()
 		}
@@ -275,7 +275,7 @@
 // the request or the answer is lost, and says whether it certainly never left.
 func (w *world) send(n *node, reachable func() bool, effect func() func(), fail func(notSent bool)) {
 	if n.paused {
-		n.held = append(n.held, func() { w.send(n, reachable, effect, fail) })
+		n.deferred = append(n.deferred, func() { w.send(n, reachable, effect, fail) })
 		return
 	}
 	const timeout = 500 * time.Millisecond
