--- a/core/instance/announced_world_test.go
+++ b/core/instance/announced_world_test.go
@@ -92,24 +92,24 @@
 
 // A fleetMember is one machine with what is wrong with it.
 type fleetMember struct {
-	m       *Machine
-	id      member.Identity
-	boot    uint64
-	lag     time.Duration // by how much its steady clock is behind
-	set     time.Duration // by how much its wall clock was set forward
-	dead    bool
-	frozen  bool
-	thawed  time.Duration // when it was last
-	held    []func()
-	noStore bool
-	deaf    bool         // its watches hear nothing, nor do its exchanges
-	after   era.Revision // the watch's position; 0 reads the whole
-	waiting []*fleetWatch
-	known   era.Era // the latest in which the store answered it
-	asked   map[uint64]func(owned.SendReply)
-	answers map[uint64]func(gossip.Message)
-	permits map[uint64]func(permits.Decision)
-	token   uint64
+	m        *Machine
+	id       member.Identity
+	boot     uint64
+	lag      time.Duration // by how much its steady clock is behind
+	set      time.Duration // by how much its wall clock was set forward
+	dead     bool
+	frozen   bool
+	thawed   time.Duration // when it was last
+	deferred []func()
+	noStore  bool
+	deaf     bool         // its watches hear nothing, nor do its exchanges
+	after    era.Revision // the watch's position; 0 reads the whole
+	waiting  []*fleetWatch
+	known    era.Era // the latest in which the store answered it
+	asked    map[uint64]func(owned.SendReply)
+	answers  map[uint64]func(gossip.Message)
+	permits  map[uint64]func(permits.Decision)
+	token    uint64
 }
 
 // A fleetStore is the platform's store.
@@ -283,7 +283,7 @@
 	n.boot++
 	n.dead = false
 	n.frozen = false
-	n.held = nil
+	n.deferred = nil
 	n.waiting = nil
 	n.after = 0
 	n.known = 0
@@ -309,7 +309,7 @@
 	case n.dead || n.boot != boot:
 		return
 	case n.frozen:
-		n.held = append(n.held, func() { f.step(n, boot, ev) })
+		n.deferred = append(n.deferred, func() { f.step(n, boot, ev) })
 		return
 	}
 	for _, a := range slices.Clone(n.m.Step(f.clock(n), ev)) {
@@ -339,8 +339,8 @@
 func (f *fleet) thaw(n *fleetMember) {
 	n.frozen = false
 	n.thawed = f.now
-	held := n.held
-	n.held = nil
+	held := n.deferred
+	n.deferred = nil
 	for _, do := range held {
 		do()
 	}
