--- a/core/instance/world_engine_test.go
+++ b/core/instance/world_engine_test.go
@@ -49,7 +49,7 @@
 // carryOrder has the engine carry out an order as a real one would; asking for
 // more memory than there is counts as a broken promise.
 func (w *world) carryOrder(e *fakeEngine, o book.Order) planner.OrderOutcome {
-	if e.checks {
+	if e.checksFence {
 		if o.Fence < e.fence {
 			return planner.OrderFenced
 		}
--- a/core/instance/world_test.go
+++ b/core/instance/world_test.go
@@ -132,20 +132,20 @@
 
 // A fakeEngine is one engine's memory and the orders it took.
 type fakeEngine struct {
-	name      string
-	capacity  int64
-	checks    bool
-	boot      uint64
-	change    uint64
-	seq       uint64
-	fence     uint64
-	lastOrder uint64
-	leaving   bool
-	leftAt    time.Duration
-	items     map[string]*fakeItem
-	overs     int
-	loads     int
-	unloads   int
+	name        string
+	capacity    int64
+	checksFence bool
+	boot        uint64
+	change      uint64
+	seq         uint64
+	fence       uint64
+	lastOrder   uint64
+	leaving     bool
+	leftAt      time.Duration
+	items       map[string]*fakeItem
+	overs       int
+	loads       int
+	unloads     int
 }
 
 type fakeItem struct {
@@ -164,7 +164,7 @@
 		faults: worldFaults{maxLatency: 5 * time.Millisecond, cutZones: map[string]bool{}},
 	}
 	for _, e := range doc.Engines {
-		w.engines[e.Name] = &fakeEngine{name: e.Name, capacity: e.MemoryMiB, checks: e.ChecksFence, boot: 1, items: map[string]*fakeItem{}}
+		w.engines[e.Name] = &fakeEngine{name: e.Name, capacity: e.MemoryMiB, checksFence: e.ChecksFence, boot: 1, items: map[string]*fakeItem{}}
 	}
 	for _, z := range doc.Zones {
 		for i := range perZone {
