--- a/core/instance/world_engine_test.go
+++ b/core/instance/world_engine_test.go
@@ -88,7 +88,7 @@
 		used += it.mib
 	}
 	if used+o.MiB > e.capacity {
-		e.overs++
+		e.overcommits++
 		w.reportViolation("%s: overcommit: %d MiB used, %d asked for, %d there are", e.name, used, o.MiB, e.capacity)
 		return planner.OrderRefused
 	}
--- a/core/instance/world_test.go
+++ b/core/instance/world_test.go
@@ -143,7 +143,7 @@
 	leaving     bool
 	leftAt      time.Duration
 	items       map[string]*fakeItem
-	overs       int
+	overcommits int
 	loads       int
 	unloads     int
 }
