--- a/core/instance/world_test.go
+++ b/core/instance/world_test.go
@@ -36,7 +36,7 @@
 	rng        *rand.Rand
 	now        time.Duration
 	queue      eventQueue
-	order      uint64
+	eventSeq   uint64
 	opt        option.Options
 	doc        config.Document
 	platform   fakePlatform
@@ -201,8 +201,8 @@
 }
 
 func (w *world) after(d time.Duration, f func()) {
-	w.order++
-	heap.Push(&w.queue, scheduled{at: w.now + d, order: w.order, do: f})
+	w.eventSeq++
+	heap.Push(&w.queue, scheduled{at: w.now + d, order: w.eventSeq, do: f})
 }
 
 // run advances the clock by d.
