--- a/core/instance/announced_world_test.go
+++ b/core/instance/announced_world_test.go
@@ -48,7 +48,7 @@
 	rng        *rand.Rand
 	now        time.Duration
 	queue      eventQueue
-	order      uint64
+	eventSeq   uint64
 	opt        option.Options
 	doc        config.Document
 	store      fleetStore
@@ -258,8 +258,8 @@
 }
 
 func (f *fleet) at(d time.Duration, do func()) {
-	f.order++
-	heap.Push(&f.queue, scheduled{at: f.now + d, order: f.order, do: do})
+	f.eventSeq++
+	heap.Push(&f.queue, scheduled{at: f.now + d, order: f.eventSeq, do: do})
 }
 
 // run drives the fleet for a span.
@@ -1085,9 +1085,9 @@
 				adapter = fmt.Sprintf("a%d", f.rng.IntN(4))
 			}
 			r := calls.Request{
-				ID: calls.ID(f.order), Path: "/x", Replayable: true, PromptTokens: f.tokens,
+				ID: calls.ID(f.eventSeq), Path: "/x", Replayable: true, PromptTokens: f.tokens,
 				Forward: &calls.ForwardRequest{
-					Name: fmt.Sprint(f.order), Fingerprint: crash.Fingerprint(f.order) << 32,
+					Name: fmt.Sprint(f.eventSeq), Fingerprint: crash.Fingerprint(f.eventSeq) << 32,
 					Host: "h", Model: fmt.Sprintf("m%d", model()), Adapter: adapter,
 				},
 			}
@@ -1106,7 +1106,7 @@
 	})
 }
 
-func (f *fleet) token() { f.order++ }
+func (f *fleet) token() { f.eventSeq++ }
 
 // A fleetStorm is what goes wrong in one test of the fleet.
 type fleetStorm struct {
--- a/core/instance/crash_test.go
+++ b/core/instance/crash_test.go
@@ -107,8 +107,8 @@
 			return
 		}
 		l.f.token()
-		r := calls.Request{ID: calls.ID(l.f.order), Path: "/x", Replayable: true, PromptTokens: 1750, Forward: &calls.ForwardRequest{
-			Name: fmt.Sprint(l.f.order), Fingerprint: fingerprint, Host: "h", Model: fmt.Sprintf("m%d", model),
+		r := calls.Request{ID: calls.ID(l.f.eventSeq), Path: "/x", Replayable: true, PromptTokens: 1750, Forward: &calls.ForwardRequest{
+			Name: fmt.Sprint(l.f.eventSeq), Fingerprint: fingerprint, Host: "h", Model: fmt.Sprintf("m%d", model),
 		}}
 		l.calls[r.ID] = &labCall{request: r, poison: true, again: true}
 		l.f.step(n, n.boot, calls.Arrived{Call: r})
@@ -274,7 +274,7 @@
 		r := c.request
 		forward := *r.Forward
 		r.Forward = &forward
-		r.ID = calls.ID(l.f.order)
+		r.ID = calls.ID(l.f.eventSeq)
 		l.calls[r.ID] = &labCall{request: r, again: true}
 		l.f.step(n, n.boot, calls.Arrived{Call: r})
 	})
