--- a/core/instance/announced_world_test.go
+++ b/core/instance/announced_world_test.go
@@ -259,7 +259,7 @@
 
 func (f *fleet) at(d time.Duration, do func()) {
 	f.eventSeq++
-	heap.Push(&f.queue, scheduled{at: f.now + d, order: f.eventSeq, do: do})
+	heap.Push(&f.queue, scheduled{at: f.now + d, eventSeq: f.eventSeq, do: do})
 }
 
 // run drives the fleet for a span.
--- a/core/instance/world_test.go
+++ b/core/instance/world_test.go
@@ -86,9 +86,9 @@
 }
 
 type scheduled struct {
-	at    time.Duration
-	order uint64
-	do    func()
+	at       time.Duration
+	eventSeq uint64
+	do       func()
 }
 
 type eventQueue []scheduled
@@ -98,7 +98,7 @@
 	if q[i].at != q[j].at {
 		return q[i].at < q[j].at
 	}
-	return q[i].order < q[j].order
+	return q[i].eventSeq < q[j].eventSeq
 }
 func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 func (q *eventQueue) Push(x any)   { *q = append(*q, x.(scheduled)) }
@@ -202,7 +202,7 @@
 
 func (w *world) after(d time.Duration, f func()) {
 	w.eventSeq++
-	heap.Push(&w.queue, scheduled{at: w.now + d, order: w.eventSeq, do: f})
+	heap.Push(&w.queue, scheduled{at: w.now + d, eventSeq: w.eventSeq, do: f})
 }
 
 // run advances the clock by d.
