--- a/core/instance/promises_test.go
+++ b/core/instance/promises_test.go
@@ -257,7 +257,7 @@
 		w.beforeOrder = func(n *node, e *fakeEngine, o book.Order) {
 			if n.id.Zone == "z1" && n != former && o.Op == book.Load && !arrived {
 				arrived = true
-				w.carryOrder(e, late)
+				w.executeOrder(e, late)
 			}
 		}
 		w.run(20 * time.Second)
--- a/core/instance/world_engine_test.go
+++ b/core/instance/world_engine_test.go
@@ -34,7 +34,7 @@
 		if w.beforeOrder != nil {
 			w.beforeOrder(n, e, a.Order)
 		}
-		reply.Outcome = w.carryOrder(e, a.Order)
+		reply.Outcome = w.executeOrder(e, a.Order)
 		reply.State = e.state()
 		return func() { w.step(n, reply) }
 	}, func(notSent bool) {
@@ -46,9 +46,9 @@
 	})
 }
 
-// carryOrder has the engine carry out an order as a real one would; asking for
+// executeOrder has the engine carry out an order as a real one would; asking for
 // more memory than there is counts as a broken promise.
-func (w *world) carryOrder(e *fakeEngine, o book.Order) planner.OrderOutcome {
+func (w *world) executeOrder(e *fakeEngine, o book.Order) planner.OrderOutcome {
 	if e.checksFence {
 		if o.Fence < e.fence {
 			return planner.OrderFenced
