--- a/core/instance/world_test.go
+++ b/core/instance/world_test.go
@@ -242,7 +242,7 @@
 	}
 	actions := append([]step.Action(nil), n.m.Step(n.clock(w.now), ev)...)
 	for _, a := range actions {
-		w.carryOut(n, a)
+		w.performAction(n, a)
 	}
 }
 
@@ -314,7 +314,7 @@
 	return func() bool { return zone == n.id.Zone || !w.faults.cutZones[n.id.Zone] && !w.faults.cutZones[zone] }
 }
 
-func (w *world) carryOut(n *node, a step.Action) {
+func (w *world) performAction(n *node, a step.Action) {
 	switch act := a.(type) {
 	case ConfigInstalled:
 		w.noteInstall(n, act)
@@ -463,7 +463,7 @@
 				answer = ans.Message
 				continue
 			}
-			w.carryOut(peer, x)
+			w.performAction(peer, x)
 		}
 		w.takeConfig(peer, a.Message)
 		return func() {
