--- a/core/instance/announced_world_test.go
+++ b/core/instance/announced_world_test.go
@@ -876,13 +876,13 @@
 	}
 	if f.rng.Float64() < f.late {
 		f.at(fleetWay, func() { f.checkHolder(n.id.Name, a) })
-		f.at(time.Duration(2000+f.rng.IntN(10000))*time.Millisecond, func() { f.carryOut(a) })
+		f.at(time.Duration(2000+f.rng.IntN(10000))*time.Millisecond, func() { f.applyOrder(a) })
 		reply(500*time.Millisecond, out(orders.AnswerLost))
 		return
 	}
 	f.at(fleetWay, func() {
 		f.checkHolder(n.id.Name, a)
-		reply(fleetWay, out(f.carryOut(a)))
+		reply(fleetWay, out(f.applyOrder(a)))
 	})
 }
 
@@ -901,8 +901,8 @@
 	e.fence = a.Fence
 }
 
-// carryOut does what an order says, and checks that there is room for it.
-func (f *fleet) carryOut(a owned.SendOrder) orders.Answer {
+// applyOrder does what an order says, and checks that there is room for it.
+func (f *fleet) applyOrder(a owned.SendOrder) orders.Answer {
 	e := f.engines[a.Engine]
 	r := a.Request
 	model, adapter := r.Model, r.Item()
