--- a/core/instance/world_test.go
+++ b/core/instance/world_test.go
@@ -317,7 +317,7 @@
 func (w *world) performAction(n *node, a step.Action) {
 	switch act := a.(type) {
 	case ConfigInstalled:
-		w.noteInstall(n, act)
+		w.checkInstalled(n, act)
 	case kvwatch.Config:
 		w.watchConfig(n, act)
 	case kvwatch.List:
@@ -348,7 +348,7 @@
 	}
 }
 
-func (w *world) noteInstall(n *node, a ConfigInstalled) {
+func (w *world) checkInstalled(n *node, a ConfigInstalled) {
 	old := w.installed[n.id.Name]
 	if a.Snapshot.Revision() < old {
 		w.reportViolation("%s went from revision %d to %d", n.id.Name, old, a.Snapshot.Revision())
