--- a/core/instance/world_calls_test.go
+++ b/core/instance/world_calls_test.go
@@ -14,7 +14,7 @@
 
 // The world's callers, plain upstreams and claims.
 
-func (w *world) claims(n *node, a step.Action) {
+func (w *world) handleClaim(n *node, a step.Action) {
 	switch act := a.(type) {
 	case modelcalls.Claim:
 		mine := fmt.Sprintf("%s/%d/%d", n.id.Name, n.id.Boot, act.ID)
--- a/core/instance/world_test.go
+++ b/core/instance/world_test.go
@@ -340,7 +340,7 @@
 	case exchange.SendRequest:
 		w.exchange(n, act)
 	case modelcalls.Claim, modelcalls.ReadClaim, modelcalls.ReleaseClaim:
-		w.claims(n, act)
+		w.handleClaim(n, act)
 	case calls.Dispatch:
 		w.dispatch(n, act)
 	case calls.Finish:
