--- a/core/instance/world_test.go
+++ b/core/instance/world_test.go
@@ -465,15 +465,15 @@
 			}
 			w.performAction(peer, x)
 		}
-		w.takeConfig(peer, a.Message)
+		w.deliverConfig(peer, a.Message)
 		return func() {
-			w.takeConfig(n, answer)
+			w.deliverConfig(n, answer)
 			w.step(n, exchange.Reply{Peer: a.Peer, Address: a.Address, Message: answer})
 		}
 	}, failed)
 }
 
-func (w *world) takeConfig(n *node, msg gossip.Message) {
+func (w *world) deliverConfig(n *node, msg gossip.Message) {
 	if len(msg.Config) == 0 {
 		return
 	}
