--- a/core/instance/world_calls_test.go
+++ b/core/instance/world_calls_test.go
@@ -82,13 +82,13 @@
 		w.after(100*time.Millisecond, func() { w.step(n, calls.AttemptFailed{ID: a.ID, Attempt: a.Attempt, Phase: attempt.NotSent}) })
 		return
 	}
-	w.after(w.latency(), func() { w.play(n, a, c, e) })
+	w.after(w.latency(), func() { w.runUpstream(n, a, c, e) })
 }
 
 // leavingBound is the stated time after which a leaving upstream gets no work.
 const leavingBound = 4 * time.Second
 
-func (w *world) play(n *node, a calls.Dispatch, c *worldCall, e *fakeEngine) {
+func (w *world) runUpstream(n *node, a calls.Dispatch, c *worldCall, e *fakeEngine) {
 	if e != nil && (e.leaving || !e.ready(a)) {
 		w.step(n, calls.AttemptFailed{ID: a.ID, Attempt: a.Attempt, Phase: attempt.Refused, Leaving: e.leaving, Status: 503})
 		return
