--- a/core/instance/world_calls_test.go
+++ b/core/instance/world_calls_test.go
@@ -53,7 +53,7 @@
 	}
 }
 
-func (w *world) callOf(n *node, id calls.ID) *worldCall {
+func (w *world) lookupCall(n *node, id calls.ID) *worldCall {
 	return w.calls[fmt.Sprintf("%s/%d/%d", n.id.Name, n.id.Boot, id)]
 }
 
@@ -69,7 +69,7 @@
 // dispatch plays an upstream: the connection may break before a byte leaves,
 // on the way, after the call ran, or halfway through its answer.
 func (w *world) dispatch(n *node, a calls.Dispatch) {
-	c := w.callOf(n, a.ID)
+	c := w.lookupCall(n, a.ID)
 	if c == nil {
 		return
 	}
@@ -155,7 +155,7 @@
 }
 
 func (w *world) finish(n *node, a calls.Finish) {
-	c := w.callOf(n, a.ID)
+	c := w.lookupCall(n, a.ID)
 	if c == nil {
 		return
 	}
