--- a/core/instance/promises_test.go
+++ b/core/instance/promises_test.go
@@ -298,14 +298,14 @@
 	}
 	w.apply(doc)
 	begun := w.now
-	for w.slowest() < 2 && w.now-begun < 9*time.Second {
+	for w.lowestRevision() < 2 && w.now-begun < 9*time.Second {
 		w.run(50 * time.Millisecond)
 	}
-	is.Equal(w.slowest(), uint64(2)) // within the 9 s that the users allow
+	is.Equal(w.lowestRevision(), uint64(2)) // within the 9 s that the users allow
 	t.Logf("in force on %d instances after %v", len(w.names), w.now-begun)
 }
 
-func (w *world) slowest() uint64 {
+func (w *world) lowestRevision() uint64 {
 	least := ^uint64(0)
 	for _, name := range w.names {
 		least = min(least, w.installed[name])
