--- a/core/instance/promises_test.go
+++ b/core/instance/promises_test.go
@@ -458,7 +458,7 @@
 			served := map[string]time.Duration{}
 			begun := w.now
 			id := calls.ID(0)
-			for at := time.Second; at < reachBound; at += 100 * time.Millisecond {
+			for at := time.Second; at < coldStartBound; at += 100 * time.Millisecond {
 				w.after(at, func() {
 					id++
 					model := fmt.Sprintf("model-%d", int(id)%8+1)
@@ -470,20 +470,20 @@
 					})
 				})
 			}
-			w.run(reachBound)
+			w.run(coldStartBound)
 			if len(w.violations) > 0 {
 				t.Fatal(w.violations[0])
 			}
 			if len(served) != 8 {
-				t.Fatalf("only %d of 8 models were reached within %v: %v", len(served), reachBound, served)
+				t.Fatalf("only %d of 8 models were reached within %v: %v", len(served), coldStartBound, served)
 			}
 			t.Logf("reached after: %v", served)
 		})
 	}
 }
 
-// reachBound is the stated bound for eight models where four fit.
-const reachBound = 90 * time.Second
+// coldStartBound is the stated bound for eight models where four fit.
+const coldStartBound = 90 * time.Second
 
 // TestPlannedStopHandsOver: a stopping holder gives its lease back, its calls
 // end, and a successor plans at once rather than after the lease's term.
