--- a/core/instance/promises_test.go
+++ b/core/instance/promises_test.go
@@ -139,7 +139,7 @@
 	}
 }
 
-const stormTime = 45 * time.Second
+const stormDuration = 45 * time.Second
 
 // runStorm runs one storm and returns the world after it.
 func runStorm(t *testing.T, s storm, checks bool, seed uint64, change func(*option.Options)) *world {
@@ -150,8 +150,8 @@
 	w := newWorld(t, seed, smallDocument(checks), 2, opt)
 	w.faults.breakRate = 0.1
 	s.begin(w)
-	w.traffic(stormTime - 15*time.Second)
-	w.run(stormTime)
+	w.traffic(stormDuration - 15*time.Second)
+	w.run(stormDuration)
 	return w
 }
 
