--- a/core/instance/adapter_test.go
+++ b/core/instance/adapter_test.go
@@ -45,8 +45,8 @@
 	return pool.Residency{Boot: 1, Change: change, Items: []pool.Item{{Name: "a", Phase: pool.Ready}, {Name: "m", Phase: model}}}
 }
 
-// sentTo returns the replica of the Dispatch among the actions, "" if none.
-func sentTo(actions []step.Action) string {
+// dispatchedTo returns the replica of the Dispatch among the actions, "" if none.
+func dispatchedTo(actions []step.Action) string {
 	for _, a := range actions {
 		if d, ok := a.(calls.Dispatch); ok {
 			return d.Replica
@@ -63,9 +63,9 @@
 	now := clocktest.At(time.Hour)
 	m := adapterMachine(t, now)
 	m.state.Pool.ObserveResidency(now, "e1", residency(1, pool.Loading))
-	is.Equal(sentTo(m.Step(now, calls.Arrived{Call: calls.Request{ID: 1, Service: "s", Replayable: true}})), "")
+	is.Equal(dispatchedTo(m.Step(now, calls.Arrived{Call: calls.Request{ID: 1, Service: "s", Replayable: true}})), "")
 	m.state.Pool.ObserveResidency(now, "e1", residency(2, pool.Ready))
-	is.Equal(sentTo(m.Step(now.Add(time.Second), Tick{})), "e1")
+	is.Equal(dispatchedTo(m.Step(now.Add(time.Second), Tick{})), "e1")
 }
 
 // TestWhatRefusesDrawsNoCalls: an engine that refuses an item is idle and
@@ -76,11 +76,11 @@
 	m := adapterMachine(t, now)
 	m.state.Pool.ObserveResidency(now, "e1", residency(1, pool.Ready))
 	m.state.Pool.ObserveResidency(now, "e2", residency(1, pool.Ready))
-	first := sentTo(m.Step(now, calls.Arrived{Call: calls.Request{ID: 1, Service: "s", Replayable: true}}))
+	first := dispatchedTo(m.Step(now, calls.Arrived{Call: calls.Request{ID: 1, Service: "s", Replayable: true}}))
 	is.True(first != "")
-	next := sentTo(m.Step(now, calls.AttemptFailed{ID: 1, Attempt: 1, Phase: attempt.Refused, Status: 409}))
+	next := dispatchedTo(m.Step(now, calls.AttemptFailed{ID: 1, Attempt: 1, Phase: attempt.Refused, Status: 409}))
 	is.True(next != "" && next != first)
 	for id := calls.ID(2); id < 5; id++ {
-		is.Equal(sentTo(m.Step(now, calls.Arrived{Call: calls.Request{ID: id, Service: "s", Replayable: true}})), next)
+		is.Equal(dispatchedTo(m.Step(now, calls.Arrived{Call: calls.Request{ID: id, Service: "s", Replayable: true}})), next)
 	}
 }
--- a/core/instance/probe_test.go
+++ b/core/instance/probe_test.go
@@ -83,15 +83,15 @@
 			m := probeMachine(t, now, 20*time.Millisecond, "e1", "e2")
 			actions := m.Step(now, probeCall(1))
 			is.Equal(asked(actions), []string{"e1", "e2"})
-			is.Equal(sentTo(actions), "")
+			is.Equal(dispatchedTo(actions), "")
 			c.e1.Call, c.e1.Engine, c.e1.Sent = 1, "e1", now
 			c.e2.Call, c.e2.Engine, c.e2.Sent = 1, "e2", now
-			is.Equal(sentTo(m.Step(now, c.e1)), "")
-			is.Equal(sentTo(m.Step(now, c.e2)), c.want)
+			is.Equal(dispatchedTo(m.Step(now, c.e1)), "")
+			is.Equal(dispatchedTo(m.Step(now, c.e2)), c.want)
 			// What they said a moment ago serves the next call as well.
 			now = now.Add(forwarding.ProbeMaxAge / 2)
 			if c.e2.Err == nil {
-				is.Equal(sentTo(m.Step(now, probeCall(2))), c.want)
+				is.Equal(dispatchedTo(m.Step(now, probeCall(2))), c.want)
 			}
 		})
 	}
@@ -104,10 +104,10 @@
 	now := clocktest.At(time.Hour)
 	one := probeMachine(t, now, 20*time.Millisecond, "e1").Step(now, probeCall(1))
 	is.Equal(len(asked(one)), 0)
-	is.Equal(sentTo(one), "e1")
+	is.Equal(dispatchedTo(one), "e1")
 	off := probeMachine(t, now, 0, "e1", "e2").Step(now, probeCall(1))
 	is.Equal(len(asked(off)), 0)
-	is.True(sentTo(off) != "")
+	is.True(dispatchedTo(off) != "")
 }
 
 // TestCallerThatLeavesWhileEnginesAreAsked: their answers find no call, and
@@ -118,8 +118,8 @@
 	m := probeMachine(t, now, 20*time.Millisecond, "e1", "e2")
 	m.Step(now, probeCall(1))
 	m.Step(now, calls.CallerGone{ID: 1})
-	is.Equal(sentTo(m.Step(now, forwarding.ProbeReply{Call: 1, Engine: "e1"})), "")
-	is.Equal(sentTo(m.Step(now, forwarding.ProbeReply{Call: 1, Engine: "e2"})), "")
+	is.Equal(dispatchedTo(m.Step(now, forwarding.ProbeReply{Call: 1, Engine: "e1"})), "")
+	is.Equal(dispatchedTo(m.Step(now, forwarding.ProbeReply{Call: 1, Engine: "e2"})), "")
 	is.Equal(m.calls.Len(), 0)
 }
 
@@ -138,7 +138,7 @@
 		if len(engines) > 0 {
 			asking++
 		} else {
-			went[sentTo(actions)]++
+			went[dispatchedTo(actions)]++
 		}
 		later := now.Add(10 * time.Millisecond) // asking takes time, and changes nothing
 		for _, e := range engines {
