--- a/core/instance/announced_world_test.go
+++ b/core/instance/announced_world_test.go
@@ -1114,12 +1114,12 @@
 	do   func(f *fleet)
 }
 
-// again has something done every so often, undone after a while.
-func (f *fleet) again(every, span time.Duration, do func() (undo func())) {
+// periodically has something done every so often, undone after a while.
+func (f *fleet) periodically(every, span time.Duration, do func() (undo func())) {
 	f.at(every, func() {
 		undo := do()
 		f.at(span, undo)
-		f.again(every, span, do)
+		f.periodically(every, span, do)
 	})
 }
 
@@ -1144,21 +1144,21 @@
 	{"orders carried out late", func(f *fleet) { f.late = 0.4 }},
 	{"answers of the store lost", func(f *fleet) { f.lost = 0.4 }},
 	{"members killed", func(f *fleet) {
-		f.again(6*time.Second, 2*time.Second, func() func() {
+		f.periodically(6*time.Second, 2*time.Second, func() func() {
 			n := f.giver()
 			n.dead = true
 			return func() { f.start(n.id.Name) }
 		})
 	}},
 	{"members frozen", func(f *fleet) {
-		f.again(9*time.Second, 6*time.Second, func() func() {
+		f.periodically(9*time.Second, 6*time.Second, func() func() {
 			n := f.giver()
 			n.frozen = true
 			return func() { f.thaw(n) }
 		})
 	}},
 	{"members cut from the store, their records revoked", func(f *fleet) {
-		f.again(12*time.Second, 9*time.Second, func() func() {
+		f.periodically(12*time.Second, 9*time.Second, func() func() {
 			n := f.giver()
 			n.noStore = true
 			f.endLease(f.leaseOf(n))
@@ -1166,13 +1166,13 @@
 		})
 	}},
 	{"the store down", func(f *fleet) {
-		f.again(12*time.Second, 6*time.Second, func() func() {
+		f.periodically(12*time.Second, 6*time.Second, func() func() {
 			f.store.down = true
 			return func() { f.store.down = false }
 		})
 	}},
 	{"all killed at once", func(f *fleet) {
-		f.again(15*time.Second, time.Second, func() func() {
+		f.periodically(15*time.Second, time.Second, func() func() {
 			for _, name := range f.names {
 				f.members[name].dead = true
 			}
@@ -1185,7 +1185,7 @@
 	}},
 	{"killed while orders are late", func(f *fleet) {
 		f.late = 0.4
-		f.again(7*time.Second, 1500*time.Millisecond, func() func() {
+		f.periodically(7*time.Second, 1500*time.Millisecond, func() func() {
 			n := f.giver()
 			n.dead = true
 			return func() { f.start(n.id.Name) }
@@ -1193,7 +1193,7 @@
 	}},
 	{"cut off while answers of the store are lost", func(f *fleet) {
 		f.lost = 0.3
-		f.again(12*time.Second, 7*time.Second, func() func() {
+		f.periodically(12*time.Second, 7*time.Second, func() func() {
 			n := f.anyMember()
 			n.noStore = true
 			f.endLease(f.leaseOf(n))
@@ -1201,19 +1201,19 @@
 		})
 	}},
 	{"members sleep", func(f *fleet) {
-		f.again(16*time.Second, time.Hour, func() func() {
+		f.periodically(16*time.Second, time.Hour, func() func() {
 			f.sleep(f.giver(), 14*time.Second, 0)
 			return func() {}
 		})
 	}},
 	{"members sleep, their clocks set back meanwhile", func(f *fleet) {
-		f.again(5*time.Second, time.Hour, func() func() {
+		f.periodically(5*time.Second, time.Hour, func() func() {
 			f.sleep(f.giver(), 14*time.Second, 14*time.Second)
 			return func() {}
 		})
 	}},
 	{"clocks are set", func(f *fleet) {
-		f.again(5*time.Second, 3*time.Second, func() func() {
+		f.periodically(5*time.Second, 3*time.Second, func() func() {
 			n := f.giver()
 			by := time.Duration(f.rng.IntN(20)-10) * time.Second
 			n.set += by
@@ -1221,7 +1221,7 @@
 		})
 	}},
 	{"clocks are set, members sleep and the store is down", func(f *fleet) {
-		f.again(11*time.Second, 5*time.Second, func() func() {
+		f.periodically(11*time.Second, 5*time.Second, func() func() {
 			f.store.down = true
 			f.sleep(f.giver(), 6*time.Second, 3*time.Second)
 			f.anyMember().set += 5 * time.Second
@@ -1229,7 +1229,7 @@
 		})
 	}},
 	{"planned stops", func(f *fleet) {
-		f.again(8*time.Second, 4*time.Second, func() func() {
+		f.periodically(8*time.Second, 4*time.Second, func() func() {
 			n := f.giver()
 			f.step(n, n.boot, Stop{})
 			f.at(2*time.Second, func() { n.dead = true })
@@ -1301,7 +1301,7 @@
 		f.run(5 * time.Second)
 		f.callers(40 * time.Millisecond)
 		stopped := 0
-		f.again(4*time.Second, 2*time.Second, func() func() {
+		f.periodically(4*time.Second, 2*time.Second, func() func() {
 			n := f.placer()
 			if n == nil {
 				return func() {}
@@ -1414,7 +1414,7 @@
 // after the other, while their watches and exchanges are held up and their leases
 // are renewed.
 func (f *fleet) deafOwners() {
-	f.again(9*time.Second, 20*time.Second, func() func() {
+	f.periodically(9*time.Second, 20*time.Second, func() func() {
 		n := f.giver()
 		n.deaf = true
 		f.change("instances/"+n.id.Name, nil)
--- a/core/instance/ceiling_test.go
+++ b/core/instance/ceiling_test.go
@@ -13,7 +13,7 @@
 func TestTheWeightStoresRateHoldsOverPlacers(t *testing.T) {
 	placers := func(every, span time.Duration, do func(f *fleet, n *fleetMember) (undo func())) func(f *fleet) {
 		return func(f *fleet) {
-			f.again(every, span, func() func() {
+			f.periodically(every, span, func() func() {
 				n := f.placer()
 				if n == nil {
 					return func() {}
@@ -52,7 +52,7 @@
 			return func() {}
 		})},
 		{"the store is down by turns", func(f *fleet) {
-			f.again(5*time.Second, 3*time.Second, func() func() {
+			f.periodically(5*time.Second, 3*time.Second, func() func() {
 				f.store.down = true
 				return func() { f.store.down = false }
 			})
@@ -67,7 +67,7 @@
 		{"engines start again, empty", func(f *fleet) {
 			l := newNoticeLab(f)
 			next := 0
-			f.again(2*time.Second, time.Hour, func() func() {
+			f.periodically(2*time.Second, time.Hour, func() func() {
 				l.startsAgainEmpty(l.engine(next%fleetEngines), 500*time.Millisecond)
 				next++
 				return func() {}
--- a/core/instance/crash_test.go
+++ b/core/instance/crash_test.go
@@ -343,7 +343,7 @@
 	}},
 	{"instances killed in turn", 8, 16, 1, 250 * time.Millisecond, func(l *crashLab) {
 		next := 0
-		l.f.again(2*time.Second, time.Second, func() func() {
+		l.f.periodically(2*time.Second, time.Second, func() func() {
 			n := l.f.members[l.f.names[next%len(l.f.names)]]
 			next++
 			n.dead = true
@@ -359,7 +359,7 @@
 		})
 	}},
 	{"instances freeze", 8, 16, 1, 250 * time.Millisecond, func(l *crashLab) {
-		l.f.again(4*time.Second, 2*time.Second, func() func() {
+		l.f.periodically(4*time.Second, 2*time.Second, func() func() {
 			n := l.f.anyMember()
 			n.frozen = true
 			return func() { l.f.thaw(n) }
@@ -418,7 +418,7 @@
 	do   func(l *crashLab)
 }{
 	{"engines end by themselves", func(l *crashLab) {
-		l.f.again(700*time.Millisecond, time.Hour, func() func() {
+		l.f.periodically(700*time.Millisecond, time.Hour, func() func() {
 			if e := l.anyEngine(); e != nil {
 				l.end(e)
 			}
@@ -426,7 +426,7 @@
 		})
 	}},
 	{"many engines end at once", func(l *crashLab) {
-		l.f.again(9*time.Second, time.Hour, func() func() {
+		l.f.periodically(9*time.Second, time.Hour, func() func() {
 			for range 10 {
 				if e := l.anyEngine(); e != nil {
 					l.end(e)
@@ -436,7 +436,7 @@
 		})
 	}},
 	{"engines leave", func(l *crashLab) {
-		l.f.again(700*time.Millisecond, time.Hour, func() func() {
+		l.f.periodically(700*time.Millisecond, time.Hour, func() func() {
 			if e := l.anyEngine(); e != nil {
 				l.drain(e)
 			}
@@ -445,7 +445,7 @@
 	}},
 	{"connections break", func(l *crashLab) { l.severs = 0.6 }},
 	{"zones are cut off", func(l *crashLab) {
-		l.f.again(6*time.Second, 2*time.Second, func() func() {
+		l.f.periodically(6*time.Second, 2*time.Second, func() func() {
 			l.f.cutZones = map[string]bool{"z1": true}
 			return func() { l.f.cutZones = nil }
 		})
--- a/core/instance/leaving_test.go
+++ b/core/instance/leaving_test.go
@@ -256,7 +256,7 @@
 
 // every has something done again and again.
 func (l *leaveLab) every(span time.Duration, do func()) {
-	l.f.again(span, time.Hour, func() func() { do(); return func() {} })
+	l.f.periodically(span, time.Hour, func() func() { do(); return func() {} })
 }
 
 var leaveStorms = []leaveStorm{
@@ -322,7 +322,7 @@
 	}},
 	{"members are killed", func(l *leaveLab) {
 		l.every(1700*time.Millisecond, l.anyLeave)
-		l.f.again(5*time.Second, time.Second, func() func() {
+		l.f.periodically(5*time.Second, time.Second, func() func() {
 			n := l.f.anyMember()
 			n.dead = true
 			return func() { l.f.start(n.id.Name) }
@@ -330,7 +330,7 @@
 	}},
 	{"members are frozen", func(l *leaveLab) {
 		l.every(1900*time.Millisecond, l.anyLeave)
-		l.f.again(6*time.Second, 2*time.Second, func() func() {
+		l.f.periodically(6*time.Second, 2*time.Second, func() func() {
 			n := l.f.anyMember()
 			n.frozen = true
 			return func() { l.f.thaw(n) }
@@ -338,7 +338,7 @@
 	}},
 	{"members are cut from the store", func(l *leaveLab) {
 		l.every(1700*time.Millisecond, l.anyLeave)
-		l.f.again(9*time.Second, 4*time.Second, func() func() {
+		l.f.periodically(9*time.Second, 4*time.Second, func() func() {
 			n, m := l.f.anyMember(), l.f.anyMember()
 			n.noStore, m.noStore = true, true
 			return func() { n.noStore, m.noStore = false, false }
@@ -347,7 +347,7 @@
 	{"a zone is cut off", func(l *leaveLab) {
 		l.f.cutZones = map[string]bool{}
 		l.every(1700*time.Millisecond, l.anyLeave)
-		l.f.again(10*time.Second, 4*time.Second, func() func() {
+		l.f.periodically(10*time.Second, 4*time.Second, func() func() {
 			l.f.cutZones["z1"] = true
 			return func() { delete(l.f.cutZones, "z1") }
 		})
@@ -476,7 +476,7 @@
 		{"watches hang", func(l *leaveLab) { l.every(5*time.Second, func() { l.hang(l.everyone()...) }) }, false},
 		{"watches and what is called beside them hang", func(l *leaveLab) {
 			for _, n := range l.everyone() {
-				l.f.again(6*time.Second, 3*time.Second, func() func() {
+				l.f.periodically(6*time.Second, 3*time.Second, func() func() {
 					n.deaf = true
 					return func() { n.deaf = false }
 				})
--- a/core/instance/limit_test.go
+++ b/core/instance/limit_test.go
@@ -324,21 +324,21 @@
 	{"calm", 8, func(*limitLab) {}},
 	{"the store is down", 8, func(l *limitLab) { l.f.store.down = true }},
 	{"entries go and come back", 8, func(l *limitLab) {
-		l.f.again(1500*time.Millisecond, 700*time.Millisecond, func() func() {
+		l.f.periodically(1500*time.Millisecond, 700*time.Millisecond, func() func() {
 			e := l.engine(l.f.rng.IntN(6))
 			l.f.change("servers/"+e.name, nil)
 			return func() { l.f.announce(e) }
 		})
 	}},
 	{"instances are killed", 8, func(l *limitLab) {
-		l.f.again(3*time.Second, time.Second, func() func() {
+		l.f.periodically(3*time.Second, time.Second, func() func() {
 			n := l.f.anyMember()
 			n.dead = true
 			return func() { l.f.start(n.id.Name) }
 		})
 	}},
 	{"all but one are killed at once", 8, func(l *limitLab) {
-		l.f.again(9*time.Second, time.Second, func() func() {
+		l.f.periodically(9*time.Second, time.Second, func() func() {
 			for _, name := range l.f.names[1:] {
 				l.f.members[name].dead = true
 			}
@@ -350,7 +350,7 @@
 		})
 	}},
 	{"instances stop as planned", 8, func(l *limitLab) {
-		l.f.again(3*time.Second, 2500*time.Millisecond, func() func() {
+		l.f.periodically(3*time.Second, 2500*time.Millisecond, func() func() {
 			n := l.f.anyMember()
 			l.f.step(n, n.boot, Stop{})
 			l.f.at(2*time.Second, func() { n.dead = true })
@@ -358,20 +358,20 @@
 		})
 	}},
 	{"instances freeze", 8, func(l *limitLab) {
-		l.f.again(4*time.Second, 2*time.Second, func() func() {
+		l.f.periodically(4*time.Second, 2*time.Second, func() func() {
 			n := l.f.anyMember()
 			n.frozen = true
 			return func() { l.f.thaw(n) }
 		})
 	}},
 	{"instances sleep", 8, func(l *limitLab) {
-		l.f.again(5*time.Second, time.Hour, func() func() {
+		l.f.periodically(5*time.Second, time.Hour, func() func() {
 			l.f.sleep(l.f.anyMember(), 3*time.Second, 0)
 			return func() {}
 		})
 	}},
 	{"a zone is cut off", 8, func(l *limitLab) {
-		l.f.again(7*time.Second, 4*time.Second, func() func() {
+		l.f.periodically(7*time.Second, 4*time.Second, func() func() {
 			l.f.cutZones = map[string]bool{"z1": true}
 			return func() {
 				l.f.cutZones = nil
@@ -380,7 +380,7 @@
 		})
 	}},
 	{"an instance hears nobody", 8, func(l *limitLab) {
-		l.f.again(4*time.Second, 3*time.Second, func() func() {
+		l.f.periodically(4*time.Second, 3*time.Second, func() func() {
 			n := l.f.anyMember()
 			n.deaf = true
 			return func() { n.deaf = false }
@@ -389,7 +389,7 @@
 	{"orders are carried out late", 8, func(l *limitLab) { l.f.late = 0.4 }},
 	{"limits change each second", 8, func(l *limitLab) {
 		up := false
-		l.f.again(time.Second, 0, func() func() {
+		l.f.periodically(time.Second, 0, func() func() {
 			up = !up
 			for e := range l.named {
 				l.names(e, map[bool]float64{true: 8, false: 2}[up])
@@ -398,7 +398,7 @@
 		})
 	}},
 	{"engines start again", 8, func(l *limitLab) {
-		l.f.again(4*time.Second, time.Second, func() func() {
+		l.f.periodically(4*time.Second, time.Second, func() func() {
 			e := l.engine(l.f.rng.IntN(6))
 			e.dead = true
 			return func() { l.f.startAgain(e) }
--- a/core/instance/lives_test.go
+++ b/core/instance/lives_test.go
@@ -85,14 +85,14 @@
 		{"calm", func(*fleet) {}},
 		{"orders carried out late", func(f *fleet) { f.late = 0.4 }},
 		{"owners killed", func(f *fleet) {
-			f.again(6*time.Second, 2*time.Second, func() func() {
+			f.periodically(6*time.Second, 2*time.Second, func() func() {
 				n := f.giver()
 				n.dead = true
 				return func() { f.start(n.id.Name) }
 			})
 		}},
 		{"the store down", func(f *fleet) {
-			f.again(12*time.Second, 6*time.Second, func() func() {
+			f.periodically(12*time.Second, 6*time.Second, func() func() {
 				f.store.down = true
 				return func() { f.store.down = false }
 			})
@@ -109,7 +109,7 @@
 				f.callers(20 * time.Millisecond)
 				s.do(f)
 				next := 0
-				f.again(2*time.Second, time.Hour, func() func() {
+				f.periodically(2*time.Second, time.Hour, func() func() {
 					if e := l.engine(next % fleetEngines); !e.dead && !f.store.down {
 						l.startsAgainEmpty(e, time.Duration(200+f.rng.IntN(2000))*time.Millisecond)
 					}
--- a/core/instance/notice_test.go
+++ b/core/instance/notice_test.go
@@ -265,7 +265,7 @@
 	{"calm", 5, func(*noticeLab) {}},
 	{"the store is down", 5, func(l *noticeLab) { l.f.store.down = true }},
 	{"the list says that they are ready", 5, func(l *noticeLab) {
-		l.f.again(200*time.Millisecond, 0, func() func() {
+		l.f.periodically(200*time.Millisecond, 0, func() func() {
 			for e := range l.leaving {
 				if !e.dead {
 					l.f.announce(e)
@@ -275,7 +275,7 @@
 		})
 	}},
 	{"entries go and come back", 5, func(l *noticeLab) {
-		l.f.again(1500*time.Millisecond, 700*time.Millisecond, func() func() {
+		l.f.periodically(1500*time.Millisecond, 700*time.Millisecond, func() func() {
 			var gone []*fleetEngine
 			for e := range l.leaving {
 				if !e.dead {
@@ -291,7 +291,7 @@
 		})
 	}},
 	{"instances are killed", 5, func(l *noticeLab) {
-		l.f.again(3*time.Second, time.Second, func() func() {
+		l.f.periodically(3*time.Second, time.Second, func() func() {
 			n := l.f.anyMember()
 			n.dead = true
 			return func() { l.f.start(n.id.Name) }
--- a/core/instance/repeats_test.go
+++ b/core/instance/repeats_test.go
@@ -61,14 +61,14 @@
 	}{
 		{"calm", 8, func(*fleet) {}},
 		{"instances are killed", 8, func(f *fleet) {
-			f.again(2500*time.Millisecond, time.Second, func() func() {
+			f.periodically(2500*time.Millisecond, time.Second, func() func() {
 				n := f.anyMember()
 				n.dead = true
 				return func() { f.start(n.id.Name) }
 			})
 		}},
 		{"all but one are killed at once", 8, func(f *fleet) {
-			f.again(6*time.Second, time.Second, func() func() {
+			f.periodically(6*time.Second, time.Second, func() func() {
 				for _, name := range f.names[1:] {
 					f.members[name].dead = true
 				}
@@ -80,21 +80,21 @@
 			})
 		}},
 		{"instances freeze", 8, func(f *fleet) {
-			f.again(3*time.Second, 2*time.Second, func() func() {
+			f.periodically(3*time.Second, 2*time.Second, func() func() {
 				n := f.anyMember()
 				n.frozen = true
 				return func() { f.thaw(n) }
 			})
 		}},
 		{"a zone is cut off", 8, func(f *fleet) {
-			f.again(7*time.Second, 4*time.Second, func() func() {
+			f.periodically(7*time.Second, 4*time.Second, func() func() {
 				f.cutZones = map[string]bool{"z1": true}
 				return func() { f.cutZones = nil }
 			})
 		}},
 		{"the store is down", 8, func(f *fleet) { f.store.down = true }},
 		{"a large fleet", 2 * watchers.FullMeshLimit, func(f *fleet) {
-			f.again(2500*time.Millisecond, time.Second, func() func() {
+			f.periodically(2500*time.Millisecond, time.Second, func() func() {
 				n := f.anyMember()
 				n.dead = true
 				return func() { f.start(n.id.Name) }
@@ -113,7 +113,7 @@
 				f.callers(5 * time.Millisecond)
 				s.do(f)
 				next := 0
-				f.again(400*time.Millisecond, 0, func() func() {
+				f.periodically(400*time.Millisecond, 0, func() func() {
 					l.sheds(l.engine(next%(2*fleetEngines)), 5*time.Second, 200*time.Millisecond)
 					next++
 					return func() {}
--- a/core/instance/stepback_test.go
+++ b/core/instance/stepback_test.go
@@ -131,7 +131,7 @@
 
 // steps has the store step back every so often.
 func (f *fleet) steps(every time.Duration) {
-	f.again(every, 0, func() func() {
+	f.periodically(every, 0, func() func() {
 		f.stepBack(f.anySpan())
 		return func() {}
 	})
@@ -234,7 +234,7 @@
 var stepStorms = []fleetStorm{
 	{"nothing else", func(f *fleet) { f.steps(9 * time.Second) }},
 	{"twice in a row", func(f *fleet) {
-		f.again(12*time.Second, 1500*time.Millisecond, func() func() {
+		f.periodically(12*time.Second, 1500*time.Millisecond, func() func() {
 			f.stepBack(f.anySpan())
 			return func() { f.stepBack(f.anySpan()) }
 		})
@@ -249,7 +249,7 @@
 	}},
 	{"members are killed", func(f *fleet) {
 		f.steps(7 * time.Second)
-		f.again(6*time.Second, 2*time.Second, func() func() {
+		f.periodically(6*time.Second, 2*time.Second, func() func() {
 			n := f.giver()
 			n.dead = true
 			return func() { f.start(n.id.Name) }
@@ -257,7 +257,7 @@
 	}},
 	{"members are frozen", func(f *fleet) {
 		f.steps(8 * time.Second)
-		f.again(9*time.Second, 6*time.Second, func() func() {
+		f.periodically(9*time.Second, 6*time.Second, func() func() {
 			n := f.giver()
 			n.frozen = true
 			return func() { f.thaw(n) }
@@ -265,14 +265,14 @@
 	}},
 	{"members sleep", func(f *fleet) {
 		f.steps(8 * time.Second)
-		f.again(11*time.Second, time.Hour, func() func() {
+		f.periodically(11*time.Second, time.Hour, func() func() {
 			f.sleep(f.giver(), 8*time.Second, 0)
 			return func() {}
 		})
 	}},
 	{"members are cut from the store", func(f *fleet) {
 		f.steps(8 * time.Second)
-		f.again(9*time.Second, 5*time.Second, func() func() {
+		f.periodically(9*time.Second, 5*time.Second, func() func() {
 			n := f.giver()
 			n.noStore = true
 			return func() { n.noStore = false }
@@ -280,7 +280,7 @@
 	}},
 	{"watches hear nothing", func(f *fleet) {
 		f.steps(8 * time.Second)
-		f.again(7*time.Second, 4*time.Second, func() func() {
+		f.periodically(7*time.Second, 4*time.Second, func() func() {
 			n := f.giver()
 			n.deaf = true
 			return func() { n.deaf = false }
@@ -290,14 +290,14 @@
 		f.lost = 0.2
 		f.cutZones = map[string]bool{}
 		f.steps(8 * time.Second)
-		f.again(10*time.Second, 5*time.Second, func() func() {
+		f.periodically(10*time.Second, 5*time.Second, func() func() {
 			f.cutZones["z1"] = true
 			return func() { delete(f.cutZones, "z1") }
 		})
 	}},
 	{"members stop and start", func(f *fleet) {
 		f.steps(7 * time.Second)
-		f.again(6*time.Second, 4*time.Second, func() func() {
+		f.periodically(6*time.Second, 4*time.Second, func() func() {
 			n := f.giver()
 			f.step(n, n.boot, Stop{})
 			f.at(2*time.Second, func() { n.dead = true })
