--- a/core/instance/announced_world_test.go
+++ b/core/instance/announced_world_test.go
@@ -1066,8 +1066,8 @@
 // severed reports whether there is no way between two zones.
 func (f *fleet) severed(a, b string) bool { return a != b && (f.cutZones[a] || f.cutZones[b]) }
 
-// callers has calls come, for models that demand moves over as time goes by.
-func (f *fleet) callers(every time.Duration) {
+// startCallers has calls come, for models that demand moves over as time goes by.
+func (f *fleet) startCallers(every time.Duration) {
 	f.callersOf(every, func() int {
 		return (int(f.now/(7*time.Second)) + f.rng.IntN(4)*f.rng.IntN(2)) % fleetModels
 	})
@@ -1253,7 +1253,7 @@
 				f := newFleet(uint64(seed+1), 5)
 				f.expire()
 				f.run(5 * time.Second)
-				f.callers(40 * time.Millisecond)
+				f.startCallers(40 * time.Millisecond)
 				s.do(f)
 				f.run(45 * time.Second)
 				for _, b := range f.violations {
@@ -1274,7 +1274,7 @@
 	f := newFleetWith(3, 5, option.Disabled{}, true)
 	f.expire()
 	f.run(5 * time.Second)
-	f.callers(40 * time.Millisecond)
+	f.startCallers(40 * time.Millisecond)
 	f.run(40 * time.Second)
 	is.Equal(f.violations, nil)
 	is.True(len(f.loads) >= 8)
@@ -1299,7 +1299,7 @@
 		f := newFleetWith(uint64(seed+1), 5, option.Disabled{}, true)
 		f.expire()
 		f.run(5 * time.Second)
-		f.callers(40 * time.Millisecond)
+		f.startCallers(40 * time.Millisecond)
 		stopped := 0
 		f.periodically(4*time.Second, 2*time.Second, func() func() {
 			n := f.placer()
@@ -1347,7 +1347,7 @@
 	f := newFleetOf(seed, 2*watchers.FullMeshLimit, 4*fleetEngines, disable, false)
 	f.expire()
 	f.run(6 * time.Second)
-	f.callers(15 * time.Millisecond)
+	f.startCallers(15 * time.Millisecond)
 	return f
 }
 
@@ -1443,7 +1443,7 @@
 					f.steady = c.steady
 					f.expire()
 					f.run(5 * time.Second)
-					f.callers(40 * time.Millisecond)
+					f.startCallers(40 * time.Millisecond)
 					s.do(f)
 					f.run(45 * time.Second)
 					if len(f.violations) > 0 {
--- a/core/instance/ceiling_test.go
+++ b/core/instance/ceiling_test.go
@@ -84,7 +84,7 @@
 				}
 				f.expire()
 				f.run(5 * time.Second)
-				f.callers(40 * time.Millisecond)
+				f.startCallers(40 * time.Millisecond)
 				s.do(f)
 				f.run(45 * time.Second)
 				for _, b := range f.violations {
--- a/core/instance/crash_test.go
+++ b/core/instance/crash_test.go
@@ -386,7 +386,7 @@
 				l := newCrashLab(newFleetOf(uint64(seed+1), s.members, s.engines, option.Disabled{}, false))
 				l.f.expire()
 				l.f.run(5 * time.Second)
-				l.f.callers(20 * time.Millisecond)
+				l.f.startCallers(20 * time.Millisecond)
 				l.f.run(3 * time.Second)
 				if s.do != nil {
 					s.do(l)
@@ -462,7 +462,7 @@
 				l := newCrashLab(newFleetOf(uint64(seed+1), 8, 16, option.Disabled{}, false))
 				l.f.expire()
 				l.f.run(5 * time.Second)
-				l.f.callers(15 * time.Millisecond)
+				l.f.startCallers(15 * time.Millisecond)
 				l.f.run(3 * time.Second)
 				c.do(l)
 				l.f.run(30 * time.Second)
--- a/core/instance/leaving_test.go
+++ b/core/instance/leaving_test.go
@@ -379,7 +379,7 @@
 	f.expire()
 	l := newLeaveLab(f, size.bounds)
 	f.run(8 * time.Second)
-	f.callers(size.callEvery)
+	f.startCallers(size.callEvery)
 	f.run(2 * time.Second)
 	s.do(l)
 	for _, b := range beside {
--- a/core/instance/limit_test.go
+++ b/core/instance/limit_test.go
@@ -416,7 +416,7 @@
 			t.Parallel()
 			for seed := range *limitSeeds {
 				l := newLimitFleet(uint64(seed+1), s.members, 2*fleetEngines)
-				l.f.callers(20 * time.Millisecond)
+				l.f.startCallers(20 * time.Millisecond)
 				l.f.run(2 * time.Second)
 				for i, limit := range []float64{1, 0.5, 3, 0, 1, 10} {
 					l.names(l.engine(i), limit)
@@ -601,7 +601,7 @@
 	is := is.New(t)
 	for seed := range *limitSeeds {
 		l := newLimitFleet(uint64(seed+1), 8, 2*fleetEngines)
-		l.f.callers(20 * time.Millisecond)
+		l.f.startCallers(20 * time.Millisecond)
 		e := l.engine(0)
 		l.names(e, 3)
 		l.f.run(4 * time.Second)
--- a/core/instance/lives_test.go
+++ b/core/instance/lives_test.go
@@ -47,7 +47,7 @@
 		f := l.f
 		f.expire()
 		f.run(5 * time.Second)
-		f.callers(20 * time.Millisecond)
+		f.startCallers(20 * time.Millisecond)
 		f.run(10 * time.Second)
 		e := l.engine(1)
 		is.True(e.sequence > 0)
@@ -106,7 +106,7 @@
 				f := l.f
 				f.expire()
 				f.run(5 * time.Second)
-				f.callers(20 * time.Millisecond)
+				f.startCallers(20 * time.Millisecond)
 				s.do(f)
 				next := 0
 				f.periodically(2*time.Second, time.Hour, func() func() {
--- a/core/instance/notice_test.go
+++ b/core/instance/notice_test.go
@@ -315,7 +315,7 @@
 				f := l.f
 				f.expire()
 				f.run(5 * time.Second)
-				f.callers(20 * time.Millisecond)
+				f.startCallers(20 * time.Millisecond)
 				f.run(2 * time.Second)
 				s.do(l)
 				for i, at := range []time.Duration{time.Second, 3 * time.Second, 5 * time.Second} {
@@ -353,7 +353,7 @@
 		f := l.f
 		f.expire()
 		f.run(5 * time.Second)
-		f.callers(20 * time.Millisecond)
+		f.startCallers(20 * time.Millisecond)
 		e := l.engine(1)
 		l.leaving[e] = true
 		f.run(3 * time.Second)
@@ -391,7 +391,7 @@
 				f := l.f
 				f.expire()
 				f.run(5 * time.Second)
-				f.callers(20 * time.Millisecond)
+				f.startCallers(20 * time.Millisecond)
 				f.run(2 * time.Second)
 				for _, name := range sortedKeys(f.engines) {
 					tt.do(l, f.engines[name])
--- a/core/instance/repeats_test.go
+++ b/core/instance/repeats_test.go
@@ -110,7 +110,7 @@
 				l.repeats = &repeatCount{tried: map[calls.ID]bool{}}
 				f.expire()
 				f.run(5 * time.Second)
-				f.callers(5 * time.Millisecond)
+				f.startCallers(5 * time.Millisecond)
 				s.do(f)
 				next := 0
 				f.periodically(400*time.Millisecond, 0, func() func() {
--- a/core/instance/stepback_test.go
+++ b/core/instance/stepback_test.go
@@ -209,7 +209,7 @@
 			f.expire()
 			f.keepCopies()
 			f.run(5 * time.Second)
-			f.callers(40 * time.Millisecond)
+			f.startCallers(40 * time.Millisecond)
 			f.run(10*time.Second + f.anySpan())
 			// An owner has died a moment ago, and others took its engines.
 			n := f.giver()
@@ -312,7 +312,7 @@
 	f.expire()
 	f.keepCopies()
 	f.run(5 * time.Second)
-	f.callers(40 * time.Millisecond)
+	f.startCallers(40 * time.Millisecond)
 	f.run(10 * time.Second)
 	s.do(f)
 	f.run(45 * time.Second)
