--- a/core/instance/announced_world_test.go
+++ b/core/instance/announced_world_test.go
@@ -1068,15 +1068,15 @@
 
 // startCallers has calls come, for models that demand moves over as time goes by.
 func (f *fleet) startCallers(every time.Duration) {
-	f.callersOf(every, func() int {
+	f.startCallersFor(every, func() int {
 		return (int(f.now/(7*time.Second)) + f.rng.IntN(4)*f.rng.IntN(2)) % fleetModels
 	})
 }
 
-// callersOf has calls come at some member, again and again.
-func (f *fleet) callersOf(every time.Duration, model func() int) {
+// startCallersFor has calls come at some member, again and again.
+func (f *fleet) startCallersFor(every time.Duration, model func() int) {
 	f.at(every, func() {
-		f.callersOf(every, model)
+		f.startCallersFor(every, model)
 		n := f.members[f.names[f.rng.IntN(len(f.names))]]
 		if !n.dead && !n.frozen {
 			f.token()
--- a/core/instance/limit_test.go
+++ b/core/instance/limit_test.go
@@ -447,7 +447,7 @@
 				l.f.tokens = 100
 				l.f.firstAfter = 5 * time.Millisecond
 				l.takes = 10 * time.Millisecond
-				l.f.callersOf(time.Duration(float64(time.Second)/(3*engines*limit)), func() int { return l.f.rng.IntN(fleetModels) })
+				l.f.startCallersFor(time.Duration(float64(time.Second)/(3*engines*limit)), func() int { return l.f.rng.IntN(fleetModels) })
 				for i := range engines {
 					l.names(l.engine(i), limit)
 				}
@@ -513,7 +513,7 @@
 	l := newLimitFleet(1, members, 4*fleetEngines)
 	l.f.adapters = 0
 	l.f.tokens = 100
-	l.f.callersOf(10*time.Millisecond, func() int { return l.f.rng.IntN(fleetModels) })
+	l.f.startCallersFor(10*time.Millisecond, func() int { return l.f.rng.IntN(fleetModels) })
 	l.f.run(4 * time.Second)
 	return l
 }
@@ -575,7 +575,7 @@
 		l := newLimitFleet(uint64(seed+1), 8, 4)
 		l.f.adapters = 0
 		l.f.tokens = 100
-		l.f.callersOf(80*time.Millisecond, func() int { return l.f.rng.IntN(3) }) // all at the first engine
+		l.f.startCallersFor(80*time.Millisecond, func() int { return l.f.rng.IntN(3) }) // all at the first engine
 		l.f.run(5 * time.Second)
 		l.names(l.engine(0), 0.5)
 		l.f.run(25 * time.Second)
