--- a/core/instance/announced_world_test.go
+++ b/core/instance/announced_world_test.go
@@ -1079,7 +1079,7 @@
 		f.startCallersFor(every, model)
 		n := f.members[f.names[f.rng.IntN(len(f.names))]]
 		if !n.dead && !n.frozen {
-			f.token()
+			f.nextID()
 			adapter := ""
 			if f.rng.Float64() < f.adapters {
 				adapter = fmt.Sprintf("a%d", f.rng.IntN(4))
@@ -1106,7 +1106,7 @@
 	})
 }
 
-func (f *fleet) token() { f.eventSeq++ }
+func (f *fleet) nextID() { f.eventSeq++ }
 
 // A fleetStorm is what goes wrong in one test of the fleet.
 type fleetStorm struct {
--- a/core/instance/crash_test.go
+++ b/core/instance/crash_test.go
@@ -106,7 +106,7 @@
 		if n.dead || n.frozen {
 			return
 		}
-		l.f.token()
+		l.f.nextID()
 		r := calls.Request{ID: calls.ID(l.f.eventSeq), Path: "/x", Replayable: true, PromptTokens: 1750, Forward: &calls.ForwardRequest{
 			Name: fmt.Sprint(l.f.eventSeq), Fingerprint: fingerprint, Host: "h", Model: fmt.Sprintf("m%d", model),
 		}}
@@ -270,7 +270,7 @@
 		if n.dead || n.frozen {
 			return
 		}
-		l.f.token()
+		l.f.nextID()
 		r := c.request
 		forward := *r.Forward
 		r.Forward = &forward
