--- a/core/instance/stepback_test.go
+++ b/core/instance/stepback_test.go
@@ -54,9 +54,9 @@
 	if s.era == 0 {
 		s.era = 1
 	}
-	f.copies = append(f.copies, c)
-	for f.now-f.copies[0].at > copySpan {
-		f.copies = f.copies[1:]
+	f.storeCopies = append(f.storeCopies, c)
+	for f.now-f.storeCopies[0].at > copySpan {
+		f.storeCopies = f.storeCopies[1:]
 	}
 	f.at(copyEvery, f.keepCopies)
 }
@@ -75,10 +75,10 @@
 
 // restore takes the newest copy that is not younger than a moment.
 func (f *fleet) restore(at time.Duration) {
-	for len(f.copies) > 1 && f.copies[len(f.copies)-1].at > at {
-		f.copies = f.copies[:len(f.copies)-1] // what was lost once does not come back
+	for len(f.storeCopies) > 1 && f.storeCopies[len(f.storeCopies)-1].at > at {
+		f.storeCopies = f.storeCopies[:len(f.storeCopies)-1] // what was lost once does not come back
 	}
-	c := f.copies[len(f.copies)-1]
+	c := f.storeCopies[len(f.storeCopies)-1]
 	s := &f.store
 	s.revision = c.revision
 	s.next = c.next
