--- a/core/instance/leaving_test.go
+++ b/core/instance/leaving_test.go
@@ -300,7 +300,7 @@
 		})
 	}},
 	{"the store steps back", func(l *leaveLab) {
-		l.f.keepCopies()
+		l.f.keepStoreCopies()
 		l.every(9*time.Second, func() {
 			l.anyLeave()
 			l.churn()
--- a/core/instance/stepback_test.go
+++ b/core/instance/stepback_test.go
@@ -41,8 +41,8 @@
 	changes  int // of the log
 }
 
-// keepCopies has the store copied again and again from now on.
-func (f *fleet) keepCopies() {
+// keepStoreCopies has the store copied again and again from now on.
+func (f *fleet) keepStoreCopies() {
 	s := &f.store
 	c := fleetCopy{
 		at: f.now, revision: s.revision, next: s.next, values: maps.Clone(s.values),
@@ -58,7 +58,7 @@
 	for f.now-f.storeCopies[0].at > copySpan {
 		f.storeCopies = f.storeCopies[1:]
 	}
-	f.at(copyEvery, f.keepCopies)
+	f.at(copyEvery, f.keepStoreCopies)
 }
 
 // stepBack has the store go away and come back from a copy that was made so long before.
@@ -207,7 +207,7 @@
 		for seed := range uint64(6) {
 			f := newFleet(seed+1, 5)
 			f.expire()
-			f.keepCopies()
+			f.keepStoreCopies()
 			f.run(5 * time.Second)
 			f.startCallers(40 * time.Millisecond)
 			f.run(10*time.Second + f.anySpan())
@@ -310,7 +310,7 @@
 func stepStorm(seed uint64, s fleetStorm) *fleet {
 	f := newFleet(seed, 5)
 	f.expire()
-	f.keepCopies()
+	f.keepStoreCopies()
 	f.run(5 * time.Second)
 	f.startCallers(40 * time.Millisecond)
 	f.run(10 * time.Second)
@@ -360,7 +360,7 @@
 	for _, size := range sizes {
 		f := newFleetOf(1, size.members, size.engines, option.Disabled{}, false)
 		f.expire()
-		f.keepCopies()
+		f.keepStoreCopies()
 		f.run(20 * time.Second)
 		if _, wrong := f.settle(aim); wrong != "" {
 			t.Fatalf("%d instances: %s before anything failed", size.members, wrong)
