--- a/core/instance/announced_world_test.go
+++ b/core/instance/announced_world_test.go
@@ -45,26 +45,26 @@
 // that announce themselves, with faults by seed, and checks after every order
 // what must hold of orders. It knows nothing of how machines decide.
 type fleet struct {
-	rng         *rand.Rand
-	now         time.Duration
-	queue       eventQueue
-	eventSeq    uint64
-	opt         option.Options
-	doc         config.Document
-	store       fleetStore
-	storeCopies []fleetCopy     // of the store, the newest last
-	writes      []time.Duration // when the store was written to
-	called      []time.Duration // when the store was called; once for each page
-	engines     map[string]*fleetEngine
-	members     map[string]*fleetMember
-	names       []string
-	violations  []string
-	loads       []time.Duration // when loads from the weight store began
-	served      int
-	refused     int
-	orders      int
-	claims      int // most ownerships in one write
-	watches     int
+	rng             *rand.Rand
+	now             time.Duration
+	queue           eventQueue
+	eventSeq        uint64
+	opt             option.Options
+	doc             config.Document
+	store           fleetStore
+	storeCopies     []fleetCopy     // of the store, the newest last
+	storeWriteTimes []time.Duration // when the store was written to
+	called          []time.Duration // when the store was called; once for each page
+	engines         map[string]*fleetEngine
+	members         map[string]*fleetMember
+	names           []string
+	violations      []string
+	loads           []time.Duration // when loads from the weight store began
+	served          int
+	refused         int
+	orders          int
+	claims          int // most ownerships in one write
+	watches         int
 	// engineCount is how many engines there are.
 	engineCount int
 	late        float64 // share of orders without an answer, carried out seconds later
@@ -539,7 +539,7 @@
 		}
 		ev, write := do()
 		if write {
-			f.writes = append(f.writes, f.now)
+			f.storeWriteTimes = append(f.storeWriteTimes, f.now)
 		}
 		n.known = f.store.era
 		if former() {
--- a/core/instance/stepback_test.go
+++ b/core/instance/stepback_test.go
@@ -365,11 +365,11 @@
 		if _, wrong := f.settle(aim); wrong != "" {
 			t.Fatalf("%d instances: %s before anything failed", size.members, wrong)
 		}
-		f.writes = nil
+		f.storeWriteTimes = nil
 		f.stepBack(5 * time.Second)
 		f.run(restoring + time.Millisecond)
 		took, wrong := f.settle(aim)
-		most := busiestSecond(f.writes)
+		most := busiestSecond(f.storeWriteTimes)
 		t.Logf("%d instances, %d engines: as before after %v, at most %d writes in a second", size.members, size.engines, took, most)
 		if wrong != "" || most > writesPerSecond || len(f.violations) > 0 {
 			t.Errorf("%d instances: %s, %d writes in a second, %v", size.members, wrong, most, f.violations)
