--- a/core/instance/announced_world_test.go
+++ b/core/instance/announced_world_test.go
@@ -54,7 +54,7 @@
 	store           fleetStore
 	storeCopies     []fleetCopy     // of the store, the newest last
 	storeWriteTimes []time.Duration // when the store was written to
-	called          []time.Duration // when the store was called; once for each page
+	storeCallTimes  []time.Duration // when the store was called; once for each page
 	engines         map[string]*fleetEngine
 	members         map[string]*fleetMember
 	names           []string
@@ -527,7 +527,7 @@
 		return
 	}
 	f.at(fleetWay, func() {
-		f.called = append(f.called, f.now)
+		f.storeCallTimes = append(f.storeCallTimes, f.now)
 		if f.store.down {
 			reply(fleetWay, failed(errors.New("refused")))
 			return
@@ -753,7 +753,7 @@
 		pages += len(f.store.values) / fleetPage
 	}
 	for range pages {
-		f.called = append(f.called, f.now)
+		f.storeCallTimes = append(f.storeCallTimes, f.now)
 	}
 	f.poll(n, w)
 }
--- a/core/instance/outage_test.go
+++ b/core/instance/outage_test.go
@@ -47,7 +47,7 @@
 	f.store.down, f.store.closed = false, false
 	back := clocktest.At(time.Hour + f.now)
 	from := f.now
-	f.called = nil
+	f.storeCallTimes = nil
 	const span = 8 * time.Second
 	var e outageEnd
 	e.list = f.untilAll(span, func(n *fleetMember) bool { return !n.m.exchanges.StoreKnownUntil().Before(back) })
@@ -56,9 +56,9 @@
 		return v != nil && f.store.leases[v.lease] != nil
 	})
 	f.run(from + 3*time.Second - f.now)
-	e.busiest = busiestSecond(f.called)
+	e.busiest = busiestSecond(f.storeCallTimes)
 	e.tenths = make([]int, 30)
-	for _, at := range f.called {
+	for _, at := range f.storeCallTimes {
 		if i := int((at - from) / (100 * time.Millisecond)); i < len(e.tenths) {
 			e.tenths[i]++
 		}
