--- a/core/instance/announced_world_test.go
+++ b/core/instance/announced_world_test.go
@@ -59,7 +59,7 @@
 	members         map[string]*fleetMember
 	names           []string
 	violations      []string
-	loads           []time.Duration // when loads from the weight store began
+	loadTimes       []time.Duration // when loads from the weight store began
 	served          int
 	refused         int
 	orders          int
@@ -996,9 +996,9 @@
 // countLoad checks the loads from the weight store that began within 5 s.
 func (f *fleet) countLoad() {
 	const window = 5 * time.Second
-	f.loads = append(f.loads, f.now)
+	f.loadTimes = append(f.loadTimes, f.now)
 	n := 0
-	for _, at := range f.loads {
+	for _, at := range f.loadTimes {
 		if f.now-at <= window {
 			n++
 		}
@@ -1277,7 +1277,7 @@
 	f.startCallers(40 * time.Millisecond)
 	f.run(40 * time.Second)
 	is.Equal(f.violations, nil)
-	is.True(len(f.loads) >= 8)
+	is.True(len(f.loadTimes) >= 8)
 	is.True(f.served > f.refused)
 }
 
@@ -1314,7 +1314,7 @@
 		f.run(30 * time.Second)
 		is.Equal(f.violations, nil)
 		is.True(stopped >= 5)
-		is.True(len(f.loads) >= 8) // half of what the rate allows; without handing over there were 2
+		is.True(len(f.loadTimes) >= 8) // half of what the rate allows; without handing over there were 2
 	}
 }
 
--- a/core/instance/ceiling_test.go
+++ b/core/instance/ceiling_test.go
@@ -90,8 +90,8 @@
 				for _, b := range f.violations {
 					t.Errorf("seed %d: %s", seed, b)
 				}
-				if len(f.loads) == 0 {
-					t.Errorf("seed %d: %d loads", seed, len(f.loads))
+				if len(f.loadTimes) == 0 {
+					t.Errorf("seed %d: %d loads", seed, len(f.loadTimes))
 				}
 			}
 		})
