--- a/core/instance/announced_world_test.go
+++ b/core/instance/announced_world_test.go
@@ -63,7 +63,7 @@
 	served          int
 	refused         int
 	orders          int
-	claims          int // most ownerships in one write
+	maxClaims       int // most ownerships in one write
 	watches         int
 	// engineCount is how many engines there are.
 	engineCount int
@@ -701,7 +701,7 @@
 		r.Conflict = r.Revision == 0
 		return r
 	}
-	f.claims = max(f.claims, len(a.Write.Claim))
+	f.maxClaims = max(f.maxClaims, len(a.Write.Claim))
 	for _, o := range a.Write.Claim {
 		v := f.store.values["owners/"+o.Engine]
 		if (v == nil) != (o.Revision == 0) || v != nil && v.revision != o.Revision.Raw() {
@@ -1337,8 +1337,8 @@
 	f := newFleetOf(1, 1, 40, option.Disabled{}, false)
 	f.expire()
 	f.run(20 * time.Second)
-	is.True(f.claims > 1)
-	is.True(f.claims <= registry.MaxClaims)
+	is.True(f.maxClaims > 1)
+	is.True(f.maxClaims <= registry.MaxClaims)
 	is.Equal(f.members["i0"].m.orders.owned.Len(), 40)
 }
 
