--- a/core/instance/announced_world_test.go
+++ b/core/instance/announced_world_test.go
@@ -67,7 +67,7 @@
 	watches         int
 	// engineCount is how many engines there are.
 	engineCount int
-	late        float64 // share of orders without an answer, carried out seconds later
+	lateShare   float64 // share of orders without an answer, carried out seconds later
 	// firstAfter is how long an engine takes to the first event of a call.
 	firstAfter time.Duration
 	lost       float64 // share of writes of the store whose answers are lost
@@ -874,7 +874,7 @@
 	out := func(answer orders.Answer) step.Event {
 		return owned.OrderReply{Engine: a.Engine, Fence: a.Fence, Answer: answer}
 	}
-	if f.rng.Float64() < f.late {
+	if f.rng.Float64() < f.lateShare {
 		f.at(fleetWay, func() { f.checkHolder(n.id.Name, a) })
 		f.at(time.Duration(2000+f.rng.IntN(10000))*time.Millisecond, func() { f.applyOrder(a) })
 		reply(500*time.Millisecond, out(orders.AnswerLost))
@@ -1141,7 +1141,7 @@
 
 var fleetStorms = []fleetStorm{
 	{"calm", func(*fleet) {}},
-	{"orders carried out late", func(f *fleet) { f.late = 0.4 }},
+	{"orders carried out late", func(f *fleet) { f.lateShare = 0.4 }},
 	{"answers of the store lost", func(f *fleet) { f.lost = 0.4 }},
 	{"members killed", func(f *fleet) {
 		f.periodically(6*time.Second, 2*time.Second, func() func() {
@@ -1184,7 +1184,7 @@
 		})
 	}},
 	{"killed while orders are late", func(f *fleet) {
-		f.late = 0.4
+		f.lateShare = 0.4
 		f.periodically(7*time.Second, 1500*time.Millisecond, func() func() {
 			n := f.giver()
 			n.dead = true
--- a/core/instance/ceiling_test.go
+++ b/core/instance/ceiling_test.go
@@ -58,7 +58,7 @@
 			})
 		}},
 		{"it is killed while orders are late", func(f *fleet) {
-			f.late = 0.4
+			f.lateShare = 0.4
 			placers(3*time.Second, time.Second, func(f *fleet, n *fleetMember) func() {
 				n.dead = true
 				return func() { f.start(n.id.Name) }
--- a/core/instance/limit_test.go
+++ b/core/instance/limit_test.go
@@ -386,7 +386,7 @@
 			return func() { n.deaf = false }
 		})
 	}},
-	{"orders are carried out late", 8, func(l *limitLab) { l.f.late = 0.4 }},
+	{"orders are carried out late", 8, func(l *limitLab) { l.f.lateShare = 0.4 }},
 	{"limits change each second", 8, func(l *limitLab) {
 		up := false
 		l.f.periodically(time.Second, 0, func() func() {
--- a/core/instance/lives_test.go
+++ b/core/instance/lives_test.go
@@ -83,7 +83,7 @@
 		do   func(f *fleet)
 	}{
 		{"calm", func(*fleet) {}},
-		{"orders carried out late", func(f *fleet) { f.late = 0.4 }},
+		{"orders carried out late", func(f *fleet) { f.lateShare = 0.4 }},
 		{"owners killed", func(f *fleet) {
 			f.periodically(6*time.Second, 2*time.Second, func() func() {
 				n := f.giver()
--- a/core/instance/notice_test.go
+++ b/core/instance/notice_test.go
@@ -297,7 +297,7 @@
 			return func() { l.f.start(n.id.Name) }
 		})
 	}},
-	{"orders are carried out late", 5, func(l *noticeLab) { l.f.late = 0.4 }},
+	{"orders are carried out late", 5, func(l *noticeLab) { l.f.lateShare = 0.4 }},
 	{"answers of the store are lost", 5, func(l *noticeLab) { l.f.lost = 0.4 }},
 	{"a large fleet", 2 * watchers.FullMeshLimit, func(*noticeLab) {}},
 }
--- a/core/instance/stepback_test.go
+++ b/core/instance/stepback_test.go
@@ -244,7 +244,7 @@
 		f.steps(7 * time.Second)
 	}},
 	{"orders are carried out late", func(f *fleet) {
-		f.late = 0.4
+		f.lateShare = 0.4
 		f.steps(8 * time.Second)
 	}},
 	{"members are killed", func(f *fleet) {
