--- a/core/instance/announced_world_test.go
+++ b/core/instance/announced_world_test.go
@@ -70,7 +70,7 @@
 	lateShare   float64 // share of orders without an answer, carried out seconds later
 	// firstAfter is how long an engine takes to the first event of a call.
 	firstAfter time.Duration
-	lost       float64 // share of writes of the store whose answers are lost
+	lostShare  float64 // share of writes of the store whose answers are lost
 	// crashes is what runs at engines that may end; nil: calls are served at once.
 	crashes *crashLab
 	// notices is what engines say of themselves in their answers; nil: nothing.
@@ -532,7 +532,7 @@
 			reply(fleetWay, failed(errors.New("refused")))
 			return
 		}
-		if f.rng.Float64() < f.lost {
+		if f.rng.Float64() < f.lostShare {
 			f.at(time.Duration(f.rng.IntN(6000))*time.Millisecond, func() { do() })
 			reply(time.Second, failed(errLost))
 			return
@@ -1142,7 +1142,7 @@
 var fleetStorms = []fleetStorm{
 	{"calm", func(*fleet) {}},
 	{"orders carried out late", func(f *fleet) { f.lateShare = 0.4 }},
-	{"answers of the store lost", func(f *fleet) { f.lost = 0.4 }},
+	{"answers of the store lost", func(f *fleet) { f.lostShare = 0.4 }},
 	{"members killed", func(f *fleet) {
 		f.periodically(6*time.Second, 2*time.Second, func() func() {
 			n := f.giver()
@@ -1192,7 +1192,7 @@
 		})
 	}},
 	{"cut off while answers of the store are lost", func(f *fleet) {
-		f.lost = 0.3
+		f.lostShare = 0.3
 		f.periodically(12*time.Second, 7*time.Second, func() func() {
 			n := f.anyMember()
 			n.noStore = true
--- a/core/instance/crash_test.go
+++ b/core/instance/crash_test.go
@@ -365,7 +365,7 @@
 			return func() { l.f.thaw(n) }
 		})
 	}},
-	{"answers of the store lost", 8, 16, 1, 250 * time.Millisecond, func(l *crashLab) { l.f.lost = 0.4 }},
+	{"answers of the store lost", 8, 16, 1, 250 * time.Millisecond, func(l *crashLab) { l.f.lostShare = 0.4 }},
 	{"engines start again under their names", 8, 16, 1, 250 * time.Millisecond, func(l *crashLab) { l.keepsNames = true }},
 	{"two engines start again under their names", 8, 2, 1, 250 * time.Millisecond, func(l *crashLab) { l.keepsNames = true }},
 	{"engines start again under their names, their entries stay", 8, 16, 1, 250 * time.Millisecond, func(l *crashLab) {
--- a/core/instance/leaving_test.go
+++ b/core/instance/leaving_test.go
@@ -70,7 +70,7 @@
 // of changes is no disturbance: the rule binds all the same.
 func (l *leaveLab) observe() {
 	f := l.f
-	if f.store.down || f.store.closed || f.lost > 0 {
+	if f.store.down || f.store.closed || f.lostShare > 0 {
 		l.storeBad = f.now
 	}
 	for _, name := range f.names {
--- a/core/instance/notice_test.go
+++ b/core/instance/notice_test.go
@@ -298,7 +298,7 @@
 		})
 	}},
 	{"orders are carried out late", 5, func(l *noticeLab) { l.f.lateShare = 0.4 }},
-	{"answers of the store are lost", 5, func(l *noticeLab) { l.f.lost = 0.4 }},
+	{"answers of the store are lost", 5, func(l *noticeLab) { l.f.lostShare = 0.4 }},
 	{"a large fleet", 2 * watchers.FullMeshLimit, func(*noticeLab) {}},
 }
 
--- a/core/instance/stepback_test.go
+++ b/core/instance/stepback_test.go
@@ -240,7 +240,7 @@
 		})
 	}},
 	{"answers of the store are lost", func(f *fleet) {
-		f.lost = 0.3
+		f.lostShare = 0.3
 		f.steps(7 * time.Second)
 	}},
 	{"orders are carried out late", func(f *fleet) {
@@ -287,7 +287,7 @@
 		})
 	}},
 	{"a zone is cut off, answers are lost", func(f *fleet) {
-		f.lost = 0.2
+		f.lostShare = 0.2
 		f.cutZones = map[string]bool{}
 		f.steps(8 * time.Second)
 		f.periodically(10*time.Second, 5*time.Second, func() func() {
