--- a/core/instance/announced_world_test.go
+++ b/core/instance/announced_world_test.go
@@ -77,8 +77,8 @@
 	notices *noticeLab
 	// limits is which engines name a limit, and what is sent to them; nil: none.
 	limits *limitLab
-	// adapters is the share of calls that ask for an adapter.
-	adapters float64
+	// adapterShare is the share of calls that ask for an adapter.
+	adapterShare float64
 	// tokens is the length of prompts.
 	tokens int
 	// steady has members read a steady clock that stands still while they sleep.
@@ -209,17 +209,17 @@
 // newFleetWithin returns a fleet whose users rely on bounds.
 func newFleetWithin(seed uint64, members, engines int, disable option.Disabled, empty bool, b bounds.Bounds) *fleet {
 	f := &fleet{
-		engineCount: engines,
-		rng:         rand.New(rand.NewPCG(seed, 77)),
-		opt:         option.Default(),
-		firstAfter:  30 * time.Millisecond,
-		adapters:    0.4,
-		tokens:      4000,
-		doc:         fleetDocument(),
-		store:       fleetStore{values: map[string]*fleetValue{}, leases: map[uint64]*fleetLease{}, next: firstLease},
-		engines:     map[string]*fleetEngine{},
-		members:     map[string]*fleetMember{},
-		logged:      map[logevent.Number]int{},
+		engineCount:  engines,
+		rng:          rand.New(rand.NewPCG(seed, 77)),
+		opt:          option.Default(),
+		firstAfter:   30 * time.Millisecond,
+		adapterShare: 0.4,
+		tokens:       4000,
+		doc:          fleetDocument(),
+		store:        fleetStore{values: map[string]*fleetValue{}, leases: map[uint64]*fleetLease{}, next: firstLease},
+		engines:      map[string]*fleetEngine{},
+		members:      map[string]*fleetMember{},
+		logged:       map[logevent.Number]int{},
 	}
 	f.opt.Bounds = b
 	f.opt.Disable = disable
@@ -1081,7 +1081,7 @@
 		if !n.dead && !n.frozen {
 			f.nextID()
 			adapter := ""
-			if f.rng.Float64() < f.adapters {
+			if f.rng.Float64() < f.adapterShare {
 				adapter = fmt.Sprintf("a%d", f.rng.IntN(4))
 			}
 			r := calls.Request{
--- a/core/instance/leaving_test.go
+++ b/core/instance/leaving_test.go
@@ -375,7 +375,7 @@
 // play plays a storm, alone or beside another, on a fleet of some size.
 func (s leaveStorm) play(seed uint64, size fleetSize, beside ...leaveStorm) *leaveLab {
 	f := newFleetWithin(seed, size.members, size.engines, option.Disabled{}, false, size.bounds)
-	f.adapters = 0.1
+	f.adapterShare = 0.1
 	f.expire()
 	l := newLeaveLab(f, size.bounds)
 	f.run(8 * time.Second)
--- a/core/instance/limit_test.go
+++ b/core/instance/limit_test.go
@@ -442,7 +442,7 @@
 				}
 				t.Parallel()
 				l := newLimitFleet(1, members, engines)
-				l.f.adapters = 0
+				l.f.adapterShare = 0
 				// The limit binds, not what engines can run.
 				l.f.tokens = 100
 				l.f.firstAfter = 5 * time.Millisecond
@@ -511,7 +511,7 @@
 // endedLimitFleet returns a fleet whose calls ask for all models alike.
 func endedLimitFleet(members int) *limitLab {
 	l := newLimitFleet(1, members, 4*fleetEngines)
-	l.f.adapters = 0
+	l.f.adapterShare = 0
 	l.f.tokens = 100
 	l.f.startCallersFor(10*time.Millisecond, func() int { return l.f.rng.IntN(fleetModels) })
 	l.f.run(4 * time.Second)
@@ -573,7 +573,7 @@
 	is := is.New(t)
 	for seed := range *limitSeeds {
 		l := newLimitFleet(uint64(seed+1), 8, 4)
-		l.f.adapters = 0
+		l.f.adapterShare = 0
 		l.f.tokens = 100
 		l.f.startCallersFor(80*time.Millisecond, func() int { return l.f.rng.IntN(3) }) // all at the first engine
 		l.f.run(5 * time.Second)
