--- a/core/instance/announced_world_test.go
+++ b/core/instance/announced_world_test.go
@@ -79,8 +79,8 @@
 	limits *limitLab
 	// adapterShare is the share of calls that ask for an adapter.
 	adapterShare float64
-	// tokens is the length of prompts.
-	tokens int
+	// promptTokens is the length of prompts.
+	promptTokens int
 	// steady has members read a steady clock that stands still while they sleep.
 	steady bool
 	// cutZones are zones without a way to other zones and to the store.
@@ -214,7 +214,7 @@
 		opt:          option.Default(),
 		firstAfter:   30 * time.Millisecond,
 		adapterShare: 0.4,
-		tokens:       4000,
+		promptTokens: 4000,
 		doc:          fleetDocument(),
 		store:        fleetStore{values: map[string]*fleetValue{}, leases: map[uint64]*fleetLease{}, next: firstLease},
 		engines:      map[string]*fleetEngine{},
@@ -1085,7 +1085,7 @@
 				adapter = fmt.Sprintf("a%d", f.rng.IntN(4))
 			}
 			r := calls.Request{
-				ID: calls.ID(f.eventSeq), Path: "/x", Replayable: true, PromptTokens: f.tokens,
+				ID: calls.ID(f.eventSeq), Path: "/x", Replayable: true, PromptTokens: f.promptTokens,
 				Forward: &calls.ForwardRequest{
 					Name: fmt.Sprint(f.eventSeq), Fingerprint: crash.Fingerprint(f.eventSeq) << 32,
 					Host: "h", Model: fmt.Sprintf("m%d", model()), Adapter: adapter,
--- a/core/instance/limit_test.go
+++ b/core/instance/limit_test.go
@@ -444,7 +444,7 @@
 				l := newLimitFleet(1, members, engines)
 				l.f.adapterShare = 0
 				// The limit binds, not what engines can run.
-				l.f.tokens = 100
+				l.f.promptTokens = 100
 				l.f.firstAfter = 5 * time.Millisecond
 				l.takes = 10 * time.Millisecond
 				l.f.startCallersFor(time.Duration(float64(time.Second)/(3*engines*limit)), func() int { return l.f.rng.IntN(fleetModels) })
@@ -512,7 +512,7 @@
 func endedLimitFleet(members int) *limitLab {
 	l := newLimitFleet(1, members, 4*fleetEngines)
 	l.f.adapterShare = 0
-	l.f.tokens = 100
+	l.f.promptTokens = 100
 	l.f.startCallersFor(10*time.Millisecond, func() int { return l.f.rng.IntN(fleetModels) })
 	l.f.run(4 * time.Second)
 	return l
@@ -574,7 +574,7 @@
 	for seed := range *limitSeeds {
 		l := newLimitFleet(uint64(seed+1), 8, 4)
 		l.f.adapterShare = 0
-		l.f.tokens = 100
+		l.f.promptTokens = 100
 		l.f.startCallersFor(80*time.Millisecond, func() int { return l.f.rng.IntN(3) }) // all at the first engine
 		l.f.run(5 * time.Second)
 		l.names(l.engine(0), 0.5)
