--- a/core/instance/announced_world_test.go
+++ b/core/instance/announced_world_test.go
@@ -81,8 +81,8 @@
 	adapterShare float64
 	// promptTokens is the length of prompts.
 	promptTokens int
-	// steady has members read a steady clock that stands still while they sleep.
-	steady bool
+	// clockStopsInSleep has members read a clockStopsInSleep clock that stands still while they sleep.
+	clockStopsInSleep bool
 	// cutZones are zones without a way to other zones and to the store.
 	cutZones map[string]bool
 	logged   map[logevent.Number]int
@@ -329,7 +329,7 @@
 	n.frozen = true
 	f.at(span, func() {
 		n.set -= back
-		if f.steady {
+		if f.clockStopsInSleep {
 			n.lag += span
 		}
 		f.thaw(n)
@@ -1440,7 +1440,7 @@
 			for _, s := range fleetStorms {
 				for seed := range 3 {
 					f := newFleetWith(uint64(seed+1), 5, c.disable, c.empty)
-					f.steady = c.steady
+					f.clockStopsInSleep = c.steady
 					f.expire()
 					f.run(5 * time.Second)
 					f.startCallers(40 * time.Millisecond)
