--- a/core/instance/announced_world_test.go
+++ b/core/instance/announced_world_test.go
@@ -68,9 +68,9 @@
 	// engineCount is how many engines there are.
 	engineCount int
 	lateShare   float64 // share of orders without an answer, carried out seconds later
-	// firstAfter is how long an engine takes to the first event of a call.
-	firstAfter time.Duration
-	lostShare  float64 // share of writes of the store whose answers are lost
+	// firstTokenDelay is how long an engine takes to the first event of a call.
+	firstTokenDelay time.Duration
+	lostShare       float64 // share of writes of the store whose answers are lost
 	// crashes is what runs at engines that may end; nil: calls are served at once.
 	crashes *crashLab
 	// notices is what engines say of themselves in their answers; nil: nothing.
@@ -209,17 +209,17 @@
 // newFleetWithin returns a fleet whose users rely on bounds.
 func newFleetWithin(seed uint64, members, engines int, disable option.Disabled, empty bool, b bounds.Bounds) *fleet {
 	f := &fleet{
-		engineCount:  engines,
-		rng:          rand.New(rand.NewPCG(seed, 77)),
-		opt:          option.Default(),
-		firstAfter:   30 * time.Millisecond,
-		adapterShare: 0.4,
-		promptTokens: 4000,
-		doc:          fleetDocument(),
-		store:        fleetStore{values: map[string]*fleetValue{}, leases: map[uint64]*fleetLease{}, next: firstLease},
-		engines:      map[string]*fleetEngine{},
-		members:      map[string]*fleetMember{},
-		logged:       map[logevent.Number]int{},
+		engineCount:     engines,
+		rng:             rand.New(rand.NewPCG(seed, 77)),
+		opt:             option.Default(),
+		firstTokenDelay: 30 * time.Millisecond,
+		adapterShare:    0.4,
+		promptTokens:    4000,
+		doc:             fleetDocument(),
+		store:           fleetStore{values: map[string]*fleetValue{}, leases: map[uint64]*fleetLease{}, next: firstLease},
+		engines:         map[string]*fleetEngine{},
+		members:         map[string]*fleetMember{},
+		logged:          map[logevent.Number]int{},
 	}
 	f.opt.Bounds = b
 	f.opt.Disable = disable
@@ -503,7 +503,7 @@
 		return
 	}
 	f.served++
-	reply(f.firstAfter, calls.AnswerBegan{ID: d.ID})
+	reply(f.firstTokenDelay, calls.AnswerBegan{ID: d.ID})
 	reply(400*time.Millisecond, calls.Completed{ID: d.ID})
 }
 
--- a/core/instance/crash_test.go
+++ b/core/instance/crash_test.go
@@ -165,7 +165,7 @@
 
 // run has a call answered.
 func (l *crashLab) run(r *labRun) {
-	l.f.at(l.f.firstAfter, func() {
+	l.f.at(l.f.firstTokenDelay, func() {
 		if !r.over {
 			r.began = true
 			r.reply(0, calls.AnswerBegan{ID: r.d.ID})
--- a/core/instance/limit_test.go
+++ b/core/instance/limit_test.go
@@ -196,8 +196,8 @@
 			return
 		}
 		l.f.served++
-		l.say(n, boot, e, l.f.firstAfter+fleetWay, sent)
-		reply(l.f.firstAfter+fleetWay, calls.AnswerBegan{ID: d.ID})
+		l.say(n, boot, e, l.f.firstTokenDelay+fleetWay, sent)
+		reply(l.f.firstTokenDelay+fleetWay, calls.AnswerBegan{ID: d.ID})
 		reply(l.takes, calls.Completed{ID: d.ID})
 	})
 }
@@ -445,7 +445,7 @@
 				l.f.adapterShare = 0
 				// The limit binds, not what engines can run.
 				l.f.promptTokens = 100
-				l.f.firstAfter = 5 * time.Millisecond
+				l.f.firstTokenDelay = 5 * time.Millisecond
 				l.takes = 10 * time.Millisecond
 				l.f.startCallersFor(time.Duration(float64(time.Second)/(3*engines*limit)), func() int { return l.f.rng.IntN(fleetModels) })
 				for i := range engines {
--- a/core/instance/notice_test.go
+++ b/core/instance/notice_test.go
@@ -159,10 +159,10 @@
 			l.say(n, boot, e, sent, said)
 			failed(fleetWay, calls.AttemptFailed{Phase: attempt.Refused, Misdirected: true, Incarnation: d.Replica})
 		default:
-			l.f.at(l.f.firstAfter, func() { l.say(n, boot, e, sent, said) })
+			l.f.at(l.f.firstTokenDelay, func() { l.say(n, boot, e, sent, said) })
 			l.f.served++
 			l.served[e]++
-			reply(l.f.firstAfter+fleetWay, calls.AnswerBegan{ID: d.ID})
+			reply(l.f.firstTokenDelay+fleetWay, calls.AnswerBegan{ID: d.ID})
 			reply(400*time.Millisecond, calls.Completed{ID: d.ID})
 		}
 	})
