--- a/core/instance/announced_world_test.go
+++ b/core/instance/announced_world_test.go
@@ -84,8 +84,8 @@
 	// clockStopsInSleep has members read a clockStopsInSleep clock that stands still while they sleep.
 	clockStopsInSleep bool
 	// cutZones are zones without a way to other zones and to the store.
-	cutZones map[string]bool
-	logged   map[logevent.Number]int
+	cutZones  map[string]bool
+	logCounts map[logevent.Number]int
 	// leaves is which engines leave, and what reaches them after that; nil: none.
 	leaves *leaveLab
 }
@@ -219,7 +219,7 @@
 		store:           fleetStore{values: map[string]*fleetValue{}, leases: map[uint64]*fleetLease{}, next: firstLease},
 		engines:         map[string]*fleetEngine{},
 		members:         map[string]*fleetMember{},
-		logged:          map[logevent.Number]int{},
+		logCounts:       map[logevent.Number]int{},
 	}
 	f.opt.Bounds = b
 	f.opt.Disable = disable
@@ -355,7 +355,7 @@
 	reply := func(d time.Duration, ev step.Event) { f.at(d, func() { f.step(n, boot, ev) }) }
 	switch act := a.(type) {
 	case step.Log:
-		f.logged[act.Event]++
+		f.logCounts[act.Event]++
 	case watch.SendRequest:
 		f.at(fleetWay, func() { f.watch(n, boot, act) })
 	case ownership.Enrol:
--- a/core/instance/leaving_test.go
+++ b/core/instance/leaving_test.go
@@ -488,11 +488,11 @@
 			f := newFleet(1, 5)
 			f.expire()
 			f.run(8 * time.Second)
-			f.logged = map[logevent.Number]int{}
+			f.logCounts = map[logevent.Number]int{}
 			tt.do(newLeaveLab(f, smallBounds))
 			f.run(17 * time.Second)
-			is.Equal(f.logged[logevent.ListOld] > 0, tt.old)
-			is.Equal(f.logged[logevent.ListOld], f.logged[logevent.ListCurrent])
+			is.Equal(f.logCounts[logevent.ListOld] > 0, tt.old)
+			is.Equal(f.logCounts[logevent.ListOld], f.logCounts[logevent.ListCurrent])
 		})
 	}
 }
