--- a/core/instance/announced_world_test.go
+++ b/core/instance/announced_world_test.go
@@ -92,24 +92,24 @@
 
 // A fleetMember is one machine with what is wrong with it.
 type fleetMember struct {
-	m        *Machine
-	id       member.Identity
-	boot     uint64
-	lag      time.Duration // by how much its steady clock is behind
-	set      time.Duration // by how much its wall clock was set forward
-	dead     bool
-	frozen   bool
-	thawed   time.Duration // when it was last
-	deferred []func()
-	noStore  bool
-	deaf     bool         // its watches hear nothing, nor do its exchanges
-	after    era.Revision // the watch's position; 0 reads the whole
-	waiting  []*fleetWatch
-	known    era.Era // the latest in which the store answered it
-	asked    map[uint64]func(owned.SendReply)
-	answers  map[uint64]func(gossip.Message)
-	permits  map[uint64]func(permits.Decision)
-	token    uint64
+	m            *Machine
+	id           member.Identity
+	boot         uint64
+	monotonicLag time.Duration // by how much its steady clock is behind
+	set          time.Duration // by how much its wall clock was set forward
+	dead         bool
+	frozen       bool
+	thawed       time.Duration // when it was last
+	deferred     []func()
+	noStore      bool
+	deaf         bool         // its watches hear nothing, nor do its exchanges
+	after        era.Revision // the watch's position; 0 reads the whole
+	waiting      []*fleetWatch
+	known        era.Era // the latest in which the store answered it
+	asked        map[uint64]func(owned.SendReply)
+	answers      map[uint64]func(gossip.Message)
+	permits      map[uint64]func(permits.Decision)
+	token        uint64
 }
 
 // A fleetStore is the platform's store.
@@ -320,7 +320,7 @@
 // clock returns what a member's clocks read.
 func (f *fleet) clock(n *fleetMember) clock.Instant {
 	at := clocktest.At(time.Hour + f.now)
-	return clock.Instant{Mono: at.Mono - n.lag, Wall: at.Wall.Add(n.set)}
+	return clock.Instant{Mono: at.Mono - n.monotonicLag, Wall: at.Wall.Add(n.set)}
 }
 
 // sleep has a member's machine sleep for a while, its wall clock set back meanwhile by so
@@ -330,7 +330,7 @@
 	f.at(span, func() {
 		n.set -= back
 		if f.clockStopsInSleep {
-			n.lag += span
+			n.monotonicLag += span
 		}
 		f.thaw(n)
 	})
