--- a/core/instance/announced_world_test.go
+++ b/core/instance/announced_world_test.go
@@ -96,7 +96,7 @@
 	id           member.Identity
 	boot         uint64
 	monotonicLag time.Duration // by how much its steady clock is behind
-	set          time.Duration // by how much its wall clock was set forward
+	wallOffset   time.Duration // by how much its wall clock was set forward
 	dead         bool
 	frozen       bool
 	thawed       time.Duration // when it was last
@@ -320,7 +320,7 @@
 // clock returns what a member's clocks read.
 func (f *fleet) clock(n *fleetMember) clock.Instant {
 	at := clocktest.At(time.Hour + f.now)
-	return clock.Instant{Mono: at.Mono - n.monotonicLag, Wall: at.Wall.Add(n.set)}
+	return clock.Instant{Mono: at.Mono - n.monotonicLag, Wall: at.Wall.Add(n.wallOffset)}
 }
 
 // sleep has a member's machine sleep for a while, its wall clock set back meanwhile by so
@@ -328,7 +328,7 @@
 func (f *fleet) sleep(n *fleetMember, span, back time.Duration) {
 	n.frozen = true
 	f.at(span, func() {
-		n.set -= back
+		n.wallOffset -= back
 		if f.clockStopsInSleep {
 			n.monotonicLag += span
 		}
@@ -1216,15 +1216,15 @@
 		f.periodically(5*time.Second, 3*time.Second, func() func() {
 			n := f.giver()
 			by := time.Duration(f.rng.IntN(20)-10) * time.Second
-			n.set += by
-			return func() { n.set -= by }
+			n.wallOffset += by
+			return func() { n.wallOffset -= by }
 		})
 	}},
 	{"clocks are set, members sleep and the store is down", func(f *fleet) {
 		f.periodically(11*time.Second, 5*time.Second, func() func() {
 			f.store.down = true
 			f.sleep(f.giver(), 6*time.Second, 3*time.Second)
-			f.anyMember().set += 5 * time.Second
+			f.anyMember().wallOffset += 5 * time.Second
 			return func() { f.store.down = false }
 		})
 	}},
