--- a/core/instance/announced_world_test.go
+++ b/core/instance/announced_world_test.go
@@ -99,7 +99,7 @@
 	wallOffset   time.Duration // by how much its wall clock was set forward
 	dead         bool
 	frozen       bool
-	thawed       time.Duration // when it was last
+	thawedAt     time.Duration // when it was last
 	deferred     []func()
 	noStore      bool
 	deaf         bool         // its watches hear nothing, nor do its exchanges
@@ -338,7 +338,7 @@
 
 func (f *fleet) thaw(n *fleetMember) {
 	n.frozen = false
-	n.thawed = f.now
+	n.thawedAt = f.now
 	held := n.deferred
 	n.deferred = nil
 	for _, do := range held {
--- a/core/instance/limit_test.go
+++ b/core/instance/limit_test.go
@@ -210,7 +210,7 @@
 	if !ok || !c.plain || a.Refusal.Code == code.NoConfiguration {
 		return // an instance that has just started serves nothing, whatever its engines do
 	}
-	if c.at < l.healed+limitHealed || c.at < c.member.thawed {
+	if c.at < l.healed+limitHealed || c.at < c.member.thawedAt {
 		// It came while its engines were out of reach, or counted as that still; or its
 		// instance stood still meanwhile.
 		return
