--- a/core/instance/announced_world_test.go
+++ b/core/instance/announced_world_test.go
@@ -102,7 +102,7 @@
 	thawedAt     time.Duration // when it was last
 	deferred     []func()
 	noStore      bool
-	deaf         bool         // its watches hear nothing, nor do its exchanges
+	noUpdates    bool         // its watches hear nothing, nor do its exchanges
 	after        era.Revision // the watch's position; 0 reads the whole
 	waiting      []*fleetWatch
 	known        era.Era // the latest in which the store answered it
@@ -770,10 +770,10 @@
 	case w.hung:
 		fails(w.limit, "no answer")
 		return
-	case w.cut, f.store.closed && !n.noStore && !n.deaf && !f.cutZones[n.id.Zone]:
+	case w.cut, f.store.closed && !n.noStore && !n.noUpdates && !f.cutZones[n.id.Zone]:
 		fails(f.now, "refused")
 		return
-	case n.noStore || n.deaf || f.store.down || f.cutZones[n.id.Zone]:
+	case n.noStore || n.noUpdates || f.store.down || f.cutZones[n.id.Zone]:
 		fails(w.limit, "no answer")
 		return
 	}
@@ -1028,7 +1028,7 @@
 // askPermit carries a request for a permit to a peer and its answer back.
 func (f *fleet) askPermit(n *fleetMember, a permits.SendRequest, reply func(time.Duration, step.Event)) {
 	p := f.members[a.Peer]
-	if p == nil || p.dead || p.frozen || p.deaf || n.deaf || f.severed(n.id.Zone, p.id.Zone) {
+	if p == nil || p.dead || p.frozen || p.noUpdates || n.noUpdates || f.severed(n.id.Zone, p.id.Zone) {
 		reply(300*time.Millisecond, permits.Reply{Token: a.Token, Err: errors.New("no answer")})
 		return
 	}
@@ -1049,7 +1049,7 @@
 
 func (f *fleet) exchange(n *fleetMember, a exchange.SendRequest, reply func(time.Duration, step.Event)) {
 	p := f.members[a.Address]
-	if p == nil || p.dead || p.frozen || p.deaf || n.deaf || f.severed(n.id.Zone, p.id.Zone) {
+	if p == nil || p.dead || p.frozen || p.noUpdates || n.noUpdates || f.severed(n.id.Zone, p.id.Zone) {
 		reply(time.Second, exchange.Reply{Peer: a.Peer, Address: a.Address, Err: errors.New("no answer")})
 		return
 	}
@@ -1416,9 +1416,9 @@
 func (f *fleet) deafOwners() {
 	f.periodically(9*time.Second, 20*time.Second, func() func() {
 		n := f.giver()
-		n.deaf = true
+		n.noUpdates = true
 		f.change("instances/"+n.id.Name, nil)
-		return func() { n.deaf = false }
+		return func() { n.noUpdates = false }
 	})
 }
 
--- a/core/instance/ceiling_test.go
+++ b/core/instance/ceiling_test.go
@@ -44,8 +44,8 @@
 			return func() { f.cutZones = nil }
 		})},
 		{"it is deaf", placers(6*time.Second, 5*time.Second, func(_ *fleet, n *fleetMember) func() {
-			n.deaf = true
-			return func() { n.deaf = false }
+			n.noUpdates = true
+			return func() { n.noUpdates = false }
 		})},
 		{"it sleeps", placers(7*time.Second, time.Hour, func(f *fleet, n *fleetMember) func() {
 			f.sleep(n, 5*time.Second, 0)
--- a/core/instance/leaving_test.go
+++ b/core/instance/leaving_test.go
@@ -75,7 +75,7 @@
 	}
 	for _, name := range f.names {
 		n := f.members[name]
-		if n.dead || n.frozen || n.noStore || n.deaf || f.cutZones[n.id.Zone] || n.boot != l.boots[name] {
+		if n.dead || n.frozen || n.noStore || n.noUpdates || f.cutZones[n.id.Zone] || n.boot != l.boots[name] {
 			l.memberBad[name] = f.now
 			l.boots[name] = n.boot
 		}
@@ -477,8 +477,8 @@
 		{"watches and what is called beside them hang", func(l *leaveLab) {
 			for _, n := range l.everyone() {
 				l.f.periodically(6*time.Second, 3*time.Second, func() func() {
-					n.deaf = true
-					return func() { n.deaf = false }
+					n.noUpdates = true
+					return func() { n.noUpdates = false }
 				})
 			}
 		}, true},
--- a/core/instance/limit_test.go
+++ b/core/instance/limit_test.go
@@ -382,8 +382,8 @@
 	{"an instance hears nobody", 8, func(l *limitLab) {
 		l.f.periodically(4*time.Second, 3*time.Second, func() func() {
 			n := l.f.anyMember()
-			n.deaf = true
-			return func() { n.deaf = false }
+			n.noUpdates = true
+			return func() { n.noUpdates = false }
 		})
 	}},
 	{"orders are carried out late", 8, func(l *limitLab) { l.f.lateShare = 0.4 }},
--- a/core/instance/stepback_test.go
+++ b/core/instance/stepback_test.go
@@ -282,8 +282,8 @@
 		f.steps(8 * time.Second)
 		f.periodically(7*time.Second, 4*time.Second, func() func() {
 			n := f.giver()
-			n.deaf = true
-			return func() { n.deaf = false }
+			n.noUpdates = true
+			return func() { n.noUpdates = false }
 		})
 	}},
 	{"a zone is cut off, answers are lost", func(f *fleet) {
