--- a/core/instance/announced_world_test.go
+++ b/core/instance/announced_world_test.go
@@ -92,24 +92,24 @@
 
 // A fleetMember is one machine with what is wrong with it.
 type fleetMember struct {
-	m            *Machine
-	id           member.Identity
-	boot         uint64
-	monotonicLag time.Duration // by how much its steady clock is behind
-	wallOffset   time.Duration // by how much its wall clock was set forward
-	dead         bool
-	frozen       bool
-	thawedAt     time.Duration // when it was last
-	deferred     []func()
-	noStore      bool
-	noUpdates    bool         // its watches hear nothing, nor do its exchanges
-	after        era.Revision // the watch's position; 0 reads the whole
-	waiting      []*fleetWatch
-	known        era.Era // the latest in which the store answered it
-	asked        map[uint64]func(owned.SendReply)
-	answers      map[uint64]func(gossip.Message)
-	permits      map[uint64]func(permits.Decision)
-	token        uint64
+	m             *Machine
+	id            member.Identity
+	boot          uint64
+	monotonicLag  time.Duration // by how much its steady clock is behind
+	wallOffset    time.Duration // by how much its wall clock was set forward
+	dead          bool
+	frozen        bool
+	thawedAt      time.Duration // when it was last
+	deferred      []func()
+	noStore       bool
+	noUpdates     bool         // its watches hear nothing, nor do its exchanges
+	watchPosition era.Revision // the watch's position; 0 reads the whole
+	waiting       []*fleetWatch
+	known         era.Era // the latest in which the store answered it
+	asked         map[uint64]func(owned.SendReply)
+	answers       map[uint64]func(gossip.Message)
+	permits       map[uint64]func(permits.Decision)
+	token         uint64
 }
 
 // A fleetStore is the platform's store.
@@ -285,7 +285,7 @@
 	n.frozen = false
 	n.deferred = nil
 	n.waiting = nil
-	n.after = 0
+	n.watchPosition = 0
 	n.known = 0
 	n.id.Boot = n.boot
 	n.asked = map[uint64]func(owned.SendReply){}
@@ -778,10 +778,10 @@
 		return
 	}
 	f.watches++
-	whole := w.whole || n.after == 0 || n.after.Era() != f.store.era
+	whole := w.whole || n.watchPosition == 0 || n.watchPosition.Era() != f.store.era
 	at, changes := f.number(f.store.revision), f.changesFor(n, whole)
 	if f.now < f.store.mute && !whole {
-		at, changes = n.after, nil
+		at, changes = n.watchPosition, nil
 	}
 	if len(changes) == 0 && f.now < w.until {
 		f.at(20*time.Millisecond, func() { f.poll(n, w) })
@@ -789,7 +789,7 @@
 	}
 	n.waiting = slices.DeleteFunc(n.waiting, func(x *fleetWatch) bool { return x == w })
 	n.known = f.store.era
-	n.after = max(n.after, at)
+	n.watchPosition = max(n.watchPosition, at)
 	f.at(fleetWay, func() { f.deliver(n, w, changes, at, whole) })
 }
 
@@ -802,7 +802,7 @@
 		return changes
 	}
 	for _, c := range f.store.log {
-		if c.revision > n.after.Raw() {
+		if c.revision > n.watchPosition.Raw() {
 			changes = append(changes, c)
 		}
 	}
--- a/core/instance/leaving_test.go
+++ b/core/instance/leaving_test.go
@@ -205,7 +205,7 @@
 	f.store.mute = f.now + time.Second
 	f.at(time.Second, func() {
 		for _, n := range l.everyone() {
-			n.after = 0
+			n.watchPosition = 0
 			for _, w := range n.waiting {
 				w.hung = silent
 				w.cut = !silent
