--- a/core/instance/announced_world_test.go
+++ b/core/instance/announced_world_test.go
@@ -92,24 +92,24 @@
 
 // A fleetMember is one machine with what is wrong with it.
 type fleetMember struct {
-	m             *Machine
-	id            member.Identity
-	boot          uint64
-	monotonicLag  time.Duration // by how much its steady clock is behind
-	wallOffset    time.Duration // by how much its wall clock was set forward
-	dead          bool
-	frozen        bool
-	thawedAt      time.Duration // when it was last
-	deferred      []func()
-	noStore       bool
-	noUpdates     bool         // its watches hear nothing, nor do its exchanges
-	watchPosition era.Revision // the watch's position; 0 reads the whole
-	waiting       []*fleetWatch
-	known         era.Era // the latest in which the store answered it
-	asked         map[uint64]func(owned.SendReply)
-	answers       map[uint64]func(gossip.Message)
-	permits       map[uint64]func(permits.Decision)
-	token         uint64
+	m              *Machine
+	id             member.Identity
+	boot           uint64
+	monotonicLag   time.Duration // by how much its steady clock is behind
+	wallOffset     time.Duration // by how much its wall clock was set forward
+	dead           bool
+	frozen         bool
+	thawedAt       time.Duration // when it was last
+	deferred       []func()
+	noStore        bool
+	noUpdates      bool         // its watches hear nothing, nor do its exchanges
+	watchPosition  era.Revision // the watch's position; 0 reads the whole
+	pendingWatches []*fleetWatch
+	known          era.Era // the latest in which the store answered it
+	asked          map[uint64]func(owned.SendReply)
+	answers        map[uint64]func(gossip.Message)
+	permits        map[uint64]func(permits.Decision)
+	token          uint64
 }
 
 // A fleetStore is the platform's store.
@@ -284,7 +284,7 @@
 	n.dead = false
 	n.frozen = false
 	n.deferred = nil
-	n.waiting = nil
+	n.pendingWatches = nil
 	n.watchPosition = 0
 	n.known = 0
 	n.id.Boot = n.boot
@@ -747,7 +747,7 @@
 	if w.whole {
 		w.limit = f.now + readLimit
 	}
-	n.waiting = append(n.waiting, w)
+	n.pendingWatches = append(n.pendingWatches, w)
 	pages := 1
 	if w.whole {
 		pages += len(f.store.values) / fleetPage
@@ -761,7 +761,7 @@
 // poll looks if a watch has an answer.
 func (f *fleet) poll(n *fleetMember, w *fleetWatch) {
 	fails := func(at time.Duration, why string) {
-		n.waiting = slices.DeleteFunc(n.waiting, func(x *fleetWatch) bool { return x == w })
+		n.pendingWatches = slices.DeleteFunc(n.pendingWatches, func(x *fleetWatch) bool { return x == w })
 		f.at(max(fleetWay, at-f.now), func() { f.step(n, w.boot, watch.Reply{ID: w.id, Err: errors.New(why)}) })
 	}
 	switch {
@@ -787,7 +787,7 @@
 		f.at(20*time.Millisecond, func() { f.poll(n, w) })
 		return
 	}
-	n.waiting = slices.DeleteFunc(n.waiting, func(x *fleetWatch) bool { return x == w })
+	n.pendingWatches = slices.DeleteFunc(n.pendingWatches, func(x *fleetWatch) bool { return x == w })
 	n.known = f.store.era
 	n.watchPosition = max(n.watchPosition, at)
 	f.at(fleetWay, func() { f.deliver(n, w, changes, at, whole) })
--- a/core/instance/leaving_test.go
+++ b/core/instance/leaving_test.go
@@ -184,7 +184,7 @@
 // hang has nothing come any more on the connections of all watches that wait.
 func (l *leaveLab) hang(members ...*fleetMember) {
 	for _, n := range members {
-		for _, w := range n.waiting {
+		for _, w := range n.pendingWatches {
 			w.hung = true
 		}
 	}
@@ -206,7 +206,7 @@
 	f.at(time.Second, func() {
 		for _, n := range l.everyone() {
 			n.watchPosition = 0
-			for _, w := range n.waiting {
+			for _, w := range n.pendingWatches {
 				w.hung = silent
 				w.cut = !silent
 			}
