--- a/core/instance/announced_world_test.go
+++ b/core/instance/announced_world_test.go
@@ -105,7 +105,7 @@
 	noUpdates      bool         // its watches hear nothing, nor do its exchanges
 	watchPosition  era.Revision // the watch's position; 0 reads the whole
 	pendingWatches []*fleetWatch
-	known          era.Era // the latest in which the store answered it
+	knownEra       era.Era // the latest in which the store answered it
 	asked          map[uint64]func(owned.SendReply)
 	answers        map[uint64]func(gossip.Message)
 	permits        map[uint64]func(permits.Decision)
@@ -286,7 +286,7 @@
 	n.deferred = nil
 	n.pendingWatches = nil
 	n.watchPosition = 0
-	n.known = 0
+	n.knownEra = 0
 	n.id.Boot = n.boot
 	n.asked = map[uint64]func(owned.SendReply){}
 	n.answers = map[uint64]func(gossip.Message){}
@@ -516,9 +516,9 @@
 // isn't answered.
 func (f *fleet) storeCall(n *fleetMember, made *era.Era, do func() (ev step.Event, write bool), failed func(error) step.Event, reply func(time.Duration, step.Event)) {
 	errLost := errors.New("no answer")
-	former := func() bool { return made != nil && *made != n.known }
+	former := func() bool { return made != nil && *made != n.knownEra }
 	if former() {
-		reply(fleetWay, ownership.EraObserved{Era: n.known})
+		reply(fleetWay, ownership.EraObserved{Era: n.knownEra})
 		reply(fleetWay, failed(errors.New("a number of a former era")))
 		return
 	}
@@ -541,9 +541,9 @@
 		if write {
 			f.storeWriteTimes = append(f.storeWriteTimes, f.now)
 		}
-		n.known = f.store.era
+		n.knownEra = f.store.era
 		if former() {
-			reply(fleetWay, ownership.EraObserved{Era: n.known})
+			reply(fleetWay, ownership.EraObserved{Era: n.knownEra})
 			reply(fleetWay, failed(errors.New("answered in a later era")))
 			return
 		}
@@ -788,7 +788,7 @@
 		return
 	}
 	n.pendingWatches = slices.DeleteFunc(n.pendingWatches, func(x *fleetWatch) bool { return x == w })
-	n.known = f.store.era
+	n.knownEra = f.store.era
 	n.watchPosition = max(n.watchPosition, at)
 	f.at(fleetWay, func() { f.deliver(n, w, changes, at, whole) })
 }
