--- a/core/instance/announced_world_test.go
+++ b/core/instance/announced_world_test.go
@@ -106,7 +106,7 @@
 	watchPosition  era.Revision // the watch's position; 0 reads the whole
 	pendingWatches []*fleetWatch
 	knownEra       era.Era // the latest in which the store answered it
-	asked          map[uint64]func(owned.SendReply)
+	orderReplies   map[uint64]func(owned.SendReply)
 	answers        map[uint64]func(gossip.Message)
 	permits        map[uint64]func(permits.Decision)
 	token          uint64
@@ -288,7 +288,7 @@
 	n.watchPosition = 0
 	n.knownEra = 0
 	n.id.Boot = n.boot
-	n.asked = map[uint64]func(owned.SendReply){}
+	n.orderReplies = map[uint64]func(owned.SendReply){}
 	n.answers = map[uint64]func(gossip.Message){}
 	n.permits = map[uint64]func(permits.Decision){}
 	n.m = New(n.id, f.opt, f.rng.Uint64())
@@ -438,8 +438,8 @@
 			do(act.Verdict)
 		}
 	case owned.SendReply:
-		if do := n.asked[act.Token]; do != nil {
-			delete(n.asked, act.Token)
+		if do := n.orderReplies[act.Token]; do != nil {
+			delete(n.orderReplies, act.Token)
 			do(act)
 		}
 	case exchange.SendRequest:
@@ -1020,7 +1020,7 @@
 	f.at(fleetWay, func() {
 		p.token++
 		token := p.token
-		p.asked[token] = func(o owned.SendReply) { reply(fleetWay, out(o.Outcome)) }
+		p.orderReplies[token] = func(o owned.SendReply) { reply(fleetWay, out(o.Outcome)) }
 		f.step(p, p.boot, owned.RequestReceived{Token: token, Engine: a.Engine, Request: a.Request})
 	})
 }
--- a/core/instance/crash_test.go
+++ b/core/instance/crash_test.go
@@ -501,7 +501,7 @@
 	for n := range 3 {
 		request := orders.Request{Load: true, Model: sortedKeys(e.models)[0], Adapter: fmt.Sprintf("a%d", n)}
 		owner.token++
-		owner.asked[owner.token] = func(a owned.SendReply) { answers = append(answers, a) }
+		owner.orderReplies[owner.token] = func(a owned.SendReply) { answers = append(answers, a) }
 		l.f.step(owner, owner.boot, owned.RequestReceived{Token: owner.token, Engine: e.name, Request: request})
 	}
 	l.f.run(100 * time.Millisecond)
--- a/core/instance/lives_test.go
+++ b/core/instance/lives_test.go
@@ -68,7 +68,7 @@
 	o := f.store.values["owners/"+e.name].data.(*registry.Ownership)
 	owner := f.members[o.Owner]
 	owner.token++
-	owner.asked[owner.token] = func(a owned.SendReply) { outcome = a.Outcome }
+	owner.orderReplies[owner.token] = func(a owned.SendReply) { outcome = a.Outcome }
 	f.step(owner, owner.boot, owned.RequestReceived{Token: owner.token, Engine: e.name, Request: r})
 	f.run(time.Second)
 	return outcome
