--- a/core/instance/announced_world_test.go
+++ b/core/instance/announced_world_test.go
@@ -92,24 +92,24 @@
 
 // A fleetMember is one machine with what is wrong with it.
 type fleetMember struct {
-	m              *Machine
-	id             member.Identity
-	boot           uint64
-	monotonicLag   time.Duration // by how much its steady clock is behind
-	wallOffset     time.Duration // by how much its wall clock was set forward
-	dead           bool
-	frozen         bool
-	thawedAt       time.Duration // when it was last
-	deferred       []func()
-	noStore        bool
-	noUpdates      bool         // its watches hear nothing, nor do its exchanges
-	watchPosition  era.Revision // the watch's position; 0 reads the whole
-	pendingWatches []*fleetWatch
-	knownEra       era.Era // the latest in which the store answered it
-	orderReplies   map[uint64]func(owned.SendReply)
-	answers        map[uint64]func(gossip.Message)
-	permits        map[uint64]func(permits.Decision)
-	token          uint64
+	m               *Machine
+	id              member.Identity
+	boot            uint64
+	monotonicLag    time.Duration // by how much its steady clock is behind
+	wallOffset      time.Duration // by how much its wall clock was set forward
+	dead            bool
+	frozen          bool
+	thawedAt        time.Duration // when it was last
+	deferred        []func()
+	noStore         bool
+	noUpdates       bool         // its watches hear nothing, nor do its exchanges
+	watchPosition   era.Revision // the watch's position; 0 reads the whole
+	pendingWatches  []*fleetWatch
+	knownEra        era.Era // the latest in which the store answered it
+	orderReplies    map[uint64]func(owned.SendReply)
+	exchangeReplies map[uint64]func(gossip.Message)
+	permits         map[uint64]func(permits.Decision)
+	token           uint64
 }
 
 // A fleetStore is the platform's store.
@@ -289,7 +289,7 @@
 	n.knownEra = 0
 	n.id.Boot = n.boot
 	n.orderReplies = map[uint64]func(owned.SendReply){}
-	n.answers = map[uint64]func(gossip.Message){}
+	n.exchangeReplies = map[uint64]func(gossip.Message){}
 	n.permits = map[uint64]func(permits.Decision){}
 	n.m = New(n.id, f.opt, f.rng.Uint64())
 	f.tick(n, n.boot)
@@ -445,8 +445,8 @@
 	case exchange.SendRequest:
 		f.exchange(n, act, reply)
 	case exchange.SendReply:
-		if do := n.answers[act.Token]; do != nil {
-			delete(n.answers, act.Token)
+		if do := n.exchangeReplies[act.Token]; do != nil {
+			delete(n.exchangeReplies, act.Token)
 			do(act.Message)
 		}
 	case calls.Dispatch:
@@ -1056,7 +1056,7 @@
 	f.at(fleetWay, func() {
 		p.token++
 		token := p.token
-		p.answers[token] = func(msg gossip.Message) {
+		p.exchangeReplies[token] = func(msg gossip.Message) {
 			reply(fleetWay, exchange.Reply{Peer: a.Peer, Address: a.Address, Message: msg})
 		}
 		f.step(p, p.boot, exchange.RequestReceived{Token: token, Message: a.Message})
