--- a/core/instance/announced_world_test.go
+++ b/core/instance/announced_world_test.go
@@ -108,7 +108,7 @@
 	knownEra        era.Era // the latest in which the store answered it
 	orderReplies    map[uint64]func(owned.SendReply)
 	exchangeReplies map[uint64]func(gossip.Message)
-	permits         map[uint64]func(permits.Decision)
+	permitReplies   map[uint64]func(permits.Decision)
 	token           uint64
 }
 
@@ -290,7 +290,7 @@
 	n.id.Boot = n.boot
 	n.orderReplies = map[uint64]func(owned.SendReply){}
 	n.exchangeReplies = map[uint64]func(gossip.Message){}
-	n.permits = map[uint64]func(permits.Decision){}
+	n.permitReplies = map[uint64]func(permits.Decision){}
 	n.m = New(n.id, f.opt, f.rng.Uint64())
 	f.tick(n, n.boot)
 }
@@ -433,8 +433,8 @@
 	case permits.SendRequest:
 		f.askPermit(n, act, reply)
 	case permits.SendReply:
-		if do := n.permits[act.Token]; do != nil {
-			delete(n.permits, act.Token)
+		if do := n.permitReplies[act.Token]; do != nil {
+			delete(n.permitReplies, act.Token)
 			do(act.Verdict)
 		}
 	case owned.SendReply:
@@ -1036,10 +1036,10 @@
 	f.at(fleetWay, func() {
 		p.token++
 		token := p.token
-		p.permits[token] = func(v permits.Decision) { reply(fleetWay, permits.Reply{Token: a.Token, Verdict: v}) }
+		p.permitReplies[token] = func(v permits.Decision) { reply(fleetWay, permits.Reply{Token: a.Token, Verdict: v}) }
 		f.step(p, boot, permits.RequestReceived{Token: token, From: n.id.Name, Request: a.Request})
 		f.at(a.Request.Wait+300*time.Millisecond, func() {
-			if p.boot == boot && p.permits[token] == nil {
+			if p.boot == boot && p.permitReplies[token] == nil {
 				return
 			}
 			reply(0, permits.Reply{Token: a.Token, Err: errors.New("no answer in time")})
