--- a/core/instance/announced_world_test.go
+++ b/core/instance/announced_world_test.go
@@ -114,15 +114,15 @@
 
 // A fleetStore is the platform's store.
 type fleetStore struct {
-	down     bool
-	closed   bool          // it is down, and its machine says so to whoever connects
-	mute     time.Duration // until when watches hear of no change
-	era      era.Era       // 0: it tells of none
-	revision uint64
-	values   map[string]*fleetValue
-	log      []fleetChange
-	leases   map[uint64]*fleetLease
-	next     uint64
+	down               bool
+	refusesConnections bool          // it is down, and its machine says so to whoever connects
+	mute               time.Duration // until when watches hear of no change
+	era                era.Era       // 0: it tells of none
+	revision           uint64
+	values             map[string]*fleetValue
+	log                []fleetChange
+	leases             map[uint64]*fleetLease
+	next               uint64
 }
 
 type fleetValue struct {
@@ -770,7 +770,7 @@
 	case w.hung:
 		fails(w.limit, "no answer")
 		return
-	case w.cut, f.store.closed && !n.noStore && !n.noUpdates && !f.cutZones[n.id.Zone]:
+	case w.cut, f.store.refusesConnections && !n.noStore && !n.noUpdates && !f.cutZones[n.id.Zone]:
 		fails(f.now, "refused")
 		return
 	case n.noStore || n.noUpdates || f.store.down || f.cutZones[n.id.Zone]:
--- a/core/instance/leaving_test.go
+++ b/core/instance/leaving_test.go
@@ -70,7 +70,7 @@
 // of changes is no disturbance: the rule binds all the same.
 func (l *leaveLab) observe() {
 	f := l.f
-	if f.store.down || f.store.closed || f.lostShare > 0 {
+	if f.store.down || f.store.refusesConnections || f.lostShare > 0 {
 		l.storeBad = f.now
 	}
 	for _, name := range f.names {
@@ -222,10 +222,10 @@
 // down has the store be away for a while, with a word to whoever connects or without one.
 func (l *leaveLab) down(span time.Duration, closed bool) {
 	l.f.store.down = true
-	l.f.store.closed = closed
+	l.f.store.refusesConnections = closed
 	l.f.at(span, func() {
 		l.f.store.down = false
-		l.f.store.closed = false
+		l.f.store.refusesConnections = false
 	})
 }
 
--- a/core/instance/outage_test.go
+++ b/core/instance/outage_test.go
@@ -42,9 +42,9 @@
 
 // endOutage has the store come back after an outage that all members shared.
 func endOutage(f *fleet, closed bool) outageEnd {
-	f.store.down, f.store.closed = true, closed
+	f.store.down, f.store.refusesConnections = true, closed
 	f.run(5 * time.Second)
-	f.store.down, f.store.closed = false, false
+	f.store.down, f.store.refusesConnections = false, false
 	back := clocktest.At(time.Hour + f.now)
 	from := f.now
 	f.storeCallTimes = nil
--- a/core/instance/stepback_test.go
+++ b/core/instance/stepback_test.go
@@ -65,10 +65,10 @@
 // What replicas wrote since they write again.
 func (f *fleet) stepBack(span time.Duration) {
 	f.store.down = true
-	f.store.closed = true
+	f.store.refusesConnections = true
 	f.at(restoring, func() {
 		f.store.down = false
-		f.store.closed = false
+		f.store.refusesConnections = false
 		f.restore(f.now - span)
 	})
 }
