--- a/core/instance/announced_world_test.go
+++ b/core/instance/announced_world_test.go
@@ -116,7 +116,7 @@
 type fleetStore struct {
 	down               bool
 	refusesConnections bool          // it is down, and its machine says so to whoever connects
-	mute               time.Duration // until when watches hear of no change
+	muteUntil          time.Duration // until when watches hear of no change
 	era                era.Era       // 0: it tells of none
 	revision           uint64
 	values             map[string]*fleetValue
@@ -780,7 +780,7 @@
 	f.watches++
 	whole := w.whole || n.watchPosition == 0 || n.watchPosition.Era() != f.store.era
 	at, changes := f.number(f.store.revision), f.changesFor(n, whole)
-	if f.now < f.store.mute && !whole {
+	if f.now < f.store.muteUntil && !whole {
 		at, changes = n.watchPosition, nil
 	}
 	if len(changes) == 0 && f.now < w.until {
--- a/core/instance/leaving_test.go
+++ b/core/instance/leaving_test.go
@@ -202,7 +202,7 @@
 // watches are cut, with a reset or without a word, and go on from the whole.
 func (l *leaveLab) forget(silent bool) {
 	f := l.f
-	f.store.mute = f.now + time.Second
+	f.store.muteUntil = f.now + time.Second
 	f.at(time.Second, func() {
 		for _, n := range l.everyone() {
 			n.watchPosition = 0
