--- a/core/instance/announced_world_test.go
+++ b/core/instance/announced_world_test.go
@@ -122,7 +122,7 @@
 	values             map[string]*fleetValue
 	log                []fleetChange
 	leases             map[uint64]*fleetLease
-	next               uint64
+	nextLease          uint64
 }
 
 type fleetValue struct {
@@ -216,7 +216,7 @@
 		adapterShare:    0.4,
 		promptTokens:    4000,
 		doc:             fleetDocument(),
-		store:           fleetStore{values: map[string]*fleetValue{}, leases: map[uint64]*fleetLease{}, next: firstLease},
+		store:           fleetStore{values: map[string]*fleetValue{}, leases: map[uint64]*fleetLease{}, nextLease: firstLease},
 		engines:         map[string]*fleetEngine{},
 		members:         map[string]*fleetMember{},
 		logCounts:       map[logevent.Number]int{},
@@ -590,8 +590,8 @@
 }
 
 func (f *fleet) enrol(n *fleetMember, a ownership.Enrol) step.Event {
-	f.store.next++
-	lease := f.store.next
+	f.store.nextLease++
+	lease := f.store.nextLease
 	f.store.leases[lease] = &fleetLease{expires: f.now + a.Term, term: a.Term}
 	i := a.Instance
 	f.change("instances/"+i.Name, &fleetValue{data: &i, lease: lease})
--- a/core/instance/stepback_test.go
+++ b/core/instance/stepback_test.go
@@ -45,7 +45,7 @@
 func (f *fleet) keepStoreCopies() {
 	s := &f.store
 	c := fleetCopy{
-		at: f.now, revision: s.revision, next: s.next, values: maps.Clone(s.values),
+		at: f.now, revision: s.revision, next: s.nextLease, values: maps.Clone(s.values),
 		leases: map[uint64]fleetLease{}, changes: len(s.log),
 	}
 	for id, l := range s.leases {
@@ -81,7 +81,7 @@
 	c := f.storeCopies[len(f.storeCopies)-1]
 	s := &f.store
 	s.revision = c.revision
-	s.next = c.next
+	s.nextLease = c.next
 	s.values = maps.Clone(c.values)
 	s.log = s.log[:c.changes:c.changes]
 	s.era++
