--- a/core/instance/stepback_test.go
+++ b/core/instance/stepback_test.go
@@ -33,19 +33,19 @@
 
 // A fleetCopy is the store as it was at some moment.
 type fleetCopy struct {
-	at       time.Duration
-	revision uint64
-	next     uint64
-	values   map[string]*fleetValue
-	leases   map[uint64]fleetLease
-	changes  int // of the log
+	at        time.Duration
+	revision  uint64
+	nextLease uint64
+	values    map[string]*fleetValue
+	leases    map[uint64]fleetLease
+	changes   int // of the log
 }
 
 // keepStoreCopies has the store copied again and again from now on.
 func (f *fleet) keepStoreCopies() {
 	s := &f.store
 	c := fleetCopy{
-		at: f.now, revision: s.revision, next: s.nextLease, values: maps.Clone(s.values),
+		at: f.now, revision: s.revision, nextLease: s.nextLease, values: maps.Clone(s.values),
 		leases: map[uint64]fleetLease{}, changes: len(s.log),
 	}
 	for id, l := range s.leases {
@@ -81,7 +81,7 @@
 	c := f.storeCopies[len(f.storeCopies)-1]
 	s := &f.store
 	s.revision = c.revision
-	s.nextLease = c.next
+	s.nextLease = c.nextLease
 	s.values = maps.Clone(c.values)
 	s.log = s.log[:c.changes:c.changes]
 	s.era++
