--- a/core/instance/announced_world_test.go
+++ b/core/instance/announced_world_test.go
@@ -144,26 +144,26 @@
 
 // A fleetEngine is one engine that announces itself.
 type fleetEngine struct {
-	name     string
-	address  string // "": its name
-	zone     string
-	sequence uint64
-	models   map[string]bool
-	adapters map[string]bool // MODEL/ADAPTER
-	took     map[string]bool // adapters that were loaded in this life
-	busy     bool
-	pending  string // the model that comes
-	onDisk   map[string]bool
-	holder   string
-	heldAt   time.Duration
-	fence    era.Revision
-	loadedAt map[string]time.Duration
-	born     int // lives under this name
-	gone     bool
-	dead     bool // its process ended without a word
-	afterEnd int  // orders that came to its address since then
-	leaving  bool // it says so
-	silent   bool // it leaves and does not say so: its entry went
+	name           string
+	address        string // "": its name
+	zone           string
+	sequence       uint64
+	models         map[string]bool
+	adapters       map[string]bool // MODEL/ADAPTER
+	loadedAdapters map[string]bool // adapters that were loaded in this life
+	busy           bool
+	pending        string // the model that comes
+	onDisk         map[string]bool
+	holder         string
+	heldAt         time.Duration
+	fence          era.Revision
+	loadedAt       map[string]time.Duration
+	born           int // lives under this name
+	gone           bool
+	dead           bool // its process ended without a word
+	afterEnd       int  // orders that came to its address since then
+	leaving        bool // it says so
+	silent         bool // it leaves and does not say so: its entry went
 }
 
 const (
@@ -585,7 +585,7 @@
 	e.sequence = 0
 	e.fence = 0
 	e.adapters = map[string]bool{}
-	e.took = nil
+	e.loadedAdapters = nil
 	f.announce(e)
 }
 
@@ -923,10 +923,10 @@
 				return orders.AnswerInvalid
 			}
 			e.adapters[adapter] = true
-			if e.took == nil {
-				e.took = map[string]bool{}
+			if e.loadedAdapters == nil {
+				e.loadedAdapters = map[string]bool{}
 			}
-			e.took[adapter] = true
+			e.loadedAdapters[adapter] = true
 			if len(e.adapters) > 2 {
 				f.recordViolation("%s holds %d adapters", e.name, len(e.adapters))
 			}
--- a/core/instance/lives_test.go
+++ b/core/instance/lives_test.go
@@ -57,7 +57,7 @@
 		f.run(5 * time.Second)
 		is.True(e.models["m0"])
 		is.Equal(f.askOwner(e, orders.Request{Load: true, Model: "m0", Adapter: "a9"}), owned.Done)
-		is.True(e.took["m0/a9"]) // it may have made way for one that calls ask for since
+		is.True(e.loadedAdapters["m0/a9"]) // it may have made way for one that calls ask for since
 		is.Equal(f.violations, nil)
 	}
 }
