--- a/core/instance/announced_world_test.go
+++ b/core/instance/announced_world_test.go
@@ -154,7 +154,7 @@
 	busy           bool
 	pending        string // the model that comes
 	onDisk         map[string]bool
-	holder         string
+	orderedBy      string
 	heldAt         time.Duration
 	fence          era.Revision
 	loadedAt       map[string]time.Duration
@@ -890,13 +890,13 @@
 // and that fences only rise.
 func (f *fleet) checkHolder(holder string, a owned.SendOrder) {
 	e := f.engines[a.Engine]
-	if e.holder != "" && e.holder != holder && f.now-e.heldAt < f.opt.TurnGap {
-		f.recordViolation("%s ordered %s %v after %s", holder, e.name, f.now-e.heldAt, e.holder)
+	if e.orderedBy != "" && e.orderedBy != holder && f.now-e.heldAt < f.opt.TurnGap {
+		f.recordViolation("%s ordered %s %v after %s", holder, e.name, f.now-e.heldAt, e.orderedBy)
 	}
-	if a.Fence < e.fence || a.Fence == e.fence && e.holder != holder && e.holder != "" {
-		f.recordViolation("%s ordered %s under fence %v after %v of %s", holder, e.name, a.Fence, e.fence, e.holder)
+	if a.Fence < e.fence || a.Fence == e.fence && e.orderedBy != holder && e.orderedBy != "" {
+		f.recordViolation("%s ordered %s under fence %v after %v of %s", holder, e.name, a.Fence, e.fence, e.orderedBy)
 	}
-	e.holder = holder
+	e.orderedBy = holder
 	e.heldAt = f.now
 	e.fence = a.Fence
 }
@@ -1129,14 +1129,14 @@
 func (f *fleet) giver() *fleetMember {
 	var last *fleetEngine
 	for _, name := range sortedKeys(f.engines) {
-		if e := f.engines[name]; e.holder != "" && (last == nil || e.heldAt > last.heldAt) {
+		if e := f.engines[name]; e.orderedBy != "" && (last == nil || e.heldAt > last.heldAt) {
 			last = e
 		}
 	}
 	if last == nil {
 		return f.anyMember()
 	}
-	return f.members[last.holder]
+	return f.members[last.orderedBy]
 }
 
 var fleetStorms = []fleetStorm{
