--- a/core/instance/announced_world_test.go
+++ b/core/instance/announced_world_test.go
@@ -155,7 +155,7 @@
 	pending        string // the model that comes
 	onDisk         map[string]bool
 	orderedBy      string
-	heldAt         time.Duration
+	orderedAt      time.Duration
 	fence          era.Revision
 	loadedAt       map[string]time.Duration
 	born           int // lives under this name
@@ -890,14 +890,14 @@
 // and that fences only rise.
 func (f *fleet) checkHolder(holder string, a owned.SendOrder) {
 	e := f.engines[a.Engine]
-	if e.orderedBy != "" && e.orderedBy != holder && f.now-e.heldAt < f.opt.TurnGap {
-		f.recordViolation("%s ordered %s %v after %s", holder, e.name, f.now-e.heldAt, e.orderedBy)
+	if e.orderedBy != "" && e.orderedBy != holder && f.now-e.orderedAt < f.opt.TurnGap {
+		f.recordViolation("%s ordered %s %v after %s", holder, e.name, f.now-e.orderedAt, e.orderedBy)
 	}
 	if a.Fence < e.fence || a.Fence == e.fence && e.orderedBy != holder && e.orderedBy != "" {
 		f.recordViolation("%s ordered %s under fence %v after %v of %s", holder, e.name, a.Fence, e.fence, e.orderedBy)
 	}
 	e.orderedBy = holder
-	e.heldAt = f.now
+	e.orderedAt = f.now
 	e.fence = a.Fence
 }
 
@@ -1129,7 +1129,7 @@
 func (f *fleet) giver() *fleetMember {
 	var last *fleetEngine
 	for _, name := range sortedKeys(f.engines) {
-		if e := f.engines[name]; e.orderedBy != "" && (last == nil || e.heldAt > last.heldAt) {
+		if e := f.engines[name]; e.orderedBy != "" && (last == nil || e.orderedAt > last.orderedAt) {
 			last = e
 		}
 	}
