--- a/core/instance/announced_world_test.go
+++ b/core/instance/announced_world_test.go
@@ -158,7 +158,7 @@
 	orderedAt      time.Duration
 	fence          era.Revision
 	loadedAt       map[string]time.Duration
-	born           int // lives under this name
+	starts         int // lives under this name
 	gone           bool
 	dead           bool // its process ended without a word
 	afterEnd       int  // orders that came to its address since then
@@ -567,7 +567,7 @@
 }
 
 func (f *fleet) announce(e *fleetEngine) {
-	a := &pool.Announcement{Service: "llm", Address: cmp.Or(e.address, e.name), Zone: e.zone, Slots: 8, Engine: true, Born: fmt.Sprint(e.born), Leaving: e.leaving}
+	a := &pool.Announcement{Service: "llm", Address: cmp.Or(e.address, e.name), Zone: e.zone, Slots: 8, Engine: true, Born: fmt.Sprint(e.starts), Leaving: e.leaving}
 	for _, m := range sortedKeys(e.models) {
 		a.Models = append(a.Models, pool.AnnouncedModel{Name: m})
 	}
@@ -581,7 +581,7 @@
 func (f *fleet) startAgain(e *fleetEngine) {
 	e.dead = false
 	e.busy = false
-	e.born++
+	e.starts++
 	e.sequence = 0
 	e.fence = 0
 	e.adapters = map[string]bool{}
@@ -963,9 +963,9 @@
 
 // inThisLife has an engine do something after a span, if it has not started again by then.
 func (f *fleet) inThisLife(e *fleetEngine, after time.Duration, do func()) {
-	born := e.born
+	born := e.starts
 	f.at(after, func() {
-		if e.born == born {
+		if e.starts == born {
 			do()
 		}
 	})
--- a/core/instance/limit_test.go
+++ b/core/instance/limit_test.go
@@ -151,14 +151,14 @@
 }
 
 func (l *limitLab) note(n *fleetMember, boot uint64, e *fleetEngine) {
-	l.reaches[e] = append(l.reaches[e], limitReach{l.f.now, noticeTo{n.id.Name, boot, e.name, e.born}})
+	l.reaches[e] = append(l.reaches[e], limitReach{l.f.now, noticeTo{n.id.Name, boot, e.name, e.starts}})
 }
 
 // say has what an engine says of itself now reach an instance.
 func (l *limitLab) say(n *fleetMember, boot uint64, e *fleetEngine, way time.Duration, sent clock.Instant) {
 	said := l.also[e]
 	said.Limit = l.limit(e)
-	to := noticeTo{n.id.Name, boot, e.name, e.born}
+	to := noticeTo{n.id.Name, boot, e.name, e.starts}
 	l.f.at(way, func() {
 		if _, known := l.told[to]; said.Limit.Named && !known && !n.dead && !n.frozen && n.boot == boot {
 			l.told[to] = l.f.now
--- a/core/instance/notice_test.go
+++ b/core/instance/notice_test.go
@@ -107,7 +107,7 @@
 // reached notes that something sent at sent reached an engine, and returns what the
 // engine says of itself in its answer.
 func (l *noticeLab) reached(n *fleetMember, boot uint64, e *fleetEngine, sent time.Duration) pool.Notice {
-	to := noticeTo{n.id.Name, boot, e.name, e.born}
+	to := noticeTo{n.id.Name, boot, e.name, e.starts}
 	if at, told := l.told[to]; told && sent > at+noticeLeft {
 		l.late++
 	}
@@ -121,7 +121,7 @@
 	if said.IsZero() {
 		return
 	}
-	to := noticeTo{n.id.Name, boot, e.name, e.born}
+	to := noticeTo{n.id.Name, boot, e.name, e.starts}
 	l.f.at(fleetWay, func() {
 		if _, known := l.told[to]; said.Leaving && !known && !n.dead && !n.frozen && n.boot == boot {
 			l.told[to] = l.f.now
