--- a/core/instance/notice_test.go
+++ b/core/instance/notice_test.go
@@ -71,7 +71,7 @@
 	member string
 	boot   uint64
 	engine string
-	born   int
+	starts int
 }
 
 // A noticeReach is one request that reached an engine.
