--- a/core/instance/announced_world_test.go
+++ b/core/instance/announced_world_test.go
@@ -161,7 +161,7 @@
 	starts         int // lives under this name
 	gone           bool
 	dead           bool // its process ended without a word
-	afterEnd       int  // orders that came to its address since then
+	ordersAfterEnd int  // orders that came to its address since then
 	leaving        bool // it says so
 	silent         bool // it leaves and does not say so: its entry went
 }
@@ -908,7 +908,7 @@
 	model, adapter := r.Model, r.Item()
 	switch {
 	case e.dead:
-		e.afterEnd++
+		e.ordersAfterEnd++
 		return orders.AnswerNotSent
 	case e.gone:
 		return orders.AnswerMisdirected
--- a/core/instance/crash_test.go
+++ b/core/instance/crash_test.go
@@ -505,8 +505,8 @@
 		l.f.step(owner, owner.boot, owned.RequestReceived{Token: owner.token, Engine: e.name, Request: request})
 	}
 	l.f.run(100 * time.Millisecond)
-	t.Logf("%d orders to an engine that had ended", e.afterEnd)
-	is.Equal(e.afterEnd, 1)
+	t.Logf("%d orders to an engine that had ended", e.ordersAfterEnd)
+	is.Equal(e.ordersAfterEnd, 1)
 	is.Equal(len(answers), 3)
 	for _, a := range answers {
 		is.Equal(a.Outcome, owned.Refused)
