--- a/core/instance/announced_world_test.go
+++ b/core/instance/announced_world_test.go
@@ -163,7 +163,7 @@
 	dead           bool // its process ended without a word
 	ordersAfterEnd int  // orders that came to its address since then
 	leaving        bool // it says so
-	silent         bool // it leaves and does not say so: its entry went
+	leavesSilently bool // it leaves and does not say so: its entry went
 }
 
 const (
--- a/core/instance/leaving_test.go
+++ b/core/instance/leaving_test.go
@@ -127,7 +127,7 @@
 		return // its word is not taken
 	}
 	l.took(e)
-	e.silent = silent
+	e.leavesSilently = silent
 	e.leaving = !silent
 	if silent {
 		f.change("servers/"+e.name, nil)
@@ -235,7 +235,7 @@
 	const writes = 10
 	for range writes {
 		for _, name := range sortedKeys(l.f.engines) {
-			if e := l.f.engines[name]; !e.gone && !e.silent {
+			if e := l.f.engines[name]; !e.gone && !e.leavesSilently {
 				l.f.announce(e)
 			}
 		}
--- a/core/instance/stepback_test.go
+++ b/core/instance/stepback_test.go
@@ -91,7 +91,7 @@
 	}
 	for _, name := range sortedKeys(f.engines) {
 		e := f.engines[name]
-		if e.silent || e.gone {
+		if e.leavesSilently || e.gone {
 			f.comesBack(e)
 			continue
 		}
