--- a/core/instance/announced_world_test.go
+++ b/core/instance/announced_world_test.go
@@ -349,7 +349,7 @@
 // firstLease is where the store's leases begin, which are any numbers.
 const firstLease = 1 << 62
 
-const fleetWay = 2 * time.Millisecond
+const fleetLatency = 2 * time.Millisecond
 
 func (f *fleet) do(n *fleetMember, boot uint64, a step.Action) {
 	reply := func(d time.Duration, ev step.Event) { f.at(d, func() { f.step(n, boot, ev) }) }
@@ -357,7 +357,7 @@
 	case step.Log:
 		f.logCounts[act.Event]++
 	case watch.SendRequest:
-		f.at(fleetWay, func() { f.watch(n, boot, act) })
+		f.at(fleetLatency, func() { f.watch(n, boot, act) })
 	case ownership.Enrol:
 		f.storeCall(n, nil, func() (step.Event, bool) { return f.enrol(n, act), true }, func(err error) step.Event { return ownership.EnrolReply{Err: err} }, reply)
 	case ownership.RenewLease:
@@ -388,7 +388,7 @@
 		f.storeCall(n, in(act.Write.Era()), func() (step.Event, bool) { return f.write(act, sent), true }, func(err error) step.Event { return ownership.WriteReply{Write: act.Write, Err: err} }, reply)
 	case quarantine.Check:
 		e := f.engines[act.Replica.Name]
-		reply(2*fleetWay, quarantine.Checked{Replica: act.Replica, Ended: e.dead && !f.severed(n.id.Zone, e.zone)})
+		reply(2*fleetLatency, quarantine.Checked{Replica: act.Replica, Ended: e.dead && !f.severed(n.id.Zone, e.zone)})
 	case quarantine.StoreVerdict:
 		f.storeCall(n, nil, func() (step.Event, bool) {
 			q := act.Quarantine
@@ -407,24 +407,24 @@
 			return
 		}
 		if f.limits != nil {
-			f.limits.reached(n, boot, f.engines[act.Engine], fleetWay, f.clock(n))
+			f.limits.reached(n, boot, f.engines[act.Engine], fleetLatency, f.clock(n))
 		}
 		f.sendOrder(n, act, reply)
 	case owned.QueryState:
 		sent := f.clock(n)
-		f.at(fleetWay, func() {
+		f.at(fleetLatency, func() {
 			e := f.engines[act.Engine]
 			if f.notices != nil && f.notices.turnsAwayQuestion(n, boot, e, sent, reply) {
 				return
 			}
 			if e.dead {
-				reply(fleetWay, owned.StateReply{Engine: act.Engine, Sent: sent, Err: errors.New("nothing listens")})
+				reply(fleetLatency, owned.StateReply{Engine: act.Engine, Sent: sent, Err: errors.New("nothing listens")})
 				return
 			}
 			if f.limits != nil {
 				f.limits.reached(n, boot, e, 0, sent)
 			}
-			reply(fleetWay, owned.StateReply{Engine: act.Engine, Sent: sent, State: e.state()})
+			reply(fleetLatency, owned.StateReply{Engine: act.Engine, Sent: sent, State: e.state()})
 		})
 	case forwarding.ProbeEngine:
 		f.probe(n, boot, act, reply)
@@ -490,16 +490,16 @@
 		return
 	}
 	if f.limits != nil {
-		f.limits.reached(n, boot, e, fleetWay, sent)
+		f.limits.reached(n, boot, e, fleetLatency, sent)
 	}
-	reply(2*fleetWay, forwarding.ProbeReply{Call: a.Call, Engine: a.Engine, Sent: sent})
+	reply(2*fleetLatency, forwarding.ProbeReply{Call: a.Call, Engine: a.Engine, Sent: sent})
 }
 
 // serve has a call run, or be refused, at its engine.
 func (f *fleet) serve(d calls.Dispatch, reply func(time.Duration, step.Event)) {
 	e := f.engines[d.Replica]
 	if e == nil || e.gone || !e.models[d.Model] || d.Adapter != "" && !e.adapters[d.Model+"/"+d.Adapter] {
-		reply(2*fleetWay, calls.AttemptFailed{ID: d.ID, Attempt: d.Attempt, Phase: 4, Misdirected: true, Incarnation: d.Replica})
+		reply(2*fleetLatency, calls.AttemptFailed{ID: d.ID, Attempt: d.Attempt, Phase: 4, Misdirected: true, Incarnation: d.Replica})
 		return
 	}
 	f.served++
@@ -518,18 +518,18 @@
 	errLost := errors.New("no answer")
 	former := func() bool { return made != nil && *made != n.knownEra }
 	if former() {
-		reply(fleetWay, ownership.EraObserved{Era: n.knownEra})
-		reply(fleetWay, failed(errors.New("a number of a former era")))
+		reply(fleetLatency, ownership.EraObserved{Era: n.knownEra})
+		reply(fleetLatency, failed(errors.New("a number of a former era")))
 		return
 	}
 	if n.noStore || f.cutZones[n.id.Zone] {
 		reply(time.Second, failed(errLost))
 		return
 	}
-	f.at(fleetWay, func() {
+	f.at(fleetLatency, func() {
 		f.storeCallTimes = append(f.storeCallTimes, f.now)
 		if f.store.down {
-			reply(fleetWay, failed(errors.New("refused")))
+			reply(fleetLatency, failed(errors.New("refused")))
 			return
 		}
 		if f.rng.Float64() < f.lostShare {
@@ -543,11 +543,11 @@
 		}
 		n.knownEra = f.store.era
 		if former() {
-			reply(fleetWay, ownership.EraObserved{Era: n.knownEra})
-			reply(fleetWay, failed(errors.New("answered in a later era")))
+			reply(fleetLatency, ownership.EraObserved{Era: n.knownEra})
+			reply(fleetLatency, failed(errors.New("answered in a later era")))
 			return
 		}
-		reply(fleetWay, ev)
+		reply(fleetLatency, ev)
 	})
 }
 
@@ -762,7 +762,7 @@
 func (f *fleet) poll(n *fleetMember, w *fleetWatch) {
 	fails := func(at time.Duration, why string) {
 		n.pendingWatches = slices.DeleteFunc(n.pendingWatches, func(x *fleetWatch) bool { return x == w })
-		f.at(max(fleetWay, at-f.now), func() { f.step(n, w.boot, watch.Reply{ID: w.id, Err: errors.New(why)}) })
+		f.at(max(fleetLatency, at-f.now), func() { f.step(n, w.boot, watch.Reply{ID: w.id, Err: errors.New(why)}) })
 	}
 	switch {
 	case n.dead || n.boot != w.boot:
@@ -790,7 +790,7 @@
 	n.pendingWatches = slices.DeleteFunc(n.pendingWatches, func(x *fleetWatch) bool { return x == w })
 	n.knownEra = f.store.era
 	n.watchPosition = max(n.watchPosition, at)
-	f.at(fleetWay, func() { f.deliver(n, w, changes, at, whole) })
+	f.at(fleetLatency, func() { f.deliver(n, w, changes, at, whole) })
 }
 
 // changesFor returns what a member's watch has not brought yet.
@@ -875,14 +875,14 @@
 		return owned.OrderReply{Engine: a.Engine, Fence: a.Fence, Answer: answer}
 	}
 	if f.rng.Float64() < f.lateShare {
-		f.at(fleetWay, func() { f.checkHolder(n.id.Name, a) })
+		f.at(fleetLatency, func() { f.checkHolder(n.id.Name, a) })
 		f.at(time.Duration(2000+f.rng.IntN(10000))*time.Millisecond, func() { f.applyOrder(a) })
 		reply(500*time.Millisecond, out(orders.AnswerLost))
 		return
 	}
-	f.at(fleetWay, func() {
+	f.at(fleetLatency, func() {
 		f.checkHolder(n.id.Name, a)
-		reply(fleetWay, out(f.applyOrder(a)))
+		reply(fleetLatency, out(f.applyOrder(a)))
 	})
 }
 
@@ -1017,10 +1017,10 @@
 		reply(time.Second, out(owned.Failed))
 		return
 	}
-	f.at(fleetWay, func() {
+	f.at(fleetLatency, func() {
 		p.token++
 		token := p.token
-		p.orderReplies[token] = func(o owned.SendReply) { reply(fleetWay, out(o.Outcome)) }
+		p.orderReplies[token] = func(o owned.SendReply) { reply(fleetLatency, out(o.Outcome)) }
 		f.step(p, p.boot, owned.RequestReceived{Token: token, Engine: a.Engine, Request: a.Request})
 	})
 }
@@ -1033,10 +1033,10 @@
 		return
 	}
 	boot := p.boot
-	f.at(fleetWay, func() {
+	f.at(fleetLatency, func() {
 		p.token++
 		token := p.token
-		p.permitReplies[token] = func(v permits.Decision) { reply(fleetWay, permits.Reply{Token: a.Token, Verdict: v}) }
+		p.permitReplies[token] = func(v permits.Decision) { reply(fleetLatency, permits.Reply{Token: a.Token, Verdict: v}) }
 		f.step(p, boot, permits.RequestReceived{Token: token, From: n.id.Name, Request: a.Request})
 		f.at(a.Request.Wait+300*time.Millisecond, func() {
 			if p.boot == boot && p.permitReplies[token] == nil {
@@ -1053,11 +1053,11 @@
 		reply(time.Second, exchange.Reply{Peer: a.Peer, Address: a.Address, Err: errors.New("no answer")})
 		return
 	}
-	f.at(fleetWay, func() {
+	f.at(fleetLatency, func() {
 		p.token++
 		token := p.token
 		p.exchangeReplies[token] = func(msg gossip.Message) {
-			reply(fleetWay, exchange.Reply{Peer: a.Peer, Address: a.Address, Message: msg})
+			reply(fleetLatency, exchange.Reply{Peer: a.Peer, Address: a.Address, Message: msg})
 		}
 		f.step(p, p.boot, exchange.RequestReceived{Token: token, Message: a.Message})
 	})
--- a/core/instance/crash_test.go
+++ b/core/instance/crash_test.go
@@ -133,10 +133,10 @@
 		failed(500*time.Millisecond, calls.AttemptFailed{Phase: attempt.NotSent, Detail: "no way there"})
 		return
 	case e.dead:
-		failed(fleetWay, calls.AttemptFailed{Phase: attempt.NotSent, Unreachable: true})
+		failed(fleetLatency, calls.AttemptFailed{Phase: attempt.NotSent, Unreachable: true})
 		return
 	case !e.models[d.Model] || d.Adapter != "" && !e.adapters[d.Model+"/"+d.Adapter]:
-		failed(fleetWay, calls.AttemptFailed{Phase: attempt.Refused, Misdirected: true, Incarnation: d.Replica})
+		failed(fleetLatency, calls.AttemptFailed{Phase: attempt.Refused, Misdirected: true, Incarnation: d.Replica})
 		return
 	}
 	c.ran = true
@@ -188,7 +188,7 @@
 		b.Phase = attempt.Answered
 		b.Delivered = 1
 	}
-	r.reply(fleetWay, b)
+	r.reply(fleetLatency, b)
 }
 
 // end ends an engine; another one starts at its address after a while.
--- a/core/instance/limit_test.go
+++ b/core/instance/limit_test.go
@@ -146,7 +146,7 @@
 func (l *limitLab) reached(n *fleetMember, boot uint64, e *fleetEngine, way time.Duration, sent clock.Instant) {
 	l.f.at(way, func() {
 		l.note(n, boot, e)
-		l.say(n, boot, e, fleetWay, sent)
+		l.say(n, boot, e, fleetLatency, sent)
 	})
 }
 
@@ -179,25 +179,25 @@
 		failed(500*time.Millisecond, calls.AttemptFailed{Phase: attempt.NotSent, Detail: "no way there"})
 		return
 	case e.dead:
-		failed(fleetWay, calls.AttemptFailed{Phase: attempt.NotSent, Unreachable: true})
+		failed(fleetLatency, calls.AttemptFailed{Phase: attempt.NotSent, Unreachable: true})
 		return
 	}
 	sent := l.f.clock(n)
-	l.f.at(fleetWay, func() {
+	l.f.at(fleetLatency, func() {
 		l.note(n, boot, e)
 		if l.also[e].Rest > 0 {
-			l.say(n, boot, e, fleetWay, sent)
-			failed(fleetWay, calls.AttemptFailed{Phase: attempt.Refused, Status: 503})
+			l.say(n, boot, e, fleetLatency, sent)
+			failed(fleetLatency, calls.AttemptFailed{Phase: attempt.Refused, Status: 503})
 			return
 		}
 		if !e.models[d.Model] || d.Adapter != "" && !e.adapters[d.Model+"/"+d.Adapter] {
-			l.say(n, boot, e, fleetWay, sent)
-			failed(fleetWay, calls.AttemptFailed{Phase: attempt.Refused, Misdirected: true, Incarnation: d.Replica})
+			l.say(n, boot, e, fleetLatency, sent)
+			failed(fleetLatency, calls.AttemptFailed{Phase: attempt.Refused, Misdirected: true, Incarnation: d.Replica})
 			return
 		}
 		l.f.served++
-		l.say(n, boot, e, l.f.firstTokenDelay+fleetWay, sent)
-		reply(l.f.firstTokenDelay+fleetWay, calls.AnswerBegan{ID: d.ID})
+		l.say(n, boot, e, l.f.firstTokenDelay+fleetLatency, sent)
+		reply(l.f.firstTokenDelay+fleetLatency, calls.AnswerBegan{ID: d.ID})
 		reply(l.takes, calls.Completed{ID: d.ID})
 	})
 }
--- a/core/instance/notice_test.go
+++ b/core/instance/notice_test.go
@@ -122,7 +122,7 @@
 		return
 	}
 	to := noticeTo{n.id.Name, boot, e.name, e.starts}
-	l.f.at(fleetWay, func() {
+	l.f.at(fleetLatency, func() {
 		if _, known := l.told[to]; said.Leaving && !known && !n.dead && !n.frozen && n.boot == boot {
 			l.told[to] = l.f.now
 		}
@@ -142,11 +142,11 @@
 		failed(500*time.Millisecond, calls.AttemptFailed{Phase: attempt.NotSent, Detail: "no way there"})
 		return
 	case e.dead:
-		failed(fleetWay, calls.AttemptFailed{Phase: attempt.NotSent, Unreachable: true})
+		failed(fleetLatency, calls.AttemptFailed{Phase: attempt.NotSent, Unreachable: true})
 		return
 	}
 	sent := l.f.clock(n)
-	l.f.at(fleetWay, func() {
+	l.f.at(fleetLatency, func() {
 		if l.repeats != nil {
 			l.repeats.try(l.f.now, d.ID)
 		}
@@ -154,15 +154,15 @@
 		switch {
 		case said.Rest > 0:
 			l.say(n, boot, e, sent, said)
-			failed(fleetWay, calls.AttemptFailed{Phase: attempt.Refused, Status: 503})
+			failed(fleetLatency, calls.AttemptFailed{Phase: attempt.Refused, Status: 503})
 		case !e.models[d.Model] || d.Adapter != "" && !e.adapters[d.Model+"/"+d.Adapter]:
 			l.say(n, boot, e, sent, said)
-			failed(fleetWay, calls.AttemptFailed{Phase: attempt.Refused, Misdirected: true, Incarnation: d.Replica})
+			failed(fleetLatency, calls.AttemptFailed{Phase: attempt.Refused, Misdirected: true, Incarnation: d.Replica})
 		default:
 			l.f.at(l.f.firstTokenDelay, func() { l.say(n, boot, e, sent, said) })
 			l.f.served++
 			l.served[e]++
-			reply(l.f.firstTokenDelay+fleetWay, calls.AnswerBegan{ID: d.ID})
+			reply(l.f.firstTokenDelay+fleetLatency, calls.AnswerBegan{ID: d.ID})
 			reply(400*time.Millisecond, calls.Completed{ID: d.ID})
 		}
 	})
@@ -177,19 +177,19 @@
 	if said.Rest == 0 {
 		return false
 	}
-	reply(2*fleetWay, owned.OrderReply{Engine: a.Engine, Fence: a.Fence, Answer: orders.AnswerLost})
+	reply(2*fleetLatency, owned.OrderReply{Engine: a.Engine, Fence: a.Fence, Answer: orders.AnswerLost})
 	return true
 }
 
 // turnsAwayQuestion takes in that an engine is asked for its state, and reports whether
 // it turned that away.
 func (l *noticeLab) turnsAwayQuestion(n *fleetMember, boot uint64, e *fleetEngine, sent clock.Instant, reply func(time.Duration, step.Event)) bool {
-	said := l.reached(n, boot, e, l.f.now-fleetWay)
+	said := l.reached(n, boot, e, l.f.now-fleetLatency)
 	l.say(n, boot, e, sent, said)
 	if said.Rest == 0 {
 		return false
 	}
-	reply(fleetWay, owned.StateReply{Engine: e.name, Sent: sent, Err: errors.New("status 503")})
+	reply(fleetLatency, owned.StateReply{Engine: e.name, Sent: sent, Err: errors.New("status 503")})
 	return true
 }
 
