--- a/core/instance/announced_world_test.go
+++ b/core/instance/announced_world_test.go
@@ -167,14 +167,14 @@
 }
 
 const (
-	fleetModelMB = 70
-	fleetRate    = 0.6 // loads from the weight store a second
-	fleetEngines = 8
-	fleetModels  = 12
+	fleetModelMB  = 70
+	fleetLoadRate = 0.6 // loads from the weight store a second
+	fleetEngines  = 8
+	fleetModels   = 12
 )
 
 func fleetDocument() config.Document {
-	engine := &config.EnginePool{Sequences: 8, CacheTokens: 1000, MemoryMB: 3*fleetModelMB + 5, MaxAdapters: 2, LoadsPerSecond: fleetRate}
+	engine := &config.EnginePool{Sequences: 8, CacheTokens: 1000, MemoryMB: 3*fleetModelMB + 5, MaxAdapters: 2, LoadsPerSecond: fleetLoadRate}
 	for i := range fleetModels {
 		engine.Models = append(engine.Models, config.PooledModel{
 			Name: fmt.Sprintf("m%d", i), MemoryMB: fleetModelMB, AdapterCount: 4, AdapterMB: 1,
@@ -1003,7 +1003,7 @@
 			n++
 		}
 	}
-	if most := fleetRate*5*1.1 + 3; float64(n) > most {
+	if most := fleetLoadRate*5*1.1 + 3; float64(n) > most {
 		f.recordViolation("%d loads from the store within %v", n, window)
 	}
 }
