--- a/core/instance/announced_world_test.go
+++ b/core/instance/announced_world_test.go
@@ -313,7 +313,7 @@
 		return
 	}
 	for _, a := range slices.Clone(n.m.Step(f.clock(n), ev)) {
-		f.do(n, boot, a)
+		f.perform(n, boot, a)
 	}
 }
 
@@ -351,7 +351,7 @@
 
 const fleetLatency = 2 * time.Millisecond
 
-func (f *fleet) do(n *fleetMember, boot uint64, a step.Action) {
+func (f *fleet) perform(n *fleetMember, boot uint64, a step.Action) {
 	reply := func(d time.Duration, ev step.Event) { f.at(d, func() { f.step(n, boot, ev) }) }
 	switch act := a.(type) {
 	case step.Log:
