--- a/core/instance/announced_world_test.go
+++ b/core/instance/announced_world_test.go
@@ -362,7 +362,7 @@
 		f.storeCall(n, nil, func() (step.Event, bool) { return f.enrol(n, act), true }, func(err error) step.Event { return ownership.EnrolReply{Err: err} }, reply)
 	case ownership.RenewLease:
 		sent := f.clock(n)
-		f.storeCall(n, in(act.Lease.Era), func() (step.Event, bool) {
+		f.storeCall(n, ofEra(act.Lease.Era), func() (step.Event, bool) {
 			l := f.store.leases[act.Lease.ID]
 			if l == nil {
 				return ownership.RenewReply{Sent: sent, Lease: act.Lease, Over: true, Err: errors.New("over")}, false
@@ -371,7 +371,7 @@
 			return ownership.RenewReply{Sent: sent, Lease: act.Lease}, false
 		}, func(err error) step.Event { return ownership.RenewReply{Lease: act.Lease, Err: err} }, reply)
 	case ownership.Resign:
-		f.storeCall(n, in(act.Lease.Era), func() (step.Event, bool) {
+		f.storeCall(n, ofEra(act.Lease.Era), func() (step.Event, bool) {
 			for _, o := range act.Give {
 				if f.marked(o.Era, act.Depends) {
 					f.writeOwnership(o)
@@ -385,7 +385,7 @@
 		}, func(error) step.Event { return Tick{} }, reply)
 	case ownership.Write:
 		sent := f.clock(n)
-		f.storeCall(n, in(act.Write.Era()), func() (step.Event, bool) { return f.write(act, sent), true }, func(err error) step.Event { return ownership.WriteReply{Write: act.Write, Err: err} }, reply)
+		f.storeCall(n, ofEra(act.Write.Era()), func() (step.Event, bool) { return f.write(act, sent), true }, func(err error) step.Event { return ownership.WriteReply{Write: act.Write, Err: err} }, reply)
 	case quarantine.Check:
 		e := f.engines[act.Replica.Name]
 		reply(2*fleetLatency, quarantine.Checked{Replica: act.Replica, Ended: e.dead && !f.severed(n.id.Zone, e.zone)})
@@ -507,8 +507,8 @@
 	reply(400*time.Millisecond, calls.Completed{ID: d.ID})
 }
 
-// in returns the era that the numbers of a call are of, for storeCall.
-func in(e era.Era) *era.Era { return &e }
+// ofEra returns the era that the numbers of a call are of, for storeCall.
+func ofEra(e era.Era) *era.Era { return &e }
 
 // storeCall makes one call of the store. A write may take effect without an
 // answer, and seconds later. made is the era that the numbers of the call are of, nil if it has
