--- a/core/instance/announced_world_test.go
+++ b/core/instance/announced_world_test.go
@@ -551,8 +551,8 @@
 	})
 }
 
-// number returns a number that the store gives out now.
-func (f *fleet) number(raw uint64) era.Revision { return f.store.era.Revision(raw) }
+// revisionOf returns a revisionOf that the store gives out now.
+func (f *fleet) revisionOf(raw uint64) era.Revision { return f.store.era.Revision(raw) }
 
 func (f *fleet) change(key string, v *fleetValue) uint64 {
 	f.store.revision++
@@ -660,7 +660,7 @@
 	if have != p.Revision.Raw() {
 		return 0
 	}
-	return f.number(f.change("placer", &fleetValue{data: &p, lease: lease}))
+	return f.revisionOf(f.change("placer", &fleetValue{data: &p, lease: lease}))
 }
 
 // marked reports whether the mark of an era stands at a revision, or none is asked for.
@@ -680,7 +680,7 @@
 	for _, e := range w.Former {
 		f.change(registry.EraRecord{Era: e}.Key(), nil)
 	}
-	return f.number(f.change(w.Mark.Key(), &fleetValue{data: w.Mark}))
+	return f.revisionOf(f.change(w.Mark.Key(), &fleetValue{data: w.Mark}))
 }
 
 func (f *fleet) write(a ownership.Write, sent clock.Instant) step.Event {
@@ -717,7 +717,7 @@
 		f.store.values["owners/"+o.Engine] = v
 		f.store.log = append(f.store.log, fleetChange{key: "owners/" + o.Engine, value: v, revision: f.store.revision})
 	}
-	r.Revision = f.number(f.store.revision)
+	r.Revision = f.revisionOf(f.store.revision)
 	return r
 }
 
@@ -779,7 +779,7 @@
 	}
 	f.watches++
 	whole := w.whole || n.watchPosition == 0 || n.watchPosition.Era() != f.store.era
-	at, changes := f.number(f.store.revision), f.changesFor(n, whole)
+	at, changes := f.revisionOf(f.store.revision), f.changesFor(n, whole)
 	if f.now < f.store.muteUntil && !whole {
 		at, changes = n.watchPosition, nil
 	}
