--- a/core/instance/announced_world_test.go
+++ b/core/instance/announced_world_test.go
@@ -393,13 +393,13 @@
 		f.storeCall(n, nil, func() (step.Event, bool) {
 			q := act.Quarantine
 			if f.store.values[q.Value().Key] == nil {
-				f.change(q.Value().Key, &fleetValue{data: &q})
+				f.setKey(q.Value().Key, &fleetValue{data: &q})
 			}
 			return quarantine.VerdictStored{Request: q.Request}, true
 		}, func(err error) step.Event { return quarantine.VerdictStored{Request: act.Quarantine.Request, Err: err} }, reply)
 	case quarantine.RemoveVerdict:
 		f.storeCall(n, nil, func() (step.Event, bool) {
-			f.change(act.Quarantine.Value().Key, nil)
+			f.setKey(act.Quarantine.Value().Key, nil)
 			return Tick{}, true
 		}, func(error) step.Event { return Tick{} }, reply)
 	case owned.SendOrder:
@@ -554,7 +554,7 @@
 // revisionOf returns a revisionOf that the store gives out now.
 func (f *fleet) revisionOf(raw uint64) era.Revision { return f.store.era.Revision(raw) }
 
-func (f *fleet) change(key string, v *fleetValue) uint64 {
+func (f *fleet) setKey(key string, v *fleetValue) uint64 {
 	f.store.revision++
 	if v != nil {
 		v.revision = f.store.revision
@@ -572,7 +572,7 @@
 		a.Models = append(a.Models, pool.AnnouncedModel{Name: m})
 	}
 	a.OnDisk = sortedKeys(e.onDisk)
-	f.change("servers/"+e.name, &fleetValue{data: a})
+	f.setKey("servers/"+e.name, &fleetValue{data: a})
 }
 
 // startAgain has an engine that ended start again under its name. It has forgotten which
@@ -594,7 +594,7 @@
 	lease := f.store.nextLease
 	f.store.leases[lease] = &fleetLease{expires: f.now + a.Term, term: a.Term}
 	i := a.Instance
-	f.change("instances/"+i.Name, &fleetValue{data: &i, lease: lease})
+	f.setKey("instances/"+i.Name, &fleetValue{data: &i, lease: lease})
 	return ownership.EnrolReply{Sent: f.clock(n), Lease: era.Lease{Era: f.store.era, ID: lease}}
 }
 
@@ -617,7 +617,7 @@
 	delete(f.store.leases, lease)
 	for _, key := range sortedKeys(f.store.values) {
 		if f.store.values[key].lease == lease {
-			f.change(key, nil)
+			f.setKey(key, nil)
 		}
 	}
 }
@@ -646,7 +646,7 @@
 	if have != o.Revision.Raw() {
 		return false
 	}
-	f.change(key, &fleetValue{data: &o})
+	f.setKey(key, &fleetValue{data: &o})
 	return true
 }
 
@@ -660,7 +660,7 @@
 	if have != p.Revision.Raw() {
 		return 0
 	}
-	return f.revisionOf(f.change("placer", &fleetValue{data: &p, lease: lease}))
+	return f.revisionOf(f.setKey("placer", &fleetValue{data: &p, lease: lease}))
 }
 
 // marked reports whether the mark of an era stands at a revision, or none is asked for.
@@ -678,9 +678,9 @@
 		return 0
 	}
 	for _, e := range w.Former {
-		f.change(registry.EraRecord{Era: e}.Key(), nil)
+		f.setKey(registry.EraRecord{Era: e}.Key(), nil)
 	}
-	return f.revisionOf(f.change(w.Mark.Key(), &fleetValue{data: w.Mark}))
+	return f.revisionOf(f.setKey(w.Mark.Key(), &fleetValue{data: w.Mark}))
 }
 
 func (f *fleet) write(a ownership.Write, sent clock.Instant) step.Event {
@@ -1417,7 +1417,7 @@
 	f.periodically(9*time.Second, 20*time.Second, func() func() {
 		n := f.giver()
 		n.noUpdates = true
-		f.change("instances/"+n.id.Name, nil)
+		f.setKey("instances/"+n.id.Name, nil)
 		return func() { n.noUpdates = false }
 	})
 }
--- a/core/instance/crash_test.go
+++ b/core/instance/crash_test.go
@@ -212,7 +212,7 @@
 	}
 	delete(l.runs, e.name)
 	if !l.keepsEntries {
-		l.f.at(labEntryLasts, func() { l.f.change("servers/"+e.name, nil) })
+		l.f.at(labEntryLasts, func() { l.f.setKey("servers/"+e.name, nil) })
 	}
 	l.f.at(labRestart, func() { l.restart(e) })
 }
@@ -241,7 +241,7 @@
 func (l *crashLab) drain(e *fleetEngine) {
 	a := *l.f.store.values["servers/"+e.name].data.(*pool.Announcement)
 	a.Leaving = true
-	l.f.change("servers/"+e.name, &fleetValue{data: &a})
+	l.f.setKey("servers/"+e.name, &fleetValue{data: &a})
 	l.f.at(2500*time.Millisecond, func() { l.end(e) })
 }
 
--- a/core/instance/leaving_test.go
+++ b/core/instance/leaving_test.go
@@ -130,13 +130,13 @@
 	e.leavesSilently = silent
 	e.leaving = !silent
 	if silent {
-		f.change("servers/"+e.name, nil)
+		f.setKey("servers/"+e.name, nil)
 	} else {
 		f.announce(e)
 	}
 	f.at(linger, func() {
 		e.gone = true
-		f.change("servers/"+e.name, nil)
+		f.setKey("servers/"+e.name, nil)
 	})
 }
 
--- a/core/instance/limit_test.go
+++ b/core/instance/limit_test.go
@@ -326,7 +326,7 @@
 	{"entries go and come back", 8, func(l *limitLab) {
 		l.f.periodically(1500*time.Millisecond, 700*time.Millisecond, func() func() {
 			e := l.engine(l.f.rng.IntN(6))
-			l.f.change("servers/"+e.name, nil)
+			l.f.setKey("servers/"+e.name, nil)
 			return func() { l.f.announce(e) }
 		})
 	}},
--- a/core/instance/notice_test.go
+++ b/core/instance/notice_test.go
@@ -279,7 +279,7 @@
 			var gone []*fleetEngine
 			for e := range l.leaving {
 				if !e.dead {
-					l.f.change("servers/"+e.name, nil)
+					l.f.setKey("servers/"+e.name, nil)
 					gone = append(gone, e)
 				}
 			}
--- a/core/instance/stepback_test.go
+++ b/core/instance/stepback_test.go
@@ -117,7 +117,7 @@
 		if f.store.values[key] == nil {
 			return
 		}
-		f.change(key, nil)
+		f.setKey(key, nil)
 		if f.leaves != nil {
 			f.leaves.took(e)
 		}
