--- a/core/instance/announced_world_test.go
+++ b/core/instance/announced_world_test.go
@@ -575,10 +575,10 @@
 	f.setKey("servers/"+e.name, &fleetValue{data: a})
 }
 
-// startAgain has an engine that ended start again under its name. It has forgotten which
+// restartEngine has an engine that ended start again under its name. It has forgotten which
 // orders it took; its models are put back, as its operators would, so that the fleet does
 // not run out of them.
-func (f *fleet) startAgain(e *fleetEngine) {
+func (f *fleet) restartEngine(e *fleetEngine) {
 	e.dead = false
 	e.busy = false
 	e.starts++
--- a/core/instance/crash_test.go
+++ b/core/instance/crash_test.go
@@ -221,7 +221,7 @@
 // models, so that the fleet does not run out of them.
 func (l *crashLab) restart(old *fleetEngine) {
 	if l.keepsNames {
-		l.f.startAgain(old)
+		l.f.restartEngine(old)
 		return
 	}
 	address := old.address
--- a/core/instance/limit_test.go
+++ b/core/instance/limit_test.go
@@ -401,7 +401,7 @@
 		l.f.periodically(4*time.Second, time.Second, func() func() {
 			e := l.engine(l.f.rng.IntN(6))
 			e.dead = true
-			return func() { l.f.startAgain(e) }
+			return func() { l.f.restartEngine(e) }
 		})
 	}},
 	{"a large fleet", 2 * watchers.FullMeshLimit, func(*limitLab) {}},
--- a/core/instance/notice_test.go
+++ b/core/instance/notice_test.go
@@ -242,7 +242,7 @@
 func (l *noticeLab) startAgain(e *fleetEngine) {
 	delete(l.leaving, e)
 	delete(l.served, e)
-	l.f.startAgain(e)
+	l.f.restartEngine(e)
 }
 
 // sheds has an engine turn everything away for a span and ask for rest.
