--- a/core/instance/lives_test.go
+++ b/core/instance/lives_test.go
@@ -33,7 +33,7 @@
 	l.f.at(after, func() {
 		e.models = map[string]bool{}
 		e.pending = ""
-		l.startAgain(e)
+		l.restartEngine(e)
 	})
 }
 
--- a/core/instance/notice_test.go
+++ b/core/instance/notice_test.go
@@ -234,12 +234,12 @@
 	l.leaving[e] = true
 	l.f.at(6*time.Second, func() {
 		e.dead = true
-		l.f.at(2*time.Second, func() { l.startAgain(e) })
+		l.f.at(2*time.Second, func() { l.restartEngine(e) })
 	})
 }
 
-// startAgain has an engine that ended start again under its name.
-func (l *noticeLab) startAgain(e *fleetEngine) {
+// restartEngine has an engine that ended start again under its name.
+func (l *noticeLab) restartEngine(e *fleetEngine) {
 	delete(l.leaving, e)
 	delete(l.served, e)
 	l.f.restartEngine(e)
@@ -361,7 +361,7 @@
 		sent := f.clock(f.members["i0"])
 		e.dead = true
 		f.run(time.Second)
-		l.startAgain(e)
+		l.restartEngine(e)
 		f.run(time.Second)
 		for _, name := range f.names {
 			n := f.members[name]
