--- a/core/instance/ceiling_test.go
+++ b/core/instance/ceiling_test.go
@@ -68,7 +68,7 @@
 			l := newNoticeLab(f)
 			next := 0
 			f.periodically(2*time.Second, time.Hour, func() func() {
-				l.startsAgainEmpty(l.engine(next%fleetEngines), 500*time.Millisecond)
+				l.restartEmpty(l.engine(next%fleetEngines), 500*time.Millisecond)
 				next++
 				return func() {}
 			})
--- a/core/instance/lives_test.go
+++ b/core/instance/lives_test.go
@@ -26,9 +26,9 @@
 	"github.com/birchdrift/birchdrift/core/step"
 )
 
-// startsAgainEmpty has an engine end and start again under its name, with nothing loaded,
+// restartEmpty has an engine end and start again under its name, with nothing loaded,
 // its entry written anew in place.
-func (l *noticeLab) startsAgainEmpty(e *fleetEngine, after time.Duration) {
+func (l *noticeLab) restartEmpty(e *fleetEngine, after time.Duration) {
 	e.dead = true
 	l.f.at(after, func() {
 		e.models = map[string]bool{}
@@ -51,7 +51,7 @@
 		f.run(10 * time.Second)
 		e := l.engine(1)
 		is.True(e.sequence > 0)
-		l.startsAgainEmpty(e, 1500*time.Millisecond)
+		l.restartEmpty(e, 1500*time.Millisecond)
 		f.run(4500 * time.Millisecond) // three seconds since it started
 		is.Equal(f.askOwner(e, orders.Request{Load: true, Model: "m0"}), owned.Started)
 		f.run(5 * time.Second)
@@ -111,7 +111,7 @@
 				next := 0
 				f.periodically(2*time.Second, time.Hour, func() func() {
 					if e := l.engine(next % fleetEngines); !e.dead && !f.store.down {
-						l.startsAgainEmpty(e, time.Duration(200+f.rng.IntN(2000))*time.Millisecond)
+						l.restartEmpty(e, time.Duration(200+f.rng.IntN(2000))*time.Millisecond)
 					}
 					next++
 					return func() {}
