--- a/core/instance/announced_world_test.go
+++ b/core/instance/announced_world_test.go
@@ -622,8 +622,8 @@
 	}
 }
 
-// expire ends the leases whose time is over, while the store is up.
-func (f *fleet) expire() {
+// expireLeases ends the leases whose time is over, while the store is up.
+func (f *fleet) expireLeases() {
 	var over []uint64
 	for id, l := range f.store.leases {
 		if !f.store.down && f.now >= l.expires {
@@ -634,7 +634,7 @@
 	for _, id := range over {
 		f.endLease(id)
 	}
-	f.at(100*time.Millisecond, f.expire)
+	f.at(100*time.Millisecond, f.expireLeases)
 }
 
 func (f *fleet) writeOwnership(o registry.Ownership) bool {
@@ -1251,7 +1251,7 @@
 			t.Parallel()
 			for seed := range seeds {
 				f := newFleet(uint64(seed+1), 5)
-				f.expire()
+				f.expireLeases()
 				f.run(5 * time.Second)
 				f.startCallers(40 * time.Millisecond)
 				s.do(f)
@@ -1272,7 +1272,7 @@
 func TestEmptyEnginesAreFilledAtTheStoresRate(t *testing.T) {
 	is := is.New(t)
 	f := newFleetWith(3, 5, option.Disabled{}, true)
-	f.expire()
+	f.expireLeases()
 	f.run(5 * time.Second)
 	f.startCallers(40 * time.Millisecond)
 	f.run(40 * time.Second)
@@ -1297,7 +1297,7 @@
 	is := is.New(t)
 	for seed := range 6 {
 		f := newFleetWith(uint64(seed+1), 5, option.Disabled{}, true)
-		f.expire()
+		f.expireLeases()
 		f.run(5 * time.Second)
 		f.startCallers(40 * time.Millisecond)
 		stopped := 0
@@ -1335,7 +1335,7 @@
 func TestClaimsFitIntoOneWrite(t *testing.T) {
 	is := is.New(t)
 	f := newFleetOf(1, 1, 40, option.Disabled{}, false)
-	f.expire()
+	f.expireLeases()
 	f.run(20 * time.Second)
 	is.True(f.maxClaims > 1)
 	is.True(f.maxClaims <= registry.MaxClaims)
@@ -1345,7 +1345,7 @@
 // largeFleet has too many members for all to watch the platform, and callers.
 func largeFleet(seed uint64, disable option.Disabled) *fleet {
 	f := newFleetOf(seed, 2*watchers.FullMeshLimit, 4*fleetEngines, disable, false)
-	f.expire()
+	f.expireLeases()
 	f.run(6 * time.Second)
 	f.startCallers(15 * time.Millisecond)
 	return f
@@ -1441,7 +1441,7 @@
 				for seed := range 3 {
 					f := newFleetWith(uint64(seed+1), 5, c.disable, c.empty)
 					f.clockStopsInSleep = c.steady
-					f.expire()
+					f.expireLeases()
 					f.run(5 * time.Second)
 					f.startCallers(40 * time.Millisecond)
 					s.do(f)
--- a/core/instance/ceiling_test.go
+++ b/core/instance/ceiling_test.go
@@ -82,7 +82,7 @@
 				for _, e := range f.engines {
 					e.onDisk = map[string]bool{} // all weights come from the store
 				}
-				f.expire()
+				f.expireLeases()
 				f.run(5 * time.Second)
 				f.startCallers(40 * time.Millisecond)
 				s.do(f)
--- a/core/instance/crash_test.go
+++ b/core/instance/crash_test.go
@@ -384,7 +384,7 @@
 			late := map[int]int{} // requests by how often they came too late
 			for seed := range *crashSeeds {
 				l := newCrashLab(newFleetOf(uint64(seed+1), s.members, s.engines, option.Disabled{}, false))
-				l.f.expire()
+				l.f.expireLeases()
 				l.f.run(5 * time.Second)
 				l.f.startCallers(20 * time.Millisecond)
 				l.f.run(3 * time.Second)
@@ -460,7 +460,7 @@
 			t.Parallel()
 			for seed := range *crashSeeds {
 				l := newCrashLab(newFleetOf(uint64(seed+1), 8, 16, option.Disabled{}, false))
-				l.f.expire()
+				l.f.expireLeases()
 				l.f.run(5 * time.Second)
 				l.f.startCallers(15 * time.Millisecond)
 				l.f.run(3 * time.Second)
@@ -492,7 +492,7 @@
 func TestAnEngineThatEndedIsNotOrderedAgainAndAgain(t *testing.T) {
 	is := is.New(t)
 	l := newCrashLab(newFleetOf(1, 5, 8, option.Disabled{}, false))
-	l.f.expire()
+	l.f.expireLeases()
 	l.f.run(8 * time.Second)
 	e := l.f.engines["e0"]
 	l.end(e)
@@ -539,7 +539,7 @@
 			t.Parallel()
 			for seed := range *crashSeeds {
 				l := newCrashLab(newFleetOf(uint64(seed+1), c.members, c.engines, option.Disabled{}, false))
-				l.f.expire()
+				l.f.expireLeases()
 				l.f.run(8 * time.Second)
 				l.f.store.down = c.down
 				l.poison(1000, 0, 200*time.Millisecond)
--- a/core/instance/gone_test.go
+++ b/core/instance/gone_test.go
@@ -26,7 +26,7 @@
 func newOwnerLab(t *testing.T) *soloLab {
 	t.Helper()
 	f := newFleetOf(1, 1, 2, option.Disabled{}, false)
-	f.expire()
+	f.expireLeases()
 	f.run(8 * time.Second)
 	n := f.members["i0"]
 	return &soloLab{m: n.m, now: f.clock(n), version: 1000}
--- a/core/instance/leaving_test.go
+++ b/core/instance/leaving_test.go
@@ -376,7 +376,7 @@
 func (s leaveStorm) play(seed uint64, size fleetSize, beside ...leaveStorm) *leaveLab {
 	f := newFleetWithin(seed, size.members, size.engines, option.Disabled{}, false, size.bounds)
 	f.adapterShare = 0.1
-	f.expire()
+	f.expireLeases()
 	l := newLeaveLab(f, size.bounds)
 	f.run(8 * time.Second)
 	f.startCallers(size.callEvery)
@@ -486,7 +486,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
 			f := newFleet(1, 5)
-			f.expire()
+			f.expireLeases()
 			f.run(8 * time.Second)
 			f.logCounts = map[logevent.Number]int{}
 			tt.do(newLeaveLab(f, smallBounds))
--- a/core/instance/limit_test.go
+++ b/core/instance/limit_test.go
@@ -112,7 +112,7 @@
 	f.opt.ProbeWait = 20 * time.Millisecond
 	f.addMembers(members)
 	l := newLimitLab(f)
-	f.expire()
+	f.expireLeases()
 	f.run(5 * time.Second)
 	return l
 }
--- a/core/instance/lives_test.go
+++ b/core/instance/lives_test.go
@@ -45,7 +45,7 @@
 	for seed := range *noticeSeeds {
 		l := newNoticeLab(newFleetOf(uint64(seed+1), 5, fleetEngines, option.Disabled{}, false))
 		f := l.f
-		f.expire()
+		f.expireLeases()
 		f.run(5 * time.Second)
 		f.startCallers(20 * time.Millisecond)
 		f.run(10 * time.Second)
@@ -104,7 +104,7 @@
 			for seed := range *noticeSeeds {
 				l := newNoticeLab(newFleetOf(uint64(seed+1), 5, fleetEngines, option.Disabled{}, false))
 				f := l.f
-				f.expire()
+				f.expireLeases()
 				f.run(5 * time.Second)
 				f.startCallers(20 * time.Millisecond)
 				s.do(f)
@@ -138,7 +138,7 @@
 func newSoloLab(t *testing.T) *soloLab {
 	t.Helper()
 	f := newFleetOf(1, 1, 0, option.Disabled{}, false)
-	f.expire()
+	f.expireLeases()
 	f.run(5 * time.Second)
 	n := f.members["i0"]
 	return &soloLab{m: n.m, now: f.clock(n), version: 1000}
--- a/core/instance/notice_test.go
+++ b/core/instance/notice_test.go
@@ -313,7 +313,7 @@
 			for seed := range *noticeSeeds {
 				l := newNoticeLab(newFleetOf(uint64(seed+1), s.members, 2*fleetEngines, option.Disabled{}, false))
 				f := l.f
-				f.expire()
+				f.expireLeases()
 				f.run(5 * time.Second)
 				f.startCallers(20 * time.Millisecond)
 				f.run(2 * time.Second)
@@ -351,7 +351,7 @@
 	for seed := range *noticeSeeds {
 		l := newNoticeLab(newFleetOf(uint64(seed+1), 5, fleetEngines, option.Disabled{}, false))
 		f := l.f
-		f.expire()
+		f.expireLeases()
 		f.run(5 * time.Second)
 		f.startCallers(20 * time.Millisecond)
 		e := l.engine(1)
@@ -389,7 +389,7 @@
 			for seed := range *noticeSeeds {
 				l := newNoticeLab(newFleetOf(uint64(seed+1), 5, fleetEngines, option.Disabled{}, false))
 				f := l.f
-				f.expire()
+				f.expireLeases()
 				f.run(5 * time.Second)
 				f.startCallers(20 * time.Millisecond)
 				f.run(2 * time.Second)
--- a/core/instance/outage_test.go
+++ b/core/instance/outage_test.go
@@ -88,7 +88,7 @@
 				seeds := max(1, 16/size.members) // of small fleets, which differ most
 				for seed := range seeds {
 					f := newFleetWithin(uint64(seed+1), size.members, size.engines, option.Disabled{}, false, size.bounds)
-					f.expire()
+					f.expireLeases()
 					f.run(20 * time.Second)
 					e := endOutage(f, closed)
 					t.Logf("list after %v, leases after %v, at most %d calls a second; in each 100 ms %v", e.list, e.lease, e.busiest, e.tenths)
--- a/core/instance/repeats_test.go
+++ b/core/instance/repeats_test.go
@@ -108,7 +108,7 @@
 				l := newNoticeLab(newFleetOf(uint64(seed+1), s.members, 2*fleetEngines, option.Disabled{}, false))
 				f := l.f
 				l.repeats = &repeatCount{tried: map[calls.ID]bool{}}
-				f.expire()
+				f.expireLeases()
 				f.run(5 * time.Second)
 				f.startCallers(5 * time.Millisecond)
 				s.do(f)
--- a/core/instance/stepback_test.go
+++ b/core/instance/stepback_test.go
@@ -206,7 +206,7 @@
 	for _, span := range []time.Duration{0, time.Second, 3 * time.Second, 10 * time.Second} {
 		for seed := range uint64(6) {
 			f := newFleet(seed+1, 5)
-			f.expire()
+			f.expireLeases()
 			f.keepStoreCopies()
 			f.run(5 * time.Second)
 			f.startCallers(40 * time.Millisecond)
@@ -309,7 +309,7 @@
 // stepStorm plays a storm on a fleet.
 func stepStorm(seed uint64, s fleetStorm) *fleet {
 	f := newFleet(seed, 5)
-	f.expire()
+	f.expireLeases()
 	f.keepStoreCopies()
 	f.run(5 * time.Second)
 	f.startCallers(40 * time.Millisecond)
@@ -359,7 +359,7 @@
 	}
 	for _, size := range sizes {
 		f := newFleetOf(1, size.members, size.engines, option.Disabled{}, false)
-		f.expire()
+		f.expireLeases()
 		f.keepStoreCopies()
 		f.run(20 * time.Second)
 		if _, wrong := f.settle(aim); wrong != "" {
