--- a/core/instance/announced_world_test.go
+++ b/core/instance/announced_world_test.go
@@ -373,11 +373,11 @@
 	case ownership.Resign:
 		f.storeCall(n, ofEra(act.Lease.Era), func() (step.Event, bool) {
 			for _, o := range act.Give {
-				if f.marked(o.Era, act.Depends) {
+				if f.hasEraMark(o.Era, act.Depends) {
 					f.writeOwnership(o)
 				}
 			}
-			if p := act.Placer; p != nil && f.marked(p.Era, act.Depends) {
+			if p := act.Placer; p != nil && f.hasEraMark(p.Era, act.Depends) {
 				f.writePlacer(*p, 0)
 			}
 			f.endLease(act.Lease.ID)
@@ -663,8 +663,8 @@
 	return f.revisionOf(f.setKey("placer", &fleetValue{data: &p, lease: lease}))
 }
 
-// marked reports whether the mark of an era stands at a revision, or none is asked for.
-func (f *fleet) marked(in era.Era, mark era.Revision) bool {
+// hasEraMark reports whether the mark of an era stands at a revision, or none is asked for.
+func (f *fleet) hasEraMark(in era.Era, mark era.Revision) bool {
 	if mark == 0 {
 		return true
 	}
@@ -690,7 +690,7 @@
 		r.Conflict = r.Revision == 0
 		return r
 	}
-	if !f.marked(a.Write.Era(), a.Write.Depends) {
+	if !f.hasEraMark(a.Write.Era(), a.Write.Depends) {
 		r.Conflict = true
 		return r
 	}
