--- a/core/instance/announced_world_test.go
+++ b/core/instance/announced_world_test.go
@@ -672,8 +672,8 @@
 	return v != nil && v.revision == mark.Raw()
 }
 
-// writeMark writes an era's mark where there is none, and removes those of former eras.
-func (f *fleet) writeMark(w ownership.Txn) era.Revision {
+// writeEraMark writes an era's mark where there is none, and removes those of former eras.
+func (f *fleet) writeEraMark(w ownership.Txn) era.Revision {
 	if f.store.values[w.Mark.Key()] != nil {
 		return 0
 	}
@@ -686,7 +686,7 @@
 func (f *fleet) write(a ownership.Write, sent clock.Instant) step.Event {
 	r := ownership.WriteReply{Write: a.Write}
 	if a.Write.Mark != nil {
-		r.Revision = f.writeMark(a.Write)
+		r.Revision = f.writeEraMark(a.Write)
 		r.Conflict = r.Revision == 0
 		return r
 	}
