--- a/core/instance/announced_world_test.go
+++ b/core/instance/announced_world_test.go
@@ -385,7 +385,7 @@
 		}, func(error) step.Event { return Tick{} }, reply)
 	case ownership.Write:
 		sent := f.clock(n)
-		f.storeCall(n, ofEra(act.Write.Era()), func() (step.Event, bool) { return f.write(act, sent), true }, func(err error) step.Event { return ownership.WriteReply{Write: act.Write, Err: err} }, reply)
+		f.storeCall(n, ofEra(act.Write.Era()), func() (step.Event, bool) { return f.commitWrite(act, sent), true }, func(err error) step.Event { return ownership.WriteReply{Write: act.Write, Err: err} }, reply)
 	case quarantine.Check:
 		e := f.engines[act.Replica.Name]
 		reply(2*fleetLatency, quarantine.Checked{Replica: act.Replica, Ended: e.dead && !f.severed(n.id.Zone, e.zone)})
@@ -683,7 +683,7 @@
 	return f.revisionOf(f.setKey(w.Mark.Key(), &fleetValue{data: w.Mark}))
 }
 
-func (f *fleet) write(a ownership.Write, sent clock.Instant) step.Event {
+func (f *fleet) commitWrite(a ownership.Write, sent clock.Instant) step.Event {
 	r := ownership.WriteReply{Write: a.Write}
 	if a.Write.Mark != nil {
 		r.Revision = f.writeEraMark(a.Write)
