--- a/core/instance/announced_world_test.go
+++ b/core/instance/announced_world_test.go
@@ -828,7 +828,7 @@
 }
 
 func addFleetChange(list *listing.Reply, reg *ownership.WatchUpdate, c fleetChange, in era.Era) {
-	kind, name, _ := cutKey(c.key)
+	kind, name, _ := splitKey(c.key)
 	gone := c.value == nil
 	if kind == "servers" {
 		l := gossip.Listed{Name: name, Kind: gossip.Upstream, Version: in.Revision(c.revision), Gone: gone}
@@ -845,7 +845,7 @@
 	reg.Records = append(reg.Records, rec)
 }
 
-func cutKey(key string) (kind, name string, ok bool) {
+func splitKey(key string) (kind, name string, ok bool) {
 	for i := range key {
 		if key[i] == '/' {
 			return key[:i], key[i+1:], true
