--- a/core/instance/announced_world_test.go
+++ b/core/instance/announced_world_test.go
@@ -875,20 +875,20 @@
 		return owned.OrderReply{Engine: a.Engine, Fence: a.Fence, Answer: answer}
 	}
 	if f.rng.Float64() < f.lateShare {
-		f.at(fleetLatency, func() { f.checkHolder(n.id.Name, a) })
+		f.at(fleetLatency, func() { f.checkOwnerChange(n.id.Name, a) })
 		f.at(time.Duration(2000+f.rng.IntN(10000))*time.Millisecond, func() { f.applyOrder(a) })
 		reply(500*time.Millisecond, out(orders.AnswerLost))
 		return
 	}
 	f.at(fleetLatency, func() {
-		f.checkHolder(n.id.Name, a)
+		f.checkOwnerChange(n.id.Name, a)
 		reply(fleetLatency, out(f.applyOrder(a)))
 	})
 }
 
-// checkHolder checks that orders of two holders do not take turns too quickly,
+// checkOwnerChange checks that orders of two holders do not take turns too quickly,
 // and that fences only rise.
-func (f *fleet) checkHolder(holder string, a owned.SendOrder) {
+func (f *fleet) checkOwnerChange(holder string, a owned.SendOrder) {
 	e := f.engines[a.Engine]
 	if e.orderedBy != "" && e.orderedBy != holder && f.now-e.orderedAt < f.opt.TurnGap {
 		f.recordViolation("%s ordered %s %v after %s", holder, e.name, f.now-e.orderedAt, e.orderedBy)
