--- a/core/instance/announced_world_test.go
+++ b/core/instance/announced_world_test.go
@@ -944,7 +944,7 @@
 	e.busy = true
 	if !r.Load {
 		// It waits for its runs.
-		f.inThisLife(e, time.Duration(100+f.rng.IntN(5000))*time.Millisecond, func() { f.unloaded(e, model) })
+		f.unlessRestarted(e, time.Duration(100+f.rng.IntN(5000))*time.Millisecond, func() { f.unloaded(e, model) })
 		return orders.AnswerAccepted
 	}
 	if len(e.models)+1 > 3 {
@@ -957,12 +957,12 @@
 	} else {
 		f.countLoad()
 	}
-	f.inThisLife(e, took, func() { f.loaded(e, model) })
+	f.unlessRestarted(e, took, func() { f.loaded(e, model) })
 	return orders.AnswerAccepted
 }
 
-// inThisLife has an engine do something after a span, if it has not started again by then.
-func (f *fleet) inThisLife(e *fleetEngine, after time.Duration, do func()) {
+// unlessRestarted has an engine do something after a span, if it has not started again by then.
+func (f *fleet) unlessRestarted(e *fleetEngine, after time.Duration, do func()) {
 	born := e.starts
 	f.at(after, func() {
 		if e.starts == born {
