--- a/core/instance/announced_world_test.go
+++ b/core/instance/announced_world_test.go
@@ -957,7 +957,7 @@
 	} else {
 		f.countLoad()
 	}
-	f.unlessRestarted(e, took, func() { f.loaded(e, model) })
+	f.unlessRestarted(e, took, func() { f.finishLoad(e, model) })
 	return orders.AnswerAccepted
 }
 
@@ -971,7 +971,7 @@
 	})
 }
 
-func (f *fleet) loaded(e *fleetEngine, model string) {
+func (f *fleet) finishLoad(e *fleetEngine, model string) {
 	e.busy = false
 	e.models[model] = true
 	e.onDisk[model] = true
