--- a/core/instance/announced_world_test.go
+++ b/core/instance/announced_world_test.go
@@ -944,7 +944,7 @@
 	e.busy = true
 	if !r.Load {
 		// It waits for its runs.
-		f.unlessRestarted(e, time.Duration(100+f.rng.IntN(5000))*time.Millisecond, func() { f.unloaded(e, model) })
+		f.unlessRestarted(e, time.Duration(100+f.rng.IntN(5000))*time.Millisecond, func() { f.finishUnload(e, model) })
 		return orders.AnswerAccepted
 	}
 	if len(e.models)+1 > 3 {
@@ -982,7 +982,7 @@
 	f.announce(e)
 }
 
-func (f *fleet) unloaded(e *fleetEngine, model string) {
+func (f *fleet) finishUnload(e *fleetEngine, model string) {
 	e.busy = false
 	delete(e.models, model)
 	for a := range e.adapters {
