--- a/core/instance/announced_world_test.go
+++ b/core/instance/announced_world_test.go
@@ -955,7 +955,7 @@
 	if e.onDisk[model] {
 		took = 800 * time.Millisecond
 	} else {
-		f.countLoad()
+		f.checkLoadRate()
 	}
 	f.unlessRestarted(e, took, func() { f.finishLoad(e, model) })
 	return orders.AnswerAccepted
@@ -993,8 +993,8 @@
 	f.announce(e)
 }
 
-// countLoad checks the loads from the weight store that began within 5 s.
-func (f *fleet) countLoad() {
+// checkLoadRate checks the loads from the weight store that began within 5 s.
+func (f *fleet) checkLoadRate() {
 	const window = 5 * time.Second
 	f.loadTimes = append(f.loadTimes, f.now)
 	n := 0
