--- a/core/instance/announced_world_test.go
+++ b/core/instance/announced_world_test.go
@@ -429,7 +429,7 @@
 	case forwarding.ProbeEngine:
 		f.probe(n, boot, act, reply)
 	case orderclient.SendRequest:
-		f.askPeer(n, act, reply)
+		f.requestOrder(n, act, reply)
 	case permits.SendRequest:
 		f.askPermit(n, act, reply)
 	case permits.SendReply:
@@ -1008,7 +1008,7 @@
 	}
 }
 
-func (f *fleet) askPeer(n *fleetMember, a orderclient.SendRequest, reply func(time.Duration, step.Event)) {
+func (f *fleet) requestOrder(n *fleetMember, a orderclient.SendRequest, reply func(time.Duration, step.Event)) {
 	p := f.members[a.Peer]
 	out := func(outcome owned.Outcome) step.Event {
 		return orderclient.Reply{Engine: a.Engine, Request: a.Request, Outcome: outcome}
