--- a/core/instance/announced_world_test.go
+++ b/core/instance/announced_world_test.go
@@ -431,7 +431,7 @@
 	case orderclient.SendRequest:
 		f.requestOrder(n, act, reply)
 	case permits.SendRequest:
-		f.askPermit(n, act, reply)
+		f.requestPermit(n, act, reply)
 	case permits.SendReply:
 		if do := n.permitReplies[act.Token]; do != nil {
 			delete(n.permitReplies, act.Token)
@@ -1025,8 +1025,8 @@
 	})
 }
 
-// askPermit carries a request for a permit to a peer and its answer back.
-func (f *fleet) askPermit(n *fleetMember, a permits.SendRequest, reply func(time.Duration, step.Event)) {
+// requestPermit carries a request for a permit to a peer and its answer back.
+func (f *fleet) requestPermit(n *fleetMember, a permits.SendRequest, reply func(time.Duration, step.Event)) {
 	p := f.members[a.Peer]
 	if p == nil || p.dead || p.frozen || p.noUpdates || n.noUpdates || f.severed(n.id.Zone, p.id.Zone) {
 		reply(300*time.Millisecond, permits.Reply{Token: a.Token, Err: errors.New("no answer")})
