--- a/core/instance/lives_test.go
+++ b/core/instance/lives_test.go
@@ -53,18 +53,18 @@
 		is.True(e.sequence > 0)
 		l.restartEmpty(e, 1500*time.Millisecond)
 		f.run(4500 * time.Millisecond) // three seconds since it started
-		is.Equal(f.askOwner(e, orders.Request{Load: true, Model: "m0"}), owned.Started)
+		is.Equal(f.requestFromOwner(e, orders.Request{Load: true, Model: "m0"}), owned.Started)
 		f.run(5 * time.Second)
 		is.True(e.models["m0"])
-		is.Equal(f.askOwner(e, orders.Request{Load: true, Model: "m0", Adapter: "a9"}), owned.Done)
+		is.Equal(f.requestFromOwner(e, orders.Request{Load: true, Model: "m0", Adapter: "a9"}), owned.Done)
 		is.True(e.loadedAdapters["m0/a9"]) // it may have made way for one that calls ask for since
 		is.Equal(f.violations, nil)
 	}
 }
 
-// askOwner has the owner of an engine asked for an order, and returns the outcome that it
+// requestFromOwner has the owner of an engine asked for an order, and returns the outcome that it
 // tells within a second, 0 if it tells none.
-func (f *fleet) askOwner(e *fleetEngine, r orders.Request) (outcome owned.Outcome) {
+func (f *fleet) requestFromOwner(e *fleetEngine, r orders.Request) (outcome owned.Outcome) {
 	o := f.store.values["owners/"+e.name].data.(*registry.Ownership)
 	owner := f.members[o.Owner]
 	owner.token++
