--- a/core/instance/announced_world_test.go
+++ b/core/instance/announced_world_test.go
@@ -388,7 +388,7 @@
 		f.storeCall(n, ofEra(act.Write.Era()), func() (step.Event, bool) { return f.commitWrite(act, sent), true }, func(err error) step.Event { return ownership.WriteReply{Write: act.Write, Err: err} }, reply)
 	case quarantine.Check:
 		e := f.engines[act.Replica.Name]
-		reply(2*fleetLatency, quarantine.Checked{Replica: act.Replica, Ended: e.dead && !f.severed(n.id.Zone, e.zone)})
+		reply(2*fleetLatency, quarantine.Checked{Replica: act.Replica, Ended: e.dead && !f.partitioned(n.id.Zone, e.zone)})
 	case quarantine.StoreVerdict:
 		f.storeCall(n, nil, func() (step.Event, bool) {
 			q := act.Quarantine
@@ -485,7 +485,7 @@
 func (f *fleet) probe(n *fleetMember, boot uint64, a forwarding.ProbeEngine, reply func(time.Duration, step.Event)) {
 	e := f.engines[a.Engine]
 	sent := f.clock(n)
-	if e.dead || f.severed(n.id.Zone, e.zone) {
+	if e.dead || f.partitioned(n.id.Zone, e.zone) {
 		reply(a.Wait, forwarding.ProbeReply{Call: a.Call, Engine: a.Engine, Sent: sent, Err: errors.New("no answer")})
 		return
 	}
@@ -1013,7 +1013,7 @@
 	out := func(outcome owned.Outcome) step.Event {
 		return orderclient.Reply{Engine: a.Engine, Request: a.Request, Outcome: outcome}
 	}
-	if p == nil || p.dead || p.frozen || f.severed(n.id.Zone, p.id.Zone) {
+	if p == nil || p.dead || p.frozen || f.partitioned(n.id.Zone, p.id.Zone) {
 		reply(time.Second, out(owned.Failed))
 		return
 	}
@@ -1028,7 +1028,7 @@
 // requestPermit carries a request for a permit to a peer and its answer back.
 func (f *fleet) requestPermit(n *fleetMember, a permits.SendRequest, reply func(time.Duration, step.Event)) {
 	p := f.members[a.Peer]
-	if p == nil || p.dead || p.frozen || p.noUpdates || n.noUpdates || f.severed(n.id.Zone, p.id.Zone) {
+	if p == nil || p.dead || p.frozen || p.noUpdates || n.noUpdates || f.partitioned(n.id.Zone, p.id.Zone) {
 		reply(300*time.Millisecond, permits.Reply{Token: a.Token, Err: errors.New("no answer")})
 		return
 	}
@@ -1049,7 +1049,7 @@
 
 func (f *fleet) exchange(n *fleetMember, a exchange.SendRequest, reply func(time.Duration, step.Event)) {
 	p := f.members[a.Address]
-	if p == nil || p.dead || p.frozen || p.noUpdates || n.noUpdates || f.severed(n.id.Zone, p.id.Zone) {
+	if p == nil || p.dead || p.frozen || p.noUpdates || n.noUpdates || f.partitioned(n.id.Zone, p.id.Zone) {
 		reply(time.Second, exchange.Reply{Peer: a.Peer, Address: a.Address, Err: errors.New("no answer")})
 		return
 	}
@@ -1063,8 +1063,8 @@
 	})
 }
 
-// severed reports whether there is no way between two zones.
-func (f *fleet) severed(a, b string) bool { return a != b && (f.cutZones[a] || f.cutZones[b]) }
+// partitioned reports whether there is no way between two zones.
+func (f *fleet) partitioned(a, b string) bool { return a != b && (f.cutZones[a] || f.cutZones[b]) }
 
 // startCallers has calls come, for models that demand moves over as time goes by.
 func (f *fleet) startCallers(every time.Duration) {
--- a/core/instance/crash_test.go
+++ b/core/instance/crash_test.go
@@ -129,7 +129,7 @@
 		reply(way, b)
 	}
 	switch {
-	case l.f.severed(n.id.Zone, e.zone):
+	case l.f.partitioned(n.id.Zone, e.zone):
 		failed(500*time.Millisecond, calls.AttemptFailed{Phase: attempt.NotSent, Detail: "no way there"})
 		return
 	case e.dead:
--- a/core/instance/limit_test.go
+++ b/core/instance/limit_test.go
@@ -175,7 +175,7 @@
 		reply(way, b)
 	}
 	switch {
-	case l.f.severed(n.id.Zone, e.zone):
+	case l.f.partitioned(n.id.Zone, e.zone):
 		failed(500*time.Millisecond, calls.AttemptFailed{Phase: attempt.NotSent, Detail: "no way there"})
 		return
 	case e.dead:
@@ -220,7 +220,7 @@
 		if l.f.now-e.loadedAt[c.model] < limitLoaded {
 			continue // nobody can have heard yet that it is there
 		}
-		if e.models[c.model] && !e.dead && !l.limit(e).Named && !l.f.severed(c.member.id.Zone, e.zone) {
+		if e.models[c.model] && !e.dead && !l.limit(e).Named && !l.f.partitioned(c.member.id.Zone, e.zone) {
 			l.lost = append(l.lost, fmt.Sprintf("%v: call %d for %s was refused with %d (%s) after %v, and %s could serve it",
 				l.f.now, a.ID, c.model, a.Refusal.Code, a.Refusal.Detail, l.f.now-c.at, e.name))
 			return
--- a/core/instance/notice_test.go
+++ b/core/instance/notice_test.go
@@ -138,7 +138,7 @@
 		reply(way, b)
 	}
 	switch {
-	case l.f.severed(n.id.Zone, e.zone):
+	case l.f.partitioned(n.id.Zone, e.zone):
 		failed(500*time.Millisecond, calls.AttemptFailed{Phase: attempt.NotSent, Detail: "no way there"})
 		return
 	case e.dead:
@@ -202,7 +202,7 @@
 	}
 	for _, name := range sortedKeys(l.f.engines) {
 		e := l.f.engines[name]
-		if e.models[c.model] && !e.dead && !l.leaving[e] && l.rests[e] == 0 && !l.f.severed(c.member.id.Zone, e.zone) {
+		if e.models[c.model] && !e.dead && !l.leaving[e] && l.rests[e] == 0 && !l.f.partitioned(c.member.id.Zone, e.zone) {
 			l.lost = append(l.lost, fmt.Sprintf("%v: call %d for %s was refused with %d (%s) after %v, and %s could serve it",
 				l.f.now, a.ID, c.model, a.Refusal.Code, a.Refusal.Detail, l.f.now-c.at, e.name))
 			return
