--- a/core/instance/announced_world_test.go
+++ b/core/instance/announced_world_test.go
@@ -1125,8 +1125,8 @@
 
 func (f *fleet) anyMember() *fleetMember { return f.members[f.names[f.rng.IntN(len(f.names))]] }
 
-// giver returns the member that gave the last order.
-func (f *fleet) giver() *fleetMember {
+// lastOrderSender returns the member that gave the last order.
+func (f *fleet) lastOrderSender() *fleetMember {
 	var last *fleetEngine
 	for _, name := range sortedKeys(f.engines) {
 		if e := f.engines[name]; e.orderedBy != "" && (last == nil || e.orderedAt > last.orderedAt) {
@@ -1145,21 +1145,21 @@
 	{"answers of the store lost", func(f *fleet) { f.lostShare = 0.4 }},
 	{"members killed", func(f *fleet) {
 		f.periodically(6*time.Second, 2*time.Second, func() func() {
-			n := f.giver()
+			n := f.lastOrderSender()
 			n.dead = true
 			return func() { f.start(n.id.Name) }
 		})
 	}},
 	{"members frozen", func(f *fleet) {
 		f.periodically(9*time.Second, 6*time.Second, func() func() {
-			n := f.giver()
+			n := f.lastOrderSender()
 			n.frozen = true
 			return func() { f.thaw(n) }
 		})
 	}},
 	{"members cut from the store, their records revoked", func(f *fleet) {
 		f.periodically(12*time.Second, 9*time.Second, func() func() {
-			n := f.giver()
+			n := f.lastOrderSender()
 			n.noStore = true
 			f.endLease(f.leaseOf(n))
 			return func() { n.noStore = false }
@@ -1186,7 +1186,7 @@
 	{"killed while orders are late", func(f *fleet) {
 		f.lateShare = 0.4
 		f.periodically(7*time.Second, 1500*time.Millisecond, func() func() {
-			n := f.giver()
+			n := f.lastOrderSender()
 			n.dead = true
 			return func() { f.start(n.id.Name) }
 		})
@@ -1202,19 +1202,19 @@
 	}},
 	{"members sleep", func(f *fleet) {
 		f.periodically(16*time.Second, time.Hour, func() func() {
-			f.sleep(f.giver(), 14*time.Second, 0)
+			f.sleep(f.lastOrderSender(), 14*time.Second, 0)
 			return func() {}
 		})
 	}},
 	{"members sleep, their clocks set back meanwhile", func(f *fleet) {
 		f.periodically(5*time.Second, time.Hour, func() func() {
-			f.sleep(f.giver(), 14*time.Second, 14*time.Second)
+			f.sleep(f.lastOrderSender(), 14*time.Second, 14*time.Second)
 			return func() {}
 		})
 	}},
 	{"clocks are set", func(f *fleet) {
 		f.periodically(5*time.Second, 3*time.Second, func() func() {
-			n := f.giver()
+			n := f.lastOrderSender()
 			by := time.Duration(f.rng.IntN(20)-10) * time.Second
 			n.wallOffset += by
 			return func() { n.wallOffset -= by }
@@ -1223,14 +1223,14 @@
 	{"clocks are set, members sleep and the store is down", func(f *fleet) {
 		f.periodically(11*time.Second, 5*time.Second, func() func() {
 			f.store.down = true
-			f.sleep(f.giver(), 6*time.Second, 3*time.Second)
+			f.sleep(f.lastOrderSender(), 6*time.Second, 3*time.Second)
 			f.anyMember().wallOffset += 5 * time.Second
 			return func() { f.store.down = false }
 		})
 	}},
 	{"planned stops", func(f *fleet) {
 		f.periodically(8*time.Second, 4*time.Second, func() func() {
-			n := f.giver()
+			n := f.lastOrderSender()
 			f.step(n, n.boot, Stop{})
 			f.at(2*time.Second, func() { n.dead = true })
 			return func() { f.start(n.id.Name) }
@@ -1415,7 +1415,7 @@
 // are renewed.
 func (f *fleet) deafOwners() {
 	f.periodically(9*time.Second, 20*time.Second, func() func() {
-		n := f.giver()
+		n := f.lastOrderSender()
 		n.noUpdates = true
 		f.setKey("instances/"+n.id.Name, nil)
 		return func() { n.noUpdates = false }
--- a/core/instance/lives_test.go
+++ b/core/instance/lives_test.go
@@ -86,7 +86,7 @@
 		{"orders carried out late", func(f *fleet) { f.lateShare = 0.4 }},
 		{"owners killed", func(f *fleet) {
 			f.periodically(6*time.Second, 2*time.Second, func() func() {
-				n := f.giver()
+				n := f.lastOrderSender()
 				n.dead = true
 				return func() { f.start(n.id.Name) }
 			})
--- a/core/instance/stepback_test.go
+++ b/core/instance/stepback_test.go
@@ -212,7 +212,7 @@
 			f.startCallers(40 * time.Millisecond)
 			f.run(10*time.Second + f.anySpan())
 			// An owner has died a moment ago, and others took its engines.
-			n := f.giver()
+			n := f.lastOrderSender()
 			n.dead = true
 			f.run(aim)
 			f.start(n.id.Name)
@@ -250,7 +250,7 @@
 	{"members are killed", func(f *fleet) {
 		f.steps(7 * time.Second)
 		f.periodically(6*time.Second, 2*time.Second, func() func() {
-			n := f.giver()
+			n := f.lastOrderSender()
 			n.dead = true
 			return func() { f.start(n.id.Name) }
 		})
@@ -258,7 +258,7 @@
 	{"members are frozen", func(f *fleet) {
 		f.steps(8 * time.Second)
 		f.periodically(9*time.Second, 6*time.Second, func() func() {
-			n := f.giver()
+			n := f.lastOrderSender()
 			n.frozen = true
 			return func() { f.thaw(n) }
 		})
@@ -266,14 +266,14 @@
 	{"members sleep", func(f *fleet) {
 		f.steps(8 * time.Second)
 		f.periodically(11*time.Second, time.Hour, func() func() {
-			f.sleep(f.giver(), 8*time.Second, 0)
+			f.sleep(f.lastOrderSender(), 8*time.Second, 0)
 			return func() {}
 		})
 	}},
 	{"members are cut from the store", func(f *fleet) {
 		f.steps(8 * time.Second)
 		f.periodically(9*time.Second, 5*time.Second, func() func() {
-			n := f.giver()
+			n := f.lastOrderSender()
 			n.noStore = true
 			return func() { n.noStore = false }
 		})
@@ -281,7 +281,7 @@
 	{"watches hear nothing", func(f *fleet) {
 		f.steps(8 * time.Second)
 		f.periodically(7*time.Second, 4*time.Second, func() func() {
-			n := f.giver()
+			n := f.lastOrderSender()
 			n.noUpdates = true
 			return func() { n.noUpdates = false }
 		})
@@ -298,7 +298,7 @@
 	{"members stop and start", func(f *fleet) {
 		f.steps(7 * time.Second)
 		f.periodically(6*time.Second, 4*time.Second, func() func() {
-			n := f.giver()
+			n := f.lastOrderSender()
 			f.step(n, n.boot, Stop{})
 			f.at(2*time.Second, func() { n.dead = true })
 			return func() { f.start(n.id.Name) }
