--- a/core/instance/announced_world_test.go
+++ b/core/instance/announced_world_test.go
@@ -1123,7 +1123,7 @@
 	})
 }
 
-func (f *fleet) anyMember() *fleetMember { return f.members[f.names[f.rng.IntN(len(f.names))]] }
+func (f *fleet) randomMember() *fleetMember { return f.members[f.names[f.rng.IntN(len(f.names))]] }
 
 // lastOrderSender returns the member that gave the last order.
 func (f *fleet) lastOrderSender() *fleetMember {
@@ -1134,7 +1134,7 @@
 		}
 	}
 	if last == nil {
-		return f.anyMember()
+		return f.randomMember()
 	}
 	return f.members[last.orderedBy]
 }
@@ -1194,7 +1194,7 @@
 	{"cut off while answers of the store are lost", func(f *fleet) {
 		f.lostShare = 0.3
 		f.periodically(12*time.Second, 7*time.Second, func() func() {
-			n := f.anyMember()
+			n := f.randomMember()
 			n.noStore = true
 			f.endLease(f.leaseOf(n))
 			return func() { n.noStore = false }
@@ -1224,7 +1224,7 @@
 		f.periodically(11*time.Second, 5*time.Second, func() func() {
 			f.store.down = true
 			f.sleep(f.lastOrderSender(), 6*time.Second, 3*time.Second)
-			f.anyMember().wallOffset += 5 * time.Second
+			f.randomMember().wallOffset += 5 * time.Second
 			return func() { f.store.down = false }
 		})
 	}},
--- a/core/instance/crash_test.go
+++ b/core/instance/crash_test.go
@@ -102,7 +102,7 @@
 func (l *crashLab) poison(fingerprint crash.Fingerprint, model int, every time.Duration) {
 	l.f.at(time.Duration(l.f.rng.Int64N(int64(2*every))), func() {
 		l.poison(fingerprint, model, every)
-		n := l.f.anyMember()
+		n := l.f.randomMember()
 		if n.dead || n.frozen {
 			return
 		}
@@ -265,7 +265,7 @@
 	if c.again {
 		return
 	}
-	n := l.f.anyMember()
+	n := l.f.randomMember()
 	l.f.at(100*time.Millisecond, func() {
 		if n.dead || n.frozen {
 			return
@@ -360,7 +360,7 @@
 	}},
 	{"instances freeze", 8, 16, 1, 250 * time.Millisecond, func(l *crashLab) {
 		l.f.periodically(4*time.Second, 2*time.Second, func() func() {
-			n := l.f.anyMember()
+			n := l.f.randomMember()
 			n.frozen = true
 			return func() { l.f.thaw(n) }
 		})
--- a/core/instance/leaving_test.go
+++ b/core/instance/leaving_test.go
@@ -263,7 +263,7 @@
 	{"calm", func(l *leaveLab) { l.every(1300*time.Millisecond, l.anyLeave) }},
 	{"the watches of some hang", func(l *leaveLab) {
 		l.every(2300*time.Millisecond, func() {
-			l.hang(l.f.anyMember(), l.f.anyMember())
+			l.hang(l.f.randomMember(), l.f.randomMember())
 			l.soon(400 * time.Millisecond)
 		})
 	}},
@@ -323,7 +323,7 @@
 	{"members are killed", func(l *leaveLab) {
 		l.every(1700*time.Millisecond, l.anyLeave)
 		l.f.periodically(5*time.Second, time.Second, func() func() {
-			n := l.f.anyMember()
+			n := l.f.randomMember()
 			n.dead = true
 			return func() { l.f.start(n.id.Name) }
 		})
@@ -331,7 +331,7 @@
 	{"members are frozen", func(l *leaveLab) {
 		l.every(1900*time.Millisecond, l.anyLeave)
 		l.f.periodically(6*time.Second, 2*time.Second, func() func() {
-			n := l.f.anyMember()
+			n := l.f.randomMember()
 			n.frozen = true
 			return func() { l.f.thaw(n) }
 		})
@@ -339,7 +339,7 @@
 	{"members are cut from the store", func(l *leaveLab) {
 		l.every(1700*time.Millisecond, l.anyLeave)
 		l.f.periodically(9*time.Second, 4*time.Second, func() func() {
-			n, m := l.f.anyMember(), l.f.anyMember()
+			n, m := l.f.randomMember(), l.f.randomMember()
 			n.noStore, m.noStore = true, true
 			return func() { n.noStore, m.noStore = false, false }
 		})
--- a/core/instance/limit_test.go
+++ b/core/instance/limit_test.go
@@ -332,7 +332,7 @@
 	}},
 	{"instances are killed", 8, func(l *limitLab) {
 		l.f.periodically(3*time.Second, time.Second, func() func() {
-			n := l.f.anyMember()
+			n := l.f.randomMember()
 			n.dead = true
 			return func() { l.f.start(n.id.Name) }
 		})
@@ -351,7 +351,7 @@
 	}},
 	{"instances stop as planned", 8, func(l *limitLab) {
 		l.f.periodically(3*time.Second, 2500*time.Millisecond, func() func() {
-			n := l.f.anyMember()
+			n := l.f.randomMember()
 			l.f.step(n, n.boot, Stop{})
 			l.f.at(2*time.Second, func() { n.dead = true })
 			return func() { l.f.start(n.id.Name) }
@@ -359,14 +359,14 @@
 	}},
 	{"instances freeze", 8, func(l *limitLab) {
 		l.f.periodically(4*time.Second, 2*time.Second, func() func() {
-			n := l.f.anyMember()
+			n := l.f.randomMember()
 			n.frozen = true
 			return func() { l.f.thaw(n) }
 		})
 	}},
 	{"instances sleep", 8, func(l *limitLab) {
 		l.f.periodically(5*time.Second, time.Hour, func() func() {
-			l.f.sleep(l.f.anyMember(), 3*time.Second, 0)
+			l.f.sleep(l.f.randomMember(), 3*time.Second, 0)
 			return func() {}
 		})
 	}},
@@ -381,7 +381,7 @@
 	}},
 	{"an instance hears nobody", 8, func(l *limitLab) {
 		l.f.periodically(4*time.Second, 3*time.Second, func() func() {
-			n := l.f.anyMember()
+			n := l.f.randomMember()
 			n.noUpdates = true
 			return func() { n.noUpdates = false }
 		})
--- a/core/instance/notice_test.go
+++ b/core/instance/notice_test.go
@@ -292,7 +292,7 @@
 	}},
 	{"instances are killed", 5, func(l *noticeLab) {
 		l.f.periodically(3*time.Second, time.Second, func() func() {
-			n := l.f.anyMember()
+			n := l.f.randomMember()
 			n.dead = true
 			return func() { l.f.start(n.id.Name) }
 		})
--- a/core/instance/repeats_test.go
+++ b/core/instance/repeats_test.go
@@ -62,7 +62,7 @@
 		{"calm", 8, func(*fleet) {}},
 		{"instances are killed", 8, func(f *fleet) {
 			f.periodically(2500*time.Millisecond, time.Second, func() func() {
-				n := f.anyMember()
+				n := f.randomMember()
 				n.dead = true
 				return func() { f.start(n.id.Name) }
 			})
@@ -81,7 +81,7 @@
 		}},
 		{"instances freeze", 8, func(f *fleet) {
 			f.periodically(3*time.Second, 2*time.Second, func() func() {
-				n := f.anyMember()
+				n := f.randomMember()
 				n.frozen = true
 				return func() { f.thaw(n) }
 			})
@@ -95,7 +95,7 @@
 		{"the store is down", 8, func(f *fleet) { f.store.down = true }},
 		{"a large fleet", 2 * watchers.FullMeshLimit, func(f *fleet) {
 			f.periodically(2500*time.Millisecond, time.Second, func() func() {
-				n := f.anyMember()
+				n := f.randomMember()
 				n.dead = true
 				return func() { f.start(n.id.Name) }
 			})
