--- a/core/instance/crash_test.go
+++ b/core/instance/crash_test.go
@@ -419,7 +419,7 @@
 }{
 	{"engines end by themselves", func(l *crashLab) {
 		l.f.periodically(700*time.Millisecond, time.Hour, func() func() {
-			if e := l.anyEngine(); e != nil {
+			if e := l.randomEngine(); e != nil {
 				l.end(e)
 			}
 			return func() {}
@@ -428,7 +428,7 @@
 	{"many engines end at once", func(l *crashLab) {
 		l.f.periodically(9*time.Second, time.Hour, func() func() {
 			for range 10 {
-				if e := l.anyEngine(); e != nil {
+				if e := l.randomEngine(); e != nil {
 					l.end(e)
 				}
 			}
@@ -437,7 +437,7 @@
 	}},
 	{"engines leave", func(l *crashLab) {
 		l.f.periodically(700*time.Millisecond, time.Hour, func() func() {
-			if e := l.anyEngine(); e != nil {
+			if e := l.randomEngine(); e != nil {
 				l.drain(e)
 			}
 			return func() {}
@@ -475,8 +475,8 @@
 	}
 }
 
-// anyEngine returns an engine that lives, nil if none does.
-func (l *crashLab) anyEngine() *fleetEngine {
+// randomEngine returns an engine that lives, nil if none does.
+func (l *crashLab) randomEngine() *fleetEngine {
 	names := sortedKeys(l.f.engines)
 	for range len(names) {
 		if e := l.f.engines[names[l.f.rng.IntN(len(names))]]; !e.dead {
