--- a/core/instance/leaving_test.go
+++ b/core/instance/leaving_test.go
@@ -107,8 +107,8 @@
 	})
 }
 
-// any returns an engine that does not leave.
-func (l *leaveLab) any() *fleetEngine {
+// randomStayingEngine returns an engine that does not leave.
+func (l *leaveLab) randomStayingEngine() *fleetEngine {
 	names := sortedKeys(l.f.engines)
 	for {
 		e := l.f.engines[names[l.f.rng.IntN(len(names))]]
@@ -167,7 +167,7 @@
 }
 
 // anyLeave has some engine leave.
-func (l *leaveLab) anyLeave() { l.leave(l.any(), l.f.rng.IntN(3) == 0) }
+func (l *leaveLab) anyLeave() { l.leave(l.randomStayingEngine(), l.f.rng.IntN(3) == 0) }
 
 // replace starts an engine that holds what another one does.
 func (l *leaveLab) replace(e *fleetEngine) {
@@ -312,7 +312,7 @@
 	}},
 	{"replicas that leave are said to be ready", func(l *leaveLab) {
 		l.every(2900*time.Millisecond, func() {
-			e := l.any()
+			e := l.randomStayingEngine()
 			l.leave(e, false)
 			l.f.at(time.Second, func() { // a write of before is carried out late
 				e.leaving = false
