--- a/core/instance/leaving_test.go
+++ b/core/instance/leaving_test.go
@@ -166,8 +166,8 @@
 	}
 }
 
-// anyLeave has some engine leave.
-func (l *leaveLab) anyLeave() { l.leave(l.randomStayingEngine(), l.f.rng.IntN(3) == 0) }
+// randomLeave has some engine leave.
+func (l *leaveLab) randomLeave() { l.leave(l.randomStayingEngine(), l.f.rng.IntN(3) == 0) }
 
 // replace starts an engine that holds what another one does.
 func (l *leaveLab) replace(e *fleetEngine) {
@@ -216,7 +216,7 @@
 
 // soon has an engine leave within a span.
 func (l *leaveLab) soon(span time.Duration) {
-	l.f.at(time.Duration(l.f.rng.Int64N(int64(span))), l.anyLeave)
+	l.f.at(time.Duration(l.f.rng.Int64N(int64(span))), l.randomLeave)
 }
 
 // down has the store be away for a while, with a word to whoever connects or without one.
@@ -244,8 +244,8 @@
 
 // soonAfter has engines leave as soon as the rule binds again, span from now.
 func (l *leaveLab) soonAfter(span time.Duration) {
-	l.f.at(span+l.bounds.Settle+8*time.Millisecond, l.anyLeave)
-	l.f.at(span+l.bounds.Settle+700*time.Millisecond, l.anyLeave)
+	l.f.at(span+l.bounds.Settle+8*time.Millisecond, l.randomLeave)
+	l.f.at(span+l.bounds.Settle+700*time.Millisecond, l.randomLeave)
 }
 
 // A leaveStorm is what goes wrong beside engines that leave.
@@ -260,7 +260,7 @@
 }
 
 var leaveStorms = []leaveStorm{
-	{"calm", func(l *leaveLab) { l.every(1300*time.Millisecond, l.anyLeave) }},
+	{"calm", func(l *leaveLab) { l.every(1300*time.Millisecond, l.randomLeave) }},
 	{"the watches of some hang", func(l *leaveLab) {
 		l.every(2300*time.Millisecond, func() {
 			l.hang(l.f.randomMember(), l.f.randomMember())
@@ -302,7 +302,7 @@
 	{"the store steps back", func(l *leaveLab) {
 		l.f.keepStoreCopies()
 		l.every(9*time.Second, func() {
-			l.anyLeave()
+			l.randomLeave()
 			l.churn()
 			l.f.at(time.Second, func() {
 				l.f.stepBack(time.Second + l.f.anySpan())
@@ -321,7 +321,7 @@
 		})
 	}},
 	{"members are killed", func(l *leaveLab) {
-		l.every(1700*time.Millisecond, l.anyLeave)
+		l.every(1700*time.Millisecond, l.randomLeave)
 		l.f.periodically(5*time.Second, time.Second, func() func() {
 			n := l.f.randomMember()
 			n.dead = true
@@ -329,7 +329,7 @@
 		})
 	}},
 	{"members are frozen", func(l *leaveLab) {
-		l.every(1900*time.Millisecond, l.anyLeave)
+		l.every(1900*time.Millisecond, l.randomLeave)
 		l.f.periodically(6*time.Second, 2*time.Second, func() func() {
 			n := l.f.randomMember()
 			n.frozen = true
@@ -337,7 +337,7 @@
 		})
 	}},
 	{"members are cut from the store", func(l *leaveLab) {
-		l.every(1700*time.Millisecond, l.anyLeave)
+		l.every(1700*time.Millisecond, l.randomLeave)
 		l.f.periodically(9*time.Second, 4*time.Second, func() func() {
 			n, m := l.f.randomMember(), l.f.randomMember()
 			n.noStore, m.noStore = true, true
@@ -346,7 +346,7 @@
 	}},
 	{"a zone is cut off", func(l *leaveLab) {
 		l.f.cutZones = map[string]bool{}
-		l.every(1700*time.Millisecond, l.anyLeave)
+		l.every(1700*time.Millisecond, l.randomLeave)
 		l.f.periodically(10*time.Second, 4*time.Second, func() func() {
 			l.f.cutZones["z1"] = true
 			return func() { delete(l.f.cutZones, "z1") }
