--- a/core/instance/leaving_test.go
+++ b/core/instance/leaving_test.go
@@ -305,7 +305,7 @@
 			l.randomLeave()
 			l.churn()
 			l.f.at(time.Second, func() {
-				l.f.stepBack(time.Second + l.f.anySpan())
+				l.f.stepBack(time.Second + l.f.randomSpan())
 				l.soonAfter(restoring)
 			})
 		})
--- a/core/instance/stepback_test.go
+++ b/core/instance/stepback_test.go
@@ -124,15 +124,15 @@
 	})
 }
 
-// anySpan draws by how much the store goes back.
-func (f *fleet) anySpan() time.Duration {
+// randomSpan draws by how much the store goes back.
+func (f *fleet) randomSpan() time.Duration {
 	return time.Duration(f.rng.Int64N(int64(10 * time.Second)))
 }
 
 // steps has the store step back every so often.
 func (f *fleet) steps(every time.Duration) {
 	f.periodically(every, 0, func() func() {
-		f.stepBack(f.anySpan())
+		f.stepBack(f.randomSpan())
 		return func() {}
 	})
 }
@@ -210,13 +210,13 @@
 			f.keepStoreCopies()
 			f.run(5 * time.Second)
 			f.startCallers(40 * time.Millisecond)
-			f.run(10*time.Second + f.anySpan())
+			f.run(10*time.Second + f.randomSpan())
 			// An owner has died a moment ago, and others took its engines.
 			n := f.lastOrderSender()
 			n.dead = true
 			f.run(aim)
 			f.start(n.id.Name)
-			f.run(f.anySpan())
+			f.run(f.randomSpan())
 			f.stepBack(span)
 			f.run(restoring)
 			f.run(time.Millisecond)
@@ -235,8 +235,8 @@
 	{"nothing else", func(f *fleet) { f.steps(9 * time.Second) }},
 	{"twice in a row", func(f *fleet) {
 		f.periodically(12*time.Second, 1500*time.Millisecond, func() func() {
-			f.stepBack(f.anySpan())
-			return func() { f.stepBack(f.anySpan()) }
+			f.stepBack(f.randomSpan())
+			return func() { f.stepBack(f.randomSpan()) }
 		})
 	}},
 	{"answers of the store are lost", func(f *fleet) {
