--- a/core/instance/announced_world_test.go
+++ b/core/instance/announced_world_test.go
@@ -1401,7 +1401,7 @@
 			broken := 0
 			for seed := range 3 {
 				f := largeFleet(uint64(seed+1), c.disable)
-				f.deafOwners()
+				f.dropOwnerRecords()
 				f.run(30 * time.Second)
 				broken += len(f.violations)
 			}
@@ -1410,10 +1410,10 @@
 	}
 }
 
-// deafOwners has the records of members that give orders go without any message, one
+// dropOwnerRecords has the records of members that give orders go without any message, one
 // after the other, while their watches and exchanges are held up and their leases
 // are renewed.
-func (f *fleet) deafOwners() {
+func (f *fleet) dropOwnerRecords() {
 	f.periodically(9*time.Second, 20*time.Second, func() func() {
 		n := f.lastOrderSender()
 		n.noUpdates = true
