--- a/core/instance/announced_world_test.go
+++ b/core/instance/announced_world_test.go
@@ -203,11 +203,11 @@
 
 // newFleetOf returns a fleet with so many engines.
 func newFleetOf(seed uint64, members, engines int, disable option.Disabled, empty bool) *fleet {
-	return newFleetWithin(seed, members, engines, disable, empty, bounds.Default())
+	return newFleetWithBounds(seed, members, engines, disable, empty, bounds.Default())
 }
 
-// newFleetWithin returns a fleet whose users rely on bounds.
-func newFleetWithin(seed uint64, members, engines int, disable option.Disabled, empty bool, b bounds.Bounds) *fleet {
+// newFleetWithBounds returns a fleet whose users rely on bounds.
+func newFleetWithBounds(seed uint64, members, engines int, disable option.Disabled, empty bool, b bounds.Bounds) *fleet {
 	f := &fleet{
 		engineCount:     engines,
 		rng:             rand.New(rand.NewPCG(seed, 77)),
--- a/core/instance/leaving_test.go
+++ b/core/instance/leaving_test.go
@@ -374,7 +374,7 @@
 
 // play plays a storm, alone or beside another, on a fleet of some size.
 func (s leaveStorm) play(seed uint64, size fleetSize, beside ...leaveStorm) *leaveLab {
-	f := newFleetWithin(seed, size.members, size.engines, option.Disabled{}, false, size.bounds)
+	f := newFleetWithBounds(seed, size.members, size.engines, option.Disabled{}, false, size.bounds)
 	f.adapterShare = 0.1
 	f.expireLeases()
 	l := newLeaveLab(f, size.bounds)
--- a/core/instance/outage_test.go
+++ b/core/instance/outage_test.go
@@ -87,7 +87,7 @@
 				}
 				seeds := max(1, 16/size.members) // of small fleets, which differ most
 				for seed := range seeds {
-					f := newFleetWithin(uint64(seed+1), size.members, size.engines, option.Disabled{}, false, size.bounds)
+					f := newFleetWithBounds(uint64(seed+1), size.members, size.engines, option.Disabled{}, false, size.bounds)
 					f.expireLeases()
 					f.run(20 * time.Second)
 					e := endOutage(f, closed)
