--- a/core/instance/crash_test.go
+++ b/core/instance/crash_test.go
@@ -320,8 +320,8 @@
 	do      func(l *crashLab)
 }
 
-// startAll starts the members anew.
-func (f *fleet) startAll() {
+// restartAll starts the members anew.
+func (f *fleet) restartAll() {
 	for _, name := range f.names {
 		f.start(name)
 	}
@@ -355,7 +355,7 @@
 			for _, name := range l.f.names {
 				l.f.members[name].dead = true
 			}
-			l.f.at(time.Second, l.f.startAll)
+			l.f.at(time.Second, l.f.restartAll)
 		})
 	}},
 	{"instances freeze", 8, 16, 1, 250 * time.Millisecond, func(l *crashLab) {
