--- a/core/instance/crash_test.go
+++ b/core/instance/crash_test.go
@@ -35,8 +35,8 @@
 )
 
 const (
-	// labContact is how long an instance has to hear of what others know.
-	labContact = 3 * time.Second
+	// propagationTime is how long an instance has to hear of what others know.
+	propagationTime = 3 * time.Second
 	// labLimit is how many engines a request may end, and how often it may reach one
 	// after labContact since the last of them.
 	labLimit = 3
@@ -287,7 +287,7 @@
 	if len(at) < labLimit {
 		return 0
 	}
-	bound := max(at[labLimit-1], l.calm) + labContact
+	bound := max(at[labLimit-1], l.calm) + propagationTime
 	late := 0
 	for _, a := range l.arrivals[request] {
 		if a > bound {
@@ -302,7 +302,7 @@
 	t.Helper()
 	for request, at := range l.ended {
 		if late := l.late(request); late > labLimit {
-			t.Errorf("request %v reached engines %d times later than %v after the third had ended; %d ended in all", request, late, labContact, len(at))
+			t.Errorf("request %v reached engines %d times later than %v after the third had ended; %d ended in all", request, late, propagationTime, len(at))
 		}
 	}
 	for _, b := range l.f.violations {
@@ -407,7 +407,7 @@
 					t.Errorf("seed %d: nothing was served", seed)
 				}
 			}
-			t.Logf("requests by arrivals later than %v after the third end: %v", labContact, late)
+			t.Logf("requests by arrivals later than %v after the third end: %v", propagationTime, late)
 		})
 	}
 }
