--- a/core/instance/crash_test.go
+++ b/core/instance/crash_test.go
@@ -37,9 +37,9 @@
 const (
 	// propagationTime is how long an instance has to hear of what others know.
 	propagationTime = 3 * time.Second
-	// labLimit is how many engines a request may end, and how often it may reach one
+	// crashLimit is how many engines a request may end, and how often it may reach one
 	// after labContact since the last of them.
-	labLimit = 3
+	crashLimit = 3
 	// labRestart is how long an engine that ended takes to come back.
 	labRestart = 5 * time.Second
 	// labEntryLasts is how long its entry stays in the store.
@@ -284,10 +284,10 @@
 // third had ended under it.
 func (l *crashLab) late(request crash.Fingerprint) int {
 	at := l.ended[request]
-	if len(at) < labLimit {
+	if len(at) < crashLimit {
 		return 0
 	}
-	bound := max(at[labLimit-1], l.calm) + propagationTime
+	bound := max(at[crashLimit-1], l.calm) + propagationTime
 	late := 0
 	for _, a := range l.arrivals[request] {
 		if a > bound {
@@ -301,7 +301,7 @@
 func (l *crashLab) check(t *testing.T) {
 	t.Helper()
 	for request, at := range l.ended {
-		if late := l.late(request); late > labLimit {
+		if late := l.late(request); late > crashLimit {
 			t.Errorf("request %v reached engines %d times later than %v after the third had ended; %d ended in all", request, late, propagationTime, len(at))
 		}
 	}
