--- a/core/instance/crash_test.go
+++ b/core/instance/crash_test.go
@@ -40,8 +40,8 @@
 	// crashLimit is how many engines a request may end, and how often it may reach one
 	// after labContact since the last of them.
 	crashLimit = 3
-	// labRestart is how long an engine that ended takes to come back.
-	labRestart = 5 * time.Second
+	// restartDelay is how long an engine that ended takes to come back.
+	restartDelay = 5 * time.Second
 	// labEntryLasts is how long its entry stays in the store.
 	labEntryLasts = 3600 * time.Millisecond
 	// codeQuarantined is the result code of a request that is not run since replicas
@@ -214,7 +214,7 @@
 	if !l.keepsEntries {
 		l.f.at(labEntryLasts, func() { l.f.setKey("servers/"+e.name, nil) })
 	}
-	l.f.at(labRestart, func() { l.restart(e) })
+	l.f.at(restartDelay, func() { l.restart(e) })
 }
 
 // restart has another engine start at the address of one that ended, with the same
