--- a/core/instance/crash_test.go
+++ b/core/instance/crash_test.go
@@ -42,8 +42,8 @@
 	crashLimit = 3
 	// restartDelay is how long an engine that ended takes to come back.
 	restartDelay = 5 * time.Second
-	// labEntryLasts is how long its entry stays in the store.
-	labEntryLasts = 3600 * time.Millisecond
+	// entryLifetime is how long its entry stays in the store.
+	entryLifetime = 3600 * time.Millisecond
 	// codeQuarantined is the result code of a request that is not run since replicas
 	// end under it.
 	codeQuarantined = 109
@@ -212,7 +212,7 @@
 	}
 	delete(l.runs, e.name)
 	if !l.keepsEntries {
-		l.f.at(labEntryLasts, func() { l.f.setKey("servers/"+e.name, nil) })
+		l.f.at(entryLifetime, func() { l.f.setKey("servers/"+e.name, nil) })
 	}
 	l.f.at(restartDelay, func() { l.restart(e) })
 }
