--- a/core/instance/crash_test.go
+++ b/core/instance/crash_test.go
@@ -55,15 +55,15 @@
 // A crashLab has calls run at the engines of a fleet, some of which end the engine that
 // runs them, and checks how often these reach engines.
 type crashLab struct {
-	f        *fleet
-	calls    map[calls.ID]*labCall
-	runs     map[string][]*labRun // by engine
-	ended    map[crash.Fingerprint][]time.Duration
-	arrivals map[crash.Fingerprint][]time.Duration
-	lives    map[string]int // engines that ran at an address
-	calm     time.Duration  // since when no zone was cut off
-	refused  map[crash.Fingerprint]int
-	served   int
+	f          *fleet
+	calls      map[calls.ID]*labCall
+	runs       map[string][]*labRun // by engine
+	crashTimes map[crash.Fingerprint][]time.Duration
+	arrivals   map[crash.Fingerprint][]time.Duration
+	lives      map[string]int // engines that ran at an address
+	calm       time.Duration  // since when no zone was cut off
+	refused    map[crash.Fingerprint]int
+	served     int
 	// severs is the share of calls whose connection breaks though the engine lives.
 	severs float64
 	// keepsNames has engines that start again keep their names.
@@ -91,7 +91,7 @@
 func newCrashLab(f *fleet) *crashLab {
 	l := &crashLab{
 		f: f, calls: map[calls.ID]*labCall{}, runs: map[string][]*labRun{},
-		ended: map[crash.Fingerprint][]time.Duration{}, arrivals: map[crash.Fingerprint][]time.Duration{},
+		crashTimes: map[crash.Fingerprint][]time.Duration{}, arrivals: map[crash.Fingerprint][]time.Duration{},
 		lives: map[string]int{}, refused: map[crash.Fingerprint]int{},
 	}
 	f.crashes = l
@@ -208,7 +208,7 @@
 		r.sever()
 	}
 	for p := range poisons {
-		l.ended[p] = append(l.ended[p], l.f.now)
+		l.crashTimes[p] = append(l.crashTimes[p], l.f.now)
 	}
 	delete(l.runs, e.name)
 	if !l.keepsEntries {
@@ -283,7 +283,7 @@
 // late returns how often a request reached engines later than labContact after the
 // third had ended under it.
 func (l *crashLab) late(request crash.Fingerprint) int {
-	at := l.ended[request]
+	at := l.crashTimes[request]
 	if len(at) < crashLimit {
 		return 0
 	}
@@ -300,7 +300,7 @@
 // check reports the requests that reached engines too often, and whatever else broke.
 func (l *crashLab) check(t *testing.T) {
 	t.Helper()
-	for request, at := range l.ended {
+	for request, at := range l.crashTimes {
 		if late := l.late(request); late > crashLimit {
 			t.Errorf("request %v reached engines %d times later than %v after the third had ended; %d ended in all", request, late, propagationTime, len(at))
 		}
@@ -545,7 +545,7 @@
 				l.poison(1000, 0, 200*time.Millisecond)
 				first := l.until(1)
 				last := l.until(c.members)
-				ended := l.ended[1000]
+				ended := l.crashTimes[1000]
 				t.Logf("seed %d: refused first %v after the last of %d ends, by all %v after that", seed, first-ended[len(ended)-1], len(ended), last-first)
 				if last-first > limit {
 					t.Errorf("seed %d: the last instance refused it %v after the first", seed, last-first)
