--- a/core/instance/crash_test.go
+++ b/core/instance/crash_test.go
@@ -55,15 +55,15 @@
 // A crashLab has calls run at the engines of a fleet, some of which end the engine that
 // runs them, and checks how often these reach engines.
 type crashLab struct {
-	f          *fleet
-	calls      map[calls.ID]*labCall
-	runs       map[string][]*labRun // by engine
-	crashTimes map[crash.Fingerprint][]time.Duration
-	arrivals   map[crash.Fingerprint][]time.Duration
-	lives      map[string]int // engines that ran at an address
-	calm       time.Duration  // since when no zone was cut off
-	refused    map[crash.Fingerprint]int
-	served     int
+	f           *fleet
+	calls       map[calls.ID]*labCall
+	runs        map[string][]*labRun // by engine
+	crashTimes  map[crash.Fingerprint][]time.Duration
+	arrivals    map[crash.Fingerprint][]time.Duration
+	startCounts map[string]int // engines that ran at an address
+	calm        time.Duration  // since when no zone was cut off
+	refused     map[crash.Fingerprint]int
+	served      int
 	// severs is the share of calls whose connection breaks though the engine lives.
 	severs float64
 	// keepsNames has engines that start again keep their names.
@@ -92,7 +92,7 @@
 	l := &crashLab{
 		f: f, calls: map[calls.ID]*labCall{}, runs: map[string][]*labRun{},
 		crashTimes: map[crash.Fingerprint][]time.Duration{}, arrivals: map[crash.Fingerprint][]time.Duration{},
-		lives: map[string]int{}, refused: map[crash.Fingerprint]int{},
+		startCounts: map[string]int{}, refused: map[crash.Fingerprint]int{},
 	}
 	f.crashes = l
 	return l
@@ -228,9 +228,9 @@
 	if address == "" {
 		address = old.name
 	}
-	l.lives[address]++
+	l.startCounts[address]++
 	e := &fleetEngine{
-		name: fmt.Sprintf("%s.%d", address, l.lives[address]), address: address, zone: old.zone,
+		name: fmt.Sprintf("%s.%d", address, l.startCounts[address]), address: address, zone: old.zone,
 		models: old.models, adapters: map[string]bool{}, onDisk: old.onDisk,
 	}
 	l.f.engines[e.name] = e
