--- a/core/instance/crash_test.go
+++ b/core/instance/crash_test.go
@@ -61,7 +61,7 @@
 	crashTimes  map[crash.Fingerprint][]time.Duration
 	arrivals    map[crash.Fingerprint][]time.Duration
 	startCounts map[string]int // engines that ran at an address
-	calm        time.Duration  // since when no zone was cut off
+	calmSince   time.Duration  // since when no zone was cut off
 	refused     map[crash.Fingerprint]int
 	served      int
 	// severs is the share of calls whose connection breaks though the engine lives.
@@ -287,7 +287,7 @@
 	if len(at) < crashLimit {
 		return 0
 	}
-	bound := max(at[crashLimit-1], l.calm) + propagationTime
+	bound := max(at[crashLimit-1], l.calmSince) + propagationTime
 	late := 0
 	for _, a := range l.arrivals[request] {
 		if a > bound {
@@ -338,7 +338,7 @@
 	{"a large fleet, the store down", 2 * watchers.FullMeshLimit, 64, 1, 200 * time.Millisecond, func(l *crashLab) { l.f.store.down = true }},
 	{"a zone cut off for a while", 8, 32, 1, 250 * time.Millisecond, func(l *crashLab) {
 		l.f.cutZones = map[string]bool{"z1": true}
-		l.calm = l.f.now + 8*time.Second
+		l.calmSince = l.f.now + 8*time.Second
 		l.f.at(8*time.Second, func() { l.f.cutZones = nil })
 	}},
 	{"instances killed in turn", 8, 16, 1, 250 * time.Millisecond, func(l *crashLab) {
