--- a/core/instance/crash_test.go
+++ b/core/instance/crash_test.go
@@ -64,8 +64,8 @@
 	calmSince   time.Duration  // since when no zone was cut off
 	refused     map[crash.Fingerprint]int
 	served      int
-	// severs is the share of calls whose connection breaks though the engine lives.
-	severs float64
+	// severedShare is the share of calls whose connection breaks though the engine lives.
+	severedShare float64
 	// keepsNames has engines that start again keep their names.
 	keepsNames bool
 	// keepsEntries has their entries stay until they write them anew.
@@ -152,7 +152,7 @@
 				l.end(e)
 			}
 		})
-	case l.f.rng.Float64() < l.severs:
+	case l.f.rng.Float64() < l.severedShare:
 		l.f.at(100*time.Millisecond, func() {
 			if !r.over {
 				r.sever()
@@ -443,7 +443,7 @@
 			return func() {}
 		})
 	}},
-	{"connections break", func(l *crashLab) { l.severs = 0.6 }},
+	{"connections break", func(l *crashLab) { l.severedShare = 0.6 }},
 	{"zones are cut off", func(l *crashLab) {
 		l.f.periodically(6*time.Second, 2*time.Second, func() func() {
 			l.f.cutZones = map[string]bool{"z1": true}
