--- a/core/instance/crash_test.go
+++ b/core/instance/crash_test.go
@@ -76,7 +76,7 @@
 type labCall struct {
 	request calls.Request
 	poison  bool
-	again   bool // its caller has tried before
+	retried bool // its caller has tried before
 	ran     bool
 }
 
@@ -110,7 +110,7 @@
 		r := calls.Request{ID: calls.ID(l.f.eventSeq), Path: "/x", Replayable: true, PromptTokens: 1750, Forward: &calls.ForwardRequest{
 			Name: fmt.Sprint(l.f.eventSeq), Fingerprint: fingerprint, Host: "h", Model: fmt.Sprintf("m%d", model),
 		}}
-		l.calls[r.ID] = &labCall{request: r, poison: true, again: true}
+		l.calls[r.ID] = &labCall{request: r, poison: true, retried: true}
 		l.f.step(n, n.boot, calls.Arrived{Call: r})
 	})
 }
@@ -262,7 +262,7 @@
 			l.f.recordViolation("call %d was refused though it harmed nobody", a.ID)
 		}
 	}
-	if c.again {
+	if c.retried {
 		return
 	}
 	n := l.f.randomMember()
@@ -275,7 +275,7 @@
 		forward := *r.Forward
 		r.Forward = &forward
 		r.ID = calls.ID(l.f.eventSeq)
-		l.calls[r.ID] = &labCall{request: r, again: true}
+		l.calls[r.ID] = &labCall{request: r, retried: true}
 		l.f.step(n, n.boot, calls.Arrived{Call: r})
 	})
 }
