--- a/core/instance/crash_test.go
+++ b/core/instance/crash_test.go
@@ -85,7 +85,7 @@
 	reply func(time.Duration, step.Event)
 	d     calls.Dispatch
 	began bool
-	over  bool
+	done  bool
 }
 
 func newCrashLab(f *fleet) *crashLab {
@@ -148,13 +148,13 @@
 	switch {
 	case c.poison:
 		l.f.at(time.Duration(40+l.f.rng.IntN(130))*time.Millisecond, func() {
-			if !r.over {
+			if !r.done {
 				l.end(e)
 			}
 		})
 	case l.f.rng.Float64() < l.severedShare:
 		l.f.at(100*time.Millisecond, func() {
-			if !r.over {
+			if !r.done {
 				r.sever()
 			}
 		})
@@ -166,14 +166,14 @@
 // run has a call answered.
 func (l *crashLab) run(r *labRun) {
 	l.f.at(l.f.firstTokenDelay, func() {
-		if !r.over {
+		if !r.done {
 			r.began = true
 			r.reply(0, calls.AnswerBegan{ID: r.d.ID})
 		}
 	})
 	l.f.at(time.Duration(100+l.f.rng.IntN(1500))*time.Millisecond, func() {
-		if !r.over {
-			r.over = true
+		if !r.done {
+			r.done = true
 			l.served++
 			r.reply(0, calls.Completed{ID: r.d.ID})
 		}
@@ -182,7 +182,7 @@
 
 // sever ends the connection of a call.
 func (r *labRun) sever() {
-	r.over = true
+	r.done = true
 	b := calls.AttemptFailed{ID: r.d.ID, Attempt: r.d.Attempt, Phase: attempt.MaybeSent, Severed: true}
 	if r.began {
 		b.Phase = attempt.Answered
@@ -199,7 +199,7 @@
 	e.dead = true
 	poisons := map[crash.Fingerprint]bool{}
 	for _, r := range l.runs[e.name] {
-		if r.over {
+		if r.done {
 			continue
 		}
 		if r.call.poison {
