--- a/core/instance/crash_test.go
+++ b/core/instance/crash_test.go
@@ -149,7 +149,7 @@
 	case c.poison:
 		l.f.at(time.Duration(40+l.f.rng.IntN(130))*time.Millisecond, func() {
 			if !r.done {
-				l.end(e)
+				l.terminate(e)
 			}
 		})
 	case l.f.rng.Float64() < l.severedShare:
@@ -191,8 +191,8 @@
 	r.reply(fleetLatency, b)
 }
 
-// end ends an engine; another one starts at its address after a while.
-func (l *crashLab) end(e *fleetEngine) {
+// terminate ends an engine; another one starts at its address after a while.
+func (l *crashLab) terminate(e *fleetEngine) {
 	if e.dead {
 		return
 	}
@@ -242,7 +242,7 @@
 	a := *l.f.store.values["servers/"+e.name].data.(*pool.Announcement)
 	a.Leaving = true
 	l.f.setKey("servers/"+e.name, &fleetValue{data: &a})
-	l.f.at(2500*time.Millisecond, func() { l.end(e) })
+	l.f.at(2500*time.Millisecond, func() { l.terminate(e) })
 }
 
 // finished takes in a final answer that is not an engine's, and checks that its words
@@ -420,7 +420,7 @@
 	{"engines end by themselves", func(l *crashLab) {
 		l.f.periodically(700*time.Millisecond, time.Hour, func() func() {
 			if e := l.randomEngine(); e != nil {
-				l.end(e)
+				l.terminate(e)
 			}
 			return func() {}
 		})
@@ -429,7 +429,7 @@
 		l.f.periodically(9*time.Second, time.Hour, func() func() {
 			for range 10 {
 				if e := l.randomEngine(); e != nil {
-					l.end(e)
+					l.terminate(e)
 				}
 			}
 			return func() {}
@@ -495,7 +495,7 @@
 	l.f.expireLeases()
 	l.f.run(8 * time.Second)
 	e := l.f.engines["e0"]
-	l.end(e)
+	l.terminate(e)
 	owner := l.ownerOf(e)
 	var answers []owned.SendReply
 	for n := range 3 {
