--- a/core/instance/crash_test.go
+++ b/core/instance/crash_test.go
@@ -280,9 +280,9 @@
 	})
 }
 
-// late returns how often a request reached engines later than labContact after the
+// lateArrivals returns how often a request reached engines later than labContact after the
 // third had ended under it.
-func (l *crashLab) late(request crash.Fingerprint) int {
+func (l *crashLab) lateArrivals(request crash.Fingerprint) int {
 	at := l.crashTimes[request]
 	if len(at) < crashLimit {
 		return 0
@@ -301,7 +301,7 @@
 func (l *crashLab) check(t *testing.T) {
 	t.Helper()
 	for request, at := range l.crashTimes {
-		if late := l.late(request); late > crashLimit {
+		if late := l.lateArrivals(request); late > crashLimit {
 			t.Errorf("request %v reached engines %d times later than %v after the third had ended; %d ended in all", request, late, propagationTime, len(at))
 		}
 	}
@@ -398,7 +398,7 @@
 				l.check(t)
 				for p := range s.poisons {
 					request := crash.Fingerprint(1000 + p)
-					late[l.late(request)]++
+					late[l.lateArrivals(request)]++
 					if l.refused[request] == 0 {
 						t.Errorf("seed %d: the request was never refused", seed)
 					}
