--- a/core/instance/crash_test.go
+++ b/core/instance/crash_test.go
@@ -543,8 +543,8 @@
 				l.f.run(8 * time.Second)
 				l.f.store.down = c.down
 				l.poison(1000, 0, 200*time.Millisecond)
-				first := l.until(1)
-				last := l.until(c.members)
+				first := l.runUntilRefusedBy(1)
+				last := l.runUntilRefusedBy(c.members)
 				ended := l.crashTimes[1000]
 				t.Logf("seed %d: refused first %v after the last of %d ends, by all %v after that", seed, first-ended[len(ended)-1], len(ended), last-first)
 				if last-first > limit {
@@ -555,8 +555,8 @@
 	}
 }
 
-// until runs the fleet until so many members refuse request 1000, and returns when.
-func (l *crashLab) until(members int) time.Duration {
+// runUntilRefusedBy runs the fleet runUntilRefusedBy so many members refuse request 1000, and returns when.
+func (l *crashLab) runUntilRefusedBy(members int) time.Duration {
 	for range 3000 {
 		n := 0
 		for _, m := range l.f.members {
