--- a/core/instance/crash_test.go
+++ b/core/instance/crash_test.go
@@ -412,8 +412,8 @@
 	}
 }
 
-// otherEnds are what severs calls without any request being to blame.
-var otherEnds = []struct {
+// unrelatedFailures are what severs calls without any request being to blame.
+var unrelatedFailures = []struct {
 	name string
 	do   func(l *crashLab)
 }{
@@ -455,7 +455,7 @@
 // TestOtherEndsRefuseNobody: engines that end by themselves, leave, or whose
 // connections break while they live are no reason to refuse the calls that ran there.
 func TestOtherEndsRefuseNobody(t *testing.T) {
-	for _, c := range otherEnds {
+	for _, c := range unrelatedFailures {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			for seed := range *crashSeeds {
