--- a/core/instance/announced_world_test.go
+++ b/core/instance/announced_world_test.go
@@ -475,7 +475,7 @@
 			f.limits.finished(act)
 		}
 		if f.crashes != nil {
-			f.crashes.finished(act)
+			f.crashes.handleFinish(act)
 		}
 	case calls.Relay:
 	}
--- a/core/instance/crash_test.go
+++ b/core/instance/crash_test.go
@@ -245,9 +245,9 @@
 	l.f.at(2500*time.Millisecond, func() { l.terminate(e) })
 }
 
-// finished takes in a final answer that is not an engine's, and checks that its words
+// handleFinish takes in a final answer that is not an engine's, and checks that its words
 // are true. The caller tries once more.
-func (l *crashLab) finished(a calls.Finish) {
+func (l *crashLab) handleFinish(a calls.Finish) {
 	c := l.calls[a.ID]
 	if c == nil {
 		return
