--- a/core/instance/announced_world_test.go
+++ b/core/instance/announced_world_test.go
@@ -472,7 +472,7 @@
 			f.notices.finished(act)
 		}
 		if f.limits != nil {
-			f.limits.finished(act)
+			f.limits.handleFinish(act)
 		}
 		if f.crashes != nil {
 			f.crashes.handleFinish(act)
--- a/core/instance/limit_test.go
+++ b/core/instance/limit_test.go
@@ -202,9 +202,9 @@
 	})
 }
 
-// finished takes in a final answer that is not an engine's. Where an engine that names no
+// handleFinish takes in a final answer that is not an engine's. Where an engine that names no
 // limit could have served the call, it is lost.
-func (l *limitLab) finished(a calls.Finish) {
+func (l *limitLab) handleFinish(a calls.Finish) {
 	l.refused = append(l.refused, a)
 	c, ok := l.arrived[a.ID]
 	if !ok || !c.plain || a.Refusal.Code == code.NoConfiguration {
