--- a/core/instance/announced_world_test.go
+++ b/core/instance/announced_world_test.go
@@ -469,7 +469,7 @@
 	case calls.Finish:
 		f.refused++
 		if f.notices != nil {
-			f.notices.finished(act)
+			f.notices.handleFinish(act)
 		}
 		if f.limits != nil {
 			f.limits.handleFinish(act)
--- a/core/instance/notice_test.go
+++ b/core/instance/notice_test.go
@@ -193,9 +193,9 @@
 	return true
 }
 
-// finished takes in a final answer that is not an engine's. Where some engine could
+// handleFinish takes in a final answer that is not an engine's. Where some engine could
 // have served the call, it is lost.
-func (l *noticeLab) finished(a calls.Finish) {
+func (l *noticeLab) handleFinish(a calls.Finish) {
 	c, ok := l.arrived[a.ID]
 	if !ok || !c.plain || a.Refusal.Code == code.NoConfiguration {
 		return // an instance that has just started serves nothing, whatever its engines do
