--- a/core/instance/gone_test.go
+++ b/core/instance/gone_test.go
@@ -18,8 +18,8 @@
 	"github.com/birchdrift/birchdrift/core/watchers"
 )
 
-// goneCall is the call whose caller leaves.
-const goneCall calls.ID = 7
+// abandonedCall is the call whose caller leaves.
+const abandonedCall calls.ID = 7
 
 // newOwnerLab returns one instance that owns its two engines, of which each holds three
 // models, and does nothing that the test does not do.
@@ -35,7 +35,7 @@
 // arrive has the call arrive.
 func (l *soloLab) arrive(model, adapter string) []step.Action {
 	return l.m.Step(l.now, calls.Arrived{Call: calls.Request{
-		ID: goneCall, Path: "/x", Replayable: true, PromptTokens: 100,
+		ID: abandonedCall, Path: "/x", Replayable: true, PromptTokens: 100,
 		Forward: &calls.ForwardRequest{Name: "call", Host: "h", Model: model, Adapter: adapter, Fingerprint: 7},
 	}})
 }
@@ -46,11 +46,11 @@
 	for _, a := range actions {
 		switch act := a.(type) {
 		case calls.Dispatch:
-			if act.ID == goneCall {
+			if act.ID == abandonedCall {
 				out = append(out, a)
 			}
 		case forwarding.ProbeEngine:
-			if act.Call == goneCall {
+			if act.Call == abandonedCall {
 				out = append(out, a)
 			}
 		case owned.SendOrder:
@@ -64,7 +64,7 @@
 // sent for it after that, whatever answers still come, and no replica counts it as there.
 func TestACallerThatLeftCostsNothing(t *testing.T) {
 	fails := func(l *soloLab, attempt_ int, b calls.AttemptFailed) {
-		b.ID, b.Attempt = goneCall, attempt_
+		b.ID, b.Attempt = abandonedCall, attempt_
 		l.m.Step(l.now, b)
 	}
 	cases := []struct {
@@ -74,22 +74,22 @@
 		late  func(l *soloLab) []step.Action // what still comes
 	}{
 		{"it runs", calls.Running, func(l *soloLab) { l.arrive("m0", "") }, func(l *soloLab) []step.Action {
-			return l.m.Step(l.now, calls.AttemptFailed{ID: goneCall, Attempt: 1, Phase: attempt.Refused})
+			return l.m.Step(l.now, calls.AttemptFailed{ID: abandonedCall, Attempt: 1, Phase: attempt.Refused})
 		}},
 		{"it runs at its second replica", calls.Running, func(l *soloLab) {
 			l.arrive("m0", "")
 			l.list(l.entry("1"))
 			fails(l, 1, calls.AttemptFailed{Phase: attempt.MaybeSent, Severed: true})
 		}, func(l *soloLab) []step.Action {
-			return l.m.Step(l.now, calls.AttemptFailed{ID: goneCall, Attempt: 2, Phase: attempt.Refused})
+			return l.m.Step(l.now, calls.AttemptFailed{ID: abandonedCall, Attempt: 2, Phase: attempt.Refused})
 		}},
 		{"its stream goes on elsewhere", calls.Running, func(l *soloLab) {
 			l.arrive("m0", "")
 			l.list(l.entry("1"))
-			l.m.Step(l.now, calls.AnswerBegan{ID: goneCall})
+			l.m.Step(l.now, calls.AnswerBegan{ID: abandonedCall})
 			fails(l, 1, calls.AttemptFailed{Phase: attempt.Answered, Severed: true, Delivered: 3})
 		}, func(l *soloLab) []step.Action {
-			return l.m.Step(l.now, calls.AttemptFailed{ID: goneCall, Attempt: 2, Phase: attempt.Answered, Severed: true, Delivered: 5})
+			return l.m.Step(l.now, calls.AttemptFailed{ID: abandonedCall, Attempt: 2, Phase: attempt.Answered, Severed: true, Delivered: 5})
 		}},
 		{"it waits for a rest", calls.Waiting, func(l *soloLab) {
 			for _, r := range l.m.state.Pool.All() {
@@ -116,8 +116,8 @@
 			l.list(l.entry("1"))
 			l.arrive("m0", "")
 		}, func(l *soloLab) []step.Action {
-			actions := append([]step.Action(nil), l.m.Step(l.now, forwarding.ProbeReply{Call: goneCall, Engine: "e0", Sent: l.now})...)
-			return append(actions, l.m.Step(l.now, forwarding.ProbeReply{Call: goneCall, Engine: "e", Sent: l.now})...)
+			actions := append([]step.Action(nil), l.m.Step(l.now, forwarding.ProbeReply{Call: abandonedCall, Engine: "e0", Sent: l.now})...)
+			return append(actions, l.m.Step(l.now, forwarding.ProbeReply{Call: abandonedCall, Engine: "e", Sent: l.now})...)
 		}},
 	}
 	for _, c := range cases {
@@ -125,11 +125,11 @@
 			is := is.New(t)
 			l := newOwnerLab(t)
 			c.do(l)
-			call := l.m.calls.Get(goneCall)
+			call := l.m.calls.Get(abandonedCall)
 			is.True(call != nil)
 			is.Equal(call.Phase, c.phase)
 			l.now = l.now.Add(20 * time.Millisecond)
-			is.Equal(len(spends(l.m.Step(l.now, calls.CallerGone{ID: goneCall}))), 0)
+			is.Equal(len(spends(l.m.Step(l.now, calls.CallerGone{ID: abandonedCall}))), 0)
 			is.Equal(l.m.calls.Len(), 0)
 			if c.late != nil {
 				is.Equal(len(spends(c.late(l))), 0)
