--- a/core/instance/gone_test.go
+++ b/core/instance/gone_test.go
@@ -40,8 +40,8 @@
 	}})
 }
 
-// spends returns what is done for the call among the actions.
-func spends(actions []step.Action) []step.Action {
+// workFor returns what is done for the call among the actions.
+func workFor(actions []step.Action) []step.Action {
 	var out []step.Action
 	for _, a := range actions {
 		switch act := a.(type) {
@@ -129,14 +129,14 @@
 			is.True(call != nil)
 			is.Equal(call.Phase, c.phase)
 			l.now = l.now.Add(20 * time.Millisecond)
-			is.Equal(len(spends(l.m.Step(l.now, calls.CallerGone{ID: abandonedCall}))), 0)
+			is.Equal(len(workFor(l.m.Step(l.now, calls.CallerGone{ID: abandonedCall}))), 0)
 			is.Equal(l.m.calls.Len(), 0)
 			if c.late != nil {
-				is.Equal(len(spends(c.late(l))), 0)
+				is.Equal(len(workFor(c.late(l))), 0)
 			}
 			for range 200 {
 				l.now = l.now.Add(25 * time.Millisecond)
-				is.Equal(len(spends(l.m.Step(l.now, Tick{}))), 0)
+				is.Equal(len(workFor(l.m.Step(l.now, Tick{}))), 0)
 			}
 			for _, r := range l.m.state.Pool.All() {
 				is.Equal(r.InFlight(), 0)
