--- a/core/instance/lives_test.go
+++ b/core/instance/lives_test.go
@@ -145,7 +145,7 @@
 }
 
 // step hands the machine an event and returns the actions of a kind that follow.
-func soloStep[T step.Action](l *soloLab, ev step.Event) []T {
+func stepFor[T step.Action](l *soloLab, ev step.Event) []T {
 	var out []T
 	for _, a := range l.m.Step(l.now, ev) {
 		if x, ok := a.(T); ok {
@@ -172,7 +172,7 @@
 
 // call has a call arrive, and returns where it is sent.
 func (l *soloLab) call(id calls.ID) []calls.Dispatch {
-	return soloStep[calls.Dispatch](l, calls.Arrived{Call: calls.Request{
+	return stepFor[calls.Dispatch](l, calls.Arrived{Call: calls.Request{
 		ID: id, Path: "/x", Replayable: true, PromptTokens: 100, Forward: &calls.ForwardRequest{Name: "call", Host: "h", Model: "m0"},
 	}})
 }
@@ -252,11 +252,11 @@
 	is.Equal(len(l.call(1)), 1)
 	l.now = l.now.Add(time.Second)
 	entry := l.entry("2")
-	cut := soloStep[calls.Interrupt](l, listing.Reply{Entries: []gossip.Listed{entry}, Version: l.version})
+	cut := stepFor[calls.Interrupt](l, listing.Reply{Entries: []gossip.Listed{entry}, Version: l.version})
 	is.Equal(cut, []calls.Interrupt{{ID: 1}})
 	// Its attempt ends by that, not by its connection.
 	l.now = l.now.Add(time.Millisecond)
-	again := soloStep[calls.Dispatch](l, calls.AttemptFailed{ID: 1, Attempt: 1, Phase: attempt.MaybeSent})
+	again := stepFor[calls.Dispatch](l, calls.AttemptFailed{ID: 1, Attempt: 1, Phase: attempt.MaybeSent})
 	is.Equal(len(again), 1)
 	is.Equal(again[0].Replica, "e")
 	is.Equal(len(l.m.state.Records.Crashes()), 0) // the request has no name to be known by
