--- a/core/instance/leaving_test.go
+++ b/core/instance/leaving_test.go
@@ -37,9 +37,9 @@
 
 // A leaveLab has engines leave, and counts the calls that reach them too late.
 type leaveLab struct {
-	f      *fleet
-	bounds bounds.Bounds
-	words  map[*fleetEngine]leaveWord
+	f            *fleet
+	bounds       bounds.Bounds
+	leaveRecords map[*fleetEngine]leaveWord
 	// When the store, and each member, was disturbed last.
 	storeBad  time.Duration
 	memberBad map[string]time.Duration
@@ -58,7 +58,7 @@
 
 func newLeaveLab(f *fleet, b bounds.Bounds) *leaveLab {
 	l := &leaveLab{
-		f: f, bounds: b, words: map[*fleetEngine]leaveWord{}, memberBad: map[string]time.Duration{},
+		f: f, bounds: b, leaveRecords: map[*fleetEngine]leaveWord{}, memberBad: map[string]time.Duration{},
 		boots: map[string]uint64{}, next: len(f.engines), storeBad: -time.Hour,
 	}
 	f.leaves = l
@@ -99,7 +99,7 @@
 		l.oldest = max(l.oldest, d.Forward.ListAge)
 	}
 	l.f.at(bounds.DialTimeout, func() {
-		w, ok := l.words[e]
+		w, ok := l.leaveRecords[e]
 		if !ok || !w.stable || l.f.now-w.at <= l.bounds.Leave || !l.bound(n) || e.gone {
 			return
 		}
@@ -112,7 +112,7 @@
 	names := sortedKeys(l.f.engines)
 	for {
 		e := l.f.engines[names[l.f.rng.IntN(len(names))]]
-		if _, leaves := l.words[e]; !leaves {
+		if _, leaves := l.leaveRecords[e]; !leaves {
 			return e
 		}
 	}
@@ -143,13 +143,13 @@
 // took notes that the store takes at this moment that an engine leaves.
 func (l *leaveLab) took(e *fleetEngine) {
 	w := leaveWord{at: l.f.now, stable: l.stable()}
-	l.words[e] = w
+	l.leaveRecords[e] = w
 	if !w.stable {
 		return
 	}
 	l.left++
 	l.f.at(l.bounds.Leave-bounds.DialTimeout, func() {
-		if l.words[e] == w {
+		if l.leaveRecords[e] == w {
 			l.checkUnused(e)
 		}
 	})
--- a/core/instance/stepback_test.go
+++ b/core/instance/stepback_test.go
@@ -111,7 +111,7 @@
 		return
 	}
 	if f.leaves != nil {
-		delete(f.leaves.words, e)
+		delete(f.leaves.leaveRecords, e)
 	}
 	f.at(entryTerm, func() {
 		if f.store.values[key] == nil {
