--- a/core/instance/leaving_test.go
+++ b/core/instance/leaving_test.go
@@ -41,13 +41,13 @@
 	bounds       bounds.Bounds
 	leaveRecords map[*fleetEngine]leaveWord
 	// When the store, and each member, was disturbed last.
-	storeBad  time.Duration
-	memberBad map[string]time.Duration
-	boots     map[string]uint64
-	next      int // number of the next engine
-	late      []string
-	left      int           // engines that left under a stable store
-	oldest    time.Duration // list by which a member that the rule binds sent a call
+	storeDisturbedAt time.Duration
+	memberBad        map[string]time.Duration
+	boots            map[string]uint64
+	next             int // number of the next engine
+	late             []string
+	left             int           // engines that left under a stable store
+	oldest           time.Duration // list by which a member that the rule binds sent a call
 }
 
 // A leaveWord is when the store took that an engine leaves.
@@ -59,7 +59,7 @@
 func newLeaveLab(f *fleet, b bounds.Bounds) *leaveLab {
 	l := &leaveLab{
 		f: f, bounds: b, leaveRecords: map[*fleetEngine]leaveWord{}, memberBad: map[string]time.Duration{},
-		boots: map[string]uint64{}, next: len(f.engines), storeBad: -time.Hour,
+		boots: map[string]uint64{}, next: len(f.engines), storeDisturbedAt: -time.Hour,
 	}
 	f.leaves = l
 	l.observe()
@@ -71,7 +71,7 @@
 func (l *leaveLab) observe() {
 	f := l.f
 	if f.store.down || f.store.refusesConnections || f.lostShare > 0 {
-		l.storeBad = f.now
+		l.storeDisturbedAt = f.now
 	}
 	for _, name := range f.names {
 		n := f.members[name]
@@ -84,7 +84,7 @@
 }
 
 // stable reports whether the store was not disturbed for a while.
-func (l *leaveLab) stable() bool { return l.f.now-l.storeBad >= l.bounds.Settle }
+func (l *leaveLab) stable() bool { return l.f.now-l.storeDisturbedAt >= l.bounds.Settle }
 
 // bound reports whether the rule binds a member.
 func (l *leaveLab) bound(n *fleetMember) bool {
