--- a/core/instance/leaving_test.go
+++ b/core/instance/leaving_test.go
@@ -41,13 +41,13 @@
 	bounds       bounds.Bounds
 	leaveRecords map[*fleetEngine]leaveWord
 	// When the store, and each member, was disturbed last.
-	storeDisturbedAt time.Duration
-	memberBad        map[string]time.Duration
-	boots            map[string]uint64
-	next             int // number of the next engine
-	late             []string
-	left             int           // engines that left under a stable store
-	oldest           time.Duration // list by which a member that the rule binds sent a call
+	storeDisturbedAt  time.Duration
+	memberDisturbedAt map[string]time.Duration
+	boots             map[string]uint64
+	next              int // number of the next engine
+	late              []string
+	left              int           // engines that left under a stable store
+	oldest            time.Duration // list by which a member that the rule binds sent a call
 }
 
 // A leaveWord is when the store took that an engine leaves.
@@ -58,7 +58,7 @@
 
 func newLeaveLab(f *fleet, b bounds.Bounds) *leaveLab {
 	l := &leaveLab{
-		f: f, bounds: b, leaveRecords: map[*fleetEngine]leaveWord{}, memberBad: map[string]time.Duration{},
+		f: f, bounds: b, leaveRecords: map[*fleetEngine]leaveWord{}, memberDisturbedAt: map[string]time.Duration{},
 		boots: map[string]uint64{}, next: len(f.engines), storeDisturbedAt: -time.Hour,
 	}
 	f.leaves = l
@@ -76,7 +76,7 @@
 	for _, name := range f.names {
 		n := f.members[name]
 		if n.dead || n.frozen || n.noStore || n.noUpdates || f.cutZones[n.id.Zone] || n.boot != l.boots[name] {
-			l.memberBad[name] = f.now
+			l.memberDisturbedAt[name] = f.now
 			l.boots[name] = n.boot
 		}
 	}
@@ -88,7 +88,7 @@
 
 // bound reports whether the rule binds a member.
 func (l *leaveLab) bound(n *fleetMember) bool {
-	return l.stable() && l.f.now-l.memberBad[n.id.Name] >= l.bounds.Settle
+	return l.stable() && l.f.now-l.memberDisturbedAt[n.id.Name] >= l.bounds.Settle
 }
 
 // sent takes in that a member sends a call to an engine. It reaches it only once a connection is
