--- a/core/instance/leaving_test.go
+++ b/core/instance/leaving_test.go
@@ -47,7 +47,7 @@
 	next              int // number of the next engine
 	late              []string
 	left              int           // engines that left under a stable store
-	oldest            time.Duration // list by which a member that the rule binds sent a call
+	maxListAge        time.Duration // list by which a member that the rule binds sent a call
 }
 
 // A leaveWord is when the store took that an engine leaves.
@@ -96,7 +96,7 @@
 func (l *leaveLab) sent(n *fleetMember, d calls.Dispatch) {
 	e := l.f.engines[d.Replica]
 	if l.bound(n) {
-		l.oldest = max(l.oldest, d.Forward.ListAge)
+		l.maxListAge = max(l.maxListAge, d.Forward.ListAge)
 	}
 	l.f.at(bounds.DialTimeout, func() {
 		w, ok := l.leaveRecords[e]
@@ -419,7 +419,7 @@
 	for _, b := range l.f.violations[:min(3, len(l.f.violations))] {
 		t.Errorf("seed %d: %s", seed+1, b)
 	}
-	t.Logf("seed %d: oldest list at a send %v, %d engines left, %.3f of calls served", seed+1, l.oldest.Round(time.Millisecond), l.left,
+	t.Logf("seed %d: oldest list at a send %v, %d engines left, %.3f of calls served", seed+1, l.maxListAge.Round(time.Millisecond), l.left,
 		float64(l.f.served)/float64(max(1, l.f.served+l.f.refused)))
 	if l.left == 0 || l.f.served < 9*l.f.refused {
 		t.Errorf("seed %d: %d left, %d served, %d refused", seed+1, l.left, l.f.served, l.f.refused)
