--- a/core/instance/leaving_test.go
+++ b/core/instance/leaving_test.go
@@ -86,8 +86,8 @@
 // stable reports whether the store was not disturbed for a while.
 func (l *leaveLab) stable() bool { return l.f.now-l.storeDisturbedAt >= l.bounds.Settle }
 
-// bound reports whether the rule binds a member.
-func (l *leaveLab) bound(n *fleetMember) bool {
+// boundApplies reports whether the rule binds a member.
+func (l *leaveLab) boundApplies(n *fleetMember) bool {
 	return l.stable() && l.f.now-l.memberDisturbedAt[n.id.Name] >= l.bounds.Settle
 }
 
@@ -95,12 +95,12 @@
 // made, which may take as long as the members try.
 func (l *leaveLab) sent(n *fleetMember, d calls.Dispatch) {
 	e := l.f.engines[d.Replica]
-	if l.bound(n) {
+	if l.boundApplies(n) {
 		l.maxListAge = max(l.maxListAge, d.Forward.ListAge)
 	}
 	l.f.at(bounds.DialTimeout, func() {
 		w, ok := l.leaveRecords[e]
-		if !ok || !w.stable || l.f.now-w.at <= l.bounds.Leave || !l.bound(n) || e.gone {
+		if !ok || !w.stable || l.f.now-w.at <= l.bounds.Leave || !l.boundApplies(n) || e.gone {
 			return
 		}
 		l.late = append(l.late, fmt.Sprintf("%v: a call of %s reached %s %v after the store had taken that it leaves", l.f.now, n.id.Name, e.name, l.f.now-w.at))
@@ -160,7 +160,7 @@
 func (l *leaveLab) checkUnused(e *fleetEngine) {
 	for _, n := range l.everyone() {
 		r := n.m.state.Pool.Get(e.name)
-		if l.bound(n) && r != nil && (r.Usable() || r.LastResort(l.f.clock(n))) {
+		if l.boundApplies(n) && r != nil && (r.Usable() || r.LastResort(l.f.clock(n))) {
 			l.late = append(l.late, fmt.Sprintf("%v: %s would send calls to %s %v after the store had taken that it leaves", l.f.now, n.id.Name, e.name, l.bounds.Leave-bounds.DialTimeout))
 		}
 	}
