--- a/core/instance/leaving_test.go
+++ b/core/instance/leaving_test.go
@@ -126,7 +126,7 @@
 	if f.store.down {
 		return // its word is not taken
 	}
-	l.took(e)
+	l.recordLeave(e)
 	e.leavesSilently = silent
 	e.leaving = !silent
 	if silent {
@@ -140,8 +140,8 @@
 	})
 }
 
-// took notes that the store takes at this moment that an engine leaves.
-func (l *leaveLab) took(e *fleetEngine) {
+// recordLeave notes that the store takes at this moment that an engine leaves.
+func (l *leaveLab) recordLeave(e *fleetEngine) {
 	w := leaveWord{at: l.f.now, stable: l.stable()}
 	l.leaveRecords[e] = w
 	if !w.stable {
--- a/core/instance/stepback_test.go
+++ b/core/instance/stepback_test.go
@@ -119,7 +119,7 @@
 		}
 		f.setKey(key, nil)
 		if f.leaves != nil {
-			f.leaves.took(e)
+			f.leaves.recordLeave(e)
 		}
 	})
 }
