--- a/core/instance/leaving_test.go
+++ b/core/instance/leaving_test.go
@@ -181,8 +181,8 @@
 	f.announce(added)
 }
 
-// hang has nothing come any more on the connections of all watches that wait.
-func (l *leaveLab) hang(members ...*fleetMember) {
+// hangWatches has nothing come any more on the connections of all watches that wait.
+func (l *leaveLab) hangWatches(members ...*fleetMember) {
 	for _, n := range members {
 		for _, w := range n.pendingWatches {
 			w.hung = true
@@ -263,13 +263,13 @@
 	{"calm", func(l *leaveLab) { l.every(1300*time.Millisecond, l.randomLeave) }},
 	{"the watches of some hang", func(l *leaveLab) {
 		l.every(2300*time.Millisecond, func() {
-			l.hang(l.f.randomMember(), l.f.randomMember())
+			l.hangWatches(l.f.randomMember(), l.f.randomMember())
 			l.soon(400 * time.Millisecond)
 		})
 	}},
 	{"the watches of all hang", func(l *leaveLab) {
 		l.every(4100*time.Millisecond, func() {
-			l.hang(l.everyone()...)
+			l.hangWatches(l.everyone()...)
 			l.soon(300 * time.Millisecond)
 		})
 	}},
@@ -473,7 +473,7 @@
 		old  bool
 	}{
 		{"calm", func(*leaveLab) {}, false},
-		{"watches hang", func(l *leaveLab) { l.every(5*time.Second, func() { l.hang(l.everyone()...) }) }, false},
+		{"watches hang", func(l *leaveLab) { l.every(5*time.Second, func() { l.hangWatches(l.everyone()...) }) }, false},
 		{"watches and what is called beside them hang", func(l *leaveLab) {
 			for _, n := range l.everyone() {
 				l.f.periodically(6*time.Second, 3*time.Second, func() func() {
