--- a/core/instance/leaving_test.go
+++ b/core/instance/leaving_test.go
@@ -158,7 +158,7 @@
 // checkUnused checks that no member that the rule binds would send a call to an engine that comes
 // too late.
 func (l *leaveLab) checkUnused(e *fleetEngine) {
-	for _, n := range l.everyone() {
+	for _, n := range l.allMembers() {
 		r := n.m.state.Pool.Get(e.name)
 		if l.boundApplies(n) && r != nil && (r.Usable() || r.LastResort(l.f.clock(n))) {
 			l.late = append(l.late, fmt.Sprintf("%v: %s would send calls to %s %v after the store had taken that it leaves", l.f.now, n.id.Name, e.name, l.bounds.Leave-bounds.DialTimeout))
@@ -190,8 +190,8 @@
 	}
 }
 
-// everyone returns all members.
-func (l *leaveLab) everyone() (members []*fleetMember) {
+// allMembers returns all members.
+func (l *leaveLab) allMembers() (members []*fleetMember) {
 	for _, name := range l.f.names {
 		members = append(members, l.f.members[name])
 	}
@@ -204,7 +204,7 @@
 	f := l.f
 	f.store.muteUntil = f.now + time.Second
 	f.at(time.Second, func() {
-		for _, n := range l.everyone() {
+		for _, n := range l.allMembers() {
 			n.watchPosition = 0
 			for _, w := range n.pendingWatches {
 				w.hung = silent
@@ -269,7 +269,7 @@
 	}},
 	{"the watches of all hang", func(l *leaveLab) {
 		l.every(4100*time.Millisecond, func() {
-			l.hangWatches(l.everyone()...)
+			l.hangWatches(l.allMembers()...)
 			l.soon(300 * time.Millisecond)
 		})
 	}},
@@ -473,9 +473,9 @@
 		old  bool
 	}{
 		{"calm", func(*leaveLab) {}, false},
-		{"watches hang", func(l *leaveLab) { l.every(5*time.Second, func() { l.hangWatches(l.everyone()...) }) }, false},
+		{"watches hang", func(l *leaveLab) { l.every(5*time.Second, func() { l.hangWatches(l.allMembers()...) }) }, false},
 		{"watches and what is called beside them hang", func(l *leaveLab) {
-			for _, n := range l.everyone() {
+			for _, n := range l.allMembers() {
 				l.f.periodically(6*time.Second, 3*time.Second, func() func() {
 					n.noUpdates = true
 					return func() { n.noUpdates = false }
