--- a/core/instance/leaving_test.go
+++ b/core/instance/leaving_test.go
@@ -198,9 +198,9 @@
 	return members
 }
 
-// forget has watches hear of no change for a second, then the store forget its history: all
+// dropHistory has watches hear of no change for a second, then the store dropHistory its history: all
 // watches are cut, with a reset or without a word, and go on from the whole.
-func (l *leaveLab) forget(silent bool) {
+func (l *leaveLab) dropHistory(silent bool) {
 	f := l.f
 	f.store.muteUntil = f.now + time.Second
 	f.at(time.Second, func() {
@@ -275,13 +275,13 @@
 	}},
 	{"history is dropped", func(l *leaveLab) {
 		l.every(3700*time.Millisecond, func() {
-			l.forget(false)
+			l.dropHistory(false)
 			l.soon(time.Second)
 		})
 	}},
 	{"history is dropped without a word", func(l *leaveLab) {
 		l.every(4700*time.Millisecond, func() {
-			l.forget(true)
+			l.dropHistory(true)
 			l.soon(time.Second)
 		})
 	}},
