--- a/core/instance/leaving_test.go
+++ b/core/instance/leaving_test.go
@@ -214,8 +214,8 @@
 	})
 }
 
-// soon has an engine leave within a span.
-func (l *leaveLab) soon(span time.Duration) {
+// leaveWithin has an engine leave within a span.
+func (l *leaveLab) leaveWithin(span time.Duration) {
 	l.f.at(time.Duration(l.f.rng.Int64N(int64(span))), l.randomLeave)
 }
 
@@ -264,25 +264,25 @@
 	{"the watches of some hang", func(l *leaveLab) {
 		l.every(2300*time.Millisecond, func() {
 			l.hangWatches(l.f.randomMember(), l.f.randomMember())
-			l.soon(400 * time.Millisecond)
+			l.leaveWithin(400 * time.Millisecond)
 		})
 	}},
 	{"the watches of all hang", func(l *leaveLab) {
 		l.every(4100*time.Millisecond, func() {
 			l.hangWatches(l.allMembers()...)
-			l.soon(300 * time.Millisecond)
+			l.leaveWithin(300 * time.Millisecond)
 		})
 	}},
 	{"history is dropped", func(l *leaveLab) {
 		l.every(3700*time.Millisecond, func() {
 			l.dropHistory(false)
-			l.soon(time.Second)
+			l.leaveWithin(time.Second)
 		})
 	}},
 	{"history is dropped without a word", func(l *leaveLab) {
 		l.every(4700*time.Millisecond, func() {
 			l.dropHistory(true)
-			l.soon(time.Second)
+			l.leaveWithin(time.Second)
 		})
 	}},
 	{"the store is down", func(l *leaveLab) {
