--- a/core/instance/leaving_test.go
+++ b/core/instance/leaving_test.go
@@ -219,8 +219,8 @@
 	l.f.at(time.Duration(l.f.rng.Int64N(int64(span))), l.randomLeave)
 }
 
-// down has the store be away for a while, with a word to whoever connects or without one.
-func (l *leaveLab) down(span time.Duration, closed bool) {
+// storeDown has the store be away for a while, with a word to whoever connects or without one.
+func (l *leaveLab) storeDown(span time.Duration, closed bool) {
 	l.f.store.down = true
 	l.f.store.refusesConnections = closed
 	l.f.at(span, func() {
@@ -288,14 +288,14 @@
 	{"the store is down", func(l *leaveLab) {
 		l.every(11*time.Second, func() {
 			span := time.Duration(1+l.f.rng.IntN(5)) * time.Second
-			l.down(span, true)
+			l.storeDown(span, true)
 			l.soonAfter(span)
 		})
 	}},
 	{"the store is silent", func(l *leaveLab) {
 		l.every(12*time.Second, func() {
 			span := time.Duration(1+l.f.rng.IntN(6)) * time.Second
-			l.down(span, false)
+			l.storeDown(span, false)
 			l.soonAfter(span)
 		})
 	}},
