--- a/core/instance/leaving_test.go
+++ b/core/instance/leaving_test.go
@@ -229,9 +229,9 @@
 	})
 }
 
-// churn has every engine write its entry again and again, so that a step back of the store takes
+// rewriteEntries has every engine write its entry again and again, so that a step back of the store takes
 // many numbers back.
-func (l *leaveLab) churn() {
+func (l *leaveLab) rewriteEntries() {
 	const writes = 10
 	for range writes {
 		for _, name := range sortedKeys(l.f.engines) {
@@ -303,7 +303,7 @@
 		l.f.keepStoreCopies()
 		l.every(9*time.Second, func() {
 			l.randomLeave()
-			l.churn()
+			l.rewriteEntries()
 			l.f.at(time.Second, func() {
 				l.f.stepBack(time.Second + l.f.randomSpan())
 				l.soonAfter(restoring)
