--- a/core/instance/leaving_test.go
+++ b/core/instance/leaving_test.go
@@ -242,8 +242,8 @@
 	}
 }
 
-// soonAfter has engines leave as soon as the rule binds again, span from now.
-func (l *leaveLab) soonAfter(span time.Duration) {
+// leaveAfter has engines leave as soon as the rule binds again, span from now.
+func (l *leaveLab) leaveAfter(span time.Duration) {
 	l.f.at(span+l.bounds.Settle+8*time.Millisecond, l.randomLeave)
 	l.f.at(span+l.bounds.Settle+700*time.Millisecond, l.randomLeave)
 }
@@ -289,14 +289,14 @@
 		l.every(11*time.Second, func() {
 			span := time.Duration(1+l.f.rng.IntN(5)) * time.Second
 			l.storeDown(span, true)
-			l.soonAfter(span)
+			l.leaveAfter(span)
 		})
 	}},
 	{"the store is silent", func(l *leaveLab) {
 		l.every(12*time.Second, func() {
 			span := time.Duration(1+l.f.rng.IntN(6)) * time.Second
 			l.storeDown(span, false)
-			l.soonAfter(span)
+			l.leaveAfter(span)
 		})
 	}},
 	{"the store steps back", func(l *leaveLab) {
@@ -306,7 +306,7 @@
 			l.rewriteEntries()
 			l.f.at(time.Second, func() {
 				l.f.stepBack(time.Second + l.f.randomSpan())
-				l.soonAfter(restoring)
+				l.leaveAfter(restoring)
 			})
 		})
 	}},
