--- a/core/instance/leaving_test.go
+++ b/core/instance/leaving_test.go
@@ -372,8 +372,8 @@
 	return leaveStorms[i]
 }
 
-// play plays a storm, alone or beside another, on a fleet of some size.
-func (s leaveStorm) play(seed uint64, size fleetSize, beside ...leaveStorm) *leaveLab {
+// simulate plays a storm, alone or beside another, on a fleet of some size.
+func (s leaveStorm) simulate(seed uint64, size fleetSize, beside ...leaveStorm) *leaveLab {
 	f := newFleetWithBounds(seed, size.members, size.engines, option.Disabled{}, false, size.bounds)
 	f.adapterShare = 0.1
 	f.expireLeases()
@@ -439,7 +439,7 @@
 			t.Run(fmt.Sprintf("%d instances, %s", size.members, s.name), func(t *testing.T) {
 				t.Parallel()
 				for seed := range *leaveSeeds {
-					s.play(uint64(seed+1), size).check(t, seed)
+					s.simulate(uint64(seed+1), size).check(t, seed)
 				}
 			})
 		}
@@ -457,7 +457,7 @@
 			t.Run(fmt.Sprintf("%d instances, %s, %s", size.members, p[0], p[1]), func(t *testing.T) {
 				t.Parallel()
 				for seed := range *leaveSeeds {
-					stormOf(p[0]).play(uint64(seed+1), size, stormOf(p[1])).check(t, seed)
+					stormOf(p[0]).simulate(uint64(seed+1), size, stormOf(p[1])).check(t, seed)
 				}
 			})
 		}
