--- a/core/instance/leaving_test.go
+++ b/core/instance/leaving_test.go
@@ -366,8 +366,8 @@
 	{"a zone is cut off", "the watches of all hang"},
 }
 
-// stormOf returns the storm of a name.
-func stormOf(name string) leaveStorm {
+// findStorm returns the storm of a name.
+func findStorm(name string) leaveStorm {
 	i := slices.IndexFunc(leaveStorms, func(s leaveStorm) bool { return s.name == name })
 	return leaveStorms[i]
 }
@@ -457,7 +457,7 @@
 			t.Run(fmt.Sprintf("%d instances, %s, %s", size.members, p[0], p[1]), func(t *testing.T) {
 				t.Parallel()
 				for seed := range *leaveSeeds {
-					stormOf(p[0]).simulate(uint64(seed+1), size, stormOf(p[1])).check(t, seed)
+					findStorm(p[0]).simulate(uint64(seed+1), size, findStorm(p[1])).check(t, seed)
 				}
 			})
 		}
