--- a/core/instance/leaving_test.go
+++ b/core/instance/leaving_test.go
@@ -31,9 +31,9 @@
 	largeBounds = bounds.Bounds{Leave: 3 * time.Second, Settle: 4 * time.Second}
 )
 
-// linger is how long an engine serves on after it said that it leaves, or its entry went:
+// lingerTime is how long an engine serves on after it said that it leaves, or its entry went:
 // longer than any bound, so that each request that comes too late is seen.
-const linger = 6 * time.Second
+const lingerTime = 6 * time.Second
 
 // A leaveLab has engines leave, and counts the calls that reach them too late.
 type leaveLab struct {
@@ -134,7 +134,7 @@
 	} else {
 		f.announce(e)
 	}
-	f.at(linger, func() {
+	f.at(lingerTime, func() {
 		e.gone = true
 		f.setKey("servers/"+e.name, nil)
 	})
