--- a/core/instance/limit_test.go
+++ b/core/instance/limit_test.go
@@ -36,10 +36,10 @@
 const (
 	// limitWindow is the span over which requests are counted, wherever it begins.
 	limitWindow = 4 * time.Second
-	// limitTimes and limitMore are what may reach it in that span: so many times what the
+	// limitFactor and limitMore are what may reach it in that span: so many times what the
 	// limit allows, and so many requests more.
-	limitTimes = 1.5
-	limitMore  = 5
+	limitFactor = 1.5
+	limitMore   = 5
 	// limitTold is how long before a request its instance must have been told of the limit
 	// for the request to count.
 	limitTold = 500 * time.Millisecond
@@ -269,9 +269,9 @@
 		if !limited || r.at < l.named[e][0].at+limitFrom {
 			continue
 		}
-		if over := float64(len(within)) - limitTimes*allowed - limitMore; over > most {
+		if over := float64(len(within)) - limitFactor*allowed - limitMore; over > most {
 			most = over
-			worst = fmt.Sprintf("%s got %d requests in the %v before %v; allowed %.0f", e.name, len(within), limitWindow, r.at, limitTimes*allowed+limitMore)
+			worst = fmt.Sprintf("%s got %d requests in the %v before %v; allowed %.0f", e.name, len(within), limitWindow, r.at, limitFactor*allowed+limitMore)
 		}
 	}
 	return worst, most > 0
