--- a/core/instance/limit_test.go
+++ b/core/instance/limit_test.go
@@ -39,7 +39,7 @@
 	// limitFactor and limitMore are what may reach it in that span: so many times what the
 	// limit allows, and so many requests more.
 	limitFactor = 1.5
-	limitMore   = 5
+	limitBurst  = 5
 	// limitTold is how long before a request its instance must have been told of the limit
 	// for the request to count.
 	limitTold = 500 * time.Millisecond
@@ -269,9 +269,9 @@
 		if !limited || r.at < l.named[e][0].at+limitFrom {
 			continue
 		}
-		if over := float64(len(within)) - limitFactor*allowed - limitMore; over > most {
+		if over := float64(len(within)) - limitFactor*allowed - limitBurst; over > most {
 			most = over
-			worst = fmt.Sprintf("%s got %d requests in the %v before %v; allowed %.0f", e.name, len(within), limitWindow, r.at, limitFactor*allowed+limitMore)
+			worst = fmt.Sprintf("%s got %d requests in the %v before %v; allowed %.0f", e.name, len(within), limitWindow, r.at, limitFactor*allowed+limitBurst)
 		}
 	}
 	return worst, most > 0
@@ -611,7 +611,7 @@
 		l.also[e] = pool.Notice{}
 		l.f.run(8 * time.Second)
 		is.True(l.arrivedWithin(e, l.f.now-6*time.Second, l.f.now) > 0) // a call shows after 5 s that it serves
-		is.True(l.arrivedWithin(e, rests, rests+4*time.Second) <= 3*noticeMost+limitMore)
+		is.True(l.arrivedWithin(e, rests, rests+4*time.Second) <= 3*noticeMost+limitBurst)
 		l.f.members["i2"].dead = true
 		l.also[e] = pool.Notice{Leaving: true}
 		n := l.f.members["i0"]
