--- a/core/instance/limit_test.go
+++ b/core/instance/limit_test.go
@@ -40,9 +40,9 @@
 	// limit allows, and so many requests more.
 	limitFactor = 1.5
 	limitBurst  = 5
-	// limitTold is how long before a request its instance must have been told of the limit
+	// limitToldDelay is how long before a request its instance must have been told of the limit
 	// for the request to count.
-	limitTold = 500 * time.Millisecond
+	limitToldDelay = 500 * time.Millisecond
 	// limitFrom is how long after an engine first named a limit the bound holds.
 	limitFrom = 3 * time.Second
 )
@@ -258,7 +258,7 @@
 	var within []limitReach // that count, in the window
 	most := 0.0
 	for _, r := range l.reaches[e] {
-		if at, told := l.told[r.by]; !told || r.at < at+limitTold {
+		if at, told := l.told[r.by]; !told || r.at < at+limitToldDelay {
 			continue
 		}
 		within = append(within, r)
