--- a/core/instance/limit_test.go
+++ b/core/instance/limit_test.go
@@ -43,8 +43,8 @@
 	// limitToldDelay is how long before a request its instance must have been told of the limit
 	// for the request to count.
 	limitToldDelay = 500 * time.Millisecond
-	// limitFrom is how long after an engine first named a limit the bound holds.
-	limitFrom = 3 * time.Second
+	// limitGrace is how long after an engine first named a limit the bound holds.
+	limitGrace = 3 * time.Second
 )
 
 // limitHealed is how long after a cut instances may still hold engines for out of reach: an
@@ -266,7 +266,7 @@
 			within = within[1:]
 		}
 		allowed, limited := l.allows(e, r.at-limitWindow, r.at)
-		if !limited || r.at < l.named[e][0].at+limitFrom {
+		if !limited || r.at < l.named[e][0].at+limitGrace {
 			continue
 		}
 		if over := float64(len(within)) - limitFactor*allowed - limitBurst; over > most {
@@ -549,7 +549,7 @@
 			return all
 		}
 		from := l.f.now
-		for !known() && l.f.now < from+limitFrom {
+		for !known() && l.f.now < from+limitGrace {
 			l.f.run(50 * time.Millisecond)
 		}
 		t.Logf("%d instances know after %v", members, l.f.now-from)
