--- a/core/instance/limit_test.go
+++ b/core/instance/limit_test.go
@@ -47,10 +47,10 @@
 	limitGrace = 3 * time.Second
 )
 
-// limitHealed is how long after a cut instances may still hold engines for out of reach: an
+// healDelay is how long after a cut instances may still hold engines for out of reach: an
 // attempt that was made before takes half a second to fail, and they count as down for 0.7 s
 // then. Traced: the calls refused within that time had such engines alone.
-const limitHealed = 1200 * time.Millisecond
+const healDelay = 1200 * time.Millisecond
 
 // limitLoaded is how long it takes all instances to hear of a model that was just loaded.
 // Traced: the call that was refused for one came in the moment in which it was there.
@@ -210,7 +210,7 @@
 	if !ok || !c.plain || a.Refusal.Code == code.NoConfiguration {
 		return // an instance that has just started serves nothing, whatever its engines do
 	}
-	if c.at < l.healed+limitHealed || c.at < c.member.thawedAt {
+	if c.at < l.healed+healDelay || c.at < c.member.thawedAt {
 		// It came while its engines were out of reach, or counted as that still; or its
 		// instance stood still meanwhile.
 		return
