--- a/core/instance/limit_test.go
+++ b/core/instance/limit_test.go
@@ -52,9 +52,9 @@
 // then. Traced: the calls refused within that time had such engines alone.
 const healDelay = 1200 * time.Millisecond
 
-// limitLoaded is how long it takes all instances to hear of a model that was just loaded.
+// loadNewsDelay is how long it takes all instances to hear of a model that was just loaded.
 // Traced: the call that was refused for one came in the moment in which it was there.
-const limitLoaded = time.Second
+const loadNewsDelay = time.Second
 
 // limitUsed is how much of a limit calls get at least, where they want more than that: an
 // aim of this product's own. Sending nothing would keep the users' bound.
@@ -217,7 +217,7 @@
 	}
 	for _, name := range sortedKeys(l.f.engines) {
 		e := l.f.engines[name]
-		if l.f.now-e.loadedAt[c.model] < limitLoaded {
+		if l.f.now-e.loadedAt[c.model] < loadNewsDelay {
 			continue // nobody can have heard yet that it is there
 		}
 		if e.models[c.model] && !e.dead && !l.limit(e).Named && !l.f.partitioned(c.member.id.Zone, e.zone) {
