--- a/core/instance/limit_test.go
+++ b/core/instance/limit_test.go
@@ -56,9 +56,9 @@
 // Traced: the call that was refused for one came in the moment in which it was there.
 const loadNewsDelay = time.Second
 
-// limitUsed is how much of a limit calls get at least, where they want more than that: an
+// minLimitUse is how much of a limit calls get at least, where they want more than that: an
 // aim of this product's own. Sending nothing would keep the users' bound.
-const limitUsed = 0.8
+const minLimitUse = 0.8
 
 var (
 	// limitSeeds is how many seeds each storm is played with. By hand: -limit.seeds=50.
@@ -460,7 +460,7 @@
 					least = min(least, l.used(l.engine(i), from, l.f.now))
 				}
 				t.Logf("the engine that got least got %.2f of its limit", least)
-				if least < limitUsed {
+				if least < minLimitUse {
 					t.Errorf("an engine got %.2f of its limit", least)
 				}
 			})
