--- a/core/instance/limit_test.go
+++ b/core/instance/limit_test.go
@@ -69,15 +69,15 @@
 
 // A limitLab has engines name a limit in their answers, and counts what is sent to them.
 type limitLab struct {
-	f       *fleet
-	named   map[*fleetEngine][]limitNamed
-	told    map[noticeTo]time.Duration // when an instance first passed on an answer with a limit
-	reaches map[*fleetEngine][]limitReach
-	arrived map[calls.ID]noticeCall
-	lost    []string // calls that an engine without a limit could have served
-	refused []calls.Finish
-	healed  time.Duration // when a zone was last cut off
-	takes   time.Duration // how long a call runs
+	f        *fleet
+	named    map[*fleetEngine][]limitNamed
+	told     map[noticeTo]time.Duration // when an instance first passed on an answer with a limit
+	received map[*fleetEngine][]limitReach
+	arrived  map[calls.ID]noticeCall
+	lost     []string // calls that an engine without a limit could have served
+	refused  []calls.Finish
+	healed   time.Duration // when a zone was last cut off
+	takes    time.Duration // how long a call runs
 	// also is what engines say of themselves beside their limit; one that asks for rest
 	// turns everything away.
 	also map[*fleetEngine]pool.Notice
@@ -98,7 +98,7 @@
 func newLimitLab(f *fleet) *limitLab {
 	f.limits = &limitLab{
 		f: f, named: map[*fleetEngine][]limitNamed{}, told: map[noticeTo]time.Duration{},
-		reaches: map[*fleetEngine][]limitReach{}, arrived: map[calls.ID]noticeCall{}, takes: 400 * time.Millisecond,
+		received: map[*fleetEngine][]limitReach{}, arrived: map[calls.ID]noticeCall{}, takes: 400 * time.Millisecond,
 		also: map[*fleetEngine]pool.Notice{},
 	}
 	return f.limits
@@ -151,7 +151,7 @@
 }
 
 func (l *limitLab) note(n *fleetMember, boot uint64, e *fleetEngine) {
-	l.reaches[e] = append(l.reaches[e], limitReach{l.f.now, noticeTo{n.id.Name, boot, e.name, e.starts}})
+	l.received[e] = append(l.received[e], limitReach{l.f.now, noticeTo{n.id.Name, boot, e.name, e.starts}})
 }
 
 // say has what an engine says of itself now reach an instance.
@@ -257,7 +257,7 @@
 func (l *limitLab) excess(e *fleetEngine) (worst string, ok bool) {
 	var within []limitReach // that count, in the window
 	most := 0.0
-	for _, r := range l.reaches[e] {
+	for _, r := range l.received[e] {
 		if at, told := l.told[r.by]; !told || r.at < at+limitToldDelay {
 			continue
 		}
@@ -281,7 +281,7 @@
 func (l *limitLab) used(e *fleetEngine, from, to time.Duration) float64 {
 	allowed, _ := l.allows(e, from, to)
 	n := 0
-	for _, r := range l.reaches[e] {
+	for _, r := range l.received[e] {
 		if r.at >= from && r.at < to {
 			n++
 		}
@@ -521,7 +521,7 @@
 // arrivedWithin returns how many requests reached an engine between two instants.
 func (l *limitLab) arrivedWithin(e *fleetEngine, from, to time.Duration) int {
 	n := 0
-	for _, r := range l.reaches[e] {
+	for _, r := range l.received[e] {
 		if r.at >= from && r.at < to {
 			n++
 		}
