--- a/core/instance/notice_test.go
+++ b/core/instance/notice_test.go
@@ -54,16 +54,16 @@
 // A noticeLab has engines say something of themselves in their answers, and checks what
 // is sent to them after that.
 type noticeLab struct {
-	f       *fleet
-	leaving map[*fleetEngine]bool
-	rests   map[*fleetEngine]time.Duration // asked for by engines that turn everything away
-	arrived map[calls.ID]noticeCall
-	told    map[noticeTo]time.Duration // when an instance was first told that an engine leaves
-	reaches map[noticeTo][]noticeReach
-	served  map[*fleetEngine]int
-	lost    []string     // calls that another engine could have served
-	late    int          // requests after noticeLeft
-	repeats *repeatCount // nil: tries are not counted
+	f        *fleet
+	leaving  map[*fleetEngine]bool
+	rests    map[*fleetEngine]time.Duration // asked for by engines that turn everything away
+	arrived  map[calls.ID]noticeCall
+	told     map[noticeTo]time.Duration // when an instance was first told that an engine leaves
+	received map[noticeTo][]noticeReach
+	served   map[*fleetEngine]int
+	lost     []string     // calls that another engine could have served
+	late     int          // requests after noticeLeft
+	repeats  *repeatCount // nil: tries are not counted
 }
 
 // A noticeTo is an instance that an engine spoke to.
@@ -91,7 +91,7 @@
 func newNoticeLab(f *fleet) *noticeLab {
 	l := &noticeLab{
 		f: f, leaving: map[*fleetEngine]bool{}, rests: map[*fleetEngine]time.Duration{}, arrived: map[calls.ID]noticeCall{},
-		told: map[noticeTo]time.Duration{}, reaches: map[noticeTo][]noticeReach{}, served: map[*fleetEngine]int{},
+		told: map[noticeTo]time.Duration{}, received: map[noticeTo][]noticeReach{}, served: map[*fleetEngine]int{},
 	}
 	f.notices = l
 	return l
@@ -112,7 +112,7 @@
 		l.late++
 	}
 	said := pool.Notice{Leaving: l.leaving[e], Rest: l.rests[e]}
-	l.reaches[to] = append(l.reaches[to], noticeReach{at: l.f.now, rest: said.Rest})
+	l.received[to] = append(l.received[to], noticeReach{at: l.f.now, rest: said.Rest})
 	return said
 }
 
@@ -214,7 +214,7 @@
 // rest that it had asked that instance for.
 func (l *noticeLab) mostInARest() int {
 	most := 0
-	for _, reaches := range l.reaches {
+	for _, reaches := range l.received {
 		for _, asked := range reaches {
 			n := 0
 			for _, r := range reaches {
