--- a/core/instance/announced_world_test.go
+++ b/core/instance/announced_world_test.go
@@ -407,7 +407,7 @@
 			return
 		}
 		if f.limits != nil {
-			f.limits.reached(n, boot, f.engines[act.Engine], fleetLatency, f.clock(n))
+			f.limits.requestReached(n, boot, f.engines[act.Engine], fleetLatency, f.clock(n))
 		}
 		f.sendOrder(n, act, reply)
 	case owned.QueryState:
@@ -422,7 +422,7 @@
 				return
 			}
 			if f.limits != nil {
-				f.limits.reached(n, boot, e, 0, sent)
+				f.limits.requestReached(n, boot, e, 0, sent)
 			}
 			reply(fleetLatency, owned.StateReply{Engine: act.Engine, Sent: sent, State: e.state()})
 		})
@@ -490,7 +490,7 @@
 		return
 	}
 	if f.limits != nil {
-		f.limits.reached(n, boot, e, fleetLatency, sent)
+		f.limits.requestReached(n, boot, e, fleetLatency, sent)
 	}
 	reply(2*fleetLatency, forwarding.ProbeReply{Call: a.Call, Engine: a.Engine, Sent: sent})
 }
--- a/core/instance/limit_test.go
+++ b/core/instance/limit_test.go
@@ -141,9 +141,9 @@
 	l.arrived[r.ID] = noticeCall{member: n, at: l.f.now, model: r.Forward.Model, plain: r.Forward.Adapter == ""}
 }
 
-// reached notes that a request reaches an engine in so long, and has what the engine says
+// requestReached notes that a request reaches an engine in so long, and has what the engine says
 // of itself come back with the answer.
-func (l *limitLab) reached(n *fleetMember, boot uint64, e *fleetEngine, way time.Duration, sent clock.Instant) {
+func (l *limitLab) requestReached(n *fleetMember, boot uint64, e *fleetEngine, way time.Duration, sent clock.Instant) {
 	l.f.at(way, func() {
 		l.note(n, boot, e)
 		l.say(n, boot, e, fleetLatency, sent)
