--- a/core/instance/notice_test.go
+++ b/core/instance/notice_test.go
@@ -104,9 +104,9 @@
 	l.arrived[r.ID] = noticeCall{member: n, at: l.f.now, model: r.Forward.Model, plain: r.Forward.Adapter == ""}
 }
 
-// reached notes that something sent at sent reached an engine, and returns what the
+// requestReached notes that something sent at sent requestReached an engine, and returns what the
 // engine says of itself in its answer.
-func (l *noticeLab) reached(n *fleetMember, boot uint64, e *fleetEngine, sent time.Duration) pool.Notice {
+func (l *noticeLab) requestReached(n *fleetMember, boot uint64, e *fleetEngine, sent time.Duration) pool.Notice {
 	to := noticeTo{n.id.Name, boot, e.name, e.starts}
 	if at, told := l.told[to]; told && sent > at+noticeLeft {
 		l.late++
@@ -150,7 +150,7 @@
 		if l.repeats != nil {
 			l.repeats.try(l.f.now, d.ID)
 		}
-		said := l.reached(n, boot, e, l.arrived[d.ID].at)
+		said := l.requestReached(n, boot, e, l.arrived[d.ID].at)
 		switch {
 		case said.Rest > 0:
 			l.say(n, boot, e, sent, said)
@@ -172,7 +172,7 @@
 // engine turned it away.
 func (l *noticeLab) turnsAwayOrder(n *fleetMember, boot uint64, a owned.SendOrder, reply func(time.Duration, step.Event)) bool {
 	e := l.f.engines[a.Engine]
-	said := l.reached(n, boot, e, l.f.now)
+	said := l.requestReached(n, boot, e, l.f.now)
 	l.say(n, boot, e, l.f.clock(n), said)
 	if said.Rest == 0 {
 		return false
@@ -184,7 +184,7 @@
 // turnsAwayQuestion takes in that an engine is asked for its state, and reports whether
 // it turned that away.
 func (l *noticeLab) turnsAwayQuestion(n *fleetMember, boot uint64, e *fleetEngine, sent clock.Instant, reply func(time.Duration, step.Event)) bool {
-	said := l.reached(n, boot, e, l.f.now-fleetLatency)
+	said := l.requestReached(n, boot, e, l.f.now-fleetLatency)
 	l.say(n, boot, e, sent, said)
 	if said.Rest == 0 {
 		return false
