--- a/core/instance/limit_test.go
+++ b/core/instance/limit_test.go
@@ -119,8 +119,8 @@
 
 func (l *limitLab) engine(i int) *fleetEngine { return l.f.engines[fmt.Sprintf("e%d", i)] }
 
-// names has an engine name a limit from now on.
-func (l *limitLab) names(e *fleetEngine, perSecond float64) {
+// setLimit has an engine name a limit from now on.
+func (l *limitLab) setLimit(e *fleetEngine, perSecond float64) {
 	l.named[e] = append(l.named[e], limitNamed{l.f.now, pool.RateLimit{Named: true, PerSecond: perSecond}})
 }
 
@@ -392,7 +392,7 @@
 		l.f.periodically(time.Second, 0, func() func() {
 			up = !up
 			for e := range l.named {
-				l.names(e, map[bool]float64{true: 8, false: 2}[up])
+				l.setLimit(e, map[bool]float64{true: 8, false: 2}[up])
 			}
 			return func() {}
 		})
@@ -419,7 +419,7 @@
 				l.f.startCallers(20 * time.Millisecond)
 				l.f.run(2 * time.Second)
 				for i, limit := range []float64{1, 0.5, 3, 0, 1, 10} {
-					l.names(l.engine(i), limit)
+					l.setLimit(l.engine(i), limit)
 				}
 				s.do(l)
 				l.f.run(22 * time.Second)
@@ -449,7 +449,7 @@
 				l.takes = 10 * time.Millisecond
 				l.f.startCallersFor(time.Duration(float64(time.Second)/(3*engines*limit)), func() int { return l.f.rng.IntN(fleetModels) })
 				for i := range engines {
-					l.names(l.engine(i), limit)
+					l.setLimit(l.engine(i), limit)
 				}
 				l.f.run(4 * time.Second)
 				from := l.f.now
@@ -480,7 +480,7 @@
 				is := is.New(t)
 				l, never := endedLimitFleet(members), endedLimitFleet(members)
 				e := l.engine(0)
-				l.names(e, limit)
+				l.setLimit(e, limit)
 				l.f.run(12 * time.Second)
 				l.ends(e)
 				ended := l.f.now
@@ -537,7 +537,7 @@
 		l := newLimitFleet(1, members, fleetEngines)
 		e := l.engine(0)
 		n := l.f.members["i1"]
-		l.names(e, 2)
+		l.setLimit(e, 2)
 		l.say(n, n.boot, e, 0, l.f.clock(n))
 		known := func() (all bool) {
 			all = true
@@ -577,7 +577,7 @@
 		l.f.promptTokens = 100
 		l.f.startCallersFor(80*time.Millisecond, func() int { return l.f.rng.IntN(3) }) // all at the first engine
 		l.f.run(5 * time.Second)
-		l.names(l.engine(0), 0.5)
+		l.setLimit(l.engine(0), 0.5)
 		l.f.run(25 * time.Second)
 		l.check(t, seed)
 		elsewhere := map[string]bool{}
@@ -603,7 +603,7 @@
 		l := newLimitFleet(uint64(seed+1), 8, 2*fleetEngines)
 		l.f.startCallers(20 * time.Millisecond)
 		e := l.engine(0)
-		l.names(e, 3)
+		l.setLimit(e, 3)
 		l.f.run(4 * time.Second)
 		l.also[e] = pool.Notice{Rest: 1500 * time.Millisecond}
 		rests := l.f.now
