--- a/core/instance/limit_test.go
+++ b/core/instance/limit_test.go
@@ -124,8 +124,8 @@
 	l.named[e] = append(l.named[e], limitNamed{l.f.now, pool.RateLimit{Named: true, PerSecond: perSecond}})
 }
 
-// ends has an engine name no limit from now on.
-func (l *limitLab) ends(e *fleetEngine) {
+// endLimit has an engine name no limit from now on.
+func (l *limitLab) endLimit(e *fleetEngine) {
 	l.named[e] = append(l.named[e], limitNamed{l.f.now, pool.RateLimit{}})
 }
 
@@ -482,7 +482,7 @@
 				e := l.engine(0)
 				l.setLimit(e, limit)
 				l.f.run(12 * time.Second)
-				l.ends(e)
+				l.endLimit(e)
 				ended := l.f.now
 				l.f.run(20 * time.Second)
 				l.check(t, 0)
