--- a/core/instance/limit_test.go
+++ b/core/instance/limit_test.go
@@ -78,9 +78,9 @@
 	refused  []calls.Finish
 	healed   time.Duration // when a zone was last cut off
 	takes    time.Duration // how long a call runs
-	// also is what engines say of themselves beside their limit; one that asks for rest
+	// otherNotices is what engines say of themselves beside their limit; one that asks for rest
 	// turns everything away.
-	also map[*fleetEngine]pool.Notice
+	otherNotices map[*fleetEngine]pool.Notice
 }
 
 // A limitNamed is a limit that an engine named from an instant on.
@@ -99,7 +99,7 @@
 	f.limits = &limitLab{
 		f: f, named: map[*fleetEngine][]limitNamed{}, told: map[noticeTo]time.Duration{},
 		received: map[*fleetEngine][]limitReach{}, arrived: map[calls.ID]noticeCall{}, takes: 400 * time.Millisecond,
-		also: map[*fleetEngine]pool.Notice{},
+		otherNotices: map[*fleetEngine]pool.Notice{},
 	}
 	return f.limits
 }
@@ -156,7 +156,7 @@
 
 // say has what an engine says of itself now reach an instance.
 func (l *limitLab) say(n *fleetMember, boot uint64, e *fleetEngine, way time.Duration, sent clock.Instant) {
-	said := l.also[e]
+	said := l.otherNotices[e]
 	said.Limit = l.limit(e)
 	to := noticeTo{n.id.Name, boot, e.name, e.starts}
 	l.f.at(way, func() {
@@ -185,7 +185,7 @@
 	sent := l.f.clock(n)
 	l.f.at(fleetLatency, func() {
 		l.note(n, boot, e)
-		if l.also[e].Rest > 0 {
+		if l.otherNotices[e].Rest > 0 {
 			l.say(n, boot, e, fleetLatency, sent)
 			failed(fleetLatency, calls.AttemptFailed{Phase: attempt.Refused, Status: 503})
 			return
@@ -605,15 +605,15 @@
 		e := l.engine(0)
 		l.setLimit(e, 3)
 		l.f.run(4 * time.Second)
-		l.also[e] = pool.Notice{Rest: 1500 * time.Millisecond}
+		l.otherNotices[e] = pool.Notice{Rest: 1500 * time.Millisecond}
 		rests := l.f.now
 		l.f.run(4 * time.Second)
-		l.also[e] = pool.Notice{}
+		l.otherNotices[e] = pool.Notice{}
 		l.f.run(8 * time.Second)
 		is.True(l.arrivedWithin(e, l.f.now-6*time.Second, l.f.now) > 0) // a call shows after 5 s that it serves
 		is.True(l.arrivedWithin(e, rests, rests+4*time.Second) <= 3*noticeMost+limitBurst)
 		l.f.members["i2"].dead = true
-		l.also[e] = pool.Notice{Leaving: true}
+		l.otherNotices[e] = pool.Notice{Leaving: true}
 		n := l.f.members["i0"]
 		l.say(n, n.boot, e, 0, l.f.clock(n)) // hardly anything goes there
 		l.f.run(noticeLeft + time.Second)
