--- a/core/instance/limit_test.go
+++ b/core/instance/limit_test.go
@@ -69,15 +69,15 @@
 
 // A limitLab has engines name a limit in their answers, and counts what is sent to them.
 type limitLab struct {
-	f        *fleet
-	named    map[*fleetEngine][]limitNamed
-	told     map[noticeTo]time.Duration // when an instance first passed on an answer with a limit
-	received map[*fleetEngine][]limitReach
-	arrived  map[calls.ID]noticeCall
-	lost     []string // calls that an engine without a limit could have served
-	refused  []calls.Finish
-	healed   time.Duration // when a zone was last cut off
-	takes    time.Duration // how long a call runs
+	f            *fleet
+	named        map[*fleetEngine][]limitNamed
+	told         map[noticeTo]time.Duration // when an instance first passed on an answer with a limit
+	received     map[*fleetEngine][]limitReach
+	arrived      map[calls.ID]noticeCall
+	lost         []string // calls that an engine without a limit could have served
+	refused      []calls.Finish
+	healed       time.Duration // when a zone was last cut off
+	callDuration time.Duration // how long a call runs
 	// otherNotices is what engines say of themselves beside their limit; one that asks for rest
 	// turns everything away.
 	otherNotices map[*fleetEngine]pool.Notice
@@ -98,7 +98,7 @@
 func newLimitLab(f *fleet) *limitLab {
 	f.limits = &limitLab{
 		f: f, named: map[*fleetEngine][]limitNamed{}, told: map[noticeTo]time.Duration{},
-		received: map[*fleetEngine][]limitReach{}, arrived: map[calls.ID]noticeCall{}, takes: 400 * time.Millisecond,
+		received: map[*fleetEngine][]limitReach{}, arrived: map[calls.ID]noticeCall{}, callDuration: 400 * time.Millisecond,
 		otherNotices: map[*fleetEngine]pool.Notice{},
 	}
 	return f.limits
@@ -198,7 +198,7 @@
 		l.f.served++
 		l.say(n, boot, e, l.f.firstTokenDelay+fleetLatency, sent)
 		reply(l.f.firstTokenDelay+fleetLatency, calls.AnswerBegan{ID: d.ID})
-		reply(l.takes, calls.Completed{ID: d.ID})
+		reply(l.callDuration, calls.Completed{ID: d.ID})
 	})
 }
 
@@ -446,7 +446,7 @@
 				// The limit binds, not what engines can run.
 				l.f.promptTokens = 100
 				l.f.firstTokenDelay = 5 * time.Millisecond
-				l.takes = 10 * time.Millisecond
+				l.callDuration = 10 * time.Millisecond
 				l.f.startCallersFor(time.Duration(float64(time.Second)/(3*engines*limit)), func() int { return l.f.rng.IntN(fleetModels) })
 				for i := range engines {
 					l.setLimit(l.engine(i), limit)
