--- a/core/instance/limit_test.go
+++ b/core/instance/limit_test.go
@@ -145,12 +145,12 @@
 // of itself come back with the answer.
 func (l *limitLab) requestReached(n *fleetMember, boot uint64, e *fleetEngine, way time.Duration, sent clock.Instant) {
 	l.f.at(way, func() {
-		l.note(n, boot, e)
+		l.recordRequest(n, boot, e)
 		l.say(n, boot, e, fleetLatency, sent)
 	})
 }
 
-func (l *limitLab) note(n *fleetMember, boot uint64, e *fleetEngine) {
+func (l *limitLab) recordRequest(n *fleetMember, boot uint64, e *fleetEngine) {
 	l.received[e] = append(l.received[e], limitReach{l.f.now, noticeTo{n.id.Name, boot, e.name, e.starts}})
 }
 
@@ -184,7 +184,7 @@
 	}
 	sent := l.f.clock(n)
 	l.f.at(fleetLatency, func() {
-		l.note(n, boot, e)
+		l.recordRequest(n, boot, e)
 		if l.otherNotices[e].Rest > 0 {
 			l.say(n, boot, e, fleetLatency, sent)
 			failed(fleetLatency, calls.AttemptFailed{Phase: attempt.Refused, Status: 503})
