--- a/core/instance/limit_test.go
+++ b/core/instance/limit_test.go
@@ -146,7 +146,7 @@
 func (l *limitLab) requestReached(n *fleetMember, boot uint64, e *fleetEngine, way time.Duration, sent clock.Instant) {
 	l.f.at(way, func() {
 		l.recordRequest(n, boot, e)
-		l.say(n, boot, e, fleetLatency, sent)
+		l.sendNotice(n, boot, e, fleetLatency, sent)
 	})
 }
 
@@ -154,8 +154,8 @@
 	l.received[e] = append(l.received[e], limitReach{l.f.now, noticeTo{n.id.Name, boot, e.name, e.starts}})
 }
 
-// say has what an engine says of itself now reach an instance.
-func (l *limitLab) say(n *fleetMember, boot uint64, e *fleetEngine, way time.Duration, sent clock.Instant) {
+// sendNotice has what an engine says of itself now reach an instance.
+func (l *limitLab) sendNotice(n *fleetMember, boot uint64, e *fleetEngine, way time.Duration, sent clock.Instant) {
 	said := l.otherNotices[e]
 	said.Limit = l.limit(e)
 	to := noticeTo{n.id.Name, boot, e.name, e.starts}
@@ -186,17 +186,17 @@
 	l.f.at(fleetLatency, func() {
 		l.recordRequest(n, boot, e)
 		if l.otherNotices[e].Rest > 0 {
-			l.say(n, boot, e, fleetLatency, sent)
+			l.sendNotice(n, boot, e, fleetLatency, sent)
 			failed(fleetLatency, calls.AttemptFailed{Phase: attempt.Refused, Status: 503})
 			return
 		}
 		if !e.models[d.Model] || d.Adapter != "" && !e.adapters[d.Model+"/"+d.Adapter] {
-			l.say(n, boot, e, fleetLatency, sent)
+			l.sendNotice(n, boot, e, fleetLatency, sent)
 			failed(fleetLatency, calls.AttemptFailed{Phase: attempt.Refused, Misdirected: true, Incarnation: d.Replica})
 			return
 		}
 		l.f.served++
-		l.say(n, boot, e, l.f.firstTokenDelay+fleetLatency, sent)
+		l.sendNotice(n, boot, e, l.f.firstTokenDelay+fleetLatency, sent)
 		reply(l.f.firstTokenDelay+fleetLatency, calls.AnswerBegan{ID: d.ID})
 		reply(l.callDuration, calls.Completed{ID: d.ID})
 	})
@@ -538,7 +538,7 @@
 		e := l.engine(0)
 		n := l.f.members["i1"]
 		l.setLimit(e, 2)
-		l.say(n, n.boot, e, 0, l.f.clock(n))
+		l.sendNotice(n, n.boot, e, 0, l.f.clock(n))
 		known := func() (all bool) {
 			all = true
 			for _, name := range l.f.names {
@@ -615,7 +615,7 @@
 		l.f.members["i2"].dead = true
 		l.otherNotices[e] = pool.Notice{Leaving: true}
 		n := l.f.members["i0"]
-		l.say(n, n.boot, e, 0, l.f.clock(n)) // hardly anything goes there
+		l.sendNotice(n, n.boot, e, 0, l.f.clock(n)) // hardly anything goes there
 		l.f.run(noticeLeft + time.Second)
 		l.f.start("i2")
 		gone := l.f.now
