--- a/core/instance/notice_test.go
+++ b/core/instance/notice_test.go
@@ -116,8 +116,8 @@
 	return said
 }
 
-// say has what an engine says of itself reach the instance.
-func (l *noticeLab) say(n *fleetMember, boot uint64, e *fleetEngine, sent clock.Instant, said pool.Notice) {
+// sendNotice has what an engine says of itself reach the instance.
+func (l *noticeLab) sendNotice(n *fleetMember, boot uint64, e *fleetEngine, sent clock.Instant, said pool.Notice) {
 	if said.IsZero() {
 		return
 	}
@@ -153,13 +153,13 @@
 		said := l.requestReached(n, boot, e, l.arrived[d.ID].at)
 		switch {
 		case said.Rest > 0:
-			l.say(n, boot, e, sent, said)
+			l.sendNotice(n, boot, e, sent, said)
 			failed(fleetLatency, calls.AttemptFailed{Phase: attempt.Refused, Status: 503})
 		case !e.models[d.Model] || d.Adapter != "" && !e.adapters[d.Model+"/"+d.Adapter]:
-			l.say(n, boot, e, sent, said)
+			l.sendNotice(n, boot, e, sent, said)
 			failed(fleetLatency, calls.AttemptFailed{Phase: attempt.Refused, Misdirected: true, Incarnation: d.Replica})
 		default:
-			l.f.at(l.f.firstTokenDelay, func() { l.say(n, boot, e, sent, said) })
+			l.f.at(l.f.firstTokenDelay, func() { l.sendNotice(n, boot, e, sent, said) })
 			l.f.served++
 			l.served[e]++
 			reply(l.f.firstTokenDelay+fleetLatency, calls.AnswerBegan{ID: d.ID})
@@ -173,7 +173,7 @@
 func (l *noticeLab) turnsAwayOrder(n *fleetMember, boot uint64, a owned.SendOrder, reply func(time.Duration, step.Event)) bool {
 	e := l.f.engines[a.Engine]
 	said := l.requestReached(n, boot, e, l.f.now)
-	l.say(n, boot, e, l.f.clock(n), said)
+	l.sendNotice(n, boot, e, l.f.clock(n), said)
 	if said.Rest == 0 {
 		return false
 	}
@@ -185,7 +185,7 @@
 // it turned that away.
 func (l *noticeLab) turnsAwayQuestion(n *fleetMember, boot uint64, e *fleetEngine, sent clock.Instant, reply func(time.Duration, step.Event)) bool {
 	said := l.requestReached(n, boot, e, l.f.now-fleetLatency)
-	l.say(n, boot, e, sent, said)
+	l.sendNotice(n, boot, e, sent, said)
 	if said.Rest == 0 {
 		return false
 	}
