--- a/core/instance/limit_test.go
+++ b/core/instance/limit_test.go
@@ -228,9 +228,9 @@
 	}
 }
 
-// allows returns what an engine's limit allows between two instants; ok is false where it
+// allowance returns what an engine's limit allowance between two instants; ok is false where it
 // named none for a part of that time. Its first limit counts for the time before it too.
-func (l *limitLab) allows(e *fleetEngine, from, to time.Duration) (requests float64, ok bool) {
+func (l *limitLab) allowance(e *fleetEngine, from, to time.Duration) (requests float64, ok bool) {
 	for i, n := range l.named[e] {
 		until := to
 		if i+1 < len(l.named[e]) {
@@ -265,7 +265,7 @@
 		for within[0].at <= r.at-limitWindow {
 			within = within[1:]
 		}
-		allowed, limited := l.allows(e, r.at-limitWindow, r.at)
+		allowed, limited := l.allowance(e, r.at-limitWindow, r.at)
 		if !limited || r.at < l.named[e][0].at+limitGrace {
 			continue
 		}
@@ -279,7 +279,7 @@
 
 // used returns the share of an engine's limit that requests used between two instants.
 func (l *limitLab) used(e *fleetEngine, from, to time.Duration) float64 {
-	allowed, _ := l.allows(e, from, to)
+	allowed, _ := l.allowance(e, from, to)
 	n := 0
 	for _, r := range l.received[e] {
 		if r.at >= from && r.at < to {
