--- a/core/instance/limit_test.go
+++ b/core/instance/limit_test.go
@@ -277,8 +277,8 @@
 	return worst, most > 0
 }
 
-// used returns the share of an engine's limit that requests used between two instants.
-func (l *limitLab) used(e *fleetEngine, from, to time.Duration) float64 {
+// usedShare returns the share of an engine's limit that requests usedShare between two instants.
+func (l *limitLab) usedShare(e *fleetEngine, from, to time.Duration) float64 {
 	allowed, _ := l.allowance(e, from, to)
 	n := 0
 	for _, r := range l.received[e] {
@@ -457,7 +457,7 @@
 				l.check(t, 0)
 				least := 1.0
 				for i := range engines {
-					least = min(least, l.used(l.engine(i), from, l.f.now))
+					least = min(least, l.usedShare(l.engine(i), from, l.f.now))
 				}
 				t.Logf("the engine that got least got %.2f of its limit", least)
 				if least < minLimitUse {
