--- a/core/instance/limit_test.go
+++ b/core/instance/limit_test.go
@@ -487,9 +487,9 @@
 				l.f.run(20 * time.Second)
 				l.check(t, 0)
 				never.f.run(32 * time.Second)
-				usual := never.arrivedWithin(never.engine(0), l.f.now-8*time.Second, l.f.now)
+				usual := never.receivedWithin(never.engine(0), l.f.now-8*time.Second, l.f.now)
 				for from, last := ended, 0; from < ended+8*time.Second; from += time.Second {
-					n := l.arrivedWithin(e, from, from+time.Second)
+					n := l.receivedWithin(e, from, from+time.Second)
 					if most := max(2*max(last, int(limit))+3, usual/4+1); n > most {
 						t.Errorf("%d requests in the second from %v on, %d in the one before", n, from-ended, last)
 					}
@@ -500,7 +500,7 @@
 					_, limited := n.m.state.Pool.Get(e.name).RateLimit(l.f.clock(n))
 					is.True(!limited)
 				}
-				got := l.arrivedWithin(e, l.f.now-8*time.Second, l.f.now)
+				got := l.receivedWithin(e, l.f.now-8*time.Second, l.f.now)
 				t.Logf("%d requests in 8 s, %d where no limit was named", got, usual)
 				is.True(got*2 >= usual)
 			})
@@ -518,8 +518,8 @@
 	return l
 }
 
-// arrivedWithin returns how many requests reached an engine between two instants.
-func (l *limitLab) arrivedWithin(e *fleetEngine, from, to time.Duration) int {
+// receivedWithin returns how many requests reached an engine between two instants.
+func (l *limitLab) receivedWithin(e *fleetEngine, from, to time.Duration) int {
 	n := 0
 	for _, r := range l.received[e] {
 		if r.at >= from && r.at < to {
@@ -610,8 +610,8 @@
 		l.f.run(4 * time.Second)
 		l.otherNotices[e] = pool.Notice{}
 		l.f.run(8 * time.Second)
-		is.True(l.arrivedWithin(e, l.f.now-6*time.Second, l.f.now) > 0) // a call shows after 5 s that it serves
-		is.True(l.arrivedWithin(e, rests, rests+4*time.Second) <= 3*noticeMost+limitBurst)
+		is.True(l.receivedWithin(e, l.f.now-6*time.Second, l.f.now) > 0) // a call shows after 5 s that it serves
+		is.True(l.receivedWithin(e, rests, rests+4*time.Second) <= 3*noticeMost+limitBurst)
 		l.f.members["i2"].dead = true
 		l.otherNotices[e] = pool.Notice{Leaving: true}
 		n := l.f.members["i0"]
@@ -621,7 +621,7 @@
 		gone := l.f.now
 		l.f.run(6 * time.Second)
 		// One that has just heard of it may still send a call there that no other can serve.
-		is.Equal(l.arrivedWithin(e, gone+noticeLeft, l.f.now), 0)
+		is.Equal(l.receivedWithin(e, gone+noticeLeft, l.f.now), 0)
 		l.check(t, seed)
 	}
 }
