--- a/core/instance/limit_test.go
+++ b/core/instance/limit_test.go
@@ -616,12 +616,12 @@
 		l.otherNotices[e] = pool.Notice{Leaving: true}
 		n := l.f.members["i0"]
 		l.sendNotice(n, n.boot, e, 0, l.f.clock(n)) // hardly anything goes there
-		l.f.run(noticeLeft + time.Second)
+		l.f.run(leaveGrace + time.Second)
 		l.f.start("i2")
 		gone := l.f.now
 		l.f.run(6 * time.Second)
 		// One that has just heard of it may still send a call there that no other can serve.
-		is.Equal(l.receivedWithin(e, gone+noticeLeft, l.f.now), 0)
+		is.Equal(l.receivedWithin(e, gone+leaveGrace, l.f.now), 0)
 		l.check(t, seed)
 	}
 }
--- a/core/instance/notice_test.go
+++ b/core/instance/notice_test.go
@@ -37,9 +37,9 @@
 )
 
 const (
-	// noticeLeft is how long an instance may go on sending to an engine after it was
+	// leaveGrace is how long an instance may go on sending to an engine after it was
 	// told that the engine leaves: the users' bound.
-	noticeLeft = 2 * time.Second
+	leaveGrace = 2 * time.Second
 	// noticeWay is how long requests may be on their way to an engine that asked for
 	// rest: the users' bound.
 	noticeWay = 500 * time.Millisecond
@@ -108,7 +108,7 @@
 // engine says of itself in its answer.
 func (l *noticeLab) requestReached(n *fleetMember, boot uint64, e *fleetEngine, sent time.Duration) pool.Notice {
 	to := noticeTo{n.id.Name, boot, e.name, e.starts}
-	if at, told := l.told[to]; told && sent > at+noticeLeft {
+	if at, told := l.told[to]; told && sent > at+leaveGrace {
 		l.late++
 	}
 	said := pool.Notice{Leaving: l.leaving[e], Rest: l.rests[e]}
