--- a/core/instance/notice_test.go
+++ b/core/instance/notice_test.go
@@ -40,9 +40,9 @@
 	// leaveGrace is how long an instance may go on sending to an engine after it was
 	// told that the engine leaves: the users' bound.
 	leaveGrace = 2 * time.Second
-	// noticeWay is how long requests may be on their way to an engine that asked for
+	// restGrace is how long requests may be on their way to an engine that asked for
 	// rest: the users' bound.
-	noticeWay = 500 * time.Millisecond
+	restGrace = 500 * time.Millisecond
 	// noticeMost is how many requests of an instance may reach an engine in its rest:
 	// the users' bound.
 	noticeMost = 2
@@ -218,7 +218,7 @@
 		for _, asked := range reaches {
 			n := 0
 			for _, r := range reaches {
-				if r.at > asked.at+noticeWay && r.at < asked.at+asked.rest {
+				if r.at > asked.at+restGrace && r.at < asked.at+asked.rest {
 					n++
 				}
 			}
