--- a/core/instance/limit_test.go
+++ b/core/instance/limit_test.go
@@ -611,7 +611,7 @@
 		l.otherNotices[e] = pool.Notice{}
 		l.f.run(8 * time.Second)
 		is.True(l.receivedWithin(e, l.f.now-6*time.Second, l.f.now) > 0) // a call shows after 5 s that it serves
-		is.True(l.receivedWithin(e, rests, rests+4*time.Second) <= 3*noticeMost+limitBurst)
+		is.True(l.receivedWithin(e, rests, rests+4*time.Second) <= 3*maxInRest+limitBurst)
 		l.f.members["i2"].dead = true
 		l.otherNotices[e] = pool.Notice{Leaving: true}
 		n := l.f.members["i0"]
--- a/core/instance/notice_test.go
+++ b/core/instance/notice_test.go
@@ -43,9 +43,9 @@
 	// restGrace is how long requests may be on their way to an engine that asked for
 	// rest: the users' bound.
 	restGrace = 500 * time.Millisecond
-	// noticeMost is how many requests of an instance may reach an engine in its rest:
+	// maxInRest is how many requests of an instance may reach an engine in its rest:
 	// the users' bound.
-	noticeMost = 2
+	maxInRest = 2
 )
 
 // noticeSeeds is how many seeds each storm is played with. By hand: -notice.seeds=50.
@@ -326,7 +326,7 @@
 					f.at(12*time.Second, func() { l.sheds(l.engine(i+4), 2*time.Second, rest) })
 				}
 				f.run(20 * time.Second)
-				if most := l.mostInARest(); l.late > 0 || most > noticeMost {
+				if most := l.mostInARest(); l.late > 0 || most > maxInRest {
 					t.Errorf("seed %d: %d requests after an engine had said that it leaves; %d in a rest", seed, l.late, most)
 				}
 				for _, lost := range l.lost[:min(3, len(l.lost))] {
@@ -398,7 +398,7 @@
 				}
 				f.run(8 * time.Second)
 				is.Equal(l.late, 0)
-				is.True(l.mostInARest() <= noticeMost)
+				is.True(l.mostInARest() <= maxInRest)
 				is.Equal(f.violations, nil)
 			}
 		})
