--- a/core/instance/announced_world_test.go
+++ b/core/instance/announced_world_test.go
@@ -403,7 +403,7 @@
 			return Tick{}, true
 		}, func(error) step.Event { return Tick{} }, reply)
 	case owned.SendOrder:
-		if f.notices != nil && f.notices.turnsAwayOrder(n, boot, act, reply) {
+		if f.notices != nil && f.notices.rejectOrder(n, boot, act, reply) {
 			return
 		}
 		if f.limits != nil {
--- a/core/instance/notice_test.go
+++ b/core/instance/notice_test.go
@@ -168,9 +168,9 @@
 	})
 }
 
-// turnsAwayOrder takes in that an order is sent to an engine, and reports whether the
+// rejectOrder takes in that an order is sent to an engine, and reports whether the
 // engine turned it away.
-func (l *noticeLab) turnsAwayOrder(n *fleetMember, boot uint64, a owned.SendOrder, reply func(time.Duration, step.Event)) bool {
+func (l *noticeLab) rejectOrder(n *fleetMember, boot uint64, a owned.SendOrder, reply func(time.Duration, step.Event)) bool {
 	e := l.f.engines[a.Engine]
 	said := l.requestReached(n, boot, e, l.f.now)
 	l.sendNotice(n, boot, e, l.f.clock(n), said)
