--- a/core/instance/announced_world_test.go
+++ b/core/instance/announced_world_test.go
@@ -414,7 +414,7 @@
 		sent := f.clock(n)
 		f.at(fleetLatency, func() {
 			e := f.engines[act.Engine]
-			if f.notices != nil && f.notices.turnsAwayQuestion(n, boot, e, sent, reply) {
+			if f.notices != nil && f.notices.rejectStateQuery(n, boot, e, sent, reply) {
 				return
 			}
 			if e.dead {
--- a/core/instance/notice_test.go
+++ b/core/instance/notice_test.go
@@ -181,9 +181,9 @@
 	return true
 }
 
-// turnsAwayQuestion takes in that an engine is asked for its state, and reports whether
+// rejectStateQuery takes in that an engine is asked for its state, and reports whether
 // it turned that away.
-func (l *noticeLab) turnsAwayQuestion(n *fleetMember, boot uint64, e *fleetEngine, sent clock.Instant, reply func(time.Duration, step.Event)) bool {
+func (l *noticeLab) rejectStateQuery(n *fleetMember, boot uint64, e *fleetEngine, sent clock.Instant, reply func(time.Duration, step.Event)) bool {
 	said := l.requestReached(n, boot, e, l.f.now-fleetLatency)
 	l.sendNotice(n, boot, e, sent, said)
 	if said.Rest == 0 {
