--- a/core/instance/notice_test.go
+++ b/core/instance/notice_test.go
@@ -210,9 +210,9 @@
 	}
 }
 
-// mostInARest returns the most requests of one instance that reached an engine within a
+// maxRequestsInRest returns the most requests of one instance that reached an engine within a
 // rest that it had asked that instance for.
-func (l *noticeLab) mostInARest() int {
+func (l *noticeLab) maxRequestsInRest() int {
 	most := 0
 	for _, reaches := range l.received {
 		for _, asked := range reaches {
@@ -326,7 +326,7 @@
 					f.at(12*time.Second, func() { l.sheds(l.engine(i+4), 2*time.Second, rest) })
 				}
 				f.run(20 * time.Second)
-				if most := l.mostInARest(); l.late > 0 || most > maxInRest {
+				if most := l.maxRequestsInRest(); l.late > 0 || most > maxInRest {
 					t.Errorf("seed %d: %d requests after an engine had said that it leaves; %d in a rest", seed, l.late, most)
 				}
 				for _, lost := range l.lost[:min(3, len(l.lost))] {
@@ -398,7 +398,7 @@
 				}
 				f.run(8 * time.Second)
 				is.Equal(l.late, 0)
-				is.True(l.mostInARest() <= maxInRest)
+				is.True(l.maxRequestsInRest() <= maxInRest)
 				is.Equal(f.violations, nil)
 			}
 		})
