--- a/core/instance/notice_test.go
+++ b/core/instance/notice_test.go
@@ -228,9 +228,9 @@
 	return most
 }
 
-// leaves has an engine say that it leaves, in its answers alone, end after a while and
+// startLeaving has an engine say that it startLeaving, in its answers alone, end after a while and
 // start again under its name.
-func (l *noticeLab) leaves(e *fleetEngine) {
+func (l *noticeLab) startLeaving(e *fleetEngine) {
 	l.leaving[e] = true
 	l.f.at(6*time.Second, func() {
 		e.dead = true
@@ -319,7 +319,7 @@
 				f.run(2 * time.Second)
 				s.do(l)
 				for i, at := range []time.Duration{time.Second, 3 * time.Second, 5 * time.Second} {
-					f.at(at, func() { l.leaves(l.engine(i)) })
+					f.at(at, func() { l.startLeaving(l.engine(i)) })
 				}
 				for i, rest := range []time.Duration{4 * time.Second, 1500 * time.Millisecond, 700 * time.Millisecond} {
 					f.at(time.Duration(i+1)*time.Second, func() { l.sheds(l.engine(i+4), 5*time.Second, rest) })
