--- a/core/instance/notice_test.go
+++ b/core/instance/notice_test.go
@@ -245,8 +245,8 @@
 	l.f.restartEngine(e)
 }
 
-// sheds has an engine turn everything away for a span and ask for rest.
-func (l *noticeLab) sheds(e *fleetEngine, span, rest time.Duration) {
+// shedLoad has an engine turn everything away for a span and ask for rest.
+func (l *noticeLab) shedLoad(e *fleetEngine, span, rest time.Duration) {
 	l.rests[e] = rest
 	l.f.at(span, func() { delete(l.rests, e) })
 }
@@ -322,8 +322,8 @@
 					f.at(at, func() { l.startLeaving(l.engine(i)) })
 				}
 				for i, rest := range []time.Duration{4 * time.Second, 1500 * time.Millisecond, 700 * time.Millisecond} {
-					f.at(time.Duration(i+1)*time.Second, func() { l.sheds(l.engine(i+4), 5*time.Second, rest) })
-					f.at(12*time.Second, func() { l.sheds(l.engine(i+4), 2*time.Second, rest) })
+					f.at(time.Duration(i+1)*time.Second, func() { l.shedLoad(l.engine(i+4), 5*time.Second, rest) })
+					f.at(12*time.Second, func() { l.shedLoad(l.engine(i+4), 2*time.Second, rest) })
 				}
 				f.run(20 * time.Second)
 				if most := l.maxRequestsInRest(); l.late > 0 || most > maxInRest {
@@ -382,7 +382,7 @@
 		do   func(l *noticeLab, e *fleetEngine)
 	}{
 		{"all leave", func(l *noticeLab, e *fleetEngine) { l.leaving[e] = true }},
-		{"all rest", func(l *noticeLab, e *fleetEngine) { l.sheds(e, 4*time.Second, 2*time.Second) }},
+		{"all rest", func(l *noticeLab, e *fleetEngine) { l.shedLoad(e, 4*time.Second, 2*time.Second) }},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
--- a/core/instance/repeats_test.go
+++ b/core/instance/repeats_test.go
@@ -114,7 +114,7 @@
 				s.do(f)
 				next := 0
 				f.periodically(400*time.Millisecond, 0, func() func() {
-					l.sheds(l.engine(next%(2*fleetEngines)), 5*time.Second, 200*time.Millisecond)
+					l.shedLoad(l.engine(next%(2*fleetEngines)), 5*time.Second, 200*time.Millisecond)
 					next++
 					return func() {}
 				})
