--- a/core/instance/outage_test.go
+++ b/core/instance/outage_test.go
@@ -12,9 +12,9 @@
 // What the store of the users' deployments allows all instances together, in reading calls a
 // second.
 const (
-	smallRate = 2000
-	largeRate = 6000
-	largeFrom = 46 // instances from which the store allows the larger rate
+	smallRate      = 2000
+	largeRate      = 6000
+	largeFleetSize = 46 // instances from which the store allows the larger rate
 )
 
 // An outageEnd is what followed an outage that all instances shared.
@@ -82,7 +82,7 @@
 		for _, closed := range []bool{true, false} {
 			t.Run(fmt.Sprintf("%d instances, refused %v", size.members, closed), func(t *testing.T) {
 				rate := smallRate
-				if size.members >= largeFrom {
+				if size.members >= largeFleetSize {
 					rate = largeRate
 				}
 				seeds := max(1, 16/size.members) // of small fleets, which differ most
