--- a/core/instance/outage_test.go
+++ b/core/instance/outage_test.go
@@ -40,8 +40,8 @@
 	return 0
 }
 
-// endOutage has the store come back after an outage that all members shared.
-func endOutage(f *fleet, closed bool) outageEnd {
+// recoverFromOutage has the store come back after an outage that all members shared.
+func recoverFromOutage(f *fleet, closed bool) outageEnd {
 	f.store.down, f.store.refusesConnections = true, closed
 	f.run(5 * time.Second)
 	f.store.down, f.store.refusesConnections = false, false
@@ -90,7 +90,7 @@
 					f := newFleetWithBounds(uint64(seed+1), size.members, size.engines, option.Disabled{}, false, size.bounds)
 					f.expireLeases()
 					f.run(20 * time.Second)
-					e := endOutage(f, closed)
+					e := recoverFromOutage(f, closed)
 					t.Logf("list after %v, leases after %v, at most %d calls a second; in each 100 ms %v", e.list, e.lease, e.busiest, e.tenths)
 					if e.list == 0 || e.list > size.bounds.Settle || e.lease == 0 || e.busiest > rate {
 						t.Errorf("seed %d: list after %v, leases after %v, %d calls a second", seed+1, e.list, e.lease, e.busiest)
