--- a/core/instance/outage_test.go
+++ b/core/instance/outage_test.go
@@ -24,8 +24,8 @@
 	tenths      []int         // calls in each 100 ms
 }
 
-// untilAll returns after how long all members have something again, 0 if not within a span.
-func (f *fleet) untilAll(span time.Duration, has func(n *fleetMember) bool) time.Duration {
+// timeUntilAll returns after how long all members have something again, 0 if not within a span.
+func (f *fleet) timeUntilAll(span time.Duration, has func(n *fleetMember) bool) time.Duration {
 	const look = 20 * time.Millisecond
 	for took := time.Duration(0); took < span; took += look {
 		missing := false
@@ -50,8 +50,8 @@
 	f.storeCallTimes = nil
 	const span = 8 * time.Second
 	var e outageEnd
-	e.list = f.untilAll(span, func(n *fleetMember) bool { return !n.m.exchanges.StoreKnownUntil().Before(back) })
-	e.lease = e.list + f.untilAll(span, func(n *fleetMember) bool {
+	e.list = f.timeUntilAll(span, func(n *fleetMember) bool { return !n.m.exchanges.StoreKnownUntil().Before(back) })
+	e.lease = e.list + f.timeUntilAll(span, func(n *fleetMember) bool {
 		v := f.store.values["instances/"+n.id.Name]
 		return v != nil && f.store.leases[v.lease] != nil
 	})
