--- a/core/instance/outage_test.go
+++ b/core/instance/outage_test.go
@@ -19,9 +19,9 @@
 
 // An outageEnd is what followed an outage that all instances shared.
 type outageEnd struct {
-	list, lease time.Duration // until the last instance had it again
-	busiest     int           // calls of the store in its busiest second
-	tenths      []int         // calls in each 100 ms
+	list, lease   time.Duration // until the last instance had it again
+	busiest       int           // calls of the store in its busiest second
+	callsPer100ms []int         // calls in each 100 ms
 }
 
 // timeUntilAll returns after how long all members have something again, 0 if not within a span.
@@ -57,10 +57,10 @@
 	})
 	f.run(from + 3*time.Second - f.now)
 	e.busiest = busiestSecond(f.storeCallTimes)
-	e.tenths = make([]int, 30)
+	e.callsPer100ms = make([]int, 30)
 	for _, at := range f.storeCallTimes {
-		if i := int((at - from) / (100 * time.Millisecond)); i < len(e.tenths) {
-			e.tenths[i]++
+		if i := int((at - from) / (100 * time.Millisecond)); i < len(e.callsPer100ms) {
+			e.callsPer100ms[i]++
 		}
 	}
 	return e
@@ -91,7 +91,7 @@
 					f.expireLeases()
 					f.run(20 * time.Second)
 					e := recoverFromOutage(f, closed)
-					t.Logf("list after %v, leases after %v, at most %d calls a second; in each 100 ms %v", e.list, e.lease, e.busiest, e.tenths)
+					t.Logf("list after %v, leases after %v, at most %d calls a second; in each 100 ms %v", e.list, e.lease, e.busiest, e.callsPer100ms)
 					if e.list == 0 || e.list > size.bounds.Settle || e.lease == 0 || e.busiest > rate {
 						t.Errorf("seed %d: list after %v, leases after %v, %d calls a second", seed+1, e.list, e.lease, e.busiest)
 					}
