--- a/core/instance/outage_test.go
+++ b/core/instance/outage_test.go
@@ -17,8 +17,8 @@
 	largeFleetSize = 46 // instances from which the store allows the larger rate
 )
 
-// An outageEnd is what followed an outage that all instances shared.
-type outageEnd struct {
+// An outageRecovery is what followed an outage that all instances shared.
+type outageRecovery struct {
 	list, lease   time.Duration // until the last instance had it again
 	busiest       int           // calls of the store in its busiest second
 	callsPer100ms []int         // calls in each 100 ms
@@ -41,7 +41,7 @@
 }
 
 // recoverFromOutage has the store come back after an outage that all members shared.
-func recoverFromOutage(f *fleet, closed bool) outageEnd {
+func recoverFromOutage(f *fleet, closed bool) outageRecovery {
 	f.store.down, f.store.refusesConnections = true, closed
 	f.run(5 * time.Second)
 	f.store.down, f.store.refusesConnections = false, false
@@ -49,7 +49,7 @@
 	from := f.now
 	f.storeCallTimes = nil
 	const span = 8 * time.Second
-	var e outageEnd
+	var e outageRecovery
 	e.list = f.timeUntilAll(span, func(n *fleetMember) bool { return !n.m.exchanges.StoreKnownUntil().Before(back) })
 	e.lease = e.list + f.timeUntilAll(span, func(n *fleetMember) bool {
 		v := f.store.values["instances/"+n.id.Name]
