--- a/core/instance/notice_test.go
+++ b/core/instance/notice_test.go
@@ -63,7 +63,7 @@
 	served   map[*fleetEngine]int
 	lost     []string     // calls that another engine could have served
 	late     int          // requests after noticeLeft
-	repeats  *repeatCount // nil: tries are not counted
+	retries  *repeatCount // nil: tries are not counted
 }
 
 // A noticeTo is an instance that an engine spoke to.
@@ -98,8 +98,8 @@
 }
 
 func (l *noticeLab) arrive(n *fleetMember, r calls.Request) {
-	if l.repeats != nil {
-		l.repeats.came = append(l.repeats.came, l.f.now)
+	if l.retries != nil {
+		l.retries.came = append(l.retries.came, l.f.now)
 	}
 	l.arrived[r.ID] = noticeCall{member: n, at: l.f.now, model: r.Forward.Model, plain: r.Forward.Adapter == ""}
 }
@@ -147,8 +147,8 @@
 	}
 	sent := l.f.clock(n)
 	l.f.at(fleetLatency, func() {
-		if l.repeats != nil {
-			l.repeats.try(l.f.now, d.ID)
+		if l.retries != nil {
+			l.retries.try(l.f.now, d.ID)
 		}
 		said := l.requestReached(n, boot, e, l.arrived[d.ID].at)
 		switch {
--- a/core/instance/repeats_test.go
+++ b/core/instance/repeats_test.go
@@ -107,7 +107,7 @@
 			for seed := range *noticeSeeds {
 				l := newNoticeLab(newFleetOf(uint64(seed+1), s.members, 2*fleetEngines, option.Disabled{}, false))
 				f := l.f
-				l.repeats = &repeatCount{tried: map[calls.ID]bool{}}
+				l.retries = &repeatCount{tried: map[calls.ID]bool{}}
 				f.expireLeases()
 				f.run(5 * time.Second)
 				f.startCallers(5 * time.Millisecond)
@@ -119,12 +119,12 @@
 					return func() {}
 				})
 				f.run(35 * time.Second)
-				if over := l.repeats.excess(f.opt); over > 0 {
+				if over := l.retries.excess(f.opt); over > 0 {
 					t.Errorf("seed %d: %.0f repeats beyond the fleet's budget", seed, over)
 				}
-				t.Logf("seed %d: %d calls, %d repeats", seed, len(l.repeats.came), len(l.repeats.repeats))
-				if len(l.repeats.repeats) < 100 {
-					t.Errorf("seed %d: only %d repeats", seed, len(l.repeats.repeats))
+				t.Logf("seed %d: %d calls, %d repeats", seed, len(l.retries.came), len(l.retries.repeats))
+				if len(l.retries.repeats) < 100 {
+					t.Errorf("seed %d: only %d repeats", seed, len(l.retries.repeats))
 				}
 			}
 		})
