--- a/core/instance/repeats_test.go
+++ b/core/instance/repeats_test.go
@@ -12,14 +12,14 @@
 // A repeatCount is the calls that came and their tries, as engines saw them.
 type repeatCount struct {
 	came    []time.Duration
-	repeats []time.Duration // tries past the first of their call
+	retries []time.Duration // tries past the first of their call
 	tried   map[calls.ID]bool
 }
 
 // try notes that a call reached an engine.
 func (c *repeatCount) try(now time.Duration, id calls.ID) {
 	if c.tried[id] {
-		c.repeats = append(c.repeats, now)
+		c.retries = append(c.retries, now)
 	}
 	c.tried[id] = true
 }
@@ -39,13 +39,13 @@
 // are those of the window, of the one before, or of the one that began half a window sooner.
 func (c *repeatCount) excess(o option.Options) float64 {
 	most := 0.0
-	for _, at := range c.repeats {
+	for _, at := range c.retries {
 		came := 0
 		for _, back := range []time.Duration{0, o.RetryWindow / 2, o.RetryWindow} {
 			came = max(came, within(c.came, o.RetryWindow, at-back))
 		}
 		allowed := o.RetryRatio*float64(came) + o.RetrySlack
-		most = max(most, float64(within(c.repeats, o.RetryWindow, at))-allowed)
+		most = max(most, float64(within(c.retries, o.RetryWindow, at))-allowed)
 	}
 	return most
 }
@@ -122,9 +122,9 @@
 				if over := l.retries.excess(f.opt); over > 0 {
 					t.Errorf("seed %d: %.0f repeats beyond the fleet's budget", seed, over)
 				}
-				t.Logf("seed %d: %d calls, %d repeats", seed, len(l.retries.came), len(l.retries.repeats))
-				if len(l.retries.repeats) < 100 {
-					t.Errorf("seed %d: only %d repeats", seed, len(l.retries.repeats))
+				t.Logf("seed %d: %d calls, %d repeats", seed, len(l.retries.came), len(l.retries.retries))
+				if len(l.retries.retries) < 100 {
+					t.Errorf("seed %d: only %d repeats", seed, len(l.retries.retries))
 				}
 			}
 		})
