--- a/core/instance/notice_test.go
+++ b/core/instance/notice_test.go
@@ -99,7 +99,7 @@
 
 func (l *noticeLab) arrive(n *fleetMember, r calls.Request) {
 	if l.retries != nil {
-		l.retries.came = append(l.retries.came, l.f.now)
+		l.retries.callTimes = append(l.retries.callTimes, l.f.now)
 	}
 	l.arrived[r.ID] = noticeCall{member: n, at: l.f.now, model: r.Forward.Model, plain: r.Forward.Adapter == ""}
 }
--- a/core/instance/repeats_test.go
+++ b/core/instance/repeats_test.go
@@ -11,9 +11,9 @@
 
 // A repeatCount is the calls that came and their tries, as engines saw them.
 type repeatCount struct {
-	came    []time.Duration
-	retries []time.Duration // tries past the first of their call
-	tried   map[calls.ID]bool
+	callTimes []time.Duration
+	retries   []time.Duration // tries past the first of their call
+	tried     map[calls.ID]bool
 }
 
 // try notes that a call reached an engine.
@@ -42,7 +42,7 @@
 	for _, at := range c.retries {
 		came := 0
 		for _, back := range []time.Duration{0, o.RetryWindow / 2, o.RetryWindow} {
-			came = max(came, within(c.came, o.RetryWindow, at-back))
+			came = max(came, within(c.callTimes, o.RetryWindow, at-back))
 		}
 		allowed := o.RetryRatio*float64(came) + o.RetrySlack
 		most = max(most, float64(within(c.retries, o.RetryWindow, at))-allowed)
@@ -122,7 +122,7 @@
 				if over := l.retries.excess(f.opt); over > 0 {
 					t.Errorf("seed %d: %.0f repeats beyond the fleet's budget", seed, over)
 				}
-				t.Logf("seed %d: %d calls, %d repeats", seed, len(l.retries.came), len(l.retries.retries))
+				t.Logf("seed %d: %d calls, %d repeats", seed, len(l.retries.callTimes), len(l.retries.retries))
 				if len(l.retries.retries) < 100 {
 					t.Errorf("seed %d: only %d repeats", seed, len(l.retries.retries))
 				}
