--- a/core/instance/notice_test.go
+++ b/core/instance/notice_test.go
@@ -148,7 +148,7 @@
 	sent := l.f.clock(n)
 	l.f.at(fleetLatency, func() {
 		if l.retries != nil {
-			l.retries.try(l.f.now, d.ID)
+			l.retries.recordAttempt(l.f.now, d.ID)
 		}
 		said := l.requestReached(n, boot, e, l.arrived[d.ID].at)
 		switch {
--- a/core/instance/repeats_test.go
+++ b/core/instance/repeats_test.go
@@ -16,8 +16,8 @@
 	tried     map[calls.ID]bool
 }
 
-// try notes that a call reached an engine.
-func (c *repeatCount) try(now time.Duration, id calls.ID) {
+// recordAttempt notes that a call reached an engine.
+func (c *repeatCount) recordAttempt(now time.Duration, id calls.ID) {
 	if c.tried[id] {
 		c.retries = append(c.retries, now)
 	}
