--- a/core/instance/repeats_test.go
+++ b/core/instance/repeats_test.go
@@ -24,8 +24,8 @@
 	c.tried[id] = true
 }
 
-// within counts the moments in the span up to an instant.
-func within(moments []time.Duration, span, to time.Duration) int {
+// countWithin counts the moments in the span up to an instant.
+func countWithin(moments []time.Duration, span, to time.Duration) int {
 	n := 0
 	for _, at := range moments {
 		if at > to-span && at <= to {
@@ -42,10 +42,10 @@
 	for _, at := range c.retries {
 		came := 0
 		for _, back := range []time.Duration{0, o.RetryWindow / 2, o.RetryWindow} {
-			came = max(came, within(c.callTimes, o.RetryWindow, at-back))
+			came = max(came, countWithin(c.callTimes, o.RetryWindow, at-back))
 		}
 		allowed := o.RetryRatio*float64(came) + o.RetrySlack
-		most = max(most, float64(within(c.retries, o.RetryWindow, at))-allowed)
+		most = max(most, float64(countWithin(c.retries, o.RetryWindow, at))-allowed)
 	}
 	return most
 }
