--- a/core/instance/notice_test.go
+++ b/core/instance/notice_test.go
@@ -61,9 +61,9 @@
 	told     map[noticeTo]time.Duration // when an instance was first told that an engine leaves
 	received map[noticeTo][]noticeReach
 	served   map[*fleetEngine]int
-	lost     []string     // calls that another engine could have served
-	late     int          // requests after noticeLeft
-	retries  *repeatCount // nil: tries are not counted
+	lost     []string    // calls that another engine could have served
+	late     int         // requests after noticeLeft
+	retries  *retryCount // nil: tries are not counted
 }
 
 // A noticeTo is an instance that an engine spoke to.
--- a/core/instance/repeats_test.go
+++ b/core/instance/repeats_test.go
@@ -9,15 +9,15 @@
 	"github.com/birchdrift/birchdrift/core/watchers"
 )
 
-// A repeatCount is the calls that came and their tries, as engines saw them.
-type repeatCount struct {
+// A retryCount is the calls that came and their tries, as engines saw them.
+type retryCount struct {
 	callTimes []time.Duration
 	retries   []time.Duration // tries past the first of their call
 	tried     map[calls.ID]bool
 }
 
 // recordAttempt notes that a call reached an engine.
-func (c *repeatCount) recordAttempt(now time.Duration, id calls.ID) {
+func (c *retryCount) recordAttempt(now time.Duration, id calls.ID) {
 	if c.tried[id] {
 		c.retries = append(c.retries, now)
 	}
@@ -37,7 +37,7 @@
 
 // excess returns the most repeats beyond the fleet's budget in any window of it. The calls
 // are those of the window, of the one before, or of the one that began half a window sooner.
-func (c *repeatCount) excess(o option.Options) float64 {
+func (c *retryCount) excess(o option.Options) float64 {
 	most := 0.0
 	for _, at := range c.retries {
 		came := 0
@@ -107,7 +107,7 @@
 			for seed := range *noticeSeeds {
 				l := newNoticeLab(newFleetOf(uint64(seed+1), s.members, 2*fleetEngines, option.Disabled{}, false))
 				f := l.f
-				l.retries = &repeatCount{tried: map[calls.ID]bool{}}
+				l.retries = &retryCount{tried: map[calls.ID]bool{}}
 				f.expireLeases()
 				f.run(5 * time.Second)
 				f.startCallers(5 * time.Millisecond)
