--- a/core/instance/stepback_test.go
+++ b/core/instance/stepback_test.go
@@ -21,8 +21,8 @@
 )
 
 const (
-	copyEvery = 200 * time.Millisecond
-	copySpan  = 12 * time.Second
+	copyInterval = 200 * time.Millisecond
+	copySpan     = 12 * time.Second
 	// restoring is how long the store is away before it comes back from a copy.
 	restoring = 300 * time.Millisecond
 	// heartbeat is the longest time until a replica writes its entry again.
@@ -58,7 +58,7 @@
 	for f.now-f.storeCopies[0].at > copySpan {
 		f.storeCopies = f.storeCopies[1:]
 	}
-	f.at(copyEvery, f.keepStoreCopies)
+	f.at(copyInterval, f.keepStoreCopies)
 }
 
 // stepBack has the store go away and come back from a copy that was made so long before.
