--- a/core/instance/leaving_test.go
+++ b/core/instance/leaving_test.go
@@ -306,7 +306,7 @@
 			l.rewriteEntries()
 			l.f.at(time.Second, func() {
 				l.f.stepBack(time.Second + l.f.randomSpan())
-				l.leaveAfter(restoring)
+				l.leaveAfter(restoreTime)
 			})
 		})
 	}},
--- a/core/instance/stepback_test.go
+++ b/core/instance/stepback_test.go
@@ -23,8 +23,8 @@
 const (
 	copyInterval = 200 * time.Millisecond
 	copySpan     = 12 * time.Second
-	// restoring is how long the store is away before it comes back from a copy.
-	restoring = 300 * time.Millisecond
+	// restoreTime is how long the store is away before it comes back from a copy.
+	restoreTime = 300 * time.Millisecond
 	// heartbeat is the longest time until a replica writes its entry again.
 	heartbeat = 1200 * time.Millisecond
 	// entryTerm is after how long of a replica's silence its entry goes.
@@ -66,7 +66,7 @@
 func (f *fleet) stepBack(span time.Duration) {
 	f.store.down = true
 	f.store.refusesConnections = true
-	f.at(restoring, func() {
+	f.at(restoreTime, func() {
 		f.store.down = false
 		f.store.refusesConnections = false
 		f.restore(f.now - span)
@@ -218,7 +218,7 @@
 			f.start(n.id.Name)
 			f.run(f.randomSpan())
 			f.stepBack(span)
-			f.run(restoring)
+			f.run(restoreTime)
 			f.run(time.Millisecond)
 			if took, wrong := f.settle(aim); wrong != "" {
 				t.Errorf("seed %d, back by %v: after %v %s", seed+1, span, took, wrong)
@@ -367,7 +367,7 @@
 		}
 		f.storeWriteTimes = nil
 		f.stepBack(5 * time.Second)
-		f.run(restoring + time.Millisecond)
+		f.run(restoreTime + time.Millisecond)
 		took, wrong := f.settle(aim)
 		most := busiestSecond(f.storeWriteTimes)
 		t.Logf("%d instances, %d engines: as before after %v, at most %d writes in a second", size.members, size.engines, took, most)
