--- a/core/instance/stepback_test.go
+++ b/core/instance/stepback_test.go
@@ -92,7 +92,7 @@
 	for _, name := range sortedKeys(f.engines) {
 		e := f.engines[name]
 		if e.leavesSilently || e.gone {
-			f.comesBack(e)
+			f.restoreVanishedEntry(e)
 			continue
 		}
 		f.at(time.Duration(f.rng.Int64N(int64(heartbeat))), func() {
@@ -103,9 +103,9 @@
 	}
 }
 
-// comesBack has the entry of an engine that does not write it any more stand for a while, if
+// restoreVanishedEntry has the entry of an engine that does not write it any more stand for a while, if
 // the copy has it: the store has lost that it went.
-func (f *fleet) comesBack(e *fleetEngine) {
+func (f *fleet) restoreVanishedEntry(e *fleetEngine) {
 	key := "servers/" + e.name
 	if f.store.values[key] == nil {
 		return
