--- a/core/instance/stepback_test.go
+++ b/core/instance/stepback_test.go
@@ -129,8 +129,8 @@
 	return time.Duration(f.rng.Int64N(int64(10 * time.Second)))
 }
 
-// steps has the store step back every so often.
-func (f *fleet) steps(every time.Duration) {
+// stepBackPeriodically has the store step back every so often.
+func (f *fleet) stepBackPeriodically(every time.Duration) {
 	f.periodically(every, 0, func() func() {
 		f.stepBack(f.randomSpan())
 		return func() {}
@@ -232,7 +232,7 @@
 
 // stepStorms are what goes wrong while the store steps back again and again.
 var stepStorms = []fleetStorm{
-	{"nothing else", func(f *fleet) { f.steps(9 * time.Second) }},
+	{"nothing else", func(f *fleet) { f.stepBackPeriodically(9 * time.Second) }},
 	{"twice in a row", func(f *fleet) {
 		f.periodically(12*time.Second, 1500*time.Millisecond, func() func() {
 			f.stepBack(f.randomSpan())
@@ -241,14 +241,14 @@
 	}},
 	{"answers of the store are lost", func(f *fleet) {
 		f.lostShare = 0.3
-		f.steps(7 * time.Second)
+		f.stepBackPeriodically(7 * time.Second)
 	}},
 	{"orders are carried out late", func(f *fleet) {
 		f.lateShare = 0.4
-		f.steps(8 * time.Second)
+		f.stepBackPeriodically(8 * time.Second)
 	}},
 	{"members are killed", func(f *fleet) {
-		f.steps(7 * time.Second)
+		f.stepBackPeriodically(7 * time.Second)
 		f.periodically(6*time.Second, 2*time.Second, func() func() {
 			n := f.lastOrderSender()
 			n.dead = true
@@ -256,7 +256,7 @@
 		})
 	}},
 	{"members are frozen", func(f *fleet) {
-		f.steps(8 * time.Second)
+		f.stepBackPeriodically(8 * time.Second)
 		f.periodically(9*time.Second, 6*time.Second, func() func() {
 			n := f.lastOrderSender()
 			n.frozen = true
@@ -264,14 +264,14 @@
 		})
 	}},
 	{"members sleep", func(f *fleet) {
-		f.steps(8 * time.Second)
+		f.stepBackPeriodically(8 * time.Second)
 		f.periodically(11*time.Second, time.Hour, func() func() {
 			f.sleep(f.lastOrderSender(), 8*time.Second, 0)
 			return func() {}
 		})
 	}},
 	{"members are cut from the store", func(f *fleet) {
-		f.steps(8 * time.Second)
+		f.stepBackPeriodically(8 * time.Second)
 		f.periodically(9*time.Second, 5*time.Second, func() func() {
 			n := f.lastOrderSender()
 			n.noStore = true
@@ -279,7 +279,7 @@
 		})
 	}},
 	{"watches hear nothing", func(f *fleet) {
-		f.steps(8 * time.Second)
+		f.stepBackPeriodically(8 * time.Second)
 		f.periodically(7*time.Second, 4*time.Second, func() func() {
 			n := f.lastOrderSender()
 			n.noUpdates = true
@@ -289,14 +289,14 @@
 	{"a zone is cut off, answers are lost", func(f *fleet) {
 		f.lostShare = 0.2
 		f.cutZones = map[string]bool{}
-		f.steps(8 * time.Second)
+		f.stepBackPeriodically(8 * time.Second)
 		f.periodically(10*time.Second, 5*time.Second, func() func() {
 			f.cutZones["z1"] = true
 			return func() { delete(f.cutZones, "z1") }
 		})
 	}},
 	{"members stop and start", func(f *fleet) {
-		f.steps(7 * time.Second)
+		f.stepBackPeriodically(7 * time.Second)
 		f.periodically(6*time.Second, 4*time.Second, func() func() {
 			n := f.lastOrderSender()
 			f.step(n, n.boot, Stop{})
