--- a/core/instance/stepback_test.go
+++ b/core/instance/stepback_test.go
@@ -137,9 +137,9 @@
 	})
 }
 
-// unsettled says what is not as it should be while nothing fails: who owns engines, and who is
+// firstInconsistency says what is not as it should be while nothing fails: who owns engines, and who is
 // there, is the same for the store and for all members, and each engine can be ordered.
-func (f *fleet) unsettled() string {
+func (f *fleet) firstInconsistency() string {
 	now := clocktest.At(time.Hour + f.now)
 	for _, name := range f.names {
 		v := f.store.values["instances/"+name]
@@ -183,7 +183,7 @@
 func (f *fleet) settle(most time.Duration) (took time.Duration, wrong string) {
 	const look = 100 * time.Millisecond
 	for took < most {
-		if wrong = f.unsettled(); wrong == "" {
+		if wrong = f.firstInconsistency(); wrong == "" {
 			return took, ""
 		}
 		f.run(look)
