--- a/core/instance/stepback_test.go
+++ b/core/instance/stepback_test.go
@@ -306,8 +306,8 @@
 	}},
 }
 
-// stepStorm plays a storm on a fleet.
-func stepStorm(seed uint64, s fleetStorm) *fleet {
+// runStepStorm plays a storm on a fleet.
+func runStepStorm(seed uint64, s fleetStorm) *fleet {
 	f := newFleet(seed, 5)
 	f.expireLeases()
 	f.keepStoreCopies()
@@ -333,7 +333,7 @@
 		t.Run(s.name, func(t *testing.T) {
 			t.Parallel()
 			for seed := range seeds {
-				f := stepStorm(uint64(seed+1), s)
+				f := runStepStorm(uint64(seed+1), s)
 				for _, b := range f.violations {
 					t.Errorf("seed %d: %s", seed+1, b)
 				}
