--- a/core/instance/probe_test.go
+++ b/core/instance/probe_test.go
@@ -50,8 +50,8 @@
 	return calls.Arrived{Call: calls.Request{ID: id, Path: "/x", Replayable: true, PromptTokens: 4000, Forward: &calls.ForwardRequest{Name: "call", Host: "h", Model: "m0"}}}
 }
 
-// asked returns the engines that are asked how busy they are.
-func asked(actions []step.Action) []string {
+// probedEngines returns the engines that are probedEngines how busy they are.
+func probedEngines(actions []step.Action) []string {
 	var names []string
 	for _, a := range actions {
 		if p, ok := a.(forwarding.ProbeEngine); ok {
@@ -82,7 +82,7 @@
 			now := clocktest.At(time.Hour)
 			m := probeMachine(t, now, 20*time.Millisecond, "e1", "e2")
 			actions := m.Step(now, probeCall(1))
-			is.Equal(asked(actions), []string{"e1", "e2"})
+			is.Equal(probedEngines(actions), []string{"e1", "e2"})
 			is.Equal(dispatchedTo(actions), "")
 			c.e1.Call, c.e1.Engine, c.e1.Sent = 1, "e1", now
 			c.e2.Call, c.e2.Engine, c.e2.Sent = 1, "e2", now
@@ -103,10 +103,10 @@
 	is := is.New(t)
 	now := clocktest.At(time.Hour)
 	one := probeMachine(t, now, 20*time.Millisecond, "e1").Step(now, probeCall(1))
-	is.Equal(len(asked(one)), 0)
+	is.Equal(len(probedEngines(one)), 0)
 	is.Equal(dispatchedTo(one), "e1")
 	off := probeMachine(t, now, 0, "e1", "e2").Step(now, probeCall(1))
-	is.Equal(len(asked(off)), 0)
+	is.Equal(len(probedEngines(off)), 0)
 	is.True(dispatchedTo(off) != "")
 }
 
@@ -134,7 +134,7 @@
 	for id := range calls.ID(400) {
 		now = now.Add(100 * time.Millisecond)
 		actions := m.Step(now, probeCall(id+1))
-		engines := asked(actions)
+		engines := probedEngines(actions)
 		if len(engines) > 0 {
 			asking++
 		} else {
