--- a/core/instance/exchange_test.go
+++ b/core/instance/exchange_test.go
@@ -124,8 +124,8 @@
 	is.True(m.env.platform.placer.PlacerUnreachable(now))
 }
 
-// exchanges returns the exchanges among the actions, by peer.
-func exchanges(actions []step.Action) map[string]gossip.Message {
+// sentExchanges returns the sentExchanges among the actions, by peer.
+func sentExchanges(actions []step.Action) map[string]gossip.Message {
 	out := map[string]gossip.Message{}
 	for _, a := range actions {
 		if e, ok := a.(exchange.SendRequest); ok {
@@ -146,11 +146,11 @@
 	ahead := func(name string) []step.Action {
 		return m.Step(now, exchange.RequestReceived{Token: 1, Message: gossip.Message{From: name, Zone: "z", Address: name, Boot: 1, Revision: 5, StoreAge: time.Millisecond}})
 	}
-	first := exchanges(ahead("a"))
+	first := sentExchanges(ahead("a"))
 	is.True(first["a"].WantConfig)
-	is.Equal(exchanges(ahead("b")), map[string]gossip.Message{}) // one is asked at a time
+	is.Equal(sentExchanges(ahead("b")), map[string]gossip.Message{}) // one is asked at a time
 	now = now.Add(exchange.PullTimeout)
-	is.True(exchanges(m.Step(now, Tick{}))["b"].WantConfig)
+	is.True(sentExchanges(m.Step(now, Tick{}))["b"].WantConfig)
 	is.True(!m.env.platform.watch.Active(now))
 	now = now.Add(watch.MaxConfigLag)
 	m.Step(now, Tick{})
@@ -168,7 +168,7 @@
 	for _, name := range []string{"a", "b", "c", "d"} {
 		actions := m.Step(now, exchange.RequestReceived{Token: 1, Message: gossip.Message{From: name, Zone: "z", Address: name, Boot: 1, Revision: 5, StoreAge: time.Millisecond}})
 		m.exchanges.TellAll(now)
-		for _, msg := range exchanges(append(slices.Clone(actions), m.Step(now, Tick{})...)) {
+		for _, msg := range sentExchanges(append(slices.Clone(actions), m.Step(now, Tick{})...)) {
 			if msg.WantConfig {
 				wanted++
 			}
