--- a/core/instance/gone_test.go
+++ b/core/instance/gone_test.go
@@ -63,8 +63,8 @@
 // TestACallerThatLeftCostsNothing: wherever its call is when a caller leaves, nothing is
 // sent for it after that, whatever answers still come, and no replica counts it as there.
 func TestACallerThatLeftCostsNothing(t *testing.T) {
-	fails := func(l *soloLab, attempt_ int, b calls.AttemptFailed) {
-		b.ID, b.Attempt = abandonedCall, attempt_
+	fails := func(l *soloLab, number int, b calls.AttemptFailed) {
+		b.ID, b.Attempt = abandonedCall, number
 		l.m.Step(l.now, b)
 	}
 	cases := []struct {
