--- a/core/instance/leaving_test.go
+++ b/core/instance/leaving_test.go
@@ -39,7 +39,7 @@
 type leaveLab struct {
 	f            *fleet
 	bounds       bounds.Bounds
-	leaveRecords map[*fleetEngine]leaveWord
+	leaveRecords map[*fleetEngine]leaveRecord
 	// When the store, and each member, was disturbed last.
 	storeDisturbedAt  time.Duration
 	memberDisturbedAt map[string]time.Duration
@@ -50,15 +50,15 @@
 	maxListAge        time.Duration // list by which a member that the rule binds sent a call
 }
 
-// A leaveWord is when the store took that an engine leaves.
-type leaveWord struct {
+// A leaveRecord is when the store took that an engine leaves.
+type leaveRecord struct {
 	at     time.Duration
 	stable bool // the store was, for some time
 }
 
 func newLeaveLab(f *fleet, b bounds.Bounds) *leaveLab {
 	l := &leaveLab{
-		f: f, bounds: b, leaveRecords: map[*fleetEngine]leaveWord{}, memberDisturbedAt: map[string]time.Duration{},
+		f: f, bounds: b, leaveRecords: map[*fleetEngine]leaveRecord{}, memberDisturbedAt: map[string]time.Duration{},
 		boots: map[string]uint64{}, next: len(f.engines), storeDisturbedAt: -time.Hour,
 	}
 	f.leaves = l
@@ -142,7 +142,7 @@
 
 // recordLeave notes that the store takes at this moment that an engine leaves.
 func (l *leaveLab) recordLeave(e *fleetEngine) {
-	w := leaveWord{at: l.f.now, stable: l.stable()}
+	w := leaveRecord{at: l.f.now, stable: l.stable()}
 	l.leaveRecords[e] = w
 	if !w.stable {
 		return
