--- a/core/instance/limit_test.go
+++ b/core/instance/limit_test.go
@@ -70,7 +70,7 @@
 // A limitLab has engines name a limit in their answers, and counts what is sent to them.
 type limitLab struct {
 	f            *fleet
-	named        map[*fleetEngine][]limitNamed
+	named        map[*fleetEngine][]namedLimit
 	told         map[noticeTo]time.Duration // when an instance first passed on an answer with a limit
 	received     map[*fleetEngine][]limitReach
 	arrived      map[calls.ID]noticeCall
@@ -83,8 +83,8 @@
 	otherNotices map[*fleetEngine]pool.Notice
 }
 
-// A limitNamed is a limit that an engine named from an instant on.
-type limitNamed struct {
+// A namedLimit is a limit that an engine named from an instant on.
+type namedLimit struct {
 	at    time.Duration
 	limit pool.RateLimit
 }
@@ -97,7 +97,7 @@
 
 func newLimitLab(f *fleet) *limitLab {
 	f.limits = &limitLab{
-		f: f, named: map[*fleetEngine][]limitNamed{}, told: map[noticeTo]time.Duration{},
+		f: f, named: map[*fleetEngine][]namedLimit{}, told: map[noticeTo]time.Duration{},
 		received: map[*fleetEngine][]limitReach{}, arrived: map[calls.ID]noticeCall{}, callDuration: 400 * time.Millisecond,
 		otherNotices: map[*fleetEngine]pool.Notice{},
 	}
@@ -121,12 +121,12 @@
 
 // setLimit has an engine name a limit from now on.
 func (l *limitLab) setLimit(e *fleetEngine, perSecond float64) {
-	l.named[e] = append(l.named[e], limitNamed{l.f.now, pool.RateLimit{Named: true, PerSecond: perSecond}})
+	l.named[e] = append(l.named[e], namedLimit{l.f.now, pool.RateLimit{Named: true, PerSecond: perSecond}})
 }
 
 // endLimit has an engine name no limit from now on.
 func (l *limitLab) endLimit(e *fleetEngine) {
-	l.named[e] = append(l.named[e], limitNamed{l.f.now, pool.RateLimit{}})
+	l.named[e] = append(l.named[e], namedLimit{l.f.now, pool.RateLimit{}})
 }
 
 // limit returns the limit that an engine names now.
