--- a/core/instance/limit_test.go
+++ b/core/instance/limit_test.go
@@ -72,7 +72,7 @@
 	f            *fleet
 	named        map[*fleetEngine][]namedLimit
 	told         map[noticeTo]time.Duration // when an instance first passed on an answer with a limit
-	received     map[*fleetEngine][]limitReach
+	received     map[*fleetEngine][]limitRequest
 	arrived      map[calls.ID]noticeCall
 	lost         []string // calls that an engine without a limit could have served
 	refused      []calls.Finish
@@ -89,8 +89,8 @@
 	limit pool.RateLimit
 }
 
-// A limitReach is one request that reached an engine.
-type limitReach struct {
+// A limitRequest is one request that reached an engine.
+type limitRequest struct {
 	at time.Duration
 	by noticeTo
 }
@@ -98,7 +98,7 @@
 func newLimitLab(f *fleet) *limitLab {
 	f.limits = &limitLab{
 		f: f, named: map[*fleetEngine][]namedLimit{}, told: map[noticeTo]time.Duration{},
-		received: map[*fleetEngine][]limitReach{}, arrived: map[calls.ID]noticeCall{}, callDuration: 400 * time.Millisecond,
+		received: map[*fleetEngine][]limitRequest{}, arrived: map[calls.ID]noticeCall{}, callDuration: 400 * time.Millisecond,
 		otherNotices: map[*fleetEngine]pool.Notice{},
 	}
 	return f.limits
@@ -151,7 +151,7 @@
 }
 
 func (l *limitLab) recordRequest(n *fleetMember, boot uint64, e *fleetEngine) {
-	l.received[e] = append(l.received[e], limitReach{l.f.now, noticeTo{n.id.Name, boot, e.name, e.starts}})
+	l.received[e] = append(l.received[e], limitRequest{l.f.now, noticeTo{n.id.Name, boot, e.name, e.starts}})
 }
 
 // sendNotice has what an engine says of itself now reach an instance.
@@ -255,7 +255,7 @@
 // users' bound allows, counted over all instances that it had told; ok is false if there is
 // no such window.
 func (l *limitLab) excess(e *fleetEngine) (worst string, ok bool) {
-	var within []limitReach // that count, in the window
+	var within []limitRequest // that count, in the window
 	most := 0.0
 	for _, r := range l.received[e] {
 		if at, told := l.told[r.by]; !told || r.at < at+limitToldDelay {
