--- a/core/instance/notice_test.go
+++ b/core/instance/notice_test.go
@@ -59,7 +59,7 @@
 	rests    map[*fleetEngine]time.Duration // asked for by engines that turn everything away
 	arrived  map[calls.ID]noticeCall
 	told     map[noticeTo]time.Duration // when an instance was first told that an engine leaves
-	received map[noticeTo][]noticeReach
+	received map[noticeTo][]noticeRequest
 	served   map[*fleetEngine]int
 	lost     []string    // calls that another engine could have served
 	late     int         // requests after noticeLeft
@@ -74,8 +74,8 @@
 	starts int
 }
 
-// A noticeReach is one request that reached an engine.
-type noticeReach struct {
+// A noticeRequest is one request that reached an engine.
+type noticeRequest struct {
 	at   time.Duration
 	rest time.Duration // that the answer asked for
 }
@@ -91,7 +91,7 @@
 func newNoticeLab(f *fleet) *noticeLab {
 	l := &noticeLab{
 		f: f, leaving: map[*fleetEngine]bool{}, rests: map[*fleetEngine]time.Duration{}, arrived: map[calls.ID]noticeCall{},
-		told: map[noticeTo]time.Duration{}, received: map[noticeTo][]noticeReach{}, served: map[*fleetEngine]int{},
+		told: map[noticeTo]time.Duration{}, received: map[noticeTo][]noticeRequest{}, served: map[*fleetEngine]int{},
 	}
 	f.notices = l
 	return l
@@ -112,7 +112,7 @@
 		l.late++
 	}
 	said := pool.Notice{Leaving: l.leaving[e], Rest: l.rests[e]}
-	l.received[to] = append(l.received[to], noticeReach{at: l.f.now, rest: said.Rest})
+	l.received[to] = append(l.received[to], noticeRequest{at: l.f.now, rest: said.Rest})
 	return said
 }
 
