--- a/core/instance/limit_test.go
+++ b/core/instance/limit_test.go
@@ -71,7 +71,7 @@
 type limitLab struct {
 	f            *fleet
 	named        map[*fleetEngine][]namedLimit
-	told         map[noticeTo]time.Duration // when an instance first passed on an answer with a limit
+	told         map[noticeKey]time.Duration // when an instance first passed on an answer with a limit
 	received     map[*fleetEngine][]limitRequest
 	arrived      map[calls.ID]noticeCall
 	lost         []string // calls that an engine without a limit could have served
@@ -92,12 +92,12 @@
 // A limitRequest is one request that reached an engine.
 type limitRequest struct {
 	at time.Duration
-	by noticeTo
+	by noticeKey
 }
 
 func newLimitLab(f *fleet) *limitLab {
 	f.limits = &limitLab{
-		f: f, named: map[*fleetEngine][]namedLimit{}, told: map[noticeTo]time.Duration{},
+		f: f, named: map[*fleetEngine][]namedLimit{}, told: map[noticeKey]time.Duration{},
 		received: map[*fleetEngine][]limitRequest{}, arrived: map[calls.ID]noticeCall{}, callDuration: 400 * time.Millisecond,
 		otherNotices: map[*fleetEngine]pool.Notice{},
 	}
@@ -151,14 +151,14 @@
 }
 
 func (l *limitLab) recordRequest(n *fleetMember, boot uint64, e *fleetEngine) {
-	l.received[e] = append(l.received[e], limitRequest{l.f.now, noticeTo{n.id.Name, boot, e.name, e.starts}})
+	l.received[e] = append(l.received[e], limitRequest{l.f.now, noticeKey{n.id.Name, boot, e.name, e.starts}})
 }
 
 // sendNotice has what an engine says of itself now reach an instance.
 func (l *limitLab) sendNotice(n *fleetMember, boot uint64, e *fleetEngine, way time.Duration, sent clock.Instant) {
 	said := l.otherNotices[e]
 	said.Limit = l.limit(e)
-	to := noticeTo{n.id.Name, boot, e.name, e.starts}
+	to := noticeKey{n.id.Name, boot, e.name, e.starts}
 	l.f.at(way, func() {
 		if _, known := l.told[to]; said.Limit.Named && !known && !n.dead && !n.frozen && n.boot == boot {
 			l.told[to] = l.f.now
--- a/core/instance/notice_test.go
+++ b/core/instance/notice_test.go
@@ -58,16 +58,16 @@
 	leaving  map[*fleetEngine]bool
 	rests    map[*fleetEngine]time.Duration // asked for by engines that turn everything away
 	arrived  map[calls.ID]noticeCall
-	told     map[noticeTo]time.Duration // when an instance was first told that an engine leaves
-	received map[noticeTo][]noticeRequest
+	told     map[noticeKey]time.Duration // when an instance was first told that an engine leaves
+	received map[noticeKey][]noticeRequest
 	served   map[*fleetEngine]int
 	lost     []string    // calls that another engine could have served
 	late     int         // requests after noticeLeft
 	retries  *retryCount // nil: tries are not counted
 }
 
-// A noticeTo is an instance that an engine spoke to.
-type noticeTo struct {
+// A noticeKey is an instance that an engine spoke to.
+type noticeKey struct {
 	member string
 	boot   uint64
 	engine string
@@ -91,7 +91,7 @@
 func newNoticeLab(f *fleet) *noticeLab {
 	l := &noticeLab{
 		f: f, leaving: map[*fleetEngine]bool{}, rests: map[*fleetEngine]time.Duration{}, arrived: map[calls.ID]noticeCall{},
-		told: map[noticeTo]time.Duration{}, received: map[noticeTo][]noticeRequest{}, served: map[*fleetEngine]int{},
+		told: map[noticeKey]time.Duration{}, received: map[noticeKey][]noticeRequest{}, served: map[*fleetEngine]int{},
 	}
 	f.notices = l
 	return l
@@ -107,7 +107,7 @@
 // requestReached notes that something sent at sent requestReached an engine, and returns what the
 // engine says of itself in its answer.
 func (l *noticeLab) requestReached(n *fleetMember, boot uint64, e *fleetEngine, sent time.Duration) pool.Notice {
-	to := noticeTo{n.id.Name, boot, e.name, e.starts}
+	to := noticeKey{n.id.Name, boot, e.name, e.starts}
 	if at, told := l.told[to]; told && sent > at+leaveGrace {
 		l.late++
 	}
@@ -121,7 +121,7 @@
 	if said.IsZero() {
 		return
 	}
-	to := noticeTo{n.id.Name, boot, e.name, e.starts}
+	to := noticeKey{n.id.Name, boot, e.name, e.starts}
 	l.f.at(fleetLatency, func() {
 		if _, known := l.told[to]; said.Leaving && !known && !n.dead && !n.frozen && n.boot == boot {
 			l.told[to] = l.f.now
