--- a/core/instance/crash_test.go
+++ b/core/instance/crash_test.go
@@ -56,7 +56,7 @@
 // runs them, and checks how often these reach engines.
 type crashLab struct {
 	f           *fleet
-	calls       map[calls.ID]*labCall
+	calls       map[calls.ID]*crashCall
 	runs        map[string][]*labRun // by engine
 	crashTimes  map[crash.Fingerprint][]time.Duration
 	arrivals    map[crash.Fingerprint][]time.Duration
@@ -72,8 +72,8 @@
 	keepsEntries bool
 }
 
-// A labCall is one try of a request.
-type labCall struct {
+// A crashCall is one try of a request.
+type crashCall struct {
 	request calls.Request
 	poison  bool
 	retried bool // its caller has tried before
@@ -81,7 +81,7 @@
 }
 
 type labRun struct {
-	call  *labCall
+	call  *crashCall
 	reply func(time.Duration, step.Event)
 	d     calls.Dispatch
 	began bool
@@ -90,7 +90,7 @@
 
 func newCrashLab(f *fleet) *crashLab {
 	l := &crashLab{
-		f: f, calls: map[calls.ID]*labCall{}, runs: map[string][]*labRun{},
+		f: f, calls: map[calls.ID]*crashCall{}, runs: map[string][]*labRun{},
 		crashTimes: map[crash.Fingerprint][]time.Duration{}, arrivals: map[crash.Fingerprint][]time.Duration{},
 		startCounts: map[string]int{}, refused: map[crash.Fingerprint]int{},
 	}
@@ -110,14 +110,14 @@
 		r := calls.Request{ID: calls.ID(l.f.eventSeq), Path: "/x", Replayable: true, PromptTokens: 1750, Forward: &calls.ForwardRequest{
 			Name: fmt.Sprint(l.f.eventSeq), Fingerprint: fingerprint, Host: "h", Model: fmt.Sprintf("m%d", model),
 		}}
-		l.calls[r.ID] = &labCall{request: r, poison: true, retried: true}
+		l.calls[r.ID] = &crashCall{request: r, poison: true, retried: true}
 		l.f.step(n, n.boot, calls.Arrived{Call: r})
 	})
 }
 
 // arrive takes in a call that harms nobody.
 func (l *crashLab) arrive(n *fleetMember, r calls.Request) {
-	l.calls[r.ID] = &labCall{request: r}
+	l.calls[r.ID] = &crashCall{request: r}
 	l.f.step(n, n.boot, calls.Arrived{Call: r})
 }
 
@@ -275,7 +275,7 @@
 		forward := *r.Forward
 		r.Forward = &forward
 		r.ID = calls.ID(l.f.eventSeq)
-		l.calls[r.ID] = &labCall{request: r, retried: true}
+		l.calls[r.ID] = &crashCall{request: r, retried: true}
 		l.f.step(n, n.boot, calls.Arrived{Call: r})
 	})
 }
