--- a/core/instance/crash_test.go
+++ b/core/instance/crash_test.go
@@ -57,7 +57,7 @@
 type crashLab struct {
 	f           *fleet
 	calls       map[calls.ID]*crashCall
-	runs        map[string][]*labRun // by engine
+	runs        map[string][]*crashRun // by engine
 	crashTimes  map[crash.Fingerprint][]time.Duration
 	arrivals    map[crash.Fingerprint][]time.Duration
 	startCounts map[string]int // engines that ran at an address
@@ -80,7 +80,7 @@
 	ran     bool
 }
 
-type labRun struct {
+type crashRun struct {
 	call  *crashCall
 	reply func(time.Duration, step.Event)
 	d     calls.Dispatch
@@ -90,7 +90,7 @@
 
 func newCrashLab(f *fleet) *crashLab {
 	l := &crashLab{
-		f: f, calls: map[calls.ID]*crashCall{}, runs: map[string][]*labRun{},
+		f: f, calls: map[calls.ID]*crashCall{}, runs: map[string][]*crashRun{},
 		crashTimes: map[crash.Fingerprint][]time.Duration{}, arrivals: map[crash.Fingerprint][]time.Duration{},
 		startCounts: map[string]int{}, refused: map[crash.Fingerprint]int{},
 	}
@@ -143,7 +143,7 @@
 	if c.poison {
 		l.arrivals[c.request.Forward.Fingerprint] = append(l.arrivals[c.request.Forward.Fingerprint], l.f.now)
 	}
-	r := &labRun{call: c, reply: reply, d: d}
+	r := &crashRun{call: c, reply: reply, d: d}
 	l.runs[e.name] = append(l.runs[e.name], r)
 	switch {
 	case c.poison:
@@ -164,7 +164,7 @@
 }
 
 // run has a call answered.
-func (l *crashLab) run(r *labRun) {
+func (l *crashLab) run(r *crashRun) {
 	l.f.at(l.f.firstTokenDelay, func() {
 		if !r.done {
 			r.began = true
@@ -181,7 +181,7 @@
 }
 
 // sever ends the connection of a call.
-func (r *labRun) sever() {
+func (r *crashRun) sever() {
 	r.done = true
 	b := calls.AttemptFailed{ID: r.d.ID, Attempt: r.d.Attempt, Phase: attempt.MaybeSent, Severed: true}
 	if r.began {
