--- a/core/instance/announced_world_test.go
+++ b/core/instance/announced_world_test.go
@@ -52,7 +52,7 @@
 	opt             option.Options
 	doc             config.Document
 	store           fleetStore
-	storeCopies     []fleetCopy     // of the store, the newest last
+	storeCopies     []storeCopy     // of the store, the newest last
 	storeWriteTimes []time.Duration // when the store was written to
 	storeCallTimes  []time.Duration // when the store was called; once for each page
 	engines         map[string]*fleetEngine
--- a/core/instance/stepback_test.go
+++ b/core/instance/stepback_test.go
@@ -31,8 +31,8 @@
 	entryTerm = 3 * heartbeat
 )
 
-// A fleetCopy is the store as it was at some moment.
-type fleetCopy struct {
+// A storeCopy is the store as it was at some moment.
+type storeCopy struct {
 	at        time.Duration
 	revision  uint64
 	nextLease uint64
@@ -44,7 +44,7 @@
 // keepStoreCopies has the store copied again and again from now on.
 func (f *fleet) keepStoreCopies() {
 	s := &f.store
-	c := fleetCopy{
+	c := storeCopy{
 		at: f.now, revision: s.revision, nextLease: s.nextLease, values: maps.Clone(s.values),
 		leases: map[uint64]fleetLease{}, changes: len(s.log),
 	}
