--- a/core/instance/crash_test.go
+++ b/core/instance/crash_test.go
@@ -88,7 +88,7 @@
 	done  bool
 }
 
-func newCrashLab(f *fleet) *crashLab {
+func newCrashHarness(f *fleet) *crashLab {
 	l := &crashLab{
 		f: f, calls: map[calls.ID]*crashCall{}, runs: map[string][]*crashRun{},
 		crashTimes: map[crash.Fingerprint][]time.Duration{}, arrivals: map[crash.Fingerprint][]time.Duration{},
@@ -383,7 +383,7 @@
 			t.Parallel()
 			late := map[int]int{} // requests by how often they came too late
 			for seed := range *crashSeeds {
-				l := newCrashLab(newFleetOf(uint64(seed+1), s.members, s.engines, option.Disabled{}, false))
+				l := newCrashHarness(newFleetOf(uint64(seed+1), s.members, s.engines, option.Disabled{}, false))
 				l.f.expireLeases()
 				l.f.run(5 * time.Second)
 				l.f.startCallers(20 * time.Millisecond)
@@ -459,7 +459,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			for seed := range *crashSeeds {
-				l := newCrashLab(newFleetOf(uint64(seed+1), 8, 16, option.Disabled{}, false))
+				l := newCrashHarness(newFleetOf(uint64(seed+1), 8, 16, option.Disabled{}, false))
 				l.f.expireLeases()
 				l.f.run(5 * time.Second)
 				l.f.startCallers(15 * time.Millisecond)
@@ -491,7 +491,7 @@
 // order was once repeated as fast as it failed, for a second.
 func TestAnEngineThatEndedIsNotOrderedAgainAndAgain(t *testing.T) {
 	is := is.New(t)
-	l := newCrashLab(newFleetOf(1, 5, 8, option.Disabled{}, false))
+	l := newCrashHarness(newFleetOf(1, 5, 8, option.Disabled{}, false))
 	l.f.expireLeases()
 	l.f.run(8 * time.Second)
 	e := l.f.engines["e0"]
@@ -538,7 +538,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			for seed := range *crashSeeds {
-				l := newCrashLab(newFleetOf(uint64(seed+1), c.members, c.engines, option.Disabled{}, false))
+				l := newCrashHarness(newFleetOf(uint64(seed+1), c.members, c.engines, option.Disabled{}, false))
 				l.f.expireLeases()
 				l.f.run(8 * time.Second)
 				l.f.store.down = c.down
