--- a/core/instance/leaving_test.go
+++ b/core/instance/leaving_test.go
@@ -56,7 +56,7 @@
 	stable bool // the store was, for some time
 }
 
-func newLeaveLab(f *fleet, b bounds.Bounds) *leaveLab {
+func newLeaveHarness(f *fleet, b bounds.Bounds) *leaveLab {
 	l := &leaveLab{
 		f: f, bounds: b, leaveRecords: map[*fleetEngine]leaveRecord{}, memberDisturbedAt: map[string]time.Duration{},
 		boots: map[string]uint64{}, next: len(f.engines), storeDisturbedAt: -time.Hour,
@@ -377,7 +377,7 @@
 	f := newFleetWithBounds(seed, size.members, size.engines, option.Disabled{}, false, size.bounds)
 	f.adapterShare = 0.1
 	f.expireLeases()
-	l := newLeaveLab(f, size.bounds)
+	l := newLeaveHarness(f, size.bounds)
 	f.run(8 * time.Second)
 	f.startCallers(size.callEvery)
 	f.run(2 * time.Second)
@@ -489,7 +489,7 @@
 			f.expireLeases()
 			f.run(8 * time.Second)
 			f.logCounts = map[logevent.Number]int{}
-			tt.do(newLeaveLab(f, smallBounds))
+			tt.do(newLeaveHarness(f, smallBounds))
 			f.run(17 * time.Second)
 			is.Equal(f.logCounts[logevent.ListOld] > 0, tt.old)
 			is.Equal(f.logCounts[logevent.ListOld], f.logCounts[logevent.ListCurrent])
