--- a/core/instance/limit_test.go
+++ b/core/instance/limit_test.go
@@ -95,7 +95,7 @@
 	by noticeKey
 }
 
-func newLimitLab(f *fleet) *limitLab {
+func newLimitHarness(f *fleet) *limitLab {
 	f.limits = &limitLab{
 		f: f, named: map[*fleetEngine][]namedLimit{}, told: map[noticeKey]time.Duration{},
 		received: map[*fleetEngine][]limitRequest{}, arrived: map[calls.ID]noticeCall{}, callDuration: 400 * time.Millisecond,
@@ -111,7 +111,7 @@
 	f.opt.ExchangeEvery = 500 * time.Millisecond
 	f.opt.ProbeWait = 20 * time.Millisecond
 	f.addMembers(members)
-	l := newLimitLab(f)
+	l := newLimitHarness(f)
 	f.expireLeases()
 	f.run(5 * time.Second)
 	return l
