--- a/core/instance/ceiling_test.go
+++ b/core/instance/ceiling_test.go
@@ -65,7 +65,7 @@
 			})(f)
 		}},
 		{"engines start again, empty", func(f *fleet) {
-			l := newNoticeLab(f)
+			l := newNoticeHarness(f)
 			next := 0
 			f.periodically(2*time.Second, time.Hour, func() func() {
 				l.restartEmpty(l.engine(next%fleetEngines), 500*time.Millisecond)
--- a/core/instance/lives_test.go
+++ b/core/instance/lives_test.go
@@ -43,7 +43,7 @@
 func TestAnEngineThatStartsAgainIsOrderedAnew(t *testing.T) {
 	is := is.New(t)
 	for seed := range *noticeSeeds {
-		l := newNoticeLab(newFleetOf(uint64(seed+1), 5, fleetEngines, option.Disabled{}, false))
+		l := newNoticeHarness(newFleetOf(uint64(seed+1), 5, fleetEngines, option.Disabled{}, false))
 		f := l.f
 		f.expireLeases()
 		f.run(5 * time.Second)
@@ -102,7 +102,7 @@
 		t.Run(s.name, func(t *testing.T) {
 			t.Parallel()
 			for seed := range *noticeSeeds {
-				l := newNoticeLab(newFleetOf(uint64(seed+1), 5, fleetEngines, option.Disabled{}, false))
+				l := newNoticeHarness(newFleetOf(uint64(seed+1), 5, fleetEngines, option.Disabled{}, false))
 				f := l.f
 				f.expireLeases()
 				f.run(5 * time.Second)
--- a/core/instance/notice_test.go
+++ b/core/instance/notice_test.go
@@ -88,7 +88,7 @@
 	plain  bool // it asks for no adapter
 }
 
-func newNoticeLab(f *fleet) *noticeLab {
+func newNoticeHarness(f *fleet) *noticeLab {
 	l := &noticeLab{
 		f: f, leaving: map[*fleetEngine]bool{}, rests: map[*fleetEngine]time.Duration{}, arrived: map[calls.ID]noticeCall{},
 		told: map[noticeKey]time.Duration{}, received: map[noticeKey][]noticeRequest{}, served: map[*fleetEngine]int{},
@@ -311,7 +311,7 @@
 		t.Run(s.name, func(t *testing.T) {
 			t.Parallel()
 			for seed := range *noticeSeeds {
-				l := newNoticeLab(newFleetOf(uint64(seed+1), s.members, 2*fleetEngines, option.Disabled{}, false))
+				l := newNoticeHarness(newFleetOf(uint64(seed+1), s.members, 2*fleetEngines, option.Disabled{}, false))
 				f := l.f
 				f.expireLeases()
 				f.run(5 * time.Second)
@@ -349,7 +349,7 @@
 func TestAnEngineThatStartsAgainServes(t *testing.T) {
 	is := is.New(t)
 	for seed := range *noticeSeeds {
-		l := newNoticeLab(newFleetOf(uint64(seed+1), 5, fleetEngines, option.Disabled{}, false))
+		l := newNoticeHarness(newFleetOf(uint64(seed+1), 5, fleetEngines, option.Disabled{}, false))
 		f := l.f
 		f.expireLeases()
 		f.run(5 * time.Second)
@@ -387,7 +387,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
 			for seed := range *noticeSeeds {
-				l := newNoticeLab(newFleetOf(uint64(seed+1), 5, fleetEngines, option.Disabled{}, false))
+				l := newNoticeHarness(newFleetOf(uint64(seed+1), 5, fleetEngines, option.Disabled{}, false))
 				f := l.f
 				f.expireLeases()
 				f.run(5 * time.Second)
--- a/core/instance/repeats_test.go
+++ b/core/instance/repeats_test.go
@@ -105,7 +105,7 @@
 		t.Run(s.name, func(t *testing.T) {
 			t.Parallel()
 			for seed := range *noticeSeeds {
-				l := newNoticeLab(newFleetOf(uint64(seed+1), s.members, 2*fleetEngines, option.Disabled{}, false))
+				l := newNoticeHarness(newFleetOf(uint64(seed+1), s.members, 2*fleetEngines, option.Disabled{}, false))
 				f := l.f
 				l.retries = &retryCount{tried: map[calls.ID]bool{}}
 				f.expireLeases()
