--- a/core/instance/lives_test.go
+++ b/core/instance/lives_test.go
@@ -135,7 +135,7 @@
 	version era.Revision
 }
 
-func newSoloLab(t *testing.T) *soloLab {
+func newSoloHarness(t *testing.T) *soloLab {
 	t.Helper()
 	f := newFleetOf(1, 1, 0, option.Disabled{}, false)
 	f.expireLeases()
@@ -225,7 +225,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			l := newSoloLab(t)
+			l := newSoloHarness(t)
 			l.list(l.entry("1"))
 			is.Equal(len(l.call(1)), 1)
 			l.now = l.now.Add(10 * time.Millisecond)
@@ -247,7 +247,7 @@
 // may be repeated goes there, one that may not is told that it may have run.
 func TestCallsOfAFormerLifeAreSettled(t *testing.T) {
 	is := is.New(t)
-	l := newSoloLab(t)
+	l := newSoloHarness(t)
 	l.list(l.entry("1"))
 	is.Equal(len(l.call(1)), 1)
 	l.now = l.now.Add(time.Second)
@@ -267,7 +267,7 @@
 // before its entry comes, and that entry, or one of the life before, changes nothing then.
 func TestALifeIsKnownFromItsOwnReport(t *testing.T) {
 	is := is.New(t)
-	l := newSoloLab(t)
+	l := newSoloHarness(t)
 	l.list(l.entry("1"))
 	next := l.entry("2")
 	next.Announced.Models = []pool.AnnouncedModel{{Name: "m1"}}
