--- a/core/instance/gone_test.go
+++ b/core/instance/gone_test.go
@@ -21,9 +21,9 @@
 // abandonedCall is the call whose caller leaves.
 const abandonedCall calls.ID = 7
 
-// newOwnerLab returns one instance that owns its two engines, of which each holds three
+// newOwnerHarness returns one instance that owns its two engines, of which each holds three
 // models, and does nothing that the test does not do.
-func newOwnerLab(t *testing.T) *soloLab {
+func newOwnerHarness(t *testing.T) *soloLab {
 	t.Helper()
 	f := newFleetOf(1, 1, 2, option.Disabled{}, false)
 	f.expireLeases()
@@ -123,7 +123,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			l := newOwnerLab(t)
+			l := newOwnerHarness(t)
 			c.do(l)
 			call := l.m.calls.Get(abandonedCall)
 			is.True(call != nil)
