--- a/core/instance/announced_world_test.go
+++ b/core/instance/announced_world_test.go
@@ -72,7 +72,7 @@
 	firstTokenDelay time.Duration
 	lostShare       float64 // share of writes of the store whose answers are lost
 	// crashes is what runs at engines that may end; nil: calls are served at once.
-	crashes *crashLab
+	crashes *crashHarness
 	// notices is what engines say of themselves in their answers; nil: nothing.
 	notices *noticeLab
 	// limits is which engines name a limit, and what is sent to them; nil: none.
--- a/core/instance/crash_test.go
+++ b/core/instance/crash_test.go
@@ -52,9 +52,9 @@
 // crashSeeds is how many seeds each storm is played with. By hand: -crash.seeds=50.
 var crashSeeds = flag.Int("crash.seeds", 4, "seeds of each storm of engines that end")
 
-// A crashLab has calls run at the engines of a fleet, some of which end the engine that
+// A crashHarness has calls run at the engines of a fleet, some of which end the engine that
 // runs them, and checks how often these reach engines.
-type crashLab struct {
+type crashHarness struct {
 	f           *fleet
 	calls       map[calls.ID]*crashCall
 	runs        map[string][]*crashRun // by engine
@@ -88,8 +88,8 @@
 	done  bool
 }
 
-func newCrashHarness(f *fleet) *crashLab {
-	l := &crashLab{
+func newCrashHarness(f *fleet) *crashHarness {
+	l := &crashHarness{
 		f: f, calls: map[calls.ID]*crashCall{}, runs: map[string][]*crashRun{},
 		crashTimes: map[crash.Fingerprint][]time.Duration{}, arrivals: map[crash.Fingerprint][]time.Duration{},
 		startCounts: map[string]int{}, refused: map[crash.Fingerprint]int{},
@@ -99,7 +99,7 @@
 }
 
 // poison has a request that ends its engines come again and again at any member.
-func (l *crashLab) poison(fingerprint crash.Fingerprint, model int, every time.Duration) {
+func (l *crashHarness) poison(fingerprint crash.Fingerprint, model int, every time.Duration) {
 	l.f.at(time.Duration(l.f.rng.Int64N(int64(2*every))), func() {
 		l.poison(fingerprint, model, every)
 		n := l.f.randomMember()
@@ -116,13 +116,13 @@
 }
 
 // arrive takes in a call that harms nobody.
-func (l *crashLab) arrive(n *fleetMember, r calls.Request) {
+func (l *crashHarness) arrive(n *fleetMember, r calls.Request) {
 	l.calls[r.ID] = &crashCall{request: r}
 	l.f.step(n, n.boot, calls.Arrived{Call: r})
 }
 
 // serve has a call run at its engine.
-func (l *crashLab) serve(n *fleetMember, d calls.Dispatch, reply func(time.Duration, step.Event)) {
+func (l *crashHarness) serve(n *fleetMember, d calls.Dispatch, reply func(time.Duration, step.Event)) {
 	e, c := l.f.engines[d.Replica], l.calls[d.ID]
 	failed := func(way time.Duration, b calls.AttemptFailed) {
 		b.ID, b.Attempt = d.ID, d.Attempt
@@ -164,7 +164,7 @@
 }
 
 // run has a call answered.
-func (l *crashLab) run(r *crashRun) {
+func (l *crashHarness) run(r *crashRun) {
 	l.f.at(l.f.firstTokenDelay, func() {
 		if !r.done {
 			r.began = true
@@ -192,7 +192,7 @@
 }
 
 // terminate ends an engine; another one starts at its address after a while.
-func (l *crashLab) terminate(e *fleetEngine) {
+func (l *crashHarness) terminate(e *fleetEngine) {
 	if e.dead {
 		return
 	}
@@ -219,7 +219,7 @@
 
 // restart has another engine start at the address of one that ended, with the same
 // models, so that the fleet does not run out of them.
-func (l *crashLab) restart(old *fleetEngine) {
+func (l *crashHarness) restart(old *fleetEngine) {
 	if l.keepsNames {
 		l.f.restartEngine(old)
 		return
@@ -238,7 +238,7 @@
 }
 
 // drain has an engine say that it leaves, and end while calls run there.
-func (l *crashLab) drain(e *fleetEngine) {
+func (l *crashHarness) drain(e *fleetEngine) {
 	a := *l.f.store.values["servers/"+e.name].data.(*pool.Announcement)
 	a.Leaving = true
 	l.f.setKey("servers/"+e.name, &fleetValue{data: &a})
@@ -247,7 +247,7 @@
 
 // handleFinish takes in a final answer that is not an engine's, and checks that its words
 // are true. The caller tries once more.
-func (l *crashLab) handleFinish(a calls.Finish) {
+func (l *crashHarness) handleFinish(a calls.Finish) {
 	c := l.calls[a.ID]
 	if c == nil {
 		return
@@ -282,7 +282,7 @@
 
 // lateArrivals returns how often a request reached engines later than labContact after the
 // third had ended under it.
-func (l *crashLab) lateArrivals(request crash.Fingerprint) int {
+func (l *crashHarness) lateArrivals(request crash.Fingerprint) int {
 	at := l.crashTimes[request]
 	if len(at) < crashLimit {
 		return 0
@@ -298,7 +298,7 @@
 }
 
 // check reports the requests that reached engines too often, and whatever else broke.
-func (l *crashLab) check(t *testing.T) {
+func (l *crashHarness) check(t *testing.T) {
 	t.Helper()
 	for request, at := range l.crashTimes {
 		if late := l.lateArrivals(request); late > crashLimit {
@@ -317,7 +317,7 @@
 	engines int
 	poisons int
 	every   time.Duration // between two tries of one of them, on average
-	do      func(l *crashLab)
+	do      func(l *crashHarness)
 }
 
 // restartAll starts the members anew.
@@ -334,14 +334,14 @@
 	{"three requests", 8, 24, 3, 400 * time.Millisecond, nil},
 	{"a large fleet", 2 * watchers.FullMeshLimit, 64, 1, 200 * time.Millisecond, nil},
 	{"a large fleet, many tries at once", 2 * watchers.FullMeshLimit, 64, 1, 20 * time.Millisecond, nil},
-	{"the store down", 8, 64, 1, 250 * time.Millisecond, func(l *crashLab) { l.f.store.down = true }},
-	{"a large fleet, the store down", 2 * watchers.FullMeshLimit, 64, 1, 200 * time.Millisecond, func(l *crashLab) { l.f.store.down = true }},
-	{"a zone cut off for a while", 8, 32, 1, 250 * time.Millisecond, func(l *crashLab) {
+	{"the store down", 8, 64, 1, 250 * time.Millisecond, func(l *crashHarness) { l.f.store.down = true }},
+	{"a large fleet, the store down", 2 * watchers.FullMeshLimit, 64, 1, 200 * time.Millisecond, func(l *crashHarness) { l.f.store.down = true }},
+	{"a zone cut off for a while", 8, 32, 1, 250 * time.Millisecond, func(l *crashHarness) {
 		l.f.cutZones = map[string]bool{"z1": true}
 		l.calmSince = l.f.now + 8*time.Second
 		l.f.at(8*time.Second, func() { l.f.cutZones = nil })
 	}},
-	{"instances killed in turn", 8, 16, 1, 250 * time.Millisecond, func(l *crashLab) {
+	{"instances killed in turn", 8, 16, 1, 250 * time.Millisecond, func(l *crashHarness) {
 		next := 0
 		l.f.periodically(2*time.Second, time.Second, func() func() {
 			n := l.f.members[l.f.names[next%len(l.f.names)]]
@@ -350,7 +350,7 @@
 			return func() { l.f.start(n.id.Name) }
 		})
 	}},
-	{"all instances killed at once", 8, 16, 1, 250 * time.Millisecond, func(l *crashLab) {
+	{"all instances killed at once", 8, 16, 1, 250 * time.Millisecond, func(l *crashHarness) {
 		l.f.at(10*time.Second, func() {
 			for _, name := range l.f.names {
 				l.f.members[name].dead = true
@@ -358,17 +358,17 @@
 			l.f.at(time.Second, l.f.restartAll)
 		})
 	}},
-	{"instances freeze", 8, 16, 1, 250 * time.Millisecond, func(l *crashLab) {
+	{"instances freeze", 8, 16, 1, 250 * time.Millisecond, func(l *crashHarness) {
 		l.f.periodically(4*time.Second, 2*time.Second, func() func() {
 			n := l.f.randomMember()
 			n.frozen = true
 			return func() { l.f.thaw(n) }
 		})
 	}},
-	{"answers of the store lost", 8, 16, 1, 250 * time.Millisecond, func(l *crashLab) { l.f.lostShare = 0.4 }},
-	{"engines start again under their names", 8, 16, 1, 250 * time.Millisecond, func(l *crashLab) { l.keepsNames = true }},
-	{"two engines start again under their names", 8, 2, 1, 250 * time.Millisecond, func(l *crashLab) { l.keepsNames = true }},
-	{"engines start again under their names, their entries stay", 8, 16, 1, 250 * time.Millisecond, func(l *crashLab) {
+	{"answers of the store lost", 8, 16, 1, 250 * time.Millisecond, func(l *crashHarness) { l.f.lostShare = 0.4 }},
+	{"engines start again under their names", 8, 16, 1, 250 * time.Millisecond, func(l *crashHarness) { l.keepsNames = true }},
+	{"two engines start again under their names", 8, 2, 1, 250 * time.Millisecond, func(l *crashHarness) { l.keepsNames = true }},
+	{"engines start again under their names, their entries stay", 8, 16, 1, 250 * time.Millisecond, func(l *crashHarness) {
 		l.keepsNames = true
 		l.keepsEntries = true
 	}},
@@ -415,9 +415,9 @@
 // unrelatedFailures are what severs calls without any request being to blame.
 var unrelatedFailures = []struct {
 	name string
-	do   func(l *crashLab)
+	do   func(l *crashHarness)
 }{
-	{"engines end by themselves", func(l *crashLab) {
+	{"engines end by themselves", func(l *crashHarness) {
 		l.f.periodically(700*time.Millisecond, time.Hour, func() func() {
 			if e := l.randomEngine(); e != nil {
 				l.terminate(e)
@@ -425,7 +425,7 @@
 			return func() {}
 		})
 	}},
-	{"many engines end at once", func(l *crashLab) {
+	{"many engines end at once", func(l *crashHarness) {
 		l.f.periodically(9*time.Second, time.Hour, func() func() {
 			for range 10 {
 				if e := l.randomEngine(); e != nil {
@@ -435,7 +435,7 @@
 			return func() {}
 		})
 	}},
-	{"engines leave", func(l *crashLab) {
+	{"engines leave", func(l *crashHarness) {
 		l.f.periodically(700*time.Millisecond, time.Hour, func() func() {
 			if e := l.randomEngine(); e != nil {
 				l.drain(e)
@@ -443,8 +443,8 @@
 			return func() {}
 		})
 	}},
-	{"connections break", func(l *crashLab) { l.severedShare = 0.6 }},
-	{"zones are cut off", func(l *crashLab) {
+	{"connections break", func(l *crashHarness) { l.severedShare = 0.6 }},
+	{"zones are cut off", func(l *crashHarness) {
 		l.f.periodically(6*time.Second, 2*time.Second, func() func() {
 			l.f.cutZones = map[string]bool{"z1": true}
 			return func() { l.f.cutZones = nil }
@@ -476,7 +476,7 @@
 }
 
 // randomEngine returns an engine that lives, nil if none does.
-func (l *crashLab) randomEngine() *fleetEngine {
+func (l *crashHarness) randomEngine() *fleetEngine {
 	names := sortedKeys(l.f.engines)
 	for range len(names) {
 		if e := l.f.engines[names[l.f.rng.IntN(len(names))]]; !e.dead {
@@ -514,7 +514,7 @@
 }
 
 // ownerOf returns the member that orders an engine.
-func (l *crashLab) ownerOf(e *fleetEngine) *fleetMember {
+func (l *crashHarness) ownerOf(e *fleetEngine) *fleetMember {
 	o := l.f.store.values["owners/"+e.name].data.(*registry.Ownership)
 	return l.f.members[o.Owner]
 }
@@ -556,7 +556,7 @@
 }
 
 // runUntilRefusedBy runs the fleet runUntilRefusedBy so many members refuse request 1000, and returns when.
-func (l *crashLab) runUntilRefusedBy(members int) time.Duration {
+func (l *crashHarness) runUntilRefusedBy(members int) time.Duration {
 	for range 3000 {
 		n := 0
 		for _, m := range l.f.members {
