--- a/core/instance/announced_world_test.go
+++ b/core/instance/announced_world_test.go
@@ -87,7 +87,7 @@
 	cutZones  map[string]bool
 	logCounts map[logevent.Number]int
 	// leaves is which engines leave, and what reaches them after that; nil: none.
-	leaves *leaveLab
+	leaves *leaveHarness
 }
 
 // A fleetMember is one machine with what is wrong with it.
--- a/core/instance/leaving_test.go
+++ b/core/instance/leaving_test.go
@@ -35,8 +35,8 @@
 // longer than any bound, so that each request that comes too late is seen.
 const lingerTime = 6 * time.Second
 
-// A leaveLab has engines leave, and counts the calls that reach them too late.
-type leaveLab struct {
+// A leaveHarness has engines leave, and counts the calls that reach them too late.
+type leaveHarness struct {
 	f            *fleet
 	bounds       bounds.Bounds
 	leaveRecords map[*fleetEngine]leaveRecord
@@ -56,8 +56,8 @@
 	stable bool // the store was, for some time
 }
 
-func newLeaveHarness(f *fleet, b bounds.Bounds) *leaveLab {
-	l := &leaveLab{
+func newLeaveHarness(f *fleet, b bounds.Bounds) *leaveHarness {
+	l := &leaveHarness{
 		f: f, bounds: b, leaveRecords: map[*fleetEngine]leaveRecord{}, memberDisturbedAt: map[string]time.Duration{},
 		boots: map[string]uint64{}, next: len(f.engines), storeDisturbedAt: -time.Hour,
 	}
@@ -68,7 +68,7 @@
 
 // observe notes who is disturbed, again and again. A watch that hangs, is cut or does not hear
 // of changes is no disturbance: the rule binds all the same.
-func (l *leaveLab) observe() {
+func (l *leaveHarness) observe() {
 	f := l.f
 	if f.store.down || f.store.refusesConnections || f.lostShare > 0 {
 		l.storeDisturbedAt = f.now
@@ -84,16 +84,16 @@
 }
 
 // stable reports whether the store was not disturbed for a while.
-func (l *leaveLab) stable() bool { return l.f.now-l.storeDisturbedAt >= l.bounds.Settle }
+func (l *leaveHarness) stable() bool { return l.f.now-l.storeDisturbedAt >= l.bounds.Settle }
 
 // boundApplies reports whether the rule binds a member.
-func (l *leaveLab) boundApplies(n *fleetMember) bool {
+func (l *leaveHarness) boundApplies(n *fleetMember) bool {
 	return l.stable() && l.f.now-l.memberDisturbedAt[n.id.Name] >= l.bounds.Settle
 }
 
 // sent takes in that a member sends a call to an engine. It reaches it only once a connection is
 // made, which may take as long as the members try.
-func (l *leaveLab) sent(n *fleetMember, d calls.Dispatch) {
+func (l *leaveHarness) sent(n *fleetMember, d calls.Dispatch) {
 	e := l.f.engines[d.Replica]
 	if l.boundApplies(n) {
 		l.maxListAge = max(l.maxListAge, d.Forward.ListAge)
@@ -108,7 +108,7 @@
 }
 
 // randomStayingEngine returns an engine that does not leave.
-func (l *leaveLab) randomStayingEngine() *fleetEngine {
+func (l *leaveHarness) randomStayingEngine() *fleetEngine {
 	names := sortedKeys(l.f.engines)
 	for {
 		e := l.f.engines[names[l.f.rng.IntN(len(names))]]
@@ -120,7 +120,7 @@
 
 // leave has an engine leave, by its word or without one, and another one take its place at
 // once.
-func (l *leaveLab) leave(e *fleetEngine, silent bool) {
+func (l *leaveHarness) leave(e *fleetEngine, silent bool) {
 	f := l.f
 	l.replace(e)
 	if f.store.down {
@@ -141,7 +141,7 @@
 }
 
 // recordLeave notes that the store takes at this moment that an engine leaves.
-func (l *leaveLab) recordLeave(e *fleetEngine) {
+func (l *leaveHarness) recordLeave(e *fleetEngine) {
 	w := leaveRecord{at: l.f.now, stable: l.stable()}
 	l.leaveRecords[e] = w
 	if !w.stable {
@@ -157,7 +157,7 @@
 
 // checkUnused checks that no member that the rule binds would send a call to an engine that comes
 // too late.
-func (l *leaveLab) checkUnused(e *fleetEngine) {
+func (l *leaveHarness) checkUnused(e *fleetEngine) {
 	for _, n := range l.allMembers() {
 		r := n.m.state.Pool.Get(e.name)
 		if l.boundApplies(n) && r != nil && (r.Usable() || r.LastResort(l.f.clock(n))) {
@@ -167,10 +167,10 @@
 }
 
 // randomLeave has some engine leave.
-func (l *leaveLab) randomLeave() { l.leave(l.randomStayingEngine(), l.f.rng.IntN(3) == 0) }
+func (l *leaveHarness) randomLeave() { l.leave(l.randomStayingEngine(), l.f.rng.IntN(3) == 0) }
 
 // replace starts an engine that holds what another one does.
-func (l *leaveLab) replace(e *fleetEngine) {
+func (l *leaveHarness) replace(e *fleetEngine) {
 	f := l.f
 	added := &fleetEngine{
 		name: fmt.Sprintf("e%d", l.next), zone: e.zone,
@@ -182,7 +182,7 @@
 }
 
 // hangWatches has nothing come any more on the connections of all watches that wait.
-func (l *leaveLab) hangWatches(members ...*fleetMember) {
+func (l *leaveHarness) hangWatches(members ...*fleetMember) {
 	for _, n := range members {
 		for _, w := range n.pendingWatches {
 			w.hung = true
@@ -191,7 +191,7 @@
 }
 
 // allMembers returns all members.
-func (l *leaveLab) allMembers() (members []*fleetMember) {
+func (l *leaveHarness) allMembers() (members []*fleetMember) {
 	for _, name := range l.f.names {
 		members = append(members, l.f.members[name])
 	}
@@ -200,7 +200,7 @@
 
 // dropHistory has watches hear of no change for a second, then the store dropHistory its history: all
 // watches are cut, with a reset or without a word, and go on from the whole.
-func (l *leaveLab) dropHistory(silent bool) {
+func (l *leaveHarness) dropHistory(silent bool) {
 	f := l.f
 	f.store.muteUntil = f.now + time.Second
 	f.at(time.Second, func() {
@@ -215,12 +215,12 @@
 }
 
 // leaveWithin has an engine leave within a span.
-func (l *leaveLab) leaveWithin(span time.Duration) {
+func (l *leaveHarness) leaveWithin(span time.Duration) {
 	l.f.at(time.Duration(l.f.rng.Int64N(int64(span))), l.randomLeave)
 }
 
 // storeDown has the store be away for a while, with a word to whoever connects or without one.
-func (l *leaveLab) storeDown(span time.Duration, closed bool) {
+func (l *leaveHarness) storeDown(span time.Duration, closed bool) {
 	l.f.store.down = true
 	l.f.store.refusesConnections = closed
 	l.f.at(span, func() {
@@ -231,7 +231,7 @@
 
 // rewriteEntries has every engine write its entry again and again, so that a step back of the store takes
 // many numbers back.
-func (l *leaveLab) rewriteEntries() {
+func (l *leaveHarness) rewriteEntries() {
 	const writes = 10
 	for range writes {
 		for _, name := range sortedKeys(l.f.engines) {
@@ -243,7 +243,7 @@
 }
 
 // leaveAfter has engines leave as soon as the rule binds again, span from now.
-func (l *leaveLab) leaveAfter(span time.Duration) {
+func (l *leaveHarness) leaveAfter(span time.Duration) {
 	l.f.at(span+l.bounds.Settle+8*time.Millisecond, l.randomLeave)
 	l.f.at(span+l.bounds.Settle+700*time.Millisecond, l.randomLeave)
 }
@@ -251,55 +251,55 @@
 // A leaveStorm is what goes wrong beside engines that leave.
 type leaveStorm struct {
 	name string
-	do   func(l *leaveLab)
+	do   func(l *leaveHarness)
 }
 
 // every has something done again and again.
-func (l *leaveLab) every(span time.Duration, do func()) {
+func (l *leaveHarness) every(span time.Duration, do func()) {
 	l.f.periodically(span, time.Hour, func() func() { do(); return func() {} })
 }
 
 var leaveStorms = []leaveStorm{
-	{"calm", func(l *leaveLab) { l.every(1300*time.Millisecond, l.randomLeave) }},
-	{"the watches of some hang", func(l *leaveLab) {
+	{"calm", func(l *leaveHarness) { l.every(1300*time.Millisecond, l.randomLeave) }},
+	{"the watches of some hang", func(l *leaveHarness) {
 		l.every(2300*time.Millisecond, func() {
 			l.hangWatches(l.f.randomMember(), l.f.randomMember())
 			l.leaveWithin(400 * time.Millisecond)
 		})
 	}},
-	{"the watches of all hang", func(l *leaveLab) {
+	{"the watches of all hang", func(l *leaveHarness) {
 		l.every(4100*time.Millisecond, func() {
 			l.hangWatches(l.allMembers()...)
 			l.leaveWithin(300 * time.Millisecond)
 		})
 	}},
-	{"history is dropped", func(l *leaveLab) {
+	{"history is dropped", func(l *leaveHarness) {
 		l.every(3700*time.Millisecond, func() {
 			l.dropHistory(false)
 			l.leaveWithin(time.Second)
 		})
 	}},
-	{"history is dropped without a word", func(l *leaveLab) {
+	{"history is dropped without a word", func(l *leaveHarness) {
 		l.every(4700*time.Millisecond, func() {
 			l.dropHistory(true)
 			l.leaveWithin(time.Second)
 		})
 	}},
-	{"the store is down", func(l *leaveLab) {
+	{"the store is down", func(l *leaveHarness) {
 		l.every(11*time.Second, func() {
 			span := time.Duration(1+l.f.rng.IntN(5)) * time.Second
 			l.storeDown(span, true)
 			l.leaveAfter(span)
 		})
 	}},
-	{"the store is silent", func(l *leaveLab) {
+	{"the store is silent", func(l *leaveHarness) {
 		l.every(12*time.Second, func() {
 			span := time.Duration(1+l.f.rng.IntN(6)) * time.Second
 			l.storeDown(span, false)
 			l.leaveAfter(span)
 		})
 	}},
-	{"the store steps back", func(l *leaveLab) {
+	{"the store steps back", func(l *leaveHarness) {
 		l.f.keepStoreCopies()
 		l.every(9*time.Second, func() {
 			l.randomLeave()
@@ -310,7 +310,7 @@
 			})
 		})
 	}},
-	{"replicas that leave are said to be ready", func(l *leaveLab) {
+	{"replicas that leave are said to be ready", func(l *leaveHarness) {
 		l.every(2900*time.Millisecond, func() {
 			e := l.randomStayingEngine()
 			l.leave(e, false)
@@ -320,7 +320,7 @@
 			})
 		})
 	}},
-	{"members are killed", func(l *leaveLab) {
+	{"members are killed", func(l *leaveHarness) {
 		l.every(1700*time.Millisecond, l.randomLeave)
 		l.f.periodically(5*time.Second, time.Second, func() func() {
 			n := l.f.randomMember()
@@ -328,7 +328,7 @@
 			return func() { l.f.start(n.id.Name) }
 		})
 	}},
-	{"members are frozen", func(l *leaveLab) {
+	{"members are frozen", func(l *leaveHarness) {
 		l.every(1900*time.Millisecond, l.randomLeave)
 		l.f.periodically(6*time.Second, 2*time.Second, func() func() {
 			n := l.f.randomMember()
@@ -336,7 +336,7 @@
 			return func() { l.f.thaw(n) }
 		})
 	}},
-	{"members are cut from the store", func(l *leaveLab) {
+	{"members are cut from the store", func(l *leaveHarness) {
 		l.every(1700*time.Millisecond, l.randomLeave)
 		l.f.periodically(9*time.Second, 4*time.Second, func() func() {
 			n, m := l.f.randomMember(), l.f.randomMember()
@@ -344,7 +344,7 @@
 			return func() { n.noStore, m.noStore = false, false }
 		})
 	}},
-	{"a zone is cut off", func(l *leaveLab) {
+	{"a zone is cut off", func(l *leaveHarness) {
 		l.f.cutZones = map[string]bool{}
 		l.every(1700*time.Millisecond, l.randomLeave)
 		l.f.periodically(10*time.Second, 4*time.Second, func() func() {
@@ -373,7 +373,7 @@
 }
 
 // simulate plays a storm, alone or beside another, on a fleet of some size.
-func (s leaveStorm) simulate(seed uint64, size fleetSize, beside ...leaveStorm) *leaveLab {
+func (s leaveStorm) simulate(seed uint64, size fleetSize, beside ...leaveStorm) *leaveHarness {
 	f := newFleetWithBounds(seed, size.members, size.engines, option.Disabled{}, false, size.bounds)
 	f.adapterShare = 0.1
 	f.expireLeases()
@@ -411,7 +411,7 @@
 }
 
 // check reports what broke.
-func (l *leaveLab) check(t *testing.T, seed int) {
+func (l *leaveHarness) check(t *testing.T, seed int) {
 	t.Helper()
 	if len(l.late) > 0 {
 		t.Errorf("seed %d: %d calls too late; %s", seed+1, len(l.late), l.late[0])
@@ -469,12 +469,12 @@
 func TestAnOldListIsLogged(t *testing.T) {
 	for _, tt := range []struct {
 		name string
-		do   func(l *leaveLab)
+		do   func(l *leaveHarness)
 		old  bool
 	}{
-		{"calm", func(*leaveLab) {}, false},
-		{"watches hang", func(l *leaveLab) { l.every(5*time.Second, func() { l.hangWatches(l.allMembers()...) }) }, false},
-		{"watches and what is called beside them hang", func(l *leaveLab) {
+		{"calm", func(*leaveHarness) {}, false},
+		{"watches hang", func(l *leaveHarness) { l.every(5*time.Second, func() { l.hangWatches(l.allMembers()...) }) }, false},
+		{"watches and what is called beside them hang", func(l *leaveHarness) {
 			for _, n := range l.allMembers() {
 				l.f.periodically(6*time.Second, 3*time.Second, func() func() {
 					n.noUpdates = true
