--- a/core/instance/announced_world_test.go
+++ b/core/instance/announced_world_test.go
@@ -76,7 +76,7 @@
 	// notices is what engines say of themselves in their answers; nil: nothing.
 	notices *noticeLab
 	// limits is which engines name a limit, and what is sent to them; nil: none.
-	limits *limitLab
+	limits *limitHarness
 	// adapterShare is the share of calls that ask for an adapter.
 	adapterShare float64
 	// promptTokens is the length of prompts.
--- a/core/instance/limit_test.go
+++ b/core/instance/limit_test.go
@@ -67,8 +67,8 @@
 	limitAll = flag.Bool("limit.all", false, "play every limit in a fleet of 370 instances")
 )
 
-// A limitLab has engines name a limit in their answers, and counts what is sent to them.
-type limitLab struct {
+// A limitHarness has engines name a limit in their answers, and counts what is sent to them.
+type limitHarness struct {
 	f            *fleet
 	named        map[*fleetEngine][]namedLimit
 	told         map[noticeKey]time.Duration // when an instance first passed on an answer with a limit
@@ -95,8 +95,8 @@
 	by noticeKey
 }
 
-func newLimitHarness(f *fleet) *limitLab {
-	f.limits = &limitLab{
+func newLimitHarness(f *fleet) *limitHarness {
+	f.limits = &limitHarness{
 		f: f, named: map[*fleetEngine][]namedLimit{}, told: map[noticeKey]time.Duration{},
 		received: map[*fleetEngine][]limitRequest{}, arrived: map[calls.ID]noticeCall{}, callDuration: 400 * time.Millisecond,
 		otherNotices: map[*fleetEngine]pool.Notice{},
@@ -106,7 +106,7 @@
 
 // newLimitFleet returns the lab of a fleet whose instances exchange as they do where the
 // product runs, once its engines have owners.
-func newLimitFleet(seed uint64, members, engines int) *limitLab {
+func newLimitFleet(seed uint64, members, engines int) *limitHarness {
 	f := newFleetOf(seed, 0, engines, option.Disabled{}, false)
 	f.opt.ExchangeEvery = 500 * time.Millisecond
 	f.opt.ProbeWait = 20 * time.Millisecond
@@ -117,45 +117,45 @@
 	return l
 }
 
-func (l *limitLab) engine(i int) *fleetEngine { return l.f.engines[fmt.Sprintf("e%d", i)] }
+func (l *limitHarness) engine(i int) *fleetEngine { return l.f.engines[fmt.Sprintf("e%d", i)] }
 
 // setLimit has an engine name a limit from now on.
-func (l *limitLab) setLimit(e *fleetEngine, perSecond float64) {
+func (l *limitHarness) setLimit(e *fleetEngine, perSecond float64) {
 	l.named[e] = append(l.named[e], namedLimit{l.f.now, pool.RateLimit{Named: true, PerSecond: perSecond}})
 }
 
 // endLimit has an engine name no limit from now on.
-func (l *limitLab) endLimit(e *fleetEngine) {
+func (l *limitHarness) endLimit(e *fleetEngine) {
 	l.named[e] = append(l.named[e], namedLimit{l.f.now, pool.RateLimit{}})
 }
 
 // limit returns the limit that an engine names now.
-func (l *limitLab) limit(e *fleetEngine) pool.RateLimit {
+func (l *limitHarness) limit(e *fleetEngine) pool.RateLimit {
 	if n := len(l.named[e]); n > 0 {
 		return l.named[e][n-1].limit
 	}
 	return pool.RateLimit{}
 }
 
-func (l *limitLab) arrive(n *fleetMember, r calls.Request) {
+func (l *limitHarness) arrive(n *fleetMember, r calls.Request) {
 	l.arrived[r.ID] = noticeCall{member: n, at: l.f.now, model: r.Forward.Model, plain: r.Forward.Adapter == ""}
 }
 
 // requestReached notes that a request reaches an engine in so long, and has what the engine says
 // of itself come back with the answer.
-func (l *limitLab) requestReached(n *fleetMember, boot uint64, e *fleetEngine, way time.Duration, sent clock.Instant) {
+func (l *limitHarness) requestReached(n *fleetMember, boot uint64, e *fleetEngine, way time.Duration, sent clock.Instant) {
 	l.f.at(way, func() {
 		l.recordRequest(n, boot, e)
 		l.sendNotice(n, boot, e, fleetLatency, sent)
 	})
 }
 
-func (l *limitLab) recordRequest(n *fleetMember, boot uint64, e *fleetEngine) {
+func (l *limitHarness) recordRequest(n *fleetMember, boot uint64, e *fleetEngine) {
 	l.received[e] = append(l.received[e], limitRequest{l.f.now, noticeKey{n.id.Name, boot, e.name, e.starts}})
 }
 
 // sendNotice has what an engine says of itself now reach an instance.
-func (l *limitLab) sendNotice(n *fleetMember, boot uint64, e *fleetEngine, way time.Duration, sent clock.Instant) {
+func (l *limitHarness) sendNotice(n *fleetMember, boot uint64, e *fleetEngine, way time.Duration, sent clock.Instant) {
 	said := l.otherNotices[e]
 	said.Limit = l.limit(e)
 	to := noticeKey{n.id.Name, boot, e.name, e.starts}
@@ -168,7 +168,7 @@
 }
 
 // serve has a call served by its engine.
-func (l *limitLab) serve(n *fleetMember, boot uint64, d calls.Dispatch, reply func(time.Duration, step.Event)) {
+func (l *limitHarness) serve(n *fleetMember, boot uint64, d calls.Dispatch, reply func(time.Duration, step.Event)) {
 	e := l.f.engines[d.Replica]
 	failed := func(way time.Duration, b calls.AttemptFailed) {
 		b.ID, b.Attempt = d.ID, d.Attempt
@@ -204,7 +204,7 @@
 
 // handleFinish takes in a final answer that is not an engine's. Where an engine that names no
 // limit could have served the call, it is lost.
-func (l *limitLab) handleFinish(a calls.Finish) {
+func (l *limitHarness) handleFinish(a calls.Finish) {
 	l.refused = append(l.refused, a)
 	c, ok := l.arrived[a.ID]
 	if !ok || !c.plain || a.Refusal.Code == code.NoConfiguration {
@@ -230,7 +230,7 @@
 
 // allowance returns what an engine's limit allowance between two instants; ok is false where it
 // named none for a part of that time. Its first limit counts for the time before it too.
-func (l *limitLab) allowance(e *fleetEngine, from, to time.Duration) (requests float64, ok bool) {
+func (l *limitHarness) allowance(e *fleetEngine, from, to time.Duration) (requests float64, ok bool) {
 	for i, n := range l.named[e] {
 		until := to
 		if i+1 < len(l.named[e]) {
@@ -254,7 +254,7 @@
 // excess returns the window in which the most requests reached an engine beyond what the
 // users' bound allows, counted over all instances that it had told; ok is false if there is
 // no such window.
-func (l *limitLab) excess(e *fleetEngine) (worst string, ok bool) {
+func (l *limitHarness) excess(e *fleetEngine) (worst string, ok bool) {
 	var within []limitRequest // that count, in the window
 	most := 0.0
 	for _, r := range l.received[e] {
@@ -278,7 +278,7 @@
 }
 
 // usedShare returns the share of an engine's limit that requests usedShare between two instants.
-func (l *limitLab) usedShare(e *fleetEngine, from, to time.Duration) float64 {
+func (l *limitHarness) usedShare(e *fleetEngine, from, to time.Duration) float64 {
 	allowed, _ := l.allowance(e, from, to)
 	n := 0
 	for _, r := range l.received[e] {
@@ -290,7 +290,7 @@
 }
 
 // check reports what must not have happened.
-func (l *limitLab) check(t *testing.T, seed int) {
+func (l *limitHarness) check(t *testing.T, seed int) {
 	t.Helper()
 	for _, name := range sortedKeys(l.f.engines) {
 		if worst, over := l.excess(l.f.engines[name]); over {
@@ -317,27 +317,27 @@
 type limitStorm struct {
 	name    string
 	members int
-	do      func(l *limitLab)
+	do      func(l *limitHarness)
 }
 
 var limitStorms = []limitStorm{
-	{"calm", 8, func(*limitLab) {}},
-	{"the store is down", 8, func(l *limitLab) { l.f.store.down = true }},
-	{"entries go and come back", 8, func(l *limitLab) {
+	{"calm", 8, func(*limitHarness) {}},
+	{"the store is down", 8, func(l *limitHarness) { l.f.store.down = true }},
+	{"entries go and come back", 8, func(l *limitHarness) {
 		l.f.periodically(1500*time.Millisecond, 700*time.Millisecond, func() func() {
 			e := l.engine(l.f.rng.IntN(6))
 			l.f.setKey("servers/"+e.name, nil)
 			return func() { l.f.announce(e) }
 		})
 	}},
-	{"instances are killed", 8, func(l *limitLab) {
+	{"instances are killed", 8, func(l *limitHarness) {
 		l.f.periodically(3*time.Second, time.Second, func() func() {
 			n := l.f.randomMember()
 			n.dead = true
 			return func() { l.f.start(n.id.Name) }
 		})
 	}},
-	{"all but one are killed at once", 8, func(l *limitLab) {
+	{"all but one are killed at once", 8, func(l *limitHarness) {
 		l.f.periodically(9*time.Second, time.Second, func() func() {
 			for _, name := range l.f.names[1:] {
 				l.f.members[name].dead = true
@@ -349,7 +349,7 @@
 			}
 		})
 	}},
-	{"instances stop as planned", 8, func(l *limitLab) {
+	{"instances stop as planned", 8, func(l *limitHarness) {
 		l.f.periodically(3*time.Second, 2500*time.Millisecond, func() func() {
 			n := l.f.randomMember()
 			l.f.step(n, n.boot, Stop{})
@@ -357,20 +357,20 @@
 			return func() { l.f.start(n.id.Name) }
 		})
 	}},
-	{"instances freeze", 8, func(l *limitLab) {
+	{"instances freeze", 8, func(l *limitHarness) {
 		l.f.periodically(4*time.Second, 2*time.Second, func() func() {
 			n := l.f.randomMember()
 			n.frozen = true
 			return func() { l.f.thaw(n) }
 		})
 	}},
-	{"instances sleep", 8, func(l *limitLab) {
+	{"instances sleep", 8, func(l *limitHarness) {
 		l.f.periodically(5*time.Second, time.Hour, func() func() {
 			l.f.sleep(l.f.randomMember(), 3*time.Second, 0)
 			return func() {}
 		})
 	}},
-	{"a zone is cut off", 8, func(l *limitLab) {
+	{"a zone is cut off", 8, func(l *limitHarness) {
 		l.f.periodically(7*time.Second, 4*time.Second, func() func() {
 			l.f.cutZones = map[string]bool{"z1": true}
 			return func() {
@@ -379,15 +379,15 @@
 			}
 		})
 	}},
-	{"an instance hears nobody", 8, func(l *limitLab) {
+	{"an instance hears nobody", 8, func(l *limitHarness) {
 		l.f.periodically(4*time.Second, 3*time.Second, func() func() {
 			n := l.f.randomMember()
 			n.noUpdates = true
 			return func() { n.noUpdates = false }
 		})
 	}},
-	{"orders are carried out late", 8, func(l *limitLab) { l.f.lateShare = 0.4 }},
-	{"limits change each second", 8, func(l *limitLab) {
+	{"orders are carried out late", 8, func(l *limitHarness) { l.f.lateShare = 0.4 }},
+	{"limits change each second", 8, func(l *limitHarness) {
 		up := false
 		l.f.periodically(time.Second, 0, func() func() {
 			up = !up
@@ -397,14 +397,14 @@
 			return func() {}
 		})
 	}},
-	{"engines start again", 8, func(l *limitLab) {
+	{"engines start again", 8, func(l *limitHarness) {
 		l.f.periodically(4*time.Second, time.Second, func() func() {
 			e := l.engine(l.f.rng.IntN(6))
 			e.dead = true
 			return func() { l.f.restartEngine(e) }
 		})
 	}},
-	{"a large fleet", 2 * watchers.FullMeshLimit, func(*limitLab) {}},
+	{"a large fleet", 2 * watchers.FullMeshLimit, func(*limitHarness) {}},
 }
 
 // TestEnginesThatNameALimitGetNoMore: whatever fails beside it, an engine that names a
@@ -509,7 +509,7 @@
 }
 
 // endedLimitFleet returns a fleet whose calls ask for all models alike.
-func endedLimitFleet(members int) *limitLab {
+func endedLimitFleet(members int) *limitHarness {
 	l := newLimitFleet(1, members, 4*fleetEngines)
 	l.f.adapterShare = 0
 	l.f.promptTokens = 100
@@ -519,7 +519,7 @@
 }
 
 // receivedWithin returns how many requests reached an engine between two instants.
-func (l *limitLab) receivedWithin(e *fleetEngine, from, to time.Duration) int {
+func (l *limitHarness) receivedWithin(e *fleetEngine, from, to time.Duration) int {
 	n := 0
 	for _, r := range l.received[e] {
 		if r.at >= from && r.at < to {
