--- a/core/instance/announced_world_test.go
+++ b/core/instance/announced_world_test.go
@@ -74,7 +74,7 @@
 	// crashes is what runs at engines that may end; nil: calls are served at once.
 	crashes *crashHarness
 	// notices is what engines say of themselves in their answers; nil: nothing.
-	notices *noticeLab
+	notices *noticeHarness
 	// limits is which engines name a limit, and what is sent to them; nil: none.
 	limits *limitHarness
 	// adapterShare is the share of calls that ask for an adapter.
--- a/core/instance/lives_test.go
+++ b/core/instance/lives_test.go
@@ -28,7 +28,7 @@
 
 // restartEmpty has an engine end and start again under its name, with nothing loaded,
 // its entry written anew in place.
-func (l *noticeLab) restartEmpty(e *fleetEngine, after time.Duration) {
+func (l *noticeHarness) restartEmpty(e *fleetEngine, after time.Duration) {
 	e.dead = true
 	l.f.at(after, func() {
 		e.models = map[string]bool{}
--- a/core/instance/notice_test.go
+++ b/core/instance/notice_test.go
@@ -51,9 +51,9 @@
 // noticeSeeds is how many seeds each storm is played with. By hand: -notice.seeds=50.
 var noticeSeeds = flag.Int("notice.seeds", 3, "seeds of each storm of engines that say something of themselves")
 
-// A noticeLab has engines say something of themselves in their answers, and checks what
+// A noticeHarness has engines say something of themselves in their answers, and checks what
 // is sent to them after that.
-type noticeLab struct {
+type noticeHarness struct {
 	f        *fleet
 	leaving  map[*fleetEngine]bool
 	rests    map[*fleetEngine]time.Duration // asked for by engines that turn everything away
@@ -88,8 +88,8 @@
 	plain  bool // it asks for no adapter
 }
 
-func newNoticeHarness(f *fleet) *noticeLab {
-	l := &noticeLab{
+func newNoticeHarness(f *fleet) *noticeHarness {
+	l := &noticeHarness{
 		f: f, leaving: map[*fleetEngine]bool{}, rests: map[*fleetEngine]time.Duration{}, arrived: map[calls.ID]noticeCall{},
 		told: map[noticeKey]time.Duration{}, received: map[noticeKey][]noticeRequest{}, served: map[*fleetEngine]int{},
 	}
@@ -97,7 +97,7 @@
 	return l
 }
 
-func (l *noticeLab) arrive(n *fleetMember, r calls.Request) {
+func (l *noticeHarness) arrive(n *fleetMember, r calls.Request) {
 	if l.retries != nil {
 		l.retries.callTimes = append(l.retries.callTimes, l.f.now)
 	}
@@ -106,7 +106,7 @@
 
 // requestReached notes that something sent at sent requestReached an engine, and returns what the
 // engine says of itself in its answer.
-func (l *noticeLab) requestReached(n *fleetMember, boot uint64, e *fleetEngine, sent time.Duration) pool.Notice {
+func (l *noticeHarness) requestReached(n *fleetMember, boot uint64, e *fleetEngine, sent time.Duration) pool.Notice {
 	to := noticeKey{n.id.Name, boot, e.name, e.starts}
 	if at, told := l.told[to]; told && sent > at+leaveGrace {
 		l.late++
@@ -117,7 +117,7 @@
 }
 
 // sendNotice has what an engine says of itself reach the instance.
-func (l *noticeLab) sendNotice(n *fleetMember, boot uint64, e *fleetEngine, sent clock.Instant, said pool.Notice) {
+func (l *noticeHarness) sendNotice(n *fleetMember, boot uint64, e *fleetEngine, sent clock.Instant, said pool.Notice) {
 	if said.IsZero() {
 		return
 	}
@@ -131,7 +131,7 @@
 }
 
 // serve has a call served by its engine, or turned away.
-func (l *noticeLab) serve(n *fleetMember, boot uint64, d calls.Dispatch, reply func(time.Duration, step.Event)) {
+func (l *noticeHarness) serve(n *fleetMember, boot uint64, d calls.Dispatch, reply func(time.Duration, step.Event)) {
 	e := l.f.engines[d.Replica]
 	failed := func(way time.Duration, b calls.AttemptFailed) {
 		b.ID, b.Attempt = d.ID, d.Attempt
@@ -170,7 +170,7 @@
 
 // rejectOrder takes in that an order is sent to an engine, and reports whether the
 // engine turned it away.
-func (l *noticeLab) rejectOrder(n *fleetMember, boot uint64, a owned.SendOrder, reply func(time.Duration, step.Event)) bool {
+func (l *noticeHarness) rejectOrder(n *fleetMember, boot uint64, a owned.SendOrder, reply func(time.Duration, step.Event)) bool {
 	e := l.f.engines[a.Engine]
 	said := l.requestReached(n, boot, e, l.f.now)
 	l.sendNotice(n, boot, e, l.f.clock(n), said)
@@ -183,7 +183,7 @@
 
 // rejectStateQuery takes in that an engine is asked for its state, and reports whether
 // it turned that away.
-func (l *noticeLab) rejectStateQuery(n *fleetMember, boot uint64, e *fleetEngine, sent clock.Instant, reply func(time.Duration, step.Event)) bool {
+func (l *noticeHarness) rejectStateQuery(n *fleetMember, boot uint64, e *fleetEngine, sent clock.Instant, reply func(time.Duration, step.Event)) bool {
 	said := l.requestReached(n, boot, e, l.f.now-fleetLatency)
 	l.sendNotice(n, boot, e, sent, said)
 	if said.Rest == 0 {
@@ -195,7 +195,7 @@
 
 // handleFinish takes in a final answer that is not an engine's. Where some engine could
 // have served the call, it is lost.
-func (l *noticeLab) handleFinish(a calls.Finish) {
+func (l *noticeHarness) handleFinish(a calls.Finish) {
 	c, ok := l.arrived[a.ID]
 	if !ok || !c.plain || a.Refusal.Code == code.NoConfiguration {
 		return // an instance that has just started serves nothing, whatever its engines do
@@ -212,7 +212,7 @@
 
 // maxRequestsInRest returns the most requests of one instance that reached an engine within a
 // rest that it had asked that instance for.
-func (l *noticeLab) maxRequestsInRest() int {
+func (l *noticeHarness) maxRequestsInRest() int {
 	most := 0
 	for _, reaches := range l.received {
 		for _, asked := range reaches {
@@ -230,7 +230,7 @@
 
 // startLeaving has an engine say that it startLeaving, in its answers alone, end after a while and
 // start again under its name.
-func (l *noticeLab) startLeaving(e *fleetEngine) {
+func (l *noticeHarness) startLeaving(e *fleetEngine) {
 	l.leaving[e] = true
 	l.f.at(6*time.Second, func() {
 		e.dead = true
@@ -239,32 +239,32 @@
 }
 
 // restartEngine has an engine that ended start again under its name.
-func (l *noticeLab) restartEngine(e *fleetEngine) {
+func (l *noticeHarness) restartEngine(e *fleetEngine) {
 	delete(l.leaving, e)
 	delete(l.served, e)
 	l.f.restartEngine(e)
 }
 
 // shedLoad has an engine turn everything away for a span and ask for rest.
-func (l *noticeLab) shedLoad(e *fleetEngine, span, rest time.Duration) {
+func (l *noticeHarness) shedLoad(e *fleetEngine, span, rest time.Duration) {
 	l.rests[e] = rest
 	l.f.at(span, func() { delete(l.rests, e) })
 }
 
 // engine returns an engine of the fleet.
-func (l *noticeLab) engine(i int) *fleetEngine { return l.f.engines[fmt.Sprintf("e%d", i)] }
+func (l *noticeHarness) engine(i int) *fleetEngine { return l.f.engines[fmt.Sprintf("e%d", i)] }
 
 // A noticeStorm is what goes wrong beside engines that say something of themselves.
 type noticeStorm struct {
 	name    string
 	members int
-	do      func(l *noticeLab)
+	do      func(l *noticeHarness)
 }
 
 var noticeStorms = []noticeStorm{
-	{"calm", 5, func(*noticeLab) {}},
-	{"the store is down", 5, func(l *noticeLab) { l.f.store.down = true }},
-	{"the list says that they are ready", 5, func(l *noticeLab) {
+	{"calm", 5, func(*noticeHarness) {}},
+	{"the store is down", 5, func(l *noticeHarness) { l.f.store.down = true }},
+	{"the list says that they are ready", 5, func(l *noticeHarness) {
 		l.f.periodically(200*time.Millisecond, 0, func() func() {
 			for e := range l.leaving {
 				if !e.dead {
@@ -274,7 +274,7 @@
 			return func() {}
 		})
 	}},
-	{"entries go and come back", 5, func(l *noticeLab) {
+	{"entries go and come back", 5, func(l *noticeHarness) {
 		l.f.periodically(1500*time.Millisecond, 700*time.Millisecond, func() func() {
 			var gone []*fleetEngine
 			for e := range l.leaving {
@@ -290,16 +290,16 @@
 			}
 		})
 	}},
-	{"instances are killed", 5, func(l *noticeLab) {
+	{"instances are killed", 5, func(l *noticeHarness) {
 		l.f.periodically(3*time.Second, time.Second, func() func() {
 			n := l.f.randomMember()
 			n.dead = true
 			return func() { l.f.start(n.id.Name) }
 		})
 	}},
-	{"orders are carried out late", 5, func(l *noticeLab) { l.f.lateShare = 0.4 }},
-	{"answers of the store are lost", 5, func(l *noticeLab) { l.f.lostShare = 0.4 }},
-	{"a large fleet", 2 * watchers.FullMeshLimit, func(*noticeLab) {}},
+	{"orders are carried out late", 5, func(l *noticeHarness) { l.f.lateShare = 0.4 }},
+	{"answers of the store are lost", 5, func(l *noticeHarness) { l.f.lostShare = 0.4 }},
+	{"a large fleet", 2 * watchers.FullMeshLimit, func(*noticeHarness) {}},
 }
 
 // TestWhatEnginesSayOfThemselvesIsHeard: whatever fails beside it, nothing is sent to an
@@ -379,10 +379,10 @@
 func TestWhereAllEnginesLeaveOrRest(t *testing.T) {
 	for _, tt := range []struct {
 		name string
-		do   func(l *noticeLab, e *fleetEngine)
+		do   func(l *noticeHarness, e *fleetEngine)
 	}{
-		{"all leave", func(l *noticeLab, e *fleetEngine) { l.leaving[e] = true }},
-		{"all rest", func(l *noticeLab, e *fleetEngine) { l.shedLoad(e, 4*time.Second, 2*time.Second) }},
+		{"all leave", func(l *noticeHarness, e *fleetEngine) { l.leaving[e] = true }},
+		{"all rest", func(l *noticeHarness, e *fleetEngine) { l.shedLoad(e, 4*time.Second, 2*time.Second) }},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
