--- a/core/instance/gone_test.go
+++ b/core/instance/gone_test.go
@@ -23,17 +23,17 @@
 
 // newOwnerHarness returns one instance that owns its two engines, of which each holds three
 // models, and does nothing that the test does not do.
-func newOwnerHarness(t *testing.T) *soloLab {
+func newOwnerHarness(t *testing.T) *soloHarness {
 	t.Helper()
 	f := newFleetOf(1, 1, 2, option.Disabled{}, false)
 	f.expireLeases()
 	f.run(8 * time.Second)
 	n := f.members["i0"]
-	return &soloLab{m: n.m, now: f.clock(n), version: 1000}
+	return &soloHarness{m: n.m, now: f.clock(n), version: 1000}
 }
 
 // arrive has the call arrive.
-func (l *soloLab) arrive(model, adapter string) []step.Action {
+func (l *soloHarness) arrive(model, adapter string) []step.Action {
 	return l.m.Step(l.now, calls.Arrived{Call: calls.Request{
 		ID: abandonedCall, Path: "/x", Replayable: true, PromptTokens: 100,
 		Forward: &calls.ForwardRequest{Name: "call", Host: "h", Model: model, Adapter: adapter, Fingerprint: 7},
@@ -63,59 +63,59 @@
 // TestACallerThatLeftCostsNothing: wherever its call is when a caller leaves, nothing is
 // sent for it after that, whatever answers still come, and no replica counts it as there.
 func TestACallerThatLeftCostsNothing(t *testing.T) {
-	fails := func(l *soloLab, number int, b calls.AttemptFailed) {
+	fails := func(l *soloHarness, number int, b calls.AttemptFailed) {
 		b.ID, b.Attempt = abandonedCall, number
 		l.m.Step(l.now, b)
 	}
 	cases := []struct {
 		name  string
 		phase calls.Phase
-		do    func(l *soloLab)
-		late  func(l *soloLab) []step.Action // what still comes
+		do    func(l *soloHarness)
+		late  func(l *soloHarness) []step.Action // what still comes
 	}{
-		{"it runs", calls.Running, func(l *soloLab) { l.arrive("m0", "") }, func(l *soloLab) []step.Action {
+		{"it runs", calls.Running, func(l *soloHarness) { l.arrive("m0", "") }, func(l *soloHarness) []step.Action {
 			return l.m.Step(l.now, calls.AttemptFailed{ID: abandonedCall, Attempt: 1, Phase: attempt.Refused})
 		}},
-		{"it runs at its second replica", calls.Running, func(l *soloLab) {
+		{"it runs at its second replica", calls.Running, func(l *soloHarness) {
 			l.arrive("m0", "")
 			l.list(l.entry("1"))
 			fails(l, 1, calls.AttemptFailed{Phase: attempt.MaybeSent, Severed: true})
-		}, func(l *soloLab) []step.Action {
+		}, func(l *soloHarness) []step.Action {
 			return l.m.Step(l.now, calls.AttemptFailed{ID: abandonedCall, Attempt: 2, Phase: attempt.Refused})
 		}},
-		{"its stream goes on elsewhere", calls.Running, func(l *soloLab) {
+		{"its stream goes on elsewhere", calls.Running, func(l *soloHarness) {
 			l.arrive("m0", "")
 			l.list(l.entry("1"))
 			l.m.Step(l.now, calls.AnswerBegan{ID: abandonedCall})
 			fails(l, 1, calls.AttemptFailed{Phase: attempt.Answered, Severed: true, Delivered: 3})
-		}, func(l *soloLab) []step.Action {
+		}, func(l *soloHarness) []step.Action {
 			return l.m.Step(l.now, calls.AttemptFailed{ID: abandonedCall, Attempt: 2, Phase: attempt.Answered, Severed: true, Delivered: 5})
 		}},
-		{"it waits for a rest", calls.Waiting, func(l *soloLab) {
+		{"it waits for a rest", calls.Waiting, func(l *soloHarness) {
 			for _, r := range l.m.state.Pool.All() {
 				l.m.state.Pool.ObserveNotice(l.now, r.Name, l.now, pool.Notice{Rest: 300 * time.Millisecond})
 			}
 			l.arrive("m0", "")
 		}, nil},
-		{"it waits for the tries of a suspected request", calls.Waiting, func(l *soloLab) {
+		{"it waits for the tries of a suspected request", calls.Waiting, func(l *soloHarness) {
 			for seq := range uint64(crash.MaxCrashes) {
 				r := crash.Report{Observer: "j", Seq: seq, Replica: pool.Incarnation{Name: fmt.Sprint(seq)}, Requests: []crash.Fingerprint{7, 8}}
 				l.m.quarantine.HandlePeerReports(l.now, "j", []crash.Report{r}, nil)
 			}
 			l.arrive("m0", "")
 		}, nil},
-		{"it waits for an adapter", calls.AwaitingOrder, func(l *soloLab) { l.arrive("m0", "a1") }, func(l *soloLab) []step.Action {
+		{"it waits for an adapter", calls.AwaitingOrder, func(l *soloHarness) { l.arrive("m0", "a1") }, func(l *soloHarness) []step.Action {
 			e := l.m.orders.owned.Get("e0")
 			return l.m.Step(l.now, owned.OrderReply{Engine: "e0", Fence: e.Fence, Answer: 2})
 		}},
-		{"engines are asked how busy they are", calls.Probing, func(l *soloLab) {
+		{"engines are asked how busy they are", calls.Probing, func(l *soloHarness) {
 			l.m.state.Options.ProbeWait = 20 * time.Millisecond
 			for i := range 2 * watchers.FullMeshLimit {
 				l.m.state.Members.Upsert(fmt.Sprintf("peer%d", i), "z0", fmt.Sprintf("peer%d", i))
 			}
 			l.list(l.entry("1"))
 			l.arrive("m0", "")
-		}, func(l *soloLab) []step.Action {
+		}, func(l *soloHarness) []step.Action {
 			actions := append([]step.Action(nil), l.m.Step(l.now, forwarding.ProbeReply{Call: abandonedCall, Engine: "e0", Sent: l.now})...)
 			return append(actions, l.m.Step(l.now, forwarding.ProbeReply{Call: abandonedCall, Engine: "e", Sent: l.now})...)
 		}},
--- a/core/instance/lives_test.go
+++ b/core/instance/lives_test.go
@@ -128,24 +128,24 @@
 	}
 }
 
-// A soloLab is one instance before a plain replica that a test speaks for.
-type soloLab struct {
+// A soloHarness is one instance before a plain replica that a test speaks for.
+type soloHarness struct {
 	m       *Machine
 	now     clock.Instant
 	version era.Revision
 }
 
-func newSoloHarness(t *testing.T) *soloLab {
+func newSoloHarness(t *testing.T) *soloHarness {
 	t.Helper()
 	f := newFleetOf(1, 1, 0, option.Disabled{}, false)
 	f.expireLeases()
 	f.run(5 * time.Second)
 	n := f.members["i0"]
-	return &soloLab{m: n.m, now: f.clock(n), version: 1000}
+	return &soloHarness{m: n.m, now: f.clock(n), version: 1000}
 }
 
 // step hands the machine an event and returns the actions of a kind that follow.
-func stepFor[T step.Action](l *soloLab, ev step.Event) []T {
+func stepFor[T step.Action](l *soloHarness, ev step.Event) []T {
 	var out []T
 	for _, a := range l.m.Step(l.now, ev) {
 		if x, ok := a.(T); ok {
@@ -156,7 +156,7 @@
 }
 
 // entry returns an entry of an engine that holds model m0, in one of its lives.
-func (l *soloLab) entry(born string) gossip.Listed {
+func (l *soloHarness) entry(born string) gossip.Listed {
 	l.version++
 	return gossip.Listed{
 		Name: "e", Kind: gossip.Upstream, Zone: "z0", Version: l.version,
@@ -166,12 +166,12 @@
 	}
 }
 
-func (l *soloLab) list(entries ...gossip.Listed) {
+func (l *soloHarness) list(entries ...gossip.Listed) {
 	l.m.Step(l.now, listing.Reply{Entries: entries, Version: l.version})
 }
 
 // call has a call arrive, and returns where it is sent.
-func (l *soloLab) call(id calls.ID) []calls.Dispatch {
+func (l *soloHarness) call(id calls.ID) []calls.Dispatch {
 	return stepFor[calls.Dispatch](l, calls.Arrived{Call: calls.Request{
 		ID: id, Path: "/x", Replayable: true, PromptTokens: 100, Forward: &calls.ForwardRequest{Name: "call", Host: "h", Model: "m0"},
 	}})
@@ -182,43 +182,43 @@
 func TestAFormerLifeDoesNotComeBack(t *testing.T) {
 	cases := []struct {
 		name string
-		late func(l *soloLab)
+		late func(l *soloHarness)
 	}{
-		{"an entry that was written late", func(l *soloLab) { l.list(l.entry("1")) }},
-		{"an entry that a peer heard before", func(l *soloLab) {
+		{"an entry that was written late", func(l *soloHarness) { l.list(l.entry("1")) }},
+		{"an entry that a peer heard before", func(l *soloHarness) {
 			old := l.entry("1")
 			old.Version = 999
 			l.m.Step(l.now, exchange.RequestReceived{Token: 1, Message: gossip.Message{From: "peer", Address: "peer", Boot: 1, Records: gossip.Records{Listed: []gossip.Listed{old}}}})
 		}},
-		{"an entry of it that says that it leaves", func(l *soloLab) {
+		{"an entry of it that says that it leaves", func(l *soloHarness) {
 			old := l.entry("1")
 			old.Announced.Leaving = true
 			l.list(old)
 		}},
-		{"a report of it", func(l *soloLab) {
+		{"a report of it", func(l *soloHarness) {
 			old := l.entry("1")
 			l.m.Step(l.now, listing.SelfReport{Replica: "e", Sent: l.now, Announcement: *old.Announced})
 		}},
-		{"an answer of it that says that it leaves", func(l *soloLab) {
+		{"an answer of it that says that it leaves", func(l *soloHarness) {
 			l.m.Step(l.now, notice.Received{Replica: "e", Sent: l.now.Add(-5 * time.Millisecond), Notice: pool.Notice{Leaving: true}})
 		}},
-		{"what it said of its load", func(l *soloLab) {
+		{"what it said of its load", func(l *soloHarness) {
 			l.m.Step(l.now, forwarding.ProbeReply{Call: 9, Engine: "e", Sent: l.now.Add(-5 * time.Millisecond), Queued: 500})
 		}},
-		{"what its owner said that it holds", func(l *soloLab) {
+		{"what its owner said that it holds", func(l *soloHarness) {
 			res := gossip.Residency{Engine: "e", Residency: pool.Residency{Boot: 7, Change: 3, Born: "1", Items: []pool.Item{{Name: "m5", Phase: pool.Ready}}}}
 			l.m.Step(l.now, exchange.RequestReceived{Token: 1, Message: gossip.Message{From: "peer", Address: "peer", Boot: 1, Records: gossip.Records{Residencies: []gossip.Residency{res}}}})
 		}},
-		{"a call found another replica at its address", func(l *soloLab) {
+		{"a call found another replica at its address", func(l *soloHarness) {
 			l.m.Step(l.now, calls.AttemptFailed{ID: 1, Attempt: 1, Phase: attempt.Refused, Misdirected: true, Incarnation: "another"})
 		}},
-		{"a call found nobody", func(l *soloLab) {
+		{"a call found nobody", func(l *soloHarness) {
 			l.m.Step(l.now, calls.AttemptFailed{ID: 1, Attempt: 1, Phase: attempt.NotSent, Unreachable: true})
 		}},
-		{"a call found that its model is not there", func(l *soloLab) {
+		{"a call found that its model is not there", func(l *soloHarness) {
 			l.m.Step(l.now, calls.AttemptFailed{ID: 1, Attempt: 1, Phase: attempt.Refused, Misdirected: true, Incarnation: "e"})
 		}},
-		{"a call broke off", func(l *soloLab) {
+		{"a call broke off", func(l *soloHarness) {
 			l.m.Step(l.now, calls.AttemptFailed{ID: 1, Attempt: 1, Phase: attempt.Answered, Severed: true})
 		}},
 	}
