--- a/core/instance/adapter_test.go
+++ b/core/instance/adapter_test.go
@@ -68,9 +68,9 @@
 	is.Equal(dispatchedTo(m.Step(now.Add(time.Second), Tick{})), "e1")
 }
 
-// TestWhatRefusesDrawsNoCalls: an engine that refuses an item is idle and
+// TestRefusingEngineGetsNoCalls: an engine that refuses an item is idle and
 // answers fastest, yet gets no more calls for it for a while.
-func TestWhatRefusesDrawsNoCalls(t *testing.T) {
+func TestRefusingEngineGetsNoCalls(t *testing.T) {
 	is := is.New(t)
 	now := clocktest.At(time.Hour)
 	m := adapterMachine(t, now)
