--- a/core/instance/ceiling_test.go
+++ b/core/instance/ceiling_test.go
@@ -7,10 +7,10 @@
 	"github.com/birchdrift/birchdrift/core/option"
 )
 
-// TestTheWeightStoresRateHoldsOverPlacers: engines that hold nothing are filled no faster
+// TestWeightStoreRateHoldsAcrossPlacers: engines that hold nothing are filled no faster
 // than the weight store allows over all of them, whatever becomes of the placer meanwhile:
 // the fleet counts each load where it begins (countLoad).
-func TestTheWeightStoresRateHoldsOverPlacers(t *testing.T) {
+func TestWeightStoreRateHoldsAcrossPlacers(t *testing.T) {
 	placers := func(every, span time.Duration, do func(f *fleet, n *fleetMember) (undo func())) func(f *fleet) {
 		return func(f *fleet) {
 			f.periodically(every, span, func() func() {
