--- a/core/instance/stepback_test.go
+++ b/core/instance/stepback_test.go
@@ -192,13 +192,13 @@
 	return took, wrong
 }
 
-// TestAllIsAsBeforeOnceTheStoreSteppedBack: some seconds after the store came back from an
+// TestFleetRecoversAfterStoreStepsBack: some seconds after the store came back from an
 // older copy, all members have their records there again, and each engine has one owner that
 // orders it.
 //
 // Seen: engines were ordered by nobody any more, for good, and what was written to the store
 // anew was passed over by all members.
-func TestAllIsAsBeforeOnceTheStoreSteppedBack(t *testing.T) {
+func TestFleetRecoversAfterStoreStepsBack(t *testing.T) {
 	// aim is the longest that engines wait for their orders anyhow when an owner is lost:
 	// its record's term and absence, then the wait for its orders.
 	o := option.Default()
