--- a/core/instance/lives_test.go
+++ b/core/instance/lives_test.go
@@ -177,9 +177,9 @@
 	}})
 }
 
-// TestAFormerLifeDoesNotComeBack: what is said late of a life that has ended, by the store,
+// TestFormerIncarnationIsIgnored: what is said late of a life that has ended, by the store,
 // by a peer, or in the outcome of an attempt there, changes nothing of the life that is there.
-func TestAFormerLifeDoesNotComeBack(t *testing.T) {
+func TestFormerIncarnationIsIgnored(t *testing.T) {
 	cases := []struct {
 		name string
 		late func(l *soloHarness)
