--- a/core/instance/lives_test.go
+++ b/core/instance/lives_test.go
@@ -263,9 +263,9 @@
 	is.Equal(l.m.state.Pool.Get("e").Failures(), 0)
 }
 
-// TestALifeIsKnownFromItsOwnReport: what a replica says of itself when it is asked counts
+// TestIncarnationIsKnownFromSelfReport: what a replica says of itself when it is asked counts
 // before its entry comes, and that entry, or one of the life before, changes nothing then.
-func TestALifeIsKnownFromItsOwnReport(t *testing.T) {
+func TestIncarnationIsKnownFromSelfReport(t *testing.T) {
 	is := is.New(t)
 	l := newSoloHarness(t)
 	l.list(l.entry("1"))
