--- a/core/instance/lives_test.go
+++ b/core/instance/lives_test.go
@@ -242,10 +242,10 @@
 	}
 }
 
-// TestCallsOfAFormerLifeAreSettled: calls that were at a replica when it ended, without a
+// TestCallsOfFormerIncarnationAreSettled: calls that were at a replica when it ended, without a
 // sign on their connections, go on as after a crash once its next life is known: one that
 // may be repeated goes there, one that may not is told that it may have run.
-func TestCallsOfAFormerLifeAreSettled(t *testing.T) {
+func TestCallsOfFormerIncarnationAreSettled(t *testing.T) {
 	is := is.New(t)
 	l := newSoloHarness(t)
 	l.list(l.entry("1"))
