--- a/core/instance/exchange_test.go
+++ b/core/instance/exchange_test.go
@@ -177,10 +177,10 @@
 	is.Equal(wanted, 1)
 }
 
-// TestPeersAreNotToldWhatTheyHeardThemselves: of what the platform's store holds,
+// TestPeersAreNotSentRecordsTheyKnow: of what the platform's store holds,
 // a peer is sent what it has not heard at first hand; a new boot of it, which
 // may have heard nothing, is sent everything.
-func TestPeersAreNotToldWhatTheyHeardThemselves(t *testing.T) {
+func TestPeersAreNotSentRecordsTheyKnow(t *testing.T) {
 	is := is.New(t)
 	now := clocktest.At(time.Hour)
 	m := fleetMachine(now, "a", "b")
