--- a/core/instance/probe_test.go
+++ b/core/instance/probe_test.go
@@ -62,10 +62,10 @@
 	return names
 }
 
-// TestCallsGoWhereEnginesSayThatTheyAreIdle: in a large fleet a call that may go
+// TestCallsGoToTheIdlerProbedEngine: in a large fleet a call that may go
 // to several engines asks two of them, waits for both answers, and goes to the
 // one with less to do; one that does not answer in time holds nothing up.
-func TestCallsGoWhereEnginesSayThatTheyAreIdle(t *testing.T) {
+func TestCallsGoToTheIdlerProbedEngine(t *testing.T) {
 	cases := []struct {
 		name string
 		e1   forwarding.ProbeReply
