--- a/core/instance/probe_test.go
+++ b/core/instance/probe_test.go
@@ -97,9 +97,9 @@
 	}
 }
 
-// TestNothingIsAskedWithoutAChoice: where there is one engine, or asking is
+// TestNoProbeWithoutAChoice: where there is one engine, or asking is
 // switched off, a call is sent at once.
-func TestNothingIsAskedWithoutAChoice(t *testing.T) {
+func TestNoProbeWithoutAChoice(t *testing.T) {
 	is := is.New(t)
 	now := clocktest.At(time.Hour)
 	one := probeMachine(t, now, 20*time.Millisecond, "e1").Step(now, probeCall(1))
