--- a/core/instance/probe_test.go
+++ b/core/instance/probe_test.go
@@ -110,9 +110,9 @@
 	is.True(dispatchedTo(off) != "")
 }
 
-// TestCallerThatLeavesWhileEnginesAreAsked: their answers find no call, and
+// TestCallerGoneDuringProbe: their answers find no call, and
 // nothing is sent.
-func TestCallerThatLeavesWhileEnginesAreAsked(t *testing.T) {
+func TestCallerGoneDuringProbe(t *testing.T) {
 	is := is.New(t)
 	now := clocktest.At(time.Hour)
 	m := probeMachine(t, now, 20*time.Millisecond, "e1", "e2")
