--- a/core/instance/probe_test.go
+++ b/core/instance/probe_test.go
@@ -123,9 +123,9 @@
 	is.Equal(m.calls.Len(), 0)
 }
 
-// TestCallsThatDoNotAskSpread: where asking does not pay, calls of a large fleet do not all
+// TestUnprobedCallsSpread: where asking does not pay, calls of a large fleet do not all
 // go to the first of several engines that seem alike, and a few go on asking.
-func TestCallsThatDoNotAskSpread(t *testing.T) {
+func TestUnprobedCallsSpread(t *testing.T) {
 	is := is.New(t)
 	now := clocktest.At(time.Hour)
 	m := probeMachine(t, now, 20*time.Millisecond, "e1", "e2", "e3", "e4")
