--- a/core/instance/gone_test.go
+++ b/core/instance/gone_test.go
@@ -60,9 +60,9 @@
 	return out
 }
 
-// TestACallerThatLeftCostsNothing: wherever its call is when a caller leaves, nothing is
+// TestNoWorkAfterCallerGone: wherever its call is when a caller leaves, nothing is
 // sent for it after that, whatever answers still come, and no replica counts it as there.
-func TestACallerThatLeftCostsNothing(t *testing.T) {
+func TestNoWorkAfterCallerGone(t *testing.T) {
 	fails := func(l *soloHarness, number int, b calls.AttemptFailed) {
 		b.ID, b.Attempt = abandonedCall, number
 		l.m.Step(l.now, b)
