--- a/core/instance/crash_test.go
+++ b/core/instance/crash_test.go
@@ -452,9 +452,9 @@
 	}},
 }
 
-// TestOtherEndsRefuseNobody: engines that end by themselves, leave, or whose
+// TestUnrelatedFailuresRefuseNoCalls: engines that end by themselves, leave, or whose
 // connections break while they live are no reason to refuse the calls that ran there.
-func TestOtherEndsRefuseNobody(t *testing.T) {
+func TestUnrelatedFailuresRefuseNoCalls(t *testing.T) {
 	for _, c := range unrelatedFailures {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
