--- a/core/instance/crash_test.go
+++ b/core/instance/crash_test.go
@@ -519,9 +519,9 @@
 	return l.f.members[o.Owner]
 }
 
-// TestAllInstancesKnowInTime: once one instance does not run a request any more, none does
+// TestQuarantineReachesAllInstances: once one instance does not run a request any more, none does
 // a moment later, in a small fleet and a large one, also without the store.
-func TestAllInstancesKnowInTime(t *testing.T) {
+func TestQuarantineReachesAllInstances(t *testing.T) {
 	const limit = time.Second
 	cases := []struct {
 		name    string
