--- a/core/instance/limit_test.go
+++ b/core/instance/limit_test.go
@@ -595,9 +595,9 @@
 	}
 }
 
-// TestALimitARestAndLeaving: an engine that names a limit asks for rest besides, and then
+// TestLimitRestAndLeavingTogether: an engine that names a limit asks for rest besides, and then
 // leaves: all three hold, also at an instance that hears of it from its peers.
-func TestALimitARestAndLeaving(t *testing.T) {
+func TestLimitRestAndLeavingTogether(t *testing.T) {
 	is := is.New(t)
 	for seed := range *limitSeeds {
 		l := newLimitFleet(uint64(seed+1), 8, 2*fleetEngines)
