--- a/core/instance/promises_test.go
+++ b/core/instance/promises_test.go
@@ -198,9 +198,9 @@
 	}
 }
 
-// TestStormsFindWhatIsSwitchedOff shows that the storms can fail: each
+// TestStormsDetectDisabledMechanisms shows that the storms can fail: each
 // mechanism, switched off, is found out by the promise that rests on it.
-func TestStormsFindWhatIsSwitchedOff(t *testing.T) {
+func TestStormsDetectDisabledMechanisms(t *testing.T) {
 	cases := []struct {
 		name   string
 		checks bool
