--- a/core/instance/announced_world_test.go
+++ b/core/instance/announced_world_test.go
@@ -1422,9 +1422,9 @@
 	})
 }
 
-// TestFleetStormsFindWhatIsSwitchedOff: each mechanism that keeps orders safe,
+// TestFleetStormsDetectDisabledMechanisms: each mechanism that keeps orders safe,
 // switched off, is found out by some storm.
-func TestFleetStormsFindWhatIsSwitchedOff(t *testing.T) {
+func TestFleetStormsDetectDisabledMechanisms(t *testing.T) {
 	cases := []struct {
 		name    string
 		disable option.Disabled
