--- a/core/instance/repeats_test.go
+++ b/core/instance/repeats_test.go
@@ -50,10 +50,10 @@
 	return most
 }
 
-// TestRepeatsKeepTheFleetsBudget: where engine after engine turns calls away, and whoever
+// TestRetriesKeepTheFleetBudget: where engine after engine turns calls away, and whoever
 // gives out repeats dies, stands still or is cut off, the fleet makes no more repeats than
 // its budget.
-func TestRepeatsKeepTheFleetsBudget(t *testing.T) {
+func TestRetriesKeepTheFleetBudget(t *testing.T) {
 	storms := []struct {
 		name    string
 		members int
