--- a/core/instance/notice_test.go
+++ b/core/instance/notice_test.go
@@ -302,11 +302,11 @@
 	{"a large fleet", 2 * watchers.FullMeshLimit, func(*noticeHarness) {}},
 }
 
-// TestWhatEnginesSayOfThemselvesIsHeard: whatever fails beside it, nothing is sent to an
+// TestEngineNoticesAreObeyed: whatever fails beside it, nothing is sent to an
 // engine later than two seconds after it told the instance that it leaves, and no more
 // than two requests in a rest that it asked for; no call is refused that another engine
 // could serve.
-func TestWhatEnginesSayOfThemselvesIsHeard(t *testing.T) {
+func TestEngineNoticesAreObeyed(t *testing.T) {
 	for _, s := range noticeStorms {
 		t.Run(s.name, func(t *testing.T) {
 			t.Parallel()
