--- a/core/instance/adapter_test.go
+++ b/core/instance/adapter_test.go
@@ -17,7 +17,7 @@
 	"github.com/birchdrift/birchdrift/core/step"
 )
 
-// adapterMachine knows two engines; the residencies are given by each test.
+// adapterMachine returns a machine with two configured engines; each test sets their residencies.
 func adapterMachine(t *testing.T, now clock.Instant) *Machine {
 	t.Helper()
 	doc := config.Document{
@@ -45,7 +45,7 @@
 	return pool.Residency{Boot: 1, Change: change, Items: []pool.Item{{Name: "a", Phase: pool.Ready}, {Name: "m", Phase: model}}}
 }
 
-// dispatchedTo returns the replica of the Dispatch among the actions, "" if none.
+// dispatchedTo returns the replica of the first Dispatch in actions, or "" if there is none.
 func dispatchedTo(actions []step.Action) string {
 	for _, a := range actions {
 		if d, ok := a.(calls.Dispatch); ok {
@@ -55,9 +55,9 @@
 	return ""
 }
 
-// TestAdapterWaitsForItsModel: an adapter is loaded long before its model, and
-// an engine that is asked in between refuses. Calls wait; they once went there
-// six times each and were then refused.
+// TestAdapterWaitsForItsModel checks that a call waits while its adapter is loaded but the model
+// of the adapter is not. Adapters load much faster than models, and an engine refuses calls in
+// between. Calls used to be sent to such an engine six times and were then refused.
 func TestAdapterWaitsForItsModel(t *testing.T) {
 	is := is.New(t)
 	now := clocktest.At(time.Hour)
@@ -68,8 +68,8 @@
 	is.Equal(dispatchedTo(m.Step(now.Add(time.Second), Tick{})), "e1")
 }
 
-// TestRefusingEngineGetsNoCalls: an engine that refuses an item is idle and
-// answers fastest, yet gets no more calls for it for a while.
+// TestRefusingEngineGetsNoCalls checks that an engine that refuses an item receives no more calls
+// for it for a while, although it is idle and responds fastest.
 func TestRefusingEngineGetsNoCalls(t *testing.T) {
 	is := is.New(t)
 	now := clocktest.At(time.Hour)
--- a/core/instance/announced_world_test.go
+++ b/core/instance/announced_world_test.go
@@ -41,9 +41,9 @@
 	"github.com/birchdrift/birchdrift/core/watchers"
 )
 
-// A fleet drives several machines under one clock against a store and engines
-// that announce themselves, with faults by seed, and checks after every order
-// what must hold of orders. It knows nothing of how machines decide.
+// A fleet simulates several machines on one simulated clock, with a store and with engines that
+// announce themselves, and injects faults at random by seed. After every order it checks the
+// guarantees on orders. It does not depend on how machines decide.
 type fleet struct {
 	rng             *rand.Rand
 	now             time.Duration
@@ -52,72 +52,74 @@
 	opt             option.Options
 	doc             config.Document
 	store           fleetStore
-	storeCopies     []storeCopy     // of the store, the newest last
-	storeWriteTimes []time.Duration // when the store was written to
-	storeCallTimes  []time.Duration // when the store was called; once for each page
+	storeCopies     []storeCopy     // copies of the store, newest last
+	storeWriteTimes []time.Duration // times of the writes to the store
+	storeCallTimes  []time.Duration // times of the calls to the store, one for each page
 	engines         map[string]*fleetEngine
 	members         map[string]*fleetMember
 	names           []string
 	violations      []string
-	loadTimes       []time.Duration // when loads from the weight store began
+	loadTimes       []time.Duration // start times of the loads from the weight store
 	served          int
 	refused         int
 	orders          int
-	maxClaims       int // most ownerships in one write
+	maxClaims       int // largest number of ownerships in one write
 	watches         int
-	// engineCount is how many engines there are.
+	// engineCount is the number of engines.
 	engineCount int
-	lateShare   float64 // share of orders without an answer, carried out seconds later
-	// firstTokenDelay is how long an engine takes to the first event of a call.
+	lateShare   float64 // share of orders that get no reply and are executed seconds later
+	// firstTokenDelay is the time until an engine sends the first event of a call.
 	firstTokenDelay time.Duration
-	lostShare       float64 // share of writes of the store whose answers are lost
-	// crashes is what runs at engines that may end; nil: calls are served at once.
+	lostShare       float64 // share of writes to the store whose responses are lost
+	// crashes, if not nil, runs the calls at engines that may crash. Otherwise calls are served
+	// immediately.
 	crashes *crashHarness
-	// notices is what engines say of themselves in their answers; nil: nothing.
+	// notices, if not nil, provides the notices that engines add to their responses.
 	notices *noticeHarness
-	// limits is which engines name a limit, and what is sent to them; nil: none.
+	// limits, if not nil, provides the rate limits that engines announce, and records the requests
+	// that they receive.
 	limits *limitHarness
-	// adapterShare is the share of calls that ask for an adapter.
+	// adapterShare is the share of calls that request an adapter.
 	adapterShare float64
-	// promptTokens is the length of prompts.
+	// promptTokens is the length of prompts, in tokens.
 	promptTokens int
-	// clockStopsInSleep has members read a clockStopsInSleep clock that stands still while they sleep.
+	// clockStopsInSleep makes the monotonic clocks of members stop while they are suspended.
 	clockStopsInSleep bool
-	// cutZones are zones without a way to other zones and to the store.
+	// cutZones holds the zones that can reach neither other zones nor the store.
 	cutZones  map[string]bool
 	logCounts map[logevent.Number]int
-	// leaves is which engines leave, and what reaches them after that; nil: none.
+	// leaves, if not nil, makes engines leave and records the calls that reach them afterwards.
 	leaves *leaveHarness
 }
 
-// A fleetMember is one machine with what is wrong with it.
+// A fleetMember is one machine and the faults injected into it.
 type fleetMember struct {
 	m               *Machine
 	id              member.Identity
 	boot            uint64
-	monotonicLag    time.Duration // by how much its steady clock is behind
-	wallOffset      time.Duration // by how much its wall clock was set forward
+	monotonicLag    time.Duration // how far its monotonic clock is behind
+	wallOffset      time.Duration // how far its wall clock was set forward
 	dead            bool
 	frozen          bool
-	thawedAt        time.Duration // when it was last
+	thawedAt        time.Duration // when the last freeze ended
 	deferred        []func()
 	noStore         bool
-	noUpdates       bool         // its watches hear nothing, nor do its exchanges
-	watchPosition   era.Revision // the watch's position; 0 reads the whole
+	noUpdates       bool         // its watches receive nothing and its exchanges fail
+	watchPosition   era.Revision // revision from which its watch continues; 0: a full read
 	pendingWatches  []*fleetWatch
-	knownEra        era.Era // the latest in which the store answered it
+	knownEra        era.Era // the era of the last store response that it received
 	orderReplies    map[uint64]func(owned.SendReply)
 	exchangeReplies map[uint64]func(gossip.Message)
 	permitReplies   map[uint64]func(permits.Decision)
 	token           uint64
 }
 
-// A fleetStore is the platform's store.
+// A fleetStore simulates the platform's store.
 type fleetStore struct {
 	down               bool
-	refusesConnections bool          // it is down, and its machine says so to whoever connects
-	muteUntil          time.Duration // until when watches hear of no change
-	era                era.Era       // 0: it tells of none
+	refusesConnections bool          // it is down and refuses connections, rather than not responding
+	muteUntil          time.Duration // watches report no change before this time
+	era                era.Era       // 0: the store reports no era
 	revision           uint64
 	values             map[string]*fleetValue
 	log                []fleetChange
@@ -133,7 +135,7 @@
 
 type fleetChange struct {
 	key      string
-	value    *fleetValue // nil: gone
+	value    *fleetValue // nil: deleted
 	revision uint64
 }
 
@@ -142,28 +144,28 @@
 	term    time.Duration
 }
 
-// A fleetEngine is one engine that announces itself.
+// A fleetEngine simulates one engine that announces itself.
 type fleetEngine struct {
 	name           string
-	address        string // "": its name
+	address        string // "": same as name
 	zone           string
 	sequence       uint64
 	models         map[string]bool
 	adapters       map[string]bool // MODEL/ADAPTER
-	loadedAdapters map[string]bool // adapters that were loaded in this life
+	loadedAdapters map[string]bool // adapters loaded since the last start
 	busy           bool
-	pending        string // the model that comes
+	pending        string // the model that is being loaded
 	onDisk         map[string]bool
 	orderedBy      string
 	orderedAt      time.Duration
 	fence          era.Revision
 	loadedAt       map[string]time.Duration
-	starts         int // lives under this name
+	starts         int // restarts under this name; identifies the incarnation
 	gone           bool
-	dead           bool // its process ended without a word
-	ordersAfterEnd int  // orders that came to its address since then
-	leaving        bool // it says so
-	leavesSilently bool // it leaves and does not say so: its entry went
+	dead           bool // its process ended without notice
+	ordersAfterEnd int  // orders that reached its address since its process ended
+	leaving        bool // it announces that it leaves
+	leavesSilently bool // it leaves without announcing it: its entry is deleted
 }
 
 const (
@@ -195,18 +197,18 @@
 	return newFleetWith(seed, members, option.Disabled{}, false)
 }
 
-// newFleetWith returns a fleet with mechanisms switched off; with empty, its
-// engines hold nothing at the start.
+// newFleetWith returns a fleet with the mechanisms in disable disabled. If empty is set, its
+// engines hold no models at the start.
 func newFleetWith(seed uint64, members int, disable option.Disabled, empty bool) *fleet {
 	return newFleetOf(seed, members, fleetEngines, disable, empty)
 }
 
-// newFleetOf returns a fleet with so many engines.
+// newFleetOf returns a fleet with the given number of engines.
 func newFleetOf(seed uint64, members, engines int, disable option.Disabled, empty bool) *fleet {
 	return newFleetWithBounds(seed, members, engines, disable, empty, bounds.Default())
 }
 
-// newFleetWithBounds returns a fleet whose users rely on bounds.
+// newFleetWithBounds returns a fleet whose instances must keep the bounds b.
 func newFleetWithBounds(seed uint64, members, engines int, disable option.Disabled, empty bool, b bounds.Bounds) *fleet {
 	f := &fleet{
 		engineCount:     engines,
@@ -247,7 +249,7 @@
 	return f
 }
 
-// addMembers starts so many members.
+// addMembers creates and starts the given number of members.
 func (f *fleet) addMembers(members int) {
 	for i := range members {
 		name := fmt.Sprintf("i%d", i)
@@ -262,7 +264,7 @@
 	heap.Push(&f.queue, scheduled{at: f.now + d, eventSeq: f.eventSeq, do: do})
 }
 
-// run drives the fleet for a span.
+// run processes the events of the next span and advances the clock by span.
 func (f *fleet) run(span time.Duration) {
 	end := f.now + span
 	for f.queue.Len() > 0 && f.queue[0].at <= end {
@@ -277,7 +279,7 @@
 	f.violations = append(f.violations, fmt.Sprintf("%v: ", f.now)+fmt.Sprintf(format, args...))
 }
 
-// start begins a new process on a member's machine.
+// start starts a new process of a member.
 func (f *fleet) start(name string) {
 	n := f.members[name]
 	n.boot++
@@ -303,7 +305,7 @@
 	f.at(max(n.m.NextWake(), 4*time.Millisecond), func() { f.tick(n, boot) })
 }
 
-// step hands an event to a machine, or holds it while the machine is frozen.
+// step delivers an event to a machine, or defers it while the machine is frozen.
 func (f *fleet) step(n *fleetMember, boot uint64, ev step.Event) {
 	switch {
 	case n.dead || n.boot != boot:
@@ -317,14 +319,13 @@
 	}
 }
 
-// clock returns what a member's clocks read.
+// clock returns the current reading of a member's clocks.
 func (f *fleet) clock(n *fleetMember) clock.Instant {
 	at := clocktest.At(time.Hour + f.now)
 	return clock.Instant{Mono: at.Mono - n.monotonicLag, Wall: at.Wall.Add(n.wallOffset)}
 }
 
-// sleep has a member's machine sleep for a while, its wall clock set back meanwhile by so
-// much.
+// sleep suspends a member's machine for span, and sets its wall clock back by back meanwhile.
 func (f *fleet) sleep(n *fleetMember, span, back time.Duration) {
 	n.frozen = true
 	f.at(span, func() {
@@ -346,7 +347,7 @@
 	}
 }
 
-// firstLease is where the store's leases begin, which are any numbers.
+// firstLease is the first lease ID of the store. It is large, because lease IDs may be any number.
 const firstLease = 1 << 62
 
 const fleetLatency = 2 * time.Millisecond
@@ -418,7 +419,7 @@
 				return
 			}
 			if e.dead {
-				reply(fleetLatency, owned.StateReply{Engine: act.Engine, Sent: sent, Err: errors.New("nothing listens")})
+				reply(fleetLatency, owned.StateReply{Engine: act.Engine, Sent: sent, Err: errors.New("connection refused")})
 				return
 			}
 			if f.limits != nil {
@@ -481,7 +482,7 @@
 	}
 }
 
-// probe has an engine asked how busy it is: what it knows of that is nothing.
+// probe simulates the probe of an engine's load. The engine reports no load.
 func (f *fleet) probe(n *fleetMember, boot uint64, a forwarding.ProbeEngine, reply func(time.Duration, step.Event)) {
 	e := f.engines[a.Engine]
 	sent := f.clock(n)
@@ -495,7 +496,7 @@
 	reply(2*fleetLatency, forwarding.ProbeReply{Call: a.Call, Engine: a.Engine, Sent: sent})
 }
 
-// serve has a call run, or be refused, at its engine.
+// serve runs a call at its engine, or has the engine refuse it.
 func (f *fleet) serve(d calls.Dispatch, reply func(time.Duration, step.Event)) {
 	e := f.engines[d.Replica]
 	if e == nil || e.gone || !e.models[d.Model] || d.Adapter != "" && !e.adapters[d.Model+"/"+d.Adapter] {
@@ -507,19 +508,19 @@
 	reply(400*time.Millisecond, calls.Completed{ID: d.ID})
 }
 
-// ofEra returns the era that the numbers of a call are of, for storeCall.
+// ofEra returns a pointer to e, the era of the revisions and leases in a call, for storeCall.
 func ofEra(e era.Era) *era.Era { return &e }
 
-// storeCall makes one call of the store. A write may take effect without an
-// answer, and seconds later. made is the era that the numbers of the call are of, nil if it has
-// none: a call of another era than the one known isn't sent, and one whose answer is of another
-// isn't answered.
+// storeCall makes one call to the store. A write may be executed without a response, up to 6 s
+// later. made is the era of the revisions and leases in the call, or nil if it contains none. A
+// call made in another era than the member knows is not sent; if its response comes from another
+// era, the call fails.
 func (f *fleet) storeCall(n *fleetMember, made *era.Era, do func() (ev step.Event, write bool), failed func(error) step.Event, reply func(time.Duration, step.Event)) {
 	errLost := errors.New("no answer")
 	former := func() bool { return made != nil && *made != n.knownEra }
 	if former() {
 		reply(fleetLatency, ownership.EraObserved{Era: n.knownEra})
-		reply(fleetLatency, failed(errors.New("a number of a former era")))
+		reply(fleetLatency, failed(errors.New("revision of a former era")))
 		return
 	}
 	if n.noStore || f.cutZones[n.id.Zone] {
@@ -544,14 +545,14 @@
 		n.knownEra = f.store.era
 		if former() {
 			reply(fleetLatency, ownership.EraObserved{Era: n.knownEra})
-			reply(fleetLatency, failed(errors.New("answered in a later era")))
+			reply(fleetLatency, failed(errors.New("response from a later era")))
 			return
 		}
 		reply(fleetLatency, ev)
 	})
 }
 
-// revisionOf returns a revisionOf that the store gives out now.
+// revisionOf returns raw as a revision of the store's current era.
 func (f *fleet) revisionOf(raw uint64) era.Revision { return f.store.era.Revision(raw) }
 
 func (f *fleet) setKey(key string, v *fleetValue) uint64 {
@@ -575,9 +576,9 @@
 	f.setKey("servers/"+e.name, &fleetValue{data: a})
 }
 
-// restartEngine has an engine that ended start again under its name. It has forgotten which
-// orders it took; its models are put back, as its operators would, so that the fleet does
-// not run out of them.
+// restartEngine starts an engine that ended again, under the same name. It has no record of the
+// orders it executed, and its adapters are lost. Its models are kept, as if its operators had
+// restored them, so that the fleet does not run out of models.
 func (f *fleet) restartEngine(e *fleetEngine) {
 	e.dead = false
 	e.busy = false
@@ -598,7 +599,7 @@
 	return ownership.EnrolReply{Sent: f.clock(n), Lease: era.Lease{Era: f.store.era, ID: lease}}
 }
 
-// leaseOf returns the lease on which the member's record hangs, 0 if it has none.
+// leaseOf returns the lease of the member's record, or 0 if it has none.
 func (f *fleet) leaseOf(n *fleetMember) uint64 {
 	if v := f.store.values["instances/"+n.id.Name]; v != nil {
 		return v.lease
@@ -608,8 +609,8 @@
 
 func sortedKeys[V any](of map[string]V) []string { return slices.Sorted(maps.Keys(of)) }
 
-// endLease ends a lease and what hangs on it. 0 is no lease: what hangs on none
-// stays.
+// endLease ends a lease and deletes the keys attached to it. Lease 0 means no lease; keys without
+// one are kept.
 func (f *fleet) endLease(lease uint64) {
 	if lease == 0 {
 		return
@@ -622,7 +623,7 @@
 	}
 }
 
-// expireLeases ends the leases whose time is over, while the store is up.
+// expireLeases ends expired leases every 100 ms, while the store is up.
 func (f *fleet) expireLeases() {
 	var over []uint64
 	for id, l := range f.store.leases {
@@ -650,8 +651,8 @@
 	return true
 }
 
-// writePlacer writes the placer's record under the condition of its revision, and
-// returns the new one, 0 if the condition did not hold.
+// writePlacer writes the placer's record if its revision is still p.Revision. It returns the new
+// revision, or 0 if the condition did not hold.
 func (f *fleet) writePlacer(p registry.Placer, lease uint64) era.Revision {
 	have := uint64(0)
 	if v := f.store.values["placer"]; v != nil {
@@ -663,7 +664,8 @@
 	return f.revisionOf(f.setKey("placer", &fleetValue{data: &p, lease: lease}))
 }
 
-// hasEraMark reports whether the mark of an era stands at a revision, or none is asked for.
+// hasEraMark reports whether the mark of an era has revision mark. A mark of 0 stands for no
+// condition.
 func (f *fleet) hasEraMark(in era.Era, mark era.Revision) bool {
 	if mark == 0 {
 		return true
@@ -672,7 +674,7 @@
 	return v != nil && v.revision == mark.Raw()
 }
 
-// writeEraMark writes an era's mark where there is none, and removes those of former eras.
+// writeEraMark writes the mark of an era unless it exists, and deletes the marks of former eras.
 func (f *fleet) writeEraMark(w ownership.Txn) era.Revision {
 	if f.store.values[w.Mark.Key()] != nil {
 		return 0
@@ -709,7 +711,7 @@
 			return r
 		}
 	}
-	// All of one write have the same revision.
+	// All keys of one write get the same revision.
 	f.store.revision++
 	for _, o := range a.Write.Claim {
 		own := o
@@ -721,27 +723,27 @@
 	return r
 }
 
-// A fleetWatch is a watch that waits at the store.
+// A fleetWatch is a watch that is pending at the store.
 type fleetWatch struct {
 	id    uint64
 	boot  uint64
-	whole bool          // it asks for everything
-	until time.Duration // when the store answers it even if nothing changed
-	limit time.Duration // when its member gives it up
-	hung  bool          // nothing comes on its connection any more
+	whole bool          // it requests a full read
+	until time.Duration // when the store responds even without a change
+	limit time.Duration // when the member times out
+	hung  bool          // its connection delivers nothing more
 	cut   bool          // its connection is reset
 }
 
-// fleetPage is how many items a page of the whole has.
+// fleetPage is the number of items in a page of a full read.
 const fleetPage = 500
 
-// watchLimit is how long beyond its wait a member waits for the answer to a watch.
+// watchLimit is the time beyond the wait of a watch after which the member times out.
 const watchLimit = 600 * time.Millisecond
 
-// readLimit is how long a member waits for the whole.
+// readLimit is the time after which a full read times out.
 const readLimit = 3 * time.Second
 
-// watch begins a watch, which answers when something changed or when the wait is over.
+// watch starts a watch, which is answered when something changed or its wait is over.
 func (f *fleet) watch(n *fleetMember, boot uint64, a watch.SendRequest) {
 	w := &fleetWatch{id: a.ID, boot: boot, whole: a.Wait == 0, until: f.now + a.Wait, limit: f.now + a.Wait + watchLimit}
 	if w.whole {
@@ -758,7 +760,7 @@
 	f.poll(n, w)
 }
 
-// poll looks if a watch has an answer.
+// poll answers or fails a watch if it is due, and otherwise checks it again 20 ms later.
 func (f *fleet) poll(n *fleetMember, w *fleetWatch) {
 	fails := func(at time.Duration, why string) {
 		n.pendingWatches = slices.DeleteFunc(n.pendingWatches, func(x *fleetWatch) bool { return x == w })
@@ -793,7 +795,8 @@
 	f.at(fleetLatency, func() { f.deliver(n, w, changes, at, whole) })
 }
 
-// changesFor returns what a member's watch has not brought yet.
+// changesFor returns the changes that a member's watch has not received yet, or all values for a
+// full read.
 func (f *fleet) changesFor(n *fleetMember, whole bool) (changes []fleetChange) {
 	if whole {
 		for _, key := range sortedKeys(f.store.values) {
@@ -868,7 +871,8 @@
 	return s
 }
 
-// sendOrder carries an order to its engine, perhaps without an answer and late.
+// sendOrder delivers an order to its engine. Depending on lateShare, the order gets no reply and
+// is executed late.
 func (f *fleet) sendOrder(n *fleetMember, a owned.SendOrder, reply func(time.Duration, step.Event)) {
 	f.orders++
 	out := func(answer orders.Answer) step.Event {
@@ -886,8 +890,8 @@
 	})
 }
 
-// checkOwnerChange checks that orders of two holders do not take turns too quickly,
-// and that fences only rise.
+// checkOwnerChange checks that the orders of two owners are at least the turn gap apart and that
+// fences only increase.
 func (f *fleet) checkOwnerChange(holder string, a owned.SendOrder) {
 	e := f.engines[a.Engine]
 	if e.orderedBy != "" && e.orderedBy != holder && f.now-e.orderedAt < f.opt.TurnGap {
@@ -901,7 +905,7 @@
 	e.fence = a.Fence
 }
 
-// applyOrder does what an order says, and checks that there is room for it.
+// applyOrder executes an order at its engine, and checks that the engine has room for the item.
 func (f *fleet) applyOrder(a owned.SendOrder) orders.Answer {
 	e := f.engines[a.Engine]
 	r := a.Request
@@ -943,12 +947,12 @@
 	e.sequence++
 	e.busy = true
 	if !r.Load {
-		// It waits for its runs.
+		// An unload waits for the calls that use the model.
 		f.unlessRestarted(e, time.Duration(100+f.rng.IntN(5000))*time.Millisecond, func() { f.finishUnload(e, model) })
 		return orders.AnswerAccepted
 	}
 	if len(e.models)+1 > 3 {
-		f.recordViolation("%s was ordered to load more than it holds", e.name)
+		f.recordViolation("%s was ordered to load more models than it can hold", e.name)
 	}
 	e.pending = model
 	took := 4 * time.Second
@@ -961,7 +965,7 @@
 	return orders.AnswerAccepted
 }
 
-// unlessRestarted has an engine do something after a span, if it has not started again by then.
+// unlessRestarted calls do after a delay, unless the engine has restarted by then.
 func (f *fleet) unlessRestarted(e *fleetEngine, after time.Duration, do func()) {
 	born := e.starts
 	f.at(after, func() {
@@ -993,7 +997,8 @@
 	f.announce(e)
 }
 
-// checkLoadRate checks the loads from the weight store that began within 5 s.
+// checkLoadRate records a load from the weight store, and checks the number of loads that started
+// within the last 5 s.
 func (f *fleet) checkLoadRate() {
 	const window = 5 * time.Second
 	f.loadTimes = append(f.loadTimes, f.now)
@@ -1004,7 +1009,7 @@
 		}
 	}
 	if most := fleetLoadRate*5*1.1 + 3; float64(n) > most {
-		f.recordViolation("%d loads from the store within %v", n, window)
+		f.recordViolation("%d loads from the weight store within %v", n, window)
 	}
 }
 
@@ -1025,7 +1030,7 @@
 	})
 }
 
-// requestPermit carries a request for a permit to a peer and its answer back.
+// requestPermit delivers a permit request to a peer and the reply back.
 func (f *fleet) requestPermit(n *fleetMember, a permits.SendRequest, reply func(time.Duration, step.Event)) {
 	p := f.members[a.Peer]
 	if p == nil || p.dead || p.frozen || p.noUpdates || n.noUpdates || f.partitioned(n.id.Zone, p.id.Zone) {
@@ -1063,17 +1068,19 @@
 	})
 }
 
-// partitioned reports whether there is no way between two zones.
+// partitioned reports whether two zones cannot reach each other.
 func (f *fleet) partitioned(a, b string) bool { return a != b && (f.cutZones[a] || f.cutZones[b]) }
 
-// startCallers has calls come, for models that demand moves over as time goes by.
+// startCallers starts callers that send calls at an interval; the most requested models change
+// every 7 s.
 func (f *fleet) startCallers(every time.Duration) {
 	f.startCallersFor(every, func() int {
 		return (int(f.now/(7*time.Second)) + f.rng.IntN(4)*f.rng.IntN(2)) % fleetModels
 	})
 }
 
-// startCallersFor has calls come at some member, again and again.
+// startCallersFor starts callers that send a call to a random member at an interval. model returns
+// the number of the model for each call.
 func (f *fleet) startCallersFor(every time.Duration, model func() int) {
 	f.at(every, func() {
 		f.startCallersFor(every, model)
@@ -1108,13 +1115,14 @@
 
 func (f *fleet) nextID() { f.eventSeq++ }
 
-// A fleetStorm is what goes wrong in one test of the fleet.
+// A fleetStorm is a fault scenario for a fleet.
 type fleetStorm struct {
 	name string
 	do   func(f *fleet)
 }
 
-// periodically has something done every so often, undone after a while.
+// periodically calls do at an interval and the undo function it returned after span, for example
+// to inject and end a fault.
 func (f *fleet) periodically(every, span time.Duration, do func() (undo func())) {
 	f.at(every, func() {
 		undo := do()
@@ -1125,7 +1133,7 @@
 
 func (f *fleet) randomMember() *fleetMember { return f.members[f.names[f.rng.IntN(len(f.names))]] }
 
-// lastOrderSender returns the member that gave the last order.
+// lastOrderSender returns the member that sent the last order, or a random one if none was sent.
 func (f *fleet) lastOrderSender() *fleetMember {
 	var last *fleetEngine
 	for _, name := range sortedKeys(f.engines) {
@@ -1141,8 +1149,8 @@
 
 var fleetStorms = []fleetStorm{
 	{"calm", func(*fleet) {}},
-	{"orders carried out late", func(f *fleet) { f.lateShare = 0.4 }},
-	{"answers of the store lost", func(f *fleet) { f.lostShare = 0.4 }},
+	{"orders executed late", func(f *fleet) { f.lateShare = 0.4 }},
+	{"responses of the store lost", func(f *fleet) { f.lostShare = 0.4 }},
 	{"members killed", func(f *fleet) {
 		f.periodically(6*time.Second, 2*time.Second, func() func() {
 			n := f.lastOrderSender()
@@ -1157,7 +1165,7 @@
 			return func() { f.thaw(n) }
 		})
 	}},
-	{"members cut from the store, their records revoked", func(f *fleet) {
+	{"members cut off from the store, their records revoked", func(f *fleet) {
 		f.periodically(12*time.Second, 9*time.Second, func() func() {
 			n := f.lastOrderSender()
 			n.noStore = true
@@ -1171,7 +1179,7 @@
 			return func() { f.store.down = false }
 		})
 	}},
-	{"all killed at once", func(f *fleet) {
+	{"all members killed at once", func(f *fleet) {
 		f.periodically(15*time.Second, time.Second, func() func() {
 			for _, name := range f.names {
 				f.members[name].dead = true
@@ -1183,7 +1191,7 @@
 			}
 		})
 	}},
-	{"killed while orders are late", func(f *fleet) {
+	{"members killed while orders are late", func(f *fleet) {
 		f.lateShare = 0.4
 		f.periodically(7*time.Second, 1500*time.Millisecond, func() func() {
 			n := f.lastOrderSender()
@@ -1191,7 +1199,7 @@
 			return func() { f.start(n.id.Name) }
 		})
 	}},
-	{"cut off while answers of the store are lost", func(f *fleet) {
+	{"members cut off while responses of the store are lost", func(f *fleet) {
 		f.lostShare = 0.3
 		f.periodically(12*time.Second, 7*time.Second, func() func() {
 			n := f.randomMember()
@@ -1200,19 +1208,19 @@
 			return func() { n.noStore = false }
 		})
 	}},
-	{"members sleep", func(f *fleet) {
+	{"members suspended", func(f *fleet) {
 		f.periodically(16*time.Second, time.Hour, func() func() {
 			f.sleep(f.lastOrderSender(), 14*time.Second, 0)
 			return func() {}
 		})
 	}},
-	{"members sleep, their clocks set back meanwhile", func(f *fleet) {
+	{"members suspended, their wall clocks set back meanwhile", func(f *fleet) {
 		f.periodically(5*time.Second, time.Hour, func() func() {
 			f.sleep(f.lastOrderSender(), 14*time.Second, 14*time.Second)
 			return func() {}
 		})
 	}},
-	{"clocks are set", func(f *fleet) {
+	{"wall clocks changed", func(f *fleet) {
 		f.periodically(5*time.Second, 3*time.Second, func() func() {
 			n := f.lastOrderSender()
 			by := time.Duration(f.rng.IntN(20)-10) * time.Second
@@ -1220,7 +1228,7 @@
 			return func() { n.wallOffset -= by }
 		})
 	}},
-	{"clocks are set, members sleep and the store is down", func(f *fleet) {
+	{"wall clocks changed, members suspended and the store down", func(f *fleet) {
 		f.periodically(11*time.Second, 5*time.Second, func() func() {
 			f.store.down = true
 			f.sleep(f.lastOrderSender(), 6*time.Second, 3*time.Second)
@@ -1238,9 +1246,9 @@
 	}},
 }
 
-// TestOrdersHoldUnderStorms: whatever fails, no engine is ordered by two members
-// within the turn gap or under a falling fence, none is ordered to hold more
-// than it can, and the weight store's rate is kept; and calls go on being served.
+// TestOrdersHoldUnderStorms checks, for every fault scenario, that no engine gets orders from two
+// members within the turn gap or under a falling fence, that no engine is ordered to hold more
+// than it can, that the rate limit of the weight store is kept, and that calls are still served.
 func TestOrdersHoldUnderStorms(t *testing.T) {
 	seeds := 4
 	if testing.Short() {
@@ -1267,8 +1275,8 @@
 	}
 }
 
-// TestEmptyEnginesAreFilledAtTheStoresRate: engines that come back with nothing
-// get their models again, no faster than the weight store allows.
+// TestEmptyEnginesAreFilledAtTheStoresRate checks that engines that return empty get their models
+// again, no faster than the weight store allows.
 func TestEmptyEnginesAreFilledAtTheStoresRate(t *testing.T) {
 	is := is.New(t)
 	f := newFleetWith(3, 5, option.Disabled{}, true)
@@ -1281,8 +1289,8 @@
 	is.True(f.served > f.refused)
 }
 
-// TestAStopBeforeAnyConfiguration: an instance that is stopped before it heard of a
-// configuration ends as any other; it once fell over what it would hand over as the placer.
+// TestAStopBeforeAnyConfiguration checks that an instance can stop before it has received a
+// configuration. It used to crash while handing over the duties of the placer.
 func TestAStopBeforeAnyConfiguration(t *testing.T) {
 	opt := option.Default()
 	opt.Environment = option.Platform
@@ -1291,8 +1299,9 @@
 	m.Step(clocktest.At(time.Hour+time.Millisecond), Stop{})
 }
 
-// TestStopsInSeriesKeepTheStoresRate: placers that are stopped one after the other hand
-// their loads over, so that the next one goes on at once and the rate is kept.
+// TestStopsInSeriesKeepTheStoresRate checks that placers that stop one after the other hand their
+// loads over, so that the next placer continues at once and the rate limit of the weight store is
+// kept.
 func TestStopsInSeriesKeepTheStoresRate(t *testing.T) {
 	is := is.New(t)
 	for seed := range 6 {
@@ -1314,11 +1323,11 @@
 		f.run(30 * time.Second)
 		is.Equal(f.violations, nil)
 		is.True(stopped >= 5)
-		is.True(len(f.loadTimes) >= 8) // half of what the rate allows; without handing over there were 2
+		is.True(len(f.loadTimes) >= 8) // half of what the rate allows; without the handover there were 2
 	}
 }
 
-// placer returns the member that places models, nil if none does.
+// placer returns the member that is the placer, or nil if there is none.
 func (f *fleet) placer() *fleetMember {
 	for _, name := range f.names {
 		n := f.members[name]
@@ -1329,9 +1338,9 @@
 	return nil
 }
 
-// TestClaimsFitIntoOneWrite: an instance that finds many engines unowned claims
-// no more at a time than a write of the store holds. Before, stores refused such
-// claims again and again, and the engines stayed without an owner.
+// TestClaimsFitIntoOneWrite checks that an instance that finds many engines without an owner
+// claims at most as many at a time as one write of the store can hold. Stores used to refuse
+// larger claims again and again, and the engines stayed without an owner.
 func TestClaimsFitIntoOneWrite(t *testing.T) {
 	is := is.New(t)
 	f := newFleetOf(1, 1, 40, option.Disabled{}, false)
@@ -1342,7 +1351,8 @@
 	is.Equal(f.members["i0"].m.orders.owned.Len(), 40)
 }
 
-// largeFleet has too many members for all to watch the platform, and callers.
+// largeFleet returns a fleet with callers and with too many members for all of them to watch the
+// platform.
 func largeFleet(seed uint64, disable option.Disabled) *fleet {
 	f := newFleetOf(seed, 2*watchers.FullMeshLimit, 4*fleetEngines, disable, false)
 	f.expireLeases()
@@ -1351,9 +1361,9 @@
 	return f
 }
 
-// TestFewMembersOfALargeFleetWatch: in a large fleet a few members watch the
-// platform and own the engines; the others hear of owners from them and get
-// their orders, and the calls that the platform sees stay few.
+// TestFewMembersOfALargeFleetWatch checks that in a large fleet only a few members watch the
+// platform and own the engines. The other members learn the owners from them and get their orders
+// executed, so the platform receives few calls.
 func TestFewMembersOfALargeFleetWatch(t *testing.T) {
 	is := is.New(t)
 	f := largeFleet(1, option.Disabled{})
@@ -1373,7 +1383,7 @@
 				known++
 			}
 		}
-		is.Equal(known, 4*fleetEngines) // whoever it is knows the owners
+		is.Equal(known, 4*fleetEngines) // every member knows all owners
 	}
 	is.True(owners >= 2)
 	is.True(owners <= 4*f.opt.Watchers)
@@ -1382,18 +1392,18 @@
 	is.True(f.served > 4*f.refused)
 }
 
-// TestOwnersHearOfTheRegistry: an instance that stops watching must not go on
-// ordering its engines, since another may have taken them. Before, instances of
-// a large fleet owned engines without watching (ONE broke on a day of a grown
-// fleet: the former owner ordered under a lower fence).
+// TestOwnersHearOfTheRegistry checks that an instance that stops watching sends no more orders to
+// its engines, since another instance may have claimed them. In a large fleet, instances used to
+// own engines without watching, and a former owner sent orders under a lower fence (check ONE
+// failed in a run of a grown fleet).
 func TestOwnersHearOfTheRegistry(t *testing.T) {
 	cases := []struct {
 		name    string
 		disable option.Disabled
 		broken  bool
 	}{
-		{"owners that hear", option.Disabled{}, false},
-		{"owners that need not", option.Disabled{HearRegistry: true}, true},
+		{"owners need a current registry", option.Disabled{}, false},
+		{"owners may use an outdated registry", option.Disabled{HearRegistry: true}, true},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -1410,9 +1420,8 @@
 	}
 }
 
-// dropOwnerRecords has the records of members that give orders go without any message, one
-// after the other, while their watches and exchanges are held up and their leases
-// are renewed.
+// dropOwnerRecords deletes the records of members that send orders, one after the other, while
+// their watches and exchanges are blocked and their leases are still renewed.
 func (f *fleet) dropOwnerRecords() {
 	f.periodically(9*time.Second, 20*time.Second, func() func() {
 		n := f.lastOrderSender()
@@ -1422,8 +1431,8 @@
 	})
 }
 
-// TestFleetStormsDetectDisabledMechanisms: each mechanism that keeps orders safe,
-// switched off, is found out by some storm.
+// TestFleetStormsDetectDisabledMechanisms checks that for each mechanism that keeps orders safe,
+// some storm detects that it is disabled.
 func TestFleetStormsDetectDisabledMechanisms(t *testing.T) {
 	cases := []struct {
 		name    string
@@ -1431,9 +1440,9 @@
 		empty   bool
 		steady  bool
 	}{
-		{"waiting for the former owner's orders", option.Disabled{TurnWait: true}, false, false},
-		{"the rate of the weight store", option.Disabled{Rate: true}, true, false},
-		{"a clock that counts sleep", option.Disabled{}, false, true},
+		{"the wait for the former owner's orders", option.Disabled{TurnWait: true}, false, false},
+		{"the rate limit of the weight store", option.Disabled{Rate: true}, true, false},
+		{"a clock that advances during suspension", option.Disabled{}, false, true},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -1451,7 +1460,7 @@
 					}
 				}
 			}
-			t.Errorf("no storm found that %s is switched off", c.name)
+			t.Errorf("no storm detected that %s is disabled", c.name)
 		})
 	}
 }
--- a/core/instance/bench_test.go
+++ b/core/instance/bench_test.go
@@ -17,10 +17,11 @@
 	"github.com/birchdrift/birchdrift/core/pool"
 )
 
-// A benchSize is one size of a site.
+// A benchSize is the size of a deployment.
 type benchSize struct{ models, replicas, zones int }
 
-// The sizes of today, one between, and the design's.
+// benchSizes holds the size of current deployments, an intermediate size, and the size that the
+// design targets.
 var benchSizes = []benchSize{{35, 20, 3}, {300, 106, 4}, {1900, 850, 8}}
 
 func (s benchSize) String() string { return fmt.Sprintf("models=%d/replicas=%d", s.models, s.replicas) }
@@ -46,7 +47,7 @@
 	return d
 }
 
-// loaded returns a machine at this size whose engines hold three models each.
+// loaded returns a machine for a deployment of size s whose engines hold three models each.
 func (s benchSize) loaded(b *testing.B) (*Machine, clock.Instant) {
 	b.Helper()
 	now := clocktest.At(time.Hour)
@@ -66,8 +67,8 @@
 	return m, now
 }
 
-// BenchmarkCall is one call through the machine: arrival, choice, first
-// token, end.
+// BenchmarkCall measures one call through the machine: arrival, replica choice, first token and
+// completion.
 func BenchmarkCall(b *testing.B) {
 	for _, s := range benchSizes {
 		b.Run(s.String(), func(b *testing.B) {
@@ -85,8 +86,8 @@
 	}
 }
 
-// BenchmarkChoose is one choice among as many candidates as there are
-// replicas, the worst case.
+// BenchmarkChoose measures one choice among all replicas, the largest possible number of
+// candidates.
 func BenchmarkChoose(b *testing.B) {
 	for _, s := range benchSizes {
 		b.Run(s.String(), func(b *testing.B) {
@@ -101,7 +102,7 @@
 	}
 }
 
-// BenchmarkPlan is one residency plan of one zone, with demand for every model.
+// BenchmarkPlan measures one residency plan of one zone, with demand for every model.
 func BenchmarkPlan(b *testing.B) {
 	for _, s := range benchSizes {
 		b.Run(s.String(), func(b *testing.B) {
--- a/core/instance/ceiling_test.go
+++ b/core/instance/ceiling_test.go
@@ -7,9 +7,9 @@
 	"github.com/birchdrift/birchdrift/core/option"
 )
 
-// TestWeightStoreRateHoldsAcrossPlacers: engines that hold nothing are filled no faster
-// than the weight store allows over all of them, whatever becomes of the placer meanwhile:
-// the fleet counts each load where it begins (countLoad).
+// TestWeightStoreRateHoldsAcrossPlacers checks that empty engines are filled no faster, in total,
+// than the weight store allows, whatever happens to the placer meanwhile. The fleet counts each
+// load when it starts (checkLoadRate).
 func TestWeightStoreRateHoldsAcrossPlacers(t *testing.T) {
 	placers := func(every, span time.Duration, do func(f *fleet, n *fleetMember) (undo func())) func(f *fleet) {
 		return func(f *fleet) {
@@ -26,45 +26,45 @@
 		name string
 		do   func(f *fleet)
 	}{
-		{"it is killed", placers(3*time.Second, time.Second, func(f *fleet, n *fleetMember) func() {
+		{"the placer is killed", placers(3*time.Second, time.Second, func(f *fleet, n *fleetMember) func() {
 			n.dead = true
 			return func() { f.start(n.id.Name) }
 		})},
-		{"it freezes", placers(5*time.Second, 4*time.Second, func(f *fleet, n *fleetMember) func() {
+		{"the placer freezes", placers(5*time.Second, 4*time.Second, func(f *fleet, n *fleetMember) func() {
 			n.frozen = true
 			return func() { f.thaw(n) }
 		})},
-		{"it is cut off from the store, and its record goes", placers(6*time.Second, 5*time.Second, func(f *fleet, n *fleetMember) func() {
+		{"the placer is cut off from the store, and its record expires", placers(6*time.Second, 5*time.Second, func(f *fleet, n *fleetMember) func() {
 			n.noStore = true
 			f.endLease(f.leaseOf(n))
 			return func() { n.noStore = false }
 		})},
-		{"its zone is cut off", placers(6*time.Second, 5*time.Second, func(f *fleet, n *fleetMember) func() {
+		{"the zone of the placer is cut off", placers(6*time.Second, 5*time.Second, func(f *fleet, n *fleetMember) func() {
 			f.cutZones = map[string]bool{n.id.Zone: true}
 			return func() { f.cutZones = nil }
 		})},
-		{"it is deaf", placers(6*time.Second, 5*time.Second, func(_ *fleet, n *fleetMember) func() {
+		{"the placer receives no updates", placers(6*time.Second, 5*time.Second, func(_ *fleet, n *fleetMember) func() {
 			n.noUpdates = true
 			return func() { n.noUpdates = false }
 		})},
-		{"it sleeps", placers(7*time.Second, time.Hour, func(f *fleet, n *fleetMember) func() {
+		{"the placer is suspended", placers(7*time.Second, time.Hour, func(f *fleet, n *fleetMember) func() {
 			f.sleep(n, 5*time.Second, 0)
 			return func() {}
 		})},
-		{"the store is down by turns", func(f *fleet) {
+		{"the store is down repeatedly", func(f *fleet) {
 			f.periodically(5*time.Second, 3*time.Second, func() func() {
 				f.store.down = true
 				return func() { f.store.down = false }
 			})
 		}},
-		{"it is killed while orders are late", func(f *fleet) {
+		{"the placer is killed while orders are late", func(f *fleet) {
 			f.lateShare = 0.4
 			placers(3*time.Second, time.Second, func(f *fleet, n *fleetMember) func() {
 				n.dead = true
 				return func() { f.start(n.id.Name) }
 			})(f)
 		}},
-		{"engines start again, empty", func(f *fleet) {
+		{"engines restart empty", func(f *fleet) {
 			l := newNoticeHarness(f)
 			next := 0
 			f.periodically(2*time.Second, time.Hour, func() func() {
@@ -80,7 +80,7 @@
 			for seed := range *noticeSeeds {
 				f := newFleetWith(uint64(seed+1), 5, option.Disabled{}, true)
 				for _, e := range f.engines {
-					e.onDisk = map[string]bool{} // all weights come from the store
+					e.onDisk = map[string]bool{} // all weights are read from the weight store
 				}
 				f.expireLeases()
 				f.run(5 * time.Second)
@@ -91,7 +91,7 @@
 					t.Errorf("seed %d: %s", seed, b)
 				}
 				if len(f.loadTimes) == 0 {
-					t.Errorf("seed %d: %d loads", seed, len(f.loadTimes))
+					t.Errorf("seed %d: got %d loads, want some", seed, len(f.loadTimes))
 				}
 			}
 		})
--- a/core/instance/configure_test.go
+++ b/core/instance/configure_test.go
@@ -14,7 +14,7 @@
 	"github.com/birchdrift/birchdrift/core/step"
 )
 
-// orderedModels returns the models that the actions order to be loaded.
+// orderedModels returns the models for which actions contain a load order.
 func orderedModels(actions []step.Action) []string {
 	var models []string
 	for _, a := range actions {
@@ -25,10 +25,9 @@
 	return models
 }
 
-// TestOwnedEnginesFollowTheConfiguration: an engine that an instance owns is
-// ordered by the sizes of the configuration in force, not by those of the one
-// at which it was taken. A model added later could not be loaded there until
-// the engine changed its owner.
+// TestOwnedEnginesFollowTheConfiguration checks that an owner orders its engines by the model
+// sizes of the configuration in force, not by those in force when it acquired the engine. A model
+// that was added later could not be loaded there until the engine changed its owner.
 func TestOwnedEnginesFollowTheConfiguration(t *testing.T) {
 	is := is.New(t)
 	now := clocktest.At(time.Hour)
--- a/core/instance/promises_test.go
+++ b/core/instance/promises_test.go
@@ -19,8 +19,8 @@
 	"github.com/birchdrift/birchdrift/core/pool"
 )
 
-// smallDocument has two zones of two engines, more models than fit, and a
-// plain service.
+// smallDocument returns a configuration of two zones with two engines each, more models than fit
+// into them, and a plain service.
 func smallDocument(checks bool) config.Document {
 	var d config.Document
 	for z := range 2 {
@@ -61,7 +61,7 @@
 	return opt
 }
 
-// A storm is a set of faults for a run of the world.
+// A storm is a fault scenario: it injects a set of faults into a world.
 type storm struct {
 	name  string
 	begin func(w *world)
@@ -103,14 +103,15 @@
 	}},
 }
 
-// kill ends a node and starts its next incarnation a moment later.
+// kill ends a node and starts its next incarnation 500 ms later.
 func (w *world) kill(name string) {
 	n := w.nodes[name]
 	n.dead = true
 	w.after(500*time.Millisecond, func() { w.start(name, n.id.Zone, w.rng.Uint64()) })
 }
 
-// freezeAll pauses each node at some time for longer than a lease lasts.
+// freezeAll pauses each node once, at a random time, for 2 s to 7 s; most pauses exceed the 3 s
+// term of a lease.
 func (w *world) freezeAll(suspend bool) {
 	for _, name := range w.names {
 		w.after(time.Duration(4+w.rng.IntN(20))*time.Second, func() {
@@ -119,7 +120,7 @@
 	}
 }
 
-// traffic sends calls whose favourite models change every few seconds.
+// traffic sends calls for d; the most requested models change every 6 s.
 func (w *world) traffic(d time.Duration) {
 	id := calls.ID(0)
 	for at := time.Second; at < d; at += 40 * time.Millisecond {
@@ -131,7 +132,7 @@
 			if w.rng.IntN(4) == 0 {
 				c = calls.Request{ID: id, Service: "stock", Plain: true, Path: "/x", NotRepeatable: true}
 				if w.rng.IntN(2) == 0 {
-					c.IdempotencyKey = fmt.Sprintf("key-%d", id/3) // shared by neighbours
+					c.IdempotencyKey = fmt.Sprintf("key-%d", id/3) // consecutive calls share a key
 				}
 			}
 			w.call(name, c)
@@ -141,7 +142,7 @@
 
 const stormDuration = 45 * time.Second
 
-// runStorm runs one storm and returns the world after it.
+// runStorm runs one storm and returns the world afterwards.
 func runStorm(t *testing.T, s storm, checks bool, seed uint64, change func(*option.Options)) *world {
 	opt := quickOptions()
 	if change != nil {
@@ -155,15 +156,16 @@
 	return w
 }
 
-// stormSeeds is how many seeds each storm runs with; a search sets more.
-var stormSeeds = flag.Uint64("storm.seeds", 6, "seeds for each storm")
+// stormSeeds is the number of seeds per storm; a longer search sets more.
+var stormSeeds = flag.Uint64("storm.seeds", 6, "number of seeds per storm")
 
-// searchSeeds is within how many seeds a mechanism that is off must be found out.
+// searchSeeds is the number of seeds within which a disabled mechanism must be detected.
 const searchSeeds = 12
 
-// TestPromisesHoldUnderStorms runs every storm over engines that check fences
-// and over ones that do not, and checks memory, at-most-once, not-run,
-// single answers and rising revisions after every event.
+// TestPromisesHoldUnderStorms runs every storm with engines that check fences and with engines
+// that do not. After every event it checks that memory is not overcommitted, that calls run at
+// most once, that calls reported as not run did not run, that each call gets a single answer, and
+// that configuration revisions only increase.
 func TestPromisesHoldUnderStorms(t *testing.T) {
 	for _, checks := range []bool{true, false} {
 		for _, s := range storms {
@@ -171,7 +173,7 @@
 				for seed := range *stormSeeds {
 					w := runStorm(t, s, checks, seed, nil)
 					if len(w.violations) > 0 {
-						t.Fatalf("seed %d: %d promises broken, first:\n%s", seed, len(w.violations), strings.Join(w.violations[:min(5, len(w.violations))], "\n"))
+						t.Fatalf("seed %d: %d violations, the first ones:\n%s", seed, len(w.violations), strings.Join(w.violations[:min(5, len(w.violations))], "\n"))
 					}
 					w.requireProgress(t, seed)
 				}
@@ -180,8 +182,8 @@
 	}
 }
 
-// requireProgress guards against a storm that proves nothing because nothing
-// happened in it.
+// requireProgress fails the test if too few calls were answered or models loaded for the storm to
+// prove anything.
 func (w *world) requireProgress(t *testing.T, seed uint64) {
 	t.Helper()
 	answered, loads := 0, 0
@@ -194,12 +196,12 @@
 		loads += e.loads
 	}
 	if answered < len(w.calls)/4 || loads < 4 {
-		t.Fatalf("seed %d: only %d of %d calls answered, %d loads: the storm proves nothing", seed, answered, len(w.calls), loads)
+		t.Fatalf("seed %d: only %d of %d calls answered, %d loads: too few for a meaningful run", seed, answered, len(w.calls), loads)
 	}
 }
 
-// TestStormsDetectDisabledMechanisms shows that the storms can fail: each
-// mechanism, switched off, is found out by the promise that rests on it.
+// TestStormsDetectDisabledMechanisms checks that the storms can fail: with a mechanism disabled,
+// some storm violates the guarantee that depends on it.
 func TestStormsDetectDisabledMechanisms(t *testing.T) {
 	cases := []struct {
 		name   string
@@ -222,15 +224,15 @@
 					}
 				}
 			}
-			t.Fatalf("no storm found it")
+			t.Fatalf("no storm detected that the mechanism is disabled")
 		})
 	}
 }
 
-// TestFenceStopsALateOrder: a holder dies; an order of its own arrives at the
-// very moment at which its successor, which found the engine empty, begins to
-// fill it. Only a fence raised before the successor read the state stops it.
-// Storms find this too seldom, so the moment is chosen here.
+// TestFenceStopsALateOrder checks that a fence raised before the successor reads the state of an
+// engine stops an order of the former lease holder. The holder dies, and one of its orders arrives
+// exactly when the successor, which found the engine empty, starts to fill it. Storms rarely
+// produce this timing, so the test sets it up.
 func TestFenceStopsALateOrder(t *testing.T) {
 	for _, off := range []bool{false, true} {
 		opt := quickOptions()
@@ -245,7 +247,7 @@
 				}
 			}
 		}
-		w.run(200 * time.Millisecond) // its own raises arrive
+		w.run(200 * time.Millisecond) // until the fences that it raised itself arrive
 		former.dead = true
 		for _, e := range w.engines {
 			e.items = map[string]*fakeItem{}
@@ -262,16 +264,16 @@
 		}
 		w.run(20 * time.Second)
 		if !arrived {
-			t.Fatal("the successor never ordered anything")
+			t.Fatal("the successor sent no load order")
 		}
 		if found := strings.Contains(strings.Join(w.violations, "\n"), "overcommit"); found != off {
-			t.Fatalf("fences off: %v; broken promises: %v", off, w.violations)
+			t.Fatalf("fences disabled: %v; violations: %v", off, w.violations)
 		}
 	}
 }
 
-// TestEveryCallGetsItsFinalAnswer: no call is left without one, whatever
-// happens to it.
+// TestEveryCallGetsItsFinalAnswer checks that every call ends with an answer or a refusal, unless
+// its instance died.
 func TestEveryCallGetsItsFinalAnswer(t *testing.T) {
 	for _, s := range storms[:5] {
 		w := runStorm(t, s, true, 3, nil)
@@ -280,21 +282,21 @@
 			n := w.nodes[c.node]
 			died := !strings.HasPrefix(c.id, fmt.Sprintf("%s/%d/", c.node, n.id.Boot))
 			if !c.answered && c.refusal == nil && !died {
-				t.Fatalf("%s: call %s has no answer", s.name, c.id)
+				t.Fatalf("%s: call %s has no final answer", s.name, c.id)
 			}
 		}
 	}
 }
 
-// TestRevisionsReachEveryInstance: a change is in force everywhere within
-// seconds, though only the watchers ask the platform.
+// TestRevisionsReachEveryInstance checks that a new configuration is in force on all instances
+// within seconds, although only the watchers call the platform.
 func TestRevisionsReachEveryInstance(t *testing.T) {
 	is := is.New(t)
 	doc := smallDocument(true)
 	w := newWorld(t, 1, doc, 12, quickOptions())
 	w.run(10 * time.Second)
 	for _, name := range w.names {
-		is.Equal(w.installed[name], uint64(1)) // the first revision is everywhere
+		is.Equal(w.installed[name], uint64(1)) // all instances have the first revision
 	}
 	w.apply(doc)
 	begun := w.now
@@ -313,9 +315,8 @@
 	return least
 }
 
-// TestInstanceStartsFromItsPeers: with the platform down, a new instance takes
-// the revision that its peers have; with nobody to ask it is not ready and
-// says why.
+// TestInstanceStartsFromItsPeers checks that a new instance gets the configuration from its peers
+// while the platform is down. Without a reachable peer it is not ready and states the reason.
 func TestInstanceStartsFromItsPeers(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(t, 1, smallDocument(true), 2, quickOptions())
@@ -336,8 +337,8 @@
 	is.Equal(reason, "no configuration from the platform or a peer yet")
 }
 
-// TestOlderRevisionIsIgnored: a stale read or a peer that is behind cannot
-// take a revision back; with the check switched off the world notices.
+// TestOlderRevisionIsIgnored checks that neither a stale read nor a peer that is behind rolls the
+// configuration back. With the check disabled, the world reports violations.
 func TestOlderRevisionIsIgnored(t *testing.T) {
 	for _, off := range []bool{false, true} {
 		opt := quickOptions()
@@ -353,14 +354,14 @@
 		w.step(n, w.configReply(old, PlatformSource))
 		w.step(n, w.configReply(old, "a peer that is behind"))
 		if found := len(w.violations) > 0; found != off {
-			t.Fatalf("check off: %v, broken promises: %v", off, w.violations)
+			t.Fatalf("check disabled: %v, violations: %v", off, w.violations)
 		}
 	}
 }
 
-// TestLeavingEngineGetsNoWork: whichever source says first that an engine is
-// leaving, it gets nothing new within the stated bound, and the list's lag
-// does not matter.
+// TestLeavingEngineGetsNoWork checks that a leaving engine receives no new calls after
+// leavingBound, whichever source reports first that it leaves, and however far the list lags
+// behind.
 func TestLeavingEngineGetsNoWork(t *testing.T) {
 	for _, checks := range []bool{true, false} {
 		w := newWorld(t, 2, smallDocument(checks), 2, quickOptions())
@@ -376,15 +377,15 @@
 			t.Fatalf("%v", w.violations)
 		}
 		if len(w.calls)-before < 100 {
-			t.Fatal("no traffic after the engine left")
+			t.Fatal("fewer than 100 calls after the engine left")
 		}
-		// The list says so only now, and says live first: nothing may change.
+		// The list lags behind and still shows the engine as live: nothing may change.
 		w.platform.version++
 		w.platform.list = append(w.platform.list, gossip.Listed{Name: leaving, Kind: gossip.Upstream, Version: era.Revision(w.platform.version)})
 		w.run(3 * time.Second)
 		for _, name := range w.names {
 			if !w.nodes[name].m.state.Pool.Get(leaving).Leaving() {
-				t.Fatalf("%s believes the lagging list", name)
+				t.Fatalf("%s trusts the lagging list", name)
 			}
 		}
 	}
@@ -407,8 +408,8 @@
 	return best
 }
 
-// TestPlatformOutageCostsNoResidentCall: while the platform is down, calls to
-// resident models are served, and the calls made to it stay bounded.
+// TestPlatformOutageCostsNoResidentCall checks that calls to resident models are served while the
+// platform is down, and that the instances call the platform at a bounded rate.
 func TestPlatformOutageCostsNoResidentCall(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(t, 4, smallDocument(true), 2, quickOptions())
@@ -426,14 +427,14 @@
 	}
 	w.run(outage)
 	for _, c := range resident[:len(resident)-1] {
-		is.True(c.answered) // every call to a resident model was served
+		is.True(c.answered) // calls to a resident model are served
 	}
 	perInstance := float64(w.platform.calls-before) / outage.Seconds() / float64(len(w.names))
 	t.Logf("platform calls during the outage: %.2f a second for each instance", perInstance)
-	is.True(perInstance < 2) // full jitter up to 5 s on three kinds of call
+	is.True(perInstance < 2) // three kinds of calls, each with a full jitter of up to 5 s
 }
 
-// warm asks for a model until it is resident.
+// warm sends calls for a model for d, so that it becomes resident.
 func (w *world) warm(model string, d time.Duration) {
 	id := calls.ID(1 << 30)
 	for at := time.Second; at < d; at += 200 * time.Millisecond {
@@ -445,8 +446,8 @@
 	w.run(d)
 }
 
-// TestColdModelsAllBecomeReachable: with many cold models asked for at once,
-// each becomes resident within the stated bound, also in a zone that is cut off.
+// TestColdModelsAllBecomeReachable checks that each of many cold models that are requested at once
+// is served within coldStartBound, also in a zone that is cut off.
 func TestColdModelsAllBecomeReachable(t *testing.T) {
 	for _, cut := range []bool{false, true} {
 		t.Run(fmt.Sprintf("cut=%v", cut), func(t *testing.T) {
@@ -475,18 +476,19 @@
 				t.Fatal(w.violations[0])
 			}
 			if len(served) != 8 {
-				t.Fatalf("only %d of 8 models were reached within %v: %v", len(served), coldStartBound, served)
+				t.Fatalf("only %d of 8 models were served within %v: %v", len(served), coldStartBound, served)
 			}
-			t.Logf("reached after: %v", served)
+			t.Logf("first served after: %v", served)
 		})
 	}
 }
 
-// coldStartBound is the stated bound for eight models where four fit.
+// coldStartBound is the guaranteed time until each of eight models is served where memory holds
+// four.
 const coldStartBound = 90 * time.Second
 
-// TestPlannedStopHandsOver: a stopping holder gives its lease back, its calls
-// end, and a successor plans at once rather than after the lease's term.
+// TestPlannedStopHandsOver checks that a lease holder that stops releases its lease and ends its
+// calls, and that a successor plans immediately instead of after the term of the lease.
 func TestPlannedStopHandsOver(t *testing.T) {
 	is := is.New(t)
 	opt := quickOptions()
@@ -516,5 +518,5 @@
 	for !planned() && w.now-begun < 10*time.Second {
 		w.run(100 * time.Millisecond)
 	}
-	is.True(w.now-begun < 4*time.Second) // a quarter of the term plus a moment, not the whole term
+	is.True(w.now-begun < 4*time.Second) // the successor retries every quarter of the 10 s term, so it need not wait the whole term
 }
--- a/core/instance/world_calls_test.go
+++ b/core/instance/world_calls_test.go
@@ -12,7 +12,7 @@
 	"github.com/birchdrift/birchdrift/core/step"
 )
 
-// The world's callers, plain upstreams and claims.
+// This file simulates the callers, the plain upstreams and the claims of a world.
 
 func (w *world) handleClaim(n *node, a step.Action) {
 	switch act := a.(type) {
@@ -57,7 +57,7 @@
 	return w.calls[fmt.Sprintf("%s/%d/%d", n.id.Name, n.id.Boot, id)]
 }
 
-// call begins a caller's call at a node.
+// call starts a caller's call at a node.
 func (w *world) call(name string, c calls.Request) *worldCall {
 	n := w.nodes[name]
 	wc := &worldCall{id: fmt.Sprintf("%s/%d/%d", name, n.id.Boot, c.ID), node: name, notRepeatable: c.NotRepeatable, key: c.IdempotencyKey}
@@ -66,8 +66,8 @@
 	return wc
 }
 
-// dispatch plays an upstream: the connection may break before a byte leaves,
-// on the way, after the call ran, or halfway through its answer.
+// dispatch simulates an upstream. The connection may break before anything is sent, while the
+// request is in transit, after the call ran, or in the middle of the response.
 func (w *world) dispatch(n *node, a calls.Dispatch) {
 	c := w.lookupCall(n, a.ID)
 	if c == nil {
@@ -76,7 +76,7 @@
 	c.dispatched++
 	e := w.engines[a.Replica]
 	if e != nil && e.leaving && w.now-e.leftAt > leavingBound {
-		w.reportViolation("%s was sent work %v after it began to leave", e.name, w.now-e.leftAt)
+		w.reportViolation("%s received a call %v after it started to leave", e.name, w.now-e.leftAt)
 	}
 	if !w.engineUp(n, a.Zone)() {
 		w.after(100*time.Millisecond, func() { w.step(n, calls.AttemptFailed{ID: a.ID, Attempt: a.Attempt, Phase: attempt.NotSent}) })
@@ -85,7 +85,7 @@
 	w.after(w.latency(), func() { w.runUpstream(n, a, c, e) })
 }
 
-// leavingBound is the stated time after which a leaving upstream gets no work.
+// leavingBound is the guaranteed time after which a leaving upstream receives no calls.
 const leavingBound = 4 * time.Second
 
 func (w *world) runUpstream(n *node, a calls.Dispatch, c *worldCall, e *fakeEngine) {
@@ -131,7 +131,7 @@
 	return true
 }
 
-// execute notes that a call ran, and checks that it may have.
+// execute records that a call ran, and reports a violation if it was not allowed to run again.
 func (w *world) execute(c *worldCall, a calls.Dispatch) {
 	if a.Resume {
 		return
@@ -165,6 +165,6 @@
 	refusal := a.Refusal
 	c.refusal = &refusal
 	if refusal.Run == code.NotRun && c.executed > 0 {
-		w.reportViolation("call %s is said not to have run (code %d), yet it ran", c.id, refusal.Code)
+		w.reportViolation("call %s was reported as not run (code %d), but it ran", c.id, refusal.Code)
 	}
 }
--- a/core/instance/world_engine_test.go
+++ b/core/instance/world_engine_test.go
@@ -8,7 +8,7 @@
 	"github.com/birchdrift/birchdrift/core/pool"
 )
 
-// The world's engines, and the orders that they carry out.
+// This file simulates the engines of a world and how they execute orders.
 
 func (w *world) readState(n *node, a planner.ReadState) {
 	e := w.engines[a.Engine]
@@ -46,8 +46,8 @@
 	})
 }
 
-// executeOrder has the engine carry out an order as a real one would; asking for
-// more memory than there is counts as a broken promise.
+// executeOrder executes an order as a real engine does. An order for more memory than the engine
+// has is a violation.
 func (w *world) executeOrder(e *fakeEngine, o book.Order) planner.OrderOutcome {
 	if e.checksFence {
 		if o.Fence < e.fence {
@@ -89,7 +89,7 @@
 	}
 	if used+o.MiB > e.capacity {
 		e.overcommits++
-		w.reportViolation("%s: overcommit: %d MiB used, %d asked for, %d there are", e.name, used, o.MiB, e.capacity)
+		w.reportViolation("%s: overcommit: %d MiB used, %d MiB requested, %d MiB capacity", e.name, used, o.MiB, e.capacity)
 		return planner.OrderRefused
 	}
 	it := &fakeItem{phase: pool.Loading, mib: o.MiB}
@@ -118,7 +118,7 @@
 	return s
 }
 
-// restart empties an engine as a new process would be.
+// restart resets an engine to the empty state of a new process.
 func (e *fakeEngine) restart() {
 	e.boot++
 	e.change, e.seq, e.fence, e.lastOrder, e.leaving = 0, 0, 0, 0, false
--- a/core/instance/world_test.go
+++ b/core/instance/world_test.go
@@ -27,10 +27,10 @@
 	"github.com/birchdrift/birchdrift/core/step"
 )
 
-// A world drives several machines under one clock, with messages lost, late
-// and doubled by seed. It knows nothing of how machines decide; it only
-// carries out their actions against small fakes and checks the promises. It is
-// a focused test of the logic, not a model of a fleet.
+// A world simulates several machines on one simulated clock, with messages lost, delayed and
+// duplicated at random by seed. It does not depend on how machines decide: it performs their
+// actions on small fakes and checks the guarantees. It tests the logic; it does not model a
+// production fleet.
 type world struct {
 	t          *testing.T
 	rng        *rand.Rand
@@ -44,36 +44,36 @@
 	nodes      map[string]*node
 	names      []string
 	faults     worldFaults
-	calls      map[string]*worldCall // by instance and id
-	violations []string              // promises seen broken
+	calls      map[string]*worldCall // by instance, incarnation and call ID
+	violations []string              // descriptions of violated guarantees
 	installed  map[string]uint64
-	// beforeOrder is called when an order reaches its engine, before it is
-	// carried out; may be nil.
+	// beforeOrder, if not nil, is called when an order reaches its engine, before
+	// the engine executes it.
 	beforeOrder func(n *node, e *fakeEngine, o book.Order)
 }
 
-// worldFaults are the faults in force.
+// worldFaults holds the faults that are currently injected.
 type worldFaults struct {
-	lossRate     float64       // share of requests or answers lost
-	maxLatency   time.Duration // most that a message takes
-	maxLateDelay time.Duration // how late a lost order may still arrive
-	platformDown bool          // the platform is down
+	lossRate     float64       // share of requests and responses that are lost
+	maxLatency   time.Duration // upper bound of the latency of a message
+	maxLateDelay time.Duration // a lost request may still arrive within this time; 0: never
+	platformDown bool          // the platform does not respond
 	cutZones     map[string]bool
-	breakRate    float64 // share of calls whose connection breaks somewhere
+	breakRate    float64 // share of calls whose connection breaks, at a random phase
 }
 
-// A node is one machine with its own clocks.
+// A node is one machine with its own clock.
 type node struct {
 	m           *Machine
 	id          member.Identity
 	dead        bool
 	paused      bool
-	monoLag     time.Duration // by how much its monotonic clock is behind
+	monoLag     time.Duration // how far its monotonic clock is behind
 	deferred    []func()
 	incarnation int
 }
 
-// A worldCall is one caller's call and what became of it.
+// A worldCall is one caller's call and its outcome.
 type worldCall struct {
 	id            string
 	node          string
@@ -109,7 +109,7 @@
 	return x
 }
 
-// A fakePlatform holds values, leases and the list.
+// A fakePlatform stores the values, the leases and the list of the platform.
 type fakePlatform struct {
 	revision uint64
 	values   map[string]fakeValue
@@ -130,7 +130,7 @@
 	expires time.Duration
 }
 
-// A fakeEngine is one engine's memory and the orders it took.
+// A fakeEngine holds an engine's memory and the last order that it accepted.
 type fakeEngine struct {
 	name        string
 	capacity    int64
@@ -153,7 +153,7 @@
 	mib   int64
 }
 
-const worldStart = time.Hour // so that no instant is zero
+const worldStart = time.Hour // nonzero, because the zero instant means unset
 
 func newWorld(t *testing.T, seed uint64, doc config.Document, perZone int, opt option.Options) *world {
 	w := &world{
@@ -181,7 +181,7 @@
 	return w
 }
 
-// start begins a new incarnation of a node.
+// start starts a new incarnation of a node.
 func (w *world) start(name, zone string, seed uint64) {
 	incarn := 1
 	if old := w.nodes[name]; old != nil {
@@ -205,7 +205,7 @@
 	heap.Push(&w.queue, scheduled{at: w.now + d, eventSeq: w.eventSeq, do: f})
 }
 
-// run advances the clock by d.
+// run processes the events of the next d and advances the clock by d.
 func (w *world) run(d time.Duration) {
 	end := w.now + d
 	for len(w.queue) > 0 && w.queue[0].at <= end {
@@ -222,7 +222,7 @@
 	return at
 }
 
-// tick keeps a node's machine going.
+// tick delivers a Tick to a node's machine and schedules the next one.
 func (w *world) tick(n *node) {
 	if n.dead {
 		return
@@ -231,7 +231,7 @@
 	w.after(n.m.NextWake(), func() { w.tick(n) })
 }
 
-// step gives a node an event, now or when it wakes up.
+// step delivers an event to a node, or defers it until the node resumes.
 func (w *world) step(n *node, ev step.Event) {
 	if n.dead {
 		return
@@ -246,8 +246,8 @@
 	}
 }
 
-// pause freezes a node; suspend also stops its monotonic clock. Whatever it
-// had decided but not sent is sent when it wakes up.
+// pause freezes a node for d. With suspend its monotonic clock stops too. Events and unsent
+// messages are deferred until the node resumes.
 func (w *world) pause(name string, d time.Duration, suspend bool) {
 	n := w.nodes[name]
 	n.paused = true
@@ -270,9 +270,10 @@
 
 func (w *world) lost() bool { return w.rng.Float64() < w.faults.lossRate }
 
-// send carries a request to a place and its answer back; either may be lost.
-// effect runs at the far end, reply at the node. fail runs at the node when
-// the request or the answer is lost, and says whether it certainly never left.
+// send carries a request to its destination and the response back; either may be lost. effect runs
+// at the destination and returns the function that handles the response at the node. fail runs at
+// the node when the request or the response is lost; notSent reports whether the request certainly
+// was not sent.
 func (w *world) send(n *node, reachable func() bool, effect func() func(), fail func(notSent bool)) {
 	if n.paused {
 		n.deferred = append(n.deferred, func() { w.send(n, reachable, effect, fail) })
