--- a/core/instance/crash_test.go
+++ b/core/instance/crash_test.go
@@ -1,16 +1,15 @@
 package instance
 
-// Seen: one request ended some thirty replicas in half a minute, in waves, and the calls
-// that ran beside it broke off with them.
+// Guards against one request that crashes replica after replica: some thirty replicas crashed
+// within half a minute, in waves, and the calls running beside it were severed.
 //
-// How: its caller sent it again and again, each time under another name and to another
-// instance. Each try was within its attempts and within the budget of repeats; no
-// instance knew of the tries of the others, nor that the replicas had ended under it.
+// The caller sent the request again and again, each time under a new name and to another instance.
+// Each retry stayed within its attempts and within the retry budget. What an instance knew of a
+// request was kept per retry and discarded with it, so no instance knew of the retries at the
+// others or of the crashes.
 //
-// Cause: what is known of a request was kept per try, and forgotten with it.
-//
-// Proof: these tests end engines so, and failed with 14 to 419 arrivals after the third
-// engine before requests were known over their tries and over the fleet.
+// Before requests were tracked across retries and instances, these tests failed with 14 to 419
+// arrivals after the third crash.
 
 import (
 	"flag"
@@ -35,48 +34,48 @@
 )
 
 const (
-	// propagationTime is how long an instance has to hear of what others know.
+	// propagationTime is the time within which an instance must learn what others know.
 	propagationTime = 3 * time.Second
-	// crashLimit is how many engines a request may end, and how often it may reach one
-	// after labContact since the last of them.
+	// crashLimit is the number of engines that a request may crash, and the number of times
+	// it may still reach an engine later than propagationTime after the last of these crashes.
 	crashLimit = 3
-	// restartDelay is how long an engine that ended takes to come back.
+	// restartDelay is the time after which a crashed engine is replaced.
 	restartDelay = 5 * time.Second
-	// entryLifetime is how long its entry stays in the store.
+	// entryLifetime is the time for which the entry of a crashed engine stays in the store.
 	entryLifetime = 3600 * time.Millisecond
-	// codeQuarantined is the result code of a request that is not run since replicas
-	// end under it.
+	// codeQuarantined is the result code of a request that is not run because replicas
+	// crash under it.
 	codeQuarantined = 109
 )
 
-// crashSeeds is how many seeds each storm is played with. By hand: -crash.seeds=50.
-var crashSeeds = flag.Int("crash.seeds", 4, "seeds of each storm of engines that end")
+// crashSeeds is the number of seeds per storm. For a longer run, use -crash.seeds=50.
+var crashSeeds = flag.Int("crash.seeds", 4, "number of seeds per storm with crashing engines")
 
-// A crashHarness has calls run at the engines of a fleet, some of which end the engine that
-// runs them, and checks how often these reach engines.
+// A crashHarness runs calls at the engines of a fleet. Some requests crash the engine that runs
+// them; the harness checks how often these reach engines.
 type crashHarness struct {
 	f           *fleet
 	calls       map[calls.ID]*crashCall
 	runs        map[string][]*crashRun // by engine
 	crashTimes  map[crash.Fingerprint][]time.Duration
 	arrivals    map[crash.Fingerprint][]time.Duration
-	startCounts map[string]int // engines that ran at an address
-	calmSince   time.Duration  // since when no zone was cut off
+	startCounts map[string]int // number of engines started at an address
+	calmSince   time.Duration  // time since which no zone is cut off
 	refused     map[crash.Fingerprint]int
 	served      int
-	// severedShare is the share of calls whose connection breaks though the engine lives.
+	// severedShare is the share of calls whose connection breaks although the engine is alive.
 	severedShare float64
-	// keepsNames has engines that start again keep their names.
+	// keepsNames makes engines that restart keep their names.
 	keepsNames bool
-	// keepsEntries has their entries stay until they write them anew.
+	// keepsEntries keeps the entries of crashed engines until the engines write them again.
 	keepsEntries bool
 }
 
-// A crashCall is one try of a request.
+// A crashCall is one call that carries a request; a retry by the caller is another one.
 type crashCall struct {
 	request calls.Request
 	poison  bool
-	retried bool // its caller has tried before
+	retried bool // this is already a retry; callers retry only once
 	ran     bool
 }
 
@@ -98,7 +97,8 @@
 	return l
 }
 
-// poison has a request that ends its engines come again and again at any member.
+// poison sends a request that crashes its engines to random members, again and again, at an
+// interval of every on average.
 func (l *crashHarness) poison(fingerprint crash.Fingerprint, model int, every time.Duration) {
 	l.f.at(time.Duration(l.f.rng.Int64N(int64(2*every))), func() {
 		l.poison(fingerprint, model, every)
@@ -115,13 +115,13 @@
 	})
 }
 
-// arrive takes in a call that harms nobody.
+// arrive delivers a call that crashes no engine.
 func (l *crashHarness) arrive(n *fleetMember, r calls.Request) {
 	l.calls[r.ID] = &crashCall{request: r}
 	l.f.step(n, n.boot, calls.Arrived{Call: r})
 }
 
-// serve has a call run at its engine.
+// serve runs a call at its engine.
 func (l *crashHarness) serve(n *fleetMember, d calls.Dispatch, reply func(time.Duration, step.Event)) {
 	e, c := l.f.engines[d.Replica], l.calls[d.ID]
 	failed := func(way time.Duration, b calls.AttemptFailed) {
@@ -163,7 +163,7 @@
 	}
 }
 
-// run has a call answered.
+// run completes a call normally.
 func (l *crashHarness) run(r *crashRun) {
 	l.f.at(l.f.firstTokenDelay, func() {
 		if !r.done {
@@ -180,7 +180,7 @@
 	})
 }
 
-// sever ends the connection of a call.
+// sever breaks the connection of a call.
 func (r *crashRun) sever() {
 	r.done = true
 	b := calls.AttemptFailed{ID: r.d.ID, Attempt: r.d.Attempt, Phase: attempt.MaybeSent, Severed: true}
@@ -191,7 +191,7 @@
 	r.reply(fleetLatency, b)
 }
 
-// terminate ends an engine; another one starts at its address after a while.
+// terminate ends an engine and starts a replacement at its address after restartDelay.
 func (l *crashHarness) terminate(e *fleetEngine) {
 	if e.dead {
 		return
@@ -217,8 +217,8 @@
 	l.f.at(restartDelay, func() { l.restart(e) })
 }
 
-// restart has another engine start at the address of one that ended, with the same
-// models, so that the fleet does not run out of them.
+// restart starts another engine at the address of one that ended, with the same models, so that
+// the fleet does not run out of models.
 func (l *crashHarness) restart(old *fleetEngine) {
 	if l.keepsNames {
 		l.f.restartEngine(old)
@@ -237,7 +237,7 @@
 	l.f.announce(e)
 }
 
-// drain has an engine say that it leaves, and end while calls run there.
+// drain announces that an engine leaves, and ends it 2.5 s later, while calls run there.
 func (l *crashHarness) drain(e *fleetEngine) {
 	a := *l.f.store.values["servers/"+e.name].data.(*pool.Announcement)
 	a.Leaving = true
@@ -245,8 +245,8 @@
 	l.f.at(2500*time.Millisecond, func() { l.terminate(e) })
 }
 
-// handleFinish takes in a final answer that is not an engine's, and checks that its words
-// are true. The caller tries once more.
+// handleFinish handles a final answer that an instance gives itself, and checks that what it
+// reports is true. The caller retries once.
 func (l *crashHarness) handleFinish(a calls.Finish) {
 	c := l.calls[a.ID]
 	if c == nil {
@@ -254,12 +254,12 @@
 	}
 	fingerprint := c.request.Forward.Fingerprint
 	if a.Refusal.Run == code.NotRun && c.ran {
-		l.f.recordViolation("call %d is said not to have run, yet it ran", a.ID)
+		l.f.recordViolation("call %d was reported as not run, but it ran", a.ID)
 	}
 	if a.Refusal.Code == codeQuarantined {
 		l.refused[fingerprint]++
 		if !c.poison {
-			l.f.recordViolation("call %d was refused though it harmed nobody", a.ID)
+			l.f.recordViolation("call %d was quarantined, but it crashed no engine", a.ID)
 		}
 	}
 	if c.retried {
@@ -280,8 +280,8 @@
 	})
 }
 
-// lateArrivals returns how often a request reached engines later than labContact after the
-// third had ended under it.
+// lateArrivals returns how often a request reached engines later than propagationTime after the
+// third engine crashed under it.
 func (l *crashHarness) lateArrivals(request crash.Fingerprint) int {
 	at := l.crashTimes[request]
 	if len(at) < crashLimit {
@@ -297,12 +297,12 @@
 	return late
 }
 
-// check reports the requests that reached engines too often, and whatever else broke.
+// check reports the requests that reached engines too often, and the violations of the fleet.
 func (l *crashHarness) check(t *testing.T) {
 	t.Helper()
 	for request, at := range l.crashTimes {
 		if late := l.lateArrivals(request); late > crashLimit {
-			t.Errorf("request %v reached engines %d times later than %v after the third had ended; %d ended in all", request, late, propagationTime, len(at))
+			t.Errorf("request %v reached engines %d times later than %v after the third crash; %d engines crashed in total", request, late, propagationTime, len(at))
 		}
 	}
 	for _, b := range l.f.violations {
@@ -310,17 +310,17 @@
 	}
 }
 
-// A crashStorm is what else goes wrong while requests end engines.
+// A crashStorm is a fault scenario for a fleet in which requests crash engines.
 type crashStorm struct {
 	name    string
 	members int
 	engines int
 	poisons int
-	every   time.Duration // between two tries of one of them, on average
+	every   time.Duration // average interval between two retries of one request
 	do      func(l *crashHarness)
 }
 
-// restartAll starts the members anew.
+// restartAll starts a new process of each member.
 func (f *fleet) restartAll() {
 	for _, name := range f.names {
 		f.start(name)
@@ -329,11 +329,11 @@
 
 var crashStorms = []crashStorm{
 	{"calm", 8, 16, 1, 250 * time.Millisecond, nil},
-	{"a try every few seconds", 8, 16, 1, 3 * time.Second, nil},
-	{"many tries at once", 8, 16, 1, 30 * time.Millisecond, nil},
+	{"a retry every few seconds", 8, 16, 1, 3 * time.Second, nil},
+	{"many retries at once", 8, 16, 1, 30 * time.Millisecond, nil},
 	{"three requests", 8, 24, 3, 400 * time.Millisecond, nil},
 	{"a large fleet", 2 * watchers.FullMeshLimit, 64, 1, 200 * time.Millisecond, nil},
-	{"a large fleet, many tries at once", 2 * watchers.FullMeshLimit, 64, 1, 20 * time.Millisecond, nil},
+	{"a large fleet, many retries at once", 2 * watchers.FullMeshLimit, 64, 1, 20 * time.Millisecond, nil},
 	{"the store down", 8, 64, 1, 250 * time.Millisecond, func(l *crashHarness) { l.f.store.down = true }},
 	{"a large fleet, the store down", 2 * watchers.FullMeshLimit, 64, 1, 200 * time.Millisecond, func(l *crashHarness) { l.f.store.down = true }},
 	{"a zone cut off for a while", 8, 32, 1, 250 * time.Millisecond, func(l *crashHarness) {
@@ -341,7 +341,7 @@
 		l.calmSince = l.f.now + 8*time.Second
 		l.f.at(8*time.Second, func() { l.f.cutZones = nil })
 	}},
-	{"instances killed in turn", 8, 16, 1, 250 * time.Millisecond, func(l *crashHarness) {
+	{"instances killed one after the other", 8, 16, 1, 250 * time.Millisecond, func(l *crashHarness) {
 		next := 0
 		l.f.periodically(2*time.Second, time.Second, func() func() {
 			n := l.f.members[l.f.names[next%len(l.f.names)]]
@@ -365,23 +365,23 @@
 			return func() { l.f.thaw(n) }
 		})
 	}},
-	{"answers of the store lost", 8, 16, 1, 250 * time.Millisecond, func(l *crashHarness) { l.f.lostShare = 0.4 }},
-	{"engines start again under their names", 8, 16, 1, 250 * time.Millisecond, func(l *crashHarness) { l.keepsNames = true }},
-	{"two engines start again under their names", 8, 2, 1, 250 * time.Millisecond, func(l *crashHarness) { l.keepsNames = true }},
-	{"engines start again under their names, their entries stay", 8, 16, 1, 250 * time.Millisecond, func(l *crashHarness) {
+	{"responses of the store lost", 8, 16, 1, 250 * time.Millisecond, func(l *crashHarness) { l.f.lostShare = 0.4 }},
+	{"engines restart under their names", 8, 16, 1, 250 * time.Millisecond, func(l *crashHarness) { l.keepsNames = true }},
+	{"two engines restart under their names", 8, 2, 1, 250 * time.Millisecond, func(l *crashHarness) { l.keepsNames = true }},
+	{"engines restart under their names, their entries stay", 8, 16, 1, 250 * time.Millisecond, func(l *crashHarness) {
 		l.keepsNames = true
 		l.keepsEntries = true
 	}},
 }
 
-// TestARequestThatEndsItsEnginesIsStopped: a request under which engines end again and
-// again reaches no more than a few, whichever instances its tries come to and whatever
-// else fails; the calls that ran beside it are never refused for it.
+// TestARequestThatEndsItsEnginesIsStopped checks that a request under which engines crash again
+// and again reaches only a few engines, whichever instances receive its retries and whatever else
+// fails, and that the calls running beside it are never quarantined.
 func TestARequestThatEndsItsEnginesIsStopped(t *testing.T) {
 	for _, s := range crashStorms {
 		t.Run(s.name, func(t *testing.T) {
 			t.Parallel()
-			late := map[int]int{} // requests by how often they came too late
+			late := map[int]int{} // number of requests by late arrivals
 			for seed := range *crashSeeds {
 				l := newCrashHarness(newFleetOf(uint64(seed+1), s.members, s.engines, option.Disabled{}, false))
 				l.f.expireLeases()
@@ -404,20 +404,20 @@
 					}
 				}
 				if l.served == 0 {
-					t.Errorf("seed %d: nothing was served", seed)
+					t.Errorf("seed %d: no call was served", seed)
 				}
 			}
-			t.Logf("requests by arrivals later than %v after the third end: %v", propagationTime, late)
+			t.Logf("requests by arrivals later than %v after the third crash: %v", propagationTime, late)
 		})
 	}
 }
 
-// unrelatedFailures are what severs calls without any request being to blame.
+// unrelatedFailures are faults that sever calls although no request causes them.
 var unrelatedFailures = []struct {
 	name string
 	do   func(l *crashHarness)
 }{
-	{"engines end by themselves", func(l *crashHarness) {
+	{"engines crash on their own", func(l *crashHarness) {
 		l.f.periodically(700*time.Millisecond, time.Hour, func() func() {
 			if e := l.randomEngine(); e != nil {
 				l.terminate(e)
@@ -425,7 +425,7 @@
 			return func() {}
 		})
 	}},
-	{"many engines end at once", func(l *crashHarness) {
+	{"many engines crash at once", func(l *crashHarness) {
 		l.f.periodically(9*time.Second, time.Hour, func() func() {
 			for range 10 {
 				if e := l.randomEngine(); e != nil {
@@ -452,8 +452,8 @@
 	}},
 }
 
-// TestUnrelatedFailuresRefuseNoCalls: engines that end by themselves, leave, or whose
-// connections break while they live are no reason to refuse the calls that ran there.
+// TestUnrelatedFailuresRefuseNoCalls checks that calls are not quarantined because engines crash
+// on their own, leave, or lose connections while alive.
 func TestUnrelatedFailuresRefuseNoCalls(t *testing.T) {
 	for _, c := range unrelatedFailures {
 		t.Run(c.name, func(t *testing.T) {
@@ -468,14 +468,14 @@
 				l.f.run(30 * time.Second)
 				l.check(t)
 				if l.served == 0 {
-					t.Errorf("seed %d: nothing was served", seed)
+					t.Errorf("seed %d: no call was served", seed)
 				}
 			}
 		})
 	}
 }
 
-// randomEngine returns an engine that lives, nil if none does.
+// randomEngine returns a random engine that is alive, or nil if it finds none.
 func (l *crashHarness) randomEngine() *fleetEngine {
 	names := sortedKeys(l.f.engines)
 	for range len(names) {
@@ -486,9 +486,9 @@
 	return nil
 }
 
-// TestAnEngineThatEndedIsNotOrderedAgainAndAgain: what waits for an order at an engine at
-// which nothing answers is settled at once, so that its call goes elsewhere. Such an
-// order was once repeated as fast as it failed, for a second.
+// TestAnEngineThatEndedIsNotOrderedAgainAndAgain checks that requests that wait for an order are
+// refused at once if the engine no longer accepts connections, so that their calls go elsewhere.
+// Such an order used to be retried for a second, as fast as it failed.
 func TestAnEngineThatEndedIsNotOrderedAgainAndAgain(t *testing.T) {
 	is := is.New(t)
 	l := newCrashHarness(newFleetOf(1, 5, 8, option.Disabled{}, false))
@@ -505,7 +505,7 @@
 		l.f.step(owner, owner.boot, owned.RequestReceived{Token: owner.token, Engine: e.name, Request: request})
 	}
 	l.f.run(100 * time.Millisecond)
-	t.Logf("%d orders to an engine that had ended", e.ordersAfterEnd)
+	t.Logf("%d orders sent to an engine that had ended", e.ordersAfterEnd)
 	is.Equal(e.ordersAfterEnd, 1)
 	is.Equal(len(answers), 3)
 	for _, a := range answers {
@@ -513,14 +513,14 @@
 	}
 }
 
-// ownerOf returns the member that orders an engine.
+// ownerOf returns the member that owns an engine.
 func (l *crashHarness) ownerOf(e *fleetEngine) *fleetMember {
 	o := l.f.store.values["owners/"+e.name].data.(*registry.Ownership)
 	return l.f.members[o.Owner]
 }
 
-// TestQuarantineReachesAllInstances: once one instance does not run a request any more, none does
-// a moment later, in a small fleet and a large one, also without the store.
+// TestQuarantineReachesAllInstances checks that all instances quarantine a request within a second
+// after the first one does, in a small and in a large fleet, with and without the store.
 func TestQuarantineReachesAllInstances(t *testing.T) {
 	const limit = time.Second
 	cases := []struct {
@@ -546,16 +546,17 @@
 				first := l.runUntilRefusedBy(1)
 				last := l.runUntilRefusedBy(c.members)
 				ended := l.crashTimes[1000]
-				t.Logf("seed %d: refused first %v after the last of %d ends, by all %v after that", seed, first-ended[len(ended)-1], len(ended), last-first)
+				t.Logf("seed %d: first refused %v after the last of %d crashes, by all instances %v after that", seed, first-ended[len(ended)-1], len(ended), last-first)
 				if last-first > limit {
-					t.Errorf("seed %d: the last instance refused it %v after the first", seed, last-first)
+					t.Errorf("seed %d: the last instance refused the request %v after the first", seed, last-first)
 				}
 			}
 		})
 	}
 }
 
-// runUntilRefusedBy runs the fleet runUntilRefusedBy so many members refuse request 1000, and returns when.
+// runUntilRefusedBy runs the fleet until the given number of members refuse request 1000, and
+// returns the time. It gives up after 30 s.
 func (l *crashHarness) runUntilRefusedBy(members int) time.Duration {
 	for range 3000 {
 		n := 0
--- a/core/instance/exchange_test.go
+++ b/core/instance/exchange_test.go
@@ -26,8 +26,8 @@
 	"github.com/birchdrift/birchdrift/core/watchers"
 )
 
-// fleetMachine is an instance of a large fleet that watches the platform as one.
-// It has a record, as have its peers, and is not among those that watch.
+// fleetMachine returns an instance of a large fleet that runs on the platform. The instance and
+// its peers are registered; the instance is not among those that watch.
 func fleetMachine(now clock.Instant, peers ...string) *Machine {
 	opt := option.Default()
 	opt.Environment = option.Platform
@@ -46,8 +46,8 @@
 	return m
 }
 
-// ownEngine has the machine own engine e1, which it is told of, and be allowed to
-// order it.
+// ownEngine makes the machine the owner of engine e1, with a list entry of the engine and the
+// right to send orders to it.
 func ownEngine(t *testing.T, m *Machine, now clock.Instant) {
 	t.Helper()
 	snapshot, err := config.NewSnapshot(fleetDocument())
@@ -64,10 +64,10 @@
 	m.orders.owned.Acquire(now, registry.Ownership{Engine: "e1", Owner: m.state.Self.Name, Boot: m.state.Self.Boot, Revision: 7}, now)
 }
 
-// TestDutiesGoToTheStrongest: in a fleet of unlike machines the ones with most
-// processor watch the platform, and the strongest of those places models. The
-// work of a placer once fell to a fifth of a core, which then lagged behind in
-// everything else (CONFIG broke on a day of a grown fleet).
+// TestDutiesGoToTheStrongest checks that in a fleet of unequal machines those with the most
+// processor capacity watch the platform, and that the strongest of them is the placer. The duty
+// once fell to an instance with a fifth of a core, which then lagged behind in everything else
+// (check CONFIG failed in a run of a grown fleet).
 func TestDutiesGoToTheStrongest(t *testing.T) {
 	is := is.New(t)
 	now := clocktest.At(time.Hour)
@@ -93,9 +93,9 @@
 	is.Equal(m.orders.registry.PlacerRank(now), 2)
 }
 
-// TestWatchersStandInForASilentPlacer: in a large fleet, while the placer does not
-// answer, an instance tells its zone's watchers what its callers ask for, and one
-// of those that owns engines places what is missed on them.
+// TestWatchersStandInForASilentPlacer checks that in a large fleet, while the placer does not
+// respond, an instance reports its demand to the watchers of its zone, and that a watcher that
+// owns engines places missing models on them.
 func TestWatchersStandInForASilentPlacer(t *testing.T) {
 	is := is.New(t)
 	now := clocktest.At(time.Hour)
@@ -106,7 +106,7 @@
 	m := fleetMachine(now, peers...)
 	watcher := m.orders.roster.InZone(now, "z")[0]
 	if watcher == m.state.Self.Name {
-		t.Fatal("this instance is not to watch in this test")
+		t.Fatal("this instance must not be a watcher in this test")
 	}
 	placer := "p00"
 	if watcher == placer {
@@ -124,7 +124,7 @@
 	is.True(m.env.platform.placer.PlacerUnreachable(now))
 }
 
-// sentExchanges returns the sentExchanges among the actions, by peer.
+// sentExchanges returns the messages of the exchanges that actions start, by peer.
 func sentExchanges(actions []step.Action) map[string]gossip.Message {
 	out := map[string]gossip.Message{}
 	for _, a := range actions {
@@ -135,10 +135,10 @@
 	return out
 }
 
-// TestSlowPeerDoesNotHoldUpARevision: a configuration that one peer does not hand
-// over is asked of another, and at last of the platform. Before, only the peer
-// that was furthest ahead was asked, until its exchange failed (CONFIG broke on a
-// day of a grown fleet: a route was refused 3.1 s after its acknowledgement).
+// TestSlowPeerDoesNotHoldUpARevision checks that a configuration that one peer does not deliver is
+// requested from another peer and finally from the platform. Previously, only the peer that was
+// furthest ahead was asked, until its exchange failed (check CONFIG failed in a run of a grown
+// fleet: a route was refused 3.1 s after its acknowledgement).
 func TestSlowPeerDoesNotHoldUpARevision(t *testing.T) {
 	is := is.New(t)
 	now := clocktest.At(time.Hour)
@@ -148,7 +148,7 @@
 	}
 	first := sentExchanges(ahead("a"))
 	is.True(first["a"].WantConfig)
-	is.Equal(sentExchanges(ahead("b")), map[string]gossip.Message{}) // one is asked at a time
+	is.Equal(sentExchanges(ahead("b")), map[string]gossip.Message{}) // one pull at a time
 	now = now.Add(exchange.PullTimeout)
 	is.True(sentExchanges(m.Step(now, Tick{}))["b"].WantConfig)
 	is.True(!m.env.platform.watch.Active(now))
@@ -157,9 +157,9 @@
 	is.True(m.env.platform.watch.Active(now))
 }
 
-// TestOnlyPullsBringConfigurations: of all exchanges with peers that are ahead,
-// only one at a time asks for the configuration itself. Before, each did, and
-// over narrow links none of them came to its end.
+// TestOnlyPullsBringConfigurations checks that only one exchange at a time requests the
+// configuration itself, however many peers are ahead. Previously, every exchange did, and over
+// slow links none of them completed.
 func TestOnlyPullsBringConfigurations(t *testing.T) {
 	is := is.New(t)
 	now := clocktest.At(time.Hour)
@@ -177,9 +177,9 @@
 	is.Equal(wanted, 1)
 }
 
-// TestPeersAreNotSentRecordsTheyKnow: of what the platform's store holds,
-// a peer is sent what it has not heard at first hand; a new boot of it, which
-// may have heard nothing, is sent everything.
+// TestPeersAreNotSentRecordsTheyKnow checks that a peer is sent only those records of the
+// platform's store that it has not received from the store itself. A new boot of the peer may have
+// received nothing, so it is sent everything.
 func TestPeersAreNotSentRecordsTheyKnow(t *testing.T) {
 	is := is.New(t)
 	now := clocktest.At(time.Hour)
@@ -206,13 +206,12 @@
 	is.Equal(told(1, 0, 0, 0), []string{"r1", "r2"})
 	is.Equal(told(1, 0, 0, 11), []string{"r2"})
 	is.Equal(told(1, 1, m.state.Records.Stamp(), 12), nil)
-	// A new boot that confirms what was composed for the one before it.
+	// A new boot that acknowledges a message that was composed for the previous boot.
 	is.Equal(told(2, 1, m.state.Records.Stamp(), 0), []string{"r1", "r2"})
 	is.Equal(told(2, 1, m.state.Records.Stamp(), 0), nil)
 }
 
-// ownerOf returns who owns engine e by the newest record known, "" where there is
-// none.
+// ownerOf returns the owner of engine e in the newest known record, or "" if there is none.
 func ownerOf(m *Machine) string {
 	o, ok := m.orders.registry.Owner("e")
 	if !ok {
@@ -221,8 +220,9 @@
 	return o.Owner
 }
 
-// TestOlderRecordsOfTheRegistryAreIgnored: what a peer says of the registry may
-// be older than what is known, and a whole listing ends what it does not have.
+// TestOlderRecordsOfTheRegistryAreIgnored checks that registry records from a peer that are older
+// than the known ones are ignored, and that a full listing removes the records that it does not
+// contain.
 func TestOlderRecordsOfTheRegistryAreIgnored(t *testing.T) {
 	is := is.New(t)
 	now := clocktest.At(time.Hour)
@@ -234,7 +234,7 @@
 	m.orders.registry.Merge(now, "a", []registry.Record{owned("new", 20)})
 	m.orders.registry.Merge(now, "b", []registry.Record{owned("old", 19)})
 	is.Equal(ownerOf(m), "new")
-	m.Step(now, ownership.WatchUpdate{Version: 15, Whole: true}) // from before that change
+	m.Step(now, ownership.WatchUpdate{Version: 15, Whole: true}) // older than the record
 	is.Equal(ownerOf(m), "new")
 	is.Equal(len(m.orders.registry.Instances()), 0)
 	m.Step(now, ownership.WatchUpdate{Version: 25, Whole: true})
--- a/core/instance/gone_test.go
+++ b/core/instance/gone_test.go
@@ -18,11 +18,11 @@
 	"github.com/birchdrift/birchdrift/core/watchers"
 )
 
-// abandonedCall is the call whose caller leaves.
+// abandonedCall is the call whose caller disconnects.
 const abandonedCall calls.ID = 7
 
-// newOwnerHarness returns one instance that owns its two engines, of which each holds three
-// models, and does nothing that the test does not do.
+// newOwnerHarness returns one instance that owns its two engines, which hold three models each.
+// Events come only from the test.
 func newOwnerHarness(t *testing.T) *soloHarness {
 	t.Helper()
 	f := newFleetOf(1, 1, 2, option.Disabled{}, false)
@@ -32,7 +32,7 @@
 	return &soloHarness{m: n.m, now: f.clock(n), version: 1000}
 }
 
-// arrive has the call arrive.
+// arrive delivers abandonedCall to the instance.
 func (l *soloHarness) arrive(model, adapter string) []step.Action {
 	return l.m.Step(l.now, calls.Arrived{Call: calls.Request{
 		ID: abandonedCall, Path: "/x", Replayable: true, PromptTokens: 100,
@@ -40,7 +40,7 @@
 	}})
 }
 
-// workFor returns what is done for the call among the actions.
+// workFor returns the actions that start work for abandonedCall, and all orders.
 func workFor(actions []step.Action) []step.Action {
 	var out []step.Action
 	for _, a := range actions {
@@ -60,8 +60,8 @@
 	return out
 }
 
-// TestNoWorkAfterCallerGone: wherever its call is when a caller leaves, nothing is
-// sent for it after that, whatever answers still come, and no replica counts it as there.
+// TestNoWorkAfterCallerGone checks that after a caller disconnects, nothing is sent for its call
+// in any phase, whatever responses still arrive, and that no replica counts the call as in flight.
 func TestNoWorkAfterCallerGone(t *testing.T) {
 	fails := func(l *soloHarness, number int, b calls.AttemptFailed) {
 		b.ID, b.Attempt = abandonedCall, number
@@ -71,19 +71,19 @@
 		name  string
 		phase calls.Phase
 		do    func(l *soloHarness)
-		late  func(l *soloHarness) []step.Action // what still comes
+		late  func(l *soloHarness) []step.Action // delivers a late response; may be nil
 	}{
-		{"it runs", calls.Running, func(l *soloHarness) { l.arrive("m0", "") }, func(l *soloHarness) []step.Action {
+		{"the call runs", calls.Running, func(l *soloHarness) { l.arrive("m0", "") }, func(l *soloHarness) []step.Action {
 			return l.m.Step(l.now, calls.AttemptFailed{ID: abandonedCall, Attempt: 1, Phase: attempt.Refused})
 		}},
-		{"it runs at its second replica", calls.Running, func(l *soloHarness) {
+		{"the call runs at its second replica", calls.Running, func(l *soloHarness) {
 			l.arrive("m0", "")
 			l.list(l.entry("1"))
 			fails(l, 1, calls.AttemptFailed{Phase: attempt.MaybeSent, Severed: true})
 		}, func(l *soloHarness) []step.Action {
 			return l.m.Step(l.now, calls.AttemptFailed{ID: abandonedCall, Attempt: 2, Phase: attempt.Refused})
 		}},
-		{"its stream goes on elsewhere", calls.Running, func(l *soloHarness) {
+		{"the stream resumes at another replica", calls.Running, func(l *soloHarness) {
 			l.arrive("m0", "")
 			l.list(l.entry("1"))
 			l.m.Step(l.now, calls.AnswerBegan{ID: abandonedCall})
@@ -91,24 +91,24 @@
 		}, func(l *soloHarness) []step.Action {
 			return l.m.Step(l.now, calls.AttemptFailed{ID: abandonedCall, Attempt: 2, Phase: attempt.Answered, Severed: true, Delivered: 5})
 		}},
-		{"it waits for a rest", calls.Waiting, func(l *soloHarness) {
+		{"the call waits for the end of a rest", calls.Waiting, func(l *soloHarness) {
 			for _, r := range l.m.state.Pool.All() {
 				l.m.state.Pool.ObserveNotice(l.now, r.Name, l.now, pool.Notice{Rest: 300 * time.Millisecond})
 			}
 			l.arrive("m0", "")
 		}, nil},
-		{"it waits for the tries of a suspected request", calls.Waiting, func(l *soloHarness) {
+		{"the call waits for the trial runs of a suspected request", calls.Waiting, func(l *soloHarness) {
 			for seq := range uint64(crash.MaxCrashes) {
 				r := crash.Report{Observer: "j", Seq: seq, Replica: pool.Incarnation{Name: fmt.Sprint(seq)}, Requests: []crash.Fingerprint{7, 8}}
 				l.m.quarantine.HandlePeerReports(l.now, "j", []crash.Report{r}, nil)
 			}
 			l.arrive("m0", "")
 		}, nil},
-		{"it waits for an adapter", calls.AwaitingOrder, func(l *soloHarness) { l.arrive("m0", "a1") }, func(l *soloHarness) []step.Action {
+		{"the call waits for an adapter", calls.AwaitingOrder, func(l *soloHarness) { l.arrive("m0", "a1") }, func(l *soloHarness) []step.Action {
 			e := l.m.orders.owned.Get("e0")
 			return l.m.Step(l.now, owned.OrderReply{Engine: "e0", Fence: e.Fence, Answer: 2})
 		}},
-		{"engines are asked how busy they are", calls.Probing, func(l *soloHarness) {
+		{"engines are being probed", calls.Probing, func(l *soloHarness) {
 			l.m.state.Options.ProbeWait = 20 * time.Millisecond
 			for i := range 2 * watchers.FullMeshLimit {
 				l.m.state.Members.Upsert(fmt.Sprintf("peer%d", i), "z0", fmt.Sprintf("peer%d", i))
--- a/core/instance/leaving_test.go
+++ b/core/instance/leaving_test.go
@@ -1,8 +1,10 @@
 package instance
 
-// Seen: a request reached a replica 2.2 s after the store had acknowledged that it leaves; 2 s
-// are allowed. Entries were taken for old after the store had stepped back, later ones took back
-// that a replica leaves, and the waits between the store and a call added up to more than 2 s.
+// Guards against calls that reach a replica too late after it announced that it leaves. A request
+// reached a replica 2.2 s after the store had acknowledged that it leaves; 2 s are allowed.
+//
+// Entries were considered outdated after the store had stepped back, later entries revoked that a
+// replica leaves, and the waits between the store and a call added up to more than 2 s.
 
 import (
 	"flag"
@@ -21,39 +23,39 @@
 )
 
 var (
-	leaveSeeds = flag.Int("leave.seeds", 2, "seeds of each storm in which engines leave")
-	leaveSizes = flag.Bool("leave.sizes", false, "play engines that leave in fleets of 46 and 370 instances too")
+	leaveSeeds = flag.Int("leave.seeds", 2, "number of seeds per storm with leaving engines")
+	leaveSizes = flag.Bool("leave.sizes", false, "also run the tests of leaving engines with fleets of 46 and 370 instances")
 )
 
-// Bounds of the users' deployments.
+// The bounds of the users' deployments.
 var (
 	smallBounds = bounds.Bounds{Leave: 2 * time.Second, Settle: 3 * time.Second}
 	largeBounds = bounds.Bounds{Leave: 3 * time.Second, Settle: 4 * time.Second}
 )
 
-// lingerTime is how long an engine serves on after it said that it leaves, or its entry went:
-// longer than any bound, so that each request that comes too late is seen.
+// lingerTime is the time for which an engine still serves calls after it announced that it leaves,
+// or after its entry was deleted. It exceeds every bound, so that each late call is seen.
 const lingerTime = 6 * time.Second
 
-// A leaveHarness has engines leave, and counts the calls that reach them too late.
+// A leaveHarness makes engines leave and records the calls that reach them too late.
 type leaveHarness struct {
 	f            *fleet
 	bounds       bounds.Bounds
 	leaveRecords map[*fleetEngine]leaveRecord
-	// When the store, and each member, was disturbed last.
+	// Times of the last disturbance of the store and of each member.
 	storeDisturbedAt  time.Duration
 	memberDisturbedAt map[string]time.Duration
 	boots             map[string]uint64
-	next              int // number of the next engine
+	next              int // number for the name of the next engine
 	late              []string
-	left              int           // engines that left under a stable store
-	maxListAge        time.Duration // list by which a member that the rule binds sent a call
+	left              int           // engines that left while the store was stable
+	maxListAge        time.Duration // largest age of a list by which a member to which the bound applies sent a call
 }
 
-// A leaveRecord is when the store took that an engine leaves.
+// A leaveRecord records when the store accepted that an engine leaves.
 type leaveRecord struct {
 	at     time.Duration
-	stable bool // the store was, for some time
+	stable bool // whether the store had been undisturbed for Settle by then
 }
 
 func newLeaveHarness(f *fleet, b bounds.Bounds) *leaveHarness {
@@ -66,8 +68,8 @@
 	return l
 }
 
-// observe notes who is disturbed, again and again. A watch that hangs, is cut or does not hear
-// of changes is no disturbance: the rule binds all the same.
+// observe records every 4 ms which members are disturbed. A watch that hangs, is cut or misses
+// changes is not a disturbance: the bound still applies.
 func (l *leaveHarness) observe() {
 	f := l.f
 	if f.store.down || f.store.refusesConnections || f.lostShare > 0 {
@@ -83,16 +85,18 @@
 	f.at(4*time.Millisecond, l.observe)
 }
 
-// stable reports whether the store was not disturbed for a while.
+// stable reports whether the store has been undisturbed for Settle.
 func (l *leaveHarness) stable() bool { return l.f.now-l.storeDisturbedAt >= l.bounds.Settle }
 
-// boundApplies reports whether the rule binds a member.
+// boundApplies reports whether the bound applies to a member: neither it nor the store was
+// disturbed for Settle.
 func (l *leaveHarness) boundApplies(n *fleetMember) bool {
 	return l.stable() && l.f.now-l.memberDisturbedAt[n.id.Name] >= l.bounds.Settle
 }
 
-// sent takes in that a member sends a call to an engine. It reaches it only once a connection is
-// made, which may take as long as the members try.
+// sent handles a call that a member sends to an engine. The call reaches the engine when a
+// connection is established, which may take up to the dial timeout, so the check is made after
+// that time.
 func (l *leaveHarness) sent(n *fleetMember, d calls.Dispatch) {
 	e := l.f.engines[d.Replica]
 	if l.boundApplies(n) {
@@ -103,11 +107,11 @@
 		if !ok || !w.stable || l.f.now-w.at <= l.bounds.Leave || !l.boundApplies(n) || e.gone {
 			return
 		}
-		l.late = append(l.late, fmt.Sprintf("%v: a call of %s reached %s %v after the store had taken that it leaves", l.f.now, n.id.Name, e.name, l.f.now-w.at))
+		l.late = append(l.late, fmt.Sprintf("%v: a call of %s reached %s %v after the store accepted that it leaves", l.f.now, n.id.Name, e.name, l.f.now-w.at))
 	})
 }
 
-// randomStayingEngine returns an engine that does not leave.
+// randomStayingEngine returns a random engine that is not leaving.
 func (l *leaveHarness) randomStayingEngine() *fleetEngine {
 	names := sortedKeys(l.f.engines)
 	for {
@@ -118,13 +122,13 @@
 	}
 }
 
-// leave has an engine leave, by its word or without one, and another one take its place at
-// once.
+// leave makes an engine leave, with or without announcing it, and starts a replacement
+// immediately.
 func (l *leaveHarness) leave(e *fleetEngine, silent bool) {
 	f := l.f
 	l.replace(e)
 	if f.store.down {
-		return // its word is not taken
+		return // the store does not accept the announcement
 	}
 	l.recordLeave(e)
 	e.leavesSilently = silent
@@ -140,7 +144,7 @@
 	})
 }
 
-// recordLeave notes that the store takes at this moment that an engine leaves.
+// recordLeave records that the store accepts now that an engine leaves.
 func (l *leaveHarness) recordLeave(e *fleetEngine) {
 	w := leaveRecord{at: l.f.now, stable: l.stable()}
 	l.leaveRecords[e] = w
@@ -155,21 +159,21 @@
 	})
 }
 
-// checkUnused checks that no member that the rule binds would send a call to an engine that comes
-// too late.
+// checkUnused checks that no member to which the bound applies would still send a call to a
+// leaving engine that would arrive too late.
 func (l *leaveHarness) checkUnused(e *fleetEngine) {
 	for _, n := range l.allMembers() {
 		r := n.m.state.Pool.Get(e.name)
 		if l.boundApplies(n) && r != nil && (r.Usable() || r.LastResort(l.f.clock(n))) {
-			l.late = append(l.late, fmt.Sprintf("%v: %s would send calls to %s %v after the store had taken that it leaves", l.f.now, n.id.Name, e.name, l.bounds.Leave-bounds.DialTimeout))
+			l.late = append(l.late, fmt.Sprintf("%v: %s would still send calls to %s %v after the store accepted that it leaves", l.f.now, n.id.Name, e.name, l.bounds.Leave-bounds.DialTimeout))
 		}
 	}
 }
 
-// randomLeave has some engine leave.
+// randomLeave makes a random engine leave; one in three leaves without announcing it.
 func (l *leaveHarness) randomLeave() { l.leave(l.randomStayingEngine(), l.f.rng.IntN(3) == 0) }
 
-// replace starts an engine that holds what another one does.
+// replace starts an engine that holds the same models as e.
 func (l *leaveHarness) replace(e *fleetEngine) {
 	f := l.f
 	added := &fleetEngine{
@@ -181,7 +185,7 @@
 	f.announce(added)
 }
 
-// hangWatches has nothing come any more on the connections of all watches that wait.
+// hangWatches makes the connections of the pending watches of members hang.
 func (l *leaveHarness) hangWatches(members ...*fleetMember) {
 	for _, n := range members {
 		for _, w := range n.pendingWatches {
@@ -190,7 +194,7 @@
 	}
 }
 
-// allMembers returns all members.
+// allMembers returns the members, in the order in which they were added.
 func (l *leaveHarness) allMembers() (members []*fleetMember) {
 	for _, name := range l.f.names {
 		members = append(members, l.f.members[name])
@@ -198,8 +202,9 @@
 	return members
 }
 
-// dropHistory has watches hear of no change for a second, then the store dropHistory its history: all
-// watches are cut, with a reset or without a word, and go on from the whole.
+// dropHistory withholds changes from the watches for a second, and then drops the history of the
+// store: the connections of all watches are reset, or hang if silent is set, and the watches
+// continue with a full read.
 func (l *leaveHarness) dropHistory(silent bool) {
 	f := l.f
 	f.store.muteUntil = f.now + time.Second
@@ -214,12 +219,13 @@
 	})
 }
 
-// leaveWithin has an engine leave within a span.
+// leaveWithin makes an engine leave at a random time within span.
 func (l *leaveHarness) leaveWithin(span time.Duration) {
 	l.f.at(time.Duration(l.f.rng.Int64N(int64(span))), l.randomLeave)
 }
 
-// storeDown has the store be away for a while, with a word to whoever connects or without one.
+// storeDown takes the store down for span. If closed is set the store refuses connections;
+// otherwise it does not respond.
 func (l *leaveHarness) storeDown(span time.Duration, closed bool) {
 	l.f.store.down = true
 	l.f.store.refusesConnections = closed
@@ -229,8 +235,8 @@
 	})
 }
 
-// rewriteEntries has every engine write its entry again and again, so that a step back of the store takes
-// many numbers back.
+// rewriteEntries makes every engine write its entry ten times, so that a later step back of the
+// store rolls back many revisions.
 func (l *leaveHarness) rewriteEntries() {
 	const writes = 10
 	for range writes {
@@ -242,19 +248,20 @@
 	}
 }
 
-// leaveAfter has engines leave as soon as the rule binds again, span from now.
+// leaveAfter makes engines leave as soon as the bound applies again after a disturbance that ends
+// in span.
 func (l *leaveHarness) leaveAfter(span time.Duration) {
 	l.f.at(span+l.bounds.Settle+8*time.Millisecond, l.randomLeave)
 	l.f.at(span+l.bounds.Settle+700*time.Millisecond, l.randomLeave)
 }
 
-// A leaveStorm is what goes wrong beside engines that leave.
+// A leaveStorm is a fault scenario for a fleet with leaving engines.
 type leaveStorm struct {
 	name string
 	do   func(l *leaveHarness)
 }
 
-// every has something done again and again.
+// every calls do at an interval of span.
 func (l *leaveHarness) every(span time.Duration, do func()) {
 	l.f.periodically(span, time.Hour, func() func() { do(); return func() {} })
 }
@@ -279,20 +286,20 @@
 			l.leaveWithin(time.Second)
 		})
 	}},
-	{"history is dropped without a word", func(l *leaveHarness) {
+	{"history is dropped without a reset", func(l *leaveHarness) {
 		l.every(4700*time.Millisecond, func() {
 			l.dropHistory(true)
 			l.leaveWithin(time.Second)
 		})
 	}},
-	{"the store is down", func(l *leaveHarness) {
+	{"the store refuses connections", func(l *leaveHarness) {
 		l.every(11*time.Second, func() {
 			span := time.Duration(1+l.f.rng.IntN(5)) * time.Second
 			l.storeDown(span, true)
 			l.leaveAfter(span)
 		})
 	}},
-	{"the store is silent", func(l *leaveHarness) {
+	{"the store does not respond", func(l *leaveHarness) {
 		l.every(12*time.Second, func() {
 			span := time.Duration(1+l.f.rng.IntN(6)) * time.Second
 			l.storeDown(span, false)
@@ -310,11 +317,11 @@
 			})
 		})
 	}},
-	{"replicas that leave are said to be ready", func(l *leaveHarness) {
+	{"leaving replicas are listed as ready", func(l *leaveHarness) {
 		l.every(2900*time.Millisecond, func() {
 			e := l.randomStayingEngine()
 			l.leave(e, false)
-			l.f.at(time.Second, func() { // a write of before is carried out late
+			l.f.at(time.Second, func() { // a delayed write from before the announcement
 				e.leaving = false
 				l.f.announce(e)
 			})
@@ -336,7 +343,7 @@
 			return func() { l.f.thaw(n) }
 		})
 	}},
-	{"members are cut from the store", func(l *leaveHarness) {
+	{"members are cut off from the store", func(l *leaveHarness) {
 		l.every(1700*time.Millisecond, l.randomLeave)
 		l.f.periodically(9*time.Second, 4*time.Second, func() func() {
 			n, m := l.f.randomMember(), l.f.randomMember()
@@ -354,25 +361,26 @@
 	}},
 }
 
-// pairs are storms that are played beside each other.
+// leavePairs are pairs of storms that run at the same time.
 var leavePairs = [][2]string{
-	{"replicas that leave are said to be ready", "members are killed"},
+	{"leaving replicas are listed as ready", "members are killed"},
 	{"the store steps back", "members are killed"},
 	{"the store steps back", "the watches of all hang"},
-	{"history is dropped without a word", "members are frozen"},
-	{"history is dropped", "members are cut from the store"},
-	{"the store is down", "the watches of some hang"},
-	{"the store is silent", "members are killed"},
+	{"history is dropped without a reset", "members are frozen"},
+	{"history is dropped", "members are cut off from the store"},
+	{"the store refuses connections", "the watches of some hang"},
+	{"the store does not respond", "members are killed"},
 	{"a zone is cut off", "the watches of all hang"},
 }
 
-// findStorm returns the storm of a name.
+// findStorm returns the leaveStorm with the given name.
 func findStorm(name string) leaveStorm {
 	i := slices.IndexFunc(leaveStorms, func(s leaveStorm) bool { return s.name == name })
 	return leaveStorms[i]
 }
 
-// simulate plays a storm, alone or beside another, on a fleet of some size.
+// simulate runs a fleet of the given size under the storm, and under the storms beside it at the
+// same time.
 func (s leaveStorm) simulate(seed uint64, size fleetSize, beside ...leaveStorm) *leaveHarness {
 	f := newFleetWithBounds(seed, size.members, size.engines, option.Disabled{}, false, size.bounds)
 	f.adapterShare = 0.1
@@ -387,13 +395,13 @@
 	}
 	span := size.span
 	if testing.Short() {
-		span = min(span, shortSpan) // enough for each storm to come once
+		span = min(span, shortSpan) // long enough for each fault to occur once
 	}
 	f.run(span)
 	return l
 }
 
-// A fleetSize is how large a fleet is, and how long it is played.
+// A fleetSize is the size of a fleet and the duration of its simulation.
 type fleetSize struct {
 	members, engines int
 	bounds           bounds.Bounds
@@ -401,7 +409,7 @@
 	span             time.Duration
 }
 
-// shortSpan is how long a storm is played with -short, as under the race detector.
+// shortSpan is the duration of a simulation with -short, as used with the race detector.
 const shortSpan = 20 * time.Second
 
 var fleetSizes = []fleetSize{
@@ -410,25 +418,25 @@
 	{370, 100, largeBounds, time.Millisecond, 15 * time.Second},
 }
 
-// check reports what broke.
+// check reports late calls, violations of the fleet, and a run in which too little happened.
 func (l *leaveHarness) check(t *testing.T, seed int) {
 	t.Helper()
 	if len(l.late) > 0 {
-		t.Errorf("seed %d: %d calls too late; %s", seed+1, len(l.late), l.late[0])
+		t.Errorf("seed %d: %d calls reached a leaving engine too late; the first: %s", seed+1, len(l.late), l.late[0])
 	}
 	for _, b := range l.f.violations[:min(3, len(l.f.violations))] {
 		t.Errorf("seed %d: %s", seed+1, b)
 	}
-	t.Logf("seed %d: oldest list at a send %v, %d engines left, %.3f of calls served", seed+1, l.maxListAge.Round(time.Millisecond), l.left,
+	t.Logf("seed %d: largest age of a list at a dispatch %v, %d engines left, %.3f of calls served", seed+1, l.maxListAge.Round(time.Millisecond), l.left,
 		float64(l.f.served)/float64(max(1, l.f.served+l.f.refused)))
 	if l.left == 0 || l.f.served < 9*l.f.refused {
-		t.Errorf("seed %d: %d left, %d served, %d refused", seed+1, l.left, l.f.served, l.f.refused)
+		t.Errorf("seed %d: %d engines left, %d calls served, %d refused", seed+1, l.left, l.f.served, l.f.refused)
 	}
 }
 
-// TestLeavingReplicasGetNoCalls: whatever fails beside it, no call reaches a replica later than
-// the bound after the store took that it leaves, or lost its entry, and calls go on being
-// served.
+// TestLeavingReplicasGetNoCalls checks, for every fault scenario, that no call reaches a replica
+// later than the bound after the store accepted that the replica leaves or after its entry was
+// deleted, and that calls are still served.
 func TestLeavingReplicasGetNoCalls(t *testing.T) {
 	sizes := fleetSizes[:1]
 	if *leaveSizes {
@@ -446,7 +454,7 @@
 	}
 }
 
-// TestLeavingReplicasGetNoCallsInPairsOfStorms is the same where two things go wrong at once.
+// TestLeavingReplicasGetNoCallsInPairsOfStorms checks the same with two fault scenarios at a time.
 func TestLeavingReplicasGetNoCallsInPairsOfStorms(t *testing.T) {
 	sizes := fleetSizes[:1]
 	if *leaveSizes {
@@ -464,8 +472,8 @@
 	}
 }
 
-// TestAnOldListIsLogged: a list that is older than it should be is logged once, and once when it
-// is young again; on a calm day nothing is.
+// TestAnOldListIsLogged checks that a list that exceeds its age limit is logged once, and once
+// more when it is current again, and that nothing is logged without faults.
 func TestAnOldListIsLogged(t *testing.T) {
 	for _, tt := range []struct {
 		name string
@@ -474,7 +482,7 @@
 	}{
 		{"calm", func(*leaveHarness) {}, false},
 		{"watches hang", func(l *leaveHarness) { l.every(5*time.Second, func() { l.hangWatches(l.allMembers()...) }) }, false},
-		{"watches and what is called beside them hang", func(l *leaveHarness) {
+		{"watches and exchanges fail", func(l *leaveHarness) {
 			for _, n := range l.allMembers() {
 				l.f.periodically(6*time.Second, 3*time.Second, func() func() {
 					n.noUpdates = true
--- a/core/instance/limit_test.go
+++ b/core/instance/limit_test.go
@@ -1,17 +1,16 @@
 package instance
 
-// Seen: replicas that named in their answers how many requests a second they take got as
-// many as before, or more: 12 within 4 s where 11 were the most allowed at 1 a second.
+// Guards against requests beyond the rate limit that a replica states in its responses. Such
+// replicas received as many requests as before, or more: 12 within 4 s where at most 11 were
+// allowed at a limit of 1 request per second.
 //
-// How: each answer of such a replica was whole and in time, so to the instances it looked
-// as good as any other, and better than busy ones.
+// Each response of such a replica was complete and in time, so instances considered it as good as
+// any other, and better than busy replicas. The limit in the header of a response was not read,
+// and no mechanism made all instances together keep a limit at a replica. Each replica therefore
+// received its even share of the calls, whatever its limit.
 //
-// Cause: what a replica says of its limit in the head of an answer was read nowhere; nothing
-// in the product knew that all instances together are to keep to something at a replica.
-//
-// Proof: engines that name limits, and nothing else, in the fleet here and as processes in
-// platform/limit_process_test.go. Before it was read, and kept to by all instances, each of
-// them got its even part of the calls, at whatever limit.
+// The engines in these tests state limits in their responses and nowhere else;
+// platform/limit_process_test.go tests the same with processes.
 
 import (
 	"flag"
@@ -32,58 +31,60 @@
 	"github.com/birchdrift/birchdrift/core/watchers"
 )
 
-// The users' bound on what reaches an engine that names a limit.
+// The users' bound on the requests that reach an engine that states a rate limit.
 const (
-	// limitWindow is the span over which requests are counted, wherever it begins.
+	// limitWindow is the length of the sliding window in which requests are counted.
 	limitWindow = 4 * time.Second
-	// limitFactor and limitMore are what may reach it in that span: so many times what the
-	// limit allows, and so many requests more.
+	// limitFactor and limitBurst bound the requests that may reach an engine in a window:
+	// limitFactor times what the limit allows, plus limitBurst requests.
 	limitFactor = 1.5
 	limitBurst  = 5
-	// limitToldDelay is how long before a request its instance must have been told of the limit
-	// for the request to count.
+	// limitToldDelay is the time after an instance was told of the limit from which its
+	// requests count.
 	limitToldDelay = 500 * time.Millisecond
-	// limitGrace is how long after an engine first named a limit the bound holds.
+	// limitGrace is the time after the first limit of an engine from which the bound applies.
 	limitGrace = 3 * time.Second
 )
 
-// healDelay is how long after a cut instances may still hold engines for out of reach: an
-// attempt that was made before takes half a second to fail, and they count as down for 0.7 s
-// then. Traced: the calls refused within that time had such engines alone.
+// healDelay is the time after the end of a partition for which instances may still consider
+// engines unreachable: an earlier attempt takes half a second to fail, and the engine then counts
+// as down for 0.7 s. Traces show that the calls refused within that time had only such engines.
 const healDelay = 1200 * time.Millisecond
 
-// loadNewsDelay is how long it takes all instances to hear of a model that was just loaded.
-// Traced: the call that was refused for one came in the moment in which it was there.
+// loadNewsDelay is the time within which all instances learn that a model was loaded. A trace
+// shows that a call was refused for a model at the moment at which its load completed.
 const loadNewsDelay = time.Second
 
-// minLimitUse is how much of a limit calls get at least, where they want more than that: an
-// aim of this product's own. Sending nothing would keep the users' bound.
+// minLimitUse is the minimum share of a limit that calls must get if their demand exceeds the
+// limit. It is an aim of this product; an instance that sends nothing would also keep the bound of
+// the users.
 const minLimitUse = 0.8
 
 var (
-	// limitSeeds is how many seeds each storm is played with. By hand: -limit.seeds=50.
-	limitSeeds = flag.Int("limit.seeds", 2, "seeds of each storm of engines that name a limit")
-	// limitAll plays all limits in the largest fleet too, which takes minutes.
-	limitAll = flag.Bool("limit.all", false, "play every limit in a fleet of 370 instances")
+	// limitSeeds is the number of seeds per storm. For a longer run, use -limit.seeds=50.
+	limitSeeds = flag.Int("limit.seeds", 2, "number of seeds per storm with engines that state a rate limit")
+	// limitAll runs all limits with the largest fleet too, which takes minutes.
+	limitAll = flag.Bool("limit.all", false, "run every limit with a fleet of 370 instances")
 )
 
-// A limitHarness has engines name a limit in their answers, and counts what is sent to them.
+// A limitHarness makes engines state rate limits in their responses, and records the requests that
+// they receive.
 type limitHarness struct {
 	f            *fleet
 	named        map[*fleetEngine][]namedLimit
-	told         map[noticeKey]time.Duration // when an instance first passed on an answer with a limit
+	told         map[noticeKey]time.Duration // when an instance first received a response that states a limit
 	received     map[*fleetEngine][]limitRequest
 	arrived      map[calls.ID]noticeCall
-	lost         []string // calls that an engine without a limit could have served
+	lost         []string // refused calls that an engine without a limit could have served
 	refused      []calls.Finish
-	healed       time.Duration // when a zone was last cut off
-	callDuration time.Duration // how long a call runs
-	// otherNotices is what engines say of themselves beside their limit; one that asks for rest
-	// turns everything away.
+	healed       time.Duration // when the last partition ended
+	callDuration time.Duration // run time of a call
+	// otherNotices holds what engines state in addition to their limit. An engine that states a
+	// rest refuses all calls.
 	otherNotices map[*fleetEngine]pool.Notice
 }
 
-// A namedLimit is a limit that an engine named from an instant on.
+// A namedLimit is a limit that an engine states from a point in time on.
 type namedLimit struct {
 	at    time.Duration
 	limit pool.RateLimit
@@ -104,8 +105,8 @@
 	return f.limits
 }
 
-// newLimitFleet returns the lab of a fleet whose instances exchange as they do where the
-// product runs, once its engines have owners.
+// newLimitFleet returns the harness of a fleet whose instances exchange and probe as in
+// production, and whose engines have owners.
 func newLimitFleet(seed uint64, members, engines int) *limitHarness {
 	f := newFleetOf(seed, 0, engines, option.Disabled{}, false)
 	f.opt.ExchangeEvery = 500 * time.Millisecond
@@ -119,17 +120,17 @@
 
 func (l *limitHarness) engine(i int) *fleetEngine { return l.f.engines[fmt.Sprintf("e%d", i)] }
 
-// setLimit has an engine name a limit from now on.
+// setLimit makes an engine state a limit from now on.
 func (l *limitHarness) setLimit(e *fleetEngine, perSecond float64) {
 	l.named[e] = append(l.named[e], namedLimit{l.f.now, pool.RateLimit{Named: true, PerSecond: perSecond}})
 }
 
-// endLimit has an engine name no limit from now on.
+// endLimit makes an engine state no limit from now on.
 func (l *limitHarness) endLimit(e *fleetEngine) {
 	l.named[e] = append(l.named[e], namedLimit{l.f.now, pool.RateLimit{}})
 }
 
-// limit returns the limit that an engine names now.
+// limit returns the limit that an engine currently states.
 func (l *limitHarness) limit(e *fleetEngine) pool.RateLimit {
 	if n := len(l.named[e]); n > 0 {
 		return l.named[e][n-1].limit
@@ -141,8 +142,8 @@
 	l.arrived[r.ID] = noticeCall{member: n, at: l.f.now, model: r.Forward.Model, plain: r.Forward.Adapter == ""}
 }
 
-// requestReached notes that a request reaches an engine in so long, and has what the engine says
-// of itself come back with the answer.
+// requestReached records after the delay way that a request reached an engine, and delivers the
+// notice in the response to the instance.
 func (l *limitHarness) requestReached(n *fleetMember, boot uint64, e *fleetEngine, way time.Duration, sent clock.Instant) {
 	l.f.at(way, func() {
 		l.recordRequest(n, boot, e)
@@ -154,7 +155,7 @@
 	l.received[e] = append(l.received[e], limitRequest{l.f.now, noticeKey{n.id.Name, boot, e.name, e.starts}})
 }
 
-// sendNotice has what an engine says of itself now reach an instance.
+// sendNotice delivers the current notice of an engine to an instance.
 func (l *limitHarness) sendNotice(n *fleetMember, boot uint64, e *fleetEngine, way time.Duration, sent clock.Instant) {
 	said := l.otherNotices[e]
 	said.Limit = l.limit(e)
@@ -167,7 +168,7 @@
 	})
 }
 
-// serve has a call served by its engine.
+// serve runs a call at its engine, or has the engine refuse it.
 func (l *limitHarness) serve(n *fleetMember, boot uint64, d calls.Dispatch, reply func(time.Duration, step.Event)) {
 	e := l.f.engines[d.Replica]
 	failed := func(way time.Duration, b calls.AttemptFailed) {
@@ -202,23 +203,23 @@
 	})
 }
 
-// handleFinish takes in a final answer that is not an engine's. Where an engine that names no
-// limit could have served the call, it is lost.
+// handleFinish handles a final answer that an instance gives itself. A call that an engine without
+// a limit could have served is lost.
 func (l *limitHarness) handleFinish(a calls.Finish) {
 	l.refused = append(l.refused, a)
 	c, ok := l.arrived[a.ID]
 	if !ok || !c.plain || a.Refusal.Code == code.NoConfiguration {
-		return // an instance that has just started serves nothing, whatever its engines do
+		return // an instance that has just started refuses all calls, whatever its engines do
 	}
 	if c.at < l.healed+healDelay || c.at < c.member.thawedAt {
-		// It came while its engines were out of reach, or counted as that still; or its
-		// instance stood still meanwhile.
+		// The call arrived while its engines were unreachable, or were still considered
+		// unreachable, or before its instance was frozen.
 		return
 	}
 	for _, name := range sortedKeys(l.f.engines) {
 		e := l.f.engines[name]
 		if l.f.now-e.loadedAt[c.model] < loadNewsDelay {
-			continue // nobody can have heard yet that it is there
+			continue // no instance can know yet that the model is loaded
 		}
 		if e.models[c.model] && !e.dead && !l.limit(e).Named && !l.f.partitioned(c.member.id.Zone, e.zone) {
 			l.lost = append(l.lost, fmt.Sprintf("%v: call %d for %s was refused with %d (%s) after %v, and %s could serve it",
@@ -228,8 +229,9 @@
 	}
 }
 
-// allowance returns what an engine's limit allowance between two instants; ok is false where it
-// named none for a part of that time. Its first limit counts for the time before it too.
+// allowance returns the number of requests that an engine's limit allows between two points in
+// time. ok is false if the engine stated no limit for a part of that time. Its first limit also
+// counts for the time before it.
 func (l *limitHarness) allowance(e *fleetEngine, from, to time.Duration) (requests float64, ok bool) {
 	for i, n := range l.named[e] {
 		until := to
@@ -251,11 +253,11 @@
 	return requests, true
 }
 
-// excess returns the window in which the most requests reached an engine beyond what the
-// users' bound allows, counted over all instances that it had told; ok is false if there is
-// no such window.
+// excess describes the window in which the requests that reached an engine exceeded the users'
+// bound the most, counting all instances that the engine had told of its limit. ok is false if no
+// window exceeds the bound.
 func (l *limitHarness) excess(e *fleetEngine) (worst string, ok bool) {
-	var within []limitRequest // that count, in the window
+	var within []limitRequest // the requests in the window that count
 	most := 0.0
 	for _, r := range l.received[e] {
 		if at, told := l.told[r.by]; !told || r.at < at+limitToldDelay {
@@ -271,13 +273,13 @@
 		}
 		if over := float64(len(within)) - limitFactor*allowed - limitBurst; over > most {
 			most = over
-			worst = fmt.Sprintf("%s got %d requests in the %v before %v; allowed %.0f", e.name, len(within), limitWindow, r.at, limitFactor*allowed+limitBurst)
+			worst = fmt.Sprintf("%s received %d requests in the %v before %v; allowed %.0f", e.name, len(within), limitWindow, r.at, limitFactor*allowed+limitBurst)
 		}
 	}
 	return worst, most > 0
 }
 
-// usedShare returns the share of an engine's limit that requests usedShare between two instants.
+// usedShare returns the share of an engine's limit that requests used between two points in time.
 func (l *limitHarness) usedShare(e *fleetEngine, from, to time.Duration) float64 {
 	allowed, _ := l.allowance(e, from, to)
 	n := 0
@@ -289,7 +291,8 @@
 	return float64(n) / allowed
 }
 
-// check reports what must not have happened.
+// check reports exceeded limits, lost calls, violations of the fleet, refusals without a retry
+// time, and a run in which too little happened.
 func (l *limitHarness) check(t *testing.T, seed int) {
 	t.Helper()
 	for _, name := range sortedKeys(l.f.engines) {
@@ -305,15 +308,15 @@
 	}
 	for _, a := range l.refused {
 		if a.Refusal.Run == code.NotRun && a.Refusal.RetryAfter <= 0 {
-			t.Errorf("seed %d: a call that did not run was refused without a time to come back: %+v", seed, a.Refusal)
+			t.Errorf("seed %d: a call that did not run was refused without a retry time: %+v", seed, a.Refusal)
 		}
 	}
 	if len(l.told) == 0 || l.f.served == 0 {
-		t.Errorf("seed %d: %d told, %d served", seed, len(l.told), l.f.served)
+		t.Errorf("seed %d: %d instances told of a limit, %d calls served", seed, len(l.told), l.f.served)
 	}
 }
 
-// A limitStorm is what goes wrong beside engines that name a limit.
+// A limitStorm is a fault scenario for a fleet with engines that state rate limits.
 type limitStorm struct {
 	name    string
 	members int
@@ -323,7 +326,7 @@
 var limitStorms = []limitStorm{
 	{"calm", 8, func(*limitHarness) {}},
 	{"the store is down", 8, func(l *limitHarness) { l.f.store.down = true }},
-	{"entries go and come back", 8, func(l *limitHarness) {
+	{"entries are deleted and restored", 8, func(l *limitHarness) {
 		l.f.periodically(1500*time.Millisecond, 700*time.Millisecond, func() func() {
 			e := l.engine(l.f.rng.IntN(6))
 			l.f.setKey("servers/"+e.name, nil)
@@ -364,7 +367,7 @@
 			return func() { l.f.thaw(n) }
 		})
 	}},
-	{"instances sleep", 8, func(l *limitHarness) {
+	{"instances are suspended", 8, func(l *limitHarness) {
 		l.f.periodically(5*time.Second, time.Hour, func() func() {
 			l.f.sleep(l.f.randomMember(), 3*time.Second, 0)
 			return func() {}
@@ -379,14 +382,14 @@
 			}
 		})
 	}},
-	{"an instance hears nobody", 8, func(l *limitHarness) {
+	{"an instance receives no updates", 8, func(l *limitHarness) {
 		l.f.periodically(4*time.Second, 3*time.Second, func() func() {
 			n := l.f.randomMember()
 			n.noUpdates = true
 			return func() { n.noUpdates = false }
 		})
 	}},
-	{"orders are carried out late", 8, func(l *limitHarness) { l.f.lateShare = 0.4 }},
+	{"orders are executed late", 8, func(l *limitHarness) { l.f.lateShare = 0.4 }},
 	{"limits change each second", 8, func(l *limitHarness) {
 		up := false
 		l.f.periodically(time.Second, 0, func() func() {
@@ -397,7 +400,7 @@
 			return func() {}
 		})
 	}},
-	{"engines start again", 8, func(l *limitHarness) {
+	{"engines restart", 8, func(l *limitHarness) {
 		l.f.periodically(4*time.Second, time.Second, func() func() {
 			e := l.engine(l.f.rng.IntN(6))
 			e.dead = true
@@ -407,9 +410,9 @@
 	{"a large fleet", 2 * watchers.FullMeshLimit, func(*limitHarness) {}},
 }
 
-// TestEnginesThatNameALimitGetNoMore: whatever fails beside it, an engine that names a
-// limit gets no more than the users' bound, over all instances; no call is refused that an
-// engine without a limit could serve.
+// TestEnginesThatNameALimitGetNoMore checks, for every fault scenario, that an engine that states
+// a limit receives no more requests than the users' bound, over all instances, and that no call is
+// refused that an engine without a limit could serve.
 func TestEnginesThatNameALimitGetNoMore(t *testing.T) {
 	for _, s := range limitStorms {
 		t.Run(s.name, func(t *testing.T) {
@@ -429,21 +432,21 @@
 	}
 }
 
-// TestWhereAllEnginesNameALimit: where calls want more than all engines take, each engine
-// gets what it takes, no more than the users' bound and no less than limitUsed of its
-// limit, whatever the size of the fleet; the other calls are told when to come back.
+// TestWhereAllEnginesNameALimit checks that if the demand exceeds the limits of all engines, each
+// engine receives no more than the users' bound and at least minLimitUse of its limit, whatever
+// the size of the fleet, and that the other calls are refused with a retry time.
 func TestWhereAllEnginesNameALimit(t *testing.T) {
 	const engines = 4
 	for _, members := range []int{8, 46, 370} {
 		for _, limit := range []float64{0.5, 1, 10, 200} {
 			t.Run(fmt.Sprintf("%d instances, %g a second", members, limit), func(t *testing.T) {
 				if members > 100 && limit != 1 && !*limitAll {
-					t.Skip("takes minutes: by hand, with -limit.all")
+					t.Skip("takes minutes; run it with -limit.all")
 				}
 				t.Parallel()
 				l := newLimitFleet(1, members, engines)
 				l.f.adapterShare = 0
-				// The limit binds, not what engines can run.
+				// Calls are so short that the limit is the bottleneck, not the capacity of the engines.
 				l.f.promptTokens = 100
 				l.f.firstTokenDelay = 5 * time.Millisecond
 				l.callDuration = 10 * time.Millisecond
@@ -459,19 +462,20 @@
 				for i := range engines {
 					least = min(least, l.usedShare(l.engine(i), from, l.f.now))
 				}
-				t.Logf("the engine that got least got %.2f of its limit", least)
+				t.Logf("the least used engine received %.2f of its limit", least)
 				if least < minLimitUse {
-					t.Errorf("an engine got %.2f of its limit", least)
+					t.Errorf("an engine received %.2f of its limit", least)
 				}
 			})
 		}
 	}
 }
 
-// TestAnEndedLimitIsHeard: that engines name no limit any more is heard, though hardly any
-// call goes there while others are free, and calls come back to them one after the other:
-// no more than twice as many in a second as in the one before, but for a few, or than twice
-// what is usual. After some seconds they get at least half of what they get where no limit was ever named.
+// TestAnEndedLimitIsHeard checks that instances learn that an engine no longer states a limit,
+// although hardly any call goes there while other engines are free, and that its traffic ramps up
+// gradually: each second it receives at most twice the requests of the previous second plus a few,
+// or at most twice the usual number. After some seconds it receives at least half of what it
+// receives where no limit was ever stated.
 func TestAnEndedLimitIsHeard(t *testing.T) {
 	for _, members := range []int{8, 46} {
 		for _, limit := range []float64{0, 0.5, 3} {
@@ -491,7 +495,7 @@
 				for from, last := ended, 0; from < ended+8*time.Second; from += time.Second {
 					n := l.receivedWithin(e, from, from+time.Second)
 					if most := max(2*max(last, int(limit))+3, usual/4+1); n > most {
-						t.Errorf("%d requests in the second from %v on, %d in the one before", n, from-ended, last)
+						t.Errorf("%d requests in the second that starts at %v, %d in the previous one", n, from-ended, last)
 					}
 					last = n
 				}
@@ -501,14 +505,14 @@
 					is.True(!limited)
 				}
 				got := l.receivedWithin(e, l.f.now-8*time.Second, l.f.now)
-				t.Logf("%d requests in 8 s, %d where no limit was named", got, usual)
+				t.Logf("%d requests in 8 s, %d without any limit", got, usual)
 				is.True(got*2 >= usual)
 			})
 		}
 	}
 }
 
-// endedLimitFleet returns a fleet whose calls ask for all models alike.
+// endedLimitFleet returns the harness of a fleet whose calls request all models equally.
 func endedLimitFleet(members int) *limitHarness {
 	l := newLimitFleet(1, members, 4*fleetEngines)
 	l.f.adapterShare = 0
@@ -518,7 +522,7 @@
 	return l
 }
 
-// receivedWithin returns how many requests reached an engine between two instants.
+// receivedWithin returns the number of requests that reached an engine between two points in time.
 func (l *limitHarness) receivedWithin(e *fleetEngine, from, to time.Duration) int {
 	n := 0
 	for _, r := range l.received[e] {
@@ -529,8 +533,9 @@
 	return n
 }
 
-// TestInstancesHearOfALimitFromPeers: before their own first answer, also those that start
-// after it was named.
+// TestInstancesHearOfALimitFromPeers checks that instances learn a limit from their peers before
+// they receive a response of the engine themselves, including instances that start after the limit
+// was stated.
 func TestInstancesHearOfALimitFromPeers(t *testing.T) {
 	is := is.New(t)
 	for _, members := range []int{8, 46} {
@@ -552,30 +557,31 @@
 		for !known() && l.f.now < from+limitGrace {
 			l.f.run(50 * time.Millisecond)
 		}
-		t.Logf("%d instances know after %v", members, l.f.now-from)
+		t.Logf("%d instances know the limit after %v", members, l.f.now-from)
 		is.True(known())
-		is.Equal(len(l.told), 1) // by the engine itself
+		is.Equal(len(l.told), 1) // only one instance was told by the engine itself
 		l.f.members["i3"].dead = true
 		l.f.run(time.Second)
 		l.f.start("i3")
 		for from = l.f.now; l.f.members["i3"].m.state.Pool.Get(e.name) == nil || !known(); l.f.run(10 * time.Millisecond) {
 			if l.f.now > from+time.Second {
-				t.Fatal("an instance that started does not hear of it")
+				t.Fatal("an instance that restarted does not learn the limit")
 			}
 		}
-		t.Logf("one that starts knows after %v", l.f.now-from)
+		t.Logf("a restarted instance knows the limit after %v", l.f.now-from)
 	}
 }
 
-// TestModelsOfALimitedEngineAreServedElsewhere: where an engine that alone holds models names
-// a limit which calls for them exceed, they are loaded elsewhere once, and served there.
+// TestModelsOfALimitedEngineAreServedElsewhere checks that if the only engine that holds some
+// models states a limit below the demand for them, these models are loaded on other engines once,
+// and served there.
 func TestModelsOfALimitedEngineAreServedElsewhere(t *testing.T) {
 	is := is.New(t)
 	for seed := range *limitSeeds {
 		l := newLimitFleet(uint64(seed+1), 8, 4)
 		l.f.adapterShare = 0
 		l.f.promptTokens = 100
-		l.f.startCallersFor(80*time.Millisecond, func() int { return l.f.rng.IntN(3) }) // all at the first engine
+		l.f.startCallersFor(80*time.Millisecond, func() int { return l.f.rng.IntN(3) }) // all three models are at the first engine
 		l.f.run(5 * time.Second)
 		l.setLimit(l.engine(0), 0.5)
 		l.f.run(25 * time.Second)
@@ -589,14 +595,15 @@
 		is.True(elsewhere["m0"] && elsewhere["m1"] && elsewhere["m2"])
 		orders, refused := l.f.orders, len(l.refused)
 		l.f.run(15 * time.Second)
-		is.Equal(l.f.orders, orders) // nothing moves to and fro
+		is.Equal(l.f.orders, orders) // models are not moved back and forth
 		is.Equal(len(l.refused), refused)
 		l.check(t, seed)
 	}
 }
 
-// TestLimitRestAndLeavingTogether: an engine that names a limit asks for rest besides, and then
-// leaves: all three hold, also at an instance that hears of it from its peers.
+// TestLimitRestAndLeavingTogether checks that an engine can state a limit, then also a rest, and
+// then that it leaves, and that all three are obeyed, also by an instance that learns of them from
+// its peers.
 func TestLimitRestAndLeavingTogether(t *testing.T) {
 	is := is.New(t)
 	for seed := range *limitSeeds {
@@ -610,17 +617,17 @@
 		l.f.run(4 * time.Second)
 		l.otherNotices[e] = pool.Notice{}
 		l.f.run(8 * time.Second)
-		is.True(l.receivedWithin(e, l.f.now-6*time.Second, l.f.now) > 0) // a call shows after 5 s that it serves
+		is.True(l.receivedWithin(e, l.f.now-6*time.Second, l.f.now) > 0) // after 5 s, a call shows that the engine serves again
 		is.True(l.receivedWithin(e, rests, rests+4*time.Second) <= 3*maxInRest+limitBurst)
 		l.f.members["i2"].dead = true
 		l.otherNotices[e] = pool.Notice{Leaving: true}
 		n := l.f.members["i0"]
-		l.sendNotice(n, n.boot, e, 0, l.f.clock(n)) // hardly anything goes there
+		l.sendNotice(n, n.boot, e, 0, l.f.clock(n)) // hardly any call goes there to tell the instances
 		l.f.run(leaveGrace + time.Second)
 		l.f.start("i2")
 		gone := l.f.now
 		l.f.run(6 * time.Second)
-		// One that has just heard of it may still send a call there that no other can serve.
+		// An instance that has just learned of it may still send a call there that no other engine can serve.
 		is.Equal(l.receivedWithin(e, gone+leaveGrace, l.f.now), 0)
 		l.check(t, seed)
 	}
--- a/core/instance/lives_test.go
+++ b/core/instance/lives_test.go
@@ -1,7 +1,7 @@
 package instance
 
-// Replicas that start again may do so under the name that they had. Their entry has
-// another birth then; they hold nothing, have taken no orders and run no calls.
+// Tests of replicas that restart under their previous name. Their entry then has another value of
+// Born; they hold no models, have executed no orders and run no calls.
 
 import (
 	"testing"
@@ -26,8 +26,8 @@
 	"github.com/birchdrift/birchdrift/core/step"
 )
 
-// restartEmpty has an engine end and start again under its name, with nothing loaded,
-// its entry written anew in place.
+// restartEmpty ends an engine and restarts it under its name with nothing loaded. Its entry is
+// overwritten, not deleted in between.
 func (l *noticeHarness) restartEmpty(e *fleetEngine, after time.Duration) {
 	e.dead = true
 	l.f.at(after, func() {
@@ -37,9 +37,9 @@
 	})
 }
 
-// TestAnEngineThatStartsAgainIsOrderedAnew: the owner of an engine that starts again under
-// its name, with nothing loaded and its count of orders at none, has models and adapters
-// loaded there as at any other engine.
+// TestAnEngineThatStartsAgainIsOrderedAnew checks that the owner of an engine that restarts under
+// its name, with nothing loaded and its order sequence at 0, loads models and adapters there as at
+// any other engine.
 func TestAnEngineThatStartsAgainIsOrderedAnew(t *testing.T) {
 	is := is.New(t)
 	for seed := range *noticeSeeds {
@@ -52,18 +52,18 @@
 		e := l.engine(1)
 		is.True(e.sequence > 0)
 		l.restartEmpty(e, 1500*time.Millisecond)
-		f.run(4500 * time.Millisecond) // three seconds since it started
+		f.run(4500 * time.Millisecond) // three seconds after it started
 		is.Equal(f.requestFromOwner(e, orders.Request{Load: true, Model: "m0"}), owned.Started)
 		f.run(5 * time.Second)
 		is.True(e.models["m0"])
 		is.Equal(f.requestFromOwner(e, orders.Request{Load: true, Model: "m0", Adapter: "a9"}), owned.Done)
-		is.True(e.loadedAdapters["m0/a9"]) // it may have made way for one that calls ask for since
+		is.True(e.loadedAdapters["m0/a9"]) // it may have been evicted since, for an adapter that calls request
 		is.Equal(f.violations, nil)
 	}
 }
 
-// requestFromOwner has the owner of an engine asked for an order, and returns the outcome that it
-// tells within a second, 0 if it tells none.
+// requestFromOwner requests an order from the owner of an engine, and returns the outcome that the
+// owner reports within a second, or 0 if it reports none.
 func (f *fleet) requestFromOwner(e *fleetEngine, r orders.Request) (outcome owned.Outcome) {
 	o := f.store.values["owners/"+e.name].data.(*registry.Ownership)
 	owner := f.members[o.Owner]
@@ -74,16 +74,16 @@
 	return outcome
 }
 
-// TestOrdersHoldWhileEnginesStartAgain: engines that start again under their names, while
-// orders are carried out late and owners come and go, are never ordered to hold more than
-// they can, nor by two owners in turns.
+// TestOrdersHoldWhileEnginesStartAgain checks that engines that restart under their names, while
+// orders are executed late and owners change, are never ordered to hold more than they can, nor
+// ordered by two owners in alternation.
 func TestOrdersHoldWhileEnginesStartAgain(t *testing.T) {
 	storms := []struct {
 		name string
 		do   func(f *fleet)
 	}{
 		{"calm", func(*fleet) {}},
-		{"orders carried out late", func(f *fleet) { f.lateShare = 0.4 }},
+		{"orders executed late", func(f *fleet) { f.lateShare = 0.4 }},
 		{"owners killed", func(f *fleet) {
 			f.periodically(6*time.Second, 2*time.Second, func() func() {
 				n := f.lastOrderSender()
@@ -128,7 +128,7 @@
 	}
 }
 
-// A soloHarness is one instance before a plain replica that a test speaks for.
+// A soloHarness is one instance with a replica whose behavior the test scripts.
 type soloHarness struct {
 	m       *Machine
 	now     clock.Instant
@@ -144,7 +144,7 @@
 	return &soloHarness{m: n.m, now: f.clock(n), version: 1000}
 }
 
-// step hands the machine an event and returns the actions of a kind that follow.
+// stepFor delivers an event to the machine and returns the resulting actions of type T.
 func stepFor[T step.Action](l *soloHarness, ev step.Event) []T {
 	var out []T
 	for _, a := range l.m.Step(l.now, ev) {
@@ -155,7 +155,7 @@
 	return out
 }
 
-// entry returns an entry of an engine that holds model m0, in one of its lives.
+// entry returns a list entry of an engine that holds model m0; born identifies the incarnation.
 func (l *soloHarness) entry(born string) gossip.Listed {
 	l.version++
 	return gossip.Listed{
@@ -170,55 +170,56 @@
 	l.m.Step(l.now, listing.Reply{Entries: entries, Version: l.version})
 }
 
-// call has a call arrive, and returns where it is sent.
+// call delivers a call and returns its dispatches.
 func (l *soloHarness) call(id calls.ID) []calls.Dispatch {
 	return stepFor[calls.Dispatch](l, calls.Arrived{Call: calls.Request{
 		ID: id, Path: "/x", Replayable: true, PromptTokens: 100, Forward: &calls.ForwardRequest{Name: "call", Host: "h", Model: "m0"},
 	}})
 }
 
-// TestFormerIncarnationIsIgnored: what is said late of a life that has ended, by the store,
-// by a peer, or in the outcome of an attempt there, changes nothing of the life that is there.
+// TestFormerIncarnationIsIgnored checks that late news about an incarnation that has ended,
+// whether from the store, from a peer, or in the result of an attempt there, does not affect the
+// current incarnation.
 func TestFormerIncarnationIsIgnored(t *testing.T) {
 	cases := []struct {
 		name string
 		late func(l *soloHarness)
 	}{
 		{"an entry that was written late", func(l *soloHarness) { l.list(l.entry("1")) }},
-		{"an entry that a peer heard before", func(l *soloHarness) {
+		{"an entry that a peer received earlier", func(l *soloHarness) {
 			old := l.entry("1")
 			old.Version = 999
 			l.m.Step(l.now, exchange.RequestReceived{Token: 1, Message: gossip.Message{From: "peer", Address: "peer", Boot: 1, Records: gossip.Records{Listed: []gossip.Listed{old}}}})
 		}},
-		{"an entry of it that says that it leaves", func(l *soloHarness) {
+		{"an entry that announces that it leaves", func(l *soloHarness) {
 			old := l.entry("1")
 			old.Announced.Leaving = true
 			l.list(old)
 		}},
-		{"a report of it", func(l *soloHarness) {
+		{"a report by itself", func(l *soloHarness) {
 			old := l.entry("1")
 			l.m.Step(l.now, listing.SelfReport{Replica: "e", Sent: l.now, Announcement: *old.Announced})
 		}},
-		{"an answer of it that says that it leaves", func(l *soloHarness) {
+		{"a response that announces that it leaves", func(l *soloHarness) {
 			l.m.Step(l.now, notice.Received{Replica: "e", Sent: l.now.Add(-5 * time.Millisecond), Notice: pool.Notice{Leaving: true}})
 		}},
-		{"what it said of its load", func(l *soloHarness) {
+		{"a report of its load", func(l *soloHarness) {
 			l.m.Step(l.now, forwarding.ProbeReply{Call: 9, Engine: "e", Sent: l.now.Add(-5 * time.Millisecond), Queued: 500})
 		}},
-		{"what its owner said that it holds", func(l *soloHarness) {
+		{"its residency as reported by its owner", func(l *soloHarness) {
 			res := gossip.Residency{Engine: "e", Residency: pool.Residency{Boot: 7, Change: 3, Born: "1", Items: []pool.Item{{Name: "m5", Phase: pool.Ready}}}}
 			l.m.Step(l.now, exchange.RequestReceived{Token: 1, Message: gossip.Message{From: "peer", Address: "peer", Boot: 1, Records: gossip.Records{Residencies: []gossip.Residency{res}}}})
 		}},
 		{"a call found another replica at its address", func(l *soloHarness) {
 			l.m.Step(l.now, calls.AttemptFailed{ID: 1, Attempt: 1, Phase: attempt.Refused, Misdirected: true, Incarnation: "another"})
 		}},
-		{"a call found nobody", func(l *soloHarness) {
+		{"a call found its address unreachable", func(l *soloHarness) {
 			l.m.Step(l.now, calls.AttemptFailed{ID: 1, Attempt: 1, Phase: attempt.NotSent, Unreachable: true})
 		}},
-		{"a call found that its model is not there", func(l *soloHarness) {
+		{"a call found its model missing", func(l *soloHarness) {
 			l.m.Step(l.now, calls.AttemptFailed{ID: 1, Attempt: 1, Phase: attempt.Refused, Misdirected: true, Incarnation: "e"})
 		}},
-		{"a call broke off", func(l *soloHarness) {
+		{"the response to a call was severed", func(l *soloHarness) {
 			l.m.Step(l.now, calls.AttemptFailed{ID: 1, Attempt: 1, Phase: attempt.Answered, Severed: true})
 		}},
 	}
@@ -232,19 +233,20 @@
 			l.list(l.entry("2"))
 			r := l.m.state.Pool.Get("e")
 			c.late(l)
-			is.True(l.m.state.Pool.Get("e") == r) // no other life
+			is.True(l.m.state.Pool.Get("e") == r) // the same incarnation
 			is.Equal(r.Announcement().Born, "2")
 			is.True(r.Usable() && !r.Down(l.now) && r.Phase("m0") == pool.Ready)
 			is.Equal(r.Failures(), 0)
 			is.Equal(r.Load(l.now).Waiting, 0)
-			is.Equal(len(l.call(2)), 1) // it serves
+			is.Equal(len(l.call(2)), 1) // it still serves calls
 		})
 	}
 }
 
-// TestCallsOfFormerIncarnationAreSettled: calls that were at a replica when it ended, without a
-// sign on their connections, go on as after a crash once its next life is known: one that
-// may be repeated goes there, one that may not is told that it may have run.
+// TestCallsOfFormerIncarnationAreSettled checks calls that were in flight at a replica when it
+// ended without closing their connections. Once the next incarnation is known they are handled as
+// after a crash: a call that may be retried goes to the new incarnation, and one that may not is
+// reported as possibly run.
 func TestCallsOfFormerIncarnationAreSettled(t *testing.T) {
 	is := is.New(t)
 	l := newSoloHarness(t)
@@ -254,17 +256,18 @@
 	entry := l.entry("2")
 	cut := stepFor[calls.Interrupt](l, listing.Reply{Entries: []gossip.Listed{entry}, Version: l.version})
 	is.Equal(cut, []calls.Interrupt{{ID: 1}})
-	// Its attempt ends by that, not by its connection.
+	// The interrupt ends the attempt, not the connection.
 	l.now = l.now.Add(time.Millisecond)
 	again := stepFor[calls.Dispatch](l, calls.AttemptFailed{ID: 1, Attempt: 1, Phase: attempt.MaybeSent})
 	is.Equal(len(again), 1)
 	is.Equal(again[0].Replica, "e")
-	is.Equal(len(l.m.state.Records.Crashes()), 0) // the request has no name to be known by
+	is.Equal(len(l.m.state.Records.Crashes()), 0) // the request has no fingerprint to identify it
 	is.Equal(l.m.state.Pool.Get("e").Failures(), 0)
 }
 
-// TestIncarnationIsKnownFromSelfReport: what a replica says of itself when it is asked counts
-// before its entry comes, and that entry, or one of the life before, changes nothing then.
+// TestIncarnationIsKnownFromSelfReport checks that what a replica reports about itself when
+// queried takes effect before its list entry arrives, and that neither that entry nor one of the
+// previous incarnation changes anything afterwards.
 func TestIncarnationIsKnownFromSelfReport(t *testing.T) {
 	is := is.New(t)
 	l := newSoloHarness(t)
@@ -272,7 +275,7 @@
 	next := l.entry("2")
 	next.Announced.Models = []pool.AnnouncedModel{{Name: "m1"}}
 	l.m.Step(l.now, listing.SelfReport{Replica: "e", Sent: l.now.Add(-time.Millisecond), Announcement: *next.Announced})
-	is.Equal(l.m.state.Pool.Get("e").Announcement().Born, "1") // asked before this one was known
+	is.Equal(l.m.state.Pool.Get("e").Announcement().Born, "1") // queried before the current incarnation was known
 	l.now = l.now.Add(10 * time.Millisecond)
 	l.m.Step(l.now, listing.SelfReport{Replica: "e", Sent: l.now, Announcement: *next.Announced})
 	r := l.m.state.Pool.Get("e")
--- a/core/instance/notice_test.go
+++ b/core/instance/notice_test.go
@@ -1,18 +1,18 @@
 package instance
 
-// Seen: replicas got calls for many seconds after they had said in their answers that
-// they leave, until the list said so; replicas that turned calls away and asked for rest
-// got more of them at once.
+// Guards against ignoring what replicas state about themselves in their responses. Replicas
+// received calls for many seconds after they had announced in their responses that they leave,
+// until the list said so. Replicas that refused calls and requested a rest received more calls
+// immediately.
 //
-// How: while the list's store was down, what a leaving replica wrote there was not taken,
-// so the list showed it as ready, and calls were chosen by the list. A refusal counted for
-// the call that it was given to; the next call found the replica as good as before.
+// While the store of the list was down, it did not accept the entry of a leaving replica, so the
+// list showed the replica as ready, and instances selected replicas by the list. A refusal
+// affected only the call that it was sent for; for the next call the replica looked as good as
+// before. The header of a response in which a replica states these notices was not read, so all
+// instances kept sending calls.
 //
-// Cause: what a replica says of itself in the head of an answer was read nowhere.
-//
-// Proof: engines that say so, and nothing else, in the fleet here and as processes in
-// platform/notice_process_test.go. Before it was read, calls went on to each of them from
-// all instances.
+// The engines in these tests state their notices in responses and nowhere else;
+// platform/notice_process_test.go tests the same with processes.
 
 import (
 	"errors"
@@ -37,36 +37,37 @@
 )
 
 const (
-	// leaveGrace is how long an instance may go on sending to an engine after it was
-	// told that the engine leaves: the users' bound.
+	// leaveGrace is the users' bound on the time for which an instance may still send
+	// to an engine after it was told that the engine leaves.
 	leaveGrace = 2 * time.Second
-	// restGrace is how long requests may be on their way to an engine that asked for
-	// rest: the users' bound.
+	// restGrace is the users' bound on the time for which requests may still arrive at
+	// an engine after it requested a rest.
 	restGrace = 500 * time.Millisecond
-	// maxInRest is how many requests of an instance may reach an engine in its rest:
-	// the users' bound.
+	// maxInRest is the users' bound on the number of requests of one instance that may
+	// reach an engine during its rest.
 	maxInRest = 2
 )
 
-// noticeSeeds is how many seeds each storm is played with. By hand: -notice.seeds=50.
-var noticeSeeds = flag.Int("notice.seeds", 3, "seeds of each storm of engines that say something of themselves")
+// noticeSeeds is the number of seeds per storm. For a longer run, use -notice.seeds=50.
+var noticeSeeds = flag.Int("notice.seeds", 3, "number of seeds per storm with engines that send notices")
 
-// A noticeHarness has engines say something of themselves in their answers, and checks what
-// is sent to them after that.
+// A noticeHarness makes engines send notices in their responses, and checks the requests that they
+// receive afterwards.
 type noticeHarness struct {
 	f        *fleet
 	leaving  map[*fleetEngine]bool
-	rests    map[*fleetEngine]time.Duration // asked for by engines that turn everything away
+	rests    map[*fleetEngine]time.Duration // requested by engines that refuse all calls
 	arrived  map[calls.ID]noticeCall
 	told     map[noticeKey]time.Duration // when an instance was first told that an engine leaves
 	received map[noticeKey][]noticeRequest
 	served   map[*fleetEngine]int
-	lost     []string    // calls that another engine could have served
-	late     int         // requests after noticeLeft
-	retries  *retryCount // nil: tries are not counted
+	lost     []string    // refused calls that another engine could have served
+	late     int         // number of requests sent later than leaveGrace
+	retries  *retryCount // nil: attempts are not counted
 }
 
-// A noticeKey is an instance that an engine spoke to.
+// A noticeKey identifies an incarnation of an instance and the incarnation of an engine that
+// responds to it.
 type noticeKey struct {
 	member string
 	boot   uint64
@@ -77,15 +78,15 @@
 // A noticeRequest is one request that reached an engine.
 type noticeRequest struct {
 	at   time.Duration
-	rest time.Duration // that the answer asked for
+	rest time.Duration // rest that the response requested
 }
 
-// A noticeCall is a call on its way.
+// A noticeCall is a call that has arrived at an instance.
 type noticeCall struct {
 	member *fleetMember
 	at     time.Duration
 	model  string
-	plain  bool // it asks for no adapter
+	plain  bool // the call requests no adapter
 }
 
 func newNoticeHarness(f *fleet) *noticeHarness {
@@ -104,8 +105,8 @@
 	l.arrived[r.ID] = noticeCall{member: n, at: l.f.now, model: r.Forward.Model, plain: r.Forward.Adapter == ""}
 }
 
-// requestReached notes that something sent at sent requestReached an engine, and returns what the
-// engine says of itself in its answer.
+// requestReached records that a request reached an engine, and returns the notice in the engine's
+// response. sent is the time from which leaveGrace is checked.
 func (l *noticeHarness) requestReached(n *fleetMember, boot uint64, e *fleetEngine, sent time.Duration) pool.Notice {
 	to := noticeKey{n.id.Name, boot, e.name, e.starts}
 	if at, told := l.told[to]; told && sent > at+leaveGrace {
@@ -116,7 +117,7 @@
 	return said
 }
 
-// sendNotice has what an engine says of itself reach the instance.
+// sendNotice delivers a notice of an engine to an instance.
 func (l *noticeHarness) sendNotice(n *fleetMember, boot uint64, e *fleetEngine, sent clock.Instant, said pool.Notice) {
 	if said.IsZero() {
 		return
@@ -130,7 +131,7 @@
 	})
 }
 
-// serve has a call served by its engine, or turned away.
+// serve runs a call at its engine, or has the engine refuse it.
 func (l *noticeHarness) serve(n *fleetMember, boot uint64, d calls.Dispatch, reply func(time.Duration, step.Event)) {
 	e := l.f.engines[d.Replica]
 	failed := func(way time.Duration, b calls.AttemptFailed) {
@@ -168,8 +169,7 @@
 	})
 }
 
-// rejectOrder takes in that an order is sent to an engine, and reports whether the
-// engine turned it away.
+// rejectOrder handles an order sent to an engine, and reports whether the engine rejected it.
 func (l *noticeHarness) rejectOrder(n *fleetMember, boot uint64, a owned.SendOrder, reply func(time.Duration, step.Event)) bool {
 	e := l.f.engines[a.Engine]
 	said := l.requestReached(n, boot, e, l.f.now)
@@ -181,8 +181,8 @@
 	return true
 }
 
-// rejectStateQuery takes in that an engine is asked for its state, and reports whether
-// it turned that away.
+// rejectStateQuery handles a query for the state of an engine, and reports whether the engine
+// rejected it.
 func (l *noticeHarness) rejectStateQuery(n *fleetMember, boot uint64, e *fleetEngine, sent clock.Instant, reply func(time.Duration, step.Event)) bool {
 	said := l.requestReached(n, boot, e, l.f.now-fleetLatency)
 	l.sendNotice(n, boot, e, sent, said)
@@ -193,12 +193,12 @@
 	return true
 }
 
-// handleFinish takes in a final answer that is not an engine's. Where some engine could
-// have served the call, it is lost.
+// handleFinish handles a final answer that an instance gives itself. A call that some engine could
+// have served is lost.
 func (l *noticeHarness) handleFinish(a calls.Finish) {
 	c, ok := l.arrived[a.ID]
 	if !ok || !c.plain || a.Refusal.Code == code.NoConfiguration {
-		return // an instance that has just started serves nothing, whatever its engines do
+		return // an instance that has just started refuses all calls, whatever its engines do
 	}
 	for _, name := range sortedKeys(l.f.engines) {
 		e := l.f.engines[name]
@@ -210,8 +210,9 @@
 	}
 }
 
-// maxRequestsInRest returns the most requests of one instance that reached an engine within a
-// rest that it had asked that instance for.
+// maxRequestsInRest returns the largest number of requests of one instance that reached an engine
+// during a rest that the engine had requested from that instance. The first restGrace of a rest
+// does not count.
 func (l *noticeHarness) maxRequestsInRest() int {
 	most := 0
 	for _, reaches := range l.received {
@@ -228,8 +229,8 @@
 	return most
 }
 
-// startLeaving has an engine say that it startLeaving, in its answers alone, end after a while and
-// start again under its name.
+// startLeaving makes an engine announce, only in its responses, that it leaves. The engine ends 6
+// s later and restarts under its name after another 2 s.
 func (l *noticeHarness) startLeaving(e *fleetEngine) {
 	l.leaving[e] = true
 	l.f.at(6*time.Second, func() {
@@ -238,23 +239,23 @@
 	})
 }
 
-// restartEngine has an engine that ended start again under its name.
+// restartEngine restarts an engine that ended, under its name.
 func (l *noticeHarness) restartEngine(e *fleetEngine) {
 	delete(l.leaving, e)
 	delete(l.served, e)
 	l.f.restartEngine(e)
 }
 
-// shedLoad has an engine turn everything away for a span and ask for rest.
+// shedLoad makes an engine reject everything for span and request a rest.
 func (l *noticeHarness) shedLoad(e *fleetEngine, span, rest time.Duration) {
 	l.rests[e] = rest
 	l.f.at(span, func() { delete(l.rests, e) })
 }
 
-// engine returns an engine of the fleet.
+// engine returns the engine with number i.
 func (l *noticeHarness) engine(i int) *fleetEngine { return l.f.engines[fmt.Sprintf("e%d", i)] }
 
-// A noticeStorm is what goes wrong beside engines that say something of themselves.
+// A noticeStorm is a fault scenario for a fleet with engines that send notices.
 type noticeStorm struct {
 	name    string
 	members int
@@ -264,7 +265,7 @@
 var noticeStorms = []noticeStorm{
 	{"calm", 5, func(*noticeHarness) {}},
 	{"the store is down", 5, func(l *noticeHarness) { l.f.store.down = true }},
-	{"the list says that they are ready", 5, func(l *noticeHarness) {
+	{"leaving engines are listed as ready", 5, func(l *noticeHarness) {
 		l.f.periodically(200*time.Millisecond, 0, func() func() {
 			for e := range l.leaving {
 				if !e.dead {
@@ -274,7 +275,7 @@
 			return func() {}
 		})
 	}},
-	{"entries go and come back", 5, func(l *noticeHarness) {
+	{"entries are deleted and restored", 5, func(l *noticeHarness) {
 		l.f.periodically(1500*time.Millisecond, 700*time.Millisecond, func() func() {
 			var gone []*fleetEngine
 			for e := range l.leaving {
@@ -297,15 +298,15 @@
 			return func() { l.f.start(n.id.Name) }
 		})
 	}},
-	{"orders are carried out late", 5, func(l *noticeHarness) { l.f.lateShare = 0.4 }},
-	{"answers of the store are lost", 5, func(l *noticeHarness) { l.f.lostShare = 0.4 }},
+	{"orders are executed late", 5, func(l *noticeHarness) { l.f.lateShare = 0.4 }},
+	{"responses of the store are lost", 5, func(l *noticeHarness) { l.f.lostShare = 0.4 }},
 	{"a large fleet", 2 * watchers.FullMeshLimit, func(*noticeHarness) {}},
 }
 
-// TestEngineNoticesAreObeyed: whatever fails beside it, nothing is sent to an
-// engine later than two seconds after it told the instance that it leaves, and no more
-// than two requests in a rest that it asked for; no call is refused that another engine
-// could serve.
+// TestEngineNoticesAreObeyed checks, for every fault scenario, that an instance sends nothing to
+// an engine later than two seconds after the engine told it that it leaves, and at most two
+// requests during a rest that the engine requested, and that no call is refused that another
+// engine could serve.
 func TestEngineNoticesAreObeyed(t *testing.T) {
 	for _, s := range noticeStorms {
 		t.Run(s.name, func(t *testing.T) {
@@ -327,7 +328,7 @@
 				}
 				f.run(20 * time.Second)
 				if most := l.maxRequestsInRest(); l.late > 0 || most > maxInRest {
-					t.Errorf("seed %d: %d requests after an engine had said that it leaves; %d in a rest", seed, l.late, most)
+					t.Errorf("seed %d: %d requests too late after an engine announced that it leaves; %d during a rest", seed, l.late, most)
 				}
 				for _, lost := range l.lost[:min(3, len(l.lost))] {
 					t.Errorf("seed %d: %d calls lost; %s", seed, len(l.lost), lost)
@@ -336,16 +337,16 @@
 					t.Errorf("seed %d: %s", seed, b)
 				}
 				if len(l.told) == 0 || f.served == 0 {
-					t.Errorf("seed %d: %d told, %d served", seed, len(l.told), f.served)
+					t.Errorf("seed %d: %d instances told that an engine leaves, %d calls served", seed, len(l.told), f.served)
 				}
 			}
 		})
 	}
 }
 
-// TestAnEngineThatStartsAgainServes: what an engine said of itself holds for that life of
-// it only. It serves again under its name as soon as it is listed, also where an answer of
-// the life before comes late.
+// TestAnEngineThatStartsAgainServes checks that the notices of an engine apply to that incarnation
+// only: it serves again under its name as soon as it is listed, even if a response of the previous
+// incarnation arrives late.
 func TestAnEngineThatStartsAgainServes(t *testing.T) {
 	is := is.New(t)
 	for seed := range *noticeSeeds {
@@ -373,9 +374,9 @@
 	}
 }
 
-// TestWhereAllEnginesLeaveOrRest: where nobody else is left, calls are refused at once
-// with when to come back, or wait for a rest that ends soon; no engine gets more than it
-// may.
+// TestWhereAllEnginesLeaveOrRest checks that if no other engine is left, calls are refused
+// immediately with a retry time, or wait for a rest that ends soon, and that no engine receives
+// more requests than allowed.
 func TestWhereAllEnginesLeaveOrRest(t *testing.T) {
 	for _, tt := range []struct {
 		name string
--- a/core/instance/outage_test.go
+++ b/core/instance/outage_test.go
@@ -9,22 +9,23 @@
 	"github.com/birchdrift/birchdrift/core/option"
 )
 
-// What the store of the users' deployments allows all instances together, in reading calls a
-// second.
+// Rate limits of the store in the users' deployments, in read calls per second over all instances
+// together.
 const (
 	smallRate      = 2000
 	largeRate      = 6000
-	largeFleetSize = 46 // instances from which the store allows the larger rate
+	largeFleetSize = 46 // number of instances from which largeRate applies
 )
 
-// An outageRecovery is what followed an outage that all instances shared.
+// An outageRecovery records how the instances recovered from an outage that affected all of them.
 type outageRecovery struct {
-	list, lease   time.Duration // until the last instance had it again
-	busiest       int           // calls of the store in its busiest second
-	callsPer100ms []int         // calls in each 100 ms
+	list, lease   time.Duration // time until the last instance had it again
+	busiest       int           // calls to the store in the busiest second
+	callsPer100ms []int         // calls to the store in each 100 ms
 }
 
-// timeUntilAll returns after how long all members have something again, 0 if not within a span.
+// timeUntilAll runs the fleet until has is true for all members, and returns the time that this
+// took, or 0 if it takes longer than span.
 func (f *fleet) timeUntilAll(span time.Duration, has func(n *fleetMember) bool) time.Duration {
 	const look = 20 * time.Millisecond
 	for took := time.Duration(0); took < span; took += look {
@@ -40,7 +41,8 @@
 	return 0
 }
 
-// recoverFromOutage has the store come back after an outage that all members shared.
+// recoverFromOutage simulates a 5 s outage of the store and records how the members recover from
+// it.
 func recoverFromOutage(f *fleet, closed bool) outageRecovery {
 	f.store.down, f.store.refusesConnections = true, closed
 	f.run(5 * time.Second)
@@ -66,12 +68,12 @@
 	return e
 }
 
-// TestTheListComesFirstAfterAnOutage: after an outage that all instances shared, each has the list
-// again before the bound for replicas that leave binds again, by no more calls than the store
-// allows.
+// TestTheListComesFirstAfterAnOutage checks that after an outage that affects all instances, each
+// instance has the list again before the bound for leaving replicas applies again, and that the
+// instances do not exceed the call rate that the store allows.
 func TestTheListComesFirstAfterAnOutage(t *testing.T) {
 	sizes := []fleetSize{
-		{members: 1, engines: fleetEngines, bounds: smallBounds}, // nobody tells it
+		{members: 1, engines: fleetEngines, bounds: smallBounds}, // no peer can send it the list
 		{members: 8, engines: fleetEngines, bounds: smallBounds},
 	}
 	if *leaveSizes {
@@ -85,7 +87,7 @@
 				if size.members >= largeFleetSize {
 					rate = largeRate
 				}
-				seeds := max(1, 16/size.members) // of small fleets, which differ most
+				seeds := max(1, 16/size.members) // small fleets vary most, so they get more seeds
 				for seed := range seeds {
 					f := newFleetWithBounds(uint64(seed+1), size.members, size.engines, option.Disabled{}, false, size.bounds)
 					f.expireLeases()
--- a/core/instance/probe_test.go
+++ b/core/instance/probe_test.go
@@ -21,7 +21,7 @@
 	"github.com/birchdrift/birchdrift/core/watchers"
 )
 
-// probeMachine is an instance of a large fleet before engines that hold model m0.
+// probeMachine returns an instance of a large fleet with engines that hold model m0.
 func probeMachine(t *testing.T, now clock.Instant, wait time.Duration, engines ...string) *Machine {
 	t.Helper()
 	var peers []string
@@ -50,7 +50,7 @@
 	return calls.Arrived{Call: calls.Request{ID: id, Path: "/x", Replayable: true, PromptTokens: 4000, Forward: &calls.ForwardRequest{Name: "call", Host: "h", Model: "m0"}}}
 }
 
-// probedEngines returns the engines that are probedEngines how busy they are.
+// probedEngines returns the engines that actions probe, sorted by name.
 func probedEngines(actions []step.Action) []string {
 	var names []string
 	for _, a := range actions {
@@ -62,9 +62,9 @@
 	return names
 }
 
-// TestCallsGoToTheIdlerProbedEngine: in a large fleet a call that may go
-// to several engines asks two of them, waits for both answers, and goes to the
-// one with less to do; one that does not answer in time holds nothing up.
+// TestCallsGoToTheIdlerProbedEngine checks that in a large fleet a call that can go to several
+// engines probes two of them, waits for both replies, and goes to the less loaded engine. An
+// engine that does not reply in time does not delay the call.
 func TestCallsGoToTheIdlerProbedEngine(t *testing.T) {
 	cases := []struct {
 		name string
@@ -74,7 +74,7 @@
 	}{
 		{"the first is busy", forwarding.ProbeReply{Queued: 12, Running: 30}, forwarding.ProbeReply{}, "e2"},
 		{"the second is busy", forwarding.ProbeReply{}, forwarding.ProbeReply{Queued: 12, Running: 30}, "e1"},
-		{"the first is busy, the second silent", forwarding.ProbeReply{Queued: 12, Running: 30}, forwarding.ProbeReply{Err: errors.New("no answer")}, "e2"},
+		{"the first is busy, the second does not reply", forwarding.ProbeReply{Queued: 12, Running: 30}, forwarding.ProbeReply{Err: errors.New("no answer")}, "e2"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -88,7 +88,7 @@
 			c.e2.Call, c.e2.Engine, c.e2.Sent = 1, "e2", now
 			is.Equal(dispatchedTo(m.Step(now, c.e1)), "")
 			is.Equal(dispatchedTo(m.Step(now, c.e2)), c.want)
-			// What they said a moment ago serves the next call as well.
+			// Recent probe replies are reused for the next call.
 			now = now.Add(forwarding.ProbeMaxAge / 2)
 			if c.e2.Err == nil {
 				is.Equal(dispatchedTo(m.Step(now, probeCall(2))), c.want)
@@ -97,8 +97,8 @@
 	}
 }
 
-// TestNoProbeWithoutAChoice: where there is one engine, or asking is
-// switched off, a call is sent at once.
+// TestNoProbeWithoutAChoice checks that a call is sent without a probe if there is only one engine
+// or if probing is disabled.
 func TestNoProbeWithoutAChoice(t *testing.T) {
 	is := is.New(t)
 	now := clocktest.At(time.Hour)
@@ -110,8 +110,8 @@
 	is.True(dispatchedTo(off) != "")
 }
 
-// TestCallerGoneDuringProbe: their answers find no call, and
-// nothing is sent.
+// TestCallerGoneDuringProbe checks that probe replies that arrive after the caller disconnected
+// are ignored.
 func TestCallerGoneDuringProbe(t *testing.T) {
 	is := is.New(t)
 	now := clocktest.At(time.Hour)
@@ -123,8 +123,8 @@
 	is.Equal(m.calls.Len(), 0)
 }
 
-// TestUnprobedCallsSpread: where asking does not pay, calls of a large fleet do not all
-// go to the first of several engines that seem alike, and a few go on asking.
+// TestUnprobedCallsSpread checks that where probing does not pay off, the calls of a large fleet
+// do not all go to the first of several engines that seem equal, and that a few calls still probe.
 func TestUnprobedCallsSpread(t *testing.T) {
 	is := is.New(t)
 	now := clocktest.At(time.Hour)
@@ -140,7 +140,7 @@
 		} else {
 			went[dispatchedTo(actions)]++
 		}
-		later := now.Add(10 * time.Millisecond) // asking takes time, and changes nothing
+		later := now.Add(10 * time.Millisecond) // the probes take 10 ms and report equal loads
 		for _, e := range engines {
 			m.Step(later, forwarding.ProbeReply{Call: id + 1, Engine: e, Sent: now})
 		}
--- a/core/instance/repeats_test.go
+++ b/core/instance/repeats_test.go
@@ -9,14 +9,14 @@
 	"github.com/birchdrift/birchdrift/core/watchers"
 )
 
-// A retryCount is the calls that came and their tries, as engines saw them.
+// A retryCount records the arrivals of calls and their retries, as seen by the engines.
 type retryCount struct {
 	callTimes []time.Duration
-	retries   []time.Duration // tries past the first of their call
+	retries   []time.Duration // times of the attempts after the first one of a call
 	tried     map[calls.ID]bool
 }
 
-// recordAttempt notes that a call reached an engine.
+// recordAttempt records that an attempt of a call reached an engine.
 func (c *retryCount) recordAttempt(now time.Duration, id calls.ID) {
 	if c.tried[id] {
 		c.retries = append(c.retries, now)
@@ -24,7 +24,7 @@
 	c.tried[id] = true
 }
 
-// countWithin counts the moments in the span up to an instant.
+// countWithin returns the number of moments within the span that ends at to.
 func countWithin(moments []time.Duration, span, to time.Duration) int {
 	n := 0
 	for _, at := range moments {
@@ -35,8 +35,9 @@
 	return n
 }
 
-// excess returns the most repeats beyond the fleet's budget in any window of it. The calls
-// are those of the window, of the one before, or of the one that began half a window sooner.
+// excess returns the largest number of retries beyond the fleet's budget in any window. The budget
+// is based on the calls of the same window, of the previous window, or of the one that started
+// half a window earlier, whichever has the most.
 func (c *retryCount) excess(o option.Options) float64 {
 	most := 0.0
 	for _, at := range c.retries {
@@ -50,9 +51,9 @@
 	return most
 }
 
-// TestRetriesKeepTheFleetBudget: where engine after engine turns calls away, and whoever
-// gives out repeats dies, stands still or is cut off, the fleet makes no more repeats than
-// its budget.
+// TestRetriesKeepTheFleetBudget checks that the fleet does not exceed its retry budget while
+// engine after engine rejects calls and the instances that grant retries die, freeze or are cut
+// off.
 func TestRetriesKeepTheFleetBudget(t *testing.T) {
 	storms := []struct {
 		name    string
@@ -120,11 +121,11 @@
 				})
 				f.run(35 * time.Second)
 				if over := l.retries.excess(f.opt); over > 0 {
-					t.Errorf("seed %d: %.0f repeats beyond the fleet's budget", seed, over)
+					t.Errorf("seed %d: %.0f retries beyond the fleet's budget", seed, over)
 				}
-				t.Logf("seed %d: %d calls, %d repeats", seed, len(l.retries.callTimes), len(l.retries.retries))
+				t.Logf("seed %d: %d calls, %d retries", seed, len(l.retries.callTimes), len(l.retries.retries))
 				if len(l.retries.retries) < 100 {
-					t.Errorf("seed %d: only %d repeats", seed, len(l.retries.retries))
+					t.Errorf("seed %d: only %d retries, want at least 100", seed, len(l.retries.retries))
 				}
 			}
 		})
--- a/core/instance/stepback_test.go
+++ b/core/instance/stepback_test.go
@@ -12,36 +12,38 @@
 	"github.com/birchdrift/birchdrift/core/registry"
 )
 
-// The platform's store comes back from a copy of itself that is some seconds old. What was
-// written since is gone, leases too, and the same revisions and leases are given out again.
+// The tests in this file restore the platform's store from a copy of itself that is some seconds
+// old. Everything written since is lost, including leases, and the store issues the same revisions
+// and lease IDs again.
 
 var (
-	stepSeeds = flag.Int("step.seeds", 4, "how many seeds of each storm in which the store steps back")
-	stepSizes = flag.Bool("step.sizes", false, "measure how long a step back takes in fleets of up to 370 instances")
+	stepSeeds = flag.Int("step.seeds", 4, "number of seeds per storm in which the store steps back")
+	stepSizes = flag.Bool("step.sizes", false, "measure the recovery from a step back in fleets of up to 370 instances")
 )
 
 const (
 	copyInterval = 200 * time.Millisecond
 	copySpan     = 12 * time.Second
-	// restoreTime is how long the store is away before it comes back from a copy.
+	// restoreTime is the time for which the store is down before it returns from a copy.
 	restoreTime = 300 * time.Millisecond
-	// heartbeat is the longest time until a replica writes its entry again.
+	// heartbeat is the maximum time between two writes of an entry by its replica.
 	heartbeat = 1200 * time.Millisecond
-	// entryTerm is after how long of a replica's silence its entry goes.
+	// entryTerm is the time without a heartbeat after which the entry of a replica expires.
 	entryTerm = 3 * heartbeat
 )
 
-// A storeCopy is the store as it was at some moment.
+// A storeCopy is a snapshot of the store.
 type storeCopy struct {
 	at        time.Duration
 	revision  uint64
 	nextLease uint64
 	values    map[string]*fleetValue
 	leases    map[uint64]fleetLease
-	changes   int // of the log
+	changes   int // length of the log
 }
 
-// keepStoreCopies has the store copied again and again from now on.
+// keepStoreCopies copies the store every copyInterval and keeps the copies of the last copySpan.
+// The store reports eras from then on.
 func (f *fleet) keepStoreCopies() {
 	s := &f.store
 	c := storeCopy{
@@ -61,8 +63,8 @@
 	f.at(copyInterval, f.keepStoreCopies)
 }
 
-// stepBack has the store go away and come back from a copy that was made so long before.
-// What replicas wrote since they write again.
+// stepBack takes the store down for restoreTime and then restores a copy that is at least span
+// old. Replicas then write their entries again.
 func (f *fleet) stepBack(span time.Duration) {
 	f.store.down = true
 	f.store.refusesConnections = true
@@ -73,10 +75,11 @@
 	})
 }
 
-// restore takes the newest copy that is not younger than a moment.
+// restore restores the newest copy that was made no later than at, or the oldest copy if there is
+// none.
 func (f *fleet) restore(at time.Duration) {
 	for len(f.storeCopies) > 1 && f.storeCopies[len(f.storeCopies)-1].at > at {
-		f.storeCopies = f.storeCopies[:len(f.storeCopies)-1] // what was lost once does not come back
+		f.storeCopies = f.storeCopies[:len(f.storeCopies)-1] // a state that was lost is never restored later
 	}
 	c := f.storeCopies[len(f.storeCopies)-1]
 	s := &f.store
@@ -103,8 +106,8 @@
 	}
 }
 
-// restoreVanishedEntry has the entry of an engine that does not write it any more stand for a while, if
-// the copy has it: the store has lost that it went.
+// restoreVanishedEntry keeps the entry of an engine that no longer writes it for entryTerm, if the
+// copy contains it: the deletion of the entry was lost.
 func (f *fleet) restoreVanishedEntry(e *fleetEngine) {
 	key := "servers/" + e.name
 	if f.store.values[key] == nil {
@@ -124,12 +127,12 @@
 	})
 }
 
-// randomSpan draws by how much the store goes back.
+// randomSpan returns a random time, up to 10 s, by which the store steps back.
 func (f *fleet) randomSpan() time.Duration {
 	return time.Duration(f.rng.Int64N(int64(10 * time.Second)))
 }
 
-// stepBackPeriodically has the store step back every so often.
+// stepBackPeriodically makes the store step back at an interval.
 func (f *fleet) stepBackPeriodically(every time.Duration) {
 	f.periodically(every, 0, func() func() {
 		f.stepBack(f.randomSpan())
@@ -137,8 +140,9 @@
 	})
 }
 
-// firstInconsistency says what is not as it should be while nothing fails: who owns engines, and who is
-// there, is the same for the store and for all members, and each engine can be ordered.
+// firstInconsistency returns a description of the first deviation from the state that must hold
+// without faults, or "" if there is none: the store and all members agree on the owners of engines
+// and on the members, one member can order each engine, and there is a placer.
 func (f *fleet) firstInconsistency() string {
 	now := clocktest.At(time.Hour + f.now)
 	for _, name := range f.names {
@@ -147,7 +151,7 @@
 			return "the store has no record of " + name
 		}
 		if f.store.leases[v.lease] == nil {
-			return name + "'s record hangs on no lease"
+			return name + "'s record has no lease"
 		}
 	}
 	for _, engine := range sortedKeys(f.engines) {
@@ -160,26 +164,26 @@
 		}
 		v := f.store.values["owners/"+engine]
 		if v == nil {
-			return "the store does not know who owns " + engine
+			return "the store has no owner record of " + engine
 		}
 		stands := v.data.(*registry.Ownership).Owner
 		if len(orderable) != 1 || orderable[0] != stands {
-			return fmt.Sprintf("%s can be ordered by %v, the store says by %q", engine, orderable, stands)
+			return fmt.Sprintf("%s can be ordered by %v, its owner in the store is %q", engine, orderable, stands)
 		}
 		for _, name := range f.names {
 			if o, _ := f.members[name].m.orders.registry.Owner(engine); o.Owner != stands {
-				return fmt.Sprintf("%s takes %q for the owner of %s, which is %s", name, o.Owner, engine, stands)
+				return fmt.Sprintf("%s considers %q the owner of %s, but it is %s", name, o.Owner, engine, stands)
 			}
 		}
 	}
 	if f.placer() == nil {
-		return "nobody places models"
+		return "there is no placer"
 	}
 	return ""
 }
 
-// settle drives the fleet until all is as it should be, at most for a while. It returns how
-// long that took, and what was wrong to the last.
+// settle runs the fleet until it is consistent, for at most most. It returns the time that this
+// took and the remaining inconsistency, if any.
 func (f *fleet) settle(most time.Duration) (took time.Duration, wrong string) {
 	const look = 100 * time.Millisecond
 	for took < most {
@@ -192,16 +196,19 @@
 	return took, wrong
 }
 
-// TestFleetRecoversAfterStoreStepsBack: some seconds after the store came back from an
-// older copy, all members have their records there again, and each engine has one owner that
-// orders it.
+// TestFleetRecoversAfterStoreStepsBack checks that some seconds after the store returned from an
+// older copy, all members are registered again and each engine has one owner that can send it
+// orders.
 //
-// Seen: engines were ordered by nobody any more, for good, and what was written to the store
-// anew was passed over by all members.
+// Before, no member ever sent orders to some engines again, and all members ignored what was
+// written to the store afterwards.
 func TestFleetRecoversAfterStoreStepsBack(t *testing.T) {
 	// aim is the longest that engines wait for their orders anyhow when an owner is lost:
 	// its record's term and absence, then the wait for its orders.
 	o := option.Default()
+	// aim is the longest time for which engines wait for orders after the loss of an owner,
+	// without a step back: until its record expires and it counts as absent, then until its orders
+	// are no longer valid and the turn gap is over.
 	aim := o.EnrolTerm + o.AbsentFor + o.OrderValid + o.TurnGap + 3*time.Second
 	for _, span := range []time.Duration{0, time.Second, 3 * time.Second, 10 * time.Second} {
 		for seed := range uint64(6) {
@@ -211,7 +218,7 @@
 			f.run(5 * time.Second)
 			f.startCallers(40 * time.Millisecond)
 			f.run(10*time.Second + f.randomSpan())
-			// An owner has died a moment ago, and others took its engines.
+			// An owner has died recently, and other members have claimed its engines.
 			n := f.lastOrderSender()
 			n.dead = true
 			f.run(aim)
@@ -221,29 +228,29 @@
 			f.run(restoreTime)
 			f.run(time.Millisecond)
 			if took, wrong := f.settle(aim); wrong != "" {
-				t.Errorf("seed %d, back by %v: after %v %s", seed+1, span, took, wrong)
+				t.Errorf("seed %d, step back by %v: after %v: %s", seed+1, span, took, wrong)
 			}
 			for _, b := range f.violations {
-				t.Errorf("seed %d, back by %v: %s", seed+1, span, b)
+				t.Errorf("seed %d, step back by %v: %s", seed+1, span, b)
 			}
 		}
 	}
 }
 
-// stepStorms are what goes wrong while the store steps back again and again.
+// stepStorms are fault scenarios in which the store steps back repeatedly.
 var stepStorms = []fleetStorm{
-	{"nothing else", func(f *fleet) { f.stepBackPeriodically(9 * time.Second) }},
+	{"no other faults", func(f *fleet) { f.stepBackPeriodically(9 * time.Second) }},
 	{"twice in a row", func(f *fleet) {
 		f.periodically(12*time.Second, 1500*time.Millisecond, func() func() {
 			f.stepBack(f.randomSpan())
 			return func() { f.stepBack(f.randomSpan()) }
 		})
 	}},
-	{"answers of the store are lost", func(f *fleet) {
+	{"responses of the store are lost", func(f *fleet) {
 		f.lostShare = 0.3
 		f.stepBackPeriodically(7 * time.Second)
 	}},
-	{"orders are carried out late", func(f *fleet) {
+	{"orders are executed late", func(f *fleet) {
 		f.lateShare = 0.4
 		f.stepBackPeriodically(8 * time.Second)
 	}},
@@ -263,14 +270,14 @@
 			return func() { f.thaw(n) }
 		})
 	}},
-	{"members sleep", func(f *fleet) {
+	{"members are suspended", func(f *fleet) {
 		f.stepBackPeriodically(8 * time.Second)
 		f.periodically(11*time.Second, time.Hour, func() func() {
 			f.sleep(f.lastOrderSender(), 8*time.Second, 0)
 			return func() {}
 		})
 	}},
-	{"members are cut from the store", func(f *fleet) {
+	{"members are cut off from the store", func(f *fleet) {
 		f.stepBackPeriodically(8 * time.Second)
 		f.periodically(9*time.Second, 5*time.Second, func() func() {
 			n := f.lastOrderSender()
@@ -278,7 +285,7 @@
 			return func() { n.noStore = false }
 		})
 	}},
-	{"watches hear nothing", func(f *fleet) {
+	{"watches and exchanges fail", func(f *fleet) {
 		f.stepBackPeriodically(8 * time.Second)
 		f.periodically(7*time.Second, 4*time.Second, func() func() {
 			n := f.lastOrderSender()
@@ -286,7 +293,7 @@
 			return func() { n.noUpdates = false }
 		})
 	}},
-	{"a zone is cut off, answers are lost", func(f *fleet) {
+	{"a zone is cut off, responses are lost", func(f *fleet) {
 		f.lostShare = 0.2
 		f.cutZones = map[string]bool{}
 		f.stepBackPeriodically(8 * time.Second)
@@ -295,7 +302,7 @@
 			return func() { delete(f.cutZones, "z1") }
 		})
 	}},
-	{"members stop and start", func(f *fleet) {
+	{"members stop as planned and restart", func(f *fleet) {
 		f.stepBackPeriodically(7 * time.Second)
 		f.periodically(6*time.Second, 4*time.Second, func() func() {
 			n := f.lastOrderSender()
@@ -306,7 +313,7 @@
 	}},
 }
 
-// runStepStorm plays a storm on a fleet.
+// runStepStorm runs a fleet under a storm.
 func runStepStorm(seed uint64, s fleetStorm) *fleet {
 	f := newFleet(seed, 5)
 	f.expireLeases()
@@ -319,11 +326,11 @@
 	return f
 }
 
-// TestOrdersHoldWhileTheStoreStepsBack: whatever fails besides, no engine is ordered by two
-// members within the turn gap or under a falling fence, none is ordered to hold more than it
-// can, and calls go on being served.
+// TestOrdersHoldWhileTheStoreStepsBack checks, for every fault scenario, that no engine gets
+// orders from two members within the turn gap or under a falling fence, that none is ordered to
+// hold more than it can, and that calls are still served.
 //
-// Seen: nobody gave orders any more after the first step.
+// Before, no member sent any orders after the first step back.
 func TestOrdersHoldWhileTheStoreStepsBack(t *testing.T) {
 	seeds := *stepSeeds
 	if testing.Short() {
@@ -345,11 +352,11 @@
 	}
 }
 
-// TestStepBackTakesSeconds: in a fleet of any size all is as before within the time in which
-// engines wait for their orders anyhow when an owner is lost, at no more calls than the store
-// allows all instances together.
+// TestStepBackTakesSeconds checks that a fleet of any size recovers from a step back within the
+// time for which engines wait for orders anyway when an owner is lost, and that its writes stay
+// within the rate that the store allows all instances together.
 func TestStepBackTakesSeconds(t *testing.T) {
-	// writesPerSecond is what the store allows the smallest fleets.
+	// writesPerSecond is the write rate that the store allows the smallest fleets.
 	const writesPerSecond = 400
 	o := option.Default()
 	aim := o.EnrolTerm + o.AbsentFor + o.OrderValid + o.TurnGap + 3*time.Second
@@ -363,21 +370,21 @@
 		f.keepStoreCopies()
 		f.run(20 * time.Second)
 		if _, wrong := f.settle(aim); wrong != "" {
-			t.Fatalf("%d instances: %s before anything failed", size.members, wrong)
+			t.Fatalf("%d instances: %s before the step back", size.members, wrong)
 		}
 		f.storeWriteTimes = nil
 		f.stepBack(5 * time.Second)
 		f.run(restoreTime + time.Millisecond)
 		took, wrong := f.settle(aim)
 		most := busiestSecond(f.storeWriteTimes)
-		t.Logf("%d instances, %d engines: as before after %v, at most %d writes in a second", size.members, size.engines, took, most)
+		t.Logf("%d instances, %d engines: recovered after %v, at most %d writes in a second", size.members, size.engines, took, most)
 		if wrong != "" || most > writesPerSecond || len(f.violations) > 0 {
 			t.Errorf("%d instances: %s, %d writes in a second, %v", size.members, wrong, most, f.violations)
 		}
 	}
 }
 
-// busiestSecond returns the most moments within a second.
+// busiestSecond returns the largest number of moments within one second. moments must be sorted.
 func busiestSecond(moments []time.Duration) int {
 	most, first := 0, 0
 	for last, at := range moments {
