--- a/core/instance/exchange_test.go
+++ b/core/instance/exchange_test.go
@@ -189,7 +189,7 @@
 			Name: name, Kind: gossip.Upstream, Version: era.Revision(11 + i), Announced: &pool.Announcement{Service: "s", Address: name},
 		}}})
 	}
-	told := func(boot, ackBoot, ack uint64, heard era.Revision) []string {
+	sentNames := func(boot, ackBoot, ack uint64, heard era.Revision) []string {
 		actions := m.Step(now, exchange.RequestReceived{Token: 1, Message: gossip.Message{
 			From: "a", Zone: "z", Address: "a", Boot: boot, AckBoot: ackBoot, Ack: ack, StoreVersion: heard,
 		}})
@@ -203,12 +203,12 @@
 		}
 		return names
 	}
-	is.Equal(told(1, 0, 0, 0), []string{"r1", "r2"})
-	is.Equal(told(1, 0, 0, 11), []string{"r2"})
-	is.Equal(told(1, 1, m.state.Records.Stamp(), 12), nil)
+	is.Equal(sentNames(1, 0, 0, 0), []string{"r1", "r2"})
+	is.Equal(sentNames(1, 0, 0, 11), []string{"r2"})
+	is.Equal(sentNames(1, 1, m.state.Records.Stamp(), 12), nil)
 	// A new boot that acknowledges a message that was composed for the previous boot.
-	is.Equal(told(2, 1, m.state.Records.Stamp(), 0), []string{"r1", "r2"})
-	is.Equal(told(2, 1, m.state.Records.Stamp(), 0), nil)
+	is.Equal(sentNames(2, 1, m.state.Records.Stamp(), 0), []string{"r1", "r2"})
+	is.Equal(sentNames(2, 1, m.state.Records.Stamp(), 0), nil)
 }
 
 // ownerOf returns the owner of engine e in the newest known record, or "" if there is none.
