--- a/core/instance/limit_test.go
+++ b/core/instance/limit_test.go
@@ -72,7 +72,7 @@
 type limitHarness struct {
 	f            *fleet
 	named        map[*fleetEngine][]namedLimit
-	told         map[noticeKey]time.Duration // when an instance first received a response that states a limit
+	firstToldAt  map[noticeKey]time.Duration // when an instance first received a response that states a limit
 	received     map[*fleetEngine][]limitRequest
 	arrived      map[calls.ID]noticeCall
 	lost         []string // refused calls that an engine without a limit could have served
@@ -98,7 +98,7 @@
 
 func newLimitHarness(f *fleet) *limitHarness {
 	f.limits = &limitHarness{
-		f: f, named: map[*fleetEngine][]namedLimit{}, told: map[noticeKey]time.Duration{},
+		f: f, named: map[*fleetEngine][]namedLimit{}, firstToldAt: map[noticeKey]time.Duration{},
 		received: map[*fleetEngine][]limitRequest{}, arrived: map[calls.ID]noticeCall{}, callDuration: 400 * time.Millisecond,
 		otherNotices: map[*fleetEngine]pool.Notice{},
 	}
@@ -161,8 +161,8 @@
 	said.Limit = l.limit(e)
 	to := noticeKey{n.id.Name, boot, e.name, e.starts}
 	l.f.at(way, func() {
-		if _, known := l.told[to]; said.Limit.Named && !known && !n.dead && !n.frozen && n.boot == boot {
-			l.told[to] = l.f.now
+		if _, known := l.firstToldAt[to]; said.Limit.Named && !known && !n.dead && !n.frozen && n.boot == boot {
+			l.firstToldAt[to] = l.f.now
 		}
 		l.f.step(n, boot, notice.Received{Replica: e.name, Sent: sent, Notice: said})
 	})
@@ -260,7 +260,7 @@
 	var within []limitRequest // the requests in the window that count
 	most := 0.0
 	for _, r := range l.received[e] {
-		if at, told := l.told[r.by]; !told || r.at < at+limitToldDelay {
+		if at, told := l.firstToldAt[r.by]; !told || r.at < at+limitToldDelay {
 			continue
 		}
 		within = append(within, r)
@@ -311,8 +311,8 @@
 			t.Errorf("seed %d: a call that did not run was refused without a retry time: %+v", seed, a.Refusal)
 		}
 	}
-	if len(l.told) == 0 || l.f.served == 0 {
-		t.Errorf("seed %d: %d instances told of a limit, %d calls served", seed, len(l.told), l.f.served)
+	if len(l.firstToldAt) == 0 || l.f.served == 0 {
+		t.Errorf("seed %d: %d instances told of a limit, %d calls served", seed, len(l.firstToldAt), l.f.served)
 	}
 }
 
@@ -559,7 +559,7 @@
 		}
 		t.Logf("%d instances know the limit after %v", members, l.f.now-from)
 		is.True(known())
-		is.Equal(len(l.told), 1) // only one instance was told by the engine itself
+		is.Equal(len(l.firstToldAt), 1) // only one instance was told by the engine itself
 		l.f.members["i3"].dead = true
 		l.f.run(time.Second)
 		l.f.start("i3")
