--- a/core/instance/limit_test.go
+++ b/core/instance/limit_test.go
@@ -157,14 +157,14 @@
 
 // sendNotice delivers the current notice of an engine to an instance.
 func (l *limitHarness) sendNotice(n *fleetMember, boot uint64, e *fleetEngine, way time.Duration, sent clock.Instant) {
-	said := l.otherNotices[e]
-	said.Limit = l.limit(e)
+	content := l.otherNotices[e]
+	content.Limit = l.limit(e)
 	to := noticeKey{n.id.Name, boot, e.name, e.starts}
 	l.f.at(way, func() {
-		if _, known := l.firstToldAt[to]; said.Limit.Named && !known && !n.dead && !n.frozen && n.boot == boot {
+		if _, known := l.firstToldAt[to]; content.Limit.Named && !known && !n.dead && !n.frozen && n.boot == boot {
 			l.firstToldAt[to] = l.f.now
 		}
-		l.f.step(n, boot, notice.Received{Replica: e.name, Sent: sent, Notice: said})
+		l.f.step(n, boot, notice.Received{Replica: e.name, Sent: sent, Notice: content})
 	})
 }
 
