--- a/core/instance/notice_test.go
+++ b/core/instance/notice_test.go
@@ -118,16 +118,16 @@
 }
 
 // sendNotice delivers a notice of an engine to an instance.
-func (l *noticeHarness) sendNotice(n *fleetMember, boot uint64, e *fleetEngine, sent clock.Instant, said pool.Notice) {
-	if said.IsZero() {
+func (l *noticeHarness) sendNotice(n *fleetMember, boot uint64, e *fleetEngine, sent clock.Instant, content pool.Notice) {
+	if content.IsZero() {
 		return
 	}
 	to := noticeKey{n.id.Name, boot, e.name, e.starts}
 	l.f.at(fleetLatency, func() {
-		if _, known := l.firstToldAt[to]; said.Leaving && !known && !n.dead && !n.frozen && n.boot == boot {
+		if _, known := l.firstToldAt[to]; content.Leaving && !known && !n.dead && !n.frozen && n.boot == boot {
 			l.firstToldAt[to] = l.f.now
 		}
-		l.f.step(n, boot, notice.Received{Replica: e.name, Sent: sent, Notice: said})
+		l.f.step(n, boot, notice.Received{Replica: e.name, Sent: sent, Notice: content})
 	})
 }
 
