--- a/core/instance/notice_test.go
+++ b/core/instance/notice_test.go
@@ -112,9 +112,9 @@
 	if at, told := l.firstToldAt[to]; told && sent > at+leaveGrace {
 		l.late++
 	}
-	said := pool.Notice{Leaving: l.leaving[e], Rest: l.rests[e]}
-	l.received[to] = append(l.received[to], noticeRequest{at: l.f.now, rest: said.Rest})
-	return said
+	content := pool.Notice{Leaving: l.leaving[e], Rest: l.rests[e]}
+	l.received[to] = append(l.received[to], noticeRequest{at: l.f.now, rest: content.Rest})
+	return content
 }
 
 // sendNotice delivers a notice of an engine to an instance.
