--- a/core/instance/notice_test.go
+++ b/core/instance/notice_test.go
@@ -172,9 +172,9 @@
 // rejectOrder handles an order sent to an engine, and reports whether the engine rejected it.
 func (l *noticeHarness) rejectOrder(n *fleetMember, boot uint64, a owned.SendOrder, reply func(time.Duration, step.Event)) bool {
 	e := l.f.engines[a.Engine]
-	said := l.requestReached(n, boot, e, l.f.now)
-	l.sendNotice(n, boot, e, l.f.clock(n), said)
-	if said.Rest == 0 {
+	content := l.requestReached(n, boot, e, l.f.now)
+	l.sendNotice(n, boot, e, l.f.clock(n), content)
+	if content.Rest == 0 {
 		return false
 	}
 	reply(2*fleetLatency, owned.OrderReply{Engine: a.Engine, Fence: a.Fence, Answer: orders.AnswerLost})
