--- a/core/instance/notice_test.go
+++ b/core/instance/notice_test.go
@@ -184,9 +184,9 @@
 // rejectStateQuery handles a query for the state of an engine, and reports whether the engine
 // rejected it.
 func (l *noticeHarness) rejectStateQuery(n *fleetMember, boot uint64, e *fleetEngine, sent clock.Instant, reply func(time.Duration, step.Event)) bool {
-	said := l.requestReached(n, boot, e, l.f.now-fleetLatency)
-	l.sendNotice(n, boot, e, sent, said)
-	if said.Rest == 0 {
+	content := l.requestReached(n, boot, e, l.f.now-fleetLatency)
+	l.sendNotice(n, boot, e, sent, content)
+	if content.Rest == 0 {
 		return false
 	}
 	reply(fleetLatency, owned.StateReply{Engine: e.name, Sent: sent, Err: errors.New("status 503")})
