--- a/core/instance/notice_test.go
+++ b/core/instance/notice_test.go
@@ -151,16 +151,16 @@
 		if l.retries != nil {
 			l.retries.recordAttempt(l.f.now, d.ID)
 		}
-		said := l.requestReached(n, boot, e, l.arrived[d.ID].at)
+		content := l.requestReached(n, boot, e, l.arrived[d.ID].at)
 		switch {
-		case said.Rest > 0:
-			l.sendNotice(n, boot, e, sent, said)
+		case content.Rest > 0:
+			l.sendNotice(n, boot, e, sent, content)
 			failed(fleetLatency, calls.AttemptFailed{Phase: attempt.Refused, Status: 503})
 		case !e.models[d.Model] || d.Adapter != "" && !e.adapters[d.Model+"/"+d.Adapter]:
-			l.sendNotice(n, boot, e, sent, said)
+			l.sendNotice(n, boot, e, sent, content)
 			failed(fleetLatency, calls.AttemptFailed{Phase: attempt.Refused, Misdirected: true, Incarnation: d.Replica})
 		default:
-			l.f.at(l.f.firstTokenDelay, func() { l.sendNotice(n, boot, e, sent, said) })
+			l.f.at(l.f.firstTokenDelay, func() { l.sendNotice(n, boot, e, sent, content) })
 			l.f.served++
 			l.served[e]++
 			reply(l.f.firstTokenDelay+fleetLatency, calls.AnswerBegan{ID: d.ID})
