--- a/core/instance/outage_test.go
+++ b/core/instance/outage_test.go
@@ -27,8 +27,8 @@
 // timeUntilAll runs the fleet until has is true for all members, and returns the time that this
 // took, or 0 if it takes longer than span.
 func (f *fleet) timeUntilAll(span time.Duration, has func(n *fleetMember) bool) time.Duration {
-	const look = 20 * time.Millisecond
-	for took := time.Duration(0); took < span; took += look {
+	const pollInterval = 20 * time.Millisecond
+	for took := time.Duration(0); took < span; took += pollInterval {
 		missing := false
 		for _, name := range f.names {
 			missing = missing || !has(f.members[name])
@@ -36,7 +36,7 @@
 		if !missing {
 			return took
 		}
-		f.run(look)
+		f.run(pollInterval)
 	}
 	return 0
 }
