--- a/core/instance/stepback_test.go
+++ b/core/instance/stepback_test.go
@@ -185,13 +185,13 @@
 // settle runs the fleet until it is consistent, for at most most. It returns the time that this
 // took and the remaining inconsistency, if any.
 func (f *fleet) settle(most time.Duration) (took time.Duration, wrong string) {
-	const look = 100 * time.Millisecond
+	const pollInterval = 100 * time.Millisecond
 	for took < most {
 		if wrong = f.firstInconsistency(); wrong == "" {
 			return took, ""
 		}
-		f.run(look)
-		took += look
+		f.run(pollInterval)
+		took += pollInterval
 	}
 	return took, wrong
 }
