--- a/core/instance/stepback_test.go
+++ b/core/instance/stepback_test.go
@@ -184,9 +184,9 @@
 
 // settle runs the fleet until it is consistent, for at most most. It returns the time that this
 // took and the remaining inconsistency, if any.
-func (f *fleet) settle(most time.Duration) (took time.Duration, wrong string) {
+func (f *fleet) settle(timeout time.Duration) (took time.Duration, wrong string) {
 	const pollInterval = 100 * time.Millisecond
-	for took < most {
+	for took < timeout {
 		if wrong = f.firstInconsistency(); wrong == "" {
 			return took, ""
 		}
