--- a/core/instance/probe_test.go
+++ b/core/instance/probe_test.go
@@ -129,7 +129,7 @@
 	is := is.New(t)
 	now := clocktest.At(time.Hour)
 	m := probeMachine(t, now, 20*time.Millisecond, "e1", "e2", "e3", "e4")
-	went := map[string]int{}
+	dispatches := map[string]int{}
 	asking := 0
 	for id := range calls.ID(400) {
 		now = now.Add(100 * time.Millisecond)
@@ -138,7 +138,7 @@
 		if len(engines) > 0 {
 			asking++
 		} else {
-			went[dispatchedTo(actions)]++
+			dispatches[dispatchedTo(actions)]++
 		}
 		later := now.Add(10 * time.Millisecond) // the probes take 10 ms and report equal loads
 		for _, e := range engines {
@@ -148,8 +148,8 @@
 	}
 	is.True(asking >= 400/8-1)
 	is.True(asking <= 400/4)
-	is.Equal(len(went), 4)
-	for _, n := range went {
+	is.Equal(len(dispatches), 4)
+	for _, n := range dispatches {
 		is.True(n > 400/4/2)
 	}
 }
