--- a/core/instance/probe_test.go
+++ b/core/instance/probe_test.go
@@ -130,13 +130,13 @@
 	now := clocktest.At(time.Hour)
 	m := probeMachine(t, now, 20*time.Millisecond, "e1", "e2", "e3", "e4")
 	dispatches := map[string]int{}
-	asking := 0
+	probing := 0
 	for id := range calls.ID(400) {
 		now = now.Add(100 * time.Millisecond)
 		actions := m.Step(now, probeCall(id+1))
 		engines := probedEngines(actions)
 		if len(engines) > 0 {
-			asking++
+			probing++
 		} else {
 			dispatches[dispatchedTo(actions)]++
 		}
@@ -146,8 +146,8 @@
 		}
 		m.Step(later, calls.CallerGone{ID: id + 1})
 	}
-	is.True(asking >= 400/8-1)
-	is.True(asking <= 400/4)
+	is.True(probing >= 400/8-1)
+	is.True(probing <= 400/4)
 	is.Equal(len(dispatches), 4)
 	for _, n := range dispatches {
 		is.True(n > 400/4/2)
