--- a/core/instance/stepback_test.go
+++ b/core/instance/stepback_test.go
@@ -166,13 +166,13 @@
 		if v == nil {
 			return "the store has no owner record of " + engine
 		}
-		stands := v.data.(*registry.Ownership).Owner
-		if len(orderable) != 1 || orderable[0] != stands {
-			return fmt.Sprintf("%s can be ordered by %v, its owner in the store is %q", engine, orderable, stands)
+		storeOwner := v.data.(*registry.Ownership).Owner
+		if len(orderable) != 1 || orderable[0] != storeOwner {
+			return fmt.Sprintf("%s can be ordered by %v, its owner in the store is %q", engine, orderable, storeOwner)
 		}
 		for _, name := range f.names {
-			if o, _ := f.members[name].m.orders.registry.Owner(engine); o.Owner != stands {
-				return fmt.Sprintf("%s considers %q the owner of %s, but it is %s", name, o.Owner, engine, stands)
+			if o, _ := f.members[name].m.orders.registry.Owner(engine); o.Owner != storeOwner {
+				return fmt.Sprintf("%s considers %q the owner of %s, but it is %s", name, o.Owner, engine, storeOwner)
 			}
 		}
 	}
