--- a/core/instance/notice_test.go
+++ b/core/instance/notice_test.go
@@ -215,10 +215,10 @@
 // does not count.
 func (l *noticeHarness) maxRequestsInRest() int {
 	most := 0
-	for _, reaches := range l.received {
-		for _, asked := range reaches {
+	for _, requests := range l.received {
+		for _, asked := range requests {
 			n := 0
-			for _, r := range reaches {
+			for _, r := range requests {
 				if r.at > asked.at+restGrace && r.at < asked.at+asked.rest {
 					n++
 				}
