--- a/core/instance/notice_test.go
+++ b/core/instance/notice_test.go
@@ -216,10 +216,10 @@
 func (l *noticeHarness) maxRequestsInRest() int {
 	most := 0
 	for _, requests := range l.received {
-		for _, asked := range requests {
+		for _, restRequest := range requests {
 			n := 0
 			for _, r := range requests {
-				if r.at > asked.at+restGrace && r.at < asked.at+asked.rest {
+				if r.at > restRequest.at+restGrace && r.at < restRequest.at+restRequest.rest {
 					n++
 				}
 			}
