--- a/core/instance/leaving_test.go
+++ b/core/instance/leaving_test.go
@@ -47,7 +47,7 @@
 	memberDisturbedAt map[string]time.Duration
 	boots             map[string]uint64
 	next              int // number for the name of the next engine
-	late              []string
+	lateCalls         []string
 	left              int           // engines that left while the store was stable
 	maxListAge        time.Duration // largest age of a list by which a member to which the bound applies sent a call
 }
@@ -107,7 +107,7 @@
 		if !ok || !w.stable || l.f.now-w.at <= l.bounds.Leave || !l.boundApplies(n) || e.gone {
 			return
 		}
-		l.late = append(l.late, fmt.Sprintf("%v: a call of %s reached %s %v after the store accepted that it leaves", l.f.now, n.id.Name, e.name, l.f.now-w.at))
+		l.lateCalls = append(l.lateCalls, fmt.Sprintf("%v: a call of %s reached %s %v after the store accepted that it leaves", l.f.now, n.id.Name, e.name, l.f.now-w.at))
 	})
 }
 
@@ -165,7 +165,7 @@
 	for _, n := range l.allMembers() {
 		r := n.m.state.Pool.Get(e.name)
 		if l.boundApplies(n) && r != nil && (r.Usable() || r.LastResort(l.f.clock(n))) {
-			l.late = append(l.late, fmt.Sprintf("%v: %s would still send calls to %s %v after the store accepted that it leaves", l.f.now, n.id.Name, e.name, l.bounds.Leave-bounds.DialTimeout))
+			l.lateCalls = append(l.lateCalls, fmt.Sprintf("%v: %s would still send calls to %s %v after the store accepted that it leaves", l.f.now, n.id.Name, e.name, l.bounds.Leave-bounds.DialTimeout))
 		}
 	}
 }
@@ -421,8 +421,8 @@
 // check reports late calls, violations of the fleet, and a run in which too little happened.
 func (l *leaveHarness) check(t *testing.T, seed int) {
 	t.Helper()
-	if len(l.late) > 0 {
-		t.Errorf("seed %d: %d calls reached a leaving engine too late; the first: %s", seed+1, len(l.late), l.late[0])
+	if len(l.lateCalls) > 0 {
+		t.Errorf("seed %d: %d calls reached a leaving engine too late; the first: %s", seed+1, len(l.lateCalls), l.lateCalls[0])
 	}
 	for _, b := range l.f.violations[:min(3, len(l.f.violations))] {
 		t.Errorf("seed %d: %s", seed+1, b)
