--- a/core/instance/notice_test.go
+++ b/core/instance/notice_test.go
@@ -54,16 +54,16 @@
 // A noticeHarness makes engines send notices in their responses, and checks the requests that they
 // receive afterwards.
 type noticeHarness struct {
-	f           *fleet
-	leaving     map[*fleetEngine]bool
-	rests       map[*fleetEngine]time.Duration // requested by engines that refuse all calls
-	arrived     map[calls.ID]noticeCall
-	firstToldAt map[noticeKey]time.Duration // when an instance was first told that an engine leaves
-	received    map[noticeKey][]noticeRequest
-	served      map[*fleetEngine]int
-	lost        []string    // refused calls that another engine could have served
-	late        int         // number of requests sent later than leaveGrace
-	retries     *retryCount // nil: attempts are not counted
+	f            *fleet
+	leaving      map[*fleetEngine]bool
+	rests        map[*fleetEngine]time.Duration // requested by engines that refuse all calls
+	arrived      map[calls.ID]noticeCall
+	firstToldAt  map[noticeKey]time.Duration // when an instance was first told that an engine leaves
+	received     map[noticeKey][]noticeRequest
+	served       map[*fleetEngine]int
+	lost         []string    // refused calls that another engine could have served
+	lateRequests int         // number of requests sent later than leaveGrace
+	retries      *retryCount // nil: attempts are not counted
 }
 
 // A noticeKey identifies an incarnation of an instance and the incarnation of an engine that
@@ -110,7 +110,7 @@
 func (l *noticeHarness) requestReached(n *fleetMember, boot uint64, e *fleetEngine, sent time.Duration) pool.Notice {
 	to := noticeKey{n.id.Name, boot, e.name, e.starts}
 	if at, told := l.firstToldAt[to]; told && sent > at+leaveGrace {
-		l.late++
+		l.lateRequests++
 	}
 	content := pool.Notice{Leaving: l.leaving[e], Rest: l.rests[e]}
 	l.received[to] = append(l.received[to], noticeRequest{at: l.f.now, rest: content.Rest})
@@ -327,8 +327,8 @@
 					f.at(12*time.Second, func() { l.shedLoad(l.engine(i+4), 2*time.Second, rest) })
 				}
 				f.run(20 * time.Second)
-				if most := l.maxRequestsInRest(); l.late > 0 || most > maxInRest {
-					t.Errorf("seed %d: %d requests too late after an engine announced that it leaves; %d during a rest", seed, l.late, most)
+				if most := l.maxRequestsInRest(); l.lateRequests > 0 || most > maxInRest {
+					t.Errorf("seed %d: %d requests too late after an engine announced that it leaves; %d during a rest", seed, l.lateRequests, most)
 				}
 				for _, lost := range l.lost[:min(3, len(l.lost))] {
 					t.Errorf("seed %d: %d calls lost; %s", seed, len(l.lost), lost)
@@ -398,7 +398,7 @@
 					tt.do(l, f.engines[name])
 				}
 				f.run(8 * time.Second)
-				is.Equal(l.late, 0)
+				is.Equal(l.lateRequests, 0)
 				is.True(l.maxRequestsInRest() <= maxInRest)
 				is.Equal(f.violations, nil)
 			}
