--- a/core/instance/limit_test.go
+++ b/core/instance/limit_test.go
@@ -71,7 +71,7 @@
 // they receive.
 type limitHarness struct {
 	f            *fleet
-	named        map[*fleetEngine][]namedLimit
+	limitHistory map[*fleetEngine][]namedLimit
 	firstToldAt  map[noticeKey]time.Duration // when an instance first received a response that states a limit
 	received     map[*fleetEngine][]limitRequest
 	arrived      map[calls.ID]noticeCall
@@ -98,7 +98,7 @@
 
 func newLimitHarness(f *fleet) *limitHarness {
 	f.limits = &limitHarness{
-		f: f, named: map[*fleetEngine][]namedLimit{}, firstToldAt: map[noticeKey]time.Duration{},
+		f: f, limitHistory: map[*fleetEngine][]namedLimit{}, firstToldAt: map[noticeKey]time.Duration{},
 		received: map[*fleetEngine][]limitRequest{}, arrived: map[calls.ID]noticeCall{}, callDuration: 400 * time.Millisecond,
 		otherNotices: map[*fleetEngine]pool.Notice{},
 	}
@@ -122,18 +122,18 @@
 
 // setLimit makes an engine state a limit from now on.
 func (l *limitHarness) setLimit(e *fleetEngine, perSecond float64) {
-	l.named[e] = append(l.named[e], namedLimit{l.f.now, pool.RateLimit{Named: true, PerSecond: perSecond}})
+	l.limitHistory[e] = append(l.limitHistory[e], namedLimit{l.f.now, pool.RateLimit{Named: true, PerSecond: perSecond}})
 }
 
 // endLimit makes an engine state no limit from now on.
 func (l *limitHarness) endLimit(e *fleetEngine) {
-	l.named[e] = append(l.named[e], namedLimit{l.f.now, pool.RateLimit{}})
+	l.limitHistory[e] = append(l.limitHistory[e], namedLimit{l.f.now, pool.RateLimit{}})
 }
 
 // limit returns the limit that an engine currently states.
 func (l *limitHarness) limit(e *fleetEngine) pool.RateLimit {
-	if n := len(l.named[e]); n > 0 {
-		return l.named[e][n-1].limit
+	if n := len(l.limitHistory[e]); n > 0 {
+		return l.limitHistory[e][n-1].limit
 	}
 	return pool.RateLimit{}
 }
@@ -233,10 +233,10 @@
 // time. ok is false if the engine stated no limit for a part of that time. Its first limit also
 // counts for the time before it.
 func (l *limitHarness) allowance(e *fleetEngine, from, to time.Duration) (requests float64, ok bool) {
-	for i, n := range l.named[e] {
+	for i, n := range l.limitHistory[e] {
 		until := to
-		if i+1 < len(l.named[e]) {
-			until = min(to, l.named[e][i+1].at)
+		if i+1 < len(l.limitHistory[e]) {
+			until = min(to, l.limitHistory[e][i+1].at)
 		}
 		since := max(from, n.at)
 		if i == 0 {
@@ -268,7 +268,7 @@
 			within = within[1:]
 		}
 		allowed, limited := l.allowance(e, r.at-limitWindow, r.at)
-		if !limited || r.at < l.named[e][0].at+limitGrace {
+		if !limited || r.at < l.limitHistory[e][0].at+limitGrace {
 			continue
 		}
 		if over := float64(len(within)) - limitFactor*allowed - limitBurst; over > most {
@@ -394,7 +394,7 @@
 		up := false
 		l.f.periodically(time.Second, 0, func() func() {
 			up = !up
-			for e := range l.named {
+			for e := range l.limitHistory {
 				l.setLimit(e, map[bool]float64{true: 8, false: 2}[up])
 			}
 			return func() {}
