--- a/core/instance/limit_test.go
+++ b/core/instance/limit_test.go
@@ -75,7 +75,7 @@
 	firstToldAt  map[noticeKey]time.Duration // when an instance first received a response that states a limit
 	received     map[*fleetEngine][]limitRequest
 	arrived      map[calls.ID]noticeCall
-	lost         []string // refused calls that an engine without a limit could have served
+	lostCalls    []string // refused calls that an engine without a limit could have served
 	refused      []calls.Finish
 	healed       time.Duration // when the last partition ended
 	callDuration time.Duration // run time of a call
@@ -222,7 +222,7 @@
 			continue // no instance can know yet that the model is loaded
 		}
 		if e.models[c.model] && !e.dead && !l.limit(e).Named && !l.f.partitioned(c.member.id.Zone, e.zone) {
-			l.lost = append(l.lost, fmt.Sprintf("%v: call %d for %s was refused with %d (%s) after %v, and %s could serve it",
+			l.lostCalls = append(l.lostCalls, fmt.Sprintf("%v: call %d for %s was refused with %d (%s) after %v, and %s could serve it",
 				l.f.now, a.ID, c.model, a.Refusal.Code, a.Refusal.Detail, l.f.now-c.at, e.name))
 			return
 		}
@@ -300,8 +300,8 @@
 			t.Errorf("seed %d: %s", seed, worst)
 		}
 	}
-	for _, lost := range l.lost[:min(3, len(l.lost))] {
-		t.Errorf("seed %d: %d calls lost; %s", seed, len(l.lost), lost)
+	for _, lost := range l.lostCalls[:min(3, len(l.lostCalls))] {
+		t.Errorf("seed %d: %d calls lost; %s", seed, len(l.lostCalls), lost)
 	}
 	for _, b := range l.f.violations {
 		t.Errorf("seed %d: %s", seed, b)
