--- a/core/instance/notice_test.go
+++ b/core/instance/notice_test.go
@@ -61,7 +61,7 @@
 	firstToldAt  map[noticeKey]time.Duration // when an instance was first told that an engine leaves
 	received     map[noticeKey][]noticeRequest
 	served       map[*fleetEngine]int
-	lost         []string    // refused calls that another engine could have served
+	lostCalls    []string    // refused calls that another engine could have served
 	lateRequests int         // number of requests sent later than leaveGrace
 	retries      *retryCount // nil: attempts are not counted
 }
@@ -203,7 +203,7 @@
 	for _, name := range sortedKeys(l.f.engines) {
 		e := l.f.engines[name]
 		if e.models[c.model] && !e.dead && !l.leaving[e] && l.rests[e] == 0 && !l.f.partitioned(c.member.id.Zone, e.zone) {
-			l.lost = append(l.lost, fmt.Sprintf("%v: call %d for %s was refused with %d (%s) after %v, and %s could serve it",
+			l.lostCalls = append(l.lostCalls, fmt.Sprintf("%v: call %d for %s was refused with %d (%s) after %v, and %s could serve it",
 				l.f.now, a.ID, c.model, a.Refusal.Code, a.Refusal.Detail, l.f.now-c.at, e.name))
 			return
 		}
@@ -330,8 +330,8 @@
 				if most := l.maxRequestsInRest(); l.lateRequests > 0 || most > maxInRest {
 					t.Errorf("seed %d: %d requests too late after an engine announced that it leaves; %d during a rest", seed, l.lateRequests, most)
 				}
-				for _, lost := range l.lost[:min(3, len(l.lost))] {
-					t.Errorf("seed %d: %d calls lost; %s", seed, len(l.lost), lost)
+				for _, lost := range l.lostCalls[:min(3, len(l.lostCalls))] {
+					t.Errorf("seed %d: %d calls lost; %s", seed, len(l.lostCalls), lost)
 				}
 				for _, b := range f.violations {
 					t.Errorf("seed %d: %s", seed, b)
