--- a/core/instance/gone_test.go
+++ b/core/instance/gone_test.go
@@ -63,7 +63,7 @@
 // TestNoWorkAfterCallerGone checks that after a caller disconnects, nothing is sent for its call
 // in any phase, whatever responses still arrive, and that no replica counts the call as in flight.
 func TestNoWorkAfterCallerGone(t *testing.T) {
-	fails := func(l *soloHarness, number int, b calls.AttemptFailed) {
+	failAttempt := func(l *soloHarness, number int, b calls.AttemptFailed) {
 		b.ID, b.Attempt = abandonedCall, number
 		l.m.Step(l.now, b)
 	}
@@ -79,7 +79,7 @@
 		{"the call runs at its second replica", calls.Running, func(l *soloHarness) {
 			l.arrive("m0", "")
 			l.list(l.entry("1"))
-			fails(l, 1, calls.AttemptFailed{Phase: attempt.MaybeSent, Severed: true})
+			failAttempt(l, 1, calls.AttemptFailed{Phase: attempt.MaybeSent, Severed: true})
 		}, func(l *soloHarness) []step.Action {
 			return l.m.Step(l.now, calls.AttemptFailed{ID: abandonedCall, Attempt: 2, Phase: attempt.Refused})
 		}},
@@ -87,7 +87,7 @@
 			l.arrive("m0", "")
 			l.list(l.entry("1"))
 			l.m.Step(l.now, calls.AnswerBegan{ID: abandonedCall})
-			fails(l, 1, calls.AttemptFailed{Phase: attempt.Answered, Severed: true, Delivered: 3})
+			failAttempt(l, 1, calls.AttemptFailed{Phase: attempt.Answered, Severed: true, Delivered: 3})
 		}, func(l *soloHarness) []step.Action {
 			return l.m.Step(l.now, calls.AttemptFailed{ID: abandonedCall, Attempt: 2, Phase: attempt.Answered, Severed: true, Delivered: 5})
 		}},
