--- a/core/instance/lives_test.go
+++ b/core/instance/lives_test.go
@@ -254,8 +254,8 @@
 	is.Equal(len(l.call(1)), 1)
 	l.now = l.now.Add(time.Second)
 	entry := l.entry("2")
-	cut := stepFor[calls.Interrupt](l, listing.Reply{Entries: []gossip.Listed{entry}, Version: l.version})
-	is.Equal(cut, []calls.Interrupt{{ID: 1}})
+	interrupts := stepFor[calls.Interrupt](l, listing.Reply{Entries: []gossip.Listed{entry}, Version: l.version})
+	is.Equal(interrupts, []calls.Interrupt{{ID: 1}})
 	// The interrupt ends the attempt, not the connection.
 	l.now = l.now.Add(time.Millisecond)
 	again := stepFor[calls.Dispatch](l, calls.AttemptFailed{ID: 1, Attempt: 1, Phase: attempt.MaybeSent})
