--- a/core/instance/lives_test.go
+++ b/core/instance/lives_test.go
@@ -258,9 +258,9 @@
 	is.Equal(interrupts, []calls.Interrupt{{ID: 1}})
 	// The interrupt ends the attempt, not the connection.
 	l.now = l.now.Add(time.Millisecond)
-	again := stepFor[calls.Dispatch](l, calls.AttemptFailed{ID: 1, Attempt: 1, Phase: attempt.MaybeSent})
-	is.Equal(len(again), 1)
-	is.Equal(again[0].Replica, "e")
+	dispatches := stepFor[calls.Dispatch](l, calls.AttemptFailed{ID: 1, Attempt: 1, Phase: attempt.MaybeSent})
+	is.Equal(len(dispatches), 1)
+	is.Equal(dispatches[0].Replica, "e")
 	is.Equal(len(l.m.state.Records.Crashes()), 0) // the request has no fingerprint to identify it
 	is.Equal(l.m.state.Pool.Get("e").Failures(), 0)
 }
