--- a/core/instance/announced_world_test.go
+++ b/core/instance/announced_world_test.go
@@ -515,9 +515,9 @@
 // later. made is the era of the revisions and leases in the call, or nil if it contains none. A
 // call made in another era than the member knows is not sent; if its response comes from another
 // era, the call fails.
-func (f *fleet) storeCall(n *fleetMember, made *era.Era, do func() (ev step.Event, write bool), failed func(error) step.Event, reply func(time.Duration, step.Event)) {
+func (f *fleet) storeCall(n *fleetMember, callEra *era.Era, do func() (ev step.Event, write bool), failed func(error) step.Event, reply func(time.Duration, step.Event)) {
 	errLost := errors.New("no answer")
-	former := func() bool { return made != nil && *made != n.knownEra }
+	former := func() bool { return callEra != nil && *callEra != n.knownEra }
 	if former() {
 		reply(fleetLatency, ownership.EraObserved{Era: n.knownEra})
 		reply(fleetLatency, failed(errors.New("revision of a former era")))
