--- a/core/instance/announced_world_test.go
+++ b/core/instance/announced_world_test.go
@@ -517,8 +517,8 @@
 // era, the call fails.
 func (f *fleet) storeCall(n *fleetMember, callEra *era.Era, do func() (ev step.Event, write bool), failed func(error) step.Event, reply func(time.Duration, step.Event)) {
 	errLost := errors.New("no answer")
-	former := func() bool { return callEra != nil && *callEra != n.knownEra }
-	if former() {
+	outdated := func() bool { return callEra != nil && *callEra != n.knownEra }
+	if outdated() {
 		reply(fleetLatency, ownership.EraObserved{Era: n.knownEra})
 		reply(fleetLatency, failed(errors.New("revision of a former era")))
 		return
@@ -543,7 +543,7 @@
 			f.storeWriteTimes = append(f.storeWriteTimes, f.now)
 		}
 		n.knownEra = f.store.era
-		if former() {
+		if outdated() {
 			reply(fleetLatency, ownership.EraObserved{Era: n.knownEra})
 			reply(fleetLatency, failed(errors.New("response from a later era")))
 			return
