--- a/core/instance/announced_world_test.go
+++ b/core/instance/announced_world_test.go
@@ -762,7 +762,7 @@
 
 // poll answers or fails a watch if it is due, and otherwise checks it again 20 ms later.
 func (f *fleet) poll(n *fleetMember, w *fleetWatch) {
-	fails := func(at time.Duration, why string) {
+	failWatch := func(at time.Duration, why string) {
 		n.pendingWatches = slices.DeleteFunc(n.pendingWatches, func(x *fleetWatch) bool { return x == w })
 		f.at(max(fleetLatency, at-f.now), func() { f.step(n, w.boot, watch.Reply{ID: w.id, Err: errors.New(why)}) })
 	}
@@ -770,13 +770,13 @@
 	case n.dead || n.boot != w.boot:
 		return
 	case w.hung:
-		fails(w.limit, "no answer")
+		failWatch(w.limit, "no answer")
 		return
 	case w.cut, f.store.refusesConnections && !n.noStore && !n.noUpdates && !f.cutZones[n.id.Zone]:
-		fails(f.now, "refused")
+		failWatch(f.now, "refused")
 		return
 	case n.noStore || n.noUpdates || f.store.down || f.cutZones[n.id.Zone]:
-		fails(w.limit, "no answer")
+		failWatch(w.limit, "no answer")
 		return
 	}
 	f.watches++
