--- a/core/instance/announced_world_test.go
+++ b/core/instance/announced_world_test.go
@@ -625,14 +625,14 @@
 
 // expireLeases ends expired leases every 100 ms, while the store is up.
 func (f *fleet) expireLeases() {
-	var over []uint64
+	var expired []uint64
 	for id, l := range f.store.leases {
 		if !f.store.down && f.now >= l.expires {
-			over = append(over, id)
+			expired = append(expired, id)
 		}
 	}
-	sort.Slice(over, func(i, j int) bool { return over[i] < over[j] })
-	for _, id := range over {
+	sort.Slice(expired, func(i, j int) bool { return expired[i] < expired[j] })
+	for _, id := range expired {
 		f.endLease(id)
 	}
 	f.at(100*time.Millisecond, f.expireLeases)
