--- a/core/instance/announced_world_test.go
+++ b/core/instance/announced_world_test.go
@@ -892,15 +892,15 @@
 
 // checkOwnerChange checks that the orders of two owners are at least the turn gap apart and that
 // fences only increase.
-func (f *fleet) checkOwnerChange(holder string, a owned.SendOrder) {
+func (f *fleet) checkOwnerChange(sender string, a owned.SendOrder) {
 	e := f.engines[a.Engine]
-	if e.orderedBy != "" && e.orderedBy != holder && f.now-e.orderedAt < f.opt.TurnGap {
-		f.recordViolation("%s ordered %s %v after %s", holder, e.name, f.now-e.orderedAt, e.orderedBy)
+	if e.orderedBy != "" && e.orderedBy != sender && f.now-e.orderedAt < f.opt.TurnGap {
+		f.recordViolation("%s ordered %s %v after %s", sender, e.name, f.now-e.orderedAt, e.orderedBy)
 	}
-	if a.Fence < e.fence || a.Fence == e.fence && e.orderedBy != holder && e.orderedBy != "" {
-		f.recordViolation("%s ordered %s under fence %v after %v of %s", holder, e.name, a.Fence, e.fence, e.orderedBy)
+	if a.Fence < e.fence || a.Fence == e.fence && e.orderedBy != sender && e.orderedBy != "" {
+		f.recordViolation("%s ordered %s under fence %v after %v of %s", sender, e.name, a.Fence, e.fence, e.orderedBy)
 	}
-	e.orderedBy = holder
+	e.orderedBy = sender
 	e.orderedAt = f.now
 	e.fence = a.Fence
 }
