--- a/core/instance/crash_test.go
+++ b/core/instance/crash_test.go
@@ -99,9 +99,9 @@
 
 // poison sends a request that crashes its engines to random members, again and again, at an
 // interval of every on average.
-func (l *crashHarness) poison(fingerprint crash.Fingerprint, model int, every time.Duration) {
-	l.f.at(time.Duration(l.f.rng.Int64N(int64(2*every))), func() {
-		l.poison(fingerprint, model, every)
+func (l *crashHarness) poison(fingerprint crash.Fingerprint, model int, interval time.Duration) {
+	l.f.at(time.Duration(l.f.rng.Int64N(int64(2*interval))), func() {
+		l.poison(fingerprint, model, interval)
 		n := l.f.randomMember()
 		if n.dead || n.frozen {
 			return
