--- a/core/instance/crash_test.go
+++ b/core/instance/crash_test.go
@@ -312,12 +312,12 @@
 
 // A crashStorm is a fault scenario for a fleet in which requests crash engines.
 type crashStorm struct {
-	name    string
-	members int
-	engines int
-	poisons int
-	every   time.Duration // average interval between two retries of one request
-	do      func(l *crashHarness)
+	name     string
+	members  int
+	engines  int
+	poisons  int
+	interval time.Duration // average interval between two retries of one request
+	do       func(l *crashHarness)
 }
 
 // restartAll starts a new process of each member.
@@ -392,7 +392,7 @@
 					s.do(l)
 				}
 				for p := range s.poisons {
-					l.poison(crash.Fingerprint(1000+p), p, s.every)
+					l.poison(crash.Fingerprint(1000+p), p, s.interval)
 				}
 				l.f.run(40 * time.Second)
 				l.check(t)
