--- a/core/instance/limit_test.go
+++ b/core/instance/limit_test.go
@@ -144,8 +144,8 @@
 
 // requestReached records after the delay way that a request reached an engine, and delivers the
 // notice in the response to the instance.
-func (l *limitHarness) requestReached(n *fleetMember, boot uint64, e *fleetEngine, way time.Duration, sent clock.Instant) {
-	l.f.at(way, func() {
+func (l *limitHarness) requestReached(n *fleetMember, boot uint64, e *fleetEngine, delay time.Duration, sent clock.Instant) {
+	l.f.at(delay, func() {
 		l.recordRequest(n, boot, e)
 		l.sendNotice(n, boot, e, fleetLatency, sent)
 	})
