--- a/core/instance/limit_test.go
+++ b/core/instance/limit_test.go
@@ -156,11 +156,11 @@
 }
 
 // sendNotice delivers the current notice of an engine to an instance.
-func (l *limitHarness) sendNotice(n *fleetMember, boot uint64, e *fleetEngine, way time.Duration, sent clock.Instant) {
+func (l *limitHarness) sendNotice(n *fleetMember, boot uint64, e *fleetEngine, delay time.Duration, sent clock.Instant) {
 	content := l.otherNotices[e]
 	content.Limit = l.limit(e)
 	to := noticeKey{n.id.Name, boot, e.name, e.starts}
-	l.f.at(way, func() {
+	l.f.at(delay, func() {
 		if _, known := l.firstToldAt[to]; content.Limit.Named && !known && !n.dead && !n.frozen && n.boot == boot {
 			l.firstToldAt[to] = l.f.now
 		}
