--- a/core/instance/crash_test.go
+++ b/core/instance/crash_test.go
@@ -124,9 +124,9 @@
 // serve runs a call at its engine.
 func (l *crashHarness) serve(n *fleetMember, d calls.Dispatch, reply func(time.Duration, step.Event)) {
 	e, c := l.f.engines[d.Replica], l.calls[d.ID]
-	failed := func(way time.Duration, b calls.AttemptFailed) {
+	failed := func(delay time.Duration, b calls.AttemptFailed) {
 		b.ID, b.Attempt = d.ID, d.Attempt
-		reply(way, b)
+		reply(delay, b)
 	}
 	switch {
 	case l.f.partitioned(n.id.Zone, e.zone):
