--- a/core/instance/notice_test.go
+++ b/core/instance/notice_test.go
@@ -134,9 +134,9 @@
 // serve runs a call at its engine, or has the engine refuse it.
 func (l *noticeHarness) serve(n *fleetMember, boot uint64, d calls.Dispatch, reply func(time.Duration, step.Event)) {
 	e := l.f.engines[d.Replica]
-	failed := func(way time.Duration, b calls.AttemptFailed) {
+	failed := func(delay time.Duration, b calls.AttemptFailed) {
 		b.ID, b.Attempt = d.ID, d.Attempt
-		reply(way, b)
+		reply(delay, b)
 	}
 	switch {
 	case l.f.partitioned(n.id.Zone, e.zone):
