--- a/core/instance/announced_world_test.go
+++ b/core/instance/announced_world_test.go
@@ -326,10 +326,10 @@
 }
 
 // sleep suspends a member's machine for span, and sets its wall clock back by back meanwhile.
-func (f *fleet) sleep(n *fleetMember, span, back time.Duration) {
+func (f *fleet) sleep(n *fleetMember, span, setBack time.Duration) {
 	n.frozen = true
 	f.at(span, func() {
-		n.wallOffset -= back
+		n.wallOffset -= setBack
 		if f.clockStopsInSleep {
 			n.monotonicLag += span
 		}
