--- a/core/instance/bench_test.go
+++ b/core/instance/bench_test.go
@@ -47,8 +47,8 @@
 	return d
 }
 
-// loaded returns a machine for a deployment of size s whose engines hold three models each.
-func (s benchSize) loaded(b *testing.B) (*Machine, clock.Instant) {
+// loadedMachine returns a machine for a deployment of size s whose engines hold three models each.
+func (s benchSize) loadedMachine(b *testing.B) (*Machine, clock.Instant) {
 	b.Helper()
 	now := clocktest.At(time.Hour)
 	m := New(member.Identity{Name: "entry-1", Zone: "z0", Address: "a", Boot: 1}, option.Default(), 1)
@@ -72,7 +72,7 @@
 func BenchmarkCall(b *testing.B) {
 	for _, s := range benchSizes {
 		b.Run(s.String(), func(b *testing.B) {
-			m, now := s.loaded(b)
+			m, now := s.loadedMachine(b)
 			b.ReportAllocs()
 			id := calls.ID(0)
 			for b.Loop() {
@@ -91,7 +91,7 @@
 func BenchmarkChoose(b *testing.B) {
 	for _, s := range benchSizes {
 		b.Run(s.String(), func(b *testing.B) {
-			m, now := s.loaded(b)
+			m, now := s.loadedMachine(b)
 			prompt := make([]byte, 8192)
 			q := choose.Query{Zone: "z0", PromptTokens: 2000, PrefillRate: 8000, Prefix: choose.NewPrefix("m", string(prompt))}
 			b.ReportAllocs()
