--- a/core/instance/promises_test.go
+++ b/core/instance/promises_test.go
@@ -413,7 +413,7 @@
 func TestPlatformOutageCostsNoResidentCall(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(t, 4, smallDocument(true), 2, quickOptions())
-	w.warm("model-1", 10*time.Second)
+	w.warmUp("model-1", 10*time.Second)
 	w.faults.platformDown = true
 	before := w.platform.calls
 	const outage = 10 * time.Minute
@@ -434,8 +434,8 @@
 	is.True(perInstance < 2) // three kinds of calls, each with a full jitter of up to 5 s
 }
 
-// warm sends calls for a model for d, so that it becomes resident.
-func (w *world) warm(model string, d time.Duration) {
+// warmUp sends calls for a model for d, so that it becomes resident.
+func (w *world) warmUp(model string, d time.Duration) {
 	id := calls.ID(1 << 30)
 	for at := time.Second; at < d; at += 200 * time.Millisecond {
 		w.after(at, func() {
