--- a/core/instance/crash_test.go
+++ b/core/instance/crash_test.go
@@ -301,8 +301,8 @@
 func (l *crashHarness) check(t *testing.T) {
 	t.Helper()
 	for request, at := range l.crashTimes {
-		if late := l.lateArrivals(request); late > crashLimit {
-			t.Errorf("request %v reached engines %d times later than %v after the third crash; %d engines crashed in total", request, late, propagationTime, len(at))
+		if lateCount := l.lateArrivals(request); lateCount > crashLimit {
+			t.Errorf("request %v reached engines %d times later than %v after the third crash; %d engines crashed in total", request, lateCount, propagationTime, len(at))
 		}
 	}
 	for _, b := range l.f.violations {
