--- a/core/instance/announced_world_test.go
+++ b/core/instance/announced_world_test.go
@@ -170,7 +170,7 @@
 
 const (
 	fleetModelMB  = 70
-	fleetLoadRate = 0.6 // loads from the weight store a second
+	fleetLoadRate = 0.6 // loads from the weight store per second
 	fleetEngines  = 8
 	fleetModels   = 12
 )
@@ -325,7 +325,7 @@
 	return clock.Instant{Mono: at.Mono - n.monotonicLag, Wall: at.Wall.Add(n.wallOffset)}
 }
 
-// sleep suspends a member's machine for span, and sets its wall clock back by back meanwhile.
+// sleep suspends a member's machine for span. Meanwhile its wall clock is set back by setBack.
 func (f *fleet) sleep(n *fleetMember, span, setBack time.Duration) {
 	n.frozen = true
 	f.at(span, func() {
@@ -511,9 +511,9 @@
 // ofEra returns a pointer to e, the era of the revisions and leases in a call, for storeCall.
 func ofEra(e era.Era) *era.Era { return &e }
 
-// storeCall makes one call to the store. A write may be executed without a response, up to 6 s
-// later. made is the era of the revisions and leases in the call, or nil if it contains none. A
-// call made in another era than the member knows is not sent; if its response comes from another
+// storeCall makes one call to the store. A call may get no response and still be executed, up to 6
+// s later. callEra is the era of the revisions and leases in the call, or nil if it contains none.
+// A call made in another era than the member knows is not sent; if its response comes from another
 // era, the call fails.
 func (f *fleet) storeCall(n *fleetMember, callEra *era.Era, do func() (ev step.Event, write bool), failed func(error) step.Event, reply func(time.Duration, step.Event)) {
 	errLost := errors.New("no answer")
@@ -576,9 +576,9 @@
 	f.setKey("servers/"+e.name, &fleetValue{data: a})
 }
 
-// restartEngine starts an engine that ended again, under the same name. It has no record of the
-// orders it executed, and its adapters are lost. Its models are kept, as if its operators had
-// restored them, so that the fleet does not run out of models.
+// restartEngine restarts an engine that ended, under the same name. It has no record of the orders
+// it executed, and its adapters are lost. Its models are kept, as if its operators had restored
+// them, so that the fleet does not run out of models.
 func (f *fleet) restartEngine(e *fleetEngine) {
 	e.dead = false
 	e.busy = false
@@ -1395,7 +1395,7 @@
 // TestOwnersHearOfTheRegistry checks that an instance that stops watching sends no more orders to
 // its engines, since another instance may have claimed them. In a large fleet, instances used to
 // own engines without watching, and a former owner sent orders under a lower fence (check ONE
-// failed in a run of a grown fleet).
+// failed in a day-long run of a grown fleet).
 func TestOwnersHearOfTheRegistry(t *testing.T) {
 	cases := []struct {
 		name    string
--- a/core/instance/crash_test.go
+++ b/core/instance/crash_test.go
@@ -97,8 +97,8 @@
 	return l
 }
 
-// poison sends a request that crashes its engines to random members, again and again, at an
-// interval of every on average.
+// poison sends a request that crashes its engines to random members, again and again, at interval
+// on average.
 func (l *crashHarness) poison(fingerprint crash.Fingerprint, model int, interval time.Duration) {
 	l.f.at(time.Duration(l.f.rng.Int64N(int64(2*interval))), func() {
 		l.poison(fingerprint, model, interval)
--- a/core/instance/limit_test.go
+++ b/core/instance/limit_test.go
@@ -142,8 +142,8 @@
 	l.arrived[r.ID] = noticeCall{member: n, at: l.f.now, model: r.Forward.Model, plain: r.Forward.Adapter == ""}
 }
 
-// requestReached records after the delay way that a request reached an engine, and delivers the
-// notice in the response to the instance.
+// requestReached records, after delay, that a request reached an engine, and delivers the notice
+// in the response to the instance.
 func (l *limitHarness) requestReached(n *fleetMember, boot uint64, e *fleetEngine, delay time.Duration, sent clock.Instant) {
 	l.f.at(delay, func() {
 		l.recordRequest(n, boot, e)
@@ -155,7 +155,7 @@
 	l.received[e] = append(l.received[e], limitRequest{l.f.now, noticeKey{n.id.Name, boot, e.name, e.starts}})
 }
 
-// sendNotice delivers the current notice of an engine to an instance.
+// sendNotice delivers the current notice of an engine to an instance after delay.
 func (l *limitHarness) sendNotice(n *fleetMember, boot uint64, e *fleetEngine, delay time.Duration, sent clock.Instant) {
 	content := l.otherNotices[e]
 	content.Limit = l.limit(e)
@@ -213,7 +213,7 @@
 	}
 	if c.at < l.healed+healDelay || c.at < c.member.thawedAt {
 		// The call arrived while its engines were unreachable, or were still considered
-		// unreachable, or before its instance was frozen.
+		// unreachable; or its instance was frozen since the call arrived.
 		return
 	}
 	for _, name := range sortedKeys(l.f.engines) {
--- a/core/instance/stepback_test.go
+++ b/core/instance/stepback_test.go
@@ -182,7 +182,7 @@
 	return ""
 }
 
-// settle runs the fleet until it is consistent, for at most most. It returns the time that this
+// settle runs the fleet until it is consistent or timeout is over. It returns the time that this
 // took and the remaining inconsistency, if any.
 func (f *fleet) settle(timeout time.Duration) (took time.Duration, wrong string) {
 	const pollInterval = 100 * time.Millisecond
