--- a/core/instance/notice_test.go
+++ b/core/instance/notice_test.go
@@ -229,8 +229,8 @@
 	return most
 }
 
-// startLeaving makes an engine announce, only in its responses, that it leaves. The engine ends 6
-// s later and restarts under its name after another 2 s.
+// startLeaving makes an engine announce, only in its responses, that it leaves. After 6 s the
+// engine ends, and 2 s later it restarts under its name.
 func (l *noticeHarness) startLeaving(e *fleetEngine) {
 	l.leaving[e] = true
 	l.f.at(6*time.Second, func() {
--- a/core/instance/stepback_test.go
+++ b/core/instance/stepback_test.go
@@ -182,7 +182,7 @@
 	return ""
 }
 
-// settle runs the fleet until it is consistent or timeout is over. It returns the time that this
+// settle runs the fleet until it is consistent, for at most timeout. It returns the time that this
 // took and the remaining inconsistency, if any.
 func (f *fleet) settle(timeout time.Duration) (took time.Duration, wrong string) {
 	const pollInterval = 100 * time.Millisecond
@@ -203,12 +203,10 @@
 // Before, no member ever sent orders to some engines again, and all members ignored what was
 // written to the store afterwards.
 func TestFleetRecoversAfterStoreStepsBack(t *testing.T) {
-	// aim is the longest that engines wait for their orders anyhow when an owner is lost:
-	// its record's term and absence, then the wait for its orders.
-	o := option.Default()
 	// aim is the longest time for which engines wait for orders after the loss of an owner,
-	// without a step back: until its record expires and it counts as absent, then until its orders
-	// are no longer valid and the turn gap is over.
+	// without a step back: until its record expires and it counts as absent, then until its
+	// orders are no longer valid and the turn gap is over.
+	o := option.Default()
 	aim := o.EnrolTerm + o.AbsentFor + o.OrderValid + o.TurnGap + 3*time.Second
 	for _, span := range []time.Duration{0, time.Second, 3 * time.Second, 10 * time.Second} {
 		for seed := range uint64(6) {
