--- a/core/instance/ceiling_test.go
+++ b/core/instance/ceiling_test.go
@@ -34,7 +34,7 @@
 			n.frozen = true
 			return func() { f.thaw(n) }
 		})},
-		{"the placer is cut off from the store, and its record expires", placers(6*time.Second, 5*time.Second, func(f *fleet, n *fleetMember) func() {
+		{"the placer is cut off from the store, and its record is deleted", placers(6*time.Second, 5*time.Second, func(f *fleet, n *fleetMember) func() {
 			n.noStore = true
 			f.endLease(f.leaseOf(n))
 			return func() { n.noStore = false }
--- a/core/instance/crash_test.go
+++ b/core/instance/crash_test.go
@@ -130,7 +130,7 @@
 	}
 	switch {
 	case l.f.partitioned(n.id.Zone, e.zone):
-		failed(500*time.Millisecond, calls.AttemptFailed{Phase: attempt.NotSent, Detail: "no way there"})
+		failed(500*time.Millisecond, calls.AttemptFailed{Phase: attempt.NotSent, Detail: "zone unreachable"})
 		return
 	case e.dead:
 		failed(fleetLatency, calls.AttemptFailed{Phase: attempt.NotSent, Unreachable: true})
--- a/core/instance/notice_test.go
+++ b/core/instance/notice_test.go
@@ -140,7 +140,7 @@
 	}
 	switch {
 	case l.f.partitioned(n.id.Zone, e.zone):
-		failed(500*time.Millisecond, calls.AttemptFailed{Phase: attempt.NotSent, Detail: "no way there"})
+		failed(500*time.Millisecond, calls.AttemptFailed{Phase: attempt.NotSent, Detail: "zone unreachable"})
 		return
 	case e.dead:
 		failed(fleetLatency, calls.AttemptFailed{Phase: attempt.NotSent, Unreachable: true})
