--- a/core/instance/limit_test.go
+++ b/core/instance/limit_test.go
@@ -77,7 +77,7 @@
 	arrived      map[calls.ID]noticeCall
 	lostCalls    []string // refused calls that an engine without a limit could have served
 	refused      []calls.Finish
-	healed       time.Duration // when the last partition ended
+	healedAt     time.Duration // when the last partition ended
 	callDuration time.Duration // run time of a call
 	// otherNotices holds what engines state in addition to their limit. An engine that states a
 	// rest refuses all calls.
@@ -211,7 +211,7 @@
 	if !ok || !c.plain || a.Refusal.Code == code.NoConfiguration {
 		return // an instance that has just started refuses all calls, whatever its engines do
 	}
-	if c.at < l.healed+healDelay || c.at < c.member.thawedAt {
+	if c.at < l.healedAt+healDelay || c.at < c.member.thawedAt {
 		// The call arrived while its engines were unreachable, or were still considered
 		// unreachable; or its instance was frozen since the call arrived.
 		return
@@ -378,7 +378,7 @@
 			l.f.cutZones = map[string]bool{"z1": true}
 			return func() {
 				l.f.cutZones = nil
-				l.healed = l.f.now
+				l.healedAt = l.f.now
 			}
 		})
 	}},
