--- a/core/instance/leaving_test.go
+++ b/core/instance/leaving_test.go
@@ -46,7 +46,7 @@
 	storeDisturbedAt  time.Duration
 	memberDisturbedAt map[string]time.Duration
 	boots             map[string]uint64
-	next              int // number for the name of the next engine
+	nextEngine        int // number for the name of the next engine
 	lateCalls         []string
 	left              int           // engines that left while the store was stable
 	maxListAge        time.Duration // largest age of a list by which a member to which the bound applies sent a call
@@ -61,7 +61,7 @@
 func newLeaveHarness(f *fleet, b bounds.Bounds) *leaveHarness {
 	l := &leaveHarness{
 		f: f, bounds: b, leaveRecords: map[*fleetEngine]leaveRecord{}, memberDisturbedAt: map[string]time.Duration{},
-		boots: map[string]uint64{}, next: len(f.engines), storeDisturbedAt: -time.Hour,
+		boots: map[string]uint64{}, nextEngine: len(f.engines), storeDisturbedAt: -time.Hour,
 	}
 	f.leaves = l
 	l.observe()
@@ -177,10 +177,10 @@
 func (l *leaveHarness) replace(e *fleetEngine) {
 	f := l.f
 	added := &fleetEngine{
-		name: fmt.Sprintf("e%d", l.next), zone: e.zone,
+		name: fmt.Sprintf("e%d", l.nextEngine), zone: e.zone,
 		models: maps.Clone(e.models), adapters: map[string]bool{}, onDisk: maps.Clone(e.onDisk),
 	}
-	l.next++
+	l.nextEngine++
 	f.engines[added.name] = added
 	f.announce(added)
 }
