--- a/core/instance/leaving_test.go
+++ b/core/instance/leaving_test.go
@@ -48,7 +48,7 @@
 	boots             map[string]uint64
 	nextEngine        int // number for the name of the next engine
 	lateCalls         []string
-	left              int           // engines that left while the store was stable
+	leftCount         int           // engines that left while the store was stable
 	maxListAge        time.Duration // largest age of a list by which a member to which the bound applies sent a call
 }
 
@@ -151,7 +151,7 @@
 	if !w.stable {
 		return
 	}
-	l.left++
+	l.leftCount++
 	l.f.at(l.bounds.Leave-bounds.DialTimeout, func() {
 		if l.leaveRecords[e] == w {
 			l.checkUnused(e)
@@ -427,10 +427,10 @@
 	for _, b := range l.f.violations[:min(3, len(l.f.violations))] {
 		t.Errorf("seed %d: %s", seed+1, b)
 	}
-	t.Logf("seed %d: largest age of a list at a dispatch %v, %d engines left, %.3f of calls served", seed+1, l.maxListAge.Round(time.Millisecond), l.left,
+	t.Logf("seed %d: largest age of a list at a dispatch %v, %d engines left, %.3f of calls served", seed+1, l.maxListAge.Round(time.Millisecond), l.leftCount,
 		float64(l.f.served)/float64(max(1, l.f.served+l.f.refused)))
-	if l.left == 0 || l.f.served < 9*l.f.refused {
-		t.Errorf("seed %d: %d engines left, %d calls served, %d refused", seed+1, l.left, l.f.served, l.f.refused)
+	if l.leftCount == 0 || l.f.served < 9*l.f.refused {
+		t.Errorf("seed %d: %d engines left, %d calls served, %d refused", seed+1, l.leftCount, l.f.served, l.f.refused)
 	}
 }
 
