--- a/core/instance/announced_world_test.go
+++ b/core/instance/announced_world_test.go
@@ -452,7 +452,7 @@
 		}
 	case calls.Dispatch:
 		if f.leaves != nil {
-			f.leaves.sent(n, act)
+			f.leaves.handleDispatch(n, act)
 		}
 		if f.crashes != nil {
 			f.crashes.serve(n, act, reply)
--- a/core/instance/leaving_test.go
+++ b/core/instance/leaving_test.go
@@ -94,10 +94,10 @@
 	return l.stable() && l.f.now-l.memberDisturbedAt[n.id.Name] >= l.bounds.Settle
 }
 
-// sent handles a call that a member sends to an engine. The call reaches the engine when a
+// handleDispatch handles a call that a member sends to an engine. The call reaches the engine when a
 // connection is established, which may take up to the dial timeout, so the check is made after
 // that time.
-func (l *leaveHarness) sent(n *fleetMember, d calls.Dispatch) {
+func (l *leaveHarness) handleDispatch(n *fleetMember, d calls.Dispatch) {
 	e := l.f.engines[d.Replica]
 	if l.boundApplies(n) {
 		l.maxListAge = max(l.maxListAge, d.Forward.ListAge)
