--- a/core/instance/crash_test.go
+++ b/core/instance/crash_test.go
@@ -75,7 +75,7 @@
 type crashCall struct {
 	request calls.Request
 	poison  bool
-	retried bool // this is already a retry; callers retry only once
+	noRetry bool // this is already a retry; callers retry only once
 	ran     bool
 }
 
@@ -110,7 +110,7 @@
 		r := calls.Request{ID: calls.ID(l.f.eventSeq), Path: "/x", Replayable: true, PromptTokens: 1750, Forward: &calls.ForwardRequest{
 			Name: fmt.Sprint(l.f.eventSeq), Fingerprint: fingerprint, Host: "h", Model: fmt.Sprintf("m%d", model),
 		}}
-		l.calls[r.ID] = &crashCall{request: r, poison: true, retried: true}
+		l.calls[r.ID] = &crashCall{request: r, poison: true, noRetry: true}
 		l.f.step(n, n.boot, calls.Arrived{Call: r})
 	})
 }
@@ -262,7 +262,7 @@
 			l.f.recordViolation("call %d was quarantined, but it crashed no engine", a.ID)
 		}
 	}
-	if c.retried {
+	if c.noRetry {
 		return
 	}
 	n := l.f.randomMember()
@@ -275,7 +275,7 @@
 		forward := *r.Forward
 		r.Forward = &forward
 		r.ID = calls.ID(l.f.eventSeq)
-		l.calls[r.ID] = &crashCall{request: r, retried: true}
+		l.calls[r.ID] = &crashCall{request: r, noRetry: true}
 		l.f.step(n, n.boot, calls.Arrived{Call: r})
 	})
 }
