--- a/core/instance/leaving_test.go
+++ b/core/instance/leaving_test.go
@@ -226,9 +226,9 @@
 
 // storeDown takes the store down for span. If closed is set the store refuses connections;
 // otherwise it does not respond.
-func (l *leaveHarness) storeDown(span time.Duration, closed bool) {
+func (l *leaveHarness) storeDown(span time.Duration, refuse bool) {
 	l.f.store.down = true
-	l.f.store.refusesConnections = closed
+	l.f.store.refusesConnections = refuse
 	l.f.at(span, func() {
 		l.f.store.down = false
 		l.f.store.refusesConnections = false
