--- a/core/instance/outage_test.go
+++ b/core/instance/outage_test.go
@@ -43,8 +43,8 @@
 
 // recoverFromOutage simulates a 5 s outage of the store and records how the members recover from
 // it.
-func recoverFromOutage(f *fleet, closed bool) outageRecovery {
-	f.store.down, f.store.refusesConnections = true, closed
+func recoverFromOutage(f *fleet, refuse bool) outageRecovery {
+	f.store.down, f.store.refusesConnections = true, refuse
 	f.run(5 * time.Second)
 	f.store.down, f.store.refusesConnections = false, false
 	back := clocktest.At(time.Hour + f.now)
