--- a/core/instance/outage_test.go
+++ b/core/instance/outage_test.go
@@ -47,12 +47,12 @@
 	f.store.down, f.store.refusesConnections = true, refuse
 	f.run(5 * time.Second)
 	f.store.down, f.store.refusesConnections = false, false
-	back := clocktest.At(time.Hour + f.now)
+	storeUpAt := clocktest.At(time.Hour + f.now)
 	from := f.now
 	f.storeCallTimes = nil
 	const span = 8 * time.Second
 	var e outageRecovery
-	e.list = f.timeUntilAll(span, func(n *fleetMember) bool { return !n.m.exchanges.StoreKnownUntil().Before(back) })
+	e.list = f.timeUntilAll(span, func(n *fleetMember) bool { return !n.m.exchanges.StoreKnownUntil().Before(storeUpAt) })
 	e.lease = e.list + f.timeUntilAll(span, func(n *fleetMember) bool {
 		v := f.store.values["instances/"+n.id.Name]
 		return v != nil && f.store.leases[v.lease] != nil
