--- a/core/instance/leaving_test.go
+++ b/core/instance/leaving_test.go
@@ -205,15 +205,15 @@
 // dropHistory withholds changes from the watches for a second, and then drops the history of the
 // store: the connections of all watches are reset, or hang if silent is set, and the watches
 // continue with a full read.
-func (l *leaveHarness) dropHistory(silent bool) {
+func (l *leaveHarness) dropHistory(hang bool) {
 	f := l.f
 	f.store.muteUntil = f.now + time.Second
 	f.at(time.Second, func() {
 		for _, n := range l.allMembers() {
 			n.watchPosition = 0
 			for _, w := range n.pendingWatches {
-				w.hung = silent
-				w.cut = !silent
+				w.hung = hang
+				w.cut = !hang
 			}
 		}
 	})
