--- a/core/instance/repeats_test.go
+++ b/core/instance/repeats_test.go
@@ -41,11 +41,11 @@
 func (c *retryCount) excess(o option.Options) float64 {
 	most := 0.0
 	for _, at := range c.retries {
-		came := 0
+		callCount := 0
 		for _, back := range []time.Duration{0, o.RetryWindow / 2, o.RetryWindow} {
-			came = max(came, countWithin(c.callTimes, o.RetryWindow, at-back))
+			callCount = max(callCount, countWithin(c.callTimes, o.RetryWindow, at-back))
 		}
-		allowed := o.RetryRatio*float64(came) + o.RetrySlack
+		allowed := o.RetryRatio*float64(callCount) + o.RetrySlack
 		most = max(most, float64(countWithin(c.retries, o.RetryWindow, at))-allowed)
 	}
 	return most
