--- a/core/instance/repeats_test.go
+++ b/core/instance/repeats_test.go
@@ -42,8 +42,8 @@
 	most := 0.0
 	for _, at := range c.retries {
 		callCount := 0
-		for _, back := range []time.Duration{0, o.RetryWindow / 2, o.RetryWindow} {
-			callCount = max(callCount, countWithin(c.callTimes, o.RetryWindow, at-back))
+		for _, offset := range []time.Duration{0, o.RetryWindow / 2, o.RetryWindow} {
+			callCount = max(callCount, countWithin(c.callTimes, o.RetryWindow, at-offset))
 		}
 		allowed := o.RetryRatio*float64(callCount) + o.RetrySlack
 		most = max(most, float64(countWithin(c.retries, o.RetryWindow, at))-allowed)
