--- a/core/instance/repeats_test.go
+++ b/core/instance/repeats_test.go
@@ -13,15 +13,15 @@
 type retryCount struct {
 	callTimes []time.Duration
 	retries   []time.Duration // times of the attempts after the first one of a call
-	tried     map[calls.ID]bool
+	attempted map[calls.ID]bool
 }
 
 // recordAttempt records that an attempt of a call reached an engine.
 func (c *retryCount) recordAttempt(now time.Duration, id calls.ID) {
-	if c.tried[id] {
+	if c.attempted[id] {
 		c.retries = append(c.retries, now)
 	}
-	c.tried[id] = true
+	c.attempted[id] = true
 }
 
 // countWithin returns the number of moments within the span that ends at to.
@@ -108,7 +108,7 @@
 			for seed := range *noticeSeeds {
 				l := newNoticeHarness(newFleetOf(uint64(seed+1), s.members, 2*fleetEngines, option.Disabled{}, false))
 				f := l.f
-				l.retries = &retryCount{tried: map[calls.ID]bool{}}
+				l.retries = &retryCount{attempted: map[calls.ID]bool{}}
 				f.expireLeases()
 				f.run(5 * time.Second)
 				f.startCallers(5 * time.Millisecond)
