--- a/core/instance/announced_world_test.go
+++ b/core/instance/announced_world_test.go
@@ -1073,8 +1073,8 @@
 
 // startCallers starts callers that send calls at an interval; the most requested models change
 // every 7 s.
-func (f *fleet) startCallers(every time.Duration) {
-	f.startCallersFor(every, func() int {
+func (f *fleet) startCallers(interval time.Duration) {
+	f.startCallersFor(interval, func() int {
 		return (int(f.now/(7*time.Second)) + f.rng.IntN(4)*f.rng.IntN(2)) % fleetModels
 	})
 }
