--- a/core/instance/announced_world_test.go
+++ b/core/instance/announced_world_test.go
@@ -1081,9 +1081,9 @@
 
 // startCallersFor starts callers that send a call to a random member at an interval. model returns
 // the number of the model for each call.
-func (f *fleet) startCallersFor(every time.Duration, model func() int) {
-	f.at(every, func() {
-		f.startCallersFor(every, model)
+func (f *fleet) startCallersFor(interval time.Duration, model func() int) {
+	f.at(interval, func() {
+		f.startCallersFor(interval, model)
 		n := f.members[f.names[f.rng.IntN(len(f.names))]]
 		if !n.dead && !n.frozen {
 			f.nextID()
