--- a/core/instance/announced_world_test.go
+++ b/core/instance/announced_world_test.go
@@ -1123,11 +1123,11 @@
 
 // periodically calls do at an interval and the undo function it returned after span, for example
 // to inject and end a fault.
-func (f *fleet) periodically(every, span time.Duration, do func() (undo func())) {
-	f.at(every, func() {
+func (f *fleet) periodically(interval, span time.Duration, do func() (undo func())) {
+	f.at(interval, func() {
 		undo := do()
 		f.at(span, undo)
-		f.periodically(every, span, do)
+		f.periodically(interval, span, do)
 	})
 }
 
