--- a/core/instance/stepback_test.go
+++ b/core/instance/stepback_test.go
@@ -133,8 +133,8 @@
 }
 
 // stepBackPeriodically makes the store step back at an interval.
-func (f *fleet) stepBackPeriodically(every time.Duration) {
-	f.periodically(every, 0, func() func() {
+func (f *fleet) stepBackPeriodically(interval time.Duration) {
+	f.periodically(interval, 0, func() func() {
 		f.stepBack(f.randomSpan())
 		return func() {}
 	})
