--- a/core/instance/announced_world_test.go
+++ b/core/instance/announced_world_test.go
@@ -725,13 +725,13 @@
 
 // A fleetWatch is a watch that is pending at the store.
 type fleetWatch struct {
-	id    uint64
-	boot  uint64
-	whole bool          // it requests a full read
-	until time.Duration // when the store responds even without a change
-	limit time.Duration // when the member times out
-	hung  bool          // its connection delivers nothing more
-	cut   bool          // its connection is reset
+	id        uint64
+	boot      uint64
+	whole     bool          // it requests a full read
+	waitUntil time.Duration // when the store responds even without a change
+	limit     time.Duration // when the member times out
+	hung      bool          // its connection delivers nothing more
+	cut       bool          // its connection is reset
 }
 
 // fleetPage is the number of items in a page of a full read.
@@ -745,7 +745,7 @@
 
 // watch starts a watch, which is answered when something changed or its wait is over.
 func (f *fleet) watch(n *fleetMember, boot uint64, a watch.SendRequest) {
-	w := &fleetWatch{id: a.ID, boot: boot, whole: a.Wait == 0, until: f.now + a.Wait, limit: f.now + a.Wait + watchLimit}
+	w := &fleetWatch{id: a.ID, boot: boot, whole: a.Wait == 0, waitUntil: f.now + a.Wait, limit: f.now + a.Wait + watchLimit}
 	if w.whole {
 		w.limit = f.now + readLimit
 	}
@@ -785,7 +785,7 @@
 	if f.now < f.store.muteUntil && !whole {
 		at, changes = n.watchPosition, nil
 	}
-	if len(changes) == 0 && f.now < w.until {
+	if len(changes) == 0 && f.now < w.waitUntil {
 		f.at(20*time.Millisecond, func() { f.poll(n, w) })
 		return
 	}
