--- a/core/instance/announced_world_test.go
+++ b/core/instance/announced_world_test.go
@@ -729,7 +729,7 @@
 	boot      uint64
 	whole     bool          // it requests a full read
 	waitUntil time.Duration // when the store responds even without a change
-	limit     time.Duration // when the member times out
+	deadline  time.Duration // when the member times out
 	hung      bool          // its connection delivers nothing more
 	cut       bool          // its connection is reset
 }
@@ -745,9 +745,9 @@
 
 // watch starts a watch, which is answered when something changed or its wait is over.
 func (f *fleet) watch(n *fleetMember, boot uint64, a watch.SendRequest) {
-	w := &fleetWatch{id: a.ID, boot: boot, whole: a.Wait == 0, waitUntil: f.now + a.Wait, limit: f.now + a.Wait + watchLimit}
+	w := &fleetWatch{id: a.ID, boot: boot, whole: a.Wait == 0, waitUntil: f.now + a.Wait, deadline: f.now + a.Wait + watchLimit}
 	if w.whole {
-		w.limit = f.now + readLimit
+		w.deadline = f.now + readLimit
 	}
 	n.pendingWatches = append(n.pendingWatches, w)
 	pages := 1
@@ -770,13 +770,13 @@
 	case n.dead || n.boot != w.boot:
 		return
 	case w.hung:
-		failWatch(w.limit, "no answer")
+		failWatch(w.deadline, "no answer")
 		return
 	case w.cut, f.store.refusesConnections && !n.noStore && !n.noUpdates && !f.cutZones[n.id.Zone]:
 		failWatch(f.now, "refused")
 		return
 	case n.noStore || n.noUpdates || f.store.down || f.cutZones[n.id.Zone]:
-		failWatch(w.limit, "no answer")
+		failWatch(w.deadline, "no answer")
 		return
 	}
 	f.watches++
