--- a/core/instance/announced_world_test.go
+++ b/core/instance/announced_world_test.go
@@ -731,7 +731,7 @@
 	waitUntil time.Duration // when the store responds even without a change
 	deadline  time.Duration // when the member times out
 	hung      bool          // its connection delivers nothing more
-	cut       bool          // its connection is reset
+	reset     bool          // its connection is reset
 }
 
 // fleetPage is the number of items in a page of a full read.
@@ -772,7 +772,7 @@
 	case w.hung:
 		failWatch(w.deadline, "no answer")
 		return
-	case w.cut, f.store.refusesConnections && !n.noStore && !n.noUpdates && !f.cutZones[n.id.Zone]:
+	case w.reset, f.store.refusesConnections && !n.noStore && !n.noUpdates && !f.cutZones[n.id.Zone]:
 		failWatch(f.now, "refused")
 		return
 	case n.noStore || n.noUpdates || f.store.down || f.cutZones[n.id.Zone]:
--- a/core/instance/leaving_test.go
+++ b/core/instance/leaving_test.go
@@ -213,7 +213,7 @@
 			n.watchPosition = 0
 			for _, w := range n.pendingWatches {
 				w.hung = hang
-				w.cut = !hang
+				w.reset = !hang
 			}
 		}
 	})
