--- a/core/instance/promises_test.go
+++ b/core/instance/promises_test.go
@@ -127,8 +127,8 @@
 		w.after(at, func() {
 			id++
 			name := w.names[w.rng.IntN(len(w.names))]
-			favourite := int(w.now/(6*time.Second))*3 + w.rng.IntN(3)
-			c := calls.Request{ID: id, Service: fmt.Sprintf("svc-model-%d", favourite%8+1), Replayable: true}
+			popular := int(w.now/(6*time.Second))*3 + w.rng.IntN(3)
+			c := calls.Request{ID: id, Service: fmt.Sprintf("svc-model-%d", popular%8+1), Replayable: true}
 			if w.rng.IntN(4) == 0 {
 				c = calls.Request{ID: id, Service: "stock", Plain: true, Path: "/x", NotRepeatable: true}
 				if w.rng.IntN(2) == 0 {
