--- a/core/instance/promises_test.go
+++ b/core/instance/promises_test.go
@@ -506,7 +506,7 @@
 	ready, reason := w.nodes[holder].m.Ready()
 	is.True(!ready)
 	is.Equal(reason, "stopping")
-	begun := w.now
+	stoppedAt := w.now
 	planned := func() bool {
 		for _, name := range w.names[:2] {
 			if name != holder && w.nodes[name].m.env.own.planner.Planning() {
@@ -515,8 +515,8 @@
 		}
 		return false
 	}
-	for !planned() && w.now-begun < 10*time.Second {
+	for !planned() && w.now-stoppedAt < 10*time.Second {
 		w.run(100 * time.Millisecond)
 	}
-	is.True(w.now-begun < 4*time.Second) // the successor retries every quarter of the 10 s term, so it need not wait the whole term
+	is.True(w.now-stoppedAt < 4*time.Second) // the successor retries every quarter of the 10 s term, so it need not wait the whole term
 }
