--- a/core/instance/lives_test.go
+++ b/core/instance/lives_test.go
@@ -28,9 +28,9 @@
 
 // restartEmpty ends an engine and restarts it under its name with nothing loaded. Its entry is
 // overwritten, not deleted in between.
-func (l *noticeHarness) restartEmpty(e *fleetEngine, after time.Duration) {
+func (l *noticeHarness) restartEmpty(e *fleetEngine, delay time.Duration) {
 	e.dead = true
-	l.f.at(after, func() {
+	l.f.at(delay, func() {
 		e.models = map[string]bool{}
 		e.pending = ""
 		l.restartEngine(e)
