--- a/core/instance/announced_world_test.go
+++ b/core/instance/announced_world_test.go
@@ -966,9 +966,9 @@
 }
 
 // unlessRestarted calls do after a delay, unless the engine has restarted by then.
-func (f *fleet) unlessRestarted(e *fleetEngine, after time.Duration, do func()) {
+func (f *fleet) unlessRestarted(e *fleetEngine, delay time.Duration, do func()) {
 	born := e.starts
-	f.at(after, func() {
+	f.at(delay, func() {
 		if e.starts == born {
 			do()
 		}
