--- a/core/instance/announced_world_test.go
+++ b/core/instance/announced_world_test.go
@@ -259,6 +259,7 @@
 	}
 }
 
+// at schedules do to run after d.
 func (f *fleet) at(d time.Duration, do func()) {
 	f.eventSeq++
 	heap.Push(&f.queue, scheduled{at: f.now + d, eventSeq: f.eventSeq, do: do})
@@ -275,6 +276,7 @@
 	f.now = end
 }
 
+// recordViolation records a violated guarantee together with the simulated time.
 func (f *fleet) recordViolation(format string, args ...any) {
 	f.violations = append(f.violations, fmt.Sprintf("%v: ", f.now)+fmt.Sprintf(format, args...))
 }
@@ -352,6 +354,7 @@
 
 const fleetLatency = 2 * time.Millisecond
 
+// perform executes an action of a member. reply delivers an event to the member after a delay.
 func (f *fleet) perform(n *fleetMember, boot uint64, a step.Action) {
 	reply := func(d time.Duration, ev step.Event) { f.at(d, func() { f.step(n, boot, ev) }) }
 	switch act := a.(type) {
@@ -555,6 +558,7 @@
 // revisionOf returns raw as a revision of the store's current era.
 func (f *fleet) revisionOf(raw uint64) era.Revision { return f.store.era.Revision(raw) }
 
+// setKey writes a key of the store, or deletes it if v is nil, and returns the new revision.
 func (f *fleet) setKey(key string, v *fleetValue) uint64 {
 	f.store.revision++
 	if v != nil {
@@ -567,6 +571,7 @@
 	return f.store.revision
 }
 
+// announce writes an engine's entry to the store.
 func (f *fleet) announce(e *fleetEngine) {
 	a := &pool.Announcement{Service: "llm", Address: cmp.Or(e.address, e.name), Zone: e.zone, Slots: 8, Engine: true, Born: fmt.Sprint(e.starts), Leaving: e.leaving}
 	for _, m := range sortedKeys(e.models) {
@@ -590,6 +595,7 @@
 	f.announce(e)
 }
 
+// enrol registers a member under a new lease.
 func (f *fleet) enrol(n *fleetMember, a ownership.Enrol) step.Event {
 	f.store.nextLease++
 	lease := f.store.nextLease
@@ -1013,6 +1019,7 @@
 	}
 }
 
+// requestOrder delivers an order request to a peer and the reply back.
 func (f *fleet) requestOrder(n *fleetMember, a orderclient.SendRequest, reply func(time.Duration, step.Event)) {
 	p := f.members[a.Peer]
 	out := func(outcome owned.Outcome) step.Event {
@@ -1071,7 +1078,7 @@
 // partitioned reports whether two zones cannot reach each other.
 func (f *fleet) partitioned(a, b string) bool { return a != b && (f.cutZones[a] || f.cutZones[b]) }
 
-// startCallers starts callers that send calls at an interval; the most requested models change
+// startCallers starts callers that send a call every interval; the most requested models change
 // every 7 s.
 func (f *fleet) startCallers(interval time.Duration) {
 	f.startCallersFor(interval, func() int {
@@ -1079,7 +1086,7 @@
 	})
 }
 
-// startCallersFor starts callers that send a call to a random member at an interval. model returns
+// startCallersFor starts callers that send a call to a random member every interval. model returns
 // the number of the model for each call.
 func (f *fleet) startCallersFor(interval time.Duration, model func() int) {
 	f.at(interval, func() {
@@ -1113,6 +1120,7 @@
 	})
 }
 
+// nextID advances eventSeq, which also serves as the source of call IDs.
 func (f *fleet) nextID() { f.eventSeq++ }
 
 // A fleetStorm is a fault scenario for a fleet.
@@ -1121,8 +1129,8 @@
 	do   func(f *fleet)
 }
 
-// periodically calls do at an interval and the undo function it returned after span, for example
-// to inject and end a fault.
+// periodically calls do every interval, and after span the undo function that do returned, for
+// example to inject and end a fault.
 func (f *fleet) periodically(interval, span time.Duration, do func() (undo func())) {
 	f.at(interval, func() {
 		undo := do()
--- a/core/instance/crash_test.go
+++ b/core/instance/crash_test.go
@@ -75,7 +75,7 @@
 type crashCall struct {
 	request calls.Request
 	poison  bool
-	noRetry bool // this is already a retry; callers retry only once
+	noRetry bool // the caller does not retry it: it is already a retry, or poison sends it again
 	ran     bool
 }
 
@@ -97,8 +97,8 @@
 	return l
 }
 
-// poison sends a request that crashes its engines to random members, again and again, at interval
-// on average.
+// poison sends a request that crashes its engines to random members, again and again, once per
+// interval on average.
 func (l *crashHarness) poison(fingerprint crash.Fingerprint, model int, interval time.Duration) {
 	l.f.at(time.Duration(l.f.rng.Int64N(int64(2*interval))), func() {
 		l.poison(fingerprint, model, interval)
--- a/core/instance/leaving_test.go
+++ b/core/instance/leaving_test.go
@@ -94,8 +94,8 @@
 	return l.stable() && l.f.now-l.memberDisturbedAt[n.id.Name] >= l.bounds.Settle
 }
 
-// handleDispatch handles a call that a member sends to an engine. The call reaches the engine when a
-// connection is established, which may take up to the dial timeout, so the check is made after
+// handleDispatch checks a call that a member sends to an engine. The call reaches the engine when
+// a connection is established, which may take up to the dial timeout, so the check is made after
 // that time.
 func (l *leaveHarness) handleDispatch(n *fleetMember, d calls.Dispatch) {
 	e := l.f.engines[d.Replica]
@@ -203,7 +203,7 @@
 }
 
 // dropHistory withholds changes from the watches for a second, and then drops the history of the
-// store: the connections of all watches are reset, or hang if silent is set, and the watches
+// store: the connections of all watches are reset, or hang if hang is set, and the watches
 // continue with a full read.
 func (l *leaveHarness) dropHistory(hang bool) {
 	f := l.f
@@ -224,7 +224,7 @@
 	l.f.at(time.Duration(l.f.rng.Int64N(int64(span))), l.randomLeave)
 }
 
-// storeDown takes the store down for span. If closed is set the store refuses connections;
+// storeDown takes the store down for span. If refuse is set the store refuses connections;
 // otherwise it does not respond.
 func (l *leaveHarness) storeDown(span time.Duration, refuse bool) {
 	l.f.store.down = true
@@ -261,7 +261,7 @@
 	do   func(l *leaveHarness)
 }
 
-// every calls do at an interval of span.
+// every calls do once per span.
 func (l *leaveHarness) every(span time.Duration, do func()) {
 	l.f.periodically(span, time.Hour, func() func() { do(); return func() {} })
 }
--- a/core/instance/outage_test.go
+++ b/core/instance/outage_test.go
@@ -42,7 +42,7 @@
 }
 
 // recoverFromOutage simulates a 5 s outage of the store and records how the members recover from
-// it.
+// it. If refuse is set the store refuses connections during the outage.
 func recoverFromOutage(f *fleet, refuse bool) outageRecovery {
 	f.store.down, f.store.refusesConnections = true, refuse
 	f.run(5 * time.Second)
--- a/core/instance/stepback_test.go
+++ b/core/instance/stepback_test.go
@@ -132,7 +132,7 @@
 	return time.Duration(f.rng.Int64N(int64(10 * time.Second)))
 }
 
-// stepBackPeriodically makes the store step back at an interval.
+// stepBackPeriodically makes the store step back every interval, by a random span.
 func (f *fleet) stepBackPeriodically(interval time.Duration) {
 	f.periodically(interval, 0, func() func() {
 		f.stepBack(f.randomSpan())
