--- a/core/instance/promises_test.go
+++ b/core/instance/promises_test.go
@@ -518,5 +518,5 @@
 	for !planned() && w.now-stoppedAt < 10*time.Second {
 		w.run(100 * time.Millisecond)
 	}
-	is.True(w.now-stoppedAt < 4*time.Second) // the successor retries every quarter of the 10 s term, so it need not wait the whole term
+	is.True(w.now-stoppedAt < 4*time.Second) // a quarter of the 10 s term plus a margin, not the whole term
 }
