--- a/core/instance/announced_world_test.go
+++ b/core/instance/announced_world_test.go
@@ -160,7 +160,7 @@
 	orderedAt      time.Duration
 	fence          era.Revision
 	loadedAt       map[string]time.Duration
-	starts         int // restarts under this name; identifies the incarnation
+	restarts       int // restarts under this name; identifies the incarnation
 	gone           bool
 	dead           bool // its process ended without notice
 	ordersAfterEnd int  // orders that reached its address since its process ended
@@ -573,7 +573,7 @@
 
 // announce writes an engine's entry to the store.
 func (f *fleet) announce(e *fleetEngine) {
-	a := &pool.Announcement{Service: "llm", Address: cmp.Or(e.address, e.name), Zone: e.zone, Slots: 8, Engine: true, Born: fmt.Sprint(e.starts), Leaving: e.leaving}
+	a := &pool.Announcement{Service: "llm", Address: cmp.Or(e.address, e.name), Zone: e.zone, Slots: 8, Engine: true, Born: fmt.Sprint(e.restarts), Leaving: e.leaving}
 	for _, m := range sortedKeys(e.models) {
 		a.Models = append(a.Models, pool.AnnouncedModel{Name: m})
 	}
@@ -587,7 +587,7 @@
 func (f *fleet) restartEngine(e *fleetEngine) {
 	e.dead = false
 	e.busy = false
-	e.starts++
+	e.restarts++
 	e.sequence = 0
 	e.fence = 0
 	e.adapters = map[string]bool{}
@@ -973,9 +973,9 @@
 
 // unlessRestarted calls do after a delay, unless the engine has restarted by then.
 func (f *fleet) unlessRestarted(e *fleetEngine, delay time.Duration, do func()) {
-	born := e.starts
+	born := e.restarts
 	f.at(delay, func() {
-		if e.starts == born {
+		if e.restarts == born {
 			do()
 		}
 	})
--- a/core/instance/limit_test.go
+++ b/core/instance/limit_test.go
@@ -152,14 +152,14 @@
 }
 
 func (l *limitHarness) recordRequest(n *fleetMember, boot uint64, e *fleetEngine) {
-	l.received[e] = append(l.received[e], limitRequest{l.f.now, noticeKey{n.id.Name, boot, e.name, e.starts}})
+	l.received[e] = append(l.received[e], limitRequest{l.f.now, noticeKey{n.id.Name, boot, e.name, e.restarts}})
 }
 
 // sendNotice delivers the current notice of an engine to an instance after delay.
 func (l *limitHarness) sendNotice(n *fleetMember, boot uint64, e *fleetEngine, delay time.Duration, sent clock.Instant) {
 	content := l.otherNotices[e]
 	content.Limit = l.limit(e)
-	to := noticeKey{n.id.Name, boot, e.name, e.starts}
+	to := noticeKey{n.id.Name, boot, e.name, e.restarts}
 	l.f.at(delay, func() {
 		if _, known := l.firstToldAt[to]; content.Limit.Named && !known && !n.dead && !n.frozen && n.boot == boot {
 			l.firstToldAt[to] = l.f.now
--- a/core/instance/notice_test.go
+++ b/core/instance/notice_test.go
@@ -108,7 +108,7 @@
 // requestReached records that a request reached an engine, and returns the notice in the engine's
 // response. sent is the time from which leaveGrace is checked.
 func (l *noticeHarness) requestReached(n *fleetMember, boot uint64, e *fleetEngine, sent time.Duration) pool.Notice {
-	to := noticeKey{n.id.Name, boot, e.name, e.starts}
+	to := noticeKey{n.id.Name, boot, e.name, e.restarts}
 	if at, told := l.firstToldAt[to]; told && sent > at+leaveGrace {
 		l.lateRequests++
 	}
@@ -122,7 +122,7 @@
 	if content.IsZero() {
 		return
 	}
-	to := noticeKey{n.id.Name, boot, e.name, e.starts}
+	to := noticeKey{n.id.Name, boot, e.name, e.restarts}
 	l.f.at(fleetLatency, func() {
 		if _, known := l.firstToldAt[to]; content.Leaving && !known && !n.dead && !n.frozen && n.boot == boot {
 			l.firstToldAt[to] = l.f.now
