--- a/core/instance/notice_test.go
+++ b/core/instance/notice_test.go
@@ -69,10 +69,10 @@
 // A noticeKey identifies an incarnation of an instance and the incarnation of an engine that
 // responds to it.
 type noticeKey struct {
-	member string
-	boot   uint64
-	engine string
-	starts int
+	member   string
+	boot     uint64
+	engine   string
+	restarts int
 }
 
 // A noticeRequest is one request that reached an engine.
