--- a/core/instance/announced_world_test.go
+++ b/core/instance/announced_world_test.go
@@ -973,9 +973,9 @@
 
 // unlessRestarted calls do after a delay, unless the engine has restarted by then.
 func (f *fleet) unlessRestarted(e *fleetEngine, delay time.Duration, do func()) {
-	born := e.restarts
+	restarts := e.restarts
 	f.at(delay, func() {
-		if e.restarts == born {
+		if e.restarts == restarts {
 			do()
 		}
 	})
