--- a/core/instance/announced_world_test.go
+++ b/core/instance/announced_world_test.go
@@ -342,9 +342,9 @@
 func (f *fleet) thaw(n *fleetMember) {
 	n.frozen = false
 	n.thawedAt = f.now
-	held := n.deferred
+	deferred := n.deferred
 	n.deferred = nil
-	for _, do := range held {
+	for _, do := range deferred {
 		do()
 	}
 }
