--- a/core/instance/world_test.go
+++ b/core/instance/world_test.go
@@ -256,9 +256,9 @@
 		if suspend {
 			n.monoLag += d
 		}
-		held := n.deferred
+		deferred := n.deferred
 		n.deferred = nil
-		for _, f := range held {
+		for _, f := range deferred {
 			f()
 		}
 	})
