--- a/core/instance/world_test.go
+++ b/core/instance/world_test.go
@@ -183,12 +183,12 @@
 
 // start starts a new incarnation of a node.
 func (w *world) start(name, zone string, seed uint64) {
-	incarn := 1
+	incarnation := 1
 	if old := w.nodes[name]; old != nil {
-		incarn = old.incarnation + 1
+		incarnation = old.incarnation + 1
 	}
-	id := member.Identity{Name: name, Zone: zone, Address: name, Boot: uint64(incarn), Seeds: w.names[:1]}
-	n := &node{id: id, m: New(id, w.opt, seed+uint64(len(name))+uint64(incarn)<<32), incarnation: incarn}
+	id := member.Identity{Name: name, Zone: zone, Address: name, Boot: uint64(incarnation), Seeds: w.names[:1]}
+	n := &node{id: id, m: New(id, w.opt, seed+uint64(len(name))+uint64(incarnation)<<32), incarnation: incarnation}
 	w.nodes[name] = n
 	delete(w.installed, name)
 	w.after(0, func() { w.tick(n) })
