--- a/core/instance/announced_world_test.go
+++ b/core/instance/announced_world_test.go
@@ -672,11 +672,11 @@
 
 // hasEraMark reports whether the mark of an era has revision mark. A mark of 0 stands for no
 // condition.
-func (f *fleet) hasEraMark(in era.Era, mark era.Revision) bool {
+func (f *fleet) hasEraMark(e era.Era, mark era.Revision) bool {
 	if mark == 0 {
 		return true
 	}
-	v := f.store.values[registry.EraRecord{Era: in}.Key()]
+	v := f.store.values[registry.EraRecord{Era: e}.Key()]
 	return v != nil && v.revision == mark.Raw()
 }
 
