--- a/core/instance/announced_world_test.go
+++ b/core/instance/announced_world_test.go
@@ -836,18 +836,18 @@
 	f.step(n, w.boot, watch.Reply{ID: w.id, Whole: whole})
 }
 
-func addFleetChange(list *listing.Reply, reg *ownership.WatchUpdate, c fleetChange, in era.Era) {
+func addFleetChange(list *listing.Reply, reg *ownership.WatchUpdate, c fleetChange, e era.Era) {
 	kind, name, _ := splitKey(c.key)
 	gone := c.value == nil
 	if kind == "servers" {
-		l := gossip.Listed{Name: name, Kind: gossip.Upstream, Version: in.Revision(c.revision), Gone: gone}
+		l := gossip.Listed{Name: name, Kind: gossip.Upstream, Version: e.Revision(c.revision), Gone: gone}
 		if !gone {
 			l.Announced = c.value.data.(*pool.Announcement)
 		}
 		list.Entries = append(list.Entries, l)
 		return
 	}
-	rec := registry.Record{Key: c.key, Revision: in.Revision(c.revision), Gone: gone}
+	rec := registry.Record{Key: c.key, Revision: e.Revision(c.revision), Gone: gone}
 	if !gone {
 		rec.Data = c.value.data.(interface{ Value() registry.Value }).Value().Data
 	}
