--- a/core/instance/announced_world_test.go
+++ b/core/instance/announced_world_test.go
@@ -881,18 +881,18 @@
 // is executed late.
 func (f *fleet) sendOrder(n *fleetMember, a owned.SendOrder, reply func(time.Duration, step.Event)) {
 	f.orders++
-	out := func(answer orders.Answer) step.Event {
+	newReply := func(answer orders.Answer) step.Event {
 		return owned.OrderReply{Engine: a.Engine, Fence: a.Fence, Answer: answer}
 	}
 	if f.rng.Float64() < f.lateShare {
 		f.at(fleetLatency, func() { f.checkOwnerChange(n.id.Name, a) })
 		f.at(time.Duration(2000+f.rng.IntN(10000))*time.Millisecond, func() { f.applyOrder(a) })
-		reply(500*time.Millisecond, out(orders.AnswerLost))
+		reply(500*time.Millisecond, newReply(orders.AnswerLost))
 		return
 	}
 	f.at(fleetLatency, func() {
 		f.checkOwnerChange(n.id.Name, a)
-		reply(fleetLatency, out(f.applyOrder(a)))
+		reply(fleetLatency, newReply(f.applyOrder(a)))
 	})
 }
 
