--- a/core/instance/announced_world_test.go
+++ b/core/instance/announced_world_test.go
@@ -1022,17 +1022,17 @@
 // requestOrder delivers an order request to a peer and the reply back.
 func (f *fleet) requestOrder(n *fleetMember, a orderclient.SendRequest, reply func(time.Duration, step.Event)) {
 	p := f.members[a.Peer]
-	out := func(outcome owned.Outcome) step.Event {
+	newReply := func(outcome owned.Outcome) step.Event {
 		return orderclient.Reply{Engine: a.Engine, Request: a.Request, Outcome: outcome}
 	}
 	if p == nil || p.dead || p.frozen || f.partitioned(n.id.Zone, p.id.Zone) {
-		reply(time.Second, out(owned.Failed))
+		reply(time.Second, newReply(owned.Failed))
 		return
 	}
 	f.at(fleetLatency, func() {
 		p.token++
 		token := p.token
-		p.orderReplies[token] = func(o owned.SendReply) { reply(fleetLatency, out(o.Outcome)) }
+		p.orderReplies[token] = func(o owned.SendReply) { reply(fleetLatency, newReply(o.Outcome)) }
 		f.step(p, p.boot, owned.RequestReceived{Token: token, Engine: a.Engine, Request: a.Request})
 	})
 }
