--- a/core/instance/announced_world_test.go
+++ b/core/instance/announced_world_test.go
@@ -961,13 +961,13 @@
 		f.recordViolation("%s was ordered to load more models than it can hold", e.name)
 	}
 	e.pending = model
-	took := 4 * time.Second
+	loadTime := 4 * time.Second
 	if e.onDisk[model] {
-		took = 800 * time.Millisecond
+		loadTime = 800 * time.Millisecond
 	} else {
 		f.checkLoadRate()
 	}
-	f.unlessRestarted(e, took, func() { f.finishLoad(e, model) })
+	f.unlessRestarted(e, loadTime, func() { f.finishLoad(e, model) })
 	return orders.AnswerAccepted
 }
 
