--- a/core/instance/announced_world_test.go
+++ b/core/instance/announced_world_test.go
@@ -1014,7 +1014,7 @@
 			n++
 		}
 	}
-	if most := fleetLoadRate*5*1.1 + 3; float64(n) > most {
+	if maxLoads := fleetLoadRate*5*1.1 + 3; float64(n) > maxLoads {
 		f.recordViolation("%d loads from the weight store within %v", n, window)
 	}
 }
