--- a/core/instance/promises_test.go
+++ b/core/instance/promises_test.go
@@ -21,7 +21,7 @@
 
 // smallDocument returns a configuration of two zones with two engines each, more models than fit
 // into them, and a plain service.
-func smallDocument(checks bool) config.Document {
+func smallDocument(checksFence bool) config.Document {
 	var d config.Document
 	for z := range 2 {
 		zone := fmt.Sprintf("z%d", z+1)
@@ -29,7 +29,7 @@
 		for i := range 2 {
 			name := fmt.Sprintf("%s-engine-%d", zone, i+1)
 			d.Engines = append(d.Engines, config.Engine{
-				Name: name, Address: name, Zone: zone, Accelerators: 1, MemoryMiB: 1000, Sequences: 4, ChecksFence: checks,
+				Name: name, Address: name, Zone: zone, Accelerators: 1, MemoryMiB: 1000, Sequences: 4, ChecksFence: checksFence,
 			})
 		}
 		d.Services = append(d.Services, config.Service{})
