--- a/core/instance/promises_test.go
+++ b/core/instance/promises_test.go
@@ -143,12 +143,12 @@
 const stormDuration = 45 * time.Second
 
 // runStorm runs one storm and returns the world afterwards.
-func runStorm(t *testing.T, s storm, checks bool, seed uint64, change func(*option.Options)) *world {
+func runStorm(t *testing.T, s storm, checksFence bool, seed uint64, change func(*option.Options)) *world {
 	opt := quickOptions()
 	if change != nil {
 		change(&opt)
 	}
-	w := newWorld(t, seed, smallDocument(checks), 2, opt)
+	w := newWorld(t, seed, smallDocument(checksFence), 2, opt)
 	w.faults.breakRate = 0.1
 	s.begin(w)
 	w.traffic(stormDuration - 15*time.Second)
