--- a/core/instance/promises_test.go
+++ b/core/instance/promises_test.go
@@ -167,11 +167,11 @@
 // most once, that calls reported as not run did not run, that each call gets a single answer, and
 // that configuration revisions only increase.
 func TestPromisesHoldUnderStorms(t *testing.T) {
-	for _, checks := range []bool{true, false} {
+	for _, checksFence := range []bool{true, false} {
 		for _, s := range storms {
-			t.Run(fmt.Sprintf("%s/checks=%v", s.name, checks), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%s/checks=%v", s.name, checksFence), func(t *testing.T) {
 				for seed := range *stormSeeds {
-					w := runStorm(t, s, checks, seed, nil)
+					w := runStorm(t, s, checksFence, seed, nil)
 					if len(w.violations) > 0 {
 						t.Fatalf("seed %d: %d violations, the first ones:\n%s", seed, len(w.violations), strings.Join(w.violations[:min(5, len(w.violations))], "\n"))
 					}
