--- a/core/instance/promises_test.go
+++ b/core/instance/promises_test.go
@@ -363,8 +363,8 @@
 // leavingBound, whichever source reports first that it leaves, and however far the list lags
 // behind.
 func TestLeavingEngineGetsNoWork(t *testing.T) {
-	for _, checks := range []bool{true, false} {
-		w := newWorld(t, 2, smallDocument(checks), 2, quickOptions())
+	for _, checksFence := range []bool{true, false} {
+		w := newWorld(t, 2, smallDocument(checksFence), 2, quickOptions())
 		w.traffic(30 * time.Second)
 		w.run(12 * time.Second)
 		leaving := w.busiestEngine()
