--- a/core/instance/promises_test.go
+++ b/core/instance/promises_test.go
@@ -299,12 +299,12 @@
 		is.Equal(w.installed[name], uint64(1)) // all instances have the first revision
 	}
 	w.apply(doc)
-	begun := w.now
-	for w.lowestRevision() < 2 && w.now-begun < 9*time.Second {
+	appliedAt := w.now
+	for w.lowestRevision() < 2 && w.now-appliedAt < 9*time.Second {
 		w.run(50 * time.Millisecond)
 	}
 	is.Equal(w.lowestRevision(), uint64(2)) // within the 9 s that the users allow
-	t.Logf("in force on %d instances after %v", len(w.names), w.now-begun)
+	t.Logf("in force on %d instances after %v", len(w.names), w.now-appliedAt)
 }
 
 func (w *world) lowestRevision() uint64 {
