--- a/core/instance/promises_test.go
+++ b/core/instance/promises_test.go
@@ -457,7 +457,7 @@
 				w.faults.cutZones["z1"] = true
 			}
 			served := map[string]time.Duration{}
-			begun := w.now
+			startedAt := w.now
 			id := calls.ID(0)
 			for at := time.Second; at < coldStartBound; at += 100 * time.Millisecond {
 				w.after(at, func() {
@@ -466,7 +466,7 @@
 					c := w.call("z1-entry-1", calls.Request{ID: id, Service: "svc-" + model, Replayable: true})
 					w.after(3*time.Second, func() {
 						if c.answered && served[model] == 0 {
-							served[model] = w.now - begun
+							served[model] = w.now - startedAt
 						}
 					})
 				})
