--- a/core/instance/leaving_test.go
+++ b/core/instance/leaving_test.go
@@ -103,11 +103,11 @@
 		l.maxListAge = max(l.maxListAge, d.Forward.ListAge)
 	}
 	l.f.at(bounds.DialTimeout, func() {
-		w, ok := l.leaveRecords[e]
-		if !ok || !w.stable || l.f.now-w.at <= l.bounds.Leave || !l.boundApplies(n) || e.gone {
+		left, ok := l.leaveRecords[e]
+		if !ok || !left.stable || l.f.now-left.at <= l.bounds.Leave || !l.boundApplies(n) || e.gone {
 			return
 		}
-		l.lateCalls = append(l.lateCalls, fmt.Sprintf("%v: a call of %s reached %s %v after the store accepted that it leaves", l.f.now, n.id.Name, e.name, l.f.now-w.at))
+		l.lateCalls = append(l.lateCalls, fmt.Sprintf("%v: a call of %s reached %s %v after the store accepted that it leaves", l.f.now, n.id.Name, e.name, l.f.now-left.at))
 	})
 }
 
