--- a/core/instance/leaving_test.go
+++ b/core/instance/leaving_test.go
@@ -146,14 +146,14 @@
 
 // recordLeave records that the store accepts now that an engine leaves.
 func (l *leaveHarness) recordLeave(e *fleetEngine) {
-	w := leaveRecord{at: l.f.now, stable: l.stable()}
-	l.leaveRecords[e] = w
-	if !w.stable {
+	left := leaveRecord{at: l.f.now, stable: l.stable()}
+	l.leaveRecords[e] = left
+	if !left.stable {
 		return
 	}
 	l.leftCount++
 	l.f.at(l.bounds.Leave-bounds.DialTimeout, func() {
-		if l.leaveRecords[e] == w {
+		if l.leaveRecords[e] == left {
 			l.checkUnused(e)
 		}
 	})
