--- a/core/instance/leaving_test.go
+++ b/core/instance/leaving_test.go
@@ -381,7 +381,7 @@
 
 // simulate runs a fleet of the given size under the storm, and under the storms beside it at the
 // same time.
-func (s leaveStorm) simulate(seed uint64, size fleetSize, beside ...leaveStorm) *leaveHarness {
+func (s leaveStorm) simulate(seed uint64, size fleetSize, concurrent ...leaveStorm) *leaveHarness {
 	f := newFleetWithBounds(seed, size.members, size.engines, option.Disabled{}, false, size.bounds)
 	f.adapterShare = 0.1
 	f.expireLeases()
@@ -390,7 +390,7 @@
 	f.startCallers(size.callEvery)
 	f.run(2 * time.Second)
 	s.do(l)
-	for _, b := range beside {
+	for _, b := range concurrent {
 		b.do(l)
 	}
 	span := size.span
