--- a/core/instance/ceiling_test.go
+++ b/core/instance/ceiling_test.go
@@ -11,7 +11,7 @@
 // than the weight store allows, whatever happens to the placer meanwhile. The fleet counts each
 // load when it starts (checkLoadRate).
 func TestWeightStoreRateHoldsAcrossPlacers(t *testing.T) {
-	placers := func(every, span time.Duration, do func(f *fleet, n *fleetMember) (undo func())) func(f *fleet) {
+	placerFault := func(every, span time.Duration, do func(f *fleet, n *fleetMember) (undo func())) func(f *fleet) {
 		return func(f *fleet) {
 			f.periodically(every, span, func() func() {
 				n := f.placer()
@@ -26,28 +26,28 @@
 		name string
 		do   func(f *fleet)
 	}{
-		{"the placer is killed", placers(3*time.Second, time.Second, func(f *fleet, n *fleetMember) func() {
+		{"the placer is killed", placerFault(3*time.Second, time.Second, func(f *fleet, n *fleetMember) func() {
 			n.dead = true
 			return func() { f.start(n.id.Name) }
 		})},
-		{"the placer freezes", placers(5*time.Second, 4*time.Second, func(f *fleet, n *fleetMember) func() {
+		{"the placer freezes", placerFault(5*time.Second, 4*time.Second, func(f *fleet, n *fleetMember) func() {
 			n.frozen = true
 			return func() { f.thaw(n) }
 		})},
-		{"the placer is cut off from the store, and its record is deleted", placers(6*time.Second, 5*time.Second, func(f *fleet, n *fleetMember) func() {
+		{"the placer is cut off from the store, and its record is deleted", placerFault(6*time.Second, 5*time.Second, func(f *fleet, n *fleetMember) func() {
 			n.noStore = true
 			f.endLease(f.leaseOf(n))
 			return func() { n.noStore = false }
 		})},
-		{"the zone of the placer is cut off", placers(6*time.Second, 5*time.Second, func(f *fleet, n *fleetMember) func() {
+		{"the zone of the placer is cut off", placerFault(6*time.Second, 5*time.Second, func(f *fleet, n *fleetMember) func() {
 			f.cutZones = map[string]bool{n.id.Zone: true}
 			return func() { f.cutZones = nil }
 		})},
-		{"the placer receives no updates", placers(6*time.Second, 5*time.Second, func(_ *fleet, n *fleetMember) func() {
+		{"the placer receives no updates", placerFault(6*time.Second, 5*time.Second, func(_ *fleet, n *fleetMember) func() {
 			n.noUpdates = true
 			return func() { n.noUpdates = false }
 		})},
-		{"the placer is suspended", placers(7*time.Second, time.Hour, func(f *fleet, n *fleetMember) func() {
+		{"the placer is suspended", placerFault(7*time.Second, time.Hour, func(f *fleet, n *fleetMember) func() {
 			f.sleep(n, 5*time.Second, 0)
 			return func() {}
 		})},
@@ -59,7 +59,7 @@
 		}},
 		{"the placer is killed while orders are late", func(f *fleet) {
 			f.lateShare = 0.4
-			placers(3*time.Second, time.Second, func(f *fleet, n *fleetMember) func() {
+			placerFault(3*time.Second, time.Second, func(f *fleet, n *fleetMember) func() {
 				n.dead = true
 				return func() { f.start(n.id.Name) }
 			})(f)
