--- a/core/instance/ceiling_test.go
+++ b/core/instance/ceiling_test.go
@@ -11,9 +11,9 @@
 // than the weight store allows, whatever happens to the placer meanwhile. The fleet counts each
 // load when it starts (checkLoadRate).
 func TestWeightStoreRateHoldsAcrossPlacers(t *testing.T) {
-	placerFault := func(every, span time.Duration, do func(f *fleet, n *fleetMember) (undo func())) func(f *fleet) {
+	placerFault := func(interval, span time.Duration, do func(f *fleet, n *fleetMember) (undo func())) func(f *fleet) {
 		return func(f *fleet) {
-			f.periodically(every, span, func() func() {
+			f.periodically(interval, span, func() func() {
 				n := f.placer()
 				if n == nil {
 					return func() {}
