--- a/core/instance/outage_test.go
+++ b/core/instance/outage_test.go
@@ -81,8 +81,8 @@
 			fleetSize{members: 46, engines: 48, bounds: largeBounds}, fleetSize{members: 370, engines: 850, bounds: largeBounds})
 	}
 	for _, size := range sizes {
-		for _, closed := range []bool{true, false} {
-			t.Run(fmt.Sprintf("%d instances, refused %v", size.members, closed), func(t *testing.T) {
+		for _, refuse := range []bool{true, false} {
+			t.Run(fmt.Sprintf("%d instances, refused %v", size.members, refuse), func(t *testing.T) {
 				rate := smallRate
 				if size.members >= largeFleetSize {
 					rate = largeRate
@@ -92,7 +92,7 @@
 					f := newFleetWithBounds(uint64(seed+1), size.members, size.engines, option.Disabled{}, false, size.bounds)
 					f.expireLeases()
 					f.run(20 * time.Second)
-					e := recoverFromOutage(f, closed)
+					e := recoverFromOutage(f, refuse)
 					t.Logf("list after %v, leases after %v, at most %d calls a second; in each 100 ms %v", e.list, e.lease, e.maxCallsPerSecond, e.callsPer100ms)
 					if e.list == 0 || e.list > size.bounds.Settle || e.lease == 0 || e.maxCallsPerSecond > rate {
 						t.Errorf("seed %d: list after %v, leases after %v, %d calls a second", seed+1, e.list, e.lease, e.maxCallsPerSecond)
