--- a/core/instance/exchange_test.go
+++ b/core/instance/exchange_test.go
@@ -189,9 +189,9 @@
 			Name: name, Kind: gossip.Upstream, Version: era.Revision(11 + i), Announced: &pool.Announcement{Service: "s", Address: name},
 		}}})
 	}
-	sentNames := func(boot, ackBoot, ack uint64, heard era.Revision) []string {
+	sentNames := func(boot, ackBoot, ack uint64, storeVersion era.Revision) []string {
 		actions := m.Step(now, exchange.RequestReceived{Token: 1, Message: gossip.Message{
-			From: "a", Zone: "z", Address: "a", Boot: boot, AckBoot: ackBoot, Ack: ack, StoreVersion: heard,
+			From: "a", Zone: "z", Address: "a", Boot: boot, AckBoot: ackBoot, Ack: ack, StoreVersion: storeVersion,
 		}})
 		var names []string
 		for _, a := range actions {
