--- a/core/instance/outage_test.go
+++ b/core/instance/outage_test.go
@@ -12,7 +12,7 @@
 // Rate limits of the store in the users' deployments, in read calls per second over all instances
 // together.
 const (
-	smallRate      = 2000
+	smallFleetRate = 2000
 	largeRate      = 6000
 	largeFleetSize = 46 // number of instances from which largeRate applies
 )
@@ -83,7 +83,7 @@
 	for _, size := range sizes {
 		for _, refuse := range []bool{true, false} {
 			t.Run(fmt.Sprintf("%d instances, refused %v", size.members, refuse), func(t *testing.T) {
-				rate := smallRate
+				rate := smallFleetRate
 				if size.members >= largeFleetSize {
 					rate = largeRate
 				}
