--- a/core/instance/outage_test.go
+++ b/core/instance/outage_test.go
@@ -13,7 +13,7 @@
 // together.
 const (
 	smallFleetRate = 2000
-	largeRate      = 6000
+	largeFleetRate = 6000
 	largeFleetSize = 46 // number of instances from which largeRate applies
 )
 
@@ -85,7 +85,7 @@
 			t.Run(fmt.Sprintf("%d instances, refused %v", size.members, refuse), func(t *testing.T) {
 				rate := smallFleetRate
 				if size.members >= largeFleetSize {
-					rate = largeRate
+					rate = largeFleetRate
 				}
 				seeds := max(1, 16/size.members) // small fleets vary most, so they get more seeds
 				for seed := range seeds {
