--- a/core/instance/limit_test.go
+++ b/core/instance/limit_test.go
@@ -51,9 +51,9 @@
 // as down for 0.7 s. Traces show that the calls refused within that time had only such engines.
 const healDelay = 1200 * time.Millisecond
 
-// loadNewsDelay is the time within which all instances learn that a model was loaded. A trace
+// loadPropagationTime is the time within which all instances learn that a model was loaded. A trace
 // shows that a call was refused for a model at the moment at which its load completed.
-const loadNewsDelay = time.Second
+const loadPropagationTime = time.Second
 
 // minLimitUse is the minimum share of a limit that calls must get if their demand exceeds the
 // limit. It is an aim of this product; an instance that sends nothing would also keep the bound of
@@ -218,7 +218,7 @@
 	}
 	for _, name := range sortedKeys(l.f.engines) {
 		e := l.f.engines[name]
-		if l.f.now-e.loadedAt[c.model] < loadNewsDelay {
+		if l.f.now-e.loadedAt[c.model] < loadPropagationTime {
 			continue // no instance can know yet that the model is loaded
 		}
 		if e.models[c.model] && !e.dead && !l.limit(e).Named && !l.f.partitioned(c.member.id.Zone, e.zone) {
