--- a/core/instance/announced_world_test.go
+++ b/core/instance/announced_world_test.go
@@ -54,7 +54,7 @@
 	store           fleetStore
 	storeCopies     []storeCopy     // copies of the store, newest last
 	storeWriteTimes []time.Duration // times of the writes to the store
-	storeCallTimes  []time.Duration // times of the calls to the store, one for each page
+	storeCallTimes  []time.Duration // times of the calls to the store; a full read counts once per page
 	engines         map[string]*fleetEngine
 	members         map[string]*fleetMember
 	names           []string
@@ -65,9 +65,8 @@
 	orders          int
 	maxClaims       int // largest number of ownerships in one write
 	watches         int
-	// engineCount is the number of engines.
-	engineCount int
-	lateShare   float64 // share of orders that get no reply and are executed seconds later
+	engineCount     int
+	lateShare       float64 // share of orders that get no reply and are executed seconds later
 	// firstTokenDelay is the time until an engine sends the first event of a call.
 	firstTokenDelay time.Duration
 	lostShare       float64 // share of writes to the store whose responses are lost
@@ -102,10 +101,10 @@
 	dead            bool
 	frozen          bool
 	thawedAt        time.Duration // when the last freeze ended
-	deferred        []func()
-	noStore         bool
-	noUpdates       bool         // its watches receive nothing and its exchanges fail
-	watchPosition   era.Revision // revision from which its watch continues; 0: a full read
+	deferred        []func()      // deliveries of events that arrived during the freeze
+	noStore         bool          // it cannot reach the store
+	noUpdates       bool          // its watches receive nothing and its exchanges fail
+	watchPosition   era.Revision  // revision from which its watch continues; 0: a full read
 	pendingWatches  []*fleetWatch
 	knownEra        era.Era // the era of the last store response that it received
 	orderReplies    map[uint64]func(owned.SendReply)
@@ -149,19 +148,19 @@
 	name           string
 	address        string // "": same as name
 	zone           string
-	sequence       uint64
+	sequence       uint64 // number of orders that this incarnation accepted
 	models         map[string]bool
 	adapters       map[string]bool // MODEL/ADAPTER
 	loadedAdapters map[string]bool // adapters loaded since the last start
-	busy           bool
-	pending        string // the model that is being loaded
+	busy           bool            // it is loading or unloading a model
+	pending        string          // the model that is being loaded
 	onDisk         map[string]bool
-	orderedBy      string
-	orderedAt      time.Duration
-	fence          era.Revision
+	orderedBy      string        // member that sent the last order
+	orderedAt      time.Duration // time of the last order
+	fence          era.Revision  // fence of the last order
 	loadedAt       map[string]time.Duration
-	restarts       int // restarts under this name; identifies the incarnation
-	gone           bool
+	restarts       int  // number of restarts under this name; identifies the incarnation
+	gone           bool // it has left and serves no calls
 	dead           bool // its process ended without notice
 	ordersAfterEnd int  // orders that reached its address since its process ended
 	leaving        bool // it announces that it leaves
@@ -514,10 +513,10 @@
 // ofEra returns a pointer to e, the era of the revisions and leases in a call, for storeCall.
 func ofEra(e era.Era) *era.Era { return &e }
 
-// storeCall makes one call to the store. A call may get no response and still be executed, up to 6
-// s later. callEra is the era of the revisions and leases in the call, or nil if it contains none.
-// A call made in another era than the member knows is not sent; if its response comes from another
-// era, the call fails.
+// storeCall makes one call to the store. A call may get no response and still be executed, up to
+// six seconds later. callEra is the era of the revisions and leases in the call, or nil if it
+// contains none. A call made in another era than the member knows is not sent; if its response
+// comes from another era, the call fails.
 func (f *fleet) storeCall(n *fleetMember, callEra *era.Era, do func() (ev step.Event, write bool), failed func(error) step.Event, reply func(time.Duration, step.Event)) {
 	errLost := errors.New("no answer")
 	outdated := func() bool { return callEra != nil && *callEra != n.knownEra }
@@ -644,6 +643,8 @@
 	f.at(100*time.Millisecond, f.expireLeases)
 }
 
+// writeOwnership writes the owner record of an engine if its revision is still o.Revision, and
+// reports whether it did.
 func (f *fleet) writeOwnership(o registry.Ownership) bool {
 	key := "owners/" + o.Engine
 	have := uint64(0)
@@ -670,8 +671,8 @@
 	return f.revisionOf(f.setKey("placer", &fleetValue{data: &p, lease: lease}))
 }
 
-// hasEraMark reports whether the mark of an era has revision mark. A mark of 0 stands for no
-// condition.
+// hasEraMark reports whether the record that marks era e exists with the revision mark. If mark is
+// 0, no record is required and the result is true.
 func (f *fleet) hasEraMark(e era.Era, mark era.Revision) bool {
 	if mark == 0 {
 		return true
@@ -680,7 +681,8 @@
 	return v != nil && v.revision == mark.Raw()
 }
 
-// writeEraMark writes the mark of an era unless it exists, and deletes the marks of former eras.
+// writeEraMark writes the mark of an era and deletes the marks of former eras. It returns the new
+// revision, or 0 if the mark already exists.
 func (f *fleet) writeEraMark(w ownership.Txn) era.Revision {
 	if f.store.values[w.Mark.Key()] != nil {
 		return 0
@@ -691,6 +693,8 @@
 	return f.revisionOf(f.setKey(w.Mark.Key(), &fleetValue{data: w.Mark}))
 }
 
+// commitWrite executes one conditional write: of an era mark, of the record of the placer, or of
+// claims of engines. If a condition does not hold, it reports a conflict and writes nothing.
 func (f *fleet) commitWrite(a ownership.Write, sent clock.Instant) step.Event {
 	r := ownership.WriteReply{Write: a.Write}
 	if a.Write.Mark != nil {
@@ -743,13 +747,13 @@
 // fleetPage is the number of items in a page of a full read.
 const fleetPage = 500
 
-// watchLimit is the time beyond the wait of a watch after which the member times out.
+// watchLimit is how long after the end of its wait a watch times out at the member.
 const watchLimit = 600 * time.Millisecond
 
 // readLimit is the time after which a full read times out.
 const readLimit = 3 * time.Second
 
-// watch starts a watch, which is answered when something changed or its wait is over.
+// watch starts a watch, which the store answers when something changes or the wait ends.
 func (f *fleet) watch(n *fleetMember, boot uint64, a watch.SendRequest) {
 	w := &fleetWatch{id: a.ID, boot: boot, whole: a.Wait == 0, waitUntil: f.now + a.Wait, deadline: f.now + a.Wait + watchLimit}
 	if w.whole {
@@ -818,6 +822,7 @@
 	return changes
 }
 
+// deliver delivers the response to a watch: the changes and, for a full read, the configuration.
 func (f *fleet) deliver(n *fleetMember, w *fleetWatch, changes []fleetChange, at era.Revision, whole bool) {
 	if whole {
 		snapshot, err := config.NewSnapshot(f.doc)
@@ -836,6 +841,8 @@
 	f.step(n, w.boot, watch.Reply{ID: w.id, Whole: whole})
 }
 
+// addFleetChange adds a change that the store made in era e to the list update or to the registry
+// update.
 func addFleetChange(list *listing.Reply, reg *ownership.WatchUpdate, c fleetChange, e era.Era) {
 	kind, name, _ := splitKey(c.key)
 	gone := c.value == nil
@@ -854,6 +861,7 @@
 	reg.Records = append(reg.Records, rec)
 }
 
+// splitKey splits a key at its first slash.
 func splitKey(key string) (kind, name string, ok bool) {
 	for i := range key {
 		if key[i] == '/' {
@@ -863,6 +871,7 @@
 	return key, "", false
 }
 
+// state returns the state that the engine reports to its owner.
 func (e *fleetEngine) state() orders.State {
 	s := orders.State{Sequence: e.sequence, Busy: e.busy}
 	for _, m := range sortedKeys(e.models) {
@@ -877,8 +886,8 @@
 	return s
 }
 
-// sendOrder delivers an order to its engine. Depending on lateShare, the order gets no reply and
-// is executed late.
+// sendOrder delivers an order to its engine. A random lateShare of the orders get no reply and are
+// executed late.
 func (f *fleet) sendOrder(n *fleetMember, a owned.SendOrder, reply func(time.Duration, step.Event)) {
 	f.orders++
 	newReply := func(answer orders.Answer) step.Event {
@@ -896,8 +905,8 @@
 	})
 }
 
-// checkOwnerChange checks that the orders of two owners are at least the turn gap apart and that
-// fences only increase.
+// checkOwnerChange checks that the orders of two owners are at least Options.TurnGap apart and
+// that fences only increase.
 func (f *fleet) checkOwnerChange(sender string, a owned.SendOrder) {
 	e := f.engines[a.Engine]
 	if e.orderedBy != "" && e.orderedBy != sender && f.now-e.orderedAt < f.opt.TurnGap {
@@ -1059,6 +1068,7 @@
 	})
 }
 
+// exchange delivers the message of an exchange to a peer and the reply back.
 func (f *fleet) exchange(n *fleetMember, a exchange.SendRequest, reply func(time.Duration, step.Event)) {
 	p := f.members[a.Address]
 	if p == nil || p.dead || p.frozen || p.noUpdates || n.noUpdates || f.partitioned(n.id.Zone, p.id.Zone) {
@@ -1255,8 +1265,9 @@
 }
 
 // TestOrdersHoldUnderStorms checks, for every fault scenario, that no engine gets orders from two
-// members within the turn gap or under a falling fence, that no engine is ordered to hold more
-// than it can, that the rate limit of the weight store is kept, and that calls are still served.
+// members within Options.TurnGap or under a lower fence than before, that no engine is ordered to
+// hold more than it can, that the rate limit of the weight store is kept, and that calls are still
+// served.
 func TestOrdersHoldUnderStorms(t *testing.T) {
 	seeds := 4
 	if testing.Short() {
@@ -1402,13 +1413,13 @@
 
 // TestOwnersHearOfTheRegistry checks that an instance that stops watching sends no more orders to
 // its engines, since another instance may have claimed them. In a large fleet, instances used to
-// own engines without watching, and a former owner sent orders under a lower fence (check ONE
-// failed in a day-long run of a grown fleet).
+// own engines without watching, and a former owner sent orders under a lower fence (the check
+// named ONE failed in a day-long run of an enlarged fleet).
 func TestOwnersHearOfTheRegistry(t *testing.T) {
 	cases := []struct {
-		name       string
-		disable    option.Disabled
-		violations bool
+		name           string
+		disable        option.Disabled
+		wantViolations bool
 	}{
 		{"owners need a current registry", option.Disabled{}, false},
 		{"owners may use an outdated registry", option.Disabled{HearRegistry: true}, true},
@@ -1416,20 +1427,21 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			broken := 0
+			violations := 0
 			for seed := range 3 {
 				f := largeFleet(uint64(seed+1), c.disable)
 				f.dropOwnerRecords()
 				f.run(30 * time.Second)
-				broken += len(f.violations)
+				violations += len(f.violations)
 			}
-			is.Equal(broken > 0, c.violations)
+			is.Equal(violations > 0, c.wantViolations)
 		})
 	}
 }
 
-// dropOwnerRecords deletes the records of members that send orders, one after the other, while
-// their watches and exchanges are blocked and their leases are still renewed.
+// dropOwnerRecords deletes the records of members that send orders, one after the other. The
+// members do not learn of it: their watches and exchanges are blocked, and their leases are still
+// renewed.
 func (f *fleet) dropOwnerRecords() {
 	f.periodically(9*time.Second, 20*time.Second, func() func() {
 		n := f.lastOrderSender()
@@ -1443,10 +1455,10 @@
 // some storm detects that it is disabled.
 func TestFleetStormsDetectDisabledMechanisms(t *testing.T) {
 	cases := []struct {
-		name    string
-		disable option.Disabled
-		empty   bool
-		steady  bool
+		name              string
+		disable           option.Disabled
+		empty             bool
+		clockStopsInSleep bool
 	}{
 		{"the wait for the former owner's orders", option.Disabled{TurnWait: true}, false, false},
 		{"the rate limit of the weight store", option.Disabled{Rate: true}, true, false},
@@ -1457,7 +1469,7 @@
 			for _, s := range fleetStorms {
 				for seed := range 3 {
 					f := newFleetWith(uint64(seed+1), 5, c.disable, c.empty)
-					f.clockStopsInSleep = c.steady
+					f.clockStopsInSleep = c.clockStopsInSleep
 					f.expireLeases()
 					f.run(5 * time.Second)
 					f.startCallers(40 * time.Millisecond)
--- a/core/instance/exchange_test.go
+++ b/core/instance/exchange_test.go
@@ -65,9 +65,9 @@
 }
 
 // TestDutiesGoToTheStrongest checks that in a fleet of unequal machines those with the most
-// processor capacity watch the platform, and that the strongest of them is the placer. The duty
-// once fell to an instance with a fifth of a core, which then lagged behind in everything else
-// (check CONFIG failed in a day-long run of a grown fleet).
+// processor capacity watch the platform, and that the strongest of them is the placer. An instance
+// with a fifth of a core once became the placer and then lagged behind in everything else (the
+// check named CONFIG failed in a day-long run of an enlarged fleet).
 func TestDutiesGoToTheStrongest(t *testing.T) {
 	is := is.New(t)
 	now := clocktest.At(time.Hour)
@@ -137,8 +137,8 @@
 
 // TestSlowPeerDoesNotHoldUpARevision checks that a configuration that one peer does not deliver is
 // requested from another peer and finally from the platform. Previously, only the peer that was
-// furthest ahead was asked, until its exchange failed (check CONFIG failed in a day-long run of a
-// grown fleet: a route was refused 3.1 s after its acknowledgement).
+// furthest ahead was asked, until its exchange failed (the check named CONFIG failed in a day-long
+// run of an enlarged fleet: a route was refused 3.1 s after its acknowledgement).
 func TestSlowPeerDoesNotHoldUpARevision(t *testing.T) {
 	is := is.New(t)
 	now := clocktest.At(time.Hour)
--- a/core/instance/leaving_test.go
+++ b/core/instance/leaving_test.go
@@ -3,8 +3,9 @@
 // Guards against calls that reach a replica too late after it announced that it leaves. A request
 // reached a replica 2.2 s after the store had acknowledged that it leaves; 2 s are allowed.
 //
-// Entries were considered outdated after the store had stepped back, later entries revoked that a
-// replica leaves, and the waits between the store and a call added up to more than 2 s.
+// Entries were considered outdated after the store had stepped back, later entries canceled the
+// announcement that a replica leaves, and the waits between the store and a call added up to more
+// than 2 s.
 
 import (
 	"flag"
@@ -27,7 +28,7 @@
 	leaveSizes = flag.Bool("leave.sizes", false, "also run the tests of leaving engines with fleets of 46 and 370 instances")
 )
 
-// The bounds of the users' deployments.
+// The bounds that users require of small and of large deployments.
 var (
 	smallBounds = bounds.Bounds{Leave: 2 * time.Second, Settle: 3 * time.Second}
 	largeBounds = bounds.Bounds{Leave: 3 * time.Second, Settle: 4 * time.Second}
@@ -49,7 +50,7 @@
 	nextEngine        int // number for the name of the next engine
 	lateCalls         []string
 	leftCount         int           // engines that left while the store was stable
-	maxListAge        time.Duration // largest age of a list by which a member to which the bound applies sent a call
+	maxListAge        time.Duration // largest age of the list at a dispatch by a member to which the bound applies
 }
 
 // A leaveRecord records when the store accepted that an engine leaves.
@@ -68,7 +69,7 @@
 	return l
 }
 
-// observe records every 4 ms which members are disturbed. A watch that hangs, is cut or misses
+// observe records every 4 ms which members are disturbed. A watch that hangs, is reset or misses
 // changes is not a disturbance: the bound still applies.
 func (l *leaveHarness) observe() {
 	f := l.f
@@ -248,8 +249,8 @@
 	}
 }
 
-// leaveAfter makes engines leave as soon as the bound applies again after a disturbance that ends
-// in span.
+// leaveAfter makes engines leave after a disturbance that ends after span: one as soon as the
+// bound applies again, and another one 0.7 s later.
 func (l *leaveHarness) leaveAfter(span time.Duration) {
 	l.f.at(span+l.bounds.Settle+8*time.Millisecond, l.randomLeave)
 	l.f.at(span+l.bounds.Settle+700*time.Millisecond, l.randomLeave)
@@ -379,8 +380,8 @@
 	return leaveStorms[i]
 }
 
-// simulate runs a fleet of the given size under the storm, and under the storms beside it at the
-// same time.
+// simulate runs a fleet of the given size under the storm and, at the same time, under the
+// concurrent storms.
 func (s leaveStorm) simulate(seed uint64, size fleetSize, concurrent ...leaveStorm) *leaveHarness {
 	f := newFleetWithBounds(seed, size.members, size.engines, option.Disabled{}, false, size.bounds)
 	f.adapterShare = 0.1
@@ -454,7 +455,8 @@
 	}
 }
 
-// TestLeavingReplicasGetNoCallsInPairsOfStorms checks the same with two fault scenarios at a time.
+// TestLeavingReplicasGetNoCallsInPairsOfStorms checks the same as TestLeavingReplicasGetNoCalls
+// with two fault scenarios at a time.
 func TestLeavingReplicasGetNoCallsInPairsOfStorms(t *testing.T) {
 	sizes := fleetSizes[:1]
 	if *leaveSizes {
--- a/core/instance/limit_test.go
+++ b/core/instance/limit_test.go
@@ -39,16 +39,16 @@
 	// limitFactor times what the limit allows, plus limitBurst requests.
 	limitFactor = 1.5
 	limitBurst  = 5
-	// limitToldDelay is the time after an instance was told of the limit from which its
-	// requests count.
+	// limitToldDelay is how long after an instance was told of the limit its requests begin
+	// to count.
 	limitToldDelay = 500 * time.Millisecond
-	// limitGrace is the time after the first limit of an engine from which the bound applies.
+	// limitGrace is how long after an engine first states a limit the bound begins to apply.
 	limitGrace = 3 * time.Second
 )
 
-// healDelay is the time after the end of a partition for which instances may still consider
-// engines unreachable: an earlier attempt takes half a second to fail, and the engine then counts
-// as down for 0.7 s. Traces show that the calls refused within that time had only such engines.
+// healDelay is how long after the end of a partition instances may still consider engines
+// unreachable: an earlier attempt takes half a second to fail, and the engine then counts as down
+// for 0.7 s. Traces show that the calls refused within that time had only such engines.
 const healDelay = 1200 * time.Millisecond
 
 // loadPropagationTime is the time within which all instances learn that a model was loaded. A trace
@@ -151,6 +151,7 @@
 	})
 }
 
+// recordRequest records that a request reached an engine.
 func (l *limitHarness) recordRequest(n *fleetMember, boot uint64, e *fleetEngine) {
 	l.received[e] = append(l.received[e], limitRequest{l.f.now, noticeKey{n.id.Name, boot, e.name, e.restarts}})
 }
@@ -213,7 +214,7 @@
 	}
 	if c.at < l.healedAt+healDelay || c.at < c.member.thawedAt {
 		// The call arrived while its engines were unreachable, or were still considered
-		// unreachable; or its instance was frozen since the call arrived.
+		// unreachable; or its instance was frozen after the call arrived.
 		return
 	}
 	for _, name := range sortedKeys(l.f.engines) {
--- a/core/instance/lives_test.go
+++ b/core/instance/lives_test.go
@@ -57,7 +57,7 @@
 		f.run(5 * time.Second)
 		is.True(e.models["m0"])
 		is.Equal(f.requestFromOwner(e, orders.Request{Load: true, Model: "m0", Adapter: "a9"}), owned.Done)
-		is.True(e.loadedAdapters["m0/a9"]) // it may have been evicted since, for an adapter that calls request
+		is.True(e.loadedAdapters["m0/a9"]) // calls for other adapters may have evicted it since
 		is.Equal(f.violations, nil)
 	}
 }
@@ -74,9 +74,9 @@
 	return outcome
 }
 
-// TestOrdersHoldWhileEnginesStartAgain checks that engines that restart under their names, while
-// orders are executed late and owners change, are never ordered to hold more than they can, nor
-// ordered by two owners in alternation.
+// TestOrdersHoldWhileEnginesStartAgain checks engines that restart under their names while orders
+// are executed late and owners change: no engine is ordered to hold more than it can, and no two
+// owners send orders to an engine in alternation.
 func TestOrdersHoldWhileEnginesStartAgain(t *testing.T) {
 	storms := []struct {
 		name string
@@ -132,7 +132,7 @@
 type soloHarness struct {
 	m       *Machine
 	now     clock.Instant
-	version era.Revision
+	version era.Revision // store revision of the newest list entry
 }
 
 func newSoloHarness(t *testing.T) *soloHarness {
@@ -166,6 +166,7 @@
 	}
 }
 
+// list delivers an update of the list with the given entries.
 func (l *soloHarness) list(entries ...gossip.Listed) {
 	l.m.Step(l.now, listing.Reply{Entries: entries, Version: l.version})
 }
@@ -177,9 +178,9 @@
 	}})
 }
 
-// TestFormerIncarnationIsIgnored checks that late news about an incarnation that has ended,
-// whether from the store, from a peer, or in the result of an attempt there, does not affect the
-// current incarnation.
+// TestFormerIncarnationIsIgnored checks that information about an incarnation that has ended does
+// not affect the current incarnation, whether it arrives late from the store, from a peer, or with
+// the result of an attempt there.
 func TestFormerIncarnationIsIgnored(t *testing.T) {
 	cases := []struct {
 		name string
@@ -196,14 +197,14 @@
 			old.Announced.Leaving = true
 			l.list(old)
 		}},
-		{"a report by itself", func(l *soloHarness) {
+		{"its report about itself", func(l *soloHarness) {
 			old := l.entry("1")
 			l.m.Step(l.now, listing.SelfReport{Replica: "e", Sent: l.now, Announcement: *old.Announced})
 		}},
-		{"a response that announces that it leaves", func(l *soloHarness) {
+		{"its response that announces that it leaves", func(l *soloHarness) {
 			l.m.Step(l.now, notice.Received{Replica: "e", Sent: l.now.Add(-5 * time.Millisecond), Notice: pool.Notice{Leaving: true}})
 		}},
-		{"a report of its load", func(l *soloHarness) {
+		{"its probe reply with its load", func(l *soloHarness) {
 			l.m.Step(l.now, forwarding.ProbeReply{Call: 9, Engine: "e", Sent: l.now.Add(-5 * time.Millisecond), Queued: 500})
 		}},
 		{"its residency as reported by its owner", func(l *soloHarness) {
--- a/core/instance/promises_test.go
+++ b/core/instance/promises_test.go
@@ -20,7 +20,8 @@
 )
 
 // smallDocument returns a configuration of two zones with two engines each, more models than fit
-// into them, and a plain service.
+// into them, and a service of plain replicas without models. checksFence tells whether the engines
+// check fences.
 func smallDocument(checksFence bool) config.Document {
 	var d config.Document
 	for z := range 2 {
@@ -53,6 +54,8 @@
 	return d
 }
 
+// quickOptions returns the default options with a shorter lease term and with shorter intervals of
+// exchanges and reads.
 func quickOptions() option.Options {
 	opt := option.Default()
 	opt.LeaseTerm = 3 * time.Second
@@ -142,7 +145,8 @@
 
 const stormDuration = 45 * time.Second
 
-// runStorm runs one storm and returns the world afterwards.
+// runStorm runs one storm and returns the world afterwards. checksFence tells whether the engines
+// check fences; change, if not nil, changes the options.
 func runStorm(t *testing.T, s storm, checksFence bool, seed uint64, change func(*option.Options)) *world {
 	opt := quickOptions()
 	if change != nil {
@@ -204,10 +208,10 @@
 // some storm violates the guarantee that depends on it.
 func TestStormsDetectDisabledMechanisms(t *testing.T) {
 	cases := []struct {
-		name   string
-		checks bool
-		off    func(*option.Options)
-		finds  string
+		name          string
+		checksFence   bool
+		disable       func(*option.Options)
+		wantViolation string
 	}{
 		{"booking", true, func(o *option.Options) { o.Disable.Booking = true }, "overcommit"},
 		{"at most once", true, func(o *option.Options) { o.Disable.AtMost = true }, "ran 2 times"},
@@ -217,8 +221,8 @@
 		t.Run(c.name, func(t *testing.T) {
 			for _, s := range storms {
 				for seed := range uint64(searchSeeds) {
-					w := runStorm(t, s, c.checks, seed, c.off)
-					if strings.Contains(strings.Join(w.violations, "\n"), c.finds) {
+					w := runStorm(t, s, c.checksFence, seed, c.disable)
+					if strings.Contains(strings.Join(w.violations, "\n"), c.wantViolation) {
 						t.Logf("%s, seed %d: %s", s.name, seed, w.violations[0])
 						return
 					}
@@ -303,10 +307,11 @@
 	for w.lowestRevision() < 2 && w.now-appliedAt < 9*time.Second {
 		w.run(50 * time.Millisecond)
 	}
-	is.Equal(w.lowestRevision(), uint64(2)) // within the 9 s that the users allow
+	is.Equal(w.lowestRevision(), uint64(2)) // the users allow 9 s
 	t.Logf("in force on %d instances after %v", len(w.names), w.now-appliedAt)
 }
 
+// lowestRevision returns the lowest configuration revision that is in force on an instance.
 func (w *world) lowestRevision() uint64 {
 	least := ^uint64(0)
 	for _, name := range w.names {
@@ -391,6 +396,7 @@
 	}
 }
 
+// busiestEngine returns the engine with the most items that are ready.
 func (w *world) busiestEngine() string {
 	best := ""
 	most := -1
--- a/core/instance/stepback_test.go
+++ b/core/instance/stepback_test.go
@@ -205,7 +205,7 @@
 func TestFleetRecoversAfterStoreStepsBack(t *testing.T) {
 	// aim is the longest time for which engines wait for orders after the loss of an owner,
 	// without a step back: until its record expires and it counts as absent, then until its
-	// orders are no longer valid and the turn gap is over.
+	// orders are no longer valid and TurnGap is over.
 	o := option.Default()
 	aim := o.EnrolTerm + o.AbsentFor + o.OrderValid + o.TurnGap + 3*time.Second
 	for _, span := range []time.Duration{0, time.Second, 3 * time.Second, 10 * time.Second} {
@@ -325,8 +325,8 @@
 }
 
 // TestOrdersHoldWhileTheStoreStepsBack checks, for every fault scenario, that no engine gets
-// orders from two members within the turn gap or under a falling fence, that none is ordered to
-// hold more than it can, and that calls are still served.
+// orders from two members within Options.TurnGap or under a lower fence than before, that none is
+// ordered to hold more than it can, and that calls are still served.
 //
 // Before, no member sent any orders after the first step back.
 func TestOrdersHoldWhileTheStoreStepsBack(t *testing.T) {
--- a/core/instance/world_calls_test.go
+++ b/core/instance/world_calls_test.go
@@ -14,6 +14,7 @@
 
 // This file simulates the callers, the plain upstreams and the claims of a world.
 
+// handleClaim executes the claim, the read or the release of an idempotency key at the platform.
 func (w *world) handleClaim(n *node, a step.Action) {
 	switch act := a.(type) {
 	case modelcalls.Claim:
@@ -53,6 +54,7 @@
 	}
 }
 
+// lookupCall returns the call of a node with the given ID, or nil if there is none.
 func (w *world) lookupCall(n *node, id calls.ID) *worldCall {
 	return w.calls[fmt.Sprintf("%s/%d/%d", n.id.Name, n.id.Boot, id)]
 }
@@ -88,6 +90,7 @@
 // leavingBound is the guaranteed time after which a leaving upstream receives no calls.
 const leavingBound = 4 * time.Second
 
+// runUpstream runs a call at its upstream, or has the upstream refuse it or the connection break.
 func (w *world) runUpstream(n *node, a calls.Dispatch, c *worldCall, e *fakeEngine) {
 	if e != nil && (e.leaving || !e.ready(a)) {
 		w.step(n, calls.AttemptFailed{ID: a.ID, Attempt: a.Attempt, Phase: attempt.Refused, Leaving: e.leaving, Status: 503})
@@ -154,6 +157,8 @@
 	}
 }
 
+// finish records a final answer that a node gives itself, and checks that it is the only one and
+// that its run state is true.
 func (w *world) finish(n *node, a calls.Finish) {
 	c := w.lookupCall(n, a.ID)
 	if c == nil {
--- a/core/instance/world_test.go
+++ b/core/instance/world_test.go
@@ -194,12 +194,14 @@
 	w.after(0, func() { w.tick(n) })
 }
 
+// apply stores doc in the platform as the next revision of the configuration.
 func (w *world) apply(doc config.Document) {
 	v := w.platform.values["config"]
 	doc.Revision = v.revision + 1
 	w.platform.values["config"] = fakeValue{data: doc, revision: doc.Revision}
 }
 
+// after schedules f to run after d.
 func (w *world) after(d time.Duration, f func()) {
 	w.eventSeq++
 	heap.Push(&w.queue, scheduled{at: w.now + d, eventSeq: w.eventSeq, do: f})
@@ -315,6 +317,7 @@
 	return func() bool { return zone == n.id.Zone || !w.faults.cutZones[n.id.Zone] && !w.faults.cutZones[zone] }
 }
 
+// performAction executes an action of a node against the fakes.
 func (w *world) performAction(n *node, a step.Action) {
 	switch act := a.(type) {
 	case ConfigInstalled:
@@ -349,6 +352,8 @@
 	}
 }
 
+// checkInstalled records the configuration revision that a node installed, and reports a violation
+// if it is older than the previous one.
 func (w *world) checkInstalled(n *node, a ConfigInstalled) {
 	old := w.installed[n.id.Name]
 	if a.Snapshot.Revision() < old {
@@ -474,6 +479,7 @@
 	}, failed)
 }
 
+// deliverConfig delivers the configuration in an exchange message, if any, to a node.
 func (w *world) deliverConfig(n *node, msg gossip.Message) {
 	if len(msg.Config) == 0 {
 		return
