--- a/core/instance/crash_test.go
+++ b/core/instance/crash_test.go
@@ -1,16 +1,15 @@
 package instance
 
-// Seen: one request ended some thirty replicas in half a minute, in waves, and the calls
-// that ran beside it broke off with them.
+// Guards against one request that crashes replica after replica: some thirty replicas crashed
+// within half a minute, in waves, and the calls running beside it were severed.
 //
-// How: its caller sent it again and again, each time under another name and to another
-// instance. Each try was within its attempts and within the budget of repeats; no
-// instance knew of the tries of the others, nor that the replicas had ended under it.
+// The caller sent the request again and again, each time under a new name and to another instance.
+// Each retry stayed within its attempts and within the retry budget. What an instance knew of a
+// request was kept per retry and discarded with it, so no instance knew of the retries at the
+// others or of the crashes.
 //
-// Cause: what is known of a request was kept per try, and forgotten with it.
-//
-// Proof: these tests end engines so, and failed with 14 to 419 arrivals after the third
-// engine before requests were known over their tries and over the fleet.
+// Before requests were tracked across retries and instances, these tests failed with 14 to 419
+// arrivals after the third crash.
 
 import (
 	"flag"
@@ -35,126 +34,127 @@
 )
 
 const (
-	// labContact is how long an instance has to hear of what others know.
-	labContact = 3 * time.Second
-	// labLimit is how many engines a request may end, and how often it may reach one
-	// after labContact since the last of them.
-	labLimit = 3
-	// labRestart is how long an engine that ended takes to come back.
-	labRestart = 5 * time.Second
-	// labEntryLasts is how long its entry stays in the store.
-	labEntryLasts = 3600 * time.Millisecond
-	// codeQuarantined is the result code of a request that is not run since replicas
-	// end under it.
+	// propagationTime is the time within which an instance must learn what others know.
+	propagationTime = 3 * time.Second
+	// crashLimit is the number of engines that a request may crash, and the number of times
+	// it may still reach an engine later than propagationTime after the last of these crashes.
+	crashLimit = 3
+	// restartDelay is the time after which a crashed engine is replaced.
+	restartDelay = 5 * time.Second
+	// entryLifetime is the time for which the entry of a crashed engine stays in the store.
+	entryLifetime = 3600 * time.Millisecond
+	// codeQuarantined is the result code of a request that is not run because replicas
+	// crash under it.
 	codeQuarantined = 109
 )
 
-// crashSeeds is how many seeds each storm is played with. By hand: -crash.seeds=50.
-var crashSeeds = flag.Int("crash.seeds", 4, "seeds of each storm of engines that end")
-
-// A crashLab has calls run at the engines of a fleet, some of which end the engine that
-// runs them, and checks how often these reach engines.
-type crashLab struct {
-	f        *fleet
-	calls    map[calls.ID]*labCall
-	runs     map[string][]*labRun // by engine
-	ended    map[crash.Fingerprint][]time.Duration
-	arrivals map[crash.Fingerprint][]time.Duration
-	lives    map[string]int // engines that ran at an address
-	calm     time.Duration  // since when no zone was cut off
-	refused  map[crash.Fingerprint]int
-	served   int
-	// severs is the share of calls whose connection breaks though the engine lives.
-	severs float64
-	// keepsNames has engines that start again keep their names.
+// crashSeeds is the number of seeds per storm. For a longer run, use -crash.seeds=50.
+var crashSeeds = flag.Int("crash.seeds", 4, "number of seeds per storm with crashing engines")
+
+// A crashHarness runs calls at the engines of a fleet. Some requests crash the engine that runs
+// them; the harness checks how often these reach engines.
+type crashHarness struct {
+	f           *fleet
+	calls       map[calls.ID]*crashCall
+	runs        map[string][]*crashRun // by engine
+	crashTimes  map[crash.Fingerprint][]time.Duration
+	arrivals    map[crash.Fingerprint][]time.Duration
+	startCounts map[string]int // number of engines started at an address
+	calmSince   time.Duration  // time since which no zone is cut off
+	refused     map[crash.Fingerprint]int
+	served      int
+	// severedShare is the share of calls whose connection breaks although the engine is alive.
+	severedShare float64
+	// keepsNames makes engines that restart keep their names.
 	keepsNames bool
-	// keepsEntries has their entries stay until they write them anew.
+	// keepsEntries keeps the entries of crashed engines until the engines write them again.
 	keepsEntries bool
 }
 
-// A labCall is one try of a request.
-type labCall struct {
+// A crashCall is one call that carries a request; a retry by the caller is another one.
+type crashCall struct {
 	request calls.Request
 	poison  bool
-	again   bool // its caller has tried before
+	noRetry bool // the caller does not retry it: it is already a retry, or poison sends it again
 	ran     bool
 }
 
-type labRun struct {
-	call  *labCall
+type crashRun struct {
+	call  *crashCall
 	reply func(time.Duration, step.Event)
 	d     calls.Dispatch
 	began bool
-	over  bool
+	done  bool
 }
 
-func newCrashLab(f *fleet) *crashLab {
-	l := &crashLab{
-		f: f, calls: map[calls.ID]*labCall{}, runs: map[string][]*labRun{},
-		ended: map[crash.Fingerprint][]time.Duration{}, arrivals: map[crash.Fingerprint][]time.Duration{},
-		lives: map[string]int{}, refused: map[crash.Fingerprint]int{},
+func newCrashHarness(f *fleet) *crashHarness {
+	l := &crashHarness{
+		f: f, calls: map[calls.ID]*crashCall{}, runs: map[string][]*crashRun{},
+		crashTimes: map[crash.Fingerprint][]time.Duration{}, arrivals: map[crash.Fingerprint][]time.Duration{},
+		startCounts: map[string]int{}, refused: map[crash.Fingerprint]int{},
 	}
 	f.crashes = l
 	return l
 }
 
-// poison has a request that ends its engines come again and again at any member.
-func (l *crashLab) poison(fingerprint crash.Fingerprint, model int, every time.Duration) {
-	l.f.at(time.Duration(l.f.rng.Int64N(int64(2*every))), func() {
-		l.poison(fingerprint, model, every)
-		n := l.f.anyMember()
+// poison sends a request that crashes its engines to random members, again and again, once per
+// interval on average.
+func (l *crashHarness) poison(fingerprint crash.Fingerprint, model int, interval time.Duration) {
+	l.f.at(time.Duration(l.f.rng.Int64N(int64(2*interval))), func() {
+		l.poison(fingerprint, model, interval)
+		n := l.f.randomMember()
 		if n.dead || n.frozen {
 			return
 		}
-		l.f.token()
-		r := calls.Request{ID: calls.ID(l.f.order), Path: "/x", Replayable: true, PromptTokens: 1750, Forward: &calls.ForwardRequest{
-			Name: fmt.Sprint(l.f.order), Fingerprint: fingerprint, Host: "h", Model: fmt.Sprintf("m%d", model),
+		l.f.nextID()
+		r := calls.Request{ID: calls.ID(l.f.eventSeq), Path: "/x", Replayable: true, PromptTokens: 1750, Forward: &calls.ForwardRequest{
+			Name: fmt.Sprint(l.f.eventSeq), Fingerprint: fingerprint, Host: "h", Model: fmt.Sprintf("m%d", model),
 		}}
-		l.calls[r.ID] = &labCall{request: r, poison: true, again: true}
+		l.calls[r.ID] = &crashCall{request: r, poison: true, noRetry: true}
 		l.f.step(n, n.boot, calls.Arrived{Call: r})
 	})
 }
 
-// arrive takes in a call that harms nobody.
-func (l *crashLab) arrive(n *fleetMember, r calls.Request) {
-	l.calls[r.ID] = &labCall{request: r}
+// arrive delivers a call that crashes no engine.
+func (l *crashHarness) arrive(n *fleetMember, r calls.Request) {
+	l.calls[r.ID] = &crashCall{request: r}
 	l.f.step(n, n.boot, calls.Arrived{Call: r})
 }
 
-// serve has a call run at its engine.
-func (l *crashLab) serve(n *fleetMember, d calls.Dispatch, reply func(time.Duration, step.Event)) {
+// serve runs a call at its engine.
+func (l *crashHarness) serve(n *fleetMember, d calls.Dispatch, reply func(time.Duration, step.Event)) {
 	e, c := l.f.engines[d.Replica], l.calls[d.ID]
-	failed := func(way time.Duration, b calls.AttemptFailed) {
+	failed := func(delay time.Duration, b calls.AttemptFailed) {
 		b.ID, b.Attempt = d.ID, d.Attempt
-		reply(way, b)
+		reply(delay, b)
 	}
 	switch {
-	case l.f.severed(n.id.Zone, e.zone):
-		failed(500*time.Millisecond, calls.AttemptFailed{Phase: attempt.NotSent, Detail: "no way there"})
+	case l.f.partitioned(n.id.Zone, e.zone):
+		failed(500*time.Millisecond, calls.AttemptFailed{Phase: attempt.NotSent, Detail: "zone unreachable"})
 		return
 	case e.dead:
-		failed(fleetWay, calls.AttemptFailed{Phase: attempt.NotSent, Unreachable: true})
+		failed(fleetLatency, calls.AttemptFailed{Phase: attempt.NotSent, Unreachable: true})
 		return
 	case !e.models[d.Model] || d.Adapter != "" && !e.adapters[d.Model+"/"+d.Adapter]:
-		failed(fleetWay, calls.AttemptFailed{Phase: attempt.Refused, Misdirected: true, Incarnation: d.Replica})
+		failed(fleetLatency, calls.AttemptFailed{Phase: attempt.Refused, Misdirected: true, Incarnation: d.Replica})
 		return
 	}
 	c.ran = true
 	if c.poison {
 		l.arrivals[c.request.Forward.Fingerprint] = append(l.arrivals[c.request.Forward.Fingerprint], l.f.now)
 	}
-	r := &labRun{call: c, reply: reply, d: d}
+	r := &crashRun{call: c, reply: reply, d: d}
 	l.runs[e.name] = append(l.runs[e.name], r)
 	switch {
 	case c.poison:
 		l.f.at(time.Duration(40+l.f.rng.IntN(130))*time.Millisecond, func() {
-			if !r.over {
-				l.end(e)
+			if !r.done {
+				l.terminate(e)
 			}
 		})
-	case l.f.rng.Float64() < l.severs:
+	case l.f.rng.Float64() < l.severedShare:
 		l.f.at(100*time.Millisecond, func() {
-			if !r.over {
+			if !r.done {
 				r.sever()
 			}
 		})
@@ -163,43 +163,43 @@
 	}
 }
 
-// run has a call answered.
-func (l *crashLab) run(r *labRun) {
-	l.f.at(l.f.firstAfter, func() {
-		if !r.over {
+// run completes a call normally.
+func (l *crashHarness) run(r *crashRun) {
+	l.f.at(l.f.firstTokenDelay, func() {
+		if !r.done {
 			r.began = true
 			r.reply(0, calls.AnswerBegan{ID: r.d.ID})
 		}
 	})
 	l.f.at(time.Duration(100+l.f.rng.IntN(1500))*time.Millisecond, func() {
-		if !r.over {
-			r.over = true
+		if !r.done {
+			r.done = true
 			l.served++
 			r.reply(0, calls.Completed{ID: r.d.ID})
 		}
 	})
 }
 
-// sever ends the connection of a call.
-func (r *labRun) sever() {
-	r.over = true
+// sever breaks the connection of a call.
+func (r *crashRun) sever() {
+	r.done = true
 	b := calls.AttemptFailed{ID: r.d.ID, Attempt: r.d.Attempt, Phase: attempt.MaybeSent, Severed: true}
 	if r.began {
 		b.Phase = attempt.Answered
 		b.Delivered = 1
 	}
-	r.reply(fleetWay, b)
+	r.reply(fleetLatency, b)
 }
 
-// end ends an engine; another one starts at its address after a while.
-func (l *crashLab) end(e *fleetEngine) {
+// terminate ends an engine and starts a replacement at its address after restartDelay.
+func (l *crashHarness) terminate(e *fleetEngine) {
 	if e.dead {
 		return
 	}
 	e.dead = true
 	poisons := map[crash.Fingerprint]bool{}
 	for _, r := range l.runs[e.name] {
-		if r.over {
+		if r.done {
 			continue
 		}
 		if r.call.poison {
@@ -208,86 +208,86 @@
 		r.sever()
 	}
 	for p := range poisons {
-		l.ended[p] = append(l.ended[p], l.f.now)
+		l.crashTimes[p] = append(l.crashTimes[p], l.f.now)
 	}
 	delete(l.runs, e.name)
 	if !l.keepsEntries {
-		l.f.at(labEntryLasts, func() { l.f.change("servers/"+e.name, nil) })
+		l.f.at(entryLifetime, func() { l.f.setKey("servers/"+e.name, nil) })
 	}
-	l.f.at(labRestart, func() { l.restart(e) })
+	l.f.at(restartDelay, func() { l.restart(e) })
 }
 
-// restart has another engine start at the address of one that ended, with the same
-// models, so that the fleet does not run out of them.
-func (l *crashLab) restart(old *fleetEngine) {
+// restart starts another engine at the address of one that ended, with the same models, so that
+// the fleet does not run out of models.
+func (l *crashHarness) restart(old *fleetEngine) {
 	if l.keepsNames {
-		l.f.startAgain(old)
+		l.f.restartEngine(old)
 		return
 	}
 	address := old.address
 	if address == "" {
 		address = old.name
 	}
-	l.lives[address]++
+	l.startCounts[address]++
 	e := &fleetEngine{
-		name: fmt.Sprintf("%s.%d", address, l.lives[address]), address: address, zone: old.zone,
+		name: fmt.Sprintf("%s.%d", address, l.startCounts[address]), address: address, zone: old.zone,
 		models: old.models, adapters: map[string]bool{}, onDisk: old.onDisk,
 	}
 	l.f.engines[e.name] = e
 	l.f.announce(e)
 }
 
-// drain has an engine say that it leaves, and end while calls run there.
-func (l *crashLab) drain(e *fleetEngine) {
+// drain announces that an engine leaves, and ends it 2.5 s later, while calls run there.
+func (l *crashHarness) drain(e *fleetEngine) {
 	a := *l.f.store.values["servers/"+e.name].data.(*pool.Announcement)
 	a.Leaving = true
-	l.f.change("servers/"+e.name, &fleetValue{data: &a})
-	l.f.at(2500*time.Millisecond, func() { l.end(e) })
+	l.f.setKey("servers/"+e.name, &fleetValue{data: &a})
+	l.f.at(2500*time.Millisecond, func() { l.terminate(e) })
 }
 
-// finished takes in a final answer that is not an engine's, and checks that its words
-// are true. The caller tries once more.
-func (l *crashLab) finished(a calls.Finish) {
+// handleFinish handles a final answer that an instance gives itself, and checks that what it
+// reports is true. The caller retries once.
+func (l *crashHarness) handleFinish(a calls.Finish) {
 	c := l.calls[a.ID]
 	if c == nil {
 		return
 	}
 	fingerprint := c.request.Forward.Fingerprint
 	if a.Refusal.Run == code.NotRun && c.ran {
-		l.f.fault("call %d is said not to have run, yet it ran", a.ID)
+		l.f.recordViolation("call %d was reported as not run, but it ran", a.ID)
 	}
 	if a.Refusal.Code == codeQuarantined {
 		l.refused[fingerprint]++
 		if !c.poison {
-			l.f.fault("call %d was refused though it harmed nobody", a.ID)
+			l.f.recordViolation("call %d was quarantined, but it crashed no engine", a.ID)
 		}
 	}
-	if c.again {
+	if c.noRetry {
 		return
 	}
-	n := l.f.anyMember()
+	n := l.f.randomMember()
 	l.f.at(100*time.Millisecond, func() {
 		if n.dead || n.frozen {
 			return
 		}
-		l.f.token()
+		l.f.nextID()
 		r := c.request
 		forward := *r.Forward
 		r.Forward = &forward
-		r.ID = calls.ID(l.f.order)
-		l.calls[r.ID] = &labCall{request: r, again: true}
+		r.ID = calls.ID(l.f.eventSeq)
+		l.calls[r.ID] = &crashCall{request: r, noRetry: true}
 		l.f.step(n, n.boot, calls.Arrived{Call: r})
 	})
 }
 
-// late returns how often a request reached engines later than labContact after the
-// third had ended under it.
-func (l *crashLab) late(request crash.Fingerprint) int {
-	at := l.ended[request]
-	if len(at) < labLimit {
+// lateArrivals returns how often a request reached engines later than propagationTime after the
+// third engine crashed under it.
+func (l *crashHarness) lateArrivals(request crash.Fingerprint) int {
+	at := l.crashTimes[request]
+	if len(at) < crashLimit {
 		return 0
 	}
-	bound := max(at[labLimit-1], l.calm) + labContact
+	bound := max(at[crashLimit-1], l.calmSince) + propagationTime
 	late := 0
 	for _, a := range l.arrivals[request] {
 		if a > bound {
@@ -297,31 +297,31 @@
 	return late
 }
 
-// check reports the requests that reached engines too often, and whatever else broke.
-func (l *crashLab) check(t *testing.T) {
+// check reports the requests that reached engines too often, and the violations of the fleet.
+func (l *crashHarness) check(t *testing.T) {
 	t.Helper()
-	for request, at := range l.ended {
-		if late := l.late(request); late > labLimit {
-			t.Errorf("request %v reached engines %d times later than %v after the third had ended; %d ended in all", request, late, labContact, len(at))
+	for request, at := range l.crashTimes {
+		if lateCount := l.lateArrivals(request); lateCount > crashLimit {
+			t.Errorf("request %v reached engines %d times later than %v after the third crash; %d engines crashed in total", request, lateCount, propagationTime, len(at))
 		}
 	}
-	for _, b := range l.f.broken {
+	for _, b := range l.f.violations {
 		t.Error(b)
 	}
 }
 
-// A crashStorm is what else goes wrong while requests end engines.
+// A crashStorm is a fault scenario for a fleet in which requests crash engines.
 type crashStorm struct {
-	name    string
-	members int
-	engines int
-	poisons int
-	every   time.Duration // between two tries of one of them, on average
-	do      func(l *crashLab)
+	name     string
+	members  int
+	engines  int
+	poisons  int
+	interval time.Duration // average interval between two retries of one request
+	do       func(l *crashHarness)
 }
 
-// startAll starts the members anew.
-func (f *fleet) startAll() {
+// restartAll starts a new process of each member.
+func (f *fleet) restartAll() {
 	for _, name := range f.names {
 		f.start(name)
 	}
@@ -329,154 +329,154 @@
 
 var crashStorms = []crashStorm{
 	{"calm", 8, 16, 1, 250 * time.Millisecond, nil},
-	{"a try every few seconds", 8, 16, 1, 3 * time.Second, nil},
-	{"many tries at once", 8, 16, 1, 30 * time.Millisecond, nil},
+	{"a retry every few seconds", 8, 16, 1, 3 * time.Second, nil},
+	{"many retries at once", 8, 16, 1, 30 * time.Millisecond, nil},
 	{"three requests", 8, 24, 3, 400 * time.Millisecond, nil},
 	{"a large fleet", 2 * watchers.FullMeshLimit, 64, 1, 200 * time.Millisecond, nil},
-	{"a large fleet, many tries at once", 2 * watchers.FullMeshLimit, 64, 1, 20 * time.Millisecond, nil},
-	{"the store down", 8, 64, 1, 250 * time.Millisecond, func(l *crashLab) { l.f.store.down = true }},
-	{"a large fleet, the store down", 2 * watchers.FullMeshLimit, 64, 1, 200 * time.Millisecond, func(l *crashLab) { l.f.store.down = true }},
-	{"a zone cut off for a while", 8, 32, 1, 250 * time.Millisecond, func(l *crashLab) {
-		l.f.cut = map[string]bool{"z1": true}
-		l.calm = l.f.now + 8*time.Second
-		l.f.at(8*time.Second, func() { l.f.cut = nil })
+	{"a large fleet, many retries at once", 2 * watchers.FullMeshLimit, 64, 1, 20 * time.Millisecond, nil},
+	{"the store down", 8, 64, 1, 250 * time.Millisecond, func(l *crashHarness) { l.f.store.down = true }},
+	{"a large fleet, the store down", 2 * watchers.FullMeshLimit, 64, 1, 200 * time.Millisecond, func(l *crashHarness) { l.f.store.down = true }},
+	{"a zone cut off for a while", 8, 32, 1, 250 * time.Millisecond, func(l *crashHarness) {
+		l.f.cutZones = map[string]bool{"z1": true}
+		l.calmSince = l.f.now + 8*time.Second
+		l.f.at(8*time.Second, func() { l.f.cutZones = nil })
 	}},
-	{"instances killed in turn", 8, 16, 1, 250 * time.Millisecond, func(l *crashLab) {
+	{"instances killed one after the other", 8, 16, 1, 250 * time.Millisecond, func(l *crashHarness) {
 		next := 0
-		l.f.again(2*time.Second, time.Second, func() func() {
+		l.f.periodically(2*time.Second, time.Second, func() func() {
 			n := l.f.members[l.f.names[next%len(l.f.names)]]
 			next++
 			n.dead = true
 			return func() { l.f.start(n.id.Name) }
 		})
 	}},
-	{"all instances killed at once", 8, 16, 1, 250 * time.Millisecond, func(l *crashLab) {
+	{"all instances killed at once", 8, 16, 1, 250 * time.Millisecond, func(l *crashHarness) {
 		l.f.at(10*time.Second, func() {
 			for _, name := range l.f.names {
 				l.f.members[name].dead = true
 			}
-			l.f.at(time.Second, l.f.startAll)
+			l.f.at(time.Second, l.f.restartAll)
 		})
 	}},
-	{"instances freeze", 8, 16, 1, 250 * time.Millisecond, func(l *crashLab) {
-		l.f.again(4*time.Second, 2*time.Second, func() func() {
-			n := l.f.anyMember()
+	{"instances freeze", 8, 16, 1, 250 * time.Millisecond, func(l *crashHarness) {
+		l.f.periodically(4*time.Second, 2*time.Second, func() func() {
+			n := l.f.randomMember()
 			n.frozen = true
 			return func() { l.f.thaw(n) }
 		})
 	}},
-	{"answers of the store lost", 8, 16, 1, 250 * time.Millisecond, func(l *crashLab) { l.f.lost = 0.4 }},
-	{"engines start again under their names", 8, 16, 1, 250 * time.Millisecond, func(l *crashLab) { l.keepsNames = true }},
-	{"two engines start again under their names", 8, 2, 1, 250 * time.Millisecond, func(l *crashLab) { l.keepsNames = true }},
-	{"engines start again under their names, their entries stay", 8, 16, 1, 250 * time.Millisecond, func(l *crashLab) {
+	{"responses of the store lost", 8, 16, 1, 250 * time.Millisecond, func(l *crashHarness) { l.f.lostShare = 0.4 }},
+	{"engines restart under their names", 8, 16, 1, 250 * time.Millisecond, func(l *crashHarness) { l.keepsNames = true }},
+	{"two engines restart under their names", 8, 2, 1, 250 * time.Millisecond, func(l *crashHarness) { l.keepsNames = true }},
+	{"engines restart under their names, their entries stay", 8, 16, 1, 250 * time.Millisecond, func(l *crashHarness) {
 		l.keepsNames = true
 		l.keepsEntries = true
 	}},
 }
 
-// TestARequestThatEndsItsEnginesIsStopped: a request under which engines end again and
-// again reaches no more than a few, whichever instances its tries come to and whatever
-// else fails; the calls that ran beside it are never refused for it.
+// TestARequestThatEndsItsEnginesIsStopped checks that a request under which engines crash again
+// and again reaches only a few engines, whichever instances receive its retries and whatever else
+// fails, and that the calls running beside it are never quarantined.
 func TestARequestThatEndsItsEnginesIsStopped(t *testing.T) {
 	for _, s := range crashStorms {
 		t.Run(s.name, func(t *testing.T) {
 			t.Parallel()
-			late := map[int]int{} // requests by how often they came too late
+			late := map[int]int{} // number of requests by late arrivals
 			for seed := range *crashSeeds {
-				l := newCrashLab(newFleetOf(uint64(seed+1), s.members, s.engines, option.Disabled{}, false))
-				l.f.expire()
+				l := newCrashHarness(newFleetOf(uint64(seed+1), s.members, s.engines, option.Disabled{}, false))
+				l.f.expireLeases()
 				l.f.run(5 * time.Second)
-				l.f.callers(20 * time.Millisecond)
+				l.f.startCallers(20 * time.Millisecond)
 				l.f.run(3 * time.Second)
 				if s.do != nil {
 					s.do(l)
 				}
 				for p := range s.poisons {
-					l.poison(crash.Fingerprint(1000+p), p, s.every)
+					l.poison(crash.Fingerprint(1000+p), p, s.interval)
 				}
 				l.f.run(40 * time.Second)
 				l.check(t)
 				for p := range s.poisons {
 					request := crash.Fingerprint(1000 + p)
-					late[l.late(request)]++
+					late[l.lateArrivals(request)]++
 					if l.refused[request] == 0 {
 						t.Errorf("seed %d: the request was never refused", seed)
 					}
 				}
 				if l.served == 0 {
-					t.Errorf("seed %d: nothing was served", seed)
+					t.Errorf("seed %d: no call was served", seed)
 				}
 			}
-			t.Logf("requests by arrivals later than %v after the third end: %v", labContact, late)
+			t.Logf("requests by arrivals later than %v after the third crash: %v", propagationTime, late)
 		})
 	}
 }
 
-// otherEnds are what severs calls without any request being to blame.
-var otherEnds = []struct {
+// unrelatedFailures are faults that sever calls although no request causes them.
+var unrelatedFailures = []struct {
 	name string
-	do   func(l *crashLab)
+	do   func(l *crashHarness)
 }{
-	{"engines end by themselves", func(l *crashLab) {
-		l.f.again(700*time.Millisecond, time.Hour, func() func() {
-			if e := l.anyEngine(); e != nil {
-				l.end(e)
+	{"engines crash on their own", func(l *crashHarness) {
+		l.f.periodically(700*time.Millisecond, time.Hour, func() func() {
+			if e := l.randomEngine(); e != nil {
+				l.terminate(e)
 			}
 			return func() {}
 		})
 	}},
-	{"many engines end at once", func(l *crashLab) {
-		l.f.again(9*time.Second, time.Hour, func() func() {
+	{"many engines crash at once", func(l *crashHarness) {
+		l.f.periodically(9*time.Second, time.Hour, func() func() {
 			for range 10 {
-				if e := l.anyEngine(); e != nil {
-					l.end(e)
+				if e := l.randomEngine(); e != nil {
+					l.terminate(e)
 				}
 			}
 			return func() {}
 		})
 	}},
-	{"engines leave", func(l *crashLab) {
-		l.f.again(700*time.Millisecond, time.Hour, func() func() {
-			if e := l.anyEngine(); e != nil {
+	{"engines leave", func(l *crashHarness) {
+		l.f.periodically(700*time.Millisecond, time.Hour, func() func() {
+			if e := l.randomEngine(); e != nil {
 				l.drain(e)
 			}
 			return func() {}
 		})
 	}},
-	{"connections break", func(l *crashLab) { l.severs = 0.6 }},
-	{"zones are cut off", func(l *crashLab) {
-		l.f.again(6*time.Second, 2*time.Second, func() func() {
-			l.f.cut = map[string]bool{"z1": true}
-			return func() { l.f.cut = nil }
+	{"connections break", func(l *crashHarness) { l.severedShare = 0.6 }},
+	{"zones are cut off", func(l *crashHarness) {
+		l.f.periodically(6*time.Second, 2*time.Second, func() func() {
+			l.f.cutZones = map[string]bool{"z1": true}
+			return func() { l.f.cutZones = nil }
 		})
 	}},
 }
 
-// TestOtherEndsRefuseNobody: engines that end by themselves, leave, or whose
-// connections break while they live are no reason to refuse the calls that ran there.
-func TestOtherEndsRefuseNobody(t *testing.T) {
-	for _, c := range otherEnds {
+// TestUnrelatedFailuresRefuseNoCalls checks that calls are not quarantined because engines crash
+// on their own, leave, or lose connections while alive.
+func TestUnrelatedFailuresRefuseNoCalls(t *testing.T) {
+	for _, c := range unrelatedFailures {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			for seed := range *crashSeeds {
-				l := newCrashLab(newFleetOf(uint64(seed+1), 8, 16, option.Disabled{}, false))
-				l.f.expire()
+				l := newCrashHarness(newFleetOf(uint64(seed+1), 8, 16, option.Disabled{}, false))
+				l.f.expireLeases()
 				l.f.run(5 * time.Second)
-				l.f.callers(15 * time.Millisecond)
+				l.f.startCallers(15 * time.Millisecond)
 				l.f.run(3 * time.Second)
 				c.do(l)
 				l.f.run(30 * time.Second)
 				l.check(t)
 				if l.served == 0 {
-					t.Errorf("seed %d: nothing was served", seed)
+					t.Errorf("seed %d: no call was served", seed)
 				}
 			}
 		})
 	}
 }
 
-// anyEngine returns an engine that lives, nil if none does.
-func (l *crashLab) anyEngine() *fleetEngine {
+// randomEngine returns a random engine that is alive, or nil if it finds none.
+func (l *crashHarness) randomEngine() *fleetEngine {
 	names := sortedKeys(l.f.engines)
 	for range len(names) {
 		if e := l.f.engines[names[l.f.rng.IntN(len(names))]]; !e.dead {
@@ -486,42 +486,42 @@
 	return nil
 }
 
-// TestAnEngineThatEndedIsNotOrderedAgainAndAgain: what waits for an order at an engine at
-// which nothing answers is settled at once, so that its call goes elsewhere. Such an
-// order was once repeated as fast as it failed, for a second.
+// TestAnEngineThatEndedIsNotOrderedAgainAndAgain checks that requests that wait for an order are
+// refused at once if the engine no longer accepts connections, so that their calls go elsewhere.
+// Such an order used to be retried for a second, as fast as it failed.
 func TestAnEngineThatEndedIsNotOrderedAgainAndAgain(t *testing.T) {
 	is := is.New(t)
-	l := newCrashLab(newFleetOf(1, 5, 8, option.Disabled{}, false))
-	l.f.expire()
+	l := newCrashHarness(newFleetOf(1, 5, 8, option.Disabled{}, false))
+	l.f.expireLeases()
 	l.f.run(8 * time.Second)
 	e := l.f.engines["e0"]
-	l.end(e)
+	l.terminate(e)
 	owner := l.ownerOf(e)
 	var answers []owned.SendReply
 	for n := range 3 {
 		request := orders.Request{Load: true, Model: sortedKeys(e.models)[0], Adapter: fmt.Sprintf("a%d", n)}
 		owner.token++
-		owner.asked[owner.token] = func(a owned.SendReply) { answers = append(answers, a) }
+		owner.orderReplies[owner.token] = func(a owned.SendReply) { answers = append(answers, a) }
 		l.f.step(owner, owner.boot, owned.RequestReceived{Token: owner.token, Engine: e.name, Request: request})
 	}
 	l.f.run(100 * time.Millisecond)
-	t.Logf("%d orders to an engine that had ended", e.afterEnd)
-	is.Equal(e.afterEnd, 1)
+	t.Logf("%d orders sent to an engine that had ended", e.ordersAfterEnd)
+	is.Equal(e.ordersAfterEnd, 1)
 	is.Equal(len(answers), 3)
 	for _, a := range answers {
 		is.Equal(a.Outcome, owned.Refused)
 	}
 }
 
-// ownerOf returns the member that orders an engine.
-func (l *crashLab) ownerOf(e *fleetEngine) *fleetMember {
+// ownerOf returns the member that owns an engine.
+func (l *crashHarness) ownerOf(e *fleetEngine) *fleetMember {
 	o := l.f.store.values["owners/"+e.name].data.(*registry.Ownership)
 	return l.f.members[o.Owner]
 }
 
-// TestAllInstancesKnowInTime: once one instance does not run a request any more, none does
-// a moment later, in a small fleet and a large one, also without the store.
-func TestAllInstancesKnowInTime(t *testing.T) {
+// TestQuarantineReachesAllInstances checks that all instances quarantine a request within a second
+// after the first one does, in a small and in a large fleet, with and without the store.
+func TestQuarantineReachesAllInstances(t *testing.T) {
 	const limit = time.Second
 	cases := []struct {
 		name    string
@@ -538,25 +538,26 @@
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			for seed := range *crashSeeds {
-				l := newCrashLab(newFleetOf(uint64(seed+1), c.members, c.engines, option.Disabled{}, false))
-				l.f.expire()
+				l := newCrashHarness(newFleetOf(uint64(seed+1), c.members, c.engines, option.Disabled{}, false))
+				l.f.expireLeases()
 				l.f.run(8 * time.Second)
 				l.f.store.down = c.down
 				l.poison(1000, 0, 200*time.Millisecond)
-				first := l.until(1)
-				last := l.until(c.members)
-				ended := l.ended[1000]
-				t.Logf("seed %d: refused first %v after the last of %d ends, by all %v after that", seed, first-ended[len(ended)-1], len(ended), last-first)
+				first := l.runUntilRefusedBy(1)
+				last := l.runUntilRefusedBy(c.members)
+				ended := l.crashTimes[1000]
+				t.Logf("seed %d: first refused %v after the last of %d crashes, by all instances %v after that", seed, first-ended[len(ended)-1], len(ended), last-first)
 				if last-first > limit {
-					t.Errorf("seed %d: the last instance refused it %v after the first", seed, last-first)
+					t.Errorf("seed %d: the last instance refused the request %v after the first", seed, last-first)
 				}
 			}
 		})
 	}
 }
 
-// until runs the fleet until so many members refuse request 1000, and returns when.
-func (l *crashLab) until(members int) time.Duration {
+// runUntilRefusedBy runs the fleet until the given number of members refuse request 1000, and
+// returns the time. It gives up after 30 s.
+func (l *crashHarness) runUntilRefusedBy(members int) time.Duration {
 	for range 3000 {
 		n := 0
 		for _, m := range l.f.members {
--- a/core/instance/limit_test.go
+++ b/core/instance/limit_test.go
@@ -1,17 +1,16 @@
 package instance
 
-// Seen: replicas that named in their answers how many requests a second they take got as
-// many as before, or more: 12 within 4 s where 11 were the most allowed at 1 a second.
+// Guards against requests beyond the rate limit that a replica states in its responses. Such
+// replicas received as many requests as before, or more: 12 within 4 s where at most 11 were
+// allowed at a limit of 1 request per second.
 //
-// How: each answer of such a replica was whole and in time, so to the instances it looked
-// as good as any other, and better than busy ones.
+// Each response of such a replica was complete and in time, so instances considered it as good as
+// any other, and better than busy replicas. The limit in the header of a response was not read,
+// and no mechanism made all instances together keep a limit at a replica. Each replica therefore
+// received its even share of the calls, whatever its limit.
 //
-// Cause: what a replica says of its limit in the head of an answer was read nowhere; nothing
-// in the product knew that all instances together are to keep to something at a replica.
-//
-// Proof: engines that name limits, and nothing else, in the fleet here and as processes in
-// platform/limit_process_test.go. Before it was read, and kept to by all instances, each of
-// them got its even part of the calls, at whatever limit.
+// The engines in these tests state limits in their responses and nowhere else;
+// platform/limit_process_test.go tests the same with processes.
 
 import (
 	"flag"
@@ -32,209 +31,213 @@
 	"github.com/birchdrift/birchdrift/core/watchers"
 )
 
-// The users' bound on what reaches an engine that names a limit.
+// The users' bound on the requests that reach an engine that states a rate limit.
 const (
-	// limitWindow is the span over which requests are counted, wherever it begins.
+	// limitWindow is the length of the sliding window in which requests are counted.
 	limitWindow = 4 * time.Second
-	// limitTimes and limitMore are what may reach it in that span: so many times what the
-	// limit allows, and so many requests more.
-	limitTimes = 1.5
-	limitMore  = 5
-	// limitTold is how long before a request its instance must have been told of the limit
-	// for the request to count.
-	limitTold = 500 * time.Millisecond
-	// limitFrom is how long after an engine first named a limit the bound holds.
-	limitFrom = 3 * time.Second
+	// limitFactor and limitBurst bound the requests that may reach an engine in a window:
+	// limitFactor times what the limit allows, plus limitBurst requests.
+	limitFactor = 1.5
+	limitBurst  = 5
+	// limitToldDelay is how long after an instance was told of the limit its requests begin
+	// to count.
+	limitToldDelay = 500 * time.Millisecond
+	// limitGrace is how long after an engine first states a limit the bound begins to apply.
+	limitGrace = 3 * time.Second
 )
 
-// limitHealed is how long after a cut instances may still hold engines for out of reach: an
-// attempt that was made before takes half a second to fail, and they count as down for 0.7 s
-// then. Traced: the calls refused within that time had such engines alone.
-const limitHealed = 1200 * time.Millisecond
+// healDelay is how long after the end of a partition instances may still consider engines
+// unreachable: an earlier attempt takes half a second to fail, and the engine then counts as down
+// for 0.7 s. Traces show that the calls refused within that time had only such engines.
+const healDelay = 1200 * time.Millisecond
 
-// limitLoaded is how long it takes all instances to hear of a model that was just loaded.
-// Traced: the call that was refused for one came in the moment in which it was there.
-const limitLoaded = time.Second
+// loadPropagationTime is the time within which all instances learn that a model was loaded. A trace
+// shows that a call was refused for a model at the moment at which its load completed.
+const loadPropagationTime = time.Second
 
-// limitUsed is how much of a limit calls get at least, where they want more than that: an
-// aim of this product's own. Sending nothing would keep the users' bound.
-const limitUsed = 0.8
+// minLimitUse is the minimum share of a limit that calls must get if their demand exceeds the
+// limit. It is an aim of this product; an instance that sends nothing would also keep the bound of
+// the users.
+const minLimitUse = 0.8
 
 var (
-	// limitSeeds is how many seeds each storm is played with. By hand: -limit.seeds=50.
-	limitSeeds = flag.Int("limit.seeds", 2, "seeds of each storm of engines that name a limit")
-	// limitAll plays all limits in the largest fleet too, which takes minutes.
-	limitAll = flag.Bool("limit.all", false, "play every limit in a fleet of 370 instances")
+	// limitSeeds is the number of seeds per storm. For a longer run, use -limit.seeds=50.
+	limitSeeds = flag.Int("limit.seeds", 2, "number of seeds per storm with engines that state a rate limit")
+	// limitAll runs all limits with the largest fleet too, which takes minutes.
+	limitAll = flag.Bool("limit.all", false, "run every limit with a fleet of 370 instances")
 )
 
-// A limitLab has engines name a limit in their answers, and counts what is sent to them.
-type limitLab struct {
-	f       *fleet
-	named   map[*fleetEngine][]limitNamed
-	told    map[noticeTo]time.Duration // when an instance first passed on an answer with a limit
-	reaches map[*fleetEngine][]limitReach
-	arrived map[calls.ID]noticeCall
-	lost    []string // calls that an engine without a limit could have served
-	refused []calls.Finish
-	healed  time.Duration // when a zone was last cut off
-	takes   time.Duration // how long a call runs
-	// also is what engines say of themselves beside their limit; one that asks for rest
-	// turns everything away.
-	also map[*fleetEngine]pool.Notice
+// A limitHarness makes engines state rate limits in their responses, and records the requests that
+// they receive.
+type limitHarness struct {
+	f            *fleet
+	limitHistory map[*fleetEngine][]namedLimit
+	firstToldAt  map[noticeKey]time.Duration // when an instance first received a response that states a limit
+	received     map[*fleetEngine][]limitRequest
+	arrived      map[calls.ID]noticeCall
+	lostCalls    []string // refused calls that an engine without a limit could have served
+	refused      []calls.Finish
+	healedAt     time.Duration // when the last partition ended
+	callDuration time.Duration // run time of a call
+	// otherNotices holds what engines state in addition to their limit. An engine that states a
+	// rest refuses all calls.
+	otherNotices map[*fleetEngine]pool.Notice
 }
 
-// A limitNamed is a limit that an engine named from an instant on.
-type limitNamed struct {
+// A namedLimit is a limit that an engine states from a point in time on.
+type namedLimit struct {
 	at    time.Duration
 	limit pool.RateLimit
 }
 
-// A limitReach is one request that reached an engine.
-type limitReach struct {
+// A limitRequest is one request that reached an engine.
+type limitRequest struct {
 	at time.Duration
-	by noticeTo
+	by noticeKey
 }
 
-func newLimitLab(f *fleet) *limitLab {
-	f.limits = &limitLab{
-		f: f, named: map[*fleetEngine][]limitNamed{}, told: map[noticeTo]time.Duration{},
-		reaches: map[*fleetEngine][]limitReach{}, arrived: map[calls.ID]noticeCall{}, takes: 400 * time.Millisecond,
-		also: map[*fleetEngine]pool.Notice{},
+func newLimitHarness(f *fleet) *limitHarness {
+	f.limits = &limitHarness{
+		f: f, limitHistory: map[*fleetEngine][]namedLimit{}, firstToldAt: map[noticeKey]time.Duration{},
+		received: map[*fleetEngine][]limitRequest{}, arrived: map[calls.ID]noticeCall{}, callDuration: 400 * time.Millisecond,
+		otherNotices: map[*fleetEngine]pool.Notice{},
 	}
 	return f.limits
 }
 
-// newLimitFleet returns the lab of a fleet whose instances exchange as they do where the
-// product runs, once its engines have owners.
-func newLimitFleet(seed uint64, members, engines int) *limitLab {
+// newLimitFleet returns the harness of a fleet whose instances exchange and probe as in
+// production, and whose engines have owners.
+func newLimitFleet(seed uint64, members, engines int) *limitHarness {
 	f := newFleetOf(seed, 0, engines, option.Disabled{}, false)
 	f.opt.ExchangeEvery = 500 * time.Millisecond
 	f.opt.ProbeWait = 20 * time.Millisecond
 	f.addMembers(members)
-	l := newLimitLab(f)
-	f.expire()
+	l := newLimitHarness(f)
+	f.expireLeases()
 	f.run(5 * time.Second)
 	return l
 }
 
-func (l *limitLab) engine(i int) *fleetEngine { return l.f.engines[fmt.Sprintf("e%d", i)] }
+func (l *limitHarness) engine(i int) *fleetEngine { return l.f.engines[fmt.Sprintf("e%d", i)] }
 
-// names has an engine name a limit from now on.
-func (l *limitLab) names(e *fleetEngine, perSecond float64) {
-	l.named[e] = append(l.named[e], limitNamed{l.f.now, pool.RateLimit{Named: true, PerSecond: perSecond}})
+// setLimit makes an engine state a limit from now on.
+func (l *limitHarness) setLimit(e *fleetEngine, perSecond float64) {
+	l.limitHistory[e] = append(l.limitHistory[e], namedLimit{l.f.now, pool.RateLimit{Named: true, PerSecond: perSecond}})
 }
 
-// ends has an engine name no limit from now on.
-func (l *limitLab) ends(e *fleetEngine) {
-	l.named[e] = append(l.named[e], limitNamed{l.f.now, pool.RateLimit{}})
+// endLimit makes an engine state no limit from now on.
+func (l *limitHarness) endLimit(e *fleetEngine) {
+	l.limitHistory[e] = append(l.limitHistory[e], namedLimit{l.f.now, pool.RateLimit{}})
 }
 
-// limit returns the limit that an engine names now.
-func (l *limitLab) limit(e *fleetEngine) pool.RateLimit {
-	if n := len(l.named[e]); n > 0 {
-		return l.named[e][n-1].limit
+// limit returns the limit that an engine currently states.
+func (l *limitHarness) limit(e *fleetEngine) pool.RateLimit {
+	if n := len(l.limitHistory[e]); n > 0 {
+		return l.limitHistory[e][n-1].limit
 	}
 	return pool.RateLimit{}
 }
 
-func (l *limitLab) arrive(n *fleetMember, r calls.Request) {
+func (l *limitHarness) arrive(n *fleetMember, r calls.Request) {
 	l.arrived[r.ID] = noticeCall{member: n, at: l.f.now, model: r.Forward.Model, plain: r.Forward.Adapter == ""}
 }
 
-// reached notes that a request reaches an engine in so long, and has what the engine says
-// of itself come back with the answer.
-func (l *limitLab) reached(n *fleetMember, boot uint64, e *fleetEngine, way time.Duration, sent clock.Instant) {
-	l.f.at(way, func() {
-		l.note(n, boot, e)
-		l.say(n, boot, e, fleetWay, sent)
+// requestReached records, after delay, that a request reached an engine, and delivers the notice
+// in the response to the instance.
+func (l *limitHarness) requestReached(n *fleetMember, boot uint64, e *fleetEngine, delay time.Duration, sent clock.Instant) {
+	l.f.at(delay, func() {
+		l.recordRequest(n, boot, e)
+		l.sendNotice(n, boot, e, fleetLatency, sent)
 	})
 }
 
-func (l *limitLab) note(n *fleetMember, boot uint64, e *fleetEngine) {
-	l.reaches[e] = append(l.reaches[e], limitReach{l.f.now, noticeTo{n.id.Name, boot, e.name, e.born}})
+// recordRequest records that a request reached an engine.
+func (l *limitHarness) recordRequest(n *fleetMember, boot uint64, e *fleetEngine) {
+	l.received[e] = append(l.received[e], limitRequest{l.f.now, noticeKey{n.id.Name, boot, e.name, e.restarts}})
 }
 
-// say has what an engine says of itself now reach an instance.
-func (l *limitLab) say(n *fleetMember, boot uint64, e *fleetEngine, way time.Duration, sent clock.Instant) {
-	said := l.also[e]
-	said.Limit = l.limit(e)
-	to := noticeTo{n.id.Name, boot, e.name, e.born}
-	l.f.at(way, func() {
-		if _, known := l.told[to]; said.Limit.Named && !known && !n.dead && !n.frozen && n.boot == boot {
-			l.told[to] = l.f.now
+// sendNotice delivers the current notice of an engine to an instance after delay.
+func (l *limitHarness) sendNotice(n *fleetMember, boot uint64, e *fleetEngine, delay time.Duration, sent clock.Instant) {
+	content := l.otherNotices[e]
+	content.Limit = l.limit(e)
+	to := noticeKey{n.id.Name, boot, e.name, e.restarts}
+	l.f.at(delay, func() {
+		if _, known := l.firstToldAt[to]; content.Limit.Named && !known && !n.dead && !n.frozen && n.boot == boot {
+			l.firstToldAt[to] = l.f.now
 		}
-		l.f.step(n, boot, notice.Received{Replica: e.name, Sent: sent, Notice: said})
+		l.f.step(n, boot, notice.Received{Replica: e.name, Sent: sent, Notice: content})
 	})
 }
 
-// serve has a call served by its engine.
-func (l *limitLab) serve(n *fleetMember, boot uint64, d calls.Dispatch, reply func(time.Duration, step.Event)) {
+// serve runs a call at its engine, or has the engine refuse it.
+func (l *limitHarness) serve(n *fleetMember, boot uint64, d calls.Dispatch, reply func(time.Duration, step.Event)) {
 	e := l.f.engines[d.Replica]
-	failed := func(way time.Duration, b calls.AttemptFailed) {
+	failed := func(delay time.Duration, b calls.AttemptFailed) {
 		b.ID, b.Attempt = d.ID, d.Attempt
-		reply(way, b)
+		reply(delay, b)
 	}
 	switch {
-	case l.f.severed(n.id.Zone, e.zone):
-		failed(500*time.Millisecond, calls.AttemptFailed{Phase: attempt.NotSent, Detail: "no way there"})
+	case l.f.partitioned(n.id.Zone, e.zone):
+		failed(500*time.Millisecond, calls.AttemptFailed{Phase: attempt.NotSent, Detail: "zone unreachable"})
 		return
 	case e.dead:
-		failed(fleetWay, calls.AttemptFailed{Phase: attempt.NotSent, Unreachable: true})
+		failed(fleetLatency, calls.AttemptFailed{Phase: attempt.NotSent, Unreachable: true})
 		return
 	}
 	sent := l.f.clock(n)
-	l.f.at(fleetWay, func() {
-		l.note(n, boot, e)
-		if l.also[e].Rest > 0 {
-			l.say(n, boot, e, fleetWay, sent)
-			failed(fleetWay, calls.AttemptFailed{Phase: attempt.Refused, Status: 503})
+	l.f.at(fleetLatency, func() {
+		l.recordRequest(n, boot, e)
+		if l.otherNotices[e].Rest > 0 {
+			l.sendNotice(n, boot, e, fleetLatency, sent)
+			failed(fleetLatency, calls.AttemptFailed{Phase: attempt.Refused, Status: 503})
 			return
 		}
 		if !e.models[d.Model] || d.Adapter != "" && !e.adapters[d.Model+"/"+d.Adapter] {
-			l.say(n, boot, e, fleetWay, sent)
-			failed(fleetWay, calls.AttemptFailed{Phase: attempt.Refused, Misdirected: true, Incarnation: d.Replica})
+			l.sendNotice(n, boot, e, fleetLatency, sent)
+			failed(fleetLatency, calls.AttemptFailed{Phase: attempt.Refused, Misdirected: true, Incarnation: d.Replica})
 			return
 		}
 		l.f.served++
-		l.say(n, boot, e, l.f.firstAfter+fleetWay, sent)
-		reply(l.f.firstAfter+fleetWay, calls.AnswerBegan{ID: d.ID})
-		reply(l.takes, calls.Completed{ID: d.ID})
+		l.sendNotice(n, boot, e, l.f.firstTokenDelay+fleetLatency, sent)
+		reply(l.f.firstTokenDelay+fleetLatency, calls.AnswerBegan{ID: d.ID})
+		reply(l.callDuration, calls.Completed{ID: d.ID})
 	})
 }
 
-// finished takes in a final answer that is not an engine's. Where an engine that names no
-// limit could have served the call, it is lost.
-func (l *limitLab) finished(a calls.Finish) {
+// handleFinish handles a final answer that an instance gives itself. A call that an engine without
+// a limit could have served is lost.
+func (l *limitHarness) handleFinish(a calls.Finish) {
 	l.refused = append(l.refused, a)
 	c, ok := l.arrived[a.ID]
 	if !ok || !c.plain || a.Refusal.Code == code.NoConfiguration {
-		return // an instance that has just started serves nothing, whatever its engines do
+		return // an instance that has just started refuses all calls, whatever its engines do
 	}
-	if c.at < l.healed+limitHealed || c.at < c.member.thawed {
-		// It came while its engines were out of reach, or counted as that still; or its
-		// instance stood still meanwhile.
+	if c.at < l.healedAt+healDelay || c.at < c.member.thawedAt {
+		// The call arrived while its engines were unreachable, or were still considered
+		// unreachable; or its instance was frozen after the call arrived.
 		return
 	}
 	for _, name := range sortedKeys(l.f.engines) {
 		e := l.f.engines[name]
-		if l.f.now-e.loadedAt[c.model] < limitLoaded {
-			continue // nobody can have heard yet that it is there
+		if l.f.now-e.loadedAt[c.model] < loadPropagationTime {
+			continue // no instance can know yet that the model is loaded
 		}
-		if e.models[c.model] && !e.dead && !l.limit(e).Named && !l.f.severed(c.member.id.Zone, e.zone) {
-			l.lost = append(l.lost, fmt.Sprintf("%v: call %d for %s was refused with %d (%s) after %v, and %s could serve it",
+		if e.models[c.model] && !e.dead && !l.limit(e).Named && !l.f.partitioned(c.member.id.Zone, e.zone) {
+			l.lostCalls = append(l.lostCalls, fmt.Sprintf("%v: call %d for %s was refused with %d (%s) after %v, and %s could serve it",
 				l.f.now, a.ID, c.model, a.Refusal.Code, a.Refusal.Detail, l.f.now-c.at, e.name))
 			return
 		}
 	}
 }
 
-// allows returns what an engine's limit allows between two instants; ok is false where it
-// named none for a part of that time. Its first limit counts for the time before it too.
-func (l *limitLab) allows(e *fleetEngine, from, to time.Duration) (requests float64, ok bool) {
-	for i, n := range l.named[e] {
+// allowance returns the number of requests that an engine's limit allows between two points in
+// time. ok is false if the engine stated no limit for a part of that time. Its first limit also
+// counts for the time before it.
+func (l *limitHarness) allowance(e *fleetEngine, from, to time.Duration) (requests float64, ok bool) {
+	for i, n := range l.limitHistory[e] {
 		until := to
-		if i+1 < len(l.named[e]) {
-			until = min(to, l.named[e][i+1].at)
+		if i+1 < len(l.limitHistory[e]) {
+			until = min(to, l.limitHistory[e][i+1].at)
 		}
 		since := max(from, n.at)
 		if i == 0 {
@@ -251,37 +254,37 @@
 	return requests, true
 }
 
-// excess returns the window in which the most requests reached an engine beyond what the
-// users' bound allows, counted over all instances that it had told; ok is false if there is
-// no such window.
-func (l *limitLab) excess(e *fleetEngine) (worst string, ok bool) {
-	var within []limitReach // that count, in the window
+// excess describes the window in which the requests that reached an engine exceeded the users'
+// bound the most, counting all instances that the engine had told of its limit. ok is false if no
+// window exceeds the bound.
+func (l *limitHarness) excess(e *fleetEngine) (worst string, ok bool) {
+	var within []limitRequest // the requests in the window that count
 	most := 0.0
-	for _, r := range l.reaches[e] {
-		if at, told := l.told[r.by]; !told || r.at < at+limitTold {
+	for _, r := range l.received[e] {
+		if at, told := l.firstToldAt[r.by]; !told || r.at < at+limitToldDelay {
 			continue
 		}
 		within = append(within, r)
 		for within[0].at <= r.at-limitWindow {
 			within = within[1:]
 		}
-		allowed, limited := l.allows(e, r.at-limitWindow, r.at)
-		if !limited || r.at < l.named[e][0].at+limitFrom {
+		allowed, limited := l.allowance(e, r.at-limitWindow, r.at)
+		if !limited || r.at < l.limitHistory[e][0].at+limitGrace {
 			continue
 		}
-		if over := float64(len(within)) - limitTimes*allowed - limitMore; over > most {
+		if over := float64(len(within)) - limitFactor*allowed - limitBurst; over > most {
 			most = over
-			worst = fmt.Sprintf("%s got %d requests in the %v before %v; allowed %.0f", e.name, len(within), limitWindow, r.at, limitTimes*allowed+limitMore)
+			worst = fmt.Sprintf("%s received %d requests in the %v before %v; allowed %.0f", e.name, len(within), limitWindow, r.at, limitFactor*allowed+limitBurst)
 		}
 	}
 	return worst, most > 0
 }
 
-// used returns the share of an engine's limit that requests used between two instants.
-func (l *limitLab) used(e *fleetEngine, from, to time.Duration) float64 {
-	allowed, _ := l.allows(e, from, to)
+// usedShare returns the share of an engine's limit that requests used between two points in time.
+func (l *limitHarness) usedShare(e *fleetEngine, from, to time.Duration) float64 {
+	allowed, _ := l.allowance(e, from, to)
 	n := 0
-	for _, r := range l.reaches[e] {
+	for _, r := range l.received[e] {
 		if r.at >= from && r.at < to {
 			n++
 		}
@@ -289,56 +292,57 @@
 	return float64(n) / allowed
 }
 
-// check reports what must not have happened.
-func (l *limitLab) check(t *testing.T, seed int) {
+// check reports exceeded limits, lost calls, violations of the fleet, refusals without a retry
+// time, and a run in which too little happened.
+func (l *limitHarness) check(t *testing.T, seed int) {
 	t.Helper()
 	for _, name := range sortedKeys(l.f.engines) {
 		if worst, over := l.excess(l.f.engines[name]); over {
 			t.Errorf("seed %d: %s", seed, worst)
 		}
 	}
-	for _, lost := range l.lost[:min(3, len(l.lost))] {
-		t.Errorf("seed %d: %d calls lost; %s", seed, len(l.lost), lost)
+	for _, lost := range l.lostCalls[:min(3, len(l.lostCalls))] {
+		t.Errorf("seed %d: %d calls lost; %s", seed, len(l.lostCalls), lost)
 	}
-	for _, b := range l.f.broken {
+	for _, b := range l.f.violations {
 		t.Errorf("seed %d: %s", seed, b)
 	}
 	for _, a := range l.refused {
 		if a.Refusal.Run == code.NotRun && a.Refusal.RetryAfter <= 0 {
-			t.Errorf("seed %d: a call that did not run was refused without a time to come back: %+v", seed, a.Refusal)
+			t.Errorf("seed %d: a call that did not run was refused without a retry time: %+v", seed, a.Refusal)
 		}
 	}
-	if len(l.told) == 0 || l.f.served == 0 {
-		t.Errorf("seed %d: %d told, %d served", seed, len(l.told), l.f.served)
+	if len(l.firstToldAt) == 0 || l.f.served == 0 {
+		t.Errorf("seed %d: %d instances told of a limit, %d calls served", seed, len(l.firstToldAt), l.f.served)
 	}
 }
 
-// A limitStorm is what goes wrong beside engines that name a limit.
+// A limitStorm is a fault scenario for a fleet with engines that state rate limits.
 type limitStorm struct {
 	name    string
 	members int
-	do      func(l *limitLab)
+	do      func(l *limitHarness)
 }
 
 var limitStorms = []limitStorm{
-	{"calm", 8, func(*limitLab) {}},
-	{"the store is down", 8, func(l *limitLab) { l.f.store.down = true }},
-	{"entries go and come back", 8, func(l *limitLab) {
-		l.f.again(1500*time.Millisecond, 700*time.Millisecond, func() func() {
+	{"calm", 8, func(*limitHarness) {}},
+	{"the store is down", 8, func(l *limitHarness) { l.f.store.down = true }},
+	{"entries are deleted and restored", 8, func(l *limitHarness) {
+		l.f.periodically(1500*time.Millisecond, 700*time.Millisecond, func() func() {
 			e := l.engine(l.f.rng.IntN(6))
-			l.f.change("servers/"+e.name, nil)
+			l.f.setKey("servers/"+e.name, nil)
 			return func() { l.f.announce(e) }
 		})
 	}},
-	{"instances are killed", 8, func(l *limitLab) {
-		l.f.again(3*time.Second, time.Second, func() func() {
-			n := l.f.anyMember()
+	{"instances are killed", 8, func(l *limitHarness) {
+		l.f.periodically(3*time.Second, time.Second, func() func() {
+			n := l.f.randomMember()
 			n.dead = true
 			return func() { l.f.start(n.id.Name) }
 		})
 	}},
-	{"all but one are killed at once", 8, func(l *limitLab) {
-		l.f.again(9*time.Second, time.Second, func() func() {
+	{"all but one are killed at once", 8, func(l *limitHarness) {
+		l.f.periodically(9*time.Second, time.Second, func() func() {
 			for _, name := range l.f.names[1:] {
 				l.f.members[name].dead = true
 			}
@@ -349,77 +353,77 @@
 			}
 		})
 	}},
-	{"instances stop as planned", 8, func(l *limitLab) {
-		l.f.again(3*time.Second, 2500*time.Millisecond, func() func() {
-			n := l.f.anyMember()
+	{"instances stop as planned", 8, func(l *limitHarness) {
+		l.f.periodically(3*time.Second, 2500*time.Millisecond, func() func() {
+			n := l.f.randomMember()
 			l.f.step(n, n.boot, Stop{})
 			l.f.at(2*time.Second, func() { n.dead = true })
 			return func() { l.f.start(n.id.Name) }
 		})
 	}},
-	{"instances freeze", 8, func(l *limitLab) {
-		l.f.again(4*time.Second, 2*time.Second, func() func() {
-			n := l.f.anyMember()
+	{"instances freeze", 8, func(l *limitHarness) {
+		l.f.periodically(4*time.Second, 2*time.Second, func() func() {
+			n := l.f.randomMember()
 			n.frozen = true
 			return func() { l.f.thaw(n) }
 		})
 	}},
-	{"instances sleep", 8, func(l *limitLab) {
-		l.f.again(5*time.Second, time.Hour, func() func() {
-			l.f.sleep(l.f.anyMember(), 3*time.Second, 0)
+	{"instances are suspended", 8, func(l *limitHarness) {
+		l.f.periodically(5*time.Second, time.Hour, func() func() {
+			l.f.sleep(l.f.randomMember(), 3*time.Second, 0)
 			return func() {}
 		})
 	}},
-	{"a zone is cut off", 8, func(l *limitLab) {
-		l.f.again(7*time.Second, 4*time.Second, func() func() {
-			l.f.cut = map[string]bool{"z1": true}
+	{"a zone is cut off", 8, func(l *limitHarness) {
+		l.f.periodically(7*time.Second, 4*time.Second, func() func() {
+			l.f.cutZones = map[string]bool{"z1": true}
 			return func() {
-				l.f.cut = nil
-				l.healed = l.f.now
+				l.f.cutZones = nil
+				l.healedAt = l.f.now
 			}
 		})
 	}},
-	{"an instance hears nobody", 8, func(l *limitLab) {
-		l.f.again(4*time.Second, 3*time.Second, func() func() {
-			n := l.f.anyMember()
-			n.deaf = true
-			return func() { n.deaf = false }
+	{"an instance receives no updates", 8, func(l *limitHarness) {
+		l.f.periodically(4*time.Second, 3*time.Second, func() func() {
+			n := l.f.randomMember()
+			n.noUpdates = true
+			return func() { n.noUpdates = false }
 		})
 	}},
-	{"orders are carried out late", 8, func(l *limitLab) { l.f.late = 0.4 }},
-	{"limits change each second", 8, func(l *limitLab) {
+	{"orders are executed late", 8, func(l *limitHarness) { l.f.lateShare = 0.4 }},
+	{"limits change each second", 8, func(l *limitHarness) {
 		up := false
-		l.f.again(time.Second, 0, func() func() {
+		l.f.periodically(time.Second, 0, func() func() {
 			up = !up
-			for e := range l.named {
-				l.names(e, map[bool]float64{true: 8, false: 2}[up])
+			for e := range l.limitHistory {
+				l.setLimit(e, map[bool]float64{true: 8, false: 2}[up])
 			}
 			return func() {}
 		})
 	}},
-	{"engines start again", 8, func(l *limitLab) {
-		l.f.again(4*time.Second, time.Second, func() func() {
+	{"engines restart", 8, func(l *limitHarness) {
+		l.f.periodically(4*time.Second, time.Second, func() func() {
 			e := l.engine(l.f.rng.IntN(6))
 			e.dead = true
-			return func() { l.f.startAgain(e) }
+			return func() { l.f.restartEngine(e) }
 		})
 	}},
-	{"a large fleet", 2 * watchers.FullMeshLimit, func(*limitLab) {}},
+	{"a large fleet", 2 * watchers.FullMeshLimit, func(*limitHarness) {}},
 }
 
-// TestEnginesThatNameALimitGetNoMore: whatever fails beside it, an engine that names a
-// limit gets no more than the users' bound, over all instances; no call is refused that an
-// engine without a limit could serve.
+// TestEnginesThatNameALimitGetNoMore checks, for every fault scenario, that an engine that states
+// a limit receives no more requests than the users' bound, over all instances, and that no call is
+// refused that an engine without a limit could serve.
 func TestEnginesThatNameALimitGetNoMore(t *testing.T) {
 	for _, s := range limitStorms {
 		t.Run(s.name, func(t *testing.T) {
 			t.Parallel()
 			for seed := range *limitSeeds {
 				l := newLimitFleet(uint64(seed+1), s.members, 2*fleetEngines)
-				l.f.callers(20 * time.Millisecond)
+				l.f.startCallers(20 * time.Millisecond)
 				l.f.run(2 * time.Second)
 				for i, limit := range []float64{1, 0.5, 3, 0, 1, 10} {
-					l.names(l.engine(i), limit)
+					l.setLimit(l.engine(i), limit)
 				}
 				s.do(l)
 				l.f.run(22 * time.Second)
@@ -429,27 +433,27 @@
 	}
 }
 
-// TestWhereAllEnginesNameALimit: where calls want more than all engines take, each engine
-// gets what it takes, no more than the users' bound and no less than limitUsed of its
-// limit, whatever the size of the fleet; the other calls are told when to come back.
+// TestWhereAllEnginesNameALimit checks that if the demand exceeds the limits of all engines, each
+// engine receives no more than the users' bound and at least minLimitUse of its limit, whatever
+// the size of the fleet, and that the other calls are refused with a retry time.
 func TestWhereAllEnginesNameALimit(t *testing.T) {
 	const engines = 4
 	for _, members := range []int{8, 46, 370} {
 		for _, limit := range []float64{0.5, 1, 10, 200} {
 			t.Run(fmt.Sprintf("%d instances, %g a second", members, limit), func(t *testing.T) {
 				if members > 100 && limit != 1 && !*limitAll {
-					t.Skip("takes minutes: by hand, with -limit.all")
+					t.Skip("takes minutes; run it with -limit.all")
 				}
 				t.Parallel()
 				l := newLimitFleet(1, members, engines)
-				l.f.adapters = 0
-				// The limit binds, not what engines can run.
-				l.f.tokens = 100
-				l.f.firstAfter = 5 * time.Millisecond
-				l.takes = 10 * time.Millisecond
-				l.f.callersOf(time.Duration(float64(time.Second)/(3*engines*limit)), func() int { return l.f.rng.IntN(fleetModels) })
+				l.f.adapterShare = 0
+				// Calls are so short that the limit is the bottleneck, not the capacity of the engines.
+				l.f.promptTokens = 100
+				l.f.firstTokenDelay = 5 * time.Millisecond
+				l.callDuration = 10 * time.Millisecond
+				l.f.startCallersFor(time.Duration(float64(time.Second)/(3*engines*limit)), func() int { return l.f.rng.IntN(fleetModels) })
 				for i := range engines {
-					l.names(l.engine(i), limit)
+					l.setLimit(l.engine(i), limit)
 				}
 				l.f.run(4 * time.Second)
 				from := l.f.now
@@ -457,21 +461,22 @@
 				l.check(t, 0)
 				least := 1.0
 				for i := range engines {
-					least = min(least, l.used(l.engine(i), from, l.f.now))
+					least = min(least, l.usedShare(l.engine(i), from, l.f.now))
 				}
-				t.Logf("the engine that got least got %.2f of its limit", least)
-				if least < limitUsed {
-					t.Errorf("an engine got %.2f of its limit", least)
+				t.Logf("the least used engine received %.2f of its limit", least)
+				if least < minLimitUse {
+					t.Errorf("an engine received %.2f of its limit", least)
 				}
 			})
 		}
 	}
 }
 
-// TestAnEndedLimitIsHeard: that engines name no limit any more is heard, though hardly any
-// call goes there while others are free, and calls come back to them one after the other:
-// no more than twice as many in a second as in the one before, but for a few, or than twice
-// what is usual. After some seconds they get at least half of what they get where no limit was ever named.
+// TestAnEndedLimitIsHeard checks that instances learn that an engine no longer states a limit,
+// although hardly any call goes there while other engines are free, and that its traffic ramps up
+// gradually: each second it receives at most twice the requests of the previous second plus a few,
+// or at most twice the usual number. After some seconds it receives at least half of what it
+// receives where no limit was ever stated.
 func TestAnEndedLimitIsHeard(t *testing.T) {
 	for _, members := range []int{8, 46} {
 		for _, limit := range []float64{0, 0.5, 3} {
@@ -480,18 +485,18 @@
 				is := is.New(t)
 				l, never := endedLimitFleet(members), endedLimitFleet(members)
 				e := l.engine(0)
-				l.names(e, limit)
+				l.setLimit(e, limit)
 				l.f.run(12 * time.Second)
-				l.ends(e)
+				l.endLimit(e)
 				ended := l.f.now
 				l.f.run(20 * time.Second)
 				l.check(t, 0)
 				never.f.run(32 * time.Second)
-				usual := never.arrivedWithin(never.engine(0), l.f.now-8*time.Second, l.f.now)
+				usual := never.receivedWithin(never.engine(0), l.f.now-8*time.Second, l.f.now)
 				for from, last := ended, 0; from < ended+8*time.Second; from += time.Second {
-					n := l.arrivedWithin(e, from, from+time.Second)
+					n := l.receivedWithin(e, from, from+time.Second)
 					if most := max(2*max(last, int(limit))+3, usual/4+1); n > most {
-						t.Errorf("%d requests in the second from %v on, %d in the one before", n, from-ended, last)
+						t.Errorf("%d requests in the second that starts at %v, %d in the previous one", n, from-ended, last)
 					}
 					last = n
 				}
@@ -500,28 +505,28 @@
 					_, limited := n.m.state.Pool.Get(e.name).RateLimit(l.f.clock(n))
 					is.True(!limited)
 				}
-				got := l.arrivedWithin(e, l.f.now-8*time.Second, l.f.now)
-				t.Logf("%d requests in 8 s, %d where no limit was named", got, usual)
+				got := l.receivedWithin(e, l.f.now-8*time.Second, l.f.now)
+				t.Logf("%d requests in 8 s, %d without any limit", got, usual)
 				is.True(got*2 >= usual)
 			})
 		}
 	}
 }
 
-// endedLimitFleet returns a fleet whose calls ask for all models alike.
-func endedLimitFleet(members int) *limitLab {
+// endedLimitFleet returns the harness of a fleet whose calls request all models equally.
+func endedLimitFleet(members int) *limitHarness {
 	l := newLimitFleet(1, members, 4*fleetEngines)
-	l.f.adapters = 0
-	l.f.tokens = 100
-	l.f.callersOf(10*time.Millisecond, func() int { return l.f.rng.IntN(fleetModels) })
+	l.f.adapterShare = 0
+	l.f.promptTokens = 100
+	l.f.startCallersFor(10*time.Millisecond, func() int { return l.f.rng.IntN(fleetModels) })
 	l.f.run(4 * time.Second)
 	return l
 }
 
-// arrivedWithin returns how many requests reached an engine between two instants.
-func (l *limitLab) arrivedWithin(e *fleetEngine, from, to time.Duration) int {
+// receivedWithin returns the number of requests that reached an engine between two points in time.
+func (l *limitHarness) receivedWithin(e *fleetEngine, from, to time.Duration) int {
 	n := 0
-	for _, r := range l.reaches[e] {
+	for _, r := range l.received[e] {
 		if r.at >= from && r.at < to {
 			n++
 		}
@@ -529,16 +534,17 @@
 	return n
 }
 
-// TestInstancesHearOfALimitFromPeers: before their own first answer, also those that start
-// after it was named.
+// TestInstancesHearOfALimitFromPeers checks that instances learn a limit from their peers before
+// they receive a response of the engine themselves, including instances that start after the limit
+// was stated.
 func TestInstancesHearOfALimitFromPeers(t *testing.T) {
 	is := is.New(t)
 	for _, members := range []int{8, 46} {
 		l := newLimitFleet(1, members, fleetEngines)
 		e := l.engine(0)
 		n := l.f.members["i1"]
-		l.names(e, 2)
-		l.say(n, n.boot, e, 0, l.f.clock(n))
+		l.setLimit(e, 2)
+		l.sendNotice(n, n.boot, e, 0, l.f.clock(n))
 		known := func() (all bool) {
 			all = true
 			for _, name := range l.f.names {
@@ -549,35 +555,36 @@
 			return all
 		}
 		from := l.f.now
-		for !known() && l.f.now < from+limitFrom {
+		for !known() && l.f.now < from+limitGrace {
 			l.f.run(50 * time.Millisecond)
 		}
-		t.Logf("%d instances know after %v", members, l.f.now-from)
+		t.Logf("%d instances know the limit after %v", members, l.f.now-from)
 		is.True(known())
-		is.Equal(len(l.told), 1) // by the engine itself
+		is.Equal(len(l.firstToldAt), 1) // only one instance was told by the engine itself
 		l.f.members["i3"].dead = true
 		l.f.run(time.Second)
 		l.f.start("i3")
 		for from = l.f.now; l.f.members["i3"].m.state.Pool.Get(e.name) == nil || !known(); l.f.run(10 * time.Millisecond) {
 			if l.f.now > from+time.Second {
-				t.Fatal("an instance that started does not hear of it")
+				t.Fatal("an instance that restarted does not learn the limit")
 			}
 		}
-		t.Logf("one that starts knows after %v", l.f.now-from)
+		t.Logf("a restarted instance knows the limit after %v", l.f.now-from)
 	}
 }
 
-// TestModelsOfALimitedEngineAreServedElsewhere: where an engine that alone holds models names
-// a limit which calls for them exceed, they are loaded elsewhere once, and served there.
+// TestModelsOfALimitedEngineAreServedElsewhere checks that if the only engine that holds some
+// models states a limit below the demand for them, these models are loaded on other engines once,
+// and served there.
 func TestModelsOfALimitedEngineAreServedElsewhere(t *testing.T) {
 	is := is.New(t)
 	for seed := range *limitSeeds {
 		l := newLimitFleet(uint64(seed+1), 8, 4)
-		l.f.adapters = 0
-		l.f.tokens = 100
-		l.f.callersOf(80*time.Millisecond, func() int { return l.f.rng.IntN(3) }) // all at the first engine
+		l.f.adapterShare = 0
+		l.f.promptTokens = 100
+		l.f.startCallersFor(80*time.Millisecond, func() int { return l.f.rng.IntN(3) }) // all three models are at the first engine
 		l.f.run(5 * time.Second)
-		l.names(l.engine(0), 0.5)
+		l.setLimit(l.engine(0), 0.5)
 		l.f.run(25 * time.Second)
 		l.check(t, seed)
 		elsewhere := map[string]bool{}
@@ -589,39 +596,40 @@
 		is.True(elsewhere["m0"] && elsewhere["m1"] && elsewhere["m2"])
 		orders, refused := l.f.orders, len(l.refused)
 		l.f.run(15 * time.Second)
-		is.Equal(l.f.orders, orders) // nothing moves to and fro
+		is.Equal(l.f.orders, orders) // models are not moved back and forth
 		is.Equal(len(l.refused), refused)
 		l.check(t, seed)
 	}
 }
 
-// TestALimitARestAndLeaving: an engine that names a limit asks for rest besides, and then
-// leaves: all three hold, also at an instance that hears of it from its peers.
-func TestALimitARestAndLeaving(t *testing.T) {
+// TestLimitRestAndLeavingTogether checks that an engine can state a limit, then also a rest, and
+// then that it leaves, and that all three are obeyed, also by an instance that learns of them from
+// its peers.
+func TestLimitRestAndLeavingTogether(t *testing.T) {
 	is := is.New(t)
 	for seed := range *limitSeeds {
 		l := newLimitFleet(uint64(seed+1), 8, 2*fleetEngines)
-		l.f.callers(20 * time.Millisecond)
+		l.f.startCallers(20 * time.Millisecond)
 		e := l.engine(0)
-		l.names(e, 3)
+		l.setLimit(e, 3)
 		l.f.run(4 * time.Second)
-		l.also[e] = pool.Notice{Rest: 1500 * time.Millisecond}
+		l.otherNotices[e] = pool.Notice{Rest: 1500 * time.Millisecond}
 		rests := l.f.now
 		l.f.run(4 * time.Second)
-		l.also[e] = pool.Notice{}
+		l.otherNotices[e] = pool.Notice{}
 		l.f.run(8 * time.Second)
-		is.True(l.arrivedWithin(e, l.f.now-6*time.Second, l.f.now) > 0) // a call shows after 5 s that it serves
-		is.True(l.arrivedWithin(e, rests, rests+4*time.Second) <= 3*noticeMost+limitMore)
+		is.True(l.receivedWithin(e, l.f.now-6*time.Second, l.f.now) > 0) // after 5 s, a call shows that the engine serves again
+		is.True(l.receivedWithin(e, rests, rests+4*time.Second) <= 3*maxInRest+limitBurst)
 		l.f.members["i2"].dead = true
-		l.also[e] = pool.Notice{Leaving: true}
+		l.otherNotices[e] = pool.Notice{Leaving: true}
 		n := l.f.members["i0"]
-		l.say(n, n.boot, e, 0, l.f.clock(n)) // hardly anything goes there
-		l.f.run(noticeLeft + time.Second)
+		l.sendNotice(n, n.boot, e, 0, l.f.clock(n)) // hardly any call goes there to tell the instances
+		l.f.run(leaveGrace + time.Second)
 		l.f.start("i2")
 		gone := l.f.now
 		l.f.run(6 * time.Second)
-		// One that has just heard of it may still send a call there that no other can serve.
-		is.Equal(l.arrivedWithin(e, gone+noticeLeft, l.f.now), 0)
+		// An instance that has just learned of it may still send a call there that no other engine can serve.
+		is.Equal(l.receivedWithin(e, gone+leaveGrace, l.f.now), 0)
 		l.check(t, seed)
 	}
 }
--- a/core/instance/stepback_test.go
+++ b/core/instance/stepback_test.go
@@ -12,40 +12,42 @@
 	"github.com/birchdrift/birchdrift/core/registry"
 )
 
-// The platform's store comes back from a copy of itself that is some seconds old. What was
-// written since is gone, leases too, and the same revisions and leases are given out again.
+// The tests in this file restore the platform's store from a copy of itself that is some seconds
+// old. Everything written since is lost, including leases, and the store issues the same revisions
+// and lease IDs again.
 
 var (
-	stepSeeds = flag.Int("step.seeds", 4, "how many seeds of each storm in which the store steps back")
-	stepSizes = flag.Bool("step.sizes", false, "measure how long a step back takes in fleets of up to 370 instances")
+	stepSeeds = flag.Int("step.seeds", 4, "number of seeds per storm in which the store steps back")
+	stepSizes = flag.Bool("step.sizes", false, "measure the recovery from a step back in fleets of up to 370 instances")
 )
 
 const (
-	copyEvery = 200 * time.Millisecond
-	copySpan  = 12 * time.Second
-	// restoring is how long the store is away before it comes back from a copy.
-	restoring = 300 * time.Millisecond
-	// heartbeat is the longest time until a replica writes its entry again.
+	copyInterval = 200 * time.Millisecond
+	copySpan     = 12 * time.Second
+	// restoreTime is the time for which the store is down before it returns from a copy.
+	restoreTime = 300 * time.Millisecond
+	// heartbeat is the maximum time between two writes of an entry by its replica.
 	heartbeat = 1200 * time.Millisecond
-	// entryTerm is after how long of a replica's silence its entry goes.
+	// entryTerm is the time without a heartbeat after which the entry of a replica expires.
 	entryTerm = 3 * heartbeat
 )
 
-// A fleetCopy is the store as it was at some moment.
-type fleetCopy struct {
-	at       time.Duration
-	revision uint64
-	next     uint64
-	values   map[string]*fleetValue
-	leases   map[uint64]fleetLease
-	changes  int // of the log
+// A storeCopy is a snapshot of the store.
+type storeCopy struct {
+	at        time.Duration
+	revision  uint64
+	nextLease uint64
+	values    map[string]*fleetValue
+	leases    map[uint64]fleetLease
+	changes   int // length of the log
 }
 
-// keepCopies has the store copied again and again from now on.
-func (f *fleet) keepCopies() {
+// keepStoreCopies copies the store every copyInterval and keeps the copies of the last copySpan.
+// The store reports eras from then on.
+func (f *fleet) keepStoreCopies() {
 	s := &f.store
-	c := fleetCopy{
-		at: f.now, revision: s.revision, next: s.next, values: maps.Clone(s.values),
+	c := storeCopy{
+		at: f.now, revision: s.revision, nextLease: s.nextLease, values: maps.Clone(s.values),
 		leases: map[uint64]fleetLease{}, changes: len(s.log),
 	}
 	for id, l := range s.leases {
@@ -54,34 +56,35 @@
 	if s.era == 0 {
 		s.era = 1
 	}
-	f.copies = append(f.copies, c)
-	for f.now-f.copies[0].at > copySpan {
-		f.copies = f.copies[1:]
+	f.storeCopies = append(f.storeCopies, c)
+	for f.now-f.storeCopies[0].at > copySpan {
+		f.storeCopies = f.storeCopies[1:]
 	}
-	f.at(copyEvery, f.keepCopies)
+	f.at(copyInterval, f.keepStoreCopies)
 }
 
-// stepBack has the store go away and come back from a copy that was made so long before.
-// What replicas wrote since they write again.
+// stepBack takes the store down for restoreTime and then restores a copy that is at least span
+// old. Replicas then write their entries again.
 func (f *fleet) stepBack(span time.Duration) {
 	f.store.down = true
-	f.store.closed = true
-	f.at(restoring, func() {
+	f.store.refusesConnections = true
+	f.at(restoreTime, func() {
 		f.store.down = false
-		f.store.closed = false
+		f.store.refusesConnections = false
 		f.restore(f.now - span)
 	})
 }
 
-// restore takes the newest copy that is not younger than a moment.
+// restore restores the newest copy that was made no later than at, or the oldest copy if there is
+// none.
 func (f *fleet) restore(at time.Duration) {
-	for len(f.copies) > 1 && f.copies[len(f.copies)-1].at > at {
-		f.copies = f.copies[:len(f.copies)-1] // what was lost once does not come back
+	for len(f.storeCopies) > 1 && f.storeCopies[len(f.storeCopies)-1].at > at {
+		f.storeCopies = f.storeCopies[:len(f.storeCopies)-1] // a state that was lost is never restored later
 	}
-	c := f.copies[len(f.copies)-1]
+	c := f.storeCopies[len(f.storeCopies)-1]
 	s := &f.store
 	s.revision = c.revision
-	s.next = c.next
+	s.nextLease = c.nextLease
 	s.values = maps.Clone(c.values)
 	s.log = s.log[:c.changes:c.changes]
 	s.era++
@@ -91,8 +94,8 @@
 	}
 	for _, name := range sortedKeys(f.engines) {
 		e := f.engines[name]
-		if e.silent || e.gone {
-			f.comesBack(e)
+		if e.leavesSilently || e.gone {
+			f.restoreVanishedEntry(e)
 			continue
 		}
 		f.at(time.Duration(f.rng.Int64N(int64(heartbeat))), func() {
@@ -103,43 +106,44 @@
 	}
 }
 
-// comesBack has the entry of an engine that does not write it any more stand for a while, if
-// the copy has it: the store has lost that it went.
-func (f *fleet) comesBack(e *fleetEngine) {
+// restoreVanishedEntry keeps the entry of an engine that no longer writes it for entryTerm, if the
+// copy contains it: the deletion of the entry was lost.
+func (f *fleet) restoreVanishedEntry(e *fleetEngine) {
 	key := "servers/" + e.name
 	if f.store.values[key] == nil {
 		return
 	}
 	if f.leaves != nil {
-		delete(f.leaves.words, e)
+		delete(f.leaves.leaveRecords, e)
 	}
 	f.at(entryTerm, func() {
 		if f.store.values[key] == nil {
 			return
 		}
-		f.change(key, nil)
+		f.setKey(key, nil)
 		if f.leaves != nil {
-			f.leaves.took(e)
+			f.leaves.recordLeave(e)
 		}
 	})
 }
 
-// anySpan draws by how much the store goes back.
-func (f *fleet) anySpan() time.Duration {
+// randomSpan returns a random time, up to 10 s, by which the store steps back.
+func (f *fleet) randomSpan() time.Duration {
 	return time.Duration(f.rng.Int64N(int64(10 * time.Second)))
 }
 
-// steps has the store step back every so often.
-func (f *fleet) steps(every time.Duration) {
-	f.again(every, 0, func() func() {
-		f.stepBack(f.anySpan())
+// stepBackPeriodically makes the store step back every interval, by a random span.
+func (f *fleet) stepBackPeriodically(interval time.Duration) {
+	f.periodically(interval, 0, func() func() {
+		f.stepBack(f.randomSpan())
 		return func() {}
 	})
 }
 
-// unsettled says what is not as it should be while nothing fails: who owns engines, and who is
-// there, is the same for the store and for all members, and each engine can be ordered.
-func (f *fleet) unsettled() string {
+// firstInconsistency returns a description of the first deviation from the state that must hold
+// without faults, or "" if there is none: the store and all members agree on the owners of engines
+// and on the members, one member can order each engine, and there is a placer.
+func (f *fleet) firstInconsistency() string {
 	now := clocktest.At(time.Hour + f.now)
 	for _, name := range f.names {
 		v := f.store.values["instances/"+name]
@@ -147,7 +151,7 @@
 			return "the store has no record of " + name
 		}
 		if f.store.leases[v.lease] == nil {
-			return name + "'s record hangs on no lease"
+			return name + "'s record has no lease"
 		}
 	}
 	for _, engine := range sortedKeys(f.engines) {
@@ -160,145 +164,146 @@
 		}
 		v := f.store.values["owners/"+engine]
 		if v == nil {
-			return "the store does not know who owns " + engine
+			return "the store has no owner record of " + engine
 		}
-		stands := v.data.(*registry.Ownership).Owner
-		if len(orderable) != 1 || orderable[0] != stands {
-			return fmt.Sprintf("%s can be ordered by %v, the store says by %q", engine, orderable, stands)
+		storeOwner := v.data.(*registry.Ownership).Owner
+		if len(orderable) != 1 || orderable[0] != storeOwner {
+			return fmt.Sprintf("%s can be ordered by %v, its owner in the store is %q", engine, orderable, storeOwner)
 		}
 		for _, name := range f.names {
-			if o, _ := f.members[name].m.orders.registry.Owner(engine); o.Owner != stands {
-				return fmt.Sprintf("%s takes %q for the owner of %s, which is %s", name, o.Owner, engine, stands)
+			if o, _ := f.members[name].m.orders.registry.Owner(engine); o.Owner != storeOwner {
+				return fmt.Sprintf("%s considers %q the owner of %s, but it is %s", name, o.Owner, engine, storeOwner)
 			}
 		}
 	}
 	if f.placer() == nil {
-		return "nobody places models"
+		return "there is no placer"
 	}
 	return ""
 }
 
-// settle drives the fleet until all is as it should be, at most for a while. It returns how
-// long that took, and what was wrong to the last.
-func (f *fleet) settle(most time.Duration) (took time.Duration, wrong string) {
-	const look = 100 * time.Millisecond
-	for took < most {
-		if wrong = f.unsettled(); wrong == "" {
+// settle runs the fleet until it is consistent, for at most timeout. It returns the time that this
+// took and the remaining inconsistency, if any.
+func (f *fleet) settle(timeout time.Duration) (took time.Duration, wrong string) {
+	const pollInterval = 100 * time.Millisecond
+	for took < timeout {
+		if wrong = f.firstInconsistency(); wrong == "" {
 			return took, ""
 		}
-		f.run(look)
-		took += look
+		f.run(pollInterval)
+		took += pollInterval
 	}
 	return took, wrong
 }
 
-// TestAllIsAsBeforeOnceTheStoreSteppedBack: some seconds after the store came back from an
-// older copy, all members have their records there again, and each engine has one owner that
-// orders it.
+// TestFleetRecoversAfterStoreStepsBack checks that some seconds after the store returned from an
+// older copy, all members are registered again and each engine has one owner that can send it
+// orders.
 //
-// Seen: engines were ordered by nobody any more, for good, and what was written to the store
-// anew was passed over by all members.
-func TestAllIsAsBeforeOnceTheStoreSteppedBack(t *testing.T) {
-	// aim is the longest that engines wait for their orders anyhow when an owner is lost:
-	// its record's term and absence, then the wait for its orders.
+// Before, no member ever sent orders to some engines again, and all members ignored what was
+// written to the store afterwards.
+func TestFleetRecoversAfterStoreStepsBack(t *testing.T) {
+	// aim is the longest time for which engines wait for orders after the loss of an owner,
+	// without a step back: until its record expires and it counts as absent, then until its
+	// orders are no longer valid and TurnGap is over.
 	o := option.Default()
 	aim := o.EnrolTerm + o.AbsentFor + o.OrderValid + o.TurnGap + 3*time.Second
 	for _, span := range []time.Duration{0, time.Second, 3 * time.Second, 10 * time.Second} {
 		for seed := range uint64(6) {
 			f := newFleet(seed+1, 5)
-			f.expire()
-			f.keepCopies()
+			f.expireLeases()
+			f.keepStoreCopies()
 			f.run(5 * time.Second)
-			f.callers(40 * time.Millisecond)
-			f.run(10*time.Second + f.anySpan())
-			// An owner has died a moment ago, and others took its engines.
-			n := f.giver()
+			f.startCallers(40 * time.Millisecond)
+			f.run(10*time.Second + f.randomSpan())
+			// An owner has died recently, and other members have claimed its engines.
+			n := f.lastOrderSender()
 			n.dead = true
 			f.run(aim)
 			f.start(n.id.Name)
-			f.run(f.anySpan())
+			f.run(f.randomSpan())
 			f.stepBack(span)
-			f.run(restoring)
+			f.run(restoreTime)
 			f.run(time.Millisecond)
 			if took, wrong := f.settle(aim); wrong != "" {
-				t.Errorf("seed %d, back by %v: after %v %s", seed+1, span, took, wrong)
+				t.Errorf("seed %d, step back by %v: after %v: %s", seed+1, span, took, wrong)
 			}
-			for _, b := range f.broken {
-				t.Errorf("seed %d, back by %v: %s", seed+1, span, b)
+			for _, b := range f.violations {
+				t.Errorf("seed %d, step back by %v: %s", seed+1, span, b)
 			}
 		}
 	}
 }
 
-// stepStorms are what goes wrong while the store steps back again and again.
+// stepStorms are fault scenarios in which the store steps back repeatedly.
 var stepStorms = []fleetStorm{
-	{"nothing else", func(f *fleet) { f.steps(9 * time.Second) }},
+	{"no other faults", func(f *fleet) { f.stepBackPeriodically(9 * time.Second) }},
 	{"twice in a row", func(f *fleet) {
-		f.again(12*time.Second, 1500*time.Millisecond, func() func() {
-			f.stepBack(f.anySpan())
-			return func() { f.stepBack(f.anySpan()) }
+		f.periodically(12*time.Second, 1500*time.Millisecond, func() func() {
+			f.stepBack(f.randomSpan())
+			return func() { f.stepBack(f.randomSpan()) }
 		})
 	}},
-	{"answers of the store are lost", func(f *fleet) {
-		f.lost = 0.3
-		f.steps(7 * time.Second)
+	{"responses of the store are lost", func(f *fleet) {
+		f.lostShare = 0.3
+		f.stepBackPeriodically(7 * time.Second)
 	}},
-	{"orders are carried out late", func(f *fleet) {
-		f.late = 0.4
-		f.steps(8 * time.Second)
+	{"orders are executed late", func(f *fleet) {
+		f.lateShare = 0.4
+		f.stepBackPeriodically(8 * time.Second)
 	}},
 	{"members are killed", func(f *fleet) {
-		f.steps(7 * time.Second)
-		f.again(6*time.Second, 2*time.Second, func() func() {
-			n := f.giver()
+		f.stepBackPeriodically(7 * time.Second)
+		f.periodically(6*time.Second, 2*time.Second, func() func() {
+			n := f.lastOrderSender()
 			n.dead = true
 			return func() { f.start(n.id.Name) }
 		})
 	}},
 	{"members are frozen", func(f *fleet) {
-		f.steps(8 * time.Second)
-		f.again(9*time.Second, 6*time.Second, func() func() {
-			n := f.giver()
+		f.stepBackPeriodically(8 * time.Second)
+		f.periodically(9*time.Second, 6*time.Second, func() func() {
+			n := f.lastOrderSender()
 			n.frozen = true
 			return func() { f.thaw(n) }
 		})
 	}},
-	{"members sleep", func(f *fleet) {
-		f.steps(8 * time.Second)
-		f.again(11*time.Second, time.Hour, func() func() {
-			f.sleep(f.giver(), 8*time.Second, 0)
+	{"members are suspended", func(f *fleet) {
+		f.stepBackPeriodically(8 * time.Second)
+		f.periodically(11*time.Second, time.Hour, func() func() {
+			f.sleep(f.lastOrderSender(), 8*time.Second, 0)
 			return func() {}
 		})
 	}},
-	{"members are cut from the store", func(f *fleet) {
-		f.steps(8 * time.Second)
-		f.again(9*time.Second, 5*time.Second, func() func() {
-			n := f.giver()
+	{"members are cut off from the store", func(f *fleet) {
+		f.stepBackPeriodically(8 * time.Second)
+		f.periodically(9*time.Second, 5*time.Second, func() func() {
+			n := f.lastOrderSender()
 			n.noStore = true
 			return func() { n.noStore = false }
 		})
 	}},
-	{"watches hear nothing", func(f *fleet) {
-		f.steps(8 * time.Second)
-		f.again(7*time.Second, 4*time.Second, func() func() {
-			n := f.giver()
-			n.deaf = true
-			return func() { n.deaf = false }
+	{"watches and exchanges fail", func(f *fleet) {
+		f.stepBackPeriodically(8 * time.Second)
+		f.periodically(7*time.Second, 4*time.Second, func() func() {
+			n := f.lastOrderSender()
+			n.noUpdates = true
+			return func() { n.noUpdates = false }
 		})
 	}},
-	{"a zone is cut off, answers are lost", func(f *fleet) {
-		f.lost = 0.2
-		f.cut = map[string]bool{}
-		f.steps(8 * time.Second)
-		f.again(10*time.Second, 5*time.Second, func() func() {
-			f.cut["z1"] = true
-			return func() { delete(f.cut, "z1") }
+	{"a zone is cut off, responses are lost", func(f *fleet) {
+		f.lostShare = 0.2
+		f.cutZones = map[string]bool{}
+		f.stepBackPeriodically(8 * time.Second)
+		f.periodically(10*time.Second, 5*time.Second, func() func() {
+			f.cutZones["z1"] = true
+			return func() { delete(f.cutZones, "z1") }
 		})
 	}},
-	{"members stop and start", func(f *fleet) {
-		f.steps(7 * time.Second)
-		f.again(6*time.Second, 4*time.Second, func() func() {
-			n := f.giver()
+	{"members stop as planned and restart", func(f *fleet) {
+		f.stepBackPeriodically(7 * time.Second)
+		f.periodically(6*time.Second, 4*time.Second, func() func() {
+			n := f.lastOrderSender()
 			f.step(n, n.boot, Stop{})
 			f.at(2*time.Second, func() { n.dead = true })
 			return func() { f.start(n.id.Name) }
@@ -306,24 +311,24 @@
 	}},
 }
 
-// stepStorm plays a storm on a fleet.
-func stepStorm(seed uint64, s fleetStorm) *fleet {
+// runStepStorm runs a fleet under a storm.
+func runStepStorm(seed uint64, s fleetStorm) *fleet {
 	f := newFleet(seed, 5)
-	f.expire()
-	f.keepCopies()
+	f.expireLeases()
+	f.keepStoreCopies()
 	f.run(5 * time.Second)
-	f.callers(40 * time.Millisecond)
+	f.startCallers(40 * time.Millisecond)
 	f.run(10 * time.Second)
 	s.do(f)
 	f.run(45 * time.Second)
 	return f
 }
 
-// TestOrdersHoldWhileTheStoreStepsBack: whatever fails besides, no engine is ordered by two
-// members within the turn gap or under a falling fence, none is ordered to hold more than it
-// can, and calls go on being served.
+// TestOrdersHoldWhileTheStoreStepsBack checks, for every fault scenario, that no engine gets
+// orders from two members within Options.TurnGap or under a lower fence than before, that none is
+// ordered to hold more than it can, and that calls are still served.
 //
-// Seen: nobody gave orders any more after the first step.
+// Before, no member sent any orders after the first step back.
 func TestOrdersHoldWhileTheStoreStepsBack(t *testing.T) {
 	seeds := *stepSeeds
 	if testing.Short() {
@@ -333,8 +338,8 @@
 		t.Run(s.name, func(t *testing.T) {
 			t.Parallel()
 			for seed := range seeds {
-				f := stepStorm(uint64(seed+1), s)
-				for _, b := range f.broken {
+				f := runStepStorm(uint64(seed+1), s)
+				for _, b := range f.violations {
 					t.Errorf("seed %d: %s", seed+1, b)
 				}
 				if f.orders == 0 || f.served*2 < f.refused {
@@ -345,11 +350,11 @@
 	}
 }
 
-// TestStepBackTakesSeconds: in a fleet of any size all is as before within the time in which
-// engines wait for their orders anyhow when an owner is lost, at no more calls than the store
-// allows all instances together.
+// TestStepBackTakesSeconds checks that a fleet of any size recovers from a step back within the
+// time for which engines wait for orders anyway when an owner is lost, and that its writes stay
+// within the rate that the store allows all instances together.
 func TestStepBackTakesSeconds(t *testing.T) {
-	// writesPerSecond is what the store allows the smallest fleets.
+	// writesPerSecond is the write rate that the store allows the smallest fleets.
 	const writesPerSecond = 400
 	o := option.Default()
 	aim := o.EnrolTerm + o.AbsentFor + o.OrderValid + o.TurnGap + 3*time.Second
@@ -359,25 +364,25 @@
 	}
 	for _, size := range sizes {
 		f := newFleetOf(1, size.members, size.engines, option.Disabled{}, false)
-		f.expire()
-		f.keepCopies()
+		f.expireLeases()
+		f.keepStoreCopies()
 		f.run(20 * time.Second)
 		if _, wrong := f.settle(aim); wrong != "" {
-			t.Fatalf("%d instances: %s before anything failed", size.members, wrong)
+			t.Fatalf("%d instances: %s before the step back", size.members, wrong)
 		}
-		f.writes = nil
+		f.storeWriteTimes = nil
 		f.stepBack(5 * time.Second)
-		f.run(restoring + time.Millisecond)
+		f.run(restoreTime + time.Millisecond)
 		took, wrong := f.settle(aim)
-		most := busiestSecond(f.writes)
-		t.Logf("%d instances, %d engines: as before after %v, at most %d writes in a second", size.members, size.engines, took, most)
-		if wrong != "" || most > writesPerSecond || len(f.broken) > 0 {
-			t.Errorf("%d instances: %s, %d writes in a second, %v", size.members, wrong, most, f.broken)
+		most := busiestSecond(f.storeWriteTimes)
+		t.Logf("%d instances, %d engines: recovered after %v, at most %d writes in a second", size.members, size.engines, took, most)
+		if wrong != "" || most > writesPerSecond || len(f.violations) > 0 {
+			t.Errorf("%d instances: %s, %d writes in a second, %v", size.members, wrong, most, f.violations)
 		}
 	}
 }
 
-// busiestSecond returns the most moments within a second.
+// busiestSecond returns the largest number of moments within one second. moments must be sorted.
 func busiestSecond(moments []time.Duration) int {
 	most, first := 0, 0
 	for last, at := range moments {
--- a/core/instance/world_engine_test.go
+++ b/core/instance/world_engine_test.go
@@ -8,7 +8,7 @@
 	"github.com/birchdrift/birchdrift/core/pool"
 )
 
-// The world's engines, and the orders that they carry out.
+// This file simulates the engines of a world and how they execute orders.
 
 func (w *world) readState(n *node, a planner.ReadState) {
 	e := w.engines[a.Engine]
@@ -34,7 +34,7 @@
 		if w.beforeOrder != nil {
 			w.beforeOrder(n, e, a.Order)
 		}
-		reply.Outcome = w.carryOrder(e, a.Order)
+		reply.Outcome = w.executeOrder(e, a.Order)
 		reply.State = e.state()
 		return func() { w.step(n, reply) }
 	}, func(notSent bool) {
@@ -46,10 +46,10 @@
 	})
 }
 
-// carryOrder has the engine carry out an order as a real one would; asking for
-// more memory than there is counts as a broken promise.
-func (w *world) carryOrder(e *fakeEngine, o book.Order) planner.OrderOutcome {
-	if e.checks {
+// executeOrder executes an order as a real engine does. An order for more memory than the engine
+// has is a violation.
+func (w *world) executeOrder(e *fakeEngine, o book.Order) planner.OrderOutcome {
+	if e.checksFence {
 		if o.Fence < e.fence {
 			return planner.OrderFenced
 		}
@@ -88,8 +88,8 @@
 		used += it.mib
 	}
 	if used+o.MiB > e.capacity {
-		e.overs++
-		w.breach("%s: overcommit: %d MiB used, %d asked for, %d there are", e.name, used, o.MiB, e.capacity)
+		e.overcommits++
+		w.reportViolation("%s: overcommit: %d MiB used, %d MiB requested, %d MiB capacity", e.name, used, o.MiB, e.capacity)
 		return planner.OrderRefused
 	}
 	it := &fakeItem{phase: pool.Loading, mib: o.MiB}
@@ -118,7 +118,7 @@
 	return s
 }
 
-// restart empties an engine as a new process would be.
+// restart resets an engine to the empty state of a new process.
 func (e *fakeEngine) restart() {
 	e.boot++
 	e.change, e.seq, e.fence, e.lastOrder, e.leaving = 0, 0, 0, 0, false
