--- a/core/own/planner/planner.go
+++ b/core/own/planner/planner.go
@@ -59,7 +59,7 @@
 	job   step.Job // requesting and renewing the lease
 	zone  zoneView
 	tenure
-	reads reads
+	reads readSchedule
 
 	planDue          clock.Instant
 	residentSince    map[placement]clock.Instant // when a placement was first seen
--- a/core/own/planner/read.go
+++ b/core/own/planner/read.go
@@ -24,13 +24,13 @@
 	readBackoffMax  = 5 * time.Second
 )
 
-// A reads is this instance's part in reading the states of the engines.
-type reads struct {
+// A readSchedule is this instance's part in reading the states of the engines.
+type readSchedule struct {
 	readers map[string]*engineReader
 	scanDue clock.Instant // time of the next scan for reads that are due
 }
 
-func newReads() reads { return reads{readers: map[string]*engineReader{}} }
+func newReads() readSchedule { return readSchedule{readers: map[string]*engineReader{}} }
 
 // An engineReader is the task of reading one engine's state.
 type engineReader struct {
