--- a/core/own/planner/planner.go
+++ b/core/own/planner/planner.go
@@ -125,7 +125,7 @@
 		Deps:          n,
 		lease:         lease.New(n.Options.LeaseTerm),
 		tenure:        newTenure(),
-		reads:         newReads(),
+		reads:         newReadSchedule(),
 		residentSince: map[placement]clock.Instant{},
 	}
 }
--- a/core/own/planner/read.go
+++ b/core/own/planner/read.go
@@ -30,7 +30,7 @@
 	scanDue clock.Instant // time of the next scan for reads that are due
 }
 
-func newReads() readSchedule { return readSchedule{readers: map[string]*engineReader{}} }
+func newReadSchedule() readSchedule { return readSchedule{readers: map[string]*engineReader{}} }
 
 // An engineReader is the task of reading one engine's state.
 type engineReader struct {
