--- a/core/own/planner/planner.go
+++ b/core/own/planner/planner.go
@@ -203,7 +203,7 @@
 	}
 	switch {
 	case p.lease.Held():
-		p.logDoubt(now)
+		p.logLeaseInDoubt(now)
 		if p.lease.RenewDue(now) {
 			p.job.Begin(now)
 			p.Out.Emit(RequestLease{Term: p.Options.LeaseTerm, Renew: p.lease.Fence()})
@@ -214,7 +214,7 @@
 	}
 }
 
-func (p *Planner) logDoubt(now clock.Instant) {
+func (p *Planner) logLeaseInDoubt(now clock.Instant) {
 	inDoubt := !p.lease.Valid(now)
 	if inDoubt && !p.doubtLogged {
 		p.Out.Log(logevent.LeaseInDoubt, "fence", p.lease.Fence())
