--- a/core/own/planner/planner.go
+++ b/core/own/planner/planner.go
@@ -61,13 +61,13 @@
 	tenure
 	reads readSchedule
 
-	planDue          clock.Instant
-	residentSince    map[placement]clock.Instant // when a placement was first seen
-	starvingServedAt clock.Instant               // when memory was last freed for a starving item
-	doubtLogged      bool
-	orderCounts      OrderCounts
-	unmetReportedAt  clock.Instant // when unmet demand was last reported to the zone's planner
-	zonesNotifiedAt  clock.Instant // when unmet demand was last reported to other zones' planners
+	planDue            clock.Instant
+	residentSince      map[placement]clock.Instant // when a placement was first seen
+	starvingServedAt   clock.Instant               // when memory was last freed for a starving item
+	leaseInDoubtLogged bool
+	orderCounts        OrderCounts
+	unmetReportedAt    clock.Instant // when unmet demand was last reported to the zone's planner
+	zonesNotifiedAt    clock.Instant // when unmet demand was last reported to other zones' planners
 }
 
 // A tenure is the state that belongs to one grant of the lease and is discarded with it.
@@ -216,10 +216,10 @@
 
 func (p *Planner) logLeaseInDoubt(now clock.Instant) {
 	inDoubt := !p.lease.Valid(now)
-	if inDoubt && !p.doubtLogged {
+	if inDoubt && !p.leaseInDoubtLogged {
 		p.Out.Log(logevent.LeaseInDoubt, "fence", p.lease.Fence())
 	}
-	p.doubtLogged = inDoubt
+	p.leaseInDoubtLogged = inDoubt
 }
 
 // HandleLeaseReply handles the reply to a RequestLease.
