--- a/core/own/planner/input.go
+++ b/core/own/planner/input.go
@@ -204,10 +204,10 @@
 	rate := w.LoadsPerSecond * share
 	b.tokens = min(b.tokens+rate*now.Since(b.refilledAt).Seconds(), max(1, rate))
 	b.refilledAt = now
-	atOnce := max(1, int(math.Floor(float64(w.MaxConcurrentLoads)*share)))
+	maxConcurrent := max(1, int(math.Floor(float64(w.MaxConcurrentLoads)*share)))
 	loading := 0
 	for _, l := range p.ledgers {
 		loading += l.LoadsInProgress()
 	}
-	return max(0, min(int(b.tokens), atOnce-loading))
+	return max(0, min(int(b.tokens), maxConcurrent-loading))
 }
