--- a/internal/own/driver.go
+++ b/internal/own/driver.go
@@ -75,7 +75,7 @@
 	case kvwatch.WatchList:
 		return func(ctx context.Context) { d.watchList(ctx, act) }
 	case planner.RequestLease:
-		return func(ctx context.Context) { d.seekLease(ctx, act) }
+		return func(ctx context.Context) { d.requestLease(ctx, act) }
 	case planner.ReleaseLease:
 		return func(ctx context.Context) { d.releaseLease(ctx, act) }
 	case planner.ReadIntents:
@@ -185,7 +185,7 @@
 
 func (d *driver) holderName() string { return fmt.Sprintf("%s/%x", d.host.Self.Name, d.host.Self.Boot) }
 
-func (d *driver) seekLease(ctx context.Context, a planner.RequestLease) {
+func (d *driver) requestLease(ctx context.Context, a planner.RequestLease) {
 	sent := d.host.Now()
 	reply, err := d.platform.AcquireLease(ctx, keyvalue.LeaseName(d.host.Self.Zone), keyvalue.LeaseRequest{
 		Holder: d.holderName(), TermMS: a.Term.Milliseconds(), Renew: a.Renew,
