--- a/core/own/choose/choose.go
+++ b/core/own/choose/choose.go
@@ -151,13 +151,13 @@
 	return e
 }
 
-func (e *Estimate) applyCache(q Query, preferred, remembered bool, tokens int) {
+func (e *Estimate) applyCache(q Query, preferred, recorded bool, tokens int) {
 	if q.PromptTokens <= 0 || q.PrefillRate <= 0 {
 		return
 	}
 	perToken := float64(time.Second) / float64(q.PrefillRate)
 	switch {
-	case remembered:
+	case recorded:
 		e.Cached = min(tokens, q.PromptTokens)
 	case preferred && tokens == 0:
 		e.Cached = int(affinityCachedShare * float64(min(q.Prefix.Tokens(), q.PromptTokens)))
