--- a/core/own/plan/plan.go
+++ b/core/own/plan/plan.go
@@ -190,8 +190,8 @@
 // copyValue returns the value that the n-th copy of an item (1 for the first) adds in
 // this zone if it can rely on remote copies in other zones.
 func (p *planner) copyValue(item string, n, remote int) float64 {
-	d, asked := p.demand[item]
-	if !asked {
+	d, hasDemand := p.demand[item]
+	if !hasDemand {
 		if remote > 0 {
 			return 0
 		}
