--- a/core/own/plan/plan_test.go
+++ b/core/own/plan/plan_test.go
@@ -23,7 +23,7 @@
 	}
 }
 
-func asked(name string, rate float64, unmet time.Duration) demand.Item {
+func demandItem(name string, rate float64, unmet time.Duration) demand.Item {
 	return demand.Item{Name: name, Rate: rate, Concurrent: rate, Weight: 1, Unmet: unmet}
 }
 
@@ -34,21 +34,21 @@
 		change func(*Input)
 		want   string // "op item" of each step
 	}{
-		{"equal demand moves nothing", input(asked("a", 1, 0), asked("b", 1, 0), asked("c", 1, 0)), nil, ""},
-		{"slightly more demand moves nothing", input(asked("a", 1, 0), asked("b", 1, 0), asked("c", 1.2, 0)), nil, ""},
-		{"much more demand replaces the item with the least", input(asked("a", 1, 0), asked("b", 0.5, 0), asked("c", 3, 0)), nil, "unload b"},
-		{"a higher move cost moves nothing", input(asked("a", 1, 0), asked("b", 0.5, 0), asked("c", 3, 0)), func(in *Input) { in.MoveCost = 200 }, ""},
-		{"not within the minimum stay", input(asked("a", 9, 0), asked("b", 0.5, 0), asked("c", 3, 0)), func(in *Input) { in.Engines[0].Residents[1].Since = time.Second }, ""},
+		{"equal demand moves nothing", input(demandItem("a", 1, 0), demandItem("b", 1, 0), demandItem("c", 1, 0)), nil, ""},
+		{"slightly more demand moves nothing", input(demandItem("a", 1, 0), demandItem("b", 1, 0), demandItem("c", 1.2, 0)), nil, ""},
+		{"much more demand replaces the item with the least", input(demandItem("a", 1, 0), demandItem("b", 0.5, 0), demandItem("c", 3, 0)), nil, "unload b"},
+		{"a higher move cost moves nothing", input(demandItem("a", 1, 0), demandItem("b", 0.5, 0), demandItem("c", 3, 0)), func(in *Input) { in.MoveCost = 200 }, ""},
+		{"not within the minimum stay", input(demandItem("a", 9, 0), demandItem("b", 0.5, 0), demandItem("c", 3, 0)), func(in *Input) { in.Engines[0].Residents[1].Since = time.Second }, ""},
 		// A starving item whose value justifies the unload need not wait for Starve,
 		// which only limits starving items whose value does not. It once had to wait.
-		{"starving and worth the cost", input(asked("a", 1, 0), asked("b", 0.5, 0), asked("c", 3, time.Minute)), nil, "unload b"},
-		{"starving, not worth the cost, Starve not set", input(asked("a", 9, 0), asked("b", 9, 0), asked("c", 0.1, 7*time.Second)), nil, ""},
-		{"starving, not worth the cost, Starve set", input(asked("a", 9, 0), asked("b", 8, 0), asked("c", 0.1, 7*time.Second)), func(in *Input) { in.Starve = true }, "unload b"},
-		{"another zone places the first copy", input(asked("a", 1, 0), asked("b", 0.5, 0), asked("c", 3, 0)), func(in *Input) { in.Leads = func(string) bool { return false } }, ""},
-		{"another zone has a copy", input(asked("a", 1, 0), asked("b", 0.5, 0), asked("c", 3, 0)), func(in *Input) { in.Elsewhere = map[string]int{"c": 1} }, ""},
-		{"no loads allowed", input(asked("a", 1, 0), asked("b", 0.5, 0), asked("c", 3, 0)), func(in *Input) { in.Loads = 0 }, ""},
-		{"free memory is used without unloading", input(asked("c", 0.1, 0)), func(in *Input) { in.Engines[0].Capacity, in.Engines[0].Free = 30, 10 }, "load c"},
-		{"a leaving engine gets no orders", input(asked("c", 9, 0)), func(in *Input) { in.Engines[0].Usable = false }, ""},
+		{"starving and worth the cost", input(demandItem("a", 1, 0), demandItem("b", 0.5, 0), demandItem("c", 3, time.Minute)), nil, "unload b"},
+		{"starving, not worth the cost, Starve not set", input(demandItem("a", 9, 0), demandItem("b", 9, 0), demandItem("c", 0.1, 7*time.Second)), nil, ""},
+		{"starving, not worth the cost, Starve set", input(demandItem("a", 9, 0), demandItem("b", 8, 0), demandItem("c", 0.1, 7*time.Second)), func(in *Input) { in.Starve = true }, "unload b"},
+		{"another zone places the first copy", input(demandItem("a", 1, 0), demandItem("b", 0.5, 0), demandItem("c", 3, 0)), func(in *Input) { in.Leads = func(string) bool { return false } }, ""},
+		{"another zone has a copy", input(demandItem("a", 1, 0), demandItem("b", 0.5, 0), demandItem("c", 3, 0)), func(in *Input) { in.Elsewhere = map[string]int{"c": 1} }, ""},
+		{"no loads allowed", input(demandItem("a", 1, 0), demandItem("b", 0.5, 0), demandItem("c", 3, 0)), func(in *Input) { in.Loads = 0 }, ""},
+		{"free memory is used without unloading", input(demandItem("c", 0.1, 0)), func(in *Input) { in.Engines[0].Capacity, in.Engines[0].Free = 30, 10 }, "load c"},
+		{"a leaving engine gets no orders", input(demandItem("c", 9, 0)), func(in *Input) { in.Engines[0].Usable = false }, ""},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -71,7 +71,7 @@
 // since an engine refuses to unload a model with adapters.
 func TestAdaptersGoBeforeTheirModel(t *testing.T) {
 	is := is.New(t)
-	in := input(asked("a", 9, 0), asked("b", 0.1, 0), asked("c", 3, 0))
+	in := input(demandItem("a", 9, 0), demandItem("b", 0.1, 0), demandItem("c", 3, 0))
 	in.Items["x"] = Item{Name: "x", Base: "b", MiB: 1}
 	in.Engines[0].Residents = append(in.Engines[0].Residents, Resident{Name: "x", Since: time.Hour, Settled: true})
 	steps := Steps(in)
