--- a/core/own/modelcalls/attempts.go
+++ b/core/own/modelcalls/attempts.go
@@ -46,9 +46,9 @@
 	if c.Item == "" {
 		return
 	}
-	held := now.Since(c.Started)
-	h.Meter.RecordHoldTime(c.Item, held)
-	h.Meter.RecordHoldTime(stateOf(c).version.Model, held)
+	holdTime := now.Since(c.Started)
+	h.Meter.RecordHoldTime(c.Item, holdTime)
+	h.Meter.RecordHoldTime(stateOf(c).version.Model, holdTime)
 }
 
 // handleAttemptFailed decides whether a call is resumed, retried or failed after a failed
