--- a/internal/own/modelapi/model.go
+++ b/internal/own/modelapi/model.go
@@ -170,7 +170,7 @@
 // failure describes how an attempt failed. It states only facts; the state machine
 // decides what follows.
 func (m *modelCall) failure(d calls.Dispatch, progress *upstream.Progress, watchdog *entry.Watchdog, err error) calls.AttemptFailed {
-	b := calls.AttemptFailed{
+	failed := calls.AttemptFailed{
 		Attempt:   d.Attempt,
 		Phase:     progress.Phase(),
 		Delivered: m.piecesDelivered,
@@ -180,11 +180,11 @@
 	}
 	var status *engine.StatusError
 	if errors.As(err, &status) {
-		b.Status = status.Status
-		b.Leaving = status.Leaving
-		b.Resumable = false
+		failed.Status = status.Status
+		failed.Leaving = status.Leaving
+		failed.Resumable = false
 	}
-	return b
+	return failed
 }
 
 // deliver writes a piece of a streamed answer to the caller immediately, and adds a piece
