--- a/internal/own/modelapi/plain.go
+++ b/internal/own/modelapi/plain.go
@@ -114,15 +114,15 @@
 		p.handleCallerGone(s)
 		return true
 	}
-	b := calls.AttemptFailed{
+	failed := calls.AttemptFailed{
 		Attempt: d.Attempt, Phase: progress.Phase(), Stalled: watchdog.Fired(), BodyConsumed: p.body.Consumed(), Detail: err.Error(),
 	}
 	var refused *service.RefusedError
 	if errors.As(err, &refused) {
-		b.Status = refused.Status
-		b.Leaving = refused.Leaving
+		failed.Status = refused.Status
+		failed.Leaving = refused.Leaving
 	}
-	s.AttemptFailed(b)
+	s.AttemptFailed(failed)
 	return false
 }
 
