--- a/core/own/book/book.go
+++ b/core/own/book/book.go
@@ -14,9 +14,9 @@
 // the same boot, because a delayed duplicate of the order could load it again without the
 // ledger's knowledge.
 //
-// Invariants: AvailableMiB never exceeds the memory that the engine has free under any outcome
-// of the outstanding orders. An engine whose state was not read since its fence was
-// raised has no free memory.
+// Invariants: AvailableMiB never exceeds the memory that the engine has free under any
+// outcome of the outstanding orders. An engine whose state was not read since its fence
+// was raised has no free memory.
 package book
 
 import (
@@ -63,7 +63,7 @@
 	unconfirmed bool // the answer is lost; the order may arrive at any time
 }
 
-// An entry is the memory that one item uses or is reserved for on an engine.
+// An entry records the memory that one item uses, or that is reserved for it.
 type entry struct {
 	mib    int64
 	phase  pool.ItemPhase // as the engine last reported; 0 while the memory is only reserved
@@ -100,8 +100,8 @@
 // Boot returns the boot under which the state was last read.
 func (l *Ledger) Boot() uint64 { return l.boot }
 
-// AvailableMiB returns the memory in MiB that no item uses or is reserved for; 0 while the
-// state is unknown.
+// AvailableMiB returns the memory in MiB that no item uses and that is not reserved; 0
+// while the state is unknown.
 func (l *Ledger) AvailableMiB() int64 {
 	if !l.stateKnown {
 		return 0
@@ -109,6 +109,7 @@
 	return l.capacity - l.usedMiB()
 }
 
+// usedMiB returns the memory in MiB that items use or have reserved.
 func (l *Ledger) usedMiB() int64 {
 	var sum int64
 	for _, en := range l.entries {
@@ -287,6 +288,7 @@
 	}
 }
 
+// pin marks the item as not to be unloaded under this boot.
 func (l *Ledger) pin(item string) {
 	en := l.entries[item]
 	en.pinned = true
@@ -316,6 +318,7 @@
 	l.entries = next
 }
 
+// hasOpenLoad reports whether a load of the item has no settled outcome yet.
 func (l *Ledger) hasOpenLoad(item string) bool {
 	for _, o := range l.open {
 		if o.order.Op == Load && o.order.Item == item {
--- a/core/own/book/book_test.go
+++ b/core/own/book/book_test.go
@@ -14,8 +14,10 @@
 // The random draws are the same in every run; -rapid.seed=0 selects different ones.
 func init() { _ = flag.Set("rapid.seed", "1") }
 
+// size returns the memory in MiB of every item.
 func size(string) int64 { return 400 }
 
+// state returns an engine's report with the given items.
 func state(boot, change, fence, last uint64, items ...pool.Item) pool.State {
 	return pool.State{
 		Residency: pool.Residency{Boot: boot, Change: change, Items: items},
--- a/core/own/choose/choose.go
+++ b/core/own/choose/choose.go
@@ -10,7 +10,7 @@
 //
 // Invariants: a replica that is leaving is never chosen. Ejected replicas are excluded
 // unless more than a third of the candidates are ejected, since the cause is then more
-// likely to be on this side. Ejected replicas of other zones are always excluded.
+// likely to be on this instance's side. Ejected replicas of other zones are always excluded.
 package choose
 
 import (
@@ -130,6 +130,8 @@
 	return ejected > 0 && ejected < usable && (ejected == 1 || float64(ejected) <= maxEjectedShare*float64(usable))
 }
 
+// estimate returns the estimate for a call on r, on the assumption that no part of the
+// prompt is cached there. applyCache corrects it.
 func estimate(now clock.Instant, q Query, r *pool.Replica) Estimate {
 	n := r.ActiveSequences(now)
 	slots := float64(max(1, r.Concurrent))
@@ -151,6 +153,11 @@
 	return e
 }
 
+// applyCache subtracts the prefill of the prompt tokens that the replica is expected to have
+// cached. recorded reports whether the replica is the one to which the prefix was last sent;
+// tokens is the length of the recorded part of the prefix, 0 if there is no record on any
+// replica. In that case the preferred replica is assumed to have affinityCachedShare of the
+// prefix.
 func (e *Estimate) applyCache(q Query, preferred, recorded bool, tokens int) {
 	if q.PromptTokens <= 0 || q.PrefillRate <= 0 {
 		return
--- a/core/own/choose/prefix.go
+++ b/core/own/choose/prefix.go
@@ -44,6 +44,7 @@
 	byHash map[uint64]*list.Element
 }
 
+// An indexEntry is the replica to which the block with the hash was last sent.
 type indexEntry struct {
 	hash    uint64
 	replica string
--- a/core/own/lease/lease.go
+++ b/core/own/lease/lease.go
@@ -3,9 +3,10 @@
 //
 // A holder treats its lease as valid only while the platform is certain to do so. The
 // term is therefore counted from the time at which the request that acquired or renewed
-// the lease was sent, not from the arrival of the reply. It is counted on the clock that
-// advanced further, so that a machine that was suspended does not treat an expired lease
-// as valid. A margin is subtracted for clocks that run at different rates.
+// the lease was sent, not from the arrival of the reply. The elapsed time is
+// the larger of those on the wall clock and the monotonic clock, so that a machine that was
+// suspended does not treat an expired lease as valid. A margin is subtracted for clocks
+// that run at different rates.
 //
 // Invariant: Valid(now) implies that no other holder has been granted the lease by any
 // instant up to now, as long as the clocks' rates differ by less than DriftMargin.
@@ -24,16 +25,16 @@
 type Lease struct {
 	Term   time.Duration
 	fence  uint64
-	sentAt clock.Instant // when the latest request that was granted was sent
+	sentAt clock.Instant // send time of the latest granted request
 	held   bool
 }
 
 // New returns a lease that is not held.
 func New(term time.Duration) Lease { return Lease{Term: term} }
 
-// WithGrant returns l after a request that was sent at sent was granted with the given
-// fence. A grant with an older fence, or an earlier one of the same fence, is stale and
-// changes nothing.
+// WithGrant returns l with a grant applied. sent is the send time of the granted request.
+// A stale grant changes nothing: one with an older fence, or one with the current fence
+// whose request was sent earlier than the latest granted one.
 func (l Lease) WithGrant(fence uint64, sent clock.Instant) Lease {
 	if fence < l.fence {
 		return l
@@ -67,8 +68,9 @@
 // have expired.
 func (l Lease) Held() bool { return l.held }
 
-// Fence returns the fence of the latest grant. It remains set after the lease has ended:
-// engines that check fences reject it as soon as a later holder has raised theirs.
+// Fence returns the fence of the latest grant. It remains set after the lease has ended.
+// Orders with it are still safe at engines that check fences, which reject them as soon as
+// a later holder has raised the fence.
 func (l Lease) Fence() uint64 { return l.fence }
 
 // RenewDue reports whether the lease is held and a third of its term has passed since the
--- a/core/own/meter/meter.go
+++ b/core/own/meter/meter.go
@@ -27,6 +27,7 @@
 	items map[string]*meterItem
 }
 
+// A meterItem is the measured demand for one item.
 type meterItem struct {
 	short, long float64       // decayed numbers of calls
 	weight      float64       // EWMA
@@ -98,6 +99,7 @@
 	}
 }
 
+// decay applies the exponential decay since the last one to both call counts.
 func (it *meterItem) decay(now clock.Instant) {
 	age := now.Since(it.decayedAt)
 	if age <= 0 {
--- a/core/own/modelcalls/attempts.go
+++ b/core/own/modelcalls/attempts.go
@@ -13,7 +13,7 @@
 
 // This file handles the attempts of a call and its end.
 
-// CancelSequence is an action: tell a replica to cancel a call's sequence.
+// CancelSequence is an action: cancel a call's sequence on a replica.
 type CancelSequence struct {
 	ID      calls.ID
 	Attempt int
@@ -24,7 +24,7 @@
 // IsAction implements step.Action.
 func (CancelSequence) IsAction() {}
 
-// cancel tells an engine to cancel the call's sequence. A plain service has no sequences.
+// cancel cancels the call's sequence on an engine. A plain service has no sequences.
 func (h *Handler) cancel(c *calls.Call, r *pool.Replica) {
 	if c.Plain {
 		return // closing the connection is sufficient
@@ -32,6 +32,8 @@
 	h.Out.Emit(CancelSequence{ID: c.ID, Attempt: c.History.Attempts, Replica: r.Name, Address: r.Address})
 }
 
+// handleAnswerBegan records that the call received its first token, and whether that was
+// later than its latency target.
 func (h *Handler) handleAnswerBegan(now clock.Instant, c *calls.Call) {
 	if c.Item != "" {
 		h.Meter.MarkMet(c.Item)
@@ -42,6 +44,7 @@
 	}
 }
 
+// handleCompleted records the hold time of a completed call for its item and its model.
 func (h *Handler) handleCompleted(now clock.Instant, c *calls.Call, _ calls.Completed) {
 	if c.Item == "" {
 		return
@@ -90,11 +93,13 @@
 		return
 	}
 	if e.Phase == attempt.NotSent && c.Item != "" {
-		h.Meter.MarkUnmet(now, c.Item) // resident, but unreachable
+		h.Meter.MarkUnmet(now, c.Item) // the item is resident, but its replica is unreachable
 	}
 	h.Pool.CallFailed(now, r, uint64(c.ID), c.Started)
 }
 
+// resume requests the rest of the call's stream from the same replica. If the replica is no
+// longer configured, the call fails as a cut stream.
 func (h *Handler) resume(now clock.Instant, c *calls.Call) {
 	r := h.Pool.Get(c.Replica)
 	if r == nil {
@@ -107,6 +112,9 @@
 	h.Out.Emit(h.dispatchAction(c, r, true, resumeInterval*time.Duration(c.History.Resumes-1)))
 }
 
+// retry sends the call to another replica if one can serve it. Unless the replica refused
+// the failed attempt, the retry is taken from the service's retry budget; if the budget is
+// exhausted, the call fails.
 func (h *Handler) retry(now clock.Instant, c *calls.Call, e calls.AttemptFailed) {
 	s := stateOf(c)
 	if e.Phase != attempt.Refused {
@@ -137,10 +145,12 @@
 	h.cancel(c, r)
 }
 
-// maxRefusals is the number of attempts after which a call that was refused again is not
-// retried.
+// maxRefusals is the number of attempts from which on a refusal by a replica is final. It
+// bounds how often refusals move a call from replica to replica.
 const maxRefusals = 6
 
+// fail refuses the call with a code for how far the failed attempt e got. The caller is told
+// when to retry only if the call did not run or is repeatable.
 func (h *Handler) fail(c *calls.Call, e calls.AttemptFailed) {
 	num := code.UpstreamBroke
 	if e.Delivered > 0 {
--- a/core/own/modelcalls/claims.go
+++ b/core/own/modelcalls/claims.go
@@ -129,6 +129,7 @@
 	h.claim(c)
 }
 
+// giveUpClaim refuses a call whose claim remained unresolved after maxClaimRequests.
 func (h *Handler) giveUpClaim(c *calls.Call) {
 	h.Calls.Refuse(c, calls.NotRunRefusal(code.PlatformDown, "the idempotency key could not be claimed", h.Calls.RetryAfter(outage.DefaultMaxRetryDelay)))
 }
--- a/core/own/modelcalls/decisions.go
+++ b/core/own/modelcalls/decisions.go
@@ -33,6 +33,8 @@
 // maxDecisions is the number of decisions that are kept for operators.
 const maxDecisions = 256
 
+// add records the choice of e for the call. It overwrites the oldest decision if the ring is
+// full.
 func (d *decisionRing) add(now clock.Instant, c *calls.Call, e choose.Estimate) {
 	x := Decision{
 		At:       now.Wall,
@@ -58,5 +60,5 @@
 
 func millis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// RecentDecisions returns the latest decisions.
+// RecentDecisions returns the latest decisions, up to maxDecisions, in no particular order.
 func (h *Handler) RecentDecisions() []Decision { return h.decisions.entries }
--- a/core/own/modelcalls/place.go
+++ b/core/own/modelcalls/place.go
@@ -71,6 +71,7 @@
 	h.Calls.Enqueue(c)
 }
 
+// dispatch sends the call to the replica of e and records the decision.
 func (h *Handler) dispatch(now clock.Instant, c *calls.Call, e choose.Estimate) {
 	h.Calls.MarkSent(now, c, e.Replica)
 	if c.Item != "" {
@@ -81,6 +82,8 @@
 	h.Out.Emit(h.dispatchAction(c, e.Replica, false, 0))
 }
 
+// dispatchAction returns the action that sends the call, or the resume of its stream, to r
+// after the given delay.
 func (h *Handler) dispatchAction(c *calls.Call, r *pool.Replica, resume bool, after time.Duration) calls.Dispatch {
 	s := stateOf(c)
 	d := c.Dispatch(r, h.Options.Stall)
@@ -106,6 +109,8 @@
 	}
 }
 
+// handleLeftQueue resets the number of calls that wait for the call's item. If others still
+// wait, countWaiting sets it again; countWaiting itself never sets a number to 0.
 func (h *Handler) handleLeftQueue(c *calls.Call) {
 	if c.Item != "" {
 		h.Meter.SetWaiting(c.Item, 0)
--- a/core/own/plan/place.go
+++ b/core/own/plan/place.go
@@ -100,9 +100,9 @@
 	return best, found
 }
 
-// better reports whether o is preferred to than: it unloads less value, needs fewer
-// loads, has fewer copies in its failure domain, leaves more memory free, or has the
-// lower engine name, in this order.
+// better reports whether o is preferred to than. The criteria are, in this order: no
+// unloads, less value unloaded, fewer loads, fewer copies in the engine's failure domain,
+// more free memory on the engine, and the lower engine name.
 func (o option) better(than option) bool {
 	if len(o.victims) == 0 != (len(than.victims) == 0) {
 		return len(o.victims) == 0
--- a/core/own/plan/plan.go
+++ b/core/own/plan/plan.go
@@ -155,6 +155,7 @@
 	freeingMiB int64          // memory that the planned unloads will free
 }
 
+// newPlanner returns a planner for the usable engines of in.
 func newPlanner(in Input) *planner {
 	p := &planner{
 		in:        in,
@@ -174,6 +175,7 @@
 	return p
 }
 
+// newEngine returns e with its residents indexed, and counts their copies.
 func (p *planner) newEngine(e Engine) *engine {
 	out := &engine{Engine: e, residents: map[string]*Resident{}, adapters: map[string]int{}}
 	for i := range e.Residents {
--- a/core/own/plan/plan_test.go
+++ b/core/own/plan/plan_test.go
@@ -23,6 +23,8 @@
 	}
 }
 
+// demandItem returns the demand for an item at a rate in calls per second, unmet for the
+// given time.
 func demandItem(name string, rate float64, unmet time.Duration) demand.Item {
 	return demand.Item{Name: name, Rate: rate, Concurrent: rate, Weight: 1, Unmet: unmet}
 }
--- a/core/own/planner/demand.go
+++ b/core/own/planner/demand.go
@@ -8,15 +8,16 @@
 	"github.com/birchdrift/birchdrift/core/member"
 )
 
-// This file carries demand to planners: from the instances of their zone, and from the
-// planners of other zones that use their copies.
+// This file reports demand to planners: to the planner of this instance's zone, and from
+// that planner to the planners of other zones whose copies this zone uses.
 
 // unmetReportInterval is the minimum time between two reports of unmet demand to a
 // planner. Without these reports a call for a model that is not loaded would wait for the
 // next periodic exchange with the planner.
 const unmetReportInterval = 500 * time.Millisecond
 
-// ReportUnmet reports to the zone's planner soon that there is unmet demand.
+// ReportUnmet reports unmet demand to the zone's planner. If this instance is the planner,
+// the next plan is due immediately. Calls within unmetReportInterval have no effect.
 func (p *Planner) ReportUnmet(now clock.Instant) {
 	if !p.unmetReportedAt.IsZero() && now.Since(p.unmetReportedAt) < unmetReportInterval {
 		return
@@ -106,10 +107,10 @@
 }
 
 const (
-	// otherZoneRounds is the number of rounds of which one exchange goes to another zone.
+	// otherZoneRounds is the number of exchange rounds of which one goes to another zone.
 	otherZoneRounds = 4
-	// plannerRounds is the number of rounds of which one exchange goes to the zone's
-	// planner, which needs the demand.
+	// plannerRounds is the number of exchange rounds of which one goes to the zone's
+	// planner, which needs the demand for its plan.
 	plannerRounds = 2
 )
 
--- a/core/own/planner/intents.go
+++ b/core/own/planner/intents.go
@@ -6,16 +6,18 @@
 	"github.com/birchdrift/birchdrift/core/own/book"
 )
 
-// Intents protect a zone whose engines do not check fences. Every
-// order to such an engine is written to the platform's value before it is sent. A
-// new lease holder rewrites that value by compare-and-swap before it reads any state:
-// from then on the former holder's writes fail, so it cannot send any order that
-// the new holder has not seen.
+// This file handles intents, which protect a zone whose engines do not check fences. Every
+// order to such an engine is written to the platform's value before it is sent. A new
+// lease holder rewrites that value by compare-and-swap before it reads any state: from
+// then on the former holder's writes fail, so it cannot send any order that the new holder
+// has not seen.
 
+// intentOf returns the intent to write for an order.
 func intentOf(o book.Order) Intent {
 	return Intent{Engine: o.Engine, Op: uint8(o.Op), Item: o.Item, MiB: o.MiB, Seq: o.Seq, Fence: o.Fence}
 }
 
+// order returns the order that the intent records.
 func (i Intent) order(now clock.Instant) book.Order {
 	return book.Order{Engine: i.Engine, Op: book.Op(i.Op), Item: i.Item, MiB: i.MiB, Seq: i.Seq, Fence: i.Fence}
 }
@@ -51,6 +53,8 @@
 	p.rereadIntentsIfDue(now)
 }
 
+// rereadIntentsIfDue sends the scheduled read of the intents if it is due and no other read
+// or write is in flight.
 func (p *Planner) rereadIntentsIfDue(now clock.Instant) {
 	in := &p.intents
 	if !in.reread || in.inFlight || now.Before(in.due) {
@@ -87,6 +91,9 @@
 	}
 }
 
+// handleIntentsWritten sends the orders whose intents were written. The first write of a
+// tenure completes the takeover: from then on the inherited intents count as outstanding
+// orders in the ledgers.
 func (p *Planner) handleIntentsWritten(now clock.Instant, e IntentsReply) {
 	in := &p.intents
 	in.revision = e.Revision
--- a/core/own/planner/orders.go
+++ b/core/own/planner/orders.go
@@ -9,7 +9,7 @@
 	"github.com/birchdrift/birchdrift/core/pool"
 )
 
-// This file sends the orders to the engines of the zone and keeps the ledgers of their memory.
+// This file sends orders to the zone's engines and updates the ledgers of their memory.
 
 // applyState applies an engine's state to its ledger. answered is the Seq of the order
 // that the state answers, or 0. A state of an engine that checks fences is applied only
@@ -39,6 +39,8 @@
 	p.settleIntents()
 }
 
+// trackResidents records since when each item of the engine has been resident, and removes
+// the items that are no longer resident.
 func (p *Planner) trackResidents(now clock.Instant, engine string, res pool.Residency) {
 	for _, it := range res.Items {
 		key := placement{engine, it.Name}
@@ -110,6 +112,7 @@
 	p.intents.dirty = true
 }
 
+// send logs an order and sends it to the engine.
 func (p *Planner) send(o book.Order, r *pool.Replica) {
 	p.Out.Log(logevent.Order, "engine", o.Engine, "op", o.Op.String(), "item", o.Item, "mib", o.MiB, "fence", o.Fence, "seq", o.Seq)
 	p.Out.Emit(SendOrder{Address: r.Address, Order: o})
@@ -152,6 +155,7 @@
 	p.settleIntents()
 }
 
+// countOrder counts an accepted order. Raised fences are not counted.
 func (p *Planner) countOrder(op book.Op) {
 	switch op {
 	case book.Load:
--- a/core/own/planner/planner.go
+++ b/core/own/planner/planner.go
@@ -214,6 +214,8 @@
 	}
 }
 
+// logLeaseInDoubt logs, once until the lease is certain to be valid again, that a held
+// lease is no longer certain to be valid.
 func (p *Planner) logLeaseInDoubt(now clock.Instant) {
 	inDoubt := !p.lease.Valid(now)
 	if inDoubt && !p.leaseInDoubtLogged {
@@ -249,6 +251,7 @@
 	p.endTenure()
 }
 
+// endTenure discards the ledgers, retries, intents and load budget of the tenure.
 func (p *Planner) endTenure() { p.tenure = newTenure() }
 
 // startTenure starts planning under a new fence. No memory is free in the ledgers until
@@ -291,6 +294,7 @@
 	}
 }
 
+// nextSeq returns the sequence number for the next order under this fence.
 func (p *Planner) nextSeq() uint64 {
 	p.seq++
 	return p.seq
--- a/core/own/planner/read.go
+++ b/core/own/planner/read.go
@@ -24,7 +24,7 @@
 	readBackoffMax  = 5 * time.Second
 )
 
-// A readSchedule is this instance's part in reading the states of the engines.
+// A readSchedule records when this instance next reads each engine's state.
 type readSchedule struct {
 	readers map[string]*engineReader
 	scanDue clock.Instant // time of the next scan for reads that are due
@@ -79,8 +79,9 @@
 	return p.Members.Assigned(now, "read/"+r.Name, readersPerEngine)
 }
 
-// readInterval returns the time between two reads of the engine: a shorter one than normal
-// while its planner waits for orders to be carried out.
+// readInterval returns the time between two reads of the engine's state. It is shorter
+// than normal while this instance, as the planner, has open orders to the engine or the
+// engine is loading or unloading items.
 func (p *Planner) readInterval(r *pool.Replica, normal time.Duration) time.Duration {
 	if l := p.ledgers[r.Name]; p.IsPlanner() && l != nil && l.Busy() {
 		return p.Options.BusyReadEvery
@@ -88,6 +89,7 @@
 	return normal
 }
 
+// readerOf returns the reader of the engine, and creates it on first use.
 func (p *Planner) readerOf(engine string) *engineReader {
 	rd := p.reads.readers[engine]
 	if rd == nil {
@@ -113,7 +115,8 @@
 	}
 }
 
-// observe records a state that an engine reported and publishes it to peers.
+// observe records a state that an engine reported and publishes it to peers. If the engine
+// has restarted, its prefix cache is recorded as empty.
 func (p *Planner) observe(now clock.Instant, engine string, s pool.State) {
 	res := gossip.Residency{Engine: engine, Residency: s.Residency}
 	if p.Records.AddResidency("", res) {
@@ -128,8 +131,8 @@
 }
 
 // observeLoad records a load that an engine reported. Only a change that could affect the
-// choice of a replica is published to peers, since smaller changes would fill the
-// exchanges.
+// choice of a replica is published to peers, since reports of smaller changes would fill
+// the exchanges.
 func (p *Planner) observeLoad(now clock.Instant, engine string, load pool.Load) {
 	r := p.Pool.Get(engine)
 	if r == nil {
--- a/internal/own/driver.go
+++ b/internal/own/driver.go
@@ -101,6 +101,8 @@
 	}
 }
 
+// claimValue returns the value stored for a claim. It identifies the call among all
+// instances.
 func (d *driver) claimValue(id calls.ID) []byte {
 	return fmt.Appendf(nil, "%s/%x/%d", d.host.Self.Name, d.host.Self.Boot, id)
 }
@@ -112,6 +114,7 @@
 	d.host.Post(modelcalls.ClaimReply{ID: a.ID, Outcome: claimOutcome(err)})
 }
 
+// claimOutcome returns the outcome of the compare-and-swap that requested a claim.
 func claimOutcome(err error) modelcalls.ClaimOutcome {
 	switch {
 	case err == nil:
@@ -127,6 +130,8 @@
 	}
 }
 
+// readClaim reads a claim back and reports whether it is absent or belongs to this call or
+// another one.
 func (d *driver) readClaim(ctx context.Context, a modelcalls.ReadClaim) {
 	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
@@ -183,6 +188,7 @@
 	d.host.Post(listing.Reply{Entries: entries, Version: era.Revision(version), Err: err})
 }
 
+// holderName returns the name under which this start of the instance holds leases.
 func (d *driver) holderName() string { return fmt.Sprintf("%s/%x", d.host.Self.Name, d.host.Self.Boot) }
 
 func (d *driver) requestLease(ctx context.Context, a planner.RequestLease) {
--- a/internal/own/engine/engine.go
+++ b/internal/own/engine/engine.go
@@ -30,9 +30,9 @@
 
 // Errors of a stream.
 var (
-	// ErrTruncated says that the stream stopped without its explicit end.
+	// ErrTruncated reports that the stream stopped without its explicit end.
 	ErrTruncated = errors.New("the stream stopped without its end")
-	// ErrMissingPiece says that a piece of the stream is missing.
+	// ErrMissingPiece reports that a piece of the stream is missing.
 	ErrMissingPiece = errors.New("a piece of the stream is missing")
 )
 
@@ -50,7 +50,7 @@
 // A Client sends requests to engines by address.
 type Client struct {
 	transports upstream.Transports
-	control    *http.Client
+	control    *http.Client // for cancels and state reads
 }
 
 // NewClient returns a client that uses the transports.
@@ -76,6 +76,8 @@
 	return c.open(ctx, address, PathResume, req, req.ID, req.Offset, c.transports.Reused, header, progress)
 }
 
+// open sends the request of a stream and returns the stream, whose next piece has the given
+// offset. Any status other than 200 is returned as a *StatusError.
 func (c *Client) open(ctx context.Context, address, path string, body any, id string, offset int, rt http.RoundTripper, header http.Header, progress *upstream.Progress) (*Stream, error) {
 	req, err := newRequest(progress.TraceContext(ctx), address, path, body)
 	if err != nil {
@@ -97,6 +99,8 @@
 	return &Stream{id: id, next: offset, body: resp.Body, dec: json.NewDecoder(resp.Body)}, nil
 }
 
+// statusError returns the error for a response other than 200, and records in progress
+// whether the engine refused the call before it ran.
 func statusError(resp *http.Response, progress *upstream.Progress) error {
 	defer resp.Body.Close()
 	detail, _ := io.ReadAll(io.LimitReader(resp.Body, 1024)) // best effort: it only explains the error
@@ -136,7 +140,7 @@
 // Close closes the stream, before or after its end.
 func (s *Stream) Close() { _ = s.body.Close() } // the error has no consequence
 
-// Cancel tells the engine to cancel a call's sequence.
+// Cancel cancels a call's sequence on the engine.
 func (c *Client) Cancel(ctx context.Context, address, id string) error {
 	return c.post(ctx, address, PathCancel, CancelRequest{ID: id}, nil)
 }
@@ -201,6 +205,7 @@
 	return out
 }
 
+// post sends body as JSON and decodes the response into reply, unless reply is nil.
 func (c *Client) post(ctx context.Context, address, path string, body, reply any) error {
 	req, err := newRequest(ctx, address, path, body)
 	if err != nil {
@@ -214,6 +219,7 @@
 	return decodeReply(resp, reply)
 }
 
+// newRequest returns a POST request with body as JSON.
 func newRequest(ctx context.Context, address, path string, body any) (*http.Request, error) {
 	data, err := json.Marshal(body)
 	if err != nil {
@@ -227,6 +233,8 @@
 	return req, nil
 }
 
+// decodeReply decodes the JSON body of a response with status 200 into into, unless that is
+// nil. Any other status is an error.
 func decodeReply(resp *http.Response, into any) error {
 	if resp.StatusCode != http.StatusOK {
 		return trace.Errorf("status %d", resp.StatusCode)
@@ -243,6 +251,7 @@
 	"unloading": pool.Unloading,
 }
 
+// decode returns the state as the state machine represents it.
 func (s State) decode() pool.State {
 	out := pool.State{
 		Residency: pool.Residency{Boot: s.Boot, Change: s.Change, Leaving: s.Leaving},
--- a/internal/own/engine/engine_test.go
+++ b/internal/own/engine/engine_test.go
@@ -19,6 +19,8 @@
 	"github.com/birchdrift/birchdrift/internal/upstream"
 )
 
+// streamOf returns a stream for the call id that reads body and expects the piece at offset
+// next.
 func streamOf(id string, next int, body []byte) *Stream {
 	return &Stream{id: id, next: next, body: io.NopCloser(nil), dec: json.NewDecoder(bytes.NewReader(body))}
 }
--- a/internal/own/engine/wire.go
+++ b/internal/own/engine/wire.go
@@ -33,17 +33,17 @@
 // A Piece is one line of a stream. The last piece has End set; a stream that stops
 // without it was truncated.
 type Piece struct {
-	ID     string `json:"id"`
+	ID     string `json:"id"` // of the request's attempt
 	Offset int    `json:"o"` // position of this piece, from 0
 	Text   string `json:"t,omitempty"`
 	End    bool   `json:"end,omitempty"`
 	Reason string `json:"reason,omitempty"` // why it ended: stop, length
 }
 
-// An OrderRequest is an order on the wire.
+// An OrderRequest sends an order to an engine.
 type OrderRequest struct {
 	Fence uint64 `json:"fence"`
-	Seq   uint64 `json:"seq"`
+	Seq   uint64 `json:"seq"` // rises with every order under one fence
 	Op    string `json:"op"` // load, unload, raise
 	Item  string `json:"item,omitempty"`
 	Base  string `json:"base,omitempty"` // model of an adapter
@@ -52,9 +52,9 @@
 
 // Results of an order.
 const (
-	ResultDone    = "done"
-	ResultRefused = "refused"
-	ResultFenced  = "fenced"
+	ResultDone    = "done"    // the engine carries it out
+	ResultRefused = "refused" // the engine did not and will not carry it out
+	ResultFenced  = "fenced"  // the engine has seen a later fence
 )
 
 // An OrderReply answers an order with the engine's state after it.
@@ -66,12 +66,12 @@
 
 // A State is an engine's report of its own state.
 type State struct {
-	Boot      uint64 `json:"boot"`
-	Change    uint64 `json:"change"`
+	Boot      uint64 `json:"boot"`   // identifies the engine's start; rises with every start
+	Change    uint64 `json:"change"` // rises with every change under one Boot
 	Seq       uint64 `json:"seq"` // of the load report
 	Leaving   bool   `json:"leaving,omitempty"`
-	Fence     uint64 `json:"fence"`
-	LastOrder uint64 `json:"last_order"`
+	Fence     uint64 `json:"fence"`      // highest fence seen
+	LastOrder uint64 `json:"last_order"` // Seq of the last order accepted under Fence
 	Running   int    `json:"running"`
 	Waiting   int    `json:"waiting"`
 	Items     []Item `json:"items"`
--- a/internal/own/keyvalue/keyvalue.go
+++ b/internal/own/keyvalue/keyvalue.go
@@ -2,7 +2,7 @@
 // compare-and-swap, leases, watches and the list of instances.
 //
 // Every method makes one call, which counts as one against the platform's rate limits; a
-// watch that waits counts as one too. The error says whether the request certainly was
+// watch that waits counts as one too. The error shows whether the request certainly was
 // not sent (ErrNotSent), failed because the value was not at the expected revision
 // (ErrConflict), or may have taken effect (any other error). In the last case the caller
 // must read the value back before it continues.
@@ -27,11 +27,11 @@
 	"github.com/birchdrift/birchdrift/internal/upstream"
 )
 
-// Errors that say with certainty that a request took no effect.
+// Errors of a request that certainly took no effect.
 var (
-	// ErrConflict says that the value was not at the expected revision.
+	// ErrConflict reports that the value was not at the expected revision.
 	ErrConflict = errors.New("the value is not at the expected revision")
-	// ErrNotSent says that the request was certainly not sent.
+	// ErrNotSent reports that the request was certainly not sent.
 	ErrNotSent = errors.New("the request was not sent")
 )
 
@@ -159,6 +159,7 @@
 	return readResponse(resp)
 }
 
+// readResponse reads the whole response. A response without a value has revision 0.
 func readResponse(resp *http.Response) (Value, error) {
 	data, err := io.ReadAll(io.LimitReader(resp.Body, 4*config.MaxEncodedBytes))
 	if err != nil {
--- a/internal/own/keyvalue/wire.go
+++ b/internal/own/keyvalue/wire.go
@@ -39,12 +39,13 @@
 	Zone    string `json:"zone"`
 	Address string `json:"address"`
 	State   string `json:"state"` // live, leaving, gone
-	Version uint64 `json:"version"`
+	Version uint64 `json:"version"` // of the list at the entry's last change
 }
 
-// An InstanceList is the changes of the list after a version.
+// An InstanceList holds the entries of the platform's list that changed after the requested
+// version.
 type InstanceList struct {
-	Version   uint64     `json:"version"`
+	Version   uint64     `json:"version"` // to request the next changes with
 	Instances []Instance `json:"instances"`
 }
 
@@ -57,6 +58,7 @@
 	StateGone    = "gone"
 )
 
+// decode returns the entry as the state machine represents it.
 func (i Instance) decode() gossip.Listed {
 	kind := gossip.Upstream
 	if i.Kind == KindEntry {
--- a/internal/own/modelapi/model.go
+++ b/internal/own/modelapi/model.go
@@ -60,7 +60,7 @@
 		m.writeEvent(data)
 	}
 	// A normal return would end the body as if it were complete; the caller must see that
-	// it was cut off.
+	// it was truncated.
 	panic(http.ErrAbortHandler)
 }
 
@@ -98,9 +98,9 @@
 	return false
 }
 
-// handleCallerGone handles a caller that closed its connection. If the connection is open
-// after all, it is aborted, so that an answer that was started does not appear to be
-// complete.
+// handleCallerGone ends the call of a caller that closed its connection. If part of the
+// answer was written, it aborts the connection, so that the answer does not appear to be
+// complete in case the connection is still open.
 func (m *modelCall) handleCallerGone(s shell.Session) {
 	s.CallerGone()
 	m.handler.Metrics.ObserveAnswer(int(code.CallerGone), time.Since(m.startedAt))
@@ -109,6 +109,7 @@
 	}
 }
 
+// pause waits for d. It returns false if ctx ends first.
 func pause(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return true
@@ -154,6 +155,7 @@
 	}
 }
 
+// open sends the attempt to the engine, as a new call or as the resume of a broken stream.
 func (m *modelCall) open(ctx context.Context, d calls.Dispatch, progress *upstream.Progress) (*engine.Stream, error) {
 	header := http.Header{}
 	m.handler.Tracer.Inject(ctx, header)
@@ -215,6 +217,7 @@
 	m.w.WriteHeader(http.StatusOK)
 }
 
+// setHeaders sets the headers that name the instance and the upstream of the answer.
 func (m *modelCall) setHeaders(d calls.Dispatch) {
 	m.w.Header().Set(HeaderInstance, m.handler.Self.Name)
 	m.w.Header().Set(HeaderUpstream, d.Replica)
@@ -228,6 +231,7 @@
 		m.writeEvent([]byte("[DONE]"))
 	} else {
 		m.setHeaders(d)
+		// The last piece only marks the end and is not counted as a token.
 		entry.WriteJSON(m.w, http.StatusOK, m.format.complete(m.text.String(), p.Reason, m.call.PromptTokens, m.piecesReceived-1))
 	}
 	s.Completed(0)
@@ -235,6 +239,7 @@
 	return calls.AttemptFailed{}, true
 }
 
+// writeChunk writes one chunk of a streamed answer.
 func (m *modelCall) writeChunk(a answer) {
 	data, err := json.Marshal(a)
 	if err != nil {
--- a/internal/own/modelapi/modelapi.go
+++ b/internal/own/modelapi/modelapi.go
@@ -69,10 +69,12 @@
 	return strings.TrimPrefix(r.Header.Get("Authorization"), "Bearer ")
 }
 
+// notRepeatable reports whether the caller marked the call as not repeatable.
 func notRepeatable(r *http.Request) bool {
 	return strings.EqualFold(r.Header.Get(HeaderNotRepeatable), "true")
 }
 
+// listModels serves GET /v1/models: the services with a model that the caller may call.
 func (h *Handler) listModels(w http.ResponseWriter, r *http.Request) {
 	start := time.Now()
 	cfg := h.Shell.Config()
--- a/internal/own/modelapi/openai.go
+++ b/internal/own/modelapi/openai.go
@@ -8,8 +8,8 @@
 	"github.com/birchdrift/birchdrift/core/code"
 )
 
-// The wire types follow the OpenAI-compatible chat and completion API, as
-// far as the engines support it.
+// The wire types follow the OpenAI-compatible chat and completion API, as far as the
+// engines support it.
 
 // A message is one message of a chat.
 type message struct {
@@ -150,6 +150,8 @@
 	created time.Time
 }
 
+// chunk returns one chunk of a streamed answer. finish is the reason why the answer ended in
+// the last chunk, nil in all others.
 func (f answerFormat) chunk(text string, finish *string) answer {
 	c := choice{FinishReason: finish}
 	if f.chat {
@@ -164,6 +166,7 @@
 	return answer{ID: f.id, Object: object, Created: f.created.Unix(), Model: f.model, Choices: []choice{c}}
 }
 
+// complete returns an answer that is not streamed.
 func (f answerFormat) complete(text string, finish string, promptTokens, tokens int) answer {
 	c := choice{FinishReason: &finish}
 	object := "text_completion"
@@ -185,6 +188,7 @@
 	Data   []modelInfo `json:"data"`
 }
 
+// A modelInfo describes one service that a caller may use as a model.
 type modelInfo struct {
 	ID      string `json:"id"`
 	Object  string `json:"object"`
--- a/internal/own/modelapi/plain.go
+++ b/internal/own/modelapi/plain.go
@@ -55,6 +55,7 @@
 	startedAt time.Time
 }
 
+// run carries out the state machine's actions until the call has its final answer.
 func (p *plainCall) run(ctx context.Context, s shell.Session) {
 	entry.HandleActions(ctx, s, entry.CallHandlers{
 		Attempt: func(d calls.Dispatch) bool { return p.attempt(ctx, s, d) },
@@ -102,6 +103,7 @@
 	}
 }
 
+// handleCallerGone ends the call of a caller that closed its connection.
 func (p *plainCall) handleCallerGone(s shell.Session) {
 	s.CallerGone()
 	p.handler.Metrics.ObserveAnswer(int(code.CallerGone), time.Since(p.startedAt))
@@ -126,7 +128,8 @@
 	return false
 }
 
-// forward streams the upstream's answer to the caller.
+// forward streams the upstream's answer to the caller. It returns true, since no attempt can
+// follow an answer that was started, or aborts the connection.
 func (p *plainCall) forward(s shell.Session, d calls.Dispatch, resp *http.Response, watchdog *entry.Watchdog) bool {
 	for name, values := range service.EndToEndHeaders(resp.Header) {
 		p.w.Header()[name] = values
