--- a/internal/own/engine/wire.go
+++ b/internal/own/engine/wire.go
@@ -34,7 +34,7 @@
 // without it was truncated.
 type Piece struct {
 	ID     string `json:"id"` // of the request's attempt
-	Offset int    `json:"o"` // position of this piece, from 0
+	Offset int    `json:"o"`  // position of this piece, from 0
 	Text   string `json:"t,omitempty"`
 	End    bool   `json:"end,omitempty"`
 	Reason string `json:"reason,omitempty"` // why it ended: stop, length
@@ -44,7 +44,7 @@
 type OrderRequest struct {
 	Fence uint64 `json:"fence"`
 	Seq   uint64 `json:"seq"` // rises with every order under one fence
-	Op    string `json:"op"` // load, unload, raise
+	Op    string `json:"op"`  // load, unload, raise
 	Item  string `json:"item,omitempty"`
 	Base  string `json:"base,omitempty"` // model of an adapter
 	MiB   int64  `json:"mib,omitempty"`
@@ -68,7 +68,7 @@
 type State struct {
 	Boot      uint64 `json:"boot"`   // identifies the engine's start; rises with every start
 	Change    uint64 `json:"change"` // rises with every change under one Boot
-	Seq       uint64 `json:"seq"` // of the load report
+	Seq       uint64 `json:"seq"`    // of the load report
 	Leaving   bool   `json:"leaving,omitempty"`
 	Fence     uint64 `json:"fence"`      // highest fence seen
 	LastOrder uint64 `json:"last_order"` // Seq of the last order accepted under Fence
--- a/internal/own/keyvalue/wire.go
+++ b/internal/own/keyvalue/wire.go
@@ -38,7 +38,7 @@
 	Kind    string `json:"kind"` // entry, upstream
 	Zone    string `json:"zone"`
 	Address string `json:"address"`
-	State   string `json:"state"` // live, leaving, gone
+	State   string `json:"state"`   // live, leaving, gone
 	Version uint64 `json:"version"` // of the list at the entry's last change
 }
 
