--- a/core/own/planner/planner.go
+++ b/core/own/planner/planner.go
@@ -59,15 +59,15 @@
 	job   step.Job // requesting and renewing the lease
 	zone  zoneView
 	tenure
-	reads reads
-
-	planDue          clock.Instant
-	residentSince    map[placement]clock.Instant // when a placement was first seen
-	starvingServedAt clock.Instant               // when memory was last freed for a starving item
-	doubtLogged      bool
-	orderCounts      OrderCounts
-	unmetReportedAt  clock.Instant // when unmet demand was last reported to the zone's planner
-	zonesNotifiedAt  clock.Instant // when unmet demand was last reported to other zones' planners
+	reads readSchedule
+
+	planDue            clock.Instant
+	residentSince      map[placement]clock.Instant // when a placement was first seen
+	starvingServedAt   clock.Instant               // when memory was last freed for a starving item
+	leaseInDoubtLogged bool
+	orderCounts        OrderCounts
+	unmetReportedAt    clock.Instant // when unmet demand was last reported to the zone's planner
+	zonesNotifiedAt    clock.Instant // when unmet demand was last reported to other zones' planners
 }
 
 // A tenure is the state that belongs to one grant of the lease and is discarded with it.
@@ -125,7 +125,7 @@
 		Deps:          n,
 		lease:         lease.New(n.Options.LeaseTerm),
 		tenure:        newTenure(),
-		reads:         newReads(),
+		reads:         newReadSchedule(),
 		residentSince: map[placement]clock.Instant{},
 	}
 }
@@ -203,7 +203,7 @@
 	}
 	switch {
 	case p.lease.Held():
-		p.logDoubt(now)
+		p.logLeaseInDoubt(now)
 		if p.lease.RenewDue(now) {
 			p.job.Begin(now)
 			p.Out.Emit(RequestLease{Term: p.Options.LeaseTerm, Renew: p.lease.Fence()})
@@ -214,12 +214,14 @@
 	}
 }
 
-func (p *Planner) logDoubt(now clock.Instant) {
+// logLeaseInDoubt logs, once until the lease is certain to be valid again, that a held
+// lease is no longer certain to be valid.
+func (p *Planner) logLeaseInDoubt(now clock.Instant) {
 	inDoubt := !p.lease.Valid(now)
-	if inDoubt && !p.doubtLogged {
+	if inDoubt && !p.leaseInDoubtLogged {
 		p.Out.Log(logevent.LeaseInDoubt, "fence", p.lease.Fence())
 	}
-	p.doubtLogged = inDoubt
+	p.leaseInDoubtLogged = inDoubt
 }
 
 // HandleLeaseReply handles the reply to a RequestLease.
@@ -249,6 +251,7 @@
 	p.endTenure()
 }
 
+// endTenure discards the ledgers, retries, intents and load budget of the tenure.
 func (p *Planner) endTenure() { p.tenure = newTenure() }
 
 // startTenure starts planning under a new fence. No memory is free in the ledgers until
@@ -291,6 +294,7 @@
 	}
 }
 
+// nextSeq returns the sequence number for the next order under this fence.
 func (p *Planner) nextSeq() uint64 {
 	p.seq++
 	return p.seq
