--- a/core/instance/adapter_test.go
+++ b/core/instance/adapter_test.go
@@ -17,7 +17,7 @@
 	"github.com/birchdrift/birchdrift/core/step"
 )
 
-// adapterMachine knows two engines; the residencies are given by each test.
+// adapterMachine returns a machine with two configured engines; each test sets their residencies.
 func adapterMachine(t *testing.T, now clock.Instant) *Machine {
 	t.Helper()
 	doc := config.Document{
@@ -45,8 +45,8 @@
 	return pool.Residency{Boot: 1, Change: change, Items: []pool.Item{{Name: "a", Phase: pool.Ready}, {Name: "m", Phase: model}}}
 }
 
-// sentTo returns the replica of the Dispatch among the actions, "" if none.
-func sentTo(actions []step.Action) string {
+// dispatchedTo returns the replica of the first Dispatch in actions, or "" if there is none.
+func dispatchedTo(actions []step.Action) string {
 	for _, a := range actions {
 		if d, ok := a.(calls.Dispatch); ok {
 			return d.Replica
@@ -55,32 +55,32 @@
 	return ""
 }
 
-// TestAdapterWaitsForItsModel: an adapter is loaded long before its model, and
-// an engine that is asked in between refuses. Calls wait; they once went there
-// six times each and were then refused.
+// TestAdapterWaitsForItsModel checks that a call waits while its adapter is loaded but the model
+// of the adapter is not. Adapters load much faster than models, and an engine refuses calls in
+// between. Calls used to be sent to such an engine six times and were then refused.
 func TestAdapterWaitsForItsModel(t *testing.T) {
 	is := is.New(t)
 	now := clocktest.At(time.Hour)
 	m := adapterMachine(t, now)
 	m.state.Pool.ObserveResidency(now, "e1", residency(1, pool.Loading))
-	is.Equal(sentTo(m.Step(now, calls.Arrived{Call: calls.Request{ID: 1, Service: "s", Replayable: true}})), "")
+	is.Equal(dispatchedTo(m.Step(now, calls.Arrived{Call: calls.Request{ID: 1, Service: "s", Replayable: true}})), "")
 	m.state.Pool.ObserveResidency(now, "e1", residency(2, pool.Ready))
-	is.Equal(sentTo(m.Step(now.Add(time.Second), Tick{})), "e1")
+	is.Equal(dispatchedTo(m.Step(now.Add(time.Second), Tick{})), "e1")
 }
 
-// TestWhatRefusesDrawsNoCalls: an engine that refuses an item is idle and
-// answers fastest, yet gets no more calls for it for a while.
-func TestWhatRefusesDrawsNoCalls(t *testing.T) {
+// TestRefusingEngineGetsNoCalls checks that an engine that refuses an item receives no more calls
+// for it for a while, although it is idle and responds fastest.
+func TestRefusingEngineGetsNoCalls(t *testing.T) {
 	is := is.New(t)
 	now := clocktest.At(time.Hour)
 	m := adapterMachine(t, now)
 	m.state.Pool.ObserveResidency(now, "e1", residency(1, pool.Ready))
 	m.state.Pool.ObserveResidency(now, "e2", residency(1, pool.Ready))
-	first := sentTo(m.Step(now, calls.Arrived{Call: calls.Request{ID: 1, Service: "s", Replayable: true}}))
+	first := dispatchedTo(m.Step(now, calls.Arrived{Call: calls.Request{ID: 1, Service: "s", Replayable: true}}))
 	is.True(first != "")
-	next := sentTo(m.Step(now, calls.AttemptFailed{ID: 1, Attempt: 1, Phase: attempt.Refused, Status: 409}))
+	next := dispatchedTo(m.Step(now, calls.AttemptFailed{ID: 1, Attempt: 1, Phase: attempt.Refused, Status: 409}))
 	is.True(next != "" && next != first)
 	for id := calls.ID(2); id < 5; id++ {
-		is.Equal(sentTo(m.Step(now, calls.Arrived{Call: calls.Request{ID: id, Service: "s", Replayable: true}})), next)
+		is.Equal(dispatchedTo(m.Step(now, calls.Arrived{Call: calls.Request{ID: id, Service: "s", Replayable: true}})), next)
 	}
 }
--- a/core/instance/announced_world_test.go
+++ b/core/instance/announced_world_test.go
@@ -41,88 +41,89 @@
 	"github.com/birchdrift/birchdrift/core/watchers"
 )
 
-// A fleet drives several machines under one clock against a store and engines
-// that announce themselves, with faults by seed, and checks after every order
-// what must hold of orders. It knows nothing of how machines decide.
+// A fleet simulates several machines on one simulated clock, with a store and with engines that
+// announce themselves, and injects faults at random by seed. After every order it checks the
+// guarantees on orders. It does not depend on how machines decide.
 type fleet struct {
-	rng     *rand.Rand
-	now     time.Duration
-	queue   eventQueue
-	order   uint64
-	opt     option.Options
-	doc     config.Document
-	store   fleetStore
-	copies  []fleetCopy     // of the store, the newest last
-	writes  []time.Duration // when the store was written to
-	called  []time.Duration // when the store was called; once for each page
-	engines map[string]*fleetEngine
-	members map[string]*fleetMember
-	names   []string
-	broken  []string
-	loads   []time.Duration // when loads from the weight store began
-	served  int
-	refused int
-	orders  int
-	claims  int // most ownerships in one write
-	watches int
-	// engineCount is how many engines there are.
-	engineCount int
-	late        float64 // share of orders without an answer, carried out seconds later
-	// firstAfter is how long an engine takes to the first event of a call.
-	firstAfter time.Duration
-	lost       float64 // share of writes of the store whose answers are lost
-	// crashes is what runs at engines that may end; nil: calls are served at once.
-	crashes *crashLab
-	// notices is what engines say of themselves in their answers; nil: nothing.
-	notices *noticeLab
-	// limits is which engines name a limit, and what is sent to them; nil: none.
-	limits *limitLab
-	// adapters is the share of calls that ask for an adapter.
-	adapters float64
-	// tokens is the length of prompts.
-	tokens int
-	// steady has members read a steady clock that stands still while they sleep.
-	steady bool
-	// cut are zones without a way to other zones and to the store.
-	cut    map[string]bool
-	logged map[logevent.Number]int
-	// leaves is which engines leave, and what reaches them after that; nil: none.
-	leaves *leaveLab
-}
-
-// A fleetMember is one machine with what is wrong with it.
+	rng             *rand.Rand
+	now             time.Duration
+	queue           eventQueue
+	eventSeq        uint64
+	opt             option.Options
+	doc             config.Document
+	store           fleetStore
+	storeCopies     []storeCopy     // copies of the store, newest last
+	storeWriteTimes []time.Duration // times of the writes to the store
+	storeCallTimes  []time.Duration // times of the calls to the store; a full read counts once per page
+	engines         map[string]*fleetEngine
+	members         map[string]*fleetMember
+	names           []string
+	violations      []string
+	loadTimes       []time.Duration // start times of the loads from the weight store
+	served          int
+	refused         int
+	orders          int
+	maxClaims       int // largest number of ownerships in one write
+	watches         int
+	engineCount     int
+	lateShare       float64 // share of orders that get no reply and are executed seconds later
+	// firstTokenDelay is the time until an engine sends the first event of a call.
+	firstTokenDelay time.Duration
+	lostShare       float64 // share of writes to the store whose responses are lost
+	// crashes, if not nil, runs the calls at engines that may crash. Otherwise calls are served
+	// immediately.
+	crashes *crashHarness
+	// notices, if not nil, provides the notices that engines add to their responses.
+	notices *noticeHarness
+	// limits, if not nil, provides the rate limits that engines announce, and records the requests
+	// that they receive.
+	limits *limitHarness
+	// adapterShare is the share of calls that request an adapter.
+	adapterShare float64
+	// promptTokens is the length of prompts, in tokens.
+	promptTokens int
+	// clockStopsInSleep makes the monotonic clocks of members stop while they are suspended.
+	clockStopsInSleep bool
+	// cutZones holds the zones that can reach neither other zones nor the store.
+	cutZones  map[string]bool
+	logCounts map[logevent.Number]int
+	// leaves, if not nil, makes engines leave and records the calls that reach them afterwards.
+	leaves *leaveHarness
+}
+
+// A fleetMember is one machine and the faults injected into it.
 type fleetMember struct {
-	m       *Machine
-	id      member.Identity
-	boot    uint64
-	lag     time.Duration // by how much its steady clock is behind
-	set     time.Duration // by how much its wall clock was set forward
-	dead    bool
-	frozen  bool
-	thawed  time.Duration // when it was last
-	held    []func()
-	noStore bool
-	deaf    bool         // its watches hear nothing, nor do its exchanges
-	after   era.Revision // the watch's position; 0 reads the whole
-	waiting []*fleetWatch
-	known   era.Era // the latest in which the store answered it
-	asked   map[uint64]func(owned.SendReply)
-	answers map[uint64]func(gossip.Message)
-	permits map[uint64]func(permits.Decision)
-	token   uint64
-}
-
-// A fleetStore is the platform's store.
+	m               *Machine
+	id              member.Identity
+	boot            uint64
+	monotonicLag    time.Duration // how far its monotonic clock is behind
+	wallOffset      time.Duration // how far its wall clock was set forward
+	dead            bool
+	frozen          bool
+	thawedAt        time.Duration // when the last freeze ended
+	deferred        []func()      // deliveries of events that arrived during the freeze
+	noStore         bool          // it cannot reach the store
+	noUpdates       bool          // its watches receive nothing and its exchanges fail
+	watchPosition   era.Revision  // revision from which its watch continues; 0: a full read
+	pendingWatches  []*fleetWatch
+	knownEra        era.Era // the era of the last store response that it received
+	orderReplies    map[uint64]func(owned.SendReply)
+	exchangeReplies map[uint64]func(gossip.Message)
+	permitReplies   map[uint64]func(permits.Decision)
+	token           uint64
+}
+
+// A fleetStore simulates the platform's store.
 type fleetStore struct {
-	down     bool
-	closed   bool          // it is down, and its machine says so to whoever connects
-	mute     time.Duration // until when watches hear of no change
-	era      era.Era       // 0: it tells of none
-	revision uint64
-	values   map[string]*fleetValue
-	log      []fleetChange
-	leases   map[uint64]*fleetLease
-	next     uint64
+	down               bool
+	refusesConnections bool          // it is down and refuses connections, rather than not responding
+	muteUntil          time.Duration // watches report no change before this time
+	era                era.Era       // 0: the store reports no era
+	revision           uint64
+	values             map[string]*fleetValue
+	log                []fleetChange
+	leases             map[uint64]*fleetLease
+	nextLease          uint64
 }
 
 type fleetValue struct {
@@ -133,7 +134,7 @@
 
 type fleetChange struct {
 	key      string
-	value    *fleetValue // nil: gone
+	value    *fleetValue // nil: deleted
 	revision uint64
 }
 
@@ -142,39 +143,39 @@
 	term    time.Duration
 }
 
-// A fleetEngine is one engine that announces itself.
+// A fleetEngine simulates one engine that announces itself.
 type fleetEngine struct {
-	name     string
-	address  string // "": its name
-	zone     string
-	sequence uint64
-	models   map[string]bool
-	adapters map[string]bool // MODEL/ADAPTER
-	took     map[string]bool // adapters that were loaded in this life
-	busy     bool
-	pending  string // the model that comes
-	onDisk   map[string]bool
-	holder   string
-	heldAt   time.Duration
-	fence    era.Revision
-	loadedAt map[string]time.Duration
-	born     int // lives under this name
-	gone     bool
-	dead     bool // its process ended without a word
-	afterEnd int  // orders that came to its address since then
-	leaving  bool // it says so
-	silent   bool // it leaves and does not say so: its entry went
+	name           string
+	address        string // "": same as name
+	zone           string
+	sequence       uint64 // number of orders that this incarnation accepted
+	models         map[string]bool
+	adapters       map[string]bool // MODEL/ADAPTER
+	loadedAdapters map[string]bool // adapters loaded since the last start
+	busy           bool            // it is loading or unloading a model
+	pending        string          // the model that is being loaded
+	onDisk         map[string]bool
+	orderedBy      string        // member that sent the last order
+	orderedAt      time.Duration // time of the last order
+	fence          era.Revision  // fence of the last order
+	loadedAt       map[string]time.Duration
+	restarts       int  // number of restarts under this name; identifies the incarnation
+	gone           bool // it has left and serves no calls
+	dead           bool // its process ended without notice
+	ordersAfterEnd int  // orders that reached its address since its process ended
+	leaving        bool // it announces that it leaves
+	leavesSilently bool // it leaves without announcing it: its entry is deleted
 }
 
 const (
-	fleetModelMB = 70
-	fleetRate    = 0.6 // loads from the weight store a second
-	fleetEngines = 8
-	fleetModels  = 12
+	fleetModelMB  = 70
+	fleetLoadRate = 0.6 // loads from the weight store per second
+	fleetEngines  = 8
+	fleetModels   = 12
 )
 
 func fleetDocument() config.Document {
-	engine := &config.EnginePool{Sequences: 8, CacheTokens: 1000, MemoryMB: 3*fleetModelMB + 5, MaxAdapters: 2, LoadsPerSecond: fleetRate}
+	engine := &config.EnginePool{Sequences: 8, CacheTokens: 1000, MemoryMB: 3*fleetModelMB + 5, MaxAdapters: 2, LoadsPerSecond: fleetLoadRate}
 	for i := range fleetModels {
 		engine.Models = append(engine.Models, config.PooledModel{
 			Name: fmt.Sprintf("m%d", i), MemoryMB: fleetModelMB, AdapterCount: 4, AdapterMB: 1,
@@ -195,31 +196,31 @@
 	return newFleetWith(seed, members, option.Disabled{}, false)
 }
 
-// newFleetWith returns a fleet with mechanisms switched off; with empty, its
-// engines hold nothing at the start.
+// newFleetWith returns a fleet with the mechanisms in disable disabled. If empty is set, its
+// engines hold no models at the start.
 func newFleetWith(seed uint64, members int, disable option.Disabled, empty bool) *fleet {
 	return newFleetOf(seed, members, fleetEngines, disable, empty)
 }
 
-// newFleetOf returns a fleet with so many engines.
+// newFleetOf returns a fleet with the given number of engines.
 func newFleetOf(seed uint64, members, engines int, disable option.Disabled, empty bool) *fleet {
-	return newFleetWithin(seed, members, engines, disable, empty, bounds.Default())
+	return newFleetWithBounds(seed, members, engines, disable, empty, bounds.Default())
 }
 
-// newFleetWithin returns a fleet whose users rely on bounds.
-func newFleetWithin(seed uint64, members, engines int, disable option.Disabled, empty bool, b bounds.Bounds) *fleet {
+// newFleetWithBounds returns a fleet whose instances must keep the bounds b.
+func newFleetWithBounds(seed uint64, members, engines int, disable option.Disabled, empty bool, b bounds.Bounds) *fleet {
 	f := &fleet{
-		engineCount: engines,
-		rng:         rand.New(rand.NewPCG(seed, 77)),
-		opt:         option.Default(),
-		firstAfter:  30 * time.Millisecond,
-		adapters:    0.4,
-		tokens:      4000,
-		doc:         fleetDocument(),
-		store:       fleetStore{values: map[string]*fleetValue{}, leases: map[uint64]*fleetLease{}, next: firstLease},
-		engines:     map[string]*fleetEngine{},
-		members:     map[string]*fleetMember{},
-		logged:      map[logevent.Number]int{},
+		engineCount:     engines,
+		rng:             rand.New(rand.NewPCG(seed, 77)),
+		opt:             option.Default(),
+		firstTokenDelay: 30 * time.Millisecond,
+		adapterShare:    0.4,
+		promptTokens:    4000,
+		doc:             fleetDocument(),
+		store:           fleetStore{values: map[string]*fleetValue{}, leases: map[uint64]*fleetLease{}, nextLease: firstLease},
+		engines:         map[string]*fleetEngine{},
+		members:         map[string]*fleetMember{},
+		logCounts:       map[logevent.Number]int{},
 	}
 	f.opt.Bounds = b
 	f.opt.Disable = disable
@@ -247,7 +248,7 @@
 	return f
 }
 
-// addMembers starts so many members.
+// addMembers creates and starts the given number of members.
 func (f *fleet) addMembers(members int) {
 	for i := range members {
 		name := fmt.Sprintf("i%d", i)
@@ -257,12 +258,13 @@
 	}
 }
 
+// at schedules do to run after d.
 func (f *fleet) at(d time.Duration, do func()) {
-	f.order++
-	heap.Push(&f.queue, scheduled{at: f.now + d, order: f.order, do: do})
+	f.eventSeq++
+	heap.Push(&f.queue, scheduled{at: f.now + d, eventSeq: f.eventSeq, do: do})
 }
 
-// run drives the fleet for a span.
+// run processes the events of the next span and advances the clock by span.
 func (f *fleet) run(span time.Duration) {
 	end := f.now + span
 	for f.queue.Len() > 0 && f.queue[0].at <= end {
@@ -273,24 +275,25 @@
 	f.now = end
 }
 
-func (f *fleet) fault(format string, args ...any) {
-	f.broken = append(f.broken, fmt.Sprintf("%v: ", f.now)+fmt.Sprintf(format, args...))
+// recordViolation records a violated guarantee together with the simulated time.
+func (f *fleet) recordViolation(format string, args ...any) {
+	f.violations = append(f.violations, fmt.Sprintf("%v: ", f.now)+fmt.Sprintf(format, args...))
 }
 
-// start begins a new process on a member's machine.
+// start starts a new process of a member.
 func (f *fleet) start(name string) {
 	n := f.members[name]
 	n.boot++
 	n.dead = false
 	n.frozen = false
-	n.held = nil
-	n.waiting = nil
-	n.after = 0
-	n.known = 0
+	n.deferred = nil
+	n.pendingWatches = nil
+	n.watchPosition = 0
+	n.knownEra = 0
 	n.id.Boot = n.boot
-	n.asked = map[uint64]func(owned.SendReply){}
-	n.answers = map[uint64]func(gossip.Message){}
-	n.permits = map[uint64]func(permits.Decision){}
+	n.orderReplies = map[uint64]func(owned.SendReply){}
+	n.exchangeReplies = map[uint64]func(gossip.Message){}
+	n.permitReplies = map[uint64]func(permits.Decision){}
 	n.m = New(n.id, f.opt, f.rng.Uint64())
 	f.tick(n, n.boot)
 }
@@ -303,34 +306,33 @@
 	f.at(max(n.m.NextWake(), 4*time.Millisecond), func() { f.tick(n, boot) })
 }
 
-// step hands an event to a machine, or holds it while the machine is frozen.
+// step delivers an event to a machine, or defers it while the machine is frozen.
 func (f *fleet) step(n *fleetMember, boot uint64, ev step.Event) {
 	switch {
 	case n.dead || n.boot != boot:
 		return
 	case n.frozen:
-		n.held = append(n.held, func() { f.step(n, boot, ev) })
+		n.deferred = append(n.deferred, func() { f.step(n, boot, ev) })
 		return
 	}
 	for _, a := range slices.Clone(n.m.Step(f.clock(n), ev)) {
-		f.do(n, boot, a)
+		f.perform(n, boot, a)
 	}
 }
 
-// clock returns what a member's clocks read.
+// clock returns the current reading of a member's clocks.
 func (f *fleet) clock(n *fleetMember) clock.Instant {
 	at := clocktest.At(time.Hour + f.now)
-	return clock.Instant{Mono: at.Mono - n.lag, Wall: at.Wall.Add(n.set)}
+	return clock.Instant{Mono: at.Mono - n.monotonicLag, Wall: at.Wall.Add(n.wallOffset)}
 }
 
-// sleep has a member's machine sleep for a while, its wall clock set back meanwhile by so
-// much.
-func (f *fleet) sleep(n *fleetMember, span, back time.Duration) {
+// sleep suspends a member's machine for span. Meanwhile its wall clock is set back by setBack.
+func (f *fleet) sleep(n *fleetMember, span, setBack time.Duration) {
 	n.frozen = true
 	f.at(span, func() {
-		n.set -= back
-		if f.steady {
-			n.lag += span
+		n.wallOffset -= setBack
+		if f.clockStopsInSleep {
+			n.monotonicLag += span
 		}
 		f.thaw(n)
 	})
@@ -338,31 +340,32 @@
 
 func (f *fleet) thaw(n *fleetMember) {
 	n.frozen = false
-	n.thawed = f.now
-	held := n.held
-	n.held = nil
-	for _, do := range held {
+	n.thawedAt = f.now
+	deferred := n.deferred
+	n.deferred = nil
+	for _, do := range deferred {
 		do()
 	}
 }
 
-// firstLease is where the store's leases begin, which are any numbers.
+// firstLease is the first lease ID of the store. It is large, because lease IDs may be any number.
 const firstLease = 1 << 62
 
-const fleetWay = 2 * time.Millisecond
+const fleetLatency = 2 * time.Millisecond
 
-func (f *fleet) do(n *fleetMember, boot uint64, a step.Action) {
+// perform executes an action of a member. reply delivers an event to the member after a delay.
+func (f *fleet) perform(n *fleetMember, boot uint64, a step.Action) {
 	reply := func(d time.Duration, ev step.Event) { f.at(d, func() { f.step(n, boot, ev) }) }
 	switch act := a.(type) {
 	case step.Log:
-		f.logged[act.Event]++
+		f.logCounts[act.Event]++
 	case watch.SendRequest:
-		f.at(fleetWay, func() { f.watch(n, boot, act) })
+		f.at(fleetLatency, func() { f.watch(n, boot, act) })
 	case ownership.Enrol:
 		f.storeCall(n, nil, func() (step.Event, bool) { return f.enrol(n, act), true }, func(err error) step.Event { return ownership.EnrolReply{Err: err} }, reply)
 	case ownership.RenewLease:
 		sent := f.clock(n)
-		f.storeCall(n, in(act.Lease.Era), func() (step.Event, bool) {
+		f.storeCall(n, ofEra(act.Lease.Era), func() (step.Event, bool) {
 			l := f.store.leases[act.Lease.ID]
 			if l == nil {
 				return ownership.RenewReply{Sent: sent, Lease: act.Lease, Over: true, Err: errors.New("over")}, false
@@ -371,13 +374,13 @@
 			return ownership.RenewReply{Sent: sent, Lease: act.Lease}, false
 		}, func(err error) step.Event { return ownership.RenewReply{Lease: act.Lease, Err: err} }, reply)
 	case ownership.Resign:
-		f.storeCall(n, in(act.Lease.Era), func() (step.Event, bool) {
+		f.storeCall(n, ofEra(act.Lease.Era), func() (step.Event, bool) {
 			for _, o := range act.Give {
-				if f.marked(o.Era, act.Depends) {
+				if f.hasEraMark(o.Era, act.Depends) {
 					f.writeOwnership(o)
 				}
 			}
-			if p := act.Placer; p != nil && f.marked(p.Era, act.Depends) {
+			if p := act.Placer; p != nil && f.hasEraMark(p.Era, act.Depends) {
 				f.writePlacer(*p, 0)
 			}
 			f.endLease(act.Lease.ID)
@@ -385,73 +388,73 @@
 		}, func(error) step.Event { return Tick{} }, reply)
 	case ownership.Write:
 		sent := f.clock(n)
-		f.storeCall(n, in(act.Write.Era()), func() (step.Event, bool) { return f.write(act, sent), true }, func(err error) step.Event { return ownership.WriteReply{Write: act.Write, Err: err} }, reply)
+		f.storeCall(n, ofEra(act.Write.Era()), func() (step.Event, bool) { return f.commitWrite(act, sent), true }, func(err error) step.Event { return ownership.WriteReply{Write: act.Write, Err: err} }, reply)
 	case quarantine.Check:
 		e := f.engines[act.Replica.Name]
-		reply(2*fleetWay, quarantine.Checked{Replica: act.Replica, Ended: e.dead && !f.severed(n.id.Zone, e.zone)})
+		reply(2*fleetLatency, quarantine.Checked{Replica: act.Replica, Ended: e.dead && !f.partitioned(n.id.Zone, e.zone)})
 	case quarantine.StoreVerdict:
 		f.storeCall(n, nil, func() (step.Event, bool) {
 			q := act.Quarantine
 			if f.store.values[q.Value().Key] == nil {
-				f.change(q.Value().Key, &fleetValue{data: &q})
+				f.setKey(q.Value().Key, &fleetValue{data: &q})
 			}
 			return quarantine.VerdictStored{Request: q.Request}, true
 		}, func(err error) step.Event { return quarantine.VerdictStored{Request: act.Quarantine.Request, Err: err} }, reply)
 	case quarantine.RemoveVerdict:
 		f.storeCall(n, nil, func() (step.Event, bool) {
-			f.change(act.Quarantine.Value().Key, nil)
+			f.setKey(act.Quarantine.Value().Key, nil)
 			return Tick{}, true
 		}, func(error) step.Event { return Tick{} }, reply)
 	case owned.SendOrder:
-		if f.notices != nil && f.notices.turnsAwayOrder(n, boot, act, reply) {
+		if f.notices != nil && f.notices.rejectOrder(n, boot, act, reply) {
 			return
 		}
 		if f.limits != nil {
-			f.limits.reached(n, boot, f.engines[act.Engine], fleetWay, f.clock(n))
+			f.limits.requestReached(n, boot, f.engines[act.Engine], fleetLatency, f.clock(n))
 		}
 		f.sendOrder(n, act, reply)
 	case owned.QueryState:
 		sent := f.clock(n)
-		f.at(fleetWay, func() {
+		f.at(fleetLatency, func() {
 			e := f.engines[act.Engine]
-			if f.notices != nil && f.notices.turnsAwayQuestion(n, boot, e, sent, reply) {
+			if f.notices != nil && f.notices.rejectStateQuery(n, boot, e, sent, reply) {
 				return
 			}
 			if e.dead {
-				reply(fleetWay, owned.StateReply{Engine: act.Engine, Sent: sent, Err: errors.New("nothing listens")})
+				reply(fleetLatency, owned.StateReply{Engine: act.Engine, Sent: sent, Err: errors.New("connection refused")})
 				return
 			}
 			if f.limits != nil {
-				f.limits.reached(n, boot, e, 0, sent)
+				f.limits.requestReached(n, boot, e, 0, sent)
 			}
-			reply(fleetWay, owned.StateReply{Engine: act.Engine, Sent: sent, State: e.state()})
+			reply(fleetLatency, owned.StateReply{Engine: act.Engine, Sent: sent, State: e.state()})
 		})
 	case forwarding.ProbeEngine:
 		f.probe(n, boot, act, reply)
 	case orderclient.SendRequest:
-		f.askPeer(n, act, reply)
+		f.requestOrder(n, act, reply)
 	case permits.SendRequest:
-		f.askPermit(n, act, reply)
+		f.requestPermit(n, act, reply)
 	case permits.SendReply:
-		if do := n.permits[act.Token]; do != nil {
-			delete(n.permits, act.Token)
+		if do := n.permitReplies[act.Token]; do != nil {
+			delete(n.permitReplies, act.Token)
 			do(act.Verdict)
 		}
 	case owned.SendReply:
-		if do := n.asked[act.Token]; do != nil {
-			delete(n.asked, act.Token)
+		if do := n.orderReplies[act.Token]; do != nil {
+			delete(n.orderReplies, act.Token)
 			do(act)
 		}
 	case exchange.SendRequest:
 		f.exchange(n, act, reply)
 	case exchange.SendReply:
-		if do := n.answers[act.Token]; do != nil {
-			delete(n.answers, act.Token)
+		if do := n.exchangeReplies[act.Token]; do != nil {
+			delete(n.exchangeReplies, act.Token)
 			do(act.Message)
 		}
 	case calls.Dispatch:
 		if f.leaves != nil {
-			f.leaves.sent(n, act)
+			f.leaves.handleDispatch(n, act)
 		}
 		if f.crashes != nil {
 			f.crashes.serve(n, act, reply)
@@ -469,92 +472,93 @@
 	case calls.Finish:
 		f.refused++
 		if f.notices != nil {
-			f.notices.finished(act)
+			f.notices.handleFinish(act)
 		}
 		if f.limits != nil {
-			f.limits.finished(act)
+			f.limits.handleFinish(act)
 		}
 		if f.crashes != nil {
-			f.crashes.finished(act)
+			f.crashes.handleFinish(act)
 		}
 	case calls.Relay:
 	}
 }
 
-// probe has an engine asked how busy it is: what it knows of that is nothing.
+// probe simulates the probe of an engine's load. The engine reports no load.
 func (f *fleet) probe(n *fleetMember, boot uint64, a forwarding.ProbeEngine, reply func(time.Duration, step.Event)) {
 	e := f.engines[a.Engine]
 	sent := f.clock(n)
-	if e.dead || f.severed(n.id.Zone, e.zone) {
+	if e.dead || f.partitioned(n.id.Zone, e.zone) {
 		reply(a.Wait, forwarding.ProbeReply{Call: a.Call, Engine: a.Engine, Sent: sent, Err: errors.New("no answer")})
 		return
 	}
 	if f.limits != nil {
-		f.limits.reached(n, boot, e, fleetWay, sent)
+		f.limits.requestReached(n, boot, e, fleetLatency, sent)
 	}
-	reply(2*fleetWay, forwarding.ProbeReply{Call: a.Call, Engine: a.Engine, Sent: sent})
+	reply(2*fleetLatency, forwarding.ProbeReply{Call: a.Call, Engine: a.Engine, Sent: sent})
 }
 
-// serve has a call run, or be refused, at its engine.
+// serve runs a call at its engine, or has the engine refuse it.
 func (f *fleet) serve(d calls.Dispatch, reply func(time.Duration, step.Event)) {
 	e := f.engines[d.Replica]
 	if e == nil || e.gone || !e.models[d.Model] || d.Adapter != "" && !e.adapters[d.Model+"/"+d.Adapter] {
-		reply(2*fleetWay, calls.AttemptFailed{ID: d.ID, Attempt: d.Attempt, Phase: 4, Misdirected: true, Incarnation: d.Replica})
+		reply(2*fleetLatency, calls.AttemptFailed{ID: d.ID, Attempt: d.Attempt, Phase: 4, Misdirected: true, Incarnation: d.Replica})
 		return
 	}
 	f.served++
-	reply(f.firstAfter, calls.AnswerBegan{ID: d.ID})
+	reply(f.firstTokenDelay, calls.AnswerBegan{ID: d.ID})
 	reply(400*time.Millisecond, calls.Completed{ID: d.ID})
 }
 
-// in returns the era that the numbers of a call are of, for storeCall.
-func in(e era.Era) *era.Era { return &e }
+// ofEra returns a pointer to e, the era of the revisions and leases in a call, for storeCall.
+func ofEra(e era.Era) *era.Era { return &e }
 
-// storeCall makes one call of the store. A write may take effect without an
-// answer, and seconds later. made is the era that the numbers of the call are of, nil if it has
-// none: a call of another era than the one known isn't sent, and one whose answer is of another
-// isn't answered.
-func (f *fleet) storeCall(n *fleetMember, made *era.Era, do func() (ev step.Event, write bool), failed func(error) step.Event, reply func(time.Duration, step.Event)) {
+// storeCall makes one call to the store. A call may get no response and still be executed, up to
+// six seconds later. callEra is the era of the revisions and leases in the call, or nil if it
+// contains none. A call made in another era than the member knows is not sent; if its response
+// comes from another era, the call fails.
+func (f *fleet) storeCall(n *fleetMember, callEra *era.Era, do func() (ev step.Event, write bool), failed func(error) step.Event, reply func(time.Duration, step.Event)) {
 	errLost := errors.New("no answer")
-	former := func() bool { return made != nil && *made != n.known }
-	if former() {
-		reply(fleetWay, ownership.EraObserved{Era: n.known})
-		reply(fleetWay, failed(errors.New("a number of a former era")))
+	outdated := func() bool { return callEra != nil && *callEra != n.knownEra }
+	if outdated() {
+		reply(fleetLatency, ownership.EraObserved{Era: n.knownEra})
+		reply(fleetLatency, failed(errors.New("revision of a former era")))
 		return
 	}
-	if n.noStore || f.cut[n.id.Zone] {
+	if n.noStore || f.cutZones[n.id.Zone] {
 		reply(time.Second, failed(errLost))
 		return
 	}
-	f.at(fleetWay, func() {
-		f.called = append(f.called, f.now)
+	f.at(fleetLatency, func() {
+		f.storeCallTimes = append(f.storeCallTimes, f.now)
 		if f.store.down {
-			reply(fleetWay, failed(errors.New("refused")))
+			reply(fleetLatency, failed(errors.New("refused")))
 			return
 		}
-		if f.rng.Float64() < f.lost {
+		if f.rng.Float64() < f.lostShare {
 			f.at(time.Duration(f.rng.IntN(6000))*time.Millisecond, func() { do() })
 			reply(time.Second, failed(errLost))
 			return
 		}
 		ev, write := do()
 		if write {
-			f.writes = append(f.writes, f.now)
+			f.storeWriteTimes = append(f.storeWriteTimes, f.now)
 		}
-		n.known = f.store.era
-		if former() {
-			reply(fleetWay, ownership.EraObserved{Era: n.known})
-			reply(fleetWay, failed(errors.New("answered in a later era")))
+		n.knownEra = f.store.era
+		if outdated() {
+			reply(fleetLatency, ownership.EraObserved{Era: n.knownEra})
+			reply(fleetLatency, failed(errors.New("response from a later era")))
 			return
 		}
-		reply(fleetWay, ev)
+		reply(fleetLatency, ev)
 	})
 }
 
-// number returns a number that the store gives out now.
-func (f *fleet) number(raw uint64) era.Revision { return f.store.era.Revision(raw) }
+// revisionOf returns raw as a revision of the store's current era.
+func (f *fleet) revisionOf(raw uint64) era.Revision { return f.store.era.Revision(raw) }
 
-func (f *fleet) change(key string, v *fleetValue) uint64 {
+// setKey writes a key of the store, or deletes it if v is nil, and returns the new revision.
+func (f *fleet) setKey(key string, v *fleetValue) uint64 {
 	f.store.revision++
 	if v != nil {
 		v.revision = f.store.revision
@@ -566,39 +570,41 @@
 	return f.store.revision
 }
 
+// announce writes an engine's entry to the store.
 func (f *fleet) announce(e *fleetEngine) {
-	a := &pool.Announcement{Service: "llm", Address: cmp.Or(e.address, e.name), Zone: e.zone, Slots: 8, Engine: true, Born: fmt.Sprint(e.born), Leaving: e.leaving}
+	a := &pool.Announcement{Service: "llm", Address: cmp.Or(e.address, e.name), Zone: e.zone, Slots: 8, Engine: true, Born: fmt.Sprint(e.restarts), Leaving: e.leaving}
 	for _, m := range sortedKeys(e.models) {
 		a.Models = append(a.Models, pool.AnnouncedModel{Name: m})
 	}
 	a.OnDisk = sortedKeys(e.onDisk)
-	f.change("servers/"+e.name, &fleetValue{data: a})
+	f.setKey("servers/"+e.name, &fleetValue{data: a})
 }
 
-// startAgain has an engine that ended start again under its name. It has forgotten which
-// orders it took; its models are put back, as its operators would, so that the fleet does
-// not run out of them.
-func (f *fleet) startAgain(e *fleetEngine) {
+// restartEngine restarts an engine that ended, under the same name. It has no record of the orders
+// it executed, and its adapters are lost. Its models are kept, as if its operators had restored
+// them, so that the fleet does not run out of models.
+func (f *fleet) restartEngine(e *fleetEngine) {
 	e.dead = false
 	e.busy = false
-	e.born++
+	e.restarts++
 	e.sequence = 0
 	e.fence = 0
 	e.adapters = map[string]bool{}
-	e.took = nil
+	e.loadedAdapters = nil
 	f.announce(e)
 }
 
+// enrol registers a member under a new lease.
 func (f *fleet) enrol(n *fleetMember, a ownership.Enrol) step.Event {
-	f.store.next++
-	lease := f.store.next
+	f.store.nextLease++
+	lease := f.store.nextLease
 	f.store.leases[lease] = &fleetLease{expires: f.now + a.Term, term: a.Term}
 	i := a.Instance
-	f.change("instances/"+i.Name, &fleetValue{data: &i, lease: lease})
+	f.setKey("instances/"+i.Name, &fleetValue{data: &i, lease: lease})
 	return ownership.EnrolReply{Sent: f.clock(n), Lease: era.Lease{Era: f.store.era, ID: lease}}
 }
 
-// leaseOf returns the lease on which the member's record hangs, 0 if it has none.
+// leaseOf returns the lease of the member's record, or 0 if it has none.
 func (f *fleet) leaseOf(n *fleetMember) uint64 {
 	if v := f.store.values["instances/"+n.id.Name]; v != nil {
 		return v.lease
@@ -608,8 +614,8 @@
 
 func sortedKeys[V any](of map[string]V) []string { return slices.Sorted(maps.Keys(of)) }
 
-// endLease ends a lease and what hangs on it. 0 is no lease: what hangs on none
-// stays.
+// endLease ends a lease and deletes the keys attached to it. Lease 0 means no lease; keys without
+// one are kept.
 func (f *fleet) endLease(lease uint64) {
 	if lease == 0 {
 		return
@@ -617,26 +623,28 @@
 	delete(f.store.leases, lease)
 	for _, key := range sortedKeys(f.store.values) {
 		if f.store.values[key].lease == lease {
-			f.change(key, nil)
+			f.setKey(key, nil)
 		}
 	}
 }
 
-// expire ends the leases whose time is over, while the store is up.
-func (f *fleet) expire() {
-	var over []uint64
+// expireLeases ends expired leases every 100 ms, while the store is up.
+func (f *fleet) expireLeases() {
+	var expired []uint64
 	for id, l := range f.store.leases {
 		if !f.store.down && f.now >= l.expires {
-			over = append(over, id)
+			expired = append(expired, id)
 		}
 	}
-	sort.Slice(over, func(i, j int) bool { return over[i] < over[j] })
-	for _, id := range over {
+	sort.Slice(expired, func(i, j int) bool { return expired[i] < expired[j] })
+	for _, id := range expired {
 		f.endLease(id)
 	}
-	f.at(100*time.Millisecond, f.expire)
+	f.at(100*time.Millisecond, f.expireLeases)
 }
 
+// writeOwnership writes the owner record of an engine if its revision is still o.Revision, and
+// reports whether it did.
 func (f *fleet) writeOwnership(o registry.Ownership) bool {
 	key := "owners/" + o.Engine
 	have := uint64(0)
@@ -646,12 +654,12 @@
 	if have != o.Revision.Raw() {
 		return false
 	}
-	f.change(key, &fleetValue{data: &o})
+	f.setKey(key, &fleetValue{data: &o})
 	return true
 }
 
-// writePlacer writes the placer's record under the condition of its revision, and
-// returns the new one, 0 if the condition did not hold.
+// writePlacer writes the placer's record if its revision is still p.Revision. It returns the new
+// revision, or 0 if the condition did not hold.
 func (f *fleet) writePlacer(p registry.Placer, lease uint64) era.Revision {
 	have := uint64(0)
 	if v := f.store.values["placer"]; v != nil {
@@ -660,37 +668,41 @@
 	if have != p.Revision.Raw() {
 		return 0
 	}
-	return f.number(f.change("placer", &fleetValue{data: &p, lease: lease}))
+	return f.revisionOf(f.setKey("placer", &fleetValue{data: &p, lease: lease}))
 }
 
-// marked reports whether the mark of an era stands at a revision, or none is asked for.
-func (f *fleet) marked(in era.Era, mark era.Revision) bool {
+// hasEraMark reports whether the record that marks era e exists with the revision mark. If mark is
+// 0, no record is required and the result is true.
+func (f *fleet) hasEraMark(e era.Era, mark era.Revision) bool {
 	if mark == 0 {
 		return true
 	}
-	v := f.store.values[registry.EraRecord{Era: in}.Key()]
+	v := f.store.values[registry.EraRecord{Era: e}.Key()]
 	return v != nil && v.revision == mark.Raw()
 }
 
-// writeMark writes an era's mark where there is none, and removes those of former eras.
-func (f *fleet) writeMark(w ownership.Txn) era.Revision {
+// writeEraMark writes the mark of an era and deletes the marks of former eras. It returns the new
+// revision, or 0 if the mark already exists.
+func (f *fleet) writeEraMark(w ownership.Txn) era.Revision {
 	if f.store.values[w.Mark.Key()] != nil {
 		return 0
 	}
 	for _, e := range w.Former {
-		f.change(registry.EraRecord{Era: e}.Key(), nil)
+		f.setKey(registry.EraRecord{Era: e}.Key(), nil)
 	}
-	return f.number(f.change(w.Mark.Key(), &fleetValue{data: w.Mark}))
+	return f.revisionOf(f.setKey(w.Mark.Key(), &fleetValue{data: w.Mark}))
 }
 
-func (f *fleet) write(a ownership.Write, sent clock.Instant) step.Event {
+// commitWrite executes one conditional write: of an era mark, of the record of the placer, or of
+// claims of engines. If a condition does not hold, it reports a conflict and writes nothing.
+func (f *fleet) commitWrite(a ownership.Write, sent clock.Instant) step.Event {
 	r := ownership.WriteReply{Write: a.Write}
 	if a.Write.Mark != nil {
-		r.Revision = f.writeMark(a.Write)
+		r.Revision = f.writeEraMark(a.Write)
 		r.Conflict = r.Revision == 0
 		return r
 	}
-	if !f.marked(a.Write.Era(), a.Write.Depends) {
+	if !f.hasEraMark(a.Write.Era(), a.Write.Depends) {
 		r.Conflict = true
 		return r
 	}
@@ -701,7 +713,7 @@
 		r.Conflict = r.Revision == 0
 		return r
 	}
-	f.claims = max(f.claims, len(a.Write.Claim))
+	f.maxClaims = max(f.maxClaims, len(a.Write.Claim))
 	for _, o := range a.Write.Claim {
 		v := f.store.values["owners/"+o.Engine]
 		if (v == nil) != (o.Revision == 0) || v != nil && v.revision != o.Revision.Raw() {
@@ -709,7 +721,7 @@
 			return r
 		}
 	}
-	// All of one write have the same revision.
+	// All keys of one write get the same revision.
 	f.store.revision++
 	for _, o := range a.Write.Claim {
 		own := o
@@ -717,83 +729,84 @@
 		f.store.values["owners/"+o.Engine] = v
 		f.store.log = append(f.store.log, fleetChange{key: "owners/" + o.Engine, value: v, revision: f.store.revision})
 	}
-	r.Revision = f.number(f.store.revision)
+	r.Revision = f.revisionOf(f.store.revision)
 	return r
 }
 
-// A fleetWatch is a watch that waits at the store.
+// A fleetWatch is a watch that is pending at the store.
 type fleetWatch struct {
-	id    uint64
-	boot  uint64
-	whole bool          // it asks for everything
-	until time.Duration // when the store answers it even if nothing changed
-	limit time.Duration // when its member gives it up
-	hung  bool          // nothing comes on its connection any more
-	cut   bool          // its connection is reset
+	id        uint64
+	boot      uint64
+	whole     bool          // it requests a full read
+	waitUntil time.Duration // when the store responds even without a change
+	deadline  time.Duration // when the member times out
+	hung      bool          // its connection delivers nothing more
+	reset     bool          // its connection is reset
 }
 
-// fleetPage is how many items a page of the whole has.
+// fleetPage is the number of items in a page of a full read.
 const fleetPage = 500
 
-// watchLimit is how long beyond its wait a member waits for the answer to a watch.
+// watchLimit is how long after the end of its wait a watch times out at the member.
 const watchLimit = 600 * time.Millisecond
 
-// readLimit is how long a member waits for the whole.
+// readLimit is the time after which a full read times out.
 const readLimit = 3 * time.Second
 
-// watch begins a watch, which answers when something changed or when the wait is over.
+// watch starts a watch, which the store answers when something changes or the wait ends.
 func (f *fleet) watch(n *fleetMember, boot uint64, a watch.SendRequest) {
-	w := &fleetWatch{id: a.ID, boot: boot, whole: a.Wait == 0, until: f.now + a.Wait, limit: f.now + a.Wait + watchLimit}
+	w := &fleetWatch{id: a.ID, boot: boot, whole: a.Wait == 0, waitUntil: f.now + a.Wait, deadline: f.now + a.Wait + watchLimit}
 	if w.whole {
-		w.limit = f.now + readLimit
+		w.deadline = f.now + readLimit
 	}
-	n.waiting = append(n.waiting, w)
+	n.pendingWatches = append(n.pendingWatches, w)
 	pages := 1
 	if w.whole {
 		pages += len(f.store.values) / fleetPage
 	}
 	for range pages {
-		f.called = append(f.called, f.now)
+		f.storeCallTimes = append(f.storeCallTimes, f.now)
 	}
 	f.poll(n, w)
 }
 
-// poll looks if a watch has an answer.
+// poll answers or fails a watch if it is due, and otherwise checks it again 20 ms later.
 func (f *fleet) poll(n *fleetMember, w *fleetWatch) {
-	fails := func(at time.Duration, why string) {
-		n.waiting = slices.DeleteFunc(n.waiting, func(x *fleetWatch) bool { return x == w })
-		f.at(max(fleetWay, at-f.now), func() { f.step(n, w.boot, watch.Reply{ID: w.id, Err: errors.New(why)}) })
+	failWatch := func(at time.Duration, why string) {
+		n.pendingWatches = slices.DeleteFunc(n.pendingWatches, func(x *fleetWatch) bool { return x == w })
+		f.at(max(fleetLatency, at-f.now), func() { f.step(n, w.boot, watch.Reply{ID: w.id, Err: errors.New(why)}) })
 	}
 	switch {
 	case n.dead || n.boot != w.boot:
 		return
 	case w.hung:
-		fails(w.limit, "no answer")
+		failWatch(w.deadline, "no answer")
 		return
-	case w.cut, f.store.closed && !n.noStore && !n.deaf && !f.cut[n.id.Zone]:
-		fails(f.now, "refused")
+	case w.reset, f.store.refusesConnections && !n.noStore && !n.noUpdates && !f.cutZones[n.id.Zone]:
+		failWatch(f.now, "refused")
 		return
-	case n.noStore || n.deaf || f.store.down || f.cut[n.id.Zone]:
-		fails(w.limit, "no answer")
+	case n.noStore || n.noUpdates || f.store.down || f.cutZones[n.id.Zone]:
+		failWatch(w.deadline, "no answer")
 		return
 	}
 	f.watches++
-	whole := w.whole || n.after == 0 || n.after.Era() != f.store.era
-	at, changes := f.number(f.store.revision), f.changesFor(n, whole)
-	if f.now < f.store.mute && !whole {
-		at, changes = n.after, nil
+	whole := w.whole || n.watchPosition == 0 || n.watchPosition.Era() != f.store.era
+	at, changes := f.revisionOf(f.store.revision), f.changesFor(n, whole)
+	if f.now < f.store.muteUntil && !whole {
+		at, changes = n.watchPosition, nil
 	}
-	if len(changes) == 0 && f.now < w.until {
+	if len(changes) == 0 && f.now < w.waitUntil {
 		f.at(20*time.Millisecond, func() { f.poll(n, w) })
 		return
 	}
-	n.waiting = slices.DeleteFunc(n.waiting, func(x *fleetWatch) bool { return x == w })
-	n.known = f.store.era
-	n.after = max(n.after, at)
-	f.at(fleetWay, func() { f.deliver(n, w, changes, at, whole) })
+	n.pendingWatches = slices.DeleteFunc(n.pendingWatches, func(x *fleetWatch) bool { return x == w })
+	n.knownEra = f.store.era
+	n.watchPosition = max(n.watchPosition, at)
+	f.at(fleetLatency, func() { f.deliver(n, w, changes, at, whole) })
 }
 
-// changesFor returns what a member's watch has not brought yet.
+// changesFor returns the changes that a member's watch has not received yet, or all values for a
+// full read.
 func (f *fleet) changesFor(n *fleetMember, whole bool) (changes []fleetChange) {
 	if whole {
 		for _, key := range sortedKeys(f.store.values) {
@@ -802,13 +815,14 @@
 		return changes
 	}
 	for _, c := range f.store.log {
-		if c.revision > n.after.Raw() {
+		if c.revision > n.watchPosition.Raw() {
 			changes = append(changes, c)
 		}
 	}
 	return changes
 }
 
+// deliver delivers the response to a watch: the changes and, for a full read, the configuration.
 func (f *fleet) deliver(n *fleetMember, w *fleetWatch, changes []fleetChange, at era.Revision, whole bool) {
 	if whole {
 		snapshot, err := config.NewSnapshot(f.doc)
@@ -827,25 +841,28 @@
 	f.step(n, w.boot, watch.Reply{ID: w.id, Whole: whole})
 }
 
-func addFleetChange(list *listing.Reply, reg *ownership.WatchUpdate, c fleetChange, in era.Era) {
-	kind, name, _ := cutKey(c.key)
+// addFleetChange adds a change that the store made in era e to the list update or to the registry
+// update.
+func addFleetChange(list *listing.Reply, reg *ownership.WatchUpdate, c fleetChange, e era.Era) {
+	kind, name, _ := splitKey(c.key)
 	gone := c.value == nil
 	if kind == "servers" {
-		l := gossip.Listed{Name: name, Kind: gossip.Upstream, Version: in.Revision(c.revision), Gone: gone}
+		l := gossip.Listed{Name: name, Kind: gossip.Upstream, Version: e.Revision(c.revision), Gone: gone}
 		if !gone {
 			l.Announced = c.value.data.(*pool.Announcement)
 		}
 		list.Entries = append(list.Entries, l)
 		return
 	}
-	rec := registry.Record{Key: c.key, Revision: in.Revision(c.revision), Gone: gone}
+	rec := registry.Record{Key: c.key, Revision: e.Revision(c.revision), Gone: gone}
 	if !gone {
 		rec.Data = c.value.data.(interface{ Value() registry.Value }).Value().Data
 	}
 	reg.Records = append(reg.Records, rec)
 }
 
-func cutKey(key string) (kind, name string, ok bool) {
+// splitKey splits a key at its first slash.
+func splitKey(key string) (kind, name string, ok bool) {
 	for i := range key {
 		if key[i] == '/' {
 			return key[:i], key[i+1:], true
@@ -854,6 +871,7 @@
 	return key, "", false
 }
 
+// state returns the state that the engine reports to its owner.
 func (e *fleetEngine) state() orders.State {
 	s := orders.State{Sequence: e.sequence, Busy: e.busy}
 	for _, m := range sortedKeys(e.models) {
@@ -868,47 +886,48 @@
 	return s
 }
 
-// sendOrder carries an order to its engine, perhaps without an answer and late.
+// sendOrder delivers an order to its engine. A random lateShare of the orders get no reply and are
+// executed late.
 func (f *fleet) sendOrder(n *fleetMember, a owned.SendOrder, reply func(time.Duration, step.Event)) {
 	f.orders++
-	out := func(answer orders.Answer) step.Event {
+	newReply := func(answer orders.Answer) step.Event {
 		return owned.OrderReply{Engine: a.Engine, Fence: a.Fence, Answer: answer}
 	}
-	if f.rng.Float64() < f.late {
-		f.at(fleetWay, func() { f.checkHolder(n.id.Name, a) })
-		f.at(time.Duration(2000+f.rng.IntN(10000))*time.Millisecond, func() { f.carryOut(a) })
-		reply(500*time.Millisecond, out(orders.AnswerLost))
+	if f.rng.Float64() < f.lateShare {
+		f.at(fleetLatency, func() { f.checkOwnerChange(n.id.Name, a) })
+		f.at(time.Duration(2000+f.rng.IntN(10000))*time.Millisecond, func() { f.applyOrder(a) })
+		reply(500*time.Millisecond, newReply(orders.AnswerLost))
 		return
 	}
-	f.at(fleetWay, func() {
-		f.checkHolder(n.id.Name, a)
-		reply(fleetWay, out(f.carryOut(a)))
+	f.at(fleetLatency, func() {
+		f.checkOwnerChange(n.id.Name, a)
+		reply(fleetLatency, newReply(f.applyOrder(a)))
 	})
 }
 
-// checkHolder checks that orders of two holders do not take turns too quickly,
-// and that fences only rise.
-func (f *fleet) checkHolder(holder string, a owned.SendOrder) {
+// checkOwnerChange checks that the orders of two owners are at least Options.TurnGap apart and
+// that fences only increase.
+func (f *fleet) checkOwnerChange(sender string, a owned.SendOrder) {
 	e := f.engines[a.Engine]
-	if e.holder != "" && e.holder != holder && f.now-e.heldAt < f.opt.TurnGap {
-		f.fault("%s ordered %s %v after %s", holder, e.name, f.now-e.heldAt, e.holder)
+	if e.orderedBy != "" && e.orderedBy != sender && f.now-e.orderedAt < f.opt.TurnGap {
+		f.recordViolation("%s ordered %s %v after %s", sender, e.name, f.now-e.orderedAt, e.orderedBy)
 	}
-	if a.Fence < e.fence || a.Fence == e.fence && e.holder != holder && e.holder != "" {
-		f.fault("%s ordered %s under fence %v after %v of %s", holder, e.name, a.Fence, e.fence, e.holder)
+	if a.Fence < e.fence || a.Fence == e.fence && e.orderedBy != sender && e.orderedBy != "" {
+		f.recordViolation("%s ordered %s under fence %v after %v of %s", sender, e.name, a.Fence, e.fence, e.orderedBy)
 	}
-	e.holder = holder
-	e.heldAt = f.now
+	e.orderedBy = sender
+	e.orderedAt = f.now
 	e.fence = a.Fence
 }
 
-// carryOut does what an order says, and checks that there is room for it.
-func (f *fleet) carryOut(a owned.SendOrder) orders.Answer {
+// applyOrder executes an order at its engine, and checks that the engine has room for the item.
+func (f *fleet) applyOrder(a owned.SendOrder) orders.Answer {
 	e := f.engines[a.Engine]
 	r := a.Request
 	model, adapter := r.Model, r.Item()
 	switch {
 	case e.dead:
-		e.afterEnd++
+		e.ordersAfterEnd++
 		return orders.AnswerNotSent
 	case e.gone:
 		return orders.AnswerMisdirected
@@ -923,12 +942,12 @@
 				return orders.AnswerInvalid
 			}
 			e.adapters[adapter] = true
-			if e.took == nil {
-				e.took = map[string]bool{}
+			if e.loadedAdapters == nil {
+				e.loadedAdapters = map[string]bool{}
 			}
-			e.took[adapter] = true
+			e.loadedAdapters[adapter] = true
 			if len(e.adapters) > 2 {
-				f.fault("%s holds %d adapters", e.name, len(e.adapters))
+				f.recordViolation("%s holds %d adapters", e.name, len(e.adapters))
 			}
 		} else {
 			delete(e.adapters, adapter)
@@ -943,35 +962,35 @@
 	e.sequence++
 	e.busy = true
 	if !r.Load {
-		// It waits for its runs.
-		f.inThisLife(e, time.Duration(100+f.rng.IntN(5000))*time.Millisecond, func() { f.unloaded(e, model) })
+		// An unload waits for the calls that use the model.
+		f.unlessRestarted(e, time.Duration(100+f.rng.IntN(5000))*time.Millisecond, func() { f.finishUnload(e, model) })
 		return orders.AnswerAccepted
 	}
 	if len(e.models)+1 > 3 {
-		f.fault("%s was ordered to load more than it holds", e.name)
+		f.recordViolation("%s was ordered to load more models than it can hold", e.name)
 	}
 	e.pending = model
-	took := 4 * time.Second
+	loadTime := 4 * time.Second
 	if e.onDisk[model] {
-		took = 800 * time.Millisecond
+		loadTime = 800 * time.Millisecond
 	} else {
-		f.countLoad()
+		f.checkLoadRate()
 	}
-	f.inThisLife(e, took, func() { f.loaded(e, model) })
+	f.unlessRestarted(e, loadTime, func() { f.finishLoad(e, model) })
 	return orders.AnswerAccepted
 }
 
-// inThisLife has an engine do something after a span, if it has not started again by then.
-func (f *fleet) inThisLife(e *fleetEngine, after time.Duration, do func()) {
-	born := e.born
-	f.at(after, func() {
-		if e.born == born {
+// unlessRestarted calls do after a delay, unless the engine has restarted by then.
+func (f *fleet) unlessRestarted(e *fleetEngine, delay time.Duration, do func()) {
+	restarts := e.restarts
+	f.at(delay, func() {
+		if e.restarts == restarts {
 			do()
 		}
 	})
 }
 
-func (f *fleet) loaded(e *fleetEngine, model string) {
+func (f *fleet) finishLoad(e *fleetEngine, model string) {
 	e.busy = false
 	e.models[model] = true
 	e.onDisk[model] = true
@@ -982,7 +1001,7 @@
 	f.announce(e)
 }
 
-func (f *fleet) unloaded(e *fleetEngine, model string) {
+func (f *fleet) finishUnload(e *fleetEngine, model string) {
 	e.busy = false
 	delete(e.models, model)
 	for a := range e.adapters {
@@ -993,53 +1012,55 @@
 	f.announce(e)
 }
 
-// countLoad checks the loads from the weight store that began within 5 s.
-func (f *fleet) countLoad() {
+// checkLoadRate records a load from the weight store, and checks the number of loads that started
+// within the last 5 s.
+func (f *fleet) checkLoadRate() {
 	const window = 5 * time.Second
-	f.loads = append(f.loads, f.now)
+	f.loadTimes = append(f.loadTimes, f.now)
 	n := 0
-	for _, at := range f.loads {
+	for _, at := range f.loadTimes {
 		if f.now-at <= window {
 			n++
 		}
 	}
-	if most := fleetRate*5*1.1 + 3; float64(n) > most {
-		f.fault("%d loads from the store within %v", n, window)
+	if maxLoads := fleetLoadRate*5*1.1 + 3; float64(n) > maxLoads {
+		f.recordViolation("%d loads from the weight store within %v", n, window)
 	}
 }
 
-func (f *fleet) askPeer(n *fleetMember, a orderclient.SendRequest, reply func(time.Duration, step.Event)) {
+// requestOrder delivers an order request to a peer and the reply back.
+func (f *fleet) requestOrder(n *fleetMember, a orderclient.SendRequest, reply func(time.Duration, step.Event)) {
 	p := f.members[a.Peer]
-	out := func(outcome owned.Outcome) step.Event {
+	newReply := func(outcome owned.Outcome) step.Event {
 		return orderclient.Reply{Engine: a.Engine, Request: a.Request, Outcome: outcome}
 	}
-	if p == nil || p.dead || p.frozen || f.severed(n.id.Zone, p.id.Zone) {
-		reply(time.Second, out(owned.Failed))
+	if p == nil || p.dead || p.frozen || f.partitioned(n.id.Zone, p.id.Zone) {
+		reply(time.Second, newReply(owned.Failed))
 		return
 	}
-	f.at(fleetWay, func() {
+	f.at(fleetLatency, func() {
 		p.token++
 		token := p.token
-		p.asked[token] = func(o owned.SendReply) { reply(fleetWay, out(o.Outcome)) }
+		p.orderReplies[token] = func(o owned.SendReply) { reply(fleetLatency, newReply(o.Outcome)) }
 		f.step(p, p.boot, owned.RequestReceived{Token: token, Engine: a.Engine, Request: a.Request})
 	})
 }
 
-// askPermit carries a request for a permit to a peer and its answer back.
-func (f *fleet) askPermit(n *fleetMember, a permits.SendRequest, reply func(time.Duration, step.Event)) {
+// requestPermit delivers a permit request to a peer and the reply back.
+func (f *fleet) requestPermit(n *fleetMember, a permits.SendRequest, reply func(time.Duration, step.Event)) {
 	p := f.members[a.Peer]
-	if p == nil || p.dead || p.frozen || p.deaf || n.deaf || f.severed(n.id.Zone, p.id.Zone) {
+	if p == nil || p.dead || p.frozen || p.noUpdates || n.noUpdates || f.partitioned(n.id.Zone, p.id.Zone) {
 		reply(300*time.Millisecond, permits.Reply{Token: a.Token, Err: errors.New("no answer")})
 		return
 	}
 	boot := p.boot
-	f.at(fleetWay, func() {
+	f.at(fleetLatency, func() {
 		p.token++
 		token := p.token
-		p.permits[token] = func(v permits.Decision) { reply(fleetWay, permits.Reply{Token: a.Token, Verdict: v}) }
+		p.permitReplies[token] = func(v permits.Decision) { reply(fleetLatency, permits.Reply{Token: a.Token, Verdict: v}) }
 		f.step(p, boot, permits.RequestReceived{Token: token, From: n.id.Name, Request: a.Request})
 		f.at(a.Request.Wait+300*time.Millisecond, func() {
-			if p.boot == boot && p.permits[token] == nil {
+			if p.boot == boot && p.permitReplies[token] == nil {
 				return
 			}
 			reply(0, permits.Reply{Token: a.Token, Err: errors.New("no answer in time")})
@@ -1047,47 +1068,50 @@
 	})
 }
 
+// exchange delivers the message of an exchange to a peer and the reply back.
 func (f *fleet) exchange(n *fleetMember, a exchange.SendRequest, reply func(time.Duration, step.Event)) {
 	p := f.members[a.Address]
-	if p == nil || p.dead || p.frozen || p.deaf || n.deaf || f.severed(n.id.Zone, p.id.Zone) {
+	if p == nil || p.dead || p.frozen || p.noUpdates || n.noUpdates || f.partitioned(n.id.Zone, p.id.Zone) {
 		reply(time.Second, exchange.Reply{Peer: a.Peer, Address: a.Address, Err: errors.New("no answer")})
 		return
 	}
-	f.at(fleetWay, func() {
+	f.at(fleetLatency, func() {
 		p.token++
 		token := p.token
-		p.answers[token] = func(msg gossip.Message) {
-			reply(fleetWay, exchange.Reply{Peer: a.Peer, Address: a.Address, Message: msg})
+		p.exchangeReplies[token] = func(msg gossip.Message) {
+			reply(fleetLatency, exchange.Reply{Peer: a.Peer, Address: a.Address, Message: msg})
 		}
 		f.step(p, p.boot, exchange.RequestReceived{Token: token, Message: a.Message})
 	})
 }
 
-// severed reports whether there is no way between two zones.
-func (f *fleet) severed(a, b string) bool { return a != b && (f.cut[a] || f.cut[b]) }
+// partitioned reports whether two zones cannot reach each other.
+func (f *fleet) partitioned(a, b string) bool { return a != b && (f.cutZones[a] || f.cutZones[b]) }
 
-// callers has calls come, for models that demand moves over as time goes by.
-func (f *fleet) callers(every time.Duration) {
-	f.callersOf(every, func() int {
+// startCallers starts callers that send a call every interval; the most requested models change
+// every 7 s.
+func (f *fleet) startCallers(interval time.Duration) {
+	f.startCallersFor(interval, func() int {
 		return (int(f.now/(7*time.Second)) + f.rng.IntN(4)*f.rng.IntN(2)) % fleetModels
 	})
 }
 
-// callersOf has calls come at some member, again and again.
-func (f *fleet) callersOf(every time.Duration, model func() int) {
-	f.at(every, func() {
-		f.callersOf(every, model)
+// startCallersFor starts callers that send a call to a random member every interval. model returns
+// the number of the model for each call.
+func (f *fleet) startCallersFor(interval time.Duration, model func() int) {
+	f.at(interval, func() {
+		f.startCallersFor(interval, model)
 		n := f.members[f.names[f.rng.IntN(len(f.names))]]
 		if !n.dead && !n.frozen {
-			f.token()
+			f.nextID()
 			adapter := ""
-			if f.rng.Float64() < f.adapters {
+			if f.rng.Float64() < f.adapterShare {
 				adapter = fmt.Sprintf("a%d", f.rng.IntN(4))
 			}
 			r := calls.Request{
-				ID: calls.ID(f.order), Path: "/x", Replayable: true, PromptTokens: f.tokens,
+				ID: calls.ID(f.eventSeq), Path: "/x", Replayable: true, PromptTokens: f.promptTokens,
 				Forward: &calls.ForwardRequest{
-					Name: fmt.Sprint(f.order), Fingerprint: crash.Fingerprint(f.order) << 32,
+					Name: fmt.Sprint(f.eventSeq), Fingerprint: crash.Fingerprint(f.eventSeq) << 32,
 					Host: "h", Model: fmt.Sprintf("m%d", model()), Adapter: adapter,
 				},
 			}
@@ -1106,73 +1130,75 @@
 	})
 }
 
-func (f *fleet) token() { f.order++ }
+// nextID advances eventSeq, which also serves as the source of call IDs.
+func (f *fleet) nextID() { f.eventSeq++ }
 
-// A fleetStorm is what goes wrong in one test of the fleet.
+// A fleetStorm is a fault scenario for a fleet.
 type fleetStorm struct {
 	name string
 	do   func(f *fleet)
 }
 
-// again has something done every so often, undone after a while.
-func (f *fleet) again(every, span time.Duration, do func() (undo func())) {
-	f.at(every, func() {
+// periodically calls do every interval, and after span the undo function that do returned, for
+// example to inject and end a fault.
+func (f *fleet) periodically(interval, span time.Duration, do func() (undo func())) {
+	f.at(interval, func() {
 		undo := do()
 		f.at(span, undo)
-		f.again(every, span, do)
+		f.periodically(interval, span, do)
 	})
 }
 
-func (f *fleet) anyMember() *fleetMember { return f.members[f.names[f.rng.IntN(len(f.names))]] }
+func (f *fleet) randomMember() *fleetMember { return f.members[f.names[f.rng.IntN(len(f.names))]] }
 
-// giver returns the member that gave the last order.
-func (f *fleet) giver() *fleetMember {
+// lastOrderSender returns the member that sent the last order, or a random one if none was sent.
+func (f *fleet) lastOrderSender() *fleetMember {
 	var last *fleetEngine
 	for _, name := range sortedKeys(f.engines) {
-		if e := f.engines[name]; e.holder != "" && (last == nil || e.heldAt > last.heldAt) {
+		if e := f.engines[name]; e.orderedBy != "" && (last == nil || e.orderedAt > last.orderedAt) {
 			last = e
 		}
 	}
 	if last == nil {
-		return f.anyMember()
+		return f.randomMember()
 	}
-	return f.members[last.holder]
+	return f.members[last.orderedBy]
 }
 
 var fleetStorms = []fleetStorm{
 	{"calm", func(*fleet) {}},
-	{"orders carried out late", func(f *fleet) { f.late = 0.4 }},
-	{"answers of the store lost", func(f *fleet) { f.lost = 0.4 }},
+	{"orders executed late", func(f *fleet) { f.lateShare = 0.4 }},
+	{"responses of the store lost", func(f *fleet) { f.lostShare = 0.4 }},
 	{"members killed", func(f *fleet) {
-		f.again(6*time.Second, 2*time.Second, func() func() {
-			n := f.giver()
+		f.periodically(6*time.Second, 2*time.Second, func() func() {
+			n := f.lastOrderSender()
 			n.dead = true
 			return func() { f.start(n.id.Name) }
 		})
 	}},
 	{"members frozen", func(f *fleet) {
-		f.again(9*time.Second, 6*time.Second, func() func() {
-			n := f.giver()
+		f.periodically(9*time.Second, 6*time.Second, func() func() {
+			n := f.lastOrderSender()
 			n.frozen = true
 			return func() { f.thaw(n) }
 		})
 	}},
-	{"members cut from the store, their records revoked", func(f *fleet) {
-		f.again(12*time.Second, 9*time.Second, func() func() {
-			n := f.giver()
+	{"members cut off from the store, their records revoked", func(f *fleet) {
+		f.periodically(12*time.Second, 9*time.Second, func() func() {
+			n := f.lastOrderSender()
 			n.noStore = true
 			f.endLease(f.leaseOf(n))
 			return func() { n.noStore = false }
 		})
 	}},
 	{"the store down", func(f *fleet) {
-		f.again(12*time.Second, 6*time.Second, func() func() {
+		f.periodically(12*time.Second, 6*time.Second, func() func() {
 			f.store.down = true
 			return func() { f.store.down = false }
 		})
 	}},
-	{"all killed at once", func(f *fleet) {
-		f.again(15*time.Second, time.Second, func() func() {
+	{"all members killed at once", func(f *fleet) {
+		f.periodically(15*time.Second, time.Second, func() func() {
 			for _, name := range f.names {
 				f.members[name].dead = true
 			}
@@ -1183,54 +1209,54 @@
 			}
 		})
 	}},
-	{"killed while orders are late", func(f *fleet) {
-		f.late = 0.4
-		f.again(7*time.Second, 1500*time.Millisecond, func() func() {
-			n := f.giver()
+	{"members killed while orders are late", func(f *fleet) {
+		f.lateShare = 0.4
+		f.periodically(7*time.Second, 1500*time.Millisecond, func() func() {
+			n := f.lastOrderSender()
 			n.dead = true
 			return func() { f.start(n.id.Name) }
 		})
 	}},
-	{"cut off while answers of the store are lost", func(f *fleet) {
-		f.lost = 0.3
-		f.again(12*time.Second, 7*time.Second, func() func() {
-			n := f.anyMember()
+	{"members cut off while responses of the store are lost", func(f *fleet) {
+		f.lostShare = 0.3
+		f.periodically(12*time.Second, 7*time.Second, func() func() {
+			n := f.randomMember()
 			n.noStore = true
 			f.endLease(f.leaseOf(n))
 			return func() { n.noStore = false }
 		})
 	}},
-	{"members sleep", func(f *fleet) {
-		f.again(16*time.Second, time.Hour, func() func() {
-			f.sleep(f.giver(), 14*time.Second, 0)
+	{"members suspended", func(f *fleet) {
+		f.periodically(16*time.Second, time.Hour, func() func() {
+			f.sleep(f.lastOrderSender(), 14*time.Second, 0)
 			return func() {}
 		})
 	}},
-	{"members sleep, their clocks set back meanwhile", func(f *fleet) {
-		f.again(5*time.Second, time.Hour, func() func() {
-			f.sleep(f.giver(), 14*time.Second, 14*time.Second)
+	{"members suspended, their wall clocks set back meanwhile", func(f *fleet) {
+		f.periodically(5*time.Second, time.Hour, func() func() {
+			f.sleep(f.lastOrderSender(), 14*time.Second, 14*time.Second)
 			return func() {}
 		})
 	}},
-	{"clocks are set", func(f *fleet) {
-		f.again(5*time.Second, 3*time.Second, func() func() {
-			n := f.giver()
+	{"wall clocks changed", func(f *fleet) {
+		f.periodically(5*time.Second, 3*time.Second, func() func() {
+			n := f.lastOrderSender()
 			by := time.Duration(f.rng.IntN(20)-10) * time.Second
-			n.set += by
-			return func() { n.set -= by }
+			n.wallOffset += by
+			return func() { n.wallOffset -= by }
 		})
 	}},
-	{"clocks are set, members sleep and the store is down", func(f *fleet) {
-		f.again(11*time.Second, 5*time.Second, func() func() {
+	{"wall clocks changed, members suspended and the store down", func(f *fleet) {
+		f.periodically(11*time.Second, 5*time.Second, func() func() {
 			f.store.down = true
-			f.sleep(f.giver(), 6*time.Second, 3*time.Second)
-			f.anyMember().set += 5 * time.Second
+			f.sleep(f.lastOrderSender(), 6*time.Second, 3*time.Second)
+			f.randomMember().wallOffset += 5 * time.Second
 			return func() { f.store.down = false }
 		})
 	}},
 	{"planned stops", func(f *fleet) {
-		f.again(8*time.Second, 4*time.Second, func() func() {
-			n := f.giver()
+		f.periodically(8*time.Second, 4*time.Second, func() func() {
+			n := f.lastOrderSender()
 			f.step(n, n.boot, Stop{})
 			f.at(2*time.Second, func() { n.dead = true })
 			return func() { f.start(n.id.Name) }
@@ -1238,9 +1264,10 @@
 	}},
 }
 
-// TestOrdersHoldUnderStorms: whatever fails, no engine is ordered by two members
-// within the turn gap or under a falling fence, none is ordered to hold more
-// than it can, and the weight store's rate is kept; and calls go on being served.
+// TestOrdersHoldUnderStorms checks, for every fault scenario, that no engine gets orders from two
+// members within Options.TurnGap or under a lower fence than before, that no engine is ordered to
+// hold more than it can, that the rate limit of the weight store is kept, and that calls are still
+// served.
 func TestOrdersHoldUnderStorms(t *testing.T) {
 	seeds := 4
 	if testing.Short() {
@@ -1251,12 +1278,12 @@
 			t.Parallel()
 			for seed := range seeds {
 				f := newFleet(uint64(seed+1), 5)
-				f.expire()
+				f.expireLeases()
 				f.run(5 * time.Second)
-				f.callers(40 * time.Millisecond)
+				f.startCallers(40 * time.Millisecond)
 				s.do(f)
 				f.run(45 * time.Second)
-				for _, b := range f.broken {
+				for _, b := range f.violations {
 					t.Errorf("seed %d: %s", seed, b)
 				}
 				if f.orders == 0 || f.served*2 < f.refused {
@@ -1267,22 +1294,22 @@
 	}
 }
 
-// TestEmptyEnginesAreFilledAtTheStoresRate: engines that come back with nothing
-// get their models again, no faster than the weight store allows.
+// TestEmptyEnginesAreFilledAtTheStoresRate checks that engines that return empty get their models
+// again, no faster than the weight store allows.
 func TestEmptyEnginesAreFilledAtTheStoresRate(t *testing.T) {
 	is := is.New(t)
 	f := newFleetWith(3, 5, option.Disabled{}, true)
-	f.expire()
+	f.expireLeases()
 	f.run(5 * time.Second)
-	f.callers(40 * time.Millisecond)
+	f.startCallers(40 * time.Millisecond)
 	f.run(40 * time.Second)
-	is.Equal(f.broken, nil)
-	is.True(len(f.loads) >= 8)
+	is.Equal(f.violations, nil)
+	is.True(len(f.loadTimes) >= 8)
 	is.True(f.served > f.refused)
 }
 
-// TestAStopBeforeAnyConfiguration: an instance that is stopped before it heard of a
-// configuration ends as any other; it once fell over what it would hand over as the placer.
+// TestAStopBeforeAnyConfiguration checks that an instance can stop before it has received a
+// configuration. It used to crash while handing over the duties of the placer.
 func TestAStopBeforeAnyConfiguration(t *testing.T) {
 	opt := option.Default()
 	opt.Environment = option.Platform
@@ -1291,17 +1318,18 @@
 	m.Step(clocktest.At(time.Hour+time.Millisecond), Stop{})
 }
 
-// TestStopsInSeriesKeepTheStoresRate: placers that are stopped one after the other hand
-// their loads over, so that the next one goes on at once and the rate is kept.
+// TestStopsInSeriesKeepTheStoresRate checks that placers that stop one after the other hand their
+// loads over, so that the next placer continues at once and the rate limit of the weight store is
+// kept.
 func TestStopsInSeriesKeepTheStoresRate(t *testing.T) {
 	is := is.New(t)
 	for seed := range 6 {
 		f := newFleetWith(uint64(seed+1), 5, option.Disabled{}, true)
-		f.expire()
+		f.expireLeases()
 		f.run(5 * time.Second)
-		f.callers(40 * time.Millisecond)
+		f.startCallers(40 * time.Millisecond)
 		stopped := 0
-		f.again(4*time.Second, 2*time.Second, func() func() {
+		f.periodically(4*time.Second, 2*time.Second, func() func() {
 			n := f.placer()
 			if n == nil {
 				return func() {}
@@ -1312,13 +1340,13 @@
 			return func() { f.start(n.id.Name) }
 		})
 		f.run(30 * time.Second)
-		is.Equal(f.broken, nil)
+		is.Equal(f.violations, nil)
 		is.True(stopped >= 5)
-		is.True(len(f.loads) >= 8) // half of what the rate allows; without handing over there were 2
+		is.True(len(f.loadTimes) >= 8) // half of what the rate allows; without the handover there were 2
 	}
 }
 
-// placer returns the member that places models, nil if none does.
+// placer returns the member that is the placer, or nil if there is none.
 func (f *fleet) placer() *fleetMember {
 	for _, name := range f.names {
 		n := f.members[name]
@@ -1329,31 +1357,32 @@
 	return nil
 }
 
-// TestClaimsFitIntoOneWrite: an instance that finds many engines unowned claims
-// no more at a time than a write of the store holds. Before, stores refused such
-// claims again and again, and the engines stayed without an owner.
+// TestClaimsFitIntoOneWrite checks that an instance that finds many engines without an owner
+// claims at most as many at a time as one write of the store can hold. Stores used to refuse
+// larger claims again and again, and the engines stayed without an owner.
 func TestClaimsFitIntoOneWrite(t *testing.T) {
 	is := is.New(t)
 	f := newFleetOf(1, 1, 40, option.Disabled{}, false)
-	f.expire()
+	f.expireLeases()
 	f.run(20 * time.Second)
-	is.True(f.claims > 1)
-	is.True(f.claims <= registry.MaxClaims)
+	is.True(f.maxClaims > 1)
+	is.True(f.maxClaims <= registry.MaxClaims)
 	is.Equal(f.members["i0"].m.orders.owned.Len(), 40)
 }
 
-// largeFleet has too many members for all to watch the platform, and callers.
+// largeFleet returns a fleet with callers and with too many members for all of them to watch the
+// platform.
 func largeFleet(seed uint64, disable option.Disabled) *fleet {
 	f := newFleetOf(seed, 2*watchers.FullMeshLimit, 4*fleetEngines, disable, false)
-	f.expire()
+	f.expireLeases()
 	f.run(6 * time.Second)
-	f.callers(15 * time.Millisecond)
+	f.startCallers(15 * time.Millisecond)
 	return f
 }
 
-// TestFewMembersOfALargeFleetWatch: in a large fleet a few members watch the
-// platform and own the engines; the others hear of owners from them and get
-// their orders, and the calls that the platform sees stay few.
+// TestFewMembersOfALargeFleetWatch checks that in a large fleet only a few members watch the
+// platform and own the engines. The other members learn the owners from them and get their orders
+// executed, so the platform receives few calls.
 func TestFewMembersOfALargeFleetWatch(t *testing.T) {
 	is := is.New(t)
 	f := largeFleet(1, option.Disabled{})
@@ -1373,85 +1402,85 @@
 				known++
 			}
 		}
-		is.Equal(known, 4*fleetEngines) // whoever it is knows the owners
+		is.Equal(known, 4*fleetEngines) // every member knows all owners
 	}
 	is.True(owners >= 2)
 	is.True(owners <= 4*f.opt.Watchers)
 	is.True(watching <= 4*f.opt.Watchers)
-	is.Equal(f.broken, nil)
+	is.Equal(f.violations, nil)
 	is.True(f.served > 4*f.refused)
 }
 
-// TestOwnersHearOfTheRegistry: an instance that stops watching must not go on
-// ordering its engines, since another may have taken them. Before, instances of
-// a large fleet owned engines without watching (ONE broke on a day of a grown
-// fleet: the former owner ordered under a lower fence).
+// TestOwnersHearOfTheRegistry checks that an instance that stops watching sends no more orders to
+// its engines, since another instance may have claimed them. In a large fleet, instances used to
+// own engines without watching, and a former owner sent orders under a lower fence (the check
+// named ONE failed in a day-long run of an enlarged fleet).
 func TestOwnersHearOfTheRegistry(t *testing.T) {
 	cases := []struct {
-		name    string
-		disable option.Disabled
-		broken  bool
+		name           string
+		disable        option.Disabled
+		wantViolations bool
 	}{
-		{"owners that hear", option.Disabled{}, false},
-		{"owners that need not", option.Disabled{HearRegistry: true}, true},
+		{"owners need a current registry", option.Disabled{}, false},
+		{"owners may use an outdated registry", option.Disabled{HearRegistry: true}, true},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			broken := 0
+			violations := 0
 			for seed := range 3 {
 				f := largeFleet(uint64(seed+1), c.disable)
-				f.deafOwners()
+				f.dropOwnerRecords()
 				f.run(30 * time.Second)
-				broken += len(f.broken)
+				violations += len(f.violations)
 			}
-			is.Equal(broken > 0, c.broken)
+			is.Equal(violations > 0, c.wantViolations)
 		})
 	}
 }
 
-// deafOwners has the records of members that give orders go without any message, one
-// after the other, while their watches and exchanges are held up and their leases
-// are renewed.
-func (f *fleet) deafOwners() {
-	f.again(9*time.Second, 20*time.Second, func() func() {
-		n := f.giver()
-		n.deaf = true
-		f.change("instances/"+n.id.Name, nil)
-		return func() { n.deaf = false }
+// dropOwnerRecords deletes the records of members that send orders, one after the other. The
+// members do not learn of it: their watches and exchanges are blocked, and their leases are still
+// renewed.
+func (f *fleet) dropOwnerRecords() {
+	f.periodically(9*time.Second, 20*time.Second, func() func() {
+		n := f.lastOrderSender()
+		n.noUpdates = true
+		f.setKey("instances/"+n.id.Name, nil)
+		return func() { n.noUpdates = false }
 	})
 }
 
-// TestFleetStormsFindWhatIsSwitchedOff: each mechanism that keeps orders safe,
-// switched off, is found out by some storm.
-func TestFleetStormsFindWhatIsSwitchedOff(t *testing.T) {
+// TestFleetStormsDetectDisabledMechanisms checks that for each mechanism that keeps orders safe,
+// some storm detects that it is disabled.
+func TestFleetStormsDetectDisabledMechanisms(t *testing.T) {
 	cases := []struct {
-		name    string
-		disable option.Disabled
-		empty   bool
-		steady  bool
+		name              string
+		disable           option.Disabled
+		empty             bool
+		clockStopsInSleep bool
 	}{
-		{"waiting for the former owner's orders", option.Disabled{TurnWait: true}, false, false},
-		{"the rate of the weight store", option.Disabled{Rate: true}, true, false},
-		{"a clock that counts sleep", option.Disabled{}, false, true},
+		{"the wait for the former owner's orders", option.Disabled{TurnWait: true}, false, false},
+		{"the rate limit of the weight store", option.Disabled{Rate: true}, true, false},
+		{"a clock that advances during suspension", option.Disabled{}, false, true},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			for _, s := range fleetStorms {
 				for seed := range 3 {
 					f := newFleetWith(uint64(seed+1), 5, c.disable, c.empty)
-					f.steady = c.steady
-					f.expire()
+					f.clockStopsInSleep = c.clockStopsInSleep
+					f.expireLeases()
 					f.run(5 * time.Second)
-					f.callers(40 * time.Millisecond)
+					f.startCallers(40 * time.Millisecond)
 					s.do(f)
 					f.run(45 * time.Second)
-					if len(f.broken) > 0 {
+					if len(f.violations) > 0 {
 						return
 					}
 				}
 			}
-			t.Errorf("no storm found that %s is switched off", c.name)
+			t.Errorf("no storm detected that %s is disabled", c.name)
 		})
 	}
 }
--- a/core/instance/leaving_test.go
+++ b/core/instance/leaving_test.go
@@ -1,8 +1,11 @@
 package instance
 
-// Seen: a request reached a replica 2.2 s after the store had acknowledged that it leaves; 2 s
-// are allowed. Entries were taken for old after the store had stepped back, later ones took back
-// that a replica leaves, and the waits between the store and a call added up to more than 2 s.
+// Guards against calls that reach a replica too late after it announced that it leaves. A request
+// reached a replica 2.2 s after the store had acknowledged that it leaves; 2 s are allowed.
+//
+// Entries were considered outdated after the store had stepped back, later entries canceled the
+// announcement that a replica leaves, and the waits between the store and a call added up to more
+// than 2 s.
 
 import (
 	"flag"
@@ -21,379 +24,385 @@
 )
 
 var (
-	leaveSeeds = flag.Int("leave.seeds", 2, "seeds of each storm in which engines leave")
-	leaveSizes = flag.Bool("leave.sizes", false, "play engines that leave in fleets of 46 and 370 instances too")
+	leaveSeeds = flag.Int("leave.seeds", 2, "number of seeds per storm with leaving engines")
+	leaveSizes = flag.Bool("leave.sizes", false, "also run the tests of leaving engines with fleets of 46 and 370 instances")
 )
 
-// Bounds of the users' deployments.
+// The bounds that users require of small and of large deployments.
 var (
 	smallBounds = bounds.Bounds{Leave: 2 * time.Second, Settle: 3 * time.Second}
 	largeBounds = bounds.Bounds{Leave: 3 * time.Second, Settle: 4 * time.Second}
 )
 
-// linger is how long an engine serves on after it said that it leaves, or its entry went:
-// longer than any bound, so that each request that comes too late is seen.
-const linger = 6 * time.Second
-
-// A leaveLab has engines leave, and counts the calls that reach them too late.
-type leaveLab struct {
-	f      *fleet
-	bounds bounds.Bounds
-	words  map[*fleetEngine]leaveWord
-	// When the store, and each member, was disturbed last.
-	storeBad  time.Duration
-	memberBad map[string]time.Duration
-	boots     map[string]uint64
-	next      int // number of the next engine
-	late      []string
-	left      int           // engines that left under a stable store
-	oldest    time.Duration // list by which a member that the rule binds sent a call
+// lingerTime is the time for which an engine still serves calls after it announced that it leaves,
+// or after its entry was deleted. It exceeds every bound, so that each late call is seen.
+const lingerTime = 6 * time.Second
+
+// A leaveHarness makes engines leave and records the calls that reach them too late.
+type leaveHarness struct {
+	f            *fleet
+	bounds       bounds.Bounds
+	leaveRecords map[*fleetEngine]leaveRecord
+	// Times of the last disturbance of the store and of each member.
+	storeDisturbedAt  time.Duration
+	memberDisturbedAt map[string]time.Duration
+	boots             map[string]uint64
+	nextEngine        int // number for the name of the next engine
+	lateCalls         []string
+	leftCount         int           // engines that left while the store was stable
+	maxListAge        time.Duration // largest age of the list at a dispatch by a member to which the bound applies
 }
 
-// A leaveWord is when the store took that an engine leaves.
-type leaveWord struct {
+// A leaveRecord records when the store accepted that an engine leaves.
+type leaveRecord struct {
 	at     time.Duration
-	stable bool // the store was, for some time
+	stable bool // whether the store had been undisturbed for Settle by then
 }
 
-func newLeaveLab(f *fleet, b bounds.Bounds) *leaveLab {
-	l := &leaveLab{
-		f: f, bounds: b, words: map[*fleetEngine]leaveWord{}, memberBad: map[string]time.Duration{},
-		boots: map[string]uint64{}, next: len(f.engines), storeBad: -time.Hour,
+func newLeaveHarness(f *fleet, b bounds.Bounds) *leaveHarness {
+	l := &leaveHarness{
+		f: f, bounds: b, leaveRecords: map[*fleetEngine]leaveRecord{}, memberDisturbedAt: map[string]time.Duration{},
+		boots: map[string]uint64{}, nextEngine: len(f.engines), storeDisturbedAt: -time.Hour,
 	}
 	f.leaves = l
 	l.observe()
 	return l
 }
 
-// observe notes who is disturbed, again and again. A watch that hangs, is cut or does not hear
-// of changes is no disturbance: the rule binds all the same.
-func (l *leaveLab) observe() {
+// observe records every 4 ms which members are disturbed. A watch that hangs, is reset or misses
+// changes is not a disturbance: the bound still applies.
+func (l *leaveHarness) observe() {
 	f := l.f
-	if f.store.down || f.store.closed || f.lost > 0 {
-		l.storeBad = f.now
+	if f.store.down || f.store.refusesConnections || f.lostShare > 0 {
+		l.storeDisturbedAt = f.now
 	}
 	for _, name := range f.names {
 		n := f.members[name]
-		if n.dead || n.frozen || n.noStore || n.deaf || f.cut[n.id.Zone] || n.boot != l.boots[name] {
-			l.memberBad[name] = f.now
+		if n.dead || n.frozen || n.noStore || n.noUpdates || f.cutZones[n.id.Zone] || n.boot != l.boots[name] {
+			l.memberDisturbedAt[name] = f.now
 			l.boots[name] = n.boot
 		}
 	}
 	f.at(4*time.Millisecond, l.observe)
 }
 
-// stable reports whether the store was not disturbed for a while.
-func (l *leaveLab) stable() bool { return l.f.now-l.storeBad >= l.bounds.Settle }
+// stable reports whether the store has been undisturbed for Settle.
+func (l *leaveHarness) stable() bool { return l.f.now-l.storeDisturbedAt >= l.bounds.Settle }
 
-// bound reports whether the rule binds a member.
-func (l *leaveLab) bound(n *fleetMember) bool {
-	return l.stable() && l.f.now-l.memberBad[n.id.Name] >= l.bounds.Settle
+// boundApplies reports whether the bound applies to a member: neither it nor the store was
+// disturbed for Settle.
+func (l *leaveHarness) boundApplies(n *fleetMember) bool {
+	return l.stable() && l.f.now-l.memberDisturbedAt[n.id.Name] >= l.bounds.Settle
 }
 
-// sent takes in that a member sends a call to an engine. It reaches it only once a connection is
-// made, which may take as long as the members try.
-func (l *leaveLab) sent(n *fleetMember, d calls.Dispatch) {
+// handleDispatch checks a call that a member sends to an engine. The call reaches the engine when
+// a connection is established, which may take up to the dial timeout, so the check is made after
+// that time.
+func (l *leaveHarness) handleDispatch(n *fleetMember, d calls.Dispatch) {
 	e := l.f.engines[d.Replica]
-	if l.bound(n) {
-		l.oldest = max(l.oldest, d.Forward.ListAge)
+	if l.boundApplies(n) {
+		l.maxListAge = max(l.maxListAge, d.Forward.ListAge)
 	}
 	l.f.at(bounds.DialTimeout, func() {
-		w, ok := l.words[e]
-		if !ok || !w.stable || l.f.now-w.at <= l.bounds.Leave || !l.bound(n) || e.gone {
+		left, ok := l.leaveRecords[e]
+		if !ok || !left.stable || l.f.now-left.at <= l.bounds.Leave || !l.boundApplies(n) || e.gone {
 			return
 		}
-		l.late = append(l.late, fmt.Sprintf("%v: a call of %s reached %s %v after the store had taken that it leaves", l.f.now, n.id.Name, e.name, l.f.now-w.at))
+		l.lateCalls = append(l.lateCalls, fmt.Sprintf("%v: a call of %s reached %s %v after the store accepted that it leaves", l.f.now, n.id.Name, e.name, l.f.now-left.at))
 	})
 }
 
-// any returns an engine that does not leave.
-func (l *leaveLab) any() *fleetEngine {
+// randomStayingEngine returns a random engine that is not leaving.
+func (l *leaveHarness) randomStayingEngine() *fleetEngine {
 	names := sortedKeys(l.f.engines)
 	for {
 		e := l.f.engines[names[l.f.rng.IntN(len(names))]]
-		if _, leaves := l.words[e]; !leaves {
+		if _, leaves := l.leaveRecords[e]; !leaves {
 			return e
 		}
 	}
 }
 
-// leave has an engine leave, by its word or without one, and another one take its place at
-// once.
-func (l *leaveLab) leave(e *fleetEngine, silent bool) {
+// leave makes an engine leave, with or without announcing it, and starts a replacement
+// immediately.
+func (l *leaveHarness) leave(e *fleetEngine, silent bool) {
 	f := l.f
 	l.replace(e)
 	if f.store.down {
-		return // its word is not taken
+		return // the store does not accept the announcement
 	}
-	l.took(e)
-	e.silent = silent
+	l.recordLeave(e)
+	e.leavesSilently = silent
 	e.leaving = !silent
 	if silent {
-		f.change("servers/"+e.name, nil)
+		f.setKey("servers/"+e.name, nil)
 	} else {
 		f.announce(e)
 	}
-	f.at(linger, func() {
+	f.at(lingerTime, func() {
 		e.gone = true
-		f.change("servers/"+e.name, nil)
+		f.setKey("servers/"+e.name, nil)
 	})
 }
 
-// took notes that the store takes at this moment that an engine leaves.
-func (l *leaveLab) took(e *fleetEngine) {
-	w := leaveWord{at: l.f.now, stable: l.stable()}
-	l.words[e] = w
-	if !w.stable {
+// recordLeave records that the store accepts now that an engine leaves.
+func (l *leaveHarness) recordLeave(e *fleetEngine) {
+	left := leaveRecord{at: l.f.now, stable: l.stable()}
+	l.leaveRecords[e] = left
+	if !left.stable {
 		return
 	}
-	l.left++
+	l.leftCount++
 	l.f.at(l.bounds.Leave-bounds.DialTimeout, func() {
-		if l.words[e] == w {
+		if l.leaveRecords[e] == left {
 			l.checkUnused(e)
 		}
 	})
 }
 
-// checkUnused checks that no member that the rule binds would send a call to an engine that comes
-// too late.
-func (l *leaveLab) checkUnused(e *fleetEngine) {
-	for _, n := range l.everyone() {
+// checkUnused checks that no member to which the bound applies would still send a call to a
+// leaving engine that would arrive too late.
+func (l *leaveHarness) checkUnused(e *fleetEngine) {
+	for _, n := range l.allMembers() {
 		r := n.m.state.Pool.Get(e.name)
-		if l.bound(n) && r != nil && (r.Usable() || r.LastResort(l.f.clock(n))) {
-			l.late = append(l.late, fmt.Sprintf("%v: %s would send calls to %s %v after the store had taken that it leaves", l.f.now, n.id.Name, e.name, l.bounds.Leave-bounds.DialTimeout))
+		if l.boundApplies(n) && r != nil && (r.Usable() || r.LastResort(l.f.clock(n))) {
+			l.lateCalls = append(l.lateCalls, fmt.Sprintf("%v: %s would still send calls to %s %v after the store accepted that it leaves", l.f.now, n.id.Name, e.name, l.bounds.Leave-bounds.DialTimeout))
 		}
 	}
 }
 
-// anyLeave has some engine leave.
-func (l *leaveLab) anyLeave() { l.leave(l.any(), l.f.rng.IntN(3) == 0) }
+// randomLeave makes a random engine leave; one in three leaves without announcing it.
+func (l *leaveHarness) randomLeave() { l.leave(l.randomStayingEngine(), l.f.rng.IntN(3) == 0) }
 
-// replace starts an engine that holds what another one does.
-func (l *leaveLab) replace(e *fleetEngine) {
+// replace starts an engine that holds the same models as e.
+func (l *leaveHarness) replace(e *fleetEngine) {
 	f := l.f
 	added := &fleetEngine{
-		name: fmt.Sprintf("e%d", l.next), zone: e.zone,
+		name: fmt.Sprintf("e%d", l.nextEngine), zone: e.zone,
 		models: maps.Clone(e.models), adapters: map[string]bool{}, onDisk: maps.Clone(e.onDisk),
 	}
-	l.next++
+	l.nextEngine++
 	f.engines[added.name] = added
 	f.announce(added)
 }
 
-// hang has nothing come any more on the connections of all watches that wait.
-func (l *leaveLab) hang(members ...*fleetMember) {
+// hangWatches makes the connections of the pending watches of members hang.
+func (l *leaveHarness) hangWatches(members ...*fleetMember) {
 	for _, n := range members {
-		for _, w := range n.waiting {
+		for _, w := range n.pendingWatches {
 			w.hung = true
 		}
 	}
 }
 
-// everyone returns all members.
-func (l *leaveLab) everyone() (members []*fleetMember) {
+// allMembers returns the members, in the order in which they were added.
+func (l *leaveHarness) allMembers() (members []*fleetMember) {
 	for _, name := range l.f.names {
 		members = append(members, l.f.members[name])
 	}
 	return members
 }
 
-// forget has watches hear of no change for a second, then the store forget its history: all
-// watches are cut, with a reset or without a word, and go on from the whole.
-func (l *leaveLab) forget(silent bool) {
+// dropHistory withholds changes from the watches for a second, and then drops the history of the
+// store: the connections of all watches are reset, or hang if hang is set, and the watches
+// continue with a full read.
+func (l *leaveHarness) dropHistory(hang bool) {
 	f := l.f
-	f.store.mute = f.now + time.Second
+	f.store.muteUntil = f.now + time.Second
 	f.at(time.Second, func() {
-		for _, n := range l.everyone() {
-			n.after = 0
-			for _, w := range n.waiting {
-				w.hung = silent
-				w.cut = !silent
+		for _, n := range l.allMembers() {
+			n.watchPosition = 0
+			for _, w := range n.pendingWatches {
+				w.hung = hang
+				w.reset = !hang
 			}
 		}
 	})
 }
 
-// soon has an engine leave within a span.
-func (l *leaveLab) soon(span time.Duration) {
-	l.f.at(time.Duration(l.f.rng.Int64N(int64(span))), l.anyLeave)
+// leaveWithin makes an engine leave at a random time within span.
+func (l *leaveHarness) leaveWithin(span time.Duration) {
+	l.f.at(time.Duration(l.f.rng.Int64N(int64(span))), l.randomLeave)
 }
 
-// down has the store be away for a while, with a word to whoever connects or without one.
-func (l *leaveLab) down(span time.Duration, closed bool) {
+// storeDown takes the store down for span. If refuse is set the store refuses connections;
+// otherwise it does not respond.
+func (l *leaveHarness) storeDown(span time.Duration, refuse bool) {
 	l.f.store.down = true
-	l.f.store.closed = closed
+	l.f.store.refusesConnections = refuse
 	l.f.at(span, func() {
 		l.f.store.down = false
-		l.f.store.closed = false
+		l.f.store.refusesConnections = false
 	})
 }
 
-// churn has every engine write its entry again and again, so that a step back of the store takes
-// many numbers back.
-func (l *leaveLab) churn() {
+// rewriteEntries makes every engine write its entry ten times, so that a later step back of the
+// store rolls back many revisions.
+func (l *leaveHarness) rewriteEntries() {
 	const writes = 10
 	for range writes {
 		for _, name := range sortedKeys(l.f.engines) {
-			if e := l.f.engines[name]; !e.gone && !e.silent {
+			if e := l.f.engines[name]; !e.gone && !e.leavesSilently {
 				l.f.announce(e)
 			}
 		}
 	}
 }
 
-// soonAfter has engines leave as soon as the rule binds again, span from now.
-func (l *leaveLab) soonAfter(span time.Duration) {
-	l.f.at(span+l.bounds.Settle+8*time.Millisecond, l.anyLeave)
-	l.f.at(span+l.bounds.Settle+700*time.Millisecond, l.anyLeave)
+// leaveAfter makes engines leave after a disturbance that ends after span: one as soon as the
+// bound applies again, and another one 0.7 s later.
+func (l *leaveHarness) leaveAfter(span time.Duration) {
+	l.f.at(span+l.bounds.Settle+8*time.Millisecond, l.randomLeave)
+	l.f.at(span+l.bounds.Settle+700*time.Millisecond, l.randomLeave)
 }
 
-// A leaveStorm is what goes wrong beside engines that leave.
+// A leaveStorm is a fault scenario for a fleet with leaving engines.
 type leaveStorm struct {
 	name string
-	do   func(l *leaveLab)
+	do   func(l *leaveHarness)
 }
 
-// every has something done again and again.
-func (l *leaveLab) every(span time.Duration, do func()) {
-	l.f.again(span, time.Hour, func() func() { do(); return func() {} })
+// every calls do once per span.
+func (l *leaveHarness) every(span time.Duration, do func()) {
+	l.f.periodically(span, time.Hour, func() func() { do(); return func() {} })
 }
 
 var leaveStorms = []leaveStorm{
-	{"calm", func(l *leaveLab) { l.every(1300*time.Millisecond, l.anyLeave) }},
-	{"the watches of some hang", func(l *leaveLab) {
+	{"calm", func(l *leaveHarness) { l.every(1300*time.Millisecond, l.randomLeave) }},
+	{"the watches of some hang", func(l *leaveHarness) {
 		l.every(2300*time.Millisecond, func() {
-			l.hang(l.f.anyMember(), l.f.anyMember())
-			l.soon(400 * time.Millisecond)
+			l.hangWatches(l.f.randomMember(), l.f.randomMember())
+			l.leaveWithin(400 * time.Millisecond)
 		})
 	}},
-	{"the watches of all hang", func(l *leaveLab) {
+	{"the watches of all hang", func(l *leaveHarness) {
 		l.every(4100*time.Millisecond, func() {
-			l.hang(l.everyone()...)
-			l.soon(300 * time.Millisecond)
+			l.hangWatches(l.allMembers()...)
+			l.leaveWithin(300 * time.Millisecond)
 		})
 	}},
-	{"history is dropped", func(l *leaveLab) {
+	{"history is dropped", func(l *leaveHarness) {
 		l.every(3700*time.Millisecond, func() {
-			l.forget(false)
-			l.soon(time.Second)
+			l.dropHistory(false)
+			l.leaveWithin(time.Second)
 		})
 	}},
-	{"history is dropped without a word", func(l *leaveLab) {
+	{"history is dropped without a reset", func(l *leaveHarness) {
 		l.every(4700*time.Millisecond, func() {
-			l.forget(true)
-			l.soon(time.Second)
+			l.dropHistory(true)
+			l.leaveWithin(time.Second)
 		})
 	}},
-	{"the store is down", func(l *leaveLab) {
+	{"the store refuses connections", func(l *leaveHarness) {
 		l.every(11*time.Second, func() {
 			span := time.Duration(1+l.f.rng.IntN(5)) * time.Second
-			l.down(span, true)
-			l.soonAfter(span)
+			l.storeDown(span, true)
+			l.leaveAfter(span)
 		})
 	}},
-	{"the store is silent", func(l *leaveLab) {
+	{"the store does not respond", func(l *leaveHarness) {
 		l.every(12*time.Second, func() {
 			span := time.Duration(1+l.f.rng.IntN(6)) * time.Second
-			l.down(span, false)
-			l.soonAfter(span)
+			l.storeDown(span, false)
+			l.leaveAfter(span)
 		})
 	}},
-	{"the store steps back", func(l *leaveLab) {
-		l.f.keepCopies()
+	{"the store steps back", func(l *leaveHarness) {
+		l.f.keepStoreCopies()
 		l.every(9*time.Second, func() {
-			l.anyLeave()
-			l.churn()
+			l.randomLeave()
+			l.rewriteEntries()
 			l.f.at(time.Second, func() {
-				l.f.stepBack(time.Second + l.f.anySpan())
-				l.soonAfter(restoring)
+				l.f.stepBack(time.Second + l.f.randomSpan())
+				l.leaveAfter(restoreTime)
 			})
 		})
 	}},
-	{"replicas that leave are said to be ready", func(l *leaveLab) {
+	{"leaving replicas are listed as ready", func(l *leaveHarness) {
 		l.every(2900*time.Millisecond, func() {
-			e := l.any()
+			e := l.randomStayingEngine()
 			l.leave(e, false)
-			l.f.at(time.Second, func() { // a write of before is carried out late
+			l.f.at(time.Second, func() { // a delayed write from before the announcement
 				e.leaving = false
 				l.f.announce(e)
 			})
 		})
 	}},
-	{"members are killed", func(l *leaveLab) {
-		l.every(1700*time.Millisecond, l.anyLeave)
-		l.f.again(5*time.Second, time.Second, func() func() {
-			n := l.f.anyMember()
+	{"members are killed", func(l *leaveHarness) {
+		l.every(1700*time.Millisecond, l.randomLeave)
+		l.f.periodically(5*time.Second, time.Second, func() func() {
+			n := l.f.randomMember()
 			n.dead = true
 			return func() { l.f.start(n.id.Name) }
 		})
 	}},
-	{"members are frozen", func(l *leaveLab) {
-		l.every(1900*time.Millisecond, l.anyLeave)
-		l.f.again(6*time.Second, 2*time.Second, func() func() {
-			n := l.f.anyMember()
+	{"members are frozen", func(l *leaveHarness) {
+		l.every(1900*time.Millisecond, l.randomLeave)
+		l.f.periodically(6*time.Second, 2*time.Second, func() func() {
+			n := l.f.randomMember()
 			n.frozen = true
 			return func() { l.f.thaw(n) }
 		})
 	}},
-	{"members are cut from the store", func(l *leaveLab) {
-		l.every(1700*time.Millisecond, l.anyLeave)
-		l.f.again(9*time.Second, 4*time.Second, func() func() {
-			n, m := l.f.anyMember(), l.f.anyMember()
+	{"members are cut off from the store", func(l *leaveHarness) {
+		l.every(1700*time.Millisecond, l.randomLeave)
+		l.f.periodically(9*time.Second, 4*time.Second, func() func() {
+			n, m := l.f.randomMember(), l.f.randomMember()
 			n.noStore, m.noStore = true, true
 			return func() { n.noStore, m.noStore = false, false }
 		})
 	}},
-	{"a zone is cut off", func(l *leaveLab) {
-		l.f.cut = map[string]bool{}
-		l.every(1700*time.Millisecond, l.anyLeave)
-		l.f.again(10*time.Second, 4*time.Second, func() func() {
-			l.f.cut["z1"] = true
-			return func() { delete(l.f.cut, "z1") }
+	{"a zone is cut off", func(l *leaveHarness) {
+		l.f.cutZones = map[string]bool{}
+		l.every(1700*time.Millisecond, l.randomLeave)
+		l.f.periodically(10*time.Second, 4*time.Second, func() func() {
+			l.f.cutZones["z1"] = true
+			return func() { delete(l.f.cutZones, "z1") }
 		})
 	}},
 }
 
-// pairs are storms that are played beside each other.
+// leavePairs are pairs of storms that run at the same time.
 var leavePairs = [][2]string{
-	{"replicas that leave are said to be ready", "members are killed"},
+	{"leaving replicas are listed as ready", "members are killed"},
 	{"the store steps back", "members are killed"},
 	{"the store steps back", "the watches of all hang"},
-	{"history is dropped without a word", "members are frozen"},
-	{"history is dropped", "members are cut from the store"},
-	{"the store is down", "the watches of some hang"},
-	{"the store is silent", "members are killed"},
+	{"history is dropped without a reset", "members are frozen"},
+	{"history is dropped", "members are cut off from the store"},
+	{"the store refuses connections", "the watches of some hang"},
+	{"the store does not respond", "members are killed"},
 	{"a zone is cut off", "the watches of all hang"},
 }
 
-// stormOf returns the storm of a name.
-func stormOf(name string) leaveStorm {
+// findStorm returns the leaveStorm with the given name.
+func findStorm(name string) leaveStorm {
 	i := slices.IndexFunc(leaveStorms, func(s leaveStorm) bool { return s.name == name })
 	return leaveStorms[i]
 }
 
-// play plays a storm, alone or beside another, on a fleet of some size.
-func (s leaveStorm) play(seed uint64, size fleetSize, beside ...leaveStorm) *leaveLab {
-	f := newFleetWithin(seed, size.members, size.engines, option.Disabled{}, false, size.bounds)
-	f.adapters = 0.1
-	f.expire()
-	l := newLeaveLab(f, size.bounds)
+// simulate runs a fleet of the given size under the storm and, at the same time, under the
+// concurrent storms.
+func (s leaveStorm) simulate(seed uint64, size fleetSize, concurrent ...leaveStorm) *leaveHarness {
+	f := newFleetWithBounds(seed, size.members, size.engines, option.Disabled{}, false, size.bounds)
+	f.adapterShare = 0.1
+	f.expireLeases()
+	l := newLeaveHarness(f, size.bounds)
 	f.run(8 * time.Second)
-	f.callers(size.callEvery)
+	f.startCallers(size.callEvery)
 	f.run(2 * time.Second)
 	s.do(l)
-	for _, b := range beside {
+	for _, b := range concurrent {
 		b.do(l)
 	}
 	span := size.span
 	if testing.Short() {
-		span = min(span, shortSpan) // enough for each storm to come once
+		span = min(span, shortSpan) // long enough for each fault to occur once
 	}
 	f.run(span)
 	return l
 }
 
-// A fleetSize is how large a fleet is, and how long it is played.
+// A fleetSize is the size of a fleet and the duration of its simulation.
 type fleetSize struct {
 	members, engines int
 	bounds           bounds.Bounds
@@ -401,7 +410,7 @@
 	span             time.Duration
 }
 
-// shortSpan is how long a storm is played with -short, as under the race detector.
+// shortSpan is the duration of a simulation with -short, as used with the race detector.
 const shortSpan = 20 * time.Second
 
 var fleetSizes = []fleetSize{
@@ -410,25 +419,25 @@
 	{370, 100, largeBounds, time.Millisecond, 15 * time.Second},
 }
 
-// check reports what broke.
-func (l *leaveLab) check(t *testing.T, seed int) {
+// check reports late calls, violations of the fleet, and a run in which too little happened.
+func (l *leaveHarness) check(t *testing.T, seed int) {
 	t.Helper()
-	if len(l.late) > 0 {
-		t.Errorf("seed %d: %d calls too late; %s", seed+1, len(l.late), l.late[0])
+	if len(l.lateCalls) > 0 {
+		t.Errorf("seed %d: %d calls reached a leaving engine too late; the first: %s", seed+1, len(l.lateCalls), l.lateCalls[0])
 	}
-	for _, b := range l.f.broken[:min(3, len(l.f.broken))] {
+	for _, b := range l.f.violations[:min(3, len(l.f.violations))] {
 		t.Errorf("seed %d: %s", seed+1, b)
 	}
-	t.Logf("seed %d: oldest list at a send %v, %d engines left, %.3f of calls served", seed+1, l.oldest.Round(time.Millisecond), l.left,
+	t.Logf("seed %d: largest age of a list at a dispatch %v, %d engines left, %.3f of calls served", seed+1, l.maxListAge.Round(time.Millisecond), l.leftCount,
 		float64(l.f.served)/float64(max(1, l.f.served+l.f.refused)))
-	if l.left == 0 || l.f.served < 9*l.f.refused {
-		t.Errorf("seed %d: %d left, %d served, %d refused", seed+1, l.left, l.f.served, l.f.refused)
+	if l.leftCount == 0 || l.f.served < 9*l.f.refused {
+		t.Errorf("seed %d: %d engines left, %d calls served, %d refused", seed+1, l.leftCount, l.f.served, l.f.refused)
 	}
 }
 
-// TestLeavingReplicasGetNoCalls: whatever fails beside it, no call reaches a replica later than
-// the bound after the store took that it leaves, or lost its entry, and calls go on being
-// served.
+// TestLeavingReplicasGetNoCalls checks, for every fault scenario, that no call reaches a replica
+// later than the bound after the store accepted that the replica leaves or after its entry was
+// deleted, and that calls are still served.
 func TestLeavingReplicasGetNoCalls(t *testing.T) {
 	sizes := fleetSizes[:1]
 	if *leaveSizes {
@@ -439,14 +448,15 @@
 			t.Run(fmt.Sprintf("%d instances, %s", size.members, s.name), func(t *testing.T) {
 				t.Parallel()
 				for seed := range *leaveSeeds {
-					s.play(uint64(seed+1), size).check(t, seed)
+					s.simulate(uint64(seed+1), size).check(t, seed)
 				}
 			})
 		}
 	}
 }
 
-// TestLeavingReplicasGetNoCallsInPairsOfStorms is the same where two things go wrong at once.
+// TestLeavingReplicasGetNoCallsInPairsOfStorms checks the same as TestLeavingReplicasGetNoCalls
+// with two fault scenarios at a time.
 func TestLeavingReplicasGetNoCallsInPairsOfStorms(t *testing.T) {
 	sizes := fleetSizes[:1]
 	if *leaveSizes {
@@ -457,28 +467,28 @@
 			t.Run(fmt.Sprintf("%d instances, %s, %s", size.members, p[0], p[1]), func(t *testing.T) {
 				t.Parallel()
 				for seed := range *leaveSeeds {
-					stormOf(p[0]).play(uint64(seed+1), size, stormOf(p[1])).check(t, seed)
+					findStorm(p[0]).simulate(uint64(seed+1), size, findStorm(p[1])).check(t, seed)
 				}
 			})
 		}
 	}
 }
 
-// TestAnOldListIsLogged: a list that is older than it should be is logged once, and once when it
-// is young again; on a calm day nothing is.
+// TestAnOldListIsLogged checks that a list that exceeds its age limit is logged once, and once
+// more when it is current again, and that nothing is logged without faults.
 func TestAnOldListIsLogged(t *testing.T) {
 	for _, tt := range []struct {
 		name string
-		do   func(l *leaveLab)
+		do   func(l *leaveHarness)
 		old  bool
 	}{
-		{"calm", func(*leaveLab) {}, false},
-		{"watches hang", func(l *leaveLab) { l.every(5*time.Second, func() { l.hang(l.everyone()...) }) }, false},
-		{"watches and what is called beside them hang", func(l *leaveLab) {
-			for _, n := range l.everyone() {
-				l.f.again(6*time.Second, 3*time.Second, func() func() {
-					n.deaf = true
-					return func() { n.deaf = false }
+		{"calm", func(*leaveHarness) {}, false},
+		{"watches hang", func(l *leaveHarness) { l.every(5*time.Second, func() { l.hangWatches(l.allMembers()...) }) }, false},
+		{"watches and exchanges fail", func(l *leaveHarness) {
+			for _, n := range l.allMembers() {
+				l.f.periodically(6*time.Second, 3*time.Second, func() func() {
+					n.noUpdates = true
+					return func() { n.noUpdates = false }
 				})
 			}
 		}, true},
@@ -486,13 +496,13 @@
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
 			f := newFleet(1, 5)
-			f.expire()
+			f.expireLeases()
 			f.run(8 * time.Second)
-			f.logged = map[logevent.Number]int{}
-			tt.do(newLeaveLab(f, smallBounds))
+			f.logCounts = map[logevent.Number]int{}
+			tt.do(newLeaveHarness(f, smallBounds))
 			f.run(17 * time.Second)
-			is.Equal(f.logged[logevent.ListOld] > 0, tt.old)
-			is.Equal(f.logged[logevent.ListOld], f.logged[logevent.ListCurrent])
+			is.Equal(f.logCounts[logevent.ListOld] > 0, tt.old)
+			is.Equal(f.logCounts[logevent.ListOld], f.logCounts[logevent.ListCurrent])
 		})
 	}
 }
--- a/core/instance/lives_test.go
+++ b/core/instance/lives_test.go
@@ -1,7 +1,7 @@
 package instance
 
-// Replicas that start again may do so under the name that they had. Their entry has
-// another birth then; they hold nothing, have taken no orders and run no calls.
+// Tests of replicas that restart under their previous name. Their entry then has another value of
+// Born; they hold no models, have executed no orders and run no calls.
 
 import (
 	"testing"
@@ -26,73 +26,73 @@
 	"github.com/birchdrift/birchdrift/core/step"
 )
 
-// startsAgainEmpty has an engine end and start again under its name, with nothing loaded,
-// its entry written anew in place.
-func (l *noticeLab) startsAgainEmpty(e *fleetEngine, after time.Duration) {
+// restartEmpty ends an engine and restarts it under its name with nothing loaded. Its entry is
+// overwritten, not deleted in between.
+func (l *noticeHarness) restartEmpty(e *fleetEngine, delay time.Duration) {
 	e.dead = true
-	l.f.at(after, func() {
+	l.f.at(delay, func() {
 		e.models = map[string]bool{}
 		e.pending = ""
-		l.startAgain(e)
+		l.restartEngine(e)
 	})
 }
 
-// TestAnEngineThatStartsAgainIsOrderedAnew: the owner of an engine that starts again under
-// its name, with nothing loaded and its count of orders at none, has models and adapters
-// loaded there as at any other engine.
+// TestAnEngineThatStartsAgainIsOrderedAnew checks that the owner of an engine that restarts under
+// its name, with nothing loaded and its order sequence at 0, loads models and adapters there as at
+// any other engine.
 func TestAnEngineThatStartsAgainIsOrderedAnew(t *testing.T) {
 	is := is.New(t)
 	for seed := range *noticeSeeds {
-		l := newNoticeLab(newFleetOf(uint64(seed+1), 5, fleetEngines, option.Disabled{}, false))
+		l := newNoticeHarness(newFleetOf(uint64(seed+1), 5, fleetEngines, option.Disabled{}, false))
 		f := l.f
-		f.expire()
+		f.expireLeases()
 		f.run(5 * time.Second)
-		f.callers(20 * time.Millisecond)
+		f.startCallers(20 * time.Millisecond)
 		f.run(10 * time.Second)
 		e := l.engine(1)
 		is.True(e.sequence > 0)
-		l.startsAgainEmpty(e, 1500*time.Millisecond)
-		f.run(4500 * time.Millisecond) // three seconds since it started
-		is.Equal(f.askOwner(e, orders.Request{Load: true, Model: "m0"}), owned.Started)
+		l.restartEmpty(e, 1500*time.Millisecond)
+		f.run(4500 * time.Millisecond) // three seconds after it started
+		is.Equal(f.requestFromOwner(e, orders.Request{Load: true, Model: "m0"}), owned.Started)
 		f.run(5 * time.Second)
 		is.True(e.models["m0"])
-		is.Equal(f.askOwner(e, orders.Request{Load: true, Model: "m0", Adapter: "a9"}), owned.Done)
-		is.True(e.took["m0/a9"]) // it may have made way for one that calls ask for since
-		is.Equal(f.broken, nil)
+		is.Equal(f.requestFromOwner(e, orders.Request{Load: true, Model: "m0", Adapter: "a9"}), owned.Done)
+		is.True(e.loadedAdapters["m0/a9"]) // calls for other adapters may have evicted it since
+		is.Equal(f.violations, nil)
 	}
 }
 
-// askOwner has the owner of an engine asked for an order, and returns the outcome that it
-// tells within a second, 0 if it tells none.
-func (f *fleet) askOwner(e *fleetEngine, r orders.Request) (outcome owned.Outcome) {
+// requestFromOwner requests an order from the owner of an engine, and returns the outcome that the
+// owner reports within a second, or 0 if it reports none.
+func (f *fleet) requestFromOwner(e *fleetEngine, r orders.Request) (outcome owned.Outcome) {
 	o := f.store.values["owners/"+e.name].data.(*registry.Ownership)
 	owner := f.members[o.Owner]
 	owner.token++
-	owner.asked[owner.token] = func(a owned.SendReply) { outcome = a.Outcome }
+	owner.orderReplies[owner.token] = func(a owned.SendReply) { outcome = a.Outcome }
 	f.step(owner, owner.boot, owned.RequestReceived{Token: owner.token, Engine: e.name, Request: r})
 	f.run(time.Second)
 	return outcome
 }
 
-// TestOrdersHoldWhileEnginesStartAgain: engines that start again under their names, while
-// orders are carried out late and owners come and go, are never ordered to hold more than
-// they can, nor by two owners in turns.
+// TestOrdersHoldWhileEnginesStartAgain checks engines that restart under their names while orders
+// are executed late and owners change: no engine is ordered to hold more than it can, and no two
+// owners send orders to an engine in alternation.
 func TestOrdersHoldWhileEnginesStartAgain(t *testing.T) {
 	storms := []struct {
 		name string
 		do   func(f *fleet)
 	}{
 		{"calm", func(*fleet) {}},
-		{"orders carried out late", func(f *fleet) { f.late = 0.4 }},
+		{"orders executed late", func(f *fleet) { f.lateShare = 0.4 }},
 		{"owners killed", func(f *fleet) {
-			f.again(6*time.Second, 2*time.Second, func() func() {
-				n := f.giver()
+			f.periodically(6*time.Second, 2*time.Second, func() func() {
+				n := f.lastOrderSender()
 				n.dead = true
 				return func() { f.start(n.id.Name) }
 			})
 		}},
 		{"the store down", func(f *fleet) {
-			f.again(12*time.Second, 6*time.Second, func() func() {
+			f.periodically(12*time.Second, 6*time.Second, func() func() {
 				f.store.down = true
 				return func() { f.store.down = false }
 			})
@@ -102,22 +102,22 @@
 		t.Run(s.name, func(t *testing.T) {
 			t.Parallel()
 			for seed := range *noticeSeeds {
-				l := newNoticeLab(newFleetOf(uint64(seed+1), 5, fleetEngines, option.Disabled{}, false))
+				l := newNoticeHarness(newFleetOf(uint64(seed+1), 5, fleetEngines, option.Disabled{}, false))
 				f := l.f
-				f.expire()
+				f.expireLeases()
 				f.run(5 * time.Second)
-				f.callers(20 * time.Millisecond)
+				f.startCallers(20 * time.Millisecond)
 				s.do(f)
 				next := 0
-				f.again(2*time.Second, time.Hour, func() func() {
+				f.periodically(2*time.Second, time.Hour, func() func() {
 					if e := l.engine(next % fleetEngines); !e.dead && !f.store.down {
-						l.startsAgainEmpty(e, time.Duration(200+f.rng.IntN(2000))*time.Millisecond)
+						l.restartEmpty(e, time.Duration(200+f.rng.IntN(2000))*time.Millisecond)
 					}
 					next++
 					return func() {}
 				})
 				f.run(45 * time.Second)
-				for _, b := range f.broken {
+				for _, b := range f.violations {
 					t.Errorf("seed %d: %s", seed, b)
 				}
 				if f.orders == 0 || f.served == 0 {
@@ -128,24 +128,24 @@
 	}
 }
 
-// A soloLab is one instance before a plain replica that a test speaks for.
-type soloLab struct {
+// A soloHarness is one instance with a replica whose behavior the test scripts.
+type soloHarness struct {
 	m       *Machine
 	now     clock.Instant
-	version era.Revision
+	version era.Revision // store revision of the newest list entry
 }
 
-func newSoloLab(t *testing.T) *soloLab {
+func newSoloHarness(t *testing.T) *soloHarness {
 	t.Helper()
 	f := newFleetOf(1, 1, 0, option.Disabled{}, false)
-	f.expire()
+	f.expireLeases()
 	f.run(5 * time.Second)
 	n := f.members["i0"]
-	return &soloLab{m: n.m, now: f.clock(n), version: 1000}
+	return &soloHarness{m: n.m, now: f.clock(n), version: 1000}
 }
 
-// step hands the machine an event and returns the actions of a kind that follow.
-func soloStep[T step.Action](l *soloLab, ev step.Event) []T {
+// stepFor delivers an event to the machine and returns the resulting actions of type T.
+func stepFor[T step.Action](l *soloHarness, ev step.Event) []T {
 	var out []T
 	for _, a := range l.m.Step(l.now, ev) {
 		if x, ok := a.(T); ok {
@@ -155,8 +155,8 @@
 	return out
 }
 
-// entry returns an entry of an engine that holds model m0, in one of its lives.
-func (l *soloLab) entry(born string) gossip.Listed {
+// entry returns a list entry of an engine that holds model m0; born identifies the incarnation.
+func (l *soloHarness) entry(born string) gossip.Listed {
 	l.version++
 	return gossip.Listed{
 		Name: "e", Kind: gossip.Upstream, Zone: "z0", Version: l.version,
@@ -166,113 +166,117 @@
 	}
 }
 
-func (l *soloLab) list(entries ...gossip.Listed) {
+// list delivers an update of the list with the given entries.
+func (l *soloHarness) list(entries ...gossip.Listed) {
 	l.m.Step(l.now, listing.Reply{Entries: entries, Version: l.version})
 }
 
-// call has a call arrive, and returns where it is sent.
-func (l *soloLab) call(id calls.ID) []calls.Dispatch {
-	return soloStep[calls.Dispatch](l, calls.Arrived{Call: calls.Request{
+// call delivers a call and returns its dispatches.
+func (l *soloHarness) call(id calls.ID) []calls.Dispatch {
+	return stepFor[calls.Dispatch](l, calls.Arrived{Call: calls.Request{
 		ID: id, Path: "/x", Replayable: true, PromptTokens: 100, Forward: &calls.ForwardRequest{Name: "call", Host: "h", Model: "m0"},
 	}})
 }
 
-// TestAFormerLifeDoesNotComeBack: what is said late of a life that has ended, by the store,
-// by a peer, or in the outcome of an attempt there, changes nothing of the life that is there.
-func TestAFormerLifeDoesNotComeBack(t *testing.T) {
+// TestFormerIncarnationIsIgnored checks that information about an incarnation that has ended does
+// not affect the current incarnation, whether it arrives late from the store, from a peer, or with
+// the result of an attempt there.
+func TestFormerIncarnationIsIgnored(t *testing.T) {
 	cases := []struct {
 		name string
-		late func(l *soloLab)
+		late func(l *soloHarness)
 	}{
-		{"an entry that was written late", func(l *soloLab) { l.list(l.entry("1")) }},
-		{"an entry that a peer heard before", func(l *soloLab) {
+		{"an entry that was written late", func(l *soloHarness) { l.list(l.entry("1")) }},
+		{"an entry that a peer received earlier", func(l *soloHarness) {
 			old := l.entry("1")
 			old.Version = 999
 			l.m.Step(l.now, exchange.RequestReceived{Token: 1, Message: gossip.Message{From: "peer", Address: "peer", Boot: 1, Records: gossip.Records{Listed: []gossip.Listed{old}}}})
 		}},
-		{"an entry of it that says that it leaves", func(l *soloLab) {
+		{"an entry that announces that it leaves", func(l *soloHarness) {
 			old := l.entry("1")
 			old.Announced.Leaving = true
 			l.list(old)
 		}},
-		{"a report of it", func(l *soloLab) {
+		{"its report about itself", func(l *soloHarness) {
 			old := l.entry("1")
 			l.m.Step(l.now, listing.SelfReport{Replica: "e", Sent: l.now, Announcement: *old.Announced})
 		}},
-		{"an answer of it that says that it leaves", func(l *soloLab) {
+		{"its response that announces that it leaves", func(l *soloHarness) {
 			l.m.Step(l.now, notice.Received{Replica: "e", Sent: l.now.Add(-5 * time.Millisecond), Notice: pool.Notice{Leaving: true}})
 		}},
-		{"what it said of its load", func(l *soloLab) {
+		{"its probe reply with its load", func(l *soloHarness) {
 			l.m.Step(l.now, forwarding.ProbeReply{Call: 9, Engine: "e", Sent: l.now.Add(-5 * time.Millisecond), Queued: 500})
 		}},
-		{"what its owner said that it holds", func(l *soloLab) {
+		{"its residency as reported by its owner", func(l *soloHarness) {
 			res := gossip.Residency{Engine: "e", Residency: pool.Residency{Boot: 7, Change: 3, Born: "1", Items: []pool.Item{{Name: "m5", Phase: pool.Ready}}}}
 			l.m.Step(l.now, exchange.RequestReceived{Token: 1, Message: gossip.Message{From: "peer", Address: "peer", Boot: 1, Records: gossip.Records{Residencies: []gossip.Residency{res}}}})
 		}},
-		{"a call found another replica at its address", func(l *soloLab) {
+		{"a call found another replica at its address", func(l *soloHarness) {
 			l.m.Step(l.now, calls.AttemptFailed{ID: 1, Attempt: 1, Phase: attempt.Refused, Misdirected: true, Incarnation: "another"})
 		}},
-		{"a call found nobody", func(l *soloLab) {
+		{"a call found its address unreachable", func(l *soloHarness) {
 			l.m.Step(l.now, calls.AttemptFailed{ID: 1, Attempt: 1, Phase: attempt.NotSent, Unreachable: true})
 		}},
-		{"a call found that its model is not there", func(l *soloLab) {
+		{"a call found its model missing", func(l *soloHarness) {
 			l.m.Step(l.now, calls.AttemptFailed{ID: 1, Attempt: 1, Phase: attempt.Refused, Misdirected: true, Incarnation: "e"})
 		}},
-		{"a call broke off", func(l *soloLab) {
+		{"the response to a call was severed", func(l *soloHarness) {
 			l.m.Step(l.now, calls.AttemptFailed{ID: 1, Attempt: 1, Phase: attempt.Answered, Severed: true})
 		}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			l := newSoloLab(t)
+			l := newSoloHarness(t)
 			l.list(l.entry("1"))
 			is.Equal(len(l.call(1)), 1)
 			l.now = l.now.Add(10 * time.Millisecond)
 			l.list(l.entry("2"))
 			r := l.m.state.Pool.Get("e")
 			c.late(l)
-			is.True(l.m.state.Pool.Get("e") == r) // no other life
+			is.True(l.m.state.Pool.Get("e") == r) // the same incarnation
 			is.Equal(r.Announcement().Born, "2")
 			is.True(r.Usable() && !r.Down(l.now) && r.Phase("m0") == pool.Ready)
 			is.Equal(r.Failures(), 0)
 			is.Equal(r.Load(l.now).Waiting, 0)
-			is.Equal(len(l.call(2)), 1) // it serves
+			is.Equal(len(l.call(2)), 1) // it still serves calls
 		})
 	}
 }
 
-// TestCallsOfAFormerLifeAreSettled: calls that were at a replica when it ended, without a
-// sign on their connections, go on as after a crash once its next life is known: one that
-// may be repeated goes there, one that may not is told that it may have run.
-func TestCallsOfAFormerLifeAreSettled(t *testing.T) {
+// TestCallsOfFormerIncarnationAreSettled checks calls that were in flight at a replica when it
+// ended without closing their connections. Once the next incarnation is known they are handled as
+// after a crash: a call that may be retried goes to the new incarnation, and one that may not is
+// reported as possibly run.
+func TestCallsOfFormerIncarnationAreSettled(t *testing.T) {
 	is := is.New(t)
-	l := newSoloLab(t)
+	l := newSoloHarness(t)
 	l.list(l.entry("1"))
 	is.Equal(len(l.call(1)), 1)
 	l.now = l.now.Add(time.Second)
 	entry := l.entry("2")
-	cut := soloStep[calls.Interrupt](l, listing.Reply{Entries: []gossip.Listed{entry}, Version: l.version})
-	is.Equal(cut, []calls.Interrupt{{ID: 1}})
-	// Its attempt ends by that, not by its connection.
+	interrupts := stepFor[calls.Interrupt](l, listing.Reply{Entries: []gossip.Listed{entry}, Version: l.version})
+	is.Equal(interrupts, []calls.Interrupt{{ID: 1}})
+	// The interrupt ends the attempt, not the connection.
 	l.now = l.now.Add(time.Millisecond)
-	again := soloStep[calls.Dispatch](l, calls.AttemptFailed{ID: 1, Attempt: 1, Phase: attempt.MaybeSent})
-	is.Equal(len(again), 1)
-	is.Equal(again[0].Replica, "e")
-	is.Equal(len(l.m.state.Records.Crashes()), 0) // the request has no name to be known by
+	dispatches := stepFor[calls.Dispatch](l, calls.AttemptFailed{ID: 1, Attempt: 1, Phase: attempt.MaybeSent})
+	is.Equal(len(dispatches), 1)
+	is.Equal(dispatches[0].Replica, "e")
+	is.Equal(len(l.m.state.Records.Crashes()), 0) // the request has no fingerprint to identify it
 	is.Equal(l.m.state.Pool.Get("e").Failures(), 0)
 }
 
-// TestALifeIsKnownFromItsOwnReport: what a replica says of itself when it is asked counts
-// before its entry comes, and that entry, or one of the life before, changes nothing then.
-func TestALifeIsKnownFromItsOwnReport(t *testing.T) {
+// TestIncarnationIsKnownFromSelfReport checks that what a replica reports about itself when
+// queried takes effect before its list entry arrives, and that neither that entry nor one of the
+// previous incarnation changes anything afterwards.
+func TestIncarnationIsKnownFromSelfReport(t *testing.T) {
 	is := is.New(t)
-	l := newSoloLab(t)
+	l := newSoloHarness(t)
 	l.list(l.entry("1"))
 	next := l.entry("2")
 	next.Announced.Models = []pool.AnnouncedModel{{Name: "m1"}}
 	l.m.Step(l.now, listing.SelfReport{Replica: "e", Sent: l.now.Add(-time.Millisecond), Announcement: *next.Announced})
-	is.Equal(l.m.state.Pool.Get("e").Announcement().Born, "1") // asked before this one was known
+	is.Equal(l.m.state.Pool.Get("e").Announcement().Born, "1") // queried before the current incarnation was known
 	l.now = l.now.Add(10 * time.Millisecond)
 	l.m.Step(l.now, listing.SelfReport{Replica: "e", Sent: l.now, Announcement: *next.Announced})
 	r := l.m.state.Pool.Get("e")
--- a/core/instance/notice_test.go
+++ b/core/instance/notice_test.go
@@ -1,18 +1,18 @@
 package instance
 
-// Seen: replicas got calls for many seconds after they had said in their answers that
-// they leave, until the list said so; replicas that turned calls away and asked for rest
-// got more of them at once.
+// Guards against ignoring what replicas state about themselves in their responses. Replicas
+// received calls for many seconds after they had announced in their responses that they leave,
+// until the list said so. Replicas that refused calls and requested a rest received more calls
+// immediately.
 //
-// How: while the list's store was down, what a leaving replica wrote there was not taken,
-// so the list showed it as ready, and calls were chosen by the list. A refusal counted for
-// the call that it was given to; the next call found the replica as good as before.
+// While the store of the list was down, it did not accept the entry of a leaving replica, so the
+// list showed the replica as ready, and instances selected replicas by the list. A refusal
+// affected only the call that it was sent for; for the next call the replica looked as good as
+// before. The header of a response in which a replica states these notices was not read, so all
+// instances kept sending calls.
 //
-// Cause: what a replica says of itself in the head of an answer was read nowhere.
-//
-// Proof: engines that say so, and nothing else, in the fleet here and as processes in
-// platform/notice_process_test.go. Before it was read, calls went on to each of them from
-// all instances.
+// The engines in these tests state their notices in responses and nowhere else;
+// platform/notice_process_test.go tests the same with processes.
 
 import (
 	"errors"
@@ -37,188 +37,189 @@
 )
 
 const (
-	// noticeLeft is how long an instance may go on sending to an engine after it was
-	// told that the engine leaves: the users' bound.
-	noticeLeft = 2 * time.Second
-	// noticeWay is how long requests may be on their way to an engine that asked for
-	// rest: the users' bound.
-	noticeWay = 500 * time.Millisecond
-	// noticeMost is how many requests of an instance may reach an engine in its rest:
-	// the users' bound.
-	noticeMost = 2
+	// leaveGrace is the users' bound on the time for which an instance may still send
+	// to an engine after it was told that the engine leaves.
+	leaveGrace = 2 * time.Second
+	// restGrace is the users' bound on the time for which requests may still arrive at
+	// an engine after it requested a rest.
+	restGrace = 500 * time.Millisecond
+	// maxInRest is the users' bound on the number of requests of one instance that may
+	// reach an engine during its rest.
+	maxInRest = 2
 )
 
-// noticeSeeds is how many seeds each storm is played with. By hand: -notice.seeds=50.
-var noticeSeeds = flag.Int("notice.seeds", 3, "seeds of each storm of engines that say something of themselves")
+// noticeSeeds is the number of seeds per storm. For a longer run, use -notice.seeds=50.
+var noticeSeeds = flag.Int("notice.seeds", 3, "number of seeds per storm with engines that send notices")
 
-// A noticeLab has engines say something of themselves in their answers, and checks what
-// is sent to them after that.
-type noticeLab struct {
-	f       *fleet
-	leaving map[*fleetEngine]bool
-	rests   map[*fleetEngine]time.Duration // asked for by engines that turn everything away
-	arrived map[calls.ID]noticeCall
-	told    map[noticeTo]time.Duration // when an instance was first told that an engine leaves
-	reaches map[noticeTo][]noticeReach
-	served  map[*fleetEngine]int
-	lost    []string     // calls that another engine could have served
-	late    int          // requests after noticeLeft
-	repeats *repeatCount // nil: tries are not counted
+// A noticeHarness makes engines send notices in their responses, and checks the requests that they
+// receive afterwards.
+type noticeHarness struct {
+	f            *fleet
+	leaving      map[*fleetEngine]bool
+	rests        map[*fleetEngine]time.Duration // requested by engines that refuse all calls
+	arrived      map[calls.ID]noticeCall
+	firstToldAt  map[noticeKey]time.Duration // when an instance was first told that an engine leaves
+	received     map[noticeKey][]noticeRequest
+	served       map[*fleetEngine]int
+	lostCalls    []string    // refused calls that another engine could have served
+	lateRequests int         // number of requests sent later than leaveGrace
+	retries      *retryCount // nil: attempts are not counted
 }
 
-// A noticeTo is an instance that an engine spoke to.
-type noticeTo struct {
-	member string
-	boot   uint64
-	engine string
-	born   int
+// A noticeKey identifies an incarnation of an instance and the incarnation of an engine that
+// responds to it.
+type noticeKey struct {
+	member   string
+	boot     uint64
+	engine   string
+	restarts int
 }
 
-// A noticeReach is one request that reached an engine.
-type noticeReach struct {
+// A noticeRequest is one request that reached an engine.
+type noticeRequest struct {
 	at   time.Duration
-	rest time.Duration // that the answer asked for
+	rest time.Duration // rest that the response requested
 }
 
-// A noticeCall is a call on its way.
+// A noticeCall is a call that has arrived at an instance.
 type noticeCall struct {
 	member *fleetMember
 	at     time.Duration
 	model  string
-	plain  bool // it asks for no adapter
+	plain  bool // the call requests no adapter
 }
 
-func newNoticeLab(f *fleet) *noticeLab {
-	l := &noticeLab{
+func newNoticeHarness(f *fleet) *noticeHarness {
+	l := &noticeHarness{
 		f: f, leaving: map[*fleetEngine]bool{}, rests: map[*fleetEngine]time.Duration{}, arrived: map[calls.ID]noticeCall{},
-		told: map[noticeTo]time.Duration{}, reaches: map[noticeTo][]noticeReach{}, served: map[*fleetEngine]int{},
+		firstToldAt: map[noticeKey]time.Duration{}, received: map[noticeKey][]noticeRequest{}, served: map[*fleetEngine]int{},
 	}
 	f.notices = l
 	return l
 }
 
-func (l *noticeLab) arrive(n *fleetMember, r calls.Request) {
-	if l.repeats != nil {
-		l.repeats.came = append(l.repeats.came, l.f.now)
+func (l *noticeHarness) arrive(n *fleetMember, r calls.Request) {
+	if l.retries != nil {
+		l.retries.callTimes = append(l.retries.callTimes, l.f.now)
 	}
 	l.arrived[r.ID] = noticeCall{member: n, at: l.f.now, model: r.Forward.Model, plain: r.Forward.Adapter == ""}
 }
 
-// reached notes that something sent at sent reached an engine, and returns what the
-// engine says of itself in its answer.
-func (l *noticeLab) reached(n *fleetMember, boot uint64, e *fleetEngine, sent time.Duration) pool.Notice {
-	to := noticeTo{n.id.Name, boot, e.name, e.born}
-	if at, told := l.told[to]; told && sent > at+noticeLeft {
-		l.late++
+// requestReached records that a request reached an engine, and returns the notice in the engine's
+// response. sent is the time from which leaveGrace is checked.
+func (l *noticeHarness) requestReached(n *fleetMember, boot uint64, e *fleetEngine, sent time.Duration) pool.Notice {
+	to := noticeKey{n.id.Name, boot, e.name, e.restarts}
+	if at, told := l.firstToldAt[to]; told && sent > at+leaveGrace {
+		l.lateRequests++
 	}
-	said := pool.Notice{Leaving: l.leaving[e], Rest: l.rests[e]}
-	l.reaches[to] = append(l.reaches[to], noticeReach{at: l.f.now, rest: said.Rest})
-	return said
+	content := pool.Notice{Leaving: l.leaving[e], Rest: l.rests[e]}
+	l.received[to] = append(l.received[to], noticeRequest{at: l.f.now, rest: content.Rest})
+	return content
 }
 
-// say has what an engine says of itself reach the instance.
-func (l *noticeLab) say(n *fleetMember, boot uint64, e *fleetEngine, sent clock.Instant, said pool.Notice) {
-	if said.IsZero() {
+// sendNotice delivers a notice of an engine to an instance.
+func (l *noticeHarness) sendNotice(n *fleetMember, boot uint64, e *fleetEngine, sent clock.Instant, content pool.Notice) {
+	if content.IsZero() {
 		return
 	}
-	to := noticeTo{n.id.Name, boot, e.name, e.born}
-	l.f.at(fleetWay, func() {
-		if _, known := l.told[to]; said.Leaving && !known && !n.dead && !n.frozen && n.boot == boot {
-			l.told[to] = l.f.now
+	to := noticeKey{n.id.Name, boot, e.name, e.restarts}
+	l.f.at(fleetLatency, func() {
+		if _, known := l.firstToldAt[to]; content.Leaving && !known && !n.dead && !n.frozen && n.boot == boot {
+			l.firstToldAt[to] = l.f.now
 		}
-		l.f.step(n, boot, notice.Received{Replica: e.name, Sent: sent, Notice: said})
+		l.f.step(n, boot, notice.Received{Replica: e.name, Sent: sent, Notice: content})
 	})
 }
 
-// serve has a call served by its engine, or turned away.
-func (l *noticeLab) serve(n *fleetMember, boot uint64, d calls.Dispatch, reply func(time.Duration, step.Event)) {
+// serve runs a call at its engine, or has the engine refuse it.
+func (l *noticeHarness) serve(n *fleetMember, boot uint64, d calls.Dispatch, reply func(time.Duration, step.Event)) {
 	e := l.f.engines[d.Replica]
-	failed := func(way time.Duration, b calls.AttemptFailed) {
+	failed := func(delay time.Duration, b calls.AttemptFailed) {
 		b.ID, b.Attempt = d.ID, d.Attempt
-		reply(way, b)
+		reply(delay, b)
 	}
 	switch {
-	case l.f.severed(n.id.Zone, e.zone):
-		failed(500*time.Millisecond, calls.AttemptFailed{Phase: attempt.NotSent, Detail: "no way there"})
+	case l.f.partitioned(n.id.Zone, e.zone):
+		failed(500*time.Millisecond, calls.AttemptFailed{Phase: attempt.NotSent, Detail: "zone unreachable"})
 		return
 	case e.dead:
-		failed(fleetWay, calls.AttemptFailed{Phase: attempt.NotSent, Unreachable: true})
+		failed(fleetLatency, calls.AttemptFailed{Phase: attempt.NotSent, Unreachable: true})
 		return
 	}
 	sent := l.f.clock(n)
-	l.f.at(fleetWay, func() {
-		if l.repeats != nil {
-			l.repeats.try(l.f.now, d.ID)
+	l.f.at(fleetLatency, func() {
+		if l.retries != nil {
+			l.retries.recordAttempt(l.f.now, d.ID)
 		}
-		said := l.reached(n, boot, e, l.arrived[d.ID].at)
+		content := l.requestReached(n, boot, e, l.arrived[d.ID].at)
 		switch {
-		case said.Rest > 0:
-			l.say(n, boot, e, sent, said)
-			failed(fleetWay, calls.AttemptFailed{Phase: attempt.Refused, Status: 503})
+		case content.Rest > 0:
+			l.sendNotice(n, boot, e, sent, content)
+			failed(fleetLatency, calls.AttemptFailed{Phase: attempt.Refused, Status: 503})
 		case !e.models[d.Model] || d.Adapter != "" && !e.adapters[d.Model+"/"+d.Adapter]:
-			l.say(n, boot, e, sent, said)
-			failed(fleetWay, calls.AttemptFailed{Phase: attempt.Refused, Misdirected: true, Incarnation: d.Replica})
+			l.sendNotice(n, boot, e, sent, content)
+			failed(fleetLatency, calls.AttemptFailed{Phase: attempt.Refused, Misdirected: true, Incarnation: d.Replica})
 		default:
-			l.f.at(l.f.firstAfter, func() { l.say(n, boot, e, sent, said) })
+			l.f.at(l.f.firstTokenDelay, func() { l.sendNotice(n, boot, e, sent, content) })
 			l.f.served++
 			l.served[e]++
-			reply(l.f.firstAfter+fleetWay, calls.AnswerBegan{ID: d.ID})
+			reply(l.f.firstTokenDelay+fleetLatency, calls.AnswerBegan{ID: d.ID})
 			reply(400*time.Millisecond, calls.Completed{ID: d.ID})
 		}
 	})
 }
 
-// turnsAwayOrder takes in that an order is sent to an engine, and reports whether the
-// engine turned it away.
-func (l *noticeLab) turnsAwayOrder(n *fleetMember, boot uint64, a owned.SendOrder, reply func(time.Duration, step.Event)) bool {
+// rejectOrder handles an order sent to an engine, and reports whether the engine rejected it.
+func (l *noticeHarness) rejectOrder(n *fleetMember, boot uint64, a owned.SendOrder, reply func(time.Duration, step.Event)) bool {
 	e := l.f.engines[a.Engine]
-	said := l.reached(n, boot, e, l.f.now)
-	l.say(n, boot, e, l.f.clock(n), said)
-	if said.Rest == 0 {
+	content := l.requestReached(n, boot, e, l.f.now)
+	l.sendNotice(n, boot, e, l.f.clock(n), content)
+	if content.Rest == 0 {
 		return false
 	}
-	reply(2*fleetWay, owned.OrderReply{Engine: a.Engine, Fence: a.Fence, Answer: orders.AnswerLost})
+	reply(2*fleetLatency, owned.OrderReply{Engine: a.Engine, Fence: a.Fence, Answer: orders.AnswerLost})
 	return true
 }
 
-// turnsAwayQuestion takes in that an engine is asked for its state, and reports whether
-// it turned that away.
-func (l *noticeLab) turnsAwayQuestion(n *fleetMember, boot uint64, e *fleetEngine, sent clock.Instant, reply func(time.Duration, step.Event)) bool {
-	said := l.reached(n, boot, e, l.f.now-fleetWay)
-	l.say(n, boot, e, sent, said)
-	if said.Rest == 0 {
+// rejectStateQuery handles a query for the state of an engine, and reports whether the engine
+// rejected it.
+func (l *noticeHarness) rejectStateQuery(n *fleetMember, boot uint64, e *fleetEngine, sent clock.Instant, reply func(time.Duration, step.Event)) bool {
+	content := l.requestReached(n, boot, e, l.f.now-fleetLatency)
+	l.sendNotice(n, boot, e, sent, content)
+	if content.Rest == 0 {
 		return false
 	}
-	reply(fleetWay, owned.StateReply{Engine: e.name, Sent: sent, Err: errors.New("status 503")})
+	reply(fleetLatency, owned.StateReply{Engine: e.name, Sent: sent, Err: errors.New("status 503")})
 	return true
 }
 
-// finished takes in a final answer that is not an engine's. Where some engine could
-// have served the call, it is lost.
-func (l *noticeLab) finished(a calls.Finish) {
+// handleFinish handles a final answer that an instance gives itself. A call that some engine could
+// have served is lost.
+func (l *noticeHarness) handleFinish(a calls.Finish) {
 	c, ok := l.arrived[a.ID]
 	if !ok || !c.plain || a.Refusal.Code == code.NoConfiguration {
-		return // an instance that has just started serves nothing, whatever its engines do
+		return // an instance that has just started refuses all calls, whatever its engines do
 	}
 	for _, name := range sortedKeys(l.f.engines) {
 		e := l.f.engines[name]
-		if e.models[c.model] && !e.dead && !l.leaving[e] && l.rests[e] == 0 && !l.f.severed(c.member.id.Zone, e.zone) {
-			l.lost = append(l.lost, fmt.Sprintf("%v: call %d for %s was refused with %d (%s) after %v, and %s could serve it",
+		if e.models[c.model] && !e.dead && !l.leaving[e] && l.rests[e] == 0 && !l.f.partitioned(c.member.id.Zone, e.zone) {
+			l.lostCalls = append(l.lostCalls, fmt.Sprintf("%v: call %d for %s was refused with %d (%s) after %v, and %s could serve it",
 				l.f.now, a.ID, c.model, a.Refusal.Code, a.Refusal.Detail, l.f.now-c.at, e.name))
 			return
 		}
 	}
 }
 
-// mostInARest returns the most requests of one instance that reached an engine within a
-// rest that it had asked that instance for.
-func (l *noticeLab) mostInARest() int {
+// maxRequestsInRest returns the largest number of requests of one instance that reached an engine
+// during a rest that the engine had requested from that instance. The first restGrace of a rest
+// does not count.
+func (l *noticeHarness) maxRequestsInRest() int {
 	most := 0
-	for _, reaches := range l.reaches {
-		for _, asked := range reaches {
+	for _, requests := range l.received {
+		for _, restRequest := range requests {
 			n := 0
-			for _, r := range reaches {
-				if r.at > asked.at+noticeWay && r.at < asked.at+asked.rest {
+			for _, r := range requests {
+				if r.at > restRequest.at+restGrace && r.at < restRequest.at+restRequest.rest {
 					n++
 				}
 			}
@@ -228,44 +229,44 @@
 	return most
 }
 
-// leaves has an engine say that it leaves, in its answers alone, end after a while and
-// start again under its name.
-func (l *noticeLab) leaves(e *fleetEngine) {
+// startLeaving makes an engine announce, only in its responses, that it leaves. After 6 s the
+// engine ends, and 2 s later it restarts under its name.
+func (l *noticeHarness) startLeaving(e *fleetEngine) {
 	l.leaving[e] = true
 	l.f.at(6*time.Second, func() {
 		e.dead = true
-		l.f.at(2*time.Second, func() { l.startAgain(e) })
+		l.f.at(2*time.Second, func() { l.restartEngine(e) })
 	})
 }
 
-// startAgain has an engine that ended start again under its name.
-func (l *noticeLab) startAgain(e *fleetEngine) {
+// restartEngine restarts an engine that ended, under its name.
+func (l *noticeHarness) restartEngine(e *fleetEngine) {
 	delete(l.leaving, e)
 	delete(l.served, e)
-	l.f.startAgain(e)
+	l.f.restartEngine(e)
 }
 
-// sheds has an engine turn everything away for a span and ask for rest.
-func (l *noticeLab) sheds(e *fleetEngine, span, rest time.Duration) {
+// shedLoad makes an engine reject everything for span and request a rest.
+func (l *noticeHarness) shedLoad(e *fleetEngine, span, rest time.Duration) {
 	l.rests[e] = rest
 	l.f.at(span, func() { delete(l.rests, e) })
 }
 
-// engine returns an engine of the fleet.
-func (l *noticeLab) engine(i int) *fleetEngine { return l.f.engines[fmt.Sprintf("e%d", i)] }
+// engine returns the engine with number i.
+func (l *noticeHarness) engine(i int) *fleetEngine { return l.f.engines[fmt.Sprintf("e%d", i)] }
 
-// A noticeStorm is what goes wrong beside engines that say something of themselves.
+// A noticeStorm is a fault scenario for a fleet with engines that send notices.
 type noticeStorm struct {
 	name    string
 	members int
-	do      func(l *noticeLab)
+	do      func(l *noticeHarness)
 }
 
 var noticeStorms = []noticeStorm{
-	{"calm", 5, func(*noticeLab) {}},
-	{"the store is down", 5, func(l *noticeLab) { l.f.store.down = true }},
-	{"the list says that they are ready", 5, func(l *noticeLab) {
-		l.f.again(200*time.Millisecond, 0, func() func() {
+	{"calm", 5, func(*noticeHarness) {}},
+	{"the store is down", 5, func(l *noticeHarness) { l.f.store.down = true }},
+	{"leaving engines are listed as ready", 5, func(l *noticeHarness) {
+		l.f.periodically(200*time.Millisecond, 0, func() func() {
 			for e := range l.leaving {
 				if !e.dead {
 					l.f.announce(e)
@@ -274,12 +275,12 @@
 			return func() {}
 		})
 	}},
-	{"entries go and come back", 5, func(l *noticeLab) {
-		l.f.again(1500*time.Millisecond, 700*time.Millisecond, func() func() {
+	{"entries are deleted and restored", 5, func(l *noticeHarness) {
+		l.f.periodically(1500*time.Millisecond, 700*time.Millisecond, func() func() {
 			var gone []*fleetEngine
 			for e := range l.leaving {
 				if !e.dead {
-					l.f.change("servers/"+e.name, nil)
+					l.f.setKey("servers/"+e.name, nil)
 					gone = append(gone, e)
 				}
 			}
@@ -290,78 +291,78 @@
 			}
 		})
 	}},
-	{"instances are killed", 5, func(l *noticeLab) {
-		l.f.again(3*time.Second, time.Second, func() func() {
-			n := l.f.anyMember()
+	{"instances are killed", 5, func(l *noticeHarness) {
+		l.f.periodically(3*time.Second, time.Second, func() func() {
+			n := l.f.randomMember()
 			n.dead = true
 			return func() { l.f.start(n.id.Name) }
 		})
 	}},
-	{"orders are carried out late", 5, func(l *noticeLab) { l.f.late = 0.4 }},
-	{"answers of the store are lost", 5, func(l *noticeLab) { l.f.lost = 0.4 }},
-	{"a large fleet", 2 * watchers.FullMeshLimit, func(*noticeLab) {}},
+	{"orders are executed late", 5, func(l *noticeHarness) { l.f.lateShare = 0.4 }},
+	{"responses of the store are lost", 5, func(l *noticeHarness) { l.f.lostShare = 0.4 }},
+	{"a large fleet", 2 * watchers.FullMeshLimit, func(*noticeHarness) {}},
 }
 
-// TestWhatEnginesSayOfThemselvesIsHeard: whatever fails beside it, nothing is sent to an
-// engine later than two seconds after it told the instance that it leaves, and no more
-// than two requests in a rest that it asked for; no call is refused that another engine
-// could serve.
-func TestWhatEnginesSayOfThemselvesIsHeard(t *testing.T) {
+// TestEngineNoticesAreObeyed checks, for every fault scenario, that an instance sends nothing to
+// an engine later than two seconds after the engine told it that it leaves, and at most two
+// requests during a rest that the engine requested, and that no call is refused that another
+// engine could serve.
+func TestEngineNoticesAreObeyed(t *testing.T) {
 	for _, s := range noticeStorms {
 		t.Run(s.name, func(t *testing.T) {
 			t.Parallel()
 			for seed := range *noticeSeeds {
-				l := newNoticeLab(newFleetOf(uint64(seed+1), s.members, 2*fleetEngines, option.Disabled{}, false))
+				l := newNoticeHarness(newFleetOf(uint64(seed+1), s.members, 2*fleetEngines, option.Disabled{}, false))
 				f := l.f
-				f.expire()
+				f.expireLeases()
 				f.run(5 * time.Second)
-				f.callers(20 * time.Millisecond)
+				f.startCallers(20 * time.Millisecond)
 				f.run(2 * time.Second)
 				s.do(l)
 				for i, at := range []time.Duration{time.Second, 3 * time.Second, 5 * time.Second} {
-					f.at(at, func() { l.leaves(l.engine(i)) })
+					f.at(at, func() { l.startLeaving(l.engine(i)) })
 				}
 				for i, rest := range []time.Duration{4 * time.Second, 1500 * time.Millisecond, 700 * time.Millisecond} {
-					f.at(time.Duration(i+1)*time.Second, func() { l.sheds(l.engine(i+4), 5*time.Second, rest) })
-					f.at(12*time.Second, func() { l.sheds(l.engine(i+4), 2*time.Second, rest) })
+					f.at(time.Duration(i+1)*time.Second, func() { l.shedLoad(l.engine(i+4), 5*time.Second, rest) })
+					f.at(12*time.Second, func() { l.shedLoad(l.engine(i+4), 2*time.Second, rest) })
 				}
 				f.run(20 * time.Second)
-				if most := l.mostInARest(); l.late > 0 || most > noticeMost {
-					t.Errorf("seed %d: %d requests after an engine had said that it leaves; %d in a rest", seed, l.late, most)
+				if most := l.maxRequestsInRest(); l.lateRequests > 0 || most > maxInRest {
+					t.Errorf("seed %d: %d requests too late after an engine announced that it leaves; %d during a rest", seed, l.lateRequests, most)
 				}
-				for _, lost := range l.lost[:min(3, len(l.lost))] {
-					t.Errorf("seed %d: %d calls lost; %s", seed, len(l.lost), lost)
+				for _, lost := range l.lostCalls[:min(3, len(l.lostCalls))] {
+					t.Errorf("seed %d: %d calls lost; %s", seed, len(l.lostCalls), lost)
 				}
-				for _, b := range f.broken {
+				for _, b := range f.violations {
 					t.Errorf("seed %d: %s", seed, b)
 				}
-				if len(l.told) == 0 || f.served == 0 {
-					t.Errorf("seed %d: %d told, %d served", seed, len(l.told), f.served)
+				if len(l.firstToldAt) == 0 || f.served == 0 {
+					t.Errorf("seed %d: %d instances told that an engine leaves, %d calls served", seed, len(l.firstToldAt), f.served)
 				}
 			}
 		})
 	}
 }
 
-// TestAnEngineThatStartsAgainServes: what an engine said of itself holds for that life of
-// it only. It serves again under its name as soon as it is listed, also where an answer of
-// the life before comes late.
+// TestAnEngineThatStartsAgainServes checks that the notices of an engine apply to that incarnation
+// only: it serves again under its name as soon as it is listed, even if a response of the previous
+// incarnation arrives late.
 func TestAnEngineThatStartsAgainServes(t *testing.T) {
 	is := is.New(t)
 	for seed := range *noticeSeeds {
-		l := newNoticeLab(newFleetOf(uint64(seed+1), 5, fleetEngines, option.Disabled{}, false))
+		l := newNoticeHarness(newFleetOf(uint64(seed+1), 5, fleetEngines, option.Disabled{}, false))
 		f := l.f
-		f.expire()
+		f.expireLeases()
 		f.run(5 * time.Second)
-		f.callers(20 * time.Millisecond)
+		f.startCallers(20 * time.Millisecond)
 		e := l.engine(1)
 		l.leaving[e] = true
 		f.run(3 * time.Second)
-		is.True(len(l.told) > 0)
+		is.True(len(l.firstToldAt) > 0)
 		sent := f.clock(f.members["i0"])
 		e.dead = true
 		f.run(time.Second)
-		l.startAgain(e)
+		l.restartEngine(e)
 		f.run(time.Second)
 		for _, name := range f.names {
 			n := f.members[name]
@@ -369,37 +370,37 @@
 		}
 		f.run(4 * time.Second)
 		is.True(l.served[e] > 10)
-		is.Equal(f.broken, nil)
+		is.Equal(f.violations, nil)
 	}
 }
 
-// TestWhereAllEnginesLeaveOrRest: where nobody else is left, calls are refused at once
-// with when to come back, or wait for a rest that ends soon; no engine gets more than it
-// may.
+// TestWhereAllEnginesLeaveOrRest checks that if no other engine is left, calls are refused
+// immediately with a retry time, or wait for a rest that ends soon, and that no engine receives
+// more requests than allowed.
 func TestWhereAllEnginesLeaveOrRest(t *testing.T) {
 	for _, tt := range []struct {
 		name string
-		do   func(l *noticeLab, e *fleetEngine)
+		do   func(l *noticeHarness, e *fleetEngine)
 	}{
-		{"all leave", func(l *noticeLab, e *fleetEngine) { l.leaving[e] = true }},
-		{"all rest", func(l *noticeLab, e *fleetEngine) { l.sheds(e, 4*time.Second, 2*time.Second) }},
+		{"all leave", func(l *noticeHarness, e *fleetEngine) { l.leaving[e] = true }},
+		{"all rest", func(l *noticeHarness, e *fleetEngine) { l.shedLoad(e, 4*time.Second, 2*time.Second) }},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
 			for seed := range *noticeSeeds {
-				l := newNoticeLab(newFleetOf(uint64(seed+1), 5, fleetEngines, option.Disabled{}, false))
+				l := newNoticeHarness(newFleetOf(uint64(seed+1), 5, fleetEngines, option.Disabled{}, false))
 				f := l.f
-				f.expire()
+				f.expireLeases()
 				f.run(5 * time.Second)
-				f.callers(20 * time.Millisecond)
+				f.startCallers(20 * time.Millisecond)
 				f.run(2 * time.Second)
 				for _, name := range sortedKeys(f.engines) {
 					tt.do(l, f.engines[name])
 				}
 				f.run(8 * time.Second)
-				is.Equal(l.late, 0)
-				is.True(l.mostInARest() <= noticeMost)
-				is.Equal(f.broken, nil)
+				is.Equal(l.lateRequests, 0)
+				is.True(l.maxRequestsInRest() <= maxInRest)
+				is.Equal(f.violations, nil)
 			}
 		})
 	}
--- a/core/instance/promises_test.go
+++ b/core/instance/promises_test.go
@@ -19,9 +19,10 @@
 	"github.com/birchdrift/birchdrift/core/pool"
 )
 
-// smallDocument has two zones of two engines, more models than fit, and a
-// plain service.
-func smallDocument(checks bool) config.Document {
+// smallDocument returns a configuration of two zones with two engines each, more models than fit
+// into them, and a service of plain replicas without models. checksFence tells whether the engines
+// check fences.
+func smallDocument(checksFence bool) config.Document {
 	var d config.Document
 	for z := range 2 {
 		zone := fmt.Sprintf("z%d", z+1)
@@ -29,7 +30,7 @@
 		for i := range 2 {
 			name := fmt.Sprintf("%s-engine-%d", zone, i+1)
 			d.Engines = append(d.Engines, config.Engine{
-				Name: name, Address: name, Zone: zone, Accelerators: 1, MemoryMiB: 1000, Sequences: 4, ChecksFence: checks,
+				Name: name, Address: name, Zone: zone, Accelerators: 1, MemoryMiB: 1000, Sequences: 4, ChecksFence: checksFence,
 			})
 		}
 		d.Services = append(d.Services, config.Service{})
@@ -53,6 +54,8 @@
 	return d
 }
 
+// quickOptions returns the default options with a shorter lease term and with shorter intervals of
+// exchanges and reads.
 func quickOptions() option.Options {
 	opt := option.Default()
 	opt.LeaseTerm = 3 * time.Second
@@ -61,7 +64,7 @@
 	return opt
 }
 
-// A storm is a set of faults for a run of the world.
+// A storm is a fault scenario: it injects a set of faults into a world.
 type storm struct {
 	name  string
 	begin func(w *world)
@@ -69,8 +72,8 @@
 
 var storms = []storm{
 	{"calm", func(*world) {}},
-	{"messages lost", func(w *world) { w.faults.loss = 0.2 }},
-	{"orders lost, then late", func(w *world) { w.faults.loss = 0.3; w.faults.late = 8 * time.Second }},
+	{"messages lost", func(w *world) { w.faults.lossRate = 0.2 }},
+	{"orders lost, then late", func(w *world) { w.faults.lossRate = 0.3; w.faults.maxLateDelay = 8 * time.Second }},
 	{"engines restart", func(w *world) {
 		for i, e := range w.doc.Engines {
 			w.after(time.Duration(7+5*i)*time.Second, func() { w.engines[e.Name].restart() })
@@ -84,33 +87,34 @@
 	{"planners freeze", func(w *world) { w.freezeAll(false) }},
 	{"machines are suspended", func(w *world) { w.freezeAll(true) }},
 	{"platform down", func(w *world) {
-		w.after(6*time.Second, func() { w.faults.platform = true })
-		w.after(20*time.Second, func() { w.faults.platform = false })
+		w.after(6*time.Second, func() { w.faults.platformDown = true })
+		w.after(20*time.Second, func() { w.faults.platformDown = false })
 	}},
 	{"zone cut off", func(w *world) {
-		w.after(6*time.Second, func() { w.faults.cut["z1"] = true })
-		w.after(20*time.Second, func() { w.faults.cut["z1"] = false })
+		w.after(6*time.Second, func() { w.faults.cutZones["z1"] = true })
+		w.after(20*time.Second, func() { w.faults.cutZones["z1"] = false })
 	}},
 	{"freezes while orders are late", func(w *world) {
-		w.faults.loss = 0.2
-		w.faults.late = 5 * time.Second
+		w.faults.lossRate = 0.2
+		w.faults.maxLateDelay = 5 * time.Second
 		w.freezeAll(false)
 	}},
 	{"suspensions while the platform is down", func(w *world) {
-		w.after(6*time.Second, func() { w.faults.platform = true })
-		w.after(20*time.Second, func() { w.faults.platform = false })
+		w.after(6*time.Second, func() { w.faults.platformDown = true })
+		w.after(20*time.Second, func() { w.faults.platformDown = false })
 		w.freezeAll(true)
 	}},
 }
 
-// kill ends a node and starts its next incarnation a moment later.
+// kill ends a node and starts its next incarnation 500 ms later.
 func (w *world) kill(name string) {
 	n := w.nodes[name]
 	n.dead = true
 	w.after(500*time.Millisecond, func() { w.start(name, n.id.Zone, w.rng.Uint64()) })
 }
 
-// freezeAll pauses each node at some time for longer than a lease lasts.
+// freezeAll pauses each node once, at a random time, for 2 s to 7 s; most pauses exceed the 3 s
+// term of a lease.
 func (w *world) freezeAll(suspend bool) {
 	for _, name := range w.names {
 		w.after(time.Duration(4+w.rng.IntN(20))*time.Second, func() {
@@ -119,19 +123,19 @@
 	}
 }
 
-// traffic sends calls whose favourite models change every few seconds.
+// traffic sends calls for d; the most requested models change every 6 s.
 func (w *world) traffic(d time.Duration) {
 	id := calls.ID(0)
 	for at := time.Second; at < d; at += 40 * time.Millisecond {
 		w.after(at, func() {
 			id++
 			name := w.names[w.rng.IntN(len(w.names))]
-			favourite := int(w.now/(6*time.Second))*3 + w.rng.IntN(3)
-			c := calls.Request{ID: id, Service: fmt.Sprintf("svc-model-%d", favourite%8+1), Replayable: true}
+			popular := int(w.now/(6*time.Second))*3 + w.rng.IntN(3)
+			c := calls.Request{ID: id, Service: fmt.Sprintf("svc-model-%d", popular%8+1), Replayable: true}
 			if w.rng.IntN(4) == 0 {
 				c = calls.Request{ID: id, Service: "stock", Plain: true, Path: "/x", NotRepeatable: true}
 				if w.rng.IntN(2) == 0 {
-					c.IdempotencyKey = fmt.Sprintf("key-%d", id/3) // shared by neighbours
+					c.IdempotencyKey = fmt.Sprintf("key-%d", id/3) // consecutive calls share a key
 				}
 			}
 			w.call(name, c)
@@ -139,50 +143,52 @@
 	}
 }
 
-const stormTime = 45 * time.Second
+const stormDuration = 45 * time.Second
 
-// runStorm runs one storm and returns the world after it.
-func runStorm(t *testing.T, s storm, checks bool, seed uint64, change func(*option.Options)) *world {
+// runStorm runs one storm and returns the world afterwards. checksFence tells whether the engines
+// check fences; change, if not nil, changes the options.
+func runStorm(t *testing.T, s storm, checksFence bool, seed uint64, change func(*option.Options)) *world {
 	opt := quickOptions()
 	if change != nil {
 		change(&opt)
 	}
-	w := newWorld(t, seed, smallDocument(checks), 2, opt)
-	w.faults.breaks = 0.1
+	w := newWorld(t, seed, smallDocument(checksFence), 2, opt)
+	w.faults.breakRate = 0.1
 	s.begin(w)
-	w.traffic(stormTime - 15*time.Second)
-	w.run(stormTime)
+	w.traffic(stormDuration - 15*time.Second)
+	w.run(stormDuration)
 	return w
 }
 
-// stormSeeds is how many seeds each storm runs with; a search sets more.
-var stormSeeds = flag.Uint64("storm.seeds", 6, "seeds for each storm")
+// stormSeeds is the number of seeds per storm; a longer search sets more.
+var stormSeeds = flag.Uint64("storm.seeds", 6, "number of seeds per storm")
 
-// searchSeeds is within how many seeds a mechanism that is off must be found out.
+// searchSeeds is the number of seeds within which a disabled mechanism must be detected.
 const searchSeeds = 12
 
-// TestPromisesHoldUnderStorms runs every storm over engines that check fences
-// and over ones that do not, and checks memory, at-most-once, not-run,
-// single answers and rising revisions after every event.
+// TestPromisesHoldUnderStorms runs every storm with engines that check fences and with engines
+// that do not. After every event it checks that memory is not overcommitted, that calls run at
+// most once, that calls reported as not run did not run, that each call gets a single answer, and
+// that configuration revisions only increase.
 func TestPromisesHoldUnderStorms(t *testing.T) {
-	for _, checks := range []bool{true, false} {
+	for _, checksFence := range []bool{true, false} {
 		for _, s := range storms {
-			t.Run(fmt.Sprintf("%s/checks=%v", s.name, checks), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%s/checks=%v", s.name, checksFence), func(t *testing.T) {
 				for seed := range *stormSeeds {
-					w := runStorm(t, s, checks, seed, nil)
-					if len(w.broken) > 0 {
-						t.Fatalf("seed %d: %d promises broken, first:\n%s", seed, len(w.broken), strings.Join(w.broken[:min(5, len(w.broken))], "\n"))
+					w := runStorm(t, s, checksFence, seed, nil)
+					if len(w.violations) > 0 {
+						t.Fatalf("seed %d: %d violations, the first ones:\n%s", seed, len(w.violations), strings.Join(w.violations[:min(5, len(w.violations))], "\n"))
 					}
-					w.mustHaveWorked(t, seed)
+					w.requireProgress(t, seed)
 				}
 			})
 		}
 	}
 }
 
-// mustHaveWorked guards against a storm that proves nothing because nothing
-// happened in it.
-func (w *world) mustHaveWorked(t *testing.T, seed uint64) {
+// requireProgress fails the test if too few calls were answered or models loaded for the storm to
+// prove anything.
+func (w *world) requireProgress(t *testing.T, seed uint64) {
 	t.Helper()
 	answered, loads := 0, 0
 	for _, c := range w.calls {
@@ -194,18 +200,18 @@
 		loads += e.loads
 	}
 	if answered < len(w.calls)/4 || loads < 4 {
-		t.Fatalf("seed %d: only %d of %d calls answered, %d loads: the storm proves nothing", seed, answered, len(w.calls), loads)
+		t.Fatalf("seed %d: only %d of %d calls answered, %d loads: too few for a meaningful run", seed, answered, len(w.calls), loads)
 	}
 }
 
-// TestStormsFindWhatIsSwitchedOff shows that the storms can fail: each
-// mechanism, switched off, is found out by the promise that rests on it.
-func TestStormsFindWhatIsSwitchedOff(t *testing.T) {
+// TestStormsDetectDisabledMechanisms checks that the storms can fail: with a mechanism disabled,
+// some storm violates the guarantee that depends on it.
+func TestStormsDetectDisabledMechanisms(t *testing.T) {
 	cases := []struct {
-		name   string
-		checks bool
-		off    func(*option.Options)
-		finds  string
+		name          string
+		checksFence   bool
+		disable       func(*option.Options)
+		wantViolation string
 	}{
 		{"booking", true, func(o *option.Options) { o.Disable.Booking = true }, "overcommit"},
 		{"at most once", true, func(o *option.Options) { o.Disable.AtMost = true }, "ran 2 times"},
@@ -215,22 +221,22 @@
 		t.Run(c.name, func(t *testing.T) {
 			for _, s := range storms {
 				for seed := range uint64(searchSeeds) {
-					w := runStorm(t, s, c.checks, seed, c.off)
-					if strings.Contains(strings.Join(w.broken, "\n"), c.finds) {
-						t.Logf("%s, seed %d: %s", s.name, seed, w.broken[0])
+					w := runStorm(t, s, c.checksFence, seed, c.disable)
+					if strings.Contains(strings.Join(w.violations, "\n"), c.wantViolation) {
+						t.Logf("%s, seed %d: %s", s.name, seed, w.violations[0])
 						return
 					}
 				}
 			}
-			t.Fatalf("no storm found it")
+			t.Fatalf("no storm detected that the mechanism is disabled")
 		})
 	}
 }
 
-// TestFenceStopsALateOrder: a holder dies; an order of its own arrives at the
-// very moment at which its successor, which found the engine empty, begins to
-// fill it. Only a fence raised before the successor read the state stops it.
-// Storms find this too seldom, so the moment is chosen here.
+// TestFenceStopsALateOrder checks that a fence raised before the successor reads the state of an
+// engine stops an order of the former lease holder. The holder dies, and one of its orders arrives
+// exactly when the successor, which found the engine empty, starts to fill it. Storms rarely
+// produce this timing, so the test sets it up.
 func TestFenceStopsALateOrder(t *testing.T) {
 	for _, off := range []bool{false, true} {
 		opt := quickOptions()
@@ -245,7 +251,7 @@
 				}
 			}
 		}
-		w.run(200 * time.Millisecond) // its own raises arrive
+		w.run(200 * time.Millisecond) // until the fences that it raised itself arrive
 		former.dead = true
 		for _, e := range w.engines {
 			e.items = map[string]*fakeItem{}
@@ -257,21 +263,21 @@
 		w.beforeOrder = func(n *node, e *fakeEngine, o book.Order) {
 			if n.id.Zone == "z1" && n != former && o.Op == book.Load && !arrived {
 				arrived = true
-				w.carryOrder(e, late)
+				w.executeOrder(e, late)
 			}
 		}
 		w.run(20 * time.Second)
 		if !arrived {
-			t.Fatal("the successor never ordered anything")
+			t.Fatal("the successor sent no load order")
 		}
-		if found := strings.Contains(strings.Join(w.broken, "\n"), "overcommit"); found != off {
-			t.Fatalf("fences off: %v; broken promises: %v", off, w.broken)
+		if found := strings.Contains(strings.Join(w.violations, "\n"), "overcommit"); found != off {
+			t.Fatalf("fences disabled: %v; violations: %v", off, w.violations)
 		}
 	}
 }
 
-// TestEveryCallGetsItsFinalAnswer: no call is left without one, whatever
-// happens to it.
+// TestEveryCallGetsItsFinalAnswer checks that every call ends with an answer or a refusal, unless
+// its instance died.
 func TestEveryCallGetsItsFinalAnswer(t *testing.T) {
 	for _, s := range storms[:5] {
 		w := runStorm(t, s, true, 3, nil)
@@ -280,64 +286,64 @@
 			n := w.nodes[c.node]
 			died := !strings.HasPrefix(c.id, fmt.Sprintf("%s/%d/", c.node, n.id.Boot))
 			if !c.answered && c.refusal == nil && !died {
-				t.Fatalf("%s: call %s has no answer", s.name, c.id)
+				t.Fatalf("%s: call %s has no final answer", s.name, c.id)
 			}
 		}
 	}
 }
 
-// TestRevisionsReachEveryInstance: a change is in force everywhere within
-// seconds, though only the watchers ask the platform.
+// TestRevisionsReachEveryInstance checks that a new configuration is in force on all instances
+// within seconds, although only the watchers call the platform.
 func TestRevisionsReachEveryInstance(t *testing.T) {
 	is := is.New(t)
 	doc := smallDocument(true)
 	w := newWorld(t, 1, doc, 12, quickOptions())
 	w.run(10 * time.Second)
 	for _, name := range w.names {
-		is.Equal(w.install[name], uint64(1)) // the first revision is everywhere
+		is.Equal(w.installed[name], uint64(1)) // all instances have the first revision
 	}
 	w.apply(doc)
-	begun := w.now
-	for w.slowest() < 2 && w.now-begun < 9*time.Second {
+	appliedAt := w.now
+	for w.lowestRevision() < 2 && w.now-appliedAt < 9*time.Second {
 		w.run(50 * time.Millisecond)
 	}
-	is.Equal(w.slowest(), uint64(2)) // within the 9 s that the users allow
-	t.Logf("in force on %d instances after %v", len(w.names), w.now-begun)
+	is.Equal(w.lowestRevision(), uint64(2)) // the users allow 9 s
+	t.Logf("in force on %d instances after %v", len(w.names), w.now-appliedAt)
 }
 
-func (w *world) slowest() uint64 {
+// lowestRevision returns the lowest configuration revision that is in force on an instance.
+func (w *world) lowestRevision() uint64 {
 	least := ^uint64(0)
 	for _, name := range w.names {
-		least = min(least, w.install[name])
+		least = min(least, w.installed[name])
 	}
 	return least
 }
 
-// TestInstanceStartsFromItsPeers: with the platform down, a new instance takes
-// the revision that its peers have; with nobody to ask it is not ready and
-// says why.
+// TestInstanceStartsFromItsPeers checks that a new instance gets the configuration from its peers
+// while the platform is down. Without a reachable peer it is not ready and states the reason.
 func TestInstanceStartsFromItsPeers(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(t, 1, smallDocument(true), 2, quickOptions())
 	w.run(5 * time.Second)
-	w.faults.platform = true
+	w.faults.platformDown = true
 	w.kill(w.names[1])
 	w.run(5 * time.Second)
 	ready, _ := w.nodes[w.names[1]].m.Ready()
 	is.True(ready)
-	is.Equal(w.install[w.names[1]], uint64(1))
+	is.Equal(w.installed[w.names[1]], uint64(1))
 
 	alone := newWorld(t, 1, smallDocument(true), 1, quickOptions())
-	alone.faults.platform = true
-	alone.faults.cut["z1"] = true
+	alone.faults.platformDown = true
+	alone.faults.cutZones["z1"] = true
 	alone.run(5 * time.Second)
 	ready, reason := alone.nodes[alone.names[0]].m.Ready()
 	is.True(!ready)
 	is.Equal(reason, "no configuration from the platform or a peer yet")
 }
 
-// TestOlderRevisionIsIgnored: a stale read or a peer that is behind cannot
-// take a revision back; with the check switched off the world notices.
+// TestOlderRevisionIsIgnored checks that neither a stale read nor a peer that is behind rolls the
+// configuration back. With the check disabled, the world reports violations.
 func TestOlderRevisionIsIgnored(t *testing.T) {
 	for _, off := range []bool{false, true} {
 		opt := quickOptions()
@@ -352,18 +358,18 @@
 		n := w.nodes[w.names[0]]
 		w.step(n, w.configReply(old, PlatformSource))
 		w.step(n, w.configReply(old, "a peer that is behind"))
-		if found := len(w.broken) > 0; found != off {
-			t.Fatalf("check off: %v, broken promises: %v", off, w.broken)
+		if found := len(w.violations) > 0; found != off {
+			t.Fatalf("check disabled: %v, violations: %v", off, w.violations)
 		}
 	}
 }
 
-// TestLeavingEngineGetsNoWork: whichever source says first that an engine is
-// leaving, it gets nothing new within the stated bound, and the list's lag
-// does not matter.
+// TestLeavingEngineGetsNoWork checks that a leaving engine receives no new calls after
+// leavingBound, whichever source reports first that it leaves, and however far the list lags
+// behind.
 func TestLeavingEngineGetsNoWork(t *testing.T) {
-	for _, checks := range []bool{true, false} {
-		w := newWorld(t, 2, smallDocument(checks), 2, quickOptions())
+	for _, checksFence := range []bool{true, false} {
+		w := newWorld(t, 2, smallDocument(checksFence), 2, quickOptions())
 		w.traffic(30 * time.Second)
 		w.run(12 * time.Second)
 		leaving := w.busiestEngine()
@@ -372,24 +378,25 @@
 		e.change++
 		before := len(w.calls)
 		w.run(15 * time.Second)
-		if len(w.broken) > 0 {
-			t.Fatalf("%v", w.broken)
+		if len(w.violations) > 0 {
+			t.Fatalf("%v", w.violations)
 		}
 		if len(w.calls)-before < 100 {
-			t.Fatal("no traffic after the engine left")
+			t.Fatal("fewer than 100 calls after the engine left")
 		}
-		// The list says so only now, and says live first: nothing may change.
+		// The list lags behind and still shows the engine as live: nothing may change.
 		w.platform.version++
 		w.platform.list = append(w.platform.list, gossip.Listed{Name: leaving, Kind: gossip.Upstream, Version: era.Revision(w.platform.version)})
 		w.run(3 * time.Second)
 		for _, name := range w.names {
 			if !w.nodes[name].m.state.Pool.Get(leaving).Leaving() {
-				t.Fatalf("%s believes the lagging list", name)
+				t.Fatalf("%s trusts the lagging list", name)
 			}
 		}
 	}
 }
 
+// busiestEngine returns the engine with the most items that are ready.
 func (w *world) busiestEngine() string {
 	best := ""
 	most := -1
@@ -407,13 +414,13 @@
 	return best
 }
 
-// TestPlatformOutageCostsNoResidentCall: while the platform is down, calls to
-// resident models are served, and the calls made to it stay bounded.
+// TestPlatformOutageCostsNoResidentCall checks that calls to resident models are served while the
+// platform is down, and that the instances call the platform at a bounded rate.
 func TestPlatformOutageCostsNoResidentCall(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(t, 4, smallDocument(true), 2, quickOptions())
-	w.warm("model-1", 10*time.Second)
-	w.faults.platform = true
+	w.warmUp("model-1", 10*time.Second)
+	w.faults.platformDown = true
 	before := w.platform.calls
 	const outage = 10 * time.Minute
 	id := calls.ID(1 << 20)
@@ -426,15 +433,15 @@
 	}
 	w.run(outage)
 	for _, c := range resident[:len(resident)-1] {
-		is.True(c.answered) // every call to a resident model was served
+		is.True(c.answered) // calls to a resident model are served
 	}
 	perInstance := float64(w.platform.calls-before) / outage.Seconds() / float64(len(w.names))
 	t.Logf("platform calls during the outage: %.2f a second for each instance", perInstance)
-	is.True(perInstance < 2) // full jitter up to 5 s on three kinds of call
+	is.True(perInstance < 2) // three kinds of calls, each with a full jitter of up to 5 s
 }
 
-// warm asks for a model until it is resident.
-func (w *world) warm(model string, d time.Duration) {
+// warmUp sends calls for a model for d, so that it becomes resident.
+func (w *world) warmUp(model string, d time.Duration) {
 	id := calls.ID(1 << 30)
 	for at := time.Second; at < d; at += 200 * time.Millisecond {
 		w.after(at, func() {
@@ -445,48 +452,49 @@
 	w.run(d)
 }
 
-// TestColdModelsAllBecomeReachable: with many cold models asked for at once,
-// each becomes resident within the stated bound, also in a zone that is cut off.
+// TestColdModelsAllBecomeReachable checks that each of many cold models that are requested at once
+// is served within coldStartBound, also in a zone that is cut off.
 func TestColdModelsAllBecomeReachable(t *testing.T) {
 	for _, cut := range []bool{false, true} {
 		t.Run(fmt.Sprintf("cut=%v", cut), func(t *testing.T) {
 			w := newWorld(t, 5, smallDocument(true), 2, quickOptions())
 			w.run(8 * time.Second)
 			if cut {
-				w.faults.cut["z1"] = true
+				w.faults.cutZones["z1"] = true
 			}
 			served := map[string]time.Duration{}
-			begun := w.now
+			startedAt := w.now
 			id := calls.ID(0)
-			for at := time.Second; at < reachBound; at += 100 * time.Millisecond {
+			for at := time.Second; at < coldStartBound; at += 100 * time.Millisecond {
 				w.after(at, func() {
 					id++
 					model := fmt.Sprintf("model-%d", int(id)%8+1)
 					c := w.call("z1-entry-1", calls.Request{ID: id, Service: "svc-" + model, Replayable: true})
 					w.after(3*time.Second, func() {
 						if c.answered && served[model] == 0 {
-							served[model] = w.now - begun
+							served[model] = w.now - startedAt
 						}
 					})
 				})
 			}
-			w.run(reachBound)
-			if len(w.broken) > 0 {
-				t.Fatal(w.broken[0])
+			w.run(coldStartBound)
+			if len(w.violations) > 0 {
+				t.Fatal(w.violations[0])
 			}
 			if len(served) != 8 {
-				t.Fatalf("only %d of 8 models were reached within %v: %v", len(served), reachBound, served)
+				t.Fatalf("only %d of 8 models were served within %v: %v", len(served), coldStartBound, served)
 			}
-			t.Logf("reached after: %v", served)
+			t.Logf("first served after: %v", served)
 		})
 	}
 }
 
-// reachBound is the stated bound for eight models where four fit.
-const reachBound = 90 * time.Second
+// coldStartBound is the guaranteed time until each of eight models is served where memory holds
+// four.
+const coldStartBound = 90 * time.Second
 
-// TestPlannedStopHandsOver: a stopping holder gives its lease back, its calls
-// end, and a successor plans at once rather than after the lease's term.
+// TestPlannedStopHandsOver checks that a lease holder that stops releases its lease and ends its
+// calls, and that a successor plans immediately instead of after the term of the lease.
 func TestPlannedStopHandsOver(t *testing.T) {
 	is := is.New(t)
 	opt := quickOptions()
@@ -504,7 +512,7 @@
 	ready, reason := w.nodes[holder].m.Ready()
 	is.True(!ready)
 	is.Equal(reason, "stopping")
-	begun := w.now
+	stoppedAt := w.now
 	planned := func() bool {
 		for _, name := range w.names[:2] {
 			if name != holder && w.nodes[name].m.env.own.planner.IsPlanner() {
@@ -513,8 +521,8 @@
 		}
 		return false
 	}
-	for !planned() && w.now-begun < 10*time.Second {
+	for !planned() && w.now-stoppedAt < 10*time.Second {
 		w.run(100 * time.Millisecond)
 	}
-	is.True(w.now-begun < 4*time.Second) // a quarter of the term plus a moment, not the whole term
+	is.True(w.now-stoppedAt < 4*time.Second) // a quarter of the 10 s term plus a margin, not the whole term
 }
--- a/core/instance/world_calls_test.go
+++ b/core/instance/world_calls_test.go
@@ -12,9 +12,10 @@
 	"github.com/birchdrift/birchdrift/core/step"
 )
 
-// The world's callers, plain upstreams and claims.
+// This file simulates the callers, the plain upstreams and the claims of a world.
 
-func (w *world) claims(n *node, a step.Action) {
+// handleClaim executes the claim, the read or the release of an idempotency key at the platform.
+func (w *world) handleClaim(n *node, a step.Action) {
 	switch act := a.(type) {
 	case modelcalls.Claim:
 		mine := fmt.Sprintf("%s/%d/%d", n.id.Name, n.id.Boot, act.ID)
@@ -53,11 +54,12 @@
 	}
 }
 
-func (w *world) callOf(n *node, id calls.ID) *worldCall {
+// lookupCall returns the call of a node with the given ID, or nil if there is none.
+func (w *world) lookupCall(n *node, id calls.ID) *worldCall {
 	return w.calls[fmt.Sprintf("%s/%d/%d", n.id.Name, n.id.Boot, id)]
 }
 
-// call begins a caller's call at a node.
+// call starts a caller's call at a node.
 func (w *world) call(name string, c calls.Request) *worldCall {
 	n := w.nodes[name]
 	wc := &worldCall{id: fmt.Sprintf("%s/%d/%d", name, n.id.Boot, c.ID), node: name, notRepeatable: c.NotRepeatable, key: c.IdempotencyKey}
@@ -66,34 +68,35 @@
 	return wc
 }
 
-// dispatch plays an upstream: the connection may break before a byte leaves,
-// on the way, after the call ran, or halfway through its answer.
+// dispatch simulates an upstream. The connection may break before anything is sent, while the
+// request is in transit, after the call ran, or in the middle of the response.
 func (w *world) dispatch(n *node, a calls.Dispatch) {
-	c := w.callOf(n, a.ID)
+	c := w.lookupCall(n, a.ID)
 	if c == nil {
 		return
 	}
 	c.dispatched++
 	e := w.engines[a.Replica]
 	if e != nil && e.leaving && w.now-e.leftAt > leavingBound {
-		w.breach("%s was sent work %v after it began to leave", e.name, w.now-e.leftAt)
+		w.reportViolation("%s received a call %v after it started to leave", e.name, w.now-e.leftAt)
 	}
 	if !w.engineUp(n, a.Zone)() {
 		w.after(100*time.Millisecond, func() { w.step(n, calls.AttemptFailed{ID: a.ID, Attempt: a.Attempt, Phase: attempt.NotSent}) })
 		return
 	}
-	w.after(w.latency(), func() { w.play(n, a, c, e) })
+	w.after(w.latency(), func() { w.runUpstream(n, a, c, e) })
 }
 
-// leavingBound is the stated time after which a leaving upstream gets no work.
+// leavingBound is the guaranteed time after which a leaving upstream receives no calls.
 const leavingBound = 4 * time.Second
 
-func (w *world) play(n *node, a calls.Dispatch, c *worldCall, e *fakeEngine) {
+// runUpstream runs a call at its upstream, or has the upstream refuse it or the connection break.
+func (w *world) runUpstream(n *node, a calls.Dispatch, c *worldCall, e *fakeEngine) {
 	if e != nil && (e.leaving || !e.ready(a)) {
 		w.step(n, calls.AttemptFailed{ID: a.ID, Attempt: a.Attempt, Phase: attempt.Refused, Leaving: e.leaving, Status: 503})
 		return
 	}
-	if w.rng.Float64() >= w.faults.breaks {
+	if w.rng.Float64() >= w.faults.breakRate {
 		w.execute(c, a)
 		w.step(n, calls.AnswerBegan{ID: a.ID})
 		w.after(w.latency(), func() {
@@ -131,14 +134,14 @@
 	return true
 }
 
-// execute notes that a call ran, and checks that it may have.
+// execute records that a call ran, and reports a violation if it was not allowed to run again.
 func (w *world) execute(c *worldCall, a calls.Dispatch) {
 	if a.Resume {
 		return
 	}
 	c.executed++
 	if c.notRepeatable && c.executed > 1 {
-		w.breach("call %s ran %d times", c.id, c.executed)
+		w.reportViolation("call %s ran %d times", c.id, c.executed)
 	}
 	if c.key == "" {
 		return
@@ -150,21 +153,23 @@
 		}
 	}
 	if total > 1 {
-		w.breach("key %q ran %d times", c.key, total)
+		w.reportViolation("key %q ran %d times", c.key, total)
 	}
 }
 
+// finish records a final answer that a node gives itself, and checks that it is the only one and
+// that its run state is true.
 func (w *world) finish(n *node, a calls.Finish) {
-	c := w.callOf(n, a.ID)
+	c := w.lookupCall(n, a.ID)
 	if c == nil {
 		return
 	}
 	if c.answered || c.refusal != nil {
-		w.breach("call %s was answered twice", c.id)
+		w.reportViolation("call %s was answered twice", c.id)
 	}
 	refusal := a.Refusal
 	c.refusal = &refusal
 	if refusal.Run == code.NotRun && c.executed > 0 {
-		w.breach("call %s is said not to have run (code %d), yet it ran", c.id, refusal.Code)
+		w.reportViolation("call %s was reported as not run (code %d), but it ran", c.id, refusal.Code)
 	}
 }
--- a/core/instance/world_test.go
+++ b/core/instance/world_test.go
@@ -27,53 +27,53 @@
 	"github.com/birchdrift/birchdrift/core/step"
 )
 
-// A world drives several machines under one clock, with messages lost, late
-// and doubled by seed. It knows nothing of how machines decide; it only
-// carries out their actions against small fakes and checks the promises. It is
-// a focused test of the logic, not a model of a fleet.
+// A world simulates several machines on one simulated clock, with messages lost, delayed and
+// duplicated at random by seed. It does not depend on how machines decide: it performs their
+// actions on small fakes and checks the guarantees. It tests the logic; it does not model a
+// production fleet.
 type world struct {
-	t        *testing.T
-	rng      *rand.Rand
-	now      time.Duration
-	queue    eventQueue
-	order    uint64
-	opt      option.Options
-	doc      config.Document
-	platform fakePlatform
-	engines  map[string]*fakeEngine
-	nodes    map[string]*node
-	names    []string
-	faults   worldFaults
-	calls    map[string]*worldCall // by instance and id
-	broken   []string              // promises seen broken
-	install  map[string]uint64
-	// beforeOrder is called when an order reaches its engine, before it is
-	// carried out; may be nil.
+	t          *testing.T
+	rng        *rand.Rand
+	now        time.Duration
+	queue      eventQueue
+	eventSeq   uint64
+	opt        option.Options
+	doc        config.Document
+	platform   fakePlatform
+	engines    map[string]*fakeEngine
+	nodes      map[string]*node
+	names      []string
+	faults     worldFaults
+	calls      map[string]*worldCall // by instance, incarnation and call ID
+	violations []string              // descriptions of violated guarantees
+	installed  map[string]uint64
+	// beforeOrder, if not nil, is called when an order reaches its engine, before
+	// the engine executes it.
 	beforeOrder func(n *node, e *fakeEngine, o book.Order)
 }
 
-// worldFaults are the faults in force.
+// worldFaults holds the faults that are currently injected.
 type worldFaults struct {
-	loss     float64       // share of requests or answers lost
-	delay    time.Duration // most that a message takes
-	late     time.Duration // how late a lost order may still arrive
-	platform bool          // the platform is down
-	cut      map[string]bool
-	breaks   float64 // share of calls whose connection breaks somewhere
+	lossRate     float64       // share of requests and responses that are lost
+	maxLatency   time.Duration // upper bound of the latency of a message
+	maxLateDelay time.Duration // a lost request may still arrive within this time; 0: never
+	platformDown bool          // the platform does not respond
+	cutZones     map[string]bool
+	breakRate    float64 // share of calls whose connection breaks, at a random phase
 }
 
-// A node is one machine with its own clocks.
+// A node is one machine with its own clock.
 type node struct {
-	m       *Machine
-	id      member.Identity
-	dead    bool
-	paused  bool
-	monoLag time.Duration // by how much its monotonic clock is behind
-	held    []func()
-	incarn  int
+	m           *Machine
+	id          member.Identity
+	dead        bool
+	paused      bool
+	monoLag     time.Duration // how far its monotonic clock is behind
+	deferred    []func()
+	incarnation int
 }
 
-// A worldCall is one caller's call and what became of it.
+// A worldCall is one caller's call and its outcome.
 type worldCall struct {
 	id            string
 	node          string
@@ -86,9 +86,9 @@
 }
 
 type scheduled struct {
-	at    time.Duration
-	order uint64
-	do    func()
+	at       time.Duration
+	eventSeq uint64
+	do       func()
 }
 
 type eventQueue []scheduled
@@ -98,7 +98,7 @@
 	if q[i].at != q[j].at {
 		return q[i].at < q[j].at
 	}
-	return q[i].order < q[j].order
+	return q[i].eventSeq < q[j].eventSeq
 }
 func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 func (q *eventQueue) Push(x any)   { *q = append(*q, x.(scheduled)) }
@@ -109,7 +109,7 @@
 	return x
 }
 
-// A fakePlatform holds values, leases and the list.
+// A fakePlatform stores the values, the leases and the list of the platform.
 type fakePlatform struct {
 	revision uint64
 	values   map[string]fakeValue
@@ -130,22 +130,22 @@
 	expires time.Duration
 }
 
-// A fakeEngine is one engine's memory and the orders it took.
+// A fakeEngine holds an engine's memory and the last order that it accepted.
 type fakeEngine struct {
-	name      string
-	capacity  int64
-	checks    bool
-	boot      uint64
-	change    uint64
-	seq       uint64
-	fence     uint64
-	lastOrder uint64
-	leaving   bool
-	leftAt    time.Duration
-	items     map[string]*fakeItem
-	overs     int
-	loads     int
-	unloads   int
+	name        string
+	capacity    int64
+	checksFence bool
+	boot        uint64
+	change      uint64
+	seq         uint64
+	fence       uint64
+	lastOrder   uint64
+	leaving     bool
+	leftAt      time.Duration
+	items       map[string]*fakeItem
+	overcommits int
+	loads       int
+	unloads     int
 }
 
 type fakeItem struct {
@@ -153,18 +153,18 @@
 	mib   int64
 }
 
-const worldStart = time.Hour // so that no instant is zero
+const worldStart = time.Hour // nonzero, because the zero instant means unset
 
 func newWorld(t *testing.T, seed uint64, doc config.Document, perZone int, opt option.Options) *world {
 	w := &world{
 		t: t, rng: rand.New(rand.NewPCG(seed, 1)), now: worldStart, opt: opt, doc: doc,
 		platform: fakePlatform{values: map[string]fakeValue{}, leases: map[string]*fakeLease{}},
 		engines:  map[string]*fakeEngine{}, nodes: map[string]*node{},
-		calls: map[string]*worldCall{}, install: map[string]uint64{},
-		faults: worldFaults{delay: 5 * time.Millisecond, cut: map[string]bool{}},
+		calls: map[string]*worldCall{}, installed: map[string]uint64{},
+		faults: worldFaults{maxLatency: 5 * time.Millisecond, cutZones: map[string]bool{}},
 	}
 	for _, e := range doc.Engines {
-		w.engines[e.Name] = &fakeEngine{name: e.Name, capacity: e.MemoryMiB, checks: e.ChecksFence, boot: 1, items: map[string]*fakeItem{}}
+		w.engines[e.Name] = &fakeEngine{name: e.Name, capacity: e.MemoryMiB, checksFence: e.ChecksFence, boot: 1, items: map[string]*fakeItem{}}
 	}
 	for _, z := range doc.Zones {
 		for i := range perZone {
@@ -181,31 +181,33 @@
 	return w
 }
 
-// start begins a new incarnation of a node.
+// start starts a new incarnation of a node.
 func (w *world) start(name, zone string, seed uint64) {
-	incarn := 1
+	incarnation := 1
 	if old := w.nodes[name]; old != nil {
-		incarn = old.incarn + 1
+		incarnation = old.incarnation + 1
 	}
-	id := member.Identity{Name: name, Zone: zone, Address: name, Boot: uint64(incarn), Seeds: w.names[:1]}
-	n := &node{id: id, m: New(id, w.opt, seed+uint64(len(name))+uint64(incarn)<<32), incarn: incarn}
+	id := member.Identity{Name: name, Zone: zone, Address: name, Boot: uint64(incarnation), Seeds: w.names[:1]}
+	n := &node{id: id, m: New(id, w.opt, seed+uint64(len(name))+uint64(incarnation)<<32), incarnation: incarnation}
 	w.nodes[name] = n
-	delete(w.install, name)
+	delete(w.installed, name)
 	w.after(0, func() { w.tick(n) })
 }
 
+// apply stores doc in the platform as the next revision of the configuration.
 func (w *world) apply(doc config.Document) {
 	v := w.platform.values["config"]
 	doc.Revision = v.revision + 1
 	w.platform.values["config"] = fakeValue{data: doc, revision: doc.Revision}
 }
 
+// after schedules f to run after d.
 func (w *world) after(d time.Duration, f func()) {
-	w.order++
-	heap.Push(&w.queue, scheduled{at: w.now + d, order: w.order, do: f})
+	w.eventSeq++
+	heap.Push(&w.queue, scheduled{at: w.now + d, eventSeq: w.eventSeq, do: f})
 }
 
-// run advances the clock by d.
+// run processes the events of the next d and advances the clock by d.
 func (w *world) run(d time.Duration) {
 	end := w.now + d
 	for len(w.queue) > 0 && w.queue[0].at <= end {
@@ -222,7 +224,7 @@
 	return at
 }
 
-// tick keeps a node's machine going.
+// tick delivers a Tick to a node's machine and schedules the next one.
 func (w *world) tick(n *node) {
 	if n.dead {
 		return
@@ -231,23 +233,23 @@
 	w.after(n.m.NextWake(), func() { w.tick(n) })
 }
 
-// step gives a node an event, now or when it wakes up.
+// step delivers an event to a node, or defers it until the node resumes.
 func (w *world) step(n *node, ev step.Event) {
 	if n.dead {
 		return
 	}
 	if n.paused {
-		n.held = append(n.held, func() { w.step(n, ev) })
+		n.deferred = append(n.deferred, func() { w.step(n, ev) })
 		return
 	}
 	actions := append([]step.Action(nil), n.m.Step(n.clock(w.now), ev)...)
 	for _, a := range actions {
-		w.carryOut(n, a)
+		w.performAction(n, a)
 	}
 }
 
-// pause freezes a node; suspend also stops its monotonic clock. Whatever it
-// had decided but not sent is sent when it wakes up.
+// pause freezes a node for d. With suspend its monotonic clock stops too. Events and unsent
+// messages are deferred until the node resumes.
 func (w *world) pause(name string, d time.Duration, suspend bool) {
 	n := w.nodes[name]
 	n.paused = true
@@ -256,26 +258,27 @@
 		if suspend {
 			n.monoLag += d
 		}
-		held := n.held
-		n.held = nil
-		for _, f := range held {
+		deferred := n.deferred
+		n.deferred = nil
+		for _, f := range deferred {
 			f()
 		}
 	})
 }
 
 func (w *world) latency() time.Duration {
-	return time.Duration(w.rng.Int64N(int64(w.faults.delay))) + 1
+	return time.Duration(w.rng.Int64N(int64(w.faults.maxLatency))) + 1
 }
 
-func (w *world) lost() bool { return w.rng.Float64() < w.faults.loss }
+func (w *world) lost() bool { return w.rng.Float64() < w.faults.lossRate }
 
-// send carries a request to a place and its answer back; either may be lost.
-// effect runs at the far end, reply at the node. fail runs at the node when
-// the request or the answer is lost, and says whether it certainly never left.
+// send carries a request to its destination and the response back; either may be lost. effect runs
+// at the destination and returns the function that handles the response at the node. fail runs at
+// the node when the request or the response is lost; notSent reports whether the request certainly
+// was not sent.
 func (w *world) send(n *node, reachable func() bool, effect func() func(), fail func(notSent bool)) {
 	if n.paused {
-		n.held = append(n.held, func() { w.send(n, reachable, effect, fail) })
+		n.deferred = append(n.deferred, func() { w.send(n, reachable, effect, fail) })
 		return
 	}
 	const timeout = 500 * time.Millisecond
@@ -285,8 +288,8 @@
 	}
 	if w.lost() {
 		w.after(timeout, func() { fail(false) })
-		if w.faults.late > 0 {
-			w.after(time.Duration(w.rng.Int64N(int64(w.faults.late))), func() { effect() })
+		if w.faults.maxLateDelay > 0 {
+			w.after(time.Duration(w.rng.Int64N(int64(w.faults.maxLateDelay))), func() { effect() })
 		}
 		return
 	}
@@ -300,24 +303,25 @@
 	})
 }
 
-func (w *world) breach(format string, args ...any) {
-	w.broken = append(w.broken, fmt.Sprintf("%v: ", w.now-worldStart)+fmt.Sprintf(format, args...))
+func (w *world) reportViolation(format string, args ...any) {
+	w.violations = append(w.violations, fmt.Sprintf("%v: ", w.now-worldStart)+fmt.Sprintf(format, args...))
 }
 
 var errLost = errors.New("lost")
 
 func (w *world) platformUp(n *node) func() bool {
-	return func() bool { return !w.faults.platform && !w.faults.cut[n.id.Zone] }
+	return func() bool { return !w.faults.platformDown && !w.faults.cutZones[n.id.Zone] }
 }
 
 func (w *world) engineUp(n *node, zone string) func() bool {
-	return func() bool { return zone == n.id.Zone || !w.faults.cut[n.id.Zone] && !w.faults.cut[zone] }
+	return func() bool { return zone == n.id.Zone || !w.faults.cutZones[n.id.Zone] && !w.faults.cutZones[zone] }
 }
 
-func (w *world) carryOut(n *node, a step.Action) {
+// performAction executes an action of a node against the fakes.
+func (w *world) performAction(n *node, a step.Action) {
 	switch act := a.(type) {
 	case ConfigInstalled:
-		w.noteInstall(n, act)
+		w.checkInstalled(n, act)
 	case kvwatch.WatchConfig:
 		w.watchConfig(n, act)
 	case kvwatch.WatchList:
@@ -340,7 +344,7 @@
 	case exchange.SendRequest:
 		w.exchange(n, act)
 	case modelcalls.Claim, modelcalls.ReadClaim, modelcalls.ReleaseClaim:
-		w.claims(n, act)
+		w.handleClaim(n, act)
 	case calls.Dispatch:
 		w.dispatch(n, act)
 	case calls.Finish:
@@ -348,12 +352,14 @@
 	}
 }
 
-func (w *world) noteInstall(n *node, a ConfigInstalled) {
-	old := w.install[n.id.Name]
+// checkInstalled records the configuration revision that a node installed, and reports a violation
+// if it is older than the previous one.
+func (w *world) checkInstalled(n *node, a ConfigInstalled) {
+	old := w.installed[n.id.Name]
 	if a.Snapshot.Revision() < old {
-		w.breach("%s went from revision %d to %d", n.id.Name, old, a.Snapshot.Revision())
+		w.reportViolation("%s went from revision %d to %d", n.id.Name, old, a.Snapshot.Revision())
 	}
-	w.install[n.id.Name] = a.Snapshot.Revision()
+	w.installed[n.id.Name] = a.Snapshot.Revision()
 }
 
 func (w *world) watchConfig(n *node, a kvwatch.WatchConfig) {
@@ -449,7 +455,7 @@
 func (w *world) exchange(n *node, a exchange.SendRequest) {
 	peer := w.nodes[a.Address]
 	up := func() bool {
-		return peer != nil && !peer.dead && !peer.paused && (peer.id.Zone == n.id.Zone || !w.faults.cut[n.id.Zone] && !w.faults.cut[peer.id.Zone])
+		return peer != nil && !peer.dead && !peer.paused && (peer.id.Zone == n.id.Zone || !w.faults.cutZones[n.id.Zone] && !w.faults.cutZones[peer.id.Zone])
 	}
 	failed := func(bool) { w.step(n, exchange.Reply{Peer: a.Peer, Address: a.Address, Err: errLost}) }
 	w.send(n, up, func() func() {
@@ -463,17 +469,18 @@
 				answer = ans.Message
 				continue
 			}
-			w.carryOut(peer, x)
+			w.performAction(peer, x)
 		}
-		w.takeConfig(peer, a.Message)
+		w.deliverConfig(peer, a.Message)
 		return func() {
-			w.takeConfig(n, answer)
+			w.deliverConfig(n, answer)
 			w.step(n, exchange.Reply{Peer: a.Peer, Address: a.Address, Message: answer})
 		}
 	}, failed)
 }
 
-func (w *world) takeConfig(n *node, msg gossip.Message) {
+// deliverConfig delivers the configuration in an exchange message, if any, to a node.
+func (w *world) deliverConfig(n *node, msg gossip.Message) {
 	if len(msg.Config) == 0 {
 		return
 	}
--- a/core/own/plan/plan.go
+++ b/core/own/plan/plan.go
@@ -155,6 +155,7 @@
 	freeingMiB int64          // memory that the planned unloads will free
 }
 
+// newPlanner returns a planner for the usable engines of in.
 func newPlanner(in Input) *planner {
 	p := &planner{
 		in:        in,
@@ -174,6 +175,7 @@
 	return p
 }
 
+// newEngine returns e with its residents indexed, and counts their copies.
 func (p *planner) newEngine(e Engine) *engine {
 	out := &engine{Engine: e, residents: map[string]*Resident{}, adapters: map[string]int{}}
 	for i := range e.Residents {
@@ -190,8 +192,8 @@
 // copyValue returns the value that the n-th copy of an item (1 for the first) adds in
 // this zone if it can rely on remote copies in other zones.
 func (p *planner) copyValue(item string, n, remote int) float64 {
-	d, asked := p.demand[item]
-	if !asked {
+	d, hasDemand := p.demand[item]
+	if !hasDemand {
 		if remote > 0 {
 			return 0
 		}
--- a/internal/own/driver.go
+++ b/internal/own/driver.go
@@ -75,7 +75,7 @@
 	case kvwatch.WatchList:
 		return func(ctx context.Context) { d.watchList(ctx, act) }
 	case planner.RequestLease:
-		return func(ctx context.Context) { d.seekLease(ctx, act) }
+		return func(ctx context.Context) { d.requestLease(ctx, act) }
 	case planner.ReleaseLease:
 		return func(ctx context.Context) { d.releaseLease(ctx, act) }
 	case planner.ReadIntents:
@@ -101,6 +101,8 @@
 	}
 }
 
+// claimValue returns the value stored for a claim. It identifies the call among all
+// instances.
 func (d *driver) claimValue(id calls.ID) []byte {
 	return fmt.Appendf(nil, "%s/%x/%d", d.host.Self.Name, d.host.Self.Boot, id)
 }
@@ -112,6 +114,7 @@
 	d.host.Post(modelcalls.ClaimReply{ID: a.ID, Outcome: claimOutcome(err)})
 }
 
+// claimOutcome returns the outcome of the compare-and-swap that requested a claim.
 func claimOutcome(err error) modelcalls.ClaimOutcome {
 	switch {
 	case err == nil:
@@ -127,6 +130,8 @@
 	}
 }
 
+// readClaim reads a claim back and reports whether it is absent or belongs to this call or
+// another one.
 func (d *driver) readClaim(ctx context.Context, a modelcalls.ReadClaim) {
 	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
@@ -183,9 +188,10 @@
 	d.host.Post(listing.Reply{Entries: entries, Version: era.Revision(version), Err: err})
 }
 
+// holderName returns the name under which this start of the instance holds leases.
 func (d *driver) holderName() string { return fmt.Sprintf("%s/%x", d.host.Self.Name, d.host.Self.Boot) }
 
-func (d *driver) seekLease(ctx context.Context, a planner.RequestLease) {
+func (d *driver) requestLease(ctx context.Context, a planner.RequestLease) {
 	sent := d.host.Now()
 	reply, err := d.platform.AcquireLease(ctx, keyvalue.LeaseName(d.host.Self.Zone), keyvalue.LeaseRequest{
 		Holder: d.holderName(), TermMS: a.Term.Milliseconds(), Renew: a.Renew,
