--- a/standin/service/service.go
+++ b/standin/service/service.go
@@ -36,8 +36,8 @@
 	Faults fault.Injector[Faults]
 	name   string
 
-	mu     sync.Mutex
-	ledger []Execution
+	mu         sync.Mutex
+	executions []Execution
 }
 
 // New returns a service that has executed no calls.
@@ -47,7 +47,7 @@
 func (s *Service) Executions() []Execution {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return append([]Execution(nil), s.ledger...)
+	return append([]Execution(nil), s.executions...)
 }
 
 // Handler returns the service's HTTP interface: every path except /ledger and /fault
@@ -97,7 +97,7 @@
 		return // the request was incomplete, so the call does not run
 	}
 	s.mu.Lock()
-	s.ledger = append(s.ledger, Execution{Method: r.Method, Path: r.URL.Path, Body: string(body), Call: r.Header.Get(upstream.HeaderCall)})
+	s.executions = append(s.executions, Execution{Method: r.Method, Path: r.URL.Path, Body: string(body), Call: r.Header.Get(upstream.HeaderCall)})
 	s.mu.Unlock()
 	time.Sleep(slow)
 	if after {
