--- a/standin/service/service.go
+++ b/standin/service/service.go
@@ -70,14 +70,14 @@
 }
 
 func (s *Service) serve(w http.ResponseWriter, r *http.Request) {
-	var before, after, cut, refuse, leaving bool
+	var dropBefore, after, cut, refuse, leaving bool
 	var slow time.Duration
 	s.Faults.Update(func(f *Faults) {
 		leaving = f.Leaving
 		refuse = leaving || takeOne(&f.Refuse)
-		before = !refuse && takeOne(&f.DropBefore)
-		after = !refuse && !before && takeOne(&f.DropAfter)
-		cut = !refuse && !before && !after && takeOne(&f.CutBody)
+		dropBefore = !refuse && takeOne(&f.DropBefore)
+		after = !refuse && !dropBefore && takeOne(&f.DropAfter)
+		cut = !refuse && !dropBefore && !after && takeOne(&f.CutBody)
 		slow = time.Duration(f.Slow)
 	})
 	if refuse {
@@ -88,7 +88,7 @@
 		http.Error(w, "refused", http.StatusServiceUnavailable)
 		return
 	}
-	if before {
+	if dropBefore {
 		fault.DropConnection(w)
 		return
 	}
