--- a/standin/service/service.go
+++ b/standin/service/service.go
@@ -70,14 +70,14 @@
 }
 
 func (s *Service) serve(w http.ResponseWriter, r *http.Request) {
-	var dropBefore, after, cut, refuse, leaving bool
+	var dropBefore, dropAfter, cut, refuse, leaving bool
 	var slow time.Duration
 	s.Faults.Update(func(f *Faults) {
 		leaving = f.Leaving
 		refuse = leaving || takeOne(&f.Refuse)
 		dropBefore = !refuse && takeOne(&f.DropBefore)
-		after = !refuse && !dropBefore && takeOne(&f.DropAfter)
-		cut = !refuse && !dropBefore && !after && takeOne(&f.CutBody)
+		dropAfter = !refuse && !dropBefore && takeOne(&f.DropAfter)
+		cut = !refuse && !dropBefore && !dropAfter && takeOne(&f.CutBody)
 		slow = time.Duration(f.Slow)
 	})
 	if refuse {
@@ -100,7 +100,7 @@
 	s.executions = append(s.executions, Execution{Method: r.Method, Path: r.URL.Path, Body: string(body), Call: r.Header.Get(upstream.HeaderCall)})
 	s.mu.Unlock()
 	time.Sleep(slow)
-	if after {
+	if dropAfter {
 		fault.DropConnection(w)
 		return
 	}
