--- a/standin/service/service.go
+++ b/standin/service/service.go
@@ -70,14 +70,14 @@
 }
 
 func (s *Service) serve(w http.ResponseWriter, r *http.Request) {
-	var dropBefore, dropAfter, cut, refuse, leaving bool
+	var dropBefore, dropAfter, cutBody, refuse, leaving bool
 	var slow time.Duration
 	s.Faults.Update(func(f *Faults) {
 		leaving = f.Leaving
 		refuse = leaving || takeOne(&f.Refuse)
 		dropBefore = !refuse && takeOne(&f.DropBefore)
 		dropAfter = !refuse && !dropBefore && takeOne(&f.DropAfter)
-		cut = !refuse && !dropBefore && !dropAfter && takeOne(&f.CutBody)
+		cutBody = !refuse && !dropBefore && !dropAfter && takeOne(&f.CutBody)
 		slow = time.Duration(f.Slow)
 	})
 	if refuse {
@@ -106,7 +106,7 @@
 	}
 	w.Header().Set("Served-By", s.name)
 	answer := append([]byte(r.Method+" "+r.URL.Path+" "), body...)
-	if cut {
+	if cutBody {
 		_, _ = w.Write(answer[:len(answer)/2])
 		_ = http.NewResponseController(w).Flush()
 		panic(http.ErrAbortHandler)
