--- a/standin/fleet/fleet.go
+++ b/standin/fleet/fleet.go
@@ -180,12 +180,12 @@
 		p.Kill()
 		return nil, err
 	}
-	var where struct{ Callers, Peers, Operations string }
-	if err := json.Unmarshal([]byte(line), &where); err != nil {
+	var addresses struct{ Callers, Peers, Operations string }
+	if err := json.Unmarshal([]byte(line), &addresses); err != nil {
 		p.Kill()
 		return nil, err
 	}
-	return &Instance{Process: p, Zone: s.Zone, Callers: where.Callers, Peers: where.Peers, Operations: where.Operations}, nil
+	return &Instance{Process: p, Zone: s.Zone, Callers: addresses.Callers, Peers: addresses.Peers, Operations: addresses.Operations}, nil
 }
 
 // StartStandin starts a stand-in process and returns the process and its address.
