--- a/standin/fleet/fleet.go
+++ b/standin/fleet/fleet.go
@@ -216,8 +216,8 @@
 
 // Status fetches the instance's state from its operations listener.
 func (i *Instance) Status() (instance.Status, error) {
-	ctx, done := context.WithTimeout(context.Background(), 5*time.Second)
-	defer done()
+	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
+	defer cancel()
 	return control.FetchStatus(ctx, http.DefaultClient, i.Operations)
 }
 
