--- a/standin/fleet/fleet.go
+++ b/standin/fleet/fleet.go
@@ -102,8 +102,8 @@
 	deadline := time.NewTimer(AwaitTimeout)
 	defer deadline.Stop()
 	for {
-		all, changed := p.log.snapshot()
-		for _, line := range all {
+		lines, changed := p.log.snapshot()
+		for _, line := range lines {
 			if strings.Contains(line, text) {
 				return line, nil
 			}
