--- a/standin/fleet/fleet.go
+++ b/standin/fleet/fleet.go
@@ -120,8 +120,8 @@
 
 // Log returns the program's output so far.
 func (p *Process) Log() string {
-	all, _ := p.log.snapshot()
-	return strings.Join(all, "\n")
+	lines, _ := p.log.snapshot()
+	return strings.Join(lines, "\n")
 }
 
 // Signal sends a signal to the process.
