--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -149,11 +149,11 @@
 
 // waitUntilThawed waits until the engine is not frozen. It returns false if gone is closed
 // or the engine closes first.
-func (e *Engine) waitUntilThawed(gone <-chan struct{}) bool {
+func (e *Engine) waitUntilThawed(stop <-chan struct{}) bool {
 	for e.Faults.Get().Freeze {
 		select {
 		case <-time.After(frozenPollInterval):
-		case <-gone:
+		case <-stop:
 			return false
 		case <-e.closed:
 			return false
