--- a/cmd/birchctl/main.go
+++ b/cmd/birchctl/main.go
@@ -24,8 +24,8 @@
 		return
 	}
 	fmt.Fprintln(os.Stderr, "birchctl:", err)
-	var numbered *code.Error
-	if !errors.As(err, &numbered) || numbered.Code == code.BadUsage || numbered.Code == code.BadSetting {
+	var codeErr *code.Error
+	if !errors.As(err, &codeErr) || codeErr.Code == code.BadUsage || codeErr.Code == code.BadSetting {
 		os.Exit(exitUsage)
 	}
 	os.Exit(exitFailed)
