--- a/cmd/birchdrift/main.go
+++ b/cmd/birchdrift/main.go
@@ -20,9 +20,9 @@
 
 // Exit statuses.
 const (
-	exitFailed = 1
-	exitUsage  = 2
-	exitCut    = 3
+	exitFailed   = 1
+	exitUsage    = 2
+	exitCallsCut = 3
 )
 
 // environments maps the values of the environment setting to the environments that an
@@ -79,7 +79,7 @@
 		return cli.Exit(fmt.Sprintf("birchdrift: BD-901 internal: %v", err), exitFailed)
 	}
 	if cut > 0 {
-		return cli.Exit(fmt.Sprintf("birchdrift: %d calls were cut off", cut), exitCut)
+		return cli.Exit(fmt.Sprintf("birchdrift: %d calls were cut off", cut), exitCallsCut)
 	}
 	return nil
 }
