--- a/cmd/birchdrift/main.go
+++ b/cmd/birchdrift/main.go
@@ -74,12 +74,12 @@
 		return cli.Exit(fmt.Sprintf("birchdrift: BD-501 bad_setting: %v", err), exitFailed)
 	}
 	s.ReloadFrom(source, file)
-	cut, err := s.Run()
+	cutCalls, err := s.Run()
 	if err != nil {
 		return cli.Exit(fmt.Sprintf("birchdrift: BD-901 internal: %v", err), exitFailed)
 	}
-	if cut > 0 {
-		return cli.Exit(fmt.Sprintf("birchdrift: %d calls were cut off", cut), exitCallsCut)
+	if cutCalls > 0 {
+		return cli.Exit(fmt.Sprintf("birchdrift: %d calls were cut off", cutCalls), exitCallsCut)
 	}
 	return nil
 }
