--- a/cmd/birchdrift/main.go
+++ b/cmd/birchdrift/main.go
@@ -62,9 +62,9 @@
 			return cmd.String(name), cmd.IsSet(name)
 		},
 	}
-	set, file, faults := source.Read()
-	if len(faults) > 0 {
-		for _, f := range faults {
+	set, file, invalid := source.Read()
+	if len(invalid) > 0 {
+		for _, f := range invalid {
 			fmt.Fprintln(os.Stderr, "birchdrift:", f)
 		}
 		return cli.Exit("", exitUsage)
