--- a/standin/integration/fleet_test.go
+++ b/standin/integration/fleet_test.go
@@ -59,13 +59,13 @@
 func TestSecondSignalSaysWhatWasCut(t *testing.T) {
 	is := is.New(t)
 	w, in, e := oneEngine(t, func(o *engine.Options) { o.TokenTime = 50 * time.Millisecond })
-	cut := make(chan error, 1)
+	result := make(chan error, 1)
 	go func() {
 		a, err := chat(in, "svc-m1", "long", 10000, true)
 		if a.Status != http.StatusOK {
 			err = errors.Join(err, fmt.Errorf("status %d", a.Status)) // cut before its first token
 		}
-		cut <- errors.Join(err, a.Err)
+		result <- errors.Join(err, a.Err)
 	}()
 	w.await("the call runs", func() bool { return e.State().Running == 1 })
 	is.NoErr(in.Signal(syscall.SIGTERM))
@@ -75,7 +75,7 @@
 	is.NoErr(err)
 	is.Equal(status, 3)
 	is.True(strings.Contains(in.Log(), `"cut":1`))
-	is.True(<-cut != nil) // the caller sees a cut, not a normal end
+	is.True(<-result != nil) // the caller sees a cut, not a normal end
 }
 
 // TestLeavingServiceGetsNoNewWork checks that a replica that reports in a refusal that it
