--- a/standin/integration/answers_test.go
+++ b/standin/integration/answers_test.go
@@ -65,15 +65,15 @@
 
 // oneEngine returns a testbed with one model on one engine and one instance.
 func oneEngine(t *testing.T, change func(*engine.Options)) (*testbed, *fleet.Instance, *engine.Engine) {
-	w := newTestbed(t)
-	w.addZones("z1")
-	e := w.addEngine("e1", "z1", change)
-	w.addModel("m1", 1000)
-	in := w.startInstance("entry-1", "z1")
-	w.apply()
-	w.awaitReadyOn("e1", "m1")
-	w.awaitSeenBy(in, "e1", "m1")
-	return w, in, e
+	tb := newTestbed(t)
+	tb.addZones("z1")
+	e := tb.addEngine("e1", "z1", change)
+	tb.addModel("m1", 1000)
+	in := tb.startInstance("entry-1", "z1")
+	tb.apply()
+	tb.awaitReadyOn("e1", "m1")
+	tb.awaitSeenBy(in, "e1", "m1")
+	return tb, in, e
 }
 
 func TestPlainAnswerIsWhole(t *testing.T) {
