--- a/standin/integration/answers_test.go
+++ b/standin/integration/answers_test.go
@@ -152,19 +152,19 @@
 // delivered is retried on another engine and served completely.
 func TestUndeliveredCallIsRetriedElsewhere(t *testing.T) {
 	is := is.New(t)
-	w := newTestbed(t)
-	w.addZones("z1")
+	tb := newTestbed(t)
+	tb.addZones("z1")
 	slow := func(o *engine.Options) { o.TokenTime = 10 * time.Millisecond }
-	w.addEngine("e1", "z1", slow)
-	w.addEngine("e2", "z1", slow)
-	w.addModel("m1", 1000)
-	for _, e := range w.engines {
+	tb.addEngine("e1", "z1", slow)
+	tb.addEngine("e2", "z1", slow)
+	tb.addModel("m1", 1000)
+	for _, e := range tb.engines {
 		e.Preload("m1", "", 1000)
 	}
-	in := w.startInstance("entry-1", "z1")
-	w.apply()
-	w.awaitSeenBy(in, "e1", "m1")
-	w.awaitSeenBy(in, "e2", "m1")
+	in := tb.startInstance("entry-1", "z1")
+	tb.apply()
+	tb.awaitSeenBy(in, "e1", "m1")
+	tb.awaitSeenBy(in, "e2", "m1")
 	var group errgroup.Group
 	for i := range 8 {
 		group.Go(func() error {
@@ -179,8 +179,8 @@
 			return nil
 		})
 	}
-	w.await("calls run on e1", func() bool { return w.engines["e1"].State().Running > 0 })
-	w.engines["e1"].Restart()
+	tb.await("calls run on e1", func() bool { return tb.engines["e1"].State().Running > 0 })
+	tb.engines["e1"].Restart()
 	is.NoErr(group.Wait())
 }
 
