--- a/standin/integration/answers_test.go
+++ b/standin/integration/answers_test.go
@@ -188,14 +188,14 @@
 // its connection is cancelled at the engine.
 func TestCallerThatGoesAwayFreesItsSequence(t *testing.T) {
 	is := is.New(t)
-	w, in, e := oneEngine(t, func(o *engine.Options) { o.TokenTime = 20 * time.Millisecond; o.Linger = time.Hour })
+	tb, in, e := oneEngine(t, func(o *engine.Options) { o.TokenTime = 20 * time.Millisecond; o.Linger = time.Hour })
 	body := `{"model":"svc-m1","prompt":"long","max_tokens":100000,"stream":true}`
 	resp, err := http.Post("http://"+in.Callers+"/v1/completions", "application/json", strings.NewReader(body))
 	is.NoErr(err)
 	_, err = io.ReadFull(resp.Body, make([]byte, 100))
 	is.NoErr(err)
 	is.NoErr(resp.Body.Close())
-	w.await("the sequence is freed", func() bool { return e.Counts().Cancelled == 1 && e.State().Running == 0 })
+	tb.await("the sequence is freed", func() bool { return e.Counts().Cancelled == 1 && e.State().Running == 0 })
 }
 
 // TestCallsMoveOffFrozenEngine checks that calls held by a frozen engine are served
