--- a/standin/integration/answers_test.go
+++ b/standin/integration/answers_test.go
@@ -202,19 +202,19 @@
 // elsewhere, so that no caller waits forever.
 func TestCallsMoveOffFrozenEngine(t *testing.T) {
 	is := is.New(t)
-	w := newTestbed(t)
-	w.addZones("z1")
-	w.addEngine("e1", "z1", nil)
-	w.addEngine("e2", "z1", nil)
-	w.addModel("m1", 1000)
-	for _, e := range w.engines {
+	tb := newTestbed(t)
+	tb.addZones("z1")
+	tb.addEngine("e1", "z1", nil)
+	tb.addEngine("e2", "z1", nil)
+	tb.addModel("m1", 1000)
+	for _, e := range tb.engines {
 		e.Preload("m1", "", 1000)
 	}
-	in := w.startInstance("entry-1", "z1", "--stall", "500ms")
-	w.apply()
-	w.awaitSeenBy(in, "e1", "m1")
-	w.awaitSeenBy(in, "e2", "m1")
-	w.engines["e1"].Faults.Set(engine.Faults{Freeze: true})
+	in := tb.startInstance("entry-1", "z1", "--stall", "500ms")
+	tb.apply()
+	tb.awaitSeenBy(in, "e1", "m1")
+	tb.awaitSeenBy(in, "e2", "m1")
+	tb.engines["e1"].Faults.Set(engine.Faults{Freeze: true})
 	var group errgroup.Group
 	for i := range 20 {
 		group.Go(func() error {
@@ -226,5 +226,5 @@
 		})
 	}
 	is.NoErr(group.Wait())
-	w.engines["e1"].Faults.Set(engine.Faults{})
+	tb.engines["e1"].Faults.Set(engine.Faults{})
 }
