--- a/standin/integration/contract_test.go
+++ b/standin/integration/contract_test.go
@@ -35,18 +35,18 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			w := newTestbed(t)
+			tb := newTestbed(t)
 			if c.limits != nil {
 				limits := platform.DefaultLimits()
 				c.limits(&limits)
-				w.usePlatform(platform.New(limits))
+				tb.usePlatform(platform.New(limits))
 			}
 			ctx := context.Background()
-			first, err := w.client().Swap(ctx, "k", []byte("old"), 0, 0)
+			first, err := tb.client().Swap(ctx, "k", []byte("old"), 0, 0)
 			is.NoErr(err)
 			is.Equal(first, uint64(1))
-			w.platform.Faults.Set(c.faults)
-			_, err = w.client().Swap(ctx, "k", []byte("new"), c.expect, 0)
+			tb.platform.Faults.Set(c.faults)
+			_, err = tb.client().Swap(ctx, "k", []byte("new"), c.expect, 0)
 			switch {
 			case c.anyErr:
 				is.True(err != nil)
@@ -56,8 +56,8 @@
 			default:
 				is.NoErr(err)
 			}
-			w.platform.Faults.Set(platform.Faults{})
-			v, err := w.client().Get(ctx, "k", 0, 0)
+			tb.platform.Faults.Set(platform.Faults{})
+			v, err := tb.client().Get(ctx, "k", 0, 0)
 			is.NoErr(err)
 			is.Equal(string(v.Data) == "new", c.inEffect)
 		})
