--- a/standin/integration/contract_test.go
+++ b/standin/integration/contract_test.go
@@ -76,20 +76,20 @@
 // wait has passed.
 func TestPlatformWatch(t *testing.T) {
 	is := is.New(t)
-	w := newTestbed(t)
+	tb := newTestbed(t)
 	ctx := context.Background()
-	revision, err := w.client().Swap(ctx, "k", []byte("a"), 0, 0)
+	revision, err := tb.client().Swap(ctx, "k", []byte("a"), 0, 0)
 	is.NoErr(err)
-	v, err := w.client().Get(ctx, "k", revision, 50*time.Millisecond)
+	v, err := tb.client().Get(ctx, "k", revision, 50*time.Millisecond)
 	is.NoErr(err)
 	is.Equal(v.Revision, revision)
 	is.Equal(len(v.Data), 0) // no change, so no data
 	woken := make(chan keyvalue.Value, 1)
 	go func() {
-		v, _ := w.client().Get(ctx, "k", revision, watchWait)
+		v, _ := tb.client().Get(ctx, "k", revision, watchWait)
 		woken <- v
 	}()
-	_, err = w.client().Swap(ctx, "k", []byte("b"), revision, 0)
+	_, err = tb.client().Swap(ctx, "k", []byte("b"), revision, 0)
 	is.NoErr(err)
 	is.Equal(string((<-woken).Data), "b")
 }
