--- a/standin/integration/contract_test.go
+++ b/standin/integration/contract_test.go
@@ -98,10 +98,10 @@
 // rise, and that a lease that expired or was released can be granted to another holder.
 func TestPlatformLease(t *testing.T) {
 	is := is.New(t)
-	w := newTestbed(t)
+	tb := newTestbed(t)
 	ctx := context.Background()
 	ask := func(holder string, term time.Duration, renew uint64) keyvalue.LeaseReply {
-		r, err := w.client().Lease(ctx, "planner/z", keyvalue.LeaseRequest{Holder: holder, TermMS: term.Milliseconds(), Renew: renew})
+		r, err := tb.client().Lease(ctx, "planner/z", keyvalue.LeaseRequest{Holder: holder, TermMS: term.Milliseconds(), Renew: renew})
 		is.NoErr(err)
 		return r
 	}
@@ -109,11 +109,11 @@
 	is.True(a.Granted)
 	is.True(!ask("b", time.Minute, 0).Granted)
 	is.True(ask("a", time.Minute, a.Fence).Granted)
-	is.NoErr(w.client().Release(ctx, "planner/z", a.Fence))
+	is.NoErr(tb.client().Release(ctx, "planner/z", a.Fence))
 	b := ask("b", time.Millisecond, 0)
 	is.True(b.Granted && b.Fence > a.Fence)
 	is.True(!ask("a", time.Minute, a.Fence).Granted) // an old grant cannot be renewed
-	w.await("b's lease expires", func() bool { return ask("c", time.Minute, 0).Granted })
+	tb.await("b's lease expires", func() bool { return ask("c", time.Minute, 0).Granted })
 }
 
 // TestPlatformListLags checks that the list shows a change only after the list lag.
