--- a/standin/integration/errors_test.go
+++ b/standin/integration/errors_test.go
@@ -68,9 +68,9 @@
 // outage of the platform with one numbered error.
 func TestPlatformDownGivesOneNumberedError(t *testing.T) {
 	is := is.New(t)
-	w := newTestbed(t)
-	w.platform.Faults.Set(platform.Faults{Down: true})
-	status, out := w.runBirchctl("apply", "--platform", w.address, w.writeFile("good.yaml", sampleConfig))
+	tb := newTestbed(t)
+	tb.platform.Faults.Set(platform.Faults{Down: true})
+	status, out := tb.runBirchctl("apply", "--platform", tb.address, tb.writeFile("good.yaml", sampleConfig))
 	is.Equal(status, 1)
 	is.Equal(strings.Count(out, "BD-"), 1)
 	is.True(strings.Contains(out, "BD-401 platform_down"))
