--- a/standin/integration/errors_test.go
+++ b/standin/integration/errors_test.go
@@ -80,11 +80,11 @@
 // the upstream's address does not accept connections.
 func TestDeadUpstreamGivesOneNumberedError(t *testing.T) {
 	is := is.New(t)
-	w := newTestbed(t)
-	in := w.startInstance("entry-1", "z1")
-	status, _ := w.runBirchctl("apply", "--platform", w.address, w.writeFile("good.yaml", sampleConfig))
+	tb := newTestbed(t)
+	in := tb.startInstance("entry-1", "z1")
+	status, _ := tb.runBirchctl("apply", "--platform", tb.address, tb.writeFile("good.yaml", sampleConfig))
 	is.Equal(status, 0)
-	w.await("ready", in.Ready)
+	tb.await("ready", in.Ready)
 	a, err := in.Post("/services/stock/x", "", nil)
 	is.NoErr(err)
 	is.Equal(a.Status, http.StatusBadGateway)
