--- a/standin/integration/errors_test.go
+++ b/standin/integration/errors_test.go
@@ -97,17 +97,17 @@
 // are ready and where calls were sent.
 func TestStatusAndExplainSayWhy(t *testing.T) {
 	is := is.New(t)
-	w, in, _ := oneEngine(t, nil)
+	tb, in, _ := oneEngine(t, nil)
 	a, err := chat(in, "svc-m1", "x", 2, false)
 	is.NoErr(err)
 	is.Equal(a.Status, http.StatusOK)
-	status, out := w.runBirchctl("status", "--operations", in.Operations)
+	status, out := tb.runBirchctl("status", "--operations", in.Operations)
 	is.Equal(status, 0)
 	is.True(strings.Contains(out, "entry-1"))
-	status, out = w.runBirchctl("explain", "model", "--operations", in.Operations, "m1")
+	status, out = tb.runBirchctl("explain", "model", "--operations", in.Operations, "m1")
 	is.Equal(status, 0)
 	is.True(strings.Contains(out, "ready on e1 in z1 (live)"))
-	status, out = w.runBirchctl("explain", "calls", "--operations", in.Operations, "svc-m1")
+	status, out = tb.runBirchctl("explain", "calls", "--operations", in.Operations, "svc-m1")
 	is.Equal(status, 0)
 	is.True(strings.Contains(out, "e1, attempt 1"))
 }
