--- a/standin/integration/errors_test.go
+++ b/standin/integration/errors_test.go
@@ -116,13 +116,13 @@
 // their services.
 func TestCallersAuthenticateByKey(t *testing.T) {
 	is := is.New(t)
-	w := newTestbed(t)
-	in := w.startInstance("entry-1", "z1")
+	tb := newTestbed(t)
+	in := tb.startInstance("entry-1", "z1")
 	// The hash is that of the key "foo".
 	text := sampleConfig + "callers:\n  - {name: desk, key_sha256: 2c26b46b68ffc68ff99b453c1d30413413422d706483bfa0f98a5e886266e7ae, services: [stock]}\n"
-	status, _ := w.runBirchctl("apply", "--platform", w.address, w.writeFile("keys.yaml", text))
+	status, _ := tb.runBirchctl("apply", "--platform", tb.address, tb.writeFile("keys.yaml", text))
 	is.Equal(status, 0)
-	w.await("ready", in.Ready)
+	tb.await("ready", in.Ready)
 	for key, want := range map[string]int{"": 401, "bar": 401, "foo": 502} {
 		a, err := in.Post("/services/stock/x", "", http.Header{"Authorization": {"Bearer " + key}})
 		is.NoErr(err)
