--- a/standin/integration/fleet_test.go
+++ b/standin/integration/fleet_test.go
@@ -28,7 +28,7 @@
 // status is 0.
 func TestPlannedStopCutsNothing(t *testing.T) {
 	is := is.New(t)
-	w, in, e := oneEngine(t, func(o *engine.Options) { o.TokenTime = 10 * time.Millisecond; o.Sequences = 100 })
+	tb, in, e := oneEngine(t, func(o *engine.Options) { o.TokenTime = 10 * time.Millisecond; o.Sequences = 100 })
 	var group errgroup.Group
 	call := func(i int) func() error {
 		return func() error {
@@ -43,9 +43,9 @@
 	for i := range 20 {
 		group.Go(call(i))
 	}
-	w.await("the calls run", func() bool { return e.State().Running == 20 })
+	tb.await("the calls run", func() bool { return e.State().Running == 20 })
 	is.NoErr(in.Signal(syscall.SIGTERM))
-	w.await("readiness falls", func() bool { return !in.Ready() })
+	tb.await("readiness falls", func() bool { return !in.Ready() })
 	group.Go(call(20)) // arrives before the load balancer notices
 	is.NoErr(group.Wait())
 	status, err := in.Wait()
