--- a/standin/integration/fleet_test.go
+++ b/standin/integration/fleet_test.go
@@ -58,7 +58,7 @@
 // status 3 and the number of cut calls in the log.
 func TestSecondSignalSaysWhatWasCut(t *testing.T) {
 	is := is.New(t)
-	w, in, e := oneEngine(t, func(o *engine.Options) { o.TokenTime = 50 * time.Millisecond })
+	tb, in, e := oneEngine(t, func(o *engine.Options) { o.TokenTime = 50 * time.Millisecond })
 	result := make(chan error, 1)
 	go func() {
 		a, err := chat(in, "svc-m1", "long", 10000, true)
@@ -67,9 +67,9 @@
 		}
 		result <- errors.Join(err, a.Err)
 	}()
-	w.await("the call runs", func() bool { return e.State().Running == 1 })
+	tb.await("the call runs", func() bool { return e.State().Running == 1 })
 	is.NoErr(in.Signal(syscall.SIGTERM))
-	w.await("readiness falls", func() bool { return !in.Ready() })
+	tb.await("readiness falls", func() bool { return !in.Ready() })
 	is.NoErr(in.Signal(syscall.SIGTERM))
 	status, err := in.Wait()
 	is.NoErr(err)
