--- a/standin/integration/fleet_test.go
+++ b/standin/integration/fleet_test.go
@@ -82,15 +82,15 @@
 // is leaving gets no more calls and that no call is lost.
 func TestLeavingServiceGetsNoNewWork(t *testing.T) {
 	is := is.New(t)
-	w, ins := twoReplicas(t)
-	w.services["s1"].Faults.Set(service.Faults{Leaving: true})
+	tb, ins := twoReplicas(t)
+	tb.services["s1"].Faults.Set(service.Faults{Leaving: true})
 	for i := range 20 {
 		a, err := ins[0].Post("/services/stock/x", fmt.Sprint(i), notRepeatable)
 		is.NoErr(err)
 		is.Equal(a.Status, http.StatusOK)
 		is.Equal(a.Upstream, "s2")
 	}
-	is.Equal(len(w.services["s1"].Executions()), 0)
+	is.Equal(len(tb.services["s1"].Executions()), 0)
 }
 
 // TestListedLeavingGetsNoNewWork checks that both instances learn within seconds from the
