--- a/standin/integration/fleet_test.go
+++ b/standin/integration/fleet_test.go
@@ -97,23 +97,23 @@
 // list alone that a replica is leaving, and send it no more calls.
 func TestListedLeavingGetsNoNewWork(t *testing.T) {
 	is := is.New(t)
-	w, ins := twoReplicas(t)
-	w.platform.SetInstance(keyvalue.Instance{Name: "s1", Kind: keyvalue.KindUpstream, Zone: "z1", State: keyvalue.StateLeaving})
+	tb, ins := twoReplicas(t)
+	tb.platform.SetInstance(keyvalue.Instance{Name: "s1", Kind: keyvalue.KindUpstream, Zone: "z1", State: keyvalue.StateLeaving})
 	begun := time.Now()
 	for _, in := range ins {
-		w.await(in.Name+" knows that s1 is leaving", func() bool {
+		tb.await(in.Name+" knows that s1 is leaving", func() bool {
 			st, err := in.Status()
 			return err == nil && st.Upstreams[0].Name == "s1" && st.Upstreams[0].Leaving
 		})
 	}
 	is.True(time.Since(begun) < 4*time.Second)
-	before := len(w.services["s1"].Executions())
+	before := len(tb.services["s1"].Executions())
 	for i := range 20 {
 		a, err := ins[i%2].Post("/services/stock/x", fmt.Sprint(i), nil)
 		is.NoErr(err)
 		is.Equal(a.Upstream, "s2")
 	}
-	is.Equal(len(w.services["s1"].Executions()), before)
+	is.Equal(len(tb.services["s1"].Executions()), before)
 }
 
 // manyModels returns a testbed of two zones, each with one engine that holds two of the
