--- a/standin/integration/fleet_test.go
+++ b/standin/integration/fleet_test.go
@@ -119,23 +119,23 @@
 // manyModels returns a testbed of two zones, each with one engine that holds two of the
 // six models. It starts no instances.
 func manyModels(t *testing.T, checks bool) *testbed {
-	w := newTestbed(t)
-	w.addZones("z1", "z2")
+	tb := newTestbed(t)
+	tb.addZones("z1", "z2")
 	for i := range 2 {
-		w.addEngine(fmt.Sprintf("e%d", i+1), fmt.Sprintf("z%d", i+1), func(o *engine.Options) {
+		tb.addEngine(fmt.Sprintf("e%d", i+1), fmt.Sprintf("z%d", i+1), func(o *engine.Options) {
 			o.MemoryMiB = 2500
 			o.ChecksFence = checks
 			o.MiBPerSecond = 5000
 		})
 	}
 	for i := range 6 {
-		w.addModel(fmt.Sprintf("m%d", i+1), 1000)
+		tb.addModel(fmt.Sprintf("m%d", i+1), 1000)
 	}
-	w.doc.Residency.MinimumStay = 300 * time.Millisecond
-	w.doc.Residency.MoveCost = 0.01
-	w.doc.WeightStore.LoadsPerSecond = 40
-	w.doc.WeightStore.MaxConcurrentLoads = 40
-	return w
+	tb.doc.Residency.MinimumStay = 300 * time.Millisecond
+	tb.doc.Residency.MoveCost = 0.01
+	tb.doc.WeightStore.LoadsPerSecond = 40
+	tb.doc.WeightStore.MaxConcurrentLoads = 40
+	return tb
 }
 
 // mustNotOvercommit fails the test if an engine counted an overcommitment.
