--- a/standin/integration/fleet_test.go
+++ b/standin/integration/fleet_test.go
@@ -139,17 +139,17 @@
 }
 
 // mustNotOvercommit fails the test if an engine counted an overcommitment.
-func (w *testbed) mustNotOvercommit() {
-	w.t.Helper()
-	for name, e := range w.engines {
+func (tb *testbed) mustNotOvercommit() {
+	tb.t.Helper()
+	for name, e := range tb.engines {
 		if c := e.Counts(); c.Overcommits > 0 {
-			w.t.Fatalf("%s was overcommitted %d times", name, c.Overcommits)
+			tb.t.Fatalf("%s was overcommitted %d times", name, c.Overcommits)
 		}
 	}
 }
 
 // callModelsInTurn calls one model after the other for a duration.
-func (w *testbed) callModelsInTurn(d time.Duration, ins ...*fleet.Instance) (served, failed int) {
+func (tb *testbed) callModelsInTurn(d time.Duration, ins ...*fleet.Instance) (served, failed int) {
 	deadline := time.Now().Add(d)
 	for i := 0; time.Now().Before(deadline); i++ {
 		a, err := chat(ins[i%len(ins)], fmt.Sprintf("svc-m%d", i/10%6+1), "x", 2, false)
--- a/standin/integration/once_test.go
+++ b/standin/integration/once_test.go
@@ -45,9 +45,9 @@
 }
 
 // executionCount returns the number of executed calls whose body is text.
-func (w *testbed) executionCount(text string) int {
+func (tb *testbed) executionCount(text string) int {
 	n := 0
-	for _, s := range w.services {
+	for _, s := range tb.services {
 		for _, x := range s.Executions() {
 			if x.Body == text {
 				n++
@@ -58,8 +58,8 @@
 }
 
 // setServiceFaults sets the faults of every replica.
-func (w *testbed) setServiceFaults(f service.Faults) {
-	for _, s := range w.services {
+func (tb *testbed) setServiceFaults(f service.Faults) {
+	for _, s := range tb.services {
 		s.Faults.Set(f)
 	}
 }
--- a/standin/integration/world_test.go
+++ b/standin/integration/world_test.go
@@ -82,11 +82,11 @@
 }
 
 // usePlatform replaces the testbed's platform by p.
-func (w *testbed) usePlatform(p *platform.Platform) {
-	w.platform = p
+func (tb *testbed) usePlatform(p *platform.Platform) {
+	tb.platform = p
 	server := httptest.NewServer(p.Handler())
-	w.address = server.Listener.Addr().String()
-	w.t.Cleanup(func() {
+	tb.address = server.Listener.Addr().String()
+	tb.t.Cleanup(func() {
 		server.CloseClientConnections()
 		server.Close()
 	})
@@ -96,14 +96,14 @@
 const watchWait = fleet.AwaitTimeout
 
 // addZones adds availability zones.
-func (w *testbed) addZones(names ...string) {
+func (tb *testbed) addZones(names ...string) {
 	for _, name := range names {
-		w.doc.Zones = append(w.doc.Zones, config.Zone{Name: name})
+		tb.doc.Zones = append(tb.doc.Zones, config.Zone{Name: name})
 	}
 }
 
 // addEngine adds an engine; change may alter its options.
-func (w *testbed) addEngine(name, zone string, change func(*engine.Options)) *engine.Engine {
+func (tb *testbed) addEngine(name, zone string, change func(*engine.Options)) *engine.Engine {
 	opt := engine.DefaultOptions(name)
 	opt.TokenTime = 0
 	opt.MiBPerSecond = 0
@@ -111,36 +111,36 @@
 		change(&opt)
 	}
 	e := engine.New(opt)
-	w.engines[name] = e
-	w.servers[name] = httptest.NewServer(e.Handler())
-	w.doc.Engines = append(w.doc.Engines, config.Engine{
-		Name: name, Address: w.servers[name].Listener.Addr().String(), Zone: zone,
+	tb.engines[name] = e
+	tb.servers[name] = httptest.NewServer(e.Handler())
+	tb.doc.Engines = append(tb.doc.Engines, config.Engine{
+		Name: name, Address: tb.servers[name].Listener.Addr().String(), Zone: zone,
 		Accelerators: 1, MemoryMiB: opt.MemoryMiB, Sequences: opt.Sequences, ChecksFence: opt.ChecksFence,
 	})
 	return e
 }
 
 // addModel adds a model with its own service, named "svc-" and the model's name.
-func (w *testbed) addModel(name string, mib int64) {
-	w.doc.Models = append(w.doc.Models, config.Model{Name: name, MemoryMiB: mib, PrefillPerSecond: 100000, LoadTime: 100_000_000})
-	w.doc.Services = append(w.doc.Services, config.Service{
+func (tb *testbed) addModel(name string, mib int64) {
+	tb.doc.Models = append(tb.doc.Models, config.Model{Name: name, MemoryMiB: mib, PrefillPerSecond: 100000, LoadTime: 100_000_000})
+	tb.doc.Services = append(tb.doc.Services, config.Service{
 		Name: "svc-" + name, Versions: []config.Version{{Name: "v1", Model: name, Share: 1}},
 	})
 }
 
 // addReplica adds a replica to a plain service.
-func (w *testbed) addReplica(svc, name, zone string) *service.Service {
+func (tb *testbed) addReplica(svc, name, zone string) *service.Service {
 	s := service.New(name)
-	w.services[name] = s
-	w.servers[name] = httptest.NewServer(s.Handler())
-	r := config.Replica{Name: name, Address: w.servers[name].Listener.Addr().String(), Zone: zone}
-	for i := range w.doc.Services {
-		if w.doc.Services[i].Name == svc {
-			w.doc.Services[i].Replicas = append(w.doc.Services[i].Replicas, r)
+	tb.services[name] = s
+	tb.servers[name] = httptest.NewServer(s.Handler())
+	r := config.Replica{Name: name, Address: tb.servers[name].Listener.Addr().String(), Zone: zone}
+	for i := range tb.doc.Services {
+		if tb.doc.Services[i].Name == svc {
+			tb.doc.Services[i].Replicas = append(tb.doc.Services[i].Replicas, r)
 			return s
 		}
 	}
-	w.doc.Services = append(w.doc.Services, config.Service{
+	tb.doc.Services = append(tb.doc.Services, config.Service{
 		Name: svc, Replicas: []config.Replica{r}, Routes: []config.Route{{Prefix: "/once", NotRepeatable: true}},
 	})
 	return s
@@ -151,17 +151,17 @@
 var fastSettings = []string{"--lease-term", "2s", "--exchange-every", "200ms", "--read-every", "100ms", "--stall", "3s", "--stop-delay", "200ms"}
 
 // startInstance starts an entry instance and adds it to the platform's list.
-func (w *testbed) startInstance(name, zone string, extra ...string) *fleet.Instance {
-	w.t.Helper()
-	in, err := fleet.StartInstance(bin, fleet.InstanceSpec{Name: name, Zone: zone, Platform: w.address, Extra: append(append([]string(nil), fastSettings...), extra...)})
+func (tb *testbed) startInstance(name, zone string, extra ...string) *fleet.Instance {
+	tb.t.Helper()
+	in, err := fleet.StartInstance(bin, fleet.InstanceSpec{Name: name, Zone: zone, Platform: tb.address, Extra: append(append([]string(nil), fastSettings...), extra...)})
 	if err != nil {
-		w.t.Fatal(err)
+		tb.t.Fatal(err)
 	}
-	w.instances[name] = in
-	w.platform.SetInstance(keyvalue.Instance{Name: name, Kind: keyvalue.KindEntry, Zone: zone, Address: in.Peers, State: keyvalue.StateLive})
-	w.t.Cleanup(func() {
-		if w.t.Failed() {
-			w.t.Logf("%s:\n%s", name, in.Log())
+	tb.instances[name] = in
+	tb.platform.SetInstance(keyvalue.Instance{Name: name, Kind: keyvalue.KindEntry, Zone: zone, Address: in.Peers, State: keyvalue.StateLive})
+	tb.t.Cleanup(func() {
+		if tb.t.Failed() {
+			tb.t.Logf("%s:\n%s", name, in.Log())
 		}
 	})
 	return in
@@ -169,17 +169,17 @@
 
 func transports() upstream.Transports { return upstream.NewTransports() }
 
-func (w *testbed) client() *keyvalue.Client { return keyvalue.NewClient(w.address, transports()) }
+func (tb *testbed) client() *keyvalue.Client { return keyvalue.NewClient(tb.address, transports()) }
 
 // apply applies the document and waits until every instance has its revision.
-func (w *testbed) apply() uint64 {
-	w.t.Helper()
-	revision, err := control.Apply(context.Background(), w.client(), w.doc)
+func (tb *testbed) apply() uint64 {
+	tb.t.Helper()
+	revision, err := control.Apply(context.Background(), tb.client(), tb.doc)
 	if err != nil {
-		w.t.Fatal(err)
+		tb.t.Fatal(err)
 	}
-	for _, in := range w.instances {
-		w.await(in.Name+" has the revision", func() bool {
+	for _, in := range tb.instances {
+		tb.await(in.Name+" has the revision", func() bool {
 			st, err := in.Status()
 			return err == nil && st.Revision >= revision
 		})
@@ -187,23 +187,23 @@
 	return revision
 }
 
-func (w *testbed) await(what string, holds func() bool) {
-	w.t.Helper()
+func (tb *testbed) await(what string, holds func() bool) {
+	tb.t.Helper()
 	if err := fleet.Await(what, holds); err != nil {
-		w.t.Fatal(err)
+		tb.t.Fatal(err)
 	}
 }
 
 // awaitReadyOn waits until an item is ready on an engine.
-func (w *testbed) awaitReadyOn(engineName, item string) {
-	w.t.Helper()
-	w.await(item+" is ready on "+engineName, func() bool { return w.engines[engineName].ItemPhase(item) == "ready" })
+func (tb *testbed) awaitReadyOn(engineName, item string) {
+	tb.t.Helper()
+	tb.await(item+" is ready on "+engineName, func() bool { return tb.engines[engineName].ItemPhase(item) == "ready" })
 }
 
 // awaitSeenBy waits until an instance knows that an item is ready on an engine.
-func (w *testbed) awaitSeenBy(in *fleet.Instance, engineName, item string) {
-	w.t.Helper()
-	w.await(in.Name+" sees "+item, func() bool {
+func (tb *testbed) awaitSeenBy(in *fleet.Instance, engineName, item string) {
+	tb.t.Helper()
+	tb.await(in.Name+" sees "+item, func() bool {
 		st, err := in.Status()
 		if err != nil {
 			return false
@@ -233,25 +233,25 @@
 }
 
 // runBirchctl runs birchctl and returns its exit status and output.
-func (w *testbed) runBirchctl(args ...string) (int, string) {
-	w.t.Helper()
+func (tb *testbed) runBirchctl(args ...string) (int, string) {
+	tb.t.Helper()
 	p, err := fleet.Start("birchctl", filepath.Join(bin, "birchctl"), args...)
 	if err != nil {
-		w.t.Fatal(err)
+		tb.t.Fatal(err)
 	}
 	status, err := p.Wait()
 	if err != nil {
-		w.t.Fatal(err)
+		tb.t.Fatal(err)
 	}
 	return status, p.Log()
 }
 
 // writeFile writes text to a file in a temporary directory of the test and returns its path.
-func (w *testbed) writeFile(name, text string) string {
-	w.t.Helper()
-	path := filepath.Join(w.t.TempDir(), name)
+func (tb *testbed) writeFile(name, text string) string {
+	tb.t.Helper()
+	path := filepath.Join(tb.t.TempDir(), name)
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
-		w.t.Fatal(err)
+		tb.t.Fatal(err)
 	}
 	return path
 }
