--- a/standin/integration/fleet_test.go
+++ b/standin/integration/fleet_test.go
@@ -170,23 +170,23 @@
 		t.Run(fmt.Sprintf("checks=%v", checks), func(t *testing.T) {
 			t.Parallel()
 			is := is.New(t)
-			w := manyModels(t, checks)
+			tb := manyModels(t, checks)
 			ins := []*fleet.Instance{
-				w.startInstance("entry-1", "z1"), w.startInstance("entry-2", "z1"),
-				w.startInstance("entry-3", "z2"), w.startInstance("entry-4", "z2"),
+				tb.startInstance("entry-1", "z1"), tb.startInstance("entry-2", "z1"),
+				tb.startInstance("entry-3", "z2"), tb.startInstance("entry-4", "z2"),
 			}
-			w.apply()
+			tb.apply()
 			var group errgroup.Group
 			group.Go(func() error {
-				w.callModelsInTurn(14*time.Second, ins[1], ins[3])
+				tb.callModelsInTurn(14*time.Second, ins[1], ins[3])
 				return nil
 			})
 			orderFaults := engine.Faults{OrderLost: 2, OrderLate: 2, LateBy: 200_000_000}
-			for _, e := range w.engines {
+			for _, e := range tb.engines {
 				e.Faults.Set(orderFaults)
 			}
-			w.await("each engine has applied order faults", func() bool {
-				for _, e := range w.engines {
+			tb.await("each engine has applied order faults", func() bool {
+				for _, e := range tb.engines {
 					if e.Faults.Get() == orderFaults {
 						return false
 					}
@@ -195,22 +195,22 @@
 			})
 			is.NoErr(ins[0].Signal(syscall.SIGSTOP))
 			is.NoErr(ins[2].Signal(syscall.SIGSTOP))
-			w.await("a successor is placer in each zone", func() bool { return isPlanner(ins[1]) && isPlanner(ins[3]) })
-			w.platform.Faults.Set(platform.Faults{Down: true})
+			tb.await("a successor is placer in each zone", func() bool { return isPlanner(ins[1]) && isPlanner(ins[3]) })
+			tb.platform.Faults.Set(platform.Faults{Down: true})
 			is.NoErr(ins[0].Signal(syscall.SIGCONT))
 			is.NoErr(ins[2].Signal(syscall.SIGCONT))
-			for _, e := range w.engines {
+			for _, e := range tb.engines {
 				e.Faults.Set(orderFaults)
 			}
-			w.await("the outage is noticed", func() bool {
+			tb.await("the outage is noticed", func() bool {
 				st, err := ins[1].Status()
 				return err == nil && st.PlatformDown
 			})
-			w.platform.Faults.Set(platform.Faults{})
+			tb.platform.Faults.Set(platform.Faults{})
 			ins[0].Kill()
 			is.NoErr(group.Wait())
-			w.mustNotOvercommit()
-			for name, e := range w.engines {
+			tb.mustNotOvercommit()
+			for name, e := range tb.engines {
 				if e.Counts().Loads < 2 {
 					t.Fatalf("%s was never full, so the test proves nothing", name)
 				}
