--- a/standin/integration/fleet_test.go
+++ b/standin/integration/fleet_test.go
@@ -228,10 +228,10 @@
 // the stated bound, and no caller may be left waiting forever.
 func TestColdModelsAreReached(t *testing.T) {
 	is := is.New(t)
-	w := manyModels(t, true)
-	in := w.startInstance("entry-1", "z1")
-	w.startInstance("entry-2", "z2")
-	w.apply()
+	tb := manyModels(t, true)
+	in := tb.startInstance("entry-1", "z1")
+	tb.startInstance("entry-2", "z2")
+	tb.apply()
 	var group errgroup.Group
 	for i := range 6 {
 		group.Go(func() error {
@@ -243,7 +243,7 @@
 		})
 	}
 	is.NoErr(group.Wait())
-	w.mustNotOvercommit()
+	tb.mustNotOvercommit()
 }
 
 // TestPlatformOutageCostsNoCall checks that, while the platform is down, resident models
