--- a/standin/integration/fleet_test.go
+++ b/standin/integration/fleet_test.go
@@ -250,13 +250,13 @@
 // are served through every instance, including one started during the outage.
 func TestPlatformOutageCostsNoCall(t *testing.T) {
 	is := is.New(t)
-	w, in, _ := oneEngine(t, nil)
-	in2 := w.startInstance("entry-2", "z1")
-	w.awaitSeenBy(in2, "e1", "m1")
-	w.platform.Faults.Set(platform.Faults{Down: true})
-	fresh := w.startInstance("entry-3", "z1", "--seed-peers", in.Peers)
-	w.await("the new instance starts from its peers", fresh.Ready)
-	w.awaitSeenBy(fresh, "e1", "m1")
+	tb, in, _ := oneEngine(t, nil)
+	in2 := tb.startInstance("entry-2", "z1")
+	tb.awaitSeenBy(in2, "e1", "m1")
+	tb.platform.Faults.Set(platform.Faults{Down: true})
+	fresh := tb.startInstance("entry-3", "z1", "--seed-peers", in.Peers)
+	tb.await("the new instance starts from its peers", fresh.Ready)
+	tb.awaitSeenBy(fresh, "e1", "m1")
 	for i := range 60 {
 		a, err := chat([]*fleet.Instance{in, in2, fresh}[i%3], "svc-m1", "x", 2, false)
 		is.NoErr(err)
