--- a/standin/integration/fleet_test.go
+++ b/standin/integration/fleet_test.go
@@ -268,9 +268,9 @@
 // peers reports that it is not ready, with the reason.
 func TestUnreadyWithoutPlatformSaysWhy(t *testing.T) {
 	is := is.New(t)
-	w := newTestbed(t)
-	w.platform.Faults.Set(platform.Faults{Down: true})
-	in := w.startInstance("entry-1", "z1")
+	tb := newTestbed(t)
+	tb.platform.Faults.Set(platform.Faults{Down: true})
+	in := tb.startInstance("entry-1", "z1")
 	resp, err := http.Get("http://" + in.Operations + "/readyz")
 	is.NoErr(err)
 	data, err := io.ReadAll(resp.Body)
