--- a/standin/integration/fleet_test.go
+++ b/standin/integration/fleet_test.go
@@ -287,8 +287,8 @@
 // one succeeds, and that the others get a numbered conflict with the difference.
 func TestRacingOperators(t *testing.T) {
 	is := is.New(t)
-	w, _ := twoReplicas(t)
-	stored, err := control.Get(context.Background(), w.client())
+	tb, _ := twoReplicas(t)
+	stored, err := control.Get(context.Background(), tb.client())
 	is.NoErr(err)
 	var group errgroup.Group
 	results := make([]error, 10)
@@ -296,7 +296,7 @@
 		group.Go(func() error {
 			doc := stored.Document
 			doc.Residency.MoveCost = float64(i + 1)
-			_, results[i] = control.Apply(context.Background(), w.client(), doc)
+			_, results[i] = control.Apply(context.Background(), tb.client(), doc)
 			return nil
 		})
 	}
