--- a/standin/integration/fleet_test.go
+++ b/standin/integration/fleet_test.go
@@ -321,14 +321,14 @@
 // own change took effect.
 func TestApplyWhoseAnswerIsLost(t *testing.T) {
 	is := is.New(t)
-	w, _ := twoReplicas(t)
-	w.platform.Faults.Set(platform.Faults{Lost: 1})
-	doc := w.doc
+	tb, _ := twoReplicas(t)
+	tb.platform.Faults.Set(platform.Faults{Lost: 1})
+	doc := tb.doc
 	doc.Residency.MoveCost = 7
-	revision, err := control.Apply(context.Background(), w.client(), doc)
+	revision, err := control.Apply(context.Background(), tb.client(), doc)
 	is.NoErr(err)
 	is.Equal(revision, uint64(2))
-	stored, err := control.Get(context.Background(), w.client())
+	stored, err := control.Get(context.Background(), tb.client())
 	is.NoErr(err)
 	is.Equal(stored.Document.Residency.MoveCost, 7.0)
 }
