--- a/standin/integration/fleet_test.go
+++ b/standin/integration/fleet_test.go
@@ -337,12 +337,12 @@
 // the platform is down gets the latest revision from its peers.
 func TestConfigurationSurvivesRestartAndOutage(t *testing.T) {
 	is := is.New(t)
-	w, ins := twoReplicas(t)
-	revision := w.apply()
-	w.platform.Faults.Set(platform.Faults{Down: true})
+	tb, ins := twoReplicas(t)
+	revision := tb.apply()
+	tb.platform.Faults.Set(platform.Faults{Down: true})
 	ins[1].Kill()
-	again := w.startInstance("entry-2", "z1", "--seed-peers", ins[0].Peers)
-	w.await("it has the revision", func() bool {
+	again := tb.startInstance("entry-2", "z1", "--seed-peers", ins[0].Peers)
+	tb.await("it has the revision", func() bool {
 		st, err := again.Status()
 		return err == nil && st.Revision == revision
 	})
