--- a/standin/integration/once_test.go
+++ b/standin/integration/once_test.go
@@ -35,13 +35,13 @@
 
 // twoReplicas returns a testbed with a plain service of two replicas and two instances.
 func twoReplicas(t *testing.T) (*testbed, []*fleet.Instance) {
-	w := newTestbed(t)
-	w.addZones("z1")
-	w.addReplica("stock", "s1", "z1")
-	w.addReplica("stock", "s2", "z1")
-	ins := []*fleet.Instance{w.startInstance("entry-1", "z1"), w.startInstance("entry-2", "z1")}
-	w.apply()
-	return w, ins
+	tb := newTestbed(t)
+	tb.addZones("z1")
+	tb.addReplica("stock", "s1", "z1")
+	tb.addReplica("stock", "s2", "z1")
+	ins := []*fleet.Instance{tb.startInstance("entry-1", "z1"), tb.startInstance("entry-2", "z1")}
+	tb.apply()
+	return tb, ins
 }
 
 // executionCount returns the number of executed calls whose body is text.
