--- a/standin/integration/once_test.go
+++ b/standin/integration/once_test.go
@@ -67,7 +67,7 @@
 // TestRunFieldMatchesExecutions breaks the connection at every point and compares the run
 // field of the error with the upstream's own record of executed calls.
 func TestRunFieldMatchesExecutions(t *testing.T) {
-	w, ins := twoReplicas(t)
+	tb, ins := twoReplicas(t)
 	cases := []struct {
 		name   string
 		faults service.Faults
@@ -84,11 +84,11 @@
 	for i, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			w.setServiceFaults(c.faults)
+			tb.setServiceFaults(c.faults)
 			body := fmt.Sprintf("case %d", i)
 			a, err := ins[0].Post("/services/stock/allocate", body, c.header)
 			is.NoErr(err)
-			is.Equal(w.executionCount(body), c.ran)
+			is.Equal(tb.executionCount(body), c.ran)
 			if c.run == "" {
 				is.Equal(a.Status, http.StatusOK)
 				return
