--- a/standin/integration/once_test.go
+++ b/standin/integration/once_test.go
@@ -102,10 +102,10 @@
 // reported as not run, with Retry-After.
 func TestConnectionRefusedIsNotRun(t *testing.T) {
 	is := is.New(t)
-	w, ins := twoReplicas(t)
+	tb, ins := twoReplicas(t)
 	for _, name := range []string{"s1", "s2"} {
-		w.servers[name].CloseClientConnections()
-		w.servers[name].Close()
+		tb.servers[name].CloseClientConnections()
+		tb.servers[name].Close()
 	}
 	a, err := ins[0].Post("/services/stock/once", "nobody", notRepeatable)
 	is.NoErr(err)
