--- a/standin/integration/once_test.go
+++ b/standin/integration/once_test.go
@@ -117,8 +117,8 @@
 // halfway as cut, never as complete.
 func TestCutBodyIsSeenAsCut(t *testing.T) {
 	is := is.New(t)
-	w, ins := twoReplicas(t)
-	w.setServiceFaults(service.Faults{CutBody: 1})
+	tb, ins := twoReplicas(t)
+	tb.setServiceFaults(service.Faults{CutBody: 1})
 	a, err := ins[0].Post("/services/stock/x", strings.Repeat("long ", 1000), nil)
 	is.NoErr(err)
 	is.True(a.Err != nil) // reading the body must fail
