--- a/standin/integration/once_test.go
+++ b/standin/integration/once_test.go
@@ -130,9 +130,9 @@
 // executed twice.
 func TestTransportDoesNotRepeat(t *testing.T) {
 	is := is.New(t)
-	w, ins := twoReplicas(t)
+	tb, ins := twoReplicas(t)
 	for i := range 30 {
-		w.setServiceFaults(service.Faults{DropAfter: i % 2}) // the connection of every other call breaks after it ran
+		tb.setServiceFaults(service.Faults{DropAfter: i % 2}) // the connection of every other call breaks after it ran
 		for _, method := range []string{http.MethodPost, http.MethodGet} {
 			body := fmt.Sprintf("%s %d", method, i)
 			req, err := http.NewRequest(method, "http://"+ins[0].Callers+"/services/stock/once/"+fmt.Sprint(i), strings.NewReader(body))
@@ -141,7 +141,7 @@
 			resp, err := http.DefaultClient.Do(req)
 			is.NoErr(err)
 			is.NoErr(resp.Body.Close())
-			is.True(w.executionCount(body) <= 1)
+			is.True(tb.executionCount(body) <= 1)
 		}
 	}
 }
