--- a/standin/integration/once_test.go
+++ b/standin/integration/once_test.go
@@ -153,8 +153,8 @@
 	for _, lost := range []int{0, 1, 2} {
 		t.Run(fmt.Sprintf("lost=%d", lost), func(t *testing.T) {
 			is := is.New(t)
-			w, ins := twoReplicas(t)
-			w.platform.Faults.Set(platform.Faults{Lost: lost})
+			tb, ins := twoReplicas(t)
+			tb.platform.Faults.Set(platform.Faults{Lost: lost})
 			key := http.Header{"Idempotency-Key": {"envelope-9"}, "Birchdrift-Not-Repeatable": {"true"}}
 			var group errgroup.Group
 			statuses := make([]int, 10)
@@ -166,7 +166,7 @@
 				})
 			}
 			is.NoErr(group.Wait())
-			is.Equal(w.executionCount("envelope 9"), 1)
+			is.Equal(tb.executionCount("envelope 9"), 1)
 			served := 0
 			for _, s := range statuses {
 				if s == http.StatusOK {
