--- a/standin/integration/once_test.go
+++ b/standin/integration/once_test.go
@@ -183,9 +183,9 @@
 // non-repeatable call without a key is served.
 func TestClaimWithPlatformDownIsNotRunAtOnce(t *testing.T) {
 	is := is.New(t)
-	w, ins := twoReplicas(t)
-	w.platform.Faults.Set(platform.Faults{Down: true})
-	w.await("the instance notices the outage", func() bool {
+	tb, ins := twoReplicas(t)
+	tb.platform.Faults.Set(platform.Faults{Down: true})
+	tb.await("the instance notices the outage", func() bool {
 		st, err := ins[0].Status()
 		return err == nil && st.PlatformDown
 	})
@@ -198,11 +198,11 @@
 	is.Equal(r.Error.Run, "not_run")
 	is.True(a.Header.Get("Retry-After") != "")
 	is.True(time.Since(begun) < 2*time.Second)
-	is.Equal(w.executionCount("keyed"), 0)
+	is.Equal(tb.executionCount("keyed"), 0)
 	a, err = ins[0].Post("/services/stock/x", "no key", notRepeatable)
 	is.NoErr(err)
 	is.Equal(a.Status, http.StatusOK)
-	is.Equal(w.executionCount("no key"), 1)
+	is.Equal(tb.executionCount("no key"), 1)
 }
 
 // TestKeyCanBeUsedAgainAfterNotRun checks that a call that certainly did not run
