--- a/standin/integration/once_test.go
+++ b/standin/integration/once_test.go
@@ -209,16 +209,16 @@
 // releases its idempotency key.
 func TestKeyCanBeUsedAgainAfterNotRun(t *testing.T) {
 	is := is.New(t)
-	w, ins := twoReplicas(t)
+	tb, ins := twoReplicas(t)
 	key := http.Header{"Idempotency-Key": {"again"}, "Birchdrift-Not-Repeatable": {"true"}}
-	w.setServiceFaults(service.Faults{Refuse: 100})
+	tb.setServiceFaults(service.Faults{Refuse: 100})
 	a, err := ins[0].Post("/services/stock/x", "again", key)
 	is.NoErr(err)
 	is.Equal(parseError(t, a).Error.Run, "not_run")
-	w.setServiceFaults(service.Faults{})
-	w.await("the claim is released", func() bool { return len(w.platform.Keys("claim/")) == 0 })
+	tb.setServiceFaults(service.Faults{})
+	tb.await("the claim is released", func() bool { return len(tb.platform.Keys("claim/")) == 0 })
 	a, err = ins[1].Post("/services/stock/x", "again", key)
 	is.NoErr(err)
 	is.Equal(a.Status, http.StatusOK)
-	is.Equal(w.executionCount("again"), 1)
+	is.Equal(tb.executionCount("again"), 1)
 }
