--- a/standin/integration/revision_test.go
+++ b/standin/integration/revision_test.go
@@ -13,23 +13,23 @@
 // (every 2 s here).
 func TestRevisionSpreadsWithoutWaiting(t *testing.T) {
 	is := is.New(t)
-	w := newTestbed(t)
-	w.addZones("z1")
-	w.addReplica("stock", "s1", "z1")
+	tb := newTestbed(t)
+	tb.addZones("z1")
+	tb.addReplica("stock", "s1", "z1")
 	for i := range 6 {
-		w.startInstance(fmt.Sprintf("entry-%d", i+1), "z1", "--exchange-every", "2s")
+		tb.startInstance(fmt.Sprintf("entry-%d", i+1), "z1", "--exchange-every", "2s")
 	}
-	w.apply()
+	tb.apply()
 	// Peers must know each other before they can exchange revisions.
-	for _, in := range w.instances {
-		w.await(in.Name+" knows its peers", func() bool {
+	for _, in := range tb.instances {
+		tb.await(in.Name+" knows its peers", func() bool {
 			st, err := in.Status()
 			return err == nil && len(st.Peers) == 5
 		})
 	}
 	for range 3 {
 		begun := time.Now()
-		w.apply()
+		tb.apply()
 		t.Logf("in force on 6 instances after %v", time.Since(begun))
 		is.True(time.Since(begun) < time.Second)
 	}
