--- a/standin/integration/world_test.go
+++ b/standin/integration/world_test.go
@@ -59,26 +59,26 @@
 
 func newTestbed(t *testing.T) *testbed {
 	t.Helper()
-	w := &testbed{
+	tb := &testbed{
 		t: t, platform: platform.New(platform.DefaultLimits()),
 		engines: map[string]*engine.Engine{}, services: map[string]*service.Service{},
 		servers: map[string]*httptest.Server{}, instances: map[string]*fleet.Instance{},
 	}
-	w.usePlatform(w.platform)
-	w.doc.Residency = config.Residency{MinimumStay: config.DefaultMinimumStay}
+	tb.usePlatform(tb.platform)
+	tb.doc.Residency = config.Residency{MinimumStay: config.DefaultMinimumStay}
 	t.Cleanup(func() { // runs before the platform's cleanup, which was registered first
-		for _, in := range w.instances {
+		for _, in := range tb.instances {
 			in.Kill()
 		}
-		for _, e := range w.engines {
+		for _, e := range tb.engines {
 			e.Close()
 		}
-		for _, s := range w.servers {
+		for _, s := range tb.servers {
 			s.CloseClientConnections()
 			s.Close()
 		}
 	})
-	return w
+	return tb
 }
 
 // usePlatform replaces the testbed's platform by p.
