--- a/cmd/birchdrift/main.go
+++ b/cmd/birchdrift/main.go
@@ -25,8 +25,8 @@
 	exitCallsCut = 3
 )
 
-// environments maps the values of the environment setting to the environments that an
-// instance can run in.
+// environments maps the values of the environment setting to the factories of the
+// environments that an instance can run in.
 var environments = map[string]server.EnvironmentFactory{
 	settings.EnvironmentOwn: server.OwnEnvironment,
 	settings.EnvironmentPlatform: func(set settings.Settings, t upstream.Transports) server.Environment {
--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -1,7 +1,7 @@
 // Package engine provides a small stand-in for a model engine: continuous
 // batching with a bounded number of sequences, a prefix cache of limited size,
-// accelerator memory with logged refusals of overcommitment, fenced orders, and
-// streams that can be resumed and cancelled.
+// accelerator memory with a limit (it logs and refuses overcommitment), fenced orders,
+// and streams that can be resumed and cancelled.
 package engine
 
 import (
@@ -147,7 +147,7 @@
 // frozenPollInterval is the time between checks of whether the engine is still frozen.
 const frozenPollInterval = 5 * time.Millisecond
 
-// waitUntilThawed waits until the engine is not frozen. It returns false if gone is closed
+// waitUntilThawed waits until the engine is not frozen. It returns false if stop is closed
 // or the engine closes first.
 func (e *Engine) waitUntilThawed(stop <-chan struct{}) bool {
 	for e.Faults.Get().Freeze {
--- a/standin/engine/orders.go
+++ b/standin/engine/orders.go
@@ -88,8 +88,8 @@
 		return wire.ResultDone, "already there"
 	}
 	if e.used()+o.MiB > e.opt.MemoryMiB {
-		// The owner must never overcommit memory, which is its most important guarantee,
-		// so make the attempt conspicuous.
+		// The order would have broken the owner's most important guarantee, never to
+		// overcommit memory, so log it conspicuously.
 		e.counts.Overcommits++
 		log.Printf("engine %s: OVERCOMMIT: %d MiB used, %d MiB requested, %d MiB capacity", e.opt.Name, e.used(), o.MiB, e.opt.MemoryMiB)
 		return wire.ResultRefused, "out of memory"
--- a/standin/fleet/fleet.go
+++ b/standin/fleet/fleet.go
@@ -65,6 +65,7 @@
 	l.changed = make(chan struct{})
 }
 
+// snapshot returns the lines so far and a channel that is closed when the next one is added.
 func (l *outputLog) snapshot() ([]string, chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -147,16 +148,16 @@
 type Instance struct {
 	*Process
 	Zone       string
-	Callers    string // IP:port
-	Peers      string
-	Operations string
+	Callers    string // address (IP:port) of the listener for callers
+	Peers      string // address of the listener for peers
+	Operations string // address of the operations listener
 }
 
 // An InstanceSpec specifies how to start an entry instance.
 type InstanceSpec struct {
 	Name     string
 	Zone     string
-	Platform string
+	Platform string   // IP:port
 	Extra    []string // further flags
 	Program  string   // another program with the flags of birchdrift; "" runs birchdrift
 }
@@ -202,7 +203,8 @@
 	return p, line[strings.LastIndex(line, " ")+1:], nil
 }
 
-// Await polls a condition until it holds. It returns an error after AwaitTimeout.
+// Await polls a condition until it holds. It returns an error that names the condition
+// (what) after AwaitTimeout.
 func Await(what string, holds func() bool) error {
 	deadline := time.Now().Add(AwaitTimeout)
 	for !holds() {
@@ -235,13 +237,13 @@
 type Response struct {
 	Status   int
 	Body     string
-	Instance string
-	Upstream string
+	Instance string // the instance that served the call, from its header
+	Upstream string // the replica that served the call, from its header
 	Header   http.Header
 	Err      error // set if the body was cut off
 }
 
-// Post sends a POST request to the instance's listener for callers.
+// Post sends a POST request with a JSON body to the instance's listener for callers.
 func (i *Instance) Post(path, body string, header http.Header) (Response, error) {
 	req, err := http.NewRequest(http.MethodPost, "http://"+i.Callers+path, bytes.NewBufferString(body))
 	if err != nil {
--- a/standin/integration/errors_test.go
+++ b/standin/integration/errors_test.go
@@ -76,8 +76,8 @@
 	is.True(strings.Contains(out, "BD-401 platform_down"))
 }
 
-// TestDeadUpstreamGivesOneNumberedError checks that a caller gets one numbered error if
-// the upstream's address does not accept connections.
+// TestDeadUpstreamGivesOneNumberedError checks that a caller gets one numbered error, at
+// once, if the upstream's address does not accept connections.
 func TestDeadUpstreamGivesOneNumberedError(t *testing.T) {
 	is := is.New(t)
 	tb := newTestbed(t)
--- a/standin/integration/once_test.go
+++ b/standin/integration/once_test.go
@@ -148,7 +148,7 @@
 
 // TestSameKeyThroughTwoInstancesRunsOnce sends many calls with one idempotency key through
 // two instances, also with the platform's replies lost after their effect. Exactly one
-// call must run and be served.
+// call must run and be served; the others are refused.
 func TestSameKeyThroughTwoInstancesRunsOnce(t *testing.T) {
 	for _, lost := range []int{0, 1, 2} {
 		t.Run(fmt.Sprintf("lost=%d", lost), func(t *testing.T) {
--- a/standin/integration/world_test.go
+++ b/standin/integration/world_test.go
@@ -147,7 +147,7 @@
 }
 
 // fastSettings are flags with shorter intervals and timeouts than the defaults, so that
-// tests take less time.
+// what takes seconds by default takes tenths of a second.
 var fastSettings = []string{"--lease-term", "2s", "--exchange-every", "200ms", "--read-every", "100ms", "--stall", "3s", "--stop-delay", "200ms"}
 
 // startInstance starts an entry instance and adds it to the platform's list.
--- a/standin/service/service.go
+++ b/standin/service/service.go
@@ -13,14 +13,15 @@
 	"github.com/birchdrift/birchdrift/standin/fault"
 )
 
-// Faults are the faults that the stand-in simulates.
+// Faults are the faults that the stand-in simulates. A fault of the next n calls counts
+// down with each call that it affects.
 type Faults struct {
 	DropBefore int            `json:"drop_before"` // drop the connection of the next n calls before they run
 	DropAfter  int            `json:"drop_after"`  // drop the connection of the next n calls after they ran
 	CutBody    int            `json:"cut_body"`    // cut the replies to the next n calls halfway
 	Slow       fault.Duration `json:"slow"`        // added to every call
-	Refuse     int            `json:"refuse"`      // refuse the next n calls as not run
-	Leaving    bool           `json:"leaving"`     // refuse every call as not run and report leaving
+	Refuse     int            `json:"refuse"`      // refuse the next n calls and report them as not run
+	Leaving    bool           `json:"leaving"`     // refuse every call, and report it as not run and the replica as leaving
 }
 
 // An Execution is one call that ran.
@@ -40,10 +41,10 @@
 	executions []Execution
 }
 
-// New returns a service that has executed no calls.
+// New returns a service without executed calls.
 func New(name string) *Service { return &Service{name: name} }
 
-// Executions returns a copy of the record of calls that ran, in order.
+// Executions returns a copy of the list of calls that ran, in order.
 func (s *Service) Executions() []Execution {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -51,7 +52,8 @@
 }
 
 // Handler returns the service's HTTP interface: every path except /ledger and /fault
-// echoes the body.
+// echoes the method, the path and the body. /ledger returns Executions, and /fault sets
+// Faults.
 func (s *Service) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("/", s.serve)
@@ -69,6 +71,7 @@
 	return true
 }
 
+// serve applies the active faults, records the call as executed and echoes it.
 func (s *Service) serve(w http.ResponseWriter, r *http.Request) {
 	var dropBefore, dropAfter, cutBody, refuse, leaving bool
 	var slow time.Duration
