--- a/standin/integration/once_test.go
+++ b/standin/integration/once_test.go
@@ -189,7 +189,7 @@
 		st, err := ins[0].Status()
 		return err == nil && st.PlatformDown
 	})
-	begun := time.Now()
+	start := time.Now()
 	key := http.Header{"Idempotency-Key": {"k"}, "Birchdrift-Not-Repeatable": {"true"}}
 	a, err := ins[0].Post("/services/stock/x", "keyed", key)
 	is.NoErr(err)
@@ -197,7 +197,7 @@
 	is.Equal(r.Error.Code, 401) // platform_down
 	is.Equal(r.Error.Run, "not_run")
 	is.True(a.Header.Get("Retry-After") != "")
-	is.True(time.Since(begun) < 2*time.Second)
+	is.True(time.Since(start) < 2*time.Second)
 	is.Equal(tb.executionCount("keyed"), 0)
 	a, err = ins[0].Post("/services/stock/x", "no key", notRepeatable)
 	is.NoErr(err)
