--- a/standin/integration/fleet_test.go
+++ b/standin/integration/fleet_test.go
@@ -99,14 +99,14 @@
 	is := is.New(t)
 	tb, ins := twoReplicas(t)
 	tb.platform.SetInstance(keyvalue.Instance{Name: "s1", Kind: keyvalue.KindUpstream, Zone: "z1", State: keyvalue.StateLeaving})
-	begun := time.Now()
+	start := time.Now()
 	for _, in := range ins {
 		tb.await(in.Name+" knows that s1 is leaving", func() bool {
 			st, err := in.Status()
 			return err == nil && st.Upstreams[0].Name == "s1" && st.Upstreams[0].Leaving
 		})
 	}
-	is.True(time.Since(begun) < 4*time.Second)
+	is.True(time.Since(start) < 4*time.Second)
 	before := len(tb.services["s1"].Executions())
 	for i := range 20 {
 		a, err := ins[i%2].Post("/services/stock/x", fmt.Sprint(i), nil)
