--- a/standin/integration/revision_test.go
+++ b/standin/integration/revision_test.go
@@ -28,9 +28,9 @@
 		})
 	}
 	for range 3 {
-		begun := time.Now()
+		start := time.Now()
 		tb.apply()
-		t.Logf("in force on 6 instances after %v", time.Since(begun))
-		is.True(time.Since(begun) < time.Second)
+		t.Logf("in force on 6 instances after %v", time.Since(start))
+		is.True(time.Since(start) < time.Second)
 	}
 }
