--- a/standin/cmd/demo/main.go
+++ b/standin/cmd/demo/main.go
@@ -133,13 +133,13 @@
 		return err
 	}
 	fmt.Printf("demo: revision %d accepted: %d models, %d adapters, %d engines\n", revision, len(doc.Models), len(doc.Adapters), len(doc.Engines))
-	begun := time.Now()
+	start := time.Now()
 	for _, in := range d.instances {
 		if err := fleet.Await(in.Name+" is ready", in.Ready); err != nil {
 			return errors.Join(err, errors.New(in.Log()))
 		}
 	}
-	fmt.Printf("demo: in force on %d instances after %d ms\n", len(d.instances), time.Since(begun).Milliseconds())
+	fmt.Printf("demo: in force on %d instances after %d ms\n", len(d.instances), time.Since(start).Milliseconds())
 	return nil
 }
 
