--- a/standin/cmd/demo/main.go
+++ b/standin/cmd/demo/main.go
@@ -169,12 +169,12 @@
 }
 
 func (d *demo) callAndPrint(what string, in *fleet.Instance, path, body string, header http.Header) error {
-	begun := time.Now()
+	start := time.Now()
 	a, err := in.Post(path, body, header)
 	if err != nil {
 		return err
 	}
-	fmt.Printf("demo: %s: %d by %s from %s after %d ms\n%s\n", what, a.Status, a.Instance, a.Upstream, time.Since(begun).Milliseconds(), strings.TrimSpace(a.Body))
+	fmt.Printf("demo: %s: %d by %s from %s after %d ms\n%s\n", what, a.Status, a.Instance, a.Upstream, time.Since(start).Milliseconds(), strings.TrimSpace(a.Body))
 	if a.Status != http.StatusOK || a.Err != nil {
 		return fmt.Errorf("%s: status %d, %v\n%s", what, a.Status, a.Err, in.Log())
 	}
