--- a/standin/engine/sequence.go
+++ b/standin/engine/sequence.go
@@ -24,7 +24,7 @@
 	changed       chan struct{} // closed and replaced with every change
 	readers       int
 	stopRequested chan struct{}
-	once          sync.Once
+	stopOnce      sync.Once
 }
 
 func newSequence(e *Engine, req wire.GenerateRequest, items []string) *sequence {
@@ -36,7 +36,7 @@
 
 // stop ends the sequence early.
 func (s *sequence) stop(why string) {
-	s.once.Do(func() { close(s.stopRequested) })
+	s.stopOnce.Do(func() { close(s.stopRequested) })
 	s.update(func() { s.stopReason = why })
 }
 
