--- a/standin/engine/sequence.go
+++ b/standin/engine/sequence.go
@@ -177,10 +177,10 @@
 	sent := 0
 	for {
 		s.mu.Lock()
-		made, ended, stopped, changed := s.pieceCount, s.ended, s.stopReason, s.changed
+		generated, ended, stopped, changed := s.pieceCount, s.ended, s.stopReason, s.changed
 		s.mu.Unlock()
 		f := e.Faults.Get()
-		for ; offset < made; offset++ {
+		for ; offset < generated; offset++ {
 			if f.CutEvery > 0 && sent >= f.CutEvery {
 				_ = flush.Flush()
 				panic(http.ErrAbortHandler)
@@ -192,7 +192,7 @@
 			panic(http.ErrAbortHandler)
 		}
 		if ended {
-			_ = enc.Encode(wire.Piece{ID: s.req.ID, Offset: made, End: true, Reason: "stop"})
+			_ = enc.Encode(wire.Piece{ID: s.req.ID, Offset: generated, End: true, Reason: "stop"})
 			return
 		}
 		_ = flush.Flush()
