--- a/standin/engine/sequence.go
+++ b/standin/engine/sequence.go
@@ -177,7 +177,7 @@
 	sent := 0
 	for {
 		s.mu.Lock()
-		generated, ended, stopped, changed := s.pieceCount, s.ended, s.stopReason, s.changed
+		generated, ended, stopReason, changed := s.pieceCount, s.ended, s.stopReason, s.changed
 		s.mu.Unlock()
 		f := e.Faults.Get()
 		for ; offset < generated; offset++ {
@@ -188,7 +188,7 @@
 			e.write(enc, s, offset, f)
 			sent++
 		}
-		if stopped != "" {
+		if stopReason != "" {
 			panic(http.ErrAbortHandler)
 		}
 		if ended {
