--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -92,7 +92,7 @@
 	running     int
 	waiting     []*sequence
 	cache       map[uint64]uint64 // last use by block, as a count of uses
-	clock       uint64
+	cacheUses   uint64
 	counts      Counts
 	loadSamples []loadSample
 	closed      chan struct{}
@@ -371,8 +371,8 @@
 			miss = true
 			uncached += block
 		}
-		e.clock++
-		e.cache[key] = e.clock
+		e.cacheUses++
+		e.cache[key] = e.cacheUses
 	}
 	e.trimCache()
 	tokens := float64(uncached) / 4
