--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -85,7 +85,7 @@
 	change      uint64
 	seq         uint64
 	fence       uint64
-	lastOrder   uint64
+	lastSeq     uint64
 	leaving     bool
 	items       map[string]*item
 	calls       map[string]*sequence
@@ -183,7 +183,7 @@
 		s.stop("restarted")
 	}
 	e.boot = max(e.boot+1, uint64(time.Now().UnixNano()))
-	e.change, e.fence, e.lastOrder, e.leaving = 0, 0, 0, false
+	e.change, e.fence, e.lastSeq, e.leaving = 0, 0, 0, false
 	e.items = map[string]*item{}
 	e.calls = map[string]*sequence{}
 	e.cache = map[uint64]uint64{}
@@ -243,7 +243,7 @@
 	running, waiting := e.reportedLoad()
 	s := wire.State{
 		Boot: e.boot, Change: e.change, Seq: e.seq, Leaving: e.leaving,
-		Fence: e.fence, LastOrder: e.lastOrder, Running: running, Waiting: waiting, Items: []wire.Item{},
+		Fence: e.fence, LastOrder: e.lastSeq, Running: running, Waiting: waiting, Items: []wire.Item{},
 	}
 	for name, it := range e.items {
 		s.Items = append(s.Items, wire.Item{Name: name, Phase: it.phase})
--- a/standin/engine/orders.go
+++ b/standin/engine/orders.go
@@ -63,11 +63,11 @@
 	if o.Fence < e.fence {
 		return wire.ResultFenced, fmt.Sprintf("fence %d, %d was seen", o.Fence, e.fence)
 	}
-	if o.Fence == e.fence && o.Seq <= e.lastOrder {
-		return wire.ResultRefused, fmt.Sprintf("order %d comes after %d", o.Seq, e.lastOrder)
+	if o.Fence == e.fence && o.Seq <= e.lastSeq {
+		return wire.ResultRefused, fmt.Sprintf("order %d comes after %d", o.Seq, e.lastSeq)
 	}
 	e.fence = o.Fence
-	e.lastOrder = o.Seq
+	e.lastSeq = o.Seq
 	return wire.ResultDone, ""
 }
 
