--- a/standin/platform/platform.go
+++ b/standin/platform/platform.go
@@ -218,12 +218,12 @@
 
 // waitFor calls look, with p.mu held, until it returns true or wait has passed. It returns
 // false if the platform goes down or the caller disconnects first.
-func (p *Platform) waitFor(r *http.Request, wait time.Duration, look func() bool) bool {
+func (p *Platform) waitFor(r *http.Request, wait time.Duration, condition func() bool) bool {
 	deadline := time.NewTimer(wait)
 	defer deadline.Stop()
 	for {
 		p.mu.Lock()
-		ok := look()
+		ok := condition()
 		changed := p.changed
 		p.mu.Unlock()
 		if ok || wait <= 0 {
