--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -81,18 +81,18 @@
 	opt    Options
 
 	mu          sync.Mutex
-	boot        uint64
-	change      uint64
-	seq         uint64
-	fence       uint64
-	lastSeq     uint64
+	boot        uint64 // identifies the start of the process; rises with every Restart
+	change      uint64 // number of changes of the reported state since the boot
+	seq         uint64 // number of reported states
+	fence       uint64 // highest fencing token seen
+	lastSeq     uint64 // sequence number of the last order under that fence
 	leaving     bool
 	items       map[string]*item
-	calls       map[string]*sequence
+	calls       map[string]*sequence // by call identifier
 	running     int
 	waiting     []*sequence
 	cache       map[uint64]uint64 // last use by block, as a count of uses
-	cacheUses   uint64
+	cacheUses   uint64            // number of uses of cache blocks so far
 	counts      Counts
 	loadSamples []loadSample
 	closed      chan struct{}
@@ -356,7 +356,7 @@
 // prefill returns the time to prefill the part of the prompt that is not cached and adds
 // the prompt's blocks to the cache. e.mu must be held.
 func (e *Engine) prefill(model, prompt string) time.Duration {
-	const block = 1024
+	const block = 1024 // bytes of prompt
 	if e.opt.PrefillPerSecond == 0 {
 		return 0
 	}
@@ -375,10 +375,11 @@
 		e.cache[key] = e.cacheUses
 	}
 	e.trimCache()
-	tokens := float64(uncached) / 4
+	tokens := float64(uncached) / 4 // assumes four bytes a token
 	return time.Duration(tokens / float64(e.opt.PrefillPerSecond) * float64(time.Second))
 }
 
+// trimCache evicts the least recently used blocks above Options.CacheBlocks.
 func (e *Engine) trimCache() {
 	for len(e.cache) > e.opt.CacheBlocks {
 		var oldest uint64
