--- a/standin/integration/fleet_test.go
+++ b/standin/integration/fleet_test.go
@@ -195,7 +195,7 @@
 			})
 			is.NoErr(ins[0].Signal(syscall.SIGSTOP))
 			is.NoErr(ins[2].Signal(syscall.SIGSTOP))
-			tb.await("a successor is placer in each zone", func() bool { return isPlanner(ins[1]) && isPlanner(ins[3]) })
+			tb.await("a successor is placer in each zone", func() bool { return isPlacer(ins[1]) && isPlacer(ins[3]) })
 			tb.platform.Faults.Set(platform.Faults{Down: true})
 			is.NoErr(ins[0].Signal(syscall.SIGCONT))
 			is.NoErr(ins[2].Signal(syscall.SIGCONT))
@@ -219,7 +219,7 @@
 	}
 }
 
-func isPlanner(in *fleet.Instance) bool {
+func isPlacer(in *fleet.Instance) bool {
 	st, err := in.Status()
 	return err == nil && st.Planning
 }
