--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -1,7 +1,7 @@
 // Package engine provides a small stand-in for a model engine: continuous
 // batching with a bounded number of sequences, a prefix cache of limited size,
-// accelerator memory with logged refusals of overcommitment, fenced orders, and
-// streams that can be resumed and cancelled.
+// accelerator memory with a limit (it logs and refuses overcommitment), fenced orders,
+// and streams that can be resumed and cancelled.
 package engine
 
 import (
@@ -81,18 +81,18 @@
 	opt    Options
 
 	mu          sync.Mutex
-	boot        uint64
-	change      uint64
-	seq         uint64
-	fence       uint64
-	lastOrder   uint64
+	boot        uint64 // identifies the start of the process; rises with every Restart
+	change      uint64 // number of changes of the reported state since the boot
+	seq         uint64 // number of reported states
+	fence       uint64 // highest fencing token seen
+	lastSeq     uint64 // sequence number of the last order under that fence
 	leaving     bool
 	items       map[string]*item
-	calls       map[string]*sequence
+	calls       map[string]*sequence // by call identifier
 	running     int
 	waiting     []*sequence
 	cache       map[uint64]uint64 // last use by block, as a count of uses
-	clock       uint64
+	cacheUses   uint64            // number of uses of cache blocks so far
 	counts      Counts
 	loadSamples []loadSample
 	closed      chan struct{}
@@ -147,13 +147,13 @@
 // frozenPollInterval is the time between checks of whether the engine is still frozen.
 const frozenPollInterval = 5 * time.Millisecond
 
-// waitUntilThawed waits until the engine is not frozen. It returns false if gone is closed
+// waitUntilThawed waits until the engine is not frozen. It returns false if stop is closed
 // or the engine closes first.
-func (e *Engine) waitUntilThawed(gone <-chan struct{}) bool {
+func (e *Engine) waitUntilThawed(stop <-chan struct{}) bool {
 	for e.Faults.Get().Freeze {
 		select {
 		case <-time.After(frozenPollInterval):
-		case <-gone:
+		case <-stop:
 			return false
 		case <-e.closed:
 			return false
@@ -183,7 +183,7 @@
 		s.stop("restarted")
 	}
 	e.boot = max(e.boot+1, uint64(time.Now().UnixNano()))
-	e.change, e.fence, e.lastOrder, e.leaving = 0, 0, 0, false
+	e.change, e.fence, e.lastSeq, e.leaving = 0, 0, 0, false
 	e.items = map[string]*item{}
 	e.calls = map[string]*sequence{}
 	e.cache = map[uint64]uint64{}
@@ -243,7 +243,7 @@
 	running, waiting := e.reportedLoad()
 	s := wire.State{
 		Boot: e.boot, Change: e.change, Seq: e.seq, Leaving: e.leaving,
-		Fence: e.fence, LastOrder: e.lastOrder, Running: running, Waiting: waiting, Items: []wire.Item{},
+		Fence: e.fence, LastOrder: e.lastSeq, Running: running, Waiting: waiting, Items: []wire.Item{},
 	}
 	for name, it := range e.items {
 		s.Items = append(s.Items, wire.Item{Name: name, Phase: it.phase})
@@ -356,7 +356,7 @@
 // prefill returns the time to prefill the part of the prompt that is not cached and adds
 // the prompt's blocks to the cache. e.mu must be held.
 func (e *Engine) prefill(model, prompt string) time.Duration {
-	const block = 1024
+	const block = 1024 // bytes of prompt
 	if e.opt.PrefillPerSecond == 0 {
 		return 0
 	}
@@ -371,14 +371,15 @@
 			miss = true
 			uncached += block
 		}
-		e.clock++
-		e.cache[key] = e.clock
+		e.cacheUses++
+		e.cache[key] = e.cacheUses
 	}
 	e.trimCache()
-	tokens := float64(uncached) / 4
+	tokens := float64(uncached) / 4 // assumes four bytes a token
 	return time.Duration(tokens / float64(e.opt.PrefillPerSecond) * float64(time.Second))
 }
 
+// trimCache evicts the least recently used blocks above Options.CacheBlocks.
 func (e *Engine) trimCache() {
 	for len(e.cache) > e.opt.CacheBlocks {
 		var oldest uint64
--- a/standin/engine/sequence.go
+++ b/standin/engine/sequence.go
@@ -24,7 +24,7 @@
 	changed       chan struct{} // closed and replaced with every change
 	readers       int
 	stopRequested chan struct{}
-	once          sync.Once
+	stopOnce      sync.Once
 }
 
 func newSequence(e *Engine, req wire.GenerateRequest, items []string) *sequence {
@@ -36,7 +36,7 @@
 
 // stop ends the sequence early.
 func (s *sequence) stop(why string) {
-	s.once.Do(func() { close(s.stopRequested) })
+	s.stopOnce.Do(func() { close(s.stopRequested) })
 	s.update(func() { s.stopReason = why })
 }
 
@@ -177,10 +177,10 @@
 	sent := 0
 	for {
 		s.mu.Lock()
-		made, ended, stopped, changed := s.pieceCount, s.ended, s.stopReason, s.changed
+		generated, ended, stopReason, changed := s.pieceCount, s.ended, s.stopReason, s.changed
 		s.mu.Unlock()
 		f := e.Faults.Get()
-		for ; offset < made; offset++ {
+		for ; offset < generated; offset++ {
 			if f.CutEvery > 0 && sent >= f.CutEvery {
 				_ = flush.Flush()
 				panic(http.ErrAbortHandler)
@@ -188,11 +188,11 @@
 			e.write(enc, s, offset, f)
 			sent++
 		}
-		if stopped != "" {
+		if stopReason != "" {
 			panic(http.ErrAbortHandler)
 		}
 		if ended {
-			_ = enc.Encode(wire.Piece{ID: s.req.ID, Offset: made, End: true, Reason: "stop"})
+			_ = enc.Encode(wire.Piece{ID: s.req.ID, Offset: generated, End: true, Reason: "stop"})
 			return
 		}
 		_ = flush.Flush()
--- a/standin/integration/errors_test.go
+++ b/standin/integration/errors_test.go
@@ -42,24 +42,24 @@
 // with the code, line and path of the fault and that the current revision stays.
 func TestWrongConfigurationChangesNothing(t *testing.T) {
 	is := is.New(t)
-	w := newTestbed(t)
-	good := w.writeFile("good.yaml", sampleConfig)
-	status, out := w.runBirchctl("apply", "--platform", w.address, good)
+	tb := newTestbed(t)
+	good := tb.writeFile("good.yaml", sampleConfig)
+	status, out := tb.runBirchctl("apply", "--platform", tb.address, good)
 	is.Equal(status, 0)
 	is.Equal(strings.TrimSpace(out), "revision 1 accepted")
-	bad := w.writeFile("bad.yaml", strings.Replace(sampleConfig, "zone: z1}]\n", "zone: z7}]\n", 1))
-	status, out = w.runBirchctl("apply", "--platform", w.address, bad)
+	bad := tb.writeFile("bad.yaml", strings.Replace(sampleConfig, "zone: z1}]\n", "zone: z7}]\n", 1))
+	status, out = tb.runBirchctl("apply", "--platform", tb.address, bad)
 	is.Equal(status, 1)
 	is.True(strings.Contains(out, `BD-413 config_dangling_name: line 5: services[0].replicas[0].zone: no zone "z7"`))
-	status, out = w.runBirchctl("get", "--platform", w.address)
+	status, out = tb.runBirchctl("get", "--platform", tb.address)
 	is.Equal(status, 0)
 	is.True(strings.Contains(out, "revision: 1"))
 	is.True(!strings.Contains(out, "z7"))
-	status, out = w.runBirchctl("validate", good)
+	status, out = tb.runBirchctl("validate", good)
 	is.Equal(status, 0)
 	is.True(strings.HasPrefix(out, "valid: 1 services"))
-	changed := w.writeFile("changed.yaml", strings.Replace(sampleConfig, "127.0.0.1:1", "127.0.0.1:2", 1))
-	status, out = w.runBirchctl("diff", "--platform", w.address, changed)
+	changed := tb.writeFile("changed.yaml", strings.Replace(sampleConfig, "127.0.0.1:1", "127.0.0.1:2", 1))
+	status, out = tb.runBirchctl("diff", "--platform", tb.address, changed)
 	is.Equal(status, 0)
 	is.True(strings.Contains(out, "-          address: 127.0.0.1:1") && strings.Contains(out, "+          address: 127.0.0.1:2"))
 }
@@ -68,23 +68,23 @@
 // outage of the platform with one numbered error.
 func TestPlatformDownGivesOneNumberedError(t *testing.T) {
 	is := is.New(t)
-	w := newTestbed(t)
-	w.platform.Faults.Set(platform.Faults{Down: true})
-	status, out := w.runBirchctl("apply", "--platform", w.address, w.writeFile("good.yaml", sampleConfig))
+	tb := newTestbed(t)
+	tb.platform.Faults.Set(platform.Faults{Down: true})
+	status, out := tb.runBirchctl("apply", "--platform", tb.address, tb.writeFile("good.yaml", sampleConfig))
 	is.Equal(status, 1)
 	is.Equal(strings.Count(out, "BD-"), 1)
 	is.True(strings.Contains(out, "BD-401 platform_down"))
 }
 
-// TestDeadUpstreamGivesOneNumberedError checks that a caller gets one numbered error if
-// the upstream's address does not accept connections.
+// TestDeadUpstreamGivesOneNumberedError checks that a caller gets one numbered error, at
+// once, if the upstream's address does not accept connections.
 func TestDeadUpstreamGivesOneNumberedError(t *testing.T) {
 	is := is.New(t)
-	w := newTestbed(t)
-	in := w.startInstance("entry-1", "z1")
-	status, _ := w.runBirchctl("apply", "--platform", w.address, w.writeFile("good.yaml", sampleConfig))
+	tb := newTestbed(t)
+	in := tb.startInstance("entry-1", "z1")
+	status, _ := tb.runBirchctl("apply", "--platform", tb.address, tb.writeFile("good.yaml", sampleConfig))
 	is.Equal(status, 0)
-	w.await("ready", in.Ready)
+	tb.await("ready", in.Ready)
 	a, err := in.Post("/services/stock/x", "", nil)
 	is.NoErr(err)
 	is.Equal(a.Status, http.StatusBadGateway)
@@ -97,17 +97,17 @@
 // are ready and where calls were sent.
 func TestStatusAndExplainSayWhy(t *testing.T) {
 	is := is.New(t)
-	w, in, _ := oneEngine(t, nil)
+	tb, in, _ := oneEngine(t, nil)
 	a, err := chat(in, "svc-m1", "x", 2, false)
 	is.NoErr(err)
 	is.Equal(a.Status, http.StatusOK)
-	status, out := w.runBirchctl("status", "--operations", in.Operations)
+	status, out := tb.runBirchctl("status", "--operations", in.Operations)
 	is.Equal(status, 0)
 	is.True(strings.Contains(out, "entry-1"))
-	status, out = w.runBirchctl("explain", "model", "--operations", in.Operations, "m1")
+	status, out = tb.runBirchctl("explain", "model", "--operations", in.Operations, "m1")
 	is.Equal(status, 0)
 	is.True(strings.Contains(out, "ready on e1 in z1 (live)"))
-	status, out = w.runBirchctl("explain", "calls", "--operations", in.Operations, "svc-m1")
+	status, out = tb.runBirchctl("explain", "calls", "--operations", in.Operations, "svc-m1")
 	is.Equal(status, 0)
 	is.True(strings.Contains(out, "e1, attempt 1"))
 }
@@ -116,13 +116,13 @@
 // their services.
 func TestCallersAuthenticateByKey(t *testing.T) {
 	is := is.New(t)
-	w := newTestbed(t)
-	in := w.startInstance("entry-1", "z1")
+	tb := newTestbed(t)
+	in := tb.startInstance("entry-1", "z1")
 	// The hash is that of the key "foo".
 	text := sampleConfig + "callers:\n  - {name: desk, key_sha256: 2c26b46b68ffc68ff99b453c1d30413413422d706483bfa0f98a5e886266e7ae, services: [stock]}\n"
-	status, _ := w.runBirchctl("apply", "--platform", w.address, w.writeFile("keys.yaml", text))
+	status, _ := tb.runBirchctl("apply", "--platform", tb.address, tb.writeFile("keys.yaml", text))
 	is.Equal(status, 0)
-	w.await("ready", in.Ready)
+	tb.await("ready", in.Ready)
 	for key, want := range map[string]int{"": 401, "bar": 401, "foo": 502} {
 		a, err := in.Post("/services/stock/x", "", http.Header{"Authorization": {"Bearer " + key}})
 		is.NoErr(err)
--- a/standin/integration/fleet_test.go
+++ b/standin/integration/fleet_test.go
@@ -28,7 +28,7 @@
 // status is 0.
 func TestPlannedStopCutsNothing(t *testing.T) {
 	is := is.New(t)
-	w, in, e := oneEngine(t, func(o *engine.Options) { o.TokenTime = 10 * time.Millisecond; o.Sequences = 100 })
+	tb, in, e := oneEngine(t, func(o *engine.Options) { o.TokenTime = 10 * time.Millisecond; o.Sequences = 100 })
 	var group errgroup.Group
 	call := func(i int) func() error {
 		return func() error {
@@ -43,9 +43,9 @@
 	for i := range 20 {
 		group.Go(call(i))
 	}
-	w.await("the calls run", func() bool { return e.State().Running == 20 })
+	tb.await("the calls run", func() bool { return e.State().Running == 20 })
 	is.NoErr(in.Signal(syscall.SIGTERM))
-	w.await("readiness falls", func() bool { return !in.Ready() })
+	tb.await("readiness falls", func() bool { return !in.Ready() })
 	group.Go(call(20)) // arrives before the load balancer notices
 	is.NoErr(group.Wait())
 	status, err := in.Wait()
@@ -58,98 +58,98 @@
 // status 3 and the number of cut calls in the log.
 func TestSecondSignalSaysWhatWasCut(t *testing.T) {
 	is := is.New(t)
-	w, in, e := oneEngine(t, func(o *engine.Options) { o.TokenTime = 50 * time.Millisecond })
-	cut := make(chan error, 1)
+	tb, in, e := oneEngine(t, func(o *engine.Options) { o.TokenTime = 50 * time.Millisecond })
+	result := make(chan error, 1)
 	go func() {
 		a, err := chat(in, "svc-m1", "long", 10000, true)
 		if a.Status != http.StatusOK {
 			err = errors.Join(err, fmt.Errorf("status %d", a.Status)) // cut before its first token
 		}
-		cut <- errors.Join(err, a.Err)
+		result <- errors.Join(err, a.Err)
 	}()
-	w.await("the call runs", func() bool { return e.State().Running == 1 })
+	tb.await("the call runs", func() bool { return e.State().Running == 1 })
 	is.NoErr(in.Signal(syscall.SIGTERM))
-	w.await("readiness falls", func() bool { return !in.Ready() })
+	tb.await("readiness falls", func() bool { return !in.Ready() })
 	is.NoErr(in.Signal(syscall.SIGTERM))
 	status, err := in.Wait()
 	is.NoErr(err)
 	is.Equal(status, 3)
 	is.True(strings.Contains(in.Log(), `"cut":1`))
-	is.True(<-cut != nil) // the caller sees a cut, not a normal end
+	is.True(<-result != nil) // the caller sees a cut, not a normal end
 }
 
 // TestLeavingServiceGetsNoNewWork checks that a replica that reports in a refusal that it
 // is leaving gets no more calls and that no call is lost.
 func TestLeavingServiceGetsNoNewWork(t *testing.T) {
 	is := is.New(t)
-	w, ins := twoReplicas(t)
-	w.services["s1"].Faults.Set(service.Faults{Leaving: true})
+	tb, ins := twoReplicas(t)
+	tb.services["s1"].Faults.Set(service.Faults{Leaving: true})
 	for i := range 20 {
 		a, err := ins[0].Post("/services/stock/x", fmt.Sprint(i), notRepeatable)
 		is.NoErr(err)
 		is.Equal(a.Status, http.StatusOK)
 		is.Equal(a.Upstream, "s2")
 	}
-	is.Equal(len(w.services["s1"].Executions()), 0)
+	is.Equal(len(tb.services["s1"].Executions()), 0)
 }
 
 // TestListedLeavingGetsNoNewWork checks that both instances learn within seconds from the
 // list alone that a replica is leaving, and send it no more calls.
 func TestListedLeavingGetsNoNewWork(t *testing.T) {
 	is := is.New(t)
-	w, ins := twoReplicas(t)
-	w.platform.SetInstance(keyvalue.Instance{Name: "s1", Kind: keyvalue.KindUpstream, Zone: "z1", State: keyvalue.StateLeaving})
-	begun := time.Now()
+	tb, ins := twoReplicas(t)
+	tb.platform.SetInstance(keyvalue.Instance{Name: "s1", Kind: keyvalue.KindUpstream, Zone: "z1", State: keyvalue.StateLeaving})
+	start := time.Now()
 	for _, in := range ins {
-		w.await(in.Name+" knows that s1 is leaving", func() bool {
+		tb.await(in.Name+" knows that s1 is leaving", func() bool {
 			st, err := in.Status()
 			return err == nil && st.Upstreams[0].Name == "s1" && st.Upstreams[0].Leaving
 		})
 	}
-	is.True(time.Since(begun) < 4*time.Second)
-	before := len(w.services["s1"].Executions())
+	is.True(time.Since(start) < 4*time.Second)
+	before := len(tb.services["s1"].Executions())
 	for i := range 20 {
 		a, err := ins[i%2].Post("/services/stock/x", fmt.Sprint(i), nil)
 		is.NoErr(err)
 		is.Equal(a.Upstream, "s2")
 	}
-	is.Equal(len(w.services["s1"].Executions()), before)
+	is.Equal(len(tb.services["s1"].Executions()), before)
 }
 
 // manyModels returns a testbed of two zones, each with one engine that holds two of the
 // six models. It starts no instances.
 func manyModels(t *testing.T, checks bool) *testbed {
-	w := newTestbed(t)
-	w.addZones("z1", "z2")
+	tb := newTestbed(t)
+	tb.addZones("z1", "z2")
 	for i := range 2 {
-		w.addEngine(fmt.Sprintf("e%d", i+1), fmt.Sprintf("z%d", i+1), func(o *engine.Options) {
+		tb.addEngine(fmt.Sprintf("e%d", i+1), fmt.Sprintf("z%d", i+1), func(o *engine.Options) {
 			o.MemoryMiB = 2500
 			o.ChecksFence = checks
 			o.MiBPerSecond = 5000
 		})
 	}
 	for i := range 6 {
-		w.addModel(fmt.Sprintf("m%d", i+1), 1000)
+		tb.addModel(fmt.Sprintf("m%d", i+1), 1000)
 	}
-	w.doc.Residency.MinimumStay = 300 * time.Millisecond
-	w.doc.Residency.MoveCost = 0.01
-	w.doc.WeightStore.LoadsPerSecond = 40
-	w.doc.WeightStore.MaxConcurrentLoads = 40
-	return w
+	tb.doc.Residency.MinimumStay = 300 * time.Millisecond
+	tb.doc.Residency.MoveCost = 0.01
+	tb.doc.WeightStore.LoadsPerSecond = 40
+	tb.doc.WeightStore.MaxConcurrentLoads = 40
+	return tb
 }
 
 // mustNotOvercommit fails the test if an engine counted an overcommitment.
-func (w *testbed) mustNotOvercommit() {
-	w.t.Helper()
-	for name, e := range w.engines {
+func (tb *testbed) mustNotOvercommit() {
+	tb.t.Helper()
+	for name, e := range tb.engines {
 		if c := e.Counts(); c.Overcommits > 0 {
-			w.t.Fatalf("%s was overcommitted %d times", name, c.Overcommits)
+			tb.t.Fatalf("%s was overcommitted %d times", name, c.Overcommits)
 		}
 	}
 }
 
 // callModelsInTurn calls one model after the other for a duration.
-func (w *testbed) callModelsInTurn(d time.Duration, ins ...*fleet.Instance) (served, failed int) {
+func (tb *testbed) callModelsInTurn(d time.Duration, ins ...*fleet.Instance) (served, failed int) {
 	deadline := time.Now().Add(d)
 	for i := 0; time.Now().Before(deadline); i++ {
 		a, err := chat(ins[i%len(ins)], fmt.Sprintf("svc-m%d", i/10%6+1), "x", 2, false)
@@ -170,23 +170,23 @@
 		t.Run(fmt.Sprintf("checks=%v", checks), func(t *testing.T) {
 			t.Parallel()
 			is := is.New(t)
-			w := manyModels(t, checks)
+			tb := manyModels(t, checks)
 			ins := []*fleet.Instance{
-				w.startInstance("entry-1", "z1"), w.startInstance("entry-2", "z1"),
-				w.startInstance("entry-3", "z2"), w.startInstance("entry-4", "z2"),
+				tb.startInstance("entry-1", "z1"), tb.startInstance("entry-2", "z1"),
+				tb.startInstance("entry-3", "z2"), tb.startInstance("entry-4", "z2"),
 			}
-			w.apply()
+			tb.apply()
 			var group errgroup.Group
 			group.Go(func() error {
-				w.callModelsInTurn(14*time.Second, ins[1], ins[3])
+				tb.callModelsInTurn(14*time.Second, ins[1], ins[3])
 				return nil
 			})
 			orderFaults := engine.Faults{OrderLost: 2, OrderLate: 2, LateBy: 200_000_000}
-			for _, e := range w.engines {
+			for _, e := range tb.engines {
 				e.Faults.Set(orderFaults)
 			}
-			w.await("each engine has applied order faults", func() bool {
-				for _, e := range w.engines {
+			tb.await("each engine has applied order faults", func() bool {
+				for _, e := range tb.engines {
 					if e.Faults.Get() == orderFaults {
 						return false
 					}
@@ -195,22 +195,22 @@
 			})
 			is.NoErr(ins[0].Signal(syscall.SIGSTOP))
 			is.NoErr(ins[2].Signal(syscall.SIGSTOP))
-			w.await("a successor is placer in each zone", func() bool { return isPlanner(ins[1]) && isPlanner(ins[3]) })
-			w.platform.Faults.Set(platform.Faults{Down: true})
+			tb.await("a successor is placer in each zone", func() bool { return isPlacer(ins[1]) && isPlacer(ins[3]) })
+			tb.platform.Faults.Set(platform.Faults{Down: true})
 			is.NoErr(ins[0].Signal(syscall.SIGCONT))
 			is.NoErr(ins[2].Signal(syscall.SIGCONT))
-			for _, e := range w.engines {
+			for _, e := range tb.engines {
 				e.Faults.Set(orderFaults)
 			}
-			w.await("the outage is noticed", func() bool {
+			tb.await("the outage is noticed", func() bool {
 				st, err := ins[1].Status()
 				return err == nil && st.PlatformDown
 			})
-			w.platform.Faults.Set(platform.Faults{})
+			tb.platform.Faults.Set(platform.Faults{})
 			ins[0].Kill()
 			is.NoErr(group.Wait())
-			w.mustNotOvercommit()
-			for name, e := range w.engines {
+			tb.mustNotOvercommit()
+			for name, e := range tb.engines {
 				if e.Counts().Loads < 2 {
 					t.Fatalf("%s was never full, so the test proves nothing", name)
 				}
@@ -219,7 +219,7 @@
 	}
 }
 
-func isPlanner(in *fleet.Instance) bool {
+func isPlacer(in *fleet.Instance) bool {
 	st, err := in.Status()
 	return err == nil && st.Planning
 }
@@ -228,10 +228,10 @@
 // the stated bound, and no caller may be left waiting forever.
 func TestColdModelsAreReached(t *testing.T) {
 	is := is.New(t)
-	w := manyModels(t, true)
-	in := w.startInstance("entry-1", "z1")
-	w.startInstance("entry-2", "z2")
-	w.apply()
+	tb := manyModels(t, true)
+	in := tb.startInstance("entry-1", "z1")
+	tb.startInstance("entry-2", "z2")
+	tb.apply()
 	var group errgroup.Group
 	for i := range 6 {
 		group.Go(func() error {
@@ -243,20 +243,20 @@
 		})
 	}
 	is.NoErr(group.Wait())
-	w.mustNotOvercommit()
+	tb.mustNotOvercommit()
 }
 
 // TestPlatformOutageCostsNoCall checks that, while the platform is down, resident models
 // are served through every instance, including one started during the outage.
 func TestPlatformOutageCostsNoCall(t *testing.T) {
 	is := is.New(t)
-	w, in, _ := oneEngine(t, nil)
-	in2 := w.startInstance("entry-2", "z1")
-	w.awaitSeenBy(in2, "e1", "m1")
-	w.platform.Faults.Set(platform.Faults{Down: true})
-	fresh := w.startInstance("entry-3", "z1", "--seed-peers", in.Peers)
-	w.await("the new instance starts from its peers", fresh.Ready)
-	w.awaitSeenBy(fresh, "e1", "m1")
+	tb, in, _ := oneEngine(t, nil)
+	in2 := tb.startInstance("entry-2", "z1")
+	tb.awaitSeenBy(in2, "e1", "m1")
+	tb.platform.Faults.Set(platform.Faults{Down: true})
+	fresh := tb.startInstance("entry-3", "z1", "--seed-peers", in.Peers)
+	tb.await("the new instance starts from its peers", fresh.Ready)
+	tb.awaitSeenBy(fresh, "e1", "m1")
 	for i := range 60 {
 		a, err := chat([]*fleet.Instance{in, in2, fresh}[i%3], "svc-m1", "x", 2, false)
 		is.NoErr(err)
@@ -268,9 +268,9 @@
 // peers reports that it is not ready, with the reason.
 func TestUnreadyWithoutPlatformSaysWhy(t *testing.T) {
 	is := is.New(t)
-	w := newTestbed(t)
-	w.platform.Faults.Set(platform.Faults{Down: true})
-	in := w.startInstance("entry-1", "z1")
+	tb := newTestbed(t)
+	tb.platform.Faults.Set(platform.Faults{Down: true})
+	in := tb.startInstance("entry-1", "z1")
 	resp, err := http.Get("http://" + in.Operations + "/readyz")
 	is.NoErr(err)
 	data, err := io.ReadAll(resp.Body)
@@ -287,8 +287,8 @@
 // one succeeds, and that the others get a numbered conflict with the difference.
 func TestRacingOperators(t *testing.T) {
 	is := is.New(t)
-	w, _ := twoReplicas(t)
-	stored, err := control.Get(context.Background(), w.client())
+	tb, _ := twoReplicas(t)
+	stored, err := control.Get(context.Background(), tb.client())
 	is.NoErr(err)
 	var group errgroup.Group
 	results := make([]error, 10)
@@ -296,7 +296,7 @@
 		group.Go(func() error {
 			doc := stored.Document
 			doc.Residency.MoveCost = float64(i + 1)
-			_, results[i] = control.Apply(context.Background(), w.client(), doc)
+			_, results[i] = control.Apply(context.Background(), tb.client(), doc)
 			return nil
 		})
 	}
@@ -321,14 +321,14 @@
 // own change took effect.
 func TestApplyWhoseAnswerIsLost(t *testing.T) {
 	is := is.New(t)
-	w, _ := twoReplicas(t)
-	w.platform.Faults.Set(platform.Faults{Lost: 1})
-	doc := w.doc
+	tb, _ := twoReplicas(t)
+	tb.platform.Faults.Set(platform.Faults{Lost: 1})
+	doc := tb.doc
 	doc.Residency.MoveCost = 7
-	revision, err := control.Apply(context.Background(), w.client(), doc)
+	revision, err := control.Apply(context.Background(), tb.client(), doc)
 	is.NoErr(err)
 	is.Equal(revision, uint64(2))
-	stored, err := control.Get(context.Background(), w.client())
+	stored, err := control.Get(context.Background(), tb.client())
 	is.NoErr(err)
 	is.Equal(stored.Document.Residency.MoveCost, 7.0)
 }
@@ -337,12 +337,12 @@
 // the platform is down gets the latest revision from its peers.
 func TestConfigurationSurvivesRestartAndOutage(t *testing.T) {
 	is := is.New(t)
-	w, ins := twoReplicas(t)
-	revision := w.apply()
-	w.platform.Faults.Set(platform.Faults{Down: true})
+	tb, ins := twoReplicas(t)
+	revision := tb.apply()
+	tb.platform.Faults.Set(platform.Faults{Down: true})
 	ins[1].Kill()
-	again := w.startInstance("entry-2", "z1", "--seed-peers", ins[0].Peers)
-	w.await("it has the revision", func() bool {
+	again := tb.startInstance("entry-2", "z1", "--seed-peers", ins[0].Peers)
+	tb.await("it has the revision", func() bool {
 		st, err := again.Status()
 		return err == nil && st.Revision == revision
 	})
--- a/standin/integration/once_test.go
+++ b/standin/integration/once_test.go
@@ -35,19 +35,19 @@
 
 // twoReplicas returns a testbed with a plain service of two replicas and two instances.
 func twoReplicas(t *testing.T) (*testbed, []*fleet.Instance) {
-	w := newTestbed(t)
-	w.addZones("z1")
-	w.addReplica("stock", "s1", "z1")
-	w.addReplica("stock", "s2", "z1")
-	ins := []*fleet.Instance{w.startInstance("entry-1", "z1"), w.startInstance("entry-2", "z1")}
-	w.apply()
-	return w, ins
+	tb := newTestbed(t)
+	tb.addZones("z1")
+	tb.addReplica("stock", "s1", "z1")
+	tb.addReplica("stock", "s2", "z1")
+	ins := []*fleet.Instance{tb.startInstance("entry-1", "z1"), tb.startInstance("entry-2", "z1")}
+	tb.apply()
+	return tb, ins
 }
 
 // executionCount returns the number of executed calls whose body is text.
-func (w *testbed) executionCount(text string) int {
+func (tb *testbed) executionCount(text string) int {
 	n := 0
-	for _, s := range w.services {
+	for _, s := range tb.services {
 		for _, x := range s.Executions() {
 			if x.Body == text {
 				n++
@@ -58,8 +58,8 @@
 }
 
 // setServiceFaults sets the faults of every replica.
-func (w *testbed) setServiceFaults(f service.Faults) {
-	for _, s := range w.services {
+func (tb *testbed) setServiceFaults(f service.Faults) {
+	for _, s := range tb.services {
 		s.Faults.Set(f)
 	}
 }
@@ -67,7 +67,7 @@
 // TestRunFieldMatchesExecutions breaks the connection at every point and compares the run
 // field of the error with the upstream's own record of executed calls.
 func TestRunFieldMatchesExecutions(t *testing.T) {
-	w, ins := twoReplicas(t)
+	tb, ins := twoReplicas(t)
 	cases := []struct {
 		name   string
 		faults service.Faults
@@ -84,11 +84,11 @@
 	for i, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			w.setServiceFaults(c.faults)
+			tb.setServiceFaults(c.faults)
 			body := fmt.Sprintf("case %d", i)
 			a, err := ins[0].Post("/services/stock/allocate", body, c.header)
 			is.NoErr(err)
-			is.Equal(w.executionCount(body), c.ran)
+			is.Equal(tb.executionCount(body), c.ran)
 			if c.run == "" {
 				is.Equal(a.Status, http.StatusOK)
 				return
@@ -102,10 +102,10 @@
 // reported as not run, with Retry-After.
 func TestConnectionRefusedIsNotRun(t *testing.T) {
 	is := is.New(t)
-	w, ins := twoReplicas(t)
+	tb, ins := twoReplicas(t)
 	for _, name := range []string{"s1", "s2"} {
-		w.servers[name].CloseClientConnections()
-		w.servers[name].Close()
+		tb.servers[name].CloseClientConnections()
+		tb.servers[name].Close()
 	}
 	a, err := ins[0].Post("/services/stock/once", "nobody", notRepeatable)
 	is.NoErr(err)
@@ -117,8 +117,8 @@
 // halfway as cut, never as complete.
 func TestCutBodyIsSeenAsCut(t *testing.T) {
 	is := is.New(t)
-	w, ins := twoReplicas(t)
-	w.setServiceFaults(service.Faults{CutBody: 1})
+	tb, ins := twoReplicas(t)
+	tb.setServiceFaults(service.Faults{CutBody: 1})
 	a, err := ins[0].Post("/services/stock/x", strings.Repeat("long ", 1000), nil)
 	is.NoErr(err)
 	is.True(a.Err != nil) // reading the body must fail
@@ -130,9 +130,9 @@
 // executed twice.
 func TestTransportDoesNotRepeat(t *testing.T) {
 	is := is.New(t)
-	w, ins := twoReplicas(t)
+	tb, ins := twoReplicas(t)
 	for i := range 30 {
-		w.setServiceFaults(service.Faults{DropAfter: i % 2}) // the connection of every other call breaks after it ran
+		tb.setServiceFaults(service.Faults{DropAfter: i % 2}) // the connection of every other call breaks after it ran
 		for _, method := range []string{http.MethodPost, http.MethodGet} {
 			body := fmt.Sprintf("%s %d", method, i)
 			req, err := http.NewRequest(method, "http://"+ins[0].Callers+"/services/stock/once/"+fmt.Sprint(i), strings.NewReader(body))
@@ -141,20 +141,20 @@
 			resp, err := http.DefaultClient.Do(req)
 			is.NoErr(err)
 			is.NoErr(resp.Body.Close())
-			is.True(w.executionCount(body) <= 1)
+			is.True(tb.executionCount(body) <= 1)
 		}
 	}
 }
 
 // TestSameKeyThroughTwoInstancesRunsOnce sends many calls with one idempotency key through
 // two instances, also with the platform's replies lost after their effect. Exactly one
-// call must run and be served.
+// call must run and be served; the others are refused.
 func TestSameKeyThroughTwoInstancesRunsOnce(t *testing.T) {
 	for _, lost := range []int{0, 1, 2} {
 		t.Run(fmt.Sprintf("lost=%d", lost), func(t *testing.T) {
 			is := is.New(t)
-			w, ins := twoReplicas(t)
-			w.platform.Faults.Set(platform.Faults{Lost: lost})
+			tb, ins := twoReplicas(t)
+			tb.platform.Faults.Set(platform.Faults{Lost: lost})
 			key := http.Header{"Idempotency-Key": {"envelope-9"}, "Birchdrift-Not-Repeatable": {"true"}}
 			var group errgroup.Group
 			statuses := make([]int, 10)
@@ -166,7 +166,7 @@
 				})
 			}
 			is.NoErr(group.Wait())
-			is.Equal(w.executionCount("envelope 9"), 1)
+			is.Equal(tb.executionCount("envelope 9"), 1)
 			served := 0
 			for _, s := range statuses {
 				if s == http.StatusOK {
@@ -183,13 +183,13 @@
 // non-repeatable call without a key is served.
 func TestClaimWithPlatformDownIsNotRunAtOnce(t *testing.T) {
 	is := is.New(t)
-	w, ins := twoReplicas(t)
-	w.platform.Faults.Set(platform.Faults{Down: true})
-	w.await("the instance notices the outage", func() bool {
+	tb, ins := twoReplicas(t)
+	tb.platform.Faults.Set(platform.Faults{Down: true})
+	tb.await("the instance notices the outage", func() bool {
 		st, err := ins[0].Status()
 		return err == nil && st.PlatformDown
 	})
-	begun := time.Now()
+	start := time.Now()
 	key := http.Header{"Idempotency-Key": {"k"}, "Birchdrift-Not-Repeatable": {"true"}}
 	a, err := ins[0].Post("/services/stock/x", "keyed", key)
 	is.NoErr(err)
@@ -197,28 +197,28 @@
 	is.Equal(r.Error.Code, 401) // platform_down
 	is.Equal(r.Error.Run, "not_run")
 	is.True(a.Header.Get("Retry-After") != "")
-	is.True(time.Since(begun) < 2*time.Second)
-	is.Equal(w.executionCount("keyed"), 0)
+	is.True(time.Since(start) < 2*time.Second)
+	is.Equal(tb.executionCount("keyed"), 0)
 	a, err = ins[0].Post("/services/stock/x", "no key", notRepeatable)
 	is.NoErr(err)
 	is.Equal(a.Status, http.StatusOK)
-	is.Equal(w.executionCount("no key"), 1)
+	is.Equal(tb.executionCount("no key"), 1)
 }
 
 // TestKeyCanBeUsedAgainAfterNotRun checks that a call that certainly did not run
 // releases its idempotency key.
 func TestKeyCanBeUsedAgainAfterNotRun(t *testing.T) {
 	is := is.New(t)
-	w, ins := twoReplicas(t)
+	tb, ins := twoReplicas(t)
 	key := http.Header{"Idempotency-Key": {"again"}, "Birchdrift-Not-Repeatable": {"true"}}
-	w.setServiceFaults(service.Faults{Refuse: 100})
+	tb.setServiceFaults(service.Faults{Refuse: 100})
 	a, err := ins[0].Post("/services/stock/x", "again", key)
 	is.NoErr(err)
 	is.Equal(parseError(t, a).Error.Run, "not_run")
-	w.setServiceFaults(service.Faults{})
-	w.await("the claim is released", func() bool { return len(w.platform.Keys("claim/")) == 0 })
+	tb.setServiceFaults(service.Faults{})
+	tb.await("the claim is released", func() bool { return len(tb.platform.Keys("claim/")) == 0 })
 	a, err = ins[1].Post("/services/stock/x", "again", key)
 	is.NoErr(err)
 	is.Equal(a.Status, http.StatusOK)
-	is.Equal(w.executionCount("again"), 1)
+	is.Equal(tb.executionCount("again"), 1)
 }
--- a/standin/service/service.go
+++ b/standin/service/service.go
@@ -13,14 +13,15 @@
 	"github.com/birchdrift/birchdrift/standin/fault"
 )
 
-// Faults are the faults that the stand-in simulates.
+// Faults are the faults that the stand-in simulates. A fault of the next n calls counts
+// down with each call that it affects.
 type Faults struct {
 	DropBefore int            `json:"drop_before"` // drop the connection of the next n calls before they run
 	DropAfter  int            `json:"drop_after"`  // drop the connection of the next n calls after they ran
 	CutBody    int            `json:"cut_body"`    // cut the replies to the next n calls halfway
 	Slow       fault.Duration `json:"slow"`        // added to every call
-	Refuse     int            `json:"refuse"`      // refuse the next n calls as not run
-	Leaving    bool           `json:"leaving"`     // refuse every call as not run and report leaving
+	Refuse     int            `json:"refuse"`      // refuse the next n calls and report them as not run
+	Leaving    bool           `json:"leaving"`     // refuse every call, and report it as not run and the replica as leaving
 }
 
 // An Execution is one call that ran.
@@ -36,22 +37,23 @@
 	Faults fault.Injector[Faults]
 	name   string
 
-	mu     sync.Mutex
-	ledger []Execution
+	mu         sync.Mutex
+	executions []Execution
 }
 
-// New returns a service that has executed no calls.
+// New returns a service without executed calls.
 func New(name string) *Service { return &Service{name: name} }
 
-// Executions returns a copy of the record of calls that ran, in order.
+// Executions returns a copy of the list of calls that ran, in order.
 func (s *Service) Executions() []Execution {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return append([]Execution(nil), s.ledger...)
+	return append([]Execution(nil), s.executions...)
 }
 
 // Handler returns the service's HTTP interface: every path except /ledger and /fault
-// echoes the body.
+// echoes the method, the path and the body. /ledger returns Executions, and /fault sets
+// Faults.
 func (s *Service) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("/", s.serve)
@@ -69,15 +71,16 @@
 	return true
 }
 
+// serve applies the active faults, records the call as executed and echoes it.
 func (s *Service) serve(w http.ResponseWriter, r *http.Request) {
-	var before, after, cut, refuse, leaving bool
+	var dropBefore, dropAfter, cutBody, refuse, leaving bool
 	var slow time.Duration
 	s.Faults.Update(func(f *Faults) {
 		leaving = f.Leaving
 		refuse = leaving || takeOne(&f.Refuse)
-		before = !refuse && takeOne(&f.DropBefore)
-		after = !refuse && !before && takeOne(&f.DropAfter)
-		cut = !refuse && !before && !after && takeOne(&f.CutBody)
+		dropBefore = !refuse && takeOne(&f.DropBefore)
+		dropAfter = !refuse && !dropBefore && takeOne(&f.DropAfter)
+		cutBody = !refuse && !dropBefore && !dropAfter && takeOne(&f.CutBody)
 		slow = time.Duration(f.Slow)
 	})
 	if refuse {
@@ -88,7 +91,7 @@
 		http.Error(w, "refused", http.StatusServiceUnavailable)
 		return
 	}
-	if before {
+	if dropBefore {
 		fault.DropConnection(w)
 		return
 	}
@@ -97,16 +100,16 @@
 		return // the request was incomplete, so the call does not run
 	}
 	s.mu.Lock()
-	s.ledger = append(s.ledger, Execution{Method: r.Method, Path: r.URL.Path, Body: string(body), Call: r.Header.Get(upstream.HeaderCall)})
+	s.executions = append(s.executions, Execution{Method: r.Method, Path: r.URL.Path, Body: string(body), Call: r.Header.Get(upstream.HeaderCall)})
 	s.mu.Unlock()
 	time.Sleep(slow)
-	if after {
+	if dropAfter {
 		fault.DropConnection(w)
 		return
 	}
 	w.Header().Set("Served-By", s.name)
 	answer := append([]byte(r.Method+" "+r.URL.Path+" "), body...)
-	if cut {
+	if cutBody {
 		_, _ = w.Write(answer[:len(answer)/2])
 		_ = http.NewResponseController(w).Flush()
 		panic(http.ErrAbortHandler)
