--- a/cmd/birchdrift/main.go
+++ b/cmd/birchdrift/main.go
@@ -20,13 +20,13 @@
 
 // Exit statuses.
 const (
-	exitFailed = 1
-	exitUsage  = 2
-	exitCut    = 3
+	exitFailed   = 1
+	exitUsage    = 2
+	exitCallsCut = 3
 )
 
-// environments maps the values of the environment setting to the environments that an
-// instance can run in.
+// environments maps the values of the environment setting to the factories of the
+// environments that an instance can run in.
 var environments = map[string]server.EnvironmentFactory{
 	settings.EnvironmentOwn: server.OwnEnvironment,
 	settings.EnvironmentPlatform: func(set settings.Settings, t upstream.Transports) server.Environment {
@@ -62,9 +62,9 @@
 			return cmd.String(name), cmd.IsSet(name)
 		},
 	}
-	set, file, faults := source.Read()
-	if len(faults) > 0 {
-		for _, f := range faults {
+	set, file, invalid := source.Read()
+	if len(invalid) > 0 {
+		for _, f := range invalid {
 			fmt.Fprintln(os.Stderr, "birchdrift:", f)
 		}
 		return cli.Exit("", exitUsage)
@@ -74,12 +74,12 @@
 		return cli.Exit(fmt.Sprintf("birchdrift: BD-501 bad_setting: %v", err), exitFailed)
 	}
 	s.ReloadFrom(source, file)
-	cut, err := s.Run()
+	cutCalls, err := s.Run()
 	if err != nil {
 		return cli.Exit(fmt.Sprintf("birchdrift: BD-901 internal: %v", err), exitFailed)
 	}
-	if cut > 0 {
-		return cli.Exit(fmt.Sprintf("birchdrift: %d calls were cut off", cut), exitCut)
+	if cutCalls > 0 {
+		return cli.Exit(fmt.Sprintf("birchdrift: %d calls were cut off", cutCalls), exitCallsCut)
 	}
 	return nil
 }
--- a/standin/cmd/demo/main.go
+++ b/standin/cmd/demo/main.go
@@ -133,13 +133,13 @@
 		return err
 	}
 	fmt.Printf("demo: revision %d accepted: %d models, %d adapters, %d engines\n", revision, len(doc.Models), len(doc.Adapters), len(doc.Engines))
-	begun := time.Now()
+	start := time.Now()
 	for _, in := range d.instances {
 		if err := fleet.Await(in.Name+" is ready", in.Ready); err != nil {
 			return errors.Join(err, errors.New(in.Log()))
 		}
 	}
-	fmt.Printf("demo: in force on %d instances after %d ms\n", len(d.instances), time.Since(begun).Milliseconds())
+	fmt.Printf("demo: in force on %d instances after %d ms\n", len(d.instances), time.Since(start).Milliseconds())
 	return nil
 }
 
@@ -169,12 +169,12 @@
 }
 
 func (d *demo) callAndPrint(what string, in *fleet.Instance, path, body string, header http.Header) error {
-	begun := time.Now()
+	start := time.Now()
 	a, err := in.Post(path, body, header)
 	if err != nil {
 		return err
 	}
-	fmt.Printf("demo: %s: %d by %s from %s after %d ms\n%s\n", what, a.Status, a.Instance, a.Upstream, time.Since(begun).Milliseconds(), strings.TrimSpace(a.Body))
+	fmt.Printf("demo: %s: %d by %s from %s after %d ms\n%s\n", what, a.Status, a.Instance, a.Upstream, time.Since(start).Milliseconds(), strings.TrimSpace(a.Body))
 	if a.Status != http.StatusOK || a.Err != nil {
 		return fmt.Errorf("%s: status %d, %v\n%s", what, a.Status, a.Err, in.Log())
 	}
--- a/standin/integration/answers_test.go
+++ b/standin/integration/answers_test.go
@@ -65,15 +65,15 @@
 
 // oneEngine returns a testbed with one model on one engine and one instance.
 func oneEngine(t *testing.T, change func(*engine.Options)) (*testbed, *fleet.Instance, *engine.Engine) {
-	w := newTestbed(t)
-	w.addZones("z1")
-	e := w.addEngine("e1", "z1", change)
-	w.addModel("m1", 1000)
-	in := w.startInstance("entry-1", "z1")
-	w.apply()
-	w.awaitReadyOn("e1", "m1")
-	w.awaitSeenBy(in, "e1", "m1")
-	return w, in, e
+	tb := newTestbed(t)
+	tb.addZones("z1")
+	e := tb.addEngine("e1", "z1", change)
+	tb.addModel("m1", 1000)
+	in := tb.startInstance("entry-1", "z1")
+	tb.apply()
+	tb.awaitReadyOn("e1", "m1")
+	tb.awaitSeenBy(in, "e1", "m1")
+	return tb, in, e
 }
 
 func TestPlainAnswerIsWhole(t *testing.T) {
@@ -152,19 +152,19 @@
 // delivered is retried on another engine and served completely.
 func TestUndeliveredCallIsRetriedElsewhere(t *testing.T) {
 	is := is.New(t)
-	w := newTestbed(t)
-	w.addZones("z1")
+	tb := newTestbed(t)
+	tb.addZones("z1")
 	slow := func(o *engine.Options) { o.TokenTime = 10 * time.Millisecond }
-	w.addEngine("e1", "z1", slow)
-	w.addEngine("e2", "z1", slow)
-	w.addModel("m1", 1000)
-	for _, e := range w.engines {
+	tb.addEngine("e1", "z1", slow)
+	tb.addEngine("e2", "z1", slow)
+	tb.addModel("m1", 1000)
+	for _, e := range tb.engines {
 		e.Preload("m1", "", 1000)
 	}
-	in := w.startInstance("entry-1", "z1")
-	w.apply()
-	w.awaitSeenBy(in, "e1", "m1")
-	w.awaitSeenBy(in, "e2", "m1")
+	in := tb.startInstance("entry-1", "z1")
+	tb.apply()
+	tb.awaitSeenBy(in, "e1", "m1")
+	tb.awaitSeenBy(in, "e2", "m1")
 	var group errgroup.Group
 	for i := range 8 {
 		group.Go(func() error {
@@ -179,8 +179,8 @@
 			return nil
 		})
 	}
-	w.await("calls run on e1", func() bool { return w.engines["e1"].State().Running > 0 })
-	w.engines["e1"].Restart()
+	tb.await("calls run on e1", func() bool { return tb.engines["e1"].State().Running > 0 })
+	tb.engines["e1"].Restart()
 	is.NoErr(group.Wait())
 }
 
@@ -188,33 +188,33 @@
 // its connection is cancelled at the engine.
 func TestCallerThatGoesAwayFreesItsSequence(t *testing.T) {
 	is := is.New(t)
-	w, in, e := oneEngine(t, func(o *engine.Options) { o.TokenTime = 20 * time.Millisecond; o.Linger = time.Hour })
+	tb, in, e := oneEngine(t, func(o *engine.Options) { o.TokenTime = 20 * time.Millisecond; o.Linger = time.Hour })
 	body := `{"model":"svc-m1","prompt":"long","max_tokens":100000,"stream":true}`
 	resp, err := http.Post("http://"+in.Callers+"/v1/completions", "application/json", strings.NewReader(body))
 	is.NoErr(err)
 	_, err = io.ReadFull(resp.Body, make([]byte, 100))
 	is.NoErr(err)
 	is.NoErr(resp.Body.Close())
-	w.await("the sequence is freed", func() bool { return e.Counts().Cancelled == 1 && e.State().Running == 0 })
+	tb.await("the sequence is freed", func() bool { return e.Counts().Cancelled == 1 && e.State().Running == 0 })
 }
 
 // TestCallsMoveOffFrozenEngine checks that calls held by a frozen engine are served
 // elsewhere, so that no caller waits forever.
 func TestCallsMoveOffFrozenEngine(t *testing.T) {
 	is := is.New(t)
-	w := newTestbed(t)
-	w.addZones("z1")
-	w.addEngine("e1", "z1", nil)
-	w.addEngine("e2", "z1", nil)
-	w.addModel("m1", 1000)
-	for _, e := range w.engines {
+	tb := newTestbed(t)
+	tb.addZones("z1")
+	tb.addEngine("e1", "z1", nil)
+	tb.addEngine("e2", "z1", nil)
+	tb.addModel("m1", 1000)
+	for _, e := range tb.engines {
 		e.Preload("m1", "", 1000)
 	}
-	in := w.startInstance("entry-1", "z1", "--stall", "500ms")
-	w.apply()
-	w.awaitSeenBy(in, "e1", "m1")
-	w.awaitSeenBy(in, "e2", "m1")
-	w.engines["e1"].Faults.Set(engine.Faults{Freeze: true})
+	in := tb.startInstance("entry-1", "z1", "--stall", "500ms")
+	tb.apply()
+	tb.awaitSeenBy(in, "e1", "m1")
+	tb.awaitSeenBy(in, "e2", "m1")
+	tb.engines["e1"].Faults.Set(engine.Faults{Freeze: true})
 	var group errgroup.Group
 	for i := range 20 {
 		group.Go(func() error {
@@ -226,5 +226,5 @@
 		})
 	}
 	is.NoErr(group.Wait())
-	w.engines["e1"].Faults.Set(engine.Faults{})
+	tb.engines["e1"].Faults.Set(engine.Faults{})
 }
--- a/standin/integration/contract_test.go
+++ b/standin/integration/contract_test.go
@@ -35,18 +35,18 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			w := newTestbed(t)
+			tb := newTestbed(t)
 			if c.limits != nil {
 				limits := platform.DefaultLimits()
 				c.limits(&limits)
-				w.usePlatform(platform.New(limits))
+				tb.usePlatform(platform.New(limits))
 			}
 			ctx := context.Background()
-			first, err := w.client().CompareAndSwap(ctx, "k", []byte("old"), 0, 0)
+			first, err := tb.client().CompareAndSwap(ctx, "k", []byte("old"), 0, 0)
 			is.NoErr(err)
 			is.Equal(first, uint64(1))
-			w.platform.Faults.Set(c.faults)
-			_, err = w.client().CompareAndSwap(ctx, "k", []byte("new"), c.expect, 0)
+			tb.platform.Faults.Set(c.faults)
+			_, err = tb.client().CompareAndSwap(ctx, "k", []byte("new"), c.expect, 0)
 			switch {
 			case c.anyErr:
 				is.True(err != nil)
@@ -56,8 +56,8 @@
 			default:
 				is.NoErr(err)
 			}
-			w.platform.Faults.Set(platform.Faults{})
-			v, err := w.client().Get(ctx, "k", 0, 0)
+			tb.platform.Faults.Set(platform.Faults{})
+			v, err := tb.client().Get(ctx, "k", 0, 0)
 			is.NoErr(err)
 			is.Equal(string(v.Data) == "new", c.inEffect)
 		})
@@ -76,20 +76,20 @@
 // wait has passed.
 func TestPlatformWatch(t *testing.T) {
 	is := is.New(t)
-	w := newTestbed(t)
+	tb := newTestbed(t)
 	ctx := context.Background()
-	revision, err := w.client().CompareAndSwap(ctx, "k", []byte("a"), 0, 0)
+	revision, err := tb.client().CompareAndSwap(ctx, "k", []byte("a"), 0, 0)
 	is.NoErr(err)
-	v, err := w.client().Get(ctx, "k", revision, 50*time.Millisecond)
+	v, err := tb.client().Get(ctx, "k", revision, 50*time.Millisecond)
 	is.NoErr(err)
 	is.Equal(v.Revision, revision)
 	is.Equal(len(v.Data), 0) // no change, so no data
 	woken := make(chan keyvalue.Value, 1)
 	go func() {
-		v, _ := w.client().Get(ctx, "k", revision, watchWait)
+		v, _ := tb.client().Get(ctx, "k", revision, watchWait)
 		woken <- v
 	}()
-	_, err = w.client().CompareAndSwap(ctx, "k", []byte("b"), revision, 0)
+	_, err = tb.client().CompareAndSwap(ctx, "k", []byte("b"), revision, 0)
 	is.NoErr(err)
 	is.Equal(string((<-woken).Data), "b")
 }
@@ -98,10 +98,10 @@
 // rise, and that a lease that expired or was released can be granted to another holder.
 func TestPlatformLease(t *testing.T) {
 	is := is.New(t)
-	w := newTestbed(t)
+	tb := newTestbed(t)
 	ctx := context.Background()
 	ask := func(holder string, term time.Duration, renew uint64) keyvalue.LeaseReply {
-		r, err := w.client().AcquireLease(ctx, "planner/z", keyvalue.LeaseRequest{Holder: holder, TermMS: term.Milliseconds(), Renew: renew})
+		r, err := tb.client().Lease(ctx, "planner/z", keyvalue.LeaseRequest{Holder: holder, TermMS: term.Milliseconds(), Renew: renew})
 		is.NoErr(err)
 		return r
 	}
@@ -109,26 +109,26 @@
 	is.True(a.Granted)
 	is.True(!ask("b", time.Minute, 0).Granted)
 	is.True(ask("a", time.Minute, a.Fence).Granted)
-	is.NoErr(w.client().Release(ctx, "planner/z", a.Fence))
+	is.NoErr(tb.client().Release(ctx, "planner/z", a.Fence))
 	b := ask("b", time.Millisecond, 0)
 	is.True(b.Granted && b.Fence > a.Fence)
 	is.True(!ask("a", time.Minute, a.Fence).Granted) // an old grant cannot be renewed
-	w.await("b's lease expires", func() bool { return ask("c", time.Minute, 0).Granted })
+	tb.await("b's lease expires", func() bool { return ask("c", time.Minute, 0).Granted })
 }
 
 // TestPlatformListLags checks that the list shows a change only after the list lag.
 func TestPlatformListLags(t *testing.T) {
 	is := is.New(t)
-	w := newTestbed(t)
-	w.platform.Faults.Set(platform.Faults{ListLag: fault.Duration(time.Hour)})
-	w.platform.SetInstance(keyvalue.Instance{Name: "x", Kind: keyvalue.KindEntry, State: keyvalue.StateLive})
-	list, version, err := w.client().Instances(context.Background(), 0, 0)
+	tb := newTestbed(t)
+	tb.platform.Faults.Set(platform.Faults{ListLag: fault.Duration(time.Hour)})
+	tb.platform.SetInstance(keyvalue.Instance{Name: "x", Kind: keyvalue.KindEntry, State: keyvalue.StateLive})
+	list, version, err := tb.client().Instances(context.Background(), 0, 0)
 	is.NoErr(err)
 	is.Equal(len(list), 0)
 	is.Equal(version, uint64(0))
-	w.platform.Faults.Set(platform.Faults{})
-	w.platform.SetInstance(keyvalue.Instance{Name: "y", Kind: keyvalue.KindEntry, State: keyvalue.StateLeaving})
-	list, _, err = w.client().Instances(context.Background(), 0, watchWait)
+	tb.platform.Faults.Set(platform.Faults{})
+	tb.platform.SetInstance(keyvalue.Instance{Name: "y", Kind: keyvalue.KindEntry, State: keyvalue.StateLeaving})
+	list, _, err = tb.client().Instances(context.Background(), 0, watchWait)
 	is.NoErr(err)
 	is.Equal(len(list), 1)
 	is.True(list[0].Leaving)
