--- a/standin/integration/contract_test.go
+++ b/standin/integration/contract_test.go
@@ -101,7 +101,7 @@
 	tb := newTestbed(t)
 	ctx := context.Background()
 	ask := func(holder string, term time.Duration, renew uint64) keyvalue.LeaseReply {
-		r, err := tb.client().Lease(ctx, "planner/z", keyvalue.LeaseRequest{Holder: holder, TermMS: term.Milliseconds(), Renew: renew})
+		r, err := tb.client().AcquireLease(ctx, "planner/z", keyvalue.LeaseRequest{Holder: holder, TermMS: term.Milliseconds(), Renew: renew})
 		is.NoErr(err)
 		return r
 	}
