--- a/core/pool/use.go
+++ b/core/pool/use.go
@@ -119,7 +119,7 @@
 func (r *Replica) Load(now clock.Instant) Usage {
 	u := r.peerTotals(now)
 	if r.ReportAge(now) <= loadReportTTL {
-		u.Calls = ByRank[int]{r.report.running} // the report has no ranks; all count as the most urgent
+		u.Calls = ByRank[int]{r.report.total} // the report has no ranks; all count as the most urgent
 		u.Prefill = ByRank[time.Duration]{}
 		u.Waiting = r.report.waiting
 	}
@@ -144,7 +144,7 @@
 type receivedReport struct {
 	at      clock.Instant
 	waiting int // calls of others without a first event
-	running int // all calls of others
+	total   int // all calls of others
 }
 
 // ObserveReport records an engine's report of its load.
@@ -159,7 +159,7 @@
 	r.report = receivedReport{
 		at:      now,
 		waiting: max(0, rep.Queued-waiting),
-		running: max(0, rep.Queued+rep.Running-len(r.inFlight)),
+		total:   max(0, rep.Queued+rep.Running-len(r.inFlight)),
 	}
 }
 
