--- a/core/instance/stepback_test.go
+++ b/core/instance/stepback_test.go
@@ -207,7 +207,7 @@
 	// without a step back: until its record expires and it counts as absent, then until its
 	// orders are no longer valid and TurnGap is over.
 	o := option.Default()
-	aim := o.EnrolTerm + o.AbsentFor + o.OrderValid + o.TurnGap + 3*time.Second
+	maxRecovery := o.EnrolTerm + o.AbsentFor + o.OrderValid + o.TurnGap + 3*time.Second
 	for _, span := range []time.Duration{0, time.Second, 3 * time.Second, 10 * time.Second} {
 		for seed := range uint64(6) {
 			f := newFleet(seed+1, 5)
@@ -219,13 +219,13 @@
 			// An owner has died recently, and other members have claimed its engines.
 			n := f.lastOrderSender()
 			n.dead = true
-			f.run(aim)
+			f.run(maxRecovery)
 			f.start(n.id.Name)
 			f.run(f.randomSpan())
 			f.stepBack(span)
 			f.run(restoreTime)
 			f.run(time.Millisecond)
-			if took, wrong := f.settle(aim); wrong != "" {
+			if took, wrong := f.settle(maxRecovery); wrong != "" {
 				t.Errorf("seed %d, step back by %v: after %v: %s", seed+1, span, took, wrong)
 			}
 			for _, b := range f.violations {
