--- a/core/instance/stepback_test.go
+++ b/core/instance/stepback_test.go
@@ -357,7 +357,7 @@
 	// writesPerSecond is the write rate that the store allows the smallest fleets.
 	const writesPerSecond = 400
 	o := option.Default()
-	aim := o.EnrolTerm + o.AbsentFor + o.OrderValid + o.TurnGap + 3*time.Second
+	maxRecovery := o.EnrolTerm + o.AbsentFor + o.OrderValid + o.TurnGap + 3*time.Second
 	sizes := []struct{ members, engines int }{{8, 8}}
 	if *stepSizes {
 		sizes = append(sizes, []struct{ members, engines int }{{23, 24}, {46, 48}, {370, 850}}...)
@@ -367,13 +367,13 @@
 		f.expireLeases()
 		f.keepStoreCopies()
 		f.run(20 * time.Second)
-		if _, wrong := f.settle(aim); wrong != "" {
+		if _, wrong := f.settle(maxRecovery); wrong != "" {
 			t.Fatalf("%d instances: %s before the step back", size.members, wrong)
 		}
 		f.storeWriteTimes = nil
 		f.stepBack(5 * time.Second)
 		f.run(restoreTime + time.Millisecond)
-		took, wrong := f.settle(aim)
+		took, wrong := f.settle(maxRecovery)
 		most := busiestSecond(f.storeWriteTimes)
 		t.Logf("%d instances, %d engines: recovered after %v, at most %d writes in a second", size.members, size.engines, took, most)
 		if wrong != "" || most > writesPerSecond || len(f.violations) > 0 {
