--- a/core/instance/repeats_test.go
+++ b/core/instance/repeats_test.go
@@ -25,9 +25,9 @@
 }
 
 // countWithin returns the number of moments within the span that ends at to.
-func countWithin(moments []time.Duration, span, to time.Duration) int {
+func countWithin(times []time.Duration, span, to time.Duration) int {
 	n := 0
-	for _, at := range moments {
+	for _, at := range times {
 		if at > to-span && at <= to {
 			n++
 		}
