--- a/core/instance/stepback_test.go
+++ b/core/instance/stepback_test.go
@@ -383,10 +383,10 @@
 }
 
 // busiestSecond returns the largest number of moments within one second. moments must be sorted.
-func busiestSecond(moments []time.Duration) int {
+func busiestSecond(times []time.Duration) int {
 	most, first := 0, 0
-	for last, at := range moments {
-		for moments[first] <= at-time.Second {
+	for last, at := range times {
+		for times[first] <= at-time.Second {
 			first++
 		}
 		most = max(most, last-first+1)
