--- a/core/instance/limit_test.go
+++ b/core/instance/limit_test.go
@@ -56,8 +56,8 @@
 const loadPropagationTime = time.Second
 
 // minLimitUse is the minimum share of a limit that calls must get if their demand exceeds the
-// limit. It is an aim of this product; an instance that sends nothing would also keep the bound of
-// the users.
+// limit. It is a goal of this product; an instance that sends nothing would also keep the users'
+// bound.
 const minLimitUse = 0.8
 
 var (
--- a/core/instance/repeats_test.go
+++ b/core/instance/repeats_test.go
@@ -24,7 +24,7 @@
 	c.attempted[id] = true
 }
 
-// countWithin returns the number of moments within the span that ends at to.
+// countWithin returns the number of times within the span that ends at to.
 func countWithin(times []time.Duration, span, to time.Duration) int {
 	n := 0
 	for _, at := range times {
--- a/core/instance/stepback_test.go
+++ b/core/instance/stepback_test.go
@@ -203,9 +203,9 @@
 // Before, no member ever sent orders to some engines again, and all members ignored what was
 // written to the store afterwards.
 func TestFleetRecoversAfterStoreStepsBack(t *testing.T) {
-	// aim is the longest time for which engines wait for orders after the loss of an owner,
+	// maxRecovery is the longest time for which engines wait for orders after the loss of an owner,
 	// without a step back: until its record expires and it counts as absent, then until its
-	// orders are no longer valid and TurnGap is over.
+	// orders are no longer valid and TurnGap has passed.
 	o := option.Default()
 	maxRecovery := o.EnrolTerm + o.AbsentFor + o.OrderValid + o.TurnGap + 3*time.Second
 	for _, span := range []time.Duration{0, time.Second, 3 * time.Second, 10 * time.Second} {
@@ -382,7 +382,7 @@
 	}
 }
 
-// busiestSecond returns the largest number of moments within one second. moments must be sorted.
+// busiestSecond returns the largest number of times that lie within one second. times must be sorted.
 func busiestSecond(times []time.Duration) int {
 	most, first := 0, 0
 	for last, at := range times {
--- a/core/notice/notice.go
+++ b/core/notice/notice.go
@@ -1,7 +1,7 @@
 // Package notice handles what replicas report about themselves in the headers of their
-// responses: that they are leaving, a rest during which this instance shall send them no calls,
+// responses: that they are leaving, a rest during which this instance must send them no calls,
 // and a limit of the requests per second that they accept from all instances together. Any
-// response may have a notice: that to a call, to an order or to a query for a report.
+// response may contain a notice, whether it answers a call, an order or a query for a report.
 //
 // A notice takes precedence over the platform's list, since it comes from the replica itself,
 // and the list may lag or not be writable. That a replica is leaving, and its limit, are sent
@@ -28,8 +28,9 @@
 	spreadShare = 0.2
 	// maxSpread bounds that time: no instance returns later than this.
 	maxSpread = time.Second
-	// retention is how long a leaving incarnation is remembered: longer than any replica takes
-	// to leave, and than an entry can be missing and come back.
+	// retention is how long the records of a leaving incarnation, and those of the limit of an
+	// incarnation that is not in the pool, are kept: longer than any replica takes to leave, and
+	// longer than an entry can be missing from the list before it reappears.
 	retention = 10 * time.Minute
 	// pruneEvery is the interval at which old records are removed.
 	pruneEvery = 10 * time.Second
@@ -85,8 +86,8 @@
 	}
 }
 
-// observeLimit handles a replica's limit, or that its response had none. The limit is sent to
-// the other instances, so that they know it before they send requests.
+// observeLimit handles the limit in a replica's response, or its absence. A new report is sent
+// to the other instances, so that they know the limit before they send requests.
 func (t *Tracker) observeLimit(now clock.Instant, e Received) {
 	r := t.Pool.Get(e.Replica)
 	if r == nil {
--- a/core/permits/permits.go
+++ b/core/permits/permits.go
@@ -1,5 +1,5 @@
 // Package permits enforces limits that all instances share: the rate limits of replicas,
-// and the part of a service's retry budget that belongs to no single instance.
+// and the shared part of a service's retry budget, which is not divided among instances.
 //
 // Every request of any kind to a rate-limited replica needs a permit; so does a retry for
 // which the instance's own part of the retry budget is used up. One instance, the
@@ -12,12 +12,12 @@
 // The instances do not elect a coordinator by agreement. Two instances may both consider
 // themselves the coordinator, or an instance may get a request without being the
 // coordinator in its own view. An instance that is not the coordinator in its own view,
-// or has not been for long enough, grants less than half of the limit. So while a
-// coordinator is replaced at most one and a half times the limit is granted, which
+// or became the coordinator only recently, grants less than half of the limit. So while
+// a coordinator is replaced at most one and a half times the limit is granted, which
 // replicas tolerate and the retry budget allows for.
 //
-// No permit outlives a partition, a suspension or the end of an instance: a permit is
-// used at once or is void.
+// No permit outlives a partition, a suspension or the end of an instance: a permit that
+// is not used within permitTTL is void.
 package permits
 
 import (
@@ -40,8 +40,9 @@
 	// long a call avoids a replica whose coordinator did not answer the call's request in
 	// time (docs/design/limits.md).
 	peerBackoff = 2 * time.Second
-	// prepareInterval is the time between two checks for the resources that this instance
-	// coordinates (docs/design/limits.md).
+	// prepareInterval is the interval at which the instance records its view of the fleet
+	// and prepares the buckets of the resources that it coordinates
+	// (docs/design/limits.md).
 	prepareInterval = time.Second
 	// maxPeerAttempts is how many peers are tried in turn before the instance decides by
 	// itself (docs/design/limits.md).
@@ -51,8 +52,8 @@
 	// models (docs/design/limits.md).
 	orderRank = -1
 	// adapterRank is the rank of orders for adapters. They follow all calls: a call that
-	// needs an adapter takes two permits, so where permits are scarce other calls are
-	// served more often (docs/design/limits.md).
+	// needs an adapter loaded takes two permits, so while permits are scarce the calls
+	// that need only one go first (docs/design/limits.md).
 	adapterRank = pool.Ranks
 	// maxOrderWait is the longest time that an order waits for its permit
 	// (docs/design/limits.md).
@@ -69,7 +70,7 @@
 // String returns the name of the resource for logs.
 func (r Resource) String() string { return cmp.Or(r.Service, r.Replica.Name) }
 
-// Compare orders resources.
+// Compare orders resources by service, then by incarnation of the replica.
 func (r Resource) Compare(other Resource) int {
 	return cmp.Or(cmp.Compare(r.Service, other.Service), r.Replica.Compare(other.Replica))
 }
@@ -149,8 +150,8 @@
 	Stopping func() bool
 	// Told records what a peer knows of a replica's rate limit.
 	Told func(now clock.Instant, from string, incarnation pool.Incarnation, report pool.LimitReport)
-	// Repeats returns how many retries of a service's calls belong to no single instance
-	// in each span of the retry budget.
+	// Repeats returns the shared part of a service's retry budget: the number of retries
+	// that all instances together may take from it in each span.
 	Repeats func() (amount float64, span time.Duration)
 	// Decided is called with the decision on a call's request.
 	Decided func(now clock.Instant, call calls.ID, r Resource, d Decision)
@@ -310,8 +311,9 @@
 	p.deliver(now, req, e.Verdict)
 }
 
-// retry sends the request to another instance, unless its wait has expired. A call that
-// another replica can serve waits only as long as that gains time, and then goes there.
+// retry sends the request to another instance, unless its wait has expired. If another
+// replica can serve the call, the wait ends when that replica would be as fast, and the
+// denial sends the call there.
 func (p *Permits) retry(now clock.Instant, req *pendingRequest) {
 	req.request.Wait -= now.Since(req.sentAt)
 	if req.request.Wait <= 0 {
@@ -374,7 +376,8 @@
 	p.coordinator.admit(now, queuedRequest{peerToken: e.Token, request: e.Request})
 }
 
-// Tick processes the queues and drops unused order permits that have expired.
+// Tick records the view of the fleet and prepares buckets every prepareInterval, processes
+// the queues, and drops unused order permits that have expired.
 func (p *Permits) Tick(now clock.Instant) {
 	if !now.Before(p.prepareDue) {
 		p.prepareDue = now.Add(prepareInterval)
--- a/core/permits/tokens.go
+++ b/core/permits/tokens.go
@@ -12,8 +12,8 @@
 	// (docs/design/limits.md).
 	burstTime = 200 * time.Millisecond
 	// minBurst is the least number of permits that may accumulate. With a burst of one,
-	// tokens that arrive while no call waits are lost: a seventh of small limits
-	// (docs/design/limits.md).
+	// tokens that arrive while no call waits are lost: a seventh of all tokens if the limit
+	// is small (docs/design/limits.md).
 	minBurst = 2
 )
 
--- a/core/pool/pool.go
+++ b/core/pool/pool.go
@@ -4,8 +4,8 @@
 //
 // Invariants: a replica's residency only moves forward in the engine's own order (boot, then
 // change), regardless of the source of a report; a replica that any source reported as leaving
-// stays so until it is seen under a later boot; the index by item lists exactly the replicas
-// that have the item ready.
+// stays so until it is seen under a later boot or as another incarnation; the index by item lists
+// exactly the replicas that have the item ready.
 //
 // The pool has no locks. It belongs to the goroutine that runs the state machine.
 package pool
@@ -222,8 +222,8 @@
 	p.capacityChanges++
 }
 
-// ObserveLeaving records a third party's report, such as a response header, that the replica is
-// leaving.
+// ObserveLeaving records that the replica was reported as leaving by a source other than its
+// residency and the list, such as a response header.
 func (p *Pool) ObserveLeaving(name string) {
 	r := p.replicas[name]
 	if r == nil {
--- a/core/pool/replica.go
+++ b/core/pool/replica.go
@@ -13,8 +13,8 @@
 
 // The kinds of replica.
 const (
-	Engine Kind = iota + 1
-	Plain
+	Engine Kind = iota + 1 // runs models
+	Plain                  // any other upstream of a service
 )
 
 // A Spec holds the configured or announced properties of a replica.
@@ -22,7 +22,7 @@
 	Name        string
 	Address     string // IP:port
 	Zone        string
-	Domain      string
+	Domain      string // failure domain, such as a rack
 	Kind        Kind
 	Service     string // service of a plain or announced replica
 	Announced   bool   // announces itself instead of being configured
@@ -88,7 +88,7 @@
 // health is the state of a replica according to the outcomes of calls to it.
 type health struct {
 	downUntil    clock.Instant // considered down until then, since nothing answered at its address
-	failures     int           // consecutive
+	failures     int           // consecutive, since the last ejection
 	ejections    int           // consecutive
 	ejectedUntil clock.Instant
 }
@@ -100,19 +100,21 @@
 	announcedAt     clock.Instant // when it was last announced
 	reportedAt      clock.Instant // when its owner's report was last received
 	vanishedAt      clock.Instant // when its entry vanished; zero while it is listed
-	leavingDeadline clock.Instant // when it counts as leaving at the latest after that; zero: no deadline
+	leavingDeadline clock.Instant // if it vanished: when it counts as leaving at the latest; zero: no deadline
 	endsAt          clock.Instant // when it is reclaimed, if that is known
 	pastStartIDs    []string      // Born of its past incarnations, latest last
 }
 
 // leaving records which sources reported the replica as leaving.
 type leaving struct {
+	// listedLeaving means that the platform's list shows the replica as leaving, that its entry
+	// vanished and the grace period or the deadline has passed, or that another replica was
+	// announced at its address.
 	listedLeaving bool
-	// announcedLeaving means that an entry of this incarnation reported it; listedLeaving is
-	// also set after the entry vanished.
+	// announcedLeaving means that an entry of this incarnation showed it as leaving.
 	announcedLeaving bool
-	leavingBoot      uint64 // boot that was reported as leaving
-	reportedLeaving  bool
+	leavingBoot      uint64        // boot that was reported as leaving
+	reportedLeaving  bool          // a source other than the list showed it as leaving or terminated
 	leavingAt        clock.Instant // when the replica itself first reported it; zero if it did not
 	terminated       bool          // its process has ended
 }
@@ -170,7 +172,7 @@
 	return len(r.refused) > 0 && now.Before(r.refused[item])
 }
 
-// Failures returns the number of consecutive failed calls at the replica.
+// Failures returns the number of consecutive failed calls at the replica since its last ejection.
 func (r *Replica) Failures() int { return r.failures }
 
 // downPeriod is how long a replica counts as down after nothing answered at its address, before
@@ -197,7 +199,8 @@
 func (r *Replica) InFlight() int { return len(r.inFlight) }
 
 // Leaving reports whether any source reported the replica as leaving. One source is enough, and
-// only a later boot revokes it, because the list lags behind the upstream's own report.
+// only a later boot or another incarnation revokes its report, because the list lags behind the
+// upstream's own report.
 func (r *Replica) Leaving() bool { return r.reportedLeaving || r.listedLeaving }
 
 // AnnouncedLeaving reports whether an entry of this incarnation showed it as leaving.
@@ -211,7 +214,7 @@
 
 // ActiveSequences estimates the calls that occupy the replica at now. Own calls are counted
 // exactly. Those of others are taken from the last reported load, minus the own calls at that
-// time, and decay with the report's age.
+// time, and decay with the report's age. For an announced replica, Load counts both.
 func (r *Replica) ActiveSequences(now clock.Instant) float64 {
 	if r.Announced {
 		return float64(r.Load(now).Calls.Sum())
@@ -275,8 +278,9 @@
 	return ok
 }
 
-// FirstTokenReceived records that the call's first token arrived. late means that it missed the
-// call's target for a reason that lies in the replica.
+// FirstTokenReceived records that the call's first token arrived, and resets the counts of
+// consecutive failures and ejections. late means that the token missed the call's target for a
+// reason that lies in the replica.
 func (r *Replica) FirstTokenReceived(now clock.Instant, id uint64, late bool) {
 	since, ok := r.removePending(id)
 	if !ok {
@@ -298,7 +302,8 @@
 	r.Limit = r.Limit.WithOnTime()
 }
 
-// End records that the call no longer occupies the replica.
+// End records that the call, sent at started, no longer occupies the replica. A failed call counts
+// toward an ejection; any other is a sample of the service time.
 func (r *Replica) End(now clock.Instant, id uint64, started clock.Instant, failed bool) {
 	if !r.HasCall(id) {
 		return // it was sent to a previous incarnation
--- a/core/pool/replica_test.go
+++ b/core/pool/replica_test.go
@@ -12,8 +12,8 @@
 
 // TestEjection checks that consecutive failures eject a replica, for longer each time, and that
 // a call that ends without showing anything about the replica's health, such as a refused one,
-// does not count as a failure or a success. An answer in between does not count as a failure
-// either: it resets the count (see FirstTokenReceived).
+// counts neither as a failure nor as a success. A first token between failures is a success: it
+// resets their count (see FirstTokenReceived).
 func TestEjection(t *testing.T) {
 	is := is.New(t)
 	now := clocktest.At(time.Hour)
--- a/core/pool/report.go
+++ b/core/pool/report.go
@@ -68,6 +68,6 @@
 type State struct {
 	Residency Residency
 	Load      Load
-	Fence     uint64 // highest fence the engine has seen
+	Fence     uint64 // highest fencing token that the engine has seen
 	LastOrder uint64 // last order executed under Fence
 }
--- a/core/pool/use.go
+++ b/core/pool/use.go
@@ -72,7 +72,8 @@
 // recentItems returns a copy of the recently used items.
 func (r *Replica) recentItems() []string { return append([]string(nil), r.usedItems...) }
 
-// ResetUsed clears the recently used items after they were sent to peers.
+// ResetUsed clears the recently used items of all replicas. It is called once they have been sent
+// to the peers.
 func (p *Pool) ResetUsed() {
 	for _, r := range p.replicas {
 		r.usedItems = r.usedItems[:0]
@@ -88,7 +89,8 @@
 	return work
 }
 
-// peerTotals returns the sum of the peers' calls in flight at the replica.
+// peerTotals returns the sum of the peers' calls in flight at the replica, according to reports
+// within peerUsageTTL.
 func (r *Replica) peerTotals(now clock.Instant) Usage {
 	var sum Usage
 	for _, u := range r.peers {
@@ -114,8 +116,9 @@
 	return false
 }
 
-// Load returns the calls in flight at the replica and the remaining work on their prompts, over
-// all instances with a recent report.
+// Load returns the calls in flight at the replica and the remaining work on their prompts: those
+// of this instance, plus those of the others according to the replica's last load report if that
+// is recent, and according to the recent reports of peers otherwise.
 func (r *Replica) Load(now clock.Instant) Usage {
 	u := r.peerTotals(now)
 	if r.ReportAge(now) <= loadReportTTL {
@@ -134,7 +137,8 @@
 	Running int // calls with a first event
 }
 
-// An engine's load report is about 100 ms old on arrival, and is used for a while after it.
+// An engine's load report describes the state about loadReportLag before its arrival, and is used for
+// loadReportTTL after it.
 const (
 	loadReportLag = 100 * time.Millisecond
 	loadReportTTL = 500 * time.Millisecond
--- a/core/quarantine/evidence.go
+++ b/core/quarantine/evidence.go
@@ -183,8 +183,8 @@
 	}
 }
 
-// pruneEvidence removes the evidence older than evidenceWindow, and the disconnects at replicas
-// that had none within that time.
+// pruneEvidence removes the evidence older than evidenceWindow, and the disconnects at each
+// replica whose latest disconnect is older than that.
 func (t *Tracker) pruneEvidence(now clock.Instant) {
 	maps.DeleteFunc(t.disconnects, func(_ pool.Incarnation, calls []disconnect) bool {
 		return !slices.ContainsFunc(calls, func(d disconnect) bool { return now.MaxElapsed(d.at) < evidenceWindow })
--- a/core/quarantine/quarantine.go
+++ b/core/quarantine/quarantine.go
@@ -44,7 +44,8 @@
 	// settleTime is how long the reports of other instances may take to arrive, including the
 	// check of the replica and a few hops. If reports were evaluated earlier, a request that
 	// was in flight by coincidence would be blamed while the report with the actual cause is
-	// still on its way. It is within the users' bound of three seconds.
+	// still on its way. It is within the users' bound of three seconds, in which an instance
+	// must learn what others know about crashes.
 	settleTime = 400 * time.Millisecond
 	// verdictDelay is the time from sending a call until its effect on the replica has been
 	// evaluated: the call's transmission and run, the check, and the reports.
@@ -52,9 +53,9 @@
 	// shareInterval is the minimum interval between exchanges for crash reports: calls that are
 	// severed together are reported together, at most ten times per second.
 	shareInterval = 100 * time.Millisecond
-	// relayedShareInterval is the same in a fleet whose instances relay reports, for crashes
-	// with which no request may be blamed yet: at shareInterval, exchanges fill links of 10
-	// Mbit/s while replicas crash.
+	// relayedShareInterval is the same in a fleet whose instances relay reports, for reports
+	// of crashes that are too few to blame a request: at shareInterval, exchanges fill links of
+	// 10 Mbit/s while replicas crash.
 	relayedShareInterval = time.Second
 	// pruneEvery is the interval at which old records are removed.
 	pruneEvery = time.Second
@@ -140,8 +141,9 @@
 	return relayedShareInterval
 }
 
-// urgent reports whether a request in the report may be blamed with it. Other reports are sent
-// with the next regular exchanges.
+// urgent reports whether enough replicas crashed under a request in the report for it to be
+// blamed. In a fleet whose instances relay reports, peers' reports that are not urgent are passed
+// on with the next regular exchanges, and own ones are sent once per relayedShareInterval at most.
 func (t *Tracker) urgent(r crash.Report) bool {
 	return slices.ContainsFunc(r.Requests, t.suspected)
 }
