--- a/core/instance/crash_test.go
+++ b/core/instance/crash_test.go
@@ -54,15 +54,15 @@
 // A crashHarness runs calls at the engines of a fleet. Some requests crash the engine that runs
 // them; the harness checks how often these reach engines.
 type crashHarness struct {
-	f           *fleet
-	calls       map[calls.ID]*crashCall
-	runs        map[string][]*crashRun // by engine
-	crashTimes  map[crash.Fingerprint][]time.Duration
-	arrivals    map[crash.Fingerprint][]time.Duration
-	startCounts map[string]int // number of engines started at an address
-	calmSince   time.Duration  // time since which no zone is cut off
-	refused     map[crash.Fingerprint]int
-	served      int
+	f              *fleet
+	calls          map[calls.ID]*crashCall
+	runs           map[string][]*crashRun // by engine
+	crashTimes     map[crash.Fingerprint][]time.Duration
+	arrivals       map[crash.Fingerprint][]time.Duration
+	startCounts    map[string]int // number of engines started at an address
+	connectedSince time.Duration  // time since which no zone is cut off
+	refused        map[crash.Fingerprint]int
+	served         int
 	// severedShare is the share of calls whose connection breaks although the engine is alive.
 	severedShare float64
 	// keepsNames makes engines that restart keep their names.
@@ -287,7 +287,7 @@
 	if len(at) < crashLimit {
 		return 0
 	}
-	bound := max(at[crashLimit-1], l.calmSince) + propagationTime
+	bound := max(at[crashLimit-1], l.connectedSince) + propagationTime
 	late := 0
 	for _, a := range l.arrivals[request] {
 		if a > bound {
@@ -338,7 +338,7 @@
 	{"a large fleet, the store down", 2 * watchers.FullMeshLimit, 64, 1, 200 * time.Millisecond, func(l *crashHarness) { l.f.store.down = true }},
 	{"a zone cut off for a while", 8, 32, 1, 250 * time.Millisecond, func(l *crashHarness) {
 		l.f.cutZones = map[string]bool{"z1": true}
-		l.calmSince = l.f.now + 8*time.Second
+		l.connectedSince = l.f.now + 8*time.Second
 		l.f.at(8*time.Second, func() { l.f.cutZones = nil })
 	}},
 	{"instances killed one after the other", 8, 16, 1, 250 * time.Millisecond, func(l *crashHarness) {
