--- a/core/config/check.go
+++ b/core/config/check.go
@@ -134,8 +134,8 @@
 	}
 }
 
-// checkFits records a fault if no engine has mib MiB of memory, the need of a model
-// or of an adapter together with its model.
+// checkFits records a fault if no engine has mib MiB of memory. That is the memory
+// that a model needs, or an adapter together with its model.
 func (c *checker) checkFits(mib int64, path ...any) {
 	if mib > c.maxEngineMemory {
 		c.addFault(code.ConfigNeverFits, fmt.Sprintf("needs %d MiB (an adapter together with its model), but the largest engine has %d MiB", mib, c.maxEngineMemory), path...)
--- a/core/instance/crash_test.go
+++ b/core/instance/crash_test.go
@@ -3,8 +3,8 @@
 // Guards against one request that crashes replica after replica: some thirty replicas crashed
 // within half a minute, in waves, and the calls running beside it were severed.
 //
-// The caller sent the request again and again, each time under a new name and to another instance.
-// Each retry stayed within its attempts and within the retry budget. What an instance knew of a
+// The caller sent the request again and again, each time with a new request ID and to another
+// instance. Each retry stayed within its attempts and within the retry budget. What an instance knew of a
 // request was kept per retry and discarded with it, so no instance knew of the retries at the
 // others or of the crashes.
 //
--- a/core/instance/outage_test.go
+++ b/core/instance/outage_test.go
@@ -19,7 +19,7 @@
 
 // An outageRecovery records how the instances recovered from an outage that affected all of them.
 type outageRecovery struct {
-	list, lease       time.Duration // time until the last instance had it again
+	list, lease       time.Duration // time until the last instance had recovered it
 	maxCallsPerSecond int           // calls to the store in the busiest second
 	callsPer100ms     []int         // calls to the store in each 100 ms
 }
--- a/core/instance/promises_test.go
+++ b/core/instance/promises_test.go
@@ -20,7 +20,7 @@
 )
 
 // smallDocument returns a configuration of two zones with two engines each, more models than fit
-// into them, and a service of plain replicas without models. checksFence tells whether the engines
+// into them, and a service of plain replicas without models. checksFence sets whether the engines
 // check fences.
 func smallDocument(checksFence bool) config.Document {
 	var d config.Document
@@ -145,7 +145,7 @@
 
 const stormDuration = 45 * time.Second
 
-// runStorm runs one storm and returns the world afterwards. checksFence tells whether the engines
+// runStorm runs one storm and returns the world afterwards. checksFence sets whether the engines
 // check fences; change, if not nil, changes the options.
 func runStorm(t *testing.T, s storm, checksFence bool, seed uint64, change func(*option.Options)) *world {
 	opt := quickOptions()
--- a/core/pool/ratelimit_test.go
+++ b/core/pool/ratelimit_test.go
@@ -24,7 +24,7 @@
 		name    string
 		known   RateLimit
 		limit   RateLimit
-		sent    time.Duration // after the first came
+		sent    time.Duration // after the first arrived
 		want    RateLimit
 		changed bool
 	}{
--- a/core/pool/use.go
+++ b/core/pool/use.go
@@ -137,8 +137,8 @@
 	Running int // calls with a first event
 }
 
-// An engine's load report describes the state about loadReportLag before its arrival, and is used for
-// loadReportTTL after it.
+// An engine's load report describes its state about loadReportLag before the report's arrival, and
+// is used for loadReportTTL after it.
 const (
 	loadReportLag = 100 * time.Millisecond
 	loadReportTTL = 500 * time.Millisecond
