--- a/core/instance/crash_test.go
+++ b/core/instance/crash_test.go
@@ -4,9 +4,9 @@
 // within half a minute, in waves, and the calls running beside it were severed.
 //
 // The caller sent the request again and again, each time with a new request ID and to another
-// instance. Each retry stayed within its attempts and within the retry budget. What an instance knew of a
-// request was kept per retry and discarded with it, so no instance knew of the retries at the
-// others or of the crashes.
+// instance. Each retry stayed within its attempts and within the retry budget. What an instance
+// knew of a request was kept per retry and discarded with it, so no instance knew of the retries
+// at the others or of the crashes.
 //
 // Before requests were tracked across retries and instances, these tests failed with 14 to 419
 // arrivals after the third crash.
