--- a/core/instance/repeats_test.go
+++ b/core/instance/repeats_test.go
@@ -24,10 +24,10 @@
 	c.attempted[id] = true
 }
 
-// countWithin returns the number of moments within the span that ends at to.
-func countWithin(moments []time.Duration, span, to time.Duration) int {
+// countWithin returns the number of times within the span that ends at to.
+func countWithin(times []time.Duration, span, to time.Duration) int {
 	n := 0
-	for _, at := range moments {
+	for _, at := range times {
 		if at > to-span && at <= to {
 			n++
 		}
--- a/core/instance/stepback_test.go
+++ b/core/instance/stepback_test.go
@@ -203,11 +203,11 @@
 // Before, no member ever sent orders to some engines again, and all members ignored what was
 // written to the store afterwards.
 func TestFleetRecoversAfterStoreStepsBack(t *testing.T) {
-	// aim is the longest time for which engines wait for orders after the loss of an owner,
+	// maxRecovery is the longest time for which engines wait for orders after the loss of an owner,
 	// without a step back: until its record expires and it counts as absent, then until its
-	// orders are no longer valid and TurnGap is over.
+	// orders are no longer valid and TurnGap has passed.
 	o := option.Default()
-	aim := o.EnrolTerm + o.AbsentFor + o.OrderValid + o.TurnGap + 3*time.Second
+	maxRecovery := o.EnrolTerm + o.AbsentFor + o.OrderValid + o.TurnGap + 3*time.Second
 	for _, span := range []time.Duration{0, time.Second, 3 * time.Second, 10 * time.Second} {
 		for seed := range uint64(6) {
 			f := newFleet(seed+1, 5)
@@ -219,13 +219,13 @@
 			// An owner has died recently, and other members have claimed its engines.
 			n := f.lastOrderSender()
 			n.dead = true
-			f.run(aim)
+			f.run(maxRecovery)
 			f.start(n.id.Name)
 			f.run(f.randomSpan())
 			f.stepBack(span)
 			f.run(restoreTime)
 			f.run(time.Millisecond)
-			if took, wrong := f.settle(aim); wrong != "" {
+			if took, wrong := f.settle(maxRecovery); wrong != "" {
 				t.Errorf("seed %d, step back by %v: after %v: %s", seed+1, span, took, wrong)
 			}
 			for _, b := range f.violations {
@@ -357,7 +357,7 @@
 	// writesPerSecond is the write rate that the store allows the smallest fleets.
 	const writesPerSecond = 400
 	o := option.Default()
-	aim := o.EnrolTerm + o.AbsentFor + o.OrderValid + o.TurnGap + 3*time.Second
+	maxRecovery := o.EnrolTerm + o.AbsentFor + o.OrderValid + o.TurnGap + 3*time.Second
 	sizes := []struct{ members, engines int }{{8, 8}}
 	if *stepSizes {
 		sizes = append(sizes, []struct{ members, engines int }{{23, 24}, {46, 48}, {370, 850}}...)
@@ -367,13 +367,13 @@
 		f.expireLeases()
 		f.keepStoreCopies()
 		f.run(20 * time.Second)
-		if _, wrong := f.settle(aim); wrong != "" {
+		if _, wrong := f.settle(maxRecovery); wrong != "" {
 			t.Fatalf("%d instances: %s before the step back", size.members, wrong)
 		}
 		f.storeWriteTimes = nil
 		f.stepBack(5 * time.Second)
 		f.run(restoreTime + time.Millisecond)
-		took, wrong := f.settle(aim)
+		took, wrong := f.settle(maxRecovery)
 		most := busiestSecond(f.storeWriteTimes)
 		t.Logf("%d instances, %d engines: recovered after %v, at most %d writes in a second", size.members, size.engines, took, most)
 		if wrong != "" || most > writesPerSecond || len(f.violations) > 0 {
@@ -382,11 +382,11 @@
 	}
 }
 
-// busiestSecond returns the largest number of moments within one second. moments must be sorted.
-func busiestSecond(moments []time.Duration) int {
+// busiestSecond returns the largest number of times that lie within one second. times must be sorted.
+func busiestSecond(times []time.Duration) int {
 	most, first := 0, 0
-	for last, at := range moments {
-		for moments[first] <= at-time.Second {
+	for last, at := range times {
+		for times[first] <= at-time.Second {
 			first++
 		}
 		most = max(most, last-first+1)
--- a/core/pool/use.go
+++ b/core/pool/use.go
@@ -72,7 +72,8 @@
 // recentItems returns a copy of the recently used items.
 func (r *Replica) recentItems() []string { return append([]string(nil), r.usedItems...) }
 
-// ResetUsed clears the recently used items after they were sent to peers.
+// ResetUsed clears the recently used items of all replicas. It is called once they have been sent
+// to the peers.
 func (p *Pool) ResetUsed() {
 	for _, r := range p.replicas {
 		r.usedItems = r.usedItems[:0]
@@ -88,7 +89,8 @@
 	return work
 }
 
-// peerTotals returns the sum of the peers' calls in flight at the replica.
+// peerTotals returns the sum of the peers' calls in flight at the replica, according to reports
+// within peerUsageTTL.
 func (r *Replica) peerTotals(now clock.Instant) Usage {
 	var sum Usage
 	for _, u := range r.peers {
@@ -114,12 +116,13 @@
 	return false
 }
 
-// Load returns the calls in flight at the replica and the remaining work on their prompts, over
-// all instances with a recent report.
+// Load returns the calls in flight at the replica and the remaining work on their prompts: those
+// of this instance, plus those of the others according to the replica's last load report if that
+// is recent, and according to the recent reports of peers otherwise.
 func (r *Replica) Load(now clock.Instant) Usage {
 	u := r.peerTotals(now)
 	if r.ReportAge(now) <= loadReportTTL {
-		u.Calls = ByRank[int]{r.report.running} // the report has no ranks; all count as the most urgent
+		u.Calls = ByRank[int]{r.report.total} // the report has no ranks; all count as the most urgent
 		u.Prefill = ByRank[time.Duration]{}
 		u.Waiting = r.report.waiting
 	}
@@ -134,7 +137,8 @@
 	Running int // calls with a first event
 }
 
-// An engine's load report is about 100 ms old on arrival, and is used for a while after it.
+// An engine's load report describes its state about loadReportLag before the report's arrival, and
+// is used for loadReportTTL after it.
 const (
 	loadReportLag = 100 * time.Millisecond
 	loadReportTTL = 500 * time.Millisecond
@@ -144,7 +148,7 @@
 type receivedReport struct {
 	at      clock.Instant
 	waiting int // calls of others without a first event
-	running int // all calls of others
+	total   int // all calls of others
 }
 
 // ObserveReport records an engine's report of its load.
@@ -159,7 +163,7 @@
 	r.report = receivedReport{
 		at:      now,
 		waiting: max(0, rep.Queued-waiting),
-		running: max(0, rep.Queued+rep.Running-len(r.inFlight)),
+		total:   max(0, rep.Queued+rep.Running-len(r.inFlight)),
 	}
 }
 
