--- a/internal/shell/actions.go
+++ b/internal/shell/actions.go
@@ -135,9 +135,9 @@
 	return config.NewSnapshot(doc)
 }
 
-// decodeConfig decodes and posts the configuration in a peer's message, if it is newer
+// postPeerConfig decodes and posts the configuration in a peer's message, if it is newer
 // than the one in force.
-func (s *Shell) decodeConfig(msg gossip.Message) {
+func (s *Shell) postPeerConfig(msg gossip.Message) {
 	if len(msg.Config) == 0 || msg.Revision <= s.Config().Revision() {
 		return
 	}
@@ -153,7 +153,7 @@
 	defer cancel()
 	reply, err := s.peers.Exchange(ctx, a.Address, a.Message)
 	if err == nil {
-		s.decodeConfig(reply)
+		s.postPeerConfig(reply)
 	}
 	s.post(exchange.Reply{Peer: a.Peer, Address: a.Address, Message: reply, Err: err})
 }
--- a/internal/shell/shell.go
+++ b/internal/shell/shell.go
@@ -270,7 +270,7 @@
 		s.exchangeReplies[s.lastToken] = reply
 		return exchange.RequestReceived{Token: s.lastToken, Message: msg}
 	})
-	s.decodeConfig(msg)
+	s.postPeerConfig(msg)
 	select {
 	case out := <-reply:
 		return out, nil
