--- a/internal/control/command.go
+++ b/internal/control/command.go
@@ -199,9 +199,9 @@
 	return log.Report(cmd.Root().Writer)
 }
 
-// fetchAll returns the statuses of the instances named on the command line. An
+// fetchStatuses returns the statuses of the instances named on the command line. An
 // instance that does not answer is reported on standard error and left out.
-func fetchAll(ctx context.Context, cmd *cli.Command) ([]instance.Status, error) {
+func fetchStatuses(ctx context.Context, cmd *cli.Command) ([]instance.Status, error) {
 	list := cmd.String("operations")
 	if list == "" {
 		return nil, code.Errorf(code.BadSetting, "--operations (%sOPERATIONS) is missing; allowed: IP:port, separated by commas", settings.EnvPrefix)
@@ -223,7 +223,7 @@
 }
 
 func runStatus(ctx context.Context, cmd *cli.Command) error {
-	states, err := fetchAll(ctx, cmd)
+	states, err := fetchStatuses(ctx, cmd)
 	if err != nil {
 		return err
 	}
@@ -235,7 +235,7 @@
 		if cmd.Args().Len() != 1 {
 			return code.Errorf(code.BadUsage, "exactly one NAME is required")
 		}
-		states, err := fetchAll(ctx, cmd)
+		states, err := fetchStatuses(ctx, cmd)
 		if err != nil {
 			return err
 		}
