--- a/internal/losses/call.go
+++ b/internal/losses/call.go
@@ -29,19 +29,19 @@
 
 // A call holds what the log says about one call.
 type call struct {
-	key      string
-	instance string
-	zone     string
-	model    string
-	rank     int
-	began    time.Time
-	ended    time.Time
-	sends    int
-	waits    string        // what it last waited for; "" if it did not wait
-	target   time.Duration // longest allowed time to the first event; 0 if there is none
-	gap      time.Duration // longest allowed time between two events; 0 if there is none
-	outcome  outcome
-	reason   string
+	key       string
+	instance  string
+	zone      string
+	model     string
+	rank      int
+	began     time.Time
+	ended     time.Time
+	sends     int
+	waitedFor string        // what it last waited for; "" if it did not wait
+	target    time.Duration // longest allowed time to the first event; 0 if there is none
+	gap       time.Duration // longest allowed time between two events; 0 if there is none
+	outcome   outcome
+	reason    string
 }
 
 // addCallEvent adds an event of a call to the log. A caller's retry at another instance
@@ -67,7 +67,7 @@
 		c.target = time.Duration(r.TargetMS) * time.Millisecond
 		c.gap = time.Duration(r.GapMS) * time.Millisecond
 	case logevent.CallWaits:
-		c.waits = r.For
+		c.waitedFor = r.For
 	case logevent.CallServed:
 		c.addServed(r)
 	case logevent.CallFailed:
@@ -99,8 +99,8 @@
 		return "the queue at the engine"
 	case c.sends > 1:
 		return "retried after a failure"
-	case c.waits != "":
-		return "waited for " + c.waits
+	case c.waitedFor != "":
+		return "waited for " + c.waitedFor
 	default:
 		return "waited for a replica"
 	}
