--- a/internal/losses/report.go
+++ b/internal/losses/report.go
@@ -37,12 +37,12 @@
 	for _, row := range countBy(all, func(c *call) string { return outcomeLabel(c) }) {
 		fmt.Fprintf(w, "%s\t%d\t%.1f%%\n", row.key, row.total, 100*float64(row.total)/float64(max(1, len(all))))
 	}
-	table(w, "ZONE", countBy(all, func(c *call) string { return c.zone }))
-	table(w, "RANK", countBy(all, rankLabel))
+	writeTable(w, "ZONE", countBy(all, func(c *call) string { return c.zone }))
+	writeTable(w, "RANK", countBy(all, rankLabel))
 	models := countBy(all, func(c *call) string { return c.model })
 	models = slices.DeleteFunc(models, func(r row) bool { return r.key == "" })
 	slices.SortStableFunc(models, func(a, b row) int { return cmp.Compare(b.notInTime(), a.notInTime()) })
-	table(w, "MODEL, MOST LOST", models[:min(topModels, len(models))])
+	writeTable(w, "MODEL, MOST LOST", models[:min(topModels, len(models))])
 	l.windows(w, all)
 	return w.Flush()
 }
@@ -92,8 +92,8 @@
 	return list
 }
 
-// table writes rows with a column for each outcome.
-func table(w io.Writer, head string, rows []row) {
+// writeTable writes rows with a column for each outcome.
+func writeTable(w io.Writer, head string, rows []row) {
 	fmt.Fprintf(w, "\nBY %s\tCALLS", head)
 	for o := range numOutcomes {
 		fmt.Fprintf(w, "\t%s", strings.ToUpper(o.String()))
