--- a/internal/losses/report.go
+++ b/internal/losses/report.go
@@ -43,7 +43,7 @@
 	models = slices.DeleteFunc(models, func(r row) bool { return r.key == "" })
 	slices.SortStableFunc(models, func(a, b row) int { return cmp.Compare(b.notInTime(), a.notInTime()) })
 	writeTable(w, "MODEL, MOST LOST", models[:min(topModels, len(models))])
-	l.windows(w, all)
+	l.writeWindows(w, all)
 	return w.Flush()
 }
 
@@ -108,8 +108,8 @@
 	}
 }
 
-// windows writes a bar for each time window with the most frequent reason for losses in it.
-func (l *Log) windows(w io.Writer, all []*call) {
+// writeWindows writes a bar for each time window with the most frequent reason for losses in it.
+func (l *Log) writeWindows(w io.Writer, all []*call) {
 	fmt.Fprintf(w, "\nBY WINDOW\tCALLS\t%s\tMOST LOST BY\n", legend())
 	byWindow := map[int][]*call{}
 	for _, c := range all {
