--- a/internal/own/engine/engine.go
+++ b/internal/own/engine/engine.go
@@ -1,10 +1,10 @@
 // Package engine provides the client of model engines: token streams, cancel and resume,
 // fenced orders, and the engine's own state.
 //
-// The pieces of a stream carry the identifier of their call and their position, and the
-// last piece is marked as the last. A Stream returns the pieces of its own call, each
-// once and in order, and nothing else, whatever the connection delivers. Only the
-// explicit end marker ends an answer.
+// The pieces of a stream carry the ID of their attempt and their position, and the last
+// piece is marked as the last. A Stream returns the pieces of its own attempt, each once
+// and in order, and nothing else, whatever the connection delivers. Only the explicit end
+// marker ends an answer.
 package engine
 
 import (
@@ -58,7 +58,7 @@
 	return &Client{transports: t, control: &http.Client{Transport: t.Reused}}
 }
 
-// A Stream is the stream of pieces that answers one call.
+// A Stream is the stream of pieces that answers one attempt.
 type Stream struct {
 	id   string
 	next int
@@ -66,12 +66,13 @@
 	dec  *json.Decoder
 }
 
-// Generate starts a call. progress records how far the request got, also on error.
+// Generate starts an attempt. A request that is not repeatable is sent over a new
+// connection. progress records how far the request got, also on error.
 func (c *Client) Generate(ctx context.Context, address string, req GenerateRequest, repeatable bool, header http.Header, progress *upstream.Progress) (*Stream, error) {
 	return c.open(ctx, address, PathGenerate, req, req.ID, 0, c.transports.For(repeatable), header, progress)
 }
 
-// Resume continues a call after the pieces already received.
+// Resume continues an attempt after the pieces already received.
 func (c *Client) Resume(ctx context.Context, address string, req ResumeRequest, header http.Header, progress *upstream.Progress) (*Stream, error) {
 	return c.open(ctx, address, PathResume, req, req.ID, req.Offset, c.transports.Reused, header, progress)
 }
@@ -118,7 +119,7 @@
 	return e
 }
 
-// Next returns the next piece of the call. It drops pieces of other calls and pieces
+// Next returns the next piece of the attempt. It drops pieces of other attempts and pieces
 // received before. It must not be called after it has returned the piece with End set.
 func (s *Stream) Next() (Piece, error) {
 	for {
@@ -138,9 +139,9 @@
 }
 
 // Close closes the stream, before or after its end.
-func (s *Stream) Close() { _ = s.body.Close() } // the error has no consequence
+func (s *Stream) Close() { _ = s.body.Close() } // an error does not affect the pieces already read
 
-// Cancel cancels a call's sequence on the engine.
+// Cancel cancels the sequence that the engine runs for the attempt id.
 func (c *Client) Cancel(ctx context.Context, address, id string) error {
 	return c.post(ctx, address, PathCancel, CancelRequest{ID: id}, nil)
 }
@@ -233,7 +234,7 @@
 	return req, nil
 }
 
-// decodeReply decodes the JSON body of a response with status 200 into into, unless that is
+// decodeReply decodes the JSON body of a response with status 200 into out, unless out is
 // nil. Any other status is an error.
 func decodeReply(resp *http.Response, out any) error {
 	if resp.StatusCode != http.StatusOK {
--- a/internal/own/engine/engine_test.go
+++ b/internal/own/engine/engine_test.go
@@ -19,14 +19,14 @@
 	"github.com/birchdrift/birchdrift/internal/upstream"
 )
 
-// streamOf returns a stream for the call id that reads body and expects the piece at offset
+// streamOf returns a stream for the attempt id that reads body and expects the piece at offset
 // next.
 func streamOf(id string, next int, body []byte) *Stream {
 	return &Stream{id: id, next: next, body: io.NopCloser(nil), dec: json.NewDecoder(bytes.NewReader(body))}
 }
 
 // TestStreamReturnsOwnPiecesOnceInOrder checks the pieces returned for what a connection
-// may deliver: duplicates, pieces of other calls, gaps and truncated streams.
+// may deliver: duplicates, pieces of other attempts, gaps and truncated streams.
 func TestStreamReturnsOwnPiecesOnceInOrder(t *testing.T) {
 	cases := []struct {
 		name  string
@@ -68,7 +68,7 @@
 }
 
 // FuzzStream feeds arbitrary bytes as an engine's response and checks that no piece of
-// another call and no piece out of order is returned.
+// another attempt and no piece out of order is returned.
 func FuzzStream(f *testing.F) {
 	f.Add([]byte(`{"id":"a","o":0,"t":"x"}{"id":"a","o":1,"end":true}`))
 	f.Add([]byte(`{"id":"b","o":0}{"id":"a","o":5}`))
--- a/internal/own/engine/wire.go
+++ b/internal/own/engine/wire.go
@@ -9,9 +9,9 @@
 	PathOrders   = "/engine/orders"
 )
 
-// A GenerateRequest starts a call for tokens.
+// A GenerateRequest starts an attempt to generate the answer to a prompt.
 type GenerateRequest struct {
-	ID        string `json:"id"` // of the attempt, unique among all instances
+	ID        string `json:"id"` // ID of the attempt, unique among all instances
 	Model     string `json:"model"`
 	Adapter   string `json:"adapter,omitempty"`
 	Prompt    string `json:"prompt"`
@@ -19,21 +19,21 @@
 	Priority  int    `json:"priority"`
 }
 
-// A ResumeRequest requests the rest of a stream.
+// A ResumeRequest requests the rest of an attempt's stream.
 type ResumeRequest struct {
-	ID     string `json:"id"`
+	ID     string `json:"id"`     // ID of the attempt
 	Offset int    `json:"offset"` // number of pieces already received
 }
 
-// A CancelRequest cancels a sequence.
+// A CancelRequest cancels the sequence that an engine runs for an attempt.
 type CancelRequest struct {
-	ID string `json:"id"`
+	ID string `json:"id"` // ID of the attempt
 }
 
 // A Piece is one line of a stream. The last piece has End set; a stream that stops
 // without it was truncated.
 type Piece struct {
-	ID     string `json:"id"` // of the request's attempt
+	ID     string `json:"id"` // ID of the attempt
 	Offset int    `json:"o"`  // position of this piece, from 0
 	Text   string `json:"t,omitempty"`
 	End    bool   `json:"end,omitempty"`
@@ -42,12 +42,12 @@
 
 // An OrderRequest sends an order to an engine.
 type OrderRequest struct {
-	Fence uint64 `json:"fence"`
-	Seq   uint64 `json:"seq"` // rises with every order under one fence
-	Op    string `json:"op"`  // load, unload, raise
+	Fence uint64 `json:"fence"` // fencing token of the sender's planner lease
+	Seq   uint64 `json:"seq"`   // rises with every order under one fence
+	Op    string `json:"op"`    // load, unload, or raise, which only raises the engine's fence
 	Item  string `json:"item,omitempty"`
 	Base  string `json:"base,omitempty"` // model of an adapter
-	MiB   int64  `json:"mib,omitempty"`
+	MiB   int64  `json:"mib,omitempty"`  // memory that the item needs
 }
 
 // Results of an order.
--- a/internal/own/keyvalue/keyvalue.go
+++ b/internal/own/keyvalue/keyvalue.go
@@ -2,7 +2,7 @@
 // compare-and-swap, leases, watches and the list of instances.
 //
 // Every method makes one call, which counts as one against the platform's rate limits; a
-// watch that waits counts as one too. The error shows whether the request certainly was
+// watch that waits counts as one too. The error shows whether the request was certainly
 // not sent (ErrNotSent), failed because the value was not at the expected revision
 // (ErrConflict), or may have taken effect (any other error). In the last case the caller
 // must read the value back before it continues.
@@ -46,8 +46,7 @@
 	Called func() // called once per call, for counting; may be nil
 }
 
-// NewClient returns a client of the platform at address (IP:port). net/http may resend a
-// write on a reused connection; call clears GetBody to prevent that.
+// NewClient returns a client of the platform at address (IP:port).
 func NewClient(address string, t upstream.Transports) *Client {
 	return &Client{base: "http://" + address, http: &http.Client{Transport: t.Reused}}
 }
@@ -112,8 +111,8 @@
 	return err
 }
 
-// Instances returns the changes of the list after version since, and the list's version.
-// It waits up to wait for a change if there is none.
+// Instances returns the entries of the platform's list that changed after version since,
+// and the list's version. If there are none, it waits up to wait for a change.
 func (c *Client) Instances(ctx context.Context, since uint64, wait time.Duration) ([]gossip.Listed, uint64, error) {
 	query := url.Values{"since": {strconv.FormatUint(since, 10)}, "wait": {wait.String()}}
 	v, err := c.call(ctx, http.MethodGet, PathInstances, query, nil, wait)
@@ -131,7 +130,8 @@
 	return entries, list.Version, nil
 }
 
-// call sends one request and reads the whole response.
+// call sends one request and reads the whole response. wait is the time that the request
+// asks the platform to wait.
 func (c *Client) call(ctx context.Context, method, path string, query url.Values, body []byte, wait time.Duration) (Value, error) {
 	if c.Called != nil {
 		c.Called()
@@ -147,6 +147,7 @@
 	if err != nil {
 		return Value{}, trace.Wrap(err)
 	}
+	// Without GetBody net/http cannot resend a write whose reused connection broke.
 	req.GetBody = nil
 	resp, err := c.http.Do(req)
 	if err != nil {
@@ -182,8 +183,9 @@
 // ConfigKey is the key of the operators' configuration.
 const ConfigKey = "config"
 
-// IntentsKey is the key of a zone's outstanding intents.
+// IntentsKey returns the key of a zone's intents: orders that the planner stores before it
+// sends them to engines that do not check fences (see planner.Intent).
 func IntentsKey(zone string) string { return "intents/" + zone }
 
-// LeaseName is the name of a zone's planner lease.
+// LeaseName returns the name of a zone's planner lease.
 func LeaseName(zone string) string { return "planner/" + zone }
--- a/internal/own/keyvalue/wire.go
+++ b/internal/own/keyvalue/wire.go
@@ -45,7 +45,7 @@
 // An InstanceList holds the entries of the platform's list that changed after the requested
 // version.
 type InstanceList struct {
-	Version   uint64     `json:"version"` // to request the next changes with
+	Version   uint64     `json:"version"` // pass it as since to request the next changes
 	Instances []Instance `json:"instances"`
 }
 
