--- a/internal/control/ask.go
+++ b/internal/control/ask.go
@@ -75,7 +75,8 @@
 }
 
 // ExplainItem writes, as each instance sees it, on which upstreams a model or adapter is
-// resident, and what bears on loading it: its demand and the free memory of engines.
+// resident, and what affects whether it is loaded: its demand and the free memory of
+// engines.
 func ExplainItem(w io.Writer, item string, states []instance.Status) {
 	for _, s := range states {
 		fmt.Fprintf(w, "as seen by %s (%s):\n", s.Name, s.Zone)
--- a/internal/control/command.go
+++ b/internal/control/command.go
@@ -207,27 +207,27 @@
 		return nil, code.Errorf(code.BadSetting, "--operations (%sOPERATIONS) is missing; allowed: IP:port, separated by commas", settings.EnvPrefix)
 	}
 	httpClient := &http.Client{Timeout: statusTimeout}
-	var states []instance.Status
+	var statuses []instance.Status
 	for _, address := range strings.Split(list, ",") {
 		st, err := FetchStatus(ctx, httpClient, address)
 		if err != nil {
 			fmt.Fprintf(cmd.Root().ErrWriter, "birchctl: %s does not answer: %v\n", address, err)
 			continue
 		}
-		states = append(states, st)
+		statuses = append(statuses, st)
 	}
-	if len(states) == 0 {
+	if len(statuses) == 0 {
 		return nil, code.Errorf(code.NoReplica, "no instance answered")
 	}
-	return states, nil
+	return statuses, nil
 }
 
 func runStatus(ctx context.Context, cmd *cli.Command) error {
-	states, err := fetchStatuses(ctx, cmd)
+	statuses, err := fetchStatuses(ctx, cmd)
 	if err != nil {
 		return err
 	}
-	return PrintStatus(cmd.Root().Writer, states)
+	return PrintStatus(cmd.Root().Writer, statuses)
 }
 
 func runExplain(explain func(io.Writer, string, []instance.Status)) cli.ActionFunc {
@@ -235,11 +235,11 @@
 		if cmd.Args().Len() != 1 {
 			return code.Errorf(code.BadUsage, "exactly one NAME is required")
 		}
-		states, err := fetchStatuses(ctx, cmd)
+		statuses, err := fetchStatuses(ctx, cmd)
 		if err != nil {
 			return err
 		}
-		explain(cmd.Root().Writer, cmd.Args().First(), states)
+		explain(cmd.Root().Writer, cmd.Args().First(), statuses)
 		return nil
 	}
 }
--- a/internal/forward/wire.go
+++ b/internal/forward/wire.go
@@ -228,6 +228,8 @@
 	if echoed := resp.Header.Get(w.CallID); callID != "" && echoed != "" && echoed != callID {
 		r.Mismatched = true
 	}
+	// If the format has signatures, a success must be signed and have no Content-Encoding.
+	// If the call has an ID, a success must also echo it.
 	success := resp.StatusCode >= 200 && resp.StatusCode < 300
 	if success && (w.Signature == "" || resp.Header.Get(w.Signature) == "" || resp.Header.Get("Content-Encoding") != "") {
 		r.Invalid = w.Signature != ""
--- a/internal/forward/wire_test.go
+++ b/internal/forward/wire_test.go
@@ -21,13 +21,13 @@
 		{"a deadline", OwnFormat.Deadline, "1500.5", Request{Deadline: 1500500 * time.Microsecond}, false},
 		{"an invalid deadline", OwnFormat.Deadline, "soon", Request{}, true},
 		{"tokens", OwnFormat.Tokens, "120,30", Request{PromptTokens: 120, MaxTokens: 30}, false},
-		{"tokens of the prompt alone", OwnFormat.Tokens, "120", Request{PromptTokens: 120}, false},
+		{"prompt tokens only", OwnFormat.Tokens, "120", Request{PromptTokens: 120}, false},
 		{"an invalid number of tokens", OwnFormat.Tokens, "many,30", Request{MaxTokens: 30, Ignored: []string{OwnFormat.Tokens}}, false},
 		{"too many tokens", OwnFormat.Tokens, "999999999,-1", Request{Ignored: []string{OwnFormat.Tokens}}, false},
-		{"a hint", OwnFormat.LengthHint, " 17 ", Request{LengthHint: 17}, false},
-		{"an invalid hint", OwnFormat.LengthHint, "x", Request{Ignored: []string{OwnFormat.LengthHint}}, false},
+		{"a length hint", OwnFormat.LengthHint, " 17 ", Request{LengthHint: 17}, false},
+		{"an invalid length hint", OwnFormat.LengthHint, "x", Request{Ignored: []string{OwnFormat.LengthHint}}, false},
 		{"parts", OwnFormat.Parts, "ff:10, a:2", Request{Parts: []PromptPart{{255, 10}, {10, 2}}}, false},
-		{"parts up to an invalid one", OwnFormat.Parts, "ff:10,zz:2,a:3", Request{Parts: []PromptPart{{255, 10}}, Ignored: []string{OwnFormat.Parts}}, false},
+		{"prompt parts up to an invalid one", OwnFormat.Parts, "ff:10,zz:2,a:3", Request{Parts: []PromptPart{{255, 10}}, Ignored: []string{OwnFormat.Parts}}, false},
 		{"an event", OwnFormat.LastEvent, "7", Request{LastEvent: 7}, false},
 	}
 	for _, c := range cases {
--- a/internal/losses/losses_test.go
+++ b/internal/losses/losses_test.go
@@ -98,8 +98,8 @@
 		is.True(err != nil)
 	}
 	_, err = Read(strings.NewReader(good + "\n" + strings.Repeat("x", maxLineSize+1)))
-	is.True(err != nil) // and names the line
-	is.True(strings.Contains(err.Error(), "line 2"))
+	is.True(err != nil)
+	is.True(strings.Contains(err.Error(), "line 2")) // the number of the line that is too long
 }
 
 // TestReport checks that each call is counted once in each table and that a window shows
--- a/internal/peer/convert.go
+++ b/internal/peer/convert.go
@@ -49,8 +49,8 @@
 	return out
 }
 
-// encodeByRank returns amounts by rank as multiples of unit, up to the last rank whose
-// amount is not 0.
+// encodeByRank returns amounts by rank as multiples of unit, each limited to the largest
+// uint32, up to the last rank whose amount is not 0.
 func encodeByRank[T int | time.Duration](amounts pool.ByRank[T], unit T) []uint32 {
 	var out []uint32
 	for rank, amount := range amounts {
@@ -187,7 +187,7 @@
 	for _, r := range c.GetRequests() {
 		out.Requests = append(out.Requests, crash.Fingerprint(r))
 	}
-	slices.Sort(out.Requests) // lookups need them sorted, and a peer may not have done so
+	slices.Sort(out.Requests) // lookups require sorted requests, and a peer may send them unsorted
 	return out
 }
 
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -76,7 +76,7 @@
 }
 
 // RequestPermit requests a permit from the peer at address (IP:port), or releases an unused
-// one. The peer notices that the requester has stopped waiting when ctx is canceled.
+// one. Canceling ctx ends the request, and the peer's handler stops waiting for a decision.
 func (c *Client) RequestPermit(ctx context.Context, address, from string, r permits.Request) (permits.Decision, error) {
 	ctx, err := c.withKey(ctx)
 	if err != nil {
@@ -100,6 +100,7 @@
 	return ctx, trace.Wrap(err)
 }
 
+// client returns the Twirp client of the peer at address, which it creates on first use.
 func (c *Client) client(address string) peerpb.Peer {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -115,13 +116,13 @@
 type Server struct {
 	// Take answers one exchange.
 	Take func(ctx context.Context, msg gossip.Message) (gossip.Message, error)
-	// TakeOrder answers an order request; if nil, all are refused.
+	// TakeOrder answers an order request. If it is nil, the reply is twirp.Unimplemented.
 	TakeOrder func(ctx context.Context, engine string, r orders.Request) (OrderReply, error)
-	// TakePermit answers a permit request; if nil, all are refused.
+	// TakePermit answers a permit request. If it is nil, the reply is twirp.Unimplemented.
 	TakePermit func(ctx context.Context, from string, r permits.Request) (permits.Decision, error)
 }
 
-// Permit implements the generated service.
+// Permit implements peerpb.Peer.
 func (s Server) Permit(ctx context.Context, in *peerpb.PermitRequest) (*peerpb.PermitReply, error) {
 	if s.TakePermit == nil {
 		return nil, twirp.NewError(twirp.Unimplemented, "no permits are given out here")
@@ -133,7 +134,7 @@
 	return encodeDecision(decision), nil
 }
 
-// Order implements the generated service.
+// Order implements peerpb.Peer.
 func (s Server) Order(ctx context.Context, in *peerpb.OrderRequest) (*peerpb.OrderReply, error) {
 	if s.TakeOrder == nil {
 		return nil, twirp.NewError(twirp.Unimplemented, "no orders are taken here")
@@ -146,7 +147,7 @@
 	return &peerpb.OrderReply{Outcome: uint32(reply.Outcome), Detail: reply.Detail}, nil
 }
 
-// Exchange implements the generated service.
+// Exchange implements peerpb.Peer.
 func (s Server) Exchange(ctx context.Context, in *peerpb.Message) (*peerpb.Message, error) {
 	reply, err := s.Take(ctx, decode(in))
 	if err != nil {
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -60,10 +60,13 @@
 	}
 }
 
+// TestWireLosesNothing checks that encoding and decoding a message keeps every field.
 func TestWireLosesNothing(t *testing.T) {
 	is.New(t).Equal(decode(encode(fullMessage())), fullMessage())
 }
 
+// TestExchangeNeedsTheSharedKey checks that the server rejects an exchange with a wrong key
+// or without one, and does not handle it.
 func TestExchangeNeedsTheSharedKey(t *testing.T) {
 	is := is.New(t)
 	handled := 0
--- a/internal/shell/actions.go
+++ b/internal/shell/actions.go
@@ -127,6 +127,7 @@
 // is followed by a forced garbage collection.
 const largeConfig = 128 << 10
 
+// loadConfig decodes and indexes a configuration.
 func (s *Shell) loadConfig(data []byte) (*config.Snapshot, error) {
 	doc, err := s.environment.Decode(data)
 	if err != nil {
@@ -135,8 +136,8 @@
 	return config.NewSnapshot(doc)
 }
 
-// postPeerConfig decodes and posts the configuration in a peer's message, if it is newer
-// than the one in force.
+// postPeerConfig starts a worker that decodes and posts the configuration in a peer's
+// message, if it is newer than the one in force.
 func (s *Shell) postPeerConfig(msg gossip.Message) {
 	if len(msg.Config) == 0 || msg.Revision <= s.Config().Revision() {
 		return
--- a/internal/shell/snapshot.go
+++ b/internal/shell/snapshot.go
@@ -12,16 +12,17 @@
 type publishedState struct {
 	config   *config.Snapshot
 	ready    bool
-	reason   string
-	stopping bool // a planned stop has begun
+	reason   string // why the instance is not ready
+	stopping bool   // a planned stop has begun
 }
 
 // A stateCell holds the latest publishedState.
 type stateCell struct {
 	current   atomic.Pointer[publishedState]
-	installed *config.Snapshot // written on the machine's goroutine only
+	installed *config.Snapshot // configuration for the next publish; accessed on the machine's goroutine only
 }
 
+// publish stores the state of m, with the installed configuration, unless it is unchanged.
 func (c *stateCell) publish(m *instance.Machine) {
 	ready, reason := m.Ready()
 	old := c.current.Load()
--- a/internal/telemetry/trace.go
+++ b/internal/telemetry/trace.go
@@ -24,8 +24,9 @@
 	stop       func(context.Context) error
 }
 
-// NewTracer returns a tracer that writes the given share of traces to out as JSON
-// lines, or one that creates no spans if out is nil or the share is 0.
+// NewTracer returns a tracer that writes the given share of traces, from 0 to 1, to out as
+// JSON lines, or one that creates no spans if out is nil or the share is 0. For a trace that
+// a caller began, the caller's sampling decision applies instead of the share.
 func NewTracer(out io.Writer, instance, zone string, share float64) (*Tracer, error) {
 	if out == nil || share <= 0 {
 		return &Tracer{
@@ -49,7 +50,7 @@
 	return &Tracer{Tracer: provider.Tracer("birchdrift"), stop: provider.Shutdown}, nil
 }
 
-// Extract returns ctx with the span context in the headers.
+// Extract returns ctx with the span context read from the headers.
 func (t *Tracer) Extract(ctx context.Context, h http.Header) context.Context {
 	return t.propagator.Extract(ctx, propagation.HeaderCarrier(h))
 }
