--- a/internal/shell/snapshot.go
+++ b/internal/shell/snapshot.go
@@ -10,10 +10,10 @@
 // A publishedState is the part of the machine's state that handlers may read from any
 // goroutine. It is immutable.
 type publishedState struct {
-	config   *config.Snapshot
-	ready    bool
-	reason   string // why the instance is not ready
-	stopping bool   // a planned stop has begun
+	config    *config.Snapshot
+	ready     bool
+	reason    string // why the instance is not ready
+	stopBegun bool   // a planned stop has begun
 }
 
 // A stateCell holds the latest publishedState.
@@ -26,10 +26,10 @@
 func (c *stateCell) publish(m *instance.Machine) {
 	ready, reason := m.Ready()
 	old := c.current.Load()
-	if old != nil && old.ready == ready && old.reason == reason && old.stopping == m.Stopping() && old.config == c.installed {
+	if old != nil && old.ready == ready && old.reason == reason && old.stopBegun == m.Stopping() && old.config == c.installed {
 		return
 	}
-	c.current.Store(&publishedState{config: c.installed, ready: ready, reason: reason, stopping: m.Stopping()})
+	c.current.Store(&publishedState{config: c.installed, ready: ready, reason: reason, stopBegun: m.Stopping()})
 }
 
 func (c *stateCell) config() *config.Snapshot {
@@ -48,5 +48,5 @@
 
 func (c *stateCell) stopping() bool {
 	v := c.current.Load()
-	return v != nil && v.stopping
+	return v != nil && v.stopBegun
 }
