--- a/internal/control/command.go
+++ b/internal/control/command.go
@@ -199,35 +199,35 @@
 	return log.Report(cmd.Root().Writer)
 }
 
-// fetchAll returns the statuses of the instances named on the command line. An
+// fetchStatuses returns the statuses of the instances named on the command line. An
 // instance that does not answer is reported on standard error and left out.
-func fetchAll(ctx context.Context, cmd *cli.Command) ([]instance.Status, error) {
+func fetchStatuses(ctx context.Context, cmd *cli.Command) ([]instance.Status, error) {
 	list := cmd.String("operations")
 	if list == "" {
 		return nil, code.Errorf(code.BadSetting, "--operations (%sOPERATIONS) is missing; allowed: IP:port, separated by commas", settings.EnvPrefix)
 	}
 	httpClient := &http.Client{Timeout: statusTimeout}
-	var states []instance.Status
+	var statuses []instance.Status
 	for _, address := range strings.Split(list, ",") {
 		st, err := FetchStatus(ctx, httpClient, address)
 		if err != nil {
 			fmt.Fprintf(cmd.Root().ErrWriter, "birchctl: %s does not answer: %v\n", address, err)
 			continue
 		}
-		states = append(states, st)
+		statuses = append(statuses, st)
 	}
-	if len(states) == 0 {
+	if len(statuses) == 0 {
 		return nil, code.Errorf(code.NoReplica, "no instance answered")
 	}
-	return states, nil
+	return statuses, nil
 }
 
 func runStatus(ctx context.Context, cmd *cli.Command) error {
-	states, err := fetchAll(ctx, cmd)
+	statuses, err := fetchStatuses(ctx, cmd)
 	if err != nil {
 		return err
 	}
-	return PrintStatus(cmd.Root().Writer, states)
+	return PrintStatus(cmd.Root().Writer, statuses)
 }
 
 func runExplain(explain func(io.Writer, string, []instance.Status)) cli.ActionFunc {
@@ -235,11 +235,11 @@
 		if cmd.Args().Len() != 1 {
 			return code.Errorf(code.BadUsage, "exactly one NAME is required")
 		}
-		states, err := fetchAll(ctx, cmd)
+		statuses, err := fetchStatuses(ctx, cmd)
 		if err != nil {
 			return err
 		}
-		explain(cmd.Root().Writer, cmd.Args().First(), states)
+		explain(cmd.Root().Writer, cmd.Args().First(), statuses)
 		return nil
 	}
 }
--- a/internal/shell/actions.go
+++ b/internal/shell/actions.go
@@ -127,6 +127,7 @@
 // is followed by a forced garbage collection.
 const largeConfig = 128 << 10
 
+// loadConfig decodes and indexes a configuration.
 func (s *Shell) loadConfig(data []byte) (*config.Snapshot, error) {
 	doc, err := s.environment.Decode(data)
 	if err != nil {
@@ -135,9 +136,9 @@
 	return config.NewSnapshot(doc)
 }
 
-// decodeConfig decodes and posts the configuration in a peer's message, if it is newer
-// than the one in force.
-func (s *Shell) decodeConfig(msg gossip.Message) {
+// postPeerConfig starts a worker that decodes and posts the configuration in a peer's
+// message, if it is newer than the one in force.
+func (s *Shell) postPeerConfig(msg gossip.Message) {
 	if len(msg.Config) == 0 || msg.Revision <= s.Config().Revision() {
 		return
 	}
@@ -153,7 +154,7 @@
 	defer cancel()
 	reply, err := s.peers.Exchange(ctx, a.Address, a.Message)
 	if err == nil {
-		s.decodeConfig(reply)
+		s.postPeerConfig(reply)
 	}
 	s.post(exchange.Reply{Peer: a.Peer, Address: a.Address, Message: reply, Err: err})
 }
