--- a/core/calls/call.go
+++ b/core/calls/call.go
@@ -39,7 +39,7 @@
 	PromptTokens   int
 	MaxTokens      int
 	Prefix         choose.Prefix
-	Forward        *ForwardRequest // nil for calls of the own interface
+	Forward        *ForwardRequest // nil for calls of the product's own interface
 }
 
 // A ForwardRequest holds what the request of a forwarded call carries in addition.
--- a/core/calls/event.go
+++ b/core/calls/event.go
@@ -62,14 +62,14 @@
 		Zone     string
 		Model    string
 		Adapter  string
-		Priority int // of a call of the own interface; see also ForwardAttempt
+		Priority int // of a call of the product's own interface; see also ForwardAttempt
 		// Repeatable means that the transport may reuse a connection. If that turns
 		// out to be closed, the transport may send the call a second time by itself.
 		Repeatable bool
 		Resume     bool            // continue the current attempt instead of starting one
 		After      time.Duration   // delay before sending
 		Stall      time.Duration   // time without data after which the attempt has failed
-		Forward    *ForwardAttempt // nil for calls of the own interface
+		Forward    *ForwardAttempt // nil for calls of the product's own interface
 		// Limited means that the replica had announced a rate limit. An answer that
 		// announces none then means that the limit has ended.
 		Limited bool
--- a/core/calls/table.go
+++ b/core/calls/table.go
@@ -15,7 +15,7 @@
 )
 
 // MinRetryAfter is the shortest Retry-After of a refused call: in the answers of the
-// own interface, HTTP's Retry-After header counts in whole seconds.
+// product's own interface, HTTP's Retry-After header counts in whole seconds.
 const MinRetryAfter = time.Second
 
 // A Table holds the calls in progress. The fields must be set before use.
--- a/core/code/code.go
+++ b/core/code/code.go
@@ -1,7 +1,7 @@
 // Package code provides the numbered result codes that callers and operators
 // see, and the table from which docs/codes.md is generated.
 //
-// A number is never reused with another meaning. The first digit tells who has
+// A number is never reused with another meaning. The first digit indicates who has
 // to act or where the cause lies: 1xx the caller, 2xx capacity, 3xx an upstream,
 // 4xx the platform or the operators' configuration, 5xx the settings of this
 // program, 9xx a bug.
--- a/core/instance/announced_world_test.go
+++ b/core/instance/announced_world_test.go
@@ -1412,9 +1412,9 @@
 }
 
 // TestOwnersHearOfTheRegistry checks that an instance that stops watching sends no more orders to
-// its engines, since another instance may have claimed them. In a large fleet, instances used to
-// own engines without watching, and a former owner sent orders under a lower fence (the check
-// named ONE failed in a day-long run of an enlarged fleet).
+// its engines, since another instance may have claimed them. In a large simulated fleet, instances
+// used to own engines without watching: two instances sent orders to one engine, the former owner
+// under a lower fence.
 func TestOwnersHearOfTheRegistry(t *testing.T) {
 	cases := []struct {
 		name           string
--- a/core/instance/exchange_test.go
+++ b/core/instance/exchange_test.go
@@ -66,8 +66,8 @@
 
 // TestDutiesGoToTheStrongest checks that in a fleet of unequal machines those with the most
 // processor capacity watch the platform, and that the strongest of them is the placer. An instance
-// with a fifth of a core once became the placer and then lagged behind in everything else (the
-// check named CONFIG failed in a day-long run of an enlarged fleet).
+// with a fifth of a core once became the placer and then lagged behind in everything else: in a large
+// simulated fleet, it did not have the newest configuration in time.
 func TestDutiesGoToTheStrongest(t *testing.T) {
 	is := is.New(t)
 	now := clocktest.At(time.Hour)
@@ -137,8 +137,8 @@
 
 // TestSlowPeerDoesNotHoldUpARevision checks that a configuration that one peer does not deliver is
 // requested from another peer and finally from the platform. Previously, only the peer that was
-// furthest ahead was asked, until its exchange failed (the check named CONFIG failed in a day-long
-// run of an enlarged fleet: a route was refused 3.1 s after its acknowledgement).
+// furthest ahead was asked, until its exchange failed. In a large simulated fleet, instances did not
+// have the newest configuration in time: a route was refused 3.1 s after its acknowledgement.
 func TestSlowPeerDoesNotHoldUpARevision(t *testing.T) {
 	is := is.New(t)
 	now := clocktest.At(time.Hour)
--- a/core/instance/outage_test.go
+++ b/core/instance/outage_test.go
@@ -14,7 +14,7 @@
 const (
 	smallFleetRate = 2000
 	largeFleetRate = 6000
-	largeFleetSize = 46 // number of instances from which largeRate applies
+	largeFleetSize = 46 // number of instances from which largeFleetRate applies
 )
 
 // An outageRecovery records how the instances recovered from an outage that affected all of them.
--- a/core/placement/placer.go
+++ b/core/placement/placer.go
@@ -85,7 +85,7 @@
 	placedAt       clock.Instant // time of the last placement
 	missReportedAt clock.Instant // when the placer was last notified of a miss
 	active         bool
-	localOnly      bool          // placing on the own engines only, and only models with misses
+	localOnly      bool          // placing on this instance's engines only, and only models with misses
 	demandSince    clock.Instant // since when there has been demand
 	loads          loadBudget
 	changes        map[string]*change        // changes in progress, by engine
@@ -131,8 +131,8 @@
 	p.placeModels(now)
 }
 
-// start starts the placement of models, for the fleet or, with localOnly, on the own
-// engines only. It does nothing if the placer is already active in this mode.
+// start starts the placement of models, for the fleet or, with localOnly, on this
+// instance's engines only. It does nothing if the placer is already active in this mode.
 func (p *Placer) start(now clock.Instant, localOnly bool) {
 	if p.active && p.localOnly == localOnly {
 		return
--- a/core/placement/placer_test.go
+++ b/core/placement/placer_test.go
@@ -16,9 +16,9 @@
 	"github.com/birchdrift/birchdrift/core/step"
 )
 
-// TestLoadsAreCountedWhenTheyStart: loads were once counted when they were planned.
-// Several that waited for evictions then started together (the CEILING check failed on
-// two simulated days in some hundred).
+// TestLoadsAreCountedWhenTheyStart checks that a load counts from when it starts. Loads
+// were once counted when they were planned. Several that waited for evictions then started
+// together and exceeded the limit of concurrent loads, on two simulated days in some hundred.
 func TestLoadsAreCountedWhenTheyStart(t *testing.T) {
 	is := is.New(t)
 	now := clocktest.At(time.Hour)
--- a/core/pool/ratelimit_test.go
+++ b/core/pool/ratelimit_test.go
@@ -80,7 +80,7 @@
 	is.True(limited && rate == 4 && r.Resting(later) && r.Leaving())
 }
 
-// TestNewerLimitReportWins checks that the later one of an own and a peer's limit report is
+// TestNewerLimitReportWins checks that the later one of this instance's and a peer's limit report is
 // used.
 func TestNewerLimitReportWins(t *testing.T) {
 	is := is.New(t)
--- a/core/quarantine/quarantine.go
+++ b/core/quarantine/quarantine.go
@@ -132,7 +132,7 @@
 }
 
 // ownReportInterval returns the minimum interval between the last exchange and the one that
-// carries an own report.
+// carries a report of this instance.
 func (t *Tracker) ownReportInterval(r crash.Report) time.Duration {
 	if t.Direct() || t.urgent(r) {
 		return shareInterval
--- a/core/watch/watch.go
+++ b/core/watch/watch.go
@@ -86,8 +86,8 @@
 }
 
 // reason returns why an instance watches. An owner must watch, since otherwise it
-// could not know that it still is the owner. An instance that no peer tells of
-// changes must query the store itself.
+// could not know that it still is the owner. An instance that no peer informs
+// of changes must query the store itself.
 func (v view) reason() reason {
 	switch {
 	case v.isolated:
