--- a/core/watch/watch.go
+++ b/core/watch/watch.go
@@ -159,8 +159,8 @@
 }
 
 // New returns a Watch that has not called the store yet.
-func New(n Deps) *Watch {
-	w := &Watch{Deps: n, calls: map[uint64]call{}}
+func New(deps Deps) *Watch {
+	w := &Watch{Deps: deps, calls: map[uint64]call{}}
 	w.resetFailures()
 	return w
 }
