--- a/core/own/planner/planner.go
+++ b/core/own/planner/planner.go
@@ -120,10 +120,10 @@
 }
 
 // New returns the planner of an instance that does not hold the lease.
-func New(n Deps) *Planner {
+func New(deps Deps) *Planner {
 	return &Planner{
-		Deps:          n,
-		lease:         lease.New(n.Options.LeaseTerm),
+		Deps:          deps,
+		lease:         lease.New(deps.Options.LeaseTerm),
 		tenure:        newTenure(),
 		reads:         newReadSchedule(),
 		residentSince: map[placement]clock.Instant{},
