--- a/core/own/modelcalls/modelcalls.go
+++ b/core/own/modelcalls/modelcalls.go
@@ -69,8 +69,8 @@
 func stateOf(c *calls.Call) *state { return c.State.(*state) }
 
 // New returns a handler without calls.
-func New(n Deps) *Handler {
-	h := &Handler{Deps: n}
+func New(deps Deps) *Handler {
+	h := &Handler{Deps: deps}
 	h.handlers = calls.Handlers{
 		FindReplica:   h.findReplica,
 		AnswerBegan:   h.handleAnswerBegan,
@@ -81,7 +81,7 @@
 		NotRun:        h.releaseClaim,
 		LeftQueue:     h.handleLeftQueue,
 	}
-	n.Calls.StillWaiting = h.countWaiting
+	deps.Calls.StillWaiting = h.countWaiting
 	return h
 }
 
