--- a/core/exchange/exchange.go
+++ b/core/exchange/exchange.go
@@ -126,8 +126,8 @@
 }
 
 // New returns the Exchanges of an instance that knows no peer's state yet.
-func New(n Deps) *Exchanges {
-	return &Exchanges{Deps: n, seeds: n.Self.Seeds, peers: map[string]peerState{}, inFlight: map[string]bool{}}
+func New(deps Deps) *Exchanges {
+	return &Exchanges{Deps: deps, seeds: deps.Self.Seeds, peers: map[string]peerState{}, inFlight: map[string]bool{}}
 }
 
 // SetSeeds replaces the addresses of peers from the settings.
