--- a/core/ownership/ownership.go
+++ b/core/ownership/ownership.go
@@ -166,9 +166,9 @@
 }
 
 // New returns a Registry that knows no records yet.
-func New(n Deps) *Registry {
+func New(deps Deps) *Registry {
 	return &Registry{
-		Deps:        n,
+		Deps:        deps,
 		enrolment:   newEnrolment(),
 		instances:   map[string]registry.Instance{},
 		absentSince: map[string]clock.Instant{},
