--- a/core/ownership/era_test.go
+++ b/core/ownership/era_test.go
@@ -20,16 +20,16 @@
 // (docs/design/eras.md). The randomized storm tests rarely hit the few seconds in which each
 // mechanism matters.
 
-// A bench drives one Registry by the events that a driver would post.
-type bench struct {
+// A registryHarness drives one Registry by the events that a driver would post.
+type registryHarness struct {
 	*testing.T
 	g   *Registry
 	now clock.Instant
 }
 
 // newBench returns the bench of an instance that knows no records.
-func newBench(t *testing.T) *bench {
-	b := &bench{T: t, now: clocktest.At(time.Hour)}
+func newBench(t *testing.T) *registryHarness {
+	b := &registryHarness{T: t, now: clocktest.At(time.Hour)}
 	g := testRegistry(b.now)
 	g.Owned.Out = g.Out
 	g.Owned.MayOrder = g.MayOrderWithFence
@@ -46,7 +46,7 @@
 
 // newInEra returns the bench of an instance that has enrolled in era e and knows all of its
 // records.
-func newInEra(t *testing.T, e era.Era, records ...registry.Record) *bench {
+func newInEra(t *testing.T, e era.Era, records ...registry.Record) *registryHarness {
 	b := newBench(t)
 	b.receiveAll(e, records...)
 	b.enrol(e)
@@ -54,7 +54,7 @@
 }
 
 // receiveAll delivers the complete records of an era: the given ones and the era record.
-func (b *bench) receiveAll(e era.Era, records ...registry.Record) {
+func (b *registryHarness) receiveAll(e era.Era, records ...registry.Record) {
 	eraRecord := registry.EraRecord{Era: e, First: e == 1}
 	records = append(records, record(e, 3, eraRecord.Value()))
 	b.g.HandleWatchUpdate(b.now, WatchUpdate{Records: records, Version: e.Revision(50), Whole: true})
@@ -67,12 +67,12 @@
 }
 
 // enrol delivers the reply that this instance has a lease of era e.
-func (b *bench) enrol(e era.Era) {
+func (b *registryHarness) enrol(e era.Era) {
 	b.g.HandleEnrolReply(b.now, EnrolReply{Sent: b.now, Lease: era.Lease{Era: e, ID: 9}})
 }
 
 // advance advances the time by span while the store answers watches and renewals.
-func (b *bench) advance(span time.Duration) {
+func (b *registryHarness) advance(span time.Duration) {
 	for end := b.now.Add(span); b.now.Before(end); {
 		b.now = b.now.Add(100 * time.Millisecond)
 		b.g.WatchAnswered(b.now)
@@ -83,7 +83,7 @@
 }
 
 // tick runs one tick and returns its actions.
-func (b *bench) tick() []step.Action {
+func (b *registryHarness) tick() []step.Action {
 	b.g.Out.Reset()
 	b.g.Tick(b.now)
 	return b.g.Out.Actions()
@@ -91,7 +91,7 @@
 
 // awaitClaims advances the time by at most limit until claims are written, and returns their
 // transaction.
-func (b *bench) awaitClaims(limit time.Duration) (Txn, bool) {
+func (b *registryHarness) awaitClaims(limit time.Duration) (Txn, bool) {
 	for end := b.now.Add(limit); b.now.Before(end); b.advance(100 * time.Millisecond) {
 		for _, a := range b.tick() {
 			if w, ok := a.(Write); ok && len(w.Write.Claim) > 0 {
@@ -103,7 +103,7 @@
 }
 
 // newOwner returns the bench of an instance that owns engine e in era 1 and may order it.
-func newOwner(t *testing.T) *bench {
+func newOwner(t *testing.T) *registryHarness {
 	b := newInEra(t, 1)
 	w, ok := b.awaitClaims(5 * time.Second)
 	if !ok {
@@ -118,7 +118,7 @@
 }
 
 // mayOrder reports whether the instance may send orders to engine e.
-func (b *bench) mayOrder() bool {
+func (b *registryHarness) mayOrder() bool {
 	e := b.g.Owned.Get("e")
 	return e != nil && b.g.Owned.Orderable(b.now, e)
 }
