--- a/core/ownership/era_test.go
+++ b/core/ownership/era_test.go
@@ -27,8 +27,8 @@
 	now clock.Instant
 }
 
-// newBench returns the bench of an instance that knows no records.
-func newBench(t *testing.T) *registryHarness {
+// newRegistryHarness returns the bench of an instance that knows no records.
+func newRegistryHarness(t *testing.T) *registryHarness {
 	b := &registryHarness{T: t, now: clocktest.At(time.Hour)}
 	g := testRegistry(b.now)
 	g.Owned.Out = g.Out
@@ -47,7 +47,7 @@
 // newInEra returns the bench of an instance that has enrolled in era e and knows all of its
 // records.
 func newInEra(t *testing.T, e era.Era, records ...registry.Record) *registryHarness {
-	b := newBench(t)
+	b := newRegistryHarness(t)
 	b.receiveAll(e, records...)
 	b.enrol(e)
 	return b
@@ -318,7 +318,7 @@
 // rollback.
 func TestNoClaimWithoutEraRecord(t *testing.T) {
 	is := is.New(t)
-	b := newBench(t)
+	b := newRegistryHarness(t)
 	b.g.HandleWatchUpdate(b.now, WatchUpdate{Version: era.Era(2).Revision(50), Whole: true})
 	b.g.WatchAnswered(b.now)
 	b.enrol(2)
