--- a/internal/own/engine/engine.go
+++ b/internal/own/engine/engine.go
@@ -235,14 +235,14 @@
 
 // decodeReply decodes the JSON body of a response with status 200 into into, unless that is
 // nil. Any other status is an error.
-func decodeReply(resp *http.Response, into any) error {
+func decodeReply(resp *http.Response, reply any) error {
 	if resp.StatusCode != http.StatusOK {
 		return trace.Errorf("status %d", resp.StatusCode)
 	}
-	if into == nil {
+	if reply == nil {
 		return nil
 	}
-	return trace.Wrap(json.NewDecoder(io.LimitReader(resp.Body, maxReplyBytes)).Decode(into))
+	return trace.Wrap(json.NewDecoder(io.LimitReader(resp.Body, maxReplyBytes)).Decode(reply))
 }
 
 var phaseByName = map[string]pool.ItemPhase{
