--- a/core/instance/gone_test.go
+++ b/core/instance/gone_test.go
@@ -33,8 +33,8 @@
 }
 
 // arrive delivers abandonedCall to the instance.
-func (l *soloHarness) arrive(model, adapter string) []step.Action {
-	return l.m.Step(l.now, calls.Arrived{Call: calls.Request{
+func (h *soloHarness) arrive(model, adapter string) []step.Action {
+	return h.m.Step(h.now, calls.Arrived{Call: calls.Request{
 		ID: abandonedCall, Path: "/x", Replayable: true, PromptTokens: 100,
 		Forward: &calls.ForwardRequest{Name: "call", Host: "h", Model: model, Adapter: adapter, Fingerprint: 7},
 	}})
--- a/core/instance/lives_test.go
+++ b/core/instance/lives_test.go
@@ -156,10 +156,10 @@
 }
 
 // entry returns a list entry of an engine that holds model m0; born identifies the incarnation.
-func (l *soloHarness) entry(born string) gossip.Listed {
-	l.version++
+func (h *soloHarness) entry(born string) gossip.Listed {
+	h.version++
 	return gossip.Listed{
-		Name: "e", Kind: gossip.Upstream, Zone: "z0", Version: l.version,
+		Name: "e", Kind: gossip.Upstream, Zone: "z0", Version: h.version,
 		Announced: &pool.Announcement{
 			Service: "llm", Address: "e", Zone: "z0", Slots: 8, Engine: true, Born: born, Models: []pool.AnnouncedModel{{Name: "m0"}},
 		},
@@ -167,13 +167,13 @@
 }
 
 // list delivers an update of the list with the given entries.
-func (l *soloHarness) list(entries ...gossip.Listed) {
-	l.m.Step(l.now, listing.Reply{Entries: entries, Version: l.version})
+func (h *soloHarness) list(entries ...gossip.Listed) {
+	h.m.Step(h.now, listing.Reply{Entries: entries, Version: h.version})
 }
 
 // call delivers a call and returns its dispatches.
-func (l *soloHarness) call(id calls.ID) []calls.Dispatch {
-	return stepFor[calls.Dispatch](l, calls.Arrived{Call: calls.Request{
+func (h *soloHarness) call(id calls.ID) []calls.Dispatch {
+	return stepFor[calls.Dispatch](h, calls.Arrived{Call: calls.Request{
 		ID: id, Path: "/x", Replayable: true, PromptTokens: 100, Forward: &calls.ForwardRequest{Name: "call", Host: "h", Model: "m0"},
 	}})
 }
