--- a/core/instance/lives_test.go
+++ b/core/instance/lives_test.go
@@ -28,12 +28,12 @@
 
 // restartEmpty ends an engine and restarts it under its name with nothing loaded. Its entry is
 // overwritten, not deleted in between.
-func (l *noticeHarness) restartEmpty(e *fleetEngine, delay time.Duration) {
+func (h *noticeHarness) restartEmpty(e *fleetEngine, delay time.Duration) {
 	e.dead = true
-	l.f.at(delay, func() {
+	h.f.at(delay, func() {
 		e.models = map[string]bool{}
 		e.pending = ""
-		l.restartEngine(e)
+		h.restartEngine(e)
 	})
 }
 
--- a/core/instance/notice_test.go
+++ b/core/instance/notice_test.go
@@ -98,82 +98,82 @@
 	return l
 }
 
-func (l *noticeHarness) arrive(n *fleetMember, r calls.Request) {
-	if l.retries != nil {
-		l.retries.callTimes = append(l.retries.callTimes, l.f.now)
+func (h *noticeHarness) arrive(n *fleetMember, r calls.Request) {
+	if h.retries != nil {
+		h.retries.callTimes = append(h.retries.callTimes, h.f.now)
 	}
-	l.arrived[r.ID] = noticeCall{member: n, at: l.f.now, model: r.Forward.Model, plain: r.Forward.Adapter == ""}
+	h.arrived[r.ID] = noticeCall{member: n, at: h.f.now, model: r.Forward.Model, plain: r.Forward.Adapter == ""}
 }
 
 // requestReached records that a request reached an engine, and returns the notice in the engine's
 // response. sent is the time from which leaveGrace is checked.
-func (l *noticeHarness) requestReached(n *fleetMember, boot uint64, e *fleetEngine, sent time.Duration) pool.Notice {
+func (h *noticeHarness) requestReached(n *fleetMember, boot uint64, e *fleetEngine, sent time.Duration) pool.Notice {
 	to := noticeKey{n.id.Name, boot, e.name, e.restarts}
-	if at, told := l.firstToldAt[to]; told && sent > at+leaveGrace {
-		l.lateRequests++
+	if at, told := h.firstToldAt[to]; told && sent > at+leaveGrace {
+		h.lateRequests++
 	}
-	content := pool.Notice{Leaving: l.leaving[e], Rest: l.rests[e]}
-	l.received[to] = append(l.received[to], noticeRequest{at: l.f.now, rest: content.Rest})
+	content := pool.Notice{Leaving: h.leaving[e], Rest: h.rests[e]}
+	h.received[to] = append(h.received[to], noticeRequest{at: h.f.now, rest: content.Rest})
 	return content
 }
 
 // sendNotice delivers a notice of an engine to an instance.
-func (l *noticeHarness) sendNotice(n *fleetMember, boot uint64, e *fleetEngine, sent clock.Instant, content pool.Notice) {
+func (h *noticeHarness) sendNotice(n *fleetMember, boot uint64, e *fleetEngine, sent clock.Instant, content pool.Notice) {
 	if content.IsZero() {
 		return
 	}
 	to := noticeKey{n.id.Name, boot, e.name, e.restarts}
-	l.f.at(fleetLatency, func() {
-		if _, known := l.firstToldAt[to]; content.Leaving && !known && !n.dead && !n.frozen && n.boot == boot {
-			l.firstToldAt[to] = l.f.now
+	h.f.at(fleetLatency, func() {
+		if _, known := h.firstToldAt[to]; content.Leaving && !known && !n.dead && !n.frozen && n.boot == boot {
+			h.firstToldAt[to] = h.f.now
 		}
-		l.f.step(n, boot, notice.Received{Replica: e.name, Sent: sent, Notice: content})
+		h.f.step(n, boot, notice.Received{Replica: e.name, Sent: sent, Notice: content})
 	})
 }
 
 // serve runs a call at its engine, or has the engine refuse it.
-func (l *noticeHarness) serve(n *fleetMember, boot uint64, d calls.Dispatch, reply func(time.Duration, step.Event)) {
-	e := l.f.engines[d.Replica]
+func (h *noticeHarness) serve(n *fleetMember, boot uint64, d calls.Dispatch, reply func(time.Duration, step.Event)) {
+	e := h.f.engines[d.Replica]
 	failed := func(delay time.Duration, b calls.AttemptFailed) {
 		b.ID, b.Attempt = d.ID, d.Attempt
 		reply(delay, b)
 	}
 	switch {
-	case l.f.partitioned(n.id.Zone, e.zone):
+	case h.f.partitioned(n.id.Zone, e.zone):
 		failed(500*time.Millisecond, calls.AttemptFailed{Phase: attempt.NotSent, Detail: "zone unreachable"})
 		return
 	case e.dead:
 		failed(fleetLatency, calls.AttemptFailed{Phase: attempt.NotSent, Unreachable: true})
 		return
 	}
-	sent := l.f.clock(n)
-	l.f.at(fleetLatency, func() {
-		if l.retries != nil {
-			l.retries.recordAttempt(l.f.now, d.ID)
+	sent := h.f.clock(n)
+	h.f.at(fleetLatency, func() {
+		if h.retries != nil {
+			h.retries.recordAttempt(h.f.now, d.ID)
 		}
-		content := l.requestReached(n, boot, e, l.arrived[d.ID].at)
+		content := h.requestReached(n, boot, e, h.arrived[d.ID].at)
 		switch {
 		case content.Rest > 0:
-			l.sendNotice(n, boot, e, sent, content)
+			h.sendNotice(n, boot, e, sent, content)
 			failed(fleetLatency, calls.AttemptFailed{Phase: attempt.Refused, Status: 503})
 		case !e.models[d.Model] || d.Adapter != "" && !e.adapters[d.Model+"/"+d.Adapter]:
-			l.sendNotice(n, boot, e, sent, content)
+			h.sendNotice(n, boot, e, sent, content)
 			failed(fleetLatency, calls.AttemptFailed{Phase: attempt.Refused, Misdirected: true, Incarnation: d.Replica})
 		default:
-			l.f.at(l.f.firstTokenDelay, func() { l.sendNotice(n, boot, e, sent, content) })
-			l.f.served++
-			l.served[e]++
-			reply(l.f.firstTokenDelay+fleetLatency, calls.AnswerBegan{ID: d.ID})
+			h.f.at(h.f.firstTokenDelay, func() { h.sendNotice(n, boot, e, sent, content) })
+			h.f.served++
+			h.served[e]++
+			reply(h.f.firstTokenDelay+fleetLatency, calls.AnswerBegan{ID: d.ID})
 			reply(400*time.Millisecond, calls.Completed{ID: d.ID})
 		}
 	})
 }
 
 // rejectOrder handles an order sent to an engine, and reports whether the engine rejected it.
-func (l *noticeHarness) rejectOrder(n *fleetMember, boot uint64, a owned.SendOrder, reply func(time.Duration, step.Event)) bool {
-	e := l.f.engines[a.Engine]
-	content := l.requestReached(n, boot, e, l.f.now)
-	l.sendNotice(n, boot, e, l.f.clock(n), content)
+func (h *noticeHarness) rejectOrder(n *fleetMember, boot uint64, a owned.SendOrder, reply func(time.Duration, step.Event)) bool {
+	e := h.f.engines[a.Engine]
+	content := h.requestReached(n, boot, e, h.f.now)
+	h.sendNotice(n, boot, e, h.f.clock(n), content)
 	if content.Rest == 0 {
 		return false
 	}
@@ -183,9 +183,9 @@
 
 // rejectStateQuery handles a query for the state of an engine, and reports whether the engine
 // rejected it.
-func (l *noticeHarness) rejectStateQuery(n *fleetMember, boot uint64, e *fleetEngine, sent clock.Instant, reply func(time.Duration, step.Event)) bool {
-	content := l.requestReached(n, boot, e, l.f.now-fleetLatency)
-	l.sendNotice(n, boot, e, sent, content)
+func (h *noticeHarness) rejectStateQuery(n *fleetMember, boot uint64, e *fleetEngine, sent clock.Instant, reply func(time.Duration, step.Event)) bool {
+	content := h.requestReached(n, boot, e, h.f.now-fleetLatency)
+	h.sendNotice(n, boot, e, sent, content)
 	if content.Rest == 0 {
 		return false
 	}
@@ -195,16 +195,16 @@
 
 // handleFinish handles a final answer that an instance gives itself. A call that some engine could
 // have served is lost.
-func (l *noticeHarness) handleFinish(a calls.Finish) {
-	c, ok := l.arrived[a.ID]
+func (h *noticeHarness) handleFinish(a calls.Finish) {
+	c, ok := h.arrived[a.ID]
 	if !ok || !c.plain || a.Refusal.Code == code.NoConfiguration {
 		return // an instance that has just started refuses all calls, whatever its engines do
 	}
-	for _, name := range sortedKeys(l.f.engines) {
-		e := l.f.engines[name]
-		if e.models[c.model] && !e.dead && !l.leaving[e] && l.rests[e] == 0 && !l.f.partitioned(c.member.id.Zone, e.zone) {
-			l.lostCalls = append(l.lostCalls, fmt.Sprintf("%v: call %d for %s was refused with %d (%s) after %v, and %s could serve it",
-				l.f.now, a.ID, c.model, a.Refusal.Code, a.Refusal.Detail, l.f.now-c.at, e.name))
+	for _, name := range sortedKeys(h.f.engines) {
+		e := h.f.engines[name]
+		if e.models[c.model] && !e.dead && !h.leaving[e] && h.rests[e] == 0 && !h.f.partitioned(c.member.id.Zone, e.zone) {
+			h.lostCalls = append(h.lostCalls, fmt.Sprintf("%v: call %d for %s was refused with %d (%s) after %v, and %s could serve it",
+				h.f.now, a.ID, c.model, a.Refusal.Code, a.Refusal.Detail, h.f.now-c.at, e.name))
 			return
 		}
 	}
@@ -213,9 +213,9 @@
 // maxRequestsInRest returns the largest number of requests of one instance that reached an engine
 // during a rest that the engine had requested from that instance. The first restGrace of a rest
 // does not count.
-func (l *noticeHarness) maxRequestsInRest() int {
+func (h *noticeHarness) maxRequestsInRest() int {
 	most := 0
-	for _, requests := range l.received {
+	for _, requests := range h.received {
 		for _, restRequest := range requests {
 			n := 0
 			for _, r := range requests {
@@ -231,29 +231,29 @@
 
 // startLeaving makes an engine announce, only in its responses, that it leaves. After 6 s the
 // engine ends, and 2 s later it restarts under its name.
-func (l *noticeHarness) startLeaving(e *fleetEngine) {
-	l.leaving[e] = true
-	l.f.at(6*time.Second, func() {
+func (h *noticeHarness) startLeaving(e *fleetEngine) {
+	h.leaving[e] = true
+	h.f.at(6*time.Second, func() {
 		e.dead = true
-		l.f.at(2*time.Second, func() { l.restartEngine(e) })
+		h.f.at(2*time.Second, func() { h.restartEngine(e) })
 	})
 }
 
 // restartEngine restarts an engine that ended, under its name.
-func (l *noticeHarness) restartEngine(e *fleetEngine) {
-	delete(l.leaving, e)
-	delete(l.served, e)
-	l.f.restartEngine(e)
+func (h *noticeHarness) restartEngine(e *fleetEngine) {
+	delete(h.leaving, e)
+	delete(h.served, e)
+	h.f.restartEngine(e)
 }
 
 // shedLoad makes an engine reject everything for span and request a rest.
-func (l *noticeHarness) shedLoad(e *fleetEngine, span, rest time.Duration) {
-	l.rests[e] = rest
-	l.f.at(span, func() { delete(l.rests, e) })
+func (h *noticeHarness) shedLoad(e *fleetEngine, span, rest time.Duration) {
+	h.rests[e] = rest
+	h.f.at(span, func() { delete(h.rests, e) })
 }
 
 // engine returns the engine with number i.
-func (l *noticeHarness) engine(i int) *fleetEngine { return l.f.engines[fmt.Sprintf("e%d", i)] }
+func (h *noticeHarness) engine(i int) *fleetEngine { return h.f.engines[fmt.Sprintf("e%d", i)] }
 
 // A noticeStorm is a fault scenario for a fleet with engines that send notices.
 type noticeStorm struct {
