--- a/core/registry/registry.go
+++ b/core/registry/registry.go
@@ -99,7 +99,7 @@
 }
 
 // Key returns the key of the era's record.
-func (m EraRecord) Key() string { return eraPrefix + strconv.FormatUint(uint64(m.Era), 10) }
+func (r EraRecord) Key() string { return eraPrefix + strconv.FormatUint(uint64(r.Era), 10) }
 
 // MaxClaims is the maximum number of ownerships in one write. Each needs a condition
 // and a value, and stores limit the total number of both.
@@ -244,7 +244,7 @@
 func (p Placer) Value() Value { return value(placerKey, p) }
 
 // Value encodes the era's record.
-func (m EraRecord) Value() Value { return value(m.Key(), m) }
+func (r EraRecord) Value() Value { return value(r.Key(), r) }
 
 // Value encodes the quarantine's record.
 func (q Quarantine) Value() Value { return value(quarantinePrefix+q.Request.String(), q) }
