--- a/core/ownership/ownership.go
+++ b/core/ownership/ownership.go
@@ -93,14 +93,14 @@
 )
 
 // Era returns the era that the transaction is meant for.
-func (r Txn) Era() era.Era {
+func (t Txn) Era() era.Era {
 	switch {
-	case r.Mark != nil:
-		return r.Mark.Era
-	case r.Placer != nil:
-		return r.Placer.Era
-	case len(r.Claim) > 0:
-		return r.Claim[0].Era
+	case t.Mark != nil:
+		return t.Mark.Era
+	case t.Placer != nil:
+		return t.Placer.Era
+	case len(t.Claim) > 0:
+		return t.Claim[0].Era
 	default:
 		return 0
 	}
