--- a/core/ownership/ownership.go
+++ b/core/ownership/ownership.go
@@ -214,17 +214,17 @@
 // denial returns why an owner may not send orders at now, "" if it may. A renewal and a
 // watch each permit orders for the duration valid, measured by whichever of the monotonic
 // and the wall clock advanced more, so that a machine that was suspended sends no orders.
-func (s orderEligibility) denial(now clock.Instant, valid time.Duration) denial {
+func (e orderEligibility) denial(now clock.Instant, valid time.Duration) denial {
 	switch {
-	case s.stopping:
+	case e.stopping:
 		return stopping
-	case s.renewedAt.IsZero():
+	case e.renewedAt.IsZero():
 		return neverRenewed
-	case now.MaxElapsed(s.renewedAt) >= valid:
+	case now.MaxElapsed(e.renewedAt) >= valid:
 		return renewalTooOld
-	case s.watchedAt.IsZero():
+	case e.watchedAt.IsZero():
 		return neverWatched
-	case now.MaxElapsed(s.watchedAt) >= valid:
+	case now.MaxElapsed(e.watchedAt) >= valid:
 		return watchTooOld
 	default:
 		return allowed
