--- a/core/quarantine/quarantine_test.go
+++ b/core/quarantine/quarantine_test.go
@@ -45,30 +45,30 @@
 }
 
 // replica announces a replica and returns it.
-func (b *fixture) replica(name string, leaving bool) *pool.Replica {
-	b.Pool.Announce(b.now, name, pool.Announcement{Service: "s", Address: name, Slots: 1, Leaving: leaving})
-	return b.Pool.Get(name)
+func (f *fixture) replica(name string, leaving bool) *pool.Replica {
+	f.Pool.Announce(f.now, name, pool.Announcement{Service: "s", Address: name, Slots: 1, Leaving: leaving})
+	return f.Pool.Get(name)
 }
 
 // incarnation returns the only incarnation of a replica.
 func incarnation(name string) pool.Incarnation { return pool.Incarnation{Name: name} }
 
 // advance advances the clock by span, with ticks, and returns the actions.
-func (b *fixture) advance(span time.Duration) []step.Action {
-	b.Out.Reset()
-	for end := b.now.Add(span); b.now.Before(end); b.now = b.now.Add(10 * time.Millisecond) {
-		b.Tick(b.now)
+func (f *fixture) advance(span time.Duration) []step.Action {
+	f.Out.Reset()
+	for end := f.now.Add(span); f.now.Before(end); f.now = f.now.Add(10 * time.Millisecond) {
+		f.Tick(f.now)
 	}
-	return b.Out.Actions()
+	return f.Out.Actions()
 }
 
 // crash simulates the crash of a replica that runs requests.
-func (b *fixture) crash(name string, requests ...crash.Fingerprint) {
-	r := b.replica(name, false)
+func (f *fixture) crash(name string, requests ...crash.Fingerprint) {
+	r := f.replica(name, false)
 	for _, request := range requests {
-		b.Severed(b.now, request, r)
+		f.Severed(f.now, request, r)
 	}
-	b.ReplicaEnded(b.now, incarnation(name))
+	f.ReplicaEnded(f.now, incarnation(name))
 }
 
 // actionsOf returns the actions of type T.
@@ -331,7 +331,7 @@
 
 // crashMany simulates the crashes of many replicas, each with a number of requests of its own
 // and a bad one.
-func (b *fixture) crashMany(replicas, requests int) {
+func (f *fixture) crashMany(replicas, requests int) {
 	next := crash.Fingerprint(1000)
 	for n := range replicas {
 		inFlight := []crash.Fingerprint{bad + crash.Fingerprint(n/crash.MaxCrashes)}
@@ -339,8 +339,8 @@
 			next++
 			inFlight = append(inFlight, next)
 		}
-		b.crash("r"+clock.Instant{}.Add(time.Duration(n)).Mono.String(), inFlight...)
-		b.advance(10 * time.Millisecond)
+		f.crash("r"+clock.Instant{}.Add(time.Duration(n)).Mono.String(), inFlight...)
+		f.advance(10 * time.Millisecond)
 	}
 }
 
