--- a/core/instance/lives_test.go
+++ b/core/instance/lives_test.go
@@ -117,8 +117,8 @@
 					return func() {}
 				})
 				f.run(45 * time.Second)
-				for _, b := range f.violations {
-					t.Errorf("seed %d: %s", seed, b)
+				for _, v := range f.violations {
+					t.Errorf("seed %d: %s", seed, v)
 				}
 				if f.orders == 0 || f.served == 0 {
 					t.Errorf("seed %d: %d orders, %d served, %d refused", seed, f.orders, f.served, f.refused)
