--- a/core/instance/crash_test.go
+++ b/core/instance/crash_test.go
@@ -99,37 +99,37 @@
 
 // poison sends a request that crashes its engines to random members, again and again, once per
 // interval on average.
-func (l *crashHarness) poison(fingerprint crash.Fingerprint, model int, interval time.Duration) {
-	l.f.at(time.Duration(l.f.rng.Int64N(int64(2*interval))), func() {
-		l.poison(fingerprint, model, interval)
-		n := l.f.randomMember()
+func (h *crashHarness) poison(fingerprint crash.Fingerprint, model int, interval time.Duration) {
+	h.f.at(time.Duration(h.f.rng.Int64N(int64(2*interval))), func() {
+		h.poison(fingerprint, model, interval)
+		n := h.f.randomMember()
 		if n.dead || n.frozen {
 			return
 		}
-		l.f.nextID()
-		r := calls.Request{ID: calls.ID(l.f.eventSeq), Path: "/x", Replayable: true, PromptTokens: 1750, Forward: &calls.ForwardRequest{
-			Name: fmt.Sprint(l.f.eventSeq), Fingerprint: fingerprint, Host: "h", Model: fmt.Sprintf("m%d", model),
+		h.f.nextID()
+		r := calls.Request{ID: calls.ID(h.f.eventSeq), Path: "/x", Replayable: true, PromptTokens: 1750, Forward: &calls.ForwardRequest{
+			Name: fmt.Sprint(h.f.eventSeq), Fingerprint: fingerprint, Host: "h", Model: fmt.Sprintf("m%d", model),
 		}}
-		l.calls[r.ID] = &crashCall{request: r, poison: true, noRetry: true}
-		l.f.step(n, n.boot, calls.Arrived{Call: r})
+		h.calls[r.ID] = &crashCall{request: r, poison: true, noRetry: true}
+		h.f.step(n, n.boot, calls.Arrived{Call: r})
 	})
 }
 
 // arrive delivers a call that crashes no engine.
-func (l *crashHarness) arrive(n *fleetMember, r calls.Request) {
-	l.calls[r.ID] = &crashCall{request: r}
-	l.f.step(n, n.boot, calls.Arrived{Call: r})
+func (h *crashHarness) arrive(n *fleetMember, r calls.Request) {
+	h.calls[r.ID] = &crashCall{request: r}
+	h.f.step(n, n.boot, calls.Arrived{Call: r})
 }
 
 // serve runs a call at its engine.
-func (l *crashHarness) serve(n *fleetMember, d calls.Dispatch, reply func(time.Duration, step.Event)) {
-	e, c := l.f.engines[d.Replica], l.calls[d.ID]
+func (h *crashHarness) serve(n *fleetMember, d calls.Dispatch, reply func(time.Duration, step.Event)) {
+	e, c := h.f.engines[d.Replica], h.calls[d.ID]
 	failed := func(delay time.Duration, b calls.AttemptFailed) {
 		b.ID, b.Attempt = d.ID, d.Attempt
 		reply(delay, b)
 	}
 	switch {
-	case l.f.partitioned(n.id.Zone, e.zone):
+	case h.f.partitioned(n.id.Zone, e.zone):
 		failed(500*time.Millisecond, calls.AttemptFailed{Phase: attempt.NotSent, Detail: "zone unreachable"})
 		return
 	case e.dead:
@@ -141,40 +141,40 @@
 	}
 	c.ran = true
 	if c.poison {
-		l.arrivals[c.request.Forward.Fingerprint] = append(l.arrivals[c.request.Forward.Fingerprint], l.f.now)
+		h.arrivals[c.request.Forward.Fingerprint] = append(h.arrivals[c.request.Forward.Fingerprint], h.f.now)
 	}
 	r := &crashRun{call: c, reply: reply, d: d}
-	l.runs[e.name] = append(l.runs[e.name], r)
+	h.runs[e.name] = append(h.runs[e.name], r)
 	switch {
 	case c.poison:
-		l.f.at(time.Duration(40+l.f.rng.IntN(130))*time.Millisecond, func() {
+		h.f.at(time.Duration(40+h.f.rng.IntN(130))*time.Millisecond, func() {
 			if !r.done {
-				l.terminate(e)
+				h.terminate(e)
 			}
 		})
-	case l.f.rng.Float64() < l.severedShare:
-		l.f.at(100*time.Millisecond, func() {
+	case h.f.rng.Float64() < h.severedShare:
+		h.f.at(100*time.Millisecond, func() {
 			if !r.done {
 				r.sever()
 			}
 		})
 	default:
-		l.run(r)
+		h.run(r)
 	}
 }
 
 // run completes a call normally.
-func (l *crashHarness) run(r *crashRun) {
-	l.f.at(l.f.firstTokenDelay, func() {
+func (h *crashHarness) run(r *crashRun) {
+	h.f.at(h.f.firstTokenDelay, func() {
 		if !r.done {
 			r.began = true
 			r.reply(0, calls.AnswerBegan{ID: r.d.ID})
 		}
 	})
-	l.f.at(time.Duration(100+l.f.rng.IntN(1500))*time.Millisecond, func() {
+	h.f.at(time.Duration(100+h.f.rng.IntN(1500))*time.Millisecond, func() {
 		if !r.done {
 			r.done = true
-			l.served++
+			h.served++
 			r.reply(0, calls.Completed{ID: r.d.ID})
 		}
 	})
@@ -192,13 +192,13 @@
 }
 
 // terminate ends an engine and starts a replacement at its address after restartDelay.
-func (l *crashHarness) terminate(e *fleetEngine) {
+func (h *crashHarness) terminate(e *fleetEngine) {
 	if e.dead {
 		return
 	}
 	e.dead = true
 	poisons := map[crash.Fingerprint]bool{}
-	for _, r := range l.runs[e.name] {
+	for _, r := range h.runs[e.name] {
 		if r.done {
 			continue
 		}
@@ -208,88 +208,88 @@
 		r.sever()
 	}
 	for p := range poisons {
-		l.crashTimes[p] = append(l.crashTimes[p], l.f.now)
+		h.crashTimes[p] = append(h.crashTimes[p], h.f.now)
 	}
-	delete(l.runs, e.name)
-	if !l.keepsEntries {
-		l.f.at(entryLifetime, func() { l.f.setKey("servers/"+e.name, nil) })
+	delete(h.runs, e.name)
+	if !h.keepsEntries {
+		h.f.at(entryLifetime, func() { h.f.setKey("servers/"+e.name, nil) })
 	}
-	l.f.at(restartDelay, func() { l.restart(e) })
+	h.f.at(restartDelay, func() { h.restart(e) })
 }
 
 // restart starts another engine at the address of one that ended, with the same models, so that
 // the fleet does not run out of models.
-func (l *crashHarness) restart(old *fleetEngine) {
-	if l.keepsNames {
-		l.f.restartEngine(old)
+func (h *crashHarness) restart(old *fleetEngine) {
+	if h.keepsNames {
+		h.f.restartEngine(old)
 		return
 	}
 	address := old.address
 	if address == "" {
 		address = old.name
 	}
-	l.startCounts[address]++
+	h.startCounts[address]++
 	e := &fleetEngine{
-		name: fmt.Sprintf("%s.%d", address, l.startCounts[address]), address: address, zone: old.zone,
+		name: fmt.Sprintf("%s.%d", address, h.startCounts[address]), address: address, zone: old.zone,
 		models: old.models, adapters: map[string]bool{}, onDisk: old.onDisk,
 	}
-	l.f.engines[e.name] = e
-	l.f.announce(e)
+	h.f.engines[e.name] = e
+	h.f.announce(e)
 }
 
 // drain announces that an engine leaves, and ends it 2.5 s later, while calls run there.
-func (l *crashHarness) drain(e *fleetEngine) {
-	a := *l.f.store.values["servers/"+e.name].data.(*pool.Announcement)
+func (h *crashHarness) drain(e *fleetEngine) {
+	a := *h.f.store.values["servers/"+e.name].data.(*pool.Announcement)
 	a.Leaving = true
-	l.f.setKey("servers/"+e.name, &fleetValue{data: &a})
-	l.f.at(2500*time.Millisecond, func() { l.terminate(e) })
+	h.f.setKey("servers/"+e.name, &fleetValue{data: &a})
+	h.f.at(2500*time.Millisecond, func() { h.terminate(e) })
 }
 
 // handleFinish handles a final answer that an instance gives itself, and checks that what it
 // reports is true. The caller retries once.
-func (l *crashHarness) handleFinish(a calls.Finish) {
-	c := l.calls[a.ID]
+func (h *crashHarness) handleFinish(a calls.Finish) {
+	c := h.calls[a.ID]
 	if c == nil {
 		return
 	}
 	fingerprint := c.request.Forward.Fingerprint
 	if a.Refusal.Run == code.NotRun && c.ran {
-		l.f.recordViolation("call %d was reported as not run, but it ran", a.ID)
+		h.f.recordViolation("call %d was reported as not run, but it ran", a.ID)
 	}
 	if a.Refusal.Code == codeQuarantined {
-		l.refused[fingerprint]++
+		h.refused[fingerprint]++
 		if !c.poison {
-			l.f.recordViolation("call %d was quarantined, but it crashed no engine", a.ID)
+			h.f.recordViolation("call %d was quarantined, but it crashed no engine", a.ID)
 		}
 	}
 	if c.noRetry {
 		return
 	}
-	n := l.f.randomMember()
-	l.f.at(100*time.Millisecond, func() {
+	n := h.f.randomMember()
+	h.f.at(100*time.Millisecond, func() {
 		if n.dead || n.frozen {
 			return
 		}
-		l.f.nextID()
+		h.f.nextID()
 		r := c.request
 		forward := *r.Forward
 		r.Forward = &forward
-		r.ID = calls.ID(l.f.eventSeq)
-		l.calls[r.ID] = &crashCall{request: r, noRetry: true}
-		l.f.step(n, n.boot, calls.Arrived{Call: r})
+		r.ID = calls.ID(h.f.eventSeq)
+		h.calls[r.ID] = &crashCall{request: r, noRetry: true}
+		h.f.step(n, n.boot, calls.Arrived{Call: r})
 	})
 }
 
 // lateArrivals returns how often a request reached engines later than propagationTime after the
 // third engine crashed under it.
-func (l *crashHarness) lateArrivals(request crash.Fingerprint) int {
-	at := l.crashTimes[request]
+func (h *crashHarness) lateArrivals(request crash.Fingerprint) int {
+	at := h.crashTimes[request]
 	if len(at) < crashLimit {
 		return 0
 	}
-	bound := max(at[crashLimit-1], l.calmSince) + propagationTime
+	bound := max(at[crashLimit-1], h.calmSince) + propagationTime
 	late := 0
-	for _, a := range l.arrivals[request] {
+	for _, a := range h.arrivals[request] {
 		if a > bound {
 			late++
 		}
@@ -298,14 +298,14 @@
 }
 
 // check reports the requests that reached engines too often, and the violations of the fleet.
-func (l *crashHarness) check(t *testing.T) {
+func (h *crashHarness) check(t *testing.T) {
 	t.Helper()
-	for request, at := range l.crashTimes {
-		if lateCount := l.lateArrivals(request); lateCount > crashLimit {
+	for request, at := range h.crashTimes {
+		if lateCount := h.lateArrivals(request); lateCount > crashLimit {
 			t.Errorf("request %v reached engines %d times later than %v after the third crash; %d engines crashed in total", request, lateCount, propagationTime, len(at))
 		}
 	}
-	for _, b := range l.f.violations {
+	for _, b := range h.f.violations {
 		t.Error(b)
 	}
 }
@@ -476,10 +476,10 @@
 }
 
 // randomEngine returns a random engine that is alive, or nil if it finds none.
-func (l *crashHarness) randomEngine() *fleetEngine {
-	names := sortedKeys(l.f.engines)
+func (h *crashHarness) randomEngine() *fleetEngine {
+	names := sortedKeys(h.f.engines)
 	for range len(names) {
-		if e := l.f.engines[names[l.f.rng.IntN(len(names))]]; !e.dead {
+		if e := h.f.engines[names[h.f.rng.IntN(len(names))]]; !e.dead {
 			return e
 		}
 	}
@@ -514,9 +514,9 @@
 }
 
 // ownerOf returns the member that owns an engine.
-func (l *crashHarness) ownerOf(e *fleetEngine) *fleetMember {
-	o := l.f.store.values["owners/"+e.name].data.(*registry.Ownership)
-	return l.f.members[o.Owner]
+func (h *crashHarness) ownerOf(e *fleetEngine) *fleetMember {
+	o := h.f.store.values["owners/"+e.name].data.(*registry.Ownership)
+	return h.f.members[o.Owner]
 }
 
 // TestQuarantineReachesAllInstances checks that all instances quarantine a request within a second
@@ -557,18 +557,18 @@
 
 // runUntilRefusedBy runs the fleet until the given number of members refuse request 1000, and
 // returns the time. It gives up after 30 s.
-func (l *crashHarness) runUntilRefusedBy(members int) time.Duration {
+func (h *crashHarness) runUntilRefusedBy(members int) time.Duration {
 	for range 3000 {
 		n := 0
-		for _, m := range l.f.members {
-			if m.m.quarantine.Remaining(clocktest.At(time.Hour+l.f.now), 1000) > 0 {
+		for _, m := range h.f.members {
+			if m.m.quarantine.Remaining(clocktest.At(time.Hour+h.f.now), 1000) > 0 {
 				n++
 			}
 		}
 		if n >= members {
 			break
 		}
-		l.f.run(10 * time.Millisecond)
+		h.f.run(10 * time.Millisecond)
 	}
-	return l.f.now
+	return h.f.now
 }
