--- a/core/ownership/era.go
+++ b/core/ownership/era.go
@@ -42,35 +42,35 @@
 }
 
 // isFormer reports whether a revision is of a former era.
-func (x *storeEra) isFormer(n era.Revision) bool { return n.Era() < x.current }
+func (s *storeEra) isFormer(n era.Revision) bool { return n.Era() < s.current }
 
 // isFormerLease reports whether a lease is of a former era.
-func (x *storeEra) isFormerLease(l era.Lease) bool { return l.Era < x.current }
+func (s *storeEra) isFormerLease(l era.Lease) bool { return l.Era < s.current }
 
 // isStale reports whether a record meant for the given era is no longer reliable, because
 // later writes to it may have been lost.
-func (x *storeEra) isStale(meant era.Era) bool { return meant < x.current }
+func (s *storeEra) isStale(meant era.Era) bool { return meant < s.current }
 
 // isReady reports whether claims may be decided and written: the records of this era are
 // known, and the era record exists that claims are conditional on.
-func (x *storeEra) isReady() bool {
-	if x.readAt.IsZero() {
+func (s *storeEra) isReady() bool {
+	if s.readAt.IsZero() {
 		return false
 	}
-	return x.current == 0 || x.record != nil
+	return s.current == 0 || s.record != nil
 }
 
 // isFirst reports whether no record of the product can have been lost with a former era,
 // since the store reports no era or the era record says so.
-func (x *storeEra) isFirst() bool { return x.current == 0 || x.record != nil && x.record.First }
+func (s *storeEra) isFirst() bool { return s.current == 0 || s.record != nil && s.record.First }
 
 // recordRevision returns the revision of the era record that claims are conditional on, 0 if
 // there is no such condition.
-func (x *storeEra) recordRevision() era.Revision {
-	if x.record == nil {
+func (s *storeEra) recordRevision() era.Revision {
+	if s.record == nil {
 		return 0
 	}
-	return x.record.Revision
+	return s.record.Revision
 }
 
 // HandleEraObserved handles a call that showed the store's era.
