--- a/core/ownership/claim.go
+++ b/core/ownership/claim.go
@@ -151,10 +151,10 @@
 }
 
 // handleClaimReply handles the result of a write of claims.
-func (g *Registry) handleClaimReply(now clock.Instant, e WriteReply) {
-	g.claims.inFlight = false
+func (r *Registry) handleClaimReply(now clock.Instant, e WriteReply) {
+	r.claims.inFlight = false
 	if e.Err != nil {
-		g.Outage.Observe(now, e.Err)
+		r.Outage.Observe(now, e.Err)
 		return
 	}
 	if e.Conflict {
@@ -163,30 +163,30 @@
 	for _, claim := range e.Write.Claim {
 		first := claim.Revision == 0
 		claim.Revision = e.Revision
-		if g.era.isFormer(e.Revision) {
+		if r.era.isFormer(e.Revision) {
 			continue // the store was restored from an older copy after the write
 		}
-		g.owners[claim.Engine] = claim
-		if own := g.Owned.Get(claim.Engine); own != nil && claim.FormerOwner == "" {
+		r.owners[claim.Engine] = claim
+		if own := r.Owned.Get(claim.Engine); own != nil && claim.FormerOwner == "" {
 			own.Confirm(claim)
 			continue
 		}
-		from := firstOrder(now, claim, first, g.Options)
+		from := firstOrder(now, claim, first, r.Options)
 		if first {
-			from = clock.Latest(from, g.formerOwnerEnd(now))
+			from = clock.Latest(from, r.formerOwnerEnd(now))
 		}
-		g.Owned.Acquire(now, claim, from)
+		r.Owned.Acquire(now, claim, from)
 	}
 }
 
 // formerOwnerEnd returns the time from which an engine without a record may be sent orders:
 // an instance that owned it in a former era, by a record that the store has lost, has
 // stopped sending orders before that. The result is now if there was no former era.
-func (g *Registry) formerOwnerEnd(now clock.Instant) clock.Instant {
-	if g.era.isFirst() {
+func (r *Registry) formerOwnerEnd(now clock.Instant) clock.Instant {
+	if r.era.isFirst() {
 		return now
 	}
-	return g.formerEraExpiry().Add(g.Options.TurnGap)
+	return r.formerEraExpiry().Add(r.Options.TurnGap)
 }
 
 // firstOrder returns when an instance may send the first order to an engine that it has
--- a/core/ownership/enrol.go
+++ b/core/ownership/enrol.go
@@ -37,105 +37,105 @@
 
 // renewOrEnrol renews the lease, or enrols if there is no usable lease or the record was
 // deleted.
-func (g *Registry) renewOrEnrol(now clock.Instant) {
-	l := &g.enrolment
+func (r *Registry) renewOrEnrol(now clock.Instant) {
+	l := &r.enrolment
 	if !l.job.Due(now) || now.Before(l.due) {
 		return
 	}
 	l.job.Begin(now)
-	if l.held && !l.recordDeleted && !g.era.isFormerLease(l.lease) {
-		g.Out.Emit(RenewLease{Lease: l.lease})
+	if l.held && !l.recordDeleted && !r.era.isFormerLease(l.lease) {
+		r.Out.Emit(RenewLease{Lease: l.lease})
 		return
 	}
-	g.Out.Emit(Enrol{Term: g.Options.EnrolTerm, Instance: registry.Instance{
-		Name: g.Self.Name, Zone: g.Self.Zone, Address: g.Self.Address, Boot: g.Self.Boot, Processor: g.Self.Processor,
+	r.Out.Emit(Enrol{Term: r.Options.EnrolTerm, Instance: registry.Instance{
+		Name: r.Self.Name, Zone: r.Self.Zone, Address: r.Self.Address, Boot: r.Self.Boot, Processor: r.Self.Processor,
 	}})
 }
 
 // HandleEnrolReply handles the result of Enrol.
-func (g *Registry) HandleEnrolReply(now clock.Instant, e EnrolReply) {
+func (r *Registry) HandleEnrolReply(now clock.Instant, e EnrolReply) {
 	if e.Err != nil {
-		g.renewalFailed(now, e.Err)
+		r.renewalFailed(now, e.Err)
 		return
 	}
-	l := &g.enrolment
+	l := &r.enrolment
 	l.lease = e.Lease
 	l.held = true
 	l.recordDeleted = false
-	g.observeEra(now, e.Lease.Era)
-	g.renewed(now, e.Sent)
-	g.Out.Log(logevent.Enrolled, "lease", e.Lease)
+	r.observeEra(now, e.Lease.Era)
+	r.renewed(now, e.Sent)
+	r.Out.Log(logevent.Enrolled, "lease", e.Lease)
 }
 
 // HandleRenewReply handles the result of a renewal.
-func (g *Registry) HandleRenewReply(now clock.Instant, e RenewReply) {
+func (r *Registry) HandleRenewReply(now clock.Instant, e RenewReply) {
 	switch {
-	case e.Err != nil && g.era.isFormerLease(e.Lease):
-		g.enrolment.job.End(now) // the store was restored from an older copy; a new lease follows
+	case e.Err != nil && r.era.isFormerLease(e.Lease):
+		r.enrolment.job.End(now) // the store was restored from an older copy; a new lease follows
 	case e.Over:
-		g.Out.Log(logevent.EnrolmentLost, "lease", e.Lease)
-		g.enrolment.held = false
-		g.loseAll(now, "this instance's record went")
-		g.enrolment.job.End(now)
-		g.storeAnswered(now)
+		r.Out.Log(logevent.EnrolmentLost, "lease", e.Lease)
+		r.enrolment.held = false
+		r.loseAll(now, "this instance's record went")
+		r.enrolment.job.End(now)
+		r.storeAnswered(now)
 	case e.Err != nil:
-		g.renewalFailed(now, e.Err)
+		r.renewalFailed(now, e.Err)
 	default:
-		g.renewed(now, e.Sent)
+		r.renewed(now, e.Sent)
 	}
 }
 
-func (g *Registry) renewed(now, sent clock.Instant) {
-	g.storeAnswered(now)
-	g.enrolment.renewedAt = sent
-	g.enrolment.job.End(now.Add(g.renewalInterval()))
+func (r *Registry) renewed(now, sent clock.Instant) {
+	r.storeAnswered(now)
+	r.enrolment.renewedAt = sent
+	r.enrolment.job.End(now.Add(r.renewalInterval()))
 }
 
 // renewalInterval returns the time between renewals. An instance that neither owns engines
 // nor is the placer renews half as often, since it may lose its record briefly without harm.
-func (g *Registry) renewalInterval() time.Duration {
-	if g.Owned.Len() == 0 && !g.placer.held {
-		return 2 * g.Options.KeepEvery
+func (r *Registry) renewalInterval() time.Duration {
+	if r.Owned.Len() == 0 && !r.placer.held {
+		return 2 * r.Options.KeepEvery
 	}
-	return g.Options.KeepEvery
+	return r.Options.KeepEvery
 }
 
 // renewalFailed handles an unanswered call. It restarts the time for which the store has
 // been answering.
-func (g *Registry) renewalFailed(now clock.Instant, err error) {
-	l := &g.enrolment
-	g.Outage.Observe(now, err)
+func (r *Registry) renewalFailed(now clock.Instant, err error) {
+	l := &r.enrolment
+	r.Outage.Observe(now, err)
 	l.backoff = l.backoff.WithFailure()
-	l.job.End(now.Add(l.backoff.Delay(g.Rand)))
-	g.storeUpSince = clock.Instant{}
+	l.job.End(now.Add(l.backoff.Delay(r.Rand)))
+	r.storeUpSince = clock.Instant{}
 }
 
-func (g *Registry) storeAnswered(now clock.Instant) {
-	g.Outage.Observe(now, nil)
-	g.enrolment.backoff = g.enrolment.backoff.WithSuccess()
-	if g.storeUpSince.IsZero() {
-		g.storeUpSince = now
+func (r *Registry) storeAnswered(now clock.Instant) {
+	r.Outage.Observe(now, nil)
+	r.enrolment.backoff = r.enrolment.backoff.WithSuccess()
+	if r.storeUpSince.IsZero() {
+		r.storeUpSince = now
 	}
 }
 
 // Resign releases the engines and the placer's task and ends the lease, at a planned
 // stop. loads is the number of loads from the weight store that the placer could start
 // now. It is used only if this instance is the placer.
-func (g *Registry) Resign(now clock.Instant, loads float64) {
-	if !g.enrolment.held {
+func (r *Registry) Resign(now clock.Instant, loads float64) {
+	if !r.enrolment.held {
 		return
 	}
 	var placer *registry.Placer
-	if g.placer.held {
-		placer = &registry.Placer{Loads: loads, Era: g.era.current, Revision: g.placer.record.Revision}
+	if r.placer.held {
+		placer = &registry.Placer{Loads: loads, Era: r.era.current, Revision: r.placer.record.Revision}
 	}
 	var released []registry.Ownership
-	for _, name := range g.Owned.Names() {
-		o := registry.Ownership{Engine: name, Era: g.era.current, Revision: g.owners[name].Revision}
-		o.QuietMS = g.Owned.Get(name).SinceLastOrder(now).Milliseconds()
+	for _, name := range r.Owned.Names() {
+		o := registry.Ownership{Engine: name, Era: r.era.current, Revision: r.owners[name].Revision}
+		o.QuietMS = r.Owned.Get(name).SinceLastOrder(now).Milliseconds()
 		released = append(released, o)
 	}
-	g.Owned.LoseAll(now, "this instance stops")
-	g.enrolment.held = false
-	g.Out.Emit(Resign{Lease: g.enrolment.lease, Give: released, Placer: placer, Depends: g.era.recordRevision()})
+	r.Owned.LoseAll(now, "this instance stops")
+	r.enrolment.held = false
+	r.Out.Emit(Resign{Lease: r.enrolment.lease, Give: released, Placer: placer, Depends: r.era.recordRevision()})
 }
--- a/core/ownership/era.go
+++ b/core/ownership/era.go
@@ -74,18 +74,18 @@
 }
 
 // HandleEraObserved handles a call that showed the store's era.
-func (g *Registry) HandleEraObserved(now clock.Instant, e EraObserved) { g.observeEra(now, e.Era) }
+func (r *Registry) HandleEraObserved(now clock.Instant, e EraObserved) { r.observeEra(now, e.Era) }
 
 // observeEra records that the store is, or has been, in the given era.
-func (g *Registry) observeEra(now clock.Instant, e era.Era) {
-	x := &g.era
+func (r *Registry) observeEra(now clock.Instant, e era.Era) {
+	x := &r.era
 	if x.known && e <= x.current {
 		return
 	}
 	former := *x
 	*x = storeEra{known: true, current: e, since: now, rolledBack: former.known}
 	if former.known {
-		g.handleRollback(now, former)
+		r.handleRollback(now, former)
 	}
 }
 
@@ -93,87 +93,87 @@
 // up engines that may still receive orders of a former owner, and schedules a new lease and
 // new claims at once. An instance that neither owns engines nor is the placer delays its new
 // lease at random, to spread the writes.
-func (g *Registry) handleRollback(now clock.Instant, former storeEra) {
-	g.Out.Log(logevent.StoreSteppedBack, "era", uint64(g.era.current), "former", uint64(former.current), "engines", g.Owned.Len())
-	g.era.formerValidUntil = now.Add(g.Options.OrderValid)
-	g.Owned.LoseUnsettled(now, "the store went back before the orders of a former owner had ended")
-	g.claims.due = now
-	g.placer.claimDue = now
-	g.enrolment.due = now
-	if g.Owned.Len() == 0 && !g.placer.held {
-		spread := time.Duration(g.Members.Size()) * reenrolSpacing
-		g.enrolment.due = now.Add(time.Duration(g.Rand.Float64() * float64(spread)))
-	}
-	g.SteppedBack(now)
+func (r *Registry) handleRollback(now clock.Instant, former storeEra) {
+	r.Out.Log(logevent.StoreSteppedBack, "era", uint64(r.era.current), "former", uint64(former.current), "engines", r.Owned.Len())
+	r.era.formerValidUntil = now.Add(r.Options.OrderValid)
+	r.Owned.LoseUnsettled(now, "the store went back before the orders of a former owner had ended")
+	r.claims.due = now
+	r.placer.claimDue = now
+	r.enrolment.due = now
+	if r.Owned.Len() == 0 && !r.placer.held {
+		spread := time.Duration(r.Members.Size()) * reenrolSpacing
+		r.enrolment.due = now.Add(time.Duration(r.Rand.Float64() * float64(spread)))
+	}
+	r.SteppedBack(now)
 }
 
 // formerEraExpiry returns the time from which no instance sends orders by an ownership of a
 // former era that it has not claimed again. Each such owner observed the new era while its
 // ownership was valid, at most OrderValid after the rollback, and gives the ownership up
 // OrderValid after that.
-func (g *Registry) formerEraExpiry() clock.Instant {
-	return g.era.since.Add(2*g.Options.OrderValid + turnMargin)
+func (r *Registry) formerEraExpiry() clock.Instant {
+	return r.era.since.Add(2*r.Options.OrderValid + turnMargin)
 }
 
 // MayOrderWithFence reports whether this instance may send orders with the given fence. A
 // fence of a former era is valid only until formerValidUntil; the engine must be claimed
 // again before that.
-func (g *Registry) MayOrderWithFence(now clock.Instant, fence era.Revision) bool {
-	return g.MayOrder(now) && (!g.era.isFormer(fence) || now.Before(g.era.formerValidUntil))
+func (r *Registry) MayOrderWithFence(now clock.Instant, fence era.Revision) bool {
+	return r.MayOrder(now) && (!r.era.isFormer(fence) || now.Before(r.era.formerValidUntil))
 }
 
 // dropFormerRecords removes the known ownerships and the placer of former eras, whose records
 // are not in the complete set of the new era.
-func (g *Registry) dropFormerRecords(now clock.Instant) {
-	for engine, o := range g.owners {
-		if g.era.isFormer(o.Revision) {
-			delete(g.owners, engine)
+func (r *Registry) dropFormerRecords(now clock.Instant) {
+	for engine, o := range r.owners {
+		if r.era.isFormer(o.Revision) {
+			delete(r.owners, engine)
 		}
 	}
-	if g.placer.record.Name != "" && g.era.isFormer(g.placer.record.Revision) {
-		g.applyPlacer(now, registry.Placer{})
+	if r.placer.record.Name != "" && r.era.isFormer(r.placer.record.Revision) {
+		r.applyPlacer(now, registry.Placer{})
 	}
 }
 
 // loseFormer gives up the engines and the placer's task of a former era that were not claimed
 // again in time.
-func (g *Registry) loseFormer(now clock.Instant) {
-	if !g.era.rolledBack || now.Before(g.era.formerValidUntil) {
+func (r *Registry) loseFormer(now clock.Instant) {
+	if !r.era.rolledBack || now.Before(r.era.formerValidUntil) {
 		return
 	}
-	for _, name := range g.Owned.Names() {
-		if g.era.isFormer(g.Owned.Get(name).Fence) {
-			g.Owned.Lose(now, name, "it was not claimed again after the store went back")
+	for _, name := range r.Owned.Names() {
+		if r.era.isFormer(r.Owned.Get(name).Fence) {
+			r.Owned.Lose(now, name, "it was not claimed again after the store went back")
 		}
 	}
-	if g.era.isFormer(g.placer.fence) {
-		g.placer.held = false
+	if r.era.isFormer(r.placer.fence) {
+		r.placer.held = false
 	}
 }
 
 // writeEraRecord writes the record of the current era if there is none. All claims are
 // conditional on that record, so delayed claims that were meant for a former era can no
 // longer take effect. Instances try in the order of their rank.
-func (g *Registry) writeEraRecord(now clock.Instant) {
-	x := &g.era
-	if x.current == 0 || x.record != nil || x.writing || x.readAt.IsZero() || now.Before(x.writeDue) || !g.Roster.IncludesSelf(now) {
+func (r *Registry) writeEraRecord(now clock.Instant) {
+	x := &r.era
+	if x.current == 0 || x.record != nil || x.writing || x.readAt.IsZero() || now.Before(x.writeDue) || !r.Roster.IncludesSelf(now) {
 		return
 	}
-	if now.Before(x.readAt.Add(time.Duration(g.PlacerRank(now)) * claimRankDelay)) {
+	if now.Before(x.readAt.Add(time.Duration(r.PlacerRank(now)) * claimRankDelay)) {
 		return
 	}
 	x.writing = true
-	record := registry.EraRecord{Era: x.current, First: !x.rolledBack && !g.hasStale()}
-	g.Out.Emit(Write{Write: Txn{Mark: &record, Former: g.formerEraRecords}})
+	record := registry.EraRecord{Era: x.current, First: !x.rolledBack && !r.hasStale()}
+	r.Out.Emit(Write{Write: Txn{Mark: &record, Former: r.formerEraRecords}})
 }
 
 // hasStale reports whether any record of a former era is known.
-func (g *Registry) hasStale() bool {
-	if len(g.formerEraRecords) > 0 || g.placer.record.Name != "" && g.era.isStale(g.placer.record.Era) {
+func (r *Registry) hasStale() bool {
+	if len(r.formerEraRecords) > 0 || r.placer.record.Name != "" && r.era.isStale(r.placer.record.Era) {
 		return true
 	}
-	for _, o := range g.owners {
-		if g.era.isStale(o.Era) {
+	for _, o := range r.owners {
+		if r.era.isStale(o.Era) {
 			return true
 		}
 	}
@@ -181,28 +181,28 @@
 }
 
 // handleEraRecordReply handles the result of writing the era record.
-func (g *Registry) handleEraRecordReply(now clock.Instant, e WriteReply) {
-	g.era.writing = false
-	g.era.writeDue = now.Add(claimInterval)
+func (r *Registry) handleEraRecordReply(now clock.Instant, e WriteReply) {
+	r.era.writing = false
+	r.era.writeDue = now.Add(claimInterval)
 	if e.Err != nil {
-		g.Outage.Observe(now, e.Err)
+		r.Outage.Observe(now, e.Err)
 		return
 	}
-	if e.Conflict || e.Write.Mark.Era != g.era.current {
+	if e.Conflict || e.Write.Mark.Era != r.era.current {
 		return // the watch returns the record that exists
 	}
 	record := *e.Write.Mark
 	record.Revision = e.Revision
-	g.applyEraRecord(record)
+	r.applyEraRecord(record)
 }
 
 // applyEraRecord applies an era record.
-func (g *Registry) applyEraRecord(m registry.EraRecord) {
+func (r *Registry) applyEraRecord(m registry.EraRecord) {
 	switch {
-	case m.Era == g.era.current:
-		g.era.record = &m
-		g.formerEraRecords = nil // they were deleted with the write of this one
-	case m.Era < g.era.current && !slices.Contains(g.formerEraRecords, m.Era):
-		g.formerEraRecords = append(g.formerEraRecords, m.Era)
+	case m.Era == r.era.current:
+		r.era.record = &m
+		r.formerEraRecords = nil // they were deleted with the write of this one
+	case m.Era < r.era.current && !slices.Contains(r.formerEraRecords, m.Era):
+		r.formerEraRecords = append(r.formerEraRecords, m.Era)
 	}
 }
--- a/core/ownership/ownership.go
+++ b/core/ownership/ownership.go
@@ -179,17 +179,17 @@
 
 // Tick renews this instance's lease, writes the era record if needed, and claims engines.
 // It gives up all engines when this instance may not send orders any more.
-func (g *Registry) Tick(now clock.Instant) {
-	if g.Stopping() {
+func (r *Registry) Tick(now clock.Instant) {
+	if r.Stopping() {
 		return
 	}
-	if reason := g.denial(now); reason != allowed {
-		g.loseAll(now, string(reason))
+	if reason := r.denial(now); reason != allowed {
+		r.loseAll(now, string(reason))
 	}
-	g.loseFormer(now)
-	g.renewOrEnrol(now)
-	g.writeEraRecord(now)
-	g.claim(now)
+	r.loseFormer(now)
+	r.renewOrEnrol(now)
+	r.writeEraRecord(now)
+	r.claim(now)
 }
 
 // A denial is the reason why an owner may not send orders, "" if it may.
@@ -232,51 +232,51 @@
 }
 
 // denial returns why this instance may not send orders now, "" if it may.
-func (g *Registry) denial(now clock.Instant) denial {
-	s := orderEligibility{stopping: g.Stopping(), renewedAt: g.enrolment.renewedAt, watchedAt: g.watchedAt}
-	if g.Options.Disable.HearRegistry {
+func (r *Registry) denial(now clock.Instant) denial {
+	s := orderEligibility{stopping: r.Stopping(), renewedAt: r.enrolment.renewedAt, watchedAt: r.watchedAt}
+	if r.Options.Disable.HearRegistry {
 		s.watchedAt = now
 	}
-	return s.denial(now, g.Options.OrderValid)
+	return s.denial(now, r.Options.OrderValid)
 }
 
 // MayOrder reports whether this instance is certain to still hold its ownerships.
-func (g *Registry) MayOrder(now clock.Instant) bool { return g.denial(now) == allowed }
+func (r *Registry) MayOrder(now clock.Instant) bool { return r.denial(now) == allowed }
 
 // loseAll gives up all engines and the task of the placer. Other instances may have
 // claimed them without the knowledge of this one, so it must claim them again.
-func (g *Registry) loseAll(now clock.Instant, reason string) {
-	g.Owned.LoseAll(now, reason)
-	g.placer.held = false
+func (r *Registry) loseAll(now clock.Instant, reason string) {
+	r.Owned.LoseAll(now, reason)
+	r.placer.held = false
 }
 
 // WatchAnswered records that a watch of the store, sent at the time sent, was answered.
-func (g *Registry) WatchAnswered(sent clock.Instant) { g.watchedAt = sent }
+func (r *Registry) WatchAnswered(sent clock.Instant) { r.watchedAt = sent }
 
 // Instances returns the instances that have a record, keyed by name. Callers must not
 // change the map.
-func (g *Registry) Instances() map[string]registry.Instance { return g.instances }
+func (r *Registry) Instances() map[string]registry.Instance { return r.instances }
 
 // Owner returns the newest known ownership of an engine. ok is false if none is known.
-func (g *Registry) Owner(engine string) (o registry.Ownership, ok bool) {
-	o, ok = g.owners[engine]
+func (r *Registry) Owner(engine string) (o registry.Ownership, ok bool) {
+	o, ok = r.owners[engine]
 	return o, ok
 }
 
 // HandleWatchUpdate applies the records that a watch returned.
-func (g *Registry) HandleWatchUpdate(now clock.Instant, e WatchUpdate) {
-	g.observeEra(now, e.Version.Era())
-	if e.Version.Era() < g.era.current {
+func (r *Registry) HandleWatchUpdate(now clock.Instant, e WatchUpdate) {
+	r.observeEra(now, e.Version.Era())
+	if e.Version.Era() < r.era.current {
 		return // sent before the store was restored from an older copy
 	}
 	records := e.Records
 	if e.Whole {
-		records = append(slices.Clone(records), g.Records.Missing(records, e.Version)...)
+		records = append(slices.Clone(records), r.Records.Missing(records, e.Version)...)
 	}
-	g.Merge(now, "", records)
-	if e.Whole && g.era.readAt.IsZero() {
-		g.era.readAt = now
-		g.dropFormerRecords(now)
+	r.Merge(now, "", records)
+	if e.Whole && r.era.readAt.IsZero() {
+		r.era.readAt = now
+		r.dropFormerRecords(now)
 	}
 }
 
@@ -301,89 +301,89 @@
 	}
 }
 
-func (g *Registry) apply(now clock.Instant, c registry.Change) {
+func (r *Registry) apply(now clock.Instant, c registry.Change) {
 	for _, key := range c.Unreadable {
-		g.Out.Log(logevent.RecordUnreadable, "key", key)
+		r.Out.Log(logevent.RecordUnreadable, "key", key)
 	}
 	for _, i := range c.Instances {
-		g.instances[i.Name] = i
-		delete(g.absentSince, i.Name)
-		g.Members.Upsert(i.Name, i.Zone, i.Address)
+		r.instances[i.Name] = i
+		delete(r.absentSince, i.Name)
+		r.Members.Upsert(i.Name, i.Zone, i.Address)
 	}
 	for _, name := range c.GoneInstances {
-		g.applyInstanceDeleted(now, name)
+		r.applyInstanceDeleted(now, name)
 	}
 	for _, m := range c.Marks {
-		g.applyEraRecord(m)
+		r.applyEraRecord(m)
 	}
 	for _, o := range c.Owners {
-		g.applyOwnership(now, o)
+		r.applyOwnership(now, o)
 	}
 	for _, engine := range c.GoneOwners {
-		delete(g.owners, engine)
-		g.loseUnlessFormer(now, engine, "its record went")
+		delete(r.owners, engine)
+		r.loseUnlessFormer(now, engine, "its record went")
 	}
 	for _, q := range c.Quarantines {
-		g.Quarantined(now, q)
+		r.Quarantined(now, q)
 	}
 	if c.Placer != nil {
-		g.applyPlacer(now, *c.Placer)
+		r.applyPlacer(now, *c.Placer)
 	}
 	if c.PlacerGone {
-		g.applyPlacer(now, registry.Placer{})
+		r.applyPlacer(now, registry.Placer{})
 	}
 }
 
-func (g *Registry) applyInstanceDeleted(now clock.Instant, name string) {
-	delete(g.instances, name)
-	if name == g.Self.Name {
+func (r *Registry) applyInstanceDeleted(now clock.Instant, name string) {
+	delete(r.instances, name)
+	if name == r.Self.Name {
 		// The next renewal shows whether the lease still exists. After a restore of the store,
 		// the record may have been attached to another instance's lease and deleted with it,
 		// while this instance's own lease exists.
-		g.enrolment.recordDeleted = g.era.rolledBack
+		r.enrolment.recordDeleted = r.era.rolledBack
 		return
 	}
-	if _, ok := g.absentSince[name]; !ok {
-		g.absentSince[name] = now
+	if _, ok := r.absentSince[name]; !ok {
+		r.absentSince[name] = now
 	}
 }
 
 // applyOwnership applies one ownership, which any instance may have written.
-func (g *Registry) applyOwnership(now clock.Instant, o registry.Ownership) {
-	if old, ok := g.owners[o.Engine]; ok && old.Revision > o.Revision {
+func (r *Registry) applyOwnership(now clock.Instant, o registry.Ownership) {
+	if old, ok := r.owners[o.Engine]; ok && old.Revision > o.Revision {
 		return
 	}
-	g.owners[o.Engine] = o
-	g.learntAt[o.Engine] = now
+	r.owners[o.Engine] = o
+	r.learntAt[o.Engine] = now
 	switch {
-	case o.Owner == g.Self.Name && o.Boot == g.Self.Boot:
-	case g.era.isStale(o.Era):
-		g.loseUnlessFormer(now, o.Engine, "another instance's record came after this one's")
+	case o.Owner == r.Self.Name && o.Boot == r.Self.Boot:
+	case r.era.isStale(o.Era):
+		r.loseUnlessFormer(now, o.Engine, "another instance's record came after this one's")
 	default:
-		g.Owned.Lose(now, o.Engine, "another instance took it")
+		r.Owned.Lose(now, o.Engine, "another instance took it")
 	}
 }
 
 // loseUnlessFormer ends the ownership of an engine unless it was claimed in a former era of
 // the store. No other instance can have claimed such an engine yet, whatever its record says
 // and even if the record was deleted.
-func (g *Registry) loseUnlessFormer(now clock.Instant, engine, reason string) {
-	if e := g.Owned.Get(engine); e == nil || g.era.isFormer(e.Fence) {
+func (r *Registry) loseUnlessFormer(now clock.Instant, engine, reason string) {
+	if e := r.Owned.Get(engine); e == nil || r.era.isFormer(e.Fence) {
 		return
 	}
-	g.Owned.Lose(now, engine, reason)
+	r.Owned.Lose(now, engine, reason)
 }
 
 // HandleWriteReply handles the result of a write. After an error or a conflict, the watch
 // returns the records that the store holds.
-func (g *Registry) HandleWriteReply(now clock.Instant, e WriteReply) {
+func (r *Registry) HandleWriteReply(now clock.Instant, e WriteReply) {
 	switch {
 	case e.Write.Mark != nil:
-		g.handleEraRecordReply(now, e)
+		r.handleEraRecordReply(now, e)
 		return
 	case e.Write.Placer != nil:
-		g.handlePlacerReply(now, e)
+		r.handlePlacerReply(now, e)
 		return
 	}
-	g.handleClaimReply(now, e)
+	r.handleClaimReply(now, e)
 }
--- a/core/ownership/rank.go
+++ b/core/ownership/rank.go
@@ -20,17 +20,17 @@
 }
 
 // self returns this instance as a candidate.
-func (g *Registry) self() candidate {
-	return candidate{name: g.Self.Name, zone: g.Self.Zone, processor: g.Self.Processor}
+func (r *Registry) self() candidate {
+	return candidate{name: r.Self.Name, zone: r.Self.Zone, processor: r.Self.Processor}
 }
 
 // candidates returns the instances that watch the store, including this one if it is one
 // of them.
-func (g *Registry) candidates(now clock.Instant) []candidate {
+func (r *Registry) candidates(now clock.Instant) []candidate {
 	var all []candidate
-	for _, zone := range g.Roster.Zones() {
-		for _, name := range g.Roster.InZone(now, zone) {
-			all = append(all, candidate{name: name, zone: zone, processor: g.instances[name].Processor})
+	for _, zone := range r.Roster.Zones() {
+		for _, name := range r.Roster.InZone(now, zone) {
+			all = append(all, candidate{name: name, zone: zone, processor: r.instances[name].Processor})
 		}
 	}
 	return all
