--- a/core/ownership/era_test.go
+++ b/core/ownership/era_test.go
@@ -54,11 +54,11 @@
 }
 
 // receiveAll delivers the complete records of an era: the given ones and the era record.
-func (b *registryHarness) receiveAll(e era.Era, records ...registry.Record) {
+func (h *registryHarness) receiveAll(e era.Era, records ...registry.Record) {
 	eraRecord := registry.EraRecord{Era: e, First: e == 1}
 	records = append(records, record(e, 3, eraRecord.Value()))
-	b.g.HandleWatchUpdate(b.now, WatchUpdate{Records: records, Version: e.Revision(50), Whole: true})
-	b.g.WatchAnswered(b.now)
+	h.g.HandleWatchUpdate(h.now, WatchUpdate{Records: records, Version: e.Revision(50), Whole: true})
+	h.g.WatchAnswered(h.now)
 }
 
 // record returns v as a record with the given revision of an era.
@@ -67,33 +67,33 @@
 }
 
 // enrol delivers the reply that this instance has a lease of era e.
-func (b *registryHarness) enrol(e era.Era) {
-	b.g.HandleEnrolReply(b.now, EnrolReply{Sent: b.now, Lease: era.Lease{Era: e, ID: 9}})
+func (h *registryHarness) enrol(e era.Era) {
+	h.g.HandleEnrolReply(h.now, EnrolReply{Sent: h.now, Lease: era.Lease{Era: e, ID: 9}})
 }
 
 // advance advances the time by span while the store answers watches and renewals.
-func (b *registryHarness) advance(span time.Duration) {
-	for end := b.now.Add(span); b.now.Before(end); {
-		b.now = b.now.Add(100 * time.Millisecond)
-		b.g.WatchAnswered(b.now)
-		if b.g.enrolment.held {
-			b.g.renewed(b.now, b.now)
+func (h *registryHarness) advance(span time.Duration) {
+	for end := h.now.Add(span); h.now.Before(end); {
+		h.now = h.now.Add(100 * time.Millisecond)
+		h.g.WatchAnswered(h.now)
+		if h.g.enrolment.held {
+			h.g.renewed(h.now, h.now)
 		}
 	}
 }
 
 // tick runs one tick and returns its actions.
-func (b *registryHarness) tick() []step.Action {
-	b.g.Out.Reset()
-	b.g.Tick(b.now)
-	return b.g.Out.Actions()
+func (h *registryHarness) tick() []step.Action {
+	h.g.Out.Reset()
+	h.g.Tick(h.now)
+	return h.g.Out.Actions()
 }
 
 // awaitClaims advances the time by at most limit until claims are written, and returns their
 // transaction.
-func (b *registryHarness) awaitClaims(limit time.Duration) (Txn, bool) {
-	for end := b.now.Add(limit); b.now.Before(end); b.advance(100 * time.Millisecond) {
-		for _, a := range b.tick() {
+func (h *registryHarness) awaitClaims(limit time.Duration) (Txn, bool) {
+	for end := h.now.Add(limit); h.now.Before(end); h.advance(100 * time.Millisecond) {
+		for _, a := range h.tick() {
 			if w, ok := a.(Write); ok && len(w.Write.Claim) > 0 {
 				return w.Write, true
 			}
@@ -118,9 +118,9 @@
 }
 
 // mayOrder reports whether the instance may send orders to engine e.
-func (b *registryHarness) mayOrder() bool {
-	e := b.g.Owned.Get("e")
-	return e != nil && b.g.Owned.Orderable(b.now, e)
+func (h *registryHarness) mayOrder() bool {
+	e := h.g.Owned.Get("e")
+	return e != nil && h.g.Owned.Orderable(h.now, e)
 }
 
 // ownerRecord returns the ownership record of engine e for the owner name, written for the
