--- a/internal/server/forward_test.go
+++ b/internal/server/forward_test.go
@@ -230,17 +230,17 @@
 
 // awaitReady waits until the instance answers and, if ready, until it is ready and knows
 // its replicas.
-func (s *testInstance) awaitReady(ready bool) {
-	s.t.Helper()
+func (i *testInstance) awaitReady(ready bool) {
+	i.t.Helper()
 	deadline := time.Now().Add(10 * time.Second)
 	for time.Now().Before(deadline) {
-		st, err := s.server.shell.Status(context.Background())
-		if err == nil && (!ready || st.Ready && len(st.Upstreams) == len(s.replicas)) {
+		st, err := i.server.shell.Status(context.Background())
+		if err == nil && (!ready || st.Ready && len(st.Upstreams) == len(i.replicas)) {
 			return
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	s.t.Fatal("the instance did not become ready")
+	i.t.Fatal("the instance did not become ready")
 }
 
 // A callResult is what a caller received.
@@ -251,11 +251,11 @@
 	err    error // error of the call or of reading the body
 }
 
-func (s *testInstance) send(method, host, path, body string) callResult {
-	s.t.Helper()
-	req, err := http.NewRequest(method, "http://"+s.address+path, strings.NewReader(body))
+func (i *testInstance) send(method, host, path, body string) callResult {
+	i.t.Helper()
+	req, err := http.NewRequest(method, "http://"+i.address+path, strings.NewReader(body))
 	if err != nil {
-		s.t.Fatal(err)
+		i.t.Fatal(err)
 	}
 	req.Host = host
 	req.Header.Set(forward.OwnFormat.CallID, "call-1")
@@ -269,9 +269,9 @@
 	return callResult{status: resp.StatusCode, header: resp.Header, body: string(data), err: err}
 }
 
-func (s *testInstance) requests() int {
+func (i *testInstance) requests() int {
 	n := 0
-	for _, r := range s.replicas {
+	for _, r := range i.replicas {
 		n += r.requests()
 	}
 	return n
--- a/internal/server/notice_test.go
+++ b/internal/server/notice_test.go
@@ -33,13 +33,13 @@
 
 // awaitUpstream waits up to 5 s until seen returns true for any of the replicas and returns
 // the status of all; ok is false if that did not happen in time.
-func (s *testInstance) awaitUpstream(seen func(instance.ReplicaStatus) bool) (statuses []instance.ReplicaStatus, ok bool) {
-	s.t.Helper()
+func (i *testInstance) awaitUpstream(seen func(instance.ReplicaStatus) bool) (statuses []instance.ReplicaStatus, ok bool) {
+	i.t.Helper()
 	deadline := time.Now().Add(5 * time.Second)
 	for time.Now().Before(deadline) {
-		st, err := s.server.shell.Status(context.Background())
+		st, err := i.server.shell.Status(context.Background())
 		if err != nil {
-			s.t.Fatal(err)
+			i.t.Fatal(err)
 		}
 		for _, u := range st.Upstreams {
 			if seen(u) {
--- a/internal/server/silence_test.go
+++ b/internal/server/silence_test.go
@@ -20,8 +20,8 @@
 const silenceSlack = 3 * time.Second
 
 // silenceReplicas makes the open connections to replicas go silent permanently.
-func (s *testInstance) silenceReplicas() {
-	for _, r := range s.replicas {
+func (i *testInstance) silenceReplicas() {
+	for _, r := range i.replicas {
 		r.proxy.Silence()
 	}
 }
@@ -116,13 +116,13 @@
 }
 
 // dial opens a connection to the instance's callers' listener.
-func (s *testInstance) dial() net.Conn {
-	s.t.Helper()
-	conn, err := net.Dial("tcp", s.address)
+func (i *testInstance) dial() net.Conn {
+	i.t.Helper()
+	conn, err := net.Dial("tcp", i.address)
 	if err != nil {
-		s.t.Fatal(err)
+		i.t.Fatal(err)
 	}
-	s.t.Cleanup(func() { _ = conn.Close() })
+	i.t.Cleanup(func() { _ = conn.Close() })
 	return conn
 }
 
