--- a/internal/shell/shell.go
+++ b/internal/shell/shell.go
@@ -237,22 +237,22 @@
 
 // SetInterrupt sets the function that cancels the attempt in flight. It is called if the
 // call ends during the attempt, as when a stop cuts the call off.
-func (c Session) SetInterrupt(cancel context.CancelFunc) { c.mailbox.interrupt.Store(&cancel) }
+func (s Session) SetInterrupt(cancel context.CancelFunc) { s.mailbox.interrupt.Store(&cancel) }
 
 // AnswerBegan tells the machine that the first piece of the answer arrived.
-func (c Session) AnswerBegan() { c.shell.post(calls.AnswerBegan{ID: c.ID}) }
+func (s Session) AnswerBegan() { s.shell.post(calls.AnswerBegan{ID: s.ID}) }
 
 // Completed tells the machine that the answer is complete; pause is the longest time
 // between two of its pieces.
-func (c Session) Completed(pause time.Duration) { c.end(calls.Completed{ID: c.ID, Pause: pause}) }
+func (s Session) Completed(pause time.Duration) { s.end(calls.Completed{ID: s.ID, Pause: pause}) }
 
 // CallerGone tells the machine that the caller disconnected.
-func (c Session) CallerGone() { c.end(calls.CallerGone{ID: c.ID}) }
+func (s Session) CallerGone() { s.end(calls.CallerGone{ID: s.ID}) }
 
 // AttemptFailed tells the machine that an attempt failed.
-func (c Session) AttemptFailed(failure calls.AttemptFailed) {
-	failure.ID = c.ID
-	c.shell.post(failure)
+func (s Session) AttemptFailed(failure calls.AttemptFailed) {
+	failure.ID = s.ID
+	s.shell.post(failure)
 }
 
 func (c Session) end(ev step.Event) {
