--- a/internal/upstream/unread.go
+++ b/internal/upstream/unread.go
@@ -108,10 +108,10 @@
 }
 
 // RoundTrip implements http.RoundTripper.
-func (o inspectedTransport) RoundTrip(req *http.Request) (*http.Response, error) {
-	resp, err := o.RoundTripper.RoundTrip(req)
+func (t inspectedTransport) RoundTrip(req *http.Request) (*http.Response, error) {
+	resp, err := t.RoundTripper.RoundTrip(req)
 	if err == nil {
-		o.detector.Inspect(resp.Header)
+		t.detector.Inspect(resp.Header)
 	}
 	return resp, err
 }
