--- a/core/ownership/era_test.go
+++ b/core/ownership/era_test.go
@@ -27,7 +27,7 @@
 	now clock.Instant
 }
 
-// newRegistryHarness returns the bench of an instance that knows no records.
+// newRegistryHarness returns the harness of an instance that knows no records.
 func newRegistryHarness(t *testing.T) *registryHarness {
 	b := &registryHarness{T: t, now: clocktest.At(time.Hour)}
 	g := testRegistry(b.now)
@@ -44,7 +44,7 @@
 	return b
 }
 
-// newInEra returns the bench of an instance that has enrolled in era e and knows all of its
+// newInEra returns the harness of an instance that has enrolled in era e and knows all of its
 // records.
 func newInEra(t *testing.T, e era.Era, records ...registry.Record) *registryHarness {
 	b := newRegistryHarness(t)
@@ -102,7 +102,7 @@
 	return Txn{}, false
 }
 
-// newOwner returns the bench of an instance that owns engine e in era 1 and may order it.
+// newOwner returns the harness of an instance that owns engine e in era 1 and may order it.
 func newOwner(t *testing.T) *registryHarness {
 	b := newInEra(t, 1)
 	w, ok := b.awaitClaims(5 * time.Second)
