--- a/core/ownership/claim.go
+++ b/core/ownership/claim.go
@@ -50,11 +50,11 @@
 	}
 	var claims []registry.Ownership
 	candidates := sync.OnceValue(func() []candidate { return g.candidates(now) }) // computed lazily: most checks find nothing to claim
-	for _, r := range g.Pool.All() {
-		if !r.Announced || r.Kind != pool.Engine || !r.Usable() || len(claims) == registry.MaxClaims {
+	for _, replica := range g.Pool.All() {
+		if !replica.Announced || replica.Kind != pool.Engine || !replica.Usable() || len(claims) == registry.MaxClaims {
 			continue
 		}
-		if c, ok := g.claimOf(now, r, candidates); ok {
+		if c, ok := g.claimOf(now, replica, candidates); ok {
 			claims = append(claims, c)
 		}
 	}
