--- a/core/ownership/claim.go
+++ b/core/ownership/claim.go
@@ -67,10 +67,10 @@
 
 // claimOf returns the claim of an engine. ok reports whether this instance should write
 // it now.
-func (g *Registry) claimOf(now clock.Instant, r *pool.Replica, candidates func() []candidate) (claim registry.Ownership, ok bool) {
-	old, owned := g.owners[r.Name]
-	claim = registry.Ownership{Engine: r.Name, Owner: g.Self.Name, Boot: g.Self.Boot, Era: g.era.current, Revision: old.Revision}
-	if e := g.Owned.Get(r.Name); e != nil {
+func (g *Registry) claimOf(now clock.Instant, replica *pool.Replica, candidates func() []candidate) (claim registry.Ownership, ok bool) {
+	old, owned := g.owners[replica.Name]
+	claim = registry.Ownership{Engine: replica.Name, Owner: g.Self.Name, Boot: g.Self.Boot, Era: g.era.current, Revision: old.Revision}
+	if e := g.Owned.Get(replica.Name); e != nil {
 		// Rewrite the record without the former owner once none of its orders can be
 		// in flight any more. Also rewrite it after the store was restored from an
 		// older copy.
@@ -93,12 +93,12 @@
 	case owned:
 		claim.FormerOwner = old.Owner
 	}
-	since, free := g.engineView(now, r, old, owned).freeSince(g.Options.AbsentFor)
+	since, free := g.engineView(now, replica, old, owned).freeSince(g.Options.AbsentFor)
 	if !free {
 		return claim, false
 	}
 	// If the instance of the highest rank does not claim, the next one does.
-	return claim, !now.Before(since.Add(time.Duration(ownerRank(r.Name, r.Zone, g.self(), candidates())) * claimRankDelay))
+	return claim, !now.Before(since.Add(time.Duration(ownerRank(replica.Name, replica.Zone, g.self(), candidates())) * claimRankDelay))
 }
 
 // An engineView holds what is known about the owner of an engine.
