--- a/core/ownership/claim.go
+++ b/core/ownership/claim.go
@@ -114,8 +114,8 @@
 
 // engineView returns what is known about the owner of an engine. An owner without a
 // record counts as absent from the first check that finds the record missing.
-func (g *Registry) engineView(now clock.Instant, r *pool.Replica, old registry.Ownership, owned bool) engineView {
-	v := engineView{storeUpSince: g.storeUpSince, announcedAt: r.FirstSeenAt(), owned: owned, owner: old.Owner, learntAt: g.learntAt[r.Name]}
+func (g *Registry) engineView(now clock.Instant, replica *pool.Replica, old registry.Ownership, owned bool) engineView {
+	v := engineView{storeUpSince: g.storeUpSince, announcedAt: replica.FirstSeenAt(), owned: owned, owner: old.Owner, learntAt: g.learntAt[replica.Name]}
 	if g.storeUpSince.IsZero() || !owned || old.Owner == "" {
 		return v
 	}
