--- a/core/ownership/ownership.go
+++ b/core/ownership/ownership.go
@@ -284,8 +284,8 @@
 // peer that sent them, "" if they come from the store itself.
 func (g *Registry) Merge(now clock.Instant, from string, records []registry.Record) {
 	var newer []registry.Record
-	for _, r := range records {
-		g.observeEra(now, r.Revision.Era())
+	for _, rec := range records {
+		g.observeEra(now, rec.Revision.Era())
 	}
 	for _, r := range records {
 		if g.era.isFormer(r.Revision) {
