--- a/core/ownership/ownership.go
+++ b/core/ownership/ownership.go
@@ -287,12 +287,12 @@
 	for _, rec := range records {
 		g.observeEra(now, rec.Revision.Era())
 	}
-	for _, r := range records {
-		if g.era.isFormer(r.Revision) {
+	for _, rec := range records {
+		if g.era.isFormer(rec.Revision) {
 			continue // a peer does not know yet that the store was restored from an older copy
 		}
-		if g.Records.AddRegistered(from, r) {
-			newer = append(newer, r)
+		if g.Records.AddRegistered(from, rec) {
+			newer = append(newer, rec)
 		}
 	}
 	if len(newer) > 0 {
