--- a/core/ownership/claim.go
+++ b/core/ownership/claim.go
@@ -40,50 +40,50 @@
 }
 
 // claim claims the engines that this instance should own.
-func (g *Registry) claim(now clock.Instant) {
-	if now.Before(g.claims.due) {
+func (r *Registry) claim(now clock.Instant) {
+	if now.Before(r.claims.due) {
 		return
 	}
-	g.claims.due = now.Add(step.Jitter(g.Rand, claimInterval))
-	if !g.era.isReady() || !g.enrolment.held || g.claims.inFlight || !g.Roster.IncludesSelf(now) || !g.MayOrder(now) || !g.Config.Loaded() {
+	r.claims.due = now.Add(step.Jitter(r.Rand, claimInterval))
+	if !r.era.isReady() || !r.enrolment.held || r.claims.inFlight || !r.Roster.IncludesSelf(now) || !r.MayOrder(now) || !r.Config.Loaded() {
 		return
 	}
 	var claims []registry.Ownership
-	candidates := sync.OnceValue(func() []candidate { return g.candidates(now) }) // computed lazily: most checks find nothing to claim
-	for _, replica := range g.Pool.All() {
+	candidates := sync.OnceValue(func() []candidate { return r.candidates(now) }) // computed lazily: most checks find nothing to claim
+	for _, replica := range r.Pool.All() {
 		if !replica.Announced || replica.Kind != pool.Engine || !replica.Usable() || len(claims) == registry.MaxClaims {
 			continue
 		}
-		if c, ok := g.claimOf(now, replica, candidates); ok {
+		if c, ok := r.claimOf(now, replica, candidates); ok {
 			claims = append(claims, c)
 		}
 	}
 	if len(claims) == 0 {
 		return
 	}
-	g.claims.inFlight = true
-	g.Out.Emit(Write{Write: Txn{Claim: claims, Depends: g.era.recordRevision()}})
+	r.claims.inFlight = true
+	r.Out.Emit(Write{Write: Txn{Claim: claims, Depends: r.era.recordRevision()}})
 }
 
 // claimOf returns the claim of an engine. ok reports whether this instance should write
 // it now.
-func (g *Registry) claimOf(now clock.Instant, replica *pool.Replica, candidates func() []candidate) (claim registry.Ownership, ok bool) {
-	old, owned := g.owners[replica.Name]
-	claim = registry.Ownership{Engine: replica.Name, Owner: g.Self.Name, Boot: g.Self.Boot, Era: g.era.current, Revision: old.Revision}
-	if e := g.Owned.Get(replica.Name); e != nil {
+func (r *Registry) claimOf(now clock.Instant, replica *pool.Replica, candidates func() []candidate) (claim registry.Ownership, ok bool) {
+	old, owned := r.owners[replica.Name]
+	claim = registry.Ownership{Engine: replica.Name, Owner: r.Self.Name, Boot: r.Self.Boot, Era: r.era.current, Revision: old.Revision}
+	if e := r.Owned.Get(replica.Name); e != nil {
 		// Rewrite the record without the former owner once none of its orders can be
 		// in flight any more. Also rewrite it after the store was restored from an
 		// older copy.
-		return claim, !e.Settled && !now.Before(e.From) || g.era.isFormer(e.Fence)
+		return claim, !e.Settled && !now.Before(e.From) || r.era.isFormer(e.Fence)
 	}
-	stale := owned && g.era.isStale(old.Era)
+	stale := owned && r.era.isStale(old.Era)
 	switch {
 	case stale:
 		claim.FormerOwner = registry.FormerUnknown
-		if old.Owner == g.Self.Name {
+		if old.Owner == r.Self.Name {
 			return claim, true
 		}
-	case owned && old.Owner == g.Self.Name:
+	case owned && old.Owner == r.Self.Name:
 		claim.FormerOwner = old.FormerOwner
 		claim.QuietMS = old.QuietMS
 		return claim, true
@@ -93,12 +93,12 @@
 	case owned:
 		claim.FormerOwner = old.Owner
 	}
-	since, free := g.engineView(now, replica, old, owned).freeSince(g.Options.AbsentFor)
+	since, free := r.engineView(now, replica, old, owned).freeSince(r.Options.AbsentFor)
 	if !free {
 		return claim, false
 	}
 	// If the instance of the highest rank does not claim, the next one does.
-	return claim, !now.Before(since.Add(time.Duration(ownerRank(replica.Name, replica.Zone, g.self(), candidates())) * claimRankDelay))
+	return claim, !now.Before(since.Add(time.Duration(ownerRank(replica.Name, replica.Zone, r.self(), candidates())) * claimRankDelay))
 }
 
 // An engineView holds what is known about the owner of an engine.
@@ -114,18 +114,18 @@
 
 // engineView returns what is known about the owner of an engine. An owner without a
 // record counts as absent from the first check that finds the record missing.
-func (g *Registry) engineView(now clock.Instant, replica *pool.Replica, old registry.Ownership, owned bool) engineView {
-	v := engineView{storeUpSince: g.storeUpSince, announcedAt: replica.FirstSeenAt(), owned: owned, owner: old.Owner, learntAt: g.learntAt[replica.Name]}
-	if g.storeUpSince.IsZero() || !owned || old.Owner == "" {
+func (r *Registry) engineView(now clock.Instant, replica *pool.Replica, old registry.Ownership, owned bool) engineView {
+	v := engineView{storeUpSince: r.storeUpSince, announcedAt: replica.FirstSeenAt(), owned: owned, owner: old.Owner, learntAt: r.learntAt[replica.Name]}
+	if r.storeUpSince.IsZero() || !owned || old.Owner == "" {
 		return v
 	}
-	_, v.ownerPresent = g.instances[old.Owner]
+	_, v.ownerPresent = r.instances[old.Owner]
 	if v.ownerPresent {
 		return v
 	}
-	since, seen := g.absentSince[old.Owner]
+	since, seen := r.absentSince[old.Owner]
 	if !seen {
-		g.absentSince[old.Owner] = now
+		r.absentSince[old.Owner] = now
 	}
 	v.ownerAbsentSince = since
 	return v
--- a/core/ownership/ownership.go
+++ b/core/ownership/ownership.go
@@ -282,22 +282,22 @@
 
 // Merge applies those of the records that are newer than the known ones. from is the
 // peer that sent them, "" if they come from the store itself.
-func (g *Registry) Merge(now clock.Instant, from string, records []registry.Record) {
+func (r *Registry) Merge(now clock.Instant, from string, records []registry.Record) {
 	var newer []registry.Record
 	for _, rec := range records {
-		g.observeEra(now, rec.Revision.Era())
+		r.observeEra(now, rec.Revision.Era())
 	}
 	for _, rec := range records {
-		if g.era.isFormer(rec.Revision) {
+		if r.era.isFormer(rec.Revision) {
 			continue // a peer does not know yet that the store was restored from an older copy
 		}
-		if g.Records.AddRegistered(from, rec) {
+		if r.Records.AddRegistered(from, rec) {
 			newer = append(newer, rec)
 		}
 	}
 	if len(newer) > 0 {
-		g.apply(now, registry.ChangeOf(newer))
-		g.TellSoon(now)
+		r.apply(now, registry.ChangeOf(newer))
+		r.TellSoon(now)
 	}
 }
 
