--- a/core/own/choose/prefix.go
+++ b/core/own/choose/prefix.go
@@ -56,8 +56,8 @@
 }
 
 // Record records that the blocks of p are on the replica.
-func (x *PrefixIndex) Record(p Prefix, replica string) {
-	for _, h := range p.blocks {
+func (x *PrefixIndex) Record(prefix Prefix, replica string) {
+	for _, h := range prefix.blocks {
 		if el, ok := x.byHash[h]; ok {
 			el.Value = indexEntry{hash: h, replica: replica}
 			x.lru.MoveToFront(el)
