--- a/core/own/choose/prefix.go
+++ b/core/own/choose/prefix.go
@@ -74,9 +74,9 @@
 
 // Find returns the replica that has the longest recorded part of p, and the number of
 // tokens of that part. It returns "" and 0 if no part of p is recorded.
-func (x *PrefixIndex) Find(p Prefix) (replica string, tokens int) {
-	for i := len(p.blocks) - 1; i >= 0; i-- {
-		if el, ok := x.byHash[p.blocks[i]]; ok {
+func (x *PrefixIndex) Find(prefix Prefix) (replica string, tokens int) {
+	for i := len(prefix.blocks) - 1; i >= 0; i-- {
+		if el, ok := x.byHash[prefix.blocks[i]]; ok {
 			return el.Value.(indexEntry).replica, (i + 1) * blockTokens
 		}
 	}
