--- a/core/own/choose/prefix.go
+++ b/core/own/choose/prefix.go
@@ -56,27 +56,27 @@
 }
 
 // Record records that the blocks of p are on the replica.
-func (x *PrefixIndex) Record(prefix Prefix, replica string) {
+func (p *PrefixIndex) Record(prefix Prefix, replica string) {
 	for _, h := range prefix.blocks {
-		if el, ok := x.byHash[h]; ok {
+		if el, ok := p.byHash[h]; ok {
 			el.Value = indexEntry{hash: h, replica: replica}
-			x.lru.MoveToFront(el)
+			p.lru.MoveToFront(el)
 			continue
 		}
-		x.byHash[h] = x.lru.PushFront(indexEntry{hash: h, replica: replica})
-		if x.lru.Len() > x.size {
-			last := x.lru.Back()
-			delete(x.byHash, last.Value.(indexEntry).hash)
-			x.lru.Remove(last)
+		p.byHash[h] = p.lru.PushFront(indexEntry{hash: h, replica: replica})
+		if p.lru.Len() > p.size {
+			last := p.lru.Back()
+			delete(p.byHash, last.Value.(indexEntry).hash)
+			p.lru.Remove(last)
 		}
 	}
 }
 
 // Find returns the replica that has the longest recorded part of p, and the number of
 // tokens of that part. It returns "" and 0 if no part of p is recorded.
-func (x *PrefixIndex) Find(prefix Prefix) (replica string, tokens int) {
+func (p *PrefixIndex) Find(prefix Prefix) (replica string, tokens int) {
 	for i := len(prefix.blocks) - 1; i >= 0; i-- {
-		if el, ok := x.byHash[prefix.blocks[i]]; ok {
+		if el, ok := p.byHash[prefix.blocks[i]]; ok {
 			return el.Value.(indexEntry).replica, (i + 1) * blockTokens
 		}
 	}
@@ -84,12 +84,12 @@
 }
 
 // RemoveReplica removes the blocks recorded for a replica, after it restarted.
-func (x *PrefixIndex) RemoveReplica(replica string) {
-	for el := x.lru.Front(); el != nil; {
+func (p *PrefixIndex) RemoveReplica(replica string) {
+	for el := p.lru.Front(); el != nil; {
 		next := el.Next()
 		if entry := el.Value.(indexEntry); entry.replica == replica {
-			delete(x.byHash, entry.hash)
-			x.lru.Remove(el)
+			delete(p.byHash, entry.hash)
+			p.lru.Remove(el)
 		}
 		el = next
 	}
