--- a/standin/fault/fault.go
+++ b/standin/fault/fault.go
@@ -34,35 +34,35 @@
 }
 
 // Get returns the active faults.
-func (s *Injector[T]) Get() T {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.faults
+func (i *Injector[T]) Get() T {
+	i.mu.Lock()
+	defer i.mu.Unlock()
+	return i.faults
 }
 
 // Set replaces the active faults.
-func (s *Injector[T]) Set(f T) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.faults = f
+func (i *Injector[T]) Set(f T) {
+	i.mu.Lock()
+	defer i.mu.Unlock()
+	i.faults = f
 }
 
 // Update calls f, under a lock, to change the active faults.
-func (s *Injector[T]) Update(f func(*T)) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	f(&s.faults)
+func (i *Injector[T]) Update(f func(*T)) {
+	i.mu.Lock()
+	defer i.mu.Unlock()
+	f(&i.faults)
 }
 
 // Handler serves POST /fault.
-func (s *Injector[T]) Handler() http.HandlerFunc {
+func (i *Injector[T]) Handler() http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		var f T
 		if err := json.NewDecoder(r.Body).Decode(&f); err != nil {
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
 		}
-		s.Set(f)
+		i.Set(f)
 	}
 }
 
