--- a/core/own/choose/prefix.go
+++ b/core/own/choose/prefix.go
@@ -55,7 +55,7 @@
 	return &PrefixIndex{size: size, lru: list.New(), byHash: map[uint64]*list.Element{}}
 }
 
-// Record records that the blocks of p are on the replica.
+// Record records that the blocks of prefix are on the replica.
 func (p *PrefixIndex) Record(prefix Prefix, replica string) {
 	for _, h := range prefix.blocks {
 		if el, ok := p.byHash[h]; ok {
@@ -72,8 +72,8 @@
 	}
 }
 
-// Find returns the replica that has the longest recorded part of p, and the number of
-// tokens of that part. It returns "" and 0 if no part of p is recorded.
+// Find returns the replica that has the longest recorded part of prefix, and the
+// number of tokens of that part. It returns "" and 0 if no part of prefix is recorded.
 func (p *PrefixIndex) Find(prefix Prefix) (replica string, tokens int) {
 	for i := len(prefix.blocks) - 1; i >= 0; i-- {
 		if el, ok := p.byHash[prefix.blocks[i]]; ok {
