--- a/internal/shell/shell.go
+++ b/internal/shell/shell.go
@@ -256,8 +256,8 @@
 }
 
 func (c Session) end(ev step.Event) {
-	c.shell.submit(func(s *Shell) step.Event {
-		delete(s.calls, c.ID)
+	c.shell.submit(func(shell *Shell) step.Event {
+		delete(shell.calls, c.ID)
 		return ev
 	})
 }
