--- a/internal/shell/shell.go
+++ b/internal/shell/shell.go
@@ -255,9 +255,9 @@
 	s.shell.post(failure)
 }
 
-func (c Session) end(ev step.Event) {
-	c.shell.submit(func(shell *Shell) step.Event {
-		delete(shell.calls, c.ID)
+func (s Session) end(ev step.Event) {
+	s.shell.submit(func(shell *Shell) step.Event {
+		delete(shell.calls, s.ID)
 		return ev
 	})
 }
