--- a/core/instance/announced_world_test.go
+++ b/core/instance/announced_world_test.go
@@ -673,12 +673,12 @@
 
 // hasEraMark reports whether the record that marks era e exists with the revision mark. If mark is
 // 0, no record is required and the result is true.
-func (f *fleet) hasEraMark(e era.Era, mark era.Revision) bool {
-	if mark == 0 {
+func (f *fleet) hasEraMark(e era.Era, revision era.Revision) bool {
+	if revision == 0 {
 		return true
 	}
 	v := f.store.values[registry.EraRecord{Era: e}.Key()]
-	return v != nil && v.revision == mark.Raw()
+	return v != nil && v.revision == revision.Raw()
 }
 
 // writeEraMark writes the mark of an era and deletes the marks of former eras. It returns the new
