--- a/core/instance/announced_world_test.go
+++ b/core/instance/announced_world_test.go
@@ -376,11 +376,11 @@
 	case ownership.Resign:
 		f.storeCall(n, ofEra(act.Lease.Era), func() (step.Event, bool) {
 			for _, o := range act.Give {
-				if f.hasEraMark(o.Era, act.Depends) {
+				if f.hasEraRecord(o.Era, act.Depends) {
 					f.writeOwnership(o)
 				}
 			}
-			if p := act.Placer; p != nil && f.hasEraMark(p.Era, act.Depends) {
+			if p := act.Placer; p != nil && f.hasEraRecord(p.Era, act.Depends) {
 				f.writePlacer(*p, 0)
 			}
 			f.endLease(act.Lease.ID)
@@ -671,9 +671,9 @@
 	return f.revisionOf(f.setKey("placer", &fleetValue{data: &p, lease: lease}))
 }
 
-// hasEraMark reports whether the record that marks era e exists with the revision mark. If mark is
+// hasEraRecord reports whether the record that marks era e exists with the revision mark. If mark is
 // 0, no record is required and the result is true.
-func (f *fleet) hasEraMark(e era.Era, revision era.Revision) bool {
+func (f *fleet) hasEraRecord(e era.Era, revision era.Revision) bool {
 	if revision == 0 {
 		return true
 	}
@@ -702,7 +702,7 @@
 		r.Conflict = r.Revision == 0
 		return r
 	}
-	if !f.hasEraMark(a.Write.Era(), a.Write.Depends) {
+	if !f.hasEraRecord(a.Write.Era(), a.Write.Depends) {
 		r.Conflict = true
 		return r
 	}
