--- a/core/instance/announced_world_test.go
+++ b/core/instance/announced_world_test.go
@@ -681,9 +681,9 @@
 	return v != nil && v.revision == revision.Raw()
 }
 
-// writeEraMark writes the mark of an era and deletes the marks of former eras. It returns the new
+// writeEraRecord writes the mark of an era and deletes the marks of former eras. It returns the new
 // revision, or 0 if the mark already exists.
-func (f *fleet) writeEraMark(w ownership.Txn) era.Revision {
+func (f *fleet) writeEraRecord(w ownership.Txn) era.Revision {
 	if f.store.values[w.Mark.Key()] != nil {
 		return 0
 	}
@@ -698,7 +698,7 @@
 func (f *fleet) commitWrite(a ownership.Write, sent clock.Instant) step.Event {
 	r := ownership.WriteReply{Write: a.Write}
 	if a.Write.Mark != nil {
-		r.Revision = f.writeEraMark(a.Write)
+		r.Revision = f.writeEraRecord(a.Write)
 		r.Conflict = r.Revision == 0
 		return r
 	}
