--- a/core/instance/limit_test.go
+++ b/core/instance/limit_test.go
@@ -71,7 +71,7 @@
 // they receive.
 type limitHarness struct {
 	f            *fleet
-	limitHistory map[*fleetEngine][]namedLimit
+	limitHistory map[*fleetEngine][]statedLimit
 	firstToldAt  map[noticeKey]time.Duration // when an instance first received a response that states a limit
 	received     map[*fleetEngine][]limitRequest
 	arrived      map[calls.ID]noticeCall
@@ -84,8 +84,8 @@
 	otherNotices map[*fleetEngine]pool.Notice
 }
 
-// A namedLimit is a limit that an engine states from a point in time on.
-type namedLimit struct {
+// A statedLimit is a limit that an engine states from a point in time on.
+type statedLimit struct {
 	at    time.Duration
 	limit pool.RateLimit
 }
@@ -98,7 +98,7 @@
 
 func newLimitHarness(f *fleet) *limitHarness {
 	f.limits = &limitHarness{
-		f: f, limitHistory: map[*fleetEngine][]namedLimit{}, firstToldAt: map[noticeKey]time.Duration{},
+		f: f, limitHistory: map[*fleetEngine][]statedLimit{}, firstToldAt: map[noticeKey]time.Duration{},
 		received: map[*fleetEngine][]limitRequest{}, arrived: map[calls.ID]noticeCall{}, callDuration: 400 * time.Millisecond,
 		otherNotices: map[*fleetEngine]pool.Notice{},
 	}
@@ -122,12 +122,12 @@
 
 // setLimit makes an engine state a limit from now on.
 func (l *limitHarness) setLimit(e *fleetEngine, perSecond float64) {
-	l.limitHistory[e] = append(l.limitHistory[e], namedLimit{l.f.now, pool.RateLimit{Named: true, PerSecond: perSecond}})
+	l.limitHistory[e] = append(l.limitHistory[e], statedLimit{l.f.now, pool.RateLimit{Named: true, PerSecond: perSecond}})
 }
 
 // endLimit makes an engine state no limit from now on.
 func (l *limitHarness) endLimit(e *fleetEngine) {
-	l.limitHistory[e] = append(l.limitHistory[e], namedLimit{l.f.now, pool.RateLimit{}})
+	l.limitHistory[e] = append(l.limitHistory[e], statedLimit{l.f.now, pool.RateLimit{}})
 }
 
 // limit returns the limit that an engine currently states.
