--- a/core/pool/ratelimit_test.go
+++ b/core/pool/ratelimit_test.go
@@ -10,7 +10,7 @@
 	"github.com/birchdrift/birchdrift/core/clock/clocktest"
 )
 
-func namedLimit(perSecond float64) RateLimit { return RateLimit{Named: true, PerSecond: perSecond} }
+func limitOf(perSecond float64) RateLimit { return RateLimit{Named: true, PerSecond: perSecond} }
 
 // TestObserveLimitOrder checks which of two responses of a replica determines its limit. The
 // second arrives at minute one and answers a request sent before or after the first arrived.
@@ -28,19 +28,19 @@
 		want    RateLimit
 		changed bool
 	}{
-		{"the first limit", none, namedLimit(3), before, namedLimit(3), true},
-		{"the same again", namedLimit(3), namedLimit(3), after, namedLimit(3), true},
-		{"the same, out of order", namedLimit(3), namedLimit(3), before, namedLimit(3), false},
-		{"less", namedLimit(3), namedLimit(1), after, namedLimit(1), true},
-		{"less, out of order", namedLimit(3), namedLimit(1), before, namedLimit(1), true},
-		{"more", namedLimit(3), namedLimit(5), after, namedLimit(5), true},
-		{"more, out of order", namedLimit(3), namedLimit(5), before, namedLimit(3), false},
-		{"limit lifted", namedLimit(3), none, after, RateLimit{PerSecond: 3}, true},
-		{"limit lifted, out of order", namedLimit(3), none, before, namedLimit(3), false},
-		{"not parseable", namedLimit(3), unclear, after, namedLimit(3), false},
+		{"the first limit", none, limitOf(3), before, limitOf(3), true},
+		{"the same again", limitOf(3), limitOf(3), after, limitOf(3), true},
+		{"the same, out of order", limitOf(3), limitOf(3), before, limitOf(3), false},
+		{"less", limitOf(3), limitOf(1), after, limitOf(1), true},
+		{"less, out of order", limitOf(3), limitOf(1), before, limitOf(1), true},
+		{"more", limitOf(3), limitOf(5), after, limitOf(5), true},
+		{"more, out of order", limitOf(3), limitOf(5), before, limitOf(3), false},
+		{"limit lifted", limitOf(3), none, after, RateLimit{PerSecond: 3}, true},
+		{"limit lifted, out of order", limitOf(3), none, before, limitOf(3), false},
+		{"not parseable", limitOf(3), unclear, after, limitOf(3), false},
 		{"not parseable, without a known limit", none, unclear, after, none, false},
 		{"none, without a known limit", none, none, after, none, false},
-		{"a limit of zero", namedLimit(3), namedLimit(0), before, namedLimit(0), true},
+		{"a limit of zero", limitOf(3), limitOf(0), before, limitOf(0), true},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -64,15 +64,15 @@
 	start := clocktest.At(time.Hour)
 	p := New()
 	p.Announce(start, "r", Announcement{Service: "s", Address: "r", Born: "1"})
-	is.True(p.ObserveLimit(start, "r", start, namedLimit(3), "i"))
+	is.True(p.ObserveLimit(start, "r", start, limitOf(3), "i"))
 	later := start.Add(time.Second)
 	p.Announce(later, "r", Announcement{Service: "s", Address: "r", Born: "2"})
 	_, limited := p.Get("r").RateLimit(later)
 	is.True(!limited)
-	is.True(!p.ObserveLimit(later, "r", start, namedLimit(3), "i"))
-	is.True(!p.ObservePeerLimit(Incarnation{Name: "r", Born: "1"}, LimitReport{Limit: namedLimit(3), By: "j", EventTime: clock.EventTime{At: later}}))
-	is.True(p.ObservePeerLimit(Incarnation{Name: "r", Born: "2"}, LimitReport{Limit: namedLimit(4), By: "j", EventTime: clock.EventTime{At: later}}))
-	is.True(!p.ObserveLimit(later, "gone", later, namedLimit(3), "i"))
+	is.True(!p.ObserveLimit(later, "r", start, limitOf(3), "i"))
+	is.True(!p.ObservePeerLimit(Incarnation{Name: "r", Born: "1"}, LimitReport{Limit: limitOf(3), By: "j", EventTime: clock.EventTime{At: later}}))
+	is.True(p.ObservePeerLimit(Incarnation{Name: "r", Born: "2"}, LimitReport{Limit: limitOf(4), By: "j", EventTime: clock.EventTime{At: later}}))
+	is.True(!p.ObserveLimit(later, "gone", later, limitOf(3), "i"))
 	// A rest and leaving do not affect the limit.
 	p.ObserveNotice(later, "r", later, Notice{Rest: time.Second, Leaving: true})
 	r := p.Get("r")
@@ -90,12 +90,12 @@
 	observePeer := func(after time.Duration, l RateLimit) bool {
 		return p.ObservePeerLimit(Incarnation{Name: "r"}, LimitReport{Limit: l, By: "j", EventTime: clock.EventTime{At: start.Add(after)}})
 	}
-	is.True(observePeer(time.Second, namedLimit(2)))
-	is.True(!observePeer(time.Second, namedLimit(5)))
+	is.True(observePeer(time.Second, limitOf(2)))
+	is.True(!observePeer(time.Second, limitOf(5)))
 	is.True(!observePeer(900*time.Millisecond, RateLimit{}))
-	is.True(!p.ObserveLimit(start.Add(2*time.Second), "r", start.Add(900*time.Millisecond), namedLimit(5), "i")) // sent before the known report
-	is.True(p.ObserveLimit(start.Add(2*time.Second), "r", start.Add(1100*time.Millisecond), namedLimit(5), "i"))
-	is.True(!observePeer(1500*time.Millisecond, namedLimit(2)))
+	is.True(!p.ObserveLimit(start.Add(2*time.Second), "r", start.Add(900*time.Millisecond), limitOf(5), "i")) // sent before the known report
+	is.True(p.ObserveLimit(start.Add(2*time.Second), "r", start.Add(1100*time.Millisecond), limitOf(5), "i"))
+	is.True(!observePeer(1500*time.Millisecond, limitOf(2)))
 	is.Equal(p.Get("r").LimitReport().By, "i")
 }
 
@@ -109,10 +109,10 @@
 		want    float64
 		limited bool
 	}{
-		{"named", namedLimit(3), time.Hour, 3, true},
-		{"a limit of zero: enough to learn of its end", namedLimit(0), 0, minRate, true},
-		{"less than the minimum rate", namedLimit(0.01), 0, minRate, true},
-		{"more than any replica is sent", namedLimit(1e6), 0, 1e6, false},
+		{"named", limitOf(3), time.Hour, 3, true},
+		{"a limit of zero: enough to learn of its end", limitOf(0), 0, minRate, true},
+		{"less than the minimum rate", limitOf(0.01), 0, minRate, true},
+		{"more than any replica is sent", limitOf(1e6), 0, 1e6, false},
 		{"lifted just now", RateLimit{PerSecond: 4}, 0, 4, true},
 		{"lifted a second ago", RateLimit{PerSecond: 4}, time.Second, 8, true},
 		{"lifted, and was zero", RateLimit{}, 2 * time.Second, 4 * recoveryMinRate, true},
@@ -141,7 +141,7 @@
 	r := p.Get("r")
 	is.Equal(r.RateLimitDelay(now), time.Duration(0))
 	is.True(!r.LimitStale(now.Add(time.Hour)))
-	p.ObserveLimit(now, "r", now, namedLimit(2), "i")
+	p.ObserveLimit(now, "r", now, limitOf(2), "i")
 	is.Equal(r.RateLimitDelay(now), 250*time.Millisecond)
 	r.SetNextSend(now.Add(2 * time.Second))
 	is.Equal(r.RateLimitDelay(now), 2*time.Second)
