--- a/core/instance/limit_test.go
+++ b/core/instance/limit_test.go
@@ -39,9 +39,9 @@
 	// limitFactor times what the limit allows, plus limitBurst requests.
 	limitFactor = 1.5
 	limitBurst  = 5
-	// limitToldDelay is how long after an instance was told of the limit its requests begin
+	// limitNoticeDelay is how long after an instance was told of the limit its requests begin
 	// to count.
-	limitToldDelay = 500 * time.Millisecond
+	limitNoticeDelay = 500 * time.Millisecond
 	// limitGrace is how long after an engine first states a limit the bound begins to apply.
 	limitGrace = 3 * time.Second
 )
@@ -261,7 +261,7 @@
 	var within []limitRequest // the requests in the window that count
 	most := 0.0
 	for _, r := range l.received[e] {
-		if at, told := l.firstToldAt[r.by]; !told || r.at < at+limitToldDelay {
+		if at, told := l.firstToldAt[r.by]; !told || r.at < at+limitNoticeDelay {
 			continue
 		}
 		within = append(within, r)
