--- a/core/instance/limit_test.go
+++ b/core/instance/limit_test.go
@@ -70,15 +70,15 @@
 // A limitHarness makes engines state rate limits in their responses, and records the requests that
 // they receive.
 type limitHarness struct {
-	f            *fleet
-	limitHistory map[*fleetEngine][]statedLimit
-	firstToldAt  map[noticeKey]time.Duration // when an instance first received a response that states a limit
-	received     map[*fleetEngine][]limitRequest
-	arrived      map[calls.ID]noticeCall
-	lostCalls    []string // refused calls that an engine without a limit could have served
-	refused      []calls.Finish
-	healedAt     time.Duration // when the last partition ended
-	callDuration time.Duration // run time of a call
+	f             *fleet
+	limitHistory  map[*fleetEngine][]statedLimit
+	firstNoticeAt map[noticeKey]time.Duration // when an instance first received a response that states a limit
+	received      map[*fleetEngine][]limitRequest
+	arrived       map[calls.ID]noticeCall
+	lostCalls     []string // refused calls that an engine without a limit could have served
+	refused       []calls.Finish
+	healedAt      time.Duration // when the last partition ended
+	callDuration  time.Duration // run time of a call
 	// otherNotices holds what engines state in addition to their limit. An engine that states a
 	// rest refuses all calls.
 	otherNotices map[*fleetEngine]pool.Notice
@@ -98,7 +98,7 @@
 
 func newLimitHarness(f *fleet) *limitHarness {
 	f.limits = &limitHarness{
-		f: f, limitHistory: map[*fleetEngine][]statedLimit{}, firstToldAt: map[noticeKey]time.Duration{},
+		f: f, limitHistory: map[*fleetEngine][]statedLimit{}, firstNoticeAt: map[noticeKey]time.Duration{},
 		received: map[*fleetEngine][]limitRequest{}, arrived: map[calls.ID]noticeCall{}, callDuration: 400 * time.Millisecond,
 		otherNotices: map[*fleetEngine]pool.Notice{},
 	}
@@ -162,8 +162,8 @@
 	content.Limit = l.limit(e)
 	to := noticeKey{n.id.Name, boot, e.name, e.restarts}
 	l.f.at(delay, func() {
-		if _, known := l.firstToldAt[to]; content.Limit.Named && !known && !n.dead && !n.frozen && n.boot == boot {
-			l.firstToldAt[to] = l.f.now
+		if _, known := l.firstNoticeAt[to]; content.Limit.Named && !known && !n.dead && !n.frozen && n.boot == boot {
+			l.firstNoticeAt[to] = l.f.now
 		}
 		l.f.step(n, boot, notice.Received{Replica: e.name, Sent: sent, Notice: content})
 	})
@@ -261,7 +261,7 @@
 	var within []limitRequest // the requests in the window that count
 	most := 0.0
 	for _, r := range l.received[e] {
-		if at, told := l.firstToldAt[r.by]; !told || r.at < at+limitNoticeDelay {
+		if at, told := l.firstNoticeAt[r.by]; !told || r.at < at+limitNoticeDelay {
 			continue
 		}
 		within = append(within, r)
@@ -312,8 +312,8 @@
 			t.Errorf("seed %d: a call that did not run was refused without a retry time: %+v", seed, a.Refusal)
 		}
 	}
-	if len(l.firstToldAt) == 0 || l.f.served == 0 {
-		t.Errorf("seed %d: %d instances told of a limit, %d calls served", seed, len(l.firstToldAt), l.f.served)
+	if len(l.firstNoticeAt) == 0 || l.f.served == 0 {
+		t.Errorf("seed %d: %d instances told of a limit, %d calls served", seed, len(l.firstNoticeAt), l.f.served)
 	}
 }
 
@@ -560,7 +560,7 @@
 		}
 		t.Logf("%d instances know the limit after %v", members, l.f.now-from)
 		is.True(known())
-		is.Equal(len(l.firstToldAt), 1) // only one instance was told by the engine itself
+		is.Equal(len(l.firstNoticeAt), 1) // only one instance was told by the engine itself
 		l.f.members["i3"].dead = true
 		l.f.run(time.Second)
 		l.f.start("i3")
