--- a/core/instance/notice_test.go
+++ b/core/instance/notice_test.go
@@ -54,16 +54,16 @@
 // A noticeHarness makes engines send notices in their responses, and checks the requests that they
 // receive afterwards.
 type noticeHarness struct {
-	f            *fleet
-	leaving      map[*fleetEngine]bool
-	rests        map[*fleetEngine]time.Duration // requested by engines that refuse all calls
-	arrived      map[calls.ID]noticeCall
-	firstToldAt  map[noticeKey]time.Duration // when an instance was first told that an engine leaves
-	received     map[noticeKey][]noticeRequest
-	served       map[*fleetEngine]int
-	lostCalls    []string    // refused calls that another engine could have served
-	lateRequests int         // number of requests sent later than leaveGrace
-	retries      *retryCount // nil: attempts are not counted
+	f             *fleet
+	leaving       map[*fleetEngine]bool
+	rests         map[*fleetEngine]time.Duration // requested by engines that refuse all calls
+	arrived       map[calls.ID]noticeCall
+	firstNoticeAt map[noticeKey]time.Duration // when an instance was first told that an engine leaves
+	received      map[noticeKey][]noticeRequest
+	served        map[*fleetEngine]int
+	lostCalls     []string    // refused calls that another engine could have served
+	lateRequests  int         // number of requests sent later than leaveGrace
+	retries       *retryCount // nil: attempts are not counted
 }
 
 // A noticeKey identifies an incarnation of an instance and the incarnation of an engine that
@@ -92,7 +92,7 @@
 func newNoticeHarness(f *fleet) *noticeHarness {
 	l := &noticeHarness{
 		f: f, leaving: map[*fleetEngine]bool{}, rests: map[*fleetEngine]time.Duration{}, arrived: map[calls.ID]noticeCall{},
-		firstToldAt: map[noticeKey]time.Duration{}, received: map[noticeKey][]noticeRequest{}, served: map[*fleetEngine]int{},
+		firstNoticeAt: map[noticeKey]time.Duration{}, received: map[noticeKey][]noticeRequest{}, served: map[*fleetEngine]int{},
 	}
 	f.notices = l
 	return l
@@ -109,7 +109,7 @@
 // response. sent is the time from which leaveGrace is checked.
 func (h *noticeHarness) requestReached(n *fleetMember, boot uint64, e *fleetEngine, sent time.Duration) pool.Notice {
 	to := noticeKey{n.id.Name, boot, e.name, e.restarts}
-	if at, told := h.firstToldAt[to]; told && sent > at+leaveGrace {
+	if at, told := h.firstNoticeAt[to]; told && sent > at+leaveGrace {
 		h.lateRequests++
 	}
 	content := pool.Notice{Leaving: h.leaving[e], Rest: h.rests[e]}
@@ -124,8 +124,8 @@
 	}
 	to := noticeKey{n.id.Name, boot, e.name, e.restarts}
 	h.f.at(fleetLatency, func() {
-		if _, known := h.firstToldAt[to]; content.Leaving && !known && !n.dead && !n.frozen && n.boot == boot {
-			h.firstToldAt[to] = h.f.now
+		if _, known := h.firstNoticeAt[to]; content.Leaving && !known && !n.dead && !n.frozen && n.boot == boot {
+			h.firstNoticeAt[to] = h.f.now
 		}
 		h.f.step(n, boot, notice.Received{Replica: e.name, Sent: sent, Notice: content})
 	})
@@ -336,8 +336,8 @@
 				for _, b := range f.violations {
 					t.Errorf("seed %d: %s", seed, b)
 				}
-				if len(l.firstToldAt) == 0 || f.served == 0 {
-					t.Errorf("seed %d: %d instances told that an engine leaves, %d calls served", seed, len(l.firstToldAt), f.served)
+				if len(l.firstNoticeAt) == 0 || f.served == 0 {
+					t.Errorf("seed %d: %d instances told that an engine leaves, %d calls served", seed, len(l.firstNoticeAt), f.served)
 				}
 			}
 		})
@@ -358,7 +358,7 @@
 		e := l.engine(1)
 		l.leaving[e] = true
 		f.run(3 * time.Second)
-		is.True(len(l.firstToldAt) > 0)
+		is.True(len(l.firstNoticeAt) > 0)
 		sent := f.clock(f.members["i0"])
 		e.dead = true
 		f.run(time.Second)
