--- a/core/instance/world_test.go
+++ b/core/instance/world_test.go
@@ -327,7 +327,7 @@
 	case kvwatch.WatchList:
 		w.watchList(n, act)
 	case planner.RequestLease:
-		w.seekLease(n, act)
+		w.requestLease(n, act)
 	case planner.ReleaseLease:
 		w.send(n, w.platformUp(n), func() func() {
 			if l := w.platform.leases[n.id.Zone]; l != nil && l.fence == act.Fence {
@@ -407,7 +407,7 @@
 	}, func(bool) { w.step(n, listing.Reply{Err: errLost}) })
 }
 
-func (w *world) seekLease(n *node, a planner.RequestLease) {
+func (w *world) requestLease(n *node, a planner.RequestLease) {
 	sent := n.clock(w.now)
 	holder := fmt.Sprintf("%s/%d", n.id.Name, n.id.Boot)
 	w.platform.calls++
