--- a/core/instance/announced_world_test.go
+++ b/core/instance/announced_world_test.go
@@ -681,8 +681,8 @@
 	return v != nil && v.revision == revision.Raw()
 }
 
-// writeEraRecord writes the mark of an era and deletes the marks of former eras. It returns the new
-// revision, or 0 if the mark already exists.
+// writeEraRecord writes the record of an era and deletes the records of former eras. It returns the new
+// revision, or 0 if the record already exists.
 func (f *fleet) writeEraRecord(w ownership.Txn) era.Revision {
 	if f.store.values[w.Mark.Key()] != nil {
 		return 0
@@ -693,7 +693,7 @@
 	return f.revisionOf(f.setKey(w.Mark.Key(), &fleetValue{data: w.Mark}))
 }
 
-// commitWrite executes one conditional write: of an era mark, of the record of the placer, or of
+// commitWrite executes one conditional write: of an era record, of the record of the placer, or of
 // claims of engines. If a condition does not hold, it reports a conflict and writes nothing.
 func (f *fleet) commitWrite(a ownership.Write, sent clock.Instant) step.Event {
 	r := ownership.WriteReply{Write: a.Write}
--- a/core/instance/leaving_test.go
+++ b/core/instance/leaving_test.go
@@ -3,7 +3,7 @@
 // Guards against calls that reach a replica too late after it announced that it leaves. A request
 // reached a replica 2.2 s after the store had acknowledged that it leaves; 2 s are allowed.
 //
-// Entries were considered outdated after the store had stepped back, later entries canceled the
+// Entries were considered outdated after the store's history had been rolled back, later entries canceled the
 // announcement that a replica leaves, and the waits between the store and a call added up to more
 // than 2 s.
 
@@ -236,8 +236,8 @@
 	})
 }
 
-// rewriteEntries makes every engine write its entry ten times, so that a later step back of the
-// store rolls back many revisions.
+// rewriteEntries makes every engine write its entry ten times, so that a later rollback of the
+// store removes many revisions.
 func (l *leaveHarness) rewriteEntries() {
 	const writes = 10
 	for range writes {
--- a/core/instance/limit_test.go
+++ b/core/instance/limit_test.go
@@ -39,7 +39,7 @@
 	// limitFactor times what the limit allows, plus limitBurst requests.
 	limitFactor = 1.5
 	limitBurst  = 5
-	// limitNoticeDelay is how long after an instance was told of the limit its requests begin
+	// limitNoticeDelay is how long after an instance was notified of the limit its requests begin
 	// to count.
 	limitNoticeDelay = 500 * time.Millisecond
 	// limitGrace is how long after an engine first states a limit the bound begins to apply.
@@ -255,7 +255,7 @@
 }
 
 // excess describes the window in which the requests that reached an engine exceeded the users'
-// bound the most, counting all instances that the engine had told of its limit. ok is false if no
+// bound the most, counting all instances that the engine had notified of its limit. ok is false if no
 // window exceeds the bound.
 func (l *limitHarness) excess(e *fleetEngine) (worst string, ok bool) {
 	var within []limitRequest // the requests in the window that count
@@ -313,7 +313,7 @@
 		}
 	}
 	if len(l.firstNoticeAt) == 0 || l.f.served == 0 {
-		t.Errorf("seed %d: %d instances told of a limit, %d calls served", seed, len(l.firstNoticeAt), l.f.served)
+		t.Errorf("seed %d: %d instances notified of a limit, %d calls served", seed, len(l.firstNoticeAt), l.f.served)
 	}
 }
 
@@ -560,7 +560,7 @@
 		}
 		t.Logf("%d instances know the limit after %v", members, l.f.now-from)
 		is.True(known())
-		is.Equal(len(l.firstNoticeAt), 1) // only one instance was told by the engine itself
+		is.Equal(len(l.firstNoticeAt), 1) // the engine itself notified only one instance
 		l.f.members["i3"].dead = true
 		l.f.run(time.Second)
 		l.f.start("i3")
--- a/core/instance/notice_test.go
+++ b/core/instance/notice_test.go
@@ -38,7 +38,7 @@
 
 const (
 	// leaveGrace is the users' bound on the time for which an instance may still send
-	// to an engine after it was told that the engine leaves.
+	// to an engine after it was notified that the engine leaves.
 	leaveGrace = 2 * time.Second
 	// restGrace is the users' bound on the time for which requests may still arrive at
 	// an engine after it requested a rest.
@@ -58,7 +58,7 @@
 	leaving       map[*fleetEngine]bool
 	rests         map[*fleetEngine]time.Duration // requested by engines that refuse all calls
 	arrived       map[calls.ID]noticeCall
-	firstNoticeAt map[noticeKey]time.Duration // when an instance was first told that an engine leaves
+	firstNoticeAt map[noticeKey]time.Duration // when an instance was first notified that an engine leaves
 	received      map[noticeKey][]noticeRequest
 	served        map[*fleetEngine]int
 	lostCalls     []string    // refused calls that another engine could have served
@@ -304,7 +304,7 @@
 }
 
 // TestEngineNoticesAreObeyed checks, for every fault scenario, that an instance sends nothing to
-// an engine later than two seconds after the engine told it that it leaves, and at most two
+// an engine later than two seconds after the engine notified it that it leaves, and at most two
 // requests during a rest that the engine requested, and that no call is refused that another
 // engine could serve.
 func TestEngineNoticesAreObeyed(t *testing.T) {
@@ -337,7 +337,7 @@
 					t.Errorf("seed %d: %s", seed, b)
 				}
 				if len(l.firstNoticeAt) == 0 || f.served == 0 {
-					t.Errorf("seed %d: %d instances told that an engine leaves, %d calls served", seed, len(l.firstNoticeAt), f.served)
+					t.Errorf("seed %d: %d instances notified that an engine leaves, %d calls served", seed, len(l.firstNoticeAt), f.served)
 				}
 			}
 		})
--- a/core/instance/stepback_test.go
+++ b/core/instance/stepback_test.go
@@ -127,12 +127,12 @@
 	})
 }
 
-// randomSpan returns a random time, up to 10 s, by which the store steps back.
+// randomSpan returns a random time, up to 10 s, by which the store's history is rolled back.
 func (f *fleet) randomSpan() time.Duration {
 	return time.Duration(f.rng.Int64N(int64(10 * time.Second)))
 }
 
-// stepBackPeriodically makes the store step back every interval, by a random span.
+// stepBackPeriodically rolls the store's history back every interval, by a random span.
 func (f *fleet) stepBackPeriodically(interval time.Duration) {
 	f.periodically(interval, 0, func() func() {
 		f.stepBack(f.randomSpan())
@@ -204,7 +204,7 @@
 // written to the store afterwards.
 func TestFleetRecoversAfterStoreStepsBack(t *testing.T) {
 	// aim is the longest time for which engines wait for orders after the loss of an owner,
-	// without a step back: until its record expires and it counts as absent, then until its
+	// without a rollback of the store: until its record expires and it counts as absent, then until its
 	// orders are no longer valid and TurnGap is over.
 	o := option.Default()
 	aim := o.EnrolTerm + o.AbsentFor + o.OrderValid + o.TurnGap + 3*time.Second
@@ -235,7 +235,7 @@
 	}
 }
 
-// stepStorms are fault scenarios in which the store steps back repeatedly.
+// stepStorms are fault scenarios in which the store's history is rolled back repeatedly.
 var stepStorms = []fleetStorm{
 	{"no other faults", func(f *fleet) { f.stepBackPeriodically(9 * time.Second) }},
 	{"twice in a row", func(f *fleet) {
@@ -328,7 +328,7 @@
 // orders from two members within Options.TurnGap or under a lower fence than before, that none is
 // ordered to hold more than it can, and that calls are still served.
 //
-// Before, no member sent any orders after the first step back.
+// Before, no member sent any orders after the first rollback of the store.
 func TestOrdersHoldWhileTheStoreStepsBack(t *testing.T) {
 	seeds := *stepSeeds
 	if testing.Short() {
@@ -350,7 +350,7 @@
 	}
 }
 
-// TestStepBackTakesSeconds checks that a fleet of any size recovers from a step back within the
+// TestStepBackTakesSeconds checks that a fleet of any size recovers from a rollback of the store within the
 // time for which engines wait for orders anyway when an owner is lost, and that its writes stay
 // within the rate that the store allows all instances together.
 func TestStepBackTakesSeconds(t *testing.T) {
--- a/internal/peer/convert.go
+++ b/internal/peer/convert.go
@@ -123,7 +123,7 @@
 }
 
 // encodeLimit converts a limit report; it returns nil for the zero report of a replica
-// that never named a limit.
+// that never stated a limit.
 func encodeLimit(r pool.LimitReport) *peerpb.RateLimit {
 	if r.IsZero() {
 		return nil
