--- a/core/instance/announced_world_test.go
+++ b/core/instance/announced_world_test.go
@@ -671,8 +671,8 @@
 	return f.revisionOf(f.setKey("placer", &fleetValue{data: &p, lease: lease}))
 }
 
-// hasEraRecord reports whether the record that marks era e exists with the revision mark. If mark is
-// 0, no record is required and the result is true.
+// hasEraRecord reports whether the record of era e exists with the given revision. If the revision
+// is 0, no record is required and the result is true.
 func (f *fleet) hasEraRecord(e era.Era, revision era.Revision) bool {
 	if revision == 0 {
 		return true
@@ -681,8 +681,8 @@
 	return v != nil && v.revision == revision.Raw()
 }
 
-// writeEraRecord writes the record of an era and deletes the records of former eras. It returns the new
-// revision, or 0 if the record already exists.
+// writeEraRecord writes the record of an era and deletes the records of former eras. It returns the
+// new revision, or 0 if the record already exists.
 func (f *fleet) writeEraRecord(w ownership.Txn) era.Revision {
 	if f.store.values[w.Mark.Key()] != nil {
 		return 0
