--- a/core/forwarding/attempts.go
+++ b/core/forwarding/attempts.go
@@ -116,7 +116,7 @@
 }
 
 // record records how an attempt at a replica ended. A replica that refused the call and
-// asked for rest may get the call again after the rest.
+// requested a rest may get the call again after the rest.
 func (p *progress) record(replica pool.Incarnation, e calls.AttemptFailed, resting bool) {
 	p.relayable = e.Relayable
 	p.answerStarted = p.answerStarted || e.Delivered > 0
--- a/core/forwarding/forwarding_test.go
+++ b/core/forwarding/forwarding_test.go
@@ -292,7 +292,7 @@
 	}
 }
 
-// TestARefusalForARestIsNoFailure checks that a replica that refuses a call and asks for rest
+// TestARefusalForARestIsNoFailure checks that a replica that refuses a call and requests a rest
 // does not count as failed, and that the call may be sent to it again after the rest.
 func TestARefusalForARestIsNoFailure(t *testing.T) {
 	is := is.New(t)
--- a/core/instance/stepback_test.go
+++ b/core/instance/stepback_test.go
@@ -205,7 +205,7 @@
 func TestFleetRecoversAfterStoreStepsBack(t *testing.T) {
 	// aim is the longest time for which engines wait for orders after the loss of an owner,
 	// without a rollback of the store: until its record expires and it counts as absent, then until its
-	// orders are no longer valid and TurnGap is over.
+	// orders are no longer valid and TurnGap has passed.
 	o := option.Default()
 	aim := o.EnrolTerm + o.AbsentFor + o.OrderValid + o.TurnGap + 3*time.Second
 	for _, span := range []time.Duration{0, time.Second, 3 * time.Second, 10 * time.Second} {
--- a/internal/server/notice_test.go
+++ b/internal/server/notice_test.go
@@ -23,7 +23,7 @@
 	}
 }
 
-// withRetryAfter adds to an answer the header with which a replica asks for rest.
+// withRetryAfter adds to an answer the header with which a replica requests a rest.
 func withRetryAfter(answer http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set(forward.OwnFormat.RetryAfter, "30")
