--- a/core/instance/world_test.go
+++ b/core/instance/world_test.go
@@ -389,20 +389,20 @@
 func (w *world) watchList(n *node, a kvwatch.WatchList) {
 	w.platform.calls++
 	w.send(n, w.platformUp(n), func() func() {
-		var news []gossip.Listed
+		var entries []gossip.Listed
 		version := a.Since
 		for _, l := range w.platform.list {
 			if l.Version.Raw() > a.Since {
-				news = append(news, l)
+				entries = append(entries, l)
 				version = max(version, l.Version.Raw())
 			}
 		}
 		wait := time.Duration(0)
-		if len(news) == 0 {
+		if len(entries) == 0 {
 			wait = time.Second
 		}
 		return func() {
-			w.after(wait, func() { w.step(n, listing.Reply{Entries: news, Version: era.Revision(version)}) })
+			w.after(wait, func() { w.step(n, listing.Reply{Entries: entries, Version: era.Revision(version)}) })
 		}
 	}, func(bool) { w.step(n, listing.Reply{Err: errLost}) })
 }
