--- a/core/instance/leaving_test.go
+++ b/core/instance/leaving_test.go
@@ -3,9 +3,9 @@
 // Guards against calls that reach a replica too late after it announced that it leaves. A request
 // reached a replica 2.2 s after the store had acknowledged that it leaves; 2 s are allowed.
 //
-// Entries were considered outdated after the store's history had been rolled back, later entries canceled the
-// announcement that a replica leaves, and the waits between the store and a call added up to more
-// than 2 s.
+// Entries were considered outdated after the store's history had been rolled back, later entries
+// canceled the announcement that a replica leaves, and the waits between the store and a call added
+// up to more than 2 s.
 
 import (
 	"flag"
--- a/core/own/planner/demand.go
+++ b/core/own/planner/demand.go
@@ -117,7 +117,7 @@
 // NextPeer returns the peer for this instance's exchange in a round: in fixed rounds a
 // peer of another zone (for a planner, that zone's planner) or the zone's planner. It
 // returns nil in all other rounds, or if there is no such peer; the exchange then goes to
-// a neighbor in the ring.
+// a neighbour on the ring.
 func (p *Planner) NextPeer(_ clock.Instant, round int) *member.Peer {
 	if round%otherZoneRounds == 0 {
 		if peer := p.otherZonePeer(); peer != nil {
--- a/core/owned/queue.go
+++ b/core/owned/queue.go
@@ -20,7 +20,7 @@
 	// to load, shorter than callers wait.
 	maxQueueTime = time.Second
 	// unloadDelay is the time between marking a model as unloading and ordering the
-	// unload, in which the fleet learns of it: one exchange with each neighbor.
+	// unload, in which the fleet learns of it: one exchange with each neighbour.
 	unloadDelay = 300 * time.Millisecond
 	// minAdapterIdle is how long an adapter must have been unused before it may be
 	// evicted: several rounds of exchanges, which carry the uses by other instances.
--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -1,7 +1,7 @@
 // Package engine provides a small stand-in for a model engine: continuous
 // batching with a bounded number of sequences, a prefix cache of limited size,
 // accelerator memory with a limit (it logs and refuses overcommitment), fenced orders,
-// and streams that can be resumed and cancelled.
+// and streams that can be resumed and canceled.
 package engine
 
 import (
--- a/standin/integration/answers_test.go
+++ b/standin/integration/answers_test.go
@@ -185,7 +185,7 @@
 }
 
 // TestCallerThatGoesAwayFreesItsSequence checks that the sequence of a caller that closed
-// its connection is cancelled at the engine.
+// its connection is canceled at the engine.
 func TestCallerThatGoesAwayFreesItsSequence(t *testing.T) {
 	is := is.New(t)
 	tb, in, e := oneEngine(t, func(o *engine.Options) { o.TokenTime = 20 * time.Millisecond; o.Linger = time.Hour })
