--- a/core/instance/stepback_test.go
+++ b/core/instance/stepback_test.go
@@ -204,8 +204,8 @@
 // written to the store afterwards.
 func TestFleetRecoversAfterStoreStepsBack(t *testing.T) {
 	// aim is the longest time for which engines wait for orders after the loss of an owner,
-	// without a rollback of the store: until its record expires and it counts as absent, then until its
-	// orders are no longer valid and TurnGap has passed.
+	// without a rollback of the store: until its record expires and it counts as absent, then
+	// until its orders are no longer valid and TurnGap has passed.
 	o := option.Default()
 	aim := o.EnrolTerm + o.AbsentFor + o.OrderValid + o.TurnGap + 3*time.Second
 	for _, span := range []time.Duration{0, time.Second, 3 * time.Second, 10 * time.Second} {
@@ -226,10 +226,10 @@
 			f.run(restoreTime)
 			f.run(time.Millisecond)
 			if took, wrong := f.settle(aim); wrong != "" {
-				t.Errorf("seed %d, step back by %v: after %v: %s", seed+1, span, took, wrong)
+				t.Errorf("seed %d, rollback by %v: after %v: %s", seed+1, span, took, wrong)
 			}
 			for _, b := range f.violations {
-				t.Errorf("seed %d, step back by %v: %s", seed+1, span, b)
+				t.Errorf("seed %d, rollback by %v: %s", seed+1, span, b)
 			}
 		}
 	}
--- a/core/pool/ratelimit_test.go
+++ b/core/pool/ratelimit_test.go
@@ -80,8 +80,8 @@
 	is.True(limited && rate == 4 && r.Resting(later) && r.Leaving())
 }
 
-// TestNewerLimitReportWins checks that the later one of this instance's and a peer's limit report is
-// used.
+// TestNewerLimitReportWins checks that the later one of this instance's and a peer's limit report
+// is used.
 func TestNewerLimitReportWins(t *testing.T) {
 	is := is.New(t)
 	start := clocktest.At(time.Hour)
