--- a/core/ownership/era_test.go
+++ b/core/ownership/era_test.go
@@ -29,8 +29,8 @@
 
 // newRegistryHarness returns the harness of an instance that knows no records.
 func newRegistryHarness(t *testing.T) *registryHarness {
-	b := &registryHarness{T: t, now: clocktest.At(time.Hour)}
-	g := testRegistry(b.now)
+	h := &registryHarness{T: t, now: clocktest.At(time.Hour)}
+	g := testRegistry(h.now)
 	g.Owned.Out = g.Out
 	g.Owned.MayOrder = g.MayOrderWithFence
 	g.Owned.Published = func(clock.Instant) {}
@@ -40,8 +40,8 @@
 	g.TellSoon = func(clock.Instant) {}
 	g.Quarantined = func(clock.Instant, registry.Quarantine) {}
 	g.SteppedBack = func(clock.Instant) {}
-	b.g = g
-	return b
+	h.g = g
+	return h
 }
 
 // newInEra returns the harness of an instance that has enrolled in era e and knows all of its
