--- a/core/ownership/era_test.go
+++ b/core/ownership/era_test.go
@@ -47,10 +47,10 @@
 // newInEra returns the harness of an instance that has enrolled in era e and knows all of its
 // records.
 func newInEra(t *testing.T, e era.Era, records ...registry.Record) *registryHarness {
-	b := newRegistryHarness(t)
-	b.receiveAll(e, records...)
-	b.enrol(e)
-	return b
+	h := newRegistryHarness(t)
+	h.receiveAll(e, records...)
+	h.enrol(e)
+	return h
 }
 
 // receiveAll delivers the complete records of an era: the given ones and the era record.
