--- a/core/ownership/era_test.go
+++ b/core/ownership/era_test.go
@@ -104,17 +104,17 @@
 
 // newOwner returns the harness of an instance that owns engine e in era 1 and may order it.
 func newOwner(t *testing.T) *registryHarness {
-	b := newInEra(t, 1)
-	w, ok := b.awaitClaims(5 * time.Second)
+	h := newInEra(t, 1)
+	w, ok := h.awaitClaims(5 * time.Second)
 	if !ok {
 		t.Fatal("nothing was claimed")
 	}
-	b.g.HandleWriteReply(b.now, WriteReply{Write: w, Revision: era.Era(1).Revision(40)})
-	if b.g.Owned.Get("e") == nil {
+	h.g.HandleWriteReply(h.now, WriteReply{Write: w, Revision: era.Era(1).Revision(40)})
+	if h.g.Owned.Get("e") == nil {
 		t.Fatal("e is not owned")
 	}
-	b.advance(time.Second)
-	return b
+	h.advance(time.Second)
+	return h
 }
 
 // mayOrder reports whether the instance may send orders to engine e.
