--- a/core/ownership/era_test.go
+++ b/core/ownership/era_test.go
@@ -141,22 +141,22 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			b := newOwner(t)
-			is.True(b.mayOrder())
-			b.receiveAll(2, found...)
-			is.True(b.mayOrder())
-			w, ok := b.awaitClaims(time.Second)
+			h := newOwner(t)
+			is.True(h.mayOrder())
+			h.receiveAll(2, found...)
+			is.True(h.mayOrder())
+			w, ok := h.awaitClaims(time.Second)
 			is.True(ok)
 			is.Equal(w.Claim[0].FormerOwner, "")
 			is.Equal(w.Claim[0].Era, era.Era(2))
 			is.Equal(w.Claim[0].Revision != 0, len(found) > 0)
 			is.Equal(w.Depends, era.Era(2).Revision(3)) // conditional on this era's record
-			b.g.HandleWriteReply(b.now, WriteReply{Write: w, Revision: era.Era(2).Revision(60)})
-			b.enrol(2)
-			b.advance(10 * time.Second)
-			b.tick()
-			is.True(b.mayOrder())
-			is.Equal(b.g.Owned.Get("e").Fence, era.Era(2).Revision(60))
+			h.g.HandleWriteReply(h.now, WriteReply{Write: w, Revision: era.Era(2).Revision(60)})
+			h.enrol(2)
+			h.advance(10 * time.Second)
+			h.tick()
+			is.True(h.mayOrder())
+			is.Equal(h.g.Owned.Get("e").Fence, era.Era(2).Revision(60))
 		})
 	}
 }
