--- a/core/ownership/era_test.go
+++ b/core/ownership/era_test.go
@@ -165,9 +165,9 @@
 // the current era, since only an instance that may order the engine writes one.
 func TestOwnerLosesToClaimOfCurrentEra(t *testing.T) {
 	is := is.New(t)
-	b := newOwner(t)
-	b.receiveAll(2, record(2, 20, ownerRecord("b", 2)))
-	is.True(b.g.Owned.Get("e") == nil)
+	h := newOwner(t)
+	h.receiveAll(2, record(2, 20, ownerRecord("b", 2)))
+	is.True(h.g.Owned.Get("e") == nil)
 }
 
 // TestFormerEraOwnershipExpires checks that an ownership of a former era ends unless it is
