--- a/core/ownership/era_test.go
+++ b/core/ownership/era_test.go
@@ -174,18 +174,18 @@
 // claimed again, even if renewals and watches are answered.
 func TestFormerEraOwnershipExpires(t *testing.T) {
 	is := is.New(t)
-	b := newOwner(t)
-	b.receiveAll(2)
-	b.enrol(2)
-	w, ok := b.awaitClaims(time.Second)
+	h := newOwner(t)
+	h.receiveAll(2)
+	h.enrol(2)
+	w, ok := h.awaitClaims(time.Second)
 	is.True(ok)
-	b.g.HandleWriteReply(b.now, WriteReply{Write: w, Err: errors.New("no answer")})
-	b.advance(b.g.Options.OrderValid - 2*time.Second)
-	is.True(b.mayOrder())
-	b.advance(2 * time.Second)
-	is.True(!b.mayOrder()) // before any tick
-	b.tick()
-	is.True(b.g.Owned.Get("e") == nil)
+	h.g.HandleWriteReply(h.now, WriteReply{Write: w, Err: errors.New("no answer")})
+	h.advance(h.g.Options.OrderValid - 2*time.Second)
+	is.True(h.mayOrder())
+	h.advance(2 * time.Second)
+	is.True(!h.mayOrder()) // before any tick
+	h.tick()
+	is.True(h.g.Owned.Get("e") == nil)
 }
 
 // TestUnsettledOwnershipIsLostOnRollback checks that an owner that still waits for the orders
