--- a/core/ownership/era_test.go
+++ b/core/ownership/era_test.go
@@ -193,12 +193,12 @@
 // claim that would have told the former owner to stop.
 func TestUnsettledOwnershipIsLostOnRollback(t *testing.T) {
 	is := is.New(t)
-	b := newInEra(t, 1)
+	h := newInEra(t, 1)
 	claim := registry.Ownership{Engine: "e", Owner: "self", Boot: 1, Era: 1, FormerOwner: "b"}
-	b.g.HandleWriteReply(b.now, WriteReply{Write: Txn{Claim: []registry.Ownership{claim}}, Revision: era.Era(1).Revision(40)})
-	is.True(b.g.Owned.Get("e") != nil)
-	b.receiveAll(2)
-	is.True(b.g.Owned.Get("e") == nil)
+	h.g.HandleWriteReply(h.now, WriteReply{Write: Txn{Claim: []registry.Ownership{claim}}, Revision: era.Era(1).Revision(40)})
+	is.True(h.g.Owned.Get("e") != nil)
+	h.receiveAll(2)
+	is.True(h.g.Owned.Get("e") == nil)
 }
 
 // TestFormerEraRecordForcesFullWait checks that an instance that claims an engine with a
