--- a/core/ownership/era_test.go
+++ b/core/ownership/era_test.go
@@ -208,18 +208,18 @@
 	for _, name := range []string{"self", "b", ""} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			b := newInEra(t, 1)
-			b.receiveAll(2, record(2, 20, ownerRecord(name, 1)))
-			b.enrol(2)
+			h := newInEra(t, 1)
+			h.receiveAll(2, record(2, 20, ownerRecord(name, 1)))
+			h.enrol(2)
 			if name == "b" {
-				b.g.absentSince["b"] = b.now // b's own record was deleted
+				h.g.absentSince["b"] = h.now // b's own record was deleted
 			}
-			w, ok := b.awaitClaims(5 * time.Second)
+			w, ok := h.awaitClaims(5 * time.Second)
 			is.True(ok)
 			is.Equal(w.Claim[0].FormerOwner, registry.FormerUnknown)
-			b.g.HandleWriteReply(b.now, WriteReply{Write: w, Revision: era.Era(2).Revision(60)})
-			o := b.g.Options
-			is.Equal(b.g.Owned.Get("e").From, b.now.Add(o.OrderValid+o.TurnGap+turnMargin))
+			h.g.HandleWriteReply(h.now, WriteReply{Write: w, Revision: era.Era(2).Revision(60)})
+			o := h.g.Options
+			is.Equal(h.g.Owned.Get("e").From, h.now.Add(o.OrderValid+o.TurnGap+turnMargin))
 		})
 	}
 }
