--- a/core/ownership/era_test.go
+++ b/core/ownership/era_test.go
@@ -230,17 +230,17 @@
 func TestMissingRecordForcesWaitAfterRollback(t *testing.T) {
 	for _, e := range []era.Era{1, 2} {
 		is := is.New(t)
-		b := newInEra(t, e)
-		start := b.now
-		w, ok := b.awaitClaims(5 * time.Second)
+		h := newInEra(t, e)
+		start := h.now
+		w, ok := h.awaitClaims(5 * time.Second)
 		is.True(ok)
-		b.g.HandleWriteReply(b.now, WriteReply{Write: w, Revision: e.Revision(60)})
-		want := b.now
+		h.g.HandleWriteReply(h.now, WriteReply{Write: w, Revision: e.Revision(60)})
+		want := h.now
 		if e > 1 {
-			o := b.g.Options
+			o := h.g.Options
 			want = start.Add(2*o.OrderValid + o.TurnGap + turnMargin)
 		}
-		is.Equal(b.g.Owned.Get("e").From, want)
+		is.Equal(h.g.Owned.Get("e").From, want)
 	}
 }
 
