--- a/core/ownership/era_test.go
+++ b/core/ownership/era_test.go
@@ -248,11 +248,11 @@
 // since the store may have issued its ID to another instance.
 func TestFormerEraLeaseIsNotRenewed(t *testing.T) {
 	is := is.New(t)
-	b := newInEra(t, 1)
-	b.receiveAll(2)
-	b.now = b.now.Add(2 * time.Second)
+	h := newInEra(t, 1)
+	h.receiveAll(2)
+	h.now = h.now.Add(2 * time.Second)
 	enrols := 0
-	for _, a := range b.tick() {
+	for _, a := range h.tick() {
 		switch a.(type) {
 		case RenewLease:
 			t.Error("a lease of the former era was renewed")
@@ -261,9 +261,9 @@
 		}
 	}
 	is.Equal(enrols, 1)
-	b.enrol(2)
-	b.now = b.now.Add(2 * time.Second)
-	for _, a := range b.tick() {
+	h.enrol(2)
+	h.now = h.now.Add(2 * time.Second)
+	for _, a := range h.tick() {
 		if k, ok := a.(RenewLease); ok {
 			is.Equal(k.Lease.Era, era.Era(2))
 		}
