--- a/core/ownership/era_test.go
+++ b/core/ownership/era_test.go
@@ -275,14 +275,14 @@
 // era attaches the record to a lease ID that the store has issued to another instance.
 func TestRecordDeletedWithForeignLeaseIsRewritten(t *testing.T) {
 	is := is.New(t)
-	b := newInEra(t, 1)
-	b.receiveAll(2)
-	b.enrol(2)
+	h := newInEra(t, 1)
+	h.receiveAll(2)
+	h.enrol(2)
 	key := registry.Instance{Name: "self"}.Value().Key
-	b.g.HandleWatchUpdate(b.now, WatchUpdate{Records: []registry.Record{{Key: key, Revision: era.Era(2).Revision(70), Gone: true}}, Version: era.Era(2).Revision(70)})
-	b.now = b.now.Add(2 * time.Second)
+	h.g.HandleWatchUpdate(h.now, WatchUpdate{Records: []registry.Record{{Key: key, Revision: era.Era(2).Revision(70), Gone: true}}, Version: era.Era(2).Revision(70)})
+	h.now = h.now.Add(2 * time.Second)
 	enrols := 0
-	for _, a := range b.tick() {
+	for _, a := range h.tick() {
 		if _, ok := a.(Enrol); ok {
 			enrols++
 		}
