--- a/core/ownership/era_test.go
+++ b/core/ownership/era_test.go
@@ -294,12 +294,12 @@
 // ignored, since the store may have lost them.
 func TestFormerEraPeerRecordsAreIgnored(t *testing.T) {
 	is := is.New(t)
-	b := newInEra(t, 2)
-	b.g.Merge(b.now, "peer", []registry.Record{record(1, 90, ownerRecord("b", 1))})
-	_, known := b.g.Owner("e")
+	h := newInEra(t, 2)
+	h.g.Merge(h.now, "peer", []registry.Record{record(1, 90, ownerRecord("b", 1))})
+	_, known := h.g.Owner("e")
 	is.True(!known)
-	b.g.Merge(b.now, "peer", []registry.Record{record(3, 10, ownerRecord("c", 3))})
-	is.Equal(b.g.era.current, era.Era(3)) // a record of a later era reveals the rollback
+	h.g.Merge(h.now, "peer", []registry.Record{record(3, 10, ownerRecord("c", 3))})
+	is.Equal(h.g.era.current, era.Era(3)) // a record of a later era reveals the rollback
 }
 
 // TestOwnWritesMayBeLostInRollback checks that an ownership that the instance wrote itself is
