--- a/core/ownership/era_test.go
+++ b/core/ownership/era_test.go
@@ -306,10 +306,10 @@
 // forgotten if the new era does not have it, even if no watch ever returned it.
 func TestOwnWritesMayBeLostInRollback(t *testing.T) {
 	is := is.New(t)
-	b := newOwner(t)
-	b.g.Owned.LoseAll(b.now, "a test")
-	b.receiveAll(2)
-	_, known := b.g.Owner("e")
+	h := newOwner(t)
+	h.g.Owned.LoseAll(h.now, "a test")
+	h.receiveAll(2)
+	_, known := h.g.Owner("e")
 	is.True(!known)
 }
 
