--- a/core/ownership/era_test.go
+++ b/core/ownership/era_test.go
@@ -318,13 +318,13 @@
 // rollback.
 func TestNoClaimWithoutEraRecord(t *testing.T) {
 	is := is.New(t)
-	b := newRegistryHarness(t)
-	b.g.HandleWatchUpdate(b.now, WatchUpdate{Version: era.Era(2).Revision(50), Whole: true})
-	b.g.WatchAnswered(b.now)
-	b.enrol(2)
+	h := newRegistryHarness(t)
+	h.g.HandleWatchUpdate(h.now, WatchUpdate{Version: era.Era(2).Revision(50), Whole: true})
+	h.g.WatchAnswered(h.now)
+	h.enrol(2)
 	var eraRecord *registry.EraRecord
 	for range 30 {
-		for _, a := range b.tick() {
+		for _, a := range h.tick() {
 			w, ok := a.(Write)
 			if !ok {
 				continue
@@ -332,12 +332,12 @@
 			is.Equal(len(w.Write.Claim), 0)
 			eraRecord = w.Write.Mark
 		}
-		b.advance(100 * time.Millisecond)
+		h.advance(100 * time.Millisecond)
 	}
 	is.True(eraRecord != nil)
 	is.Equal(eraRecord.Era, era.Era(2))
-	b.g.HandleWriteReply(b.now, WriteReply{Write: Txn{Mark: eraRecord}, Revision: era.Era(2).Revision(51)})
-	w, ok := b.awaitClaims(time.Second)
+	h.g.HandleWriteReply(h.now, WriteReply{Write: Txn{Mark: eraRecord}, Revision: era.Era(2).Revision(51)})
+	w, ok := h.awaitClaims(time.Second)
 	is.True(ok)
 	is.Equal(w.Depends, era.Era(2).Revision(51))
 }
