--- a/core/ownership/era_test.go
+++ b/core/ownership/era_test.go
@@ -347,36 +347,36 @@
 // done so.
 func TestPlacerKeepsPlacingAndReclaims(t *testing.T) {
 	is := is.New(t)
-	b := newInEra(t, 1)
+	h := newInEra(t, 1)
 	claim := func() *registry.Placer {
-		b.g.Out.Reset()
-		b.g.ClaimPlacer(b.now)
-		for _, a := range b.g.Out.Actions() {
+		h.g.Out.Reset()
+		h.g.ClaimPlacer(h.now)
+		for _, a := range h.g.Out.Actions() {
 			if w, ok := a.(Write); ok && w.Write.Placer != nil {
 				return w.Write.Placer
 			}
 		}
 		return nil
 	}
-	b.advance(time.Second)
+	h.advance(time.Second)
 	p := claim()
 	is.True(p != nil)
-	b.g.HandleWriteReply(b.now, WriteReply{Write: Txn{Placer: p}, Revision: era.Era(1).Revision(41)})
-	is.True(b.g.IsPlacer(b.now))
+	h.g.HandleWriteReply(h.now, WriteReply{Write: Txn{Placer: p}, Revision: era.Era(1).Revision(41)})
+	is.True(h.g.IsPlacer(h.now))
 	other := registry.Placer{Name: "b", Boot: 7, Era: 1}.Value()
-	b.receiveAll(2, record(2, 20, other))
-	is.True(b.g.IsPlacer(b.now))
+	h.receiveAll(2, record(2, 20, other))
+	is.True(h.g.IsPlacer(h.now))
 	is.True(claim() == nil) // not before it has a new lease
-	b.enrol(2)
-	b.advance(time.Second)
+	h.enrol(2)
+	h.advance(time.Second)
 	p = claim()
 	is.True(p != nil)
 	is.Equal(p.Era, era.Era(2))
 	is.Equal(p.Revision, era.Era(2).Revision(20))
-	b.g.HandleWriteReply(b.now, WriteReply{Write: Txn{Placer: p}, Revision: era.Era(2).Revision(61)})
-	b.advance(option.Default().OrderValid)
-	b.tick()
-	is.True(b.g.IsPlacer(b.now))
+	h.g.HandleWriteReply(h.now, WriteReply{Write: Txn{Placer: p}, Revision: era.Era(2).Revision(61)})
+	h.advance(option.Default().OrderValid)
+	h.tick()
+	is.True(h.g.IsPlacer(h.now))
 }
 
 // TestClaimWaitsForFormerPlacer checks that an instance that starts after a rollback waits for
