--- a/core/ownership/era_test.go
+++ b/core/ownership/era_test.go
@@ -389,18 +389,18 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			b := newInEra(t, 2, records...)
-			start := b.now
+			h := newInEra(t, 2, records...)
+			start := h.now
 			for range 200 {
-				b.g.Out.Reset()
-				b.g.ClaimPlacer(b.now)
-				if len(b.g.Out.Actions()) > 0 {
+				h.g.Out.Reset()
+				h.g.ClaimPlacer(h.now)
+				if len(h.g.Out.Actions()) > 0 {
 					break
 				}
-				b.advance(100 * time.Millisecond)
+				h.advance(100 * time.Millisecond)
 			}
-			is.True(len(b.g.Out.Actions()) > 0)
-			is.True(b.now.Since(start) >= 2*b.g.Options.OrderValid)
+			is.True(len(h.g.Out.Actions()) > 0)
+			is.True(h.now.Since(start) >= 2*h.g.Options.OrderValid)
 		})
 	}
 }
