--- a/core/ownership/era_test.go
+++ b/core/ownership/era_test.go
@@ -30,17 +30,17 @@
 // newRegistryHarness returns the harness of an instance that knows no records.
 func newRegistryHarness(t *testing.T) *registryHarness {
 	h := &registryHarness{T: t, now: clocktest.At(time.Hour)}
-	g := testRegistry(h.now)
-	g.Owned.Out = g.Out
-	g.Owned.MayOrder = g.MayOrderWithFence
-	g.Owned.Published = func(clock.Instant) {}
-	g.Config.Snapshot = g.Owned.Config.Snapshot
-	g.Options.MeshEvery = 250 * time.Millisecond
-	g.Roster = &watchers.Roster{Self: g.Self, Options: g.Options, Members: g.Members, Instances: g.Instances}
-	g.TellSoon = func(clock.Instant) {}
-	g.Quarantined = func(clock.Instant, registry.Quarantine) {}
-	g.SteppedBack = func(clock.Instant) {}
-	h.g = g
+	r := testRegistry(h.now)
+	r.Owned.Out = r.Out
+	r.Owned.MayOrder = r.MayOrderWithFence
+	r.Owned.Published = func(clock.Instant) {}
+	r.Config.Snapshot = r.Owned.Config.Snapshot
+	r.Options.MeshEvery = 250 * time.Millisecond
+	r.Roster = &watchers.Roster{Self: r.Self, Options: r.Options, Members: r.Members, Instances: r.Instances}
+	r.TellSoon = func(clock.Instant) {}
+	r.Quarantined = func(clock.Instant, registry.Quarantine) {}
+	r.SteppedBack = func(clock.Instant) {}
+	h.g = r
 	return h
 }
 
