--- a/core/ownership/ownership_test.go
+++ b/core/ownership/ownership_test.go
@@ -49,8 +49,8 @@
 func TestReleasedEngineWaitsForRestOfTurnGap(t *testing.T) {
 	is := is.New(t)
 	now := clocktest.At(time.Hour)
-	g := testRegistry(now)
-	whole := g.Options.TurnGap + turnMargin
+	r := testRegistry(now)
+	whole := r.Options.TurnGap + turnMargin
 	cases := []struct {
 		former string
 		quiet  time.Duration
@@ -59,11 +59,11 @@
 		{registry.FormerReleased, 0, whole},
 		{registry.FormerReleased, time.Second, whole - time.Second},
 		{registry.FormerReleased, time.Minute, 0},
-		{"b", time.Minute, whole + g.Options.OrderValid},
+		{"b", time.Minute, whole + r.Options.OrderValid},
 	}
 	for _, c := range cases {
 		claim := registry.Ownership{Engine: "e", FormerOwner: c.former, QuietMS: c.quiet.Milliseconds()}
-		is.Equal(firstOrder(now, claim, false, g.Options), now.Add(c.want))
+		is.Equal(firstOrder(now, claim, false, r.Options), now.Add(c.want))
 	}
 }
 
