--- a/core/ownership/ownership_test.go
+++ b/core/ownership/ownership_test.go
@@ -73,15 +73,15 @@
 func TestRenewalInterval(t *testing.T) {
 	is := is.New(t)
 	now := clocktest.At(time.Hour)
-	g := testRegistry(now)
-	is.Equal(g.renewalInterval(), 2*g.Options.KeepEvery)
-	is.True(g.renewalInterval() < g.Options.EnrolTerm/2)
-	g.Owned.Acquire(now, registry.Ownership{Engine: "e", Owner: "self", Boot: 1, Revision: 1}, now)
-	is.Equal(g.Owned.Len(), 1)
-	is.Equal(g.renewalInterval(), g.Options.KeepEvery)
-	g.Owned.LoseAll(now, "test")
-	g.placer.held = true
-	is.Equal(g.renewalInterval(), g.Options.KeepEvery)
+	r := testRegistry(now)
+	is.Equal(r.renewalInterval(), 2*r.Options.KeepEvery)
+	is.True(r.renewalInterval() < r.Options.EnrolTerm/2)
+	r.Owned.Acquire(now, registry.Ownership{Engine: "e", Owner: "self", Boot: 1, Revision: 1}, now)
+	is.Equal(r.Owned.Len(), 1)
+	is.Equal(r.renewalInterval(), r.Options.KeepEvery)
+	r.Owned.LoseAll(now, "test")
+	r.placer.held = true
+	is.Equal(r.renewalInterval(), r.Options.KeepEvery)
 }
 
 // TestDenial checks that an owner may send orders only while its last answered renewal and
