--- a/core/ownership/ownership_test.go
+++ b/core/ownership/ownership_test.go
@@ -108,17 +108,17 @@
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
 			now := clocktest.At(time.Hour)
-			g := testRegistry(now)
-			g.Stopping = func() bool { return c.stopping }
+			r := testRegistry(now)
+			r.Stopping = func() bool { return c.stopping }
 			if c.renewed >= 0 {
-				g.enrolment.renewedAt = now.Add(-c.renewed)
+				r.enrolment.renewedAt = now.Add(-c.renewed)
 			}
 			if c.watched >= 0 {
-				g.WatchAnswered(now.Add(-c.watched))
+				r.WatchAnswered(now.Add(-c.watched))
 			}
 			now.Wall = now.Wall.Add(c.wallClockAhead)
-			is.Equal(g.denial(now), c.want)
-			is.Equal(g.MayOrder(now), c.want == allowed)
+			is.Equal(r.denial(now), c.want)
+			is.Equal(r.MayOrder(now), c.want == allowed)
 		})
 	}
 }
