--- a/core/ownership/ownership_test.go
+++ b/core/ownership/ownership_test.go
@@ -130,7 +130,7 @@
 	absent := option.Default().AbsentFor
 	cases := []struct {
 		name    string
-		prepare func(g *Registry)
+		prepare func(r *Registry)
 		old     registry.Ownership
 		owned   bool
 		free    bool
