--- a/core/ownership/era_test.go
+++ b/core/ownership/era_test.go
@@ -23,8 +23,8 @@
 // A registryHarness drives one Registry by the events that a driver would post.
 type registryHarness struct {
 	*testing.T
-	g   *Registry
-	now clock.Instant
+	registry *Registry
+	now      clock.Instant
 }
 
 // newRegistryHarness returns the harness of an instance that knows no records.
@@ -40,7 +40,7 @@
 	r.TellSoon = func(clock.Instant) {}
 	r.Quarantined = func(clock.Instant, registry.Quarantine) {}
 	r.SteppedBack = func(clock.Instant) {}
-	h.g = r
+	h.registry = r
 	return h
 }
 
@@ -57,8 +57,8 @@
 func (h *registryHarness) receiveAll(e era.Era, records ...registry.Record) {
 	eraRecord := registry.EraRecord{Era: e, First: e == 1}
 	records = append(records, record(e, 3, eraRecord.Value()))
-	h.g.HandleWatchUpdate(h.now, WatchUpdate{Records: records, Version: e.Revision(50), Whole: true})
-	h.g.WatchAnswered(h.now)
+	h.registry.HandleWatchUpdate(h.now, WatchUpdate{Records: records, Version: e.Revision(50), Whole: true})
+	h.registry.WatchAnswered(h.now)
 }
 
 // record returns v as a record with the given revision of an era.
@@ -68,25 +68,25 @@
 
 // enrol delivers the reply that this instance has a lease of era e.
 func (h *registryHarness) enrol(e era.Era) {
-	h.g.HandleEnrolReply(h.now, EnrolReply{Sent: h.now, Lease: era.Lease{Era: e, ID: 9}})
+	h.registry.HandleEnrolReply(h.now, EnrolReply{Sent: h.now, Lease: era.Lease{Era: e, ID: 9}})
 }
 
 // advance advances the time by span while the store answers watches and renewals.
 func (h *registryHarness) advance(span time.Duration) {
 	for end := h.now.Add(span); h.now.Before(end); {
 		h.now = h.now.Add(100 * time.Millisecond)
-		h.g.WatchAnswered(h.now)
-		if h.g.enrolment.held {
-			h.g.renewed(h.now, h.now)
+		h.registry.WatchAnswered(h.now)
+		if h.registry.enrolment.held {
+			h.registry.renewed(h.now, h.now)
 		}
 	}
 }
 
 // tick runs one tick and returns its actions.
 func (h *registryHarness) tick() []step.Action {
-	h.g.Out.Reset()
-	h.g.Tick(h.now)
-	return h.g.Out.Actions()
+	h.registry.Out.Reset()
+	h.registry.Tick(h.now)
+	return h.registry.Out.Actions()
 }
 
 // awaitClaims advances the time by at most limit until claims are written, and returns their
@@ -109,8 +109,8 @@
 	if !ok {
 		t.Fatal("nothing was claimed")
 	}
-	h.g.HandleWriteReply(h.now, WriteReply{Write: w, Revision: era.Era(1).Revision(40)})
-	if h.g.Owned.Get("e") == nil {
+	h.registry.HandleWriteReply(h.now, WriteReply{Write: w, Revision: era.Era(1).Revision(40)})
+	if h.registry.Owned.Get("e") == nil {
 		t.Fatal("e is not owned")
 	}
 	h.advance(time.Second)
@@ -119,8 +119,8 @@
 
 // mayOrder reports whether the instance may send orders to engine e.
 func (h *registryHarness) mayOrder() bool {
-	e := h.g.Owned.Get("e")
-	return e != nil && h.g.Owned.Orderable(h.now, e)
+	e := h.registry.Owned.Get("e")
+	return e != nil && h.registry.Owned.Orderable(h.now, e)
 }
 
 // ownerRecord returns the ownership record of engine e for the owner name, written for the
@@ -151,12 +151,12 @@
 			is.Equal(w.Claim[0].Era, era.Era(2))
 			is.Equal(w.Claim[0].Revision != 0, len(found) > 0)
 			is.Equal(w.Depends, era.Era(2).Revision(3)) // conditional on this era's record
-			h.g.HandleWriteReply(h.now, WriteReply{Write: w, Revision: era.Era(2).Revision(60)})
+			h.registry.HandleWriteReply(h.now, WriteReply{Write: w, Revision: era.Era(2).Revision(60)})
 			h.enrol(2)
 			h.advance(10 * time.Second)
 			h.tick()
 			is.True(h.mayOrder())
-			is.Equal(h.g.Owned.Get("e").Fence, era.Era(2).Revision(60))
+			is.Equal(h.registry.Owned.Get("e").Fence, era.Era(2).Revision(60))
 		})
 	}
 }
@@ -167,7 +167,7 @@
 	is := is.New(t)
 	h := newOwner(t)
 	h.receiveAll(2, record(2, 20, ownerRecord("b", 2)))
-	is.True(h.g.Owned.Get("e") == nil)
+	is.True(h.registry.Owned.Get("e") == nil)
 }
 
 // TestFormerEraOwnershipExpires checks that an ownership of a former era ends unless it is
@@ -179,13 +179,13 @@
 	h.enrol(2)
 	w, ok := h.awaitClaims(time.Second)
 	is.True(ok)
-	h.g.HandleWriteReply(h.now, WriteReply{Write: w, Err: errors.New("no answer")})
-	h.advance(h.g.Options.OrderValid - 2*time.Second)
+	h.registry.HandleWriteReply(h.now, WriteReply{Write: w, Err: errors.New("no answer")})
+	h.advance(h.registry.Options.OrderValid - 2*time.Second)
 	is.True(h.mayOrder())
 	h.advance(2 * time.Second)
 	is.True(!h.mayOrder()) // before any tick
 	h.tick()
-	is.True(h.g.Owned.Get("e") == nil)
+	is.True(h.registry.Owned.Get("e") == nil)
 }
 
 // TestUnsettledOwnershipIsLostOnRollback checks that an owner that still waits for the orders
@@ -195,10 +195,10 @@
 	is := is.New(t)
 	h := newInEra(t, 1)
 	claim := registry.Ownership{Engine: "e", Owner: "self", Boot: 1, Era: 1, FormerOwner: "b"}
-	h.g.HandleWriteReply(h.now, WriteReply{Write: Txn{Claim: []registry.Ownership{claim}}, Revision: era.Era(1).Revision(40)})
-	is.True(h.g.Owned.Get("e") != nil)
+	h.registry.HandleWriteReply(h.now, WriteReply{Write: Txn{Claim: []registry.Ownership{claim}}, Revision: era.Era(1).Revision(40)})
+	is.True(h.registry.Owned.Get("e") != nil)
 	h.receiveAll(2)
-	is.True(h.g.Owned.Get("e") == nil)
+	is.True(h.registry.Owned.Get("e") == nil)
 }
 
 // TestFormerEraRecordForcesFullWait checks that an instance that claims an engine with a
@@ -212,14 +212,14 @@
 			h.receiveAll(2, record(2, 20, ownerRecord(name, 1)))
 			h.enrol(2)
 			if name == "b" {
-				h.g.absentSince["b"] = h.now // b's own record was deleted
+				h.registry.absentSince["b"] = h.now // b's own record was deleted
 			}
 			w, ok := h.awaitClaims(5 * time.Second)
 			is.True(ok)
 			is.Equal(w.Claim[0].FormerOwner, registry.FormerUnknown)
-			h.g.HandleWriteReply(h.now, WriteReply{Write: w, Revision: era.Era(2).Revision(60)})
-			o := h.g.Options
-			is.Equal(h.g.Owned.Get("e").From, h.now.Add(o.OrderValid+o.TurnGap+turnMargin))
+			h.registry.HandleWriteReply(h.now, WriteReply{Write: w, Revision: era.Era(2).Revision(60)})
+			o := h.registry.Options
+			is.Equal(h.registry.Owned.Get("e").From, h.now.Add(o.OrderValid+o.TurnGap+turnMargin))
 		})
 	}
 }
@@ -234,13 +234,13 @@
 		start := h.now
 		w, ok := h.awaitClaims(5 * time.Second)
 		is.True(ok)
-		h.g.HandleWriteReply(h.now, WriteReply{Write: w, Revision: e.Revision(60)})
+		h.registry.HandleWriteReply(h.now, WriteReply{Write: w, Revision: e.Revision(60)})
 		want := h.now
 		if e > 1 {
-			o := h.g.Options
+			o := h.registry.Options
 			want = start.Add(2*o.OrderValid + o.TurnGap + turnMargin)
 		}
-		is.Equal(h.g.Owned.Get("e").From, want)
+		is.Equal(h.registry.Owned.Get("e").From, want)
 	}
 }
 
@@ -279,7 +279,7 @@
 	h.receiveAll(2)
 	h.enrol(2)
 	key := registry.Instance{Name: "self"}.Value().Key
-	h.g.HandleWatchUpdate(h.now, WatchUpdate{Records: []registry.Record{{Key: key, Revision: era.Era(2).Revision(70), Gone: true}}, Version: era.Era(2).Revision(70)})
+	h.registry.HandleWatchUpdate(h.now, WatchUpdate{Records: []registry.Record{{Key: key, Revision: era.Era(2).Revision(70), Gone: true}}, Version: era.Era(2).Revision(70)})
 	h.now = h.now.Add(2 * time.Second)
 	enrols := 0
 	for _, a := range h.tick() {
@@ -295,11 +295,11 @@
 func TestFormerEraPeerRecordsAreIgnored(t *testing.T) {
 	is := is.New(t)
 	h := newInEra(t, 2)
-	h.g.Merge(h.now, "peer", []registry.Record{record(1, 90, ownerRecord("b", 1))})
-	_, known := h.g.Owner("e")
+	h.registry.Merge(h.now, "peer", []registry.Record{record(1, 90, ownerRecord("b", 1))})
+	_, known := h.registry.Owner("e")
 	is.True(!known)
-	h.g.Merge(h.now, "peer", []registry.Record{record(3, 10, ownerRecord("c", 3))})
-	is.Equal(h.g.era.current, era.Era(3)) // a record of a later era reveals the rollback
+	h.registry.Merge(h.now, "peer", []registry.Record{record(3, 10, ownerRecord("c", 3))})
+	is.Equal(h.registry.era.current, era.Era(3)) // a record of a later era reveals the rollback
 }
 
 // TestOwnWritesMayBeLostInRollback checks that an ownership that the instance wrote itself is
@@ -307,9 +307,9 @@
 func TestOwnWritesMayBeLostInRollback(t *testing.T) {
 	is := is.New(t)
 	h := newOwner(t)
-	h.g.Owned.LoseAll(h.now, "a test")
+	h.registry.Owned.LoseAll(h.now, "a test")
 	h.receiveAll(2)
-	_, known := h.g.Owner("e")
+	_, known := h.registry.Owner("e")
 	is.True(!known)
 }
 
@@ -319,8 +319,8 @@
 func TestNoClaimWithoutEraRecord(t *testing.T) {
 	is := is.New(t)
 	h := newRegistryHarness(t)
-	h.g.HandleWatchUpdate(h.now, WatchUpdate{Version: era.Era(2).Revision(50), Whole: true})
-	h.g.WatchAnswered(h.now)
+	h.registry.HandleWatchUpdate(h.now, WatchUpdate{Version: era.Era(2).Revision(50), Whole: true})
+	h.registry.WatchAnswered(h.now)
 	h.enrol(2)
 	var eraRecord *registry.EraRecord
 	for range 30 {
@@ -336,7 +336,7 @@
 	}
 	is.True(eraRecord != nil)
 	is.Equal(eraRecord.Era, era.Era(2))
-	h.g.HandleWriteReply(h.now, WriteReply{Write: Txn{Mark: eraRecord}, Revision: era.Era(2).Revision(51)})
+	h.registry.HandleWriteReply(h.now, WriteReply{Write: Txn{Mark: eraRecord}, Revision: era.Era(2).Revision(51)})
 	w, ok := h.awaitClaims(time.Second)
 	is.True(ok)
 	is.Equal(w.Depends, era.Era(2).Revision(51))
@@ -349,9 +349,9 @@
 	is := is.New(t)
 	h := newInEra(t, 1)
 	claim := func() *registry.Placer {
-		h.g.Out.Reset()
-		h.g.ClaimPlacer(h.now)
-		for _, a := range h.g.Out.Actions() {
+		h.registry.Out.Reset()
+		h.registry.ClaimPlacer(h.now)
+		for _, a := range h.registry.Out.Actions() {
 			if w, ok := a.(Write); ok && w.Write.Placer != nil {
 				return w.Write.Placer
 			}
@@ -361,11 +361,11 @@
 	h.advance(time.Second)
 	p := claim()
 	is.True(p != nil)
-	h.g.HandleWriteReply(h.now, WriteReply{Write: Txn{Placer: p}, Revision: era.Era(1).Revision(41)})
-	is.True(h.g.IsPlacer(h.now))
+	h.registry.HandleWriteReply(h.now, WriteReply{Write: Txn{Placer: p}, Revision: era.Era(1).Revision(41)})
+	is.True(h.registry.IsPlacer(h.now))
 	other := registry.Placer{Name: "b", Boot: 7, Era: 1}.Value()
 	h.receiveAll(2, record(2, 20, other))
-	is.True(h.g.IsPlacer(h.now))
+	is.True(h.registry.IsPlacer(h.now))
 	is.True(claim() == nil) // not before it has a new lease
 	h.enrol(2)
 	h.advance(time.Second)
@@ -373,10 +373,10 @@
 	is.True(p != nil)
 	is.Equal(p.Era, era.Era(2))
 	is.Equal(p.Revision, era.Era(2).Revision(20))
-	h.g.HandleWriteReply(h.now, WriteReply{Write: Txn{Placer: p}, Revision: era.Era(2).Revision(61)})
+	h.registry.HandleWriteReply(h.now, WriteReply{Write: Txn{Placer: p}, Revision: era.Era(2).Revision(61)})
 	h.advance(option.Default().OrderValid)
 	h.tick()
-	is.True(h.g.IsPlacer(h.now))
+	is.True(h.registry.IsPlacer(h.now))
 }
 
 // TestClaimWaitsForFormerPlacer checks that an instance that starts after a rollback waits for
@@ -392,15 +392,15 @@
 			h := newInEra(t, 2, records...)
 			start := h.now
 			for range 200 {
-				h.g.Out.Reset()
-				h.g.ClaimPlacer(h.now)
-				if len(h.g.Out.Actions()) > 0 {
+				h.registry.Out.Reset()
+				h.registry.ClaimPlacer(h.now)
+				if len(h.registry.Out.Actions()) > 0 {
 					break
 				}
 				h.advance(100 * time.Millisecond)
 			}
-			is.True(len(h.g.Out.Actions()) > 0)
-			is.True(h.now.Since(start) >= 2*h.g.Options.OrderValid)
+			is.True(len(h.registry.Out.Actions()) > 0)
+			is.True(h.now.Since(start) >= 2*h.registry.Options.OrderValid)
 		})
 	}
 }
