--- a/core/ownership/ownership_test.go
+++ b/core/ownership/ownership_test.go
@@ -136,7 +136,7 @@
 		free    bool
 		since   clock.Instant
 	}{
-		{"store does not answer yet", func(g *Registry) { g.storeUpSince = clock.Instant{} }, registry.Ownership{}, false, false, clock.Instant{}},
+		{"store does not answer yet", func(r *Registry) { r.storeUpSince = clock.Instant{} }, registry.Ownership{}, false, false, clock.Instant{}},
 		{"never owned", nil, registry.Ownership{}, false, true, now},
 		{"owner released it", func(g *Registry) { g.learntAt["e"] = now.Add(-time.Second) }, registry.Ownership{}, true, true, now.Add(-time.Second)},
 		{"owner is present", func(g *Registry) { g.instances["a"] = registry.Instance{Name: "a"} }, registry.Ownership{Owner: "a"}, true, false, clock.Instant{}},
