--- a/core/ownership/ownership_test.go
+++ b/core/ownership/ownership_test.go
@@ -141,7 +141,7 @@
 		{"owner released it", func(r *Registry) { r.learntAt["e"] = now.Add(-time.Second) }, registry.Ownership{}, true, true, now.Add(-time.Second)},
 		{"owner is present", func(r *Registry) { r.instances["a"] = registry.Instance{Name: "a"} }, registry.Ownership{Owner: "a"}, true, false, clock.Instant{}},
 		{"owner's record was never seen", nil, registry.Ownership{Owner: "a"}, true, false, clock.Instant{}},
-		{"owner's record was deleted", func(g *Registry) { g.absentSince["a"] = now.Add(-2 * time.Second) }, registry.Ownership{Owner: "a"}, true, true, now.Add(-2 * time.Second).Add(absent)},
+		{"owner's record was deleted", func(r *Registry) { r.absentSince["a"] = now.Add(-2 * time.Second) }, registry.Ownership{Owner: "a"}, true, true, now.Add(-2 * time.Second).Add(absent)},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
