--- a/core/ownership/ownership_test.go
+++ b/core/ownership/ownership_test.go
@@ -146,12 +146,12 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			g := testRegistry(now)
-			g.storeUpSince = longAgo
+			r := testRegistry(now)
+			r.storeUpSince = longAgo
 			if c.prepare != nil {
-				c.prepare(g)
+				c.prepare(r)
 			}
-			since, free := g.engineView(now, g.Pool.Get("e"), c.old, c.owned).freeSince(absent)
+			since, free := r.engineView(now, r.Pool.Get("e"), c.old, c.owned).freeSince(absent)
 			is.Equal(free, c.free)
 			if free {
 				is.Equal(since, c.since)
