--- a/core/instance/stepback_test.go
+++ b/core/instance/stepback_test.go
@@ -368,7 +368,7 @@
 		f.keepStoreCopies()
 		f.run(20 * time.Second)
 		if _, wrong := f.settle(aim); wrong != "" {
-			t.Fatalf("%d instances: %s before the step back", size.members, wrong)
+			t.Fatalf("%d instances: %s before the rollback", size.members, wrong)
 		}
 		f.storeWriteTimes = nil
 		f.stepBack(5 * time.Second)
