--- a/core/ownership/claim.go
+++ b/core/ownership/claim.go
@@ -107,7 +107,7 @@
 	announcedAt      clock.Instant // when the engine was first announced to this instance
 	owned            bool          // an ownership record exists
 	owner            string        // "" if it was released
-	learntAt         clock.Instant // when the ownership record was learnt
+	learnedAt        clock.Instant // when the ownership record was learnt
 	ownerPresent     bool          // the owner's own record exists
 	ownerAbsentSince clock.Instant // when the owner's record was first missing; zero: never observed
 }
@@ -115,7 +115,7 @@
 // engineView returns what is known about the owner of an engine. An owner without a
 // record counts as absent from the first check that finds the record missing.
 func (r *Registry) engineView(now clock.Instant, replica *pool.Replica, old registry.Ownership, owned bool) engineView {
-	v := engineView{storeUpSince: r.storeUpSince, announcedAt: replica.FirstSeenAt(), owned: owned, owner: old.Owner, learntAt: r.learntAt[replica.Name]}
+	v := engineView{storeUpSince: r.storeUpSince, announcedAt: replica.FirstSeenAt(), owned: owned, owner: old.Owner, learnedAt: r.learntAt[replica.Name]}
 	if r.storeUpSince.IsZero() || !owned || old.Owner == "" {
 		return v
 	}
@@ -142,7 +142,7 @@
 	case !v.owned:
 		return clock.Latest(v.storeUpSince.Add(claimRankDelay), v.announcedAt), true
 	case v.owner == "":
-		return v.learntAt, true
+		return v.learnedAt, true
 	case v.ownerPresent || v.ownerAbsentSince.IsZero():
 		return since, false
 	default:
