--- a/core/ownership/claim.go
+++ b/core/ownership/claim.go
@@ -115,7 +115,7 @@
 // engineView returns what is known about the owner of an engine. An owner without a
 // record counts as absent from the first check that finds the record missing.
 func (r *Registry) engineView(now clock.Instant, replica *pool.Replica, old registry.Ownership, owned bool) engineView {
-	v := engineView{storeUpSince: r.storeUpSince, announcedAt: replica.FirstSeenAt(), owned: owned, owner: old.Owner, learnedAt: r.learntAt[replica.Name]}
+	v := engineView{storeUpSince: r.storeUpSince, announcedAt: replica.FirstSeenAt(), owned: owned, owner: old.Owner, learnedAt: r.learnedAt[replica.Name]}
 	if r.storeUpSince.IsZero() || !owned || old.Owner == "" {
 		return v
 	}
--- a/core/ownership/ownership.go
+++ b/core/ownership/ownership.go
@@ -162,7 +162,7 @@
 	instances    map[string]registry.Instance  // instances with a record, by name
 	absentSince  map[string]clock.Instant      // when an instance was first seen without a record, by name
 	owners       map[string]registry.Ownership // newest known ownership, by engine
-	learntAt     map[string]clock.Instant      // when that ownership was learnt, by engine
+	learnedAt    map[string]clock.Instant      // when that ownership was learnt, by engine
 }
 
 // New returns a Registry that knows no records yet.
@@ -173,7 +173,7 @@
 		instances:   map[string]registry.Instance{},
 		absentSince: map[string]clock.Instant{},
 		owners:      map[string]registry.Ownership{},
-		learntAt:    map[string]clock.Instant{},
+		learnedAt:   map[string]clock.Instant{},
 	}
 }
 
@@ -354,7 +354,7 @@
 		return
 	}
 	r.owners[o.Engine] = o
-	r.learntAt[o.Engine] = now
+	r.learnedAt[o.Engine] = now
 	switch {
 	case o.Owner == r.Self.Name && o.Boot == r.Self.Boot:
 	case r.era.isStale(o.Era):
--- a/core/ownership/ownership_test.go
+++ b/core/ownership/ownership_test.go
@@ -138,7 +138,7 @@
 	}{
 		{"store does not answer yet", func(r *Registry) { r.storeUpSince = clock.Instant{} }, registry.Ownership{}, false, false, clock.Instant{}},
 		{"never owned", nil, registry.Ownership{}, false, true, now},
-		{"owner released it", func(r *Registry) { r.learntAt["e"] = now.Add(-time.Second) }, registry.Ownership{}, true, true, now.Add(-time.Second)},
+		{"owner released it", func(r *Registry) { r.learnedAt["e"] = now.Add(-time.Second) }, registry.Ownership{}, true, true, now.Add(-time.Second)},
 		{"owner is present", func(r *Registry) { r.instances["a"] = registry.Instance{Name: "a"} }, registry.Ownership{Owner: "a"}, true, false, clock.Instant{}},
 		{"owner's record was never seen", nil, registry.Ownership{Owner: "a"}, true, false, clock.Instant{}},
 		{"owner's record was deleted", func(r *Registry) { r.absentSince["a"] = now.Add(-2 * time.Second) }, registry.Ownership{Owner: "a"}, true, true, now.Add(-2 * time.Second).Add(absent)},
