--- a/core/ownership/claim.go
+++ b/core/ownership/claim.go
@@ -107,7 +107,7 @@
 	announcedAt      clock.Instant // when the engine was first announced to this instance
 	owned            bool          // an ownership record exists
 	owner            string        // "" if it was released
-	learnedAt        clock.Instant // when the ownership record was learnt
+	learnedAt        clock.Instant // when the ownership record was learned
 	ownerPresent     bool          // the owner's own record exists
 	ownerAbsentSince clock.Instant // when the owner's record was first missing; zero: never observed
 }
--- a/core/ownership/ownership.go
+++ b/core/ownership/ownership.go
@@ -162,7 +162,7 @@
 	instances    map[string]registry.Instance  // instances with a record, by name
 	absentSince  map[string]clock.Instant      // when an instance was first seen without a record, by name
 	owners       map[string]registry.Ownership // newest known ownership, by engine
-	learnedAt    map[string]clock.Instant      // when that ownership was learnt, by engine
+	learnedAt    map[string]clock.Instant      // when that ownership was learned, by engine
 }
 
 // New returns a Registry that knows no records yet.
