--- a/core/instance/announced_world_test.go
+++ b/core/instance/announced_world_test.go
@@ -376,11 +376,11 @@
 	case ownership.Resign:
 		f.storeCall(n, ofEra(act.Lease.Era), func() (step.Event, bool) {
 			for _, o := range act.Give {
-				if f.hasEraMark(o.Era, act.Depends) {
+				if f.hasEraRecord(o.Era, act.Depends) {
 					f.writeOwnership(o)
 				}
 			}
-			if p := act.Placer; p != nil && f.hasEraMark(p.Era, act.Depends) {
+			if p := act.Placer; p != nil && f.hasEraRecord(p.Era, act.Depends) {
 				f.writePlacer(*p, 0)
 			}
 			f.endLease(act.Lease.ID)
@@ -671,19 +671,19 @@
 	return f.revisionOf(f.setKey("placer", &fleetValue{data: &p, lease: lease}))
 }
 
-// hasEraMark reports whether the record that marks era e exists with the revision mark. If mark is
-// 0, no record is required and the result is true.
-func (f *fleet) hasEraMark(e era.Era, mark era.Revision) bool {
-	if mark == 0 {
+// hasEraRecord reports whether the record of era e exists with the given revision. If the revision
+// is 0, no record is required and the result is true.
+func (f *fleet) hasEraRecord(e era.Era, revision era.Revision) bool {
+	if revision == 0 {
 		return true
 	}
 	v := f.store.values[registry.EraRecord{Era: e}.Key()]
-	return v != nil && v.revision == mark.Raw()
+	return v != nil && v.revision == revision.Raw()
 }
 
-// writeEraMark writes the mark of an era and deletes the marks of former eras. It returns the new
-// revision, or 0 if the mark already exists.
-func (f *fleet) writeEraMark(w ownership.Txn) era.Revision {
+// writeEraRecord writes the record of an era and deletes the records of former eras. It returns the
+// new revision, or 0 if the record already exists.
+func (f *fleet) writeEraRecord(w ownership.Txn) era.Revision {
 	if f.store.values[w.Mark.Key()] != nil {
 		return 0
 	}
@@ -693,16 +693,16 @@
 	return f.revisionOf(f.setKey(w.Mark.Key(), &fleetValue{data: w.Mark}))
 }
 
-// commitWrite executes one conditional write: of an era mark, of the record of the placer, or of
+// commitWrite executes one conditional write: of an era record, of the record of the placer, or of
 // claims of engines. If a condition does not hold, it reports a conflict and writes nothing.
 func (f *fleet) commitWrite(a ownership.Write, sent clock.Instant) step.Event {
 	r := ownership.WriteReply{Write: a.Write}
 	if a.Write.Mark != nil {
-		r.Revision = f.writeEraMark(a.Write)
+		r.Revision = f.writeEraRecord(a.Write)
 		r.Conflict = r.Revision == 0
 		return r
 	}
-	if !f.hasEraMark(a.Write.Era(), a.Write.Depends) {
+	if !f.hasEraRecord(a.Write.Era(), a.Write.Depends) {
 		r.Conflict = true
 		return r
 	}
@@ -1412,9 +1412,9 @@
 }
 
 // TestOwnersHearOfTheRegistry checks that an instance that stops watching sends no more orders to
-// its engines, since another instance may have claimed them. In a large fleet, instances used to
-// own engines without watching, and a former owner sent orders under a lower fence (the check
-// named ONE failed in a day-long run of an enlarged fleet).
+// its engines, since another instance may have claimed them. In a large simulated fleet, instances
+// used to own engines without watching: two instances sent orders to one engine, the former owner
+// under a lower fence.
 func TestOwnersHearOfTheRegistry(t *testing.T) {
 	cases := []struct {
 		name           string
--- a/core/instance/limit_test.go
+++ b/core/instance/limit_test.go
@@ -39,9 +39,9 @@
 	// limitFactor times what the limit allows, plus limitBurst requests.
 	limitFactor = 1.5
 	limitBurst  = 5
-	// limitToldDelay is how long after an instance was told of the limit its requests begin
+	// limitNoticeDelay is how long after an instance was notified of the limit its requests begin
 	// to count.
-	limitToldDelay = 500 * time.Millisecond
+	limitNoticeDelay = 500 * time.Millisecond
 	// limitGrace is how long after an engine first states a limit the bound begins to apply.
 	limitGrace = 3 * time.Second
 )
@@ -70,22 +70,22 @@
 // A limitHarness makes engines state rate limits in their responses, and records the requests that
 // they receive.
 type limitHarness struct {
-	f            *fleet
-	limitHistory map[*fleetEngine][]namedLimit
-	firstToldAt  map[noticeKey]time.Duration // when an instance first received a response that states a limit
-	received     map[*fleetEngine][]limitRequest
-	arrived      map[calls.ID]noticeCall
-	lostCalls    []string // refused calls that an engine without a limit could have served
-	refused      []calls.Finish
-	healedAt     time.Duration // when the last partition ended
-	callDuration time.Duration // run time of a call
+	f             *fleet
+	limitHistory  map[*fleetEngine][]statedLimit
+	firstNoticeAt map[noticeKey]time.Duration // when an instance first received a response that states a limit
+	received      map[*fleetEngine][]limitRequest
+	arrived       map[calls.ID]noticeCall
+	lostCalls     []string // refused calls that an engine without a limit could have served
+	refused       []calls.Finish
+	healedAt      time.Duration // when the last partition ended
+	callDuration  time.Duration // run time of a call
 	// otherNotices holds what engines state in addition to their limit. An engine that states a
 	// rest refuses all calls.
 	otherNotices map[*fleetEngine]pool.Notice
 }
 
-// A namedLimit is a limit that an engine states from a point in time on.
-type namedLimit struct {
+// A statedLimit is a limit that an engine states from a point in time on.
+type statedLimit struct {
 	at    time.Duration
 	limit pool.RateLimit
 }
@@ -98,7 +98,7 @@
 
 func newLimitHarness(f *fleet) *limitHarness {
 	f.limits = &limitHarness{
-		f: f, limitHistory: map[*fleetEngine][]namedLimit{}, firstToldAt: map[noticeKey]time.Duration{},
+		f: f, limitHistory: map[*fleetEngine][]statedLimit{}, firstNoticeAt: map[noticeKey]time.Duration{},
 		received: map[*fleetEngine][]limitRequest{}, arrived: map[calls.ID]noticeCall{}, callDuration: 400 * time.Millisecond,
 		otherNotices: map[*fleetEngine]pool.Notice{},
 	}
@@ -122,12 +122,12 @@
 
 // setLimit makes an engine state a limit from now on.
 func (l *limitHarness) setLimit(e *fleetEngine, perSecond float64) {
-	l.limitHistory[e] = append(l.limitHistory[e], namedLimit{l.f.now, pool.RateLimit{Named: true, PerSecond: perSecond}})
+	l.limitHistory[e] = append(l.limitHistory[e], statedLimit{l.f.now, pool.RateLimit{Named: true, PerSecond: perSecond}})
 }
 
 // endLimit makes an engine state no limit from now on.
 func (l *limitHarness) endLimit(e *fleetEngine) {
-	l.limitHistory[e] = append(l.limitHistory[e], namedLimit{l.f.now, pool.RateLimit{}})
+	l.limitHistory[e] = append(l.limitHistory[e], statedLimit{l.f.now, pool.RateLimit{}})
 }
 
 // limit returns the limit that an engine currently states.
@@ -162,8 +162,8 @@
 	content.Limit = l.limit(e)
 	to := noticeKey{n.id.Name, boot, e.name, e.restarts}
 	l.f.at(delay, func() {
-		if _, known := l.firstToldAt[to]; content.Limit.Named && !known && !n.dead && !n.frozen && n.boot == boot {
-			l.firstToldAt[to] = l.f.now
+		if _, known := l.firstNoticeAt[to]; content.Limit.Named && !known && !n.dead && !n.frozen && n.boot == boot {
+			l.firstNoticeAt[to] = l.f.now
 		}
 		l.f.step(n, boot, notice.Received{Replica: e.name, Sent: sent, Notice: content})
 	})
@@ -255,13 +255,13 @@
 }
 
 // excess describes the window in which the requests that reached an engine exceeded the users'
-// bound the most, counting all instances that the engine had told of its limit. ok is false if no
+// bound the most, counting all instances that the engine had notified of its limit. ok is false if no
 // window exceeds the bound.
 func (l *limitHarness) excess(e *fleetEngine) (worst string, ok bool) {
 	var within []limitRequest // the requests in the window that count
 	most := 0.0
 	for _, r := range l.received[e] {
-		if at, told := l.firstToldAt[r.by]; !told || r.at < at+limitToldDelay {
+		if at, told := l.firstNoticeAt[r.by]; !told || r.at < at+limitNoticeDelay {
 			continue
 		}
 		within = append(within, r)
@@ -312,8 +312,8 @@
 			t.Errorf("seed %d: a call that did not run was refused without a retry time: %+v", seed, a.Refusal)
 		}
 	}
-	if len(l.firstToldAt) == 0 || l.f.served == 0 {
-		t.Errorf("seed %d: %d instances told of a limit, %d calls served", seed, len(l.firstToldAt), l.f.served)
+	if len(l.firstNoticeAt) == 0 || l.f.served == 0 {
+		t.Errorf("seed %d: %d instances notified of a limit, %d calls served", seed, len(l.firstNoticeAt), l.f.served)
 	}
 }
 
@@ -560,7 +560,7 @@
 		}
 		t.Logf("%d instances know the limit after %v", members, l.f.now-from)
 		is.True(known())
-		is.Equal(len(l.firstToldAt), 1) // only one instance was told by the engine itself
+		is.Equal(len(l.firstNoticeAt), 1) // the engine itself notified only one instance
 		l.f.members["i3"].dead = true
 		l.f.run(time.Second)
 		l.f.start("i3")
--- a/core/instance/lives_test.go
+++ b/core/instance/lives_test.go
@@ -28,12 +28,12 @@
 
 // restartEmpty ends an engine and restarts it under its name with nothing loaded. Its entry is
 // overwritten, not deleted in between.
-func (l *noticeHarness) restartEmpty(e *fleetEngine, delay time.Duration) {
+func (h *noticeHarness) restartEmpty(e *fleetEngine, delay time.Duration) {
 	e.dead = true
-	l.f.at(delay, func() {
+	h.f.at(delay, func() {
 		e.models = map[string]bool{}
 		e.pending = ""
-		l.restartEngine(e)
+		h.restartEngine(e)
 	})
 }
 
@@ -117,8 +117,8 @@
 					return func() {}
 				})
 				f.run(45 * time.Second)
-				for _, b := range f.violations {
-					t.Errorf("seed %d: %s", seed, b)
+				for _, v := range f.violations {
+					t.Errorf("seed %d: %s", seed, v)
 				}
 				if f.orders == 0 || f.served == 0 {
 					t.Errorf("seed %d: %d orders, %d served, %d refused", seed, f.orders, f.served, f.refused)
@@ -156,10 +156,10 @@
 }
 
 // entry returns a list entry of an engine that holds model m0; born identifies the incarnation.
-func (l *soloHarness) entry(born string) gossip.Listed {
-	l.version++
+func (h *soloHarness) entry(born string) gossip.Listed {
+	h.version++
 	return gossip.Listed{
-		Name: "e", Kind: gossip.Upstream, Zone: "z0", Version: l.version,
+		Name: "e", Kind: gossip.Upstream, Zone: "z0", Version: h.version,
 		Announced: &pool.Announcement{
 			Service: "llm", Address: "e", Zone: "z0", Slots: 8, Engine: true, Born: born, Models: []pool.AnnouncedModel{{Name: "m0"}},
 		},
@@ -167,13 +167,13 @@
 }
 
 // list delivers an update of the list with the given entries.
-func (l *soloHarness) list(entries ...gossip.Listed) {
-	l.m.Step(l.now, listing.Reply{Entries: entries, Version: l.version})
+func (h *soloHarness) list(entries ...gossip.Listed) {
+	h.m.Step(h.now, listing.Reply{Entries: entries, Version: h.version})
 }
 
 // call delivers a call and returns its dispatches.
-func (l *soloHarness) call(id calls.ID) []calls.Dispatch {
-	return stepFor[calls.Dispatch](l, calls.Arrived{Call: calls.Request{
+func (h *soloHarness) call(id calls.ID) []calls.Dispatch {
+	return stepFor[calls.Dispatch](h, calls.Arrived{Call: calls.Request{
 		ID: id, Path: "/x", Replayable: true, PromptTokens: 100, Forward: &calls.ForwardRequest{Name: "call", Host: "h", Model: "m0"},
 	}})
 }
--- a/core/instance/world_test.go
+++ b/core/instance/world_test.go
@@ -327,7 +327,7 @@
 	case kvwatch.WatchList:
 		w.watchList(n, act)
 	case planner.RequestLease:
-		w.seekLease(n, act)
+		w.requestLease(n, act)
 	case planner.ReleaseLease:
 		w.send(n, w.platformUp(n), func() func() {
 			if l := w.platform.leases[n.id.Zone]; l != nil && l.fence == act.Fence {
@@ -389,25 +389,25 @@
 func (w *world) watchList(n *node, a kvwatch.WatchList) {
 	w.platform.calls++
 	w.send(n, w.platformUp(n), func() func() {
-		var news []gossip.Listed
+		var entries []gossip.Listed
 		version := a.Since
 		for _, l := range w.platform.list {
 			if l.Version.Raw() > a.Since {
-				news = append(news, l)
+				entries = append(entries, l)
 				version = max(version, l.Version.Raw())
 			}
 		}
 		wait := time.Duration(0)
-		if len(news) == 0 {
+		if len(entries) == 0 {
 			wait = time.Second
 		}
 		return func() {
-			w.after(wait, func() { w.step(n, listing.Reply{Entries: news, Version: era.Revision(version)}) })
+			w.after(wait, func() { w.step(n, listing.Reply{Entries: entries, Version: era.Revision(version)}) })
 		}
 	}, func(bool) { w.step(n, listing.Reply{Err: errLost}) })
 }
 
-func (w *world) seekLease(n *node, a planner.RequestLease) {
+func (w *world) requestLease(n *node, a planner.RequestLease) {
 	sent := n.clock(w.now)
 	holder := fmt.Sprintf("%s/%d", n.id.Name, n.id.Boot)
 	w.platform.calls++
--- a/core/ownership/claim.go
+++ b/core/ownership/claim.go
@@ -40,50 +40,50 @@
 }
 
 // claim claims the engines that this instance should own.
-func (g *Registry) claim(now clock.Instant) {
-	if now.Before(g.claims.due) {
+func (r *Registry) claim(now clock.Instant) {
+	if now.Before(r.claims.due) {
 		return
 	}
-	g.claims.due = now.Add(step.Jitter(g.Rand, claimInterval))
-	if !g.era.isReady() || !g.enrolment.held || g.claims.inFlight || !g.Roster.IncludesSelf(now) || !g.MayOrder(now) || !g.Config.Loaded() {
+	r.claims.due = now.Add(step.Jitter(r.Rand, claimInterval))
+	if !r.era.isReady() || !r.enrolment.held || r.claims.inFlight || !r.Roster.IncludesSelf(now) || !r.MayOrder(now) || !r.Config.Loaded() {
 		return
 	}
 	var claims []registry.Ownership
-	candidates := sync.OnceValue(func() []candidate { return g.candidates(now) }) // computed lazily: most checks find nothing to claim
-	for _, r := range g.Pool.All() {
-		if !r.Announced || r.Kind != pool.Engine || !r.Usable() || len(claims) == registry.MaxClaims {
+	candidates := sync.OnceValue(func() []candidate { return r.candidates(now) }) // computed lazily: most checks find nothing to claim
+	for _, replica := range r.Pool.All() {
+		if !replica.Announced || replica.Kind != pool.Engine || !replica.Usable() || len(claims) == registry.MaxClaims {
 			continue
 		}
-		if c, ok := g.claimOf(now, r, candidates); ok {
+		if c, ok := r.claimOf(now, replica, candidates); ok {
 			claims = append(claims, c)
 		}
 	}
 	if len(claims) == 0 {
 		return
 	}
-	g.claims.inFlight = true
-	g.Out.Emit(Write{Write: Txn{Claim: claims, Depends: g.era.recordRevision()}})
+	r.claims.inFlight = true
+	r.Out.Emit(Write{Write: Txn{Claim: claims, Depends: r.era.recordRevision()}})
 }
 
 // claimOf returns the claim of an engine. ok reports whether this instance should write
 // it now.
-func (g *Registry) claimOf(now clock.Instant, r *pool.Replica, candidates func() []candidate) (claim registry.Ownership, ok bool) {
-	old, owned := g.owners[r.Name]
-	claim = registry.Ownership{Engine: r.Name, Owner: g.Self.Name, Boot: g.Self.Boot, Era: g.era.current, Revision: old.Revision}
-	if e := g.Owned.Get(r.Name); e != nil {
+func (r *Registry) claimOf(now clock.Instant, replica *pool.Replica, candidates func() []candidate) (claim registry.Ownership, ok bool) {
+	old, owned := r.owners[replica.Name]
+	claim = registry.Ownership{Engine: replica.Name, Owner: r.Self.Name, Boot: r.Self.Boot, Era: r.era.current, Revision: old.Revision}
+	if e := r.Owned.Get(replica.Name); e != nil {
 		// Rewrite the record without the former owner once none of its orders can be
 		// in flight any more. Also rewrite it after the store was restored from an
 		// older copy.
-		return claim, !e.Settled && !now.Before(e.From) || g.era.isFormer(e.Fence)
+		return claim, !e.Settled && !now.Before(e.From) || r.era.isFormer(e.Fence)
 	}
-	stale := owned && g.era.isStale(old.Era)
+	stale := owned && r.era.isStale(old.Era)
 	switch {
 	case stale:
 		claim.FormerOwner = registry.FormerUnknown
-		if old.Owner == g.Self.Name {
+		if old.Owner == r.Self.Name {
 			return claim, true
 		}
-	case owned && old.Owner == g.Self.Name:
+	case owned && old.Owner == r.Self.Name:
 		claim.FormerOwner = old.FormerOwner
 		claim.QuietMS = old.QuietMS
 		return claim, true
@@ -93,12 +93,12 @@
 	case owned:
 		claim.FormerOwner = old.Owner
 	}
-	since, free := g.engineView(now, r, old, owned).freeSince(g.Options.AbsentFor)
+	since, free := r.engineView(now, replica, old, owned).freeSince(r.Options.AbsentFor)
 	if !free {
 		return claim, false
 	}
 	// If the instance of the highest rank does not claim, the next one does.
-	return claim, !now.Before(since.Add(time.Duration(ownerRank(r.Name, r.Zone, g.self(), candidates())) * claimRankDelay))
+	return claim, !now.Before(since.Add(time.Duration(ownerRank(replica.Name, replica.Zone, r.self(), candidates())) * claimRankDelay))
 }
 
 // An engineView holds what is known about the owner of an engine.
@@ -107,25 +107,25 @@
 	announcedAt      clock.Instant // when the engine was first announced to this instance
 	owned            bool          // an ownership record exists
 	owner            string        // "" if it was released
-	learntAt         clock.Instant // when the ownership record was learnt
+	learnedAt        clock.Instant // when the ownership record was learned
 	ownerPresent     bool          // the owner's own record exists
 	ownerAbsentSince clock.Instant // when the owner's record was first missing; zero: never observed
 }
 
 // engineView returns what is known about the owner of an engine. An owner without a
 // record counts as absent from the first check that finds the record missing.
-func (g *Registry) engineView(now clock.Instant, r *pool.Replica, old registry.Ownership, owned bool) engineView {
-	v := engineView{storeUpSince: g.storeUpSince, announcedAt: r.FirstSeenAt(), owned: owned, owner: old.Owner, learntAt: g.learntAt[r.Name]}
-	if g.storeUpSince.IsZero() || !owned || old.Owner == "" {
+func (r *Registry) engineView(now clock.Instant, replica *pool.Replica, old registry.Ownership, owned bool) engineView {
+	v := engineView{storeUpSince: r.storeUpSince, announcedAt: replica.FirstSeenAt(), owned: owned, owner: old.Owner, learnedAt: r.learnedAt[replica.Name]}
+	if r.storeUpSince.IsZero() || !owned || old.Owner == "" {
 		return v
 	}
-	_, v.ownerPresent = g.instances[old.Owner]
+	_, v.ownerPresent = r.instances[old.Owner]
 	if v.ownerPresent {
 		return v
 	}
-	since, seen := g.absentSince[old.Owner]
+	since, seen := r.absentSince[old.Owner]
 	if !seen {
-		g.absentSince[old.Owner] = now
+		r.absentSince[old.Owner] = now
 	}
 	v.ownerAbsentSince = since
 	return v
@@ -142,7 +142,7 @@
 	case !v.owned:
 		return clock.Latest(v.storeUpSince.Add(claimRankDelay), v.announcedAt), true
 	case v.owner == "":
-		return v.learntAt, true
+		return v.learnedAt, true
 	case v.ownerPresent || v.ownerAbsentSince.IsZero():
 		return since, false
 	default:
@@ -151,10 +151,10 @@
 }
 
 // handleClaimReply handles the result of a write of claims.
-func (g *Registry) handleClaimReply(now clock.Instant, e WriteReply) {
-	g.claims.inFlight = false
+func (r *Registry) handleClaimReply(now clock.Instant, e WriteReply) {
+	r.claims.inFlight = false
 	if e.Err != nil {
-		g.Outage.Observe(now, e.Err)
+		r.Outage.Observe(now, e.Err)
 		return
 	}
 	if e.Conflict {
@@ -163,30 +163,30 @@
 	for _, claim := range e.Write.Claim {
 		first := claim.Revision == 0
 		claim.Revision = e.Revision
-		if g.era.isFormer(e.Revision) {
+		if r.era.isFormer(e.Revision) {
 			continue // the store was restored from an older copy after the write
 		}
-		g.owners[claim.Engine] = claim
-		if own := g.Owned.Get(claim.Engine); own != nil && claim.FormerOwner == "" {
+		r.owners[claim.Engine] = claim
+		if own := r.Owned.Get(claim.Engine); own != nil && claim.FormerOwner == "" {
 			own.Confirm(claim)
 			continue
 		}
-		from := firstOrder(now, claim, first, g.Options)
+		from := firstOrder(now, claim, first, r.Options)
 		if first {
-			from = clock.Latest(from, g.formerOwnerEnd(now))
+			from = clock.Latest(from, r.formerOwnerEnd(now))
 		}
-		g.Owned.Acquire(now, claim, from)
+		r.Owned.Acquire(now, claim, from)
 	}
 }
 
 // formerOwnerEnd returns the time from which an engine without a record may be sent orders:
 // an instance that owned it in a former era, by a record that the store has lost, has
 // stopped sending orders before that. The result is now if there was no former era.
-func (g *Registry) formerOwnerEnd(now clock.Instant) clock.Instant {
-	if g.era.isFirst() {
+func (r *Registry) formerOwnerEnd(now clock.Instant) clock.Instant {
+	if r.era.isFirst() {
 		return now
 	}
-	return g.formerEraExpiry().Add(g.Options.TurnGap)
+	return r.formerEraExpiry().Add(r.Options.TurnGap)
 }
 
 // firstOrder returns when an instance may send the first order to an engine that it has
--- a/core/ownership/era_test.go
+++ b/core/ownership/era_test.go
@@ -20,45 +20,45 @@
 // (docs/design/eras.md). The randomized storm tests rarely hit the few seconds in which each
 // mechanism matters.
 
-// A bench drives one Registry by the events that a driver would post.
-type bench struct {
+// A registryHarness drives one Registry by the events that a driver would post.
+type registryHarness struct {
 	*testing.T
-	g   *Registry
-	now clock.Instant
+	registry *Registry
+	now      clock.Instant
 }
 
-// newBench returns the bench of an instance that knows no records.
-func newBench(t *testing.T) *bench {
-	b := &bench{T: t, now: clocktest.At(time.Hour)}
-	g := testRegistry(b.now)
-	g.Owned.Out = g.Out
-	g.Owned.MayOrder = g.MayOrderWithFence
-	g.Owned.Published = func(clock.Instant) {}
-	g.Config.Snapshot = g.Owned.Config.Snapshot
-	g.Options.MeshEvery = 250 * time.Millisecond
-	g.Roster = &watchers.Roster{Self: g.Self, Options: g.Options, Members: g.Members, Instances: g.Instances}
-	g.TellSoon = func(clock.Instant) {}
-	g.Quarantined = func(clock.Instant, registry.Quarantine) {}
-	g.SteppedBack = func(clock.Instant) {}
-	b.g = g
-	return b
+// newRegistryHarness returns the harness of an instance that knows no records.
+func newRegistryHarness(t *testing.T) *registryHarness {
+	h := &registryHarness{T: t, now: clocktest.At(time.Hour)}
+	r := testRegistry(h.now)
+	r.Owned.Out = r.Out
+	r.Owned.MayOrder = r.MayOrderWithFence
+	r.Owned.Published = func(clock.Instant) {}
+	r.Config.Snapshot = r.Owned.Config.Snapshot
+	r.Options.MeshEvery = 250 * time.Millisecond
+	r.Roster = &watchers.Roster{Self: r.Self, Options: r.Options, Members: r.Members, Instances: r.Instances}
+	r.TellSoon = func(clock.Instant) {}
+	r.Quarantined = func(clock.Instant, registry.Quarantine) {}
+	r.SteppedBack = func(clock.Instant) {}
+	h.registry = r
+	return h
 }
 
-// newInEra returns the bench of an instance that has enrolled in era e and knows all of its
+// newInEra returns the harness of an instance that has enrolled in era e and knows all of its
 // records.
-func newInEra(t *testing.T, e era.Era, records ...registry.Record) *bench {
-	b := newBench(t)
-	b.receiveAll(e, records...)
-	b.enrol(e)
-	return b
+func newInEra(t *testing.T, e era.Era, records ...registry.Record) *registryHarness {
+	h := newRegistryHarness(t)
+	h.receiveAll(e, records...)
+	h.enrol(e)
+	return h
 }
 
 // receiveAll delivers the complete records of an era: the given ones and the era record.
-func (b *bench) receiveAll(e era.Era, records ...registry.Record) {
+func (h *registryHarness) receiveAll(e era.Era, records ...registry.Record) {
 	eraRecord := registry.EraRecord{Era: e, First: e == 1}
 	records = append(records, record(e, 3, eraRecord.Value()))
-	b.g.HandleWatchUpdate(b.now, WatchUpdate{Records: records, Version: e.Revision(50), Whole: true})
-	b.g.WatchAnswered(b.now)
+	h.registry.HandleWatchUpdate(h.now, WatchUpdate{Records: records, Version: e.Revision(50), Whole: true})
+	h.registry.WatchAnswered(h.now)
 }
 
 // record returns v as a record with the given revision of an era.
@@ -67,33 +67,33 @@
 }
 
 // enrol delivers the reply that this instance has a lease of era e.
-func (b *bench) enrol(e era.Era) {
-	b.g.HandleEnrolReply(b.now, EnrolReply{Sent: b.now, Lease: era.Lease{Era: e, ID: 9}})
+func (h *registryHarness) enrol(e era.Era) {
+	h.registry.HandleEnrolReply(h.now, EnrolReply{Sent: h.now, Lease: era.Lease{Era: e, ID: 9}})
 }
 
 // advance advances the time by span while the store answers watches and renewals.
-func (b *bench) advance(span time.Duration) {
-	for end := b.now.Add(span); b.now.Before(end); {
-		b.now = b.now.Add(100 * time.Millisecond)
-		b.g.WatchAnswered(b.now)
-		if b.g.enrolment.held {
-			b.g.renewed(b.now, b.now)
+func (h *registryHarness) advance(span time.Duration) {
+	for end := h.now.Add(span); h.now.Before(end); {
+		h.now = h.now.Add(100 * time.Millisecond)
+		h.registry.WatchAnswered(h.now)
+		if h.registry.enrolment.held {
+			h.registry.renewed(h.now, h.now)
 		}
 	}
 }
 
 // tick runs one tick and returns its actions.
-func (b *bench) tick() []step.Action {
-	b.g.Out.Reset()
-	b.g.Tick(b.now)
-	return b.g.Out.Actions()
+func (h *registryHarness) tick() []step.Action {
+	h.registry.Out.Reset()
+	h.registry.Tick(h.now)
+	return h.registry.Out.Actions()
 }
 
 // awaitClaims advances the time by at most limit until claims are written, and returns their
 // transaction.
-func (b *bench) awaitClaims(limit time.Duration) (Txn, bool) {
-	for end := b.now.Add(limit); b.now.Before(end); b.advance(100 * time.Millisecond) {
-		for _, a := range b.tick() {
+func (h *registryHarness) awaitClaims(limit time.Duration) (Txn, bool) {
+	for end := h.now.Add(limit); h.now.Before(end); h.advance(100 * time.Millisecond) {
+		for _, a := range h.tick() {
 			if w, ok := a.(Write); ok && len(w.Write.Claim) > 0 {
 				return w.Write, true
 			}
@@ -102,25 +102,25 @@
 	return Txn{}, false
 }
 
-// newOwner returns the bench of an instance that owns engine e in era 1 and may order it.
-func newOwner(t *testing.T) *bench {
-	b := newInEra(t, 1)
-	w, ok := b.awaitClaims(5 * time.Second)
+// newOwner returns the harness of an instance that owns engine e in era 1 and may order it.
+func newOwner(t *testing.T) *registryHarness {
+	h := newInEra(t, 1)
+	w, ok := h.awaitClaims(5 * time.Second)
 	if !ok {
 		t.Fatal("nothing was claimed")
 	}
-	b.g.HandleWriteReply(b.now, WriteReply{Write: w, Revision: era.Era(1).Revision(40)})
-	if b.g.Owned.Get("e") == nil {
+	h.registry.HandleWriteReply(h.now, WriteReply{Write: w, Revision: era.Era(1).Revision(40)})
+	if h.registry.Owned.Get("e") == nil {
 		t.Fatal("e is not owned")
 	}
-	b.advance(time.Second)
-	return b
+	h.advance(time.Second)
+	return h
 }
 
 // mayOrder reports whether the instance may send orders to engine e.
-func (b *bench) mayOrder() bool {
-	e := b.g.Owned.Get("e")
-	return e != nil && b.g.Owned.Orderable(b.now, e)
+func (h *registryHarness) mayOrder() bool {
+	e := h.registry.Owned.Get("e")
+	return e != nil && h.registry.Owned.Orderable(h.now, e)
 }
 
 // ownerRecord returns the ownership record of engine e for the owner name, written for the
@@ -141,22 +141,22 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			b := newOwner(t)
-			is.True(b.mayOrder())
-			b.receiveAll(2, found...)
-			is.True(b.mayOrder())
-			w, ok := b.awaitClaims(time.Second)
+			h := newOwner(t)
+			is.True(h.mayOrder())
+			h.receiveAll(2, found...)
+			is.True(h.mayOrder())
+			w, ok := h.awaitClaims(time.Second)
 			is.True(ok)
 			is.Equal(w.Claim[0].FormerOwner, "")
 			is.Equal(w.Claim[0].Era, era.Era(2))
 			is.Equal(w.Claim[0].Revision != 0, len(found) > 0)
 			is.Equal(w.Depends, era.Era(2).Revision(3)) // conditional on this era's record
-			b.g.HandleWriteReply(b.now, WriteReply{Write: w, Revision: era.Era(2).Revision(60)})
-			b.enrol(2)
-			b.advance(10 * time.Second)
-			b.tick()
-			is.True(b.mayOrder())
-			is.Equal(b.g.Owned.Get("e").Fence, era.Era(2).Revision(60))
+			h.registry.HandleWriteReply(h.now, WriteReply{Write: w, Revision: era.Era(2).Revision(60)})
+			h.enrol(2)
+			h.advance(10 * time.Second)
+			h.tick()
+			is.True(h.mayOrder())
+			is.Equal(h.registry.Owned.Get("e").Fence, era.Era(2).Revision(60))
 		})
 	}
 }
@@ -165,27 +165,27 @@
 // the current era, since only an instance that may order the engine writes one.
 func TestOwnerLosesToClaimOfCurrentEra(t *testing.T) {
 	is := is.New(t)
-	b := newOwner(t)
-	b.receiveAll(2, record(2, 20, ownerRecord("b", 2)))
-	is.True(b.g.Owned.Get("e") == nil)
+	h := newOwner(t)
+	h.receiveAll(2, record(2, 20, ownerRecord("b", 2)))
+	is.True(h.registry.Owned.Get("e") == nil)
 }
 
 // TestFormerEraOwnershipExpires checks that an ownership of a former era ends unless it is
 // claimed again, even if renewals and watches are answered.
 func TestFormerEraOwnershipExpires(t *testing.T) {
 	is := is.New(t)
-	b := newOwner(t)
-	b.receiveAll(2)
-	b.enrol(2)
-	w, ok := b.awaitClaims(time.Second)
+	h := newOwner(t)
+	h.receiveAll(2)
+	h.enrol(2)
+	w, ok := h.awaitClaims(time.Second)
 	is.True(ok)
-	b.g.HandleWriteReply(b.now, WriteReply{Write: w, Err: errors.New("no answer")})
-	b.advance(b.g.Options.OrderValid - 2*time.Second)
-	is.True(b.mayOrder())
-	b.advance(2 * time.Second)
-	is.True(!b.mayOrder()) // before any tick
-	b.tick()
-	is.True(b.g.Owned.Get("e") == nil)
+	h.registry.HandleWriteReply(h.now, WriteReply{Write: w, Err: errors.New("no answer")})
+	h.advance(h.registry.Options.OrderValid - 2*time.Second)
+	is.True(h.mayOrder())
+	h.advance(2 * time.Second)
+	is.True(!h.mayOrder()) // before any tick
+	h.tick()
+	is.True(h.registry.Owned.Get("e") == nil)
 }
 
 // TestUnsettledOwnershipIsLostOnRollback checks that an owner that still waits for the orders
@@ -193,12 +193,12 @@
 // claim that would have told the former owner to stop.
 func TestUnsettledOwnershipIsLostOnRollback(t *testing.T) {
 	is := is.New(t)
-	b := newInEra(t, 1)
+	h := newInEra(t, 1)
 	claim := registry.Ownership{Engine: "e", Owner: "self", Boot: 1, Era: 1, FormerOwner: "b"}
-	b.g.HandleWriteReply(b.now, WriteReply{Write: Txn{Claim: []registry.Ownership{claim}}, Revision: era.Era(1).Revision(40)})
-	is.True(b.g.Owned.Get("e") != nil)
-	b.receiveAll(2)
-	is.True(b.g.Owned.Get("e") == nil)
+	h.registry.HandleWriteReply(h.now, WriteReply{Write: Txn{Claim: []registry.Ownership{claim}}, Revision: era.Era(1).Revision(40)})
+	is.True(h.registry.Owned.Get("e") != nil)
+	h.receiveAll(2)
+	is.True(h.registry.Owned.Get("e") == nil)
 }
 
 // TestFormerEraRecordForcesFullWait checks that an instance that claims an engine with a
@@ -208,18 +208,18 @@
 	for _, name := range []string{"self", "b", ""} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			b := newInEra(t, 1)
-			b.receiveAll(2, record(2, 20, ownerRecord(name, 1)))
-			b.enrol(2)
+			h := newInEra(t, 1)
+			h.receiveAll(2, record(2, 20, ownerRecord(name, 1)))
+			h.enrol(2)
 			if name == "b" {
-				b.g.absentSince["b"] = b.now // b's own record was deleted
+				h.registry.absentSince["b"] = h.now // b's own record was deleted
 			}
-			w, ok := b.awaitClaims(5 * time.Second)
+			w, ok := h.awaitClaims(5 * time.Second)
 			is.True(ok)
 			is.Equal(w.Claim[0].FormerOwner, registry.FormerUnknown)
-			b.g.HandleWriteReply(b.now, WriteReply{Write: w, Revision: era.Era(2).Revision(60)})
-			o := b.g.Options
-			is.Equal(b.g.Owned.Get("e").From, b.now.Add(o.OrderValid+o.TurnGap+turnMargin))
+			h.registry.HandleWriteReply(h.now, WriteReply{Write: w, Revision: era.Era(2).Revision(60)})
+			o := h.registry.Options
+			is.Equal(h.registry.Owned.Get("e").From, h.now.Add(o.OrderValid+o.TurnGap+turnMargin))
 		})
 	}
 }
@@ -230,17 +230,17 @@
 func TestMissingRecordForcesWaitAfterRollback(t *testing.T) {
 	for _, e := range []era.Era{1, 2} {
 		is := is.New(t)
-		b := newInEra(t, e)
-		start := b.now
-		w, ok := b.awaitClaims(5 * time.Second)
+		h := newInEra(t, e)
+		start := h.now
+		w, ok := h.awaitClaims(5 * time.Second)
 		is.True(ok)
-		b.g.HandleWriteReply(b.now, WriteReply{Write: w, Revision: e.Revision(60)})
-		want := b.now
+		h.registry.HandleWriteReply(h.now, WriteReply{Write: w, Revision: e.Revision(60)})
+		want := h.now
 		if e > 1 {
-			o := b.g.Options
+			o := h.registry.Options
 			want = start.Add(2*o.OrderValid + o.TurnGap + turnMargin)
 		}
-		is.Equal(b.g.Owned.Get("e").From, want)
+		is.Equal(h.registry.Owned.Get("e").From, want)
 	}
 }
 
@@ -248,11 +248,11 @@
 // since the store may have issued its ID to another instance.
 func TestFormerEraLeaseIsNotRenewed(t *testing.T) {
 	is := is.New(t)
-	b := newInEra(t, 1)
-	b.receiveAll(2)
-	b.now = b.now.Add(2 * time.Second)
+	h := newInEra(t, 1)
+	h.receiveAll(2)
+	h.now = h.now.Add(2 * time.Second)
 	enrols := 0
-	for _, a := range b.tick() {
+	for _, a := range h.tick() {
 		switch a.(type) {
 		case RenewLease:
 			t.Error("a lease of the former era was renewed")
@@ -261,9 +261,9 @@
 		}
 	}
 	is.Equal(enrols, 1)
-	b.enrol(2)
-	b.now = b.now.Add(2 * time.Second)
-	for _, a := range b.tick() {
+	h.enrol(2)
+	h.now = h.now.Add(2 * time.Second)
+	for _, a := range h.tick() {
 		if k, ok := a.(RenewLease); ok {
 			is.Equal(k.Lease.Era, era.Era(2))
 		}
@@ -275,14 +275,14 @@
 // era attaches the record to a lease ID that the store has issued to another instance.
 func TestRecordDeletedWithForeignLeaseIsRewritten(t *testing.T) {
 	is := is.New(t)
-	b := newInEra(t, 1)
-	b.receiveAll(2)
-	b.enrol(2)
+	h := newInEra(t, 1)
+	h.receiveAll(2)
+	h.enrol(2)
 	key := registry.Instance{Name: "self"}.Value().Key
-	b.g.HandleWatchUpdate(b.now, WatchUpdate{Records: []registry.Record{{Key: key, Revision: era.Era(2).Revision(70), Gone: true}}, Version: era.Era(2).Revision(70)})
-	b.now = b.now.Add(2 * time.Second)
+	h.registry.HandleWatchUpdate(h.now, WatchUpdate{Records: []registry.Record{{Key: key, Revision: era.Era(2).Revision(70), Gone: true}}, Version: era.Era(2).Revision(70)})
+	h.now = h.now.Add(2 * time.Second)
 	enrols := 0
-	for _, a := range b.tick() {
+	for _, a := range h.tick() {
 		if _, ok := a.(Enrol); ok {
 			enrols++
 		}
@@ -294,22 +294,22 @@
 // ignored, since the store may have lost them.
 func TestFormerEraPeerRecordsAreIgnored(t *testing.T) {
 	is := is.New(t)
-	b := newInEra(t, 2)
-	b.g.Merge(b.now, "peer", []registry.Record{record(1, 90, ownerRecord("b", 1))})
-	_, known := b.g.Owner("e")
+	h := newInEra(t, 2)
+	h.registry.Merge(h.now, "peer", []registry.Record{record(1, 90, ownerRecord("b", 1))})
+	_, known := h.registry.Owner("e")
 	is.True(!known)
-	b.g.Merge(b.now, "peer", []registry.Record{record(3, 10, ownerRecord("c", 3))})
-	is.Equal(b.g.era.current, era.Era(3)) // a record of a later era reveals the rollback
+	h.registry.Merge(h.now, "peer", []registry.Record{record(3, 10, ownerRecord("c", 3))})
+	is.Equal(h.registry.era.current, era.Era(3)) // a record of a later era reveals the rollback
 }
 
 // TestOwnWritesMayBeLostInRollback checks that an ownership that the instance wrote itself is
 // forgotten if the new era does not have it, even if no watch ever returned it.
 func TestOwnWritesMayBeLostInRollback(t *testing.T) {
 	is := is.New(t)
-	b := newOwner(t)
-	b.g.Owned.LoseAll(b.now, "a test")
-	b.receiveAll(2)
-	_, known := b.g.Owner("e")
+	h := newOwner(t)
+	h.registry.Owned.LoseAll(h.now, "a test")
+	h.receiveAll(2)
+	_, known := h.registry.Owner("e")
 	is.True(!known)
 }
 
@@ -318,13 +318,13 @@
 // rollback.
 func TestNoClaimWithoutEraRecord(t *testing.T) {
 	is := is.New(t)
-	b := newBench(t)
-	b.g.HandleWatchUpdate(b.now, WatchUpdate{Version: era.Era(2).Revision(50), Whole: true})
-	b.g.WatchAnswered(b.now)
-	b.enrol(2)
+	h := newRegistryHarness(t)
+	h.registry.HandleWatchUpdate(h.now, WatchUpdate{Version: era.Era(2).Revision(50), Whole: true})
+	h.registry.WatchAnswered(h.now)
+	h.enrol(2)
 	var eraRecord *registry.EraRecord
 	for range 30 {
-		for _, a := range b.tick() {
+		for _, a := range h.tick() {
 			w, ok := a.(Write)
 			if !ok {
 				continue
@@ -332,12 +332,12 @@
 			is.Equal(len(w.Write.Claim), 0)
 			eraRecord = w.Write.Mark
 		}
-		b.advance(100 * time.Millisecond)
+		h.advance(100 * time.Millisecond)
 	}
 	is.True(eraRecord != nil)
 	is.Equal(eraRecord.Era, era.Era(2))
-	b.g.HandleWriteReply(b.now, WriteReply{Write: Txn{Mark: eraRecord}, Revision: era.Era(2).Revision(51)})
-	w, ok := b.awaitClaims(time.Second)
+	h.registry.HandleWriteReply(h.now, WriteReply{Write: Txn{Mark: eraRecord}, Revision: era.Era(2).Revision(51)})
+	w, ok := h.awaitClaims(time.Second)
 	is.True(ok)
 	is.Equal(w.Depends, era.Era(2).Revision(51))
 }
@@ -347,36 +347,36 @@
 // done so.
 func TestPlacerKeepsPlacingAndReclaims(t *testing.T) {
 	is := is.New(t)
-	b := newInEra(t, 1)
+	h := newInEra(t, 1)
 	claim := func() *registry.Placer {
-		b.g.Out.Reset()
-		b.g.ClaimPlacer(b.now)
-		for _, a := range b.g.Out.Actions() {
+		h.registry.Out.Reset()
+		h.registry.ClaimPlacer(h.now)
+		for _, a := range h.registry.Out.Actions() {
 			if w, ok := a.(Write); ok && w.Write.Placer != nil {
 				return w.Write.Placer
 			}
 		}
 		return nil
 	}
-	b.advance(time.Second)
+	h.advance(time.Second)
 	p := claim()
 	is.True(p != nil)
-	b.g.HandleWriteReply(b.now, WriteReply{Write: Txn{Placer: p}, Revision: era.Era(1).Revision(41)})
-	is.True(b.g.IsPlacer(b.now))
+	h.registry.HandleWriteReply(h.now, WriteReply{Write: Txn{Placer: p}, Revision: era.Era(1).Revision(41)})
+	is.True(h.registry.IsPlacer(h.now))
 	other := registry.Placer{Name: "b", Boot: 7, Era: 1}.Value()
-	b.receiveAll(2, record(2, 20, other))
-	is.True(b.g.IsPlacer(b.now))
+	h.receiveAll(2, record(2, 20, other))
+	is.True(h.registry.IsPlacer(h.now))
 	is.True(claim() == nil) // not before it has a new lease
-	b.enrol(2)
-	b.advance(time.Second)
+	h.enrol(2)
+	h.advance(time.Second)
 	p = claim()
 	is.True(p != nil)
 	is.Equal(p.Era, era.Era(2))
 	is.Equal(p.Revision, era.Era(2).Revision(20))
-	b.g.HandleWriteReply(b.now, WriteReply{Write: Txn{Placer: p}, Revision: era.Era(2).Revision(61)})
-	b.advance(option.Default().OrderValid)
-	b.tick()
-	is.True(b.g.IsPlacer(b.now))
+	h.registry.HandleWriteReply(h.now, WriteReply{Write: Txn{Placer: p}, Revision: era.Era(2).Revision(61)})
+	h.advance(option.Default().OrderValid)
+	h.tick()
+	is.True(h.registry.IsPlacer(h.now))
 }
 
 // TestClaimWaitsForFormerPlacer checks that an instance that starts after a rollback waits for
@@ -389,18 +389,18 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			b := newInEra(t, 2, records...)
-			start := b.now
+			h := newInEra(t, 2, records...)
+			start := h.now
 			for range 200 {
-				b.g.Out.Reset()
-				b.g.ClaimPlacer(b.now)
-				if len(b.g.Out.Actions()) > 0 {
+				h.registry.Out.Reset()
+				h.registry.ClaimPlacer(h.now)
+				if len(h.registry.Out.Actions()) > 0 {
 					break
 				}
-				b.advance(100 * time.Millisecond)
+				h.advance(100 * time.Millisecond)
 			}
-			is.True(len(b.g.Out.Actions()) > 0)
-			is.True(b.now.Since(start) >= 2*b.g.Options.OrderValid)
+			is.True(len(h.registry.Out.Actions()) > 0)
+			is.True(h.now.Since(start) >= 2*h.registry.Options.OrderValid)
 		})
 	}
 }
--- a/core/ownership/ownership_test.go
+++ b/core/ownership/ownership_test.go
@@ -49,8 +49,8 @@
 func TestReleasedEngineWaitsForRestOfTurnGap(t *testing.T) {
 	is := is.New(t)
 	now := clocktest.At(time.Hour)
-	g := testRegistry(now)
-	whole := g.Options.TurnGap + turnMargin
+	r := testRegistry(now)
+	whole := r.Options.TurnGap + turnMargin
 	cases := []struct {
 		former string
 		quiet  time.Duration
@@ -59,11 +59,11 @@
 		{registry.FormerReleased, 0, whole},
 		{registry.FormerReleased, time.Second, whole - time.Second},
 		{registry.FormerReleased, time.Minute, 0},
-		{"b", time.Minute, whole + g.Options.OrderValid},
+		{"b", time.Minute, whole + r.Options.OrderValid},
 	}
 	for _, c := range cases {
 		claim := registry.Ownership{Engine: "e", FormerOwner: c.former, QuietMS: c.quiet.Milliseconds()}
-		is.Equal(firstOrder(now, claim, false, g.Options), now.Add(c.want))
+		is.Equal(firstOrder(now, claim, false, r.Options), now.Add(c.want))
 	}
 }
 
@@ -73,15 +73,15 @@
 func TestRenewalInterval(t *testing.T) {
 	is := is.New(t)
 	now := clocktest.At(time.Hour)
-	g := testRegistry(now)
-	is.Equal(g.renewalInterval(), 2*g.Options.KeepEvery)
-	is.True(g.renewalInterval() < g.Options.EnrolTerm/2)
-	g.Owned.Acquire(now, registry.Ownership{Engine: "e", Owner: "self", Boot: 1, Revision: 1}, now)
-	is.Equal(g.Owned.Len(), 1)
-	is.Equal(g.renewalInterval(), g.Options.KeepEvery)
-	g.Owned.LoseAll(now, "test")
-	g.placer.held = true
-	is.Equal(g.renewalInterval(), g.Options.KeepEvery)
+	r := testRegistry(now)
+	is.Equal(r.renewalInterval(), 2*r.Options.KeepEvery)
+	is.True(r.renewalInterval() < r.Options.EnrolTerm/2)
+	r.Owned.Acquire(now, registry.Ownership{Engine: "e", Owner: "self", Boot: 1, Revision: 1}, now)
+	is.Equal(r.Owned.Len(), 1)
+	is.Equal(r.renewalInterval(), r.Options.KeepEvery)
+	r.Owned.LoseAll(now, "test")
+	r.placer.held = true
+	is.Equal(r.renewalInterval(), r.Options.KeepEvery)
 }
 
 // TestDenial checks that an owner may send orders only while its last answered renewal and
@@ -108,17 +108,17 @@
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
 			now := clocktest.At(time.Hour)
-			g := testRegistry(now)
-			g.Stopping = func() bool { return c.stopping }
+			r := testRegistry(now)
+			r.Stopping = func() bool { return c.stopping }
 			if c.renewed >= 0 {
-				g.enrolment.renewedAt = now.Add(-c.renewed)
+				r.enrolment.renewedAt = now.Add(-c.renewed)
 			}
 			if c.watched >= 0 {
-				g.WatchAnswered(now.Add(-c.watched))
+				r.WatchAnswered(now.Add(-c.watched))
 			}
 			now.Wall = now.Wall.Add(c.wallClockAhead)
-			is.Equal(g.denial(now), c.want)
-			is.Equal(g.MayOrder(now), c.want == allowed)
+			is.Equal(r.denial(now), c.want)
+			is.Equal(r.MayOrder(now), c.want == allowed)
 		})
 	}
 }
@@ -130,28 +130,28 @@
 	absent := option.Default().AbsentFor
 	cases := []struct {
 		name    string
-		prepare func(g *Registry)
+		prepare func(r *Registry)
 		old     registry.Ownership
 		owned   bool
 		free    bool
 		since   clock.Instant
 	}{
-		{"store does not answer yet", func(g *Registry) { g.storeUpSince = clock.Instant{} }, registry.Ownership{}, false, false, clock.Instant{}},
+		{"store does not answer yet", func(r *Registry) { r.storeUpSince = clock.Instant{} }, registry.Ownership{}, false, false, clock.Instant{}},
 		{"never owned", nil, registry.Ownership{}, false, true, now},
-		{"owner released it", func(g *Registry) { g.learntAt["e"] = now.Add(-time.Second) }, registry.Ownership{}, true, true, now.Add(-time.Second)},
-		{"owner is present", func(g *Registry) { g.instances["a"] = registry.Instance{Name: "a"} }, registry.Ownership{Owner: "a"}, true, false, clock.Instant{}},
+		{"owner released it", func(r *Registry) { r.learnedAt["e"] = now.Add(-time.Second) }, registry.Ownership{}, true, true, now.Add(-time.Second)},
+		{"owner is present", func(r *Registry) { r.instances["a"] = registry.Instance{Name: "a"} }, registry.Ownership{Owner: "a"}, true, false, clock.Instant{}},
 		{"owner's record was never seen", nil, registry.Ownership{Owner: "a"}, true, false, clock.Instant{}},
-		{"owner's record was deleted", func(g *Registry) { g.absentSince["a"] = now.Add(-2 * time.Second) }, registry.Ownership{Owner: "a"}, true, true, now.Add(-2 * time.Second).Add(absent)},
+		{"owner's record was deleted", func(r *Registry) { r.absentSince["a"] = now.Add(-2 * time.Second) }, registry.Ownership{Owner: "a"}, true, true, now.Add(-2 * time.Second).Add(absent)},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			g := testRegistry(now)
-			g.storeUpSince = longAgo
+			r := testRegistry(now)
+			r.storeUpSince = longAgo
 			if c.prepare != nil {
-				c.prepare(g)
+				c.prepare(r)
 			}
-			since, free := g.engineView(now, g.Pool.Get("e"), c.old, c.owned).freeSince(absent)
+			since, free := r.engineView(now, r.Pool.Get("e"), c.old, c.owned).freeSince(absent)
 			is.Equal(free, c.free)
 			if free {
 				is.Equal(since, c.since)
