--- a/core/placement/placer_test.go
+++ b/core/placement/placer_test.go
@@ -18,7 +18,8 @@
 
 // TestLoadsAreCountedWhenTheyStart checks that a load counts from when it starts. Loads
 // were once counted when they were planned. Several that waited for evictions then started
-// together and exceeded the limit of loads that start within a window, on two simulated days in some hundred.
+// together and exceeded the limit of loads that start within a window, on two simulated days
+// in some hundred.
 func TestLoadsAreCountedWhenTheyStart(t *testing.T) {
 	is := is.New(t)
 	now := clocktest.At(time.Hour)
