--- a/core/instance/ceiling_test.go
+++ b/core/instance/ceiling_test.go
@@ -65,10 +65,10 @@
 			})(f)
 		}},
 		{"engines restart empty", func(f *fleet) {
-			l := newNoticeHarness(f)
+			h := newNoticeHarness(f)
 			next := 0
 			f.periodically(2*time.Second, time.Hour, func() func() {
-				l.restartEmpty(l.engine(next%fleetEngines), 500*time.Millisecond)
+				h.restartEmpty(h.engine(next%fleetEngines), 500*time.Millisecond)
 				next++
 				return func() {}
 			})
--- a/core/instance/crash_test.go
+++ b/core/instance/crash_test.go
@@ -88,13 +88,13 @@
 }
 
 func newCrashHarness(f *fleet) *crashHarness {
-	l := &crashHarness{
+	h := &crashHarness{
 		f: f, calls: map[calls.ID]*crashCall{}, runs: map[string][]*crashRun{},
 		crashTimes: map[crash.Fingerprint][]time.Duration{}, arrivals: map[crash.Fingerprint][]time.Duration{},
 		startCounts: map[string]int{}, refused: map[crash.Fingerprint]int{},
 	}
-	f.crashes = l
-	return l
+	f.crashes = h
+	return h
 }
 
 // poison sends a request that crashes its engines to random members, again and again, once per
@@ -317,7 +317,7 @@
 	engines  int
 	poisons  int
 	interval time.Duration // average interval between two retries of one request
-	do       func(l *crashHarness)
+	do       func(h *crashHarness)
 }
 
 // restartAll starts a new process of each member.
@@ -334,43 +334,43 @@
 	{"three requests", 8, 24, 3, 400 * time.Millisecond, nil},
 	{"a large fleet", 2 * watchers.FullMeshLimit, 64, 1, 200 * time.Millisecond, nil},
 	{"a large fleet, many retries at once", 2 * watchers.FullMeshLimit, 64, 1, 20 * time.Millisecond, nil},
-	{"the store down", 8, 64, 1, 250 * time.Millisecond, func(l *crashHarness) { l.f.store.down = true }},
-	{"a large fleet, the store down", 2 * watchers.FullMeshLimit, 64, 1, 200 * time.Millisecond, func(l *crashHarness) { l.f.store.down = true }},
-	{"a zone cut off for a while", 8, 32, 1, 250 * time.Millisecond, func(l *crashHarness) {
-		l.f.cutZones = map[string]bool{"z1": true}
-		l.connectedSince = l.f.now + 8*time.Second
-		l.f.at(8*time.Second, func() { l.f.cutZones = nil })
+	{"the store down", 8, 64, 1, 250 * time.Millisecond, func(h *crashHarness) { h.f.store.down = true }},
+	{"a large fleet, the store down", 2 * watchers.FullMeshLimit, 64, 1, 200 * time.Millisecond, func(h *crashHarness) { h.f.store.down = true }},
+	{"a zone cut off for a while", 8, 32, 1, 250 * time.Millisecond, func(h *crashHarness) {
+		h.f.cutZones = map[string]bool{"z1": true}
+		h.connectedSince = h.f.now + 8*time.Second
+		h.f.at(8*time.Second, func() { h.f.cutZones = nil })
 	}},
-	{"instances killed one after the other", 8, 16, 1, 250 * time.Millisecond, func(l *crashHarness) {
+	{"instances killed one after the other", 8, 16, 1, 250 * time.Millisecond, func(h *crashHarness) {
 		next := 0
-		l.f.periodically(2*time.Second, time.Second, func() func() {
-			n := l.f.members[l.f.names[next%len(l.f.names)]]
+		h.f.periodically(2*time.Second, time.Second, func() func() {
+			n := h.f.members[h.f.names[next%len(h.f.names)]]
 			next++
 			n.dead = true
-			return func() { l.f.start(n.id.Name) }
+			return func() { h.f.start(n.id.Name) }
 		})
 	}},
-	{"all instances killed at once", 8, 16, 1, 250 * time.Millisecond, func(l *crashHarness) {
-		l.f.at(10*time.Second, func() {
-			for _, name := range l.f.names {
-				l.f.members[name].dead = true
+	{"all instances killed at once", 8, 16, 1, 250 * time.Millisecond, func(h *crashHarness) {
+		h.f.at(10*time.Second, func() {
+			for _, name := range h.f.names {
+				h.f.members[name].dead = true
 			}
-			l.f.at(time.Second, l.f.restartAll)
+			h.f.at(time.Second, h.f.restartAll)
 		})
 	}},
-	{"instances freeze", 8, 16, 1, 250 * time.Millisecond, func(l *crashHarness) {
-		l.f.periodically(4*time.Second, 2*time.Second, func() func() {
-			n := l.f.randomMember()
+	{"instances freeze", 8, 16, 1, 250 * time.Millisecond, func(h *crashHarness) {
+		h.f.periodically(4*time.Second, 2*time.Second, func() func() {
+			n := h.f.randomMember()
 			n.frozen = true
-			return func() { l.f.thaw(n) }
+			return func() { h.f.thaw(n) }
 		})
 	}},
-	{"responses of the store lost", 8, 16, 1, 250 * time.Millisecond, func(l *crashHarness) { l.f.lostShare = 0.4 }},
-	{"engines restart under their names", 8, 16, 1, 250 * time.Millisecond, func(l *crashHarness) { l.keepsNames = true }},
-	{"two engines restart under their names", 8, 2, 1, 250 * time.Millisecond, func(l *crashHarness) { l.keepsNames = true }},
-	{"engines restart under their names, their entries stay", 8, 16, 1, 250 * time.Millisecond, func(l *crashHarness) {
-		l.keepsNames = true
-		l.keepsEntries = true
+	{"responses of the store lost", 8, 16, 1, 250 * time.Millisecond, func(h *crashHarness) { h.f.lostShare = 0.4 }},
+	{"engines restart under their names", 8, 16, 1, 250 * time.Millisecond, func(h *crashHarness) { h.keepsNames = true }},
+	{"two engines restart under their names", 8, 2, 1, 250 * time.Millisecond, func(h *crashHarness) { h.keepsNames = true }},
+	{"engines restart under their names, their entries stay", 8, 16, 1, 250 * time.Millisecond, func(h *crashHarness) {
+		h.keepsNames = true
+		h.keepsEntries = true
 	}},
 }
 
@@ -383,27 +383,27 @@
 			t.Parallel()
 			late := map[int]int{} // number of requests by late arrivals
 			for seed := range *crashSeeds {
-				l := newCrashHarness(newFleetOf(uint64(seed+1), s.members, s.engines, option.Disabled{}, false))
-				l.f.expireLeases()
-				l.f.run(5 * time.Second)
-				l.f.startCallers(20 * time.Millisecond)
-				l.f.run(3 * time.Second)
+				h := newCrashHarness(newFleetOf(uint64(seed+1), s.members, s.engines, option.Disabled{}, false))
+				h.f.expireLeases()
+				h.f.run(5 * time.Second)
+				h.f.startCallers(20 * time.Millisecond)
+				h.f.run(3 * time.Second)
 				if s.do != nil {
-					s.do(l)
+					s.do(h)
 				}
 				for p := range s.poisons {
-					l.poison(crash.Fingerprint(1000+p), p, s.interval)
+					h.poison(crash.Fingerprint(1000+p), p, s.interval)
 				}
-				l.f.run(40 * time.Second)
-				l.check(t)
+				h.f.run(40 * time.Second)
+				h.check(t)
 				for p := range s.poisons {
 					request := crash.Fingerprint(1000 + p)
-					late[l.lateArrivals(request)]++
-					if l.refused[request] == 0 {
+					late[h.lateArrivals(request)]++
+					if h.refused[request] == 0 {
 						t.Errorf("seed %d: the request was never refused", seed)
 					}
 				}
-				if l.served == 0 {
+				if h.served == 0 {
 					t.Errorf("seed %d: no call was served", seed)
 				}
 			}
@@ -415,39 +415,39 @@
 // unrelatedFailures are faults that sever calls although no request causes them.
 var unrelatedFailures = []struct {
 	name string
-	do   func(l *crashHarness)
+	do   func(h *crashHarness)
 }{
-	{"engines crash on their own", func(l *crashHarness) {
-		l.f.periodically(700*time.Millisecond, time.Hour, func() func() {
-			if e := l.randomEngine(); e != nil {
-				l.terminate(e)
+	{"engines crash on their own", func(h *crashHarness) {
+		h.f.periodically(700*time.Millisecond, time.Hour, func() func() {
+			if e := h.randomEngine(); e != nil {
+				h.terminate(e)
 			}
 			return func() {}
 		})
 	}},
-	{"many engines crash at once", func(l *crashHarness) {
-		l.f.periodically(9*time.Second, time.Hour, func() func() {
+	{"many engines crash at once", func(h *crashHarness) {
+		h.f.periodically(9*time.Second, time.Hour, func() func() {
 			for range 10 {
-				if e := l.randomEngine(); e != nil {
-					l.terminate(e)
+				if e := h.randomEngine(); e != nil {
+					h.terminate(e)
 				}
 			}
 			return func() {}
 		})
 	}},
-	{"engines leave", func(l *crashHarness) {
-		l.f.periodically(700*time.Millisecond, time.Hour, func() func() {
-			if e := l.randomEngine(); e != nil {
-				l.drain(e)
+	{"engines leave", func(h *crashHarness) {
+		h.f.periodically(700*time.Millisecond, time.Hour, func() func() {
+			if e := h.randomEngine(); e != nil {
+				h.drain(e)
 			}
 			return func() {}
 		})
 	}},
-	{"connections break", func(l *crashHarness) { l.severedShare = 0.6 }},
-	{"zones are cut off", func(l *crashHarness) {
-		l.f.periodically(6*time.Second, 2*time.Second, func() func() {
-			l.f.cutZones = map[string]bool{"z1": true}
-			return func() { l.f.cutZones = nil }
+	{"connections break", func(h *crashHarness) { h.severedShare = 0.6 }},
+	{"zones are cut off", func(h *crashHarness) {
+		h.f.periodically(6*time.Second, 2*time.Second, func() func() {
+			h.f.cutZones = map[string]bool{"z1": true}
+			return func() { h.f.cutZones = nil }
 		})
 	}},
 }
@@ -459,15 +459,15 @@
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			for seed := range *crashSeeds {
-				l := newCrashHarness(newFleetOf(uint64(seed+1), 8, 16, option.Disabled{}, false))
-				l.f.expireLeases()
-				l.f.run(5 * time.Second)
-				l.f.startCallers(15 * time.Millisecond)
-				l.f.run(3 * time.Second)
-				c.do(l)
-				l.f.run(30 * time.Second)
-				l.check(t)
-				if l.served == 0 {
+				h := newCrashHarness(newFleetOf(uint64(seed+1), 8, 16, option.Disabled{}, false))
+				h.f.expireLeases()
+				h.f.run(5 * time.Second)
+				h.f.startCallers(15 * time.Millisecond)
+				h.f.run(3 * time.Second)
+				c.do(h)
+				h.f.run(30 * time.Second)
+				h.check(t)
+				if h.served == 0 {
 					t.Errorf("seed %d: no call was served", seed)
 				}
 			}
@@ -491,20 +491,20 @@
 // Such an order used to be retried for a second, as fast as it failed.
 func TestAnEngineThatEndedIsNotOrderedAgainAndAgain(t *testing.T) {
 	is := is.New(t)
-	l := newCrashHarness(newFleetOf(1, 5, 8, option.Disabled{}, false))
-	l.f.expireLeases()
-	l.f.run(8 * time.Second)
-	e := l.f.engines["e0"]
-	l.terminate(e)
-	owner := l.ownerOf(e)
+	h := newCrashHarness(newFleetOf(1, 5, 8, option.Disabled{}, false))
+	h.f.expireLeases()
+	h.f.run(8 * time.Second)
+	e := h.f.engines["e0"]
+	h.terminate(e)
+	owner := h.ownerOf(e)
 	var answers []owned.SendReply
 	for n := range 3 {
 		request := orders.Request{Load: true, Model: sortedKeys(e.models)[0], Adapter: fmt.Sprintf("a%d", n)}
 		owner.token++
 		owner.orderReplies[owner.token] = func(a owned.SendReply) { answers = append(answers, a) }
-		l.f.step(owner, owner.boot, owned.RequestReceived{Token: owner.token, Engine: e.name, Request: request})
+		h.f.step(owner, owner.boot, owned.RequestReceived{Token: owner.token, Engine: e.name, Request: request})
 	}
-	l.f.run(100 * time.Millisecond)
+	h.f.run(100 * time.Millisecond)
 	t.Logf("%d orders sent to an engine that had ended", e.ordersAfterEnd)
 	is.Equal(e.ordersAfterEnd, 1)
 	is.Equal(len(answers), 3)
@@ -538,14 +538,14 @@
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			for seed := range *crashSeeds {
-				l := newCrashHarness(newFleetOf(uint64(seed+1), c.members, c.engines, option.Disabled{}, false))
-				l.f.expireLeases()
-				l.f.run(8 * time.Second)
-				l.f.store.down = c.down
-				l.poison(1000, 0, 200*time.Millisecond)
-				first := l.runUntilRefusedBy(1)
-				last := l.runUntilRefusedBy(c.members)
-				ended := l.crashTimes[1000]
+				h := newCrashHarness(newFleetOf(uint64(seed+1), c.members, c.engines, option.Disabled{}, false))
+				h.f.expireLeases()
+				h.f.run(8 * time.Second)
+				h.f.store.down = c.down
+				h.poison(1000, 0, 200*time.Millisecond)
+				first := h.runUntilRefusedBy(1)
+				last := h.runUntilRefusedBy(c.members)
+				ended := h.crashTimes[1000]
 				t.Logf("seed %d: first refused %v after the last of %d crashes, by all instances %v after that", seed, first-ended[len(ended)-1], len(ended), last-first)
 				if last-first > limit {
 					t.Errorf("seed %d: the last instance refused the request %v after the first", seed, last-first)
--- a/core/instance/gone_test.go
+++ b/core/instance/gone_test.go
@@ -63,82 +63,82 @@
 // TestNoWorkAfterCallerGone checks that after a caller disconnects, nothing is sent for its call
 // in any phase, whatever responses still arrive, and that no replica counts the call as in flight.
 func TestNoWorkAfterCallerGone(t *testing.T) {
-	failAttempt := func(l *soloHarness, number int, b calls.AttemptFailed) {
+	failAttempt := func(h *soloHarness, number int, b calls.AttemptFailed) {
 		b.ID, b.Attempt = abandonedCall, number
-		l.m.Step(l.now, b)
+		h.m.Step(h.now, b)
 	}
 	cases := []struct {
 		name  string
 		phase calls.Phase
-		do    func(l *soloHarness)
-		late  func(l *soloHarness) []step.Action // delivers a late response; may be nil
+		do    func(h *soloHarness)
+		late  func(h *soloHarness) []step.Action // delivers a late response; may be nil
 	}{
-		{"the call runs", calls.Running, func(l *soloHarness) { l.arrive("m0", "") }, func(l *soloHarness) []step.Action {
-			return l.m.Step(l.now, calls.AttemptFailed{ID: abandonedCall, Attempt: 1, Phase: attempt.Refused})
+		{"the call runs", calls.Running, func(h *soloHarness) { h.arrive("m0", "") }, func(h *soloHarness) []step.Action {
+			return h.m.Step(h.now, calls.AttemptFailed{ID: abandonedCall, Attempt: 1, Phase: attempt.Refused})
 		}},
-		{"the call runs at its second replica", calls.Running, func(l *soloHarness) {
-			l.arrive("m0", "")
-			l.list(l.entry("1"))
-			failAttempt(l, 1, calls.AttemptFailed{Phase: attempt.MaybeSent, Severed: true})
-		}, func(l *soloHarness) []step.Action {
-			return l.m.Step(l.now, calls.AttemptFailed{ID: abandonedCall, Attempt: 2, Phase: attempt.Refused})
+		{"the call runs at its second replica", calls.Running, func(h *soloHarness) {
+			h.arrive("m0", "")
+			h.list(h.entry("1"))
+			failAttempt(h, 1, calls.AttemptFailed{Phase: attempt.MaybeSent, Severed: true})
+		}, func(h *soloHarness) []step.Action {
+			return h.m.Step(h.now, calls.AttemptFailed{ID: abandonedCall, Attempt: 2, Phase: attempt.Refused})
 		}},
-		{"the stream resumes at another replica", calls.Running, func(l *soloHarness) {
-			l.arrive("m0", "")
-			l.list(l.entry("1"))
-			l.m.Step(l.now, calls.AnswerBegan{ID: abandonedCall})
-			failAttempt(l, 1, calls.AttemptFailed{Phase: attempt.Answered, Severed: true, Delivered: 3})
-		}, func(l *soloHarness) []step.Action {
-			return l.m.Step(l.now, calls.AttemptFailed{ID: abandonedCall, Attempt: 2, Phase: attempt.Answered, Severed: true, Delivered: 5})
+		{"the stream resumes at another replica", calls.Running, func(h *soloHarness) {
+			h.arrive("m0", "")
+			h.list(h.entry("1"))
+			h.m.Step(h.now, calls.AnswerBegan{ID: abandonedCall})
+			failAttempt(h, 1, calls.AttemptFailed{Phase: attempt.Answered, Severed: true, Delivered: 3})
+		}, func(h *soloHarness) []step.Action {
+			return h.m.Step(h.now, calls.AttemptFailed{ID: abandonedCall, Attempt: 2, Phase: attempt.Answered, Severed: true, Delivered: 5})
 		}},
-		{"the call waits for the end of a rest", calls.Waiting, func(l *soloHarness) {
-			for _, r := range l.m.state.Pool.All() {
-				l.m.state.Pool.ObserveNotice(l.now, r.Name, l.now, pool.Notice{Rest: 300 * time.Millisecond})
+		{"the call waits for the end of a rest", calls.Waiting, func(h *soloHarness) {
+			for _, r := range h.m.state.Pool.All() {
+				h.m.state.Pool.ObserveNotice(h.now, r.Name, h.now, pool.Notice{Rest: 300 * time.Millisecond})
 			}
-			l.arrive("m0", "")
+			h.arrive("m0", "")
 		}, nil},
-		{"the call waits for the trial runs of a suspected request", calls.Waiting, func(l *soloHarness) {
+		{"the call waits for the trial runs of a suspected request", calls.Waiting, func(h *soloHarness) {
 			for seq := range uint64(crash.MaxCrashes) {
 				r := crash.Report{Observer: "j", Seq: seq, Replica: pool.Incarnation{Name: fmt.Sprint(seq)}, Requests: []crash.Fingerprint{7, 8}}
-				l.m.quarantine.HandlePeerReports(l.now, "j", []crash.Report{r}, nil)
+				h.m.quarantine.HandlePeerReports(h.now, "j", []crash.Report{r}, nil)
 			}
-			l.arrive("m0", "")
+			h.arrive("m0", "")
 		}, nil},
-		{"the call waits for an adapter", calls.AwaitingOrder, func(l *soloHarness) { l.arrive("m0", "a1") }, func(l *soloHarness) []step.Action {
-			e := l.m.orders.owned.Get("e0")
-			return l.m.Step(l.now, owned.OrderReply{Engine: "e0", Fence: e.Fence, Answer: 2})
+		{"the call waits for an adapter", calls.AwaitingOrder, func(h *soloHarness) { h.arrive("m0", "a1") }, func(h *soloHarness) []step.Action {
+			e := h.m.orders.owned.Get("e0")
+			return h.m.Step(h.now, owned.OrderReply{Engine: "e0", Fence: e.Fence, Answer: 2})
 		}},
-		{"engines are being probed", calls.Probing, func(l *soloHarness) {
-			l.m.state.Options.ProbeWait = 20 * time.Millisecond
+		{"engines are being probed", calls.Probing, func(h *soloHarness) {
+			h.m.state.Options.ProbeWait = 20 * time.Millisecond
 			for i := range 2 * watchers.FullMeshLimit {
-				l.m.state.Members.Upsert(fmt.Sprintf("peer%d", i), "z0", fmt.Sprintf("peer%d", i))
+				h.m.state.Members.Upsert(fmt.Sprintf("peer%d", i), "z0", fmt.Sprintf("peer%d", i))
 			}
-			l.list(l.entry("1"))
-			l.arrive("m0", "")
-		}, func(l *soloHarness) []step.Action {
-			actions := append([]step.Action(nil), l.m.Step(l.now, forwarding.ProbeReply{Call: abandonedCall, Engine: "e0", Sent: l.now})...)
-			return append(actions, l.m.Step(l.now, forwarding.ProbeReply{Call: abandonedCall, Engine: "e", Sent: l.now})...)
+			h.list(h.entry("1"))
+			h.arrive("m0", "")
+		}, func(h *soloHarness) []step.Action {
+			actions := append([]step.Action(nil), h.m.Step(h.now, forwarding.ProbeReply{Call: abandonedCall, Engine: "e0", Sent: h.now})...)
+			return append(actions, h.m.Step(h.now, forwarding.ProbeReply{Call: abandonedCall, Engine: "e", Sent: h.now})...)
 		}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			l := newOwnerHarness(t)
-			c.do(l)
-			call := l.m.calls.Get(abandonedCall)
+			h := newOwnerHarness(t)
+			c.do(h)
+			call := h.m.calls.Get(abandonedCall)
 			is.True(call != nil)
 			is.Equal(call.Phase, c.phase)
-			l.now = l.now.Add(20 * time.Millisecond)
-			is.Equal(len(workFor(l.m.Step(l.now, calls.CallerGone{ID: abandonedCall}))), 0)
-			is.Equal(l.m.calls.Len(), 0)
+			h.now = h.now.Add(20 * time.Millisecond)
+			is.Equal(len(workFor(h.m.Step(h.now, calls.CallerGone{ID: abandonedCall}))), 0)
+			is.Equal(h.m.calls.Len(), 0)
 			if c.late != nil {
-				is.Equal(len(workFor(c.late(l))), 0)
+				is.Equal(len(workFor(c.late(h))), 0)
 			}
 			for range 200 {
-				l.now = l.now.Add(25 * time.Millisecond)
-				is.Equal(len(workFor(l.m.Step(l.now, Tick{}))), 0)
+				h.now = h.now.Add(25 * time.Millisecond)
+				is.Equal(len(workFor(h.m.Step(h.now, Tick{}))), 0)
 			}
-			for _, r := range l.m.state.Pool.All() {
+			for _, r := range h.m.state.Pool.All() {
 				is.Equal(r.InFlight(), 0)
 			}
 		})
--- a/core/instance/leaving_test.go
+++ b/core/instance/leaving_test.go
@@ -60,64 +60,64 @@
 }
 
 func newLeaveHarness(f *fleet, b bounds.Bounds) *leaveHarness {
-	l := &leaveHarness{
+	h := &leaveHarness{
 		f: f, bounds: b, leaveRecords: map[*fleetEngine]leaveRecord{}, memberDisturbedAt: map[string]time.Duration{},
 		boots: map[string]uint64{}, nextEngine: len(f.engines), storeDisturbedAt: -time.Hour,
 	}
-	f.leaves = l
-	l.observe()
-	return l
+	f.leaves = h
+	h.observe()
+	return h
 }
 
 // observe records every 4 ms which members are disturbed. A watch that hangs, is reset or misses
 // changes is not a disturbance: the bound still applies.
-func (l *leaveHarness) observe() {
-	f := l.f
+func (h *leaveHarness) observe() {
+	f := h.f
 	if f.store.down || f.store.refusesConnections || f.lostShare > 0 {
-		l.storeDisturbedAt = f.now
+		h.storeDisturbedAt = f.now
 	}
 	for _, name := range f.names {
 		n := f.members[name]
-		if n.dead || n.frozen || n.noStore || n.noUpdates || f.cutZones[n.id.Zone] || n.boot != l.boots[name] {
-			l.memberDisturbedAt[name] = f.now
-			l.boots[name] = n.boot
+		if n.dead || n.frozen || n.noStore || n.noUpdates || f.cutZones[n.id.Zone] || n.boot != h.boots[name] {
+			h.memberDisturbedAt[name] = f.now
+			h.boots[name] = n.boot
 		}
 	}
-	f.at(4*time.Millisecond, l.observe)
+	f.at(4*time.Millisecond, h.observe)
 }
 
 // stable reports whether the store has been undisturbed for Settle.
-func (l *leaveHarness) stable() bool { return l.f.now-l.storeDisturbedAt >= l.bounds.Settle }
+func (h *leaveHarness) stable() bool { return h.f.now-h.storeDisturbedAt >= h.bounds.Settle }
 
 // boundApplies reports whether the bound applies to a member: neither it nor the store was
 // disturbed for Settle.
-func (l *leaveHarness) boundApplies(n *fleetMember) bool {
-	return l.stable() && l.f.now-l.memberDisturbedAt[n.id.Name] >= l.bounds.Settle
+func (h *leaveHarness) boundApplies(n *fleetMember) bool {
+	return h.stable() && h.f.now-h.memberDisturbedAt[n.id.Name] >= h.bounds.Settle
 }
 
 // handleDispatch checks a call that a member sends to an engine. The call reaches the engine when
 // a connection is established, which may take up to the dial timeout, so the check is made after
 // that time.
-func (l *leaveHarness) handleDispatch(n *fleetMember, d calls.Dispatch) {
-	e := l.f.engines[d.Replica]
-	if l.boundApplies(n) {
-		l.maxListAge = max(l.maxListAge, d.Forward.ListAge)
+func (h *leaveHarness) handleDispatch(n *fleetMember, d calls.Dispatch) {
+	e := h.f.engines[d.Replica]
+	if h.boundApplies(n) {
+		h.maxListAge = max(h.maxListAge, d.Forward.ListAge)
 	}
-	l.f.at(bounds.DialTimeout, func() {
-		left, ok := l.leaveRecords[e]
-		if !ok || !left.stable || l.f.now-left.at <= l.bounds.Leave || !l.boundApplies(n) || e.gone {
+	h.f.at(bounds.DialTimeout, func() {
+		left, ok := h.leaveRecords[e]
+		if !ok || !left.stable || h.f.now-left.at <= h.bounds.Leave || !h.boundApplies(n) || e.gone {
 			return
 		}
-		l.lateCalls = append(l.lateCalls, fmt.Sprintf("%v: a call of %s reached %s %v after the store accepted that it leaves", l.f.now, n.id.Name, e.name, l.f.now-left.at))
+		h.lateCalls = append(h.lateCalls, fmt.Sprintf("%v: a call of %s reached %s %v after the store accepted that it leaves", h.f.now, n.id.Name, e.name, h.f.now-left.at))
 	})
 }
 
 // randomStayingEngine returns a random engine that is not leaving.
-func (l *leaveHarness) randomStayingEngine() *fleetEngine {
-	names := sortedKeys(l.f.engines)
+func (h *leaveHarness) randomStayingEngine() *fleetEngine {
+	names := sortedKeys(h.f.engines)
 	for {
-		e := l.f.engines[names[l.f.rng.IntN(len(names))]]
-		if _, leaves := l.leaveRecords[e]; !leaves {
+		e := h.f.engines[names[h.f.rng.IntN(len(names))]]
+		if _, leaves := h.leaveRecords[e]; !leaves {
 			return e
 		}
 	}
@@ -125,13 +125,13 @@
 
 // leave makes an engine leave, with or without announcing it, and starts a replacement
 // immediately.
-func (l *leaveHarness) leave(e *fleetEngine, silent bool) {
-	f := l.f
-	l.replace(e)
+func (h *leaveHarness) leave(e *fleetEngine, silent bool) {
+	f := h.f
+	h.replace(e)
 	if f.store.down {
 		return // the store does not accept the announcement
 	}
-	l.recordLeave(e)
+	h.recordLeave(e)
 	e.leavesSilently = silent
 	e.leaving = !silent
 	if silent {
@@ -146,48 +146,48 @@
 }
 
 // recordLeave records that the store accepts now that an engine leaves.
-func (l *leaveHarness) recordLeave(e *fleetEngine) {
-	left := leaveRecord{at: l.f.now, stable: l.stable()}
-	l.leaveRecords[e] = left
+func (h *leaveHarness) recordLeave(e *fleetEngine) {
+	left := leaveRecord{at: h.f.now, stable: h.stable()}
+	h.leaveRecords[e] = left
 	if !left.stable {
 		return
 	}
-	l.leftCount++
-	l.f.at(l.bounds.Leave-bounds.DialTimeout, func() {
-		if l.leaveRecords[e] == left {
-			l.checkUnused(e)
+	h.leftCount++
+	h.f.at(h.bounds.Leave-bounds.DialTimeout, func() {
+		if h.leaveRecords[e] == left {
+			h.checkUnused(e)
 		}
 	})
 }
 
 // checkUnused checks that no member to which the bound applies would still send a call to a
 // leaving engine that would arrive too late.
-func (l *leaveHarness) checkUnused(e *fleetEngine) {
-	for _, n := range l.allMembers() {
+func (h *leaveHarness) checkUnused(e *fleetEngine) {
+	for _, n := range h.allMembers() {
 		r := n.m.state.Pool.Get(e.name)
-		if l.boundApplies(n) && r != nil && (r.Usable() || r.LastResort(l.f.clock(n))) {
-			l.lateCalls = append(l.lateCalls, fmt.Sprintf("%v: %s would still send calls to %s %v after the store accepted that it leaves", l.f.now, n.id.Name, e.name, l.bounds.Leave-bounds.DialTimeout))
+		if h.boundApplies(n) && r != nil && (r.Usable() || r.LastResort(h.f.clock(n))) {
+			h.lateCalls = append(h.lateCalls, fmt.Sprintf("%v: %s would still send calls to %s %v after the store accepted that it leaves", h.f.now, n.id.Name, e.name, h.bounds.Leave-bounds.DialTimeout))
 		}
 	}
 }
 
 // randomLeave makes a random engine leave; one in three leaves without announcing it.
-func (l *leaveHarness) randomLeave() { l.leave(l.randomStayingEngine(), l.f.rng.IntN(3) == 0) }
+func (h *leaveHarness) randomLeave() { h.leave(h.randomStayingEngine(), h.f.rng.IntN(3) == 0) }
 
 // replace starts an engine that holds the same models as e.
-func (l *leaveHarness) replace(e *fleetEngine) {
-	f := l.f
+func (h *leaveHarness) replace(e *fleetEngine) {
+	f := h.f
 	added := &fleetEngine{
-		name: fmt.Sprintf("e%d", l.nextEngine), zone: e.zone,
+		name: fmt.Sprintf("e%d", h.nextEngine), zone: e.zone,
 		models: maps.Clone(e.models), adapters: map[string]bool{}, onDisk: maps.Clone(e.onDisk),
 	}
-	l.nextEngine++
+	h.nextEngine++
 	f.engines[added.name] = added
 	f.announce(added)
 }
 
 // hangWatches makes the connections of the pending watches of members hang.
-func (l *leaveHarness) hangWatches(members ...*fleetMember) {
+func (h *leaveHarness) hangWatches(members ...*fleetMember) {
 	for _, n := range members {
 		for _, w := range n.pendingWatches {
 			w.hung = true
@@ -196,9 +196,9 @@
 }
 
 // allMembers returns the members, in the order in which they were added.
-func (l *leaveHarness) allMembers() (members []*fleetMember) {
-	for _, name := range l.f.names {
-		members = append(members, l.f.members[name])
+func (h *leaveHarness) allMembers() (members []*fleetMember) {
+	for _, name := range h.f.names {
+		members = append(members, h.f.members[name])
 	}
 	return members
 }
@@ -206,11 +206,11 @@
 // dropHistory withholds changes from the watches for a second, and then drops the history of the
 // store: the connections of all watches are reset, or hang if hang is set, and the watches
 // continue with a full read.
-func (l *leaveHarness) dropHistory(hang bool) {
-	f := l.f
+func (h *leaveHarness) dropHistory(hang bool) {
+	f := h.f
 	f.store.muteUntil = f.now + time.Second
 	f.at(time.Second, func() {
-		for _, n := range l.allMembers() {
+		for _, n := range h.allMembers() {
 			n.watchPosition = 0
 			for _, w := range n.pendingWatches {
 				w.hung = hang
@@ -221,29 +221,29 @@
 }
 
 // leaveWithin makes an engine leave at a random time within span.
-func (l *leaveHarness) leaveWithin(span time.Duration) {
-	l.f.at(time.Duration(l.f.rng.Int64N(int64(span))), l.randomLeave)
+func (h *leaveHarness) leaveWithin(span time.Duration) {
+	h.f.at(time.Duration(h.f.rng.Int64N(int64(span))), h.randomLeave)
 }
 
 // storeDown takes the store down for span. If refuse is set the store refuses connections;
 // otherwise it does not respond.
-func (l *leaveHarness) storeDown(span time.Duration, refuse bool) {
-	l.f.store.down = true
-	l.f.store.refusesConnections = refuse
-	l.f.at(span, func() {
-		l.f.store.down = false
-		l.f.store.refusesConnections = false
+func (h *leaveHarness) storeDown(span time.Duration, refuse bool) {
+	h.f.store.down = true
+	h.f.store.refusesConnections = refuse
+	h.f.at(span, func() {
+		h.f.store.down = false
+		h.f.store.refusesConnections = false
 	})
 }
 
 // rewriteEntries makes every engine write its entry ten times, so that a later rollback of the
 // store removes many revisions.
-func (l *leaveHarness) rewriteEntries() {
+func (h *leaveHarness) rewriteEntries() {
 	const writes = 10
 	for range writes {
-		for _, name := range sortedKeys(l.f.engines) {
-			if e := l.f.engines[name]; !e.gone && !e.leavesSilently {
-				l.f.announce(e)
+		for _, name := range sortedKeys(h.f.engines) {
+			if e := h.f.engines[name]; !e.gone && !e.leavesSilently {
+				h.f.announce(e)
 			}
 		}
 	}
@@ -251,113 +251,113 @@
 
 // leaveAfter makes engines leave after a disturbance that ends after span: one as soon as the
 // bound applies again, and another one 0.7 s later.
-func (l *leaveHarness) leaveAfter(span time.Duration) {
-	l.f.at(span+l.bounds.Settle+8*time.Millisecond, l.randomLeave)
-	l.f.at(span+l.bounds.Settle+700*time.Millisecond, l.randomLeave)
+func (h *leaveHarness) leaveAfter(span time.Duration) {
+	h.f.at(span+h.bounds.Settle+8*time.Millisecond, h.randomLeave)
+	h.f.at(span+h.bounds.Settle+700*time.Millisecond, h.randomLeave)
 }
 
 // A leaveStorm is a fault scenario for a fleet with leaving engines.
 type leaveStorm struct {
 	name string
-	do   func(l *leaveHarness)
+	do   func(h *leaveHarness)
 }
 
 // every calls do once per span.
-func (l *leaveHarness) every(span time.Duration, do func()) {
-	l.f.periodically(span, time.Hour, func() func() { do(); return func() {} })
+func (h *leaveHarness) every(span time.Duration, do func()) {
+	h.f.periodically(span, time.Hour, func() func() { do(); return func() {} })
 }
 
 var leaveStorms = []leaveStorm{
-	{"calm", func(l *leaveHarness) { l.every(1300*time.Millisecond, l.randomLeave) }},
-	{"the watches of some hang", func(l *leaveHarness) {
-		l.every(2300*time.Millisecond, func() {
-			l.hangWatches(l.f.randomMember(), l.f.randomMember())
-			l.leaveWithin(400 * time.Millisecond)
+	{"calm", func(h *leaveHarness) { h.every(1300*time.Millisecond, h.randomLeave) }},
+	{"the watches of some hang", func(h *leaveHarness) {
+		h.every(2300*time.Millisecond, func() {
+			h.hangWatches(h.f.randomMember(), h.f.randomMember())
+			h.leaveWithin(400 * time.Millisecond)
 		})
 	}},
-	{"the watches of all hang", func(l *leaveHarness) {
-		l.every(4100*time.Millisecond, func() {
-			l.hangWatches(l.allMembers()...)
-			l.leaveWithin(300 * time.Millisecond)
+	{"the watches of all hang", func(h *leaveHarness) {
+		h.every(4100*time.Millisecond, func() {
+			h.hangWatches(h.allMembers()...)
+			h.leaveWithin(300 * time.Millisecond)
 		})
 	}},
-	{"history is dropped", func(l *leaveHarness) {
-		l.every(3700*time.Millisecond, func() {
-			l.dropHistory(false)
-			l.leaveWithin(time.Second)
+	{"history is dropped", func(h *leaveHarness) {
+		h.every(3700*time.Millisecond, func() {
+			h.dropHistory(false)
+			h.leaveWithin(time.Second)
 		})
 	}},
-	{"history is dropped without a reset", func(l *leaveHarness) {
-		l.every(4700*time.Millisecond, func() {
-			l.dropHistory(true)
-			l.leaveWithin(time.Second)
+	{"history is dropped without a reset", func(h *leaveHarness) {
+		h.every(4700*time.Millisecond, func() {
+			h.dropHistory(true)
+			h.leaveWithin(time.Second)
 		})
 	}},
-	{"the store refuses connections", func(l *leaveHarness) {
-		l.every(11*time.Second, func() {
-			span := time.Duration(1+l.f.rng.IntN(5)) * time.Second
-			l.storeDown(span, true)
-			l.leaveAfter(span)
+	{"the store refuses connections", func(h *leaveHarness) {
+		h.every(11*time.Second, func() {
+			span := time.Duration(1+h.f.rng.IntN(5)) * time.Second
+			h.storeDown(span, true)
+			h.leaveAfter(span)
 		})
 	}},
-	{"the store does not respond", func(l *leaveHarness) {
-		l.every(12*time.Second, func() {
-			span := time.Duration(1+l.f.rng.IntN(6)) * time.Second
-			l.storeDown(span, false)
-			l.leaveAfter(span)
+	{"the store does not respond", func(h *leaveHarness) {
+		h.every(12*time.Second, func() {
+			span := time.Duration(1+h.f.rng.IntN(6)) * time.Second
+			h.storeDown(span, false)
+			h.leaveAfter(span)
 		})
 	}},
-	{"the store steps back", func(l *leaveHarness) {
-		l.f.keepStoreCopies()
-		l.every(9*time.Second, func() {
-			l.randomLeave()
-			l.rewriteEntries()
-			l.f.at(time.Second, func() {
-				l.f.stepBack(time.Second + l.f.randomSpan())
-				l.leaveAfter(restoreTime)
+	{"the store steps back", func(h *leaveHarness) {
+		h.f.keepStoreCopies()
+		h.every(9*time.Second, func() {
+			h.randomLeave()
+			h.rewriteEntries()
+			h.f.at(time.Second, func() {
+				h.f.stepBack(time.Second + h.f.randomSpan())
+				h.leaveAfter(restoreTime)
 			})
 		})
 	}},
-	{"leaving replicas are listed as ready", func(l *leaveHarness) {
-		l.every(2900*time.Millisecond, func() {
-			e := l.randomStayingEngine()
-			l.leave(e, false)
-			l.f.at(time.Second, func() { // a delayed write from before the announcement
+	{"leaving replicas are listed as ready", func(h *leaveHarness) {
+		h.every(2900*time.Millisecond, func() {
+			e := h.randomStayingEngine()
+			h.leave(e, false)
+			h.f.at(time.Second, func() { // a delayed write from before the announcement
 				e.leaving = false
-				l.f.announce(e)
+				h.f.announce(e)
 			})
 		})
 	}},
-	{"members are killed", func(l *leaveHarness) {
-		l.every(1700*time.Millisecond, l.randomLeave)
-		l.f.periodically(5*time.Second, time.Second, func() func() {
-			n := l.f.randomMember()
+	{"members are killed", func(h *leaveHarness) {
+		h.every(1700*time.Millisecond, h.randomLeave)
+		h.f.periodically(5*time.Second, time.Second, func() func() {
+			n := h.f.randomMember()
 			n.dead = true
-			return func() { l.f.start(n.id.Name) }
+			return func() { h.f.start(n.id.Name) }
 		})
 	}},
-	{"members are frozen", func(l *leaveHarness) {
-		l.every(1900*time.Millisecond, l.randomLeave)
-		l.f.periodically(6*time.Second, 2*time.Second, func() func() {
-			n := l.f.randomMember()
+	{"members are frozen", func(h *leaveHarness) {
+		h.every(1900*time.Millisecond, h.randomLeave)
+		h.f.periodically(6*time.Second, 2*time.Second, func() func() {
+			n := h.f.randomMember()
 			n.frozen = true
-			return func() { l.f.thaw(n) }
+			return func() { h.f.thaw(n) }
 		})
 	}},
-	{"members are cut off from the store", func(l *leaveHarness) {
-		l.every(1700*time.Millisecond, l.randomLeave)
-		l.f.periodically(9*time.Second, 4*time.Second, func() func() {
-			n, m := l.f.randomMember(), l.f.randomMember()
+	{"members are cut off from the store", func(h *leaveHarness) {
+		h.every(1700*time.Millisecond, h.randomLeave)
+		h.f.periodically(9*time.Second, 4*time.Second, func() func() {
+			n, m := h.f.randomMember(), h.f.randomMember()
 			n.noStore, m.noStore = true, true
 			return func() { n.noStore, m.noStore = false, false }
 		})
 	}},
-	{"a zone is cut off", func(l *leaveHarness) {
-		l.f.cutZones = map[string]bool{}
-		l.every(1700*time.Millisecond, l.randomLeave)
-		l.f.periodically(10*time.Second, 4*time.Second, func() func() {
-			l.f.cutZones["z1"] = true
-			return func() { delete(l.f.cutZones, "z1") }
+	{"a zone is cut off", func(h *leaveHarness) {
+		h.f.cutZones = map[string]bool{}
+		h.every(1700*time.Millisecond, h.randomLeave)
+		h.f.periodically(10*time.Second, 4*time.Second, func() func() {
+			h.f.cutZones["z1"] = true
+			return func() { delete(h.f.cutZones, "z1") }
 		})
 	}},
 }
@@ -386,20 +386,20 @@
 	f := newFleetWithBounds(seed, size.members, size.engines, option.Disabled{}, false, size.bounds)
 	f.adapterShare = 0.1
 	f.expireLeases()
-	l := newLeaveHarness(f, size.bounds)
+	h := newLeaveHarness(f, size.bounds)
 	f.run(8 * time.Second)
 	f.startCallers(size.callEvery)
 	f.run(2 * time.Second)
-	s.do(l)
+	s.do(h)
 	for _, b := range concurrent {
-		b.do(l)
+		b.do(h)
 	}
 	span := size.span
 	if testing.Short() {
 		span = min(span, shortSpan) // long enough for each fault to occur once
 	}
 	f.run(span)
-	return l
+	return h
 }
 
 // A fleetSize is the size of a fleet and the duration of its simulation.
@@ -420,18 +420,18 @@
 }
 
 // check reports late calls, violations of the fleet, and a run in which too little happened.
-func (l *leaveHarness) check(t *testing.T, seed int) {
+func (h *leaveHarness) check(t *testing.T, seed int) {
 	t.Helper()
-	if len(l.lateCalls) > 0 {
-		t.Errorf("seed %d: %d calls reached a leaving engine too late; the first: %s", seed+1, len(l.lateCalls), l.lateCalls[0])
+	if len(h.lateCalls) > 0 {
+		t.Errorf("seed %d: %d calls reached a leaving engine too late; the first: %s", seed+1, len(h.lateCalls), h.lateCalls[0])
 	}
-	for _, b := range l.f.violations[:min(3, len(l.f.violations))] {
+	for _, b := range h.f.violations[:min(3, len(h.f.violations))] {
 		t.Errorf("seed %d: %s", seed+1, b)
 	}
-	t.Logf("seed %d: largest age of a list at a dispatch %v, %d engines left, %.3f of calls served", seed+1, l.maxListAge.Round(time.Millisecond), l.leftCount,
-		float64(l.f.served)/float64(max(1, l.f.served+l.f.refused)))
-	if l.leftCount == 0 || l.f.served < 9*l.f.refused {
-		t.Errorf("seed %d: %d engines left, %d calls served, %d refused", seed+1, l.leftCount, l.f.served, l.f.refused)
+	t.Logf("seed %d: largest age of a list at a dispatch %v, %d engines left, %.3f of calls served", seed+1, h.maxListAge.Round(time.Millisecond), h.leftCount,
+		float64(h.f.served)/float64(max(1, h.f.served+h.f.refused)))
+	if h.leftCount == 0 || h.f.served < 9*h.f.refused {
+		t.Errorf("seed %d: %d engines left, %d calls served, %d refused", seed+1, h.leftCount, h.f.served, h.f.refused)
 	}
 }
 
@@ -479,14 +479,14 @@
 func TestAnOldListIsLogged(t *testing.T) {
 	for _, tt := range []struct {
 		name string
-		do   func(l *leaveHarness)
+		do   func(h *leaveHarness)
 		old  bool
 	}{
 		{"calm", func(*leaveHarness) {}, false},
-		{"watches hang", func(l *leaveHarness) { l.every(5*time.Second, func() { l.hangWatches(l.allMembers()...) }) }, false},
-		{"watches and exchanges fail", func(l *leaveHarness) {
-			for _, n := range l.allMembers() {
-				l.f.periodically(6*time.Second, 3*time.Second, func() func() {
+		{"watches hang", func(h *leaveHarness) { h.every(5*time.Second, func() { h.hangWatches(h.allMembers()...) }) }, false},
+		{"watches and exchanges fail", func(h *leaveHarness) {
+			for _, n := range h.allMembers() {
+				h.f.periodically(6*time.Second, 3*time.Second, func() func() {
 					n.noUpdates = true
 					return func() { n.noUpdates = false }
 				})
--- a/core/instance/limit_test.go
+++ b/core/instance/limit_test.go
@@ -112,119 +112,119 @@
 	f.opt.ExchangeEvery = 500 * time.Millisecond
 	f.opt.ProbeWait = 20 * time.Millisecond
 	f.addMembers(members)
-	l := newLimitHarness(f)
+	h := newLimitHarness(f)
 	f.expireLeases()
 	f.run(5 * time.Second)
-	return l
+	return h
 }
 
-func (l *limitHarness) engine(i int) *fleetEngine { return l.f.engines[fmt.Sprintf("e%d", i)] }
+func (h *limitHarness) engine(i int) *fleetEngine { return h.f.engines[fmt.Sprintf("e%d", i)] }
 
 // setLimit makes an engine state a limit from now on.
-func (l *limitHarness) setLimit(e *fleetEngine, perSecond float64) {
-	l.limitHistory[e] = append(l.limitHistory[e], statedLimit{l.f.now, pool.RateLimit{Named: true, PerSecond: perSecond}})
+func (h *limitHarness) setLimit(e *fleetEngine, perSecond float64) {
+	h.limitHistory[e] = append(h.limitHistory[e], statedLimit{h.f.now, pool.RateLimit{Named: true, PerSecond: perSecond}})
 }
 
 // endLimit makes an engine state no limit from now on.
-func (l *limitHarness) endLimit(e *fleetEngine) {
-	l.limitHistory[e] = append(l.limitHistory[e], statedLimit{l.f.now, pool.RateLimit{}})
+func (h *limitHarness) endLimit(e *fleetEngine) {
+	h.limitHistory[e] = append(h.limitHistory[e], statedLimit{h.f.now, pool.RateLimit{}})
 }
 
 // limit returns the limit that an engine currently states.
-func (l *limitHarness) limit(e *fleetEngine) pool.RateLimit {
-	if n := len(l.limitHistory[e]); n > 0 {
-		return l.limitHistory[e][n-1].limit
+func (h *limitHarness) limit(e *fleetEngine) pool.RateLimit {
+	if n := len(h.limitHistory[e]); n > 0 {
+		return h.limitHistory[e][n-1].limit
 	}
 	return pool.RateLimit{}
 }
 
-func (l *limitHarness) arrive(n *fleetMember, r calls.Request) {
-	l.arrived[r.ID] = noticeCall{member: n, at: l.f.now, model: r.Forward.Model, plain: r.Forward.Adapter == ""}
+func (h *limitHarness) arrive(n *fleetMember, r calls.Request) {
+	h.arrived[r.ID] = noticeCall{member: n, at: h.f.now, model: r.Forward.Model, plain: r.Forward.Adapter == ""}
 }
 
 // requestReached records, after delay, that a request reached an engine, and delivers the notice
 // in the response to the instance.
-func (l *limitHarness) requestReached(n *fleetMember, boot uint64, e *fleetEngine, delay time.Duration, sent clock.Instant) {
-	l.f.at(delay, func() {
-		l.recordRequest(n, boot, e)
-		l.sendNotice(n, boot, e, fleetLatency, sent)
+func (h *limitHarness) requestReached(n *fleetMember, boot uint64, e *fleetEngine, delay time.Duration, sent clock.Instant) {
+	h.f.at(delay, func() {
+		h.recordRequest(n, boot, e)
+		h.sendNotice(n, boot, e, fleetLatency, sent)
 	})
 }
 
 // recordRequest records that a request reached an engine.
-func (l *limitHarness) recordRequest(n *fleetMember, boot uint64, e *fleetEngine) {
-	l.received[e] = append(l.received[e], limitRequest{l.f.now, noticeKey{n.id.Name, boot, e.name, e.restarts}})
+func (h *limitHarness) recordRequest(n *fleetMember, boot uint64, e *fleetEngine) {
+	h.received[e] = append(h.received[e], limitRequest{h.f.now, noticeKey{n.id.Name, boot, e.name, e.restarts}})
 }
 
 // sendNotice delivers the current notice of an engine to an instance after delay.
-func (l *limitHarness) sendNotice(n *fleetMember, boot uint64, e *fleetEngine, delay time.Duration, sent clock.Instant) {
-	content := l.otherNotices[e]
-	content.Limit = l.limit(e)
+func (h *limitHarness) sendNotice(n *fleetMember, boot uint64, e *fleetEngine, delay time.Duration, sent clock.Instant) {
+	content := h.otherNotices[e]
+	content.Limit = h.limit(e)
 	to := noticeKey{n.id.Name, boot, e.name, e.restarts}
-	l.f.at(delay, func() {
-		if _, known := l.firstNoticeAt[to]; content.Limit.Named && !known && !n.dead && !n.frozen && n.boot == boot {
-			l.firstNoticeAt[to] = l.f.now
+	h.f.at(delay, func() {
+		if _, known := h.firstNoticeAt[to]; content.Limit.Named && !known && !n.dead && !n.frozen && n.boot == boot {
+			h.firstNoticeAt[to] = h.f.now
 		}
-		l.f.step(n, boot, notice.Received{Replica: e.name, Sent: sent, Notice: content})
+		h.f.step(n, boot, notice.Received{Replica: e.name, Sent: sent, Notice: content})
 	})
 }
 
 // serve runs a call at its engine, or has the engine refuse it.
-func (l *limitHarness) serve(n *fleetMember, boot uint64, d calls.Dispatch, reply func(time.Duration, step.Event)) {
-	e := l.f.engines[d.Replica]
+func (h *limitHarness) serve(n *fleetMember, boot uint64, d calls.Dispatch, reply func(time.Duration, step.Event)) {
+	e := h.f.engines[d.Replica]
 	failed := func(delay time.Duration, b calls.AttemptFailed) {
 		b.ID, b.Attempt = d.ID, d.Attempt
 		reply(delay, b)
 	}
 	switch {
-	case l.f.partitioned(n.id.Zone, e.zone):
+	case h.f.partitioned(n.id.Zone, e.zone):
 		failed(500*time.Millisecond, calls.AttemptFailed{Phase: attempt.NotSent, Detail: "zone unreachable"})
 		return
 	case e.dead:
 		failed(fleetLatency, calls.AttemptFailed{Phase: attempt.NotSent, Unreachable: true})
 		return
 	}
-	sent := l.f.clock(n)
-	l.f.at(fleetLatency, func() {
-		l.recordRequest(n, boot, e)
-		if l.otherNotices[e].Rest > 0 {
-			l.sendNotice(n, boot, e, fleetLatency, sent)
+	sent := h.f.clock(n)
+	h.f.at(fleetLatency, func() {
+		h.recordRequest(n, boot, e)
+		if h.otherNotices[e].Rest > 0 {
+			h.sendNotice(n, boot, e, fleetLatency, sent)
 			failed(fleetLatency, calls.AttemptFailed{Phase: attempt.Refused, Status: 503})
 			return
 		}
 		if !e.models[d.Model] || d.Adapter != "" && !e.adapters[d.Model+"/"+d.Adapter] {
-			l.sendNotice(n, boot, e, fleetLatency, sent)
+			h.sendNotice(n, boot, e, fleetLatency, sent)
 			failed(fleetLatency, calls.AttemptFailed{Phase: attempt.Refused, Misdirected: true, Incarnation: d.Replica})
 			return
 		}
-		l.f.served++
-		l.sendNotice(n, boot, e, l.f.firstTokenDelay+fleetLatency, sent)
-		reply(l.f.firstTokenDelay+fleetLatency, calls.AnswerBegan{ID: d.ID})
-		reply(l.callDuration, calls.Completed{ID: d.ID})
+		h.f.served++
+		h.sendNotice(n, boot, e, h.f.firstTokenDelay+fleetLatency, sent)
+		reply(h.f.firstTokenDelay+fleetLatency, calls.AnswerBegan{ID: d.ID})
+		reply(h.callDuration, calls.Completed{ID: d.ID})
 	})
 }
 
 // handleFinish handles a final answer that an instance gives itself. A call that an engine without
 // a limit could have served is lost.
-func (l *limitHarness) handleFinish(a calls.Finish) {
-	l.refused = append(l.refused, a)
-	c, ok := l.arrived[a.ID]
+func (h *limitHarness) handleFinish(a calls.Finish) {
+	h.refused = append(h.refused, a)
+	c, ok := h.arrived[a.ID]
 	if !ok || !c.plain || a.Refusal.Code == code.NoConfiguration {
 		return // an instance that has just started refuses all calls, whatever its engines do
 	}
-	if c.at < l.healedAt+healDelay || c.at < c.member.thawedAt {
+	if c.at < h.healedAt+healDelay || c.at < c.member.thawedAt {
 		// The call arrived while its engines were unreachable, or were still considered
 		// unreachable; or its instance was frozen after the call arrived.
 		return
 	}
-	for _, name := range sortedKeys(l.f.engines) {
-		e := l.f.engines[name]
-		if l.f.now-e.loadedAt[c.model] < loadPropagationTime {
+	for _, name := range sortedKeys(h.f.engines) {
+		e := h.f.engines[name]
+		if h.f.now-e.loadedAt[c.model] < loadPropagationTime {
 			continue // no instance can know yet that the model is loaded
 		}
-		if e.models[c.model] && !e.dead && !l.limit(e).Named && !l.f.partitioned(c.member.id.Zone, e.zone) {
-			l.lostCalls = append(l.lostCalls, fmt.Sprintf("%v: call %d for %s was refused with %d (%s) after %v, and %s could serve it",
-				l.f.now, a.ID, c.model, a.Refusal.Code, a.Refusal.Detail, l.f.now-c.at, e.name))
+		if e.models[c.model] && !e.dead && !h.limit(e).Named && !h.f.partitioned(c.member.id.Zone, e.zone) {
+			h.lostCalls = append(h.lostCalls, fmt.Sprintf("%v: call %d for %s was refused with %d (%s) after %v, and %s could serve it",
+				h.f.now, a.ID, c.model, a.Refusal.Code, a.Refusal.Detail, h.f.now-c.at, e.name))
 			return
 		}
 	}
@@ -233,11 +233,11 @@
 // allowance returns the number of requests that an engine's limit allows between two points in
 // time. ok is false if the engine stated no limit for a part of that time. Its first limit also
 // counts for the time before it.
-func (l *limitHarness) allowance(e *fleetEngine, from, to time.Duration) (requests float64, ok bool) {
-	for i, n := range l.limitHistory[e] {
+func (h *limitHarness) allowance(e *fleetEngine, from, to time.Duration) (requests float64, ok bool) {
+	for i, n := range h.limitHistory[e] {
 		until := to
-		if i+1 < len(l.limitHistory[e]) {
-			until = min(to, l.limitHistory[e][i+1].at)
+		if i+1 < len(h.limitHistory[e]) {
+			until = min(to, h.limitHistory[e][i+1].at)
 		}
 		since := max(from, n.at)
 		if i == 0 {
@@ -257,19 +257,19 @@
 // excess describes the window in which the requests that reached an engine exceeded the users'
 // bound the most, counting all instances that the engine had notified of its limit. ok is false if no
 // window exceeds the bound.
-func (l *limitHarness) excess(e *fleetEngine) (worst string, ok bool) {
+func (h *limitHarness) excess(e *fleetEngine) (worst string, ok bool) {
 	var within []limitRequest // the requests in the window that count
 	most := 0.0
-	for _, r := range l.received[e] {
-		if at, told := l.firstNoticeAt[r.by]; !told || r.at < at+limitNoticeDelay {
+	for _, r := range h.received[e] {
+		if at, told := h.firstNoticeAt[r.by]; !told || r.at < at+limitNoticeDelay {
 			continue
 		}
 		within = append(within, r)
 		for within[0].at <= r.at-limitWindow {
 			within = within[1:]
 		}
-		allowed, limited := l.allowance(e, r.at-limitWindow, r.at)
-		if !limited || r.at < l.limitHistory[e][0].at+limitGrace {
+		allowed, limited := h.allowance(e, r.at-limitWindow, r.at)
+		if !limited || r.at < h.limitHistory[e][0].at+limitGrace {
 			continue
 		}
 		if over := float64(len(within)) - limitFactor*allowed - limitBurst; over > most {
@@ -281,10 +281,10 @@
 }
 
 // usedShare returns the share of an engine's limit that requests used between two points in time.
-func (l *limitHarness) usedShare(e *fleetEngine, from, to time.Duration) float64 {
-	allowed, _ := l.allowance(e, from, to)
+func (h *limitHarness) usedShare(e *fleetEngine, from, to time.Duration) float64 {
+	allowed, _ := h.allowance(e, from, to)
 	n := 0
-	for _, r := range l.received[e] {
+	for _, r := range h.received[e] {
 		if r.at >= from && r.at < to {
 			n++
 		}
@@ -294,26 +294,26 @@
 
 // check reports exceeded limits, lost calls, violations of the fleet, refusals without a retry
 // time, and a run in which too little happened.
-func (l *limitHarness) check(t *testing.T, seed int) {
+func (h *limitHarness) check(t *testing.T, seed int) {
 	t.Helper()
-	for _, name := range sortedKeys(l.f.engines) {
-		if worst, over := l.excess(l.f.engines[name]); over {
+	for _, name := range sortedKeys(h.f.engines) {
+		if worst, over := h.excess(h.f.engines[name]); over {
 			t.Errorf("seed %d: %s", seed, worst)
 		}
 	}
-	for _, lost := range l.lostCalls[:min(3, len(l.lostCalls))] {
-		t.Errorf("seed %d: %d calls lost; %s", seed, len(l.lostCalls), lost)
+	for _, lost := range h.lostCalls[:min(3, len(h.lostCalls))] {
+		t.Errorf("seed %d: %d calls lost; %s", seed, len(h.lostCalls), lost)
 	}
-	for _, b := range l.f.violations {
+	for _, b := range h.f.violations {
 		t.Errorf("seed %d: %s", seed, b)
 	}
-	for _, a := range l.refused {
+	for _, a := range h.refused {
 		if a.Refusal.Run == code.NotRun && a.Refusal.RetryAfter <= 0 {
 			t.Errorf("seed %d: a call that did not run was refused without a retry time: %+v", seed, a.Refusal)
 		}
 	}
-	if len(l.firstNoticeAt) == 0 || l.f.served == 0 {
-		t.Errorf("seed %d: %d instances notified of a limit, %d calls served", seed, len(l.firstNoticeAt), l.f.served)
+	if len(h.firstNoticeAt) == 0 || h.f.served == 0 {
+		t.Errorf("seed %d: %d instances notified of a limit, %d calls served", seed, len(h.firstNoticeAt), h.f.served)
 	}
 }
 
@@ -321,91 +321,91 @@
 type limitStorm struct {
 	name    string
 	members int
-	do      func(l *limitHarness)
+	do      func(h *limitHarness)
 }
 
 var limitStorms = []limitStorm{
 	{"calm", 8, func(*limitHarness) {}},
-	{"the store is down", 8, func(l *limitHarness) { l.f.store.down = true }},
-	{"entries are deleted and restored", 8, func(l *limitHarness) {
-		l.f.periodically(1500*time.Millisecond, 700*time.Millisecond, func() func() {
-			e := l.engine(l.f.rng.IntN(6))
-			l.f.setKey("servers/"+e.name, nil)
-			return func() { l.f.announce(e) }
+	{"the store is down", 8, func(h *limitHarness) { h.f.store.down = true }},
+	{"entries are deleted and restored", 8, func(h *limitHarness) {
+		h.f.periodically(1500*time.Millisecond, 700*time.Millisecond, func() func() {
+			e := h.engine(h.f.rng.IntN(6))
+			h.f.setKey("servers/"+e.name, nil)
+			return func() { h.f.announce(e) }
 		})
 	}},
-	{"instances are killed", 8, func(l *limitHarness) {
-		l.f.periodically(3*time.Second, time.Second, func() func() {
-			n := l.f.randomMember()
+	{"instances are killed", 8, func(h *limitHarness) {
+		h.f.periodically(3*time.Second, time.Second, func() func() {
+			n := h.f.randomMember()
 			n.dead = true
-			return func() { l.f.start(n.id.Name) }
+			return func() { h.f.start(n.id.Name) }
 		})
 	}},
-	{"all but one are killed at once", 8, func(l *limitHarness) {
-		l.f.periodically(9*time.Second, time.Second, func() func() {
-			for _, name := range l.f.names[1:] {
-				l.f.members[name].dead = true
+	{"all but one are killed at once", 8, func(h *limitHarness) {
+		h.f.periodically(9*time.Second, time.Second, func() func() {
+			for _, name := range h.f.names[1:] {
+				h.f.members[name].dead = true
 			}
 			return func() {
-				for _, name := range l.f.names[1:] {
-					l.f.start(name)
+				for _, name := range h.f.names[1:] {
+					h.f.start(name)
 				}
 			}
 		})
 	}},
-	{"instances stop as planned", 8, func(l *limitHarness) {
-		l.f.periodically(3*time.Second, 2500*time.Millisecond, func() func() {
-			n := l.f.randomMember()
-			l.f.step(n, n.boot, Stop{})
-			l.f.at(2*time.Second, func() { n.dead = true })
-			return func() { l.f.start(n.id.Name) }
+	{"instances stop as planned", 8, func(h *limitHarness) {
+		h.f.periodically(3*time.Second, 2500*time.Millisecond, func() func() {
+			n := h.f.randomMember()
+			h.f.step(n, n.boot, Stop{})
+			h.f.at(2*time.Second, func() { n.dead = true })
+			return func() { h.f.start(n.id.Name) }
 		})
 	}},
-	{"instances freeze", 8, func(l *limitHarness) {
-		l.f.periodically(4*time.Second, 2*time.Second, func() func() {
-			n := l.f.randomMember()
+	{"instances freeze", 8, func(h *limitHarness) {
+		h.f.periodically(4*time.Second, 2*time.Second, func() func() {
+			n := h.f.randomMember()
 			n.frozen = true
-			return func() { l.f.thaw(n) }
+			return func() { h.f.thaw(n) }
 		})
 	}},
-	{"instances are suspended", 8, func(l *limitHarness) {
-		l.f.periodically(5*time.Second, time.Hour, func() func() {
-			l.f.sleep(l.f.randomMember(), 3*time.Second, 0)
+	{"instances are suspended", 8, func(h *limitHarness) {
+		h.f.periodically(5*time.Second, time.Hour, func() func() {
+			h.f.sleep(h.f.randomMember(), 3*time.Second, 0)
 			return func() {}
 		})
 	}},
-	{"a zone is cut off", 8, func(l *limitHarness) {
-		l.f.periodically(7*time.Second, 4*time.Second, func() func() {
-			l.f.cutZones = map[string]bool{"z1": true}
+	{"a zone is cut off", 8, func(h *limitHarness) {
+		h.f.periodically(7*time.Second, 4*time.Second, func() func() {
+			h.f.cutZones = map[string]bool{"z1": true}
 			return func() {
-				l.f.cutZones = nil
-				l.healedAt = l.f.now
+				h.f.cutZones = nil
+				h.healedAt = h.f.now
 			}
 		})
 	}},
-	{"an instance receives no updates", 8, func(l *limitHarness) {
-		l.f.periodically(4*time.Second, 3*time.Second, func() func() {
-			n := l.f.randomMember()
+	{"an instance receives no updates", 8, func(h *limitHarness) {
+		h.f.periodically(4*time.Second, 3*time.Second, func() func() {
+			n := h.f.randomMember()
 			n.noUpdates = true
 			return func() { n.noUpdates = false }
 		})
 	}},
-	{"orders are executed late", 8, func(l *limitHarness) { l.f.lateShare = 0.4 }},
-	{"limits change each second", 8, func(l *limitHarness) {
+	{"orders are executed late", 8, func(h *limitHarness) { h.f.lateShare = 0.4 }},
+	{"limits change each second", 8, func(h *limitHarness) {
 		up := false
-		l.f.periodically(time.Second, 0, func() func() {
+		h.f.periodically(time.Second, 0, func() func() {
 			up = !up
-			for e := range l.limitHistory {
-				l.setLimit(e, map[bool]float64{true: 8, false: 2}[up])
+			for e := range h.limitHistory {
+				h.setLimit(e, map[bool]float64{true: 8, false: 2}[up])
 			}
 			return func() {}
 		})
 	}},
-	{"engines restart", 8, func(l *limitHarness) {
-		l.f.periodically(4*time.Second, time.Second, func() func() {
-			e := l.engine(l.f.rng.IntN(6))
+	{"engines restart", 8, func(h *limitHarness) {
+		h.f.periodically(4*time.Second, time.Second, func() func() {
+			e := h.engine(h.f.rng.IntN(6))
 			e.dead = true
-			return func() { l.f.restartEngine(e) }
+			return func() { h.f.restartEngine(e) }
 		})
 	}},
 	{"a large fleet", 2 * watchers.FullMeshLimit, func(*limitHarness) {}},
@@ -419,15 +419,15 @@
 		t.Run(s.name, func(t *testing.T) {
 			t.Parallel()
 			for seed := range *limitSeeds {
-				l := newLimitFleet(uint64(seed+1), s.members, 2*fleetEngines)
-				l.f.startCallers(20 * time.Millisecond)
-				l.f.run(2 * time.Second)
+				h := newLimitFleet(uint64(seed+1), s.members, 2*fleetEngines)
+				h.f.startCallers(20 * time.Millisecond)
+				h.f.run(2 * time.Second)
 				for i, limit := range []float64{1, 0.5, 3, 0, 1, 10} {
-					l.setLimit(l.engine(i), limit)
+					h.setLimit(h.engine(i), limit)
 				}
-				s.do(l)
-				l.f.run(22 * time.Second)
-				l.check(t, seed)
+				s.do(h)
+				h.f.run(22 * time.Second)
+				h.check(t, seed)
 			}
 		})
 	}
@@ -445,23 +445,23 @@
 					t.Skip("takes minutes; run it with -limit.all")
 				}
 				t.Parallel()
-				l := newLimitFleet(1, members, engines)
-				l.f.adapterShare = 0
+				h := newLimitFleet(1, members, engines)
+				h.f.adapterShare = 0
 				// Calls are so short that the limit is the bottleneck, not the capacity of the engines.
-				l.f.promptTokens = 100
-				l.f.firstTokenDelay = 5 * time.Millisecond
-				l.callDuration = 10 * time.Millisecond
-				l.f.startCallersFor(time.Duration(float64(time.Second)/(3*engines*limit)), func() int { return l.f.rng.IntN(fleetModels) })
+				h.f.promptTokens = 100
+				h.f.firstTokenDelay = 5 * time.Millisecond
+				h.callDuration = 10 * time.Millisecond
+				h.f.startCallersFor(time.Duration(float64(time.Second)/(3*engines*limit)), func() int { return h.f.rng.IntN(fleetModels) })
 				for i := range engines {
-					l.setLimit(l.engine(i), limit)
+					h.setLimit(h.engine(i), limit)
 				}
-				l.f.run(4 * time.Second)
-				from := l.f.now
-				l.f.run(20 * time.Second)
-				l.check(t, 0)
+				h.f.run(4 * time.Second)
+				from := h.f.now
+				h.f.run(20 * time.Second)
+				h.check(t, 0)
 				least := 1.0
 				for i := range engines {
-					least = min(least, l.usedShare(l.engine(i), from, l.f.now))
+					least = min(least, h.usedShare(h.engine(i), from, h.f.now))
 				}
 				t.Logf("the least used engine received %.2f of its limit", least)
 				if least < minLimitUse {
@@ -483,29 +483,29 @@
 			t.Run(fmt.Sprintf("%d instances, %g a second", members, limit), func(t *testing.T) {
 				t.Parallel()
 				is := is.New(t)
-				l, never := endedLimitFleet(members), endedLimitFleet(members)
-				e := l.engine(0)
-				l.setLimit(e, limit)
-				l.f.run(12 * time.Second)
-				l.endLimit(e)
-				ended := l.f.now
-				l.f.run(20 * time.Second)
-				l.check(t, 0)
+				h, never := endedLimitFleet(members), endedLimitFleet(members)
+				e := h.engine(0)
+				h.setLimit(e, limit)
+				h.f.run(12 * time.Second)
+				h.endLimit(e)
+				ended := h.f.now
+				h.f.run(20 * time.Second)
+				h.check(t, 0)
 				never.f.run(32 * time.Second)
-				usual := never.receivedWithin(never.engine(0), l.f.now-8*time.Second, l.f.now)
+				usual := never.receivedWithin(never.engine(0), h.f.now-8*time.Second, h.f.now)
 				for from, last := ended, 0; from < ended+8*time.Second; from += time.Second {
-					n := l.receivedWithin(e, from, from+time.Second)
+					n := h.receivedWithin(e, from, from+time.Second)
 					if most := max(2*max(last, int(limit))+3, usual/4+1); n > most {
 						t.Errorf("%d requests in the second that starts at %v, %d in the previous one", n, from-ended, last)
 					}
 					last = n
 				}
-				for _, name := range l.f.names {
-					n := l.f.members[name]
-					_, limited := n.m.state.Pool.Get(e.name).RateLimit(l.f.clock(n))
+				for _, name := range h.f.names {
+					n := h.f.members[name]
+					_, limited := n.m.state.Pool.Get(e.name).RateLimit(h.f.clock(n))
 					is.True(!limited)
 				}
-				got := l.receivedWithin(e, l.f.now-8*time.Second, l.f.now)
+				got := h.receivedWithin(e, h.f.now-8*time.Second, h.f.now)
 				t.Logf("%d requests in 8 s, %d without any limit", got, usual)
 				is.True(got*2 >= usual)
 			})
@@ -515,18 +515,18 @@
 
 // endedLimitFleet returns the harness of a fleet whose calls request all models equally.
 func endedLimitFleet(members int) *limitHarness {
-	l := newLimitFleet(1, members, 4*fleetEngines)
-	l.f.adapterShare = 0
-	l.f.promptTokens = 100
-	l.f.startCallersFor(10*time.Millisecond, func() int { return l.f.rng.IntN(fleetModels) })
-	l.f.run(4 * time.Second)
-	return l
+	h := newLimitFleet(1, members, 4*fleetEngines)
+	h.f.adapterShare = 0
+	h.f.promptTokens = 100
+	h.f.startCallersFor(10*time.Millisecond, func() int { return h.f.rng.IntN(fleetModels) })
+	h.f.run(4 * time.Second)
+	return h
 }
 
 // receivedWithin returns the number of requests that reached an engine between two points in time.
-func (l *limitHarness) receivedWithin(e *fleetEngine, from, to time.Duration) int {
+func (h *limitHarness) receivedWithin(e *fleetEngine, from, to time.Duration) int {
 	n := 0
-	for _, r := range l.received[e] {
+	for _, r := range h.received[e] {
 		if r.at >= from && r.at < to {
 			n++
 		}
@@ -540,36 +540,36 @@
 func TestInstancesHearOfALimitFromPeers(t *testing.T) {
 	is := is.New(t)
 	for _, members := range []int{8, 46} {
-		l := newLimitFleet(1, members, fleetEngines)
-		e := l.engine(0)
-		n := l.f.members["i1"]
-		l.setLimit(e, 2)
-		l.sendNotice(n, n.boot, e, 0, l.f.clock(n))
+		h := newLimitFleet(1, members, fleetEngines)
+		e := h.engine(0)
+		n := h.f.members["i1"]
+		h.setLimit(e, 2)
+		h.sendNotice(n, n.boot, e, 0, h.f.clock(n))
 		known := func() (all bool) {
 			all = true
-			for _, name := range l.f.names {
-				n := l.f.members[name]
-				rate, limited := n.m.state.Pool.Get(e.name).RateLimit(l.f.clock(n))
+			for _, name := range h.f.names {
+				n := h.f.members[name]
+				rate, limited := n.m.state.Pool.Get(e.name).RateLimit(h.f.clock(n))
 				all = all && limited && rate == 2
 			}
 			return all
 		}
-		from := l.f.now
-		for !known() && l.f.now < from+limitGrace {
-			l.f.run(50 * time.Millisecond)
+		from := h.f.now
+		for !known() && h.f.now < from+limitGrace {
+			h.f.run(50 * time.Millisecond)
 		}
-		t.Logf("%d instances know the limit after %v", members, l.f.now-from)
+		t.Logf("%d instances know the limit after %v", members, h.f.now-from)
 		is.True(known())
-		is.Equal(len(l.firstNoticeAt), 1) // the engine itself notified only one instance
-		l.f.members["i3"].dead = true
-		l.f.run(time.Second)
-		l.f.start("i3")
-		for from = l.f.now; l.f.members["i3"].m.state.Pool.Get(e.name) == nil || !known(); l.f.run(10 * time.Millisecond) {
-			if l.f.now > from+time.Second {
+		is.Equal(len(h.firstNoticeAt), 1) // the engine itself notified only one instance
+		h.f.members["i3"].dead = true
+		h.f.run(time.Second)
+		h.f.start("i3")
+		for from = h.f.now; h.f.members["i3"].m.state.Pool.Get(e.name) == nil || !known(); h.f.run(10 * time.Millisecond) {
+			if h.f.now > from+time.Second {
 				t.Fatal("an instance that restarted does not learn the limit")
 			}
 		}
-		t.Logf("a restarted instance knows the limit after %v", l.f.now-from)
+		t.Logf("a restarted instance knows the limit after %v", h.f.now-from)
 	}
 }
 
@@ -579,26 +579,26 @@
 func TestModelsOfALimitedEngineAreServedElsewhere(t *testing.T) {
 	is := is.New(t)
 	for seed := range *limitSeeds {
-		l := newLimitFleet(uint64(seed+1), 8, 4)
-		l.f.adapterShare = 0
-		l.f.promptTokens = 100
-		l.f.startCallersFor(80*time.Millisecond, func() int { return l.f.rng.IntN(3) }) // all three models are at the first engine
-		l.f.run(5 * time.Second)
-		l.setLimit(l.engine(0), 0.5)
-		l.f.run(25 * time.Second)
-		l.check(t, seed)
+		h := newLimitFleet(uint64(seed+1), 8, 4)
+		h.f.adapterShare = 0
+		h.f.promptTokens = 100
+		h.f.startCallersFor(80*time.Millisecond, func() int { return h.f.rng.IntN(3) }) // all three models are at the first engine
+		h.f.run(5 * time.Second)
+		h.setLimit(h.engine(0), 0.5)
+		h.f.run(25 * time.Second)
+		h.check(t, seed)
 		elsewhere := map[string]bool{}
 		for _, e := range []int{1, 2, 3} {
-			for model := range l.engine(e).models {
+			for model := range h.engine(e).models {
 				elsewhere[model] = true
 			}
 		}
 		is.True(elsewhere["m0"] && elsewhere["m1"] && elsewhere["m2"])
-		orders, refused := l.f.orders, len(l.refused)
-		l.f.run(15 * time.Second)
-		is.Equal(l.f.orders, orders) // models are not moved back and forth
-		is.Equal(len(l.refused), refused)
-		l.check(t, seed)
+		orders, refused := h.f.orders, len(h.refused)
+		h.f.run(15 * time.Second)
+		is.Equal(h.f.orders, orders) // models are not moved back and forth
+		is.Equal(len(h.refused), refused)
+		h.check(t, seed)
 	}
 }
 
@@ -608,28 +608,28 @@
 func TestLimitRestAndLeavingTogether(t *testing.T) {
 	is := is.New(t)
 	for seed := range *limitSeeds {
-		l := newLimitFleet(uint64(seed+1), 8, 2*fleetEngines)
-		l.f.startCallers(20 * time.Millisecond)
-		e := l.engine(0)
-		l.setLimit(e, 3)
-		l.f.run(4 * time.Second)
-		l.otherNotices[e] = pool.Notice{Rest: 1500 * time.Millisecond}
-		rests := l.f.now
-		l.f.run(4 * time.Second)
-		l.otherNotices[e] = pool.Notice{}
-		l.f.run(8 * time.Second)
-		is.True(l.receivedWithin(e, l.f.now-6*time.Second, l.f.now) > 0) // after 5 s, a call shows that the engine serves again
-		is.True(l.receivedWithin(e, rests, rests+4*time.Second) <= 3*maxInRest+limitBurst)
-		l.f.members["i2"].dead = true
-		l.otherNotices[e] = pool.Notice{Leaving: true}
-		n := l.f.members["i0"]
-		l.sendNotice(n, n.boot, e, 0, l.f.clock(n)) // hardly any call goes there to tell the instances
-		l.f.run(leaveGrace + time.Second)
-		l.f.start("i2")
-		gone := l.f.now
-		l.f.run(6 * time.Second)
+		h := newLimitFleet(uint64(seed+1), 8, 2*fleetEngines)
+		h.f.startCallers(20 * time.Millisecond)
+		e := h.engine(0)
+		h.setLimit(e, 3)
+		h.f.run(4 * time.Second)
+		h.otherNotices[e] = pool.Notice{Rest: 1500 * time.Millisecond}
+		rests := h.f.now
+		h.f.run(4 * time.Second)
+		h.otherNotices[e] = pool.Notice{}
+		h.f.run(8 * time.Second)
+		is.True(h.receivedWithin(e, h.f.now-6*time.Second, h.f.now) > 0) // after 5 s, a call shows that the engine serves again
+		is.True(h.receivedWithin(e, rests, rests+4*time.Second) <= 3*maxInRest+limitBurst)
+		h.f.members["i2"].dead = true
+		h.otherNotices[e] = pool.Notice{Leaving: true}
+		n := h.f.members["i0"]
+		h.sendNotice(n, n.boot, e, 0, h.f.clock(n)) // hardly any call goes there to tell the instances
+		h.f.run(leaveGrace + time.Second)
+		h.f.start("i2")
+		gone := h.f.now
+		h.f.run(6 * time.Second)
 		// An instance that has just learned of it may still send a call there that no other engine can serve.
-		is.Equal(l.receivedWithin(e, gone+leaveGrace, l.f.now), 0)
-		l.check(t, seed)
+		is.Equal(h.receivedWithin(e, gone+leaveGrace, h.f.now), 0)
+		h.check(t, seed)
 	}
 }
--- a/core/instance/lives_test.go
+++ b/core/instance/lives_test.go
@@ -43,15 +43,15 @@
 func TestAnEngineThatStartsAgainIsOrderedAnew(t *testing.T) {
 	is := is.New(t)
 	for seed := range *noticeSeeds {
-		l := newNoticeHarness(newFleetOf(uint64(seed+1), 5, fleetEngines, option.Disabled{}, false))
-		f := l.f
+		h := newNoticeHarness(newFleetOf(uint64(seed+1), 5, fleetEngines, option.Disabled{}, false))
+		f := h.f
 		f.expireLeases()
 		f.run(5 * time.Second)
 		f.startCallers(20 * time.Millisecond)
 		f.run(10 * time.Second)
-		e := l.engine(1)
+		e := h.engine(1)
 		is.True(e.sequence > 0)
-		l.restartEmpty(e, 1500*time.Millisecond)
+		h.restartEmpty(e, 1500*time.Millisecond)
 		f.run(4500 * time.Millisecond) // three seconds after it started
 		is.Equal(f.requestFromOwner(e, orders.Request{Load: true, Model: "m0"}), owned.Started)
 		f.run(5 * time.Second)
@@ -102,16 +102,16 @@
 		t.Run(s.name, func(t *testing.T) {
 			t.Parallel()
 			for seed := range *noticeSeeds {
-				l := newNoticeHarness(newFleetOf(uint64(seed+1), 5, fleetEngines, option.Disabled{}, false))
-				f := l.f
+				h := newNoticeHarness(newFleetOf(uint64(seed+1), 5, fleetEngines, option.Disabled{}, false))
+				f := h.f
 				f.expireLeases()
 				f.run(5 * time.Second)
 				f.startCallers(20 * time.Millisecond)
 				s.do(f)
 				next := 0
 				f.periodically(2*time.Second, time.Hour, func() func() {
-					if e := l.engine(next % fleetEngines); !e.dead && !f.store.down {
-						l.restartEmpty(e, time.Duration(200+f.rng.IntN(2000))*time.Millisecond)
+					if e := h.engine(next % fleetEngines); !e.dead && !f.store.down {
+						h.restartEmpty(e, time.Duration(200+f.rng.IntN(2000))*time.Millisecond)
 					}
 					next++
 					return func() {}
@@ -145,9 +145,9 @@
 }
 
 // stepFor delivers an event to the machine and returns the resulting actions of type T.
-func stepFor[T step.Action](l *soloHarness, ev step.Event) []T {
+func stepFor[T step.Action](h *soloHarness, ev step.Event) []T {
 	var out []T
-	for _, a := range l.m.Step(l.now, ev) {
+	for _, a := range h.m.Step(h.now, ev) {
 		if x, ok := a.(T); ok {
 			out = append(out, x)
 		}
@@ -184,62 +184,62 @@
 func TestFormerIncarnationIsIgnored(t *testing.T) {
 	cases := []struct {
 		name string
-		late func(l *soloHarness)
+		late func(h *soloHarness)
 	}{
-		{"an entry that was written late", func(l *soloHarness) { l.list(l.entry("1")) }},
-		{"an entry that a peer received earlier", func(l *soloHarness) {
-			old := l.entry("1")
+		{"an entry that was written late", func(h *soloHarness) { h.list(h.entry("1")) }},
+		{"an entry that a peer received earlier", func(h *soloHarness) {
+			old := h.entry("1")
 			old.Version = 999
-			l.m.Step(l.now, exchange.RequestReceived{Token: 1, Message: gossip.Message{From: "peer", Address: "peer", Boot: 1, Records: gossip.Records{Listed: []gossip.Listed{old}}}})
+			h.m.Step(h.now, exchange.RequestReceived{Token: 1, Message: gossip.Message{From: "peer", Address: "peer", Boot: 1, Records: gossip.Records{Listed: []gossip.Listed{old}}}})
 		}},
-		{"an entry that announces that it leaves", func(l *soloHarness) {
-			old := l.entry("1")
+		{"an entry that announces that it leaves", func(h *soloHarness) {
+			old := h.entry("1")
 			old.Announced.Leaving = true
-			l.list(old)
+			h.list(old)
 		}},
-		{"its report about itself", func(l *soloHarness) {
-			old := l.entry("1")
-			l.m.Step(l.now, listing.SelfReport{Replica: "e", Sent: l.now, Announcement: *old.Announced})
+		{"its report about itself", func(h *soloHarness) {
+			old := h.entry("1")
+			h.m.Step(h.now, listing.SelfReport{Replica: "e", Sent: h.now, Announcement: *old.Announced})
 		}},
-		{"its response that announces that it leaves", func(l *soloHarness) {
-			l.m.Step(l.now, notice.Received{Replica: "e", Sent: l.now.Add(-5 * time.Millisecond), Notice: pool.Notice{Leaving: true}})
+		{"its response that announces that it leaves", func(h *soloHarness) {
+			h.m.Step(h.now, notice.Received{Replica: "e", Sent: h.now.Add(-5 * time.Millisecond), Notice: pool.Notice{Leaving: true}})
 		}},
-		{"its probe reply with its load", func(l *soloHarness) {
-			l.m.Step(l.now, forwarding.ProbeReply{Call: 9, Engine: "e", Sent: l.now.Add(-5 * time.Millisecond), Queued: 500})
+		{"its probe reply with its load", func(h *soloHarness) {
+			h.m.Step(h.now, forwarding.ProbeReply{Call: 9, Engine: "e", Sent: h.now.Add(-5 * time.Millisecond), Queued: 500})
 		}},
-		{"its residency as reported by its owner", func(l *soloHarness) {
+		{"its residency as reported by its owner", func(h *soloHarness) {
 			res := gossip.Residency{Engine: "e", Residency: pool.Residency{Boot: 7, Change: 3, Born: "1", Items: []pool.Item{{Name: "m5", Phase: pool.Ready}}}}
-			l.m.Step(l.now, exchange.RequestReceived{Token: 1, Message: gossip.Message{From: "peer", Address: "peer", Boot: 1, Records: gossip.Records{Residencies: []gossip.Residency{res}}}})
+			h.m.Step(h.now, exchange.RequestReceived{Token: 1, Message: gossip.Message{From: "peer", Address: "peer", Boot: 1, Records: gossip.Records{Residencies: []gossip.Residency{res}}}})
 		}},
-		{"a call found another replica at its address", func(l *soloHarness) {
-			l.m.Step(l.now, calls.AttemptFailed{ID: 1, Attempt: 1, Phase: attempt.Refused, Misdirected: true, Incarnation: "another"})
+		{"a call found another replica at its address", func(h *soloHarness) {
+			h.m.Step(h.now, calls.AttemptFailed{ID: 1, Attempt: 1, Phase: attempt.Refused, Misdirected: true, Incarnation: "another"})
 		}},
-		{"a call found its address unreachable", func(l *soloHarness) {
-			l.m.Step(l.now, calls.AttemptFailed{ID: 1, Attempt: 1, Phase: attempt.NotSent, Unreachable: true})
+		{"a call found its address unreachable", func(h *soloHarness) {
+			h.m.Step(h.now, calls.AttemptFailed{ID: 1, Attempt: 1, Phase: attempt.NotSent, Unreachable: true})
 		}},
-		{"a call found its model missing", func(l *soloHarness) {
-			l.m.Step(l.now, calls.AttemptFailed{ID: 1, Attempt: 1, Phase: attempt.Refused, Misdirected: true, Incarnation: "e"})
+		{"a call found its model missing", func(h *soloHarness) {
+			h.m.Step(h.now, calls.AttemptFailed{ID: 1, Attempt: 1, Phase: attempt.Refused, Misdirected: true, Incarnation: "e"})
 		}},
-		{"the response to a call was severed", func(l *soloHarness) {
-			l.m.Step(l.now, calls.AttemptFailed{ID: 1, Attempt: 1, Phase: attempt.Answered, Severed: true})
+		{"the response to a call was severed", func(h *soloHarness) {
+			h.m.Step(h.now, calls.AttemptFailed{ID: 1, Attempt: 1, Phase: attempt.Answered, Severed: true})
 		}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			l := newSoloHarness(t)
-			l.list(l.entry("1"))
-			is.Equal(len(l.call(1)), 1)
-			l.now = l.now.Add(10 * time.Millisecond)
-			l.list(l.entry("2"))
-			r := l.m.state.Pool.Get("e")
-			c.late(l)
-			is.True(l.m.state.Pool.Get("e") == r) // the same incarnation
+			h := newSoloHarness(t)
+			h.list(h.entry("1"))
+			is.Equal(len(h.call(1)), 1)
+			h.now = h.now.Add(10 * time.Millisecond)
+			h.list(h.entry("2"))
+			r := h.m.state.Pool.Get("e")
+			c.late(h)
+			is.True(h.m.state.Pool.Get("e") == r) // the same incarnation
 			is.Equal(r.Announcement().Born, "2")
-			is.True(r.Usable() && !r.Down(l.now) && r.Phase("m0") == pool.Ready)
+			is.True(r.Usable() && !r.Down(h.now) && r.Phase("m0") == pool.Ready)
 			is.Equal(r.Failures(), 0)
-			is.Equal(r.Load(l.now).Waiting, 0)
-			is.Equal(len(l.call(2)), 1) // it still serves calls
+			is.Equal(r.Load(h.now).Waiting, 0)
+			is.Equal(len(h.call(2)), 1) // it still serves calls
 		})
 	}
 }
@@ -250,20 +250,20 @@
 // reported as possibly run.
 func TestCallsOfFormerIncarnationAreSettled(t *testing.T) {
 	is := is.New(t)
-	l := newSoloHarness(t)
-	l.list(l.entry("1"))
-	is.Equal(len(l.call(1)), 1)
-	l.now = l.now.Add(time.Second)
-	entry := l.entry("2")
-	interrupts := stepFor[calls.Interrupt](l, listing.Reply{Entries: []gossip.Listed{entry}, Version: l.version})
+	h := newSoloHarness(t)
+	h.list(h.entry("1"))
+	is.Equal(len(h.call(1)), 1)
+	h.now = h.now.Add(time.Second)
+	entry := h.entry("2")
+	interrupts := stepFor[calls.Interrupt](h, listing.Reply{Entries: []gossip.Listed{entry}, Version: h.version})
 	is.Equal(interrupts, []calls.Interrupt{{ID: 1}})
 	// The interrupt ends the attempt, not the connection.
-	l.now = l.now.Add(time.Millisecond)
-	dispatches := stepFor[calls.Dispatch](l, calls.AttemptFailed{ID: 1, Attempt: 1, Phase: attempt.MaybeSent})
+	h.now = h.now.Add(time.Millisecond)
+	dispatches := stepFor[calls.Dispatch](h, calls.AttemptFailed{ID: 1, Attempt: 1, Phase: attempt.MaybeSent})
 	is.Equal(len(dispatches), 1)
 	is.Equal(dispatches[0].Replica, "e")
-	is.Equal(len(l.m.state.Records.Crashes()), 0) // the request has no fingerprint to identify it
-	is.Equal(l.m.state.Pool.Get("e").Failures(), 0)
+	is.Equal(len(h.m.state.Records.Crashes()), 0) // the request has no fingerprint to identify it
+	is.Equal(h.m.state.Pool.Get("e").Failures(), 0)
 }
 
 // TestIncarnationIsKnownFromSelfReport checks that what a replica reports about itself when
@@ -271,20 +271,20 @@
 // previous incarnation changes anything afterwards.
 func TestIncarnationIsKnownFromSelfReport(t *testing.T) {
 	is := is.New(t)
-	l := newSoloHarness(t)
-	l.list(l.entry("1"))
-	next := l.entry("2")
+	h := newSoloHarness(t)
+	h.list(h.entry("1"))
+	next := h.entry("2")
 	next.Announced.Models = []pool.AnnouncedModel{{Name: "m1"}}
-	l.m.Step(l.now, listing.SelfReport{Replica: "e", Sent: l.now.Add(-time.Millisecond), Announcement: *next.Announced})
-	is.Equal(l.m.state.Pool.Get("e").Announcement().Born, "1") // queried before the current incarnation was known
-	l.now = l.now.Add(10 * time.Millisecond)
-	l.m.Step(l.now, listing.SelfReport{Replica: "e", Sent: l.now, Announcement: *next.Announced})
-	r := l.m.state.Pool.Get("e")
+	h.m.Step(h.now, listing.SelfReport{Replica: "e", Sent: h.now.Add(-time.Millisecond), Announcement: *next.Announced})
+	is.Equal(h.m.state.Pool.Get("e").Announcement().Born, "1") // queried before the current incarnation was known
+	h.now = h.now.Add(10 * time.Millisecond)
+	h.m.Step(h.now, listing.SelfReport{Replica: "e", Sent: h.now, Announcement: *next.Announced})
+	r := h.m.state.Pool.Get("e")
 	is.Equal(r.Announcement().Born, "2")
 	is.Equal(r.Phase("m0"), pool.ItemPhase(0))
 	is.Equal(r.Phase("m1"), pool.Ready)
-	l.list(l.entry("1"))
-	l.list(next)
-	is.True(l.m.state.Pool.Get("e") == r)
+	h.list(h.entry("1"))
+	h.list(next)
+	is.True(h.m.state.Pool.Get("e") == r)
 	is.Equal(r.Phase("m1"), pool.Ready)
 }
--- a/core/instance/notice_test.go
+++ b/core/instance/notice_test.go
@@ -90,12 +90,12 @@
 }
 
 func newNoticeHarness(f *fleet) *noticeHarness {
-	l := &noticeHarness{
+	h := &noticeHarness{
 		f: f, leaving: map[*fleetEngine]bool{}, rests: map[*fleetEngine]time.Duration{}, arrived: map[calls.ID]noticeCall{},
 		firstNoticeAt: map[noticeKey]time.Duration{}, received: map[noticeKey][]noticeRequest{}, served: map[*fleetEngine]int{},
 	}
-	f.notices = l
-	return l
+	f.notices = h
+	return h
 }
 
 func (h *noticeHarness) arrive(n *fleetMember, r calls.Request) {
@@ -259,47 +259,47 @@
 type noticeStorm struct {
 	name    string
 	members int
-	do      func(l *noticeHarness)
+	do      func(h *noticeHarness)
 }
 
 var noticeStorms = []noticeStorm{
 	{"calm", 5, func(*noticeHarness) {}},
-	{"the store is down", 5, func(l *noticeHarness) { l.f.store.down = true }},
-	{"leaving engines are listed as ready", 5, func(l *noticeHarness) {
-		l.f.periodically(200*time.Millisecond, 0, func() func() {
-			for e := range l.leaving {
+	{"the store is down", 5, func(h *noticeHarness) { h.f.store.down = true }},
+	{"leaving engines are listed as ready", 5, func(h *noticeHarness) {
+		h.f.periodically(200*time.Millisecond, 0, func() func() {
+			for e := range h.leaving {
 				if !e.dead {
-					l.f.announce(e)
+					h.f.announce(e)
 				}
 			}
 			return func() {}
 		})
 	}},
-	{"entries are deleted and restored", 5, func(l *noticeHarness) {
-		l.f.periodically(1500*time.Millisecond, 700*time.Millisecond, func() func() {
+	{"entries are deleted and restored", 5, func(h *noticeHarness) {
+		h.f.periodically(1500*time.Millisecond, 700*time.Millisecond, func() func() {
 			var gone []*fleetEngine
-			for e := range l.leaving {
+			for e := range h.leaving {
 				if !e.dead {
-					l.f.setKey("servers/"+e.name, nil)
+					h.f.setKey("servers/"+e.name, nil)
 					gone = append(gone, e)
 				}
 			}
 			return func() {
 				for _, e := range gone {
-					l.f.announce(e)
+					h.f.announce(e)
 				}
 			}
 		})
 	}},
-	{"instances are killed", 5, func(l *noticeHarness) {
-		l.f.periodically(3*time.Second, time.Second, func() func() {
-			n := l.f.randomMember()
+	{"instances are killed", 5, func(h *noticeHarness) {
+		h.f.periodically(3*time.Second, time.Second, func() func() {
+			n := h.f.randomMember()
 			n.dead = true
-			return func() { l.f.start(n.id.Name) }
+			return func() { h.f.start(n.id.Name) }
 		})
 	}},
-	{"orders are executed late", 5, func(l *noticeHarness) { l.f.lateShare = 0.4 }},
-	{"responses of the store are lost", 5, func(l *noticeHarness) { l.f.lostShare = 0.4 }},
+	{"orders are executed late", 5, func(h *noticeHarness) { h.f.lateShare = 0.4 }},
+	{"responses of the store are lost", 5, func(h *noticeHarness) { h.f.lostShare = 0.4 }},
 	{"a large fleet", 2 * watchers.FullMeshLimit, func(*noticeHarness) {}},
 }
 
@@ -312,32 +312,32 @@
 		t.Run(s.name, func(t *testing.T) {
 			t.Parallel()
 			for seed := range *noticeSeeds {
-				l := newNoticeHarness(newFleetOf(uint64(seed+1), s.members, 2*fleetEngines, option.Disabled{}, false))
-				f := l.f
+				h := newNoticeHarness(newFleetOf(uint64(seed+1), s.members, 2*fleetEngines, option.Disabled{}, false))
+				f := h.f
 				f.expireLeases()
 				f.run(5 * time.Second)
 				f.startCallers(20 * time.Millisecond)
 				f.run(2 * time.Second)
-				s.do(l)
+				s.do(h)
 				for i, at := range []time.Duration{time.Second, 3 * time.Second, 5 * time.Second} {
-					f.at(at, func() { l.startLeaving(l.engine(i)) })
+					f.at(at, func() { h.startLeaving(h.engine(i)) })
 				}
 				for i, rest := range []time.Duration{4 * time.Second, 1500 * time.Millisecond, 700 * time.Millisecond} {
-					f.at(time.Duration(i+1)*time.Second, func() { l.shedLoad(l.engine(i+4), 5*time.Second, rest) })
-					f.at(12*time.Second, func() { l.shedLoad(l.engine(i+4), 2*time.Second, rest) })
+					f.at(time.Duration(i+1)*time.Second, func() { h.shedLoad(h.engine(i+4), 5*time.Second, rest) })
+					f.at(12*time.Second, func() { h.shedLoad(h.engine(i+4), 2*time.Second, rest) })
 				}
 				f.run(20 * time.Second)
-				if most := l.maxRequestsInRest(); l.lateRequests > 0 || most > maxInRest {
-					t.Errorf("seed %d: %d requests too late after an engine announced that it leaves; %d during a rest", seed, l.lateRequests, most)
+				if most := h.maxRequestsInRest(); h.lateRequests > 0 || most > maxInRest {
+					t.Errorf("seed %d: %d requests too late after an engine announced that it leaves; %d during a rest", seed, h.lateRequests, most)
 				}
-				for _, lost := range l.lostCalls[:min(3, len(l.lostCalls))] {
-					t.Errorf("seed %d: %d calls lost; %s", seed, len(l.lostCalls), lost)
+				for _, lost := range h.lostCalls[:min(3, len(h.lostCalls))] {
+					t.Errorf("seed %d: %d calls lost; %s", seed, len(h.lostCalls), lost)
 				}
 				for _, b := range f.violations {
 					t.Errorf("seed %d: %s", seed, b)
 				}
-				if len(l.firstNoticeAt) == 0 || f.served == 0 {
-					t.Errorf("seed %d: %d instances notified that an engine leaves, %d calls served", seed, len(l.firstNoticeAt), f.served)
+				if len(h.firstNoticeAt) == 0 || f.served == 0 {
+					t.Errorf("seed %d: %d instances notified that an engine leaves, %d calls served", seed, len(h.firstNoticeAt), f.served)
 				}
 			}
 		})
@@ -350,26 +350,26 @@
 func TestAnEngineThatStartsAgainServes(t *testing.T) {
 	is := is.New(t)
 	for seed := range *noticeSeeds {
-		l := newNoticeHarness(newFleetOf(uint64(seed+1), 5, fleetEngines, option.Disabled{}, false))
-		f := l.f
+		h := newNoticeHarness(newFleetOf(uint64(seed+1), 5, fleetEngines, option.Disabled{}, false))
+		f := h.f
 		f.expireLeases()
 		f.run(5 * time.Second)
 		f.startCallers(20 * time.Millisecond)
-		e := l.engine(1)
-		l.leaving[e] = true
+		e := h.engine(1)
+		h.leaving[e] = true
 		f.run(3 * time.Second)
-		is.True(len(l.firstNoticeAt) > 0)
+		is.True(len(h.firstNoticeAt) > 0)
 		sent := f.clock(f.members["i0"])
 		e.dead = true
 		f.run(time.Second)
-		l.restartEngine(e)
+		h.restartEngine(e)
 		f.run(time.Second)
 		for _, name := range f.names {
 			n := f.members[name]
 			f.step(n, n.boot, notice.Received{Replica: e.name, Sent: sent, Notice: pool.Notice{Leaving: true, Rest: time.Hour}})
 		}
 		f.run(4 * time.Second)
-		is.True(l.served[e] > 10)
+		is.True(h.served[e] > 10)
 		is.Equal(f.violations, nil)
 	}
 }
@@ -380,26 +380,26 @@
 func TestWhereAllEnginesLeaveOrRest(t *testing.T) {
 	for _, tt := range []struct {
 		name string
-		do   func(l *noticeHarness, e *fleetEngine)
+		do   func(h *noticeHarness, e *fleetEngine)
 	}{
-		{"all leave", func(l *noticeHarness, e *fleetEngine) { l.leaving[e] = true }},
-		{"all rest", func(l *noticeHarness, e *fleetEngine) { l.shedLoad(e, 4*time.Second, 2*time.Second) }},
+		{"all leave", func(h *noticeHarness, e *fleetEngine) { h.leaving[e] = true }},
+		{"all rest", func(h *noticeHarness, e *fleetEngine) { h.shedLoad(e, 4*time.Second, 2*time.Second) }},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
 			for seed := range *noticeSeeds {
-				l := newNoticeHarness(newFleetOf(uint64(seed+1), 5, fleetEngines, option.Disabled{}, false))
-				f := l.f
+				h := newNoticeHarness(newFleetOf(uint64(seed+1), 5, fleetEngines, option.Disabled{}, false))
+				f := h.f
 				f.expireLeases()
 				f.run(5 * time.Second)
 				f.startCallers(20 * time.Millisecond)
 				f.run(2 * time.Second)
 				for _, name := range sortedKeys(f.engines) {
-					tt.do(l, f.engines[name])
+					tt.do(h, f.engines[name])
 				}
 				f.run(8 * time.Second)
-				is.Equal(l.lateRequests, 0)
-				is.True(l.maxRequestsInRest() <= maxInRest)
+				is.Equal(h.lateRequests, 0)
+				is.True(h.maxRequestsInRest() <= maxInRest)
 				is.Equal(f.violations, nil)
 			}
 		})
--- a/core/instance/repeats_test.go
+++ b/core/instance/repeats_test.go
@@ -106,26 +106,26 @@
 		t.Run(s.name, func(t *testing.T) {
 			t.Parallel()
 			for seed := range *noticeSeeds {
-				l := newNoticeHarness(newFleetOf(uint64(seed+1), s.members, 2*fleetEngines, option.Disabled{}, false))
-				f := l.f
-				l.retries = &retryCount{attempted: map[calls.ID]bool{}}
+				h := newNoticeHarness(newFleetOf(uint64(seed+1), s.members, 2*fleetEngines, option.Disabled{}, false))
+				f := h.f
+				h.retries = &retryCount{attempted: map[calls.ID]bool{}}
 				f.expireLeases()
 				f.run(5 * time.Second)
 				f.startCallers(5 * time.Millisecond)
 				s.do(f)
 				next := 0
 				f.periodically(400*time.Millisecond, 0, func() func() {
-					l.shedLoad(l.engine(next%(2*fleetEngines)), 5*time.Second, 200*time.Millisecond)
+					h.shedLoad(h.engine(next%(2*fleetEngines)), 5*time.Second, 200*time.Millisecond)
 					next++
 					return func() {}
 				})
 				f.run(35 * time.Second)
-				if over := l.retries.excess(f.opt); over > 0 {
+				if over := h.retries.excess(f.opt); over > 0 {
 					t.Errorf("seed %d: %.0f retries beyond the fleet's budget", seed, over)
 				}
-				t.Logf("seed %d: %d calls, %d retries", seed, len(l.retries.callTimes), len(l.retries.retries))
-				if len(l.retries.retries) < 100 {
-					t.Errorf("seed %d: only %d retries, want at least 100", seed, len(l.retries.retries))
+				t.Logf("seed %d: %d calls, %d retries", seed, len(h.retries.callTimes), len(h.retries.retries))
+				if len(h.retries.retries) < 100 {
+					t.Errorf("seed %d: only %d retries, want at least 100", seed, len(h.retries.retries))
 				}
 			}
 		})
