--- a/internal/server/notice_test.go
+++ b/internal/server/notice_test.go
@@ -148,9 +148,9 @@
 	}
 }
 
-// TestAnyAnswerMayNameALimit checks that a rate limit is read from answers of every kind,
+// TestRateLimitIsReadFromAnyAnswer checks that a rate limit is read from answers of every kind,
 // limits the calls that follow, and ends with an answer that names none.
-func TestAnyAnswerMayNameALimit(t *testing.T) {
+func TestRateLimitIsReadFromAnyAnswer(t *testing.T) {
 	limits := func(answer http.HandlerFunc, named *atomic.Bool) http.HandlerFunc {
 		return func(w http.ResponseWriter, r *http.Request) {
 			if named.Load() {
