--- a/core/instance/limit_test.go
+++ b/core/instance/limit_test.go
@@ -411,10 +411,10 @@
 	{"a large fleet", 2 * watchers.FullMeshLimit, func(*limitHarness) {}},
 }
 
-// TestEnginesThatNameALimitGetNoMore checks, for every fault scenario, that an engine that states
+// TestEngineRateLimitsAreRespected checks, for every fault scenario, that an engine that states
 // a limit receives no more requests than the users' bound, over all instances, and that no call is
 // refused that an engine without a limit could serve.
-func TestEnginesThatNameALimitGetNoMore(t *testing.T) {
+func TestEngineRateLimitsAreRespected(t *testing.T) {
 	for _, s := range limitStorms {
 		t.Run(s.name, func(t *testing.T) {
 			t.Parallel()
