--- a/core/instance/limit_test.go
+++ b/core/instance/limit_test.go
@@ -433,10 +433,10 @@
 	}
 }
 
-// TestWhereAllEnginesNameALimit checks that if the demand exceeds the limits of all engines, each
+// TestDemandAboveAllEngineLimits checks that if the demand exceeds the limits of all engines, each
 // engine receives no more than the users' bound and at least minLimitUse of its limit, whatever
 // the size of the fleet, and that the other calls are refused with a retry time.
-func TestWhereAllEnginesNameALimit(t *testing.T) {
+func TestDemandAboveAllEngineLimits(t *testing.T) {
 	const engines = 4
 	for _, members := range []int{8, 46, 370} {
 		for _, limit := range []float64{0.5, 1, 10, 200} {
