--- a/core/permits/permits_test.go
+++ b/core/permits/permits_test.go
@@ -440,10 +440,10 @@
 	is.True(f.now.Since(served) > 900*time.Millisecond && f.now.Since(served) < 1100*time.Millisecond)
 }
 
-// TestProbationBeforeLimitIsNamed checks that an instance which was the coordinator
+// TestProbationBeforeFirstLimitReport checks that an instance which was the coordinator
 // before a replica reported a limit grants the whole of the limit at once. An instance
 // that has just started, or was suspended, grants less for a while.
-func TestProbationBeforeLimitIsNamed(t *testing.T) {
+func TestProbationBeforeFirstLimitReport(t *testing.T) {
 	ownRate := func(f *fixture) float64 {
 		r := replicaRequest(f.Pool.Get("r"), 0, 0)
 		q, _ := f.coordinator.quota(f.now, r)
