--- a/core/instance/stepback_test.go
+++ b/core/instance/stepback_test.go
@@ -350,10 +350,10 @@
 	}
 }
 
-// TestStepBackTakesSeconds checks that a fleet of any size recovers from a rollback of the store within the
+// TestStoreRollbackTakesSeconds checks that a fleet of any size recovers from a rollback of the store within the
 // time for which engines wait for orders anyway when an owner is lost, and that its writes stay
 // within the rate that the store allows all instances together.
-func TestStepBackTakesSeconds(t *testing.T) {
+func TestStoreRollbackTakesSeconds(t *testing.T) {
 	// writesPerSecond is the write rate that the store allows the smallest fleets.
 	const writesPerSecond = 400
 	o := option.Default()
