--- a/core/instance/leaving_test.go
+++ b/core/instance/leaving_test.go
@@ -313,7 +313,7 @@
 			h.randomLeave()
 			h.rewriteEntries()
 			h.f.at(time.Second, func() {
-				h.f.stepBack(time.Second + h.f.randomSpan())
+				h.f.rollBackStore(time.Second + h.f.randomSpan())
 				h.leaveAfter(restoreTime)
 			})
 		})
--- a/core/instance/stepback_test.go
+++ b/core/instance/stepback_test.go
@@ -63,9 +63,9 @@
 	f.at(copyInterval, f.keepStoreCopies)
 }
 
-// stepBack takes the store down for restoreTime and then restores a copy that is at least span
+// rollBackStore takes the store down for restoreTime and then restores a copy that is at least span
 // old. Replicas then write their entries again.
-func (f *fleet) stepBack(span time.Duration) {
+func (f *fleet) rollBackStore(span time.Duration) {
 	f.store.down = true
 	f.store.refusesConnections = true
 	f.at(restoreTime, func() {
@@ -135,7 +135,7 @@
 // stepBackPeriodically rolls the store's history back every interval, by a random span.
 func (f *fleet) stepBackPeriodically(interval time.Duration) {
 	f.periodically(interval, 0, func() func() {
-		f.stepBack(f.randomSpan())
+		f.rollBackStore(f.randomSpan())
 		return func() {}
 	})
 }
@@ -222,7 +222,7 @@
 			f.run(maxRecovery)
 			f.start(n.id.Name)
 			f.run(f.randomSpan())
-			f.stepBack(span)
+			f.rollBackStore(span)
 			f.run(restoreTime)
 			f.run(time.Millisecond)
 			if took, wrong := f.settle(maxRecovery); wrong != "" {
@@ -240,8 +240,8 @@
 	{"no other faults", func(f *fleet) { f.stepBackPeriodically(9 * time.Second) }},
 	{"twice in a row", func(f *fleet) {
 		f.periodically(12*time.Second, 1500*time.Millisecond, func() func() {
-			f.stepBack(f.randomSpan())
-			return func() { f.stepBack(f.randomSpan()) }
+			f.rollBackStore(f.randomSpan())
+			return func() { f.rollBackStore(f.randomSpan()) }
 		})
 	}},
 	{"responses of the store are lost", func(f *fleet) {
@@ -371,7 +371,7 @@
 			t.Fatalf("%d instances: %s before the rollback", size.members, wrong)
 		}
 		f.storeWriteTimes = nil
-		f.stepBack(5 * time.Second)
+		f.rollBackStore(5 * time.Second)
 		f.run(restoreTime + time.Millisecond)
 		took, wrong := f.settle(maxRecovery)
 		most := busiestSecond(f.storeWriteTimes)
