--- a/core/instance/stepback_test.go
+++ b/core/instance/stepback_test.go
@@ -132,8 +132,8 @@
 	return time.Duration(f.rng.Int64N(int64(10 * time.Second)))
 }
 
-// stepBackPeriodically rolls the store's history back every interval, by a random span.
-func (f *fleet) stepBackPeriodically(interval time.Duration) {
+// rollBackStorePeriodically rolls the store's history back every interval, by a random span.
+func (f *fleet) rollBackStorePeriodically(interval time.Duration) {
 	f.periodically(interval, 0, func() func() {
 		f.rollBackStore(f.randomSpan())
 		return func() {}
@@ -237,7 +237,7 @@
 
 // stepStorms are fault scenarios in which the store's history is rolled back repeatedly.
 var stepStorms = []fleetStorm{
-	{"no other faults", func(f *fleet) { f.stepBackPeriodically(9 * time.Second) }},
+	{"no other faults", func(f *fleet) { f.rollBackStorePeriodically(9 * time.Second) }},
 	{"twice in a row", func(f *fleet) {
 		f.periodically(12*time.Second, 1500*time.Millisecond, func() func() {
 			f.rollBackStore(f.randomSpan())
@@ -246,14 +246,14 @@
 	}},
 	{"responses of the store are lost", func(f *fleet) {
 		f.lostShare = 0.3
-		f.stepBackPeriodically(7 * time.Second)
+		f.rollBackStorePeriodically(7 * time.Second)
 	}},
 	{"orders are executed late", func(f *fleet) {
 		f.lateShare = 0.4
-		f.stepBackPeriodically(8 * time.Second)
+		f.rollBackStorePeriodically(8 * time.Second)
 	}},
 	{"members are killed", func(f *fleet) {
-		f.stepBackPeriodically(7 * time.Second)
+		f.rollBackStorePeriodically(7 * time.Second)
 		f.periodically(6*time.Second, 2*time.Second, func() func() {
 			n := f.lastOrderSender()
 			n.dead = true
@@ -261,7 +261,7 @@
 		})
 	}},
 	{"members are frozen", func(f *fleet) {
-		f.stepBackPeriodically(8 * time.Second)
+		f.rollBackStorePeriodically(8 * time.Second)
 		f.periodically(9*time.Second, 6*time.Second, func() func() {
 			n := f.lastOrderSender()
 			n.frozen = true
@@ -269,14 +269,14 @@
 		})
 	}},
 	{"members are suspended", func(f *fleet) {
-		f.stepBackPeriodically(8 * time.Second)
+		f.rollBackStorePeriodically(8 * time.Second)
 		f.periodically(11*time.Second, time.Hour, func() func() {
 			f.sleep(f.lastOrderSender(), 8*time.Second, 0)
 			return func() {}
 		})
 	}},
 	{"members are cut off from the store", func(f *fleet) {
-		f.stepBackPeriodically(8 * time.Second)
+		f.rollBackStorePeriodically(8 * time.Second)
 		f.periodically(9*time.Second, 5*time.Second, func() func() {
 			n := f.lastOrderSender()
 			n.noStore = true
@@ -284,7 +284,7 @@
 		})
 	}},
 	{"watches and exchanges fail", func(f *fleet) {
-		f.stepBackPeriodically(8 * time.Second)
+		f.rollBackStorePeriodically(8 * time.Second)
 		f.periodically(7*time.Second, 4*time.Second, func() func() {
 			n := f.lastOrderSender()
 			n.noUpdates = true
@@ -294,14 +294,14 @@
 	{"a zone is cut off, responses are lost", func(f *fleet) {
 		f.lostShare = 0.2
 		f.cutZones = map[string]bool{}
-		f.stepBackPeriodically(8 * time.Second)
+		f.rollBackStorePeriodically(8 * time.Second)
 		f.periodically(10*time.Second, 5*time.Second, func() func() {
 			f.cutZones["z1"] = true
 			return func() { delete(f.cutZones, "z1") }
 		})
 	}},
 	{"members stop as planned and restart", func(f *fleet) {
-		f.stepBackPeriodically(7 * time.Second)
+		f.rollBackStorePeriodically(7 * time.Second)
 		f.periodically(6*time.Second, 4*time.Second, func() func() {
 			n := f.lastOrderSender()
 			f.step(n, n.boot, Stop{})
