--- a/core/instance/leaving_test.go
+++ b/core/instance/leaving_test.go
@@ -307,7 +307,7 @@
 			h.leaveAfter(span)
 		})
 	}},
-	{"the store steps back", func(h *leaveHarness) {
+	{"the store is rolled back", func(h *leaveHarness) {
 		h.f.keepStoreCopies()
 		h.every(9*time.Second, func() {
 			h.randomLeave()
@@ -365,8 +365,8 @@
 // leavePairs are pairs of storms that run at the same time.
 var leavePairs = [][2]string{
 	{"leaving replicas are listed as ready", "members are killed"},
-	{"the store steps back", "members are killed"},
-	{"the store steps back", "the watches of all hang"},
+	{"the store is rolled back", "members are killed"},
+	{"the store is rolled back", "the watches of all hang"},
 	{"history is dropped without a reset", "members are frozen"},
 	{"history is dropped", "members are cut off from the store"},
 	{"the store refuses connections", "the watches of some hang"},
--- a/core/instance/stepback_test.go
+++ b/core/instance/stepback_test.go
@@ -17,8 +17,8 @@
 // and lease IDs again.
 
 var (
-	stepSeeds = flag.Int("step.seeds", 4, "number of seeds per storm in which the store steps back")
-	stepSizes = flag.Bool("step.sizes", false, "measure the recovery from a step back in fleets of up to 370 instances")
+	stepSeeds = flag.Int("step.seeds", 4, "number of seeds per storm in which the store is rolled back")
+	stepSizes = flag.Bool("step.sizes", false, "measure the recovery from a rollback of the store in fleets of up to 370 instances")
 )
 
 const (
@@ -350,9 +350,9 @@
 	}
 }
 
-// TestStoreRollbackTakesSeconds checks that a fleet of any size recovers from a rollback of the store within the
-// time for which engines wait for orders anyway when an owner is lost, and that its writes stay
-// within the rate that the store allows all instances together.
+// TestStoreRollbackTakesSeconds checks that a fleet of any size recovers from a rollback of the
+// store within the time for which engines wait for orders anyway when an owner is lost, and that
+// its writes stay within the rate that the store allows all instances together.
 func TestStoreRollbackTakesSeconds(t *testing.T) {
 	// writesPerSecond is the write rate that the store allows the smallest fleets.
 	const writesPerSecond = 400
