--- a/core/instance/world_calls_test.go
+++ b/core/instance/world_calls_test.go
@@ -20,7 +20,7 @@
 	case modelcalls.Claim:
 		mine := fmt.Sprintf("%s/%d/%d", n.id.Name, n.id.Boot, act.ID)
 		w.platform.calls++
-		w.send(n, w.platformUp(n), func() func() {
+		w.send(n, w.platformReachable(n), func() func() {
 			outcome := modelcalls.ClaimUnknown
 			if w.platform.values[act.Key].data == nil {
 				w.platform.revision++
@@ -32,7 +32,7 @@
 	case modelcalls.ReadClaim:
 		mine := fmt.Sprintf("%s/%d/%d", n.id.Name, n.id.Boot, act.ID)
 		w.platform.calls++
-		w.send(n, w.platformUp(n), func() func() {
+		w.send(n, w.platformReachable(n), func() func() {
 			outcome := modelcalls.ClaimLost
 			switch w.platform.values[act.Key].data {
 			case nil:
@@ -45,7 +45,7 @@
 	case modelcalls.ReleaseClaim:
 		mine := fmt.Sprintf("%s/%d/%d", n.id.Name, n.id.Boot, act.ID)
 		w.platform.calls++
-		w.send(n, w.platformUp(n), func() func() {
+		w.send(n, w.platformReachable(n), func() func() {
 			if w.platform.values[act.Key].data == mine {
 				delete(w.platform.values, act.Key)
 			}
--- a/core/instance/world_test.go
+++ b/core/instance/world_test.go
@@ -309,7 +309,7 @@
 
 var errLost = errors.New("lost")
 
-func (w *world) platformUp(n *node) func() bool {
+func (w *world) platformReachable(n *node) func() bool {
 	return func() bool { return !w.faults.platformDown && !w.faults.cutZones[n.id.Zone] }
 }
 
@@ -329,7 +329,7 @@
 	case planner.RequestLease:
 		w.requestLease(n, act)
 	case planner.ReleaseLease:
-		w.send(n, w.platformUp(n), func() func() {
+		w.send(n, w.platformReachable(n), func() func() {
 			if l := w.platform.leases[n.id.Zone]; l != nil && l.fence == act.Fence {
 				l.holder = ""
 			}
@@ -364,7 +364,7 @@
 
 func (w *world) watchConfig(n *node, a kvwatch.WatchConfig) {
 	w.platform.calls++
-	w.send(n, w.platformUp(n), func() func() {
+	w.send(n, w.platformReachable(n), func() func() {
 		v := w.platform.values["config"]
 		if v.revision <= a.Have {
 			return func() { w.after(time.Second, func() { w.step(n, ConfigReply{Source: PlatformSource}) }) }
@@ -388,7 +388,7 @@
 
 func (w *world) watchList(n *node, a kvwatch.WatchList) {
 	w.platform.calls++
-	w.send(n, w.platformUp(n), func() func() {
+	w.send(n, w.platformReachable(n), func() func() {
 		var entries []gossip.Listed
 		version := a.Since
 		for _, l := range w.platform.list {
@@ -411,7 +411,7 @@
 	sent := n.clock(w.now)
 	holder := fmt.Sprintf("%s/%d", n.id.Name, n.id.Boot)
 	w.platform.calls++
-	w.send(n, w.platformUp(n), func() func() {
+	w.send(n, w.platformReachable(n), func() func() {
 		l := w.platform.leases[n.id.Zone]
 		if l == nil {
 			l = &fakeLease{}
@@ -436,7 +436,7 @@
 	key := "intents/" + n.id.Zone
 	write, isWrite := a.(planner.WriteIntents)
 	w.platform.calls++
-	w.send(n, w.platformUp(n), func() func() {
+	w.send(n, w.platformReachable(n), func() func() {
 		v := w.platform.values[key]
 		if !isWrite {
 			in, _ := v.data.(planner.Intents)
