--- a/core/instance/world_calls_test.go
+++ b/core/instance/world_calls_test.go
@@ -80,7 +80,7 @@
 	if e != nil && e.leaving && w.now-e.leftAt > leavingBound {
 		w.reportViolation("%s received a call %v after it started to leave", e.name, w.now-e.leftAt)
 	}
-	if !w.engineUp(n, a.Zone)() {
+	if !w.engineReachable(n, a.Zone)() {
 		w.after(100*time.Millisecond, func() { w.step(n, calls.AttemptFailed{ID: a.ID, Attempt: a.Attempt, Phase: attempt.NotSent}) })
 		return
 	}
--- a/core/instance/world_engine_test.go
+++ b/core/instance/world_engine_test.go
@@ -12,7 +12,7 @@
 
 func (w *world) readState(n *node, a planner.ReadState) {
 	e := w.engines[a.Engine]
-	w.send(n, w.engineUp(n, w.zoneOf(e.name)), func() func() {
+	w.send(n, w.engineReachable(n, w.zoneOf(e.name)), func() func() {
 		s := e.state()
 		return func() { w.step(n, planner.StateReply{Engine: a.Engine, State: s}) }
 	}, func(bool) { w.step(n, planner.StateReply{Engine: a.Engine, Err: errLost}) })
@@ -30,7 +30,7 @@
 func (w *world) sendOrder(n *node, a planner.SendOrder) {
 	e := w.engines[a.Order.Engine]
 	reply := planner.OrderReply{Engine: e.name, Fence: a.Order.Fence, Seq: a.Order.Seq}
-	w.send(n, w.engineUp(n, w.zoneOf(e.name)), func() func() {
+	w.send(n, w.engineReachable(n, w.zoneOf(e.name)), func() func() {
 		if w.beforeOrder != nil {
 			w.beforeOrder(n, e, a.Order)
 		}
@@ -39,7 +39,7 @@
 		return func() { w.step(n, reply) }
 	}, func(notSent bool) {
 		reply.Outcome = planner.OrderLost
-		if notSent && !w.engineUp(n, w.zoneOf(e.name))() {
+		if notSent && !w.engineReachable(n, w.zoneOf(e.name))() {
 			reply.Outcome = planner.OrderNotSent
 		}
 		w.step(n, reply)
--- a/core/instance/world_test.go
+++ b/core/instance/world_test.go
@@ -313,7 +313,7 @@
 	return func() bool { return !w.faults.platformDown && !w.faults.cutZones[n.id.Zone] }
 }
 
-func (w *world) engineUp(n *node, zone string) func() bool {
+func (w *world) engineReachable(n *node, zone string) func() bool {
 	return func() bool { return zone == n.id.Zone || !w.faults.cutZones[n.id.Zone] && !w.faults.cutZones[zone] }
 }
 
