--- a/core/instance/world_test.go
+++ b/core/instance/world_test.go
@@ -336,7 +336,7 @@
 			return func() {}
 		}, func(bool) {})
 	case planner.ReadIntents, planner.WriteIntents:
-		w.intents(n, act)
+		w.handleIntents(n, act)
 	case planner.ReadState:
 		w.readState(n, act)
 	case planner.SendOrder:
@@ -432,7 +432,7 @@
 	}, func(bool) { w.step(n, planner.LeaseReply{Sent: sent, Err: errLost}) })
 }
 
-func (w *world) intents(n *node, a step.Action) {
+func (w *world) handleIntents(n *node, a step.Action) {
 	key := "intents/" + n.id.Zone
 	write, isWrite := a.(planner.WriteIntents)
 	w.platform.calls++
