--- a/core/instance/promises_test.go
+++ b/core/instance/promises_test.go
@@ -302,7 +302,7 @@
 	for _, name := range w.names {
 		is.Equal(w.installed[name], uint64(1)) // all instances have the first revision
 	}
-	w.apply(doc)
+	w.applyConfig(doc)
 	appliedAt := w.now
 	for w.lowestRevision() < 2 && w.now-appliedAt < 9*time.Second {
 		w.run(50 * time.Millisecond)
@@ -351,7 +351,7 @@
 		doc := smallDocument(true)
 		w := newWorld(t, 1, doc, 1, opt)
 		w.run(2 * time.Second)
-		w.apply(doc)
+		w.applyConfig(doc)
 		w.run(5 * time.Second)
 		old := doc
 		old.Revision = 1
--- a/core/instance/world_test.go
+++ b/core/instance/world_test.go
@@ -177,7 +177,7 @@
 			w.start(name, z.Name, seed)
 		}
 	}
-	w.apply(doc)
+	w.applyConfig(doc)
 	return w
 }
 
@@ -194,8 +194,8 @@
 	w.after(0, func() { w.tick(n) })
 }
 
-// apply stores doc in the platform as the next revision of the configuration.
-func (w *world) apply(doc config.Document) {
+// applyConfig stores doc in the platform as the next revision of the configuration.
+func (w *world) applyConfig(doc config.Document) {
 	v := w.platform.values["config"]
 	doc.Revision = v.revision + 1
 	w.platform.values["config"] = fakeValue{data: doc, revision: doc.Revision}
