--- a/core/instance/world_calls_test.go
+++ b/core/instance/world_calls_test.go
@@ -62,7 +62,7 @@
 // call starts a caller's call at a node.
 func (w *world) call(name string, c calls.Request) *worldCall {
 	n := w.nodes[name]
-	wc := &worldCall{id: fmt.Sprintf("%s/%d/%d", name, n.id.Boot, c.ID), node: name, notRepeatable: c.NotRepeatable, key: c.IdempotencyKey}
+	wc := &worldCall{id: fmt.Sprintf("%s/%d/%d", name, n.id.Boot, c.ID), node: name, notRepeatable: c.NotRepeatable, idempotencyKey: c.IdempotencyKey}
 	w.calls[wc.id] = wc
 	w.step(n, calls.Arrived{Call: c})
 	return wc
@@ -143,17 +143,17 @@
 	if c.notRepeatable && c.executed > 1 {
 		w.reportViolation("call %s ran %d times", c.id, c.executed)
 	}
-	if c.key == "" {
+	if c.idempotencyKey == "" {
 		return
 	}
 	total := 0
 	for _, other := range w.calls {
-		if other.key == c.key {
+		if other.idempotencyKey == c.idempotencyKey {
 			total += other.executed
 		}
 	}
 	if total > 1 {
-		w.reportViolation("key %q ran %d times", c.key, total)
+		w.reportViolation("key %q ran %d times", c.idempotencyKey, total)
 	}
 }
 
--- a/core/instance/world_test.go
+++ b/core/instance/world_test.go
@@ -75,14 +75,14 @@
 
 // A worldCall is one caller's call and its outcome.
 type worldCall struct {
-	id            string
-	node          string
-	notRepeatable bool
-	key           string
-	executed      int
-	answered      bool
-	refusal       *code.Refusal
-	dispatched    int
+	id             string
+	node           string
+	notRepeatable  bool
+	idempotencyKey string
+	executed       int
+	answered       bool
+	refusal        *code.Refusal
+	dispatched     int
 }
 
 type scheduled struct {
