--- a/core/instance/world_engine_test.go
+++ b/core/instance/world_engine_test.go
@@ -106,10 +106,10 @@
 }
 
 func (e *fakeEngine) state() pool.State {
-	e.seq++
+	e.stateSeq++
 	s := pool.State{
 		Residency: pool.Residency{Boot: e.boot, Change: e.change, Leaving: e.leaving},
-		Load:      pool.Load{Boot: e.boot, Seq: e.seq},
+		Load:      pool.Load{Boot: e.boot, Seq: e.stateSeq},
 		Fence:     e.fence, LastOrder: e.lastOrder,
 	}
 	for name, it := range e.items {
@@ -121,6 +121,6 @@
 // restart resets an engine to the empty state of a new process.
 func (e *fakeEngine) restart() {
 	e.boot++
-	e.change, e.seq, e.fence, e.lastOrder, e.leaving = 0, 0, 0, 0, false
+	e.change, e.stateSeq, e.fence, e.lastOrder, e.leaving = 0, 0, 0, 0, false
 	e.items = map[string]*fakeItem{}
 }
--- a/core/instance/world_test.go
+++ b/core/instance/world_test.go
@@ -137,7 +137,7 @@
 	checksFence bool
 	boot        uint64
 	change      uint64
-	seq         uint64
+	stateSeq    uint64
 	fence       uint64
 	lastOrder   uint64
 	leaving     bool
