--- a/internal/server/notice_test.go
+++ b/internal/server/notice_test.go
@@ -51,9 +51,9 @@
 	return nil, false
 }
 
-// TestAnyAnswerMaySayThatAReplicaLeaves checks that the header is read from answers of any
+// TestLeavingIsReadFromAnyAnswer checks that the header is read from answers of any
 // status, from truncated ones and from answers to another call.
-func TestAnyAnswerMaySayThatAReplicaLeaves(t *testing.T) {
+func TestLeavingIsReadFromAnyAnswer(t *testing.T) {
 	foreign := func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set(forward.OwnFormat.CallID, "another")
 		answerOK("another's")(w, r)
