--- a/internal/server/notice_test.go
+++ b/internal/server/notice_test.go
@@ -151,7 +151,7 @@
 // TestRateLimitIsReadFromAnyAnswer checks that a rate limit is read from answers of every kind,
 // limits the calls that follow, and ends with an answer that names none.
 func TestRateLimitIsReadFromAnyAnswer(t *testing.T) {
-	limits := func(answer http.HandlerFunc, named *atomic.Bool) http.HandlerFunc {
+	withRateLimit := func(answer http.HandlerFunc, named *atomic.Bool) http.HandlerFunc {
 		return func(w http.ResponseWriter, r *http.Request) {
 			if named.Load() {
 				w.Header().Set(forward.OwnFormat.RateLimit, "2")
@@ -175,7 +175,7 @@
 			is := is.New(t)
 			var named atomic.Bool
 			named.Store(true)
-			s := newTestInstance(t, limits(c.answer, &named))
+			s := newTestInstance(t, withRateLimit(c.answer, &named))
 			s.send("POST", c.host, "/x", "body")
 			_, found := s.awaitUpstream(func(u instance.ReplicaStatus) bool { return u.Limit != nil && u.Limit.PerSecond == 2 })
 			is.True(found)
