--- a/internal/server/notice_test.go
+++ b/internal/server/notice_test.go
@@ -151,9 +151,9 @@
 // TestRateLimitIsReadFromAnyAnswer checks that a rate limit is read from answers of every kind,
 // limits the calls that follow, and ends with an answer that names none.
 func TestRateLimitIsReadFromAnyAnswer(t *testing.T) {
-	withRateLimit := func(answer http.HandlerFunc, named *atomic.Bool) http.HandlerFunc {
+	withRateLimit := func(answer http.HandlerFunc, limited *atomic.Bool) http.HandlerFunc {
 		return func(w http.ResponseWriter, r *http.Request) {
-			if named.Load() {
+			if limited.Load() {
 				w.Header().Set(forward.OwnFormat.RateLimit, "2")
 			}
 			answer(w, r)
