--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -60,11 +60,11 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			limit := 10 * time.Second // for a busy machine
+			timeout := 10 * time.Second // for a busy machine
 			if c.name == silence {
-				limit = 300 * time.Millisecond
+				timeout = 300 * time.Millisecond
 			}
-			ctx, cancel := context.WithTimeout(context.Background(), limit)
+			ctx, cancel := context.WithTimeout(context.Background(), timeout)
 			defer cancel()
 			req, err := http.NewRequestWithContext(ctx, "POST", "http://"+c.address+"/", nil)
 			is.NoErr(err)
