--- a/core/instance/world_test.go
+++ b/core/instance/world_test.go
@@ -27,26 +27,26 @@
 	"github.com/birchdrift/birchdrift/core/step"
 )
 
-// A world simulates several machines on one simulated clock, with messages lost, delayed and
-// duplicated at random by seed. It does not depend on how machines decide: it performs their
-// actions on small fakes and checks the guarantees. It tests the logic; it does not model a
-// production fleet.
+// A world simulates several machines on one simulated clock. Messages are lost, delayed and
+// duplicated at random; the seed determines the sequence. The world does not depend on how machines
+// decide: it performs their actions on small fakes and checks the guarantees. It tests the logic and
+// does not model a production fleet.
 type world struct {
 	t          *testing.T
 	rng        *rand.Rand
 	now        time.Duration
 	queue      eventQueue
-	eventSeq   uint64
+	eventSeq   uint64 // of the event scheduled last
 	opt        option.Options
 	doc        config.Document
 	platform   fakePlatform
 	engines    map[string]*fakeEngine
 	nodes      map[string]*node
-	names      []string
+	names      []string // of the nodes
 	faults     worldFaults
 	calls      map[string]*worldCall // by instance, incarnation and call ID
 	violations []string              // descriptions of violated guarantees
-	installed  map[string]uint64
+	installed  map[string]uint64     // revision of the configuration that each node installed last
 	// beforeOrder, if not nil, is called when an order reaches its engine, before
 	// the engine executes it.
 	beforeOrder func(n *node, e *fakeEngine, o book.Order)
@@ -54,12 +54,12 @@
 
 // worldFaults holds the faults that are currently injected.
 type worldFaults struct {
-	lossRate     float64       // share of requests and responses that are lost
-	maxLatency   time.Duration // upper bound of the latency of a message
-	maxLateDelay time.Duration // a lost request may still arrive within this time; 0: never
-	platformDown bool          // the platform does not respond
-	cutZones     map[string]bool
-	breakRate    float64 // share of calls whose connection breaks, at a random phase
+	lossRate     float64         // share of requests and responses that are lost
+	maxLatency   time.Duration   // upper bound of the latency of a message
+	maxLateDelay time.Duration   // a lost request may still arrive within this time; 0: never
+	platformDown bool            // the platform does not respond
+	cutZones     map[string]bool // zones without a connection to other zones or the platform
+	breakRate    float64         // share of calls whose connection breaks, at a random phase
 }
 
 // A node is one machine with its own clock.
@@ -69,7 +69,7 @@
 	dead        bool
 	paused      bool
 	monoLag     time.Duration // how far its monotonic clock is behind
-	deferred    []func()
+	deferred    []func()      // events and messages held back while the node is paused
 	incarnation int
 }
 
@@ -79,18 +79,20 @@
 	node           string
 	notRepeatable  bool
 	idempotencyKey string
-	executed       int
+	executed       int // number of times it ran
 	answered       bool
-	refusal        *code.Refusal
-	dispatched     int
+	refusal        *code.Refusal // nil unless the node refused the call
+	dispatched     int           // number of attempts
 }
 
+// A scheduled is an event of the simulation. Events at the same time run in the order of eventSeq.
 type scheduled struct {
 	at       time.Duration
 	eventSeq uint64
 	do       func()
 }
 
+// An eventQueue is a heap of events, the earliest first.
 type eventQueue []scheduled
 
 func (q eventQueue) Len() int { return len(q) }
@@ -115,8 +117,8 @@
 	values   map[string]fakeValue
 	leases   map[string]*fakeLease
 	list     []gossip.Listed
-	version  uint64
-	calls    int
+	version  uint64 // of the newest entry in list
+	calls    int    // calls that nodes made, including lost ones
 }
 
 type fakeValue struct {
@@ -135,15 +137,15 @@
 	name        string
 	capacity    int64
 	checksFence bool
-	boot        uint64
-	change      uint64
-	stateSeq    uint64
-	fence       uint64
-	lastOrder   uint64
+	boot        uint64 // incremented by each restart
+	change      uint64 // incremented by each change of the items
+	stateSeq    uint64 // sequence number of the last state report
+	fence       uint64 // fencing token of the last order, if checksFence
+	lastOrder   uint64 // sequence number of the last order, if checksFence
 	leaving     bool
-	leftAt      time.Duration
+	leftAt      time.Duration // when it started to leave
 	items       map[string]*fakeItem
-	overcommits int
+	overcommits int // orders for more memory than was free
 	loads       int
 	unloads     int
 }
@@ -218,6 +220,7 @@
 	w.now = end
 }
 
+// clock returns the node's wall and monotonic clocks at the simulated time now.
 func (n *node) clock(now time.Duration) clock.Instant {
 	at := clocktest.At(now)
 	at.Mono -= n.monoLag
@@ -248,7 +251,7 @@
 	}
 }
 
-// pause freezes a node for d. With suspend its monotonic clock stops too. Events and unsent
+// pause freezes a node for d. With suspend, its monotonic clock stops too. Events and unsent
 // messages are deferred until the node resumes.
 func (w *world) pause(name string, d time.Duration, suspend bool) {
 	n := w.nodes[name]
@@ -266,16 +269,18 @@
 	})
 }
 
+// latency returns a random latency of a message.
 func (w *world) latency() time.Duration {
 	return time.Duration(w.rng.Int64N(int64(w.faults.maxLatency))) + 1
 }
 
+// lost reports, at random, whether a message is lost.
 func (w *world) lost() bool { return w.rng.Float64() < w.faults.lossRate }
 
 // send carries a request to its destination and the response back; either may be lost. effect runs
 // at the destination and returns the function that handles the response at the node. fail runs at
-// the node when the request or the response is lost; notSent reports whether the request certainly
-// was not sent.
+// the node when the request or the response is lost; notSent is true if the request was certainly
+// not sent.
 func (w *world) send(n *node, reachable func() bool, effect func() func(), fail func(notSent bool)) {
 	if n.paused {
 		n.deferred = append(n.deferred, func() { w.send(n, reachable, effect, fail) })
@@ -303,16 +308,19 @@
 	})
 }
 
+// reportViolation records that a guarantee was violated.
 func (w *world) reportViolation(format string, args ...any) {
 	w.violations = append(w.violations, fmt.Sprintf("%v: ", w.now-worldStart)+fmt.Sprintf(format, args...))
 }
 
 var errLost = errors.New("lost")
 
+// platformReachable returns a function that reports whether n can reach the platform.
 func (w *world) platformReachable(n *node) func() bool {
 	return func() bool { return !w.faults.platformDown && !w.faults.cutZones[n.id.Zone] }
 }
 
+// engineReachable returns a function that reports whether n can reach an engine in zone.
 func (w *world) engineReachable(n *node, zone string) func() bool {
 	return func() bool { return zone == n.id.Zone || !w.faults.cutZones[n.id.Zone] && !w.faults.cutZones[zone] }
 }
@@ -362,6 +370,7 @@
 	w.installed[n.id.Name] = a.Snapshot.Revision()
 }
 
+// watchConfig answers a watch for a newer revision of the configuration.
 func (w *world) watchConfig(n *node, a kvwatch.WatchConfig) {
 	w.platform.calls++
 	w.send(n, w.platformReachable(n), func() func() {
@@ -374,6 +383,7 @@
 	}, func(bool) { w.step(n, ConfigReply{Source: PlatformSource, Err: errLost}) })
 }
 
+// configReply returns the reply that delivers doc from source.
 func (w *world) configReply(doc config.Document, source string) ConfigReply {
 	s, err := config.NewSnapshot(doc)
 	if err != nil {
@@ -386,6 +396,7 @@
 	return ConfigReply{Snapshot: s, Encoded: encoded, Source: source}
 }
 
+// watchList answers a watch for changes of the platform's list of replicas.
 func (w *world) watchList(n *node, a kvwatch.WatchList) {
 	w.platform.calls++
 	w.send(n, w.platformReachable(n), func() func() {
@@ -407,6 +418,7 @@
 	}, func(bool) { w.step(n, listing.Reply{Err: errLost}) })
 }
 
+// requestLease grants or renews the lease of a node's zone at the platform.
 func (w *world) requestLease(n *node, a planner.RequestLease) {
 	sent := n.clock(w.now)
 	holder := fmt.Sprintf("%s/%d", n.id.Name, n.id.Boot)
@@ -432,6 +444,8 @@
 	}, func(bool) { w.step(n, planner.LeaseReply{Sent: sent, Err: errLost}) })
 }
 
+// handleIntents executes the read or the conditional write of the intents of a node's zone at the
+// platform.
 func (w *world) handleIntents(n *node, a step.Action) {
 	key := "intents/" + n.id.Zone
 	write, isWrite := a.(planner.WriteIntents)
@@ -452,6 +466,8 @@
 	}, func(bool) { w.step(n, planner.IntentsReply{Read: !isWrite, Intents: write.Intents, Err: errLost}) })
 }
 
+// exchange delivers an exchange request to its peer and the reply to the node. It fails if the peer
+// is dead, paused or cut off, or if a message is lost.
 func (w *world) exchange(n *node, a exchange.SendRequest) {
 	peer := w.nodes[a.Address]
 	up := func() bool {
--- a/core/placement/budget_test.go
+++ b/core/placement/budget_test.go
@@ -29,7 +29,7 @@
 	is.Equal(takeAll(&b), 0)
 	now = now.Add(opt.OrderValid)
 	b.refill(now, rate, &opt)
-	is.Equal(takeAll(&b), 0) // the time for which the former placer may be active yields no loads
+	is.Equal(takeAll(&b), 0) // no budget accrues while the former placer may be active
 	now = now.Add(600 * time.Millisecond)
 	b.refill(now, rate, &opt)
 	is.Equal(takeAll(&b), 1)
@@ -38,22 +38,22 @@
 	is.Equal(takeAll(&b), int(loadBurst))
 }
 
-// TestBudgetHandover checks that a placer starts with the budget that the former one left
-// when it stopped, so that both together start no more loads than one would. A former
-// placer that was itself still waiting for its predecessor hands over a negative budget,
-// by the loads that the rate yields in the rest of that wait.
+// TestBudgetHandover checks that a placer starts with the budget that the former one had left
+// when it stopped, so that both together start no more loads than a single one would. A former
+// placer that was itself still waiting until its predecessor was certainly inactive hands over
+// a negative budget: minus the loads that the rate would yield in the rest of that wait.
 func TestBudgetHandover(t *testing.T) {
 	now := clocktest.At(time.Hour)
 	opt := option.Default()
 	const rate = 2.0
 	for _, tt := range []struct {
 		name       string
-		startedAgo time.Duration // how long before its stop the first placer started
+		startedAgo time.Duration // time from the start of the first placer to its stop
 		spent      int           // loads that the first placer started
 		want       float64       // remaining loads
 	}{
 		{"a full budget", time.Minute, 0, loadBurst},
-		{"one spent", time.Minute, 1, loadBurst - 1},
+		{"one load started", time.Minute, 1, loadBurst - 1},
 		{"while a former placer may be active", 0, 0, -loadShare * rate * opt.OrderValid.Seconds()},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
--- a/core/registry/registry_test.go
+++ b/core/registry/registry_test.go
@@ -8,10 +8,11 @@
 	"github.com/birchdrift/birchdrift/core/era"
 )
 
-// TestLastRecordOfAKeyWins checks that the last of several records with one key
-// counts. One update may contain the deletion of a record and its recreation, as
-// after an outage in which the platform dropped every record. Recreated instances
-// were then treated as absent, and instances kept taking over each other's engines.
+// TestLastRecordOfAKeyWins checks that the last of several records with the same key
+// takes effect. One update may contain both the deletion and the recreation of a
+// record, as after an outage in which the platform dropped every record. The deletion
+// once took precedence: recreated instances were treated as absent, and instances kept
+// taking over each other's engines.
 func TestLastRecordOfAKeyWins(t *testing.T) {
 	written := func(v Value, revision era.Revision) Record {
 		return Record{Key: v.Key, Data: v.Data, Revision: revision}
@@ -44,7 +45,7 @@
 	}
 }
 
-// placers returns the number of placer records in a change.
+// placers returns the number of placer records in c, which is 0 or 1.
 func placers(c Change) int {
 	if c.Placer == nil {
 		return 0
@@ -53,7 +54,7 @@
 }
 
 // TestQuarantineRoundTrip checks that an encoded quarantine is decoded unchanged, that
-// its deletion is no change, and that invalid records are listed as unreadable.
+// its deletion yields no change, and that invalid records are listed as unreadable.
 func TestQuarantineRoundTrip(t *testing.T) {
 	is := is.New(t)
 	q := Quarantine{Request: 1<<63 + 5, Replicas: 3}
--- a/internal/server/notice_test.go
+++ b/internal/server/notice_test.go
@@ -31,8 +31,8 @@
 	}
 }
 
-// awaitUpstream waits up to 5 s until seen returns true for any of the replicas and returns
-// the status of all; ok is false if that did not happen in time.
+// awaitUpstream polls the status of the replicas until seen returns true for one of them, for
+// at most 5 s. It returns the statuses of all replicas; ok reports whether seen returned true.
 func (i *testInstance) awaitUpstream(seen func(instance.ReplicaStatus) bool) (statuses []instance.ReplicaStatus, ok bool) {
 	i.t.Helper()
 	deadline := time.Now().Add(5 * time.Second)
@@ -51,8 +51,8 @@
 	return nil, false
 }
 
-// TestLeavingIsReadFromAnyAnswer checks that the header is read from answers of any
-// status, from truncated ones and from answers to another call.
+// TestLeavingIsReadFromAnyAnswer checks that the header which marks a replica as leaving is
+// read from answers of any status, from truncated answers and from answers to another call.
 func TestLeavingIsReadFromAnyAnswer(t *testing.T) {
 	foreign := func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set(forward.OwnFormat.CallID, "another")
@@ -66,14 +66,14 @@
 	}
 	cases := []struct {
 		name   string
-		host   string
+		host   string // selects the route
 		answer http.HandlerFunc
 	}{
 		{"a success", "again", answerOK("good")},
 		{"a failure", "once", answerStatus(500)},
-		{"a refusal of its own", "once", answerStatus(404)},
-		{"it did not run the call", "once", answerNotRun(503)},
-		{"it is not the one expected", "once", answerNotRun(421)},
+		{"a client error status", "once", answerStatus(404)},
+		{"the call was not run", "once", answerNotRun(503)},
+		{"the replica is not the expected one", "once", answerNotRun(421)},
 		{"the answer to another call", "once", foreign},
 		{"a truncated answer", "once", truncated},
 	}
@@ -87,7 +87,7 @@
 			is.True(found)
 		})
 	}
-	t.Run("a success that does not say so", func(t *testing.T) {
+	t.Run("a success without the header", func(t *testing.T) {
 		is := is.New(t)
 		s := newTestInstance(t, answerOK("good"))
 		is.Equal(s.send("POST", "again", "/x", "body").status, 200)
@@ -126,9 +126,9 @@
 	is.True(found)
 }
 
-// TestRefusingReplicaMayAskForRest checks that a call refused with Retry-After goes to
-// another replica, that later calls avoid the first one, and that Retry-After in an answer
-// which refuses nothing has no effect.
+// TestRefusingReplicaMayAskForRest checks that a call refused with Retry-After is retried at
+// another replica, that later calls avoid the one that refused, and that Retry-After in a
+// successful answer has no effect.
 func TestRefusingReplicaMayAskForRest(t *testing.T) {
 	is := is.New(t)
 	s := newTestInstance(t, withRetryAfter(answerNotRun(503)), withRetryAfter(answerNotRun(503)), withRetryAfter(answerOK("good")))
@@ -148,8 +148,8 @@
 	}
 }
 
-// TestRateLimitIsReadFromAnyAnswer checks that a rate limit is read from answers of every kind,
-// limits the calls that follow, and ends with an answer that names none.
+// TestRateLimitIsReadFromAnyAnswer checks that a rate limit is read from answers of any status,
+// limits the calls that follow, and is withdrawn by an answer without one.
 func TestRateLimitIsReadFromAnyAnswer(t *testing.T) {
 	withRateLimit := func(answer http.HandlerFunc, limited *atomic.Bool) http.HandlerFunc {
 		return func(w http.ResponseWriter, r *http.Request) {
@@ -161,21 +161,21 @@
 	}
 	cases := []struct {
 		name   string
-		host   string
+		host   string // selects the route
 		answer http.HandlerFunc
 	}{
 		{"a success", "again", answerOK("good")},
 		{"a failure", "once", answerStatus(500)},
-		{"a refusal of its own", "once", answerStatus(404)},
-		{"it did not run the call", "once", answerNotRun(503)},
+		{"a client error status", "once", answerStatus(404)},
+		{"the call was not run", "once", answerNotRun(503)},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			is := is.New(t)
-			var named atomic.Bool
-			named.Store(true)
-			s := newTestInstance(t, withRateLimit(c.answer, &named))
+			var limited atomic.Bool
+			limited.Store(true)
+			s := newTestInstance(t, withRateLimit(c.answer, &limited))
 			s.send("POST", c.host, "/x", "body")
 			_, found := s.awaitUpstream(func(u instance.ReplicaStatus) bool { return u.Limit != nil && u.Limit.PerSecond == 2 })
 			is.True(found)
@@ -186,7 +186,7 @@
 				time.Sleep(5 * time.Millisecond)
 			}
 			is.True(s.replicas[0].requests()-before <= 5)
-			named.Store(false)
+			limited.Store(false)
 			_, ended := s.awaitUpstream(func(u instance.ReplicaStatus) bool {
 				s.send("POST", c.host, "/x", "body")
 				return u.Limit != nil && u.Limit.Withdrawn
--- a/internal/telemetry/writer_test.go
+++ b/internal/telemetry/writer_test.go
@@ -40,5 +40,5 @@
 	kept := strings.Count(out.buf.String(), "\n")
 	is.Equal(kept+dropped, lines)
 	is.True(dropped > 0)                 // the buffer is bounded
-	is.True(kept >= 2*maxLinesPerSecond) // a burst is kept
+	is.True(kept >= 2*maxLinesPerSecond) // the largest burst is written
 }
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -12,7 +12,8 @@
 	"github.com/matryer/is"
 )
 
-// serve starts a server that handles each connection with answer and returns its address.
+// serve starts a TCP server and returns its address. For each connection, the server reads
+// the beginning of the request and then calls answer.
 func serve(t *testing.T, answer func(c *net.TCPConn)) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -60,7 +61,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			timeout := 10 * time.Second // for a busy machine
+			timeout := 10 * time.Second // long enough on a busy machine
 			if c.name == silence {
 				timeout = 300 * time.Millisecond
 			}
--- a/standin/cmd/demo/config.go
+++ b/standin/cmd/demo/config.go
@@ -7,8 +7,8 @@
 	"github.com/birchdrift/birchdrift/core/config"
 )
 
-// The size of the demonstration's configuration. It has 35 models, and the
-// engines have room for 24 at a time, so some are loaded only when they are called.
+// The size of the demonstration's configuration. It has 35 models, and the engines
+// have room for 24 at a time, so some models are loaded only when they are called.
 const (
 	zones    = 2
 	engines  = 6
@@ -68,8 +68,8 @@
 	return d
 }
 
-// plainService returns a service without a model; its allocations must run at most
-// once.
+// plainService returns a service without a model. Calls to its path /allocations must
+// run at most once.
 func plainService(addresses map[string]string) config.Service {
 	svc := config.Service{
 		Name:   "stock",
--- a/standin/service/service.go
+++ b/standin/service/service.go
@@ -1,5 +1,5 @@
-// Package service provides a small stand-in for a plain service. It records the calls
-// that it executed.
+// Package service provides a small stand-in for a plain service, which is a service without
+// a model. It records the calls that it executed.
 package service
 
 import (
@@ -13,13 +13,13 @@
 	"github.com/birchdrift/birchdrift/standin/fault"
 )
 
-// Faults are the faults that the stand-in simulates. A fault of the next n calls counts
-// down with each call that it affects.
+// Faults are the faults that the stand-in simulates. A field that holds a number of calls is
+// decremented by each call that it affects.
 type Faults struct {
 	DropBefore int            `json:"drop_before"` // drop the connection of the next n calls before they run
 	DropAfter  int            `json:"drop_after"`  // drop the connection of the next n calls after they ran
-	CutBody    int            `json:"cut_body"`    // cut the replies to the next n calls halfway
-	Slow       fault.Duration `json:"slow"`        // added to every call
+	CutBody    int            `json:"cut_body"`    // truncate the responses to the next n calls in the middle of the body
+	Slow       fault.Duration `json:"slow"`        // delay between the execution of every call and its response
 	Refuse     int            `json:"refuse"`      // refuse the next n calls and report them as not run
 	Leaving    bool           `json:"leaving"`     // refuse every call, and report it as not run and the replica as leaving
 }
@@ -29,7 +29,7 @@
 	Method string `json:"method"`
 	Path   string `json:"path"`
 	Body   string `json:"body"`
-	Call   string `json:"call"` // identity given by the entry instance
+	Call   string `json:"call"` // call ID assigned by the entry instance
 }
 
 // A Service is a stand-in for a plain service. It is safe for concurrent use.
@@ -41,10 +41,11 @@
 	executions []Execution
 }
 
-// New returns a service without executed calls.
+// New returns a service that has executed no calls. Its responses contain name in the
+// Served-By header.
 func New(name string) *Service { return &Service{name: name} }
 
-// Executions returns a copy of the list of calls that ran, in order.
+// Executions returns a copy of the list of calls that ran, in the order of execution.
 func (s *Service) Executions() []Execution {
 	s.mu.Lock()
 	defer s.mu.Unlock()
