--- a/core/instance/announced_world_test.go
+++ b/core/instance/announced_world_test.go
@@ -261,14 +261,14 @@
 // at schedules do to run after d.
 func (f *fleet) at(d time.Duration, do func()) {
 	f.eventSeq++
-	heap.Push(&f.queue, scheduled{at: f.now + d, eventSeq: f.eventSeq, do: do})
+	heap.Push(&f.queue, scheduledEvent{at: f.now + d, eventSeq: f.eventSeq, do: do})
 }
 
 // run processes the events of the next span and advances the clock by span.
 func (f *fleet) run(span time.Duration) {
 	end := f.now + span
 	for f.queue.Len() > 0 && f.queue[0].at <= end {
-		next := heap.Pop(&f.queue).(scheduled)
+		next := heap.Pop(&f.queue).(scheduledEvent)
 		f.now = next.at
 		next.do()
 	}
--- a/core/instance/world_test.go
+++ b/core/instance/world_test.go
@@ -85,15 +85,15 @@
 	dispatched     int           // number of attempts
 }
 
-// A scheduled is an event of the simulation. Events at the same time run in the order of eventSeq.
-type scheduled struct {
+// A scheduledEvent is an event of the simulation. Events at the same time run in the order of eventSeq.
+type scheduledEvent struct {
 	at       time.Duration
 	eventSeq uint64
 	do       func()
 }
 
 // An eventQueue is a heap of events, the earliest first.
-type eventQueue []scheduled
+type eventQueue []scheduledEvent
 
 func (q eventQueue) Len() int { return len(q) }
 func (q eventQueue) Less(i, j int) bool {
@@ -103,7 +103,7 @@
 	return q[i].eventSeq < q[j].eventSeq
 }
 func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
-func (q *eventQueue) Push(x any)   { *q = append(*q, x.(scheduled)) }
+func (q *eventQueue) Push(x any)   { *q = append(*q, x.(scheduledEvent)) }
 func (q *eventQueue) Pop() any {
 	old := *q
 	x := old[len(old)-1]
@@ -206,14 +206,14 @@
 // after schedules f to run after d.
 func (w *world) after(d time.Duration, f func()) {
 	w.eventSeq++
-	heap.Push(&w.queue, scheduled{at: w.now + d, eventSeq: w.eventSeq, do: f})
+	heap.Push(&w.queue, scheduledEvent{at: w.now + d, eventSeq: w.eventSeq, do: f})
 }
 
 // run processes the events of the next d and advances the clock by d.
 func (w *world) run(d time.Duration) {
 	end := w.now + d
 	for len(w.queue) > 0 && w.queue[0].at <= end {
-		next := heap.Pop(&w.queue).(scheduled)
+		next := heap.Pop(&w.queue).(scheduledEvent)
 		w.now = next.at
 		next.do()
 	}
