--- a/core/instance/world_test.go
+++ b/core/instance/world_test.go
@@ -85,7 +85,8 @@
 	dispatched     int           // number of attempts
 }
 
-// A scheduledEvent is an event of the simulation. Events at the same time run in the order of eventSeq.
+// A scheduledEvent is an event of the simulation. Events at the same time run in the order of
+// eventSeq.
 type scheduledEvent struct {
 	at       time.Duration
 	eventSeq uint64
