--- a/core/instance/stepback_test.go
+++ b/core/instance/stepback_test.go
@@ -324,12 +324,12 @@
 	return f
 }
 
-// TestOrdersHoldWhileTheStoreStepsBack checks, for every fault scenario, that no engine gets
+// TestOrdersHoldDuringStoreRollbacks checks, for every fault scenario, that no engine gets
 // orders from two members within Options.TurnGap or under a lower fence than before, that none is
 // ordered to hold more than it can, and that calls are still served.
 //
 // Before, no member sent any orders after the first rollback of the store.
-func TestOrdersHoldWhileTheStoreStepsBack(t *testing.T) {
+func TestOrdersHoldDuringStoreRollbacks(t *testing.T) {
 	seeds := *stepSeeds
 	if testing.Short() {
 		seeds = 1
