--- a/core/instance/stepback_test.go
+++ b/core/instance/stepback_test.go
@@ -196,13 +196,13 @@
 	return took, wrong
 }
 
-// TestFleetRecoversAfterStoreStepsBack checks that some seconds after the store returned from an
+// TestFleetRecoversAfterStoreRollback checks that some seconds after the store returned from an
 // older copy, all members are registered again and each engine has one owner that can send it
 // orders.
 //
 // Before, no member ever sent orders to some engines again, and all members ignored what was
 // written to the store afterwards.
-func TestFleetRecoversAfterStoreStepsBack(t *testing.T) {
+func TestFleetRecoversAfterStoreRollback(t *testing.T) {
 	// maxRecovery is the longest time for which engines wait for orders after the loss of an owner,
 	// without a rollback of the store: until its record expires and it counts as absent, then
 	// until its orders are no longer valid and TurnGap has passed.
