--- a/core/demand/demand.go
+++ b/core/demand/demand.go
@@ -28,7 +28,7 @@
 	Absent     float64       // misses per second of forwarded calls: no engine had it
 }
 
-// A Totals sums the demand that the instances of a zone reported to its placer.
+// A Totals sums the demand that instances reported to a zone's planner or to the placer.
 type Totals struct {
 	reports map[string]report // by instance
 }
--- a/core/gossip/gossip.go
+++ b/core/gossip/gossip.go
@@ -82,7 +82,7 @@
 	pool.LimitReport
 }
 
-// A LeaseHolder is the instance that holds the placer lease of a zone.
+// A LeaseHolder is the instance that holds the planner lease of a zone.
 type LeaseHolder struct {
 	Zone     string
 	Instance string
@@ -361,7 +361,7 @@
 // ListedVersion returns the version of the newest list entry of a name, 0 if there was none.
 func (s *Set) ListedVersion(name string) era.Revision { return s.listed[name].record.Version }
 
-// LeaseHolder returns the holder of a zone's placer lease; its Instance is "" if none is
+// LeaseHolder returns the holder of a zone's planner lease; its Instance is "" if none is
 // known.
 func (s *Set) LeaseHolder(zone string) LeaseHolder { return s.holders[zone].record }
 
